--- /dev/null
+++ b/peer/core/schema_test.go
@@ -0,0 +1,36 @@
+package core
+
+import (
+	"testing"
+	"time"
+
+	"saffronfall/rule/allowance"
+	"saffronfall/rule/breaker"
+	"saffronfall/rule/message/schematest"
+	"saffronfall/rule/program"
+	"saffronfall/rule/rate"
+)
+
+// TestStoredSchema: values of stored entries.
+func TestStoredSchema(t *testing.T) {
+	schematest.Check(t, "stored_schema", []schematest.Entry{
+		schematest.Msgpack[Member]("member"),
+		schematest.Msgpack[Core]("core"),
+		schematest.Msgpack[Configured]("configuration"),
+		schematest.Msgpack[AgreedTable]("table"),
+		schematest.Msgpack[Once]("once"),
+		schematest.Msgpack[BreakerNews]("breaker"),
+		schematest.Msgpack[breaker.Breaker]("books of the breaker"),
+		schematest.Msgpack[allowance.Ledger]("allowance"),
+		schematest.Msgpack[program.User]("user"),
+		schematest.Msgpack[program.Record]("program"),
+		schematest.Msgpack[program.Turn]("turn of a program"),
+		schematest.Msgpack[rate.Reserve]("rate"),
+		schematest.Msgpack[keptTurn]("kept turn"),
+		schematest.Msgpack[keptBook]("kept book"),
+		schematest.Msgpack[acceptedOrder]("accepted order"),
+		schematest.Msgpack[uint64]("floor of versions"),
+		schematest.Msgpack[time.Duration]("time of a past member"),
+		schematest.Msgpack[bool]("core that was outlived"),
+	})
+}
--- /dev/null
+++ b/peer/replica/schema_test.go
@@ -0,0 +1,17 @@
+package replica
+
+import (
+	"testing"
+
+	"saffronfall/peer/node"
+	"saffronfall/rule/message/schematest"
+)
+
+func TestJSONSchema(t *testing.T) {
+	schematest.Check(t, "json_schema", []schematest.Entry{
+		schematest.JSON[node.Payload]("turn sent to a model"),
+		schematest.JSON[line]("line of a streamed turn"),
+		schematest.JSON[Told]("announcement"),
+		schematest.JSON[Heard]("answer to an announcement"),
+	})
+}
--- a/rule/message/message.go
+++ b/rule/message/message.go
@@ -4,6 +4,7 @@
 
 import (
 	"bytes"
+	"maps"
 	"reflect"
 
 	"github.com/cockroachdb/errors"
@@ -24,6 +25,9 @@
 	}
 }
 
+// Types returns every registered type by its outer name.
+func Types() map[string]reflect.Type { return maps.Clone(types) }
+
 // Pack encodes a value of a registered type. A type that is not registered is a
 // fault of the program, never of a member.
 func Pack(value any) []byte {
--- /dev/null
+++ b/rule/message/schematest/describe.go
@@ -0,0 +1,215 @@
+package schematest
+
+import (
+	"encoding"
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"strings"
+	"time"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// Describe returns the outer structure of a type under an encoding: field names as they are
+// written, their order, options, kinds and element types. Go names of types and fields do
+// not appear unless the encoder writes them. A type that contains itself is described once,
+// and as a reference to the enclosing level below that.
+func Describe(t reflect.Type, encoding Encoding) string {
+	d := describer{encoding: encoding}
+	d.describe(t, 0)
+	return d.text.String()
+}
+
+type describer struct {
+	encoding Encoding
+	text     strings.Builder
+	// open are the structs that are being described, outermost first.
+	open []reflect.Type
+}
+
+// field is one encoded field of a struct.
+type field struct {
+	name    string
+	options string
+	of      reflect.Type
+	depth   int
+}
+
+var (
+	timeType  = reflect.TypeFor[time.Time]()
+	rawType   = reflect.TypeFor[json.RawMessage]()
+	customFor = map[Encoding][]reflect.Type{
+		MessagePack: {reflect.TypeFor[msgpack.CustomEncoder](), reflect.TypeFor[msgpack.Marshaler](), reflect.TypeFor[encoding.BinaryMarshaler](), reflect.TypeFor[encoding.TextMarshaler]()},
+		JSONText:    {reflect.TypeFor[json.Marshaler](), reflect.TypeFor[encoding.TextMarshaler]()},
+	}
+)
+
+// custom reports whether a type has an encoder of its own.
+func custom(t reflect.Type, encoding Encoding) bool {
+	for _, one := range customFor[encoding] {
+		if t.Implements(one) || reflect.PointerTo(t).Implements(one) {
+			return true
+		}
+	}
+	return false
+}
+
+func (d *describer) describe(t reflect.Type, indent int) {
+	switch {
+	case t == timeType:
+		d.text.WriteString("time")
+		return
+	case t == rawType && d.encoding == JSONText:
+		d.text.WriteString("raw JSON")
+		return
+	case t.Kind() != reflect.Pointer && t.Kind() != reflect.Interface && custom(t, d.encoding):
+		d.text.WriteString("custom " + t.Kind().String())
+		return
+	}
+	switch t.Kind() {
+	case reflect.Pointer:
+		d.text.WriteString("pointer to ")
+		d.describe(t.Elem(), indent)
+	case reflect.Slice:
+		if t.Elem().Kind() == reflect.Uint8 {
+			d.text.WriteString("bytes")
+			return
+		}
+		d.text.WriteString("list of ")
+		d.describe(t.Elem(), indent)
+	case reflect.Array:
+		fmt.Fprintf(&d.text, "%d times ", t.Len())
+		d.describe(t.Elem(), indent)
+	case reflect.Map:
+		d.text.WriteString("map of ")
+		d.describe(t.Key(), indent)
+		d.text.WriteString(" to ")
+		d.describe(t.Elem(), indent)
+	case reflect.Struct:
+		d.structure(t, indent)
+	default:
+		d.text.WriteString(t.Kind().String())
+	}
+}
+
+func (d *describer) structure(t reflect.Type, indent int) {
+	for i, one := range d.open {
+		if one == t {
+			fmt.Fprintf(&d.text, "struct %d levels up", len(d.open)-i)
+			return
+		}
+	}
+	d.open = append(d.open, t)
+	defer func() { d.open = d.open[:len(d.open)-1] }()
+	list, asArray := d.fields(t)
+	if asArray {
+		d.text.WriteString("unnamed fields ")
+	}
+	d.text.WriteString("{\n")
+	for _, f := range list {
+		d.text.WriteString(strings.Repeat("  ", indent+1))
+		if !asArray {
+			d.text.WriteString(fmt.Sprintf("%q", f.name))
+			if f.options != "" {
+				d.text.WriteString(" [" + f.options + "]")
+			}
+			d.text.WriteString(": ")
+		}
+		d.describe(f.of, indent+1)
+		d.text.WriteString("\n")
+	}
+	d.text.WriteString(strings.Repeat("  ", indent) + "}")
+}
+
+func (d *describer) fields(t reflect.Type) (list []field, asArray bool) {
+	if d.encoding == JSONText {
+		return jsonFields(t), false
+	}
+	return msgpackFields(t)
+}
+
+// msgpackFields lists the fields of a struct by the rules of vmihailenco/msgpack/v5.
+func msgpackFields(t reflect.Type) (list []field, asArray bool) {
+	named := map[string]bool{}
+	for i := range t.NumField() {
+		f := t.Field(i)
+		name, options, _ := strings.Cut(f.Tag.Get("msgpack"), ",")
+		if name == "-" {
+			continue
+		}
+		if f.Name == "_msgpack" {
+			asArray = strings.Contains(options, "as_array")
+		}
+		if !f.IsExported() && !f.Anonymous {
+			continue
+		}
+		inner := f.Type
+		for inner.Kind() == reflect.Pointer {
+			inner = inner.Elem()
+		}
+		if f.Anonymous && inner.Kind() == reflect.Struct && inner != timeType && !custom(inner, MessagePack) && !strings.Contains(options, "noinline") {
+			inlined, _ := msgpackFields(inner)
+			shadowed := false
+			for _, one := range inlined {
+				shadowed = shadowed || named[one.name]
+			}
+			if !shadowed {
+				for _, one := range inlined {
+					named[one.name] = true
+					list = append(list, one)
+				}
+				continue
+			}
+		}
+		if name == "" {
+			name = f.Name
+		}
+		named[name] = true
+		list = append(list, field{name: name, options: options, of: f.Type})
+	}
+	return list, asArray
+}
+
+// jsonFields lists the fields of a struct by the rules of encoding/json. Of fields with one
+// name the least nested one is written.
+func jsonFields(t reflect.Type) []field {
+	var all []field
+	collectJSON(t, 0, &all)
+	least := map[string]int{}
+	for _, one := range all {
+		if depth, ok := least[one.name]; !ok || one.depth < depth {
+			least[one.name] = one.depth
+		}
+	}
+	var list []field
+	for _, one := range all {
+		if one.depth == least[one.name] {
+			list = append(list, one)
+		}
+	}
+	return list
+}
+
+func collectJSON(t reflect.Type, depth int, all *[]field) {
+	for i := range t.NumField() {
+		f := t.Field(i)
+		tag := f.Tag.Get("json")
+		name, options, _ := strings.Cut(tag, ",")
+		inner := f.Type
+		if f.Anonymous && inner.Kind() == reflect.Pointer {
+			inner = inner.Elem()
+		}
+		switch {
+		case tag == "-":
+		case f.Anonymous && name == "" && inner.Kind() == reflect.Struct && !custom(inner, JSONText):
+			collectJSON(inner, depth+1, all)
+		case !f.IsExported():
+		default:
+			if name == "" {
+				name = f.Name
+			}
+			*all = append(*all, field{name: name, options: options, of: f.Type, depth: depth})
+		}
+	}
+}
--- /dev/null
+++ b/rule/message/schematest/schematest.go
@@ -0,0 +1,171 @@
+// Package schematest guards the outer format of encoded types: what processes send to
+// each other, write to disk, and exchange with clients as JSON.
+//
+// A test lists the types of a package with Registered, Msgpack and JSON, and hands them to
+// Check, which compares them with a golden file. The golden file holds, for each type, a
+// description of its outer fields (Describe), the encoding of a value with every field set
+// (Fill) and the encoding of the zero value. None of these depends on a Go identifier that
+// is not itself written out, so a golden file changes only if the format does. A change
+// that alters one breaks compatibility with stored data and with processes of other builds.
+package schematest
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"saffronfall/rule/message"
+)
+
+var update = flag.Bool("update-schema", false, "write the golden files of schema tests")
+
+// Encoding names the encoder of a type.
+type Encoding string
+
+// Encodings that the product uses.
+const (
+	MessagePack Encoding = "msgpack"
+	JSONText    Encoding = "json"
+)
+
+// Entry is one encoded type under the name that the golden file has for it.
+type Entry struct {
+	Name     string
+	Type     reflect.Type
+	Encoding Encoding
+	marshal  func(value any) ([]byte, error)
+	remake   func(raw []byte) (any, error)
+}
+
+// Msgpack is an entry for a type that is encoded by message.Marshal.
+func Msgpack[T any](name string) Entry {
+	return Entry{Name: name, Type: reflect.TypeFor[T](), Encoding: MessagePack,
+		marshal: func(value any) ([]byte, error) { return message.Marshal(value), nil },
+		remake: func(raw []byte) (any, error) {
+			var value T
+			err := message.Unmarshal(raw, &value)
+			return value, err
+		}}
+}
+
+// JSON is an entry for a type that encoding/json encodes.
+func JSON[T any](name string) Entry {
+	return Entry{Name: name, Type: reflect.TypeFor[T](), Encoding: JSONText, marshal: json.Marshal,
+		remake: func(raw []byte) (any, error) {
+			var value T
+			err := json.Unmarshal(raw, &value)
+			return value, err
+		}}
+}
+
+// Registered returns an entry for every type that is registered with message.Register in
+// this process, ordered by outer name.
+func Registered() []Entry {
+	var entries []Entry
+	for name, t := range message.Types() {
+		entries = append(entries, Entry{Name: name, Type: t, Encoding: MessagePack,
+			marshal: func(value any) ([]byte, error) { return message.Pack(value), nil },
+			remake:  message.Open})
+	}
+	slices.SortFunc(entries, func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
+	return entries
+}
+
+// Check compares entries with testdata/NAME.golden, or writes that file if the flag
+// -update-schema is set. It fails for a changed entry, an entry that the file lacks, and an
+// entry that only the file has. It also fails if a decoded value encodes differently.
+func Check(t *testing.T, name string, entries []Entry) {
+	t.Helper()
+	path := filepath.Join("testdata", name+".golden")
+	var text strings.Builder
+	got := map[string]string{}
+	for _, one := range entries {
+		title := fmt.Sprintf("%s (%s)", one.Name, one.Encoding)
+		if _, twice := got[title]; twice {
+			t.Fatalf("two entries are called %s", title)
+		}
+		got[title] = one.section(t)
+		text.WriteString("== " + title + "\n" + got[title])
+	}
+	if *update {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(text.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := sections(string(raw))
+	for title, section := range got {
+		switch old, ok := want[title]; {
+		case !ok:
+			t.Errorf("%s is not in %s", title, path)
+		case old != section:
+			t.Errorf("the format of %s changed:\n%s\nwant:\n%s", title, section, old)
+		}
+	}
+	for title := range want {
+		if _, ok := got[title]; !ok {
+			t.Errorf("%s is in %s and is not encoded any longer", title, path)
+		}
+	}
+	if !t.Failed() && text.String() != string(raw) {
+		t.Errorf("%s is in another order", path)
+	}
+}
+
+func sections(text string) map[string]string {
+	list := map[string]string{}
+	for _, one := range strings.Split("\n"+text, "\n== ")[1:] {
+		title, body, _ := strings.Cut(one, "\n")
+		list[title] = strings.TrimSuffix(body, "\n") + "\n"
+	}
+	return list
+}
+
+func (e Entry) section(t *testing.T) string {
+	t.Helper()
+	full, zero := Fill(e.Type), reflect.Zero(e.Type)
+	return Describe(e.Type, e.Encoding) + "\nfilled: " + e.encoded(t, full) + "\nzero: " + e.encoded(t, zero) + "\n"
+}
+
+// longest is the length in bytes up to which an encoding is written out in full.
+const longest = 300
+
+func (e Entry) encoded(t *testing.T, value reflect.Value) string {
+	t.Helper()
+	raw, err := e.marshal(value.Interface())
+	if err != nil {
+		t.Fatalf("%s: %v", e.Name, err)
+	}
+	back, err := e.remake(raw)
+	if err != nil {
+		t.Fatalf("%s: what was encoded is not decoded: %v", e.Name, err)
+	}
+	if again, err := e.marshal(back); err != nil || !bytes.Equal(raw, again) {
+		t.Errorf("%s: the decoded value is encoded as %q, %v; want %q", e.Name, again, err, raw)
+	}
+	switch {
+	case e.Encoding == JSONText:
+		return string(raw)
+	case len(raw) <= longest:
+		return hex.EncodeToString(raw)
+	default:
+		sum := sha256.Sum256(raw)
+		return fmt.Sprintf("%d bytes, sha256 %s", len(raw), hex.EncodeToString(sum[:]))
+	}
+}
--- /dev/null
+++ b/saffronfall/schema_test.go
@@ -0,0 +1,49 @@
+package main
+
+import (
+	"testing"
+
+	"saffronfall/peer/core"
+	"saffronfall/peer/desk"
+	"saffronfall/peer/operator"
+	"saffronfall/peer/replica"
+	"saffronfall/rule/configuration"
+	"saffronfall/rule/message/schematest"
+	"saffronfall/rule/rehearsal"
+	"saffronfall/rule/route"
+	"saffronfall/saffronfall/params"
+)
+
+// TestRegisteredSchema: this program links every role, so it has every message that
+// processes send to each other.
+func TestRegisteredSchema(t *testing.T) {
+	schematest.Check(t, "registered_schema", schematest.Registered())
+}
+
+// TestJSONSchema: bodies of HTTP calls, settings, descriptions and tables.
+func TestJSONSchema(t *testing.T) {
+	schematest.Check(t, "json_schema", []schematest.Entry{
+		schematest.JSON[core.Changed]("answer to a change of cores"),
+		schematest.JSON[core.Founding]("founding"),
+		schematest.JSON[core.Taking]("answer to a description handed over"),
+		schematest.JSON[core.Topology]("topology"),
+		schematest.JSON[desk.Emptied]("state of retiring a core"),
+		schematest.JSON[desk.Handed]("answer to a table handed over"),
+		schematest.JSON[desk.Replica]("replica as a desk hears it"),
+		schematest.JSON[operator.Fault]("refusal of an operator's call"),
+		schematest.JSON[operator.Refused]("refusal as the caller reads it"),
+		schematest.JSON[operator.Handed]("description handed over"),
+		schematest.JSON[operator.Identity]("identity of a core"),
+		schematest.JSON[operator.Life]("change of cores"),
+		schematest.JSON[operator.Status]("status of the fleet"),
+		schematest.JSON[replica.Told]("announcement of a replica to a node"),
+		schematest.JSON[replica.Heard]("answer to an announcement"),
+		schematest.JSON[configuration.Description]("description"),
+		schematest.JSON[configuration.Faults]("faults of a text"),
+		schematest.JSON[rehearsal.Figures]("effect of a description"),
+		schematest.JSON[route.Table]("routing table"),
+		schematest.JSON[route.Amendment]("amendment of a routing table"),
+		schematest.JSON[route.Preview]("preview of an amendment"),
+		schematest.JSON[params.Params]("settings of a process"),
+	})
+}
