--- a/peer/core/ops.go
+++ b/peer/core/ops.go
@@ -330,11 +330,57 @@
 )
 
 func init() {
-	message.Register(JoinMember{}, RenewMember{}, LeaveMember{}, Termed{}, OpenUser{}, ChargeUser{}, UserDay{},
-		OpenProgram{}, ClaimProgram{}, SaveProgram{}, HandProgram{}, Programmed{}, ShareTenant{}, ShareRates{}, SharedRates{}, DrawBreaker{}, Shared{},
-		AdmitTest{}, ResultTest{}, Tested{}, ClaimOnce{}, EndOnce{}, Once{}, ReadEntries{}, Entries{}, ReadLocked{}, LockedUsers{},
-		AgreeConfiguration{}, Agreed{}, SetFloor{}, Floored{}, Done{}, PartMessage{}, Command{}, CommandReturn{}, Pull{}, News{}, Fresh{}, Topology{},
-		verdict.Verdict{}, part.Stand{}, part.Promise{}, part.Refuse{}, part.Write{}, part.Taken{}, part.Renew{}, part.Renewed{}, part.Handover{}, part.TermDurable{})
+	message.Register(map[string]any{
+		"core.JoinMember":         JoinMember{},
+		"core.RenewMember":        RenewMember{},
+		"core.LeaveMember":        LeaveMember{},
+		"core.Termed":             Termed{},
+		"core.OpenUser":           OpenUser{},
+		"core.ChargeUser":         ChargeUser{},
+		"core.UserDay":            UserDay{},
+		"core.OpenProgram":        OpenProgram{},
+		"core.ClaimProgram":       ClaimProgram{},
+		"core.SaveProgram":        SaveProgram{},
+		"core.HandProgram":        HandProgram{},
+		"core.Programmed":         Programmed{},
+		"core.ShareTenant":        ShareTenant{},
+		"core.ShareRates":         ShareRates{},
+		"core.SharedRates":        SharedRates{},
+		"core.DrawBreaker":        DrawBreaker{},
+		"core.Shared":             Shared{},
+		"core.AdmitTest":          AdmitTest{},
+		"core.ResultTest":         ResultTest{},
+		"core.Tested":             Tested{},
+		"core.ClaimOnce":          ClaimOnce{},
+		"core.EndOnce":            EndOnce{},
+		"core.Once":               Once{},
+		"core.ReadEntries":        ReadEntries{},
+		"core.Entries":            Entries{},
+		"core.ReadLocked":         ReadLocked{},
+		"core.LockedUsers":        LockedUsers{},
+		"core.AgreeConfiguration": AgreeConfiguration{},
+		"core.Agreed":             Agreed{},
+		"core.SetFloor":           SetFloor{},
+		"core.Floored":            Floored{},
+		"core.Done":               Done{},
+		"core.PartMessage":        PartMessage{},
+		"core.Command":            Command{},
+		"core.CommandReturn":      CommandReturn{},
+		"core.Pull":               Pull{},
+		"core.News":               News{},
+		"core.Fresh":              Fresh{},
+		"core.Topology":           Topology{},
+		"verdict.Verdict":         verdict.Verdict{},
+		"part.Stand":              part.Stand{},
+		"part.Promise":            part.Promise{},
+		"part.Refuse":             part.Refuse{},
+		"part.Write":              part.Write{},
+		"part.Taken":              part.Taken{},
+		"part.Renew":              part.Renew{},
+		"part.Renewed":            part.Renewed{},
+		"part.Handover":           part.Handover{},
+		"part.TermDurable":        part.TermDurable{},
+	})
 }
 
 // Keys of entries.
@@ -425,7 +471,12 @@
 	}
 )
 
-func init() { message.Register(PutCore{}, ChangeSeat{}) }
+func init() {
+	message.Register(map[string]any{
+		"core.PutCore":    PutCore{},
+		"core.ChangeSeat": ChangeSeat{},
+	})
+}
 
 // Messages and commands by which cores come, are founded and go with nobody
 // operating.
@@ -461,5 +512,13 @@
 )
 
 func init() {
-	message.Register(Present{}, FoundFleet{}, RetireCore{}, Retiring{}, ReadSeats{}, Seats{}, CoreEnded{})
+	message.Register(map[string]any{
+		"core.Present":    Present{},
+		"core.FoundFleet": FoundFleet{},
+		"core.RetireCore": RetireCore{},
+		"core.Retiring":   Retiring{},
+		"core.ReadSeats":  ReadSeats{},
+		"core.Seats":      Seats{},
+		"core.CoreEnded":  CoreEnded{},
+	})
 }
--- a/peer/core/relay.go
+++ b/peer/core/relay.go
@@ -136,8 +136,22 @@
 )
 
 func init() {
-	message.Register(ReserveTurn{}, TurnReserved{}, SettleTurn{}, KeepTurn{}, ReadTurn{}, KeptTurn{}, ProlongTurn{}, DrawRates{}, RatesDrawn{},
-		AgreeTable{}, TableAgreed{}, FindOrder{}, ReadTable{}, AgreedTable{})
+	message.Register(map[string]any{
+		"core.ReserveTurn":  ReserveTurn{},
+		"core.TurnReserved": TurnReserved{},
+		"core.SettleTurn":   SettleTurn{},
+		"core.KeepTurn":     KeepTurn{},
+		"core.ReadTurn":     ReadTurn{},
+		"core.KeptTurn":     KeptTurn{},
+		"core.ProlongTurn":  ProlongTurn{},
+		"core.DrawRates":    DrawRates{},
+		"core.RatesDrawn":   RatesDrawn{},
+		"core.AgreeTable":   AgreeTable{},
+		"core.TableAgreed":  TableAgreed{},
+		"core.FindOrder":    FindOrder{},
+		"core.ReadTable":    ReadTable{},
+		"core.AgreedTable":  AgreedTable{},
+	})
 }
 
 // TableKey is the entry of the routing table in force.
--- a/peer/core/sample.go
+++ b/peer/core/sample.go
@@ -16,4 +16,9 @@
 	}
 )
 
-func init() { message.Register(AskSamples{}, Samples{}) }
+func init() {
+	message.Register(map[string]any{
+		"core.AskSamples": AskSamples{},
+		"core.Samples":    Samples{},
+	})
+}
--- a/peer/desk/loads.go
+++ b/peer/desk/loads.go
@@ -47,7 +47,12 @@
 // PaceUnit is the unit in which paces are told.
 const PaceUnit = 100 * time.Microsecond
 
-func init() { message.Register(LoadReport{}, Loads{}) }
+func init() {
+	message.Register(map[string]any{
+		"desk.LoadReport": LoadReport{},
+		"desk.Loads":      Loads{},
+	})
+}
 
 // loads is what a desk knows of replicas' load.
 type loads struct {
--- a/peer/desk/types.go
+++ b/peer/desk/types.go
@@ -77,7 +77,12 @@
 	}
 )
 
-func init() { message.Register(Follow{}, Bulletin{}) }
+func init() {
+	message.Register(map[string]any{
+		"desk.Follow":   Follow{},
+		"desk.Bulletin": Bulletin{},
+	})
+}
 
 // Params bound a desk's timing; what else it needs are ratios to these.
 type Params struct {
--- a/peer/node/announcement.go
+++ b/peer/node/announcement.go
@@ -43,7 +43,11 @@
 	List []Announcement `msgpack:"l"`
 }
 
-func init() { message.Register(Announced{}) }
+func init() {
+	message.Register(map[string]any{
+		"node.Announced": Announced{},
+	})
+}
 
 // announced is what a node holds of a replica: what it said last, and since
 // when that may have been so. A leaving is kept until every older word has
--- a/peer/node/mirror.go
+++ b/peer/node/mirror.go
@@ -46,7 +46,14 @@
 	}
 )
 
-func init() { message.Register(Copy{}, Copied{}, AskCopy{}, CopyHeld{}) }
+func init() {
+	message.Register(map[string]any{
+		"node.Copy":     Copy{},
+		"node.Copied":   Copied{},
+		"node.AskCopy":  AskCopy{},
+		"node.CopyHeld": CopyHeld{},
+	})
+}
 
 // mirrored is what this node holds for an owner. It outlives this node's terms,
 // as it lasts as long as the process does.
--- a/peer/node/types.go
+++ b/peer/node/types.go
@@ -87,7 +87,11 @@
 )
 
 func init() {
-	message.Register(Forward{}, Withdraw{}, Pieced{})
+	message.Register(map[string]any{
+		"node.Forward":  Forward{},
+		"node.Withdraw": Withdraw{},
+		"node.Pieced":   Pieced{},
+	})
 }
 
 // Return is a piece for the requester that waits under a ticket.
--- a/peer/stream/stream_test.go
+++ b/peer/stream/stream_test.go
@@ -12,7 +12,11 @@
 
 type word struct{ Text string }
 
-func init() { message.Register(word{}) }
+func init() {
+	message.Register(map[string]any{
+		"stream.word": word{},
+	})
+}
 
 func listen(t *testing.T, secret string) *Streams {
 	t.Helper()
--- a/rule/message/message.go
+++ b/rule/message/message.go
@@ -1,9 +1,16 @@
-// Package message packs and opens what processes say to each other: msgpack
-// values that carry the name of their type.
+// Package message encodes what processes send to each other, and the values that they
+// store, as msgpack.
+//
+// A message is the outer name of its type followed by its value. Outer names of types are
+// given to Register, outer names of fields are their msgpack and json tags. Both are fixed:
+// stored data, and processes of other builds during a rolling upgrade, know them. Go types
+// and fields can be renamed freely as long as their outer names stay. The schema tests
+// (package schematest) fail if an outer name or an encoding changes.
 package message
 
 import (
 	"bytes"
+	"fmt"
 	"maps"
 	"reflect"
 
@@ -11,33 +18,44 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrUnknown says that a message is of a type that this version does not have,
-// and perhaps a newer one.
+// ErrUnknown is returned for a message of a type that this build does not have, as another
+// build may send it during a rolling upgrade.
 var ErrUnknown = errors.New("unknown type")
 
-var types = map[string]reflect.Type{}
+// types has every registered type by its outer name, and names the reverse.
+var (
+	types = map[string]reflect.Type{}
+	names = map[reflect.Type]string{}
+)
 
-// Register makes types known. It is called while packages are initialised.
-func Register(values ...any) {
-	for _, v := range values {
+// Register makes the types of the given values known under their outer names. It is called
+// while packages are initialised, and panics if a name or a type is registered twice.
+func Register(values map[string]any) {
+	for name, v := range values {
 		t := reflect.TypeOf(v)
-		types[t.String()] = t
+		if types[name] != nil {
+			panic("message: two types are registered as " + name)
+		}
+		if other, twice := names[t]; twice {
+			panic("message: " + t.String() + " is registered as " + name + " and as " + other)
+		}
+		types[name], names[t] = t, name
 	}
 }
 
 // Types returns every registered type by its outer name.
 func Types() map[string]reflect.Type { return maps.Clone(types) }
 
-// Pack encodes a value of a registered type. A type that is not registered is a
-// fault of the program, never of a member.
+// Pack encodes a value of a registered type after its outer name. It panics for a type that
+// is not registered.
 func Pack(value any) []byte {
-	t := reflect.TypeOf(value)
-	if types[t.String()] == nil {
-		panic("message of an unregistered type: " + t.String())
+	name, ok := names[reflect.TypeOf(value)]
+	if !ok {
+		panic(fmt.Sprintf("message of an unregistered type: %T", value))
 	}
 	var buffer bytes.Buffer
 	encoder := msgpack.NewEncoder(&buffer)
-	if err := encoder.EncodeString(t.String()); err != nil {
+	if err := encoder.EncodeString(name); err != nil {
 		panic(err)
 	}
 	if err := encoder.Encode(value); err != nil {
@@ -46,8 +64,8 @@
 	return buffer.Bytes()
 }
 
-// Open decodes what Pack made. The library may panic on nonsense; that is one
-// more way in which a message can be bad.
+// Open decodes what Pack encoded. It returns ErrUnknown for a name that is not registered.
+// The msgpack library may panic on malformed input; that is returned as an error too.
 func Open(raw []byte) (body any, err error) {
 	defer func() {
 		if fault := recover(); fault != nil {
--- a/rule/message/message_test.go
+++ b/rule/message/message_test.go
@@ -27,7 +27,12 @@
 	Parts []string
 }
 
-func init() { Register(sample{}, inner{}) }
+func init() {
+	Register(map[string]any{
+		"message.sample": sample{},
+		"message.inner":  inner{},
+	})
+}
 
 func full() sample {
 	one := inner{ID: "one", Parts: []string{"a", ""}}
@@ -92,3 +97,17 @@
 		}
 	})
 }
+
+// TestRegisterRefusesDuplicates: neither a name nor a type can be registered twice.
+func TestRegisterRefusesDuplicates(t *testing.T) {
+	for _, values := range []map[string]any{{"message.sample": struct{ Other int }{}}, {"message.other": sample{}}} {
+		func() {
+			defer func() {
+				if recover() == nil {
+					t.Errorf("%v was registered", values)
+				}
+			}()
+			Register(values)
+		}()
+	}
+}
