--- a/peer/core/ops.go
+++ b/peer/core/ops.go
@@ -9,10 +9,8 @@
 	"time"
 
 	"saffronfall/rule/configuration"
-	"saffronfall/rule/message"
 	"saffronfall/rule/part"
 	"saffronfall/rule/program"
-	"saffronfall/rule/verdict"
 )
 
 // Commands and their answers. Each may be repeated without harm.
@@ -329,60 +327,6 @@
 	}
 )
 
-func init() {
-	message.Register(map[string]any{
-		"core.JoinMember":         JoinMember{},
-		"core.RenewMember":        RenewMember{},
-		"core.LeaveMember":        LeaveMember{},
-		"core.Termed":             Termed{},
-		"core.OpenUser":           OpenUser{},
-		"core.ChargeUser":         ChargeUser{},
-		"core.UserDay":            UserDay{},
-		"core.OpenProgram":        OpenProgram{},
-		"core.ClaimProgram":       ClaimProgram{},
-		"core.SaveProgram":        SaveProgram{},
-		"core.HandProgram":        HandProgram{},
-		"core.Programmed":         Programmed{},
-		"core.ShareTenant":        ShareTenant{},
-		"core.ShareRates":         ShareRates{},
-		"core.SharedRates":        SharedRates{},
-		"core.DrawBreaker":        DrawBreaker{},
-		"core.Shared":             Shared{},
-		"core.AdmitTest":          AdmitTest{},
-		"core.ResultTest":         ResultTest{},
-		"core.Tested":             Tested{},
-		"core.ClaimOnce":          ClaimOnce{},
-		"core.EndOnce":            EndOnce{},
-		"core.Once":               Once{},
-		"core.ReadEntries":        ReadEntries{},
-		"core.Entries":            Entries{},
-		"core.ReadLocked":         ReadLocked{},
-		"core.LockedUsers":        LockedUsers{},
-		"core.AgreeConfiguration": AgreeConfiguration{},
-		"core.Agreed":             Agreed{},
-		"core.SetFloor":           SetFloor{},
-		"core.Floored":            Floored{},
-		"core.Done":               Done{},
-		"core.PartMessage":        PartMessage{},
-		"core.Command":            Command{},
-		"core.CommandReturn":      CommandReturn{},
-		"core.Pull":               Pull{},
-		"core.News":               News{},
-		"core.Fresh":              Fresh{},
-		"core.Topology":           Topology{},
-		"verdict.Verdict":         verdict.Verdict{},
-		"part.Stand":              part.Stand{},
-		"part.Promise":            part.Promise{},
-		"part.Refuse":             part.Refuse{},
-		"part.Write":              part.Write{},
-		"part.Taken":              part.Taken{},
-		"part.Renew":              part.Renew{},
-		"part.Renewed":            part.Renewed{},
-		"part.Handover":           part.Handover{},
-		"part.TermDurable":        part.TermDurable{},
-	})
-}
-
 // Keys of entries.
 const (
 	ConfigurationPart = 0
@@ -471,13 +415,6 @@
 	}
 )
 
-func init() {
-	message.Register(map[string]any{
-		"core.PutCore":    PutCore{},
-		"core.ChangeSeat": ChangeSeat{},
-	})
-}
-
 // Messages and commands by which cores come, are founded and go with nobody
 // operating.
 type (
@@ -510,15 +447,3 @@
 	// Seated answers it.
 	Seats struct{ Seats, Former []string }
 )
-
-func init() {
-	message.Register(map[string]any{
-		"core.Present":    Present{},
-		"core.FoundFleet": FoundFleet{},
-		"core.RetireCore": RetireCore{},
-		"core.Retiring":   Retiring{},
-		"core.ReadSeats":  ReadSeats{},
-		"core.Seats":      Seats{},
-		"core.CoreEnded":  CoreEnded{},
-	})
-}
--- a/peer/core/relay.go
+++ b/peer/core/relay.go
@@ -7,7 +7,6 @@
 
 	"saffronfall/rule/book"
 	"saffronfall/rule/invariant"
-	"saffronfall/rule/message"
 	"saffronfall/rule/part"
 	"saffronfall/rule/rate"
 )
@@ -135,25 +134,6 @@
 	}
 )
 
-func init() {
-	message.Register(map[string]any{
-		"core.ReserveTurn":  ReserveTurn{},
-		"core.TurnReserved": TurnReserved{},
-		"core.SettleTurn":   SettleTurn{},
-		"core.KeepTurn":     KeepTurn{},
-		"core.ReadTurn":     ReadTurn{},
-		"core.KeptTurn":     KeptTurn{},
-		"core.ProlongTurn":  ProlongTurn{},
-		"core.DrawRates":    DrawRates{},
-		"core.RatesDrawn":   RatesDrawn{},
-		"core.AgreeTable":   AgreeTable{},
-		"core.TableAgreed":  TableAgreed{},
-		"core.FindOrder":    FindOrder{},
-		"core.ReadTable":    ReadTable{},
-		"core.AgreedTable":  AgreedTable{},
-	})
-}
-
 // TableKey is the entry of the routing table in force.
 const TableKey = "table"
 
--- a/peer/core/sample.go
+++ b/peer/core/sample.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"saffronfall/rule/message"
 	"saffronfall/rule/rehearsal"
 )
 
@@ -15,10 +14,3 @@
 		List []rehearsal.Sample
 	}
 )
-
-func init() {
-	message.Register(map[string]any{
-		"core.AskSamples": AskSamples{},
-		"core.Samples":    Samples{},
-	})
-}
