--- a/peer/core/ops.go
+++ b/peer/core/ops.go
@@ -16,134 +16,177 @@
 // Commands and their answers. Each may be repeated without harm.
 type (
 	// JoinMember asks for a member's first term.
-	JoinMember struct{ Member Member }
+	JoinMember struct {
+		Member Member `msgpack:"Member"`
+	}
 	// RenewMember prolongs a member's term.
 	RenewMember struct {
-		ID, Incarnation string
-		Version         uint64
-		Load            int
+		ID          string `msgpack:"ID"`
+		Incarnation string `msgpack:"Incarnation"`
+		Version     uint64 `msgpack:"Version"`
+		Load        int    `msgpack:"Load"`
 	}
 	// LeaveMember ends a member's term.
-	LeaveMember struct{ ID, Incarnation string }
+	LeaveMember struct {
+		ID          string `msgpack:"ID"`
+		Incarnation string `msgpack:"Incarnation"`
+	}
 	// Termed answers all three.
 	Termed struct {
-		Granted bool
-		Ended   bool
-		Floor   uint64
-		Wait    time.Duration
+		Granted bool          `msgpack:"Granted"`
+		Ended   bool          `msgpack:"Ended"`
+		Floor   uint64        `msgpack:"Floor"`
+		Wait    time.Duration `msgpack:"Wait"`
 	}
 
 	// OpenUser checks and counts a session start.
 	OpenUser struct {
-		Tenant, User, Program string
-		Role                  configuration.Role
-		WarnRatio             float64
+		Tenant    string             `msgpack:"Tenant"`
+		User      string             `msgpack:"User"`
+		Program   string             `msgpack:"Program"`
+		Role      configuration.Role `msgpack:"Role"`
+		WarnRatio float64            `msgpack:"WarnRatio"`
 	}
 	// ChargeUser raises what a program has spent of a user's day.
 	ChargeUser struct {
-		Tenant, User, Program string
+		Tenant  string `msgpack:"Tenant"`
+		User    string `msgpack:"User"`
+		Program string `msgpack:"Program"`
 		// Charged is spent or running, Covered what may be spent beforehand.
-		Charged, Covered int64
-		Closed           bool
+		Charged int64 `msgpack:"Charged"`
+		Covered int64 `msgpack:"Covered"`
+		Closed  bool  `msgpack:"Closed"`
 	}
 	// UserDay answers it.
-	UserDay struct{ Tokens int64 }
+	UserDay struct {
+		Tokens int64 `msgpack:"Tokens"`
+	}
 
 	// OpenProgram makes a program's record.
-	OpenProgram struct{ Record program.Record }
+	OpenProgram struct {
+		Record program.Record `msgpack:"Record"`
+	}
 	// ClaimProgram moves a program to a node. Without a proof that the former
 	// owner's term ended, or a handover, it only tells who the owner is.
 	ClaimProgram struct {
-		Tenant, ID                 string
-		Node, Incarnation, Address string
-		EndedNode, EndedFormer     string
+		Tenant      string `msgpack:"Tenant"`
+		ID          string `msgpack:"ID"`
+		Node        string `msgpack:"Node"`
+		Incarnation string `msgpack:"Incarnation"`
+		Address     string `msgpack:"Address"`
+		EndedNode   string `msgpack:"EndedNode"`
+		EndedFormer string `msgpack:"EndedFormer"`
 	}
 	// SaveProgram writes the owner's newest record and turns.
 	SaveProgram struct {
-		Record program.Record
-		Turns  []program.Turn
+		Record program.Record `msgpack:"Record"`
+		Turns  []program.Turn `msgpack:"Turns"`
 	}
 	// HandProgram names the successor of an owner that leaves.
 	HandProgram struct {
-		Tenant, ID                 string
-		Fence                      uint64
-		Node, Incarnation, Address string
+		Tenant      string `msgpack:"Tenant"`
+		ID          string `msgpack:"ID"`
+		Fence       uint64 `msgpack:"Fence"`
+		Node        string `msgpack:"Node"`
+		Incarnation string `msgpack:"Incarnation"`
+		Address     string `msgpack:"Address"`
 	}
 	// Programmed answers all four.
 	Programmed struct {
-		Found, Owned, Gone bool
-		Record             program.Record
-		Turns              []program.Turn
-		Clock              time.Duration
-		Fenced             bool
-		Version            uint64
+		Found   bool           `msgpack:"Found"`
+		Owned   bool           `msgpack:"Owned"`
+		Gone    bool           `msgpack:"Gone"`
+		Record  program.Record `msgpack:"Record"`
+		Turns   []program.Turn `msgpack:"Turns"`
+		Clock   time.Duration  `msgpack:"Clock"`
+		Fenced  bool           `msgpack:"Fenced"`
+		Version uint64         `msgpack:"Version"`
 	}
 
 	// ShareTenant reports and draws a holder's share of a tenant's allowance.
 	ShareTenant struct {
-		Tenant, Kind, Holder    string
-		Spent, Returned, Target int64
-		Whole                   int64
-		Chunk                   int64
-		Members                 int64
-		Ended                   []string
+		Tenant   string   `msgpack:"Tenant"`
+		Kind     string   `msgpack:"Kind"`
+		Holder   string   `msgpack:"Holder"`
+		Spent    int64    `msgpack:"Spent"`
+		Returned int64    `msgpack:"Returned"`
+		Target   int64    `msgpack:"Target"`
+		Whole    int64    `msgpack:"Whole"`
+		Chunk    int64    `msgpack:"Chunk"`
+		Members  int64    `msgpack:"Members"`
+		Ended    []string `msgpack:"Ended"`
 	}
 	// ShareRates does so for both rates of a tenant at once.
-	ShareRates struct{ Rates []ShareTenant }
+	ShareRates struct {
+		Rates []ShareTenant `msgpack:"Rates"`
+	}
 	// SharedRates answers it, in the same order.
-	SharedRates struct{ Rates []Shared }
+	SharedRates struct {
+		Rates []Shared `msgpack:"Rates"`
+	}
 	// DrawBreaker does the same for money.
 	DrawBreaker struct {
-		Holder                  string
-		Spent, Returned, Target int64
+		Holder   string `msgpack:"Holder"`
+		Spent    int64  `msgpack:"Spent"`
+		Returned int64  `msgpack:"Returned"`
+		Target   int64  `msgpack:"Target"`
 		// Need is what running inquiries need; the rest is held in advance.
-		Need        int64
-		Ended       []string
-		Description BreakerLimits
+		Need        int64         `msgpack:"Need"`
+		Ended       []string      `msgpack:"Ended"`
+		Description BreakerLimits `msgpack:"Description"`
 	}
 	// Shared answers both.
 	Shared struct {
-		Granted int64
-		Target  int64
-		Left    time.Duration
-		Open    bool
-		Others  []string
+		Granted int64         `msgpack:"Granted"`
+		Target  int64         `msgpack:"Target"`
+		Left    time.Duration `msgpack:"Left"`
+		Open    bool          `msgpack:"Open"`
+		Others  []string      `msgpack:"Others"`
 	}
 	// BreakerLimits are the thresholds in force at the caller.
 	BreakerLimits struct {
-		Minute, Hour, Day int64
-		Recovery          time.Duration
-		Tests             int
+		Minute   int64         `msgpack:"Minute"`
+		Hour     int64         `msgpack:"Hour"`
+		Day      int64         `msgpack:"Day"`
+		Recovery time.Duration `msgpack:"Recovery"`
+		Tests    int           `msgpack:"Tests"`
 	}
 	// AdmitTest asks for a test number of a half-open breaker.
 	AdmitTest struct {
-		Program string
-		Limits  BreakerLimits
+		Program string        `msgpack:"Program"`
+		Limits  BreakerLimits `msgpack:"Limits"`
 	}
 	// ResultTest reports a test's outcome.
 	ResultTest struct {
-		Program string
-		Good    bool
-		Limits  BreakerLimits
+		Program string        `msgpack:"Program"`
+		Good    bool          `msgpack:"Good"`
+		Limits  BreakerLimits `msgpack:"Limits"`
 	}
 	// Tested answers both.
 	Tested struct {
-		Number int
-		State  string
-		Left   time.Duration
+		Number int           `msgpack:"Number"`
+		State  string        `msgpack:"State"`
+		Left   time.Duration `msgpack:"Left"`
 	}
 
 	// ClaimOnce makes the intent of a once-only action durable.
 	ClaimOnce struct {
-		Tenant, Service, Key, Claim, Digest string
-		Keep                                time.Duration
+		Tenant  string        `msgpack:"Tenant"`
+		Service string        `msgpack:"Service"`
+		Key     string        `msgpack:"Key"`
+		Claim   string        `msgpack:"Claim"`
+		Digest  string        `msgpack:"Digest"`
+		Keep    time.Duration `msgpack:"Keep"`
 	}
 	// EndOnce stores an outcome, or releases a claim that surely did not run.
 	EndOnce struct {
-		Tenant, Service, Key, Claim string
-		State                       string
-		Status                      int
-		Body                        []byte
+		Tenant  string `msgpack:"Tenant"`
+		Service string `msgpack:"Service"`
+		Key     string `msgpack:"Key"`
+		Claim   string `msgpack:"Claim"`
+		State   string `msgpack:"State"`
+		Status  int    `msgpack:"Status"`
+		Body    []byte `msgpack:"Body"`
 	}
 	// Once answers both, and is the durable state.
 	Once struct {
@@ -158,47 +201,55 @@
 
 	// ReadLocked lists the users of a part that are locked out, soonest free
 	// first, and no more than operators can read.
-	ReadLocked struct{ Part int }
+	ReadLocked struct {
+		Part int `msgpack:"Part"`
+	}
 	// LockedUsers answers it.
-	LockedUsers struct{ Users []LockedUser }
+	LockedUsers struct {
+		Users []LockedUser `msgpack:"Users"`
+	}
 	// LockedUser is a user that is locked out, and for how long.
 	LockedUser struct {
-		Name string        `json:"user"`
-		Left time.Duration `json:"left"`
+		Name string        `json:"user" msgpack:"Name"`
+		Left time.Duration `json:"left" msgpack:"Left"`
 	}
 	// ReadEntries lists entries of a part by prefix.
 	ReadEntries struct {
-		Part   int
-		Prefix string
+		Part   int    `msgpack:"Part"`
+		Prefix string `msgpack:"Prefix"`
 	}
 	// Entries answers it.
-	Entries struct{ Entries []part.Entry }
+	Entries struct {
+		Entries []part.Entry `msgpack:"Entries"`
+	}
 
 	// AgreeConfiguration makes a checked and rehearsed description agreed.
 	AgreeConfiguration struct {
-		BasedOn uint64
-		Text    []byte
-		Digest  string
+		BasedOn uint64 `msgpack:"BasedOn"`
+		Text    []byte `msgpack:"Text"`
+		Digest  string `msgpack:"Digest"`
 	}
 	// Agreed answers it.
 	Agreed struct {
-		Agreed  bool
-		Version uint64
+		Agreed  bool   `msgpack:"Agreed"`
+		Version uint64 `msgpack:"Version"`
 	}
 	// SetFloor makes a part's members be at a version of the configuration.
 	SetFloor struct {
-		Part    int
-		Version uint64
+		Part    int    `msgpack:"Part"`
+		Version uint64 `msgpack:"Version"`
 	}
 	// Floored answers it: Done when every member of the part is there or ended.
 	Floored struct {
-		Done    bool
-		Lagging []string
+		Done    bool     `msgpack:"Done"`
+		Lagging []string `msgpack:"Lagging"`
 	}
 	// Sweep lets a part's rules end what has run out.
 	Sweep struct{}
 	// Done is an answer with nothing to say.
-	Done struct{ OK bool }
+	Done struct {
+		OK bool `msgpack:"OK"`
+	}
 )
 
 // States of a once-only action.
@@ -274,56 +325,58 @@
 type (
 	// PartMessage goes from seat to seat of a part.
 	PartMessage struct {
-		Part     int
-		From, To string
-		Raw      []byte
+		Part int    `msgpack:"Part"`
+		From string `msgpack:"From"`
+		To   string `msgpack:"To"`
+		Raw  []byte `msgpack:"Raw"`
 	}
 	// Command asks a part's owner to run a command.
 	Command struct {
-		ID   uint64
-		Part int
-		Raw  []byte
+		ID   uint64 `msgpack:"ID"`
+		Part int    `msgpack:"Part"`
+		Raw  []byte `msgpack:"Raw"`
 	}
 	// CommandReturn answers it.
 	CommandReturn struct {
-		ID     uint64
-		Part   int
-		Raw    []byte
-		Unsure bool
-		Moved  bool
-		Hint   string
+		ID     uint64 `msgpack:"ID"`
+		Part   int    `msgpack:"Part"`
+		Raw    []byte `msgpack:"Raw"`
+		Unsure bool   `msgpack:"Unsure"`
+		Moved  bool   `msgpack:"Moved"`
+		Hint   string `msgpack:"Hint"`
 	}
 	// Pull asks for all news after a vector of versions.
 	Pull struct {
-		Versions map[int]part.Stamp
-		Member   string
-		Want     bool
+		Versions map[int]part.Stamp `msgpack:"Versions"`
+		Member   string             `msgpack:"Member"`
+		Want     bool               `msgpack:"Want"`
 		// Fresh asks the configuration's owner to say how new the news is.
-		Fresh bool
-		Sent  time.Duration
+		Fresh bool          `msgpack:"Fresh"`
+		Sent  time.Duration `msgpack:"Sent"`
 	}
 	// Fresh says up to where the configuration goes, and how old that knowledge
 	// is. It lets a new life of a node know that it has missed nothing.
 	Fresh struct {
-		Sent, Age time.Duration
-		Upto      part.Stamp
+		Sent time.Duration `msgpack:"Sent"`
+		Age  time.Duration `msgpack:"Age"`
+		Upto part.Stamp    `msgpack:"Upto"`
 	}
 	// News answers it, a part at a time.
 	News struct {
-		Part    int
-		After   part.Stamp
-		Upto    part.Stamp
-		Whole   bool
-		Entries []part.Entry
+		Part    int          `msgpack:"Part"`
+		After   part.Stamp   `msgpack:"After"`
+		Upto    part.Stamp   `msgpack:"Upto"`
+		Whole   bool         `msgpack:"Whole"`
+		Entries []part.Entry `msgpack:"Entries"`
 	}
 	// Topology is who the cores are and who owns which part.
 	Topology struct {
-		Fleet  string
-		Cores  map[string]Core
-		Groups []part.Group
-		Owners []part.Term
+		Fleet  string          `msgpack:"Fleet" json:"Fleet"`
+		Cores  map[string]Core `msgpack:"Cores" json:"Cores"`
+		Groups []part.Group    `msgpack:"Groups" json:"Groups"`
+		Owners []part.Term     `msgpack:"Owners" json:"Owners"`
 		// Size is how many seats a group is to have.
-		Size int
+		Size int `msgpack:"Size" json:"Size"`
 	}
 )
 
@@ -402,48 +455,3 @@
 	}
 	return ConfigurationPart
 }
-
-// Commands that change who the cores are.
-type (
-	// PutCore makes a core, or what changed of it, known to the fleet.
-	PutCore struct{ Core Core }
-	// ChangeSeat moves a part's group: one seat comes, one goes, either may be
-	// empty. It is asked again until the answer is OK.
-	ChangeSeat struct {
-		Part        int
-		Add, Remove string
-	}
-)
-
-// Messages and commands by which cores come, are founded and go with nobody
-// operating.
-type (
-	// Present says who a core is and where. It is answered with a Topology by
-	// whoever knows the fleet.
-	Present struct {
-		Core Core
-		// Cold says that the core may found a fleet.
-		Cold bool
-		// Fleet is empty as long as the core belongs to none.
-		Fleet string
-		// Known is the digest of the topology that the core knows, so that it need
-		// not be told what it has; zero: it does not say.
-		Known uint64
-	}
-	// FoundFleet makes cores that belong to no fleet, and are allowed to, a new
-	// one. Those that are founded pass it on.
-	FoundFleet struct{ Founding Founding }
-	// RetireCore marks a core as one that gets no seats any more, for good. The
-	// owners of parts then move its seats to others.
-	RetireCore struct{ ID string }
-	// Retiring answers it: whether there is such a core, whether enough others
-	// remain, and whether it is marked now.
-	Retiring struct{ Known, Enough, Done bool }
-	// CoreEnded answers a PutCore of a retired core, or of an incarnation that has
-	// a successor, with what is known.
-	CoreEnded struct{ Core Core }
-	// ReadSeats asks a part's owner for its agreed group.
-	ReadSeats struct{ Part int }
-	// Seated answers it.
-	Seats struct{ Seats, Former []string }
-)
--- a/peer/core/sample.go
+++ b/peer/core/sample.go
@@ -7,10 +7,12 @@
 // Messages of rehearsal.
 type (
 	// AskSamples asks a node for its recent inquiries.
-	AskSamples struct{ ID uint64 }
+	AskSamples struct {
+		ID uint64 `msgpack:"ID"`
+	}
 	// Samples answers it.
 	Samples struct {
-		ID   uint64
-		List []rehearsal.Sample
+		ID   uint64             `msgpack:"ID"`
+		List []rehearsal.Sample `msgpack:"List"`
 	}
 )
--- a/peer/operator/call.go
+++ b/peer/operator/call.go
@@ -22,7 +22,7 @@
 
 // Refused is what a process said that did not do what it was asked for.
 type Refused struct {
-	Status int
+	Status int    `json:"Status"`
 	Code   string `json:"code"`
 	Reason string `json:"reason"`
 }
--- a/rehearsalkit/fleet/backend.go
+++ b/rehearsalkit/fleet/backend.go
@@ -128,9 +128,13 @@
 
 func (b *backend) turn(w http.ResponseWriter, r *http.Request) {
 	var p struct {
-		Shot, Tenant, Program, Line, Say string
-		MaxTokens                        int64 `json:"max_tokens"`
-		History                          []judge.Turn
+		Shot      string       `json:"Shot"`
+		Tenant    string       `json:"Tenant"`
+		Program   string       `json:"Program"`
+		Line      string       `json:"Line"`
+		Say       string       `json:"Say"`
+		MaxTokens int64        `json:"max_tokens"`
+		History   []judge.Turn `json:"History"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&p); err != nil {
 		w.WriteHeader(400)
@@ -174,7 +178,9 @@
 }
 
 func (b *backend) call(w http.ResponseWriter, r *http.Request) {
-	var p struct{ Mark string }
+	var p struct {
+		Mark string `json:"Mark"`
+	}
 	json.NewDecoder(r.Body).Decode(&p)
 	seen := judge.Shot{At: b.fleet.now(), Service: b.service, Replica: b.id, Tenant: r.Header.Get("Saffronfall-Tenant"), Program: r.Header.Get("Saffronfall-Program"),
 		Mark: p.Mark, Once: r.Header.Get("Once-Key"), Tool: r.Header.Get("Once-Key") == ""}
--- a/rehearsalkit/judge/record.go
+++ b/rehearsalkit/judge/record.go
@@ -26,7 +26,10 @@
 }
 
 // Turn is one turn of a history.
-type Turn struct{ Say, Got string }
+type Turn struct {
+	Say string `json:"Say"`
+	Got string `json:"Got"`
+}
 
 // Asked is what a requester asked and got.
 type Asked struct {
--- a/rule/configuration/description.go
+++ b/rule/configuration/description.go
@@ -12,22 +12,22 @@
 
 // Role is what a role may do.
 type Role struct {
-	SessionsPerMinute  int64 `json:"sessions_per_minute"`
-	SessionsPerHour    int64 `json:"sessions_per_hour"`
-	SessionsPerDay     int64 `json:"sessions_per_day"`
-	LockoutSeconds     int64 `json:"lockout_seconds"`
-	ConcurrentSessions int64 `json:"concurrent_sessions"`
-	Steps              int64 `json:"steps"`
-	ToolCalls          int64 `json:"tool_calls"`
-	ToolCallsPerType   int64 `json:"tool_calls_per_type"`
-	IdenticalToolCalls int64 `json:"identical_tool_calls"`
-	SessionSeconds     int64 `json:"session_seconds"`
-	HistoryBytes       int64 `json:"history_bytes"`
-	TurnTokens         int64 `json:"turn_tokens"`
-	ProgramTokensSoft  int64 `json:"program_tokens_soft"`
-	ProgramTokensHard  int64 `json:"program_tokens_hard"`
-	UserDayTokensSoft  int64 `json:"user_day_tokens_soft"`
-	UserDayTokensHard  int64 `json:"user_day_tokens_hard"`
+	SessionsPerMinute  int64 `json:"sessions_per_minute" msgpack:"SessionsPerMinute"`
+	SessionsPerHour    int64 `json:"sessions_per_hour" msgpack:"SessionsPerHour"`
+	SessionsPerDay     int64 `json:"sessions_per_day" msgpack:"SessionsPerDay"`
+	LockoutSeconds     int64 `json:"lockout_seconds" msgpack:"LockoutSeconds"`
+	ConcurrentSessions int64 `json:"concurrent_sessions" msgpack:"ConcurrentSessions"`
+	Steps              int64 `json:"steps" msgpack:"Steps"`
+	ToolCalls          int64 `json:"tool_calls" msgpack:"ToolCalls"`
+	ToolCallsPerType   int64 `json:"tool_calls_per_type" msgpack:"ToolCallsPerType"`
+	IdenticalToolCalls int64 `json:"identical_tool_calls" msgpack:"IdenticalToolCalls"`
+	SessionSeconds     int64 `json:"session_seconds" msgpack:"SessionSeconds"`
+	HistoryBytes       int64 `json:"history_bytes" msgpack:"HistoryBytes"`
+	TurnTokens         int64 `json:"turn_tokens" msgpack:"TurnTokens"`
+	ProgramTokensSoft  int64 `json:"program_tokens_soft" msgpack:"ProgramTokensSoft"`
+	ProgramTokensHard  int64 `json:"program_tokens_hard" msgpack:"ProgramTokensHard"`
+	UserDayTokensSoft  int64 `json:"user_day_tokens_soft" msgpack:"UserDayTokensSoft"`
+	UserDayTokensHard  int64 `json:"user_day_tokens_hard" msgpack:"UserDayTokensHard"`
 }
 
 // Key is a requester's key, kept only as its digest.
--- a/rule/message/schematest/describe.go
+++ b/rule/message/schematest/describe.go
@@ -21,9 +21,19 @@
 	return d.text.String()
 }
 
+// Untagged lists the encoded fields of a type, and of those that it holds, that have no tag
+// with an outer name. Renaming such a field would change the format.
+func Untagged(t reflect.Type, encoding Encoding) []string {
+	d := describer{encoding: encoding}
+	d.describe(t, 0)
+	return d.untagged
+}
+
 type describer struct {
 	encoding Encoding
 	text     strings.Builder
+	// untagged are encoded fields whose outer name is their Go name, for want of a tag.
+	untagged []string
 	// open are the structs that are being described, outermost first.
 	open []reflect.Type
 }
@@ -31,6 +41,7 @@
 // field is one encoded field of a struct.
 type field struct {
 	name    string
+	tagged  bool
 	options string
 	of      reflect.Type
 	depth   int
@@ -108,6 +119,9 @@
 	}
 	d.text.WriteString("{\n")
 	for _, f := range list {
+		if !f.tagged {
+			d.untagged = append(d.untagged, t.String()+"."+f.name)
+		}
 		d.text.WriteString(strings.Repeat("  ", indent+1))
 		if !asArray {
 			d.text.WriteString(fmt.Sprintf("%q", f.name))
@@ -162,11 +176,12 @@
 				continue
 			}
 		}
-		if name == "" {
+		tagged := name != ""
+		if !tagged {
 			name = f.Name
 		}
 		named[name] = true
-		list = append(list, field{name: name, options: options, of: f.Type})
+		list = append(list, field{name: name, tagged: tagged, options: options, of: f.Type})
 	}
 	return list, asArray
 }
@@ -206,10 +221,11 @@
 			collectJSON(inner, depth+1, all)
 		case !f.IsExported():
 		default:
-			if name == "" {
+			tagged := name != ""
+			if !tagged {
 				name = f.Name
 			}
-			*all = append(*all, field{name: name, options: options, of: f.Type, depth: depth})
+			*all = append(*all, field{name: name, tagged: tagged, options: options, of: f.Type, depth: depth})
 		}
 	}
 }
--- a/rule/message/schematest/schematest.go
+++ b/rule/message/schematest/schematest.go
@@ -94,6 +94,9 @@
 			t.Fatalf("two entries are called %s", title)
 		}
 		got[title] = one.section(t)
+		for _, name := range Untagged(one.Type, one.Encoding) {
+			t.Errorf("%s: field %s has no %s tag with its outer name", title, name, one.Encoding)
+		}
 		text.WriteString("== " + title + "\n" + got[title])
 	}
 	if *update {
--- a/rule/part/types.go
+++ b/rule/part/types.go
@@ -7,8 +7,8 @@
 // Term numbers an ownership of a part. Its owner is a seat, so that no two
 // owners ever share a number.
 type Term struct {
-	Round uint64 `msgpack:"r"`
-	Owner string `msgpack:"o"`
+	Round uint64 `msgpack:"r" json:"Round"`
+	Owner string `msgpack:"o" json:"Owner"`
 }
 
 // Less orders terms.
@@ -45,10 +45,10 @@
 // folder, so that a core which lost its disk has no seat. While a change is
 // under way, the former seats must agree as well.
 type Group struct {
-	Term   Term     `msgpack:"t"`
-	Epoch  uint64   `msgpack:"e"`
-	Seats  []string `msgpack:"s"`
-	Former []string `msgpack:"f"`
+	Term   Term     `msgpack:"t" json:"Term"`
+	Epoch  uint64   `msgpack:"e" json:"Epoch"`
+	Seats  []string `msgpack:"s" json:"Seats"`
+	Former []string `msgpack:"f" json:"Former"`
 }
 
 // Before reports whether another group was agreed, or tried, after this one.
--- a/rule/rate/ledger.go
+++ b/rule/rate/ledger.go
@@ -32,9 +32,9 @@
 // Slice is what was spent in a short time.
 type Slice struct {
 	//lint:ignore U1000 read by the encoder: a slice goes without field names
-	_msgpack struct{} `msgpack:",as_array"`
-	End      time.Duration
-	Count    int64
+	_msgpack struct{}      `msgpack:",as_array"`
+	End      time.Duration `msgpack:"End"`
+	Count    int64         `msgpack:"Count"`
 }
 
 // Ledger is a tenant's books. What is out counts as though it were spent now,
--- a/rule/route/table.go
+++ b/rule/route/table.go
@@ -24,28 +24,28 @@
 
 // Target is a service that a route's requests go to, and their weight.
 type Target struct {
-	Service string  `json:"service"`
-	Weight  float64 `json:"weight"`
+	Service string  `json:"service" msgpack:"Service"`
+	Weight  float64 `json:"weight" msgpack:"Weight"`
 }
 
 // Route is one host and path prefix.
 type Route struct {
-	Name        string  `json:"name"`
-	Host        string  `json:"host"`
-	Prefix      string  `json:"prefix"`
-	Mode        string  `json:"mode"`
-	Resumable   bool    `json:"resumable"`
-	Kept        bool    `json:"kept"`
-	KeepSeconds float64 `json:"keep_seconds"`
-	TimeoutMS   float64 `json:"timeout_ms"`
-	AimMS       float64 `json:"aim_ms"`
-	GapMS       float64 `json:"gap_ms"`
-	Urgency     int64   `json:"urgency"`
-	Tries       int64   `json:"tries"`
-	Open        bool    `json:"open"`
+	Name        string  `json:"name" msgpack:"Name"`
+	Host        string  `json:"host" msgpack:"Host"`
+	Prefix      string  `json:"prefix" msgpack:"Prefix"`
+	Mode        string  `json:"mode" msgpack:"Mode"`
+	Resumable   bool    `json:"resumable" msgpack:"Resumable"`
+	Kept        bool    `json:"kept" msgpack:"Kept"`
+	KeepSeconds float64 `json:"keep_seconds" msgpack:"KeepSeconds"`
+	TimeoutMS   float64 `json:"timeout_ms" msgpack:"TimeoutMS"`
+	AimMS       float64 `json:"aim_ms" msgpack:"AimMS"`
+	GapMS       float64 `json:"gap_ms" msgpack:"GapMS"`
+	Urgency     int64   `json:"urgency" msgpack:"Urgency"`
+	Tries       int64   `json:"tries" msgpack:"Tries"`
+	Open        bool    `json:"open" msgpack:"Open"`
 	// Pinned: a replica that lately had a request for the same thing is faster.
-	Pinned  bool     `json:"pinned"`
-	Targets []Target `json:"targets"`
+	Pinned  bool     `json:"pinned" msgpack:"Pinned"`
+	Targets []Target `json:"targets" msgpack:"Targets"`
 }
 
 // Repeats reports whether a request of this route may run more than once.
@@ -55,28 +55,28 @@
 
 // Service is what replicas of one kind share.
 type Service struct {
-	Name string `json:"name"`
+	Name string `json:"name" msgpack:"Name"`
 	// Connections is how many connections a replica takes from all nodes.
-	Connections    int64 `json:"connections"`
-	TokensPerEvent int64 `json:"tokens_per_event"`
-	Slots          int64 `json:"slots"`
-	CacheTokens    int64 `json:"cache_tokens"`
+	Connections    int64 `json:"connections" msgpack:"Connections"`
+	TokensPerEvent int64 `json:"tokens_per_event" msgpack:"TokensPerEvent"`
+	Slots          int64 `json:"slots" msgpack:"Slots"`
+	CacheTokens    int64 `json:"cache_tokens" msgpack:"CacheTokens"`
 }
 
 // Tenant is who holds keys, and what it may ask for.
 type Tenant struct {
-	Name string `json:"name"`
+	Name string `json:"name" msgpack:"Name"`
 	// Keys are SHA-256 digests, in hex.
-	Keys    []string `json:"keys"`
-	Rate    float64  `json:"rate"`
-	Burst   float64  `json:"burst"`
-	Urgency *int64   `json:"urgency,omitempty"`
+	Keys    []string `json:"keys" msgpack:"Keys"`
+	Rate    float64  `json:"rate" msgpack:"Rate"`
+	Burst   float64  `json:"burst" msgpack:"Burst"`
+	Urgency *int64   `json:"urgency,omitempty" msgpack:"Urgency"`
 }
 
 // Limits bound what a requester may send.
 type Limits struct {
-	HeaderBytes int64 `json:"header_bytes"`
-	BodyBytes   int64 `json:"body_bytes"`
+	HeaderBytes int64 `json:"header_bytes" msgpack:"HeaderBytes"`
+	BodyBytes   int64 `json:"body_bytes" msgpack:"BodyBytes"`
 }
 
 // Table is one whole version.
--- a/saffronfall/amend.go
+++ b/saffronfall/amend.go
@@ -70,7 +70,9 @@
 	if c.BasedOn >= 0 {
 		return uint64(c.BasedOn), nil
 	}
-	var current struct{ Number uint64 }
+	var current struct {
+		Number uint64 `json:"Number"`
+	}
 	status, raw, err := c.do(http.MethodGet, "/v1/table", nil, &current)
 	if err == nil && status != http.StatusOK {
 		err = operator.Refusal(status, raw)
--- a/saffronfall/main.go
+++ b/saffronfall/main.go
@@ -199,7 +199,9 @@
 	if c.BasedOn >= 0 {
 		h.BasedOn = uint64(c.BasedOn)
 	} else {
-		var now struct{ Version uint64 }
+		var now struct {
+			Version uint64 `json:"Version"`
+		}
 		if status, raw, err := c.do("GET", "/v1/configuration", nil, &now); err != nil || status != 200 {
 			return status, raw, taking, err
 		}
