--- a/peer/core/commands.go
+++ b/peer/core/commands.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"saffronfall/rule/message"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/slab"
 )
 
@@ -12,10 +12,10 @@
 	from    string
 	id      uint64
 	part    int
-	handled func(now time.Duration, r part.Return)
+	handled func(now time.Duration, r partition.Return)
 }
 
-func (m *Machine) take(now time.Duration, n int, o part.Output) {
+func (m *Machine) take(now time.Duration, n int, o partition.Output) {
 	for i := range o.Records {
 		m.out.Changes = append(m.out.Changes, Change{Record: &o.Records[i]})
 	}
@@ -38,7 +38,7 @@
 	}
 }
 
-func (m *Machine) reply(n int, at origin, r part.Return) {
+func (m *Machine) reply(n int, at origin, r partition.Return) {
 	if at.from == "" {
 		return
 	}
@@ -59,7 +59,7 @@
 	p := m.parts[n]
 	if c, ok := command.(ChangeSeat); ok && p != nil {
 		answer := from
-		from = origin{handled: func(now time.Duration, r part.Return) {
+		from = origin{handled: func(now time.Duration, r partition.Return) {
 			r.Body = Done{OK: r.Body == true}
 			m.reply(n, answer, r)
 		}}
@@ -68,7 +68,7 @@
 	}
 	if _, ok := command.(ReadSeats); ok && p != nil {
 		answer := from
-		from = origin{handled: func(now time.Duration, r part.Return) {
+		from = origin{handled: func(now time.Duration, r partition.Return) {
 			g := p.Group()
 			if owned, ok := p.Agreed(); ok {
 				g = owned
@@ -79,7 +79,7 @@
 	}
 	ticket := m.tickets.Keep(from)
 	if p == nil {
-		m.take(now, n, part.Output{Returns: []part.Return{{Ticket: uint64(ticket), Moved: true}}})
+		m.take(now, n, partition.Output{Returns: []partition.Return{{Ticket: uint64(ticket), Moved: true}}})
 		return
 	}
 	m.take(now, n, p.Propose(now, uint64(ticket), command))
@@ -102,16 +102,16 @@
 		return
 	}
 	p := m.parts[b.Part]
-	if _, write := body.(part.Write); write && m.self.Retired && (p == nil || !p.Group().Has(m.self.Seat())) {
+	if _, write := body.(partition.Write); write && m.self.Retired && (p == nil || !p.Group().Has(m.self.Seat())) {
 		// A leader that has not heard of the retirement wants to hand a replica to
 		// this core, which may be taken away at any moment.
 		return
 	}
 	if p == nil {
-		if w, ok := body.(part.Write); !ok || !w.Whole {
+		if w, ok := body.(partition.Write); !ok || !w.Whole {
 			return
 		}
-		p = m.seat(now, b.Part, part.Copy{})
+		p = m.seat(now, b.Part, partition.Copy{})
 	}
 	m.take(now, b.Part, p.Receive(now, b.From, body))
 }
@@ -119,9 +119,9 @@
 // wantsDisk reports whether a message makes a replica write.
 func wantsDisk(body any) bool {
 	switch b := body.(type) {
-	case part.Write:
+	case partition.Write:
 		return true
-	case part.Stand:
+	case partition.Stand:
 		return !b.Ask
 	}
 	return false
@@ -150,7 +150,7 @@
 		}
 		news := News{Part: n, After: after, Upto: upto}
 		if after.Term != upto.Term || after.Seq < p.Dropped() {
-			after, news.Whole = part.Stamp{}, true
+			after, news.Whole = partition.Stamp{}, true
 		}
 		news.Entries = p.News(after, NewsPrefixes)
 		m.send(from, news, false)
--- a/peer/core/founding.go
+++ b/peer/core/founding.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // Founding is what a fleet is founded with. It is kept on the core's disk.
@@ -13,7 +13,7 @@
 	Parts int             `msgpack:"p" json:"parts"`
 	Cores map[string]Core `msgpack:"c" json:"cores"`
 	// Groups has the first group of each part.
-	Groups []part.Group `msgpack:"g" json:"groups"`
+	Groups []partition.Group `msgpack:"g" json:"groups"`
 	// Size is how many seats a group is to have.
 	Size int `msgpack:"s" json:"size"`
 }
@@ -26,7 +26,7 @@
 		f.Cores[c.ID] = c
 	}
 	for _, seats := range Place(parts, size, cores, nil) {
-		f.Groups = append(f.Groups, part.Group{Epoch: 1, Seats: seats})
+		f.Groups = append(f.Groups, partition.Group{Epoch: 1, Seats: seats})
 	}
 	return f
 }
--- a/peer/core/gossip_test.go
+++ b/peer/core/gossip_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // TestTopologyIsToldWhereItDiffers: cores that know the same tell each other no
@@ -19,8 +19,8 @@
 		t.Errorf("%d topologies in 4 s of rest", told)
 	}
 	lagging := f.boxes[3].m
-	lagging.owners[1] = part.Term{}
-	lagging.groups[1] = part.Group{}
+	lagging.owners[1] = partition.Term{}
+	lagging.groups[1] = partition.Group{}
 	delete(lagging.cores, "c1")
 	f.pass(3 * time.Second)
 	if lagging.Topology().Digest() != f.boxes[0].m.Topology().Digest() {
@@ -31,7 +31,7 @@
 // TestDigestOfATopology tells apart what matters and nothing else.
 func TestDigestOfATopology(t *testing.T) {
 	make := func() Topology {
-		return Topology{Fleet: "f", Cores: map[string]Core{"a": {ID: "a", Incarnation: "1"}, "b": {ID: "b"}}, Owners: []part.Term{{Round: 1, Owner: "a.1"}}, Groups: []part.Group{{Epoch: 1, Seats: []string{"a.1"}}}}
+		return Topology{Fleet: "f", Cores: map[string]Core{"a": {ID: "a", Incarnation: "1"}, "b": {ID: "b"}}, Owners: []partition.Term{{Round: 1, Owner: "a.1"}}, Groups: []partition.Group{{Epoch: 1, Seats: []string{"a.1"}}}}
 	}
 	same := make()
 	same.Groups[0].Former = []string{}
--- a/peer/core/kept.go
+++ b/peer/core/kept.go
@@ -6,7 +6,7 @@
 	"net/url"
 	"slices"
 
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // Absence is why a kept turn is not found. It is for operators: whoever asks for the
@@ -65,7 +65,7 @@
 }
 
 // findTurn finds a tenant's kept turn. If there is none, the key is where it goes.
-func findTurn(tx *part.Tx, tenant, attempt string) (key string, t keptTurn, ok bool) {
+func findTurn(tx *partition.Tx, tenant, attempt string) (key string, t keptTurn, ok bool) {
 	free := ""
 	for _, key := range keptKeys(tenant, attempt) {
 		t, taken := read[keptTurn](tx, key)
@@ -81,7 +81,7 @@
 
 // keepTurn keeps a turn. The same command is acknowledged again; another turn under
 // an id that its tenant used before is not kept, and not said to be.
-func (r *rules) keepTurn(tx *part.Tx, c KeepTurn) any {
+func (r *rules) keepTurn(tx *partition.Tx, c KeepTurn) any {
 	key, t, ok := findTurn(tx, c.Tenant, c.Attempt)
 	if ok {
 		return Done{OK: slices.Equal(t.Before, c.Before) && bytes.Equal(t.Input, c.Input) && bytes.Equal(t.Output, c.Output)}
@@ -93,7 +93,7 @@
 }
 
 // readTurn reads a kept turn.
-func (r *rules) readTurn(tx *part.Tx, c ReadTurn) KeptTurn {
+func (r *rules) readTurn(tx *partition.Tx, c ReadTurn) KeptTurn {
 	_, t, ok := findTurn(tx, c.Tenant, c.Attempt)
 	if !ok {
 		return KeptTurn{Absence: r.absenceOf(tx, c)}
@@ -102,7 +102,7 @@
 }
 
 // absenceOf tells why a turn is not kept, as far as this leader knows.
-func (r *rules) absenceOf(tx *part.Tx, c ReadTurn) Absence {
+func (r *rules) absenceOf(tx *partition.Tx, c ReadTurn) Absence {
 	keys := keptKeys(c.Tenant, c.Attempt)
 	if _, taken := read[keptTurn](tx, keys[0]); taken {
 		return Foreign
--- a/peer/core/life.go
+++ b/peer/core/life.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // Move is one change of one part's group.
@@ -46,7 +46,7 @@
 			return
 		}
 	}
-	f := Founding{Fleet: t.Fleet, Parts: len(t.Groups), Cores: maps.Clone(t.Cores), Groups: make([]part.Group, len(t.Groups)), Size: t.Size}
+	f := Founding{Fleet: t.Fleet, Parts: len(t.Groups), Cores: maps.Clone(t.Cores), Groups: make([]partition.Group, len(t.Groups)), Size: t.Size}
 	if f.Cores == nil {
 		f.Cores = map[string]Core{}
 	}
@@ -112,7 +112,7 @@
 
 // PlanChange lists the moves of a change in a core's life, or says why there can
 // be none. Silent cores get no seats.
-func PlanChange(cores map[string]Core, silent map[string]bool, groups []part.Group, size int, kind, id, by string) Changed {
+func PlanChange(cores map[string]Core, silent map[string]bool, groups []partition.Group, size int, kind, id, by string) Changed {
 	c, ok := cores[id]
 	if !ok {
 		return Changed{Code: "unknown_core", Reason: "no core of this fleet is called " + id}
--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -7,7 +7,7 @@
 	"saffronfall/rule/invariant"
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/rehearsal"
 	"saffronfall/rule/slab"
 )
@@ -59,10 +59,10 @@
 	params   Params
 	self     Core
 	founding Founding
-	parts    map[int]*part.Machine
+	parts    map[int]*partition.Machine
 	cores    map[string]Core
-	owners   []part.Term
-	groups   []part.Group
+	owners   []partition.Term
+	groups   []partition.Group
 	caller   *Caller
 	tickets  slab.Slab[origin]
 	outlets
@@ -103,7 +103,7 @@
 
 // New makes a core from what its disk holds.
 func New(o Options) *Machine {
-	m := &Machine{params: o.Params, random: o.Random, outlets: outlets{violated: o.Violated}, seeds: o.Seeds, parts: map[int]*part.Machine{}, cores: map[string]Core{},
+	m := &Machine{params: o.Params, random: o.Random, outlets: outlets{violated: o.Violated}, seeds: o.Seeds, parts: map[int]*partition.Machine{}, cores: map[string]Core{},
 		self: Core{ID: o.ID, Incarnation: o.Stored.Incarnation, Zone: o.Zone, Peer: o.Address, Operator: o.Operator}}
 	m.caller = &Caller{Retry: o.Params.Retry, Random: o.Random,
 		Send:  func(to string, body any) { m.send(to, body, false) },
@@ -126,7 +126,7 @@
 
 func (m *Machine) begin(now time.Duration, s Stored) {
 	m.founding = s.Founding
-	m.owners, m.groups = make([]part.Term, s.Founding.Parts), make([]part.Group, s.Founding.Parts)
+	m.owners, m.groups = make([]partition.Term, s.Founding.Parts), make([]partition.Group, s.Founding.Parts)
 	for id, c := range s.Founding.Cores {
 		m.cores[id] = c
 	}
@@ -140,8 +140,8 @@
 	}
 }
 
-func (m *Machine) seat(now time.Duration, n int, c part.Copy) *part.Machine {
-	m.parts[n] = part.New(part.Options{Params: m.params.Part, Seat: m.self.Seat(), Number: n, Rules: &rules{params: m.params, fleet: m.fleet, violated: m.violated}, Copy: c, Now: now,
+func (m *Machine) seat(now time.Duration, n int, c partition.Copy) *partition.Machine {
+	m.parts[n] = partition.New(partition.Options{Params: m.params.Part, Seat: m.self.Seat(), Number: n, Rules: &rules{params: m.params, fleet: m.fleet, violated: m.violated}, Copy: c, Now: now,
 		Random: m.random, Violated: m.violated})
 	return m.parts[n]
 }
@@ -228,8 +228,8 @@
 }
 
 // PartCounters sums the counters of all parts.
-func (m *Machine) PartCounters() part.Counters {
-	var sum part.Counters
+func (m *Machine) PartCounters() partition.Counters {
+	var sum partition.Counters
 	for _, p := range m.parts {
 		c := p.Counters
 		sum.Stands += c.Stands
@@ -244,7 +244,7 @@
 }
 
 // Part is one part's machine, for tests and status.
-func (m *Machine) Part(n int) *part.Machine { return m.parts[n] }
+func (m *Machine) Part(n int) *partition.Machine { return m.parts[n] }
 
 // Receive takes a message from the process at an address.
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
--- a/peer/core/membership_test.go
+++ b/peer/core/membership_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"saffronfall/rule/message"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 const (
@@ -64,7 +64,7 @@
 
 func newFleet(t *testing.T, size, cores int) *fleet {
 	f := &fleet{t: t, size: size, random: rand.New(rand.NewPCG(7, uint64(cores))), answers: map[uint64]any{}, keys: map[string]string{}, kinds: map[string]int{}, gone: map[string]bool{},
-		params: Params{Part: part.Params{OwnerTerm: 500 * time.Millisecond, Drift: 0.1, Renewals: 5, Sweeps: 40, Home: 20}, MemberTerm: 2 * time.Second,
+		params: Params{Part: partition.Params{OwnerTerm: 500 * time.Millisecond, Drift: 0.1, Renewals: 5, Sweeps: 40, Home: 20}, MemberTerm: 2 * time.Second,
 			Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond, Gone: 2 * time.Second, ColdStart: true}}
 	var list []Core
 	for i := 0; i < cores; i++ {
@@ -261,7 +261,7 @@
 	}
 }
 
-func (f *fleet) owner(n int) (*box, part.Group, bool) {
+func (f *fleet) owner(n int) (*box, partition.Group, bool) {
 	for _, b := range f.boxes {
 		if b.m == nil || b.frozen || b.m.Part(n) == nil {
 			continue
@@ -271,7 +271,7 @@
 			return b, g, true
 		}
 	}
-	return nil, part.Group{}, false
+	return nil, partition.Group{}, false
 }
 
 func (f *fleet) ask(command any) any {
@@ -912,7 +912,7 @@
 
 func TestColdStart(t *testing.T) {
 	f := &fleet{t: t, size: 3, random: rand.New(rand.NewPCG(1, 1)), answers: map[uint64]any{}, keys: map[string]string{}, kinds: map[string]int{}, gone: map[string]bool{},
-		params: Params{Part: part.Params{OwnerTerm: 500 * time.Millisecond, Drift: 0.1, Renewals: 5, Sweeps: 40}, MemberTerm: 2 * time.Second, Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}}
+		params: Params{Part: partition.Params{OwnerTerm: 500 * time.Millisecond, Drift: 0.1, Renewals: 5, Sweeps: 40}, MemberTerm: 2 * time.Second, Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}}
 	var list []Core
 	for i := 0; i < 4; i++ {
 		b := f.add(fmt.Sprintf("c%d", i+1))
--- a/peer/core/ops.go
+++ b/peer/core/ops.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"saffronfall/rule/configuration"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/program"
 )
 
@@ -220,7 +220,7 @@
 	}
 	// Entries answers it.
 	Entries struct {
-		Entries []part.Entry `msgpack:"Entries"`
+		Entries []partition.Entry `msgpack:"Entries"`
 	}
 
 	// AgreeConfiguration makes a checked and rehearsed description agreed.
@@ -347,9 +347,9 @@
 	}
 	// Pull asks for all news after a vector of versions.
 	Pull struct {
-		Versions map[int]part.Stamp `msgpack:"Versions"`
-		Member   string             `msgpack:"Member"`
-		Want     bool               `msgpack:"Want"`
+		Versions map[int]partition.Stamp `msgpack:"Versions"`
+		Member   string                  `msgpack:"Member"`
+		Want     bool                    `msgpack:"Want"`
 		// Fresh asks the configuration's owner to say how new the news is.
 		Fresh bool          `msgpack:"Fresh"`
 		Sent  time.Duration `msgpack:"Sent"`
@@ -357,24 +357,24 @@
 	// Fresh says up to where the configuration goes, and how old that knowledge
 	// is. It lets a new life of a node know that it has missed nothing.
 	Fresh struct {
-		Sent time.Duration `msgpack:"Sent"`
-		Age  time.Duration `msgpack:"Age"`
-		Upto part.Stamp    `msgpack:"Upto"`
+		Sent time.Duration   `msgpack:"Sent"`
+		Age  time.Duration   `msgpack:"Age"`
+		Upto partition.Stamp `msgpack:"Upto"`
 	}
 	// News answers it, a part at a time.
 	News struct {
-		Part    int          `msgpack:"Part"`
-		After   part.Stamp   `msgpack:"After"`
-		Upto    part.Stamp   `msgpack:"Upto"`
-		Whole   bool         `msgpack:"Whole"`
-		Entries []part.Entry `msgpack:"Entries"`
+		Part    int               `msgpack:"Part"`
+		After   partition.Stamp   `msgpack:"After"`
+		Upto    partition.Stamp   `msgpack:"Upto"`
+		Whole   bool              `msgpack:"Whole"`
+		Entries []partition.Entry `msgpack:"Entries"`
 	}
 	// Topology is who the cores are and who owns which part.
 	Topology struct {
-		Fleet  string          `msgpack:"Fleet" json:"Fleet"`
-		Cores  map[string]Core `msgpack:"Cores" json:"Cores"`
-		Groups []part.Group    `msgpack:"Groups" json:"Groups"`
-		Owners []part.Term     `msgpack:"Owners" json:"Owners"`
+		Fleet  string            `msgpack:"Fleet" json:"Fleet"`
+		Cores  map[string]Core   `msgpack:"Cores" json:"Cores"`
+		Groups []partition.Group `msgpack:"Groups" json:"Groups"`
+		Owners []partition.Term  `msgpack:"Owners" json:"Owners"`
 		// Size is how many seats a group is to have.
 		Size int `msgpack:"Size" json:"Size"`
 	}
--- a/peer/core/orders.go
+++ b/peer/core/orders.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"time"
 
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // An operator whose answer was lost sends the same order again, to any control
@@ -54,13 +54,13 @@
 
 // wasAccepted reports whether this very order was accepted before: whether it has
 // its record, or is in the list that a former version kept.
-func wasAccepted(tx *part.Tx, order orderID, past []orderID) bool {
+func wasAccepted(tx *partition.Tx, order orderID, past []orderID) bool {
 	record, ok := read[acceptedOrder](tx, order.key())
 	return ok && record.Base == order.base && record.Digest == order.digest || slices.Contains(past, order)
 }
 
 // recordAccepted makes orders known again.
-func (r *rules) recordAccepted(tx *part.Tx, orders ...orderID) {
+func (r *rules) recordAccepted(tx *partition.Tx, orders ...orderID) {
 	until := tx.Clock() + r.params.orderKeep()
 	for _, order := range orders {
 		write(tx, order.key(), acceptedOrder{Base: order.base, Digest: order.digest, Until: until})
@@ -69,7 +69,7 @@
 }
 
 // agreeTable puts a routing table in force if it builds on the one that is.
-func (r *rules) agreeTable(tx *part.Tx, c AgreeTable) any {
+func (r *rules) agreeTable(tx *partition.Tx, c AgreeTable) any {
 	order := orderID{kind: tableOrder, base: c.Base, number: c.Number, digest: c.Digest}
 	current, _ := read[AgreedTable](tx, TableKey)
 	past := current.past()
@@ -85,7 +85,7 @@
 }
 
 // findOrder tells whether an order was accepted, and which table is in force.
-func findOrder(tx *part.Tx, c FindOrder) TableAgreed {
+func findOrder(tx *partition.Tx, c FindOrder) TableAgreed {
 	current, _ := read[AgreedTable](tx, TableKey)
 	order := orderID{kind: tableOrder, base: c.Base, number: c.Number, digest: c.Digest}
 	if wasAccepted(tx, order, current.past()) {
@@ -103,7 +103,7 @@
 }
 
 // agreeDescription puts a description in force if it builds on the one that is.
-func (r *rules) agreeDescription(tx *part.Tx, c AgreeConfiguration) any {
+func (r *rules) agreeDescription(tx *partition.Tx, c AgreeConfiguration) any {
 	order := orderID{kind: descriptionOrder, base: c.BasedOn, number: c.BasedOn + 1, digest: c.Digest}
 	current, _ := read[Configured](tx, configurationKey)
 	past := current.past()
--- a/peer/core/orders_test.go
+++ b/peer/core/orders_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"saffronfall/rule/message"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // order is a routing table's number with a body of its own.
@@ -115,9 +115,9 @@
 	stored := Stored{Incarnation: "1"}
 	stored.Apply(Change{Founding: &founding})
 	copied := stored.Copies[ConfigurationPart]
-	version := part.Stamp{Term: part.Term{Round: 1, Owner: "c.1"}, Seq: 1}
+	version := partition.Stamp{Term: partition.Term{Round: 1, Owner: "c.1"}, Seq: 1}
 	table := AgreedTable{Number: 7, Text: []byte(`{"number":7}`), Digest: "seven", Past: []HandedNumber{{Base: 0, Number: 4, Digest: "four"}, {Base: 4, Number: 7, Digest: "seven"}}}
-	copied.Entries = map[string]part.Entry{TableKey: {Key: TableKey, Value: message.Marshal(table), Stamp: version}}
+	copied.Entries = map[string]partition.Entry{TableKey: {Key: TableKey, Value: message.Marshal(table), Stamp: version}}
 	copied.Promised, copied.Base = version.Term, version.Term
 	stored.Copies[ConfigurationPart] = copied
 	a := &alone{t: t, got: map[uint64]CommandReturn{}}
--- a/peer/core/place.go
+++ b/peer/core/place.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // Place gives each part the seats that its group should have: spread over zones
@@ -283,7 +283,7 @@
 		add, remove := m.step(now, group, wanted)
 		switch {
 		case add != "" || remove != "":
-			ticket := m.tickets.Keep(origin{handled: func(now time.Duration, r part.Return) {
+			ticket := m.tickets.Keep(origin{handled: func(now time.Duration, r partition.Return) {
 				if r.Body != true {
 					m.movedAt[n] = now + m.params.Part.OwnerTerm
 				}
--- a/peer/core/registered.go
+++ b/peer/core/registered.go
@@ -2,7 +2,7 @@
 
 import (
 	"saffronfall/rule/message"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/verdict"
 )
 
@@ -92,14 +92,14 @@
 func init() {
 	message.Register(map[string]any{
 		"verdict.Verdict":  verdict.Verdict{},
-		"part.Stand":       part.Stand{},
-		"part.Promise":     part.Promise{},
-		"part.Refuse":      part.Refuse{},
-		"part.Write":       part.Write{},
-		"part.Taken":       part.Taken{},
-		"part.Renew":       part.Renew{},
-		"part.Renewed":     part.Renewed{},
-		"part.Handover":    part.Handover{},
-		"part.TermDurable": part.TermDurable{},
+		"part.Stand":       partition.Stand{},
+		"part.Promise":     partition.Promise{},
+		"part.Refuse":      partition.Refuse{},
+		"part.Write":       partition.Write{},
+		"part.Taken":       partition.Taken{},
+		"part.Renew":       partition.Renew{},
+		"part.Renewed":     partition.Renewed{},
+		"part.Handover":    partition.Handover{},
+		"part.TermDurable": partition.TermDurable{},
 	})
 }
--- a/peer/core/relay.go
+++ b/peer/core/relay.go
@@ -7,7 +7,7 @@
 
 	"saffronfall/rule/book"
 	"saffronfall/rule/invariant"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/rate"
 )
 
@@ -204,7 +204,7 @@
 	return list
 }
 
-func (r *rules) seatedRelay(tx *part.Tx) {
+func (r *rules) seatedRelay(tx *partition.Tx) {
 	r.ends, r.ledgers, r.expired = expiries{}, map[string]*rate.Ledger{}, newRecentKeys()
 	for _, key := range tx.Keys(keptPrefix) {
 		if t, ok := read[keptTurn](tx, key); ok {
@@ -223,7 +223,7 @@
 	}
 }
 
-func (r *rules) sweepRelay(tx *part.Tx) {
+func (r *rules) sweepRelay(tx *partition.Tx) {
 	clock := tx.Clock()
 	for _, e := range r.ends.due(clock) {
 		var until time.Duration
@@ -245,7 +245,7 @@
 	}
 }
 
-func readKind[T any](tx *part.Tx, key, prefix string) (T, bool) {
+func readKind[T any](tx *partition.Tx, key, prefix string) (T, bool) {
 	var none T
 	if len(key) < len(prefix) || key[:len(prefix)] != prefix {
 		return none, false
@@ -253,7 +253,7 @@
 	return read[T](tx, key)
 }
 
-func (r *rules) applyRelay(tx *part.Tx, command any) any {
+func (r *rules) applyRelay(tx *partition.Tx, command any) any {
 	switch c := command.(type) {
 	case ReserveTurn:
 		return r.reserveTurn(tx, c)
@@ -296,7 +296,7 @@
 	return Done{OK: true}
 }
 
-func (r *rules) drawRates(tx *part.Tx, c DrawRates) any {
+func (r *rules) drawRates(tx *partition.Tx, c DrawRates) any {
 	var answer RatesDrawn
 	for _, d := range c.Draws {
 		key := ratePrefix + d.Tenant
@@ -324,7 +324,7 @@
 	return bookPrefix + url.PathEscape(tenant) + "/" + program
 }
 
-func (r *rules) reserveTurn(tx *part.Tx, c ReserveTurn) any {
+func (r *rules) reserveTurn(tx *partition.Tx, c ReserveTurn) any {
 	key := bookKey(c.Tenant, c.Program)
 	b, ok := read[keptBook](tx, key)
 	if !b.Book.Reserve(c.Attempt, c.Most, c.Budget) {
--- a/peer/core/relay_test.go
+++ b/peer/core/relay_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/rate"
 )
 
@@ -110,7 +110,7 @@
 		t.Fatalf("%+v", got)
 	}
 	// The owner is seated anew: its memory is gone.
-	copies := map[int]part.Copy{}
+	copies := map[int]partition.Copy{}
 	for number := 0; number < 4; number++ {
 		copies[number] = a.m.Part(number).Copied()
 	}
--- a/peer/core/retired_test.go
+++ b/peer/core/retired_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"saffronfall/rule/message"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // TestRetiredCoreTakesNoReplica: a leader that has not heard of a retirement can't
@@ -15,14 +15,14 @@
 	self, leader := Core{ID: "a", Incarnation: "1", Zone: "z", Peer: "a:1"}, Core{ID: "b", Incarnation: "1", Zone: "y", Peer: "b:1"}
 	m := New(Options{Params: newAlone(t).m.params, ID: self.ID, Zone: self.Zone, Address: self.Peer, Stored: Stored{Incarnation: self.Incarnation}, Random: func() float64 { return 0.5 }})
 	founding := Plan("f", 2, 1, []Core{self, leader})
-	founding.Groups = []part.Group{{Epoch: 1, Seats: []string{self.Seat(), leader.Seat()}}, {Epoch: 1, Seats: []string{leader.Seat()}}}
+	founding.Groups = []partition.Group{{Epoch: 1, Seats: []string{self.Seat(), leader.Seat()}}, {Epoch: 1, Seats: []string{leader.Seat()}}}
 	if _, ok := m.Found(0, founding); !ok {
 		t.Fatal("not founded")
 	}
 	takes := func(n int, seq uint64) bool {
 		group := founding.Groups[n]
-		group.Term = part.Term{Round: 1, Owner: leader.Seat()}
-		write := part.Write{Term: group.Term, Seq: seq, Group: group, Whole: true}
+		group.Term = partition.Term{Round: 1, Owner: leader.Seat()}
+		write := partition.Write{Term: group.Term, Seq: seq, Group: group, Whole: true}
 		o := m.Receive(time.Second, leader.Peer, PartMessage{Part: n, From: leader.Seat(), To: self.Seat(), Raw: message.Pack(write)})
 		return len(o.Changes) > 0
 	}
@@ -31,7 +31,7 @@
 	}
 	retired := self
 	retired.Retired, retired.Version = true, 9
-	m.Receive(time.Second, leader.Peer, Topology{Fleet: "f", Cores: map[string]Core{self.ID: retired}, Owners: make([]part.Term, 2), Groups: make([]part.Group, 2)})
+	m.Receive(time.Second, leader.Peer, Topology{Fleet: "f", Cores: map[string]Core{self.ID: retired}, Owners: make([]partition.Term, 2), Groups: make([]partition.Group, 2)})
 	if takes(1, 2) {
 		t.Error("a retired core takes a replica of a group that it does not belong to")
 	}
--- a/peer/core/rules.go
+++ b/peer/core/rules.go
@@ -6,7 +6,7 @@
 
 	"saffronfall/rule/invariant"
 	"saffronfall/rule/message"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/program"
 	"saffronfall/rule/rate"
 )
@@ -21,7 +21,7 @@
 // Params bound the control plane's timing; what else it needs are ratios to
 // these.
 type Params struct {
-	Part       part.Params
+	Part       partition.Params
 	MemberTerm time.Duration
 	// Retry is how long an attempt at a command may take.
 	Retry time.Duration
@@ -51,7 +51,7 @@
 	expired *recentKeys
 }
 
-func (r *rules) Seated(now time.Duration, tx *part.Tx) {
+func (r *rules) Seated(now time.Duration, tx *partition.Tx) {
 	r.members, r.versions = map[string]time.Duration{}, map[string]uint64{}
 	r.seatedAt = now
 	for _, key := range tx.Keys(memberPrefix) {
@@ -60,7 +60,7 @@
 	r.seatedRelay(tx)
 }
 
-func read[T any](tx *part.Tx, key string) (T, bool) {
+func read[T any](tx *partition.Tx, key string) (T, bool) {
 	var value T
 	raw, ok := tx.Get(key)
 	if !ok {
@@ -72,10 +72,10 @@
 	return value, true
 }
 
-func write(tx *part.Tx, key string, value any) { tx.Put(key, message.Marshal(value)) }
+func write(tx *partition.Tx, key string, value any) { tx.Put(key, message.Marshal(value)) }
 
 // Apply runs one command.
-func (r *rules) Apply(now time.Duration, tx *part.Tx, command any) any {
+func (r *rules) Apply(now time.Duration, tx *partition.Tx, command any) any {
 	switch c := command.(type) {
 	case JoinMember:
 		return r.join(now, tx, c)
@@ -157,7 +157,7 @@
 		var list Entries
 		for _, key := range tx.Keys(c.Prefix) {
 			raw, _ := tx.Get(key)
-			list.Entries = append(list.Entries, part.Entry{Key: key, Value: raw})
+			list.Entries = append(list.Entries, partition.Entry{Key: key, Value: raw})
 		}
 		return list
 	case ReadLocked:
--- a/peer/core/rules_breaker.go
+++ b/peer/core/rules_breaker.go
@@ -6,14 +6,14 @@
 
 	"saffronfall/rule/breaker"
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 func (b BreakerLimits) params() breaker.Params {
 	return breaker.Params{Minute: b.Minute, Hour: b.Hour, Day: b.Day, Recovery: b.Recovery, Tests: b.Tests}
 }
 
-func (r *rules) breaker(tx *part.Tx) (b, before breaker.Breaker) {
+func (r *rules) breaker(tx *partition.Tx) (b, before breaker.Breaker) {
 	b, ok := read[breaker.Breaker](tx, breakerBooks)
 	if !ok {
 		b = breaker.New()
@@ -22,7 +22,7 @@
 	return b, before
 }
 
-func (r *rules) keepBreaker(tx *part.Tx, b, before breaker.Breaker) {
+func (r *rules) keepBreaker(tx *partition.Tx, b, before breaker.Breaker) {
 	if !reflect.DeepEqual(b, before) {
 		write(tx, breakerBooks, b)
 	}
@@ -42,7 +42,7 @@
 	Reason string        `msgpack:"r"`
 }
 
-func (r *rules) drawBreaker(tx *part.Tx, c DrawBreaker) any {
+func (r *rules) drawBreaker(tx *partition.Tx, c DrawBreaker) any {
 	b, before := r.breaker(tx)
 	clock := tx.Clock()
 	for _, holder := range c.Ended {
--- a/peer/core/rules_cores.go
+++ b/peer/core/rules_cores.go
@@ -1,10 +1,10 @@
 package core
 
 import (
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
-func putCore(tx *part.Tx, c PutCore) any {
+func putCore(tx *partition.Tx, c PutCore) any {
 	old, ok := read[Core](tx, corePrefix+c.Core.ID)
 	_, outlived := tx.Get(outlivedPrefix + c.Core.Seat())
 	switch {
@@ -22,7 +22,7 @@
 	return Done{OK: true}
 }
 
-func (r *rules) retireCore(tx *part.Tx, c RetireCore) any {
+func (r *rules) retireCore(tx *partition.Tx, c RetireCore) any {
 	cores, enough := r.fleet()
 	for _, key := range tx.Keys(corePrefix) {
 		if one, _ := read[Core](tx, key); cores[one.ID].Version <= one.Version {
--- a/peer/core/rules_members.go
+++ b/peer/core/rules_members.go
@@ -4,7 +4,7 @@
 	"strings"
 	"time"
 
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/program"
 )
 
@@ -12,7 +12,7 @@
 	return time.Duration(float64(r.params.MemberTerm) * (1 + r.params.Part.Drift))
 }
 
-func (r *rules) join(now time.Duration, tx *part.Tx, c JoinMember) any {
+func (r *rules) join(now time.Duration, tx *partition.Tx, c JoinMember) any {
 	key := memberPrefix + c.Member.ID
 	floor, _ := read[uint64](tx, floorKey)
 	m, ok := read[Member](tx, key)
@@ -47,7 +47,7 @@
 	return life
 }
 
-func (r *rules) renew(now time.Duration, tx *part.Tx, c RenewMember) any {
+func (r *rules) renew(now time.Duration, tx *partition.Tx, c RenewMember) any {
 	key := memberPrefix + c.ID
 	floor, _ := read[uint64](tx, floorKey)
 	m, ok := read[Member](tx, key)
@@ -61,7 +61,7 @@
 	return Termed{Granted: true, Floor: floor}
 }
 
-func (r *rules) setFloor(now time.Duration, tx *part.Tx, c SetFloor) any {
+func (r *rules) setFloor(now time.Duration, tx *partition.Tx, c SetFloor) any {
 	floor, _ := read[uint64](tx, floorKey)
 	if floor < c.Version {
 		write(tx, floorKey, c.Version)
@@ -77,7 +77,7 @@
 	return answer
 }
 
-func (r *rules) sweep(now time.Duration, tx *part.Tx) {
+func (r *rules) sweep(now time.Duration, tx *partition.Tx) {
 	for _, key := range tx.Keys(memberPrefix) {
 		m, _ := read[Member](tx, key)
 		if !m.Ended && now >= r.members[key]+r.memberTerm() {
--- a/peer/core/rules_once.go
+++ b/peer/core/rules_once.go
@@ -1,10 +1,10 @@
 package core
 
 import (
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
-func (r *rules) claimOnce(tx *part.Tx, c ClaimOnce) any {
+func (r *rules) claimOnce(tx *partition.Tx, c ClaimOnce) any {
 	key := oncePrefix + c.Tenant + "/" + c.Service + "/" + c.Key
 	o, ok := read[Once](tx, key)
 	if !ok {
@@ -14,7 +14,7 @@
 	return o
 }
 
-func (r *rules) endOnce(tx *part.Tx, c EndOnce) any {
+func (r *rules) endOnce(tx *partition.Tx, c EndOnce) any {
 	key := oncePrefix + c.Tenant + "/" + c.Service + "/" + c.Key
 	o, ok := read[Once](tx, key)
 	if !ok || o.Claim != c.Claim || o.State != OnceIntent {
--- a/peer/core/rules_programs.go
+++ b/peer/core/rules_programs.go
@@ -9,14 +9,14 @@
 
 	"saffronfall/rule/allowance"
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/program"
 )
 
 // lockedTold is how many locked users are told of a part.
 const lockedTold = 100
 
-func readLocked(tx *part.Tx) LockedUsers {
+func readLocked(tx *partition.Tx) LockedUsers {
 	var list LockedUsers
 	for _, key := range tx.Keys("user/") {
 		if u, _ := read[program.User](tx, key); u.Locked > tx.Clock() {
@@ -38,7 +38,7 @@
 	return n
 }
 
-func (r *rules) openProgram(tx *part.Tx, c OpenProgram) any {
+func (r *rules) openProgram(tx *partition.Tx, c OpenProgram) any {
 	key := programPrefix + c.Record.Tenant + "/" + c.Record.ID
 	if p, ok := read[program.Record](tx, key); ok {
 		return Programmed{Found: true, Owned: p.Node == c.Record.Node && p.Incarnation == c.Record.Incarnation, Record: p, Clock: tx.Clock()}
@@ -49,7 +49,7 @@
 	return Programmed{Found: true, Owned: true, Record: p, Clock: tx.Clock()}
 }
 
-func (r *rules) claimProgram(tx *part.Tx, c ClaimProgram) any {
+func (r *rules) claimProgram(tx *partition.Tx, c ClaimProgram) any {
 	key := programPrefix + c.Tenant + "/" + c.ID
 	p, ok := read[program.Record](tx, key)
 	if !ok {
@@ -77,7 +77,7 @@
 	return answer
 }
 
-func (r *rules) saveProgram(tx *part.Tx, c SaveProgram) any {
+func (r *rules) saveProgram(tx *partition.Tx, c SaveProgram) any {
 	key := programPrefix + c.Record.Tenant + "/" + c.Record.ID
 	p, ok := read[program.Record](tx, key)
 	if !ok || p.Fence != c.Record.Fence || p.Incarnation != c.Record.Incarnation {
@@ -95,7 +95,7 @@
 	return Programmed{Found: true, Version: p.Version}
 }
 
-func (r *rules) shareTenant(tx *part.Tx, c ShareTenant) any {
+func (r *rules) shareTenant(tx *partition.Tx, c ShareTenant) any {
 	key := "tenant/" + c.Tenant + "/" + c.Kind
 	l, ok := read[allowance.Ledger](tx, key)
 	if !ok && c.Kind == "day" {
--- a/peer/core/rules_test.go
+++ b/peer/core/rules_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"saffronfall/rule/message"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/program"
 )
 
@@ -22,7 +22,7 @@
 }
 
 func newAlone(t *testing.T, changes ...func(p *Params)) *alone {
-	p := Params{Part: part.Params{OwnerTerm: 600 * time.Millisecond, Drift: 0.1, Renewals: 5, Sweeps: 8}, MemberTerm: 2 * time.Second,
+	p := Params{Part: partition.Params{OwnerTerm: 600 * time.Millisecond, Drift: 0.1, Renewals: 5, Sweeps: 8}, MemberTerm: 2 * time.Second,
 		Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}
 	for _, change := range changes {
 		change(&p)
--- a/peer/core/stored.go
+++ b/peer/core/stored.go
@@ -1,26 +1,26 @@
 package core
 
 import (
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // Stored is what a core's disk holds.
 type Stored struct {
-	Incarnation string            `msgpack:"i"`
-	Founding    Founding          `msgpack:"f"`
-	Copies      map[int]part.Copy `msgpack:"c"`
+	Incarnation string                 `msgpack:"i"`
+	Founding    Founding               `msgpack:"f"`
+	Copies      map[int]partition.Copy `msgpack:"c"`
 }
 
 // Change is one thing to write to disk.
 type Change struct {
-	Founding *Founding    `msgpack:"f"`
-	Record   *part.Record `msgpack:"r"`
+	Founding *Founding         `msgpack:"f"`
+	Record   *partition.Record `msgpack:"r"`
 }
 
 // Apply brings what is stored up to a change.
 func (s *Stored) Apply(c Change) {
 	if s.Copies == nil {
-		s.Copies = map[int]part.Copy{}
+		s.Copies = map[int]partition.Copy{}
 	}
 	if c.Founding != nil {
 		s.Founding = *c.Founding
@@ -41,9 +41,9 @@
 
 // CopyFrom makes an image that can be changed apart from its source.
 func (s *Stored) CopyFrom(o Stored) {
-	s.Incarnation, s.Founding, s.Copies = o.Incarnation, o.Founding, map[int]part.Copy{}
+	s.Incarnation, s.Founding, s.Copies = o.Incarnation, o.Founding, map[int]partition.Copy{}
 	for n, c := range o.Copies {
-		entries := make(map[string]part.Entry, len(c.Entries))
+		entries := make(map[string]partition.Entry, len(c.Entries))
 		for k, e := range c.Entries {
 			entries[k] = e
 		}
--- a/peer/core/topology.go
+++ b/peer/core/topology.go
@@ -9,7 +9,7 @@
 
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // assert makes the fleet's entry of this core what it is now: its address or
@@ -38,7 +38,7 @@
 	}
 }
 
-func (m *Machine) learnCoresOf(c part.Copy) {
+func (m *Machine) learnCoresOf(c partition.Copy) {
 	for key, e := range c.Entries {
 		if len(key) > len(corePrefix) && key[:len(corePrefix)] == corePrefix && !e.Gone {
 			var one Core
@@ -212,12 +212,12 @@
 
 // hasReplica reports whether a core keeps a replica of any partition.
 func (m *Machine) hasReplica(c Core) bool {
-	return slices.ContainsFunc(m.groups, func(g part.Group) bool { return g.Has(c.Seat()) })
+	return slices.ContainsFunc(m.groups, func(g partition.Group) bool { return g.Has(c.Seat()) })
 }
 
 // Topology is what this core knows of cores, groups and owners.
 func (m *Machine) Topology() Topology {
-	t := Topology{Fleet: m.founding.Fleet, Size: m.size(), Cores: map[string]Core{}, Owners: append([]part.Term(nil), m.owners...), Groups: append([]part.Group(nil), m.groups...)}
+	t := Topology{Fleet: m.founding.Fleet, Size: m.size(), Cores: map[string]Core{}, Owners: append([]partition.Term(nil), m.owners...), Groups: append([]partition.Group(nil), m.groups...)}
 	for id, c := range m.cores {
 		t.Cores[id] = c
 	}
--- a/peer/desk/machine.go
+++ b/peer/desk/machine.go
@@ -5,7 +5,7 @@
 
 	"saffronfall/peer/core"
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // Options make a machine.
@@ -50,7 +50,7 @@
 	foundingCoresAt time.Duration
 	startedAt       time.Duration
 	table           *currentTable
-	pulledUpTo      part.Stamp
+	pulledUpTo      partition.Stamp
 	confirmed       time.Duration
 	fresh           core.Fresh
 	pullAt          time.Duration
--- a/peer/desk/machine_test.go
+++ b/peer/desk/machine_test.go
@@ -8,7 +8,7 @@
 
 	"saffronfall/peer/core"
 	"saffronfall/rule/message"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/route"
 )
 
@@ -149,7 +149,7 @@
 }
 
 func founded(m *Machine) core.Topology {
-	t := core.Topology{Fleet: "f", Size: 1, Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1", Version: 1}}, Owners: []part.Term{{Round: 1, Owner: "c.1"}, {Round: 1, Owner: "c.1"}}, Groups: make([]part.Group, 2)}
+	t := core.Topology{Fleet: "f", Size: 1, Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1", Version: 1}}, Owners: []partition.Term{{Round: 1, Owner: "c.1"}, {Round: 1, Owner: "c.1"}}, Groups: make([]partition.Group, 2)}
 	m.Receive(0, "c:1", t)
 	return t
 }
@@ -223,7 +223,7 @@
 		topology := founded(m)
 		retired := topology.Cores["c"]
 		retired.Retired, retired.Version = true, 2
-		m.Receive(0, "x:1", core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": retired, "x": {ID: "x", Incarnation: "1", Peer: "x:1", Version: 1}}, Owners: []part.Term{{Round: 2, Owner: "x.1"}, {Round: 2, Owner: "x.1"}}})
+		m.Receive(0, "x:1", core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": retired, "x": {ID: "x", Incarnation: "1", Peer: "x:1", Version: 1}}, Owners: []partition.Term{{Round: 2, Owner: "x.1"}, {Round: 2, Owner: "x.1"}}})
 		o := m.Retired(time.Millisecond, 9, "c")
 		answers := o.Answers
 		for i, command := range sentTo[core.Command](o, "x:1") {
--- a/peer/node/news.go
+++ b/peer/node/news.go
@@ -10,7 +10,7 @@
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 func (m *Machine) pull(now time.Duration) {
@@ -18,7 +18,7 @@
 		return
 	}
 	m.pullAt = now + m.params.Core.Pull
-	versions := map[int]part.Stamp{}
+	versions := map[int]partition.Stamp{}
 	for n, v := range m.versions {
 		versions[n] = v
 	}
@@ -109,7 +109,7 @@
 		return
 	}
 	if b.Whole || m.entries[b.Part] == nil {
-		m.entries[b.Part] = map[string]part.Entry{}
+		m.entries[b.Part] = map[string]partition.Entry{}
 	}
 	for _, e := range b.Entries {
 		if e.Gone {
@@ -128,7 +128,7 @@
 	}
 }
 
-func (m *Machine) learnEntry(now time.Duration, e part.Entry) {
+func (m *Machine) learnEntry(now time.Duration, e partition.Entry) {
 	kind, _, _ := strings.Cut(e.Key, "/")
 	switch kind {
 	case "configuration":
--- a/peer/operator/call.go
+++ b/peer/operator/call.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 
 	"saffronfall/peer/core"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // Caller calls processes on behalf of an operator.
@@ -142,7 +142,7 @@
 		return changed, errors.Wrapf(Refusal(status, raw), "core at %s", any)
 	}
 	if !who.Founded {
-		f := core.Founding{Fleet: t.Fleet, Parts: len(t.Groups), Cores: t.Cores, Groups: make([]part.Group, len(t.Groups))}
+		f := core.Founding{Fleet: t.Fleet, Parts: len(t.Groups), Cores: t.Cores, Groups: make([]partition.Group, len(t.Groups))}
 		f.Cores[who.Core.ID] = who.Core
 		if status, raw, err := c.Do(ctx, "POST", fresh, "/v1/found", f, nil); err != nil {
 			return changed, err
--- a/peer/operator/handler.go
+++ b/peer/operator/handler.go
@@ -16,7 +16,7 @@
 	"saffronfall/peer/core"
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // Process is a core as its operators' side needs it.
@@ -254,7 +254,7 @@
 	return true
 }
 
-func entries(ctx context.Context, p Process, number int, prefix string) ([]part.Entry, bool, error) {
+func entries(ctx context.Context, p Process, number int, prefix string) ([]partition.Entry, bool, error) {
 	body, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
 		return m.Ask(now, ticket, core.ReadEntries{Part: number, Prefix: prefix}, time.Second)
 	})
@@ -323,7 +323,7 @@
 	return s, nil
 }
 
-func (s *Status) add(e part.Entry) {
+func (s *Status) add(e partition.Entry) {
 	var m core.Member
 	var b core.BreakerNews
 	var c core.Configured
--- a/peer/relay/machine_test.go
+++ b/peer/relay/machine_test.go
@@ -13,7 +13,7 @@
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/placement"
 	"saffronfall/rule/rate"
 	"saffronfall/rule/route"
@@ -136,8 +136,8 @@
 // hear brings a bulletin of a desk.
 func (g *rig) hear(from string, list []desk.Listed, number uint64, text []byte) {
 	g.version++
-	topology := core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1"}}, Owners: []part.Term{{Round: 1, Owner: "c.1"}, {Round: 1, Owner: "c.1"}},
-		Groups: make([]part.Group, 2)}
+	topology := core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1"}}, Owners: []partition.Term{{Round: 1, Owner: "c.1"}, {Round: 1, Owner: "c.1"}},
+		Groups: make([]partition.Group, 2)}
 	g.take(g.m.Receive(g.now, from, desk.Bulletin{Life: "l", Version: g.version, List: list, Number: number, Table: text, Nodes: 1, Topology: &topology}))
 }
 
--- a/rehearsalkit/breaks/checker.go
+++ b/rehearsalkit/breaks/checker.go
@@ -24,7 +24,7 @@
 }
 
 // checkedFolder has the code that the model checker runs.
-const checkedFolder = "rule/part"
+const checkedFolder = "rule/partition"
 
 // Properties of the model checker, by their names in its reports.
 const (
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -17,7 +17,7 @@
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/placement"
 	"saffronfall/rule/route"
 )
@@ -38,7 +38,7 @@
 )
 
 func coreParams() core.Params {
-	return core.Params{Part: part.Params{OwnerTerm: contact / 6, Drift: 0.1, Renewals: 5, Sweeps: 40, Home: 20}, MemberTerm: contact / 2, Retry: contact / 24,
+	return core.Params{Part: partition.Params{OwnerTerm: contact / 6, Drift: 0.1, Renewals: 5, Sweeps: 40, Home: 20}, MemberTerm: contact / 2, Retry: contact / 24,
 		Pull: contact / 20, Gone: 2200 * time.Millisecond, ColdStart: true}
 }
 
--- a/rehearsalkit/modelcheck/book.go
+++ b/rehearsalkit/modelcheck/book.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"maps"
 
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // book is what the world outside has seen: the values under their numbers, the
@@ -15,7 +15,7 @@
 	latest uint64
 	// refused has the values of the orders that were refused.
 	refused map[string]bool
-	group   part.Group
+	group   partition.Group
 	// changed is how many changes of members were reported done.
 	changed int
 }
@@ -76,7 +76,7 @@
 }
 
 // commit notes a group that an owner has reported as agreed.
-func (b *book) commit(group part.Group) (*book, *Violation) {
+func (b *book) commit(group partition.Group) (*book, *Violation) {
 	if !b.group.Before(group) {
 		return b, nil
 	}
@@ -89,7 +89,7 @@
 }
 
 // quorumsIntersect tries all quorums of two groups.
-func quorumsIntersect(a, b part.Group) bool {
+func quorumsIntersect(a, b partition.Group) bool {
 	seats := a.All()
 	for _, seat := range b.All() {
 		if !a.Has(seat) {
@@ -118,7 +118,7 @@
 
 // isQuorum reports whether a set of seats may agree for a group: a majority of
 // it, and one of the former group while a change is under way.
-func isQuorum(group part.Group, set map[string]bool) bool {
+func isQuorum(group partition.Group, set map[string]bool) bool {
 	return isMajority(group.Seats, set) && (len(group.Former) == 0 || isMajority(group.Former, set))
 }
 
--- a/rehearsalkit/modelcheck/clone.go
+++ b/rehearsalkit/modelcheck/clone.go
@@ -5,14 +5,14 @@
 	"sync"
 	"unsafe"
 
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // cloneMachine copies a machine with all its private state, so that both can go
 // on apart. Functions and interface values are shared: they hold nothing that
 // a machine changes in place.
-func cloneMachine(m *part.Machine) *part.Machine {
-	return deepCopy(reflect.ValueOf(m)).Interface().(*part.Machine)
+func cloneMachine(m *partition.Machine) *partition.Machine {
+	return deepCopy(reflect.ValueOf(m)).Interface().(*partition.Machine)
 }
 
 // deepCopy copies a value. It must not come from an unexported field directly;
--- a/rehearsalkit/modelcheck/encode.go
+++ b/rehearsalkit/modelcheck/encode.go
@@ -10,7 +10,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // digest is the 128-bit hash of an encoding.
@@ -30,10 +30,10 @@
 // unencoded are the types of fields that are no part of a machine's state:
 // counters, settings, and the output of the step before.
 var unencoded = map[reflect.Type]bool{
-	reflect.TypeFor[part.Counters](): true,
-	reflect.TypeFor[part.Params]():   true,
-	reflect.TypeFor[*part.Output]():  true,
-	reflect.TypeFor[part.Rules]():    true,
+	reflect.TypeFor[partition.Counters](): true,
+	reflect.TypeFor[partition.Params]():   true,
+	reflect.TypeFor[*partition.Output]():  true,
+	reflect.TypeFor[partition.Rules]():    true,
 }
 
 var durationType = reflect.TypeFor[time.Duration]()
--- a/rehearsalkit/modelcheck/modelcheck_test.go
+++ b/rehearsalkit/modelcheck/modelcheck_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // smallDepths bound the exploration of each scenario in a test run. The command
@@ -189,9 +189,9 @@
 }
 
 func TestQuorumsIntersect(t *testing.T) {
-	trio := part.Group{Seats: []string{"a", "b", "c"}}
-	joint := part.Group{Seats: []string{"a", "b", "d"}, Former: trio.Seats}
-	final := part.Group{Seats: joint.Seats}
+	trio := partition.Group{Seats: []string{"a", "b", "c"}}
+	joint := partition.Group{Seats: []string{"a", "b", "d"}, Former: trio.Seats}
+	final := partition.Group{Seats: joint.Seats}
 	if !quorumsIntersect(trio, joint) || !quorumsIntersect(joint, final) || quorumsIntersect(trio, final) {
 		t.Error("quorums are counted wrong")
 	}
--- a/rehearsalkit/modelcheck/process.go
+++ b/rehearsalkit/modelcheck/process.go
@@ -4,19 +4,19 @@
 	"maps"
 	"time"
 
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // process is one replica: its machine, its disk, and what waits for the disk.
 type process struct {
 	seat string
 	// machine is nil while the process is down.
-	machine *part.Machine
+	machine *partition.Machine
 	// skew is by how much its clock has run fast.
 	skew time.Duration
 	// disk is what is synced; pending was issued and is not.
-	disk    part.Copy
-	pending []part.Record
+	disk    partition.Copy
+	pending []partition.Record
 	// held are synced messages that wait for the records before them.
 	held []packet
 	// slow: syncs of its disk are steps of their own, else they are done at once.
@@ -24,7 +24,7 @@
 	// lost: it is gone for good, and its disk with it.
 	lost bool
 	// agreed is the group that the machine has last reported as agreed.
-	agreed part.Group
+	agreed partition.Group
 
 	// What follows from the rest, once it was asked for: digests under each
 	// renaming and of the disk, and what a read would return without and with
@@ -40,14 +40,14 @@
 	if p.machine != nil {
 		fresh.machine = cloneMachine(p.machine)
 	}
-	fresh.pending = append([]part.Record(nil), p.pending...)
+	fresh.pending = append([]partition.Record(nil), p.pending...)
 	fresh.held = append([]packet(nil), p.held...)
 	fresh.digests, fresh.readable = nil, [2]*recovery{}
 	return &fresh
 }
 
 // store brings the disk up to some records.
-func (p *process) store(records []part.Record) {
+func (p *process) store(records []partition.Record) {
 	if len(records) == 0 {
 		return
 	}
@@ -60,7 +60,7 @@
 // start begins a new life of the process with what its disk holds.
 func (p *process) start(now time.Duration) {
 	p.machine = newMachine(p.seat, p.disk, now+p.skew)
-	p.agreed = part.Group{}
+	p.agreed = partition.Group{}
 }
 
 // crash ends the process. Of the records that were not synced the first kept
@@ -102,10 +102,10 @@
 )
 
 // newMachine makes the shipped machine, with a copy that is its own.
-func newMachine(seat string, disk part.Copy, now time.Duration) *part.Machine {
+func newMachine(seat string, disk partition.Copy, now time.Duration) *partition.Machine {
 	disk.Entries = maps.Clone(disk.Entries)
-	return part.New(part.Options{
-		Params: part.Params{OwnerTerm: ownerTerm, Drift: drift, Renewals: renewals, Sweeps: noSweeps},
+	return partition.New(partition.Options{
+		Params: partition.Params{OwnerTerm: ownerTerm, Drift: drift, Renewals: renewals, Sweeps: noSweeps},
 		Seat:   seat,
 		Rules:  registerRules{},
 		Copy:   disk,
--- a/rehearsalkit/modelcheck/properties.go
+++ b/rehearsalkit/modelcheck/properties.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // judge looks for a broken property in a state that was just reached. What
@@ -70,7 +70,7 @@
 
 // readAnswered judges a read that ends. What counts is what was acknowledged
 // before it came.
-func (w *World) readAnswered(p *process, r part.Return) {
+func (w *World) readAnswered(p *process, r partition.Return) {
 	latest := w.reading.Latest
 	if w.scenario.LateReads {
 		latest = w.book.latest
@@ -153,7 +153,7 @@
 	if ok {
 		return r
 	}
-	disks := map[string]part.Copy{}
+	disks := map[string]partition.Copy{}
 	for _, p := range w.processes {
 		if set[p.seat] {
 			disks[p.seat] = p.disk
@@ -180,7 +180,7 @@
 
 // recoverFrom runs the machines of some disks until one of them owns the part,
 // with every message delivered at once.
-func recoverFrom(disks map[string]part.Copy) recovery {
+func recoverFrom(disks map[string]partition.Copy) recovery {
 	scenario := Scenario{Members: []string{}, renamings: []map[string]string{nil}}
 	w := newWorld(&scenario)
 	for _, seat := range ordered.Keys(disks) {
@@ -207,7 +207,7 @@
 
 // served is what a read at a machine returns, where it answers at once: it owns
 // the part and nothing is on its way to be agreed.
-func served(m *part.Machine, now time.Duration) recovery {
+func served(m *partition.Machine, now time.Duration) recovery {
 	for _, r := range m.Propose(now, readTicket, readRegister{}).Returns {
 		if value, ok := r.Body.(Register); ok && r.Ticket == readTicket {
 			return recovery{owned: true, value: value}
--- a/rehearsalkit/modelcheck/register.go
+++ b/rehearsalkit/modelcheck/register.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"saffronfall/rule/message"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // Keys of entries: the number in force, and each order that came into force.
@@ -41,9 +41,9 @@
 // that is left over in a copy is not hidden by the entry of a later one.
 type registerRules struct{}
 
-func (registerRules) Seated(time.Duration, *part.Tx) {}
+func (registerRules) Seated(time.Duration, *partition.Tx) {}
 
-func (registerRules) Apply(_ time.Duration, tx *part.Tx, command any) any {
+func (registerRules) Apply(_ time.Duration, tx *partition.Tx, command any) any {
 	old := currentRegister(tx)
 	order, ok := command.(Order)
 	if !ok {
@@ -60,7 +60,7 @@
 	return Ordered{OK: true, Number: order.Number}
 }
 
-func currentRegister(tx *part.Tx) Register {
+func currentRegister(tx *partition.Tx) Register {
 	var current Register
 	if raw, ok := tx.Get(registerKey); ok {
 		current = decode[Register](raw)
--- a/rehearsalkit/modelcheck/world.go
+++ b/rehearsalkit/modelcheck/world.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // packet is a message between processes.
@@ -17,7 +17,7 @@
 
 // kind is the type of a packet's message.
 func (p packet) kind() string {
-	return strings.TrimPrefix(reflect.TypeOf(p.Body).String(), "part.")
+	return strings.TrimPrefix(reflect.TypeOf(p.Body).String(), "partition.")
 }
 
 // flying is a packet in flight with its digests, which never change.
@@ -65,9 +65,9 @@
 
 func newWorld(scenario *Scenario) *World {
 	w := &World{scenario: scenario, book: &book{values: map[uint64]string{}, refused: map[string]bool{}}, touched: map[int]bool{}}
-	founding := part.Group{Epoch: 1, Seats: scenario.Members}
+	founding := partition.Group{Epoch: 1, Seats: scenario.Members}
 	for _, seat := range scenario.Members {
-		p := &process{seat: seat, disk: part.Copy{Group: founding}}
+		p := &process{seat: seat, disk: partition.Copy{Group: founding}}
 		p.start(0)
 		w.processes = append(w.processes, p)
 	}
@@ -116,7 +116,7 @@
 // take does what a machine's step wants done, in the order of the shipped
 // process: records, sends, returns. What a machine sends to itself it gets at
 // once.
-func (w *World) take(p *process, out part.Output) {
+func (w *World) take(p *process, out partition.Output) {
 	if len(out.Records) > 0 && p.slow {
 		p.pending = append(p.pending, out.Records...)
 	} else if len(out.Records) > 0 {
@@ -185,7 +185,7 @@
 }
 
 // answer notes a return as the one who asked sees it.
-func (w *World) answer(p *process, r part.Return) {
+func (w *World) answer(p *process, r partition.Return) {
 	switch {
 	case r.Ticket >= readTicket:
 		w.readAnswered(p, r)
@@ -225,7 +225,7 @@
 }
 
 // knowing are the seats whose disks have a group or a later one.
-func (w *World) knowing(group part.Group) map[string]bool {
+func (w *World) knowing(group partition.Group) map[string]bool {
 	set := map[string]bool{}
 	for _, p := range w.processes {
 		set[p.seat] = p.disk.Group.Epoch > 0 && !p.disk.Group.Before(group)
--- a/rehearsalkit/relaysim/whole.go
+++ b/rehearsalkit/relaysim/whole.go
@@ -8,7 +8,7 @@
 	"saffronfall/peer/core"
 	"saffronfall/peer/desk"
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 // health watches what desks tell nodes, and whether the fleet is whole.
@@ -123,7 +123,7 @@
 // inFlight is by how many writes a seat that is whole may be behind.
 const inFlight = 4
 
-func (w *World) seatLacks(owner *part.Machine, n int, seat string) string {
+func (w *World) seatLacks(owner *partition.Machine, n int, seat string) string {
 	i := slices.IndexFunc(w.stores, func(s *store) bool {
 		return s.core.alive && s.core.core.Founded() && s.core.core.Self().Seat() == seat
 	})
--- a/rule/part/digest.go
+++ b/rule/partition/digest.go
@@ -1,4 +1,4 @@
-package part
+package partition
 
 import (
 	"encoding/binary"
--- a/rule/part/types.go
+++ b/rule/partition/types.go
@@ -1,6 +1,6 @@
-// Package part is one part of the control state: registers kept by a small
+// Package partition is one part of the control state: registers kept by a small
 // group of cores, with one owner that holds the part under a numbered term.
-package part
+package partition
 
 import "time"
 
