--- a/peer/front/handler.go
+++ b/peer/front/handler.go
@@ -1,6 +1,10 @@
-// Package front is the side of a relaying node that requesters see: it reads
-// requests, asks the node's machine what is to be done, and carries answers
-// from replicas back as they come.
+// Package front is the HTTP server of a relay node. It reads requests, has a Dispatcher
+// decide each next step, sends attempts to replicas and returns their answers.
+//
+// An answer that is not streamed is passed on only if it arrived complete; a stream is
+// passed on in whole events, and one that breaks off never looks complete to the
+// requester. Memory, connections and time that requesters can hold are limited (see
+// intake and Serve). Start reading at handler.ServeHTTP.
 package front
 
 import (
@@ -22,47 +26,48 @@
 	"saffronfall/rule/invariant"
 )
 
-// Owner is the node's machine as this side needs it.
-type Owner interface {
-	// Arrive hands a request over and waits for its first step. The line is that
-	// to the replica of a sending step.
-	Arrive(ctx context.Context, a relay.Ask) (Way, relay.Step, *replica.Line, bool)
+// Dispatcher decides what happens to requests: admission, replica choice and retries.
+type Dispatcher interface {
+	// Dispatch hands over a request and waits for its first step. The line leads to the
+	// replica if the step is relay.StepSend. The result is false if the node stops first.
+	Dispatch(ctx context.Context, a relay.Ask) (Request, relay.Step, *replica.Line, bool)
 }
 
-// Way is a request under way: each outcome is answered by the next step.
-type Way interface {
-	Came(o relay.Outcome) (relay.Step, *replica.Line, bool)
+// Request is a dispatched request.
+type Request interface {
+	// Next reports the outcome of the last attempt and waits for the next step. Its
+	// results are those of Dispatch.
+	Next(o relay.Outcome) (relay.Step, *replica.Line, bool)
 }
 
-// Options make a handler.
+// Options configure a handler.
 type Options struct {
-	Owner Owner
-	Names replica.Names
-	// Most is the largest body that is read at all.
-	Most int64
-	// Closing is closed when the node drains: answers then end their
-	// connections.
-	Closing <-chan struct{}
-	// BodyTime is how long a requester may take to send a body, besides the deadline
-	// that it names. IntakeSize is how many bytes the bodies of all requests under way
-	// may take. Zero: defaults.
-	BodyTime   time.Duration
-	IntakeSize int64
-	// HashKey is the fleet's secret key of hashes of what requesters choose.
+	Dispatcher Dispatcher
+	Names      replica.Names
+	// MaxBody is the largest body that is accepted from requesters and replicas, in bytes.
+	MaxBody int64
+	// Draining is closed when the node drains. Answers then close their connections.
+	Draining <-chan struct{}
+	// BodyTimeout limits how long a requester may take to send a body, in addition to the
+	// request's deadline. IntakeBytes limits the memory for the bodies of all open
+	// requests. Zero selects the defaults.
+	BodyTimeout time.Duration
+	IntakeBytes int64
+	// HashKey is the fleet's secret key for hashing names that requesters choose.
 	HashKey [2]uint64
-	// Rejected, where it is set, is told of requests that did not arrive whole, on
-	// the goroutine that found it.
-	Rejected func(e relay.Ended)
-	// Violated takes violated invariants; without it they panic.
+	// OnRejected, if set, is called for requests that were malformed or did not arrive
+	// complete, on the request's goroutine.
+	OnRejected func(e relay.Ended)
+	// Violated is called for violated invariants; if it is nil, they panic.
 	Violated invariant.Report
 }
 
-// Handler serves requesters.
+// Handler returns the handler that serves requesters.
 func Handler(o Options) http.Handler {
-	if o.BodyTime <= 0 {
-		o.BodyTime = defaultBodyTime
+	if o.BodyTimeout <= 0 {
+		o.BodyTimeout = defaultBodyTimeout
 	}
-	return &handler{Options: o, intake: newIntake(o.IntakeSize)}
+	return &handler{Options: o, intake: newIntake(o.IntakeBytes)}
 }
 
 type handler struct {
@@ -70,7 +75,7 @@
 	intake *intake
 }
 
-// exchange is one request with its answer.
+// exchange is one request and its answer.
 type exchange struct {
 	*handler
 	w          http.ResponseWriter
@@ -78,42 +83,45 @@
 	controller *http.ResponseController
 	body       []byte
 	ask        relay.Ask
-	way        Way
-	started    bool
-	lastID     string
-	output     []byte
+	request    Request
+	// started is set once the answer's head has been written.
+	started bool
+	// lastEventID is the id of the last event that was passed on.
+	lastEventID string
+	// output is the data of a kept turn's events.
+	output []byte
 }
 
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
-	case <-h.Closing:
+	case <-h.Draining:
 		w.Header().Set("Connection", "close")
 	default:
-		if ambiguous(r) {
+		if ambiguousLength(r) {
 			w.Header().Set("Connection", "close")
 		}
 	}
 	x := &exchange{handler: h, w: w, r: r, controller: http.NewResponseController(w)}
-	// What is left in the connection's buffer is written when the handler has ended.
-	defer x.mayWrite(answerTime)
-	came := clock.Now()
-	ask, fault := h.read(r)
+	// net/http flushes the connection's buffer after the handler has returned.
+	defer x.setWriteTimeout(answerTimeout)
+	arrived := clock.Now()
+	ask, fault := h.parseHead(r)
 	x.ask = ask
 	if fault != "" {
-		x.abandonBody()
+		x.discardBody()
 		x.reject(relay.CauseMalformed, relay.Step{Status: 400, Check: "request", Reason: fault})
 		return
 	}
-	held := body{intake: h.intake}
-	defer held.release()
-	if err := x.receive(&held); err != nil {
+	b := body{intake: h.intake}
+	defer b.release()
+	if err := x.receiveBody(&b); err != nil {
 		x.rejectBody(err)
 		return
 	}
-	x.body = held.raw
-	x.ask.Input, x.ask.BodyBytes, x.ask.Came = x.body, int64(len(x.body)), came
-	way, step, line, ok := h.Owner.Arrive(r.Context(), x.ask)
-	x.way = way
+	x.body = b.raw
+	x.ask.Input, x.ask.BodyBytes, x.ask.Came = x.body, int64(len(x.body)), arrived
+	request, step, line, ok := h.Dispatcher.Dispatch(r.Context(), x.ask)
+	x.request = request
 	for ok {
 		switch step.Kind {
 		case relay.StepSend:
@@ -136,63 +144,62 @@
 	panic(http.ErrAbortHandler)
 }
 
-// receive reads the body, within the time that the requester has for it.
-func (x *exchange) receive(held *body) error {
-	within := x.BodyTime
+// receiveBody reads the body within BodyTimeout and the request's deadline.
+func (x *exchange) receiveBody(b *body) error {
+	timeout := x.BodyTimeout
 	if x.ask.Left > 0 {
-		within = min(within, x.ask.Left)
+		timeout = min(timeout, x.ask.Left)
 	}
-	x.mayWrite(within)
-	x.mayRead(within)
-	if err := held.read(x.r, x.Most); err != nil {
+	x.setWriteTimeout(timeout)
+	x.setReadTimeout(timeout)
+	if err := b.read(x.r, x.MaxBody); err != nil {
 		return err
 	}
-	// From here on, reading only serves to notice that the requester goes away.
-	x.mayRead(0)
+	// From here on, net/http reads only to detect that the requester disconnects.
+	x.setReadTimeout(0)
 	return nil
 }
 
-// abandonBody ends the connection of a request whose body is not wanted, with its
-// answer. The server still reads what is under way, so that the answer is not lost, and
-// for a bounded time.
-func (x *exchange) abandonBody() {
+// discardBody makes the answer close the connection of a request whose body is not
+// wanted. The server still reads from it for a limited time: closing a connection with
+// unread data would reset it, and the requester could lose the answer.
+func (x *exchange) discardBody() {
 	if x.r.ContentLength == 0 {
 		return
 	}
 	x.w.Header().Set("Connection", "close")
-	x.mayRead(min(x.BodyTime, discardTime))
+	x.setReadTimeout(min(x.BodyTimeout, discardTimeout))
 }
 
-// rejectBody ends a request whose body did not come as it should. What may still come
-// on its connection belongs to nothing.
+// rejectBody answers a request whose body could not be read.
 func (x *exchange) rejectBody(err error) {
-	x.abandonBody()
+	x.discardBody()
 	switch {
 	case errors.Is(err, errBodyTooLarge):
 		x.reject(relay.CauseBodyTooLarge, relay.Step{Status: 413, Check: "limits", Reason: err.Error()})
 	case errors.Is(err, errIntakeFull):
-		x.reject(relay.CauseIntakeFull, relay.Step{Status: 503, Check: "intake", Reason: err.Error(), RetryAfter: intakeRetry})
-	case late(err):
+		x.reject(relay.CauseIntakeFull, relay.Step{Status: 503, Check: "intake", Reason: err.Error(), RetryAfter: intakeRetryAfter})
+	case timedOut(err):
 		x.reject(relay.CauseBodyLate, relay.Step{Status: 408, Check: "body", Reason: "the body did not come in time"})
 	default:
 		x.reject(relay.CauseBodyIncomplete, relay.Step{Status: 400, Check: "body", Reason: "the body did not come whole"})
 	}
 }
 
-// intakeRetry is after how long a request may come back that found no room.
-const intakeRetry = 500 * time.Millisecond
+// intakeRetryAfter is the Retry-After of requests that exceeded the intake.
+const intakeRetryAfter = 500 * time.Millisecond
 
-// reject ends a request that has not arrived whole.
+// reject answers a request that is malformed or incomplete, and reports it.
 func (x *exchange) reject(cause relay.Cause, s relay.Step) {
-	if x.Rejected != nil {
-		x.Rejected(relay.Ended{Cause: cause, Attempt: x.ask.Attempt, Program: x.ask.Program, Status: s.Status})
+	if x.OnRejected != nil {
+		x.OnRejected(relay.Ended{Cause: cause, Attempt: x.ask.Attempt, Program: x.ask.Program, Status: s.Status})
 	}
 	x.refuse(s)
 }
 
-// refuse writes an answer of the node's own.
+// refuse writes the node's own answer to a request that no replica answered.
 func (x *exchange) refuse(s relay.Step) {
-	x.mayWrite(answerTime)
+	x.setWriteTimeout(answerTimeout)
 	body, _ := json.Marshal(map[string]string{"error": s.Reason, "check": s.Check})
 	header := x.w.Header()
 	header.Set("Content-Type", "application/json")
@@ -207,14 +214,16 @@
 	x.w.Write(body)
 }
 
-// hop are headers that concern one connection only.
-var hop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
+// hopByHop are the headers that concern one connection only, and Content-Length, which
+// is set anew.
+var hopByHop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true}
 
-func passable(from http.Header, skip ...string) http.Header {
+// endToEnd copies headers without the hop-by-hop ones and those named by skip.
+func endToEnd(from http.Header, skip ...string) http.Header {
 	to := make(http.Header, len(from))
 	for name, values := range from {
-		if !hop[name] {
+		if !hopByHop[name] {
 			to[name] = values
 		}
 	}
@@ -229,16 +238,16 @@
 	return to
 }
 
-// send makes one sending and tells what became of it.
+// send makes one attempt at a replica, reports its outcome and returns the next step.
 func (x *exchange) send(s relay.Step, line *replica.Line) (relay.Step, *replica.Line, bool) {
 	if s.Within <= 0 {
-		// Its time ended while it was on its way here.
-		return x.way.Came(relay.Outcome{Kind: relay.NotRun, Unreached: true})
+		// The time limit passed before the attempt was started.
+		return x.request.Next(relay.Outcome{Kind: relay.NotRun, Unreached: true})
 	}
-	x.mayWrite(s.Within)
+	x.setWriteTimeout(s.Within)
 	n := x.Names
 	q := replica.Request{Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Attempt: x.ask.Attempt, Within: s.Within, HasBody: x.r.ContentLength != 0 || x.r.Method == http.MethodPost,
-		Header: passable(x.r.Header, n.Attempt, n.Key, n.Tenant, n.Target, n.Deadline, n.Urgency, "Expect"), Body: append(append([][]byte(nil), s.Before...), x.body)}
+		Header: endToEnd(x.r.Header, n.Attempt, n.Key, n.Tenant, n.Target, n.Deadline, n.Urgency, "Expect"), Body: append(append([][]byte(nil), s.Before...), x.body)}
 	q.Own = append(q.Own, [2]string{n.Attempt, x.ask.Attempt}, [2]string{n.Target, s.Replica.ID}, [2]string{n.Deadline, strconv.FormatInt(max(1, s.Within.Milliseconds()), 10)})
 	if s.Tenant != "" {
 		q.Own = append(q.Own, [2]string{n.Tenant, s.Tenant})
@@ -246,41 +255,43 @@
 	if n.Urgency != "" && s.Stream {
 		q.Own = append(q.Own, [2]string{n.Urgency, strconv.FormatInt(s.Urgency, 10)})
 	}
-	if x.lastID != "" {
+	if x.lastEventID != "" {
 		delete(q.Header, http.CanonicalHeaderKey(n.LastEvent))
-		q.Own = append(q.Own, [2]string{n.LastEvent, x.lastID})
+		q.Own = append(q.Own, [2]string{n.LastEvent, x.lastEventID})
 	}
 	r, unreached, err := line.Do(x.r.Context(), n, q)
 	gone := x.r.Context().Err() != nil
 	switch {
 	case unreached:
-		return x.way.Came(relay.Outcome{Kind: relay.NotRun, Unreached: true, Gone: gone, Cold: true})
+		return x.request.Next(relay.Outcome{Kind: relay.NotRun, Unreached: true, Gone: gone, Cold: true})
 	case err != nil:
-		return x.way.Came(relay.Outcome{Kind: relay.Broken, Gone: gone})
+		return x.request.Next(relay.Outcome{Kind: relay.Broken, Gone: gone})
 	}
-	o := relay.Outcome{Load: load(r.Header.Get(n.Load)), Cold: r.Cold}
+	o := relay.Outcome{Load: parseLoad(r.Header.Get(n.Load)), Cold: r.Cold}
 	ok := r.StatusCode >= 200 && r.StatusCode < 300
 	switch {
 	case r.NotRun:
-		size, err := io.Copy(io.Discard, io.LimitReader(r.Body, mostPromise))
-		r.Done(err == nil && size < mostPromise)
+		size, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxNotRunBody))
+		r.Done(err == nil && size < maxNotRunBody)
 		o.Kind, o.Moved = relay.NotRun, r.Moved
 	case ok && (r.Header.Get(n.Seal) == "" || !r.Delimited()):
 		r.Done(false)
 		o.Kind = relay.Broken
 	case ok && s.Stream:
-		o = x.relay(r, s, o)
+		o = x.relayStream(r, s, o)
 	default:
-		return x.pass(r, o)
+		return x.relayWhole(r, o)
 	}
 	o.Gone = o.Gone || x.r.Context().Err() != nil
-	return x.way.Came(o)
+	return x.request.Next(o)
 }
 
-// mostPromise is how much is read of an answer that promises that nothing ran.
-const mostPromise = 64 << 10
+// maxNotRunBody is how much is read of an answer that says that the request did not run,
+// in bytes. A connection with a longer one is not reused.
+const maxNotRunBody = 64 << 10
 
-func load(text string) *relay.Load {
+// parseLoad reads a replica's load header, "running,waiting,slots". It is nil if malformed.
+func parseLoad(text string) *relay.Load {
 	fields := strings.Split(text, ",")
 	if len(fields) != 3 {
 		return nil
@@ -296,39 +307,40 @@
 	return &relay.Load{Running: counts[0], Waiting: counts[1], Slots: counts[2]}
 }
 
-func (x *exchange) head(r *replica.Response) {
+// copyHead copies the headers of a replica's answer.
+func (x *exchange) copyHead(r *replica.Response) {
 	if id := r.Header.Get(x.Names.Attempt); id != "" && id != x.ask.Attempt {
-		x.Violated.Violated(invariant.AnswerMatches, "the answer to %s is passed on to %s", id, x.ask.Attempt)
+		x.Violated.Violated(invariant.AnswerMatches, "the answer to attempt %s is passed on as that to attempt %s", id, x.ask.Attempt)
 	}
 	header := x.w.Header()
-	for name, values := range passable(r.Header) {
+	for name, values := range endToEnd(r.Header) {
 		header[name] = values
 	}
 	if _, ok := header["Content-Type"]; !ok {
+		// A nil value stops net/http from guessing the type.
 		header["Content-Type"] = nil
 	}
 }
 
-var errTooLarge = errors.New("more than any answer may hold")
+var errAnswerTooLarge = errors.New("the replica's answer is larger than the largest allowed body")
 
-// pass carries an answer that is not streamed. It is passed on only when it came
-// whole.
-func (x *exchange) pass(r *replica.Response, o relay.Outcome) (relay.Step, *replica.Line, bool) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, x.Most+1))
-	if int64(len(body)) > x.Most {
-		err = errTooLarge
+// relayWhole passes on an answer that is not streamed, if it arrived complete.
+func (x *exchange) relayWhole(r *replica.Response, o relay.Outcome) (relay.Step, *replica.Line, bool) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, x.MaxBody+1))
+	if int64(len(body)) > x.MaxBody {
+		err = errAnswerTooLarge
 	}
 	r.Done(err == nil)
 	o.Gone = x.r.Context().Err() != nil
 	if err != nil || x.started || !r.Delimited() {
 		o.Kind = relay.Broken
-		return x.way.Came(o)
+		return x.request.Next(o)
 	}
 	o.Kind, o.Failed, o.Status = relay.Whole, r.StatusCode >= 300, r.StatusCode
-	step, line, ok := x.way.Came(o)
+	step, line, ok := x.request.Next(o)
 	if ok && step.Kind == relay.StepPass {
-		x.mayWrite(answerTime)
-		x.head(r)
+		x.setWriteTimeout(answerTimeout)
+		x.copyHead(r)
 		size := int64(len(body))
 		if x.r.Method == http.MethodHead {
 			size = r.ContentLength
@@ -341,29 +353,29 @@
 	return step, line, ok
 }
 
-// relay carries a stream, event by event. What of an event did not come whole is
+// relayStream passes on a stream event by event. An event that did not arrive complete is
 // not passed on.
-func (x *exchange) relay(r *replica.Response, s relay.Step, o relay.Outcome) relay.Outcome {
+func (x *exchange) relayStream(r *replica.Response, s relay.Step, o relay.Outcome) relay.Outcome {
 	reader := bufio.NewReaderSize(r.Body, 4096)
 	var e event
-	at := 0
-	var first time.Duration
+	lineStart := 0
+	var firstAt time.Duration
 	end := func(kind string, whole bool) relay.Outcome {
 		r.Done(whole)
 		if o.Events > 0 {
-			o.Streamed = clock.Now() - first
+			o.Streamed = clock.Now() - firstAt
 		}
 		o.Kind = kind
 		return o
 	}
 	dispatch := func() bool {
-		if !x.write(r, e.raw) {
+		if !x.writeEvent(r, e.raw) {
 			o.Gone = true
 			return false
 		}
-		if e.has {
+		if e.hasData {
 			if o.Events == 0 {
-				first = clock.Now()
+				firstAt = clock.Now()
 			}
 			o.Events++
 			o.Begun = true
@@ -372,29 +384,29 @@
 			}
 		}
 		if e.id != "" {
-			x.lastID = e.id
+			x.lastEventID = e.id
 		}
-		e, at = event{raw: e.raw[:0], data: e.data[:0]}, 0
+		e, lineStart = event{raw: e.raw[:0], data: e.data[:0]}, 0
 		return true
 	}
 	for {
 		line, err := reader.ReadSlice('\n')
 		e.raw = append(e.raw, line...)
 		switch {
-		case err != nil && err != io.EOF && err != bufio.ErrBufferFull, int64(len(e.raw)) > x.Most:
+		case err != nil && err != io.EOF && err != bufio.ErrBufferFull, int64(len(e.raw)) > x.MaxBody:
 			return end(relay.Broken, false)
 		case err == bufio.ErrBufferFull:
 			continue
 		}
-		if blank := e.take(e.raw[at:]); blank && err == nil {
+		if blank := e.parseLine(e.raw[lineStart:]); blank && err == nil {
 			if !dispatch() {
 				return end(relay.Broken, false)
 			}
 			continue
 		}
-		at = len(e.raw)
+		lineStart = len(e.raw)
 		if err == io.EOF {
-			// A whole stream ends its last event, with or without a blank line.
+			// The end of a complete stream ends its last event even without a blank line.
 			if (len(e.raw) > 0 || !x.started) && !dispatch() {
 				return end(relay.Broken, false)
 			}
@@ -404,15 +416,15 @@
 	}
 }
 
-// event is one event of a stream, as far as it has been read.
+// event is one server-sent event, as far as it has been read.
 type event struct {
 	raw, data []byte
 	id        string
-	has       bool
+	hasData   bool
 }
 
-// take reads one line of an event, and reports whether it is blank.
-func (e *event) take(line []byte) bool {
+// parseLine adds one line to an event and reports whether it is blank.
+func (e *event) parseLine(line []byte) bool {
 	line = bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
@@ -420,17 +432,19 @@
 	case "id":
 		e.id = string(value)
 	case "data":
-		if e.has {
+		if e.hasData {
 			e.data = append(e.data, '\n')
 		}
-		e.data, e.has = append(e.data, value...), true
+		e.data, e.hasData = append(e.data, value...), true
 	}
 	return len(line) == 0
 }
 
-func (x *exchange) write(r *replica.Response, event []byte) bool {
+// writeEvent writes and flushes one event, after the head if it is the first. It reports
+// whether the requester took it.
+func (x *exchange) writeEvent(r *replica.Response, event []byte) bool {
 	if !x.started {
-		x.head(r)
+		x.copyHead(r)
 		x.w.WriteHeader(r.StatusCode)
 		x.started = true
 	}
--- a/peer/front/handler_test.go
+++ b/peer/front/handler_test.go
@@ -21,11 +21,11 @@
 	"saffronfall/peer/replica"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 // scripted is a node's machine that takes its steps from a script; sendings go
 // to the lines in turn.
-type scripted struct {
+type scriptedDispatcher struct {
 	t        *testing.T
 	steps    []relay.Step
 	lines    []*replica.Line
@@ -33,52 +33,52 @@
 	outcomes chan relay.Outcome
 }
 
-func (s *scripted) Arrive(ctx context.Context, a relay.Ask) (Way, relay.Step, *replica.Line, bool) {
+func (s *scriptedDispatcher) Dispatch(ctx context.Context, a relay.Ask) (Request, relay.Step, *replica.Line, bool) {
 	s.asked <- a
-	w := &scriptedWay{owner: s}
+	w := &scriptedRequest{dispatcher: s}
 	step, line, ok := w.next()
 	return w, step, line, ok
 }
 
-type scriptedWay struct {
-	owner *scripted
-	at    int
-	sent  int
+type scriptedRequest struct {
+	dispatcher *scriptedDispatcher
+	at         int
+	sent       int
 }
 
-func (w *scriptedWay) next() (relay.Step, *replica.Line, bool) {
-	if w.at == len(w.owner.steps) {
+func (w *scriptedRequest) next() (relay.Step, *replica.Line, bool) {
+	if w.at == len(w.dispatcher.steps) {
 		return relay.Step{}, nil, false
 	}
-	step := w.owner.steps[w.at]
+	step := w.dispatcher.steps[w.at]
 	w.at++
 	if step.Kind != relay.StepSend {
 		return step, nil, true
 	}
 	w.sent++
-	return step, w.owner.lines[w.sent-1], true
+	return step, w.dispatcher.lines[w.sent-1], true
 }
 
-func (w *scriptedWay) Came(o relay.Outcome) (relay.Step, *replica.Line, bool) {
-	w.owner.outcomes <- o
+func (w *scriptedRequest) Next(o relay.Outcome) (relay.Step, *replica.Line, bool) {
+	w.dispatcher.outcomes <- o
 	return w.next()
 }
 
-var send = relay.Step{Kind: relay.StepSend, Replica: desk.Replica{ID: "i-1"}, Tenant: "tenant", Within: patience}
+var sendStep = relay.Step{Kind: relay.StepSend, Replica: desk.Replica{ID: "i-1"}, Tenant: "tenant", Within: testTimeout}
 
-func stream(kept bool) relay.Step {
-	s := send
+func streamStep(kept bool) relay.Step {
+	s := sendStep
 	s.Stream, s.Kept, s.Urgency = true, kept, 3
 	return s
 }
 
 var (
-	pass  = relay.Step{Kind: relay.StepPass}
-	broke = relay.Step{Kind: relay.StepBreak, Status: 502, Check: "replica", Reason: "it may have run"}
+	passStep  = relay.Step{Kind: relay.StepPass}
+	breakStep = relay.Step{Kind: relay.StepBreak, Status: 502, Check: "replica", Reason: "it may have run"}
 )
 
 // heard is what a replica got.
-type heard struct {
+type capturedRequest struct {
 	head    string
 	request *http.Request
 	body    []byte
@@ -87,17 +87,17 @@
 // rawReplica answers each request by a function that writes to the connection,
 // which is closed after it.
 type rawReplica struct {
-	address string
-	heard   chan heard
+	address  string
+	received chan capturedRequest
 }
 
-func newReplica(t *testing.T, answer func(c net.Conn, h heard)) *rawReplica {
+func newReplica(t *testing.T, answer func(c net.Conn, h capturedRequest)) *rawReplica {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	r := &rawReplica{address: listener.Addr().String(), heard: make(chan heard, 16)}
+	r := &rawReplica{address: listener.Addr().String(), received: make(chan capturedRequest, 16)}
 	go func() {
 		for {
 			c, err := listener.Accept()
@@ -106,7 +106,7 @@
 			}
 			go func() {
 				defer c.Close()
-				c.SetDeadline(clock.Deadline(patience))
+				c.SetDeadline(clock.Deadline(testTimeout))
 				var read bytes.Buffer
 				request, err := http.ReadRequest(bufio.NewReader(io.TeeReader(c, &read)))
 				if err != nil {
@@ -117,8 +117,8 @@
 					return
 				}
 				head, _, _ := strings.Cut(read.String(), "\r\n\r\n")
-				h := heard{head: head, request: request, body: body}
-				r.heard <- h
+				h := capturedRequest{head: head, request: request, body: body}
+				r.received <- h
 				answer(c, h)
 			}()
 		}
@@ -126,26 +126,26 @@
 	return r
 }
 
-func answering(t *testing.T, raw string) *rawReplica {
-	return newReplica(t, func(c net.Conn, h heard) { io.WriteString(c, raw) })
+func newStaticReplica(t *testing.T, raw string) *rawReplica {
+	return newReplica(t, func(c net.Conn, h capturedRequest) { io.WriteString(c, raw) })
 }
 
 // node is a handler under test on a real server.
 type node struct {
-	*scripted
+	*scriptedDispatcher
 	server *httptest.Server
 }
 
 func newNode(t *testing.T, steps []relay.Step, replicas ...*rawReplica) *node {
-	s := &scripted{t: t, steps: steps, asked: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16)}
+	s := &scriptedDispatcher{t: t, steps: steps, asked: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16)}
 	for _, r := range replicas {
 		line := replica.NewLine(r.address, 4, time.Second)
 		t.Cleanup(line.Close)
 		s.lines = append(s.lines, line)
 	}
-	server := httptest.NewServer(Handler(Options{Owner: s, Names: replica.OwnNames, Most: 1 << 20, Closing: make(chan struct{})}))
+	server := httptest.NewServer(Handler(Options{Dispatcher: s, Names: replica.OwnNames, MaxBody: 1 << 20, Draining: make(chan struct{})}))
 	t.Cleanup(server.Close)
-	return &node{scripted: s, server: server}
+	return &node{scriptedDispatcher: s, server: server}
 }
 
 // client is one raw connection to a node.
@@ -161,11 +161,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(clock.Deadline(patience))
+	c.SetDeadline(clock.Deadline(testTimeout))
 	return &client{t: t, Conn: c, reader: bufio.NewReader(c)}
 }
 
-func (c *client) say(raw string) {
+func (c *client) write(raw string) {
 	if _, err := io.WriteString(c, raw); err != nil {
 		c.t.Fatal(err)
 	}
@@ -182,7 +182,7 @@
 
 const request = "POST /a/b HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nContent-Length: 2\r\n\r\nhi"
 
-const sealed = "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal: s\r\n"
+const okHead = "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal: s\r\n"
 
 // TestAnswersUnchanged: status, body and headers of a replica's answer reach the
 // requester as they were, but for what concerns one connection.
@@ -194,13 +194,13 @@
 		status               int
 		body                 string
 	}{
-		{"length", "POST", sealed + length, 200, body},
-		{"chunks", "POST", sealed + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n", 200, "abcde"},
-		{"empty", "POST", sealed + "Content-Length: 0\r\n\r\n", 200, ""},
-		{"created", "POST", strings.Replace(sealed, "200 OK", "201 Created", 1) + length, 201, body},
-		{"no content", "POST", strings.Replace(sealed, "200 OK", "204 No Content", 1) + "\r\n", 204, ""},
-		{"not modified", "GET", strings.Replace(sealed, "200 OK", "304 Not Modified", 1) + "\r\n", 304, ""},
-		{"head", "HEAD", sealed + "Content-Length: 77\r\n\r\n", 200, ""},
+		{"length", "POST", okHead + length, 200, body},
+		{"chunks", "POST", okHead + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n", 200, "abcde"},
+		{"empty", "POST", okHead + "Content-Length: 0\r\n\r\n", 200, ""},
+		{"created", "POST", strings.Replace(okHead, "200 OK", "201 Created", 1) + length, 201, body},
+		{"no content", "POST", strings.Replace(okHead, "200 OK", "204 No Content", 1) + "\r\n", 204, ""},
+		{"not modified", "GET", strings.Replace(okHead, "200 OK", "304 Not Modified", 1) + "\r\n", 304, ""},
+		{"head", "HEAD", okHead + "Content-Length: 77\r\n\r\n", 200, ""},
 		{"failure", "POST", "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal: s\r\n" + length, 500, body},
 		{"failure without seal", "POST", "HTTP/1.1 404 X\r\nSaffronfall-Attempt: a1\r\n" + length, 404, body},
 		{"a time to come back", "POST", "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nRetry-After: 0.25\r\n" + length, 503, body},
@@ -208,10 +208,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			answer := strings.Replace(c.answer, "\r\n", "\r\nConnection: X-Hop, keep-alive\r\nX-Hop: 1\r\nKeep-Alive: timeout=9\r\nProxy-Authenticate: x\r\nX-Odd_name: a\r\nX-Many: 1\r\nX-Many: 2\r\n", 1)
-			r := answering(t, answer)
-			n := newNode(t, []relay.Step{send, pass}, r)
+			r := newStaticReplica(t, answer)
+			n := newNode(t, []relay.Step{sendStep, passStep}, r)
 			q := n.dial(t)
-			q.say(strings.Replace(request, "POST", c.method, 1))
+			q.write(strings.Replace(request, "POST", c.method, 1))
 			got := q.read(c.method)
 			text, err := io.ReadAll(got.Body)
 			if err != nil || got.StatusCode != c.status || string(text) != c.body {
@@ -262,10 +262,10 @@
 		{"waits for a word", "POST", "/a", "Expect: 100-continue\r\nContent-Length: 2\r\n", "hi", "hi"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := answering(t, sealed+"Content-Length: 2\r\n\r\nok")
-			n := newNode(t, []relay.Step{send, pass}, r)
+			r := newStaticReplica(t, okHead+"Content-Length: 2\r\n\r\nok")
+			n := newNode(t, []relay.Step{sendStep, passStep}, r)
 			q := n.dial(t)
-			q.say(c.method + " " + c.uri + " HTTP/1.1\r\nHost: some.example:80\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Key: secret\r\nsaffronfall-key: secret\r\nSaffronfall-Tenant: other\r\nSAFFRONFALL-TENANT: other\r\n" +
+			q.write(c.method + " " + c.uri + " HTTP/1.1\r\nHost: some.example:80\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Key: secret\r\nsaffronfall-key: secret\r\nSaffronfall-Tenant: other\r\nSAFFRONFALL-TENANT: other\r\n" +
 				"Saffronfall-Replica: i-9\r\nSaffronfall-Deadline-Ms: 5000\r\nSaffronfall-Urgency: 0\r\nSaffronfall-Program: p\r\nSaffronfall-Session: s\r\nLast-Event-Id: 12\r\nX-Own: 1\r\nX-Own: 2\r\nTe: x\r\nKeep-Alive: 3\r\n" + c.headers + "\r\n" + c.body)
 			got := q.read(c.method)
 			if got.StatusCode == 100 {
@@ -275,7 +275,7 @@
 				text, _ := io.ReadAll(got.Body)
 				t.Fatalf("%d %s", got.StatusCode, text)
 			}
-			h := <-r.heard
+			h := <-r.received
 			if line, _, _ := strings.Cut(h.head, "\r\n"); line != c.method+" "+c.uri+" HTTP/1.1" {
 				t.Errorf("%q", line)
 			}
@@ -304,28 +304,28 @@
 
 // TestTenantOnlyFromNode: where the node names no tenant, none is passed on.
 func TestTenantOnlyFromNode(t *testing.T) {
-	open := send
+	open := sendStep
 	open.Tenant = ""
-	r := answering(t, sealed+"Content-Length: 2\r\n\r\nok")
-	n := newNode(t, []relay.Step{open, pass}, r)
+	r := newStaticReplica(t, okHead+"Content-Length: 2\r\n\r\nok")
+	n := newNode(t, []relay.Step{open, passStep}, r)
 	q := n.dial(t)
-	q.say(strings.Replace(request, "Content-L", "Saffronfall-Tenant: other\r\nContent-L", 1))
+	q.write(strings.Replace(request, "Content-L", "Saffronfall-Tenant: other\r\nContent-L", 1))
 	q.read("POST")
-	if h := <-r.heard; strings.Contains(strings.ToLower(h.head), "tenant") {
+	if h := <-r.received; strings.Contains(strings.ToLower(h.head), "tenant") {
 		t.Error(h.head)
 	}
 }
 
 // TestHistoryGoesBefore: what kept turns said stands before the new input.
-func TestHistoryGoesBefore(t *testing.T) {
-	s := stream(true)
+func TestHistoryPrecedesInput(t *testing.T) {
+	s := streamStep(true)
 	s.Before = [][]byte{[]byte("in1"), []byte("out1\n"), []byte("in2"), []byte("out2\nout3\n")}
-	r := answering(t, sealed+"Content-Length: 0\r\n\r\n")
-	n := newNode(t, []relay.Step{s, pass}, r)
+	r := newStaticReplica(t, okHead+"Content-Length: 0\r\n\r\n")
+	n := newNode(t, []relay.Step{s, passStep}, r)
 	q := n.dial(t)
-	q.say(request)
+	q.write(request)
 	q.read("POST")
-	if h := <-r.heard; string(h.body) != "in1out1\nin2out2\nout3\nhi" || h.request.Header.Get("Saffronfall-Urgency") != "3" {
+	if h := <-r.received; string(h.body) != "in1out1\nin2out2\nout3\nhi" || h.request.Header.Get("Saffronfall-Urgency") != "3" {
 		t.Errorf("%q %s", h.body, h.head)
 	}
 	if a := <-n.asked; string(a.Input) != "hi" {
@@ -335,26 +335,26 @@
 
 // TestNeverPassed: answers that may not be the replica's own whole ones never
 // reach a requester as answers.
-func TestNeverPassed(t *testing.T) {
+func TestInvalidAnswersAreNotPassedOn(t *testing.T) {
 	for _, c := range []struct{ name, answer, kind string }{
 		{"a success without seal", "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nContent-Length: 2\r\n\r\nok", relay.Broken},
 		{"a success with an empty seal", "HTTP/1.1 204 OK\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal:\r\n\r\n", relay.Broken},
-		{"a success without end", sealed + "\r\nok", relay.Broken},
-		{"a success cut short", sealed + "Content-Length: 3\r\n\r\nok", relay.Broken},
-		{"chunks cut short", sealed + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", relay.Broken},
+		{"a success without end", okHead + "\r\nok", relay.Broken},
+		{"a success cut short", okHead + "Content-Length: 3\r\n\r\nok", relay.Broken},
+		{"chunks cut short", okHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", relay.Broken},
 		{"a failure cut short", "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nContent-Length: 3\r\n\r\nok", relay.Broken},
 		{"a failure without end", "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\n\r\nok", relay.Broken},
-		{"another's answer", strings.Replace(sealed, "a1", "a2", 1) + "Content-Length: 2\r\n\r\nok", relay.Broken},
+		{"another's answer", strings.Replace(okHead, "a1", "a2", 1) + "Content-Length: 2\r\n\r\nok", relay.Broken},
 		{"no answer", "hello", relay.Broken},
-		{"an answer larger than any", sealed + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 1<<20+1, strings.Repeat("x", 1<<20+1)), relay.Broken},
+		{"an answer larger than any", okHead + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 1<<20+1, strings.Repeat("x", 1<<20+1)), relay.Broken},
 		{"a promise", "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Not-Run: 1\r\nContent-Length: 2\r\n\r\nno", relay.NotRun},
 		{"another replica's place", "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n", relay.NotRun},
 	} {
-		for _, s := range []relay.Step{send, stream(false), stream(true)} {
+		for _, s := range []relay.Step{sendStep, streamStep(false), streamStep(true)} {
 			t.Run(fmt.Sprint(c.name, s.Stream, s.Kept), func(t *testing.T) {
-				n := newNode(t, []relay.Step{s, broke}, answering(t, c.answer))
+				n := newNode(t, []relay.Step{s, breakStep}, newStaticReplica(t, c.answer))
 				q := n.dial(t)
-				q.say(request)
+				q.write(request)
 				got, err := http.ReadResponse(q.reader, nil)
 				if err == nil && got.StatusCode != 502 {
 					_, err = io.ReadAll(got.Body)
@@ -375,7 +375,7 @@
 
 // TestLongPromise: a connection with more of a promise to come is not used
 // again, and the next request gets its own answer.
-func TestLongPromise(t *testing.T) {
+func TestLongNotRunAnswer(t *testing.T) {
 	more, kept := make(chan struct{}), make(chan int, 4)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -390,7 +390,7 @@
 			}
 			go func() {
 				defer c.Close()
-				c.SetDeadline(clock.Deadline(patience))
+				c.SetDeadline(clock.Deadline(testTimeout))
 				reader := bufio.NewReader(c)
 				for {
 					got, err := http.ReadRequest(reader)
@@ -400,20 +400,20 @@
 					io.Copy(io.Discard, got.Body)
 					kept <- made
 					if made == 1 {
-						io.WriteString(c, "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Not-Run: 1\r\nContent-Length: 100000\r\n\r\n"+strings.Repeat("x", mostPromise))
+						io.WriteString(c, "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Not-Run: 1\r\nContent-Length: 100000\r\n\r\n"+strings.Repeat("x", maxNotRunBody))
 						<-more
 						continue
 					}
-					io.WriteString(c, sealed+"Content-Length: 2\r\n\r\nok")
+					io.WriteString(c, okHead+"Content-Length: 2\r\n\r\nok")
 				}
 			}()
 		}
 	}()
 	r := &rawReplica{address: listener.Addr().String()}
-	n := newNode(t, []relay.Step{send, send, pass}, r)
+	n := newNode(t, []relay.Step{sendStep, sendStep, passStep}, r)
 	n.lines = append(n.lines, n.lines[0])
 	q := n.dial(t)
-	q.say(request)
+	q.write(request)
 	got := q.read("POST")
 	close(more)
 	if first, second := <-kept, <-kept; got.StatusCode != 200 || first != 1 || second != 2 {
@@ -422,7 +422,7 @@
 }
 
 // events reads a stream's events one by one, as they are flushed.
-func events(q *client, r *http.Response, count int) string {
+func readEvents(q *client, r *http.Response, count int) string {
 	q.t.Helper()
 	var text strings.Builder
 	reader := bufio.NewReader(r.Body)
@@ -444,13 +444,13 @@
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-const streamHead = sealed + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+const streamHead = okHead + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // TestEventByEvent: the requester has each event before the replica sends the
 // next, and a turn that is kept ends for the requester when the machine says so.
 func TestEventByEvent(t *testing.T) {
 	had := make(chan struct{})
-	r := newReplica(t, func(c net.Conn, h heard) {
+	r := newReplica(t, func(c net.Conn, h capturedRequest) {
 		io.WriteString(c, streamHead)
 		for i := 1; i <= 5; i++ {
 			io.WriteString(c, chunk(fmt.Sprintf("id: %d\ndata: e%d\n\n", i, i)))
@@ -458,15 +458,15 @@
 		}
 		io.WriteString(c, chunk(": the last\n")+"0\r\n\r\n")
 	})
-	n := newNode(t, []relay.Step{stream(true), pass}, r)
+	n := newNode(t, []relay.Step{streamStep(true), passStep}, r)
 	q := n.dial(t)
-	q.say(request)
+	q.write(request)
 	got := q.read("POST")
 	if got.StatusCode != 200 || got.Header.Get("Saffronfall-Seal") != "s" || got.Header.Get("Content-Type") != "text/event-stream" {
 		t.Errorf("%+v", got)
 	}
 	for i := 1; i <= 5; i++ {
-		if text := events(q, got, 1); text != fmt.Sprintf("id: %d\ndata: e%d\n\n", i, i) {
+		if text := readEvents(q, got, 1); text != fmt.Sprintf("id: %d\ndata: e%d\n\n", i, i) {
 			t.Errorf("%q", text)
 		}
 		had <- struct{}{}
@@ -484,7 +484,7 @@
 func TestKeptOutput(t *testing.T) {
 	for _, c := range []struct {
 		name, text, output string
-		events             int64
+		readEvents         int64
 	}{
 		{"plain", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "a\nb\n", 2},
 		{"several lines of data", "data: a\ndata: b\ndata:\ndata:  c\n\n", "a\nb\n\n c\n", 1},
@@ -510,22 +510,22 @@
 				if size == 1 && len(c.text) > 1000 {
 					t.Skip("the same as in larger pieces")
 				}
-				r := newReplica(t, func(c2 net.Conn, h heard) {
+				r := newReplica(t, func(c2 net.Conn, h capturedRequest) {
 					io.WriteString(c2, streamHead)
 					for at := 0; at < len(c.text); at += size {
 						io.WriteString(c2, chunk(c.text[at:min(at+size, len(c.text))]))
 					}
 					io.WriteString(c2, "0\r\n\r\n")
 				})
-				n := newNode(t, []relay.Step{stream(true), pass}, r)
+				n := newNode(t, []relay.Step{streamStep(true), passStep}, r)
 				q := n.dial(t)
-				q.say(request)
+				q.write(request)
 				got := q.read("POST")
 				text, err := io.ReadAll(got.Body)
 				if err != nil || string(text) != c.text {
 					t.Errorf("%q %v", text, err)
 				}
-				if o := <-n.outcomes; o.Kind != relay.Whole || o.Events != c.events || string(o.Output) != c.output {
+				if o := <-n.outcomes; o.Kind != relay.Whole || o.Events != c.readEvents || string(o.Output) != c.output {
 					t.Errorf("%+v %q", o, o.Output)
 				}
 			})
@@ -539,20 +539,20 @@
 	for _, c := range []struct{ name, answer, want string }{
 		{"between events", streamHead + chunk("id: 1\ndata: a\n\n"), "id: 1\ndata: a\n\n"},
 		{"within an event", streamHead + chunk("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n"},
-		{"of a length", sealed + "Content-Length: 40\r\n\r\nid: 1\ndata: a\n\nid: 2\n", "id: 1\ndata: a\n\n"},
+		{"of a length", okHead + "Content-Length: 40\r\n\r\nid: 1\ndata: a\n\nid: 2\n", "id: 1\ndata: a\n\n"},
 		{"bytes that are no chunk", streamHead + chunk("id: 1\ndata: a\n\n") + "zzz", "id: 1\ndata: a\n\n"},
 		{"an event larger than any", streamHead + chunk("id: 1\ndata: a\n\n") + chunk("data: "+strings.Repeat("x", 2<<20)+"\n\n") + "0\r\n\r\n", "id: 1\ndata: a\n\n"},
 	} {
-		for _, last := range []relay.Step{broke, {Kind: relay.StepRefuse, Status: 503}, {}} {
+		for _, last := range []relay.Step{breakStep, {Kind: relay.StepRefuse, Status: 503}, {}} {
 			t.Run(c.name+last.Kind, func(t *testing.T) {
-				steps := []relay.Step{stream(true), last}
+				steps := []relay.Step{streamStep(true), last}
 				if last.Kind == "" {
 					// The node ends.
 					steps = steps[:1]
 				}
-				n := newNode(t, steps, answering(t, c.answer))
+				n := newNode(t, steps, newStaticReplica(t, c.answer))
 				q := n.dial(t)
-				q.say(request)
+				q.write(request)
 				got := q.read("POST")
 				text, err := io.ReadAll(got.Body)
 				if err == nil || string(text) != c.want {
@@ -567,10 +567,10 @@
 }
 
 // TestNotKept: a whole turn that could not be kept does not look complete.
-func TestNotKept(t *testing.T) {
-	n := newNode(t, []relay.Step{stream(true), broke}, answering(t, streamHead+chunk("data: a\n\n")+"0\r\n\r\n"))
+func TestFailedKeepAbortsStream(t *testing.T) {
+	n := newNode(t, []relay.Step{streamStep(true), breakStep}, newStaticReplica(t, streamHead+chunk("data: a\n\n")+"0\r\n\r\n"))
 	q := n.dial(t)
-	q.say(request)
+	q.write(request)
 	if text, err := io.ReadAll(q.read("POST").Body); err == nil || string(text) != "data: a\n\n" {
 		t.Errorf("%q %v", text, err)
 	}
@@ -580,12 +580,12 @@
 // repeat, under its first head, also where the first was cut within an event.
 func TestResumedStream(t *testing.T) {
 	for _, own := range []string{"", "Last-Event-Id: 2\r\n"} {
-		first := answering(t, streamHead+chunk("id: 3\ndata: a\n\n")+chunk("id: 4\r\ndata: b\r\n\r\nid: 5\ndata: h"))
-		second := answering(t, strings.NewReplacer("Seal: s", "Seal: t", "200 OK", "206 Partial").Replace(streamHead)+chunk("id: 5\ndata: c\n\n")+chunk("id: 6\nda"))
-		third := answering(t, strings.Replace(streamHead, "Seal: s", "Seal: u", 1)+chunk("id: 6\ndata: d\n\n")+"0\r\n\r\n")
-		n := newNode(t, []relay.Step{stream(true), stream(true), stream(true), pass}, first, second, third)
+		first := newStaticReplica(t, streamHead+chunk("id: 3\ndata: a\n\n")+chunk("id: 4\r\ndata: b\r\n\r\nid: 5\ndata: h"))
+		second := newStaticReplica(t, strings.NewReplacer("Seal: s", "Seal: t", "200 OK", "206 Partial").Replace(streamHead)+chunk("id: 5\ndata: c\n\n")+chunk("id: 6\nda"))
+		third := newStaticReplica(t, strings.Replace(streamHead, "Seal: s", "Seal: u", 1)+chunk("id: 6\ndata: d\n\n")+"0\r\n\r\n")
+		n := newNode(t, []relay.Step{streamStep(true), streamStep(true), streamStep(true), passStep}, first, second, third)
 		q := n.dial(t)
-		q.say(strings.Replace(request, "Content-L", own+"Content-L", 1))
+		q.write(strings.Replace(request, "Content-L", own+"Content-L", 1))
 		got := q.read("POST")
 		text, err := io.ReadAll(got.Body)
 		if err != nil || string(text) != "id: 3\ndata: a\n\nid: 4\r\ndata: b\r\n\r\nid: 5\ndata: c\n\nid: 6\ndata: d\n\n" {
@@ -596,7 +596,7 @@
 		}
 		for i, r := range []*rawReplica{first, second, third} {
 			want := []string{strings.TrimSpace(strings.TrimPrefix(own, "Last-Event-Id: ")), "4", "5"}[i]
-			if h := <-r.heard; strings.Join(h.request.Header.Values("Last-Event-Id"), ",") != want || string(h.body) != "hi" {
+			if h := <-r.received; strings.Join(h.request.Header.Values("Last-Event-Id"), ",") != want || string(h.body) != "hi" {
 				t.Errorf("replica %d: %s %q", i, h.head, h.body)
 			}
 		}
@@ -608,12 +608,12 @@
 
 // TestTakenUpBeforeItsFirstEvent: a stream that was cut before anything of it
 // was passed on has the head of the replica whose events it has.
-func TestTakenUpBeforeItsFirstEvent(t *testing.T) {
-	first := answering(t, streamHead+chunk("id: 1\nda"))
-	second := answering(t, strings.Replace(streamHead, "Seal: s", "Seal: t", 1)+chunk("id: 1\ndata: a\n\n")+"0\r\n\r\n")
-	n := newNode(t, []relay.Step{stream(false), stream(false), pass}, first, second)
+func TestResumedBeforeFirstEvent(t *testing.T) {
+	first := newStaticReplica(t, streamHead+chunk("id: 1\nda"))
+	second := newStaticReplica(t, strings.Replace(streamHead, "Seal: s", "Seal: t", 1)+chunk("id: 1\ndata: a\n\n")+"0\r\n\r\n")
+	n := newNode(t, []relay.Step{streamStep(false), streamStep(false), passStep}, first, second)
 	q := n.dial(t)
-	q.say(request)
+	q.write(request)
 	got := q.read("POST")
 	if text, err := io.ReadAll(got.Body); err != nil || string(text) != "id: 1\ndata: a\n\n" || got.Header.Get("Saffronfall-Seal") != "t" {
 		t.Errorf("%q %v %v", text, err, got.Header)
@@ -625,11 +625,11 @@
 
 // TestResumedElsewhereFails: what another replica answers instead of going on
 // never joins a stream.
-func TestResumedElsewhereFails(t *testing.T) {
+func TestFailedResume(t *testing.T) {
 	for _, answer := range []string{"HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nContent-Length: 4\r\n\r\noops", "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nContent-Length: 10\r\n\r\ndata: a\n\n ", "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n"} {
-		n := newNode(t, []relay.Step{stream(false), stream(false), broke}, answering(t, streamHead+chunk("id: 1\ndata: a\n\n")), answering(t, answer))
+		n := newNode(t, []relay.Step{streamStep(false), streamStep(false), breakStep}, newStaticReplica(t, streamHead+chunk("id: 1\ndata: a\n\n")), newStaticReplica(t, answer))
 		q := n.dial(t)
-		q.say(request)
+		q.write(request)
 		if text, err := io.ReadAll(q.read("POST").Body); err == nil || string(text) != "id: 1\ndata: a\n\n" {
 			t.Errorf("%q %v", text, err)
 		}
@@ -667,7 +667,7 @@
 		{"Saffronfall-Attempt: a\r\nSaffronfall-Tokens: 1, 2\r\nSaffronfall-Prompt: a:1,b:x,c,:,d:-9,e:5\r\n", 418},
 	} {
 		q := n.dial(t)
-		q.say("GET /a HTTP/1.1\r\nHost: h\r\n" + c.headers + "\r\n")
+		q.write("GET /a HTTP/1.1\r\nHost: h\r\n" + c.headers + "\r\n")
 		got := q.read("GET")
 		text, err := io.ReadAll(got.Body)
 		if got.StatusCode != c.status || err != nil || !bytes.Contains(text, []byte(`"error"`)) {
@@ -703,7 +703,7 @@
 		if text != "" {
 			r.Header.Set(replica.OwnNames.Deadline, text)
 		}
-		if a, fault := h.read(r); fault != "" || !check(a.Left) {
+		if a, fault := h.parseHead(r); fault != "" || !check(a.Left) {
 			t.Errorf("%q: %v %s", text, a.Left, fault)
 		}
 	}
@@ -711,26 +711,26 @@
 
 // TestBodies: one that is too large gets 413, at once where its length says so;
 // one that does not come whole is not passed on.
-func TestBodies(t *testing.T) {
+func TestBodyLimits(t *testing.T) {
 	n := newNode(t, []relay.Step{{Kind: relay.StepRefuse, Status: 418}})
 	for _, raw := range []string{
 		"Content-Length: 1048577\r\n\r\n",
 		"Transfer-Encoding: chunked\r\n\r\n" + chunk(strings.Repeat("x", 1<<20+1)) + "0\r\n\r\n",
 	} {
 		q := n.dial(t)
-		q.say("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\n" + raw)
+		q.write("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\n" + raw)
 		if got := q.read("POST"); got.StatusCode != 413 || !got.Close {
 			t.Errorf("%.30q: %d %v", raw, got.StatusCode, got.Close)
 		}
 	}
 	q := n.dial(t)
-	q.say("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nContent-Length: 5\r\n\r\nab")
+	q.write("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nContent-Length: 5\r\n\r\nab")
 	q.Conn.(*net.TCPConn).CloseWrite()
 	if got, err := http.ReadResponse(q.reader, nil); err == nil && got.StatusCode != 400 {
 		t.Errorf("cut short: %d", got.StatusCode)
 	}
 	q = n.dial(t)
-	q.say("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n")
+	q.write("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n")
 	if got := q.read("POST"); got.StatusCode != 400 || !got.Close {
 		t.Errorf("no chunks: %d", got.StatusCode)
 	}
@@ -738,7 +738,7 @@
 		t.Error("the machine was asked")
 	}
 	q = n.dial(t)
-	q.say("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nContent-Length: 1048576\r\n\r\n" + strings.Repeat("x", 1<<20))
+	q.write("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nContent-Length: 1048576\r\n\r\n" + strings.Repeat("x", 1<<20))
 	if got := q.read("POST"); got.StatusCode != 418 {
 		t.Errorf("as large as may be: %d", got.StatusCode)
 	}
@@ -751,7 +751,7 @@
 		for _, status := range []int{401, 402, 404, 429, 503} {
 			n := newNode(t, []relay.Step{{Kind: relay.StepRefuse, Status: status, Check: "some check", Reason: "why", RetryAfter: after}})
 			q := n.dial(t)
-			q.say(request + request)
+			q.write(request + request)
 			for range 2 {
 				got := q.read("POST")
 				text, err := io.ReadAll(got.Body)
@@ -768,13 +768,13 @@
 
 // TestNextReplica: one that was not reached, or that did not run it, leaves the
 // request to the next.
-func TestNextReplica(t *testing.T) {
+func TestNextReplicaAfterNotRun(t *testing.T) {
 	nobody := &rawReplica{address: "127.0.0.1:1"}
-	full := answering(t, "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Not-Run: 1\r\nSaffronfall-Load: 8,2,8\r\nContent-Length: 0\r\n\r\n")
-	well := answering(t, sealed+"Saffronfall-Load: 3, 0, 8\r\nContent-Length: 2\r\n\r\nok")
-	n := newNode(t, []relay.Step{send, send, send, pass}, nobody, full, well)
+	full := newStaticReplica(t, "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Not-Run: 1\r\nSaffronfall-Load: 8,2,8\r\nContent-Length: 0\r\n\r\n")
+	well := newStaticReplica(t, okHead+"Saffronfall-Load: 3, 0, 8\r\nContent-Length: 2\r\n\r\nok")
+	n := newNode(t, []relay.Step{sendStep, sendStep, sendStep, passStep}, nobody, full, well)
 	q := n.dial(t)
-	q.say(request)
+	q.write(request)
 	if got := q.read("POST"); got.StatusCode != 200 {
 		t.Error(got.StatusCode)
 	}
@@ -790,20 +790,20 @@
 // TestClientGone: when the requester goes, the replica's connection ends at
 // once, before its answer and within a stream, and it is not the replica's
 // fault.
-func TestClientGone(t *testing.T) {
+func TestRequesterDisconnects(t *testing.T) {
 	for _, begun := range []string{"", streamHead + chunk("id: 1\ndata: a\n\n")} {
 		ended := make(chan error, 1)
-		r := newReplica(t, func(c net.Conn, h heard) {
+		r := newReplica(t, func(c net.Conn, h capturedRequest) {
 			io.WriteString(c, begun)
 			_, err := c.Read(make([]byte, 1))
 			ended <- err
 		})
-		n := newNode(t, []relay.Step{stream(true), broke}, r)
+		n := newNode(t, []relay.Step{streamStep(true), breakStep}, r)
 		q := n.dial(t)
-		q.say(request)
-		<-r.heard
+		q.write(request)
+		<-r.received
 		if begun != "" {
-			events(q, q.read("POST"), 1)
+			readEvents(q, q.read("POST"), 1)
 		}
 		q.Close()
 		if err := <-ended; err == nil || strings.Contains(err.Error(), "timeout") {
@@ -816,20 +816,20 @@
 }
 
 // deaf is a requester that takes nothing more.
-type deaf struct{ http.ResponseWriter }
+type failingWriter struct{ http.ResponseWriter }
 
-func (deaf) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
-func (deaf) Flush()                    {}
+func (failingWriter) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
+func (failingWriter) Flush()                    {}
 
 // TestClientTakesNothing: what cannot be passed on is the requester's end, not
 // the replica's.
-func TestClientTakesNothing(t *testing.T) {
-	n := newNode(t, []relay.Step{stream(true), broke}, answering(t, streamHead+chunk("id: 1\ndata: a\n\n")))
+func TestWriteToRequesterFails(t *testing.T) {
+	n := newNode(t, []relay.Step{streamStep(true), breakStep}, newStaticReplica(t, streamHead+chunk("id: 1\ndata: a\n\n")))
 	func() {
 		defer func() { recover() }()
 		r := httptest.NewRequest("POST", "/a", strings.NewReader("hi"))
 		r.Header.Set(replica.OwnNames.Attempt, "a1")
-		n.server.Config.Handler.ServeHTTP(deaf{httptest.NewRecorder()}, r)
+		n.server.Config.Handler.ServeHTTP(failingWriter{httptest.NewRecorder()}, r)
 	}()
 	if o := <-n.outcomes; o.Kind != relay.Broken || !o.Gone {
 		t.Errorf("%+v", o)
@@ -838,21 +838,21 @@
 
 // TestDrainingEndsConnections: while the node drains, each answer tells its
 // requester to come over another connection.
-func TestDrainingEndsConnections(t *testing.T) {
+func TestDrainingClosesConnections(t *testing.T) {
 	closing := make(chan struct{})
-	s := &scripted{t: t, steps: []relay.Step{send, pass}, asked: make(chan relay.Ask, 4), outcomes: make(chan relay.Outcome, 4)}
-	s.lines = []*replica.Line{replica.NewLine(answering(t, sealed+"Content-Length: 2\r\n\r\nok").address, 4, time.Second)}
-	server := httptest.NewServer(Handler(Options{Owner: s, Names: replica.OwnNames, Most: 1 << 20, Closing: closing}))
+	s := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, asked: make(chan relay.Ask, 4), outcomes: make(chan relay.Outcome, 4)}
+	s.lines = []*replica.Line{replica.NewLine(newStaticReplica(t, okHead+"Content-Length: 2\r\n\r\nok").address, 4, time.Second)}
+	server := httptest.NewServer(Handler(Options{Dispatcher: s, Names: replica.OwnNames, MaxBody: 1 << 20, Draining: closing}))
 	defer server.Close()
-	n := &node{scripted: s, server: server}
+	n := &node{scriptedDispatcher: s, server: server}
 	q := n.dial(t)
-	q.say(request)
+	q.write(request)
 	got := q.read("POST")
 	if text, _ := io.ReadAll(got.Body); got.Close || string(text) != "ok" {
 		t.Errorf("%q %v", text, got.Close)
 	}
 	close(closing)
-	q.say(request)
+	q.write(request)
 	got = q.read("POST")
 	if text, _ := io.ReadAll(got.Body); !got.Close || string(text) != "ok" {
 		t.Errorf("%q %v", text, got.Close)
@@ -876,7 +876,7 @@
 				r.Header.Set(name, value)
 			}
 		}
-		a, fault := h.read(r)
+		a, fault := h.parseHead(r)
 		if fault != "" {
 			return
 		}
--- a/peer/front/head.go
+++ b/peer/front/head.go
@@ -13,11 +13,12 @@
 	"saffronfall/rule/placement"
 )
 
-// longestMS is as long as any deadline, in milliseconds.
-const longestMS = 86400000
+// maxDeadlineMS caps deadlines and horizons, in milliseconds (one day).
+const maxDeadlineMS = 86400000
 
-// read reads a request's head.
-func (h *handler) read(r *http.Request) (relay.Ask, string) {
+// parseHead reads a request's head. The second result says what is malformed; it is
+// empty for a valid head.
+func (h *handler) parseHead(r *http.Request) (relay.Ask, string) {
 	n := h.Names
 	a := relay.Ask{Host: r.Host, Path: r.URL.Path, Attempt: r.Header.Get(n.Attempt), Program: r.Header.Get(n.Program), Session: r.Header.Get(n.Session),
 		Previous: r.Header.Get(n.Previous), Key: r.Header.Get(n.Key)}
@@ -41,18 +42,19 @@
 		if err != nil || math.IsNaN(ms) || math.IsInf(ms, 0) {
 			return a, n.Deadline + " is not a number"
 		}
-		a.Left = time.Duration(min(max(ms, -1), longestMS) * float64(time.Millisecond))
+		a.Left = time.Duration(min(max(ms, -1), maxDeadlineMS) * float64(time.Millisecond))
+		// Zero means that the request has no deadline.
 		if a.Left == 0 {
 			a.Left = -1
 		}
 	}
-	a.Horizon = horizon(r.Header.Get(n.Horizon))
+	a.Horizon = parseHorizon(r.Header.Get(n.Horizon))
 	if text := r.Header.Get(n.Budget); text != "" {
 		budget, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || budget < 0 {
 			return a, n.Budget + " is not a count"
 		}
-		// A spent budget is a budget.
+		// Zero means that the request has no budget, so a spent one counts as 1.
 		a.Budget = max(budget, 1)
 	}
 	if text := r.Header.Get(n.Tokens); text != "" {
@@ -66,16 +68,17 @@
 		}
 		a.Most = count
 	}
-	a.Prompt = h.promptParts(r.Header.Get(n.Prompt))
-	if thing := r.Header.Get(n.Affinity); thing != "" {
-		a.Affinity = h.hash(thing) | 1
+	a.Prompt = h.parsePrompt(r.Header.Get(n.Prompt))
+	if key := r.Header.Get(n.Affinity); key != "" {
+		// The lowest bit keeps the hash apart from zero, which means no affinity.
+		a.Affinity = h.hash(key) | 1
 	}
 	return a, ""
 }
 
-// promptParts reads the parts of a prompt. They only help to choose, so one that can't be
-// read is passed over.
-func (h *handler) promptParts(text string) (parts []placement.Part) {
+// parsePrompt reads the parts of a prompt. They are placement hints, so malformed ones
+// are ignored.
+func (h *handler) parsePrompt(text string) (parts []placement.Part) {
 	if text == "" {
 		return nil
 	}
@@ -90,18 +93,18 @@
 	return parts
 }
 
-// hash stands for a name that a requester chose. All nodes have the same key, and nobody
-// outside, so that no tenant can choose names which meet at one replica.
+// hash hashes a name chosen by a requester with the fleet's secret key. All nodes agree
+// on the hashes, and no tenant can choose names that collide at one replica.
 func (h *handler) hash(name string) uint64 {
 	return siphash.Hash(h.HashKey[0], h.HashKey[1], []byte(name))
 }
 
-// horizon reads the time that a program has left. It only helps to decide what is served
-// first, so one that can't be read is none.
-func horizon(text string) relay.Horizon {
+// parseHorizon reads how much time a program has left. It only affects the order of
+// service, so a malformed value counts as none.
+func parseHorizon(text string) relay.Horizon {
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(ms) {
 		return relay.Horizon{}
 	}
-	return relay.Horizon{Left: time.Duration(min(max(ms, -longestMS), longestMS) * float64(time.Millisecond)), Known: true}
+	return relay.Horizon{Left: time.Duration(min(max(ms, -maxDeadlineMS), maxDeadlineMS) * float64(time.Millisecond)), Known: true}
 }
--- a/peer/front/affinity_test.go
+++ b/peer/front/head_test.go
@@ -16,7 +16,7 @@
 		r.Header.Set("Saffronfall-Attempt", "a1")
 		r.Header.Set("Saffronfall-Affinity", thing)
 		r.Header.Set("Saffronfall-Prompt", thing+":5")
-		a, fault := h.read(r)
+		a, fault := h.parseHead(r)
 		if fault != "" {
 			t.Fatal(fault)
 		}
@@ -35,7 +35,7 @@
 	h := &handler{Options: Options{Names: replica.OwnNames}}
 	r := httptest.NewRequest("POST", "/a", nil)
 	r.Header.Set("Saffronfall-Attempt", "a1")
-	if a, _ := h.read(r); a.Affinity != 0 {
+	if a, _ := h.parseHead(r); a.Affinity != 0 {
 		t.Error("a request that names no thing has one")
 	}
 }
--- a/peer/front/intake.go
+++ b/peer/front/intake.go
@@ -13,17 +13,16 @@
 	"saffronfall/peer/clock"
 )
 
-// Bounds on what requesters may hold where Options name none.
 const (
-	defaultBodyTime   = 30 * time.Second
-	defaultIntakeSize = 64 << 20
-	// answerTime is how long a requester may take to read an answer that is there
-	// whole.
-	answerTime = 10 * time.Second
-	// discardTime is for how long a body that is not wanted is still read.
-	discardTime = 2 * time.Second
-	// bodyStep is how much of a body is made room for at a time.
-	bodyStep = 64 << 10
+	// defaultBodyTimeout and defaultIntakeBytes apply where Options set no limit.
+	defaultBodyTimeout = 30 * time.Second
+	defaultIntakeBytes = 64 << 20
+	// answerTimeout is how long a requester may take to read a complete answer.
+	answerTimeout = 10 * time.Second
+	// discardTimeout limits how long an unwanted body is read.
+	discardTimeout = 2 * time.Second
+	// bodyChunk is the unit, in bytes, in which memory for a large body is reserved.
+	bodyChunk = 64 << 10
 )
 
 var (
@@ -31,94 +30,94 @@
 	errIntakeFull   = errors.New("the bodies of requests under way fill the room for them")
 )
 
-// intake is the room that the bodies of all requests under way share. Memory is taken
-// for what has come, never for what was announced.
-type intake struct{ room *semaphore.Weighted }
+// intake limits the memory that the bodies of all open requests share. Memory is
+// reserved for received bytes, never for an announced length of a large body.
+type intake struct{ bytes *semaphore.Weighted }
 
 func newIntake(size int64) *intake {
 	if size <= 0 {
-		size = defaultIntakeSize
+		size = defaultIntakeBytes
 	}
-	return &intake{room: semaphore.NewWeighted(size)}
+	return &intake{bytes: semaphore.NewWeighted(size)}
 }
 
-// body is a request's body and the room that it takes.
+// body is a request's body with the memory reserved for it.
 type body struct {
-	intake *intake
-	raw    []byte
-	held   int64
+	intake   *intake
+	raw      []byte
+	reserved int64
 }
 
-// release gives the room back.
+// release returns the reserved memory to the intake.
 func (b *body) release() {
-	b.intake.room.Release(b.held)
-	b.held = 0
+	b.intake.bytes.Release(b.reserved)
+	b.reserved = 0
 }
 
-// more makes room for what comes next.
-func (b *body) more(size int64) error {
-	if !b.intake.room.TryAcquire(size) {
+// reserve adds size bytes to the reservation, or fails with errIntakeFull.
+func (b *body) reserve(size int64) error {
+	if !b.intake.bytes.TryAcquire(size) {
 		return errIntakeFull
 	}
-	b.held += size
+	b.reserved += size
 	return nil
 }
 
-// read reads a body whole, up to a largest size.
-func (b *body) read(r *http.Request, most int64) error {
+// read reads the whole body, which may have at most limit bytes.
+func (b *body) read(r *http.Request, limit int64) error {
 	switch size := r.ContentLength; {
-	case size > most:
+	case size > limit:
 		return errBodyTooLarge
 	case size == 0:
 		return nil
-	case size > 0 && size <= bodyStep:
-		if err := b.more(size); err != nil {
+	case size > 0 && size <= bodyChunk:
+		if err := b.reserve(size); err != nil {
 			return err
 		}
 		b.raw = make([]byte, size)
 		_, err := io.ReadFull(r.Body, b.raw)
 		return err
 	}
-	return b.readInSteps(r, most)
+	return b.readInChunks(r, limit)
 }
 
-// readInSteps reads a body that is large, or whose size was not told.
-func (b *body) readInSteps(r *http.Request, most int64) error {
+// readInChunks reads a body that is large or of unknown length.
+func (b *body) readInChunks(r *http.Request, limit int64) error {
 	var all bytes.Buffer
 	for {
-		if err := b.more(bodyStep); err != nil {
+		if err := b.reserve(bodyChunk); err != nil {
 			return err
 		}
-		n, err := io.CopyN(&all, r.Body, bodyStep)
+		n, err := io.CopyN(&all, r.Body, bodyChunk)
 		switch {
-		case int64(all.Len()) > most:
+		case int64(all.Len()) > limit:
 			return errBodyTooLarge
 		case err == io.EOF:
 			b.raw = all.Bytes()
 			return nil
 		case err != nil:
 			return err
-		case n < bodyStep:
+		case n < bodyChunk:
 			return io.ErrUnexpectedEOF
 		}
 	}
 }
 
-// late reports whether an error is that of a requester that took too long.
-func late(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
+// timedOut reports whether err comes from an expired connection deadline.
+func timedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// mayRead bounds how long the requester may take to send; zero ends the bound.
-func (x *exchange) mayRead(within time.Duration) {
+// setReadTimeout limits how long the requester may take to send; zero removes the limit.
+func (x *exchange) setReadTimeout(timeout time.Duration) {
 	at := time.Time{}
-	if within > 0 {
-		at = clock.Deadline(within)
+	if timeout > 0 {
+		at = clock.Deadline(timeout)
 	}
-	// What can't be bounded, as in tests without a connection, is not.
+	// A response writer without a connection, as in tests, supports no deadlines.
 	_ = x.controller.SetReadDeadline(at)
 }
 
-// mayWrite bounds how long the requester may take to read what is written from now
-// on.
-func (x *exchange) mayWrite(within time.Duration) {
-	_ = x.controller.SetWriteDeadline(clock.Deadline(max(within, time.Millisecond)))
+// setWriteTimeout limits how long the requester may take to read what is written from
+// now on.
+func (x *exchange) setWriteTimeout(timeout time.Duration) {
+	_ = x.controller.SetWriteDeadline(clock.Deadline(max(timeout, time.Millisecond)))
 }
--- a/peer/front/cut_test.go
+++ b/peer/front/interruption_test.go
@@ -22,83 +22,83 @@
 // deciding is an owner that takes its steps by outcomes, as a node's machine
 // does for a request that may run once: what did not run goes to the next
 // replica, what may have run ends.
-type deciding struct {
+type outcomeDispatcher struct {
 	lines []*replica.Line
 	first relay.Step
 	asked atomic.Int64
 }
 
-func (d *deciding) Arrive(context.Context, relay.Ask) (Way, relay.Step, *replica.Line, bool) {
+func (d *outcomeDispatcher) Dispatch(context.Context, relay.Ask) (Request, relay.Step, *replica.Line, bool) {
 	d.asked.Add(1)
-	return &decidingWay{owner: d}, d.first, d.lines[0], true
+	return &outcomeRequest{dispatcher: d}, d.first, d.lines[0], true
 }
 
-type decidingWay struct {
-	owner *deciding
-	at    int
+type outcomeRequest struct {
+	dispatcher *outcomeDispatcher
+	at         int
 }
 
-func (w *decidingWay) Came(o relay.Outcome) (relay.Step, *replica.Line, bool) {
+func (w *outcomeRequest) Next(o relay.Outcome) (relay.Step, *replica.Line, bool) {
 	switch {
 	case o.Kind == relay.Whole:
-		return pass, nil, true
-	case o.Kind == relay.NotRun && w.at+1 < len(w.owner.lines):
+		return passStep, nil, true
+	case o.Kind == relay.NotRun && w.at+1 < len(w.dispatcher.lines):
 		w.at++
-		return w.owner.first, w.owner.lines[w.at], true
+		return w.dispatcher.first, w.dispatcher.lines[w.at], true
 	case o.Kind == relay.NotRun:
 		return relay.Step{Kind: relay.StepRefuse, Status: 503, Check: "replicas", Reason: "none is left"}, nil, true
 	}
-	return broke, nil, true
+	return breakStep, nil, true
 }
 
 // decidingNode is a handler with such an owner on a real server.
-func decidingNode(t *testing.T, first relay.Step, addresses ...string) (*node, *deciding) {
+func newDispatcherNode(t *testing.T, first relay.Step, addresses ...string) (*node, *outcomeDispatcher) {
 	t.Helper()
-	owner := &deciding{first: first}
+	dispatcher := &outcomeDispatcher{first: first}
 	for _, address := range addresses {
-		owner.lines = append(owner.lines, replica.NewLine(address, 4, time.Second))
+		dispatcher.lines = append(dispatcher.lines, replica.NewLine(address, 4, time.Second))
 	}
-	server := httptest.NewServer(Handler(Options{Owner: owner, Names: replica.OwnNames, Most: 1 << 20, Closing: make(chan struct{})}))
+	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Names: replica.OwnNames, MaxBody: 1 << 20, Draining: make(chan struct{})}))
 	t.Cleanup(func() {
 		server.Close()
-		for _, line := range owner.lines {
+		for _, line := range dispatcher.lines {
 			line.Close()
 		}
 	})
-	return &node{server: server}, owner
+	return &node{server: server}, dispatcher
 }
 
 const (
-	byLength = sealed + "Content-Length: 2\r\n\r\nok"
-	inChunks = sealed + "Transfer-Encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n0\r\n\r\n"
-	streamed = streamHead + "f\r\nid: 1\ndata: a\n\n\r\nf\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n"
-	twoParts = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
-	notRun   = "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Not-Run: 1\r\nContent-Length: 4\r\n\r\nfull"
-	failed   = "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal: s\r\nContent-Length: 4\r\n\r\noops"
+	lengthAnswer  = okHead + "Content-Length: 2\r\n\r\nok"
+	chunkedAnswer = okHead + "Transfer-Encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n0\r\n\r\n"
+	streamAnswer  = streamHead + "f\r\nid: 1\ndata: a\n\n\r\nf\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n"
+	twoEvents     = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
+	notRunAnswer  = "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Not-Run: 1\r\nContent-Length: 4\r\n\r\nfull"
+	failedAnswer  = "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal: s\r\nContent-Length: 4\r\n\r\noops"
 )
 
 // TestRunsOnceWhereverTheReplicaBreaksOff: a replica breaks off after each byte
 // of its answer. A request that may run once is sent to the next replica only
 // after a promise that it did not run, and its requester has a complete answer
 // only when the replica's came to its last byte.
-func TestRunsOnceWhereverTheReplicaBreaksOff(t *testing.T) {
+func TestReplicaDisconnectsAtEveryByte(t *testing.T) {
 	for name, c := range map[string]struct {
 		step   relay.Step
 		answer string
 		want   string
 		status int
 	}{
-		"by length":   {send, byLength, "ok", 200},
-		"in chunks":   {send, inChunks, "ok", 200},
-		"a stream":    {stream(false), streamed, twoParts, 200},
-		"a kept turn": {stream(true), streamed, twoParts, 200},
-		"a failure":   {send, failed, "oops", 500},
-		"a promise":   {send, notRun, "next", 200},
+		"by length":   {sendStep, lengthAnswer, "ok", 200},
+		"in chunks":   {sendStep, chunkedAnswer, "ok", 200},
+		"a stream":    {streamStep(false), streamAnswer, twoEvents, 200},
+		"a kept turn": {streamStep(true), streamAnswer, twoEvents, 200},
+		"a failure":   {sendStep, failedAnswer, "oops", 500},
+		"a promise":   {sendStep, notRunAnswer, "next", 200},
 	} {
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reset %v", name, reset), func(t *testing.T) {
 				for cut := range len(c.answer) + 1 {
-					got := breakOff(t, c.step, c.answer[:cut], reset)
+					got := interruptAnswer(t, c.step, c.answer[:cut], reset)
 					got.check(t, c.answer, cut, reset, c.want, c.status)
 				}
 			})
@@ -107,7 +107,7 @@
 }
 
 // brokenOff is what came of a request whose replica broke off.
-type brokenOff struct {
+type interruptedResult struct {
 	status   int
 	body     string
 	complete bool
@@ -115,7 +115,7 @@
 	first, second int
 }
 
-func (b brokenOff) check(t *testing.T, answer string, cut int, reset bool, want string, status int) {
+func (b interruptedResult) check(t *testing.T, answer string, cut int, reset bool, want string, status int) {
 	t.Helper()
 	promised := strings.Contains(answer, "Not-Run")
 	head := strings.Index(answer, "\r\n\r\n") + len("\r\n\r\n")
@@ -128,7 +128,7 @@
 	if cut == len(answer) && !reset && (!b.complete || b.status != status || b.body != want) {
 		t.Errorf("whole: %+v", b)
 	}
-	if cut < len(answer) && !promised && b.complete && b.status != broke.Status {
+	if cut < len(answer) && !promised && b.complete && b.status != breakStep.Status {
 		t.Errorf("cut at %d of %d: complete for its requester: %+v", cut, len(answer), b)
 	}
 	if b.complete && b.status/100 == 2 && b.body != want {
@@ -143,19 +143,19 @@
 }
 
 // breakOff sends a request to a replica that writes some bytes and breaks off.
-func breakOff(t *testing.T, step relay.Step, written string, reset bool) brokenOff {
+func interruptAnswer(t *testing.T, step relay.Step, written string, reset bool) interruptedResult {
 	t.Helper()
-	first := newReplica(t, func(c net.Conn, h heard) {
+	first := newReplica(t, func(c net.Conn, h capturedRequest) {
 		if reset {
 			c.(*net.TCPConn).SetLinger(0)
 		}
 		io.WriteString(c, written)
 	})
-	second := answering(t, sealed+"Content-Length: 4\r\n\r\nnext")
-	n, _ := decidingNode(t, step, first.address, second.address)
+	second := newStaticReplica(t, okHead+"Content-Length: 4\r\n\r\nnext")
+	n, _ := newDispatcherNode(t, step, first.address, second.address)
 	q := n.dial(t)
-	q.say(request)
-	var b brokenOff
+	q.write(request)
+	var b interruptedResult
 	r, err := http.ReadResponse(q.reader, &http.Request{Method: "POST"})
 	if err == nil {
 		var body []byte
@@ -163,18 +163,18 @@
 		b.status, b.body = r.StatusCode, string(body)
 	}
 	b.complete = err == nil
-	b.first, b.second = len(first.heard), len(second.heard)
+	b.first, b.second = len(first.received), len(second.received)
 	return b
 }
 
 // numbered is a request with an id and a body of its own.
-func numbered(id string) string {
+func requestWithID(id string) string {
 	return fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id)
 }
 
 // echoing is a replica that answers each request with its body, several on a
 // connection.
-func echoing(t *testing.T, heard chan<- string) string {
+func newEchoReplica(t *testing.T, received chan<- string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -187,17 +187,17 @@
 			if err != nil {
 				return
 			}
-			go echo(c, heard)
+			go echo(c, received)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-func echo(c net.Conn, heard chan<- string) {
+func echo(c net.Conn, received chan<- string) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for {
-		c.SetDeadline(clock.Deadline(patience))
+		c.SetDeadline(clock.Deadline(testTimeout))
 		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
@@ -207,7 +207,7 @@
 			return
 		}
 		id := r.Header.Get(replica.OwnNames.Attempt)
-		heard <- id
+		received <- id
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: %s\r\nSaffronfall-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 	}
 }
@@ -215,43 +215,43 @@
 // TestPipelinedRequests: a requester sends several requests at once. Each gets
 // its own answer, in order, and runs once.
 func TestPipelinedRequests(t *testing.T) {
-	heard := make(chan string, 64)
-	n, owner := decidingNode(t, send, echoing(t, heard))
+	received := make(chan string, 64)
+	n, dispatcher := newDispatcherNode(t, sendStep, newEchoReplica(t, received))
 	q := n.dial(t)
 	ids := []string{"first", "the second", "third"}
 	var all string
 	for _, id := range ids {
-		all += numbered(id)
+		all += requestWithID(id)
 	}
-	q.say(all)
+	q.write(all)
 	for _, id := range ids {
 		got := q.read("POST")
 		body, err := io.ReadAll(got.Body)
 		if err != nil || string(body) != id || got.Header.Get(replica.OwnNames.Attempt) != id {
 			t.Errorf("%s got %q %v", id, body, err)
 		}
-		if ran := <-heard; ran != id {
+		if ran := <-received; ran != id {
 			t.Errorf("%s ran, want %s", ran, id)
 		}
 	}
-	if asked := owner.asked.Load(); asked != int64(len(ids)) || len(heard) > 0 {
+	if asked := dispatcher.asked.Load(); asked != int64(len(ids)) || len(received) > 0 {
 		t.Errorf("%d were asked for", asked)
 	}
 }
 
 // TestRequestCutAtEveryByte: a requester breaks off within its second request.
 // No replica ever has a part of it, and the first one has run once.
-func TestRequestCutAtEveryByte(t *testing.T) {
-	heard := make(chan string, 4096)
-	n, _ := decidingNode(t, send, echoing(t, heard))
-	second := numbered("the second")
+func TestRequesterDisconnectsAtEveryByte(t *testing.T) {
+	received := make(chan string, 4096)
+	n, _ := newDispatcherNode(t, sendStep, newEchoReplica(t, received))
+	second := requestWithID("the second")
 	for cut := range len(second) {
 		q := n.dial(t)
-		q.say(numbered("first"))
+		q.write(requestWithID("first"))
 		if body, err := io.ReadAll(q.read("POST").Body); err != nil || string(body) != "first" {
 			t.Errorf("%q %v", body, err)
 		}
-		q.say(second[:cut])
+		q.write(second[:cut])
 		if cut%2 == 0 {
 			q.Conn.(*net.TCPConn).SetLinger(0)
 		}
@@ -259,14 +259,14 @@
 	}
 	// A request that comes whole afterwards shows that the others are over.
 	q := n.dial(t)
-	q.say(numbered("last"))
+	q.write(requestWithID("last"))
 	if body, err := io.ReadAll(q.read("POST").Body); err != nil || string(body) != "last" {
 		t.Errorf("%q %v", body, err)
 	}
 	n.server.Close()
 	runs := map[string]int{}
-	for len(heard) > 0 {
-		runs[<-heard]++
+	for len(received) > 0 {
+		runs[<-received]++
 	}
 	if len(runs) != 2 || runs["first"] != len(second) || runs["last"] != 1 {
 		t.Errorf("runs %v, want %d of the first and one of the last", runs, len(second))
@@ -276,8 +276,8 @@
 // TestHiddenRequests: bytes after a request's end are the next request or none
 // at all; a request with two ways to tell its length, or an unreadable head,
 // reaches no replica.
-func TestHiddenRequests(t *testing.T) {
-	hidden := numbered("hidden")
+func TestRequestSmuggling(t *testing.T) {
+	hidden := requestWithID("hidden")
 	for name, raw := range map[string]string{
 		"two lengths":            "POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nContent-Length: 0\r\nContent-Length: " + fmt.Sprint(len(hidden)) + "\r\n\r\n" + hidden,
 		"chunks named otherwise": "POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nTransfer-Encoding: xchunked\r\n\r\n" + hidden,
@@ -285,15 +285,15 @@
 		"a length with a sign":   "POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nContent-Length: +0\r\n\r\n" + hidden,
 	} {
 		t.Run(name, func(t *testing.T) {
-			heard := make(chan string, 64)
-			n, _ := decidingNode(t, send, echoing(t, heard))
+			received := make(chan string, 64)
+			n, _ := newDispatcherNode(t, sendStep, newEchoReplica(t, received))
 			q := n.dial(t)
-			q.say(raw)
-			io.Copy(io.Discard, readUntilQuiet(q))
+			q.write(raw)
+			io.Copy(io.Discard, readBriefly(q))
 			n.server.CloseClientConnections()
 			n.server.Close()
-			for len(heard) > 0 {
-				if id := <-heard; id == "hidden" {
+			for len(received) > 0 {
+				if id := <-received; id == "hidden" {
 					t.Error("the hidden request ran")
 				}
 			}
@@ -302,7 +302,7 @@
 }
 
 // readUntilQuiet reads what comes within a moment.
-func readUntilQuiet(q *client) io.Reader {
+func readBriefly(q *client) io.Reader {
 	q.SetReadDeadline(clock.Deadline(200 * time.Millisecond))
 	return q.reader
 }
@@ -310,10 +310,10 @@
 // TestRequestersConnectionsReusedUnderLoad: requesters reuse and cut their
 // connections while they share few connections to one replica. Each complete
 // answer is the requester's own, and nothing runs twice.
-func TestRequestersConnectionsReusedUnderLoad(t *testing.T) {
+func TestConnectionReuseUnderLoad(t *testing.T) {
 	const requesters, each = 16, 40
-	heard := make(chan string, requesters*each*2)
-	n, _ := decidingNode(t, send, echoing(t, heard))
+	received := make(chan string, requesters*each*2)
+	n, _ := newDispatcherNode(t, sendStep, newEchoReplica(t, received))
 	var done sync.WaitGroup
 	for requester := range requesters {
 		done.Add(1)
@@ -325,8 +325,8 @@
 	done.Wait()
 	n.server.Close()
 	runs := map[string]int{}
-	for len(heard) > 0 {
-		runs[<-heard]++
+	for len(received) > 0 {
+		runs[<-received]++
 	}
 	for id, count := range runs {
 		if count != 1 {
@@ -341,7 +341,7 @@
 	q := n.dial(t)
 	for i := range each {
 		id := fmt.Sprintf("%d-%d", requester, i)
-		if _, err := io.WriteString(q, numbered(id)); err != nil {
+		if _, err := io.WriteString(q, requestWithID(id)); err != nil {
 			t.Error(err)
 			return
 		}
@@ -367,37 +367,37 @@
 // lines from its beginning, and an end that looks complete only when the
 // replica's answer had one.
 func FuzzStream(f *testing.F) {
-	for _, seed := range []string{streamed, streamHead, byLength, inChunks, notRun, failed, streamed[:len(streamed)-4], streamHead + "5\r\ndata:\r\n0\r\n\r\n",
-		strings.Replace(streamed, "a1", "other", 1) + streamed, streamHead + chunk("id: 1\r\rdata: x\n\n") + "0\r\n\r\n", streamed + streamed, "\x00"} {
+	for _, seed := range []string{streamAnswer, streamHead, lengthAnswer, chunkedAnswer, notRunAnswer, failedAnswer, streamAnswer[:len(streamAnswer)-4], streamHead + "5\r\ndata:\r\n0\r\n\r\n",
+		strings.Replace(streamAnswer, "a1", "other", 1) + streamAnswer, streamHead + chunk("id: 1\r\rdata: x\n\n") + "0\r\n\r\n", streamAnswer + streamAnswer, "\x00"} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		given := giveStream(t, raw)
-		if given.first != 1 {
-			t.Fatalf("it was sent %d times", given.first)
+		got := interruptStream(t, raw)
+		if got.first != 1 {
+			t.Fatalf("it was sent %d times", got.first)
 		}
-		if given.status/100 != 2 || given.body == "" || given.second > 0 {
+		if got.status/100 != 2 || got.body == "" || got.second > 0 {
 			return
 		}
-		whole, complete := readWhole(raw)
-		if given.complete && (!complete || given.body != whole) {
-			t.Fatalf("a complete %q of %q", given.body, whole)
+		whole, complete := readAsClient(raw)
+		if got.complete && (!complete || got.body != whole) {
+			t.Fatalf("a complete %q of %q", got.body, whole)
 		}
-		if !given.complete && (!strings.HasPrefix(whole, given.body) || !strings.HasSuffix(given.body, "\n")) {
-			t.Fatalf("a part %q of %q", given.body, whole)
+		if !got.complete && (!strings.HasPrefix(whole, got.body) || !strings.HasSuffix(got.body, "\n")) {
+			t.Fatalf("a part %q of %q", got.body, whole)
 		}
 	})
 }
 
 // giveStream sends a request for a stream to a replica that writes raw bytes.
-func giveStream(t *testing.T, raw []byte) brokenOff {
+func interruptStream(t *testing.T, raw []byte) interruptedResult {
 	t.Helper()
-	return breakOff(t, stream(false), string(raw), false)
+	return interruptAnswer(t, streamStep(false), string(raw), false)
 }
 
 // readWhole reads the answer to the request out of what a replica sent, as any
 // client of the protocol would.
-func readWhole(raw []byte) (body string, complete bool) {
+func readAsClient(raw []byte) (body string, complete bool) {
 	reader := bufio.NewReader(strings.NewReader(string(raw)))
 	for {
 		r, err := http.ReadResponse(reader, &http.Request{Method: "POST"})
--- a/peer/front/held_test.go
+++ b/peer/front/limits_test.go
@@ -18,34 +18,34 @@
 // TestRequestersHoldNothingForLong: a requester that stops reading or sending
 // keeps neither a replica's place, nor a request under way, nor memory beyond what
 // it has sent.
-func TestRequestersHoldNothingForLong(t *testing.T) {
-	t.Run("reads nothing of a stream", readsNothingOfAStream)
-	t.Run("sends half a body", sendsHalfABody)
+func TestSlowRequesters(t *testing.T) {
+	t.Run("reads nothing of a stream", readsNoStream)
+	t.Run("sends half a body", sendsPartialBody)
 	t.Run("announces bodies that do not come", announcesBodies)
-	t.Run("is malformed and sends half a body", malformedHalfABody)
-	t.Run("sends half a body and goes on waiting", waitsAfterHalfABody)
+	t.Run("is malformed and sends half a body", malformedWithPartialBody)
+	t.Run("sends half a body and goes on waiting", waitsAfterPartialBody)
 }
 
 // readsNothingOfAStream: the replica's connection and the request end with the
 // request's time.
-func readsNothingOfAStream(t *testing.T) {
+func readsNoStream(t *testing.T) {
 	event := "data: " + strings.Repeat("x", 32<<10) + "\n\n"
 	ended := make(chan error, 1)
-	r := newReplica(t, func(c net.Conn, h heard) {
+	r := newReplica(t, func(c net.Conn, h capturedRequest) {
 		_, err := io.WriteString(c, streamHead)
 		for err == nil {
 			_, err = io.WriteString(c, chunk(event))
 		}
 		ended <- err
 	})
-	step := stream(true)
+	step := streamStep(true)
 	step.Within = 300 * time.Millisecond
-	n := newNode(t, []relay.Step{step, broke}, r)
+	n := newNode(t, []relay.Step{step, breakStep}, r)
 	q := n.dial(t)
-	q.say(request)
+	q.write(request)
 	select {
 	case <-n.outcomes:
-	case <-time.After(patience / 2):
+	case <-time.After(testTimeout / 2):
 		t.Fatal("the request is still under way long after its time")
 	}
 	if err := <-ended; strings.Contains(err.Error(), "timeout") {
@@ -54,11 +54,11 @@
 }
 
 // sendsHalfABody: it is told so once its deadline has passed.
-func sendsHalfABody(t *testing.T) {
+func sendsPartialBody(t *testing.T) {
 	n := newNode(t, nil)
 	q := n.dial(t)
-	q.say("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Deadline-Ms: 200\r\nContent-Length: 100\r\n\r\nhalf")
-	q.SetDeadline(clock.Deadline(patience / 2))
+	q.write("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Deadline-Ms: 200\r\nContent-Length: 100\r\n\r\nhalf")
+	q.SetDeadline(clock.Deadline(testTimeout / 2))
 	got := q.read("POST")
 	if got.StatusCode != 408 || !got.Close {
 		t.Errorf("%d, closes %v", got.StatusCode, got.Close)
@@ -66,46 +66,46 @@
 }
 
 // newImpatientNode is a node that gives requesters little time for their bodies.
-func newImpatientNode(t *testing.T, bodyTime time.Duration) *node {
-	owner := &scripted{t: t, asked: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16)}
-	server := httptest.NewServer(Handler(Options{Owner: owner, Names: replica.OwnNames, Most: 1 << 20, Closing: make(chan struct{}), BodyTime: bodyTime}))
+func newNodeWithBodyTimeout(t *testing.T, bodyTime time.Duration) *node {
+	dispatcher := &scriptedDispatcher{t: t, asked: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16)}
+	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Names: replica.OwnNames, MaxBody: 1 << 20, Draining: make(chan struct{}), BodyTimeout: bodyTime}))
 	t.Cleanup(server.Close)
-	return &node{scripted: owner, server: server}
+	return &node{scriptedDispatcher: dispatcher, server: server}
 }
 
 // malformedHalfABody: a request that is refused for its head alone does not hold its
 // connection while its body stalls.
-func malformedHalfABody(t *testing.T) {
+func malformedWithPartialBody(t *testing.T) {
 	for _, head := range []string{
 		"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\nhalf",
 		"POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Budget: x\r\nTransfer-Encoding: chunked\r\n\r\n8\r\nhalf",
 	} {
-		n := newImpatientNode(t, 200*time.Millisecond)
+		n := newNodeWithBodyTimeout(t, 200*time.Millisecond)
 		q := n.dial(t)
-		q.say(head)
-		q.SetDeadline(clock.Deadline(patience / 2))
+		q.write(head)
+		q.SetDeadline(clock.Deadline(testTimeout / 2))
 		if got := q.read("POST"); got.StatusCode != 400 {
 			t.Errorf("%q: %d", head, got.StatusCode)
 		}
-		ends(t, q, head)
+		checkCloses(t, q, head)
 	}
 }
 
 // waitsAfterHalfABody: a requester that was told that its body came late does not hold
 // its connection either.
-func waitsAfterHalfABody(t *testing.T) {
-	n := newImpatientNode(t, 200*time.Millisecond)
+func waitsAfterPartialBody(t *testing.T) {
+	n := newNodeWithBodyTimeout(t, 200*time.Millisecond)
 	q := n.dial(t)
-	q.say("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nContent-Length: 1000\r\n\r\nhalf")
-	q.SetDeadline(clock.Deadline(patience / 2))
+	q.write("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nContent-Length: 1000\r\n\r\nhalf")
+	q.SetDeadline(clock.Deadline(testTimeout / 2))
 	if got := q.read("POST"); got.StatusCode != 408 {
 		t.Errorf("%d", got.StatusCode)
 	}
-	ends(t, q, "a late body")
+	checkCloses(t, q, "a late body")
 }
 
 // ends wants a node to end a connection.
-func ends(t *testing.T, q *client, what string) {
+func checkCloses(t *testing.T, q *client, what string) {
 	t.Helper()
 	if _, err := io.Copy(io.Discard, q.reader); err != nil && strings.Contains(err.Error(), "timeout") {
 		t.Errorf("%s: the connection is held", what)
@@ -119,7 +119,7 @@
 	before := heap()
 	for i := 0; i < requesters; i++ {
 		q := n.dial(t)
-		q.say(fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a%d\r\nContent-Length: %d\r\nExpect: 100-continue\r\n\r\n", i, announced))
+		q.write(fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a%d\r\nContent-Length: %d\r\nExpect: 100-continue\r\n\r\n", i, announced))
 		// The word to go on shows that the body is being read.
 		if _, err := q.reader.ReadString('\n'); err != nil {
 			t.Fatal(err)
@@ -140,25 +140,25 @@
 // TestIntakeIsShared: bodies of all requests under way share their room. What finds
 // none is refused as not run, with a time to come back, and the room comes back with
 // the requests that end.
-func TestIntakeIsShared(t *testing.T) {
+func TestIntakeLimit(t *testing.T) {
 	release := make(chan struct{})
-	r := newReplica(t, func(c net.Conn, h heard) {
+	r := newReplica(t, func(c net.Conn, h capturedRequest) {
 		<-release
-		io.WriteString(c, strings.Replace(byLength, "a1", h.request.Header.Get("Saffronfall-Attempt"), 1))
+		io.WriteString(c, strings.Replace(lengthAnswer, "a1", h.request.Header.Get("Saffronfall-Attempt"), 1))
 	})
-	owner := &scripted{t: t, steps: []relay.Step{send, pass}, asked: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16), lines: []*replica.Line{replica.NewLine(r.address, 4, time.Second)}}
+	dispatcher := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, asked: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16), lines: []*replica.Line{replica.NewLine(r.address, 4, time.Second)}}
 	rejected := make(chan relay.Ended, 16)
-	server := httptest.NewServer(Handler(Options{Owner: owner, Names: replica.OwnNames, Most: 1 << 20, Closing: make(chan struct{}), IntakeSize: 3 * bodyStep, Rejected: func(e relay.Ended) { rejected <- e }}))
+	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Names: replica.OwnNames, MaxBody: 1 << 20, Draining: make(chan struct{}), IntakeBytes: 3 * bodyChunk, OnRejected: func(e relay.Ended) { rejected <- e }}))
 	t.Cleanup(server.Close)
-	n := &node{scripted: owner, server: server}
-	say := func(attempt string, size int) *client {
+	n := &node{scriptedDispatcher: dispatcher, server: server}
+	write := func(attempt string, size int) *client {
 		q := n.dial(t)
-		q.say(fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: %s\r\nContent-Length: %d\r\n\r\n%s", attempt, size, strings.Repeat("b", size)))
+		q.write(fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: %s\r\nContent-Length: %d\r\n\r\n%s", attempt, size, strings.Repeat("b", size)))
 		return q
 	}
-	first := say("first", 2*bodyStep-1)
-	<-r.heard
-	refused := say("second", 2*bodyStep-1).read("POST")
+	first := write("first", 2*bodyChunk-1)
+	<-r.received
+	refused := write("second", 2*bodyChunk-1).read("POST")
 	if refused.StatusCode != 503 || refused.Header.Get("Retry-After") == "" || !refused.Close {
 		t.Errorf("beyond the room: %d, come back after %q, closes %v", refused.StatusCode, refused.Header.Get("Retry-After"), refused.Close)
 	}
@@ -170,7 +170,7 @@
 		t.Errorf("the first is answered %d", got.StatusCode)
 	}
 	first.Close()
-	third := say("third", 2*bodyStep-1)
+	third := write("third", 2*bodyChunk-1)
 	if got := third.read("POST"); got.StatusCode != 200 {
 		t.Errorf("after the first has ended: %d", got.StatusCode)
 	}
@@ -178,13 +178,13 @@
 
 // TestNothingIsSentAfterItsTime: a sending whose time ended before it was taken up, as
 // when the process was stopped in between, reaches no replica.
-func TestNothingIsSentAfterItsTime(t *testing.T) {
-	r := answering(t, byLength)
-	late := send
+func TestExpiredAttemptIsNotSent(t *testing.T) {
+	r := newStaticReplica(t, lengthAnswer)
+	late := sendStep
 	late.Within = -time.Second
 	n := newNode(t, []relay.Step{late, {Kind: relay.StepRefuse, Status: 503}}, r)
 	q := n.dial(t)
-	q.say(request)
+	q.write(request)
 	if got := q.read("POST"); got.StatusCode != 503 {
 		t.Errorf("answered %d", got.StatusCode)
 	}
@@ -192,7 +192,7 @@
 		t.Errorf("%+v", o)
 	}
 	select {
-	case <-r.heard:
+	case <-r.received:
 		t.Error("it was sent")
 	default:
 	}
--- a/peer/front/listener.go
+++ b/peer/front/listener.go
@@ -11,55 +11,57 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Serve serves requesters on an address, as http.Server.ListenAndServe does,
-// and also notices heads that tell their body's length in two ways. The library
-// takes the chunks and forgets the length, and would go on with the connection;
-// whatever the length covered would then run as a request of its own. RFC 9112,
-// section 6.1, wants the connection to end with the answer.
+// Serve listens on the server's address and serves it, as
+// http.Server.ListenAndServe does, with two differences.
 //
-// It takes no more connections at a time than most: descriptors that requesters hold,
-// the node lacks towards replicas and cores. Others wait in the listener's queue.
-func Serve(server *http.Server, most int) error {
+// It detects heads with both Content-Length and Transfer-Encoding, so that the handler
+// can close their connection after the answer (RFC 9112, section 6.1). net/http drops
+// the length and keeps the connection, which would allow request smuggling.
+//
+// It keeps at most maxConnections open at a time, so that requesters cannot exhaust the
+// descriptors that the node needs for replicas and cores. Further connections wait in
+// the listener's queue.
+func Serve(server *http.Server, maxConnections int) error {
 	listener, err := net.Listen("tcp", server.Addr)
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
-	return ServeOn(server, listener, most)
+	return ServeOn(server, listener, maxConnections)
 }
 
-// ServeOn is Serve on a listener that is there already.
-func ServeOn(server *http.Server, listener net.Listener, most int) error {
+// ServeOn is Serve on an existing listener.
+func ServeOn(server *http.Server, listener net.Listener, maxConnections int) error {
 	server.ConnContext = withConnection
-	return server.Serve(&watchedListener{Listener: listener, places: make(chan struct{}, most), closed: make(chan struct{})})
+	return server.Serve(&limitedListener{Listener: listener, slots: make(chan struct{}, maxConnections), closed: make(chan struct{})})
 }
 
-// watchedListener accepts connections whose heads are watched, and which are counted.
-type watchedListener struct {
+// limitedListener limits open connections and scans the heads that they carry.
+type limitedListener struct {
 	net.Listener
-	// places has one entry for each open connection.
-	places  chan struct{}
+	// slots has one entry for each open connection.
+	slots   chan struct{}
 	closed  chan struct{}
 	closing atomic.Bool
 }
 
-// Accept waits for a place and the next connection.
-func (l *watchedListener) Accept() (net.Conn, error) {
+// Accept waits for a free slot and the next connection.
+func (l *limitedListener) Accept() (net.Conn, error) {
 	select {
-	case l.places <- struct{}{}:
+	case l.slots <- struct{}{}:
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 	c, err := l.Listener.Accept()
 	plain, ok := c.(*net.TCPConn)
 	if err == nil && ok {
-		return &connection{TCPConn: plain, places: l.places}, nil
+		return &connection{TCPConn: plain, slots: l.slots}, nil
 	}
-	<-l.places
+	<-l.slots
 	return c, err
 }
 
-// Close ends the listener, also while it waits for a place.
-func (l *watchedListener) Close() error {
+// Close closes the listener and ends a pending Accept, even one that waits for a slot.
+func (l *limitedListener) Close() error {
 	if l.closing.CompareAndSwap(false, true) {
 		close(l.closed)
 	}
@@ -69,25 +71,25 @@
 // connection is a requester's connection.
 type connection struct {
 	*net.TCPConn
-	places <-chan struct{}
-	closed atomic.Bool
-	watch  headWatch
-	// ambiguous: a head told its body's length in two ways.
+	slots   <-chan struct{}
+	closed  atomic.Bool
+	scanner headScanner
+	// ambiguous is set once a head has had both Content-Length and Transfer-Encoding.
 	ambiguous atomic.Bool
 }
 
-// Close closes the connection and gives its place back.
+// Close closes the connection and frees its slot.
 func (c *connection) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
-		<-c.places
+		<-c.slots
 	}
 	return c.TCPConn.Close()
 }
 
-// Read reads what the requester sends.
+// Read reads from the connection and scans the bytes for ambiguous heads.
 func (c *connection) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	if n > 0 && c.watch.see(p[:n]) {
+	if n > 0 && c.scanner.scan(p[:n]) {
 		c.ambiguous.Store(true)
 	}
 	return n, err
@@ -99,31 +101,30 @@
 	return context.WithValue(ctx, connectionKey{}, c)
 }
 
-// ambiguous reports whether a head on a request's connection told its body's
-// length in two ways.
-func ambiguous(r *http.Request) bool {
+// ambiguousLength reports whether a head on the request's connection has had both
+// Content-Length and Transfer-Encoding.
+func ambiguousLength(r *http.Request) bool {
 	c, ok := r.Context().Value(connectionKey{}).(*connection)
 	return ok && c.ambiguous.Load()
 }
 
-// headWatch looks for two headers within one run of lines without a blank one.
-// It sees heads and bodies alike: a body that looks like such a head costs its
-// requester a connection, and nothing more.
-type headWatch struct {
-	// line is the beginning of the line that is not over yet.
+// headScanner looks for Content-Length and Transfer-Encoding within consecutive
+// non-blank lines. It does not tell heads from bodies: a body that looks like such a
+// head only costs its requester the connection.
+type headScanner struct {
+	// line is the beginning of the current, unfinished line.
 	line             []byte
 	length, encoding bool
 }
 
-// Names of the headers, in lower case, and the longest of them.
 const (
-	lengthHeader   = "content-length"
-	encodingHeader = "transfer-encoding"
-	longestHeader  = len(encodingHeader)
+	lengthHeader    = "content-length"
+	encodingHeader  = "transfer-encoding"
+	maxHeaderPrefix = len(encodingHeader)
 )
 
-// see takes the next bytes, and reports whether both headers stand in one head.
-func (w *headWatch) see(raw []byte) bool {
+// scan takes the next bytes and reports whether one head has both headers.
+func (s *headScanner) scan(raw []byte) bool {
 	both := false
 	for len(raw) > 0 {
 		end := bytes.IndexByte(raw, '\n')
@@ -131,34 +132,33 @@
 		if end >= 0 {
 			part = raw[:end]
 		}
-		if room := longestHeader - len(w.line); room > 0 {
-			w.line = append(w.line, part[:min(len(part), room)]...)
+		if room := maxHeaderPrefix - len(s.line); room > 0 {
+			s.line = append(s.line, part[:min(len(part), room)]...)
 		}
 		if end < 0 {
 			break
 		}
-		w.endLine()
-		both = both || w.length && w.encoding
+		s.endLine()
+		both = both || s.length && s.encoding
 		raw = raw[end+1:]
 	}
 	return both
 }
 
-// endLine takes the line that has ended; a blank one ends a head.
-func (w *headWatch) endLine() {
-	line := string(bytes.TrimRight(w.line, "\r"))
+// endLine evaluates the finished line; a blank one ends the head.
+func (s *headScanner) endLine() {
+	line := string(bytes.TrimRight(s.line, "\r"))
 	switch {
 	case line == "":
-		w.length, w.encoding = false, false
-	case hasName(line, lengthHeader):
-		w.length = true
-	case hasName(line, encodingHeader):
-		w.encoding = true
+		s.length, s.encoding = false, false
+	case hasHeaderName(line, lengthHeader):
+		s.length = true
+	case hasHeaderName(line, encodingHeader):
+		s.encoding = true
 	}
-	w.line = w.line[:0]
+	s.line = s.line[:0]
 }
 
-// hasName reports whether a line begins with a header's name.
-func hasName(line, name string) bool {
+func hasHeaderName(line, name string) bool {
 	return len(line) >= len(name) && strings.EqualFold(line[:len(name)], name)
 }
--- a/peer/front/listener_test.go
+++ b/peer/front/listener_test.go
@@ -14,15 +14,15 @@
 )
 
 // watchedNode is a node that serves its requesters as the program does.
-func watchedNode(t *testing.T, address string) *node {
+func newLimitedNode(t *testing.T, address string) *node {
 	t.Helper()
-	n, owner := decidingNode(t, send, address)
+	n, dispatcher := newDispatcherNode(t, sendStep, address)
 	n.server.Close()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{Handler: Handler(Options{Owner: owner, Names: replica.OwnNames, Most: 1 << 20, Closing: make(chan struct{})}), ReadHeaderTimeout: time.Second}
+	server := &http.Server{Handler: Handler(Options{Dispatcher: dispatcher, Names: replica.OwnNames, MaxBody: 1 << 20, Draining: make(chan struct{})}), ReadHeaderTimeout: time.Second}
 	go ServeOn(server, listener, 100)
 	t.Cleanup(func() { server.Close() })
 	n.server.Listener = listener
@@ -32,8 +32,8 @@
 // TestLengthAndChunks: a request that tells its length in two ways is answered
 // by its chunks, and what comes after it on its connection does not run, however
 // its bytes are cut into segments.
-func TestLengthAndChunks(t *testing.T) {
-	hidden := numbered("hidden")
+func TestLengthWithChunkedEncoding(t *testing.T) {
+	hidden := requestWithID("hidden")
 	length := fmt.Sprintf("Content-Length: %d\r\n", len("0\r\n\r\n"+hidden))
 	for name, headers := range map[string]string{
 		"length first":     length + "Transfer-Encoding: chunked\r\n",
@@ -44,8 +44,8 @@
 	} {
 		for _, segment := range []int{1 << 20, 7, 1} {
 			t.Run(fmt.Sprintf("%s, %d bytes", name, segment), func(t *testing.T) {
-				heard := make(chan string, 16)
-				q := watchedNode(t, echoing(t, heard)).dial(t)
+				received := make(chan string, 16)
+				q := newLimitedNode(t, newEchoReplica(t, received)).dial(t)
 				raw := "POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: open\r\n" + headers + "\r\n0\r\n\r\n" + hidden
 				for len(raw) > 0 {
 					size := min(segment, len(raw))
@@ -55,8 +55,8 @@
 					raw = raw[size:]
 				}
 				io.Copy(io.Discard, q)
-				for len(heard) > 0 {
-					if id := <-heard; id == "hidden" {
+				for len(received) > 0 {
+					if id := <-received; id == "hidden" {
 						t.Error("the hidden request ran")
 					}
 				}
@@ -67,27 +67,27 @@
 
 // TestProperRequestsKeepTheirConnection: requests with a length and requests in
 // chunks share a connection.
-func TestProperRequestsKeepTheirConnection(t *testing.T) {
-	heard := make(chan string, 64)
-	q := watchedNode(t, echoing(t, heard)).dial(t)
+func TestValidRequestsKeepConnection(t *testing.T) {
+	received := make(chan string, 64)
+	q := newLimitedNode(t, newEchoReplica(t, received)).dial(t)
 	for i := range 6 {
 		id := fmt.Sprint("request ", i)
-		raw := numbered(id)
+		raw := requestWithID(id)
 		if i%2 == 1 {
 			raw = fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: %s\r\nTransfer-Encoding: chunked\r\n\r\n%s0\r\n\r\n", id, chunk(id))
 		}
-		q.say(raw)
+		q.write(raw)
 		got := q.read("POST")
 		if body, err := io.ReadAll(got.Body); err != nil || string(body) != id || got.Close {
 			t.Errorf("%s: %q, %v, close %v", id, body, err, got.Close)
 		}
-		if ran := <-heard; ran != id {
+		if ran := <-received; ran != id {
 			t.Errorf("%s ran, want %s", ran, id)
 		}
 	}
 }
 
-func TestHeadWatch(t *testing.T) {
+func TestHeadScanner(t *testing.T) {
 	for raw, want := range map[string]bool{
 		"A: b\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n":                         true,
 		"A: b\r\nContent-Length: 1\r\n\r\nTransfer-Encoding: chunked\r\n\r\n":                     false,
@@ -97,11 +97,11 @@
 		"\r\n\r\ncontent-length:1\r\n" + strings.Repeat("y", 100) + "\r\ntransfer-encoding:x\r\n": true,
 	} {
 		for _, segment := range []int{1, 3, len(raw)} {
-			var watch headWatch
+			var scanner headScanner
 			both := false
 			for rest := raw; len(rest) > 0; {
 				size := min(segment, len(rest))
-				both = watch.see([]byte(rest[:size])) || both
+				both = scanner.scan([]byte(rest[:size])) || both
 				rest = rest[size:]
 			}
 			if both != want {
@@ -114,7 +114,7 @@
 // TestConnectionsAreBounded: a requester that opens connections and uses none takes no
 // more of a node's descriptors than is set aside for requesters. Others wait until one
 // is closed.
-func TestConnectionsAreBounded(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	const most = 4
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/saffronfall/relayprocess/process.go
+++ b/saffronfall/relayprocess/process.go
@@ -115,8 +115,8 @@
 	group.Add(func() error { return s.own() }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
 	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "node", Look: s.snapshot, Set: s.observer.set}, log)
-	handler := front.Handler(front.Options{Owner: s, Names: names, HashKey: hashKey(p.Secret), Most: p.Largest, Closing: s.closing,
-		BodyTime: time.Duration(p.BodyMS) * time.Millisecond, IntakeSize: p.IntakeBytes, Rejected: s.rejected, Violated: s.violated})
+	handler := front.Handler(front.Options{Dispatcher: s, Names: names, HashKey: hashKey(p.Secret), MaxBody: p.Largest, Draining: s.closing,
+		BodyTimeout: time.Duration(p.BodyMS) * time.Millisecond, IntakeBytes: p.IntakeBytes, OnRejected: s.rejected, Violated: s.violated})
 	server := &http.Server{Addr: p.RequesterListen, Handler: handler, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 1 << 20}
 	serve(&group, server, func(server *http.Server) error { return front.Serve(server, int(p.Connections)) }, "requester address")
 	if p.ReadyListen != "" {
@@ -273,8 +273,8 @@
 	answers chan told
 }
 
-// Arrive hands a request to the owner's goroutine and waits for its first step.
-func (s *process) Arrive(ctx context.Context, a relay.Ask) (front.Way, relay.Step, *replica.Line, bool) {
+// Dispatch hands a request to the owner's goroutine and waits for its first step.
+func (s *process) Dispatch(ctx context.Context, a relay.Ask) (front.Request, relay.Step, *replica.Line, bool) {
 	w := &way{process: s, ctx: ctx, ask: a, answers: make(chan told, 2)}
 	select {
 	case s.arrive <- w:
@@ -339,8 +339,8 @@
 	}
 }
 
-// Came tells what became of a sending and waits for the next step.
-func (w *way) Came(o relay.Outcome) (relay.Step, *replica.Line, bool) {
+// Next reports the outcome of an attempt and waits for the next step.
+func (w *way) Next(o relay.Outcome) (relay.Step, *replica.Line, bool) {
 	select {
 	case w.process.came <- came{ticket: w.ticket, outcome: o}:
 	case <-w.process.life.Done():
