--- a/peer/core/description.go
+++ b/peer/core/description.go
@@ -17,7 +17,7 @@
 	Code    string               `json:"code,omitempty"`
 	Reason  string               `json:"reason,omitempty"`
 	Faults  configuration.Faults `json:"faults,omitempty"`
-	Figures *rehearsal.Figures   `json:"figures,omitempty"`
+	Figures *rehearsal.Result    `json:"figures,omitempty"`
 }
 
 // Hand is a description that an operator hands over.
@@ -86,7 +86,7 @@
 	return Taking{Version: version, Code: "race_lost", Reason: "another configuration came first; version " + strconv.FormatUint(version, 10) + " is in force"}
 }
 
-func (m *Machine) agree(now time.Duration, ticket uint64, until time.Duration, h Hand, figures *rehearsal.Figures) {
+func (m *Machine) agree(now time.Duration, ticket uint64, until time.Duration, h Hand, figures *rehearsal.Result) {
 	m.caller.Call(now, AgreeConfiguration{BasedOn: h.BasedOn, Text: h.Text, Digest: h.Digest}, until, func(now time.Duration, o Outcome) {
 		agreed, ok := o.Answer.(Agreed)
 		switch {
--- a/peer/front/handler_test.go
+++ b/peer/front/handler_test.go
@@ -23,8 +23,7 @@
 
 const testTimeout = 10 * time.Second
 
-// scripted is a node's machine that takes its steps from a script; sendings go
-// to the lines in turn.
+// scriptedDispatcher returns a fixed list of steps; attempts use its lines in turn.
 type scriptedDispatcher struct {
 	t        *testing.T
 	steps    []relay.Step
@@ -77,15 +76,14 @@
 	breakStep = relay.Step{Kind: relay.StepBreak, Status: 502, Check: "replica", Reason: "it may have run"}
 )
 
-// heard is what a replica got.
+// capturedRequest is a request as a replica received it.
 type capturedRequest struct {
 	head    string
 	request *http.Request
 	body    []byte
 }
 
-// rawReplica answers each request by a function that writes to the connection,
-// which is closed after it.
+// rawReplica answers one request per connection by a function that writes to it.
 type rawReplica struct {
 	address  string
 	received chan capturedRequest
@@ -130,7 +128,7 @@
 	return newReplica(t, func(c net.Conn, h capturedRequest) { io.WriteString(c, raw) })
 }
 
-// node is a handler under test on a real server.
+// node is a handler on a real server.
 type node struct {
 	*scriptedDispatcher
 	server *httptest.Server
@@ -148,7 +146,7 @@
 	return &node{scriptedDispatcher: s, server: server}
 }
 
-// client is one raw connection to a node.
+// client is a raw connection to a node.
 type client struct {
 	t *testing.T
 	net.Conn
@@ -184,8 +182,8 @@
 
 const okHead = "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal: s\r\n"
 
-// TestAnswersUnchanged: status, body and headers of a replica's answer reach the
-// requester as they were, but for what concerns one connection.
+// TestAnswersUnchanged: status, body and end-to-end headers of a replica's answer reach the
+// requester unchanged.
 func TestAnswersUnchanged(t *testing.T) {
 	body := "\x00\xff\r\nbody"
 	length := fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
@@ -203,7 +201,7 @@
 		{"head", "HEAD", okHead + "Content-Length: 77\r\n\r\n", 200, ""},
 		{"failure", "POST", "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal: s\r\n" + length, 500, body},
 		{"failure without seal", "POST", "HTTP/1.1 404 X\r\nSaffronfall-Attempt: a1\r\n" + length, 404, body},
-		{"a time to come back", "POST", "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nRetry-After: 0.25\r\n" + length, 503, body},
+		{"retry after", "POST", "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nRetry-After: 0.25\r\n" + length, 503, body},
 		{"moved", "POST", "HTTP/1.1 302 X\r\nSaffronfall-Attempt: a1\r\nLocation: /x\r\n" + length, 302, body},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -229,10 +227,10 @@
 				}
 			}
 			if c.method == "HEAD" && got.ContentLength != 77 {
-				t.Errorf("a length of %d", got.ContentLength)
+				t.Errorf("Content-Length %d", got.ContentLength)
 			}
 			if got.Close {
-				t.Error("the replica's end of its connection is the requester's")
+				t.Error("the requester's connection was closed with the replica's")
 			}
 			if o := <-n.outcomes; o.Kind != relay.Whole || o.Failed != (c.status >= 300) {
 				t.Errorf("%+v", o)
@@ -241,8 +239,8 @@
 	}
 }
 
-// TestRequestsUnchanged: method, path, query and body reach the replica byte for
-// byte; the key never does, and the tenant is what the node says.
+// TestRequestsUnchanged: method, path, query and body reach the replica byte for byte; the
+// key does not, and the tenant is set by the node.
 func TestRequestsUnchanged(t *testing.T) {
 	long := strings.Repeat("x", 100<<10)
 	for _, c := range []struct{ name, method, uri, headers, body, want string }{
@@ -258,8 +256,8 @@
 		{"empty chunks", "POST", "/a", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n", ""},
 		{"large", "POST", "/a", fmt.Sprintf("Content-Length: %d\r\n", len(long)), long, long},
 		{"body like a request", "POST", "/a", fmt.Sprintf("Content-Length: %d\r\n", len(request)), request, request},
-		{"id named as of one connection", "POST", "/a", "Connection: Saffronfall-Attempt, keep-alive, Content-Length\r\nContent-Length: 2\r\n", "hi", "hi"},
-		{"waits for a word", "POST", "/a", "Expect: 100-continue\r\nContent-Length: 2\r\n", "hi", "hi"},
+		{"id named as hop-by-hop", "POST", "/a", "Connection: Saffronfall-Attempt, keep-alive, Content-Length\r\nContent-Length: 2\r\n", "hi", "hi"},
+		{"expects 100 Continue", "POST", "/a", "Expect: 100-continue\r\nContent-Length: 2\r\n", "hi", "hi"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newStaticReplica(t, okHead+"Content-Length: 2\r\n\r\nok")
@@ -283,7 +281,7 @@
 				t.Errorf("%s, %d bytes %.80q", h.request.Host, len(h.body), h.body)
 			}
 			if c.want != "" && h.request.ContentLength != int64(len(c.want)) {
-				t.Errorf("a length of %d", h.request.ContentLength)
+				t.Errorf("Content-Length %d", h.request.ContentLength)
 			}
 			if strings.Contains(h.head, "secret") {
 				t.Errorf("the key was passed on: %s", h.head)
@@ -296,13 +294,13 @@
 			}
 			path, _, _ := strings.Cut(c.uri, "?")
 			if a := <-n.asked; a.Path != path || a.Host != "some.example:80" || a.Key != "secret" || !a.HasKey || a.Left != 5*time.Second || string(a.Input) != c.want || a.BodyBytes != int64(len(c.want)) {
-				t.Errorf("asked %+v", a)
+				t.Errorf("dispatched %+v", a)
 			}
 		})
 	}
 }
 
-// TestTenantOnlyFromNode: where the node names no tenant, none is passed on.
+// TestTenantOnlyFromNode: a tenant header from the requester is never passed on.
 func TestTenantOnlyFromNode(t *testing.T) {
 	open := sendStep
 	open.Tenant = ""
@@ -316,7 +314,7 @@
 	}
 }
 
-// TestHistoryGoesBefore: what kept turns said stands before the new input.
+// TestHistoryPrecedesInput: the history of kept turns precedes the new input.
 func TestHistoryPrecedesInput(t *testing.T) {
 	s := streamStep(true)
 	s.Before = [][]byte{[]byte("in1"), []byte("out1\n"), []byte("in2"), []byte("out2\nout3\n")}
@@ -333,22 +331,22 @@
 	}
 }
 
-// TestNeverPassed: answers that may not be the replica's own whole ones never
-// reach a requester as answers.
+// TestInvalidAnswersAreNotPassedOn: an incomplete, unsealed or foreign answer never reaches
+// the requester as a complete one.
 func TestInvalidAnswersAreNotPassedOn(t *testing.T) {
 	for _, c := range []struct{ name, answer, kind string }{
-		{"a success without seal", "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nContent-Length: 2\r\n\r\nok", relay.Broken},
-		{"a success with an empty seal", "HTTP/1.1 204 OK\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal:\r\n\r\n", relay.Broken},
-		{"a success without end", okHead + "\r\nok", relay.Broken},
-		{"a success cut short", okHead + "Content-Length: 3\r\n\r\nok", relay.Broken},
-		{"chunks cut short", okHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", relay.Broken},
-		{"a failure cut short", "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nContent-Length: 3\r\n\r\nok", relay.Broken},
-		{"a failure without end", "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\n\r\nok", relay.Broken},
-		{"another's answer", strings.Replace(okHead, "a1", "a2", 1) + "Content-Length: 2\r\n\r\nok", relay.Broken},
-		{"no answer", "hello", relay.Broken},
-		{"an answer larger than any", okHead + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 1<<20+1, strings.Repeat("x", 1<<20+1)), relay.Broken},
-		{"a promise", "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Not-Run: 1\r\nContent-Length: 2\r\n\r\nno", relay.NotRun},
-		{"another replica's place", "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n", relay.NotRun},
+		{"success without seal", "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nContent-Length: 2\r\n\r\nok", relay.Broken},
+		{"success with an empty seal", "HTTP/1.1 204 OK\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal:\r\n\r\n", relay.Broken},
+		{"success without end", okHead + "\r\nok", relay.Broken},
+		{"truncated success", okHead + "Content-Length: 3\r\n\r\nok", relay.Broken},
+		{"truncated chunks", okHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", relay.Broken},
+		{"truncated failure", "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nContent-Length: 3\r\n\r\nok", relay.Broken},
+		{"failure without end", "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\n\r\nok", relay.Broken},
+		{"answer to another attempt", strings.Replace(okHead, "a1", "a2", 1) + "Content-Length: 2\r\n\r\nok", relay.Broken},
+		{"not HTTP", "hello", relay.Broken},
+		{"too large", okHead + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 1<<20+1, strings.Repeat("x", 1<<20+1)), relay.Broken},
+		{"not run", "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Not-Run: 1\r\nContent-Length: 2\r\n\r\nno", relay.NotRun},
+		{"misdirected", "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n", relay.NotRun},
 	} {
 		for _, s := range []relay.Step{sendStep, streamStep(false), streamStep(true)} {
 			t.Run(fmt.Sprint(c.name, s.Stream, s.Kept), func(t *testing.T) {
@@ -359,10 +357,10 @@
 				if err == nil && got.StatusCode != 502 {
 					_, err = io.ReadAll(got.Body)
 					if err == nil {
-						t.Errorf("it looks complete: %d", got.StatusCode)
+						t.Errorf("the answer looks complete: %d", got.StatusCode)
 					}
 					if !s.Stream {
-						t.Errorf("a part was passed on: %d", got.StatusCode)
+						t.Errorf("a partial answer was passed on: %d", got.StatusCode)
 					}
 				}
 				if o := <-n.outcomes; o.Kind != c.kind || o.Gone || o.Unreached {
@@ -373,8 +371,8 @@
 	}
 }
 
-// TestLongPromise: a connection with more of a promise to come is not used
-// again, and the next request gets its own answer.
+// TestLongNotRunAnswer: a connection whose not-run answer was not read to its end is not
+// reused, so that the next request gets its own answer.
 func TestLongNotRunAnswer(t *testing.T) {
 	more, kept := make(chan struct{}), make(chan int, 4)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -421,7 +419,7 @@
 	}
 }
 
-// events reads a stream's events one by one, as they are flushed.
+// readEvents reads count events and checks that no more were flushed.
 func readEvents(q *client, r *http.Response, count int) string {
 	q.t.Helper()
 	var text strings.Builder
@@ -437,7 +435,7 @@
 		}
 	}
 	if reader.Buffered() > 0 {
-		q.t.Errorf("more was passed on: %d bytes", reader.Buffered())
+		q.t.Errorf("%d more bytes were passed on", reader.Buffered())
 	}
 	return text.String()
 }
@@ -446,8 +444,7 @@
 
 const streamHead = okHead + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// TestEventByEvent: the requester has each event before the replica sends the
-// next, and a turn that is kept ends for the requester when the machine says so.
+// TestEventByEvent: the requester gets each event before the replica sends the next.
 func TestEventByEvent(t *testing.T) {
 	had := make(chan struct{})
 	r := newReplica(t, func(c net.Conn, h capturedRequest) {
@@ -479,8 +476,8 @@
 	}
 }
 
-// TestKeptOutput: what a turn put out is the data of each event, each followed
-// by a line feed, however the bytes come; the requester gets them unchanged.
+// TestKeptOutput: a kept turn's output is the data of each event, followed by a line feed,
+// for any segmentation; the requester gets the bytes unchanged.
 func TestKeptOutput(t *testing.T) {
 	for _, c := range []struct {
 		name, text, output string
@@ -533,21 +530,21 @@
 	}
 }
 
-// TestAbortedStream: a stream that the replica cuts never looks complete, and no
-// half event is passed on.
+// TestAbortedStream: a stream that the replica interrupts never looks complete, and no
+// partial event is passed on.
 func TestAbortedStream(t *testing.T) {
 	for _, c := range []struct{ name, answer, want string }{
 		{"between events", streamHead + chunk("id: 1\ndata: a\n\n"), "id: 1\ndata: a\n\n"},
 		{"within an event", streamHead + chunk("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n"},
-		{"of a length", okHead + "Content-Length: 40\r\n\r\nid: 1\ndata: a\n\nid: 2\n", "id: 1\ndata: a\n\n"},
-		{"bytes that are no chunk", streamHead + chunk("id: 1\ndata: a\n\n") + "zzz", "id: 1\ndata: a\n\n"},
-		{"an event larger than any", streamHead + chunk("id: 1\ndata: a\n\n") + chunk("data: "+strings.Repeat("x", 2<<20)+"\n\n") + "0\r\n\r\n", "id: 1\ndata: a\n\n"},
+		{"with a length", okHead + "Content-Length: 40\r\n\r\nid: 1\ndata: a\n\nid: 2\n", "id: 1\ndata: a\n\n"},
+		{"invalid chunk", streamHead + chunk("id: 1\ndata: a\n\n") + "zzz", "id: 1\ndata: a\n\n"},
+		{"too large event", streamHead + chunk("id: 1\ndata: a\n\n") + chunk("data: "+strings.Repeat("x", 2<<20)+"\n\n") + "0\r\n\r\n", "id: 1\ndata: a\n\n"},
 	} {
 		for _, last := range []relay.Step{breakStep, {Kind: relay.StepRefuse, Status: 503}, {}} {
 			t.Run(c.name+last.Kind, func(t *testing.T) {
 				steps := []relay.Step{streamStep(true), last}
 				if last.Kind == "" {
-					// The node ends.
+					// The node stops.
 					steps = steps[:1]
 				}
 				n := newNode(t, steps, newStaticReplica(t, c.answer))
@@ -566,7 +563,7 @@
 	}
 }
 
-// TestNotKept: a whole turn that could not be kept does not look complete.
+// TestFailedKeepAbortsStream: a complete turn that could not be kept does not look complete.
 func TestFailedKeepAbortsStream(t *testing.T) {
 	n := newNode(t, []relay.Step{streamStep(true), breakStep}, newStaticReplica(t, streamHead+chunk("data: a\n\n")+"0\r\n\r\n"))
 	q := n.dial(t)
@@ -576,8 +573,8 @@
 	}
 }
 
-// TestResumedStream: a stream taken up at another replica joins without gap or
-// repeat, under its first head, also where the first was cut within an event.
+// TestResumedStream: a stream resumed at another replica keeps its first head and has no gap
+// or repetition, even if the first replica stopped within an event.
 func TestResumedStream(t *testing.T) {
 	for _, own := range []string{"", "Last-Event-Id: 2\r\n"} {
 		first := newStaticReplica(t, streamHead+chunk("id: 3\ndata: a\n\n")+chunk("id: 4\r\ndata: b\r\n\r\nid: 5\ndata: h"))
@@ -606,8 +603,8 @@
 	}
 }
 
-// TestTakenUpBeforeItsFirstEvent: a stream that was cut before anything of it
-// was passed on has the head of the replica whose events it has.
+// TestResumedBeforeFirstEvent: a stream interrupted before its first event has the head of
+// the replica that resumed it.
 func TestResumedBeforeFirstEvent(t *testing.T) {
 	first := newStaticReplica(t, streamHead+chunk("id: 1\nda"))
 	second := newStaticReplica(t, strings.Replace(streamHead, "Seal: s", "Seal: t", 1)+chunk("id: 1\ndata: a\n\n")+"0\r\n\r\n")
@@ -623,8 +620,7 @@
 	}
 }
 
-// TestResumedElsewhereFails: what another replica answers instead of going on
-// never joins a stream.
+// TestFailedResume: an answer that does not resume a stream is not appended to it.
 func TestFailedResume(t *testing.T) {
 	for _, answer := range []string{"HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nContent-Length: 4\r\n\r\noops", "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nContent-Length: 10\r\n\r\ndata: a\n\n ", "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n"} {
 		n := newNode(t, []relay.Step{streamStep(false), streamStep(false), breakStep}, newStaticReplica(t, streamHead+chunk("id: 1\ndata: a\n\n")), newStaticReplica(t, answer))
@@ -639,8 +635,7 @@
 	}
 }
 
-// TestMalformedRequests: what cannot be read is refused before the machine has
-// it.
+// TestMalformedRequests: malformed requests are refused before they are dispatched.
 func TestMalformedRequests(t *testing.T) {
 	n := newNode(t, []relay.Step{{Kind: relay.StepRefuse, Status: 418}})
 	for _, c := range []struct {
@@ -680,12 +675,12 @@
 		}
 	}
 	if len(n.asked) != 0 {
-		t.Error("the machine was asked")
+		t.Error("the request was dispatched")
 	}
 }
 
-// TestDeadlines: a deadline that has passed is not one that is missing, and one
-// beyond all bounds is not one that has passed.
+// TestDeadlines: a passed deadline is distinct from a missing one, and a huge one does not
+// overflow into a passed one.
 func TestDeadlines(t *testing.T) {
 	h := &handler{Options: Options{Names: replica.OwnNames}}
 	for text, check := range map[string]func(left time.Duration) bool{
@@ -709,8 +704,8 @@
 	}
 }
 
-// TestBodies: one that is too large gets 413, at once where its length says so;
-// one that does not come whole is not passed on.
+// TestBodyLimits: a body that is too large gets 413, without being read if its length says
+// so, and an incomplete one is not dispatched.
 func TestBodyLimits(t *testing.T) {
 	n := newNode(t, []relay.Step{{Kind: relay.StepRefuse, Status: 418}})
 	for _, raw := range []string{
@@ -727,25 +722,24 @@
 	q.write("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nContent-Length: 5\r\n\r\nab")
 	q.Conn.(*net.TCPConn).CloseWrite()
 	if got, err := http.ReadResponse(q.reader, nil); err == nil && got.StatusCode != 400 {
-		t.Errorf("cut short: %d", got.StatusCode)
+		t.Errorf("truncated: %d", got.StatusCode)
 	}
 	q = n.dial(t)
 	q.write("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n")
 	if got := q.read("POST"); got.StatusCode != 400 || !got.Close {
-		t.Errorf("no chunks: %d", got.StatusCode)
+		t.Errorf("invalid chunks: %d", got.StatusCode)
 	}
 	if len(n.asked) != 0 {
-		t.Error("the machine was asked")
+		t.Error("the request was dispatched")
 	}
 	q = n.dial(t)
 	q.write("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nContent-Length: 1048576\r\n\r\n" + strings.Repeat("x", 1<<20))
 	if got := q.read("POST"); got.StatusCode != 418 {
-		t.Errorf("as large as may be: %d", got.StatusCode)
+		t.Errorf("largest allowed: %d", got.StatusCode)
 	}
 }
 
-// TestRefusals: a refusal names its check, the request's id, and when to come
-// back, where it has a time.
+// TestRefusals: a refusal has its check, the attempt's id, and Retry-After if a time is known.
 func TestRefusals(t *testing.T) {
 	for after, want := range map[time.Duration]string{0: "", 250 * time.Millisecond: "0.250", 3 * time.Second: "3.000"} {
 		for _, status := range []int{401, 402, 404, 429, 503} {
@@ -766,13 +760,13 @@
 	}
 }
 
-// TestNextReplica: one that was not reached, or that did not run it, leaves the
-// request to the next.
+// TestNextReplicaAfterNotRun: after a replica that was not reached or did not run the
+// request, the next one is tried.
 func TestNextReplicaAfterNotRun(t *testing.T) {
-	nobody := &rawReplica{address: "127.0.0.1:1"}
+	unreachable := &rawReplica{address: "127.0.0.1:1"}
 	full := newStaticReplica(t, "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Not-Run: 1\r\nSaffronfall-Load: 8,2,8\r\nContent-Length: 0\r\n\r\n")
-	well := newStaticReplica(t, okHead+"Saffronfall-Load: 3, 0, 8\r\nContent-Length: 2\r\n\r\nok")
-	n := newNode(t, []relay.Step{sendStep, sendStep, sendStep, passStep}, nobody, full, well)
+	healthy := newStaticReplica(t, okHead+"Saffronfall-Load: 3, 0, 8\r\nContent-Length: 2\r\n\r\nok")
+	n := newNode(t, []relay.Step{sendStep, sendStep, sendStep, passStep}, unreachable, full, healthy)
 	q := n.dial(t)
 	q.write(request)
 	if got := q.read("POST"); got.StatusCode != 200 {
@@ -787,9 +781,8 @@
 	}
 }
 
-// TestClientGone: when the requester goes, the replica's connection ends at
-// once, before its answer and within a stream, and it is not the replica's
-// fault.
+// TestRequesterDisconnects: when the requester disconnects, before the answer or within a
+// stream, the replica's connection is closed and the outcome does not blame the replica.
 func TestRequesterDisconnects(t *testing.T) {
 	for _, begun := range []string{"", streamHead + chunk("id: 1\ndata: a\n\n")} {
 		ended := make(chan error, 1)
@@ -815,14 +808,14 @@
 	}
 }
 
-// deaf is a requester that takes nothing more.
+// failingWriter fails every write.
 type failingWriter struct{ http.ResponseWriter }
 
 func (failingWriter) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 func (failingWriter) Flush()                    {}
 
-// TestClientTakesNothing: what cannot be passed on is the requester's end, not
-// the replica's.
+// TestWriteToRequesterFails: a failed write counts as a disconnected requester, not as a
+// failure of the replica.
 func TestWriteToRequesterFails(t *testing.T) {
 	n := newNode(t, []relay.Step{streamStep(true), breakStep}, newStaticReplica(t, streamHead+chunk("id: 1\ndata: a\n\n")))
 	func() {
@@ -836,8 +829,7 @@
 	}
 }
 
-// TestDrainingEndsConnections: while the node drains, each answer tells its
-// requester to come over another connection.
+// TestDrainingClosesConnections: while the node drains, each answer closes its connection.
 func TestDrainingClosesConnections(t *testing.T) {
 	closing := make(chan struct{})
 	s := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, asked: make(chan relay.Ask, 4), outcomes: make(chan relay.Outcome, 4)}
@@ -859,8 +851,8 @@
 	}
 }
 
-// FuzzRead: whatever stands in headers, a request is refused as malformed or
-// asked for with numbers within their bounds.
+// FuzzRead: for any header values, a request is either malformed or has all numbers within
+// their bounds.
 func FuzzRead(f *testing.F) {
 	f.Add("a1", "4000", "2304", "1840,288", "5c1e07a2:800,91bd3f06:410")
 	f.Add("", "NaN", "-1", ",", ":")
--- a/peer/front/interruption_test.go
+++ b/peer/front/interruption_test.go
@@ -19,9 +19,8 @@
 	"saffronfall/peer/replica"
 )
 
-// deciding is an owner that takes its steps by outcomes, as a node's machine
-// does for a request that may run once: what did not run goes to the next
-// replica, what may have run ends.
+// outcomeDispatcher chooses steps by outcomes, as a relay does for requests that may run
+// only once: one that did not run goes to the next replica, one that may have run ends.
 type outcomeDispatcher struct {
 	lines []*replica.Line
 	first relay.Step
@@ -46,12 +45,12 @@
 		w.at++
 		return w.dispatcher.first, w.dispatcher.lines[w.at], true
 	case o.Kind == relay.NotRun:
-		return relay.Step{Kind: relay.StepRefuse, Status: 503, Check: "replicas", Reason: "none is left"}, nil, true
+		return relay.Step{Kind: relay.StepRefuse, Status: 503, Check: "replicas", Reason: "no replica is left"}, nil, true
 	}
 	return breakStep, nil, true
 }
 
-// decidingNode is a handler with such an owner on a real server.
+// newDispatcherNode serves a handler with an outcomeDispatcher over the replicas' addresses.
 func newDispatcherNode(t *testing.T, first relay.Step, addresses ...string) (*node, *outcomeDispatcher) {
 	t.Helper()
 	dispatcher := &outcomeDispatcher{first: first}
@@ -77,10 +76,9 @@
 	failedAnswer  = "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal: s\r\nContent-Length: 4\r\n\r\noops"
 )
 
-// TestRunsOnceWhereverTheReplicaBreaksOff: a replica breaks off after each byte
-// of its answer. A request that may run once is sent to the next replica only
-// after a promise that it did not run, and its requester has a complete answer
-// only when the replica's came to its last byte.
+// TestReplicaDisconnectsAtEveryByte: a request that may run only once is sent to the next
+// replica only if the first one said that it did not run, and the requester sees a complete
+// answer only if the replica's arrived to its last byte.
 func TestReplicaDisconnectsAtEveryByte(t *testing.T) {
 	for name, c := range map[string]struct {
 		step   relay.Step
@@ -93,7 +91,7 @@
 		"a stream":    {streamStep(false), streamAnswer, twoEvents, 200},
 		"a kept turn": {streamStep(true), streamAnswer, twoEvents, 200},
 		"a failure":   {sendStep, failedAnswer, "oops", 500},
-		"a promise":   {sendStep, notRunAnswer, "next", 200},
+		"not run":     {sendStep, notRunAnswer, "next", 200},
 	} {
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reset %v", name, reset), func(t *testing.T) {
@@ -106,12 +104,12 @@
 	}
 }
 
-// brokenOff is what came of a request whose replica broke off.
+// interruptedResult is the result of a request whose replica disconnected.
 type interruptedResult struct {
 	status   int
 	body     string
 	complete bool
-	// sent tells how often each replica had it.
+	// first and second count how often each replica received the request.
 	first, second int
 }
 
@@ -120,29 +118,29 @@
 	promised := strings.Contains(answer, "Not-Run")
 	head := strings.Index(answer, "\r\n\r\n") + len("\r\n\r\n")
 	if b.first != 1 {
-		t.Errorf("cut at %d: the first replica had it %d times", cut, b.first)
+		t.Errorf("cut at %d: the first replica received the request %d times", cut, b.first)
 	}
 	if b.second > 0 && (!promised || cut < head) {
-		t.Errorf("cut at %d: it was sent to another replica though it may have run", cut)
+		t.Errorf("cut at %d: the request was sent to another replica though it may have run", cut)
 	}
 	if cut == len(answer) && !reset && (!b.complete || b.status != status || b.body != want) {
-		t.Errorf("whole: %+v", b)
+		t.Errorf("complete answer: %+v", b)
 	}
 	if cut < len(answer) && !promised && b.complete && b.status != breakStep.Status {
-		t.Errorf("cut at %d of %d: complete for its requester: %+v", cut, len(answer), b)
+		t.Errorf("cut at %d of %d: the requester got a complete answer: %+v", cut, len(answer), b)
 	}
 	if b.complete && b.status/100 == 2 && b.body != want {
-		t.Errorf("cut at %d: a success with %q", cut, b.body)
+		t.Errorf("cut at %d: success with body %q", cut, b.body)
 	}
 	if !b.complete && !strings.HasPrefix(want, b.body) {
-		t.Errorf("cut at %d: %q is no beginning of the answer", cut, b.body)
+		t.Errorf("cut at %d: %q is not a prefix of the answer", cut, b.body)
 	}
 	if b.complete && b.status == http.StatusServiceUnavailable && b.second == 0 {
 		t.Errorf("cut at %d: refused, though it may have run", cut)
 	}
 }
 
-// breakOff sends a request to a replica that writes some bytes and breaks off.
+// interruptAnswer sends a request to a replica that writes some bytes and disconnects.
 func interruptAnswer(t *testing.T, step relay.Step, written string, reset bool) interruptedResult {
 	t.Helper()
 	first := newReplica(t, func(c net.Conn, h capturedRequest) {
@@ -167,13 +165,13 @@
 	return b
 }
 
-// numbered is a request with an id and a body of its own.
+// requestWithID is a request with the given attempt id, which is also its body.
 func requestWithID(id string) string {
 	return fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id)
 }
 
-// echoing is a replica that answers each request with its body, several on a
-// connection.
+// newEchoReplica answers requests with their bodies, any number on a connection, and
+// returns its address.
 func newEchoReplica(t *testing.T, received chan<- string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -212,8 +210,8 @@
 	}
 }
 
-// TestPipelinedRequests: a requester sends several requests at once. Each gets
-// its own answer, in order, and runs once.
+// TestPipelinedRequests: each of several pipelined requests runs once and gets its own
+// answer, in order.
 func TestPipelinedRequests(t *testing.T) {
 	received := make(chan string, 64)
 	n, dispatcher := newDispatcherNode(t, sendStep, newEchoReplica(t, received))
@@ -235,12 +233,12 @@
 		}
 	}
 	if asked := dispatcher.asked.Load(); asked != int64(len(ids)) || len(received) > 0 {
-		t.Errorf("%d were asked for", asked)
+		t.Errorf("%d requests were dispatched, want %d", asked, len(ids))
 	}
 }
 
-// TestRequestCutAtEveryByte: a requester breaks off within its second request.
-// No replica ever has a part of it, and the first one has run once.
+// TestRequesterDisconnectsAtEveryByte: no replica gets a part of a request that the
+// requester interrupts, and the request before it on the connection runs once.
 func TestRequesterDisconnectsAtEveryByte(t *testing.T) {
 	received := make(chan string, 4096)
 	n, _ := newDispatcherNode(t, sendStep, newEchoReplica(t, received))
@@ -257,7 +255,7 @@
 		}
 		q.Close()
 	}
-	// A request that comes whole afterwards shows that the others are over.
+	// A complete request afterwards shows that the others have ended.
 	q := n.dial(t)
 	q.write(requestWithID("last"))
 	if body, err := io.ReadAll(q.read("POST").Body); err != nil || string(body) != "last" {
@@ -273,16 +271,15 @@
 	}
 }
 
-// TestHiddenRequests: bytes after a request's end are the next request or none
-// at all; a request with two ways to tell its length, or an unreadable head,
-// reaches no replica.
+// TestRequestSmuggling: a request with conflicting or malformed lengths does not let the
+// bytes after it run as another request.
 func TestRequestSmuggling(t *testing.T) {
 	hidden := requestWithID("hidden")
 	for name, raw := range map[string]string{
 		"two lengths":            "POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nContent-Length: 0\r\nContent-Length: " + fmt.Sprint(len(hidden)) + "\r\n\r\n" + hidden,
-		"chunks named otherwise": "POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nTransfer-Encoding: xchunked\r\n\r\n" + hidden,
+		"unknown encoding":       "POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nTransfer-Encoding: xchunked\r\n\r\n" + hidden,
 		"space before the colon": "POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nContent-Length : " + fmt.Sprint(len(hidden)) + "\r\n\r\n" + hidden,
-		"a length with a sign":   "POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nContent-Length: +0\r\n\r\n" + hidden,
+		"signed length":          "POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a1\r\nContent-Length: +0\r\n\r\n" + hidden,
 	} {
 		t.Run(name, func(t *testing.T) {
 			received := make(chan string, 64)
@@ -301,15 +298,15 @@
 	}
 }
 
-// readUntilQuiet reads what comes within a moment.
+// readBriefly returns a reader whose reads fail after a short time.
 func readBriefly(q *client) io.Reader {
 	q.SetReadDeadline(clock.Deadline(200 * time.Millisecond))
 	return q.reader
 }
 
-// TestRequestersConnectionsReusedUnderLoad: requesters reuse and cut their
-// connections while they share few connections to one replica. Each complete
-// answer is the requester's own, and nothing runs twice.
+// TestConnectionReuseUnderLoad: while requesters reuse and close their connections and
+// share few connections to a replica, no answer goes to another request and no request
+// runs twice.
 func TestConnectionReuseUnderLoad(t *testing.T) {
 	const requesters, each = 16, 40
 	received := make(chan string, requesters*each*2)
@@ -335,8 +332,8 @@
 	}
 }
 
-// useConnections sends requests over one connection after the other: every
-// fifth request is given up, with its connection, before its answer is read.
+// useConnections sends requests one after the other. Every fifth closes its connection
+// without reading the answer.
 func useConnections(t *testing.T, n *node, requester, each int) {
 	q := n.dial(t)
 	for i := range each {
@@ -363,9 +360,8 @@
 	}
 }
 
-// FuzzStream: whatever a replica sends for a stream, its requester gets whole
-// lines from its beginning, and an end that looks complete only when the
-// replica's answer had one.
+// FuzzStream: whatever bytes a replica sends for a stream, the requester gets a prefix of
+// whole lines, and a complete answer only if the replica's was complete.
 func FuzzStream(f *testing.F) {
 	for _, seed := range []string{streamAnswer, streamHead, lengthAnswer, chunkedAnswer, notRunAnswer, failedAnswer, streamAnswer[:len(streamAnswer)-4], streamHead + "5\r\ndata:\r\n0\r\n\r\n",
 		strings.Replace(streamAnswer, "a1", "other", 1) + streamAnswer, streamHead + chunk("id: 1\r\rdata: x\n\n") + "0\r\n\r\n", streamAnswer + streamAnswer, "\x00"} {
@@ -374,29 +370,29 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		got := interruptStream(t, raw)
 		if got.first != 1 {
-			t.Fatalf("it was sent %d times", got.first)
+			t.Fatalf("the request was sent %d times", got.first)
 		}
 		if got.status/100 != 2 || got.body == "" || got.second > 0 {
 			return
 		}
 		whole, complete := readAsClient(raw)
 		if got.complete && (!complete || got.body != whole) {
-			t.Fatalf("a complete %q of %q", got.body, whole)
+			t.Fatalf("complete answer %q, replica sent %q", got.body, whole)
 		}
 		if !got.complete && (!strings.HasPrefix(whole, got.body) || !strings.HasSuffix(got.body, "\n")) {
-			t.Fatalf("a part %q of %q", got.body, whole)
+			t.Fatalf("partial answer %q, replica sent %q", got.body, whole)
 		}
 	})
 }
 
-// giveStream sends a request for a stream to a replica that writes raw bytes.
+// interruptStream sends a request for a stream to a replica that writes raw bytes.
 func interruptStream(t *testing.T, raw []byte) interruptedResult {
 	t.Helper()
 	return interruptAnswer(t, streamStep(false), string(raw), false)
 }
 
-// readWhole reads the answer to the request out of what a replica sent, as any
-// client of the protocol would.
+// readAsClient reads the answer to the request from a replica's bytes, as any HTTP client
+// would.
 func readAsClient(raw []byte) (body string, complete bool) {
 	reader := bufio.NewReader(strings.NewReader(string(raw)))
 	for {
--- a/peer/front/limits_test.go
+++ b/peer/front/limits_test.go
@@ -15,9 +15,8 @@
 	"saffronfall/peer/replica"
 )
 
-// TestRequestersHoldNothingForLong: a requester that stops reading or sending
-// keeps neither a replica's place, nor a request under way, nor memory beyond what
-// it has sent.
+// TestSlowRequesters: a requester that stops reading or sending holds no replica slot, no
+// open request, and no memory beyond what it has sent.
 func TestSlowRequesters(t *testing.T) {
 	t.Run("reads nothing of a stream", readsNoStream)
 	t.Run("sends half a body", sendsPartialBody)
@@ -26,8 +25,7 @@
 	t.Run("sends half a body and goes on waiting", waitsAfterPartialBody)
 }
 
-// readsNothingOfAStream: the replica's connection and the request end with the
-// request's time.
+// readsNoStream: the replica's connection and the request end with the attempt's time limit.
 func readsNoStream(t *testing.T) {
 	event := "data: " + strings.Repeat("x", 32<<10) + "\n\n"
 	ended := make(chan error, 1)
@@ -46,14 +44,14 @@
 	select {
 	case <-n.outcomes:
 	case <-time.After(testTimeout / 2):
-		t.Fatal("the request is still under way long after its time")
+		t.Fatal("the request is still open after its time limit")
 	}
 	if err := <-ended; strings.Contains(err.Error(), "timeout") {
-		t.Errorf("the replica was never let go: %v", err)
+		t.Errorf("the replica's connection was not closed: %v", err)
 	}
 }
 
-// sendsHalfABody: it is told so once its deadline has passed.
+// sendsPartialBody: the requester gets 408 once its deadline has passed.
 func sendsPartialBody(t *testing.T) {
 	n := newNode(t, nil)
 	q := n.dial(t)
@@ -65,7 +63,7 @@
 	}
 }
 
-// newImpatientNode is a node that gives requesters little time for their bodies.
+// newNodeWithBodyTimeout is a node with the given BodyTimeout.
 func newNodeWithBodyTimeout(t *testing.T, bodyTime time.Duration) *node {
 	dispatcher := &scriptedDispatcher{t: t, asked: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16)}
 	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Names: replica.OwnNames, MaxBody: 1 << 20, Draining: make(chan struct{}), BodyTimeout: bodyTime}))
@@ -73,8 +71,8 @@
 	return &node{scriptedDispatcher: dispatcher, server: server}
 }
 
-// malformedHalfABody: a request that is refused for its head alone does not hold its
-// connection while its body stalls.
+// malformedWithPartialBody: a request refused for its head does not hold its connection
+// while its body stalls.
 func malformedWithPartialBody(t *testing.T) {
 	for _, head := range []string{
 		"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\nhalf",
@@ -91,8 +89,7 @@
 	}
 }
 
-// waitsAfterHalfABody: a requester that was told that its body came late does not hold
-// its connection either.
+// waitsAfterPartialBody: a requester that got 408 does not hold its connection.
 func waitsAfterPartialBody(t *testing.T) {
 	n := newNodeWithBodyTimeout(t, 200*time.Millisecond)
 	q := n.dial(t)
@@ -104,15 +101,15 @@
 	checkCloses(t, q, "a late body")
 }
 
-// ends wants a node to end a connection.
+// checkCloses fails the test if the node does not close the connection.
 func checkCloses(t *testing.T, q *client, what string) {
 	t.Helper()
 	if _, err := io.Copy(io.Discard, q.reader); err != nil && strings.Contains(err.Error(), "timeout") {
-		t.Errorf("%s: the connection is held", what)
+		t.Errorf("%s: the connection was not closed", what)
 	}
 }
 
-// announcesBodies: memory is taken for what came, not for what was announced.
+// announcesBodies: memory is reserved for received bytes, not for announced lengths.
 func announcesBodies(t *testing.T) {
 	const requesters, announced = 200, 1 << 20
 	n := newNode(t, nil)
@@ -120,13 +117,13 @@
 	for i := 0; i < requesters; i++ {
 		q := n.dial(t)
 		q.write(fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: a%d\r\nContent-Length: %d\r\nExpect: 100-continue\r\n\r\n", i, announced))
-		// The word to go on shows that the body is being read.
+		// "100 Continue" shows that the body is being read.
 		if _, err := q.reader.ReadString('\n'); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if grown := heap() - before; grown > requesters*announced/10 {
-		t.Errorf("%d requesters that sent heads alone hold %d MiB", requesters, grown>>20)
+		t.Errorf("%d requesters that sent only heads hold %d MiB", requesters, grown>>20)
 	}
 }
 
@@ -137,9 +134,8 @@
 	return int64(m.HeapAlloc)
 }
 
-// TestIntakeIsShared: bodies of all requests under way share their room. What finds
-// none is refused as not run, with a time to come back, and the room comes back with
-// the requests that end.
+// TestIntakeLimit: a request whose body exceeds the shared intake is refused with
+// Retry-After, and ended requests free their share.
 func TestIntakeLimit(t *testing.T) {
 	release := make(chan struct{})
 	r := newReplica(t, func(c net.Conn, h capturedRequest) {
@@ -151,33 +147,33 @@
 	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Names: replica.OwnNames, MaxBody: 1 << 20, Draining: make(chan struct{}), IntakeBytes: 3 * bodyChunk, OnRejected: func(e relay.Ended) { rejected <- e }}))
 	t.Cleanup(server.Close)
 	n := &node{scriptedDispatcher: dispatcher, server: server}
-	write := func(attempt string, size int) *client {
+	post := func(attempt string, size int) *client {
 		q := n.dial(t)
 		q.write(fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: %s\r\nContent-Length: %d\r\n\r\n%s", attempt, size, strings.Repeat("b", size)))
 		return q
 	}
-	first := write("first", 2*bodyChunk-1)
+	first := post("first", 2*bodyChunk-1)
 	<-r.received
-	refused := write("second", 2*bodyChunk-1).read("POST")
+	refused := post("second", 2*bodyChunk-1).read("POST")
 	if refused.StatusCode != 503 || refused.Header.Get("Retry-After") == "" || !refused.Close {
-		t.Errorf("beyond the room: %d, come back after %q, closes %v", refused.StatusCode, refused.Header.Get("Retry-After"), refused.Close)
+		t.Errorf("over the limit: %d, Retry-After %q, closes %v", refused.StatusCode, refused.Header.Get("Retry-After"), refused.Close)
 	}
 	if e := <-rejected; e.Cause != relay.CauseIntakeFull || e.Attempt != "second" {
-		t.Errorf("told of %+v", e)
+		t.Errorf("reported %+v", e)
 	}
 	close(release)
 	if got := first.read("POST"); got.StatusCode != 200 {
-		t.Errorf("the first is answered %d", got.StatusCode)
+		t.Errorf("first request: status %d", got.StatusCode)
 	}
 	first.Close()
-	third := write("third", 2*bodyChunk-1)
+	third := post("third", 2*bodyChunk-1)
 	if got := third.read("POST"); got.StatusCode != 200 {
-		t.Errorf("after the first has ended: %d", got.StatusCode)
+		t.Errorf("after the first has ended: status %d", got.StatusCode)
 	}
 }
 
-// TestNothingIsSentAfterItsTime: a sending whose time ended before it was taken up, as
-// when the process was stopped in between, reaches no replica.
+// TestExpiredAttemptIsNotSent: an attempt whose time limit passed before it started, as
+// after a paused process, reaches no replica.
 func TestExpiredAttemptIsNotSent(t *testing.T) {
 	r := newStaticReplica(t, lengthAnswer)
 	late := sendStep
@@ -186,14 +182,14 @@
 	q := n.dial(t)
 	q.write(request)
 	if got := q.read("POST"); got.StatusCode != 503 {
-		t.Errorf("answered %d", got.StatusCode)
+		t.Errorf("status %d", got.StatusCode)
 	}
 	if o := <-n.outcomes; o.Kind != relay.NotRun || !o.Unreached {
 		t.Errorf("%+v", o)
 	}
 	select {
 	case <-r.received:
-		t.Error("it was sent")
+		t.Error("the attempt was sent")
 	default:
 	}
 }
--- a/peer/front/listener_test.go
+++ b/peer/front/listener_test.go
@@ -13,7 +13,7 @@
 	"saffronfall/peer/replica"
 )
 
-// watchedNode is a node that serves its requesters as the program does.
+// newLimitedNode is a node that serves requesters with ServeOn.
 func newLimitedNode(t *testing.T, address string) *node {
 	t.Helper()
 	n, dispatcher := newDispatcherNode(t, sendStep, address)
@@ -29,18 +29,17 @@
 	return n
 }
 
-// TestLengthAndChunks: a request that tells its length in two ways is answered
-// by its chunks, and what comes after it on its connection does not run, however
-// its bytes are cut into segments.
+// TestLengthWithChunkedEncoding: after a request with both Content-Length and
+// Transfer-Encoding, nothing else on its connection runs, for any segmentation.
 func TestLengthWithChunkedEncoding(t *testing.T) {
 	hidden := requestWithID("hidden")
 	length := fmt.Sprintf("Content-Length: %d\r\n", len("0\r\n\r\n"+hidden))
 	for name, headers := range map[string]string{
-		"length first":     length + "Transfer-Encoding: chunked\r\n",
-		"chunks first":     "Transfer-Encoding: chunked\r\n" + length,
-		"in other cases":   "tRANSFER-eNCODING: chunked\r\n" + strings.ToUpper(length),
-		"others between":   length + "X-Other: " + strings.Repeat("x", 5000) + "\r\nTransfer-Encoding: chunked\r\n",
-		"a line feed only": strings.ReplaceAll(length+"Transfer-Encoding: chunked\r\n", "\r\n", "\n"),
+		"length first":          length + "Transfer-Encoding: chunked\r\n",
+		"encoding first":        "Transfer-Encoding: chunked\r\n" + length,
+		"mixed case":            "tRANSFER-eNCODING: chunked\r\n" + strings.ToUpper(length),
+		"other headers between": length + "X-Other: " + strings.Repeat("x", 5000) + "\r\nTransfer-Encoding: chunked\r\n",
+		"bare line feeds":       strings.ReplaceAll(length+"Transfer-Encoding: chunked\r\n", "\r\n", "\n"),
 	} {
 		for _, segment := range []int{1 << 20, 7, 1} {
 			t.Run(fmt.Sprintf("%s, %d bytes", name, segment), func(t *testing.T) {
@@ -65,8 +64,8 @@
 	}
 }
 
-// TestProperRequestsKeepTheirConnection: requests with a length and requests in
-// chunks share a connection.
+// TestValidRequestsKeepConnection: requests with a length and chunked requests share a
+// connection.
 func TestValidRequestsKeepConnection(t *testing.T) {
 	received := make(chan string, 64)
 	q := newLimitedNode(t, newEchoReplica(t, received)).dial(t)
@@ -111,9 +110,8 @@
 	}
 }
 
-// TestConnectionsAreBounded: a requester that opens connections and uses none takes no
-// more of a node's descriptors than is set aside for requesters. Others wait until one
-// is closed.
+// TestConnectionLimit: idle connections hold no more descriptors than the limit, and
+// further ones wait until one is closed.
 func TestConnectionLimit(t *testing.T) {
 	const most = 4
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -147,7 +145,7 @@
 	}
 	select {
 	case s := <-states:
-		t.Fatalf("one more connection is taken: %v", s)
+		t.Fatalf("a connection over the limit was accepted: %v", s)
 	case <-time.After(100 * time.Millisecond):
 	}
 	for _, c := range idle[:most] {
@@ -162,6 +160,6 @@
 		t.Fatal(err)
 	}
 	if _, err := http.ReadResponse(bufio.NewReader(last), nil); err != nil {
-		t.Fatalf("who waited is not served: %v", err)
+		t.Fatalf("a waiting connection was not served: %v", err)
 	}
 }
--- a/peer/requester/handler.go
+++ b/peer/requester/handler.go
@@ -1,5 +1,9 @@
-// Package requester is the side of a node that requesters see: HTTP/1.1 with
-// JSON in, verdicts and streamed turns out.
+// Package requester is the HTTP API of a node: JSON requests that open, continue and close
+// programs and call tools and actions.
+//
+// Every verdict says whether the request ran; a request refused here did not run. A
+// streamed turn is complete only if it ends with a closing record. Start reading at
+// Handler.
 package requester
 
 import (
@@ -19,15 +23,18 @@
 	"saffronfall/rule/verdict"
 )
 
-// Owner is the node's machine as this side needs it.
-type Owner interface {
-	// Inquire hands an inquiry over. Pieces come until the last one; the
-	// context's end withdraws it.
-	Inquire(ctx context.Context, q node.Inquiry) (<-chan node.Piece, bool)
+// Backend is the node that requests are handed to.
+type Backend interface {
+	// Submit hands over a request. Its answer arrives in pieces on the channel; ending the
+	// context cancels the request. The result is false if the node's buffer is full.
+	Submit(ctx context.Context, q node.Inquiry) (<-chan node.Piece, bool)
+	// Ready reports whether the node accepts requests.
 	Ready(ctx context.Context) bool
+	// Counters returns the node's counters, to be encoded as JSON.
 	Counters(ctx context.Context) (any, error)
 }
 
+// body is a request's body. Each path uses some of the fields.
 type body struct {
 	User      string          `json:"user"`
 	Service   string          `json:"service"`
@@ -47,27 +54,27 @@
 	Got string `json:"got"`
 }
 
-// Told is how a verdict is written.
-type Told struct {
+// Answer is the JSON form of a verdict.
+type Answer struct {
 	verdict.Verdict
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 	Program      string `json:"program,omitempty"`
 }
 
-// Handler is a node's requesters' side.
-func Handler(o Owner, largest int64) http.Handler {
+// Handler returns the handler of a node's API. Bodies may have at most maxBody bytes.
+func Handler(backend Backend, maxBody int64) http.Handler {
 	mux := http.NewServeMux()
-	on := func(pattern string, fill func(q *node.Inquiry, b body, r *http.Request) string) {
-		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) { serve(w, r, o, largest, fill) })
+	handle := func(pattern string, fill func(q *node.Inquiry, b body, r *http.Request) string) {
+		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) { serve(w, r, backend, maxBody, fill) })
 	}
-	on("POST /v1/programs", func(q *node.Inquiry, b body, r *http.Request) string {
+	handle("POST /v1/programs", func(q *node.Inquiry, b body, r *http.Request) string {
 		q.Kind, q.User = node.Open, b.User
 		if !configuration.Named(b.User) {
 			return "user must be a name"
 		}
 		return ""
 	})
-	on("POST /v1/programs/{program}/turns", func(q *node.Inquiry, b body, r *http.Request) string {
+	handle("POST /v1/programs/{program}/turns", func(q *node.Inquiry, b body, r *http.Request) string {
 		q.Kind, q.Program, q.Line, q.Service = node.Turn, r.PathValue("program"), b.Helper, b.Service
 		q.Before, q.Say, q.MaxTokens = b.Before, b.Say, b.MaxTokens
 		for _, t := range b.History {
@@ -85,14 +92,14 @@
 		}
 		return ""
 	})
-	on("POST /v1/programs/{program}/tools/{service}", func(q *node.Inquiry, b body, r *http.Request) string {
+	handle("POST /v1/programs/{program}/tools/{service}", func(q *node.Inquiry, b body, r *http.Request) string {
 		q.Kind, q.Program, q.Service, q.Line, q.Arguments = node.Tool, r.PathValue("program"), r.PathValue("service"), b.Helper, b.Arguments
 		if len(b.Arguments) == 0 {
 			return "arguments are missing"
 		}
 		return ""
 	})
-	on("POST /v1/actions/{service}", func(q *node.Inquiry, b body, r *http.Request) string {
+	handle("POST /v1/actions/{service}", func(q *node.Inquiry, b body, r *http.Request) string {
 		q.Kind, q.Service, q.User, q.OnceKey, q.Arguments = node.Action, r.PathValue("service"), b.User, b.OnceKey, b.Body
 		switch {
 		case b.OnceKey == "" || len(b.OnceKey) > 256:
@@ -102,38 +109,39 @@
 		}
 		return ""
 	})
-	on("GET /v1/programs/{program}", func(q *node.Inquiry, b body, r *http.Request) string {
+	handle("GET /v1/programs/{program}", func(q *node.Inquiry, b body, r *http.Request) string {
 		q.Kind, q.Program, q.Line = node.Look, r.PathValue("program"), r.URL.Query().Get("helper")
 		return ""
 	})
-	on("DELETE /v1/programs/{program}", func(q *node.Inquiry, b body, r *http.Request) string {
+	handle("DELETE /v1/programs/{program}", func(q *node.Inquiry, b body, r *http.Request) string {
 		q.Kind, q.Program = node.Close, r.PathValue("program")
 		return ""
 	})
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, r *http.Request) {
 		status := 200
-		ready := o.Ready(r.Context())
+		ready := backend.Ready(r.Context())
 		if !ready {
 			status = 503
 			w.Header().Set("Retry-After", "1")
 		}
-		write(w, status, map[string]bool{"ready": ready})
+		writeJSON(w, status, map[string]bool{"ready": ready})
 	})
 	mux.HandleFunc("GET /counters", func(w http.ResponseWriter, r *http.Request) {
-		counts, err := o.Counters(r.Context())
+		counts, err := backend.Counters(r.Context())
 		if err != nil {
-			tell(w, verdict.Later("node", "busy", time.Second), 503)
+			writeVerdict(w, verdict.Later("node", "busy", time.Second), 503)
 			return
 		}
-		write(w, 200, counts)
+		writeJSON(w, 200, counts)
 	})
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		tell(w, verdict.Refused(verdict.Refusal{Check: "inquiry", Code: "unknown_path", Reason: "no such path: " + r.Method + " " + r.URL.Path}), 404)
+		writeVerdict(w, verdict.Refused(verdict.Refusal{Check: "inquiry", Code: "unknown_path", Reason: "no such path: " + r.Method + " " + r.URL.Path}), 404)
 	})
 	return mux
 }
 
-func write(w http.ResponseWriter, status int, value any) {
+// writeJSON writes value as an answer.
+func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	encoder := json.NewEncoder(w)
@@ -141,24 +149,28 @@
 	encoder.Encode(value)
 }
 
-func tell(w http.ResponseWriter, v verdict.Verdict, status int) {
-	told := Told{Verdict: v}
+// writeVerdict writes a verdict; Retry-After is rounded up to seconds.
+func writeVerdict(w http.ResponseWriter, v verdict.Verdict, status int) {
+	answer := Answer{Verdict: v}
 	if v.RetryAfter > 0 {
 		seconds := (v.RetryAfter + time.Second - 1) / time.Second
 		w.Header().Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
-		told.RetryAfterMS = (v.RetryAfter + time.Millisecond - 1).Milliseconds()
+		answer.RetryAfterMS = (v.RetryAfter + time.Millisecond - 1).Milliseconds()
 	}
-	write(w, status, told)
+	writeJSON(w, status, answer)
 }
 
-func bad(w http.ResponseWriter, code, reason string, status int) {
-	tell(w, verdict.Refused(verdict.Refusal{Check: "inquiry", Code: code, Reason: reason}), status)
+// refuse answers a request that was refused before it was submitted.
+func refuse(w http.ResponseWriter, code, reason string, status int) {
+	writeVerdict(w, verdict.Refused(verdict.Refusal{Check: "inquiry", Code: code, Reason: reason}), status)
 }
 
-func serve(w http.ResponseWriter, r *http.Request, o Owner, largest int64, fill func(q *node.Inquiry, b body, r *http.Request) string) {
+// serve decodes a request, lets fill complete it, submits it and writes the answer. fill
+// returns what is malformed, or an empty string.
+func serve(w http.ResponseWriter, r *http.Request, backend Backend, maxBody int64, fill func(q *node.Inquiry, b body, r *http.Request) string) {
 	var b body
 	if r.Method == "POST" {
-		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, largest))
+		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
 		decoder.DisallowUnknownFields()
 		err := decoder.Decode(&b)
 		if err == nil {
@@ -169,53 +181,53 @@
 		var large *http.MaxBytesError
 		switch {
 		case errors.As(err, &large):
-			bad(w, "too_large", "the body is larger than "+strconv.FormatInt(largest, 10)+" bytes", 413)
+			refuse(w, "too_large", "the body is larger than "+strconv.FormatInt(maxBody, 10)+" bytes", 413)
 			return
 		case err != nil:
-			bad(w, "malformed", err.Error(), 400)
+			refuse(w, "malformed", err.Error(), 400)
 			return
 		}
 	}
 	q := node.Inquiry{Budget: time.Duration(b.BudgetMS) * time.Millisecond}
 	if b.BudgetMS < 0 {
-		tell(w, verdict.Refused(verdict.Refusal{Check: "budget", Code: "budget_passed", Reason: "the inquiry's budget has passed"}), 504)
+		writeVerdict(w, verdict.Refused(verdict.Refusal{Check: "budget", Code: "budget_passed", Reason: "the inquiry's budget has passed"}), 504)
 		return
 	}
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
-		bad(w, "unknown_key", "no key was shown", 401)
+		refuse(w, "unknown_key", "no key was shown", 401)
 		return
 	}
 	q.Key = key
 	if problem := fill(&q, b, r); problem != "" {
-		bad(w, "malformed", problem, 400)
+		refuse(w, "malformed", problem, 400)
 		return
 	}
-	pieces, ok := o.Inquire(r.Context(), q)
+	pieces, ok := backend.Submit(r.Context(), q)
 	if !ok {
-		tell(w, verdict.Later("buffer", "this node's buffer is full", time.Second), 503)
+		writeVerdict(w, verdict.Later("buffer", "this node's buffer is full", time.Second), 503)
 		return
 	}
-	relay(w, pieces)
+	writePieces(w, pieces)
 }
 
-// relay writes pieces as they come. A stream that breaks is aborted, so that
-// it never looks whole.
-func relay(w http.ResponseWriter, pieces <-chan node.Piece) {
+// writePieces writes the pieces of an answer as they arrive. It aborts the connection of a
+// stream that breaks off, so that the stream never looks complete.
+func writePieces(w http.ResponseWriter, pieces <-chan node.Piece) {
 	flusher, _ := w.(http.Flusher)
 	encoder := json.NewEncoder(w)
 	encoder.SetEscapeHTML(false)
 	for p := range pieces {
 		switch p.Kind {
 		case node.PieceVerdict:
-			tell(w, p.Verdict, p.Status)
+			writeVerdict(w, p.Verdict, p.Status)
 			return
 		case node.PieceBody:
 			if p.Body == nil {
-				write(w, p.Status, struct {
-					Told
+				writeJSON(w, p.Status, struct {
+					Answer
 					Head string `json:"head"`
-				}{Told{Verdict: p.Verdict, Program: p.Text}, p.Head})
+				}{Answer{Verdict: p.Verdict, Program: p.Text}, p.Head})
 				return
 			}
 			w.Header().Set("Content-Type", "application/json")
--- a/peer/requester/requester_test.go
+++ b/peer/requester/requester_test.go
@@ -16,26 +16,25 @@
 	"saffronfall/rule/verdict"
 )
 
-type owner struct {
-	pieces []node.Piece
-	full   bool
-	asked  node.Inquiry
+type backend struct {
+	pieces    []node.Piece
+	full      bool
+	submitted node.Inquiry
 }
 
-func (o *owner) Inquire(ctx context.Context, q node.Inquiry) (<-chan node.Piece, bool) {
-	o.asked = q
-	pieces := make(chan node.Piece, len(o.pieces))
-	for _, p := range o.pieces {
+func (b *backend) Submit(ctx context.Context, q node.Inquiry) (<-chan node.Piece, bool) {
+	b.submitted = q
+	pieces := make(chan node.Piece, len(b.pieces))
+	for _, p := range b.pieces {
 		pieces <- p
 	}
 	close(pieces)
-	return pieces, !o.full
+	return pieces, !b.full
 }
-func (o *owner) Ready(context.Context) bool            { return true }
-func (o *owner) Counters(context.Context) (any, error) { return map[string]int{}, nil }
+func (b *backend) Ready(context.Context) bool            { return true }
+func (b *backend) Counters(context.Context) (any, error) { return map[string]int{}, nil }
 
-// TestBadInput: each has a stable code, says what was wrong, and that nothing
-// ran.
+// TestBadInput: each refusal has a stable code and a reason, and says that nothing ran.
 func TestBadInput(t *testing.T) {
 	for _, c := range []struct {
 		name, method, path, key, body string
@@ -56,30 +55,29 @@
 		{"no arguments", "POST", "/v1/programs/p/tools/s", "k", `{}`, 400, "malformed"},
 		{"no such path", "GET", "/v2", "k", ``, 404, "unknown_path"},
 	} {
-		w := try(&owner{}, c.method, c.path, c.key, c.body)
-		var told Told
-		json.Unmarshal(w.Body.Bytes(), &told)
-		if w.Code != c.status || told.Code != c.code || told.Ran != verdict.No || told.Reason == "" {
+		w := request(&backend{}, c.method, c.path, c.key, c.body)
+		var answer Answer
+		json.Unmarshal(w.Body.Bytes(), &answer)
+		if w.Code != c.status || answer.Code != c.code || answer.Ran != verdict.No || answer.Reason == "" {
 			t.Errorf("%s: %d %s", c.name, w.Code, w.Body)
 		}
 	}
-	if w := try(&owner{full: true}, "POST", "/v1/programs", "k", `{"user":"u"}`); w.Code != 503 || w.Header().Get("Retry-After") != "1" {
+	if w := request(&backend{full: true}, "POST", "/v1/programs", "k", `{"user":"u"}`); w.Code != 503 || w.Header().Get("Retry-After") != "1" {
 		t.Errorf("full buffer: %d %s", w.Code, w.Body)
 	}
 }
 
-func try(o *owner, method, path, key, body string) *httptest.ResponseRecorder {
+func request(b *backend, method, path, key, body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	if key != "" {
 		r.Header.Set("Authorization", "Bearer "+key)
 	}
 	w := httptest.NewRecorder()
-	Handler(o, 2000).ServeHTTP(w, r)
+	Handler(b, 2000).ServeHTTP(w, r)
 	return w
 }
 
-// TestStreams: only a stream with a closing record ends well; a broken one is
-// aborted, whatever had been sent.
+// TestStreams: a stream without a closing record is aborted and never looks complete.
 func TestStreams(t *testing.T) {
 	chunk := node.Piece{Kind: node.PieceChunk, Text: "a", Tokens: 1}
 	for _, c := range []struct {
@@ -91,7 +89,7 @@
 		{"broken", []node.Piece{{Kind: node.PieceOpen}, chunk, {Kind: node.PieceBreak}}, false},
 		{"cut off", []node.Piece{{Kind: node.PieceOpen}, chunk}, false},
 	} {
-		server := httptest.NewServer(Handler(&owner{pieces: c.pieces}, 2000))
+		server := httptest.NewServer(Handler(&backend{pieces: c.pieces}, 2000))
 		r, _ := http.NewRequest("POST", server.URL+"/v1/programs/p/turns", strings.NewReader(`{"before":"start","say":"x","service":"model"}`))
 		r.Header.Set("Authorization", "Bearer k")
 		got, err := http.DefaultClient.Do(r)
@@ -106,16 +104,16 @@
 	}
 }
 
-// TestRetryAfter: the header rounds up, the body is exact.
+// TestRetryAfter: the header is rounded up to seconds, the body has milliseconds.
 func TestRetryAfter(t *testing.T) {
-	o := &owner{pieces: []node.Piece{{Kind: node.PieceVerdict, Status: 429, Verdict: verdict.Refused(verdict.Refusal{Check: "lockout", Code: "locked_out", RetryAfter: 1200 * time.Millisecond})}}}
-	w := try(o, "POST", "/v1/programs", "k", `{"user":"u","budget_ms":1500}`)
-	if w.Header().Get("Retry-After") != "2" || !strings.Contains(w.Body.String(), `"retry_after_ms":1200`) || o.asked.Budget != 1500*time.Millisecond {
-		t.Errorf("%v %s %v", w.Header(), w.Body, o.asked.Budget)
+	b := &backend{pieces: []node.Piece{{Kind: node.PieceVerdict, Status: 429, Verdict: verdict.Refused(verdict.Refusal{Check: "lockout", Code: "locked_out", RetryAfter: 1200 * time.Millisecond})}}}
+	w := request(b, "POST", "/v1/programs", "k", `{"user":"u","budget_ms":1500}`)
+	if w.Header().Get("Retry-After") != "2" || !strings.Contains(w.Body.String(), `"retry_after_ms":1200`) || b.submitted.Budget != 1500*time.Millisecond {
+		t.Errorf("%v %s %v", w.Header(), w.Body, b.submitted.Budget)
 	}
 }
 
-// TestReferenceNamesEveryCode holds docs/http.md against the code.
+// TestReferenceNamesEveryCode: docs/http.md names every code in the sources.
 func TestReferenceNamesEveryCode(t *testing.T) {
 	page, err := os.ReadFile("../../docs/http.md")
 	if err != nil {
@@ -127,7 +125,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, m := range regexp.MustCompile(`(?:Code: |denied\(|bad\(w, |refuse\("[a-z_]+", )"([a-z_]+)"`).FindAllStringSubmatch(string(code), -1) {
+		for _, m := range regexp.MustCompile(`(?:Code: |denied\(|refuse\(w, |refuse\("[a-z_]+", )"([a-z_]+)"`).FindAllStringSubmatch(string(code), -1) {
 			found++
 			if m[1] != "unknown_inquiry" && !strings.Contains(string(page), "`"+m[1]+"`") {
 				t.Errorf("docs/http.md does not name %s", m[1])
--- a/peer/requester/schema_test.go
+++ b/peer/requester/schema_test.go
@@ -10,7 +10,7 @@
 func TestJSONSchema(t *testing.T) {
 	schematest.Check(t, "json_schema", []schematest.Entry{
 		schematest.JSON[body]("body of a request"),
-		schematest.JSON[Told]("verdict"),
+		schematest.JSON[Answer]("verdict"),
 		schematest.JSON[[]verdict.Warning]("header of warnings"),
 	})
 }
--- a/rehearsalkit/sizes/larger_test.go
+++ b/rehearsalkit/sizes/larger_test.go
@@ -20,7 +20,7 @@
 	"function rehearsalkit/simulator/fault.go World.fault":          160,
 	"function rehearsalkit/simulator/requester.go World.ask":        72,
 	"function rehearsalkit/simulator/terms.go MeasureTerm":          61,
-	"function rule/rehearsal/rehearsal.go run.check":                75,
+	"function rule/rehearsal/rehearsal.go replay.check":             75,
 	"function saffronfall/main.go statusCommand.Run":                61,
 	"function saffronfall/nodeprocess/process.go process.own":       63,
 	"struct peer/core/machine.go Machine":                           34,
--- a/rule/rehearsal/rehearsal.go
+++ b/rule/rehearsal/rehearsal.go
@@ -1,5 +1,8 @@
-// Package rehearsal runs recent inquiries through the rules under two
-// descriptions and measures whom the newer one would refuse.
+// Package rehearsal replays recent requests under two configurations and counts which of
+// them only the newer one would refuse.
+//
+// A replay evaluates the same checks as nodes do, in the same order, from the sampled
+// requests alone; it has no side effects. Start reading at Run.
 package rehearsal
 
 import (
@@ -13,7 +16,8 @@
 	"saffronfall/rule/program"
 )
 
-// Sample is one recent inquiry.
+// Sample is one recent request. KeySum is the SHA-256 of its key; Steps and Charged are
+// its program's totals with it, Tokens is its own charge. Age is how long ago it was made.
 type Sample struct {
 	Tenant  string        `msgpack:"t" json:"tenant"`
 	Program string        `msgpack:"p" json:"program"`
@@ -29,45 +33,49 @@
 	Age     time.Duration `msgpack:"a" json:"age"`
 }
 
-// Figures are what a rehearsal measured.
-type Figures struct {
-	Inquiries     int64            `json:"inquiries"`
-	RefusedBefore int64            `json:"refused_before"`
-	RefusedAfter  int64            `json:"refused_after"`
-	NewlyRefused  int64            `json:"newly_refused"`
-	Ratio         float64          `json:"newly_refused_ratio"`
-	ByCheck       map[string]int64 `json:"newly_refused_by_check"`
-	ByTenant      map[string]int64 `json:"newly_refused_by_tenant"`
-	Allowed       float64          `json:"allowed_ratio"`
-	Least         int64            `json:"least_inquiries"`
-	Approved      bool             `json:"approved"`
-	Moves         []string         `json:"moves"`
+// Result is the outcome of a rehearsal. Its JSON names say "inquiries" for requests and
+// "moves" for changes.
+type Result struct {
+	Requests          int64            `json:"inquiries"`
+	RefusedBefore     int64            `json:"refused_before"`
+	RefusedAfter      int64            `json:"refused_after"`
+	NewlyRefused      int64            `json:"newly_refused"`
+	NewlyRefusedRatio float64          `json:"newly_refused_ratio"`
+	ByCheck           map[string]int64 `json:"newly_refused_by_check"`
+	ByTenant          map[string]int64 `json:"newly_refused_by_tenant"`
+	AllowedRatio      float64          `json:"allowed_ratio"`
+	LeastRequests     int64            `json:"least_inquiries"`
+	Approved          bool             `json:"approved"`
+	Changes           []string         `json:"moves"`
 }
 
-type run struct {
-	d     *configuration.Description
-	users map[string]*program.User
-	rates map[string]*bucket
-	days  map[string]int64
+// replay is the state of one replay under a configuration.
+type replay struct {
+	d *configuration.Description
+	// users has its keys as "tenant/user"; buckets and dayTokens have them as tenants.
+	users     map[string]*program.User
+	buckets   map[string]*bucket
+	dayTokens map[string]int64
 }
 
-func begin(d *configuration.Description) *run {
-	return &run{d: d, users: map[string]*program.User{}, rates: map[string]*bucket{}, days: map[string]int64{}}
+func newReplay(d *configuration.Description) *replay {
+	return &replay{d: d, users: map[string]*program.User{}, buckets: map[string]*bucket{}, dayTokens: map[string]int64{}}
 }
 
+// bucket is a token bucket for a tenant's request rate.
 type bucket struct {
-	filled float64
+	tokens float64
 	at     time.Duration
 }
 
-// Run rehearses a description against samples taken under the one in force,
-// which may be nil.
-func Run(before, after *configuration.Description, samples []Sample) Figures {
+// Run replays samples under the configuration in force, which may be nil, and under a new
+// one. Without one in force, every request counts as refused before, and none as newly refused.
+func Run(before, after *configuration.Description, samples []Sample) Result {
 	list := append([]Sample(nil), samples...)
 	sort.SliceStable(list, func(i, j int) bool { return list[i].Age > list[j].Age })
-	f := Figures{ByCheck: map[string]int64{}, ByTenant: map[string]int64{}, Allowed: after.Approval.NewlyRefusedRatio, Least: after.Approval.LeastInquiries}
-	old := begin(before)
-	fresh := begin(after)
+	result := Result{ByCheck: map[string]int64{}, ByTenant: map[string]int64{}, AllowedRatio: after.Approval.NewlyRefusedRatio, LeastRequests: after.Approval.LeastInquiries}
+	inForce := newReplay(before)
+	planned := newReplay(after)
 	var start time.Duration
 	if len(list) > 0 {
 		start = list[0].Age
@@ -75,33 +83,35 @@
 	for i, s := range list {
 		at := start - s.Age
 		id := fmt.Sprint(i)
-		first := "unknown"
+		oldCheck := "unknown"
 		if before != nil {
-			first = old.check(s, at, id)
+			oldCheck = inForce.check(s, at, id)
 		}
-		second := fresh.check(s, at, id)
-		f.Inquiries++
-		if first != "" {
-			f.RefusedBefore++
+		newCheck := planned.check(s, at, id)
+		result.Requests++
+		if oldCheck != "" {
+			result.RefusedBefore++
 		}
-		if second != "" {
-			f.RefusedAfter++
+		if newCheck != "" {
+			result.RefusedAfter++
 		}
-		if first == "" && second != "" {
-			f.NewlyRefused++
-			f.ByCheck[second]++
-			f.ByTenant[s.Tenant]++
+		if oldCheck == "" && newCheck != "" {
+			result.NewlyRefused++
+			result.ByCheck[newCheck]++
+			result.ByTenant[s.Tenant]++
 		}
 	}
-	if f.Inquiries > 0 {
-		f.Ratio = float64(f.NewlyRefused) / float64(f.Inquiries)
+	if result.Requests > 0 {
+		result.NewlyRefusedRatio = float64(result.NewlyRefused) / float64(result.Requests)
 	}
-	f.Approved = f.Inquiries < f.Least || f.Ratio <= f.Allowed
-	f.Moves = Moves(before, after)
-	return f
+	result.Approved = result.Requests < result.LeastRequests || result.NewlyRefusedRatio <= result.AllowedRatio
+	result.Changes = Changes(before, after)
+	return result
 }
 
-func (r *run) check(s Sample, at time.Duration, id string) string {
+// check returns the first check that refuses a sample, or an empty string. at is the time
+// since the first sample; id identifies a sample that has no program.
+func (r *replay) check(s Sample, at time.Duration, id string) string {
 	t, ok := r.d.Tenants[s.Tenant]
 	if !ok {
 		return "tenant"
@@ -138,13 +148,13 @@
 	case "open":
 		v := u.Open(at, id, role, r.d.WarnRatio)
 		if s.Program == "" {
-			// It was refused, so it left no session open.
+			// The sampled request was refused, so it left no session open.
 			u.Close(id)
 		}
 		switch {
 		case v.Refused():
 			return v.Check
-		case r.days[s.Tenant] >= t.DayTokens:
+		case r.dayTokens[s.Tenant] >= t.DayTokens:
 			return "tenant_day"
 		}
 		return ""
@@ -157,46 +167,46 @@
 			return "steps"
 		case s.Charged-s.Tokens >= role.ProgramTokensHard:
 			return "program_tokens"
-		case r.days[s.Tenant]+s.Tokens > t.DayTokens:
+		case r.dayTokens[s.Tenant]+s.Tokens > t.DayTokens:
 			return "tenant_day"
 		}
 		u.Charge(at, id, s.Charged, 0)
-		r.days[s.Tenant] += s.Tokens
+		r.dayTokens[s.Tenant] += s.Tokens
 	}
-	b := r.rates[s.Tenant]
+	b := r.buckets[s.Tenant]
 	if b == nil {
-		b = &bucket{filled: float64(t.Burst), at: at}
-		r.rates[s.Tenant] = b
+		b = &bucket{tokens: float64(t.Burst), at: at}
+		r.buckets[s.Tenant] = b
 	}
-	b.filled = min(float64(t.Burst), b.filled+t.RatePerSec*(at-b.at).Seconds())
+	b.tokens = min(float64(t.Burst), b.tokens+t.RatePerSec*(at-b.at).Seconds())
 	b.at = at
-	if b.filled < 1 {
+	if b.tokens < 1 {
 		return "rate"
 	}
-	b.filled--
+	b.tokens--
 	return ""
 }
 
-// Text is what a plan tells its operator.
-func (f Figures) Text(version uint64) string {
+// Text describes the result to an operator who planned a change against a version.
+func (r Result) Text(version uint64) string {
 	var text strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
 	line("against version %d; nothing was changed", version)
-	for _, move := range f.Moves {
-		line("  moves  %s", move)
+	for _, change := range r.Changes {
+		line("  moves  %s", change)
 	}
 	line("rehearsed on %d recent inquiries: %d refused before, %d after, %d newly (%.1f%%; allowed %.1f%%)",
-		f.Inquiries, f.RefusedBefore, f.RefusedAfter, f.NewlyRefused, 100*f.Ratio, 100*f.Allowed)
-	for _, check := range ordered.Keys(f.ByCheck) {
-		line("  newly refused by %s: %d", check, f.ByCheck[check])
+		r.Requests, r.RefusedBefore, r.RefusedAfter, r.NewlyRefused, 100*r.NewlyRefusedRatio, 100*r.AllowedRatio)
+	for _, check := range ordered.Keys(r.ByCheck) {
+		line("  newly refused by %s: %d", check, r.ByCheck[check])
 	}
-	for _, tenant := range ordered.Keys(f.ByTenant) {
-		line("  newly refused of %s: %d", tenant, f.ByTenant[tenant])
+	for _, tenant := range ordered.Keys(r.ByTenant) {
+		line("  newly refused of %s: %d", tenant, r.ByTenant[tenant])
 	}
 	switch {
-	case f.Inquiries < f.Least:
-		line("it would be approved: %d inquiries are too few to measure by, the least is %d", f.Inquiries, f.Least)
-	case f.Approved:
+	case r.Requests < r.LeastRequests:
+		line("it would be approved: %d inquiries are too few to measure by, the least is %d", r.Requests, r.LeastRequests)
+	case r.Approved:
 		line("it would be approved")
 	default:
 		line("it would not be approved")
@@ -204,8 +214,9 @@
 	return text.String()
 }
 
-// Moves lists in words what differs between two descriptions.
-func Moves(before, after *configuration.Description) []string {
+// Changes lists the differences between two configurations, one per setting, sorted. Either
+// may be nil.
+func Changes(before, after *configuration.Description) []string {
 	flat := func(d *configuration.Description) map[string]string {
 		if d == nil {
 			return map[string]string{}
@@ -213,19 +224,19 @@
 		return configuration.Flatten(d.Text())
 	}
 	a, b := flat(before), flat(after)
-	var moves []string
+	var changes []string
 	for path, v := range b {
 		if old, ok := a[path]; !ok {
-			moves = append(moves, path+": new, "+v)
+			changes = append(changes, path+": new, "+v)
 		} else if old != v {
-			moves = append(moves, path+": "+old+" becomes "+v)
+			changes = append(changes, path+": "+old+" becomes "+v)
 		}
 	}
 	for path, v := range a {
 		if _, ok := b[path]; !ok {
-			moves = append(moves, path+": was "+v+", goes")
+			changes = append(changes, path+": was "+v+", goes")
 		}
 	}
-	sort.Strings(moves)
-	return moves
+	sort.Strings(changes)
+	return changes
 }
--- a/rule/rehearsal/rehearsal_test.go
+++ b/rule/rehearsal/rehearsal_test.go
@@ -9,8 +9,8 @@
 	"saffronfall/rule/configuration"
 )
 
-// TestPlan: what a plan tells of a change that takes a key, narrows a role and
-// lowers a rate, on inquiries that all three concern.
+// TestPlan: the text for a change that removes a key, restricts a role and lowers a rate,
+// with samples that each of the three refuses.
 func TestPlan(t *testing.T) {
 	parse := func(text string) *configuration.Description {
 		d, faults := configuration.Parse([]byte(text))
@@ -35,10 +35,9 @@
 	goldie.New(t).Assert(t, "plan", []byte(Run(before, after, samples).Text(7)))
 }
 
-// TestRealOrder: a rehearsal counts open sessions, users' days, programs'
-// allowances and tenants' days as nodes do, and names the first check that
-// refuses.
-func TestRealOrder(t *testing.T) {
+// TestChecksAsNodesDo: a replay counts sessions and the tokens of users' days, programs and
+// tenants' days as nodes do, and names the first check that refuses.
+func TestChecksAsNodesDo(t *testing.T) {
 	key := configuration.Sum("clerk")
 	for _, c := range []struct{ role, tenant, want string }{
 		{`"concurrent_sessions":1,"sessions_per_minute":9`, `"burst":9`, "concurrency"},
@@ -58,16 +57,16 @@
 			return Sample{Tenant: "parish", User: "ana", Role: "viewer", Program: id, Kind: kind, KeySum: key, Steps: steps, Tokens: 100, Charged: charged, Age: age * time.Second}
 		}
 		recent := []Sample{s("open", "a", 0, 0, 9), s("turn", "a", 1, 100, 8), s("turn", "a", 2, 200, 7), s("open", "b", 0, 0, 6), s("close", "a", 0, 0, 5), s("close", "b", 0, 0, 4), s("open", "c", 0, 0, 3)}
-		figures := Run(nil, d, recent)
-		first := begin(d)
+		result := Run(nil, d, recent)
+		replay := newReplay(d)
 		got := ""
-		for i, one := range recent {
-			if check := first.check(one, time.Duration(i)*time.Second, "x"); check != "" && got == "" {
+		for i, sample := range recent {
+			if check := replay.check(sample, time.Duration(i)*time.Second, "x"); check != "" && got == "" {
 				got = check
 			}
 		}
-		if got != c.want || (figures.RefusedAfter == 0) != (c.want == "") {
-			t.Errorf("%s, %s: %q, want %q; %+v", c.role, c.tenant, got, c.want, figures)
+		if got != c.want || (result.RefusedAfter == 0) != (c.want == "") {
+			t.Errorf("%s, %s: %q, want %q; %+v", c.role, c.tenant, got, c.want, result)
 		}
 	}
 }
--- a/saffronfall/nodeprocess/process.go
+++ b/saffronfall/nodeprocess/process.go
@@ -276,8 +276,8 @@
 	}
 }
 
-// Inquire hands an inquiry to the owner's goroutine.
-func (s *process) Inquire(ctx context.Context, q node.Inquiry) (<-chan node.Piece, bool) {
+// Submit hands a request to the goroutine that owns the machine.
+func (s *process) Submit(ctx context.Context, q node.Inquiry) (<-chan node.Piece, bool) {
 	pieces := make(chan node.Piece, 256)
 	select {
 	case s.arrive <- inquiry{inquiry: q, pieces: pieces, gone: ctx.Done()}:
--- a/saffronfall/schema_test.go
+++ b/saffronfall/schema_test.go
@@ -40,7 +40,7 @@
 		schematest.JSON[replica.Heard]("answer to an announcement"),
 		schematest.JSON[configuration.Description]("description"),
 		schematest.JSON[configuration.Faults]("faults of a text"),
-		schematest.JSON[rehearsal.Figures]("effect of a description"),
+		schematest.JSON[rehearsal.Result]("effect of a description"),
 		schematest.JSON[route.Table]("routing table"),
 		schematest.JSON[route.Amendment]("amendment of a routing table"),
 		schematest.JSON[route.Preview]("preview of an amendment"),
