--- a/peer/front/handler.go
+++ b/peer/front/handler.go
@@ -92,6 +92,8 @@
 	output []byte
 }
 
+// ServeHTTP reads a request and follows the dispatcher's steps until it is answered. An
+// answer that has begun and cannot be completed is aborted with its connection.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-h.Draining:
@@ -360,8 +362,8 @@
 	var e event
 	lineStart := 0
 	var firstAt time.Duration
-	end := func(kind string, whole bool) relay.Outcome {
-		r.Done(whole)
+	end := func(kind string, complete bool) relay.Outcome {
+		r.Done(complete)
 		if o.Events > 0 {
 			o.Streamed = clock.Now() - firstAt
 		}
--- a/peer/front/handler_test.go
+++ b/peer/front/handler_test.go
@@ -25,18 +25,18 @@
 
 // scriptedDispatcher returns a fixed list of steps; attempts use its lines in turn.
 type scriptedDispatcher struct {
-	t        *testing.T
-	steps    []relay.Step
-	lines    []*replica.Line
-	asked    chan relay.Ask
-	outcomes chan relay.Outcome
+	t          *testing.T
+	steps      []relay.Step
+	lines      []*replica.Line
+	dispatched chan relay.Ask
+	outcomes   chan relay.Outcome
 }
 
 func (s *scriptedDispatcher) Dispatch(ctx context.Context, a relay.Ask) (Request, relay.Step, *replica.Line, bool) {
-	s.asked <- a
-	w := &scriptedRequest{dispatcher: s}
-	step, line, ok := w.next()
-	return w, step, line, ok
+	s.dispatched <- a
+	r := &scriptedRequest{dispatcher: s}
+	step, line, ok := r.next()
+	return r, step, line, ok
 }
 
 type scriptedRequest struct {
@@ -45,22 +45,22 @@
 	sent       int
 }
 
-func (w *scriptedRequest) next() (relay.Step, *replica.Line, bool) {
-	if w.at == len(w.dispatcher.steps) {
+func (r *scriptedRequest) next() (relay.Step, *replica.Line, bool) {
+	if r.at == len(r.dispatcher.steps) {
 		return relay.Step{}, nil, false
 	}
-	step := w.dispatcher.steps[w.at]
-	w.at++
+	step := r.dispatcher.steps[r.at]
+	r.at++
 	if step.Kind != relay.StepSend {
 		return step, nil, true
 	}
-	w.sent++
-	return step, w.dispatcher.lines[w.sent-1], true
+	r.sent++
+	return step, r.dispatcher.lines[r.sent-1], true
 }
 
-func (w *scriptedRequest) Next(o relay.Outcome) (relay.Step, *replica.Line, bool) {
-	w.dispatcher.outcomes <- o
-	return w.next()
+func (r *scriptedRequest) Next(o relay.Outcome) (relay.Step, *replica.Line, bool) {
+	r.dispatcher.outcomes <- o
+	return r.next()
 }
 
 var sendStep = relay.Step{Kind: relay.StepSend, Replica: desk.Replica{ID: "i-1"}, Tenant: "tenant", Within: testTimeout}
@@ -135,7 +135,7 @@
 }
 
 func newNode(t *testing.T, steps []relay.Step, replicas ...*rawReplica) *node {
-	s := &scriptedDispatcher{t: t, steps: steps, asked: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16)}
+	s := &scriptedDispatcher{t: t, steps: steps, dispatched: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16)}
 	for _, r := range replicas {
 		line := replica.NewLine(r.address, 4, time.Second)
 		t.Cleanup(line.Close)
@@ -293,7 +293,7 @@
 				}
 			}
 			path, _, _ := strings.Cut(c.uri, "?")
-			if a := <-n.asked; a.Path != path || a.Host != "some.example:80" || a.Key != "secret" || !a.HasKey || a.Left != 5*time.Second || string(a.Input) != c.want || a.BodyBytes != int64(len(c.want)) {
+			if a := <-n.dispatched; a.Path != path || a.Host != "some.example:80" || a.Key != "secret" || !a.HasKey || a.Left != 5*time.Second || string(a.Input) != c.want || a.BodyBytes != int64(len(c.want)) {
 				t.Errorf("dispatched %+v", a)
 			}
 		})
@@ -326,7 +326,7 @@
 	if h := <-r.received; string(h.body) != "in1out1\nin2out2\nout3\nhi" || h.request.Header.Get("Saffronfall-Urgency") != "3" {
 		t.Errorf("%q %s", h.body, h.head)
 	}
-	if a := <-n.asked; string(a.Input) != "hi" {
+	if a := <-n.dispatched; string(a.Input) != "hi" {
 		t.Errorf("%q", a.Input)
 	}
 }
@@ -669,12 +669,12 @@
 			t.Errorf("%q: %d %s %v", c.headers, got.StatusCode, text, err)
 		}
 		if c.status == 418 {
-			if a := <-n.asked; strings.Contains(c.headers, "Prompt") && (len(a.Prompt) != 2 || a.Prompt[1].Tokens != 5) {
+			if a := <-n.dispatched; strings.Contains(c.headers, "Prompt") && (len(a.Prompt) != 2 || a.Prompt[1].Tokens != 5) {
 				t.Errorf("%+v", a)
 			}
 		}
 	}
-	if len(n.asked) != 0 {
+	if len(n.dispatched) != 0 {
 		t.Error("the request was dispatched")
 	}
 }
@@ -729,7 +729,7 @@
 	if got := q.read("POST"); got.StatusCode != 400 || !got.Close {
 		t.Errorf("invalid chunks: %d", got.StatusCode)
 	}
-	if len(n.asked) != 0 {
+	if len(n.dispatched) != 0 {
 		t.Error("the request was dispatched")
 	}
 	q = n.dial(t)
@@ -832,7 +832,7 @@
 // TestDrainingClosesConnections: while the node drains, each answer closes its connection.
 func TestDrainingClosesConnections(t *testing.T) {
 	closing := make(chan struct{})
-	s := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, asked: make(chan relay.Ask, 4), outcomes: make(chan relay.Outcome, 4)}
+	s := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, dispatched: make(chan relay.Ask, 4), outcomes: make(chan relay.Outcome, 4)}
 	s.lines = []*replica.Line{replica.NewLine(newStaticReplica(t, okHead+"Content-Length: 2\r\n\r\nok").address, 4, time.Second)}
 	server := httptest.NewServer(Handler(Options{Dispatcher: s, Names: replica.OwnNames, MaxBody: 1 << 20, Draining: closing}))
 	defer server.Close()
--- a/peer/front/interruption_test.go
+++ b/peer/front/interruption_test.go
@@ -22,13 +22,13 @@
 // outcomeDispatcher chooses steps by outcomes, as a relay does for requests that may run
 // only once: one that did not run goes to the next replica, one that may have run ends.
 type outcomeDispatcher struct {
-	lines []*replica.Line
-	first relay.Step
-	asked atomic.Int64
+	lines      []*replica.Line
+	first      relay.Step
+	dispatched atomic.Int64
 }
 
 func (d *outcomeDispatcher) Dispatch(context.Context, relay.Ask) (Request, relay.Step, *replica.Line, bool) {
-	d.asked.Add(1)
+	d.dispatched.Add(1)
 	return &outcomeRequest{dispatcher: d}, d.first, d.lines[0], true
 }
 
@@ -37,13 +37,13 @@
 	at         int
 }
 
-func (w *outcomeRequest) Next(o relay.Outcome) (relay.Step, *replica.Line, bool) {
+func (r *outcomeRequest) Next(o relay.Outcome) (relay.Step, *replica.Line, bool) {
 	switch {
 	case o.Kind == relay.Whole:
 		return passStep, nil, true
-	case o.Kind == relay.NotRun && w.at+1 < len(w.dispatcher.lines):
-		w.at++
-		return w.dispatcher.first, w.dispatcher.lines[w.at], true
+	case o.Kind == relay.NotRun && r.at+1 < len(r.dispatcher.lines):
+		r.at++
+		return r.dispatcher.first, r.dispatcher.lines[r.at], true
 	case o.Kind == relay.NotRun:
 		return relay.Step{Kind: relay.StepRefuse, Status: 503, Check: "replicas", Reason: "no replica is left"}, nil, true
 	}
@@ -113,29 +113,29 @@
 	first, second int
 }
 
-func (b interruptedResult) check(t *testing.T, answer string, cut int, reset bool, want string, status int) {
+func (r interruptedResult) check(t *testing.T, answer string, cut int, reset bool, want string, status int) {
 	t.Helper()
-	promised := strings.Contains(answer, "Not-Run")
+	notRun := strings.Contains(answer, "Not-Run")
 	head := strings.Index(answer, "\r\n\r\n") + len("\r\n\r\n")
-	if b.first != 1 {
-		t.Errorf("cut at %d: the first replica received the request %d times", cut, b.first)
+	if r.first != 1 {
+		t.Errorf("cut at %d: the first replica received the request %d times", cut, r.first)
 	}
-	if b.second > 0 && (!promised || cut < head) {
+	if r.second > 0 && (!notRun || cut < head) {
 		t.Errorf("cut at %d: the request was sent to another replica though it may have run", cut)
 	}
-	if cut == len(answer) && !reset && (!b.complete || b.status != status || b.body != want) {
-		t.Errorf("complete answer: %+v", b)
+	if cut == len(answer) && !reset && (!r.complete || r.status != status || r.body != want) {
+		t.Errorf("complete answer: %+v", r)
 	}
-	if cut < len(answer) && !promised && b.complete && b.status != breakStep.Status {
-		t.Errorf("cut at %d of %d: the requester got a complete answer: %+v", cut, len(answer), b)
+	if cut < len(answer) && !notRun && r.complete && r.status != breakStep.Status {
+		t.Errorf("cut at %d of %d: the requester got a complete answer: %+v", cut, len(answer), r)
 	}
-	if b.complete && b.status/100 == 2 && b.body != want {
-		t.Errorf("cut at %d: success with body %q", cut, b.body)
+	if r.complete && r.status/100 == 2 && r.body != want {
+		t.Errorf("cut at %d: success with body %q", cut, r.body)
 	}
-	if !b.complete && !strings.HasPrefix(want, b.body) {
-		t.Errorf("cut at %d: %q is not a prefix of the answer", cut, b.body)
+	if !r.complete && !strings.HasPrefix(want, r.body) {
+		t.Errorf("cut at %d: %q is not a prefix of the answer", cut, r.body)
 	}
-	if b.complete && b.status == http.StatusServiceUnavailable && b.second == 0 {
+	if r.complete && r.status == http.StatusServiceUnavailable && r.second == 0 {
 		t.Errorf("cut at %d: refused, though it may have run", cut)
 	}
 }
@@ -232,8 +232,8 @@
 			t.Errorf("%s ran, want %s", ran, id)
 		}
 	}
-	if asked := dispatcher.asked.Load(); asked != int64(len(ids)) || len(received) > 0 {
-		t.Errorf("%d requests were dispatched, want %d", asked, len(ids))
+	if dispatched := dispatcher.dispatched.Load(); dispatched != int64(len(ids)) || len(received) > 0 {
+		t.Errorf("%d requests were dispatched, want %d", dispatched, len(ids))
 	}
 }
 
--- a/peer/front/limits_test.go
+++ b/peer/front/limits_test.go
@@ -65,7 +65,7 @@
 
 // newNodeWithBodyTimeout is a node with the given BodyTimeout.
 func newNodeWithBodyTimeout(t *testing.T, bodyTime time.Duration) *node {
-	dispatcher := &scriptedDispatcher{t: t, asked: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16)}
+	dispatcher := &scriptedDispatcher{t: t, dispatched: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16)}
 	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Names: replica.OwnNames, MaxBody: 1 << 20, Draining: make(chan struct{}), BodyTimeout: bodyTime}))
 	t.Cleanup(server.Close)
 	return &node{scriptedDispatcher: dispatcher, server: server}
@@ -142,7 +142,7 @@
 		<-release
 		io.WriteString(c, strings.Replace(lengthAnswer, "a1", h.request.Header.Get("Saffronfall-Attempt"), 1))
 	})
-	dispatcher := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, asked: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16), lines: []*replica.Line{replica.NewLine(r.address, 4, time.Second)}}
+	dispatcher := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, dispatched: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16), lines: []*replica.Line{replica.NewLine(r.address, 4, time.Second)}}
 	rejected := make(chan relay.Ended, 16)
 	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Names: replica.OwnNames, MaxBody: 1 << 20, Draining: make(chan struct{}), IntakeBytes: 3 * bodyChunk, OnRejected: func(e relay.Ended) { rejected <- e }}))
 	t.Cleanup(server.Close)
--- a/peer/requester/handler.go
+++ b/peer/requester/handler.go
@@ -49,6 +49,7 @@
 	BudgetMS  int64           `json:"budget_ms"`
 }
 
+// turn is an earlier turn of a program, as the requester has it.
 type turn struct {
 	Say string `json:"say"`
 	Got string `json:"got"`
--- a/peer/requester/requester_test.go
+++ b/peer/requester/requester_test.go
@@ -49,7 +49,7 @@
 		{"oversized", "POST", "/v1/programs", "k", `{"user":"` + strings.Repeat("u", 3000) + `"}`, 413, "too_large"},
 		{"passed budget", "POST", "/v1/programs", "k", `{"user":"u","budget_ms":-1}`, 504, "budget_passed"},
 		{"no before", "POST", "/v1/programs/p/turns", "k", `{"say":"x"}`, 400, "malformed"},
-		{"nothing said", "POST", "/v1/programs/p/turns", "k", `{"before":"start"}`, 400, "malformed"},
+		{"empty say", "POST", "/v1/programs/p/turns", "k", `{"before":"start"}`, 400, "malformed"},
 		{"no once-key", "POST", "/v1/actions/a", "k", `{"body":{}}`, 400, "malformed"},
 		{"no body", "POST", "/v1/actions/a", "k", `{"once_key":"x"}`, 400, "malformed"},
 		{"no arguments", "POST", "/v1/programs/p/tools/s", "k", `{}`, 400, "malformed"},
@@ -81,11 +81,11 @@
 func TestStreams(t *testing.T) {
 	chunk := node.Piece{Kind: node.PieceChunk, Text: "a", Tokens: 1}
 	for _, c := range []struct {
-		name   string
-		pieces []node.Piece
-		whole  bool
+		name     string
+		pieces   []node.Piece
+		complete bool
 	}{
-		{"whole", []node.Piece{{Kind: node.PieceOpen}, chunk, {Kind: node.PieceClose, Tokens: 1, Head: "h", End: "complete"}}, true},
+		{"complete", []node.Piece{{Kind: node.PieceOpen}, chunk, {Kind: node.PieceClose, Tokens: 1, Head: "h", End: "complete"}}, true},
 		{"broken", []node.Piece{{Kind: node.PieceOpen}, chunk, {Kind: node.PieceBreak}}, false},
 		{"cut off", []node.Piece{{Kind: node.PieceOpen}, chunk}, false},
 	} {
@@ -97,7 +97,7 @@
 			t.Fatal(err)
 		}
 		text, err := io.ReadAll(got.Body)
-		if (err == nil) != c.whole || strings.Contains(string(text), `"closing":true`) != c.whole {
+		if (err == nil) != c.complete || strings.Contains(string(text), `"closing":true`) != c.complete {
 			t.Errorf("%s: %v %s", c.name, err, text)
 		}
 		server.Close()
--- a/rule/rehearsal/rehearsal.go
+++ b/rule/rehearsal/rehearsal.go
@@ -43,10 +43,13 @@
 	NewlyRefusedRatio float64          `json:"newly_refused_ratio"`
 	ByCheck           map[string]int64 `json:"newly_refused_by_check"`
 	ByTenant          map[string]int64 `json:"newly_refused_by_tenant"`
-	AllowedRatio      float64          `json:"allowed_ratio"`
-	LeastRequests     int64            `json:"least_inquiries"`
-	Approved          bool             `json:"approved"`
-	Changes           []string         `json:"moves"`
+	// AllowedRatio is the largest NewlyRefusedRatio that is approved. With fewer than
+	// LeastRequests samples, every change is approved.
+	AllowedRatio  float64 `json:"allowed_ratio"`
+	LeastRequests int64   `json:"least_inquiries"`
+	Approved      bool    `json:"approved"`
+	// Changes are the result of the function Changes.
+	Changes []string `json:"moves"`
 }
 
 // replay is the state of one replay under a configuration.
