--- a/peer/disk/bench_test.go
+++ b/peer/disk/bench_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// BenchmarkSum is the cost of a frame's checksum by its size.
-func BenchmarkSum(b *testing.B) {
+// BenchmarkChecksum measures the checksum of a record by its size.
+func BenchmarkChecksum(b *testing.B) {
 	for _, size := range []int{200, 4 << 10, 64 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			f := frames{key: &sumKey{1, 2}}
+			f := recordFormat{key: &checksumKey{1, 2}}
 			body := make([]byte, size)
 			b.SetBytes(int64(size))
 			for b.Loop() {
@@ -19,9 +19,9 @@
 	}
 }
 
-// BenchmarkSearch is the cost of looking for a frame behind a torn one.
+// BenchmarkSearch measures the search for a record after a torn one.
 func BenchmarkSearch(b *testing.B) {
-	f := frames{key: &sumKey{1, 2}}
+	f := recordFormat{key: &checksumKey{1, 2}}
 	rest := make([]byte, 64<<10)
 	b.SetBytes(int64(len(rest)))
 	for b.Loop() {
--- a/peer/disk/checksum.go
+++ b/peer/disk/checksum.go
@@ -8,40 +8,41 @@
 	"github.com/dchest/siphash"
 )
 
-// sumKey is the key of a file's checksums (SipHash, Aumasson and Bernstein 2012), drawn
-// by chance for each file. Tenants choose what files hold, and which blocks of a last
-// write outlive a loss of power is chance: without a key they could choose bytes that
-// look like a frame of the log, or whose loss a checksum does not show.
-type sumKey [2]uint64
+// checksumKey is the random key of a file's checksums (SipHash, Aumasson and Bernstein
+// 2012). Tenants choose part of the stored bytes, and any subset of the blocks of the
+// last write may survive a power failure. With unkeyed checksums a tenant could choose
+// bytes that look like a log record, or whose loss leaves the checksum unchanged.
+type checksumKey [2]uint64
 
-const sumKeySize = 16
+const checksumKeySize = 16
 
-// newSumKey draws a key.
-func newSumKey() (sumKey, error) {
-	raw := make([]byte, sumKeySize)
+// newChecksumKey generates a random key.
+func newChecksumKey() (checksumKey, error) {
+	raw := make([]byte, checksumKeySize)
 	if _, err := rand.Read(raw); err != nil {
-		return sumKey{}, errors.Wrap(err, "drawing a key")
+		return checksumKey{}, errors.Wrap(err, "generating a checksum key")
 	}
-	return readSumKey(raw), nil
+	return decodeChecksumKey(raw), nil
 }
 
-func readSumKey(raw []byte) sumKey {
-	return sumKey{binary.LittleEndian.Uint64(raw), binary.LittleEndian.Uint64(raw[8:])}
+func decodeChecksumKey(raw []byte) checksumKey {
+	return checksumKey{binary.LittleEndian.Uint64(raw), binary.LittleEndian.Uint64(raw[8:])}
 }
 
-func (k sumKey) appendTo(raw []byte) []byte {
+func (k checksumKey) appendTo(raw []byte) []byte {
 	raw = binary.LittleEndian.AppendUint64(raw, k[0])
 	return binary.LittleEndian.AppendUint64(raw, k[1])
 }
 
-// sum is the checksum of a head, whose length tells its kind, and a body.
-func (k sumKey) sum(head, body []byte) uint64 {
-	h := siphash.New(k.appendTo(make([]byte, 0, sumKeySize)))
-	h.Write([]byte{byte(len(head))})
-	h.Write(head)
+// checksum returns the checksum of a header and a body. The header's length is
+// included, so that different kinds of headers cannot be confused.
+func (k checksumKey) checksum(header, body []byte) uint64 {
+	h := siphash.New(k.appendTo(make([]byte, 0, checksumKeySize)))
+	h.Write([]byte{byte(len(header))})
+	h.Write(header)
 	h.Write(body)
 	return h.Sum64()
 }
 
-// shortSum is the checksum of a few bytes, without an allocation.
-func (k sumKey) shortSum(text []byte) uint64 { return siphash.Hash(k[0], k[1], text) }
+// checksumShort returns the checksum of a short text without allocating.
+func (k checksumKey) checksumShort(text []byte) uint64 { return siphash.Hash(k[0], k[1], text) }
--- a/peer/disk/checksum_test.go
+++ b/peer/disk/checksum_test.go
@@ -10,13 +10,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TestTornWriteWithAFrameInside: a tenant's bytes that look like a frame, in a last write
-// whose beginning was lost, do not make the copy count as damaged: it is a write that was
-// cut off.
-func TestTornWriteWithAFrameInside(t *testing.T) {
+// TestTornWriteWithARecordInside guards against reporting damage when a torn last write
+// contains tenant-chosen bytes that look like a record.
+func TestTornWriteWithARecordInside(t *testing.T) {
 	for name, inside := range map[string][]byte{
-		"of the first format":      appendCRC(nil, []byte("chosen by a tenant")),
-		"under another disk's key": frames{key: &sumKey{1, 2}}.append(nil, 100, []byte("chosen by a tenant")),
+		"of the first format":      appendRecordV1(nil, []byte("chosen by a tenant")),
+		"under another disk's key": recordFormat{key: &checksumKey{1, 2}}.append(nil, 100, []byte("chosen by a tenant")),
 	} {
 		path := filled(t)
 		f, _, err := Open(path)
@@ -28,15 +27,15 @@
 			clear(raw[before : before+512])
 			return raw
 		})
-		_, held, err := Open(path)
-		if err != nil || len(held.Frames) != 3 {
-			t.Errorf("%s: %d frames, %v", name, len(held.Frames), err)
+		_, contents, err := Open(path)
+		if err != nil || len(contents.Records) != 3 {
+			t.Errorf("%s: %d records, %v", name, len(contents.Records), err)
 		}
 	}
 }
 
-// neutralBlock makes a block that is not zero and adds nothing to a CRC, by linear
-// dependence of the sums of its single bits.
+// neutralBlock returns a non-zero block that leaves a CRC unchanged, found by linear
+// dependence of the CRCs of its single bits.
 func neutralBlock(t *testing.T, size int) []byte {
 	t.Helper()
 	table := crc32.MakeTable(crc32.Castagnoli)
@@ -63,12 +62,12 @@
 		}
 		basis = append(basis, s)
 	}
-	t.Fatal("no dependence")
+	t.Fatal("no linearly dependent bits found")
 	return nil
 }
 
-// TestTornStateWithANeutralBlock: a block of a tenant's choice that was lost from a state
-// under way does not go unseen.
+// TestTornStateWithANeutralBlock guards against accepting a torn slot that lost a
+// block which a CRC would not miss.
 func TestTornStateWithANeutralBlock(t *testing.T) {
 	const block = 512
 	path := filled(t)
@@ -82,41 +81,41 @@
 	must(t, err)
 	must(t, f.Replace(state))
 	must(t, f.Close())
-	// The power went before the log of the new state came into being.
+	// Simulates a power failure before the log of the new state was installed.
 	must(t, systemFiles{}.Remove(filepath.Join(path, "log-0")))
 	change(t, path, "log-1", func([]byte) []byte { return log })
 	change(t, path, "slot-0", func(raw []byte) []byte {
 		clear(raw[len(raw)-2*block : len(raw)-block])
 		return raw
 	})
-	_, held, err := Open(path)
-	if err != nil || string(held.Slot) != "first" || len(held.Frames) != 3 {
-		t.Errorf("the torn state is taken: %d bytes, %d frames, %v", len(held.Slot), len(held.Frames), err)
+	_, contents, err := Open(path)
+	if err != nil || string(contents.State) != "first" || len(contents.Records) != 3 {
+		t.Errorf("a torn state was accepted: %d bytes, %d records, %v", len(contents.State), len(contents.Records), err)
 	}
 }
 
-// TestFormerFormat: a folder of the first format is read, appended to, and written in the
-// present one with the next state.
-func TestFormerFormat(t *testing.T) {
+// TestFormatOne checks that a directory in the first format is read and appended to,
+// and rewritten in the current format by Replace.
+func TestFormatOne(t *testing.T) {
 	path := t.TempDir()
 	table := crc32.MakeTable(crc32.Castagnoli)
 	slot := binary.LittleEndian.AppendUint64([]byte("SFSLOT01"), 1)
 	slot = binary.LittleEndian.AppendUint32(slot, uint32(len("first")))
 	slot = binary.LittleEndian.AppendUint32(slot, crc32.Update(crc32.Checksum(slot, table), table, []byte("first")))
-	log := appendCRC(binary.LittleEndian.AppendUint64([]byte("SFLOG001"), 1), []byte("one"))
+	log := appendRecordV1(binary.LittleEndian.AppendUint64([]byte("SFLOG001"), 1), []byte("one"))
 	must(t, writeFile(path, "slot-1", append(slot, "first"...)))
 	must(t, writeFile(path, "log-1", log))
-	f, held, err := Open(path)
+	f, contents, err := Open(path)
 	must(t, err)
-	if string(held.Slot) != "first" || len(held.Frames) != 1 {
-		t.Fatalf("%+v", held)
+	if string(contents.State) != "first" || len(contents.Records) != 1 {
+		t.Fatalf("%+v", contents)
 	}
 	must(t, f.Append([]byte("two")))
 	must(t, f.Close())
-	f, held, err = Open(path)
+	f, contents, err = Open(path)
 	must(t, err)
-	if len(held.Frames) != 2 || string(held.Frames[1]) != "two" {
-		t.Fatalf("%+v", held)
+	if len(contents.Records) != 2 || string(contents.Records[1]) != "two" {
+		t.Fatalf("%+v", contents)
 	}
 	must(t, f.Replace([]byte("second")))
 	must(t, f.Append([]byte("three")))
@@ -126,21 +125,21 @@
 	if string(raw[:len(slotMagic)]) != slotMagic {
 		t.Errorf("written as %q", raw[:len(slotMagic)])
 	}
-	_, held, err = Open(path)
+	_, contents, err = Open(path)
 	must(t, err)
-	if string(held.Slot) != "second" || len(held.Frames) != 1 {
-		t.Errorf("%+v", held)
+	if string(contents.State) != "second" || len(contents.Records) != 1 {
+		t.Errorf("%+v", contents)
 	}
 }
 
-// TestDamagedKey: without its key nothing of a log can be told from a write that was cut
-// off, so a damaged one makes the copy count as lost.
+// TestDamagedKey guards against mistaking a log whose key is damaged for one with an
+// interrupted write: no record can be verified without the key.
 func TestDamagedKey(t *testing.T) {
-	for at := len(logMagic); at < logHeadSize; at++ {
+	for at := len(logMagic); at < logHeaderSize; at++ {
 		path := filled(t)
 		change(t, path, "log-1", func(raw []byte) []byte { raw[at] ^= 1; return raw })
-		if _, _, err := Open(path); !errors.Is(err, ErrLost) {
-			t.Errorf("byte %d of the head: %v", at, err)
+		if _, _, err := Open(path); !errors.Is(err, ErrDamaged) {
+			t.Errorf("byte %d of the header: %v", at, err)
 		}
 	}
 }
--- a/peer/disk/disk.go
+++ b/peer/disk/disk.go
@@ -1,5 +1,11 @@
-// Package disk keeps one state in a folder: two slots that are written in
-// turn, and a short log of what came after the newer one.
+// Package disk stores one state durably in a directory: two slots, which are
+// overwritten alternately, and a log of the records appended since the newer slot was
+// written.
+//
+// A slot or log counts only if its checksum matches. A write is acknowledged only
+// after it has been synced, so a power failure can lose or tear only unacknowledged
+// writes. Any other damage is reported as ErrDamaged. Start reading at OpenIn,
+// Store.Append and Store.Replace.
 package disk
 
 import (
@@ -13,238 +19,243 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrLost says that the folder's copy is damaged other than by a write that
-// was cut off, and so counts as lost.
-var ErrLost = errors.New("the copy in this folder is lost")
+// ErrDamaged reports damage that an interrupted write cannot explain. The stored state
+// must be treated as lost.
+var ErrDamaged = errors.New("the stored state is damaged")
 
-// ErrForeign says that the folder holds something that this program did not
-// write, or a newer version of it did. It is left as it is.
-var ErrForeign = errors.New("this folder is not this program's, or a newer version's")
+// ErrUnknownFormat reports a file that this program did not write, or that a newer
+// version of it wrote. The directory is left unchanged.
+var ErrUnknownFormat = errors.New("the directory holds files of another program or of a newer version")
 
-// ErrFull says that there was no room and that nothing has changed: the folder
-// holds what it held, and the same may be tried again. A sync that fails is never
-// ErrFull, as nobody knows what it left behind.
-var ErrFull = errors.New("no room on the disk; nothing was written")
+// ErrFull reports that the disk had no space and that the stored contents are
+// unchanged; the operation may be retried. A failed sync is never reported as ErrFull,
+// because what it left on the disk is unknown.
+var ErrFull = errors.New("no space left on the disk; nothing was written")
 
-// Folder is an open folder. It is used by one goroutine.
-type Folder struct {
+// Store is an open directory. It is not safe for concurrent use.
+type Store struct {
 	files      FileSystem
 	path       string
 	generation uint64
 	log        File
-	// frames is how the log's frames are checked.
-	frames frames
+	// format encodes and checks the records of the current log.
+	format recordFormat
 	size   int64
-	// Syncs counts the syncs made.
+	// Syncs counts the file syncs made.
 	Syncs int64
 }
 
-// Held is what a folder held when it was opened.
-type Held struct {
-	Empty  bool
-	Slot   []byte
-	Frames [][]byte
-	// Cut is how many bytes of an unfinished write were cut off.
-	Cut int64
+// Contents is what a directory held when it was opened.
+type Contents struct {
+	Empty   bool
+	State   []byte
+	Records [][]byte
+	// TruncatedBytes is the length of the incomplete write removed from the end of the
+	// log.
+	TruncatedBytes int64
 }
 
-// Open reads a folder, which may be empty.
-func Open(path string) (*Folder, Held, error) { return OpenIn(System, path) }
+// Open opens a directory, creating it if needed, and reads what it holds.
+func Open(path string) (*Store, Contents, error) { return OpenIn(System, path) }
 
-// OpenIn reads a folder of a file system.
-func OpenIn(files FileSystem, path string) (*Folder, Held, error) {
+// OpenIn is like Open but uses the given file system.
+func OpenIn(files FileSystem, path string) (*Store, Contents, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return nil, Held{}, errors.Wrap(err, "folder")
+		return nil, Contents{}, errors.Wrap(err, "creating the state directory")
 	}
-	f := &Folder{files: files, path: path}
-	slots, err := f.readSlots()
+	s := &Store{files: files, path: path}
+	slots, err := s.readSlots()
 	if err != nil {
-		return nil, Held{}, err
+		return nil, Contents{}, err
 	}
-	logs, err := f.readLogs(slots.ours())
+	logs, err := s.readLogs(slots.recognized())
 	if err != nil {
-		return nil, Held{}, err
+		return nil, Contents{}, err
 	}
 	newest := slots.newest()
-	f.generation = slots[newest].generation
+	s.generation = slots[newest].generation
 	switch {
 	case slots[newest].body == nil && !logs.present():
-		return f, Held{Empty: true}, nil
-	case slots[newest].body == nil, logs.generation() > f.generation:
-		return nil, Held{}, errors.Wrapf(ErrLost, "the slot of generation %d is gone or damaged", logs.generation())
+		return s, Contents{Empty: true}, nil
+	case slots[newest].body == nil, logs.generation() > s.generation:
+		return nil, Contents{}, errors.Wrapf(ErrDamaged, "the slot of generation %d is missing or damaged", logs.generation())
 	}
-	held := Held{Slot: slots[newest].body}
-	if logs[newest].generation < f.generation {
-		// The slot is whole and its log was not begun.
-		return f, held, f.begin(newest)
+	contents := Contents{State: slots[newest].body}
+	if logs[newest].generation < s.generation {
+		// The crash came after the slot was written and before its log was installed.
+		return s, contents, s.startLog(newest)
 	}
-	err = f.resume(newest, logs[newest], &held)
-	return f, held, err
+	err = s.replayLog(newest, logs[newest], &contents)
+	return s, contents, err
 }
 
-// resume reads the frames of a log, cuts off an unfinished write and goes on after it.
-func (f *Folder) resume(i int, l logFile, held *Held) error {
-	f.frames, f.size = l.frames, int64(l.headSize)
-	rest := l.raw[l.headSize:]
+// replayLog reads the records of a log, truncates an incomplete write at its end and
+// positions the log for appending.
+func (s *Store) replayLog(i int, l logFile, contents *Contents) error {
+	s.format, s.size = l.format, int64(l.headerSize)
+	rest := l.raw[l.headerSize:]
 	for len(rest) > 0 {
-		frame, n := f.frames.read(rest, f.size)
+		record, n := s.format.read(rest, s.size)
 		if n == 0 {
-			if f.frames.any(rest[1:], f.size+1) {
-				return errors.Wrap(ErrLost, "the log is damaged before its end")
+			if s.format.any(rest[1:], s.size+1) {
+				return errors.Wrap(ErrDamaged, "the log is damaged before its last record")
 			}
 			break
 		}
-		held.Frames = append(held.Frames, bytes.Clone(frame))
-		rest, f.size = rest[n:], f.size+int64(n)
+		contents.Records = append(contents.Records, bytes.Clone(record))
+		rest, s.size = rest[n:], s.size+int64(n)
 	}
-	held.Cut = int64(len(rest))
-	log, err := f.files.OpenFile(f.name("log", i), os.O_RDWR, 0o600)
+	contents.TruncatedBytes = int64(len(rest))
+	log, err := s.files.OpenFile(s.name("log", i), os.O_RDWR, 0o600)
 	if err != nil {
-		return errors.Wrap(err, "log")
+		return errors.Wrap(err, "opening the log")
 	}
-	f.log = log
-	if err := log.Truncate(f.size); err != nil {
-		return errors.Wrap(err, "cutting the log")
+	s.log = log
+	if err := log.Truncate(s.size); err != nil {
+		return errors.Wrap(err, "truncating the log")
 	}
-	if _, err := log.Seek(f.size, io.SeekStart); err != nil {
-		return errors.Wrap(err, "log")
+	if _, err := log.Seek(s.size, io.SeekStart); err != nil {
+		return errors.Wrap(err, "seeking to the end of the log")
 	}
-	return errors.Wrap(log.Sync(), "log")
+	return errors.Wrap(log.Sync(), "syncing the log")
 }
 
-func (f *Folder) name(kind string, i int) string {
-	return filepath.Join(f.path, fmt.Sprintf("%s-%d", kind, i))
+func (s *Store) name(kind string, i int) string {
+	return filepath.Join(s.path, fmt.Sprintf("%s-%d", kind, i))
 }
 
-// Append writes one frame to the log and syncs it. After an error other than
-// ErrFull the folder must not be used again.
-func (f *Folder) Append(body []byte) error {
-	frame := f.frames.append(nil, f.size, body)
-	if _, err := f.log.Write(frame); err != nil {
-		return f.takeBack(err)
+// Append writes one record to the log and syncs it. After an error other than ErrFull
+// the store must not be used again.
+func (s *Store) Append(body []byte) error {
+	record := s.format.append(nil, s.size, body)
+	if _, err := s.log.Write(record); err != nil {
+		return s.undoWrite(err)
 	}
-	f.size += int64(len(frame))
-	f.Syncs++
-	return errors.Wrap(f.log.Sync(), "log")
+	s.size += int64(len(record))
+	s.Syncs++
+	return errors.Wrap(s.log.Sync(), "syncing the log")
 }
 
-// takeBack removes what a write that failed has left at the end of the log.
-func (f *Folder) takeBack(cause error) error {
+// undoWrite truncates the log to its size before a failed write.
+func (s *Store) undoWrite(cause error) error {
 	if !isFull(cause) {
-		return errors.Wrap(cause, "log")
+		return errors.Wrap(cause, "appending to the log")
 	}
-	if err := f.log.Truncate(f.size); err != nil {
-		return errors.Wrap(err, "taking back a write for which there was no room")
+	if err := s.log.Truncate(s.size); err != nil {
+		return errors.Wrap(err, "undoing a log write that ran out of space")
 	}
-	if _, err := f.log.Seek(f.size, io.SeekStart); err != nil {
-		return errors.Wrap(err, "taking back a write for which there was no room")
+	if _, err := s.log.Seek(s.size, io.SeekStart); err != nil {
+		return errors.Wrap(err, "undoing a log write that ran out of space")
 	}
-	return errors.Mark(errors.Wrap(cause, "log"), ErrFull)
+	return errors.Mark(errors.Wrap(cause, "appending to the log"), ErrFull)
 }
 
 func isFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// Size is the length of the log.
-func (f *Folder) Size() int64 { return f.size }
+// Size returns the length of the log in bytes.
+func (s *Store) Size() int64 { return s.size }
 
-// Replace writes the whole state to the slot whose turn it is and begins a new
-// log. After ErrFull the folder goes on with the log that it has.
-func (f *Folder) Replace(state []byte) error {
-	f.generation++
-	err := f.replace(state)
+// Replace writes the whole state to the older slot and starts a new log. After ErrFull
+// the store keeps using its current slot and log; after any other error it must not be
+// used again.
+func (s *Store) Replace(state []byte) error {
+	s.generation++
+	err := s.replace(state)
 	if errors.Is(err, ErrFull) {
-		f.generation--
+		s.generation--
 	}
 	return err
 }
 
-func (f *Folder) replace(state []byte) error {
-	i := int(f.generation % 2)
-	key, err := newSumKey()
+func (s *Store) replace(state []byte) error {
+	i := int(s.generation % 2)
+	key, err := newChecksumKey()
 	if err != nil {
 		return err
 	}
-	fresh, err := f.prepareLog(i)
+	format, err := s.prepareLog(i)
 	if err != nil {
 		return err
 	}
-	// From here on the new slot counts, so nothing that comes after it may want room.
-	if err := f.writeSynced(f.name("slot", i), appendSlot(key, f.generation, state)); err != nil {
+	// Once the new slot is written it is the current one, so the steps after it must
+	// not need disk space. The new log is therefore prepared first.
+	if err := s.writeSynced(s.name("slot", i), appendSlot(key, s.generation, state)); err != nil {
 		return err
 	}
-	return f.beginLog(i, fresh)
+	return s.installLog(i, format)
 }
 
-func (f *Folder) writeSynced(name string, raw []byte) error {
-	file, err := f.files.OpenFile(name, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
+func (s *Store) writeSynced(name string, raw []byte) error {
+	file, err := s.files.OpenFile(name, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
-		return f.noRoom(name, err)
+		return s.removePartial(name, err)
 	}
 	defer file.Close()
 	if _, err := file.Write(raw); err != nil {
-		return f.noRoom(name, err)
+		return s.removePartial(name, err)
 	}
-	f.Syncs++
+	s.Syncs++
 	if err := file.Sync(); err != nil {
-		return errors.Wrap(err, "folder")
+		return errors.Wrap(err, "syncing a state file")
 	}
-	return f.files.SyncFolder(f.path)
+	return s.files.SyncDir(s.path)
 }
 
-// noRoom gives back the room that a file took which could not be written whole.
-// Such a file is never read: a slot that is cut off does not match its checksum,
-// and a log comes into being by a rename.
-func (f *Folder) noRoom(name string, cause error) error {
+// removePartial frees the space of a file that could not be written completely. Such a
+// file is never read: an incomplete slot does not match its checksum, and a log is
+// installed by a rename.
+func (s *Store) removePartial(name string, cause error) error {
 	if !isFull(cause) {
-		return errors.Wrap(cause, "folder")
+		return errors.Wrap(cause, "writing a state file")
 	}
-	if err := f.files.Remove(name); err != nil && !os.IsNotExist(err) {
-		return errors.Wrap(err, "removing a file for which there was no room")
+	if err := s.files.Remove(name); err != nil && !os.IsNotExist(err) {
+		return errors.Wrap(err, "removing a partial file after running out of space")
 	}
-	return errors.Mark(errors.Wrap(cause, "folder"), ErrFull)
+	return errors.Mark(errors.Wrap(cause, "writing a state file"), ErrFull)
 }
 
-// begin starts the log of the present generation.
-func (f *Folder) begin(i int) error {
-	fresh, err := f.prepareLog(i)
+// startLog creates the log of the current generation.
+func (s *Store) startLog(i int) error {
+	format, err := s.prepareLog(i)
 	if err != nil {
 		return err
 	}
-	return f.beginLog(i, fresh)
+	return s.installLog(i, format)
 }
 
-// prepareLog writes an empty log of the present generation under another name.
-func (f *Folder) prepareLog(i int) (frames, error) {
-	key, err := newSumKey()
+// prepareLog writes an empty log of the current generation under a temporary name.
+func (s *Store) prepareLog(i int) (recordFormat, error) {
+	key, err := newChecksumKey()
 	if err != nil {
-		return frames{}, err
+		return recordFormat{}, err
 	}
-	return frames{key: &key}, f.writeSynced(f.name("fresh", i), logHead(key, f.generation))
+	return recordFormat{key: &key}, s.writeSynced(s.name("fresh", i), logHeader(key, s.generation))
 }
 
-// beginLog puts a prepared log in its place. It comes into being whole, by a
-// rename, so a damaged head is never the trace of a cut-off write.
-func (f *Folder) beginLog(i int, fresh frames) error {
-	if err := f.files.Rename(f.name("fresh", i), f.name("log", i)); err != nil {
-		return errors.Wrap(err, "log")
+// installLog renames a prepared log to its final name. Because a log appears complete,
+// a damaged header is never the result of an interrupted write.
+func (s *Store) installLog(i int, format recordFormat) error {
+	if err := s.files.Rename(s.name("fresh", i), s.name("log", i)); err != nil {
+		return errors.Wrap(err, "installing the new log")
 	}
-	if err := f.files.SyncFolder(f.path); err != nil {
+	if err := s.files.SyncDir(s.path); err != nil {
 		return err
 	}
-	if f.log != nil {
-		f.log.Close()
+	if s.log != nil {
+		s.log.Close()
 	}
-	log, err := f.files.OpenFile(f.name("log", i), os.O_RDWR|os.O_APPEND, 0o600)
+	log, err := s.files.OpenFile(s.name("log", i), os.O_RDWR|os.O_APPEND, 0o600)
 	if err != nil {
-		return errors.Wrap(err, "log")
+		return errors.Wrap(err, "opening the new log")
 	}
-	f.log, f.frames, f.size = log, fresh, int64(logHeadSize)
+	s.log, s.format, s.size = log, format, int64(logHeaderSize)
 	return nil
 }
 
-// SetAside moves a lost copy out of the way, so that the folder is empty.
+// SetAside moves damaged files into a new subdirectory, so that the directory opens as
+// empty.
 func SetAside(path string) error {
 	for i := 0; ; i++ {
 		aside := filepath.Join(path, fmt.Sprintf("lost-%d", i))
@@ -252,14 +263,14 @@
 			continue
 		}
 		if err := os.Mkdir(aside, 0o700); err != nil {
-			return errors.Wrap(err, "setting aside")
+			return errors.Wrap(err, "setting aside the damaged state")
 		}
 		for _, kind := range []string{"slot", "log", "fresh"} {
 			for n := 0; n < 2; n++ {
 				name := fmt.Sprintf("%s-%d", kind, n)
 				err := os.Rename(filepath.Join(path, name), filepath.Join(aside, name))
 				if err != nil && !os.IsNotExist(err) {
-					return errors.Wrap(err, "setting aside")
+					return errors.Wrap(err, "setting aside the damaged state")
 				}
 			}
 		}
@@ -267,10 +278,10 @@
 	}
 }
 
-// Close closes the folder.
-func (f *Folder) Close() error {
-	if f.log == nil {
+// Close closes the log file.
+func (s *Store) Close() error {
+	if s.log == nil {
 		return nil
 	}
-	return f.log.Close()
+	return s.log.Close()
 }
--- a/peer/disk/files.go
+++ b/peer/disk/filesystem.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// File is an open file of a folder.
+// File is an open file of a store.
 type File interface {
 	io.Writer
 	io.Seeker
@@ -16,21 +16,19 @@
 	Close() error
 }
 
-// FileSystem is where folders are. The operating system's is used unless a test
-// brings one that fails.
+// FileSystem is the file system that a store uses. Tests substitute one that fails.
 type FileSystem interface {
 	OpenFile(name string, flag int, mode os.FileMode) (File, error)
 	ReadFile(name string) ([]byte, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// SyncFolder makes names that were made, changed or removed in a folder last.
-	SyncFolder(path string) error
+	// SyncDir makes the creations, renames and removals in a directory durable.
+	SyncDir(path string) error
 }
 
 // System is the operating system's file system.
 var System FileSystem = systemFiles{}
 
-// systemFiles is the operating system's file system.
 type systemFiles struct{}
 
 func (systemFiles) OpenFile(name string, flag int, mode os.FileMode) (File, error) {
@@ -43,11 +41,11 @@
 
 func (systemFiles) Remove(name string) error { return os.Remove(name) }
 
-func (systemFiles) SyncFolder(path string) error {
-	folder, err := os.Open(path)
+func (systemFiles) SyncDir(path string) error {
+	directory, err := os.Open(path)
 	if err != nil {
-		return errors.Wrap(err, "folder")
+		return errors.Wrap(err, "opening the directory to sync it")
 	}
-	defer folder.Close()
-	return errors.Wrap(folder.Sync(), "folder")
+	defer directory.Close()
+	return errors.Wrap(directory.Sync(), "syncing the directory")
 }
--- a/peer/disk/full_test.go
+++ b/peer/disk/full_test.go
@@ -10,11 +10,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// smallDisk is a file system with room for a number of bytes, and syncs that may
-// fail.
+// smallDisk is a file system with limited space, in bytes, and optionally failing
+// syncs.
 type smallDisk struct {
 	systemFiles
-	room      int64
+	space      int64
 	syncFault error
 }
 
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d.room += before - sizeOf(name)
+	d.space += before - sizeOf(name)
 	return &smallFile{File: file, disk: d, name: name}, nil
 }
 
@@ -38,13 +38,13 @@
 	before := sizeOf(name)
 	err := d.systemFiles.Remove(name)
 	if err == nil {
-		d.room += before
+		d.space += before
 	}
 	return err
 }
 
 func (d *smallDisk) Rename(from, to string) error {
-	d.room += sizeOf(to)
+	d.space += sizeOf(to)
 	return d.systemFiles.Rename(from, to)
 }
 
@@ -57,12 +57,12 @@
 }
 
 func (f *smallFile) Write(raw []byte) (int, error) {
-	if int64(len(raw)) <= f.disk.room {
-		f.disk.room -= int64(len(raw))
+	if int64(len(raw)) <= f.disk.space {
+		f.disk.space -= int64(len(raw))
 		return f.File.Write(raw)
 	}
-	n, err := f.File.Write(raw[:f.disk.room])
-	f.disk.room -= int64(n)
+	n, err := f.File.Write(raw[:f.disk.space])
+	f.disk.space -= int64(n)
 	if err == nil {
 		err = &os.PathError{Op: "write", Path: f.name, Err: syscall.ENOSPC}
 	}
@@ -70,83 +70,84 @@
 }
 
 func (f *smallFile) Truncate(size int64) error {
-	f.disk.room += sizeOf(f.name) - size
+	f.disk.space += sizeOf(f.name) - size
 	return f.File.Truncate(size)
 }
 
-// Sync does no more than fail when asked to: what is tested here is room.
+// Sync only returns the configured error, without syncing.
 func (f *smallFile) Sync() error { return f.disk.syncFault }
 
-func (d *smallDisk) SyncFolder(string) error { return d.syncFault }
+func (d *smallDisk) SyncDir(string) error { return d.syncFault }
 
-// holds checks what a folder holds by opening a copy of it, as after a crash.
-func holds(t *testing.T, path, slot string, frames ...string) {
+// checkContents opens a copy of a directory, as after a crash, and checks what it
+// holds.
+func checkContents(t *testing.T, path, slot string, records ...string) {
 	t.Helper()
 	copied := t.TempDir()
 	must(t, os.CopyFS(copied, os.DirFS(path)))
-	f, held, err := Open(copied)
+	f, contents, err := Open(copied)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	if string(held.Slot) != slot || fmt.Sprintf("%s", held.Frames) != fmt.Sprintf("%s", frames) {
-		t.Fatalf("holds %q and %q, want %q and %q", held.Slot, held.Frames, slot, frames)
+	if string(contents.State) != slot || fmt.Sprintf("%s", contents.Records) != fmt.Sprintf("%s", records) {
+		t.Fatalf("holds %q and %q, want %q and %q", contents.State, contents.Records, slot, records)
 	}
 }
 
-// TestFullAtEachByte: wherever the room ends, a folder holds what it held, says
-// that it is full, and goes on as soon as there is room.
+// TestFullAtEachByte exhausts the space at every byte. The store must keep its
+// contents, return ErrFull, and work again once there is space.
 func TestFullAtEachByte(t *testing.T) {
-	for room := int64(0); room < 220; room++ {
+	for space := int64(0); space < 220; space++ {
 		path := t.TempDir()
-		disk := &smallDisk{room: 1 << 20}
+		disk := &smallDisk{space: 1 << 20}
 		f, _, err := OpenIn(disk, path)
 		must(t, err)
 		must(t, f.Replace([]byte("first state")))
 		must(t, f.Append([]byte("one")))
-		disk.room = room
-		slot, frames := "first state", []string{"one"}
-		for _, frame := range []string{"two, which is longer", "three"} {
-			switch err := f.Append([]byte(frame)); {
+		disk.space = space
+		slot, records := "first state", []string{"one"}
+		for _, record := range []string{"two, which is longer", "three"} {
+			switch err := f.Append([]byte(record)); {
 			case err == nil:
-				frames = append(frames, frame)
+				records = append(records, record)
 			case !errors.Is(err, ErrFull):
-				t.Fatalf("room %d: %v", room, err)
+				t.Fatalf("space %d: %v", space, err)
 			}
-			holds(t, path, slot, frames...)
+			checkContents(t, path, slot, records...)
 		}
 		switch err := f.Replace([]byte("second state, longer than the first")); {
 		case err == nil:
-			slot, frames = "second state, longer than the first", nil
+			slot, records = "second state, longer than the first", nil
 		case !errors.Is(err, ErrFull):
-			t.Fatalf("room %d: %v", room, err)
+			t.Fatalf("space %d: %v", space, err)
 		}
-		holds(t, path, slot, frames...)
-		disk.room = 1 << 20
+		checkContents(t, path, slot, records...)
+		disk.space = 1 << 20
 		must(t, f.Append([]byte("four")))
-		frames = append(frames, "four")
-		holds(t, path, slot, frames...)
+		records = append(records, "four")
+		checkContents(t, path, slot, records...)
 		must(t, f.Replace([]byte("third state")))
 		must(t, f.Append([]byte("five")))
-		holds(t, path, "third state", "five")
+		checkContents(t, path, "third state", "five")
 		must(t, f.Close())
 	}
 }
 
-// TestFailedSyncIsNotFull: nobody knows what a sync that failed has left, even
-// if it was for want of room, so the folder is not used any more.
+// TestFailedSyncIsNotFull checks that a failed sync is not reported as retryable, even
+// if its cause was a full disk.
 func TestFailedSyncIsNotFull(t *testing.T) {
 	for _, fault := range []error{syscall.EIO, syscall.ENOSPC} {
-		disk := &smallDisk{room: 1 << 20}
+		disk := &smallDisk{space: 1 << 20}
 		f, _, err := OpenIn(disk, filepath.Join(t.TempDir()))
 		must(t, err)
 		must(t, f.Replace([]byte("state")))
 		disk.syncFault = fault
 		if err := f.Append([]byte("one")); err == nil || errors.Is(err, ErrFull) {
-			t.Errorf("%v: append says %v", fault, err)
+			t.Errorf("%v: Append returned %v", fault, err)
 		}
 		if err := f.Replace([]byte("state")); err == nil || errors.Is(err, ErrFull) {
-			t.Errorf("%v: replace says %v", fault, err)
+			t.Errorf("%v: Replace returned %v", fault, err)
 		}
 	}
 }
--- a/peer/disk/log.go
+++ b/peer/disk/log.go
@@ -7,75 +7,75 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Beginnings of logs: the present format and the first one, which is still read and
-// appended to until the next state is written.
+// Magic numbers of the current log format and of the first one, which is read and
+// appended to until the next call of Replace.
 const (
-	logMagic    = "SFLOG002"
-	crcLogMagic = "SFLOG001"
+	logMagic   = "SFLOG002"
+	logMagicV1 = "SFLOG001"
 )
 
-// logHeadSize is the size of a log's head: magic, generation, key and sum.
-const logHeadSize = len(logMagic) + 8 + sumKeySize + 8
+// logHeaderSize covers the magic number, generation, key and checksum.
+const logHeaderSize = len(logMagic) + 8 + checksumKeySize + 8
 
-// logHead is what a log begins with.
-func logHead(key sumKey, generation uint64) []byte {
+// logHeader encodes the header of a log.
+func logHeader(key checksumKey, generation uint64) []byte {
 	raw := binary.LittleEndian.AppendUint64([]byte(logMagic), generation)
 	raw = key.appendTo(raw)
-	return binary.LittleEndian.AppendUint64(raw, key.sum(raw, nil))
+	return binary.LittleEndian.AppendUint64(raw, key.checksum(raw, nil))
 }
 
-// logFile is one of the two logs.
+// logFile is a log as read from disk.
 type logFile struct {
 	raw        []byte
 	generation uint64
-	headSize   int
-	frames     frames
+	headerSize int
+	format     recordFormat
 }
 
-// logFiles are both logs of a folder.
+// logFiles holds both logs of a directory.
 type logFiles [2]logFile
 
-// present reports whether there is a log.
+// present reports whether at least one log exists.
 func (l logFiles) present() bool { return l[0].raw != nil || l[1].raw != nil }
 
-// generation is that of the newest log.
+// generation returns the generation of the newer log.
 func (l logFiles) generation() uint64 { return max(l[0].generation, l[1].generation) }
 
-// readLogs reads both logs. A damaged head makes the copy count as lost, as a log comes
-// into being whole.
-func (f *Folder) readLogs(ours bool) (logs logFiles, err error) {
+// readLogs reads both logs. A damaged header is an error, because a log is installed
+// complete.
+func (s *Store) readLogs(recognized bool) (logs logFiles, err error) {
 	for i := range logs {
-		raw, err := f.files.ReadFile(f.name("log", i))
+		raw, err := s.files.ReadFile(s.name("log", i))
 		if os.IsNotExist(err) {
 			continue
 		}
 		if err != nil {
-			return logs, errors.Wrap(err, "log")
+			return logs, errors.Wrap(err, "reading a log")
 		}
-		if err := known(f.name("log", i), raw, ours, logMagic, crcLogMagic); err != nil {
+		if err := checkMagic(s.name("log", i), raw, recognized, logMagic, logMagicV1); err != nil {
 			return logs, err
 		}
 		var whole bool
-		if logs[i], whole = readLogHead(raw); !whole {
-			return logs, errors.Wrap(ErrLost, "a log's head is damaged")
+		if logs[i], whole = readLogHeader(raw); !whole {
+			return logs, errors.Wrap(ErrDamaged, "a log header is damaged")
 		}
 	}
 	return logs, nil
 }
 
-// readLogHead reads the head of a log of either format, and reports whether it is whole.
-func readLogHead(raw []byte) (logFile, bool) {
+// readLogHeader decodes a log header of either format and reports whether it is valid.
+func readLogHeader(raw []byte) (logFile, bool) {
 	l := logFile{raw: raw}
 	switch {
-	case len(raw) >= logHeadSize && string(raw[:len(logMagic)]) == logMagic:
-		key := readSumKey(raw[len(logMagic)+8:])
-		sumAt := logHeadSize - 8
-		if key.sum(raw[:sumAt], nil) != binary.LittleEndian.Uint64(raw[sumAt:]) {
+	case len(raw) >= logHeaderSize && string(raw[:len(logMagic)]) == logMagic:
+		key := decodeChecksumKey(raw[len(logMagic)+8:])
+		checksumOffset := logHeaderSize - 8
+		if key.checksum(raw[:checksumOffset], nil) != binary.LittleEndian.Uint64(raw[checksumOffset:]) {
 			return l, false
 		}
-		l.headSize, l.frames = logHeadSize, frames{key: &key}
-	case len(raw) >= crcLogHeadSize && string(raw[:len(crcLogMagic)]) == crcLogMagic:
-		l.headSize = crcLogHeadSize
+		l.headerSize, l.format = logHeaderSize, recordFormat{key: &key}
+	case len(raw) >= logHeaderSizeV1 && string(raw[:len(logMagicV1)]) == logMagicV1:
+		l.headerSize = logHeaderSizeV1
 	default:
 		return l, false
 	}
@@ -83,48 +83,50 @@
 	return l, true
 }
 
-// frames is the format of a log's frames: each has a length with a check of its own, so
-// that a frame can be looked for anywhere, and a check of the whole. Without a key they
-// are of the first format.
-type frames struct{ key *sumKey }
+// recordFormat encodes and decodes log records. A record has a header with its length,
+// a checksum of the length and a checksum of the whole record. The separate length
+// checksum allows a search for records at any offset. Both checksums cover the
+// record's offset in the log. A nil key selects the first format.
+type recordFormat struct{ key *checksumKey }
 
-// frameHeadSize is the size of a frame's head: length, its check, and the sum.
-const frameHeadSize = 4 + 4 + 8
+// recordHeaderSize covers the length, its checksum and the record's checksum.
+const recordHeaderSize = 4 + 4 + 8
 
-// append appends a frame that stands at a position of the log.
-func (f frames) append(raw []byte, at int64, body []byte) []byte {
+// append appends to raw the record that is stored at offset at of the log.
+func (f recordFormat) append(raw []byte, at int64, body []byte) []byte {
 	if f.key == nil {
-		return appendCRC(raw, body)
+		return appendRecordV1(raw, body)
 	}
-	head := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
-	head = binary.LittleEndian.AppendUint32(head, f.lengthCheck(at, head))
-	head = binary.LittleEndian.AppendUint64(head, f.sum(at, head, body))
-	return append(append(raw, head...), body...)
+	header := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
+	header = binary.LittleEndian.AppendUint32(header, f.lengthChecksum(at, header))
+	header = binary.LittleEndian.AppendUint64(header, f.checksum(at, header, body))
+	return append(append(raw, header...), body...)
 }
 
-// read reads the frame at a position of the log, and how long it is with its head; zero
-// where there is none.
-func (f frames) read(raw []byte, at int64) ([]byte, int) {
+// read decodes the record at offset at of the log, which raw begins with. It returns
+// the body and the encoded length, or zero if there is no valid record.
+func (f recordFormat) read(raw []byte, at int64) ([]byte, int) {
 	if f.key == nil {
-		return readCRC(raw)
+		return readRecordV1(raw)
 	}
-	if len(raw) < frameHeadSize {
+	if len(raw) < recordHeaderSize {
 		return nil, 0
 	}
 	length := uint64(binary.LittleEndian.Uint32(raw))
-	if f.lengthCheck(at, raw[:4]) != binary.LittleEndian.Uint32(raw[4:]) || uint64(len(raw)) < frameHeadSize+length {
+	if f.lengthChecksum(at, raw[:4]) != binary.LittleEndian.Uint32(raw[4:]) || uint64(len(raw)) < recordHeaderSize+length {
 		return nil, 0
 	}
-	end := frameHeadSize + int(length)
-	body := raw[frameHeadSize:end]
-	if f.sum(at, raw[:8], body) != binary.LittleEndian.Uint64(raw[8:]) {
+	end := recordHeaderSize + int(length)
+	body := raw[recordHeaderSize:end]
+	if f.checksum(at, raw[:8], body) != binary.LittleEndian.Uint64(raw[8:]) {
 		return nil, 0
 	}
 	return body, end
 }
 
-// any reports whether there is a frame anywhere from a position on.
-func (f frames) any(raw []byte, at int64) bool {
+// any reports whether raw, which begins at offset at of the log, contains a valid
+// record.
+func (f recordFormat) any(raw []byte, at int64) bool {
 	for i := range raw {
 		if _, n := f.read(raw[i:], at+int64(i)); n > 0 {
 			return true
@@ -133,14 +135,14 @@
 	return false
 }
 
-// lengthCheck checks a frame's length at its position.
-func (f frames) lengthCheck(at int64, length []byte) uint32 {
+// lengthChecksum returns the checksum of a record's length at an offset.
+func (f recordFormat) lengthChecksum(at int64, length []byte) uint32 {
 	text := binary.LittleEndian.AppendUint64(make([]byte, 0, 8+4), uint64(at))
-	return uint32(f.key.shortSum(append(text, length[:4]...)))
+	return uint32(f.key.checksumShort(append(text, length[:4]...)))
 }
 
-// sum checks a whole frame at its position.
-func (f frames) sum(at int64, head, body []byte) uint64 {
+// checksum returns the checksum of a whole record at an offset.
+func (f recordFormat) checksum(at int64, header, body []byte) uint64 {
 	text := binary.LittleEndian.AppendUint64(make([]byte, 0, 8+8), uint64(at))
-	return f.key.sum(append(text, head[:8]...), body)
+	return f.key.checksum(append(text, header[:8]...), body)
 }
--- a/peer/disk/nonsense_test.go
+++ b/peer/disk/open_test.go
@@ -7,21 +7,21 @@
 	"testing"
 )
 
-// FuzzOpen opens folders whose files are nonsense: they are read, or named and
-// left as they are.
+// FuzzOpen opens directories with arbitrary file contents. A rejected slot must be
+// left unchanged.
 func FuzzOpen(f *testing.F) {
 	f.Add([]byte(slotMagic+"\x01\x00\x00\x00\x00\x00\x00\x00"), []byte(logMagic+"\x01\x00\x00\x00\x00\x00\x00\x00"))
-	f.Add([]byte(crcSlotMagic+"\x01\x00\x00\x00\x00\x00\x00\x00"), []byte(crcLogMagic+"\x01\x00\x00\x00\x00\x00\x00\x00"))
-	f.Add(appendSlot(sumKey{1, 2}, 1, []byte("state")), logHead(sumKey{3, 4}, 1))
+	f.Add([]byte(slotMagicV1+"\x01\x00\x00\x00\x00\x00\x00\x00"), []byte(logMagicV1+"\x01\x00\x00\x00\x00\x00\x00\x00"))
+	f.Add(appendSlot(checksumKey{1, 2}, 1, []byte("state")), logHeader(checksumKey{3, 4}, 1))
 	f.Add([]byte("SFSLOT99 of a newer version"), []byte{})
 	f.Add([]byte{}, []byte("#!/bin/sh\necho somebody else's"))
 	f.Fuzz(func(t *testing.T, slot, log []byte) {
 		path := t.TempDir()
 		os.WriteFile(filepath.Join(path, "slot-1"), slot, 0o600)
 		os.WriteFile(filepath.Join(path, "log-1"), log, 0o600)
-		folder, _, err := Open(path)
+		store, _, err := Open(path)
 		if err == nil {
-			folder.Close()
+			store.Close()
 			return
 		}
 		if raw, _ := os.ReadFile(filepath.Join(path, "slot-1")); string(raw) != string(slot) {
@@ -30,8 +30,8 @@
 	})
 }
 
-// TestForeign: somebody else's folder and a newer version's are named, and not
-// one byte of them is changed.
+// TestForeign checks that files of another program or a newer version are rejected and
+// left unchanged.
 func TestForeign(t *testing.T) {
 	for _, c := range []struct{ name, file, text string }{
 		{"newer slot", "slot-0", "SFSLOT03 and what follows"}, {"newer log", "log-1", "SFLOG003 and what follows"},
@@ -39,14 +39,14 @@
 	} {
 		path := t.TempDir()
 		must(t, os.WriteFile(filepath.Join(path, c.file), []byte(c.text), 0o600))
-		if _, _, err := Open(path); !errors.Is(err, ErrForeign) {
+		if _, _, err := Open(path); !errors.Is(err, ErrUnknownFormat) {
 			t.Errorf("%s: %v", c.name, err)
 		}
 		if raw, _ := os.ReadFile(filepath.Join(path, c.file)); string(raw) != c.text {
 			t.Errorf("%s was changed", c.name)
 		}
 		if list, _ := os.ReadDir(path); len(list) != 1 {
-			t.Errorf("%s: the folder got %d files", c.name, len(list))
+			t.Errorf("%s: the directory has %d files", c.name, len(list))
 		}
 	}
 }
--- a/peer/disk/slot.go
+++ b/peer/disk/slot.go
@@ -8,27 +8,27 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Beginnings of slots: the present format and the first one, which is still read.
+// Magic numbers of the current slot format and of the first one, which is still read.
 const (
-	slotMagic    = "SFSLOT02"
-	crcSlotMagic = "SFSLOT01"
+	slotMagic   = "SFSLOT02"
+	slotMagicV1 = "SFSLOT01"
 )
 
-// slotHeadSize is the size of a slot's head: magic, generation, key, length and sum.
-const slotHeadSize = len(slotMagic) + 8 + sumKeySize + 8 + 8
+// slotHeaderSize covers the magic number, generation, key, length and checksum.
+const slotHeaderSize = len(slotMagic) + 8 + checksumKeySize + 8 + 8
 
-// slotFile is what one of the two slots holds. One that is not whole has neither a body
-// nor a generation.
+// slotFile is a slot as read from disk. An invalid slot has a zero generation and no
+// body.
 type slotFile struct {
 	raw        []byte
 	generation uint64
 	body       []byte
 }
 
-// slotFiles are both slots of a folder.
+// slotFiles holds both slots of a directory.
 type slotFiles [2]slotFile
 
-// newest is which of the slots counts.
+// newest returns the index of the slot with the higher generation.
 func (s slotFiles) newest() int {
 	if s[1].generation > s[0].generation {
 		return 1
@@ -36,33 +36,34 @@
 	return 0
 }
 
-// ours reports whether a slot is whole, and so was written by this program.
-func (s slotFiles) ours() bool { return s[0].generation+s[1].generation > 0 }
+// recognized reports whether a slot is valid, which shows that this program wrote the
+// directory.
+func (s slotFiles) recognized() bool { return s[0].generation+s[1].generation > 0 }
 
-// readSlots reads both slots.
-func (f *Folder) readSlots() (slots slotFiles, err error) {
+func (s *Store) readSlots() (slots slotFiles, err error) {
 	for i := range slots {
-		raw, err := f.files.ReadFile(f.name("slot", i))
+		raw, err := s.files.ReadFile(s.name("slot", i))
 		if os.IsNotExist(err) {
 			continue
 		}
 		if err != nil {
-			return slots, errors.Wrap(err, "slot")
+			return slots, errors.Wrap(err, "reading a slot")
 		}
 		slots[i] = readSlot(raw)
 	}
 	for i, slot := range slots {
-		if err := known(f.name("slot", i), slot.raw, slots.ours(), slotMagic, crcSlotMagic); err != nil {
+		if err := checkMagic(s.name("slot", i), slot.raw, slots.recognized(), slotMagic, slotMagicV1); err != nil {
 			return slots, err
 		}
 	}
 	return slots, nil
 }
 
-// known checks the first bytes of a file, where they are whole. A beginning of
-// another version is a newer one's. Any other is damage where the folder has a
-// slot of this program's, and else somebody else's.
-func known(name string, raw []byte, ours bool, magics ...string) error {
+// checkMagic checks the magic number of a file that is long enough to have one. A
+// version number that is not known belongs to a newer version. Any other mismatch is
+// damage if the directory is recognized as this program's, and a foreign file
+// otherwise.
+func checkMagic(name string, raw []byte, recognized bool, magics ...string) error {
 	size := len(magics[0])
 	if len(raw) < size || bytes.Count(raw[:size], []byte{0}) == size {
 		return nil
@@ -72,38 +73,38 @@
 			return nil
 		}
 	}
-	if family := magics[0][:size-2]; string(raw[:len(family)]) != family && ours {
+	if family := magics[0][:size-2]; string(raw[:len(family)]) != family && recognized {
 		return nil
 	}
-	return errors.Wrapf(ErrForeign, "%s begins with %q and not with %q", name, raw[:size], magics[0])
+	return errors.Wrapf(ErrUnknownFormat, "%s begins with %q, want %q", name, raw[:size], magics[0])
 }
 
-// appendSlot makes a slot.
-func appendSlot(key sumKey, generation uint64, state []byte) []byte {
-	raw := make([]byte, 0, slotHeadSize+len(state))
+// appendSlot encodes a slot.
+func appendSlot(key checksumKey, generation uint64, state []byte) []byte {
+	raw := make([]byte, 0, slotHeaderSize+len(state))
 	raw = append(raw, slotMagic...)
 	raw = binary.LittleEndian.AppendUint64(raw, generation)
 	raw = key.appendTo(raw)
 	raw = binary.LittleEndian.AppendUint64(raw, uint64(len(state)))
-	raw = binary.LittleEndian.AppendUint64(raw, key.sum(raw, state))
+	raw = binary.LittleEndian.AppendUint64(raw, key.checksum(raw, state))
 	return append(raw, state...)
 }
 
-// readSlot reads a slot of either format.
+// readSlot decodes a slot of either format.
 func readSlot(raw []byte) slotFile {
-	if len(raw) >= len(crcSlotMagic) && string(raw[:len(crcSlotMagic)]) == crcSlotMagic {
-		return readCRCSlot(raw)
+	if len(raw) >= len(slotMagicV1) && string(raw[:len(slotMagicV1)]) == slotMagicV1 {
+		return readSlotV1(raw)
 	}
 	slot := slotFile{raw: raw}
-	if len(raw) < slotHeadSize || string(raw[:len(slotMagic)]) != slotMagic {
+	if len(raw) < slotHeaderSize || string(raw[:len(slotMagic)]) != slotMagic {
 		return slot
 	}
-	sumAt := slotHeadSize - 8
-	key := readSumKey(raw[len(slotMagic)+8:])
-	body := raw[slotHeadSize:]
-	length := binary.LittleEndian.Uint64(raw[sumAt-8:])
-	sum := binary.LittleEndian.Uint64(raw[sumAt:])
-	if uint64(len(body)) != length || key.sum(raw[:sumAt], body) != sum {
+	checksumOffset := slotHeaderSize - 8
+	key := decodeChecksumKey(raw[len(slotMagic)+8:])
+	body := raw[slotHeaderSize:]
+	length := binary.LittleEndian.Uint64(raw[checksumOffset-8:])
+	sum := binary.LittleEndian.Uint64(raw[checksumOffset:])
+	if uint64(len(body)) != length || key.checksum(raw[:checksumOffset], body) != sum {
 		return slot
 	}
 	slot.generation, slot.body = binary.LittleEndian.Uint64(raw[len(slotMagic):]), body
--- a/rehearsalkit/faultdisk/disk.go
+++ b/rehearsalkit/faultdisk/disk.go
@@ -244,8 +244,8 @@
 	})
 }
 
-// SyncFolder makes the names in a folder last.
-func (d *Disk) SyncFolder(path string) error {
+// SyncDir makes the names in a folder durable.
+func (d *Disk) SyncDir(path string) error {
 	if err := d.wait(); err != nil {
 		return err
 	}
--- a/rehearsalkit/faultdisk/disk_test.go
+++ b/rehearsalkit/faultdisk/disk_test.go
@@ -13,7 +13,7 @@
 )
 
 // folder opens the product's folder on a disk of its own.
-func folder(t *testing.T, seed uint64, path string) (*Disk, *disk.Folder, disk.Held) {
+func folder(t *testing.T, seed uint64, path string) (*Disk, *disk.Store, disk.Contents) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -37,13 +37,13 @@
 			if held.Empty != (life == 0) {
 				t.Fatalf("seed %d: empty %v in life %d", seed, held.Empty, life)
 			}
-			if life > 0 && string(held.Slot) != state {
-				t.Fatalf("seed %d: the state is %q, want %q", seed, held.Slot, state)
+			if life > 0 && string(held.State) != state {
+				t.Fatalf("seed %d: the state is %q, want %q", seed, held.State, state)
 			}
-			if len(held.Frames) < acknowledged {
-				t.Fatalf("seed %d: %d frames of %d that were acknowledged", seed, len(held.Frames), acknowledged)
+			if len(held.Records) < acknowledged {
+				t.Fatalf("seed %d: %d frames of %d that were acknowledged", seed, len(held.Records), acknowledged)
 			}
-			if held.Cut > 0 {
+			if held.TruncatedBytes > 0 {
 				tornTails++
 			}
 			state, acknowledged = fmt.Sprintf("state %d of seed %d", life, seed), 0
@@ -120,7 +120,7 @@
 	}
 	f.Close()
 	_, _, held := folder(t, 2, path)
-	if len(held.Frames) != 1 || string(held.Slot) != "state" {
-		t.Errorf("%d frames, state %q", len(held.Frames), held.Slot)
+	if len(held.Records) != 1 || string(held.State) != "state" {
+		t.Errorf("%d frames, state %q", len(held.Records), held.State)
 	}
 }
--- a/saffronfall/coreprocess/process.go
+++ b/saffronfall/coreprocess/process.go
@@ -122,9 +122,9 @@
 // callTime bounds how long an operator's call may take to send.
 const callTime = time.Minute
 
-func load(files disk.FileSystem, path string, log logr.Logger) (*disk.Folder, core.Stored, error) {
+func load(files disk.FileSystem, path string, log logr.Logger) (*disk.Store, core.Stored, error) {
 	folder, found, err := disk.OpenIn(files, path)
-	if errors.Is(err, disk.ErrLost) {
+	if errors.Is(err, disk.ErrDamaged) {
 		log.Info("copy lost; this core begins as a new one without a vote", "cause", err.Error())
 		if err := disk.SetAside(path); err != nil {
 			return nil, core.Stored{}, err
@@ -143,10 +143,10 @@
 		stored.Incarnation = hex.EncodeToString(raw)
 		return folder, stored, folder.Replace(message.Marshal(stored))
 	}
-	if err := message.Unmarshal(found.Slot, &stored); err != nil {
+	if err := message.Unmarshal(found.State, &stored); err != nil {
 		return nil, core.Stored{}, errors.Wrap(err, "slot")
 	}
-	for _, frame := range found.Frames {
+	for _, frame := range found.Records {
 		var changes []core.Change
 		if err := message.Unmarshal(frame, &changes); err != nil {
 			return nil, core.Stored{}, errors.Wrap(err, "log")
--- a/saffronfall/coreprocess/writer.go
+++ b/saffronfall/coreprocess/writer.go
@@ -16,7 +16,7 @@
 // be written without asking the machine, and shares nothing with the process's owner
 // but the two channels.
 type writer struct {
-	folder  *disk.Folder
+	folder  *disk.Store
 	image   core.Stored
 	batches <-chan batch
 	done    chan<- written
--- a/saffronfall/deskprocess/process.go
+++ b/saffronfall/deskprocess/process.go
@@ -40,7 +40,7 @@
 	dropped int64
 	bad     int64
 	table   uint64
-	folder  *disk.Folder
+	folder  *disk.Store
 }
 
 // kept is what a desk writes down: a state, or what changed of it. Frames of a
@@ -71,9 +71,9 @@
 
 // open reads the list and the addresses that an earlier life kept. They are a
 // help and no more: a desk whose folder is lost begins without.
-func open(path string, log logr.Logger) (*disk.Folder, []desk.Listed, *desk.Peers) {
+func open(path string, log logr.Logger) (*disk.Store, []desk.Listed, *desk.Peers) {
 	folder, held, err := disk.Open(path)
-	if errors.Is(err, disk.ErrLost) {
+	if errors.Is(err, disk.ErrDamaged) {
 		if err = disk.SetAside(path); err == nil {
 			folder, held, err = disk.Open(path)
 		}
@@ -86,7 +86,7 @@
 		return nil, nil, nil
 	}
 	before := memory{list: map[string]desk.Listed{}}
-	for _, raw := range append([][]byte{held.Slot}, held.Frames...) {
+	for _, raw := range append([][]byte{held.State}, held.Records...) {
 		if raw != nil {
 			before.read(raw)
 		}
