--- a/peer/disk/disk_test.go
+++ b/peer/disk/disk_test.go
@@ -62,7 +62,7 @@
 func TestDamage(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		damage    func(t *testing.T, path string)
+		damage  func(t *testing.T, path string)
 		lost    bool
 		empty   bool
 		records int
--- a/peer/disk/full_test.go
+++ b/peer/disk/full_test.go
@@ -14,7 +14,7 @@
 // syncs.
 type smallDisk struct {
 	systemFiles
-	space      int64
+	space     int64
 	syncFault error
 }
 
--- a/peer/front/affinity_test.go
+++ b/peer/front/affinity_test.go
@@ -11,7 +11,7 @@
 // knows, alike at all its nodes.
 func TestHashesAreKeyed(t *testing.T) {
 	read := func(key [2]uint64, thing string) (affinity uint64, part uint64) {
-		h := &handler{Options: Options{Names: replica.OwnNames, HashKey: key}}
+		h := &handler{Options: Options{Names: replica.DefaultHeaders, HashKey: key}}
 		r := httptest.NewRequest("POST", "/a", nil)
 		r.Header.Set("Saffronfall-Attempt", "a1")
 		r.Header.Set("Saffronfall-Affinity", thing)
@@ -32,7 +32,7 @@
 	if elsewhere, otherPart := read([2]uint64{3, 4}, "17"); elsewhere == thing || otherPart == part {
 		t.Error("another fleet's hashes are known")
 	}
-	h := &handler{Options: Options{Names: replica.OwnNames}}
+	h := &handler{Options: Options{Names: replica.DefaultHeaders}}
 	r := httptest.NewRequest("POST", "/a", nil)
 	r.Header.Set("Saffronfall-Attempt", "a1")
 	if a, _ := h.read(r); a.Affinity != 0 {
--- a/peer/front/cut_test.go
+++ b/peer/front/cut_test.go
@@ -23,12 +23,12 @@
 // does for a request that may run once: what did not run goes to the next
 // replica, what may have run ends.
 type deciding struct {
-	lines []*replica.Line
+	lines []*replica.Pool
 	first relay.Step
 	asked atomic.Int64
 }
 
-func (d *deciding) Arrive(context.Context, relay.Ask) (Way, relay.Step, *replica.Line, bool) {
+func (d *deciding) Arrive(context.Context, relay.Ask) (Way, relay.Step, *replica.Pool, bool) {
 	d.asked.Add(1)
 	return &decidingWay{owner: d}, d.first, d.lines[0], true
 }
@@ -38,7 +38,7 @@
 	at    int
 }
 
-func (w *decidingWay) Came(o relay.Outcome) (relay.Step, *replica.Line, bool) {
+func (w *decidingWay) Came(o relay.Outcome) (relay.Step, *replica.Pool, bool) {
 	switch {
 	case o.Kind == relay.Whole:
 		return pass, nil, true
@@ -56,9 +56,9 @@
 	t.Helper()
 	owner := &deciding{first: first}
 	for _, address := range addresses {
-		owner.lines = append(owner.lines, replica.NewLine(address, 4, time.Second))
+		owner.lines = append(owner.lines, replica.NewPool(address, 4, time.Second))
 	}
-	server := httptest.NewServer(Handler(Options{Owner: owner, Names: replica.OwnNames, Most: 1 << 20, Closing: make(chan struct{})}))
+	server := httptest.NewServer(Handler(Options{Owner: owner, Names: replica.DefaultHeaders, Most: 1 << 20, Closing: make(chan struct{})}))
 	t.Cleanup(func() {
 		server.Close()
 		for _, line := range owner.lines {
@@ -206,7 +206,7 @@
 		if err != nil {
 			return
 		}
-		id := r.Header.Get(replica.OwnNames.Attempt)
+		id := r.Header.Get(replica.DefaultHeaders.Attempt)
 		heard <- id
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: %s\r\nSaffronfall-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 	}
@@ -227,7 +227,7 @@
 	for _, id := range ids {
 		got := q.read("POST")
 		body, err := io.ReadAll(got.Body)
-		if err != nil || string(body) != id || got.Header.Get(replica.OwnNames.Attempt) != id {
+		if err != nil || string(body) != id || got.Header.Get(replica.DefaultHeaders.Attempt) != id {
 			t.Errorf("%s got %q %v", id, body, err)
 		}
 		if ran := <-heard; ran != id {
@@ -356,8 +356,8 @@
 			return
 		}
 		body, err := io.ReadAll(r.Body)
-		if err != nil || string(body) != id || r.Header.Get(replica.OwnNames.Attempt) != id {
-			t.Errorf("%s got %q of %s: %v", id, body, r.Header.Get(replica.OwnNames.Attempt), err)
+		if err != nil || string(body) != id || r.Header.Get(replica.DefaultHeaders.Attempt) != id {
+			t.Errorf("%s got %q of %s: %v", id, body, r.Header.Get(replica.DefaultHeaders.Attempt), err)
 			return
 		}
 	}
@@ -405,7 +405,7 @@
 			return "", false
 		}
 		text, err := io.ReadAll(r.Body)
-		if id := r.Header.Get(replica.OwnNames.Attempt); r.StatusCode < 200 || id != "" && id != "a1" {
+		if id := r.Header.Get(replica.DefaultHeaders.Attempt); r.StatusCode < 200 || id != "" && id != "a1" {
 			continue
 		}
 		return string(text), err == nil && (r.ContentLength >= 0 || len(r.TransferEncoding) > 0)
--- a/peer/front/handler.go
+++ b/peer/front/handler.go
@@ -26,18 +26,18 @@
 type Owner interface {
 	// Arrive hands a request over and waits for its first step. The line is that
 	// to the replica of a sending step.
-	Arrive(ctx context.Context, a relay.Ask) (Way, relay.Step, *replica.Line, bool)
+	Arrive(ctx context.Context, a relay.Ask) (Way, relay.Step, *replica.Pool, bool)
 }
 
 // Way is a request under way: each outcome is answered by the next step.
 type Way interface {
-	Came(o relay.Outcome) (relay.Step, *replica.Line, bool)
+	Came(o relay.Outcome) (relay.Step, *replica.Pool, bool)
 }
 
 // Options make a handler.
 type Options struct {
 	Owner Owner
-	Names replica.Names
+	Names replica.Headers
 	// Most is the largest body that is read at all.
 	Most int64
 	// Closing is closed when the node drains: answers then end their
@@ -230,25 +230,25 @@
 }
 
 // send makes one sending and tells what became of it.
-func (x *exchange) send(s relay.Step, line *replica.Line) (relay.Step, *replica.Line, bool) {
+func (x *exchange) send(s relay.Step, line *replica.Pool) (relay.Step, *replica.Pool, bool) {
 	if s.Within <= 0 {
 		// Its time ended while it was on its way here.
 		return x.way.Came(relay.Outcome{Kind: relay.NotRun, Unreached: true})
 	}
 	x.mayWrite(s.Within)
 	n := x.Names
-	q := replica.Request{Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Attempt: x.ask.Attempt, Within: s.Within, HasBody: x.r.ContentLength != 0 || x.r.Method == http.MethodPost,
+	q := replica.Request{Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Attempt: x.ask.Attempt, Timeout: s.Within, HasBody: x.r.ContentLength != 0 || x.r.Method == http.MethodPost,
 		Header: passable(x.r.Header, n.Attempt, n.Key, n.Tenant, n.Target, n.Deadline, n.Urgency, "Expect"), Body: append(append([][]byte(nil), s.Before...), x.body)}
-	q.Own = append(q.Own, [2]string{n.Attempt, x.ask.Attempt}, [2]string{n.Target, s.Replica.ID}, [2]string{n.Deadline, strconv.FormatInt(max(1, s.Within.Milliseconds()), 10)})
+	q.NodeHeaders = append(q.NodeHeaders, [2]string{n.Attempt, x.ask.Attempt}, [2]string{n.Target, s.Replica.ID}, [2]string{n.Deadline, strconv.FormatInt(max(1, s.Within.Milliseconds()), 10)})
 	if s.Tenant != "" {
-		q.Own = append(q.Own, [2]string{n.Tenant, s.Tenant})
+		q.NodeHeaders = append(q.NodeHeaders, [2]string{n.Tenant, s.Tenant})
 	}
 	if n.Urgency != "" && s.Stream {
-		q.Own = append(q.Own, [2]string{n.Urgency, strconv.FormatInt(s.Urgency, 10)})
+		q.NodeHeaders = append(q.NodeHeaders, [2]string{n.Urgency, strconv.FormatInt(s.Urgency, 10)})
 	}
 	if x.lastID != "" {
 		delete(q.Header, http.CanonicalHeaderKey(n.LastEvent))
-		q.Own = append(q.Own, [2]string{n.LastEvent, x.lastID})
+		q.NodeHeaders = append(q.NodeHeaders, [2]string{n.LastEvent, x.lastID})
 	}
 	r, unreached, err := line.Do(x.r.Context(), n, q)
 	gone := x.r.Context().Err() != nil
@@ -258,13 +258,13 @@
 	case err != nil:
 		return x.way.Came(relay.Outcome{Kind: relay.Broken, Gone: gone})
 	}
-	o := relay.Outcome{Load: load(r.Header.Get(n.Load)), Cold: r.Cold}
+	o := relay.Outcome{Load: load(r.Header.Get(n.Load)), Cold: r.NewConnection}
 	ok := r.StatusCode >= 200 && r.StatusCode < 300
 	switch {
 	case r.NotRun:
 		size, err := io.Copy(io.Discard, io.LimitReader(r.Body, mostPromise))
 		r.Done(err == nil && size < mostPromise)
-		o.Kind, o.Moved = relay.NotRun, r.Moved
+		o.Kind, o.Moved = relay.NotRun, r.Misdirected
 	case ok && (r.Header.Get(n.Seal) == "" || !r.Delimited()):
 		r.Done(false)
 		o.Kind = relay.Broken
@@ -313,7 +313,7 @@
 
 // pass carries an answer that is not streamed. It is passed on only when it came
 // whole.
-func (x *exchange) pass(r *replica.Response, o relay.Outcome) (relay.Step, *replica.Line, bool) {
+func (x *exchange) pass(r *replica.Response, o relay.Outcome) (relay.Step, *replica.Pool, bool) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, x.Most+1))
 	if int64(len(body)) > x.Most {
 		err = errTooLarge
--- a/peer/front/handler_test.go
+++ b/peer/front/handler_test.go
@@ -28,12 +28,12 @@
 type scripted struct {
 	t        *testing.T
 	steps    []relay.Step
-	lines    []*replica.Line
+	lines    []*replica.Pool
 	asked    chan relay.Ask
 	outcomes chan relay.Outcome
 }
 
-func (s *scripted) Arrive(ctx context.Context, a relay.Ask) (Way, relay.Step, *replica.Line, bool) {
+func (s *scripted) Arrive(ctx context.Context, a relay.Ask) (Way, relay.Step, *replica.Pool, bool) {
 	s.asked <- a
 	w := &scriptedWay{owner: s}
 	step, line, ok := w.next()
@@ -46,7 +46,7 @@
 	sent  int
 }
 
-func (w *scriptedWay) next() (relay.Step, *replica.Line, bool) {
+func (w *scriptedWay) next() (relay.Step, *replica.Pool, bool) {
 	if w.at == len(w.owner.steps) {
 		return relay.Step{}, nil, false
 	}
@@ -59,7 +59,7 @@
 	return step, w.owner.lines[w.sent-1], true
 }
 
-func (w *scriptedWay) Came(o relay.Outcome) (relay.Step, *replica.Line, bool) {
+func (w *scriptedWay) Came(o relay.Outcome) (relay.Step, *replica.Pool, bool) {
 	w.owner.outcomes <- o
 	return w.next()
 }
@@ -139,11 +139,11 @@
 func newNode(t *testing.T, steps []relay.Step, replicas ...*rawReplica) *node {
 	s := &scripted{t: t, steps: steps, asked: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16)}
 	for _, r := range replicas {
-		line := replica.NewLine(r.address, 4, time.Second)
+		line := replica.NewPool(r.address, 4, time.Second)
 		t.Cleanup(line.Close)
 		s.lines = append(s.lines, line)
 	}
-	server := httptest.NewServer(Handler(Options{Owner: s, Names: replica.OwnNames, Most: 1 << 20, Closing: make(chan struct{})}))
+	server := httptest.NewServer(Handler(Options{Owner: s, Names: replica.DefaultHeaders, Most: 1 << 20, Closing: make(chan struct{})}))
 	t.Cleanup(server.Close)
 	return &node{scripted: s, server: server}
 }
@@ -687,7 +687,7 @@
 // TestDeadlines: a deadline that has passed is not one that is missing, and one
 // beyond all bounds is not one that has passed.
 func TestDeadlines(t *testing.T) {
-	h := &handler{Options: Options{Names: replica.OwnNames}}
+	h := &handler{Options: Options{Names: replica.DefaultHeaders}}
 	for text, check := range map[string]func(left time.Duration) bool{
 		"":             func(left time.Duration) bool { return left == 0 },
 		"0":            func(left time.Duration) bool { return left < 0 },
@@ -699,9 +699,9 @@
 		"9e15":         func(left time.Duration) bool { return left >= time.Hour },
 	} {
 		r := httptest.NewRequest("GET", "/", nil)
-		r.Header.Set(replica.OwnNames.Attempt, "a")
+		r.Header.Set(replica.DefaultHeaders.Attempt, "a")
 		if text != "" {
-			r.Header.Set(replica.OwnNames.Deadline, text)
+			r.Header.Set(replica.DefaultHeaders.Deadline, text)
 		}
 		if a, fault := h.read(r); fault != "" || !check(a.Left) {
 			t.Errorf("%q: %v %s", text, a.Left, fault)
@@ -828,7 +828,7 @@
 	func() {
 		defer func() { recover() }()
 		r := httptest.NewRequest("POST", "/a", strings.NewReader("hi"))
-		r.Header.Set(replica.OwnNames.Attempt, "a1")
+		r.Header.Set(replica.DefaultHeaders.Attempt, "a1")
 		n.server.Config.Handler.ServeHTTP(deaf{httptest.NewRecorder()}, r)
 	}()
 	if o := <-n.outcomes; o.Kind != relay.Broken || !o.Gone {
@@ -841,8 +841,8 @@
 func TestDrainingEndsConnections(t *testing.T) {
 	closing := make(chan struct{})
 	s := &scripted{t: t, steps: []relay.Step{send, pass}, asked: make(chan relay.Ask, 4), outcomes: make(chan relay.Outcome, 4)}
-	s.lines = []*replica.Line{replica.NewLine(answering(t, sealed+"Content-Length: 2\r\n\r\nok").address, 4, time.Second)}
-	server := httptest.NewServer(Handler(Options{Owner: s, Names: replica.OwnNames, Most: 1 << 20, Closing: closing}))
+	s.lines = []*replica.Pool{replica.NewPool(answering(t, sealed+"Content-Length: 2\r\n\r\nok").address, 4, time.Second)}
+	server := httptest.NewServer(Handler(Options{Owner: s, Names: replica.DefaultHeaders, Most: 1 << 20, Closing: closing}))
 	defer server.Close()
 	n := &node{scripted: s, server: server}
 	q := n.dial(t)
@@ -868,7 +868,7 @@
 	f.Add("a", "1e308", "9223372036854775807", " 1 , 2 ", ",,")
 	f.Add("a", "0x1p-1000", "+5", "9223372036854775808,1", "x:9223372036854775807,x:9223372036854775807")
 	f.Fuzz(func(t *testing.T, attempt, deadline, budget, tokens, prompt string) {
-		h := &handler{Options: Options{Names: replica.OwnNames}}
+		h := &handler{Options: Options{Names: replica.DefaultHeaders}}
 		n := h.Names
 		r := httptest.NewRequest("GET", "/a", nil)
 		for name, value := range map[string]string{n.Attempt: attempt, n.Deadline: deadline, n.Budget: budget, n.Tokens: tokens, n.Prompt: prompt} {
--- a/peer/front/held_test.go
+++ b/peer/front/held_test.go
@@ -68,7 +68,7 @@
 // newImpatientNode is a node that gives requesters little time for their bodies.
 func newImpatientNode(t *testing.T, bodyTime time.Duration) *node {
 	owner := &scripted{t: t, asked: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16)}
-	server := httptest.NewServer(Handler(Options{Owner: owner, Names: replica.OwnNames, Most: 1 << 20, Closing: make(chan struct{}), BodyTime: bodyTime}))
+	server := httptest.NewServer(Handler(Options{Owner: owner, Names: replica.DefaultHeaders, Most: 1 << 20, Closing: make(chan struct{}), BodyTime: bodyTime}))
 	t.Cleanup(server.Close)
 	return &node{scripted: owner, server: server}
 }
@@ -146,9 +146,9 @@
 		<-release
 		io.WriteString(c, strings.Replace(byLength, "a1", h.request.Header.Get("Saffronfall-Attempt"), 1))
 	})
-	owner := &scripted{t: t, steps: []relay.Step{send, pass}, asked: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16), lines: []*replica.Line{replica.NewLine(r.address, 4, time.Second)}}
+	owner := &scripted{t: t, steps: []relay.Step{send, pass}, asked: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16), lines: []*replica.Pool{replica.NewPool(r.address, 4, time.Second)}}
 	rejected := make(chan relay.Ended, 16)
-	server := httptest.NewServer(Handler(Options{Owner: owner, Names: replica.OwnNames, Most: 1 << 20, Closing: make(chan struct{}), IntakeSize: 3 * bodyStep, Rejected: func(e relay.Ended) { rejected <- e }}))
+	server := httptest.NewServer(Handler(Options{Owner: owner, Names: replica.DefaultHeaders, Most: 1 << 20, Closing: make(chan struct{}), IntakeSize: 3 * bodyStep, Rejected: func(e relay.Ended) { rejected <- e }}))
 	t.Cleanup(server.Close)
 	n := &node{scripted: owner, server: server}
 	say := func(attempt string, size int) *client {
--- a/peer/front/listener_test.go
+++ b/peer/front/listener_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{Handler: Handler(Options{Owner: owner, Names: replica.OwnNames, Most: 1 << 20, Closing: make(chan struct{})}), ReadHeaderTimeout: time.Second}
+	server := &http.Server{Handler: Handler(Options{Owner: owner, Names: replica.DefaultHeaders, Most: 1 << 20, Closing: make(chan struct{})}), ReadHeaderTimeout: time.Second}
 	go ServeOn(server, listener, 100)
 	t.Cleanup(func() { server.Close() })
 	n.server.Listener = listener
--- a/peer/replica/announce.go
+++ b/peer/replica/announce.go
@@ -11,23 +11,26 @@
 	"saffronfall/rule/configuration"
 )
 
-// Told is an announcement: what a replica says of itself, and the stamp that the
-// same node gave it last.
-type Told struct {
+// Announcement is what a replica says of itself. Version is the version that the same
+// node returned in its last reply, or empty.
+type Announcement struct {
 	node.Replica
-	Stamp string `json:"stamp"`
+	Version string `json:"stamp"`
 }
 
-// Heard is how an announcement is answered. One that is not counted is said
-// again at once with the stamp; a counted one after again_ms, at the same node.
-type Heard struct {
-	Counted bool   `json:"counted"`
-	Stamp   string `json:"stamp"`
-	AgainMS int64  `json:"again_ms"`
+// AnnouncementReply answers an announcement. If it was accepted, the replica announces
+// itself again to the same node after NextMS milliseconds. Otherwise it repeats the
+// announcement at once with Version.
+type AnnouncementReply struct {
+	Accepted bool   `json:"counted"`
+	Version  string `json:"stamp"`
+	NextMS   int64  `json:"again_ms"`
 }
 
-// Announcements takes what replicas say of themselves.
-func Announcements(key string, announce func(ctx context.Context, r node.Replica, stamp string) (node.Heard, error)) http.Handler {
+// AnnouncementHandler returns a handler that authenticates announcements by the bearer
+// key, validates them and passes them to announce. Requests are rejected if key is
+// empty.
+func AnnouncementHandler(key string, announce func(ctx context.Context, r node.Replica, version string) (node.Heard, error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		refuse := func(status int, code, reason string) {
@@ -38,26 +41,26 @@
 			refuse(401, "unknown_key", "the replica key is missing or wrong")
 			return
 		}
-		var told Told
+		var announcement Announcement
 		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, 1<<16))
 		decoder.DisallowUnknownFields()
-		if err := decoder.Decode(&told); err != nil {
+		if err := decoder.Decode(&announcement); err != nil {
 			refuse(400, "malformed", err.Error())
 			return
 		}
-		host, _, err := net.SplitHostPort(told.Address)
+		host, _, err := net.SplitHostPort(announcement.Address)
 		switch {
-		case !configuration.Named(told.Service) || !configuration.Named(told.ID):
+		case !configuration.Named(announcement.Service) || !configuration.Named(announcement.ID):
 			refuse(400, "malformed", "service and id must be names")
 		case err != nil || net.ParseIP(host) == nil:
 			refuse(400, "malformed", "address must be an IP number and a port")
 		default:
-			heard, err := announce(r.Context(), told.Replica, told.Stamp)
+			reply, err := announce(r.Context(), announcement.Replica, announcement.Version)
 			if err != nil {
 				refuse(503, "come_back", "it was not heard; tell another node")
 				return
 			}
-			json.NewEncoder(w).Encode(Heard{Counted: heard.Counted, Stamp: heard.Stamp, AgainMS: heard.Again.Milliseconds()})
+			json.NewEncoder(w).Encode(AnnouncementReply{Accepted: reply.Counted, Version: reply.Stamp, NextMS: reply.Again.Milliseconds()})
 		}
 	})
 }
--- /dev/null
+++ b/peer/replica/faults_test.go
@@ -0,0 +1,289 @@
+package replica
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"math"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// TestCutAtEveryByte ends a response after each of its bytes, by a close or a reset.
+// Only a complete response may count as complete, the request must be sent once, and
+// the next request must use a new connection.
+func TestCutAtEveryByte(t *testing.T) {
+	answers := map[string]struct {
+		raw, end string
+		// complete is how many bytes must arrive for this end.
+		complete int
+	}{
+		"by length":         {okResponse, "ok", len(okResponse)},
+		"in chunks":         {okChunked, "ok", len(okChunked)},
+		"not run":           {notRunResponse, "not run", len(notRunResponse)},
+		"early hints first": {"HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse, "ok", len("HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse)},
+		"stale first":       {staleResponse + okResponse, "ok", len(staleResponse + okResponse)},
+	}
+	for name, answer := range answers {
+		for _, then := range []string{closes, resets} {
+			t.Run(name+" "+then, func(t *testing.T) {
+				for cut := range len(answer.raw) + 1 {
+					end := endOfTruncated(t, scriptedResponse{raw: answer.raw[:cut], then: then})
+					if cut < answer.complete && end == answer.end {
+						t.Errorf("%d bytes of %d look like %q", cut, len(answer.raw), end)
+					}
+					if cut == answer.complete && then == closes && end != answer.end {
+						t.Errorf("all %d bytes ended as %q", cut, end)
+					}
+					if end == "not sent" {
+						t.Errorf("after %d bytes a request that was sent is reported as not sent", cut)
+					}
+				}
+			})
+		}
+	}
+}
+
+// endOfTruncated sends a request whose response is truncated and another one after it,
+// and returns the end of the first. The attempt IDs have two bytes like the
+// placeholder ID, so that a cut falls on the same byte of the response as sent.
+func endOfTruncated(t *testing.T, first scriptedResponse) string {
+	t.Helper()
+	s := newFakeReplica(t, []scriptedResponse{first, {raw: okResponse}})
+	l := s.pool()
+	defer l.Close()
+	end := sendRequest(l, newRequest("i0", 5*time.Second))
+	got := <-s.requests
+	if got.id != "i0" || got.connection != 1 {
+		t.Errorf("the replica first got %s on connection %d", got.id, got.connection)
+	}
+	waitIdleClosed(t, l)
+	if next := sendRequest(l, newRequest("i1", 5*time.Second)); next != "ok" {
+		t.Errorf("the next request ended as %q", next)
+	}
+	if got := <-s.requests; got.id != "i1" || got.connection != 2 {
+		t.Errorf("the replica then got %s on connection %d", got.id, got.connection)
+	}
+	if len(s.requests) > 0 {
+		t.Error("a request was sent twice")
+	}
+	return end
+}
+
+// faultyReplica answers each request with a body that names it, with random faults:
+// duplicate, late, stale, truncated or missing responses and extra bytes.
+type faultyReplica struct {
+	listener net.Listener
+	lock     sync.Mutex
+	random   *rand.Rand
+	runs     map[string]int
+	open     sync.WaitGroup
+}
+
+func newFaultyReplica(t *testing.T, seed uint64) *faultyReplica {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	u := &faultyReplica{listener: listener, random: rand.New(rand.NewPCG(seed, 1)), runs: map[string]int{}}
+	go func() {
+		for {
+			c, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			u.open.Add(1)
+			go u.serve(c)
+		}
+	}()
+	return u
+}
+
+// draw counts a run and draws the fault of its response.
+func (u *faultyReplica) draw(id string, among int) int {
+	u.lock.Lock()
+	defer u.lock.Unlock()
+	u.runs[id]++
+	return u.random.IntN(among)
+}
+
+// faultyConnection is a connection of a faultyReplica. Nothing is written after a
+// truncated response, because a reader could not tell those bytes from the rest of it.
+type faultyConnection struct {
+	net.Conn
+	lock  sync.Mutex
+	ended bool
+}
+
+// write writes a response unless an earlier one was truncated.
+func (c *faultyConnection) write(raw string) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	if !c.ended {
+		io.WriteString(c.Conn, raw)
+	}
+}
+
+// breakOff writes a truncated response, after which nothing is written.
+func (c *faultyConnection) breakOff(raw string) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.ended = true
+	io.WriteString(c.Conn, raw)
+}
+
+func (u *faultyReplica) serve(plain net.Conn) {
+	defer u.open.Done()
+	defer plain.Close()
+	c := &faultyConnection{Conn: plain}
+	reader := bufio.NewReader(c)
+	for {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		if _, err := io.Copy(io.Discard, request.Body); err != nil {
+			return
+		}
+		id := request.Header.Get(DefaultHeaders.Attempt)
+		if !u.answer(c, id, u.draw(id, 10)) {
+			return
+		}
+	}
+}
+
+// answer responds with one of ten faults and reports whether the connection stays
+// open.
+func (u *faultyReplica) answer(c *faultyConnection, id string, fault int) bool {
+	own := fmt.Sprintf("HTTP/1.1 200 OK\r\nSaffronfall-Attempt: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id)
+	chunked := fmt.Sprintf("HTTP/1.1 200 OK\r\nSaffronfall-Attempt: %s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", id, len(id), id)
+	other := "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: other\r\nContent-Length: 5\r\n\r\nother"
+	switch fault {
+	case 0:
+		c.write(own + own)
+	case 1:
+		c.write(own)
+		time.AfterFunc(time.Duration(len(id))*time.Millisecond/4, func() { c.write(own) })
+	case 2:
+		c.write(other + own)
+	case 3:
+		c.write(own + "surplus")
+	case 4:
+		c.breakOff(own[:len(own)-1])
+		return false
+	case 5:
+		c.Conn.(*net.TCPConn).SetLinger(0)
+		return false
+	case 6:
+		c.write(chunked)
+	case 7:
+		c.breakOff(chunked[:len(chunked)-3])
+		return false
+	default:
+		c.write(own)
+	}
+	return true
+}
+
+// TestConnectionsReusedUnderLoad sends many requests over few connections to a faulty
+// replica. Each must get its own response or none and run once.
+func TestConnectionsReusedUnderLoad(t *testing.T) {
+	const clients, each = 24, 60
+	u := newFaultyReplica(t, 7)
+	l := NewPool(u.listener.Addr().String(), 4, 2*time.Second)
+	var answered, broken int64
+	var lock sync.Mutex
+	var sending sync.WaitGroup
+	for client := range clients {
+		sending.Add(1)
+		go func() {
+			defer sending.Done()
+			for i := range each {
+				id := fmt.Sprintf("request-%02d-%02d", client, i)
+				end := sendRequest(l, newRequest(id, 5*time.Second))
+				lock.Lock()
+				switch end {
+				case id:
+					answered++
+				case "broken", "truncated":
+					broken++
+				default:
+					t.Errorf("%s got %q", id, end)
+				}
+				lock.Unlock()
+			}
+		}()
+	}
+	sending.Wait()
+	l.Close()
+	u.listener.Close()
+	u.open.Wait()
+	if answered < clients*each/2 || broken == 0 {
+		t.Errorf("%d answered, %d broken: the replica did not produce the intended faults", answered, broken)
+	}
+	for id, runs := range u.runs {
+		if runs != 1 {
+			t.Errorf("%s ran %d times", id, runs)
+		}
+	}
+	if len(u.runs) != clients*each {
+		t.Errorf("%d of %d requests arrived", len(u.runs), clients*each)
+	}
+}
+
+// TestStaleResponseIsNeverAccepted sends the response to an earlier request at several
+// moments of the next one.
+func TestStaleResponseIsNeverAccepted(t *testing.T) {
+	late := strings.ReplaceAll(okResponse, "ID", "i0")
+	for name, script := range map[string][]scriptedResponse{
+		"with its own answer": {{raw: okResponse}, {raw: late + okResponse}},
+		"alone":               {{raw: okResponse}, {raw: late, then: closes}},
+		"after its own":       {{raw: okResponse + late}, {raw: okResponse}},
+		"not run, late":       {{raw: okResponse}, {raw: strings.ReplaceAll(notRunResponse, "ID", "i0"), then: closes}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := newFakeReplica(t, script)
+			l := s.pool()
+			defer l.Close()
+			sendRequest(l, newRequest("i0", 5*time.Second))
+			end := sendRequest(l, newRequest("i1", 5*time.Second))
+			if alone := script[1].then == closes; alone && end != "broken" || !alone && end != "ok" {
+				t.Errorf("ended as %q", end)
+			}
+		})
+	}
+}
+
+// TestLeftOverBytesEndAConnection guards against reusing a connection with unread
+// bytes. It tests both checks separately: at the end of a response and when the
+// connection is taken from the pool.
+func TestLeftOverBytesEndAConnection(t *testing.T) {
+	leftOver := func() *conn {
+		near, far := net.Pipe()
+		t.Cleanup(func() {
+			near.Close()
+			far.Close()
+		})
+		c := &conn{Conn: near, headBytesLeft: math.MaxInt}
+		c.reader = bufio.NewReader(io.MultiReader(strings.NewReader("old"), near))
+		if _, err := c.reader.Peek(1); err != nil {
+			t.Fatal(err)
+		}
+		return c
+	}
+	pool := NewPool("127.0.0.1:1", 4, time.Second)
+	r := &Response{Response: &http.Response{ContentLength: 2}, pool: pool, conn: leftOver(), detach: func() bool { return true }}
+	r.Done(true)
+	if len(pool.idle) != 0 {
+		t.Error("the connection is kept after its response")
+	}
+	if stillIdle(leftOver()) {
+		t.Error("the connection is reused")
+	}
+}
--- a/peer/replica/schema_test.go
+++ b/peer/replica/schema_test.go
@@ -10,8 +10,8 @@
 func TestJSONSchema(t *testing.T) {
 	schematest.Check(t, "json_schema", []schematest.Entry{
 		schematest.JSON[node.Payload]("turn sent to a model"),
-		schematest.JSON[line]("line of a streamed turn"),
-		schematest.JSON[Told]("announcement"),
-		schematest.JSON[Heard]("answer to an announcement"),
+		schematest.JSON[streamLine]("line of a streamed turn"),
+		schematest.JSON[Announcement]("announcement"),
+		schematest.JSON[AnnouncementReply]("answer to an announcement"),
 	})
 }
--- /dev/null
+++ b/peer/replica/sender.go
@@ -0,0 +1,117 @@
+package replica
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"io"
+	"net"
+	"net/http"
+
+	"github.com/cockroachdb/errors"
+
+	"saffronfall/peer/node"
+)
+
+// Sender sends attempts over HTTP. Each attempt uses a new connection, so that the
+// HTTP library never retries one.
+type Sender struct {
+	client   *http.Client
+	maxBytes int64
+}
+
+// NewSender returns a Sender that reads at most maxBytes of a response.
+func NewSender(dialer *net.Dialer, maxBytes int64) *Sender {
+	return &Sender{maxBytes: maxBytes, client: &http.Client{
+		Transport:     &http.Transport{DisableKeepAlives: true, DialContext: dialer.DialContext, DisableCompression: true},
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}}
+}
+
+// streamLine is one line of a streamed turn.
+type streamLine struct {
+	Text   string `json:"text"`
+	Tokens int64  `json:"tokens"`
+	Done   bool   `json:"done"`
+	Total  int64  `json:"total"`
+}
+
+// Send makes one attempt and reports its events. The last event is node.EventDone,
+// node.EventNotRun if the replica certainly did not run the attempt, or
+// node.EventBroken if it may have run.
+func (s *Sender) Send(ctx context.Context, attempt node.Shoot, report func(e node.Event)) {
+	ctx, cancel := context.WithTimeout(ctx, attempt.Budget)
+	defer cancel()
+	path, body := "/v1/calls", attempt.Payload.Body
+	if attempt.Kind == "model" {
+		path = "/v1/turns"
+		body, _ = json.Marshal(attempt.Payload)
+	}
+	request, err := http.NewRequestWithContext(ctx, "POST", "http://"+attempt.Address+path, bytes.NewReader(body))
+	if err != nil {
+		report(node.Event{Shot: attempt.Shot, Kind: node.EventNotRun})
+		return
+	}
+	request.GetBody = nil
+	request.Header.Set("Content-Type", "application/json")
+	request.Header.Set("Saffronfall-Shot", attempt.Payload.Shot)
+	request.Header.Set("Saffronfall-Tenant", attempt.Payload.Tenant)
+	request.Header.Set("Saffronfall-Program", attempt.Payload.Program)
+	if attempt.Payload.OnceKey != "" {
+		request.Header.Set("Once-Key", attempt.Payload.OnceKey)
+	}
+	response, err := s.client.Do(request)
+	if err != nil {
+		kind := node.EventBroken
+		var dial *net.OpError
+		if errors.As(err, &dial) && dial.Op == "dial" {
+			kind = node.EventNotRun
+		}
+		report(node.Event{Shot: attempt.Shot, Kind: kind})
+		return
+	}
+	defer response.Body.Close()
+	if attempt.Kind == "model" && response.StatusCode == 200 {
+		s.readStream(attempt.Shot, response.Body, report)
+		return
+	}
+	raw, err := io.ReadAll(io.LimitReader(response.Body, s.maxBytes+1))
+	var proof struct {
+		Ran string `json:"ran"`
+	}
+	switch {
+	case err != nil || int64(len(raw)) > s.maxBytes:
+		report(node.Event{Shot: attempt.Shot, Kind: node.EventBroken})
+	case response.StatusCode >= 400 && json.Unmarshal(raw, &proof) == nil && proof.Ran == "no":
+		report(node.Event{Shot: attempt.Shot, Kind: node.EventNotRun})
+	case attempt.Kind == "model" || !json.Valid(raw):
+		report(node.Event{Shot: attempt.Shot, Kind: node.EventBroken})
+	default:
+		report(node.Event{Shot: attempt.Shot, Kind: node.EventDone, Status: response.StatusCode, Body: raw})
+	}
+}
+
+// readStream reports the lines of a turn. A turn is done only if its last line states
+// the right total of tokens.
+func (s *Sender) readStream(attempt uint64, body io.Reader, report func(e node.Event)) {
+	scanner := bufio.NewScanner(body)
+	scanner.Buffer(make([]byte, 4096), int(s.maxBytes))
+	var total int64
+	for scanner.Scan() {
+		var l streamLine
+		if err := json.Unmarshal(scanner.Bytes(), &l); err != nil || l.Tokens < 0 {
+			break
+		}
+		if l.Done {
+			if l.Total != total {
+				break
+			}
+			report(node.Event{Shot: attempt, Kind: node.EventDone, Status: 200})
+			return
+		}
+		total += l.Tokens
+		report(node.Event{Shot: attempt, Kind: node.EventChunk, Text: l.Text, Tokens: l.Tokens})
+	}
+	report(node.Event{Shot: attempt, Kind: node.EventBroken})
+}
--- a/peer/replica/replica_test.go
+++ b/peer/replica/sender_test.go
@@ -13,8 +13,8 @@
 	"saffronfall/peer/node"
 )
 
-// TestShots: what each way of answering, or not answering, is taken for.
-func TestShots(t *testing.T) {
+// TestSend checks the events of each kind of response.
+func TestSend(t *testing.T) {
 	abort := func(w http.ResponseWriter) { w.(http.Flusher).Flush(); panic(http.ErrAbortHandler) }
 	for _, c := range []struct {
 		name, kind string
@@ -22,29 +22,29 @@
 		last       string
 		chunks     int
 	}{
-		{"whole turn", "model", func(w http.ResponseWriter) {
+		{"complete turn", "model", func(w http.ResponseWriter) {
 			fmt.Fprint(w, "{\"text\":\"a\",\"tokens\":2}\n{\"text\":\"b\",\"tokens\":3}\n{\"done\":true,\"total\":5}\n")
 		}, node.EventDone, 2},
-		{"no closing line", "model", func(w http.ResponseWriter) { fmt.Fprint(w, "{\"text\":\"a\",\"tokens\":2}\n") }, node.EventBroken, 1},
+		{"no final line", "model", func(w http.ResponseWriter) { fmt.Fprint(w, "{\"text\":\"a\",\"tokens\":2}\n") }, node.EventBroken, 1},
 		{"wrong total", "model", func(w http.ResponseWriter) {
 			fmt.Fprint(w, "{\"text\":\"a\",\"tokens\":2}\n{\"done\":true,\"total\":9}\n")
 		}, node.EventBroken, 1},
 		{"aborted", "model", func(w http.ResponseWriter) { fmt.Fprint(w, "{\"text\":\"a\",\"tokens\":2}\n"); abort(w) }, node.EventBroken, 1},
 		{"not JSON", "model", func(w http.ResponseWriter) { fmt.Fprint(w, "hello\n") }, node.EventBroken, 0},
 		{"negative tokens", "model", func(w http.ResponseWriter) { fmt.Fprint(w, "{\"text\":\"a\",\"tokens\":-2}\n") }, node.EventBroken, 0},
-		{"proof that it did not run", "model", func(w http.ResponseWriter) { w.WriteHeader(503); fmt.Fprint(w, `{"ran":"no"}`) }, node.EventNotRun, 0},
-		{"an error without proof", "model", func(w http.ResponseWriter) { w.WriteHeader(503); fmt.Fprint(w, `{}`) }, node.EventBroken, 0},
+		{"status 503, not run", "model", func(w http.ResponseWriter) { w.WriteHeader(503); fmt.Fprint(w, `{"ran":"no"}`) }, node.EventNotRun, 0},
+		{"status 503 without a statement", "model", func(w http.ResponseWriter) { w.WriteHeader(503); fmt.Fprint(w, `{}`) }, node.EventBroken, 0},
 		{"done", "once", func(w http.ResponseWriter) { fmt.Fprint(w, `{"receipt":1}`) }, node.EventDone, 0},
 		{"done with a status", "once", func(w http.ResponseWriter) { w.WriteHeader(422); fmt.Fprint(w, `{"no":1}`) }, node.EventDone, 0},
 		{"lost", "once", func(w http.ResponseWriter) { abort(w) }, node.EventBroken, 0},
 		{"not run", "once", func(w http.ResponseWriter) { w.WriteHeader(409); fmt.Fprint(w, `{"ran":"no"}`) }, node.EventNotRun, 0},
-		{"moved away", "once", func(w http.ResponseWriter) { w.Header().Set("Location", "/elsewhere"); w.WriteHeader(307) }, node.EventBroken, 0},
+		{"redirected", "once", func(w http.ResponseWriter) { w.Header().Set("Location", "/elsewhere"); w.WriteHeader(307) }, node.EventBroken, 0},
 	} {
 		calls := 0
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { calls++; c.answer(w) }))
 		var events []node.Event
-		s := NewShooter(&net.Dialer{}, 1<<16)
-		s.Shoot(context.Background(), node.Shoot{Shot: 1, Kind: c.kind, Address: server.Listener.Addr().String(), Budget: 5 * time.Second, Payload: node.Payload{Body: []byte("{}")}}, func(e node.Event) { events = append(events, e) })
+		s := NewSender(&net.Dialer{}, 1<<16)
+		s.Send(context.Background(), node.Shoot{Shot: 1, Kind: c.kind, Address: server.Listener.Addr().String(), Budget: 5 * time.Second, Payload: node.Payload{Body: []byte("{}")}}, func(e node.Event) { events = append(events, e) })
 		server.Close()
 		if n := len(events); n != c.chunks+1 || events[n-1].Kind != c.last {
 			t.Errorf("%s: %+v", c.name, events)
@@ -54,16 +54,16 @@
 		}
 	}
 	var events []node.Event
-	NewShooter(&net.Dialer{}, 1<<16).Shoot(context.Background(), node.Shoot{Kind: "once", Address: "127.0.0.1:1", Budget: time.Second}, func(e node.Event) { events = append(events, e) })
+	NewSender(&net.Dialer{}, 1<<16).Send(context.Background(), node.Shoot{Kind: "once", Address: "127.0.0.1:1", Budget: time.Second}, func(e node.Event) { events = append(events, e) })
 	if len(events) != 1 || events[0].Kind != node.EventNotRun {
-		t.Errorf("nobody there: %+v", events)
+		t.Errorf("unreachable address: %+v", events)
 	}
 }
 
-// TestAnnouncements: who may announce, and what.
+// TestAnnouncements checks which announcements are accepted.
 func TestAnnouncements(t *testing.T) {
-	var silent error
-	handler := Announcements("key", func(context.Context, node.Replica, string) (node.Heard, error) { return node.Heard{}, silent })
+	var announceErr error
+	handler := AnnouncementHandler("key", func(context.Context, node.Replica, string) (node.Heard, error) { return node.Heard{}, announceErr })
 	for _, c := range []struct {
 		key, body string
 		status    int
@@ -84,12 +84,12 @@
 			t.Errorf("%s: %d %s", c.body, w.Code, w.Body)
 		}
 	}
-	silent = context.Canceled
+	announceErr = context.Canceled
 	r := httptest.NewRequest("POST", "/v1/replicas", strings.NewReader(`{"service":"model","id":"m","address":"10.0.0.1:80","leaving":true}`))
 	r.Header.Set("Authorization", "Bearer key")
 	w := httptest.NewRecorder()
 	handler.ServeHTTP(w, r)
 	if w.Code != 503 {
-		t.Errorf("a leaving that was not heard: %d", w.Code)
+		t.Errorf("a leaving replica that was not registered: %d", w.Code)
 	}
 }
--- a/rehearsalkit/fleet/backend.go
+++ b/rehearsalkit/fleet/backend.go
@@ -78,9 +78,9 @@
 				pause(b.life, 20*time.Millisecond, 50*time.Millisecond)
 				break
 			}
-			stamp = heard.Stamp
+			stamp = heard.Version
 			select {
-			case <-time.After(time.Duration(heard.AgainMS) * time.Millisecond):
+			case <-time.After(time.Duration(heard.NextMS) * time.Millisecond):
 			case <-b.life.Done():
 			case <-unless(leaving, leave):
 			}
@@ -96,8 +96,8 @@
 	return what
 }
 
-func (b *backend) tell(at *Machine, stamp string, leaving bool) (heard replica.Heard, ok bool) {
-	body, _ := json.Marshal(replica.Told{Replica: node.Replica{Service: b.service, ID: b.id, Address: b.address, Zone: b.zone, Leaving: leaving}, Stamp: stamp})
+func (b *backend) tell(at *Machine, stamp string, leaving bool) (heard replica.AnnouncementReply, ok bool) {
+	body, _ := json.Marshal(replica.Announcement{Replica: node.Replica{Service: b.service, ID: b.id, Address: b.address, Zone: b.zone, Leaving: leaving}, Version: stamp})
 	ctx, cancel := context.WithTimeout(b.life, 400*time.Millisecond)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, "POST", "http://"+at.requester+"/v1/replicas", bytes.NewReader(body))
--- a/rehearsalkit/sizes/larger_test.go
+++ b/rehearsalkit/sizes/larger_test.go
@@ -6,7 +6,7 @@
 	"function peer/core/rules.go rules.Apply":                       103,
 	"function peer/operator/handler.go Handler":                     73,
 	"function peer/relay/pace.go Machine.draw":                      78,
-	"function peer/replica/line.go Line.Do":                         64,
+	"function peer/replica/pool.go Pool.Do":                         64,
 	"function peer/requester/handler.go Handler":                    77,
 	"function platform/calls.go surface":                            80,
 	"function platform/settings.go translate":                       67,
--- a/saffronfall/main.go
+++ b/saffronfall/main.go
@@ -43,7 +43,7 @@
 
 func (c *relayCommand) Run() error {
 	return role.Start(c.Settings, func(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger) error {
-		return relayprocess.Run(ctx, p, adopt, log, replica.OwnNames)
+		return relayprocess.Run(ctx, p, adopt, log, replica.DefaultHeaders)
 	})
 }
 
--- a/saffronfall/nodeprocess/process.go
+++ b/saffronfall/nodeprocess/process.go
@@ -39,7 +39,7 @@
 	log     logr.Logger
 	machine *node.Machine
 	streams *stream.Streams
-	shooter *replica.Shooter
+	sender  *replica.Sender
 	start   time.Duration
 	arrive  chan inquiry
 	gone    chan uint64
@@ -76,7 +76,7 @@
 	s := &process{params: p, adopt: adopt, others: map[string]byte{}, log: log, streams: streams, start: clock.Now(), life: life, drain: make(chan struct{}, 1), breaker: "closed", arrive: make(chan inquiry, p.Buffer), gone: make(chan uint64, p.Buffer),
 		events: make(chan node.Event, p.Buffer), calls: make(chan func(time.Duration) node.Output, 64),
 		waiting: map[uint64]chan node.Piece{}, shots: map[uint64]context.CancelFunc{},
-		shooter: replica.NewShooter(&net.Dialer{Timeout: p.Node().Newest}, p.Largest*16)}
+		sender: replica.NewSender(&net.Dialer{Timeout: p.Node().Newest}, p.Largest*16)}
 	s.machine = node.New(node.Options{Params: p.Node(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Zone: p.Zone, Address: p.PeerAdvertise,
 		HTTP: p.RequesterAdvert, Host: host(p.PeerListen), Seeds: p.Seeds, Now: s.now(), Random: rand.Float64})
 	log.Info("node started", "id", p.ID, "incarnation", s.machine.Incarnation())
@@ -86,7 +86,7 @@
 	group.Add(streams.Run, func(error) { streams.Close() })
 	mux := http.NewServeMux()
 	mux.Handle("/", requester.Handler(s, p.Largest))
-	mux.Handle("POST /v1/replicas", replica.Announcements(p.Replicas, s.announce))
+	mux.Handle("POST /v1/replicas", replica.AnnouncementHandler(p.Replicas, s.announce))
 	listen := func(address string, handler http.Handler, what string) {
 		server := &http.Server{Addr: address, Handler: handler, ReadHeaderTimeout: 5 * time.Second}
 		group.Add(func() error {
@@ -261,7 +261,7 @@
 	for _, shoot := range o.Shots {
 		ctx, cancel := context.WithCancel(s.life)
 		s.shots[shoot.Shot] = cancel
-		go s.shooter.Shoot(ctx, shoot, func(e node.Event) {
+		go s.sender.Send(ctx, shoot, func(e node.Event) {
 			select {
 			case s.events <- e:
 			case <-s.life.Done():
--- a/saffronfall/relayprocess/process.go
+++ b/saffronfall/relayprocess/process.go
@@ -27,13 +27,13 @@
 
 type told struct {
 	step relay.Step
-	line *replica.Line
+	line *replica.Pool
 	at   time.Duration
 }
 
 // taken is a step as its request's goroutine takes it up: some of its time may have
 // passed since the owner made it.
-func (t told) taken() (relay.Step, *replica.Line, bool) {
+func (t told) taken() (relay.Step, *replica.Pool, bool) {
 	if t.step.Kind == relay.StepSend {
 		t.step.Within -= clock.Now() - t.at
 	}
@@ -85,14 +85,14 @@
 type messages struct{ sent, dropped, bad int64 }
 
 type line struct {
-	*replica.Line
+	*replica.Pool
 	address string
 	usedAt  time.Duration
 }
 
 // Run runs the role until the context ends, then drains it. Names are the
 // headers that requesters and replicas speak with.
-func Run(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger, names replica.Names) error {
+func Run(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger, names replica.Headers) error {
 	raw := make([]byte, 6)
 	if _, err := crypto.Read(raw); err != nil {
 		return err
@@ -250,18 +250,18 @@
 	}
 }
 
-func (s *process) lineTo(step relay.Step) *replica.Line {
+func (s *process) lineTo(step relay.Step) *replica.Pool {
 	l := s.lines[step.Replica.ID]
 	if l != nil && l.address != step.Replica.Address {
 		l.Close()
 		l = nil
 	}
 	if l == nil {
-		l = &line{Line: replica.NewLine(step.Replica.Address, 32, time.Duration(s.params.DialMS)*time.Millisecond), address: step.Replica.Address}
+		l = &line{Pool: replica.NewPool(step.Replica.Address, 32, time.Duration(s.params.DialMS)*time.Millisecond), address: step.Replica.Address}
 		s.lines[step.Replica.ID] = l
 	}
 	l.usedAt = s.now()
-	return l.Line
+	return l.Pool
 }
 
 // way is one request, as its own goroutine sees it.
@@ -274,7 +274,7 @@
 }
 
 // Arrive hands a request to the owner's goroutine and waits for its first step.
-func (s *process) Arrive(ctx context.Context, a relay.Ask) (front.Way, relay.Step, *replica.Line, bool) {
+func (s *process) Arrive(ctx context.Context, a relay.Ask) (front.Way, relay.Step, *replica.Pool, bool) {
 	w := &way{process: s, ctx: ctx, ask: a, answers: make(chan told, 2)}
 	select {
 	case s.arrive <- w:
@@ -285,7 +285,7 @@
 	return w, step, line, ok
 }
 
-func (w *way) wait() (relay.Step, *replica.Line, bool) {
+func (w *way) wait() (relay.Step, *replica.Pool, bool) {
 	select {
 	case t := <-w.answers:
 		return t.taken()
@@ -340,7 +340,7 @@
 }
 
 // Came tells what became of a sending and waits for the next step.
-func (w *way) Came(o relay.Outcome) (relay.Step, *replica.Line, bool) {
+func (w *way) Came(o relay.Outcome) (relay.Step, *replica.Pool, bool) {
 	select {
 	case w.process.came <- came{ticket: w.ticket, outcome: o}:
 	case <-w.process.life.Done():
