--- a/peer/clock/clock.go
+++ b/peer/clock/clock.go
@@ -1,5 +1,6 @@
-// Package clock reads the one clock that decides: it never goes back, no
-// operator sets it, and it goes on while the machine sleeps.
+// Package clock provides the only clock that decisions use. It is monotonic, cannot be
+// set, and continues while the machine is suspended. A test keeps other packages from
+// reading the time in any other way.
 package clock
 
 import (
@@ -8,19 +9,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is how long the machine has been up, sleep included.
+// Now returns the time since the machine was booted, including suspended time.
 func Now() time.Duration {
 	var at unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
-		panic("this machine has no clock that goes on while it sleeps: " + err.Error())
+		panic("reading CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(at.Nano())
 }
 
-// Deadline is a moment for the libraries that read and write, which want one on
-// their own clock. Nothing else goes by it.
-func Deadline(within time.Duration) time.Time { return time.Now().Add(within) }
+// Deadline returns the time after a duration, for read and write deadlines of the
+// standard library. Nothing else may use it.
+func Deadline(after time.Duration) time.Time { return time.Now().Add(after) }
 
-// TimeOfDay is the wall clock, for people who read logs. Nothing is decided by it: it
-// may be set, and may differ from one machine to another.
+// TimeOfDay returns the wall clock time in UTC, for log entries that people read.
+// Decisions must not depend on it: it may be set, and it differs between machines.
 func TimeOfDay() time.Time { return time.Now().UTC() }
--- a/peer/clock/clock_test.go
+++ b/peer/clock/clock_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// TestOnlyClock: nothing else in what is deployed asks what time it is, so no
-// rule can go by a clock that jumps or stands still.
+// TestOnlyClock checks that no deployed code reads the time except through this package,
+// so that no decision depends on a clock that jumps or stops.
 func TestOnlyClock(t *testing.T) {
 	reads := map[string]bool{"Now": true, "Since": true, "Until": true, "ClockGettime": true, "Gettimeofday": true}
 	files := 0
--- a/peer/socket/socket.go
+++ b/peer/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket sets what connections need of the kernel.
+// Package socket sets options of TCP sockets.
 package socket
 
 import (
@@ -8,16 +8,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout makes a connection break when what was sent is not acknowledged
-// within a time, as behind a cut.
-func UserTimeout(within time.Duration) func(network, address string, c syscall.RawConn) error {
+// UserTimeout returns a control function for net.Dialer that sets TCP_USER_TIMEOUT. The
+// kernel then closes a connection whose sent data is not acknowledged within the
+// timeout, as during a network partition.
+func UserTimeout(timeout time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(network, address string, c syscall.RawConn) error {
-		var failed error
+		var optionErr error
 		if err := c.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(within.Milliseconds()))
+			optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 		}); err != nil {
 			return err
 		}
-		return failed
+		return optionErr
 	}
 }
--- a/peer/stream/stream.go
+++ b/peer/stream/stream.go
@@ -1,5 +1,10 @@
-// Package stream carries messages between the fleet's own processes: TCP
-// streams of length-prefixed msgpack, opened with proof of the fleet's secret.
+// Package stream carries messages between the processes of a fleet over TCP, as
+// length-prefixed msgpack.
+//
+// A stream is one-way: each process dials one stream to every member that it sends to.
+// The dialing side proves that it knows the fleet's secret and states its address and
+// protocol version. Delivery is not guaranteed. Start reading at
+// Transport.Send and Transport.Run.
 package stream
 
 import (
@@ -21,114 +26,120 @@
 	"saffronfall/rule/message"
 )
 
-// Params bound what streams may use.
+// Params configure a Transport.
 type Params struct {
-	// Listen is where this process takes streams; Advertise is what others dial.
+	// Listen is the address that this process listens on; Advertise is the address
+	// that others dial.
 	Listen, Advertise string
 	Secret            string
-	// Buffer is how many messages may wait for one member.
-	Buffer int
-	// Largest is the size of the largest message.
-	Largest int
-	// Patience is how long a dial, a write or a proof may take.
-	Patience time.Duration
-	// Idle is after how long a stream that nothing was sent on ends; zero: a minute.
-	Idle time.Duration
+	// QueueSize is how many messages may wait for one member, and how many received
+	// messages may wait in In.
+	QueueSize int
+	// MaxMessageBytes is the largest size of a message.
+	MaxMessageBytes int
+	// Timeout limits a write and a handshake; a dial may take a third of it.
+	Timeout time.Duration
+	// IdleTimeout is how long a stream stays open without a message. Zero means one
+	// minute.
+	IdleTimeout time.Duration
 }
 
-// Incoming is a message that came, with the address that its sender told.
+// Incoming is a received message with the address that its sender advertises.
 type Incoming struct {
 	From string
 	Body any
 }
 
-// Counters are sent over a channel as they happen.
+// Counters are increments of the transport's counters, sent over a channel as they
+// occur.
 type Counters struct {
-	Sent, Dropped, Received, BadStreams int64
-	// Unknown counts messages of types that this version does not have, Version
-	// members of a version that does not go with this one: which, and theirs.
-	Unknown, Version int64
-	Other            string
-	Theirs           byte
+	// BadStreams counts streams closed for a failed handshake or an invalid message.
+	BadStreams int64
+	// UnknownTypes counts messages of types that this version does not have.
+	// VersionMismatches counts peers of an incompatible version, with their address
+	// and version.
+	UnknownTypes, VersionMismatches int64
+	PeerAddress                     string
+	PeerVersion                     byte
 }
 
-// Streams is one process's end of all its streams. Send belongs to one
-// goroutine, the owner; what comes in is read from In.
-type Streams struct {
+// Transport is a process's end of all its streams. Send must be called by one
+// goroutine only; received messages are read from In.
+type Transport struct {
 	In     chan Incoming
 	Counts chan Counters
 
-	params   Params
-	listener net.Listener
-	outward  map[string]*outward
-	forgetAt time.Duration
-	ctx      context.Context
-	cancel   context.CancelFunc
+	params        Params
+	listener      net.Listener
+	outbound      map[string]*outbound
+	nextIdleCheck time.Duration
+	ctx           context.Context
+	cancel        context.CancelFunc
 }
 
-// outward is a stream to one member, as its sender sees it.
-type outward struct {
+// outbound is the sending side of a stream to one member.
+type outbound struct {
 	messages chan []byte
-	usedAt   time.Duration
+	lastUsed time.Duration
 }
 
-// defaultIdle is after how long a stream that nothing was sent on ends.
 const defaultIdle = time.Minute
 
-// Listen begins to take streams.
-func Listen(p Params) (*Streams, error) {
-	if p.Idle <= 0 {
-		p.Idle = defaultIdle
+// Listen opens the listening socket. Run then accepts streams.
+func Listen(p Params) (*Transport, error) {
+	if p.IdleTimeout <= 0 {
+		p.IdleTimeout = defaultIdle
 	}
 	listener, err := net.Listen("tcp", p.Listen)
 	if err != nil {
-		return nil, errors.Wrap(err, "peer address")
+		return nil, errors.Wrap(err, "listening for streams")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Streams{In: make(chan Incoming, p.Buffer), Counts: make(chan Counters, 64), params: p, listener: listener, outward: map[string]*outward{}, ctx: ctx, cancel: cancel}, nil
+	return &Transport{In: make(chan Incoming, p.QueueSize), Counts: make(chan Counters, 64), params: p, listener: listener, outbound: map[string]*outbound{}, ctx: ctx, cancel: cancel}, nil
 }
 
 // Run accepts streams until Close.
-func (s *Streams) Run() error {
+func (t *Transport) Run() error {
 	for {
-		c, err := s.listener.Accept()
+		c, err := t.listener.Accept()
 		if err != nil {
-			if s.ctx.Err() != nil {
+			if t.ctx.Err() != nil {
 				return nil
 			}
-			return errors.Wrap(err, "accepting streams")
+			return errors.Wrap(err, "accepting a stream")
 		}
-		go s.serve(c)
+		go t.serve(c)
 	}
 }
 
-// Close ends all streams.
-func (s *Streams) Close() {
-	s.cancel()
-	s.listener.Close()
+// Close closes the listener and all streams.
+func (t *Transport) Close() {
+	t.cancel()
+	t.listener.Close()
 }
 
-func (s *Streams) count(c Counters) {
+func (t *Transport) count(c Counters) {
 	select {
-	case s.Counts <- c:
-	case <-s.ctx.Done():
+	case t.Counts <- c:
+	case <-t.ctx.Done():
 	}
 }
 
-// Send packs a message and hands it to the stream of a member. A full buffer
-// drops it: every message may be lost, and none is waited for.
-func (s *Streams) Send(to string, body any) bool {
+// Send encodes a message and queues it for a member. It never blocks: it returns false
+// and drops the message if the queue is full or the message is too large. A queued
+// message may still be lost.
+func (t *Transport) Send(to string, body any) bool {
 	now := clock.Now()
-	s.forget(now)
-	out := s.outward[to]
+	t.closeIdle(now)
+	out := t.outbound[to]
 	if out == nil {
-		out = &outward{messages: make(chan []byte, s.params.Buffer)}
-		s.outward[to] = out
-		go s.carry(to, out.messages)
+		out = &outbound{messages: make(chan []byte, t.params.QueueSize)}
+		t.outbound[to] = out
+		go t.writeLoop(to, out.messages)
 	}
-	out.usedAt = now
+	out.lastUsed = now
 	raw := message.Pack(body)
-	if len(raw) > s.params.Largest {
+	if len(raw) > t.params.MaxMessageBytes {
 		return false
 	}
 	select {
@@ -139,51 +150,53 @@
 	}
 }
 
-// forget ends the streams to members that nothing was said to for long: machines are
-// replaced, mostly at new addresses.
-func (s *Streams) forget(now time.Duration) {
-	if now < s.forgetAt {
+// closeIdle closes the streams that carried no message for the idle timeout. Machines
+// are replaced, mostly at new addresses, so unused streams would accumulate.
+func (t *Transport) closeIdle(now time.Duration) {
+	if now < t.nextIdleCheck {
 		return
 	}
-	s.forgetAt = now + s.params.Idle/2
-	for address, out := range s.outward {
-		if now > out.usedAt+s.params.Idle {
+	t.nextIdleCheck = now + t.params.IdleTimeout/2
+	for address, out := range t.outbound {
+		if now > out.lastUsed+t.params.IdleTimeout {
 			close(out.messages)
-			delete(s.outward, address)
+			delete(t.outbound, address)
 		}
 	}
 }
 
-func (s *Streams) carry(to string, out chan []byte) {
+// writeLoop writes the queued messages to a member, dialing it when needed. While the
+// member cannot be reached, messages are dropped.
+func (t *Transport) writeLoop(to string, out chan []byte) {
 	var c net.Conn
 	var frames []byte
-	dialled := -s.params.Patience
+	dialedAt := -t.params.Timeout
 	for {
 		var raw []byte
 		open := false
 		select {
 		case raw, open = <-out:
-		case <-s.ctx.Done():
+		case <-t.ctx.Done():
 		}
 		if !open {
-			// The process ends, or nothing is said to this member any more.
+			// The transport is closed, or the stream is idle.
 			if c != nil {
 				c.Close()
 			}
 			return
 		}
 		if c == nil {
-			if clock.Now()-dialled < s.params.Patience/10 {
+			if clock.Now()-dialedAt < t.params.Timeout/10 {
 				continue
 			}
-			dialled = clock.Now()
-			if c = s.dial(to); c == nil {
+			dialedAt = clock.Now()
+			if c = t.dial(to); c == nil {
 				continue
 			}
 		}
-		// What waits meanwhile goes out in the same write.
+		// Messages that are already queued go out in the same write.
 		frames = append(binary.LittleEndian.AppendUint32(frames[:0], uint32(len(raw))), raw...)
-		for more := true; more && len(frames) < batch; {
+		for more := true; more && len(frames) < batchBytes; {
 			select {
 			case raw, open = <-out:
 				if !open {
@@ -195,9 +208,9 @@
 				more = false
 			}
 		}
-		c.SetWriteDeadline(clock.Deadline(s.params.Patience))
+		c.SetWriteDeadline(clock.Deadline(t.params.Timeout))
 		_, err := c.Write(frames)
-		if cap(frames) > 4*batch {
+		if cap(frames) > 4*batchBytes {
 			frames = nil
 		}
 		if err != nil {
@@ -207,58 +220,71 @@
 	}
 }
 
-// batch is how many bytes of messages go out in one write, at the least.
-const batch = 32 << 10
+// batchBytes is the size from which no more messages are added to a write.
+const batchBytes = 32 << 10
 
-func (s *Streams) dial(to string) net.Conn {
-	// A stream whose bytes are not acknowledged, as behind a cut, is given up and
-	// dialled anew: left alone, it would stay silent long after the cut is over.
-	// A machine that is away lets a dial hang; it must not hang long after the
-	// machine is back.
-	dialer := net.Dialer{Timeout: s.params.Patience / 3, KeepAlive: -1, Control: socket.UserTimeout(s.params.Patience)}
-	if host, _, err := net.SplitHostPort(s.params.Advertise); err == nil {
+// The dialing side answers the nonce with a MAC, its version, the length of its
+// address and the address.
+const (
+	nonceSize = 32
+	macSize   = sha256.Size
+	helloSize = macSize + 2
+)
+
+// dial opens a stream to a member and performs the handshake. It returns nil on
+// failure.
+func (t *Transport) dial(to string) net.Conn {
+	// The user timeout closes a stream whose bytes are not acknowledged, so that it is
+	// dialed again; it would otherwise stay silent long after a network partition has
+	// healed. The dial timeout is short, so that a dial to an unreachable machine does
+	// not block long after the machine is back.
+	dialer := net.Dialer{Timeout: t.params.Timeout / 3, KeepAlive: -1, Control: socket.UserTimeout(t.params.Timeout)}
+	if host, _, err := net.SplitHostPort(t.params.Advertise); err == nil {
 		if ip := net.ParseIP(host); ip != nil && !ip.IsUnspecified() {
 			dialer.LocalAddr = &net.TCPAddr{IP: ip}
 		}
 	}
-	c, err := dialer.DialContext(s.ctx, "tcp", to)
+	c, err := dialer.DialContext(t.ctx, "tcp", to)
 	if err != nil {
 		return nil
 	}
-	c.SetDeadline(clock.Deadline(s.params.Patience))
-	nonce := make([]byte, 32)
+	c.SetDeadline(clock.Deadline(t.params.Timeout))
+	nonce := make([]byte, nonceSize)
 	if _, err := io.ReadFull(c, nonce); err != nil {
 		c.Close()
 		return nil
 	}
-	hello := append(s.proof(nonce, s.params.Advertise), version(), byte(len(s.params.Advertise)))
-	if _, err := c.Write(append(hello, s.params.Advertise...)); err != nil {
+	hello := append(t.proof(nonce, t.params.Advertise), version(), byte(len(t.params.Advertise)))
+	if _, err := c.Write(append(hello, t.params.Advertise...)); err != nil {
 		c.Close()
 		return nil
 	}
 	c.SetDeadline(time.Time{})
-	gone := make([]byte, 1)
+	// The peer never sends on this stream, so a read returns when the stream ends.
+	buffer := make([]byte, 1)
 	go func() {
-		c.Read(gone)
+		c.Read(buffer)
 		c.Close()
 	}()
 	return c
 }
 
-func (s *Streams) proof(nonce []byte, address string) []byte {
-	mac := hmac.New(sha256.New, []byte(s.params.Secret))
+// proof returns the MAC of a nonce and an address under the fleet's secret.
+func (t *Transport) proof(nonce []byte, address string) []byte {
+	mac := hmac.New(sha256.New, []byte(t.params.Secret))
 	mac.Write(nonce)
 	mac.Write([]byte(address))
 	return mac.Sum(nil)
 }
 
-func (s *Streams) serve(c net.Conn) {
+// serve receives the messages of one stream.
+func (t *Transport) serve(c net.Conn) {
 	defer c.Close()
-	stop := context.AfterFunc(s.ctx, func() { c.Close() })
+	stop := context.AfterFunc(t.ctx, func() { c.Close() })
 	defer stop()
-	from, err := s.greet(c)
+	from, err := t.handshake(c)
 	if err != nil {
-		s.count(Counters{BadStreams: 1})
+		t.count(Counters{BadStreams: 1})
 		return
 	}
 	head := make([]byte, 4)
@@ -268,8 +294,8 @@
 			return
 		}
 		size := binary.LittleEndian.Uint32(head)
-		if size > uint32(s.params.Largest) {
-			s.count(Counters{BadStreams: 1})
+		if size > uint32(t.params.MaxMessageBytes) {
+			t.count(Counters{BadStreams: 1})
 			return
 		}
 		raw := make([]byte, size)
@@ -278,59 +304,62 @@
 		}
 		body, err := message.Open(raw)
 		if errors.Is(err, message.ErrUnknown) {
-			// A member of the next version may say what this one has no word for.
-			s.count(Counters{Unknown: 1})
+			// A member of the next version may send message types that this version
+			// does not have.
+			t.count(Counters{UnknownTypes: 1})
 			continue
 		}
 		if err != nil {
-			s.count(Counters{BadStreams: 1})
+			t.count(Counters{BadStreams: 1})
 			return
 		}
 		select {
-		case s.In <- Incoming{From: from, Body: body}:
-		case <-s.ctx.Done():
+		case t.In <- Incoming{From: from, Body: body}:
+		case <-t.ctx.Done():
 			return
 		}
 	}
 }
 
-func (s *Streams) greet(c net.Conn) (string, error) {
-	nonce := make([]byte, 32)
+// handshake authenticates the dialing side of a stream and returns its advertised
+// address.
+func (t *Transport) handshake(c net.Conn) (string, error) {
+	nonce := make([]byte, nonceSize)
 	if _, err := rand.Read(nonce); err != nil {
 		return "", err
 	}
-	c.SetDeadline(clock.Deadline(s.params.Patience))
+	c.SetDeadline(clock.Deadline(t.params.Timeout))
 	if _, err := c.Write(nonce); err != nil {
 		return "", err
 	}
-	hello := make([]byte, 34)
+	hello := make([]byte, helloSize)
 	if _, err := io.ReadFull(c, hello); err != nil {
 		return "", err
 	}
-	address := make([]byte, hello[33])
+	address := make([]byte, hello[macSize+1])
 	if _, err := io.ReadFull(c, address); err != nil {
 		return "", err
 	}
-	if !hmac.Equal(hello[:32], s.proof(nonce, string(address))) {
-		return "", errors.New("wrong secret")
+	if !hmac.Equal(hello[:macSize], t.proof(nonce, string(address))) {
+		return "", errors.New("peer does not know the secret")
 	}
-	if theirs := hello[32]; theirs+1 < version() || theirs > version()+1 {
-		s.count(Counters{Version: 1, Other: string(address), Theirs: theirs})
-		return "", errors.Newf("version %d at %s does not go with version %d", theirs, address, version())
+	if peerVersion := hello[macSize]; peerVersion+1 < version() || peerVersion > version()+1 {
+		t.count(Counters{VersionMismatches: 1, PeerAddress: string(address), PeerVersion: peerVersion})
+		return "", errors.Newf("version %d of %s is not compatible with version %d", peerVersion, address, version())
 	}
 	c.SetDeadline(time.Time{})
 	return string(address), nil
 }
 
-// Version is what processes say of themselves to each other. One version goes
-// with the one before it and the one after it, so that a fleet can be changed
-// process by process. A build may set it, to rehearse that.
+// Version is the protocol version. A version is compatible with the previous and the
+// next one, so that a fleet can be upgraded process by process. A build may override
+// it to rehearse an upgrade.
 var Version = "2"
 
 func version() byte {
 	n, err := strconv.ParseUint(Version, 10, 8)
 	if err != nil {
-		panic("version " + Version)
+		panic("invalid protocol version " + Version)
 	}
 	return byte(n)
 }
--- a/peer/stream/stream_test.go
+++ b/peer/stream/stream_test.go
@@ -10,15 +10,15 @@
 	"saffronfall/rule/message"
 )
 
-type word struct{ Text string }
+type testMessage struct{ Text string }
 
 func init() {
 	message.Register(map[string]any{
-		"stream.word": word{},
+		"stream.word": testMessage{},
 	})
 }
 
-func listen(t *testing.T, secret string) *Streams {
+func listen(t *testing.T, secret string) *Transport {
 	t.Helper()
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -26,7 +26,7 @@
 	}
 	address := probe.Addr().String()
 	probe.Close()
-	s, err := Listen(Params{Listen: address, Advertise: address, Secret: secret, Buffer: 16, Largest: 1 << 16, Patience: time.Second})
+	s, err := Listen(Params{Listen: address, Advertise: address, Secret: secret, QueueSize: 16, MaxMessageBytes: 1 << 16, Timeout: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,23 +35,23 @@
 	return s
 }
 
-func greeted(t *testing.T, to *Streams, secret string) net.Conn {
+func connect(t *testing.T, to *Transport, secret string) net.Conn {
 	t.Helper()
-	return greetedAs(t, to, secret, version())
+	return connectAs(t, to, secret, version())
 }
 
-func greetedAs(t *testing.T, to *Streams, secret string, of byte) net.Conn {
+func connectAs(t *testing.T, to *Transport, secret string, peerVersion byte) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", to.params.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	nonce := make([]byte, 32)
+	nonce := make([]byte, nonceSize)
 	if _, err := io.ReadFull(c, nonce); err != nil {
 		t.Fatal(err)
 	}
-	liar := Streams{params: Params{Secret: secret}}
-	c.Write(append(liar.proof(nonce, "x"), of, 1, 'x'))
+	peer := Transport{params: Params{Secret: secret}}
+	c.Write(append(peer.proof(nonce, "x"), peerVersion, 1, 'x'))
 	return c
 }
 
@@ -59,26 +59,26 @@
 	return append(binary.LittleEndian.AppendUint32(nil, uint32(len(raw))), raw...)
 }
 
-// TestBadMembers: whatever a bad member sends closes that stream, is counted,
-// and harms nothing else.
-func TestBadMembers(t *testing.T) {
+// TestBadPeers checks that invalid input closes and counts its stream and affects no
+// other.
+func TestBadPeers(t *testing.T) {
 	to := listen(t, "a secret of some length")
 	good := listen(t, "a secret of some length")
-	for name, harm := range map[string]func() net.Conn{
-		"wrong secret": func() net.Conn { return greeted(t, to, "another secret") },
-		"no message":   func() net.Conn { c := greeted(t, to, to.params.Secret); c.Write(frame([]byte{0xc1, 0xc1})); return c },
+	for name, send := range map[string]func() net.Conn{
+		"wrong secret":  func() net.Conn { return connect(t, to, "another secret") },
+		"not a message": func() net.Conn { c := connect(t, to, to.params.Secret); c.Write(frame([]byte{0xc1, 0xc1})); return c },
 		"wrong body": func() net.Conn {
-			c := greeted(t, to, to.params.Secret)
+			c := connect(t, to, to.params.Secret)
 			c.Write(frame(append([]byte("\xabstream.word"), 0xc1)))
 			return c
 		},
-		"larger than is": func() net.Conn {
-			c := greeted(t, to, to.params.Secret)
+		"oversized length": func() net.Conn {
+			c := connect(t, to, to.params.Secret)
 			c.Write([]byte{0xff, 0xff, 0xff, 0x7f})
 			return c
 		},
 	} {
-		c := harm()
+		c := send()
 		select {
 		case n := <-to.Counts:
 			if n.BadStreams != 1 {
@@ -92,35 +92,35 @@
 			t.Errorf("%s: the stream stays open", name)
 		}
 		c.Close()
-		good.Send(to.params.Listen, word{name})
+		good.Send(to.params.Listen, testMessage{name})
 		select {
 		case in := <-to.In:
-			if in.Body != (word{name}) || in.From != good.params.Advertise {
+			if in.Body != (testMessage{name}) || in.From != good.params.Advertise {
 				t.Errorf("%s: %+v", name, in)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatalf("after %s a good member is not heard", name)
+			t.Fatalf("after %s a good member is not received", name)
 		}
 	}
 }
 
-// TestVersions: a member of the next version is understood but for what this one
-// has no word for; one of a version further off is told apart and named.
+// TestVersions checks that unknown message types of a compatible version are skipped,
+// and that an incompatible version is rejected and reported.
 func TestVersions(t *testing.T) {
 	to := listen(t, "a secret of some length")
-	c := greeted(t, to, to.params.Secret)
+	c := connect(t, to, to.params.Secret)
 	defer c.Close()
 	c.Write(frame([]byte("\xa4what\x80")))
-	if n := <-to.Counts; n.Unknown != 1 || n.BadStreams != 0 {
+	if n := <-to.Counts; n.UnknownTypes != 1 || n.BadStreams != 0 {
 		t.Errorf("%+v", n)
 	}
-	c.Write(frame(message.Pack(word{"after"})))
-	if in := <-to.In; in.Body != (word{"after"}) {
+	c.Write(frame(message.Pack(testMessage{"after"})))
+	if in := <-to.In; in.Body != (testMessage{"after"}) {
 		t.Errorf("%+v", in)
 	}
-	other := greetedAs(t, to, to.params.Secret, 9)
+	other := connectAs(t, to, to.params.Secret, 9)
 	defer other.Close()
-	if n := <-to.Counts; n.Version != 1 || n.Other != "x" || n.Theirs != 9 {
+	if n := <-to.Counts; n.VersionMismatches != 1 || n.PeerAddress != "x" || n.PeerVersion != 9 {
 		t.Errorf("%+v", n)
 	}
 }
--- a/saffronfall/coreprocess/process.go
+++ b/saffronfall/coreprocess/process.go
@@ -44,7 +44,7 @@
 	others  map[string]byte
 	log     logr.Logger
 	machine *core.Machine
-	streams *stream.Streams
+	streams *stream.Transport
 	start   time.Duration
 	calls   chan func(now time.Duration) core.Output
 	drain   chan struct{}
@@ -90,7 +90,7 @@
 		return err
 	}
 	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.Secret,
-		Buffer: int(p.Buffer), Largest: 64 << 20, Patience: p.Node().Newest})
+		QueueSize: int(p.Buffer), MaxMessageBytes: 64 << 20, Timeout: p.Node().Newest})
 	if err != nil {
 		return err
 	}
@@ -161,9 +161,9 @@
 // refuseVersion says once of each member that its version does not go with this
 // one.
 func (s *process) refuseVersion(c stream.Counters) {
-	if s.others[c.Other] != c.Theirs {
-		s.others[c.Other] = c.Theirs
-		s.log.Info("member of another version refused; change a fleet one version at a time", "member", c.Other, "its version", c.Theirs, "own version", stream.Version)
+	if s.others[c.PeerAddress] != c.PeerVersion {
+		s.others[c.PeerAddress] = c.PeerVersion
+		s.log.Info("member of another version refused; change a fleet one version at a time", "member", c.PeerAddress, "its version", c.PeerVersion, "own version", stream.Version)
 	}
 }
 
@@ -204,7 +204,7 @@
 		case s.params = <-s.adopt:
 		case c := <-s.streams.Counts:
 			s.bad += c.BadStreams
-			if c.Version > 0 {
+			if c.VersionMismatches > 0 {
 				s.refuseVersion(c)
 			}
 		case <-ticker.C:
--- a/saffronfall/deskprocess/process.go
+++ b/saffronfall/deskprocess/process.go
@@ -30,7 +30,7 @@
 	adopt   <-chan params.Params
 	log     logr.Logger
 	machine *desk.Machine
-	streams *stream.Streams
+	streams *stream.Transport
 	start   time.Duration
 	calls   chan func(now time.Duration) desk.Output
 	life    context.Context
@@ -132,7 +132,7 @@
 		return err
 	}
 	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.Secret,
-		Buffer: int(p.Buffer), Largest: 64 << 20, Patience: 2 * p.Core().Pull})
+		QueueSize: int(p.Buffer), MaxMessageBytes: 64 << 20, Timeout: 2 * p.Core().Pull})
 	if err != nil {
 		return err
 	}
--- a/saffronfall/nodeprocess/process.go
+++ b/saffronfall/nodeprocess/process.go
@@ -38,7 +38,7 @@
 	others  map[string]byte
 	log     logr.Logger
 	machine *node.Machine
-	streams *stream.Streams
+	streams *stream.Transport
 	sender  *replica.Sender
 	start   time.Duration
 	arrive  chan inquiry
@@ -68,7 +68,7 @@
 		return err
 	}
 	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.Secret,
-		Buffer: int(p.Buffer), Largest: 64 << 20, Patience: p.Node().Newest})
+		QueueSize: int(p.Buffer), MaxMessageBytes: 64 << 20, Timeout: p.Node().Newest})
 	if err != nil {
 		return err
 	}
@@ -124,9 +124,9 @@
 // refuseVersion says once of each member that its version does not go with this
 // one.
 func (s *process) refuseVersion(c stream.Counters) {
-	if s.others[c.Other] != c.Theirs {
-		s.others[c.Other] = c.Theirs
-		s.log.Info("member of another version refused; change a fleet one version at a time", "member", c.Other, "its version", c.Theirs, "own version", stream.Version)
+	if s.others[c.PeerAddress] != c.PeerVersion {
+		s.others[c.PeerAddress] = c.PeerVersion
+		s.log.Info("member of another version refused; change a fleet one version at a time", "member", c.PeerAddress, "its version", c.PeerVersion, "own version", stream.Version)
 	}
 }
 
@@ -167,7 +167,7 @@
 			s.take(s.machine.Adopt(s.params.Node()))
 		case c := <-s.streams.Counts:
 			s.bad += c.BadStreams
-			if c.Version > 0 {
+			if c.VersionMismatches > 0 {
 				s.refuseVersion(c)
 			}
 		case <-ticker.C:
