--- a/peer/disk/checksum_test.go
+++ b/peer/disk/checksum_test.go
@@ -17,12 +17,12 @@
 		"of the first format":      appendRecordV1(nil, []byte("chosen by a tenant")),
 		"under another disk's key": recordFormat{key: &checksumKey{1, 2}}.append(nil, 100, []byte("chosen by a tenant")),
 	} {
-		path := filled(t)
-		f, _, err := Open(path)
+		path := newStore(t)
+		s, _, err := Open(path)
 		must(t, err)
-		before := f.Size()
-		must(t, f.Append(append(make([]byte, 600), inside...)))
-		must(t, f.Close())
+		before := s.Size()
+		must(t, s.Append(append(make([]byte, 600), inside...)))
+		must(t, s.Close())
 		change(t, path, "log-1", func(raw []byte) []byte {
 			clear(raw[before : before+512])
 			return raw
@@ -70,8 +70,8 @@
 // block which a CRC would not miss.
 func TestTornStateWithANeutralBlock(t *testing.T) {
 	const block = 512
-	path := filled(t)
-	f, _, err := Open(path)
+	path := newStore(t)
+	s, _, err := Open(path)
 	must(t, err)
 	state := make([]byte, 3*block)
 	for at := 0; at+block <= len(state); at += block {
@@ -79,8 +79,8 @@
 	}
 	log, err := systemFiles{}.ReadFile(filepath.Join(path, "log-1"))
 	must(t, err)
-	must(t, f.Replace(state))
-	must(t, f.Close())
+	must(t, s.Replace(state))
+	must(t, s.Close())
 	// Simulates a power failure before the log of the new state was installed.
 	must(t, systemFiles{}.Remove(filepath.Join(path, "log-0")))
 	change(t, path, "log-1", func([]byte) []byte { return log })
@@ -105,21 +105,21 @@
 	log := appendRecordV1(binary.LittleEndian.AppendUint64([]byte("SFLOG001"), 1), []byte("one"))
 	must(t, writeFile(path, "slot-1", append(slot, "first"...)))
 	must(t, writeFile(path, "log-1", log))
-	f, contents, err := Open(path)
+	s, contents, err := Open(path)
 	must(t, err)
 	if string(contents.State) != "first" || len(contents.Records) != 1 {
 		t.Fatalf("%+v", contents)
 	}
-	must(t, f.Append([]byte("two")))
-	must(t, f.Close())
-	f, contents, err = Open(path)
+	must(t, s.Append([]byte("two")))
+	must(t, s.Close())
+	s, contents, err = Open(path)
 	must(t, err)
 	if len(contents.Records) != 2 || string(contents.Records[1]) != "two" {
 		t.Fatalf("%+v", contents)
 	}
-	must(t, f.Replace([]byte("second")))
-	must(t, f.Append([]byte("three")))
-	must(t, f.Close())
+	must(t, s.Replace([]byte("second")))
+	must(t, s.Append([]byte("three")))
+	must(t, s.Close())
 	raw, err := systemFiles{}.ReadFile(filepath.Join(path, "slot-0"))
 	must(t, err)
 	if string(raw[:len(slotMagic)]) != slotMagic {
@@ -136,7 +136,7 @@
 // interrupted write: no record can be verified without the key.
 func TestDamagedKey(t *testing.T) {
 	for at := len(logMagic); at < logHeaderSize; at++ {
-		path := filled(t)
+		path := newStore(t)
 		change(t, path, "log-1", func(raw []byte) []byte { raw[at] ^= 1; return raw })
 		if _, _, err := Open(path); !errors.Is(err, ErrDamaged) {
 			t.Errorf("byte %d of the header: %v", at, err)
--- a/peer/disk/disk_test.go
+++ b/peer/disk/disk_test.go
@@ -9,18 +9,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-func filled(t *testing.T) string {
+// newStore returns a directory with a state and three records.
+func newStore(t *testing.T) string {
 	t.Helper()
 	path := t.TempDir()
-	f, contents, err := Open(path)
+	s, contents, err := Open(path)
 	if err != nil || !contents.Empty {
 		t.Fatalf("%+v %v", contents, err)
 	}
-	must(t, f.Replace([]byte("first")))
+	must(t, s.Replace([]byte("first")))
 	for i := 0; i < 3; i++ {
-		must(t, f.Append([]byte(fmt.Sprint("frame", i))))
+		must(t, s.Append([]byte(fmt.Sprint("frame", i))))
 	}
-	must(t, f.Close())
+	must(t, s.Close())
 	return path
 }
 
@@ -31,6 +32,7 @@
 	}
 }
 
+// change rewrites a file with the result of how.
 func change(t *testing.T, path, name string, how func(raw []byte) []byte) {
 	t.Helper()
 	full := filepath.Join(path, name)
@@ -41,15 +43,15 @@
 
 // TestReopen checks that records and states survive reopening.
 func TestReopen(t *testing.T) {
-	path := filled(t)
-	f, contents, err := Open(path)
+	path := newStore(t)
+	s, contents, err := Open(path)
 	must(t, err)
 	if string(contents.State) != "first" || len(contents.Records) != 3 || string(contents.Records[2]) != "frame2" {
 		t.Fatalf("%+v", contents)
 	}
-	must(t, f.Replace([]byte("second")))
-	must(t, f.Append([]byte("after")))
-	f.Close()
+	must(t, s.Replace([]byte("second")))
+	must(t, s.Append([]byte("after")))
+	s.Close()
 	_, contents, err = Open(path)
 	must(t, err)
 	if string(contents.State) != "second" || len(contents.Records) != 1 {
@@ -94,7 +96,7 @@
 		}, false, false, 3},
 		{"everything gone", func(t *testing.T, path string) { must(t, os.RemoveAll(path)) }, false, true, 0},
 	} {
-		path := filled(t)
+		path := newStore(t)
 		c.damage(t, path)
 		_, contents, err := Open(path)
 		if errors.Is(err, ErrDamaged) != c.lost || (err != nil && !c.lost) {
@@ -116,13 +118,13 @@
 // TestCrashBetweenSlotAndLog opens a directory whose newer slot is complete but has no
 // log yet.
 func TestCrashBetweenSlotAndLog(t *testing.T) {
-	path := filled(t)
+	path := newStore(t)
 	log, err := os.ReadFile(filepath.Join(path, "log-1"))
 	must(t, err)
-	f, _, err := Open(path)
+	s, _, err := Open(path)
 	must(t, err)
-	must(t, f.Replace([]byte("second")))
-	f.Close()
+	must(t, s.Replace([]byte("second")))
+	s.Close()
 	must(t, os.Remove(filepath.Join(path, "log-0")))
 	must(t, os.WriteFile(filepath.Join(path, "log-1"), log, 0o600))
 	_, contents, err := Open(path)
--- a/peer/disk/full_test.go
+++ b/peer/disk/full_test.go
@@ -85,11 +85,11 @@
 	t.Helper()
 	copied := t.TempDir()
 	must(t, os.CopyFS(copied, os.DirFS(path)))
-	f, contents, err := Open(copied)
+	s, contents, err := Open(copied)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer s.Close()
 	if string(contents.State) != slot || fmt.Sprintf("%s", contents.Records) != fmt.Sprintf("%s", records) {
 		t.Fatalf("holds %q and %q, want %q and %q", contents.State, contents.Records, slot, records)
 	}
@@ -101,14 +101,14 @@
 	for space := int64(0); space < 220; space++ {
 		path := t.TempDir()
 		disk := &smallDisk{space: 1 << 20}
-		f, _, err := OpenIn(disk, path)
+		s, _, err := OpenIn(disk, path)
 		must(t, err)
-		must(t, f.Replace([]byte("first state")))
-		must(t, f.Append([]byte("one")))
+		must(t, s.Replace([]byte("first state")))
+		must(t, s.Append([]byte("one")))
 		disk.space = space
 		slot, records := "first state", []string{"one"}
 		for _, record := range []string{"two, which is longer", "three"} {
-			switch err := f.Append([]byte(record)); {
+			switch err := s.Append([]byte(record)); {
 			case err == nil:
 				records = append(records, record)
 			case !errors.Is(err, ErrFull):
@@ -116,7 +116,7 @@
 			}
 			checkContents(t, path, slot, records...)
 		}
-		switch err := f.Replace([]byte("second state, longer than the first")); {
+		switch err := s.Replace([]byte("second state, longer than the first")); {
 		case err == nil:
 			slot, records = "second state, longer than the first", nil
 		case !errors.Is(err, ErrFull):
@@ -124,13 +124,13 @@
 		}
 		checkContents(t, path, slot, records...)
 		disk.space = 1 << 20
-		must(t, f.Append([]byte("four")))
+		must(t, s.Append([]byte("four")))
 		records = append(records, "four")
 		checkContents(t, path, slot, records...)
-		must(t, f.Replace([]byte("third state")))
-		must(t, f.Append([]byte("five")))
+		must(t, s.Replace([]byte("third state")))
+		must(t, s.Append([]byte("five")))
 		checkContents(t, path, "third state", "five")
-		must(t, f.Close())
+		must(t, s.Close())
 	}
 }
 
@@ -139,14 +139,14 @@
 func TestFailedSyncIsNotFull(t *testing.T) {
 	for _, fault := range []error{syscall.EIO, syscall.ENOSPC} {
 		disk := &smallDisk{space: 1 << 20}
-		f, _, err := OpenIn(disk, filepath.Join(t.TempDir()))
+		s, _, err := OpenIn(disk, filepath.Join(t.TempDir()))
 		must(t, err)
-		must(t, f.Replace([]byte("state")))
+		must(t, s.Replace([]byte("state")))
 		disk.syncFault = fault
-		if err := f.Append([]byte("one")); err == nil || errors.Is(err, ErrFull) {
+		if err := s.Append([]byte("one")); err == nil || errors.Is(err, ErrFull) {
 			t.Errorf("%v: Append returned %v", fault, err)
 		}
-		if err := f.Replace([]byte("state")); err == nil || errors.Is(err, ErrFull) {
+		if err := s.Replace([]byte("state")); err == nil || errors.Is(err, ErrFull) {
 			t.Errorf("%v: Replace returned %v", fault, err)
 		}
 	}
--- a/peer/replica/faults_test.go
+++ b/peer/replica/faults_test.go
@@ -18,7 +18,7 @@
 // Only a complete response may count as complete, the request must be sent once, and
 // the next request must use a new connection.
 func TestCutAtEveryByte(t *testing.T) {
-	answers := map[string]struct {
+	responses := map[string]struct {
 		raw, end string
 		// complete is how many bytes must arrive for this end.
 		complete int
@@ -29,15 +29,15 @@
 		"early hints first": {"HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse, "ok", len("HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse)},
 		"stale first":       {staleResponse + okResponse, "ok", len(staleResponse + okResponse)},
 	}
-	for name, answer := range answers {
+	for name, response := range responses {
 		for _, then := range []string{closes, resets} {
 			t.Run(name+" "+then, func(t *testing.T) {
-				for cut := range len(answer.raw) + 1 {
-					end := endOfTruncated(t, scriptedResponse{raw: answer.raw[:cut], then: then})
-					if cut < answer.complete && end == answer.end {
-						t.Errorf("%d bytes of %d look like %q", cut, len(answer.raw), end)
+				for cut := range len(response.raw) + 1 {
+					end := endOfTruncated(t, scriptedResponse{raw: response.raw[:cut], then: then})
+					if cut < response.complete && end == response.end {
+						t.Errorf("%d bytes of %d look like %q", cut, len(response.raw), end)
 					}
-					if cut == answer.complete && then == closes && end != answer.end {
+					if cut == response.complete && then == closes && end != response.end {
 						t.Errorf("all %d bytes ended as %q", cut, end)
 					}
 					if end == "not sent" {
@@ -55,15 +55,15 @@
 func endOfTruncated(t *testing.T, first scriptedResponse) string {
 	t.Helper()
 	s := newFakeReplica(t, []scriptedResponse{first, {raw: okResponse}})
-	l := s.pool()
-	defer l.Close()
-	end := sendRequest(l, newRequest("i0", 5*time.Second))
+	p := s.pool()
+	defer p.Close()
+	end := sendRequest(p, newRequest("i0", 5*time.Second))
 	got := <-s.requests
 	if got.id != "i0" || got.connection != 1 {
 		t.Errorf("the replica first got %s on connection %d", got.id, got.connection)
 	}
-	waitIdleClosed(t, l)
-	if next := sendRequest(l, newRequest("i1", 5*time.Second)); next != "ok" {
+	waitIdleClosed(t, p)
+	if next := sendRequest(p, newRequest("i1", 5*time.Second)); next != "ok" {
 		t.Errorf("the next request ended as %q", next)
 	}
 	if got := <-s.requests; got.id != "i1" || got.connection != 2 {
@@ -91,26 +91,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &faultyReplica{listener: listener, random: rand.New(rand.NewPCG(seed, 1)), runs: map[string]int{}}
+	f := &faultyReplica{listener: listener, random: rand.New(rand.NewPCG(seed, 1)), runs: map[string]int{}}
 	go func() {
 		for {
 			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			u.open.Add(1)
-			go u.serve(c)
+			f.open.Add(1)
+			go f.serve(c)
 		}
 	}()
-	return u
+	return f
 }
 
-// draw counts a run and draws the fault of its response.
-func (u *faultyReplica) draw(id string, among int) int {
-	u.lock.Lock()
-	defer u.lock.Unlock()
-	u.runs[id]++
-	return u.random.IntN(among)
+// draw counts a run and draws the kind of its response.
+func (f *faultyReplica) draw(id string, among int) int {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.runs[id]++
+	return f.random.IntN(among)
 }
 
 // faultyConnection is a connection of a faultyReplica. Nothing is written after a
@@ -130,16 +130,16 @@
 	}
 }
 
-// breakOff writes a truncated response, after which nothing is written.
-func (c *faultyConnection) breakOff(raw string) {
+// writeTruncated writes a truncated response, after which nothing is written.
+func (c *faultyConnection) writeTruncated(raw string) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.ended = true
 	io.WriteString(c.Conn, raw)
 }
 
-func (u *faultyReplica) serve(plain net.Conn) {
-	defer u.open.Done()
+func (f *faultyReplica) serve(plain net.Conn) {
+	defer f.open.Done()
 	defer plain.Close()
 	c := &faultyConnection{Conn: plain}
 	reader := bufio.NewReader(c)
@@ -152,30 +152,30 @@
 			return
 		}
 		id := request.Header.Get(DefaultHeaders.Attempt)
-		if !u.answer(c, id, u.draw(id, 10)) {
+		if !f.respond(c, id, f.draw(id, 10)) {
 			return
 		}
 	}
 }
 
-// answer responds with one of ten faults and reports whether the connection stays
+// respond sends one of ten kinds of response and reports whether the connection stays
 // open.
-func (u *faultyReplica) answer(c *faultyConnection, id string, fault int) bool {
-	own := fmt.Sprintf("HTTP/1.1 200 OK\r\nSaffronfall-Attempt: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id)
+func (f *faultyReplica) respond(c *faultyConnection, id string, fault int) bool {
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nSaffronfall-Attempt: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id)
 	chunked := fmt.Sprintf("HTTP/1.1 200 OK\r\nSaffronfall-Attempt: %s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", id, len(id), id)
-	other := "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: other\r\nContent-Length: 5\r\n\r\nother"
+	stale := "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: other\r\nContent-Length: 5\r\n\r\nother"
 	switch fault {
 	case 0:
-		c.write(own + own)
+		c.write(response + response)
 	case 1:
-		c.write(own)
-		time.AfterFunc(time.Duration(len(id))*time.Millisecond/4, func() { c.write(own) })
+		c.write(response)
+		time.AfterFunc(time.Duration(len(id))*time.Millisecond/4, func() { c.write(response) })
 	case 2:
-		c.write(other + own)
+		c.write(stale + response)
 	case 3:
-		c.write(own + "surplus")
+		c.write(response + "surplus")
 	case 4:
-		c.breakOff(own[:len(own)-1])
+		c.writeTruncated(response[:len(response)-1])
 		return false
 	case 5:
 		c.Conn.(*net.TCPConn).SetLinger(0)
@@ -183,10 +183,10 @@
 	case 6:
 		c.write(chunked)
 	case 7:
-		c.breakOff(chunked[:len(chunked)-3])
+		c.writeTruncated(chunked[:len(chunked)-3])
 		return false
 	default:
-		c.write(own)
+		c.write(response)
 	}
 	return true
 }
@@ -195,18 +195,18 @@
 // replica. Each must get its own response or none and run once.
 func TestConnectionsReusedUnderLoad(t *testing.T) {
 	const clients, each = 24, 60
-	u := newFaultyReplica(t, 7)
-	l := NewPool(u.listener.Addr().String(), 4, 2*time.Second)
+	f := newFaultyReplica(t, 7)
+	p := NewPool(f.listener.Addr().String(), 4, 2*time.Second)
 	var answered, broken int64
 	var lock sync.Mutex
-	var sending sync.WaitGroup
+	var clientsDone sync.WaitGroup
 	for client := range clients {
-		sending.Add(1)
+		clientsDone.Add(1)
 		go func() {
-			defer sending.Done()
+			defer clientsDone.Done()
 			for i := range each {
 				id := fmt.Sprintf("request-%02d-%02d", client, i)
-				end := sendRequest(l, newRequest(id, 5*time.Second))
+				end := sendRequest(p, newRequest(id, 5*time.Second))
 				lock.Lock()
 				switch end {
 				case id:
@@ -220,20 +220,20 @@
 			}
 		}()
 	}
-	sending.Wait()
-	l.Close()
-	u.listener.Close()
-	u.open.Wait()
+	clientsDone.Wait()
+	p.Close()
+	f.listener.Close()
+	f.open.Wait()
 	if answered < clients*each/2 || broken == 0 {
 		t.Errorf("%d answered, %d broken: the replica did not produce the intended faults", answered, broken)
 	}
-	for id, runs := range u.runs {
+	for id, runs := range f.runs {
 		if runs != 1 {
 			t.Errorf("%s ran %d times", id, runs)
 		}
 	}
-	if len(u.runs) != clients*each {
-		t.Errorf("%d of %d requests arrived", len(u.runs), clients*each)
+	if len(f.runs) != clients*each {
+		t.Errorf("%d of %d requests arrived", len(f.runs), clients*each)
 	}
 }
 
@@ -242,17 +242,17 @@
 func TestStaleResponseIsNeverAccepted(t *testing.T) {
 	late := strings.ReplaceAll(okResponse, "ID", "i0")
 	for name, script := range map[string][]scriptedResponse{
-		"with its own answer": {{raw: okResponse}, {raw: late + okResponse}},
+		"before the response": {{raw: okResponse}, {raw: late + okResponse}},
 		"alone":               {{raw: okResponse}, {raw: late, then: closes}},
-		"after its own":       {{raw: okResponse + late}, {raw: okResponse}},
+		"after the response":  {{raw: okResponse + late}, {raw: okResponse}},
 		"not run, late":       {{raw: okResponse}, {raw: strings.ReplaceAll(notRunResponse, "ID", "i0"), then: closes}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newFakeReplica(t, script)
-			l := s.pool()
-			defer l.Close()
-			sendRequest(l, newRequest("i0", 5*time.Second))
-			end := sendRequest(l, newRequest("i1", 5*time.Second))
+			p := s.pool()
+			defer p.Close()
+			sendRequest(p, newRequest("i0", 5*time.Second))
+			end := sendRequest(p, newRequest("i1", 5*time.Second))
 			if alone := script[1].then == closes; alone && end != "broken" || !alone && end != "ok" {
 				t.Errorf("ended as %q", end)
 			}
--- a/peer/replica/pool.go
+++ b/peer/replica/pool.go
@@ -66,6 +66,9 @@
 	maxStaleResponses = 2
 )
 
+// maxCombinedWrite is the size in bytes up to which head and body are copied into one write.
+const maxCombinedWrite = 64 << 10
+
 var errResponseHead = errors.New("the response head exceeds its bounds")
 
 // Read reads from the connection, up to the limit on the response head.
@@ -206,7 +209,7 @@
 	for _, part := range q.Body {
 		size += len(part)
 	}
-	if size <= 64<<10 {
+	if size <= maxCombinedWrite {
 		for _, part := range q.Body {
 			head = append(head, part...)
 		}
--- a/peer/replica/pool_test.go
+++ b/peer/replica/pool_test.go
@@ -116,8 +116,8 @@
 }
 
 // sendRequest sends a request as a node does and describes how it ended.
-func sendRequest(l *Pool, q Request) string {
-	r, notSent, err := l.Do(context.Background(), DefaultHeaders, q)
+func sendRequest(p *Pool, q Request) string {
+	r, notSent, err := p.Do(context.Background(), DefaultHeaders, q)
 	switch {
 	case notSent:
 		return "not sent"
@@ -141,16 +141,16 @@
 
 // waitIdleClosed waits until the idle connection, if any, has received bytes or was
 // closed.
-func waitIdleClosed(t *testing.T, l *Pool) {
+func waitIdleClosed(t *testing.T, p *Pool) {
 	t.Helper()
 	deadline := time.After(5 * time.Second)
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
 	for {
 		select {
-		case c := <-l.idle:
+		case c := <-p.idle:
 			still := stillIdle(c)
-			l.idle <- c
+			p.idle <- c
 			if !still {
 				return
 			}
@@ -233,14 +233,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newFakeReplica(t, c.script)
-			l := s.pool()
-			defer l.Close()
+			p := s.pool()
+			defer p.Close()
 			var ends []string
 			sent := map[string]int{}
 			var served []string
 			began := clock.Now()
 			for i := range c.script {
-				ends = append(ends, sendRequest(l, newRequest(fmt.Sprintf("id%d", i), 10*time.Second)))
+				ends = append(ends, sendRequest(p, newRequest(fmt.Sprintf("id%d", i), 10*time.Second)))
 				got := <-s.requests
 				sent[got.id]++
 				served = append(served, fmt.Sprint(got.connection))
@@ -248,7 +248,7 @@
 					t.Errorf("the replica got %s %s %q", got.request.Host, got.request.RequestURI, got.body)
 				}
 				if i == 0 && c.unread {
-					waitIdleClosed(t, l)
+					waitIdleClosed(t, p)
 				}
 			}
 			if took := clock.Now() - began; took > 5*time.Second {
@@ -312,14 +312,14 @@
 			}()
 		}
 	}()
-	l := NewPool(listener.Addr().String(), 4, time.Second)
-	defer l.Close()
-	if end := sendRequest(l, newRequest("a", 5*time.Second)); end != "ok" {
+	p := NewPool(listener.Addr().String(), 4, time.Second)
+	defer p.Close()
+	if end := sendRequest(p, newRequest("a", 5*time.Second)); end != "ok" {
 		t.Fatal(end)
 	}
 	close(late)
-	waitIdleClosed(t, l)
-	if end := sendRequest(l, newRequest("b", 5*time.Second)); end != "ok" {
+	waitIdleClosed(t, p)
+	if end := sendRequest(p, newRequest("b", 5*time.Second)); end != "ok" {
 		t.Fatal(end)
 	}
 	if len(made) != 2 {
@@ -332,27 +332,27 @@
 func TestIdleTime(t *testing.T) {
 	for header, most := range map[string]time.Duration{"timeout=1": time.Second, "max=9, timeout=1": time.Second, "timeout=20": 20 * time.Second, "timeout=0": 1, "timeout=x": 61 * time.Second, "": 61 * time.Second} {
 		s := newFakeReplica(t, []scriptedResponse{{raw: strings.Replace(okResponse, "Content-L", "Keep-Alive: "+header+"\r\nContent-L", 1)}, {raw: okResponse}, {raw: okResponse}})
-		l := s.pool()
-		sendRequest(l, newRequest("a", 5*time.Second))
+		p := s.pool()
+		sendRequest(p, newRequest("a", 5*time.Second))
 		first := <-s.requests
-		c := <-l.idle
+		c := <-p.idle
 		if left := c.idleUntil - clock.Now(); left >= most || most > time.Second && left < most/2 {
 			t.Errorf("%q: kept for %v", header, left)
 		}
 		c.idleUntil = clock.Now()
-		l.idle <- c
-		sendRequest(l, newRequest("b", 5*time.Second))
+		p.idle <- c
+		sendRequest(p, newRequest("b", 5*time.Second))
 		if second := <-s.requests; first.connection != 1 || second.connection != 2 {
 			t.Errorf("%q: connections %d, %d", header, first.connection, second.connection)
 		}
-		l.Close()
+		p.Close()
 	}
 }
 
 // TestNotSent checks that only a request that was never sent is reported as not sent.
 func TestNotSent(t *testing.T) {
-	l := NewPool("127.0.0.1:1", 4, time.Second)
-	if end := sendRequest(l, newRequest("a", time.Second)); end != "not sent" {
+	p := NewPool("127.0.0.1:1", 4, time.Second)
+	if end := sendRequest(p, newRequest("a", time.Second)); end != "not sent" {
 		t.Errorf("unreachable address: %s", end)
 	}
 	s := newFakeReplica(t, []scriptedResponse{{raw: okResponse}})
@@ -403,8 +403,8 @@
 			<-read
 			cancel()
 		}()
-		l := NewPool(listener.Addr().String(), 4, time.Second)
-		r, notSent, err := l.Do(ctx, DefaultHeaders, newRequest("a", 10*time.Second))
+		p := NewPool(listener.Addr().String(), 4, time.Second)
+		r, notSent, err := p.Do(ctx, DefaultHeaders, newRequest("a", 10*time.Second))
 		if notSent {
 			t.Error("a request that was sent is reported as not sent")
 		}
@@ -419,7 +419,7 @@
 		if err := <-ended; err == nil || errors.As(err, &slow) && slow.Timeout() {
 			t.Errorf("the replica's connection did not end: %v", err)
 		}
-		if len(l.idle) != 0 {
+		if len(p.idle) != 0 {
 			t.Error("the connection of a canceled request is kept")
 		}
 		listener.Close()
@@ -430,21 +430,21 @@
 func TestLargeBodies(t *testing.T) {
 	for _, size := range []int{0, 1, 64 << 10, 64<<10 + 1, 3 << 20} {
 		s := newFakeReplica(t, []scriptedResponse{{raw: okResponse}, {raw: okResponse}})
-		l := s.pool()
+		p := s.pool()
 		body := bytes.Repeat([]byte("0123456789abcdef\r\n\r\n"), size/20+1)[:size]
 		q := newRequest("a", 10*time.Second)
 		q.Body = [][]byte{body[:size/3], nil, body[size/3:]}
-		if end := sendRequest(l, q); end != "ok" {
+		if end := sendRequest(p, q); end != "ok" {
 			t.Errorf("%d bytes: %s", size, end)
 		}
 		if got := <-s.requests; !bytes.Equal(got.body, body) || got.request.ContentLength != int64(size) {
 			t.Errorf("%d bytes: %d arrived", size, len(got.body))
 		}
-		sendRequest(l, newRequest("b", 10*time.Second))
+		sendRequest(p, newRequest("b", 10*time.Second))
 		if got := <-s.requests; got.connection != 1 {
 			t.Errorf("%d bytes: the connection was not used again", size)
 		}
-		l.Close()
+		p.Close()
 	}
 }
 
@@ -475,14 +475,14 @@
 			io.Copy(io.Discard, request.Body)
 			c.Write(raw)
 		}()
-		l := NewPool(listener.Addr().String(), 4, time.Second)
-		defer l.Close()
-		r, notSent, err := l.Do(context.Background(), DefaultHeaders, newRequest("id", 5*time.Second))
+		p := NewPool(listener.Addr().String(), 4, time.Second)
+		defer p.Close()
+		r, notSent, err := p.Do(context.Background(), DefaultHeaders, newRequest("id", 5*time.Second))
 		if notSent {
 			t.Fatal("a request that was sent is reported as not sent")
 		}
 		if err != nil {
-			if len(l.idle) != 0 {
+			if len(p.idle) != 0 {
 				t.Fatal("a broken connection is kept")
 			}
 			return
@@ -492,13 +492,13 @@
 		}
 		body, err := io.ReadAll(r.Body)
 		r.Done(err == nil)
-		if len(l.idle) == 0 {
+		if len(p.idle) == 0 {
 			return
 		}
-		c := <-l.idle
+		c := <-p.idle
 		if err != nil || !r.Delimited() || r.Close || c.reader.Buffered() != 0 {
 			t.Fatalf("an unusable connection is kept after %q", body)
 		}
-		l.idle <- c
+		p.idle <- c
 	})
 }
