--- a/peer/front/handler.go
+++ b/peer/front/handler.go
@@ -24,7 +24,7 @@
 
 // Owner is the node's machine as this side needs it.
 type Owner interface {
-	// Arrive hands a request over and waits for its first step. The line is that
+	// Arrive hands a request over and waits for its first step. The pool is that
 	// to the replica of a sending step.
 	Arrive(ctx context.Context, a relay.Ask) (Way, relay.Step, *replica.Pool, bool)
 }
