--- a/peer/front/handler.go
+++ b/peer/front/handler.go
@@ -30,20 +30,20 @@
 type Dispatcher interface {
 	// Dispatch hands over a request and waits for its first step. The line leads to the
 	// replica if the step is relay.StepSend. The result is false if the node stops first.
-	Dispatch(ctx context.Context, a relay.Ask) (Request, relay.Step, *replica.Line, bool)
+	Dispatch(ctx context.Context, a relay.Ask) (Request, relay.Step, *replica.Pool, bool)
 }
 
 // Request is a dispatched request.
 type Request interface {
 	// Next reports the outcome of the last attempt and waits for the next step. Its
 	// results are those of Dispatch.
-	Next(o relay.Outcome) (relay.Step, *replica.Line, bool)
+	Next(o relay.Outcome) (relay.Step, *replica.Pool, bool)
 }
 
 // Options configure a handler.
 type Options struct {
 	Dispatcher Dispatcher
-	Names      replica.Names
+	Names      replica.Headers
 	// MaxBody is the largest body that is accepted from requesters and replicas, in bytes.
 	MaxBody int64
 	// Draining is closed when the node drains. Answers then close their connections.
@@ -241,25 +241,25 @@
 }
 
 // send makes one attempt at a replica, reports its outcome and returns the next step.
-func (x *exchange) send(s relay.Step, line *replica.Line) (relay.Step, *replica.Line, bool) {
+func (x *exchange) send(s relay.Step, line *replica.Pool) (relay.Step, *replica.Pool, bool) {
 	if s.Within <= 0 {
 		// The time limit passed before the attempt was started.
 		return x.request.Next(relay.Outcome{Kind: relay.NotRun, Unreached: true})
 	}
 	x.setWriteTimeout(s.Within)
 	n := x.Names
-	q := replica.Request{Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Attempt: x.ask.Attempt, Within: s.Within, HasBody: x.r.ContentLength != 0 || x.r.Method == http.MethodPost,
+	q := replica.Request{Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Attempt: x.ask.Attempt, Timeout: s.Within, HasBody: x.r.ContentLength != 0 || x.r.Method == http.MethodPost,
 		Header: endToEnd(x.r.Header, n.Attempt, n.Key, n.Tenant, n.Target, n.Deadline, n.Urgency, "Expect"), Body: append(append([][]byte(nil), s.Before...), x.body)}
-	q.Own = append(q.Own, [2]string{n.Attempt, x.ask.Attempt}, [2]string{n.Target, s.Replica.ID}, [2]string{n.Deadline, strconv.FormatInt(max(1, s.Within.Milliseconds()), 10)})
+	q.NodeHeaders = append(q.NodeHeaders, [2]string{n.Attempt, x.ask.Attempt}, [2]string{n.Target, s.Replica.ID}, [2]string{n.Deadline, strconv.FormatInt(max(1, s.Within.Milliseconds()), 10)})
 	if s.Tenant != "" {
-		q.Own = append(q.Own, [2]string{n.Tenant, s.Tenant})
+		q.NodeHeaders = append(q.NodeHeaders, [2]string{n.Tenant, s.Tenant})
 	}
 	if n.Urgency != "" && s.Stream {
-		q.Own = append(q.Own, [2]string{n.Urgency, strconv.FormatInt(s.Urgency, 10)})
+		q.NodeHeaders = append(q.NodeHeaders, [2]string{n.Urgency, strconv.FormatInt(s.Urgency, 10)})
 	}
 	if x.lastEventID != "" {
 		delete(q.Header, http.CanonicalHeaderKey(n.LastEvent))
-		q.Own = append(q.Own, [2]string{n.LastEvent, x.lastEventID})
+		q.NodeHeaders = append(q.NodeHeaders, [2]string{n.LastEvent, x.lastEventID})
 	}
 	r, unreached, err := line.Do(x.r.Context(), n, q)
 	gone := x.r.Context().Err() != nil
@@ -269,13 +269,13 @@
 	case err != nil:
 		return x.request.Next(relay.Outcome{Kind: relay.Broken, Gone: gone})
 	}
-	o := relay.Outcome{Load: parseLoad(r.Header.Get(n.Load)), Cold: r.Cold}
+	o := relay.Outcome{Load: parseLoad(r.Header.Get(n.Load)), Cold: r.NewConnection}
 	ok := r.StatusCode >= 200 && r.StatusCode < 300
 	switch {
 	case r.NotRun:
 		size, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxNotRunBody))
 		r.Done(err == nil && size < maxNotRunBody)
-		o.Kind, o.Moved = relay.NotRun, r.Moved
+		o.Kind, o.Moved = relay.NotRun, r.Misdirected
 	case ok && (r.Header.Get(n.Seal) == "" || !r.Delimited()):
 		r.Done(false)
 		o.Kind = relay.Broken
@@ -327,7 +327,7 @@
 var errAnswerTooLarge = errors.New("the replica's answer is larger than the largest allowed body")
 
 // relayWhole passes on an answer that is not streamed, if it arrived complete.
-func (x *exchange) relayWhole(r *replica.Response, o relay.Outcome) (relay.Step, *replica.Line, bool) {
+func (x *exchange) relayWhole(r *replica.Response, o relay.Outcome) (relay.Step, *replica.Pool, bool) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, x.MaxBody+1))
 	if int64(len(body)) > x.MaxBody {
 		err = errAnswerTooLarge
--- a/peer/front/handler_test.go
+++ b/peer/front/handler_test.go
@@ -27,12 +27,12 @@
 type scriptedDispatcher struct {
 	t          *testing.T
 	steps      []relay.Step
-	lines      []*replica.Line
+	lines      []*replica.Pool
 	dispatched chan relay.Ask
 	outcomes   chan relay.Outcome
 }
 
-func (s *scriptedDispatcher) Dispatch(ctx context.Context, a relay.Ask) (Request, relay.Step, *replica.Line, bool) {
+func (s *scriptedDispatcher) Dispatch(ctx context.Context, a relay.Ask) (Request, relay.Step, *replica.Pool, bool) {
 	s.dispatched <- a
 	r := &scriptedRequest{dispatcher: s}
 	step, line, ok := r.next()
@@ -45,7 +45,7 @@
 	sent       int
 }
 
-func (r *scriptedRequest) next() (relay.Step, *replica.Line, bool) {
+func (r *scriptedRequest) next() (relay.Step, *replica.Pool, bool) {
 	if r.at == len(r.dispatcher.steps) {
 		return relay.Step{}, nil, false
 	}
@@ -58,7 +58,7 @@
 	return step, r.dispatcher.lines[r.sent-1], true
 }
 
-func (r *scriptedRequest) Next(o relay.Outcome) (relay.Step, *replica.Line, bool) {
+func (r *scriptedRequest) Next(o relay.Outcome) (relay.Step, *replica.Pool, bool) {
 	r.dispatcher.outcomes <- o
 	return r.next()
 }
@@ -137,11 +137,11 @@
 func newNode(t *testing.T, steps []relay.Step, replicas ...*rawReplica) *node {
 	s := &scriptedDispatcher{t: t, steps: steps, dispatched: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16)}
 	for _, r := range replicas {
-		line := replica.NewLine(r.address, 4, time.Second)
+		line := replica.NewPool(r.address, 4, time.Second)
 		t.Cleanup(line.Close)
 		s.lines = append(s.lines, line)
 	}
-	server := httptest.NewServer(Handler(Options{Dispatcher: s, Names: replica.OwnNames, MaxBody: 1 << 20, Draining: make(chan struct{})}))
+	server := httptest.NewServer(Handler(Options{Dispatcher: s, Names: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{})}))
 	t.Cleanup(server.Close)
 	return &node{scriptedDispatcher: s, server: server}
 }
@@ -682,7 +682,7 @@
 // TestDeadlines: a passed deadline is distinct from a missing one, and a huge one does not
 // overflow into a passed one.
 func TestDeadlines(t *testing.T) {
-	h := &handler{Options: Options{Names: replica.OwnNames}}
+	h := &handler{Options: Options{Names: replica.DefaultHeaders}}
 	for text, check := range map[string]func(left time.Duration) bool{
 		"":             func(left time.Duration) bool { return left == 0 },
 		"0":            func(left time.Duration) bool { return left < 0 },
@@ -694,9 +694,9 @@
 		"9e15":         func(left time.Duration) bool { return left >= time.Hour },
 	} {
 		r := httptest.NewRequest("GET", "/", nil)
-		r.Header.Set(replica.OwnNames.Attempt, "a")
+		r.Header.Set(replica.DefaultHeaders.Attempt, "a")
 		if text != "" {
-			r.Header.Set(replica.OwnNames.Deadline, text)
+			r.Header.Set(replica.DefaultHeaders.Deadline, text)
 		}
 		if a, fault := h.parseHead(r); fault != "" || !check(a.Left) {
 			t.Errorf("%q: %v %s", text, a.Left, fault)
@@ -821,7 +821,7 @@
 	func() {
 		defer func() { recover() }()
 		r := httptest.NewRequest("POST", "/a", strings.NewReader("hi"))
-		r.Header.Set(replica.OwnNames.Attempt, "a1")
+		r.Header.Set(replica.DefaultHeaders.Attempt, "a1")
 		n.server.Config.Handler.ServeHTTP(failingWriter{httptest.NewRecorder()}, r)
 	}()
 	if o := <-n.outcomes; o.Kind != relay.Broken || !o.Gone {
@@ -833,8 +833,8 @@
 func TestDrainingClosesConnections(t *testing.T) {
 	closing := make(chan struct{})
 	s := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, dispatched: make(chan relay.Ask, 4), outcomes: make(chan relay.Outcome, 4)}
-	s.lines = []*replica.Line{replica.NewLine(newStaticReplica(t, okHead+"Content-Length: 2\r\n\r\nok").address, 4, time.Second)}
-	server := httptest.NewServer(Handler(Options{Dispatcher: s, Names: replica.OwnNames, MaxBody: 1 << 20, Draining: closing}))
+	s.lines = []*replica.Pool{replica.NewPool(newStaticReplica(t, okHead+"Content-Length: 2\r\n\r\nok").address, 4, time.Second)}
+	server := httptest.NewServer(Handler(Options{Dispatcher: s, Names: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: closing}))
 	defer server.Close()
 	n := &node{scriptedDispatcher: s, server: server}
 	q := n.dial(t)
@@ -860,7 +860,7 @@
 	f.Add("a", "1e308", "9223372036854775807", " 1 , 2 ", ",,")
 	f.Add("a", "0x1p-1000", "+5", "9223372036854775808,1", "x:9223372036854775807,x:9223372036854775807")
 	f.Fuzz(func(t *testing.T, attempt, deadline, budget, tokens, prompt string) {
-		h := &handler{Options: Options{Names: replica.OwnNames}}
+		h := &handler{Options: Options{Names: replica.DefaultHeaders}}
 		n := h.Names
 		r := httptest.NewRequest("GET", "/a", nil)
 		for name, value := range map[string]string{n.Attempt: attempt, n.Deadline: deadline, n.Budget: budget, n.Tokens: tokens, n.Prompt: prompt} {
--- a/peer/front/interruption_test.go
+++ b/peer/front/interruption_test.go
@@ -22,12 +22,12 @@
 // outcomeDispatcher chooses steps by outcomes, as a relay does for requests that may run
 // only once: one that did not run goes to the next replica, one that may have run ends.
 type outcomeDispatcher struct {
-	lines      []*replica.Line
+	lines      []*replica.Pool
 	first      relay.Step
 	dispatched atomic.Int64
 }
 
-func (d *outcomeDispatcher) Dispatch(context.Context, relay.Ask) (Request, relay.Step, *replica.Line, bool) {
+func (d *outcomeDispatcher) Dispatch(context.Context, relay.Ask) (Request, relay.Step, *replica.Pool, bool) {
 	d.dispatched.Add(1)
 	return &outcomeRequest{dispatcher: d}, d.first, d.lines[0], true
 }
@@ -37,7 +37,7 @@
 	at         int
 }
 
-func (r *outcomeRequest) Next(o relay.Outcome) (relay.Step, *replica.Line, bool) {
+func (r *outcomeRequest) Next(o relay.Outcome) (relay.Step, *replica.Pool, bool) {
 	switch {
 	case o.Kind == relay.Whole:
 		return passStep, nil, true
@@ -55,9 +55,9 @@
 	t.Helper()
 	dispatcher := &outcomeDispatcher{first: first}
 	for _, address := range addresses {
-		dispatcher.lines = append(dispatcher.lines, replica.NewLine(address, 4, time.Second))
+		dispatcher.lines = append(dispatcher.lines, replica.NewPool(address, 4, time.Second))
 	}
-	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Names: replica.OwnNames, MaxBody: 1 << 20, Draining: make(chan struct{})}))
+	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Names: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{})}))
 	t.Cleanup(func() {
 		server.Close()
 		for _, line := range dispatcher.lines {
@@ -204,7 +204,7 @@
 		if err != nil {
 			return
 		}
-		id := r.Header.Get(replica.OwnNames.Attempt)
+		id := r.Header.Get(replica.DefaultHeaders.Attempt)
 		received <- id
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: %s\r\nSaffronfall-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 	}
@@ -225,7 +225,7 @@
 	for _, id := range ids {
 		got := q.read("POST")
 		body, err := io.ReadAll(got.Body)
-		if err != nil || string(body) != id || got.Header.Get(replica.OwnNames.Attempt) != id {
+		if err != nil || string(body) != id || got.Header.Get(replica.DefaultHeaders.Attempt) != id {
 			t.Errorf("%s got %q %v", id, body, err)
 		}
 		if ran := <-received; ran != id {
@@ -353,8 +353,8 @@
 			return
 		}
 		body, err := io.ReadAll(r.Body)
-		if err != nil || string(body) != id || r.Header.Get(replica.OwnNames.Attempt) != id {
-			t.Errorf("%s got %q of %s: %v", id, body, r.Header.Get(replica.OwnNames.Attempt), err)
+		if err != nil || string(body) != id || r.Header.Get(replica.DefaultHeaders.Attempt) != id {
+			t.Errorf("%s got %q of %s: %v", id, body, r.Header.Get(replica.DefaultHeaders.Attempt), err)
 			return
 		}
 	}
@@ -401,7 +401,7 @@
 			return "", false
 		}
 		text, err := io.ReadAll(r.Body)
-		if id := r.Header.Get(replica.OwnNames.Attempt); r.StatusCode < 200 || id != "" && id != "a1" {
+		if id := r.Header.Get(replica.DefaultHeaders.Attempt); r.StatusCode < 200 || id != "" && id != "a1" {
 			continue
 		}
 		return string(text), err == nil && (r.ContentLength >= 0 || len(r.TransferEncoding) > 0)
