--- a/rehearsalkit/breaks/soak.go
+++ b/rehearsalkit/breaks/soak.go
@@ -53,7 +53,7 @@
 		From: "pool: r.Open, poolEnd", To: "pool: 0, poolEnd"},
 	{What: "a stream is joined at the wrong event", File: "peer/front/handler.go", Seeds: 2,
 		From: "			x.lastEventID = e.id\n", To: "			x.lastEventID = \"1\"\n"},
-	{What: "an answer's id is not looked at", File: "peer/replica/line.go", Seeds: 2,
+	{What: "an answer's id is not looked at", File: "peer/replica/pool.go", Seeds: 2,
 		From: "if id == \"\" || id == q.Attempt {", To: "if id == \"\" || id != \"\" {"},
 	{What: "connections with bytes left over are used again", File: "peer/replica/pool.go", Seeds: 2,
 		From: "if !complete || r.noReuse || r.Close || r.conn.reader.Buffered() > 0 ||", To: "if !complete || r.noReuse || r.Close ||", Elsewhere: "TestLeftOverBytesEndAConnection; another guard (stillIdle) hides it from the soak"},
--- a/saffronfall/relayprocess/process.go
+++ b/saffronfall/relayprocess/process.go
@@ -274,7 +274,7 @@
 }
 
 // Dispatch hands a request to the owner's goroutine and waits for its first step.
-func (s *process) Dispatch(ctx context.Context, a relay.Ask) (front.Request, relay.Step, *replica.Line, bool) {
+func (s *process) Dispatch(ctx context.Context, a relay.Ask) (front.Request, relay.Step, *replica.Pool, bool) {
 	w := &way{process: s, ctx: ctx, ask: a, answers: make(chan told, 2)}
 	select {
 	case s.arrive <- w:
@@ -340,7 +340,7 @@
 }
 
 // Next reports the outcome of an attempt and waits for the next step.
-func (w *way) Next(o relay.Outcome) (relay.Step, *replica.Line, bool) {
+func (w *way) Next(o relay.Outcome) (relay.Step, *replica.Pool, bool) {
 	select {
 	case w.process.came <- came{ticket: w.ticket, outcome: o}:
 	case <-w.process.life.Done():
