--- a/rule/message/message.go
+++ b/rule/message/message.go
@@ -1,5 +1,5 @@
-// Package message encodes what processes send to each other, and the values that they
-// store, as msgpack.
+// Package message encodes the messages between processes, and the values that they store, as
+// msgpack.
 //
 // A message is the outer name of its type followed by its value. Outer names of types are
 // given to Register, outer names of fields are their msgpack and json tags. Both are fixed:
@@ -18,8 +18,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrUnknown is returned for a message of a type that this build does not have, as another
-// build may send it during a rolling upgrade.
+// ErrUnknown is returned for a message of a type that this build does not know. Another build
+// may send one during a rolling upgrade.
 var ErrUnknown = errors.New("unknown type")
 
 // types has every registered type by its outer name, and names the reverse.
@@ -28,8 +28,8 @@
 	names = map[reflect.Type]string{}
 )
 
-// Register makes the types of the given values known under their outer names. It is called
-// while packages are initialised, and panics if a name or a type is registered twice.
+// Register registers the types of the given values under their outer names. It is called
+// during package initialisation, and panics if a name or a type is registered twice.
 func Register(values map[string]any) {
 	for name, v := range values {
 		t := reflect.TypeOf(v)
@@ -46,12 +46,12 @@
 // Types returns every registered type by its outer name.
 func Types() map[string]reflect.Type { return maps.Clone(types) }
 
-// Pack encodes a value of a registered type after its outer name. It panics for a type that
-// is not registered.
+// Pack encodes the outer name of a value's type, followed by the value. It panics for a type
+// that is not registered.
 func Pack(value any) []byte {
 	name, ok := names[reflect.TypeOf(value)]
 	if !ok {
-		panic(fmt.Sprintf("message of an unregistered type: %T", value))
+		panic(fmt.Sprintf("message: type %T is not registered", value))
 	}
 	var buffer bytes.Buffer
 	encoder := msgpack.NewEncoder(&buffer)
@@ -68,14 +68,14 @@
 // The msgpack library may panic on malformed input; that is returned as an error too.
 func Open(raw []byte) (body any, err error) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			body, err = nil, errors.Newf("nonsense: %v", fault)
+		if cause := recover(); cause != nil {
+			body, err = nil, errors.Newf("malformed message: %v", cause)
 		}
 	}()
 	decoder := msgpack.NewDecoder(bytes.NewReader(raw))
 	name, err := decoder.DecodeString()
 	if err != nil {
-		return nil, errors.Wrap(err, "no type name")
+		return nil, errors.Wrap(err, "message has no type name")
 	}
 	t, ok := types[name]
 	if !ok {
@@ -83,12 +83,12 @@
 	}
 	value := reflect.New(t)
 	if err := decoder.DecodeValue(value); err != nil {
-		return nil, errors.Wrapf(err, "bad %s", name)
+		return nil, errors.Wrapf(err, "malformed message of type %s", name)
 	}
 	return value.Elem().Interface(), nil
 }
 
-// Marshal encodes a plain value.
+// Marshal encodes a value without a type name. It panics if the value cannot be encoded.
 func Marshal(value any) []byte {
 	raw, err := msgpack.Marshal(value)
 	if err != nil {
@@ -97,5 +97,5 @@
 	return raw
 }
 
-// Unmarshal decodes a plain value.
+// Unmarshal decodes what Marshal encoded into the target, which must be a pointer.
 func Unmarshal(raw []byte, target any) error { return msgpack.Unmarshal(raw, target) }
--- a/rule/message/message_test.go
+++ b/rule/message/message_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// sample is a message with the shapes that messages between processes have.
+// sample is a message with all kinds of fields that messages between processes have.
 type sample struct {
 	Name    string
 	Count   uint64
@@ -53,12 +53,12 @@
 	}
 }
 
-// TestCutMessages: a message that lacks its end is refused at every byte.
+// TestCutMessages checks that a message truncated at any byte is refused.
 func TestCutMessages(t *testing.T) {
 	raw := Pack(full())
 	for cut := range len(raw) {
 		if body, err := Open(raw[:cut]); err == nil {
-			t.Errorf("%d bytes of %d opened as %+v", cut, len(raw), body)
+			t.Errorf("the first %d bytes of %d were decoded as %+v", cut, len(raw), body)
 		}
 	}
 }
@@ -66,15 +66,15 @@
 func TestUnknownTypesAreToldApart(t *testing.T) {
 	name := Marshal("message.newer")
 	if _, err := Open(append(name, Marshal(inner{})...)); !errors.Is(err, ErrUnknown) {
-		t.Errorf("a type of a newer version: %v", err)
+		t.Errorf("unregistered type: %v", err)
 	}
 	if _, err := Open(Marshal(7)); err == nil || errors.Is(err, ErrUnknown) {
-		t.Errorf("no type name: %v", err)
+		t.Errorf("message without a type name: %v", err)
 	}
 }
 
-// FuzzOpen: nonsense is refused, and what opens can be packed and opened again
-// with nothing lost.
+// FuzzOpen checks that malformed input is refused, and that a decoded message survives another
+// round trip unchanged.
 func FuzzOpen(f *testing.F) {
 	f.Add(Pack(full()))
 	f.Add(Pack(sample{}))
@@ -89,7 +89,7 @@
 		}
 		again, err := Open(Pack(body))
 		if err != nil {
-			t.Fatalf("%+v is packed into what does not open: %v", body, err)
+			t.Fatalf("the encoding of %+v cannot be decoded: %v", body, err)
 		}
 		first, second := len(Marshal(body)), len(Marshal(again))
 		if first != second {
@@ -98,7 +98,7 @@
 	})
 }
 
-// TestRegisterRefusesDuplicates: neither a name nor a type can be registered twice.
+// TestRegisterRefusesDuplicates checks that neither a name nor a type is registered twice.
 func TestRegisterRefusesDuplicates(t *testing.T) {
 	for _, values := range []map[string]any{{"message.sample": struct{ Other int }{}}, {"message.other": sample{}}} {
 		func() {
--- a/rule/message/schematest/describe.go
+++ b/rule/message/schematest/describe.go
@@ -11,18 +11,18 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Describe returns the outer structure of a type under an encoding: field names as they are
-// written, their order, options, kinds and element types. Go names of types and fields do
-// not appear unless the encoder writes them. A type that contains itself is described once,
-// and as a reference to the enclosing level below that.
+// Describe returns the outer structure of a type under an encoding: encoded field names, their
+// order, options, kinds and element types. Go names of types and fields do not appear unless
+// the encoder writes them. A recursive type is described once, and by a reference to the
+// enclosing level below that.
 func Describe(t reflect.Type, encoding Encoding) string {
 	d := describer{encoding: encoding}
 	d.describe(t, 0)
 	return d.text.String()
 }
 
-// Untagged lists the encoded fields of a type, and of those that it holds, that have no tag
-// with an outer name. Renaming such a field would change the format.
+// Untagged returns the encoded fields of a type and of the types that it contains that have no
+// tag with an outer name. Renaming such a field would change the format.
 func Untagged(t reflect.Type, encoding Encoding) []string {
 	d := describer{encoding: encoding}
 	d.describe(t, 0)
@@ -32,9 +32,9 @@
 type describer struct {
 	encoding Encoding
 	text     strings.Builder
-	// untagged are encoded fields whose outer name is their Go name, for want of a tag.
+	// untagged holds the encoded fields whose outer name is their Go name.
 	untagged []string
-	// open are the structs that are being described, outermost first.
+	// open holds the structs being described, outermost first.
 	open []reflect.Type
 }
 
@@ -43,22 +43,22 @@
 	name    string
 	tagged  bool
 	options string
-	of      reflect.Type
+	typ     reflect.Type
 	depth   int
 }
 
 var (
-	timeType  = reflect.TypeFor[time.Time]()
-	rawType   = reflect.TypeFor[json.RawMessage]()
-	customFor = map[Encoding][]reflect.Type{
+	timeType       = reflect.TypeFor[time.Time]()
+	rawType        = reflect.TypeFor[json.RawMessage]()
+	customEncoders = map[Encoding][]reflect.Type{
 		MessagePack: {reflect.TypeFor[msgpack.CustomEncoder](), reflect.TypeFor[msgpack.Marshaler](), reflect.TypeFor[encoding.BinaryMarshaler](), reflect.TypeFor[encoding.TextMarshaler]()},
 		JSONText:    {reflect.TypeFor[json.Marshaler](), reflect.TypeFor[encoding.TextMarshaler]()},
 	}
 )
 
-// custom reports whether a type has an encoder of its own.
-func custom(t reflect.Type, encoding Encoding) bool {
-	for _, one := range customFor[encoding] {
+// hasCustomEncoding reports whether a type implements its own encoding.
+func hasCustomEncoding(t reflect.Type, encoding Encoding) bool {
+	for _, one := range customEncoders[encoding] {
 		if t.Implements(one) || reflect.PointerTo(t).Implements(one) {
 			return true
 		}
@@ -74,7 +74,7 @@
 	case t == rawType && d.encoding == JSONText:
 		d.text.WriteString("raw JSON")
 		return
-	case t.Kind() != reflect.Pointer && t.Kind() != reflect.Interface && custom(t, d.encoding):
+	case t.Kind() != reflect.Pointer && t.Kind() != reflect.Interface && hasCustomEncoding(t, d.encoding):
 		d.text.WriteString("custom " + t.Kind().String())
 		return
 	}
@@ -98,13 +98,13 @@
 		d.text.WriteString(" to ")
 		d.describe(t.Elem(), indent)
 	case reflect.Struct:
-		d.structure(t, indent)
+		d.describeStruct(t, indent)
 	default:
 		d.text.WriteString(t.Kind().String())
 	}
 }
 
-func (d *describer) structure(t reflect.Type, indent int) {
+func (d *describer) describeStruct(t reflect.Type, indent int) {
 	for i, one := range d.open {
 		if one == t {
 			fmt.Fprintf(&d.text, "struct %d levels up", len(d.open)-i)
@@ -130,7 +130,7 @@
 			}
 			d.text.WriteString(": ")
 		}
-		d.describe(f.of, indent+1)
+		d.describe(f.typ, indent+1)
 		d.text.WriteString("\n")
 	}
 	d.text.WriteString(strings.Repeat("  ", indent) + "}")
@@ -162,7 +162,7 @@
 		for inner.Kind() == reflect.Pointer {
 			inner = inner.Elem()
 		}
-		if f.Anonymous && inner.Kind() == reflect.Struct && inner != timeType && !custom(inner, MessagePack) && !strings.Contains(options, "noinline") {
+		if f.Anonymous && inner.Kind() == reflect.Struct && inner != timeType && !hasCustomEncoding(inner, MessagePack) && !strings.Contains(options, "noinline") {
 			inlined, _ := msgpackFields(inner)
 			shadowed := false
 			for _, one := range inlined {
@@ -181,25 +181,25 @@
 			name = f.Name
 		}
 		named[name] = true
-		list = append(list, field{name: name, tagged: tagged, options: options, of: f.Type})
+		list = append(list, field{name: name, tagged: tagged, options: options, typ: f.Type})
 	}
 	return list, asArray
 }
 
-// jsonFields lists the fields of a struct by the rules of encoding/json. Of fields with one
-// name the least nested one is written.
+// jsonFields lists the fields of a struct by the rules of encoding/json. Of several fields
+// with the same name the least nested one is encoded.
 func jsonFields(t reflect.Type) []field {
 	var all []field
 	collectJSON(t, 0, &all)
-	least := map[string]int{}
+	minDepth := map[string]int{}
 	for _, one := range all {
-		if depth, ok := least[one.name]; !ok || one.depth < depth {
-			least[one.name] = one.depth
+		if depth, ok := minDepth[one.name]; !ok || one.depth < depth {
+			minDepth[one.name] = one.depth
 		}
 	}
 	var list []field
 	for _, one := range all {
-		if one.depth == least[one.name] {
+		if one.depth == minDepth[one.name] {
 			list = append(list, one)
 		}
 	}
@@ -217,7 +217,7 @@
 		}
 		switch {
 		case tag == "-":
-		case f.Anonymous && name == "" && inner.Kind() == reflect.Struct && !custom(inner, JSONText):
+		case f.Anonymous && name == "" && inner.Kind() == reflect.Struct && !hasCustomEncoding(inner, JSONText):
 			collectJSON(inner, depth+1, all)
 		case !f.IsExported():
 		default:
@@ -225,7 +225,7 @@
 			if !tagged {
 				name = f.Name
 			}
-			*all = append(*all, field{name: name, tagged: tagged, options: options, of: f.Type, depth: depth})
+			*all = append(*all, field{name: name, tagged: tagged, options: options, typ: f.Type, depth: depth})
 		}
 	}
 }
--- a/rule/message/schematest/fill.go
+++ b/rule/message/schematest/fill.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Fill returns a value of a type with every exported field set, the same one in every run:
-// no number is zero and no text empty, lists have two elements and maps one entry, as
-// msgpack writes the entries of a map in no fixed order. A type that contains itself is
-// left at its zero value on the second level. Interfaces without methods hold a text.
+// Fill returns a value of a type with every exported field set, the same one in every run. No
+// number is zero and no text empty. Slices have two elements. Maps have one entry, as msgpack
+// encodes the entries of a map in no fixed order. A recursive type is left at its zero value
+// on the second level. Empty interfaces hold a text.
 func Fill(t reflect.Type) reflect.Value {
 	value := reflect.New(t).Elem()
 	(&filler{open: map[reflect.Type]bool{}}).fill(value)
@@ -54,25 +54,25 @@
 		v.Set(reflect.New(t.Elem()))
 		f.fill(v.Elem())
 	case reflect.Slice:
-		f.list(v)
+		f.fillSlice(v)
 	case reflect.Array:
 		for i := range v.Len() {
 			f.fill(v.Index(i))
 		}
 	case reflect.Map:
-		f.entry(v)
+		f.fillMap(v)
 	case reflect.Interface:
 		if t.NumMethod() == 0 {
 			v.Set(reflect.ValueOf(fmt.Sprintf("text%d", f.next())))
 		}
 	case reflect.Struct:
-		f.structure(v)
+		f.fillStruct(v)
 	default:
 		panic("schematest: no value of kind " + t.Kind().String())
 	}
 }
 
-func (f *filler) list(v reflect.Value) {
+func (f *filler) fillSlice(v reflect.Value) {
 	t := v.Type()
 	switch {
 	case t.Elem().Kind() == reflect.Uint8:
@@ -84,7 +84,7 @@
 	}
 }
 
-func (f *filler) entry(v reflect.Value) {
+func (f *filler) fillMap(v reflect.Value) {
 	t := v.Type()
 	if f.open[t.Elem()] {
 		return
@@ -96,7 +96,7 @@
 	v.SetMapIndex(key, value)
 }
 
-func (f *filler) structure(v reflect.Value) {
+func (f *filler) fillStruct(v reflect.Value) {
 	t := v.Type()
 	f.open[t] = true
 	defer delete(f.open, t)
--- a/rule/message/schematest/schematest.go
+++ b/rule/message/schematest/schematest.go
@@ -1,12 +1,12 @@
-// Package schematest guards the outer format of encoded types: what processes send to
-// each other, write to disk, and exchange with clients as JSON.
+// Package schematest tests that the outer format of encoded types is unchanged: messages
+// between processes, stored values, and JSON exchanged with clients.
 //
-// A test lists the types of a package with Registered, Msgpack and JSON, and hands them to
+// A test lists the types of a package with Registered, Msgpack and JSON, and passes them to
 // Check, which compares them with a golden file. The golden file holds, for each type, a
 // description of its outer fields (Describe), the encoding of a value with every field set
 // (Fill) and the encoding of the zero value. None of these depends on a Go identifier that
 // is not itself written out, so a golden file changes only if the format does. A change
-// that alters one breaks compatibility with stored data and with processes of other builds.
+// of one breaks compatibility with stored data and with processes of other builds.
 package schematest
 
 import (
@@ -31,36 +31,36 @@
 // Encoding names the encoder of a type.
 type Encoding string
 
-// Encodings that the product uses.
+// Supported encodings.
 const (
 	MessagePack Encoding = "msgpack"
 	JSONText    Encoding = "json"
 )
 
-// Entry is one encoded type under the name that the golden file has for it.
+// Entry is one encoded type with its name in the golden file.
 type Entry struct {
 	Name     string
 	Type     reflect.Type
 	Encoding Encoding
-	marshal  func(value any) ([]byte, error)
-	remake   func(raw []byte) (any, error)
+	encode   func(value any) ([]byte, error)
+	decode   func(raw []byte) (any, error)
 }
 
-// Msgpack is an entry for a type that is encoded by message.Marshal.
+// Msgpack returns an entry for a type that is encoded by message.Marshal.
 func Msgpack[T any](name string) Entry {
 	return Entry{Name: name, Type: reflect.TypeFor[T](), Encoding: MessagePack,
-		marshal: func(value any) ([]byte, error) { return message.Marshal(value), nil },
-		remake: func(raw []byte) (any, error) {
+		encode: func(value any) ([]byte, error) { return message.Marshal(value), nil },
+		decode: func(raw []byte) (any, error) {
 			var value T
 			err := message.Unmarshal(raw, &value)
 			return value, err
 		}}
 }
 
-// JSON is an entry for a type that encoding/json encodes.
+// JSON returns an entry for a type that is encoded by encoding/json.
 func JSON[T any](name string) Entry {
-	return Entry{Name: name, Type: reflect.TypeFor[T](), Encoding: JSONText, marshal: json.Marshal,
-		remake: func(raw []byte) (any, error) {
+	return Entry{Name: name, Type: reflect.TypeFor[T](), Encoding: JSONText, encode: json.Marshal,
+		decode: func(raw []byte) (any, error) {
 			var value T
 			err := json.Unmarshal(raw, &value)
 			return value, err
@@ -73,16 +73,16 @@
 	var entries []Entry
 	for name, t := range message.Types() {
 		entries = append(entries, Entry{Name: name, Type: t, Encoding: MessagePack,
-			marshal: func(value any) ([]byte, error) { return message.Pack(value), nil },
-			remake:  message.Open})
+			encode: func(value any) ([]byte, error) { return message.Pack(value), nil },
+			decode: message.Open})
 	}
 	slices.SortFunc(entries, func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
 	return entries
 }
 
 // Check compares entries with testdata/NAME.golden, or writes that file if the flag
-// -update-schema is set. It fails for a changed entry, an entry that the file lacks, and an
-// entry that only the file has. It also fails if a decoded value encodes differently.
+// -update-schema is set. It fails for a changed, missing or additional entry, for an encoded
+// field without a tag, and if a decoded value encodes differently.
 func Check(t *testing.T, name string, entries []Entry) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -91,7 +91,7 @@
 	for _, one := range entries {
 		title := fmt.Sprintf("%s (%s)", one.Name, one.Encoding)
 		if _, twice := got[title]; twice {
-			t.Fatalf("two entries are called %s", title)
+			t.Fatalf("two entries have the name %s", title)
 		}
 		got[title] = one.section(t)
 		for _, name := range Untagged(one.Type, one.Encoding) {
@@ -123,11 +123,11 @@
 	}
 	for title := range want {
 		if _, ok := got[title]; !ok {
-			t.Errorf("%s is in %s and is not encoded any longer", title, path)
+			t.Errorf("%s is in %s but is no longer listed by the test", title, path)
 		}
 	}
 	if !t.Failed() && text.String() != string(raw) {
-		t.Errorf("%s is in another order", path)
+		t.Errorf("%s lists the entries in another order", path)
 	}
 }
 
@@ -146,26 +146,27 @@
 	return Describe(e.Type, e.Encoding) + "\nfilled: " + e.encoded(t, full) + "\nzero: " + e.encoded(t, zero) + "\n"
 }
 
-// longest is the length in bytes up to which an encoding is written out in full.
-const longest = 300
+// maxHexBytes is the greatest length in bytes of an encoding that is written out in full; a longer
+// one is written as its digest.
+const maxHexBytes = 300
 
 func (e Entry) encoded(t *testing.T, value reflect.Value) string {
 	t.Helper()
-	raw, err := e.marshal(value.Interface())
+	raw, err := e.encode(value.Interface())
 	if err != nil {
 		t.Fatalf("%s: %v", e.Name, err)
 	}
-	back, err := e.remake(raw)
+	back, err := e.decode(raw)
 	if err != nil {
-		t.Fatalf("%s: what was encoded is not decoded: %v", e.Name, err)
+		t.Fatalf("%s: cannot decode the encoded value: %v", e.Name, err)
 	}
-	if again, err := e.marshal(back); err != nil || !bytes.Equal(raw, again) {
+	if again, err := e.encode(back); err != nil || !bytes.Equal(raw, again) {
 		t.Errorf("%s: the decoded value is encoded as %q, %v; want %q", e.Name, again, err, raw)
 	}
 	switch {
 	case e.Encoding == JSONText:
 		return string(raw)
-	case len(raw) <= longest:
+	case len(raw) <= maxHexBytes:
 		return hex.EncodeToString(raw)
 	default:
 		sum := sha256.Sum256(raw)
