--- a/peer/core/relay.go
+++ b/peer/core/relay.go
@@ -335,7 +335,7 @@
 		r.ends.add(key, until)
 	}
 	b.Until = max(b.Until, until)
-	b.Book.Touched = tx.Clock()
+	b.Book.LastUsed = tx.Clock()
 	write(tx, key, b)
 	return TurnReserved{OK: true, Charged: b.Book.Charged}
 }
--- a/peer/core/rules.go
+++ b/peer/core/rules.go
@@ -141,12 +141,12 @@
 		return r.drawBreaker(tx, c)
 	case AdmitTest:
 		b, before := r.breaker(tx)
-		number := b.Admit(tx.Clock(), c.Program, c.Limits.params())
+		number := b.IssueProbe(tx.Clock(), c.Program, c.Limits.params())
 		r.keepBreaker(tx, b, before)
-		return Tested{Number: number, State: string(b.State), Left: b.Left(tx.Clock(), c.Limits.params())}
+		return Tested{Number: number, State: string(b.State), Left: b.RecoveryLeft(tx.Clock(), c.Limits.params())}
 	case ResultTest:
 		b, before := r.breaker(tx)
-		b.Result(tx.Clock(), c.Program, c.Good, c.Limits.params())
+		b.RecordResult(tx.Clock(), c.Program, c.Good, c.Limits.params())
 		r.keepBreaker(tx, b, before)
 		return Tested{State: string(b.State)}
 	case ClaimOnce:
--- a/peer/core/rules_breaker.go
+++ b/peer/core/rules_breaker.go
@@ -10,7 +10,7 @@
 )
 
 func (b BreakerLimits) params() breaker.Params {
-	return breaker.Params{Minute: b.Minute, Hour: b.Hour, Day: b.Day, Recovery: b.Recovery, Tests: b.Tests}
+	return breaker.Params{Minute: b.Minute, Hour: b.Hour, Day: b.Day, Recovery: b.Recovery, Probes: b.Tests}
 }
 
 func (r *rules) breaker(tx *partition.Tx) (b, before breaker.Breaker) {
@@ -52,8 +52,8 @@
 		return Shared{}
 	}
 	params := c.Description.params()
-	b.Turn(clock, params)
+	b.Advance(clock, params)
 	granted := b.Draw(clock, c.Holder, c.Target, c.Need, params)
 	r.keepBreaker(tx, b, before)
-	return Shared{Granted: granted, Open: b.State == breaker.Open, Left: b.Left(clock, params), Others: ordered.Keys(b.Ledger.Holders)}
+	return Shared{Granted: granted, Open: b.State == breaker.Open, Left: b.RecoveryLeft(clock, params), Others: ordered.Keys(b.Ledger.Holders)}
 }
--- a/peer/desk/amend.go
+++ b/peer/desk/amend.go
@@ -86,7 +86,7 @@
 	if faults != nil {
 		current = &route.Table{}
 	}
-	preview := route.PreviewOf(current, next)
+	preview := route.NewPreview(current, next)
 	return &preview
 }
 
@@ -97,10 +97,10 @@
 		if faults != nil {
 			return nil, configuration.Faults{{Path: "$", Value: "no table is in force", Allowed: "an amendment of a table that is in force"}}
 		}
-		next, faults := a.Join(current)
+		next, faults := a.Apply(current)
 		if faults != nil {
 			return nil, faults
 		}
-		return next.Plain(), nil
+		return next.JSONWithoutSource(), nil
 	}
 }
--- a/peer/desk/current.go
+++ b/peer/desk/current.go
@@ -45,7 +45,7 @@
 
 func (t *currentTable) whole() []byte {
 	if t.text == nil {
-		t.text = t.parsed.Plain()
+		t.text = t.parsed.JSONWithoutSource()
 	}
 	return t.text
 }
--- a/peer/node/forward.go
+++ b/peer/node/forward.go
@@ -127,9 +127,9 @@
 	delete(m.open, t)
 	m.send(a.to, Withdraw{ID: m.caller.Mark(t)})
 	delete(m.owners, a.way.tenant+"/"+a.way.inquiry.Program)
-	ran := verdict.Maybe
+	ran := verdict.MaybeExecuted
 	if a.way.inquiry.Kind == Look || a.way.inquiry.Kind == Close {
-		ran = verdict.No
+		ran = verdict.NotExecuted
 	}
 	wait := m.params.Core.MemberTerm
 	if m.hasEnded(a.member.ID, a.member.Incarnation) {
--- a/peer/node/inquiry.go
+++ b/peer/node/inquiry.go
@@ -29,7 +29,7 @@
 	shot    slab.Ticket
 	asked   slab.Ticket
 	ticket  slab.Ticket
-	ran     verdict.Ran
+	ran     verdict.Execution
 }
 
 // Inquire takes a requester's inquiry; pieces come back under its ticket.
@@ -75,7 +75,7 @@
 	if q.Budget <= 0 {
 		q.Budget = m.params.Budget
 	}
-	w := &way{inquiry: q, until: now + q.Budget, give: give, passed: passed, ran: verdict.No}
+	w := &way{inquiry: q, until: now + q.Budget, give: give, passed: passed, ran: verdict.NotExecuted}
 	w.ticket = m.ways.Keep(w)
 	m.enter(now, w)
 	return w.ticket
@@ -104,8 +104,8 @@
 	if v.Status == 503 && v.RetryAfter <= 0 {
 		v.RetryAfter = m.params.Core.Pull
 	}
-	if w.ran != verdict.No && v.Ran == verdict.No {
-		v.Ran = verdict.Maybe
+	if w.ran != verdict.NotExecuted && v.Ran == verdict.NotExecuted {
+		v.Ran = verdict.MaybeExecuted
 	}
 	if m.now >= w.until && v.Status == 503 {
 		v = late(v.Ran)
@@ -118,7 +118,7 @@
 	return verdict.Refused(verdict.Refusal{Check: "inquiry", Code: code, Reason: reason, Status: status})
 }
 
-func late(ran verdict.Ran) verdict.Verdict {
+func late(ran verdict.Execution) verdict.Verdict {
 	return verdict.Refused(verdict.Refusal{Check: "budget", Code: "budget_passed", Reason: "the inquiry's budget has passed", Status: 504, Ran: ran})
 }
 
@@ -129,18 +129,18 @@
 		m.refuse(w, unsure("no configuration has come yet"))
 		return
 	}
-	tenant, role, ok := m.description.Whose(q.Key)
+	tenant, role, ok := m.description.TenantAndRole(q.Key)
 	if !ok {
 		m.refuse(w, denied("unknown_key", "the key is not known, or was revoked", 401))
 		return
 	}
-	w.tenant, w.role, w.keySum = tenant, role, configuration.Sum(q.Key)
+	w.tenant, w.role, w.keySum = tenant, role, configuration.KeyDigest(q.Key)
 	if m.leaving && w.passed && !m.termed(now) {
 		m.refuse(w, denied(notOwner, "this node has left", 503))
 		return
 	}
 	if !m.termed(now) {
-		m.refuse(w, verdict.Later("term", "this node's term is not in force", m.params.Core.MemberTerm/4))
+		m.refuse(w, verdict.RetryLater("term", "this node's term is not in force", m.params.Core.MemberTerm/4))
 		return
 	}
 	switch q.Kind {
@@ -151,7 +151,7 @@
 		}
 	}
 	if m.leaving && q.Kind == Open {
-		m.refuse(w, verdict.Later("node", "this node leaves; ask another", m.params.Core.Pull))
+		m.refuse(w, verdict.RetryLater("node", "this node leaves; ask another", m.params.Core.Pull))
 		return
 	}
 	switch q.Kind {
--- a/peer/node/machine.go
+++ b/peer/node/machine.go
@@ -274,7 +274,7 @@
 }
 
 func unsure(reason string) verdict.Verdict {
-	return verdict.Later("unsure", reason, time.Second)
+	return verdict.RetryLater("unsure", reason, time.Second)
 }
 
 // Adopt takes those bounds that may change while the node runs.
--- a/peer/node/once.go
+++ b/peer/node/once.go
@@ -26,7 +26,7 @@
 		m.refuse(w, denied("unknown_service", "no such once-only service", 400))
 		return
 	}
-	if !service.PastBreaker {
+	if !service.BypassesBreaker {
 		if v := m.breakerVerdict(now); v.Refused() {
 			m.refuse(w, v)
 			return
@@ -40,7 +40,7 @@
 	m.nextID++
 	s := &shot{way: w, tried: map[string]bool{}, claim: fmt.Sprintf("%s-%s-%d", m.params.ID, m.incarnation, m.nextID)}
 	s.payload = Payload{Shot: s.claim, Tenant: w.tenant, OnceKey: q.OnceKey, Body: q.Arguments}
-	keep := time.Duration(m.description.OnceKeep) * time.Second
+	keep := time.Duration(m.description.OnceKeepSeconds) * time.Second
 	claim := core.ClaimOnce{Tenant: w.tenant, Service: q.Service, Key: onceKey(q.OnceKey), Claim: s.claim, Digest: digest, Keep: keep}
 	m.caller.Call(now, claim, m.patient(now, w), func(now time.Duration, o core.Outcome) {
 		c, ok := o.Answer.(core.Once)
@@ -56,9 +56,9 @@
 			}
 			m.launch(now, s)
 		case c.State == core.OnceDone:
-			m.end(w, Piece{Kind: PieceBody, Status: c.Status, Body: c.Body, Verdict: verdict.Gated(verdict.Yes, nil), End: "repeated"})
+			m.end(w, Piece{Kind: PieceBody, Status: c.Status, Body: c.Body, Verdict: verdict.Allowed(verdict.Executed, nil), End: "repeated"})
 		default:
-			m.refuse(w, verdict.Refused(verdict.Refusal{Check: "once", Code: "may_have_run", Reason: "it was begun before and may have run; it is not sent again", Status: 409, Ran: verdict.Maybe, RetryAfter: time.Second}))
+			m.refuse(w, verdict.Refused(verdict.Refusal{Check: "once", Code: "may_have_run", Reason: "it was begun before and may have run; it is not sent again", Status: 409, Ran: verdict.MaybeExecuted, RetryAfter: time.Second}))
 		}
 	})
 }
@@ -85,6 +85,6 @@
 		}
 		m.count(nil)
 		m.sample(rehearsal.Sample{KeySum: w.keySum, Tenant: w.tenant, User: w.inquiry.User, Role: w.role, Kind: Action, Service: w.inquiry.Service})
-		m.end(w, Piece{Kind: PieceBody, Status: e.Status, Body: e.Body, Verdict: verdict.Gated(verdict.Yes, nil)})
+		m.end(w, Piece{Kind: PieceBody, Status: e.Status, Body: e.Body, Verdict: verdict.Allowed(verdict.Executed, nil)})
 	})
 }
--- a/peer/node/opening.go
+++ b/peer/node/opening.go
@@ -82,7 +82,7 @@
 			m.hold(now, p).dayCovered = covered
 			m.count(warnings)
 			m.sample(rehearsal.Sample{KeySum: w.keySum, Tenant: w.tenant, Program: id, User: w.inquiry.User, Role: w.role, Kind: Open})
-			m.end(w, Piece{Kind: PieceBody, Status: 201, Head: program.Start, Verdict: verdict.Gated(verdict.Yes, warnings), Text: id})
+			m.end(w, Piece{Kind: PieceBody, Status: 201, Head: program.Start, Verdict: verdict.Allowed(verdict.Executed, warnings), Text: id})
 		})
 	})
 }
--- a/peer/node/replicas.go
+++ b/peer/node/replicas.go
@@ -14,7 +14,7 @@
 // choose picks a replica: of two at random the less loaded, near ones first.
 func (m *Machine) choose(now time.Duration, service string, may func(id string) bool) (Replica, bool) {
 	var near, far []Replica
-	limit := m.description.Services[service].ShotsPerReplica
+	limit := m.description.Services[service].AttemptsPerReplica
 	for _, r := range m.present(now, service) {
 		c := m.conditions[service+"/"+r.ID]
 		if !may(r.ID) || (c != nil && (now < c.until || c.outstanding >= limit)) {
--- a/peer/node/room.go
+++ b/peer/node/room.go
@@ -41,7 +41,7 @@
 // for one more than wait already.
 func (m *Machine) roomWait(now time.Duration, service string) time.Duration {
 	r := m.roomOf(service)
-	places := m.description.Services[service].ShotsPerReplica * int64(len(m.present(now, service)))
+	places := m.description.Services[service].AttemptsPerReplica * int64(len(m.present(now, service)))
 	if places == 0 {
 		return m.params.Newest
 	}
--- a/peer/node/share.go
+++ b/peer/node/share.go
@@ -102,7 +102,7 @@
 		p = &pace{at: m.now}
 		m.paces[key] = p
 	}
-	return p, t.RatePerSec * ratio, max(1, int64(float64(t.Burst)*ratio))
+	return p, t.RequestsPerSecond * ratio, max(1, int64(float64(t.Burst)*ratio))
 }
 
 func (m *Machine) dayOf(tenant string) *share {
@@ -185,7 +185,7 @@
 
 func (m *Machine) limits() core.BreakerLimits {
 	p := m.description.BreakerParams()
-	return core.BreakerLimits{Minute: p.Minute, Hour: p.Hour, Day: p.Day, Recovery: p.Recovery, Tests: p.Tests}
+	return core.BreakerLimits{Minute: p.Minute, Hour: p.Hour, Day: p.Day, Recovery: p.Recovery, Tests: p.Probes}
 }
 
 func (m *Machine) report(now time.Duration) {
@@ -205,7 +205,7 @@
 }
 
 func (m *Machine) moneyChunk() int64 {
-	return max(1, configuration.Micro(m.description.Breaker.MinuteDollars)/512)
+	return max(1, configuration.MicroDollars(m.description.Breaker.MinuteDollars)/512)
 }
 
 // reportShare tells what was spent, gives idle share back, and tops the share
--- a/peer/node/tool.go
+++ b/peer/node/tool.go
@@ -49,7 +49,7 @@
 	w, h := s.way, s.held
 	good := e.Kind == EventDone && e.Status < 500
 	if !h.lost {
-		longest := time.Duration(m.description.CooldownMaximum) * time.Second
+		longest := time.Duration(m.description.MaxCooldownSeconds) * time.Second
 		h.record.ToolDone(h.offset+now, w.inquiry.Service, good, m.description.Services[w.inquiry.Service], longest)
 	}
 	if e.Kind != EventDone {
@@ -66,6 +66,6 @@
 		}
 		m.count(s.warnings)
 		m.sample(rehearsal.Sample{KeySum: w.keySum, Tenant: w.tenant, User: h.record.User, Role: h.record.Role, Kind: Tool, Service: w.inquiry.Service})
-		m.end(w, Piece{Kind: PieceBody, Status: e.Status, Body: e.Body, Verdict: verdict.Gated(verdict.Yes, s.warnings)})
+		m.end(w, Piece{Kind: PieceBody, Status: e.Status, Body: e.Body, Verdict: verdict.Allowed(verdict.Executed, s.warnings)})
 	})
 }
--- a/peer/node/turn.go
+++ b/peer/node/turn.go
@@ -212,7 +212,7 @@
 		day, ok := o.Answer.(core.UserDay)
 		role := m.description.Roles[h.record.Role]
 		if ok && day.Tokens >= role.UserDayTokensSoft {
-			s.warnings = append(s.warnings, verdict.Warning{Scope: "user_day_tokens", Used: day.Tokens, Of: role.UserDayTokensHard})
+			s.warnings = append(s.warnings, verdict.Warning{Scope: "user_day_tokens", Used: day.Tokens, Limit: role.UserDayTokensHard})
 		}
 		charged = ok
 		if ok {
@@ -245,18 +245,18 @@
 		m.undo(now, s, unsure("this node's term ended"))
 		return
 	}
-	if w.inquiry.Kind != Action || !m.description.Services[service].PastBreaker {
+	if w.inquiry.Kind != Action || !m.description.Services[service].BypassesBreaker {
 		if v := m.breakerVerdict(now); v.Refused() {
 			m.undo(now, s, v)
 			return
 		}
 	}
-	if _, _, known := m.description.Whose(w.inquiry.Key); !known {
+	if _, _, known := m.description.TenantAndRole(w.inquiry.Key); !known {
 		m.undo(now, s, denied("unknown_key", "the key was revoked", 401))
 		return
 	}
 	if now >= w.until {
-		m.undo(now, s, late(verdict.No))
+		m.undo(now, s, late(verdict.NotExecuted))
 		return
 	}
 	r, ok := m.choose(now, service, s.untried)
@@ -273,7 +273,7 @@
 	t := m.shots.Keep(s)
 	m.live[t] = s
 	w.shot = t
-	w.ran = verdict.Maybe
+	w.ran = verdict.MaybeExecuted
 	m.running++
 	m.Counters.Shots++
 	m.out.Shots = append(m.out.Shots, Shoot{Shot: uint64(t), Service: service, Kind: m.description.Services[service].Kind,
@@ -293,7 +293,7 @@
 	case Action:
 		m.endOnce(now, s, core.OnceFree, 0, nil, func(time.Duration, bool) {})
 	}
-	s.way.ran = verdict.No
+	s.way.ran = verdict.NotExecuted
 	if v.Kind != "" {
 		m.refuse(s.way, v)
 	}
@@ -345,7 +345,7 @@
 	case EventNotRun:
 		m.Counters.NotRun++
 		m.eject(now, c)
-		s.way.ran = verdict.No
+		s.way.ran = verdict.NotExecuted
 		if len(s.tried) < 3 && !s.way.over {
 			// Another replica is another inquiry to the tenant's quota.
 			m.launch(now, s)
@@ -411,7 +411,7 @@
 		if e.Text != "" {
 			end = e.Text
 		}
-		m.end(w, Piece{Kind: PieceClose, Status: 200, Tokens: s.relayed, Head: t.Head, End: end, Verdict: verdict.Gated(verdict.Yes, s.warnings)})
+		m.end(w, Piece{Kind: PieceClose, Status: 200, Tokens: s.relayed, Head: t.Head, End: end, Verdict: verdict.Allowed(verdict.Executed, s.warnings)})
 	})
 }
 
@@ -422,8 +422,8 @@
 	case w.opened:
 		m.end(w, Piece{Kind: PieceBreak})
 	case now >= w.until:
-		m.refuse(w, late(verdict.Maybe))
+		m.refuse(w, late(verdict.MaybeExecuted))
 	default:
-		m.refuse(w, verdict.Refused(verdict.Refusal{Check: "replica", Code: "answer_lost", Reason: "the replica's answer was lost; the turn may have run and is charged", Status: 502, Ran: verdict.Maybe}))
+		m.refuse(w, verdict.Refused(verdict.Refusal{Check: "replica", Code: "answer_lost", Reason: "the replica's answer was lost; the turn may have run and is charged", Status: 502, Ran: verdict.MaybeExecuted}))
 	}
 }
--- a/peer/relay/choice.go
+++ b/peer/relay/choice.go
@@ -186,8 +186,8 @@
 	allowed := func(r *placement.Replica) bool {
 		return !w.tried[r.ID] && r.Outstanding < connections
 	}
-	request := placement.Request{Prompt: w.ask.Prompt, Repeats: w.route.Repeats(), Left: w.until - now, Service: s.time.Mean(), Reference: s.reference, Again: w.unrun > 0}
-	if w.route.Pinned {
+	request := placement.Request{Prompt: w.ask.Prompt, Repeats: w.route.Retryable(), Left: w.until - now, Service: s.time.Mean(), Reference: s.reference, Again: w.unrun > 0}
+	if w.route.CacheAffinity {
 		request.Affinity = w.ask.Affinity
 	}
 	chosen := m.policy.Choose(now, request, s.estimates, allowed)
--- a/peer/relay/machine_test.go
+++ b/peer/relay/machine_test.go
@@ -50,10 +50,10 @@
 }
 
 func table(number uint64, change func(t *route.Table)) []byte {
-	key := configuration.Sum("key")
-	t := route.Table{Number: number, Keyed: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20},
+	key := configuration.KeyDigest("key")
+	t := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20},
 		Routes: []route.Route{
-			{Name: "chat", Host: "h", Prefix: "/chat/", Mode: route.Stream, Kept: true, KeepSeconds: 60, TimeoutMS: 4000, Tries: 2, Targets: []route.Target{{Service: "model", Weight: 1}}},
+			{Name: "chat", Host: "h", Prefix: "/chat/", Mode: route.Stream, KeepHistory: true, KeepSeconds: 60, TimeoutMS: 4000, Tries: 2, Targets: []route.Target{{Service: "model", Weight: 1}}},
 			{Name: "once", Host: "h", Prefix: "/once/", Mode: route.Once, TimeoutMS: 3000, Tries: 3, Targets: []route.Target{{Service: "app", Weight: 1}}},
 			{Name: "again", Host: "h", Prefix: "/again/", Mode: route.Repeatable, TimeoutMS: 3000, Tries: 2, Targets: []route.Target{{Service: "app", Weight: 1}}}},
 		Services: []route.Service{{Name: "model", Connections: 100, TokensPerEvent: 10, Slots: 4}, {Name: "app", Connections: 100, TokensPerEvent: 1, Slots: 4}},
--- a/peer/relay/overload.go
+++ b/peer/relay/overload.go
@@ -47,7 +47,7 @@
 // admissionClass tells what a request is to the service's admission. Only programs' turns
 // are ever refused by it: a call that is refused would end its program.
 func (m *Machine) admissionClass(w *way) admission.Class {
-	known := w.route.Kept || len(w.ask.Prompt) > 0
+	known := w.route.KeepHistory || len(w.ask.Prompt) > 0
 	switch {
 	case w.route.Mode != route.Stream || w.ask.Program == "":
 		return admission.Exempt
--- a/peer/relay/overload_test.go
+++ b/peer/relay/overload_test.go
@@ -16,7 +16,7 @@
 	g.m.params.ShedOverload, g.m.params.LoadPeriod = true, 100*time.Millisecond
 	g.hear("d1:1", replicas("model", "m1", "m2"), 1, table(1, func(t *route.Table) {
 		t.Routes[0].Urgency = 1
-		t.Routes = append(t.Routes, route.Route{Name: "idle", Host: "h", Prefix: "/idle/", Mode: route.Stream, Kept: true, Urgency: 5, TimeoutMS: 4000, Tries: 2, Targets: []route.Target{{Service: "model", Weight: 1}}})
+		t.Routes = append(t.Routes, route.Route{Name: "idle", Host: "h", Prefix: "/idle/", Mode: route.Stream, KeepHistory: true, Urgency: 5, TimeoutMS: 4000, Tries: 2, Targets: []route.Target{{Service: "model", Weight: 1}}})
 	}))
 	// Replicas are listed when the first request comes.
 	g.came(g.arrive(ask("/chat/x", nil)), Outcome{Kind: Whole, Events: 1, Begun: true})
--- a/peer/relay/way.go
+++ b/peer/relay/way.go
@@ -111,10 +111,10 @@
 		m.refuseUnknown(now, w, CauseUnknownRoute)
 		return
 	}
-	if m.table.Keyed && a.HasKey {
-		w.tenant, _ = m.table.Whose(a.Key)
+	if m.table.KeyRequired && a.HasKey {
+		w.tenant, _ = m.table.TenantByKey(a.Key)
 	}
-	if m.table.Keyed && w.tenant == nil && !w.route.Open {
+	if m.table.KeyRequired && w.tenant == nil && !w.route.Public {
 		m.refuseUnknown(now, w, CauseUnknownKey)
 		return
 	}
@@ -133,7 +133,7 @@
 	}
 	w.until = now + left
 	w.patience = now + left/2
-	w.service = w.route.Pick(m.random())
+	w.service = w.route.PickService(m.random())
 	if m.overloaded(now, w) {
 		return
 	}
@@ -148,7 +148,7 @@
 		if w.ask.Program != "" && w.ask.Budget > 0 {
 			m.reserve(now, w)
 		}
-		if w.route.Kept && w.ask.Previous != "" {
+		if w.route.KeepHistory && w.ask.Previous != "" {
 			m.fetch(now, w)
 		}
 	}
@@ -219,8 +219,8 @@
 	m.checkSending(w)
 	m.sent(now, w, s)
 	m.Counters.Sent++
-	step := Step{Kind: StepSend, Replica: s.listed, Service: w.service, Tenant: m.tenantName(w), Urgency: w.urgency(), Kept: w.route.Kept && w.route.Mode == route.Stream,
-		Stream: w.route.Mode == route.Stream, Resumable: w.route.Repeats() && w.route.Mode == route.Stream, Within: w.until - now}
+	step := Step{Kind: StepSend, Replica: s.listed, Service: w.service, Tenant: m.tenantName(w), Urgency: w.urgency(), Kept: w.route.KeepHistory && w.route.Mode == route.Stream,
+		Stream: w.route.Mode == route.Stream, Resumable: w.route.Retryable() && w.route.Mode == route.Stream, Within: w.until - now}
 	if w.former != nil {
 		step.Before = w.former.said()
 	}
@@ -284,7 +284,7 @@
 // broken goes on elsewhere where the request may run again, and else says that
 // it may have run.
 func (m *Machine) broken(now time.Duration, w *way) {
-	may := w.route.Repeats() && m.triesOf(w) < w.route.Tries && now < w.until
+	may := w.route.Retryable() && m.triesOf(w) < w.route.Tries && now < w.until
 	if w.begun && w.route.Mode != route.Stream {
 		may = false
 	}
@@ -310,7 +310,7 @@
 	case o.Failed:
 		m.end(now, w, CauseReplicaError, Step{Kind: StepPass, Status: o.Status})
 		return
-	case !w.route.Kept || w.route.Mode != route.Stream:
+	case !w.route.KeepHistory || w.route.Mode != route.Stream:
 		m.end(now, w, CauseServed, Step{Kind: StepPass})
 		return
 	}
@@ -423,7 +423,7 @@
 // checkSending looks at a request that is about to be sent to a replica.
 func (m *Machine) checkSending(w *way) {
 	switch {
-	case w.ran && !w.route.Repeats():
+	case w.ran && !w.route.Retryable():
 		m.violated.Violated(invariant.RunsOnce, "attempt %s on route %s may have run and goes to %s", w.ask.Attempt, w.route.Name, w.sentTo)
 	case m.triesOf(w) > w.route.Tries:
 		m.violated.Violated(invariant.TriesWithinRoute, "attempt %s goes to replica %d; route %s allows %d", w.ask.Attempt, w.sendings, w.route.Name, w.route.Tries)
--- a/peer/replica/announce.go
+++ b/peer/replica/announce.go
@@ -47,7 +47,7 @@
 		}
 		host, _, err := net.SplitHostPort(told.Address)
 		switch {
-		case !configuration.Named(told.Service) || !configuration.Named(told.ID):
+		case !configuration.ValidName(told.Service) || !configuration.ValidName(told.ID):
 			refuse(400, "malformed", "service and id must be names")
 		case err != nil || net.ParseIP(host) == nil:
 			refuse(400, "malformed", "address must be an IP number and a port")
--- a/peer/requester/handler.go
+++ b/peer/requester/handler.go
@@ -62,7 +62,7 @@
 	}
 	on("POST /v1/programs", func(q *node.Inquiry, b body, r *http.Request) string {
 		q.Kind, q.User = node.Open, b.User
-		if !configuration.Named(b.User) {
+		if !configuration.ValidName(b.User) {
 			return "user must be a name"
 		}
 		return ""
@@ -80,7 +80,7 @@
 			return "say must not be empty"
 		case b.MaxTokens < 0:
 			return "max_tokens must not be negative"
-		case b.Helper != "" && !configuration.Named(b.Helper):
+		case b.Helper != "" && !configuration.ValidName(b.Helper):
 			return "helper must be a name"
 		}
 		return ""
@@ -122,7 +122,7 @@
 	mux.HandleFunc("GET /counters", func(w http.ResponseWriter, r *http.Request) {
 		counts, err := o.Counters(r.Context())
 		if err != nil {
-			tell(w, verdict.Later("node", "busy", time.Second), 503)
+			tell(w, verdict.RetryLater("node", "busy", time.Second), 503)
 			return
 		}
 		write(w, 200, counts)
@@ -193,7 +193,7 @@
 	}
 	pieces, ok := o.Inquire(r.Context(), q)
 	if !ok {
-		tell(w, verdict.Later("buffer", "this node's buffer is full", time.Second), 503)
+		tell(w, verdict.RetryLater("buffer", "this node's buffer is full", time.Second), 503)
 		return
 	}
 	relay(w, pieces)
@@ -222,7 +222,7 @@
 			if p.End == "repeated" {
 				w.Header().Set("Saffronfall-Repeated", "true")
 			}
-			w.Header().Set("Saffronfall-Ran", string(verdict.Yes))
+			w.Header().Set("Saffronfall-Ran", string(verdict.Executed))
 			if len(p.Verdict.Warnings) > 0 {
 				raw, _ := json.Marshal(p.Verdict.Warnings)
 				w.Header().Set("Saffronfall-Warnings", string(raw))
@@ -239,7 +239,7 @@
 			flusher.Flush()
 		case node.PieceClose:
 			encoder.Encode(map[string]any{"closing": true, "status": p.End, "tokens": p.Tokens, "head": p.Head,
-				"verdict": p.Verdict.Kind, "warnings": p.Verdict.Warnings, "ran": verdict.Yes})
+				"verdict": p.Verdict.Kind, "warnings": p.Verdict.Warnings, "ran": verdict.Executed})
 			return
 		case node.PieceBreak:
 			panic(http.ErrAbortHandler)
--- a/peer/requester/requester_test.go
+++ b/peer/requester/requester_test.go
@@ -59,7 +59,7 @@
 		w := try(&owner{}, c.method, c.path, c.key, c.body)
 		var told Told
 		json.Unmarshal(w.Body.Bytes(), &told)
-		if w.Code != c.status || told.Code != c.code || told.Ran != verdict.No || told.Reason == "" {
+		if w.Code != c.status || told.Code != c.code || told.Ran != verdict.NotExecuted || told.Reason == "" {
 			t.Errorf("%s: %d %s", c.name, w.Code, w.Body)
 		}
 	}
--- a/rehearsalkit/breaks/breaks.go
+++ b/rehearsalkit/breaks/breaks.go
@@ -33,7 +33,7 @@
 	{Rule: 2, What: "shares that are out do not count", File: "rule/allowance/ledger.go", From: "left := max(0, limits[i]-out-l.Windows[i].Sum(now))", To: "left := max(0, limits[i]-l.Windows[i].Sum(now))"},
 	{Rule: 3, What: "whoever asks may shoot", File: "peer/node/once.go", From: "case c.Claim == s.claim && c.State == core.OnceIntent:", To: "case c.State == core.OnceIntent:"},
 	{Rule: 3, What: "a lost answer frees the claim", File: "peer/node/once.go", From: "m.endOnce(now, s, core.OnceMaybe, 0, nil", To: "m.endOnce(now, s, core.OnceFree, 0, nil"},
-	{Rule: 4, What: "an owner that fell silent is told as not run", File: "peer/node/forward.go", From: "	ran := verdict.Maybe\n", To: "	ran := verdict.No\n"},
+	{Rule: 4, What: "an owner that fell silent is told as not run", File: "peer/node/forward.go", From: "	ran := verdict.MaybeExecuted\n", To: "	ran := verdict.NotExecuted\n"},
 	{Rule: 5, What: "an owner that can't be found out is told as unknown", File: "peer/node/inquiry.go", From: `m.refuse(w, unsure("the program's owner could not be found out in time"))`, To: `m.refuse(w, denied("unknown_program", "", 404))`},
 	{Rule: 6, What: "a successor does not ask the mirrors", File: "peer/node/inquiry.go", From: "	m.consult(now, h)\n", To: "", Test: "OwnerLostOutOfTouch"},
 	{Rule: 6, What: "one mirror is enough for an owner", File: "peer/node/mirror.go", From: "if at := h.acked[one.Peer+\"/\"+one.Life]; i == 0 || at < least {", To: "if at := h.acked[one.Peer+\"/\"+one.Life]; i == 0 || at > least {", Test: "OneMirrorOutOfTouch"},
--- a/rehearsalkit/breaks/soak.go
+++ b/rehearsalkit/breaks/soak.go
@@ -24,7 +24,7 @@
 // Soak are breaks of the data path and of what nodes, desks and cores tell each other.
 var Soak = []SoakBreak{
 	{What: "what may have run once is sent again", File: "peer/relay/way.go", Seeds: 2,
-		From: "may := w.route.Repeats() && m.triesOf(w)", To: "may := m.triesOf(w)"},
+		From: "may := w.route.Retryable() && m.triesOf(w)", To: "may := m.triesOf(w)"},
 	{What: "tries without the route's bound", File: "peer/relay/way.go", Seeds: 3,
 		From: "	case m.triesOf(w) >= w.route.Tries:\n", To: "	case m.triesOf(w) > 50*w.route.Tries:\n"},
 	{What: "a further try that nothing of the rate pays for", File: "peer/relay/way.go", Seeds: 3,
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -442,15 +442,15 @@
 
 // text is a routing table of the point's size; its source is about as long.
 func (w *world) text(number uint64) []byte {
-	t := route.Table{Number: number, Keyed: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20}}
+	t := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20}}
 	for i := 0; i < w.point.Models; i++ {
 		name := fmt.Sprintf("model-%d", i)
 		t.Services = append(t.Services, route.Service{Name: name, Connections: 100_000, TokensPerEvent: 1, Slots: 16, CacheTokens: 186629})
-		t.Routes = append(t.Routes, route.Route{Name: "chat-" + name, Host: "tier", Prefix: "/" + name + "/", Mode: route.Stream, Kept: true, KeepSeconds: w.point.think().Seconds() * keepOfThink, TimeoutMS: 4000,
+		t.Routes = append(t.Routes, route.Route{Name: "chat-" + name, Host: "tier", Prefix: "/" + name + "/", Mode: route.Stream, KeepHistory: true, KeepSeconds: w.point.think().Seconds() * keepOfThink, TimeoutMS: 4000,
 			Tries: 2, Targets: []route.Target{{Service: name, Weight: 1}}})
 	}
 	for i, share := range w.shares {
-		t.Tenants = append(t.Tenants, route.Tenant{Name: fmt.Sprintf("tenant-%d", i), Keys: []string{configuration.Sum(fmt.Sprintf("key-%d", i))}, Rate: share*float64(w.point.Rate)*3 + 5, Burst: 10})
+		t.Tenants = append(t.Tenants, route.Tenant{Name: fmt.Sprintf("tenant-%d", i), Keys: []string{configuration.KeyDigest(fmt.Sprintf("key-%d", i))}, Rate: share*float64(w.point.Rate)*3 + 5, Burst: 10})
 	}
 	bare, err := json.Marshal(t)
 	if err != nil {
--- a/rehearsalkit/fleet/fleet.go
+++ b/rehearsalkit/fleet/fleet.go
@@ -271,10 +271,10 @@
 	tenants := map[string]any{}
 	for i := 1; i <= f.Layout.Tenants; i++ {
 		name := fmt.Sprintf("t%d", i)
-		tenants[name] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.Sum("key-" + name), "role": "analyst"}, map[string]any{"sha256": configuration.Sum("long-" + name), "role": "keeper"}},
+		tenants[name] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest("key-" + name), "role": "analyst"}, map[string]any{"sha256": configuration.KeyDigest("long-" + name), "role": "keeper"}},
 			"inquiries_per_second": f.Layout.Rate, "burst": f.Layout.Burst}
 	}
-	tenants["probe"] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.Sum(mark), "role": "viewer"}}}
+	tenants["probe"] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest(mark), "role": "viewer"}}}
 	services := map[string]any{"model": map[string]any{"kind": "model"}, "search": map[string]any{"kind": "tool", "calls_per_minute": 100}}
 	for i, name := range f.Layout.Once {
 		// Alerts come first; the rest of the permit application does not.
--- a/rehearsalkit/relaysim/operator.go
+++ b/rehearsalkit/relaysim/operator.go
@@ -16,7 +16,7 @@
 func (w *World) table(base, number uint64, harm int) *Table {
 	t := &Table{Number: number, Base: base, Mark: w.mark("t"), Valid: harm == 0, Routes: map[string]Route{}, Holders: map[string]string{"k-1a": "t1", "k-2a": "t2", "k-3a": "t3"},
 		Allowed: map[string]float64{}}
-	text := route.Table{Number: number, Keyed: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20}}
+	text := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20}}
 	used := map[string]bool{}
 	add := func(prefix, mode string, targets []route.Target, kept, resumable, open bool) {
 		r := Route{Open: open, Stream: mode == route.Stream, Kept: kept, Repeats: mode == route.Repeatable || resumable}
@@ -25,7 +25,7 @@
 			used[target.Service] = true
 		}
 		t.Routes[prefix] = r
-		text.Routes = append(text.Routes, route.Route{Name: prefix, Host: host, Prefix: prefix, Mode: mode, Resumable: resumable, Kept: kept, KeepSeconds: keepFor.Seconds(), TimeoutMS: 3500, Tries: 3, Open: open, Targets: targets})
+		text.Routes = append(text.Routes, route.Route{Name: prefix, Host: host, Prefix: prefix, Mode: mode, Resumable: resumable, KeepHistory: kept, KeepSeconds: keepFor.Seconds(), TimeoutMS: 3500, Tries: 3, Public: open, Targets: targets})
 	}
 	pick := func(a, b string) []route.Target {
 		switch w.random.IntN(4) {
@@ -56,7 +56,7 @@
 		one := route.Tenant{Name: name, Rate: rate, Burst: burst}
 		for _, k := range keys {
 			t.Holders[k] = name
-			one.Keys = append(one.Keys, configuration.Sum(k))
+			one.Keys = append(one.Keys, configuration.KeyDigest(k))
 		}
 		if rate > 0 {
 			t.Allowed[name] = rate*window.Seconds() + burst
--- a/rehearsalkit/relaysim/orders.go
+++ b/rehearsalkit/relaysim/orders.go
@@ -68,8 +68,8 @@
 	for _, removed := range d.RemovedRoutes {
 		a.Remove.Routes = append(a.Remove.Routes, removed.Prefix)
 	}
-	if joined, faults := a.Join(current); faults == nil {
-		o.amendment, o.Text = a, joined.Plain()
+	if joined, faults := a.Apply(current); faults == nil {
+		o.amendment, o.Text = a, joined.JSONWithoutSource()
 	}
 }
 
--- a/rehearsalkit/simulator/conformance_test.go
+++ b/rehearsalkit/simulator/conformance_test.go
@@ -18,12 +18,12 @@
 // what a case changes.
 func design(change func(role, tenant, services, breaker tree)) func(string) []byte {
 	return func(mark string) []byte {
-		role, tenant, breaker := tree{}, tree{"keys": []any{tree{"sha256": configuration.Sum("key-t1"), "role": "viewer"}}}, tree{}
+		role, tenant, breaker := tree{}, tree{"keys": []any{tree{"sha256": configuration.KeyDigest("key-t1"), "role": "viewer"}}}, tree{}
 		services := tree{"model": tree{"kind": "model"}, "search": tree{"kind": "tool"}, "alert": tree{"kind": "once", "urgent": true}}
 		if change != nil {
 			change(role, tenant, services, breaker)
 		}
-		text, _ := json.Marshal(tree{"roles": tree{"viewer": role}, "tenants": tree{"t1": tenant, "probe": tree{"keys": []any{tree{"sha256": configuration.Sum(mark)}}}},
+		text, _ := json.Marshal(tree{"roles": tree{"viewer": role}, "tenants": tree{"t1": tenant, "probe": tree{"keys": []any{tree{"sha256": configuration.KeyDigest(mark)}}}},
 			"services": services, "breaker": breaker})
 		return text
 	}
--- a/rehearsalkit/simulator/run.go
+++ b/rehearsalkit/simulator/run.go
@@ -47,14 +47,14 @@
 		if strict("key-" + name) {
 			role = "strict"
 		}
-		list[name] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.Sum("key-" + name), "role": role}},
+		list[name] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest("key-" + name), "role": role}},
 			"inquiries_per_second": w.Params.Rate, "burst": w.Params.Burst}
 	}
 	if strings.HasSuffix(mark, revoking) {
 		list["t1"].(map[string]any)["keys"] = []any{}
 	}
 	list["t2"].(map[string]any)["day_tokens"] = w.Params.DayTokens
-	list["probe"] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.Sum(mark), "role": "viewer"}}}
+	list["probe"] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest(mark), "role": "viewer"}}}
 	text, _ := json.Marshal(map[string]any{"roles": map[string]any{"viewer": role, "strict": narrow}, "tenants": list,
 		"services": map[string]any{"model": map[string]any{"kind": "model"}, "alert": map[string]any{"kind": "once", "urgent": true, "past_breaker": true},
 			"search": map[string]any{"kind": "tool", "calls_per_minute": 1000}},
--- a/rehearsalkit/soak/operator.go
+++ b/rehearsalkit/soak/operator.go
@@ -40,11 +40,11 @@
 // text is the table of a number. Each has a route of its own.
 func text(number uint64) []byte {
 	tenant := func(name string, rate, burst float64) route.Tenant {
-		return route.Tenant{Name: name, Keys: []string{configuration.Sum(keyOf(name))}, Rate: rate, Burst: burst}
+		return route.Tenant{Name: name, Keys: []string{configuration.KeyDigest(keyOf(name))}, Rate: rate, Burst: burst}
 	}
 	chat, kept := one(kindChat, route.Stream, serviceModel, 2), one(kindKept, route.Stream, serviceModel, 2)
-	chat.Resumable, kept.Kept, kept.KeepSeconds = true, true, keepTime.Seconds()
-	t := route.Table{Number: number, Keyed: true, Limits: route.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20},
+	chat.Resumable, kept.KeepHistory, kept.KeepSeconds = true, true, keepTime.Seconds()
+	t := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20},
 		Routes:   []route.Route{one(kindAlert, route.Repeatable, serviceApp, 2), one(kindOnce, route.Once, serviceApp, 3), chat, kept, markRoute(number)},
 		Services: []route.Service{{Name: serviceModel, Connections: 100, TokensPerEvent: tokensPerEvent, Slots: 8}, {Name: serviceApp, Connections: 100, TokensPerEvent: 1, Slots: 8}},
 		Tenants:  []route.Tenant{tenant(tenantFirst, 0, 0), tenant(tenantSecond, 0, 0), tenant(tenantLimited, limitedRate, limitedBurst)}}
@@ -130,7 +130,7 @@
 	if faults != nil {
 		return raw
 	}
-	return parsed.Plain()
+	return parsed.JSONWithoutSource()
 }
 
 // operate changes tables until the context ends: mostly in order, some by two
--- a/rule/book/book.go
+++ b/rule/book/book.go
@@ -1,5 +1,7 @@
-// Package book is a program's books: what its turns have put out, over whatever
-// nodes, and what those under way may still put out.
+// Package book accounts for the output tokens of one program across all nodes: what its ended
+// turns used and what running turns have reserved. A reservation is refused if both together
+// would exceed the budget.
+// Start reading at Book.Reserve and Book.Settle.
 package book
 
 import (
@@ -7,62 +9,63 @@
 	"time"
 )
 
-// Book is the durable state of one program. Charged holds ended turns at what
-// they put out and lost ones at their most.
+// Book is the durable account of one program, in tokens. Charged is the usage of settled
+// turns. Running holds the reservations of turns by attempt; a lost turn keeps its
+// reservation.
 type Book struct {
 	Charged int64            `msgpack:"c"`
 	Running map[string]int64 `msgpack:"r,omitempty"`
-	// Ended are marks of the newest ended attempts, so that a repeated
-	// reservation that comes late books nothing.
-	Ended   []uint32      `msgpack:"e,omitempty"`
-	Touched time.Duration `msgpack:"t"`
+	// Ended holds hashes of the most recently settled attempts. A delayed duplicate of a
+	// reservation is recognised by them and reserves nothing.
+	Ended    []uint32      `msgpack:"e,omitempty"`
+	LastUsed time.Duration `msgpack:"t"`
 }
 
-// remembered is how many ended attempts are told from new ones.
-const remembered = 32
+// maxEnded is the number of settled attempts that are remembered.
+const maxEnded = 32
 
-func mark(attempt string) uint32 {
+func attemptHash(attempt string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(attempt))
 	return h.Sum32()
 }
 
-// Outstanding is what running turns may put out at most.
+// Outstanding returns the tokens reserved by running turns.
 func (b *Book) Outstanding() int64 {
 	var sum int64
-	for _, most := range b.Running {
-		sum += most
+	for _, reserved := range b.Running {
+		sum += reserved
 	}
 	return sum
 }
 
-// Reserve books the most that a turn may put out, unless the budget cannot hold
-// it. An attempt is booked once, however often it is asked for.
-func (b *Book) Reserve(attempt string, most, budget int64) bool {
+// Reserve reserves the greatest output of a turn, and returns false if it exceeds the budget.
+// It is idempotent: a repeated call for an attempt reserves nothing more.
+func (b *Book) Reserve(attempt string, maxTokens, budget int64) bool {
 	if _, ok := b.Running[attempt]; ok {
 		return true
 	}
-	m := mark(attempt)
+	hash := attemptHash(attempt)
 	for _, e := range b.Ended {
-		if e == m {
+		if e == hash {
 			return true
 		}
 	}
-	if b.Charged+b.Outstanding()+most > budget {
+	if b.Charged+b.Outstanding()+maxTokens > budget {
 		return false
 	}
 	if b.Running == nil {
 		b.Running = map[string]int64{}
 	}
-	b.Running[attempt] = most
+	b.Running[attempt] = maxTokens
 	return true
 }
 
-// Settle replaces an attempt's reservation by what it put out. One that has no
-// reservation yet gets none later. It reports whether anything changed.
+// Settle replaces the reservation of an attempt by its actual usage. An attempt that has no
+// reservation yet can no longer get one. It reports whether anything changed.
 func (b *Book) Settle(attempt string, tokens int64) bool {
 	for _, e := range b.Ended {
-		if e == mark(attempt) {
+		if e == attemptHash(attempt) {
 			return false
 		}
 	}
@@ -70,9 +73,9 @@
 		delete(b.Running, attempt)
 		b.Charged += tokens
 	}
-	b.Ended = append(b.Ended, mark(attempt))
-	if n := len(b.Ended); n > remembered {
-		b.Ended = append([]uint32(nil), b.Ended[n-remembered:]...)
+	b.Ended = append(b.Ended, attemptHash(attempt))
+	if n := len(b.Ended); n > maxEnded {
+		b.Ended = append([]uint32(nil), b.Ended[n-maxEnded:]...)
 	}
 	return true
 }
--- a/rule/breaker/breaker.go
+++ b/rule/breaker/breaker.go
@@ -1,4 +1,9 @@
-// Package breaker is the system-wide spend breaker: closed, open, half-open.
+// Package breaker implements the system-wide circuit breaker on spend.
+//
+// Holders draw shares of the spend limits per minute, hour and day. A need that does not fit
+// into every limit opens the breaker. After the recovery time it is half-open and admits a
+// few probe sessions: if all of them succeed it closes, and if one fails it opens again.
+// Start reading at Breaker.Draw.
 package breaker
 
 import (
@@ -7,145 +12,148 @@
 	"saffronfall/rule/allowance"
 )
 
-// State is the breaker's position.
+// State is the state of a breaker.
 type State string
 
-// The three positions.
+// States of a breaker.
 const (
 	Closed   State = "closed"
 	Open     State = "open"
 	HalfOpen State = "half-open"
 )
 
-// Params are the breaker's thresholds, in millionths of a dollar.
+// Params holds the spend limits, in millionths of a dollar, the recovery time and the number
+// of probes.
 type Params struct {
 	Minute, Hour, Day int64
 	Recovery          time.Duration
-	Tests             int
+	Probes            int
 }
 
 func (p Params) limits() []int64 { return []int64{p.Minute, p.Hour, p.Day} }
 
-// Test is one numbered test session of a half-open breaker.
-type Test struct {
-	Program string        `msgpack:"p"`
-	Given   time.Duration `msgpack:"g"`
-	Done    bool          `msgpack:"d"`
+// Probe is one session that is admitted while the breaker is half-open. Probes are numbered
+// from 1 by their position.
+type Probe struct {
+	Program   string        `msgpack:"p"`
+	IssuedAt  time.Duration `msgpack:"g"`
+	Succeeded bool          `msgpack:"d"`
 }
 
-// Breaker is the breaker's whole durable state. All times are of the part's
-// clock, which never runs fast.
+// Breaker is the durable state of the breaker. All times are of the partition's clock, which
+// never runs fast.
 type Breaker struct {
 	State  State            `msgpack:"s"`
 	Since  time.Duration    `msgpack:"i"`
 	Trips  int64            `msgpack:"n"`
 	Reason string           `msgpack:"r"`
-	Tests  []Test           `msgpack:"t"`
+	Probes []Probe          `msgpack:"t"`
 	Ledger allowance.Ledger `msgpack:"l"`
 }
 
-// New is a closed breaker.
+// New returns a closed breaker.
 func New() Breaker {
 	return Breaker{State: Closed, Ledger: allowance.Ledger{Windows: []allowance.Window{
 		{Width: time.Minute}, {Width: time.Hour}, {Width: 24 * time.Hour}}}}
 }
 
-// Turn moves an open breaker whose recovery window has passed to half-open, and
-// frees test numbers that were never answered for. It reports a change.
-func (b *Breaker) Turn(now time.Duration, p Params) bool {
+// Advance makes an open breaker half-open once the recovery time has passed, and drops probes
+// that got no result within the recovery time. It reports whether anything changed.
+func (b *Breaker) Advance(now time.Duration, p Params) bool {
 	changed := false
 	if b.State == Open && now >= b.Since+p.Recovery {
-		b.State, b.Since, b.Tests, changed = HalfOpen, now, nil, true
+		b.State, b.Since, b.Probes, changed = HalfOpen, now, nil, true
 	}
 	if b.State == HalfOpen {
-		kept := b.Tests[:0:0]
-		for _, t := range b.Tests {
-			if t.Done || now < t.Given+p.Recovery {
+		kept := b.Probes[:0:0]
+		for _, t := range b.Probes {
+			if t.Succeeded || now < t.IssuedAt+p.Recovery {
 				kept = append(kept, t)
 			}
 		}
-		if len(kept) != len(b.Tests) {
-			b.Tests, changed = kept, true
+		if len(kept) != len(b.Probes) {
+			b.Probes, changed = kept, true
 		}
 	}
 	return changed
 }
 
-// Left is what remains of the recovery window of an open breaker.
-func (b *Breaker) Left(now time.Duration, p Params) time.Duration {
+// RecoveryLeft returns the remaining recovery time of an open breaker, else 0.
+func (b *Breaker) RecoveryLeft(now time.Duration, p Params) time.Duration {
 	if b.State != Open {
 		return 0
 	}
 	return max(0, b.Since+p.Recovery-now)
 }
 
-// Draw raises a holder's share to a target, as far as there is room. A need
-// that can't be met trips the breaker: what is out and what was spent have
-// reached a threshold. What is only held in advance never trips it.
+// Draw raises a holder's share towards the target as far as the limits permit, and returns the
+// total granted to the holder. If the need does not fit, the breaker opens. The part of the
+// target beyond the need is only prefetched and never opens it.
 func (b *Breaker) Draw(now time.Duration, holder string, target, need int64, p Params) int64 {
-	b.Turn(now, p)
+	b.Advance(now, p)
 	if b.State == Open {
 		return b.Ledger.Holders[holder].Granted
 	}
-	lack := need - b.Ledger.Holders[holder].Held()
-	if lack > 0 && b.Ledger.Room(now, p.limits()) < lack {
-		b.trip(now, lack, p)
+	shortfall := need - b.Ledger.Holders[holder].Held()
+	if shortfall > 0 && b.Ledger.Room(now, p.limits()) < shortfall {
+		b.trip(now, shortfall, p)
 		return b.Ledger.Holders[holder].Granted
 	}
 	return b.Ledger.Draw(now, holder, target, p.limits())
 }
 
-func (b *Breaker) trip(now time.Duration, lack int64, p Params) {
-	b.State, b.Since, b.Tests = Open, now, nil
+// trip opens the breaker and records the first limit that the shortfall exceeds.
+func (b *Breaker) trip(now time.Duration, shortfall int64, p Params) {
+	b.State, b.Since, b.Probes = Open, now, nil
 	b.Trips++
-	out := b.Ledger.Out()
+	outstanding := b.Ledger.Out()
 	for i, name := range []string{"minute", "hour", "day"} {
-		if out+b.Ledger.Windows[i].Sum(now)+lack > p.limits()[i] {
+		if outstanding+b.Ledger.Windows[i].Sum(now)+shortfall > p.limits()[i] {
 			b.Reason = "spend of the " + name
 			return
 		}
 	}
 }
 
-// Admit gives a test number to a session that opens while half-open. It returns
-// zero when there is none left.
-func (b *Breaker) Admit(now time.Duration, program string, p Params) int {
-	b.Turn(now, p)
+// IssueProbe returns the number of the probe of a session that starts while the breaker is
+// half-open. It returns 0 if the breaker is in another state or every probe is in use.
+func (b *Breaker) IssueProbe(now time.Duration, program string, p Params) int {
+	b.Advance(now, p)
 	if b.State != HalfOpen {
 		return 0
 	}
-	for i, t := range b.Tests {
+	for i, t := range b.Probes {
 		if t.Program == program {
 			return i + 1
 		}
 	}
-	if len(b.Tests) >= p.Tests {
+	if len(b.Probes) >= p.Probes {
 		return 0
 	}
-	b.Tests = append(b.Tests, Test{Program: program, Given: now})
-	return len(b.Tests)
+	b.Probes = append(b.Probes, Probe{Program: program, IssuedAt: now})
+	return len(b.Probes)
 }
 
-// Result takes the outcome of a test session's turn. Enough good ones close the
-// breaker; a bad one opens it again.
-func (b *Breaker) Result(now time.Duration, program string, good bool, p Params) {
+// RecordResult records the result of a probe's turn. The breaker closes once every probe has
+// succeeded, and opens again if one fails.
+func (b *Breaker) RecordResult(now time.Duration, program string, success bool, p Params) {
 	if b.State != HalfOpen {
 		return
 	}
-	done := 0
-	for i := range b.Tests {
-		if b.Tests[i].Program == program {
-			if !good {
-				b.State, b.Since, b.Tests = Open, now, nil
+	succeeded := 0
+	for i := range b.Probes {
+		if b.Probes[i].Program == program {
+			if !success {
+				b.State, b.Since, b.Probes = Open, now, nil
 				return
 			}
-			b.Tests[i].Done = true
+			b.Probes[i].Succeeded = true
 		}
-		if b.Tests[i].Done {
-			done++
+		if b.Probes[i].Succeeded {
+			succeeded++
 		}
 	}
-	if done >= p.Tests {
-		b.State, b.Since, b.Tests, b.Reason = Closed, now, nil, ""
+	if succeeded >= p.Probes {
+		b.State, b.Since, b.Probes, b.Reason = Closed, now, nil, ""
 	}
 }
--- a/rule/breaker/breaker_test.go
+++ b/rule/breaker/breaker_test.go
@@ -6,14 +6,15 @@
 )
 
 func params() Params {
-	return Params{Minute: 50, Hour: 500, Day: 2000, Recovery: 300 * time.Second, Tests: 2}
+	return Params{Minute: 50, Hour: 500, Day: 2000, Recovery: 300 * time.Second, Probes: 2}
 }
 
-// TestTrips: by each of the three thresholds, and by needs only.
+// TestTrips checks that a need beyond any of the three limits opens the breaker, and that a
+// prefetched share does not.
 func TestTrips(t *testing.T) {
 	b := New()
 	if got := b.Draw(0, "idle", 60, 0, params()); got != 50 || b.State != Closed {
-		t.Errorf("held in advance: %d, %s", got, b.State)
+		t.Errorf("prefetched share: %d, %s", got, b.State)
 	}
 	b.Ledger.Report(0, "idle", 0, 50)
 	for _, c := range []struct {
@@ -42,36 +43,36 @@
 	}
 }
 
-// TestCycle: open for the recovery window, then numbered tests, a bad one opens
-// it again, enough good ones close it.
+// TestCycle checks the states: open for the recovery time, then half-open with numbered
+// probes; a failed probe opens it again, and enough successful ones close it.
 func TestCycle(t *testing.T) {
 	b := New()
 	b.Draw(0, "n", 51, 51, params())
-	if b.State != Open || b.Left(100*time.Second, params()) != 200*time.Second {
-		t.Fatalf("%s, %v left", b.State, b.Left(100*time.Second, params()))
+	if b.State != Open || b.RecoveryLeft(100*time.Second, params()) != 200*time.Second {
+		t.Fatalf("%s, %v left", b.State, b.RecoveryLeft(100*time.Second, params()))
 	}
-	if b.Admit(299*time.Second, "p", params()) != 0 {
-		t.Error("a test before the recovery window was over")
+	if b.IssueProbe(299*time.Second, "p", params()) != 0 {
+		t.Error("a probe was issued before the recovery time had passed")
 	}
 	at := 301 * time.Second
-	if a, again, c, d := b.Admit(at, "p", params()), b.Admit(at, "p", params()), b.Admit(at, "q", params()), b.Admit(at, "r", params()); a != 1 || again != 1 || c != 2 || d != 0 {
-		t.Errorf("tests %d %d %d %d", a, again, c, d)
+	if a, again, c, d := b.IssueProbe(at, "p", params()), b.IssueProbe(at, "p", params()), b.IssueProbe(at, "q", params()), b.IssueProbe(at, "r", params()); a != 1 || again != 1 || c != 2 || d != 0 {
+		t.Errorf("probes %d %d %d %d", a, again, c, d)
 	}
-	b.Result(at, "p", true, params())
-	b.Result(at, "q", false, params())
+	b.RecordResult(at, "p", true, params())
+	b.RecordResult(at, "q", false, params())
 	if b.State != Open || b.Since != at {
-		t.Errorf("after a bad test: %s", b.State)
+		t.Errorf("after a failed probe: %s", b.State)
 	}
 	at += 301 * time.Second
-	b.Admit(at, "p", params())
-	b.Admit(at, "q", params())
-	b.Result(at, "p", true, params())
+	b.IssueProbe(at, "p", params())
+	b.IssueProbe(at, "q", params())
+	b.RecordResult(at, "p", true, params())
 	if b.State != HalfOpen {
-		t.Errorf("after one good test: %s", b.State)
+		t.Errorf("after one successful probe: %s", b.State)
 	}
-	b.Result(at, "q", true, params())
+	b.RecordResult(at, "q", true, params())
 	if b.State != Closed {
-		t.Errorf("after all good tests: %s", b.State)
+		t.Errorf("after all probes succeeded: %s", b.State)
 	}
 	if b.Trips != 1 {
 		t.Errorf("%d trips", b.Trips)
--- a/rule/configuration/table.go
+++ b/rule/configuration/settings.go
@@ -1,5 +1,9 @@
-// Package configuration reads what operators hand over: a table of settings,
-// each with its type, default and check, and the description built from it.
+// Package configuration decodes and validates configuration from JSON.
+//
+// A list of Settings describes the schema: the path, type, default and checks of each
+// setting. Read applies it to any target. Description is the configuration of quotas, roles,
+// tenants and services that is built on it. Validation reports every fault at once, and a
+// configuration with a fault is never used in part. Start reading at Read and Description.
 package configuration
 
 import (
@@ -12,9 +16,10 @@
 	"strings"
 )
 
-// Row is one setting of a table. A star in its path stands for any name, and
-// [] for every element of a list.
-type Row struct {
+// Setting describes one setting. Its path consists of keys separated by dots, where a star
+// stands for any name and [] for every element of a list. Type is int, number, bool, text or
+// texts. Check returns what is allowed if a value is invalid, else an empty string.
+type Setting struct {
 	Path     string
 	Type     string
 	Default  any
@@ -22,23 +27,25 @@
 	Allowed  []string
 	Required bool
 	Check    func(value any) string
-	About    string
+	Help     string
 }
 
-// Fault is one thing that is wrong with what was handed over.
+// Fault is one invalid value of a configuration.
 type Fault struct {
 	Path    string `json:"path"`
 	Value   any    `json:"value,omitempty"`
 	Allowed string `json:"allowed"`
 }
 
+// String returns the fault as one line of text.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s: %v is not allowed; allowed: %s", f.Path, f.Value, f.Allowed)
 }
 
-// Faults are all that is wrong, at once.
+// Faults lists every invalid value of a configuration.
 type Faults []Fault
 
+// Error implements error with one line per fault.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
@@ -47,9 +54,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// Read checks a JSON text against a table, fills in defaults, and decodes the
-// outcome into a target.
-func Read(text []byte, rows []Row, target any) Faults {
+// Read checks a JSON text against settings, fills in defaults, and decodes the result into
+// the target, which must be a pointer.
+func Read(text []byte, settings []Setting, target any) Faults {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
 	var tree any
@@ -63,13 +70,13 @@
 	if !ok {
 		return Faults{{Path: "$", Value: tree, Allowed: "one JSON object"}}
 	}
-	root, faults := Check(root, rows)
+	root, faults := Check(root, settings)
 	if len(faults) > 0 {
 		return faults
 	}
-	whole, err := json.Marshal(root)
+	encoded, err := json.Marshal(root)
 	if err == nil {
-		err = json.Unmarshal(whole, target)
+		err = json.Unmarshal(encoded, target)
 	}
 	if err != nil {
 		return Faults{{Path: "$", Value: err.Error(), Allowed: "values of the documented types"}}
@@ -77,36 +84,40 @@
 	return nil
 }
 
+// node is one level of the tree of settings.
 type node struct {
-	row      *Row
+	setting  *Setting
 	children map[string]*node
 }
 
-func plant(rows []Row) *node {
+// buildTree arranges settings by the keys of their paths.
+func buildTree(settings []Setting) *node {
 	root := &node{children: map[string]*node{}}
-	for i := range rows {
+	for i := range settings {
 		at := root
-		for _, step := range strings.Split(rows[i].Path, ".") {
+		for _, step := range strings.Split(settings[i].Path, ".") {
 			if at.children[step] == nil {
 				at.children[step] = &node{children: map[string]*node{}}
 			}
 			at = at.children[step]
 		}
-		at.row = &rows[i]
+		at.setting = &settings[i]
 	}
 	return root
 }
 
-// Check walks a decoded tree along a table, fills defaults in, and lists every
-// fault.
-func Check(root map[string]any, rows []Row) (map[string]any, Faults) {
+// Check validates a decoded JSON object against settings and fills in defaults, in place. It
+// returns the faults ordered by path. Numbers may be of type json.Number.
+func Check(root map[string]any, settings []Setting) (map[string]any, Faults) {
 	var faults Faults
-	out := walk("", root, plant(rows), &faults)
+	out := checkNode("", root, buildTree(settings), &faults)
 	sort.SliceStable(faults, func(i, j int) bool { return faults[i].Path < faults[j].Path })
 	return out.(map[string]any), faults
 }
 
-func walk(path string, value any, at *node, faults *Faults) any {
+// checkNode validates a value at a path and everything below it, and returns the value with
+// defaults filled in.
+func checkNode(path string, value any, at *node, faults *Faults) any {
 	if list := at.children["[]"]; list != nil {
 		items, ok := value.([]any)
 		if !ok {
@@ -114,12 +125,12 @@
 			return value
 		}
 		for i := range items {
-			items[i] = walk(path+"["+strconv.Itoa(i)+"]", items[i], list, faults)
+			items[i] = checkNode(path+"["+strconv.Itoa(i)+"]", items[i], list, faults)
 		}
 		return items
 	}
 	if len(at.children) == 0 {
-		return leaf(path, value, at.row, faults)
+		return checkValue(path, value, at.setting, faults)
 	}
 	tree, ok := value.(map[string]any)
 	if !ok {
@@ -130,34 +141,34 @@
 		next := at.children[key]
 		if next == nil {
 			next = at.children["*"]
-			if next != nil && !named(key) {
-				*faults = append(*faults, Fault{Path: join(path, key), Value: key, Allowed: "a name of 1 to 64 letters, digits, '-', '_' or '.'"})
+			if next != nil && !ValidName(key) {
+				*faults = append(*faults, Fault{Path: joinPath(path, key), Value: key, Allowed: "a name of 1 to 64 letters, digits, '-', '_' or '.'"})
 				continue
 			}
 		}
 		if next == nil {
-			*faults = append(*faults, Fault{Path: join(path, key), Value: child, Allowed: "no such setting; known here: " + strings.Join(known(at), ", ")})
+			*faults = append(*faults, Fault{Path: joinPath(path, key), Value: child, Allowed: "no such setting; known here: " + strings.Join(childNames(at), ", ")})
 			continue
 		}
-		tree[key] = walk(join(path, key), child, next, faults)
+		tree[key] = checkNode(joinPath(path, key), child, next, faults)
 	}
 	for key, next := range at.children {
 		if _, there := tree[key]; there || key == "*" {
 			continue
 		}
 		switch {
-		case next.row != nil && next.row.Required:
-			*faults = append(*faults, Fault{Path: join(path, key), Value: "nothing", Allowed: allowed(next.row)})
-		case next.row != nil && next.row.Default != nil:
-			tree[key] = next.row.Default
-		case next.row == nil && len(next.children) > 0 && next.children["[]"] == nil:
-			tree[key] = walk(join(path, key), map[string]any{}, next, faults)
+		case next.setting != nil && next.setting.Required:
+			*faults = append(*faults, Fault{Path: joinPath(path, key), Value: "nothing", Allowed: allowed(next.setting)})
+		case next.setting != nil && next.setting.Default != nil:
+			tree[key] = next.setting.Default
+		case next.setting == nil && len(next.children) > 0 && next.children["[]"] == nil:
+			tree[key] = checkNode(joinPath(path, key), map[string]any{}, next, faults)
 		}
 	}
 	return tree
 }
 
-func known(at *node) []string {
+func childNames(at *node) []string {
 	var names []string
 	for key := range at.children {
 		names = append(names, key)
@@ -166,7 +177,9 @@
 	return names
 }
 
-func named(s string) bool {
+// ValidName reports whether a text is a valid name of a role, tenant, service or the like: 1
+// to 64 letters, digits, '-', '_' or '.'.
+func ValidName(s string) bool {
 	if s == "" || len(s) > 64 {
 		return false
 	}
@@ -178,25 +191,23 @@
 	return true
 }
 
-// Named reports whether a text can be a name.
-func Named(s string) bool { return named(s) }
-
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-func leaf(path string, value any, row *Row, faults *Faults) any {
+// checkValue validates a value that has no settings below it.
+func checkValue(path string, value any, setting *Setting, faults *Faults) any {
 	wrong := func() any {
-		*faults = append(*faults, Fault{Path: path, Value: value, Allowed: allowed(row)})
+		*faults = append(*faults, Fault{Path: path, Value: value, Allowed: allowed(setting)})
 		return value
 	}
-	switch row.Type {
+	switch setting.Type {
 	case "int", "number":
 		number, ok := number(value)
-		if !ok || number < row.Min || number > row.Max || (row.Type == "int" && number != math.Trunc(number)) {
+		if !ok || number < setting.Min || number > setting.Max || (setting.Type == "int" && number != math.Trunc(number)) {
 			return wrong()
 		}
 	case "bool":
@@ -208,9 +219,9 @@
 		if !ok {
 			return wrong()
 		}
-		if len(row.Allowed) > 0 {
+		if len(setting.Allowed) > 0 {
 			found := false
-			for _, a := range row.Allowed {
+			for _, a := range setting.Allowed {
 				found = found || a == text
 			}
 			if !found {
@@ -228,8 +239,8 @@
 			}
 		}
 	}
-	if row.Check != nil {
-		if problem := row.Check(value); problem != "" {
+	if setting.Check != nil {
+		if problem := setting.Check(value); problem != "" {
 			*faults = append(*faults, Fault{Path: path, Value: value, Allowed: problem})
 		}
 	}
@@ -249,23 +260,24 @@
 	return 0, false
 }
 
-func allowed(row *Row) string {
+// allowed describes the valid values of a setting.
+func allowed(setting *Setting) string {
 	switch {
-	case len(row.Allowed) > 0:
-		return "one of " + strings.Join(row.Allowed, ", ")
-	case row.Type == "int":
-		return fmt.Sprintf("a whole number from %.0f to %.0f", row.Min, row.Max)
-	case row.Type == "number":
-		return fmt.Sprintf("a number from %g to %g", row.Min, row.Max)
-	case row.Type == "bool":
+	case len(setting.Allowed) > 0:
+		return "one of " + strings.Join(setting.Allowed, ", ")
+	case setting.Type == "int":
+		return fmt.Sprintf("a whole number from %.0f to %.0f", setting.Min, setting.Max)
+	case setting.Type == "number":
+		return fmt.Sprintf("a number from %g to %g", setting.Min, setting.Max)
+	case setting.Type == "bool":
 		return "true or false"
-	case row.Type == "texts":
+	case setting.Type == "texts":
 		return "a list of texts"
 	}
 	return "a text"
 }
 
-// Flatten turns a JSON text into paths and values.
+// Flatten returns the values of a JSON text by path, or nothing if it is invalid.
 func Flatten(text []byte) map[string]string {
 	var tree any
 	out := map[string]string{}
@@ -281,7 +293,7 @@
 	switch v := value.(type) {
 	case map[string]any:
 		for key, child := range v {
-			flatten(join(path, key), child, out)
+			flatten(joinPath(path, key), child, out)
 		}
 	case []any:
 		for i, child := range v {
--- a/rule/program/program.go
+++ b/rule/program/program.go
@@ -156,7 +156,7 @@
 
 func near(warnings []verdict.Warning, scope string, used, of int64, ratio float64) []verdict.Warning {
 	if of > 0 && float64(used) >= ratio*float64(of) {
-		warnings = append(warnings, verdict.Warning{Scope: scope, Used: used, Of: of})
+		warnings = append(warnings, verdict.Warning{Scope: scope, Used: used, Limit: of})
 	}
 	return warnings
 }
@@ -194,7 +194,7 @@
 	warnings = near(warnings, "steps", r.Steps, role.Steps, ratio)
 	warnings = near(warnings, "tool_calls", r.ToolCalls, role.ToolCalls, ratio)
 	warnings = near(warnings, "duration", int64(age/time.Second), role.SessionSeconds, ratio)
-	return verdict.Gated(verdict.No, warnings)
+	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
 
 // Budget checks the program's own allowance of tokens before a turn.
@@ -204,9 +204,9 @@
 		return refuse("program_tokens", "program_tokens_spent", "the program's allowance is spent", 429, 0)
 	}
 	if charged >= role.ProgramTokensSoft {
-		return verdict.Gated(verdict.No, []verdict.Warning{{Scope: "program_tokens", Used: charged, Of: role.ProgramTokensHard}})
+		return verdict.Allowed(verdict.NotExecuted, []verdict.Warning{{Scope: "program_tokens", Used: charged, Limit: role.ProgramTokensHard}})
 	}
-	return verdict.Gated(verdict.No, nil)
+	return verdict.Allowed(verdict.NotExecuted, nil)
 }
 
 // Reserve begins a turn.
@@ -296,7 +296,7 @@
 	var warnings []verdict.Warning
 	warnings = near(warnings, "tool_calls", r.ToolCalls+1, role.ToolCalls, ratio)
 	warnings = near(warnings, "tool_calls_per_type/"+name, book.Calls+1, role.ToolCallsPerType, ratio)
-	return verdict.Gated(verdict.No, warnings)
+	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
 
 // CallTool counts a tool call that is about to be made.
--- a/rule/program/user.go
+++ b/rule/program/user.go
@@ -108,12 +108,12 @@
 	u.Sessions[program] = Session{Until: clock + time.Duration(role.SessionSeconds)*time.Second, Covered: Cover(role, 0)}
 	var warnings []verdict.Warning
 	if spent >= role.UserDayTokensSoft {
-		warnings = append(warnings, verdict.Warning{Scope: "user_day_tokens", Used: spent, Of: role.UserDayTokensHard})
+		warnings = append(warnings, verdict.Warning{Scope: "user_day_tokens", Used: spent, Limit: role.UserDayTokensHard})
 	}
 	for _, w := range windows {
 		warnings = near(warnings, "sessions_per_"+w.name, w.window.Sum(clock), w.limit, ratio)
 	}
-	return verdict.Gated(verdict.No, warnings)
+	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
 
 // day is what the user's day holds: what was charged, and what open sessions
--- a/rule/rehearsal/rehearsal.go
+++ b/rule/rehearsal/rehearsal.go
@@ -65,7 +65,7 @@
 func Run(before, after *configuration.Description, samples []Sample) Figures {
 	list := append([]Sample(nil), samples...)
 	sort.SliceStable(list, func(i, j int) bool { return list[i].Age > list[j].Age })
-	f := Figures{ByCheck: map[string]int64{}, ByTenant: map[string]int64{}, Allowed: after.Approval.NewlyRefusedRatio, Least: after.Approval.LeastInquiries}
+	f := Figures{ByCheck: map[string]int64{}, ByTenant: map[string]int64{}, Allowed: after.Approval.NewlyRefusedRatio, Least: after.Approval.MinRequests}
 	old := begin(before)
 	fresh := begin(after)
 	var start time.Duration
@@ -168,7 +168,7 @@
 		b = &bucket{filled: float64(t.Burst), at: at}
 		r.rates[s.Tenant] = b
 	}
-	b.filled = min(float64(t.Burst), b.filled+t.RatePerSec*(at-b.at).Seconds())
+	b.filled = min(float64(t.Burst), b.filled+t.RequestsPerSecond*(at-b.at).Seconds())
 	b.at = at
 	if b.filled < 1 {
 		return "rate"
@@ -210,7 +210,7 @@
 		if d == nil {
 			return map[string]string{}
 		}
-		return configuration.Flatten(d.Text())
+		return configuration.Flatten(d.JSON())
 	}
 	a, b := flat(before), flat(after)
 	var moves []string
--- a/rule/rehearsal/rehearsal_test.go
+++ b/rule/rehearsal/rehearsal_test.go
@@ -19,7 +19,7 @@
 		}
 		return d
 	}
-	clerk, keeper := configuration.Sum("clerk"), configuration.Sum("keeper")
+	clerk, keeper := configuration.KeyDigest("clerk"), configuration.KeyDigest("keeper")
 	before := parse(`{"roles":{"viewer":{"sessions_per_minute":5}},"services":{"model":{"kind":"model"}},
 		"tenants":{"parish":{"keys":[{"sha256":"` + clerk + `"}]},"station":{"keys":[{"sha256":"` + keeper + `"}],"inquiries_per_second":50}}}`)
 	after := parse(`{"roles":{"viewer":{"sessions_per_minute":2,"steps":3}},"services":{"model":{"kind":"model"}},
@@ -39,7 +39,7 @@
 // allowances and tenants' days as nodes do, and names the first check that
 // refuses.
 func TestRealOrder(t *testing.T) {
-	key := configuration.Sum("clerk")
+	key := configuration.KeyDigest("clerk")
 	for _, c := range []struct{ role, tenant, want string }{
 		{`"concurrent_sessions":1,"sessions_per_minute":9`, `"burst":9`, "concurrency"},
 		{`"concurrent_sessions":9,"sessions_per_minute":2`, `"burst":9`, "window_minute"},
--- a/rule/route/amendment.go
+++ b/rule/route/amendment.go
@@ -7,64 +7,64 @@
 	"saffronfall/rule/configuration"
 )
 
-// Amendment changes named items of a table and leaves the rest as it is. An item that is
-// set replaces the one of its name whole, or is added; one that is removed and is not
-// there changes nothing, so that an amendment says how the table should be afterwards.
+// Amendment is a partial change of a table by an operator: it replaces, adds and removes
+// items by name and leaves the rest unchanged. It is declarative: a set item replaces the
+// whole item of its name or is added, and removing an item that does not exist is no error.
 type Amendment struct {
-	// Number is the next table's.
+	// Number is the number of the resulting table.
 	Number uint64       `json:"number"`
 	Set    SetItems     `json:"set"`
 	Remove RemovedNames `json:"remove"`
 }
 
-// SetItems are items to add or to replace by name.
+// SetItems holds the items to add or replace.
 type SetItems struct {
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"services"`
 	Tenants  []Tenant  `json:"tenants"`
 }
 
-// RemovedNames are names of items to remove.
+// RemovedNames holds the names of the items to remove.
 type RemovedNames struct {
 	Routes   []string `json:"routes"`
 	Services []string `json:"services"`
 	Tenants  []string `json:"tenants"`
 }
 
-// AmendmentRows is the table of settings of an amendment: those of a table's items, each
-// under the name that it is set by.
-var AmendmentRows = amendmentRows()
+// AmendmentSettings lists the settings of an amendment. Those of items are the settings of
+// the table's items with the prefix "set.".
+var AmendmentSettings = amendmentSettings()
 
-func amendmentRows() []configuration.Row {
-	rows := []configuration.Row{
-		{Path: "number", Type: "int", Required: true, Min: 1, Max: 1e15, About: "version; above the one in force"},
-		{Path: "remove.routes", Type: "texts", Default: []any{}, About: "names of routes to remove"},
-		{Path: "remove.services", Type: "texts", Default: []any{}, About: "names of services to remove"},
-		{Path: "remove.tenants", Type: "texts", Default: []any{}, About: "names of tenants to remove"},
+func amendmentSettings() []configuration.Setting {
+	settings := []configuration.Setting{
+		{Path: "number", Type: "int", Required: true, Min: 1, Max: 1e15, Help: "version; greater than the current one"},
+		{Path: "remove.routes", Type: "texts", Default: []any{}, Help: "names of routes to remove"},
+		{Path: "remove.services", Type: "texts", Default: []any{}, Help: "names of services to remove"},
+		{Path: "remove.tenants", Type: "texts", Default: []any{}, Help: "names of tenants to remove"},
 	}
-	for _, row := range Rows {
-		list, field, isItem := strings.Cut(row.Path, ".[].")
+	for _, setting := range Settings {
+		list, field, isItem := strings.Cut(setting.Path, ".[].")
 		if !isItem {
 			continue
 		}
-		row.Path = "set." + list + ".[]." + field
-		row.Required = row.Required || field == "name"
-		rows = append(rows, row)
+		setting.Path = "set." + list + ".[]." + field
+		setting.Required = setting.Required || field == "name"
+		settings = append(settings, setting)
 	}
-	return rows
+	return settings
 }
 
-// ParseAmendment reads an amendment and checks what can be checked without the table
-// that it changes.
+// ParseAmendment decodes an amendment from JSON and checks whatever does not depend on the
+// table that it changes.
 func ParseAmendment(text []byte) (Amendment, configuration.Faults) {
 	var a Amendment
-	if faults := configuration.Read(text, AmendmentRows, &a); faults != nil {
+	if faults := configuration.Read(text, AmendmentSettings, &a); faults != nil {
 		return Amendment{}, faults
 	}
 	var faults configuration.Faults
-	faults = append(faults, ambiguous("routes", a.Set.Routes, a.Remove.Routes, routeName)...)
-	faults = append(faults, ambiguous("services", a.Set.Services, a.Remove.Services, serviceName)...)
-	faults = append(faults, ambiguous("tenants", a.Set.Tenants, a.Remove.Tenants, tenantName)...)
+	faults = append(faults, conflictingNames("routes", a.Set.Routes, a.Remove.Routes, routeName)...)
+	faults = append(faults, conflictingNames("services", a.Set.Services, a.Remove.Services, serviceName)...)
+	faults = append(faults, conflictingNames("tenants", a.Set.Tenants, a.Remove.Tenants, tenantName)...)
 	if len(faults) > 0 {
 		return Amendment{}, faults
 	}
@@ -73,14 +73,14 @@
 
 func routeName(r Route) string { return r.Name }
 
-// ambiguous finds names that an amendment gives more than one fate.
-func ambiguous[T any](list string, set []T, removed []string, name func(T) string) (faults configuration.Faults) {
+// conflictingNames reports names that are empty, set twice, or both set and removed.
+func conflictingNames[T any](list string, set []T, removed []string, name func(T) string) (faults configuration.Faults) {
 	isSet := map[string]bool{}
 	for i, one := range set {
 		path := "set." + list + "[" + strconv.Itoa(i) + "].name"
 		switch {
 		case name(one) == "":
-			faults = append(faults, configuration.Fault{Path: path, Value: "", Allowed: "the name that the item is known by"})
+			faults = append(faults, configuration.Fault{Path: path, Value: "", Allowed: "the name of the item"})
 		case isSet[name(one)]:
 			faults = append(faults, configuration.Fault{Path: path, Value: name(one), Allowed: "a name that is set once"})
 		}
@@ -88,7 +88,7 @@
 	}
 	for i, one := range removed {
 		if one == "" {
-			faults = append(faults, configuration.Fault{Path: "remove." + list + "[" + strconv.Itoa(i) + "]", Value: one, Allowed: "the name that the item is known by"})
+			faults = append(faults, configuration.Fault{Path: "remove." + list + "[" + strconv.Itoa(i) + "]", Value: one, Allowed: "the name of the item"})
 		}
 		if isSet[one] {
 			faults = append(faults, configuration.Fault{Path: "remove." + list + "[" + strconv.Itoa(i) + "]", Value: one, Allowed: "a name that is not set by the same amendment"})
@@ -97,22 +97,22 @@
 	return faults
 }
 
-// Join makes the next table from the one that an amendment builds on, and checks it
-// whole. The current table stays as it is.
-func (a Amendment) Join(current *Table) (*Table, configuration.Faults) {
+// Apply returns the table that results from applying the amendment to the current table,
+// which is not modified. It returns every fault of the amendment and of the result.
+func (a Amendment) Apply(current *Table) (*Table, configuration.Faults) {
 	var faults configuration.Faults
 	if a.Number <= current.Number {
-		faults = append(faults, configuration.Fault{Path: "number", Value: a.Number, Allowed: "above the one in force, " + strconv.FormatUint(current.Number, 10)})
+		faults = append(faults, configuration.Fault{Path: "number", Value: a.Number, Allowed: "greater than the current number, " + strconv.FormatUint(current.Number, 10)})
 	}
 	if current.Source != "" {
 		faults = append(faults, configuration.Fault{Path: "$", Value: "a table that was translated from another text", Allowed: "an amendment of that text"})
 	}
-	faults = append(faults, repeated("routes", current.Routes, a.Set.Routes, a.Remove.Routes, routeName)...)
-	next := &Table{Number: a.Number, Keyed: current.Keyed, Limits: current.Limits}
+	faults = append(faults, duplicateNames("routes", current.Routes, a.Set.Routes, a.Remove.Routes, routeName)...)
+	next := &Table{Number: a.Number, KeyRequired: current.KeyRequired, Limits: current.Limits}
 	next.Routes = merge(current.Routes, a.Set.Routes, a.Remove.Routes, routeName)
 	next.Services = merge(current.Services, a.Set.Services, a.Remove.Services, serviceName)
 	next.Tenants = merge(current.Tenants, a.Set.Tenants, a.Remove.Tenants, tenantName)
-	faults = append(faults, next.cross()...)
+	faults = append(faults, next.validate()...)
 	if len(faults) > 0 {
 		return nil, faults
 	}
@@ -120,9 +120,9 @@
 	return next, nil
 }
 
-// repeated finds names that an amendment changes and that several items of the table
-// bear: nobody can tell which one is meant.
-func repeated[T any](list string, current, set []T, removed []string, name func(T) string) (faults configuration.Faults) {
+// duplicateNames reports names used by the amendment that several items of the current
+// table share, as they do not identify one item.
+func duplicateNames[T any](list string, current, set []T, removed []string, name func(T) string) (faults configuration.Faults) {
 	count := map[string]int{}
 	for _, one := range current {
 		count[name(one)]++
@@ -133,28 +133,28 @@
 	}
 	for _, one := range named {
 		if count[one] > 1 {
-			faults = append(faults, configuration.Fault{Path: list, Value: one, Allowed: "a name that one item of the table in force bears"})
+			faults = append(faults, configuration.Fault{Path: list, Value: one, Allowed: "a name of exactly one item of the current table"})
 		}
 	}
 	return faults
 }
 
-// Changed lists the names of the items of one kind that differ between two tables.
-type Changed struct {
+// ChangedNames lists the names of the items of one kind that differ between two tables.
+type ChangedNames struct {
 	Added    []string `json:"added,omitempty"`
 	Replaced []string `json:"replaced,omitempty"`
 	Removed  []string `json:"removed,omitempty"`
 }
 
-// Preview is what an order would change.
+// Preview lists what a new table would change, by name.
 type Preview struct {
-	Routes   Changed `json:"routes"`
-	Services Changed `json:"services"`
-	Tenants  Changed `json:"tenants"`
+	Routes   ChangedNames `json:"routes"`
+	Services ChangedNames `json:"services"`
+	Tenants  ChangedNames `json:"tenants"`
 }
 
-// PreviewOf compares two tables for people who read it.
-func PreviewOf(current, next *Table) Preview {
+// NewPreview returns the differences between two tables for display to an operator.
+func NewPreview(current, next *Table) Preview {
 	return Preview{
 		Routes:   changedNames(current.Routes, next.Routes, routeName),
 		Services: changedNames(current.Services, next.Services, serviceName),
@@ -162,14 +162,14 @@
 	}
 }
 
-func changedNames[T any](current, next []T, name func(T) string) (c Changed) {
-	had := make(map[string]bool, len(current))
+func changedNames[T any](current, next []T, name func(T) string) (c ChangedNames) {
+	existing := make(map[string]bool, len(current))
 	for _, one := range current {
-		had[name(one)] = true
+		existing[name(one)] = true
 	}
-	set, removed := changes(current, next, name)
+	set, removed := diff(current, next, name)
 	for _, one := range set {
-		if had[name(one)] {
+		if existing[name(one)] {
 			c.Replaced = append(c.Replaced, name(one))
 		} else {
 			c.Added = append(c.Added, name(one))
--- a/rule/route/amendment_test.go
+++ b/rule/route/amendment_test.go
@@ -22,7 +22,7 @@
 	return table
 }
 
-// TestAmendment replaces, adds and removes items by name and leaves the rest as it was.
+// TestAmendment checks that named items are replaced, added and removed and the rest stays.
 func TestAmendment(t *testing.T) {
 	current := parsed(t, amended)
 	a, faults := ParseAmendment([]byte(`{"number":9,"set":{"routes":[{"name":"chat","host":"a","prefix":"/talk/","mode":"stream","timeout_ms":200,"targets":[{"service":"new"}]},
@@ -31,7 +31,7 @@
 	if faults != nil {
 		t.Fatal(faults)
 	}
-	next, faults := a.Join(current)
+	next, faults := a.Apply(current)
 	if faults != nil {
 		t.Fatal(faults)
 	}
@@ -44,22 +44,22 @@
 	if _, ok := next.Match("a", "/more/x"); !ok {
 		t.Error("an added route is not served")
 	}
-	if !reflect.DeepEqual(next.Tenants, current.Tenants) || next.Number != 9 || !next.Keyed || next.Limits != current.Limits {
-		t.Errorf("what was not named has changed: %+v", next)
+	if !reflect.DeepEqual(next.Tenants, current.Tenants) || next.Number != 9 || !next.KeyRequired || next.Limits != current.Limits {
+		t.Errorf("an item that was not named has changed: %+v", next)
 	}
 	if len(current.Routes) != 2 || current.Number != 3 {
-		t.Error("the table that the amendment builds on has changed")
+		t.Error("the current table was modified")
 	}
-	want := Preview{Routes: Changed{Added: []string{"more"}, Replaced: []string{"chat"}, Removed: []string{"old"}}, Services: Changed{Added: []string{"new"}, Removed: []string{"llm"}}}
-	if got := PreviewOf(current, next); !reflect.DeepEqual(got, want) {
+	want := Preview{Routes: ChangedNames{Added: []string{"more"}, Replaced: []string{"chat"}, Removed: []string{"old"}}, Services: ChangedNames{Added: []string{"new"}, Removed: []string{"llm"}}}
+	if got := NewPreview(current, next); !reflect.DeepEqual(got, want) {
 		t.Errorf("preview %+v", got)
 	}
-	if again := parsed(t, string(next.Plain())); !reflect.DeepEqual(again.Routes, next.Routes) {
-		t.Error("the joined table does not read back as it is")
+	if again := parsed(t, string(next.JSONWithoutSource())); !reflect.DeepEqual(again.Routes, next.Routes) {
+		t.Error("the amended table differs after a round trip through JSON")
 	}
 }
 
-// TestAmendmentFaults: everything wrong is named, at once, and nothing comes of it.
+// TestAmendmentFaults checks that every fault is reported and no table is returned.
 func TestAmendmentFaults(t *testing.T) {
 	route := func(name, prefix, service string) string {
 		return fmt.Sprintf(`{"name":%q,"host":"a","prefix":%q,"mode":"once","timeout_ms":100,"targets":[{"service":%q}]}`, name, prefix, service)
@@ -70,14 +70,14 @@
 	}{
 		"not an object":          {`[]`, []string{"$"}},
 		"no number":              {`{"set":{}}`, []string{"number"}},
-		"not above":              {`{"number":3}`, []string{"number"}},
+		"number not greater":     {`{"number":3}`, []string{"number"}},
 		"no name":                {`{"number":4,"set":{"services":[{}]}}`, []string{"set.services[0].name"}},
 		"empty name":             {`{"number":4,"set":{"routes":[` + route("", "/x/", "app") + `]}}`, []string{"set.routes[0].name"}},
 		"empty name removed":     {`{"number":4,"remove":{"routes":[""]}}`, []string{"remove.routes[0]"}},
 		"set twice":              {`{"number":4,"set":{"services":[{"name":"s"},{"name":"s"}]}}`, []string{"set.services[1].name"}},
 		"set and removed":        {`{"number":4,"set":{"services":[{"name":"s"}]},"remove":{"services":["s"]}}`, []string{"remove.services[0]"}},
 		"service still in use":   {`{"number":4,"remove":{"services":["app"]}}`, []string{"routes[1].targets.service"}},
-		"same place":             {`{"number":4,"set":{"routes":[` + route("other", "/chat/", "app") + `]}}`, []string{"routes[2].prefix"}},
+		"same host and prefix":   {`{"number":4,"set":{"routes":[` + route("other", "/chat/", "app") + `]}}`, []string{"routes[2].prefix"}},
 		"shared key":             {`{"number":4,"set":{"tenants":[{"name":"t2","keys":["00000000000000000000000000000000000000000000000000000000000000AA"]}]}}`, []string{"tenants[1].keys"}},
 		"unknown list":           {`{"number":4,"set":{"rooms":[]}}`, []string{"set.rooms"}},
 		"several faults at once": {`{"number":2,"set":{"routes":[` + route("a", "/old/", "nobody") + `]}}`, []string{"number", "routes[2].prefix", "routes[2].targets.service"}},
@@ -86,8 +86,8 @@
 		a, faults := ParseAmendment([]byte(c.text))
 		if faults == nil {
 			var next *Table
-			if next, faults = a.Join(current); next != nil {
-				t.Errorf("%s: a table came of it", name)
+			if next, faults = a.Apply(current); next != nil {
+				t.Errorf("%s: a table was returned", name)
 			}
 		}
 		var paths []string
@@ -100,21 +100,21 @@
 	}
 }
 
-// TestAmendmentOfAmbiguousNames: where two routes bear a name, an amendment of that name
-// is refused.
+// TestAmendmentOfAmbiguousNames checks that a name shared by two routes cannot be amended,
+// nor a table that was translated from another text.
 func TestAmendmentOfAmbiguousNames(t *testing.T) {
 	current := parsed(t, strings.Replace(amended, `"name":"old"`, `"name":"chat"`, 1))
-	if _, faults := (Amendment{Number: 4, Remove: RemovedNames{Routes: []string{"chat"}}}).Join(current); len(faults) == 0 {
-		t.Error("one of two routes of a name was removed")
+	if _, faults := (Amendment{Number: 4, Remove: RemovedNames{Routes: []string{"chat"}}}).Apply(current); len(faults) == 0 {
+		t.Error("one of two routes with the same name was removed")
 	}
 	current.Source = "another text"
-	if _, faults := (Amendment{Number: 4}).Join(current); len(faults) != 1 {
+	if _, faults := (Amendment{Number: 4}).Apply(current); len(faults) != 1 {
 		t.Errorf("a translated table was amended: %v", faults)
 	}
 }
 
-// FuzzAmendment: whatever is handed over, either it is refused or what comes of it is a
-// table that is valid as a whole, and says what the amendment asked for.
+// FuzzAmendment checks that an amendment is either refused or results in a valid table that
+// contains the requested changes, and never modifies the current table.
 func FuzzAmendment(f *testing.F) {
 	f.Add([]byte(`{"number":9,"set":{"services":[{"name":"new"}]},"remove":{"routes":["old"],"services":["llm"]}}`))
 	f.Add([]byte(`{"number":4,"set":{"routes":[{"name":"chat","host":"a","prefix":"/old/","mode":"once","timeout_ms":100,"targets":[{"service":"app"}]}]},"remove":{"routes":["old"]}}`))
@@ -127,17 +127,17 @@
 			return
 		}
 		current := parsed(t, amended)
-		before := string(current.Plain())
-		next, faults := a.Join(current)
-		if string(current.Plain()) != before {
-			t.Fatal("the table in force has changed")
+		before := string(current.JSONWithoutSource())
+		next, faults := a.Apply(current)
+		if string(current.JSONWithoutSource()) != before {
+			t.Fatal("the current table was modified")
 		}
 		if faults != nil {
 			return
 		}
-		again, faults := Parse(next.Plain())
+		again, faults := Parse(next.JSONWithoutSource())
 		if faults != nil {
-			t.Fatalf("what came of it is no valid table: %v", faults)
+			t.Fatalf("the resulting table is invalid: %v", faults)
 		}
 		names := map[string]bool{}
 		for _, r := range again.Routes {
@@ -145,12 +145,12 @@
 		}
 		for _, r := range a.Set.Routes {
 			if !names[r.Name] {
-				t.Fatalf("route %q was set and is not there", r.Name)
+				t.Fatalf("route %q was set but is missing", r.Name)
 			}
 		}
 		for _, name := range a.Remove.Routes {
 			if names[name] {
-				t.Fatalf("route %q was removed and is there", name)
+				t.Fatalf("route %q was removed but is still present", name)
 			}
 		}
 	})
--- a/rule/route/difference.go
+++ b/rule/route/difference.go
@@ -7,52 +7,52 @@
 	"strings"
 )
 
-// Difference turns one table into the next. Whoever holds the table that it
-// builds on, known by number and digest, need not be sent the next one whole.
+// Difference holds the changes from one table to a later one. A node that has the base
+// table, identified by number and digest, is sent the difference instead of the whole table.
 type Difference struct {
 	BaseNumber uint64 `msgpack:"b"`
 	BaseDigest string `msgpack:"c"`
 	Number     uint64 `msgpack:"n"`
 	Digest     string `msgpack:"d"`
 
-	Routes          []Route      `msgpack:"r"`
-	RemovedRoutes   []RoutePlace `msgpack:"x"`
-	Services        []Service    `msgpack:"s"`
-	RemovedServices []string     `msgpack:"y"`
-	Tenants         []Tenant     `msgpack:"t"`
-	RemovedTenants  []string     `msgpack:"z"`
-	Keyed           bool         `msgpack:"k"`
-	Limits          Limits       `msgpack:"l"`
+	Routes          []Route    `msgpack:"r"`
+	RemovedRoutes   []RouteKey `msgpack:"x"`
+	Services        []Service  `msgpack:"s"`
+	RemovedServices []string   `msgpack:"y"`
+	Tenants         []Tenant   `msgpack:"t"`
+	RemovedTenants  []string   `msgpack:"z"`
+	KeyRequired     bool       `msgpack:"k"`
+	Limits          Limits     `msgpack:"l"`
 }
 
-// RoutePlace is what tells a route from all others of its table.
-type RoutePlace struct {
+// RouteKey identifies a route within a table. The host is in lower case.
+type RouteKey struct {
 	Host   string `msgpack:"h"`
 	Prefix string `msgpack:"p"`
 }
 
-// Place is where a route lies. Hosts are compared without regard to case.
-func (r Route) Place() RoutePlace {
-	return RoutePlace{Host: strings.ToLower(r.Host), Prefix: r.Prefix}
+// Key returns the key of the route. Hosts are case-insensitive.
+func (r Route) Key() RouteKey {
+	return RouteKey{Host: strings.ToLower(r.Host), Prefix: r.Prefix}
 }
 
 func serviceName(s Service) string { return s.Name }
 func tenantName(t Tenant) string   { return t.Name }
 
-// Compare makes the difference between two tables, each with the digest that it
-// is known by. The order of routes, services and tenants has no meaning and is
-// not kept; nor is the source text.
+// Compare returns the difference between two tables with the given digests. The order of
+// routes, services and tenants is not significant and not preserved; the source text is
+// left out.
 func Compare(base *Table, baseDigest string, next *Table, digest string) Difference {
-	d := Difference{BaseNumber: base.Number, BaseDigest: baseDigest, Number: next.Number, Digest: digest, Keyed: next.Keyed, Limits: next.Limits}
-	d.Routes, d.RemovedRoutes = changes(base.Routes, next.Routes, Route.Place)
-	d.Services, d.RemovedServices = changes(base.Services, next.Services, serviceName)
-	d.Tenants, d.RemovedTenants = changes(base.Tenants, next.Tenants, tenantName)
+	d := Difference{BaseNumber: base.Number, BaseDigest: baseDigest, Number: next.Number, Digest: digest, KeyRequired: next.KeyRequired, Limits: next.Limits}
+	d.Routes, d.RemovedRoutes = diff(base.Routes, next.Routes, Route.Key)
+	d.Services, d.RemovedServices = diff(base.Services, next.Services, serviceName)
+	d.Tenants, d.RemovedTenants = diff(base.Tenants, next.Tenants, tenantName)
 	return d
 }
 
-// changes lists what came or changed from one list to another, and the keys of
-// what went.
-func changes[T any, K comparable](base, next []T, key func(T) K) (set []T, removed []K) {
+// diff returns the items of next that base lacks or has with other content, and the keys of
+// the items that only base has.
+func diff[T any, K comparable](base, next []T, key func(T) K) (set []T, removed []K) {
 	before := make(map[K]T, len(base))
 	for _, one := range base {
 		before[key(one)] = one
@@ -72,43 +72,43 @@
 	return set, removed
 }
 
-// Plain is a table's text without the text that it was translated from.
-func (t *Table) Plain() []byte {
-	plain := Table{Number: t.Number, Keyed: t.Keyed, Limits: t.Limits}
-	plain.Routes = append([]Route{}, t.Routes...)
-	plain.Services = append([]Service{}, t.Services...)
-	plain.Tenants = append([]Tenant{}, t.Tenants...)
-	text, err := json.Marshal(plain)
+// JSONWithoutSource returns the table as JSON that Parse reads, without its source text.
+func (t *Table) JSONWithoutSource() []byte {
+	table := Table{Number: t.Number, KeyRequired: t.KeyRequired, Limits: t.Limits}
+	table.Routes = append([]Route{}, t.Routes...)
+	table.Services = append([]Service{}, t.Services...)
+	table.Tenants = append([]Tenant{}, t.Tenants...)
+	text, err := json.Marshal(table)
 	if err != nil {
 		panic(err)
 	}
 	return text
 }
 
-// Size is how many items a difference carries.
+// Size returns the number of changed and removed items.
 func (d Difference) Size() int {
 	return len(d.Routes) + len(d.RemovedRoutes) + len(d.Services) + len(d.RemovedServices) + len(d.Tenants) + len(d.RemovedTenants)
 }
 
-// Apply makes the next table from the one that a difference builds on. That one
-// stays as it is. It fails where the table is another, or where the outcome would
-// not be a valid table.
+// Apply returns the table that results from applying the difference to its base, which is
+// not modified. It returns false if base is not the table that the difference was made for,
+// or if the result is invalid.
 func (d Difference) Apply(base *Table, baseDigest string) (*Table, bool) {
 	if base == nil || base.Number != d.BaseNumber || baseDigest != d.BaseDigest || d.Number <= d.BaseNumber {
 		return nil, false
 	}
-	next := &Table{Number: d.Number, Keyed: d.Keyed, Limits: d.Limits}
-	next.Routes = merge(base.Routes, d.Routes, d.RemovedRoutes, Route.Place)
+	next := &Table{Number: d.Number, KeyRequired: d.KeyRequired, Limits: d.Limits}
+	next.Routes = merge(base.Routes, d.Routes, d.RemovedRoutes, Route.Key)
 	next.Services = merge(base.Services, d.Services, d.RemovedServices, serviceName)
 	next.Tenants = merge(base.Tenants, d.Tenants, d.RemovedTenants, tenantName)
-	if len(next.cross()) > 0 {
+	if len(next.validate()) > 0 {
 		return nil, false
 	}
 	next.index()
 	return next, true
 }
 
-// merge replaces, adds and removes items of a list.
+// merge returns base without the removed items and with those of set replaced or appended.
 func merge[T any, K comparable](base, set []T, removed []K, key func(T) K) []T {
 	changed := make(map[K]T, len(set))
 	for _, one := range set {
--- a/rule/route/difference_test.go
+++ b/rule/route/difference_test.go
@@ -13,11 +13,10 @@
 	"saffronfall/rule/message"
 )
 
-// randomTable makes a valid table; those of near seeds share most of what they
-// hold.
+// randomTable returns a random valid table. Any two of them have many items in common.
 func randomTable(t testing.TB, number uint64, random *rand.Rand) *Table {
 	t.Helper()
-	table := Table{Number: number, Keyed: random.IntN(4) > 0, Limits: Limits{HeaderBytes: 1000 + int64(random.IntN(2)), BodyBytes: 1000}}
+	table := Table{Number: number, KeyRequired: random.IntN(4) > 0, Limits: Limits{HeaderBytes: 1000 + int64(random.IntN(2)), BodyBytes: 1000}}
 	for i := range 5 {
 		if i == 0 || random.IntN(4) > 0 {
 			table.Services = append(table.Services, Service{Name: fmt.Sprint("s", i), Connections: 1 + int64(random.IntN(2)), TokensPerEvent: 1})
@@ -35,7 +34,7 @@
 		if random.IntN(4) == 0 {
 			continue
 		}
-		tenant := Tenant{Name: fmt.Sprint("t", i), Rate: float64(random.IntN(3)), Keys: []string{configuration.Sum(fmt.Sprint("k", i, random.IntN(2)))}}
+		tenant := Tenant{Name: fmt.Sprint("t", i), Rate: float64(random.IntN(3)), Keys: []string{configuration.KeyDigest(fmt.Sprint("k", i, random.IntN(2)))}}
 		if random.IntN(2) == 0 {
 			urgency := int64(random.IntN(3))
 			tenant.Urgency = &urgency
@@ -54,46 +53,46 @@
 	return parsed
 }
 
-// inOrder is a table's content with its lists in one order.
-func inOrder(t *Table) Table {
-	plain := Table{Number: t.Number, Keyed: t.Keyed, Limits: t.Limits, Routes: slices.Clone(t.Routes), Services: slices.Clone(t.Services), Tenants: slices.Clone(t.Tenants)}
+// sorted returns the exported content of a table with its lists sorted.
+func sorted(t *Table) Table {
+	plain := Table{Number: t.Number, KeyRequired: t.KeyRequired, Limits: t.Limits, Routes: slices.Clone(t.Routes), Services: slices.Clone(t.Services), Tenants: slices.Clone(t.Tenants)}
 	slices.SortFunc(plain.Routes, func(a, b Route) int { return strings.Compare(a.Host+a.Prefix, b.Host+b.Prefix) })
 	slices.SortFunc(plain.Services, func(a, b Service) int { return strings.Compare(a.Name, b.Name) })
 	slices.SortFunc(plain.Tenants, func(a, b Tenant) int { return strings.Compare(a.Name, b.Name) })
 	return plain
 }
 
-// TestDifferenceGivesTheNextTable: over the wire and back, a difference makes the
-// same table as the text does, with the same answers.
+// TestDifferenceGivesTheNextTable checks that an encoded and decoded difference produces the
+// same table as parsing its JSON does, with the same lookups.
 func TestDifferenceGivesTheNextTable(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for round := range 400 {
 		base, next := randomTable(t, 3, random), randomTable(t, 5, random)
-		before := inOrder(base)
+		before := sorted(base)
 		var sent Difference
 		if err := message.Unmarshal(message.Marshal(Compare(base, "three", next, "five")), &sent); err != nil {
 			t.Fatal(err)
 		}
 		got, ok := sent.Apply(base, "three")
 		if !ok {
-			t.Fatalf("round %d: not applied", round)
+			t.Fatalf("round %d: the difference was not applied", round)
 		}
-		if a, b := fmt.Sprintf("%+v", jsonOf(t, inOrder(got))), fmt.Sprintf("%+v", jsonOf(t, inOrder(next))); a != b {
+		if a, b := fmt.Sprintf("%+v", jsonOf(t, sorted(got))), fmt.Sprintf("%+v", jsonOf(t, sorted(next))); a != b {
 			t.Fatalf("round %d:\n%s\n%s", round, a, b)
 		}
-		if !reflect.DeepEqual(before, inOrder(base)) {
-			t.Fatal("the base was changed")
+		if !reflect.DeepEqual(before, sorted(base)) {
+			t.Fatal("the base table was modified")
 		}
 		for _, r := range next.Routes {
 			found, ok := got.Match(r.Host, r.Prefix+"x")
-			if !ok || found.Place() != r.Place() || !reflect.DeepEqual(found.Targets, r.Targets) {
+			if !ok || found.Key() != r.Key() || !reflect.DeepEqual(found.Targets, r.Targets) {
 				t.Fatalf("round %d: %+v found as %+v", round, r, found)
 			}
 		}
 		for i := range 6 {
 			for _, key := range []string{fmt.Sprint("k", i, 0), fmt.Sprint("k", i, 1)} {
-				want, known := next.Whose(key)
-				holder, found := got.Whose(key)
+				want, known := next.TenantByKey(key)
+				holder, found := got.TenantByKey(key)
 				if known != found || known && want.Name != holder.Name {
 					t.Fatalf("round %d: key %s", round, key)
 				}
@@ -111,7 +110,7 @@
 	return string(text)
 }
 
-// TestDifferenceOfOneRouteIsSmall: what did not change is not carried.
+// TestDifferenceOfOneRouteIsSmall checks that unchanged items are left out.
 func TestDifferenceOfOneRouteIsSmall(t *testing.T) {
 	base := randomTable(t, 1, rand.New(rand.NewPCG(3, 4)))
 	text, _ := json.Marshal(base)
@@ -125,26 +124,26 @@
 	}
 }
 
-// TestDifferenceOnAnotherTable is not applied: another number, another content
-// under the number, an older outcome, an outcome that is no valid table.
+// TestDifferenceOnAnotherTable checks that a difference is refused on a base with another
+// number or digest, without a base, and if its result is older or invalid.
 func TestDifferenceOnAnotherTable(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	base, next := randomTable(t, 3, random), randomTable(t, 5, random)
 	good := Compare(base, "three", next, "five")
 	other := randomTable(t, 4, random)
 	if _, ok := good.Apply(other, "three"); ok {
-		t.Error("applied to another number")
+		t.Error("applied to a table with another number")
 	}
 	if _, ok := good.Apply(base, "another three"); ok {
-		t.Error("applied to another content")
+		t.Error("applied to a table with another digest")
 	}
 	if _, ok := good.Apply(nil, ""); ok {
-		t.Error("applied to nothing")
+		t.Error("applied without a base table")
 	}
 	back := good
 	back.Number = 3
 	if _, ok := back.Apply(base, "three"); ok {
-		t.Error("went back")
+		t.Error("applied although its number is not greater")
 	}
 	broken := good
 	broken.RemovedServices = nil
@@ -153,11 +152,11 @@
 	}
 	broken.Services = nil
 	if _, ok := broken.Apply(base, "three"); ok {
-		t.Error("routes without their services were taken")
+		t.Error("applied although routes refer to removed services")
 	}
 }
 
-// BenchmarkApply and BenchmarkParse compare what a change costs a node.
+// BenchmarkApply and BenchmarkParse compare the two ways for a node to get a changed table.
 func BenchmarkApply(b *testing.B) {
 	base, next := benchTables(b)
 	d := Compare(base, "a", next, "b")
@@ -196,22 +195,22 @@
 	return base, parse(table)
 }
 
-// TestPlainText reads as the same table, also where lists are left out, and has
-// no source text.
-func TestPlainText(t *testing.T) {
+// TestJSONWithoutSource checks that the JSON parses to the same table without its source
+// text, also if lists were left out.
+func TestJSONWithoutSource(t *testing.T) {
 	parsed, faults := Parse([]byte(`{"number":3,"source":"the operator's","routes":[],"services":[]}`))
 	if faults != nil {
 		t.Fatal(faults)
 	}
-	again, faults := Parse(parsed.Plain())
+	again, faults := Parse(parsed.JSONWithoutSource())
 	if faults != nil || again.Number != 3 || again.Source != "" {
 		t.Errorf("%v %+v", faults, again)
 	}
 	random := rand.New(rand.NewPCG(7, 8))
 	for range 50 {
 		table := randomTable(t, 3, random)
-		again, faults := Parse(table.Plain())
-		if faults != nil || !reflect.DeepEqual(inOrder(again), inOrder(table)) {
+		again, faults := Parse(table.JSONWithoutSource())
+		if faults != nil || !reflect.DeepEqual(sorted(again), sorted(table)) {
 			t.Fatalf("%v", faults)
 		}
 	}
--- a/rule/route/table.go
+++ b/rule/route/table.go
@@ -1,5 +1,10 @@
-// Package route is the table that relayed requests go by: hosts and path
-// prefixes to services, tenants and their keys, and the bounds of each.
+// Package route holds the routing table of the relay nodes. A table maps hosts and path
+// prefixes to services, and lists the tenants, their keys and their limits.
+//
+// A Table is immutable once it is parsed or built from another one, and every such table
+// has passed the same validation. Tables are replaced whole (Parse), by an operator's
+// partial change (Amendment), or by the difference that is sent to a node which already has
+// an earlier table (Difference). Start reading at Table and Parse.
 package route
 
 import (
@@ -11,84 +16,88 @@
 	"saffronfall/rule/configuration"
 )
 
-// Modes of a route.
+// Modes of a route, as written in settings.
 const (
-	// Repeatable requests may run more than once.
+	// Repeatable requests are idempotent and may be executed more than once.
 	Repeatable = "repeatable"
-	// Once requests may run at most once for each attempt.
+	// Once requests are executed at most once for each attempt of the client.
 	Once = "once"
-	// Stream requests are answered by events, and run at most once unless they
-	// may be resumed.
+	// Stream requests are answered with a stream of events. They are executed at most
+	// once unless the route is resumable.
 	Stream = "stream"
 )
 
-// Target is a service that a route's requests go to, and their weight.
+// Target is a service that a route sends requests to, with its relative weight.
 type Target struct {
 	Service string  `json:"service" msgpack:"Service"`
 	Weight  float64 `json:"weight" msgpack:"Weight"`
 }
 
-// Route is one host and path prefix.
+// Route says how requests to one host and path prefix are handled.
 type Route struct {
-	Name        string  `json:"name" msgpack:"Name"`
-	Host        string  `json:"host" msgpack:"Host"`
-	Prefix      string  `json:"prefix" msgpack:"Prefix"`
-	Mode        string  `json:"mode" msgpack:"Mode"`
-	Resumable   bool    `json:"resumable" msgpack:"Resumable"`
-	Kept        bool    `json:"kept" msgpack:"Kept"`
-	KeepSeconds float64 `json:"keep_seconds" msgpack:"KeepSeconds"`
-	TimeoutMS   float64 `json:"timeout_ms" msgpack:"TimeoutMS"`
-	AimMS       float64 `json:"aim_ms" msgpack:"AimMS"`
-	GapMS       float64 `json:"gap_ms" msgpack:"GapMS"`
-	Urgency     int64   `json:"urgency" msgpack:"Urgency"`
-	Tries       int64   `json:"tries" msgpack:"Tries"`
-	Open        bool    `json:"open" msgpack:"Open"`
-	// Pinned: a replica that lately had a request for the same thing is faster.
-	Pinned  bool     `json:"pinned" msgpack:"Pinned"`
-	Targets []Target `json:"targets" msgpack:"Targets"`
+	Name      string `json:"name" msgpack:"Name"`
+	Host      string `json:"host" msgpack:"Host"`
+	Prefix    string `json:"prefix" msgpack:"Prefix"`
+	Mode      string `json:"mode" msgpack:"Mode"`
+	Resumable bool   `json:"resumable" msgpack:"Resumable"`
+	// KeepHistory stores conversation histories; requests contain only new messages.
+	KeepHistory     bool    `json:"kept" msgpack:"Kept"`
+	KeepSeconds     float64 `json:"keep_seconds" msgpack:"KeepSeconds"`
+	TimeoutMS       float64 `json:"timeout_ms" msgpack:"TimeoutMS"`
+	LatencyTargetMS float64 `json:"aim_ms" msgpack:"AimMS"`
+	MaxEventGapMS   float64 `json:"gap_ms" msgpack:"GapMS"`
+	// Urgency is the priority of requests; 0 is the most urgent.
+	Urgency int64 `json:"urgency" msgpack:"Urgency"`
+	// Tries is the greatest number of replicas that one request is sent to.
+	Tries int64 `json:"tries" msgpack:"Tries"`
+	// Public requests need no key.
+	Public bool `json:"open" msgpack:"Open"`
+	// CacheAffinity prefers replicas that recently served a request for the same item.
+	CacheAffinity bool     `json:"pinned" msgpack:"Pinned"`
+	Targets       []Target `json:"targets" msgpack:"Targets"`
 }
 
-// Repeats reports whether a request of this route may run more than once.
-func (r Route) Repeats() bool {
+// Retryable reports whether a request of this route may be executed more than once.
+func (r Route) Retryable() bool {
 	return r.Mode == Repeatable || (r.Mode == Stream && r.Resumable)
 }
 
-// Service is what replicas of one kind share.
+// Service describes the replicas of one service.
 type Service struct {
 	Name string `json:"name" msgpack:"Name"`
-	// Connections is how many connections a replica takes from all nodes.
+	// Connections is the number of connections that a replica accepts from all nodes.
 	Connections    int64 `json:"connections" msgpack:"Connections"`
 	TokensPerEvent int64 `json:"tokens_per_event" msgpack:"TokensPerEvent"`
 	Slots          int64 `json:"slots" msgpack:"Slots"`
 	CacheTokens    int64 `json:"cache_tokens" msgpack:"CacheTokens"`
 }
 
-// Tenant is who holds keys, and what it may ask for.
+// Tenant is a customer with its keys and request limits.
 type Tenant struct {
 	Name string `json:"name" msgpack:"Name"`
-	// Keys are SHA-256 digests, in hex.
+	// Keys are the SHA-256 digests of the tenant's keys, in hex.
 	Keys    []string `json:"keys" msgpack:"Keys"`
 	Rate    float64  `json:"rate" msgpack:"Rate"`
 	Burst   float64  `json:"burst" msgpack:"Burst"`
 	Urgency *int64   `json:"urgency,omitempty" msgpack:"Urgency"`
 }
 
-// Limits bound what a requester may send.
+// Limits bound the size of requests, in bytes.
 type Limits struct {
 	HeaderBytes int64 `json:"header_bytes" msgpack:"HeaderBytes"`
 	BodyBytes   int64 `json:"body_bytes" msgpack:"BodyBytes"`
 }
 
-// Table is one whole version.
+// Table is one version of the routing table. Later versions have higher numbers.
 type Table struct {
-	Number   uint64    `json:"number"`
-	Routes   []Route   `json:"routes"`
-	Services []Service `json:"services"`
-	Tenants  []Tenant  `json:"tenants"`
-	Keyed    bool      `json:"keyed"`
-	Limits   Limits    `json:"limits"`
-	// Source is the operator's own text where this table was translated from
-	// one. It is kept and given back as it was.
+	Number      uint64    `json:"number"`
+	Routes      []Route   `json:"routes"`
+	Services    []Service `json:"services"`
+	Tenants     []Tenant  `json:"tenants"`
+	KeyRequired bool      `json:"keyed"`
+	Limits      Limits    `json:"limits"`
+	// Source is the operator's text that the table was translated from, or empty. It is
+	// returned unchanged.
 	Source string `json:"source,omitempty"`
 
 	byHost   map[string][]*Route
@@ -96,44 +105,45 @@
 	services map[string]*Service
 }
 
-const most = 1e9
+// maxNumber is the greatest value of settings that need no specific limit.
+const maxNumber = 1e9
 
-// Rows is the table of settings of a routing table.
-var Rows = []configuration.Row{
-	{Path: "number", Type: "int", Required: true, Min: 1, Max: 1e15, About: "version; above the one in force"},
-	{Path: "source", Type: "text", Default: "", About: "text that this table was translated from"},
-	{Path: "keyed", Type: "bool", Default: true, About: "whether requests need a tenant's key"},
-	{Path: "routes.[].name", Type: "text", Default: "", About: "name of the route"},
-	{Path: "routes.[].host", Type: "text", Required: true, About: "host that requests name"},
-	{Path: "routes.[].prefix", Type: "text", Required: true, Check: prefix, About: "beginning of the path; begins and ends with a slash"},
-	{Path: "routes.[].mode", Type: "text", Required: true, Allowed: []string{Repeatable, Once, Stream}, About: "how often a request may run"},
-	{Path: "routes.[].resumable", Type: "bool", Default: false, About: "a stream may be taken up at another replica"},
-	{Path: "routes.[].kept", Type: "bool", Default: false, About: "histories are kept here; requests bring only what is new"},
-	{Path: "routes.[].keep_seconds", Type: "number", Default: 60.0, Min: 0, Max: 30 * 86400, About: "how long a kept turn is kept after its answer's end"},
-	{Path: "routes.[].timeout_ms", Type: "number", Required: true, Min: 1, Max: 86400000, About: "longest that a request is held"},
-	{Path: "routes.[].aim_ms", Type: "number", Default: 1000.0, Min: 0, Max: 86400000, About: "within which an answer is worth most"},
-	{Path: "routes.[].gap_ms", Type: "number", Default: 0.0, Min: 0, Max: 86400000, About: "longest good pause between events"},
-	{Path: "routes.[].urgency", Type: "int", Default: 5, Min: 0, Max: 9, About: "0 is the most urgent"},
-	{Path: "routes.[].tries", Type: "int", Default: 1, Min: 1, Max: 100, About: "replicas that one request may be sent to"},
-	{Path: "routes.[].open", Type: "bool", Default: false, About: "needs no key"},
-	{Path: "routes.[].pinned", Type: "bool", Default: false, About: "a replica that lately had a request for the same thing is faster"},
-	{Path: "routes.[].targets.[].service", Type: "text", Required: true, About: "service that requests go to"},
-	{Path: "routes.[].targets.[].weight", Type: "number", Default: 1.0, Min: 0, Max: most, About: "weight among the route's services"},
-	{Path: "services.[].name", Type: "text", Required: true, About: "name of the service"},
-	{Path: "services.[].connections", Type: "int", Default: 64, Min: 1, Max: most, About: "connections that a replica takes from all nodes"},
-	{Path: "services.[].tokens_per_event", Type: "int", Default: 1, Min: 1, Max: most, About: "tokens in each event"},
-	{Path: "services.[].slots", Type: "int", Default: 0, Min: 0, Max: most, About: "requests that a replica runs at once; 0: as it says itself"},
-	{Path: "services.[].cache_tokens", Type: "int", Default: 0, Min: 0, Max: most, About: "tokens that a replica keeps of prompts"},
-	{Path: "tenants.[].name", Type: "text", Required: true, About: "name of the tenant"},
-	{Path: "tenants.[].keys", Type: "texts", Default: []any{}, Check: digests, About: "SHA-256 of each key, in hex"},
-	{Path: "tenants.[].rate", Type: "number", Default: 0.0, Min: 0, Max: most, About: "requests a second over all nodes; 0: no limit"},
-	{Path: "tenants.[].burst", Type: "number", Default: 0.0, Min: 0, Max: most, About: "requests on top of the rate in a window"},
-	{Path: "tenants.[].urgency", Type: "int", Default: nil, Min: 0, Max: 9, About: "goes before the route's"},
-	{Path: "limits.header_bytes", Type: "int", Default: 16384, Min: 256, Max: 1 << 24, About: "size of a request's head"},
-	{Path: "limits.body_bytes", Type: "int", Default: 4 << 20, Min: 0, Max: 1 << 30, About: "size of a request's body"},
+// Settings lists the settings of a routing table.
+var Settings = []configuration.Setting{
+	{Path: "number", Type: "int", Required: true, Min: 1, Max: 1e15, Help: "version; greater than the current one"},
+	{Path: "source", Type: "text", Default: "", Help: "text that the table was translated from"},
+	{Path: "keyed", Type: "bool", Default: true, Help: "whether requests need a tenant's key"},
+	{Path: "routes.[].name", Type: "text", Default: "", Help: "name of the route"},
+	{Path: "routes.[].host", Type: "text", Required: true, Help: "host of the requests"},
+	{Path: "routes.[].prefix", Type: "text", Required: true, Check: checkPrefix, Help: "path prefix; begins and ends with a slash"},
+	{Path: "routes.[].mode", Type: "text", Required: true, Allowed: []string{Repeatable, Once, Stream}, Help: "how often a request may be executed"},
+	{Path: "routes.[].resumable", Type: "bool", Default: false, Help: "whether a stream may be resumed at another replica"},
+	{Path: "routes.[].kept", Type: "bool", Default: false, Help: "whether conversation histories are stored; requests then contain only new messages"},
+	{Path: "routes.[].keep_seconds", Type: "number", Default: 60.0, Min: 0, Max: 30 * 86400, Help: "how long a stored turn is kept after the end of its answer"},
+	{Path: "routes.[].timeout_ms", Type: "number", Required: true, Min: 1, Max: 86400000, Help: "deadline of a request"},
+	{Path: "routes.[].aim_ms", Type: "number", Default: 1000.0, Min: 0, Max: 86400000, Help: "latency objective of an answer"},
+	{Path: "routes.[].gap_ms", Type: "number", Default: 0.0, Min: 0, Max: 86400000, Help: "longest acceptable gap between events"},
+	{Path: "routes.[].urgency", Type: "int", Default: 5, Min: 0, Max: 9, Help: "0 is the most urgent"},
+	{Path: "routes.[].tries", Type: "int", Default: 1, Min: 1, Max: 100, Help: "greatest number of replicas that one request is sent to"},
+	{Path: "routes.[].open", Type: "bool", Default: false, Help: "whether requests need no key"},
+	{Path: "routes.[].pinned", Type: "bool", Default: false, Help: "whether to prefer replicas that recently served a request for the same item (cache affinity)"},
+	{Path: "routes.[].targets.[].service", Type: "text", Required: true, Help: "service that requests are sent to"},
+	{Path: "routes.[].targets.[].weight", Type: "number", Default: 1.0, Min: 0, Max: maxNumber, Help: "weight among the route's services"},
+	{Path: "services.[].name", Type: "text", Required: true, Help: "name of the service"},
+	{Path: "services.[].connections", Type: "int", Default: 64, Min: 1, Max: maxNumber, Help: "connections that a replica accepts from all nodes"},
+	{Path: "services.[].tokens_per_event", Type: "int", Default: 1, Min: 1, Max: maxNumber, Help: "tokens in each event"},
+	{Path: "services.[].slots", Type: "int", Default: 0, Min: 0, Max: maxNumber, Help: "concurrent requests of a replica; 0: as the replica announces"},
+	{Path: "services.[].cache_tokens", Type: "int", Default: 0, Min: 0, Max: maxNumber, Help: "size of a replica's prompt cache, in tokens"},
+	{Path: "tenants.[].name", Type: "text", Required: true, Help: "name of the tenant"},
+	{Path: "tenants.[].keys", Type: "texts", Default: []any{}, Check: checkDigests, Help: "SHA-256 of each key, in hex"},
+	{Path: "tenants.[].rate", Type: "number", Default: 0.0, Min: 0, Max: maxNumber, Help: "requests per second over all nodes; 0: no limit"},
+	{Path: "tenants.[].burst", Type: "number", Default: 0.0, Min: 0, Max: maxNumber, Help: "requests beyond the rate in a window"},
+	{Path: "tenants.[].urgency", Type: "int", Default: nil, Min: 0, Max: 9, Help: "overrides the urgency of the route"},
+	{Path: "limits.header_bytes", Type: "int", Default: 16384, Min: 256, Max: 1 << 24, Help: "greatest size of a request's headers"},
+	{Path: "limits.body_bytes", Type: "int", Default: 4 << 20, Min: 0, Max: 1 << 30, Help: "greatest size of a request's body"},
 }
 
-func prefix(value any) string {
+func checkPrefix(value any) string {
 	text, _ := value.(string)
 	if !strings.HasPrefix(text, "/") || !strings.HasSuffix(text, "/") {
 		return "a path that begins and ends with a slash"
@@ -141,7 +151,7 @@
 	return ""
 }
 
-func digests(value any) string {
+func checkDigests(value any) string {
 	list, _ := value.([]any)
 	for _, one := range list {
 		text, _ := one.(string)
@@ -152,61 +162,63 @@
 	return ""
 }
 
-// Parse reads a table and checks it whole.
+// Parse decodes a table from JSON and validates it. It returns every fault found.
 func Parse(text []byte) (*Table, configuration.Faults) {
 	t := &Table{}
-	if faults := configuration.Read(text, Rows, t); faults != nil {
+	if faults := configuration.Read(text, Settings, t); faults != nil {
 		return nil, faults
 	}
-	if faults := t.cross(); len(faults) > 0 {
+	if faults := t.validate(); len(faults) > 0 {
 		return nil, faults
 	}
 	t.index()
 	return t, nil
 }
 
-func (t *Table) cross() configuration.Faults {
+// validate checks the constraints between settings: unique names, prefixes and keys, known
+// services and positive weights.
+func (t *Table) validate() configuration.Faults {
 	var faults configuration.Faults
-	fault := func(path string, value any, allowed string) {
+	report := func(path string, value any, allowed string) {
 		faults = append(faults, configuration.Fault{Path: path, Value: value, Allowed: allowed})
 	}
 	services := map[string]bool{}
 	for i, s := range t.Services {
 		if services[s.Name] {
-			fault("services["+strconv.Itoa(i)+"].name", s.Name, "a name of one service only")
+			report("services["+strconv.Itoa(i)+"].name", s.Name, "a name of one service only")
 		}
 		services[s.Name] = true
 	}
-	places := map[string]bool{}
+	routes := map[string]bool{}
 	for i, r := range t.Routes {
 		path := "routes[" + strconv.Itoa(i) + "]"
-		place := strings.ToLower(r.Host) + r.Prefix
-		if places[place] {
-			fault(path+".prefix", r.Host+r.Prefix, "a host and prefix of one route only")
+		key := strings.ToLower(r.Host) + r.Prefix
+		if routes[key] {
+			report(path+".prefix", r.Host+r.Prefix, "a host and prefix of one route only")
 		}
-		places[place] = true
+		routes[key] = true
 		var weight float64
 		for _, target := range r.Targets {
 			weight += target.Weight
 			if !services[target.Service] {
-				fault(path+".targets.service", target.Service, "a service of this table")
+				report(path+".targets.service", target.Service, "a service of this table")
 			}
 		}
 		if weight <= 0 {
-			fault(path+".targets.weight", weight, "weights with a sum above 0")
+			report(path+".targets.weight", weight, "weights with a sum above 0")
 		}
 	}
 	holders, names := map[string]string{}, map[string]bool{}
 	for i, tenant := range t.Tenants {
 		path := "tenants[" + strconv.Itoa(i) + "]"
 		if names[tenant.Name] {
-			fault(path+".name", tenant.Name, "a name of one tenant only")
+			report(path+".name", tenant.Name, "a name of one tenant only")
 		}
 		names[tenant.Name] = true
 		for _, key := range tenant.Keys {
 			key = strings.ToLower(key)
 			if other, ok := holders[key]; ok && other != tenant.Name {
-				fault(path+".keys", key, "a key of one tenant only; also of "+other)
+				report(path+".keys", key, "a key of one tenant only; also of "+other)
 			}
 			holders[key] = tenant.Name
 		}
@@ -214,6 +226,7 @@
 	return faults
 }
 
+// index builds the lookup maps. Routes of a host are ordered by descending prefix length.
 func (t *Table) index() {
 	t.byHost, t.byKey, t.services = map[string][]*Route{}, map[string]*Tenant{}, map[string]*Service{}
 	for i := range t.Routes {
@@ -233,7 +246,8 @@
 	}
 }
 
-// Match finds the route of a host and path: the longest prefix wins.
+// Match returns the route with the longest matching prefix. A host with a port that no
+// route names is looked up without it.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	host = strings.ToLower(host)
 	list, ok := t.byHost[host]
@@ -250,27 +264,28 @@
 	return nil, false
 }
 
-// Whose finds the tenant that holds a key.
-func (t *Table) Whose(key string) (*Tenant, bool) {
-	tenant, ok := t.byKey[configuration.Sum(key)]
+// TenantByKey returns the tenant that owns a key, given in clear text.
+func (t *Table) TenantByKey(key string) (*Tenant, bool) {
+	tenant, ok := t.byKey[configuration.KeyDigest(key)]
 	return tenant, ok
 }
 
-// Service finds a service by name.
+// Service returns the service of a name.
 func (t *Table) Service(name string) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Pick chooses among a route's services by weight; where is from 0 up to 1.
-func (r Route) Pick(where float64) string {
+// PickService chooses one of the route's services by weight. The fraction, from 0 to 1,
+// selects a point of the total weight. It returns an empty string if no weight is positive.
+func (r Route) PickService(fraction float64) string {
 	var sum float64
 	for _, target := range r.Targets {
 		sum += target.Weight
 	}
-	at := where * sum
+	remaining := fraction * sum
 	for _, target := range r.Targets {
-		if at -= target.Weight; at < 0 && target.Weight > 0 {
+		if remaining -= target.Weight; remaining < 0 && target.Weight > 0 {
 			return target.Service
 		}
 	}
--- a/rule/route/table_test.go
+++ b/rule/route/table_test.go
@@ -35,20 +35,20 @@
 			t.Errorf("%s%s: %+v", c.host, c.path, r)
 		}
 	}
-	if b, _ := table.Match("a.example", "/x/"); b.Repeats() != true || b.Pick(0) != "t" || b.Pick(0.89) != "t" || b.Pick(0.91) != "s" || b.Pick(1) == "" {
+	if b, _ := table.Match("a.example", "/x/"); b.Retryable() != true || b.PickService(0) != "t" || b.PickService(0.89) != "t" || b.PickService(0.91) != "s" || b.PickService(1) == "" {
 		t.Errorf("%+v", b)
 	}
-	if c, _ := table.Match("a.example", "/x/y/"); !c.Repeats() {
+	if c, _ := table.Match("a.example", "/x/y/"); !c.Retryable() {
 		t.Error("a resumable stream may run again")
 	}
-	if d, _ := table.Match("b.example:80", "/x/"); d.Repeats() {
+	if d, _ := table.Match("b.example:80", "/x/"); d.Retryable() {
 		t.Error("a stream runs at most once")
 	}
-	if one, ok := table.Whose("foo"); !ok || one.Name != "one" {
+	if one, ok := table.TenantByKey("foo"); !ok || one.Name != "one" {
 		t.Errorf("%+v", one)
 	}
 	for _, key := range []string{"", "Foo", "foo ", digest} {
-		if _, ok := table.Whose(key); ok {
+		if _, ok := table.TenantByKey(key); ok {
 			t.Errorf("%q is a key", key)
 		}
 	}
@@ -56,29 +56,30 @@
 
 func TestFaults(t *testing.T) {
 	for name, change := range map[string][2]string{
-		"same place in other case": {`"host":"a.example","prefix":"/x/"`, `"host":"a.EXAMPLE","prefix":"/"`},
-		"unknown service":          {`{"service":"t"}]}],`, `{"service":"u"}]}],`},
-		"two services of a name":   {`{"name":"t"}`, `{"name":"s"}`},
-		"no targets":               {`[{"service":"s"}]`, `[]`},
-		"a weight below 0":         {`"weight":9`, `"weight":-9`},
-		"two tenants of a name":    {`"two"`, `"one"`},
-		"a shared key":             {`"keys":[]`, `"keys":["` + strings.ToLower(digest) + `"]`},
-		"half a key":               {digest, digest[:40]},
-		"urgency beyond":           {`"urgency":0`, `"urgency":10`},
-		"no timeout":               {`"timeout_ms":100`, `"timeout_ms":0`},
-		"more after it":            {`"rate":5},`, `"rate":5}]}[`},
+		"same host in other case": {`"host":"a.example","prefix":"/x/"`, `"host":"a.EXAMPLE","prefix":"/"`},
+		"unknown service":         {`{"service":"t"}]}],`, `{"service":"u"}]}],`},
+		"duplicate service name":  {`{"name":"t"}`, `{"name":"s"}`},
+		"no targets":              {`[{"service":"s"}]`, `[]`},
+		"a weight below 0":        {`"weight":9`, `"weight":-9`},
+		"duplicate tenant name":   {`"two"`, `"one"`},
+		"a shared key":            {`"keys":[]`, `"keys":["` + strings.ToLower(digest) + `"]`},
+		"truncated key":           {digest, digest[:40]},
+		"urgency out of range":    {`"urgency":0`, `"urgency":10`},
+		"no timeout":              {`"timeout_ms":100`, `"timeout_ms":0`},
+		"trailing text":           {`"rate":5},`, `"rate":5}]}[`},
 	} {
 		if !strings.Contains(example, change[0]) {
 			t.Fatal(name)
 		}
 		if _, faults := Parse([]byte(strings.Replace(example, change[0], change[1], 1))); faults == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// FuzzParse: a table that is taken finds each of its routes, picks only services
-// that it has, knows each key's holder, and reads the same when written again.
+// FuzzParse checks that an accepted table finds each of its routes, picks only services with
+// a positive weight, knows the tenant of each key, and is unchanged by a round trip through
+// JSON.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(example))
 	f.Add([]byte(`{"number":1,"routes":[],"services":[],"tenants":[]}`))
@@ -90,7 +91,7 @@
 		table, faults := Parse(text)
 		if faults != nil {
 			if table != nil {
-				t.Fatal("a faulty table is given back")
+				t.Fatal("a table was returned with faults")
 			}
 			return
 		}
@@ -98,12 +99,12 @@
 			r := &table.Routes[i]
 			found, ok := table.Match(r.Host, r.Prefix+"x")
 			if !ok || found != r {
-				t.Fatalf("%+v is not found, but %+v", r, found)
+				t.Fatalf("%+v is not found; found %+v", r, found)
 			}
 			for _, where := range []float64{0, 0.5, math.Nextafter(1, 0), 1} {
-				picked := r.Pick(where)
+				picked := r.PickService(where)
 				if _, ok := table.Service(picked); !ok {
-					t.Fatalf("%+v at %v: %q", r, where, picked)
+					t.Fatalf("%+v at %v: picked the unknown service %q", r, where, picked)
 				}
 				weight := 0.0
 				for _, target := range r.Targets {
@@ -112,7 +113,7 @@
 					}
 				}
 				if weight <= 0 {
-					t.Fatalf("%+v at %v: %q without weight", r, where, picked)
+					t.Fatalf("%+v at %v: picked %q, which has no weight", r, where, picked)
 				}
 			}
 		}
@@ -120,12 +121,12 @@
 			for _, key := range tenant.Keys {
 				holder, ok := table.byKey[strings.ToLower(key)]
 				if !ok || holder.Name != tenant.Name {
-					t.Fatalf("%s is not %s's", key, tenant.Name)
+					t.Fatalf("key %s does not belong to %s", key, tenant.Name)
 				}
 			}
 		}
-		table.Whose("x")
-		// A list that is left out is an empty one.
+		table.TenantByKey("x")
+		// A missing list is written as an empty one.
 		if table.Routes == nil {
 			table.Routes = []Route{}
 		}
@@ -146,16 +147,16 @@
 	})
 }
 
-// TestKeysOfEitherCase: a digest is the same key however it is written.
+// TestKeysOfEitherCase checks that the hex digits of a digest are case-insensitive.
 func TestKeysOfEitherCase(t *testing.T) {
 	table, faults := Parse([]byte(strings.Replace(example, digest, strings.ToUpper(digest), 1)))
 	if faults != nil {
 		t.Fatal(faults)
 	}
-	if configuration.Sum("foo") != digest {
-		t.Fatal("the example's key is another")
+	if configuration.KeyDigest("foo") != digest {
+		t.Fatal("the digest of the example does not match its key")
 	}
-	if _, ok := table.Whose("foo"); !ok {
-		t.Error("a key in capital digits is not known")
+	if _, ok := table.TenantByKey("foo"); !ok {
+		t.Error("a key with a digest in upper case is unknown")
 	}
 }
--- a/rule/verdict/verdict.go
+++ b/rule/verdict/verdict.go
@@ -1,6 +1,6 @@
-// Package verdict holds the one type that every decision about an inquiry is
-// returned as: whether it was gated, warned or refused, by which check, and
-// whether the work may have run.
+// Package verdict defines the result of every decision about a request: whether it is
+// allowed, allowed with warnings or refused, by which check, and whether the requested work
+// may have been executed. Start reading at Verdict.
 package verdict
 
 import (
@@ -8,48 +8,49 @@
 	"time"
 )
 
-// Ran says whether the work that an inquiry asked for was done.
-type Ran string
+// Execution says whether the work of a request was executed.
+type Execution string
 
-// The three states of work. No is a promise: the work was not done and never
-// will be on behalf of this inquiry.
+// States of execution. NotExecuted is a guarantee: the work has not been executed and never
+// will be for this request. MaybeExecuted is the answer whenever that cannot be known.
 const (
-	No    Ran = "no"
-	Maybe Ran = "maybe"
-	Yes   Ran = "yes"
+	NotExecuted   Execution = "no"
+	MaybeExecuted Execution = "maybe"
+	Executed      Execution = "yes"
 )
 
 // Kind is the outcome of a decision.
 type Kind string
 
-// The three outcomes.
+// Kinds of verdicts. The outer name of Allow is "gate".
 const (
-	Gate   Kind = "gate"
+	Allow  Kind = "gate"
 	Warn   Kind = "warn"
 	Refuse Kind = "refuse"
 )
 
-// Warning is one allowance that is nearly or softly used up.
+// Warning reports a quota that is nearly used up or whose soft limit is exceeded.
 type Warning struct {
 	Scope string `json:"scope" msgpack:"s"`
 	Used  int64  `json:"used" msgpack:"u"`
-	Of    int64  `json:"of" msgpack:"o"`
+	Limit int64  `json:"of" msgpack:"o"`
 }
 
-// Verdict is what a check, or a chain of checks, decided.
+// Verdict is the decision of a check or of a chain of checks. Status is an HTTP status;
+// Head is the hash of the conversation's history (see package program), or empty.
 type Verdict struct {
 	Kind       Kind          `json:"verdict" msgpack:"k"`
 	Check      string        `json:"check,omitempty" msgpack:"c"`
 	Code       string        `json:"code,omitempty" msgpack:"d"`
 	Reason     string        `json:"reason,omitempty" msgpack:"r"`
-	Ran        Ran           `json:"ran" msgpack:"n"`
+	Ran        Execution     `json:"ran" msgpack:"n"`
 	Status     int           `json:"-" msgpack:"t"`
 	RetryAfter time.Duration `json:"-" msgpack:"a"`
 	Head       string        `json:"head,omitempty" msgpack:"h"`
 	Warnings   []Warning     `json:"warnings,omitempty" msgpack:"w"`
 }
 
-// Error makes a refusing verdict usable as an error.
+// Error implements error for refusals.
 func (v Verdict) Error() string {
 	return fmt.Sprintf("%s (%s): %s; ran: %s", v.Code, v.Check, v.Reason, v.Ran)
 }
@@ -57,33 +58,34 @@
 // Refused reports whether the verdict is a refusal.
 func (v Verdict) Refused() bool { return v.Kind == Refuse }
 
-// Gated is a gating verdict, or a warning one where there are warnings.
-func Gated(ran Ran, warnings []Warning) Verdict {
+// Allowed returns an allowing verdict, of kind Warn if there are warnings.
+func Allowed(ran Execution, warnings []Warning) Verdict {
 	if len(warnings) > 0 {
 		return Verdict{Kind: Warn, Ran: ran, Status: 200, Warnings: warnings}
 	}
-	return Verdict{Kind: Gate, Ran: ran, Status: 200}
+	return Verdict{Kind: Allow, Ran: ran, Status: 200}
 }
 
-// Refusal describes a refusal to build.
+// Refusal holds the parameters of Refused.
 type Refusal struct {
 	Check, Code, Reason string
 	Status              int
-	Ran                 Ran
+	Ran                 Execution
 	RetryAfter          time.Duration
 	Head                string
 }
 
-// Refused builds a refusing verdict; work that is not said to have run did not.
+// Refused returns a refusing verdict. An empty Ran means NotExecuted.
 func Refused(r Refusal) Verdict {
 	if r.Ran == "" {
-		r.Ran = No
+		r.Ran = NotExecuted
 	}
 	return Verdict{Kind: Refuse, Check: r.Check, Code: r.Code, Reason: r.Reason,
 		Ran: r.Ran, Status: r.Status, RetryAfter: r.RetryAfter, Head: r.Head}
 }
 
-// Later is the refusal of a process that is unsure: not run, come back.
-func Later(check, reason string, after time.Duration) Verdict {
+// RetryLater returns a temporary refusal with status 503: the work was not executed, and the
+// client may retry after the given time.
+func RetryLater(check, reason string, after time.Duration) Verdict {
 	return Refused(Refusal{Check: check, Code: "come_back", Reason: reason, Status: 503, RetryAfter: after})
 }
--- a/saffronfall/amend.go
+++ b/saffronfall/amend.go
@@ -85,7 +85,7 @@
 	fmt.Fprintf(out, "on table %d:\n", base)
 	kinds := []struct {
 		name    string
-		changed route.Changed
+		changed route.ChangedNames
 	}{{"routes", p.Routes}, {"services", p.Services}, {"tenants", p.Tenants}}
 	nothing := true
 	for _, kind := range kinds {
--- a/saffronfall/amend_test.go
+++ b/saffronfall/amend_test.go
@@ -48,7 +48,7 @@
 	if err != nil || printed != "table 9 taken\n" || query != "base=7" || !strings.Contains(body, `"old"`) {
 		t.Errorf("taken: %q, %q, %q, %v", printed, query, body, err)
 	}
-	printed, query, _, err = amendBy(t, true, http.StatusOK, desk.Handed{Number: 7, Preview: &route.Preview{Routes: route.Changed{Removed: []string{"old"}}}})
+	printed, query, _, err = amendBy(t, true, http.StatusOK, desk.Handed{Number: 7, Preview: &route.Preview{Routes: route.ChangedNames{Removed: []string{"old"}}}})
 	if err != nil || printed != "on table 7:\n  routes removed: old\n" || query != "base=7&preview=true" {
 		t.Errorf("preview: %q, %q, %v", printed, query, err)
 	}
--- a/saffronfall/main.go
+++ b/saffronfall/main.go
@@ -348,11 +348,11 @@
 func (settingsCommand) Run() error {
 	for _, table := range []struct {
 		name string
-		rows []configuration.Row
-	}{{"a process", params.Rows}, {"a description", configuration.Rows}} {
+		rows []configuration.Setting
+	}{{"a process", params.Rows}, {"a description", configuration.Settings}} {
 		fmt.Printf("Settings of %s:\n", table.name)
 		for _, r := range table.rows {
-			fmt.Printf("  %-44s %-7s default %-14v %s\n", r.Path, r.Type, r.Default, r.About)
+			fmt.Printf("  %-44s %-7s default %-14v %s\n", r.Path, r.Type, r.Default, r.Help)
 		}
 	}
 	return nil
--- a/saffronfall/params/params.go
+++ b/saffronfall/params/params.go
@@ -83,41 +83,41 @@
 }
 
 // Rows is the table of a process's settings.
-var Rows = []configuration.Row{
-	{Path: "id", Type: "text", Required: true, Check: name, About: "this process's name; no other process of the fleet has it"},
-	{Path: "zone", Type: "text", Default: "zone-1", Check: name, About: "where this machine stands"},
-	{Path: "folder", Type: "text", Default: "", About: "data folder; cores need one"},
-	{Path: "seeds", Type: "texts", Default: []any{}, Check: addresses, About: "peer addresses of three other processes, by IP number"},
-	{Path: "fleet_secret", Type: "text", Required: true, Check: secret, About: "what the fleet's own processes prove to each other"},
-	{Path: "operator_key", Type: "text", Default: "", About: "key that operators show; empty: none is let in"},
-	{Path: "replica_key", Type: "text", Default: "", About: "key that replicas show when they announce themselves; empty: none is let in"},
-	{Path: "peer_listen", Type: "text", Default: "127.0.0.1:7000", Check: address, About: "where the fleet's own processes reach this one"},
-	{Path: "peer_advertise", Type: "text", Default: "", Check: maybeAddress, About: "what the others are told; empty: as listened on"},
-	{Path: "operator_listen", Type: "text", Default: "127.0.0.1:7001", Check: address, About: "where operators reach this process"},
-	{Path: "operator_advertise", Type: "text", Default: "", Check: maybeAddress, About: "what operators are told; empty: as listened on"},
-	{Path: "requester_listen", Type: "text", Default: "127.0.0.1:7002", Check: address, About: "where requesters and replicas reach a node"},
-	{Path: "requester_advertise", Type: "text", Default: "", Check: maybeAddress, About: "what requesters are told; empty: as listened on"},
-	{Path: "owner_term_ms", Type: "int", Default: 600, Min: 50, Max: 60000, About: "term of a part's owner"},
-	{Path: "member_term_ms", Type: "int", Default: 5000, Min: 200, Max: 120000, About: "term of a node: how long it may go on alone, and how long its programs wait for a successor"},
-	{Path: "pull_ms", Type: "int", Default: 150, Min: 10, Max: 1000, About: "how often a node pulls news; well below two seconds"},
-	{Path: "newest_ms", Type: "int", Default: 1700, Min: 100, Max: 1900, About: "how old a replica's announcement may be when a shot is made; below two seconds"},
-	{Path: "retry_ms", Type: "int", Default: 150, Min: 10, Max: 10000, About: "how long one attempt at a command may take"},
-	{Path: "patience_ms", Type: "int", Default: 1000, Min: 0, Max: 60000, About: "longest wait of a shot for its tenant's rate"},
-	{Path: "budget_ms", Type: "int", Default: 30000, Min: 100, Max: 600000, About: "budget of inquiries that name none"},
-	{Path: "grace_ms", Type: "int", Default: 5000, Min: 0, Max: 120000, About: "how long a drain may take"},
-	{Path: "drift", Type: "number", Default: 0.1, Min: 0.001, Max: 1, About: "ratio by which a giver counts a term longer than its holder"},
-	{Path: "buffer", Type: "int", Default: 1024, Min: 8, Max: 1e6, About: "room of every buffer"},
-	{Path: "largest_inquiry_bytes", Type: "int", Default: 1 << 20, Min: 1024, Max: 64 << 20, About: "largest body of an inquiry"},
-	{Path: "urgent_ratio", Type: "number", Default: 0.25, Min: 0, Max: 0.9, About: "part of the buffers kept for urgent services"},
-	{Path: "cold_start", Type: "bool", Default: false, About: "this core may found a fleet, or be founded, when its folder is empty and no fleet is found"},
-	{Path: "core_gone_ms", Type: "int", Default: 0, Min: 0, Max: 3600000, About: "after how long a silent core's seats go to others; 0: three terms of a node"},
-	{Path: "order_keep_hours", Type: "int", Default: 24, Min: 1, Max: 8760, About: "for how long an accepted order of an operator is acknowledged when it comes again"},
-	{Path: "group_seats", Type: "int", Default: 3, Min: 1, Max: 9, About: "cores that keep each part of a fleet that is founded anew; 3 bear the loss of one, 5 of two"},
-	{Path: "log_verbosity", Type: "int", Default: 0, Min: 0, Max: 4, About: "how much is logged beyond changes of state"},
+var Rows = []configuration.Setting{
+	{Path: "id", Type: "text", Required: true, Check: name, Help: "this process's name; no other process of the fleet has it"},
+	{Path: "zone", Type: "text", Default: "zone-1", Check: name, Help: "where this machine stands"},
+	{Path: "folder", Type: "text", Default: "", Help: "data folder; cores need one"},
+	{Path: "seeds", Type: "texts", Default: []any{}, Check: addresses, Help: "peer addresses of three other processes, by IP number"},
+	{Path: "fleet_secret", Type: "text", Required: true, Check: secret, Help: "what the fleet's own processes prove to each other"},
+	{Path: "operator_key", Type: "text", Default: "", Help: "key that operators show; empty: none is let in"},
+	{Path: "replica_key", Type: "text", Default: "", Help: "key that replicas show when they announce themselves; empty: none is let in"},
+	{Path: "peer_listen", Type: "text", Default: "127.0.0.1:7000", Check: address, Help: "where the fleet's own processes reach this one"},
+	{Path: "peer_advertise", Type: "text", Default: "", Check: maybeAddress, Help: "what the others are told; empty: as listened on"},
+	{Path: "operator_listen", Type: "text", Default: "127.0.0.1:7001", Check: address, Help: "where operators reach this process"},
+	{Path: "operator_advertise", Type: "text", Default: "", Check: maybeAddress, Help: "what operators are told; empty: as listened on"},
+	{Path: "requester_listen", Type: "text", Default: "127.0.0.1:7002", Check: address, Help: "where requesters and replicas reach a node"},
+	{Path: "requester_advertise", Type: "text", Default: "", Check: maybeAddress, Help: "what requesters are told; empty: as listened on"},
+	{Path: "owner_term_ms", Type: "int", Default: 600, Min: 50, Max: 60000, Help: "term of a part's owner"},
+	{Path: "member_term_ms", Type: "int", Default: 5000, Min: 200, Max: 120000, Help: "term of a node: how long it may go on alone, and how long its programs wait for a successor"},
+	{Path: "pull_ms", Type: "int", Default: 150, Min: 10, Max: 1000, Help: "how often a node pulls news; well below two seconds"},
+	{Path: "newest_ms", Type: "int", Default: 1700, Min: 100, Max: 1900, Help: "how old a replica's announcement may be when a shot is made; below two seconds"},
+	{Path: "retry_ms", Type: "int", Default: 150, Min: 10, Max: 10000, Help: "how long one attempt at a command may take"},
+	{Path: "patience_ms", Type: "int", Default: 1000, Min: 0, Max: 60000, Help: "longest wait of a shot for its tenant's rate"},
+	{Path: "budget_ms", Type: "int", Default: 30000, Min: 100, Max: 600000, Help: "budget of inquiries that name none"},
+	{Path: "grace_ms", Type: "int", Default: 5000, Min: 0, Max: 120000, Help: "how long a drain may take"},
+	{Path: "drift", Type: "number", Default: 0.1, Min: 0.001, Max: 1, Help: "ratio by which a giver counts a term longer than its holder"},
+	{Path: "buffer", Type: "int", Default: 1024, Min: 8, Max: 1e6, Help: "room of every buffer"},
+	{Path: "largest_inquiry_bytes", Type: "int", Default: 1 << 20, Min: 1024, Max: 64 << 20, Help: "largest body of an inquiry"},
+	{Path: "urgent_ratio", Type: "number", Default: 0.25, Min: 0, Max: 0.9, Help: "part of the buffers kept for urgent services"},
+	{Path: "cold_start", Type: "bool", Default: false, Help: "this core may found a fleet, or be founded, when its folder is empty and no fleet is found"},
+	{Path: "core_gone_ms", Type: "int", Default: 0, Min: 0, Max: 3600000, Help: "after how long a silent core's seats go to others; 0: three terms of a node"},
+	{Path: "order_keep_hours", Type: "int", Default: 24, Min: 1, Max: 8760, Help: "for how long an accepted order of an operator is acknowledged when it comes again"},
+	{Path: "group_seats", Type: "int", Default: 3, Min: 1, Max: 9, Help: "cores that keep each part of a fleet that is founded anew; 3 bear the loss of one, 5 of two"},
+	{Path: "log_verbosity", Type: "int", Default: 0, Min: 0, Max: 4, Help: "how much is logged beyond changes of state"},
 }
 
 func name(value any) string {
-	if text, _ := value.(string); !configuration.Named(text) {
+	if text, _ := value.(string); !configuration.ValidName(text) {
 		return "a name of 1 to 64 letters, digits, '-', '_' or '.'"
 	}
 	return ""
--- a/saffronfall/params/params_test.go
+++ b/saffronfall/params/params_test.go
@@ -59,8 +59,8 @@
 			t.Errorf("no %q in:\n%s", want, text)
 		}
 	}
-	_, faults = configuration.Parse([]byte(`{"roles":{"viewer":{"program_tokens_soft":9,"program_tokens_hard":3}},"tenants":{"t":{"keys":[{"sha256":"` + configuration.Sum("k") + `","role":"ghost"}]},
-		"u":{"keys":[{"sha256":"` + configuration.Sum("k") + `"}]}},"services":{"m":{"kind":"model","past_breaker":true}}}`))
+	_, faults = configuration.Parse([]byte(`{"roles":{"viewer":{"program_tokens_soft":9,"program_tokens_hard":3}},"tenants":{"t":{"keys":[{"sha256":"` + configuration.KeyDigest("k") + `","role":"ghost"}]},
+		"u":{"keys":[{"sha256":"` + configuration.KeyDigest("k") + `"}]}},"services":{"m":{"kind":"model","past_breaker":true}}}`))
 	if len(faults) != 4 {
 		t.Errorf("faults between settings: %v", faults)
 	}
