--- a/rule/book/book_test.go
+++ b/rule/book/book_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestBookStaysSmall(t *testing.T) {
+func TestEndedAttemptsAreBounded(t *testing.T) {
 	var b Book
 	for i := 0; i < 1000; i++ {
 		id := fmt.Sprint(i)
--- a/rule/breaker/breaker.go
+++ b/rule/breaker/breaker.go
@@ -66,9 +66,9 @@
 	}
 	if b.State == HalfOpen {
 		kept := b.Probes[:0:0]
-		for _, t := range b.Probes {
-			if t.Succeeded || now < t.IssuedAt+p.Recovery {
-				kept = append(kept, t)
+		for _, probe := range b.Probes {
+			if probe.Succeeded || now < probe.IssuedAt+p.Recovery {
+				kept = append(kept, probe)
 			}
 		}
 		if len(kept) != len(b.Probes) {
@@ -122,8 +122,8 @@
 	if b.State != HalfOpen {
 		return 0
 	}
-	for i, t := range b.Probes {
-		if t.Program == program {
+	for i, probe := range b.Probes {
+		if probe.Program == program {
 			return i + 1
 		}
 	}
--- a/rule/configuration/description.go
+++ b/rule/configuration/description.go
@@ -142,7 +142,8 @@
 	return ""
 }
 
-// Parse decodes a description from JSON and validates it. It returns every fault found.
+// Parse decodes a description from JSON and validates it. It returns the faults of all single
+// settings or, if there are none, all faults between settings.
 func Parse(text []byte) (*Description, Faults) {
 	d := &Description{}
 	if faults := Read(text, Settings, d); faults != nil {
@@ -154,17 +155,17 @@
 // validate checks the constraints between settings.
 func (d *Description) validate() Faults {
 	var faults Faults
-	seen := map[string]string{}
+	tenantOfKey := map[string]string{}
 	for _, name := range d.TenantNames() {
 		t := d.Tenants[name]
 		for _, k := range t.Keys {
 			if _, ok := d.Roles[k.Role]; !ok {
 				faults = append(faults, Fault{"tenants." + name + ".keys.role", k.Role, "a role of this description"})
 			}
-			if other, ok := seen[k.SHA256]; ok {
+			if other, ok := tenantOfKey[k.SHA256]; ok {
 				faults = append(faults, Fault{"tenants." + name + ".keys.sha256", k.SHA256, "a key of one tenant only; also of " + other})
 			}
-			seen[k.SHA256] = name
+			tenantOfKey[k.SHA256] = name
 		}
 	}
 	for name, r := range d.Roles {
--- a/rule/configuration/settings.go
+++ b/rule/configuration/settings.go
@@ -48,8 +48,8 @@
 // Error implements error with one line per fault.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.String()
+	for i, fault := range f {
+		lines[i] = fault.String()
 	}
 	return strings.Join(lines, "\n")
 }
--- a/rule/message/message_test.go
+++ b/rule/message/message_test.go
@@ -40,7 +40,7 @@
 		Listed: []inner{one, {}}, ByName: map[string]inner{"k": one}, ByIndex: map[int]uint64{3: 4}}
 }
 
-func TestOpenGivesWhatWasPacked(t *testing.T) {
+func TestPackOpenRoundTrip(t *testing.T) {
 	for _, value := range []any{sample{}, full(), inner{ID: "x"}} {
 		raw := Pack(value)
 		opened, err := Open(raw)
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestCutMessages checks that a message truncated at any byte is refused.
-func TestCutMessages(t *testing.T) {
+// TestTruncatedMessagesAreRefused checks that a message truncated at any byte is refused.
+func TestTruncatedMessagesAreRefused(t *testing.T) {
 	raw := Pack(full())
 	for cut := range len(raw) {
 		if body, err := Open(raw[:cut]); err == nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestUnknownTypesAreToldApart(t *testing.T) {
+func TestUnknownTypeIsErrUnknown(t *testing.T) {
 	name := Marshal("message.newer")
 	if _, err := Open(append(name, Marshal(inner{})...)); !errors.Is(err, ErrUnknown) {
 		t.Errorf("unregistered type: %v", err)
@@ -73,8 +73,8 @@
 	}
 }
 
-// FuzzOpen checks that malformed input is refused, and that a decoded message survives another
-// round trip unchanged.
+// FuzzOpen checks that malformed input is refused, and that a decoded message can be encoded
+// and decoded again and keeps its encoded size.
 func FuzzOpen(f *testing.F) {
 	f.Add(Pack(full()))
 	f.Add(Pack(sample{}))
--- a/rule/message/schematest/describe.go
+++ b/rule/message/schematest/describe.go
@@ -58,8 +58,8 @@
 
 // hasCustomEncoding reports whether a type implements its own encoding.
 func hasCustomEncoding(t reflect.Type, encoding Encoding) bool {
-	for _, one := range customEncoders[encoding] {
-		if t.Implements(one) || reflect.PointerTo(t).Implements(one) {
+	for _, interfaceType := range customEncoders[encoding] {
+		if t.Implements(interfaceType) || reflect.PointerTo(t).Implements(interfaceType) {
 			return true
 		}
 	}
@@ -105,8 +105,8 @@
 }
 
 func (d *describer) describeStruct(t reflect.Type, indent int) {
-	for i, one := range d.open {
-		if one == t {
+	for i, outer := range d.open {
+		if outer == t {
 			fmt.Fprintf(&d.text, "struct %d levels up", len(d.open)-i)
 			return
 		}
@@ -165,13 +165,13 @@
 		if f.Anonymous && inner.Kind() == reflect.Struct && inner != timeType && !hasCustomEncoding(inner, MessagePack) && !strings.Contains(options, "noinline") {
 			inlined, _ := msgpackFields(inner)
 			shadowed := false
-			for _, one := range inlined {
-				shadowed = shadowed || named[one.name]
+			for _, nested := range inlined {
+				shadowed = shadowed || named[nested.name]
 			}
 			if !shadowed {
-				for _, one := range inlined {
-					named[one.name] = true
-					list = append(list, one)
+				for _, nested := range inlined {
+					named[nested.name] = true
+					list = append(list, nested)
 				}
 				continue
 			}
@@ -192,15 +192,15 @@
 	var all []field
 	collectJSON(t, 0, &all)
 	minDepth := map[string]int{}
-	for _, one := range all {
-		if depth, ok := minDepth[one.name]; !ok || one.depth < depth {
-			minDepth[one.name] = one.depth
+	for _, f := range all {
+		if depth, ok := minDepth[f.name]; !ok || f.depth < depth {
+			minDepth[f.name] = f.depth
 		}
 	}
 	var list []field
-	for _, one := range all {
-		if one.depth == minDepth[one.name] {
-			list = append(list, one)
+	for _, f := range all {
+		if f.depth == minDepth[f.name] {
+			list = append(list, f)
 		}
 	}
 	return list
--- a/rule/message/schematest/fill.go
+++ b/rule/message/schematest/fill.go
@@ -101,8 +101,8 @@
 	f.open[t] = true
 	defer delete(f.open, t)
 	for i := range t.NumField() {
-		one := t.Field(i)
-		if one.IsExported() || one.Anonymous && one.Type.Kind() == reflect.Struct {
+		structField := t.Field(i)
+		if structField.IsExported() || structField.Anonymous && structField.Type.Kind() == reflect.Struct {
 			f.fill(v.Field(i))
 		}
 	}
--- a/rule/message/schematest/schematest.go
+++ b/rule/message/schematest/schematest.go
@@ -88,14 +88,14 @@
 	path := filepath.Join("testdata", name+".golden")
 	var text strings.Builder
 	got := map[string]string{}
-	for _, one := range entries {
-		title := fmt.Sprintf("%s (%s)", one.Name, one.Encoding)
+	for _, entry := range entries {
+		title := fmt.Sprintf("%s (%s)", entry.Name, entry.Encoding)
 		if _, twice := got[title]; twice {
 			t.Fatalf("two entries have the name %s", title)
 		}
-		got[title] = one.section(t)
-		for _, name := range Untagged(one.Type, one.Encoding) {
-			t.Errorf("%s: field %s has no %s tag with its outer name", title, name, one.Encoding)
+		got[title] = entry.section(t)
+		for _, name := range Untagged(entry.Type, entry.Encoding) {
+			t.Errorf("%s: field %s has no %s tag with its outer name", title, name, entry.Encoding)
 		}
 		text.WriteString("== " + title + "\n" + got[title])
 	}
@@ -133,8 +133,8 @@
 
 func sections(text string) map[string]string {
 	list := map[string]string{}
-	for _, one := range strings.Split("\n"+text, "\n== ")[1:] {
-		title, body, _ := strings.Cut(one, "\n")
+	for _, section := range strings.Split("\n"+text, "\n== ")[1:] {
+		title, body, _ := strings.Cut(section, "\n")
 		list[title] = strings.TrimSuffix(body, "\n") + "\n"
 	}
 	return list
--- a/rule/route/amendment.go
+++ b/rule/route/amendment.go
@@ -76,22 +76,22 @@
 // conflictingNames reports names that are empty, set twice, or both set and removed.
 func conflictingNames[T any](list string, set []T, removed []string, name func(T) string) (faults configuration.Faults) {
 	isSet := map[string]bool{}
-	for i, one := range set {
+	for i, item := range set {
 		path := "set." + list + "[" + strconv.Itoa(i) + "].name"
 		switch {
-		case name(one) == "":
+		case name(item) == "":
 			faults = append(faults, configuration.Fault{Path: path, Value: "", Allowed: "the name of the item"})
-		case isSet[name(one)]:
-			faults = append(faults, configuration.Fault{Path: path, Value: name(one), Allowed: "a name that is set once"})
+		case isSet[name(item)]:
+			faults = append(faults, configuration.Fault{Path: path, Value: name(item), Allowed: "a name that is set once"})
 		}
-		isSet[name(one)] = true
+		isSet[name(item)] = true
 	}
-	for i, one := range removed {
-		if one == "" {
-			faults = append(faults, configuration.Fault{Path: "remove." + list + "[" + strconv.Itoa(i) + "]", Value: one, Allowed: "the name of the item"})
+	for i, item := range removed {
+		if item == "" {
+			faults = append(faults, configuration.Fault{Path: "remove." + list + "[" + strconv.Itoa(i) + "]", Value: item, Allowed: "the name of the item"})
 		}
-		if isSet[one] {
-			faults = append(faults, configuration.Fault{Path: "remove." + list + "[" + strconv.Itoa(i) + "]", Value: one, Allowed: "a name that is not set by the same amendment"})
+		if isSet[item] {
+			faults = append(faults, configuration.Fault{Path: "remove." + list + "[" + strconv.Itoa(i) + "]", Value: item, Allowed: "a name that is not set by the same amendment"})
 		}
 	}
 	return faults
@@ -124,16 +124,16 @@
 // table share, as they do not identify one item.
 func duplicateNames[T any](list string, current, set []T, removed []string, name func(T) string) (faults configuration.Faults) {
 	count := map[string]int{}
-	for _, one := range current {
-		count[name(one)]++
+	for _, item := range current {
+		count[name(item)]++
 	}
 	named := append([]string{}, removed...)
-	for _, one := range set {
-		named = append(named, name(one))
+	for _, item := range set {
+		named = append(named, name(item))
 	}
-	for _, one := range named {
-		if count[one] > 1 {
-			faults = append(faults, configuration.Fault{Path: list, Value: one, Allowed: "a name of exactly one item of the current table"})
+	for _, item := range named {
+		if count[item] > 1 {
+			faults = append(faults, configuration.Fault{Path: list, Value: item, Allowed: "a name of exactly one item of the current table"})
 		}
 	}
 	return faults
@@ -164,15 +164,15 @@
 
 func changedNames[T any](current, next []T, name func(T) string) (c ChangedNames) {
 	existing := make(map[string]bool, len(current))
-	for _, one := range current {
-		existing[name(one)] = true
+	for _, item := range current {
+		existing[name(item)] = true
 	}
 	set, removed := diff(current, next, name)
-	for _, one := range set {
-		if existing[name(one)] {
-			c.Replaced = append(c.Replaced, name(one))
+	for _, item := range set {
+		if existing[name(item)] {
+			c.Replaced = append(c.Replaced, name(item))
 		} else {
-			c.Added = append(c.Added, name(one))
+			c.Added = append(c.Added, name(item))
 		}
 	}
 	c.Removed = removed
--- a/rule/route/amendment_test.go
+++ b/rule/route/amendment_test.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestAmendmentOfAmbiguousNames checks that a name shared by two routes cannot be amended,
+// TestAmendmentRefusesAmbiguousNames checks that a name shared by two routes cannot be amended,
 // nor a table that was translated from another text.
-func TestAmendmentOfAmbiguousNames(t *testing.T) {
+func TestAmendmentRefusesAmbiguousNames(t *testing.T) {
 	current := parsed(t, strings.Replace(amended, `"name":"old"`, `"name":"chat"`, 1))
 	if _, faults := (Amendment{Number: 4, Remove: RemovedNames{Routes: []string{"chat"}}}).Apply(current); len(faults) == 0 {
 		t.Error("one of two routes with the same name was removed")
--- a/rule/route/difference.go
+++ b/rule/route/difference.go
@@ -54,19 +54,19 @@
 // the items that only base has.
 func diff[T any, K comparable](base, next []T, key func(T) K) (set []T, removed []K) {
 	before := make(map[K]T, len(base))
-	for _, one := range base {
-		before[key(one)] = one
+	for _, item := range base {
+		before[key(item)] = item
 	}
-	for _, one := range next {
-		old, ok := before[key(one)]
-		if !ok || !reflect.DeepEqual(old, one) {
-			set = append(set, one)
+	for _, item := range next {
+		old, ok := before[key(item)]
+		if !ok || !reflect.DeepEqual(old, item) {
+			set = append(set, item)
 		}
-		delete(before, key(one))
+		delete(before, key(item))
 	}
-	for _, one := range base {
-		if _, ok := before[key(one)]; ok {
-			removed = append(removed, key(one))
+	for _, item := range base {
+		if _, ok := before[key(item)]; ok {
+			removed = append(removed, key(item))
 		}
 	}
 	return set, removed
@@ -111,24 +111,24 @@
 // merge returns base without the removed items and with those of set replaced or appended.
 func merge[T any, K comparable](base, set []T, removed []K, key func(T) K) []T {
 	changed := make(map[K]T, len(set))
-	for _, one := range set {
-		changed[key(one)] = one
+	for _, item := range set {
+		changed[key(item)] = item
 	}
 	next := make([]T, 0, len(base)+len(set))
-	for _, one := range base {
-		if slices.Contains(removed, key(one)) {
+	for _, item := range base {
+		if slices.Contains(removed, key(item)) {
 			continue
 		}
-		if other, ok := changed[key(one)]; ok {
-			one = other
-			delete(changed, key(one))
+		if replacement, ok := changed[key(item)]; ok {
+			item = replacement
+			delete(changed, key(item))
 		}
-		next = append(next, one)
+		next = append(next, item)
 	}
-	for _, one := range set {
-		if _, added := changed[key(one)]; added {
-			next = append(next, one)
-			delete(changed, key(one))
+	for _, item := range set {
+		if _, added := changed[key(item)]; added {
+			next = append(next, item)
+			delete(changed, key(item))
 		}
 	}
 	return next
--- a/rule/route/difference_test.go
+++ b/rule/route/difference_test.go
@@ -62,9 +62,9 @@
 	return plain
 }
 
-// TestDifferenceGivesTheNextTable checks that an encoded and decoded difference produces the
+// TestDifferenceRoundTrip checks that an encoded and decoded difference produces the
 // same table as parsing its JSON does, with the same lookups.
-func TestDifferenceGivesTheNextTable(t *testing.T) {
+func TestDifferenceRoundTrip(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for round := range 400 {
 		base, next := randomTable(t, 3, random), randomTable(t, 5, random)
@@ -110,8 +110,8 @@
 	return string(text)
 }
 
-// TestDifferenceOfOneRouteIsSmall checks that unchanged items are left out.
-func TestDifferenceOfOneRouteIsSmall(t *testing.T) {
+// TestDifferenceOmitsUnchangedItems checks that unchanged items are left out.
+func TestDifferenceOmitsUnchangedItems(t *testing.T) {
 	base := randomTable(t, 1, rand.New(rand.NewPCG(3, 4)))
 	text, _ := json.Marshal(base)
 	next, faults := Parse([]byte(strings.Replace(string(text), `"number":1`, `"number":2`, 1)))
@@ -124,9 +124,9 @@
 	}
 }
 
-// TestDifferenceOnAnotherTable checks that a difference is refused on a base with another
+// TestDifferenceRefusesOtherBase checks that a difference is refused on a base with another
 // number or digest, without a base, and if its result is older or invalid.
-func TestDifferenceOnAnotherTable(t *testing.T) {
+func TestDifferenceRefusesOtherBase(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	base, next := randomTable(t, 3, random), randomTable(t, 5, random)
 	good := Compare(base, "three", next, "five")
--- a/rule/route/table.go
+++ b/rule/route/table.go
@@ -68,18 +68,22 @@
 	// Connections is the number of connections that a replica accepts from all nodes.
 	Connections    int64 `json:"connections" msgpack:"Connections"`
 	TokensPerEvent int64 `json:"tokens_per_event" msgpack:"TokensPerEvent"`
-	Slots          int64 `json:"slots" msgpack:"Slots"`
-	CacheTokens    int64 `json:"cache_tokens" msgpack:"CacheTokens"`
+	// Slots is the number of concurrent requests of a replica; 0 means as it announces.
+	Slots int64 `json:"slots" msgpack:"Slots"`
+	// CacheTokens is the size of a replica's prompt cache.
+	CacheTokens int64 `json:"cache_tokens" msgpack:"CacheTokens"`
 }
 
 // Tenant is a customer with its keys and request limits.
 type Tenant struct {
 	Name string `json:"name" msgpack:"Name"`
 	// Keys are the SHA-256 digests of the tenant's keys, in hex.
-	Keys    []string `json:"keys" msgpack:"Keys"`
-	Rate    float64  `json:"rate" msgpack:"Rate"`
-	Burst   float64  `json:"burst" msgpack:"Burst"`
-	Urgency *int64   `json:"urgency,omitempty" msgpack:"Urgency"`
+	Keys []string `json:"keys" msgpack:"Keys"`
+	// Rate is in requests per second over all nodes; 0 means no limit.
+	Rate  float64 `json:"rate" msgpack:"Rate"`
+	Burst float64 `json:"burst" msgpack:"Burst"`
+	// Urgency overrides the urgency of the route, if set.
+	Urgency *int64 `json:"urgency,omitempty" msgpack:"Urgency"`
 }
 
 // Limits bound the size of requests, in bytes.
@@ -90,12 +94,13 @@
 
 // Table is one version of the routing table. Later versions have higher numbers.
 type Table struct {
-	Number      uint64    `json:"number"`
-	Routes      []Route   `json:"routes"`
-	Services    []Service `json:"services"`
-	Tenants     []Tenant  `json:"tenants"`
-	KeyRequired bool      `json:"keyed"`
-	Limits      Limits    `json:"limits"`
+	Number   uint64    `json:"number"`
+	Routes   []Route   `json:"routes"`
+	Services []Service `json:"services"`
+	Tenants  []Tenant  `json:"tenants"`
+	// KeyRequired refuses requests without a tenant's key, except on public routes.
+	KeyRequired bool   `json:"keyed"`
+	Limits      Limits `json:"limits"`
 	// Source is the operator's text that the table was translated from, or empty. It is
 	// returned unchanged.
 	Source string `json:"source,omitempty"`
@@ -153,8 +158,8 @@
 
 func checkDigests(value any) string {
 	list, _ := value.([]any)
-	for _, one := range list {
-		text, _ := one.(string)
+	for _, digest := range list {
+		text, _ := digest.(string)
 		if raw, err := hex.DecodeString(text); err != nil || len(raw) != 32 {
 			return "each 64 hexadecimal digits"
 		}
@@ -162,7 +167,8 @@
 	return ""
 }
 
-// Parse decodes a table from JSON and validates it. It returns every fault found.
+// Parse decodes a table from JSON and validates it. It returns the faults of all single
+// settings or, if there are none, all faults between settings.
 func Parse(text []byte) (*Table, configuration.Faults) {
 	t := &Table{}
 	if faults := configuration.Read(text, Settings, t); faults != nil {
@@ -208,7 +214,7 @@
 			report(path+".targets.weight", weight, "weights with a sum above 0")
 		}
 	}
-	holders, names := map[string]string{}, map[string]bool{}
+	tenantOfKey, names := map[string]string{}, map[string]bool{}
 	for i, tenant := range t.Tenants {
 		path := "tenants[" + strconv.Itoa(i) + "]"
 		if names[tenant.Name] {
@@ -217,10 +223,10 @@
 		names[tenant.Name] = true
 		for _, key := range tenant.Keys {
 			key = strings.ToLower(key)
-			if other, ok := holders[key]; ok && other != tenant.Name {
+			if other, ok := tenantOfKey[key]; ok && other != tenant.Name {
 				report(path+".keys", key, "a key of one tenant only; also of "+other)
 			}
-			holders[key] = tenant.Name
+			tenantOfKey[key] = tenant.Name
 		}
 	}
 	return faults
--- a/rule/route/table_test.go
+++ b/rule/route/table_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestParseFaults(t *testing.T) {
 	for name, change := range map[string][2]string{
 		"same host in other case": {`"host":"a.example","prefix":"/x/"`, `"host":"a.EXAMPLE","prefix":"/"`},
 		"unknown service":         {`{"service":"t"}]}],`, `{"service":"u"}]}],`},
@@ -147,8 +147,8 @@
 	})
 }
 
-// TestKeysOfEitherCase checks that the hex digits of a digest are case-insensitive.
-func TestKeysOfEitherCase(t *testing.T) {
+// TestKeyDigestsIgnoreCase checks that the hex digits of a digest are case-insensitive.
+func TestKeyDigestsIgnoreCase(t *testing.T) {
 	table, faults := Parse([]byte(strings.Replace(example, digest, strings.ToUpper(digest), 1)))
 	if faults != nil {
 		t.Fatal(faults)
