--- a/peer/replica/announce.go
+++ b/peer/replica/announce.go
@@ -50,7 +50,7 @@
 		}
 		host, _, err := net.SplitHostPort(announcement.Address)
 		switch {
-		case !configuration.Named(announcement.Service) || !configuration.Named(announcement.ID):
+		case !configuration.ValidName(announcement.Service) || !configuration.ValidName(announcement.ID):
 			refuse(400, "malformed", "service and id must be names")
 		case err != nil || net.ParseIP(host) == nil:
 			refuse(400, "malformed", "address must be an IP number and a port")
--- a/peer/requester/handler.go
+++ b/peer/requester/handler.go
@@ -70,7 +70,7 @@
 	}
 	handle("POST /v1/programs", func(q *node.Inquiry, b body, r *http.Request) string {
 		q.Kind, q.User = node.Open, b.User
-		if !configuration.Named(b.User) {
+		if !configuration.ValidName(b.User) {
 			return "user must be a name"
 		}
 		return ""
@@ -88,7 +88,7 @@
 			return "say must not be empty"
 		case b.MaxTokens < 0:
 			return "max_tokens must not be negative"
-		case b.Helper != "" && !configuration.Named(b.Helper):
+		case b.Helper != "" && !configuration.ValidName(b.Helper):
 			return "helper must be a name"
 		}
 		return ""
@@ -130,7 +130,7 @@
 	mux.HandleFunc("GET /counters", func(w http.ResponseWriter, r *http.Request) {
 		counts, err := backend.Counters(r.Context())
 		if err != nil {
-			writeVerdict(w, verdict.Later("node", "busy", time.Second), 503)
+			writeVerdict(w, verdict.RetryLater("node", "busy", time.Second), 503)
 			return
 		}
 		writeJSON(w, 200, counts)
@@ -206,7 +206,7 @@
 	}
 	pieces, ok := backend.Submit(r.Context(), q)
 	if !ok {
-		writeVerdict(w, verdict.Later("buffer", "this node's buffer is full", time.Second), 503)
+		writeVerdict(w, verdict.RetryLater("buffer", "this node's buffer is full", time.Second), 503)
 		return
 	}
 	writePieces(w, pieces)
@@ -235,7 +235,7 @@
 			if p.End == "repeated" {
 				w.Header().Set("Saffronfall-Repeated", "true")
 			}
-			w.Header().Set("Saffronfall-Ran", string(verdict.Yes))
+			w.Header().Set("Saffronfall-Ran", string(verdict.Executed))
 			if len(p.Verdict.Warnings) > 0 {
 				raw, _ := json.Marshal(p.Verdict.Warnings)
 				w.Header().Set("Saffronfall-Warnings", string(raw))
@@ -252,7 +252,7 @@
 			flusher.Flush()
 		case node.PieceClose:
 			encoder.Encode(map[string]any{"closing": true, "status": p.End, "tokens": p.Tokens, "head": p.Head,
-				"verdict": p.Verdict.Kind, "warnings": p.Verdict.Warnings, "ran": verdict.Yes})
+				"verdict": p.Verdict.Kind, "warnings": p.Verdict.Warnings, "ran": verdict.Executed})
 			return
 		case node.PieceBreak:
 			panic(http.ErrAbortHandler)
--- a/peer/requester/requester_test.go
+++ b/peer/requester/requester_test.go
@@ -58,7 +58,7 @@
 		w := request(&backend{}, c.method, c.path, c.key, c.body)
 		var answer Answer
 		json.Unmarshal(w.Body.Bytes(), &answer)
-		if w.Code != c.status || answer.Code != c.code || answer.Ran != verdict.No || answer.Reason == "" {
+		if w.Code != c.status || answer.Code != c.code || answer.Ran != verdict.NotExecuted || answer.Reason == "" {
 			t.Errorf("%s: %d %s", c.name, w.Code, w.Body)
 		}
 	}
--- a/rule/rehearsal/rehearsal.go
+++ b/rule/rehearsal/rehearsal.go
@@ -76,7 +76,7 @@
 func Run(before, after *configuration.Description, samples []Sample) Result {
 	list := append([]Sample(nil), samples...)
 	sort.SliceStable(list, func(i, j int) bool { return list[i].Age > list[j].Age })
-	result := Result{ByCheck: map[string]int64{}, ByTenant: map[string]int64{}, AllowedRatio: after.Approval.NewlyRefusedRatio, LeastRequests: after.Approval.LeastInquiries}
+	result := Result{ByCheck: map[string]int64{}, ByTenant: map[string]int64{}, AllowedRatio: after.Approval.NewlyRefusedRatio, LeastRequests: after.Approval.MinRequests}
 	inForce := newReplay(before)
 	planned := newReplay(after)
 	var start time.Duration
@@ -181,7 +181,7 @@
 		b = &bucket{tokens: float64(t.Burst), at: at}
 		r.buckets[s.Tenant] = b
 	}
-	b.tokens = min(float64(t.Burst), b.tokens+t.RatePerSec*(at-b.at).Seconds())
+	b.tokens = min(float64(t.Burst), b.tokens+t.RequestsPerSecond*(at-b.at).Seconds())
 	b.at = at
 	if b.tokens < 1 {
 		return "rate"
@@ -224,7 +224,7 @@
 		if d == nil {
 			return map[string]string{}
 		}
-		return configuration.Flatten(d.Text())
+		return configuration.Flatten(d.JSON())
 	}
 	a, b := flat(before), flat(after)
 	var changes []string
