--- a/peer/relay/overload.go
+++ b/peer/relay/overload.go
@@ -36,7 +36,7 @@
 	if control.Admits(class, w.ask.Program) {
 		return false
 	}
-	m.refuseFor(now, w, CauseOverload, control.ComeBack())
+	m.refuseFor(now, w, CauseOverload, control.RetryAfter())
 	return true
 }
 
--- a/rule/admission/admission.go
+++ b/rule/admission/admission.go
@@ -73,8 +73,8 @@
 	NewUrgent: {from: 0.7, to: 1.7, most: 0.85},
 }
 
-// Refused is which part of a class is refused now.
-func (c *Controller) Refused(class Class) float64 {
+// RefusedFraction is which part of a class is refused now.
+func (c *Controller) RefusedFraction(class Class) float64 {
 	ramp, ok := ramps[class]
 	if !ok || c.level <= ramp.from {
 		return 0
@@ -82,9 +82,9 @@
 	return ramp.most * min((c.level-ramp.from)/(ramp.to-ramp.from), 1)
 }
 
-// ComeBack is after which time a refused request may come back: about when the level has
+// RetryAfter is after which time a refused request may come back: about when the level has
 // fallen, if the load ended now.
-func (c *Controller) ComeBack() time.Duration {
+func (c *Controller) RetryAfter() time.Duration {
 	return shortestWait + time.Duration(c.level/(fall*Target)*float64(time.Second))
 }
 
@@ -96,7 +96,7 @@
 // got in at its fifth try would have lost the time in which it could be done, and take the
 // place of one that has it.
 func (c *Controller) Admits(class Class, program string) bool {
-	return place(program) >= c.Refused(class)
+	return place(program) >= c.RefusedFraction(class)
 }
 
 // place is where a program stands among all, from 0 up to 1.
--- a/rule/admission/admission_test.go
+++ b/rule/admission/admission_test.go
@@ -173,19 +173,19 @@
 	var c Controller
 	for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
 		c.Observe(now, 3)
-		if c.Refused(Exempt) != 0 || c.Refused(Late) < c.Refused(New) || c.Refused(New) < c.Refused(NewUrgent) {
-			t.Fatalf("at %v: late %v, new %v, urgent %v", now, c.Refused(Late), c.Refused(New), c.Refused(NewUrgent))
+		if c.RefusedFraction(Exempt) != 0 || c.RefusedFraction(Late) < c.RefusedFraction(New) || c.RefusedFraction(New) < c.RefusedFraction(NewUrgent) {
+			t.Fatalf("at %v: late %v, new %v, urgent %v", now, c.RefusedFraction(Late), c.RefusedFraction(New), c.RefusedFraction(NewUrgent))
 		}
 	}
 	for _, class := range []Class{Late, New, NewUrgent} {
-		if r := c.Refused(class); r < 0.8 || r > 0.95 {
+		if r := c.RefusedFraction(class); r < 0.8 || r > 0.95 {
 			t.Errorf("class %d: %v is refused at the highest level", class, r)
 		}
 	}
 	for now := 20 * time.Second; now < 22*time.Second; now += 100 * time.Millisecond {
 		c.Observe(now, -0.5)
 	}
-	if c.Refused(Late) != 0 {
-		t.Errorf("%v of late turns are refused after two calm seconds", c.Refused(Late))
+	if c.RefusedFraction(Late) != 0 {
+		t.Errorf("%v of late turns are refused after two calm seconds", c.RefusedFraction(Late))
 	}
 }
