--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -49,7 +49,7 @@
 	Now      time.Duration
 	Random   func() float64
 	// Violated takes violated invariants; without it they panic.
-	Violated invariant.Report
+	Violated invariant.Reporter
 }
 
 // Machine is one core.
@@ -98,7 +98,7 @@
 // invariants.
 type outlets struct {
 	out      *Output
-	violated invariant.Report
+	violated invariant.Reporter
 }
 
 // New makes a core from what its disk holds.
--- a/peer/core/relay.go
+++ b/peer/core/relay.go
@@ -78,12 +78,12 @@
 	}
 	// TenantDraw is a draw of one tenant's rate.
 	TenantDraw struct {
-		Tenant string    `msgpack:"n"`
-		Draw   rate.Draw `msgpack:"d"`
+		Tenant string           `msgpack:"n"`
+		Draw   rate.DrawRequest `msgpack:"d"`
 	}
 	// RatesDrawn answers, in the same order.
 	RatesDrawn struct {
-		Drawn []rate.Drawn `msgpack:"d"`
+		Drawn []rate.DrawResponse `msgpack:"d"`
 	}
 	// AgreeTable makes a checked routing table the one in force.
 	AgreeTable struct {
@@ -302,17 +302,17 @@
 		key := ratePrefix + d.Tenant
 		l := r.ledgers[key]
 		if l == nil {
-			reserve, _ := read[rate.Reserve](tx, key)
-			l = rate.Open(tx.Clock(), reserve, d.Draw.Term)
+			reserve, _ := read[rate.DurableState](tx, key)
+			l = rate.Restore(tx.Clock(), reserve, d.Draw.LeaseDuration)
 			r.ledgers[key] = l
 		}
-		drawn, changed := l.Take(tx.Clock(), d.Draw)
+		drawn, changed := l.Draw(tx.Clock(), d.Draw)
 		if l.Exceeded {
-			r.violated.Violated(invariant.GrantedWithinLimit, "tenant %s: more than %d in %v is out or spent", d.Tenant, l.Limit.Most, l.Limit.Window)
+			r.violated.Violated(invariant.GrantedWithinLimit, "tenant %s: more than %d in %v is out or spent", d.Tenant, l.Limit.Max, l.Limit.Window)
 		}
 		answer.Drawn = append(answer.Drawn, drawn)
 		if changed {
-			write(tx, key, l.Reserve)
+			write(tx, key, l.DurableState)
 		}
 	}
 	return answer
--- a/peer/core/relay_test.go
+++ b/peer/core/relay_test.go
@@ -101,12 +101,12 @@
 func TestRateOverATakeover(t *testing.T) {
 	a := newAlone(t)
 	n := RatePart(4, "t")
-	limit := rate.Limit{Window: 5 * time.Second, Most: 40}
-	draw := func(d rate.Draw) rate.Drawn {
-		d.Limit, d.Term = limit, 2500*time.Millisecond
+	limit := rate.Limit{Window: 5 * time.Second, Max: 40}
+	draw := func(d rate.DrawRequest) rate.DrawResponse {
+		d.Limit, d.LeaseDuration = limit, 2500*time.Millisecond
 		return a.run(DrawRates{Part: n, Draws: []TenantDraw{{Tenant: "t", Draw: d}}}).(RatesDrawn).Drawn[0]
 	}
-	if got := draw(rate.Draw{Holder: "x", Want: 30}); got.Granted != 30 {
+	if got := draw(rate.DrawRequest{Holder: "x", Want: 30}); got.Granted != 30 {
 		t.Fatalf("%+v", got)
 	}
 	// The owner is seated anew: its memory is gone.
@@ -116,14 +116,14 @@
 	}
 	a.m = New(Options{Params: a.m.params, ID: "c", Address: "c", Stored: Stored{Incarnation: "1", Founding: a.m.founding, Copies: copies}, Now: a.now, Random: func() float64 { return 0.5 }})
 	a.pass(time.Second)
-	if got := draw(rate.Draw{Holder: "y", Want: 20}); got.Granted > 10 {
+	if got := draw(rate.DrawRequest{Holder: "y", Want: 20}); got.Granted > 10 {
 		t.Fatalf("a successor granted %d beside 30 of 40", got.Granted)
 	}
-	if got := draw(rate.Draw{Holder: "x", Granted: 30, Spent: 25, Want: 5}); got.Expired || got.Granted != 30 {
+	if got := draw(rate.DrawRequest{Holder: "x", Granted: 30, Spent: 25, Want: 5}); got.Expired || got.Granted != 30 {
 		t.Fatalf("a holder that goes on: %+v", got)
 	}
 	a.pass(10 * time.Second)
-	if got := draw(rate.Draw{Holder: "z", Want: 20}); got.Granted != 20 {
+	if got := draw(rate.DrawRequest{Holder: "z", Want: 20}); got.Granted != 20 {
 		t.Fatalf("after the window: %+v", got)
 	}
 }
--- a/peer/core/rules.go
+++ b/peer/core/rules.go
@@ -44,7 +44,7 @@
 	members  map[string]time.Duration
 	versions map[string]uint64
 	seatedAt time.Duration
-	violated invariant.Report
+	violated invariant.Reporter
 	ends     expiries
 	ledgers  map[string]*rate.Ledger
 	// expired are the keys of kept turns whose time ended under this leader.
--- a/peer/core/schema_test.go
+++ b/peer/core/schema_test.go
@@ -25,7 +25,7 @@
 		schematest.Msgpack[program.User]("user"),
 		schematest.Msgpack[program.Record]("program"),
 		schematest.Msgpack[program.Turn]("turn of a program"),
-		schematest.Msgpack[rate.Reserve]("rate"),
+		schematest.Msgpack[rate.DurableState]("rate"),
 		schematest.Msgpack[keptTurn]("kept turn"),
 		schematest.Msgpack[keptBook]("kept book"),
 		schematest.Msgpack[acceptedOrder]("accepted order"),
--- a/peer/desk/loads.go
+++ b/peer/desk/loads.go
@@ -69,7 +69,7 @@
 // replicaRecord is how a replica has done lately, for all nodes.
 type replicaRecord struct {
 	failures placement.FailureRate
-	pace     placement.Pace
+	pace     placement.UnitTime
 }
 
 // nodeLoad is a node's last word.
--- a/peer/front/handler.go
+++ b/peer/front/handler.go
@@ -54,7 +54,7 @@
 	// the goroutine that found it.
 	Rejected func(e relay.Ended)
 	// Violated takes violated invariants; without it they panic.
-	Violated invariant.Report
+	Violated invariant.Reporter
 }
 
 // Handler serves requesters.
--- a/peer/front/head.go
+++ b/peer/front/head.go
@@ -75,7 +75,7 @@
 
 // promptParts reads the parts of a prompt. They only help to choose, so one that can't be
 // read is passed over.
-func (h *handler) promptParts(text string) (parts []placement.Part) {
+func (h *handler) promptParts(text string) (parts []placement.PromptSegment) {
 	if text == "" {
 		return nil
 	}
@@ -85,7 +85,7 @@
 		if err != nil || count < 0 {
 			continue
 		}
-		parts = append(parts, placement.Part{ID: h.hash(id), Tokens: count})
+		parts = append(parts, placement.PromptSegment{ID: h.hash(id), Tokens: count})
 	}
 	return parts
 }
--- a/peer/relay/choice.go
+++ b/peer/relay/choice.go
@@ -186,7 +186,7 @@
 	allowed := func(r *placement.Replica) bool {
 		return !w.tried[r.ID] && r.Outstanding < connections
 	}
-	request := placement.Request{Prompt: w.ask.Prompt, Repeats: w.route.Repeats(), Left: w.until - now, Service: s.time.Mean(), Reference: s.reference, Again: w.unrun > 0}
+	request := placement.Request{Prompt: w.ask.Prompt, Repeatable: w.route.Repeats(), Remaining: w.until - now, ServiceTime: s.time.Mean(), ReferenceUnitTime: s.reference, Rejected: w.unrun > 0}
 	if w.route.Pinned {
 		request.Affinity = w.ask.Affinity
 	}
@@ -207,7 +207,7 @@
 		room = described.CacheTokens * 3 / 4
 	}
 	w.sentAt, w.sentToRoom = now, m.policy.HasRoom(now, r.estimate)
-	r.estimate.Sent(now, w.ask.Prompt, room)
+	r.estimate.RecordSent(now, w.ask.Prompt, room)
 }
 
 // came notes what became of a sending.
@@ -217,7 +217,7 @@
 	if result == placement.Served {
 		m.learnPace(now, w, s, o)
 	}
-	w.at.estimate.Ended(now, result, o.Load, m.params.Beat, s.time.Mean())
+	w.at.estimate.RecordResult(now, result, o.Load, m.params.Beat, s.time.Mean())
 }
 
 // learnPace notes how fast a replica served a request. Only streams tell how fast a replica
@@ -225,7 +225,7 @@
 func (m *Machine) learnPace(now time.Duration, w *way, s *service, o Outcome) {
 	took, r := now-w.sentAt, w.at.estimate
 	if o.Events > 1 {
-		r.Worked(o.Streamed, o.Events-1)
+		r.RecordWork(o.Streamed, o.Events-1)
 	}
 	if w.sentToRoom {
 		s.time.Add(time.Duration(float64(took) / r.Slowness(s.reference)))
@@ -244,9 +244,9 @@
 	case o.Unreached:
 		return placement.Failed
 	case o.Kind == NotRun:
-		return placement.TurnedAway
+		return placement.Rejected
 	case o.Kind == Broken && o.Gone:
-		return placement.Abandoned
+		return placement.Canceled
 	case o.Kind == Broken, o.Failed && o.Status >= statusServerFault:
 		return placement.Failed
 	}
--- a/peer/relay/ended.go
+++ b/peer/relay/ended.go
@@ -128,7 +128,7 @@
 
 // audit holds what a node counts of itself, and the checks of it.
 type audit struct {
-	violated invariant.Report
+	violated invariant.Reporter
 	// byCause counts how requests ended; what came, what ended and what is under way
 	// agree.
 	byCause map[Cause]int64
@@ -180,7 +180,7 @@
 	for _, w := range m.live {
 		if w.until > 0 && now > w.until+bound && now > m.lenient && !w.overdue {
 			w.overdue = true
-			m.violated.Violated(invariant.HeldWithinTime, "attempt %s on route %s is %s %v after its time", w.ask.Attempt, w.route.Name, w.state, now-w.until)
+			m.violated.Violated(invariant.EndedByDeadline, "attempt %s on route %s is %s %v after its time", w.ask.Attempt, w.route.Name, w.state, now-w.until)
 		}
 	}
 }
--- a/peer/relay/history.go
+++ b/peer/relay/history.go
@@ -71,7 +71,7 @@
 	owed, kept := m.keptHere.until(turnName{tenant: m.tenantName(w), attempt: w.ask.Previous})
 	switch {
 	case kept && now < owed:
-		m.violated.Violated(invariant.TurnKeptForItsTime, "turn %s, before %s, is not found %v before its time is over", attempt, w.ask.Attempt, owed-now)
+		m.violated.Violated(invariant.TurnKeptUntilDeadline, "turn %s, before %s, is not found %v before its time is over", attempt, w.ask.Attempt, owed-now)
 		m.refuse(now, w, CauseHistoryMissing)
 	case kept || absence == core.Expired:
 		m.refuse(now, w, CauseHistoryExpired)
--- a/peer/relay/history_test.go
+++ b/peer/relay/history_test.go
@@ -32,7 +32,7 @@
 		g := newRig(t)
 		breaches := 0
 		g.m.violated = func(v invariant.Violation) {
-			if v.Name == invariant.TurnKeptForItsTime {
+			if v.Name == invariant.TurnKeptUntilDeadline {
 				breaches++
 			}
 		}
--- a/peer/relay/loads.go
+++ b/peer/relay/loads.go
@@ -87,9 +87,9 @@
 	until := now + shareMemory*m.params.LoadPeriod
 	for i, id := range places {
 		if r := m.replicas[id]; r != nil {
-			r.estimate.Share(int64(l.Outstanding[i]), float64(l.Failing[i])/math.MaxUint8, until)
+			r.estimate.SetShared(int64(l.Outstanding[i]), float64(l.Failing[i])/math.MaxUint8, until)
 			if l.Paces[i] > 0 {
-				r.estimate.SetPace(time.Duration(l.Paces[i]) * desk.PaceUnit)
+				r.estimate.SetUnitTime(time.Duration(l.Paces[i]) * desk.PaceUnit)
 			}
 		}
 	}
--- a/peer/relay/machine.go
+++ b/peer/relay/machine.go
@@ -24,7 +24,7 @@
 	Now     time.Duration
 	Random  func() float64
 	// Violated takes violated invariants; without it they panic.
-	Violated invariant.Report
+	Violated invariant.Reporter
 }
 
 // Machine is one relaying node.
--- a/peer/relay/machine_test.go
+++ b/peer/relay/machine_test.go
@@ -45,7 +45,7 @@
 	g := &rig{t: t, steps: map[uint64][]Step{}, books: map[string]*book.Book{}, kept: map[string]core.KeepTurn{}, ledgers: map[string]*rate.Ledger{}, until: map[uint64]time.Duration{}}
 	g.m = New(Options{ID: "n1", Life: "x", Zone: "a", Address: "n1:1", Seeds: []string{"d1:1"}, Random: random.Float64,
 		Params: Params{Core: core.Params{MemberTerm: time.Second, Retry: 100 * time.Millisecond, Pull: 100 * time.Millisecond}, Beat: time.Second, Follow: 500 * time.Millisecond,
-			Window: 5 * time.Second, Placement: placement.Settings{Prefixes: true, Zones: true, Failures: true, PromptRate: 80, Beat: time.Second}, Buffer: 100, Cache: 1 << 20, BookKeep: time.Minute}})
+			Window: 5 * time.Second, Placement: placement.Settings{PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: time.Second}, Buffer: 100, Cache: 1 << 20, BookKeep: time.Minute}})
 	return g
 }
 
@@ -122,9 +122,9 @@
 		var answer core.RatesDrawn
 		for _, d := range c.Draws {
 			if g.ledgers[d.Tenant] == nil {
-				g.ledgers[d.Tenant] = rate.Open(g.now, rate.Reserve{}, d.Draw.Term)
+				g.ledgers[d.Tenant] = rate.Restore(g.now, rate.DurableState{}, d.Draw.LeaseDuration)
 			}
-			drawn, _ := g.ledgers[d.Tenant].Take(g.now, d.Draw)
+			drawn, _ := g.ledgers[d.Tenant].Draw(g.now, d.Draw)
 			answer.Drawn = append(answer.Drawn, drawn)
 		}
 		return answer
--- a/peer/relay/overload.go
+++ b/peer/relay/overload.go
@@ -18,9 +18,9 @@
 	m.loadSeenAt = now
 	for _, name := range ordered.Keys(m.services) {
 		s := m.services[name]
-		s.reference = placement.Reference(s.estimates)
+		s.reference = placement.ReferenceUnitTime(s.estimates)
 		if m.params.ShedOverload {
-			s.admission.Observe(now, m.policy.Excess(now, s.reference, s.estimates))
+			s.admission.Observe(now, m.policy.QueuePerSlot(now, s.reference, s.estimates))
 		}
 	}
 }
@@ -52,13 +52,13 @@
 	case w.route.Mode != route.Stream || w.ask.Program == "":
 		return admission.Exempt
 	case w.ask.Horizon.Known && w.ask.Horizon.Left <= 0:
-		return admission.Late
+		return admission.LateTurn
 	case !known || w.ask.Previous != "" || len(w.ask.Prompt) > sharedParts:
 		return admission.Exempt
 	case m.moreUrgentThanOthers(w):
-		return admission.NewUrgent
+		return admission.UrgentFirstTurn
 	}
-	return admission.New
+	return admission.FirstTurn
 }
 
 // moreUrgentThanOthers reports whether the table has a less urgent stream.
--- a/peer/relay/overload_test.go
+++ b/peer/relay/overload_test.go
@@ -40,7 +40,7 @@
 func programTurn(path string, change func(a *Ask)) Ask {
 	return ask(path, func(a *Ask) {
 		a.Program, a.Budget, a.Most = "p", 1e6, 10
-		a.Prompt = []placement.Part{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 300}}
+		a.Prompt = []placement.PromptSegment{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 300}}
 		a.Horizon = Horizon{Left: time.Second, Known: true}
 		if change != nil {
 			change(a)
@@ -69,8 +69,11 @@
 		}
 		return n
 	}
-	late := programTurn("/chat/x", func(a *Ask) { a.Horizon.Left = 0; a.Prompt = append(a.Prompt, placement.Part{ID: 3, Tokens: 9}) })
-	begun := programTurn("/chat/x", func(a *Ask) { a.Prompt = append(a.Prompt, placement.Part{ID: 3, Tokens: 9}) })
+	late := programTurn("/chat/x", func(a *Ask) {
+		a.Horizon.Left = 0
+		a.Prompt = append(a.Prompt, placement.PromptSegment{ID: 3, Tokens: 9})
+	})
+	begun := programTurn("/chat/x", func(a *Ask) { a.Prompt = append(a.Prompt, placement.PromptSegment{ID: 3, Tokens: 9}) })
 	other := programTurn("/idle/x", nil)
 	if n := refused(late); n < 30 {
 		t.Errorf("%d of 40 late turns are refused", n)
@@ -127,7 +130,7 @@
 	g.want(w, StepBreak, 502)
 	// Where all are full the request ends once three have said so.
 	for _, r := range g.m.replicas {
-		r.estimate.Share(40, 0, time.Hour)
+		r.estimate.SetShared(40, 0, time.Hour)
 	}
 	w = g.arrive(ask("/once/x", nil))
 	sendings := 0
--- a/peer/relay/pace.go
+++ b/peer/relay/pace.go
@@ -235,13 +235,13 @@
 	if p.tight {
 		return int64(len(p.waiting))
 	}
-	spare := min(2, limit.Most/(10*int64(max(m.nodes, 1))))
+	spare := min(2, limit.Max/(10*int64(max(m.nodes, 1))))
 	return int64(len(p.waiting)) + int64(p.demand*m.drawTerm().Seconds()*0.6+0.5) + spare
 }
 
 func (m *Machine) limitOf(t *route.Tenant) rate.Limit {
 	allowed := (t.Rate*m.params.Window.Seconds()+t.Burst)*(1+m.params.Overshoot*used) + float64(m.params.Slack)*used
-	return rate.Limit{Window: m.params.Window, Most: int64(allowed)}
+	return rate.Limit{Window: m.params.Window, Max: int64(allowed)}
 }
 
 // draw asks for what is needed, in one command for each part.
@@ -284,10 +284,10 @@
 		}
 		p.drawing, p.wanted = true, false
 		p.drawAt = now + m.drawTerm()/12
-		d := rate.Draw{Holder: m.life + "+" + strconv.Itoa(p.births), Granted: p.granted, Spent: p.spent, Returned: p.returned, Want: want + p.reserved, Ahead: want - int64(len(p.waiting)),
-			Version: m.table.Number, Limit: limit, Term: m.drawTerm()}
+		d := rate.DrawRequest{Holder: m.life + "+" + strconv.Itoa(p.births), Granted: p.granted, Spent: p.spent, Returned: p.returned, Want: want + p.reserved, Prefetch: want - int64(len(p.waiting)),
+			Version: m.table.Number, Limit: limit, LeaseDuration: m.drawTerm()}
 		for _, r := range p.recent {
-			d.Recent = append(d.Recent, rate.Spend{Age: now - r.at, Count: r.count})
+			d.Recent = append(d.Recent, rate.RecentSpend{Age: now - r.at, Count: r.count})
 		}
 		p.told = p.spent
 		n := core.RatePart(len(m.topology.Owners), name)
@@ -332,11 +332,11 @@
 	}
 }
 
-func (m *Machine) drawn(now time.Duration, p *pace, d rate.Drawn, until time.Duration) {
+func (m *Machine) drawn(now time.Duration, p *pace, d rate.DrawResponse, until time.Duration) {
 	m.Counters.Drawn++
 	p.granted = max(p.granted, d.Granted)
 	p.until = max(p.until, until)
-	p.tight = d.Tight
+	p.tight = d.Scarce
 	for len(p.waiting) > 0 && p.free(now) > 0 {
 		w := p.waiting[0]
 		p.waiting = p.waiting[1:]
@@ -351,24 +351,24 @@
 		}
 	}
 	p.wanted = len(p.waiting) > 0
-	if d.Retry <= 0 {
+	if d.RetryAfter <= 0 {
 		// Some came while the draw was under way.
 		m.drawAt = now
 		return
 	}
 	if p.free(now) == 0 {
 		// Soon enough to take part in what leaves the window next.
-		p.retryAt = now + min(d.Retry, m.params.Window/10)
+		p.retryAt = now + min(d.RetryAfter, m.params.Window/10)
 		m.drawAt = min(m.drawAt, p.retryAt)
 	}
 	// A short wait is kinder than a refusal; a long one is told at once.
 	waiting := p.waiting
 	p.waiting = nil
 	for _, w := range waiting {
-		if now+d.Retry < w.hold {
+		if now+d.RetryAfter < w.hold {
 			p.waiting = append(p.waiting, w)
 		} else if !w.ended {
-			m.refuseRate(now, w, d.Retry)
+			m.refuseRate(now, w, d.RetryAfter)
 		}
 	}
 }
--- a/peer/relay/share_test.go
+++ b/peer/relay/share_test.go
@@ -69,7 +69,7 @@
 
 // look takes what nodes decided since the last look: sendings are answered later.
 func (s *sharedRate) look(now time.Duration) {
-	limit := int(s.nodes[0].m.limitOf(&route.Tenant{Rate: 10, Burst: 10}).Most)
+	limit := int(s.nodes[0].m.limitOf(&route.Tenant{Rate: 10, Burst: 10}).Max)
 	for _, g := range s.nodes {
 		for ticket, steps := range g.steps {
 			for _, step := range steps {
--- a/peer/relay/types.go
+++ b/peer/relay/types.go
@@ -40,7 +40,7 @@
 // Subject is what a request is about: the parts of its prompt, and the hash of the thing
 // that it concerns; zero: not told.
 type Subject struct {
-	Prompt   []placement.Part
+	Prompt   []placement.PromptSegment
 	Affinity uint64
 }
 
@@ -101,7 +101,7 @@
 )
 
 // Load is what a replica said of its own load.
-type Load = placement.Report
+type Load = placement.LoadReport
 
 // Outcome is what became of one sending.
 type Outcome struct {
--- a/peer/relay/way.go
+++ b/peer/relay/way.go
@@ -426,9 +426,9 @@
 	case w.ran && !w.route.Repeats():
 		m.violated.Violated(invariant.RunsOnce, "attempt %s on route %s may have run and goes to %s", w.ask.Attempt, w.route.Name, w.sentTo)
 	case m.triesOf(w) > w.route.Tries:
-		m.violated.Violated(invariant.TriesWithinRoute, "attempt %s goes to replica %d; route %s allows %d", w.ask.Attempt, w.sendings, w.route.Name, w.route.Tries)
+		m.violated.Violated(invariant.AttemptsWithinRoute, "attempt %s goes to replica %d; route %s allows %d", w.ask.Attempt, w.sendings, w.route.Name, w.route.Tries)
 	case w.pace != nil && !w.covered:
-		m.violated.Violated(invariant.PaidBeforeSent, "attempt %s of tenant %s goes to %s unpaid", w.ask.Attempt, w.tenant.Name, w.sentTo)
+		m.violated.Violated(invariant.GrantedBeforeSent, "attempt %s of tenant %s goes to %s unpaid", w.ask.Attempt, w.tenant.Name, w.sentTo)
 	case w.route.Mode == route.Stream && w.ask.Program != "" && w.ask.Budget > 0 && !w.reserved:
 		m.violated.Violated(invariant.ReservedBeforeSent, "attempt %s of program %s goes to %s without a reservation", w.ask.Attempt, w.ask.Program, w.sentTo)
 	case m.left.has(w.sentTo):
--- a/rehearsalkit/breaks/soak.go
+++ b/rehearsalkit/breaks/soak.go
@@ -50,7 +50,7 @@
 	{What: "nodes forget who leaves with the desk that told of it", File: "peer/relay/choice.go", Seeds: 6, Elsewhere: "TestLeavingOutlivesItsDesk; since desks tell each other who leaves, the soak no longer sees it",
 		From: "if l.Gone || m.left.has(id) {", To: "if l.Gone || l.Replica.Leaving || l.Final {"},
 	{What: "a quota's block is granted anew after a takeover", File: "rule/rate/ledger.go", Seeds: 4,
-		From: "pool: r.Open, poolEnd", To: "pool: 0, poolEnd"},
+		From: "pool: s.Outstanding, poolExpiresAt", To: "pool: 0, poolExpiresAt"},
 	{What: "a stream is joined at the wrong event", File: "peer/front/handler.go", Seeds: 2,
 		From: "			x.lastID = e.id\n", To: "			x.lastID = \"1\"\n"},
 	{What: "an answer's id is not looked at", File: "peer/replica/line.go", Seeds: 2,
@@ -69,12 +69,12 @@
 		From: "if current.Number != c.Base || c.Number <= current.Number {", To: "if c.Number <= current.Number {"},
 	{What: "an amendment is joined to a table that it does not build on", File: "peer/desk/amend.go", Seeds: 1, Elsewhere: "TestAmend; the cores refuse it too, so the soak sees a lost race",
 		From: "case current.Number != a.Base:", To: "case false:"},
-	{What: "a replica that sheds draws all calls", File: "rule/placement/replica.go", Seeds: 1, Elsewhere: "TestShedderIsNoSink; the soak's replicas do not shed while they have room",
-		From: "	r.own.Add(now, beat, 0, 1)\n	r.toTell.Failed++\n}", To: "}"},
-	{What: "a replica's failures are never forgotten", File: "rule/placement/failure.go", Seeds: 1, Elsewhere: "TestFailingReplicaIsAvoidedAndForgiven",
-		From: "-max(passed, 0).Seconds() / memory.Seconds()", To: "0 * passed.Seconds()"},
-	{What: "an overload starves new programs", File: "rule/admission/admission.go", Seeds: 1, Elsewhere: "TestOrderOfRefusal; the soak does not overload its replicas",
-		From: "New:       {from: 0.1, to: 0.9, most: 0.85}", To: "New:       {from: 0.1, to: 0.9, most: 1}"},
+	{What: "a replica that sheds draws all calls", File: "rule/placement/replica.go", Seeds: 1, Elsewhere: "TestRejectingReplicaIsAvoided; the soak's replicas do not shed while they have room",
+		From: "	r.failures.Add(now, heartbeat, 0, 1)\n	r.unreported.Failed++\n}", To: "}"},
+	{What: "a replica's failures are never forgotten", File: "rule/placement/failurerate.go", Seeds: 1, Elsewhere: "TestFailingReplicaIsAvoidedAndForgiven",
+		From: "-max(age, 0).Seconds() / timeConstant.Seconds()", To: "0 * age.Seconds()"},
+	{What: "an overload starves new programs", File: "rule/admission/admission.go", Seeds: 1, Elsewhere: "TestRefusalOrder; the soak does not overload its replicas",
+		From: "FirstTurn:       {from: 0.1, to: 0.9, max: 0.85}", To: "FirstTurn:       {from: 0.1, to: 0.9, max: 1}"},
 }
 
 // locate finds the break's place, which must be the only one, and breaks it.
--- a/rehearsalkit/capacity/hollow.go
+++ b/rehearsalkit/capacity/hollow.go
@@ -103,7 +103,7 @@
 	n.ways[t.ticket] = t
 	a := relay.Ask{Host: "tier", Path: fmt.Sprintf("/model-%d/turn", p.model), Key: fmt.Sprintf("key-%d", p.tenant), HasKey: true, Attempt: t.attempt, Program: p.name, Previous: p.previous,
 		Budget: 1 << 30, Most: 1000, Left: 4 * time.Second, Arrival: relay.Arrival{HeadBytes: 300, BodyBytes: int64(w.point.TurnBytes / 2)}, Input: w.bytes(w.point.TurnBytes / 2),
-		Subject: relay.Subject{Prompt: []placement.Part{{ID: uint64(p.tenant*8 + p.model), Tokens: 512}, {ID: uint64(1<<32 + w.attempts), Tokens: 600}}}}
+		Subject: relay.Subject{Prompt: []placement.PromptSegment{{ID: uint64(p.tenant*8 + p.model), Tokens: 512}, {ID: uint64(1<<32 + w.attempts), Tokens: 600}}}}
 	n.takeNode(timed(n, func() relay.Output { return n.node.Arrive(w.now, t.ticket, a) }))
 }
 
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -47,7 +47,7 @@
 }
 
 func nodeParams() relay.Params {
-	return relay.Params{Core: coreParams(), Beat: beat, Follow: follow, Window: window, Overshoot: 0.1, Slack: 4, Placement: placement.Settings{Compared: 2, Homes: true, Paces: true, Prefixes: true, Zones: true, Failures: true, PromptRate: 80, Beat: beat}, LoadPeriod: beat / 12, ResendUnrun: true, ShedOverload: true, Buffer: 2000, Cache: nodeCache, BookKeep: 10 * time.Minute}
+	return relay.Params{Core: coreParams(), Beat: beat, Follow: follow, Window: window, Overshoot: 0.1, Slack: 4, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: beat}, LoadPeriod: beat / 12, ResendUnrun: true, ShedOverload: true, Buffer: 2000, Cache: nodeCache, BookKeep: 10 * time.Minute}
 }
 
 // cpu is the processor time that this thread has had: another process on the
--- a/rehearsalkit/relaysim/relaysim_test.go
+++ b/rehearsalkit/relaysim/relaysim_test.go
@@ -216,7 +216,7 @@
 			}}
 		})},
 		{"cores grant more of a rate", RuleRate, answering(func(a core.RatesDrawn) core.RatesDrawn {
-			var more []rate.Drawn
+			var more []rate.DrawResponse
 			for _, d := range a.Drawn {
 				d.Granted += 1000
 				more = append(more, d)
--- a/rule/admission/admission.go
+++ b/rule/admission/admission.go
@@ -1,15 +1,15 @@
-// Package admission decides which requests a node refuses while the replicas of a service
-// have more to do than they can, so that what is served is served in time.
+// Package admission decides which requests a node refuses while a service is overloaded.
 //
-// Load that lasts is kept up by its own late and repeated turns (Bronson and others, HotOS
-// 2021): places are taken by programs that are late already, so others become late too. A
-// Controller therefore raises the part of requests that are refused for as long as requests
-// are delayed beyond a target, and lowers it when they are not. What is
-// refused first is what loses least: turns of programs that are late already, then first
-// turns of new programs, less urgent ones before more urgent ones. Turns of programs that
-// can still be in time are never refused here.
+// An overload sustains itself once replicas spend their time on requests that are already
+// late and on their retries (Bronson and others, Metastable Failures in Distributed
+// Systems, HotOS 2021). A Controller therefore raises the fraction of refused requests
+// while the queue of a service exceeds a target, and lowers it otherwise. Turns of programs
+// that are past their deadline are refused first, then first turns of new programs, and
+// urgent new programs last. Turns of admitted programs that can still meet their deadline
+// are never refused.
 //
-// All nodes observe the same load, so their controllers agree without talking.
+// All nodes observe the same load, so their controllers agree without coordination. Start
+// reading at Controller.
 package admission
 
 import (
@@ -17,94 +17,94 @@
 	"time"
 )
 
-// Class is what a request is to the decision.
+// Class is the priority class of a request.
 type Class int
 
-// Classes of requests, in the order in which they are refused.
+// Classes of requests; all but Exempt are listed in the order in which they are refused.
 const (
-	// Exempt: never refused here.
+	// Exempt requests are never refused by a Controller.
 	Exempt Class = iota
-	// Late: a turn of a program whose time is over.
-	Late
-	// New: the first turn of a program.
-	New
-	// NewUrgent: the first turn of a program that is more urgent than others.
-	NewUrgent
+	// LateTurn is a turn of a program that is past its deadline.
+	LateTurn
+	// FirstTurn is the first turn of a program.
+	FirstTurn
+	// UrgentFirstTurn is the first turn of a program that is more urgent than others.
+	UrgentFirstTurn
 )
 
 const (
-	// Target is how many requests may wait for each place before anything is refused: that
-	// delays a request by as large a part of its time, which programs can bear.
-	Target = 0.15
-	// rise is how fast the controller's level rises, for each second in which requests
-	// are delayed by their whole time beyond the target; fall is how fast it falls.
-	rise, fall = 0.8, 2.0
-	// mostLevel bounds the level, so that it falls soon after a long overload.
-	mostLevel = 2.0
-	// longestStep bounds the time that one observation stands for.
-	longestStep = 500 * time.Millisecond
+	// TargetQueue is the number of queued requests per slot above which a Controller
+	// starts to refuse requests.
+	TargetQueue = 0.15
+	// riseRate and fallRate are the changes of the level per second and per queued
+	// request per slot above and below TargetQueue.
+	riseRate, fallRate = 0.8, 2.0
+	// maxLevel bounds the level, so that it falls soon after a long overload.
+	maxLevel = 2.0
+	// maxInterval bounds the time that one observation accounts for.
+	maxInterval = 500 * time.Millisecond
+	// minRetryAfter is the shortest delay that a refused request is told to wait.
+	minRetryAfter = 200 * time.Millisecond
 )
 
-// Controller holds how much is refused now. Its zero value refuses nothing.
+// Controller is an integral controller of the refused fraction of each class. Its zero
+// value refuses nothing. It is not safe for concurrent use.
 type Controller struct {
-	level float64
-	at    time.Duration
+	level      float64
+	observedAt time.Duration
 }
 
-// Observe takes how many requests wait for each place that runs one; below zero, it is the
-// part of the places that is free.
-func (c *Controller) Observe(now time.Duration, waiting float64) {
-	passed := min(now-c.at, longestStep).Seconds()
-	c.at = now
-	excess := waiting - Target
+// Observe updates the level with the number of queued requests per slot. A negative queue
+// is the fraction of slots that are free.
+func (c *Controller) Observe(now time.Duration, queue float64) {
+	elapsed := min(now-c.observedAt, maxInterval).Seconds()
+	c.observedAt = now
+	excess := queue - TargetQueue
 	if excess > 0 {
-		c.level += rise * excess * passed
+		c.level += riseRate * excess * elapsed
 	} else {
-		c.level += fall * excess * passed
+		c.level += fallRate * excess * elapsed
 	}
-	c.level = min(max(c.level, 0), mostLevel)
+	c.level = min(max(c.level, 0), maxLevel)
 }
 
-// ramps say from which level on a class is refused, at which level most of it is, and how
-// much that is: some of each class is always let in, so that none starves.
-var ramps = map[Class]struct{ from, to, most float64 }{
-	Late:      {from: 0, to: 0.4, most: 0.95},
-	New:       {from: 0.1, to: 0.9, most: 0.85},
-	NewUrgent: {from: 0.7, to: 1.7, most: 0.85},
+// ramps maps a class to the levels between which its refused fraction rises linearly from
+// zero to max. Each max is below 1, so that no class starves.
+var ramps = map[Class]struct{ from, to, max float64 }{
+	LateTurn:        {from: 0, to: 0.4, max: 0.95},
+	FirstTurn:       {from: 0.1, to: 0.9, max: 0.85},
+	UrgentFirstTurn: {from: 0.7, to: 1.7, max: 0.85},
 }
 
-// RefusedFraction is which part of a class is refused now.
+// RefusedFraction returns the fraction of a class that is currently refused, from 0 to 1.
 func (c *Controller) RefusedFraction(class Class) float64 {
 	ramp, ok := ramps[class]
 	if !ok || c.level <= ramp.from {
 		return 0
 	}
-	return ramp.most * min((c.level-ramp.from)/(ramp.to-ramp.from), 1)
+	return ramp.max * min((c.level-ramp.from)/(ramp.to-ramp.from), 1)
 }
 
-// RetryAfter is after which time a refused request may come back: about when the level has
-// fallen, if the load ended now.
+// RetryAfter returns the delay after which a refused request may be retried: about the time
+// that the level needs to reach zero if the load ended now.
 func (c *Controller) RetryAfter() time.Duration {
-	return shortestWait + time.Duration(c.level/(fall*Target)*float64(time.Second))
+	return minRetryAfter + time.Duration(c.level/(fallRate*TargetQueue)*float64(time.Second))
 }
 
-// shortestWait is the least time after which a refused request may come back.
-const shortestWait = 200 * time.Millisecond
-
-// Admits decides on a request of a program. All requests of one program are decided alike,
-// at every node and however often they come back, until the level changes: a program that
-// got in at its fifth try would have lost the time in which it could be done, and take the
-// place of one that has it.
+// Admits reports whether a request of a program is admitted. At a given level the decision
+// depends on the program alone, at every node and for every retry: a program admitted after
+// several retries would have too little time left, and would take a slot from one that has
+// enough.
 func (c *Controller) Admits(class Class, program string) bool {
-	return place(program) >= c.RefusedFraction(class)
+	return hashFraction(program) >= c.RefusedFraction(class)
 }
 
-// place is where a program stands among all, from 0 up to 1.
-func place(program string) float64 {
+// hashFraction maps a program to a uniformly distributed number in [0, 1).
+func hashFraction(program string) float64 {
 	h := fnv.New64a()
 	h.Write([]byte(program))
 	x := h.Sum64()
-	// The low bits of this hash are spread better than the high ones.
+	// FNV-1a distributes its low bits better than its high bits, which are used below.
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
--- a/rule/admission/admission_test.go
+++ b/rule/admission/admission_test.go
@@ -8,184 +8,185 @@
 	"time"
 )
 
-// The test's service: places at which turns run one after the other, first come first
-// served, as at replicas that know no priorities.
+// The simulated service runs turns in FIFO order, without priorities.
 const (
-	places    = 60
+	slots     = 60
 	turnTime  = 250 * time.Millisecond
 	pauseTime = 150 * time.Millisecond
 	turns     = 5
 	step      = 10 * time.Millisecond
-	// aim is when a program should be done: it takes 1.85 s where nothing waits.
-	aim = 2800 * time.Millisecond
-	// carried is how many programs a second the places can serve.
-	carried = float64(places) / (turns * 0.25)
+	// deadline is counted from the start of a program, which takes 1.85 s without queueing.
+	deadline = 2800 * time.Millisecond
+	// capacity is the number of programs that the slots can serve per second.
+	capacity = float64(slots) / (turns * 0.25)
 )
 
 type program struct {
-	id       string
-	began    time.Duration
-	turn     int
-	tries    int
-	readyAt  time.Duration
-	endsAt   time.Duration
-	waiting  bool
-	isUrgent bool
+	id        string
+	startedAt time.Duration
+	turn      int
+	refusals  int
+	readyAt   time.Duration
+	endsAt    time.Duration
+	queued    bool
+	urgent    bool
 }
 
-// service is simulated in steps; it counts the programs that end in time, by second.
+// service simulates a service in fixed steps.
 type service struct {
-	random   *rand.Rand
-	control  *Controller
-	programs []*program
-	queue    []*program
-	running  int
-	inTime   map[int]int
-	told     map[int]int
+	random     *rand.Rand
+	controller *Controller
+	programs   []*program
+	queue      []*program
+	running    int
+	// onTime counts the programs that met their deadline, by the second of their start.
+	onTime map[int]int
 }
 
 func (s *service) classOf(now time.Duration, p *program) Class {
 	switch {
-	case now > p.began+aim:
-		return Late
-	case p.turn == 0 && p.isUrgent:
-		return NewUrgent
+	case now > p.startedAt+deadline:
+		return LateTurn
+	case p.turn == 0 && p.urgent:
+		return UrgentFirstTurn
 	case p.turn == 0:
-		return New
+		return FirstTurn
 	}
 	return Exempt
 }
 
-// advance moves each program by one step. A refused turn comes back twice, after a time.
+// advance simulates one step. A refused turn is retried at most twice, after a fixed delay.
 func (s *service) advance(now time.Duration) {
 	for _, p := range s.programs {
 		switch {
 		case p.endsAt > 0 && now >= p.endsAt:
 			s.running--
-			p.endsAt, p.turn, p.tries, p.readyAt = 0, p.turn+1, 0, now+pauseTime
-			if p.turn == turns && now <= p.began+aim {
-				s.inTime[int(p.began/time.Second)]++
+			p.endsAt, p.turn, p.refusals, p.readyAt = 0, p.turn+1, 0, now+pauseTime
+			if p.turn == turns && now <= p.startedAt+deadline {
+				s.onTime[int(p.startedAt/time.Second)]++
 			}
-		case p.endsAt == 0 && !p.waiting && p.turn < turns && now >= p.readyAt:
-			if s.control != nil && !s.control.Admits(s.classOf(now, p), p.id) {
-				p.tries++
+		case p.endsAt == 0 && !p.queued && p.turn < turns && now >= p.readyAt:
+			if s.controller != nil && !s.controller.Admits(s.classOf(now, p), p.id) {
+				p.refusals++
 				p.readyAt = now + 400*time.Millisecond
-				if p.tries > 2 {
+				if p.refusals > 2 {
 					p.turn = turns + 1
 				}
 				continue
 			}
-			p.waiting = true
+			p.queued = true
 			s.queue = append(s.queue, p)
 		}
 	}
 	s.programs = slices.DeleteFunc(s.programs, func(p *program) bool { return p.turn >= turns })
-	for s.running < places && len(s.queue) > 0 {
+	for s.running < slots && len(s.queue) > 0 {
 		p := s.queue[0]
 		s.queue = s.queue[1:]
-		p.waiting, p.endsAt = false, now+turnTime
+		p.queued, p.endsAt = false, now+turnTime
 		s.running++
 	}
 }
 
-// play offers programs at a multiple of what the places carry, by second, and returns how
-// many of each second end in time for each that could be served.
-func play(seed uint64, controlled bool, offered []float64) []float64 {
-	s := &service{random: rand.New(rand.NewPCG(seed, 1)), inTime: map[int]int{}, told: map[int]int{}}
+// simulate starts programs at the given multiple of the capacity in each second. It returns
+// the goodput: the programs of each second that met their deadline, as a fraction of the
+// capacity.
+func simulate(seed uint64, controlled bool, offered []float64) []float64 {
+	s := &service{random: rand.New(rand.NewPCG(seed, 1)), onTime: map[int]int{}}
 	if controlled {
-		s.control = &Controller{}
+		s.controller = &Controller{}
 	}
-	due := 0.0
+	pending := 0.0
 	for now := time.Duration(0); now < time.Duration(len(offered)+6)*time.Second; now += step {
 		if second := int(now / time.Second); second < len(offered) {
-			for due += offered[second] * carried * step.Seconds(); due >= 1; due-- {
-				s.programs = append(s.programs, &program{id: fmt.Sprint(len(s.programs), "-", now), began: now, isUrgent: s.random.IntN(3) == 0})
+			for pending += offered[second] * capacity * step.Seconds(); pending >= 1; pending-- {
+				s.programs = append(s.programs, &program{id: fmt.Sprint(len(s.programs), "-", now), startedAt: now, urgent: s.random.IntN(3) == 0})
 			}
 		}
 		s.advance(now)
-		if s.control != nil && now%(100*time.Millisecond) == 0 {
-			s.control.Observe(now, float64(s.running+len(s.queue))/places-1)
+		if s.controller != nil && now%(100*time.Millisecond) == 0 {
+			s.controller.Observe(now, float64(s.running+len(s.queue))/slots-1)
 		}
 	}
-	var shares []float64
+	var fractions []float64
 	for second := range offered {
-		shares = append(shares, float64(s.inTime[second])/carried)
+		fractions = append(fractions, float64(s.onTime[second])/capacity)
 	}
-	return shares
+	return fractions
 }
 
-func mean(shares []float64) (sum float64) {
-	for _, one := range shares {
-		sum += one
+func mean(fractions []float64) (sum float64) {
+	for _, f := range fractions {
+		sum += f
 	}
-	return sum / float64(len(shares))
+	return sum / float64(len(fractions))
 }
 
-func profile(calm float64, calmFor int, load float64, loadFor, after int) (offered []float64) {
-	for range calmFor {
-		offered = append(offered, calm)
+// loadProfile returns the offered load of each second: base, then peak, then base again.
+func loadProfile(base float64, before int, peak float64, during, after int) (offered []float64) {
+	for range before {
+		offered = append(offered, base)
 	}
-	for range loadFor {
-		offered = append(offered, load)
+	for range during {
+		offered = append(offered, peak)
 	}
 	for range after {
-		offered = append(offered, calm)
+		offered = append(offered, base)
 	}
 	return offered
 }
 
-// TestOverloadBends: at 1.3 and 2 times what can be carried, and on, at least 0.75 of the
-// best is served in time; without control nearly nothing is. After a burst, calm's part
-// is served within two seconds.
-func TestOverloadBends(t *testing.T) {
-	best := mean(play(1, false, profile(0.8, 10, 0.8, 10, 0))[4:18])
+// TestGoodputUnderOverload checks that the controller keeps at least 0.75 of the best goodput
+// during an overload and recovers within two seconds after it. The run without a controller
+// confirms that the load does overload the service.
+func TestGoodputUnderOverload(t *testing.T) {
+	best := mean(simulate(1, false, loadProfile(0.8, 10, 0.8, 10, 0))[4:18])
 	for _, load := range []float64{1.3, 2} {
 		for seed := range uint64(20) {
-			offered := profile(0.7, 6, load, 16, 8)
-			controlled, free := play(seed, true, offered), play(seed, false, offered)
-			// The first two seconds are those in which it is noticed.
+			offered := loadProfile(0.7, 6, load, 16, 8)
+			controlled, uncontrolled := simulate(seed, true, offered), simulate(seed, false, offered)
+			// The first two seconds of the overload are left to the controller to react.
 			if got := mean(controlled[8:22]); got < 0.75*best {
-				t.Errorf("seed %d at %.1f: %.2f in time; the best is %.2f", seed, load, got, best)
+				t.Errorf("seed %d, load %.1f: goodput %.2f, best %.2f", seed, load, got, best)
 			}
-			if got := mean(free[12:22]); got > 0.3*best {
-				t.Errorf("seed %d at %.1f: %.2f in time without control: the test does not overload", seed, load, got)
+			if got := mean(uncontrolled[12:22]); got > 0.3*best {
+				t.Errorf("seed %d, load %.1f: goodput %.2f without a controller; the load is no overload", seed, load, got)
 			}
 			if got := mean(controlled[24:]); got < 0.9*0.7 {
-				t.Errorf("seed %d at %.1f: %.2f of %.2f in time from two seconds after the burst on", seed, load, got, 0.7)
+				t.Errorf("seed %d, load %.1f: goodput %.2f of %.2f from two seconds after the overload", seed, load, got, 0.7)
 			}
 		}
 	}
 }
 
-// TestCalmIsLeftAlone: nothing is refused while the places suffice.
-func TestCalmIsLeftAlone(t *testing.T) {
+// TestGoodputWithoutOverload checks that the controller costs no goodput below the capacity.
+func TestGoodputWithoutOverload(t *testing.T) {
 	for seed := range uint64(20) {
-		offered := profile(0.75, 10, 0.8, 10, 0)
-		if controlled, free := mean(play(seed, true, offered)), mean(play(seed, false, offered)); controlled < free-0.01 {
-			t.Errorf("seed %d: %.3f in time, and %.3f without control", seed, controlled, free)
+		offered := loadProfile(0.75, 10, 0.8, 10, 0)
+		if controlled, uncontrolled := mean(simulate(seed, true, offered)), mean(simulate(seed, false, offered)); controlled < uncontrolled-0.01 {
+			t.Errorf("seed %d: goodput %.3f, without a controller %.3f", seed, controlled, uncontrolled)
 		}
 	}
 }
 
-// TestOrderOfRefusal: late before new, new before urgent, and nothing else ever; some of
-// each class is let in at any level.
-func TestOrderOfRefusal(t *testing.T) {
+// TestRefusalOrder checks the order in which classes are refused, that exempt requests never
+// are, and that part of each class is admitted at any level.
+func TestRefusalOrder(t *testing.T) {
 	var c Controller
 	for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
 		c.Observe(now, 3)
-		if c.RefusedFraction(Exempt) != 0 || c.RefusedFraction(Late) < c.RefusedFraction(New) || c.RefusedFraction(New) < c.RefusedFraction(NewUrgent) {
-			t.Fatalf("at %v: late %v, new %v, urgent %v", now, c.RefusedFraction(Late), c.RefusedFraction(New), c.RefusedFraction(NewUrgent))
+		if c.RefusedFraction(Exempt) != 0 || c.RefusedFraction(LateTurn) < c.RefusedFraction(FirstTurn) || c.RefusedFraction(FirstTurn) < c.RefusedFraction(UrgentFirstTurn) {
+			t.Fatalf("at %v: refused fraction of late turns %v, first turns %v, urgent first turns %v", now, c.RefusedFraction(LateTurn), c.RefusedFraction(FirstTurn), c.RefusedFraction(UrgentFirstTurn))
 		}
 	}
-	for _, class := range []Class{Late, New, NewUrgent} {
+	for _, class := range []Class{LateTurn, FirstTurn, UrgentFirstTurn} {
 		if r := c.RefusedFraction(class); r < 0.8 || r > 0.95 {
-			t.Errorf("class %d: %v is refused at the highest level", class, r)
+			t.Errorf("class %d: refused fraction %v at the maximum level", class, r)
 		}
 	}
 	for now := 20 * time.Second; now < 22*time.Second; now += 100 * time.Millisecond {
 		c.Observe(now, -0.5)
 	}
-	if c.RefusedFraction(Late) != 0 {
-		t.Errorf("%v of late turns are refused after two calm seconds", c.RefusedFraction(Late))
+	if c.RefusedFraction(LateTurn) != 0 {
+		t.Errorf("refused fraction of late turns is %v two seconds after the overload", c.RefusedFraction(LateTurn))
 	}
 }
--- a/rule/invariant/invariant.go
+++ b/rule/invariant/invariant.go
@@ -1,12 +1,12 @@
-// Package invariant names what must hold in a running process whatever fails
-// around it, and counts where it did not. Checks stand in the code where the state
-// that they speak of changes, cost one comparison while they hold, and are on
-// everywhere: in production a violation is counted, logged once for each name and
-// exported with the metrics; in tests and soak runs it panics.
+// Package invariant names the invariants of a running process and counts their violations.
 //
-// A check never repairs anything and is no substitute for handling an error. What
-// other processes, requesters or replicas may do wrong is no violation; what this
-// code must not do, given all that they do, is.
+// A check is one comparison at the place where the checked state changes, and is always
+// enabled. In production a violation is counted, exported as a metric and logged once per
+// invariant. In tests and soak runs it panics.
+//
+// A check repairs nothing and does not replace error handling. Faults of other processes,
+// requesters and replicas are no violations; an invariant is what this code guarantees in
+// spite of them. Start reading at Reporter and Counter.
 package invariant
 
 import (
@@ -15,73 +15,72 @@
 	"saffronfall/rule/ordered"
 )
 
-// Name is one invariant.
+// Name identifies an invariant in logs and metrics.
 type Name string
 
 // Invariants of a node that relays requests.
 const (
-	// TableNeverOlder: within one life, the routing table in force is never
-	// replaced by one with a lower number.
+	// TableNeverOlder: an incarnation of a node never replaces its routing table by one
+	// with a lower number.
 	TableNeverOlder Name = "table_never_older"
-	// RunsOnce: a request that may run once is sent to no further replica once it
-	// may have run.
+	// RunsOnce: a request that must not run more than once is sent to no other replica
+	// after it may have run.
 	RunsOnce Name = "runs_once"
-	// TriesWithinRoute: a request is sent to no more replicas than its route allows.
-	TriesWithinRoute Name = "tries_within_route"
-	// RefusedNeverRan: a request that is refused has run nowhere and is not under
-	// way.
+	// AttemptsWithinRoute: a request has at most as many attempts as its route allows.
+	AttemptsWithinRoute Name = "tries_within_route"
+	// RefusedNeverRan: a refused request has run at no replica and is not in flight.
 	RefusedNeverRan Name = "refused_never_ran"
-	// PaidBeforeSent: each sending of a tenant with a rate is covered by a grant
-	// that was not used for another one that may have run.
-	PaidBeforeSent Name = "paid_before_sent"
+	// GrantedBeforeSent: each attempt for a tenant with a rate limit is covered by a grant
+	// that was not used for another attempt that may have run.
+	GrantedBeforeSent Name = "paid_before_sent"
 	// SpentWithinGrant: a node spends no more of a tenant's rate than it was granted.
 	SpentWithinGrant Name = "spent_within_grant"
-	// ReservedBeforeSent: a turn with a budget is sent only when its reservation is
+	// ReservedBeforeSent: a turn with a budget is sent only after its reservation is
 	// durable.
 	ReservedBeforeSent Name = "reserved_before_sent"
-	// LeavingNeverChosen: a replica that is known to leave is not chosen.
+	// LeavingNeverChosen: a replica that is known to be leaving is not chosen.
 	LeavingNeverChosen Name = "leaving_never_chosen"
-	// HeldWithinTime: no request is under way long after its time has ended.
-	HeldWithinTime Name = "held_within_time"
-	// EndedOnce: each request ends once, by one cause.
+	// EndedByDeadline: no request is in flight long after its deadline.
+	EndedByDeadline Name = "held_within_time"
+	// EndedOnce: each request ends exactly once, with one cause.
 	EndedOnce Name = "ended_once"
-	// AnswerMatches: an answer is passed on to the requester of the attempt that it
+	// AnswerMatches: an answer is forwarded only to the requester of the attempt that it
 	// names.
 	AnswerMatches Name = "answer_matches"
-	// TurnKeptForItsTime: a turn that came whole at this node is found until its time is
-	// over.
-	TurnKeptForItsTime Name = "turn_kept_for_its_time"
-	// CountsAgree: counts kept in two ways agree.
+	// TurnKeptUntilDeadline: a turn that this node received completely can be found until
+	// its deadline.
+	TurnKeptUntilDeadline Name = "turn_kept_for_its_time"
+	// CountsAgree: a count that is kept in two ways has one value.
 	CountsAgree Name = "counts_agree"
 )
 
 // Invariants of cores.
 const (
-	// PromiseNeverBack: a replica of a partition never promises, nor accepts from, a
-	// term below the one that it promised.
-	PromiseNeverBack Name = "promise_never_back"
-	// AcknowledgedAfterSync: what rests on a write leaves the process only once that
+	// PromisedTermNeverLower: a replica of a partition never promises, nor accepts from, a
+	// term below the one that it has promised.
+	PromisedTermNeverLower Name = "promise_never_back"
+	// AcknowledgedAfterSync: a message that depends on a write is sent only after the
 	// write is synced.
 	AcknowledgedAfterSync Name = "acknowledged_after_sync"
-	// GrantedWithinLimit: what is out and spent of a tenant's rate stays within its
-	// limit when more is granted.
+	// GrantedWithinLimit: a grant does not bring the outstanding and spent requests of a
+	// tenant above its rate limit.
 	GrantedWithinLimit Name = "granted_within_limit"
 )
 
-// Violation is one case in which an invariant did not hold.
+// Violation describes one violation of an invariant.
 type Violation struct {
 	Name   Name
 	Detail string
 }
 
-// Error says which one, and what was seen.
+// Error returns the name of the invariant and the details of the violation.
 func (v Violation) Error() string { return "invariant " + string(v.Name) + " violated: " + v.Detail }
 
-// Report takes violations. Machines are handed one; without one, a violation panics.
-type Report func(v Violation)
+// Reporter handles violations. A nil Reporter panics.
+type Reporter func(v Violation)
 
-// Violated reports a violation.
-func (r Report) Violated(name Name, format string, args ...any) {
+// Violated reports a violation whose details are formatted as by fmt.Sprintf.
+func (r Reporter) Violated(name Name, format string, args ...any) {
 	v := Violation{Name: name, Detail: fmt.Sprintf(format, args...)}
 	if r == nil {
 		panic(v)
@@ -89,16 +88,16 @@
 	r(v)
 }
 
-// Counts counts the violations of one process. It belongs to the goroutine that
-// owns the state which is checked.
-type Counts struct {
-	// First is called at the first violation of each name.
+// Counter counts the violations in one process. It is not safe for concurrent use: only the
+// goroutine that owns the checked state may use it.
+type Counter struct {
+	// First, if not nil, is called at the first violation of each invariant.
 	First  func(v Violation)
 	counts map[Name]int64
 }
 
-// Report counts a violation.
-func (c *Counts) Report(v Violation) {
+// Report counts a violation. It can be used as a Reporter.
+func (c *Counter) Report(v Violation) {
 	if c.counts == nil {
 		c.counts = map[Name]int64{}
 	}
@@ -108,15 +107,15 @@
 	}
 }
 
-// Each tells the count of every invariant that was violated, by name.
-func (c *Counts) Each(tell func(name Name, count int64)) {
+// Each calls visit with the count of each violated invariant, in the order of their names.
+func (c *Counter) Each(visit func(name Name, count int64)) {
 	for _, name := range ordered.Keys(c.counts) {
-		tell(name, c.counts[name])
+		visit(name, c.counts[name])
 	}
 }
 
-// Total is how many violations there were.
-func (c *Counts) Total() int64 {
+// Total returns the number of all violations.
+func (c *Counter) Total() int64 {
 	var total int64
 	for _, n := range c.counts {
 		total += n
--- a/rule/ordered/ordered.go
+++ b/rule/ordered/ordered.go
@@ -1,5 +1,5 @@
-// Package ordered walks maps in the order of their keys, so that a machine
-// does the same with the same inputs.
+// Package ordered iterates over maps in the order of their keys, so that deterministic state
+// machines do not depend on Go's random iteration order.
 package ordered
 
 import (
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Keys lists a map's keys in order.
+// Keys returns the keys of a map in ascending order.
 func Keys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
--- a/rule/partition/machine.go
+++ b/rule/partition/machine.go
@@ -37,7 +37,7 @@
 // invariants.
 type outlets struct {
 	out      *Output
-	violated invariant.Report
+	violated invariant.Reporter
 }
 
 type owning struct {
@@ -91,7 +91,7 @@
 	Now    time.Duration
 	Random func() float64
 	// Violated takes violated invariants; without it they panic.
-	Violated invariant.Report
+	Violated invariant.Reporter
 }
 
 // New makes a machine from what its disk holds. As it may have renewed an
@@ -144,7 +144,7 @@
 func (m *Machine) record(r Record) {
 	r.Part = m.number
 	if r.Promised != (Term{}) && r.Promised.Less(m.copy.Promised) {
-		m.violated.Violated(invariant.PromiseNeverBack, "replica %s of partition %d promised %+v and would record %+v", m.seat, m.number, m.copy.Promised, r.Promised)
+		m.violated.Violated(invariant.PromisedTermNeverLower, "replica %s of partition %d promised %+v and would record %+v", m.seat, m.number, m.copy.Promised, r.Promised)
 	}
 	m.out.Records = append(m.out.Records, r)
 	if m.copy.Promised.Less(r.Promised) {
--- a/rule/placement/home.go
+++ b/rule/placement/home.go
@@ -5,11 +5,10 @@
 	"math"
 )
 
-// homes are the replicas that every node would pick for a prompt if it knew nothing else:
-// the first ones by rendezvous hashing (Thaler and Ravishankar 1998) of what tells the
-// prompt's conversation from others. So a conversation's turns meet the parts that its
-// earlier ones left, whichever node they come through. Replicas of the node's zone go
-// before others.
+// homes are the first two replicas of a conversation by rendezvous hashing (Thaler and
+// Ravishankar 1998). All nodes compute the same homes without coordination, so the turns of
+// a conversation reach the replica that has cached its earlier turns, whichever node they
+// come through. Replicas in the node's zone rank above others.
 type homes struct {
 	first, second           *Replica
 	firstScore, secondScore score
@@ -17,28 +16,28 @@
 
 // score orders replicas for one conversation.
 type score struct {
-	near bool
-	rank float64
+	local bool
+	rank  float64
 }
 
 func (s score) above(other score) bool {
-	if s.near != other.near {
-		return s.near
+	if s.local != other.local {
+		return s.local
 	}
 	return s.rank > other.rank
 }
 
 func (p *Policy) homesOf(request Request, replicas []*Replica, allowed func(*Replica) bool) (h homes) {
 	key, ok := request.homeKey()
-	if !ok || !p.Settings.Homes {
+	if !ok || !p.Settings.HomeReplicas {
 		return h
 	}
-	// What a replica saves of a request for a thing that it knows outweighs the way to
-	// another zone, and all zones have requests for it.
-	isZonal := p.Settings.Zones && !request.hasAffinity()
+	// With an affinity key the zone is ignored: requests with one key come from all zones,
+	// and a replica that has served the key saves more than a cross-zone hop costs.
+	preferLocal := p.Settings.LocalZone && !request.hasAffinity()
 	for _, r := range replicas {
 		if allowed(r) {
-			h.add(r, score{near: isZonal && r.Zone == p.Zone, rank: rank(mix(key^r.hash()), p.slowness(request, r))})
+			h.add(r, score{local: preferLocal && r.Zone == p.Zone, rank: rank(mix(key^r.hash()), p.slowness(request, r))})
 		}
 	}
 	return h
@@ -54,52 +53,51 @@
 	}
 }
 
-// rank orders replicas by weighted rendezvous hashing: a slow one is the home of fewer
-// conversations. Slowness counts in steps, so that homes stay where they are while it is
-// measured anew.
+// rank is the score of weighted rendezvous hashing: a slow replica is the home of fewer
+// conversations. Slowness is rounded, so that small changes of the estimate move no homes.
 func rank(hash uint64, slowness float64) float64 {
 	const steps = 4
 	slowness = math.Round(slowness*steps) / steps
 	weight := 1 / (slowness * slowness * slowness * slowness)
-	where := (float64(hash>>11) + 0.5) / (1 << 53)
-	return -weight / math.Log(where)
+	uniform := (float64(hash>>11) + 0.5) / (1 << 53)
+	return -weight / math.Log(uniform)
 }
 
-// hasAffinity reports whether a request's home goes by the thing that it concerns.
+// hasAffinity reports whether the home of a request is chosen by its affinity key.
 func (r Request) hasAffinity() bool { return r.Affinity != 0 && len(r.Prompt) == 0 }
 
-// homeKey is by what a request has a home.
+// homeKey returns the hash key that selects the home of a request, if it has one.
 func (r Request) homeKey() (uint64, bool) {
 	if r.hasAffinity() {
 		return r.Affinity, true
 	}
-	return conversation(r.Prompt)
+	return conversationKey(r.Prompt)
 }
 
-// conversation is what tells a prompt's conversation from others: its second part, as
-// the first one is shared by many.
-func conversation(prompt []Part) (uint64, bool) {
+// conversationKey returns the ID of a prompt's second segment, which identifies the
+// conversation. The first segment is shared by many conversations.
+func conversationKey(prompt []PromptSegment) (uint64, bool) {
 	if len(prompt) < 2 {
 		return 0, false
 	}
 	return prompt[1].ID, true
 }
 
-// goesOn reports whether a prompt goes on from earlier turns of its conversation: it has
-// more than the shared part and its own first one.
-func goesOn(prompt []Part) bool { return len(prompt) > 2 }
+// continuesConversation reports whether a prompt contains earlier turns of its conversation:
+// more than the shared segment and the first one of its own.
+func continuesConversation(prompt []PromptSegment) bool { return len(prompt) > 2 }
 
-// hash is a replica's number in rendezvous hashing.
+// hash returns the nonzero hash of the replica's ID, computed once.
 func (r *Replica) hash() uint64 {
-	if r.hashed == 0 {
+	if r.idHash == 0 {
 		h := fnv.New64a()
 		h.Write([]byte(r.ID))
-		r.hashed = h.Sum64() | 1
+		r.idHash = h.Sum64() | 1
 	}
-	return r.hashed
+	return r.idHash
 }
 
-// mix spreads the bits of a number (the finalizer of SplitMix64).
+// mix is the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/rule/placement/policy.go
+++ b/rule/placement/policy.go
@@ -2,78 +2,82 @@
 
 import "time"
 
-// Settings name the parts of the policy, so that each can be switched off.
+// Settings switch the mechanisms of a Policy on and off and hold its parameters.
 type Settings struct {
-	// Compared is how many replicas of the node's zone are drawn and compared, and half as
-	// many of others. Zero compares all.
-	Compared int
-	// Homes prefers the replicas at which all nodes expect a conversation's parts.
-	Homes bool
-	// Paces weighs how fast replicas are.
-	Paces bool
-	// Prefixes weighs the parts of a prompt that a replica has kept, Zones the node's
-	// zone, Failures how often a replica fails.
-	Prefixes, Zones, Failures bool
-	// PromptRate is how many tokens of a prompt a replica reads in a millisecond.
-	PromptRate float64
-	// Beat is how often replicas announce themselves: a replica's own word of its load
-	// is fresh for a quarter of it.
-	Beat time.Duration
+	// SampleSize is the number of replicas in the node's zone that are sampled and
+	// compared for a request, besides half as many in other zones. Zero compares all.
+	SampleSize int
+	// HomeReplicas prefers a conversation's home by rendezvous hashing.
+	HomeReplicas bool
+	// UnitTimes takes the speed of replicas into account.
+	UnitTimes bool
+	// PromptCache takes into account which prompt segments a replica has cached, LocalZone
+	// whether it is in the node's zone, and FailureRates how often it fails.
+	PromptCache, LocalZone, FailureRates bool
+	// PromptTokensPerMilli is the number of prompt tokens that a replica processes in a
+	// millisecond.
+	PromptTokensPerMilli float64
+	// HeartbeatInterval is the interval of the replicas' heartbeats.
+	HeartbeatInterval time.Duration
 }
 
-// Request is what a decision has to know of a request.
+// Request describes a request to a Policy.
 type Request struct {
-	Prompt []Part
-	// Affinity tells requests that concern the same thing, which a replica that had one of
-	// them lately serves faster; zero: not known.
+	Prompt []PromptSegment
+	// Affinity is the affinity key of the request, or zero: a replica that recently served
+	// a request with the same key serves it faster.
 	Affinity uint64
-	// Repeats: it may run more than once. Left is how much time it still has.
-	Repeats bool
-	Left    time.Duration
-	// Service is how long requests of its kind take at a replica.
-	Service time.Duration
-	// Reference is the pace that those of replicas are compared with.
-	Reference time.Duration
-	// Again: a replica has turned it away, so all others are compared.
-	Again bool
+	// Repeatable means that the request may run more than once.
+	Repeatable bool
+	// Remaining is the time until the request's deadline.
+	Remaining time.Duration
+	// ServiceTime is the mean time that requests of the service take at a replica.
+	ServiceTime time.Duration
+	// ReferenceUnitTime is the unit time to which those of replicas are compared.
+	ReferenceUnitTime time.Duration
+	// Rejected means that a replica has rejected the request; all others are compared.
+	Rejected bool
 }
 
-// Policy compares replicas.
+// Policy chooses replicas for the requests of one node. It is not safe for concurrent use.
 type Policy struct {
 	Settings Settings
-	// Zone is the node's own.
+	// Zone is the node's zone.
 	Zone string
-	// Random draws from 0 up to 1.
+	// Random returns uniformly distributed numbers in [0, 1).
 	Random func() float64
 }
 
+// Costs in the comparison of replicas, as times or as fractions of the service time.
 const (
-	// sharing is how much longer a request takes where all slots are taken, as a part of
-	// its time on an idle replica.
-	sharing = 0.15
-	// zoneCost is what a way to another zone costs, in time and in traffic.
-	zoneCost = 5 * time.Millisecond
-	// warmingCost is what a replica that is still slow from its start costs.
+	// contentionFraction is the slowdown of a request on a replica whose slots are all in
+	// use.
+	contentionFraction = 0.15
+	// remoteZoneCost covers the latency and the traffic cost of a hop to another zone.
+	remoteZoneCost = 5 * time.Millisecond
+	// warmingCost applies to a replica that has just started.
 	warmingCost = 5 * time.Millisecond
-	// connectionCost is what a new connection costs, in time and in prices. One is likely
-	// to be needed once nothing was sent for idleBeats.
+	// connectionCost covers the latency and the price of a new connection. One is assumed
+	// to be needed after idleHeartbeats heartbeat intervals without a request.
 	connectionCost = 2 * time.Millisecond
-	idleBeats      = 4
-	// affinityGain is which part of its time a request is expected to save at the home of
-	// what it concerns: some of what a replica saves that had a request for it, as it may
-	// have had none lately.
+	idleHeartbeats = 4
+	// affinityGain is the expected saving at the home of an affinity key. It is less than
+	// what a recent request with the key saves, as there may have been none.
 	affinityGain = 0.2
-	// tieBreak spreads requests over replicas that are alike.
+	// tieBreak is the range of the random cost that spreads requests over equal replicas.
 	tieBreak = 3 * time.Millisecond
+	// reportValidityDivisor is the fraction of the heartbeat interval for which a
+	// replica's load report is used.
+	reportValidityDivisor = 4
 )
 
-// Choose picks the replica where a request is likely done first, or nil where none is
+// Choose returns the allowed replica with the lowest estimated cost, or nil if none is
 // allowed.
 //
-// What nodes know of load is late by the time in which they tell each other, so if all
-// picked the best one they would all pick the same. Each therefore compares a few that
-// are drawn at random, besides those that have kept the request's prompt: even two bound
-// how far replicas drift apart (Mitzenmacher 2000).
+// A node learns the load of other nodes with a delay. If all nodes chose the best of all
+// replicas, they would choose the same one at the same time. Each node therefore compares a
+// random sample, and the replicas that may have cached the prompt. A sample of two already
+// bounds the imbalance (Mitzenmacher 2000).
 func (p *Policy) Choose(now time.Duration, request Request, replicas []*Replica, allowed func(*Replica) bool) *Replica {
 	var chosen *Replica
 	var best time.Duration
@@ -83,48 +87,53 @@
 			chosen, best = r, cost
 		}
 	}
-	wanted := p.Settings.Compared
-	if request.Again || wanted == 0 {
+	wanted := p.Settings.SampleSize
+	if request.Rejected || wanted == 0 {
 		wanted = 2 * len(replicas)
 	}
 	homes := p.homesOf(request, replicas, allowed)
-	drawn := newDraw(p, wanted, replicas, allowed)
+	sample := newSampler(p, wanted, replicas, allowed)
 	for _, r := range replicas {
 		if !allowed(r) {
 			continue
 		}
-		isDrawn := drawn.takes(r)
-		if isDrawn || r == homes.first || r == homes.second || p.keeps(request, r) {
+		sampled := sample.sampled(r)
+		if sampled || r == homes.first || r == homes.second || p.hasCached(request, r) {
 			consider(r, r == homes.first)
 		}
 	}
 	return chosen
 }
 
-// HasRoom reports whether a replica would run a request at once, as far as is known.
+// HasRoom reports whether a replica is estimated to have a free slot.
 func (p *Policy) HasRoom(now time.Duration, r *Replica) bool {
-	return now >= r.fullUntil && r.Running(now, p.Settings.Beat/4) < r.slots()
+	return now >= r.fullUntil && r.Running(now, p.reportValidity()) < r.slots()
 }
 
-// keeps reports whether a replica has kept more of a prompt than its first part, which
-// many requests share.
-func (p *Policy) keeps(request Request, r *Replica) bool {
-	key, ok := conversation(request.Prompt)
-	if !ok || !p.Settings.Prefixes {
+// reportValidity returns how long a replica's load report is used.
+func (p *Policy) reportValidity() time.Duration {
+	return p.Settings.HeartbeatInterval / reportValidityDivisor
+}
+
+// hasCached reports whether a replica is expected to have cached the segment that
+// identifies the request's conversation.
+func (p *Policy) hasCached(request Request, r *Replica) bool {
+	key, ok := conversationKey(request.Prompt)
+	if !ok || !p.Settings.PromptCache {
 		return false
 	}
-	_, kept := r.kept.parts[key]
-	return kept
+	_, cached := r.cache.segments[key]
+	return cached
 }
 
-// cost estimates when a request would be done at a replica, and what it would cost
-// besides.
+// cost estimates the additional time that a request takes at a replica compared to an idle,
+// fast one, with other costs expressed as times.
 func (p *Policy) cost(now time.Duration, request Request, r *Replica, isHome bool) time.Duration {
-	running, slots := r.Running(now, p.Settings.Beat/4), r.slots()
+	running, slots := r.Running(now, p.reportValidity()), r.slots()
 	slowness := p.slowness(request, r)
-	service := time.Duration(float64(request.Service) * slowness)
-	cost := service - request.Service
-	cost += time.Duration(float64(service) * sharing * float64(min(running, slots)) / float64(slots))
+	service := time.Duration(float64(request.ServiceTime) * slowness)
+	cost := service - request.ServiceTime
+	cost += time.Duration(float64(service) * contentionFraction * float64(min(running, slots)) / float64(slots))
 	if isHome && request.hasAffinity() {
 		cost -= time.Duration(float64(service) * affinityGain)
 	}
@@ -135,52 +144,52 @@
 		cost += service
 	}
 	if now < r.movedUntil {
-		cost += request.Left
+		cost += request.Remaining
 	}
 	if r.Warming {
 		cost += warmingCost
 	}
-	if !r.lastUse.known || now > r.lastUse.at+idleBeats*p.Settings.Beat {
+	if !r.lastUse.known || now > r.lastUse.at+idleHeartbeats*p.Settings.HeartbeatInterval {
 		cost += connectionCost
 	}
-	if p.Settings.Zones && r.Zone != p.Zone {
-		cost += zoneCost
+	if p.Settings.LocalZone && r.Zone != p.Zone {
+		cost += remoteZoneCost
 	}
-	if p.Settings.Prefixes {
-		cost += time.Duration(float64(p.readingCost(request, r, isHome, min(running, slots))) * slowness)
+	if p.Settings.PromptCache {
+		cost += time.Duration(float64(p.promptCost(request, r, isHome, min(running, slots))) * slowness)
 	}
-	if p.Settings.Failures {
+	if p.Settings.FailureRates {
 		cost += p.failureCost(now, request, r)
 	}
 	return cost
 }
 
-// slowness is how much longer a replica takes than a fast one.
+// slowness returns the slowness of a replica, or 1 if unit times are switched off.
 func (p *Policy) slowness(request Request, r *Replica) float64 {
-	if !p.Settings.Paces {
+	if !p.Settings.UnitTimes {
 		return 1
 	}
-	return r.Slowness(request.Reference)
+	return r.Slowness(request.ReferenceUnitTime)
 }
 
-// readingCost is the time in which a replica reads what it has not kept of a prompt. The
-// requests that run beside it wait for that too, so it counts once for each of them.
-func (p *Policy) readingCost(request Request, r *Replica, isHome bool, running int64) time.Duration {
-	unread := r.kept.unread(request.Prompt)
-	if isHome && goesOn(request.Prompt) {
-		// Another node may have sent the earlier turns there.
-		unread = min(unread, request.Prompt[len(request.Prompt)-1].Tokens)
-	}
-	return time.Duration(float64(unread) / p.Settings.PromptRate * float64(time.Millisecond) * float64(1+running))
+// promptCost returns the time in which a replica processes the tokens of a prompt that it has
+// not cached. This delays the requests that run beside it too, so it counts once for each.
+func (p *Policy) promptCost(request Request, r *Replica, isHome bool, running int64) time.Duration {
+	missing := r.cache.missing(request.Prompt)
+	if isHome && continuesConversation(request.Prompt) {
+		// Other nodes send the earlier turns to the home too; assume that they are cached.
+		missing = min(missing, request.Prompt[len(request.Prompt)-1].Tokens)
+	}
+	return time.Duration(float64(missing) / p.Settings.PromptTokensPerMilli * float64(time.Millisecond) * float64(1+running))
 }
 
-// failureCost is what a failure would cost, as often as it is expected. A request that
-// may run again loses about the time that it takes. One that may run once is lost; half of
-// the time that it still has weighs that against waiting elsewhere.
+// failureCost returns the expected cost of a failure. A repeatable request loses about its
+// service time. Any other request is lost; half of its remaining time is taken as the cost
+// of that.
 func (p *Policy) failureCost(now time.Duration, request Request, r *Replica) time.Duration {
-	loss := request.Service
-	if !request.Repeats {
-		loss = max(loss, request.Left/2)
+	loss := request.ServiceTime
+	if !request.Repeatable {
+		loss = max(loss, request.Remaining/2)
 	}
-	return time.Duration(r.Failing(now, p.Settings.Beat) * float64(loss))
+	return time.Duration(r.FailureRate(now, p.Settings.HeartbeatInterval) * float64(loss))
 }
--- /dev/null
+++ b/rule/placement/promptcache.go
@@ -0,0 +1,61 @@
+package placement
+
+import "time"
+
+// promptCache is a node's model of the prompt segments that a replica has cached: those
+// that the node sent there, with least-recently-used eviction.
+type promptCache struct {
+	segments map[uint64]cachedSegment
+	tokens   int64
+}
+
+type cachedSegment struct {
+	tokens int64
+	usedAt time.Duration
+}
+
+func newPromptCache() promptCache {
+	return promptCache{segments: map[uint64]cachedSegment{}}
+}
+
+// add records the use of a prompt's segments and evicts others beyond the capacity, which
+// is in tokens.
+func (c *promptCache) add(now time.Duration, prompt []PromptSegment, capacity int64) {
+	for _, s := range prompt {
+		if _, cached := c.segments[s.ID]; !cached {
+			c.tokens += s.Tokens
+		}
+		c.segments[s.ID] = cachedSegment{tokens: s.Tokens, usedAt: now}
+	}
+	for c.tokens > capacity && len(c.segments) > 1 {
+		c.evictOldest()
+	}
+}
+
+func (c *promptCache) evictOldest() {
+	var oldest uint64
+	first := true
+	for id, segment := range c.segments {
+		if first || segment.usedAt < c.segments[oldest].usedAt {
+			oldest, first = id, false
+		}
+	}
+	c.tokens -= c.segments[oldest].tokens
+	delete(c.segments, oldest)
+}
+
+// missing returns the number of tokens of a prompt that are not cached. A segment is a cache
+// hit only if all segments before it are.
+func (c *promptCache) missing(prompt []PromptSegment) int64 {
+	var missing int64
+	cached := true
+	for _, s := range prompt {
+		if cached {
+			_, cached = c.segments[s.ID]
+		}
+		if !cached {
+			missing += s.Tokens
+		}
+	}
+	return missing
+}
--- a/rule/placement/replica.go
+++ b/rule/placement/replica.go
@@ -1,91 +1,91 @@
-// Package placement decides which replica a request goes to.
+// Package placement chooses the replica that serves a request.
 //
-// A Replica holds what one node knows of one replica: its own sendings, what other
-// nodes told of theirs, how often it failed of late, and which parts of prompts it has
-// kept. A Policy compares some replicas by when a request would be done there. Nothing
-// here reads a clock or draws a random number; both are handed in. Start reading at
-// Policy.Choose.
+// A Replica is one node's view of a replica: the requests that the node sent there, the
+// load that other nodes reported, its recent failures and the prompt segments that it has
+// cached. A Policy compares replicas by the estimated completion time of a request. The
+// package reads no clock and has no source of randomness; the caller passes in both. Start
+// reading at Policy.Choose.
 package placement
 
 import "time"
 
-// Part is a piece of a prompt that a replica may have kept.
-type Part struct {
+// PromptSegment is a piece of a prompt that a replica may have cached.
+type PromptSegment struct {
 	ID     uint64
 	Tokens int64
 }
 
-// Report is what a replica said of its own load.
-type Report struct {
+// LoadReport is a replica's report of its own load, in requests.
+type LoadReport struct {
 	Running, Waiting, Slots int64
 }
 
-// Result is how one sending to a replica ended.
+// Result is the outcome of one attempt at a replica.
 type Result int
 
-// Results of sendings.
+// Results of attempts.
 const (
-	// Served: the replica answered whole.
+	// Served means that the replica returned a complete answer.
 	Served Result = iota
-	// TurnedAway: the replica promised that it did not run the request.
-	TurnedAway
-	// Moved: another replica has the address.
+	// Rejected means that the replica guarantees not to have run the request.
+	Rejected
+	// Moved means that the address now belongs to another replica.
 	Moved
-	// Failed: the replica was not reached, broke off, or answered with a fault of its
-	// own.
+	// Failed means that the replica could not be reached, closed the connection early or
+	// returned a server error.
 	Failed
-	// Abandoned: the requester went away; nothing is known of the replica.
-	Abandoned
+	// Canceled means that the requester disconnected. It says nothing about the replica.
+	Canceled
 )
 
-// Replica is what a node knows of one replica.
+// Replica is a node's view of one replica.
 type Replica struct {
 	ID      string
 	Zone    string
 	Slots   int64
 	Warming bool
 
-	// Outstanding is how many requests this node has there.
+	// Outstanding is the number of this node's requests in flight at the replica.
 	Outstanding int64
-	report      reported
-	shared      shared
-	own         FailureRate
-	// movedUntil is how long another replica is known to have the address, fullUntil
-	// how long it counts as full after it turned a request away.
-	movedUntil, fullUntil time.Duration
-	kept                  keptParts
-	hashed                uint64
-	// pace is how long it takes for a unit of work, by what all nodes saw; zero: not
-	// known.
-	pace    time.Duration
-	lastUse lastUse
-	// toTell is what ended here since other nodes were told of it.
-	toTell Outcomes
-}
-
-// lastUse is when a request last ended at a replica: its connection may still be open.
+	report      receivedReport
+	shared      sharedLoad
+	failures    FailureRate
+	// movedUntil is until when the replica's address is assumed to belong to another one.
+	movedUntil time.Duration
+	// fullUntil is until when the replica counts as full after it rejected a request.
+	fullUntil time.Duration
+	cache     promptCache
+	idHash    uint64
+	// unitTime is aggregated over all nodes; zero if unknown.
+	unitTime time.Duration
+	lastUse  lastUse
+	// unreported are the outcomes since the last call of TakeOutcomes.
+	unreported Outcomes
+}
+
+// lastUse is when a request last ended at a replica; its connection may still be open.
 type lastUse struct {
 	at    time.Duration
 	known bool
 }
 
-// reported is a replica's last own word of its load.
-type reported struct {
-	load Report
+// receivedReport is the last load report of a replica.
+type receivedReport struct {
+	load LoadReport
 	at   time.Duration
-	// since counts what this node has sent after it.
-	since int64
-	known bool
+	// sentSince is the number of requests that this node has sent after the report.
+	sentSince int64
+	known     bool
 }
 
-// shared is what other nodes told.
-type shared struct {
-	others  int64
-	failing float64
-	until   time.Duration
+// sharedLoad is what other nodes reported about a replica.
+type sharedLoad struct {
+	outstanding int64
+	failureRate float64
+	validUntil  time.Duration
 }
 
-// Outcomes count how sendings ended.
+// Outcomes count the outcomes of attempts at a replica.
 type Outcomes struct {
 	Served, Failed int64
 	// Busy is the time that Units of work took.
@@ -93,96 +93,96 @@
 	Units int64
 }
 
-// NewReplica makes the record of a replica that nothing is known of yet.
+// NewReplica returns the view of a replica that nothing is known of.
 func NewReplica() *Replica {
-	return &Replica{kept: newKeptParts()}
+	return &Replica{cache: newPromptCache()}
 }
 
-// Sent notes that this node sends a request there, and which parts of its prompt the
-// replica will keep within its room for them.
-func (r *Replica) Sent(now time.Duration, prompt []Part, room int64) {
+// RecordSent records that this node sent a request to the replica, which then caches the
+// segments of its prompt. The capacity of the cache is in tokens.
+func (r *Replica) RecordSent(now time.Duration, prompt []PromptSegment, cacheCapacity int64) {
 	r.Outstanding++
-	r.report.since++
-	r.kept.add(now, prompt, room)
+	r.report.sentSince++
+	r.cache.add(now, prompt, cacheCapacity)
 }
 
-// Ended notes how a sending ended. The load is what the replica said of it, or nil.
-// Slots counts as full for a while where a request was turned away: for as long as one
-// of its requests takes.
-func (r *Replica) Ended(now time.Duration, result Result, load *Report, beat, service time.Duration) {
+// RecordResult records the result of an attempt. The load is the report that came with the
+// answer, or nil. A full replica that rejects a request counts as full for one service time.
+func (r *Replica) RecordResult(now time.Duration, result Result, load *LoadReport, heartbeat, serviceTime time.Duration) {
 	r.Outstanding--
 	r.lastUse = lastUse{at: now, known: true}
 	if load != nil {
-		r.report = reported{load: *load, at: now, known: true}
+		r.report = receivedReport{load: *load, at: now, known: true}
 		if load.Slots > 0 {
 			r.Slots = load.Slots
 		}
 	}
 	switch result {
 	case Served:
-		r.own.Add(now, beat, 1, 0)
-		r.toTell.Served++
+		r.failures.Add(now, heartbeat, 1, 0)
+		r.unreported.Served++
 	case Failed:
-		r.own.Add(now, beat, 0, 1)
-		r.toTell.Failed++
-	case TurnedAway:
-		r.turnedAway(now, beat, service)
+		r.failures.Add(now, heartbeat, 0, 1)
+		r.unreported.Failed++
+	case Rejected:
+		r.recordRejection(now, heartbeat, serviceTime)
 	case Moved:
-		r.movedUntil = now + beat
+		r.movedUntil = now + heartbeat
 	}
 }
 
-// turnedAway tells a replica that is full, as its load says, from one that turns
-// requests away though it has room: that is a failure.
-func (r *Replica) turnedAway(now, beat, service time.Duration) {
+// recordRejection records a rejection by a replica that has free slots as a failure:
+// otherwise such a replica would look idle and attract all requests.
+func (r *Replica) recordRejection(now, heartbeat, serviceTime time.Duration) {
 	if r.Running(now, 0) >= r.slots() {
-		r.fullUntil = now + service
+		r.fullUntil = now + serviceTime
 		return
 	}
-	r.own.Add(now, beat, 0, 1)
-	r.toTell.Failed++
+	r.failures.Add(now, heartbeat, 0, 1)
+	r.unreported.Failed++
 }
 
-// Share takes what other nodes have there and how often it fails for all, which holds
-// until a moment.
-func (r *Replica) Share(others int64, failing float64, until time.Duration) {
-	r.shared = shared{others: others, failing: failing, until: until}
+// SetShared sets the number of other nodes' outstanding requests at the replica and its
+// failure rate over all nodes. Both are ignored from validUntil on.
+func (r *Replica) SetShared(outstanding int64, failureRate float64, validUntil time.Duration) {
+	r.shared = sharedLoad{outstanding: outstanding, failureRate: failureRate, validUntil: validUntil}
 }
 
-// Worked notes how long a replica took for units of work.
-func (r *Replica) Worked(busy time.Duration, units int64) {
-	r.toTell.Busy += busy
-	r.toTell.Units += units
+// RecordWork records that the replica took the given time for units of work.
+func (r *Replica) RecordWork(busy time.Duration, units int64) {
+	r.unreported.Busy += busy
+	r.unreported.Units += units
 }
 
-// TakeOutcomes returns what ended here since it was last called.
+// TakeOutcomes returns the outcomes since its previous call.
 func (r *Replica) TakeOutcomes() Outcomes {
-	told := r.toTell
-	r.toTell = Outcomes{}
-	return told
+	outcomes := r.unreported
+	r.unreported = Outcomes{}
+	return outcomes
 }
 
 func (r *Replica) slots() int64 { return max(1, r.Slots) }
 
-// Running estimates how many requests the replica has now. Its own word counts while it
-// is fresh, with what this node has sent since; otherwise what other nodes told, with
-// what this node has there.
-func (r *Replica) Running(now, reportFresh time.Duration) int64 {
+// Running estimates the number of requests at the replica. It adds this node's outstanding
+// requests to those reported by other nodes. A load report by the replica that is not older
+// than reportValidity, plus what this node has sent since, is a lower bound.
+func (r *Replica) Running(now, reportValidity time.Duration) int64 {
 	running := r.Outstanding
-	if now < r.shared.until {
-		running += r.shared.others
+	if now < r.shared.validUntil {
+		running += r.shared.outstanding
 	}
-	if r.report.known && now <= r.report.at+reportFresh {
-		running = max(running, r.report.load.Running+r.report.load.Waiting+r.report.since)
+	if r.report.known && now <= r.report.at+reportValidity {
+		running = max(running, r.report.load.Running+r.report.load.Waiting+r.report.sentSince)
 	}
 	return running
 }
 
-// Failing estimates how likely the replica is to fail a request.
-func (r *Replica) Failing(now, memory time.Duration) float64 {
-	failing := r.own.At(now, memory)
-	if now < r.shared.until {
-		failing = max(failing, r.shared.failing)
+// FailureRate estimates the fraction of requests that the replica fails, from 0 to 1: the
+// higher of this node's estimate and the shared one.
+func (r *Replica) FailureRate(now, timeConstant time.Duration) float64 {
+	rate := r.failures.At(now, timeConstant)
+	if now < r.shared.validUntil {
+		rate = max(rate, r.shared.failureRate)
 	}
-	return failing
+	return rate
 }
--- /dev/null
+++ b/rule/placement/sample.go
@@ -0,0 +1,45 @@
+package placement
+
+// sampler draws a random sample of a list of replicas, from the node's zone and from other
+// zones separately, in one pass and without copying the list.
+type sampler struct {
+	policy        *Policy
+	local, remote selection
+}
+
+// selection is the state of selection sampling: the number of items still wanted and the
+// number of items not yet visited.
+type selection struct {
+	wanted, left int
+}
+
+// newSampler returns a sampler of wanted local replicas and half as many remote ones.
+func newSampler(p *Policy, wanted int, replicas []*Replica, allowed func(*Replica) bool) *sampler {
+	s := &sampler{policy: p}
+	for _, r := range replicas {
+		if allowed(r) {
+			s.selectionOf(r).left++
+		}
+	}
+	s.local.wanted, s.remote.wanted = wanted, (wanted+1)/2
+	return s
+}
+
+func (s *sampler) selectionOf(r *Replica) *selection {
+	if r.Zone == s.policy.Zone {
+		return &s.local
+	}
+	return &s.remote
+}
+
+// sampled reports whether the next allowed replica of the list is in the sample. It must be
+// called once for each allowed replica.
+func (s *sampler) sampled(r *Replica) bool {
+	sel := s.selectionOf(r)
+	taken := s.policy.Random()*float64(sel.left) < float64(sel.wanted)
+	sel.left--
+	if taken {
+		sel.wanted--
+	}
+	return taken
+}
--- a/rule/placement/servicetime.go
+++ b/rule/placement/servicetime.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// ServiceTime estimates how long requests of a service take at a replica that has room.
-// Its zero value has seen none.
+// ServiceTime is a moving average of the time that requests of a service take at a replica
+// with a free slot. Its zero value has no samples.
 type ServiceTime struct {
 	mean time.Duration
 }
 
 const (
-	// firstServiceTime is assumed until a request has been seen.
-	firstServiceTime = 100 * time.Millisecond
-	// serviceTimeWeight is the weight of a new sample against the mean.
+	// defaultServiceTime is the mean while there are no samples.
+	defaultServiceTime = 100 * time.Millisecond
+	// serviceTimeWeight is the weight of a new sample in the mean.
 	serviceTimeWeight = 1.0 / 16
 )
 
-// Add takes the time that a request took.
-func (s *ServiceTime) Add(took time.Duration) {
+// Add records the duration of one request.
+func (s *ServiceTime) Add(duration time.Duration) {
 	if s.mean == 0 {
-		s.mean = took
+		s.mean = duration
 		return
 	}
-	s.mean += time.Duration(float64(took-s.mean) * serviceTimeWeight)
+	s.mean += time.Duration(float64(duration-s.mean) * serviceTimeWeight)
 }
 
-// Mean is the estimate.
+// Mean returns the moving average.
 func (s *ServiceTime) Mean() time.Duration {
 	if s.mean == 0 {
-		return firstServiceTime
+		return defaultServiceTime
 	}
 	return s.mean
 }
--- a/rule/rate/ledger.go
+++ b/rule/rate/ledger.go
@@ -1,259 +1,276 @@
-// Package rate is a tenant's rate over all nodes: a ledger of what nodes have
-// drawn beforehand, such that no window ever holds more requests than allowed.
+// Package rate enforces a tenant's rate limit over all nodes.
+//
+// A Ledger grants nodes leases on requests ahead of their use, so that nodes admit requests
+// locally. Its main invariant is that no window ever contains more requests than the limit
+// allows, although nodes crash, messages are lost, delayed and repeated, and the ledger is
+// restored from its DurableState by a new leader. Whatever a node may have spent without
+// reporting it therefore counts as spent as late as possible. Start reading at Ledger.Draw.
 package rate
 
 import "time"
 
-// Limit is how many requests any window may hold.
+// Limit is the maximum number of requests in any window of the given length.
 type Limit struct {
 	Window time.Duration `msgpack:"w"`
-	Most   int64         `msgpack:"m"`
+	Max    int64         `msgpack:"m"`
 }
 
-// Reserve is what must last of a ledger: what was spent up to a time, what was
-// out then, and how many may be granted since. Whoever takes a part over knows
-// no more, and counts all of the last two as granted and spent late.
-type Reserve struct {
-	Version uint64  `msgpack:"v"`
-	Limit   Limit   `msgpack:"l"`
-	Open    int64   `msgpack:"o"`
-	Spent   []Slice `msgpack:"s"`
+// DurableState is the part of a ledger that is written to stable storage. Outstanding
+// includes the requests that may be granted before the next write. A restored ledger cannot
+// tell which of them were granted or spent, so it counts all of them as outstanding.
+type DurableState struct {
+	Version     uint64   `msgpack:"v"`
+	Limit       Limit    `msgpack:"l"`
+	Outstanding int64    `msgpack:"o"`
+	Spent       []Bucket `msgpack:"s"`
 }
 
-// Holding is what one life of a node has drawn. All counts only grow, so a
-// draw that is heard twice does no harm.
-type Holding struct {
+// Lease is what one incarnation of a node has drawn. Its counts never decrease, so
+// processing a draw twice has no effect.
+type Lease struct {
 	Granted, Spent, Returned int64
-	Until                    time.Duration
+	ExpiresAt                time.Duration
 }
 
-func (h Holding) out() int64 { return h.Granted - h.Spent - h.Returned }
+func (l Lease) outstanding() int64 { return l.Granted - l.Spent - l.Returned }
 
-// Slice is what was spent in a short time.
-type Slice struct {
-	//lint:ignore U1000 read by the encoder: a slice goes without field names
+// Bucket is the number of requests spent in a short interval that ends at End.
+type Bucket struct {
+	//lint:ignore U1000 read by the encoder, which encodes a bucket as an array
 	_msgpack struct{}      `msgpack:",as_array"`
 	End      time.Duration `msgpack:"End"`
 	Count    int64         `msgpack:"Count"`
 }
 
-// Ledger is a tenant's books. What is out counts as though it were spent now,
-// and what was out when its time ended as though it were spent at that end.
+// Ledger accounts for the requests of one tenant. Outstanding requests count as spent now.
+// Those of an expired lease count as spent when it expired.
 type Ledger struct {
-	Reserve
-	Holdings map[string]Holding
-	Slices   []Slice
-	// Exceeded says that the last grant went beyond the limit. It must never be set.
+	DurableState
+	// Leases are the leases by holder, Buckets the requests spent, ordered by End.
+	Leases  map[string]Lease
+	Buckets []Bucket
+	// Exceeded reports that the last grant exceeded the limit, which is a violated
+	// invariant.
 	Exceeded bool
-	// left is what is still to be granted of what was reserved.
-	left int64
-	// pool is what may be out since before this ledger was taken over, unless its
-	// holders have told of it since, and poolEnd when that has surely ended.
-	pool    int64
-	poolEnd time.Duration
+	// reserved is the number of requests that may be granted before the next write.
+	reserved int64
+	// pool is the number of requests that may be outstanding under leases from before the
+	// ledger was restored, less those whose holders have reported since. All of these
+	// leases have expired at poolExpiresAt.
+	pool          int64
+	poolExpiresAt time.Duration
 }
 
-// Open makes a ledger of what lasted. What was open may have been granted up to
-// now, and used for a term after that.
-func Open(now time.Duration, r Reserve, term time.Duration) *Ledger {
-	return &Ledger{Reserve: r, Holdings: map[string]Holding{}, Slices: append([]Slice(nil), r.Spent...), pool: r.Open, poolEnd: now + term}
+// Restore returns a ledger with the given durable state. Outstanding requests may have been
+// granted up to now, and so may be spent for one lease duration.
+func Restore(now time.Duration, s DurableState, leaseDuration time.Duration) *Ledger {
+	return &Ledger{DurableState: s, Leases: map[string]Lease{}, Buckets: append([]Bucket(nil), s.Spent...), pool: s.Outstanding, poolExpiresAt: now + leaseDuration}
 }
 
-// blocks is into how many blocks a window's limit is reserved.
-const blocks = 8
-
-// Draw is one node's report and wish.
-type Draw struct {
+// DrawRequest is a holder's report of its lease and its request for more.
+type DrawRequest struct {
 	Holder string `msgpack:"h"`
-	// Granted is all that this holder knows to have been granted, Spent all that
-	// it has spent, Returned all that it gave back.
+	// Granted is the total that the holder knows to have been granted, Spent the total
+	// that it has spent, and Returned the total that it has returned unused.
 	Granted  int64 `msgpack:"g"`
 	Spent    int64 `msgpack:"s"`
 	Returned int64 `msgpack:"r"`
-	// Recent tells how long ago the newest of Spent were spent, oldest first.
-	Recent []Spend `msgpack:"e"`
-	// Want is how many requests the node wants to be able to send from now on, Ahead how
-	// many of them have not come yet.
-	Want  int64 `msgpack:"w"`
-	Ahead int64 `msgpack:"b"`
-	// Version is that of the configuration that Limit is from.
+	// Recent are the ages of the most recently spent requests, oldest first.
+	Recent []RecentSpend `msgpack:"e"`
+	// Want is the number of requests that the holder wants to have outstanding. Prefetch
+	// of them are for requests that have not arrived yet.
+	Want     int64 `msgpack:"w"`
+	Prefetch int64 `msgpack:"b"`
+	// Version is the version of the configuration that contains Limit.
 	Version uint64 `msgpack:"v"`
 	Limit   Limit  `msgpack:"l"`
-	// Term is how long what is drawn may be used.
-	Term time.Duration `msgpack:"t"`
+	// LeaseDuration is how long the lease may be used after this request was sent.
+	LeaseDuration time.Duration `msgpack:"t"`
 }
 
-// need is how many requests wait for what is drawn.
-func (d Draw) need() int64 { return d.Want - d.Ahead }
+// need returns the number of requests that are waiting at the holder.
+func (d DrawRequest) need() int64 { return d.Want - d.Prefetch }
 
-// Spend is how many requests were spent, and how long ago at the least.
-type Spend struct {
+// RecentSpend is a number of spent requests and their minimum age.
+type RecentSpend struct {
 	Age   time.Duration `msgpack:"a"`
 	Count int64         `msgpack:"c"`
 }
 
-// Drawn answers: Granted is all that this holder was ever granted, and Retry
-// after what time more may be had where less than needed was granted. Expired
-// says that what the holder has counts as spent; it begins anew by another name.
-// Tight says that nothing should be held beforehand: others need it.
-type Drawn struct {
-	Granted int64         `msgpack:"g"`
-	Retry   time.Duration `msgpack:"r"`
-	Expired bool          `msgpack:"x"`
-	Tight   bool          `msgpack:"t"`
+// DrawResponse is the answer to a DrawRequest.
+type DrawResponse struct {
+	// Granted is the total that was ever granted to the holder.
+	Granted int64 `msgpack:"g"`
+	// RetryAfter is the delay after which more may be granted. It is zero if the holder's
+	// need is met.
+	RetryAfter time.Duration `msgpack:"r"`
+	// Expired means that the holder's lease has expired and its outstanding requests count
+	// as spent. The holder must continue under a new name.
+	Expired bool `msgpack:"x"`
+	// Scarce means that the holder should not prefetch, as others need the requests.
+	Scarce bool `msgpack:"t"`
 }
 
-// ahead is the part of a window's limit up to which holders get more than they need at
-// once. Beyond it, what one holds idle another is refused.
-const ahead = 0.6
-
-// slices is into how many parts a window's spending is told apart.
-const slices = 20
+const (
+	// blocksPerWindow is the number of blocks in which a window's limit is reserved in the
+	// durable state. One write covers the grants of a block.
+	blocksPerWindow = 8
+	// prefetchFraction is the fraction of the limit up to which holders are granted more
+	// than they need. Beyond it, prefetched requests would be refused to other holders.
+	prefetchFraction = 0.6
+	// bucketsPerWindow is the number of buckets that a window is divided into.
+	bucketsPerWindow = 20
+)
 
-// Take books one draw, and reports whether what must last has changed: then the
-// answer must wait until it does. The term's end at the holder is earlier than
-// here, as it counts from sending.
-func (l *Ledger) Take(now time.Duration, d Draw) (answer Drawn, changed bool) {
-	if l.Holdings == nil {
-		l.Holdings = map[string]Holding{}
+// Draw processes a request at the ledger's time. It reports whether the durable state has
+// changed; the answer must then not be sent before the state is written. The lease ends
+// earlier at the holder than here, as the holder counts from sending the request.
+func (l *Ledger) Draw(now time.Duration, d DrawRequest) (answer DrawResponse, changed bool) {
+	if l.Leases == nil {
+		l.Leases = map[string]Lease{}
 	}
 	if d.Version > l.Version || l.Limit.Window == 0 {
 		changed = l.Limit != d.Limit
 		l.Version, l.Limit = d.Version, d.Limit
 	}
-	l.turn(now)
-	h, known := l.Holdings[d.Holder]
+	l.expire(now)
+	lease, known := l.Leases[d.Holder]
 	if !known && d.Granted > 0 {
-		// What it holds may be of the pool. Either way the sum stays the same.
-		out := d.Granted - d.Spent - d.Returned
-		if out < 0 || out > l.pool || now >= l.poolEnd {
-			return Drawn{Expired: true}, changed
+		// The lease may be from before the ledger was restored. Its outstanding requests
+		// move from the pool to the lease, which leaves the sum unchanged.
+		outstanding := d.Granted - d.Spent - d.Returned
+		if outstanding < 0 || outstanding > l.pool || now >= l.poolExpiresAt {
+			return DrawResponse{Expired: true}, changed
 		}
-		l.pool -= out
-		h = Holding{Granted: d.Granted, Spent: d.Spent, Returned: d.Returned}
+		l.pool -= outstanding
+		lease = Lease{Granted: d.Granted, Spent: d.Spent, Returned: d.Returned}
 	}
-	if spent := min(d.Spent-h.Spent, h.out()); spent > 0 {
-		h.Spent += spent
-		l.book(now, d.Recent, spent)
+	if spent := min(d.Spent-lease.Spent, lease.outstanding()); spent > 0 {
+		lease.Spent += spent
+		l.recordSpent(now, d.Recent, spent)
 	}
-	if returned := min(d.Returned-h.Returned, h.out()); returned > 0 {
-		h.Returned += returned
+	if returned := min(d.Returned-lease.Returned, lease.outstanding()); returned > 0 {
+		lease.Returned += returned
 	}
-	h.Until = now + d.Term
-	l.Holdings[d.Holder] = h
-	if granted := l.grantable(d, h); granted > 0 {
-		h.Granted += granted
-		l.Holdings[d.Holder] = h
-		l.Exceeded = l.used() > l.Limit.Most
-		if l.left -= granted; l.left < 0 {
-			l.left = max(l.Limit.Most/blocks, 1)
+	lease.ExpiresAt = now + d.LeaseDuration
+	l.Leases[d.Holder] = lease
+	if granted := l.grantable(d, lease); granted > 0 {
+		lease.Granted += granted
+		l.Leases[d.Holder] = lease
+		l.Exceeded = l.used() > l.Limit.Max
+		if l.reserved -= granted; l.reserved < 0 {
+			l.reserved = max(l.Limit.Max/blocksPerWindow, 1)
 			changed = true
 		}
 	}
 	if changed {
-		l.Open, l.Spent = l.left, append([]Slice(nil), l.Slices...)
+		l.Outstanding, l.Spent = l.reserved, append([]Bucket(nil), l.Buckets...)
 		if l.pool > 0 {
-			l.Spent = append(l.Spent, Slice{End: l.poolEnd, Count: l.pool})
+			l.Spent = append(l.Spent, Bucket{End: l.poolExpiresAt, Count: l.pool})
 		}
-		for _, h := range l.Holdings {
-			l.Open += h.out()
+		for _, lease := range l.Leases {
+			l.Outstanding += lease.outstanding()
 		}
 	}
-	answer.Granted, answer.Tight = h.Granted, l.used() >= l.aheadMost()
-	if h.out() < d.need() {
-		answer.Retry = l.frees(now)
+	answer.Granted, answer.Scarce = lease.Granted, l.used() >= l.prefetchLimit()
+	if lease.outstanding() < d.need() {
+		answer.RetryAfter = l.nextRelease(now)
 	}
 	return answer, changed
 }
 
-// grantable is how much a holder gets: what it needs as long as the window has room, and
-// what it wants beforehand while there is plenty.
-func (l *Ledger) grantable(d Draw, h Holding) int64 {
-	room := l.Limit.Most - l.used()
-	needed := min(max(d.need()-h.out(), 0), max(room, 0))
-	beforehand := min(d.Want-h.out()-needed, l.aheadMost()-l.used()-needed)
-	return needed + max(beforehand, 0)
+// grantable returns the number of requests to grant: what the holder needs while the window
+// has room, and what it wants to prefetch while less than prefetchLimit is used.
+func (l *Ledger) grantable(d DrawRequest, lease Lease) int64 {
+	room := l.Limit.Max - l.used()
+	needed := min(max(d.need()-lease.outstanding(), 0), max(room, 0))
+	prefetched := min(d.Want-lease.outstanding()-needed, l.prefetchLimit()-l.used()-needed)
+	return needed + max(prefetched, 0)
 }
 
-// aheadMost is how much may be out and spent when something is granted beforehand.
-func (l *Ledger) aheadMost() int64 { return int64(ahead * float64(l.Limit.Most)) }
+// prefetchLimit returns the number of used requests up to which prefetching is granted.
+func (l *Ledger) prefetchLimit() int64 { return int64(prefetchFraction * float64(l.Limit.Max)) }
 
-// book counts what was spent when it was: the newest first, as an earlier report
-// may have told the older.
-func (l *Ledger) book(now time.Duration, recent []Spend, count int64) {
+// recordSpent adds count requests at the ages given by recent. It starts with the newest, as
+// an earlier report may have contained the older ones.
+func (l *Ledger) recordSpent(now time.Duration, recent []RecentSpend, count int64) {
 	for i := len(recent) - 1; i >= 0 && count > 0; i-- {
-		if one := min(count, recent[i].Count); one > 0 {
-			l.spend(now-max(0, recent[i].Age), one)
-			count -= one
+		if n := min(count, recent[i].Count); n > 0 {
+			l.addToBucket(now-max(0, recent[i].Age), n)
+			count -= n
 		}
 	}
 	if count > 0 {
-		l.spend(now, count)
+		l.addToBucket(now, count)
 	}
 }
 
-func (l *Ledger) spend(at time.Duration, count int64) {
-	width := max(1, l.Limit.Window/slices)
+// addToBucket adds count requests to the bucket that contains the given time.
+func (l *Ledger) addToBucket(at time.Duration, count int64) {
+	width := max(1, l.Limit.Window/bucketsPerWindow)
 	end := (at/width + 1) * width
-	i := len(l.Slices)
-	for i > 0 && l.Slices[i-1].End > end {
+	i := len(l.Buckets)
+	for i > 0 && l.Buckets[i-1].End > end {
 		i--
 	}
-	if i > 0 && l.Slices[i-1].End == end {
-		l.Slices[i-1].Count += count
+	if i > 0 && l.Buckets[i-1].End == end {
+		l.Buckets[i-1].Count += count
 		return
 	}
-	l.Slices = append(l.Slices, Slice{})
-	copy(l.Slices[i+1:], l.Slices[i:])
-	l.Slices[i] = Slice{End: end, Count: count}
+	l.Buckets = append(l.Buckets, Bucket{})
+	copy(l.Buckets[i+1:], l.Buckets[i:])
+	l.Buckets[i] = Bucket{End: end, Count: count}
 }
 
-// turn ends what has run out. What a holder had out at its term's end may have
-// been spent up to then.
-func (l *Ledger) turn(now time.Duration) {
-	var late []Slice
-	for name, h := range l.Holdings {
-		if now < h.Until {
+// expire removes expired leases and the buckets that have left the window. What was
+// outstanding under an expired lease may have been spent until the lease expired.
+func (l *Ledger) expire(now time.Duration) {
+	var expired []Bucket
+	for holder, lease := range l.Leases {
+		if now < lease.ExpiresAt {
 			continue
 		}
-		if out := h.out(); out > 0 {
-			late = append(late, Slice{End: h.Until, Count: out})
+		if outstanding := lease.outstanding(); outstanding > 0 {
+			expired = append(expired, Bucket{End: lease.ExpiresAt, Count: outstanding})
 		}
-		delete(l.Holdings, name)
+		delete(l.Leases, holder)
 	}
-	var kept []Slice
-	for _, s := range append(late, l.Slices...) {
-		if now < s.End+l.Limit.Window {
-			kept = append(kept, s)
+	var kept []Bucket
+	for _, b := range append(expired, l.Buckets...) {
+		if now < b.End+l.Limit.Window {
+			kept = append(kept, b)
 		}
 	}
-	// Those of lost holders may stand out of order; only the last is added to.
+	// Insertion sort: only the buckets of expired leases can be out of order.
 	for i := 1; i < len(kept); i++ {
 		for j := i; j > 0 && kept[j].End < kept[j-1].End; j-- {
 			kept[j], kept[j-1] = kept[j-1], kept[j]
 		}
 	}
-	l.Slices = kept
-	if now >= l.poolEnd+l.Limit.Window {
+	l.Buckets = kept
+	if now >= l.poolExpiresAt+l.Limit.Window {
 		l.pool = 0
 	}
 }
 
+// used returns the number of requests that count towards the limit: spent within the
+// window, outstanding, or in the pool.
 func (l *Ledger) used() int64 {
 	sum := l.pool
-	for _, s := range l.Slices {
-		sum += s.Count
+	for _, b := range l.Buckets {
+		sum += b.Count
 	}
-	for _, h := range l.Holdings {
-		sum += h.out()
+	for _, lease := range l.Leases {
+		sum += lease.outstanding()
 	}
 	return sum
 }
 
-// frees is when the next of what was spent leaves the window.
-func (l *Ledger) frees(now time.Duration) time.Duration {
-	if len(l.Slices) == 0 {
-		return l.Limit.Window / slices
+// nextRelease returns the delay until the oldest bucket leaves the window, but at least the
+// width of a bucket.
+func (l *Ledger) nextRelease(now time.Duration) time.Duration {
+	if len(l.Buckets) == 0 {
+		return l.Limit.Window / bucketsPerWindow
 	}
-	return max(l.Slices[0].End+l.Limit.Window-now, l.Limit.Window/slices)
+	return max(l.Buckets[0].End+l.Limit.Window-now, l.Limit.Window/bucketsPerWindow)
 }
--- a/rule/rate/ledger_test.go
+++ b/rule/rate/ledger_test.go
@@ -8,142 +8,149 @@
 	"time"
 )
 
-// holder spends as a node does: only what it was granted, and only while its
-// term, counted from the sending of its last answered draw, lasts.
+// holder behaves as a node does: it spends only what it was granted, and only until its
+// lease ends, counted from when its last answered draw was sent.
 type holder struct {
 	name                     string
-	births                   int
+	incarnation              int
 	granted, spent, returned int64
-	until                    time.Duration
+	expiresAt                time.Duration
 	recent                   []time.Duration
 }
 
-type message struct {
-	at     time.Duration
-	holder int
-	births int
-	sent   time.Duration
-	draw   Draw
+func (h *holder) outstanding() int64 { return h.granted - h.spent - h.returned }
+
+// restart replaces the holder by a new incarnation without a lease.
+func (h *holder) restart() { *h = holder{name: h.name, incarnation: h.incarnation + 1} }
+
+// pendingDraw is a draw on its way to the ledger.
+type pendingDraw struct {
+	arrivesAt   time.Duration
+	holder      int
+	incarnation int
+	sentAt      time.Duration
+	draw        DrawRequest
 }
 
-type answer struct {
-	at     time.Duration
-	holder int
-	births int
-	sent   time.Duration
-	drawn  Drawn
+// pendingAnswer is an answer on its way to a holder.
+type pendingAnswer struct {
+	arrivesAt   time.Duration
+	holder      int
+	incarnation int
+	sentAt      time.Duration
+	answer      DrawResponse
 }
 
-// TestNoWindowEverHoldsMore lets holders draw over a network that loses, delays
-// and repeats, and die, and counts what was really spent in every window.
-func TestNoWindowEverHoldsMore(t *testing.T) {
-	const window, term, step = 5 * time.Second, 2500 * time.Millisecond, 10 * time.Millisecond
+// TestNoWindowExceedsLimit counts what holders spend in each window while the network loses,
+// delays and repeats messages, holders crash and the ledger is restored.
+func TestNoWindowExceedsLimit(t *testing.T) {
+	const window, leaseDuration, step = 5 * time.Second, 2500 * time.Millisecond, 10 * time.Millisecond
 	for seed := uint64(0); seed < 40; seed++ {
 		random := rand.New(rand.NewPCG(seed, 1))
-		limit := Limit{Window: window, Most: int64(5 + random.IntN(200))}
-		ledger := Open(0, Reserve{}, term)
+		limit := Limit{Window: window, Max: int64(5 + random.IntN(200))}
+		ledger := Restore(0, DurableState{}, leaseDuration)
 		holders := make([]holder, 1+random.IntN(6))
 		for i := range holders {
 			holders[i].name = fmt.Sprint("n", i)
 		}
-		var draws []message
-		var answers []answer
+		var draws []pendingDraw
+		var answers []pendingAnswer
 		var spends []time.Duration
-		var lasting Reserve
+		var durable DurableState
 		for now := time.Duration(0); now < 40*time.Second; now += step {
 			if random.IntN(1000) == 0 {
-				// Another takes the part over: it knows only what lasts.
-				ledger = Open(now, lasting, term)
+				// A new leader knows only the durable state.
+				ledger = Restore(now, durable, leaseDuration)
 			}
 			for i := range holders {
 				h := &holders[i]
 				if random.IntN(3000) == 0 {
-					// It dies: what it holds is known to nobody.
-					*h = holder{name: h.name, births: h.births + 1}
+					// A crash: what the holder has spent since its last draw is never reported.
+					h.restart()
 				}
-				if now >= h.until && h.granted > 0 {
-					*h = holder{name: h.name, births: h.births + 1}
+				if now >= h.expiresAt && h.granted > 0 {
+					h.restart()
 				}
-				if now < h.until && h.granted-h.spent-h.returned > 0 && random.IntN(2) == 0 {
+				if now < h.expiresAt && h.outstanding() > 0 && random.IntN(2) == 0 {
 					h.spent++
 					h.recent = append(h.recent, now)
 					spends = append(spends, now)
 				}
 				if random.IntN(20) == 0 {
-					if free := h.granted - h.spent - h.returned; free > 3 && random.IntN(4) == 0 {
-						h.returned += free / 2
+					if unused := h.outstanding(); unused > 3 && random.IntN(4) == 0 {
+						h.returned += unused / 2
 					}
-					d := Draw{Holder: fmt.Sprint(h.name, "+", h.births), Granted: h.granted, Spent: h.spent, Returned: h.returned, Want: int64(random.IntN(40)), Limit: limit, Term: term}
-					d.Ahead = int64(random.IntN(int(d.Want) + 1))
+					d := DrawRequest{Holder: fmt.Sprint(h.name, "+", h.incarnation), Granted: h.granted, Spent: h.spent, Returned: h.returned, Want: int64(random.IntN(40)), Limit: limit, LeaseDuration: leaseDuration}
+					d.Prefetch = int64(random.IntN(int(d.Want) + 1))
 					for _, at := range h.recent {
-						d.Recent = append(d.Recent, Spend{Age: now - at, Count: 1})
+						d.Recent = append(d.Recent, RecentSpend{Age: now - at, Count: 1})
 					}
 					for copies := random.IntN(3); copies > 0; copies-- {
-						draws = append(draws, message{at: now + time.Duration(random.IntN(600))*time.Millisecond, holder: i, births: h.births, sent: now, draw: d})
+						draws = append(draws, pendingDraw{arrivesAt: now + time.Duration(random.IntN(600))*time.Millisecond, holder: i, incarnation: h.incarnation, sentAt: now, draw: d})
 					}
 				}
 			}
-			var later []message
+			var laterDraws []pendingDraw
 			for _, d := range draws {
-				if d.at > now {
-					later = append(later, d)
+				if d.arrivesAt > now {
+					laterDraws = append(laterDraws, d)
 					continue
 				}
-				drawn, changed := ledger.Take(now, d.draw)
+				answer, changed := ledger.Draw(now, d.draw)
 				if changed {
-					lasting = ledger.Reserve
+					durable = ledger.DurableState
 				}
 				if random.IntN(5) > 0 {
-					answers = append(answers, answer{at: now + time.Duration(random.IntN(600))*time.Millisecond, holder: d.holder, births: d.births, sent: d.sent, drawn: drawn})
+					answers = append(answers, pendingAnswer{arrivesAt: now + time.Duration(random.IntN(600))*time.Millisecond, holder: d.holder, incarnation: d.incarnation, sentAt: d.sentAt, answer: answer})
 				}
 			}
-			draws = later
-			var waiting []answer
+			draws = laterDraws
+			var laterAnswers []pendingAnswer
 			for _, a := range answers {
 				h := &holders[a.holder]
-				if a.at > now {
-					waiting = append(waiting, a)
-				} else if h.births == a.births && a.drawn.Expired {
-					*h = holder{name: h.name, births: h.births + 1}
-				} else if h.births == a.births && h.granted > 0 && now >= h.until {
-					// What it had ended before the answer came.
-					*h = holder{name: h.name, births: h.births + 1}
-				} else if h.births == a.births {
-					h.granted, h.until = max(h.granted, a.drawn.Granted), max(h.until, a.sent+term)
+				if a.arrivesAt > now {
+					laterAnswers = append(laterAnswers, a)
+				} else if h.incarnation == a.incarnation && a.answer.Expired {
+					h.restart()
+				} else if h.incarnation == a.incarnation && h.granted > 0 && now >= h.expiresAt {
+					// The lease expired before the answer arrived.
+					h.restart()
+				} else if h.incarnation == a.incarnation {
+					h.granted, h.expiresAt = max(h.granted, a.answer.Granted), max(h.expiresAt, a.sentAt+leaseDuration)
 				}
 			}
-			answers = waiting
+			answers = laterAnswers
 		}
 		sort.Slice(spends, func(i, j int) bool { return spends[i] < spends[j] })
-		if int64(len(spends)) < limit.Most {
-			t.Errorf("seed %d: only %d of a window's %d were spent in all", seed, len(spends), limit.Most)
+		if int64(len(spends)) < limit.Max {
+			t.Errorf("seed %d: only %d requests were spent in all; a window allows %d", seed, len(spends), limit.Max)
 		}
 		first := 0
 		for last, at := range spends {
 			for spends[first] <= at-window {
 				first++
 			}
-			if n := int64(last - first + 1); n > limit.Most {
-				t.Fatalf("seed %d: %d spent in the window up to %v; the limit is %d", seed, n, at, limit.Most)
+			if n := int64(last - first + 1); n > limit.Max {
+				t.Fatalf("seed %d: %d requests were spent in the window up to %v; the limit is %d", seed, n, at, limit.Max)
 			}
 		}
 	}
 }
 
-// TestNothingIsHeldBeforehandWhereTight: what is wanted beforehand is granted while the
-// window has plenty, and what is needed as long as it has room.
-func TestNothingIsHeldBeforehandWhereTight(t *testing.T) {
-	l := Open(0, Reserve{}, time.Second)
-	limit := Limit{Window: 5 * time.Second, Most: 100}
-	draw := func(holder string, want, beforehand int64) Drawn {
-		got, _ := l.Take(0, Draw{Holder: holder, Want: want, Ahead: beforehand, Limit: limit, Term: time.Second})
+// TestNoPrefetchWhenScarce checks that prefetching is granted only below its limit, and needed
+// requests while the window has room.
+func TestNoPrefetchWhenScarce(t *testing.T) {
+	l := Restore(0, DurableState{}, time.Second)
+	limit := Limit{Window: 5 * time.Second, Max: 100}
+	draw := func(holder string, want, prefetch int64) DrawResponse {
+		got, _ := l.Draw(0, DrawRequest{Holder: holder, Want: want, Prefetch: prefetch, Limit: limit, LeaseDuration: time.Second})
 		return got
 	}
 	for _, c := range []struct {
-		holder           string
-		want, beforehand int64
-		granted          int64
-		tight, waits     bool
+		holder         string
+		want, prefetch int64
+		granted        int64
+		scarce, retry  bool
 	}{
 		{"a", 50, 50, 50, false, false},
 		{"b", 30, 20, 10, true, false},
@@ -151,107 +158,106 @@
 		{"d", 35, 5, 30, true, false},
 		{"e", 15, 0, 10, true, true},
 	} {
-		if got := draw(c.holder, c.want, c.beforehand); got.Granted != c.granted || got.Tight != c.tight || got.Retry > 0 != c.waits {
-			t.Errorf("%s: %+v", c.holder, got)
+		if got := draw(c.holder, c.want, c.prefetch); got.Granted != c.granted || got.Scarce != c.scarce || got.RetryAfter > 0 != c.retry {
+			t.Errorf("holder %s: got %+v, want %+v", c.holder, got, c)
 		}
 	}
-	if l.used() != limit.Most || l.Exceeded {
-		t.Errorf("%d of %d are out", l.used(), limit.Most)
+	if l.used() != limit.Max || l.Exceeded {
+		t.Errorf("%d of %d used, exceeded %v", l.used(), limit.Max, l.Exceeded)
 	}
 }
 
 func TestRepeatedDrawGrantsOnce(t *testing.T) {
-	l := Open(0, Reserve{}, time.Second)
-	d := Draw{Holder: "a", Want: 10, Limit: Limit{Window: 5 * time.Second, Most: 100}, Term: time.Second}
-	first, _ := l.Take(0, d)
-	again, changed := l.Take(time.Millisecond, d)
+	l := Restore(0, DurableState{}, time.Second)
+	d := DrawRequest{Holder: "a", Want: 10, Limit: Limit{Window: 5 * time.Second, Max: 100}, LeaseDuration: time.Second}
+	first, _ := l.Draw(0, d)
+	again, changed := l.Draw(time.Millisecond, d)
 	if first.Granted != 10 || again.Granted != 10 || l.used() != 10 || changed {
-		t.Fatalf("%+v, %+v, used %d, changed %v", first, again, l.used(), changed)
+		t.Fatalf("first %+v, again %+v, used %d, changed %v", first, again, l.used(), changed)
 	}
 	d.Granted, d.Returned, d.Want = 10, 4, 0
-	l.Take(2*time.Millisecond, d)
-	l.Take(3*time.Millisecond, d)
+	l.Draw(2*time.Millisecond, d)
+	l.Draw(3*time.Millisecond, d)
 	if l.used() != 6 {
-		t.Fatalf("after 4 of 10 were returned, told twice, %d are used", l.used())
+		t.Fatalf("%d used after 4 of 10 were returned and reported twice, want 6", l.used())
 	}
 }
 
-func TestLowerLimitBindsAndOlderVersionDoesNotLiftIt(t *testing.T) {
-	l := Open(0, Reserve{}, time.Second)
-	high, low := Limit{Window: 5 * time.Second, Most: 100}, Limit{Window: 5 * time.Second, Most: 20}
-	l.Take(0, Draw{Holder: "a", Want: 10, Version: 1, Limit: high, Term: time.Second})
-	if _, changed := l.Take(0, Draw{Holder: "b", Want: 5, Version: 2, Limit: low, Term: time.Second}); !changed {
-		t.Fatal("a lower limit does not last")
+func TestLowerLimitAppliesDespiteOlderVersion(t *testing.T) {
+	l := Restore(0, DurableState{}, time.Second)
+	high, low := Limit{Window: 5 * time.Second, Max: 100}, Limit{Window: 5 * time.Second, Max: 20}
+	l.Draw(0, DrawRequest{Holder: "a", Want: 10, Version: 1, Limit: high, LeaseDuration: time.Second})
+	if _, changed := l.Draw(0, DrawRequest{Holder: "b", Want: 5, Version: 2, Limit: low, LeaseDuration: time.Second}); !changed {
+		t.Fatal("a new limit does not change the durable state")
 	}
-	got, _ := l.Take(0, Draw{Holder: "a", Granted: 10, Want: 50, Version: 1, Limit: high, Term: time.Second})
-	if got.Granted != 15 || got.Retry <= 0 {
-		t.Fatalf("a node that still has the older version was granted %+v", got)
+	got, _ := l.Draw(0, DrawRequest{Holder: "a", Granted: 10, Want: 50, Version: 1, Limit: high, LeaseDuration: time.Second})
+	if got.Granted != 15 || got.RetryAfter <= 0 {
+		t.Fatalf("holder with an older version got %+v", got)
 	}
 }
 
-// TestSpentThoughLate: what was out when a holder's time ended was counted as
-// spent then; the holder may not go on with it.
-func TestSpentThoughLate(t *testing.T) {
-	l := Open(0, Reserve{}, time.Second)
-	limit := Limit{Window: 5 * time.Second, Most: 100}
-	l.Take(0, Draw{Holder: "a", Want: 10, Limit: limit, Term: time.Second})
-	got, _ := l.Take(2*time.Second, Draw{Holder: "a", Granted: 10, Spent: 3, Want: 10, Limit: limit, Term: time.Second})
+// TestExpiredLeaseIsNotRenewed checks that a holder cannot continue a lease whose outstanding
+// requests already count as spent.
+func TestExpiredLeaseIsNotRenewed(t *testing.T) {
+	l := Restore(0, DurableState{}, time.Second)
+	limit := Limit{Window: 5 * time.Second, Max: 100}
+	l.Draw(0, DrawRequest{Holder: "a", Want: 10, Limit: limit, LeaseDuration: time.Second})
+	got, _ := l.Draw(2*time.Second, DrawRequest{Holder: "a", Granted: 10, Spent: 3, Want: 10, Limit: limit, LeaseDuration: time.Second})
 	if !got.Expired || got.Granted != 0 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got %+v", got)
 	}
 }
 
-// TestWritesAreFew: a window's worth of draws changes what must last a few times
-// and not with every draw.
-func TestWritesAreFew(t *testing.T) {
-	l := Open(0, Reserve{}, time.Second)
-	d := Draw{Holder: "a", Limit: Limit{Window: 5 * time.Second, Most: 80}, Term: time.Second}
+// TestDurableStateChangesRarely checks that most draws need no write.
+func TestDurableStateChangesRarely(t *testing.T) {
+	l := Restore(0, DurableState{}, time.Second)
+	d := DrawRequest{Holder: "a", Limit: Limit{Window: 5 * time.Second, Max: 80}, LeaseDuration: time.Second}
 	writes := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * time.Millisecond {
 		d.Spent = d.Granted
 		d.Want = 1
-		got, changed := l.Take(now, d)
+		got, changed := l.Draw(now, d)
 		d.Granted = got.Granted
 		if changed {
 			writes++
 		}
 	}
-	if d.Granted < 140 || writes > 24 || len(l.Spent) > 2*slices {
-		t.Fatalf("%d granted, %d writes, %d slices", d.Granted, writes, len(l.Spent))
+	if d.Granted < 140 || writes > 24 || len(l.Spent) > 2*bucketsPerWindow {
+		t.Fatalf("%d granted, %d writes, %d buckets", d.Granted, writes, len(l.Spent))
 	}
 }
 
-// TestTakenOverKnowsWhatWasSpent: a successor counts as spent hardly more than
-// was, so that a tenant within its limit is not refused after a loss.
-func TestTakenOverKnowsWhatWasSpent(t *testing.T) {
-	const window, term = 5 * time.Second, 2500 * time.Millisecond
-	limit := Limit{Window: window, Most: 100}
-	l, lasting := Open(0, Reserve{}, term), Reserve{}
-	d := Draw{Holder: "a", Limit: limit, Term: term}
+// TestRestoredLedgerKnowsWhatWasSpent checks that a restored ledger counts little more than
+// was spent, so that a tenant within its limit is not refused, and that a holder can continue
+// its lease.
+func TestRestoredLedgerKnowsWhatWasSpent(t *testing.T) {
+	const window, leaseDuration = 5 * time.Second, 2500 * time.Millisecond
+	limit := Limit{Window: window, Max: 100}
+	l, durable := Restore(0, DurableState{}, leaseDuration), DurableState{}
+	d := DrawRequest{Holder: "a", Limit: limit, LeaseDuration: leaseDuration}
 	now := time.Duration(0)
 	for ; now < 20*time.Second; now += 100 * time.Millisecond {
 		d.Spent = d.Granted
 		d.Want = 1
-		got, changed := l.Take(now, d)
+		got, changed := l.Draw(now, d)
 		d.Granted = got.Granted
 		if changed {
-			lasting = l.Reserve
+			durable = l.DurableState
 		}
 	}
-	// Ten a second are spent: 50 of 100 in a window.
-	if used := Open(now, lasting, term).used(); used > 80 || used < 50 {
-		t.Fatalf("a successor counts %d as used, of 50", used)
+	// Ten requests per second are spent: 50 of 100 in a window.
+	if used := Restore(now, durable, leaseDuration).used(); used > 80 || used < 50 {
+		t.Fatalf("the restored ledger counts %d requests as used; 50 are", used)
 	}
-	// A holder that goes on tells what is still out, and keeps it.
 	d.Want = 5
-	got, _ := l.Take(now, d)
-	lasting = l.Reserve
-	successor := Open(now, lasting, term)
+	got, _ := l.Draw(now, d)
+	durable = l.DurableState
+	restored := Restore(now, durable, leaseDuration)
 	d.Granted = got.Granted
-	successor.turn(now)
-	before := successor.used()
-	again, _ := successor.Take(now, d)
-	if again.Expired || again.Granted != got.Granted || successor.used() != before {
-		t.Fatalf("%+v, %d used before, %d after", again, before, successor.used())
+	restored.expire(now)
+	before := restored.used()
+	again, _ := restored.Draw(now, d)
+	if again.Expired || again.Granted != got.Granted || restored.used() != before {
+		t.Fatalf("answer %+v; %d used before, %d after", again, before, restored.used())
 	}
 }
--- a/saffronfall/coreprocess/process.go
+++ b/saffronfall/coreprocess/process.go
@@ -51,7 +51,7 @@
 	toDisk  chan batch
 	onDisk  chan written
 
-	violations *invariant.Counts
+	violations *invariant.Counter
 	changes    []core.Change
 	issued     uint64
 	synced     uint64
@@ -267,7 +267,7 @@
 // sendSynced sends what rests on the changes that were issued up to a number.
 func (s *process) sendSynced(send core.Send, rests uint64) {
 	if send.Synced && rests > s.synced {
-		invariant.Report(s.violations.Report).Violated(invariant.AcknowledgedAfterSync, "%T to %s rests on change %d; %d are synced", send.Body, send.To, rests, s.synced)
+		invariant.Reporter(s.violations.Report).Violated(invariant.AcknowledgedAfterSync, "%T to %s rests on change %d; %d are synced", send.Body, send.To, rests, s.synced)
 	}
 	s.send(send)
 }
--- a/saffronfall/params/relay.go
+++ b/saffronfall/params/relay.go
@@ -107,7 +107,7 @@
 
 // placement is the policy by which replicas are chosen.
 func (c Choice) placement(beat time.Duration) placement.Settings {
-	return placement.Settings{Compared: int(c.Compared), Homes: c.Homes, Paces: c.Paces, Prefixes: c.Prefixes, Zones: c.Zones, Failures: c.Failures, PromptRate: c.PromptRate, Beat: beat}
+	return placement.Settings{SampleSize: int(c.Compared), HomeReplicas: c.Homes, UnitTimes: c.Paces, PromptCache: c.Prefixes, LocalZone: c.Zones, FailureRates: c.Failures, PromptTokensPerMilli: c.PromptRate, HeartbeatInterval: beat}
 }
 
 // RelayNode are a relaying node's bounds.
--- a/saffronfall/relayprocess/process.go
+++ b/saffronfall/relayprocess/process.go
@@ -76,7 +76,7 @@
 	next    uint64
 	messages
 	observer   *observer
-	violations *invariant.Counts
+	violations *invariant.Counter
 	number     uint64
 	ready      bool
 }
--- a/saffronfall/telemetry/telemetry.go
+++ b/saffronfall/telemetry/telemetry.go
@@ -111,8 +111,8 @@
 
 // Violations makes the counts of a process's violated invariants. Each is logged
 // once; where they are strict, the first one ends the process.
-func Violations(strict bool, log logr.Logger) *invariant.Counts {
-	return &invariant.Counts{First: func(v invariant.Violation) {
+func Violations(strict bool, log logr.Logger) *invariant.Counter {
+	return &invariant.Counter{First: func(v invariant.Violation) {
 		if strict {
 			panic(v)
 		}
@@ -121,7 +121,7 @@
 }
 
 // Counted copies counts of violations for a snapshot.
-func Counted(c *invariant.Counts) map[invariant.Name]int64 {
+func Counted(c *invariant.Counter) map[invariant.Name]int64 {
 	counted := map[invariant.Name]int64{}
 	c.Each(func(name invariant.Name, count int64) { counted[name] = count })
 	return counted
