--- a/peer/front/handler.go
+++ b/peer/front/handler.go
@@ -59,7 +59,7 @@
 	// complete, on the request's goroutine.
 	OnRejected func(e relay.Ended)
 	// Violated is called for violated invariants; if it is nil, they panic.
-	Violated invariant.Report
+	Violated invariant.Reporter
 }
 
 // Handler returns the handler that serves requesters.
--- a/peer/front/head.go
+++ b/peer/front/head.go
@@ -78,7 +78,7 @@
 
 // parsePrompt reads the parts of a prompt. They are placement hints, so malformed ones
 // are ignored.
-func (h *handler) parsePrompt(text string) (parts []placement.Part) {
+func (h *handler) parsePrompt(text string) (parts []placement.PromptSegment) {
 	if text == "" {
 		return nil
 	}
@@ -88,7 +88,7 @@
 		if err != nil || count < 0 {
 			continue
 		}
-		parts = append(parts, placement.Part{ID: h.hash(id), Tokens: count})
+		parts = append(parts, placement.PromptSegment{ID: h.hash(id), Tokens: count})
 	}
 	return parts
 }
