--- a/peer/core/commands.go
+++ b/peer/core/commands.go
@@ -12,7 +12,7 @@
 	from    string
 	id      uint64
 	part    int
-	handled func(now time.Duration, r partition.Return)
+	handled func(now time.Duration, r partition.Result)
 }
 
 func (m *Machine) take(now time.Duration, n int, o partition.Output) {
@@ -22,11 +22,11 @@
 	for _, s := range o.Sends {
 		body := PartMessage{Part: n, From: m.self.Seat(), To: s.To, Raw: message.Pack(s.Body)}
 		if address := m.addressOf(s.To); address != "" {
-			m.send(address, body, s.Synced)
+			m.send(address, body, s.AfterSync)
 		}
 	}
-	for _, r := range o.Returns {
-		at, ok := m.tickets.Take(slab.Ticket(r.Ticket))
+	for _, r := range o.Results {
+		at, ok := m.tickets.Take(slab.Ticket(r.RequestID))
 		if !ok {
 			continue
 		}
@@ -38,16 +38,16 @@
 	}
 }
 
-func (m *Machine) reply(n int, at origin, r partition.Return) {
+func (m *Machine) reply(n int, at origin, r partition.Result) {
 	if at.from == "" {
 		return
 	}
-	answer := CommandReturn{ID: at.id, Part: at.part, Unsure: r.Unsure, Moved: r.Moved}
+	answer := CommandReturn{ID: at.id, Part: at.part, Unsure: r.Uncertain, Moved: r.NotLeader}
 	switch {
-	case r.Moved:
+	case r.NotLeader:
 		m.Counters.Moved++
 		answer.Hint = m.hint(n)
-	case r.Unsure:
+	case r.Uncertain:
 		m.Counters.Unsure++
 	default:
 		answer.Raw = message.Pack(r.Body)
@@ -59,27 +59,27 @@
 	p := m.parts[n]
 	if c, ok := command.(ChangeSeat); ok && p != nil {
 		answer := from
-		from = origin{handled: func(now time.Duration, r partition.Return) {
+		from = origin{handled: func(now time.Duration, r partition.Result) {
 			r.Body = Done{OK: r.Body == true}
 			m.reply(n, answer, r)
 		}}
-		m.take(now, n, p.Change(now, uint64(m.tickets.Keep(from)), c.Add, c.Remove))
+		m.take(now, n, p.ChangeMembers(now, uint64(m.tickets.Keep(from)), c.Add, c.Remove))
 		return
 	}
 	if _, ok := command.(ReadSeats); ok && p != nil {
 		answer := from
-		from = origin{handled: func(now time.Duration, r partition.Return) {
+		from = origin{handled: func(now time.Duration, r partition.Result) {
 			g := p.Group()
-			if owned, ok := p.Agreed(); ok {
+			if owned, ok := p.CommittedGroup(); ok {
 				g = owned
 			}
-			r.Body = Seats{Seats: g.Seats, Former: g.Former}
+			r.Body = Seats{Seats: g.Members, Former: g.Former}
 			m.reply(n, answer, r)
 		}}
 	}
 	ticket := m.tickets.Keep(from)
 	if p == nil {
-		m.take(now, n, partition.Output{Returns: []partition.Return{{Ticket: uint64(ticket), Moved: true}}})
+		m.take(now, n, partition.Output{Results: []partition.Result{{RequestID: uint64(ticket), NotLeader: true}}})
 		return
 	}
 	m.take(now, n, p.Propose(now, uint64(ticket), command))
@@ -108,10 +108,10 @@
 		return
 	}
 	if p == nil {
-		if w, ok := body.(partition.Write); !ok || !w.Whole {
+		if w, ok := body.(partition.Write); !ok || !w.Snapshot {
 			return
 		}
-		p = m.seat(now, b.Part, partition.Copy{})
+		p = m.seat(now, b.Part, partition.State{})
 	}
 	m.take(now, b.Part, p.Receive(now, b.From, body))
 }
@@ -121,8 +121,8 @@
 	switch b := body.(type) {
 	case partition.Write:
 		return true
-	case partition.Stand:
-		return !b.Ask
+	case partition.Prepare:
+		return !b.PreVote
 	}
 	return false
 }
@@ -137,10 +137,10 @@
 		if p == nil {
 			continue
 		}
-		if _, ok := p.Owns(now); !ok {
+		if _, ok := p.LeadingTerm(now); !ok {
 			continue
 		}
-		upto, _ := p.Committed()
+		upto, _ := p.CommittedVersion()
 		if n == ConfigurationPart && b.Fresh {
 			m.send(from, Fresh{Sent: b.Sent, Upto: upto}, false)
 		}
@@ -149,10 +149,10 @@
 			continue
 		}
 		news := News{Part: n, After: after, Upto: upto}
-		if after.Term != upto.Term || after.Seq < p.Dropped() {
-			after, news.Whole = partition.Stamp{}, true
+		if after.Term != upto.Term || after.Seq < p.PurgedSeq() {
+			after, news.Whole = partition.Version{}, true
 		}
-		news.Entries = p.News(after, NewsPrefixes)
+		news.Entries = p.Updates(after, NewsPrefixes)
 		m.send(from, news, false)
 	}
 }
--- a/peer/core/founding.go
+++ b/peer/core/founding.go
@@ -26,7 +26,7 @@
 		f.Cores[c.ID] = c
 	}
 	for _, seats := range Place(parts, size, cores, nil) {
-		f.Groups = append(f.Groups, partition.Group{Epoch: 1, Seats: seats})
+		f.Groups = append(f.Groups, partition.Group{Epoch: 1, Members: seats})
 	}
 	return f
 }
--- a/peer/core/identity_test.go
+++ b/peer/core/identity_test.go
@@ -75,8 +75,8 @@
 	a := newAlone(t)
 	command := KeepTurn{Tenant: "t", Attempt: "x", Output: []byte("out"), Keep: time.Minute}
 	a.run(command)
-	e, ok := a.m.parts[Target(4, command)].Copied().Entries[keptPrefix+"x"]
-	if !ok || e.Gone {
+	e, ok := a.m.parts[Target(4, command)].State().Entries[keptPrefix+"x"]
+	if !ok || e.Deleted {
 		t.Fatal("the first tenant's turn is not under its attempt alone")
 	}
 }
--- a/peer/core/life.go
+++ b/peer/core/life.go
@@ -135,7 +135,7 @@
 	}
 	var moves []Move
 	for n, wanted := range Place(len(groups), size, after, silent) {
-		moves = append(moves, difference(n, groups[n].Seats, wanted)...)
+		moves = append(moves, difference(n, groups[n].Members, wanted)...)
 	}
 	return Changed{Moves: moves}
 }
--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -140,8 +140,8 @@
 	}
 }
 
-func (m *Machine) seat(now time.Duration, n int, c partition.Copy) *partition.Machine {
-	m.parts[n] = partition.New(partition.Options{Params: m.params.Part, Seat: m.self.Seat(), Number: n, Rules: &rules{params: m.params, fleet: m.fleet, violated: m.violated}, Copy: c, Now: now,
+func (m *Machine) seat(now time.Duration, n int, c partition.State) *partition.Machine {
+	m.parts[n] = partition.New(partition.Options{Params: m.params.Part, Member: m.self.Seat(), Partition: n, Rules: &rules{params: m.params, fleet: m.fleet, violated: m.violated}, State: c, Now: now,
 		Random: m.random, Violated: m.violated})
 	return m.parts[n]
 }
@@ -176,8 +176,8 @@
 			continue
 		}
 		if m.leaving || m.stalled {
-			m.take(now, n, p.Leave(now))
-			if _, owns := p.Owns(now); !owns {
+			m.take(now, n, p.ReleaseLeadership(now))
+			if _, owns := p.LeadingTerm(now); !owns {
 				continue
 			}
 		}
@@ -189,14 +189,14 @@
 		m.gossip(now)
 	}
 	if now >= m.moveAt {
-		m.moveAt = now + m.params.Part.OwnerTerm/4
+		m.moveAt = now + m.params.Part.LeaseDuration/4
 		m.place(now)
 	}
 	if now >= m.sweepAt {
 		m.sweepAt = now + m.params.MemberTerm/4
 		for n := 0; n < m.founding.Parts; n++ {
 			if p := m.parts[n]; p != nil {
-				if _, ok := p.Owns(now); ok {
+				if _, ok := p.LeadingTerm(now); ok {
 					m.propose(now, n, Sweep{}, origin{})
 				}
 			}
@@ -219,7 +219,7 @@
 func (m *Machine) Owned(now time.Duration) []int {
 	var list []int
 	for n, p := range m.parts {
-		if _, ok := p.Owns(now); ok {
+		if _, ok := p.LeadingTerm(now); ok {
 			list = append(list, n)
 		}
 	}
@@ -232,13 +232,13 @@
 	var sum partition.Counters
 	for _, p := range m.parts {
 		c := p.Counters
-		sum.Stands += c.Stands
-		sum.Seated += c.Seated
+		sum.Elections += c.Elections
+		sum.Elected += c.Elected
 		sum.Writes += c.Writes
 		sum.Entries += c.Entries
-		sum.Mended += c.Mended
-		sum.Swept += c.Swept
-		sum.Dropped += c.Dropped
+		sum.SnapshotsSent += c.SnapshotsSent
+		sum.Sweeps += c.Sweeps
+		sum.TombstonesPurged += c.TombstonesPurged
 	}
 	return sum
 }
--- a/peer/core/membership_test.go
+++ b/peer/core/membership_test.go
@@ -64,7 +64,7 @@
 
 func newFleet(t *testing.T, size, cores int) *fleet {
 	f := &fleet{t: t, size: size, random: rand.New(rand.NewPCG(7, uint64(cores))), answers: map[uint64]any{}, keys: map[string]string{}, kinds: map[string]int{}, gone: map[string]bool{},
-		params: Params{Part: partition.Params{OwnerTerm: 500 * time.Millisecond, Drift: 0.1, Renewals: 5, Sweeps: 40, Home: 20}, MemberTerm: 2 * time.Second,
+		params: Params{Part: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberTerm: 2 * time.Second,
 			Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond, Gone: 2 * time.Second, ColdStart: true}}
 	var list []Core
 	for i := 0; i < cores; i++ {
@@ -218,7 +218,7 @@
 	}
 	for _, b := range f.boxes {
 		if b.m != nil && !b.frozen && f.now >= b.tickAt {
-			b.tickAt = f.now + f.params.Part.OwnerTerm/20
+			b.tickAt = f.now + f.params.Part.LeaseDuration/20
 			f.take(b, b.m.Tick(f.now))
 		}
 	}
@@ -241,7 +241,7 @@
 		if !ok {
 			continue
 		}
-		for _, seats := range [][]string{g.Seats, g.Former} {
+		for _, seats := range [][]string{g.Members, g.Former} {
 			lost := 0
 			for _, s := range seats {
 				if f.gone[s] {
@@ -266,8 +266,8 @@
 		if b.m == nil || b.frozen || b.m.Part(n) == nil {
 			continue
 		}
-		if _, ok := b.m.Part(n).Owns(f.now); ok {
-			g, _ := b.m.Part(n).Agreed()
+		if _, ok := b.m.Part(n).LeadingTerm(f.now); ok {
+			g, _ := b.m.Part(n).CommittedGroup()
 			return b, g, true
 		}
 	}
@@ -331,12 +331,12 @@
 		if !ok {
 			return fmt.Sprintf("part %d has no owner", n)
 		}
-		if len(g.Former) > 0 || len(g.Seats) != min(f.size, len(able)) {
+		if len(g.Former) > 0 || len(g.Members) != min(f.size, len(able)) {
 			return fmt.Sprintf("part %d: %+v", n, g)
 		}
-		for _, s := range g.Seats {
+		for _, s := range g.Members {
 			if _, ok := seats[s]; !ok {
-				return fmt.Sprintf("part %d: seat %s in %v", n, s, g.Seats)
+				return fmt.Sprintf("part %d: seat %s in %v", n, s, g.Members)
 			}
 			seats[s]++
 			for _, b := range f.boxes {
@@ -347,8 +347,8 @@
 				if p == nil {
 					return fmt.Sprintf("part %d: %s has no copy", n, s)
 				}
-				for key, e := range owner.m.Part(n).Copied().Entries {
-					if mine, ok := b.stored.Copies[n].Entries[key]; !e.Gone && (!ok || mine.Stamp != e.Stamp) {
+				for key, e := range owner.m.Part(n).State().Entries {
+					if mine, ok := b.stored.Copies[n].Entries[key]; !e.Deleted && (!ok || mine.Version != e.Version) {
 						return fmt.Sprintf("part %d: %s lacks %s", n, s, key)
 					}
 				}
@@ -359,8 +359,8 @@
 		return ""
 	}
 	for n, wanted := range Place(testParts, f.size, able, nil) {
-		if _, g, ok := f.owner(n); ok && len(difference(n, g.Seats, wanted)) > 0 {
-			return fmt.Sprintf("part %d: %v should be %v", n, g.Seats, wanted)
+		if _, g, ok := f.owner(n); ok && len(difference(n, g.Members, wanted)) > 0 {
+			return fmt.Sprintf("part %d: %v should be %v", n, g.Members, wanted)
 		}
 	}
 	return ""
@@ -560,7 +560,7 @@
 	before := map[int][]string{}
 	for n := 0; n < testParts; n++ {
 		if _, g, _ := f.owner(n); g.Has(silent) {
-			before[n] = g.Seats
+			before[n] = g.Members
 		}
 	}
 	f.boot(f.add("fresh"))
@@ -633,8 +633,8 @@
 		}
 	}
 	for n, wanted := range Place(testParts, 3, able, nil) {
-		if _, g, _ := f.owner(n); g.Seats[0] != wanted[0] {
-			t.Errorf("part %d: %v, planned %v", n, g.Seats, wanted)
+		if _, g, _ := f.owner(n); g.Members[0] != wanted[0] {
+			t.Errorf("part %d: %v, planned %v", n, g.Members, wanted)
 		}
 	}
 }
@@ -681,7 +681,7 @@
 func (f *fleet) joins(id string) (owner *box, n int) {
 	for n := 0; n < testParts; n++ {
 		if b, _, ok := f.owner(n); ok {
-			if adding, _ := b.m.Part(n).Changing(); adding != "" && SeatID(adding) == id {
+			if adding, _ := b.m.Part(n).ChangeInProgress(); adding != "" && SeatID(adding) == id {
 				return b, n
 			}
 		}
@@ -912,7 +912,7 @@
 
 func TestColdStart(t *testing.T) {
 	f := &fleet{t: t, size: 3, random: rand.New(rand.NewPCG(1, 1)), answers: map[uint64]any{}, keys: map[string]string{}, kinds: map[string]int{}, gone: map[string]bool{},
-		params: Params{Part: partition.Params{OwnerTerm: 500 * time.Millisecond, Drift: 0.1, Renewals: 5, Sweeps: 40}, MemberTerm: 2 * time.Second, Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}}
+		params: Params{Part: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40}, MemberTerm: 2 * time.Second, Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}}
 	var list []Core
 	for i := 0; i < 4; i++ {
 		b := f.add(fmt.Sprintf("c%d", i+1))
--- a/peer/core/ops.go
+++ b/peer/core/ops.go
@@ -347,9 +347,9 @@
 	}
 	// Pull asks for all news after a vector of versions.
 	Pull struct {
-		Versions map[int]partition.Stamp `msgpack:"Versions"`
-		Member   string                  `msgpack:"Member"`
-		Want     bool                    `msgpack:"Want"`
+		Versions map[int]partition.Version `msgpack:"Versions"`
+		Member   string                    `msgpack:"Member"`
+		Want     bool                      `msgpack:"Want"`
 		// Fresh asks the configuration's owner to say how new the news is.
 		Fresh bool          `msgpack:"Fresh"`
 		Sent  time.Duration `msgpack:"Sent"`
@@ -357,15 +357,15 @@
 	// Fresh says up to where the configuration goes, and how old that knowledge
 	// is. It lets a new life of a node know that it has missed nothing.
 	Fresh struct {
-		Sent time.Duration   `msgpack:"Sent"`
-		Age  time.Duration   `msgpack:"Age"`
-		Upto partition.Stamp `msgpack:"Upto"`
+		Sent time.Duration     `msgpack:"Sent"`
+		Age  time.Duration     `msgpack:"Age"`
+		Upto partition.Version `msgpack:"Upto"`
 	}
 	// News answers it, a part at a time.
 	News struct {
 		Part    int               `msgpack:"Part"`
-		After   partition.Stamp   `msgpack:"After"`
-		Upto    partition.Stamp   `msgpack:"Upto"`
+		After   partition.Version `msgpack:"After"`
+		Upto    partition.Version `msgpack:"Upto"`
 		Whole   bool              `msgpack:"Whole"`
 		Entries []partition.Entry `msgpack:"Entries"`
 	}
--- a/peer/core/orders_test.go
+++ b/peer/core/orders_test.go
@@ -76,7 +76,7 @@
 func TestAcceptedOrdersAreForgottenInTime(t *testing.T) {
 	const keep = 10 * time.Minute
 	a := newAlone(t, func(p *Params) { p.OrderKeep = keep })
-	size := func() int { return len(a.m.Part(ConfigurationPart).Copied().Entries[TableKey].Value) }
+	size := func() int { return len(a.m.Part(ConfigurationPart).State().Entries[TableKey].Value) }
 	a.run(order(0, 1))
 	first := size()
 	for number := uint64(2); number <= 60; number++ {
@@ -87,8 +87,8 @@
 	}
 	records := func() int {
 		n := 0
-		for key, e := range a.m.Part(ConfigurationPart).Copied().Entries {
-			if !e.Gone && len(key) > len(acceptedPrefix) && key[:len(acceptedPrefix)] == acceptedPrefix {
+		for key, e := range a.m.Part(ConfigurationPart).State().Entries {
+			if !e.Deleted && len(key) > len(acceptedPrefix) && key[:len(acceptedPrefix)] == acceptedPrefix {
 				n++
 			}
 		}
@@ -115,9 +115,9 @@
 	stored := Stored{Incarnation: "1"}
 	stored.Apply(Change{Founding: &founding})
 	copied := stored.Copies[ConfigurationPart]
-	version := partition.Stamp{Term: partition.Term{Round: 1, Owner: "c.1"}, Seq: 1}
+	version := partition.Version{Term: partition.Term{Round: 1, Leader: "c.1"}, Seq: 1}
 	table := AgreedTable{Number: 7, Text: []byte(`{"number":7}`), Digest: "seven", Past: []HandedNumber{{Base: 0, Number: 4, Digest: "four"}, {Base: 4, Number: 7, Digest: "seven"}}}
-	copied.Entries = map[string]partition.Entry{TableKey: {Key: TableKey, Value: message.Marshal(table), Stamp: version}}
+	copied.Entries = map[string]partition.Entry{TableKey: {Key: TableKey, Value: message.Marshal(table), Version: version}}
 	copied.Promised, copied.Base = version.Term, version.Term
 	stored.Copies[ConfigurationPart] = copied
 	a := &alone{t: t, got: map[uint64]CommandReturn{}}
--- a/peer/core/place.go
+++ b/peer/core/place.go
@@ -266,32 +266,32 @@
 		if p == nil {
 			continue
 		}
-		if _, ok := p.Owns(now); !ok {
+		if _, ok := p.LeadingTerm(now); !ok {
 			continue
 		}
-		if adding, changing := p.Changing(); changing {
+		if adding, changing := p.ChangeInProgress(); changing {
 			if adding != "" && (!m.lively(now, adding) || m.leaves(now, adding, nil) < seatSilent) {
-				m.take(now, n, p.GiveUp(now))
+				m.take(now, n, p.AbortChange(now))
 			}
 			continue
 		}
 		if now < m.movedAt[n] || m.leaving || m.stalled {
 			continue
 		}
-		agreed, _ := p.Agreed()
-		group, wanted := agreed.Seats, m.desired(now)[n]
+		agreed, _ := p.CommittedGroup()
+		group, wanted := agreed.Members, m.desired(now)[n]
 		add, remove := m.step(now, group, wanted)
 		switch {
 		case add != "" || remove != "":
-			ticket := m.tickets.Keep(origin{handled: func(now time.Duration, r partition.Return) {
+			ticket := m.tickets.Keep(origin{handled: func(now time.Duration, r partition.Result) {
 				if r.Body != true {
-					m.movedAt[n] = now + m.params.Part.OwnerTerm
+					m.movedAt[n] = now + m.params.Part.LeaseDuration
 				}
 			}})
-			m.take(now, n, p.Change(now, uint64(ticket), add, remove))
+			m.take(now, n, p.ChangeMembers(now, uint64(ticket), add, remove))
 		case len(wanted) > 0 && wanted[0] != group[0] && slices.Contains(group, wanted[0]) && m.lively(now, wanted[0]):
 			i := slices.Index(group, wanted[0])
-			m.take(now, n, p.Order(now, append([]string{wanted[0]}, slices.Delete(slices.Clone(group), i, i+1)...)))
+			m.take(now, n, p.ReorderMembers(now, append([]string{wanted[0]}, slices.Delete(slices.Clone(group), i, i+1)...)))
 		}
 	}
 }
--- a/peer/core/registered.go
+++ b/peer/core/registered.go
@@ -92,14 +92,14 @@
 func init() {
 	message.Register(map[string]any{
 		"verdict.Verdict":  verdict.Verdict{},
-		"part.Stand":       partition.Stand{},
+		"part.Stand":       partition.Prepare{},
 		"part.Promise":     partition.Promise{},
-		"part.Refuse":      partition.Refuse{},
+		"part.Refuse":      partition.Reject{},
 		"part.Write":       partition.Write{},
-		"part.Taken":       partition.Taken{},
-		"part.Renew":       partition.Renew{},
-		"part.Renewed":     partition.Renewed{},
-		"part.Handover":    partition.Handover{},
+		"part.Taken":       partition.WriteAck{},
+		"part.Renew":       partition.RenewLease{},
+		"part.Renewed":     partition.LeaseAck{},
+		"part.Handover":    partition.TransferLeadership{},
 		"part.TermDurable": partition.TermDurable{},
 	})
 }
--- a/peer/core/relay.go
+++ b/peer/core/relay.go
@@ -240,7 +240,7 @@
 			r.ends.add(e.key, until)
 			continue
 		}
-		tx.Remove(e.key)
+		tx.Delete(e.key)
 		r.expired.add(e.key)
 	}
 }
--- a/peer/core/retired_test.go
+++ b/peer/core/retired_test.go
@@ -15,14 +15,14 @@
 	self, leader := Core{ID: "a", Incarnation: "1", Zone: "z", Peer: "a:1"}, Core{ID: "b", Incarnation: "1", Zone: "y", Peer: "b:1"}
 	m := New(Options{Params: newAlone(t).m.params, ID: self.ID, Zone: self.Zone, Address: self.Peer, Stored: Stored{Incarnation: self.Incarnation}, Random: func() float64 { return 0.5 }})
 	founding := Plan("f", 2, 1, []Core{self, leader})
-	founding.Groups = []partition.Group{{Epoch: 1, Seats: []string{self.Seat(), leader.Seat()}}, {Epoch: 1, Seats: []string{leader.Seat()}}}
+	founding.Groups = []partition.Group{{Epoch: 1, Members: []string{self.Seat(), leader.Seat()}}, {Epoch: 1, Members: []string{leader.Seat()}}}
 	if _, ok := m.Found(0, founding); !ok {
 		t.Fatal("not founded")
 	}
 	takes := func(n int, seq uint64) bool {
 		group := founding.Groups[n]
-		group.Term = partition.Term{Round: 1, Owner: leader.Seat()}
-		write := partition.Write{Term: group.Term, Seq: seq, Group: group, Whole: true}
+		group.Term = partition.Term{Round: 1, Leader: leader.Seat()}
+		write := partition.Write{Term: group.Term, Seq: seq, Group: group, Snapshot: true}
 		o := m.Receive(time.Second, leader.Peer, PartMessage{Part: n, From: leader.Seat(), To: self.Seat(), Raw: message.Pack(write)})
 		return len(o.Changes) > 0
 	}
--- a/peer/core/rules.go
+++ b/peer/core/rules.go
@@ -51,7 +51,7 @@
 	expired *recentKeys
 }
 
-func (r *rules) Seated(now time.Duration, tx *partition.Tx) {
+func (r *rules) Elected(now time.Duration, tx *partition.Tx) {
 	r.members, r.versions = map[string]time.Duration{}, map[string]uint64{}
 	r.seatedAt = now
 	for _, key := range tx.Keys(memberPrefix) {
--- a/peer/core/rules_members.go
+++ b/peer/core/rules_members.go
@@ -93,20 +93,20 @@
 		p, _ := read[program.Record](tx, key)
 		if clock >= p.Touched+p.Keep && len(p.Running) == 0 {
 			for _, turn := range tx.Keys(key + "/") {
-				tx.Remove(turn)
+				tx.Delete(turn)
 			}
-			tx.Remove(key)
+			tx.Delete(key)
 			write(tx, "past/"+key, clock)
 		}
 	}
 	for _, key := range tx.Keys("past/") {
 		if at, _ := read[time.Duration](tx, key); clock >= at+24*time.Hour {
-			tx.Remove(key)
+			tx.Delete(key)
 		}
 	}
 	for _, key := range tx.Keys(oncePrefix) {
 		if o, _ := read[Once](tx, key); clock >= o.Until {
-			tx.Remove(key)
+			tx.Delete(key)
 		}
 	}
 }
--- a/peer/core/rules_once.go
+++ b/peer/core/rules_once.go
@@ -21,7 +21,7 @@
 		return o
 	}
 	if c.State == OnceFree {
-		tx.Remove(key)
+		tx.Delete(key)
 		return Once{State: OnceFree}
 	}
 	o.State, o.Status, o.Body = c.State, c.Status, c.Body
--- a/peer/core/rules_test.go
+++ b/peer/core/rules_test.go
@@ -22,7 +22,7 @@
 }
 
 func newAlone(t *testing.T, changes ...func(p *Params)) *alone {
-	p := Params{Part: partition.Params{OwnerTerm: 600 * time.Millisecond, Drift: 0.1, Renewals: 5, Sweeps: 8}, MemberTerm: 2 * time.Second,
+	p := Params{Part: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8}, MemberTerm: 2 * time.Second,
 		Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}
 	for _, change := range changes {
 		change(&p)
@@ -243,11 +243,11 @@
 	f := Plan("f", 16, 3, cores)
 	firsts, seats := map[string]int{}, map[string]int{}
 	for n, g := range f.Groups {
-		if zones(f.Cores, g.Seats) != 3 {
-			t.Errorf("part %d: %v", n, g.Seats)
+		if zones(f.Cores, g.Members) != 3 {
+			t.Errorf("part %d: %v", n, g.Members)
 		}
-		firsts[g.Seats[0]]++
-		for _, s := range g.Seats {
+		firsts[g.Members[0]]++
+		for _, s := range g.Members {
 			seats[s]++
 		}
 	}
@@ -278,7 +278,7 @@
 		if zones(f.Cores, seats) != 3 {
 			t.Errorf("part %d loses a zone", n)
 		}
-		for _, move := range difference(n, f.Groups[n].Seats, seats) {
+		for _, move := range difference(n, f.Groups[n].Members, seats) {
 			if SeatID(move.Remove) == cores[0].ID {
 				gone++
 			}
--- a/peer/core/stall_test.go
+++ b/peer/core/stall_test.go
@@ -20,7 +20,7 @@
 		t.Fatal("not founded")
 	}
 	group := m.Part(0).Group()
-	group.Term = partition.Term{Round: 1, Owner: other.Seat()}
+	group.Term = partition.Term{Round: 1, Leader: other.Seat()}
 	deliver := func(now time.Duration, body any) Output {
 		o := m.Receive(now, other.Peer, PartMessage{Part: 0, From: other.Seat(), To: self.Seat(), Raw: message.Pack(body)})
 		for _, s := range o.Sends {
@@ -31,7 +31,7 @@
 		return o
 	}
 	write := func(seq uint64) partition.Write {
-		return partition.Write{Term: group.Term, Seq: seq, Prior: seq - 1, Group: group, Whole: seq == 1, Entries: []partition.Entry{{Key: "k", Value: []byte("v"), Stamp: partition.Stamp{Term: group.Term, Seq: seq}}}}
+		return partition.Write{Term: group.Term, Seq: seq, PriorSeq: seq - 1, Group: group, Snapshot: seq == 1, Entries: []partition.Entry{{Key: "k", Value: []byte("v"), Version: partition.Version{Term: group.Term, Seq: seq}}}}
 	}
 	if o := deliver(0, write(1)); len(o.Changes) == 0 {
 		t.Fatal("the first write was not taken")
@@ -42,11 +42,11 @@
 			t.Fatalf("a write while the disk hangs: %+v", o)
 		}
 	}
-	later := partition.Term{Round: 2, Owner: third.Seat()}
-	if o := deliver(time.Second, partition.Stand{Term: later, Group: group, Released: group.Term}); len(o.Changes)+len(o.Sends) != 0 {
+	later := partition.Term{Round: 2, Leader: third.Seat()}
+	if o := deliver(time.Second, partition.Prepare{Term: later, Group: group, Released: group.Term}); len(o.Changes)+len(o.Sends) != 0 {
 		t.Fatalf("a promise while the disk hangs: %+v", o)
 	}
-	if o := deliver(time.Second, partition.Renew{Term: group.Term, Sent: time.Second}); len(o.Sends) == 0 {
+	if o := deliver(time.Second, partition.RenewLease{Term: group.Term, SentAt: time.Second}); len(o.Sends) == 0 {
 		t.Error("a lease that was promised on disk is not prolonged")
 	}
 	m.Stall(false)
--- a/peer/core/stored.go
+++ b/peer/core/stored.go
@@ -6,9 +6,9 @@
 
 // Stored is what a core's disk holds.
 type Stored struct {
-	Incarnation string                 `msgpack:"i"`
-	Founding    Founding               `msgpack:"f"`
-	Copies      map[int]partition.Copy `msgpack:"c"`
+	Incarnation string                  `msgpack:"i"`
+	Founding    Founding                `msgpack:"f"`
+	Copies      map[int]partition.State `msgpack:"c"`
 }
 
 // Change is one thing to write to disk.
@@ -20,7 +20,7 @@
 // Apply brings what is stored up to a change.
 func (s *Stored) Apply(c Change) {
 	if s.Copies == nil {
-		s.Copies = map[int]partition.Copy{}
+		s.Copies = map[int]partition.State{}
 	}
 	if c.Founding != nil {
 		s.Founding = *c.Founding
@@ -33,15 +33,15 @@
 		}
 	}
 	if c.Record != nil {
-		p := s.Copies[c.Record.Part]
+		p := s.Copies[c.Record.Partition]
 		p.Apply(*c.Record)
-		s.Copies[c.Record.Part] = p
+		s.Copies[c.Record.Partition] = p
 	}
 }
 
 // CopyFrom makes an image that can be changed apart from its source.
 func (s *Stored) CopyFrom(o Stored) {
-	s.Incarnation, s.Founding, s.Copies = o.Incarnation, o.Founding, map[int]partition.Copy{}
+	s.Incarnation, s.Founding, s.Copies = o.Incarnation, o.Founding, map[int]partition.State{}
 	for n, c := range o.Copies {
 		entries := make(map[string]partition.Entry, len(c.Entries))
 		for k, e := range c.Entries {
--- a/peer/core/topology.go
+++ b/peer/core/topology.go
@@ -34,13 +34,13 @@
 
 func (m *Machine) learnCores() {
 	if p := m.parts[ConfigurationPart]; p != nil {
-		m.learnCoresOf(p.Copied())
+		m.learnCoresOf(p.State())
 	}
 }
 
-func (m *Machine) learnCoresOf(c partition.Copy) {
+func (m *Machine) learnCoresOf(c partition.State) {
 	for key, e := range c.Entries {
-		if len(key) > len(corePrefix) && key[:len(corePrefix)] == corePrefix && !e.Gone {
+		if len(key) > len(corePrefix) && key[:len(corePrefix)] == corePrefix && !e.Deleted {
 			var one Core
 			if message.Unmarshal(e.Value, &one) == nil {
 				m.learnCore(one)
@@ -97,7 +97,7 @@
 	size := m.founding.Size
 	if size == 0 {
 		for _, g := range m.groups {
-			size = max(size, len(g.Seats))
+			size = max(size, len(g.Members))
 		}
 	}
 	return size
@@ -110,7 +110,7 @@
 func (m *Machine) learn() {
 	m.learnCores()
 	for n, p := range m.parts {
-		if owner := p.Owner(); m.owners[n].Less(owner) {
+		if owner := p.CurrentTerm(); m.owners[n].Less(owner) {
 			m.owners[n] = owner
 			m.changed = true
 		}
@@ -145,13 +145,13 @@
 		text.numbers(c.Version)
 	}
 	for _, owner := range t.Owners {
-		text.words(owner.Owner)
+		text.words(owner.Leader)
 		text.numbers(owner.Round)
 	}
 	for _, g := range t.Groups {
-		text.words(g.Term.Owner)
-		text.numbers(g.Term.Round, g.Epoch, uint64(len(g.Seats)), uint64(len(g.Former)))
-		text.words(g.Seats...)
+		text.words(g.Term.Leader)
+		text.numbers(g.Term.Round, g.Epoch, uint64(len(g.Members)), uint64(len(g.Former)))
+		text.words(g.Members...)
 		text.words(g.Former...)
 	}
 	h := fnv.New64a()
@@ -238,10 +238,10 @@
 
 func (m *Machine) hint(n int) string {
 	owner := m.owners[n]
-	if p := m.parts[n]; p != nil && owner.Less(p.Owner()) {
-		owner = p.Owner()
+	if p := m.parts[n]; p != nil && owner.Less(p.CurrentTerm()) {
+		owner = p.CurrentTerm()
 	}
-	address := m.addressOf(owner.Owner)
+	address := m.addressOf(owner.Leader)
 	if address == m.self.Peer {
 		return ""
 	}
--- a/peer/desk/cutoff_test.go
+++ b/peer/desk/cutoff_test.go
@@ -14,16 +14,16 @@
 func inTouchDesk(t *testing.T, now time.Duration) *Machine {
 	t.Helper()
 	m := newDesk(nil)
-	leader := partition.Term{Round: 1, Owner: "c1.x"}
+	leader := partition.Term{Round: 1, Leader: "c1.x"}
 	m.Receive(now, "c1:1", core.Topology{Fleet: "f", Size: 1, Cores: map[string]core.Core{"c1": {ID: "c1", Incarnation: "x", Peer: "c1:1", Version: 1}},
-		Owners: []partition.Term{leader, leader}, Groups: []partition.Group{{Epoch: 1, Seats: []string{"c1.x"}}, {Epoch: 1, Seats: []string{"c1.x"}}}})
+		Owners: []partition.Term{leader, leader}, Groups: []partition.Group{{Epoch: 1, Members: []string{"c1.x"}}, {Epoch: 1, Members: []string{"c1.x"}}}})
 	confirm(m, now)
 	return m
 }
 
 func confirm(m *Machine, now time.Duration) {
-	m.Receive(now, "c1:1", core.News{Part: core.ConfigurationPart, Upto: partition.Stamp{Term: partition.Term{Round: 1, Owner: "c1.x"}, Seq: 1}})
-	m.Receive(now, "c1:1", core.Fresh{Sent: now, Upto: partition.Stamp{Term: partition.Term{Round: 1, Owner: "c1.x"}, Seq: 1}})
+	m.Receive(now, "c1:1", core.News{Part: core.ConfigurationPart, Upto: partition.Version{Term: partition.Term{Round: 1, Leader: "c1.x"}, Seq: 1}})
+	m.Receive(now, "c1:1", core.Fresh{Sent: now, Upto: partition.Version{Term: partition.Term{Round: 1, Leader: "c1.x"}, Seq: 1}})
 }
 
 // answeredAfter lets a desk tick with nobody answering it, until it answers a
--- a/peer/desk/machine.go
+++ b/peer/desk/machine.go
@@ -50,7 +50,7 @@
 	foundingCoresAt time.Duration
 	startedAt       time.Duration
 	table           *currentTable
-	pulledUpTo      partition.Stamp
+	pulledUpTo      partition.Version
 	confirmed       time.Duration
 	fresh           core.Fresh
 	pullAt          time.Duration
--- a/peer/desk/machine_test.go
+++ b/peer/desk/machine_test.go
@@ -136,7 +136,7 @@
 	if len(first) != 1 || len(again) != 1 || !reflect.DeepEqual(first[0], again[0]) {
 		t.Fatalf("%d and %d foundings, or other ones", len(first), len(again))
 	}
-	if f := first[0].Founding; f.Parts != 7 || len(f.Cores) != 3 || len(f.Groups[0].Seats) != 3 {
+	if f := first[0].Founding; f.Parts != 7 || len(f.Cores) != 3 || len(f.Groups[0].Members) != 3 {
 		t.Fatalf("%+v", f)
 	}
 	other := newDesk(nil)
@@ -149,7 +149,7 @@
 }
 
 func founded(m *Machine) core.Topology {
-	t := core.Topology{Fleet: "f", Size: 1, Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1", Version: 1}}, Owners: []partition.Term{{Round: 1, Owner: "c.1"}, {Round: 1, Owner: "c.1"}}, Groups: make([]partition.Group, 2)}
+	t := core.Topology{Fleet: "f", Size: 1, Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1", Version: 1}}, Owners: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}}, Groups: make([]partition.Group, 2)}
 	m.Receive(0, "c:1", t)
 	return t
 }
@@ -223,7 +223,7 @@
 		topology := founded(m)
 		retired := topology.Cores["c"]
 		retired.Retired, retired.Version = true, 2
-		m.Receive(0, "x:1", core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": retired, "x": {ID: "x", Incarnation: "1", Peer: "x:1", Version: 1}}, Owners: []partition.Term{{Round: 2, Owner: "x.1"}, {Round: 2, Owner: "x.1"}}})
+		m.Receive(0, "x:1", core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": retired, "x": {ID: "x", Incarnation: "1", Peer: "x:1", Version: 1}}, Owners: []partition.Term{{Round: 2, Leader: "x.1"}, {Round: 2, Leader: "x.1"}}})
 		o := m.Retired(time.Millisecond, 9, "c")
 		answers := o.Answers
 		for i, command := range sentTo[core.Command](o, "x:1") {
--- a/peer/desk/table.go
+++ b/peer/desk/table.go
@@ -13,7 +13,7 @@
 
 // confirm notes as of when this desk has missed no table.
 func (m *Machine) confirm(now time.Duration) {
-	if m.fresh.Upto == (partition.Stamp{}) || m.pulledUpTo.Less(m.fresh.Upto) {
+	if m.fresh.Upto == (partition.Version{}) || m.pulledUpTo.Less(m.fresh.Upto) {
 		return
 	}
 	first := m.confirmed < 0
@@ -38,7 +38,7 @@
 			if message.Unmarshal(e.Value, &agreed) == nil {
 				m.installText(now, agreed.Number, agreed.Digest, agreed.Text)
 			}
-		case core.IsCoreKey(e.Key) && !e.Gone:
+		case core.IsCoreKey(e.Key) && !e.Deleted:
 			var one core.Core
 			if message.Unmarshal(e.Value, &one) == nil {
 				t.Cores[one.ID] = one
@@ -50,7 +50,7 @@
 }
 
 func (m *Machine) pull(now time.Duration) {
-	ask := core.Pull{Versions: map[int]partition.Stamp{core.ConfigurationPart: m.pulledUpTo}, Fresh: true, Sent: now, Want: len(m.topology.Owners) == 0 || m.random() < 0.2}
+	ask := core.Pull{Versions: map[int]partition.Version{core.ConfigurationPart: m.pulledUpTo}, Fresh: true, Sent: now, Want: len(m.topology.Owners) == 0 || m.random() < 0.2}
 	if to := m.caller.HintOf(core.ConfigurationPart); to != "" && m.confirmed >= 0 && now-m.confirmed < 3*m.params.Core.Pull {
 		m.send(to, ask)
 		return
--- a/peer/desk/topology.go
+++ b/peer/desk/topology.go
@@ -97,7 +97,7 @@
 func HintOwners(caller *core.Caller, t core.Topology) {
 	for n, owner := range t.Owners {
 		for _, c := range t.Cores {
-			if c.Seat() == owner.Owner {
+			if c.Seat() == owner.Leader {
 				caller.Hint(n, c.Peer)
 			}
 		}
--- a/peer/node/machine.go
+++ b/peer/node/machine.go
@@ -51,7 +51,7 @@
 	caller      *core.Caller
 
 	topology core.Topology
-	versions map[int]partition.Stamp
+	versions map[int]partition.Version
 	freshAt  time.Duration
 	bornAt   time.Duration
 	entries  map[int]map[string]partition.Entry
@@ -132,7 +132,7 @@
 func New(o Options) *Machine {
 	m := &Machine{params: identity{Params: o.Params, ID: o.ID, Zone: o.Zone, Address: o.Address, HTTP: o.HTTP, Host: o.Host, Seeds: o.Seeds},
 		random: o.Random, incarnation: o.Incarnation, buried: map[string]bool{}, now: o.Now,
-		versions: map[int]partition.Stamp{}, freshAt: -1, bornAt: o.Now, entries: map[int]map[string]partition.Entry{},
+		versions: map[int]partition.Version{}, freshAt: -1, bornAt: o.Now, entries: map[int]map[string]partition.Entry{},
 		members: map[string]core.Member{}, replicas: map[string]map[string]announced{}, cores: map[string]core.Core{},
 		conditions: map[string]*condition{}, waiting: map[uint64]slab.Ticket{}, live: map[slab.Ticket]*shot{},
 		open: map[slab.Ticket]*asked{}, served: map[string]*servedWay{}, mirrors: map[string]*mirrored{}, rooms: map[string]*room{}, breakerState: breaker.Closed}
--- a/peer/node/machine_test.go
+++ b/peer/node/machine_test.go
@@ -28,7 +28,7 @@
 		return n
 	}
 	m.Receive(time.Second, "10.0.0.1:1", core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "10.0.0.1:1"}}, Groups: make([]partition.Group, 2), Owners: make([]partition.Term, 2)})
-	at := partition.Stamp{Seq: 4}
+	at := partition.Version{Seq: 4}
 	m.Receive(time.Second, "10.0.0.2:1", core.News{Part: core.ConfigurationPart, Upto: at, Whole: true, Entries: []partition.Entry{{Key: "configuration",
 		Value: message.Marshal(core.Configured{Version: 1, Text: []byte(`{"roles":{"viewer":{}},"tenants":{"t":{}},"services":{"model":{"kind":"model"}}}`)})}}})
 	if m.Version() != 1 {
@@ -37,7 +37,7 @@
 	if joins(1100*time.Millisecond) != 0 {
 		t.Error("it joins by another node's word")
 	}
-	m.Receive(1200*time.Millisecond, "10.0.0.1:1", core.Fresh{Sent: 1100 * time.Millisecond, Upto: partition.Stamp{Seq: 5}})
+	m.Receive(1200*time.Millisecond, "10.0.0.1:1", core.Fresh{Sent: 1100 * time.Millisecond, Upto: partition.Version{Seq: 5}})
 	if joins(1300*time.Millisecond) != 0 {
 		t.Error("it joins though the owner has a newer one")
 	}
--- a/peer/node/news.go
+++ b/peer/node/news.go
@@ -18,7 +18,7 @@
 		return
 	}
 	m.pullAt = now + m.params.Core.Pull
-	versions := map[int]partition.Stamp{}
+	versions := map[int]partition.Version{}
 	for n, v := range m.versions {
 		versions[n] = v
 	}
@@ -71,7 +71,7 @@
 	}
 	for n, owner := range m.topology.Owners {
 		for _, c := range m.topology.Cores {
-			if c.Seat() == owner.Owner {
+			if c.Seat() == owner.Leader {
 				m.caller.Hint(n, c.Peer)
 			}
 		}
@@ -112,7 +112,7 @@
 		m.entries[b.Part] = map[string]partition.Entry{}
 	}
 	for _, e := range b.Entries {
-		if e.Gone {
+		if e.Deleted {
 			delete(m.entries[b.Part], e.Key)
 		} else {
 			m.entries[b.Part][e.Key] = e
--- a/peer/operator/handler.go
+++ b/peer/operator/handler.go
@@ -292,7 +292,7 @@
 		s.Cores = append(s.Cores, t.Cores[id])
 	}
 	for n := range t.Owners {
-		s.Parts = append(s.Parts, PartStatus{Part: n, Owner: t.Owners[n].Owner, Round: t.Owners[n].Round, Epoch: t.Groups[n].Epoch, Seats: t.Groups[n].Seats})
+		s.Parts = append(s.Parts, PartStatus{Part: n, Owner: t.Owners[n].Leader, Round: t.Owners[n].Round, Epoch: t.Groups[n].Epoch, Seats: t.Groups[n].Members})
 		missing := false
 		for _, prefix := range []string{"member/", "breaker", "configuration"} {
 			list, ok, err := entries(ctx, p, n, prefix)
--- a/peer/relay/machine_test.go
+++ b/peer/relay/machine_test.go
@@ -136,7 +136,7 @@
 // hear brings a bulletin of a desk.
 func (g *rig) hear(from string, list []desk.Listed, number uint64, text []byte) {
 	g.version++
-	topology := core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1"}}, Owners: []partition.Term{{Round: 1, Owner: "c.1"}, {Round: 1, Owner: "c.1"}},
+	topology := core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1"}}, Owners: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}},
 		Groups: make([]partition.Group, 2)}
 	g.take(g.m.Receive(g.now, from, desk.Bulletin{Life: "l", Version: g.version, List: list, Number: number, Table: text, Nodes: 1, Topology: &topology}))
 }
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -38,7 +38,7 @@
 )
 
 func coreParams() core.Params {
-	return core.Params{Part: partition.Params{OwnerTerm: contact / 6, Drift: 0.1, Renewals: 5, Sweeps: 40, Home: 20}, MemberTerm: contact / 2, Retry: contact / 24,
+	return core.Params{Part: partition.Params{LeaseDuration: contact / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberTerm: contact / 2, Retry: contact / 24,
 		Pull: contact / 20, Gone: 2200 * time.Millisecond, ColdStart: true}
 }
 
@@ -226,7 +226,7 @@
 		var image core.Stored
 		image.CopyFrom(p.stored)
 		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: zone, Address: p.address, Seeds: w.seeds(), Stored: image, Now: w.now, Random: w.random.Float64})
-		every = coreParams().Part.OwnerTerm / 20
+		every = coreParams().Part.LeaseDuration / 20
 	case "desk":
 		p.calls = map[uint64]func(any){}
 		p.desk = desk.New(desk.Options{Params: deskParams(), ID: p.id, Life: fmt.Sprintf("%s.%d", p.id, p.life), Address: p.address, Seeds: w.seeds(), Founds: p == w.desks[0] && p.life == 1, Now: w.now, Random: w.random.Float64})
--- a/rehearsalkit/modelcheck/action.go
+++ b/rehearsalkit/modelcheck/action.go
@@ -111,10 +111,10 @@
 	case Regroup:
 		change := w.scenario.Changes[a.Count]
 		w.spent.Changes++
-		w.take(p, p.machine.Change(now, uint64(changeTicket+a.Count), change.Add, change.Remove))
+		w.take(p, p.machine.ChangeMembers(now, uint64(changeTicket+a.Count), change.Add, change.Remove))
 	case Leave:
 		w.spent.Leaves++
-		w.take(p, p.machine.Leave(now))
+		w.take(p, p.machine.ReleaseLeadership(now))
 	case BeginRead:
 		w.reading = reading{Seat: p.seat, Sampled: now, Latest: w.book.latest}
 	case AnswerRead:
--- a/rehearsalkit/modelcheck/book.go
+++ b/rehearsalkit/modelcheck/book.go
@@ -81,7 +81,7 @@
 		return b, nil
 	}
 	if b.group.Epoch > 0 && !quorumsIntersect(b.group, group) {
-		return b, violation(Intersect, "group %v, %v was followed by %v, %v", b.group.Seats, b.group.Former, group.Seats, group.Former)
+		return b, violation(Intersect, "group %v, %v was followed by %v, %v", b.group.Members, b.group.Former, group.Members, group.Former)
 	}
 	fresh := *b
 	fresh.group = group
@@ -119,7 +119,7 @@
 // isQuorum reports whether a set of seats may agree for a group: a majority of
 // it, and one of the former group while a change is under way.
 func isQuorum(group partition.Group, set map[string]bool) bool {
-	return isMajority(group.Seats, set) && (len(group.Former) == 0 || isMajority(group.Former, set))
+	return isMajority(group.Members, set) && (len(group.Former) == 0 || isMajority(group.Former, set))
 }
 
 func isMajority(seats []string, set map[string]bool) bool {
--- a/rehearsalkit/modelcheck/modelcheck_test.go
+++ b/rehearsalkit/modelcheck/modelcheck_test.go
@@ -189,9 +189,9 @@
 }
 
 func TestQuorumsIntersect(t *testing.T) {
-	trio := partition.Group{Seats: []string{"a", "b", "c"}}
-	joint := partition.Group{Seats: []string{"a", "b", "d"}, Former: trio.Seats}
-	final := partition.Group{Seats: joint.Seats}
+	trio := partition.Group{Members: []string{"a", "b", "c"}}
+	joint := partition.Group{Members: []string{"a", "b", "d"}, Former: trio.Members}
+	final := partition.Group{Members: joint.Members}
 	if !quorumsIntersect(trio, joint) || !quorumsIntersect(joint, final) || quorumsIntersect(trio, final) {
 		t.Error("quorums are counted wrong")
 	}
--- a/rehearsalkit/modelcheck/process.go
+++ b/rehearsalkit/modelcheck/process.go
@@ -15,7 +15,7 @@
 	// skew is by how much its clock has run fast.
 	skew time.Duration
 	// disk is what is synced; pending was issued and is not.
-	disk    partition.Copy
+	disk    partition.State
 	pending []partition.Record
 	// held are synced messages that wait for the records before them.
 	held []packet
@@ -75,7 +75,7 @@
 	if p.machine == nil {
 		return false
 	}
-	_, ok := p.machine.Owns(now + p.skew)
+	_, ok := p.machine.LeadingTerm(now + p.skew)
 	return ok
 }
 
@@ -102,13 +102,13 @@
 )
 
 // newMachine makes the shipped machine, with a copy that is its own.
-func newMachine(seat string, disk partition.Copy, now time.Duration) *partition.Machine {
+func newMachine(seat string, disk partition.State, now time.Duration) *partition.Machine {
 	disk.Entries = maps.Clone(disk.Entries)
 	return partition.New(partition.Options{
-		Params: partition.Params{OwnerTerm: ownerTerm, Drift: drift, Renewals: renewals, Sweeps: noSweeps},
-		Seat:   seat,
+		Params: partition.Params{LeaseDuration: ownerTerm, Drift: drift, RenewalsPerLease: renewals, LeasesPerSweep: noSweeps},
+		Member: seat,
 		Rules:  registerRules{},
-		Copy:   disk,
+		State:  disk,
 		Now:    now,
 		Random: func() float64 { return 0 },
 	})
--- a/rehearsalkit/modelcheck/properties.go
+++ b/rehearsalkit/modelcheck/properties.go
@@ -33,7 +33,7 @@
 // read judges what a read at a process would return now, if it would at once.
 // Whether the lease still holds is asked by the machine, not here.
 func (w *World) read(p *process) {
-	if _, serving := p.machine.Committed(); !serving {
+	if _, serving := p.machine.CommittedVersion(); !serving {
 		return
 	}
 	known := &p.readable[0]
@@ -70,7 +70,7 @@
 
 // readAnswered judges a read that ends. What counts is what was acknowledged
 // before it came.
-func (w *World) readAnswered(p *process, r partition.Return) {
+func (w *World) readAnswered(p *process, r partition.Result) {
 	latest := w.reading.Latest
 	if w.scenario.LateReads {
 		latest = w.book.latest
@@ -153,7 +153,7 @@
 	if ok {
 		return r
 	}
-	disks := map[string]partition.Copy{}
+	disks := map[string]partition.State{}
 	for _, p := range w.processes {
 		if set[p.seat] {
 			disks[p.seat] = p.disk
@@ -180,7 +180,7 @@
 
 // recoverFrom runs the machines of some disks until one of them owns the part,
 // with every message delivered at once.
-func recoverFrom(disks map[string]partition.Copy) recovery {
+func recoverFrom(disks map[string]partition.State) recovery {
 	scenario := Scenario{Members: []string{}, renamings: []map[string]string{nil}}
 	w := newWorld(&scenario)
 	for _, seat := range ordered.Keys(disks) {
@@ -208,8 +208,8 @@
 // served is what a read at a machine returns, where it answers at once: it owns
 // the part and nothing is on its way to be agreed.
 func served(m *partition.Machine, now time.Duration) recovery {
-	for _, r := range m.Propose(now, readTicket, readRegister{}).Returns {
-		if value, ok := r.Body.(Register); ok && r.Ticket == readTicket {
+	for _, r := range m.Propose(now, readTicket, readRegister{}).Results {
+		if value, ok := r.Body.(Register); ok && r.RequestID == readTicket {
 			return recovery{owned: true, value: value}
 		}
 	}
--- a/rehearsalkit/modelcheck/register.go
+++ b/rehearsalkit/modelcheck/register.go
@@ -41,7 +41,7 @@
 // that is left over in a copy is not hidden by the entry of a later one.
 type registerRules struct{}
 
-func (registerRules) Seated(time.Duration, *partition.Tx) {}
+func (registerRules) Elected(time.Duration, *partition.Tx) {}
 
 func (registerRules) Apply(_ time.Duration, tx *partition.Tx, command any) any {
 	old := currentRegister(tx)
--- a/rehearsalkit/modelcheck/world.go
+++ b/rehearsalkit/modelcheck/world.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"reflect"
 	"strings"
 	"time"
 
@@ -15,9 +14,29 @@
 	Body     any
 }
 
-// kind is the type of a packet's message.
+// kind names the message of a packet in actions and traces.
 func (p packet) kind() string {
-	return strings.TrimPrefix(reflect.TypeOf(p.Body).String(), "partition.")
+	switch p.Body.(type) {
+	case partition.Prepare:
+		return "Stand"
+	case partition.Promise:
+		return "Promise"
+	case partition.Reject:
+		return "Refuse"
+	case partition.Write:
+		return "Write"
+	case partition.WriteAck:
+		return "Taken"
+	case partition.RenewLease:
+		return "Renew"
+	case partition.LeaseAck:
+		return "Renewed"
+	case partition.TermDurable:
+		return "TermDurable"
+	case partition.TransferLeadership:
+		return "Handover"
+	}
+	panic(fmt.Sprintf("modelcheck: message of unknown type %T", p.Body))
 }
 
 // flying is a packet in flight with its digests, which never change.
@@ -65,9 +84,9 @@
 
 func newWorld(scenario *Scenario) *World {
 	w := &World{scenario: scenario, book: &book{values: map[uint64]string{}, refused: map[string]bool{}}, touched: map[int]bool{}}
-	founding := partition.Group{Epoch: 1, Seats: scenario.Members}
+	founding := partition.Group{Epoch: 1, Members: scenario.Members}
 	for _, seat := range scenario.Members {
-		p := &process{seat: seat, disk: partition.Copy{Group: founding}}
+		p := &process{seat: seat, disk: partition.State{Group: founding}}
 		p.start(0)
 		w.processes = append(w.processes, p)
 	}
@@ -124,13 +143,13 @@
 	}
 	for _, send := range out.Sends {
 		one := packet{From: p.seat, To: send.To, Body: send.Body}
-		if send.Synced && len(p.pending) > 0 {
+		if send.AfterSync && len(p.pending) > 0 {
 			p.held = append(p.held, one)
 			continue
 		}
 		w.send(p, one)
 	}
-	for _, r := range out.Returns {
+	for _, r := range out.Results {
 		w.answer(p, r)
 	}
 	w.observe(p)
@@ -185,17 +204,17 @@
 }
 
 // answer notes a return as the one who asked sees it.
-func (w *World) answer(p *process, r partition.Return) {
+func (w *World) answer(p *process, r partition.Result) {
 	switch {
-	case r.Ticket >= readTicket:
+	case r.RequestID >= readTicket:
 		w.readAnswered(p, r)
-	case r.Moved || r.Unsure:
-	case r.Ticket >= changeTicket:
+	case r.NotLeader || r.Uncertain:
+	case r.RequestID >= changeTicket:
 		if r.Body == true {
-			w.changeDone(p, w.scenario.Changes[r.Ticket-changeTicket])
+			w.changeDone(p, w.scenario.Changes[r.RequestID-changeTicket])
 		}
 	default:
-		order := w.scenario.Orders[r.Ticket/ticketsPerOrder]
+		order := w.scenario.Orders[r.RequestID/ticketsPerOrder]
 		var broken *Violation
 		if r.Body.(Ordered).OK {
 			w.book, broken = w.book.see(order.Number, order.Value, "acknowledged by "+p.seat)
@@ -212,15 +231,15 @@
 	fresh.changed++
 	w.book = &fresh
 	group := p.machine.Group()
-	if agreed, ok := p.machine.Agreed(); ok {
+	if agreed, ok := p.machine.CommittedGroup(); ok {
 		group = agreed
 	}
 	final := len(group.Former) == 0
-	for _, seat := range group.Seats {
+	for _, seat := range group.Members {
 		final = final && seat != change.Remove
 	}
-	if !final || !isMajority(group.Seats, w.knowing(group)) {
-		w.breaks(violation(ChangeDone, "%s has reported %v done with the group %v, %v", p.seat, change, group.Seats, group.Former))
+	if !final || !isMajority(group.Members, w.knowing(group)) {
+		w.breaks(violation(ChangeDone, "%s has reported %v done with the group %v, %v", p.seat, change, group.Members, group.Former))
 	}
 }
 
@@ -235,13 +254,13 @@
 
 // observe looks at a machine after its step: which group it has as agreed.
 func (w *World) observe(p *process) {
-	group, ok := p.machine.Agreed()
+	group, ok := p.machine.CommittedGroup()
 	if !ok || !p.agreed.Before(group) {
 		return
 	}
 	p.agreed = group
 	if !isQuorum(group, w.knowing(group)) {
-		w.breaks(violation(Intersect, "%s has the group %v, %v as agreed without a quorum of it", p.seat, group.Seats, group.Former))
+		w.breaks(violation(Intersect, "%s has the group %v, %v as agreed without a quorum of it", p.seat, group.Members, group.Former))
 	}
 	var broken *Violation
 	w.book, broken = w.book.commit(group)
@@ -284,7 +303,7 @@
 		if e, ok := p.disk.Entries[registerKey]; ok {
 			stored = decode[Register](e.Value)
 		}
-		fmt.Fprintf(&text, " %s %s promised %d.%s stored %d %q;", p.seat, state, p.disk.Promised.Round, p.disk.Promised.Owner, stored.Number, stored.Value)
+		fmt.Fprintf(&text, " %s %s promised %d.%s stored %d %q;", p.seat, state, p.disk.Promised.Round, p.disk.Promised.Leader, stored.Number, stored.Value)
 	}
 	fmt.Fprintf(&text, " %d in flight", len(w.network))
 	return text.String()
--- a/rehearsalkit/relaysim/params.go
+++ b/rehearsalkit/relaysim/params.go
@@ -74,7 +74,7 @@
 )
 
 func coreParams() core.Params {
-	return core.Params{Part: partition.Params{OwnerTerm: contact / 6, Drift: 0.1, Renewals: 5, Sweeps: 8, Home: 20}, MemberTerm: contact / 2,
+	return core.Params{Part: partition.Params{LeaseDuration: contact / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeHome: 20}, MemberTerm: contact / 2,
 		Retry: contact / 24, Pull: contact / 20, Gone: catchUp / 2, ColdStart: true}
 }
 
--- a/rehearsalkit/relaysim/process.go
+++ b/rehearsalkit/relaysim/process.go
@@ -93,7 +93,7 @@
 		var image core.Stored
 		image.CopyFrom(p.disk.stored)
 		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: p.zone, Address: p.address, Seeds: p.seedList(), Stored: image, Now: p.now(), Random: w.random.Float64, Violated: w.violated})
-		p.tick(p.life, coreParams().Part.OwnerTerm/40)
+		p.tick(p.life, coreParams().Part.LeaseDuration/40)
 	case p.isDesk:
 		var known []desk.Listed
 		for _, id := range ordered.Keys(p.known) {
--- a/rehearsalkit/relaysim/whole.go
+++ b/rehearsalkit/relaysim/whole.go
@@ -107,11 +107,11 @@
 			return fmt.Sprintf("part %d has no owner", n)
 		}
 		owner := s.core.core.Part(n)
-		group, _ := owner.Agreed()
-		if len(group.Seats) != w.deskParams().Seats || len(group.Former) > 0 {
-			return fmt.Sprintf("part %d has the group %v, formerly %v", n, group.Seats, group.Former)
+		group, _ := owner.CommittedGroup()
+		if len(group.Members) != w.deskParams().Seats || len(group.Former) > 0 {
+			return fmt.Sprintf("part %d has the group %v, formerly %v", n, group.Members, group.Former)
 		}
-		for _, seat := range group.Seats {
+		for _, seat := range group.Members {
 			if missing := w.seatLacks(owner, n, seat); missing != "" {
 				return missing
 			}
@@ -134,11 +134,11 @@
 	if machine == nil {
 		return fmt.Sprintf("part %d: %s has no copy", n, seat)
 	}
-	committed, _ := owner.Committed()
-	copied := machine.Copied().Entries
-	for key, e := range owner.Copied().Entries {
-		settled := e.Stamp.Term == committed.Term && e.Stamp.Seq+inFlight <= committed.Seq
-		if settled && !e.Gone && copied[key].Stamp != e.Stamp {
+	committed, _ := owner.CommittedVersion()
+	copied := machine.State().Entries
+	for key, e := range owner.State().Entries {
+		settled := e.Version.Term == committed.Term && e.Version.Seq+inFlight <= committed.Seq
+		if settled && !e.Deleted && copied[key].Version != e.Version {
 			return fmt.Sprintf("part %d: %s lacks %s", n, seat, key)
 		}
 	}
@@ -169,8 +169,8 @@
 		if s == nil {
 			return fmt.Sprintf("part %d has no owner", n)
 		}
-		group, _ := s.core.core.Part(n).Agreed()
-		seats := slices.Clone(group.Seats)
+		group, _ := s.core.core.Part(n).CommittedGroup()
+		seats := slices.Clone(group.Members)
 		slices.Sort(seats)
 		slices.Sort(wanted)
 		if !slices.Equal(seats, wanted) {
--- a/rehearsalkit/simulator/crash.go
+++ b/rehearsalkit/simulator/crash.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		return reflect.TypeOf(body).Name()
 	}
-	name := reflect.TypeOf(inner).Name()
+	name := registeredNames[reflect.TypeOf(inner)]
 	switch name {
 	case "Renew", "Renewed", "Stand", "RenewMember":
 		return ""
@@ -115,6 +115,16 @@
 	return name
 }
 
+// registeredNames has the names under which the types of messages are registered, without
+// their package.
+var registeredNames = func() map[reflect.Type]string {
+	names := map[reflect.Type]string{}
+	for name, t := range message.Types() {
+		names[t] = name[strings.LastIndex(name, ".")+1:]
+	}
+	return names
+}()
+
 // stage lays out the world in which one operation is to happen.
 func stage() (*World, *scene) {
 	p := Defaults(3)
--- a/rehearsalkit/simulator/world.go
+++ b/rehearsalkit/simulator/world.go
@@ -161,7 +161,7 @@
 }
 
 func (w *World) coreParams() core.Params {
-	return core.Params{Part: partition.Params{OwnerTerm: 600 * time.Millisecond, Drift: 0.1, Renewals: 5, Sweeps: 8, Home: 20}, MemberTerm: w.Params.MemberTerm,
+	return core.Params{Part: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeHome: 20}, MemberTerm: w.Params.MemberTerm,
 		Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}
 }
 
--- a/rehearsalkit/sizes/larger_test.go
+++ b/rehearsalkit/sizes/larger_test.go
@@ -44,7 +44,7 @@
 	"struct rehearsalkit/simulator/world.go World":                  24,
 	"struct rule/configuration/description.go Role":                 16,
 	"struct rule/partition/machine.go Machine":                      19,
-	"struct rule/partition/machine.go owning":                       33,
+	"struct rule/partition/machine.go leadership":                   33,
 	"struct rule/program/program.go Record":                         25,
 	"struct saffronfall/coreprocess/process.go process":             25,
 	"struct saffronfall/nodeprocess/process.go process":             25,
--- a/rule/partition/cost_test.go
+++ b/rule/partition/benchmark_test.go
@@ -8,7 +8,7 @@
 
 // BenchmarkTick is an owner's tick when nothing is due, with 3 MB of entries.
 func BenchmarkTick(b *testing.B) {
-	o, t := large(b)
+	o, t := largeReplica(b)
 	b.ResetTimer()
 	for i := 0; i < b.N; i++ {
 		o.Tick(t)
@@ -17,24 +17,24 @@
 
 // BenchmarkSweep is the comparison of copies, at the owner and at a seat.
 func BenchmarkSweep(b *testing.B) {
-	o, t := large(b)
+	o, t := largeReplica(b)
 	b.ResetTimer()
 	for i := 0; i < b.N; i++ {
-		o.owning.renewAt, o.owning.sweepAt = 0, 0
+		o.leading.nextRenewal, o.leading.nextSweep = 0, 0
 		for _, s := range o.Tick(t).Sends {
-			if r, ok := s.Body.(Renew); ok {
+			if r, ok := s.Body.(RenewLease); ok {
 				o.Receive(t, "a", r)
 			}
 		}
 	}
 }
 
-func large(b *testing.B) (*Machine, time.Duration) {
-	n := newBench(&testing.T{}, []string{"a"}, "a")
-	n.pass(300 * time.Millisecond)
+func largeReplica(b *testing.B) (*Machine, time.Duration) {
+	c := newCluster(&testing.T{}, []string{"a"}, "a")
+	c.advance(300 * time.Millisecond)
 	value := string(make([]byte, 600))
 	for i := 0; i < 5000; i++ {
-		n.run("a", put{fmt.Sprint("key/", i), value})
+		c.propose("a", put{fmt.Sprint("key/", i), value})
 	}
-	return n.seats["a"], n.now
+	return c.replicas["a"], c.now
 }
--- a/rule/partition/digest.go
+++ b/rule/partition/digest.go
@@ -14,7 +14,7 @@
 
 // sum is the digest of a table: the sum of its entries' digests, so that one
 // changed entry costs no more than that entry.
-func (k DigestKey) sum(table map[string]Entry) uint64 {
+func (k DigestKey) table(table map[string]Entry) uint64 {
 	var sum uint64
 	for _, e := range table {
 		sum += k.entry(e)
@@ -25,31 +25,31 @@
 // entry is one entry's share of the sum. Tombstones, and entries that are not
 // there, have none.
 func (k DigestKey) entry(e Entry) uint64 {
-	if e.Gone || e.Stamp == (Stamp{}) {
+	if e.Deleted || e.Version == (Version{}) {
 		return 0
 	}
-	text := make([]byte, 0, 32+len(e.Key)+len(e.Stamp.Term.Owner)+len(e.Value))
-	text = binary.LittleEndian.AppendUint64(text, e.Stamp.Seq)
-	text = binary.LittleEndian.AppendUint64(text, e.Stamp.Term.Round)
+	text := make([]byte, 0, 32+len(e.Key)+len(e.Version.Term.Leader)+len(e.Value))
+	text = binary.LittleEndian.AppendUint64(text, e.Version.Seq)
+	text = binary.LittleEndian.AppendUint64(text, e.Version.Term.Round)
 	text = binary.LittleEndian.AppendUint64(text, uint64(len(e.Key)))
-	text = binary.LittleEndian.AppendUint64(text, uint64(len(e.Stamp.Term.Owner)))
+	text = binary.LittleEndian.AppendUint64(text, uint64(len(e.Version.Term.Leader)))
 	text = append(text, e.Key...)
-	text = append(text, e.Stamp.Term.Owner...)
+	text = append(text, e.Version.Term.Leader...)
 	text = append(text, e.Value...)
 	return siphash.Hash(k[0], k[1], text)
 }
 
 // useKey makes the digest of this replica's copy one under a key.
-func (m *Machine) useKey(k DigestKey) {
+func (m *Machine) setDigestKey(k DigestKey) {
 	if m.digestKey == k {
 		return
 	}
 	m.digestKey = k
-	m.sum = k.sum(m.copy.Entries)
+	m.digest = k.table(m.state.Entries)
 }
 
 // newKey draws a key.
-func (m *Machine) newKey() DigestKey {
+func (m *Machine) newDigestKey() DigestKey {
 	half := func() uint64 { return uint64(m.random()*(1<<32))<<32 | uint64(m.random()*(1<<32)) }
 	return DigestKey{half(), half()}
 }
--- a/rule/partition/durable_test.go
+++ b/rule/partition/durable_test.go
@@ -8,10 +8,10 @@
 // machineOf makes one replica of a group of three, and the leader's term.
 func replicaUnderTest(t *testing.T) (*Machine, Term, Group) {
 	t.Helper()
-	group := Group{Epoch: 1, Seats: []string{"a", "b", "c"}}
-	m := New(Options{Params: Params{OwnerTerm: 100 * time.Millisecond, Drift: 0.1, Renewals: 5, Sweeps: 4}, Seat: "b", Rules: registers{}, Copy: Copy{Group: group},
+	group := Group{Epoch: 1, Members: []string{"a", "b", "c"}}
+	m := New(Options{Params: Params{LeaseDuration: 100 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 4}, Member: "b", Rules: registers{}, State: State{Group: group},
 		Random: func() float64 { return 0.5 }})
-	return m, Term{Round: 1, Owner: "a"}, group
+	return m, Term{Round: 1, Leader: "a"}, group
 }
 
 // leaseVote is the vote that an output sends without waiting for the disk: up to
@@ -19,8 +19,8 @@
 // of its renewal.
 func leaseVote(o Output) (sent time.Duration, voted bool) {
 	for _, s := range o.Sends {
-		if r, ok := s.Body.(Renewed); ok && s.To == "a" && !s.Synced {
-			return r.Sent, true
+		if r, ok := s.Body.(LeaseAck); ok && s.To == "a" && !s.AfterSync {
+			return r.SentAt, true
 		}
 	}
 	return 0, false
@@ -33,17 +33,17 @@
 	m, term, group := replicaUnderTest(t)
 	group.Term = term
 	now := time.Second
-	written := m.Receive(now, "a", Write{Term: term, Seq: 1, Group: group, Whole: true, Sent: now})
-	vote, voted := leaseVote(m.Receive(now, "a", Renew{Term: term, Sent: now}))
-	if voted && vote > now-m.params.OwnerTerm {
+	written := m.Receive(now, "a", Write{Term: term, Seq: 1, Group: group, Snapshot: true, SentAt: now})
+	vote, voted := leaseVote(m.Receive(now, "a", RenewLease{Term: term, SentAt: now}))
+	if voted && vote > now-m.params.LeaseDuration {
 		t.Errorf("the lease was prolonged by a vote that rests on memory alone")
 	}
 	for _, s := range written.Sends {
-		if s.To == "b" && s.Synced {
+		if s.To == "b" && s.AfterSync {
 			m.Receive(now, "b", s.Body)
 		}
 	}
-	vote, voted = leaseVote(m.Receive(now, "a", Renew{Term: term, Sent: now}))
+	vote, voted = leaseVote(m.Receive(now, "a", RenewLease{Term: term, SentAt: now}))
 	if !voted || vote != now {
 		t.Errorf("the lease was not prolonged though the term is on disk: %v %v", vote, voted)
 	}
@@ -53,50 +53,50 @@
 // after its entry's removal was taken by all and the tombstone dropped.
 func TestLateWriteDoesNotBringBackWhatWasRemoved(t *testing.T) {
 	for _, whole := range []bool{false, true} {
-		b := newBench(t, []string{"a", "b", "c"}, "a", "b", "c")
-		b.pass(300 * time.Millisecond)
-		leader := b.owner()
+		c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
+		c.advance(300 * time.Millisecond)
+		leader := c.leader()
 		other := "a"
 		if leader == "a" {
 			other = "b"
 		}
-		var held []parcel
+		var held []packet
 		if whole {
 			// A snapshot for another replica, caught on its way.
-			b.run(leader, put{"ghost", "boo"})
-			b.seats[leader].owning.wanting[other] = true
-			b.seats[leader].out = &Output{}
-			b.seats[leader].fillWanting(b.now)
-			for _, s := range b.seats[leader].out.Sends {
-				held = append(held, parcel{from: leader, to: s.To, body: s.Body})
+			c.propose(leader, put{"ghost", "boo"})
+			c.replicas[leader].leading.needsSnapshot[other] = true
+			c.replicas[leader].out = &Output{}
+			c.replicas[leader].sendSnapshots(c.now)
+			for _, s := range c.replicas[leader].out.Sends {
+				held = append(held, packet{from: leader, to: s.To, body: s.Body})
 			}
 		} else {
-			b.lost = func(from, to string, body any) bool {
+			c.drop = func(from, to string, body any) bool {
 				if w, ok := body.(Write); ok && to == other && len(held) == 0 {
-					held = append(held, parcel{from: from, to: to, body: w})
+					held = append(held, packet{from: from, to: to, body: w})
 				}
 				return false
 			}
-			b.run(leader, put{"ghost", "boo"})
+			c.propose(leader, put{"ghost", "boo"})
 		}
 		if len(held) == 0 {
 			t.Fatal("no write was held up")
 		}
-		b.run(leader, put{"ghost", ""})
-		b.pass(time.Second)
-		if _, ok := b.seats[other].copy.Entries["ghost"]; ok {
+		c.propose(leader, put{"ghost", ""})
+		c.advance(time.Second)
+		if _, ok := c.replicas[other].state.Entries["ghost"]; ok {
 			t.Fatal("the tombstone was not dropped")
 		}
 		for _, p := range held {
-			b.take(p.to, b.seats[p.to].Receive(b.now, p.from, p.body))
+			c.collect(p.to, c.replicas[p.to].Receive(c.now, p.from, p.body))
 		}
-		b.settle()
-		if _, ok := b.seats[other].copy.Entries["ghost"]; ok {
+		c.deliver()
+		if _, ok := c.replicas[other].state.Entries["ghost"]; ok {
 			t.Errorf("whole %v: a late write brought a removed entry back", whole)
 		}
-		b.seats[leader] = nil
-		b.pass(500 * time.Millisecond)
-		b.want("ghost", "")
+		c.replicas[leader] = nil
+		c.advance(500 * time.Millisecond)
+		c.wantValue("ghost", "")
 	}
 }
 
@@ -105,41 +105,41 @@
 // key of its own.
 func TestDigestsAreKeyedAnew(t *testing.T) {
 	entry := func(key, value string) Entry {
-		return Entry{Key: key, Value: []byte(value), Stamp: Stamp{Term: Term{Round: 1, Owner: "a"}, Seq: 1}}
+		return Entry{Key: key, Value: []byte(value), Version: Version{Term: Term{Round: 1, Leader: "a"}, Seq: 1}}
 	}
 	one := map[string]Entry{"k": entry("k", "v"), "l": entry("l", "w")}
 	first, second := DigestKey{1, 2}, DigestKey{1, 3}
-	if first.sum(one) != first.sum(map[string]Entry{"l": entry("l", "w"), "k": entry("k", "v")}) {
+	if first.table(one) != first.table(map[string]Entry{"l": entry("l", "w"), "k": entry("k", "v")}) {
 		t.Error("equal tables differ")
 	}
-	if first.sum(one) == second.sum(one) {
+	if first.table(one) == second.table(one) {
 		t.Error("two keys give one digest")
 	}
 	for _, other := range []map[string]Entry{{"k": entry("k", "v")}, {"k": entry("k", "w"), "l": entry("l", "v")}, {"kv": entry("kv", ""), "l": entry("l", "w")}} {
-		if first.sum(one) == first.sum(other) {
+		if first.table(one) == first.table(other) {
 			t.Errorf("%v looks like %v", other, one)
 		}
 	}
-	b := newBench(t, []string{"a", "b", "c"}, "a", "b", "c")
+	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	seen := map[DigestKey]bool{}
 	random := 0.1
-	for _, m := range b.seats {
+	for _, m := range c.replicas {
 		m.random = func() float64 { random += 0.0137; return random - float64(int(random)) }
 	}
 	const takeovers = 4
 	for range takeovers {
-		b.pass(500 * time.Millisecond)
-		leader := b.owner()
+		c.advance(500 * time.Millisecond)
+		leader := c.leader()
 		if leader == "" {
 			t.Fatal("no leader")
 		}
-		for name, m := range b.seats {
-			if m.digestKey != b.seats[leader].digestKey {
+		for name, m := range c.replicas {
+			if m.digestKey != c.replicas[leader].digestKey {
 				t.Errorf("%s has another key than the leader", name)
 			}
 		}
-		seen[b.seats[leader].digestKey] = true
-		b.take(leader, b.seats[leader].Leave(b.now))
+		seen[c.replicas[leader].digestKey] = true
+		c.collect(leader, c.replicas[leader].ReleaseLeadership(c.now))
 	}
 	if len(seen) != takeovers {
 		t.Errorf("%d keys in %d terms", len(seen), takeovers)
--- a/rule/partition/election.go
+++ b/rule/partition/election.go
@@ -8,77 +8,77 @@
 // successor is the most complete other seat of the group, of those the one that
 // was heard of last.
 func (m *Machine) successor() string {
-	o, best := m.owning, ""
-	for _, seat := range o.group.Seats {
-		if seat != m.seat && (best == "" || o.whole[seat] > o.whole[best] || (o.whole[seat] == o.whole[best] && o.renewed[seat] > o.renewed[best])) {
-			best = seat
+	lead, best := m.leading, ""
+	for _, member := range lead.group.Members {
+		if member != m.member && (best == "" || lead.completeSeq[member] > lead.completeSeq[best] || (lead.completeSeq[member] == lead.completeSeq[best] && lead.ackedAt[member] > lead.ackedAt[best])) {
+			best = member
 		}
 	}
 	return best
 }
 
-func (m *Machine) handOver(now time.Duration, seat string) {
-	m.send(seat, Handover{Term: m.owning.term}, false)
+func (m *Machine) transferLeadership(now time.Duration, member string) {
+	m.send(member, TransferLeadership{Term: m.leading.term}, false)
 	m.stepDown(now)
-	m.standAt = now + 2*m.params.OwnerTerm
+	m.electionAt = now + 2*m.params.LeaseDuration
 }
 
-func (m *Machine) stand(now time.Duration, released Term) {
-	m.Counters.Stands++
-	round := max(m.copy.Promised.Round, m.holder.Round, m.highest) + 1
-	m.owning = &owning{
-		term: Term{Round: round, Owner: m.seat}, released: released, asking: released == Term{}, key: m.newKey(), sent: now, group: m.copy.Group,
-		promises: map[string]Promise{}, refused: map[string]bool{}, light: map[string]uint64{},
-		superseded: map[string]Entry{}, renewed: map[string]time.Duration{}, whole: map[string]uint64{}, filled: map[string]time.Duration{}, wanting: map[string]bool{},
-	}
-	m.ask(now)
+func (m *Machine) startElection(now time.Duration, released Term) {
+	m.Counters.Elections++
+	round := max(m.state.Promised.Round, m.leaseTerm.Round, m.highestRound) + 1
+	m.leading = &leadership{
+		term: Term{Round: round, Leader: m.member}, released: released, preVote: released == Term{}, digestKey: m.newDigestKey(), phaseStartedAt: now, group: m.state.Group,
+		promises: map[string]Promise{}, rejected: map[string]bool{}, promisedDigests: map[string]uint64{},
+		superseded: map[string]Entry{}, ackedAt: map[string]time.Duration{}, completeSeq: map[string]uint64{}, snapshotSentAt: map[string]time.Duration{}, needsSnapshot: map[string]bool{},
+	}
+	m.sendPrepare(now)
 }
 
-func (m *Machine) ask(now time.Duration) {
-	o := m.owning
-	o.askedAt = now
-	if !o.asking && m.copy.Promised != o.term {
+func (m *Machine) sendPrepare(now time.Duration) {
+	lead := m.leading
+	lead.preparedAt = now
+	if !lead.preVote && m.state.Promised != lead.term {
 		// This seat's own promise is on disk before any other is asked for, so
 		// that no later life of it can stand for the same term.
-		m.record(Record{Promised: o.term})
+		m.record(Record{Promised: lead.term})
 	}
-	for _, seat := range o.group.All() {
-		if _, ok := o.promises[seat]; !ok {
-			m.send(seat, Stand{Ask: o.asking, Light: !o.full, Key: o.key, Term: o.term, Group: o.group, Released: o.released, Sent: now}, !o.asking)
+	for _, member := range lead.group.All() {
+		if _, ok := lead.promises[member]; !ok {
+			m.send(member, Prepare{PreVote: lead.preVote, DigestOnly: !lead.needEntries, DigestKey: lead.digestKey, Term: lead.term, Group: lead.group, Released: lead.released, SentAt: now}, !lead.preVote)
 		}
 	}
 }
 
 func (m *Machine) stepDown(now time.Duration) {
-	if o := m.owning; o != nil {
-		if o.flight != nil {
-			o.returns = append(o.flight.returns, o.returns...)
+	if lead := m.leading; lead != nil {
+		if lead.pending != nil {
+			lead.queuedResults = append(lead.pending.results, lead.queuedResults...)
 		}
-		for _, r := range o.returns {
-			m.out.Returns = append(m.out.Returns, Return{Ticket: r.Ticket, Unsure: true})
+		for _, result := range lead.queuedResults {
+			m.out.Results = append(m.out.Results, Result{RequestID: result.RequestID, Uncertain: true})
 		}
 	}
 	if m.change != nil {
-		m.out.Returns = append(m.out.Returns, Return{Ticket: m.change.ticket, Unsure: true})
+		m.out.Results = append(m.out.Results, Result{RequestID: m.change.requestID, Uncertain: true})
 	}
-	if m.owning != nil && m.holder == m.owning.term {
+	if m.leading != nil && m.leaseTerm == m.leading.term {
 		// Nobody serves under this term any more.
-		m.until = now
+		m.leaseUntil = now
 	}
-	m.owning, m.change = nil, nil
-	m.standAt = now + m.patience() + m.params.OwnerTerm/10
+	m.leading, m.change = nil, nil
+	m.electionAt = now + m.electionTimeout() + m.params.LeaseDuration/10
 }
 
 // Leave makes the owner hand its part to another seat of the group, the most
 // complete one.
-func (m *Machine) Leave(now time.Duration) Output {
+func (m *Machine) ReleaseLeadership(now time.Duration) Output {
 	m.out = &Output{}
-	o := m.owning
-	if _, ok := m.Owns(now); !ok || o.flight != nil {
+	lead := m.leading
+	if _, ok := m.LeadingTerm(now); !ok || lead.pending != nil {
 		return *m.out
 	}
 	if best := m.successor(); best != "" {
-		m.handOver(now, best)
+		m.transferLeadership(now, best)
 	}
 	return *m.out
 }
@@ -86,46 +86,48 @@
 // joins reports whether a group that came after the one that this seat knows has
 // it. The owner that made it so may be gone before its word arrived here, and the
 // group's other seats may be no majority without this one.
-func (m *Machine) joins(group Group) bool { return m.copy.Group.Before(group) && group.Has(m.seat) }
+func (m *Machine) isJoining(group Group) bool {
+	return m.state.Group.Before(group) && group.Has(m.member)
+}
 
-func (m *Machine) onStand(now time.Duration, from string, b Stand) {
-	refuse := Refuse{Term: b.Term, Promised: m.copy.Promised, Group: m.copy.Group}
-	held := now < m.until && m.holder != b.Released && m.holder.Owner != b.Term.Owner
+func (m *Machine) onPrepare(now time.Duration, from string, msg Prepare) {
+	reject := Reject{Term: msg.Term, Promised: m.state.Promised, Group: m.state.Group}
+	leaseHeld := now < m.leaseUntil && m.leaseTerm != msg.Released && m.leaseTerm.Leader != msg.Term.Leader
 	switch {
-	case !m.copy.Group.Has(m.seat) && !m.joins(b.Group):
+	case !m.state.Group.Has(m.member) && !m.isJoining(msg.Group):
 		return
-	case b.Group.Before(m.copy.Group):
-		m.send(from, refuse, false)
-	case held:
+	case msg.Group.Before(m.state.Group):
+		m.send(from, reject, false)
+	case leaseHeld:
 		// One that stands itself may give up at any time.
-		if m.owning == nil || m.owning.serving {
-			refuse.Wait = m.until - now
+		if m.leading == nil || m.leading.serving {
+			reject.LeaseRemaining = m.leaseUntil - now
 		}
-		m.send(from, refuse, false)
-	case b.Term.Less(m.copy.Promised):
-		m.send(from, refuse, false)
-	case b.Ask:
-		m.send(from, Promise{Ask: true, Term: b.Term, Group: m.copy.Group, Sent: b.Sent}, false)
+		m.send(from, reject, false)
+	case msg.Term.Less(m.state.Promised):
+		m.send(from, reject, false)
+	case msg.PreVote:
+		m.send(from, Promise{PreVote: true, Term: msg.Term, Group: m.state.Group, SentAt: msg.SentAt}, false)
 	default:
-		if m.owning != nil && m.owning.term.Less(b.Term) {
+		if m.leading != nil && m.leading.term.Less(msg.Term) {
 			m.stepDown(now)
 		}
-		if m.copy.Promised != b.Term {
-			m.record(Record{Promised: b.Term})
+		if m.state.Promised != msg.Term {
+			m.record(Record{Promised: msg.Term})
 		}
-		m.keepHold(now, b.Term)
-		m.useKey(b.Key)
-		promise := Promise{Term: b.Term, Base: m.copy.Base, Group: m.copy.Group, Clock: m.copy.Clock, Sent: b.Sent, Light: b.Light, Sum: m.sum}
-		if !b.Light {
-			promise.Entries = m.entries()
+		m.extendLease(now, msg.Term)
+		m.setDigestKey(msg.DigestKey)
+		promise := Promise{Term: msg.Term, Base: m.state.Base, Group: m.state.Group, Clock: m.state.Clock, SentAt: msg.SentAt, DigestOnly: msg.DigestOnly, Digest: m.digest}
+		if !msg.DigestOnly {
+			promise.Entries = m.sortedEntries()
 		}
 		m.send(from, promise, true)
 	}
 }
 
-func (m *Machine) entries() []Entry {
-	list := make([]Entry, 0, len(m.copy.Entries))
-	for _, e := range m.copy.Entries {
+func (m *Machine) sortedEntries() []Entry {
+	list := make([]Entry, 0, len(m.state.Entries))
+	for _, e := range m.state.Entries {
 		list = append(list, e)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Key < list[j].Key })
@@ -134,73 +136,73 @@
 
 // onPromise takes a promise. With those of a majority the candidate asks for
 // binding ones, after binding ones it becomes the leader.
-func (m *Machine) onPromise(now time.Duration, from string, b Promise) {
-	o := m.owning
-	if o == nil || b.Term != o.term || b.Ask != o.asking {
+func (m *Machine) onPromise(now time.Duration, from string, msg Promise) {
+	lead := m.leading
+	if lead == nil || msg.Term != lead.term || msg.PreVote != lead.preVote {
 		return
 	}
-	if b.Light {
-		o.light[from] = b.Sum
+	if msg.DigestOnly {
+		lead.promisedDigests[from] = msg.Digest
 	}
-	if o.table != nil && !o.serving && o.flight != nil && !o.flight.taken[from] {
-		m.sendFirst(now, from)
+	if lead.table != nil && !lead.serving && lead.pending != nil && !lead.pending.acked[from] {
+		m.sendInitialWrite(now, from)
 	}
-	if o.serving || o.table != nil || b.Light && o.full {
+	if lead.serving || lead.table != nil || msg.DigestOnly && lead.needEntries {
 		return
 	}
-	m.notePromise(now, from, b)
+	m.recordPromise(now, from, msg)
 	switch {
-	case !o.group.agreed(o.promised):
-	case o.asking && now < m.until && m.holder.Owner != m.seat:
+	case !lead.group.hasQuorum(lead.promised):
+	case lead.preVote && now < m.leaseUntil && m.leaseTerm.Leader != m.member:
 		// It has renewed another's lease since it asked, and must not promise itself
 		// anything while that lasts: its next life would not know of it.
 		m.stepDown(now)
-	case o.asking:
-		m.askAgain(now, false)
-	case !o.promised(m.seat):
-	case o.digestsAlone() && !m.copiesAlike():
-		m.askAgain(now, true)
+	case lead.preVote:
+		m.restartPhase(now, false)
+	case !lead.promised(m.member):
+	case lead.anyDigestOnly() && !m.digestsMatch():
+		m.restartPhase(now, true)
 	default:
-		m.takeOver(now)
+		m.assumeLeadership(now)
 	}
 }
 
 // notePromise adds a promise to the candidate's, and goes on with the later group
 // that its sender knows.
-func (m *Machine) notePromise(now time.Duration, from string, b Promise) {
-	o := m.owning
-	o.promises[from] = b
-	delete(o.refused, from)
-	if !b.Ask {
-		o.renewed[from] = b.Sent
+func (m *Machine) recordPromise(now time.Duration, from string, msg Promise) {
+	lead := m.leading
+	lead.promises[from] = msg
+	delete(lead.rejected, from)
+	if !msg.PreVote {
+		lead.ackedAt[from] = msg.SentAt
 	}
-	if o.group.Before(b.Group) {
-		o.group = b.Group
-		m.ask(now)
+	if lead.group.Before(msg.Group) {
+		lead.group = msg.Group
+		m.sendPrepare(now)
 	}
 }
 
 // askAgain begins another round of questions: binding ones after those that only
 // asked, and for entries where digests did not do.
-func (m *Machine) askAgain(now time.Duration, full bool) {
-	o := m.owning
-	if !full {
-		o.asking, o.refused = false, map[string]bool{}
-	}
-	o.full = o.full || full
-	o.promises, o.sent = map[string]Promise{}, now
-	m.ask(now)
+func (m *Machine) restartPhase(now time.Duration, needEntries bool) {
+	lead := m.leading
+	if !needEntries {
+		lead.preVote, lead.rejected = false, map[string]bool{}
+	}
+	lead.needEntries = lead.needEntries || needEntries
+	lead.promises, lead.phaseStartedAt = map[string]Promise{}, now
+	m.sendPrepare(now)
 }
 
-func (o *owning) promised(seat string) bool {
-	_, ok := o.promises[seat]
+func (lead *leadership) promised(member string) bool {
+	_, ok := lead.promises[member]
 	return ok
 }
 
 // digestsAlone reports whether some promise came with a digest and no entries.
-func (o *owning) digestsAlone() bool {
-	for _, p := range o.promises {
-		if p.Light {
+func (lead *leadership) anyDigestOnly() bool {
+	for _, p := range lead.promises {
+		if p.DigestOnly {
 			return true
 		}
 	}
@@ -208,9 +210,9 @@
 }
 
 // copiesAlike reports whether all that promised have what this replica has.
-func (m *Machine) copiesAlike() bool {
-	for _, p := range m.owning.promises {
-		if !p.Light || p.Sum != m.sum {
+func (m *Machine) digestsMatch() bool {
+	for _, p := range m.leading.promises {
+		if !p.DigestOnly || p.Digest != m.digest {
 			return false
 		}
 	}
@@ -219,52 +221,52 @@
 
 // takeOver makes the table of a new term from what a majority has, and sends it as
 // the leader's first write.
-func (m *Machine) takeOver(now time.Duration) {
-	o := m.owning
-	alike := m.copiesAlike()
-	if alike {
-		o.promises[m.seat] = Promise{Entries: m.entries(), Base: m.copy.Base, Clock: m.copy.Clock}
-	}
-	o.table = o.newestEntries(alike)
-	for _, p := range o.promises {
-		o.clockBase = max(o.clockBase, p.Clock)
-	}
-	o.clockAt = now
-	m.restampTable()
-	if len(o.group.Former) > 0 {
-		o.regroup = &Group{Term: o.term, Epoch: o.group.Epoch + 1, Seats: o.group.Seats}
-	}
-	o.seq = 1
-	o.group.Term = o.term
-	first := Write{Term: o.term, Seq: 1, Group: o.group, Clock: o.clockBase, Entries: o.entries, Whole: true, Sent: now}
-	if alike {
-		first.Sum, first.Restamp = m.sum, true
-	}
-	o.flight = &flight{seq: 1, taken: map[string]bool{}, sentAt: now, write: first}
-	o.entries = nil
-	o.sent = now
-	for _, seat := range o.group.All() {
-		m.sendFirst(now, seat)
+func (m *Machine) assumeLeadership(now time.Duration) {
+	lead := m.leading
+	allEqual := m.digestsMatch()
+	if allEqual {
+		lead.promises[m.member] = Promise{Entries: m.sortedEntries(), Base: m.state.Base, Clock: m.state.Clock}
+	}
+	lead.table = lead.mergePromises(allEqual)
+	for _, p := range lead.promises {
+		lead.clockBase = max(lead.clockBase, p.Clock)
+	}
+	lead.clockBaseAt = now
+	m.rebaseTable()
+	if len(lead.group.Former) > 0 {
+		lead.queuedGroup = &Group{Term: lead.term, Epoch: lead.group.Epoch + 1, Members: lead.group.Members}
+	}
+	lead.seq = 1
+	lead.group.Term = lead.term
+	first := Write{Term: lead.term, Seq: 1, Group: lead.group, Clock: lead.clockBase, Entries: lead.queuedEntries, Snapshot: true, SentAt: now}
+	if allEqual {
+		first.Digest, first.Rebase = m.digest, true
+	}
+	lead.pending = &pendingWrite{seq: 1, acked: map[string]bool{}, sentAt: now, write: first}
+	lead.queuedEntries = nil
+	lead.phaseStartedAt = now
+	for _, member := range lead.group.All() {
+		m.sendInitialWrite(now, member)
 	}
 }
 
 // newestEntries merges the promised copies: of each entry the newest, but for what
 // is older than the newest whole write of any copy, which was never agreed or is
 // in that write. Equal copies need no tombstones.
-func (o *owning) newestEntries(alike bool) map[string]Entry {
+func (lead *leadership) mergePromises(allEqual bool) map[string]Entry {
 	var base Term
-	for _, p := range o.promises {
+	for _, p := range lead.promises {
 		if base.Less(p.Base) {
 			base = p.Base
 		}
 	}
 	newest := map[string]Entry{}
-	for _, p := range o.promises {
+	for _, p := range lead.promises {
 		for _, e := range p.Entries {
-			if e.Stamp.Term.Less(base) || alike && e.Gone {
+			if e.Version.Term.Less(base) || allEqual && e.Deleted {
 				continue
 			}
-			if old, ok := newest[e.Key]; !ok || old.Stamp.Less(e.Stamp) {
+			if old, ok := newest[e.Key]; !ok || old.Version.Less(e.Version) {
 				newest[e.Key] = e
 			}
 		}
@@ -273,59 +275,59 @@
 }
 
 // restampTable brings a new leader's table under its term, as entries to write.
-func (m *Machine) restampTable() {
-	o := m.owning
-	o.sum = 0
-	keys := make([]string, 0, len(o.table))
-	for k := range o.table {
+func (m *Machine) rebaseTable() {
+	lead := m.leading
+	lead.digest = 0
+	keys := make([]string, 0, len(lead.table))
+	for k := range lead.table {
 		keys = append(keys, k)
 	}
 	sort.Strings(keys)
 	for _, k := range keys {
-		e := o.table[k]
-		e.Stamp = Stamp{Term: o.term, Seq: 1}
-		o.table[k] = e
-		o.sum += m.digestKey.entry(e)
-		o.entries = append(o.entries, e)
+		e := lead.table[k]
+		e.Version = Version{Term: lead.term, Seq: 1}
+		lead.table[k] = e
+		lead.digest += m.digestKey.entry(e)
+		lead.queuedEntries = append(lead.queuedEntries, e)
 	}
 }
 
 // sendFirst sends an owner's first write, which makes a copy whole: to a seat
 // that has all entries already no more than word of it, to one that may have them
 // nothing until it has promised.
-func (m *Machine) sendFirst(now time.Duration, seat string) {
-	o := m.owning
-	w := o.flight.write
-	w.Sent = now
-	if sum, ok := o.light[seat]; w.Restamp && !ok {
+func (m *Machine) sendInitialWrite(now time.Duration, member string) {
+	lead := m.leading
+	w := lead.pending.write
+	w.SentAt = now
+	if sum, ok := lead.promisedDigests[member]; w.Rebase && !ok {
 		return
-	} else if w.Restamp = w.Restamp && sum == w.Sum; w.Restamp {
-		w.Entries, w.Whole = nil, false
+	} else if w.Rebase = w.Rebase && sum == w.Digest; w.Rebase {
+		w.Entries, w.Snapshot = nil, false
 	}
-	m.send(seat, w, false)
+	m.send(member, w, false)
 }
 
-func (m *Machine) onRefuse(now time.Duration, from string, b Refuse) {
-	o := m.owning
-	if m.copy.Group.Before(b.Group) {
-		m.record(Record{Group: &b.Group})
+func (m *Machine) onReject(now time.Duration, from string, msg Reject) {
+	lead := m.leading
+	if m.state.Group.Before(msg.Group) {
+		m.record(Record{Group: &msg.Group})
 	}
-	if o == nil || b.Term != o.term {
+	if lead == nil || msg.Term != lead.term {
 		return
 	}
-	m.highest = max(m.highest, b.Promised.Round)
-	if o.serving {
+	m.highestRound = max(m.highestRound, msg.Promised.Round)
+	if lead.serving {
 		// The seat has promised a later term to somebody who did not come to
 		// own the part. The owner takes a later one still, without waiting.
-		if o.term.Less(b.Promised) {
+		if lead.term.Less(msg.Promised) {
 			m.stepDown(now)
-			m.stand(now, b.Term)
+			m.startElection(now, msg.Term)
 		}
 		return
 	}
-	o.refused[from] = true
-	if o.group.Before(b.Group) || !o.group.agreed(func(seat string) bool { return !o.refused[seat] }) {
+	lead.rejected[from] = true
+	if lead.group.Before(msg.Group) || !lead.group.hasQuorum(func(member string) bool { return !lead.rejected[member] }) {
 		m.stepDown(now)
-		m.standAt = max(m.standAt, now+b.Wait+m.patience())
+		m.electionAt = max(m.electionAt, now+msg.LeaseRemaining+m.electionTimeout())
 	}
 }
--- a/rule/partition/joining_test.go
+++ b/rule/partition/joining_test.go
@@ -10,36 +10,36 @@
 // disks, the one that comes has not, and all begin a new life. The one that comes
 // must promise all the same, as there is no majority of the new seats without it.
 func TestJoiningSeatThatMissedItsGroup(t *testing.T) {
-	b := newBench(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
-	b.pass(500 * time.Millisecond)
-	owner := b.owner()
-	b.run(owner, put{"k", "v"})
-	gone := b.other(owner, "d")
-	stays := b.other(owner, gone, "d")
-	b.seats[gone] = nil
-	b.lost = func(from, to string, body any) bool {
+	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
+	c.advance(500 * time.Millisecond)
+	leader := c.leader()
+	c.propose(leader, put{"k", "v"})
+	gone := c.follower(leader, "d")
+	stays := c.follower(leader, gone, "d")
+	c.replicas[gone] = nil
+	c.drop = func(from, to string, body any) bool {
 		w, ok := body.(Write)
 		return ok && to == "d" && len(w.Group.Former) > 0
 	}
-	b.change("d", owner)
-	b.pass(30 * time.Millisecond)
-	if g := b.seats[stays].copy.Group; len(g.Former) == 0 || !g.Has("d") {
+	c.change("d", leader)
+	c.advance(30 * time.Millisecond)
+	if g := c.replicas[stays].state.Group; len(g.Former) == 0 || !g.Has("d") {
 		t.Fatalf("%s has the group %v, want one that changes", stays, g)
 	}
-	if g := b.seats["d"].copy.Group; g.Has("d") {
+	if g := c.replicas["d"].state.Group; g.Has("d") {
 		t.Fatalf("d has the group %v already", g)
 	}
-	b.lost = func(from, to string, body any) bool { return false }
-	b.box = nil
-	for _, s := range []string{owner, stays, "d"} {
-		b.restart(s)
+	c.drop = func(from, to string, body any) bool { return false }
+	c.network = nil
+	for _, s := range []string{leader, stays, "d"} {
+		c.restart(s)
 	}
-	b.pass(2 * time.Second)
-	if b.owner() == "" {
+	c.advance(2 * time.Second)
+	if c.leader() == "" {
 		t.Fatal("nobody owns the part again")
 	}
-	b.want("k", "v")
-	if g := b.seats[b.owner()].copy.Group; len(g.Former) > 0 || !g.Has("d") || g.Has(owner) {
+	c.wantValue("k", "v")
+	if g := c.replicas[c.leader()].state.Group; len(g.Former) > 0 || !g.Has("d") || g.Has(leader) {
 		t.Errorf("the group is %v, want d, %s and %s", g, stays, gone)
 	}
 }
@@ -47,17 +47,17 @@
 // TestRemovedSeatPromisesNothing: a seat that has left its group answers no
 // candidate of a group that came before that.
 func TestRemovedSeatPromisesNothing(t *testing.T) {
-	b := newBench(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
-	b.pass(500 * time.Millisecond)
-	former := b.seats["a"].copy.Group
-	gone := b.other(b.owner(), "d")
-	b.changed("d", gone)
-	b.pass(300 * time.Millisecond)
-	if b.seats[gone].copy.Group.Has(gone) {
-		t.Fatalf("%s is in %v still", gone, b.seats[gone].copy.Group)
-	}
-	ask := Stand{Ask: true, Term: Term{Round: 1000, Owner: "a"}, Group: former}
-	if o := b.seats[gone].Receive(b.now+time.Hour, "a", ask); len(o.Sends) > 0 {
+	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
+	c.advance(500 * time.Millisecond)
+	former := c.replicas["a"].state.Group
+	gone := c.follower(c.leader(), "d")
+	c.mustChange("d", gone)
+	c.advance(300 * time.Millisecond)
+	if c.replicas[gone].state.Group.Has(gone) {
+		t.Fatalf("%s is in %v still", gone, c.replicas[gone].state.Group)
+	}
+	ask := Prepare{PreVote: true, Term: Term{Round: 1000, Leader: "a"}, Group: former}
+	if o := c.replicas[gone].Receive(c.now+time.Hour, "a", ask); len(o.Sends) > 0 {
 		t.Errorf("%s answers a candidate of a former group: %+v", gone, o.Sends)
 	}
 }
--- a/rule/partition/lease.go
+++ b/rule/partition/lease.go
@@ -4,79 +4,79 @@
 	"time"
 )
 
-func (m *Machine) hold() time.Duration {
-	return time.Duration(float64(m.params.OwnerTerm) * (1 + m.params.Drift))
+func (m *Machine) followerLease() time.Duration {
+	return time.Duration(float64(m.params.LeaseDuration) * (1 + m.params.Drift))
 }
 
 // patience is how long a seat waits longer than it must before it stands, so
 // that not all stand at once.
-func (m *Machine) patience() time.Duration {
+func (m *Machine) electionTimeout() time.Duration {
 	rank := 0
-	for i, s := range m.copy.Group.Seats {
-		if s == m.seat {
+	for i, s := range m.state.Group.Members {
+		if s == m.member {
 			rank = i
 		}
 	}
-	return time.Duration(float64(m.params.OwnerTerm) * (float64(rank)*0.25 + m.random()*0.15))
+	return time.Duration(float64(m.params.LeaseDuration) * (float64(rank)*0.25 + m.random()*0.15))
 }
 
 // Owns reports whether this seat owns the part now, and under which term.
-func (m *Machine) Owns(now time.Duration) (Term, bool) {
-	if m.owning == nil || !m.owning.serving || !m.leased(now) {
+func (m *Machine) LeadingTerm(now time.Duration) (Term, bool) {
+	if m.leading == nil || !m.leading.serving || !m.hasLease(now) {
 		return Term{}, false
 	}
-	return m.owning.term, true
+	return m.leading.term, true
 }
 
-func (m *Machine) leased(now time.Duration) bool {
-	o := m.owning
-	return o.group.agreed(func(seat string) bool {
-		at, ok := o.renewed[seat]
-		return ok && now < at+m.params.OwnerTerm
+func (m *Machine) hasLease(now time.Duration) bool {
+	lead := m.leading
+	return lead.group.hasQuorum(func(member string) bool {
+		at, ok := lead.ackedAt[member]
+		return ok && now < at+m.params.LeaseDuration
 	})
 }
 
-func (m *Machine) keepHold(now time.Duration, term Term) {
-	m.holder, m.until = term, now+m.hold()
-	m.standAt = m.until + m.patience()
+func (m *Machine) extendLease(now time.Duration, term Term) {
+	m.leaseTerm, m.leaseUntil = term, now+m.followerLease()
+	m.electionAt = m.leaseUntil + m.electionTimeout()
 }
 
-func (m *Machine) onRenew(now time.Duration, from string, b Renew) {
-	if b.Term.Less(m.copy.Promised) {
-		m.send(from, Refuse{Term: b.Term, Promised: m.copy.Promised, Group: m.copy.Group}, false)
+func (m *Machine) onRenewLease(now time.Duration, from string, msg RenewLease) {
+	if msg.Term.Less(m.state.Promised) {
+		m.send(from, Reject{Term: msg.Term, Promised: m.state.Promised, Group: m.state.Group}, false)
 		return
 	}
-	if b.Term != m.copy.Promised {
-		m.send(from, Renewed{Term: b.Term, Sent: b.Sent - m.params.OwnerTerm}, false)
+	if msg.Term != m.state.Promised {
+		m.send(from, LeaseAck{Term: msg.Term, SentAt: msg.SentAt - m.params.LeaseDuration}, false)
 		return
 	}
-	m.keepHold(now, b.Term)
-	m.copy.Clock = max(m.copy.Clock, b.Clock)
-	r := Renewed{Term: b.Term, Sent: b.Sent}
-	if m.wholeOf == b.Term {
-		r.Whole = m.whole
+	m.extendLease(now, msg.Term)
+	m.state.Clock = max(m.state.Clock, msg.Clock)
+	ack := LeaseAck{Term: msg.Term, SentAt: msg.SentAt}
+	if m.completeTerm == msg.Term {
+		ack.CompleteSeq = m.completeSeq
 	}
-	if b.Digest != 0 && r.Whole == b.Seq {
-		m.useKey(b.Key)
-		r.Stale = m.sum|1 != b.Digest
+	if msg.Digest != 0 && ack.CompleteSeq == msg.Seq {
+		m.setDigestKey(msg.DigestKey)
+		ack.Diverged = m.digest|1 != msg.Digest
 	}
 	// While the term is not known to be on disk, the answer waits for it: a power
 	// loss could make this replica forget the term, and vote for another leader
 	// while this one's lease rests on its word.
-	m.send(from, r, m.durable != b.Term)
+	m.send(from, ack, m.durableTerm != msg.Term)
 }
 
-func (m *Machine) onRenewed(now time.Duration, from string, b Renewed) {
-	o := m.owning
-	if o == nil || b.Term != o.term {
+func (m *Machine) onLeaseAck(now time.Duration, from string, msg LeaseAck) {
+	lead := m.leading
+	if lead == nil || msg.Term != lead.term {
 		return
 	}
-	o.renewed[from] = max(o.renewed[from], b.Sent)
-	o.whole[from] = max(o.whole[from], b.Whole)
-	m.hearAdding(now, from)
-	if o.serving && (b.Whole < o.committed || b.Stale) && (o.flight == nil || b.Whole < o.flight.write.Prior) && holds(m.listeners(), from) {
-		m.fill(now, from)
+	lead.ackedAt[from] = max(lead.ackedAt[from], msg.SentAt)
+	lead.completeSeq[from] = max(lead.completeSeq[from], msg.CompleteSeq)
+	m.noteNewMember(now, from)
+	if lead.serving && (msg.CompleteSeq < lead.committedSeq || msg.Diverged) && (lead.pending == nil || msg.CompleteSeq < lead.pending.write.PriorSeq) && contains(m.recipients(), from) {
+		m.scheduleSnapshot(now, from)
 	}
-	m.stepChange(now)
+	m.advanceChange(now)
 	m.flush(now)
 }
--- a/rule/partition/machine.go
+++ b/rule/partition/machine.go
@@ -11,26 +11,26 @@
 type Machine struct {
 	Counters Counters
 
-	params Params
-	seat   string
-	number int
-	rules  Rules
-	copy   Copy
-	random func() float64
+	params    Params
+	member    string
+	partition int
+	rules     Rules
+	state     State
+	random    func() float64
 	outlets
-	whole   uint64
-	wholeOf Term
-	holder  Term
-	until   time.Duration
-	standAt time.Duration
-	highest uint64
-	owning  *owning
-	change  *change
+	completeSeq  uint64
+	completeTerm Term
+	leaseTerm    Term
+	leaseUntil   time.Duration
+	electionAt   time.Duration
+	highestRound uint64
+	leading      *leadership
+	change       *memberChange
 	// sum is the digest of the copy's entries under digestKey.
-	sum       uint64
+	digest    uint64
 	digestKey DigestKey
 	// durable is the newest term that this replica's disk is known to hold.
-	durable Term
+	durableTerm Term
 }
 
 // outlets are where a machine's words go: what a step wants done, and violated
@@ -40,56 +40,56 @@
 	violated invariant.Report
 }
 
-type owning struct {
+type leadership struct {
 	term     Term
 	released Term
-	asking   bool
+	preVote  bool
 	// key is what digests are made with in this term.
-	key      DigestKey
-	refused  map[string]bool
-	promises map[string]Promise
-	sent     time.Duration
-	askedAt  time.Duration
+	digestKey      DigestKey
+	rejected       map[string]bool
+	promises       map[string]Promise
+	phaseStartedAt time.Duration
+	preparedAt     time.Duration
 	// full is set when the digests of a majority differ, so that entries are
 	// needed; light has the digests that seats promised with.
-	full    bool
-	light   map[string]uint64
-	serving bool
-	group   Group
-	agreed  Group
-	table   map[string]Entry
+	needEntries     bool
+	promisedDigests map[string]uint64
+	serving         bool
+	group           Group
+	committedGroup  Group
+	table           map[string]Entry
 	// superseded has the agreed values of entries whose newest one, in the table,
 	// is not agreed yet.
-	superseded map[string]Entry
-	sum        uint64
-	seq        uint64
-	committed  uint64
-	dropped    uint64
-	flight     *flight
-	entries    []Entry
-	drops      []Entry
-	returns    []Return
-	renewed    map[string]time.Duration
-	whole      map[string]uint64
-	filled     map[string]time.Duration
-	wanting    map[string]bool
-	renewAt    time.Duration
-	sweepAt    time.Duration
-	servedAt   time.Duration
-	clockBase  time.Duration
-	clockAt    time.Duration
-	regroup    *Group
+	superseded     map[string]Entry
+	digest         uint64
+	seq            uint64
+	committedSeq   uint64
+	purgedSeq      uint64
+	pending        *pendingWrite
+	queuedEntries  []Entry
+	queuedPurges   []Entry
+	queuedResults  []Result
+	ackedAt        map[string]time.Duration
+	completeSeq    map[string]uint64
+	snapshotSentAt map[string]time.Duration
+	needsSnapshot  map[string]bool
+	nextRenewal    time.Duration
+	nextSweep      time.Duration
+	servingSince   time.Duration
+	clockBase      time.Duration
+	clockBaseAt    time.Duration
+	queuedGroup    *Group
 }
 
 // Options make a machine.
 type Options struct {
-	Params Params
-	Seat   string
-	Number int
-	Rules  Rules
-	Copy   Copy
-	Now    time.Duration
-	Random func() float64
+	Params    Params
+	Member    string
+	Partition int
+	Rules     Rules
+	State     State
+	Now       time.Duration
+	Random    func() float64
 	// Violated takes violated invariants; without it they panic.
 	Violated invariant.Report
 }
@@ -97,157 +97,157 @@
 // New makes a machine from what its disk holds. As it may have renewed an
 // owner's hold just before it stopped, it first waits as long as one lasts.
 func New(o Options) *Machine {
-	if o.Copy.Entries == nil {
-		o.Copy.Entries = map[string]Entry{}
+	if o.State.Entries == nil {
+		o.State.Entries = map[string]Entry{}
 	}
-	m := &Machine{params: o.Params, seat: o.Seat, number: o.Number, rules: o.Rules, copy: o.Copy, random: o.Random, outlets: outlets{violated: o.Violated}}
-	m.sum = m.digestKey.sum(o.Copy.Entries)
-	m.durable = o.Copy.Promised
-	m.holder = o.Copy.Promised
-	m.until = o.Now + m.hold()
-	if o.Copy.Promised.Round == 0 {
-		m.until = o.Now
+	m := &Machine{params: o.Params, member: o.Member, partition: o.Partition, rules: o.Rules, state: o.State, random: o.Random, outlets: outlets{violated: o.Violated}}
+	m.digest = m.digestKey.table(o.State.Entries)
+	m.durableTerm = o.State.Promised
+	m.leaseTerm = o.State.Promised
+	m.leaseUntil = o.Now + m.followerLease()
+	if o.State.Promised.Round == 0 {
+		m.leaseUntil = o.Now
 	}
-	m.standAt = m.until + m.patience()
-	if o.Copy.Promised.Owner == o.Seat {
+	m.electionAt = m.leaseUntil + m.electionTimeout()
+	if o.State.Promised.Leader == o.Member {
 		// The hold that it may have renewed was its own, and ended with it.
-		m.until, m.standAt = o.Now, o.Now
+		m.leaseUntil, m.electionAt = o.Now, o.Now
 	}
 	return m
 }
 
 func (m *Machine) clock(now time.Duration) time.Duration {
-	return m.owning.clockBase + now - m.owning.clockAt
+	return m.leading.clockBase + now - m.leading.clockBaseAt
 }
 
 // Group is the group that this seat knows of.
-func (m *Machine) Group() Group { return m.copy.Group }
+func (m *Machine) Group() Group { return m.state.Group }
 
 // Copied is this seat's own copy, for reading only.
-func (m *Machine) Copied() Copy { return m.copy }
+func (m *Machine) State() State { return m.state }
 
 // Owner is the term that this seat believes to be in force.
-func (m *Machine) Owner() Term { return m.holder }
+func (m *Machine) CurrentTerm() Term { return m.leaseTerm }
 
 // Committed is up to where the owner's entries are agreed.
-func (m *Machine) Committed() (Stamp, bool) {
-	if m.owning == nil || !m.owning.serving {
-		return Stamp{}, false
+func (m *Machine) CommittedVersion() (Version, bool) {
+	if m.leading == nil || !m.leading.serving {
+		return Version{}, false
 	}
-	return Stamp{Term: m.owning.term, Seq: m.owning.committed}, true
+	return Version{Term: m.leading.term, Seq: m.leading.committedSeq}, true
 }
 
 func (m *Machine) send(to string, body any, synced bool) {
-	m.out.Sends = append(m.out.Sends, Send{To: to, Body: body, Synced: synced})
+	m.out.Sends = append(m.out.Sends, Send{To: to, Body: body, AfterSync: synced})
 }
 
 func (m *Machine) record(r Record) {
-	r.Part = m.number
-	if r.Promised != (Term{}) && r.Promised.Less(m.copy.Promised) {
-		m.violated.Violated(invariant.PromiseNeverBack, "replica %s of partition %d promised %+v and would record %+v", m.seat, m.number, m.copy.Promised, r.Promised)
+	r.Partition = m.partition
+	if r.Promised != (Term{}) && r.Promised.Less(m.state.Promised) {
+		m.violated.Violated(invariant.PromiseNeverBack, "replica %s of partition %d promised %+v and would record %+v", m.member, m.partition, m.state.Promised, r.Promised)
 	}
 	m.out.Records = append(m.out.Records, r)
-	if m.copy.Promised.Less(r.Promised) {
-		m.send(m.seat, TermDurable{Term: r.Promised}, true)
+	if m.state.Promised.Less(r.Promised) {
+		m.send(m.member, TermDurable{Term: r.Promised}, true)
 	}
-	if r.Whole || r.Restamp {
-		m.copy.Apply(r)
-		m.sum = m.digestKey.sum(m.copy.Entries)
+	if r.Snapshot || r.Rebase {
+		m.state.Apply(r)
+		m.digest = m.digestKey.table(m.state.Entries)
 		return
 	}
-	touched := make(map[string]bool, len(r.Entries)+len(r.Drops))
-	for _, list := range [][]Entry{r.Entries, r.Drops} {
+	touched := make(map[string]bool, len(r.Entries)+len(r.Purged))
+	for _, list := range [][]Entry{r.Entries, r.Purged} {
 		for _, e := range list {
 			touched[e.Key] = true
 		}
 	}
 	for key := range touched {
-		m.sum -= m.digestKey.entry(m.copy.Entries[key])
+		m.digest -= m.digestKey.entry(m.state.Entries[key])
 	}
-	m.copy.Apply(r)
+	m.state.Apply(r)
 	for key := range touched {
-		m.sum += m.digestKey.entry(m.copy.Entries[key])
+		m.digest += m.digestKey.entry(m.state.Entries[key])
 	}
 }
 
 // Tick lets time pass: owners renew and sweep, others stand when nobody renews.
 func (m *Machine) Tick(now time.Duration) Output {
 	m.out = &Output{}
-	o := m.owning
+	lead := m.leading
 	switch {
-	case o == nil:
-		if m.copy.Group.Has(m.seat) && now >= m.until && now >= m.standAt {
-			m.stand(now, Term{})
+	case lead == nil:
+		if m.state.Group.Has(m.member) && now >= m.leaseUntil && now >= m.electionAt {
+			m.startElection(now, Term{})
 		}
-	case !o.serving && now > o.sent+m.params.OwnerTerm:
+	case !lead.serving && now > lead.phaseStartedAt+m.params.LeaseDuration:
 		m.stepDown(now)
-	case !o.serving && o.table == nil && now > o.askedAt+m.params.OwnerTerm/10:
+	case !lead.serving && lead.table == nil && now > lead.preparedAt+m.params.LeaseDuration/10:
 		// Some may have been away when they were asked.
-		m.ask(now)
-	case !o.serving && o.flight != nil && now > o.flight.sentAt+m.params.OwnerTerm/4:
-		o.flight.sentAt = now
-		for _, seat := range o.group.All() {
-			if !o.flight.taken[seat] {
-				m.sendFirst(now, seat)
+		m.sendPrepare(now)
+	case !lead.serving && lead.pending != nil && now > lead.pending.sentAt+m.params.LeaseDuration/4:
+		lead.pending.sentAt = now
+		for _, member := range lead.group.All() {
+			if !lead.pending.acked[member] {
+				m.sendInitialWrite(now, member)
 			}
 		}
-	case o.serving && !m.leased(now) && now > o.sent+m.params.OwnerTerm:
+	case lead.serving && !m.hasLease(now) && now > lead.phaseStartedAt+m.params.LeaseDuration:
 		m.stepDown(now)
-	case o.serving:
-		m.tickOwner(now)
+	case lead.serving:
+		m.tickLeader(now)
 	}
 	return *m.out
 }
 
-func (m *Machine) tickOwner(now time.Duration) {
-	o := m.owning
-	if now >= o.renewAt {
-		interval := m.params.OwnerTerm / time.Duration(m.params.Renewals)
-		o.renewAt = now + interval
-		r := Renew{Term: o.term, Clock: m.clock(now), Sent: now}
-		if now >= o.sweepAt && o.flight == nil && len(o.entries) == 0 {
-			o.sweepAt = now + m.params.OwnerTerm*time.Duration(m.params.Sweeps)
-			r.Digest, r.Key, r.Seq = o.sum|1, m.digestKey, o.committed
-			m.Counters.Swept++
-			m.dropMarks()
+func (m *Machine) tickLeader(now time.Duration) {
+	lead := m.leading
+	if now >= lead.nextRenewal {
+		interval := m.params.LeaseDuration / time.Duration(m.params.RenewalsPerLease)
+		lead.nextRenewal = now + interval
+		renew := RenewLease{Term: lead.term, Clock: m.clock(now), SentAt: now}
+		if now >= lead.nextSweep && lead.pending == nil && len(lead.queuedEntries) == 0 {
+			lead.nextSweep = now + m.params.LeaseDuration*time.Duration(m.params.LeasesPerSweep)
+			renew.Digest, renew.DigestKey, renew.Seq = lead.digest|1, m.digestKey, lead.committedSeq
+			m.Counters.Sweeps++
+			m.purgeTombstones()
 		}
-		for _, seat := range m.listeners() {
+		for _, member := range m.recipients() {
 			// A write that it took meanwhile has renewed the hold.
-			if at, ok := o.renewed[seat]; r.Digest == 0 && ok && now < at+interval && o.whole[seat] >= o.committed {
+			if at, ok := lead.ackedAt[member]; renew.Digest == 0 && ok && now < at+interval && lead.completeSeq[member] >= lead.committedSeq {
 				continue
 			}
-			m.send(seat, r, false)
+			m.send(member, renew, false)
 		}
 	}
-	if o.flight != nil && now > o.flight.sentAt+m.params.OwnerTerm/4 {
-		o.flight.sentAt = now
-		for _, seat := range m.listeners() {
-			if !o.flight.taken[seat] {
-				again := o.flight.write
-				again.Sent = now
-				m.send(seat, again, false)
+	if lead.pending != nil && now > lead.pending.sentAt+m.params.LeaseDuration/4 {
+		lead.pending.sentAt = now
+		for _, member := range m.recipients() {
+			if !lead.pending.acked[member] {
+				resend := lead.pending.write
+				resend.SentAt = now
+				m.send(member, resend, false)
 			}
 		}
 	}
-	if c := m.change; c != nil && (now > c.heard+silentTerms*m.params.OwnerTerm || now > c.began+longestTerms*m.params.OwnerTerm) {
-		m.giveUp(now)
+	if c := m.change; c != nil && (now > c.heardAt+maxSilentLeases*m.params.LeaseDuration || now > c.startedAt+maxChangeLeases*m.params.LeaseDuration) {
+		m.abortChange(now)
 	}
-	m.stepChange(now)
+	m.advanceChange(now)
 	m.flush(now)
-	m.fillWanting(now)
-	if o.flight != nil || m.change != nil || len(o.group.Former) > 0 {
+	m.sendSnapshots(now)
+	if lead.pending != nil || m.change != nil || len(lead.group.Former) > 0 {
 		return
 	}
-	home := o.group.Seats[0]
+	home := lead.group.Members[0]
 	switch {
-	case !o.group.Has(m.seat):
+	case !lead.group.Has(m.member):
 		if best := m.successor(); best != "" {
-			m.handOver(now, best)
+			m.transferLeadership(now, best)
 		}
-	case m.params.Home > 0 && home != m.seat && now > o.servedAt+m.params.OwnerTerm*time.Duration(m.params.Home):
-		o.servedAt = now
-		if o.whole[home] >= o.committed && now < o.renewed[home]+m.params.OwnerTerm/2 {
-			m.handOver(now, home)
+	case m.params.LeasesBeforeHome > 0 && home != m.member && now > lead.servingSince+m.params.LeaseDuration*time.Duration(m.params.LeasesBeforeHome):
+		lead.servingSince = now
+		if lead.completeSeq[home] >= lead.committedSeq && now < lead.ackedAt[home]+m.params.LeaseDuration/2 {
+			m.transferLeadership(now, home)
 		}
 	}
 }
@@ -256,28 +256,28 @@
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
 	m.out = &Output{}
 	switch b := body.(type) {
-	case Stand:
-		m.onStand(now, from, b)
+	case Prepare:
+		m.onPrepare(now, from, b)
 	case Promise:
 		m.onPromise(now, from, b)
-	case Refuse:
-		m.onRefuse(now, from, b)
+	case Reject:
+		m.onReject(now, from, b)
 	case Write:
 		m.onWrite(now, from, b)
-	case Taken:
-		m.onTaken(now, from, b)
-	case Renew:
-		m.onRenew(now, from, b)
-	case Renewed:
-		m.onRenewed(now, from, b)
+	case WriteAck:
+		m.onWriteAck(now, from, b)
+	case RenewLease:
+		m.onRenewLease(now, from, b)
+	case LeaseAck:
+		m.onLeaseAck(now, from, b)
 	case TermDurable:
-		if from == m.seat && m.durable.Less(b.Term) {
-			m.durable = b.Term
+		if from == m.member && m.durableTerm.Less(b.Term) {
+			m.durableTerm = b.Term
 		}
-	case Handover:
-		if m.copy.Group.Has(m.seat) && m.owning == nil && b.Term == m.holder {
-			m.until = now
-			m.stand(now, b.Term)
+	case TransferLeadership:
+		if m.state.Group.Has(m.member) && m.leading == nil && b.Term == m.leaseTerm {
+			m.leaseUntil = now
+			m.startElection(now, b.Term)
 		}
 	}
 	return *m.out
--- a/rule/partition/machine_test.go
+++ b/rule/partition/machine_test.go
@@ -11,12 +11,12 @@
 
 type registers struct{}
 
-func (registers) Seated(time.Duration, *Tx) {}
+func (registers) Elected(time.Duration, *Tx) {}
 func (registers) Apply(now time.Duration, tx *Tx, command any) any {
 	switch c := command.(type) {
 	case put:
 		if c.value == "" {
-			tx.Remove(c.key)
+			tx.Delete(c.key)
 		} else {
 			tx.Put(c.key, []byte(c.value))
 		}
@@ -29,75 +29,75 @@
 
 // bench is a group on a table: messages are carried by hand, so that a test
 // says which arrive.
-type bench struct {
-	t     *testing.T
-	now   time.Duration
-	seats map[string]*Machine
-	order []string
-	box   []parcel
-	lost  func(from, to string, body any) bool
-	got   map[uint64]Return
-	next  uint64
+type cluster struct {
+	t        *testing.T
+	now      time.Duration
+	replicas map[string]*Machine
+	order    []string
+	network  []packet
+	drop     func(from, to string, body any) bool
+	results  map[uint64]Result
+	nextID   uint64
 }
 
-type parcel struct {
+type packet struct {
 	from, to string
 	body     any
 }
 
-func newBench(t *testing.T, group []string, all ...string) *bench {
-	b := &bench{t: t, seats: map[string]*Machine{}, got: map[uint64]Return{}, lost: func(string, string, any) bool { return false }, order: all}
+func newCluster(t *testing.T, group []string, all ...string) *cluster {
+	c := &cluster{t: t, replicas: map[string]*Machine{}, results: map[uint64]Result{}, drop: func(string, string, any) bool { return false }, order: all}
 	for i, s := range all {
-		c := Copy{}
-		if holds(group, s) {
-			c.Group = Group{Epoch: 1, Seats: group}
+		state := State{}
+		if contains(group, s) {
+			state.Group = Group{Epoch: 1, Members: group}
 		}
-		b.seats[s] = New(Options{Params: Params{OwnerTerm: 100 * time.Millisecond, Drift: 0.1, Renewals: 5, Sweeps: 4}, Seat: s, Rules: registers{}, Copy: c,
+		c.replicas[s] = New(Options{Params: Params{LeaseDuration: 100 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 4}, Member: s, Rules: registers{}, State: state,
 			Random: func() float64 { return float64(i) / float64(len(all)) }})
 	}
-	return b
+	return c
 }
 
-func (b *bench) take(from string, o Output) {
+func (c *cluster) collect(from string, o Output) {
 	for _, s := range o.Sends {
 		// A candidate's own promise must be on its disk before it asks for
 		// others', or its next life could own the part under the same term.
-		if stand, ok := s.Body.(Stand); ok && !stand.Ask && s.To != from && (!s.Synced || b.seats[from].copy.Promised != stand.Term) {
-			b.t.Errorf("%s stands for %v with no durable promise of its own", from, stand.Term)
+		if stand, ok := s.Body.(Prepare); ok && !stand.PreVote && s.To != from && (!s.AfterSync || c.replicas[from].state.Promised != stand.Term) {
+			c.t.Errorf("%s stands for %v with no durable promise of its own", from, stand.Term)
 		}
-		b.box = append(b.box, parcel{from, s.To, s.Body})
+		c.network = append(c.network, packet{from, s.To, s.Body})
 	}
-	for _, r := range o.Returns {
-		b.got[r.Ticket] = r
+	for _, r := range o.Results {
+		c.results[r.RequestID] = r
 	}
 }
 
-func (b *bench) settle() {
-	for len(b.box) > 0 {
-		p := b.box[0]
-		b.box = b.box[1:]
-		if m := b.seats[p.to]; m != nil && !b.lost(p.from, p.to, p.body) {
-			b.take(p.to, m.Receive(b.now, p.from, p.body))
+func (c *cluster) deliver() {
+	for len(c.network) > 0 {
+		p := c.network[0]
+		c.network = c.network[1:]
+		if m := c.replicas[p.to]; m != nil && !c.drop(p.from, p.to, p.body) {
+			c.collect(p.to, m.Receive(c.now, p.from, p.body))
 		}
 	}
 }
 
-func (b *bench) pass(d time.Duration) {
-	for end := b.now + d; b.now < end; {
-		b.now += 5 * time.Millisecond
-		for _, s := range b.order {
-			if m := b.seats[s]; m != nil {
-				b.take(s, m.Tick(b.now))
+func (c *cluster) advance(d time.Duration) {
+	for end := c.now + d; c.now < end; {
+		c.now += 5 * time.Millisecond
+		for _, s := range c.order {
+			if m := c.replicas[s]; m != nil {
+				c.collect(s, m.Tick(c.now))
 			}
-			b.settle()
+			c.deliver()
 		}
 	}
 }
 
-func (b *bench) owner() string {
-	for _, s := range b.order {
-		if m := b.seats[s]; m != nil {
-			if _, ok := m.Owns(b.now); ok {
+func (c *cluster) leader() string {
+	for _, s := range c.order {
+		if m := c.replicas[s]; m != nil {
+			if _, ok := m.LeadingTerm(c.now); ok {
 				return s
 			}
 		}
@@ -105,189 +105,189 @@
 	return ""
 }
 
-func (b *bench) run(seat string, command any) Return {
-	b.next++
-	b.take(seat, b.seats[seat].Propose(b.now, b.next, command))
-	b.settle()
-	if r, ok := b.got[b.next]; ok {
+func (c *cluster) propose(member string, command any) Result {
+	c.nextID++
+	c.collect(member, c.replicas[member].Propose(c.now, c.nextID, command))
+	c.deliver()
+	if r, ok := c.results[c.nextID]; ok {
 		return r
 	}
-	return Return{Unsure: true}
+	return Result{Uncertain: true}
 }
 
-func (b *bench) want(key, value string) {
-	b.t.Helper()
-	if r := b.run(b.owner(), get{key}); r.Body != value {
-		b.t.Errorf("%s is %v, want %q", key, r.Body, value)
+func (c *cluster) wantValue(key, value string) {
+	c.t.Helper()
+	if r := c.propose(c.leader(), get{key}); r.Body != value {
+		c.t.Errorf("%s is %v, want %q", key, r.Body, value)
 	}
 }
 
 func TestOwnerChangeKeepsWhatWasAgreed(t *testing.T) {
-	b := newBench(t, []string{"a", "b", "c"}, "a", "b", "c")
-	b.pass(300 * time.Millisecond)
-	first := b.owner()
+	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
+	c.advance(300 * time.Millisecond)
+	first := c.leader()
 	for i := 0; i < 5; i++ {
-		if r := b.run(first, put{fmt.Sprint(i), "x"}); r.Unsure || r.Moved {
+		if r := c.propose(first, put{fmt.Sprint(i), "x"}); r.Uncertain || r.NotLeader {
 			t.Fatalf("write %d: %+v", i, r)
 		}
 	}
-	b.seats[first] = nil
-	b.pass(500 * time.Millisecond)
-	if b.owner() == "" || b.owner() == first {
-		t.Fatalf("owner after the loss of %s: %q", first, b.owner())
+	c.replicas[first] = nil
+	c.advance(500 * time.Millisecond)
+	if c.leader() == "" || c.leader() == first {
+		t.Fatalf("owner after the loss of %s: %q", first, c.leader())
 	}
 	for i := 0; i < 5; i++ {
-		b.want(fmt.Sprint(i), "x")
+		c.wantValue(fmt.Sprint(i), "x")
 	}
 }
 
 // A write that one seat took and that no owner ever agreed must not come back
 // when a later owner, who never saw it, has served without it.
 func TestLeftOverWriteStaysGone(t *testing.T) {
-	b := newBench(t, []string{"a", "b", "c"}, "a", "b", "c")
-	b.pass(300 * time.Millisecond)
-	first := b.owner()
-	b.lost = func(from, to string, body any) bool { return from == first && to != first }
-	if r := b.run(first, put{"ghost", "boo"}); !r.Unsure {
+	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
+	c.advance(300 * time.Millisecond)
+	first := c.leader()
+	c.drop = func(from, to string, body any) bool { return from == first && to != first }
+	if r := c.propose(first, put{"ghost", "boo"}); !r.Uncertain {
 		t.Fatal("a write without a majority was answered")
 	}
-	holder := b.seats[first]
-	b.seats[first] = nil
-	b.lost = func(string, string, any) bool { return false }
-	b.pass(500 * time.Millisecond)
-	second := b.owner()
-	b.want("ghost", "")
+	holder := c.replicas[first]
+	c.replicas[first] = nil
+	c.drop = func(string, string, any) bool { return false }
+	c.advance(500 * time.Millisecond)
+	second := c.leader()
+	c.wantValue("ghost", "")
 	// The seat with the leftover returns and the owner that never saw it goes.
-	b.seats[first] = New(Options{Params: holder.params, Seat: first, Rules: registers{}, Copy: holder.copy, Now: b.now, Random: func() float64 { return 0 }})
-	b.lost = func(from, to string, body any) bool { return to == first }
-	b.seats[second] = nil
-	b.lost = func(string, string, any) bool { return false }
-	b.pass(800 * time.Millisecond)
-	if b.owner() == "" {
+	c.replicas[first] = New(Options{Params: holder.params, Member: first, Rules: registers{}, State: holder.state, Now: c.now, Random: func() float64 { return 0 }})
+	c.drop = func(from, to string, body any) bool { return to == first }
+	c.replicas[second] = nil
+	c.drop = func(string, string, any) bool { return false }
+	c.advance(800 * time.Millisecond)
+	if c.leader() == "" {
 		t.Fatal("no owner")
 	}
-	b.want("ghost", "")
+	c.wantValue("ghost", "")
 }
 
 func TestSeatWithoutPlaceNeverVotes(t *testing.T) {
-	b := newBench(t, []string{"a", "b", "c"}, "a", "b", "c", "b2")
-	b.pass(300 * time.Millisecond)
-	b.run(b.owner(), put{"k", "v"})
+	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "b2")
+	c.advance(300 * time.Millisecond)
+	c.propose(c.leader(), put{"k", "v"})
 	// b lost its disk and is back as b2, a new seat; c is down.
-	b.seats["b"], b.seats["c"] = nil, nil
-	o := b.seats["b2"].Receive(b.now, "a", Stand{Term: Term{Round: 99, Owner: "a"}, Group: Group{Epoch: 1, Seats: []string{"a", "b", "c"}}})
+	c.replicas["b"], c.replicas["c"] = nil, nil
+	o := c.replicas["b2"].Receive(c.now, "a", Prepare{Term: Term{Round: 99, Leader: "a"}, Group: Group{Epoch: 1, Members: []string{"a", "b", "c"}}})
 	if len(o.Sends) > 0 || len(o.Records) > 0 {
 		t.Errorf("a seat outside the group answered: %+v", o)
 	}
-	b.pass(600 * time.Millisecond)
-	if b.owner() != "" {
-		t.Errorf("%s owns the part with one of three seats", b.owner())
+	c.advance(600 * time.Millisecond)
+	if c.leader() != "" {
+		t.Errorf("%s owns the part with one of three seats", c.leader())
 	}
 }
 
 func TestFrozenOwnerRefusesAfterItsTerm(t *testing.T) {
-	b := newBench(t, []string{"a", "b", "c"}, "a", "b", "c")
-	b.pass(300 * time.Millisecond)
-	first := b.owner()
-	frozen := b.seats[first]
-	b.seats[first] = nil
-	b.pass(500 * time.Millisecond)
-	second := b.owner()
-	b.run(second, put{"k", "new"})
-	o := frozen.Propose(b.now, 77, get{"k"})
-	if len(o.Returns) != 1 || !o.Returns[0].Moved {
-		t.Errorf("a woken owner answered: %+v", o.Returns)
+	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
+	c.advance(300 * time.Millisecond)
+	first := c.leader()
+	frozen := c.replicas[first]
+	c.replicas[first] = nil
+	c.advance(500 * time.Millisecond)
+	second := c.leader()
+	c.propose(second, put{"k", "new"})
+	o := frozen.Propose(c.now, 77, get{"k"})
+	if len(o.Results) != 1 || !o.Results[0].NotLeader {
+		t.Errorf("a woken owner answered: %+v", o.Results)
 	}
 }
 
 // A write of an owner whose term is over must not count, even for an entry
 // that nobody else ever wrote.
 func TestLateWriteOfOldTermRefused(t *testing.T) {
-	b := newBench(t, []string{"a", "b", "c"}, "a", "b", "c")
-	b.pass(300 * time.Millisecond)
-	first := b.owner()
-	old, _ := b.seats[first].Owns(b.now)
-	b.seats[first] = nil
-	b.pass(500 * time.Millisecond)
-	second := b.owner()
-	o := b.seats[second].Receive(b.now, first, Write{Term: old, Seq: 9, Group: b.seats[second].copy.Group, Entries: []Entry{{Key: "late", Value: []byte("x"), Stamp: Stamp{Term: old, Seq: 9}}}})
-	if _, refused := o.Sends[0].Body.(Refuse); !refused || len(o.Records) > 0 {
+	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
+	c.advance(300 * time.Millisecond)
+	first := c.leader()
+	old, _ := c.replicas[first].LeadingTerm(c.now)
+	c.replicas[first] = nil
+	c.advance(500 * time.Millisecond)
+	second := c.leader()
+	o := c.replicas[second].Receive(c.now, first, Write{Term: old, Seq: 9, Group: c.replicas[second].state.Group, Entries: []Entry{{Key: "late", Value: []byte("x"), Version: Version{Term: old, Seq: 9}}}})
+	if _, refused := o.Sends[0].Body.(Reject); !refused || len(o.Records) > 0 {
 		t.Errorf("taken: %+v", o)
 	}
-	b.want("late", "")
+	c.wantValue("late", "")
 }
 
 func TestRestartedSeatKeepsItsPromise(t *testing.T) {
-	b := newBench(t, []string{"a", "b", "c"}, "a", "b", "c")
-	b.pass(300 * time.Millisecond)
-	first := b.owner()
-	for _, s := range b.order {
+	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
+	c.advance(300 * time.Millisecond)
+	first := c.leader()
+	for _, s := range c.order {
 		if s != first {
-			b.seats[s] = New(Options{Params: b.seats[s].params, Seat: s, Rules: registers{}, Copy: b.seats[s].copy, Now: b.now, Random: func() float64 { return 0 }})
+			c.replicas[s] = New(Options{Params: c.replicas[s].params, Member: s, Rules: registers{}, State: c.replicas[s].state, Now: c.now, Random: func() float64 { return 0 }})
 		}
 	}
 	other := "a"
 	if first == "a" {
 		other = "b"
 	}
-	o := b.seats[other].Receive(b.now, "x", Stand{Term: Term{Round: 50, Owner: other + "'"}, Group: b.seats[other].copy.Group})
-	if r, ok := o.Sends[0].Body.(Refuse); !ok || r.Wait <= 0 {
+	o := c.replicas[other].Receive(c.now, "x", Prepare{Term: Term{Round: 50, Leader: other + "'"}, Group: c.replicas[other].state.Group})
+	if r, ok := o.Sends[0].Body.(Reject); !ok || r.LeaseRemaining <= 0 {
 		t.Errorf("a restarted seat may have renewed an owner's hold and must wait: %+v", o.Sends)
 	}
 }
 
 func TestGroupChange(t *testing.T) {
-	b := newBench(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
-	b.pass(300 * time.Millisecond)
+	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
+	c.advance(300 * time.Millisecond)
 	for i := 0; i < 20; i++ {
-		b.run(b.owner(), put{fmt.Sprint(i), "x"})
+		c.propose(c.leader(), put{fmt.Sprint(i), "x"})
 	}
 	gone := "c"
-	if b.owner() == "c" {
+	if c.leader() == "c" {
 		gone = "b"
 	}
-	b.seats[gone] = nil
-	b.take(b.owner(), b.seats[b.owner()].Change(b.now, 1000, "d", gone))
-	b.pass(300 * time.Millisecond)
-	if r := b.got[1000]; r.Body != true {
+	c.replicas[gone] = nil
+	c.collect(c.leader(), c.replicas[c.leader()].ChangeMembers(c.now, 1000, "d", gone))
+	c.advance(300 * time.Millisecond)
+	if r := c.results[1000]; r.Body != true {
 		t.Fatalf("change: %+v", r)
 	}
-	if g := b.seats["d"].Group(); !same(g.Seats, b.seats[b.owner()].Group().Seats) || g.Has(gone) || len(g.Former) > 0 {
+	if g := c.replicas["d"].Group(); !sameMembers(g.Members, c.replicas[c.leader()].Group().Members) || g.Has(gone) || len(g.Former) > 0 {
 		t.Fatalf("group: %+v", g)
 	}
 	for i := 0; i < 20; i++ {
-		if e := b.seats["d"].Copied().Entries[fmt.Sprint(i)]; string(e.Value) != "x" {
+		if e := c.replicas["d"].State().Entries[fmt.Sprint(i)]; string(e.Value) != "x" {
 			t.Errorf("the new seat lacks %d", i)
 		}
 	}
 	// The new seat counts: with one of the old ones gone too it makes a majority.
-	b.seats[b.owner()] = nil
-	b.pass(600 * time.Millisecond)
-	if b.owner() == "" {
+	c.replicas[c.leader()] = nil
+	c.advance(600 * time.Millisecond)
+	if c.leader() == "" {
 		t.Fatal("no owner after the change")
 	}
-	b.want("7", "x")
+	c.wantValue("7", "x")
 }
 
 func TestMendsAndDropsMarks(t *testing.T) {
-	b := newBench(t, []string{"a", "b", "c"}, "a", "b", "c")
-	b.pass(300 * time.Millisecond)
+	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
+	c.advance(300 * time.Millisecond)
 	behind := "c"
-	if b.owner() == "c" {
+	if c.leader() == "c" {
 		behind = "b"
 	}
-	b.lost = func(from, to string, body any) bool { _, write := body.(Write); return write && to == behind }
-	b.run(b.owner(), put{"k", "v"})
-	b.run(b.owner(), put{"gone", "v"})
-	b.run(b.owner(), put{"gone", ""})
-	b.lost = func(string, string, any) bool { return false }
-	b.pass(100 * time.Millisecond)
-	if e := b.seats[behind].Copied().Entries["k"]; string(e.Value) != "v" {
+	c.drop = func(from, to string, body any) bool { _, write := body.(Write); return write && to == behind }
+	c.propose(c.leader(), put{"k", "v"})
+	c.propose(c.leader(), put{"gone", "v"})
+	c.propose(c.leader(), put{"gone", ""})
+	c.drop = func(string, string, any) bool { return false }
+	c.advance(100 * time.Millisecond)
+	if e := c.replicas[behind].State().Entries["k"]; string(e.Value) != "v" {
 		t.Error("an old copy was not mended")
 	}
-	b.pass(2 * time.Second)
-	for _, s := range b.order {
-		if _, there := b.seats[s].Copied().Entries["gone"]; there {
+	c.advance(2 * time.Second)
+	for _, s := range c.order {
+		if _, there := c.replicas[s].State().Entries["gone"]; there {
 			t.Errorf("%s still keeps the mark of a removal", s)
 		}
 	}
--- a/rule/partition/replication.go
+++ b/rule/partition/replication.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-type flight struct {
+type pendingWrite struct {
 	seq     uint64
 	write   Write
-	taken   map[string]bool
-	returns []Return
+	acked   map[string]bool
+	results []Result
 	sentAt  time.Duration
 	group   *Group
 }
 
 // Propose runs a command at the owner. Its answer comes in a return, in this
 // step's output or a later one's, once all that it rests on is agreed.
-func (m *Machine) Propose(now time.Duration, ticket uint64, command any) Output {
+func (m *Machine) Propose(now time.Duration, requestID uint64, command any) Output {
 	m.out = &Output{}
-	if _, ok := m.Owns(now); !ok {
-		m.out.Returns = append(m.out.Returns, Return{Ticket: ticket, Moved: true})
+	if _, ok := m.LeadingTerm(now); !ok {
+		m.out.Results = append(m.out.Results, Result{RequestID: requestID, NotLeader: true})
 		return *m.out
 	}
-	o := m.owning
+	lead := m.leading
 	tx := &Tx{m: m, now: now}
 	answer := m.rules.Apply(now, tx, command)
-	r := Return{Ticket: ticket, Body: answer}
+	result := Result{RequestID: requestID, Body: answer}
 	switch {
-	case tx.written || len(o.entries) > 0:
-		o.returns = append(o.returns, r)
-	case o.flight != nil:
-		o.flight.returns = append(o.flight.returns, r)
+	case tx.wrote || len(lead.queuedEntries) > 0:
+		lead.queuedResults = append(lead.queuedResults, result)
+	case lead.pending != nil:
+		lead.pending.results = append(lead.pending.results, result)
 	default:
-		m.out.Returns = append(m.out.Returns, r)
+		m.out.Results = append(m.out.Results, result)
 	}
 	m.flush(now)
 	return *m.out
 }
 
 func (m *Machine) flush(now time.Duration) {
-	o := m.owning
-	if o.flight != nil || m.holding(now) || (len(o.entries) == 0 && o.regroup == nil && len(o.drops) == 0) {
+	lead := m.leading
+	if lead.pending != nil || m.writesHeld(now) || (len(lead.queuedEntries) == 0 && lead.queuedGroup == nil && len(lead.queuedPurges) == 0) {
 		return
 	}
 	latest := map[string]Entry{}
-	for _, e := range o.entries {
+	for _, e := range lead.queuedEntries {
 		latest[e.Key] = e
 	}
 	entries := make([]Entry, 0, len(latest))
@@ -52,152 +52,152 @@
 		entries = append(entries, e)
 	}
 	sort.Slice(entries, func(i, j int) bool { return entries[i].Key < entries[j].Key })
-	prior := o.seq
-	o.seq++
-	if o.regroup != nil {
-		o.group = *o.regroup
-	}
-	o.flight = &flight{seq: o.seq, taken: map[string]bool{}, returns: o.returns, sentAt: now, group: o.regroup,
-		write: Write{Term: o.term, Seq: o.seq, Prior: prior, Group: o.group, Clock: m.clock(now), Entries: entries, Drops: o.drops, Sent: now}}
-	o.entries, o.returns, o.regroup, o.drops = nil, nil, nil, nil
+	prior := lead.seq
+	lead.seq++
+	if lead.queuedGroup != nil {
+		lead.group = *lead.queuedGroup
+	}
+	lead.pending = &pendingWrite{seq: lead.seq, acked: map[string]bool{}, results: lead.queuedResults, sentAt: now, group: lead.queuedGroup,
+		write: Write{Term: lead.term, Seq: lead.seq, PriorSeq: prior, Group: lead.group, Clock: m.clock(now), Entries: entries, Purged: lead.queuedPurges, SentAt: now}}
+	lead.queuedEntries, lead.queuedResults, lead.queuedGroup, lead.queuedPurges = nil, nil, nil, nil
 	m.Counters.Writes++
 	m.Counters.Entries += int64(len(entries))
-	for _, seat := range m.listeners() {
-		if !o.wanting[seat] {
-			m.send(seat, o.flight.write, false)
+	for _, member := range m.recipients() {
+		if !lead.needsSnapshot[member] {
+			m.send(member, lead.pending.write, false)
 		}
 	}
-	m.fillWanting(now)
+	m.sendSnapshots(now)
 }
 
-func (m *Machine) listeners() []string {
-	all := m.owning.group.All()
-	if m.change != nil && m.change.adding != "" && !holds(all, m.change.adding) {
+func (m *Machine) recipients() []string {
+	all := m.leading.group.All()
+	if m.change != nil && m.change.adding != "" && !contains(all, m.change.adding) {
 		all = append(all, m.change.adding)
 	}
 	return all
 }
 
-func (m *Machine) dropMarks() {
-	o := m.owning
-	for _, seat := range o.group.All() {
-		if o.whole[seat] < o.committed {
+func (m *Machine) purgeTombstones() {
+	lead := m.leading
+	for _, member := range lead.group.All() {
+		if lead.completeSeq[member] < lead.committedSeq {
 			return
 		}
 	}
-	for key, e := range o.table {
-		if e.Gone && e.Stamp.Seq <= o.committed {
-			o.drops = append(o.drops, e)
-			o.dropped = max(o.dropped, e.Stamp.Seq)
-			delete(o.table, key)
-			m.Counters.Dropped++
+	for key, e := range lead.table {
+		if e.Deleted && e.Version.Seq <= lead.committedSeq {
+			lead.queuedPurges = append(lead.queuedPurges, e)
+			lead.purgedSeq = max(lead.purgedSeq, e.Version.Seq)
+			delete(lead.table, key)
+			m.Counters.TombstonesPurged++
 		}
 	}
-	sort.Slice(o.drops, func(i, j int) bool { return o.drops[i].Key < o.drops[j].Key })
+	sort.Slice(lead.queuedPurges, func(i, j int) bool { return lead.queuedPurges[i].Key < lead.queuedPurges[j].Key })
 }
 
-func (m *Machine) onWrite(now time.Duration, from string, b Write) {
-	if b.Term.Less(m.copy.Promised) {
-		m.send(from, Refuse{Term: b.Term, Promised: m.copy.Promised, Group: m.copy.Group}, false)
+func (m *Machine) onWrite(now time.Duration, from string, msg Write) {
+	if msg.Term.Less(m.state.Promised) {
+		m.send(from, Reject{Term: msg.Term, Promised: m.state.Promised, Group: m.state.Group}, false)
 		return
 	}
-	if m.owning != nil && m.owning.term.Less(b.Term) {
+	if m.leading != nil && m.leading.term.Less(msg.Term) {
 		m.stepDown(now)
 	}
-	if m.wholeOf != b.Term {
-		m.wholeOf, m.whole = b.Term, 0
+	if m.completeTerm != msg.Term {
+		m.completeTerm, m.completeSeq = msg.Term, 0
 	}
 	// What this replica has taken already must not be applied again: entries that
 	// were removed since would come back.
-	again := m.whole >= b.Seq && (b.Restamp || !b.Whole) || m.whole > b.Seq
-	if b.Restamp && !again && m.sum != b.Sum {
-		m.send(from, Taken{Term: b.Term, Sent: b.Sent, Lacks: true}, false)
+	duplicate := m.completeSeq >= msg.Seq && (msg.Rebase || !msg.Snapshot) || m.completeSeq > msg.Seq
+	if msg.Rebase && !duplicate && m.digest != msg.Digest {
+		m.send(from, WriteAck{Term: msg.Term, SentAt: msg.SentAt, DigestMismatch: true}, false)
 		return
 	}
-	group := b.Group
-	if !again {
-		m.record(Record{Promised: b.Term, Group: &group, Clock: b.Clock, Entries: b.Entries, Drops: b.Drops, Whole: b.Whole, Restamp: b.Restamp, Upto: b.Seq})
+	group := msg.Group
+	if !duplicate {
+		m.record(Record{Promised: msg.Term, Group: &group, Clock: msg.Clock, Entries: msg.Entries, Purged: msg.Purged, Snapshot: msg.Snapshot, Rebase: msg.Rebase, UpTo: msg.Seq})
 	}
-	m.keepHold(now, b.Term)
-	if b.Whole || b.Restamp || m.whole >= b.Prior {
-		m.whole = max(m.whole, b.Seq)
+	m.extendLease(now, msg.Term)
+	if msg.Snapshot || msg.Rebase || m.completeSeq >= msg.PriorSeq {
+		m.completeSeq = max(m.completeSeq, msg.Seq)
 	}
-	m.send(from, Taken{Term: b.Term, Seq: b.Seq, Whole: m.whole, Sent: b.Sent}, true)
+	m.send(from, WriteAck{Term: msg.Term, Seq: msg.Seq, CompleteSeq: m.completeSeq, SentAt: msg.SentAt}, true)
 }
 
-func (m *Machine) onTaken(now time.Duration, from string, b Taken) {
-	o := m.owning
-	if o == nil || b.Term != o.term {
+func (m *Machine) onWriteAck(now time.Duration, from string, msg WriteAck) {
+	lead := m.leading
+	if lead == nil || msg.Term != lead.term {
 		return
 	}
-	o.whole[from] = max(o.whole[from], b.Whole)
-	o.renewed[from] = max(o.renewed[from], b.Sent)
-	m.hearAdding(now, from)
-	f := o.flight
-	if b.Lacks && f != nil && f.write.Restamp {
+	lead.completeSeq[from] = max(lead.completeSeq[from], msg.CompleteSeq)
+	lead.ackedAt[from] = max(lead.ackedAt[from], msg.SentAt)
+	m.noteNewMember(now, from)
+	f := lead.pending
+	if msg.DigestMismatch && f != nil && f.write.Rebase {
 		// What it promised with is not what it has now; it gets the entries.
-		o.light[from] = f.write.Sum + 1
+		lead.promisedDigests[from] = f.write.Digest + 1
 		w := f.write
-		w.Restamp, w.Sent = false, now
+		w.Rebase, w.SentAt = false, now
 		m.send(from, w, false)
 	}
-	if f == nil || f.seq != b.Seq {
-		m.stepChange(now)
+	if f == nil || f.seq != msg.Seq {
+		m.advanceChange(now)
 		m.flush(now)
 		return
 	}
-	f.taken[from] = true
-	if !o.group.agreed(func(seat string) bool { return f.taken[seat] }) {
+	f.acked[from] = true
+	if !lead.group.hasQuorum(func(member string) bool { return f.acked[member] }) {
 		return
 	}
-	o.flight, o.committed, o.agreed = nil, f.seq, o.group
-	o.settle(f.write.Entries)
-	m.out.Returns = append(m.out.Returns, f.returns...)
-	if !o.serving {
-		o.serving, o.servedAt = true, now
-		m.Counters.Seated++
-		o.sweepAt = now + m.params.OwnerTerm*time.Duration(m.params.Sweeps)
-		m.rules.Seated(now, &Tx{m: m, now: now})
+	lead.pending, lead.committedSeq, lead.committedGroup = nil, f.seq, lead.group
+	lead.markCommitted(f.write.Entries)
+	m.out.Results = append(m.out.Results, f.results...)
+	if !lead.serving {
+		lead.serving, lead.servingSince = true, now
+		m.Counters.Elected++
+		lead.nextSweep = now + m.params.LeaseDuration*time.Duration(m.params.LeasesPerSweep)
+		m.rules.Elected(now, &Tx{m: m, now: now})
 	}
-	m.stepChange(now)
+	m.advanceChange(now)
 	m.flush(now)
 }
 
 // fill sends a seat all that there is, unless that is on its way. It waits until
 // nothing is queued, so that what it sends is what the last write left.
-func (m *Machine) fill(now time.Duration, to string) {
-	o := m.owning
-	if at, ok := o.filled[to]; ok && now < at+2*m.params.OwnerTerm {
+func (m *Machine) scheduleSnapshot(now time.Duration, to string) {
+	lead := m.leading
+	if at, ok := lead.snapshotSentAt[to]; ok && now < at+2*m.params.LeaseDuration {
 		return
 	}
-	o.wanting[to] = true
-	m.fillWanting(now)
+	lead.needsSnapshot[to] = true
+	m.sendSnapshots(now)
 }
 
-func (m *Machine) fillWanting(now time.Duration) {
-	o := m.owning
-	if len(o.wanting) == 0 || len(o.entries) > 0 || len(o.drops) > 0 || o.regroup != nil {
+func (m *Machine) sendSnapshots(now time.Duration) {
+	lead := m.leading
+	if len(lead.needsSnapshot) == 0 || len(lead.queuedEntries) > 0 || len(lead.queuedPurges) > 0 || lead.queuedGroup != nil {
 		return
 	}
-	w := Write{Term: o.term, Seq: o.seq, Group: o.group, Clock: m.clock(now), Whole: true, Sent: now, Entries: make([]Entry, 0, len(o.table))}
-	for _, e := range o.table {
+	w := Write{Term: lead.term, Seq: lead.seq, Group: lead.group, Clock: m.clock(now), Snapshot: true, SentAt: now, Entries: make([]Entry, 0, len(lead.table))}
+	for _, e := range lead.table {
 		w.Entries = append(w.Entries, e)
 	}
 	sort.Slice(w.Entries, func(i, j int) bool { return w.Entries[i].Key < w.Entries[j].Key })
-	for _, seat := range m.listeners() {
-		if o.wanting[seat] {
-			m.Counters.Mended++
-			o.filled[seat] = now
-			m.send(seat, w, false)
+	for _, member := range m.recipients() {
+		if lead.needsSnapshot[member] {
+			m.Counters.SnapshotsSent++
+			lead.snapshotSentAt[member] = now
+			m.send(member, w, false)
 		}
 	}
-	clear(o.wanting)
+	clear(lead.needsSnapshot)
 }
 
 // Dropped is the sequence up to which marks of removal may be missing.
-func (m *Machine) Dropped() uint64 {
-	if m.owning == nil {
+func (m *Machine) PurgedSeq() uint64 {
+	if m.leading == nil {
 		return 0
 	}
-	return m.owning.dropped
+	return m.leading.purgedSeq
 }
--- a/rule/partition/restart_test.go
+++ b/rule/partition/restart_test.go
@@ -6,9 +6,9 @@
 )
 
 // restart begins a new life of a seat with what its disk holds.
-func (b *bench) restart(seat string) {
-	old := b.seats[seat]
-	b.seats[seat] = New(Options{Params: old.params, Seat: seat, Rules: registers{}, Copy: old.copy, Now: b.now, Random: func() float64 { return 0.5 }})
+func (c *cluster) restart(member string) {
+	old := c.replicas[member]
+	c.replicas[member] = New(Options{Params: old.params, Member: member, Rules: registers{}, State: old.state, Now: c.now, Random: func() float64 { return 0.5 }})
 }
 
 // TestFormerOwnerNeedNotWait: whoever owned the part knows that its own hold is
@@ -17,10 +17,10 @@
 func TestFormerOwnerNeedNotWait(t *testing.T) {
 	group := []string{"a", "b", "c"}
 	for _, late := range []time.Duration{0, 30 * time.Millisecond, 70 * time.Millisecond} {
-		b := newBench(t, group, group...)
-		b.pass(500 * time.Millisecond)
-		former := b.owner()
-		b.run(former, put{"k", "v"})
+		c := newCluster(t, group, group...)
+		c.advance(500 * time.Millisecond)
+		former := c.leader()
+		c.propose(former, put{"k", "v"})
 		var others []string
 		for _, s := range group {
 			if s != former {
@@ -28,27 +28,27 @@
 			}
 		}
 		down := map[string]bool{}
-		b.lost = func(from, to string, body any) bool { return down[from] || down[to] }
-		b.box = nil
+		c.drop = func(from, to string, body any) bool { return down[from] || down[to] }
+		c.network = nil
 		for _, s := range group {
-			b.restart(s)
+			c.restart(s)
 		}
 		for _, s := range others {
 			down[s] = true
 		}
-		b.pass(late)
+		c.advance(late)
 		for _, s := range others {
 			delete(down, s)
-			b.restart(s)
+			c.restart(s)
 		}
-		began := b.now
-		for b.owner() == "" && b.now < began+time.Second {
-			b.pass(5 * time.Millisecond)
+		began := c.now
+		for c.leader() == "" && c.now < began+time.Second {
+			c.advance(5 * time.Millisecond)
 		}
-		if took := b.now - began; b.owner() != former || took > 30*time.Millisecond {
-			t.Errorf("%v after the former owner the others are back; %q owns after %v", late, b.owner(), took)
+		if took := c.now - began; c.leader() != former || took > 30*time.Millisecond {
+			t.Errorf("%v after the former owner the others are back; %q owns after %v", late, c.leader(), took)
 		}
-		b.want("k", "v")
+		c.wantValue("k", "v")
 	}
 }
 
@@ -56,20 +56,20 @@
 // as that one may hold the part.
 func TestFormerOwnerWaitsForAnother(t *testing.T) {
 	group := []string{"a", "b", "c"}
-	b := newBench(t, group, group...)
-	b.pass(500 * time.Millisecond)
-	former := b.owner()
+	c := newCluster(t, group, group...)
+	c.advance(500 * time.Millisecond)
+	former := c.leader()
 	for _, s := range group {
 		if s != former {
-			b.restart(s)
-			b.seats[s].Tick(b.now)
-			if b.seats[s].owning != nil {
+			c.restart(s)
+			c.replicas[s].Tick(c.now)
+			if c.replicas[s].leading != nil {
 				t.Errorf("%s stands at once against %s", s, former)
 			}
 		}
 	}
-	b.pass(20 * time.Millisecond)
-	if b.owner() != former {
-		t.Errorf("%q owns and not %s", b.owner(), former)
+	c.advance(20 * time.Millisecond)
+	if c.leader() != former {
+		t.Errorf("%q owns and not %s", c.leader(), former)
 	}
 }
--- a/saffronfall/coreprocess/process.go
+++ b/saffronfall/coreprocess/process.go
@@ -106,7 +106,7 @@
 	life, cancel := context.WithCancel(context.Background())
 	group.Add(func() error { return s.own(ctx, life) }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
-	writes := writer{folder: folder, image: image, batches: s.toDisk, done: s.onDisk, pause: p.Core().Part.OwnerTerm}
+	writes := writer{folder: folder, image: image, batches: s.toDisk, done: s.onDisk, pause: p.Core().Part.LeaseDuration}
 	group.Add(func() error { return writes.run(life) }, func(error) { cancel() })
 	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "core", Look: s.snapshot}, log)
 	server := &http.Server{Addr: p.OperatorListen, Handler: operator.Handler(s, p.Operators, s.drain), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: callTime, IdleTimeout: callTime}
@@ -172,7 +172,7 @@
 // own is the one goroutine that drives the machine.
 func (s *process) own(ctx, life context.Context) error {
 	runtime.LockOSThread()
-	ticker := time.NewTicker(s.params.Core().Part.OwnerTerm / 20)
+	ticker := time.NewTicker(s.params.Core().Part.LeaseDuration / 20)
 	defer ticker.Stop()
 	var leaveBy time.Duration
 	stop, drain := ctx.Done(), s.drain
@@ -232,7 +232,7 @@
 }
 
 func (s *process) watch() {
-	stalled := s.busy && s.now()-s.busyAt > s.params.Core().Part.OwnerTerm
+	stalled := s.busy && s.now()-s.busyAt > s.params.Core().Part.LeaseDuration
 	if stalled != s.stalled {
 		s.stalled = stalled
 		s.machine.Stall(stalled)
@@ -348,8 +348,8 @@
 		p := m.PartCounters()
 		return map[string]int64{"messages": m.Counters.Messages, "commands": m.Counters.Commands, "commands_moved": m.Counters.Moved,
 			"commands_unsure": m.Counters.Unsure, "pulls": m.Counters.Pulls, "refused_while_stalled": m.Counters.Stalled, "returns_with_empty_folder": m.Counters.Returns, "bad_messages": m.Counters.BadMessages,
-			"stands": p.Stands, "seated": p.Seated, "writes": p.Writes, "entries_written": p.Entries, "copies_mended": p.Mended,
-			"sweeps": p.Swept, "marks_dropped": p.Dropped, "parts_owned": int64(len(m.Owned(now))), "sent": s.sent, "dropped": s.dropped,
+			"stands": p.Elections, "seated": p.Elected, "writes": p.Writes, "entries_written": p.Entries, "copies_mended": p.SnapshotsSent,
+			"sweeps": p.Sweeps, "marks_dropped": p.TombstonesPurged, "parts_owned": int64(len(m.Owned(now))), "sent": s.sent, "dropped": s.dropped,
 			"received": s.received, "bad_streams": s.bad, "syncs": s.syncs, "sync_micros": s.syncTime.Microseconds(), "disk_stalled": flag(s.stalled)}
 	})
 	if err != nil {
--- a/saffronfall/main.go
+++ b/saffronfall/main.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("fleet %s founded: %d cores, %d parts, groups of %d\n", f.Fleet, len(f.Cores), f.Parts, len(f.Groups[0].Seats))
+	fmt.Printf("fleet %s founded: %d cores, %d parts, groups of %d\n", f.Fleet, len(f.Cores), f.Parts, len(f.Groups[0].Members))
 	return nil
 }
 
--- a/saffronfall/params/params.go
+++ b/saffronfall/params/params.go
@@ -183,7 +183,7 @@
 
 // Core are the control plane's bounds.
 func (p Params) Core() core.Params {
-	return core.Params{Part: partition.Params{OwnerTerm: ms(p.OwnerTermMS), Drift: p.Drift, Renewals: 5, Sweeps: 40, Home: 20},
+	return core.Params{Part: partition.Params{LeaseDuration: ms(p.OwnerTermMS), Drift: p.Drift, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20},
 		MemberTerm: ms(p.MemberTermMS),
 		Retry:      ms(p.RetryMS), Pull: ms(p.PullMS), Gone: ms(p.CoreGoneMS), OrderKeep: time.Duration(p.OrderKeepH) * time.Hour, ColdStart: p.ColdStart}
 }
