--- a/rehearsalkit/breaks/checker.go
+++ b/rehearsalkit/breaks/checker.go
@@ -69,7 +69,7 @@
 	{What: "of two promised entries the older one is taken", Scenario: "catchup", Depth: 8, Property: durable,
 		From: "if old, ok := newest[e.Key]; !ok || old.Version.Less(e.Version) {", To: "if old, ok := newest[e.Key]; !ok || e.Version.Less(old.Version) {"},
 	{What: "a change is reported done before the new group has agreed", Scenario: "replace", Depth: 8, Property: changeDone,
-		From: "\t\tc.step = 2\n", To: "\t\tc.step = 2\n\t\tm.out.Results = append(m.out.Results, Result{RequestID: c.requestID, Body: true})\n"},
+		From: "\t\tc.step = stepFinal\n", To: "\t\tc.step = stepFinal\n\t\tm.out.Results = append(m.out.Results, Result{RequestID: c.requestID, Body: true})\n"},
 	{What: "a change goes without the joint group", Scenario: "replace", Depth: 8, Property: intersect,
 		From: "Members: members, Former: lead.group.Members}}", To: "Members: members}}"},
 	{What: "a newcomer joins before it has caught up", Scenario: "leave", Depth: 8, Property: durable,
--- a/rule/partition/command.go
+++ b/rule/partition/command.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Rules decide what a command does to the entries of a part.
+// Rules define the commands of a partition. They run at the leader only; the entries that
+// they write are what is replicated.
 type Rules interface {
-	// Seated is called when this seat has come to own the part.
+	// Elected is called once when this member begins to serve as the leader of a term.
 	Elected(now time.Duration, tx *Tx)
-	// Apply runs one command and returns its answer.
+	// Apply runs one command and returns its result.
 	Apply(now time.Duration, tx *Tx, command any) any
 }
 
-// Tx is a command's view of a part.
+// Tx is the view that one command has of the partition's entries.
 type Tx struct {
 	m     *Machine
 	now   time.Duration
 	wrote bool
 }
 
-// Clock is the part's clock. It is handed from owner to owner and never runs
-// fast, so what is counted on it runs long, never short.
+// Clock returns the partition's clock, which passes from leader to leader. It may lag behind
+// real time but is never ahead, so periods measured by it are never too short.
 func (t *Tx) Clock() time.Duration { return t.m.clock(t.now) }
 
-// Get reads an entry.
+// Get returns the value of an entry, and whether it exists.
 func (t *Tx) Get(key string) ([]byte, bool) {
 	e, ok := t.m.leading.table[key]
 	if !ok || e.Deleted {
@@ -33,17 +34,17 @@
 	return e.Value, true
 }
 
-// Put writes an entry.
+// Put sets the value of an entry.
 func (t *Tx) Put(key string, value []byte) { t.put(Entry{Key: key, Value: value}) }
 
-// Remove removes an entry, leaving a mark until all copies have it.
+// Delete deletes an entry. Its tombstone is kept until all members have it.
 func (t *Tx) Delete(key string) {
 	if _, ok := t.Get(key); ok {
 		t.put(Entry{Key: key, Deleted: true})
 	}
 }
 
-// Keys lists the present keys that begin with a prefix, in order.
+// Keys returns the keys of existing entries that begin with a prefix, in order.
 func (t *Tx) Keys(prefix string) []string {
 	var keys []string
 	for k, e := range t.m.leading.table {
--- a/rule/partition/digest.go
+++ b/rule/partition/digest.go
@@ -6,14 +6,14 @@
 	"github.com/dchest/siphash"
 )
 
-// DigestKey is the secret of a term's digests. Its leader draws it by chance and
-// tells its replicas. Two copies with the same digest are taken for equal, and
-// tenants choose what entries hold, so nobody outside may be able to make two
-// different copies with one digest.
+// DigestKey is the secret key of a term's digests. The candidate draws it at random and sends
+// it to the members. States with the same digest are taken for equal, and tenants choose what
+// entries hold, so without the key it must not be possible to construct two different states
+// with the same digest.
 type DigestKey [2]uint64
 
-// sum is the digest of a table: the sum of its entries' digests, so that one
-// changed entry costs no more than that entry.
+// table returns the digest of a table: the sum of its entries' digests, so that it can be
+// updated for one changed entry alone.
 func (k DigestKey) table(table map[string]Entry) uint64 {
 	var sum uint64
 	for _, e := range table {
@@ -22,8 +22,7 @@
 	return sum
 }
 
-// entry is one entry's share of the sum. Tombstones, and entries that are not
-// there, have none.
+// entry returns the digest of one entry; it is 0 for tombstones and missing entries.
 func (k DigestKey) entry(e Entry) uint64 {
 	if e.Deleted || e.Version == (Version{}) {
 		return 0
@@ -39,7 +38,7 @@
 	return siphash.Hash(k[0], k[1], text)
 }
 
-// useKey makes the digest of this replica's copy one under a key.
+// setDigestKey changes the key, and the digest of the stored entries with it.
 func (m *Machine) setDigestKey(k DigestKey) {
 	if m.digestKey == k {
 		return
@@ -48,7 +47,7 @@
 	m.digest = k.table(m.state.Entries)
 }
 
-// newKey draws a key.
+// newDigestKey returns a random key.
 func (m *Machine) newDigestKey() DigestKey {
 	half := func() uint64 { return uint64(m.random()*(1<<32))<<32 | uint64(m.random()*(1<<32)) }
 	return DigestKey{half(), half()}
--- a/rule/partition/election.go
+++ b/rule/partition/election.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// successor is the most complete other seat of the group, of those the one that
-// was heard of last.
+// successor returns the most up-to-date other member of the group, on a tie the one that
+// acknowledged a message last.
 func (m *Machine) successor() string {
 	lead, best := m.leading, ""
 	for _, member := range lead.group.Members {
@@ -17,12 +17,15 @@
 	return best
 }
 
+// transferLeadership has a member start an election at once, and steps down.
 func (m *Machine) transferLeadership(now time.Duration, member string) {
 	m.send(member, TransferLeadership{Term: m.leading.term}, false)
 	m.stepDown(now)
 	m.electionAt = now + 2*m.params.LeaseDuration
 }
 
+// startElection makes this member the candidate of a new term. A released term is that of
+// a leader that no longer serves; its lease need not be waited for, nor a pre-vote held.
 func (m *Machine) startElection(now time.Duration, released Term) {
 	m.Counters.Elections++
 	round := max(m.state.Promised.Round, m.leaseTerm.Round, m.highestRound) + 1
@@ -34,12 +37,13 @@
 	m.sendPrepare(now)
 }
 
+// sendPrepare asks the members that have not promised yet.
 func (m *Machine) sendPrepare(now time.Duration) {
 	lead := m.leading
 	lead.preparedAt = now
 	if !lead.preVote && m.state.Promised != lead.term {
-		// This seat's own promise is on disk before any other is asked for, so
-		// that no later life of it can stand for the same term.
+		// The candidate's own promise is on disk before any other is asked for, so that
+		// it can't be a candidate for the same term again after a restart.
 		m.record(Record{Promised: lead.term})
 	}
 	for _, member := range lead.group.All() {
@@ -49,6 +53,8 @@
 	}
 }
 
+// stepDown ends a candidacy or leadership. The outcome of commands that wait is unknown: a
+// later leader may find their writes on some member and commit them.
 func (m *Machine) stepDown(now time.Duration) {
 	if lead := m.leading; lead != nil {
 		if lead.pending != nil {
@@ -62,15 +68,15 @@
 		m.out.Results = append(m.out.Results, Result{RequestID: m.change.requestID, Uncertain: true})
 	}
 	if m.leading != nil && m.leaseTerm == m.leading.term {
-		// Nobody serves under this term any more.
+		// No leader serves under this term any more.
 		m.leaseUntil = now
 	}
 	m.leading, m.change = nil, nil
 	m.electionAt = now + m.electionTimeout() + m.params.LeaseDuration/10
 }
 
-// Leave makes the owner hand its part to another seat of the group, the most
-// complete one.
+// ReleaseLeadership makes the leader transfer its leadership to the most up-to-date other
+// member. It does nothing while a write is pending.
 func (m *Machine) ReleaseLeadership(now time.Duration) Output {
 	m.out = &Output{}
 	lead := m.leading
@@ -83,13 +89,15 @@
 	return *m.out
 }
 
-// joins reports whether a group that came after the one that this seat knows has
-// it. The owner that made it so may be gone before its word arrived here, and the
-// group's other seats may be no majority without this one.
+// isJoining reports whether this member belongs to a group that is newer than the one it
+// knows. The leader that added it may be gone before its write arrived here, and the other
+// members may be no majority without this one.
 func (m *Machine) isJoining(group Group) bool {
 	return m.state.Group.Before(group) && group.Has(m.member)
 }
 
+// onPrepare answers a candidate. A pre-vote records nothing. A promise is sent once it is on
+// disk, and counts as a lease so that the new leader can take over undisturbed.
 func (m *Machine) onPrepare(now time.Duration, from string, msg Prepare) {
 	reject := Reject{Term: msg.Term, Promised: m.state.Promised, Group: m.state.Group}
 	leaseHeld := now < m.leaseUntil && m.leaseTerm != msg.Released && m.leaseTerm.Leader != msg.Term.Leader
@@ -99,7 +107,7 @@
 	case msg.Group.Before(m.state.Group):
 		m.send(from, reject, false)
 	case leaseHeld:
-		// One that stands itself may give up at any time.
+		// This member's own candidacy may end at any time, so it is no reason to wait.
 		if m.leading == nil || m.leading.serving {
 			reject.LeaseRemaining = m.leaseUntil - now
 		}
@@ -125,6 +133,7 @@
 	}
 }
 
+// sortedEntries returns the stored entries in the order of their keys.
 func (m *Machine) sortedEntries() []Entry {
 	list := make([]Entry, 0, len(m.state.Entries))
 	for _, e := range m.state.Entries {
@@ -134,8 +143,8 @@
 	return list
 }
 
-// onPromise takes a promise. With those of a majority the candidate asks for
-// binding ones, after binding ones it becomes the leader.
+// onPromise counts a promise. With a quorum of pre-votes the candidate asks for binding
+// promises, with a quorum of those it takes over.
 func (m *Machine) onPromise(now time.Duration, from string, msg Promise) {
 	lead := m.leading
 	if lead == nil || msg.Term != lead.term || msg.PreVote != lead.preVote {
@@ -154,8 +163,9 @@
 	switch {
 	case !lead.group.hasQuorum(lead.promised):
 	case lead.preVote && now < m.leaseUntil && m.leaseTerm.Leader != m.member:
-		// It has renewed another's lease since it asked, and must not promise itself
-		// anything while that lasts: its next life would not know of it.
+		// The candidate has renewed another leader's lease since it asked. It must not
+		// promise its own term while that lease lasts: after a restart it would take the
+		// lease for its own and not wait for its end.
 		m.stepDown(now)
 	case lead.preVote:
 		m.restartPhase(now, false)
@@ -167,8 +177,8 @@
 	}
 }
 
-// notePromise adds a promise to the candidate's, and goes on with the later group
-// that its sender knows.
+// recordPromise adds a promise. If its sender knows a newer group, the candidate continues
+// with that group.
 func (m *Machine) recordPromise(now time.Duration, from string, msg Promise) {
 	lead := m.leading
 	lead.promises[from] = msg
@@ -182,8 +192,8 @@
 	}
 }
 
-// askAgain begins another round of questions: binding ones after those that only
-// asked, and for entries where digests did not do.
+// restartPhase asks all members anew: for binding promises after a pre-vote, or for entries
+// where digests differed.
 func (m *Machine) restartPhase(now time.Duration, needEntries bool) {
 	lead := m.leading
 	if !needEntries {
@@ -199,7 +209,7 @@
 	return ok
 }
 
-// digestsAlone reports whether some promise came with a digest and no entries.
+// anyDigestOnly reports whether a promise came with a digest instead of entries.
 func (lead *leadership) anyDigestOnly() bool {
 	for _, p := range lead.promises {
 		if p.DigestOnly {
@@ -209,7 +219,7 @@
 	return false
 }
 
-// copiesAlike reports whether all that promised have what this replica has.
+// digestsMatch reports whether all members that promised have the same entries as this one.
 func (m *Machine) digestsMatch() bool {
 	for _, p := range m.leading.promises {
 		if !p.DigestOnly || p.Digest != m.digest {
@@ -219,8 +229,8 @@
 	return true
 }
 
-// takeOver makes the table of a new term from what a majority has, and sends it as
-// the leader's first write.
+// assumeLeadership builds the table of the new term from the promised entries of a quorum,
+// and sends it as the leader's first write. The leader serves once that is committed.
 func (m *Machine) assumeLeadership(now time.Duration) {
 	lead := m.leading
 	allEqual := m.digestsMatch()
@@ -250,9 +260,10 @@
 	}
 }
 
-// newestEntries merges the promised copies: of each entry the newest, but for what
-// is older than the newest whole write of any copy, which was never agreed or is
-// in that write. Equal copies need no tombstones.
+// mergePromises returns the newest promised value of each entry. It skips values older than
+// the newest base term: a leader of that term wrote the complete table, so such a value is
+// either in its snapshot or was never committed. If all members have equal entries, the
+// tombstones are not needed.
 func (lead *leadership) mergePromises(allEqual bool) map[string]Entry {
 	var base Term
 	for _, p := range lead.promises {
@@ -274,7 +285,8 @@
 	return newest
 }
 
-// restampTable brings a new leader's table under its term, as entries to write.
+// rebaseTable gives all entries of a new leader's table a version of its term, and queues
+// them for writing.
 func (m *Machine) rebaseTable() {
 	lead := m.leading
 	lead.digest = 0
@@ -292,21 +304,23 @@
 	}
 }
 
-// sendFirst sends an owner's first write, which makes a copy whole: to a seat
-// that has all entries already no more than word of it, to one that may have them
-// nothing until it has promised.
+// sendInitialWrite sends the leader's first write, which completes a member's state. A member
+// whose digest shows that it has all entries is only told to rebase them; one that may have
+// them gets nothing until its promise shows it.
 func (m *Machine) sendInitialWrite(now time.Duration, member string) {
 	lead := m.leading
 	w := lead.pending.write
 	w.SentAt = now
-	if sum, ok := lead.promisedDigests[member]; w.Rebase && !ok {
+	if digest, ok := lead.promisedDigests[member]; w.Rebase && !ok {
 		return
-	} else if w.Rebase = w.Rebase && sum == w.Digest; w.Rebase {
+	} else if w.Rebase = w.Rebase && digest == w.Digest; w.Rebase {
 		w.Entries, w.Snapshot = nil, false
 	}
 	m.send(member, w, false)
 }
 
+// onReject handles a rejection of a candidate or leader. A candidate gives up once the rest
+// of its group is no quorum any more.
 func (m *Machine) onReject(now time.Duration, from string, msg Reject) {
 	lead := m.leading
 	if m.state.Group.Before(msg.Group) {
@@ -317,8 +331,8 @@
 	}
 	m.highestRound = max(m.highestRound, msg.Promised.Round)
 	if lead.serving {
-		// The seat has promised a later term to somebody who did not come to
-		// own the part. The owner takes a later one still, without waiting.
+		// The member has promised a later term to a candidate that was not elected. The
+		// leader starts an election for a still later term without waiting.
 		if lead.term.Less(msg.Promised) {
 			m.stepDown(now)
 			m.startElection(now, msg.Term)
--- a/rule/partition/lease.go
+++ b/rule/partition/lease.go
@@ -4,12 +4,15 @@
 	"time"
 )
 
+// followerLease returns how long a follower counts a lease: longer than the leader does by
+// the bound on clock drift.
 func (m *Machine) followerLease() time.Duration {
 	return time.Duration(float64(m.params.LeaseDuration) * (1 + m.params.Drift))
 }
 
-// patience is how long a seat waits longer than it must before it stands, so
-// that not all stand at once.
+// electionTimeout returns how long a member waits after the end of a lease before it starts an
+// election. It depends on the member's position and a random number, so that members rarely
+// start elections at the same time.
 func (m *Machine) electionTimeout() time.Duration {
 	rank := 0
 	for i, s := range m.state.Group.Members {
@@ -20,7 +23,8 @@
 	return time.Duration(float64(m.params.LeaseDuration) * (float64(rank)*0.25 + m.random()*0.15))
 }
 
-// Owns reports whether this seat owns the part now, and under which term.
+// LeadingTerm returns the term in which this member serves as the leader. It reports false if
+// it doesn't, or if its lease has expired.
 func (m *Machine) LeadingTerm(now time.Duration) (Term, bool) {
 	if m.leading == nil || !m.leading.serving || !m.hasLease(now) {
 		return Term{}, false
@@ -28,6 +32,7 @@
 	return m.leading.term, true
 }
 
+// hasLease reports whether a quorum renews the leader's lease.
 func (m *Machine) hasLease(now time.Duration) bool {
 	lead := m.leading
 	return lead.group.hasQuorum(func(member string) bool {
@@ -36,11 +41,15 @@
 	})
 }
 
+// extendLease counts the lease of a term's leader anew from now.
 func (m *Machine) extendLease(now time.Duration, term Term) {
 	m.leaseTerm, m.leaseUntil = term, now+m.followerLease()
 	m.electionAt = m.leaseUntil + m.electionTimeout()
 }
 
+// onRenewLease renews the lease of a leader whose term this member has promised. For a later
+// term, which it hasn't promised yet, it answers without renewing: the time in that answer is
+// already a whole lease ago.
 func (m *Machine) onRenewLease(now time.Duration, from string, msg RenewLease) {
 	if msg.Term.Less(m.state.Promised) {
 		m.send(from, Reject{Term: msg.Term, Promised: m.state.Promised, Group: m.state.Group}, false)
@@ -60,12 +69,13 @@
 		m.setDigestKey(msg.DigestKey)
 		ack.Diverged = m.digest|1 != msg.Digest
 	}
-	// While the term is not known to be on disk, the answer waits for it: a power
-	// loss could make this replica forget the term, and vote for another leader
-	// while this one's lease rests on its word.
+	// The answer waits until the term is known to be on disk. Otherwise this replica could
+	// forget the term in a power loss and promise another leader while this lease holds.
 	m.send(from, ack, m.durableTerm != msg.Term)
 }
 
+// onLeaseAck counts a renewal, and sends a snapshot to a member that lacks committed writes or
+// has diverged.
 func (m *Machine) onLeaseAck(now time.Duration, from string, msg LeaseAck) {
 	lead := m.leading
 	if lead == nil || msg.Term != lead.term {
--- a/rule/partition/machine.go
+++ b/rule/partition/machine.go
@@ -6,8 +6,8 @@
 	"saffronfall/rule/invariant"
 )
 
-// Machine is one seat of one part: it keeps a copy, promises terms, and may own
-// the part.
+// Machine is one member's replica of a partition. It stores a State, promises terms to
+// candidates, and may become the leader. It isn't safe for concurrent use.
 type Machine struct {
 	Counters Counters
 
@@ -17,58 +17,69 @@
 	rules     Rules
 	state     State
 	random    func() float64
-	outlets
+	effects
+	// completeSeq is the sequence number up to which this replica has every write of
+	// completeTerm.
 	completeSeq  uint64
 	completeTerm Term
-	leaseTerm    Term
-	leaseUntil   time.Duration
-	electionAt   time.Duration
+	// leaseTerm is the last term whose lease this replica renewed, which may hold until
+	// leaseUntil.
+	leaseTerm  Term
+	leaseUntil time.Duration
+	// electionAt is when the election timeout ends.
+	electionAt time.Duration
+	// highestRound is the highest round seen in a rejection.
 	highestRound uint64
-	leading      *leadership
-	change       *memberChange
-	// sum is the digest of the copy's entries under digestKey.
+	// leading is set while this member is the candidate or leader of a term.
+	leading *leadership
+	// change is the leader's membership change in progress.
+	change *memberChange
+	// digest is that of the stored entries under digestKey.
 	digest    uint64
 	digestKey DigestKey
-	// durable is the newest term that this replica's disk is known to hold.
+	// durableTerm is the newest term that this replica's disk is known to hold.
 	durableTerm Term
 }
 
-// outlets are where a machine's words go: what a step wants done, and violated
-// invariants.
-type outlets struct {
+// effects collects what a step wants done, and receives violated invariants.
+type effects struct {
 	out      *Output
 	violated invariant.Report
 }
 
+// leadership is the state of a candidate or leader in one term.
 type leadership struct {
-	term     Term
+	term Term
+	// released is a term whose leader no longer serves; see Prepare.
 	released Term
 	preVote  bool
-	// key is what digests are made with in this term.
+	// digestKey is the key of the term's digests.
 	digestKey      DigestKey
 	rejected       map[string]bool
 	promises       map[string]Promise
 	phaseStartedAt time.Duration
 	preparedAt     time.Duration
-	// full is set when the digests of a majority differ, so that entries are
-	// needed; light has the digests that seats promised with.
+	// needEntries is set when the digests of a quorum differ, so that the candidate needs
+	// the entries themselves.
 	needEntries     bool
 	promisedDigests map[string]uint64
 	serving         bool
 	group           Group
 	committedGroup  Group
 	table           map[string]Entry
-	// superseded has the agreed values of entries whose newest one, in the table,
-	// is not agreed yet.
-	superseded     map[string]Entry
-	digest         uint64
-	seq            uint64
-	committedSeq   uint64
-	purgedSeq      uint64
-	pending        *pendingWrite
-	queuedEntries  []Entry
-	queuedPurges   []Entry
-	queuedResults  []Result
+	// superseded has the committed values of entries whose newest value, in the table, is
+	// not committed yet.
+	superseded   map[string]Entry
+	digest       uint64
+	seq          uint64
+	committedSeq uint64
+	purgedSeq    uint64
+	// pending is the write that waits for a quorum; what is queued goes into the next one.
+	pending       *pendingWrite
+	queuedEntries []Entry
+	queuedPurges  []Entry
+	queuedResults []Result
+	// ackedAt has, by member, when the latest message that it acknowledged was sent.
 	ackedAt        map[string]time.Duration
 	completeSeq    map[string]uint64
 	snapshotSentAt map[string]time.Duration
@@ -81,26 +92,29 @@
 	queuedGroup    *Group
 }
 
-// Options make a machine.
+// Options configure a Machine.
 type Options struct {
-	Params    Params
+	Params Params
+	// Member is the identity of this replica in its group.
 	Member    string
 	Partition int
 	Rules     Rules
-	State     State
-	Now       time.Duration
-	Random    func() float64
-	// Violated takes violated invariants; without it they panic.
+	// State is what the member's disk holds; its zero value is that of a new member.
+	State State
+	Now   time.Duration
+	// Random returns numbers in [0, 1).
+	Random func() float64
+	// Violated reports violated invariants; if it is nil they panic.
 	Violated invariant.Report
 }
 
-// New makes a machine from what its disk holds. As it may have renewed an
-// owner's hold just before it stopped, it first waits as long as one lasts.
+// New returns a Machine that continues from the state on its disk. As it may have renewed
+// a leader's lease just before it stopped, it first waits for the duration of a lease.
 func New(o Options) *Machine {
 	if o.State.Entries == nil {
 		o.State.Entries = map[string]Entry{}
 	}
-	m := &Machine{params: o.Params, member: o.Member, partition: o.Partition, rules: o.Rules, state: o.State, random: o.Random, outlets: outlets{violated: o.Violated}}
+	m := &Machine{params: o.Params, member: o.Member, partition: o.Partition, rules: o.Rules, state: o.State, random: o.Random, effects: effects{violated: o.Violated}}
 	m.digest = m.digestKey.table(o.State.Entries)
 	m.durableTerm = o.State.Promised
 	m.leaseTerm = o.State.Promised
@@ -110,26 +124,28 @@
 	}
 	m.electionAt = m.leaseUntil + m.electionTimeout()
 	if o.State.Promised.Leader == o.Member {
-		// The hold that it may have renewed was its own, and ended with it.
+		// Any lease that it renewed was its own, and ended when it stopped.
 		m.leaseUntil, m.electionAt = o.Now, o.Now
 	}
 	return m
 }
 
+// clock returns the partition's clock at the leader.
 func (m *Machine) clock(now time.Duration) time.Duration {
 	return m.leading.clockBase + now - m.leading.clockBaseAt
 }
 
-// Group is the group that this seat knows of.
+// Group returns the latest group that this replica knows.
 func (m *Machine) Group() Group { return m.state.Group }
 
-// Copied is this seat's own copy, for reading only.
+// State returns the stored state of this replica. The caller must not modify it.
 func (m *Machine) State() State { return m.state }
 
-// Owner is the term that this seat believes to be in force.
+// CurrentTerm returns the last term whose lease this replica renewed.
 func (m *Machine) CurrentTerm() Term { return m.leaseTerm }
 
-// Committed is up to where the owner's entries are agreed.
+// CommittedVersion returns the version up to which entries are committed. It reports
+// false if this member doesn't serve as the leader.
 func (m *Machine) CommittedVersion() (Version, bool) {
 	if m.leading == nil || !m.leading.serving {
 		return Version{}, false
@@ -137,10 +153,11 @@
 	return Version{Term: m.leading.term, Seq: m.leading.committedSeq}, true
 }
 
-func (m *Machine) send(to string, body any, synced bool) {
-	m.out.Sends = append(m.out.Sends, Send{To: to, Body: body, AfterSync: synced})
+func (m *Machine) send(to string, body any, afterSync bool) {
+	m.out.Sends = append(m.out.Sends, Send{To: to, Body: body, AfterSync: afterSync})
 }
 
+// record applies a change to the state and has it synced to disk.
 func (m *Machine) record(r Record) {
 	r.Partition = m.partition
 	if r.Promised != (Term{}) && r.Promised.Less(m.state.Promised) {
@@ -170,7 +187,8 @@
 	}
 }
 
-// Tick lets time pass: owners renew and sweep, others stand when nobody renews.
+// Tick runs what has become due: a leader renews its lease and sweeps, another member starts
+// an election once its election timeout has passed.
 func (m *Machine) Tick(now time.Duration) Output {
 	m.out = &Output{}
 	lead := m.leading
@@ -182,7 +200,7 @@
 	case !lead.serving && now > lead.phaseStartedAt+m.params.LeaseDuration:
 		m.stepDown(now)
 	case !lead.serving && lead.table == nil && now > lead.preparedAt+m.params.LeaseDuration/10:
-		// Some may have been away when they were asked.
+		// Requests may have been lost or their receivers down.
 		m.sendPrepare(now)
 	case !lead.serving && lead.pending != nil && now > lead.pending.sentAt+m.params.LeaseDuration/4:
 		lead.pending.sentAt = now
@@ -199,6 +217,8 @@
 	return *m.out
 }
 
+// tickLeader runs the due work of a serving leader: lease renewals, sweeps, retransmissions,
+// membership changes, and the transfer of leadership to the preferred member.
 func (m *Machine) tickLeader(now time.Duration) {
 	lead := m.leading
 	if now >= lead.nextRenewal {
@@ -212,7 +232,7 @@
 			m.purgeTombstones()
 		}
 		for _, member := range m.recipients() {
-			// A write that it took meanwhile has renewed the hold.
+			// An acknowledged write has renewed the lease already.
 			if at, ok := lead.ackedAt[member]; renew.Digest == 0 && ok && now < at+interval && lead.completeSeq[member] >= lead.committedSeq {
 				continue
 			}
@@ -252,7 +272,7 @@
 	}
 }
 
-// Receive takes a message of another seat, or the machine's own.
+// Receive handles a message of another member, or one that the machine sent to itself.
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
 	m.out = &Output{}
 	switch b := body.(type) {
--- a/rule/partition/membership.go
+++ b/rule/partition/membership.go
@@ -4,31 +4,41 @@
 	"time"
 )
 
+// memberChange is a membership change that the leader runs.
 type memberChange struct {
 	requestID uint64
-	group     Group
-	adding    string
-	step      int
-	// began and heard are when the change began and when the seat to be added was
-	// last heard of.
+	// group is the joint group.
+	group  Group
+	adding string
+	step   int
+	// startedAt is when the change began, heardAt when the member to be added last
+	// acknowledged a message.
 	startedAt, heardAt time.Duration
-	// held is since when writes wait for that seat to catch up.
+	// heldSince is since when writes are held back for that member to catch up.
 	heldSince time.Duration
 }
 
+// Steps of a membership change.
 const (
-	// silentTerms is after how many terms without a sign of the seat to be added
-	// a change is given up, longestTerms after how many it is in any case.
+	stepCatchUp = iota // the member to be added receives a snapshot and writes
+	stepJoint          // the joint group is proposed
+	stepFinal          // the group without former members is proposed
+)
+
+const (
+	// maxSilentLeases is after how many leases without an acknowledgement of the member to
+	// be added a change is aborted, maxChangeLeases after how many in any case.
 	maxSilentLeases = 8
 	maxChangeLeases = 30
-	// nearly is by how many writes a seat may be behind for the owner to hold its
-	// next write back until the seat has caught up.
+	// catchUpWrites is how many writes a new member may lag behind for the leader to hold
+	// back its next write until the member has caught up.
 	catchUpWrites = 8
 )
 
-// Change asks the owner to move its group: one seat to add, one to remove,
-// either may be empty. The seat that comes takes the place of the one that goes.
-// Where that one has gone already, there is nothing to do.
+// ChangeMembers asks the leader to change its group by one member to add and one to remove,
+// either of which may be empty. An added member takes the position of the removed one. The
+// Result's body reports whether the group is as asked; it is false if the change was aborted
+// or another one is in progress, and true at once if the member to remove has left already.
 func (m *Machine) ChangeMembers(now time.Duration, requestID uint64, add, remove string) Output {
 	m.out = &Output{}
 	lead := m.leading
@@ -69,19 +79,20 @@
 	return *m.out
 }
 
-// Changing reports whether a change is under way, and which seat it adds as long
-// as it can still be given up.
+// ChangeInProgress reports whether a change is in progress, and which member it adds as long as
+// it can still be aborted.
 func (m *Machine) ChangeInProgress() (adding string, changing bool) {
 	switch {
 	case m.change == nil:
 		return "", m.leading != nil && len(m.leading.group.Former) > 0
-	case m.change.step > 0:
+	case m.change.step > stepCatchUp:
 		return "", true
 	}
 	return m.change.adding, true
 }
 
-// Agreed is the group that the owner's seats have agreed on last.
+// CommittedGroup returns the last committed group. It reports false if this member doesn't
+// serve as the leader.
 func (m *Machine) CommittedGroup() (Group, bool) {
 	if m.leading == nil || !m.leading.serving {
 		return Group{}, false
@@ -89,7 +100,7 @@
 	return m.leading.committedGroup, true
 }
 
-// GiveUp ends a change whose new group was not proposed yet.
+// AbortChange aborts a membership change whose joint group was not proposed yet.
 func (m *Machine) AbortChange(now time.Duration) Output {
 	m.out = &Output{}
 	m.abortChange(now)
@@ -97,7 +108,7 @@
 }
 
 func (m *Machine) abortChange(now time.Duration) {
-	if m.change == nil || m.change.step > 0 {
+	if m.change == nil || m.change.step > stepCatchUp {
 		return
 	}
 	m.out.Results = append(m.out.Results, Result{RequestID: m.change.requestID, Body: false})
@@ -105,8 +116,8 @@
 	m.flush(now)
 }
 
-// Order puts the seats of a group, which stay the same, in another order. The
-// first one is the part's home.
+// ReorderMembers changes the order of the group's members, the first of which is the preferred
+// leader. It does nothing if the members differ or if a write or change is in progress.
 func (m *Machine) ReorderMembers(now time.Duration, members []string) Output {
 	m.out = &Output{}
 	lead := m.leading
@@ -130,28 +141,30 @@
 	return true
 }
 
+// advanceChange takes the next step of a membership change once no write is pending: it waits
+// for the new member to catch up, then commits the joint group, then the final one.
 func (m *Machine) advanceChange(now time.Duration) {
 	c, lead := m.change, m.leading
 	if c == nil || lead == nil || lead.pending != nil {
 		return
 	}
 	switch c.step {
-	case 0:
+	case stepCatchUp:
 		if c.adding != "" && lead.completeSeq[c.adding] < lead.committedSeq {
 			if lead.completeSeq[c.adding]+catchUpWrites >= lead.committedSeq && now >= c.heldSince+m.params.LeaseDuration/4 {
 				c.heldSince = now
 			}
 			return
 		}
-		c.step = 1
+		c.step = stepJoint
 		group := c.group
 		lead.queuedGroup = &group
 		m.flush(now)
-	case 1:
-		c.step = 2
+	case stepJoint:
+		c.step = stepFinal
 		lead.queuedGroup = &Group{Term: lead.term, Epoch: c.group.Epoch + 1, Members: c.group.Members}
 		m.flush(now)
-	case 2:
+	case stepFinal:
 		m.out.Results = append(m.out.Results, Result{RequestID: c.requestID, Body: true})
 		m.change = nil
 		for _, member := range c.group.Former {
@@ -165,12 +178,13 @@
 	}
 }
 
-// holding reports whether writes wait for the seat to be added.
+// writesHeld reports whether writes are held back for the member to be added.
 func (m *Machine) writesHeld(now time.Duration) bool {
 	c, lead := m.change, m.leading
-	return c != nil && c.step == 0 && c.adding != "" && c.heldSince > 0 && now < c.heldSince+m.params.LeaseDuration/8 && lead.completeSeq[c.adding] < lead.committedSeq
+	return c != nil && c.step == stepCatchUp && c.adding != "" && c.heldSince > 0 && now < c.heldSince+m.params.LeaseDuration/8 && lead.completeSeq[c.adding] < lead.committedSeq
 }
 
+// noteNewMember records an acknowledgement if it is from the member to be added.
 func (m *Machine) noteNewMember(now time.Duration, from string) {
 	if m.change != nil && m.change.adding == from {
 		m.change.heardAt = now
--- /dev/null
+++ b/rule/partition/messages.go
@@ -0,0 +1,102 @@
+package partition
+
+import "time"
+
+// Messages between the members of a group. SentAt is always a time of the clock of the
+// candidate or leader; answers return it unchanged.
+type (
+	// Prepare asks for the promise of a term. A pre-vote binds no one; it keeps a member
+	// that was partitioned from deposing a leader that serves.
+	Prepare struct {
+		PreVote bool `msgpack:"a"`
+		// DigestOnly asks for the digest of the entries instead of the entries.
+		DigestOnly bool `msgpack:"l"`
+		// DigestKey is the key of the term's digests.
+		DigestKey DigestKey `msgpack:"k"`
+		Term      Term      `msgpack:"t"`
+		Group     Group     `msgpack:"g"`
+		// Released is a term whose leader no longer serves, so that its lease doesn't count:
+		// one that handed over to the candidate, or the candidate's own former term.
+		Released Term          `msgpack:"r"`
+		SentAt   time.Duration `msgpack:"s"`
+	}
+	// Promise answers Prepare, with the state of the member or its digest.
+	Promise struct {
+		PreVote bool `msgpack:"a"`
+		// DigestOnly means that Digest is set and Entries is empty.
+		DigestOnly bool          `msgpack:"l"`
+		Digest     uint64        `msgpack:"u"`
+		Term       Term          `msgpack:"t"`
+		Base       Term          `msgpack:"b"`
+		Group      Group         `msgpack:"g"`
+		Clock      time.Duration `msgpack:"c"`
+		Entries    []Entry       `msgpack:"e"`
+		SentAt     time.Duration `msgpack:"s"`
+	}
+	// Reject rejects a message of a term, because of a higher promise, a newer group or the
+	// lease of another leader. It also tells removed members of the new group.
+	Reject struct {
+		Term     Term  `msgpack:"t"`
+		Promised Term  `msgpack:"p"`
+		Group    Group `msgpack:"g"`
+		// LeaseRemaining is how long that lease may still hold.
+		LeaseRemaining time.Duration `msgpack:"w"`
+	}
+	// Write replicates entries, or a snapshot of all entries, and renews the lease.
+	Write struct {
+		// Rebase means that the member's own entries, if they have this Digest, get a
+		// version of the write's term.
+		Rebase bool   `msgpack:"x"`
+		Digest uint64 `msgpack:"u"`
+		Term   Term   `msgpack:"t"`
+		Seq    uint64 `msgpack:"q"`
+		// PriorSeq is up to where a member must be complete to be complete with this write.
+		PriorSeq uint64        `msgpack:"p"`
+		Group    Group         `msgpack:"g"`
+		Clock    time.Duration `msgpack:"c"`
+		Entries  []Entry       `msgpack:"e"`
+		// Purged has the tombstones to remove.
+		Purged   []Entry       `msgpack:"d"`
+		Snapshot bool          `msgpack:"w"`
+		SentAt   time.Duration `msgpack:"s"`
+	}
+	// WriteAck acknowledges a write that is on disk.
+	WriteAck struct {
+		Term Term   `msgpack:"t"`
+		Seq  uint64 `msgpack:"q"`
+		// CompleteSeq is up to where the member has all writes of the term.
+		CompleteSeq uint64        `msgpack:"w"`
+		SentAt      time.Duration `msgpack:"s"`
+		// DigestMismatch means that the member didn't apply a rebase because it has other
+		// entries.
+		DigestMismatch bool `msgpack:"l"`
+	}
+	// RenewLease renews the leader's lease.
+	RenewLease struct {
+		Term   Term          `msgpack:"t"`
+		Clock  time.Duration `msgpack:"c"`
+		SentAt time.Duration `msgpack:"s"`
+		// Digest is set in a sweep; it is that of all entries up to Seq.
+		Digest    uint64    `msgpack:"d"`
+		DigestKey DigestKey `msgpack:"k"`
+		Seq       uint64    `msgpack:"q"`
+	}
+	// LeaseAck acknowledges RenewLease.
+	LeaseAck struct {
+		Term        Term          `msgpack:"t"`
+		CompleteSeq uint64        `msgpack:"w"`
+		SentAt      time.Duration `msgpack:"s"`
+		// Diverged means that the member's entries differ from the digest of a sweep.
+		Diverged bool `msgpack:"x"`
+	}
+	// TermDurable is a message of a replica to itself, delivered once its promise of the
+	// term is on disk. From then on it may renew the lease of that term's leader at once.
+	TermDurable struct {
+		Term Term `msgpack:"t"`
+	}
+	// TransferLeadership makes the receiver start an election without waiting for the end
+	// of the sender's lease, which the sender has given up.
+	TransferLeadership struct {
+		Term Term `msgpack:"t"`
+	}
+)
--- a/rule/partition/replication.go
+++ b/rule/partition/replication.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// pendingWrite is a leader's write that waits for a quorum, with the results that depend on it.
 type pendingWrite struct {
 	seq     uint64
 	write   Write
@@ -14,8 +15,8 @@
 	group   *Group
 }
 
-// Propose runs a command at the owner. Its answer comes in a return, in this
-// step's output or a later one's, once all that it rests on is agreed.
+// Propose runs a command at the leader. Its Result is in this output or a later one, once all
+// writes that the command has read or made are committed.
 func (m *Machine) Propose(now time.Duration, requestID uint64, command any) Output {
 	m.out = &Output{}
 	if _, ok := m.LeadingTerm(now); !ok {
@@ -24,8 +25,7 @@
 	}
 	lead := m.leading
 	tx := &Tx{m: m, now: now}
-	answer := m.rules.Apply(now, tx, command)
-	result := Result{RequestID: requestID, Body: answer}
+	result := Result{RequestID: requestID, Body: m.rules.Apply(now, tx, command)}
 	switch {
 	case tx.wrote || len(lead.queuedEntries) > 0:
 		lead.queuedResults = append(lead.queuedResults, result)
@@ -38,6 +38,8 @@
 	return *m.out
 }
 
+// flush sends what is queued as the next write, unless one is pending or writes are held back
+// for a new member.
 func (m *Machine) flush(now time.Duration) {
 	lead := m.leading
 	if lead.pending != nil || m.writesHeld(now) || (len(lead.queuedEntries) == 0 && lead.queuedGroup == nil && len(lead.queuedPurges) == 0) {
@@ -70,6 +72,8 @@
 	m.sendSnapshots(now)
 }
 
+// recipients returns the members that receive writes: those of the group and the one to be
+// added.
 func (m *Machine) recipients() []string {
 	all := m.leading.group.All()
 	if m.change != nil && m.change.adding != "" && !contains(all, m.change.adding) {
@@ -78,6 +82,8 @@
 	return all
 }
 
+// purgeTombstones queues the removal of committed tombstones, provided that all members have
+// all committed writes.
 func (m *Machine) purgeTombstones() {
 	lead := m.leading
 	for _, member := range lead.group.All() {
@@ -96,6 +102,7 @@
 	sort.Slice(lead.queuedPurges, func(i, j int) bool { return lead.queuedPurges[i].Key < lead.queuedPurges[j].Key })
 }
 
+// onWrite stores a leader's write and acknowledges it once it is on disk.
 func (m *Machine) onWrite(now time.Duration, from string, msg Write) {
 	if msg.Term.Less(m.state.Promised) {
 		m.send(from, Reject{Term: msg.Term, Promised: m.state.Promised, Group: m.state.Group}, false)
@@ -107,8 +114,8 @@
 	if m.completeTerm != msg.Term {
 		m.completeTerm, m.completeSeq = msg.Term, 0
 	}
-	// What this replica has taken already must not be applied again: entries that
-	// were removed since would come back.
+	// A write that was applied before must not be applied again: it would bring back entries
+	// that were deleted since and whose tombstones are purged.
 	duplicate := m.completeSeq >= msg.Seq && (msg.Rebase || !msg.Snapshot) || m.completeSeq > msg.Seq
 	if msg.Rebase && !duplicate && m.digest != msg.Digest {
 		m.send(from, WriteAck{Term: msg.Term, SentAt: msg.SentAt, DigestMismatch: true}, false)
@@ -125,6 +132,7 @@
 	m.send(from, WriteAck{Term: msg.Term, Seq: msg.Seq, CompleteSeq: m.completeSeq, SentAt: msg.SentAt}, true)
 }
 
+// onWriteAck counts an acknowledgement, and commits the pending write once it has a quorum.
 func (m *Machine) onWriteAck(now time.Duration, from string, msg WriteAck) {
 	lead := m.leading
 	if lead == nil || msg.Term != lead.term {
@@ -133,26 +141,27 @@
 	lead.completeSeq[from] = max(lead.completeSeq[from], msg.CompleteSeq)
 	lead.ackedAt[from] = max(lead.ackedAt[from], msg.SentAt)
 	m.noteNewMember(now, from)
-	f := lead.pending
-	if msg.DigestMismatch && f != nil && f.write.Rebase {
-		// What it promised with is not what it has now; it gets the entries.
-		lead.promisedDigests[from] = f.write.Digest + 1
-		w := f.write
+	pending := lead.pending
+	if msg.DigestMismatch && pending != nil && pending.write.Rebase {
+		// The member's entries have changed since its promise, so it needs the snapshot.
+		// Any other digest than the write's makes retransmissions send it too.
+		lead.promisedDigests[from] = pending.write.Digest + 1
+		w := pending.write
 		w.Rebase, w.SentAt = false, now
 		m.send(from, w, false)
 	}
-	if f == nil || f.seq != msg.Seq {
+	if pending == nil || pending.seq != msg.Seq {
 		m.advanceChange(now)
 		m.flush(now)
 		return
 	}
-	f.acked[from] = true
-	if !lead.group.hasQuorum(func(member string) bool { return f.acked[member] }) {
+	pending.acked[from] = true
+	if !lead.group.hasQuorum(func(member string) bool { return pending.acked[member] }) {
 		return
 	}
-	lead.pending, lead.committedSeq, lead.committedGroup = nil, f.seq, lead.group
-	lead.markCommitted(f.write.Entries)
-	m.out.Results = append(m.out.Results, f.results...)
+	lead.pending, lead.committedSeq, lead.committedGroup = nil, pending.seq, lead.group
+	lead.markCommitted(pending.write.Entries)
+	m.out.Results = append(m.out.Results, pending.results...)
 	if !lead.serving {
 		lead.serving, lead.servingSince = true, now
 		m.Counters.Elected++
@@ -163,8 +172,7 @@
 	m.flush(now)
 }
 
-// fill sends a seat all that there is, unless that is on its way. It waits until
-// nothing is queued, so that what it sends is what the last write left.
+// scheduleSnapshot marks a member for a snapshot, unless it was sent one recently.
 func (m *Machine) scheduleSnapshot(now time.Duration, to string) {
 	lead := m.leading
 	if at, ok := lead.snapshotSentAt[to]; ok && now < at+2*m.params.LeaseDuration {
@@ -174,6 +182,8 @@
 	m.sendSnapshots(now)
 }
 
+// sendSnapshots sends the complete table to the members marked for it. It waits until nothing
+// is queued, so that a snapshot holds exactly the writes up to its sequence number.
 func (m *Machine) sendSnapshots(now time.Duration) {
 	lead := m.leading
 	if len(lead.needsSnapshot) == 0 || len(lead.queuedEntries) > 0 || len(lead.queuedPurges) > 0 || lead.queuedGroup != nil {
@@ -194,7 +204,8 @@
 	clear(lead.needsSnapshot)
 }
 
-// Dropped is the sequence up to which marks of removal may be missing.
+// PurgedSeq returns the sequence number up to which tombstones may have been purged, or 0 if
+// this member isn't the leader.
 func (m *Machine) PurgedSeq() uint64 {
 	if m.leading == nil {
 		return 0
