--- a/rule/partition/durable_test.go
+++ b/rule/partition/durable_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// machineOf makes one replica of a group of three, and the leader's term.
+// replicaUnderTest returns replica b of a group of three, a leader's term, and the group.
 func replicaUnderTest(t *testing.T) (*Machine, Term, Group) {
 	t.Helper()
 	group := Group{Epoch: 1, Members: []string{"a", "b", "c"}}
@@ -14,10 +14,9 @@
 	return m, Term{Round: 1, Leader: "a"}, group
 }
 
-// leaseVote is the vote that an output sends without waiting for the disk: up to
-// when it lets the leader hold its lease, by the leader's own clock at the sending
-// of its renewal.
-func leaseVote(o Output) (sent time.Duration, voted bool) {
+// immediateLeaseAck returns the time in a LeaseAck that an output sends to the leader without
+// waiting for the disk.
+func immediateLeaseAck(o Output) (sent time.Duration, renewed bool) {
 	for _, s := range o.Sends {
 		if r, ok := s.Body.(LeaseAck); ok && s.To == "a" && !s.AfterSync {
 			return r.SentAt, true
@@ -26,33 +25,32 @@
 	return 0, false
 }
 
-// TestLeaseVoteWaitsForTheDisk: a replica that has a leader's term in memory only
-// could lose power, come back without it and vote for another leader at once. So
-// it does not prolong the leader's lease before that term is on its disk.
-func TestLeaseVoteWaitsForTheDisk(t *testing.T) {
+// TestLeaseAckWaitsForDisk guards against a replica that renews a lease while the leader's term
+// is in its memory only: it could lose power, forget the term and promise another leader.
+func TestLeaseAckWaitsForDisk(t *testing.T) {
 	m, term, group := replicaUnderTest(t)
 	group.Term = term
 	now := time.Second
 	written := m.Receive(now, "a", Write{Term: term, Seq: 1, Group: group, Snapshot: true, SentAt: now})
-	vote, voted := leaseVote(m.Receive(now, "a", RenewLease{Term: term, SentAt: now}))
-	if voted && vote > now-m.params.LeaseDuration {
-		t.Errorf("the lease was prolonged by a vote that rests on memory alone")
+	sent, renewed := immediateLeaseAck(m.Receive(now, "a", RenewLease{Term: term, SentAt: now}))
+	if renewed && sent > now-m.params.LeaseDuration {
+		t.Errorf("the lease was renewed before the term is on disk")
 	}
 	for _, s := range written.Sends {
 		if s.To == "b" && s.AfterSync {
 			m.Receive(now, "b", s.Body)
 		}
 	}
-	vote, voted = leaseVote(m.Receive(now, "a", RenewLease{Term: term, SentAt: now}))
-	if !voted || vote != now {
-		t.Errorf("the lease was not prolonged though the term is on disk: %v %v", vote, voted)
+	sent, renewed = immediateLeaseAck(m.Receive(now, "a", RenewLease{Term: term, SentAt: now}))
+	if !renewed || sent != now {
+		t.Errorf("the lease was not renewed though the term is on disk: %v %v", sent, renewed)
 	}
 }
 
-// TestLateWriteDoesNotBringBackWhatWasRemoved: a write that a cut held up comes
-// after its entry's removal was taken by all and the tombstone dropped.
-func TestLateWriteDoesNotBringBackWhatWasRemoved(t *testing.T) {
-	for _, whole := range []bool{false, true} {
+// TestLateWriteDoesNotRestoreDeletedEntry delivers a delayed write after its entry was deleted
+// and the tombstone purged.
+func TestLateWriteDoesNotRestoreDeletedEntry(t *testing.T) {
+	for _, snapshot := range []bool{false, true} {
 		c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 		c.advance(300 * time.Millisecond)
 		leader := c.leader()
@@ -61,8 +59,8 @@
 			other = "b"
 		}
 		var held []packet
-		if whole {
-			// A snapshot for another replica, caught on its way.
+		if snapshot {
+			// A snapshot for another replica, delayed by the network.
 			c.propose(leader, put{"ghost", "boo"})
 			c.replicas[leader].leading.needsSnapshot[other] = true
 			c.replicas[leader].out = &Output{}
@@ -80,19 +78,19 @@
 			c.propose(leader, put{"ghost", "boo"})
 		}
 		if len(held) == 0 {
-			t.Fatal("no write was held up")
+			t.Fatal("no write was delayed")
 		}
 		c.propose(leader, put{"ghost", ""})
 		c.advance(time.Second)
 		if _, ok := c.replicas[other].state.Entries["ghost"]; ok {
-			t.Fatal("the tombstone was not dropped")
+			t.Fatal("the tombstone was not purged")
 		}
 		for _, p := range held {
 			c.collect(p.to, c.replicas[p.to].Receive(c.now, p.from, p.body))
 		}
 		c.deliver()
 		if _, ok := c.replicas[other].state.Entries["ghost"]; ok {
-			t.Errorf("whole %v: a late write brought a removed entry back", whole)
+			t.Errorf("snapshot %v: a late write restored a deleted entry", snapshot)
 		}
 		c.replicas[leader] = nil
 		c.advance(500 * time.Millisecond)
@@ -100,24 +98,23 @@
 	}
 }
 
-// TestDigestsAreKeyedAnew: tenants choose what entries hold. Who doesn't know the
-// key of a term can't make two different tables look alike, and each term has a
-// key of its own.
-func TestDigestsAreKeyedAnew(t *testing.T) {
+// TestEachTermHasItsDigestKey checks that digests depend on a secret key that each term draws
+// anew, as tenants choose what entries hold and could construct collisions otherwise.
+func TestEachTermHasItsDigestKey(t *testing.T) {
 	entry := func(key, value string) Entry {
 		return Entry{Key: key, Value: []byte(value), Version: Version{Term: Term{Round: 1, Leader: "a"}, Seq: 1}}
 	}
 	one := map[string]Entry{"k": entry("k", "v"), "l": entry("l", "w")}
 	first, second := DigestKey{1, 2}, DigestKey{1, 3}
 	if first.table(one) != first.table(map[string]Entry{"l": entry("l", "w"), "k": entry("k", "v")}) {
-		t.Error("equal tables differ")
+		t.Error("equal tables have different digests")
 	}
 	if first.table(one) == second.table(one) {
-		t.Error("two keys give one digest")
+		t.Error("two keys give the same digest")
 	}
 	for _, other := range []map[string]Entry{{"k": entry("k", "v")}, {"k": entry("k", "w"), "l": entry("l", "v")}, {"kv": entry("kv", ""), "l": entry("l", "w")}} {
 		if first.table(one) == first.table(other) {
-			t.Errorf("%v looks like %v", other, one)
+			t.Errorf("%v has the digest of %v", other, one)
 		}
 	}
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
--- a/rule/partition/joining_test.go
+++ b/rule/partition/joining_test.go
@@ -5,59 +5,58 @@
 	"time"
 )
 
-// TestJoiningSeatThatMissedItsGroup: a seat is to take the owner's place while
-// another one is gone. Those that are there have the group that changes on their
-// disks, the one that comes has not, and all begin a new life. The one that comes
-// must promise all the same, as there is no majority of the new seats without it.
-func TestJoiningSeatThatMissedItsGroup(t *testing.T) {
+// TestJoiningMemberThatMissedItsGroup restarts all members during a change that replaces the
+// leader while another member is down. The new member doesn't know the joint group yet; it must
+// promise all the same, as there is no majority of the new members without it.
+func TestJoiningMemberThatMissedItsGroup(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(500 * time.Millisecond)
 	leader := c.leader()
 	c.propose(leader, put{"k", "v"})
-	gone := c.follower(leader, "d")
-	stays := c.follower(leader, gone, "d")
-	c.replicas[gone] = nil
+	down := c.follower(leader, "d")
+	remaining := c.follower(leader, down, "d")
+	c.replicas[down] = nil
 	c.drop = func(from, to string, body any) bool {
 		w, ok := body.(Write)
 		return ok && to == "d" && len(w.Group.Former) > 0
 	}
 	c.change("d", leader)
 	c.advance(30 * time.Millisecond)
-	if g := c.replicas[stays].state.Group; len(g.Former) == 0 || !g.Has("d") {
-		t.Fatalf("%s has the group %v, want one that changes", stays, g)
+	if g := c.replicas[remaining].state.Group; len(g.Former) == 0 || !g.Has("d") {
+		t.Fatalf("%s has the group %v, want a joint one", remaining, g)
 	}
 	if g := c.replicas["d"].state.Group; g.Has("d") {
 		t.Fatalf("d has the group %v already", g)
 	}
 	c.drop = func(from, to string, body any) bool { return false }
 	c.network = nil
-	for _, s := range []string{leader, stays, "d"} {
+	for _, s := range []string{leader, remaining, "d"} {
 		c.restart(s)
 	}
 	c.advance(2 * time.Second)
 	if c.leader() == "" {
-		t.Fatal("nobody owns the part again")
+		t.Fatal("no leader after the restart")
 	}
 	c.wantValue("k", "v")
 	if g := c.replicas[c.leader()].state.Group; len(g.Former) > 0 || !g.Has("d") || g.Has(leader) {
-		t.Errorf("the group is %v, want d, %s and %s", g, stays, gone)
+		t.Errorf("the group is %v, want d, %s and %s", g, remaining, down)
 	}
 }
 
-// TestRemovedSeatPromisesNothing: a seat that has left its group answers no
-// candidate of a group that came before that.
-func TestRemovedSeatPromisesNothing(t *testing.T) {
+// TestRemovedMemberPromisesNothing checks that a removed member doesn't answer a candidate of
+// an older group.
+func TestRemovedMemberPromisesNothing(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(500 * time.Millisecond)
 	former := c.replicas["a"].state.Group
-	gone := c.follower(c.leader(), "d")
-	c.mustChange("d", gone)
+	removed := c.follower(c.leader(), "d")
+	c.mustChange("d", removed)
 	c.advance(300 * time.Millisecond)
-	if c.replicas[gone].state.Group.Has(gone) {
-		t.Fatalf("%s is in %v still", gone, c.replicas[gone].state.Group)
+	if c.replicas[removed].state.Group.Has(removed) {
+		t.Fatalf("%s is still in %v", removed, c.replicas[removed].state.Group)
 	}
-	ask := Prepare{PreVote: true, Term: Term{Round: 1000, Leader: "a"}, Group: former}
-	if o := c.replicas[gone].Receive(c.now+time.Hour, "a", ask); len(o.Sends) > 0 {
-		t.Errorf("%s answers a candidate of a former group: %+v", gone, o.Sends)
+	prepare := Prepare{PreVote: true, Term: Term{Round: 1000, Leader: "a"}, Group: former}
+	if o := c.replicas[removed].Receive(c.now+time.Hour, "a", prepare); len(o.Sends) > 0 {
+		t.Errorf("%s answers a candidate of a former group: %+v", removed, o.Sends)
 	}
 }
--- a/rule/partition/machine_test.go
+++ b/rule/partition/machine_test.go
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// bench is a group on a table: messages are carried by hand, so that a test
-// says which arrive.
+// cluster runs the replicas of a group with a simulated clock and network, in which a test
+// decides what is lost.
 type cluster struct {
 	t        *testing.T
 	now      time.Duration
@@ -60,10 +60,10 @@
 
 func (c *cluster) collect(from string, o Output) {
 	for _, s := range o.Sends {
-		// A candidate's own promise must be on its disk before it asks for
-		// others', or its next life could own the part under the same term.
-		if stand, ok := s.Body.(Prepare); ok && !stand.PreVote && s.To != from && (!s.AfterSync || c.replicas[from].state.Promised != stand.Term) {
-			c.t.Errorf("%s stands for %v with no durable promise of its own", from, stand.Term)
+		// A candidate's own promise must be on its disk before it asks for others, or
+		// it could lead under the same term again after a restart.
+		if prepare, ok := s.Body.(Prepare); ok && !prepare.PreVote && s.To != from && (!s.AfterSync || c.replicas[from].state.Promised != prepare.Term) {
+			c.t.Errorf("%s is a candidate for %v without a durable promise of its own", from, prepare.Term)
 		}
 		c.network = append(c.network, packet{from, s.To, s.Body})
 	}
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestOwnerChangeKeepsWhatWasAgreed(t *testing.T) {
+func TestLeaderChangeKeepsCommittedWrites(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
 	first := c.leader()
@@ -134,75 +134,75 @@
 	c.replicas[first] = nil
 	c.advance(500 * time.Millisecond)
 	if c.leader() == "" || c.leader() == first {
-		t.Fatalf("owner after the loss of %s: %q", first, c.leader())
+		t.Fatalf("leader after the loss of %s: %q", first, c.leader())
 	}
 	for i := 0; i < 5; i++ {
 		c.wantValue(fmt.Sprint(i), "x")
 	}
 }
 
-// A write that one seat took and that no owner ever agreed must not come back
-// when a later owner, who never saw it, has served without it.
-func TestLeftOverWriteStaysGone(t *testing.T) {
+// TestUncommittedWriteStaysLost checks that a write which only one member has, and which was
+// never committed, isn't restored after a later leader has served without it.
+func TestUncommittedWriteStaysLost(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
 	first := c.leader()
 	c.drop = func(from, to string, body any) bool { return from == first && to != first }
 	if r := c.propose(first, put{"ghost", "boo"}); !r.Uncertain {
-		t.Fatal("a write without a majority was answered")
+		t.Fatal("a write without a majority was acknowledged")
 	}
-	holder := c.replicas[first]
+	old := c.replicas[first]
 	c.replicas[first] = nil
 	c.drop = func(string, string, any) bool { return false }
 	c.advance(500 * time.Millisecond)
 	second := c.leader()
 	c.wantValue("ghost", "")
-	// The seat with the leftover returns and the owner that never saw it goes.
-	c.replicas[first] = New(Options{Params: holder.params, Member: first, Rules: registers{}, State: holder.state, Now: c.now, Random: func() float64 { return 0 }})
+	// The member with the uncommitted write returns, and the leader without it stops.
+	c.replicas[first] = New(Options{Params: old.params, Member: first, Rules: registers{}, State: old.state, Now: c.now, Random: func() float64 { return 0 }})
 	c.drop = func(from, to string, body any) bool { return to == first }
 	c.replicas[second] = nil
 	c.drop = func(string, string, any) bool { return false }
 	c.advance(800 * time.Millisecond)
 	if c.leader() == "" {
-		t.Fatal("no owner")
+		t.Fatal("no leader")
 	}
 	c.wantValue("ghost", "")
 }
 
-func TestSeatWithoutPlaceNeverVotes(t *testing.T) {
+func TestNonMemberNeverVotes(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "b2")
 	c.advance(300 * time.Millisecond)
 	c.propose(c.leader(), put{"k", "v"})
-	// b lost its disk and is back as b2, a new seat; c is down.
+	// b lost its disk and is back as b2, which is no member; c is down.
 	c.replicas["b"], c.replicas["c"] = nil, nil
 	o := c.replicas["b2"].Receive(c.now, "a", Prepare{Term: Term{Round: 99, Leader: "a"}, Group: Group{Epoch: 1, Members: []string{"a", "b", "c"}}})
 	if len(o.Sends) > 0 || len(o.Records) > 0 {
-		t.Errorf("a seat outside the group answered: %+v", o)
+		t.Errorf("a non-member answered: %+v", o)
 	}
 	c.advance(600 * time.Millisecond)
 	if c.leader() != "" {
-		t.Errorf("%s owns the part with one of three seats", c.leader())
+		t.Errorf("%s leads with one of three members", c.leader())
 	}
 }
 
-func TestFrozenOwnerRefusesAfterItsTerm(t *testing.T) {
+func TestPausedLeaderRefusesAfterLeaseExpiry(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
 	first := c.leader()
-	frozen := c.replicas[first]
+	paused := c.replicas[first]
 	c.replicas[first] = nil
 	c.advance(500 * time.Millisecond)
 	second := c.leader()
 	c.propose(second, put{"k", "new"})
-	o := frozen.Propose(c.now, 77, get{"k"})
+	o := paused.Propose(c.now, 77, get{"k"})
 	if len(o.Results) != 1 || !o.Results[0].NotLeader {
-		t.Errorf("a woken owner answered: %+v", o.Results)
+		t.Errorf("a resumed leader answered: %+v", o.Results)
 	}
 }
 
-// A write of an owner whose term is over must not count, even for an entry
-// that nobody else ever wrote.
-func TestLateWriteOfOldTermRefused(t *testing.T) {
+// TestWriteOfOldTermRejected checks that a write of a former leader is rejected, even if no other
+// leader has written its entry.
+func TestWriteOfOldTermRejected(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
 	first := c.leader()
@@ -211,13 +211,13 @@
 	c.advance(500 * time.Millisecond)
 	second := c.leader()
 	o := c.replicas[second].Receive(c.now, first, Write{Term: old, Seq: 9, Group: c.replicas[second].state.Group, Entries: []Entry{{Key: "late", Value: []byte("x"), Version: Version{Term: old, Seq: 9}}}})
-	if _, refused := o.Sends[0].Body.(Reject); !refused || len(o.Records) > 0 {
-		t.Errorf("taken: %+v", o)
+	if _, rejected := o.Sends[0].Body.(Reject); !rejected || len(o.Records) > 0 {
+		t.Errorf("applied: %+v", o)
 	}
 	c.wantValue("late", "")
 }
 
-func TestRestartedSeatKeepsItsPromise(t *testing.T) {
+func TestRestartedMemberHonorsLease(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
 	first := c.leader()
@@ -232,44 +232,44 @@
 	}
 	o := c.replicas[other].Receive(c.now, "x", Prepare{Term: Term{Round: 50, Leader: other + "'"}, Group: c.replicas[other].state.Group})
 	if r, ok := o.Sends[0].Body.(Reject); !ok || r.LeaseRemaining <= 0 {
-		t.Errorf("a restarted seat may have renewed an owner's hold and must wait: %+v", o.Sends)
+		t.Errorf("a restarted member may have renewed a lease and must wait: %+v", o.Sends)
 	}
 }
 
-func TestGroupChange(t *testing.T) {
+func TestMembershipChange(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(300 * time.Millisecond)
 	for i := 0; i < 20; i++ {
 		c.propose(c.leader(), put{fmt.Sprint(i), "x"})
 	}
-	gone := "c"
+	removed := "c"
 	if c.leader() == "c" {
-		gone = "b"
+		removed = "b"
 	}
-	c.replicas[gone] = nil
-	c.collect(c.leader(), c.replicas[c.leader()].ChangeMembers(c.now, 1000, "d", gone))
+	c.replicas[removed] = nil
+	c.collect(c.leader(), c.replicas[c.leader()].ChangeMembers(c.now, 1000, "d", removed))
 	c.advance(300 * time.Millisecond)
 	if r := c.results[1000]; r.Body != true {
 		t.Fatalf("change: %+v", r)
 	}
-	if g := c.replicas["d"].Group(); !sameMembers(g.Members, c.replicas[c.leader()].Group().Members) || g.Has(gone) || len(g.Former) > 0 {
+	if g := c.replicas["d"].Group(); !sameMembers(g.Members, c.replicas[c.leader()].Group().Members) || g.Has(removed) || len(g.Former) > 0 {
 		t.Fatalf("group: %+v", g)
 	}
 	for i := 0; i < 20; i++ {
 		if e := c.replicas["d"].State().Entries[fmt.Sprint(i)]; string(e.Value) != "x" {
-			t.Errorf("the new seat lacks %d", i)
+			t.Errorf("the new member lacks %d", i)
 		}
 	}
-	// The new seat counts: with one of the old ones gone too it makes a majority.
+	// The new member counts towards the majority once another one is down.
 	c.replicas[c.leader()] = nil
 	c.advance(600 * time.Millisecond)
 	if c.leader() == "" {
-		t.Fatal("no owner after the change")
+		t.Fatal("no leader after the change")
 	}
 	c.wantValue("7", "x")
 }
 
-func TestMendsAndDropsMarks(t *testing.T) {
+func TestRepairsReplicaAndPurgesTombstones(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
 	behind := "c"
@@ -283,12 +283,12 @@
 	c.drop = func(string, string, any) bool { return false }
 	c.advance(100 * time.Millisecond)
 	if e := c.replicas[behind].State().Entries["k"]; string(e.Value) != "v" {
-		t.Error("an old copy was not mended")
+		t.Error("an outdated replica was not repaired")
 	}
 	c.advance(2 * time.Second)
 	for _, s := range c.order {
 		if _, there := c.replicas[s].State().Entries["gone"]; there {
-			t.Errorf("%s still keeps the mark of a removal", s)
+			t.Errorf("%s still has a tombstone", s)
 		}
 	}
 }
--- a/rule/partition/membership_test.go
+++ b/rule/partition/membership_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// other is a seat of a group that does not own the part.
-func (c *cluster) follower(than ...string) string {
+// follower returns a running member that isn't the leader.
+func (c *cluster) follower(except ...string) string {
 	for _, s := range c.order {
-		if c.replicas[s] != nil && s != c.leader() && !contains(than, s) && c.replicas[c.leader()].state.Group.Has(s) {
+		if c.replicas[s] != nil && s != c.leader() && !contains(except, s) && c.replicas[c.leader()].state.Group.Has(s) {
 			return s
 		}
 	}
@@ -23,7 +23,7 @@
 	return c.nextID
 }
 
-// changed makes a change that must come about.
+// mustChange makes a membership change that must succeed.
 func (c *cluster) mustChange(add, remove string) {
 	c.t.Helper()
 	requestID := c.change(add, remove)
@@ -33,24 +33,24 @@
 	}
 }
 
-// A seat that leaves and comes back under the same owner must not bring back
-// what was removed meanwhile.
-func TestReturningSeatBringsNothingBack(t *testing.T) {
+// TestReturningMemberDoesNotRestoreDeletedEntry removes a member and adds it again under the same
+// leader, with an entry deleted meanwhile.
+func TestReturningMemberDoesNotRestoreDeletedEntry(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(300 * time.Millisecond)
 	leader := c.leader()
-	gone := c.follower()
+	removed := c.follower()
 	c.propose(leader, put{"old", "v"})
-	c.mustChange("d", gone)
+	c.mustChange("d", removed)
 	c.propose(leader, put{"old", ""})
 	c.advance(time.Second)
 	c.propose(leader, put{"new", "v"})
-	c.mustChange(gone, "d")
+	c.mustChange(removed, "d")
 	if c.leader() != leader {
-		t.Fatal("the owner changed")
+		t.Fatal("the leader changed")
 	}
-	if e, there := c.replicas[gone].State().Entries["old"]; there && !e.Deleted {
-		t.Error("a removed entry is back in a copy")
+	if e, there := c.replicas[removed].State().Entries["old"]; there && !e.Deleted {
+		t.Error("a deleted entry is restored in a replica")
 	}
 	c.replicas[leader] = nil
 	c.advance(time.Second)
@@ -58,45 +58,45 @@
 	c.wantValue("new", "v")
 }
 
-func TestChangeWithDeadNewcomerEnds(t *testing.T) {
+func TestChangeWithDeadNewMemberAborts(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d", "e")
 	c.advance(300 * time.Millisecond)
 	c.propose(c.leader(), put{"k", "v"})
 	c.replicas["d"] = nil
-	gone := c.follower()
-	requestID := c.change("d", gone)
+	removed := c.follower()
+	requestID := c.change("d", removed)
 	if _, changing := c.replicas[c.leader()].ChangeInProgress(); !changing {
-		t.Error("no change is under way")
+		t.Error("no change is in progress")
 	}
 	c.advance(1200 * time.Millisecond)
 	if r, ok := c.results[requestID]; !ok || r.Body != false {
 		t.Errorf("the change ended as %+v, %v", r, ok)
 	}
-	c.mustChange("e", gone)
+	c.mustChange("e", removed)
 	c.wantValue("k", "v")
-	// One that is given up by whoever asked ends at once.
+	// A change that is aborted by its requester ends at once.
 	requestID = c.change("d", "e")
 	c.collect(c.leader(), c.replicas[c.leader()].AbortChange(c.now))
 	if r, ok := c.results[requestID]; !ok || r.Body != false {
-		t.Errorf("given up: %+v, %v", r, ok)
+		t.Errorf("aborted: %+v, %v", r, ok)
 	}
-	c.mustChange(gone, "e")
+	c.mustChange(removed, "e")
 	c.wantValue("k", "v")
 }
 
-// A newcomer that dies while old and new group must agree leaves two majorities,
-// with which the next owner serves, ends the change and makes another.
-func TestJointGroupWithDeadNewcomerServes(t *testing.T) {
+// TestJointGroupWithDeadNewMemberServes stops the new member while the group is joint. Both
+// majorities remain, so the leader completes the change and can make another one.
+func TestJointGroupWithDeadNewMemberServes(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d", "e")
 	c.advance(300 * time.Millisecond)
 	c.propose(c.leader(), put{"k", "v"})
 	first := c.leader()
-	gone := c.follower()
+	removed := c.follower()
 	c.drop = func(from, to string, body any) bool {
 		w, write := body.(Write)
 		return write && len(w.Group.Former) == 0 && w.Group.Epoch > 2
 	}
-	c.change("d", gone)
+	c.change("d", removed)
 	c.advance(20 * time.Millisecond)
 	if g, _ := c.replicas[first].CommittedGroup(); len(g.Former) == 0 {
 		t.Fatalf("not joint: %+v", g)
@@ -113,33 +113,33 @@
 
 	c.drop = func(from, to string, body any) bool {
 		w, write := body.(Write)
-		return write && len(w.Group.Former) == 0 && contains(w.Group.Members, gone)
+		return write && len(w.Group.Former) == 0 && contains(w.Group.Members, removed)
 	}
 	first = c.leader()
-	c.change(gone, "e")
+	c.change(removed, "e")
 	c.advance(20 * time.Millisecond)
 	c.drop = func(string, string, any) bool { return false }
 	c.replicas[first] = nil
 	c.advance(800 * time.Millisecond)
 	g, ok := c.replicas[c.leader()].CommittedGroup()
-	if !ok || len(g.Former) > 0 || !contains(g.Members, gone) {
-		t.Fatalf("after the owner's death: %+v", g)
+	if !ok || len(g.Former) > 0 || !contains(g.Members, removed) {
+		t.Fatalf("after the loss of the leader: %+v", g)
 	}
 	c.wantValue("k", "v")
 	c.mustChange("e", first)
 	c.wantValue("k", "v")
 }
 
-// A newcomer that once promised somebody else a later term must not be refused
-// for ever.
-func TestNewcomerWithLaterPromise(t *testing.T) {
+// TestNewMemberWithHigherPromise checks that a member which has promised a higher term elsewhere
+// can still be added.
+func TestNewMemberWithHigherPromise(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(300 * time.Millisecond)
 	c.propose(c.leader(), put{"k", "v"})
 	c.replicas["d"].record(Record{Promised: Term{Round: 50, Leader: "x"}})
-	gone := c.follower()
+	removed := c.follower()
 	for i := 0; i < 5; i++ {
-		requestID := c.change("d", gone)
+		requestID := c.change("d", removed)
 		c.advance(300 * time.Millisecond)
 		if r := c.results[requestID]; r.Body == true {
 			c.wantValue("k", "v")
@@ -149,21 +149,21 @@
 	t.Errorf("%+v", c.replicas[c.leader()].Group())
 }
 
-// Writes that never pause must not keep a slow newcomer out.
+// TestChangeUnderLoad checks that continuous writes don't keep a slow new member from joining.
 func TestChangeUnderLoad(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(300 * time.Millisecond)
-	leader, gone := c.leader(), c.follower()
-	// What goes to the newcomer and comes from it takes a step longer.
-	var late []packet
+	leader, removed := c.leader(), c.follower()
+	// Messages from and to the new member take a step longer.
+	var delayed []packet
 	c.drop = func(from, to string, body any) bool {
 		if to == "d" || from == "d" {
-			late = append(late, packet{from, to, body})
+			delayed = append(delayed, packet{from, to, body})
 			return true
 		}
 		return false
 	}
-	requestID := c.change("d", gone)
+	requestID := c.change("d", removed)
 	for i := 0; i < 200; i++ {
 		if r, ok := c.results[requestID]; ok {
 			if r.Body != true {
@@ -175,8 +175,8 @@
 			return
 		}
 		c.now += 5 * time.Millisecond
-		ready := late
-		late = nil
+		ready := delayed
+		delayed = nil
 		c.nextID++
 		c.collect(leader, c.replicas[leader].Propose(c.now, c.nextID, put{fmt.Sprint("k", i), "v"}))
 		c.deliver()
@@ -191,11 +191,12 @@
 			c.deliver()
 		}
 	}
-	t.Error("the newcomer never came in")
+	t.Error("the new member was never added")
 }
 
-// An owner that is no seat of its group any more hands the part to one.
-func TestOwnerThatLeavesItsGroupHandsOver(t *testing.T) {
+// TestRemovedLeaderTransfersLeadership checks that a leader hands over once it is removed from its
+// group.
+func TestRemovedLeaderTransfersLeadership(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(300 * time.Millisecond)
 	c.propose(c.leader(), put{"k", "v"})
@@ -203,17 +204,17 @@
 	c.mustChange("d", first)
 	c.advance(50 * time.Millisecond)
 	if c.leader() == first || c.leader() == "" {
-		t.Errorf("%q owns the part", c.leader())
+		t.Errorf("%q leads", c.leader())
 	}
 	c.wantValue("k", "v")
 	if g := c.replicas[first].Group(); g.Has(first) {
-		t.Errorf("the former owner thinks it is a seat: %+v", g)
+		t.Errorf("the former leader still has itself as a member: %+v", g)
 	}
 }
 
-// A change keeps the places of the others, asked again does nothing more, and
-// the order can be changed by itself.
-func TestPlacesInGroup(t *testing.T) {
+// TestMemberOrder checks that a change keeps the positions of the other members, that it can be
+// repeated without effect, and that the order can be changed by itself.
+func TestMemberOrder(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(300 * time.Millisecond)
 	c.mustChange("d", "b")
@@ -228,15 +229,15 @@
 	}
 }
 
-// Seats that take writes are not renewed besides.
-func TestWritesRenew(t *testing.T) {
+// TestWritesRenewLease checks that members which acknowledge writes get no separate renewals.
+func TestWritesRenewLease(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
 	leader := c.leader()
-	renews := 0
+	renewals := 0
 	c.drop = func(from, to string, body any) bool {
 		if _, ok := body.(RenewLease); ok {
-			renews++
+			renewals++
 		}
 		return false
 	}
@@ -244,17 +245,17 @@
 		c.propose(leader, put{"k", fmt.Sprint(i)})
 		c.advance(5 * time.Millisecond)
 	}
-	// Only sweeps renew: one of all three every four terms.
-	if renews > 3*4 {
-		t.Errorf("%d renewals in ten terms full of writes", renews)
+	// Only sweeps send renewals: one to each of three members every four leases.
+	if renewals > 3*4 {
+		t.Errorf("%d renewals in ten leases full of writes", renewals)
 	}
 	if c.leader() != leader {
-		t.Error("the owner changed")
+		t.Error("the leader changed")
 	}
 }
 
-// A copy that differs from the owner's is found by the sweep and made whole.
-func TestSweepFindsDifferentCopy(t *testing.T) {
+// TestSweepRepairsDivergedReplica checks that a sweep finds and repairs a replica that differs.
+func TestSweepRepairsDivergedReplica(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
 	for i := 0; i < 10; i++ {
@@ -262,24 +263,25 @@
 	}
 	c.propose(c.leader(), put{"3", ""})
 	member := c.follower()
-	held, _ := c.replicas[c.leader()].LeadingTerm(c.now)
-	c.replicas[member].record(Record{Entries: []Entry{{Key: "stray", Value: []byte("x"), Version: Version{Term: held, Seq: 2}}}})
+	term, _ := c.replicas[c.leader()].LeadingTerm(c.now)
+	c.replicas[member].record(Record{Entries: []Entry{{Key: "stray", Value: []byte("x"), Version: Version{Term: term, Seq: 2}}}})
 	c.advance(time.Second)
 	if _, there := c.replicas[member].State().Entries["stray"]; there {
-		t.Error("a stray entry stays")
+		t.Error("an extra entry remains")
 	}
-	mended := c.replicas[c.leader()].Counters.SnapshotsSent
+	snapshots := c.replicas[c.leader()].Counters.SnapshotsSent
 	c.advance(2 * time.Second)
-	if got := c.replicas[c.leader()].Counters.SnapshotsSent; got != mended {
-		t.Errorf("%d copies mended at rest", got-mended)
+	if got := c.replicas[c.leader()].Counters.SnapshotsSent; got != snapshots {
+		t.Errorf("%d snapshots sent without a difference", got-snapshots)
 	}
 	if got := c.replicas[member].digestKey.table(c.replicas[member].state.Entries); got != c.replicas[member].digest {
-		t.Error("the running digest is not that of the copy")
+		t.Error("the incremental digest is not that of the entries")
 	}
 }
 
-// Seats that all stand at the same moment, again and again, must get an owner.
-func TestAllStandAtOnce(t *testing.T) {
+// TestSimultaneousCandidates checks that members which start elections at the same time, again
+// and again, elect a leader.
+func TestSimultaneousCandidates(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	for i := 0; i < 100; i++ {
 		c.now += 5 * time.Millisecond
@@ -299,39 +301,40 @@
 			return
 		}
 	}
-	t.Error("no owner")
+	t.Error("no leader")
 }
 
-// What is sent whole while writes wait must not differ from what is written.
-func TestFillWhileWritesWait(t *testing.T) {
+// TestSnapshotWhileWritesQueued checks that a snapshot that is due while writes are queued doesn't
+// differ from what is written.
+func TestSnapshotWhileWritesQueued(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
 	leader, behind := c.leader(), c.follower()
 	c.propose(leader, put{"k", "0"})
-	held := true
+	hold := true
 	var kept []packet
 	c.drop = func(from, to string, body any) bool {
-		_, taken := body.(WriteAck)
-		if taken && held {
+		_, ack := body.(WriteAck)
+		if ack && hold {
 			kept = append(kept, packet{from, to, body})
 		}
-		return taken && held
+		return ack && hold
 	}
 	c.propose(leader, put{"x", "1"})
 	c.propose(leader, put{"k", "1"})
-	// The seat behind says that it has nothing, while a write is on its way and
-	// another waits for it.
+	// The member that lags reports that it has nothing, while one write is pending and
+	// another is queued.
 	term, _ := c.replicas[leader].LeadingTerm(c.now)
 	c.replicas[behind].completeSeq = 0
 	c.collect(leader, c.replicas[leader].Receive(c.now, behind, LeaseAck{Term: term, SentAt: c.now}))
 	c.deliver()
 	c.propose(leader, put{"k", "2"})
-	held = false
+	hold = false
 	c.network = append(c.network, kept...)
 	c.deliver()
 	c.advance(300 * time.Millisecond)
 	if e := c.replicas[behind].State().Entries["k"]; string(e.Value) != "2" {
-		t.Errorf("k is %q in the copy", e.Value)
+		t.Errorf("k is %q in the replica", e.Value)
 	}
 	c.replicas[leader] = nil
 	c.advance(600 * time.Millisecond)
@@ -339,23 +342,23 @@
 	c.wantValue("x", "1")
 }
 
-// TestInheritedChangeComesFirst: a leader that took over in the middle of a change
-// ends that one first. Another change, asked for meanwhile, is not begun before the
-// group without former members is agreed: no write names its newcomer until then.
-func TestInheritedChangeComesFirst(t *testing.T) {
+// TestInheritedChangeFinishesFirst checks that a leader elected in the middle of a change finishes
+// it before it begins another: no write names the member of the second change until the group
+// without former members is committed.
+func TestInheritedChangeFinishesFirst(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d", "e")
 	c.advance(300 * time.Millisecond)
 	c.propose(c.leader(), put{"k", "v"})
-	first, gone := c.leader(), c.follower()
-	agreeable, early := false, 0
+	first, removed := c.leader(), c.follower()
+	committable, early := false, 0
 	c.drop = func(from, to string, body any) bool {
 		w, write := body.(Write)
-		if write && !agreeable && w.Group.Has("e") {
+		if write && !committable && w.Group.Has("e") {
 			early++
 		}
-		return write && !agreeable && len(w.Group.Former) == 0 && w.Group.Epoch > 2
+		return write && !committable && len(w.Group.Former) == 0 && w.Group.Epoch > 2
 	}
-	c.change("d", gone)
+	c.change("d", removed)
 	c.advance(20 * time.Millisecond)
 	c.replicas[first] = nil
 	c.advance(500 * time.Millisecond)
@@ -364,14 +367,14 @@
 		t.Fatalf("%q leads", leader)
 	}
 	if g, ok := c.replicas[leader].CommittedGroup(); !ok || len(g.Former) == 0 {
-		t.Fatalf("the change was not inherited: %+v", g)
+		t.Fatalf("the new leader does not continue the change: %+v", g)
 	}
 	requestID := c.change("e", first)
 	c.advance(200 * time.Millisecond)
 	if r, ok := c.results[requestID]; early > 0 || ok && r.Body != false {
-		t.Errorf("begun before the first change was done: %d writes, answered %+v", early, r)
+		t.Errorf("begun before the first change was done: %d writes, result %+v", early, r)
 	}
-	agreeable = true
+	committable = true
 	c.advance(500 * time.Millisecond)
 	c.wantValue("k", "v")
 	if g, ok := c.replicas[c.leader()].CommittedGroup(); !ok || len(g.Former) > 0 || !contains(g.Members, "d") {
--- a/rule/partition/rebase_test.go
+++ b/rule/partition/rebase_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// carried counts the entries that messages carried since it was last asked.
+// countEntries counts the entries in messages between replicas from now on.
 func (c *cluster) countEntries(count *int) {
 	lost := c.drop
 	c.drop = func(from, to string, body any) bool {
@@ -22,9 +22,9 @@
 	}
 }
 
-// TestTakeoverOfEqualCopiesCarriesNoEntries: where a majority's copies are alike,
-// a new owner needs none of them sent, and all that was agreed is there.
-func TestTakeoverOfEqualCopiesCarriesNoEntries(t *testing.T) {
+// TestTakeoverOfEqualReplicasSendsNoEntries checks that a new leader whose entries equal those of
+// a majority takes over by digests alone, and loses nothing that was committed.
+func TestTakeoverOfEqualReplicasSendsNoEntries(t *testing.T) {
 	group := []string{"a", "b", "c"}
 	c := newCluster(t, group, group...)
 	c.advance(500 * time.Millisecond)
@@ -34,22 +34,22 @@
 	c.propose(c.leader(), put{"k7", ""})
 	c.advance(100 * time.Millisecond)
 	former := c.leader()
-	var carried int
-	c.countEntries(&carried)
+	var sent int
+	c.countEntries(&sent)
 	c.collect(former, c.replicas[former].ReleaseLeadership(c.now))
 	for end := c.now + time.Second; c.now < end && (c.leader() == "" || c.leader() == former); {
 		c.advance(5 * time.Millisecond)
 	}
 	if c.leader() == former || c.leader() == "" {
-		t.Fatalf("%q owns", c.leader())
+		t.Fatalf("%q leads", c.leader())
 	}
-	if carried != 0 {
-		t.Errorf("%d entries were carried", carried)
+	if sent != 0 {
+		t.Errorf("%d entries were sent", sent)
 	}
 	c.wantValue("k49", "v")
 	c.wantValue("k7", "")
 	c.propose(c.leader(), put{"k50", "v"})
-	// All copies are whole under the new term: another takeover keeps all.
+	// All replicas are complete in the new term: another takeover keeps everything.
 	c.advance(300 * time.Millisecond)
 	c.replicas[former] = nil
 	c.collect(c.leader(), c.replicas[c.leader()].ReleaseLeadership(c.now))
@@ -58,9 +58,9 @@
 	c.wantValue("k7", "")
 }
 
-// TestTakeoverOfUnequalCopies: one seat lacks a write that a majority has; whoever
-// takes over, the write is there, and every seat ends with it.
-func TestTakeoverOfUnequalCopies(t *testing.T) {
+// TestTakeoverOfUnequalReplicas has one member lack a write that a majority has. Whichever member
+// takes over, the write is kept and reaches every member.
+func TestTakeoverOfUnequalReplicas(t *testing.T) {
 	group := []string{"a", "b", "c"}
 	for _, lacking := range group {
 		for _, dies := range []bool{false, true} {
@@ -87,16 +87,16 @@
 			c.advance(time.Second)
 			for _, s := range group {
 				if m := c.replicas[s]; m != nil && string(m.state.Entries["k"].Value) != "new" {
-					t.Errorf("%s lacked a write, former owner dead %v: %s ends with %q", lacking, dies, s, m.state.Entries["k"].Value)
+					t.Errorf("%s lacked a write, former leader dead %v: %s ends with %q", lacking, dies, s, m.state.Entries["k"].Value)
 				}
 			}
 		}
 	}
 }
 
-// TestRestampReachesALateSeat: a seat that promises late, with the same entries or
-// with others, becomes whole.
-func TestRestampReachesALateSeat(t *testing.T) {
+// TestRebaseReachesLateMember checks that a member that promises late, with equal or with other
+// entries, becomes complete.
+func TestRebaseReachesLateMember(t *testing.T) {
 	group := []string{"a", "b", "c"}
 	for _, other := range []bool{false, true} {
 		c := newCluster(t, group, group...)
@@ -115,16 +115,16 @@
 		c.restart(former)
 		c.advance(60 * time.Millisecond)
 		if c.leader() != former {
-			t.Fatalf("%q owns", c.leader())
+			t.Fatalf("%q leads", c.leader())
 		}
 		c.drop = func(string, string, any) bool { return false }
 		c.advance(time.Second)
 		want := map[bool]string{false: "v", true: "w"}[other]
 		if got := string(c.replicas[late].state.Entries["k"].Value); got != want {
-			t.Errorf("the late seat has %q and not %q", got, want)
+			t.Errorf("the late member has %q, want %q", got, want)
 		}
 		if c.replicas[late].digest != c.replicas[former].digest {
-			t.Errorf("the late seat's copy differs")
+			t.Errorf("the late member has another digest than the leader")
 		}
 	}
 }
--- a/rule/partition/restart_test.go
+++ b/rule/partition/restart_test.go
@@ -5,16 +5,15 @@
 	"time"
 )
 
-// restart begins a new life of a seat with what its disk holds.
+// restart replaces a replica by a new one with the state on its disk.
 func (c *cluster) restart(member string) {
 	old := c.replicas[member]
 	c.replicas[member] = New(Options{Params: old.params, Member: member, Rules: registers{}, State: old.state, Now: c.now, Random: func() float64 { return 0.5 }})
 }
 
-// TestFormerOwnerNeedNotWait: whoever owned the part knows that its own hold is
-// over, so after all have lost their processes it serves again at once, and as
-// soon as a majority is back.
-func TestFormerOwnerNeedNotWait(t *testing.T) {
+// TestFormerLeaderNeedNotWait checks that a restarted leader, whose own lease ended with its
+// process, serves again as soon as a majority is back.
+func TestFormerLeaderNeedNotWait(t *testing.T) {
 	group := []string{"a", "b", "c"}
 	for _, late := range []time.Duration{0, 30 * time.Millisecond, 70 * time.Millisecond} {
 		c := newCluster(t, group, group...)
@@ -46,15 +45,15 @@
 			c.advance(5 * time.Millisecond)
 		}
 		if took := c.now - began; c.leader() != former || took > 30*time.Millisecond {
-			t.Errorf("%v after the former owner the others are back; %q owns after %v", late, c.leader(), took)
+			t.Errorf("with the others back %v after the former leader, %q leads after %v", late, c.leader(), took)
 		}
 		c.wantValue("k", "v")
 	}
 }
 
-// TestFormerOwnerWaitsForAnother: a seat whose promise is another's waits as long
-// as that one may hold the part.
-func TestFormerOwnerWaitsForAnother(t *testing.T) {
+// TestFollowerWaitsForLease checks that a restarted member that has promised another leader waits
+// as long as that leader's lease may hold.
+func TestFollowerWaitsForLease(t *testing.T) {
 	group := []string{"a", "b", "c"}
 	c := newCluster(t, group, group...)
 	c.advance(500 * time.Millisecond)
@@ -64,12 +63,12 @@
 			c.restart(s)
 			c.replicas[s].Tick(c.now)
 			if c.replicas[s].leading != nil {
-				t.Errorf("%s stands at once against %s", s, former)
+				t.Errorf("%s starts an election at once against %s", s, former)
 			}
 		}
 	}
 	c.advance(20 * time.Millisecond)
 	if c.leader() != former {
-		t.Errorf("%q owns and not %s", c.leader(), former)
+		t.Errorf("%q leads, want %s", c.leader(), former)
 	}
 }
