--- a/rule/partition/doc.go
+++ b/rule/partition/doc.go
@@ -6,7 +6,7 @@
 // (Prepare, Promise), merges the promised states, writes the result under its own term and
 // serves once a majority has it on disk. From then on it runs commands, replicates the
 // entries that they write one Write at a time, and answers a command only when all that
-// its result rests on is committed. It serves only while a majority renews its lease.
+// its result depends on is committed. It serves only while a majority renews its lease.
 //
 // The main invariants:
 //   - A member never promises a term lower than one that it has promised, and its promise
@@ -14,8 +14,8 @@
 //   - At any instant at most one member holds the lease. A leader counts its lease from when
 //     it sent the acknowledged message; a follower counts the same lease from when it
 //     received that message, and longer by the bound on clock drift.
-//   - Consecutive groups share a quorum: a membership change passes through a joint group
-//     that needs a majority of the old and of the new members.
+//   - Quorums of consecutive groups intersect: a membership change passes through a joint
+//     group that needs a majority of the old and of the new members.
 //
 // A Machine does no I/O and starts no goroutines. Each call takes the time and returns an
 // Output with what to sync to disk, what to send and which commands are done. Start reading
--- a/rule/partition/lease.go
+++ b/rule/partition/lease.go
@@ -10,6 +10,13 @@
 	return time.Duration(float64(m.params.LeaseDuration) * (1 + m.params.Drift))
 }
 
+// The election timeout, as fractions of a lease: for each position in the group, and the
+// largest random part.
+const (
+	electionTimeoutPerRank = 0.25
+	electionTimeoutJitter  = 0.15
+)
+
 // electionTimeout returns how long a member waits after the end of a lease before it starts an
 // election. It depends on the member's position and a random number, so that members rarely
 // start elections at the same time.
@@ -20,7 +27,7 @@
 			rank = i
 		}
 	}
-	return time.Duration(float64(m.params.LeaseDuration) * (float64(rank)*0.25 + m.random()*0.15))
+	return time.Duration(float64(m.params.LeaseDuration) * (float64(rank)*electionTimeoutPerRank + m.random()*electionTimeoutJitter))
 }
 
 // LeadingTerm returns the term in which this member serves as the leader. It reports false if
--- a/rule/partition/messages.go
+++ b/rule/partition/messages.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Messages between the members of a group. SentAt is always a time of the clock of the
-// candidate or leader; answers return it unchanged.
+// Messages between the members of a group. SentAt is a time of the clock of the candidate or
+// leader. An answer returns it, so that a lease counts from before its renewal was sent.
 type (
 	// Prepare asks for the promise of a term. A pre-vote binds no one; it keeps a member
 	// that was partitioned from deposing a leader that serves.
