--- a/rehearsalkit/sizes/larger_test.go
+++ b/rehearsalkit/sizes/larger_test.go
@@ -8,7 +8,7 @@
 	"function peer/relay/pace.go Machine.draw":                      78,
 	"function peer/replica/line.go Line.Do":                         64,
 	"function peer/requester/handler.go Handler":                    77,
-	"function platform/calls.go surface":                            80,
+	"function platform/calls.go controlHandler":                     80,
 	"function platform/settings.go translate":                       67,
 	"function rehearsalkit/capacity/command.go Command.Run":         72,
 	"function rehearsalkit/capacity/measure.go world.figures":       85,
--- a/saffronfall/coreprocess/process.go
+++ b/saffronfall/coreprocess/process.go
@@ -82,19 +82,19 @@
 
 // RunOn runs the role with its folder in a file system.
 func RunOn(ctx context.Context, files disk.FileSystem, p params.Params, adopt <-chan params.Params, log logr.Logger) error {
-	if p.Folder == "" {
+	if p.DataDir == "" {
 		return errors.New("a core needs a folder")
 	}
-	folder, stored, err := load(files, p.Folder, log)
+	folder, stored, err := load(files, p.DataDir, log)
 	if err != nil {
 		return err
 	}
-	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.Secret,
-		Buffer: int(p.Buffer), Largest: 64 << 20, Patience: p.Node().Newest})
+	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.FleetSecret,
+		Buffer: int(p.BufferSize), Largest: 64 << 20, Patience: p.Node().Newest})
 	if err != nil {
 		return err
 	}
-	s := &process{params: p, violations: telemetry.Violations(p.Strict, log), adopt: adopt, others: map[string]byte{}, log: log, streams: streams, start: clock.Now(), calls: make(chan func(time.Duration) core.Output, 64),
+	s := &process{params: p, violations: telemetry.NewViolationCounts(p.StrictInvariants, log), adopt: adopt, others: map[string]byte{}, log: log, streams: streams, start: clock.Now(), calls: make(chan func(time.Duration) core.Output, 64),
 		drain: make(chan struct{}, 1), toDisk: make(chan batch, 1), onDisk: make(chan written, 1), answers: map[uint64]chan any{}}
 	var image core.Stored
 	image.CopyFrom(stored)
@@ -108,8 +108,8 @@
 	group.Add(streams.Run, func(error) { streams.Close() })
 	writes := writer{folder: folder, image: image, batches: s.toDisk, done: s.onDisk, pause: p.Core().Part.OwnerTerm}
 	group.Add(func() error { return writes.run(life) }, func(error) { cancel() })
-	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "core", Look: s.snapshot}, log)
-	server := &http.Server{Addr: p.OperatorListen, Handler: operator.Handler(s, p.Operators, s.drain), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: callTime, IdleTimeout: callTime}
+	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "core", Snapshot: s.snapshot}, log)
+	server := &http.Server{Addr: p.OperatorListen, Handler: operator.Handler(s, p.OperatorKey, s.drain), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: callTime, IdleTimeout: callTime}
 	group.Add(func() error {
 		if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 			return errors.Wrap(err, "operator address")
@@ -337,7 +337,7 @@
 	if told.Values, err = s.Counters(ctx); err != nil {
 		return told, err
 	}
-	violations, err := s.Look(ctx, func(*core.Machine, time.Duration) any { return telemetry.Counted(s.violations) })
+	violations, err := s.Look(ctx, func(*core.Machine, time.Duration) any { return telemetry.ViolationCounts(s.violations) })
 	told.Violations, _ = violations.(map[invariant.Name]int64)
 	return told, err
 }
--- a/saffronfall/deskprocess/process.go
+++ b/saffronfall/deskprocess/process.go
@@ -131,8 +131,8 @@
 	if _, err := crypto.Read(raw); err != nil {
 		return err
 	}
-	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.Secret,
-		Buffer: int(p.Buffer), Largest: 64 << 20, Patience: 2 * p.Core().Pull})
+	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.FleetSecret,
+		Buffer: int(p.BufferSize), Largest: 64 << 20, Patience: 2 * p.Core().Pull})
 	if err != nil {
 		return err
 	}
@@ -140,15 +140,15 @@
 	s := &process{params: p, adopt: adopt, log: log, streams: streams, start: clock.Now(), life: life, calls: make(chan func(time.Duration) desk.Output, 64), answers: map[uint64]chan any{}}
 	var known []desk.Listed
 	var peers *desk.Peers
-	if p.Folder != "" {
-		s.folder, known, peers = open(p.Folder, log)
+	if p.DataDir != "" {
+		s.folder, known, peers = open(p.DataDir, log)
 	}
-	s.machine = desk.New(desk.Options{Params: p.Desk(), ID: p.ID, Life: hex.EncodeToString(raw), Address: p.PeerAdvertise, Seeds: p.Seeds, Founds: p.Founds, Known: known, Peers: peers, Now: s.now(), Random: rand.Float64})
-	log.Info("desk started", "id", p.ID, "founds", p.Founds)
+	s.machine = desk.New(desk.Options{Params: p.Desk(), ID: p.ID, Life: hex.EncodeToString(raw), Address: p.PeerAdvertise, Seeds: p.Seeds, Founds: p.Bootstrap, Known: known, Peers: peers, Now: s.now(), Random: rand.Float64})
+	log.Info("desk started", "id", p.ID, "founds", p.Bootstrap)
 	var group run.Group
 	group.Add(func() error { return s.own() }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
-	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "desk", Look: s.snapshot}, log)
+	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "desk", Snapshot: s.snapshot}, log)
 	server := &http.Server{Addr: p.OperatorListen, Handler: surface(s), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: callTime, WriteTimeout: callTime, IdleTimeout: time.Minute}
 	ended := make(chan struct{})
 	group.Add(func() error {
--- a/saffronfall/main.go
+++ b/saffronfall/main.go
@@ -35,7 +35,7 @@
 
 func (c *deskCommand) Run() error {
 	return role.Start(c.Settings, func(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger) error {
-		return deskprocess.Run(ctx, p, adopt, log, desk.Surface(p.Operators, p.Replicas, p.Largest))
+		return deskprocess.Run(ctx, p, adopt, log, desk.Surface(p.OperatorKey, p.ReplicaKey, p.MaxRequestBytes))
 	})
 }
 
--- a/saffronfall/nodeprocess/process.go
+++ b/saffronfall/nodeprocess/process.go
@@ -67,26 +67,26 @@
 	if _, err := crypto.Read(raw); err != nil {
 		return err
 	}
-	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.Secret,
-		Buffer: int(p.Buffer), Largest: 64 << 20, Patience: p.Node().Newest})
+	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.FleetSecret,
+		Buffer: int(p.BufferSize), Largest: 64 << 20, Patience: p.Node().Newest})
 	if err != nil {
 		return err
 	}
 	life, cancel := context.WithCancel(context.Background())
-	s := &process{params: p, adopt: adopt, others: map[string]byte{}, log: log, streams: streams, start: clock.Now(), life: life, drain: make(chan struct{}, 1), breaker: "closed", arrive: make(chan inquiry, p.Buffer), gone: make(chan uint64, p.Buffer),
-		events: make(chan node.Event, p.Buffer), calls: make(chan func(time.Duration) node.Output, 64),
+	s := &process{params: p, adopt: adopt, others: map[string]byte{}, log: log, streams: streams, start: clock.Now(), life: life, drain: make(chan struct{}, 1), breaker: "closed", arrive: make(chan inquiry, p.BufferSize), gone: make(chan uint64, p.BufferSize),
+		events: make(chan node.Event, p.BufferSize), calls: make(chan func(time.Duration) node.Output, 64),
 		waiting: map[uint64]chan node.Piece{}, shots: map[uint64]context.CancelFunc{},
-		shooter: replica.NewShooter(&net.Dialer{Timeout: p.Node().Newest}, p.Largest*16)}
+		shooter: replica.NewShooter(&net.Dialer{Timeout: p.Node().Newest}, p.MaxRequestBytes*16)}
 	s.machine = node.New(node.Options{Params: p.Node(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Zone: p.Zone, Address: p.PeerAdvertise,
-		HTTP: p.RequesterAdvert, Host: host(p.PeerListen), Seeds: p.Seeds, Now: s.now(), Random: rand.Float64})
+		HTTP: p.RequesterAdvertise, Host: host(p.PeerListen), Seeds: p.Seeds, Now: s.now(), Random: rand.Float64})
 	log.Info("node started", "id", p.ID, "incarnation", s.machine.Incarnation())
 
 	var group run.Group
 	group.Add(func() error { return s.own(ctx) }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
 	mux := http.NewServeMux()
-	mux.Handle("/", requester.Handler(s, p.Largest))
-	mux.Handle("POST /v1/replicas", replica.Announcements(p.Replicas, s.announce))
+	mux.Handle("/", requester.Handler(s, p.MaxRequestBytes))
+	mux.Handle("POST /v1/replicas", replica.Announcements(p.ReplicaKey, s.announce))
 	listen := func(address string, handler http.Handler, what string) {
 		server := &http.Server{Addr: address, Handler: handler, ReadHeaderTimeout: 5 * time.Second}
 		group.Add(func() error {
@@ -102,7 +102,7 @@
 		})
 	}
 	listen(p.RequesterListen, mux, "requester address")
-	listen(p.OperatorListen, operator.Guard(p.Operators, s.operators()), "operator address")
+	listen(p.OperatorListen, operator.Guard(p.OperatorKey, s.operators()), "operator address")
 	return group.Run()
 }
 
--- a/saffronfall/params/params.go
+++ b/saffronfall/params/params.go
@@ -1,4 +1,7 @@
-// Package params reads a process's settings file by a table.
+// Package params holds the settings of a process. Rows is the table of all settings;
+// Read checks a settings file against it and reports every fault at once. Params converts
+// the settings to the parameters of each role, and Reload decides which settings may
+// change while a process runs.
 package params
 
 import (
@@ -14,50 +17,51 @@
 	"saffronfall/rule/partition"
 )
 
-// Params are a process's settings.
+// Params holds the settings of a process. Rows documents each setting under the name in
+// its field's tag.
 type Params struct {
-	ID        string   `json:"id"`
-	Zone      string   `json:"zone"`
-	Folder    string   `json:"folder"`
-	Seeds     []string `json:"seeds"`
-	Secret    string   `json:"fleet_secret"`
-	Operators string   `json:"operator_key"`
-	Replicas  string   `json:"replica_key"`
-
-	PeerListen        string `json:"peer_listen"`
-	PeerAdvertise     string `json:"peer_advertise"`
-	OperatorListen    string `json:"operator_listen"`
-	OperatorAdvertise string `json:"operator_advertise"`
-	RequesterListen   string `json:"requester_listen"`
-	RequesterAdvert   string `json:"requester_advertise"`
-
-	OwnerTermMS  int64   `json:"owner_term_ms"`
-	MemberTermMS int64   `json:"member_term_ms"`
-	PullMS       int64   `json:"pull_ms"`
-	NewestMS     int64   `json:"newest_ms"`
-	RetryMS      int64   `json:"retry_ms"`
-	PatienceMS   int64   `json:"patience_ms"`
-	BudgetMS     int64   `json:"budget_ms"`
-	GraceMS      int64   `json:"grace_ms"`
-	Drift        float64 `json:"drift"`
-	Buffer       int64   `json:"buffer"`
-	Largest      int64   `json:"largest_inquiry_bytes"`
-	UrgentRatio  float64 `json:"urgent_ratio"`
-	Verbosity    int64   `json:"log_verbosity"`
-	ColdStart    bool    `json:"cold_start"`
-	CoreGoneMS   int64   `json:"core_gone_ms"`
-	GroupSeats   int64   `json:"group_seats"`
+	ID          string   `json:"id"`
+	Zone        string   `json:"zone"`
+	DataDir     string   `json:"folder"`
+	Seeds       []string `json:"seeds"`
+	FleetSecret string   `json:"fleet_secret"`
+	OperatorKey string   `json:"operator_key"`
+	ReplicaKey  string   `json:"replica_key"`
+
+	PeerListen         string `json:"peer_listen"`
+	PeerAdvertise      string `json:"peer_advertise"`
+	OperatorListen     string `json:"operator_listen"`
+	OperatorAdvertise  string `json:"operator_advertise"`
+	RequesterListen    string `json:"requester_listen"`
+	RequesterAdvertise string `json:"requester_advertise"`
+
+	LeaderTermMS      int64   `json:"owner_term_ms"`
+	MemberTermMS      int64   `json:"member_term_ms"`
+	PullMS            int64   `json:"pull_ms"`
+	MaxHeartbeatAgeMS int64   `json:"newest_ms"`
+	RetryMS           int64   `json:"retry_ms"`
+	MaxRateWaitMS     int64   `json:"patience_ms"`
+	BudgetMS          int64   `json:"budget_ms"`
+	GraceMS           int64   `json:"grace_ms"`
+	Drift             float64 `json:"drift"`
+	BufferSize        int64   `json:"buffer"`
+	MaxRequestBytes   int64   `json:"largest_inquiry_bytes"`
+	UrgentRatio       float64 `json:"urgent_ratio"`
+	Verbosity         int64   `json:"log_verbosity"`
+	ColdStart         bool    `json:"cold_start"`
+	CoreLossTimeoutMS int64   `json:"core_gone_ms"`
+	GroupSize         int64   `json:"group_seats"`
 
 	Relay
 }
 
-// live names the settings that are taken while a process runs.
+// live names the settings that can change without a restart.
 var live = map[string]bool{"newest_ms": true, "patience_ms": true, "budget_ms": true, "grace_ms": true, "buffer": true, "urgent_ratio": true, "log_verbosity": true}
 
-// Adopt compares a settings text that was read again with what runs. It returns
-// what runs from now on and, by name, which settings were taken and which need a
-// restart. A faulty text changes nothing.
-func Adopt(running Params, text []byte) (next Params, taken, restart []string, err error) {
+// Reload compares a new settings text with the running settings. It returns the settings
+// to run with from now on, the names of the changed settings that were applied, and the
+// names of those that need a restart. An invalid text returns running and an error.
+func Reload(running Params, text []byte) (next Params, applied, restart []string, err error) {
 	fresh, err := Read(text)
 	if err != nil {
 		return running, nil, nil, err
@@ -71,66 +75,66 @@
 		switch {
 		case before[name] == after[name]:
 		case live[name]:
-			taken = append(taken, name)
+			applied = append(applied, name)
 		default:
 			restart = append(restart, name)
 		}
 	}
 	next = running
-	next.NewestMS, next.PatienceMS, next.BudgetMS, next.GraceMS = fresh.NewestMS, fresh.PatienceMS, fresh.BudgetMS, fresh.GraceMS
-	next.Buffer, next.UrgentRatio, next.Verbosity = fresh.Buffer, fresh.UrgentRatio, fresh.Verbosity
-	return next, taken, restart, nil
+	next.MaxHeartbeatAgeMS, next.MaxRateWaitMS, next.BudgetMS, next.GraceMS = fresh.MaxHeartbeatAgeMS, fresh.MaxRateWaitMS, fresh.BudgetMS, fresh.GraceMS
+	next.BufferSize, next.UrgentRatio, next.Verbosity = fresh.BufferSize, fresh.UrgentRatio, fresh.Verbosity
+	return next, applied, restart, nil
 }
 
-// Rows is the table of a process's settings.
+// Rows is the table of all settings of a process.
 var Rows = []configuration.Row{
-	{Path: "id", Type: "text", Required: true, Check: name, About: "this process's name; no other process of the fleet has it"},
-	{Path: "zone", Type: "text", Default: "zone-1", Check: name, About: "where this machine stands"},
-	{Path: "folder", Type: "text", Default: "", About: "data folder; cores need one"},
-	{Path: "seeds", Type: "texts", Default: []any{}, Check: addresses, About: "peer addresses of three other processes, by IP number"},
-	{Path: "fleet_secret", Type: "text", Required: true, Check: secret, About: "what the fleet's own processes prove to each other"},
-	{Path: "operator_key", Type: "text", Default: "", About: "key that operators show; empty: none is let in"},
-	{Path: "replica_key", Type: "text", Default: "", About: "key that replicas show when they announce themselves; empty: none is let in"},
-	{Path: "peer_listen", Type: "text", Default: "127.0.0.1:7000", Check: address, About: "where the fleet's own processes reach this one"},
-	{Path: "peer_advertise", Type: "text", Default: "", Check: maybeAddress, About: "what the others are told; empty: as listened on"},
-	{Path: "operator_listen", Type: "text", Default: "127.0.0.1:7001", Check: address, About: "where operators reach this process"},
-	{Path: "operator_advertise", Type: "text", Default: "", Check: maybeAddress, About: "what operators are told; empty: as listened on"},
-	{Path: "requester_listen", Type: "text", Default: "127.0.0.1:7002", Check: address, About: "where requesters and replicas reach a node"},
-	{Path: "requester_advertise", Type: "text", Default: "", Check: maybeAddress, About: "what requesters are told; empty: as listened on"},
-	{Path: "owner_term_ms", Type: "int", Default: 600, Min: 50, Max: 60000, About: "term of a part's owner"},
-	{Path: "member_term_ms", Type: "int", Default: 5000, Min: 200, Max: 120000, About: "term of a node: how long it may go on alone, and how long its programs wait for a successor"},
-	{Path: "pull_ms", Type: "int", Default: 150, Min: 10, Max: 1000, About: "how often a node pulls news; well below two seconds"},
-	{Path: "newest_ms", Type: "int", Default: 1700, Min: 100, Max: 1900, About: "how old a replica's announcement may be when a shot is made; below two seconds"},
-	{Path: "retry_ms", Type: "int", Default: 150, Min: 10, Max: 10000, About: "how long one attempt at a command may take"},
-	{Path: "patience_ms", Type: "int", Default: 1000, Min: 0, Max: 60000, About: "longest wait of a shot for its tenant's rate"},
-	{Path: "budget_ms", Type: "int", Default: 30000, Min: 100, Max: 600000, About: "budget of inquiries that name none"},
-	{Path: "grace_ms", Type: "int", Default: 5000, Min: 0, Max: 120000, About: "how long a drain may take"},
-	{Path: "drift", Type: "number", Default: 0.1, Min: 0.001, Max: 1, About: "ratio by which a giver counts a term longer than its holder"},
-	{Path: "buffer", Type: "int", Default: 1024, Min: 8, Max: 1e6, About: "room of every buffer"},
-	{Path: "largest_inquiry_bytes", Type: "int", Default: 1 << 20, Min: 1024, Max: 64 << 20, About: "largest body of an inquiry"},
-	{Path: "urgent_ratio", Type: "number", Default: 0.25, Min: 0, Max: 0.9, About: "part of the buffers kept for urgent services"},
-	{Path: "cold_start", Type: "bool", Default: false, About: "this core may found a fleet, or be founded, when its folder is empty and no fleet is found"},
-	{Path: "core_gone_ms", Type: "int", Default: 0, Min: 0, Max: 3600000, About: "after how long a silent core's seats go to others; 0: three terms of a node"},
-	{Path: "order_keep_hours", Type: "int", Default: 24, Min: 1, Max: 8760, About: "for how long an accepted order of an operator is acknowledged when it comes again"},
-	{Path: "group_seats", Type: "int", Default: 3, Min: 1, Max: 9, About: "cores that keep each part of a fleet that is founded anew; 3 bear the loss of one, 5 of two"},
-	{Path: "log_verbosity", Type: "int", Default: 0, Min: 0, Max: 4, About: "how much is logged beyond changes of state"},
+	{Path: "id", Type: "text", Required: true, Check: checkName, About: "name of this process, unique in the fleet"},
+	{Path: "zone", Type: "text", Default: "zone-1", Check: checkName, About: "zone of this machine"},
+	{Path: "folder", Type: "text", Default: "", About: "data directory; required for cores"},
+	{Path: "seeds", Type: "texts", Default: []any{}, Check: checkAddresses, About: "peer addresses of three other processes, as IP address and port"},
+	{Path: "fleet_secret", Type: "text", Required: true, Check: checkSecret, About: "secret with which the processes of the fleet authenticate to each other"},
+	{Path: "operator_key", Type: "text", Default: "", About: "key that operators authenticate with; empty: all operators are refused"},
+	{Path: "replica_key", Type: "text", Default: "", About: "key that replicas register with; empty: all registrations are refused"},
+	{Path: "peer_listen", Type: "text", Default: "127.0.0.1:7000", Check: checkAddress, About: "listen address for other processes of the fleet"},
+	{Path: "peer_advertise", Type: "text", Default: "", Check: checkOptionalAddress, About: "peer address given to other processes; empty: the listen address"},
+	{Path: "operator_listen", Type: "text", Default: "127.0.0.1:7001", Check: checkAddress, About: "listen address for operators"},
+	{Path: "operator_advertise", Type: "text", Default: "", Check: checkOptionalAddress, About: "address given to operators; empty: the listen address"},
+	{Path: "requester_listen", Type: "text", Default: "127.0.0.1:7002", Check: checkAddress, About: "listen address of a node for requesters and replicas"},
+	{Path: "requester_advertise", Type: "text", Default: "", Check: checkOptionalAddress, About: "address given to requesters; empty: the listen address"},
+	{Path: "owner_term_ms", Type: "int", Default: 600, Min: 50, Max: 60000, About: "lease of a partition's leader"},
+	{Path: "member_term_ms", Type: "int", Default: 5000, Min: 200, Max: 120000, About: "lease of a node: how long it may work without contact, and how long its programs wait for a successor"},
+	{Path: "pull_ms", Type: "int", Default: 150, Min: 10, Max: 1000, About: "period at which a node pulls updates; well below two seconds"},
+	{Path: "newest_ms", Type: "int", Default: 1700, Min: 100, Max: 1900, About: "oldest heartbeat of a replica that still allows an attempt there; below two seconds"},
+	{Path: "retry_ms", Type: "int", Default: 150, Min: 10, Max: 10000, About: "timeout of one attempt at a command"},
+	{Path: "patience_ms", Type: "int", Default: 1000, Min: 0, Max: 60000, About: "longest wait of an attempt for its tenant's rate limit"},
+	{Path: "budget_ms", Type: "int", Default: 30000, Min: 100, Max: 600000, About: "time budget of requests that name none"},
+	{Path: "grace_ms", Type: "int", Default: 5000, Min: 0, Max: 120000, About: "longest duration of a drain"},
+	{Path: "drift", Type: "number", Default: 0.1, Min: 0.001, Max: 1, About: "ratio by which the grantor of a lease counts it longer than the holder, against clock drift"},
+	{Path: "buffer", Type: "int", Default: 1024, Min: 8, Max: 1e6, About: "capacity of each buffer"},
+	{Path: "largest_inquiry_bytes", Type: "int", Default: 1 << 20, Min: 1024, Max: 64 << 20, About: "largest body of a request"},
+	{Path: "urgent_ratio", Type: "number", Default: 0.25, Min: 0, Max: 0.9, About: "fraction of the buffers reserved for urgent services"},
+	{Path: "cold_start", Type: "bool", Default: false, About: "this core may take part in founding a fleet when its data directory is empty and no fleet is found"},
+	{Path: "core_gone_ms", Type: "int", Default: 0, Min: 0, Max: 3600000, About: "silence after which a core's group memberships move to other cores; 0: three leases of a node"},
+	{Path: "order_keep_hours", Type: "int", Default: 24, Min: 1, Max: 8760, About: "how long a repeated operator command is recognised and acknowledged"},
+	{Path: "group_seats", Type: "int", Default: 3, Min: 1, Max: 9, About: "number of cores that hold each partition of a newly founded fleet; 3 tolerate the loss of one, 5 of two"},
+	{Path: "log_verbosity", Type: "int", Default: 0, Min: 0, Max: 4, About: "log level; 0 logs state changes only"},
 }
 
-func name(value any) string {
+func checkName(value any) string {
 	if text, _ := value.(string); !configuration.Named(text) {
 		return "a name of 1 to 64 letters, digits, '-', '_' or '.'"
 	}
 	return ""
 }
 
-func secret(value any) string {
+func checkSecret(value any) string {
 	if text, _ := value.(string); len(text) < 16 {
 		return "a text of at least 16 characters"
 	}
 	return ""
 }
 
-func address(value any) string {
+func checkAddress(value any) string {
 	text, _ := value.(string)
 	host, _, err := net.SplitHostPort(text)
 	if err != nil || net.ParseIP(host) == nil {
@@ -139,30 +143,31 @@
 	return ""
 }
 
-func maybeAddress(value any) string {
+func checkOptionalAddress(value any) string {
 	if value == "" {
 		return ""
 	}
-	return address(value)
+	return checkAddress(value)
 }
 
-func addresses(value any) string {
+func checkAddresses(value any) string {
 	list, _ := value.([]any)
-	for _, one := range list {
-		if problem := address(one); problem != "" {
+	for _, item := range list {
+		if problem := checkAddress(item); problem != "" {
 			return "each " + problem
 		}
 	}
 	return ""
 }
 
-// Read reads and checks a settings text.
+// Read parses and checks a settings text. The error is a configuration.Faults that lists
+// every fault. Empty advertised addresses are set to the listen addresses.
 func Read(text []byte) (Params, error) {
 	var p Params
 	if faults := configuration.Read(text, Rows, &p); len(faults) > 0 {
 		return p, faults
 	}
-	for _, pair := range []struct{ to, from *string }{{&p.PeerAdvertise, &p.PeerListen}, {&p.OperatorAdvertise, &p.OperatorListen}, {&p.RequesterAdvert, &p.RequesterListen}} {
+	for _, pair := range []struct{ to, from *string }{{&p.PeerAdvertise, &p.PeerListen}, {&p.OperatorAdvertise, &p.OperatorListen}, {&p.RequesterAdvertise, &p.RequesterListen}} {
 		if *pair.to == "" {
 			*pair.to = *pair.from
 		}
@@ -181,18 +186,18 @@
 
 func ms(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Core are the control plane's bounds.
+// Core returns the parameters of the control plane.
 func (p Params) Core() core.Params {
-	return core.Params{Part: partition.Params{OwnerTerm: ms(p.OwnerTermMS), Drift: p.Drift, Renewals: 5, Sweeps: 40, Home: 20},
+	return core.Params{Part: partition.Params{OwnerTerm: ms(p.LeaderTermMS), Drift: p.Drift, Renewals: 5, Sweeps: 40, Home: 20},
 		MemberTerm: ms(p.MemberTermMS),
-		Retry:      ms(p.RetryMS), Pull: ms(p.PullMS), Gone: ms(p.CoreGoneMS), OrderKeep: time.Duration(p.OrderKeepH) * time.Hour, ColdStart: p.ColdStart}
+		Retry:      ms(p.RetryMS), Pull: ms(p.PullMS), Gone: ms(p.CoreLossTimeoutMS), OrderKeep: time.Duration(p.CommandRetentionHours) * time.Hour, ColdStart: p.ColdStart}
 }
 
-// Node are the data plane's bounds.
+// Node returns the parameters of a data plane node.
 func (p Params) Node() node.Params {
-	return node.Params{Core: p.Core(), Buffer: int(p.Buffer), Patience: ms(p.PatienceMS), Newest: ms(p.NewestMS), Report: 2 * ms(p.PullMS),
+	return node.Params{Core: p.Core(), Buffer: int(p.BufferSize), Patience: ms(p.MaxRateWaitMS), Newest: ms(p.MaxHeartbeatAgeMS), Report: 2 * ms(p.PullMS),
 		UrgentRatio: p.UrgentRatio, Budget: ms(p.BudgetMS)}
 }
 
-// Grace is how long a drain may take.
+// Grace returns the longest duration of a drain.
 func (p Params) Grace() time.Duration { return ms(p.GraceMS) }
--- a/saffronfall/params/params_test.go
+++ b/saffronfall/params/params_test.go
@@ -9,11 +9,11 @@
 	"saffronfall/rule/configuration"
 )
 
-// TestExamples loads everything that examples/ holds.
+// TestExamples checks that all files under examples/ are valid.
 func TestExamples(t *testing.T) {
 	settings, _ := filepath.Glob("../../examples/first-steps/*[0-9].json")
 	if len(settings) != 6 {
-		t.Fatalf("%d settings", len(settings))
+		t.Fatalf("found %d settings files, want 6", len(settings))
 	}
 	for _, path := range settings {
 		if _, err := ReadFile(path); err != nil {
@@ -31,21 +31,21 @@
 	}
 }
 
-// TestFaultsAllAtOnce: every error is named with path, value and what is
-// allowed.
+// TestFaultsAllAtOnce checks that every fault is reported with its path, value and what
+// is allowed.
 func TestFaultsAllAtOnce(t *testing.T) {
 	_, err := Read([]byte(`{"id":"a b","seeds":["localhost:1"],"peer_listen":"x","pull_ms":"soon","drift":7,"colour":"red"}`))
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("invalid settings were accepted")
 	}
 	for _, want := range []string{"id: a b", "seeds:", "peer_listen: x", "pull_ms: soon", "a whole number from 10 to 1000", "drift: 7", "colour: red", "no such setting", "fleet_secret: nothing"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("no %q in:\n%v", want, err)
+			t.Errorf("%q is missing in:\n%v", want, err)
 		}
 	}
 }
 
-// TestDescriptionFaults does the same for descriptions.
+// TestDescriptionFaults checks the faults of descriptions likewise.
 func TestDescriptionFaults(t *testing.T) {
 	_, faults := configuration.Parse([]byte(`{"roles":{"viewer":{"steps":0,"program_tokens_soft":9,"nonsense":1}},"tenants":{"t":{"keys":[{"sha256":"12"}],"burst":0.5}},
 		"services":{"m":{"kind":"magic"},"s":{}},"breaker":{"tests":0}}`))
@@ -56,7 +56,7 @@
 	text := strings.Join(all, "\n")
 	for _, want := range []string{"roles.viewer.steps: 0", "roles.viewer.nonsense", "tenants.t.keys[0].sha256: 12", "64 hexadecimal digits", "tenants.t.burst: 0.5", "services.m.kind: magic", "one of model, tool, once", "services.s.kind: nothing", "breaker.tests: 0"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("no %q in:\n%s", want, text)
+			t.Errorf("%q is missing in:\n%s", want, text)
 		}
 	}
 	_, faults = configuration.Parse([]byte(`{"roles":{"viewer":{"program_tokens_soft":9,"program_tokens_hard":3}},"tenants":{"t":{"keys":[{"sha256":"` + configuration.Sum("k") + `","role":"ghost"}]},
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestAdopt: what may change while running is taken, what needs a restart is
-// named, and a faulty text changes nothing.
-func TestAdopt(t *testing.T) {
+// TestReload checks that live settings are applied, that others are reported as needing
+// a restart, and that an invalid text changes nothing.
+func TestReload(t *testing.T) {
 	text := func(more string) []byte {
 		return []byte(`{"id":"n","fleet_secret":"a secret of some length","seeds":[]` + more + `}`)
 	}
@@ -76,11 +76,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, taken, restart, err := Adopt(running, text(`,"patience_ms":50,"pull_ms":99`))
-	if err != nil || len(taken) != 1 || taken[0] != "patience_ms" || len(restart) != 1 || restart[0] != "pull_ms" || next.PatienceMS != 50 || next.PullMS != running.PullMS {
-		t.Errorf("%v %v %v %+v", err, taken, restart, next)
+	next, applied, restart, err := Reload(running, text(`,"patience_ms":50,"pull_ms":99`))
+	if err != nil || len(applied) != 1 || applied[0] != "patience_ms" || len(restart) != 1 || restart[0] != "pull_ms" || next.MaxRateWaitMS != 50 || next.PullMS != running.PullMS {
+		t.Errorf("%v %v %v %+v", err, applied, restart, next)
 	}
-	if next, _, _, err := Adopt(running, text(`,"patience_ms":50,"pull_ms":-1`)); err == nil || next.PatienceMS != running.PatienceMS {
-		t.Errorf("a faulty text: %v, patience %d", err, next.PatienceMS)
+	if next, _, _, err := Reload(running, text(`,"patience_ms":50,"pull_ms":-1`)); err == nil || next.MaxRateWaitMS != running.MaxRateWaitMS {
+		t.Errorf("an invalid text: %v, patience_ms %d", err, next.MaxRateWaitMS)
 	}
 }
--- a/saffronfall/params/relay.go
+++ b/saffronfall/params/relay.go
@@ -9,109 +9,108 @@
 	"saffronfall/rule/placement"
 )
 
-// Relay are the settings of desks and relaying nodes.
+// Relay holds the settings of desks, which register replicas, and of relaying nodes.
 type Relay struct {
-	Orders
-	BeatMS        int64   `json:"beat_ms"`
-	FollowMS      int64   `json:"follow_ms"`
+	Commands
+	HeartbeatMS   int64   `json:"beat_ms"`
+	PollMS        int64   `json:"follow_ms"`
 	RateWindowMS  int64   `json:"rate_window_ms"`
 	RateOvershoot float64 `json:"rate_overshoot"`
 	RateSlack     int64   `json:"rate_slack"`
-	Choice
-	Requests     int64 `json:"requests"`
-	CacheBytes   int64 `json:"cache_bytes"`
-	BookKeepMS   int64 `json:"book_keep_ms"`
-	Founds       bool  `json:"founds"`
-	PartsPerCore int64 `json:"parts_per_core"`
+	Placement
+	MaxRequests       int64 `json:"requests"`
+	CacheBytes        int64 `json:"cache_bytes"`
+	LedgerRetentionMS int64 `json:"book_keep_ms"`
+	Bootstrap         bool  `json:"founds"`
+	PartitionsPerCore int64 `json:"parts_per_core"`
 	Front
 	Telemetry
 }
 
-// Choice are the settings of how a node chooses replicas.
-type Choice struct {
-	PromptRate  float64 `json:"prompt_tokens_per_ms"`
-	Compared    int64   `json:"compared_replicas"`
-	Homes       bool    `json:"conversation_homes"`
-	Paces       bool    `json:"weigh_paces"`
-	Prefixes    bool    `json:"weigh_prefixes"`
-	Zones       bool    `json:"weigh_zones"`
-	Failures    bool    `json:"weigh_failures"`
-	LoadMS      int64   `json:"share_load_ms"`
-	ResendUnrun bool    `json:"resend_unrun"`
-	Shed        bool    `json:"shed_overload"`
+// Placement holds the settings by which a node chooses replicas.
+type Placement struct {
+	PromptTokensPerMS float64 `json:"prompt_tokens_per_ms"`
+	ComparedReplicas  int64   `json:"compared_replicas"`
+	ConversationHomes bool    `json:"conversation_homes"`
+	WeighSpeeds       bool    `json:"weigh_paces"`
+	WeighPrefixes     bool    `json:"weigh_prefixes"`
+	WeighZones        bool    `json:"weigh_zones"`
+	WeighFailures     bool    `json:"weigh_failures"`
+	LoadShareMS       int64   `json:"share_load_ms"`
+	RetryUnexecuted   bool    `json:"resend_unrun"`
+	ShedOverload      bool    `json:"shed_overload"`
 }
 
-// Front are the settings of a node towards requesters and replicas.
+// Front holds the settings of a node's connections to requesters and replicas.
 type Front struct {
-	DialMS      int64  `json:"dial_ms"`
-	Connections int64  `json:"connections"`
-	BodyMS      int64  `json:"body_ms"`
-	IntakeBytes int64  `json:"intake_bytes"`
-	ReadyListen string `json:"ready_listen"`
-	NotReadyMS  int64  `json:"not_ready_ms"`
+	DialTimeoutMS   int64  `json:"dial_ms"`
+	MaxConnections  int64  `json:"connections"`
+	BodyTimeoutMS   int64  `json:"body_ms"`
+	IntakeBytes     int64  `json:"intake_bytes"`
+	ReadyListen     string `json:"ready_listen"`
+	NotReadyDelayMS int64  `json:"not_ready_ms"`
 }
 
-// Telemetry are the settings of what a process tells of itself.
+// Telemetry holds the settings of metrics, recorded failures and invariant checks.
 type Telemetry struct {
-	MetricsListen string `json:"metrics_listen"`
-	FailuresKept  int64  `json:"failures_kept"`
-	Strict        bool   `json:"strict_invariants"`
+	MetricsListen    string `json:"metrics_listen"`
+	MaxFailures      int64  `json:"failures_kept"`
+	StrictInvariants bool   `json:"strict_invariants"`
 }
 
-// Orders are the settings of what operators order.
-type Orders struct {
-	OrderMS int64 `json:"order_ms"`
-	// OrderKeepH is for how many hours an accepted order is known again.
-	OrderKeepH int64 `json:"order_keep_hours"`
+// Commands holds the settings of operators' commands.
+type Commands struct {
+	CommandTimeoutMS      int64 `json:"order_ms"`
+	CommandRetentionHours int64 `json:"order_keep_hours"`
 }
 
 func init() {
 	Rows = append(Rows,
-		configuration.Row{Path: "beat_ms", Type: "int", Default: 1000, Min: 50, Max: 60000, About: "how often replicas announce themselves at desks"},
-		configuration.Row{Path: "follow_ms", Type: "int", Default: 500, Min: 20, Max: 60000, About: "how often a node asks desks for what it missed; changes come at once"},
-		configuration.Row{Path: "rate_window_ms", Type: "int", Default: 5000, Min: 100, Max: 3600000, About: "window that tenants' rates are counted in"},
-		configuration.Row{Path: "rate_overshoot", Type: "number", Default: 0.0, Min: 0, Max: 1, About: "by which part a window may pass its limit; half of it is used"},
-		configuration.Row{Path: "rate_slack", Type: "int", Default: 0, Min: 0, Max: 1e9, About: "by how many requests a window may pass its limit; half of them are used"},
-		configuration.Row{Path: "prompt_tokens_per_ms", Type: "number", Default: 80.0, Min: 0.01, Max: 1e6, About: "how fast a replica reads prompts, to weigh kept parts against load"},
-		configuration.Row{Path: "compared_replicas", Type: "int", Default: 2, Min: 0, Max: 1000, About: "how many replicas of the node's zone, and half as many of others, are drawn and compared for a request; 0: all"},
-		configuration.Row{Path: "conversation_homes", Type: "bool", Default: true, About: "prefer the replicas at which all nodes expect a conversation's parts"},
-		configuration.Row{Path: "weigh_paces", Type: "bool", Default: true, About: "weigh how fast replicas are, as all nodes see it; needs share_load_ms"},
-		configuration.Row{Path: "weigh_prefixes", Type: "bool", Default: true, About: "weigh the parts of a prompt that a replica has kept"},
+		configuration.Row{Path: "beat_ms", Type: "int", Default: 1000, Min: 50, Max: 60000, About: "period of replicas' heartbeats to desks"},
+		configuration.Row{Path: "follow_ms", Type: "int", Default: 500, Min: 20, Max: 60000, About: "period at which a node polls desks for missed updates; changes are also pushed at once"},
+		configuration.Row{Path: "rate_window_ms", Type: "int", Default: 5000, Min: 100, Max: 3600000, About: "window of tenants' rate limits"},
+		configuration.Row{Path: "rate_overshoot", Type: "number", Default: 0.0, Min: 0, Max: 1, About: "fraction by which a window may exceed its limit; half of it is used"},
+		configuration.Row{Path: "rate_slack", Type: "int", Default: 0, Min: 0, Max: 1e9, About: "number of requests by which a window may exceed its limit; half of them are used"},
+		configuration.Row{Path: "prompt_tokens_per_ms", Type: "number", Default: 80.0, Min: 0.01, Max: 1e6, About: "prompt tokens that a replica processes per millisecond, to weigh cached prefixes against load"},
+		configuration.Row{Path: "compared_replicas", Type: "int", Default: 2, Min: 0, Max: 1000, About: "number of replicas of the node's zone, and half as many of others, sampled and compared for a request; 0: all"},
+		configuration.Row{Path: "conversation_homes", Type: "bool", Default: true, About: "prefer the replicas to which all nodes assign a conversation's prefixes"},
+		configuration.Row{Path: "weigh_paces", Type: "bool", Default: true, About: "weigh the speed of replicas as measured by all nodes; needs share_load_ms"},
+		configuration.Row{Path: "weigh_prefixes", Type: "bool", Default: true, About: "weigh the prefixes of a prompt that a replica has cached"},
 		configuration.Row{Path: "weigh_zones", Type: "bool", Default: true, About: "prefer replicas of the node's zone"},
-		configuration.Row{Path: "weigh_failures", Type: "bool", Default: true, About: "weigh how often a replica failed of late"},
-		configuration.Row{Path: "share_load_ms", Type: "int", Default: 100, Min: 0, Max: 60000, About: "how often nodes and desks tell each other what is under way at replicas; 0: never"},
-		configuration.Row{Path: "resend_unrun", Type: "bool", Default: true, About: "send what a replica surely did not run to further replicas beyond the route's number"},
-		configuration.Row{Path: "shed_overload", Type: "bool", Default: true, About: "refuse turns of late and of new programs while replicas have more to do than they can; needs share_load_ms"},
-		configuration.Row{Path: "requests", Type: "int", Default: 2000, Min: 1, Max: 1e6, About: "requests under way at a node; more are refused at once"},
-		configuration.Row{Path: "cache_bytes", Type: "int", Default: 32 << 20, Min: 0, Max: 1 << 36, About: "kept turns that a node remembers, to save asking the cores"},
-		configuration.Row{Path: "book_keep_ms", Type: "int", Default: 600000, Min: 1000, Max: 86400000, About: "how long a program's books are kept after its last turn began"},
-		configuration.Row{Path: "dial_ms", Type: "int", Default: 300, Min: 10, Max: 60000, About: "how long a connection to a replica may take to come up"},
-		configuration.Row{Path: "connections", Type: "int", Default: 16384, Min: 1, Max: 1e6, About: "connections of requesters at a time; keep it below what the process has of descriptors. More wait"},
-		configuration.Row{Path: "body_ms", Type: "int", Default: 30000, Min: 10, Max: 3600000, About: "how long a requester may take to send a body, besides the deadline that it names"},
-		configuration.Row{Path: "intake_bytes", Type: "int", Default: 64 << 20, Min: 1 << 16, Max: 1 << 40, About: "memory that the bodies of all requests under way may take; beyond it requests are refused"},
-		configuration.Row{Path: "order_ms", Type: "int", Default: 3000, Min: 100, Max: 600000, About: "how long a desk tries to carry an operator's call out"},
-		configuration.Row{Path: "founds", Type: "bool", Default: false, About: "this one desk founds a fleet that was never founded"},
-		configuration.Row{Path: "parts_per_core", Type: "int", Default: 2, Min: 1, Max: 64, About: "parts that a desk founds a fleet with for each core, besides the configuration's"},
-		configuration.Row{Path: "ready_listen", Type: "text", Default: "", Check: maybeAddress, About: "where a node says whether it is ready; empty: nowhere else"},
-		configuration.Row{Path: "not_ready_ms", Type: "int", Default: 2500, Min: 0, Max: 60000, About: "how long a leaving node still takes requests after it says that it is not ready"},
-		configuration.Row{Path: "metrics_listen", Type: "text", Default: "", Check: maybeAddress, About: "where the process tells its metrics (/metrics) and last failed requests (/failures), to anyone who asks; empty: nowhere"},
-		configuration.Row{Path: "failures_kept", Type: "int", Default: 256, Min: 0, Max: 1e5, About: "how many of the last failed requests a node remembers"},
-		configuration.Row{Path: "strict_invariants", Type: "bool", Default: false, About: "the process ends at a violated invariant, for rehearsals; otherwise it is counted and logged"},
+		configuration.Row{Path: "weigh_failures", Type: "bool", Default: true, About: "weigh the recent failure rate of replicas"},
+		configuration.Row{Path: "share_load_ms", Type: "int", Default: 100, Min: 0, Max: 60000, About: "period at which nodes and desks exchange the load of replicas; 0: never"},
+		configuration.Row{Path: "resend_unrun", Type: "bool", Default: true, About: "retry requests that were certainly not executed at more replicas than the route's number of attempts"},
+		configuration.Row{Path: "shed_overload", Type: "bool", Default: true, About: "refuse turns of late and of new programs while replicas are overloaded; needs share_load_ms"},
+		configuration.Row{Path: "requests", Type: "int", Default: 2000, Min: 1, Max: 1e6, About: "maximum number of requests in flight at a node; further ones are refused at once"},
+		configuration.Row{Path: "cache_bytes", Type: "int", Default: 32 << 20, Min: 0, Max: 1 << 36, About: "memory for a node's cache of stored turns"},
+		configuration.Row{Path: "book_keep_ms", Type: "int", Default: 600000, Min: 1000, Max: 86400000, About: "how long a program's ledger is kept after its last turn began"},
+		configuration.Row{Path: "dial_ms", Type: "int", Default: 300, Min: 10, Max: 60000, About: "timeout of connecting to a replica"},
+		configuration.Row{Path: "connections", Type: "int", Default: 16384, Min: 1, Max: 1e6, About: "maximum number of open requester connections, further ones wait; keep it below the process's limit of file descriptors"},
+		configuration.Row{Path: "body_ms", Type: "int", Default: 30000, Min: 10, Max: 3600000, About: "timeout for receiving a request body, besides the request's own deadline"},
+		configuration.Row{Path: "intake_bytes", Type: "int", Default: 64 << 20, Min: 1 << 16, Max: 1 << 40, About: "memory for the bodies of all requests in flight; beyond it requests are refused"},
+		configuration.Row{Path: "order_ms", Type: "int", Default: 3000, Min: 100, Max: 600000, About: "how long a desk retries an operator's command"},
+		configuration.Row{Path: "founds", Type: "bool", Default: false, About: "this desk founds the fleet if none exists; set it on one desk only"},
+		configuration.Row{Path: "parts_per_core", Type: "int", Default: 2, Min: 1, Max: 64, About: "number of partitions per core in a newly founded fleet, besides the configuration's partition"},
+		configuration.Row{Path: "ready_listen", Type: "text", Default: "", Check: checkOptionalAddress, About: "listen address for a node's readiness checks; empty: no separate listener"},
+		configuration.Row{Path: "not_ready_ms", Type: "int", Default: 2500, Min: 0, Max: 60000, About: "how long a draining node still accepts requests after it reports not ready"},
+		configuration.Row{Path: "metrics_listen", Type: "text", Default: "", Check: checkOptionalAddress, About: "listen address for metrics (/metrics) and recent failed requests (/failures), without authentication; empty: disabled"},
+		configuration.Row{Path: "failures_kept", Type: "int", Default: 256, Min: 0, Max: 1e5, About: "number of recent failed requests that a node records"},
+		configuration.Row{Path: "strict_invariants", Type: "bool", Default: false, About: "panic on a violated invariant, for tests; otherwise it is counted and logged"},
 	)
 }
 
-// Desk are a desk's bounds.
+// Desk returns the parameters of a desk.
 func (p Params) Desk() desk.Params {
-	return desk.Params{Core: p.Core(), Beat: ms(p.BeatMS), Seats: int(p.GroupSeats), PartsPerCore: int(p.PartsPerCore), LoadPeriod: ms(p.LoadMS), Within: ms(p.OrderMS)}
+	return desk.Params{Core: p.Core(), Beat: ms(p.HeartbeatMS), Seats: int(p.GroupSize), PartsPerCore: int(p.PartitionsPerCore), LoadPeriod: ms(p.LoadShareMS), Within: ms(p.CommandTimeoutMS)}
 }
 
-// placement is the policy by which replicas are chosen.
-func (c Choice) placement(beat time.Duration) placement.Settings {
-	return placement.Settings{Compared: int(c.Compared), Homes: c.Homes, Paces: c.Paces, Prefixes: c.Prefixes, Zones: c.Zones, Failures: c.Failures, PromptRate: c.PromptRate, Beat: beat}
+// policy returns the placement policy, given the period of replicas' heartbeats.
+func (p Placement) policy(heartbeat time.Duration) placement.Settings {
+	return placement.Settings{Compared: int(p.ComparedReplicas), Homes: p.ConversationHomes, Paces: p.WeighSpeeds, Prefixes: p.WeighPrefixes, Zones: p.WeighZones, Failures: p.WeighFailures, PromptRate: p.PromptTokensPerMS, Beat: heartbeat}
 }
 
-// RelayNode are a relaying node's bounds.
+// RelayNode returns the parameters of a relaying node.
 func (p Params) RelayNode() relay.Params {
-	return relay.Params{Core: p.Core(), Beat: ms(p.BeatMS), Follow: ms(p.FollowMS), Window: ms(p.RateWindowMS), Overshoot: p.RateOvershoot, Slack: p.RateSlack,
-		Placement: p.Choice.placement(ms(p.BeatMS)), LoadPeriod: ms(p.LoadMS), ResendUnrun: p.ResendUnrun, ShedOverload: p.Shed, Buffer: int(p.Requests), Cache: p.CacheBytes, BookKeep: ms(p.BookKeepMS)}
+	return relay.Params{Core: p.Core(), Beat: ms(p.HeartbeatMS), Follow: ms(p.PollMS), Window: ms(p.RateWindowMS), Overshoot: p.RateOvershoot, Slack: p.RateSlack,
+		Placement: p.Placement.policy(ms(p.HeartbeatMS)), LoadPeriod: ms(p.LoadShareMS), ResendUnrun: p.RetryUnexecuted, ShedOverload: p.ShedOverload, Buffer: int(p.MaxRequests), Cache: p.CacheBytes, BookKeep: ms(p.LedgerRetentionMS)}
 }
--- a/saffronfall/relayprocess/process.go
+++ b/saffronfall/relayprocess/process.go
@@ -97,8 +97,8 @@
 	if _, err := crypto.Read(raw); err != nil {
 		return err
 	}
-	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.Secret,
-		Buffer: int(p.Buffer), Largest: 64 << 20, Patience: 2 * p.Core().Pull})
+	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.FleetSecret,
+		Buffer: int(p.BufferSize), Largest: 64 << 20, Patience: 2 * p.Core().Pull})
 	if err != nil {
 		return err
 	}
@@ -106,24 +106,24 @@
 	s := &process{params: p, adopt: adopt, log: log, streams: streams, start: clock.Now(), life: life, closing: make(chan struct{}),
 		arrive: make(chan *way, 64), came: make(chan came, 64), gone: make(chan uint64, 64), calls: make(chan func(time.Duration), 16),
 		waiting: map[uint64]*way{}, lines: map[string]*line{}}
-	s.violations = telemetry.Violations(p.Strict, log)
-	s.observer = newObserver(p.Secret, hex.EncodeToString(raw), int(p.FailuresKept), log)
+	s.violations = telemetry.NewViolationCounts(p.StrictInvariants, log)
+	s.observer = newObserver(p.FleetSecret, hex.EncodeToString(raw), int(p.MaxFailures), log)
 	s.machine = relay.New(relay.Options{Params: p.RelayNode(), ID: p.ID, Life: hex.EncodeToString(raw), Zone: p.Zone, Address: p.PeerAdvertise, Seeds: p.Seeds, Now: s.now(), Random: rand.Float64, Violated: s.violations.Report})
 	log.Info("relay started", "id", p.ID)
 
 	var group run.Group
 	group.Add(func() error { return s.own() }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
-	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "node", Look: s.snapshot, Set: s.observer.set}, log)
-	handler := front.Handler(front.Options{Dispatcher: s, Names: names, HashKey: hashKey(p.Secret), MaxBody: p.Largest, Draining: s.closing,
-		BodyTimeout: time.Duration(p.BodyMS) * time.Millisecond, IntakeBytes: p.IntakeBytes, OnRejected: s.rejected, Violated: s.violated})
+	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "node", Snapshot: s.snapshot, Set: s.observer.set}, log)
+	handler := front.Handler(front.Options{Dispatcher: s, Names: names, HashKey: hashKey(p.FleetSecret), MaxBody: p.MaxRequestBytes, Draining: s.closing,
+		BodyTimeout: time.Duration(p.BodyTimeoutMS) * time.Millisecond, IntakeBytes: p.IntakeBytes, OnRejected: s.rejected, Violated: s.violated})
 	server := &http.Server{Addr: p.RequesterListen, Handler: handler, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 1 << 20}
-	serve(&group, server, func(server *http.Server) error { return front.Serve(server, int(p.Connections)) }, "requester address")
+	serve(&group, server, func(server *http.Server) error { return front.Serve(server, int(p.MaxConnections)) }, "requester address")
 	if p.ReadyListen != "" {
 		serve(&group, &http.Server{Addr: p.ReadyListen, Handler: http.HandlerFunc(s.tellReady), ReadHeaderTimeout: 5 * time.Second}, (*http.Server).ListenAndServe, "readiness address")
 	}
-	if p.OperatorListen != "" && p.Operators != "" {
-		serve(&group, &http.Server{Addr: p.OperatorListen, Handler: operator.Guard(p.Operators, s.operators()), ReadHeaderTimeout: 5 * time.Second}, (*http.Server).ListenAndServe, "operator address")
+	if p.OperatorListen != "" && p.OperatorKey != "" {
+		serve(&group, &http.Server{Addr: p.OperatorListen, Handler: operator.Guard(p.OperatorKey, s.operators()), ReadHeaderTimeout: 5 * time.Second}, (*http.Server).ListenAndServe, "operator address")
 	}
 	group.Add(func() error {
 		select {
@@ -164,7 +164,7 @@
 		return
 	}
 	close(s.closing)
-	wait := time.NewTimer(time.Duration(p.NotReadyMS) * time.Millisecond)
+	wait := time.NewTimer(time.Duration(p.NotReadyDelayMS) * time.Millisecond)
 	<-wait.C
 	ending, cancel := context.WithTimeout(context.Background(), p.Grace())
 	defer cancel()
@@ -257,7 +257,7 @@
 		l = nil
 	}
 	if l == nil {
-		l = &line{Line: replica.NewLine(step.Replica.Address, 32, time.Duration(s.params.DialMS)*time.Millisecond), address: step.Replica.Address}
+		l = &line{Line: replica.NewLine(step.Replica.Address, 32, time.Duration(s.params.DialTimeoutMS)*time.Millisecond), address: step.Replica.Address}
 		s.lines[step.Replica.ID] = l
 	}
 	l.usedAt = s.now()
@@ -394,7 +394,7 @@
 // snapshot is what this process counts now.
 func (s *process) snapshot(ctx context.Context) (told telemetry.Snapshot, err error) {
 	err = s.look(ctx, func(now time.Duration) {
-		told = telemetry.Snapshot{Values: s.machine.Status(now), Violations: telemetry.Counted(s.violations), Failures: s.observer.failures()}
+		told = telemetry.Snapshot{Values: s.machine.Status(now), Violations: telemetry.ViolationCounts(s.violations), Failures: s.observer.failures()}
 		told.Values["messages_sent"], told.Values["messages_dropped"], told.Values["bad_streams"] = s.sent, s.dropped, s.bad
 	})
 	return told, err
--- a/saffronfall/reload/reload.go
+++ b/saffronfall/reload/reload.go
@@ -1,5 +1,6 @@
-// Package reload takes SIGHUP: a process reads its settings again and adopts what may
-// change while it runs.
+// Package reload reloads the settings of a running process on SIGHUP. Listen must be
+// called before the settings are first read; Reloader.Run then applies the settings that
+// may change without a restart.
 package reload
 
 import (
@@ -13,57 +14,57 @@
 	"saffronfall/saffronfall/params"
 )
 
-// Requests are reloads that were asked for and not carried out yet. Several count as
-// one.
+// Requests delivers pending reload requests. Several pending requests count as one.
 type Requests <-chan os.Signal
 
-// Listen begins to take SIGHUP. It comes before the settings are read for the first
-// time: until it is called, a SIGHUP ends the process, and one that comes while the
-// settings are read may be about what was not read.
+// Listen starts to handle SIGHUP. Call it before the settings are first read: until
+// then SIGHUP ends the process, and a signal that arrives during the first read may
+// announce a change that this read missed.
 func Listen() Requests {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// Follower carries reloads out.
-type Follower struct {
-	// Read reads the product's settings.
+// Reloader reloads the settings on request.
+type Reloader struct {
+	// Read returns the settings text.
 	Read func() ([]byte, error)
-	// Adopt takes the settings that a running process is to go by.
-	Adopt chan<- params.Params
-	// Taken, where it is set, is told of settings that were adopted.
-	Taken func(p params.Params)
-	Log   logr.Logger
+	// Updates receives the settings to run with after each reload.
+	Updates chan<- params.Params
+	// OnReload, if set, is called with the new settings before they go to Updates.
+	OnReload func(p params.Params)
+	Log      logr.Logger
 }
 
-// Run carries reloads out until the context ends. Faulty settings change nothing.
-func (f Follower) Run(ctx context.Context, requests Requests, running params.Params) {
+// Run reloads the settings on each request until the context ends. Invalid settings are
+// logged and change nothing.
+func (r Reloader) Run(ctx context.Context, requests Requests, running params.Params) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-requests:
 		}
-		text, err := f.Read()
+		text, err := r.Read()
 		var next params.Params
-		var taken, restart []string
+		var applied, restart []string
 		if err == nil {
-			next, taken, restart, err = params.Adopt(running, text)
+			next, applied, restart, err = params.Reload(running, text)
 		}
 		if err != nil {
-			f.Log.Info("settings not taken; the old ones stay whole", "faults", err.Error())
+			r.Log.Info("settings are invalid; the current settings stay in force", "faults", err.Error())
 			continue
 		}
 		running = next
-		if f.Taken != nil {
-			f.Taken(running)
+		if r.OnReload != nil {
+			r.OnReload(running)
 		}
 		select {
-		case f.Adopt <- running:
+		case r.Updates <- running:
 		case <-ctx.Done():
 			return
 		}
-		f.Log.Info("settings read again", "taken", taken, "need a restart", restart)
+		r.Log.Info("settings read again", "taken", applied, "need a restart", restart)
 	}
 }
--- a/saffronfall/role/role.go
+++ b/saffronfall/role/role.go
@@ -1,5 +1,6 @@
-// Package role starts one role of a fleet from its settings file: it reads the settings,
-// logs, takes signals and carries reloads out. What a role does is handed in.
+// Package role runs one role of a fleet as a process: it reads the settings file, sets up
+// logging, handles signals and reloads the settings. The role itself is passed in as a
+// Run function.
 package role
 
 import (
@@ -15,29 +16,29 @@
 	"saffronfall/saffronfall/reload"
 )
 
-// Run runs a role until the context ends. Settings that were read again come by the
-// channel.
-type Run func(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger) error
+// Run runs a role until the context ends. Reloaded settings arrive on updates.
+type Run func(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger) error
 
-// Start runs a role by a settings file, until SIGTERM or SIGINT.
-func Start(settings string, run Run) error {
+// Start runs a role with the settings file at path until SIGTERM or SIGINT. It returns
+// the error of reading the settings or of the role.
+func Start(path string, run Run) error {
 	reloads := reload.Listen()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	p, err := params.ReadFile(settings)
+	p, err := params.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	// The level is read by all goroutines that log while a reload may set it.
+	// A LevelVar, because goroutines log while a reload sets the level.
 	var level slog.LevelVar
-	level.Set(levelOf(p))
+	level.Set(logLevel(p))
 	logger := logr.FromSlogHandler(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: &level}))
-	adopt := make(chan params.Params, 1)
-	follower := reload.Follower{Read: func() ([]byte, error) { return os.ReadFile(settings) }, Adopt: adopt, Log: logger,
-		Taken: func(p params.Params) { level.Set(levelOf(p)) }}
-	go follower.Run(ctx, reloads, p)
-	return run(ctx, p, adopt, logger)
+	updates := make(chan params.Params, 1)
+	reloader := reload.Reloader{Read: func() ([]byte, error) { return os.ReadFile(path) }, Updates: updates, Log: logger,
+		OnReload: func(p params.Params) { level.Set(logLevel(p)) }}
+	go reloader.Run(ctx, reloads, p)
+	return run(ctx, p, updates, logger)
 }
 
-// levelOf is the level from which on a process logs: more verbose is lower.
-func levelOf(p params.Params) slog.Level { return slog.LevelInfo - slog.Level(p.Verbosity) }
+// logLevel returns the minimum level to log. A higher verbosity lowers it.
+func logLevel(p params.Params) slog.Level { return slog.LevelInfo - slog.Level(p.Verbosity) }
--- a/saffronfall/telemetry/telemetry.go
+++ b/saffronfall/telemetry/telemetry.go
@@ -1,6 +1,6 @@
-// Package telemetry tells what a process counts: metrics as text in the usual
-// exposition format, and the last requests that failed as JSON. It starts from
-// Handler; Serve runs it beside a role's other servers.
+// Package telemetry serves a process's metrics in the Prometheus text format and its
+// recent failed requests as JSON. Handler serves them; Serve runs the handler beside a
+// role's other servers. A failure of this server never ends the process.
 package telemetry
 
 import (
@@ -20,41 +20,41 @@
 	"saffronfall/rule/ordered"
 )
 
-// Snapshot is what a process counts at one moment. Its owner takes it.
+// Snapshot holds a process's counters and recent failures at one moment.
 type Snapshot struct {
-	// Values are counts and levels by name.
+	// Values holds counters and gauges by name, without the saffronfall_ROLE_ prefix.
 	Values map[string]int64
-	// Violations are counts of violated invariants.
+	// Violations counts violations by invariant.
 	Violations map[invariant.Name]int64
-	// Failures are the last requests that failed, oldest first; nil where the role
-	// serves none.
+	// Failures lists the recent failed requests, oldest first, as a value that encodes
+	// as JSON; nil for roles that serve no requests.
 	Failures any
 }
 
-// Source is a process that can be asked.
+// Source provides the telemetry of one process.
 type Source struct {
-	// Role stands in the metrics' names.
+	// Role is part of the metrics' names: saffronfall_ROLE_NAME.
 	Role string
-	// Look takes a snapshot on the goroutine that owns what is counted.
-	Look func(ctx context.Context) (Snapshot, error)
-	// Set holds what is counted elsewhere, such as histograms; it may be nil.
+	// Snapshot takes a snapshot on the goroutine that owns the counters.
+	Snapshot func(ctx context.Context) (Snapshot, error)
+	// Set holds further metrics, such as histograms; it may be nil.
 	Set *metrics.Set
 }
 
-// patience is how long a process may take to answer.
-const patience = 2 * time.Second
+// snapshotTimeout bounds how long a process may take to provide a snapshot.
+const snapshotTimeout = 2 * time.Second
 
-// Handler serves /metrics and /failures.
+// Handler serves /metrics and /failures for a source.
 func Handler(s Source) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, r *http.Request) {
-		if snapshot, ok := s.look(w, r); ok {
+		if snapshot, ok := s.snapshot(w, r); ok {
 			w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 			s.write(w, snapshot)
 		}
 	})
 	mux.HandleFunc("GET /failures", func(w http.ResponseWriter, r *http.Request) {
-		if snapshot, ok := s.look(w, r); ok {
+		if snapshot, ok := s.snapshot(w, r); ok {
 			w.Header().Set("Content-Type", "application/json")
 			json.NewEncoder(w).Encode(snapshot.Failures)
 		}
@@ -62,10 +62,11 @@
 	return mux
 }
 
-func (s Source) look(w http.ResponseWriter, r *http.Request) (Snapshot, bool) {
-	ctx, cancel := context.WithTimeout(r.Context(), patience)
+// snapshot takes a snapshot, or answers the request with 503 and returns false.
+func (s Source) snapshot(w http.ResponseWriter, r *http.Request) (Snapshot, bool) {
+	ctx, cancel := context.WithTimeout(r.Context(), snapshotTimeout)
 	defer cancel()
-	snapshot, err := s.Look(ctx)
+	snapshot, err := s.Snapshot(ctx)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return Snapshot{}, false
@@ -73,6 +74,7 @@
 	return snapshot, true
 }
 
+// write writes the metrics, sorted by name, in the Prometheus text format.
 func (s Source) write(w io.Writer, snapshot Snapshot) {
 	for _, name := range ordered.Keys(snapshot.Values) {
 		fmt.Fprintf(w, "saffronfall_%s_%s %d\n", s.Role, name, snapshot.Values[name])
@@ -89,8 +91,9 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// Serve runs the handler at an address, if there is one. It must not end the
-// process: an address that can't be had is logged, and the role goes on unseen.
+// Serve adds a server of the source's Handler to the group. An empty address disables
+// it. If the address cannot be used, the error is logged and the process continues
+// without metrics.
 func Serve(group *run.Group, listen string, s Source, log logr.Logger) {
 	if listen == "" {
 		return
@@ -99,7 +102,7 @@
 	ended := make(chan struct{})
 	group.Add(func() error {
 		if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-			log.Info("no metrics are told", "address", listen, "cause", err.Error())
+			log.Info("metrics server failed; the process continues without metrics", "address", listen, "cause", err.Error())
 		}
 		<-ended
 		return nil
@@ -109,20 +112,20 @@
 	})
 }
 
-// Violations makes the counts of a process's violated invariants. Each is logged
-// once; where they are strict, the first one ends the process.
-func Violations(strict bool, log logr.Logger) *invariant.Counts {
+// NewViolationCounts returns the counters of violated invariants. The first violation of
+// each invariant is logged; if strict is set, it panics instead.
+func NewViolationCounts(strict bool, log logr.Logger) *invariant.Counts {
 	return &invariant.Counts{First: func(v invariant.Violation) {
 		if strict {
 			panic(v)
 		}
-		log.Error(v, "an invariant was violated; it is counted and not logged again", "invariant", v.Name)
+		log.Error(v, "an invariant was violated; further violations of it are counted but not logged", "invariant", v.Name)
 	}}
 }
 
-// Counted copies counts of violations for a snapshot.
-func Counted(c *invariant.Counts) map[invariant.Name]int64 {
-	counted := map[invariant.Name]int64{}
-	c.Each(func(name invariant.Name, count int64) { counted[name] = count })
-	return counted
+// ViolationCounts returns a copy of the counters for a Snapshot.
+func ViolationCounts(c *invariant.Counts) map[invariant.Name]int64 {
+	counts := map[invariant.Name]int64{}
+	c.Each(func(name invariant.Name, count int64) { counts[name] = count })
+	return counts
 }
