--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -7,7 +7,7 @@
 	"saffronfall/rule/invariant"
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/rehearsal"
 	"saffronfall/rule/slab"
 )
@@ -49,7 +49,7 @@
 	Now      time.Duration
 	Random   func() float64
 	// Violated takes violated invariants; without it they panic.
-	Violated invariant.Report
+	Violated invariant.Reporter
 }
 
 // Machine is one core.
@@ -59,10 +59,10 @@
 	params   Params
 	self     Core
 	founding Founding
-	parts    map[int]*part.Machine
+	parts    map[int]*partition.Machine
 	cores    map[string]Core
-	owners   []part.Term
-	groups   []part.Group
+	owners   []partition.Term
+	groups   []partition.Group
 	caller   *Caller
 	tickets  slab.Slab[origin]
 	outlets
@@ -98,12 +98,12 @@
 // invariants.
 type outlets struct {
 	out      *Output
-	violated invariant.Report
+	violated invariant.Reporter
 }
 
 // New makes a core from what its disk holds.
 func New(o Options) *Machine {
-	m := &Machine{params: o.Params, random: o.Random, outlets: outlets{violated: o.Violated}, seeds: o.Seeds, parts: map[int]*part.Machine{}, cores: map[string]Core{},
+	m := &Machine{params: o.Params, random: o.Random, outlets: outlets{violated: o.Violated}, seeds: o.Seeds, parts: map[int]*partition.Machine{}, cores: map[string]Core{},
 		self: Core{ID: o.ID, Incarnation: o.Stored.Incarnation, Zone: o.Zone, Peer: o.Address, Operator: o.Operator}}
 	m.caller = &Caller{Retry: o.Params.Retry, Random: o.Random,
 		Send:  func(to string, body any) { m.send(to, body, false) },
@@ -126,7 +126,7 @@
 
 func (m *Machine) begin(now time.Duration, s Stored) {
 	m.founding = s.Founding
-	m.owners, m.groups = make([]part.Term, s.Founding.Parts), make([]part.Group, s.Founding.Parts)
+	m.owners, m.groups = make([]partition.Term, s.Founding.Parts), make([]partition.Group, s.Founding.Parts)
 	for id, c := range s.Founding.Cores {
 		m.cores[id] = c
 	}
@@ -140,8 +140,8 @@
 	}
 }
 
-func (m *Machine) seat(now time.Duration, n int, c part.Copy) *part.Machine {
-	m.parts[n] = part.New(part.Options{Params: m.params.Part, Seat: m.self.Seat(), Number: n, Rules: &rules{params: m.params, fleet: m.fleet, violated: m.violated}, Copy: c, Now: now,
+func (m *Machine) seat(now time.Duration, n int, c partition.State) *partition.Machine {
+	m.parts[n] = partition.New(partition.Options{Params: m.params.Part, Member: m.self.Seat(), Partition: n, Rules: &rules{params: m.params, fleet: m.fleet, violated: m.violated}, State: c, Now: now,
 		Random: m.random, Violated: m.violated})
 	return m.parts[n]
 }
@@ -176,8 +176,8 @@
 			continue
 		}
 		if m.leaving || m.stalled {
-			m.take(now, n, p.Leave(now))
-			if _, owns := p.Owns(now); !owns {
+			m.take(now, n, p.ReleaseLeadership(now))
+			if _, owns := p.LeadingTerm(now); !owns {
 				continue
 			}
 		}
@@ -189,14 +189,14 @@
 		m.gossip(now)
 	}
 	if now >= m.moveAt {
-		m.moveAt = now + m.params.Part.OwnerTerm/4
+		m.moveAt = now + m.params.Part.LeaseDuration/4
 		m.place(now)
 	}
 	if now >= m.sweepAt {
 		m.sweepAt = now + m.params.MemberTerm/4
 		for n := 0; n < m.founding.Parts; n++ {
 			if p := m.parts[n]; p != nil {
-				if _, ok := p.Owns(now); ok {
+				if _, ok := p.LeadingTerm(now); ok {
 					m.propose(now, n, Sweep{}, origin{})
 				}
 			}
@@ -219,7 +219,7 @@
 func (m *Machine) Owned(now time.Duration) []int {
 	var list []int
 	for n, p := range m.parts {
-		if _, ok := p.Owns(now); ok {
+		if _, ok := p.LeadingTerm(now); ok {
 			list = append(list, n)
 		}
 	}
@@ -228,23 +228,23 @@
 }
 
 // PartCounters sums the counters of all parts.
-func (m *Machine) PartCounters() part.Counters {
-	var sum part.Counters
+func (m *Machine) PartCounters() partition.Counters {
+	var sum partition.Counters
 	for _, p := range m.parts {
 		c := p.Counters
-		sum.Stands += c.Stands
-		sum.Seated += c.Seated
+		sum.Elections += c.Elections
+		sum.Elected += c.Elected
 		sum.Writes += c.Writes
 		sum.Entries += c.Entries
-		sum.Mended += c.Mended
-		sum.Swept += c.Swept
-		sum.Dropped += c.Dropped
+		sum.SnapshotsSent += c.SnapshotsSent
+		sum.Sweeps += c.Sweeps
+		sum.TombstonesPurged += c.TombstonesPurged
 	}
 	return sum
 }
 
 // Part is one part's machine, for tests and status.
-func (m *Machine) Part(n int) *part.Machine { return m.parts[n] }
+func (m *Machine) Part(n int) *partition.Machine { return m.parts[n] }
 
 // Receive takes a message from the process at an address.
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
--- a/peer/core/relay.go
+++ b/peer/core/relay.go
@@ -7,8 +7,7 @@
 
 	"saffronfall/rule/book"
 	"saffronfall/rule/invariant"
-	"saffronfall/rule/message"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/rate"
 )
 
@@ -79,12 +78,12 @@
 	}
 	// TenantDraw is a draw of one tenant's rate.
 	TenantDraw struct {
-		Tenant string    `msgpack:"n"`
-		Draw   rate.Draw `msgpack:"d"`
+		Tenant string           `msgpack:"n"`
+		Draw   rate.DrawRequest `msgpack:"d"`
 	}
 	// RatesDrawn answers, in the same order.
 	RatesDrawn struct {
-		Drawn []rate.Drawn `msgpack:"d"`
+		Drawn []rate.DrawResponse `msgpack:"d"`
 	}
 	// AgreeTable makes a checked routing table the one in force.
 	AgreeTable struct {
@@ -135,11 +134,6 @@
 	}
 )
 
-func init() {
-	message.Register(ReserveTurn{}, TurnReserved{}, SettleTurn{}, KeepTurn{}, ReadTurn{}, KeptTurn{}, ProlongTurn{}, DrawRates{}, RatesDrawn{},
-		AgreeTable{}, TableAgreed{}, FindOrder{}, ReadTable{}, AgreedTable{})
-}
-
 // TableKey is the entry of the routing table in force.
 const TableKey = "table"
 
@@ -210,7 +204,7 @@
 	return list
 }
 
-func (r *rules) seatedRelay(tx *part.Tx) {
+func (r *rules) seatedRelay(tx *partition.Tx) {
 	r.ends, r.ledgers, r.expired = expiries{}, map[string]*rate.Ledger{}, newRecentKeys()
 	for _, key := range tx.Keys(keptPrefix) {
 		if t, ok := read[keptTurn](tx, key); ok {
@@ -229,7 +223,7 @@
 	}
 }
 
-func (r *rules) sweepRelay(tx *part.Tx) {
+func (r *rules) sweepRelay(tx *partition.Tx) {
 	clock := tx.Clock()
 	for _, e := range r.ends.due(clock) {
 		var until time.Duration
@@ -246,12 +240,12 @@
 			r.ends.add(e.key, until)
 			continue
 		}
-		tx.Remove(e.key)
+		tx.Delete(e.key)
 		r.expired.add(e.key)
 	}
 }
 
-func readKind[T any](tx *part.Tx, key, prefix string) (T, bool) {
+func readKind[T any](tx *partition.Tx, key, prefix string) (T, bool) {
 	var none T
 	if len(key) < len(prefix) || key[:len(prefix)] != prefix {
 		return none, false
@@ -259,7 +253,7 @@
 	return read[T](tx, key)
 }
 
-func (r *rules) applyRelay(tx *part.Tx, command any) any {
+func (r *rules) applyRelay(tx *partition.Tx, command any) any {
 	switch c := command.(type) {
 	case ReserveTurn:
 		return r.reserveTurn(tx, c)
@@ -302,23 +296,23 @@
 	return Done{OK: true}
 }
 
-func (r *rules) drawRates(tx *part.Tx, c DrawRates) any {
+func (r *rules) drawRates(tx *partition.Tx, c DrawRates) any {
 	var answer RatesDrawn
 	for _, d := range c.Draws {
 		key := ratePrefix + d.Tenant
 		l := r.ledgers[key]
 		if l == nil {
-			reserve, _ := read[rate.Reserve](tx, key)
-			l = rate.Open(tx.Clock(), reserve, d.Draw.Term)
+			reserve, _ := read[rate.DurableState](tx, key)
+			l = rate.Restore(tx.Clock(), reserve, d.Draw.LeaseDuration)
 			r.ledgers[key] = l
 		}
-		drawn, changed := l.Take(tx.Clock(), d.Draw)
+		drawn, changed := l.Draw(tx.Clock(), d.Draw)
 		if l.Exceeded {
-			r.violated.Violated(invariant.GrantedWithinLimit, "tenant %s: more than %d in %v is out or spent", d.Tenant, l.Limit.Most, l.Limit.Window)
+			r.violated.Violated(invariant.GrantedWithinLimit, "tenant %s: more than %d in %v is out or spent", d.Tenant, l.Limit.Max, l.Limit.Window)
 		}
 		answer.Drawn = append(answer.Drawn, drawn)
 		if changed {
-			write(tx, key, l.Reserve)
+			write(tx, key, l.DurableState)
 		}
 	}
 	return answer
@@ -330,7 +324,7 @@
 	return bookPrefix + url.PathEscape(tenant) + "/" + program
 }
 
-func (r *rules) reserveTurn(tx *part.Tx, c ReserveTurn) any {
+func (r *rules) reserveTurn(tx *partition.Tx, c ReserveTurn) any {
 	key := bookKey(c.Tenant, c.Program)
 	b, ok := read[keptBook](tx, key)
 	if !b.Book.Reserve(c.Attempt, c.Most, c.Budget) {
@@ -341,7 +335,7 @@
 		r.ends.add(key, until)
 	}
 	b.Until = max(b.Until, until)
-	b.Book.Touched = tx.Clock()
+	b.Book.LastUsed = tx.Clock()
 	write(tx, key, b)
 	return TurnReserved{OK: true, Charged: b.Book.Charged}
 }
--- a/peer/desk/loads.go
+++ b/peer/desk/loads.go
@@ -47,7 +47,12 @@
 // PaceUnit is the unit in which paces are told.
 const PaceUnit = 100 * time.Microsecond
 
-func init() { message.Register(LoadReport{}, Loads{}) }
+func init() {
+	message.Register(map[string]any{
+		"desk.LoadReport": LoadReport{},
+		"desk.Loads":      Loads{},
+	})
+}
 
 // loads is what a desk knows of replicas' load.
 type loads struct {
@@ -64,7 +69,7 @@
 // replicaRecord is how a replica has done lately, for all nodes.
 type replicaRecord struct {
 	failures placement.FailureRate
-	pace     placement.Pace
+	pace     placement.UnitTime
 }
 
 // nodeLoad is a node's last word.
--- a/peer/node/news.go
+++ b/peer/node/news.go
@@ -10,7 +10,7 @@
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 )
 
 func (m *Machine) pull(now time.Duration) {
@@ -18,7 +18,7 @@
 		return
 	}
 	m.pullAt = now + m.params.Core.Pull
-	versions := map[int]part.Stamp{}
+	versions := map[int]partition.Version{}
 	for n, v := range m.versions {
 		versions[n] = v
 	}
@@ -71,7 +71,7 @@
 	}
 	for n, owner := range m.topology.Owners {
 		for _, c := range m.topology.Cores {
-			if c.Seat() == owner.Owner {
+			if c.Seat() == owner.Leader {
 				m.caller.Hint(n, c.Peer)
 			}
 		}
@@ -109,10 +109,10 @@
 		return
 	}
 	if b.Whole || m.entries[b.Part] == nil {
-		m.entries[b.Part] = map[string]part.Entry{}
+		m.entries[b.Part] = map[string]partition.Entry{}
 	}
 	for _, e := range b.Entries {
-		if e.Gone {
+		if e.Deleted {
 			delete(m.entries[b.Part], e.Key)
 		} else {
 			m.entries[b.Part][e.Key] = e
@@ -128,7 +128,7 @@
 	}
 }
 
-func (m *Machine) learnEntry(now time.Duration, e part.Entry) {
+func (m *Machine) learnEntry(now time.Duration, e partition.Entry) {
 	kind, _, _ := strings.Cut(e.Key, "/")
 	switch kind {
 	case "configuration":
--- a/peer/relay/machine_test.go
+++ b/peer/relay/machine_test.go
@@ -13,7 +13,7 @@
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/placement"
 	"saffronfall/rule/rate"
 	"saffronfall/rule/route"
@@ -45,15 +45,15 @@
 	g := &rig{t: t, steps: map[uint64][]Step{}, books: map[string]*book.Book{}, kept: map[string]core.KeepTurn{}, ledgers: map[string]*rate.Ledger{}, until: map[uint64]time.Duration{}}
 	g.m = New(Options{ID: "n1", Life: "x", Zone: "a", Address: "n1:1", Seeds: []string{"d1:1"}, Random: random.Float64,
 		Params: Params{Core: core.Params{MemberTerm: time.Second, Retry: 100 * time.Millisecond, Pull: 100 * time.Millisecond}, Beat: time.Second, Follow: 500 * time.Millisecond,
-			Window: 5 * time.Second, Placement: placement.Settings{Prefixes: true, Zones: true, Failures: true, PromptRate: 80, Beat: time.Second}, Buffer: 100, Cache: 1 << 20, BookKeep: time.Minute}})
+			Window: 5 * time.Second, Placement: placement.Settings{PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: time.Second}, Buffer: 100, Cache: 1 << 20, BookKeep: time.Minute}})
 	return g
 }
 
 func table(number uint64, change func(t *route.Table)) []byte {
-	key := configuration.Sum("key")
-	t := route.Table{Number: number, Keyed: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20},
+	key := configuration.KeyDigest("key")
+	t := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20},
 		Routes: []route.Route{
-			{Name: "chat", Host: "h", Prefix: "/chat/", Mode: route.Stream, Kept: true, KeepSeconds: 60, TimeoutMS: 4000, Tries: 2, Targets: []route.Target{{Service: "model", Weight: 1}}},
+			{Name: "chat", Host: "h", Prefix: "/chat/", Mode: route.Stream, KeepHistory: true, KeepSeconds: 60, TimeoutMS: 4000, Tries: 2, Targets: []route.Target{{Service: "model", Weight: 1}}},
 			{Name: "once", Host: "h", Prefix: "/once/", Mode: route.Once, TimeoutMS: 3000, Tries: 3, Targets: []route.Target{{Service: "app", Weight: 1}}},
 			{Name: "again", Host: "h", Prefix: "/again/", Mode: route.Repeatable, TimeoutMS: 3000, Tries: 2, Targets: []route.Target{{Service: "app", Weight: 1}}}},
 		Services: []route.Service{{Name: "model", Connections: 100, TokensPerEvent: 10, Slots: 4}, {Name: "app", Connections: 100, TokensPerEvent: 1, Slots: 4}},
@@ -122,9 +122,9 @@
 		var answer core.RatesDrawn
 		for _, d := range c.Draws {
 			if g.ledgers[d.Tenant] == nil {
-				g.ledgers[d.Tenant] = rate.Open(g.now, rate.Reserve{}, d.Draw.Term)
+				g.ledgers[d.Tenant] = rate.Restore(g.now, rate.DurableState{}, d.Draw.LeaseDuration)
 			}
-			drawn, _ := g.ledgers[d.Tenant].Take(g.now, d.Draw)
+			drawn, _ := g.ledgers[d.Tenant].Draw(g.now, d.Draw)
 			answer.Drawn = append(answer.Drawn, drawn)
 		}
 		return answer
@@ -136,8 +136,8 @@
 // hear brings a bulletin of a desk.
 func (g *rig) hear(from string, list []desk.Listed, number uint64, text []byte) {
 	g.version++
-	topology := core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1"}}, Owners: []part.Term{{Round: 1, Owner: "c.1"}, {Round: 1, Owner: "c.1"}},
-		Groups: make([]part.Group, 2)}
+	topology := core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1"}}, Owners: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}},
+		Groups: make([]partition.Group, 2)}
 	g.take(g.m.Receive(g.now, from, desk.Bulletin{Life: "l", Version: g.version, List: list, Number: number, Table: text, Nodes: 1, Topology: &topology}))
 }
 
--- a/rehearsalkit/breaks/checker.go
+++ b/rehearsalkit/breaks/checker.go
@@ -24,7 +24,7 @@
 }
 
 // checkedFolder has the code that the model checker runs.
-const checkedFolder = "rule/part"
+const checkedFolder = "rule/partition"
 
 // Properties of the model checker, by their names in its reports.
 const (
@@ -40,46 +40,46 @@
 // Checker are the breaks that the model checker must find.
 var Checker = []CheckerBreak{
 	{What: "the former group is not asked during a change", Scenario: "replace", Depth: 8, Property: intersect,
-		From: "return most(g.Seats, yes) && (len(g.Former) == 0 || most(g.Former, yes))", To: "return most(g.Seats, yes)"},
+		From: "return majority(g.Members, accepted) && (len(g.Former) == 0 || majority(g.Former, accepted))", To: "return majority(g.Members, accepted)"},
 	{What: "a write of an older term is taken", Scenario: "leftover", Depth: 8, Property: fresh,
-		From: "func (m *Machine) onWrite(now time.Duration, from string, b Write) {\n\tif b.Term.Less(m.copy.Promised) {", To: "func (m *Machine) onWrite(now time.Duration, from string, b Write) {\n\tif false {"},
+		From: "func (m *Machine) onWrite(now time.Duration, from string, msg Write) {\n\tif msg.Term.Less(m.state.Promised) {", To: "func (m *Machine) onWrite(now time.Duration, from string, msg Write) {\n\tif false {"},
 	{What: "a write is acknowledged before its sync", Scenario: "power", Depth: 8, Property: durable,
-		From: "Taken{Term: b.Term, Seq: b.Seq, Whole: m.whole, Sent: b.Sent}, true)", To: "Taken{Term: b.Term, Seq: b.Seq, Whole: m.whole, Sent: b.Sent}, false)"},
+		From: "WriteAck{Term: msg.Term, Seq: msg.Seq, CompleteSeq: m.completeSeq, SentAt: msg.SentAt}, true)", To: "WriteAck{Term: msg.Term, Seq: msg.Seq, CompleteSeq: m.completeSeq, SentAt: msg.SentAt}, false)"},
 	{What: "a promise leaves before its sync", Scenario: "promise", Depth: 11, Property: durable,
 		From: "m.send(from, promise, true)", To: "m.send(from, promise, false)"},
 	{What: "an owner answers without a look at its lease", Scenario: "read", Depth: 8, Property: fresh,
-		From: "if _, ok := m.Owns(now); !ok {\n\t\tm.out.Returns = append(m.out.Returns, Return{Ticket: ticket, Moved: true})\n\t\treturn *m.out\n\t}\n\to := m.owning\n\ttx :=",
-		To:   "if m.owning == nil || !m.owning.serving {\n\t\tm.out.Returns = append(m.out.Returns, Return{Ticket: ticket, Moved: true})\n\t\treturn *m.out\n\t}\n\to := m.owning\n\ttx :="},
+		From: "if _, ok := m.LeadingTerm(now); !ok {\n\t\tm.out.Results = append(m.out.Results, Result{RequestID: requestID, NotLeader: true})\n\t\treturn *m.out\n\t}\n\tlead := m.leading\n\ttx :=",
+		To:   "if m.leading == nil || !m.leading.serving {\n\t\tm.out.Results = append(m.out.Results, Result{RequestID: requestID, NotLeader: true})\n\t\treturn *m.out\n\t}\n\tlead := m.leading\n\ttx :="},
 	{What: "a restarted seat does not wait out the lease it may have renewed", Scenario: "restart", Depth: 8, Property: oneLease,
-		From: "m.until = o.Now + m.hold()", To: "m.until = o.Now"},
+		From: "m.leaseUntil = o.Now + m.followerLease()", To: "m.leaseUntil = o.Now"},
 	{What: "a candidate binds itself though it renewed another's lease", Scenario: "candidate", Depth: 8, Property: oneLease,
-		From: "case o.asking && now < m.until && m.holder.Owner != m.seat:", To: "case false:"},
+		From: "case lead.preVote && now < m.leaseUntil && m.leaseTerm.Leader != m.member:", To: "case false:"},
 	{What: "a lease vote rests on a term in memory", Scenario: "unsynced", Depth: 12, Property: oneLease,
-		From: "m.send(from, r, m.durable != b.Term)", To: "m.send(from, r, false)"},
+		From: "m.send(from, ack, m.durableTerm != msg.Term)", To: "m.send(from, ack, false)"},
 	{What: "a lease is counted longer by its holder", Scenario: "read", Depth: 8, Property: oneLease,
-		From: "return ok && now < at+m.params.OwnerTerm\n", To: "return ok && now < at+2*m.params.OwnerTerm\n"},
+		From: "return ok && now < at+m.params.LeaseDuration\n", To: "return ok && now < at+2*m.params.LeaseDuration\n"},
 	{What: "drift is not allowed for", Scenario: "read", Depth: 8, Property: oneLease,
-		From: "float64(m.params.OwnerTerm) * (1 + m.params.Drift)", To: "float64(m.params.OwnerTerm) * 1"},
+		From: "float64(m.params.LeaseDuration) * (1 + m.params.Drift)", To: "float64(m.params.LeaseDuration) * 1"},
 	{What: "a seat forgets whose lease it renewed", Scenario: "cut", Depth: 8, Property: oneLease,
-		From: "\tcase held:\n", To: "\tcase held && false:\n"},
+		From: "\tcase leaseHeld:\n", To: "\tcase leaseHeld && false:\n"},
 	{What: "a lease is counted from when the renewal was answered", Scenario: "renewal", Depth: 9, Property: oneLease,
-		From: "func (m *Machine) onRenewed(now time.Duration, from string, b Renewed) {\n\to := m.owning\n", To: "func (m *Machine) onRenewed(now time.Duration, from string, b Renewed) {\n\to := m.owning\n\tb.Sent = now\n"},
+		From: "func (m *Machine) onLeaseAck(now time.Duration, from string, msg LeaseAck) {\n\tlead := m.leading\n", To: "func (m *Machine) onLeaseAck(now time.Duration, from string, msg LeaseAck) {\n\tlead := m.leading\n\tmsg.SentAt = now\n"},
 	{What: "what is left over from older owners is taken up", Scenario: "leftover", Depth: 8, Property: oneValue,
-		From: "if e.Stamp.Term.Less(base) || alike && e.Gone {", To: "if alike && e.Gone {"},
+		From: "if e.Version.Term.Less(base) || allEqual && e.Deleted {", To: "if allEqual && e.Deleted {"},
 	{What: "of two promised entries the older one is taken", Scenario: "catchup", Depth: 8, Property: durable,
-		From: "if old, ok := newest[e.Key]; !ok || old.Stamp.Less(e.Stamp) {", To: "if old, ok := newest[e.Key]; !ok || e.Stamp.Less(old.Stamp) {"},
+		From: "if old, ok := newest[e.Key]; !ok || old.Version.Less(e.Version) {", To: "if old, ok := newest[e.Key]; !ok || e.Version.Less(old.Version) {"},
 	{What: "a change is reported done before the new group has agreed", Scenario: "replace", Depth: 8, Property: changeDone,
-		From: "\t\tc.step = 2\n", To: "\t\tc.step = 2\n\t\tm.out.Returns = append(m.out.Returns, Return{Ticket: c.ticket, Body: true})\n"},
+		From: "\t\tc.step = stepFinal\n", To: "\t\tc.step = stepFinal\n\t\tm.out.Results = append(m.out.Results, Result{RequestID: c.requestID, Body: true})\n"},
 	{What: "a change goes without the joint group", Scenario: "replace", Depth: 8, Property: intersect,
-		From: "Seats: seats, Former: o.group.Seats}}", To: "Seats: seats}}"},
+		From: "Members: members, Former: lead.group.Members}}", To: "Members: members}}"},
 	{What: "a newcomer joins before it has caught up", Scenario: "leave", Depth: 8, Property: durable,
-		From: "if c.adding != \"\" && o.whole[c.adding] < o.committed {", To: "if false {"},
+		From: "if c.adding != \"\" && lead.completeSeq[c.adding] < lead.committedSeq {", To: "if false {"},
 	{What: "a write without a majority is answered as done when its owner steps down", Scenario: "orders", Depth: 8, Property: durable,
-		From: "m.out.Returns = append(m.out.Returns, Return{Ticket: r.Ticket, Unsure: true})", To: "m.out.Returns = append(m.out.Returns, r)"},
+		From: "m.out.Results = append(m.out.Results, Result{RequestID: result.RequestID, Uncertain: true})", To: "m.out.Results = append(m.out.Results, result)"},
 	{What: "what is left over, though refused since, is taken up", Scenario: "refusal", Depth: 7, Property: refused,
-		From: "if e.Stamp.Term.Less(base) || alike && e.Gone {", To: "if alike && e.Gone {"},
+		From: "if e.Version.Term.Less(base) || allEqual && e.Deleted {", To: "if allEqual && e.Deleted {"},
 	{What: "a write is answered before it is agreed", Scenario: "orders", Depth: 8, Property: durable,
-		From: "case tx.written || len(o.entries) > 0:\n\t\to.returns = append(o.returns, r)", To: "case tx.written || len(o.entries) > 0:\n\t\tm.out.Returns = append(m.out.Returns, r)"},
+		From: "case tx.wrote || len(lead.queuedEntries) > 0:\n\t\tlead.queuedResults = append(lead.queuedResults, result)", To: "case tx.wrote || len(lead.queuedEntries) > 0:\n\t\tm.out.Results = append(m.out.Results, result)"},
 }
 
 // Run applies a break to a copy of the tree and runs the model checker there. It
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -17,7 +17,7 @@
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/placement"
 	"saffronfall/rule/route"
 )
@@ -38,7 +38,7 @@
 )
 
 func coreParams() core.Params {
-	return core.Params{Part: part.Params{OwnerTerm: contact / 6, Drift: 0.1, Renewals: 5, Sweeps: 40, Home: 20}, MemberTerm: contact / 2, Retry: contact / 24,
+	return core.Params{Part: partition.Params{LeaseDuration: contact / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberTerm: contact / 2, Retry: contact / 24,
 		Pull: contact / 20, Gone: 2200 * time.Millisecond, ColdStart: true}
 }
 
@@ -47,7 +47,7 @@
 }
 
 func nodeParams() relay.Params {
-	return relay.Params{Core: coreParams(), Beat: beat, Follow: follow, Window: window, Overshoot: 0.1, Slack: 4, Placement: placement.Settings{Compared: 2, Homes: true, Paces: true, Prefixes: true, Zones: true, Failures: true, PromptRate: 80, Beat: beat}, LoadPeriod: beat / 12, ResendUnrun: true, ShedOverload: true, Buffer: 2000, Cache: nodeCache, BookKeep: 10 * time.Minute}
+	return relay.Params{Core: coreParams(), Beat: beat, Follow: follow, Window: window, Overshoot: 0.1, Slack: 4, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: beat}, LoadPeriod: beat / 12, ResendUnrun: true, ShedOverload: true, Buffer: 2000, Cache: nodeCache, BookKeep: 10 * time.Minute}
 }
 
 // cpu is the processor time that this thread has had: another process on the
@@ -226,7 +226,7 @@
 		var image core.Stored
 		image.CopyFrom(p.stored)
 		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: zone, Address: p.address, Seeds: w.seeds(), Stored: image, Now: w.now, Random: w.random.Float64})
-		every = coreParams().Part.OwnerTerm / 20
+		every = coreParams().Part.LeaseDuration / 20
 	case "desk":
 		p.calls = map[uint64]func(any){}
 		p.desk = desk.New(desk.Options{Params: deskParams(), ID: p.id, Life: fmt.Sprintf("%s.%d", p.id, p.life), Address: p.address, Seeds: w.seeds(), Founds: p == w.desks[0] && p.life == 1, Now: w.now, Random: w.random.Float64})
@@ -442,15 +442,15 @@
 
 // text is a routing table of the point's size; its source is about as long.
 func (w *world) text(number uint64) []byte {
-	t := route.Table{Number: number, Keyed: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20}}
+	t := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20}}
 	for i := 0; i < w.point.Models; i++ {
 		name := fmt.Sprintf("model-%d", i)
 		t.Services = append(t.Services, route.Service{Name: name, Connections: 100_000, TokensPerEvent: 1, Slots: 16, CacheTokens: 186629})
-		t.Routes = append(t.Routes, route.Route{Name: "chat-" + name, Host: "tier", Prefix: "/" + name + "/", Mode: route.Stream, Kept: true, KeepSeconds: w.point.think().Seconds() * keepOfThink, TimeoutMS: 4000,
+		t.Routes = append(t.Routes, route.Route{Name: "chat-" + name, Host: "tier", Prefix: "/" + name + "/", Mode: route.Stream, KeepHistory: true, KeepSeconds: w.point.think().Seconds() * keepOfThink, TimeoutMS: 4000,
 			Tries: 2, Targets: []route.Target{{Service: name, Weight: 1}}})
 	}
 	for i, share := range w.shares {
-		t.Tenants = append(t.Tenants, route.Tenant{Name: fmt.Sprintf("tenant-%d", i), Keys: []string{configuration.Sum(fmt.Sprintf("key-%d", i))}, Rate: share*float64(w.point.Rate)*3 + 5, Burst: 10})
+		t.Tenants = append(t.Tenants, route.Tenant{Name: fmt.Sprintf("tenant-%d", i), Keys: []string{configuration.KeyDigest(fmt.Sprintf("key-%d", i))}, Rate: share*float64(w.point.Rate)*3 + 5, Burst: 10})
 	}
 	bare, err := json.Marshal(t)
 	if err != nil {
--- a/rehearsalkit/relaysim/params.go
+++ b/rehearsalkit/relaysim/params.go
@@ -6,7 +6,7 @@
 	"saffronfall/peer/core"
 	"saffronfall/peer/desk"
 	"saffronfall/peer/relay"
-	"saffronfall/rule/part"
+	"saffronfall/rule/partition"
 	"saffronfall/rule/placement"
 )
 
@@ -74,7 +74,7 @@
 )
 
 func coreParams() core.Params {
-	return core.Params{Part: part.Params{OwnerTerm: contact / 6, Drift: 0.1, Renewals: 5, Sweeps: 8, Home: 20}, MemberTerm: contact / 2,
+	return core.Params{Part: partition.Params{LeaseDuration: contact / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeHome: 20}, MemberTerm: contact / 2,
 		Retry: contact / 24, Pull: contact / 20, Gone: catchUp / 2, ColdStart: true}
 }
 
@@ -83,6 +83,6 @@
 }
 
 func (w *World) nodeParams() relay.Params {
-	return relay.Params{Core: coreParams(), Beat: beatPeriod, Follow: beatPeriod / 2, Window: window, Overshoot: w.Params.Overshoot, Slack: w.Params.Slack, Placement: placement.Settings{Compared: 2, Homes: true, Paces: true, Prefixes: true, Zones: true, Failures: true, PromptRate: 80, Beat: beatPeriod}, LoadPeriod: beatPeriod / 12, ResendUnrun: true, ShedOverload: true,
+	return relay.Params{Core: coreParams(), Beat: beatPeriod, Follow: beatPeriod / 2, Window: window, Overshoot: w.Params.Overshoot, Slack: w.Params.Slack, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: beatPeriod}, LoadPeriod: beatPeriod / 12, ResendUnrun: true, ShedOverload: true,
 		Buffer: 2000, Cache: 1 << 20, BookKeep: 10 * time.Minute}
 }
--- /dev/null
+++ b/rule/configuration/settings.go
@@ -0,0 +1,305 @@
+// Package configuration decodes and validates configuration from JSON.
+//
+// A list of Settings describes the schema: the path, type, default and checks of each
+// setting. Read applies it to any target. Description is the configuration of quotas, roles,
+// tenants and services that is built on it. Validation reports every fault at once, and a
+// configuration with a fault is never used in part. Start reading at Read and Description.
+package configuration
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"math"
+	"sort"
+	"strconv"
+	"strings"
+)
+
+// Setting describes one setting. Its path consists of keys separated by dots, where a star
+// stands for any name and [] for every element of a list. Type is int, number, bool, text or
+// texts. Check returns what is allowed if a value is invalid, else an empty string.
+type Setting struct {
+	Path     string
+	Type     string
+	Default  any
+	Min, Max float64
+	Allowed  []string
+	Required bool
+	Check    func(value any) string
+	Help     string
+}
+
+// Fault is one invalid value of a configuration.
+type Fault struct {
+	Path    string `json:"path"`
+	Value   any    `json:"value,omitempty"`
+	Allowed string `json:"allowed"`
+}
+
+// String returns the fault as one line of text.
+func (f Fault) String() string {
+	return fmt.Sprintf("%s: %v is not allowed; allowed: %s", f.Path, f.Value, f.Allowed)
+}
+
+// Faults lists every invalid value of a configuration.
+type Faults []Fault
+
+// Error implements error with one line per fault.
+func (f Faults) Error() string {
+	lines := make([]string, len(f))
+	for i, fault := range f {
+		lines[i] = fault.String()
+	}
+	return strings.Join(lines, "\n")
+}
+
+// Read checks a JSON text against settings, fills in defaults, and decodes the result into
+// the target, which must be a pointer.
+func Read(text []byte, settings []Setting, target any) Faults {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	var tree any
+	if err := decoder.Decode(&tree); err != nil {
+		return Faults{{Path: "$", Value: err.Error(), Allowed: "one JSON object"}}
+	}
+	if decoder.More() {
+		return Faults{{Path: "$", Value: "text after the object", Allowed: "one JSON object"}}
+	}
+	root, ok := tree.(map[string]any)
+	if !ok {
+		return Faults{{Path: "$", Value: tree, Allowed: "one JSON object"}}
+	}
+	root, faults := Check(root, settings)
+	if len(faults) > 0 {
+		return faults
+	}
+	encoded, err := json.Marshal(root)
+	if err == nil {
+		err = json.Unmarshal(encoded, target)
+	}
+	if err != nil {
+		return Faults{{Path: "$", Value: err.Error(), Allowed: "values of the documented types"}}
+	}
+	return nil
+}
+
+// node is one level of the tree of settings.
+type node struct {
+	setting  *Setting
+	children map[string]*node
+}
+
+// buildTree arranges settings by the keys of their paths.
+func buildTree(settings []Setting) *node {
+	root := &node{children: map[string]*node{}}
+	for i := range settings {
+		at := root
+		for _, step := range strings.Split(settings[i].Path, ".") {
+			if at.children[step] == nil {
+				at.children[step] = &node{children: map[string]*node{}}
+			}
+			at = at.children[step]
+		}
+		at.setting = &settings[i]
+	}
+	return root
+}
+
+// Check validates a decoded JSON object against settings and fills in defaults, in place. It
+// returns the faults ordered by path. Numbers may be of type json.Number.
+func Check(root map[string]any, settings []Setting) (map[string]any, Faults) {
+	var faults Faults
+	out := checkNode("", root, buildTree(settings), &faults)
+	sort.SliceStable(faults, func(i, j int) bool { return faults[i].Path < faults[j].Path })
+	return out.(map[string]any), faults
+}
+
+// checkNode validates a value at a path and everything below it, and returns the value with
+// defaults filled in.
+func checkNode(path string, value any, at *node, faults *Faults) any {
+	if list := at.children["[]"]; list != nil {
+		items, ok := value.([]any)
+		if !ok {
+			*faults = append(*faults, Fault{Path: path, Value: value, Allowed: "a list"})
+			return value
+		}
+		for i := range items {
+			items[i] = checkNode(path+"["+strconv.Itoa(i)+"]", items[i], list, faults)
+		}
+		return items
+	}
+	if len(at.children) == 0 {
+		return checkValue(path, value, at.setting, faults)
+	}
+	tree, ok := value.(map[string]any)
+	if !ok {
+		*faults = append(*faults, Fault{Path: path, Value: value, Allowed: "an object"})
+		return value
+	}
+	for key, child := range tree {
+		next := at.children[key]
+		if next == nil {
+			next = at.children["*"]
+			if next != nil && !ValidName(key) {
+				*faults = append(*faults, Fault{Path: joinPath(path, key), Value: key, Allowed: "a name of 1 to 64 letters, digits, '-', '_' or '.'"})
+				continue
+			}
+		}
+		if next == nil {
+			*faults = append(*faults, Fault{Path: joinPath(path, key), Value: child, Allowed: "no such setting; known here: " + strings.Join(childNames(at), ", ")})
+			continue
+		}
+		tree[key] = checkNode(joinPath(path, key), child, next, faults)
+	}
+	for key, next := range at.children {
+		if _, there := tree[key]; there || key == "*" {
+			continue
+		}
+		switch {
+		case next.setting != nil && next.setting.Required:
+			*faults = append(*faults, Fault{Path: joinPath(path, key), Value: "nothing", Allowed: allowed(next.setting)})
+		case next.setting != nil && next.setting.Default != nil:
+			tree[key] = next.setting.Default
+		case next.setting == nil && len(next.children) > 0 && next.children["[]"] == nil:
+			tree[key] = checkNode(joinPath(path, key), map[string]any{}, next, faults)
+		}
+	}
+	return tree
+}
+
+func childNames(at *node) []string {
+	var names []string
+	for key := range at.children {
+		names = append(names, key)
+	}
+	sort.Strings(names)
+	return names
+}
+
+// ValidName reports whether a text is a valid name of a role, tenant, service or the like: 1
+// to 64 letters, digits, '-', '_' or '.'.
+func ValidName(s string) bool {
+	if s == "" || len(s) > 64 {
+		return false
+	}
+	for _, r := range s {
+		if !strings.ContainsRune("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.", r) {
+			return false
+		}
+	}
+	return true
+}
+
+func joinPath(path, key string) string {
+	if path == "" {
+		return key
+	}
+	return path + "." + key
+}
+
+// checkValue validates a value that has no settings below it.
+func checkValue(path string, value any, setting *Setting, faults *Faults) any {
+	wrong := func() any {
+		*faults = append(*faults, Fault{Path: path, Value: value, Allowed: allowed(setting)})
+		return value
+	}
+	switch setting.Type {
+	case "int", "number":
+		number, ok := number(value)
+		if !ok || number < setting.Min || number > setting.Max || (setting.Type == "int" && number != math.Trunc(number)) {
+			return wrong()
+		}
+	case "bool":
+		if _, ok := value.(bool); !ok {
+			return wrong()
+		}
+	case "text":
+		text, ok := value.(string)
+		if !ok {
+			return wrong()
+		}
+		if len(setting.Allowed) > 0 {
+			found := false
+			for _, a := range setting.Allowed {
+				found = found || a == text
+			}
+			if !found {
+				return wrong()
+			}
+		}
+	case "texts":
+		items, ok := value.([]any)
+		if !ok {
+			return wrong()
+		}
+		for _, item := range items {
+			if _, ok := item.(string); !ok {
+				return wrong()
+			}
+		}
+	}
+	if setting.Check != nil {
+		if problem := setting.Check(value); problem != "" {
+			*faults = append(*faults, Fault{Path: path, Value: value, Allowed: problem})
+		}
+	}
+	return value
+}
+
+func number(value any) (float64, bool) {
+	switch n := value.(type) {
+	case json.Number:
+		f, err := n.Float64()
+		return f, err == nil
+	case float64:
+		return n, true
+	case int:
+		return float64(n), true
+	}
+	return 0, false
+}
+
+// allowed describes the valid values of a setting.
+func allowed(setting *Setting) string {
+	switch {
+	case len(setting.Allowed) > 0:
+		return "one of " + strings.Join(setting.Allowed, ", ")
+	case setting.Type == "int":
+		return fmt.Sprintf("a whole number from %.0f to %.0f", setting.Min, setting.Max)
+	case setting.Type == "number":
+		return fmt.Sprintf("a number from %g to %g", setting.Min, setting.Max)
+	case setting.Type == "bool":
+		return "true or false"
+	case setting.Type == "texts":
+		return "a list of texts"
+	}
+	return "a text"
+}
+
+// Flatten returns the values of a JSON text by path, or nothing if it is invalid.
+func Flatten(text []byte) map[string]string {
+	var tree any
+	out := map[string]string{}
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	if decoder.Decode(&tree) == nil {
+		flatten("", tree, out)
+	}
+	return out
+}
+
+func flatten(path string, value any, out map[string]string) {
+	switch v := value.(type) {
+	case map[string]any:
+		for key, child := range v {
+			flatten(joinPath(path, key), child, out)
+		}
+	case []any:
+		for i, child := range v {
+			flatten(path+"["+strconv.Itoa(i)+"]", child, out)
+		}
+	default:
+		out[path] = fmt.Sprint(v)
+	}
+}
--- a/rule/message/message_test.go
+++ b/rule/message/message_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// sample is a message with the shapes that messages between processes have.
+// sample is a message with all kinds of fields that messages between processes have.
 type sample struct {
 	Name    string
 	Count   uint64
@@ -27,7 +27,12 @@
 	Parts []string
 }
 
-func init() { Register(sample{}, inner{}) }
+func init() {
+	Register(map[string]any{
+		"message.sample": sample{},
+		"message.inner":  inner{},
+	})
+}
 
 func full() sample {
 	one := inner{ID: "one", Parts: []string{"a", ""}}
@@ -35,7 +40,7 @@
 		Listed: []inner{one, {}}, ByName: map[string]inner{"k": one}, ByIndex: map[int]uint64{3: 4}}
 }
 
-func TestOpenGivesWhatWasPacked(t *testing.T) {
+func TestPackOpenRoundTrip(t *testing.T) {
 	for _, value := range []any{sample{}, full(), inner{ID: "x"}} {
 		raw := Pack(value)
 		opened, err := Open(raw)
@@ -48,28 +53,28 @@
 	}
 }
 
-// TestCutMessages: a message that lacks its end is refused at every byte.
-func TestCutMessages(t *testing.T) {
+// TestTruncatedMessagesAreRefused checks that a message truncated at any byte is refused.
+func TestTruncatedMessagesAreRefused(t *testing.T) {
 	raw := Pack(full())
 	for cut := range len(raw) {
 		if body, err := Open(raw[:cut]); err == nil {
-			t.Errorf("%d bytes of %d opened as %+v", cut, len(raw), body)
+			t.Errorf("the first %d bytes of %d were decoded as %+v", cut, len(raw), body)
 		}
 	}
 }
 
-func TestUnknownTypesAreToldApart(t *testing.T) {
+func TestUnknownTypeIsErrUnknown(t *testing.T) {
 	name := Marshal("message.newer")
 	if _, err := Open(append(name, Marshal(inner{})...)); !errors.Is(err, ErrUnknown) {
-		t.Errorf("a type of a newer version: %v", err)
+		t.Errorf("unregistered type: %v", err)
 	}
 	if _, err := Open(Marshal(7)); err == nil || errors.Is(err, ErrUnknown) {
-		t.Errorf("no type name: %v", err)
+		t.Errorf("message without a type name: %v", err)
 	}
 }
 
-// FuzzOpen: nonsense is refused, and what opens can be packed and opened again
-// with nothing lost.
+// FuzzOpen checks that malformed input is refused, and that a decoded message can be encoded
+// and decoded again and keeps its encoded size.
 func FuzzOpen(f *testing.F) {
 	f.Add(Pack(full()))
 	f.Add(Pack(sample{}))
@@ -84,7 +89,7 @@
 		}
 		again, err := Open(Pack(body))
 		if err != nil {
-			t.Fatalf("%+v is packed into what does not open: %v", body, err)
+			t.Fatalf("the encoding of %+v cannot be decoded: %v", body, err)
 		}
 		first, second := len(Marshal(body)), len(Marshal(again))
 		if first != second {
@@ -92,3 +97,17 @@
 		}
 	})
 }
+
+// TestRegisterRefusesDuplicates checks that neither a name nor a type is registered twice.
+func TestRegisterRefusesDuplicates(t *testing.T) {
+	for _, values := range []map[string]any{{"message.sample": struct{ Other int }{}}, {"message.other": sample{}}} {
+		func() {
+			defer func() {
+				if recover() == nil {
+					t.Errorf("%v was registered", values)
+				}
+			}()
+			Register(values)
+		}()
+	}
+}
--- /dev/null
+++ b/rule/partition/digest.go
@@ -0,0 +1,54 @@
+package partition
+
+import (
+	"encoding/binary"
+
+	"github.com/dchest/siphash"
+)
+
+// DigestKey is the secret key of a term's digests. The candidate draws it at random and sends
+// it to the members. States with the same digest are taken for equal, and tenants choose what
+// entries hold, so without the key it must not be possible to construct two different states
+// with the same digest.
+type DigestKey [2]uint64
+
+// table returns the digest of a table: the sum of its entries' digests, so that it can be
+// updated for one changed entry alone.
+func (k DigestKey) table(table map[string]Entry) uint64 {
+	var sum uint64
+	for _, e := range table {
+		sum += k.entry(e)
+	}
+	return sum
+}
+
+// entry returns the digest of one entry; it is 0 for tombstones and missing entries.
+func (k DigestKey) entry(e Entry) uint64 {
+	if e.Deleted || e.Version == (Version{}) {
+		return 0
+	}
+	text := make([]byte, 0, 32+len(e.Key)+len(e.Version.Term.Leader)+len(e.Value))
+	text = binary.LittleEndian.AppendUint64(text, e.Version.Seq)
+	text = binary.LittleEndian.AppendUint64(text, e.Version.Term.Round)
+	text = binary.LittleEndian.AppendUint64(text, uint64(len(e.Key)))
+	text = binary.LittleEndian.AppendUint64(text, uint64(len(e.Version.Term.Leader)))
+	text = append(text, e.Key...)
+	text = append(text, e.Version.Term.Leader...)
+	text = append(text, e.Value...)
+	return siphash.Hash(k[0], k[1], text)
+}
+
+// setDigestKey changes the key, and the digest of the stored entries with it.
+func (m *Machine) setDigestKey(k DigestKey) {
+	if m.digestKey == k {
+		return
+	}
+	m.digestKey = k
+	m.digest = k.table(m.state.Entries)
+}
+
+// newDigestKey returns a random key.
+func (m *Machine) newDigestKey() DigestKey {
+	half := func() uint64 { return uint64(m.random()*(1<<32))<<32 | uint64(m.random()*(1<<32)) }
+	return DigestKey{half(), half()}
+}
--- /dev/null
+++ b/rule/partition/election.go
@@ -0,0 +1,347 @@
+package partition
+
+import (
+	"sort"
+	"time"
+)
+
+// successor returns the most up-to-date other member of the group, on a tie the one that
+// acknowledged a message last.
+func (m *Machine) successor() string {
+	lead, best := m.leading, ""
+	for _, member := range lead.group.Members {
+		if member != m.member && (best == "" || lead.completeSeq[member] > lead.completeSeq[best] || (lead.completeSeq[member] == lead.completeSeq[best] && lead.ackedAt[member] > lead.ackedAt[best])) {
+			best = member
+		}
+	}
+	return best
+}
+
+// transferLeadership has a member start an election at once, and steps down.
+func (m *Machine) transferLeadership(now time.Duration, member string) {
+	m.send(member, TransferLeadership{Term: m.leading.term}, false)
+	m.stepDown(now)
+	m.electionAt = now + 2*m.params.LeaseDuration
+}
+
+// startElection makes this member the candidate of a new term. A released term is that of
+// a leader that no longer serves; its lease need not be waited for, nor a pre-vote held.
+func (m *Machine) startElection(now time.Duration, released Term) {
+	m.Counters.Elections++
+	round := max(m.state.Promised.Round, m.leaseTerm.Round, m.highestRound) + 1
+	m.leading = &leadership{
+		term: Term{Round: round, Leader: m.member}, released: released, preVote: released == Term{}, digestKey: m.newDigestKey(), phaseStartedAt: now, group: m.state.Group,
+		promises: map[string]Promise{}, rejected: map[string]bool{}, promisedDigests: map[string]uint64{},
+		superseded: map[string]Entry{}, ackedAt: map[string]time.Duration{}, completeSeq: map[string]uint64{}, snapshotSentAt: map[string]time.Duration{}, needsSnapshot: map[string]bool{},
+	}
+	m.sendPrepare(now)
+}
+
+// sendPrepare asks the members that have not promised yet.
+func (m *Machine) sendPrepare(now time.Duration) {
+	lead := m.leading
+	lead.preparedAt = now
+	if !lead.preVote && m.state.Promised != lead.term {
+		// The candidate's own promise is on disk before any other is asked for, so that
+		// it can't be a candidate for the same term again after a restart.
+		m.record(Record{Promised: lead.term})
+	}
+	for _, member := range lead.group.All() {
+		if _, ok := lead.promises[member]; !ok {
+			m.send(member, Prepare{PreVote: lead.preVote, DigestOnly: !lead.needEntries, DigestKey: lead.digestKey, Term: lead.term, Group: lead.group, Released: lead.released, SentAt: now}, !lead.preVote)
+		}
+	}
+}
+
+// stepDown ends a candidacy or leadership. The outcome of commands that wait is unknown: a
+// later leader may find their writes on some member and commit them.
+func (m *Machine) stepDown(now time.Duration) {
+	if lead := m.leading; lead != nil {
+		if lead.pending != nil {
+			lead.queuedResults = append(lead.pending.results, lead.queuedResults...)
+		}
+		for _, result := range lead.queuedResults {
+			m.out.Results = append(m.out.Results, Result{RequestID: result.RequestID, Uncertain: true})
+		}
+	}
+	if m.change != nil {
+		m.out.Results = append(m.out.Results, Result{RequestID: m.change.requestID, Uncertain: true})
+	}
+	if m.leading != nil && m.leaseTerm == m.leading.term {
+		// No leader serves under this term any more.
+		m.leaseUntil = now
+	}
+	m.leading, m.change = nil, nil
+	m.electionAt = now + m.electionTimeout() + m.params.LeaseDuration/10
+}
+
+// ReleaseLeadership makes the leader transfer its leadership to the most up-to-date other
+// member. It does nothing while a write is pending.
+func (m *Machine) ReleaseLeadership(now time.Duration) Output {
+	m.out = &Output{}
+	lead := m.leading
+	if _, ok := m.LeadingTerm(now); !ok || lead.pending != nil {
+		return *m.out
+	}
+	if best := m.successor(); best != "" {
+		m.transferLeadership(now, best)
+	}
+	return *m.out
+}
+
+// isJoining reports whether this member belongs to a group that is newer than the one it
+// knows. The leader that added it may be gone before its write arrived here, and the other
+// members may be no majority without this one.
+func (m *Machine) isJoining(group Group) bool {
+	return m.state.Group.Before(group) && group.Has(m.member)
+}
+
+// onPrepare answers a candidate. A pre-vote records nothing. A promise is sent once it is on
+// disk, and counts as a lease so that the new leader can take over undisturbed.
+func (m *Machine) onPrepare(now time.Duration, from string, msg Prepare) {
+	reject := Reject{Term: msg.Term, Promised: m.state.Promised, Group: m.state.Group}
+	leaseHeld := now < m.leaseUntil && m.leaseTerm != msg.Released && m.leaseTerm.Leader != msg.Term.Leader
+	switch {
+	case !m.state.Group.Has(m.member) && !m.isJoining(msg.Group):
+		return
+	case msg.Group.Before(m.state.Group):
+		m.send(from, reject, false)
+	case leaseHeld:
+		// This member's own candidacy may end at any time, so it is no reason to wait.
+		if m.leading == nil || m.leading.serving {
+			reject.LeaseRemaining = m.leaseUntil - now
+		}
+		m.send(from, reject, false)
+	case msg.Term.Less(m.state.Promised):
+		m.send(from, reject, false)
+	case msg.PreVote:
+		m.send(from, Promise{PreVote: true, Term: msg.Term, Group: m.state.Group, SentAt: msg.SentAt}, false)
+	default:
+		if m.leading != nil && m.leading.term.Less(msg.Term) {
+			m.stepDown(now)
+		}
+		if m.state.Promised != msg.Term {
+			m.record(Record{Promised: msg.Term})
+		}
+		m.extendLease(now, msg.Term)
+		m.setDigestKey(msg.DigestKey)
+		promise := Promise{Term: msg.Term, Base: m.state.Base, Group: m.state.Group, Clock: m.state.Clock, SentAt: msg.SentAt, DigestOnly: msg.DigestOnly, Digest: m.digest}
+		if !msg.DigestOnly {
+			promise.Entries = m.sortedEntries()
+		}
+		m.send(from, promise, true)
+	}
+}
+
+// sortedEntries returns the stored entries in the order of their keys.
+func (m *Machine) sortedEntries() []Entry {
+	list := make([]Entry, 0, len(m.state.Entries))
+	for _, e := range m.state.Entries {
+		list = append(list, e)
+	}
+	sort.Slice(list, func(i, j int) bool { return list[i].Key < list[j].Key })
+	return list
+}
+
+// onPromise counts a promise. With a quorum of pre-votes the candidate asks for binding
+// promises, with a quorum of those it takes over.
+func (m *Machine) onPromise(now time.Duration, from string, msg Promise) {
+	lead := m.leading
+	if lead == nil || msg.Term != lead.term || msg.PreVote != lead.preVote {
+		return
+	}
+	if msg.DigestOnly {
+		lead.promisedDigests[from] = msg.Digest
+	}
+	if lead.table != nil && !lead.serving && lead.pending != nil && !lead.pending.acked[from] {
+		m.sendInitialWrite(now, from)
+	}
+	if lead.serving || lead.table != nil || msg.DigestOnly && lead.needEntries {
+		return
+	}
+	m.recordPromise(now, from, msg)
+	switch {
+	case !lead.group.hasQuorum(lead.promised):
+	case lead.preVote && now < m.leaseUntil && m.leaseTerm.Leader != m.member:
+		// The candidate has renewed another leader's lease since it asked. It must not
+		// promise its own term while that lease lasts: after a restart it would take the
+		// lease for its own and not wait for its end.
+		m.stepDown(now)
+	case lead.preVote:
+		m.restartPhase(now, false)
+	case !lead.promised(m.member):
+	case lead.anyDigestOnly() && !m.digestsMatch():
+		m.restartPhase(now, true)
+	default:
+		m.assumeLeadership(now)
+	}
+}
+
+// recordPromise adds a promise. If its sender knows a newer group, the candidate continues
+// with that group.
+func (m *Machine) recordPromise(now time.Duration, from string, msg Promise) {
+	lead := m.leading
+	lead.promises[from] = msg
+	delete(lead.rejected, from)
+	if !msg.PreVote {
+		lead.ackedAt[from] = msg.SentAt
+	}
+	if lead.group.Before(msg.Group) {
+		lead.group = msg.Group
+		m.sendPrepare(now)
+	}
+}
+
+// restartPhase asks all members anew: for binding promises after a pre-vote, or for entries
+// where digests differed.
+func (m *Machine) restartPhase(now time.Duration, needEntries bool) {
+	lead := m.leading
+	if !needEntries {
+		lead.preVote, lead.rejected = false, map[string]bool{}
+	}
+	lead.needEntries = lead.needEntries || needEntries
+	lead.promises, lead.phaseStartedAt = map[string]Promise{}, now
+	m.sendPrepare(now)
+}
+
+func (lead *leadership) promised(member string) bool {
+	_, ok := lead.promises[member]
+	return ok
+}
+
+// anyDigestOnly reports whether a promise came with a digest instead of entries.
+func (lead *leadership) anyDigestOnly() bool {
+	for _, p := range lead.promises {
+		if p.DigestOnly {
+			return true
+		}
+	}
+	return false
+}
+
+// digestsMatch reports whether all members that promised have the same entries as this one.
+func (m *Machine) digestsMatch() bool {
+	for _, p := range m.leading.promises {
+		if !p.DigestOnly || p.Digest != m.digest {
+			return false
+		}
+	}
+	return true
+}
+
+// assumeLeadership builds the table of the new term from the promised entries of a quorum,
+// and sends it as the leader's first write. The leader serves once that is committed.
+func (m *Machine) assumeLeadership(now time.Duration) {
+	lead := m.leading
+	allEqual := m.digestsMatch()
+	if allEqual {
+		lead.promises[m.member] = Promise{Entries: m.sortedEntries(), Base: m.state.Base, Clock: m.state.Clock}
+	}
+	lead.table = lead.mergePromises(allEqual)
+	for _, p := range lead.promises {
+		lead.clockBase = max(lead.clockBase, p.Clock)
+	}
+	lead.clockBaseAt = now
+	m.rebaseTable()
+	if len(lead.group.Former) > 0 {
+		lead.queuedGroup = &Group{Term: lead.term, Epoch: lead.group.Epoch + 1, Members: lead.group.Members}
+	}
+	lead.seq = 1
+	lead.group.Term = lead.term
+	first := Write{Term: lead.term, Seq: 1, Group: lead.group, Clock: lead.clockBase, Entries: lead.queuedEntries, Snapshot: true, SentAt: now}
+	if allEqual {
+		first.Digest, first.Rebase = m.digest, true
+	}
+	lead.pending = &pendingWrite{seq: 1, acked: map[string]bool{}, sentAt: now, write: first}
+	lead.queuedEntries = nil
+	lead.phaseStartedAt = now
+	for _, member := range lead.group.All() {
+		m.sendInitialWrite(now, member)
+	}
+}
+
+// mergePromises returns the newest promised value of each entry. It skips values older than
+// the newest base term: a leader of that term wrote the complete table, so such a value is
+// either in its snapshot or was never committed. If all members have equal entries, the
+// tombstones are not needed.
+func (lead *leadership) mergePromises(allEqual bool) map[string]Entry {
+	var base Term
+	for _, p := range lead.promises {
+		if base.Less(p.Base) {
+			base = p.Base
+		}
+	}
+	newest := map[string]Entry{}
+	for _, p := range lead.promises {
+		for _, e := range p.Entries {
+			if e.Version.Term.Less(base) || allEqual && e.Deleted {
+				continue
+			}
+			if old, ok := newest[e.Key]; !ok || old.Version.Less(e.Version) {
+				newest[e.Key] = e
+			}
+		}
+	}
+	return newest
+}
+
+// rebaseTable gives all entries of a new leader's table a version of its term, and queues
+// them for writing.
+func (m *Machine) rebaseTable() {
+	lead := m.leading
+	lead.digest = 0
+	keys := make([]string, 0, len(lead.table))
+	for k := range lead.table {
+		keys = append(keys, k)
+	}
+	sort.Strings(keys)
+	for _, k := range keys {
+		e := lead.table[k]
+		e.Version = Version{Term: lead.term, Seq: 1}
+		lead.table[k] = e
+		lead.digest += m.digestKey.entry(e)
+		lead.queuedEntries = append(lead.queuedEntries, e)
+	}
+}
+
+// sendInitialWrite sends the leader's first write, which completes a member's state. A member
+// whose digest shows that it has all entries is only told to rebase them; one that may have
+// them gets nothing until its promise shows it.
+func (m *Machine) sendInitialWrite(now time.Duration, member string) {
+	lead := m.leading
+	w := lead.pending.write
+	w.SentAt = now
+	if digest, ok := lead.promisedDigests[member]; w.Rebase && !ok {
+		return
+	} else if w.Rebase = w.Rebase && digest == w.Digest; w.Rebase {
+		w.Entries, w.Snapshot = nil, false
+	}
+	m.send(member, w, false)
+}
+
+// onReject handles a rejection of a candidate or leader. A candidate gives up once the rest
+// of its group is no quorum any more.
+func (m *Machine) onReject(now time.Duration, from string, msg Reject) {
+	lead := m.leading
+	if m.state.Group.Before(msg.Group) {
+		m.record(Record{Group: &msg.Group})
+	}
+	if lead == nil || msg.Term != lead.term {
+		return
+	}
+	m.highestRound = max(m.highestRound, msg.Promised.Round)
+	if lead.serving {
+		// The member has promised a later term to a candidate that was not elected. The
+		// leader starts an election for a still later term without waiting.
+		if lead.term.Less(msg.Promised) {
+			m.stepDown(now)
+			m.startElection(now, msg.Term)
+		}
+		return
+	}
+	lead.rejected[from] = true
+	if lead.group.Before(msg.Group) || !lead.group.hasQuorum(func(member string) bool { return !lead.rejected[member] }) {
+		m.stepDown(now)
+		m.electionAt = max(m.electionAt, now+msg.LeaseRemaining+m.electionTimeout())
+	}
+}
--- /dev/null
+++ b/rule/partition/machine.go
@@ -0,0 +1,304 @@
+package partition
+
+import (
+	"time"
+
+	"saffronfall/rule/invariant"
+)
+
+// Machine is one member's replica of a partition. It stores a State, promises terms to
+// candidates, and may become the leader. It isn't safe for concurrent use.
+type Machine struct {
+	Counters Counters
+
+	params    Params
+	member    string
+	partition int
+	rules     Rules
+	state     State
+	random    func() float64
+	effects
+	// completeSeq is the sequence number up to which this replica has every write of
+	// completeTerm.
+	completeSeq  uint64
+	completeTerm Term
+	// leaseTerm is the last term whose lease this replica renewed, which may hold until
+	// leaseUntil.
+	leaseTerm  Term
+	leaseUntil time.Duration
+	// electionAt is when the election timeout ends.
+	electionAt time.Duration
+	// highestRound is the highest round seen in a rejection.
+	highestRound uint64
+	// leading is set while this member is the candidate or leader of a term.
+	leading *leadership
+	// change is the leader's membership change in progress.
+	change *memberChange
+	// digest is that of the stored entries under digestKey.
+	digest    uint64
+	digestKey DigestKey
+	// durableTerm is the newest term that this replica's disk is known to hold.
+	durableTerm Term
+}
+
+// effects collects what a step wants done, and receives violated invariants.
+type effects struct {
+	out      *Output
+	violated invariant.Reporter
+}
+
+// leadership is the state of a candidate or leader in one term.
+type leadership struct {
+	term Term
+	// released is a term whose leader no longer serves; see Prepare.
+	released Term
+	preVote  bool
+	// digestKey is the key of the term's digests.
+	digestKey      DigestKey
+	rejected       map[string]bool
+	promises       map[string]Promise
+	phaseStartedAt time.Duration
+	preparedAt     time.Duration
+	// needEntries is set when the digests of a quorum differ, so that the candidate needs
+	// the entries themselves.
+	needEntries     bool
+	promisedDigests map[string]uint64
+	serving         bool
+	group           Group
+	committedGroup  Group
+	table           map[string]Entry
+	// superseded has the committed values of entries whose newest value, in the table, is
+	// not committed yet.
+	superseded   map[string]Entry
+	digest       uint64
+	seq          uint64
+	committedSeq uint64
+	purgedSeq    uint64
+	// pending is the write that waits for a quorum; what is queued goes into the next one.
+	pending       *pendingWrite
+	queuedEntries []Entry
+	queuedPurges  []Entry
+	queuedResults []Result
+	// ackedAt has, by member, when the latest message that it acknowledged was sent.
+	ackedAt        map[string]time.Duration
+	completeSeq    map[string]uint64
+	snapshotSentAt map[string]time.Duration
+	needsSnapshot  map[string]bool
+	nextRenewal    time.Duration
+	nextSweep      time.Duration
+	servingSince   time.Duration
+	clockBase      time.Duration
+	clockBaseAt    time.Duration
+	queuedGroup    *Group
+}
+
+// Options configure a Machine.
+type Options struct {
+	Params Params
+	// Member is the identity of this replica in its group.
+	Member    string
+	Partition int
+	Rules     Rules
+	// State is what the member's disk holds; its zero value is that of a new member.
+	State State
+	Now   time.Duration
+	// Random returns numbers in [0, 1).
+	Random func() float64
+	// Violated reports violated invariants; if it is nil they panic.
+	Violated invariant.Reporter
+}
+
+// New returns a Machine that continues from the state on its disk. As it may have renewed
+// a leader's lease just before it stopped, it first waits for the duration of a lease.
+func New(o Options) *Machine {
+	if o.State.Entries == nil {
+		o.State.Entries = map[string]Entry{}
+	}
+	m := &Machine{params: o.Params, member: o.Member, partition: o.Partition, rules: o.Rules, state: o.State, random: o.Random, effects: effects{violated: o.Violated}}
+	m.digest = m.digestKey.table(o.State.Entries)
+	m.durableTerm = o.State.Promised
+	m.leaseTerm = o.State.Promised
+	m.leaseUntil = o.Now + m.followerLease()
+	if o.State.Promised.Round == 0 {
+		m.leaseUntil = o.Now
+	}
+	m.electionAt = m.leaseUntil + m.electionTimeout()
+	if o.State.Promised.Leader == o.Member {
+		// Any lease that it renewed was its own, and ended when it stopped.
+		m.leaseUntil, m.electionAt = o.Now, o.Now
+	}
+	return m
+}
+
+// clock returns the partition's clock at the leader.
+func (m *Machine) clock(now time.Duration) time.Duration {
+	return m.leading.clockBase + now - m.leading.clockBaseAt
+}
+
+// Group returns the latest group that this replica knows.
+func (m *Machine) Group() Group { return m.state.Group }
+
+// State returns the stored state of this replica. The caller must not modify it.
+func (m *Machine) State() State { return m.state }
+
+// CurrentTerm returns the last term whose lease this replica renewed.
+func (m *Machine) CurrentTerm() Term { return m.leaseTerm }
+
+// CommittedVersion returns the version up to which entries are committed. It reports
+// false if this member doesn't serve as the leader.
+func (m *Machine) CommittedVersion() (Version, bool) {
+	if m.leading == nil || !m.leading.serving {
+		return Version{}, false
+	}
+	return Version{Term: m.leading.term, Seq: m.leading.committedSeq}, true
+}
+
+func (m *Machine) send(to string, body any, afterSync bool) {
+	m.out.Sends = append(m.out.Sends, Send{To: to, Body: body, AfterSync: afterSync})
+}
+
+// record applies a change to the state and has it synced to disk.
+func (m *Machine) record(r Record) {
+	r.Partition = m.partition
+	if r.Promised != (Term{}) && r.Promised.Less(m.state.Promised) {
+		m.violated.Violated(invariant.PromisedTermNeverLower, "replica %s of partition %d promised %+v and would record %+v", m.member, m.partition, m.state.Promised, r.Promised)
+	}
+	m.out.Records = append(m.out.Records, r)
+	if m.state.Promised.Less(r.Promised) {
+		m.send(m.member, TermDurable{Term: r.Promised}, true)
+	}
+	if r.Snapshot || r.Rebase {
+		m.state.Apply(r)
+		m.digest = m.digestKey.table(m.state.Entries)
+		return
+	}
+	touched := make(map[string]bool, len(r.Entries)+len(r.Purged))
+	for _, list := range [][]Entry{r.Entries, r.Purged} {
+		for _, e := range list {
+			touched[e.Key] = true
+		}
+	}
+	for key := range touched {
+		m.digest -= m.digestKey.entry(m.state.Entries[key])
+	}
+	m.state.Apply(r)
+	for key := range touched {
+		m.digest += m.digestKey.entry(m.state.Entries[key])
+	}
+}
+
+// Tick runs what has become due: a leader renews its lease and sweeps, another member starts
+// an election once its election timeout has passed.
+func (m *Machine) Tick(now time.Duration) Output {
+	m.out = &Output{}
+	lead := m.leading
+	switch {
+	case lead == nil:
+		if m.state.Group.Has(m.member) && now >= m.leaseUntil && now >= m.electionAt {
+			m.startElection(now, Term{})
+		}
+	case !lead.serving && now > lead.phaseStartedAt+m.params.LeaseDuration:
+		m.stepDown(now)
+	case !lead.serving && lead.table == nil && now > lead.preparedAt+m.params.LeaseDuration/10:
+		// Requests may have been lost or their receivers down.
+		m.sendPrepare(now)
+	case !lead.serving && lead.pending != nil && now > lead.pending.sentAt+m.params.LeaseDuration/4:
+		lead.pending.sentAt = now
+		for _, member := range lead.group.All() {
+			if !lead.pending.acked[member] {
+				m.sendInitialWrite(now, member)
+			}
+		}
+	case lead.serving && !m.hasLease(now) && now > lead.phaseStartedAt+m.params.LeaseDuration:
+		m.stepDown(now)
+	case lead.serving:
+		m.tickLeader(now)
+	}
+	return *m.out
+}
+
+// tickLeader runs the due work of a serving leader: lease renewals, sweeps, retransmissions,
+// membership changes, and the transfer of leadership to the preferred member.
+func (m *Machine) tickLeader(now time.Duration) {
+	lead := m.leading
+	if now >= lead.nextRenewal {
+		interval := m.params.LeaseDuration / time.Duration(m.params.RenewalsPerLease)
+		lead.nextRenewal = now + interval
+		renew := RenewLease{Term: lead.term, Clock: m.clock(now), SentAt: now}
+		if now >= lead.nextSweep && lead.pending == nil && len(lead.queuedEntries) == 0 {
+			lead.nextSweep = now + m.params.LeaseDuration*time.Duration(m.params.LeasesPerSweep)
+			renew.Digest, renew.DigestKey, renew.Seq = lead.digest|1, m.digestKey, lead.committedSeq
+			m.Counters.Sweeps++
+			m.purgeTombstones()
+		}
+		for _, member := range m.recipients() {
+			// An acknowledged write has renewed the lease already.
+			if at, ok := lead.ackedAt[member]; renew.Digest == 0 && ok && now < at+interval && lead.completeSeq[member] >= lead.committedSeq {
+				continue
+			}
+			m.send(member, renew, false)
+		}
+	}
+	if lead.pending != nil && now > lead.pending.sentAt+m.params.LeaseDuration/4 {
+		lead.pending.sentAt = now
+		for _, member := range m.recipients() {
+			if !lead.pending.acked[member] {
+				resend := lead.pending.write
+				resend.SentAt = now
+				m.send(member, resend, false)
+			}
+		}
+	}
+	if c := m.change; c != nil && (now > c.heardAt+maxSilentLeases*m.params.LeaseDuration || now > c.startedAt+maxChangeLeases*m.params.LeaseDuration) {
+		m.abortChange(now)
+	}
+	m.advanceChange(now)
+	m.flush(now)
+	m.sendSnapshots(now)
+	if lead.pending != nil || m.change != nil || len(lead.group.Former) > 0 {
+		return
+	}
+	home := lead.group.Members[0]
+	switch {
+	case !lead.group.Has(m.member):
+		if best := m.successor(); best != "" {
+			m.transferLeadership(now, best)
+		}
+	case m.params.LeasesBeforeHome > 0 && home != m.member && now > lead.servingSince+m.params.LeaseDuration*time.Duration(m.params.LeasesBeforeHome):
+		lead.servingSince = now
+		if lead.completeSeq[home] >= lead.committedSeq && now < lead.ackedAt[home]+m.params.LeaseDuration/2 {
+			m.transferLeadership(now, home)
+		}
+	}
+}
+
+// Receive handles a message of another member, or one that the machine sent to itself.
+func (m *Machine) Receive(now time.Duration, from string, body any) Output {
+	m.out = &Output{}
+	switch b := body.(type) {
+	case Prepare:
+		m.onPrepare(now, from, b)
+	case Promise:
+		m.onPromise(now, from, b)
+	case Reject:
+		m.onReject(now, from, b)
+	case Write:
+		m.onWrite(now, from, b)
+	case WriteAck:
+		m.onWriteAck(now, from, b)
+	case RenewLease:
+		m.onRenewLease(now, from, b)
+	case LeaseAck:
+		m.onLeaseAck(now, from, b)
+	case TermDurable:
+		if from == m.member && m.durableTerm.Less(b.Term) {
+			m.durableTerm = b.Term
+		}
+	case TransferLeadership:
+		if m.state.Group.Has(m.member) && m.leading == nil && b.Term == m.leaseTerm {
+			m.leaseUntil = now
+			m.startElection(now, b.Term)
+		}
+	}
+	return *m.out
+}
--- /dev/null
+++ b/rule/partition/membership.go
@@ -0,0 +1,192 @@
+package partition
+
+import (
+	"time"
+)
+
+// memberChange is a membership change that the leader runs.
+type memberChange struct {
+	requestID uint64
+	// group is the joint group.
+	group  Group
+	adding string
+	step   int
+	// startedAt is when the change began, heardAt when the member to be added last
+	// acknowledged a message.
+	startedAt, heardAt time.Duration
+	// heldSince is since when writes are held back for that member to catch up.
+	heldSince time.Duration
+}
+
+// Steps of a membership change.
+const (
+	stepCatchUp = iota // the member to be added receives a snapshot and writes
+	stepJoint          // the joint group is proposed
+	stepFinal          // the group without former members is proposed
+)
+
+const (
+	// maxSilentLeases is after how many leases without an acknowledgement of the member to
+	// be added a change is aborted, maxChangeLeases after how many in any case.
+	maxSilentLeases = 8
+	maxChangeLeases = 30
+	// catchUpWrites is how many writes a new member may lag behind for the leader to hold
+	// back its next write until the member has caught up.
+	catchUpWrites = 8
+)
+
+// ChangeMembers asks the leader to change its group by one member to add and one to remove,
+// either of which may be empty. An added member takes the position of the removed one. The
+// Result's body reports whether the group is as asked; it is false if the change was aborted
+// or another one is in progress, and true at once if the member to remove has left already.
+func (m *Machine) ChangeMembers(now time.Duration, requestID uint64, add, remove string) Output {
+	m.out = &Output{}
+	lead := m.leading
+	if _, ok := m.LeadingTerm(now); !ok {
+		m.out.Results = append(m.out.Results, Result{RequestID: requestID, NotLeader: true})
+		return *m.out
+	}
+	members := []string{}
+	pendingAdd := add != "" && !contains(lead.group.Members, add)
+	for _, s := range lead.group.Members {
+		if s == remove {
+			if !pendingAdd {
+				continue
+			}
+			s, pendingAdd = add, false
+		}
+		members = append(members, s)
+	}
+	if pendingAdd {
+		members = append(members, add)
+	}
+	if m.change != nil || len(lead.group.Former) > 0 || len(members) == 0 {
+		m.out.Results = append(m.out.Results, Result{RequestID: requestID, Body: false})
+		return *m.out
+	}
+	if sameMembers(members, lead.group.Members) || (remove != "" && !contains(lead.group.Members, remove)) {
+		m.out.Results = append(m.out.Results, Result{RequestID: requestID, Body: true})
+		return *m.out
+	}
+	m.change = &memberChange{requestID: requestID, adding: add, startedAt: now, heardAt: now,
+		group: Group{Term: lead.term, Epoch: lead.group.Epoch + 1, Members: members, Former: lead.group.Members}}
+	if add != "" && !lead.group.Has(add) {
+		lead.completeSeq[add] = 0
+		delete(lead.snapshotSentAt, add)
+		m.scheduleSnapshot(now, add)
+	}
+	m.advanceChange(now)
+	return *m.out
+}
+
+// ChangeInProgress reports whether a change is in progress, and which member it adds as long as
+// it can still be aborted.
+func (m *Machine) ChangeInProgress() (adding string, changing bool) {
+	switch {
+	case m.change == nil:
+		return "", m.leading != nil && len(m.leading.group.Former) > 0
+	case m.change.step > stepCatchUp:
+		return "", true
+	}
+	return m.change.adding, true
+}
+
+// CommittedGroup returns the last committed group. It reports false if this member doesn't
+// serve as the leader.
+func (m *Machine) CommittedGroup() (Group, bool) {
+	if m.leading == nil || !m.leading.serving {
+		return Group{}, false
+	}
+	return m.leading.committedGroup, true
+}
+
+// AbortChange aborts a membership change whose joint group was not proposed yet.
+func (m *Machine) AbortChange(now time.Duration) Output {
+	m.out = &Output{}
+	m.abortChange(now)
+	return *m.out
+}
+
+func (m *Machine) abortChange(now time.Duration) {
+	if m.change == nil || m.change.step > stepCatchUp {
+		return
+	}
+	m.out.Results = append(m.out.Results, Result{RequestID: m.change.requestID, Body: false})
+	m.change = nil
+	m.flush(now)
+}
+
+// ReorderMembers changes the order of the group's members, the first of which is the preferred
+// leader. It does nothing if the members differ or if a write or change is in progress.
+func (m *Machine) ReorderMembers(now time.Duration, members []string) Output {
+	m.out = &Output{}
+	lead := m.leading
+	if _, ok := m.LeadingTerm(now); !ok || m.change != nil || lead.pending != nil || lead.queuedGroup != nil || len(lead.group.Former) > 0 || !sameMembers(members, lead.group.Members) {
+		return *m.out
+	}
+	lead.queuedGroup = &Group{Term: lead.term, Epoch: lead.group.Epoch + 1, Members: append([]string(nil), members...)}
+	m.flush(now)
+	return *m.out
+}
+
+func sameMembers(a, b []string) bool {
+	if len(a) != len(b) {
+		return false
+	}
+	for _, s := range a {
+		if !contains(b, s) {
+			return false
+		}
+	}
+	return true
+}
+
+// advanceChange takes the next step of a membership change once no write is pending: it waits
+// for the new member to catch up, then commits the joint group, then the final one.
+func (m *Machine) advanceChange(now time.Duration) {
+	c, lead := m.change, m.leading
+	if c == nil || lead == nil || lead.pending != nil {
+		return
+	}
+	switch c.step {
+	case stepCatchUp:
+		if c.adding != "" && lead.completeSeq[c.adding] < lead.committedSeq {
+			if lead.completeSeq[c.adding]+catchUpWrites >= lead.committedSeq && now >= c.heldSince+m.params.LeaseDuration/4 {
+				c.heldSince = now
+			}
+			return
+		}
+		c.step = stepJoint
+		group := c.group
+		lead.queuedGroup = &group
+		m.flush(now)
+	case stepJoint:
+		c.step = stepFinal
+		lead.queuedGroup = &Group{Term: lead.term, Epoch: c.group.Epoch + 1, Members: c.group.Members}
+		m.flush(now)
+	case stepFinal:
+		m.out.Results = append(m.out.Results, Result{RequestID: c.requestID, Body: true})
+		m.change = nil
+		for _, member := range c.group.Former {
+			if !lead.group.Has(member) && member != m.member {
+				m.send(member, Reject{Term: lead.term, Promised: lead.term, Group: lead.group}, false)
+			}
+		}
+		if !lead.group.Has(m.member) {
+			m.record(Record{Group: &Group{Term: lead.group.Term, Epoch: lead.group.Epoch, Members: lead.group.Members}})
+		}
+	}
+}
+
+// writesHeld reports whether writes are held back for the member to be added.
+func (m *Machine) writesHeld(now time.Duration) bool {
+	c, lead := m.change, m.leading
+	return c != nil && c.step == stepCatchUp && c.adding != "" && c.heldSince > 0 && now < c.heldSince+m.params.LeaseDuration/8 && lead.completeSeq[c.adding] < lead.committedSeq
+}
+
+// noteNewMember records an acknowledgement if it is from the member to be added.
+func (m *Machine) noteNewMember(now time.Duration, from string) {
+	if m.change != nil && m.change.adding == from {
+		m.change.heardAt = now
+	}
+}
--- /dev/null
+++ b/rule/partition/types.go
@@ -0,0 +1,51 @@
+package partition
+
+import "time"
+
+// Params are the timing parameters of a partition, relative to the duration of a lease.
+type Params struct {
+	// LeaseDuration is how long a leader may serve after it sent a message that a majority
+	// acknowledged.
+	LeaseDuration time.Duration
+	// Drift is the bound on clock drift: followers wait longer by this fraction.
+	Drift float64
+	// RenewalsPerLease is how many renewals a leader sends in the duration of a lease.
+	RenewalsPerLease int
+	// LeasesPerSweep is the interval, in leases, at which the leader compares the digests
+	// of all replicas.
+	LeasesPerSweep int
+	// LeasesBeforeHome is after how many leases a leader hands over to the first member of
+	// the group; zero means never.
+	LeasesBeforeHome int
+}
+
+// Send is a message to a member of the group, which may be the machine's own.
+type Send struct {
+	To   string
+	Body any
+	// AfterSync holds the message back until all records up to it are on disk.
+	AfterSync bool
+}
+
+// Result is the outcome of a command or membership change.
+type Result struct {
+	RequestID uint64
+	Body      any
+	// Uncertain means that the command may or may not take effect.
+	Uncertain bool
+	// NotLeader means that this member isn't the leader and nothing was done.
+	NotLeader bool
+}
+
+// Output is what a step wants done, in the order of its fields.
+type Output struct {
+	Records []Record
+	Sends   []Send
+	Results []Result
+}
+
+// Counters count events of a replica. Elections are those that it started, Elected those that
+// it won; Entries are those of its Writes as the leader.
+type Counters struct {
+	Elections, Elected, Writes, Entries, SnapshotsSent, Sweeps, TombstonesPurged int64
+}
--- a/saffronfall/amend.go
+++ b/saffronfall/amend.go
@@ -70,7 +70,9 @@
 	if c.BasedOn >= 0 {
 		return uint64(c.BasedOn), nil
 	}
-	var current struct{ Number uint64 }
+	var current struct {
+		Number uint64 `json:"Number"`
+	}
 	status, raw, err := c.do(http.MethodGet, "/v1/table", nil, &current)
 	if err == nil && status != http.StatusOK {
 		err = operator.Refusal(status, raw)
@@ -83,7 +85,7 @@
 	fmt.Fprintf(out, "on table %d:\n", base)
 	kinds := []struct {
 		name    string
-		changed route.Changed
+		changed route.ChangedNames
 	}{{"routes", p.Routes}, {"services", p.Services}, {"tenants", p.Tenants}}
 	nothing := true
 	for _, kind := range kinds {
--- a/saffronfall/coreprocess/process.go
+++ b/saffronfall/coreprocess/process.go
@@ -44,14 +44,14 @@
 	others  map[string]byte
 	log     logr.Logger
 	machine *core.Machine
-	streams *stream.Streams
+	streams *stream.Transport
 	start   time.Duration
 	calls   chan func(now time.Duration) core.Output
 	drain   chan struct{}
 	toDisk  chan batch
 	onDisk  chan written
 
-	violations *invariant.Counts
+	violations *invariant.Counter
 	changes    []core.Change
 	issued     uint64
 	synced     uint64
@@ -82,19 +82,19 @@
 
 // RunOn runs the role with its folder in a file system.
 func RunOn(ctx context.Context, files disk.FileSystem, p params.Params, adopt <-chan params.Params, log logr.Logger) error {
-	if p.Folder == "" {
+	if p.DataDir == "" {
 		return errors.New("a core needs a folder")
 	}
-	folder, stored, err := load(files, p.Folder, log)
+	folder, stored, err := load(files, p.DataDir, log)
 	if err != nil {
 		return err
 	}
-	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.Secret,
-		Buffer: int(p.Buffer), Largest: 64 << 20, Patience: p.Node().Newest})
+	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.FleetSecret,
+		QueueSize: int(p.BufferSize), MaxMessageBytes: 64 << 20, Timeout: p.Node().Newest})
 	if err != nil {
 		return err
 	}
-	s := &process{params: p, violations: telemetry.Violations(p.Strict, log), adopt: adopt, others: map[string]byte{}, log: log, streams: streams, start: clock.Now(), calls: make(chan func(time.Duration) core.Output, 64),
+	s := &process{params: p, violations: telemetry.NewViolationCounts(p.StrictInvariants, log), adopt: adopt, others: map[string]byte{}, log: log, streams: streams, start: clock.Now(), calls: make(chan func(time.Duration) core.Output, 64),
 		drain: make(chan struct{}, 1), toDisk: make(chan batch, 1), onDisk: make(chan written, 1), answers: map[uint64]chan any{}}
 	var image core.Stored
 	image.CopyFrom(stored)
@@ -106,10 +106,10 @@
 	life, cancel := context.WithCancel(context.Background())
 	group.Add(func() error { return s.own(ctx, life) }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
-	writes := writer{folder: folder, image: image, batches: s.toDisk, done: s.onDisk, pause: p.Core().Part.OwnerTerm}
+	writes := writer{folder: folder, image: image, batches: s.toDisk, done: s.onDisk, pause: p.Core().Part.LeaseDuration}
 	group.Add(func() error { return writes.run(life) }, func(error) { cancel() })
-	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "core", Look: s.snapshot}, log)
-	server := &http.Server{Addr: p.OperatorListen, Handler: operator.Handler(s, p.Operators, s.drain), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: callTime, IdleTimeout: callTime}
+	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "core", Snapshot: s.snapshot}, log)
+	server := &http.Server{Addr: p.OperatorListen, Handler: operator.Handler(s, p.OperatorKey, s.drain), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: callTime, IdleTimeout: callTime}
 	group.Add(func() error {
 		if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 			return errors.Wrap(err, "operator address")
@@ -122,9 +122,9 @@
 // callTime bounds how long an operator's call may take to send.
 const callTime = time.Minute
 
-func load(files disk.FileSystem, path string, log logr.Logger) (*disk.Folder, core.Stored, error) {
+func load(files disk.FileSystem, path string, log logr.Logger) (*disk.Store, core.Stored, error) {
 	folder, found, err := disk.OpenIn(files, path)
-	if errors.Is(err, disk.ErrLost) {
+	if errors.Is(err, disk.ErrDamaged) {
 		log.Info("copy lost; this core begins as a new one without a vote", "cause", err.Error())
 		if err := disk.SetAside(path); err != nil {
 			return nil, core.Stored{}, err
@@ -143,10 +143,10 @@
 		stored.Incarnation = hex.EncodeToString(raw)
 		return folder, stored, folder.Replace(message.Marshal(stored))
 	}
-	if err := message.Unmarshal(found.Slot, &stored); err != nil {
+	if err := message.Unmarshal(found.State, &stored); err != nil {
 		return nil, core.Stored{}, errors.Wrap(err, "slot")
 	}
-	for _, frame := range found.Frames {
+	for _, frame := range found.Records {
 		var changes []core.Change
 		if err := message.Unmarshal(frame, &changes); err != nil {
 			return nil, core.Stored{}, errors.Wrap(err, "log")
@@ -161,9 +161,9 @@
 // refuseVersion says once of each member that its version does not go with this
 // one.
 func (s *process) refuseVersion(c stream.Counters) {
-	if s.others[c.Other] != c.Theirs {
-		s.others[c.Other] = c.Theirs
-		s.log.Info("member of another version refused; change a fleet one version at a time", "member", c.Other, "its version", c.Theirs, "own version", stream.Version)
+	if s.others[c.PeerAddress] != c.PeerVersion {
+		s.others[c.PeerAddress] = c.PeerVersion
+		s.log.Info("member of another version refused; change a fleet one version at a time", "member", c.PeerAddress, "its version", c.PeerVersion, "own version", stream.Version)
 	}
 }
 
@@ -172,7 +172,7 @@
 // own is the one goroutine that drives the machine.
 func (s *process) own(ctx, life context.Context) error {
 	runtime.LockOSThread()
-	ticker := time.NewTicker(s.params.Core().Part.OwnerTerm / 20)
+	ticker := time.NewTicker(s.params.Core().Part.LeaseDuration / 20)
 	defer ticker.Stop()
 	var leaveBy time.Duration
 	stop, drain := ctx.Done(), s.drain
@@ -204,7 +204,7 @@
 		case s.params = <-s.adopt:
 		case c := <-s.streams.Counts:
 			s.bad += c.BadStreams
-			if c.Version > 0 {
+			if c.VersionMismatches > 0 {
 				s.refuseVersion(c)
 			}
 		case <-ticker.C:
@@ -232,7 +232,7 @@
 }
 
 func (s *process) watch() {
-	stalled := s.busy && s.now()-s.busyAt > s.params.Core().Part.OwnerTerm
+	stalled := s.busy && s.now()-s.busyAt > s.params.Core().Part.LeaseDuration
 	if stalled != s.stalled {
 		s.stalled = stalled
 		s.machine.Stall(stalled)
@@ -267,7 +267,7 @@
 // sendSynced sends what rests on the changes that were issued up to a number.
 func (s *process) sendSynced(send core.Send, rests uint64) {
 	if send.Synced && rests > s.synced {
-		invariant.Report(s.violations.Report).Violated(invariant.AcknowledgedAfterSync, "%T to %s rests on change %d; %d are synced", send.Body, send.To, rests, s.synced)
+		invariant.Reporter(s.violations.Report).Violated(invariant.AcknowledgedAfterSync, "%T to %s rests on change %d; %d are synced", send.Body, send.To, rests, s.synced)
 	}
 	s.send(send)
 }
@@ -337,7 +337,7 @@
 	if told.Values, err = s.Counters(ctx); err != nil {
 		return told, err
 	}
-	violations, err := s.Look(ctx, func(*core.Machine, time.Duration) any { return telemetry.Counted(s.violations) })
+	violations, err := s.Look(ctx, func(*core.Machine, time.Duration) any { return telemetry.ViolationCounts(s.violations) })
 	told.Violations, _ = violations.(map[invariant.Name]int64)
 	return told, err
 }
@@ -348,8 +348,8 @@
 		p := m.PartCounters()
 		return map[string]int64{"messages": m.Counters.Messages, "commands": m.Counters.Commands, "commands_moved": m.Counters.Moved,
 			"commands_unsure": m.Counters.Unsure, "pulls": m.Counters.Pulls, "refused_while_stalled": m.Counters.Stalled, "returns_with_empty_folder": m.Counters.Returns, "bad_messages": m.Counters.BadMessages,
-			"stands": p.Stands, "seated": p.Seated, "writes": p.Writes, "entries_written": p.Entries, "copies_mended": p.Mended,
-			"sweeps": p.Swept, "marks_dropped": p.Dropped, "parts_owned": int64(len(m.Owned(now))), "sent": s.sent, "dropped": s.dropped,
+			"stands": p.Elections, "seated": p.Elected, "writes": p.Writes, "entries_written": p.Entries, "copies_mended": p.SnapshotsSent,
+			"sweeps": p.Sweeps, "marks_dropped": p.TombstonesPurged, "parts_owned": int64(len(m.Owned(now))), "sent": s.sent, "dropped": s.dropped,
 			"received": s.received, "bad_streams": s.bad, "syncs": s.syncs, "sync_micros": s.syncTime.Microseconds(), "disk_stalled": flag(s.stalled)}
 	})
 	if err != nil {
--- a/saffronfall/main.go
+++ b/saffronfall/main.go
@@ -35,7 +35,7 @@
 
 func (c *deskCommand) Run() error {
 	return role.Start(c.Settings, func(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger) error {
-		return deskprocess.Run(ctx, p, adopt, log, desk.Surface(p.Operators, p.Replicas, p.Largest))
+		return deskprocess.Run(ctx, p, adopt, log, desk.Surface(p.OperatorKey, p.ReplicaKey, p.MaxRequestBytes))
 	})
 }
 
@@ -43,7 +43,7 @@
 
 func (c *relayCommand) Run() error {
 	return role.Start(c.Settings, func(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger) error {
-		return relayprocess.Run(ctx, p, adopt, log, replica.OwnNames)
+		return relayprocess.Run(ctx, p, adopt, log, replica.DefaultHeaders)
 	})
 }
 
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("fleet %s founded: %d cores, %d parts, groups of %d\n", f.Fleet, len(f.Cores), f.Parts, len(f.Groups[0].Seats))
+	fmt.Printf("fleet %s founded: %d cores, %d parts, groups of %d\n", f.Fleet, len(f.Cores), f.Parts, len(f.Groups[0].Members))
 	return nil
 }
 
@@ -199,7 +199,9 @@
 	if c.BasedOn >= 0 {
 		h.BasedOn = uint64(c.BasedOn)
 	} else {
-		var now struct{ Version uint64 }
+		var now struct {
+			Version uint64 `json:"Version"`
+		}
 		if status, raw, err := c.do("GET", "/v1/configuration", nil, &now); err != nil || status != 200 {
 			return status, raw, taking, err
 		}
@@ -346,11 +348,11 @@
 func (settingsCommand) Run() error {
 	for _, table := range []struct {
 		name string
-		rows []configuration.Row
-	}{{"a process", params.Rows}, {"a description", configuration.Rows}} {
+		rows []configuration.Setting
+	}{{"a process", params.Rows}, {"a description", configuration.Settings}} {
 		fmt.Printf("Settings of %s:\n", table.name)
 		for _, r := range table.rows {
-			fmt.Printf("  %-44s %-7s default %-14v %s\n", r.Path, r.Type, r.Default, r.About)
+			fmt.Printf("  %-44s %-7s default %-14v %s\n", r.Path, r.Type, r.Default, r.Help)
 		}
 	}
 	return nil
--- a/saffronfall/nodeprocess/process.go
+++ b/saffronfall/nodeprocess/process.go
@@ -38,8 +38,8 @@
 	others  map[string]byte
 	log     logr.Logger
 	machine *node.Machine
-	streams *stream.Streams
-	shooter *replica.Shooter
+	streams *stream.Transport
+	sender  *replica.Sender
 	start   time.Duration
 	arrive  chan inquiry
 	gone    chan uint64
@@ -67,26 +67,26 @@
 	if _, err := crypto.Read(raw); err != nil {
 		return err
 	}
-	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.Secret,
-		Buffer: int(p.Buffer), Largest: 64 << 20, Patience: p.Node().Newest})
+	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.FleetSecret,
+		QueueSize: int(p.BufferSize), MaxMessageBytes: 64 << 20, Timeout: p.Node().Newest})
 	if err != nil {
 		return err
 	}
 	life, cancel := context.WithCancel(context.Background())
-	s := &process{params: p, adopt: adopt, others: map[string]byte{}, log: log, streams: streams, start: clock.Now(), life: life, drain: make(chan struct{}, 1), breaker: "closed", arrive: make(chan inquiry, p.Buffer), gone: make(chan uint64, p.Buffer),
-		events: make(chan node.Event, p.Buffer), calls: make(chan func(time.Duration) node.Output, 64),
+	s := &process{params: p, adopt: adopt, others: map[string]byte{}, log: log, streams: streams, start: clock.Now(), life: life, drain: make(chan struct{}, 1), breaker: "closed", arrive: make(chan inquiry, p.BufferSize), gone: make(chan uint64, p.BufferSize),
+		events: make(chan node.Event, p.BufferSize), calls: make(chan func(time.Duration) node.Output, 64),
 		waiting: map[uint64]chan node.Piece{}, shots: map[uint64]context.CancelFunc{},
-		shooter: replica.NewShooter(&net.Dialer{Timeout: p.Node().Newest}, p.Largest*16)}
+		sender: replica.NewSender(&net.Dialer{Timeout: p.Node().Newest}, p.MaxRequestBytes*16)}
 	s.machine = node.New(node.Options{Params: p.Node(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Zone: p.Zone, Address: p.PeerAdvertise,
-		HTTP: p.RequesterAdvert, Host: host(p.PeerListen), Seeds: p.Seeds, Now: s.now(), Random: rand.Float64})
+		HTTP: p.RequesterAdvertise, Host: host(p.PeerListen), Seeds: p.Seeds, Now: s.now(), Random: rand.Float64})
 	log.Info("node started", "id", p.ID, "incarnation", s.machine.Incarnation())
 
 	var group run.Group
 	group.Add(func() error { return s.own(ctx) }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
 	mux := http.NewServeMux()
-	mux.Handle("/", requester.Handler(s, p.Largest))
-	mux.Handle("POST /v1/replicas", replica.Announcements(p.Replicas, s.announce))
+	mux.Handle("/", requester.Handler(s, p.MaxRequestBytes))
+	mux.Handle("POST /v1/replicas", replica.AnnouncementHandler(p.ReplicaKey, s.announce))
 	listen := func(address string, handler http.Handler, what string) {
 		server := &http.Server{Addr: address, Handler: handler, ReadHeaderTimeout: 5 * time.Second}
 		group.Add(func() error {
@@ -102,7 +102,7 @@
 		})
 	}
 	listen(p.RequesterListen, mux, "requester address")
-	listen(p.OperatorListen, operator.Guard(p.Operators, s.operators()), "operator address")
+	listen(p.OperatorListen, operator.Guard(p.OperatorKey, s.operators()), "operator address")
 	return group.Run()
 }
 
@@ -124,9 +124,9 @@
 // refuseVersion says once of each member that its version does not go with this
 // one.
 func (s *process) refuseVersion(c stream.Counters) {
-	if s.others[c.Other] != c.Theirs {
-		s.others[c.Other] = c.Theirs
-		s.log.Info("member of another version refused; change a fleet one version at a time", "member", c.Other, "its version", c.Theirs, "own version", stream.Version)
+	if s.others[c.PeerAddress] != c.PeerVersion {
+		s.others[c.PeerAddress] = c.PeerVersion
+		s.log.Info("member of another version refused; change a fleet one version at a time", "member", c.PeerAddress, "its version", c.PeerVersion, "own version", stream.Version)
 	}
 }
 
@@ -167,7 +167,7 @@
 			s.take(s.machine.Adopt(s.params.Node()))
 		case c := <-s.streams.Counts:
 			s.bad += c.BadStreams
-			if c.Version > 0 {
+			if c.VersionMismatches > 0 {
 				s.refuseVersion(c)
 			}
 		case <-ticker.C:
@@ -261,7 +261,7 @@
 	for _, shoot := range o.Shots {
 		ctx, cancel := context.WithCancel(s.life)
 		s.shots[shoot.Shot] = cancel
-		go s.shooter.Shoot(ctx, shoot, func(e node.Event) {
+		go s.sender.Send(ctx, shoot, func(e node.Event) {
 			select {
 			case s.events <- e:
 			case <-s.life.Done():
@@ -276,8 +276,8 @@
 	}
 }
 
-// Inquire hands an inquiry to the owner's goroutine.
-func (s *process) Inquire(ctx context.Context, q node.Inquiry) (<-chan node.Piece, bool) {
+// Submit hands a request to the goroutine that owns the machine.
+func (s *process) Submit(ctx context.Context, q node.Inquiry) (<-chan node.Piece, bool) {
 	pieces := make(chan node.Piece, 256)
 	select {
 	case s.arrive <- inquiry{inquiry: q, pieces: pieces, gone: ctx.Done()}:
