--- a/peer/core/caller.go
+++ b/peer/core/caller.go
@@ -8,39 +8,48 @@
 	"saffronfall/rule/slab"
 )
 
-// Outcome is what became of a command. An unsure one may have been done.
+// Outcome is the result of a command. Unsure means that no answer came before the
+// deadline, so that the command may or may not have run; Sent tells whether it was
+// sent at all.
 type Outcome struct {
 	Answer any
 	Unsure bool
 	Sent   bool
 }
 
-// Caller gets commands to the owners of parts, over and over until their
-// budget has passed. Commands bear repeating.
+// Caller sends commands to the leaders of partitions and retries each until it is
+// answered or its deadline passes. Commands are idempotent. All functions but
+// Forwarders must be set.
 type Caller struct {
+	// Retry is the delay before the first retries of a command.
 	Retry  time.Duration
 	Random func() float64
 	Send   func(to string, body any)
-	Cores  func() []string
-	// Others are members that may pass a command on when cores stay silent.
+	// Cores returns the addresses of all cores.
+	Cores func() []string
+	// Forwarders returns the addresses of processes that can forward a command if
+	// the cores don't answer.
 	Forwarders func() []string
+	// Partitions returns the number of partitions, zero while it is not known.
 	Partitions func() int
-	hints      map[int]string
-	// leaders are who was last known to lead each partition. One that left a command
-	// without an answer for long is not known to.
+	// hints are the addresses that the next attempts go to, by partition.
+	hints map[int]string
+	// leaders are the addresses of the last known leaders, by partition. An entry is
+	// removed when a command stayed unanswered for long.
 	leaders map[int]string
 	calls   slab.Slab[*pendingCall]
 	pending map[slab.Ticket]*pendingCall
 	salt    uint64
-	// Tries counts the attempts made.
+	// Attempts counts the attempts made.
 	Attempts int64
-	// asked is when the first command went out since anybody was heard of;
-	// unanswered says that one did.
+	// unansweredSince is when the first command was sent since the last answer;
+	// unanswered tells whether one was.
 	unansweredSince time.Duration
 	unanswered      bool
 }
 
-// Silent is for how long commands have gone out with no word from any core.
+// SilentFor returns how long commands have been sent without an answer from any
+// core.
 func (c *Caller) SilentFor(now time.Duration) time.Duration {
 	if !c.unanswered {
 		return 0
@@ -58,7 +67,8 @@
 	outcome   func(now time.Duration, o Outcome)
 }
 
-// Call sends a command; its outcome comes exactly once.
+// Call sends a command and calls outcome exactly once, at the latest in the first
+// Tick after until.
 func (c *Caller) Call(now time.Duration, command any, until time.Duration, outcome func(now time.Duration, o Outcome)) {
 	if c.Partitions() == 0 {
 		outcome(now, Outcome{Unsure: true})
@@ -74,11 +84,11 @@
 }
 
 const (
-	// steadyTries is how often a command is tried at the pace of Retry: for longer
-	// than a request waits for it, and than a partition needs for another leader.
-	// After that, each try waits one Retry longer than the one before.
+	// fixedDelayAttempts is the number of attempts at intervals of Retry. They span
+	// more time than a request waits for its command and than a partition needs to
+	// elect a leader. After them, each interval is one Retry longer than the last.
 	fixedDelayAttempts = 20
-	// slowestRetries is how many retry periods lie between two tries at the most.
+	// maxDelayRetries is the longest interval between attempts, in units of Retry.
 	maxDelayRetries = 32
 )
 
@@ -106,7 +116,7 @@
 	c.Send(to, Command{ID: c.MessageID(k.ticket), Part: k.partition, Raw: k.raw})
 }
 
-// Hint tells who owns a part.
+// SetLeader records the address of a partition's leader.
 func (c *Caller) SetLeader(number int, address string) {
 	if c.hints == nil {
 		c.pending, c.hints = map[slab.Ticket]*pendingCall{}, map[int]string{}
@@ -115,8 +125,8 @@
 	c.retryWaiting(number, address)
 }
 
-// wake has what waited long for a partition tried at once, where it is known for the
-// first time that somebody leads it, or that somebody else does.
+// retryWaiting makes commands that have backed off due at once if the partition's
+// leader was not known before, or is another one now.
 func (c *Caller) retryWaiting(number int, leader string) {
 	if c.leaders == nil {
 		c.leaders = map[int]string{}
@@ -132,8 +142,8 @@
 	}
 }
 
-// Mark turns a ticket into an id that no other life of this process gives out,
-// so that a return to an earlier life finds nothing here.
+// MessageID turns a ticket into an ID that other incarnations of this process don't
+// use, so that a return meant for an earlier one matches no ticket here.
 func (c *Caller) MessageID(t slab.Ticket) uint64 {
 	for c.salt == 0 {
 		c.salt = uint64(c.Random()*(1<<31))<<31 | uint64(c.Random()*(1<<31))
@@ -141,13 +151,14 @@
 	return uint64(t) ^ c.salt
 }
 
-// Unmark turns an id back into a ticket.
+// Ticket returns the ticket that a message ID was made from.
 func (c *Caller) Ticket(id uint64) slab.Ticket { return slab.Ticket(c.MessageID(slab.Ticket(id))) }
 
-// HintOf is who is thought to own a part.
+// Leader returns the address of a partition's presumed leader, or "".
 func (c *Caller) Leader(number int) string { return c.hints[number] }
 
-// Tick tries again what got no answer, and ends what has no budget left.
+// Tick retries commands that are due and ends those whose deadline has passed with
+// an unsure outcome.
 func (c *Caller) Tick(now time.Duration) {
 	var due []*pendingCall
 	for _, t := range ordered.Keys(c.pending) {
@@ -176,7 +187,7 @@
 	k.outcome(now, o)
 }
 
-// Receive takes an answer.
+// Receive handles the answer of the core at an address.
 func (c *Caller) Receive(now time.Duration, from string, r CommandReturn) {
 	c.unanswered = false
 	k, ok := c.calls.Look(c.Ticket(r.ID))
@@ -203,5 +214,5 @@
 	}
 }
 
-// Waiting is how many commands have no outcome yet.
+// Pending returns the number of commands without an outcome.
 func (c *Caller) Pending() int { return c.calls.Used() }
--- a/peer/core/caller_test.go
+++ b/peer/core/caller_test.go
@@ -20,22 +20,22 @@
 func TestReturnForEarlierIncarnationIsIgnored(t *testing.T) {
 	var before, after []Command
 	first, second := newCaller(1, &before), newCaller(2, &after)
-	wrong := 0
+	accepted := 0
 	for i := 0; i < 40; i++ {
 		first.Call(0, ReadEntries{Part: 1}, time.Second, func(time.Duration, Outcome) {})
-		second.Call(0, ReadEntries{Part: 1}, time.Second, func(time.Duration, Outcome) { wrong++ })
+		second.Call(0, ReadEntries{Part: 1}, time.Second, func(time.Duration, Outcome) { accepted++ })
 	}
 	for _, c := range before {
 		second.Receive(0, "c", CommandReturn{ID: c.ID, Part: 1, Raw: message.Pack(Done{OK: true})})
 	}
-	if wrong > 0 {
-		t.Errorf("%d returns of an earlier life were taken", wrong)
+	if accepted > 0 {
+		t.Errorf("%d returns of an earlier life were taken", accepted)
 	}
 	for _, c := range after {
 		second.Receive(0, "c", CommandReturn{ID: c.ID, Part: 1, Raw: message.Pack(Done{OK: true})})
 	}
-	if wrong != 40 {
-		t.Errorf("%d of 40 own returns were taken", wrong)
+	if accepted != 40 {
+		t.Errorf("%d of 40 own returns were taken", accepted)
 	}
 }
 
@@ -51,7 +51,7 @@
 		c.Call(0, ReadEntries{Part: 1}, within, func(time.Duration, Outcome) {})
 	}
 	now := time.Duration(0)
-	pass := func(d time.Duration) int {
+	advance := func(d time.Duration) int {
 		before := len(sent)
 		for end := now + d; now < end; {
 			now += 50 * time.Millisecond
@@ -59,28 +59,28 @@
 		}
 		return len(sent) - before
 	}
-	if early := pass(2 * time.Second); early < commands*15 {
+	if early := advance(2 * time.Second); early < commands*15 {
 		t.Errorf("%d tries in the first two seconds", early)
 	}
-	pass(time.Minute)
-	if late := pass(time.Minute); late > commands*40 {
+	advance(time.Minute)
+	if late := advance(time.Minute); late > commands*40 {
 		t.Errorf("%d tries of %d commands in the third minute", late, commands)
 	}
 	c.SetLeader(1, "leader")
-	if first := pass(100 * time.Millisecond); first < commands {
+	if first := advance(100 * time.Millisecond); first < commands {
 		t.Errorf("%d of %d commands are tried at once at the new leader", first, commands)
 	}
 	// The same word again wakes nothing, the first answer does, once.
 	c.SetLeader(1, "leader")
-	if again := pass(100 * time.Millisecond); again > 0 {
+	if again := advance(100 * time.Millisecond); again > 0 {
 		t.Errorf("%d tries by a word that is not new", again)
 	}
 	c.Receive(now, "other", CommandReturn{ID: sent[len(sent)-1].ID, Part: 1, Raw: message.Pack(Done{OK: true})})
-	if woken := pass(100 * time.Millisecond); woken < commands-1 {
+	if woken := advance(100 * time.Millisecond); woken < commands-1 {
 		t.Errorf("%d of %d commands are tried at once after an answer", woken, commands-1)
 	}
 	c.Receive(now, "other", CommandReturn{ID: sent[len(sent)-1].ID, Part: 1, Raw: message.Pack(Done{OK: true})})
-	if again := pass(100 * time.Millisecond); again > 0 {
+	if again := advance(100 * time.Millisecond); again > 0 {
 		t.Errorf("%d tries by a second answer", again)
 	}
 }
--- a/peer/core/founding.go
+++ b/peer/core/founding.go
@@ -7,31 +7,32 @@
 	"saffronfall/rule/partition"
 )
 
-// Founding is what a fleet is founded with. It is kept on the core's disk.
+// Founding is the initial configuration of a fleet. Each core keeps it on disk.
 type Founding struct {
 	Fleet      string          `msgpack:"f" json:"fleet"`
 	Partitions int             `msgpack:"p" json:"parts"`
 	Cores      map[string]Core `msgpack:"c" json:"cores"`
-	// Groups has the first group of each part.
+	// Groups has the first group of each partition, by partition number.
 	Groups []partition.Group `msgpack:"g" json:"groups"`
-	// Size is how many seats a group is to have.
+	// Size is the number of members that a group should have.
 	Size int `msgpack:"s" json:"size"`
 }
 
-// Plan divides parts over cores: groups of a size, in different zones where it
-// can be done, first seats spread evenly.
-func PlanFleet(fleet string, parts, size int, cores []Core) Founding {
-	f := Founding{Fleet: fleet, Partitions: parts, Cores: map[string]Core{}, Size: size}
+// PlanFleet returns the founding of a new fleet with its partitions placed on the
+// given cores, in groups of the given size.
+func PlanFleet(fleet string, partitions, size int, cores []Core) Founding {
+	f := Founding{Fleet: fleet, Partitions: partitions, Cores: map[string]Core{}, Size: size}
 	for _, c := range cores {
 		f.Cores[c.ID] = c
 	}
-	for _, seats := range Place(parts, size, cores, nil) {
-		f.Groups = append(f.Groups, partition.Group{Epoch: 1, Members: seats})
+	for _, members := range Place(partitions, size, cores, nil) {
+		f.Groups = append(f.Groups, partition.Group{Epoch: 1, Members: members})
 	}
 	return f
 }
 
-// Found makes this core part of a new fleet. A core that is in one stays.
+// Found makes this core a founding core of a new fleet and reports whether it
+// belongs to that fleet. A core that already belongs to a fleet stays in it.
 func (m *Machine) Found(now time.Duration, f Founding) (Output, bool) {
 	m.out = &Output{}
 	if m.Founded() {
@@ -40,6 +41,8 @@
 	return *m.out, m.createFleet(now, f)
 }
 
+// createFleet joins the fleet of f and passes f on to the other founding cores. It
+// reports whether f is valid and names this incarnation.
 func (m *Machine) createFleet(now time.Duration, f Founding) bool {
 	if own, ok := f.Cores[m.self.ID]; !ok || own.Incarnation != m.self.Incarnation || f.Partitions < 1 || len(f.Groups) != f.Partitions {
 		return false
@@ -53,10 +56,12 @@
 	return true
 }
 
+// presence returns the heartbeat of this core.
 func (m *Machine) presence() Present {
 	return Present{Core: m.self, Cold: m.params.ColdStart, Fleet: m.founding.Fleet, Known: m.digest}
 }
 
+// announce sends this core's heartbeat to the seed addresses.
 func (m *Machine) announce() {
 	if m.superseded {
 		return
@@ -68,6 +73,8 @@
 	}
 }
 
+// onPresence handles the heartbeat of a core of the same fleet, or the request of
+// one without a fleet to be told of it.
 func (m *Machine) onPresence(now time.Duration, from string, b Present) {
 	switch b.Fleet {
 	case m.founding.Fleet:
--- a/peer/core/identity_test.go
+++ b/peer/core/identity_test.go
@@ -9,13 +9,13 @@
 // programs. Neither another tenant's choice nor a second use of one's own may
 // touch what was acknowledged.
 func TestTenantsIDsAreIndependent(t *testing.T) {
-	t.Run("turns of tenants", turnsOfTenants)
-	t.Run("turns under one id", turnsUnderOneID)
-	t.Run("books of tenants", booksOfTenants)
+	t.Run("turns of tenants", testSameIDOfTwoTenants)
+	t.Run("turns under one id", testSecondTurnUnderOneID)
+	t.Run("books of tenants", testBudgetsOfTwoTenants)
 }
 
 // turnsOfTenants: two tenants choose the same id; each keeps its own turn under it.
-func turnsOfTenants(t *testing.T) {
+func testSameIDOfTwoTenants(t *testing.T) {
 	a := newAlone(t)
 	keep := func(tenant, output string) bool {
 		return a.run(KeepTurn{Tenant: tenant, Attempt: "same", Input: []byte("in"), Output: []byte(output), Keep: time.Minute}).(Done).OK
@@ -37,7 +37,7 @@
 // turnsUnderOneID: a turn that is not the one that is kept
 // under its id must not be acknowledged as kept. The same command that comes again
 // is.
-func turnsUnderOneID(t *testing.T) {
+func testSecondTurnUnderOneID(t *testing.T) {
 	a := newAlone(t)
 	command := KeepTurn{Tenant: "t", Attempt: "x", Before: []string{"w"}, Input: []byte("in"), Output: []byte("out"), Keep: time.Minute}
 	for range 2 {
@@ -59,7 +59,7 @@
 }
 
 // booksOfTenants: names of tenants and programs are free texts.
-func booksOfTenants(t *testing.T) {
+func testBudgetsOfTwoTenants(t *testing.T) {
 	a := newAlone(t)
 	reserve := func(tenant, program string) bool {
 		return a.run(ReserveTurn{Tenant: tenant, Program: program, Attempt: "x" + tenant, Most: 80, Budget: 100, Keep: time.Minute}).(TurnReserved).OK
--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -12,33 +12,34 @@
 	"saffronfall/rule/slab"
 )
 
-// Send is a message for the process at an address. A synced one goes out when
-// all changes so far are on disk.
+// Send is a message for the process at an address. A synced message may be sent
+// only after all changes up to it are on disk.
 type Send struct {
 	To     string
 	Body   any
 	Synced bool
 }
 
-// Answer goes to an operator's waiting call.
+// Answer is the result of an operator's call, identified by the call's ticket.
 type Answer struct {
 	Ticket uint64
 	Body   any
 }
 
-// Output is what a step wants done: changes, then sends, then answers.
+// Output is what a step asks its caller to do, in this order: write the changes,
+// send the messages, return the answers.
 type Output struct {
 	Changes []Change
 	Sends   []Send
 	Answers []Answer
 }
 
-// Counters are what a core counts.
+// Counters are a core's event counts since it started.
 type Counters struct {
 	Messages, Commands, Redirected, Uncertain, Pulls, BadMessages, Rejoins, RefusedWhileStalled int64
 }
 
-// Options make a machine.
+// Options configure a Machine.
 type Options struct {
 	Params   Params
 	ID, Zone string
@@ -48,11 +49,12 @@
 	Stored   Stored
 	Now      time.Duration
 	Random   func() float64
-	// Violated takes violated invariants; without it they panic.
+	// Violated receives violated invariants. If it is nil, a violation panics.
 	Violated invariant.Reporter
 }
 
-// Machine is one core.
+// Machine is the state machine of one core process. It does no I/O and has no
+// clock: the caller passes in messages and times and carries out each Output.
 type Machine struct {
 	Counters Counters
 
@@ -68,7 +70,7 @@
 	outputs
 	random        func() float64
 	sweepAt       time.Duration
-	leaving       bool
+	draining      bool
 	stalled       bool
 	later         Later
 	seeds         []string
@@ -80,28 +82,29 @@
 	observedSince time.Duration
 	activeAt      time.Duration
 	placement     [][]string
-	// placedFor and placedSilent are what the placement was made for.
+	// placementCores and placementSilent are the inputs that placement was
+	// computed from.
 	placementCores  []Core
 	placementSilent map[string]bool
 	contacts        map[string]contact
 	topologyChanged bool
 	gossipState
-	// outlived says that the fleet knows a later incarnation of this core; refused
-	// is how many claims to its entry lost a race.
+	// superseded is set when the fleet knows a later incarnation of this core.
+	// claimIncrement is added to the version of the next claim to this core's entry,
+	// because earlier claims lost a race.
 	superseded     bool
-	rejectedClaims uint64
+	claimIncrement uint64
 	nextChangeAt   map[int]time.Duration
 	rebalanceAt    time.Duration
 }
 
-// outlets are where a core's words go: what a step wants done, and violated
-// invariants.
+// outputs are the destinations of a step's results and of invariant violations.
 type outputs struct {
 	out      *Output
 	violated invariant.Reporter
 }
 
-// New makes a core from what its disk holds.
+// New returns a machine in the state that the core's disk holds.
 func New(o Options) *Machine {
 	m := &Machine{params: o.Params, random: o.Random, outputs: outputs{violated: o.Violated}, seeds: o.Seeds, partitions: map[int]*partition.Machine{}, cores: map[string]Core{},
 		self: Core{ID: o.ID, Incarnation: o.Stored.Incarnation, Zone: o.Zone, Peer: o.Address, Operator: o.Operator}}
@@ -124,6 +127,7 @@
 	return m
 }
 
+// start initializes the state of a core that belongs to a fleet.
 func (m *Machine) start(now time.Duration, s Stored) {
 	m.founding = s.Founding
 	m.terms, m.groups = make([]partition.Term, s.Founding.Partitions), make([]partition.Group, s.Founding.Partitions)
@@ -140,6 +144,7 @@
 	}
 }
 
+// addReplica starts this core's replica of partition n.
 func (m *Machine) addReplica(now time.Duration, n int, state partition.State) *partition.Machine {
 	m.partitions[n] = partition.New(partition.Options{Params: m.params.Part, Member: m.self.Seat(), Partition: n, Rules: &rules{params: m.params, fleet: m.fleet, violated: m.violated}, State: state, Now: now,
 		Random: m.random, Violated: m.violated})
@@ -153,13 +158,13 @@
 // Founded reports whether this core belongs to a fleet.
 func (m *Machine) Founded() bool { return m.founding.Partitions > 0 }
 
-// Self is this core's own entry.
+// Self returns this core's own entry.
 func (m *Machine) Self() Core { return m.self }
 
-// Founding is what the fleet was founded with.
+// Founding returns the configuration that the fleet was founded with.
 func (m *Machine) Founding() Founding { return m.founding }
 
-// Tick lets time pass.
+// Tick runs what is due at now.
 func (m *Machine) Tick(now time.Duration) Output {
 	m.out = &Output{}
 	if !m.Founded() {
@@ -175,9 +180,9 @@
 		if p == nil {
 			continue
 		}
-		if m.leaving || m.stalled {
+		if m.draining || m.stalled {
 			m.take(now, n, p.ReleaseLeadership(now))
-			if _, owns := p.LeadingTerm(now); !owns {
+			if _, leads := p.LeadingTerm(now); !leads {
 				continue
 			}
 		}
@@ -212,10 +217,12 @@
 	return *m.out
 }
 
-// Leave begins to hand all parts over; Owned says how many are left.
-func (m *Machine) Drain() { m.leaving = true }
+// Drain starts to hand leadership of all partitions over to other cores.
+// LeadingPartitions lists those that remain.
+func (m *Machine) Drain() { m.draining = true }
 
-// Owned lists the parts that this core owns now.
+// LeadingPartitions lists the partitions that this core leads at now, in ascending
+// order.
 func (m *Machine) LeadingPartitions(now time.Duration) []int {
 	var list []int
 	for n, p := range m.partitions {
@@ -227,7 +234,7 @@
 	return list
 }
 
-// PartCounters sums the counters of all parts.
+// PartitionCounters returns the sums of the counters of all replicas.
 func (m *Machine) PartitionCounters() partition.Counters {
 	var sum partition.Counters
 	for _, p := range m.partitions {
@@ -243,10 +250,10 @@
 	return sum
 }
 
-// Part is one part's machine, for tests and status.
+// Partition returns this core's replica of partition n, or nil if it has none.
 func (m *Machine) Partition(n int) *partition.Machine { return m.partitions[n] }
 
-// Receive takes a message from the process at an address.
+// Receive handles a message from the process at an address.
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
 	m.out = &Output{}
 	m.Counters.Messages++
@@ -290,6 +297,6 @@
 	return *m.out
 }
 
-// Stall tells the machine whether its disk hangs. A core with a hanging disk
-// gives its parts to others and stands for none.
+// SetStalled tells the machine whether its disk is stalled. A core with a stalled
+// disk gives up leadership of its partitions and does not stand for election.
 func (m *Machine) SetStalled(stalled bool) { m.stalled = stalled }
--- a/peer/core/membership.go
+++ b/peer/core/membership.go
@@ -9,21 +9,23 @@
 	"saffronfall/rule/partition"
 )
 
-// Move is one change of one part's group.
+// Move is one change of a partition's group: a member to add, one to remove, or
+// both.
 type Move struct {
 	Partition int    `json:"part"`
 	Add       string `json:"add,omitempty"`
 	Remove    string `json:"remove,omitempty"`
 }
 
-// Kinds of changes in a core's life.
+// Kinds of changes to the fleet's cores.
 const (
 	KindAdd     = "add"
 	KindRetire  = "retire"
 	KindReplace = "replace"
 )
 
-// Changed is the outcome of a change in a core's life.
+// ChangeResult is the outcome of a change to the fleet's cores. Code and Reason
+// are empty if nothing went wrong.
 type ChangeResult struct {
 	Done      bool   `json:"done"`
 	Moves     []Move `json:"moves"`
@@ -32,10 +34,10 @@
 	Reason    string `json:"reason,omitempty"`
 }
 
-// returnTo brings a core whose folder is empty into the fleet that told its
-// topology, whether or not that knows its name. It has no vote until groups have
-// changed to admit it. One that has seats already waits for its founding, and
-// what was told must say so.
+// rejoin makes a core with an empty directory join the fleet that sent its
+// topology, whether or not the fleet knows the core's ID. The core has no vote
+// until groups have changed to admit it. It waits for FoundFleet instead if it is
+// a member of a group already, or if the topology lacks a group and so can't tell.
 func (m *Machine) rejoin(now time.Duration, t Topology) {
 	known, ok := t.Cores[m.self.ID]
 	if len(t.Groups) == 0 || known.Retired {
@@ -60,7 +62,7 @@
 	m.announceToAll()
 }
 
-// Join makes this core, which has no vote anywhere yet, one of a fleet.
+// Join makes this core, which has no vote in any group yet, belong to a fleet.
 func (m *Machine) Join(now time.Duration, f Founding) {
 	m.out.Changes = append(m.out.Changes, Change{Founding: &f})
 	s := Stored{Incarnation: m.self.Incarnation}
@@ -68,10 +70,10 @@
 	m.start(now, s)
 }
 
-// mend makes the fleet's entry of this core true again. The owners of parts
-// then give it the places that an earlier incarnation of it has in groups.
+// register corrects the fleet's entry of this core. The partitions' leaders then
+// let this incarnation take the place of an earlier one in their groups.
 func (m *Machine) register(now time.Duration) {
-	if m.registering || m.self.Retired || m.leaving || m.stalled || !m.unregistered || m.superseded {
+	if m.registering || m.self.Retired || m.draining || m.stalled || !m.unregistered || m.superseded {
 		return
 	}
 	m.registering = true
@@ -79,7 +81,7 @@
 	if known := m.cores[m.self.ID]; known.Incarnation != m.self.Incarnation {
 		claim.Version = max(claim.Version, known.Version+1)
 	}
-	claim.Version += m.rejectedClaims
+	claim.Version += m.claimIncrement
 	m.caller.Call(now, PutCore{Core: claim}, now+10*m.params.MemberTerm, func(now time.Duration, o Outcome) {
 		m.registering = false
 		switch a := o.Answer.(type) {
@@ -89,9 +91,9 @@
 		case Done:
 			switch {
 			case !a.OK:
-				m.rejectedClaims++
+				m.claimIncrement++
 			case m.self == before:
-				m.unregistered, m.rejectedClaims = false, 0
+				m.unregistered, m.claimIncrement = false, 0
 				if m.self != claim {
 					m.self, m.cores[m.self.ID] = claim, claim
 					m.topologyChanged = true
@@ -101,7 +103,7 @@
 	})
 }
 
-// tellAll makes this core known at once to all others.
+// announceToAll sends this core's entry to all other cores at once.
 func (m *Machine) announceToAll() {
 	for _, id := range ordered.Keys(m.cores) {
 		if c := m.cores[id]; id != m.self.ID {
@@ -110,10 +112,11 @@
 	}
 }
 
-// PlanChange lists the moves of a change in a core's life, or says why there can
-// be none. Silent cores get no seats.
+// PlanChange returns the moves that a change to the fleet's cores needs, or the
+// reason why it is impossible. Silent cores are assigned replicas only where too
+// few others remain.
 func PlanChange(cores map[string]Core, silent map[string]bool, groups []partition.Group, size int, kind, id, by string) ChangeResult {
-	c, ok := cores[id]
+	changed, ok := cores[id]
 	if !ok {
 		return ChangeResult{Code: "unknown_core", Reason: "no core of this fleet is called " + id}
 	}
@@ -130,8 +133,8 @@
 			staying++
 		}
 	}
-	if kind != KindAdd && staying < size && !c.Retired {
-		return ChangeResult{Code: "no_room", Reason: "without " + id + " some group would have fewer seats; add a core first"}
+	if kind != KindAdd && staying < size && !changed.Retired {
+		return ChangeResult{Code: "no_room", Reason: tooFewCores(id)}
 	}
 	var moves []Move
 	for n, wanted := range Place(len(groups), size, after, silent) {
@@ -140,30 +143,37 @@
 	return ChangeResult{Moves: moves}
 }
 
-// difference pairs the seats that come with those that go.
+// tooFewCores is the reason for refusing to retire a core.
+func tooFewCores(id string) string {
+	return "without " + id + " some group would have too few members; add a core first"
+}
+
+// membershipMoves returns the moves that turn a group into the wanted one, each
+// member to add paired with one to remove as long as there are both.
 func membershipMoves(n int, group, wanted []string) []Move {
 	var moves []Move
-	for _, s := range wanted {
-		if !slices.Contains(group, s) {
-			moves = append(moves, Move{Partition: n, Add: s})
+	for _, member := range wanted {
+		if !slices.Contains(group, member) {
+			moves = append(moves, Move{Partition: n, Add: member})
 		}
 	}
-	next := 0
-	for _, s := range group {
-		if slices.Contains(wanted, s) {
+	paired := 0
+	for _, member := range group {
+		if slices.Contains(wanted, member) {
 			continue
 		}
-		if next == len(moves) {
+		if paired == len(moves) {
 			moves = append(moves, Move{Partition: n})
 		}
-		moves[next].Remove = s
-		next++
+		moves[paired].Remove = member
+		paired++
 	}
 	return moves
 }
 
-// Change waits until the owners of parts have given a new core its seats, or
-// retires one, by itself or for another, and waits until it has none.
+// ChangeCore carries out one change to the fleet's cores. KindAdd waits until a new
+// core has its replicas; KindRetire and KindReplace retire a core and wait until
+// it has none. The answer is a ChangeResult.
 func (m *Machine) ChangeCore(now time.Duration, ticket uint64, kind, id, by string, within time.Duration) Output {
 	m.out = &Output{}
 	m.refreshTopology()
@@ -174,37 +184,38 @@
 		return *m.out
 	}
 	if kind == KindAdd {
-		m.awaitGroups(now, ticket, until, plan, func(n int, seats []string) bool {
+		m.awaitGroups(now, ticket, until, plan, func(n int, members []string) bool {
 			wanted := m.desiredGroups(m.activeAt)[n]
-			seat := m.cores[id].Seat()
-			return slices.Contains(seats, seat) || !slices.Contains(wanted, seat)
+			member := m.cores[id].Seat()
+			return slices.Contains(members, member) || !slices.Contains(wanted, member)
 		})
 		return *m.out
 	}
 	m.caller.Call(now, RetireCore{ID: id}, until, func(now time.Duration, o Outcome) {
-		r, ok := o.Answer.(Retiring)
+		retiring, ok := o.Answer.(Retiring)
 		switch {
 		case !ok:
-			m.answer(ticket, ChangeResult{Moves: plan.Moves, Code: "not_finished", Reason: "not marked as retired yet; ask again"})
-		case !r.Known:
+			m.answer(ticket, ChangeResult{Moves: plan.Moves, Code: "not_finished", Reason: "the core could not be marked as retired in time; repeat the request"})
+		case !retiring.Known:
 			m.answer(ticket, ChangeResult{Code: "unknown_core", Reason: "no core of this fleet is called " + id})
-		case !r.Enough:
-			m.answer(ticket, ChangeResult{Moves: plan.Moves, Code: "no_room", Reason: "without " + id + " some group would have fewer seats; add a core first"})
+		case !retiring.Enough:
+			m.answer(ticket, ChangeResult{Moves: plan.Moves, Code: "no_room", Reason: tooFewCores(id)})
 		default:
-			m.awaitGroups(now, ticket, until, plan, func(n int, seats []string) bool {
-				return !slices.ContainsFunc(seats, func(s string) bool { return SeatID(s) == id })
+			m.awaitGroups(now, ticket, until, plan, func(n int, members []string) bool {
+				return !slices.ContainsFunc(members, func(member string) bool { return SeatID(member) == id })
 			})
 		}
 	})
 	return *m.out
 }
 
-// settle asks the owners for their groups until all are as they should be.
-func (m *Machine) awaitGroups(now time.Duration, ticket uint64, until time.Duration, plan ChangeResult, settled func(n int, seats []string) bool) {
+// awaitGroups asks the partitions' leaders for their groups until all of them
+// satisfy settled, or until the deadline.
+func (m *Machine) awaitGroups(now time.Duration, ticket uint64, until time.Duration, plan ChangeResult, settled func(n int, members []string) bool) {
 	waiting, settledCount := m.founding.Partitions, 0
 	for n := 0; n < m.founding.Partitions; n++ {
 		m.caller.Call(now, ReadSeats{Part: n}, until, func(now time.Duration, o Outcome) {
-			if s, ok := o.Answer.(Seats); ok && settled(n, append(slices.Clone(s.Seats), s.Former...)) {
+			if group, ok := o.Answer.(Seats); ok && settled(n, append(slices.Clone(group.Seats), group.Former...)) {
 				settledCount++
 			}
 			if waiting--; waiting > 0 {
@@ -216,7 +227,7 @@
 				plan.Done, plan.MovesMade = true, len(plan.Moves)
 				m.answer(ticket, plan)
 			case now >= until:
-				plan.Code, plan.Reason = "not_finished", "not all moves were made in time; ask again to go on"
+				plan.Code, plan.Reason = "not_finished", "not all moves were made in time; repeat the request to continue"
 				m.answer(ticket, plan)
 			default:
 				m.later.Add(now+m.params.Pull, func(now time.Duration) { m.awaitGroups(now, ticket, until, plan, settled) })
@@ -225,7 +236,8 @@
 	}
 }
 
-// Introduce makes a new core known, before it is given seats.
+// RegisterCore adds a new core's entry to the fleet's registry, before it is given
+// replicas. The answer is a Done.
 func (m *Machine) RegisterCore(now time.Duration, ticket uint64, c Core, within time.Duration) Output {
 	m.out = &Output{}
 	if old, ok := m.cores[c.ID]; ok && old.Incarnation != c.Incarnation && !old.Retired {
--- a/peer/core/membership_test.go
+++ b/peer/core/membership_test.go
@@ -68,12 +68,12 @@
 			Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond, Gone: 2 * time.Second, ColdStart: true}}
 	var list []Core
 	for i := 0; i < cores; i++ {
-		b := f.addCore(fmt.Sprintf("c%d", i+1))
-		f.start(b)
-		list = append(list, b.m.Self())
+		first := f.addCore(fmt.Sprintf("c%d", i+1))
+		f.start(first)
+		list = append(list, first.m.Self())
 	}
-	b := f.cores[0]
-	f.handle(b, b.m.Receive(f.now, "desk", FoundFleet{Founding: PlanFleet("f", testPartitions, size, list)}))
+	first := f.cores[0]
+	f.handle(first, first.m.Receive(f.now, "desk", FoundFleet{Founding: PlanFleet("f", testPartitions, size, list)}))
 	f.advance(2 * time.Second)
 	for i := 0; i < 150; i++ {
 		f.putEntry(i)
@@ -241,15 +241,15 @@
 		if !ok {
 			continue
 		}
-		for _, seats := range [][]string{g.Members, g.Former} {
+		for _, members := range [][]string{g.Members, g.Former} {
 			lost := 0
-			for _, s := range seats {
-				if f.lostMembers[s] {
+			for _, member := range members {
+				if f.lostMembers[member] {
 					lost++
 				}
 			}
 			if lost > f.size/2 {
-				f.t.Fatalf("%v: part %d has lost %d of %v", f.now, n, lost, seats)
+				f.t.Fatalf("%v: part %d has lost %d of %v", f.now, n, lost, members)
 			}
 		}
 	}
@@ -315,7 +315,7 @@
 
 // lack says why the fleet is not as it should be yet.
 func (f *fleet) unsettled() string {
-	seats := map[string]int{}
+	replicas := map[string]int{}
 	var active []Core
 	for _, b := range f.cores {
 		if b.m != nil && !b.frozen && !b.m.Founded() && b.id != f.retired {
@@ -323,7 +323,7 @@
 		}
 		if b.m != nil && !b.frozen && b.m.Founded() && !b.m.Self().Retired {
 			active = append(active, b.m.Self())
-			seats[b.m.Self().Seat()] = 0
+			replicas[b.m.Self().Seat()] = 0
 		}
 	}
 	for n := 0; n < testPartitions; n++ {
@@ -334,22 +334,22 @@
 		if len(g.Former) > 0 || len(g.Members) != min(f.size, len(active)) {
 			return fmt.Sprintf("part %d: %+v", n, g)
 		}
-		for _, s := range g.Members {
-			if _, ok := seats[s]; !ok {
-				return fmt.Sprintf("part %d: seat %s in %v", n, s, g.Members)
+		for _, member := range g.Members {
+			if _, ok := replicas[member]; !ok {
+				return fmt.Sprintf("part %d: seat %s in %v", n, member, g.Members)
 			}
-			seats[s]++
+			replicas[member]++
 			for _, b := range f.cores {
-				if b.m == nil || b.m.Self().Seat() != s {
+				if b.m == nil || b.m.Self().Seat() != member {
 					continue
 				}
 				p := b.m.Partition(n)
 				if p == nil {
-					return fmt.Sprintf("part %d: %s has no copy", n, s)
+					return fmt.Sprintf("part %d: %s has no copy", n, member)
 				}
 				for key, e := range leader.m.Partition(n).State().Entries {
-					if mine, ok := b.stored.Copies[n].Entries[key]; !e.Deleted && (!ok || mine.Version != e.Version) {
-						return fmt.Sprintf("part %d: %s lacks %s", n, s, key)
+					if stored, ok := b.stored.Copies[n].Entries[key]; !e.Deleted && (!ok || stored.Version != e.Version) {
+						return fmt.Sprintf("part %d: %s lacks %s", n, member, key)
 					}
 				}
 			}
@@ -475,7 +475,7 @@
 	f.checkEntries()
 	for n := 0; n < testPartitions; n++ {
 		s, ok := f.call(ReadSeats{Part: n}).(Seats)
-		if !ok || len(s.Seats) != 3 || len(s.Former) != 0 || slices.ContainsFunc(s.Seats, func(seat string) bool { return SeatID(seat) == "c1" }) {
+		if !ok || len(s.Seats) != 3 || len(s.Former) != 0 || slices.ContainsFunc(s.Seats, func(member string) bool { return SeatID(member) == "c1" }) {
 			t.Errorf("part %d: %+v", n, s)
 		}
 	}
@@ -565,9 +565,9 @@
 	}
 	f.start(f.addCore("fresh"))
 	f.advance(settleTime)
-	for n, seats := range before {
-		if _, g, _ := f.leader(n); len(membershipMoves(n, g.All(), seats)) > 0 {
-			t.Errorf("part %d: %+v, was %v", n, g, seats)
+	for n, members := range before {
+		if _, g, _ := f.leader(n); len(membershipMoves(n, g.All(), members)) > 0 {
+			t.Errorf("part %d: %+v, was %v", n, g, members)
 		}
 	}
 	f.checkEntries()
@@ -758,14 +758,14 @@
 func TestLeaderFailsDuringChange(t *testing.T) {
 	for _, stage := range []string{"while the newcomer is filled", "in a joint group"} {
 		f := newFleet(t, 3, 5)
-		b := f.addCore("fresh")
-		f.start(b)
+		joining := f.addCore("fresh")
+		f.start(joining)
 		var leader *testCore
 		f.waitUntil(stage, func() bool {
 			if leader, _ = f.inJointGroup(); stage != "in a joint group" {
 				leader, _ = f.adding("fresh")
 			}
-			return leader != nil && leader != b
+			return leader != nil && leader != joining
 		})
 		f.kill(leader)
 		f.advance(time.Second)
@@ -774,13 +774,13 @@
 		f.checkEntries()
 
 		f = newFleet(t, 3, 5)
-		b = f.addCore("fresh")
-		f.start(b)
+		joining = f.addCore("fresh")
+		f.start(joining)
 		f.waitUntil(stage, func() bool {
 			if leader, _ = f.inJointGroup(); stage != "in a joint group" {
 				leader, _ = f.adding("fresh")
 			}
-			return leader != nil && leader != b
+			return leader != nil && leader != joining
 		})
 		f.kill(leader)
 		f.wipe(leader)
@@ -961,16 +961,16 @@
 func TestPlace(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	for round := 0; round < 200; round++ {
-		size, count, parts := 3+2*random.IntN(2), 3+random.IntN(7), 7+random.IntN(13)
+		size, count, partitions := 3+2*random.IntN(2), 3+random.IntN(7), 7+random.IntN(13)
 		zoneCount := 1 + random.IntN(count)
 		var cores []Core
 		for i := 0; i < count; i++ {
 			cores = append(cores, Core{ID: fmt.Sprint("c", i), Incarnation: "1", Zone: fmt.Sprint("z", i%zoneCount)})
 		}
-		groups := Place(parts, size, cores, nil)
+		groups := Place(partitions, size, cores, nil)
 		random.Shuffle(count, func(i, j int) { cores[i], cores[j] = cores[j], cores[i] })
-		again := Place(parts, size, cores, nil)
-		seats, firsts := map[string]int{}, map[string]int{}
+		again := Place(partitions, size, cores, nil)
+		replicas, homes := map[string]int{}, map[string]int{}
 		for n, g := range groups {
 			if !slices.Equal(g, again[n]) {
 				t.Fatal("the order of the cores counts")
@@ -979,10 +979,10 @@
 				t.Fatalf("%d seats of %d", len(g), size)
 			}
 			byZone := map[string]int{}
-			for _, s := range g {
-				seats[s]++
+			for _, member := range g {
+				replicas[member]++
 				for _, c := range cores {
-					if c.Seat() == s {
+					if c.Seat() == member {
 						byZone[c.Zone]++
 					}
 				}
@@ -990,38 +990,38 @@
 			if len(byZone) != min(zoneCount, size, count) {
 				t.Errorf("%d zones of %d for %d seats of %d cores", len(byZone), zoneCount, size, count)
 			}
-			firsts[g[0]]++
+			homes[g[0]]++
 		}
 		if count%zoneCount == 0 {
 			for _, c := range cores {
-				if got, even := seats[c.Seat()], parts*min(size, count)/count; got < even-1 || got > even+2 {
-					t.Errorf("%d cores, %d zones, %d parts of %d: %s has %d seats, even is %d", count, zoneCount, parts, size, c.ID, got, even)
+				if got, even := replicas[c.Seat()], partitions*min(size, count)/count; got < even-1 || got > even+2 {
+					t.Errorf("%d cores, %d zones, %d parts of %d: %s has %d seats, even is %d", count, zoneCount, partitions, size, c.ID, got, even)
 				}
-				if got := firsts[c.Seat()]; got > parts/count+2 {
-					t.Errorf("%s is the home of %d parts of %d", c.ID, got, parts)
+				if got := homes[c.Seat()]; got > partitions/count+2 {
+					t.Errorf("%s is the home of %d parts of %d", c.ID, got, partitions)
 				}
 			}
 		}
 		// One more core, one silent, one retired.
-		more := Place(parts, size, append(slices.Clone(cores), Core{ID: "new", Incarnation: "1", Zone: "z0"}), nil)
+		more := Place(partitions, size, append(slices.Clone(cores), Core{ID: "new", Incarnation: "1", Zone: "z0"}), nil)
 		moved := 0
 		for n := range groups {
-			for _, s := range more[n] {
-				if !slices.Contains(groups[n], s) {
+			for _, member := range more[n] {
+				if !slices.Contains(groups[n], member) {
 					moved++
 				}
 			}
 		}
-		if even := parts * min(size, count+1) / (count + 1); zoneCount <= 1 && moved > 3*even {
-			t.Errorf("%d of %d seats moved for one core more, %d parts, %d cores", moved, parts*size, parts, count)
+		if even := partitions * min(size, count+1) / (count + 1); zoneCount <= 1 && moved > 3*even {
+			t.Errorf("%d of %d seats moved for one core more, %d parts, %d cores", moved, partitions*size, partitions, count)
 		}
-		for n, g := range Place(parts, size, cores, map[string]bool{"c0": true}) {
+		for n, g := range Place(partitions, size, cores, map[string]bool{"c0": true}) {
 			if slices.Contains(g, "c0.1") != (count <= size) {
 				t.Errorf("part %d: %v with c0 silent", n, g)
 			}
 		}
 		cores[0].Retired = true
-		for n, g := range Place(parts, size, cores, nil) {
+		for n, g := range Place(partitions, size, cores, nil) {
 			if slices.Contains(g, cores[0].Seat()) {
 				t.Errorf("part %d: %v with %s retired", n, g, cores[0].ID)
 			}
--- a/peer/core/placement.go
+++ b/peer/core/placement.go
@@ -11,12 +11,12 @@
 	"saffronfall/rule/partition"
 )
 
-// Place gives each part the seats that its group should have: spread over zones
-// as evenly as can be, the cores' loads even, the first seats spread too. It is
-// the same for whoever knows the same cores, and mostly the same when one comes
-// or goes (rendezvous hashing, evened out). Retired cores get none, silent ones
-// only where there are too few others.
-func Place(parts, size int, cores []Core, silent map[string]bool) [][]string {
+// Place returns the members that each partition's group should have. Groups are
+// spread over zones and cores as evenly as possible, and so are the homes, the
+// first members. The result depends only on the set of cores, and changes little
+// when a core is added or removed (rendezvous hashing, followed by balancing).
+// Retired cores get no replicas, silent ones only where too few others remain.
+func Place(partitions, size int, cores []Core, silent map[string]bool) [][]string {
 	var present, absent []Core
 	for _, c := range cores {
 		switch {
@@ -27,29 +27,32 @@
 			present = append(present, c)
 		}
 	}
-	groups := assignMembers(parts, min(size, len(present)), present, nil)
+	groups := assignMembers(partitions, min(size, len(present)), present, nil)
 	if len(present) < size {
-		groups = assignMembers(parts, min(size-len(present), len(absent)), absent, groups)
+		groups = assignMembers(partitions, min(size-len(present), len(absent)), absent, groups)
 	}
 	return assignHomes(groups)
 }
 
-// weight is how much a core is a part's by hash.
+// weight is the rendezvous weight of a core for partition n.
 func weight(kind string, n int, id string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(kind + "/" + strconv.Itoa(n) + "/" + id))
 	x := h.Sum64()
+	// The finalizer of SplitMix64: FNV-1a alone mixes the last bytes too little.
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// spread adds a number of cores' seats to each group.
-func assignMembers(parts, count int, cores []Core, groupsBefore [][]string) [][]string {
-	groups := make([][]string, parts)
-	zoneCounts := make([]map[string]int, parts)
-	chosen := make([]map[int]bool, parts)
-	weights := make([][]uint64, parts)
+// assignMembers adds count members to each group. It first assigns them by zone and
+// weight, then moves single members from loaded to less loaded cores while that
+// keeps the zones as balanced as they are.
+func assignMembers(partitions, count int, cores []Core, groupsBefore [][]string) [][]string {
+	groups := make([][]string, partitions)
+	zoneCounts := make([]map[string]int, partitions)
+	chosen := make([]map[int]bool, partitions)
+	weights := make([][]uint64, partitions)
 	loads := make([]int, len(cores))
 	cores = slices.Clone(cores)
 	slices.SortFunc(cores, func(a, b Core) int {
@@ -80,7 +83,7 @@
 		}
 	}
 	for {
-		part, out, in := -1, 0, 0
+		group, out, in := -1, 0, 0
 		for n := range groups {
 			for i := range cores {
 				if !chosen[n][i] {
@@ -91,21 +94,21 @@
 					if chosen[n][j] || gap < 2 || (c.Zone != cores[i].Zone && zoneCounts[n][c.Zone]+1 > zoneCounts[n][cores[i].Zone]) {
 						continue
 					}
-					if best := loads[out] - loads[in]; part < 0 || gap > best || (gap == best && weights[n][j] > weights[part][in]) {
-						part, out, in = n, i, j
+					if best := loads[out] - loads[in]; group < 0 || gap > best || (gap == best && weights[n][j] > weights[group][in]) {
+						group, out, in = n, i, j
 					}
 				}
 			}
 		}
-		if part < 0 {
+		if group < 0 {
 			break
 		}
-		delete(chosen[part], out)
-		chosen[part][in] = true
+		delete(chosen[group], out)
+		chosen[group][in] = true
 		loads[out]--
 		loads[in]++
-		zoneCounts[part][cores[out].Zone]--
-		zoneCounts[part][cores[in].Zone]++
+		zoneCounts[group][cores[out].Zone]--
+		zoneCounts[group][cores[in].Zone]++
 	}
 	for n := range groups {
 		if groupsBefore != nil {
@@ -125,44 +128,45 @@
 	return groups
 }
 
-// homes puts the seat first that is to be the part's home.
+// assignHomes puts each partition's home, the member that should lead it, first in
+// its group.
 func assignHomes(groups [][]string) [][]string {
-	firsts := map[string]int{}
+	homeCounts := map[string]int{}
 	home := make([]string, len(groups))
-	for n, seats := range groups {
-		for _, s := range seats {
-			if home[n] == "" || weight("home", n, SeatID(s)) > weight("home", n, SeatID(home[n])) {
-				home[n] = s
+	for n, members := range groups {
+		for _, member := range members {
+			if home[n] == "" || weight("home", n, SeatID(member)) > weight("home", n, SeatID(home[n])) {
+				home[n] = member
 			}
 		}
-		firsts[home[n]]++
+		homeCounts[home[n]]++
 	}
 	for {
-		best, to := -1, ""
-		for n, seats := range groups {
-			for _, s := range seats {
-				gap := firsts[home[n]] - firsts[s]
-				if gap >= 2 && (best < 0 || gap > firsts[home[best]]-firsts[to]) {
-					best, to = n, s
+		best, newHome := -1, ""
+		for n, members := range groups {
+			for _, member := range members {
+				gap := homeCounts[home[n]] - homeCounts[member]
+				if gap >= 2 && (best < 0 || gap > homeCounts[home[best]]-homeCounts[newHome]) {
+					best, newHome = n, member
 				}
 			}
 		}
 		if best < 0 {
 			break
 		}
-		firsts[home[best]]--
-		firsts[to]++
-		home[best] = to
+		homeCounts[home[best]]--
+		homeCounts[newHome]++
+		home[best] = newHome
 	}
-	for n, seats := range groups {
-		if i := slices.Index(seats, home[n]); i > 0 {
-			groups[n] = slices.Insert(slices.Delete(seats, i, i+1), 0, home[n])
+	for n, members := range groups {
+		if i := slices.Index(members, home[n]); i > 0 {
+			groups[n] = slices.Insert(slices.Delete(members, i, i+1), 0, home[n])
 		}
 	}
 	return groups
 }
 
-// gone is after how long a core that was not heard from counts as silent.
+// silenceTimeout is the time without a message after which a core counts as silent.
 func (m *Machine) silenceTimeout() time.Duration {
 	if m.params.Gone > 0 {
 		return m.params.Gone
@@ -170,29 +174,32 @@
 	return 3 * m.params.MemberTerm
 }
 
-// beat is how often cores say that they live.
+// heartbeatInterval is the time between a core's heartbeats.
 func (m *Machine) heartbeatInterval() time.Duration {
 	return min(m.params.MemberTerm/4, m.silenceTimeout()/8)
 }
 
-// steady is how long a core that was silent must be heard before it counts again.
+// recoveryTime is how long messages from a silent core must arrive again until it
+// no longer counts as silent.
 func (m *Machine) recoveryTime() time.Duration {
 	return min(m.params.MemberTerm, m.silenceTimeout()) / 4
 }
 
-// heard is when a core was last heard, and since when after a silence.
+// contact is when the last message of a core arrived, and when the first one
+// after its last silence did.
 type contact struct{ last, recoveredAt time.Duration }
 
-func (m *Machine) recordContact(now time.Duration, seat string) {
-	h, ok := m.contacts[seat]
+func (m *Machine) recordContact(now time.Duration, member string) {
+	h, ok := m.contacts[member]
 	if ok && now-max(h.last, m.observedSince) >= m.silenceTimeout() {
 		h.recoveredAt = now
 	}
 	h.last = now
-	m.contacts[seat] = h
+	m.contacts[member] = h
 }
 
-// notice forgets what silences it saw while this core itself did not run.
+// detectPause restarts the observation of other cores' silence if this core itself
+// did not run for a while, because it then can't tell who was silent.
 func (m *Machine) detectPause(now time.Duration) {
 	if now-m.activeAt > m.silenceTimeout()/4 {
 		m.observedSince = now
@@ -200,11 +207,11 @@
 	m.activeAt = now
 }
 
-func (m *Machine) silent(now time.Duration, seat string) bool {
-	if seat == m.self.Seat() {
+func (m *Machine) silent(now time.Duration, member string) bool {
+	if member == m.self.Seat() {
 		return false
 	}
-	h := m.contacts[seat]
+	h := m.contacts[member]
 	return now-max(h.last, m.observedSince) >= m.silenceTimeout() || (h.recoveredAt > 0 && h.last-h.recoveredAt < m.recoveryTime())
 }
 
@@ -218,13 +225,14 @@
 	return silent
 }
 
-// lively reports whether a seat was heard of just now.
-func (m *Machine) recentlyHeard(now time.Duration, seat string) bool {
-	h, ok := m.contacts[seat]
-	return seat == m.self.Seat() || (ok && now-h.last < 3*m.heartbeatInterval())
+// recentlyHeard reports whether a message of a member arrived within the last three
+// heartbeat intervals.
+func (m *Machine) recentlyHeard(now time.Duration, member string) bool {
+	h, ok := m.contacts[member]
+	return member == m.self.Seat() || (ok && now-h.last < 3*m.heartbeatInterval())
 }
 
-// Reasons for a seat to leave a group, the strongest first.
+// Reasons for removing a member from a group, the most urgent first.
 const (
 	memberSuperseded = iota
 	memberRetired
@@ -233,23 +241,25 @@
 	memberStays
 )
 
-// leaves tells whether, and how urgently, a seat should leave a group.
-func (m *Machine) removalUrgency(now time.Duration, seat string, wanted []string) int {
-	c, ok := m.cores[SeatID(seat)]
+// removalUrgency returns whether and how urgently a member should be removed from
+// a group.
+func (m *Machine) removalUrgency(now time.Duration, member string, wanted []string) int {
+	c, ok := m.cores[SeatID(member)]
 	switch {
-	case ok && c.Seat() != seat:
+	case ok && c.Seat() != member:
 		return memberSuperseded
 	case c.Retired:
 		return memberRetired
-	case m.silent(now, seat):
+	case m.silent(now, member):
 		return memberSilent
-	case !slices.Contains(wanted, seat):
+	case !slices.Contains(wanted, member):
 		return memberSurplus
 	}
 	return memberStays
 }
 
-// desired is where all parts' seats should be, as far as this core knows.
+// desiredGroups returns the groups that the partitions should have according to
+// the cores that this one knows.
 func (m *Machine) desiredGroups(now time.Duration) [][]string {
 	var cores []Core
 	silent := m.silentCores(now)
@@ -262,8 +272,8 @@
 	return m.placement
 }
 
-// place moves the groups of the parts that this core owns towards where they
-// should be, each by one seat at a time.
+// rebalance moves the groups of the partitions that this core leads towards the
+// desired ones, one member at a time for each group.
 func (m *Machine) rebalance(now time.Duration) {
 	for n := 0; n < m.founding.Partitions; n++ {
 		p := m.partitions[n]
@@ -279,7 +289,7 @@
 			}
 			continue
 		}
-		if now < m.nextChangeAt[n] || m.leaving || m.stalled {
+		if now < m.nextChangeAt[n] || m.draining || m.stalled {
 			continue
 		}
 		agreed, _ := p.CommittedGroup()
@@ -300,7 +310,8 @@
 	}
 }
 
-// step is the next seat to come into a group and the one to go.
+// nextChange returns the next member to add to a group and the one to remove. Empty
+// strings mean none.
 func (m *Machine) nextChange(now time.Duration, group, wanted []string) (add, remove string) {
 	urgency := memberStays
 	healthy := true
--- a/peer/core/topology.go
+++ b/peer/core/topology.go
@@ -12,8 +12,8 @@
 	"saffronfall/rule/partition"
 )
 
-// assert makes the fleet's entry of this core what it is now: its address or
-// its incarnation may have changed while it was away.
+// refreshSelf updates this core's entry if its address or incarnation changed while
+// it was down, and has it registered with the fleet if need be.
 func (m *Machine) refreshSelf() {
 	known, ok := m.cores[m.self.ID]
 	if founded := m.founding.Cores[m.self.ID]; ok && known.Incarnation != m.self.Incarnation && founded.Incarnation == m.self.Incarnation {
@@ -32,6 +32,8 @@
 	m.unregistered = true
 }
 
+// mergeStoredCores merges the core entries of this core's replica of the
+// configuration partition, if it has one.
 func (m *Machine) mergeStoredCores() {
 	if p := m.partitions[ConfigurationPart]; p != nil {
 		m.mergeCoresOf(p.State())
@@ -49,8 +51,8 @@
 	}
 }
 
-// learnCore takes the newest that is told of a core. What is retired once stays
-// so, whatever is told later.
+// mergeCore merges a received entry of a core: the higher version wins, and a core
+// that was retired once stays retired.
 func (m *Machine) mergeCore(c Core) {
 	old, ok := m.cores[c.ID]
 	c.Retired = c.Retired || old.Retired
@@ -67,12 +69,12 @@
 	case c.ID != m.self.ID:
 		return
 	case c.Incarnation != m.self.Incarnation:
-		// The configuration's part knows which of the two came later.
+		// Only the configuration partition knows which incarnation is the later one.
 		if c.Version >= m.self.Version {
-			// Others keep the one that they heard of first, so this one's next claim
-			// is above it.
+			// Of two entries with the same version, other cores keep the one received
+			// first, so the next claim needs a higher version.
 			m.unregistered = true
-			m.rejectedClaims = max(m.rejectedClaims, c.Version+1-m.self.Version)
+			m.claimIncrement = max(m.claimIncrement, c.Version+1-m.self.Version)
 		}
 		return
 	}
@@ -81,8 +83,8 @@
 		m.cores[m.self.ID] = m.self
 		return
 	}
-	if same := m.self; same.Version != c.Version {
-		if same.Version = c.Version; same == c {
+	if updated := m.self; updated.Version != c.Version {
+		if updated.Version = c.Version; updated == c {
 			m.self = c
 			return
 		}
@@ -92,7 +94,8 @@
 	}
 }
 
-// size is how many seats a group is to have.
+// groupSize returns the number of members that a group should have. Without a
+// configured size it is that of the largest group.
 func (m *Machine) groupSize() int {
 	size := m.founding.Size
 	if size == 0 {
@@ -103,15 +106,18 @@
 	return size
 }
 
+// fleet returns the known cores and the group size.
 func (m *Machine) fleet() (map[string]Core, int) {
 	return maps.Clone(m.cores), m.groupSize()
 }
 
+// refreshTopology brings the known cores, terms and groups up to the state of this
+// core's replicas.
 func (m *Machine) refreshTopology() {
 	m.mergeStoredCores()
 	for n, p := range m.partitions {
-		if owner := p.CurrentTerm(); m.terms[n].Less(owner) {
-			m.terms[n] = owner
+		if term := p.CurrentTerm(); m.terms[n].Less(term) {
+			m.terms[n] = term
 			m.topologyChanged = true
 		}
 		if m.groups[n].Before(p.Group()) || m.groups[n].Epoch == 0 {
@@ -121,45 +127,48 @@
 	}
 }
 
-// gossiping is when and what a core last told the others of the fleet.
+// gossipState is when a core next sends heartbeats and its topology to the others.
 type gossipState struct {
 	gossipAt, heartbeatAt, topologyAt time.Duration
-	// known is the digest of the topology as of the last gossip; toldAt is when a
-	// core that differed was last told it.
+	// digest is the digest of the topology at the last heartbeat. topologySentAt is
+	// when the topology was last sent to a core that reported another digest, by
+	// address.
 	digest         uint64
 	topologySentAt map[string]time.Duration
 }
 
-// wholeGossipTerms is after how many terms of a member the topology is told though
-// nothing has changed. Cores that know another one are told at their next word.
+// topologyGossipTerms is the number of member terms after which the topology is
+// sent although it has not changed. A core whose heartbeat has another digest is
+// sent it sooner.
 const topologyGossipTerms = 8
 
-// Digest tells a topology from others.
+// Digest returns a hash of the topology. Size is not part of it.
 func (t Topology) Digest() uint64 {
-	var text digestInput
-	text.addStrings(t.Fleet)
-	text.addNumbers(uint64(len(t.Cores)), uint64(len(t.Owners)), uint64(len(t.Groups)))
+	var input digestInput
+	input.addStrings(t.Fleet)
+	input.addNumbers(uint64(len(t.Cores)), uint64(len(t.Owners)), uint64(len(t.Groups)))
 	for _, id := range ordered.Keys(t.Cores) {
 		c := t.Cores[id]
-		text.addStrings(c.ID, c.Incarnation, c.Zone, c.Peer, c.Operator, strconv.FormatBool(c.Retired))
-		text.addNumbers(c.Version)
+		input.addStrings(c.ID, c.Incarnation, c.Zone, c.Peer, c.Operator, strconv.FormatBool(c.Retired))
+		input.addNumbers(c.Version)
 	}
-	for _, owner := range t.Owners {
-		text.addStrings(owner.Leader)
-		text.addNumbers(owner.Round)
+	for _, term := range t.Owners {
+		input.addStrings(term.Leader)
+		input.addNumbers(term.Round)
 	}
 	for _, g := range t.Groups {
-		text.addStrings(g.Term.Leader)
-		text.addNumbers(g.Term.Round, g.Epoch, uint64(len(g.Members)), uint64(len(g.Former)))
-		text.addStrings(g.Members...)
-		text.addStrings(g.Former...)
+		input.addStrings(g.Term.Leader)
+		input.addNumbers(g.Term.Round, g.Epoch, uint64(len(g.Members)), uint64(len(g.Former)))
+		input.addStrings(g.Members...)
+		input.addStrings(g.Former...)
 	}
 	h := fnv.New64a()
-	h.Write(text)
+	h.Write(input)
 	return h.Sum64()
 }
 
-// digestText is what a digest is made of, so that no two lists read alike.
+// digestInput is the unambiguous encoding of a topology that Digest hashes: strings
+// are quoted, numbers separated by spaces, and lists preceded by their lengths.
 type digestInput []byte
 
 func (d *digestInput) addStrings(words ...string) {
@@ -174,8 +183,8 @@
 	}
 }
 
-// tellDiffering tells a core what this one knows, if that core knows something
-// else. It does the same, so that both end with what either knew.
+// sendTopologyIfDifferent sends this core's topology to a core that reports another
+// digest. The other core does the same, so that both end with the merged topology.
 func (m *Machine) sendTopologyIfDifferent(now time.Duration, to string, theirs uint64) {
 	if theirs == 0 || m.digest == 0 || theirs == m.digest || now < m.topologySentAt[to]+m.params.MemberTerm/4 {
 		return
@@ -185,8 +194,8 @@
 	m.send(to, m.Topology(), false)
 }
 
-// gossip tells the other cores that this one lives, and what it knows of the
-// fleet when that has changed, or was not told for long.
+// gossip sends heartbeats to the other cores, together with the topology if it has
+// changed or was not sent for long.
 func (m *Machine) gossip(now time.Duration) {
 	sendTopology := m.topologyChanged || now >= m.topologyAt
 	if m.superseded || (!sendTopology && now < m.heartbeatAt) {
@@ -215,7 +224,8 @@
 	return slices.ContainsFunc(m.groups, func(g partition.Group) bool { return g.Has(c.Seat()) })
 }
 
-// Topology is what this core knows of cores, groups and owners.
+// Topology returns a copy of what this core knows of the fleet's cores, groups and
+// leaders' terms.
 func (m *Machine) Topology() Topology {
 	t := Topology{Fleet: m.founding.Fleet, Size: m.groupSize(), Cores: map[string]Core{}, Owners: append([]partition.Term(nil), m.terms...), Groups: append([]partition.Group(nil), m.groups...)}
 	for id, c := range m.cores {
@@ -224,30 +234,35 @@
 	return t
 }
 
-func (m *Machine) addressOf(seat string) string {
-	if seat == m.self.Seat() {
+// addressOf returns the address of a member, or "" if it is not known.
+func (m *Machine) addressOf(member string) string {
+	if member == m.self.Seat() {
 		return m.self.Peer
 	}
 	for _, c := range m.cores {
-		if c.Seat() == seat {
+		if c.Seat() == member {
 			return c.Peer
 		}
 	}
 	return ""
 }
 
+// leaderAddress returns the address of the last known leader of partition n, or ""
+// if none is known or it is this core.
 func (m *Machine) leaderAddress(n int) string {
-	owner := m.terms[n]
-	if p := m.partitions[n]; p != nil && owner.Less(p.CurrentTerm()) {
-		owner = p.CurrentTerm()
+	term := m.terms[n]
+	if p := m.partitions[n]; p != nil && term.Less(p.CurrentTerm()) {
+		term = p.CurrentTerm()
 	}
-	address := m.addressOf(owner.Leader)
+	address := m.addressOf(term.Leader)
 	if address == m.self.Peer {
 		return ""
 	}
 	return address
 }
 
+// mergeTopology merges a received topology of the same fleet: for each term, group
+// and core the later one wins.
 func (m *Machine) mergeTopology(t Topology) {
 	if m.founding.Fleet != t.Fleet || len(t.Owners) != len(m.terms) || len(t.Groups) != len(m.groups) {
 		return
