--- a/peer/core/caller.go
+++ b/peer/core/caller.go
@@ -39,7 +39,8 @@
 	leaders map[int]string
 	calls   slab.Slab[*pendingCall]
 	pending map[slab.Ticket]*pendingCall
-	salt    uint64
+	// salt makes message IDs differ from those of other incarnations.
+	salt uint64
 	// Attempts counts the attempts made.
 	Attempts int64
 	// unansweredSince is when the first command was sent since the last answer;
@@ -57,6 +58,7 @@
 	return now - c.unansweredSince
 }
 
+// pendingCall is a command without an outcome.
 type pendingCall struct {
 	ticket    slab.Ticket
 	partition int
@@ -92,6 +94,8 @@
 	maxDelayRetries = 32
 )
 
+// attempt sends a command to the presumed leader, or to a random core or forwarder
+// if none is known, and schedules the next attempt.
 func (c *Caller) attempt(now time.Duration, k *pendingCall) {
 	to := c.hints[k.partition]
 	if to == "" {
@@ -179,6 +183,7 @@
 	}
 }
 
+// finish removes a command and reports its outcome.
 func (c *Caller) finish(now time.Duration, k *pendingCall, o Outcome) {
 	if _, ok := c.calls.Take(k.ticket); !ok {
 		return
--- a/peer/core/caller_test.go
+++ b/peer/core/caller_test.go
@@ -14,9 +14,9 @@
 		Send: func(to string, body any) { *sent = append(*sent, body.(Command)) }}
 }
 
-// TestReturnOfAnEarlierLife: a process that comes back at the same address may
-// still get returns meant for its earlier life. They must not be taken for
-// returns to what it asks now.
+// TestReturnForEarlierIncarnationIsIgnored: a process restarted at the same address
+// may receive returns meant for its earlier incarnation. They must not be taken for
+// answers to its own commands.
 func TestReturnForEarlierIncarnationIsIgnored(t *testing.T) {
 	var before, after []Command
 	first, second := newCaller(1, &before), newCaller(2, &after)
@@ -29,20 +29,19 @@
 		second.Receive(0, "c", CommandReturn{ID: c.ID, Part: 1, Raw: message.Pack(Done{OK: true})})
 	}
 	if accepted > 0 {
-		t.Errorf("%d returns of an earlier life were taken", accepted)
+		t.Errorf("%d returns for an earlier incarnation were accepted", accepted)
 	}
 	for _, c := range after {
 		second.Receive(0, "c", CommandReturn{ID: c.ID, Part: 1, Raw: message.Pack(Done{OK: true})})
 	}
 	if accepted != 40 {
-		t.Errorf("%d of 40 own returns were taken", accepted)
+		t.Errorf("%d of 40 own returns were accepted", accepted)
 	}
 }
 
-// TestUnansweredCommandsBackOff: what stays without an answer for long is asked for
-// less and less often, so that a partition without a majority is not buried under
-// settlements that are kept for minutes. What waits for a request is asked for as
-// often as ever, and all of it at once when somebody is said to lead the partition.
+// TestUnansweredCommandsBackOff: commands that stay unanswered back off, so that
+// they don't overload a partition without a majority. The first attempts come at a
+// fixed rate, and a new leader gets all waiting commands at once.
 func TestUnansweredCommandsBackOff(t *testing.T) {
 	var sent []Command
 	c := newCaller(1, &sent)
@@ -60,27 +59,27 @@
 		return len(sent) - before
 	}
 	if early := advance(2 * time.Second); early < commands*15 {
-		t.Errorf("%d tries in the first two seconds", early)
+		t.Errorf("%d attempts in the first two seconds", early)
 	}
 	advance(time.Minute)
 	if late := advance(time.Minute); late > commands*40 {
-		t.Errorf("%d tries of %d commands in the third minute", late, commands)
+		t.Errorf("%d attempts of %d commands in the second minute", late, commands)
 	}
 	c.SetLeader(1, "leader")
 	if first := advance(100 * time.Millisecond); first < commands {
-		t.Errorf("%d of %d commands are tried at once at the new leader", first, commands)
+		t.Errorf("%d of %d commands are sent at once to the new leader", first, commands)
 	}
-	// The same word again wakes nothing, the first answer does, once.
+	// The same leader again triggers no retries; the first answer of another does, once.
 	c.SetLeader(1, "leader")
 	if again := advance(100 * time.Millisecond); again > 0 {
-		t.Errorf("%d tries by a word that is not new", again)
+		t.Errorf("%d attempts because of a leader that was known", again)
 	}
 	c.Receive(now, "other", CommandReturn{ID: sent[len(sent)-1].ID, Part: 1, Raw: message.Pack(Done{OK: true})})
 	if woken := advance(100 * time.Millisecond); woken < commands-1 {
-		t.Errorf("%d of %d commands are tried at once after an answer", woken, commands-1)
+		t.Errorf("%d of %d commands are sent at once after an answer", woken, commands-1)
 	}
 	c.Receive(now, "other", CommandReturn{ID: sent[len(sent)-1].ID, Part: 1, Raw: message.Pack(Done{OK: true})})
 	if again := advance(100 * time.Millisecond); again > 0 {
-		t.Errorf("%d tries by a second answer", again)
+		t.Errorf("%d attempts because of a second answer", again)
 	}
 }
--- a/peer/core/founding.go
+++ b/peer/core/founding.go
@@ -84,7 +84,7 @@
 	case "":
 		m.refreshTopology()
 		m.send(from, m.Topology(), false)
-		if named, ok := m.founding.Cores[b.Core.ID]; ok && b.Cold && named.Incarnation == b.Core.Incarnation && m.founding.Groups[0].Epoch > 0 {
+		if founder, ok := m.founding.Cores[b.Core.ID]; ok && b.Cold && founder.Incarnation == b.Core.Incarnation && m.founding.Groups[0].Epoch > 0 {
 			m.send(from, FoundFleet{Founding: m.founding}, false)
 		}
 	}
--- a/peer/core/gossip_test.go
+++ b/peer/core/gossip_test.go
@@ -7,16 +7,15 @@
 	"saffronfall/rule/partition"
 )
 
-// TestTopologyIsToldWhereItDiffers: cores that know the same tell each other no
-// more than that they live; one that missed a change gets it within a few beats,
-// and is told no more once it has it.
+// TestTopologyIsSentOnlyWhereItDiffers: cores with equal topologies exchange only
+// heartbeats. A core that missed a change receives it within a few heartbeats.
 func TestTopologyIsSentOnlyWhereItDiffers(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	f.advance(10 * time.Second)
 	before := f.kinds["core.Topology"]
 	f.advance(4 * time.Second)
 	if told := f.kinds["core.Topology"] - before; told > 2*len(f.cores)*len(f.cores) {
-		t.Errorf("%d topologies in 4 s of rest", told)
+		t.Errorf("%d topologies sent in 4 s without changes", told)
 	}
 	lagging := f.cores[3].m
 	lagging.terms[1] = partition.Term{}
@@ -24,11 +23,11 @@
 	delete(lagging.cores, "c1")
 	f.advance(3 * time.Second)
 	if lagging.Topology().Digest() != f.cores[0].m.Topology().Digest() {
-		t.Error("a core that missed a change does not get it")
+		t.Error("a core that missed a change did not receive it")
 	}
 }
 
-// TestDigestOfATopology tells apart what matters and nothing else.
+// TestTopologyDigest: topologies have different digests if and only if they differ.
 func TestTopologyDigest(t *testing.T) {
 	make := func() Topology {
 		return Topology{Fleet: "f", Cores: map[string]Core{"a": {ID: "a", Incarnation: "1"}, "b": {ID: "b"}}, Owners: []partition.Term{{Round: 1, Leader: "a.1"}}, Groups: []partition.Group{{Epoch: 1, Members: []string{"a.1"}}}}
@@ -36,7 +35,7 @@
 	same := make()
 	same.Groups[0].Former = []string{}
 	if make().Digest() != same.Digest() {
-		t.Error("an empty list is told from none")
+		t.Error("an empty list and a nil list have different digests")
 	}
 	for name, change := range map[string]func(t *Topology){
 		"fleet":  func(t *Topology) { t.Fleet = "g" },
@@ -48,7 +47,7 @@
 		other := make()
 		change(&other)
 		if other.Digest() == make().Digest() {
-			t.Errorf("%s: not told apart", name)
+			t.Errorf("%s: the digest does not change with it", name)
 		}
 	}
 }
--- a/peer/core/identity_test.go
+++ b/peer/core/identity_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// TestRequestersIDsAreApart: requesters choose the ids of their attempts and
-// programs. Neither another tenant's choice nor a second use of one's own may
-// touch what was acknowledged.
+// TestTenantsIDsAreIndependent: requesters choose the IDs of their attempts and
+// programs. Reuse of an ID, by the same or by another tenant, must not change what
+// was acknowledged.
 func TestTenantsIDsAreIndependent(t *testing.T) {
 	t.Run("turns of tenants", testSameIDOfTwoTenants)
 	t.Run("turns under one id", testSecondTurnUnderOneID)
 	t.Run("books of tenants", testBudgetsOfTwoTenants)
 }
 
-// turnsOfTenants: two tenants choose the same id; each keeps its own turn under it.
+// testSameIDOfTwoTenants: two tenants use the same ID for a turn of their own.
 func testSameIDOfTwoTenants(t *testing.T) {
 	a := newAlone(t)
 	keep := func(tenant, output string) bool {
@@ -34,9 +34,8 @@
 	}
 }
 
-// turnsUnderOneID: a turn that is not the one that is kept
-// under its id must not be acknowledged as kept. The same command that comes again
-// is.
+// testSecondTurnUnderOneID: a turn that differs from the one kept under its ID must
+// not be acknowledged as kept, while a repetition of the same command is.
 func testSecondTurnUnderOneID(t *testing.T) {
 	a := newAlone(t)
 	command := KeepTurn{Tenant: "t", Attempt: "x", Before: []string{"w"}, Input: []byte("in"), Output: []byte("out"), Keep: time.Minute}
@@ -58,7 +57,8 @@
 	}
 }
 
-// booksOfTenants: names of tenants and programs are free texts.
+// testBudgetsOfTwoTenants: names of tenants and programs may contain the separator of
+// stored keys.
 func testBudgetsOfTwoTenants(t *testing.T) {
 	a := newAlone(t)
 	reserve := func(tenant, program string) bool {
@@ -69,20 +69,20 @@
 	}
 }
 
-// TestFormerVersionFindsTurns: in the middle of an upgrade a core of the former
-// version may lead. It looks for a turn under its attempt alone.
+// TestFormerVersionFindsTurns: during an upgrade a core of the former version may
+// lead a partition. It looks for a turn under the key of its attempt alone.
 func TestFormerVersionFindsTurns(t *testing.T) {
 	a := newAlone(t)
 	command := KeepTurn{Tenant: "t", Attempt: "x", Output: []byte("out"), Keep: time.Minute}
 	a.run(command)
 	e, ok := a.m.partitions[Target(4, command)].State().Entries[keptPrefix+"x"]
 	if !ok || e.Deleted {
-		t.Fatal("the first tenant's turn is not under its attempt alone")
+		t.Fatal("the first tenant's turn is not stored under the key of its attempt alone")
 	}
 }
 
-// TestMisleadingID: an id that reads like another tenant's name and id takes nothing
-// from it.
+// TestIDResemblingAnotherTenantsKey: an ID that equals another tenant's name and ID
+// joined does not overwrite that tenant's turn.
 func TestIDResemblingAnotherTenantsKey(t *testing.T) {
 	a := newAlone(t)
 	keep := func(tenant, attempt string) bool {
@@ -94,10 +94,10 @@
 	}
 	for _, one := range [][2]string{{"c", "x"}, {"b", "a/x"}, {"a", "x"}} {
 		if !keep(one[0], one[1]) {
-			t.Errorf("tenant %s, id %s is not kept", one[0], one[1])
+			t.Errorf("the turn of tenant %s with ID %s was not kept", one[0], one[1])
 		}
 	}
 	if !found("c", "x") || !found("b", "a/x") || !found("a", "x") {
-		t.Error("a turn that was kept is lost")
+		t.Error("a turn that was kept was lost")
 	}
 }
--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -68,17 +68,22 @@
 	caller     *Caller
 	tickets    slab.Slab[origin]
 	outputs
-	random        func() float64
-	sweepAt       time.Duration
-	draining      bool
-	stalled       bool
-	later         Later
-	seeds         []string
-	announceAt    time.Duration
-	registering   bool
-	unregistered  bool
-	sampleRound   uint64
-	samples       map[string][]rehearsal.Sample
+	random     func() float64
+	sweepAt    time.Duration
+	draining   bool
+	stalled    bool
+	later      Later
+	seeds      []string
+	announceAt time.Duration
+	// registering is set while a command to register this core's entry is pending;
+	// unregistered is set while the fleet may hold another entry.
+	registering  bool
+	unregistered bool
+	// sampleRound identifies the last collection of samples.
+	sampleRound uint64
+	samples     map[string][]rehearsal.Sample
+	// Silence of other cores counts from observedSince on. activeAt is when this core
+	// last ran.
 	observedSince time.Duration
 	activeAt      time.Duration
 	placement     [][]string
@@ -94,8 +99,10 @@
 	// because earlier claims lost a race.
 	superseded     bool
 	claimIncrement uint64
-	nextChangeAt   map[int]time.Duration
-	rebalanceAt    time.Duration
+	// nextChangeAt is the earliest time of a partition's next group change, set when
+	// a change has failed.
+	nextChangeAt map[int]time.Duration
+	rebalanceAt  time.Duration
 }
 
 // outputs are the destinations of a step's results and of invariant violations.
@@ -151,6 +158,7 @@
 	return m.partitions[n]
 }
 
+// send queues a message for the process at an address.
 func (m *Machine) send(to string, body any, synced bool) {
 	m.out.Sends = append(m.out.Sends, Send{To: to, Body: body, Synced: synced})
 }
--- a/peer/core/membership_test.go
+++ b/peer/core/membership_test.go
@@ -17,7 +17,7 @@
 	testStep       = 5 * time.Millisecond
 )
 
-// box is one process of the fleet: its machine, and what its disk holds.
+// testCore is one process of the fleet: its machine and the contents of its disk.
 type testCore struct {
 	id, zone, address string
 	m                 *Machine
@@ -30,18 +30,18 @@
 }
 
 type delayedWrite struct {
-	at      time.Duration
+	due     time.Duration
 	changes []Change
 	sends   []Send
 }
 
 type delivery struct {
-	at       time.Duration
+	due      time.Duration
 	from, to string
 	raw      []byte
 }
 
-// fleet carries the messages of cores by hand, under a clock of its own.
+// fleet runs cores under a simulated clock, network and disk.
 type fleet struct {
 	t            *testing.T
 	now          time.Duration
@@ -52,18 +52,18 @@
 	inFlight     []delivery
 	drop         func(from, to string, body any) bool
 	answers      map[uint64]any
-	next         uint64
+	lastTicket   uint64
 	incarnations int
-	keys         map[string]string
+	claims       map[string]string
 	kinds        map[string]int
-	// gone are seats whose copies are lost for good.
+	// lostMembers are incarnations whose replicas are lost for good.
 	lostMembers map[string]bool
-	// retired is a core that may stay without a fleet.
+	// retired is the ID of a core that must not rejoin the fleet.
 	retired string
 }
 
 func newFleet(t *testing.T, size, cores int) *fleet {
-	f := &fleet{t: t, size: size, random: rand.New(rand.NewPCG(7, uint64(cores))), answers: map[uint64]any{}, keys: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
+	f := &fleet{t: t, size: size, random: rand.New(rand.NewPCG(7, uint64(cores))), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
 		params: Params{Part: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberTerm: 2 * time.Second,
 			Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond, Gone: 2 * time.Second, ColdStart: true}}
 	var list []Core
@@ -76,13 +76,13 @@
 	f.handle(first, first.m.Receive(f.now, "desk", FoundFleet{Founding: PlanFleet("f", testPartitions, size, list)}))
 	f.advance(2 * time.Second)
 	for i := 0; i < 150; i++ {
-		f.putEntry(i)
+		f.claim(i)
 	}
 	f.awaitSettled("after the founding", settleTime)
 	return f
 }
 
-// slow makes cores that are only silent keep their seats for long.
+// tolerateSilence raises the time until silent cores lose their replicas.
 func (f *fleet) tolerateSilence() {
 	f.params.Gone = time.Minute
 	for _, b := range f.cores {
@@ -115,10 +115,10 @@
 	b.m = New(Options{Params: params, ID: b.id, Zone: b.zone, Address: b.address, Seeds: []string{"a0", "a1", "a2", "a3", "a4"}, Stored: image, Now: f.now, Random: f.random.Float64})
 }
 
-// kill loses what was not synced.
+// kill stops a core; changes that were not synced are lost.
 func (f *fleet) kill(b *testCore) { b.m, b.pending = nil, nil }
 
-// lose kills a core whose machine never comes back.
+// loseForGood kills a core whose machine never comes back.
 func (f *fleet) loseForGood(b *testCore) {
 	f.kill(b)
 	b.lost = true
@@ -135,7 +135,7 @@
 		f.send(b, s)
 	}
 	if len(o.Changes) > 0 || len(held) > 0 {
-		b.pending = append(b.pending, delayedWrite{at: f.now + testStep, changes: o.Changes, sends: held})
+		b.pending = append(b.pending, delayedWrite{due: f.now + testStep, changes: o.Changes, sends: held})
 	}
 	for _, a := range o.Answers {
 		f.answers[a.Ticket] = a.Body
@@ -152,7 +152,7 @@
 	if f.drop != nil && f.drop(b.address, s.To, s.Body) {
 		return
 	}
-	f.inFlight = append(f.inFlight, delivery{at: f.now + testStep, from: b.address, to: s.To, raw: message.Pack(s.Body)})
+	f.inFlight = append(f.inFlight, delivery{due: f.now + testStep, from: b.address, to: s.To, raw: message.Pack(s.Body)})
 }
 
 func (f *fleet) coreAt(address string) *testCore {
@@ -183,7 +183,7 @@
 	f.now += testStep
 	var due, rest []delivery
 	for _, p := range f.inFlight {
-		if p.at <= f.now {
+		if p.due <= f.now {
 			due = append(due, p)
 		} else {
 			rest = append(rest, p)
@@ -197,7 +197,7 @@
 		ready := b.pending
 		b.pending = nil
 		for i, p := range ready {
-			if p.at > f.now {
+			if p.due > f.now {
 				b.pending = ready[i:]
 				break
 			}
@@ -234,7 +234,7 @@
 	}
 }
 
-// guard checks that no group has more seats whose copies are lost than it bears.
+// checkLosses checks that no group has lost more replicas than it tolerates.
 func (f *fleet) checkLosses() {
 	for n := 0; n < testPartitions; n++ {
 		_, g, ok := f.leader(n)
@@ -249,7 +249,7 @@
 				}
 			}
 			if lost > f.size/2 {
-				f.t.Fatalf("%v: part %d has lost %d of %v", f.now, n, lost, members)
+				f.t.Fatalf("%v: partition %d has lost %d replicas of %v", f.now, n, lost, members)
 			}
 		}
 	}
@@ -276,8 +276,8 @@
 
 func (f *fleet) call(command any) any {
 	f.t.Helper()
-	f.next++
-	ticket := f.next
+	f.lastTicket++
+	ticket := f.lastTicket
 	for _, b := range f.cores {
 		if b.m != nil && !b.frozen && b.m.Founded() {
 			f.handle(b, b.m.Ask(f.now, ticket, command, 4*time.Second))
@@ -290,30 +290,30 @@
 		}
 		f.step()
 	}
-	f.t.Fatalf("%v: no answer to %T", f.now, command)
+	f.t.Fatalf("%v: no answer to %T arrived", f.now, command)
 	return nil
 }
 
-func (f *fleet) putEntry(i int) {
+func (f *fleet) claim(i int) {
 	f.t.Helper()
 	key, claim := fmt.Sprint("k", i), fmt.Sprint("first ", i)
 	if o, ok := f.call(ClaimOnce{Tenant: "t", Service: "s", Key: key, Claim: claim, Keep: time.Hour}).(Once); !ok || o.Claim != claim {
-		f.t.Fatalf("%v: %s is not kept: %+v", f.now, key, o)
+		f.t.Fatalf("%v: the claim of %s was not stored: %+v", f.now, key, o)
 	}
-	f.keys[key] = claim
+	f.claims[key] = claim
 }
 
-// kept asks for everything that was agreed.
-func (f *fleet) checkEntries() {
+// checkEntries checks that every acknowledged entry can still be read.
+func (f *fleet) checkClaims() {
 	f.t.Helper()
-	for key, claim := range f.keys {
+	for key, claim := range f.claims {
 		if o, ok := f.call(ClaimOnce{Tenant: "t", Service: "s", Key: key, Claim: "other", Keep: time.Hour}).(Once); !ok || o.Claim != claim {
-			f.t.Errorf("%v: %s was agreed as %q and is %+v", f.now, key, claim, o)
+			f.t.Errorf("%v: %s was acknowledged as %q but is %+v", f.now, key, claim, o)
 		}
 	}
 }
 
-// lack says why the fleet is not as it should be yet.
+// unsettled returns the reason why the fleet has not reached its desired state, or "".
 func (f *fleet) unsettled() string {
 	replicas := map[string]int{}
 	var active []Core
@@ -329,14 +329,14 @@
 	for n := 0; n < testPartitions; n++ {
 		leader, g, ok := f.leader(n)
 		if !ok {
-			return fmt.Sprintf("part %d has no owner", n)
+			return fmt.Sprintf("partition %d has no leader", n)
 		}
 		if len(g.Former) > 0 || len(g.Members) != min(f.size, len(active)) {
-			return fmt.Sprintf("part %d: %+v", n, g)
+			return fmt.Sprintf("partition %d: %+v", n, g)
 		}
 		for _, member := range g.Members {
 			if _, ok := replicas[member]; !ok {
-				return fmt.Sprintf("part %d: seat %s in %v", n, member, g.Members)
+				return fmt.Sprintf("partition %d: unexpected member %s in %v", n, member, g.Members)
 			}
 			replicas[member]++
 			for _, b := range f.cores {
@@ -345,11 +345,11 @@
 				}
 				p := b.m.Partition(n)
 				if p == nil {
-					return fmt.Sprintf("part %d: %s has no copy", n, member)
+					return fmt.Sprintf("partition %d: %s has no replica", n, member)
 				}
 				for key, e := range leader.m.Partition(n).State().Entries {
 					if stored, ok := b.stored.Copies[n].Entries[key]; !e.Deleted && (!ok || stored.Version != e.Version) {
-						return fmt.Sprintf("part %d: %s lacks %s", n, member, key)
+						return fmt.Sprintf("partition %d: the replica of %s lacks the entry %s", n, member, key)
 					}
 				}
 			}
@@ -360,24 +360,24 @@
 	}
 	for n, wanted := range Place(testPartitions, f.size, active, nil) {
 		if _, g, ok := f.leader(n); ok && len(membershipMoves(n, g.Members, wanted)) > 0 {
-			return fmt.Sprintf("part %d: %v should be %v", n, g.Members, wanted)
+			return fmt.Sprintf("partition %d: the group is %v and should be %v", n, g.Members, wanted)
 		}
 	}
 	return ""
 }
 
-// settled waits until every group is full and every core has its share.
+// awaitSettled waits until every group is complete and the replicas are balanced.
 func (f *fleet) awaitSettled(when string, within time.Duration) time.Duration {
 	f.t.Helper()
 	began, reason := f.now, ""
 	for f.now < began+within {
 		if reason = f.unsettled(); reason == "" {
-			f.t.Logf("%s: full after %v", when, f.now-began)
+			f.t.Logf("%s: settled after %v", when, f.now-began)
 			return f.now - began
 		}
 		f.step()
 	}
-	f.t.Fatalf("%s: not full within %v: %s", when, within, reason)
+	f.t.Fatalf("%s: not settled within %v: %s", when, within, reason)
 	return 0
 }
 
@@ -390,6 +390,8 @@
 	return n
 }
 
+// TestEmptiedCoreRejoins: cores that lost their disks join the fleet and their groups
+// again.
 func TestEmptiedCoreRejoins(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		f := newFleet(t, size, size+2)
@@ -403,17 +405,19 @@
 			f.start(b)
 		}
 		f.awaitSettled(fmt.Sprintf("groups of %d", size), settleTime)
-		f.checkEntries()
+		f.checkClaims()
 		// The next loss may come right after.
-		again := f.cores[4]
-		f.kill(again)
-		f.wipe(again)
-		f.start(again)
+		next := f.cores[4]
+		f.kill(next)
+		f.wipe(next)
+		f.start(next)
 		f.awaitSettled("the next loss", settleTime)
-		f.checkEntries()
+		f.checkClaims()
 	}
 }
 
+// TestCoreIsReplacedAtAnotherAddress: the replicas of a lost core move to a new one,
+// under another ID or the same.
 func TestCoreIsReplacedAtAnotherAddress(t *testing.T) {
 	for _, name := range []string{"another name", "the same name"} {
 		f := newFleet(t, 3, 5)
@@ -428,41 +432,45 @@
 		b.cold = false
 		f.start(b)
 		f.awaitSettled(name, settleTime)
-		f.checkEntries()
+		f.checkClaims()
 		f.loseForGood(f.cores[2])
 		f.start(f.addCore("next"))
 		f.awaitSettled("the next loss", settleTime)
-		f.checkEntries()
+		f.checkClaims()
 	}
 }
 
-// In the smallest fleet the newcomer is the only place for the dead one's seats.
+// TestSmallestFleetReplacesCores: in the smallest fleet a new core is the only one that
+// can take over the replicas of a lost one.
 func TestSmallestFleetReplacesCores(t *testing.T) {
 	f := newFleet(t, 3, 3)
 	for i := 0; i < 3; i++ {
 		f.loseForGood(f.cores[i])
 		f.start(f.addCore(fmt.Sprint("fresh", i)))
-		f.awaitSettled("a newcomer", settleTime)
-		f.checkEntries()
+		f.awaitSettled("a new core", settleTime)
+		f.checkClaims()
 	}
 }
 
+// TestAddedCoreGetsItsShare: replicas are rebalanced onto an added core, and then stay.
 func TestAddedCoreGetsItsShare(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	f.start(f.addCore("fresh"))
 	f.awaitSettled("a fifth core", settleTime)
-	f.checkEntries()
+	f.checkClaims()
 	before := f.epochSum()
 	f.advance(10 * time.Second)
 	if after := f.epochSum(); after != before {
-		t.Errorf("%d changes of groups in a fleet at rest", after-before)
+		t.Errorf("%d group changes in a settled fleet", after-before)
 	}
 }
 
+// TestRetiredWhileAnotherIsEmptied: retirement succeeds while another core restores
+// its replicas, but not below the group size.
 func TestRetiredWhileAnotherIsEmptied(t *testing.T) {
 	f := newFleet(t, 3, 5)
 	if r := f.call(RetireCore{ID: "nobody"}); r != (Retiring{}) {
-		t.Errorf("an unknown core: %+v", r)
+		t.Errorf("retiring an unknown core: %+v", r)
 	}
 	if r := f.call(RetireCore{ID: "c1"}); r != (Retiring{Known: true, Enough: true, Done: true}) {
 		t.Errorf("retiring: %+v", r)
@@ -471,34 +479,35 @@
 	f.kill(b)
 	f.wipe(b)
 	f.start(b)
-	f.awaitSettled("one retired, one emptied", settleTime)
-	f.checkEntries()
+	f.awaitSettled("one core retired, one wiped", settleTime)
+	f.checkClaims()
 	for n := 0; n < testPartitions; n++ {
 		s, ok := f.call(ReadSeats{Part: n}).(Seats)
 		if !ok || len(s.Seats) != 3 || len(s.Former) != 0 || slices.ContainsFunc(s.Seats, func(member string) bool { return SeatID(member) == "c1" }) {
-			t.Errorf("part %d: %+v", n, s)
+			t.Errorf("partition %d: %+v", n, s)
 		}
 	}
 	if r := f.call(RetireCore{ID: "c2"}); r != (Retiring{Known: true, Enough: true, Done: true}) {
-		t.Errorf("a second one: %+v", r)
+		t.Errorf("retiring a second core: %+v", r)
 	}
 	if r := f.call(RetireCore{ID: "c4"}); r != (Retiring{Known: true}) {
-		t.Errorf("one too many: %+v", r)
+		t.Errorf("retiring one core too many: %+v", r)
 	}
 	f.retired = "c1"
-	// A retired one gets no seat again, not even with an empty folder.
+	// A retired core gets no replicas again, not even with an empty directory.
 	f.kill(f.cores[0])
 	f.wipe(f.cores[0])
 	f.start(f.cores[0])
 	f.advance(3 * time.Second)
-	f.awaitSettled("after the retired one came back", settleTime)
-	f.checkEntries()
+	f.awaitSettled("after the retired core restarted", settleTime)
+	f.checkClaims()
 	if f.cores[0].m.Founded() {
-		t.Error("a retired name is back")
+		t.Error("a retired core rejoined the fleet")
 	}
 }
 
-// One that is retired while it is off, and knows nothing of it, stays retired.
+// TestRetiredWhileDown: a core that is retired while it is down stays retired after a
+// restart.
 func TestRetiredWhileDown(t *testing.T) {
 	f := newFleet(t, 3, 5)
 	f.tolerateSilence()
@@ -508,24 +517,24 @@
 	if r := f.call(RetireCore{ID: b.id}).(Retiring); !r.Done {
 		t.Errorf("%+v", r)
 	}
-	f.awaitSettled("retired while off", settleTime)
+	f.awaitSettled("retired while down", settleTime)
 	b.address = "elsewhere"
 	f.start(b)
 	f.advance(8 * time.Second)
 	if !b.m.Self().Retired {
-		t.Error("it does not know")
+		t.Error("the core does not know that it is retired")
 	}
 	for _, other := range f.cores {
 		if !other.m.Topology().Cores[b.id].Retired {
-			t.Errorf("%s thinks that it is not retired", other.id)
+			t.Errorf("%s does not know that the core is retired", other.id)
 		}
 	}
 	f.awaitSettled("back", settleTime)
-	f.checkEntries()
+	f.checkClaims()
 }
 
-// A retired core's seats move on although another core is out of reach, which
-// keeps its own.
+// TestRetiredWhileAnotherIsSilent: a retired core's replicas move to other cores while
+// another core is unreachable, and that core keeps its own.
 func TestRetiredWhileAnotherIsSilent(t *testing.T) {
 	f := newFleet(t, 3, 6)
 	f.tolerateSilence()
@@ -544,13 +553,14 @@
 	for n := 0; n < testPartitions; n++ {
 		_, g, _ := f.leader(n)
 		if g.Has(f.cores[0].m.Self().Seat()) || (before[n] && !g.Has(silent)) {
-			t.Errorf("part %d: %+v", n, g)
+			t.Errorf("partition %d: %+v", n, g)
 		}
 	}
-	f.checkEntries()
+	f.checkClaims()
 }
 
-// A newcomer takes no seat of living ones from groups that lack another.
+// TestDegradedGroupsAreNotRebalanced: a new core does not replace a healthy member of a
+// group while another member of it is unreachable.
 func TestDegradedGroupsAreNotRebalanced(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	f.tolerateSilence()
@@ -567,16 +577,17 @@
 	f.advance(settleTime)
 	for n, members := range before {
 		if _, g, _ := f.leader(n); len(membershipMoves(n, g.All(), members)) > 0 {
-			t.Errorf("part %d: %+v, was %v", n, g, members)
+			t.Errorf("partition %d: %+v, was %v", n, g, members)
 		}
 	}
-	f.checkEntries()
+	f.checkClaims()
 	f.start(f.cores[1])
-	f.awaitSettled("all there", settleTime)
-	f.checkEntries()
+	f.awaitSettled("all cores running", settleTime)
+	f.checkClaims()
 }
 
-// A core that comes and goes gets no seats as long as it does.
+// TestFlappingCoreGetsNoReplicas: a core that repeatedly stops and resumes gets no
+// replicas until it runs steadily.
 func TestFlappingCoreGetsNoReplicas(t *testing.T) {
 	f := newFleet(t, 3, 5)
 	b := f.cores[1]
@@ -591,14 +602,15 @@
 		f.advance(f.params.Gone + 500*time.Millisecond)
 	}
 	if after := f.epochSum(); after != before {
-		t.Errorf("%d changes of groups", after-before)
+		t.Errorf("%d group changes", after-before)
 	}
 	f.thaw(b)
-	f.awaitSettled("back for good", settleTime)
-	f.checkEntries()
+	f.awaitSettled("running steadily", settleTime)
+	f.checkClaims()
 }
 
-// When all cores stood still together, none of them thinks the others gone.
+// TestAllCoresFrozenTogether: after a pause of all cores none counts the others as
+// silent.
 func TestAllCoresFrozenTogether(t *testing.T) {
 	f := newFleet(t, 3, 6)
 	f.advance(12 * time.Second)
@@ -614,12 +626,12 @@
 	}
 	f.advance(8 * time.Second)
 	if after := f.epochSum(); after != before {
-		t.Errorf("%d changes of groups", after-before)
+		t.Errorf("%d group changes", after-before)
 	}
-	f.checkEntries()
+	f.checkClaims()
 }
 
-// Homes are spread: when all is at rest, each part's home is the one planned.
+// TestHomesAreBalanced: in a settled fleet each partition's home is the planned one.
 func TestHomesAreBalanced(t *testing.T) {
 	f := newFleet(t, 3, 5)
 	f.loseForGood(f.cores[1])
@@ -634,16 +646,17 @@
 	}
 	for n, wanted := range Place(testPartitions, 3, active, nil) {
 		if _, g, _ := f.leader(n); g.Members[0] != wanted[0] {
-			t.Errorf("part %d: %v, planned %v", n, g.Members, wanted)
+			t.Errorf("partition %d: %v, planned %v", n, g.Members, wanted)
 		}
 	}
 }
 
-// The operator's own retirement is told as done only when no seat is left.
+// TestOperatorRetires: a retirement by an operator is reported as done only when the
+// core has no replicas left.
 func TestOperatorRetires(t *testing.T) {
 	f := newFleet(t, 3, 5)
-	f.next++
-	ticket := f.next
+	f.lastTicket++
+	ticket := f.lastTicket
 	f.handle(f.cores[0], f.cores[0].m.ChangeCore(f.now, ticket, KindRetire, "c1", "", 8*time.Second))
 	for f.answers[ticket] == nil {
 		f.step()
@@ -653,13 +666,15 @@
 	}
 	for n := 0; n < testPartitions; n++ {
 		if _, g, ok := f.leader(n); ok && g.Has(f.cores[0].m.Self().Seat()) {
-			t.Errorf("part %d: %+v", n, g)
+			t.Errorf("partition %d: %+v", n, g)
 		}
 	}
 	f.awaitSettled("retired", settleTime)
-	f.checkEntries()
+	f.checkClaims()
 }
 
+// TestFullRestartWithOneEmptyDisk: a restart of the whole fleet with one disk lost
+// loses no entry.
 func TestFullRestartWithOneEmptyDisk(t *testing.T) {
 	for _, cores := range []int{3, 5} {
 		f := newFleet(t, 3, cores)
@@ -672,12 +687,13 @@
 		for _, b := range f.cores {
 			f.start(b)
 		}
-		f.awaitSettled("powered on", settleTime)
-		f.checkEntries()
+		f.awaitSettled("restarted", settleTime)
+		f.checkClaims()
 	}
 }
 
-// joins reports whether some owner is changing its group to add a core.
+// adding returns a leader that is adding the core to its partition's group, and the
+// partition, or nil.
 func (f *fleet) adding(id string) (leader *testCore, n int) {
 	for n := 0; n < testPartitions; n++ {
 		if b, _, ok := f.leader(n); ok {
@@ -689,7 +705,8 @@
 	return nil, 0
 }
 
-// joint reports whether some owner is between its old and its new group.
+// inJointGroup returns a leader whose partition is in a joint group, and the partition,
+// or nil.
 func (f *fleet) inJointGroup() (leader *testCore, n int) {
 	for n := 0; n < testPartitions; n++ {
 		if b, g, ok := f.leader(n); ok && len(g.Former) > 0 {
@@ -703,43 +720,46 @@
 	f.t.Helper()
 	for end := f.now + 5*time.Second; !seen(); f.step() {
 		if f.now > end {
-			f.t.Fatalf("%s did not come about", what)
+			f.t.Fatalf("not reached: %s", what)
 		}
 	}
 }
 
+// TestJoiningCoreFailsDuringChange: a new member that fails in any stage of its
+// addition blocks no group.
 func TestJoiningCoreFailsDuringChange(t *testing.T) {
 	stages := map[string]func(f *fleet) bool{
-		"while it is filled": func(f *fleet) bool { b, _ := f.adding("fresh"); return b != nil },
-		"in a joint group":   func(f *fleet) bool { b, _ := f.inJointGroup(); return b != nil },
+		"during the snapshot transfer": func(f *fleet) bool { joining, _ := f.adding("fresh"); return joining != nil },
+		"in a joint group":             func(f *fleet) bool { joining, _ := f.inJointGroup(); return joining != nil },
 	}
-	for _, name := range []string{"while it is filled", "in a joint group"} {
+	for _, name := range []string{"during the snapshot transfer", "in a joint group"} {
 		f := newFleet(t, 3, 5)
-		b := f.addCore("fresh")
-		f.start(b)
+		joining := f.addCore("fresh")
+		f.start(joining)
 		f.waitUntil(name, func() bool { return stages[name](f) })
-		f.loseForGood(b)
-		// All others move its seats on once it counts as silent.
-		f.awaitSettled(name+", dead", f.params.Gone+settleTime)
-		f.checkEntries()
+		f.loseForGood(joining)
+		// Its replicas move to other cores once it counts as silent.
+		f.awaitSettled(name+", core lost", f.params.Gone+settleTime)
+		f.checkClaims()
 		f.start(f.addCore("next"))
-		f.awaitSettled(name+", another", settleTime)
-		f.checkEntries()
+		f.awaitSettled(name+", another core added", settleTime)
+		f.checkClaims()
 
 		f = newFleet(t, 3, 5)
-		b = f.addCore("fresh")
-		f.start(b)
+		joining = f.addCore("fresh")
+		f.start(joining)
 		f.waitUntil(name, func() bool { return stages[name](f) })
-		f.kill(b)
-		f.wipe(b)
+		f.kill(joining)
+		f.wipe(joining)
 		f.advance(100 * time.Millisecond)
-		f.start(b)
-		f.awaitSettled(name+", emptied again", settleTime)
-		f.checkEntries()
+		f.start(joining)
+		f.awaitSettled(name+", core restarted with an empty disk", settleTime)
+		f.checkClaims()
 	}
 }
 
-// A seat that never hears its owner must not hold the part's group for ever.
+// TestUnreachableJoiningCoreIsAbandoned: a new member that the leader can't reach must
+// not block other changes of the group.
 func TestUnreachableJoiningCoreIsAbandoned(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	b := f.addCore("fresh")
@@ -749,14 +769,16 @@
 	}
 	f.start(b)
 	f.advance(8 * time.Second)
-	f.checkEntries()
+	f.checkClaims()
 	f.drop = nil
-	f.awaitSettled("reachable at last", 2*settleTime)
-	f.checkEntries()
+	f.awaitSettled("reachable again", 2*settleTime)
+	f.checkClaims()
 }
 
+// TestLeaderFailsDuringChange: a group change survives the failure of the leader that
+// makes it.
 func TestLeaderFailsDuringChange(t *testing.T) {
-	for _, stage := range []string{"while the newcomer is filled", "in a joint group"} {
+	for _, stage := range []string{"during the snapshot transfer", "in a joint group"} {
 		f := newFleet(t, 3, 5)
 		joining := f.addCore("fresh")
 		f.start(joining)
@@ -770,8 +792,8 @@
 		f.kill(leader)
 		f.advance(time.Second)
 		f.start(leader)
-		f.awaitSettled(stage+", owner back", settleTime)
-		f.checkEntries()
+		f.awaitSettled(stage+", leader restarted", settleTime)
+		f.checkClaims()
 
 		f = newFleet(t, 3, 5)
 		joining = f.addCore("fresh")
@@ -785,52 +807,56 @@
 		f.kill(leader)
 		f.wipe(leader)
 		f.start(leader)
-		f.awaitSettled(stage+", owner emptied", settleTime)
-		f.checkEntries()
+		f.awaitSettled(stage+", leader restarted with an empty disk", settleTime)
+		f.checkClaims()
 	}
 }
 
+// TestFrozenCoreResumes: a core that was paused until it lost its replicas is
+// integrated again, and a short pause changes no group.
 func TestFrozenCoreResumes(t *testing.T) {
 	f := newFleet(t, 3, 5)
 	b := f.cores[1]
 	b.frozen = true
 	f.advance(f.params.Gone + f.params.Gone/2)
-	f.awaitSettled("without the frozen one", settleTime)
-	f.checkEntries()
+	f.awaitSettled("without the frozen core", settleTime)
+	f.checkClaims()
 	f.thaw(b)
-	f.awaitSettled("with the woken one", settleTime)
-	f.checkEntries()
+	f.awaitSettled("with the resumed core", settleTime)
+	f.checkClaims()
 	f.advance(time.Second)
 	before := f.epochSum()
 	f.advance(8 * time.Second)
 	if after := f.epochSum(); after != before {
-		t.Errorf("%d changes of groups after all is at rest", after-before)
+		t.Errorf("%d group changes after the fleet settled", after-before)
 	}
-	// A short freeze moves nothing.
+	// A short freeze changes no group.
 	b.frozen = true
 	f.advance(f.params.Gone / 2)
 	f.thaw(b)
 	f.advance(3 * time.Second)
 	if after := f.epochSum(); after != before {
-		t.Errorf("%d changes of groups for a short freeze", after-before)
+		t.Errorf("%d group changes because of a short freeze", after-before)
 	}
-	f.checkEntries()
+	f.checkClaims()
 }
 
-// Where no other core is present, a silent one keeps its seats.
+// TestSilentCoreKeepsReplicasWithoutSubstitute: a silent core keeps its replicas if no
+// other core can take them.
 func TestSilentCoreKeepsReplicasWithoutSubstitute(t *testing.T) {
 	f := newFleet(t, 3, 3)
 	before := f.epochSum()
 	f.kill(f.cores[2])
 	f.advance(3 * f.params.Gone)
 	if after := f.epochSum(); after != before {
-		t.Errorf("%d changes of groups", after-before)
+		t.Errorf("%d group changes", after-before)
 	}
 	f.start(f.cores[2])
-	f.awaitSettled("back with its disk", settleTime)
-	f.checkEntries()
+	f.awaitSettled("restarted with its disk", settleTime)
+	f.checkClaims()
 }
 
+// TestCoreRestartsAtAnotherAddress: the fleet learns a restarted core's new address.
 func TestCoreRestartsAtAnotherAddress(t *testing.T) {
 	f := newFleet(t, 3, 3)
 	f.kill(f.cores[2])
@@ -840,10 +866,11 @@
 	f.awaitSettled("elsewhere", settleTime)
 	f.loseForGood(f.cores[0])
 	f.advance(2 * time.Second)
-	f.checkEntries()
+	f.checkClaims()
 }
 
-// An earlier incarnation that still runs has no say.
+// TestSupersededCoreIsIgnored: an earlier incarnation that still runs does not displace
+// its successor.
 func TestSupersededCoreIsIgnored(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	old := f.cores[3]
@@ -854,28 +881,29 @@
 	f.thaw(old)
 	f.advance(4 * time.Second)
 	old.frozen = true
-	f.awaitSettled("the former one awake", settleTime)
+	f.awaitSettled("the former incarnation resumed", settleTime)
 	f.kill(old)
 	old.address = "elsewhere"
 	f.start(old)
 	for end := f.now + 6*time.Second; f.now < end; f.step() {
 		for _, other := range f.cores {
 			if got := other.m.Topology().Cores[old.id]; other != old && got.Incarnation != b.stored.Incarnation {
-				t.Fatalf("%v: %s takes %v for the living one", f.now, other.id, got)
+				t.Fatalf("%v: %s takes %v for the current incarnation", f.now, other.id, got)
 			}
 		}
 	}
 	old.frozen = true
-	f.awaitSettled("the former one started again", settleTime)
+	f.awaitSettled("the former incarnation restarted", settleTime)
 	for n := 0; n < testPartitions; n++ {
 		if _, g, ok := f.leader(n); ok && g.Has(old.m.Self().Seat()) {
-			t.Errorf("part %d: %+v", n, g)
+			t.Errorf("partition %d: %+v", n, g)
 		}
 	}
-	f.checkEntries()
+	f.checkClaims()
 }
 
-// What has ended stays so, whoever says otherwise.
+// TestRetiredCoresStayRetired: retired cores and superseded incarnations are not
+// revived by later entries.
 func TestRetiredCoresStayRetired(t *testing.T) {
 	a := newAlone(t)
 	x := Core{ID: "x", Incarnation: "1", Version: 1}
@@ -901,17 +929,19 @@
 	a.m.mergeCore(Core{ID: "z", Incarnation: "1", Version: 2, Retired: true})
 	a.m.mergeCore(Core{ID: "z", Incarnation: "1", Version: 3})
 	if !a.m.Topology().Cores["z"].Retired {
-		t.Error("a retired core is told to be none")
+		t.Error("a later entry revived a retired core")
 	}
 	a.m.mergeCore(Core{ID: "w", Incarnation: "1", Version: 3})
 	a.m.mergeCore(Core{ID: "w", Incarnation: "1", Version: 2, Retired: true})
 	if !a.m.Topology().Cores["w"].Retired {
-		t.Error("a retirement that came late is lost")
+		t.Error("a retirement with a lower version was lost")
 	}
 }
 
+// TestColdStart: cores without a fleet announce themselves and accept only a founding
+// that names them.
 func TestColdStart(t *testing.T) {
-	f := &fleet{t: t, size: 3, random: rand.New(rand.NewPCG(1, 1)), answers: map[uint64]any{}, keys: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
+	f := &fleet{t: t, size: 3, random: rand.New(rand.NewPCG(1, 1)), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
 		params: Params{Part: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40}, MemberTerm: 2 * time.Second, Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}}
 	var list []Core
 	for i := 0; i < 4; i++ {
@@ -922,7 +952,7 @@
 	}
 	f.advance(time.Second)
 	if f.kinds["core.Present"] < 20 {
-		t.Errorf("cores that belong to no fleet say so %d times in a second", f.kinds["core.Present"])
+		t.Errorf("cores without a fleet sent %d announcements in a second", f.kinds["core.Present"])
 	}
 	plan := PlanFleet("f", testPartitions, 3, list[:3])
 	for _, b := range []*testCore{f.cores[3], f.cores[0]} {
@@ -930,15 +960,15 @@
 		other.Cores = map[string]Core{"c1": {ID: "c1", Incarnation: "of old"}, "c4": list[3]}
 		f.handle(b, b.m.Receive(f.now, "desk", FoundFleet{Founding: other}))
 		if b.m.Founded() {
-			t.Errorf("%s was founded", b.id)
+			t.Errorf("%s joined a fleet whose founding does not name it", b.id)
 		}
 	}
-	// One of three misses the founding, and hears of it by saying that it is there.
+	// One of three misses the founding message and gets it in answer to its announcement.
 	f.drop = func(from, to string, body any) bool { _, ok := body.(FoundFleet); return ok && to == "a2" }
 	f.handle(f.cores[0], f.cores[0].m.Receive(f.now, "desk", FoundFleet{Founding: plan}))
 	f.advance(500 * time.Millisecond)
 	f.drop = nil
-	f.awaitSettled("founded, and one joined", settleTime)
+	f.awaitSettled("founded and joined by a fourth core", settleTime)
 	for _, b := range f.cores {
 		if got := b.m.Topology().Size; got != 3 {
 			t.Errorf("%s: groups of %d", b.id, got)
@@ -946,18 +976,20 @@
 	}
 }
 
-// A fleet at rest tells its topology rarely.
+// TestGossipAtRest: in a settled fleet the topology is sent rarely.
 func TestGossipAtRest(t *testing.T) {
 	f := newFleet(t, 3, 5)
 	f.advance(3 * time.Second)
 	clear(f.kinds)
 	f.advance(10 * time.Second)
 	if got, most := f.kinds["core.Topology"], 5*4*(20+2); got > most {
-		t.Errorf("%d topologies in ten seconds, at most %d", got, most)
+		t.Errorf("%d topologies sent in ten seconds, want at most %d", got, most)
 	}
 	t.Log(f.kinds)
 }
 
+// TestPlace: placements are balanced over zones and cores, independent of the order of
+// the cores, and stable when a core is added.
 func TestPlace(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	for round := 0; round < 200; round++ {
@@ -973,10 +1005,10 @@
 		replicas, homes := map[string]int{}, map[string]int{}
 		for n, g := range groups {
 			if !slices.Equal(g, again[n]) {
-				t.Fatal("the order of the cores counts")
+				t.Fatal("the result depends on the order of the cores")
 			}
 			if len(g) != min(size, count) {
-				t.Fatalf("%d seats of %d", len(g), size)
+				t.Fatalf("%d members, want %d", len(g), size)
 			}
 			byZone := map[string]int{}
 			for _, member := range g {
@@ -988,21 +1020,21 @@
 				}
 			}
 			if len(byZone) != min(zoneCount, size, count) {
-				t.Errorf("%d zones of %d for %d seats of %d cores", len(byZone), zoneCount, size, count)
+				t.Errorf("%d zones of %d for groups of %d and %d cores", len(byZone), zoneCount, size, count)
 			}
 			homes[g[0]]++
 		}
 		if count%zoneCount == 0 {
 			for _, c := range cores {
 				if got, even := replicas[c.Seat()], partitions*min(size, count)/count; got < even-1 || got > even+2 {
-					t.Errorf("%d cores, %d zones, %d parts of %d: %s has %d seats, even is %d", count, zoneCount, partitions, size, c.ID, got, even)
+					t.Errorf("%d cores, %d zones, %d partitions with groups of %d: %s has %d replicas, balanced is %d", count, zoneCount, partitions, size, c.ID, got, even)
 				}
 				if got := homes[c.Seat()]; got > partitions/count+2 {
-					t.Errorf("%s is the home of %d parts of %d", c.ID, got, partitions)
+					t.Errorf("%s is the home of %d partitions of %d", c.ID, got, partitions)
 				}
 			}
 		}
-		// One more core, one silent, one retired.
+		// An additional, a silent and a retired core.
 		more := Place(partitions, size, append(slices.Clone(cores), Core{ID: "new", Incarnation: "1", Zone: "z0"}), nil)
 		moved := 0
 		for n := range groups {
@@ -1013,17 +1045,17 @@
 			}
 		}
 		if even := partitions * min(size, count+1) / (count + 1); zoneCount <= 1 && moved > 3*even {
-			t.Errorf("%d of %d seats moved for one core more, %d parts, %d cores", moved, partitions*size, partitions, count)
+			t.Errorf("%d of %d replicas moved for one additional core, %d partitions, %d cores", moved, partitions*size, partitions, count)
 		}
 		for n, g := range Place(partitions, size, cores, map[string]bool{"c0": true}) {
 			if slices.Contains(g, "c0.1") != (count <= size) {
-				t.Errorf("part %d: %v with c0 silent", n, g)
+				t.Errorf("partition %d: %v with c0 silent", n, g)
 			}
 		}
 		cores[0].Retired = true
 		for n, g := range Place(partitions, size, cores, nil) {
 			if slices.Contains(g, cores[0].Seat()) {
-				t.Errorf("part %d: %v with %s retired", n, g, cores[0].ID)
+				t.Errorf("partition %d: %v with %s retired", n, g, cores[0].ID)
 			}
 		}
 	}
--- a/peer/core/placement.go
+++ b/peer/core/placement.go
@@ -189,13 +189,14 @@
 // after its last silence did.
 type contact struct{ last, recoveredAt time.Duration }
 
+// recordContact notes that a message of a member arrived.
 func (m *Machine) recordContact(now time.Duration, member string) {
-	h, ok := m.contacts[member]
-	if ok && now-max(h.last, m.observedSince) >= m.silenceTimeout() {
-		h.recoveredAt = now
+	c, ok := m.contacts[member]
+	if ok && now-max(c.last, m.observedSince) >= m.silenceTimeout() {
+		c.recoveredAt = now
 	}
-	h.last = now
-	m.contacts[member] = h
+	c.last = now
+	m.contacts[member] = c
 }
 
 // detectPause restarts the observation of other cores' silence if this core itself
@@ -207,14 +208,17 @@
 	m.activeAt = now
 }
 
+// silent reports whether a member counts as silent: no message arrived for the
+// silence timeout, or it has not yet recovered from such a silence.
 func (m *Machine) silent(now time.Duration, member string) bool {
 	if member == m.self.Seat() {
 		return false
 	}
-	h := m.contacts[member]
-	return now-max(h.last, m.observedSince) >= m.silenceTimeout() || (h.recoveredAt > 0 && h.last-h.recoveredAt < m.recoveryTime())
+	c := m.contacts[member]
+	return now-max(c.last, m.observedSince) >= m.silenceTimeout() || (c.recoveredAt > 0 && c.last-c.recoveredAt < m.recoveryTime())
 }
 
+// silentCores returns the IDs of the cores that count as silent.
 func (m *Machine) silentCores(now time.Duration) map[string]bool {
 	silent := map[string]bool{}
 	for id, c := range m.cores {
@@ -228,8 +232,8 @@
 // recentlyHeard reports whether a message of a member arrived within the last three
 // heartbeat intervals.
 func (m *Machine) recentlyHeard(now time.Duration, member string) bool {
-	h, ok := m.contacts[member]
-	return member == m.self.Seat() || (ok && now-h.last < 3*m.heartbeatInterval())
+	c, ok := m.contacts[member]
+	return member == m.self.Seat() || (ok && now-c.last < 3*m.heartbeatInterval())
 }
 
 // Reasons for removing a member from a group, the most urgent first.
--- a/peer/core/retired_test.go
+++ b/peer/core/retired_test.go
@@ -8,9 +8,9 @@
 	"saffronfall/rule/partition"
 )
 
-// TestRetiredCoreTakesNoReplica: a leader that has not heard of a retirement can't
-// hand the retired core a partition, as it may be taken away at any moment; what
-// it still has, it keeps up until the group has changed.
+// TestRetiredCoreTakesNoReplica: a retired core refuses new replicas, which a leader
+// that does not know of the retirement may send, as the core may be shut down at any
+// time. It keeps its existing replicas up to date until their groups have changed.
 func TestRetiredCoreTakesNoReplica(t *testing.T) {
 	self, leader := Core{ID: "a", Incarnation: "1", Zone: "z", Peer: "a:1"}, Core{ID: "b", Incarnation: "1", Zone: "y", Peer: "b:1"}
 	m := New(Options{Params: newAlone(t).m.params, ID: self.ID, Zone: self.Zone, Address: self.Peer, Stored: Stored{Incarnation: self.Incarnation}, Random: func() float64 { return 0.5 }})
@@ -27,21 +27,21 @@
 		return len(o.Changes) > 0
 	}
 	if !takes(0, 1) || !takes(1, 1) {
-		t.Fatal("a core that is not retired takes no replica")
+		t.Fatal("a core that is not retired refuses a replica")
 	}
 	retired := self
 	retired.Retired, retired.Version = true, 9
 	m.Receive(time.Second, leader.Peer, Topology{Fleet: "f", Cores: map[string]Core{self.ID: retired}, Owners: make([]partition.Term, 2), Groups: make([]partition.Group, 2)})
 	if takes(1, 2) {
-		t.Error("a retired core takes a replica of a group that it does not belong to")
+		t.Error("a retired core accepted a replica of a group that it does not belong to")
 	}
 	if !takes(0, 2) {
-		t.Error("a retired core no longer keeps up the replica that it still has")
+		t.Error("a retired core refused a write to its existing replica")
 	}
 }
 
-// TestRetiredCoresAreNotCalled: a retired core is told that others live for as long as it
-// keeps a replica, and no longer: its machine may be gone for good.
+// TestRetiredCoresGetNoHeartbeats: a retired core is sent heartbeats only as long as
+// it has a replica, since its machine may be gone for good.
 func TestRetiredCoresGetNoHeartbeats(t *testing.T) {
 	for _, keeps := range []bool{true, false} {
 		a := newAlone(t)
@@ -57,7 +57,7 @@
 			}
 		}
 		if called != keeps {
-			t.Errorf("keeps a replica %v, called %v", keeps, called)
+			t.Errorf("core with a replica: %v, sent messages: %v", keeps, called)
 		}
 	}
 }
--- a/peer/core/stall_test.go
+++ b/peer/core/stall_test.go
@@ -8,9 +8,9 @@
 	"saffronfall/rule/partition"
 )
 
-// TestNothingPilesUpBeforeAStalledDisk: a core whose disk is full or hangs takes
-// no writes and promises nothing, goes on prolonging a lease that it has promised
-// already, and takes writes again when the disk is back.
+// TestStalledDiskRefusesWrites: a core whose disk is full or stalled accepts no
+// writes and makes no promises, so that nothing queues up. It goes on renewing a
+// lease that it already granted, and accepts writes again once the disk works.
 func TestStalledDiskRefusesWrites(t *testing.T) {
 	self, other := Core{ID: "a", Incarnation: "1", Zone: "z", Peer: "a:1"}, Core{ID: "b", Incarnation: "1", Zone: "y", Peer: "b:1"}
 	third := Core{ID: "c", Incarnation: "1", Zone: "x", Peer: "c:1"}
@@ -34,23 +34,23 @@
 		return partition.Write{Term: group.Term, Seq: seq, PriorSeq: seq - 1, Group: group, Snapshot: seq == 1, Entries: []partition.Entry{{Key: "k", Value: []byte("v"), Version: partition.Version{Term: group.Term, Seq: seq}}}}
 	}
 	if o := deliver(0, write(1)); len(o.Changes) == 0 {
-		t.Fatal("the first write was not taken")
+		t.Fatal("the first write was not accepted")
 	}
 	m.SetStalled(true)
 	for seq := uint64(2); seq < 100; seq++ {
 		if o := deliver(time.Second, write(seq)); len(o.Changes)+len(o.Sends) != 0 {
-			t.Fatalf("a write while the disk hangs: %+v", o)
+			t.Fatalf("a write was accepted while the disk is stalled: %+v", o)
 		}
 	}
 	later := partition.Term{Round: 2, Leader: third.Seat()}
 	if o := deliver(time.Second, partition.Prepare{Term: later, Group: group, Released: group.Term}); len(o.Changes)+len(o.Sends) != 0 {
-		t.Fatalf("a promise while the disk hangs: %+v", o)
+		t.Fatalf("a promise was made while the disk is stalled: %+v", o)
 	}
 	if o := deliver(time.Second, partition.RenewLease{Term: group.Term, SentAt: time.Second}); len(o.Sends) == 0 {
-		t.Error("a lease that was promised on disk is not prolonged")
+		t.Error("a lease that was granted before the stall was not renewed")
 	}
 	m.SetStalled(false)
 	if o := deliver(2*time.Second, write(2)); len(o.Changes) == 0 {
-		t.Error("a write after the disk is back was not taken")
+		t.Error("a write after the stall was not accepted")
 	}
 }
--- a/peer/core/topology.go
+++ b/peer/core/topology.go
@@ -15,16 +15,16 @@
 // refreshSelf updates this core's entry if its address or incarnation changed while
 // it was down, and has it registered with the fleet if need be.
 func (m *Machine) refreshSelf() {
-	known, ok := m.cores[m.self.ID]
-	if founded := m.founding.Cores[m.self.ID]; ok && known.Incarnation != m.self.Incarnation && founded.Incarnation == m.self.Incarnation {
+	registered, ok := m.cores[m.self.ID]
+	if founded := m.founding.Cores[m.self.ID]; ok && registered.Incarnation != m.self.Incarnation && founded.Incarnation == m.self.Incarnation {
 		m.self.Version = founded.Version
 		m.unregistered = true
 		return
 	}
 	current := m.self
-	current.Retired, current.Version = known.Retired, known.Version
-	if ok && current == known {
-		m.self = known
+	current.Retired, current.Version = registered.Retired, registered.Version
+	if ok && current == registered {
+		m.self = registered
 		return
 	}
 	current.Version++
