--- a/peer/core/caller.go
+++ b/peer/core/caller.go
@@ -99,17 +99,17 @@
 func (c *Caller) attempt(now time.Duration, k *pendingCall) {
 	to := c.hints[k.partition]
 	if to == "" {
-		all := c.Cores()
+		addresses := c.Cores()
 		if c.Forwarders != nil && k.attempts >= 2 && k.attempts%2 == 0 {
-			if others := c.Forwarders(); len(others) > 0 {
-				all = others
+			if forwarders := c.Forwarders(); len(forwarders) > 0 {
+				addresses = forwarders
 			}
 		}
-		if len(all) == 0 {
+		if len(addresses) == 0 {
 			k.retryAt = now + c.Retry
 			return
 		}
-		to = all[int(c.Random()*float64(len(all)))%len(all)]
+		to = addresses[int(c.Random()*float64(len(addresses)))%len(addresses)]
 	}
 	k.attempts++
 	c.Attempts++
--- a/peer/core/caller_test.go
+++ b/peer/core/caller_test.go
@@ -63,7 +63,7 @@
 	}
 	advance(time.Minute)
 	if late := advance(time.Minute); late > commands*40 {
-		t.Errorf("%d attempts of %d commands in the second minute", late, commands)
+		t.Errorf("%d attempts of %d commands in a minute after the first", late, commands)
 	}
 	c.SetLeader(1, "leader")
 	if first := advance(100 * time.Millisecond); first < commands {
--- a/peer/core/gossip_test.go
+++ b/peer/core/gossip_test.go
@@ -14,8 +14,8 @@
 	f.advance(10 * time.Second)
 	before := f.kinds["core.Topology"]
 	f.advance(4 * time.Second)
-	if told := f.kinds["core.Topology"] - before; told > 2*len(f.cores)*len(f.cores) {
-		t.Errorf("%d topologies sent in 4 s without changes", told)
+	if sent := f.kinds["core.Topology"] - before; sent > 2*len(f.cores)*len(f.cores) {
+		t.Errorf("%d topologies sent in 4 s without changes", sent)
 	}
 	lagging := f.cores[3].m
 	lagging.terms[1] = partition.Term{}
@@ -29,12 +29,12 @@
 
 // TestTopologyDigest: topologies have different digests if and only if they differ.
 func TestTopologyDigest(t *testing.T) {
-	make := func() Topology {
+	newTopology := func() Topology {
 		return Topology{Fleet: "f", Cores: map[string]Core{"a": {ID: "a", Incarnation: "1"}, "b": {ID: "b"}}, Owners: []partition.Term{{Round: 1, Leader: "a.1"}}, Groups: []partition.Group{{Epoch: 1, Members: []string{"a.1"}}}}
 	}
-	same := make()
-	same.Groups[0].Former = []string{}
-	if make().Digest() != same.Digest() {
+	equal := newTopology()
+	equal.Groups[0].Former = []string{}
+	if newTopology().Digest() != equal.Digest() {
 		t.Error("an empty list and a nil list have different digests")
 	}
 	for name, change := range map[string]func(t *Topology){
@@ -44,9 +44,9 @@
 		"group":  func(t *Topology) { t.Groups[0].Members = []string{"a.2"} },
 		"former": func(t *Topology) { t.Groups[0].Former = []string{"b."} },
 	} {
-		other := make()
+		other := newTopology()
 		change(&other)
-		if other.Digest() == make().Digest() {
+		if other.Digest() == newTopology().Digest() {
 			t.Errorf("%s: the digest does not change with it", name)
 		}
 	}
--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -119,14 +119,14 @@
 		Send:       func(to string, body any) { m.send(to, body, false) },
 		Partitions: func() int { return m.founding.Partitions },
 		Cores: func() []string {
-			var all []string
+			var addresses []string
 			for _, c := range m.cores {
 				if !c.Retired {
-					all = append(all, c.Peer)
+					addresses = append(addresses, c.Peer)
 				}
 			}
-			sort.Strings(all)
-			return all
+			sort.Strings(addresses)
+			return addresses
 		}}
 	if o.Stored.Founding.Partitions > 0 {
 		m.start(o.Now, o.Stored)
--- a/peer/core/membership.go
+++ b/peer/core/membership.go
@@ -38,6 +38,7 @@
 // topology, whether or not the fleet knows the core's ID. The core has no vote
 // until groups have changed to admit it. It waits for FoundFleet instead if it is
 // a member of a group already, or if the topology lacks a group and so can't tell.
+// A retired core stays outside.
 func (m *Machine) rejoin(now time.Duration, t Topology) {
 	known, ok := t.Cores[m.self.ID]
 	if len(t.Groups) == 0 || known.Retired {
--- a/peer/core/membership_test.go
+++ b/peer/core/membership_test.go
@@ -62,18 +62,19 @@
 	retired string
 }
 
+// newFleet founds a fleet, stores some claims and waits until it has settled.
 func newFleet(t *testing.T, size, cores int) *fleet {
 	f := &fleet{t: t, size: size, random: rand.New(rand.NewPCG(7, uint64(cores))), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
 		params: Params{Part: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberTerm: 2 * time.Second,
 			Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond, Gone: 2 * time.Second, ColdStart: true}}
-	var list []Core
+	var founders []Core
 	for i := 0; i < cores; i++ {
-		first := f.addCore(fmt.Sprintf("c%d", i+1))
-		f.start(first)
-		list = append(list, first.m.Self())
+		added := f.addCore(fmt.Sprintf("c%d", i+1))
+		f.start(added)
+		founders = append(founders, added.m.Self())
 	}
 	first := f.cores[0]
-	f.handle(first, first.m.Receive(f.now, "desk", FoundFleet{Founding: PlanFleet("f", testPartitions, size, list)}))
+	f.handle(first, first.m.Receive(f.now, "desk", FoundFleet{Founding: PlanFleet("f", testPartitions, size, founders)}))
 	f.advance(2 * time.Second)
 	for i := 0; i < 150; i++ {
 		f.claim(i)
@@ -85,97 +86,99 @@
 // tolerateSilence raises the time until silent cores lose their replicas.
 func (f *fleet) tolerateSilence() {
 	f.params.Gone = time.Minute
-	for _, b := range f.cores {
-		b.m.params.Gone = time.Minute
+	for _, core := range f.cores {
+		core.m.params.Gone = time.Minute
 	}
 }
 
+// addCore adds a core with an empty disk, not started.
 func (f *fleet) addCore(id string) *testCore {
 	n := len(f.cores)
-	b := &testCore{id: id, zone: fmt.Sprintf("z%d", n%3), address: fmt.Sprintf("a%d", n), cold: true}
-	f.cores = append(f.cores, b)
-	f.wipe(b)
-	return b
+	core := &testCore{id: id, zone: fmt.Sprintf("z%d", n%3), address: fmt.Sprintf("a%d", n), cold: true}
+	f.cores = append(f.cores, core)
+	f.wipe(core)
+	return core
 }
 
-func (f *fleet) wipe(b *testCore) {
-	if b.stored.Incarnation != "" {
-		f.lostMembers[b.id+"."+b.stored.Incarnation] = true
+// wipe empties a core's disk, which begins a new incarnation.
+func (f *fleet) wipe(core *testCore) {
+	if core.stored.Incarnation != "" {
+		f.lostMembers[core.id+"."+core.stored.Incarnation] = true
 	}
 	f.incarnations++
-	b.stored = Stored{Incarnation: fmt.Sprint(f.incarnations)}
+	core.stored = Stored{Incarnation: fmt.Sprint(f.incarnations)}
 }
 
-func (f *fleet) start(b *testCore) {
+func (f *fleet) start(core *testCore) {
 	var image Stored
-	image.CopyFrom(b.stored)
+	image.CopyFrom(core.stored)
 	params := f.params
-	params.ColdStart = b.cold
-	b.pending, b.inbox, b.frozen, b.lost, b.tickAt = nil, nil, false, false, 0
-	b.m = New(Options{Params: params, ID: b.id, Zone: b.zone, Address: b.address, Seeds: []string{"a0", "a1", "a2", "a3", "a4"}, Stored: image, Now: f.now, Random: f.random.Float64})
+	params.ColdStart = core.cold
+	core.pending, core.inbox, core.frozen, core.lost, core.tickAt = nil, nil, false, false, 0
+	core.m = New(Options{Params: params, ID: core.id, Zone: core.zone, Address: core.address, Seeds: []string{"a0", "a1", "a2", "a3", "a4"}, Stored: image, Now: f.now, Random: f.random.Float64})
 }
 
 // kill stops a core; changes that were not synced are lost.
-func (f *fleet) kill(b *testCore) { b.m, b.pending = nil, nil }
+func (f *fleet) kill(core *testCore) { core.m, core.pending = nil, nil }
 
 // loseForGood kills a core whose machine never comes back.
-func (f *fleet) loseForGood(b *testCore) {
-	f.kill(b)
-	b.lost = true
-	f.lostMembers[b.id+"."+b.stored.Incarnation] = true
+func (f *fleet) loseForGood(core *testCore) {
+	f.kill(core)
+	core.lost = true
+	f.lostMembers[core.id+"."+core.stored.Incarnation] = true
 }
 
-func (f *fleet) handle(b *testCore, o Output) {
-	var held []Send
-	for _, s := range o.Sends {
-		if s.Synced && (len(o.Changes) > 0 || len(b.pending) > 0) {
-			held = append(held, s)
+func (f *fleet) handle(core *testCore, output Output) {
+	var unsynced []Send
+	for _, s := range output.Sends {
+		if s.Synced && (len(output.Changes) > 0 || len(core.pending) > 0) {
+			unsynced = append(unsynced, s)
 			continue
 		}
-		f.send(b, s)
+		f.send(core, s)
 	}
-	if len(o.Changes) > 0 || len(held) > 0 {
-		b.pending = append(b.pending, delayedWrite{due: f.now + testStep, changes: o.Changes, sends: held})
+	if len(output.Changes) > 0 || len(unsynced) > 0 {
+		core.pending = append(core.pending, delayedWrite{due: f.now + testStep, changes: output.Changes, sends: unsynced})
 	}
-	for _, a := range o.Answers {
+	for _, a := range output.Answers {
 		f.answers[a.Ticket] = a.Body
 	}
 }
 
-func (f *fleet) send(b *testCore, s Send) {
+func (f *fleet) send(core *testCore, s Send) {
 	kind := fmt.Sprintf("%T", s.Body)
 	if p, ok := s.Body.(PartMessage); ok {
 		inner, _ := message.Open(p.Raw)
 		kind = fmt.Sprintf("%T", inner)
 	}
 	f.kinds[kind]++
-	if f.drop != nil && f.drop(b.address, s.To, s.Body) {
+	if f.drop != nil && f.drop(core.address, s.To, s.Body) {
 		return
 	}
-	f.inFlight = append(f.inFlight, delivery{due: f.now + testStep, from: b.address, to: s.To, raw: message.Pack(s.Body)})
+	f.inFlight = append(f.inFlight, delivery{due: f.now + testStep, from: core.address, to: s.To, raw: message.Pack(s.Body)})
 }
 
 func (f *fleet) coreAt(address string) *testCore {
 	for i := len(f.cores) - 1; i >= 0; i-- {
-		if b := f.cores[i]; b.address == address && b.m != nil {
-			return b
+		if core := f.cores[i]; core.address == address && core.m != nil {
+			return core
 		}
 	}
 	return nil
 }
 
 func (f *fleet) deliver(p delivery) {
-	b := f.coreAt(p.to)
+	core := f.coreAt(p.to)
 	switch {
-	case b == nil:
-	case b.frozen:
-		b.inbox = append(b.inbox, p)
+	case core == nil:
+	case core.frozen:
+		core.inbox = append(core.inbox, p)
 	default:
 		body, err := message.Open(p.raw)
 		if err != nil {
 			f.t.Fatal(err)
 		}
-		f.handle(b, b.m.Receive(f.now, p.from, body))
+		f.handle(core, core.m.Receive(f.now, p.from, body))
 	}
 }
 
@@ -190,15 +193,15 @@
 		}
 	}
 	f.inFlight = rest
-	for _, b := range f.cores {
-		if b.frozen {
+	for _, core := range f.cores {
+		if core.frozen {
 			continue
 		}
-		ready := b.pending
-		b.pending = nil
+		ready := core.pending
+		core.pending = nil
 		for i, p := range ready {
 			if p.due > f.now {
-				b.pending = ready[i:]
+				core.pending = ready[i:]
 				break
 			}
 			for _, c := range p.changes {
@@ -206,29 +209,30 @@
 				if err := message.Unmarshal(message.Marshal(c), &again); err != nil {
 					f.t.Fatal(err)
 				}
-				b.stored.Apply(again)
+				core.stored.Apply(again)
 			}
 			for _, s := range p.sends {
-				f.send(b, s)
+				f.send(core, s)
 			}
 		}
 	}
 	for _, p := range due {
 		f.deliver(p)
 	}
-	for _, b := range f.cores {
-		if b.m != nil && !b.frozen && f.now >= b.tickAt {
-			b.tickAt = f.now + f.params.Part.LeaseDuration/20
-			f.handle(b, b.m.Tick(f.now))
+	for _, core := range f.cores {
+		if core.m != nil && !core.frozen && f.now >= core.tickAt {
+			core.tickAt = f.now + f.params.Part.LeaseDuration/20
+			f.handle(core, core.m.Tick(f.now))
 		}
 	}
 	f.checkLosses()
 }
 
-func (f *fleet) thaw(b *testCore) {
-	b.frozen = false
-	backlog := b.inbox
-	b.inbox = nil
+// thaw resumes a frozen core and delivers the messages that arrived meanwhile.
+func (f *fleet) thaw(core *testCore) {
+	core.frozen = false
+	backlog := core.inbox
+	core.inbox = nil
 	for _, p := range backlog {
 		f.deliver(p)
 	}
@@ -261,26 +265,28 @@
 	}
 }
 
+// leader returns the leader of a partition and the partition's committed group.
 func (f *fleet) leader(n int) (*testCore, partition.Group, bool) {
-	for _, b := range f.cores {
-		if b.m == nil || b.frozen || b.m.Partition(n) == nil {
+	for _, core := range f.cores {
+		if core.m == nil || core.frozen || core.m.Partition(n) == nil {
 			continue
 		}
-		if _, ok := b.m.Partition(n).LeadingTerm(f.now); ok {
-			g, _ := b.m.Partition(n).CommittedGroup()
-			return b, g, true
+		if _, ok := core.m.Partition(n).LeadingTerm(f.now); ok {
+			g, _ := core.m.Partition(n).CommittedGroup()
+			return core, g, true
 		}
 	}
 	return nil, partition.Group{}, false
 }
 
+// call runs a command through the first running core and returns its answer.
 func (f *fleet) call(command any) any {
 	f.t.Helper()
 	f.lastTicket++
 	ticket := f.lastTicket
-	for _, b := range f.cores {
-		if b.m != nil && !b.frozen && b.m.Founded() {
-			f.handle(b, b.m.Ask(f.now, ticket, command, 4*time.Second))
+	for _, core := range f.cores {
+		if core.m != nil && !core.frozen && core.m.Founded() {
+			f.handle(core, core.m.Ask(f.now, ticket, command, 4*time.Second))
 			break
 		}
 	}
@@ -294,6 +300,7 @@
 	return nil
 }
 
+// claim stores the claim with number i.
 func (f *fleet) claim(i int) {
 	f.t.Helper()
 	key, claim := fmt.Sprint("k", i), fmt.Sprint("first ", i)
@@ -303,7 +310,7 @@
 	f.claims[key] = claim
 }
 
-// checkEntries checks that every acknowledged entry can still be read.
+// checkClaims checks that every acknowledged claim is still stored.
 func (f *fleet) checkClaims() {
 	f.t.Helper()
 	for key, claim := range f.claims {
@@ -317,13 +324,13 @@
 func (f *fleet) unsettled() string {
 	replicas := map[string]int{}
 	var active []Core
-	for _, b := range f.cores {
-		if b.m != nil && !b.frozen && !b.m.Founded() && b.id != f.retired {
-			return b.id + " belongs to no fleet"
+	for _, core := range f.cores {
+		if core.m != nil && !core.frozen && !core.m.Founded() && core.id != f.retired {
+			return core.id + " belongs to no fleet"
 		}
-		if b.m != nil && !b.frozen && b.m.Founded() && !b.m.Self().Retired {
-			active = append(active, b.m.Self())
-			replicas[b.m.Self().Seat()] = 0
+		if core.m != nil && !core.frozen && core.m.Founded() && !core.m.Self().Retired {
+			active = append(active, core.m.Self())
+			replicas[core.m.Self().Seat()] = 0
 		}
 	}
 	for n := 0; n < testPartitions; n++ {
@@ -339,16 +346,16 @@
 				return fmt.Sprintf("partition %d: unexpected member %s in %v", n, member, g.Members)
 			}
 			replicas[member]++
-			for _, b := range f.cores {
-				if b.m == nil || b.m.Self().Seat() != member {
+			for _, core := range f.cores {
+				if core.m == nil || core.m.Self().Seat() != member {
 					continue
 				}
-				p := b.m.Partition(n)
+				p := core.m.Partition(n)
 				if p == nil {
 					return fmt.Sprintf("partition %d: %s has no replica", n, member)
 				}
 				for key, e := range leader.m.Partition(n).State().Entries {
-					if stored, ok := b.stored.Copies[n].Entries[key]; !e.Deleted && (!ok || stored.Version != e.Version) {
+					if stored, ok := core.stored.Copies[n].Entries[key]; !e.Deleted && (!ok || stored.Version != e.Version) {
 						return fmt.Sprintf("partition %d: the replica of %s lacks the entry %s", n, member, key)
 					}
 				}
@@ -381,6 +388,7 @@
 	return 0
 }
 
+// epochSum returns the sum of the groups' epochs, which grows with each group change.
 func (f *fleet) epochSum() (n int) {
 	for i := 0; i < testPartitions; i++ {
 		if _, g, ok := f.leader(i); ok {
@@ -396,13 +404,13 @@
 	for _, size := range []int{3, 5} {
 		f := newFleet(t, size, size+2)
 		f.tolerateSilence()
-		for _, b := range f.cores[1 : 1+size/2] {
-			f.kill(b)
-			f.wipe(b)
+		for _, core := range f.cores[1 : 1+size/2] {
+			f.kill(core)
+			f.wipe(core)
 		}
 		f.advance(300 * time.Millisecond)
-		for _, b := range f.cores[1 : 1+size/2] {
-			f.start(b)
+		for _, core := range f.cores[1 : 1+size/2] {
+			f.start(core)
 		}
 		f.awaitSettled(fmt.Sprintf("groups of %d", size), settleTime)
 		f.checkClaims()
@@ -428,9 +436,9 @@
 		if name == "the same name" {
 			id = old.id
 		}
-		b := f.addCore(id)
-		b.cold = false
-		f.start(b)
+		core := f.addCore(id)
+		core.cold = false
+		f.start(core)
 		f.awaitSettled(name, settleTime)
 		f.checkClaims()
 		f.loseForGood(f.cores[2])
@@ -475,16 +483,16 @@
 	if r := f.call(RetireCore{ID: "c1"}); r != (Retiring{Known: true, Enough: true, Done: true}) {
 		t.Errorf("retiring: %+v", r)
 	}
-	b := f.cores[2]
-	f.kill(b)
-	f.wipe(b)
-	f.start(b)
+	core := f.cores[2]
+	f.kill(core)
+	f.wipe(core)
+	f.start(core)
 	f.awaitSettled("one core retired, one wiped", settleTime)
 	f.checkClaims()
 	for n := 0; n < testPartitions; n++ {
-		s, ok := f.call(ReadSeats{Part: n}).(Seats)
-		if !ok || len(s.Seats) != 3 || len(s.Former) != 0 || slices.ContainsFunc(s.Seats, func(member string) bool { return SeatID(member) == "c1" }) {
-			t.Errorf("partition %d: %+v", n, s)
+		seats, ok := f.call(ReadSeats{Part: n}).(Seats)
+		if !ok || len(seats.Seats) != 3 || len(seats.Former) != 0 || slices.ContainsFunc(seats.Seats, func(member string) bool { return SeatID(member) == "c1" }) {
+			t.Errorf("partition %d: %+v", n, seats)
 		}
 	}
 	if r := f.call(RetireCore{ID: "c2"}); r != (Retiring{Known: true, Enough: true, Done: true}) {
@@ -511,21 +519,21 @@
 func TestRetiredWhileDown(t *testing.T) {
 	f := newFleet(t, 3, 5)
 	f.tolerateSilence()
-	b := f.cores[1]
-	f.kill(b)
+	core := f.cores[1]
+	f.kill(core)
 	f.advance(300 * time.Millisecond)
-	if r := f.call(RetireCore{ID: b.id}).(Retiring); !r.Done {
+	if r := f.call(RetireCore{ID: core.id}).(Retiring); !r.Done {
 		t.Errorf("%+v", r)
 	}
 	f.awaitSettled("retired while down", settleTime)
-	b.address = "elsewhere"
-	f.start(b)
+	core.address = "elsewhere"
+	f.start(core)
 	f.advance(8 * time.Second)
-	if !b.m.Self().Retired {
+	if !core.m.Self().Retired {
 		t.Error("the core does not know that it is retired")
 	}
 	for _, other := range f.cores {
-		if !other.m.Topology().Cores[b.id].Retired {
+		if !other.m.Topology().Cores[core.id].Retired {
 			t.Errorf("%s does not know that the core is retired", other.id)
 		}
 	}
@@ -590,21 +598,21 @@
 // replicas until it runs steadily.
 func TestFlappingCoreGetsNoReplicas(t *testing.T) {
 	f := newFleet(t, 3, 5)
-	b := f.cores[1]
-	b.frozen = true
+	core := f.cores[1]
+	core.frozen = true
 	f.advance(f.params.Gone + 3*time.Second)
 	f.awaitSettled("without it", settleTime)
 	before := f.epochSum()
 	for i := 0; i < 4; i++ {
-		f.thaw(b)
+		f.thaw(core)
 		f.advance(300 * time.Millisecond)
-		b.frozen = true
+		core.frozen = true
 		f.advance(f.params.Gone + 500*time.Millisecond)
 	}
 	if after := f.epochSum(); after != before {
 		t.Errorf("%d group changes", after-before)
 	}
-	f.thaw(b)
+	f.thaw(core)
 	f.awaitSettled("running steadily", settleTime)
 	f.checkClaims()
 }
@@ -616,13 +624,13 @@
 	f.advance(12 * time.Second)
 	before := f.epochSum()
 	f.drop = func(from, to string, body any) bool { return true }
-	for _, b := range f.cores {
-		b.frozen = true
+	for _, core := range f.cores {
+		core.frozen = true
 	}
 	f.advance(3 * f.params.Gone)
 	f.drop = nil
-	for _, b := range f.cores {
-		f.thaw(b)
+	for _, core := range f.cores {
+		f.thaw(core)
 	}
 	f.advance(8 * time.Second)
 	if after := f.epochSum(); after != before {
@@ -638,13 +646,13 @@
 	f.start(f.addCore("fresh"))
 	f.awaitSettled("replaced", settleTime)
 	f.advance(2 * time.Second)
-	var active []Core
-	for _, b := range f.cores {
-		if b.m != nil {
-			active = append(active, b.m.Self())
+	var running []Core
+	for _, core := range f.cores {
+		if core.m != nil {
+			running = append(running, core.m.Self())
 		}
 	}
-	for n, wanted := range Place(testPartitions, 3, active, nil) {
+	for n, wanted := range Place(testPartitions, 3, running, nil) {
 		if _, g, _ := f.leader(n); g.Members[0] != wanted[0] {
 			t.Errorf("partition %d: %v, planned %v", n, g.Members, wanted)
 		}
@@ -679,13 +687,13 @@
 	for _, cores := range []int{3, 5} {
 		f := newFleet(t, 3, cores)
 		f.tolerateSilence()
-		for _, b := range f.cores {
-			f.kill(b)
+		for _, core := range f.cores {
+			f.kill(core)
 		}
 		f.wipe(f.cores[0])
 		f.advance(300 * time.Millisecond)
-		for _, b := range f.cores {
-			f.start(b)
+		for _, core := range f.cores {
+			f.start(core)
 		}
 		f.awaitSettled("restarted", settleTime)
 		f.checkClaims()
@@ -696,9 +704,9 @@
 // partition, or nil.
 func (f *fleet) adding(id string) (leader *testCore, n int) {
 	for n := 0; n < testPartitions; n++ {
-		if b, _, ok := f.leader(n); ok {
-			if adding, _ := b.m.Partition(n).ChangeInProgress(); adding != "" && SeatID(adding) == id {
-				return b, n
+		if core, _, ok := f.leader(n); ok {
+			if adding, _ := core.m.Partition(n).ChangeInProgress(); adding != "" && SeatID(adding) == id {
+				return core, n
 			}
 		}
 	}
@@ -709,8 +717,8 @@
 // or nil.
 func (f *fleet) inJointGroup() (leader *testCore, n int) {
 	for n := 0; n < testPartitions; n++ {
-		if b, g, ok := f.leader(n); ok && len(g.Former) > 0 {
-			return b, n
+		if core, g, ok := f.leader(n); ok && len(g.Former) > 0 {
+			return core, n
 		}
 	}
 	return nil, 0
@@ -762,12 +770,12 @@
 // not block other changes of the group.
 func TestUnreachableJoiningCoreIsAbandoned(t *testing.T) {
 	f := newFleet(t, 3, 4)
-	b := f.addCore("fresh")
+	core := f.addCore("fresh")
 	f.drop = func(from, to string, body any) bool {
 		_, p := body.(PartMessage)
-		return p && (from == b.address || to == b.address)
+		return p && (from == core.address || to == core.address)
 	}
-	f.start(b)
+	f.start(core)
 	f.advance(8 * time.Second)
 	f.checkClaims()
 	f.drop = nil
@@ -816,12 +824,12 @@
 // integrated again, and a short pause changes no group.
 func TestFrozenCoreResumes(t *testing.T) {
 	f := newFleet(t, 3, 5)
-	b := f.cores[1]
-	b.frozen = true
+	core := f.cores[1]
+	core.frozen = true
 	f.advance(f.params.Gone + f.params.Gone/2)
 	f.awaitSettled("without the frozen core", settleTime)
 	f.checkClaims()
-	f.thaw(b)
+	f.thaw(core)
 	f.awaitSettled("with the resumed core", settleTime)
 	f.checkClaims()
 	f.advance(time.Second)
@@ -831,9 +839,9 @@
 		t.Errorf("%d group changes after the fleet settled", after-before)
 	}
 	// A short freeze changes no group.
-	b.frozen = true
+	core.frozen = true
 	f.advance(f.params.Gone / 2)
-	f.thaw(b)
+	f.thaw(core)
 	f.advance(3 * time.Second)
 	if after := f.epochSum(); after != before {
 		t.Errorf("%d group changes because of a short freeze", after-before)
@@ -875,8 +883,8 @@
 	f := newFleet(t, 3, 4)
 	old := f.cores[3]
 	old.frozen = true
-	b := f.addCore(old.id)
-	f.start(b)
+	core := f.addCore(old.id)
+	f.start(core)
 	f.awaitSettled("superseded", settleTime)
 	f.thaw(old)
 	f.advance(4 * time.Second)
@@ -887,7 +895,7 @@
 	f.start(old)
 	for end := f.now + 6*time.Second; f.now < end; f.step() {
 		for _, other := range f.cores {
-			if got := other.m.Topology().Cores[old.id]; other != old && got.Incarnation != b.stored.Incarnation {
+			if got := other.m.Topology().Cores[old.id]; other != old && got.Incarnation != core.stored.Incarnation {
 				t.Fatalf("%v: %s takes %v for the current incarnation", f.now, other.id, got)
 			}
 		}
@@ -943,24 +951,24 @@
 func TestColdStart(t *testing.T) {
 	f := &fleet{t: t, size: 3, random: rand.New(rand.NewPCG(1, 1)), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
 		params: Params{Part: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40}, MemberTerm: 2 * time.Second, Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}}
-	var list []Core
+	var founders []Core
 	for i := 0; i < 4; i++ {
-		b := f.addCore(fmt.Sprintf("c%d", i+1))
-		b.cold = i != 3
-		f.start(b)
-		list = append(list, b.m.Self())
+		core := f.addCore(fmt.Sprintf("c%d", i+1))
+		core.cold = i != 3
+		f.start(core)
+		founders = append(founders, core.m.Self())
 	}
 	f.advance(time.Second)
 	if f.kinds["core.Present"] < 20 {
 		t.Errorf("cores without a fleet sent %d announcements in a second", f.kinds["core.Present"])
 	}
-	plan := PlanFleet("f", testPartitions, 3, list[:3])
-	for _, b := range []*testCore{f.cores[3], f.cores[0]} {
+	plan := PlanFleet("f", testPartitions, 3, founders[:3])
+	for _, core := range []*testCore{f.cores[3], f.cores[0]} {
 		other := plan
-		other.Cores = map[string]Core{"c1": {ID: "c1", Incarnation: "of old"}, "c4": list[3]}
-		f.handle(b, b.m.Receive(f.now, "desk", FoundFleet{Founding: other}))
-		if b.m.Founded() {
-			t.Errorf("%s joined a fleet whose founding does not name it", b.id)
+		other.Cores = map[string]Core{"c1": {ID: "c1", Incarnation: "of old"}, "c4": founders[3]}
+		f.handle(core, core.m.Receive(f.now, "desk", FoundFleet{Founding: other}))
+		if core.m.Founded() {
+			t.Errorf("%s joined a fleet whose founding does not name it", core.id)
 		}
 	}
 	// One of three misses the founding message and gets it in answer to its announcement.
@@ -969,9 +977,9 @@
 	f.advance(500 * time.Millisecond)
 	f.drop = nil
 	f.awaitSettled("founded and joined by a fourth core", settleTime)
-	for _, b := range f.cores {
-		if got := b.m.Topology().Size; got != 3 {
-			t.Errorf("%s: groups of %d", b.id, got)
+	for _, core := range f.cores {
+		if got := core.m.Topology().Size; got != 3 {
+			t.Errorf("%s: groups of %d", core.id, got)
 		}
 	}
 }
--- a/peer/core/topology.go
+++ b/peer/core/topology.go
@@ -40,12 +40,13 @@
 	}
 }
 
-func (m *Machine) mergeCoresOf(c partition.State) {
-	for key, e := range c.Entries {
+// mergeCoresOf merges the core entries of the configuration partition's state.
+func (m *Machine) mergeCoresOf(state partition.State) {
+	for key, e := range state.Entries {
 		if len(key) > len(corePrefix) && key[:len(corePrefix)] == corePrefix && !e.Deleted {
-			var one Core
-			if message.Unmarshal(e.Value, &one) == nil {
-				m.mergeCore(one)
+			var core Core
+			if message.Unmarshal(e.Value, &core) == nil {
+				m.mergeCore(core)
 			}
 		}
 	}
@@ -131,8 +132,8 @@
 type gossipState struct {
 	gossipAt, heartbeatAt, topologyAt time.Duration
 	// digest is the digest of the topology at the last heartbeat. topologySentAt is
-	// when the topology was last sent to a core that reported another digest, by
-	// address.
+	// when the topology was last sent, by the address of the core that had reported
+	// another digest.
 	digest         uint64
 	topologySentAt map[string]time.Duration
 }
@@ -171,15 +172,15 @@
 // are quoted, numbers separated by spaces, and lists preceded by their lengths.
 type digestInput []byte
 
-func (d *digestInput) addStrings(words ...string) {
-	for _, word := range words {
-		*d = strconv.AppendQuote(*d, word)
+func (d *digestInput) addStrings(values ...string) {
+	for _, value := range values {
+		*d = strconv.AppendQuote(*d, value)
 	}
 }
 
-func (d *digestInput) addNumbers(numbers ...uint64) {
-	for _, number := range numbers {
-		*d = strconv.AppendUint(append(*d, ' '), number, 10)
+func (d *digestInput) addNumbers(values ...uint64) {
+	for _, value := range values {
+		*d = strconv.AppendUint(append(*d, ' '), value, 10)
 	}
 }
 
