--- a/peer/core/identity_test.go
+++ b/peer/core/identity_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// TestRequestersIDsAreApart: requesters choose the ids of their attempts and
-// programs. Neither another tenant's choice nor a second use of one's own may
-// touch what was acknowledged.
-func TestRequestersIDsAreApart(t *testing.T) {
-	t.Run("turns of tenants", turnsOfTenants)
-	t.Run("turns under one id", turnsUnderOneID)
-	t.Run("books of tenants", booksOfTenants)
+// TestTenantsIDsAreIndependent: requesters choose the IDs of their attempts and
+// programs. Reuse of an ID, by the same or by another tenant, must not change what
+// was acknowledged.
+func TestTenantsIDsAreIndependent(t *testing.T) {
+	t.Run("turns of tenants", testSameIDOfTwoTenants)
+	t.Run("turns under one id", testSecondTurnUnderOneID)
+	t.Run("books of tenants", testBudgetsOfTwoTenants)
 }
 
-// turnsOfTenants: two tenants choose the same id; each keeps its own turn under it.
-func turnsOfTenants(t *testing.T) {
+// testSameIDOfTwoTenants: two tenants use the same ID for a turn of their own.
+func testSameIDOfTwoTenants(t *testing.T) {
 	a := newAlone(t)
 	keep := func(tenant, output string) bool {
 		return a.run(KeepTurn{Tenant: tenant, Attempt: "same", Input: []byte("in"), Output: []byte(output), Keep: time.Minute}).(Done).OK
@@ -34,10 +34,9 @@
 	}
 }
 
-// turnsUnderOneID: a turn that is not the one that is kept
-// under its id must not be acknowledged as kept. The same command that comes again
-// is.
-func turnsUnderOneID(t *testing.T) {
+// testSecondTurnUnderOneID: a turn that differs from the one kept under its ID must
+// not be acknowledged as kept, while a repetition of the same command is.
+func testSecondTurnUnderOneID(t *testing.T) {
 	a := newAlone(t)
 	command := KeepTurn{Tenant: "t", Attempt: "x", Before: []string{"w"}, Input: []byte("in"), Output: []byte("out"), Keep: time.Minute}
 	for range 2 {
@@ -58,8 +57,9 @@
 	}
 }
 
-// booksOfTenants: names of tenants and programs are free texts.
-func booksOfTenants(t *testing.T) {
+// testBudgetsOfTwoTenants: names of tenants and programs may contain the separator of
+// stored keys.
+func testBudgetsOfTwoTenants(t *testing.T) {
 	a := newAlone(t)
 	reserve := func(tenant, program string) bool {
 		return a.run(ReserveTurn{Tenant: tenant, Program: program, Attempt: "x" + tenant, Most: 80, Budget: 100, Keep: time.Minute}).(TurnReserved).OK
@@ -69,21 +69,21 @@
 	}
 }
 
-// TestFormerVersionFindsTurns: in the middle of an upgrade a core of the former
-// version may lead. It looks for a turn under its attempt alone.
+// TestFormerVersionFindsTurns: during an upgrade a core of the former version may
+// lead a partition. It looks for a turn under the key of its attempt alone.
 func TestFormerVersionFindsTurns(t *testing.T) {
 	a := newAlone(t)
 	command := KeepTurn{Tenant: "t", Attempt: "x", Output: []byte("out"), Keep: time.Minute}
 	a.run(command)
-	e, ok := a.m.parts[Target(4, command)].State().Entries[keptPrefix+"x"]
+	e, ok := a.m.partitions[Target(4, command)].State().Entries[keptPrefix+"x"]
 	if !ok || e.Deleted {
-		t.Fatal("the first tenant's turn is not under its attempt alone")
+		t.Fatal("the first tenant's turn is not stored under the key of its attempt alone")
 	}
 }
 
-// TestMisleadingID: an id that reads like another tenant's name and id takes nothing
-// from it.
-func TestMisleadingID(t *testing.T) {
+// TestIDResemblingAnotherTenantsKey: an ID that equals another tenant's name and ID
+// joined does not overwrite that tenant's turn.
+func TestIDResemblingAnotherTenantsKey(t *testing.T) {
 	a := newAlone(t)
 	keep := func(tenant, attempt string) bool {
 		return a.run(KeepTurn{Tenant: tenant, Attempt: attempt, Output: []byte(tenant), Keep: time.Minute}).(Done).OK
@@ -94,10 +94,10 @@
 	}
 	for _, one := range [][2]string{{"c", "x"}, {"b", "a/x"}, {"a", "x"}} {
 		if !keep(one[0], one[1]) {
-			t.Errorf("tenant %s, id %s is not kept", one[0], one[1])
+			t.Errorf("the turn of tenant %s with ID %s was not kept", one[0], one[1])
 		}
 	}
 	if !found("c", "x") || !found("b", "a/x") || !found("a", "x") {
-		t.Error("a turn that was kept is lost")
+		t.Error("a turn that was kept was lost")
 	}
 }
--- /dev/null
+++ b/peer/core/membership.go
@@ -0,0 +1,258 @@
+package core
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"saffronfall/rule/ordered"
+	"saffronfall/rule/partition"
+)
+
+// Move is one change of a partition's group: a member to add, one to remove, or
+// both.
+type Move struct {
+	Partition int    `json:"part"`
+	Add       string `json:"add,omitempty"`
+	Remove    string `json:"remove,omitempty"`
+}
+
+// Kinds of changes to the fleet's cores.
+const (
+	KindAdd     = "add"
+	KindRetire  = "retire"
+	KindReplace = "replace"
+)
+
+// ChangeResult is the outcome of a change to the fleet's cores. Code and Reason
+// are empty if nothing went wrong.
+type ChangeResult struct {
+	Done      bool   `json:"done"`
+	Moves     []Move `json:"moves"`
+	MovesMade int    `json:"moves_made"`
+	Code      string `json:"code,omitempty"`
+	Reason    string `json:"reason,omitempty"`
+}
+
+// rejoin makes a core with an empty directory join the fleet that sent its
+// topology, whether or not the fleet knows the core's ID. The core has no vote
+// until groups have changed to admit it. It waits for FoundFleet instead if it is
+// a member of a group already, or if the topology lacks a group and so can't tell.
+// A retired core stays outside.
+func (m *Machine) rejoin(now time.Duration, t Topology) {
+	known, ok := t.Cores[m.self.ID]
+	if len(t.Groups) == 0 || known.Retired {
+		return
+	}
+	for _, g := range t.Groups {
+		if g.Epoch == 0 || g.Has(m.self.Seat()) {
+			return
+		}
+	}
+	f := Founding{Fleet: t.Fleet, Partitions: len(t.Groups), Cores: maps.Clone(t.Cores), Groups: make([]partition.Group, len(t.Groups)), Size: t.Size}
+	if f.Cores == nil {
+		f.Cores = map[string]Core{}
+	}
+	m.self.Version = known.Version + 1
+	f.Cores[m.self.ID] = m.self
+	if ok {
+		m.Counters.Rejoins++
+	}
+	m.Join(now, f)
+	m.mergeTopology(t)
+	m.announceToAll()
+}
+
+// Join makes this core, which has no vote in any group yet, belong to a fleet.
+func (m *Machine) Join(now time.Duration, f Founding) {
+	m.out.Changes = append(m.out.Changes, Change{Founding: &f})
+	s := Stored{Incarnation: m.self.Incarnation}
+	s.Apply(Change{Founding: &f})
+	m.start(now, s)
+}
+
+// register corrects the fleet's entry of this core. The partitions' leaders then
+// let this incarnation take the place of an earlier one in their groups.
+func (m *Machine) register(now time.Duration) {
+	if m.registering || m.self.Retired || m.draining || m.stalled || !m.unregistered || m.superseded {
+		return
+	}
+	m.registering = true
+	before, claim := m.self, m.self
+	if known := m.cores[m.self.ID]; known.Incarnation != m.self.Incarnation {
+		claim.Version = max(claim.Version, known.Version+1)
+	}
+	claim.Version += m.claimIncrement
+	m.caller.Call(now, PutCore{Core: claim}, now+10*m.params.MemberTerm, func(now time.Duration, o Outcome) {
+		m.registering = false
+		switch a := o.Answer.(type) {
+		case CoreEnded:
+			m.superseded = a.Core.Incarnation != m.self.Incarnation
+			m.mergeCore(a.Core)
+		case Done:
+			switch {
+			case !a.OK:
+				m.claimIncrement++
+			case m.self == before:
+				m.unregistered, m.claimIncrement = false, 0
+				if m.self != claim {
+					m.self, m.cores[m.self.ID] = claim, claim
+					m.topologyChanged = true
+				}
+			}
+		}
+	})
+}
+
+// announceToAll sends this core's entry to all other cores at once.
+func (m *Machine) announceToAll() {
+	for _, id := range ordered.Keys(m.cores) {
+		if c := m.cores[id]; id != m.self.ID {
+			m.send(c.Peer, m.presence(), false)
+		}
+	}
+}
+
+// PlanChange returns the moves that a change to the fleet's cores needs, or the
+// reason why it is impossible. Silent cores are assigned replicas only where too
+// few others remain.
+func PlanChange(cores map[string]Core, silent map[string]bool, groups []partition.Group, size int, kind, id, by string) ChangeResult {
+	changed, ok := cores[id]
+	if !ok {
+		return ChangeResult{Code: "unknown_core", Reason: "no core of this fleet is called " + id}
+	}
+	if substitute, ok := cores[by]; kind == KindReplace && (!ok || substitute.Retired) {
+		return ChangeResult{Code: "unknown_core", Reason: "no core of this fleet is called " + by}
+	}
+	var after []Core
+	staying := 0
+	for _, otherID := range ordered.Keys(cores) {
+		next := cores[otherID]
+		next.Retired = next.Retired || (otherID == id && kind != KindAdd)
+		after = append(after, next)
+		if !next.Retired {
+			staying++
+		}
+	}
+	if kind != KindAdd && staying < size && !changed.Retired {
+		return ChangeResult{Code: "no_room", Reason: tooFewCores(id)}
+	}
+	var moves []Move
+	for n, wanted := range Place(len(groups), size, after, silent) {
+		moves = append(moves, membershipMoves(n, groups[n].Members, wanted)...)
+	}
+	return ChangeResult{Moves: moves}
+}
+
+// tooFewCores is the reason for refusing to retire a core.
+func tooFewCores(id string) string {
+	return "without " + id + " some group would have too few members; add a core first"
+}
+
+// membershipMoves returns the moves that turn a group into the wanted one, each
+// member to add paired with one to remove as long as there are both.
+func membershipMoves(n int, group, wanted []string) []Move {
+	var moves []Move
+	for _, member := range wanted {
+		if !slices.Contains(group, member) {
+			moves = append(moves, Move{Partition: n, Add: member})
+		}
+	}
+	paired := 0
+	for _, member := range group {
+		if slices.Contains(wanted, member) {
+			continue
+		}
+		if paired == len(moves) {
+			moves = append(moves, Move{Partition: n})
+		}
+		moves[paired].Remove = member
+		paired++
+	}
+	return moves
+}
+
+// ChangeCore carries out one change to the fleet's cores. KindAdd waits until a new
+// core has its replicas; KindRetire and KindReplace retire a core and wait until
+// it has none. The answer is a ChangeResult.
+func (m *Machine) ChangeCore(now time.Duration, ticket uint64, kind, id, by string, within time.Duration) Output {
+	m.out = &Output{}
+	m.refreshTopology()
+	until := now + within
+	plan := PlanChange(m.cores, m.silentCores(now), m.groups, m.groupSize(), kind, id, by)
+	if plan.Code != "" {
+		m.answer(ticket, plan)
+		return *m.out
+	}
+	if kind == KindAdd {
+		m.awaitGroups(now, ticket, until, plan, func(n int, members []string) bool {
+			wanted := m.desiredGroups(m.activeAt)[n]
+			member := m.cores[id].Seat()
+			return slices.Contains(members, member) || !slices.Contains(wanted, member)
+		})
+		return *m.out
+	}
+	m.caller.Call(now, RetireCore{ID: id}, until, func(now time.Duration, o Outcome) {
+		retiring, ok := o.Answer.(Retiring)
+		switch {
+		case !ok:
+			m.answer(ticket, ChangeResult{Moves: plan.Moves, Code: "not_finished", Reason: "the core could not be marked as retired in time; repeat the request"})
+		case !retiring.Known:
+			m.answer(ticket, ChangeResult{Code: "unknown_core", Reason: "no core of this fleet is called " + id})
+		case !retiring.Enough:
+			m.answer(ticket, ChangeResult{Moves: plan.Moves, Code: "no_room", Reason: tooFewCores(id)})
+		default:
+			m.awaitGroups(now, ticket, until, plan, func(n int, members []string) bool {
+				return !slices.ContainsFunc(members, func(member string) bool { return SeatID(member) == id })
+			})
+		}
+	})
+	return *m.out
+}
+
+// awaitGroups asks the partitions' leaders for their groups until all of them
+// satisfy settled, or until the deadline.
+func (m *Machine) awaitGroups(now time.Duration, ticket uint64, until time.Duration, plan ChangeResult, settled func(n int, members []string) bool) {
+	waiting, settledCount := m.founding.Partitions, 0
+	for n := 0; n < m.founding.Partitions; n++ {
+		m.caller.Call(now, ReadSeats{Part: n}, until, func(now time.Duration, o Outcome) {
+			if group, ok := o.Answer.(Seats); ok && settled(n, append(slices.Clone(group.Seats), group.Former...)) {
+				settledCount++
+			}
+			if waiting--; waiting > 0 {
+				return
+			}
+			plan.MovesMade = max(0, len(plan.Moves)-(m.founding.Partitions-settledCount))
+			switch {
+			case settledCount == m.founding.Partitions:
+				plan.Done, plan.MovesMade = true, len(plan.Moves)
+				m.answer(ticket, plan)
+			case now >= until:
+				plan.Code, plan.Reason = "not_finished", "not all moves were made in time; repeat the request to continue"
+				m.answer(ticket, plan)
+			default:
+				m.later.Add(now+m.params.Pull, func(now time.Duration) { m.awaitGroups(now, ticket, until, plan, settled) })
+			}
+		})
+	}
+}
+
+// RegisterCore adds a new core's entry to the fleet's registry, before it is given
+// replicas. The answer is a Done.
+func (m *Machine) RegisterCore(now time.Duration, ticket uint64, c Core, within time.Duration) Output {
+	m.out = &Output{}
+	if old, ok := m.cores[c.ID]; ok && old.Incarnation != c.Incarnation && !old.Retired {
+		m.answer(ticket, Done{})
+		return *m.out
+	} else if ok {
+		c.Version = old.Version + 1
+	}
+	m.caller.Call(now, PutCore{Core: c}, now+within, func(now time.Duration, o Outcome) {
+		d, _ := o.Answer.(Done)
+		if d.OK {
+			m.mergeCore(c)
+		}
+		m.answer(ticket, d)
+	})
+	return *m.out
+}
--- a/peer/core/membership_test.go
+++ b/peer/core/membership_test.go
@@ -12,193 +12,196 @@
 )
 
 const (
-	testParts = 13
-	catchUp   = 4400 * time.Millisecond
-	testStep  = 5 * time.Millisecond
+	testPartitions = 13
+	settleTime     = 4400 * time.Millisecond
+	testStep       = 5 * time.Millisecond
 )
 
-// box is one process of the fleet: its machine, and what its disk holds.
-type box struct {
+// testCore is one process of the fleet: its machine and the contents of its disk.
+type testCore struct {
 	id, zone, address string
 	m                 *Machine
 	stored            Stored
-	pending           []pending
+	pending           []delayedWrite
 	frozen, lost      bool
 	cold              bool
 	tickAt            time.Duration
-	backlog           []parcel
+	inbox             []delivery
 }
 
-type pending struct {
-	at      time.Duration
+type delayedWrite struct {
+	due     time.Duration
 	changes []Change
 	sends   []Send
 }
 
-type parcel struct {
-	at       time.Duration
+type delivery struct {
+	due      time.Duration
 	from, to string
 	raw      []byte
 }
 
-// fleet carries the messages of cores by hand, under a clock of its own.
+// fleet runs cores under a simulated clock, network and disk.
 type fleet struct {
-	t       *testing.T
-	now     time.Duration
-	size    int
-	params  Params
-	random  *rand.Rand
-	boxes   []*box
-	flying  []parcel
-	drop    func(from, to string, body any) bool
-	answers map[uint64]any
-	next    uint64
-	lives   int
-	keys    map[string]string
-	kinds   map[string]int
-	// gone are seats whose copies are lost for good.
-	gone map[string]bool
-	// retired is a core that may stay without a fleet.
+	t            *testing.T
+	now          time.Duration
+	size         int
+	params       Params
+	random       *rand.Rand
+	cores        []*testCore
+	inFlight     []delivery
+	drop         func(from, to string, body any) bool
+	answers      map[uint64]any
+	lastTicket   uint64
+	incarnations int
+	claims       map[string]string
+	kinds        map[string]int
+	// lostMembers are incarnations whose replicas are lost for good.
+	lostMembers map[string]bool
+	// retired is the ID of a core that must not rejoin the fleet.
 	retired string
 }
 
+// newFleet founds a fleet, stores some claims and waits until it has settled.
 func newFleet(t *testing.T, size, cores int) *fleet {
-	f := &fleet{t: t, size: size, random: rand.New(rand.NewPCG(7, uint64(cores))), answers: map[uint64]any{}, keys: map[string]string{}, kinds: map[string]int{}, gone: map[string]bool{},
+	f := &fleet{t: t, size: size, random: rand.New(rand.NewPCG(7, uint64(cores))), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
 		params: Params{Part: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberTerm: 2 * time.Second,
 			Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond, Gone: 2 * time.Second, ColdStart: true}}
-	var list []Core
+	var founders []Core
 	for i := 0; i < cores; i++ {
-		b := f.add(fmt.Sprintf("c%d", i+1))
-		f.boot(b)
-		list = append(list, b.m.Self())
+		added := f.addCore(fmt.Sprintf("c%d", i+1))
+		f.start(added)
+		founders = append(founders, added.m.Self())
 	}
-	b := f.boxes[0]
-	f.take(b, b.m.Receive(f.now, "desk", FoundFleet{Founding: Plan("f", testParts, size, list)}))
-	f.pass(2 * time.Second)
+	first := f.cores[0]
+	f.handle(first, first.m.Receive(f.now, "desk", FoundFleet{Founding: PlanFleet("f", testPartitions, size, founders)}))
+	f.advance(2 * time.Second)
 	for i := 0; i < 150; i++ {
-		f.put(i)
+		f.claim(i)
 	}
-	f.settled("after the founding", catchUp)
+	f.awaitSettled("after the founding", settleTime)
 	return f
 }
 
-// slow makes cores that are only silent keep their seats for long.
-func (f *fleet) slow() {
+// tolerateSilence raises the time until silent cores lose their replicas.
+func (f *fleet) tolerateSilence() {
 	f.params.Gone = time.Minute
-	for _, b := range f.boxes {
-		b.m.params.Gone = time.Minute
+	for _, core := range f.cores {
+		core.m.params.Gone = time.Minute
 	}
 }
 
-func (f *fleet) add(id string) *box {
-	n := len(f.boxes)
-	b := &box{id: id, zone: fmt.Sprintf("z%d", n%3), address: fmt.Sprintf("a%d", n), cold: true}
-	f.boxes = append(f.boxes, b)
-	f.empty(b)
-	return b
+// addCore adds a core with an empty disk, not started.
+func (f *fleet) addCore(id string) *testCore {
+	n := len(f.cores)
+	core := &testCore{id: id, zone: fmt.Sprintf("z%d", n%3), address: fmt.Sprintf("a%d", n), cold: true}
+	f.cores = append(f.cores, core)
+	f.wipe(core)
+	return core
 }
 
-func (f *fleet) empty(b *box) {
-	if b.stored.Incarnation != "" {
-		f.gone[b.id+"."+b.stored.Incarnation] = true
+// wipe empties a core's disk, which begins a new incarnation.
+func (f *fleet) wipe(core *testCore) {
+	if core.stored.Incarnation != "" {
+		f.lostMembers[core.id+"."+core.stored.Incarnation] = true
 	}
-	f.lives++
-	b.stored = Stored{Incarnation: fmt.Sprint(f.lives)}
+	f.incarnations++
+	core.stored = Stored{Incarnation: fmt.Sprint(f.incarnations)}
 }
 
-func (f *fleet) boot(b *box) {
+func (f *fleet) start(core *testCore) {
 	var image Stored
-	image.CopyFrom(b.stored)
+	image.CopyFrom(core.stored)
 	params := f.params
-	params.ColdStart = b.cold
-	b.pending, b.backlog, b.frozen, b.lost, b.tickAt = nil, nil, false, false, 0
-	b.m = New(Options{Params: params, ID: b.id, Zone: b.zone, Address: b.address, Seeds: []string{"a0", "a1", "a2", "a3", "a4"}, Stored: image, Now: f.now, Random: f.random.Float64})
+	params.ColdStart = core.cold
+	core.pending, core.inbox, core.frozen, core.lost, core.tickAt = nil, nil, false, false, 0
+	core.m = New(Options{Params: params, ID: core.id, Zone: core.zone, Address: core.address, Seeds: []string{"a0", "a1", "a2", "a3", "a4"}, Stored: image, Now: f.now, Random: f.random.Float64})
 }
 
-// kill loses what was not synced.
-func (f *fleet) kill(b *box) { b.m, b.pending = nil, nil }
+// kill stops a core; changes that were not synced are lost.
+func (f *fleet) kill(core *testCore) { core.m, core.pending = nil, nil }
 
-// lose kills a core whose machine never comes back.
-func (f *fleet) lose(b *box) {
-	f.kill(b)
-	b.lost = true
-	f.gone[b.id+"."+b.stored.Incarnation] = true
+// loseForGood kills a core whose machine never comes back.
+func (f *fleet) loseForGood(core *testCore) {
+	f.kill(core)
+	core.lost = true
+	f.lostMembers[core.id+"."+core.stored.Incarnation] = true
 }
 
-func (f *fleet) take(b *box, o Output) {
-	var held []Send
-	for _, s := range o.Sends {
-		if s.Synced && (len(o.Changes) > 0 || len(b.pending) > 0) {
-			held = append(held, s)
+func (f *fleet) handle(core *testCore, output Output) {
+	var unsynced []Send
+	for _, s := range output.Sends {
+		if s.Synced && (len(output.Changes) > 0 || len(core.pending) > 0) {
+			unsynced = append(unsynced, s)
 			continue
 		}
-		f.send(b, s)
+		f.send(core, s)
 	}
-	if len(o.Changes) > 0 || len(held) > 0 {
-		b.pending = append(b.pending, pending{at: f.now + testStep, changes: o.Changes, sends: held})
+	if len(output.Changes) > 0 || len(unsynced) > 0 {
+		core.pending = append(core.pending, delayedWrite{due: f.now + testStep, changes: output.Changes, sends: unsynced})
 	}
-	for _, a := range o.Answers {
+	for _, a := range output.Answers {
 		f.answers[a.Ticket] = a.Body
 	}
 }
 
-func (f *fleet) send(b *box, s Send) {
+func (f *fleet) send(core *testCore, s Send) {
 	kind := fmt.Sprintf("%T", s.Body)
 	if p, ok := s.Body.(PartMessage); ok {
 		inner, _ := message.Open(p.Raw)
 		kind = fmt.Sprintf("%T", inner)
 	}
 	f.kinds[kind]++
-	if f.drop != nil && f.drop(b.address, s.To, s.Body) {
+	if f.drop != nil && f.drop(core.address, s.To, s.Body) {
 		return
 	}
-	f.flying = append(f.flying, parcel{at: f.now + testStep, from: b.address, to: s.To, raw: message.Pack(s.Body)})
+	f.inFlight = append(f.inFlight, delivery{due: f.now + testStep, from: core.address, to: s.To, raw: message.Pack(s.Body)})
 }
 
-func (f *fleet) at(address string) *box {
-	for i := len(f.boxes) - 1; i >= 0; i-- {
-		if b := f.boxes[i]; b.address == address && b.m != nil {
-			return b
+func (f *fleet) coreAt(address string) *testCore {
+	for i := len(f.cores) - 1; i >= 0; i-- {
+		if core := f.cores[i]; core.address == address && core.m != nil {
+			return core
 		}
 	}
 	return nil
 }
 
-func (f *fleet) deliver(p parcel) {
-	b := f.at(p.to)
+func (f *fleet) deliver(p delivery) {
+	core := f.coreAt(p.to)
 	switch {
-	case b == nil:
-	case b.frozen:
-		b.backlog = append(b.backlog, p)
+	case core == nil:
+	case core.frozen:
+		core.inbox = append(core.inbox, p)
 	default:
 		body, err := message.Open(p.raw)
 		if err != nil {
 			f.t.Fatal(err)
 		}
-		f.take(b, b.m.Receive(f.now, p.from, body))
+		f.handle(core, core.m.Receive(f.now, p.from, body))
 	}
 }
 
 func (f *fleet) step() {
 	f.now += testStep
-	var due, rest []parcel
-	for _, p := range f.flying {
-		if p.at <= f.now {
+	var due, rest []delivery
+	for _, p := range f.inFlight {
+		if p.due <= f.now {
 			due = append(due, p)
 		} else {
 			rest = append(rest, p)
 		}
 	}
-	f.flying = rest
-	for _, b := range f.boxes {
-		if b.frozen {
+	f.inFlight = rest
+	for _, core := range f.cores {
+		if core.frozen {
 			continue
 		}
-		ready := b.pending
-		b.pending = nil
+		ready := core.pending
+		core.pending = nil
 		for i, p := range ready {
-			if p.at > f.now {
-				b.pending = ready[i:]
+			if p.due > f.now {
+				core.pending = ready[i:]
 				break
 			}
 			for _, c := range p.changes {
@@ -206,81 +209,84 @@
 				if err := message.Unmarshal(message.Marshal(c), &again); err != nil {
 					f.t.Fatal(err)
 				}
-				b.stored.Apply(again)
+				core.stored.Apply(again)
 			}
 			for _, s := range p.sends {
-				f.send(b, s)
+				f.send(core, s)
 			}
 		}
 	}
 	for _, p := range due {
 		f.deliver(p)
 	}
-	for _, b := range f.boxes {
-		if b.m != nil && !b.frozen && f.now >= b.tickAt {
-			b.tickAt = f.now + f.params.Part.LeaseDuration/20
-			f.take(b, b.m.Tick(f.now))
+	for _, core := range f.cores {
+		if core.m != nil && !core.frozen && f.now >= core.tickAt {
+			core.tickAt = f.now + f.params.Part.LeaseDuration/20
+			f.handle(core, core.m.Tick(f.now))
 		}
 	}
-	f.guard()
+	f.checkLosses()
 }
 
-func (f *fleet) wake(b *box) {
-	b.frozen = false
-	backlog := b.backlog
-	b.backlog = nil
+// thaw resumes a frozen core and delivers the messages that arrived meanwhile.
+func (f *fleet) thaw(core *testCore) {
+	core.frozen = false
+	backlog := core.inbox
+	core.inbox = nil
 	for _, p := range backlog {
 		f.deliver(p)
 	}
 }
 
-// guard checks that no group has more seats whose copies are lost than it bears.
-func (f *fleet) guard() {
-	for n := 0; n < testParts; n++ {
-		_, g, ok := f.owner(n)
+// checkLosses checks that no group has lost more replicas than it tolerates.
+func (f *fleet) checkLosses() {
+	for n := 0; n < testPartitions; n++ {
+		_, g, ok := f.leader(n)
 		if !ok {
 			continue
 		}
-		for _, seats := range [][]string{g.Members, g.Former} {
+		for _, members := range [][]string{g.Members, g.Former} {
 			lost := 0
-			for _, s := range seats {
-				if f.gone[s] {
+			for _, member := range members {
+				if f.lostMembers[member] {
 					lost++
 				}
 			}
 			if lost > f.size/2 {
-				f.t.Fatalf("%v: part %d has lost %d of %v", f.now, n, lost, seats)
+				f.t.Fatalf("%v: partition %d has lost %d replicas of %v", f.now, n, lost, members)
 			}
 		}
 	}
 }
 
-func (f *fleet) pass(d time.Duration) {
+func (f *fleet) advance(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.step()
 	}
 }
 
-func (f *fleet) owner(n int) (*box, partition.Group, bool) {
-	for _, b := range f.boxes {
-		if b.m == nil || b.frozen || b.m.Part(n) == nil {
+// leader returns the leader of a partition and the partition's committed group.
+func (f *fleet) leader(n int) (*testCore, partition.Group, bool) {
+	for _, core := range f.cores {
+		if core.m == nil || core.frozen || core.m.Partition(n) == nil {
 			continue
 		}
-		if _, ok := b.m.Part(n).LeadingTerm(f.now); ok {
-			g, _ := b.m.Part(n).CommittedGroup()
-			return b, g, true
+		if _, ok := core.m.Partition(n).LeadingTerm(f.now); ok {
+			g, _ := core.m.Partition(n).CommittedGroup()
+			return core, g, true
 		}
 	}
 	return nil, partition.Group{}, false
 }
 
-func (f *fleet) ask(command any) any {
+// call runs a command through the first running core and returns its answer.
+func (f *fleet) call(command any) any {
 	f.t.Helper()
-	f.next++
-	ticket := f.next
-	for _, b := range f.boxes {
-		if b.m != nil && !b.frozen && b.m.Founded() {
-			f.take(b, b.m.Ask(f.now, ticket, command, 4*time.Second))
+	f.lastTicket++
+	ticket := f.lastTicket
+	for _, core := range f.cores {
+		if core.m != nil && !core.frozen && core.m.Founded() {
+			f.handle(core, core.m.Ask(f.now, ticket, command, 4*time.Second))
 			break
 		}
 	}
@@ -290,593 +296,623 @@
 		}
 		f.step()
 	}
-	f.t.Fatalf("%v: no answer to %T", f.now, command)
+	f.t.Fatalf("%v: no answer to %T arrived", f.now, command)
 	return nil
 }
 
-func (f *fleet) put(i int) {
+// claim stores the claim with number i.
+func (f *fleet) claim(i int) {
 	f.t.Helper()
 	key, claim := fmt.Sprint("k", i), fmt.Sprint("first ", i)
-	if o, ok := f.ask(ClaimOnce{Tenant: "t", Service: "s", Key: key, Claim: claim, Keep: time.Hour}).(Once); !ok || o.Claim != claim {
-		f.t.Fatalf("%v: %s is not kept: %+v", f.now, key, o)
+	if o, ok := f.call(ClaimOnce{Tenant: "t", Service: "s", Key: key, Claim: claim, Keep: time.Hour}).(Once); !ok || o.Claim != claim {
+		f.t.Fatalf("%v: the claim of %s was not stored: %+v", f.now, key, o)
 	}
-	f.keys[key] = claim
+	f.claims[key] = claim
 }
 
-// kept asks for everything that was agreed.
-func (f *fleet) kept() {
+// checkClaims checks that every acknowledged claim is still stored.
+func (f *fleet) checkClaims() {
 	f.t.Helper()
-	for key, claim := range f.keys {
-		if o, ok := f.ask(ClaimOnce{Tenant: "t", Service: "s", Key: key, Claim: "other", Keep: time.Hour}).(Once); !ok || o.Claim != claim {
-			f.t.Errorf("%v: %s was agreed as %q and is %+v", f.now, key, claim, o)
+	for key, claim := range f.claims {
+		if o, ok := f.call(ClaimOnce{Tenant: "t", Service: "s", Key: key, Claim: "other", Keep: time.Hour}).(Once); !ok || o.Claim != claim {
+			f.t.Errorf("%v: %s was acknowledged as %q but is %+v", f.now, key, claim, o)
 		}
 	}
 }
 
-// lack says why the fleet is not as it should be yet.
-func (f *fleet) lack() string {
-	seats := map[string]int{}
-	var able []Core
-	for _, b := range f.boxes {
-		if b.m != nil && !b.frozen && !b.m.Founded() && b.id != f.retired {
-			return b.id + " belongs to no fleet"
+// unsettled returns the reason why the fleet has not reached its desired state, or "".
+func (f *fleet) unsettled() string {
+	replicas := map[string]int{}
+	var active []Core
+	for _, core := range f.cores {
+		if core.m != nil && !core.frozen && !core.m.Founded() && core.id != f.retired {
+			return core.id + " belongs to no fleet"
 		}
-		if b.m != nil && !b.frozen && b.m.Founded() && !b.m.Self().Retired {
-			able = append(able, b.m.Self())
-			seats[b.m.Self().Seat()] = 0
+		if core.m != nil && !core.frozen && core.m.Founded() && !core.m.Self().Retired {
+			active = append(active, core.m.Self())
+			replicas[core.m.Self().Seat()] = 0
 		}
 	}
-	for n := 0; n < testParts; n++ {
-		owner, g, ok := f.owner(n)
+	for n := 0; n < testPartitions; n++ {
+		leader, g, ok := f.leader(n)
 		if !ok {
-			return fmt.Sprintf("part %d has no owner", n)
+			return fmt.Sprintf("partition %d has no leader", n)
 		}
-		if len(g.Former) > 0 || len(g.Members) != min(f.size, len(able)) {
-			return fmt.Sprintf("part %d: %+v", n, g)
+		if len(g.Former) > 0 || len(g.Members) != min(f.size, len(active)) {
+			return fmt.Sprintf("partition %d: %+v", n, g)
 		}
-		for _, s := range g.Members {
-			if _, ok := seats[s]; !ok {
-				return fmt.Sprintf("part %d: seat %s in %v", n, s, g.Members)
+		for _, member := range g.Members {
+			if _, ok := replicas[member]; !ok {
+				return fmt.Sprintf("partition %d: unexpected member %s in %v", n, member, g.Members)
 			}
-			seats[s]++
-			for _, b := range f.boxes {
-				if b.m == nil || b.m.Self().Seat() != s {
+			replicas[member]++
+			for _, core := range f.cores {
+				if core.m == nil || core.m.Self().Seat() != member {
 					continue
 				}
-				p := b.m.Part(n)
+				p := core.m.Partition(n)
 				if p == nil {
-					return fmt.Sprintf("part %d: %s has no copy", n, s)
+					return fmt.Sprintf("partition %d: %s has no replica", n, member)
 				}
-				for key, e := range owner.m.Part(n).State().Entries {
-					if mine, ok := b.stored.Copies[n].Entries[key]; !e.Deleted && (!ok || mine.Version != e.Version) {
-						return fmt.Sprintf("part %d: %s lacks %s", n, s, key)
+				for key, e := range leader.m.Partition(n).State().Entries {
+					if stored, ok := core.stored.Copies[n].Entries[key]; !e.Deleted && (!ok || stored.Version != e.Version) {
+						return fmt.Sprintf("partition %d: the replica of %s lacks the entry %s", n, member, key)
 					}
 				}
 			}
 		}
 	}
-	if len(able) < f.size {
+	if len(active) < f.size {
 		return ""
 	}
-	for n, wanted := range Place(testParts, f.size, able, nil) {
-		if _, g, ok := f.owner(n); ok && len(difference(n, g.Members, wanted)) > 0 {
-			return fmt.Sprintf("part %d: %v should be %v", n, g.Members, wanted)
+	for n, wanted := range Place(testPartitions, f.size, active, nil) {
+		if _, g, ok := f.leader(n); ok && len(membershipMoves(n, g.Members, wanted)) > 0 {
+			return fmt.Sprintf("partition %d: the group is %v and should be %v", n, g.Members, wanted)
 		}
 	}
 	return ""
 }
 
-// settled waits until every group is full and every core has its share.
-func (f *fleet) settled(when string, within time.Duration) time.Duration {
+// awaitSettled waits until every group is complete and the replicas are balanced.
+func (f *fleet) awaitSettled(when string, within time.Duration) time.Duration {
 	f.t.Helper()
-	began, lack := f.now, ""
+	began, reason := f.now, ""
 	for f.now < began+within {
-		if lack = f.lack(); lack == "" {
-			f.t.Logf("%s: full after %v", when, f.now-began)
+		if reason = f.unsettled(); reason == "" {
+			f.t.Logf("%s: settled after %v", when, f.now-began)
 			return f.now - began
 		}
 		f.step()
 	}
-	f.t.Fatalf("%s: not full within %v: %s", when, within, lack)
+	f.t.Fatalf("%s: not settled within %v: %s", when, within, reason)
 	return 0
 }
 
-func (f *fleet) changes() (n int) {
-	for i := 0; i < testParts; i++ {
-		if _, g, ok := f.owner(i); ok {
+// epochSum returns the sum of the groups' epochs, which grows with each group change.
+func (f *fleet) epochSum() (n int) {
+	for i := 0; i < testPartitions; i++ {
+		if _, g, ok := f.leader(i); ok {
 			n += int(g.Epoch)
 		}
 	}
 	return n
 }
 
-func TestEmptiedCoreComesBack(t *testing.T) {
+// TestEmptiedCoreRejoins: cores that lost their disks join the fleet and their groups
+// again.
+func TestEmptiedCoreRejoins(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		f := newFleet(t, size, size+2)
-		f.slow()
-		for _, b := range f.boxes[1 : 1+size/2] {
-			f.kill(b)
-			f.empty(b)
+		f.tolerateSilence()
+		for _, core := range f.cores[1 : 1+size/2] {
+			f.kill(core)
+			f.wipe(core)
 		}
-		f.pass(300 * time.Millisecond)
-		for _, b := range f.boxes[1 : 1+size/2] {
-			f.boot(b)
+		f.advance(300 * time.Millisecond)
+		for _, core := range f.cores[1 : 1+size/2] {
+			f.start(core)
 		}
-		f.settled(fmt.Sprintf("groups of %d", size), catchUp)
-		f.kept()
+		f.awaitSettled(fmt.Sprintf("groups of %d", size), settleTime)
+		f.checkClaims()
 		// The next loss may come right after.
-		again := f.boxes[4]
-		f.kill(again)
-		f.empty(again)
-		f.boot(again)
-		f.settled("the next loss", catchUp)
-		f.kept()
+		next := f.cores[4]
+		f.kill(next)
+		f.wipe(next)
+		f.start(next)
+		f.awaitSettled("the next loss", settleTime)
+		f.checkClaims()
 	}
 }
 
+// TestCoreIsReplacedAtAnotherAddress: the replicas of a lost core move to a new one,
+// under another ID or the same.
 func TestCoreIsReplacedAtAnotherAddress(t *testing.T) {
 	for _, name := range []string{"another name", "the same name"} {
 		f := newFleet(t, 3, 5)
-		old := f.boxes[1]
-		f.lose(old)
-		f.pass(300 * time.Millisecond)
+		old := f.cores[1]
+		f.loseForGood(old)
+		f.advance(300 * time.Millisecond)
 		id := "fresh"
 		if name == "the same name" {
 			id = old.id
 		}
-		b := f.add(id)
-		b.cold = false
-		f.boot(b)
-		f.settled(name, catchUp)
-		f.kept()
-		f.lose(f.boxes[2])
-		f.boot(f.add("next"))
-		f.settled("the next loss", catchUp)
-		f.kept()
+		core := f.addCore(id)
+		core.cold = false
+		f.start(core)
+		f.awaitSettled(name, settleTime)
+		f.checkClaims()
+		f.loseForGood(f.cores[2])
+		f.start(f.addCore("next"))
+		f.awaitSettled("the next loss", settleTime)
+		f.checkClaims()
 	}
 }
 
-// In the smallest fleet the newcomer is the only place for the dead one's seats.
-func TestSmallestFleetIsReplaced(t *testing.T) {
+// TestSmallestFleetReplacesCores: in the smallest fleet a new core is the only one that
+// can take over the replicas of a lost one.
+func TestSmallestFleetReplacesCores(t *testing.T) {
 	f := newFleet(t, 3, 3)
 	for i := 0; i < 3; i++ {
-		f.lose(f.boxes[i])
-		f.boot(f.add(fmt.Sprint("fresh", i)))
-		f.settled("a newcomer", catchUp)
-		f.kept()
+		f.loseForGood(f.cores[i])
+		f.start(f.addCore(fmt.Sprint("fresh", i)))
+		f.awaitSettled("a new core", settleTime)
+		f.checkClaims()
 	}
 }
 
+// TestAddedCoreGetsItsShare: replicas are rebalanced onto an added core, and then stay.
 func TestAddedCoreGetsItsShare(t *testing.T) {
 	f := newFleet(t, 3, 4)
-	f.boot(f.add("fresh"))
-	f.settled("a fifth core", catchUp)
-	f.kept()
-	before := f.changes()
-	f.pass(10 * time.Second)
-	if after := f.changes(); after != before {
-		t.Errorf("%d changes of groups in a fleet at rest", after-before)
+	f.start(f.addCore("fresh"))
+	f.awaitSettled("a fifth core", settleTime)
+	f.checkClaims()
+	before := f.epochSum()
+	f.advance(10 * time.Second)
+	if after := f.epochSum(); after != before {
+		t.Errorf("%d group changes in a settled fleet", after-before)
 	}
 }
 
+// TestRetiredWhileAnotherIsEmptied: retirement succeeds while another core restores
+// its replicas, but not below the group size.
 func TestRetiredWhileAnotherIsEmptied(t *testing.T) {
 	f := newFleet(t, 3, 5)
-	if r := f.ask(RetireCore{ID: "nobody"}); r != (Retiring{}) {
-		t.Errorf("an unknown core: %+v", r)
+	if r := f.call(RetireCore{ID: "nobody"}); r != (Retiring{}) {
+		t.Errorf("retiring an unknown core: %+v", r)
 	}
-	if r := f.ask(RetireCore{ID: "c1"}); r != (Retiring{Known: true, Enough: true, Done: true}) {
+	if r := f.call(RetireCore{ID: "c1"}); r != (Retiring{Known: true, Enough: true, Done: true}) {
 		t.Errorf("retiring: %+v", r)
 	}
-	b := f.boxes[2]
-	f.kill(b)
-	f.empty(b)
-	f.boot(b)
-	f.settled("one retired, one emptied", catchUp)
-	f.kept()
-	for n := 0; n < testParts; n++ {
-		s, ok := f.ask(ReadSeats{Part: n}).(Seats)
-		if !ok || len(s.Seats) != 3 || len(s.Former) != 0 || slices.ContainsFunc(s.Seats, func(seat string) bool { return SeatID(seat) == "c1" }) {
-			t.Errorf("part %d: %+v", n, s)
+	core := f.cores[2]
+	f.kill(core)
+	f.wipe(core)
+	f.start(core)
+	f.awaitSettled("one core retired, one wiped", settleTime)
+	f.checkClaims()
+	for n := 0; n < testPartitions; n++ {
+		seats, ok := f.call(ReadSeats{Part: n}).(Seats)
+		if !ok || len(seats.Seats) != 3 || len(seats.Former) != 0 || slices.ContainsFunc(seats.Seats, func(member string) bool { return SeatID(member) == "c1" }) {
+			t.Errorf("partition %d: %+v", n, seats)
 		}
 	}
-	if r := f.ask(RetireCore{ID: "c2"}); r != (Retiring{Known: true, Enough: true, Done: true}) {
-		t.Errorf("a second one: %+v", r)
+	if r := f.call(RetireCore{ID: "c2"}); r != (Retiring{Known: true, Enough: true, Done: true}) {
+		t.Errorf("retiring a second core: %+v", r)
 	}
-	if r := f.ask(RetireCore{ID: "c4"}); r != (Retiring{Known: true}) {
-		t.Errorf("one too many: %+v", r)
+	if r := f.call(RetireCore{ID: "c4"}); r != (Retiring{Known: true}) {
+		t.Errorf("retiring one core too many: %+v", r)
 	}
 	f.retired = "c1"
-	// A retired one gets no seat again, not even with an empty folder.
-	f.kill(f.boxes[0])
-	f.empty(f.boxes[0])
-	f.boot(f.boxes[0])
-	f.pass(3 * time.Second)
-	f.settled("after the retired one came back", catchUp)
-	f.kept()
-	if f.boxes[0].m.Founded() {
-		t.Error("a retired name is back")
+	// A retired core gets no replicas again, not even with an empty directory.
+	f.kill(f.cores[0])
+	f.wipe(f.cores[0])
+	f.start(f.cores[0])
+	f.advance(3 * time.Second)
+	f.awaitSettled("after the retired core restarted", settleTime)
+	f.checkClaims()
+	if f.cores[0].m.Founded() {
+		t.Error("a retired core rejoined the fleet")
 	}
 }
 
-// One that is retired while it is off, and knows nothing of it, stays retired.
-func TestRetiredWhileOff(t *testing.T) {
+// TestRetiredWhileDown: a core that is retired while it is down stays retired after a
+// restart.
+func TestRetiredWhileDown(t *testing.T) {
 	f := newFleet(t, 3, 5)
-	f.slow()
-	b := f.boxes[1]
-	f.kill(b)
-	f.pass(300 * time.Millisecond)
-	if r := f.ask(RetireCore{ID: b.id}).(Retiring); !r.Done {
+	f.tolerateSilence()
+	core := f.cores[1]
+	f.kill(core)
+	f.advance(300 * time.Millisecond)
+	if r := f.call(RetireCore{ID: core.id}).(Retiring); !r.Done {
 		t.Errorf("%+v", r)
 	}
-	f.settled("retired while off", catchUp)
-	b.address = "elsewhere"
-	f.boot(b)
-	f.pass(8 * time.Second)
-	if !b.m.Self().Retired {
-		t.Error("it does not know")
+	f.awaitSettled("retired while down", settleTime)
+	core.address = "elsewhere"
+	f.start(core)
+	f.advance(8 * time.Second)
+	if !core.m.Self().Retired {
+		t.Error("the core does not know that it is retired")
 	}
-	for _, other := range f.boxes {
-		if !other.m.Topology().Cores[b.id].Retired {
-			t.Errorf("%s thinks that it is not retired", other.id)
+	for _, other := range f.cores {
+		if !other.m.Topology().Cores[core.id].Retired {
+			t.Errorf("%s does not know that the core is retired", other.id)
 		}
 	}
-	f.settled("back", catchUp)
-	f.kept()
+	f.awaitSettled("back", settleTime)
+	f.checkClaims()
 }
 
-// A retired core's seats move on although another core is out of reach, which
-// keeps its own.
+// TestRetiredWhileAnotherIsSilent: a retired core's replicas move to other cores while
+// another core is unreachable, and that core keeps its own.
 func TestRetiredWhileAnotherIsSilent(t *testing.T) {
 	f := newFleet(t, 3, 6)
-	f.slow()
-	f.kill(f.boxes[1])
-	f.pass(2 * time.Second)
-	silent := f.boxes[1].id + "." + f.boxes[1].stored.Incarnation
+	f.tolerateSilence()
+	f.kill(f.cores[1])
+	f.advance(2 * time.Second)
+	silent := f.cores[1].id + "." + f.cores[1].stored.Incarnation
 	before := map[int]bool{}
-	for n := 0; n < testParts; n++ {
-		_, g, _ := f.owner(n)
+	for n := 0; n < testPartitions; n++ {
+		_, g, _ := f.leader(n)
 		before[n] = g.Has(silent)
 	}
-	if r := f.ask(RetireCore{ID: "c1"}).(Retiring); !r.Done {
+	if r := f.call(RetireCore{ID: "c1"}).(Retiring); !r.Done {
 		t.Errorf("%+v", r)
 	}
-	f.pass(catchUp)
-	for n := 0; n < testParts; n++ {
-		_, g, _ := f.owner(n)
-		if g.Has(f.boxes[0].m.Self().Seat()) || (before[n] && !g.Has(silent)) {
-			t.Errorf("part %d: %+v", n, g)
+	f.advance(settleTime)
+	for n := 0; n < testPartitions; n++ {
+		_, g, _ := f.leader(n)
+		if g.Has(f.cores[0].m.Self().Seat()) || (before[n] && !g.Has(silent)) {
+			t.Errorf("partition %d: %+v", n, g)
 		}
 	}
-	f.kept()
+	f.checkClaims()
 }
 
-// A newcomer takes no seat of living ones from groups that lack another.
-func TestGroupsThatLackOneStayForAWhile(t *testing.T) {
+// TestDegradedGroupsAreNotRebalanced: a new core does not replace a healthy member of a
+// group while another member of it is unreachable.
+func TestDegradedGroupsAreNotRebalanced(t *testing.T) {
 	f := newFleet(t, 3, 4)
-	f.slow()
-	f.kill(f.boxes[1])
-	f.pass(2 * time.Second)
-	silent := f.boxes[1].id + "." + f.boxes[1].stored.Incarnation
+	f.tolerateSilence()
+	f.kill(f.cores[1])
+	f.advance(2 * time.Second)
+	silent := f.cores[1].id + "." + f.cores[1].stored.Incarnation
 	before := map[int][]string{}
-	for n := 0; n < testParts; n++ {
-		if _, g, _ := f.owner(n); g.Has(silent) {
+	for n := 0; n < testPartitions; n++ {
+		if _, g, _ := f.leader(n); g.Has(silent) {
 			before[n] = g.Members
 		}
 	}
-	f.boot(f.add("fresh"))
-	f.pass(catchUp)
-	for n, seats := range before {
-		if _, g, _ := f.owner(n); len(difference(n, g.All(), seats)) > 0 {
-			t.Errorf("part %d: %+v, was %v", n, g, seats)
+	f.start(f.addCore("fresh"))
+	f.advance(settleTime)
+	for n, members := range before {
+		if _, g, _ := f.leader(n); len(membershipMoves(n, g.All(), members)) > 0 {
+			t.Errorf("partition %d: %+v, was %v", n, g, members)
 		}
 	}
-	f.kept()
-	f.boot(f.boxes[1])
-	f.settled("all there", catchUp)
-	f.kept()
+	f.checkClaims()
+	f.start(f.cores[1])
+	f.awaitSettled("all cores running", settleTime)
+	f.checkClaims()
 }
 
-// A core that comes and goes gets no seats as long as it does.
-func TestCoreThatComesAndGoes(t *testing.T) {
+// TestFlappingCoreGetsNoReplicas: a core that repeatedly stops and resumes gets no
+// replicas until it runs steadily.
+func TestFlappingCoreGetsNoReplicas(t *testing.T) {
 	f := newFleet(t, 3, 5)
-	b := f.boxes[1]
-	b.frozen = true
-	f.pass(f.params.Gone + 3*time.Second)
-	f.settled("without it", catchUp)
-	before := f.changes()
+	core := f.cores[1]
+	core.frozen = true
+	f.advance(f.params.Gone + 3*time.Second)
+	f.awaitSettled("without it", settleTime)
+	before := f.epochSum()
 	for i := 0; i < 4; i++ {
-		f.wake(b)
-		f.pass(300 * time.Millisecond)
-		b.frozen = true
-		f.pass(f.params.Gone + 500*time.Millisecond)
+		f.thaw(core)
+		f.advance(300 * time.Millisecond)
+		core.frozen = true
+		f.advance(f.params.Gone + 500*time.Millisecond)
 	}
-	if after := f.changes(); after != before {
-		t.Errorf("%d changes of groups", after-before)
+	if after := f.epochSum(); after != before {
+		t.Errorf("%d group changes", after-before)
 	}
-	f.wake(b)
-	f.settled("back for good", catchUp)
-	f.kept()
+	f.thaw(core)
+	f.awaitSettled("running steadily", settleTime)
+	f.checkClaims()
 }
 
-// When all cores stood still together, none of them thinks the others gone.
-func TestAllFrozenTogether(t *testing.T) {
+// TestAllCoresFrozenTogether: after a pause of all cores none counts the others as
+// silent.
+func TestAllCoresFrozenTogether(t *testing.T) {
 	f := newFleet(t, 3, 6)
-	f.pass(12 * time.Second)
-	before := f.changes()
+	f.advance(12 * time.Second)
+	before := f.epochSum()
 	f.drop = func(from, to string, body any) bool { return true }
-	for _, b := range f.boxes {
-		b.frozen = true
+	for _, core := range f.cores {
+		core.frozen = true
 	}
-	f.pass(3 * f.params.Gone)
+	f.advance(3 * f.params.Gone)
 	f.drop = nil
-	for _, b := range f.boxes {
-		f.wake(b)
+	for _, core := range f.cores {
+		f.thaw(core)
 	}
-	f.pass(8 * time.Second)
-	if after := f.changes(); after != before {
-		t.Errorf("%d changes of groups", after-before)
+	f.advance(8 * time.Second)
+	if after := f.epochSum(); after != before {
+		t.Errorf("%d group changes", after-before)
 	}
-	f.kept()
+	f.checkClaims()
 }
 
-// Homes are spread: when all is at rest, each part's home is the one planned.
-func TestHomesAreSpread(t *testing.T) {
+// TestHomesAreBalanced: in a settled fleet each partition's home is the planned one.
+func TestHomesAreBalanced(t *testing.T) {
 	f := newFleet(t, 3, 5)
-	f.lose(f.boxes[1])
-	f.boot(f.add("fresh"))
-	f.settled("replaced", catchUp)
-	f.pass(2 * time.Second)
-	var able []Core
-	for _, b := range f.boxes {
-		if b.m != nil {
-			able = append(able, b.m.Self())
+	f.loseForGood(f.cores[1])
+	f.start(f.addCore("fresh"))
+	f.awaitSettled("replaced", settleTime)
+	f.advance(2 * time.Second)
+	var running []Core
+	for _, core := range f.cores {
+		if core.m != nil {
+			running = append(running, core.m.Self())
 		}
 	}
-	for n, wanted := range Place(testParts, 3, able, nil) {
-		if _, g, _ := f.owner(n); g.Members[0] != wanted[0] {
-			t.Errorf("part %d: %v, planned %v", n, g.Members, wanted)
+	for n, wanted := range Place(testPartitions, 3, running, nil) {
+		if _, g, _ := f.leader(n); g.Members[0] != wanted[0] {
+			t.Errorf("partition %d: %v, planned %v", n, g.Members, wanted)
 		}
 	}
 }
 
-// The operator's own retirement is told as done only when no seat is left.
+// TestOperatorRetires: a retirement by an operator is reported as done only when the
+// core has no replicas left.
 func TestOperatorRetires(t *testing.T) {
 	f := newFleet(t, 3, 5)
-	f.next++
-	ticket := f.next
-	f.take(f.boxes[0], f.boxes[0].m.Change(f.now, ticket, Retire, "c1", "", 8*time.Second))
+	f.lastTicket++
+	ticket := f.lastTicket
+	f.handle(f.cores[0], f.cores[0].m.ChangeCore(f.now, ticket, KindRetire, "c1", "", 8*time.Second))
 	for f.answers[ticket] == nil {
 		f.step()
 	}
-	if c := f.answers[ticket].(Changed); !c.Done || len(c.Moves) == 0 {
+	if c := f.answers[ticket].(ChangeResult); !c.Done || len(c.Moves) == 0 {
 		t.Errorf("%+v", c)
 	}
-	for n := 0; n < testParts; n++ {
-		if _, g, ok := f.owner(n); ok && g.Has(f.boxes[0].m.Self().Seat()) {
-			t.Errorf("part %d: %+v", n, g)
+	for n := 0; n < testPartitions; n++ {
+		if _, g, ok := f.leader(n); ok && g.Has(f.cores[0].m.Self().Seat()) {
+			t.Errorf("partition %d: %+v", n, g)
 		}
 	}
-	f.settled("retired", catchUp)
-	f.kept()
+	f.awaitSettled("retired", settleTime)
+	f.checkClaims()
 }
 
-func TestAllPowerOffOneDiskEmpty(t *testing.T) {
+// TestFullRestartWithOneEmptyDisk: a restart of the whole fleet with one disk lost
+// loses no entry.
+func TestFullRestartWithOneEmptyDisk(t *testing.T) {
 	for _, cores := range []int{3, 5} {
 		f := newFleet(t, 3, cores)
-		f.slow()
-		for _, b := range f.boxes {
-			f.kill(b)
+		f.tolerateSilence()
+		for _, core := range f.cores {
+			f.kill(core)
 		}
-		f.empty(f.boxes[0])
-		f.pass(300 * time.Millisecond)
-		for _, b := range f.boxes {
-			f.boot(b)
+		f.wipe(f.cores[0])
+		f.advance(300 * time.Millisecond)
+		for _, core := range f.cores {
+			f.start(core)
 		}
-		f.settled("powered on", catchUp)
-		f.kept()
+		f.awaitSettled("restarted", settleTime)
+		f.checkClaims()
 	}
 }
 
-// joins reports whether some owner is changing its group to add a core.
-func (f *fleet) joins(id string) (owner *box, n int) {
-	for n := 0; n < testParts; n++ {
-		if b, _, ok := f.owner(n); ok {
-			if adding, _ := b.m.Part(n).ChangeInProgress(); adding != "" && SeatID(adding) == id {
-				return b, n
+// adding returns a leader that is adding the core to its partition's group, and the
+// partition, or nil.
+func (f *fleet) adding(id string) (leader *testCore, n int) {
+	for n := 0; n < testPartitions; n++ {
+		if core, _, ok := f.leader(n); ok {
+			if adding, _ := core.m.Partition(n).ChangeInProgress(); adding != "" && SeatID(adding) == id {
+				return core, n
 			}
 		}
 	}
 	return nil, 0
 }
 
-// joint reports whether some owner is between its old and its new group.
-func (f *fleet) joint() (owner *box, n int) {
-	for n := 0; n < testParts; n++ {
-		if b, g, ok := f.owner(n); ok && len(g.Former) > 0 {
-			return b, n
+// inJointGroup returns a leader whose partition is in a joint group, and the partition,
+// or nil.
+func (f *fleet) inJointGroup() (leader *testCore, n int) {
+	for n := 0; n < testPartitions; n++ {
+		if core, g, ok := f.leader(n); ok && len(g.Former) > 0 {
+			return core, n
 		}
 	}
 	return nil, 0
 }
 
-func (f *fleet) until(what string, seen func() bool) {
+func (f *fleet) waitUntil(what string, seen func() bool) {
 	f.t.Helper()
 	for end := f.now + 5*time.Second; !seen(); f.step() {
 		if f.now > end {
-			f.t.Fatalf("%s did not come about", what)
+			f.t.Fatalf("not reached: %s", what)
 		}
 	}
 }
 
-func TestJoiningCoreDiesHalfWay(t *testing.T) {
+// TestJoiningCoreFailsDuringChange: a new member that fails in any stage of its
+// addition blocks no group.
+func TestJoiningCoreFailsDuringChange(t *testing.T) {
 	stages := map[string]func(f *fleet) bool{
-		"while it is filled": func(f *fleet) bool { b, _ := f.joins("fresh"); return b != nil },
-		"in a joint group":   func(f *fleet) bool { b, _ := f.joint(); return b != nil },
+		"during the snapshot transfer": func(f *fleet) bool { joining, _ := f.adding("fresh"); return joining != nil },
+		"in a joint group":             func(f *fleet) bool { joining, _ := f.inJointGroup(); return joining != nil },
 	}
-	for _, name := range []string{"while it is filled", "in a joint group"} {
+	for _, name := range []string{"during the snapshot transfer", "in a joint group"} {
 		f := newFleet(t, 3, 5)
-		b := f.add("fresh")
-		f.boot(b)
-		f.until(name, func() bool { return stages[name](f) })
-		f.lose(b)
-		// All others move its seats on once it counts as silent.
-		f.settled(name+", dead", f.params.Gone+catchUp)
-		f.kept()
-		f.boot(f.add("next"))
-		f.settled(name+", another", catchUp)
-		f.kept()
+		joining := f.addCore("fresh")
+		f.start(joining)
+		f.waitUntil(name, func() bool { return stages[name](f) })
+		f.loseForGood(joining)
+		// Its replicas move to other cores once it counts as silent.
+		f.awaitSettled(name+", core lost", f.params.Gone+settleTime)
+		f.checkClaims()
+		f.start(f.addCore("next"))
+		f.awaitSettled(name+", another core added", settleTime)
+		f.checkClaims()
 
 		f = newFleet(t, 3, 5)
-		b = f.add("fresh")
-		f.boot(b)
-		f.until(name, func() bool { return stages[name](f) })
-		f.kill(b)
-		f.empty(b)
-		f.pass(100 * time.Millisecond)
-		f.boot(b)
-		f.settled(name+", emptied again", catchUp)
-		f.kept()
+		joining = f.addCore("fresh")
+		f.start(joining)
+		f.waitUntil(name, func() bool { return stages[name](f) })
+		f.kill(joining)
+		f.wipe(joining)
+		f.advance(100 * time.Millisecond)
+		f.start(joining)
+		f.awaitSettled(name+", core restarted with an empty disk", settleTime)
+		f.checkClaims()
 	}
 }
 
-// A seat that never hears its owner must not hold the part's group for ever.
-func TestUnreachableJoiningCoreIsGivenUp(t *testing.T) {
+// TestUnreachableJoiningCoreIsAbandoned: a new member that the leader can't reach must
+// not block other changes of the group.
+func TestUnreachableJoiningCoreIsAbandoned(t *testing.T) {
 	f := newFleet(t, 3, 4)
-	b := f.add("fresh")
+	core := f.addCore("fresh")
 	f.drop = func(from, to string, body any) bool {
 		_, p := body.(PartMessage)
-		return p && (from == b.address || to == b.address)
+		return p && (from == core.address || to == core.address)
 	}
-	f.boot(b)
-	f.pass(8 * time.Second)
-	f.kept()
+	f.start(core)
+	f.advance(8 * time.Second)
+	f.checkClaims()
 	f.drop = nil
-	f.settled("reachable at last", 2*catchUp)
-	f.kept()
+	f.awaitSettled("reachable again", 2*settleTime)
+	f.checkClaims()
 }
 
-func TestOwnerDiesHalfWay(t *testing.T) {
-	for _, stage := range []string{"while the newcomer is filled", "in a joint group"} {
+// TestLeaderFailsDuringChange: a group change survives the failure of the leader that
+// makes it.
+func TestLeaderFailsDuringChange(t *testing.T) {
+	for _, stage := range []string{"during the snapshot transfer", "in a joint group"} {
 		f := newFleet(t, 3, 5)
-		b := f.add("fresh")
-		f.boot(b)
-		var owner *box
-		f.until(stage, func() bool {
-			if owner, _ = f.joint(); stage != "in a joint group" {
-				owner, _ = f.joins("fresh")
+		joining := f.addCore("fresh")
+		f.start(joining)
+		var leader *testCore
+		f.waitUntil(stage, func() bool {
+			if leader, _ = f.inJointGroup(); stage != "in a joint group" {
+				leader, _ = f.adding("fresh")
 			}
-			return owner != nil && owner != b
+			return leader != nil && leader != joining
 		})
-		f.kill(owner)
-		f.pass(time.Second)
-		f.boot(owner)
-		f.settled(stage+", owner back", catchUp)
-		f.kept()
+		f.kill(leader)
+		f.advance(time.Second)
+		f.start(leader)
+		f.awaitSettled(stage+", leader restarted", settleTime)
+		f.checkClaims()
 
 		f = newFleet(t, 3, 5)
-		b = f.add("fresh")
-		f.boot(b)
-		f.until(stage, func() bool {
-			if owner, _ = f.joint(); stage != "in a joint group" {
-				owner, _ = f.joins("fresh")
+		joining = f.addCore("fresh")
+		f.start(joining)
+		f.waitUntil(stage, func() bool {
+			if leader, _ = f.inJointGroup(); stage != "in a joint group" {
+				leader, _ = f.adding("fresh")
 			}
-			return owner != nil && owner != b
+			return leader != nil && leader != joining
 		})
-		f.kill(owner)
-		f.empty(owner)
-		f.boot(owner)
-		f.settled(stage+", owner emptied", catchUp)
-		f.kept()
+		f.kill(leader)
+		f.wipe(leader)
+		f.start(leader)
+		f.awaitSettled(stage+", leader restarted with an empty disk", settleTime)
+		f.checkClaims()
 	}
 }
 
-func TestFrozenCoreWakes(t *testing.T) {
+// TestFrozenCoreResumes: a core that was paused until it lost its replicas is
+// integrated again, and a short pause changes no group.
+func TestFrozenCoreResumes(t *testing.T) {
 	f := newFleet(t, 3, 5)
-	b := f.boxes[1]
-	b.frozen = true
-	f.pass(f.params.Gone + f.params.Gone/2)
-	f.settled("without the frozen one", catchUp)
-	f.kept()
-	f.wake(b)
-	f.settled("with the woken one", catchUp)
-	f.kept()
-	f.pass(time.Second)
-	before := f.changes()
-	f.pass(8 * time.Second)
-	if after := f.changes(); after != before {
-		t.Errorf("%d changes of groups after all is at rest", after-before)
-	}
-	// A short freeze moves nothing.
-	b.frozen = true
-	f.pass(f.params.Gone / 2)
-	f.wake(b)
-	f.pass(3 * time.Second)
-	if after := f.changes(); after != before {
-		t.Errorf("%d changes of groups for a short freeze", after-before)
-	}
-	f.kept()
+	core := f.cores[1]
+	core.frozen = true
+	f.advance(f.params.Gone + f.params.Gone/2)
+	f.awaitSettled("without the frozen core", settleTime)
+	f.checkClaims()
+	f.thaw(core)
+	f.awaitSettled("with the resumed core", settleTime)
+	f.checkClaims()
+	f.advance(time.Second)
+	before := f.epochSum()
+	f.advance(8 * time.Second)
+	if after := f.epochSum(); after != before {
+		t.Errorf("%d group changes after the fleet settled", after-before)
+	}
+	// A short freeze changes no group.
+	core.frozen = true
+	f.advance(f.params.Gone / 2)
+	f.thaw(core)
+	f.advance(3 * time.Second)
+	if after := f.epochSum(); after != before {
+		t.Errorf("%d group changes because of a short freeze", after-before)
+	}
+	f.checkClaims()
 }
 
-// Where no other core is present, a silent one keeps its seats.
-func TestSilentCoreKeepsSeatsThatNobodyCanTake(t *testing.T) {
+// TestSilentCoreKeepsReplicasWithoutSubstitute: a silent core keeps its replicas if no
+// other core can take them.
+func TestSilentCoreKeepsReplicasWithoutSubstitute(t *testing.T) {
 	f := newFleet(t, 3, 3)
-	before := f.changes()
-	f.kill(f.boxes[2])
-	f.pass(3 * f.params.Gone)
-	if after := f.changes(); after != before {
-		t.Errorf("%d changes of groups", after-before)
-	}
-	f.boot(f.boxes[2])
-	f.settled("back with its disk", catchUp)
-	f.kept()
+	before := f.epochSum()
+	f.kill(f.cores[2])
+	f.advance(3 * f.params.Gone)
+	if after := f.epochSum(); after != before {
+		t.Errorf("%d group changes", after-before)
+	}
+	f.start(f.cores[2])
+	f.awaitSettled("restarted with its disk", settleTime)
+	f.checkClaims()
 }
 
-func TestCoreAtAnotherAddressIsFoundAgain(t *testing.T) {
+// TestCoreRestartsAtAnotherAddress: the fleet learns a restarted core's new address.
+func TestCoreRestartsAtAnotherAddress(t *testing.T) {
 	f := newFleet(t, 3, 3)
-	f.kill(f.boxes[2])
-	f.boxes[2].address = "elsewhere"
-	f.pass(300 * time.Millisecond)
-	f.boot(f.boxes[2])
-	f.settled("elsewhere", catchUp)
-	f.lose(f.boxes[0])
-	f.pass(2 * time.Second)
-	f.kept()
+	f.kill(f.cores[2])
+	f.cores[2].address = "elsewhere"
+	f.advance(300 * time.Millisecond)
+	f.start(f.cores[2])
+	f.awaitSettled("elsewhere", settleTime)
+	f.loseForGood(f.cores[0])
+	f.advance(2 * time.Second)
+	f.checkClaims()
 }
 
-// An earlier incarnation that still runs has no say.
-func TestSupersededCoreHasNoSay(t *testing.T) {
+// TestSupersededCoreIsIgnored: an earlier incarnation that still runs does not displace
+// its successor.
+func TestSupersededCoreIsIgnored(t *testing.T) {
 	f := newFleet(t, 3, 4)
-	old := f.boxes[3]
+	old := f.cores[3]
 	old.frozen = true
-	b := f.add(old.id)
-	f.boot(b)
-	f.settled("superseded", catchUp)
-	f.wake(old)
-	f.pass(4 * time.Second)
+	core := f.addCore(old.id)
+	f.start(core)
+	f.awaitSettled("superseded", settleTime)
+	f.thaw(old)
+	f.advance(4 * time.Second)
 	old.frozen = true
-	f.settled("the former one awake", catchUp)
+	f.awaitSettled("the former incarnation resumed", settleTime)
 	f.kill(old)
 	old.address = "elsewhere"
-	f.boot(old)
+	f.start(old)
 	for end := f.now + 6*time.Second; f.now < end; f.step() {
-		for _, other := range f.boxes {
-			if got := other.m.Topology().Cores[old.id]; other != old && got.Incarnation != b.stored.Incarnation {
-				t.Fatalf("%v: %s takes %v for the living one", f.now, other.id, got)
+		for _, other := range f.cores {
+			if got := other.m.Topology().Cores[old.id]; other != old && got.Incarnation != core.stored.Incarnation {
+				t.Fatalf("%v: %s takes %v for the current incarnation", f.now, other.id, got)
 			}
 		}
 	}
 	old.frozen = true
-	f.settled("the former one started again", catchUp)
-	for n := 0; n < testParts; n++ {
-		if _, g, ok := f.owner(n); ok && g.Has(old.m.Self().Seat()) {
-			t.Errorf("part %d: %+v", n, g)
+	f.awaitSettled("the former incarnation restarted", settleTime)
+	for n := 0; n < testPartitions; n++ {
+		if _, g, ok := f.leader(n); ok && g.Has(old.m.Self().Seat()) {
+			t.Errorf("partition %d: %+v", n, g)
 		}
 	}
-	f.kept()
+	f.checkClaims()
 }
 
-// What has ended stays so, whoever says otherwise.
-func TestEndedCoresStayEnded(t *testing.T) {
+// TestRetiredCoresStayRetired: retired cores and superseded incarnations are not
+// revived by later entries.
+func TestRetiredCoresStayRetired(t *testing.T) {
 	a := newAlone(t)
 	x := Core{ID: "x", Incarnation: "1", Version: 1}
 	for _, step := range []struct {
@@ -898,132 +934,136 @@
 			t.Errorf("%+v: %+v", step.command, got)
 		}
 	}
-	a.m.learnCore(Core{ID: "z", Incarnation: "1", Version: 2, Retired: true})
-	a.m.learnCore(Core{ID: "z", Incarnation: "1", Version: 3})
+	a.m.mergeCore(Core{ID: "z", Incarnation: "1", Version: 2, Retired: true})
+	a.m.mergeCore(Core{ID: "z", Incarnation: "1", Version: 3})
 	if !a.m.Topology().Cores["z"].Retired {
-		t.Error("a retired core is told to be none")
+		t.Error("a later entry revived a retired core")
 	}
-	a.m.learnCore(Core{ID: "w", Incarnation: "1", Version: 3})
-	a.m.learnCore(Core{ID: "w", Incarnation: "1", Version: 2, Retired: true})
+	a.m.mergeCore(Core{ID: "w", Incarnation: "1", Version: 3})
+	a.m.mergeCore(Core{ID: "w", Incarnation: "1", Version: 2, Retired: true})
 	if !a.m.Topology().Cores["w"].Retired {
-		t.Error("a retirement that came late is lost")
+		t.Error("a retirement with a lower version was lost")
 	}
 }
 
+// TestColdStart: cores without a fleet announce themselves and accept only a founding
+// that names them.
 func TestColdStart(t *testing.T) {
-	f := &fleet{t: t, size: 3, random: rand.New(rand.NewPCG(1, 1)), answers: map[uint64]any{}, keys: map[string]string{}, kinds: map[string]int{}, gone: map[string]bool{},
+	f := &fleet{t: t, size: 3, random: rand.New(rand.NewPCG(1, 1)), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
 		params: Params{Part: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40}, MemberTerm: 2 * time.Second, Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}}
-	var list []Core
+	var founders []Core
 	for i := 0; i < 4; i++ {
-		b := f.add(fmt.Sprintf("c%d", i+1))
-		b.cold = i != 3
-		f.boot(b)
-		list = append(list, b.m.Self())
+		core := f.addCore(fmt.Sprintf("c%d", i+1))
+		core.cold = i != 3
+		f.start(core)
+		founders = append(founders, core.m.Self())
 	}
-	f.pass(time.Second)
+	f.advance(time.Second)
 	if f.kinds["core.Present"] < 20 {
-		t.Errorf("cores that belong to no fleet say so %d times in a second", f.kinds["core.Present"])
+		t.Errorf("cores without a fleet sent %d announcements in a second", f.kinds["core.Present"])
 	}
-	plan := Plan("f", testParts, 3, list[:3])
-	for _, b := range []*box{f.boxes[3], f.boxes[0]} {
+	plan := PlanFleet("f", testPartitions, 3, founders[:3])
+	for _, core := range []*testCore{f.cores[3], f.cores[0]} {
 		other := plan
-		other.Cores = map[string]Core{"c1": {ID: "c1", Incarnation: "of old"}, "c4": list[3]}
-		f.take(b, b.m.Receive(f.now, "desk", FoundFleet{Founding: other}))
-		if b.m.Founded() {
-			t.Errorf("%s was founded", b.id)
+		other.Cores = map[string]Core{"c1": {ID: "c1", Incarnation: "of old"}, "c4": founders[3]}
+		f.handle(core, core.m.Receive(f.now, "desk", FoundFleet{Founding: other}))
+		if core.m.Founded() {
+			t.Errorf("%s joined a fleet whose founding does not name it", core.id)
 		}
 	}
-	// One of three misses the founding, and hears of it by saying that it is there.
+	// One of three misses the founding message and gets it in answer to its announcement.
 	f.drop = func(from, to string, body any) bool { _, ok := body.(FoundFleet); return ok && to == "a2" }
-	f.take(f.boxes[0], f.boxes[0].m.Receive(f.now, "desk", FoundFleet{Founding: plan}))
-	f.pass(500 * time.Millisecond)
+	f.handle(f.cores[0], f.cores[0].m.Receive(f.now, "desk", FoundFleet{Founding: plan}))
+	f.advance(500 * time.Millisecond)
 	f.drop = nil
-	f.settled("founded, and one joined", catchUp)
-	for _, b := range f.boxes {
-		if got := b.m.Topology().Size; got != 3 {
-			t.Errorf("%s: groups of %d", b.id, got)
+	f.awaitSettled("founded and joined by a fourth core", settleTime)
+	for _, core := range f.cores {
+		if got := core.m.Topology().Size; got != 3 {
+			t.Errorf("%s: groups of %d", core.id, got)
 		}
 	}
 }
 
-// A fleet at rest tells its topology rarely.
+// TestGossipAtRest: in a settled fleet the topology is sent rarely.
 func TestGossipAtRest(t *testing.T) {
 	f := newFleet(t, 3, 5)
-	f.pass(3 * time.Second)
+	f.advance(3 * time.Second)
 	clear(f.kinds)
-	f.pass(10 * time.Second)
+	f.advance(10 * time.Second)
 	if got, most := f.kinds["core.Topology"], 5*4*(20+2); got > most {
-		t.Errorf("%d topologies in ten seconds, at most %d", got, most)
+		t.Errorf("%d topologies sent in ten seconds, want at most %d", got, most)
 	}
 	t.Log(f.kinds)
 }
 
+// TestPlace: placements are balanced over zones and cores, independent of the order of
+// the cores, and stable when a core is added.
 func TestPlace(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	for round := 0; round < 200; round++ {
-		size, count, parts := 3+2*random.IntN(2), 3+random.IntN(7), 7+random.IntN(13)
+		size, count, partitions := 3+2*random.IntN(2), 3+random.IntN(7), 7+random.IntN(13)
 		zoneCount := 1 + random.IntN(count)
 		var cores []Core
 		for i := 0; i < count; i++ {
 			cores = append(cores, Core{ID: fmt.Sprint("c", i), Incarnation: "1", Zone: fmt.Sprint("z", i%zoneCount)})
 		}
-		groups := Place(parts, size, cores, nil)
+		groups := Place(partitions, size, cores, nil)
 		random.Shuffle(count, func(i, j int) { cores[i], cores[j] = cores[j], cores[i] })
-		again := Place(parts, size, cores, nil)
-		seats, firsts := map[string]int{}, map[string]int{}
+		again := Place(partitions, size, cores, nil)
+		replicas, homes := map[string]int{}, map[string]int{}
 		for n, g := range groups {
 			if !slices.Equal(g, again[n]) {
-				t.Fatal("the order of the cores counts")
+				t.Fatal("the result depends on the order of the cores")
 			}
 			if len(g) != min(size, count) {
-				t.Fatalf("%d seats of %d", len(g), size)
+				t.Fatalf("%d members, want %d", len(g), size)
 			}
 			byZone := map[string]int{}
-			for _, s := range g {
-				seats[s]++
+			for _, member := range g {
+				replicas[member]++
 				for _, c := range cores {
-					if c.Seat() == s {
+					if c.Seat() == member {
 						byZone[c.Zone]++
 					}
 				}
 			}
 			if len(byZone) != min(zoneCount, size, count) {
-				t.Errorf("%d zones of %d for %d seats of %d cores", len(byZone), zoneCount, size, count)
+				t.Errorf("%d zones of %d for groups of %d and %d cores", len(byZone), zoneCount, size, count)
 			}
-			firsts[g[0]]++
+			homes[g[0]]++
 		}
 		if count%zoneCount == 0 {
 			for _, c := range cores {
-				if got, even := seats[c.Seat()], parts*min(size, count)/count; got < even-1 || got > even+2 {
-					t.Errorf("%d cores, %d zones, %d parts of %d: %s has %d seats, even is %d", count, zoneCount, parts, size, c.ID, got, even)
+				if got, even := replicas[c.Seat()], partitions*min(size, count)/count; got < even-1 || got > even+2 {
+					t.Errorf("%d cores, %d zones, %d partitions with groups of %d: %s has %d replicas, balanced is %d", count, zoneCount, partitions, size, c.ID, got, even)
 				}
-				if got := firsts[c.Seat()]; got > parts/count+2 {
-					t.Errorf("%s is the home of %d parts of %d", c.ID, got, parts)
+				if got := homes[c.Seat()]; got > partitions/count+2 {
+					t.Errorf("%s is the home of %d partitions of %d", c.ID, got, partitions)
 				}
 			}
 		}
-		// One more core, one silent, one retired.
-		more := Place(parts, size, append(slices.Clone(cores), Core{ID: "new", Incarnation: "1", Zone: "z0"}), nil)
+		// An additional, a silent and a retired core.
+		more := Place(partitions, size, append(slices.Clone(cores), Core{ID: "new", Incarnation: "1", Zone: "z0"}), nil)
 		moved := 0
 		for n := range groups {
-			for _, s := range more[n] {
-				if !slices.Contains(groups[n], s) {
+			for _, member := range more[n] {
+				if !slices.Contains(groups[n], member) {
 					moved++
 				}
 			}
 		}
-		if even := parts * min(size, count+1) / (count + 1); zoneCount <= 1 && moved > 3*even {
-			t.Errorf("%d of %d seats moved for one core more, %d parts, %d cores", moved, parts*size, parts, count)
+		if even := partitions * min(size, count+1) / (count + 1); zoneCount <= 1 && moved > 3*even {
+			t.Errorf("%d of %d replicas moved for one additional core, %d partitions, %d cores", moved, partitions*size, partitions, count)
 		}
-		for n, g := range Place(parts, size, cores, map[string]bool{"c0": true}) {
+		for n, g := range Place(partitions, size, cores, map[string]bool{"c0": true}) {
 			if slices.Contains(g, "c0.1") != (count <= size) {
-				t.Errorf("part %d: %v with c0 silent", n, g)
+				t.Errorf("partition %d: %v with c0 silent", n, g)
 			}
 		}
 		cores[0].Retired = true
-		for n, g := range Place(parts, size, cores, nil) {
+		for n, g := range Place(partitions, size, cores, nil) {
 			if slices.Contains(g, cores[0].Seat()) {
-				t.Errorf("part %d: %v with %s retired", n, g, cores[0].ID)
+				t.Errorf("partition %d: %v with %s retired", n, g, cores[0].ID)
 			}
 		}
 	}
--- /dev/null
+++ b/peer/core/placement.go
@@ -0,0 +1,344 @@
+package core
+
+import (
+	"hash/fnv"
+	"maps"
+	"slices"
+	"strconv"
+	"time"
+
+	"saffronfall/rule/ordered"
+	"saffronfall/rule/partition"
+)
+
+// Place returns the members that each partition's group should have. Groups are
+// spread over zones and cores as evenly as possible, and so are the homes, the
+// first members. The result depends only on the set of cores, and changes little
+// when a core is added or removed (rendezvous hashing, followed by balancing).
+// Retired cores get no replicas, silent ones only where too few others remain.
+func Place(partitions, size int, cores []Core, silent map[string]bool) [][]string {
+	var present, absent []Core
+	for _, c := range cores {
+		switch {
+		case c.Retired:
+		case silent[c.ID]:
+			absent = append(absent, c)
+		default:
+			present = append(present, c)
+		}
+	}
+	groups := assignMembers(partitions, min(size, len(present)), present, nil)
+	if len(present) < size {
+		groups = assignMembers(partitions, min(size-len(present), len(absent)), absent, groups)
+	}
+	return assignHomes(groups)
+}
+
+// weight is the rendezvous weight of a core for partition n.
+func weight(kind string, n int, id string) uint64 {
+	h := fnv.New64a()
+	h.Write([]byte(kind + "/" + strconv.Itoa(n) + "/" + id))
+	x := h.Sum64()
+	// The finalizer of SplitMix64: FNV-1a alone mixes the last bytes too little.
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
+	x = (x ^ x>>27) * 0x94d049bb133111eb
+	return x ^ x>>31
+}
+
+// assignMembers adds count members to each group. It first assigns them by zone and
+// weight, then moves single members from loaded to less loaded cores while that
+// keeps the zones as balanced as they are.
+func assignMembers(partitions, count int, cores []Core, groupsBefore [][]string) [][]string {
+	groups := make([][]string, partitions)
+	zoneCounts := make([]map[string]int, partitions)
+	chosen := make([]map[int]bool, partitions)
+	weights := make([][]uint64, partitions)
+	loads := make([]int, len(cores))
+	cores = slices.Clone(cores)
+	slices.SortFunc(cores, func(a, b Core) int {
+		if a.ID < b.ID {
+			return -1
+		}
+		return 1
+	})
+	for n := range groups {
+		zoneCounts[n], chosen[n] = map[string]int{}, map[int]bool{}
+		for _, c := range cores {
+			weights[n] = append(weights[n], weight("seat", n, c.ID))
+		}
+		for len(chosen[n]) < count {
+			best := -1
+			for i, c := range cores {
+				if chosen[n][i] {
+					continue
+				}
+				if best < 0 || zoneCounts[n][c.Zone] < zoneCounts[n][cores[best].Zone] ||
+					(zoneCounts[n][c.Zone] == zoneCounts[n][cores[best].Zone] && weights[n][i] > weights[n][best]) {
+					best = i
+				}
+			}
+			chosen[n][best] = true
+			zoneCounts[n][cores[best].Zone]++
+			loads[best]++
+		}
+	}
+	for {
+		group, out, in := -1, 0, 0
+		for n := range groups {
+			for i := range cores {
+				if !chosen[n][i] {
+					continue
+				}
+				for j, c := range cores {
+					gap := loads[i] - loads[j]
+					if chosen[n][j] || gap < 2 || (c.Zone != cores[i].Zone && zoneCounts[n][c.Zone]+1 > zoneCounts[n][cores[i].Zone]) {
+						continue
+					}
+					if best := loads[out] - loads[in]; group < 0 || gap > best || (gap == best && weights[n][j] > weights[group][in]) {
+						group, out, in = n, i, j
+					}
+				}
+			}
+		}
+		if group < 0 {
+			break
+		}
+		delete(chosen[group], out)
+		chosen[group][in] = true
+		loads[out]--
+		loads[in]++
+		zoneCounts[group][cores[out].Zone]--
+		zoneCounts[group][cores[in].Zone]++
+	}
+	for n := range groups {
+		if groupsBefore != nil {
+			groups[n] = groupsBefore[n]
+		}
+		members := ordered.Keys(chosen[n])
+		slices.SortFunc(members, func(a, b int) int {
+			if weights[n][a] > weights[n][b] {
+				return -1
+			}
+			return 1
+		})
+		for _, i := range members {
+			groups[n] = append(groups[n], cores[i].Seat())
+		}
+	}
+	return groups
+}
+
+// assignHomes puts each partition's home, the member that should lead it, first in
+// its group.
+func assignHomes(groups [][]string) [][]string {
+	homeCounts := map[string]int{}
+	home := make([]string, len(groups))
+	for n, members := range groups {
+		for _, member := range members {
+			if home[n] == "" || weight("home", n, SeatID(member)) > weight("home", n, SeatID(home[n])) {
+				home[n] = member
+			}
+		}
+		homeCounts[home[n]]++
+	}
+	for {
+		best, newHome := -1, ""
+		for n, members := range groups {
+			for _, member := range members {
+				gap := homeCounts[home[n]] - homeCounts[member]
+				if gap >= 2 && (best < 0 || gap > homeCounts[home[best]]-homeCounts[newHome]) {
+					best, newHome = n, member
+				}
+			}
+		}
+		if best < 0 {
+			break
+		}
+		homeCounts[home[best]]--
+		homeCounts[newHome]++
+		home[best] = newHome
+	}
+	for n, members := range groups {
+		if i := slices.Index(members, home[n]); i > 0 {
+			groups[n] = slices.Insert(slices.Delete(members, i, i+1), 0, home[n])
+		}
+	}
+	return groups
+}
+
+// silenceTimeout is the time without a message after which a core counts as silent.
+func (m *Machine) silenceTimeout() time.Duration {
+	if m.params.Gone > 0 {
+		return m.params.Gone
+	}
+	return 3 * m.params.MemberTerm
+}
+
+// heartbeatInterval is the time between a core's heartbeats.
+func (m *Machine) heartbeatInterval() time.Duration {
+	return min(m.params.MemberTerm/4, m.silenceTimeout()/8)
+}
+
+// recoveryTime is how long messages from a silent core must arrive again until it
+// no longer counts as silent.
+func (m *Machine) recoveryTime() time.Duration {
+	return min(m.params.MemberTerm, m.silenceTimeout()) / 4
+}
+
+// contact is when the last message of a core arrived, and when the first one
+// after its last silence did.
+type contact struct{ last, recoveredAt time.Duration }
+
+// recordContact notes that a message of a member arrived.
+func (m *Machine) recordContact(now time.Duration, member string) {
+	c, ok := m.contacts[member]
+	if ok && now-max(c.last, m.observedSince) >= m.silenceTimeout() {
+		c.recoveredAt = now
+	}
+	c.last = now
+	m.contacts[member] = c
+}
+
+// detectPause restarts the observation of other cores' silence if this core itself
+// did not run for a while, because it then can't tell who was silent.
+func (m *Machine) detectPause(now time.Duration) {
+	if now-m.activeAt > m.silenceTimeout()/4 {
+		m.observedSince = now
+	}
+	m.activeAt = now
+}
+
+// silent reports whether a member counts as silent: no message arrived for the
+// silence timeout, or it has not yet recovered from such a silence.
+func (m *Machine) silent(now time.Duration, member string) bool {
+	if member == m.self.Seat() {
+		return false
+	}
+	c := m.contacts[member]
+	return now-max(c.last, m.observedSince) >= m.silenceTimeout() || (c.recoveredAt > 0 && c.last-c.recoveredAt < m.recoveryTime())
+}
+
+// silentCores returns the IDs of the cores that count as silent.
+func (m *Machine) silentCores(now time.Duration) map[string]bool {
+	silent := map[string]bool{}
+	for id, c := range m.cores {
+		if m.silent(now, c.Seat()) {
+			silent[id] = true
+		}
+	}
+	return silent
+}
+
+// recentlyHeard reports whether a message of a member arrived within the last three
+// heartbeat intervals.
+func (m *Machine) recentlyHeard(now time.Duration, member string) bool {
+	c, ok := m.contacts[member]
+	return member == m.self.Seat() || (ok && now-c.last < 3*m.heartbeatInterval())
+}
+
+// Reasons for removing a member from a group, the most urgent first.
+const (
+	memberSuperseded = iota
+	memberRetired
+	memberSilent
+	memberSurplus
+	memberStays
+)
+
+// removalUrgency returns whether and how urgently a member should be removed from
+// a group.
+func (m *Machine) removalUrgency(now time.Duration, member string, wanted []string) int {
+	c, ok := m.cores[SeatID(member)]
+	switch {
+	case ok && c.Seat() != member:
+		return memberSuperseded
+	case c.Retired:
+		return memberRetired
+	case m.silent(now, member):
+		return memberSilent
+	case !slices.Contains(wanted, member):
+		return memberSurplus
+	}
+	return memberStays
+}
+
+// desiredGroups returns the groups that the partitions should have according to
+// the cores that this one knows.
+func (m *Machine) desiredGroups(now time.Duration) [][]string {
+	var cores []Core
+	silent := m.silentCores(now)
+	for _, id := range ordered.Keys(m.cores) {
+		cores = append(cores, m.cores[id])
+	}
+	if m.placement == nil || !slices.Equal(cores, m.placementCores) || !maps.Equal(silent, m.placementSilent) {
+		m.placement, m.placementCores, m.placementSilent = Place(m.founding.Partitions, m.groupSize(), cores, silent), cores, silent
+	}
+	return m.placement
+}
+
+// rebalance moves the groups of the partitions that this core leads towards the
+// desired ones, one member at a time for each group.
+func (m *Machine) rebalance(now time.Duration) {
+	for n := 0; n < m.founding.Partitions; n++ {
+		p := m.partitions[n]
+		if p == nil {
+			continue
+		}
+		if _, ok := p.LeadingTerm(now); !ok {
+			continue
+		}
+		if adding, changing := p.ChangeInProgress(); changing {
+			if adding != "" && (!m.recentlyHeard(now, adding) || m.removalUrgency(now, adding, nil) < memberSilent) {
+				m.take(now, n, p.AbortChange(now))
+			}
+			continue
+		}
+		if now < m.nextChangeAt[n] || m.draining || m.stalled {
+			continue
+		}
+		agreed, _ := p.CommittedGroup()
+		group, wanted := agreed.Members, m.desiredGroups(now)[n]
+		add, remove := m.nextChange(now, group, wanted)
+		switch {
+		case add != "" || remove != "":
+			ticket := m.tickets.Keep(origin{handled: func(now time.Duration, r partition.Result) {
+				if r.Body != true {
+					m.nextChangeAt[n] = now + m.params.Part.LeaseDuration
+				}
+			}})
+			m.take(now, n, p.ChangeMembers(now, uint64(ticket), add, remove))
+		case len(wanted) > 0 && wanted[0] != group[0] && slices.Contains(group, wanted[0]) && m.recentlyHeard(now, wanted[0]):
+			i := slices.Index(group, wanted[0])
+			m.take(now, n, p.ReorderMembers(now, append([]string{wanted[0]}, slices.Delete(slices.Clone(group), i, i+1)...)))
+		}
+	}
+}
+
+// nextChange returns the next member to add to a group and the one to remove. Empty
+// strings mean none.
+func (m *Machine) nextChange(now time.Duration, group, wanted []string) (add, remove string) {
+	urgency := memberStays
+	healthy := true
+	for _, s := range group {
+		if u := m.removalUrgency(now, s, wanted); u < urgency {
+			urgency, remove = u, s
+		}
+		healthy = healthy && m.recentlyHeard(now, s)
+	}
+	for _, s := range wanted {
+		if !slices.Contains(group, s) && m.recentlyHeard(now, s) && (add == "" || SeatID(s) == SeatID(remove)) {
+			add = s
+		}
+	}
+	switch size := m.groupSize(); {
+	case len(group) > size && urgency < memberStays:
+		return "", remove
+	case add == "" || len(group) > size:
+		return "", ""
+	case len(group) < size && urgency > memberSuperseded:
+		return add, ""
+	case urgency == memberStays, urgency == memberSurplus && !healthy:
+		return "", ""
+	}
+	return add, remove
+}
--- a/peer/core/topology.go
+++ b/peer/core/topology.go
@@ -12,67 +12,70 @@
 	"saffronfall/rule/partition"
 )
 
-// assert makes the fleet's entry of this core what it is now: its address or
-// its incarnation may have changed while it was away.
-func (m *Machine) assert() {
-	known, ok := m.cores[m.self.ID]
-	if named := m.founding.Cores[m.self.ID]; ok && known.Incarnation != m.self.Incarnation && named.Incarnation == m.self.Incarnation {
-		m.self.Version = named.Version
-		m.unknown = true
+// refreshSelf updates this core's entry if its address or incarnation changed while
+// it was down, and has it registered with the fleet if need be.
+func (m *Machine) refreshSelf() {
+	registered, ok := m.cores[m.self.ID]
+	if founded := m.founding.Cores[m.self.ID]; ok && registered.Incarnation != m.self.Incarnation && founded.Incarnation == m.self.Incarnation {
+		m.self.Version = founded.Version
+		m.unregistered = true
 		return
 	}
-	fresh := m.self
-	fresh.Retired, fresh.Version = known.Retired, known.Version
-	if ok && fresh == known {
-		m.self = known
+	current := m.self
+	current.Retired, current.Version = registered.Retired, registered.Version
+	if ok && current == registered {
+		m.self = registered
 		return
 	}
-	fresh.Version++
-	m.self, m.cores[m.self.ID] = fresh, fresh
-	m.unknown = true
+	current.Version++
+	m.self, m.cores[m.self.ID] = current, current
+	m.unregistered = true
 }
 
-func (m *Machine) learnCores() {
-	if p := m.parts[ConfigurationPart]; p != nil {
-		m.learnCoresOf(p.State())
+// mergeStoredCores merges the core entries of this core's replica of the
+// configuration partition, if it has one.
+func (m *Machine) mergeStoredCores() {
+	if p := m.partitions[ConfigurationPart]; p != nil {
+		m.mergeCoresOf(p.State())
 	}
 }
 
-func (m *Machine) learnCoresOf(c partition.State) {
-	for key, e := range c.Entries {
+// mergeCoresOf merges the core entries of the configuration partition's state.
+func (m *Machine) mergeCoresOf(state partition.State) {
+	for key, e := range state.Entries {
 		if len(key) > len(corePrefix) && key[:len(corePrefix)] == corePrefix && !e.Deleted {
-			var one Core
-			if message.Unmarshal(e.Value, &one) == nil {
-				m.learnCore(one)
+			var core Core
+			if message.Unmarshal(e.Value, &core) == nil {
+				m.mergeCore(core)
 			}
 		}
 	}
 }
 
-// learnCore takes the newest that is told of a core. What is retired once stays
-// so, whatever is told later.
-func (m *Machine) learnCore(c Core) {
+// mergeCore merges a received entry of a core: the higher version wins, and a core
+// that was retired once stays retired.
+func (m *Machine) mergeCore(c Core) {
 	old, ok := m.cores[c.ID]
 	c.Retired = c.Retired || old.Retired
 	switch {
 	case !ok || old.Version < c.Version:
 		m.cores[c.ID] = c
-		m.changed = true
+		m.topologyChanged = true
 	case c.Retired && !old.Retired:
 		old.Retired = true
 		m.cores[c.ID] = old
-		m.changed = true
+		m.topologyChanged = true
 	}
 	switch {
 	case c.ID != m.self.ID:
 		return
 	case c.Incarnation != m.self.Incarnation:
-		// The configuration's part knows which of the two came later.
+		// Only the configuration partition knows which incarnation is the later one.
 		if c.Version >= m.self.Version {
-			// Others keep the one that they heard of first, so this one's next claim
-			// is above it.
-			m.unknown = true
-			m.refused = max(m.refused, c.Version+1-m.self.Version)
+			// Of two entries with the same version, other cores keep the one received
+			// first, so the next claim needs a higher version.
+			m.unregistered = true
+			m.claimIncrement = max(m.claimIncrement, c.Version+1-m.self.Version)
 		}
 		return
 	}
@@ -81,19 +84,20 @@
 		m.cores[m.self.ID] = m.self
 		return
 	}
-	if same := m.self; same.Version != c.Version {
-		if same.Version = c.Version; same == c {
+	if updated := m.self; updated.Version != c.Version {
+		if updated.Version = c.Version; updated == c {
 			m.self = c
 			return
 		}
 		m.self.Version = c.Version + 1
 		m.cores[m.self.ID] = m.self
-		m.unknown = true
+		m.unregistered = true
 	}
 }
 
-// size is how many seats a group is to have.
-func (m *Machine) size() int {
+// groupSize returns the number of members that a group should have. Without a
+// configured size it is that of the largest group.
+func (m *Machine) groupSize() int {
 	size := m.founding.Size
 	if size == 0 {
 		for _, g := range m.groups {
@@ -103,110 +107,116 @@
 	return size
 }
 
+// fleet returns the known cores and the group size.
 func (m *Machine) fleet() (map[string]Core, int) {
-	return maps.Clone(m.cores), m.size()
+	return maps.Clone(m.cores), m.groupSize()
 }
 
-func (m *Machine) learn() {
-	m.learnCores()
-	for n, p := range m.parts {
-		if owner := p.CurrentTerm(); m.owners[n].Less(owner) {
-			m.owners[n] = owner
-			m.changed = true
+// refreshTopology brings the known cores, terms and groups up to the state of this
+// core's replicas.
+func (m *Machine) refreshTopology() {
+	m.mergeStoredCores()
+	for n, p := range m.partitions {
+		if term := p.CurrentTerm(); m.terms[n].Less(term) {
+			m.terms[n] = term
+			m.topologyChanged = true
 		}
 		if m.groups[n].Before(p.Group()) || m.groups[n].Epoch == 0 {
-			m.changed = m.changed || p.Group().Epoch > 0
+			m.topologyChanged = m.topologyChanged || p.Group().Epoch > 0
 			m.groups[n] = p.Group()
 		}
 	}
 }
 
-// gossiping is when and what a core last told the others of the fleet.
-type gossiping struct {
-	gossipAt, beatAt, tellAt time.Duration
-	// known is the digest of the topology as of the last gossip; toldAt is when a
-	// core that differed was last told it.
-	known  uint64
-	toldAt map[string]time.Duration
+// gossipState is when a core next sends heartbeats and its topology to the others.
+type gossipState struct {
+	gossipAt, heartbeatAt, topologyAt time.Duration
+	// digest is the digest of the topology at the last heartbeat. topologySentAt is
+	// when the topology was last sent, by the address of the core that had reported
+	// another digest.
+	digest         uint64
+	topologySentAt map[string]time.Duration
 }
 
-// wholeGossipTerms is after how many terms of a member the topology is told though
-// nothing has changed. Cores that know another one are told at their next word.
-const wholeGossipTerms = 8
+// topologyGossipTerms is the number of member terms after which the topology is
+// sent although it has not changed. A core whose heartbeat has another digest is
+// sent it sooner.
+const topologyGossipTerms = 8
 
-// Digest tells a topology from others.
+// Digest returns a hash of the topology. Size is not part of it.
 func (t Topology) Digest() uint64 {
-	var text digestText
-	text.words(t.Fleet)
-	text.numbers(uint64(len(t.Cores)), uint64(len(t.Owners)), uint64(len(t.Groups)))
+	var input digestInput
+	input.addStrings(t.Fleet)
+	input.addNumbers(uint64(len(t.Cores)), uint64(len(t.Owners)), uint64(len(t.Groups)))
 	for _, id := range ordered.Keys(t.Cores) {
 		c := t.Cores[id]
-		text.words(c.ID, c.Incarnation, c.Zone, c.Peer, c.Operator, strconv.FormatBool(c.Retired))
-		text.numbers(c.Version)
+		input.addStrings(c.ID, c.Incarnation, c.Zone, c.Peer, c.Operator, strconv.FormatBool(c.Retired))
+		input.addNumbers(c.Version)
 	}
-	for _, owner := range t.Owners {
-		text.words(owner.Leader)
-		text.numbers(owner.Round)
+	for _, term := range t.Owners {
+		input.addStrings(term.Leader)
+		input.addNumbers(term.Round)
 	}
 	for _, g := range t.Groups {
-		text.words(g.Term.Leader)
-		text.numbers(g.Term.Round, g.Epoch, uint64(len(g.Members)), uint64(len(g.Former)))
-		text.words(g.Members...)
-		text.words(g.Former...)
+		input.addStrings(g.Term.Leader)
+		input.addNumbers(g.Term.Round, g.Epoch, uint64(len(g.Members)), uint64(len(g.Former)))
+		input.addStrings(g.Members...)
+		input.addStrings(g.Former...)
 	}
 	h := fnv.New64a()
-	h.Write(text)
+	h.Write(input)
 	return h.Sum64()
 }
 
-// digestText is what a digest is made of, so that no two lists read alike.
-type digestText []byte
+// digestInput is the unambiguous encoding of a topology that Digest hashes: strings
+// are quoted, numbers separated by spaces, and lists preceded by their lengths.
+type digestInput []byte
 
-func (d *digestText) words(words ...string) {
-	for _, word := range words {
-		*d = strconv.AppendQuote(*d, word)
+func (d *digestInput) addStrings(values ...string) {
+	for _, value := range values {
+		*d = strconv.AppendQuote(*d, value)
 	}
 }
 
-func (d *digestText) numbers(numbers ...uint64) {
-	for _, number := range numbers {
-		*d = strconv.AppendUint(append(*d, ' '), number, 10)
+func (d *digestInput) addNumbers(values ...uint64) {
+	for _, value := range values {
+		*d = strconv.AppendUint(append(*d, ' '), value, 10)
 	}
 }
 
-// tellDiffering tells a core what this one knows, if that core knows something
-// else. It does the same, so that both end with what either knew.
-func (m *Machine) tellDiffering(now time.Duration, to string, theirs uint64) {
-	if theirs == 0 || m.known == 0 || theirs == m.known || now < m.toldAt[to]+m.params.MemberTerm/4 {
+// sendTopologyIfDifferent sends this core's topology to a core that reports another
+// digest. The other core does the same, so that both end with the merged topology.
+func (m *Machine) sendTopologyIfDifferent(now time.Duration, to string, theirs uint64) {
+	if theirs == 0 || m.digest == 0 || theirs == m.digest || now < m.topologySentAt[to]+m.params.MemberTerm/4 {
 		return
 	}
-	m.toldAt[to] = now
-	m.learn()
+	m.topologySentAt[to] = now
+	m.refreshTopology()
 	m.send(to, m.Topology(), false)
 }
 
-// gossip tells the other cores that this one lives, and what it knows of the
-// fleet when that has changed, or was not told for long.
+// gossip sends heartbeats to the other cores, together with the topology if it has
+// changed or was not sent for long.
 func (m *Machine) gossip(now time.Duration) {
-	whole := m.changed || now >= m.tellAt
-	if m.outlived || (!whole && now < m.beatAt) {
+	sendTopology := m.topologyChanged || now >= m.topologyAt
+	if m.superseded || (!sendTopology && now < m.heartbeatAt) {
 		return
 	}
-	m.beatAt = now + m.beat()
+	m.heartbeatAt = now + m.heartbeatInterval()
 	topology := m.Topology()
-	m.known = topology.Digest()
+	m.digest = topology.Digest()
 	for _, id := range ordered.Keys(m.cores) {
 		c := m.cores[id]
 		if id == m.self.ID || c.Retired && !m.hasReplica(c) {
 			continue
 		}
-		m.send(c.Peer, m.present(), false)
-		if whole {
+		m.send(c.Peer, m.presence(), false)
+		if sendTopology {
 			m.send(c.Peer, topology, false)
 		}
 	}
-	if whole {
-		m.changed, m.tellAt = false, now+wholeGossipTerms*m.params.MemberTerm
+	if sendTopology {
+		m.topologyChanged, m.topologyAt = false, now+topologyGossipTerms*m.params.MemberTerm
 	}
 }
 
@@ -215,52 +225,58 @@
 	return slices.ContainsFunc(m.groups, func(g partition.Group) bool { return g.Has(c.Seat()) })
 }
 
-// Topology is what this core knows of cores, groups and owners.
+// Topology returns a copy of what this core knows of the fleet's cores, groups and
+// leaders' terms.
 func (m *Machine) Topology() Topology {
-	t := Topology{Fleet: m.founding.Fleet, Size: m.size(), Cores: map[string]Core{}, Owners: append([]partition.Term(nil), m.owners...), Groups: append([]partition.Group(nil), m.groups...)}
+	t := Topology{Fleet: m.founding.Fleet, Size: m.groupSize(), Cores: map[string]Core{}, Owners: append([]partition.Term(nil), m.terms...), Groups: append([]partition.Group(nil), m.groups...)}
 	for id, c := range m.cores {
 		t.Cores[id] = c
 	}
 	return t
 }
 
-func (m *Machine) addressOf(seat string) string {
-	if seat == m.self.Seat() {
+// addressOf returns the address of a member, or "" if it is not known.
+func (m *Machine) addressOf(member string) string {
+	if member == m.self.Seat() {
 		return m.self.Peer
 	}
 	for _, c := range m.cores {
-		if c.Seat() == seat {
+		if c.Seat() == member {
 			return c.Peer
 		}
 	}
 	return ""
 }
 
-func (m *Machine) hint(n int) string {
-	owner := m.owners[n]
-	if p := m.parts[n]; p != nil && owner.Less(p.CurrentTerm()) {
-		owner = p.CurrentTerm()
+// leaderAddress returns the address of the last known leader of partition n, or ""
+// if none is known or it is this core.
+func (m *Machine) leaderAddress(n int) string {
+	term := m.terms[n]
+	if p := m.partitions[n]; p != nil && term.Less(p.CurrentTerm()) {
+		term = p.CurrentTerm()
 	}
-	address := m.addressOf(owner.Leader)
+	address := m.addressOf(term.Leader)
 	if address == m.self.Peer {
 		return ""
 	}
 	return address
 }
 
-func (m *Machine) adopt(t Topology) {
-	if m.founding.Fleet != t.Fleet || len(t.Owners) != len(m.owners) || len(t.Groups) != len(m.groups) {
+// mergeTopology merges a received topology of the same fleet: for each term, group
+// and core the later one wins.
+func (m *Machine) mergeTopology(t Topology) {
+	if m.founding.Fleet != t.Fleet || len(t.Owners) != len(m.terms) || len(t.Groups) != len(m.groups) {
 		return
 	}
 	for n := range t.Owners {
-		if m.owners[n].Less(t.Owners[n]) {
-			m.owners[n] = t.Owners[n]
+		if m.terms[n].Less(t.Owners[n]) {
+			m.terms[n] = t.Owners[n]
 		}
 		if m.groups[n].Before(t.Groups[n]) {
 			m.groups[n] = t.Groups[n]
 		}
 	}
 	for _, c := range t.Cores {
-		m.learnCore(c)
+		m.mergeCore(c)
 	}
 }
