--- a/peer/front/handler.go
+++ b/peer/front/handler.go
@@ -30,7 +30,7 @@
 type Dispatcher interface {
 	// Dispatch hands over a request and waits for its first step. The line leads to the
 	// replica if the step is relay.StepSend. The result is false if the node stops first.
-	Dispatch(ctx context.Context, a relay.Ask) (Request, relay.Step, *replica.Pool, bool)
+	Dispatch(ctx context.Context, a relay.Request) (Request, relay.Step, *replica.Pool, bool)
 }
 
 // Request is a dispatched request.
@@ -57,7 +57,7 @@
 	HashKey [2]uint64
 	// OnRejected, if set, is called for requests that were malformed or did not arrive
 	// complete, on the request's goroutine.
-	OnRejected func(e relay.Ended)
+	OnRejected func(e relay.Completion)
 	// Violated is called for violated invariants; if it is nil, they panic.
 	Violated invariant.Reporter
 }
@@ -82,7 +82,7 @@
 	r          *http.Request
 	controller *http.ResponseController
 	body       []byte
-	ask        relay.Ask
+	ask        relay.Request
 	request    Request
 	// started is set once the answer's head has been written.
 	started bool
@@ -121,17 +121,17 @@
 		return
 	}
 	x.body = b.raw
-	x.ask.Input, x.ask.BodyBytes, x.ask.Came = x.body, int64(len(x.body)), arrived
-	request, step, line, ok := h.Dispatcher.Dispatch(r.Context(), x.ask)
+	x.ask.Input, x.ask.BodyBytes, x.ask.HeadReceived = x.body, int64(len(x.body)), arrived
+	request, step, pool, ok := h.Dispatcher.Dispatch(r.Context(), x.ask)
 	x.request = request
 	for ok {
 		switch step.Kind {
 		case relay.StepSend:
-			step, line, ok = x.send(step, line)
+			step, pool, ok = x.send(step, pool)
 			continue
-		case relay.StepPass:
+		case relay.StepDeliver:
 			return
-		case relay.StepBreak:
+		case relay.StepAbort:
 			if x.started || r.Context().Err() != nil {
 				panic(http.ErrAbortHandler)
 			}
@@ -149,8 +149,8 @@
 // receiveBody reads the body within BodyTimeout and the request's deadline.
 func (x *exchange) receiveBody(b *body) error {
 	timeout := x.BodyTimeout
-	if x.ask.Left > 0 {
-		timeout = min(timeout, x.ask.Left)
+	if x.ask.Remaining > 0 {
+		timeout = min(timeout, x.ask.Remaining)
 	}
 	x.setWriteTimeout(timeout)
 	x.setReadTimeout(timeout)
@@ -194,7 +194,7 @@
 // reject answers a request that is malformed or incomplete, and reports it.
 func (x *exchange) reject(cause relay.Cause, s relay.Step) {
 	if x.OnRejected != nil {
-		x.OnRejected(relay.Ended{Cause: cause, Attempt: x.ask.Attempt, Program: x.ask.Program, Status: s.Status})
+		x.OnRejected(relay.Completion{Cause: cause, Attempt: x.ask.Attempt, Program: x.ask.Program, Status: s.Status})
 	}
 	x.refuse(s)
 }
@@ -241,16 +241,16 @@
 }
 
 // send makes one attempt at a replica, reports its outcome and returns the next step.
-func (x *exchange) send(s relay.Step, line *replica.Pool) (relay.Step, *replica.Pool, bool) {
-	if s.Within <= 0 {
+func (x *exchange) send(s relay.Step, pool *replica.Pool) (relay.Step, *replica.Pool, bool) {
+	if s.Timeout <= 0 {
 		// The time limit passed before the attempt was started.
-		return x.request.Next(relay.Outcome{Kind: relay.NotRun, Unreached: true})
+		return x.request.Next(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true})
 	}
-	x.setWriteTimeout(s.Within)
+	x.setWriteTimeout(s.Timeout)
 	n := x.Names
-	q := replica.Request{Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Attempt: x.ask.Attempt, Timeout: s.Within, HasBody: x.r.ContentLength != 0 || x.r.Method == http.MethodPost,
-		Header: endToEnd(x.r.Header, n.Attempt, n.Key, n.Tenant, n.Target, n.Deadline, n.Urgency, "Expect"), Body: append(append([][]byte(nil), s.Before...), x.body)}
-	q.NodeHeaders = append(q.NodeHeaders, [2]string{n.Attempt, x.ask.Attempt}, [2]string{n.Target, s.Replica.ID}, [2]string{n.Deadline, strconv.FormatInt(max(1, s.Within.Milliseconds()), 10)})
+	q := replica.Request{Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Attempt: x.ask.Attempt, Timeout: s.Timeout, HasBody: x.r.ContentLength != 0 || x.r.Method == http.MethodPost,
+		Header: endToEnd(x.r.Header, n.Attempt, n.Key, n.Tenant, n.Target, n.Deadline, n.Urgency, "Expect"), Body: append(append([][]byte(nil), s.History...), x.body)}
+	q.NodeHeaders = append(q.NodeHeaders, [2]string{n.Attempt, x.ask.Attempt}, [2]string{n.Target, s.Replica.ID}, [2]string{n.Deadline, strconv.FormatInt(max(1, s.Timeout.Milliseconds()), 10)})
 	if s.Tenant != "" {
 		q.NodeHeaders = append(q.NodeHeaders, [2]string{n.Tenant, s.Tenant})
 	}
@@ -261,30 +261,30 @@
 		delete(q.Header, http.CanonicalHeaderKey(n.LastEvent))
 		q.NodeHeaders = append(q.NodeHeaders, [2]string{n.LastEvent, x.lastEventID})
 	}
-	r, unreached, err := line.Do(x.r.Context(), n, q)
+	r, unreached, err := pool.Do(x.r.Context(), n, q)
 	gone := x.r.Context().Err() != nil
 	switch {
 	case unreached:
-		return x.request.Next(relay.Outcome{Kind: relay.NotRun, Unreached: true, Gone: gone, Cold: true})
+		return x.request.Next(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true, RequesterGone: gone, NewConnection: true})
 	case err != nil:
-		return x.request.Next(relay.Outcome{Kind: relay.Broken, Gone: gone})
+		return x.request.Next(relay.Outcome{Kind: relay.OutcomeInterrupted, RequesterGone: gone})
 	}
-	o := relay.Outcome{Load: parseLoad(r.Header.Get(n.Load)), Cold: r.NewConnection}
+	o := relay.Outcome{Load: parseLoad(r.Header.Get(n.Load)), NewConnection: r.NewConnection}
 	ok := r.StatusCode >= 200 && r.StatusCode < 300
 	switch {
 	case r.NotRun:
 		size, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxNotRunBody))
 		r.Done(err == nil && size < maxNotRunBody)
-		o.Kind, o.Moved = relay.NotRun, r.Misdirected
+		o.Kind, o.AddressReused = relay.OutcomeNotRun, r.Misdirected
 	case ok && (r.Header.Get(n.Seal) == "" || !r.Delimited()):
 		r.Done(false)
-		o.Kind = relay.Broken
+		o.Kind = relay.OutcomeInterrupted
 	case ok && s.Stream:
 		o = x.relayStream(r, s, o)
 	default:
 		return x.relayWhole(r, o)
 	}
-	o.Gone = o.Gone || x.r.Context().Err() != nil
+	o.RequesterGone = o.RequesterGone || x.r.Context().Err() != nil
 	return x.request.Next(o)
 }
 
@@ -333,14 +333,14 @@
 		err = errAnswerTooLarge
 	}
 	r.Done(err == nil)
-	o.Gone = x.r.Context().Err() != nil
+	o.RequesterGone = x.r.Context().Err() != nil
 	if err != nil || x.started || !r.Delimited() {
-		o.Kind = relay.Broken
+		o.Kind = relay.OutcomeInterrupted
 		return x.request.Next(o)
 	}
-	o.Kind, o.Failed, o.Status = relay.Whole, r.StatusCode >= 300, r.StatusCode
-	step, line, ok := x.request.Next(o)
-	if ok && step.Kind == relay.StepPass {
+	o.Kind, o.Failed, o.Status = relay.OutcomeComplete, r.StatusCode >= 300, r.StatusCode
+	step, pool, ok := x.request.Next(o)
+	if ok && step.Kind == relay.StepDeliver {
 		x.setWriteTimeout(answerTimeout)
 		x.copyHead(r)
 		size := int64(len(body))
@@ -352,7 +352,7 @@
 		x.w.Write(body)
 		x.started = true
 	}
-	return step, line, ok
+	return step, pool, ok
 }
 
 // relayStream passes on a stream event by event. An event that did not arrive complete is
@@ -365,14 +365,14 @@
 	end := func(kind string, complete bool) relay.Outcome {
 		r.Done(complete)
 		if o.Events > 0 {
-			o.Streamed = clock.Now() - firstAt
+			o.StreamDuration = clock.Now() - firstAt
 		}
 		o.Kind = kind
 		return o
 	}
 	dispatch := func() bool {
 		if !x.writeEvent(r, e.raw) {
-			o.Gone = true
+			o.RequesterGone = true
 			return false
 		}
 		if e.hasData {
@@ -380,8 +380,8 @@
 				firstAt = clock.Now()
 			}
 			o.Events++
-			o.Begun = true
-			if s.Kept {
+			o.Started = true
+			if s.ReturnOutput {
 				x.output = append(append(x.output, e.data...), '\n')
 			}
 		}
@@ -396,13 +396,13 @@
 		e.raw = append(e.raw, line...)
 		switch {
 		case err != nil && err != io.EOF && err != bufio.ErrBufferFull, int64(len(e.raw)) > x.MaxBody:
-			return end(relay.Broken, false)
+			return end(relay.OutcomeInterrupted, false)
 		case err == bufio.ErrBufferFull:
 			continue
 		}
 		if blank := e.parseLine(e.raw[lineStart:]); blank && err == nil {
 			if !dispatch() {
-				return end(relay.Broken, false)
+				return end(relay.OutcomeInterrupted, false)
 			}
 			continue
 		}
@@ -410,10 +410,10 @@
 		if err == io.EOF {
 			// The end of a complete stream ends its last event even without a blank line.
 			if (len(e.raw) > 0 || !x.started) && !dispatch() {
-				return end(relay.Broken, false)
+				return end(relay.OutcomeInterrupted, false)
 			}
-			o.Begun, o.Output = x.started, x.output
-			return end(relay.Whole, true)
+			o.Started, o.Output = x.started, x.output
+			return end(relay.OutcomeComplete, true)
 		}
 	}
 }
--- a/peer/front/handler_test.go
+++ b/peer/front/handler_test.go
@@ -27,16 +27,16 @@
 type scriptedDispatcher struct {
 	t          *testing.T
 	steps      []relay.Step
-	lines      []*replica.Pool
-	dispatched chan relay.Ask
+	pools      []*replica.Pool
+	dispatched chan relay.Request
 	outcomes   chan relay.Outcome
 }
 
-func (s *scriptedDispatcher) Dispatch(ctx context.Context, a relay.Ask) (Request, relay.Step, *replica.Pool, bool) {
+func (s *scriptedDispatcher) Dispatch(ctx context.Context, a relay.Request) (Request, relay.Step, *replica.Pool, bool) {
 	s.dispatched <- a
 	r := &scriptedRequest{dispatcher: s}
-	step, line, ok := r.next()
-	return r, step, line, ok
+	step, pool, ok := r.next()
+	return r, step, pool, ok
 }
 
 type scriptedRequest struct {
@@ -55,7 +55,7 @@
 		return step, nil, true
 	}
 	r.sent++
-	return step, r.dispatcher.lines[r.sent-1], true
+	return step, r.dispatcher.pools[r.sent-1], true
 }
 
 func (r *scriptedRequest) Next(o relay.Outcome) (relay.Step, *replica.Pool, bool) {
@@ -63,17 +63,17 @@
 	return r.next()
 }
 
-var sendStep = relay.Step{Kind: relay.StepSend, Replica: desk.Replica{ID: "i-1"}, Tenant: "tenant", Within: testTimeout}
+var sendStep = relay.Step{Kind: relay.StepSend, Replica: desk.Replica{ID: "i-1"}, Tenant: "tenant", Timeout: testTimeout}
 
 func streamStep(kept bool) relay.Step {
 	s := sendStep
-	s.Stream, s.Kept, s.Urgency = true, kept, 3
+	s.Stream, s.ReturnOutput, s.Urgency = true, kept, 3
 	return s
 }
 
 var (
-	passStep  = relay.Step{Kind: relay.StepPass}
-	breakStep = relay.Step{Kind: relay.StepBreak, Status: 502, Check: "replica", Reason: "it may have run"}
+	passStep  = relay.Step{Kind: relay.StepDeliver}
+	breakStep = relay.Step{Kind: relay.StepAbort, Status: 502, Check: "replica", Reason: "it may have run"}
 )
 
 // capturedRequest is a request as a replica received it.
@@ -135,11 +135,11 @@
 }
 
 func newNode(t *testing.T, steps []relay.Step, replicas ...*rawReplica) *node {
-	s := &scriptedDispatcher{t: t, steps: steps, dispatched: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16)}
+	s := &scriptedDispatcher{t: t, steps: steps, dispatched: make(chan relay.Request, 16), outcomes: make(chan relay.Outcome, 16)}
 	for _, r := range replicas {
-		line := replica.NewPool(r.address, 4, time.Second)
-		t.Cleanup(line.Close)
-		s.lines = append(s.lines, line)
+		pool := replica.NewPool(r.address, 4, time.Second)
+		t.Cleanup(pool.Close)
+		s.pools = append(s.pools, pool)
 	}
 	server := httptest.NewServer(Handler(Options{Dispatcher: s, Names: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{})}))
 	t.Cleanup(server.Close)
@@ -232,7 +232,7 @@
 			if got.Close {
 				t.Error("the requester's connection was closed with the replica's")
 			}
-			if o := <-n.outcomes; o.Kind != relay.Whole || o.Failed != (c.status >= 300) {
+			if o := <-n.outcomes; o.Kind != relay.OutcomeComplete || o.Failed != (c.status >= 300) {
 				t.Errorf("%+v", o)
 			}
 		})
@@ -293,7 +293,7 @@
 				}
 			}
 			path, _, _ := strings.Cut(c.uri, "?")
-			if a := <-n.dispatched; a.Path != path || a.Host != "some.example:80" || a.Key != "secret" || !a.HasKey || a.Left != 5*time.Second || string(a.Input) != c.want || a.BodyBytes != int64(len(c.want)) {
+			if a := <-n.dispatched; a.Path != path || a.Host != "some.example:80" || a.Key != "secret" || !a.HasKey || a.Remaining != 5*time.Second || string(a.Input) != c.want || a.BodyBytes != int64(len(c.want)) {
 				t.Errorf("dispatched %+v", a)
 			}
 		})
@@ -317,7 +317,7 @@
 // TestHistoryPrecedesInput: the history of kept turns precedes the new input.
 func TestHistoryPrecedesInput(t *testing.T) {
 	s := streamStep(true)
-	s.Before = [][]byte{[]byte("in1"), []byte("out1\n"), []byte("in2"), []byte("out2\nout3\n")}
+	s.History = [][]byte{[]byte("in1"), []byte("out1\n"), []byte("in2"), []byte("out2\nout3\n")}
 	r := newStaticReplica(t, okHead+"Content-Length: 0\r\n\r\n")
 	n := newNode(t, []relay.Step{s, passStep}, r)
 	q := n.dial(t)
@@ -335,21 +335,21 @@
 // the requester as a complete one.
 func TestInvalidAnswersAreNotPassedOn(t *testing.T) {
 	for _, c := range []struct{ name, answer, kind string }{
-		{"success without seal", "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nContent-Length: 2\r\n\r\nok", relay.Broken},
-		{"success with an empty seal", "HTTP/1.1 204 OK\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal:\r\n\r\n", relay.Broken},
-		{"success without end", okHead + "\r\nok", relay.Broken},
-		{"truncated success", okHead + "Content-Length: 3\r\n\r\nok", relay.Broken},
-		{"truncated chunks", okHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", relay.Broken},
-		{"truncated failure", "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nContent-Length: 3\r\n\r\nok", relay.Broken},
-		{"failure without end", "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\n\r\nok", relay.Broken},
-		{"answer to another attempt", strings.Replace(okHead, "a1", "a2", 1) + "Content-Length: 2\r\n\r\nok", relay.Broken},
-		{"not HTTP", "hello", relay.Broken},
-		{"too large", okHead + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 1<<20+1, strings.Repeat("x", 1<<20+1)), relay.Broken},
-		{"not run", "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Not-Run: 1\r\nContent-Length: 2\r\n\r\nno", relay.NotRun},
-		{"misdirected", "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n", relay.NotRun},
+		{"success without seal", "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nContent-Length: 2\r\n\r\nok", relay.OutcomeInterrupted},
+		{"success with an empty seal", "HTTP/1.1 204 OK\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal:\r\n\r\n", relay.OutcomeInterrupted},
+		{"success without end", okHead + "\r\nok", relay.OutcomeInterrupted},
+		{"truncated success", okHead + "Content-Length: 3\r\n\r\nok", relay.OutcomeInterrupted},
+		{"truncated chunks", okHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", relay.OutcomeInterrupted},
+		{"truncated failure", "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nContent-Length: 3\r\n\r\nok", relay.OutcomeInterrupted},
+		{"failure without end", "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\n\r\nok", relay.OutcomeInterrupted},
+		{"answer to another attempt", strings.Replace(okHead, "a1", "a2", 1) + "Content-Length: 2\r\n\r\nok", relay.OutcomeInterrupted},
+		{"not HTTP", "hello", relay.OutcomeInterrupted},
+		{"too large", okHead + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 1<<20+1, strings.Repeat("x", 1<<20+1)), relay.OutcomeInterrupted},
+		{"not run", "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Not-Run: 1\r\nContent-Length: 2\r\n\r\nno", relay.OutcomeNotRun},
+		{"misdirected", "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n", relay.OutcomeNotRun},
 	} {
 		for _, s := range []relay.Step{sendStep, streamStep(false), streamStep(true)} {
-			t.Run(fmt.Sprint(c.name, s.Stream, s.Kept), func(t *testing.T) {
+			t.Run(fmt.Sprint(c.name, s.Stream, s.ReturnOutput), func(t *testing.T) {
 				n := newNode(t, []relay.Step{s, breakStep}, newStaticReplica(t, c.answer))
 				q := n.dial(t)
 				q.write(request)
@@ -363,7 +363,7 @@
 						t.Errorf("a partial answer was passed on: %d", got.StatusCode)
 					}
 				}
-				if o := <-n.outcomes; o.Kind != c.kind || o.Gone || o.Unreached {
+				if o := <-n.outcomes; o.Kind != c.kind || o.RequesterGone || o.Unreachable {
 					t.Errorf("%+v", o)
 				}
 			})
@@ -409,7 +409,7 @@
 	}()
 	r := &rawReplica{address: listener.Addr().String()}
 	n := newNode(t, []relay.Step{sendStep, sendStep, passStep}, r)
-	n.lines = append(n.lines, n.lines[0])
+	n.pools = append(n.pools, n.pools[0])
 	q := n.dial(t)
 	q.write(request)
 	got := q.read("POST")
@@ -471,7 +471,7 @@
 	if rest, err := io.ReadAll(got.Body); err != nil || string(rest) != ": the last\n" {
 		t.Errorf("%q %v", rest, err)
 	}
-	if o := <-n.outcomes; o.Kind != relay.Whole || o.Events != 5 || !o.Begun || string(o.Output) != "e1\ne2\ne3\ne4\ne5\n" {
+	if o := <-n.outcomes; o.Kind != relay.OutcomeComplete || o.Events != 5 || !o.Started || string(o.Output) != "e1\ne2\ne3\ne4\ne5\n" {
 		t.Errorf("%+v", o)
 	}
 }
@@ -522,7 +522,7 @@
 				if err != nil || string(text) != c.text {
 					t.Errorf("%q %v", text, err)
 				}
-				if o := <-n.outcomes; o.Kind != relay.Whole || o.Events != c.readEvents || string(o.Output) != c.output {
+				if o := <-n.outcomes; o.Kind != relay.OutcomeComplete || o.Events != c.readEvents || string(o.Output) != c.output {
 					t.Errorf("%+v %q", o, o.Output)
 				}
 			})
@@ -555,7 +555,7 @@
 				if err == nil || string(text) != c.want {
 					t.Errorf("%q %v", text, err)
 				}
-				if o := <-n.outcomes; o.Kind != relay.Broken || !o.Begun || o.Events != 1 || o.Gone {
+				if o := <-n.outcomes; o.Kind != relay.OutcomeInterrupted || !o.Started || o.Events != 1 || o.RequesterGone {
 					t.Errorf("%+v", o)
 				}
 			})
@@ -615,7 +615,7 @@
 	if text, err := io.ReadAll(got.Body); err != nil || string(text) != "id: 1\ndata: a\n\n" || got.Header.Get("Saffronfall-Seal") != "t" {
 		t.Errorf("%q %v %v", text, err, got.Header)
 	}
-	if o := <-n.outcomes; o.Kind != relay.Broken || o.Begun {
+	if o := <-n.outcomes; o.Kind != relay.OutcomeInterrupted || o.Started {
 		t.Errorf("%+v", o)
 	}
 }
@@ -629,7 +629,7 @@
 		if text, err := io.ReadAll(q.read("POST").Body); err == nil || string(text) != "id: 1\ndata: a\n\n" {
 			t.Errorf("%q %v", text, err)
 		}
-		if a, b := <-n.outcomes, <-n.outcomes; a.Kind != relay.Broken || b.Kind == relay.Whole {
+		if a, b := <-n.outcomes, <-n.outcomes; a.Kind != relay.OutcomeInterrupted || b.Kind == relay.OutcomeComplete {
 			t.Errorf("%+v %+v", a, b)
 		}
 	}
@@ -698,8 +698,8 @@
 		if text != "" {
 			r.Header.Set(replica.DefaultHeaders.Deadline, text)
 		}
-		if a, fault := h.parseHead(r); fault != "" || !check(a.Left) {
-			t.Errorf("%q: %v %s", text, a.Left, fault)
+		if a, fault := h.parseHead(r); fault != "" || !check(a.Remaining) {
+			t.Errorf("%q: %v %s", text, a.Remaining, fault)
 		}
 	}
 }
@@ -772,8 +772,8 @@
 	if got := q.read("POST"); got.StatusCode != 200 {
 		t.Error(got.StatusCode)
 	}
-	want := []relay.Outcome{{Kind: relay.NotRun, Unreached: true, Cold: true}, {Kind: relay.NotRun, Cold: true, Load: &relay.Load{Running: 8, Waiting: 2, Slots: 8}},
-		{Kind: relay.Whole, Status: 200, Cold: true, Load: &relay.Load{Running: 3, Slots: 8}}}
+	want := []relay.Outcome{{Kind: relay.OutcomeNotRun, Unreachable: true, NewConnection: true}, {Kind: relay.OutcomeNotRun, NewConnection: true, Load: &relay.Load{Running: 8, Waiting: 2, Slots: 8}},
+		{Kind: relay.OutcomeComplete, Status: 200, NewConnection: true, Load: &relay.Load{Running: 3, Slots: 8}}}
 	for i := range want {
 		if got := <-n.outcomes; !reflect.DeepEqual(got, want[i]) {
 			t.Errorf("%+v, want %+v", got, want[i])
@@ -802,7 +802,7 @@
 		if err := <-ended; err == nil || strings.Contains(err.Error(), "timeout") {
 			t.Errorf("the replica's connection did not end: %v", err)
 		}
-		if o := <-n.outcomes; o.Kind != relay.Broken || !o.Gone {
+		if o := <-n.outcomes; o.Kind != relay.OutcomeInterrupted || !o.RequesterGone {
 			t.Errorf("%+v", o)
 		}
 	}
@@ -824,7 +824,7 @@
 		r.Header.Set(replica.DefaultHeaders.Attempt, "a1")
 		n.server.Config.Handler.ServeHTTP(failingWriter{httptest.NewRecorder()}, r)
 	}()
-	if o := <-n.outcomes; o.Kind != relay.Broken || !o.Gone {
+	if o := <-n.outcomes; o.Kind != relay.OutcomeInterrupted || !o.RequesterGone {
 		t.Errorf("%+v", o)
 	}
 }
@@ -832,8 +832,8 @@
 // TestDrainingClosesConnections: while the node drains, each answer closes its connection.
 func TestDrainingClosesConnections(t *testing.T) {
 	closing := make(chan struct{})
-	s := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, dispatched: make(chan relay.Ask, 4), outcomes: make(chan relay.Outcome, 4)}
-	s.lines = []*replica.Pool{replica.NewPool(newStaticReplica(t, okHead+"Content-Length: 2\r\n\r\nok").address, 4, time.Second)}
+	s := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, dispatched: make(chan relay.Request, 4), outcomes: make(chan relay.Outcome, 4)}
+	s.pools = []*replica.Pool{replica.NewPool(newStaticReplica(t, okHead+"Content-Length: 2\r\n\r\nok").address, 4, time.Second)}
 	server := httptest.NewServer(Handler(Options{Dispatcher: s, Names: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: closing}))
 	defer server.Close()
 	n := &node{scriptedDispatcher: s, server: server}
@@ -872,7 +872,7 @@
 		if fault != "" {
 			return
 		}
-		if a.Attempt != attempt || a.Attempt == "" || a.Budget < 0 || a.Most < 0 || a.Left > time.Duration(math.MaxInt64/4) || a.Left < -time.Second || (a.Left == 0) != (deadline == "") || (a.Budget == 0) != (budget == "") {
+		if a.Attempt != attempt || a.Attempt == "" || a.TokenBudget < 0 || a.MaxTokens < 0 || a.Remaining > time.Duration(math.MaxInt64/4) || a.Remaining < -time.Second || (a.Remaining == 0) != (deadline == "") || (a.TokenBudget == 0) != (budget == "") {
 			t.Fatalf("%+v", a)
 		}
 		for _, piece := range a.Prompt {
--- a/peer/front/head.go
+++ b/peer/front/head.go
@@ -18,9 +18,9 @@
 
 // parseHead reads a request's head. The second result says what is malformed; it is
 // empty for a valid head.
-func (h *handler) parseHead(r *http.Request) (relay.Ask, string) {
+func (h *handler) parseHead(r *http.Request) (relay.Request, string) {
 	n := h.Names
-	a := relay.Ask{Host: r.Host, Path: r.URL.Path, Attempt: r.Header.Get(n.Attempt), Program: r.Header.Get(n.Program), Session: r.Header.Get(n.Session),
+	a := relay.Request{Host: r.Host, Path: r.URL.Path, Attempt: r.Header.Get(n.Attempt), Program: r.Header.Get(n.Program), Session: r.Header.Get(n.Session),
 		Previous: r.Header.Get(n.Previous), Key: r.Header.Get(n.Key)}
 	_, a.HasKey = r.Header[http.CanonicalHeaderKey(n.Key)]
 	if i := strings.IndexByte(r.RequestURI, '?'); i >= 0 {
@@ -42,10 +42,10 @@
 		if err != nil || math.IsNaN(ms) || math.IsInf(ms, 0) {
 			return a, n.Deadline + " is not a number"
 		}
-		a.Left = time.Duration(min(max(ms, -1), maxDeadlineMS) * float64(time.Millisecond))
+		a.Remaining = time.Duration(min(max(ms, -1), maxDeadlineMS) * float64(time.Millisecond))
 		// Zero means that the request has no deadline.
-		if a.Left == 0 {
-			a.Left = -1
+		if a.Remaining == 0 {
+			a.Remaining = -1
 		}
 	}
 	a.Horizon = parseHorizon(r.Header.Get(n.Horizon))
@@ -55,7 +55,7 @@
 			return a, n.Budget + " is not a count"
 		}
 		// Zero means that the request has no budget, so a spent one counts as 1.
-		a.Budget = max(budget, 1)
+		a.TokenBudget = max(budget, 1)
 	}
 	if text := r.Header.Get(n.Tokens); text != "" {
 		prompt, most, _ := strings.Cut(text, ",")
@@ -66,7 +66,7 @@
 		if err != nil || count < 0 {
 			return a, n.Tokens + " is not two counts"
 		}
-		a.Most = count
+		a.MaxTokens = count
 	}
 	a.Prompt = h.parsePrompt(r.Header.Get(n.Prompt))
 	if key := r.Header.Get(n.Affinity); key != "" {
@@ -106,5 +106,5 @@
 	if err != nil || math.IsNaN(ms) {
 		return relay.Horizon{}
 	}
-	return relay.Horizon{Left: time.Duration(min(max(ms, -maxDeadlineMS), maxDeadlineMS) * float64(time.Millisecond)), Known: true}
+	return relay.Horizon{Remaining: time.Duration(min(max(ms, -maxDeadlineMS), maxDeadlineMS) * float64(time.Millisecond)), Known: true}
 }
--- a/peer/front/interruption_test.go
+++ b/peer/front/interruption_test.go
@@ -22,14 +22,14 @@
 // outcomeDispatcher chooses steps by outcomes, as a relay does for requests that may run
 // only once: one that did not run goes to the next replica, one that may have run ends.
 type outcomeDispatcher struct {
-	lines      []*replica.Pool
+	pools      []*replica.Pool
 	first      relay.Step
 	dispatched atomic.Int64
 }
 
-func (d *outcomeDispatcher) Dispatch(context.Context, relay.Ask) (Request, relay.Step, *replica.Pool, bool) {
+func (d *outcomeDispatcher) Dispatch(context.Context, relay.Request) (Request, relay.Step, *replica.Pool, bool) {
 	d.dispatched.Add(1)
-	return &outcomeRequest{dispatcher: d}, d.first, d.lines[0], true
+	return &outcomeRequest{dispatcher: d}, d.first, d.pools[0], true
 }
 
 type outcomeRequest struct {
@@ -39,12 +39,12 @@
 
 func (r *outcomeRequest) Next(o relay.Outcome) (relay.Step, *replica.Pool, bool) {
 	switch {
-	case o.Kind == relay.Whole:
+	case o.Kind == relay.OutcomeComplete:
 		return passStep, nil, true
-	case o.Kind == relay.NotRun && r.at+1 < len(r.dispatcher.lines):
+	case o.Kind == relay.OutcomeNotRun && r.at+1 < len(r.dispatcher.pools):
 		r.at++
-		return r.dispatcher.first, r.dispatcher.lines[r.at], true
-	case o.Kind == relay.NotRun:
+		return r.dispatcher.first, r.dispatcher.pools[r.at], true
+	case o.Kind == relay.OutcomeNotRun:
 		return relay.Step{Kind: relay.StepRefuse, Status: 503, Check: "replicas", Reason: "no replica is left"}, nil, true
 	}
 	return breakStep, nil, true
@@ -55,13 +55,13 @@
 	t.Helper()
 	dispatcher := &outcomeDispatcher{first: first}
 	for _, address := range addresses {
-		dispatcher.lines = append(dispatcher.lines, replica.NewPool(address, 4, time.Second))
+		dispatcher.pools = append(dispatcher.pools, replica.NewPool(address, 4, time.Second))
 	}
 	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Names: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{})}))
 	t.Cleanup(func() {
 		server.Close()
-		for _, line := range dispatcher.lines {
-			line.Close()
+		for _, pool := range dispatcher.pools {
+			pool.Close()
 		}
 	})
 	return &node{server: server}, dispatcher
--- a/peer/front/limits_test.go
+++ b/peer/front/limits_test.go
@@ -37,7 +37,7 @@
 		ended <- err
 	})
 	step := streamStep(true)
-	step.Within = 300 * time.Millisecond
+	step.Timeout = 300 * time.Millisecond
 	n := newNode(t, []relay.Step{step, breakStep}, r)
 	q := n.dial(t)
 	q.write(request)
@@ -65,7 +65,7 @@
 
 // newNodeWithBodyTimeout is a node with the given BodyTimeout.
 func newNodeWithBodyTimeout(t *testing.T, bodyTime time.Duration) *node {
-	dispatcher := &scriptedDispatcher{t: t, dispatched: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16)}
+	dispatcher := &scriptedDispatcher{t: t, dispatched: make(chan relay.Request, 16), outcomes: make(chan relay.Outcome, 16)}
 	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Names: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{}), BodyTimeout: bodyTime}))
 	t.Cleanup(server.Close)
 	return &node{scriptedDispatcher: dispatcher, server: server}
@@ -142,9 +142,9 @@
 		<-release
 		io.WriteString(c, strings.Replace(lengthAnswer, "a1", h.request.Header.Get("Saffronfall-Attempt"), 1))
 	})
-	dispatcher := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, dispatched: make(chan relay.Ask, 16), outcomes: make(chan relay.Outcome, 16), lines: []*replica.Pool{replica.NewPool(r.address, 4, time.Second)}}
-	rejected := make(chan relay.Ended, 16)
-	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Names: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{}), IntakeBytes: 3 * bodyChunk, OnRejected: func(e relay.Ended) { rejected <- e }}))
+	dispatcher := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, dispatched: make(chan relay.Request, 16), outcomes: make(chan relay.Outcome, 16), pools: []*replica.Pool{replica.NewPool(r.address, 4, time.Second)}}
+	rejected := make(chan relay.Completion, 16)
+	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Names: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{}), IntakeBytes: 3 * bodyChunk, OnRejected: func(e relay.Completion) { rejected <- e }}))
 	t.Cleanup(server.Close)
 	n := &node{scriptedDispatcher: dispatcher, server: server}
 	post := func(attempt string, size int) *client {
@@ -177,14 +177,14 @@
 func TestExpiredAttemptIsNotSent(t *testing.T) {
 	r := newStaticReplica(t, lengthAnswer)
 	late := sendStep
-	late.Within = -time.Second
+	late.Timeout = -time.Second
 	n := newNode(t, []relay.Step{late, {Kind: relay.StepRefuse, Status: 503}}, r)
 	q := n.dial(t)
 	q.write(request)
 	if got := q.read("POST"); got.StatusCode != 503 {
 		t.Errorf("status %d", got.StatusCode)
 	}
-	if o := <-n.outcomes; o.Kind != relay.NotRun || !o.Unreached {
+	if o := <-n.outcomes; o.Kind != relay.OutcomeNotRun || !o.Unreachable {
 		t.Errorf("%+v", o)
 	}
 	select {
--- a/peer/relay/budget.go
+++ b/peer/relay/budget.go
@@ -8,51 +8,51 @@
 )
 
 // reserve books the most that a turn may put out in its program's books.
-func (m *Machine) reserve(now time.Duration, w *way) {
-	w.reserving = true
+func (m *Machine) reserveBudget(now time.Duration, req *activeRequest) {
+	req.reserving = true
 	m.reservations++
-	w.reservation = m.life + "-" + strconv.FormatUint(m.reservations, 36)
-	c := core.ReserveTurn{Tenant: m.tenantName(w), Program: w.ask.Program, Attempt: w.reservation, Most: w.ask.Most, Budget: w.ask.Budget, Keep: m.params.BookKeep}
-	m.caller.Call(now, c, w.patience, func(now time.Duration, o core.Outcome) {
-		w.reserving = false
+	req.reservationID = m.incarnation + "-" + strconv.FormatUint(m.reservations, 36)
+	c := core.ReserveTurn{Tenant: m.tenantName(req), Program: req.spec.Program, Attempt: req.reservationID, Most: req.spec.MaxTokens, Budget: req.spec.TokenBudget, Keep: m.params.BookRetention}
+	m.caller.Call(now, c, req.admissionDeadline, func(now time.Duration, o core.Outcome) {
+		req.reserving = false
 		r, ok := o.Answer.(core.TurnReserved)
 		switch {
 		case !ok:
 			// It may have been booked; what never runs is booked out again.
-			w.reserved = true
-			m.unsure(now, w, CauseBudgetUnsure)
+			req.reserved = true
+			m.refuseUnlessCompleted(now, req, CauseBudgetUnavailable)
 		case !r.OK:
-			w.refused = true
-			if !w.ended {
-				m.refuse(now, w, CauseBudget)
+			req.budgetRefused = true
+			if !req.completed {
+				m.refuse(now, req, CauseBudget)
 			}
 		default:
-			w.reserved = true
-			if w.ended {
-				m.settle(now, w, 0)
+			req.reserved = true
+			if req.completed {
+				m.settle(now, req, 0)
 				return
 			}
-			m.proceed(now, w)
+			m.sendWhenReady(now, req)
 		}
 	})
 }
 
-func (m *Machine) unsure(now time.Duration, w *way, cause Cause) {
-	if w.ended {
-		m.settle(now, w, 0)
+func (m *Machine) refuseUnlessCompleted(now time.Duration, req *activeRequest, cause Cause) {
+	if req.completed {
+		m.settle(now, req, 0)
 		return
 	}
-	m.refuse(now, w, cause)
+	m.refuse(now, req, cause)
 }
 
 // settle books out what a turn put out; it is asked until the cores have it, as
 // long as anyone may want to know.
-func (m *Machine) settle(now time.Duration, w *way, tokens int64) {
-	if !w.reserved {
+func (m *Machine) settle(now time.Duration, req *activeRequest, tokens int64) {
+	if !req.reserved {
 		return
 	}
-	w.reserved = false
-	m.Counters.Settles++
-	c := core.SettleTurn{Tenant: m.tenantName(w), Program: w.ask.Program, Attempt: w.reservation, Tokens: tokens}
-	m.caller.Call(now, c, now+m.params.BookKeep, func(time.Duration, core.Outcome) {})
+	req.reserved = false
+	m.Counters.Settlements++
+	c := core.SettleTurn{Tenant: m.tenantName(req), Program: req.spec.Program, Attempt: req.reservationID, Tokens: tokens}
+	m.caller.Call(now, c, now+m.params.BookRetention, func(time.Duration, core.Outcome) {})
 }
--- a/peer/relay/loads.go
+++ b/peer/relay/loads.go
@@ -11,51 +11,51 @@
 
 // sharing is how a node tells desks what it has at replicas, and hears what others have.
 // Each desk adds up what all nodes have at the replicas that announce themselves there.
-type sharing struct {
-	shareAt time.Duration
+type loadSharing struct {
+	reportAt time.Duration
 	// loadSeenAt is when services' admission last saw the load.
-	loadSeenAt time.Duration
-	loadsHeard int64
+	loadObservedAt time.Duration
+	loadUpdates    int64
 }
 
 // shareMemory is for how many periods a desk's word of load holds. Once desks are silent
 // a node goes by its own sendings.
-const shareMemory = 6
+const loadMemoryPeriods = 6
 
 // places lists the replicas by which loads name a board's: those that the desk's present
 // life has told of. What an earlier life told is kept for a while, and has no place.
-func (b *board) places() []string {
-	if b.placesVersion != b.version || b.placesOf == nil {
-		b.placesOf = desk.Places(b.list, func(p posted) bool { return p.Gone || p.until > 0 })
-		b.placesVersion = b.version
+func (view *deskView) loadIndex() []string {
+	if view.indexedVersion != view.version || view.indexedIDs == nil {
+		view.indexedIDs = desk.Places(view.replicas, func(p listing) bool { return p.Gone || p.expiresAt > 0 })
+		view.indexedVersion = view.version
 	}
-	return b.placesOf
+	return view.indexedIDs
 }
 
 // tellLoads tells each desk what this node has at its replicas. Nothing is said while
 // nothing is under way and nothing has ended.
-func (m *Machine) tellLoads(now time.Duration) {
-	if m.params.LoadPeriod <= 0 || now < m.shareAt {
+func (m *Machine) reportLoads(now time.Duration) {
+	if m.params.LoadReportInterval <= 0 || now < m.reportAt {
 		return
 	}
-	m.shareAt = now + m.params.LoadPeriod
-	for _, address := range ordered.Keys(m.boards) {
-		b := m.boards[address]
-		if !b.speaks(now, m.params.Beat) {
+	m.reportAt = now + m.params.LoadReportInterval
+	for _, address := range ordered.Keys(m.desks) {
+		view := m.desks[address]
+		if !view.alive(now, m.params.HeartbeatInterval) {
 			continue
 		}
-		report := desk.LoadReport{Life: b.life, Version: b.version, List: m.loadsAt(b)}
-		if len(report.List) == 0 && !b.toldLoad {
+		report := desk.LoadReport{Life: view.incarnation, Version: view.version, List: m.loadsFor(view)}
+		if len(report.List) == 0 && !view.reportedLoad {
 			continue
 		}
-		b.toldLoad = len(report.List) > 0
+		view.reportedLoad = len(report.List) > 0
 		m.send(address, report)
 	}
 }
 
 // loadsAt lists what this node has at a board's replicas.
-func (m *Machine) loadsAt(b *board) (list []desk.ReplicaLoad) {
-	for place, id := range b.places() {
+func (m *Machine) loadsFor(view *deskView) (list []desk.ReplicaLoad) {
+	for place, id := range view.loadIndex() {
 		r := m.replicas[id]
 		if r == nil {
 			continue
@@ -64,27 +64,27 @@
 		if r.estimate.Outstanding == 0 && ended == (placement.Outcomes{}) {
 			continue
 		}
-		list = append(list, desk.ReplicaLoad{Place: uint16(place), Outstanding: small(r.estimate.Outstanding), Served: small(ended.Served), Failed: small(ended.Failed),
-			Busy: ended.Busy, Units: small(ended.Units)})
+		list = append(list, desk.ReplicaLoad{Place: uint16(place), Outstanding: clampUint16(r.estimate.Outstanding), Served: clampUint16(ended.Served), Failed: clampUint16(ended.Failed),
+			Busy: ended.Busy, Units: clampUint16(ended.Units)})
 	}
 	return list
 }
 
-func small(n int64) uint16 { return uint16(min(max(n, 0), math.MaxUint16)) }
+func clampUint16(n int64) uint16 { return uint16(min(max(n, 0), math.MaxUint16)) }
 
 // onLoads takes a desk's word of load.
-func (m *Machine) onLoads(now time.Duration, from string, l desk.Loads) {
-	b := m.boards[from]
-	if b == nil || b.life != l.Life || b.version != l.Version {
+func (m *Machine) handleLoads(now time.Duration, from string, l desk.Loads) {
+	view := m.desks[from]
+	if view == nil || view.incarnation != l.Life || view.version != l.Version {
 		return
 	}
-	places := b.places()
+	places := view.loadIndex()
 	if len(l.Outstanding) != len(places) || len(l.Failing) != len(places) || len(l.Paces) != len(places) {
 		m.Counters.BadMessages++
 		return
 	}
-	m.loadsHeard++
-	until := now + shareMemory*m.params.LoadPeriod
+	m.loadUpdates++
+	until := now + loadMemoryPeriods*m.params.LoadReportInterval
 	for i, id := range places {
 		if r := m.replicas[id]; r != nil {
 			r.estimate.SetShared(int64(l.Outstanding[i]), float64(l.Failing[i])/math.MaxUint8, until)
--- a/peer/relay/machine.go
+++ b/peer/relay/machine.go
@@ -15,14 +15,14 @@
 
 // Options make a machine.
 type Options struct {
-	Params  Params
-	ID      string
-	Life    string
-	Zone    string
-	Address string
-	Seeds   []string
-	Now     time.Duration
-	Random  func() float64
+	Params      Params
+	ID          string
+	Incarnation string
+	Zone        string
+	Address     string
+	Seeds       []string
+	Now         time.Duration
+	Random      func() float64
 	// Violated takes violated invariants; without it they panic.
 	Violated invariant.Reporter
 }
@@ -31,63 +31,63 @@
 type Machine struct {
 	Counters Counters
 
-	params   Params
-	id, life string
-	zone     string
-	address  string
-	seeds    []string
-	random   func() float64
-	out      *Output
-	caller   *core.Caller
-	topology core.Topology
-	started  time.Duration
+	params          Params
+	id, incarnation string
+	zone            string
+	address         string
+	seeds           []string
+	random          func() float64
+	out             *Output
+	caller          *core.Caller
+	topology        core.Topology
+	started         time.Duration
 
-	following
-	routing
-	audit
+	deskState
+	tableState
+	auditState
 
-	choosing
-	sharing
-	spending
-	cache *cache
+	selection
+	loadSharing
+	rateState
+	cache *turnCache
 	// keptHere are the turns that came whole at this node.
-	keptHere keptTurns
-	live     map[uint64]*way
-	leaving  bool
+	recentTurns recentTurns
+	active      map[uint64]*activeRequest
+	draining    bool
 	// early are requests that wait for a first table, parked those that wait for
 	// a first replica.
-	early   []*way
-	probeAt time.Duration
-	parked  []*way
+	awaitingTable    []*activeRequest
+	probeAt          time.Duration
+	awaitingReplicas []*activeRequest
 }
 
 // spending is what a node holds and has counted of tenants' rates and programs'
 // budgets.
-type spending struct {
-	paces  map[string]*pace
-	births int
-	drawAt time.Duration
+type rateState struct {
+	rates    map[string]*tenantRate
+	holdings int
+	drawAt   time.Duration
 	// reservations counts those that this life of the node has made.
 	reservations uint64
 }
 
 // following is what a node knows of the desks, and by them of other nodes.
-type following struct {
-	desks    []string
-	boards   map[string]*board
-	nodes    int
-	followAt time.Duration
+type deskState struct {
+	deskAddresses []string
+	desks         map[string]*deskView
+	nodes         int
+	followAt      time.Duration
 	// left are the replicas that said that they leave, whichever desk told of it.
-	left departed
+	departed departedReplicas
 }
 
 // New makes a node.
 func New(o Options) *Machine {
-	m := &Machine{params: o.Params, id: o.ID, life: o.Life, zone: o.Zone, address: o.Address, seeds: o.Seeds, random: o.Random, started: o.Now,
-		following: following{boards: map[string]*board{}, left: departed{}}, routing: routing{tenants: map[string]*route.Tenant{}},
-		audit:    audit{violated: o.Violated, byCause: map[Cause]int64{}, tickedAt: o.Now},
-		choosing: choosing{services: map[string]*service{}, replicas: map[string]*replicaRecord{}, policy: &placement.Policy{Settings: o.Params.Placement, Zone: o.Zone, Random: o.Random}},
-		spending: spending{paces: map[string]*pace{}}, cache: newCache(o.Params.Cache), live: map[uint64]*way{}}
+	m := &Machine{params: o.Params, id: o.ID, incarnation: o.Incarnation, zone: o.Zone, address: o.Address, seeds: o.Seeds, random: o.Random, started: o.Now,
+		deskState: deskState{desks: map[string]*deskView{}, departed: departedReplicas{}}, tableState: tableState{tenants: map[string]*route.Tenant{}},
+		auditState: auditState{violated: o.Violated, byCause: map[Cause]int64{}, lastTick: o.Now},
+		selection:  selection{services: map[string]*service{}, replicas: map[string]*replicaRecord{}, policy: &placement.Policy{Settings: o.Params.Placement, Zone: o.Zone, Random: o.Random}},
+		rateState:  rateState{rates: map[string]*tenantRate{}}, cache: newTurnCache(o.Params.CacheBytes), active: map[uint64]*activeRequest{}}
 	m.caller = &core.Caller{Retry: o.Params.Core.Retry, Random: o.Random,
 		Send:   func(to string, body any) { m.send(to, body) },
 		Parts:  func() int { return len(m.topology.Owners) },
@@ -108,86 +108,86 @@
 	case core.CommandReturn:
 		m.caller.Receive(now, from, b)
 		if now >= m.drawAt {
-			m.drawAt = now + m.params.Window/50
-			m.draw(now)
+			m.drawAt = now + m.params.RateWindow/50
+			m.drawRates(now)
 		}
 	case desk.Bulletin:
-		m.Counters.Bulletins++
-		m.onBulletin(now, from, b)
+		m.Counters.Updates++
+		m.handleUpdate(now, from, b)
 	case desk.Loads:
-		m.onLoads(now, from, b)
+		m.handleLoads(now, from, b)
 	default:
 		m.Counters.BadMessages++
 	}
 	return *m.out
 }
 
-func (m *Machine) onBulletin(now time.Duration, from string, b desk.Bulletin) {
-	at := m.boards[from]
-	if at == nil {
-		at = &board{list: map[string]posted{}}
-		m.boards[from] = at
+func (m *Machine) handleUpdate(now time.Duration, from string, b desk.Bulletin) {
+	view := m.desks[from]
+	if view == nil {
+		view = &deskView{replicas: map[string]listing{}}
+		m.desks[from] = view
 	}
-	if !slices.Contains(m.desks, from) {
-		m.desks = append(m.desks, from)
+	if !slices.Contains(m.deskAddresses, from) {
+		m.deskAddresses = append(m.deskAddresses, from)
 	}
-	at.heard = now
-	if at.life != b.Life {
+	view.heardAt = now
+	if view.incarnation != b.Life {
 		// What an earlier life of the desk told holds until replicas had time to
 		// announce themselves again.
-		for id, p := range at.list {
-			p.until = now + lostBeats*m.params.Beat
-			at.list[id] = p
+		for id, p := range view.replicas {
+			p.expiresAt = now + lostHeartbeats*m.params.HeartbeatInterval
+			view.replicas[id] = p
 		}
-		at.life, at.version, at.placesOf = b.Life, 0, nil
+		view.incarnation, view.version, view.indexedIDs = b.Life, 0, nil
 	}
-	if b.Since <= at.version {
+	if b.Since <= view.version {
 		for _, l := range b.List {
 			if l.Replica.Leaving || l.Final {
-				m.left.add(now, l.Replica.ID)
+				m.departed.add(now, l.Replica.ID)
 			}
-			at.list[l.Replica.ID] = posted{Listed: l}
+			view.replicas[l.Replica.ID] = listing{Listed: l}
 		}
-		at.version = max(at.version, b.Version)
+		view.version = max(view.version, b.Version)
 	}
 	if b.Confirm {
-		m.follow(from)
+		m.requestUpdate(from)
 	}
 	m.nodes = max(b.Nodes, 1)
 	if len(b.List) > 0 {
 		// They are joined when the next one is chosen.
-		m.gatherAt = now
-		m.unpark(now)
+		m.mergeAt = now
+		m.resumeAwaitingReplicas(now)
 	}
 	if b.Topology != nil {
-		m.adopt(*b.Topology)
+		m.mergeTopology(*b.Topology)
 		for _, address := range b.Desks {
-			if !slices.Contains(m.desks, address) {
-				m.desks = append(m.desks, address)
+			if !slices.Contains(m.deskAddresses, address) {
+				m.deskAddresses = append(m.deskAddresses, address)
 				m.followAt = now
 			}
 		}
 	}
-	m.learnTable(now, b)
-	fresh := b.Confirmed >= 0 && b.Confirmed < m.params.Beat
+	m.updateTable(now, b)
+	fresh := b.Confirmed >= 0 && b.Confirmed < m.params.HeartbeatInterval
 	if fresh && b.Number == 0 {
-		m.none = true
+		m.noTableAgreed = true
 	}
-	if m.pending != nil && (m.table == nil || m.table.Number < m.pending.Number) && (m.table != nil || fresh && b.Number <= m.pending.Number || now > m.started+2*m.params.Beat) {
-		m.install(now)
+	if m.pending != nil && (m.table == nil || m.table.Number < m.pending.Number) && (m.table != nil || fresh && b.Number <= m.pending.Number || now > m.started+2*m.params.HeartbeatInterval) {
+		m.installTable(now)
 	}
 	if m.table != nil && b.Number == m.table.Number && b.Confirmed >= 0 {
-		m.confirmed = max(m.confirmed, now-b.Confirmed)
+		m.confirmedAt = max(m.confirmedAt, now-b.Confirmed)
 	}
 }
 
 // unpark goes on with what waited for a first replica.
-func (m *Machine) unpark(now time.Duration) {
-	parked := m.parked
-	m.parked = nil
-	for _, w := range parked {
-		if !w.ended {
-			m.proceed(now, w)
+func (m *Machine) resumeAwaitingReplicas(now time.Duration) {
+	parked := m.awaitingReplicas
+	m.awaitingReplicas = nil
+	for _, req := range parked {
+		if !req.completed {
+			m.sendWhenReady(now, req)
 		}
 	}
 }
@@ -195,30 +195,30 @@
 // forgetDesks forgets desks that have been silent for long while another one speaks.
 // They are replaced at new addresses; one that comes back is told of by the others,
 // and seeds are asked in any case.
-func (m *Machine) forgetDesks(now time.Duration) {
+func (m *Machine) dropSilentDesks(now time.Duration) {
 	speaks := false
-	for _, b := range m.boards {
-		speaks = speaks || b.speaks(now, m.params.Beat)
+	for _, view := range m.desks {
+		speaks = speaks || view.alive(now, m.params.HeartbeatInterval)
 	}
 	if !speaks {
 		return
 	}
-	m.desks = slices.DeleteFunc(m.desks, func(address string) bool {
-		b := m.boards[address]
-		if b == nil {
+	m.deskAddresses = slices.DeleteFunc(m.deskAddresses, func(address string) bool {
+		view := m.desks[address]
+		if view == nil {
 			// Told of by another desk, and not heard of yet.
-			b = &board{list: map[string]posted{}, heard: now}
-			m.boards[address] = b
+			view = &deskView{replicas: map[string]listing{}, heardAt: now}
+			m.desks[address] = view
 		}
-		if now <= b.heard+departedBeats*m.params.Beat {
+		if now <= view.heardAt+departedHeartbeats*m.params.HeartbeatInterval {
 			return false
 		}
-		delete(m.boards, address)
+		delete(m.desks, address)
 		return true
 	})
 }
 
-func (m *Machine) adopt(t core.Topology) {
+func (m *Machine) mergeTopology(t core.Topology) {
 	if len(m.topology.Owners) == 0 || m.topology.Fleet == "" {
 		m.topology = core.Topology{Fleet: t.Fleet, Cores: map[string]core.Core{}, Owners: slices.Clone(t.Owners), Groups: slices.Clone(t.Groups)}
 	}
@@ -239,13 +239,13 @@
 }
 
 // follow asks a desk for what is new, and tells up to where it was heard.
-func (m *Machine) follow(to string) {
+func (m *Machine) requestUpdate(to string) {
 	f := desk.Follow{Node: m.id, Differs: true}
-	if m.pending != nil && !m.wantWhole {
+	if m.pending != nil && !m.wantFull {
 		f.Table = m.pending.Number
 	}
-	if b := m.boards[to]; b != nil {
-		f.Life, f.Version = b.life, b.version
+	if view := m.desks[to]; view != nil {
+		f.Life, f.Version = view.incarnation, view.version
 	}
 	m.send(to, f)
 }
@@ -253,32 +253,32 @@
 // Tick lets time pass.
 func (m *Machine) Tick(now time.Duration) Output {
 	m.out = &Output{}
-	m.audited(now)
-	m.left.forget(now - departedBeats*m.params.Beat)
+	m.checkInvariants(now)
+	m.departed.expire(now - departedHeartbeats*m.params.HeartbeatInterval)
 	m.caller.Tick(now)
-	m.tickTouch(now)
-	m.tellLoads(now)
+	m.checkCores(now)
+	m.reportLoads(now)
 	m.observeLoad(now)
 	if now >= m.followAt {
-		m.followAt = now + m.params.Follow
-		m.forgetDesks(now)
-		targets := append([]string(nil), m.desks...)
+		m.followAt = now + m.params.FollowInterval
+		m.dropSilentDesks(now)
+		targets := append([]string(nil), m.deskAddresses...)
 		for _, seed := range m.seeds {
 			if !slices.Contains(targets, seed) {
 				targets = append(targets, seed)
 			}
 		}
 		for _, to := range targets {
-			m.follow(to)
+			m.requestUpdate(to)
 		}
 	}
 	if now >= m.drawAt {
-		m.drawAt = now + m.params.Window/50
-		m.draw(now)
+		m.drawAt = now + m.params.RateWindow/50
+		m.drawRates(now)
 	}
-	for _, ticket := range ordered.Keys(m.live) {
-		if w := m.live[ticket]; now >= w.patience && w.state == stateAdmitting {
-			m.refuse(now, w, CauseWaitedTooLong)
+	for _, ticket := range ordered.Keys(m.active) {
+		if req := m.active[ticket]; now >= req.admissionDeadline && req.state == stateAdmitting {
+			m.refuse(now, req, CauseAdmissionTimeout)
 		}
 	}
 	return *m.out
@@ -286,23 +286,23 @@
 
 // Ready reports whether requesters should be sent here.
 func (m *Machine) Ready(now time.Duration) bool {
-	return !m.leaving && (m.table != nil || m.none) && m.reachesCores(now)
+	return !m.draining && (m.table != nil || m.noTableAgreed) && m.coresResponsive(now)
 }
 
 // Leave makes the node no longer ready; what runs goes on.
-func (m *Machine) Leave() { m.leaving = true }
+func (m *Machine) Drain() { m.draining = true }
 
 // Status is what this node counts and holds.
 func (m *Machine) Status(now time.Duration) map[string]int64 {
 	c := m.Counters
 	replicas := 0
 	for _, s := range m.services {
-		replicas += len(s.estimates)
+		replicas += len(s.replicas)
 	}
-	status := map[string]int64{"requests": c.Requests, "sent": c.Sent, "whole": c.Whole, "broken": c.Broken, "not_run": c.NotRun, "resent": c.Resent, "resumed": c.Resumed,
-		"turns": c.Turns, "cache_hits": c.CacheHits, "cache_misses": c.CacheMisses, "draws": c.Draws, "drawn": c.Drawn, "bulletins": c.Bulletins, "bad_messages": c.BadMessages, "bad_differences": c.BadDifferences,
-		"new_connections": c.NewConnections, "settles": c.Settles, "loads_heard": m.loadsHeard,
-		"live": int64(len(m.live)), "replicas": int64(replicas), "table": int64(m.Number()), "tenants_held": int64(len(m.paces)), "cache_bytes": m.cache.bytes, "commands_waiting": int64(m.caller.Waiting()), "command_tries": m.caller.Tries}
+	status := map[string]int64{"requests": c.Requests, "sent": c.Sent, "whole": c.Completed, "broken": c.Interrupted, "not_run": c.NotRun, "resent": c.Resent, "resumed": c.Resumed,
+		"turns": c.Turns, "cache_hits": c.CacheHits, "cache_misses": c.CacheMisses, "draws": c.Draws, "drawn": c.DrawsAnswered, "bulletins": c.Updates, "bad_messages": c.BadMessages, "bad_differences": c.BadDifferences,
+		"new_connections": c.NewConnections, "settles": c.Settlements, "loads_heard": m.loadUpdates,
+		"live": int64(len(m.active)), "replicas": int64(replicas), "table": int64(m.TableNumber()), "tenants_held": int64(len(m.rates)), "cache_bytes": m.cache.bytes, "commands_waiting": int64(m.caller.Waiting()), "command_tries": m.caller.Tries}
 	for cause, count := range m.byCause {
 		status["ended_"+string(cause)] = count
 	}
@@ -311,5 +311,5 @@
 
 // Describe names what a node lacks to be ready, for logs.
 func (m *Machine) Describe(now time.Duration) string {
-	return fmt.Sprintf("table %d, %d desks, %d cores", m.Number(), len(m.boards), len(m.topology.Cores))
+	return fmt.Sprintf("table %d, %d desks, %d cores", m.TableNumber(), len(m.desks), len(m.topology.Cores))
 }
--- a/peer/relay/overload.go
+++ b/peer/relay/overload.go
@@ -12,60 +12,60 @@
 // observeLoad lets each service see how fast its replicas are and its admission how much is
 // under way there. Both are only known where desks tell what other nodes have.
 func (m *Machine) observeLoad(now time.Duration) {
-	if m.params.LoadPeriod <= 0 || now < m.loadSeenAt+m.params.LoadPeriod {
+	if m.params.LoadReportInterval <= 0 || now < m.loadObservedAt+m.params.LoadReportInterval {
 		return
 	}
-	m.loadSeenAt = now
+	m.loadObservedAt = now
 	for _, name := range ordered.Keys(m.services) {
 		s := m.services[name]
-		s.reference = placement.ReferenceUnitTime(s.estimates)
+		s.referenceUnitTime = placement.ReferenceUnitTime(s.replicas)
 		if m.params.ShedOverload {
-			s.admission.Observe(now, m.policy.QueuePerSlot(now, s.reference, s.estimates))
+			s.admission.Observe(now, m.policy.QueuePerSlot(now, s.referenceUnitTime, s.replicas))
 		}
 	}
 }
 
 // overloaded refuses a request that the service's replicas should be spared, and reports
 // whether it did.
-func (m *Machine) overloaded(now time.Duration, w *way) bool {
+func (m *Machine) refuseOverload(now time.Duration, req *activeRequest) bool {
 	if !m.params.ShedOverload {
 		return false
 	}
-	class := m.admissionClass(w)
-	control := &m.serviceOf(w.service).admission
-	if control.Admits(class, w.ask.Program) {
+	class := m.admissionClass(req)
+	control := &m.serviceOf(req.service).admission
+	if control.Admits(class, req.spec.Program) {
 		return false
 	}
-	m.refuseFor(now, w, CauseOverload, control.RetryAfter())
+	m.refuseWithRetry(now, req, CauseOverload, control.RetryAfter())
 	return true
 }
 
 // sharedParts is how many parts the prompt of a program's first turn has at most: one
 // that many share, and its own.
-const sharedParts = 2
+const maxFirstTurnSegments = 2
 
 // admissionClass tells what a request is to the service's admission. Only programs' turns
 // are ever refused by it: a call that is refused would end its program.
-func (m *Machine) admissionClass(w *way) admission.Class {
-	known := w.route.KeepHistory || len(w.ask.Prompt) > 0
+func (m *Machine) admissionClass(req *activeRequest) admission.Class {
+	known := req.route.KeepHistory || len(req.spec.Prompt) > 0
 	switch {
-	case w.route.Mode != route.Stream || w.ask.Program == "":
+	case req.route.Mode != route.Stream || req.spec.Program == "":
 		return admission.Exempt
-	case w.ask.Horizon.Known && w.ask.Horizon.Left <= 0:
+	case req.spec.Horizon.Known && req.spec.Horizon.Remaining <= 0:
 		return admission.LateTurn
-	case !known || w.ask.Previous != "" || len(w.ask.Prompt) > sharedParts:
+	case !known || req.spec.Previous != "" || len(req.spec.Prompt) > maxFirstTurnSegments:
 		return admission.Exempt
-	case m.moreUrgentThanOthers(w):
+	case m.moreUrgentThanOthers(req):
 		return admission.UrgentFirstTurn
 	}
 	return admission.FirstTurn
 }
 
 // moreUrgentThanOthers reports whether the table has a less urgent stream.
-func (m *Machine) moreUrgentThanOthers(w *way) bool {
-	urgency := w.urgency()
-	for i := range w.table.Routes {
-		if r := &w.table.Routes[i]; r.Mode == route.Stream && r.Urgency > urgency {
+func (m *Machine) moreUrgentThanOthers(req *activeRequest) bool {
+	urgency := req.urgency()
+	for i := range req.table.Routes {
+		if r := &req.table.Routes[i]; r.Mode == route.Stream && r.Urgency > urgency {
 			return true
 		}
 	}
@@ -73,9 +73,9 @@
 }
 
 // urgency is the tenant's, where it has one, and else the route's.
-func (w *way) urgency() int64 {
-	if w.tenant != nil && w.tenant.Urgency != nil {
-		return *w.tenant.Urgency
+func (req *activeRequest) urgency() int64 {
+	if req.tenant != nil && req.tenant.Urgency != nil {
+		return *req.tenant.Urgency
 	}
-	return w.route.Urgency
+	return req.route.Urgency
 }
--- a/peer/relay/choice.go
+++ b/peer/relay/replicas.go
@@ -10,28 +10,28 @@
 )
 
 // board is what one desk has told of replicas.
-type board struct {
-	life    string
-	version uint64
+type deskView struct {
+	incarnation string
+	version     uint64
 	// heard is when the desk was last heard of, or first told of by another one.
-	heard time.Duration
-	list  map[string]posted
+	heardAt  time.Duration
+	replicas map[string]listing
 	// placesOf are the list's replicas as loads name them, as of a version.
-	placesOf      []string
-	placesVersion uint64
+	indexedIDs     []string
+	indexedVersion uint64
 	// toldLoad: this node's last word of load there was that it has something.
-	toldLoad bool
+	reportedLoad bool
 }
 
 // speaks reports whether a desk was heard of lately.
-func (b *board) speaks(now, beat time.Duration) bool {
-	return b.life != "" && now < b.heard+lostBeats*beat
+func (view *deskView) alive(now, beat time.Duration) bool {
+	return view.incarnation != "" && now < view.heardAt+lostHeartbeats*beat
 }
 
-type posted struct {
+type listing struct {
 	desk.Listed
 	// until is when it is dropped; zero: when the desk says so.
-	until time.Duration
+	expiresAt time.Duration
 }
 
 // replicaRecord is one replica: as it announced itself, and as it is known by sendings.
@@ -41,40 +41,40 @@
 }
 
 // choosing is what a node knows of services and replicas, and how it chooses.
-type choosing struct {
+type selection struct {
 	services map[string]*service
 	replicas map[string]*replicaRecord
 	policy   *placement.Policy
 	// gatherAt is when desks' lists are joined next.
-	gatherAt time.Duration
+	mergeAt time.Duration
 }
 
 // service is what a node knows of the replicas of a service.
 type service struct {
-	estimates []*placement.Replica
-	time      placement.ServiceTime
-	admission admission.Controller
+	replicas    []*placement.Replica
+	serviceTime placement.ServiceTime
+	admission   admission.Controller
 	// reference is the pace of its fast replicas.
-	reference time.Duration
+	referenceUnitTime time.Duration
 }
 
 // departed are replicas that said that they leave, and when that was last heard of.
 // A replica never comes back under its id, so no other word of it counts any more.
-type departed map[string]time.Duration
+type departedReplicas map[string]time.Duration
 
-func (d departed) add(now time.Duration, id string) { d[id] = now }
+func (d departedReplicas) add(now time.Duration, id string) { d[id] = now }
 
-func (d departed) has(id string) bool {
+func (d departedReplicas) has(id string) bool {
 	_, ok := d[id]
 	return ok
 }
 
 // departedBeats is for how many heartbeats a node remembers that a replica left:
 // longer than desks tell of it.
-const departedBeats = 100
+const departedHeartbeats = 100
 
 // forget drops those that nobody has told of for a time.
-func (d departed) forget(before time.Duration) {
+func (d departedReplicas) expire(before time.Duration) {
 	for id, heard := range d {
 		if heard < before {
 			delete(d, id)
@@ -85,21 +85,21 @@
 // gather joins the boards into one list of replicas. The newest word of a
 // replica counts; that it leaves or has left counts whoever said it, and for good:
 // it is no word of the desk that told of it, which may fall silent or be forgotten.
-func (m *Machine) gather(now time.Duration) {
+func (m *Machine) mergeListings(now time.Duration) {
 	best := map[string]desk.Listed{}
 	live := false
-	for _, b := range m.boards {
-		live = live || b.speaks(now, m.params.Beat)
+	for _, view := range m.desks {
+		live = live || view.alive(now, m.params.HeartbeatInterval)
 	}
-	for _, address := range ordered.Keys(m.boards) {
-		b := m.boards[address]
-		if live && now > b.heard+lostBeats*m.params.Beat {
+	for _, address := range ordered.Keys(m.desks) {
+		view := m.desks[address]
+		if live && now > view.heardAt+lostHeartbeats*m.params.HeartbeatInterval {
 			continue
 		}
-		m.rememberDeparted(now, b)
-		for id, p := range b.list {
-			if p.until > 0 && now >= p.until {
-				delete(b.list, id)
+		m.recordDepartures(now, view)
+		for id, p := range view.replicas {
+			if p.expiresAt > 0 && now >= p.expiresAt {
+				delete(view.replicas, id)
 				continue
 			}
 			old, ok := best[id]
@@ -110,32 +110,32 @@
 			}
 		}
 	}
-	m.listReplicas(best)
-	m.gatherAt = now + m.params.Beat/2
+	m.updateReplicas(best)
+	m.mergeAt = now + m.params.HeartbeatInterval/2
 }
 
 // rememberDeparted notes who has left, for as long as a desk that speaks tells so.
-func (m *Machine) rememberDeparted(now time.Duration, b *board) {
-	for id, p := range b.list {
+func (m *Machine) recordDepartures(now time.Duration, view *deskView) {
+	for id, p := range view.replicas {
 		if p.Replica.Leaving || p.Final {
-			m.left.add(now, id)
+			m.departed.add(now, id)
 		}
 	}
 }
 
 // lostBeats is after how many beats a silent desk's word is old.
-const lostBeats = 4
+const lostHeartbeats = 4
 
 // listReplicas takes the replicas that can be chosen from now on, and forgets those that
 // nobody tells of any more and that have nothing of this node's.
-func (m *Machine) listReplicas(told map[string]desk.Listed) {
+func (m *Machine) updateReplicas(told map[string]desk.Listed) {
 	for _, s := range m.services {
-		s.estimates = s.estimates[:0]
+		s.replicas = s.replicas[:0]
 	}
 	known := map[string]bool{}
 	for _, id := range ordered.Keys(told) {
 		l := told[id]
-		if l.Gone || m.left.has(id) {
+		if l.Gone || m.departed.has(id) {
 			continue
 		}
 		known[id] = true
@@ -147,7 +147,7 @@
 		r.listed = l.Replica
 		r.estimate.ID, r.estimate.Zone, r.estimate.Slots, r.estimate.Warming = id, l.Replica.Zone, l.Replica.Slots, l.Replica.Cold > 0
 		s := m.serviceOf(l.Replica.Service)
-		s.estimates = append(s.estimates, r.estimate)
+		s.replicas = append(s.replicas, r.estimate)
 	}
 	for id, r := range m.replicas {
 		if !known[id] && r.estimate.Outstanding == 0 {
@@ -168,67 +168,67 @@
 const (
 	// resendsAnyway is how many replicas may turn a request away before it goes only to
 	// those that have room as far as is known.
-	resendsAnyway = 3
+	unrestrictedResends = 3
 	// mostResends bounds how many replicas one request is offered to.
-	mostResends = 16
+	maxResends = 16
 )
 
 // choose picks the replica that a request is sent to next.
-func (m *Machine) choose(now time.Duration, w *way) *replicaRecord {
-	if now >= m.gatherAt {
-		m.gather(now)
+func (m *Machine) choose(now time.Duration, req *activeRequest) *replicaRecord {
+	if now >= m.mergeAt {
+		m.mergeListings(now)
 	}
-	s := m.serviceOf(w.service)
+	s := m.serviceOf(req.service)
 	connections := int64(1 << 30)
-	if described, ok := w.table.Service(w.service); ok {
+	if described, ok := req.table.Service(req.service); ok {
 		connections = max(2, described.Connections/int64(max(m.nodes, 1)+1))
 	}
 	allowed := func(r *placement.Replica) bool {
-		return !w.tried[r.ID] && r.Outstanding < connections
+		return !req.tried[r.ID] && r.Outstanding < connections
 	}
-	request := placement.Request{Prompt: w.ask.Prompt, Repeatable: w.route.Retryable(), Remaining: w.until - now, ServiceTime: s.time.Mean(), ReferenceUnitTime: s.reference, Rejected: w.unrun > 0}
-	if w.route.CacheAffinity {
-		request.Affinity = w.ask.Affinity
+	request := placement.Request{Prompt: req.spec.Prompt, Repeatable: req.route.Retryable(), Remaining: req.deadline - now, ServiceTime: s.serviceTime.Mean(), ReferenceUnitTime: s.referenceUnitTime, Rejected: req.notRun > 0}
+	if req.route.CacheAffinity {
+		request.Affinity = req.spec.Affinity
 	}
-	chosen := m.policy.Choose(now, request, s.estimates, allowed)
+	chosen := m.policy.Choose(now, request, s.replicas, allowed)
 	if chosen == nil {
 		return nil
 	}
-	if w.unrun >= resendsAnyway && (w.unrun >= mostResends || !m.policy.HasRoom(now, chosen)) {
+	if req.notRun >= unrestrictedResends && (req.notRun >= maxResends || !m.policy.HasRoom(now, chosen)) {
 		return nil
 	}
 	return m.replicas[chosen.ID]
 }
 
 // sent notes that a request goes to a replica, and what that will keep of it.
-func (m *Machine) sent(now time.Duration, w *way, r *replicaRecord) {
+func (m *Machine) recordSent(now time.Duration, req *activeRequest, r *replicaRecord) {
 	room := int64(1 << 40)
-	if described, ok := w.table.Service(w.service); ok && described.CacheTokens > 0 {
+	if described, ok := req.table.Service(req.service); ok && described.CacheTokens > 0 {
 		room = described.CacheTokens * 3 / 4
 	}
-	w.sentAt, w.sentToRoom = now, m.policy.HasRoom(now, r.estimate)
-	r.estimate.RecordSent(now, w.ask.Prompt, room)
+	req.sentAt, req.sentWithRoom = now, m.policy.HasRoom(now, r.estimate)
+	r.estimate.RecordSent(now, req.spec.Prompt, room)
 }
 
 // came notes what became of a sending.
-func (m *Machine) came(now time.Duration, w *way, o Outcome) {
-	s := m.serviceOf(w.service)
+func (m *Machine) recordOutcome(now time.Duration, req *activeRequest, o Outcome) {
+	s := m.serviceOf(req.service)
 	result := resultOf(o)
 	if result == placement.Served {
-		m.learnPace(now, w, s, o)
+		m.recordServiceTime(now, req, s, o)
 	}
-	w.at.estimate.RecordResult(now, result, o.Load, m.params.Beat, s.time.Mean())
+	req.replica.estimate.RecordResult(now, result, o.Load, m.params.HeartbeatInterval, s.serviceTime.Mean())
 }
 
 // learnPace notes how fast a replica served a request. Only streams tell how fast a replica
 // is: how much work another request makes is not known.
-func (m *Machine) learnPace(now time.Duration, w *way, s *service, o Outcome) {
-	took, r := now-w.sentAt, w.at.estimate
+func (m *Machine) recordServiceTime(now time.Duration, req *activeRequest, s *service, o Outcome) {
+	took, r := now-req.sentAt, req.replica.estimate
 	if o.Events > 1 {
-		r.RecordWork(o.Streamed, o.Events-1)
+		r.RecordWork(o.StreamDuration, o.Events-1)
 	}
-	if w.sentToRoom {
-		s.time.Add(time.Duration(float64(took) / r.Slowness(s.reference)))
+	if req.sentWithRoom {
+		s.serviceTime.Add(time.Duration(float64(took) / r.Slowness(s.referenceUnitTime)))
 	}
 }
 
@@ -239,15 +239,15 @@
 // resultOf is what an outcome says of the replica.
 func resultOf(o Outcome) placement.Result {
 	switch {
-	case o.Moved:
+	case o.AddressReused:
 		return placement.Moved
-	case o.Unreached:
+	case o.Unreachable:
 		return placement.Failed
-	case o.Kind == NotRun:
+	case o.Kind == OutcomeNotRun:
 		return placement.Rejected
-	case o.Kind == Broken && o.Gone:
+	case o.Kind == OutcomeInterrupted && o.RequesterGone:
 		return placement.Canceled
-	case o.Kind == Broken, o.Failed && o.Status >= statusServerFault:
+	case o.Kind == OutcomeInterrupted, o.Failed && o.Status >= statusServerFault:
 		return placement.Failed
 	}
 	return placement.Served
--- a/peer/relay/sending_test.go
+++ b/peer/relay/retry_test.go
@@ -9,33 +9,33 @@
 
 // TestFurtherSendingsHaveLessTime: a replica that a request is sent on to is told what is
 // left then, not what was left at first.
-func TestFurtherSendingsHaveLessTime(t *testing.T) {
-	g := newRig(t)
-	g.begin()
-	w := g.arrive(ask("/once/x", func(a *Ask) { a.Left = 2 * time.Second }))
-	first := g.last(w)
-	g.pass(700 * time.Millisecond)
-	g.came(w, Outcome{Kind: NotRun})
-	second := g.last(w)
+func TestRetriesHaveLessTime(t *testing.T) {
+	h := newHarness(t)
+	h.start()
+	w := h.request(newRequest("/once/x", func(r *Request) { r.Remaining = 2 * time.Second }))
+	first := h.last(w)
+	h.advance(700 * time.Millisecond)
+	h.outcome(w, Outcome{Kind: OutcomeNotRun})
+	second := h.last(w)
 	if first.Kind != StepSend || second.Kind != StepSend || first.Replica.ID == second.Replica.ID {
 		t.Fatalf("%+v, then %+v", first, second)
 	}
-	if first.Within > 2*time.Second || second.Within > first.Within-700*time.Millisecond {
-		t.Errorf("told %v, and %v after 700 ms", first.Within, second.Within)
+	if first.Timeout > 2*time.Second || second.Timeout > first.Timeout-700*time.Millisecond {
+		t.Errorf("told %v, and %v after 700 ms", first.Timeout, second.Timeout)
 	}
 }
 
 // TestConnectionsStayWithinAReplicasBound: all nodes together may have as many connections
 // to a replica as its service allows, so each has its part of them.
-func TestConnectionsStayWithinAReplicasBound(t *testing.T) {
+func TestConnectionsStayWithinReplicaLimit(t *testing.T) {
 	const connections, nodes = 30, 5
-	g := newRig(t)
-	g.begin()
-	g.hear("d1:1", nil, 2, table(2, func(t *route.Table) { t.Services[1].Connections = connections }))
-	g.m.nodes = nodes
+	h := newHarness(t)
+	h.start()
+	h.update("d1:1", nil, 2, tableJSON(2, func(t *route.Table) { t.Services[1].Connections = connections }))
+	h.m.nodes = nodes
 	at := map[string]int{}
 	for range 100 {
-		if s := g.last(g.arrive(ask("/once/x", nil))); s.Kind == StepSend {
+		if s := h.last(h.request(newRequest("/once/x", nil))); s.Kind == StepSend {
 			at[s.Replica.ID]++
 		}
 	}
--- a/peer/relay/table.go
+++ b/peer/relay/table.go
@@ -9,35 +9,35 @@
 )
 
 // routing is what a node knows of the routing table.
-type routing struct {
+type tableState struct {
 	table   *route.Table
 	pending *route.Table
 	// digest is what the pending table is known by. wantWhole is set when a
 	// difference did not fit it.
-	digest    string
-	wantWhole bool
+	digest   string
+	wantFull bool
 	// confirmed is as of when the table in force was the newest.
-	confirmed time.Duration
-	tenants   map[string]*route.Tenant
+	confirmedAt time.Duration
+	tenants     map[string]*route.Tenant
 	// none is set once a desk has said that no table was agreed yet.
-	none bool
+	noTableAgreed bool
 }
 
 // staleBeats is after how many beats without a word that the table in force is
 // the newest a node is no longer sure of it.
-const staleBeats = 2
+const staleHeartbeats = 2
 
 // sure reports whether what the table in force does not know is unknown.
-func (m *Machine) sure(now time.Duration) bool {
-	return now <= m.confirmed+staleBeats*m.params.Beat
+func (m *Machine) tableFresh(now time.Duration) bool {
+	return now <= m.confirmedAt+staleHeartbeats*m.params.HeartbeatInterval
 }
 
 // learnTable takes a newer table, from its text or from what changed since the
 // one that this node has. It is in force once it is installed.
-func (m *Machine) learnTable(now time.Duration, b desk.Bulletin) {
+func (m *Machine) updateTable(now time.Duration, b desk.Bulletin) {
 	if b.Table != nil {
-		m.wantWhole = false
-		m.learnText(b)
+		m.wantFull = false
+		m.parseTable(b)
 	}
 	for _, difference := range b.Differences {
 		if m.pending == nil || difference.BaseNumber != m.pending.Number {
@@ -48,7 +48,7 @@
 		next, ok := difference.Apply(m.pending, m.digest)
 		if !ok {
 			m.Counters.BadDifferences++
-			m.wantWhole, m.followAt = true, now
+			m.wantFull, m.followAt = true, now
 			return
 		}
 		m.pending, m.digest = next, difference.Digest
@@ -57,7 +57,7 @@
 
 // learnText takes a newer table from its text. Each desk sends it to a node that
 // has none; it is parsed once.
-func (m *Machine) learnText(b desk.Bulletin) {
+func (m *Machine) parseTable(b desk.Bulletin) {
 	if m.pending != nil && b.Number <= m.pending.Number {
 		return
 	}
@@ -66,7 +66,7 @@
 	}
 }
 
-func (m *Machine) install(now time.Duration) {
+func (m *Machine) installTable(now time.Duration) {
 	if m.table != nil && m.pending.Number < m.table.Number {
 		m.violated.Violated(invariant.TableNeverOlder, "table %d would replace %d", m.pending.Number, m.table.Number)
 	}
@@ -75,20 +75,20 @@
 	for i := range m.table.Tenants {
 		m.tenants[m.table.Tenants[i].Name] = &m.table.Tenants[i]
 	}
-	for _, p := range m.paces {
-		p.wanted, p.retryAt = true, 0
+	for _, tr := range m.rates {
+		tr.drawWanted, tr.retryAt = true, 0
 	}
-	early := m.early
-	m.early = nil
-	for _, w := range early {
-		if !w.ended {
-			m.enter(now, w)
+	early := m.awaitingTable
+	m.awaitingTable = nil
+	for _, req := range early {
+		if !req.completed {
+			m.validate(now, req)
 		}
 	}
 }
 
 // Number is the table in force here.
-func (m *Machine) Number() uint64 {
+func (m *Machine) TableNumber() uint64 {
 	if m.table == nil {
 		return 0
 	}
@@ -98,9 +98,9 @@
 // refuseUnknown refuses what the table in force does not know. A node that is
 // no longer sure of its table leaves that word to others, as a newer table may
 // know it.
-func (m *Machine) refuseUnknown(now time.Duration, w *way, cause Cause) {
-	if !m.sure(now) {
-		cause = CauseUnsureTable
+func (m *Machine) refuseUnknown(now time.Duration, req *activeRequest, cause Cause) {
+	if !m.tableFresh(now) {
+		cause = CauseTableUncertain
 	}
-	m.refuse(now, w, cause)
+	m.refuse(now, req, cause)
 }
--- a/peer/relay/table_test.go
+++ b/peer/relay/table_test.go
@@ -11,7 +11,7 @@
 // tableOf reads a table that a test made.
 func tableOf(t *testing.T, number uint64) *route.Table {
 	t.Helper()
-	parsed, faults := route.Parse(table(number, nil))
+	parsed, faults := route.Parse(tableJSON(number, nil))
 	if faults != nil {
 		t.Fatal(faults)
 	}
@@ -33,24 +33,24 @@
 // TestNodeGoesByDifferences: they bring it forward, one by one; those that build
 // on another table are passed over, and one that does not fit in content makes it
 // ask for the whole.
-func TestNodeGoesByDifferences(t *testing.T) {
-	g := newRig(t)
+func TestNodeAppliesTableDifferences(t *testing.T) {
+	h := newHarness(t)
 	digests := map[uint64]string{3: "three", 5: "five", 6: "six", 9: "nine"}
 	step := func(from, to uint64) route.Difference {
 		return route.Compare(tableOf(t, from), digests[from], tableOf(t, to), digests[to])
 	}
 	tell := func(b desk.Bulletin) {
-		g.version++
-		b.Life, b.Version, b.Confirmed, b.Nodes = "l", g.version, time.Millisecond, 1
-		g.take(g.m.Receive(g.now, "d1:1", b))
+		h.version++
+		b.Life, b.Version, b.Confirmed, b.Nodes = "l", h.version, time.Millisecond, 1
+		h.apply(h.m.Receive(h.now, "d1:1", b))
 	}
 	want := func(number uint64) {
 		t.Helper()
-		if g.m.Number() != number {
-			t.Fatalf("table %d is in force, want %d", g.m.Number(), number)
+		if h.m.TableNumber() != number {
+			t.Fatalf("table %d is in force, want %d", h.m.TableNumber(), number)
 		}
 	}
-	tell(desk.Bulletin{Number: 3, Digest: "three", Table: table(3, nil)})
+	tell(desk.Bulletin{Number: 3, Digest: "three", Table: tableJSON(3, nil)})
 	want(3)
 	tell(desk.Bulletin{Number: 6, Digest: "six", Differences: []route.Difference{step(3, 5), step(5, 6)}})
 	want(6)
@@ -61,8 +61,8 @@
 	// One that builds on a table that this node never had.
 	tell(desk.Bulletin{Number: 9, Digest: "nine", Differences: []route.Difference{step(5, 9)}})
 	want(6)
-	g.now += time.Second
-	if f := lastFollow(t, g.m.Tick(g.now)); f.Table != 6 || !f.Differs {
+	h.now += time.Second
+	if f := lastFollow(t, h.m.Tick(h.now)); f.Table != 6 || !f.Differs {
 		t.Fatalf("asked with %+v", f)
 	}
 	// The same number with another content: the whole is asked for.
@@ -70,12 +70,12 @@
 	other.BaseDigest = "another six"
 	tell(desk.Bulletin{Number: 9, Digest: "nine", Differences: []route.Difference{other}})
 	want(6)
-	if f := lastFollow(t, g.m.Tick(g.now)); f.Table != 0 {
+	if f := lastFollow(t, h.m.Tick(h.now)); f.Table != 0 {
 		t.Fatalf("asked with %+v", f)
 	}
-	tell(desk.Bulletin{Number: 9, Digest: "nine", Table: table(9, nil)})
+	tell(desk.Bulletin{Number: 9, Digest: "nine", Table: tableJSON(9, nil)})
 	want(9)
-	if g.m.Counters.BadDifferences != 1 {
-		t.Errorf("%d bad differences counted", g.m.Counters.BadDifferences)
+	if h.m.Counters.BadDifferences != 1 {
+		t.Errorf("%d bad differences counted", h.m.Counters.BadDifferences)
 	}
 }
--- a/peer/relay/types.go
+++ b/peer/relay/types.go
@@ -13,12 +13,12 @@
 
 // Horizon is the time left until a program should be done, where that is told.
 type Horizon struct {
-	Left  time.Duration
-	Known bool
+	Remaining time.Duration
+	Known     bool
 }
 
 // Ask is a request that arrived whole.
-type Ask struct {
+type Request struct {
 	Host, Path string
 	Key        string
 	HasKey     bool
@@ -29,17 +29,17 @@
 	Previous string
 	// Budget is what all turns of the program may put out, Most what this one
 	// may.
-	Budget, Most int64
-	Subject
-	Left    time.Duration
-	Horizon Horizon
-	Input   []byte
+	TokenBudget, MaxTokens int64
+	PlacementHints
+	Remaining time.Duration
+	Horizon   Horizon
+	Input     []byte
 	Arrival
 }
 
 // Subject is what a request is about: the parts of its prompt, and the hash of the thing
 // that it concerns; zero: not told.
-type Subject struct {
+type PlacementHints struct {
 	Prompt   []placement.PromptSegment
 	Affinity uint64
 }
@@ -48,7 +48,7 @@
 // the clock of the machine.
 type Arrival struct {
 	HeadBytes, BodyBytes int64
-	Came                 time.Duration
+	HeadReceived         time.Duration
 }
 
 // Kinds of steps.
@@ -58,9 +58,9 @@
 	// StepSend: send it to a replica.
 	StepSend = "send"
 	// StepPass: what the replica answered may be ended and passed on.
-	StepPass = "pass"
+	StepDeliver = "pass"
 	// StepBreak: it may have run; nothing is promised.
-	StepBreak = "break"
+	StepAbort = "break"
 )
 
 // Step is what is to be done next with a request.
@@ -75,17 +75,17 @@
 	Tenant     string
 	Urgency    int64
 	// Before is what kept turns put before the input.
-	Before [][]byte
+	History [][]byte
 	// Kept asks for the output to be told with the outcome.
-	Kept bool
+	ReturnOutput bool
 	// Stream: the answer is a row of events. Resumable: it may be taken up.
 	Stream, Resumable bool
 	// Within is how long the replica may take.
-	Within time.Duration
+	Timeout time.Duration
 }
 
 // Return hands a step to whoever waits under a ticket.
-type Return struct {
+type TicketStep struct {
 	Ticket uint64
 	Step   Step
 }
@@ -93,11 +93,11 @@
 // Kinds of outcomes of one sending.
 const (
 	// NotRun: the replica promised that it did not run, or was never reached.
-	NotRun = "not run"
+	OutcomeNotRun = "not run"
 	// Broken: it may have run.
-	Broken = "broken"
+	OutcomeInterrupted = "broken"
 	// Whole: the replica answered whole.
-	Whole = "whole"
+	OutcomeComplete = "whole"
 )
 
 // Load is what a replica said of its own load.
@@ -108,12 +108,12 @@
 	Kind string
 	// Moved: another replica answered at this address. Unreached: no
 	// connection came up.
-	Moved, Unreached bool
+	AddressReused, Unreachable bool
 	// Begun: the requester has had a part of the answer.
-	Begun  bool
-	Events int64
+	Started bool
+	Events  int64
 	// Streamed is how long it took from the first event to the end.
-	Streamed time.Duration
+	StreamDuration time.Duration
 	// Output is what a kept turn put out.
 	Output []byte
 	// Failed: the answer is a failure, which keeps nothing. Status is the replica's.
@@ -121,9 +121,9 @@
 	Status int
 	Load   *Load
 	// Gone: the requester has gone away.
-	Gone bool
+	RequesterGone bool
 	// Cold counts a connection that had to be opened.
-	Cold bool
+	NewConnection bool
 }
 
 // Send is a message for the process at an address.
@@ -134,29 +134,29 @@
 
 // Output is what a step of the machine wants done.
 type Output struct {
-	Sends   []Send
-	Returns []Return
+	Sends []Send
+	Steps []TicketStep
 	// Ended tells of the requests that ended in this step.
-	Ended []Ended
+	Completions []Completion
 }
 
 // Params bound a node's timing and room; all else are ratios to these.
 type Params struct {
 	Core core.Params
 	// Beat is how often replicas announce themselves.
-	Beat time.Duration
+	HeartbeatInterval time.Duration
 	// Follow is how often desks are asked for what was missed.
-	Follow time.Duration
+	FollowInterval time.Duration
 	// Window is what tenants' rates are counted in; Overshoot and Slack are by
 	// how much a window may pass its limit, of which half is used.
-	Window    time.Duration
-	Overshoot float64
-	Slack     int64
+	RateWindow    time.Duration
+	RateOvershoot float64
+	RateSlack     int64
 	// Placement names the parts of the policy by which replicas are chosen.
 	Placement placement.Settings
 	// LoadPeriod is how often nodes tell desks what they have at replicas, and desks
 	// tell nodes; zero: never.
-	LoadPeriod time.Duration
+	LoadReportInterval time.Duration
 	// ResendUnrun sends what surely did not run to further replicas beyond the
 	// route's number.
 	ResendUnrun bool
@@ -164,16 +164,16 @@
 	// than they can.
 	ShedOverload bool
 	// Buffer is how many requests may be under way.
-	Buffer int
+	MaxRequests int
 	// Cache is how many bytes of kept turns are held.
-	Cache int64
+	CacheBytes int64
 	// BookKeep is how long a program's books are kept after its last turn.
-	BookKeep time.Duration
+	BookRetention time.Duration
 }
 
 // Counters are what a node counts, besides how requests ended.
 type Counters struct {
-	Requests, Sent, Whole, Broken, NotRun, Resent, Resumed              int64
-	Turns, CacheHits, CacheMisses, Draws, Drawn, Bulletins, BadMessages int64
-	NewConnections, BadDifferences, Settles                             int64
+	Requests, Sent, Completed, Interrupted, NotRun, Resent, Resumed           int64
+	Turns, CacheHits, CacheMisses, Draws, DrawsAnswered, Updates, BadMessages int64
+	NewConnections, BadDifferences, Settlements                               int64
 }
--- a/rehearsalkit/capacity/hollow.go
+++ b/rehearsalkit/capacity/hollow.go
@@ -101,10 +101,10 @@
 		return
 	}
 	n.ways[t.ticket] = t
-	a := relay.Ask{Host: "tier", Path: fmt.Sprintf("/model-%d/turn", p.model), Key: fmt.Sprintf("key-%d", p.tenant), HasKey: true, Attempt: t.attempt, Program: p.name, Previous: p.previous,
-		Budget: 1 << 30, Most: 1000, Left: 4 * time.Second, Arrival: relay.Arrival{HeadBytes: 300, BodyBytes: int64(w.point.TurnBytes / 2)}, Input: w.bytes(w.point.TurnBytes / 2),
-		Subject: relay.Subject{Prompt: []placement.PromptSegment{{ID: uint64(p.tenant*8 + p.model), Tokens: 512}, {ID: uint64(1<<32 + w.attempts), Tokens: 600}}}}
-	n.takeNode(timed(n, func() relay.Output { return n.node.Arrive(w.now, t.ticket, a) }))
+	a := relay.Request{Host: "tier", Path: fmt.Sprintf("/model-%d/turn", p.model), Key: fmt.Sprintf("key-%d", p.tenant), HasKey: true, Attempt: t.attempt, Program: p.name, Previous: p.previous,
+		TokenBudget: 1 << 30, MaxTokens: 1000, Remaining: 4 * time.Second, Arrival: relay.Arrival{HeadBytes: 300, BodyBytes: int64(w.point.TurnBytes / 2)}, Input: w.bytes(w.point.TurnBytes / 2),
+		PlacementHints: relay.PlacementHints{Prompt: []placement.PromptSegment{{ID: uint64(p.tenant*8 + p.model), Tokens: 512}, {ID: uint64(1<<32 + w.attempts), Tokens: 600}}}}
+	n.takeNode(timed(n, func() relay.Output { return n.node.HandleRequest(w.now, t.ticket, a) }))
 }
 
 func (w *world) bytes(n int) []byte {
@@ -121,18 +121,18 @@
 	case relay.StepSend:
 		r := w.services[s.Replica.Address]
 		if w.cut(n.zone, r.zone) {
-			w.after(contact/10, func() { t.came(relay.Outcome{Kind: relay.NotRun, Unreached: true}) })
+			w.after(contact/10, func() { t.came(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true}) })
 			return
 		}
 		r.running++
 		w.after(w.between(service/2, service*3/2), func() {
 			r.running--
-			t.came(relay.Outcome{Kind: relay.Whole, Begun: true, Events: 215, Output: w.bytes(w.point.TurnBytes - w.point.TurnBytes/2), Load: &relay.Load{Running: r.running, Slots: 16}})
+			t.came(relay.Outcome{Kind: relay.OutcomeComplete, Started: true, Events: 215, Output: w.bytes(w.point.TurnBytes - w.point.TurnBytes/2), Load: &relay.Load{Running: r.running, Slots: 16}})
 		})
-	case relay.StepPass:
+	case relay.StepDeliver:
 		delete(n.ways, t.ticket)
 		t.end("whole")
-	case relay.StepBreak:
+	case relay.StepAbort:
 		delete(n.ways, t.ticket)
 		t.end("broken")
 	default:
@@ -146,7 +146,7 @@
 	if t.ended || n.life != t.life || !n.alive {
 		return
 	}
-	n.takeNode(timed(n, func() relay.Output { return n.node.Came(n.world.now, t.ticket, o) }))
+	n.takeNode(timed(n, func() relay.Output { return n.node.HandleOutcome(n.world.now, t.ticket, o) }))
 }
 
 // end books what became of a turn and plans the program's next one. A turn that
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -47,7 +47,7 @@
 }
 
 func nodeParams() relay.Params {
-	return relay.Params{Core: coreParams(), Beat: beat, Follow: follow, Window: window, Overshoot: 0.1, Slack: 4, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: beat}, LoadPeriod: beat / 12, ResendUnrun: true, ShedOverload: true, Buffer: 2000, Cache: nodeCache, BookKeep: 10 * time.Minute}
+	return relay.Params{Core: coreParams(), HeartbeatInterval: beat, FollowInterval: follow, RateWindow: window, RateOvershoot: 0.1, RateSlack: 4, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: beat}, LoadReportInterval: beat / 12, ResendUnrun: true, ShedOverload: true, MaxRequests: 2000, CacheBytes: nodeCache, BookRetention: 10 * time.Minute}
 }
 
 // cpu is the processor time that this thread has had: another process on the
@@ -232,7 +232,7 @@
 		p.desk = desk.New(desk.Options{Params: deskParams(), ID: p.id, Life: fmt.Sprintf("%s.%d", p.id, p.life), Address: p.address, Seeds: w.seeds(), Founds: p == w.desks[0] && p.life == 1, Now: w.now, Random: w.random.Float64})
 	default:
 		p.ways = map[uint64]*turn{}
-		p.node = relay.New(relay.Options{Params: nodeParams(), ID: p.id, Life: fmt.Sprintf("%s.%d", p.id, p.life), Zone: zone, Address: p.address, Seeds: w.seeds(), Now: w.now, Random: w.random.Float64})
+		p.node = relay.New(relay.Options{Params: nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.life), Zone: zone, Address: p.address, Seeds: w.seeds(), Now: w.now, Random: w.random.Float64})
 	}
 	p.tick(p.life, every)
 }
@@ -429,12 +429,12 @@
 	for _, s := range o.Sends {
 		p.send(s.To, s.Body)
 	}
-	for _, r := range o.Returns {
+	for _, r := range o.Steps {
 		if t, ok := p.ways[r.Ticket]; ok {
 			t.step(r.Step)
 		}
 	}
-	if number := p.node.Number(); number > p.number {
+	if number := p.node.TableNumber(); number > p.number {
 		p.number = number
 		p.world.lag = max(p.world.lag, p.world.now-p.world.handedAt[number])
 	}
--- a/rehearsalkit/refusals/refusals_test.go
+++ b/rehearsalkit/refusals/refusals_test.go
@@ -40,7 +40,7 @@
 
 // TestEveryCauseIsRead: each cause that nodes answer with 400 to 499 has its reading.
 func TestEveryCauseIsRead(t *testing.T) {
-	for _, cause := range relay.RefusalCauses() {
+	for _, cause := range relay.ClientErrorCauses() {
 		if _, known := readings[string(cause)]; !known {
 			t.Errorf("%s has no reading", cause)
 		}
--- a/rehearsalkit/relaysim/process.go
+++ b/rehearsalkit/relaysim/process.go
@@ -108,7 +108,7 @@
 	case p.client != nil:
 		p.tick(p.life, coreParams().Pull/3)
 	default:
-		p.node = relay.New(relay.Options{Params: w.nodeParams(), ID: p.id, Life: fmt.Sprintf("%s.%d", p.id, p.life), Zone: p.zone, Address: p.address, Seeds: p.seedList(), Now: p.now(), Random: w.random.Float64, Violated: w.violated})
+		p.node = relay.New(relay.Options{Params: w.nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.life), Zone: p.zone, Address: p.address, Seeds: p.seedList(), Now: p.now(), Random: w.random.Float64, Violated: w.violated})
 		if w.Params.WrapNode != nil {
 			p.node = w.Params.WrapNode(p.node)
 		}
@@ -256,7 +256,7 @@
 	for _, s := range o.Sends {
 		p.world.send(p, s.To, s.Body)
 	}
-	for _, r := range o.Returns {
+	for _, r := range o.Steps {
 		if at, ok := p.ways[r.Ticket]; ok {
 			at.step(r.Step)
 		}
--- a/rehearsalkit/relaysim/relaysim_test.go
+++ b/rehearsalkit/relaysim/relaysim_test.go
@@ -58,7 +58,7 @@
 // broken is a node whose machine does one thing wrong.
 type broken struct {
 	Node
-	arrive func(a relay.Ask) relay.Ask
+	arrive func(a relay.Request) relay.Request
 	came   func(o relay.Outcome) relay.Outcome
 	step   func(s relay.Step) (relay.Step, bool)
 }
@@ -67,29 +67,29 @@
 	if b.step == nil {
 		return o
 	}
-	var kept []relay.Return
-	for _, r := range o.Returns {
+	var kept []relay.TicketStep
+	for _, r := range o.Steps {
 		var pass bool
 		if r.Step, pass = b.step(r.Step); pass {
 			kept = append(kept, r)
 		}
 	}
-	o.Returns = kept
+	o.Steps = kept
 	return o
 }
 
-func (b *broken) Arrive(now time.Duration, ticket uint64, a relay.Ask) relay.Output {
+func (b *broken) HandleRequest(now time.Duration, ticket uint64, a relay.Request) relay.Output {
 	if b.arrive != nil {
 		a = b.arrive(a)
 	}
-	return b.out(b.Node.Arrive(now, ticket, a))
+	return b.out(b.Node.HandleRequest(now, ticket, a))
 }
 
-func (b *broken) Came(now time.Duration, ticket uint64, o relay.Outcome) relay.Output {
+func (b *broken) HandleOutcome(now time.Duration, ticket uint64, o relay.Outcome) relay.Output {
 	if b.came != nil {
 		o = b.came(o)
 	}
-	return b.out(b.Node.Came(now, ticket, o))
+	return b.out(b.Node.HandleOutcome(now, ticket, o))
 }
 
 func (b *broken) Receive(now time.Duration, from string, body any) relay.Output {
@@ -169,15 +169,15 @@
 	}{
 		{"what broke off is sent again", RuleTwice, nodes(func() *broken {
 			return &broken{came: func(o relay.Outcome) relay.Outcome {
-				if o.Kind == relay.Broken && !o.Gone {
-					o.Kind, o.Begun = relay.NotRun, false
+				if o.Kind == relay.OutcomeInterrupted && !o.RequesterGone {
+					o.Kind, o.Started = relay.OutcomeNotRun, false
 				}
 				return o
 			}}
 		})},
 		{"what may have run is refused", RulePromised, nodes(func() *broken {
 			return &broken{step: func(s relay.Step) (relay.Step, bool) {
-				if s.Kind == relay.StepBreak && s.Status == 502 {
+				if s.Kind == relay.StepAbort && s.Status == 502 {
 					s.Kind, s.Status = relay.StepRefuse, 503
 				}
 				return s, true
@@ -201,16 +201,16 @@
 		{"kept turns change", RuleChain, answering(func(a core.KeptTurn) core.KeptTurn { a.Input = append(a.Input, 'x'); return a })},
 		{"a former turn is left out", RuleChain, nodes(func() *broken {
 			return &broken{step: func(s relay.Step) (relay.Step, bool) {
-				if len(s.Before) > 2 {
-					s.Before = s.Before[2:]
+				if len(s.History) > 2 {
+					s.History = s.History[2:]
 				}
 				return s, true
 			}}
 		})},
 		{"what broke off passes for whole", RuleWhole, nodes(func() *broken {
 			return &broken{came: func(o relay.Outcome) relay.Outcome {
-				if o.Kind == relay.Broken {
-					o.Kind = relay.Whole
+				if o.Kind == relay.OutcomeInterrupted {
+					o.Kind = relay.OutcomeComplete
 				}
 				return o
 			}}
@@ -242,7 +242,7 @@
 		}},
 		{"a node forgets what was new", RuleBack, nodes(func() *broken {
 			third := every(3)
-			return &broken{arrive: func(a relay.Ask) relay.Ask {
+			return &broken{arrive: func(a relay.Request) relay.Request {
 				if len(a.Path) > 7 && a.Path[:7] == "/probe-" && third() {
 					a.Path = "/none/x"
 				}
--- a/rehearsalkit/relaysim/replica.go
+++ b/rehearsalkit/relaysim/replica.go
@@ -149,7 +149,7 @@
 	for _, j := range append(r.jobs, r.queue...) {
 		if !j.ended {
 			j.ended = true
-			j.sending.back(func() { j.sending.over(relay.Outcome{Kind: relay.Broken}) })
+			j.sending.back(func() { j.sending.over(relay.Outcome{Kind: relay.OutcomeInterrupted}) })
 		}
 	}
 	r.jobs, r.queue = nil, nil
@@ -168,11 +168,11 @@
 		at.Moved = true
 		w.Record.Arrivals = append(w.Record.Arrivals, at)
 		w.Counts["moved"]++
-		s.back(func() { s.over(relay.Outcome{Kind: relay.NotRun, Moved: true}) })
+		s.back(func() { s.over(relay.Outcome{Kind: relay.OutcomeNotRun, AddressReused: true}) })
 		return
 	}
 	w.Record.Arrivals = append(w.Record.Arrivals, at)
-	j := &job{replica: r, sending: s, within: w.now + s.step.Within, queued: w.now}
+	j := &job{replica: r, sending: s, within: w.now + s.step.Timeout, queued: w.now}
 	s.job = j
 	switch {
 	case r.running < r.slots:
@@ -195,7 +195,7 @@
 	}
 	j.ended = true
 	r.world.Counts["turned away"]++
-	o := relay.Outcome{Kind: relay.NotRun, Load: r.load()}
+	o := relay.Outcome{Kind: relay.OutcomeNotRun, Load: r.load()}
 	j.sending.back(func() { j.sending.over(o) })
 }
 
@@ -214,7 +214,7 @@
 	r.running++
 	r.jobs = append(r.jobs, j)
 	text := ""
-	for _, before := range s.step.Before {
+	for _, before := range s.step.History {
 		text += string(before)
 	}
 	w.Record.Runs = append(w.Record.Runs, Work{At: w.now, Sent: s.sentAt, Replica: r.id, Service: r.service, Node: s.way.node.id, Life: s.way.life, Attempt: s.way.request.Attempt,
@@ -227,11 +227,11 @@
 			if !r.finish(j) {
 				return
 			}
-			o := relay.Outcome{Kind: relay.Whole, Load: r.load()}
+			o := relay.Outcome{Kind: relay.OutcomeComplete, Load: r.load()}
 			switch {
 			case fate < 0.02:
 				w.Counts["answers lost"]++
-				o = relay.Outcome{Kind: relay.Broken}
+				o = relay.Outcome{Kind: relay.OutcomeInterrupted}
 			case fate < 0.04:
 				o.Failed = true
 			}
@@ -256,7 +256,7 @@
 		if w.now >= j.within || n-1 == breakAt {
 			if r.finish(j) {
 				w.Counts["streams broken off"]++
-				s.back(func() { s.over(relay.Outcome{Kind: relay.Broken}) })
+				s.back(func() { s.over(relay.Outcome{Kind: relay.OutcomeInterrupted}) })
 			}
 			return
 		}
@@ -264,7 +264,7 @@
 			if r.finish(j) {
 				w.Record.Runs[run].Whole = true
 				load := r.load()
-				s.back(func() { s.over(relay.Outcome{Kind: relay.Whole, Load: load}) })
+				s.back(func() { s.over(relay.Outcome{Kind: relay.OutcomeComplete, Load: load}) })
 			}
 			return
 		}
--- a/rehearsalkit/relaysim/way.go
+++ b/rehearsalkit/relaysim/way.go
@@ -57,12 +57,12 @@
 			at := &way{node: n, life: life, ticket: n.next, request: request, done: done}
 			n.ways[at.ticket] = at
 			left := request.Deadline - (w.now - request.At)
-			a := relay.Ask{Host: host, Path: request.Path, Key: request.Key, HasKey: request.Key != "", Attempt: request.Attempt, Program: request.Program, Previous: request.Previous,
-				Budget: request.Budget, Most: request.Most, Left: left, Arrival: relay.Arrival{HeadBytes: 300, BodyBytes: int64(len(request.Input))}, Input: []byte(request.Input)}
+			a := relay.Request{Host: host, Path: request.Path, Key: request.Key, HasKey: request.Key != "", Attempt: request.Attempt, Program: request.Program, Previous: request.Previous,
+				TokenBudget: request.Budget, MaxTokens: request.Most, Remaining: left, Arrival: relay.Arrival{HeadBytes: 300, BodyBytes: int64(len(request.Input))}, Input: []byte(request.Input)}
 			if left <= 0 {
-				a.Left = -1
+				a.Remaining = -1
 			}
-			n.takeNode(n.node.Arrive(n.now(), at.ticket, a))
+			n.takeNode(n.node.HandleRequest(n.now(), at.ticket, a))
 			w.after(max(left, 0)+20*time.Millisecond, at.giveUp)
 		})
 	})
@@ -111,9 +111,9 @@
 	begun := a.events > 0
 	a.toClient(func() {
 		switch {
-		case s.Kind == relay.StepPass:
+		case s.Kind == relay.StepDeliver:
 			w.told(r, r.answer(), 200, a.done)
-		case begun, s.Kind == relay.StepBreak && s.Status == 499:
+		case begun, s.Kind == relay.StepAbort && s.Status == 499:
 			w.told(r, Closed, 0, a.done)
 		default:
 			r.RetryAfter = s.RetryAfter
@@ -158,10 +158,10 @@
 			if s.job != nil {
 				a.world().after(a.world().delay(), s.job.drop)
 			}
-			n.takeNode(n.node.Came(n.now(), a.ticket, relay.Outcome{Kind: relay.Broken, Gone: true, Events: s.events, Begun: a.events > 0}))
+			n.takeNode(n.node.HandleOutcome(n.now(), a.ticket, relay.Outcome{Kind: relay.OutcomeInterrupted, RequesterGone: true, Events: s.events, Started: a.events > 0}))
 			return
 		}
-		n.takeNode(n.node.Gone(n.now(), a.ticket))
+		n.takeNode(n.node.Cancel(n.now(), a.ticket))
 	})
 }
 
@@ -173,29 +173,31 @@
 	s := &sending{way: a, step: step, sentAt: w.now}
 	a.sending = s
 	// The machine's own bytes may change later.
-	before := make([][]byte, len(step.Before))
-	for i, b := range step.Before {
+	before := make([][]byte, len(step.History))
+	for i, b := range step.History {
 		before[i] = append([]byte(nil), b...)
 	}
-	s.step.Before = before
+	s.step.History = before
 	w.after(w.delay(), func() {
 		r := w.replicas[step.Replica.Address]
 		switch {
 		case s.done:
 		case w.isCut(a.node.address, step.Replica.Address):
-			w.after(dial, func() { s.atNode(func() { s.over(relay.Outcome{Kind: relay.NotRun, Unreached: true, Cold: true}) }) })
+			w.after(dial, func() {
+				s.atNode(func() { s.over(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true, NewConnection: true}) })
+			})
 		case r == nil:
-			s.back(func() { s.over(relay.Outcome{Kind: relay.NotRun, Unreached: true, Cold: true}) })
+			s.back(func() { s.over(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true, NewConnection: true}) })
 		default:
 			r.arrive(s)
 		}
 	})
-	w.after(step.Within+100*time.Millisecond, func() {
+	w.after(step.Timeout+100*time.Millisecond, func() {
 		s.atNode(func() {
 			if s.job != nil {
 				w.after(w.delay(), s.job.drop)
 			}
-			s.over(relay.Outcome{Kind: relay.Broken})
+			s.over(relay.Outcome{Kind: relay.OutcomeInterrupted})
 		})
 	})
 }
@@ -256,12 +258,12 @@
 func (s *sending) over(o relay.Outcome) {
 	a, n := s.way, s.way.node
 	s.done = true
-	o.Events, o.Begun = s.events, a.events > 0
-	if s.step.Kept {
+	o.Events, o.Started = s.events, a.events > 0
+	if s.step.ReturnOutput {
 		o.Output = append([]byte(nil), a.output...)
 	}
-	if o.Kind == relay.Whole && o.Failed {
+	if o.Kind == relay.OutcomeComplete && o.Failed {
 		a.request.failed = true
 	}
-	n.takeNode(n.node.Came(n.now(), a.ticket, o))
+	n.takeNode(n.node.HandleOutcome(n.now(), a.ticket, o))
 }
--- a/rehearsalkit/relaysim/world.go
+++ b/rehearsalkit/relaysim/world.go
@@ -17,9 +17,9 @@
 
 // Node is the relaying node's machine as the simulator drives it.
 type Node interface {
-	Arrive(now time.Duration, ticket uint64, a relay.Ask) relay.Output
-	Came(now time.Duration, ticket uint64, o relay.Outcome) relay.Output
-	Gone(now time.Duration, ticket uint64) relay.Output
+	HandleRequest(now time.Duration, ticket uint64, a relay.Request) relay.Output
+	HandleOutcome(now time.Duration, ticket uint64, o relay.Outcome) relay.Output
+	Cancel(now time.Duration, ticket uint64) relay.Output
 	Receive(now time.Duration, from string, body any) relay.Output
 	Tick(now time.Duration) relay.Output
 	Ready(now time.Duration) bool
--- a/saffronfall/relayprocess/observe.go
+++ b/saffronfall/relayprocess/observe.go
@@ -87,19 +87,19 @@
 }
 
 // ended takes a request that has ended.
-func (o *observer) ended(now time.Duration, e relay.Ended) {
+func (o *observer) ended(now time.Duration, e relay.Completion) {
 	route := o.count(e)
-	o.routes[route].Update(e.Took.Seconds())
+	o.routes[route].Update(e.Duration.Seconds())
 	if !e.Failed() {
 		return
 	}
-	f := failure{Time: clock.TimeOfDay(), Cause: e.Cause, Status: e.Status, Attempt: e.Attempt, Program: e.Program, Previous: e.Previous, Route: e.Route, Tenant: o.digest(e.Tenant), sendings: sendings{Replica: e.Replica, Sendings: e.Sendings, Ran: e.Ran}, Table: e.Table, WaitedMS: e.Waited.Milliseconds(), TookMS: e.Took.Milliseconds(), CoresSilentMS: e.CoresSilent.Milliseconds(), Life: o.life}
+	f := failure{Time: clock.TimeOfDay(), Cause: e.Cause, Status: e.Status, Attempt: e.Attempt, Program: e.Program, Previous: e.Previous, Route: e.Route, Tenant: o.digest(e.Tenant), sendings: sendings{Replica: e.Replica, Sendings: e.ReplicasTried, Ran: e.MayHaveRun}, Table: e.Table, WaitedMS: e.QueueTime.Milliseconds(), TookMS: e.Duration.Milliseconds(), CoresSilentMS: e.CoresSilent.Milliseconds(), Life: o.life}
 	o.keep(f)
 	o.write(now, f)
 }
 
 // count counts a request, and tells which route its figures go to.
-func (o *observer) count(e relay.Ended) string {
+func (o *observer) count(e relay.Completion) string {
 	route := e.Route
 	if o.routes[route] == nil && len(o.routes) >= mostRoutes {
 		route = otherRoute
--- a/saffronfall/relayprocess/observe_test.go
+++ b/saffronfall/relayprocess/observe_test.go
@@ -19,9 +19,9 @@
 	var lines []string
 	o := newObserver("a secret", "life1", 4, funcr.New(func(_, args string) { lines = append(lines, args) }, funcr.Options{}))
 	for i := range 10 {
-		o.ended(time.Duration(i)*300*time.Millisecond, relay.Ended{Cause: relay.CauseNoReplica, Attempt: fmt.Sprint("a", i), Route: "chat", Tenant: "clinic", Status: 503, Table: 7, Took: time.Second})
+		o.ended(time.Duration(i)*300*time.Millisecond, relay.Completion{Cause: relay.CauseNoReplica, Attempt: fmt.Sprint("a", i), Route: "chat", Tenant: "clinic", Status: 503, Table: 7, Duration: time.Second})
 	}
-	o.ended(0, relay.Ended{Cause: relay.CauseServed, Route: "chat", Took: 20 * time.Millisecond})
+	o.ended(0, relay.Completion{Cause: relay.CauseServed, Route: "chat", Duration: 20 * time.Millisecond})
 	if len(lines) != 3 || !strings.Contains(lines[1], `"more_of_this_cause"=3`) || !strings.Contains(lines[1], `"cause"="no_replica"`) || !strings.Contains(lines[1], `"table"=7`) {
 		t.Fatalf("logged %d lines: %s", len(lines), strings.Join(lines, "\n"))
 	}
@@ -48,7 +48,7 @@
 func TestRoutesAreBounded(t *testing.T) {
 	o := newObserver("a secret", "life1", 4, funcr.New(func(_, _ string) {}, funcr.Options{}))
 	for i := range 3 * mostRoutes {
-		o.ended(0, relay.Ended{Cause: relay.CauseServed, Route: fmt.Sprint("r", i)})
+		o.ended(0, relay.Completion{Cause: relay.CauseServed, Route: fmt.Sprint("r", i)})
 	}
 	if len(o.routes) > mostRoutes+1 {
 		t.Fatalf("%d routes have figures", len(o.routes))
@@ -62,7 +62,7 @@
 	for _, c := range []struct{ left, passed, want time.Duration }{
 		{0, time.Second, 0}, {-1, time.Second, -1}, {4 * time.Second, time.Second, 3 * time.Second}, {time.Second, time.Second, -1}, {time.Second, 2 * time.Second, -1},
 	} {
-		if got := left(relay.Ask{Left: c.left, Arrival: relay.Arrival{Came: came}}, came+c.passed); got != c.want {
+		if got := left(relay.Request{Remaining: c.left, Arrival: relay.Arrival{HeadReceived: came}}, came+c.passed); got != c.want {
 			t.Errorf("%v left, %v passed: %v, want %v", c.left, c.passed, got, c.want)
 		}
 	}
@@ -76,7 +76,7 @@
 			o := newObserver("a secret", "life1", 256, funcr.New(func(_, _ string) {}, funcr.Options{}))
 			b.ReportAllocs()
 			for b.Loop() {
-				o.ended(time.Second, relay.Ended{Cause: cause, Attempt: "a", Route: "chat", Tenant: "clinic", Status: 503, Took: 20 * time.Millisecond})
+				o.ended(time.Second, relay.Completion{Cause: cause, Attempt: "a", Route: "chat", Tenant: "clinic", Status: 503, Duration: 20 * time.Millisecond})
 			}
 		})
 	}
--- a/saffronfall/relayprocess/process.go
+++ b/saffronfall/relayprocess/process.go
@@ -35,18 +35,18 @@
 // passed since the owner made it.
 func (t told) taken() (relay.Step, *replica.Pool, bool) {
 	if t.step.Kind == relay.StepSend {
-		t.step.Within -= clock.Now() - t.at
+		t.step.Timeout -= clock.Now() - t.at
 	}
 	return t.step, t.line, true
 }
 
 // left is how much of its time a request still has when the owner takes it: reading
 // its body and waiting for the owner took some.
-func left(a relay.Ask, now time.Duration) time.Duration {
-	if a.Left <= 0 {
-		return a.Left
+func left(a relay.Request, now time.Duration) time.Duration {
+	if a.Remaining <= 0 {
+		return a.Remaining
 	}
-	if rest := a.Left - (now - a.Came); rest > 0 {
+	if rest := a.Remaining - (now - a.HeadReceived); rest > 0 {
 		return rest
 	}
 	return -1
@@ -108,7 +108,7 @@
 		waiting: map[uint64]*way{}, lines: map[string]*line{}}
 	s.violations = telemetry.Violations(p.Strict, log)
 	s.observer = newObserver(p.Secret, hex.EncodeToString(raw), int(p.FailuresKept), log)
-	s.machine = relay.New(relay.Options{Params: p.RelayNode(), ID: p.ID, Life: hex.EncodeToString(raw), Zone: p.Zone, Address: p.PeerAdvertise, Seeds: p.Seeds, Now: s.now(), Random: rand.Float64, Violated: s.violations.Report})
+	s.machine = relay.New(relay.Options{Params: p.RelayNode(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Zone: p.Zone, Address: p.PeerAdvertise, Seeds: p.Seeds, Now: s.now(), Random: rand.Float64, Violated: s.violations.Report})
 	log.Info("relay started", "id", p.ID)
 
 	var group run.Group
@@ -157,7 +157,7 @@
 	s.log.Info("relay leaves")
 	var p params.Params
 	if s.look(s.life, func(time.Duration) {
-		s.machine.Leave()
+		s.machine.Drain()
 		p = s.params
 	}) != nil {
 		// The owner has ended, and all requests with it.
@@ -186,12 +186,12 @@
 			s.next++
 			w.ticket = s.next
 			s.waiting[w.ticket] = w
-			w.ask.Left = left(w.ask, clock.Now())
-			s.take(s.machine.Arrive(s.now(), w.ticket, w.ask))
+			w.ask.Remaining = left(w.ask, clock.Now())
+			s.take(s.machine.HandleRequest(s.now(), w.ticket, w.ask))
 		case c := <-s.came:
-			s.take(s.machine.Came(s.now(), c.ticket, c.outcome))
+			s.take(s.machine.HandleOutcome(s.now(), c.ticket, c.outcome))
 		case ticket := <-s.gone:
-			s.take(s.machine.Gone(s.now(), ticket))
+			s.take(s.machine.Cancel(s.now(), ticket))
 		case call := <-s.calls:
 			call(s.now())
 		case s.params = <-s.adopt:
@@ -208,7 +208,7 @@
 }
 
 func (s *process) report(now time.Duration) {
-	if number := s.machine.Number(); number != s.number {
+	if number := s.machine.TableNumber(); number != s.number {
 		s.number = number
 		s.log.Info("routing table in force", "number", number)
 	}
@@ -232,10 +232,10 @@
 		}
 	}
 	now := s.now()
-	for _, e := range o.Ended {
+	for _, e := range o.Completions {
 		s.observer.ended(now, e)
 	}
-	for _, r := range o.Returns {
+	for _, r := range o.Steps {
 		w, ok := s.waiting[r.Ticket]
 		if !ok {
 			continue
@@ -268,13 +268,13 @@
 type way struct {
 	process *process
 	ctx     context.Context
-	ask     relay.Ask
+	ask     relay.Request
 	ticket  uint64
 	answers chan told
 }
 
 // Dispatch hands a request to the owner's goroutine and waits for its first step.
-func (s *process) Dispatch(ctx context.Context, a relay.Ask) (front.Request, relay.Step, *replica.Pool, bool) {
+func (s *process) Dispatch(ctx context.Context, a relay.Request) (front.Request, relay.Step, *replica.Pool, bool) {
 	w := &way{process: s, ctx: ctx, ask: a, answers: make(chan told, 2)}
 	select {
 	case s.arrive <- w:
@@ -332,7 +332,7 @@
 }
 
 // rejected takes a request that did not arrive whole.
-func (s *process) rejected(e relay.Ended) {
+func (s *process) rejected(e relay.Completion) {
 	select {
 	case s.calls <- func(now time.Duration) { s.observer.ended(now, e) }:
 	case <-s.life.Done():
