--- a/peer/relay/deskconfirm_test.go
+++ b/peer/relay/deskconfirm_test.go
@@ -6,21 +6,21 @@
 	"saffronfall/peer/desk"
 )
 
-// TestNodeConfirmsWhoLeaves: a desk that asks for it is told at once up to where it was
-// heard, the replica that leaves included.
+// TestNodeConfirmsLeavingReplica: a desk that asks for confirmation is told at once which
+// version the node has, which includes the leaving replica.
 func TestNodeConfirmsLeavingReplica(t *testing.T) {
 	h := newHarness(t)
 	h.version++
 	leaving := desk.Listed{Replica: desk.Replica{ID: "r1", Service: "app", Leaving: true}, Version: h.version}
 	for _, confirm := range []bool{false, true} {
-		o := h.m.Receive(h.now, "d1:1", desk.Bulletin{Life: "l", Version: h.version, List: []desk.Listed{leaving}, Nodes: 1, Confirm: confirm})
+		o := h.node.Receive(h.now, "d1:1", desk.Bulletin{Life: "l", Version: h.version, List: []desk.Listed{leaving}, Nodes: 1, Confirm: confirm})
 		told := false
 		for _, s := range o.Sends {
 			f, ok := s.Body.(desk.Follow)
 			told = told || ok && s.To == "d1:1" && f.Life == "l" && f.Version == h.version
 		}
 		if told != confirm {
-			t.Errorf("asked %v, told %v", confirm, told)
+			t.Errorf("confirmation asked for: %v, sent: %v", confirm, told)
 		}
 	}
 }
--- a/peer/relay/history_test.go
+++ b/peer/relay/history_test.go
@@ -8,11 +8,11 @@
 	"saffronfall/rule/invariant"
 )
 
-// TestWhyATurnIsNotFound: what was never kept, another tenant's, what has run out and
-// what is missed within its time end by causes of their own, and only the last is a
-// breach, which promises nothing of the turn.
+// TestCausesOfMissingTurn: turns that were never stored, belong to another tenant, have
+// expired, or are lost within their retention are refused with different causes. Only the
+// last one violates an invariant.
 func TestCausesOfMissingTurn(t *testing.T) {
-	// The route's turns are owed for 60 s.
+	// The route keeps turns for 60 s.
 	for _, c := range []struct {
 		name     string
 		keptHere bool
@@ -24,16 +24,16 @@
 	}{
 		{"never kept", false, 0, core.NeverKept, CauseHistoryUnknown, 404, 0},
 		{"another tenant's", false, 0, core.Foreign, CauseHistoryForeign, 404, 0},
-		{"run out, as the cores know", false, 0, core.Expired, CauseHistoryExpired, 404, 0},
-		{"run out, as this node knows", true, 61 * time.Second, core.NeverKept, CauseHistoryExpired, 404, 0},
-		{"missed within its time", true, 59 * time.Second, core.NeverKept, CauseHistoryMissing, 503, 1},
-		{"said to have run out within its time", true, 0, core.Expired, CauseHistoryMissing, 503, 1},
+		{"expired, as the cores know", false, 0, core.Expired, CauseHistoryExpired, 404, 0},
+		{"expired, as this node knows", true, 61 * time.Second, core.NeverKept, CauseHistoryExpired, 404, 0},
+		{"lost within its retention", true, 59 * time.Second, core.NeverKept, CauseHistoryMissing, 503, 1},
+		{"reported as expired within its retention", true, 0, core.Expired, CauseHistoryMissing, 503, 1},
 	} {
 		h := newHarness(t)
-		breaches := 0
-		h.m.violated = func(v invariant.Violation) {
+		violations := 0
+		h.node.violated = func(v invariant.Violation) {
 			if v.Name == invariant.TurnKeptUntilDeadline {
-				breaches++
+				violations++
 			}
 		}
 		h.start()
@@ -42,29 +42,29 @@
 			h.outcome(first, Outcome{Kind: OutcomeComplete, Events: 1, Started: true, Output: []byte("o\n")})
 			h.expect(first, StepDeliver, 0)
 		}
-		// It is neither in this node's cache nor at the cores.
-		h.m.cache = newTurnCache(1 << 20)
-		delete(h.kept, "first")
+		// The turn is neither in this node's cache nor at the cores.
+		h.node.cache = newTurnCache(1 << 20)
+		delete(h.storedTurns, "first")
 		h.absence = c.absence
 		h.advance(c.after)
-		w := h.request(newRequest("/chat/x", func(r *Request) { r.Attempt, r.Previous = "second", "first" }))
-		h.expect(w, StepRefuse, c.status)
-		if last := h.completions[len(h.completions)-1]; last.Cause != c.cause || breaches != c.breaches {
-			t.Errorf("%s: %s, %d breaches", c.name, last.Cause, breaches)
+		ticket := h.request(newRequest("/chat/x", func(r *Request) { r.Attempt, r.Previous = "second", "first" }))
+		h.expect(ticket, StepRefuse, c.status)
+		if last := h.completions[len(h.completions)-1]; last.Cause != c.cause || violations != c.breaches {
+			t.Errorf("%s: cause %s, %d violations", c.name, last.Cause, violations)
 		}
 	}
 }
 
-// TestKeptTurnsAreForgotten: what a node remembers of them is bounded.
+// TestRecentTurnsAreBounded: a node remembers a limited number of turns, the latest ones.
 func TestRecentTurnsAreBounded(t *testing.T) {
 	var k recentTurns
 	for i := 0; i < 3*maxRecentTurns; i++ {
 		k.add(turnName{tenant: "t", attempt: string(rune(i))}, time.Duration(i))
 	}
 	if len(k.deadlines) != maxRecentTurns || len(k.order) != maxRecentTurns {
-		t.Errorf("%d and %d are remembered", len(k.deadlines), len(k.order))
+		t.Errorf("%d deadlines and %d names are held", len(k.deadlines), len(k.order))
 	}
 	if _, known := k.deadline(turnName{tenant: "t", attempt: string(rune(3*maxRecentTurns - 1))}); !known {
-		t.Error("the last one is not remembered")
+		t.Error("the latest turn is not held")
 	}
 }
--- a/peer/relay/identity_test.go
+++ b/peer/relay/identity_test.go
@@ -8,17 +8,16 @@
 	"saffronfall/rule/route"
 )
 
-// TestRequestersIDsDecideNothing: ids that requesters choose may repeat.
+// TestRequesterIDsMayRepeat: attempt IDs are chosen by requesters and need not be unique.
 func TestRequesterIDsMayRepeat(t *testing.T) {
-	t.Run("an attempt's id used again", testReusedAttempt)
+	t.Run("a reused attempt ID", testReusedAttempt)
 	t.Run("a cached turn of another tenant", testCachedTurnOfOtherTenant)
 }
 
-// attemptUsedAgain: an id that a requester uses for several turns
-// must not let them run on one reservation.
+// testReusedAttempt: turns with the same attempt ID must not share a reservation.
 func testReusedAttempt(t *testing.T) {
 	turn := func(r *Request) { r.Program, r.TokenBudget, r.MaxTokens, r.Attempt = "p", 100, 60, "same" }
-	t.Run("after its end", func(t *testing.T) {
+	t.Run("sequentially", func(t *testing.T) {
 		h := newHarness(t)
 		h.start()
 		first := h.request(newRequest("/chat/x", turn))
@@ -26,7 +25,7 @@
 		h.outcome(first, Outcome{Kind: OutcomeComplete, Events: 6, Started: true, Failed: true})
 		h.expect(h.request(newRequest("/chat/x", turn)), StepRefuse, 402)
 	})
-	t.Run("side by side", func(t *testing.T) {
+	t.Run("concurrently", func(t *testing.T) {
 		h := newHarness(t)
 		h.start()
 		h.expect(h.request(newRequest("/chat/x", turn)), StepSend, 0)
@@ -34,18 +33,18 @@
 	})
 }
 
-// cachedTurnOfAnother: the cache says what is kept and never that
-// nothing is.
+// testCachedTurnOfOtherTenant: a cached turn of one tenant must not hide the turn of
+// another with the same attempt ID.
 func testCachedTurnOfOtherTenant(t *testing.T) {
 	h := newHarness(t)
 	h.update("d1:1", listings("model", "m1", "m2"), 1, tableJSON(1, func(t *route.Table) {
 		t.Tenants = append(t.Tenants, route.Tenant{Name: "t2", Keys: []string{configuration.KeyDigest("second key")}})
 	}))
-	h.kept["same"] = core.KeepTurn{Tenant: "t2", Attempt: "same", Input: []byte("in of t2"), Output: []byte("out of t2")}
-	h.m.cache.put(&turn{attempt: "same", tenant: "t1", input: []byte("in of t1"), output: []byte("out of t1"), storedUntil: h.now + 1<<40})
-	w := h.request(newRequest("/chat/x", func(r *Request) { r.Key, r.Previous = "second key", "same" }))
-	h.expect(w, StepSend, 0)
-	if said := h.last(w).History; len(said) != 2 || string(said[0]) != "in of t2" {
-		t.Fatalf("goes on from %q", said)
+	h.storedTurns["same"] = core.KeepTurn{Tenant: "t2", Attempt: "same", Input: []byte("in of t2"), Output: []byte("out of t2")}
+	h.node.cache.put(&turn{attempt: "same", tenant: "t1", input: []byte("in of t1"), output: []byte("out of t1"), storedUntil: h.now + 1<<40})
+	ticket := h.request(newRequest("/chat/x", func(r *Request) { r.Key, r.Previous = "second key", "same" }))
+	h.expect(ticket, StepSend, 0)
+	if said := h.lastStep(ticket).History; len(said) != 2 || string(said[0]) != "in of t2" {
+		t.Fatalf("continues from %q", said)
 	}
 }
--- a/peer/relay/machine_test.go
+++ b/peer/relay/machine_test.go
@@ -19,31 +19,31 @@
 	"saffronfall/rule/route"
 )
 
-// rig is one node before one desk and cores that answer at once, unless they are
-// silent.
+// harness runs one node with one desk, and cores that answer at once unless coresSilent is
+// set.
 type harness struct {
 	t           *testing.T
 	now         time.Duration
-	m           *Machine
+	node        *Machine
 	steps       map[uint64][]Step
 	books       map[string]*book.Book
-	kept        map[string]core.KeepTurn
+	storedTurns map[string]core.KeepTurn
 	ledgers     map[string]*rate.Ledger
-	silent      bool
+	coresSilent bool
 	heldAnswers []func()
-	next        uint64
-	sent        []any
+	nextTicket  uint64
+	sentBodies  []any
 	version     uint64
 	deadlines   map[uint64]time.Duration
 	completions []Completion
-	// absence is why the cores do not find a kept turn.
+	// absence is why the cores do not find a stored turn.
 	absence core.Absence
 }
 
 func newHarness(t *testing.T) *harness {
 	random := rand.New(rand.NewPCG(1, 1))
-	h := &harness{t: t, steps: map[uint64][]Step{}, books: map[string]*book.Book{}, kept: map[string]core.KeepTurn{}, ledgers: map[string]*rate.Ledger{}, deadlines: map[uint64]time.Duration{}}
-	h.m = New(Options{ID: "n1", Incarnation: "x", Zone: "a", Address: "n1:1", Seeds: []string{"d1:1"}, Random: random.Float64,
+	h := &harness{t: t, steps: map[uint64][]Step{}, books: map[string]*book.Book{}, storedTurns: map[string]core.KeepTurn{}, ledgers: map[string]*rate.Ledger{}, deadlines: map[uint64]time.Duration{}}
+	h.node = New(Options{ID: "n1", Incarnation: "x", Zone: "a", Address: "n1:1", Seeds: []string{"d1:1"}, Random: random.Float64,
 		Params: Params{Core: core.Params{MemberTerm: time.Second, Retry: 100 * time.Millisecond, Pull: 100 * time.Millisecond}, HeartbeatInterval: time.Second, UpdateInterval: 500 * time.Millisecond,
 			RateWindow: 5 * time.Second, Placement: placement.Settings{PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: time.Second}, MaxRequests: 100, CacheBytes: 1 << 20, BookRetention: time.Minute}})
 	return h
@@ -75,16 +75,16 @@
 	}
 	h.completions = append(h.completions, o.Completions...)
 	for _, s := range o.Sends {
-		h.sent = append(h.sent, s.Body)
+		h.sentBodies = append(h.sentBodies, s.Body)
 		if c, ok := s.Body.(core.Command); ok {
 			answer := func() {
 				body, err := message.Open(c.Raw)
 				if err != nil {
 					h.t.Fatal(err)
 				}
-				h.apply(h.m.Receive(h.now, s.To, core.CommandReturn{ID: c.ID, Part: c.Part, Raw: message.Pack(h.answer(body))}))
+				h.apply(h.node.Receive(h.now, s.To, core.CommandReturn{ID: c.ID, Part: c.Part, Raw: message.Pack(h.answer(body))}))
 			}
-			if h.silent {
+			if h.coresSilent {
 				h.heldAnswers = append(h.heldAnswers, answer)
 			} else {
 				answer()
@@ -109,14 +109,14 @@
 		h.books[c.Program].Settle(c.Attempt, c.Tokens)
 		return core.Done{OK: true}
 	case core.KeepTurn:
-		h.kept[c.Attempt] = c
+		h.storedTurns[c.Attempt] = c
 		return core.Done{OK: true}
 	case core.ProlongTurn:
 		return core.Done{OK: true}
 	case core.ReadSeats:
 		return core.Seats{}
 	case core.ReadTurn:
-		k, ok := h.kept[c.Attempt]
+		k, ok := h.storedTurns[c.Attempt]
 		return core.KeptTurn{Found: ok && k.Tenant == c.Tenant, Absence: h.absence, Before: k.Before, Input: k.Input, Output: k.Output, Left: time.Minute}
 	case core.DrawRates:
 		var answer core.RatesDrawn
@@ -133,12 +133,12 @@
 	return nil
 }
 
-// hear brings a bulletin of a desk.
+// update delivers an update of a desk.
 func (h *harness) update(from string, list []desk.Listed, number uint64, text []byte) {
 	h.version++
 	topology := core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1"}}, Owners: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}},
 		Groups: make([]partition.Group, 2)}
-	h.apply(h.m.Receive(h.now, from, desk.Bulletin{Life: "l", Version: h.version, List: list, Number: number, Table: text, Nodes: 1, Topology: &topology}))
+	h.apply(h.node.Receive(h.now, from, desk.Bulletin{Life: "l", Version: h.version, List: list, Number: number, Table: text, Nodes: 1, Topology: &topology}))
 }
 
 func listings(service string, ids ...string) []desk.Listed {
@@ -156,8 +156,8 @@
 func (h *harness) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now += 10 * time.Millisecond
-		h.apply(h.m.Tick(h.now))
-		// As the requesters' side does, a replica is let go at the request's time.
+		h.apply(h.node.Tick(h.now))
+		// Like the front end, end the attempt at the request's deadline.
 		for _, ticket := range ordered.Keys(h.deadlines) {
 			if h.now > h.deadlines[ticket] {
 				h.outcome(ticket, Outcome{Kind: OutcomeInterrupted})
@@ -175,50 +175,50 @@
 }
 
 func (h *harness) request(r Request) uint64 {
-	h.next++
+	h.nextTicket++
 	if r.Attempt == "" {
-		r.Attempt = fmt.Sprint("try", h.next)
+		r.Attempt = fmt.Sprint("try", h.nextTicket)
 	}
-	h.apply(h.m.HandleRequest(h.now, h.next, r))
-	return h.next
+	h.apply(h.node.HandleRequest(h.now, h.nextTicket, r))
+	return h.nextTicket
 }
 
-func (h *harness) last(ticket uint64) Step {
+func (h *harness) lastStep(ticket uint64) Step {
 	if list := h.steps[ticket]; len(list) > 0 {
 		return list[len(list)-1]
 	}
 	return Step{}
 }
 
-func (h *harness) outcome(ticket uint64, o Outcome) { h.apply(h.m.HandleOutcome(h.now, ticket, o)) }
+func (h *harness) outcome(ticket uint64, o Outcome) { h.apply(h.node.HandleOutcome(h.now, ticket, o)) }
 
 func (h *harness) expect(ticket uint64, kind string, status int) {
 	h.t.Helper()
-	if s := h.last(ticket); s.Kind != kind || s.Status != status {
+	if s := h.lastStep(ticket); s.Kind != kind || s.Status != status {
 		h.t.Fatalf("step %+v, want %s %d", s, kind, status)
 	}
 }
 
-// TestTurnIsChargedByTheTableItCameUnder: a table that drops the service meanwhile
-// does not change what the turn's events cost.
+// TestTurnIsChargedByItsAdmissionTable: a table that drops the service while a turn runs
+// does not change the price of the turn's events.
 func TestTurnIsChargedByItsAdmissionTable(t *testing.T) {
 	h := newHarness(t)
 	h.start()
-	w := h.request(newRequest("/chat/x", func(r *Request) { r.Program, r.TokenBudget, r.MaxTokens = "p", 100, 50 }))
-	h.expect(w, StepSend, 0)
+	ticket := h.request(newRequest("/chat/x", func(r *Request) { r.Program, r.TokenBudget, r.MaxTokens = "p", 100, 50 }))
+	h.expect(ticket, StepSend, 0)
 	h.update("d1:1", nil, 2, tableJSON(2, func(t *route.Table) {
 		t.Services = t.Services[1:]
 		t.Routes = t.Routes[1:]
 	}))
-	h.outcome(w, Outcome{Kind: OutcomeComplete, Events: 4, Started: true})
-	h.expect(w, StepDeliver, 0)
+	h.outcome(ticket, Outcome{Kind: OutcomeComplete, Events: 4, Started: true})
+	h.expect(ticket, StepDeliver, 0)
 	if got := h.books["p"].Charged; got != 40 {
 		t.Fatalf("charged %d for 4 events of 10 tokens", got)
 	}
 }
 
-// TestSilenceAtOneDeskIsNoWordAgainstAnother: a replica that went on to another
-// desk and back stays known.
+// TestReplicaListedByOneDeskStaysKnown: a replica that moved to another desk and back is
+// not hidden by the desk that lost it.
 func TestReplicaListedByOneDeskStaysKnown(t *testing.T) {
 	h := newHarness(t)
 	h.start()
@@ -229,20 +229,20 @@
 	h.update("d1:1", at(12, false), 1, nil)
 	h.update("d1:1", at(12, true), 1, nil)
 	found := false
-	h.m.mergeListings(h.now)
-	for _, s := range h.m.services["app"].replicas {
+	h.node.mergeListings(h.now)
+	for _, s := range h.node.services["app"].replicas {
 		found = found || s.ID == "r"
 	}
 	if !found {
-		t.Fatal("a replica that announces itself at the second desk is hidden")
+		t.Fatal("a replica that sends heartbeats to the second desk is not known")
 	}
 	final := at(12, true)
 	final[0].Final = true
 	h.update("d1:1", final, 1, nil)
-	h.m.mergeListings(h.now)
-	for _, s := range h.m.services["app"].replicas {
+	h.node.mergeListings(h.now)
+	for _, s := range h.node.services["app"].replicas {
 		if s.ID == "r" {
-			t.Fatal("a replica that left is still chosen")
+			t.Fatal("a replica that left can still be chosen")
 		}
 	}
 }
@@ -263,54 +263,54 @@
 	} {
 		h := newHarness(t)
 		h.start()
-		w := h.request(c.ask)
-		if s := h.last(w); s.Kind != StepRefuse || s.Status != c.status {
+		ticket := h.request(c.ask)
+		if s := h.lastStep(ticket); s.Kind != StepRefuse || s.Status != c.status {
 			t.Errorf("%s: %+v", c.name, s)
 		}
 	}
 }
 
-// TestRateBeforeBudget: the tenant's rate is looked at before the program's books.
+// TestRateBeforeBudget: the tenant's rate is checked before the program's budget.
 func TestRateBeforeBudget(t *testing.T) {
 	h := newHarness(t)
 	limited := func(t *route.Table) { t.Tenants[0].Rate, t.Tenants[0].Burst = 0.2, 1 }
 	h.update("d1:1", append(listings("model", "m1"), listings("app", "a1")...), 1, tableJSON(1, limited))
 	for i := 0; i < 2; i++ {
-		w := h.request(newRequest("/once/x", nil))
-		h.expect(w, StepSend, 0)
-		h.outcome(w, Outcome{Kind: OutcomeComplete})
+		ticket := h.request(newRequest("/once/x", nil))
+		h.expect(ticket, StepSend, 0)
+		h.outcome(ticket, Outcome{Kind: OutcomeComplete})
 	}
-	w := h.request(newRequest("/chat/x", func(r *Request) { r.Program, r.TokenBudget, r.MaxTokens = "p", 10, 50 }))
+	ticket := h.request(newRequest("/chat/x", func(r *Request) { r.Program, r.TokenBudget, r.MaxTokens = "p", 10, 50 }))
 	h.advance(1500 * time.Millisecond)
-	h.expect(w, StepRefuse, 429)
-	if h.last(w).RetryAfter <= 0 {
-		t.Fatal("no time to come back")
+	h.expect(ticket, StepRefuse, 429)
+	if h.lastStep(ticket).RetryAfter <= 0 {
+		t.Fatal("the refusal has no time to retry after")
 	}
 	if h.books["p"] != nil {
-		t.Fatal("a turn beyond the rate was booked")
+		t.Fatal("a turn refused for the rate has a budget reservation")
 	}
 	h.advance(6 * time.Second)
-	w = h.request(newRequest("/once/x", nil))
-	h.expect(w, StepSend, 0)
+	ticket = h.request(newRequest("/once/x", nil))
+	h.expect(ticket, StepSend, 0)
 }
 
-// TestWhatNeverRanIsGivenBack: a request that no replica ran costs nothing of its
-// tenant's rate, nor of its program's budget.
+// TestUnrunRequestIsRefunded: a request that no replica ran costs neither a unit of its
+// tenant's rate nor tokens of its program's budget.
 func TestUnrunRequestIsRefunded(t *testing.T) {
 	h := newHarness(t)
 	h.update("d1:1", listings("model", "m1", "m2"), 1, tableJSON(1, func(t *route.Table) { t.Tenants[0].Rate, t.Tenants[0].Burst = 0.2, 1 }))
 	for i := 0; i < 10; i++ {
-		w := h.request(newRequest("/chat/x", func(r *Request) { r.Program, r.TokenBudget, r.MaxTokens = "p", 50, 50 }))
-		for h.last(w).Kind == StepSend {
-			h.outcome(w, Outcome{Kind: OutcomeNotRun})
+		ticket := h.request(newRequest("/chat/x", func(r *Request) { r.Program, r.TokenBudget, r.MaxTokens = "p", 50, 50 }))
+		for h.lastStep(ticket).Kind == StepSend {
+			h.outcome(ticket, Outcome{Kind: OutcomeNotRun})
 		}
-		h.expect(w, StepRefuse, 503)
+		h.expect(ticket, StepRefuse, 503)
 	}
 	if b := h.books["p"]; b.Charged != 0 || len(b.Running) != 0 {
-		t.Fatalf("books %+v", b)
+		t.Fatalf("budget after the refusals: %+v", b)
 	}
-	if spent := h.m.rates["t1"].spent; spent != 0 {
-		t.Fatalf("%d of the rate spent", spent)
+	if spent := h.node.rates["t1"].spent; spent != 0 {
+		t.Fatalf("%d units of the rate spent", spent)
 	}
 }
 
@@ -322,47 +322,47 @@
 		status     int
 		sendings   int
 	}{
-		{"a once-only request that broke", "/once/x", []Outcome{{Kind: OutcomeInterrupted}}, StepAbort, 502, 1},
-		{"a once-only request that was promised not run, then broke", "/once/x", []Outcome{{Kind: OutcomeNotRun}, {Kind: OutcomeInterrupted}}, StepAbort, 502, 2},
+		{"a once-only request that is interrupted", "/once/x", []Outcome{{Kind: OutcomeInterrupted}}, StepAbort, 502, 1},
+		{"a once-only request that did not run, then is interrupted", "/once/x", []Outcome{{Kind: OutcomeNotRun}, {Kind: OutcomeInterrupted}}, StepAbort, 502, 2},
 		{"a once-only request that no replica ran", "/once/x", []Outcome{{Kind: OutcomeNotRun}, {Kind: OutcomeNotRun}, {Kind: OutcomeNotRun}}, StepRefuse, 503, 3},
-		{"a repeatable request goes on elsewhere", "/again/x", []Outcome{{Kind: OutcomeInterrupted}, {Kind: OutcomeComplete}}, StepDeliver, 0, 2},
-		{"a repeatable request that broke and then was refused is not refused", "/again/x", []Outcome{{Kind: OutcomeInterrupted}, {Kind: OutcomeNotRun}}, StepAbort, 502, 2},
-		{"a kept stream that broke", "/chat/x", []Outcome{{Kind: OutcomeInterrupted, Started: true, Events: 2}}, StepAbort, 502, 1},
+		{"a repeatable request is sent to another replica", "/again/x", []Outcome{{Kind: OutcomeInterrupted}, {Kind: OutcomeComplete}}, StepDeliver, 0, 2},
+		{"a repeatable request that is interrupted, then not run, is not refused", "/again/x", []Outcome{{Kind: OutcomeInterrupted}, {Kind: OutcomeNotRun}}, StepAbort, 502, 2},
+		{"a stored stream that is interrupted", "/chat/x", []Outcome{{Kind: OutcomeInterrupted, Started: true, Events: 2}}, StepAbort, 502, 1},
 	} {
 		h := newHarness(t)
 		h.start()
-		w := h.request(newRequest(c.path, nil))
+		ticket := h.request(newRequest(c.path, nil))
 		for _, o := range c.outcomes {
-			h.outcome(w, o)
+			h.outcome(ticket, o)
 		}
 		sendings := 0
-		for _, s := range h.steps[w] {
+		for _, s := range h.steps[ticket] {
 			if s.Kind == StepSend {
 				sendings++
 			}
 		}
-		if s := h.last(w); s.Kind != c.kind || s.Status != c.status || sendings != c.sendings {
-			t.Errorf("%s: %d sendings, %+v", c.name, sendings, s)
+		if s := h.lastStep(ticket); s.Kind != c.kind || s.Status != c.status || sendings != c.sendings {
+			t.Errorf("%s: %d attempts, last step %+v", c.name, sendings, s)
 		}
 	}
 }
 
-// TestSilentCores: what needs the cores is refused within half of its time, as not
-// run, and what their late answers booked is booked out again.
+// TestUnresponsiveCores: a request that needs the cores is refused as not run after half of
+// its time, and a reservation that they make late is settled.
 func TestUnresponsiveCores(t *testing.T) {
 	h := newHarness(t)
 	h.start()
-	h.silent = true
-	w := h.request(newRequest("/chat/x", func(r *Request) { r.Program, r.TokenBudget, r.MaxTokens = "p", 100, 50 }))
+	h.coresSilent = true
+	ticket := h.request(newRequest("/chat/x", func(r *Request) { r.Program, r.TokenBudget, r.MaxTokens = "p", 100, 50 }))
 	tool := h.request(newRequest("/once/x", nil))
 	h.expect(tool, StepSend, 0)
 	h.advance(1900 * time.Millisecond)
-	if len(h.steps[w]) != 0 {
-		t.Fatalf("given up early: %+v", h.last(w))
+	if len(h.steps[ticket]) != 0 {
+		t.Fatalf("refused too early: %+v", h.lastStep(ticket))
 	}
 	h.advance(200 * time.Millisecond)
-	h.expect(w, StepRefuse, 503)
-	h.silent = false
+	h.expect(ticket, StepRefuse, 503)
+	h.coresSilent = false
 	held := h.heldAnswers
 	h.heldAnswers = nil
 	for _, answer := range held {
@@ -370,56 +370,57 @@
 	}
 	h.advance(2 * time.Second)
 	if b := h.books["p"]; b == nil || b.Outstanding() != 0 || b.Charged != 0 {
-		t.Fatalf("books %+v", b)
+		t.Fatalf("budget after the refusals: %+v", b)
 	}
 }
 
-// TestChainThroughAnotherNode: a node that has never seen a conversation reads it
-// whole and hands its replica exactly that.
+// TestHistoryReadByAnotherNode: a node without a conversation in its cache reads all of it
+// and sends exactly that to the replica.
 func TestHistoryReadByAnotherNode(t *testing.T) {
 	h := newHarness(t)
 	h.start()
 	previous := ""
 	for i := 1; i <= 3; i++ {
-		w := h.request(newRequest("/chat/x", func(r *Request) {
+		ticket := h.request(newRequest("/chat/x", func(r *Request) {
 			r.Attempt, r.Previous, r.Input = fmt.Sprint("turn", i), previous, []byte(fmt.Sprint("in", i))
 		}))
-		h.outcome(w, Outcome{Kind: OutcomeComplete, Events: 1, Started: true, Output: []byte(fmt.Sprint("out", i, "\n"))})
-		h.expect(w, StepDeliver, 0)
+		h.outcome(ticket, Outcome{Kind: OutcomeComplete, Events: 1, Started: true, Output: []byte(fmt.Sprint("out", i, "\n"))})
+		h.expect(ticket, StepDeliver, 0)
 		previous = fmt.Sprint("turn", i)
 	}
 	other := newHarness(t)
-	other.kept = h.kept
+	other.storedTurns = h.storedTurns
 	other.start()
-	w := other.request(newRequest("/chat/x", func(r *Request) { r.Previous, r.Input = "turn3", []byte("in4") }))
-	other.expect(w, StepSend, 0)
+	ticket := other.request(newRequest("/chat/x", func(r *Request) { r.Previous, r.Input = "turn3", []byte("in4") }))
+	other.expect(ticket, StepSend, 0)
 	var said string
-	for _, b := range other.last(w).History {
+	for _, b := range other.lastStep(ticket).History {
 		said += string(b)
 	}
 	if said != "in1out1\nin2out2\nin3out3\n" {
-		t.Fatalf("%q", said)
+		t.Fatalf("history sent to the replica: %q", said)
 	}
 }
 
-// TestKeptTurnEndsWhenDurable: the end of a kept turn is passed on after the cores
-// have it, and not before.
+// TestKeptTurnEndsWhenDurable: the end of a stored turn is delivered only after the cores
+// have stored it.
 func TestKeptTurnEndsWhenDurable(t *testing.T) {
 	h := newHarness(t)
 	h.start()
-	w := h.request(newRequest("/chat/x", nil))
-	h.silent = true
-	h.outcome(w, Outcome{Kind: OutcomeComplete, Events: 1, Started: true, Output: []byte("o\n")})
-	if s := h.last(w); s.Kind != StepSend {
-		t.Fatalf("%+v before the cores have it", s)
+	ticket := h.request(newRequest("/chat/x", nil))
+	h.coresSilent = true
+	h.outcome(ticket, Outcome{Kind: OutcomeComplete, Events: 1, Started: true, Output: []byte("o\n")})
+	if s := h.lastStep(ticket); s.Kind != StepSend {
+		t.Fatalf("%+v before the cores have stored the turn", s)
 	}
 	for _, answer := range h.heldAnswers {
 		answer()
 	}
-	h.expect(w, StepDeliver, 0)
+	h.expect(ticket, StepDeliver, 0)
 }
 
-// TestLeavingReplicaGetsNothing from the moment a desk has told.
+// TestLeavingReplicaReceivesNoRequests: a replica is not chosen once a desk lists it as
+// leaving.
 func TestLeavingReplicaReceivesNoRequests(t *testing.T) {
 	h := newHarness(t)
 	h.start()
@@ -429,82 +430,83 @@
 	}
 	h.update("d1:1", leaving, 1, nil)
 	for i := 0; i < 30; i++ {
-		w := h.request(newRequest("/once/x", nil))
-		if s := h.last(w); s.Replica.ID != "a3" {
+		ticket := h.request(newRequest("/once/x", nil))
+		if s := h.lastStep(ticket); s.Replica.ID != "a3" {
 			t.Fatalf("%+v", s)
 		}
-		h.outcome(w, Outcome{Kind: OutcomeComplete})
+		h.outcome(ticket, Outcome{Kind: OutcomeComplete})
 	}
 }
 
-// TestNewLifeWaitsForAConfirmedTable, and a table never goes back.
+// TestNewIncarnationWaitsForConfirmedTable: a node that starts uses no table before a desk
+// has confirmed it as the newest, and never returns to an older one.
 func TestNewIncarnationWaitsForConfirmedTable(t *testing.T) {
 	h := newHarness(t)
-	h.m.params.HeartbeatInterval = time.Hour
+	h.node.params.HeartbeatInterval = time.Hour
 	tell := func(number uint64, text []byte, confirmed time.Duration) {
 		h.version++
-		h.apply(h.m.Receive(h.now, "d1:1", desk.Bulletin{Life: "l", Version: h.version, Number: number, Table: text, Confirmed: confirmed, Nodes: 1}))
+		h.apply(h.node.Receive(h.now, "d1:1", desk.Bulletin{Life: "l", Version: h.version, Number: number, Table: text, Confirmed: confirmed, Nodes: 1}))
 	}
 	tell(3, tableJSON(3, nil), -1)
-	if h.m.Ready(h.now) || h.m.TableNumber() != 0 {
-		t.Fatal("a table that nobody has confirmed is in force")
+	if h.node.Ready(h.now) || h.node.TableNumber() != 0 {
+		t.Fatal("an unconfirmed table is in force")
 	}
 	tell(5, nil, time.Millisecond)
-	if h.m.TableNumber() != 0 {
-		t.Fatal("in force though a newer one is known of")
+	if h.node.TableNumber() != 0 {
+		t.Fatal("a table is in force although a newer one is known")
 	}
 	tell(5, tableJSON(5, nil), time.Millisecond)
-	if h.m.TableNumber() != 5 || !h.m.Ready(h.now) {
-		t.Fatalf("table %d", h.m.TableNumber())
+	if h.node.TableNumber() != 5 || !h.node.Ready(h.now) {
+		t.Fatalf("table %d", h.node.TableNumber())
 	}
 	tell(4, tableJSON(4, nil), time.Millisecond)
-	if h.m.TableNumber() != 5 {
-		t.Fatal("the table went back")
+	if h.node.TableNumber() != 5 {
+		t.Fatal("an older table replaced a newer one")
 	}
 }
 
-// TestSuspicion: a replica that breaks once-only requests is avoided while others
-// have room, is tried when they have none, and is forgiven by itself.
+// TestFailingReplicaIsAvoidedThenRetried: a replica that interrupts requests is avoided
+// while others have free slots, used if they have none, and trusted again after some time.
 func TestFailingReplicaIsAvoidedThenRetried(t *testing.T) {
 	h := newHarness(t)
 	h.start()
-	broke := 0
+	interrupted := 0
 	for i := 0; i < 60; i++ {
-		w := h.request(newRequest("/once/x", nil))
+		ticket := h.request(newRequest("/once/x", nil))
 		o := Outcome{Kind: OutcomeComplete}
-		if h.last(w).Replica.ID == "a2" {
-			o, broke = Outcome{Kind: OutcomeInterrupted}, broke+1
+		if h.lastStep(ticket).Replica.ID == "a2" {
+			o, interrupted = Outcome{Kind: OutcomeInterrupted}, interrupted+1
 		}
-		h.outcome(w, o)
+		h.outcome(ticket, o)
 		h.advance(20 * time.Millisecond)
 	}
-	if broke == 0 || broke > 3 {
-		t.Errorf("%d of 60 went to a replica that breaks all", broke)
+	if interrupted == 0 || interrupted > 3 {
+		t.Errorf("%d of 60 requests went to a replica that interrupts all of them", interrupted)
 	}
-	// The others are full: better a suspect than none.
+	// The other replicas are full, so the failing one has to be used.
 	seen := map[string]int{}
 	var open []uint64
 	for i := 0; i < 40; i++ {
-		w := h.request(newRequest("/once/x", nil))
-		seen[h.last(w).Replica.ID]++
-		open = append(open, w)
+		ticket := h.request(newRequest("/once/x", nil))
+		seen[h.lastStep(ticket).Replica.ID]++
+		open = append(open, ticket)
 	}
 	if seen["a2"] == 0 {
-		t.Errorf("%v: a suspect is not tried though the others are full", seen)
+		t.Errorf("%v: the failing replica is not used although the others are full", seen)
 	}
-	for _, w := range open {
-		h.outcome(w, Outcome{Kind: OutcomeComplete})
+	for _, ticket := range open {
+		h.outcome(ticket, Outcome{Kind: OutcomeComplete})
 	}
 	h.advance(5 * time.Second)
 	again := 0
 	for i := 0; i < 60; i++ {
-		w := h.request(newRequest("/again/x", nil))
-		if h.last(w).Replica.ID == "a2" {
+		ticket := h.request(newRequest("/again/x", nil))
+		if h.lastStep(ticket).Replica.ID == "a2" {
 			again++
 		}
-		h.outcome(w, Outcome{Kind: OutcomeComplete})
+		h.outcome(ticket, Outcome{Kind: OutcomeComplete})
 	}
 	if again == 0 {
-		t.Error("a suspect is never forgiven")
+		t.Error("the replica is not used again after it has recovered")
 	}
 }
--- a/peer/relay/outcomes_test.go
+++ b/peer/relay/outcomes_test.go
@@ -9,33 +9,32 @@
 	"saffronfall/rule/route"
 )
 
-// sending is a request that a replica has and that is not answered yet.
+// openAttempt is a request at a replica that has not answered.
 type openAttempt struct {
 	ticket  uint64
 	replica string
 }
 
-// journey is what became of one request, as its replicas and its requester saw
-// it.
+// requestTrace is the history of one request as its replicas and its requester see it.
 type requestTrace struct {
 	path string
-	// ran counts the replicas that may have run it; asked are all that it was
-	// sent to, in order, and reached is how many of them it reached.
+	// ran counts the replicas that may have run it, reached those that received it.
+	// replicas are all that it was sent to, in order.
 	ran, reached       int
 	replicas           []string
 	started, completed bool
 }
 
-// traveller drives requests through a node by random outcomes.
+// randomDriver sends requests through a node and answers them with random outcomes.
 type randomDriver struct {
 	*harness
-	random   *rand.Rand
-	traces   map[uint64]*requestTrace
-	open     []openAttempt
-	consumed map[uint64]int
+	random       *rand.Rand
+	traces       map[uint64]*requestTrace
+	openAttempts []openAttempt
+	consumed     map[uint64]int
 }
 
-// collect takes the steps that the node has made since it was last called.
+// collect processes the steps since the last call.
 func (d *randomDriver) collect() {
 	for ticket, trace := range d.traces {
 		for ; d.consumed[ticket] < len(d.steps[ticket]); d.consumed[ticket]++ {
@@ -46,11 +45,11 @@
 
 func (d *randomDriver) step(ticket uint64, trace *requestTrace, s Step) {
 	if trace.completed {
-		d.t.Fatalf("request %d goes on after its end: %+v", ticket, s)
+		d.t.Fatalf("request %d has a step after its end: %+v", ticket, s)
 	}
 	if s.Kind == StepSend {
 		trace.replicas = append(trace.replicas, s.Replica.ID)
-		d.open = append(d.open, openAttempt{ticket: ticket, replica: s.Replica.ID})
+		d.openAttempts = append(d.openAttempts, openAttempt{ticket: ticket, replica: s.Replica.ID})
 		return
 	}
 	trace.completed = true
@@ -59,11 +58,11 @@
 	}
 }
 
-// answer ends one open sending by a random outcome.
+// answer ends one open attempt with a random outcome.
 func (d *randomDriver) answer() {
-	at := d.random.IntN(len(d.open))
-	one := d.open[at]
-	d.open = append(d.open[:at], d.open[at+1:]...)
+	at := d.random.IntN(len(d.openAttempts))
+	one := d.openAttempts[at]
+	d.openAttempts = append(d.openAttempts[:at], d.openAttempts[at+1:]...)
 	trace := d.traces[one.ticket]
 	o := d.randomOutcome(trace)
 	if o.Kind != OutcomeNotRun {
@@ -75,7 +74,7 @@
 	d.outcome(one.ticket, o)
 	d.collect()
 	if o.RequesterGone && !trace.completed {
-		d.t.Fatalf("request %d goes on, though nobody waits for it", one.ticket)
+		d.t.Fatalf("request %d continues although its requester has disconnected", one.ticket)
 	}
 }
 
@@ -100,10 +99,9 @@
 	return o
 }
 
-// TestRandomOutcomes: whatever becomes of sendings, in whatever order, a
-// request that may run once runs once at most, none is refused after it may
-// have run, none is sent to more replicas than its route allows, or to one
-// twice, and in the end each replica has its places back.
+// TestRandomOutcomes: for any order of outcomes, a once-only request runs at most once, no
+// request is refused after it may have run, none reaches more replicas than its route
+// allows or one replica twice, and all slots are free in the end.
 func TestRandomOutcomes(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -113,7 +111,7 @@
 			for range 250 {
 				d.act()
 			}
-			for len(d.open) > 0 {
+			for len(d.openAttempts) > 0 {
 				d.answer()
 			}
 			h.advance(5 * time.Second)
@@ -123,7 +121,7 @@
 	}
 }
 
-// move lets a request arrive, answers one, or lets time pass.
+// act sends a request, answers one, or advances the time.
 func (d *randomDriver) act() {
 	switch at := d.random.IntN(10); {
 	case at < 5:
@@ -131,7 +129,7 @@
 		ticket := d.request(newRequest(path, nil))
 		d.traces[ticket] = &requestTrace{path: path}
 		d.collect()
-	case at < 9 && len(d.open) > 0:
+	case at < 9 && len(d.openAttempts) > 0:
 		d.answer()
 	default:
 		d.advance(time.Duration(d.random.IntN(200)) * time.Millisecond)
@@ -139,8 +137,7 @@
 	}
 }
 
-// check holds each journey against its route, and the node's books of places
-// against none in use.
+// check compares each trace with its route, and expects no slots in use.
 func (d *randomDriver) check() {
 	tries := map[string]int{"/chat/x": 2, "/once/x": 3, "/again/x": 2}
 	for ticket, trace := range d.traces {
@@ -161,47 +158,47 @@
 			seen[id] = true
 		}
 	}
-	for id, chosen := range d.m.replicas {
+	for id, chosen := range d.node.replicas {
 		if n := chosen.estimate.Outstanding; n != 0 {
-			d.t.Errorf("%s has %d places taken with nothing under way", id, n)
+			d.t.Errorf("%s has %d outstanding requests with none in progress", id, n)
 		}
 	}
-	if len(d.m.active) != 0 {
-		d.t.Errorf("%d requests are still noted", len(d.m.active))
+	if len(d.node.active) != 0 {
+		d.t.Errorf("%d requests are still in progress", len(d.node.active))
 	}
 }
 
-// TestTriesAfterBrokenAnswers: a request that may run again goes to no more replicas
-// than its route allows, however they break off.
+// TestAttemptsAfterInterruptedAnswers: a repeatable request is sent to no more replicas
+// than its route allows.
 func TestAttemptsAfterInterruptedAnswers(t *testing.T) {
 	for _, o := range []Outcome{{Kind: OutcomeInterrupted}, {Kind: OutcomeNotRun}} {
 		h := newHarness(t)
 		h.start()
-		w := h.request(newRequest("/again/x", nil))
+		ticket := h.request(newRequest("/again/x", nil))
 		tries := 0
-		for ; h.last(w).Kind == StepSend; tries++ {
-			h.outcome(w, o)
+		for ; h.lastStep(ticket).Kind == StepSend; tries++ {
+			h.outcome(ticket, o)
 		}
 		if tries != 2 {
-			t.Errorf("%s: %d tries; the route allows 2", o.Kind, tries)
+			t.Errorf("%s: %d attempts; the route allows 2", o.Kind, tries)
 		}
 	}
 }
 
-// TestFurtherTryIsPaid: another run is another request of the tenant's, so one whose
-// rate has nothing left gets none.
+// TestRetryIsChargedToTenantRate: an attempt after an interrupted one needs another unit of
+// the tenant's rate.
 func TestRetryIsChargedToTenantRate(t *testing.T) {
 	for _, c := range []struct{ most, sendings int }{{1, 1}, {100, 2}} {
 		h := newHarness(t)
 		h.update("d1:1", listings("app", "a1", "a2", "a3"), 1, tableJSON(1, func(t *route.Table) { t.Tenants[0].Rate, t.Tenants[0].Burst = 0.001, float64(c.most) }))
-		w := h.request(newRequest("/again/x", nil))
+		ticket := h.request(newRequest("/again/x", nil))
 		sendings := 0
-		for ; h.last(w).Kind == StepSend; sendings++ {
-			h.outcome(w, Outcome{Kind: OutcomeInterrupted})
+		for ; h.lastStep(ticket).Kind == StepSend; sendings++ {
+			h.outcome(ticket, Outcome{Kind: OutcomeInterrupted})
 		}
 		if sendings != c.sendings {
-			t.Errorf("%d runs with a rate of %d", sendings, c.most)
+			t.Errorf("%d attempts with a rate of %d", sendings, c.most)
 		}
-		h.expect(w, StepAbort, 502)
+		h.expect(ticket, StepAbort, 502)
 	}
 }
--- a/peer/relay/overload_test.go
+++ b/peer/relay/overload_test.go
@@ -10,30 +10,32 @@
 	"saffronfall/rule/route"
 )
 
-// overloadRig is a node whose desk tells of replicas that have far more than they can run.
+// newOverloadHarness returns a node with ShedOverload set, for reports of overloaded
+// replicas.
 func newOverloadHarness(t *testing.T) *harness {
 	h := newHarness(t)
-	h.m.params.ShedOverload, h.m.params.LoadReportInterval = true, 100*time.Millisecond
+	h.node.params.ShedOverload, h.node.params.LoadReportInterval = true, 100*time.Millisecond
 	h.update("d1:1", listings("model", "m1", "m2"), 1, tableJSON(1, func(t *route.Table) {
 		t.Routes[0].Urgency = 1
 		t.Routes = append(t.Routes, route.Route{Name: "idle", Host: "h", Prefix: "/idle/", Mode: route.Stream, KeepHistory: true, Urgency: 5, TimeoutMS: 4000, Tries: 2, Targets: []route.Target{{Service: "model", Weight: 1}}})
 	}))
-	// Replicas are listed when the first request comes.
+	// The first request makes the node merge the listings.
 	h.outcome(h.request(newRequest("/chat/x", nil)), Outcome{Kind: OutcomeComplete, Events: 1, Started: true})
 	return h
 }
 
-// tellLoad lets the desk tell, for a time, what other nodes have at each replica.
-func (h *harness) reportLoad(outstanding byte, for_ time.Duration) {
-	for end := h.now + for_; h.now < end; h.advance(50 * time.Millisecond) {
-		view := h.m.desks["d1:1"]
+// reportLoad makes the desk report for a time how many requests other nodes have at each
+// replica.
+func (h *harness) reportLoad(outstanding byte, period time.Duration) {
+	for end := h.now + period; h.now < end; h.advance(50 * time.Millisecond) {
+		view := h.node.desks["d1:1"]
 		view.heardAt = h.now
 		n := len(view.loadIndex())
 		load := make([]byte, n)
 		for i := range load {
 			load[i] = outstanding
 		}
-		h.apply(h.m.Receive(h.now, "d1:1", desk.Loads{Life: view.incarnation, Version: view.version, Outstanding: load, Failing: make([]byte, n), Paces: make([]uint16, n)}))
+		h.apply(h.node.Receive(h.now, "d1:1", desk.Loads{Life: view.incarnation, Version: view.version, Outstanding: load, Failing: make([]byte, n), Paces: make([]uint16, n)}))
 	}
 }
 
@@ -48,16 +50,17 @@
 	})
 }
 
-// TestOverloadRefusesInOrder: new programs' turns and late ones are refused with a time to
-// come back, what has begun and calls never, and nothing once the load is gone.
+// TestOverloadRefusalOrder: turns of new programs and late turns are refused with a time to
+// retry after; turns of programs in progress and calls are not; and nothing is refused once
+// the load is gone.
 func TestOverloadRefusalOrder(t *testing.T) {
 	h := newOverloadHarness(t)
 	h.reportLoad(30, 6*time.Second)
 	refused := func(r Request) (n int) {
 		for i := range 40 {
 			r.Program = fmt.Sprint("program", i)
-			w := h.request(r)
-			s := h.last(w)
+			ticket := h.request(r)
+			s := h.lastStep(ticket)
 			if s.Kind == StepRefuse {
 				if s.Status != 503 || s.Check != "overload" || s.RetryAfter <= 0 {
 					t.Fatalf("%+v", s)
@@ -65,7 +68,7 @@
 				n++
 				continue
 			}
-			h.outcome(w, Outcome{Kind: OutcomeComplete, Events: 1, Started: true})
+			h.outcome(ticket, Outcome{Kind: OutcomeComplete, Events: 1, Started: true})
 		}
 		return n
 	}
@@ -82,7 +85,7 @@
 		t.Errorf("%d of 40 new programs are refused", n)
 	}
 	if n := refused(begun); n != 0 {
-		t.Errorf("%d of 40 turns that can be in time are refused", n)
+		t.Errorf("%d of 40 turns of programs in progress are refused", n)
 	}
 	if n := refused(newRequest("/once/x", func(r *Request) { r.Program = "p" })); n != 0 {
 		t.Errorf("%d calls are refused", n)
@@ -93,52 +96,53 @@
 	}
 }
 
-// TestNothingIsShedWithoutWord: a node that hears of no load refuses nothing for it.
+// TestNoSheddingWithoutLoadReports: a node refuses nothing for overload once load reports
+// have stopped.
 func TestNoSheddingWithoutLoadReports(t *testing.T) {
 	h := newOverloadHarness(t)
 	h.reportLoad(30, 6*time.Second)
 	h.advance(5 * time.Second)
 	for range 20 {
-		if w := h.request(programTurn("/idle/x", nil)); h.last(w).Kind == StepRefuse && h.last(w).Check == "overload" {
-			t.Fatal("refused for a load that nobody has told of for long")
+		if ticket := h.request(programTurn("/idle/x", nil)); h.lastStep(ticket).Kind == StepRefuse && h.lastStep(ticket).Check == "overload" {
+			t.Fatal("refused for an outdated load report")
 		}
 	}
 }
 
-// TestUnrunIsSentOn: what surely did not run goes on to further replicas beyond the
-// route's number, each once, and a request that may have run does not.
+// TestUnrunRequestIsResent: a request that did not run is sent to further replicas beyond
+// the route's limit, to each once. One that may have run is not.
 func TestUnrunRequestIsResent(t *testing.T) {
 	h := newHarness(t)
-	h.m.params.ResendUnrun = true
+	h.node.params.ResendUnrun = true
 	h.update("d1:1", listings("app", "a1", "a2", "a3", "a4", "a5", "a6"), 1, tableJSON(1, nil))
-	w := h.request(newRequest("/again/x", nil))
+	ticket := h.request(newRequest("/again/x", nil))
 	seen := map[string]bool{}
 	for range 5 {
-		id := h.last(w).Replica.ID
-		if h.last(w).Kind != StepSend || seen[id] {
-			t.Fatalf("after %v: %+v", seen, h.last(w))
+		id := h.lastStep(ticket).Replica.ID
+		if h.lastStep(ticket).Kind != StepSend || seen[id] {
+			t.Fatalf("after %v: %+v", seen, h.lastStep(ticket))
 		}
 		seen[id] = true
-		h.outcome(w, Outcome{Kind: OutcomeNotRun})
+		h.outcome(ticket, Outcome{Kind: OutcomeNotRun})
 	}
-	h.outcome(w, Outcome{Kind: OutcomeComplete})
-	h.expect(w, StepDeliver, 0)
-	w = h.request(newRequest("/again/x", nil))
-	h.outcome(w, Outcome{Kind: OutcomeNotRun})
-	h.outcome(w, Outcome{Kind: OutcomeInterrupted})
-	h.outcome(w, Outcome{Kind: OutcomeInterrupted})
-	h.expect(w, StepAbort, 502)
-	// Where all are full the request ends once three have said so.
-	for _, r := range h.m.replicas {
+	h.outcome(ticket, Outcome{Kind: OutcomeComplete})
+	h.expect(ticket, StepDeliver, 0)
+	ticket = h.request(newRequest("/again/x", nil))
+	h.outcome(ticket, Outcome{Kind: OutcomeNotRun})
+	h.outcome(ticket, Outcome{Kind: OutcomeInterrupted})
+	h.outcome(ticket, Outcome{Kind: OutcomeInterrupted})
+	h.expect(ticket, StepAbort, 502)
+	// If all replicas are full, the request is refused after unrestrictedResends.
+	for _, r := range h.node.replicas {
 		r.estimate.SetShared(40, 0, time.Hour)
 	}
-	w = h.request(newRequest("/once/x", nil))
+	ticket = h.request(newRequest("/once/x", nil))
 	sendings := 0
-	for ; h.last(w).Kind == StepSend; sendings++ {
-		h.outcome(w, Outcome{Kind: OutcomeNotRun})
+	for ; h.lastStep(ticket).Kind == StepSend; sendings++ {
+		h.outcome(ticket, Outcome{Kind: OutcomeNotRun})
 	}
 	if sendings != unrestrictedResends {
-		t.Errorf("offered to %d full replicas", sendings)
+		t.Errorf("sent to %d full replicas", sendings)
 	}
-	h.expect(w, StepRefuse, 503)
+	h.expect(ticket, StepRefuse, 503)
 }
