--- a/peer/relay/completion.go
+++ b/peer/relay/completion.go
@@ -48,7 +48,7 @@
 	CauseIntakeFull     Cause = "intake_full"
 )
 
-// requesterAnswer is what the requester is told for a cause.
+// requesterAnswer is the response to the requester for a cause.
 type requesterAnswer struct {
 	status        int
 	check, reason string
--- a/peer/relay/loads_test.go
+++ b/peer/relay/loads_test.go
@@ -13,8 +13,8 @@
 func TestLoadIndexUsesCurrentDeskIncarnation(t *testing.T) {
 	h := newHarness(t)
 	h.node.params.LoadReportInterval = 100 * time.Millisecond
-	tell := func(life string, list []desk.Listed) {
-		h.apply(h.node.Receive(h.now, "d1:1", desk.Bulletin{Life: life, Version: 7, List: list, Nodes: 1}))
+	tell := func(incarnation string, list []desk.Listed) {
+		h.apply(h.node.Receive(h.now, "d1:1", desk.Bulletin{Life: incarnation, Version: 7, List: list, Nodes: 1}))
 	}
 	tell("first", listings("app", "a1", "a2", "a3"))
 	if got := h.node.desks["d1:1"].loadIndex(); len(got) != 3 {
--- a/peer/relay/rate.go
+++ b/peer/relay/rate.go
@@ -38,7 +38,7 @@
 	spendReport
 }
 
-// spendReport is what the partition has been told of the units spent.
+// spendReport is what has been reported to the partition of the units spent.
 type spendReport struct {
 	// recent holds the times of spends that the partition has not acknowledged.
 	// reported counts the units in the last draw, acknowledged those in an answered
@@ -121,6 +121,15 @@
 // drawChecksPerWindow is how often per window a node checks which tenants need a draw.
 const drawChecksPerWindow = 50
 
+const (
+	// demandInterval is the minimum time between updates of a tenant's demand.
+	demandInterval = 200 * time.Millisecond
+	// demandMemorySeconds is the time over which the demand is averaged.
+	demandMemorySeconds = 0.6
+	// heldLeaseShare is the part of a lease whose demand is drawn in advance.
+	heldLeaseShare = 0.6
+)
+
 func (m *Machine) leaseDuration() time.Duration { return m.params.RateWindow / leasesPerWindow }
 
 // rateFor returns the tenant's rate at this node, created if it is new.
@@ -150,7 +159,7 @@
 		m.rateGranted(now, req)
 		return
 	}
-	req.waitUntil = now + min((req.deadline-now)/4, m.params.RateWindow/5)
+	req.waitUntil = m.rateWaitUntil(now, req)
 	if now < tr.retryAt && !tr.drawing && tr.retryAt >= req.waitUntil {
 		m.refuseRate(now, req, tr.retryAt-now)
 		return
@@ -160,6 +169,11 @@
 	m.drawRates(now)
 }
 
+// rateWaitUntil is until when a request may wait for a unit of its tenant's rate.
+func (m *Machine) rateWaitUntil(now time.Duration, req *activeRequest) time.Duration {
+	return now + min((req.deadline-now)/4, m.params.RateWindow/5)
+}
+
 func (m *Machine) refuseRate(now time.Duration, req *activeRequest, retry time.Duration) {
 	m.refuseWithRetry(now, req, CauseRate, retry)
 }
@@ -205,7 +219,7 @@
 		m.charge(now, req)
 		return true
 	}
-	req.readyToSend, req.waitUntil = true, now+min((req.deadline-now)/4, m.params.RateWindow/5)
+	req.readyToSend, req.waitUntil = true, m.rateWaitUntil(now, req)
 	req.state, req.admissionDeadline = stateAdmitting, now+(req.deadline-now)/2
 	tr.lastUsed = now
 	tr.waiting = append(tr.waiting, req)
@@ -232,10 +246,9 @@
 
 // updateDemand includes the requests since the last update in the moving average.
 func (m *Machine) updateDemand(now time.Duration, tr *tenantRate) {
-	const every = 200 * time.Millisecond
-	if passed := now - tr.countedAt; passed >= every {
+	if passed := now - tr.countedAt; passed >= demandInterval {
 		rate := float64(tr.arrived) / passed.Seconds()
-		weight := min(1, passed.Seconds()/0.6)
+		weight := min(1, passed.Seconds()/demandMemorySeconds)
 		tr.demand += (rate - tr.demand) * weight
 		tr.arrived, tr.countedAt = 0, now
 	}
@@ -249,7 +262,7 @@
 		return int64(len(tr.waiting))
 	}
 	spare := min(2, limit.Max/(10*int64(max(m.nodes, 1))))
-	return int64(len(tr.waiting)) + int64(tr.demand*m.leaseDuration().Seconds()*0.6+0.5) + spare
+	return int64(len(tr.waiting)) + int64(tr.demand*m.leaseDuration().Seconds()*heldLeaseShare+0.5) + spare
 }
 
 // limitOf is the limit of a tenant's window, overshoot included.
--- a/peer/relay/replicas.go
+++ b/peer/relay/replicas.go
@@ -9,7 +9,7 @@
 	"saffronfall/rule/placement"
 )
 
-// deskView is what one desk has told this node.
+// deskView is what this node has received from one desk.
 type deskView struct {
 	incarnation string
 	version     uint64
--- a/peer/relay/request.go
+++ b/peer/relay/request.go
@@ -451,7 +451,7 @@
 	return m.tokenCount(req)
 }
 
-// Cancel tells that the requester of a request has disconnected. While a replica has the
+// Cancel ends a request whose requester has disconnected. While a replica has the
 // request, HandleOutcome reports it instead.
 func (m *Machine) Cancel(now time.Duration, ticket uint64) Output {
 	m.out = &Output{}
