--- a/peer/relay/replicas.go
+++ b/peer/relay/replicas.go
@@ -178,7 +178,7 @@
 	// maxResends limits how many replicas may reject one request.
 	maxResends = 16
 
-	// Limits of a service that the table doesn't describe.
+	// Limits of a service for which the table gives none.
 	unlimitedConnections = 1 << 30
 	unlimitedCacheTokens = 1 << 40
 )
