--- a/peer/relay/overload_test.go
+++ b/peer/relay/overload_test.go
@@ -10,54 +10,57 @@
 	"saffronfall/rule/route"
 )
 
-// overloadRig is a node whose desk tells of replicas that have far more than they can run.
-func overloadRig(t *testing.T) *rig {
-	g := newRig(t)
-	g.m.params.ShedOverload, g.m.params.LoadPeriod = true, 100*time.Millisecond
-	g.hear("d1:1", replicas("model", "m1", "m2"), 1, table(1, func(t *route.Table) {
+// newOverloadHarness returns a node with ShedOverload set, for reports of overloaded
+// replicas.
+func newOverloadHarness(t *testing.T) *harness {
+	h := newHarness(t)
+	h.node.params.ShedOverload, h.node.params.LoadReportInterval = true, 100*time.Millisecond
+	h.update("d1:1", listings("model", "m1", "m2"), 1, tableJSON(1, func(t *route.Table) {
 		t.Routes[0].Urgency = 1
 		t.Routes = append(t.Routes, route.Route{Name: "idle", Host: "h", Prefix: "/idle/", Mode: route.Stream, KeepHistory: true, Urgency: 5, TimeoutMS: 4000, Tries: 2, Targets: []route.Target{{Service: "model", Weight: 1}}})
 	}))
-	// Replicas are listed when the first request comes.
-	g.came(g.arrive(ask("/chat/x", nil)), Outcome{Kind: Whole, Events: 1, Begun: true})
-	return g
+	// The first request makes the node merge the listings.
+	h.outcome(h.request(newRequest("/chat/x", nil)), Outcome{Kind: OutcomeComplete, Events: 1, Started: true})
+	return h
 }
 
-// tellLoad lets the desk tell, for a time, what other nodes have at each replica.
-func (g *rig) tellLoad(outstanding byte, for_ time.Duration) {
-	for end := g.now + for_; g.now < end; g.pass(50 * time.Millisecond) {
-		b := g.m.boards["d1:1"]
-		b.heard = g.now
-		n := len(b.places())
+// reportLoad makes the desk report for a time how many requests other nodes have at each
+// replica.
+func (h *harness) reportLoad(outstanding byte, period time.Duration) {
+	for end := h.now + period; h.now < end; h.advance(50 * time.Millisecond) {
+		view := h.node.desks["d1:1"]
+		view.heardAt = h.now
+		n := len(view.loadIndex())
 		load := make([]byte, n)
 		for i := range load {
 			load[i] = outstanding
 		}
-		g.take(g.m.Receive(g.now, "d1:1", desk.Loads{Life: b.life, Version: b.version, Outstanding: load, Failing: make([]byte, n), Paces: make([]uint16, n)}))
+		h.apply(h.node.Receive(h.now, "d1:1", desk.Loads{Life: view.incarnation, Version: view.version, Outstanding: load, Failing: make([]byte, n), Paces: make([]uint16, n)}))
 	}
 }
 
-func programTurn(path string, change func(a *Ask)) Ask {
-	return ask(path, func(a *Ask) {
-		a.Program, a.Budget, a.Most = "p", 1e6, 10
-		a.Prompt = []placement.PromptSegment{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 300}}
-		a.Horizon = Horizon{Left: time.Second, Known: true}
+func programTurn(path string, change func(r *Request)) Request {
+	return newRequest(path, func(r *Request) {
+		r.Program, r.TokenBudget, r.MaxTokens = "p", 1e6, 10
+		r.Prompt = []placement.PromptSegment{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 300}}
+		r.Horizon = Horizon{Remaining: time.Second, Known: true}
 		if change != nil {
-			change(a)
+			change(r)
 		}
 	})
 }
 
-// TestOverloadRefusesInOrder: new programs' turns and late ones are refused with a time to
-// come back, what has begun and calls never, and nothing once the load is gone.
-func TestOverloadRefusesInOrder(t *testing.T) {
-	g := overloadRig(t)
-	g.tellLoad(30, 6*time.Second)
-	refused := func(a Ask) (n int) {
+// TestOverloadRefusalOrder: turns of new programs and late turns are refused with a time to
+// retry after; turns of programs in progress and calls are not; and nothing is refused once
+// the load is gone.
+func TestOverloadRefusalOrder(t *testing.T) {
+	h := newOverloadHarness(t)
+	h.reportLoad(30, 6*time.Second)
+	refused := func(r Request) (n int) {
 		for i := range 40 {
-			a.Program = fmt.Sprint("program", i)
-			w := g.arrive(a)
-			s := g.last(w)
+			r.Program = fmt.Sprint("program", i)
+			ticket := h.request(r)
+			s := h.lastStep(ticket)
 			if s.Kind == StepRefuse {
 				if s.Status != 503 || s.Check != "overload" || s.RetryAfter <= 0 {
 					t.Fatalf("%+v", s)
@@ -65,15 +68,15 @@
 				n++
 				continue
 			}
-			g.came(w, Outcome{Kind: Whole, Events: 1, Begun: true})
+			h.outcome(ticket, Outcome{Kind: OutcomeComplete, Events: 1, Started: true})
 		}
 		return n
 	}
-	late := programTurn("/chat/x", func(a *Ask) {
-		a.Horizon.Left = 0
-		a.Prompt = append(a.Prompt, placement.PromptSegment{ID: 3, Tokens: 9})
+	late := programTurn("/chat/x", func(r *Request) {
+		r.Horizon.Remaining = 0
+		r.Prompt = append(r.Prompt, placement.PromptSegment{ID: 3, Tokens: 9})
 	})
-	begun := programTurn("/chat/x", func(a *Ask) { a.Prompt = append(a.Prompt, placement.PromptSegment{ID: 3, Tokens: 9}) })
+	begun := programTurn("/chat/x", func(r *Request) { r.Prompt = append(r.Prompt, placement.PromptSegment{ID: 3, Tokens: 9}) })
 	other := programTurn("/idle/x", nil)
 	if n := refused(late); n < 30 {
 		t.Errorf("%d of 40 late turns are refused", n)
@@ -82,63 +85,64 @@
 		t.Errorf("%d of 40 new programs are refused", n)
 	}
 	if n := refused(begun); n != 0 {
-		t.Errorf("%d of 40 turns that can be in time are refused", n)
+		t.Errorf("%d of 40 turns of programs in progress are refused", n)
 	}
-	if n := refused(ask("/once/x", func(a *Ask) { a.Program = "p" })); n != 0 {
+	if n := refused(newRequest("/once/x", func(r *Request) { r.Program = "p" })); n != 0 {
 		t.Errorf("%d calls are refused", n)
 	}
-	g.tellLoad(0, 3*time.Second)
+	h.reportLoad(0, 3*time.Second)
 	if n := refused(late) + refused(other); n != 0 {
 		t.Errorf("%d are refused once the load is gone", n)
 	}
 }
 
-// TestNothingIsShedWithoutWord: a node that hears of no load refuses nothing for it.
-func TestNothingIsShedWithoutWord(t *testing.T) {
-	g := overloadRig(t)
-	g.tellLoad(30, 6*time.Second)
-	g.pass(5 * time.Second)
+// TestNoSheddingWithoutLoadReports: a node refuses nothing for overload once load reports
+// have stopped.
+func TestNoSheddingWithoutLoadReports(t *testing.T) {
+	h := newOverloadHarness(t)
+	h.reportLoad(30, 6*time.Second)
+	h.advance(5 * time.Second)
 	for range 20 {
-		if w := g.arrive(programTurn("/idle/x", nil)); g.last(w).Kind == StepRefuse && g.last(w).Check == "overload" {
-			t.Fatal("refused for a load that nobody has told of for long")
+		if ticket := h.request(programTurn("/idle/x", nil)); h.lastStep(ticket).Kind == StepRefuse && h.lastStep(ticket).Check == "overload" {
+			t.Fatal("refused for an outdated load report")
 		}
 	}
 }
 
-// TestUnrunIsSentOn: what surely did not run goes on to further replicas beyond the
-// route's number, each once, and a request that may have run does not.
-func TestUnrunIsSentOn(t *testing.T) {
-	g := newRig(t)
-	g.m.params.ResendUnrun = true
-	g.hear("d1:1", replicas("app", "a1", "a2", "a3", "a4", "a5", "a6"), 1, table(1, nil))
-	w := g.arrive(ask("/again/x", nil))
+// TestUnrunRequestIsResent: a request that did not run is sent to further replicas beyond
+// the route's limit, to each once. One that may have run is not.
+func TestUnrunRequestIsResent(t *testing.T) {
+	h := newHarness(t)
+	h.node.params.ResendUnrun = true
+	h.update("d1:1", listings("app", "a1", "a2", "a3", "a4", "a5", "a6"), 1, tableJSON(1, nil))
+	ticket := h.request(newRequest("/again/x", nil))
 	seen := map[string]bool{}
 	for range 5 {
-		id := g.last(w).Replica.ID
-		if g.last(w).Kind != StepSend || seen[id] {
-			t.Fatalf("after %v: %+v", seen, g.last(w))
+		id := h.lastStep(ticket).Replica.ID
+		if h.lastStep(ticket).Kind != StepSend || seen[id] {
+			t.Fatalf("after %v: %+v", seen, h.lastStep(ticket))
 		}
 		seen[id] = true
-		g.came(w, Outcome{Kind: NotRun})
+		h.outcome(ticket, Outcome{Kind: OutcomeNotRun})
 	}
-	g.came(w, Outcome{Kind: Whole})
-	g.want(w, StepPass, 0)
-	w = g.arrive(ask("/again/x", nil))
-	g.came(w, Outcome{Kind: NotRun})
-	g.came(w, Outcome{Kind: Broken})
-	g.came(w, Outcome{Kind: Broken})
-	g.want(w, StepBreak, 502)
-	// Where all are full the request ends once three have said so.
-	for _, r := range g.m.replicas {
+	h.outcome(ticket, Outcome{Kind: OutcomeComplete})
+	h.expect(ticket, StepDeliver, 0)
+	ticket = h.request(newRequest("/again/x", nil))
+	h.outcome(ticket, Outcome{Kind: OutcomeNotRun})
+	h.outcome(ticket, Outcome{Kind: OutcomeInterrupted})
+	h.outcome(ticket, Outcome{Kind: OutcomeInterrupted})
+	h.expect(ticket, StepAbort, 502)
+	// If all replicas are full, the request is refused after unrestrictedResends.
+	for _, r := range h.node.replicas {
 		r.estimate.SetShared(40, 0, time.Hour)
 	}
-	w = g.arrive(ask("/once/x", nil))
+	ticket = h.request(newRequest("/once/x", nil))
 	sendings := 0
-	for ; g.last(w).Kind == StepSend; sendings++ {
-		g.came(w, Outcome{Kind: NotRun})
+	for ; h.lastStep(ticket).Kind == StepSend; sendings++ {
+		h.outcome(ticket, Outcome{Kind: OutcomeNotRun})
 	}
-	if sendings != resendsAnyway {
-		t.Errorf("offered to %d full replicas", sendings)
+	if sendings != unrestrictedResends {
+		t.Errorf("sent to %d full replicas", sendings)
 	}
-	g.want(w, StepRefuse, 503)
+	h.expect(ticket, StepRefuse, 503)
 }
--- /dev/null
+++ b/peer/relay/rate.go
@@ -0,0 +1,405 @@
+package relay
+
+import (
+	"strconv"
+	"time"
+
+	"saffronfall/peer/core"
+	"saffronfall/rule/invariant"
+	"saffronfall/rule/ordered"
+	"saffronfall/rule/rate"
+	"saffronfall/rule/route"
+)
+
+// tenantRate is what this node holds of a tenant's rate: units drawn from the ledger of the
+// partition that keeps the rate. A unit is one request; units expire together.
+type tenantRate struct {
+	tenant string
+	// holding numbers the current holding; a new one starts when units expire.
+	holding   int
+	granted   int64
+	spent     int64
+	returned  int64
+	expiresAt time.Duration
+	// demand is the moving average of requests per second at this node.
+	demand     float64
+	arrived    int64
+	countedAt  time.Duration
+	lastUsed   time.Duration
+	drawing    bool
+	drawWanted bool
+	nextDraw   time.Duration
+	retryAt    time.Duration
+	waiting    []*activeRequest
+	// reserved counts units held by requests that have not been sent.
+	reserved int64
+	// scarce: the tenant's window is nearly full, so no units are drawn ahead of demand.
+	scarce bool
+	spendReport
+}
+
+// spendReport is what has been reported to the partition of the units spent.
+type spendReport struct {
+	// recent holds the times of spends that the partition has not acknowledged.
+	// reported counts the units in the last draw, acknowledged those in an answered
+	// one.
+	recent       []spendRecord
+	reported     int64
+	acknowledged int64
+}
+
+// rateCharge is what a request takes of its tenant's rate: a unit that it holds until it is
+// sent, and spends then. A request refused before that spends nothing.
+type rateCharge struct {
+	rate           *tenantRate
+	waitUntil      time.Duration
+	holdsUnit      bool
+	charged        bool
+	chargedHolding int
+	chargedAt      time.Duration
+	// covered: the unit has not been used by an attempt that may have run.
+	covered bool
+}
+
+// spendRecord counts units spent up to a time.
+type spendRecord struct {
+	at    time.Duration
+	count int64
+}
+
+// spendResolution is the interval in which spends are counted together.
+const spendResolution = 100 * time.Millisecond
+
+func (tr *tenantRate) spend(now time.Duration) {
+	tr.spent++
+	if n := len(tr.recent); n > 0 && now < tr.recent[n-1].at {
+		tr.recent[n-1].count++
+		return
+	}
+	// The end of the interval is recorded, so a spend is never reported as earlier
+	// than it was.
+	tr.recent = append(tr.recent, spendRecord{at: now + spendResolution, count: 1})
+}
+
+// acknowledge drops the times of spends that the partition has recorded.
+func (tr *tenantRate) acknowledge(reported int64) {
+	tr.acknowledged = max(tr.acknowledged, reported)
+	open := tr.spent - tr.acknowledged
+	var sum int64
+	for i := len(tr.recent) - 1; i >= 0; i-- {
+		if sum >= open {
+			tr.recent = append([]spendRecord(nil), tr.recent[i+1:]...)
+			return
+		}
+		sum += tr.recent[i].count
+	}
+}
+
+// startHolding starts a new, empty holding. The ledger counts the units of the old one as
+// spent.
+func (m *Machine) startHolding(tr *tenantRate) {
+	m.holdings++
+	tr.holding = m.holdings
+	tr.granted, tr.spent, tr.returned, tr.reserved, tr.reported, tr.acknowledged, tr.recent = 0, 0, 0, 0, 0, 0, nil
+}
+
+// available is how many units can be reserved or spent now.
+func (tr *tenantRate) available(now time.Duration) int64 {
+	if now >= tr.expiresAt {
+		return 0
+	}
+	return tr.granted - tr.spent - tr.returned - tr.reserved
+}
+
+// overshootShare is the part of the allowed overshoot that nodes use. The ledger's limit is
+// strict; the rest covers the time from the spend to the replica.
+const overshootShare = 0.85
+
+// leasesPerWindow is the ratio of the rate window to the lease of drawn units.
+const leasesPerWindow = 2
+
+// drawChecksPerWindow is how often per window a node checks which tenants need a draw.
+const drawChecksPerWindow = 50
+
+const (
+	// demandInterval is the minimum time between updates of a tenant's demand.
+	demandInterval = 200 * time.Millisecond
+	// demandMemorySeconds is the time over which the demand is averaged.
+	demandMemorySeconds = 0.6
+	// heldLeaseShare is the part of a lease whose demand is drawn in advance.
+	heldLeaseShare = 0.6
+)
+
+func (m *Machine) leaseDuration() time.Duration { return m.params.RateWindow / leasesPerWindow }
+
+// rateFor returns the tenant's rate at this node, created if it is new.
+func (m *Machine) rateFor(now time.Duration, tenant string) *tenantRate {
+	tr := m.rates[tenant]
+	if tr == nil {
+		m.holdings++
+		tr = &tenantRate{tenant: tenant, countedAt: now, holding: m.holdings}
+		m.rates[tenant] = tr
+	}
+	return tr
+}
+
+// admitRate reserves a unit of the tenant's rate for a request, or queues the request until
+// a draw is answered.
+func (m *Machine) admitRate(now time.Duration, req *activeRequest) {
+	if req.tenant == nil || req.tenant.Rate <= 0 && req.tenant.Burst <= 0 {
+		m.rateGranted(now, req)
+		return
+	}
+	tr := m.rateFor(now, req.tenant.Name)
+	tr.arrived++
+	tr.lastUsed = now
+	req.rate = tr
+	if len(tr.waiting) == 0 && tr.available(now) > 0 {
+		req.reserveUnit()
+		m.rateGranted(now, req)
+		return
+	}
+	req.waitUntil = m.rateWaitUntil(now, req)
+	if now < tr.retryAt && !tr.drawing && tr.retryAt >= req.waitUntil {
+		m.refuseRate(now, req, tr.retryAt-now)
+		return
+	}
+	tr.waiting = append(tr.waiting, req)
+	tr.drawWanted = true
+	m.drawRates(now)
+}
+
+// rateWaitUntil is until when a request may wait for a unit of its tenant's rate.
+func (m *Machine) rateWaitUntil(now time.Duration, req *activeRequest) time.Duration {
+	return now + min((req.deadline-now)/4, m.params.RateWindow/5)
+}
+
+func (m *Machine) refuseRate(now time.Duration, req *activeRequest, retry time.Duration) {
+	m.refuseWithRetry(now, req, CauseRate, retry)
+}
+
+// chargeAgeDivisor bounds the age of a charge by this part of a window. A request that
+// waited longer, for its budget or at a replica that rejected it, would run in a later
+// window than it was charged in, so it is charged again.
+const chargeAgeDivisor = 20
+
+// reserveUnit reserves a unit of the rate for a request.
+func (req *activeRequest) reserveUnit() {
+	req.rate.reserved++
+	req.holdsUnit, req.chargedHolding = true, req.rate.holding
+}
+
+// releaseUnit returns the unit that a request has reserved.
+func (req *activeRequest) releaseUnit() {
+	if req.holdsUnit && req.chargedHolding == req.rate.holding {
+		req.rate.reserved--
+	}
+	req.holdsUnit = false
+}
+
+// charge spends a unit of the rate for a request that is sent now.
+func (m *Machine) charge(now time.Duration, req *activeRequest) {
+	if req.rate.available(now) <= 0 {
+		m.violated.Violated(invariant.SpentWithinGrant, "tenant %s: a unit is spent without one available: granted %d, spent %d, returned %d", req.rate.tenant, req.rate.granted, req.rate.spent, req.rate.returned)
+	}
+	req.rate.spend(now)
+	req.charged, req.chargedHolding, req.chargedAt, req.covered = true, req.rate.holding, now, true
+}
+
+// chargeBeforeSend charges a request that is about to be sent, unless it has a recent
+// charge, and reports whether it may be sent. Without an available unit it is queued for a
+// draw.
+func (m *Machine) chargeBeforeSend(now time.Duration, req *activeRequest) bool {
+	if req.rate == nil || req.charged && now < req.chargedAt+m.params.RateWindow/chargeAgeDivisor {
+		return true
+	}
+	tr := req.rate
+	req.releaseUnit()
+	if tr.available(now) > 0 {
+		m.charge(now, req)
+		return true
+	}
+	req.readyToSend, req.waitUntil = true, m.rateWaitUntil(now, req)
+	req.state, req.admissionDeadline = stateAdmitting, now+(req.deadline-now)/2
+	tr.lastUsed = now
+	tr.waiting = append(tr.waiting, req)
+	tr.drawWanted = true
+	m.drawRates(now)
+	return false
+}
+
+// refund returns the unit of a request that certainly did not run.
+func (m *Machine) refund(req *activeRequest) {
+	if req.rate != nil {
+		req.releaseUnit()
+	}
+	// A spend that has been reported to the partition can't be taken back.
+	if tr := req.rate; req.charged && tr != nil && tr.holding == req.chargedHolding && tr.spent > tr.reported {
+		tr.spent--
+		tr.recent[len(tr.recent)-1].count--
+		if tr.recent[len(tr.recent)-1].count == 0 {
+			tr.recent = tr.recent[:len(tr.recent)-1]
+		}
+	}
+	req.charged = false
+}
+
+// updateDemand includes the requests since the last update in the moving average.
+func (m *Machine) updateDemand(now time.Duration, tr *tenantRate) {
+	if passed := now - tr.countedAt; passed >= demandInterval {
+		rate := float64(tr.arrived) / passed.Seconds()
+		weight := min(1, passed.Seconds()/demandMemorySeconds)
+		tr.demand += (rate - tr.demand) * weight
+		tr.arrived, tr.countedAt = 0, now
+	}
+}
+
+// targetHolding is how many units this node wants for a tenant: those for waiting requests,
+// the demand of part of a lease, and up to two spare ones if the limit is large enough for
+// all nodes. Idle units at one node are missing at others.
+func (m *Machine) targetHolding(tr *tenantRate, limit rate.Limit) int64 {
+	if tr.scarce {
+		return int64(len(tr.waiting))
+	}
+	spare := min(2, limit.Max/(10*int64(max(m.nodes, 1))))
+	return int64(len(tr.waiting)) + int64(tr.demand*m.leaseDuration().Seconds()*heldLeaseShare+0.5) + spare
+}
+
+// limitOf is the limit of a tenant's window, overshoot included.
+func (m *Machine) limitOf(t *route.Tenant) rate.Limit {
+	allowed := (t.Rate*m.params.RateWindow.Seconds()+t.Burst)*(1+m.params.RateOvershoot*overshootShare) + float64(m.params.RateSlack)*overshootShare
+	return rate.Limit{Window: m.params.RateWindow, Max: int64(allowed)}
+}
+
+// drawRates asks the cores for the units that are needed, with one command per partition.
+// It also reports spends and returns units that are not needed.
+func (m *Machine) drawRates(now time.Duration) {
+	if len(m.topology.Owners) == 0 || m.table == nil {
+		return
+	}
+	batches := map[int]*core.DrawRates{}
+	drawing := map[int][]*tenantRate{}
+	for _, name := range ordered.Keys(m.rates) {
+		tr := m.rates[name]
+		m.updateDemand(now, tr)
+		if tr.drawing {
+			continue
+		}
+		tenant := m.tenants[name]
+		if tenant == nil {
+			if len(tr.waiting) == 0 && now >= tr.expiresAt {
+				delete(m.rates, name)
+			}
+			continue
+		}
+		if now >= tr.expiresAt && tr.granted > 0 {
+			// The partition counts units as spent that were out when they expired.
+			m.startHolding(tr)
+		}
+		if now > tr.lastUsed+m.leaseDuration() && len(tr.waiting) == 0 && tr.available(now) == 0 && tr.reserved == 0 && tr.acknowledged == tr.spent {
+			delete(m.rates, name)
+			continue
+		}
+		limit := m.limitOf(tenant)
+		want := m.targetHolding(tr, limit)
+		excess := tr.available(now) - 2*want
+		due := tr.drawWanted && now >= tr.retryAt || now >= tr.nextDraw && (tr.available(now)*2 < want || excess > 0 || tr.spent > tr.acknowledged && now > tr.recent[0].at+m.leaseDuration()/4 || tr.available(now) > 0 && now > tr.expiresAt-m.leaseDuration()/3)
+		if !due {
+			continue
+		}
+		if excess > 0 {
+			tr.returned += excess
+		}
+		tr.drawing, tr.drawWanted = true, false
+		tr.nextDraw = now + m.leaseDuration()/12
+		d := rate.DrawRequest{Holder: m.incarnation + "+" + strconv.Itoa(tr.holding), Granted: tr.granted, Spent: tr.spent, Returned: tr.returned, Want: want + tr.reserved, Prefetch: want - int64(len(tr.waiting)),
+			Version: m.table.Number, Limit: limit, LeaseDuration: m.leaseDuration()}
+		for _, r := range tr.recent {
+			d.Recent = append(d.Recent, rate.RecentSpend{Age: now - r.at, Count: r.count})
+		}
+		tr.reported = tr.spent
+		n := core.RatePart(len(m.topology.Owners), name)
+		if batches[n] == nil {
+			batches[n] = &core.DrawRates{Part: n}
+		}
+		batches[n].Draws = append(batches[n].Draws, core.TenantDraw{Tenant: name, Draw: d})
+		drawing[n] = append(drawing[n], tr)
+	}
+	for _, n := range ordered.Keys(batches) {
+		m.Counters.Draws++
+		rates, holdings, reported := drawing[n], make([]int, len(drawing[n])), make([]int64, len(drawing[n]))
+		for i, tr := range rates {
+			holdings[i], reported[i] = tr.holding, tr.reported
+		}
+		m.caller.Call(now, *batches[n], now+m.leaseDuration(), func(at time.Duration, o core.Outcome) {
+			drawn, ok := o.Answer.(core.RatesDrawn)
+			for i, tr := range rates {
+				tr.drawing = false
+				if !ok || len(drawn.Drawn) != len(rates) || tr.holding != holdings[i] {
+					m.drawFailed(at, tr)
+					continue
+				}
+				if drawn.Drawn[i].Expired || tr.granted > 0 && at >= tr.expiresAt {
+					// The holding has expired at the partition or here.
+					m.startHolding(tr)
+					tr.drawWanted, m.drawAt = true, at
+					continue
+				}
+				tr.acknowledge(reported[i])
+				m.applyDraw(at, tr, drawn.Drawn[i], now+m.leaseDuration())
+			}
+		})
+	}
+}
+
+// drawFailed refuses the requests that wait for a draw that was not answered.
+func (m *Machine) drawFailed(now time.Duration, tr *tenantRate) {
+	waiting := tr.waiting
+	tr.waiting = nil
+	for _, req := range waiting {
+		m.refuse(now, req, CauseRateUnavailable)
+	}
+}
+
+// applyDraw adds granted units, continues waiting requests, and refuses those for which the
+// wait would be too long.
+func (m *Machine) applyDraw(now time.Duration, tr *tenantRate, d rate.DrawResponse, until time.Duration) {
+	m.Counters.DrawsAnswered++
+	tr.granted = max(tr.granted, d.Granted)
+	tr.expiresAt = max(tr.expiresAt, until)
+	tr.scarce = d.Scarce
+	for len(tr.waiting) > 0 && tr.available(now) > 0 {
+		req := tr.waiting[0]
+		tr.waiting = tr.waiting[1:]
+		if req.completed {
+			continue
+		}
+		req.reserveUnit()
+		if req.readyToSend {
+			m.dispatch(now, req)
+		} else {
+			m.rateGranted(now, req)
+		}
+	}
+	tr.drawWanted = len(tr.waiting) > 0
+	if d.RetryAfter <= 0 {
+		// Further requests may have arrived since the draw was sent.
+		m.drawAt = now
+		return
+	}
+	if tr.available(now) == 0 {
+		// Retry early enough to get units that leave the window next.
+		tr.retryAt = now + min(d.RetryAfter, m.params.RateWindow/10)
+		m.drawAt = min(m.drawAt, tr.retryAt)
+	}
+	// Requests wait for a short time and are refused at once if it would be longer.
+	waiting := tr.waiting
+	tr.waiting = nil
+	for _, req := range waiting {
+		if now+d.RetryAfter < req.waitUntil {
+			tr.waiting = append(tr.waiting, req)
+		} else if !req.completed {
+			m.refuseRate(now, req, d.RetryAfter)
+		}
+	}
+}
--- /dev/null
+++ b/peer/relay/stale_table_test.go
@@ -0,0 +1,63 @@
+package relay
+
+import (
+	"testing"
+	"time"
+
+	"saffronfall/peer/desk"
+	"saffronfall/rule/route"
+)
+
+// confirm delivers a desk's confirmation that a table was the newest some time ago.
+func (h *harness) confirm(number uint64, ago time.Duration) {
+	h.version++
+	h.apply(h.node.Receive(h.now, "d1:1", desk.Bulletin{Life: "l", Version: h.version, Number: number, Confirmed: ago, Nodes: 1}))
+}
+
+// unknownRequests are requests with a route or a key that the table lacks, by the status
+// with which a node with a confirmed table answers.
+var unknownRequests = map[int]Request{
+	404: newRequest("/added/x", nil),
+	401: newRequest("/once/x", func(r *Request) { r.Key = "added" }),
+}
+
+// TestUnknownInStaleTable: a node whose table was not confirmed recently doesn't refuse
+// unknown routes and keys for good, but asks the requester to retry.
+func TestUnknownInStaleTable(t *testing.T) {
+	h := newHarness(t)
+	h.start()
+	answers := func(when string, stale bool) {
+		t.Helper()
+		for status, r := range unknownRequests {
+			want := status
+			if stale {
+				want = 503
+			}
+			if s := h.lastStep(h.request(r)); s.Kind != StepRefuse || s.Status != want || stale != (s.RetryAfter > 0) {
+				t.Errorf("%s: %+v, want %d", when, s, want)
+			}
+		}
+	}
+	answers("just confirmed", false)
+	h.advance(staleHeartbeats*h.node.params.HeartbeatInterval + 20*time.Millisecond)
+	answers("not confirmed recently", true)
+	known := h.request(newRequest("/once/x", nil))
+	h.expect(known, StepSend, 0)
+
+	h.confirm(1, -1)
+	answers("a desk without a confirmation", true)
+	h.confirm(1, time.Minute)
+	answers("a desk with an old confirmation", true)
+	h.confirm(2, 0)
+	answers("a newer table exists", true)
+	h.confirm(0, 0)
+	answers("an older table is confirmed", true)
+	h.confirm(1, 0)
+	answers("confirmed again", false)
+
+	h.advance(staleHeartbeats*h.node.params.HeartbeatInterval + 20*time.Millisecond)
+	h.version++
+	h.apply(h.node.Receive(h.now, "d1:1", desk.Bulletin{Life: "l", Version: h.version, Number: 2, Nodes: 1,
+		Table: tableJSON(2, func(t *route.Table) { t.Routes[0].TimeoutMS = 3500 })}))
+	answers("a newer table was received", false)
+}
--- a/saffronfall/params/relay.go
+++ b/saffronfall/params/relay.go
@@ -111,6 +111,6 @@
 
 // RelayNode returns the parameters of a relaying node.
 func (p Params) RelayNode() relay.Params {
-	return relay.Params{Core: p.Core(), Beat: ms(p.HeartbeatMS), Follow: ms(p.PollMS), Window: ms(p.RateWindowMS), Overshoot: p.RateOvershoot, Slack: p.RateSlack,
-		Placement: p.Placement.policy(ms(p.HeartbeatMS)), LoadPeriod: ms(p.LoadShareMS), ResendUnrun: p.RetryUnexecuted, ShedOverload: p.ShedOverload, Buffer: int(p.MaxRequests), Cache: p.CacheBytes, BookKeep: ms(p.LedgerRetentionMS)}
+	return relay.Params{Core: p.Core(), HeartbeatInterval: ms(p.HeartbeatMS), UpdateInterval: ms(p.PollMS), RateWindow: ms(p.RateWindowMS), RateOvershoot: p.RateOvershoot, RateSlack: p.RateSlack,
+		Placement: p.Placement.policy(ms(p.HeartbeatMS)), LoadReportInterval: ms(p.LoadShareMS), ResendUnrun: p.RetryUnexecuted, ShedOverload: p.ShedOverload, MaxRequests: int(p.MaxRequests), CacheBytes: p.CacheBytes, BookRetention: ms(p.LedgerRetentionMS)}
 }
