--- a/peer/core/caller.go
+++ b/peer/core/caller.go
@@ -64,7 +64,7 @@
 		outcome(now, Outcome{Unsure: true})
 		return
 	}
-	k := &call{part: Target(c.Parts(), command), raw: message.Pack(command), until: until, outcome: outcome}
+	k := &call{part: TargetPartition(c.Parts(), command), raw: message.Pack(command), until: until, outcome: outcome}
 	k.ticket = c.calls.Keep(k)
 	if c.pending == nil {
 		c.pending, c.hints = map[slab.Ticket]*call{}, map[int]string{}
@@ -103,7 +103,7 @@
 		c.asked, c.unanswered = now, true
 	}
 	k.again = now + c.Retry*time.Duration(min(max(k.tries-steadyTries, 1), slowestRetries))
-	c.Send(to, Command{ID: c.Mark(k.ticket), Part: k.part, Raw: k.raw})
+	c.Send(to, Command{ID: c.Mark(k.ticket), Partition: k.part, Raw: k.raw})
 }
 
 // Hint tells who owns a part.
@@ -177,20 +177,20 @@
 }
 
 // Receive takes an answer.
-func (c *Caller) Receive(now time.Duration, from string, r CommandReturn) {
+func (c *Caller) Receive(now time.Duration, from string, r CommandResult) {
 	c.unanswered = false
 	k, ok := c.calls.Look(c.Unmark(r.ID))
 	switch {
 	case !ok:
-	case r.Moved:
-		if r.Hint != "" && r.Hint != from && c.hints[k.part] != r.Hint {
-			c.hints[k.part] = r.Hint
+	case r.NotLeader:
+		if r.LeaderHint != "" && r.LeaderHint != from && c.hints[k.part] != r.LeaderHint {
+			c.hints[k.part] = r.LeaderHint
 			c.try(now, k)
 			return
 		}
 		delete(c.hints, k.part)
 		k.again = now + c.Retry/4
-	case r.Unsure:
+	case r.Uncertain:
 		k.again = now + c.Retry/4
 	default:
 		answer, err := message.Open(r.Raw)
--- a/peer/core/caller_test.go
+++ b/peer/core/caller_test.go
@@ -22,17 +22,17 @@
 	first, second := caller(1, &before), caller(2, &after)
 	wrong := 0
 	for i := 0; i < 40; i++ {
-		first.Call(0, ReadEntries{Part: 1}, time.Second, func(time.Duration, Outcome) {})
-		second.Call(0, ReadEntries{Part: 1}, time.Second, func(time.Duration, Outcome) { wrong++ })
+		first.Call(0, ReadEntries{Partition: 1}, time.Second, func(time.Duration, Outcome) {})
+		second.Call(0, ReadEntries{Partition: 1}, time.Second, func(time.Duration, Outcome) { wrong++ })
 	}
 	for _, c := range before {
-		second.Receive(0, "c", CommandReturn{ID: c.ID, Part: 1, Raw: message.Pack(Done{OK: true})})
+		second.Receive(0, "c", CommandResult{ID: c.ID, Partition: 1, Raw: message.Pack(Done{OK: true})})
 	}
 	if wrong > 0 {
 		t.Errorf("%d returns of an earlier life were taken", wrong)
 	}
 	for _, c := range after {
-		second.Receive(0, "c", CommandReturn{ID: c.ID, Part: 1, Raw: message.Pack(Done{OK: true})})
+		second.Receive(0, "c", CommandResult{ID: c.ID, Partition: 1, Raw: message.Pack(Done{OK: true})})
 	}
 	if wrong != 40 {
 		t.Errorf("%d of 40 own returns were taken", wrong)
@@ -48,7 +48,7 @@
 	c := caller(1, &sent)
 	const commands, within = 50, 10 * time.Minute
 	for range commands {
-		c.Call(0, ReadEntries{Part: 1}, within, func(time.Duration, Outcome) {})
+		c.Call(0, ReadEntries{Partition: 1}, within, func(time.Duration, Outcome) {})
 	}
 	now := time.Duration(0)
 	pass := func(d time.Duration) int {
@@ -75,11 +75,11 @@
 	if again := pass(100 * time.Millisecond); again > 0 {
 		t.Errorf("%d tries by a word that is not new", again)
 	}
-	c.Receive(now, "other", CommandReturn{ID: sent[len(sent)-1].ID, Part: 1, Raw: message.Pack(Done{OK: true})})
+	c.Receive(now, "other", CommandResult{ID: sent[len(sent)-1].ID, Partition: 1, Raw: message.Pack(Done{OK: true})})
 	if woken := pass(100 * time.Millisecond); woken < commands-1 {
 		t.Errorf("%d of %d commands are tried at once after an answer", woken, commands-1)
 	}
-	c.Receive(now, "other", CommandReturn{ID: sent[len(sent)-1].ID, Part: 1, Raw: message.Pack(Done{OK: true})})
+	c.Receive(now, "other", CommandResult{ID: sent[len(sent)-1].ID, Partition: 1, Raw: message.Pack(Done{OK: true})})
 	if again := pass(100 * time.Millisecond); again > 0 {
 		t.Errorf("%d tries by a second answer", again)
 	}
--- a/peer/core/commands.go
+++ b/peer/core/commands.go
@@ -8,19 +8,19 @@
 	"saffronfall/rule/slab"
 )
 
-type origin struct {
-	from    string
-	id      uint64
-	part    int
-	handled func(now time.Duration, r partition.Result)
+type commandOrigin struct {
+	from      string
+	id        uint64
+	partition int
+	onResult  func(now time.Duration, r partition.Result)
 }
 
-func (m *Machine) take(now time.Duration, n int, o partition.Output) {
+func (m *Machine) handleOutput(now time.Duration, n int, o partition.Output) {
 	for i := range o.Records {
 		m.out.Changes = append(m.out.Changes, Change{Record: &o.Records[i]})
 	}
 	for _, s := range o.Sends {
-		body := PartMessage{Part: n, From: m.self.Seat(), To: s.To, Raw: message.Pack(s.Body)}
+		body := ReplicaMessage{Partition: n, From: m.self.MemberID(), To: s.To, Raw: message.Pack(s.Body)}
 		if address := m.addressOf(s.To); address != "" {
 			m.send(address, body, s.AfterSync)
 		}
@@ -30,23 +30,23 @@
 		if !ok {
 			continue
 		}
-		if at.handled != nil {
-			at.handled(now, r)
+		if at.onResult != nil {
+			at.onResult(now, r)
 			continue
 		}
 		m.reply(n, at, r)
 	}
 }
 
-func (m *Machine) reply(n int, at origin, r partition.Result) {
+func (m *Machine) reply(n int, at commandOrigin, r partition.Result) {
 	if at.from == "" {
 		return
 	}
-	answer := CommandReturn{ID: at.id, Part: at.part, Unsure: r.Uncertain, Moved: r.NotLeader}
+	answer := CommandResult{ID: at.id, Partition: at.partition, Uncertain: r.Uncertain, NotLeader: r.NotLeader}
 	switch {
 	case r.NotLeader:
 		m.Counters.Moved++
-		answer.Hint = m.hint(n)
+		answer.LeaderHint = m.hint(n)
 	case r.Uncertain:
 		m.Counters.Unsure++
 	default:
@@ -55,39 +55,39 @@
 	m.send(at.from, answer, false)
 }
 
-func (m *Machine) propose(now time.Duration, n int, command any, from origin) {
+func (m *Machine) propose(now time.Duration, n int, command any, from commandOrigin) {
 	p := m.parts[n]
-	if c, ok := command.(ChangeSeat); ok && p != nil {
+	if c, ok := command.(ChangeGroup); ok && p != nil {
 		answer := from
-		from = origin{handled: func(now time.Duration, r partition.Result) {
+		from = commandOrigin{onResult: func(now time.Duration, r partition.Result) {
 			r.Body = Done{OK: r.Body == true}
 			m.reply(n, answer, r)
 		}}
-		m.take(now, n, p.ChangeMembers(now, uint64(m.tickets.Keep(from)), c.Add, c.Remove))
+		m.handleOutput(now, n, p.ChangeMembers(now, uint64(m.tickets.Keep(from)), c.Add, c.Remove))
 		return
 	}
-	if _, ok := command.(ReadSeats); ok && p != nil {
+	if _, ok := command.(ReadGroup); ok && p != nil {
 		answer := from
-		from = origin{handled: func(now time.Duration, r partition.Result) {
+		from = commandOrigin{onResult: func(now time.Duration, r partition.Result) {
 			g := p.Group()
 			if owned, ok := p.CommittedGroup(); ok {
 				g = owned
 			}
-			r.Body = Seats{Seats: g.Members, Former: g.Former}
+			r.Body = GroupMembers{Members: g.Members, Former: g.Former}
 			m.reply(n, answer, r)
 		}}
 	}
 	ticket := m.tickets.Keep(from)
 	if p == nil {
-		m.take(now, n, partition.Output{Results: []partition.Result{{RequestID: uint64(ticket), NotLeader: true}}})
+		m.handleOutput(now, n, partition.Output{Results: []partition.Result{{RequestID: uint64(ticket), NotLeader: true}}})
 		return
 	}
-	m.take(now, n, p.Propose(now, uint64(ticket), command))
+	m.handleOutput(now, n, p.Propose(now, uint64(ticket), command))
 }
 
-func (m *Machine) onPart(now time.Duration, b PartMessage) {
+func (m *Machine) onReplicaMessage(now time.Duration, b ReplicaMessage) {
 	m.hear(now, b.From)
-	if b.To != m.self.Seat() || b.Part < 0 || b.Part >= m.founding.Parts {
+	if b.To != m.self.MemberID() || b.Partition < 0 || b.Partition >= m.founding.Parts {
 		return
 	}
 	body, err := message.Open(b.Raw)
@@ -95,14 +95,14 @@
 		m.Counters.BadMessages++
 		return
 	}
-	if m.stalled && wantsDisk(body) {
+	if m.stalled && requiresDisk(body) {
 		// Nothing may pile up before a disk that takes nothing. Whoever sent it
 		// sends it again, or a whole copy once the disk is back.
 		m.Counters.Stalled++
 		return
 	}
-	p := m.parts[b.Part]
-	if _, write := body.(partition.Write); write && m.self.Retired && (p == nil || !p.Group().Has(m.self.Seat())) {
+	p := m.parts[b.Partition]
+	if _, write := body.(partition.Write); write && m.self.Retired && (p == nil || !p.Group().Has(m.self.MemberID())) {
 		// A leader that has not heard of the retirement wants to hand a replica to
 		// this core, which may be taken away at any moment.
 		return
@@ -111,13 +111,13 @@
 		if w, ok := body.(partition.Write); !ok || !w.Snapshot {
 			return
 		}
-		p = m.seat(now, b.Part, partition.State{})
+		p = m.seat(now, b.Partition, partition.State{})
 	}
-	m.take(now, b.Part, p.Receive(now, b.From, body))
+	m.handleOutput(now, b.Partition, p.Receive(now, b.From, body))
 }
 
 // wantsDisk reports whether a message makes a replica write.
-func wantsDisk(body any) bool {
+func requiresDisk(body any) bool {
 	switch b := body.(type) {
 	case partition.Write:
 		return true
@@ -127,8 +127,8 @@
 	return false
 }
 
-func (m *Machine) onPull(now time.Duration, from string, b Pull) {
-	if b.Want {
+func (m *Machine) onPullUpdates(now time.Duration, from string, b PullUpdates) {
+	if b.WantTopology {
 		m.learn()
 		m.send(from, m.Topology(), false)
 	}
@@ -141,24 +141,24 @@
 			continue
 		}
 		upto, _ := p.CommittedVersion()
-		if n == ConfigurationPart && b.Fresh {
-			m.send(from, Fresh{Sent: b.Sent, Upto: upto}, false)
+		if n == ConfigurationPartition && b.WantFreshness {
+			m.send(from, Freshness{SentAt: b.SentAt, UpTo: upto}, false)
 		}
 		after := b.Versions[n]
 		if !after.Less(upto) {
 			continue
 		}
-		news := News{Part: n, After: after, Upto: upto}
+		news := Update{Partition: n, After: after, UpTo: upto}
 		if after.Term != upto.Term || after.Seq < p.PurgedSeq() {
-			after, news.Whole = partition.Version{}, true
+			after, news.Snapshot = partition.Version{}, true
 		}
-		news.Entries = p.Updates(after, NewsPrefixes)
+		news.Entries = p.Updates(after, UpdatePrefixes)
 		m.send(from, news, false)
 	}
 }
 
 // Ask runs one command on behalf of an operator.
-func (m *Machine) Ask(now time.Duration, ticket uint64, command any, within time.Duration) Output {
+func (m *Machine) RunCommand(now time.Duration, ticket uint64, command any, within time.Duration) Output {
 	m.out = &Output{}
 	m.caller.Call(now, command, now+within, func(now time.Duration, o Outcome) {
 		m.out.Answers = append(m.out.Answers, Answer{Ticket: ticket, Body: o})
@@ -166,6 +166,6 @@
 	return *m.out
 }
 
-func (m *Machine) answer(ticket uint64, body any) {
+func (m *Machine) answerOperator(ticket uint64, body any) {
 	m.out.Answers = append(m.out.Answers, Answer{Ticket: ticket, Body: body})
 }
--- a/peer/core/founding.go
+++ b/peer/core/founding.go
@@ -53,8 +53,8 @@
 	return true
 }
 
-func (m *Machine) present() Present {
-	return Present{Core: m.self, Cold: m.params.ColdStart, Fleet: m.founding.Fleet, Known: m.known}
+func (m *Machine) present() AnnounceCore {
+	return AnnounceCore{Core: m.self, MayFound: m.params.ColdStart, Fleet: m.founding.Fleet, KnownDigest: m.known}
 }
 
 func (m *Machine) greet() {
@@ -68,16 +68,16 @@
 	}
 }
 
-func (m *Machine) onPresent(now time.Duration, from string, b Present) {
+func (m *Machine) onPresent(now time.Duration, from string, b AnnounceCore) {
 	switch b.Fleet {
 	case m.founding.Fleet:
 		m.learnCore(b.Core)
-		m.hear(now, b.Core.Seat())
-		m.tellDiffering(now, from, b.Known)
+		m.hear(now, b.Core.MemberID())
+		m.tellDiffering(now, from, b.KnownDigest)
 	case "":
 		m.learn()
 		m.send(from, m.Topology(), false)
-		if named, ok := m.founding.Cores[b.Core.ID]; ok && b.Cold && named.Incarnation == b.Core.Incarnation && m.founding.Groups[0].Epoch > 0 {
+		if named, ok := m.founding.Cores[b.Core.ID]; ok && b.MayFound && named.Incarnation == b.Core.Incarnation && m.founding.Groups[0].Epoch > 0 {
 			m.send(from, FoundFleet{Founding: m.founding}, false)
 		}
 	}
--- a/peer/core/gossip_test.go
+++ b/peer/core/gossip_test.go
@@ -31,7 +31,7 @@
 // TestDigestOfATopology tells apart what matters and nothing else.
 func TestDigestOfATopology(t *testing.T) {
 	make := func() Topology {
-		return Topology{Fleet: "f", Cores: map[string]Core{"a": {ID: "a", Incarnation: "1"}, "b": {ID: "b"}}, Owners: []partition.Term{{Round: 1, Leader: "a.1"}}, Groups: []partition.Group{{Epoch: 1, Members: []string{"a.1"}}}}
+		return Topology{Fleet: "f", Cores: map[string]Core{"a": {ID: "a", Incarnation: "1"}, "b": {ID: "b"}}, Leaders: []partition.Term{{Round: 1, Leader: "a.1"}}, Groups: []partition.Group{{Epoch: 1, Members: []string{"a.1"}}}}
 	}
 	same := make()
 	same.Groups[0].Former = []string{}
@@ -41,7 +41,7 @@
 	for name, change := range map[string]func(t *Topology){
 		"fleet":  func(t *Topology) { t.Fleet = "g" },
 		"core":   func(t *Topology) { t.Cores["b"] = Core{ID: "b", Retired: true} },
-		"owner":  func(t *Topology) { t.Owners[0].Round++ },
+		"owner":  func(t *Topology) { t.Leaders[0].Round++ },
 		"group":  func(t *Topology) { t.Groups[0].Members = []string{"a.2"} },
 		"former": func(t *Topology) { t.Groups[0].Former = []string{"b."} },
 	} {
--- a/peer/core/kept.go
+++ b/peer/core/kept.go
@@ -15,16 +15,16 @@
 
 const (
 	// NeverKept: the partition has no trace of it.
-	NeverKept Absence = ""
+	NotStored Absence = ""
 	// Expired: it was kept, and its time is over.
 	Expired Absence = "expired"
 	// Foreign: a turn of another tenant has this id.
-	Foreign Absence = "foreign"
+	OtherTenant Absence = "foreign"
 )
 
 // recentKeysMost is how many keys of entries that have ended a partition's leader
 // remembers.
-const recentKeysMost = 4096
+const recentKeysMax = 4096
 
 // recentKeys remembers the last keys that were added, by their hashes.
 type recentKeys struct {
@@ -43,12 +43,12 @@
 	if k.hashes[hash] {
 		return
 	}
-	if len(k.ring) < recentKeysMost {
+	if len(k.ring) < recentKeysMax {
 		k.ring = append(k.ring, hash)
 	} else {
 		delete(k.hashes, k.ring[k.next])
 		k.ring[k.next] = hash
-		k.next = (k.next + 1) % recentKeysMost
+		k.next = (k.next + 1) % recentKeysMax
 	}
 	k.hashes[hash] = true
 }
@@ -60,15 +60,15 @@
 // an id has its turn under the id alone, where a core of the former version, which
 // may lead the partition in the middle of an upgrade, looks for it; others have
 // theirs under a mark that no header can hold, their name and the id.
-func keptKeys(tenant, attempt string) [2]string {
-	return [2]string{keptPrefix + attempt, keptPrefix + "\x00" + url.PathEscape(tenant) + "/" + attempt}
+func turnKeys(tenant, attempt string) [2]string {
+	return [2]string{turnPrefix + attempt, turnPrefix + "\x00" + url.PathEscape(tenant) + "/" + attempt}
 }
 
 // findTurn finds a tenant's kept turn. If there is none, the key is where it goes.
-func findTurn(tx *partition.Tx, tenant, attempt string) (key string, t keptTurn, ok bool) {
+func findTurn(tx *partition.Tx, tenant, attempt string) (key string, t storedTurn, ok bool) {
 	free := ""
-	for _, key := range keptKeys(tenant, attempt) {
-		t, taken := read[keptTurn](tx, key)
+	for _, key := range turnKeys(tenant, attempt) {
+		t, taken := read[storedTurn](tx, key)
 		switch {
 		case taken && t.Tenant == tenant:
 			return key, t, true
@@ -76,39 +76,39 @@
 			free = key
 		}
 	}
-	return free, keptTurn{}, false
+	return free, storedTurn{}, false
 }
 
 // keepTurn keeps a turn. The same command is acknowledged again; another turn under
 // an id that its tenant used before is not kept, and not said to be.
-func (r *rules) keepTurn(tx *partition.Tx, c KeepTurn) any {
+func (r *rules) storeTurn(tx *partition.Tx, c StoreTurn) any {
 	key, t, ok := findTurn(tx, c.Tenant, c.Attempt)
 	if ok {
-		return Done{OK: slices.Equal(t.Before, c.Before) && bytes.Equal(t.Input, c.Input) && bytes.Equal(t.Output, c.Output)}
+		return Done{OK: slices.Equal(t.Previous, c.Previous) && bytes.Equal(t.Input, c.Input) && bytes.Equal(t.Output, c.Output)}
 	}
-	t = keptTurn{Tenant: c.Tenant, Before: c.Before, Input: c.Input, Output: c.Output, Until: tx.Clock() + c.Keep}
+	t = storedTurn{Tenant: c.Tenant, Previous: c.Previous, Input: c.Input, Output: c.Output, Until: tx.Clock() + c.Retention}
 	write(tx, key, t)
-	r.ends.add(key, t.Until)
+	r.expiries.add(key, t.Until)
 	return Done{OK: true}
 }
 
 // readTurn reads a kept turn.
-func (r *rules) readTurn(tx *partition.Tx, c ReadTurn) KeptTurn {
+func (r *rules) readTurn(tx *partition.Tx, c ReadTurn) ReadTurnResult {
 	_, t, ok := findTurn(tx, c.Tenant, c.Attempt)
 	if !ok {
-		return KeptTurn{Absence: r.absenceOf(tx, c)}
+		return ReadTurnResult{Absence: r.absenceReason(tx, c)}
 	}
-	return KeptTurn{Found: true, Before: t.Before, Input: t.Input, Output: t.Output, Left: t.Until - tx.Clock()}
+	return ReadTurnResult{Found: true, Previous: t.Previous, Input: t.Input, Output: t.Output, Left: t.Until - tx.Clock()}
 }
 
 // absenceOf tells why a turn is not kept, as far as this leader knows.
-func (r *rules) absenceOf(tx *partition.Tx, c ReadTurn) Absence {
-	keys := keptKeys(c.Tenant, c.Attempt)
-	if _, taken := read[keptTurn](tx, keys[0]); taken {
-		return Foreign
+func (r *rules) absenceReason(tx *partition.Tx, c ReadTurn) Absence {
+	keys := turnKeys(c.Tenant, c.Attempt)
+	if _, taken := read[storedTurn](tx, keys[0]); taken {
+		return OtherTenant
 	}
 	if r.expired.has(keys[0]) || r.expired.has(keys[1]) {
 		return Expired
 	}
-	return NeverKept
+	return NotStored
 }
--- a/peer/core/life.go
+++ b/peer/core/life.go
@@ -42,11 +42,11 @@
 		return
 	}
 	for _, g := range t.Groups {
-		if g.Epoch == 0 || g.Has(m.self.Seat()) {
+		if g.Epoch == 0 || g.Has(m.self.MemberID()) {
 			return
 		}
 	}
-	f := Founding{Fleet: t.Fleet, Parts: len(t.Groups), Cores: maps.Clone(t.Cores), Groups: make([]partition.Group, len(t.Groups)), Size: t.Size}
+	f := Founding{Fleet: t.Fleet, Parts: len(t.Groups), Cores: maps.Clone(t.Cores), Groups: make([]partition.Group, len(t.Groups)), Size: t.GroupSize}
 	if f.Cores == nil {
 		f.Cores = map[string]Core{}
 	}
@@ -80,10 +80,10 @@
 		told.Version = max(told.Version, known.Version+1)
 	}
 	told.Version += m.refused
-	m.caller.Call(now, PutCore{Core: told}, now+10*m.params.MemberTerm, func(now time.Duration, o Outcome) {
+	m.caller.Call(now, PutCore{Core: told}, now+10*m.params.MemberLease, func(now time.Duration, o Outcome) {
 		m.mending = false
 		switch a := o.Answer.(type) {
-		case CoreEnded:
+		case PutCoreRejected:
 			m.outlived = a.Core.Incarnation != m.self.Incarnation
 			m.learnCore(a.Core)
 		case Done:
@@ -170,29 +170,29 @@
 	until := now + within
 	plan := PlanChange(m.cores, m.silentCores(now), m.groups, m.size(), kind, id, by)
 	if plan.Code != "" {
-		m.answer(ticket, plan)
+		m.answerOperator(ticket, plan)
 		return *m.out
 	}
 	if kind == Add {
 		m.settle(now, ticket, until, plan, func(n int, seats []string) bool {
 			wanted := m.desired(m.tickedAt)[n]
-			seat := m.cores[id].Seat()
+			seat := m.cores[id].MemberID()
 			return slices.Contains(seats, seat) || !slices.Contains(wanted, seat)
 		})
 		return *m.out
 	}
 	m.caller.Call(now, RetireCore{ID: id}, until, func(now time.Duration, o Outcome) {
-		r, ok := o.Answer.(Retiring)
+		r, ok := o.Answer.(RetireCoreResult)
 		switch {
 		case !ok:
-			m.answer(ticket, Changed{Moves: plan.Moves, Code: "not_finished", Reason: "not marked as retired yet; ask again"})
-		case !r.Known:
-			m.answer(ticket, Changed{Code: "unknown_core", Reason: "no core of this fleet is called " + id})
-		case !r.Enough:
-			m.answer(ticket, Changed{Moves: plan.Moves, Code: "no_room", Reason: "without " + id + " some group would have fewer seats; add a core first"})
+			m.answerOperator(ticket, Changed{Moves: plan.Moves, Code: "not_finished", Reason: "not marked as retired yet; ask again"})
+		case !r.Found:
+			m.answerOperator(ticket, Changed{Code: "unknown_core", Reason: "no core of this fleet is called " + id})
+		case !r.EnoughRemain:
+			m.answerOperator(ticket, Changed{Moves: plan.Moves, Code: "no_room", Reason: "without " + id + " some group would have fewer seats; add a core first"})
 		default:
 			m.settle(now, ticket, until, plan, func(n int, seats []string) bool {
-				return !slices.ContainsFunc(seats, func(s string) bool { return SeatID(s) == id })
+				return !slices.ContainsFunc(seats, func(s string) bool { return CoreID(s) == id })
 			})
 		}
 	})
@@ -203,8 +203,8 @@
 func (m *Machine) settle(now time.Duration, ticket uint64, until time.Duration, plan Changed, settled func(n int, seats []string) bool) {
 	waiting, good := m.founding.Parts, 0
 	for n := 0; n < m.founding.Parts; n++ {
-		m.caller.Call(now, ReadSeats{Part: n}, until, func(now time.Duration, o Outcome) {
-			if s, ok := o.Answer.(Seats); ok && settled(n, append(slices.Clone(s.Seats), s.Former...)) {
+		m.caller.Call(now, ReadGroup{Partition: n}, until, func(now time.Duration, o Outcome) {
+			if s, ok := o.Answer.(GroupMembers); ok && settled(n, append(slices.Clone(s.Members), s.Former...)) {
 				good++
 			}
 			if waiting--; waiting > 0 {
@@ -214,12 +214,12 @@
 			switch {
 			case good == m.founding.Parts:
 				plan.Done, plan.Made = true, len(plan.Moves)
-				m.answer(ticket, plan)
+				m.answerOperator(ticket, plan)
 			case now >= until:
 				plan.Code, plan.Reason = "not_finished", "not all moves were made in time; ask again to go on"
-				m.answer(ticket, plan)
+				m.answerOperator(ticket, plan)
 			default:
-				m.later.Add(now+m.params.Pull, func(now time.Duration) { m.settle(now, ticket, until, plan, settled) })
+				m.later.Add(now+m.params.PullInterval, func(now time.Duration) { m.settle(now, ticket, until, plan, settled) })
 			}
 		})
 	}
@@ -229,7 +229,7 @@
 func (m *Machine) Introduce(now time.Duration, ticket uint64, c Core, within time.Duration) Output {
 	m.out = &Output{}
 	if old, ok := m.cores[c.ID]; ok && old.Incarnation != c.Incarnation && !old.Retired {
-		m.answer(ticket, Done{})
+		m.answerOperator(ticket, Done{})
 		return *m.out
 	} else if ok {
 		c.Version = old.Version + 1
@@ -239,7 +239,7 @@
 		if d.OK {
 			m.learnCore(c)
 		}
-		m.answer(ticket, d)
+		m.answerOperator(ticket, d)
 	})
 	return *m.out
 }
--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -64,13 +64,13 @@
 	owners   []partition.Term
 	groups   []partition.Group
 	caller   *Caller
-	tickets  slab.Slab[origin]
+	tickets  slab.Slab[commandOrigin]
 	outlets
 	random   func() float64
 	sweepAt  time.Duration
 	leaving  bool
 	stalled  bool
-	later    Later
+	later    Timers
 	seeds    []string
 	lookAt   time.Duration
 	mending  bool
@@ -105,7 +105,7 @@
 func New(o Options) *Machine {
 	m := &Machine{params: o.Params, random: o.Random, outlets: outlets{violated: o.Violated}, seeds: o.Seeds, parts: map[int]*partition.Machine{}, cores: map[string]Core{},
 		self: Core{ID: o.ID, Incarnation: o.Stored.Incarnation, Zone: o.Zone, Peer: o.Address, Operator: o.Operator}}
-	m.caller = &Caller{Retry: o.Params.Retry, Random: o.Random,
+	m.caller = &Caller{Retry: o.Params.AttemptTimeout, Random: o.Random,
 		Send:  func(to string, body any) { m.send(to, body, false) },
 		Parts: func() int { return m.founding.Parts },
 		Anyone: func() []string {
@@ -130,18 +130,18 @@
 	for id, c := range s.Founding.Cores {
 		m.cores[id] = c
 	}
-	m.learnCoresOf(s.Copies[ConfigurationPart])
+	m.learnCoresOf(s.Replicas[ConfigurationPartition])
 	m.assert()
 	m.unknown = true
 	m.toldAt = map[string]time.Duration{}
 	m.heard, m.movedAt, m.bornAt, m.tickedAt = map[string]heard{}, map[int]time.Duration{}, now, now
-	for _, n := range ordered.Keys(s.Copies) {
-		m.seat(now, n, s.Copies[n])
+	for _, n := range ordered.Keys(s.Replicas) {
+		m.seat(now, n, s.Replicas[n])
 	}
 }
 
 func (m *Machine) seat(now time.Duration, n int, c partition.State) *partition.Machine {
-	m.parts[n] = partition.New(partition.Options{Params: m.params.Part, Member: m.self.Seat(), Partition: n, Rules: &rules{params: m.params, fleet: m.fleet, violated: m.violated}, State: c, Now: now,
+	m.parts[n] = partition.New(partition.Options{Params: m.params.Partition, Member: m.self.MemberID(), Partition: n, Rules: &rules{params: m.params, fleet: m.fleet, violated: m.violated}, State: c, Now: now,
 		Random: m.random, Violated: m.violated})
 	return m.parts[n]
 }
@@ -164,7 +164,7 @@
 	m.out = &Output{}
 	if !m.Founded() {
 		if now >= m.lookAt {
-			m.lookAt = now + max(50*time.Millisecond, m.params.MemberTerm/20)
+			m.lookAt = now + max(50*time.Millisecond, m.params.MemberLease/20)
 			m.greet()
 		}
 		return *m.out
@@ -176,34 +176,34 @@
 			continue
 		}
 		if m.leaving || m.stalled {
-			m.take(now, n, p.ReleaseLeadership(now))
+			m.handleOutput(now, n, p.ReleaseLeadership(now))
 			if _, owns := p.LeadingTerm(now); !owns {
 				continue
 			}
 		}
-		m.take(now, n, p.Tick(now))
+		m.handleOutput(now, n, p.Tick(now))
 	}
 	if now >= m.gossipAt {
-		m.gossipAt = now + m.params.Pull
+		m.gossipAt = now + m.params.PullInterval
 		m.learn()
 		m.gossip(now)
 	}
 	if now >= m.moveAt {
-		m.moveAt = now + m.params.Part.LeaseDuration/4
+		m.moveAt = now + m.params.Partition.LeaseDuration/4
 		m.place(now)
 	}
 	if now >= m.sweepAt {
-		m.sweepAt = now + m.params.MemberTerm/4
+		m.sweepAt = now + m.params.MemberLease/4
 		for n := 0; n < m.founding.Parts; n++ {
 			if p := m.parts[n]; p != nil {
 				if _, ok := p.LeadingTerm(now); ok {
-					m.propose(now, n, Sweep{}, origin{})
+					m.propose(now, n, Sweep{}, commandOrigin{})
 				}
 			}
 		}
 	}
 	if now >= m.lookAt {
-		m.lookAt = now + m.params.MemberTerm/4
+		m.lookAt = now + m.params.MemberLease/4
 		m.greet()
 		m.mend(now)
 	}
@@ -263,24 +263,24 @@
 	}
 	m.notice(now)
 	switch b := body.(type) {
-	case PartMessage:
-		m.onPart(now, b)
+	case ReplicaMessage:
+		m.onReplicaMessage(now, b)
 	case Command:
 		m.Counters.Commands++
 		command, err := message.Open(b.Raw)
-		if err != nil || b.Part < 0 || b.Part >= m.founding.Parts {
+		if err != nil || b.Partition < 0 || b.Partition >= m.founding.Parts {
 			m.Counters.BadMessages++
 			return *m.out
 		}
-		m.propose(now, b.Part, command, origin{from: from, id: b.ID, part: b.Part})
-	case CommandReturn:
+		m.propose(now, b.Partition, command, commandOrigin{from: from, id: b.ID, partition: b.Partition})
+	case CommandResult:
 		m.caller.Receive(now, from, b)
-	case Pull:
+	case PullUpdates:
 		m.Counters.Pulls++
-		m.onPull(now, from, b)
+		m.onPullUpdates(now, from, b)
 	case Topology:
 		m.adopt(b)
-	case Present:
+	case AnnounceCore:
 		m.onPresent(now, from, b)
 	case Samples:
 		if b.ID == m.gathered && m.samples != nil {
--- a/peer/core/membership_test.go
+++ b/peer/core/membership_test.go
@@ -64,8 +64,8 @@
 
 func newFleet(t *testing.T, size, cores int) *fleet {
 	f := &fleet{t: t, size: size, random: rand.New(rand.NewPCG(7, uint64(cores))), answers: map[uint64]any{}, keys: map[string]string{}, kinds: map[string]int{}, gone: map[string]bool{},
-		params: Params{Part: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberTerm: 2 * time.Second,
-			Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond, Gone: 2 * time.Second, ColdStart: true}}
+		params: Params{Partition: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberLease: 2 * time.Second,
+			AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond, GoneAfter: 2 * time.Second, ColdStart: true}}
 	var list []Core
 	for i := 0; i < cores; i++ {
 		b := f.add(fmt.Sprintf("c%d", i+1))
@@ -84,9 +84,9 @@
 
 // slow makes cores that are only silent keep their seats for long.
 func (f *fleet) slow() {
-	f.params.Gone = time.Minute
+	f.params.GoneAfter = time.Minute
 	for _, b := range f.boxes {
-		b.m.params.Gone = time.Minute
+		b.m.params.GoneAfter = time.Minute
 	}
 }
 
@@ -144,7 +144,7 @@
 
 func (f *fleet) send(b *box, s Send) {
 	kind := fmt.Sprintf("%T", s.Body)
-	if p, ok := s.Body.(PartMessage); ok {
+	if p, ok := s.Body.(ReplicaMessage); ok {
 		inner, _ := message.Open(p.Raw)
 		kind = fmt.Sprintf("%T", inner)
 	}
@@ -218,7 +218,7 @@
 	}
 	for _, b := range f.boxes {
 		if b.m != nil && !b.frozen && f.now >= b.tickAt {
-			b.tickAt = f.now + f.params.Part.LeaseDuration/20
+			b.tickAt = f.now + f.params.Partition.LeaseDuration/20
 			f.take(b, b.m.Tick(f.now))
 		}
 	}
@@ -280,7 +280,7 @@
 	ticket := f.next
 	for _, b := range f.boxes {
 		if b.m != nil && !b.frozen && b.m.Founded() {
-			f.take(b, b.m.Ask(f.now, ticket, command, 4*time.Second))
+			f.take(b, b.m.RunCommand(f.now, ticket, command, 4*time.Second))
 			break
 		}
 	}
@@ -297,7 +297,7 @@
 func (f *fleet) put(i int) {
 	f.t.Helper()
 	key, claim := fmt.Sprint("k", i), fmt.Sprint("first ", i)
-	if o, ok := f.ask(ClaimOnce{Tenant: "t", Service: "s", Key: key, Claim: claim, Keep: time.Hour}).(Once); !ok || o.Claim != claim {
+	if o, ok := f.ask(ClaimOnce{Tenant: "t", Service: "s", Key: key, Claim: claim, Retention: time.Hour}).(OnceRecord); !ok || o.Claim != claim {
 		f.t.Fatalf("%v: %s is not kept: %+v", f.now, key, o)
 	}
 	f.keys[key] = claim
@@ -307,7 +307,7 @@
 func (f *fleet) kept() {
 	f.t.Helper()
 	for key, claim := range f.keys {
-		if o, ok := f.ask(ClaimOnce{Tenant: "t", Service: "s", Key: key, Claim: "other", Keep: time.Hour}).(Once); !ok || o.Claim != claim {
+		if o, ok := f.ask(ClaimOnce{Tenant: "t", Service: "s", Key: key, Claim: "other", Retention: time.Hour}).(OnceRecord); !ok || o.Claim != claim {
 			f.t.Errorf("%v: %s was agreed as %q and is %+v", f.now, key, claim, o)
 		}
 	}
@@ -323,7 +323,7 @@
 		}
 		if b.m != nil && !b.frozen && b.m.Founded() && !b.m.Self().Retired {
 			able = append(able, b.m.Self())
-			seats[b.m.Self().Seat()] = 0
+			seats[b.m.Self().MemberID()] = 0
 		}
 	}
 	for n := 0; n < testParts; n++ {
@@ -340,7 +340,7 @@
 			}
 			seats[s]++
 			for _, b := range f.boxes {
-				if b.m == nil || b.m.Self().Seat() != s {
+				if b.m == nil || b.m.Self().MemberID() != s {
 					continue
 				}
 				p := b.m.Part(n)
@@ -348,7 +348,7 @@
 					return fmt.Sprintf("part %d: %s has no copy", n, s)
 				}
 				for key, e := range owner.m.Part(n).State().Entries {
-					if mine, ok := b.stored.Copies[n].Entries[key]; !e.Deleted && (!ok || mine.Version != e.Version) {
+					if mine, ok := b.stored.Replicas[n].Entries[key]; !e.Deleted && (!ok || mine.Version != e.Version) {
 						return fmt.Sprintf("part %d: %s lacks %s", n, s, key)
 					}
 				}
@@ -461,10 +461,10 @@
 
 func TestRetiredWhileAnotherIsEmptied(t *testing.T) {
 	f := newFleet(t, 3, 5)
-	if r := f.ask(RetireCore{ID: "nobody"}); r != (Retiring{}) {
+	if r := f.ask(RetireCore{ID: "nobody"}); r != (RetireCoreResult{}) {
 		t.Errorf("an unknown core: %+v", r)
 	}
-	if r := f.ask(RetireCore{ID: "c1"}); r != (Retiring{Known: true, Enough: true, Done: true}) {
+	if r := f.ask(RetireCore{ID: "c1"}); r != (RetireCoreResult{Found: true, EnoughRemain: true, Done: true}) {
 		t.Errorf("retiring: %+v", r)
 	}
 	b := f.boxes[2]
@@ -474,15 +474,15 @@
 	f.settled("one retired, one emptied", catchUp)
 	f.kept()
 	for n := 0; n < testParts; n++ {
-		s, ok := f.ask(ReadSeats{Part: n}).(Seats)
-		if !ok || len(s.Seats) != 3 || len(s.Former) != 0 || slices.ContainsFunc(s.Seats, func(seat string) bool { return SeatID(seat) == "c1" }) {
+		s, ok := f.ask(ReadGroup{Partition: n}).(GroupMembers)
+		if !ok || len(s.Members) != 3 || len(s.Former) != 0 || slices.ContainsFunc(s.Members, func(seat string) bool { return CoreID(seat) == "c1" }) {
 			t.Errorf("part %d: %+v", n, s)
 		}
 	}
-	if r := f.ask(RetireCore{ID: "c2"}); r != (Retiring{Known: true, Enough: true, Done: true}) {
+	if r := f.ask(RetireCore{ID: "c2"}); r != (RetireCoreResult{Found: true, EnoughRemain: true, Done: true}) {
 		t.Errorf("a second one: %+v", r)
 	}
-	if r := f.ask(RetireCore{ID: "c4"}); r != (Retiring{Known: true}) {
+	if r := f.ask(RetireCore{ID: "c4"}); r != (RetireCoreResult{Found: true}) {
 		t.Errorf("one too many: %+v", r)
 	}
 	f.retired = "c1"
@@ -505,7 +505,7 @@
 	b := f.boxes[1]
 	f.kill(b)
 	f.pass(300 * time.Millisecond)
-	if r := f.ask(RetireCore{ID: b.id}).(Retiring); !r.Done {
+	if r := f.ask(RetireCore{ID: b.id}).(RetireCoreResult); !r.Done {
 		t.Errorf("%+v", r)
 	}
 	f.settled("retired while off", catchUp)
@@ -537,13 +537,13 @@
 		_, g, _ := f.owner(n)
 		before[n] = g.Has(silent)
 	}
-	if r := f.ask(RetireCore{ID: "c1"}).(Retiring); !r.Done {
+	if r := f.ask(RetireCore{ID: "c1"}).(RetireCoreResult); !r.Done {
 		t.Errorf("%+v", r)
 	}
 	f.pass(catchUp)
 	for n := 0; n < testParts; n++ {
 		_, g, _ := f.owner(n)
-		if g.Has(f.boxes[0].m.Self().Seat()) || (before[n] && !g.Has(silent)) {
+		if g.Has(f.boxes[0].m.Self().MemberID()) || (before[n] && !g.Has(silent)) {
 			t.Errorf("part %d: %+v", n, g)
 		}
 	}
@@ -581,14 +581,14 @@
 	f := newFleet(t, 3, 5)
 	b := f.boxes[1]
 	b.frozen = true
-	f.pass(f.params.Gone + 3*time.Second)
+	f.pass(f.params.GoneAfter + 3*time.Second)
 	f.settled("without it", catchUp)
 	before := f.changes()
 	for i := 0; i < 4; i++ {
 		f.wake(b)
 		f.pass(300 * time.Millisecond)
 		b.frozen = true
-		f.pass(f.params.Gone + 500*time.Millisecond)
+		f.pass(f.params.GoneAfter + 500*time.Millisecond)
 	}
 	if after := f.changes(); after != before {
 		t.Errorf("%d changes of groups", after-before)
@@ -607,7 +607,7 @@
 	for _, b := range f.boxes {
 		b.frozen = true
 	}
-	f.pass(3 * f.params.Gone)
+	f.pass(3 * f.params.GoneAfter)
 	f.drop = nil
 	for _, b := range f.boxes {
 		f.wake(b)
@@ -652,7 +652,7 @@
 		t.Errorf("%+v", c)
 	}
 	for n := 0; n < testParts; n++ {
-		if _, g, ok := f.owner(n); ok && g.Has(f.boxes[0].m.Self().Seat()) {
+		if _, g, ok := f.owner(n); ok && g.Has(f.boxes[0].m.Self().MemberID()) {
 			t.Errorf("part %d: %+v", n, g)
 		}
 	}
@@ -681,7 +681,7 @@
 func (f *fleet) joins(id string) (owner *box, n int) {
 	for n := 0; n < testParts; n++ {
 		if b, _, ok := f.owner(n); ok {
-			if adding, _ := b.m.Part(n).ChangeInProgress(); adding != "" && SeatID(adding) == id {
+			if adding, _ := b.m.Part(n).ChangeInProgress(); adding != "" && CoreID(adding) == id {
 				return b, n
 			}
 		}
@@ -720,7 +720,7 @@
 		f.until(name, func() bool { return stages[name](f) })
 		f.lose(b)
 		// All others move its seats on once it counts as silent.
-		f.settled(name+", dead", f.params.Gone+catchUp)
+		f.settled(name+", dead", f.params.GoneAfter+catchUp)
 		f.kept()
 		f.boot(f.add("next"))
 		f.settled(name+", another", catchUp)
@@ -744,7 +744,7 @@
 	f := newFleet(t, 3, 4)
 	b := f.add("fresh")
 	f.drop = func(from, to string, body any) bool {
-		_, p := body.(PartMessage)
+		_, p := body.(ReplicaMessage)
 		return p && (from == b.address || to == b.address)
 	}
 	f.boot(b)
@@ -794,7 +794,7 @@
 	f := newFleet(t, 3, 5)
 	b := f.boxes[1]
 	b.frozen = true
-	f.pass(f.params.Gone + f.params.Gone/2)
+	f.pass(f.params.GoneAfter + f.params.GoneAfter/2)
 	f.settled("without the frozen one", catchUp)
 	f.kept()
 	f.wake(b)
@@ -808,7 +808,7 @@
 	}
 	// A short freeze moves nothing.
 	b.frozen = true
-	f.pass(f.params.Gone / 2)
+	f.pass(f.params.GoneAfter / 2)
 	f.wake(b)
 	f.pass(3 * time.Second)
 	if after := f.changes(); after != before {
@@ -822,7 +822,7 @@
 	f := newFleet(t, 3, 3)
 	before := f.changes()
 	f.kill(f.boxes[2])
-	f.pass(3 * f.params.Gone)
+	f.pass(3 * f.params.GoneAfter)
 	if after := f.changes(); after != before {
 		t.Errorf("%d changes of groups", after-before)
 	}
@@ -868,7 +868,7 @@
 	old.frozen = true
 	f.settled("the former one started again", catchUp)
 	for n := 0; n < testParts; n++ {
-		if _, g, ok := f.owner(n); ok && g.Has(old.m.Self().Seat()) {
+		if _, g, ok := f.owner(n); ok && g.Has(old.m.Self().MemberID()) {
 			t.Errorf("part %d: %+v", n, g)
 		}
 	}
@@ -877,7 +877,7 @@
 
 // What has ended stays so, whoever says otherwise.
 func TestEndedCoresStayEnded(t *testing.T) {
-	a := newAlone(t)
+	a := newSingleCore(t)
 	x := Core{ID: "x", Incarnation: "1", Version: 1}
 	for _, step := range []struct {
 		command, want any
@@ -886,13 +886,13 @@
 		{PutCore{Core: x}, Done{OK: true}},
 		{PutCore{Core: Core{ID: "x", Incarnation: "1", Peer: "p", Version: 1}}, Done{}},
 		{PutCore{Core: Core{ID: "x", Incarnation: "2", Version: 2}}, Done{OK: true}},
-		{PutCore{Core: Core{ID: "x", Incarnation: "1", Version: 9}}, CoreEnded{Core: Core{ID: "x", Incarnation: "2", Version: 2}}},
-		{RetireCore{ID: "x"}, Retiring{Known: true, Enough: true, Done: true}},
-		{RetireCore{ID: "x"}, Retiring{Known: true, Enough: true, Done: true}},
-		{RetireCore{ID: "y"}, Retiring{}},
-		{RetireCore{ID: "c"}, Retiring{Known: true}},
-		{PutCore{Core: Core{ID: "x", Incarnation: "2", Version: 9}}, CoreEnded{Core: Core{ID: "x", Incarnation: "2", Version: 3, Retired: true}}},
-		{PutCore{Core: Core{ID: "x", Incarnation: "3", Version: 9}}, CoreEnded{Core: Core{ID: "x", Incarnation: "2", Version: 3, Retired: true}}},
+		{PutCore{Core: Core{ID: "x", Incarnation: "1", Version: 9}}, PutCoreRejected{Core: Core{ID: "x", Incarnation: "2", Version: 2}}},
+		{RetireCore{ID: "x"}, RetireCoreResult{Found: true, EnoughRemain: true, Done: true}},
+		{RetireCore{ID: "x"}, RetireCoreResult{Found: true, EnoughRemain: true, Done: true}},
+		{RetireCore{ID: "y"}, RetireCoreResult{}},
+		{RetireCore{ID: "c"}, RetireCoreResult{Found: true}},
+		{PutCore{Core: Core{ID: "x", Incarnation: "2", Version: 9}}, PutCoreRejected{Core: Core{ID: "x", Incarnation: "2", Version: 3, Retired: true}}},
+		{PutCore{Core: Core{ID: "x", Incarnation: "3", Version: 9}}, PutCoreRejected{Core: Core{ID: "x", Incarnation: "2", Version: 3, Retired: true}}},
 	} {
 		if got := a.run(step.command); got != step.want {
 			t.Errorf("%+v: %+v", step.command, got)
@@ -912,7 +912,7 @@
 
 func TestColdStart(t *testing.T) {
 	f := &fleet{t: t, size: 3, random: rand.New(rand.NewPCG(1, 1)), answers: map[uint64]any{}, keys: map[string]string{}, kinds: map[string]int{}, gone: map[string]bool{},
-		params: Params{Part: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40}, MemberTerm: 2 * time.Second, Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}}
+		params: Params{Partition: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40}, MemberLease: 2 * time.Second, AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}}
 	var list []Core
 	for i := 0; i < 4; i++ {
 		b := f.add(fmt.Sprintf("c%d", i+1))
@@ -921,8 +921,8 @@
 		list = append(list, b.m.Self())
 	}
 	f.pass(time.Second)
-	if f.kinds["core.Present"] < 20 {
-		t.Errorf("cores that belong to no fleet say so %d times in a second", f.kinds["core.Present"])
+	if f.kinds["core.AnnounceCore"] < 20 {
+		t.Errorf("cores that belong to no fleet say so %d times in a second", f.kinds["core.AnnounceCore"])
 	}
 	plan := Plan("f", testParts, 3, list[:3])
 	for _, b := range []*box{f.boxes[3], f.boxes[0]} {
@@ -940,7 +940,7 @@
 	f.drop = nil
 	f.settled("founded, and one joined", catchUp)
 	for _, b := range f.boxes {
-		if got := b.m.Topology().Size; got != 3 {
+		if got := b.m.Topology().GroupSize; got != 3 {
 			t.Errorf("%s: groups of %d", b.id, got)
 		}
 	}
@@ -982,7 +982,7 @@
 			for _, s := range g {
 				seats[s]++
 				for _, c := range cores {
-					if c.Seat() == s {
+					if c.MemberID() == s {
 						byZone[c.Zone]++
 					}
 				}
@@ -994,10 +994,10 @@
 		}
 		if count%zoneCount == 0 {
 			for _, c := range cores {
-				if got, even := seats[c.Seat()], parts*min(size, count)/count; got < even-1 || got > even+2 {
+				if got, even := seats[c.MemberID()], parts*min(size, count)/count; got < even-1 || got > even+2 {
 					t.Errorf("%d cores, %d zones, %d parts of %d: %s has %d seats, even is %d", count, zoneCount, parts, size, c.ID, got, even)
 				}
-				if got := firsts[c.Seat()]; got > parts/count+2 {
+				if got := firsts[c.MemberID()]; got > parts/count+2 {
 					t.Errorf("%s is the home of %d parts of %d", c.ID, got, parts)
 				}
 			}
@@ -1022,7 +1022,7 @@
 		}
 		cores[0].Retired = true
 		for n, g := range Place(parts, size, cores, nil) {
-			if slices.Contains(g, cores[0].Seat()) {
+			if slices.Contains(g, cores[0].MemberID()) {
 				t.Errorf("part %d: %v with %s retired", n, g, cores[0].ID)
 			}
 		}
--- a/peer/core/ops.go
+++ b/peer/core/ops.go
@@ -32,7 +32,7 @@
 		Incarnation string `msgpack:"Incarnation"`
 	}
 	// Termed answers all three.
-	Termed struct {
+	MembershipResult struct {
 		Granted bool          `msgpack:"Granted"`
 		Ended   bool          `msgpack:"Ended"`
 		Floor   uint64        `msgpack:"Floor"`
@@ -58,7 +58,7 @@
 		Closed  bool  `msgpack:"Closed"`
 	}
 	// UserDay answers it.
-	UserDay struct {
+	ChargeUserResult struct {
 		Tokens int64 `msgpack:"Tokens"`
 	}
 
@@ -69,13 +69,13 @@
 	// ClaimProgram moves a program to a node. Without a proof that the former
 	// owner's term ended, or a handover, it only tells who the owner is.
 	ClaimProgram struct {
-		Tenant      string `msgpack:"Tenant"`
-		ID          string `msgpack:"ID"`
-		Node        string `msgpack:"Node"`
-		Incarnation string `msgpack:"Incarnation"`
-		Address     string `msgpack:"Address"`
-		EndedNode   string `msgpack:"EndedNode"`
-		EndedFormer string `msgpack:"EndedFormer"`
+		Tenant           string `msgpack:"Tenant"`
+		ID               string `msgpack:"ID"`
+		Node             string `msgpack:"Node"`
+		Incarnation      string `msgpack:"Incarnation"`
+		Address          string `msgpack:"Address"`
+		EndedNode        string `msgpack:"EndedNode"`
+		EndedIncarnation string `msgpack:"EndedFormer"`
 	}
 	// SaveProgram writes the owner's newest record and turns.
 	SaveProgram struct {
@@ -83,7 +83,7 @@
 		Turns  []program.Turn `msgpack:"Turns"`
 	}
 	// HandProgram names the successor of an owner that leaves.
-	HandProgram struct {
+	HandOverProgram struct {
 		Tenant      string `msgpack:"Tenant"`
 		ID          string `msgpack:"ID"`
 		Fence       uint64 `msgpack:"Fence"`
@@ -92,10 +92,10 @@
 		Address     string `msgpack:"Address"`
 	}
 	// Programmed answers all four.
-	Programmed struct {
+	ProgramResult struct {
 		Found   bool           `msgpack:"Found"`
 		Owned   bool           `msgpack:"Owned"`
-		Gone    bool           `msgpack:"Gone"`
+		Expired bool           `msgpack:"Gone"`
 		Record  program.Record `msgpack:"Record"`
 		Turns   []program.Turn `msgpack:"Turns"`
 		Clock   time.Duration  `msgpack:"Clock"`
@@ -104,25 +104,25 @@
 	}
 
 	// ShareTenant reports and draws a holder's share of a tenant's allowance.
-	ShareTenant struct {
-		Tenant   string   `msgpack:"Tenant"`
-		Kind     string   `msgpack:"Kind"`
-		Holder   string   `msgpack:"Holder"`
-		Spent    int64    `msgpack:"Spent"`
-		Returned int64    `msgpack:"Returned"`
-		Target   int64    `msgpack:"Target"`
-		Whole    int64    `msgpack:"Whole"`
-		Chunk    int64    `msgpack:"Chunk"`
-		Members  int64    `msgpack:"Members"`
-		Ended    []string `msgpack:"Ended"`
+	DrawAllowance struct {
+		Tenant          string   `msgpack:"Tenant"`
+		Kind            string   `msgpack:"Kind"`
+		Holder          string   `msgpack:"Holder"`
+		Spent           int64    `msgpack:"Spent"`
+		Returned        int64    `msgpack:"Returned"`
+		Target          int64    `msgpack:"Target"`
+		Limit           int64    `msgpack:"Whole"`
+		UnitsPerRequest int64    `msgpack:"Chunk"`
+		Members         int64    `msgpack:"Members"`
+		Ended           []string `msgpack:"Ended"`
 	}
 	// ShareRates does so for both rates of a tenant at once.
-	ShareRates struct {
-		Rates []ShareTenant `msgpack:"Rates"`
+	DrawAllowances struct {
+		Draws []DrawAllowance `msgpack:"Rates"`
 	}
 	// SharedRates answers it, in the same order.
-	SharedRates struct {
-		Rates []Shared `msgpack:"Rates"`
+	DrawResults struct {
+		Results []DrawResult `msgpack:"Rates"`
 	}
 	// DrawBreaker does the same for money.
 	DrawBreaker struct {
@@ -131,17 +131,17 @@
 		Returned int64  `msgpack:"Returned"`
 		Target   int64  `msgpack:"Target"`
 		// Need is what running inquiries need; the rest is held in advance.
-		Need        int64         `msgpack:"Need"`
-		Ended       []string      `msgpack:"Ended"`
-		Description BreakerLimits `msgpack:"Description"`
+		Need   int64         `msgpack:"Need"`
+		Ended  []string      `msgpack:"Ended"`
+		Limits BreakerLimits `msgpack:"Description"`
 	}
 	// Shared answers both.
-	Shared struct {
+	DrawResult struct {
 		Granted int64         `msgpack:"Granted"`
 		Target  int64         `msgpack:"Target"`
 		Left    time.Duration `msgpack:"Left"`
 		Open    bool          `msgpack:"Open"`
-		Others  []string      `msgpack:"Others"`
+		Holders []string      `msgpack:"Others"`
 	}
 	// BreakerLimits are the thresholds in force at the caller.
 	BreakerLimits struct {
@@ -149,21 +149,21 @@
 		Hour     int64         `msgpack:"Hour"`
 		Day      int64         `msgpack:"Day"`
 		Recovery time.Duration `msgpack:"Recovery"`
-		Tests    int           `msgpack:"Tests"`
+		Probes   int           `msgpack:"Tests"`
 	}
 	// AdmitTest asks for a test number of a half-open breaker.
-	AdmitTest struct {
+	AdmitProbe struct {
 		Program string        `msgpack:"Program"`
 		Limits  BreakerLimits `msgpack:"Limits"`
 	}
 	// ResultTest reports a test's outcome.
-	ResultTest struct {
+	ReportProbe struct {
 		Program string        `msgpack:"Program"`
 		Good    bool          `msgpack:"Good"`
 		Limits  BreakerLimits `msgpack:"Limits"`
 	}
 	// Tested answers both.
-	Tested struct {
+	ProbeResult struct {
 		Number int           `msgpack:"Number"`
 		State  string        `msgpack:"State"`
 		Left   time.Duration `msgpack:"Left"`
@@ -171,12 +171,12 @@
 
 	// ClaimOnce makes the intent of a once-only action durable.
 	ClaimOnce struct {
-		Tenant  string        `msgpack:"Tenant"`
-		Service string        `msgpack:"Service"`
-		Key     string        `msgpack:"Key"`
-		Claim   string        `msgpack:"Claim"`
-		Digest  string        `msgpack:"Digest"`
-		Keep    time.Duration `msgpack:"Keep"`
+		Tenant    string        `msgpack:"Tenant"`
+		Service   string        `msgpack:"Service"`
+		Key       string        `msgpack:"Key"`
+		Claim     string        `msgpack:"Claim"`
+		Digest    string        `msgpack:"Digest"`
+		Retention time.Duration `msgpack:"Keep"`
 	}
 	// EndOnce stores an outcome, or releases a claim that surely did not run.
 	EndOnce struct {
@@ -189,7 +189,7 @@
 		Body    []byte `msgpack:"Body"`
 	}
 	// Once answers both, and is the durable state.
-	Once struct {
+	OnceRecord struct {
 		Claim  string        `msgpack:"c"`
 		Digest string        `msgpack:"d"`
 		State  string        `msgpack:"s"`
@@ -201,8 +201,8 @@
 
 	// ReadLocked lists the users of a part that are locked out, soonest free
 	// first, and no more than operators can read.
-	ReadLocked struct {
-		Part int `msgpack:"Part"`
+	ReadLockedUsers struct {
+		Partition int `msgpack:"Part"`
 	}
 	// LockedUsers answers it.
 	LockedUsers struct {
@@ -215,8 +215,8 @@
 	}
 	// ReadEntries lists entries of a part by prefix.
 	ReadEntries struct {
-		Part   int    `msgpack:"Part"`
-		Prefix string `msgpack:"Prefix"`
+		Partition int    `msgpack:"Part"`
+		Prefix    string `msgpack:"Prefix"`
 	}
 	// Entries answers it.
 	Entries struct {
@@ -224,23 +224,23 @@
 	}
 
 	// AgreeConfiguration makes a checked and rehearsed description agreed.
-	AgreeConfiguration struct {
+	AcceptConfiguration struct {
 		BasedOn uint64 `msgpack:"BasedOn"`
 		Text    []byte `msgpack:"Text"`
 		Digest  string `msgpack:"Digest"`
 	}
 	// Agreed answers it.
-	Agreed struct {
-		Agreed  bool   `msgpack:"Agreed"`
-		Version uint64 `msgpack:"Version"`
+	AcceptConfigurationResult struct {
+		Accepted bool   `msgpack:"Agreed"`
+		Version  uint64 `msgpack:"Version"`
 	}
 	// SetFloor makes a part's members be at a version of the configuration.
-	SetFloor struct {
-		Part    int    `msgpack:"Part"`
-		Version uint64 `msgpack:"Version"`
+	SetVersionFloor struct {
+		Partition int    `msgpack:"Part"`
+		Version   uint64 `msgpack:"Version"`
 	}
 	// Floored answers it: Done when every member of the part is there or ended.
-	Floored struct {
+	VersionFloorResult struct {
 		Done    bool     `msgpack:"Done"`
 		Lagging []string `msgpack:"Lagging"`
 	}
@@ -254,10 +254,10 @@
 
 // States of a once-only action.
 const (
-	OnceIntent = "intent"
-	OnceDone   = "done"
-	OnceMaybe  = "maybe"
-	OnceFree   = "free"
+	OnceIntent    = "intent"
+	OnceDone      = "done"
+	OnceUncertain = "maybe"
+	OnceReleased  = "free"
 )
 
 // Member is a node that holds, or held, a term.
@@ -276,7 +276,7 @@
 	// Past has the earlier lives, all of which have surely ended. A life that is
 	// neither here nor the present one is not known to have ended: the news may
 	// be older than that life.
-	Past []string `msgpack:"a" json:"-"`
+	PastIncarnations []string `msgpack:"a" json:"-"`
 }
 
 // HasEnded reports whether a life of the member is known to have ended.
@@ -284,24 +284,24 @@
 	if m.Incarnation == incarnation {
 		return m.Ended
 	}
-	return slices.Contains(m.Past, incarnation)
+	return slices.Contains(m.PastIncarnations, incarnation)
 }
 
 // Holder names a member's incarnation as a holder of shares.
 func (m Member) Holder() string { return m.ID + "/" + m.Incarnation }
 
 // Configured is the agreed configuration.
-type Configured struct {
+type CurrentConfiguration struct {
 	Version uint64 `msgpack:"v"`
 	Text    []byte `msgpack:"t"`
 	Digest  string `msgpack:"d"`
 	// Past is what a former version kept of accepted orders. It is read and no
 	// longer written.
-	Past []Handed `msgpack:"p"`
+	Past []PastConfiguration `msgpack:"p"`
 }
 
 // Handed is one description that was agreed.
-type Handed struct {
+type PastConfiguration struct {
 	Version uint64 `msgpack:"v"`
 	Digest  string `msgpack:"d"`
 }
@@ -319,89 +319,89 @@
 }
 
 // Seat names a core's incarnation as a seat of groups.
-func (c Core) Seat() string { return c.ID + "." + c.Incarnation }
+func (c Core) MemberID() string { return c.ID + "." + c.Incarnation }
 
 // Messages between processes.
 type (
 	// PartMessage goes from seat to seat of a part.
-	PartMessage struct {
-		Part int    `msgpack:"Part"`
-		From string `msgpack:"From"`
-		To   string `msgpack:"To"`
-		Raw  []byte `msgpack:"Raw"`
+	ReplicaMessage struct {
+		Partition int    `msgpack:"Part"`
+		From      string `msgpack:"From"`
+		To        string `msgpack:"To"`
+		Raw       []byte `msgpack:"Raw"`
 	}
 	// Command asks a part's owner to run a command.
 	Command struct {
-		ID   uint64 `msgpack:"ID"`
-		Part int    `msgpack:"Part"`
-		Raw  []byte `msgpack:"Raw"`
+		ID        uint64 `msgpack:"ID"`
+		Partition int    `msgpack:"Part"`
+		Raw       []byte `msgpack:"Raw"`
 	}
 	// CommandReturn answers it.
-	CommandReturn struct {
-		ID     uint64 `msgpack:"ID"`
-		Part   int    `msgpack:"Part"`
-		Raw    []byte `msgpack:"Raw"`
-		Unsure bool   `msgpack:"Unsure"`
-		Moved  bool   `msgpack:"Moved"`
-		Hint   string `msgpack:"Hint"`
+	CommandResult struct {
+		ID         uint64 `msgpack:"ID"`
+		Partition  int    `msgpack:"Part"`
+		Raw        []byte `msgpack:"Raw"`
+		Uncertain  bool   `msgpack:"Unsure"`
+		NotLeader  bool   `msgpack:"Moved"`
+		LeaderHint string `msgpack:"Hint"`
 	}
 	// Pull asks for all news after a vector of versions.
-	Pull struct {
-		Versions map[int]partition.Version `msgpack:"Versions"`
-		Member   string                    `msgpack:"Member"`
-		Want     bool                      `msgpack:"Want"`
+	PullUpdates struct {
+		Versions     map[int]partition.Version `msgpack:"Versions"`
+		Member       string                    `msgpack:"Member"`
+		WantTopology bool                      `msgpack:"Want"`
 		// Fresh asks the configuration's owner to say how new the news is.
-		Fresh bool          `msgpack:"Fresh"`
-		Sent  time.Duration `msgpack:"Sent"`
+		WantFreshness bool          `msgpack:"Fresh"`
+		SentAt        time.Duration `msgpack:"Sent"`
 	}
 	// Fresh says up to where the configuration goes, and how old that knowledge
 	// is. It lets a new life of a node know that it has missed nothing.
-	Fresh struct {
-		Sent time.Duration     `msgpack:"Sent"`
-		Age  time.Duration     `msgpack:"Age"`
-		Upto partition.Version `msgpack:"Upto"`
+	Freshness struct {
+		SentAt time.Duration     `msgpack:"Sent"`
+		Age    time.Duration     `msgpack:"Age"`
+		UpTo   partition.Version `msgpack:"Upto"`
 	}
 	// News answers it, a part at a time.
-	News struct {
-		Part    int               `msgpack:"Part"`
-		After   partition.Version `msgpack:"After"`
-		Upto    partition.Version `msgpack:"Upto"`
-		Whole   bool              `msgpack:"Whole"`
-		Entries []partition.Entry `msgpack:"Entries"`
+	Update struct {
+		Partition int               `msgpack:"Part"`
+		After     partition.Version `msgpack:"After"`
+		UpTo      partition.Version `msgpack:"Upto"`
+		Snapshot  bool              `msgpack:"Whole"`
+		Entries   []partition.Entry `msgpack:"Entries"`
 	}
 	// Topology is who the cores are and who owns which part.
 	Topology struct {
-		Fleet  string            `msgpack:"Fleet" json:"Fleet"`
-		Cores  map[string]Core   `msgpack:"Cores" json:"Cores"`
-		Groups []partition.Group `msgpack:"Groups" json:"Groups"`
-		Owners []partition.Term  `msgpack:"Owners" json:"Owners"`
+		Fleet   string            `msgpack:"Fleet" json:"Fleet"`
+		Cores   map[string]Core   `msgpack:"Cores" json:"Cores"`
+		Groups  []partition.Group `msgpack:"Groups" json:"Groups"`
+		Leaders []partition.Term  `msgpack:"Owners" json:"Owners"`
 		// Size is how many seats a group is to have.
-		Size int `msgpack:"Size" json:"Size"`
+		GroupSize int `msgpack:"Size" json:"Size"`
 	}
 )
 
 // Keys of entries.
 const (
-	ConfigurationPart = 0
-	configurationKey  = "configuration"
-	floorKey          = "floor"
-	breakerKey        = "breaker"
-	breakerBooks      = "books/breaker"
-	corePrefix        = "core/"
-	outlivedPrefix    = "outlived/"
-	memberPrefix      = "member/"
-	programPrefix     = "program/"
-	oncePrefix        = "once/"
+	ConfigurationPartition = 0
+	configurationKey       = "configuration"
+	versionFloorKey        = "floor"
+	breakerSummaryKey      = "breaker"
+	breakerStateKey        = "books/breaker"
+	corePrefix             = "core/"
+	supersededPrefix       = "outlived/"
+	memberPrefix           = "member/"
+	programPrefix          = "program/"
+	oncePrefix             = "once/"
 )
 
 // NewsPrefixes are the kinds of entries that nodes pull.
-var NewsPrefixes = []string{configurationKey, breakerKey, memberPrefix, corePrefix, TableKey}
+var UpdatePrefixes = []string{configurationKey, breakerSummaryKey, memberPrefix, corePrefix, TableKey}
 
 // PartOf is the part that a name belongs to: configuration and cores have one
 // of their own, all else goes by hash of the name's first segments.
-func PartOf(parts int, segments ...string) int {
+func PartitionOf(parts int, segments ...string) int {
 	if segments[0] == configurationKey || parts < 2 {
-		return ConfigurationPart
+		return ConfigurationPartition
 	}
 	h := fnv.New64a()
 	h.Write([]byte(strings.Join(segments, "/")))
@@ -409,49 +409,49 @@
 }
 
 // Target is the part that a command is for.
-func Target(parts int, command any) int {
+func TargetPartition(parts int, command any) int {
 	switch c := command.(type) {
 	case JoinMember:
-		return PartOf(parts, "member", c.Member.ID)
+		return PartitionOf(parts, "member", c.Member.ID)
 	case RenewMember:
-		return PartOf(parts, "member", c.ID)
+		return PartitionOf(parts, "member", c.ID)
 	case LeaveMember:
-		return PartOf(parts, "member", c.ID)
+		return PartitionOf(parts, "member", c.ID)
 	case OpenUser:
-		return PartOf(parts, "user", c.Tenant, c.User)
+		return PartitionOf(parts, "user", c.Tenant, c.User)
 	case ChargeUser:
-		return PartOf(parts, "user", c.Tenant, c.User)
+		return PartitionOf(parts, "user", c.Tenant, c.User)
 	case OpenProgram:
-		return PartOf(parts, "program", c.Record.Tenant, c.Record.ID)
+		return PartitionOf(parts, "program", c.Record.Tenant, c.Record.ID)
 	case ClaimProgram:
-		return PartOf(parts, "program", c.Tenant, c.ID)
+		return PartitionOf(parts, "program", c.Tenant, c.ID)
 	case SaveProgram:
-		return PartOf(parts, "program", c.Record.Tenant, c.Record.ID)
-	case HandProgram:
-		return PartOf(parts, "program", c.Tenant, c.ID)
-	case ShareTenant:
-		return PartOf(parts, "tenant", c.Tenant)
-	case ShareRates:
-		return PartOf(parts, "tenant", c.Rates[0].Tenant)
-	case DrawBreaker, AdmitTest, ResultTest:
-		return PartOf(parts, "breaker")
+		return PartitionOf(parts, "program", c.Record.Tenant, c.Record.ID)
+	case HandOverProgram:
+		return PartitionOf(parts, "program", c.Tenant, c.ID)
+	case DrawAllowance:
+		return PartitionOf(parts, "tenant", c.Tenant)
+	case DrawAllowances:
+		return PartitionOf(parts, "tenant", c.Draws[0].Tenant)
+	case DrawBreaker, AdmitProbe, ReportProbe:
+		return PartitionOf(parts, "breaker")
 	case ClaimOnce:
-		return PartOf(parts, "once", c.Tenant, c.Service, c.Key)
+		return PartitionOf(parts, "once", c.Tenant, c.Service, c.Key)
 	case EndOnce:
-		return PartOf(parts, "once", c.Tenant, c.Service, c.Key)
+		return PartitionOf(parts, "once", c.Tenant, c.Service, c.Key)
 	case ReadEntries:
-		return c.Part
-	case ReadLocked:
-		return c.Part
-	case ChangeSeat:
-		return c.Part
-	case ReadSeats:
-		return c.Part
-	case SetFloor:
-		return c.Part
-	}
-	if n, ok := relayTarget(parts, command); ok {
+		return c.Partition
+	case ReadLockedUsers:
+		return c.Partition
+	case ChangeGroup:
+		return c.Partition
+	case ReadGroup:
+		return c.Partition
+	case SetVersionFloor:
+		return c.Partition
+	}
+	if n, ok := relayTargetPartition(parts, command); ok {
 		return n
 	}
-	return ConfigurationPart
+	return ConfigurationPartition
 }
--- a/peer/core/ops_cores.go
+++ b/peer/core/ops_cores.go
@@ -8,10 +8,10 @@
 	}
 	// ChangeSeat moves a part's group: one seat comes, one goes, either may be
 	// empty. It is asked again until the answer is OK.
-	ChangeSeat struct {
-		Part   int    `msgpack:"Part"`
-		Add    string `msgpack:"Add"`
-		Remove string `msgpack:"Remove"`
+	ChangeGroup struct {
+		Partition int    `msgpack:"Part"`
+		Add       string `msgpack:"Add"`
+		Remove    string `msgpack:"Remove"`
 	}
 )
 
@@ -20,15 +20,15 @@
 type (
 	// Present says who a core is and where. It is answered with a Topology by
 	// whoever knows the fleet.
-	Present struct {
+	AnnounceCore struct {
 		Core Core `msgpack:"Core"`
 		// Cold says that the core may found a fleet.
-		Cold bool `msgpack:"Cold"`
+		MayFound bool `msgpack:"Cold"`
 		// Fleet is empty as long as the core belongs to none.
 		Fleet string `msgpack:"Fleet"`
 		// Known is the digest of the topology that the core knows, so that it need
 		// not be told what it has; zero: it does not say.
-		Known uint64 `msgpack:"Known"`
+		KnownDigest uint64 `msgpack:"Known"`
 	}
 	// FoundFleet makes cores that belong to no fleet, and are allowed to, a new
 	// one. Those that are founded pass it on.
@@ -42,23 +42,23 @@
 	}
 	// Retiring answers it: whether there is such a core, whether enough others
 	// remain, and whether it is marked now.
-	Retiring struct {
-		Known  bool `msgpack:"Known"`
-		Enough bool `msgpack:"Enough"`
-		Done   bool `msgpack:"Done"`
+	RetireCoreResult struct {
+		Found        bool `msgpack:"Known"`
+		EnoughRemain bool `msgpack:"Enough"`
+		Done         bool `msgpack:"Done"`
 	}
 	// CoreEnded answers a PutCore of a retired core, or of an incarnation that has
 	// a successor, with what is known.
-	CoreEnded struct {
+	PutCoreRejected struct {
 		Core Core `msgpack:"Core"`
 	}
 	// ReadSeats asks a part's owner for its agreed group.
-	ReadSeats struct {
-		Part int `msgpack:"Part"`
+	ReadGroup struct {
+		Partition int `msgpack:"Part"`
 	}
 	// Seated answers it.
-	Seats struct {
-		Seats  []string `msgpack:"Seats"`
-		Former []string `msgpack:"Former"`
+	GroupMembers struct {
+		Members []string `msgpack:"Seats"`
+		Former  []string `msgpack:"Former"`
 	}
 )
--- a/peer/core/orders.go
+++ b/peer/core/orders.go
@@ -17,13 +17,13 @@
 const (
 	acceptedPrefix = "accepted/"
 	// Kinds of orders. Their numbers are independent of each other.
-	tableOrder       = "table/"
-	descriptionOrder = "description/"
+	tableOrder         = "table/"
+	configurationOrder = "description/"
 )
 
 // defaultOrderKeep is how long an accepted order is known again, on the clock of
 // the configuration's partition.
-const defaultOrderKeep = 24 * time.Hour
+const defaultOrderRetention = 24 * time.Hour
 
 // orderID tells one order from all others.
 type orderID struct {
@@ -45,11 +45,11 @@
 	Until  time.Duration `msgpack:"u"`
 }
 
-func (p Params) orderKeep() time.Duration {
-	if p.OrderKeep > 0 {
-		return p.OrderKeep
+func (p Params) orderRetention() time.Duration {
+	if p.OrderRetention > 0 {
+		return p.OrderRetention
 	}
-	return defaultOrderKeep
+	return defaultOrderRetention
 }
 
 // wasAccepted reports whether this very order was accepted before: whether it has
@@ -61,41 +61,41 @@
 
 // recordAccepted makes orders known again.
 func (r *rules) recordAccepted(tx *partition.Tx, orders ...orderID) {
-	until := tx.Clock() + r.params.orderKeep()
+	until := tx.Clock() + r.params.orderRetention()
 	for _, order := range orders {
 		write(tx, order.key(), acceptedOrder{Base: order.base, Digest: order.digest, Until: until})
-		r.ends.add(order.key(), until)
+		r.expiries.add(order.key(), until)
 	}
 }
 
 // agreeTable puts a routing table in force if it builds on the one that is.
-func (r *rules) agreeTable(tx *partition.Tx, c AgreeTable) any {
+func (r *rules) acceptTable(tx *partition.Tx, c AcceptTable) any {
 	order := orderID{kind: tableOrder, base: c.Base, number: c.Number, digest: c.Digest}
-	current, _ := read[AgreedTable](tx, TableKey)
+	current, _ := read[CurrentTable](tx, TableKey)
 	past := current.past()
 	if wasAccepted(tx, order, past) {
-		return TableAgreed{OK: true, Number: c.Number}
+		return AcceptTableResult{OK: true, Number: c.Number}
 	}
 	if current.Number != c.Base || c.Number <= current.Number {
-		return TableAgreed{Number: current.Number}
+		return AcceptTableResult{Number: current.Number}
 	}
 	r.recordAccepted(tx, append(past, order)...)
-	write(tx, TableKey, AgreedTable{Number: c.Number, Text: c.Text, Digest: c.Digest})
-	return TableAgreed{OK: true, Number: c.Number}
+	write(tx, TableKey, CurrentTable{Number: c.Number, Text: c.Text, Digest: c.Digest})
+	return AcceptTableResult{OK: true, Number: c.Number}
 }
 
 // findOrder tells whether an order was accepted, and which table is in force.
-func findOrder(tx *partition.Tx, c FindOrder) TableAgreed {
-	current, _ := read[AgreedTable](tx, TableKey)
+func findOrder(tx *partition.Tx, c FindOrder) AcceptTableResult {
+	current, _ := read[CurrentTable](tx, TableKey)
 	order := orderID{kind: tableOrder, base: c.Base, number: c.Number, digest: c.Digest}
 	if wasAccepted(tx, order, current.past()) {
-		return TableAgreed{OK: true, Number: c.Number}
+		return AcceptTableResult{OK: true, Number: c.Number}
 	}
-	return TableAgreed{Number: current.Number}
+	return AcceptTableResult{Number: current.Number}
 }
 
 // past are the orders in the list that a former version kept.
-func (t AgreedTable) past() (orders []orderID) {
+func (t CurrentTable) past() (orders []orderID) {
 	for _, one := range t.Past {
 		orders = append(orders, orderID{kind: tableOrder, base: one.Base, number: one.Number, digest: one.Digest})
 	}
@@ -103,25 +103,25 @@
 }
 
 // agreeDescription puts a description in force if it builds on the one that is.
-func (r *rules) agreeDescription(tx *partition.Tx, c AgreeConfiguration) any {
-	order := orderID{kind: descriptionOrder, base: c.BasedOn, number: c.BasedOn + 1, digest: c.Digest}
-	current, _ := read[Configured](tx, configurationKey)
+func (r *rules) acceptConfiguration(tx *partition.Tx, c AcceptConfiguration) any {
+	order := orderID{kind: configurationOrder, base: c.BasedOn, number: c.BasedOn + 1, digest: c.Digest}
+	current, _ := read[CurrentConfiguration](tx, configurationKey)
 	past := current.past()
 	if wasAccepted(tx, order, past) {
-		return Agreed{Agreed: true, Version: order.number}
+		return AcceptConfigurationResult{Accepted: true, Version: order.number}
 	}
 	if current.Version != c.BasedOn {
-		return Agreed{Version: current.Version}
+		return AcceptConfigurationResult{Version: current.Version}
 	}
 	r.recordAccepted(tx, append(past, order)...)
-	write(tx, configurationKey, Configured{Version: order.number, Text: c.Text, Digest: c.Digest})
-	return Agreed{Agreed: true, Version: order.number}
+	write(tx, configurationKey, CurrentConfiguration{Version: order.number, Text: c.Text, Digest: c.Digest})
+	return AcceptConfigurationResult{Accepted: true, Version: order.number}
 }
 
 // past are the orders in the list that a former version kept.
-func (c Configured) past() (orders []orderID) {
+func (c CurrentConfiguration) past() (orders []orderID) {
 	for _, one := range c.Past {
-		orders = append(orders, orderID{kind: descriptionOrder, base: one.Version - 1, number: one.Version, digest: one.Digest})
+		orders = append(orders, orderID{kind: configurationOrder, base: one.Version - 1, number: one.Version, digest: one.Digest})
 	}
 	return orders
 }
--- a/peer/core/orders_test.go
+++ b/peer/core/orders_test.go
@@ -10,45 +10,45 @@
 )
 
 // order is a routing table's number with a body of its own.
-func order(base, number uint64) AgreeTable {
-	return AgreeTable{Base: base, Number: number, Text: fmt.Appendf(nil, `{"number":%d}`, number), Digest: fmt.Sprint("digest of ", number)}
+func numberedTable(base, number uint64) AcceptTable {
+	return AcceptTable{Base: base, Number: number, Text: fmt.Appendf(nil, `{"number":%d}`, number), Digest: fmt.Sprint("digest of ", number)}
 }
 
 // TestAcceptedOrderIsKnownAfterHundredsOfOthers: an order whose answer was lost
 // is acknowledged when it comes again, however many came after it, until its
 // time is over; another one under its number is refused all the while.
 func TestAcceptedOrderIsKnownAfterHundredsOfOthers(t *testing.T) {
-	a := newAlone(t)
+	a := newSingleCore(t)
 	const orders = 400
 	for number := uint64(1); number <= orders; number++ {
-		if got := a.run(order(number-1, number)).(TableAgreed); !got.OK {
+		if got := a.run(numberedTable(number-1, number)).(AcceptTableResult); !got.OK {
 			t.Fatalf("order %d: %+v", number, got)
 		}
 	}
 	for number := uint64(1); number <= orders; number += 7 {
-		find := FindOrder{Base: number - 1, Number: number, Digest: order(0, number).Digest}
-		if got := a.run(find).(TableAgreed); !got.OK || got.Number != number {
+		find := FindOrder{Base: number - 1, Number: number, Digest: numberedTable(0, number).Digest}
+		if got := a.run(find).(AcceptTableResult); !got.OK || got.Number != number {
 			t.Fatalf("order %d is not found: %+v", number, got)
 		}
 		for _, other := range []FindOrder{{Base: number, Number: number, Digest: find.Digest}, {Base: number - 1, Number: number, Digest: "another"}, {Base: orders, Number: orders + 1, Digest: "none"}} {
-			if got := a.run(other).(TableAgreed); got.OK || got.Number != orders {
+			if got := a.run(other).(AcceptTableResult); got.OK || got.Number != orders {
 				t.Fatalf("order %+v is found: %+v", other, got)
 			}
 		}
-		if got := a.run(order(number-1, number)).(TableAgreed); !got.OK || got.Number != number {
+		if got := a.run(numberedTable(number-1, number)).(AcceptTableResult); !got.OK || got.Number != number {
 			t.Fatalf("order %d came again: %+v", number, got)
 		}
-		other := order(number-1, number)
+		other := numberedTable(number-1, number)
 		other.Digest = "another"
-		if got := a.run(other).(TableAgreed); got.OK {
+		if got := a.run(other).(AcceptTableResult); got.OK {
 			t.Fatalf("another order under number %d was acknowledged", number)
 		}
-		onAnother := order(number, number)
-		if got := a.run(onAnother).(TableAgreed); got.OK {
+		onAnother := numberedTable(number, number)
+		if got := a.run(onAnother).(AcceptTableResult); got.OK {
 			t.Fatalf("order %d on another base was acknowledged", number)
 		}
 	}
-	if got := a.run(ReadTable{}).(AgreedTable); got.Number != orders {
+	if got := a.run(ReadTable{}).(CurrentTable); got.Number != orders {
 		t.Fatalf("in force is %d", got.Number)
 	}
 }
@@ -56,17 +56,17 @@
 // TestAcceptedDescriptionIsKnownAfterHundredsOfOthers is the same for whole
 // descriptions.
 func TestAcceptedDescriptionIsKnownAfterHundredsOfOthers(t *testing.T) {
-	a := newAlone(t)
+	a := newSingleCore(t)
 	const orders = 200
 	for base := uint64(0); base < orders; base++ {
-		if got := a.run(AgreeConfiguration{BasedOn: base, Text: []byte("{}"), Digest: fmt.Sprint(base)}).(Agreed); !got.Agreed {
+		if got := a.run(AcceptConfiguration{BasedOn: base, Text: []byte("{}"), Digest: fmt.Sprint(base)}).(AcceptConfigurationResult); !got.Accepted {
 			t.Fatalf("order on %d: %+v", base, got)
 		}
 	}
-	if got := a.run(AgreeConfiguration{BasedOn: 3, Text: []byte("{}"), Digest: "3"}).(Agreed); !got.Agreed || got.Version != 4 {
+	if got := a.run(AcceptConfiguration{BasedOn: 3, Text: []byte("{}"), Digest: "3"}).(AcceptConfigurationResult); !got.Accepted || got.Version != 4 {
 		t.Fatalf("came again: %+v", got)
 	}
-	if got := a.run(AgreeConfiguration{BasedOn: 3, Text: []byte("{}"), Digest: "another"}).(Agreed); got.Agreed {
+	if got := a.run(AcceptConfiguration{BasedOn: 3, Text: []byte("{}"), Digest: "another"}).(AcceptConfigurationResult); got.Accepted {
 		t.Fatal("another one on the same base was acknowledged")
 	}
 }
@@ -75,19 +75,19 @@
 // and the value that every change rewrites does not grow with them.
 func TestAcceptedOrdersAreForgottenInTime(t *testing.T) {
 	const keep = 10 * time.Minute
-	a := newAlone(t, func(p *Params) { p.OrderKeep = keep })
-	size := func() int { return len(a.m.Part(ConfigurationPart).State().Entries[TableKey].Value) }
-	a.run(order(0, 1))
+	a := newSingleCore(t, func(p *Params) { p.OrderRetention = keep })
+	size := func() int { return len(a.m.Part(ConfigurationPartition).State().Entries[TableKey].Value) }
+	a.run(numberedTable(0, 1))
 	first := size()
 	for number := uint64(2); number <= 60; number++ {
-		a.run(order(number-1, number))
+		a.run(numberedTable(number-1, number))
 	}
 	if size() > first+16 {
 		t.Fatalf("the table's entry grew from %d to %d bytes", first, size())
 	}
 	records := func() int {
 		n := 0
-		for key, e := range a.m.Part(ConfigurationPart).State().Entries {
+		for key, e := range a.m.Part(ConfigurationPartition).State().Entries {
 			if !e.Deleted && len(key) > len(acceptedPrefix) && key[:len(acceptedPrefix)] == acceptedPrefix {
 				n++
 			}
@@ -97,11 +97,11 @@
 	if records() != 60 {
 		t.Fatalf("%d records of 60 orders", records())
 	}
-	a.pass(keep - time.Minute)
+	a.advance(keep - time.Minute)
 	if records() != 60 {
 		t.Fatalf("%d records are left before their time", records())
 	}
-	a.pass(2 * time.Minute)
+	a.advance(2 * time.Minute)
 	if records() != 0 {
 		t.Fatalf("%d records are left after their time", records())
 	}
@@ -110,29 +110,29 @@
 // TestOrdersOfAFormerVersionAreKnown: the list that a former version kept inside
 // the table's entry is read, and goes over into records with the next order.
 func TestOrdersOfAFormerVersionAreKnown(t *testing.T) {
-	founder := newAlone(t)
+	founder := newSingleCore(t)
 	founding := founder.m.Founding()
 	stored := Stored{Incarnation: "1"}
 	stored.Apply(Change{Founding: &founding})
-	copied := stored.Copies[ConfigurationPart]
+	copied := stored.Replicas[ConfigurationPartition]
 	version := partition.Version{Term: partition.Term{Round: 1, Leader: "c.1"}, Seq: 1}
-	table := AgreedTable{Number: 7, Text: []byte(`{"number":7}`), Digest: "seven", Past: []HandedNumber{{Base: 0, Number: 4, Digest: "four"}, {Base: 4, Number: 7, Digest: "seven"}}}
+	table := CurrentTable{Number: 7, Text: []byte(`{"number":7}`), Digest: "seven", Past: []PastTable{{Base: 0, Number: 4, Digest: "four"}, {Base: 4, Number: 7, Digest: "seven"}}}
 	copied.Entries = map[string]partition.Entry{TableKey: {Key: TableKey, Value: message.Marshal(table), Version: version}}
 	copied.Promised, copied.Base = version.Term, version.Term
-	stored.Copies[ConfigurationPart] = copied
-	a := &alone{t: t, got: map[uint64]CommandReturn{}}
+	stored.Replicas[ConfigurationPartition] = copied
+	a := &singleCore{t: t, results: map[uint64]CommandResult{}}
 	a.m = New(Options{Params: founder.m.params, ID: "c", Address: "c", Stored: stored, Random: func() float64 { return 0.5 }})
-	a.pass(3 * time.Second)
+	a.advance(3 * time.Second)
 	known := func() {
 		t.Helper()
 		for _, past := range table.Past {
-			if got := a.run(AgreeTable{Base: past.Base, Number: past.Number, Digest: past.Digest}).(TableAgreed); !got.OK || got.Number != past.Number {
+			if got := a.run(AcceptTable{Base: past.Base, Number: past.Number, Digest: past.Digest}).(AcceptTableResult); !got.OK || got.Number != past.Number {
 				t.Fatalf("order %d: %+v", past.Number, got)
 			}
 		}
 	}
 	known()
-	if got := a.run(order(7, 9)).(TableAgreed); !got.OK {
+	if got := a.run(numberedTable(7, 9)).(AcceptTableResult); !got.OK {
 		t.Fatalf("the next order: %+v", got)
 	}
 	known()
--- a/peer/core/place.go
+++ b/peer/core/place.go
@@ -119,7 +119,7 @@
 			return 1
 		})
 		for _, i := range members {
-			groups[n] = append(groups[n], cores[i].Seat())
+			groups[n] = append(groups[n], cores[i].MemberID())
 		}
 	}
 	return groups
@@ -131,7 +131,7 @@
 	home := make([]string, len(groups))
 	for n, seats := range groups {
 		for _, s := range seats {
-			if home[n] == "" || weight("home", n, SeatID(s)) > weight("home", n, SeatID(home[n])) {
+			if home[n] == "" || weight("home", n, CoreID(s)) > weight("home", n, CoreID(home[n])) {
 				home[n] = s
 			}
 		}
@@ -164,17 +164,17 @@
 
 // gone is after how long a core that was not heard from counts as silent.
 func (m *Machine) gone() time.Duration {
-	if m.params.Gone > 0 {
-		return m.params.Gone
+	if m.params.GoneAfter > 0 {
+		return m.params.GoneAfter
 	}
-	return 3 * m.params.MemberTerm
+	return 3 * m.params.MemberLease
 }
 
 // beat is how often cores say that they live.
-func (m *Machine) beat() time.Duration { return min(m.params.MemberTerm/4, m.gone()/8) }
+func (m *Machine) beat() time.Duration { return min(m.params.MemberLease/4, m.gone()/8) }
 
 // steady is how long a core that was silent must be heard before it counts again.
-func (m *Machine) steady() time.Duration { return min(m.params.MemberTerm, m.gone()) / 4 }
+func (m *Machine) steady() time.Duration { return min(m.params.MemberLease, m.gone()) / 4 }
 
 // heard is when a core was last heard, and since when after a silence.
 type heard struct{ last, since time.Duration }
@@ -197,7 +197,7 @@
 }
 
 func (m *Machine) silent(now time.Duration, seat string) bool {
-	if seat == m.self.Seat() {
+	if seat == m.self.MemberID() {
 		return false
 	}
 	h := m.heard[seat]
@@ -207,7 +207,7 @@
 func (m *Machine) silentCores(now time.Duration) map[string]bool {
 	silent := map[string]bool{}
 	for id, c := range m.cores {
-		if m.silent(now, c.Seat()) {
+		if m.silent(now, c.MemberID()) {
 			silent[id] = true
 		}
 	}
@@ -217,7 +217,7 @@
 // lively reports whether a seat was heard of just now.
 func (m *Machine) lively(now time.Duration, seat string) bool {
 	h, ok := m.heard[seat]
-	return seat == m.self.Seat() || (ok && now-h.last < 3*m.beat())
+	return seat == m.self.MemberID() || (ok && now-h.last < 3*m.beat())
 }
 
 // Reasons for a seat to leave a group, the strongest first.
@@ -231,9 +231,9 @@
 
 // leaves tells whether, and how urgently, a seat should leave a group.
 func (m *Machine) leaves(now time.Duration, seat string, wanted []string) int {
-	c, ok := m.cores[SeatID(seat)]
+	c, ok := m.cores[CoreID(seat)]
 	switch {
-	case ok && c.Seat() != seat:
+	case ok && c.MemberID() != seat:
 		return seatDead
 	case c.Retired:
 		return seatRetired
@@ -271,7 +271,7 @@
 		}
 		if adding, changing := p.ChangeInProgress(); changing {
 			if adding != "" && (!m.lively(now, adding) || m.leaves(now, adding, nil) < seatSilent) {
-				m.take(now, n, p.AbortChange(now))
+				m.handleOutput(now, n, p.AbortChange(now))
 			}
 			continue
 		}
@@ -283,15 +283,15 @@
 		add, remove := m.step(now, group, wanted)
 		switch {
 		case add != "" || remove != "":
-			ticket := m.tickets.Keep(origin{handled: func(now time.Duration, r partition.Result) {
+			ticket := m.tickets.Keep(commandOrigin{onResult: func(now time.Duration, r partition.Result) {
 				if r.Body != true {
-					m.movedAt[n] = now + m.params.Part.LeaseDuration
+					m.movedAt[n] = now + m.params.Partition.LeaseDuration
 				}
 			}})
-			m.take(now, n, p.ChangeMembers(now, uint64(ticket), add, remove))
+			m.handleOutput(now, n, p.ChangeMembers(now, uint64(ticket), add, remove))
 		case len(wanted) > 0 && wanted[0] != group[0] && slices.Contains(group, wanted[0]) && m.lively(now, wanted[0]):
 			i := slices.Index(group, wanted[0])
-			m.take(now, n, p.ReorderMembers(now, append([]string{wanted[0]}, slices.Delete(slices.Clone(group), i, i+1)...)))
+			m.handleOutput(now, n, p.ReorderMembers(now, append([]string{wanted[0]}, slices.Delete(slices.Clone(group), i, i+1)...)))
 		}
 	}
 }
@@ -307,7 +307,7 @@
 		healthy = healthy && m.lively(now, s)
 	}
 	for _, s := range wanted {
-		if !slices.Contains(group, s) && m.lively(now, s) && (add == "" || SeatID(s) == SeatID(remove)) {
+		if !slices.Contains(group, s) && m.lively(now, s) && (add == "" || CoreID(s) == CoreID(remove)) {
 			add = s
 		}
 	}
--- a/peer/core/relay_test.go
+++ b/peer/core/relay_test.go
@@ -12,45 +12,45 @@
 // TestKeptTurnLastsAndGoes: a kept turn is there for its time, longer where it was
 // prolonged, for its own tenant only, and then it is gone and takes no room.
 func TestKeptTurnLastsAndGoes(t *testing.T) {
-	a := newAlone(t)
+	a := newSingleCore(t)
 	keep := 20 * time.Second
 	for i := 0; i < 20; i++ {
-		a.run(KeepTurn{Tenant: "t", Attempt: fmt.Sprint("k", i), Before: []string{"x"}, Input: []byte("in"), Output: []byte("out"), Keep: keep})
+		a.run(StoreTurn{Tenant: "t", Attempt: fmt.Sprint("k", i), Previous: []string{"x"}, Input: []byte("in"), Output: []byte("out"), Retention: keep})
 	}
 	// Repeated with other bytes: the first stands.
-	a.run(KeepTurn{Tenant: "t", Attempt: "k0", Input: []byte("other"), Keep: keep})
-	found := func(tenant, attempt string) KeptTurn {
-		return a.run(ReadTurn{Tenant: tenant, Attempt: attempt}).(KeptTurn)
+	a.run(StoreTurn{Tenant: "t", Attempt: "k0", Input: []byte("other"), Retention: keep})
+	found := func(tenant, attempt string) ReadTurnResult {
+		return a.run(ReadTurn{Tenant: tenant, Attempt: attempt}).(ReadTurnResult)
 	}
-	if k := found("t", "k0"); !k.Found || string(k.Input) != "in" || string(k.Output) != "out" || len(k.Before) != 1 || k.Left > keep {
+	if k := found("t", "k0"); !k.Found || string(k.Input) != "in" || string(k.Output) != "out" || len(k.Previous) != 1 || k.Left > keep {
 		t.Fatalf("%+v", k)
 	}
 	if found("other", "k0").Found || found("t", "none").Found {
 		t.Fatal("another tenant's, or none, is found")
 	}
-	if other, none := found("other", "k0").Absence, found("t", "none").Absence; other != Foreign || none != NeverKept {
+	if other, none := found("other", "k0").Absence, found("t", "none").Absence; other != OtherTenant || none != NotStored {
 		t.Fatalf("another tenant's is absent as %q, one that never was as %q", other, none)
 	}
-	a.pass(15 * time.Second)
-	if d := a.run(ProlongTurn{Tenant: "t", Attempt: "k1", Keep: keep}).(Done); !d.OK {
+	a.advance(15 * time.Second)
+	if d := a.run(ExtendTurn{Tenant: "t", Attempt: "k1", Retention: keep}).(Done); !d.OK {
 		t.Fatal("not prolonged")
 	}
-	if a.run(ProlongTurn{Tenant: "other", Attempt: "k2", Keep: keep}).(Done).OK || a.run(ProlongTurn{Tenant: "t", Attempt: "none", Keep: keep}).(Done).OK {
+	if a.run(ExtendTurn{Tenant: "other", Attempt: "k2", Retention: keep}).(Done).OK || a.run(ExtendTurn{Tenant: "t", Attempt: "none", Retention: keep}).(Done).OK {
 		t.Fatal("prolonged what is not there")
 	}
-	a.pass(4 * time.Second)
+	a.advance(4 * time.Second)
 	if !found("t", "k0").Found {
 		t.Fatal("gone before its time")
 	}
-	a.pass(12 * time.Second)
+	a.advance(12 * time.Second)
 	if !found("t", "k1").Found {
 		t.Fatal("a prolonged turn is gone before its time")
 	}
-	a.pass(time.Minute)
+	a.advance(time.Minute)
 	left := 0
 	for n := 0; n < 4; n++ {
 		for key, e := range a.m.Part(n).State().Entries {
-			if !e.Deleted && len(key) > len(keptPrefix) && key[:len(keptPrefix)] == keptPrefix {
+			if !e.Deleted && len(key) > len(turnPrefix) && key[:len(turnPrefix)] == turnPrefix {
 				left++
 			}
 		}
@@ -66,9 +66,9 @@
 // TestBooksOfAProgram by the commands: side by side, repeated, late, and gone
 // after their time.
 func TestBooksOfAProgram(t *testing.T) {
-	a := newAlone(t)
+	a := newSingleCore(t)
 	reserve := func(attempt string, most int64) bool {
-		return a.run(ReserveTurn{Tenant: "t", Program: "p", Attempt: attempt, Most: most, Budget: 100, Keep: 30 * time.Second}).(TurnReserved).OK
+		return a.run(ReserveTurn{Tenant: "t", Program: "p", Attempt: attempt, MaxTokens: most, Budget: 100, Retention: 30 * time.Second}).(ReserveTurnResult).OK
 	}
 	settle := func(attempt string, tokens int64) {
 		a.run(SettleTurn{Tenant: "t", Program: "p", Attempt: attempt, Tokens: tokens})
@@ -90,7 +90,7 @@
 	if !reserve("c", 90) {
 		t.Fatal("what never ran is charged")
 	}
-	a.pass(2 * time.Minute)
+	a.advance(2 * time.Minute)
 	if !reserve("d", 100) {
 		t.Fatal("books are kept for ever")
 	}
@@ -99,12 +99,12 @@
 // TestRateOverATakeover: whoever takes the part over knows what was spent, goes on
 // with what holders have, and never grants beyond the window.
 func TestRateOverATakeover(t *testing.T) {
-	a := newAlone(t)
-	n := RatePart(4, "t")
+	a := newSingleCore(t)
+	n := RatePartition(4, "t")
 	limit := rate.Limit{Window: 5 * time.Second, Max: 40}
 	draw := func(d rate.DrawRequest) rate.DrawResponse {
 		d.Limit, d.LeaseDuration = limit, 2500*time.Millisecond
-		return a.run(DrawRates{Part: n, Draws: []TenantDraw{{Tenant: "t", Draw: d}}}).(RatesDrawn).Drawn[0]
+		return a.run(DrawRates{Partition: n, Draws: []TenantDraw{{Tenant: "t", Request: d}}}).(DrawRatesResult).Responses[0]
 	}
 	if got := draw(rate.DrawRequest{Holder: "x", Want: 30}); got.Granted != 30 {
 		t.Fatalf("%+v", got)
@@ -114,15 +114,15 @@
 	for number := 0; number < 4; number++ {
 		copies[number] = a.m.Part(number).State()
 	}
-	a.m = New(Options{Params: a.m.params, ID: "c", Address: "c", Stored: Stored{Incarnation: "1", Founding: a.m.founding, Copies: copies}, Now: a.now, Random: func() float64 { return 0.5 }})
-	a.pass(time.Second)
+	a.m = New(Options{Params: a.m.params, ID: "c", Address: "c", Stored: Stored{Incarnation: "1", Founding: a.m.founding, Replicas: copies}, Now: a.now, Random: func() float64 { return 0.5 }})
+	a.advance(time.Second)
 	if got := draw(rate.DrawRequest{Holder: "y", Want: 20}); got.Granted > 10 {
 		t.Fatalf("a successor granted %d beside 30 of 40", got.Granted)
 	}
 	if got := draw(rate.DrawRequest{Holder: "x", Granted: 30, Spent: 25, Want: 5}); got.Expired || got.Granted != 30 {
 		t.Fatalf("a holder that goes on: %+v", got)
 	}
-	a.pass(10 * time.Second)
+	a.advance(10 * time.Second)
 	if got := draw(rate.DrawRequest{Holder: "z", Want: 20}); got.Granted != 20 {
 		t.Fatalf("after the window: %+v", got)
 	}
--- a/peer/core/retired_test.go
+++ b/peer/core/retired_test.go
@@ -13,17 +13,17 @@
 // it still has, it keeps up until the group has changed.
 func TestRetiredCoreTakesNoReplica(t *testing.T) {
 	self, leader := Core{ID: "a", Incarnation: "1", Zone: "z", Peer: "a:1"}, Core{ID: "b", Incarnation: "1", Zone: "y", Peer: "b:1"}
-	m := New(Options{Params: newAlone(t).m.params, ID: self.ID, Zone: self.Zone, Address: self.Peer, Stored: Stored{Incarnation: self.Incarnation}, Random: func() float64 { return 0.5 }})
+	m := New(Options{Params: newSingleCore(t).m.params, ID: self.ID, Zone: self.Zone, Address: self.Peer, Stored: Stored{Incarnation: self.Incarnation}, Random: func() float64 { return 0.5 }})
 	founding := Plan("f", 2, 1, []Core{self, leader})
-	founding.Groups = []partition.Group{{Epoch: 1, Members: []string{self.Seat(), leader.Seat()}}, {Epoch: 1, Members: []string{leader.Seat()}}}
+	founding.Groups = []partition.Group{{Epoch: 1, Members: []string{self.MemberID(), leader.MemberID()}}, {Epoch: 1, Members: []string{leader.MemberID()}}}
 	if _, ok := m.Found(0, founding); !ok {
 		t.Fatal("not founded")
 	}
 	takes := func(n int, seq uint64) bool {
 		group := founding.Groups[n]
-		group.Term = partition.Term{Round: 1, Leader: leader.Seat()}
+		group.Term = partition.Term{Round: 1, Leader: leader.MemberID()}
 		write := partition.Write{Term: group.Term, Seq: seq, Group: group, Snapshot: true}
-		o := m.Receive(time.Second, leader.Peer, PartMessage{Part: n, From: leader.Seat(), To: self.Seat(), Raw: message.Pack(write)})
+		o := m.Receive(time.Second, leader.Peer, ReplicaMessage{Partition: n, From: leader.MemberID(), To: self.MemberID(), Raw: message.Pack(write)})
 		return len(o.Changes) > 0
 	}
 	if !takes(0, 1) || !takes(1, 1) {
@@ -31,7 +31,7 @@
 	}
 	retired := self
 	retired.Retired, retired.Version = true, 9
-	m.Receive(time.Second, leader.Peer, Topology{Fleet: "f", Cores: map[string]Core{self.ID: retired}, Owners: make([]partition.Term, 2), Groups: make([]partition.Group, 2)})
+	m.Receive(time.Second, leader.Peer, Topology{Fleet: "f", Cores: map[string]Core{self.ID: retired}, Leaders: make([]partition.Term, 2), Groups: make([]partition.Group, 2)})
 	if takes(1, 2) {
 		t.Error("a retired core takes a replica of a group that it does not belong to")
 	}
@@ -44,11 +44,11 @@
 // keeps a replica, and no longer: its machine may be gone for good.
 func TestRetiredCoresAreNotCalled(t *testing.T) {
 	for _, keeps := range []bool{true, false} {
-		a := newAlone(t)
+		a := newSingleCore(t)
 		retired := Core{ID: "x", Incarnation: "1", Peer: "x:1", Version: 1, Retired: true}
 		a.m.learnCore(retired)
 		if keeps {
-			a.m.groups[1].Former = append(a.m.groups[1].Former, retired.Seat())
+			a.m.groups[1].Former = append(a.m.groups[1].Former, retired.MemberID())
 		}
 		called := false
 		for end := a.now + 10*time.Second; a.now < end; a.now += 50 * time.Millisecond {
--- a/peer/core/rules.go
+++ b/peer/core/rules.go
@@ -12,7 +12,7 @@
 )
 
 // Chunk is how many units of a tenant's rate let a bucket hold one inquiry.
-const Chunk = 16
+const UnitsPerRequest = 16
 
 // IdleWeight is what a node wants of a rate that nobody asks it for, so that
 // it holds a share in advance.
@@ -21,43 +21,43 @@
 // Params bound the control plane's timing; what else it needs are ratios to
 // these.
 type Params struct {
-	Part       partition.Params
-	MemberTerm time.Duration
+	Partition   partition.Params
+	MemberLease time.Duration
 	// Retry is how long an attempt at a command may take.
-	Retry time.Duration
+	AttemptTimeout time.Duration
 	// Pull is how often news is pulled.
-	Pull time.Duration
+	PullInterval time.Duration
 	// Gone is after how long a silent core's seats may go to others; zero: three
 	// terms of a member.
-	Gone time.Duration
+	GoneAfter time.Duration
 	// ColdStart allows a core with an empty folder to found a fleet.
 	ColdStart bool
 	// OrderKeep is how long an accepted order of an operator is known again; zero:
 	// defaultOrderKeep.
-	OrderKeep time.Duration
+	OrderRetention time.Duration
 }
 
 type rules struct {
 	params Params
 	// fleet tells the known cores, in a map of its own, and how many must stay.
-	fleet    func() (map[string]Core, int)
-	members  map[string]time.Duration
-	versions map[string]uint64
-	seatedAt time.Duration
-	violated invariant.Reporter
-	ends     expiries
-	ledgers  map[string]*rate.Ledger
+	fleet          func() (map[string]Core, int)
+	renewedAt      map[string]time.Duration
+	memberVersions map[string]uint64
+	seatedAt       time.Duration
+	violated       invariant.Reporter
+	expiries       expiryQueue
+	ledgers        map[string]*rate.Ledger
 	// expired are the keys of kept turns whose time ended under this leader.
 	expired *recentKeys
 }
 
 func (r *rules) Elected(now time.Duration, tx *partition.Tx) {
-	r.members, r.versions = map[string]time.Duration{}, map[string]uint64{}
+	r.renewedAt, r.memberVersions = map[string]time.Duration{}, map[string]uint64{}
 	r.seatedAt = now
 	for _, key := range tx.Keys(memberPrefix) {
-		r.members[key] = now
+		r.renewedAt[key] = now
 	}
-	r.seatedRelay(tx)
+	r.loadExpiries(tx)
 }
 
 func read[T any](tx *partition.Tx, key string) (T, bool) {
@@ -88,7 +88,7 @@
 			m.Ended = true
 			write(tx, key, m)
 		}
-		return Termed{Ended: true}
+		return MembershipResult{Ended: true}
 	case OpenUser:
 		key := "user/" + c.Tenant + "/" + c.User
 		u, ok := read[program.User](tx, key)
@@ -109,18 +109,18 @@
 			u.Close(c.Program)
 		}
 		write(tx, key, u)
-		return UserDay{Tokens: tokens}
+		return ChargeUserResult{Tokens: tokens}
 	case OpenProgram:
 		return r.openProgram(tx, c)
 	case ClaimProgram:
 		return r.claimProgram(tx, c)
 	case SaveProgram:
 		return r.saveProgram(tx, c)
-	case HandProgram:
+	case HandOverProgram:
 		key := programPrefix + c.Tenant + "/" + c.ID
 		p, ok := read[program.Record](tx, key)
 		if !ok || p.Fence != c.Fence {
-			return Programmed{Found: ok, Fenced: true}
+			return ProgramResult{Found: ok, Fenced: true}
 		}
 		p.Fence++
 		p.Node, p.Incarnation, p.Address = c.Node, c.Incarnation, c.Address
@@ -128,27 +128,27 @@
 		// The owner wrote everything through before it handed the program over.
 		p.Covered, p.Mirrors, p.MirrorsFence = 0, nil, 0
 		write(tx, key, p)
-		return Programmed{Found: true}
-	case ShareTenant:
+		return ProgramResult{Found: true}
+	case DrawAllowance:
 		return r.shareTenant(tx, c)
-	case ShareRates:
-		var all SharedRates
-		for _, one := range c.Rates {
-			all.Rates = append(all.Rates, r.shareTenant(tx, one).(Shared))
+	case DrawAllowances:
+		var all DrawResults
+		for _, one := range c.Draws {
+			all.Results = append(all.Results, r.shareTenant(tx, one).(DrawResult))
 		}
 		return all
 	case DrawBreaker:
 		return r.drawBreaker(tx, c)
-	case AdmitTest:
-		b, before := r.breaker(tx)
+	case AdmitProbe:
+		b, before := r.loadBreaker(tx)
 		number := b.IssueProbe(tx.Clock(), c.Program, c.Limits.params())
-		r.keepBreaker(tx, b, before)
-		return Tested{Number: number, State: string(b.State), Left: b.RecoveryLeft(tx.Clock(), c.Limits.params())}
-	case ResultTest:
-		b, before := r.breaker(tx)
+		r.saveBreaker(tx, b, before)
+		return ProbeResult{Number: number, State: string(b.State), Left: b.RecoveryLeft(tx.Clock(), c.Limits.params())}
+	case ReportProbe:
+		b, before := r.loadBreaker(tx)
 		b.RecordResult(tx.Clock(), c.Program, c.Good, c.Limits.params())
-		r.keepBreaker(tx, b, before)
-		return Tested{State: string(b.State)}
+		r.saveBreaker(tx, b, before)
+		return ProbeResult{State: string(b.State)}
 	case ClaimOnce:
 		return r.claimOnce(tx, c)
 	case EndOnce:
@@ -160,11 +160,11 @@
 			list.Entries = append(list.Entries, partition.Entry{Key: key, Value: raw})
 		}
 		return list
-	case ReadLocked:
+	case ReadLockedUsers:
 		return readLocked(tx)
-	case AgreeConfiguration:
-		return r.agreeDescription(tx, c)
-	case SetFloor:
+	case AcceptConfiguration:
+		return r.acceptConfiguration(tx, c)
+	case SetVersionFloor:
 		return r.setFloor(now, tx, c)
 	case PutCore:
 		return putCore(tx, c)
@@ -172,7 +172,7 @@
 		return r.retireCore(tx, c)
 	case Sweep:
 		r.sweep(now, tx)
-		r.sweepRelay(tx)
+		r.sweepExpired(tx)
 	default:
 		return r.applyRelay(tx, command)
 	}
--- a/peer/core/rules_cores.go
+++ b/peer/core/rules_cores.go
@@ -6,17 +6,17 @@
 
 func putCore(tx *partition.Tx, c PutCore) any {
 	old, ok := read[Core](tx, corePrefix+c.Core.ID)
-	_, outlived := tx.Get(outlivedPrefix + c.Core.Seat())
+	_, outlived := tx.Get(supersededPrefix + c.Core.MemberID())
 	switch {
 	case outlived, ok && old.Retired && !c.Core.Retired:
-		return CoreEnded{Core: old}
+		return PutCoreRejected{Core: old}
 	case ok && old == c.Core:
 		return Done{OK: true}
 	case ok && old.Version >= c.Core.Version:
 		return Done{}
 	}
 	if ok && old.Incarnation != c.Core.Incarnation {
-		write(tx, outlivedPrefix+old.Seat(), true)
+		write(tx, supersededPrefix+old.MemberID(), true)
 	}
 	write(tx, corePrefix+c.Core.ID, c.Core)
 	return Done{OK: true}
@@ -38,14 +38,14 @@
 	}
 	switch {
 	case !ok:
-		return Retiring{}
+		return RetireCoreResult{}
 	case one.Retired:
 	case staying < enough:
-		return Retiring{Known: true}
+		return RetireCoreResult{Found: true}
 	default:
 		one.Retired = true
 		one.Version++
 		write(tx, corePrefix+c.ID, one)
 	}
-	return Retiring{Known: true, Enough: true, Done: true}
+	return RetireCoreResult{Found: true, EnoughRemain: true, Done: true}
 }
--- a/peer/core/rules_members.go
+++ b/peer/core/rules_members.go
@@ -8,68 +8,68 @@
 	"saffronfall/rule/program"
 )
 
-func (r *rules) memberTerm() time.Duration {
-	return time.Duration(float64(r.params.MemberTerm) * (1 + r.params.Part.Drift))
+func (r *rules) memberLease() time.Duration {
+	return time.Duration(float64(r.params.MemberLease) * (1 + r.params.Partition.Drift))
 }
 
 func (r *rules) join(now time.Duration, tx *partition.Tx, c JoinMember) any {
 	key := memberPrefix + c.Member.ID
-	floor, _ := read[uint64](tx, floorKey)
+	floor, _ := read[uint64](tx, versionFloorKey)
 	m, ok := read[Member](tx, key)
 	switch {
 	case ok && m.HasEnded(c.Member.Incarnation):
-		return Termed{Ended: true, Floor: floor}
-	case ok && m.Incarnation != c.Member.Incarnation && !m.Ended && (m.Host == "" || m.Host != c.Member.Host || LifeOf(m.Incarnation) == LifeOf(c.Member.Incarnation)):
-		if wait := r.members[key] + r.memberTerm() - now; wait > 0 {
-			return Termed{Wait: wait, Floor: floor}
+		return MembershipResult{Ended: true, Floor: floor}
+	case ok && m.Incarnation != c.Member.Incarnation && !m.Ended && (m.Host == "" || m.Host != c.Member.Host || ProcessIncarnation(m.Incarnation) == ProcessIncarnation(c.Member.Incarnation)):
+		if wait := r.renewedAt[key] + r.memberLease() - now; wait > 0 {
+			return MembershipResult{Wait: wait, Floor: floor}
 		}
 	}
 	if c.Member.Version < floor {
-		return Termed{Floor: floor}
+		return MembershipResult{Floor: floor}
 	}
 	if !ok || m.Incarnation != c.Member.Incarnation {
 		fresh := c.Member
 		if ok {
-			fresh.Past = append(m.Past, m.Incarnation)
-			if n := len(fresh.Past); n > livesKept {
-				fresh.Past = fresh.Past[n-livesKept:]
+			fresh.PastIncarnations = append(m.PastIncarnations, m.Incarnation)
+			if n := len(fresh.PastIncarnations); n > maxPastIncarnations {
+				fresh.PastIncarnations = fresh.PastIncarnations[n-maxPastIncarnations:]
 			}
 		}
 		write(tx, key, fresh)
 	}
-	r.members[key], r.versions[key] = now, c.Member.Version
-	return Termed{Granted: true, Floor: floor}
+	r.renewedAt[key], r.memberVersions[key] = now, c.Member.Version
+	return MembershipResult{Granted: true, Floor: floor}
 }
 
 // LifeOf is the process that an incarnation belongs to: its terms have one each.
-func LifeOf(incarnation string) string {
+func ProcessIncarnation(incarnation string) string {
 	life, _, _ := strings.Cut(incarnation, "+")
 	return life
 }
 
 func (r *rules) renew(now time.Duration, tx *partition.Tx, c RenewMember) any {
 	key := memberPrefix + c.ID
-	floor, _ := read[uint64](tx, floorKey)
+	floor, _ := read[uint64](tx, versionFloorKey)
 	m, ok := read[Member](tx, key)
 	if !ok || m.Incarnation != c.Incarnation || m.Ended {
-		return Termed{Ended: true, Floor: floor}
+		return MembershipResult{Ended: true, Floor: floor}
 	}
 	if c.Version < floor {
-		return Termed{Floor: floor}
+		return MembershipResult{Floor: floor}
 	}
-	r.members[key], r.versions[key] = now, max(c.Version, r.versions[key])
-	return Termed{Granted: true, Floor: floor}
+	r.renewedAt[key], r.memberVersions[key] = now, max(c.Version, r.memberVersions[key])
+	return MembershipResult{Granted: true, Floor: floor}
 }
 
-func (r *rules) setFloor(now time.Duration, tx *partition.Tx, c SetFloor) any {
-	floor, _ := read[uint64](tx, floorKey)
+func (r *rules) setFloor(now time.Duration, tx *partition.Tx, c SetVersionFloor) any {
+	floor, _ := read[uint64](tx, versionFloorKey)
 	if floor < c.Version {
-		write(tx, floorKey, c.Version)
+		write(tx, versionFloorKey, c.Version)
 	}
-	var answer Floored
+	var answer VersionFloorResult
 	for _, key := range tx.Keys(memberPrefix) {
 		m, _ := read[Member](tx, key)
-		if !m.Ended && r.versions[key] < c.Version {
+		if !m.Ended && r.memberVersions[key] < c.Version {
 			answer.Lagging = append(answer.Lagging, m.ID)
 		}
 	}
@@ -80,7 +80,7 @@
 func (r *rules) sweep(now time.Duration, tx *partition.Tx) {
 	for _, key := range tx.Keys(memberPrefix) {
 		m, _ := read[Member](tx, key)
-		if !m.Ended && now >= r.members[key]+r.memberTerm() {
+		if !m.Ended && now >= r.renewedAt[key]+r.memberLease() {
 			m.Ended = true
 			write(tx, key, m)
 		}
@@ -105,10 +105,10 @@
 		}
 	}
 	for _, key := range tx.Keys(oncePrefix) {
-		if o, _ := read[Once](tx, key); clock >= o.Until {
+		if o, _ := read[OnceRecord](tx, key); clock >= o.Until {
 			tx.Delete(key)
 		}
 	}
 }
 
-const livesKept = 256
+const maxPastIncarnations = 256
--- a/peer/core/rules_once.go
+++ b/peer/core/rules_once.go
@@ -6,9 +6,9 @@
 
 func (r *rules) claimOnce(tx *partition.Tx, c ClaimOnce) any {
 	key := oncePrefix + c.Tenant + "/" + c.Service + "/" + c.Key
-	o, ok := read[Once](tx, key)
+	o, ok := read[OnceRecord](tx, key)
 	if !ok {
-		o = Once{Claim: c.Claim, Digest: c.Digest, State: OnceIntent, Until: tx.Clock() + c.Keep}
+		o = OnceRecord{Claim: c.Claim, Digest: c.Digest, State: OnceIntent, Until: tx.Clock() + c.Retention}
 		write(tx, key, o)
 	}
 	return o
@@ -16,13 +16,13 @@
 
 func (r *rules) endOnce(tx *partition.Tx, c EndOnce) any {
 	key := oncePrefix + c.Tenant + "/" + c.Service + "/" + c.Key
-	o, ok := read[Once](tx, key)
+	o, ok := read[OnceRecord](tx, key)
 	if !ok || o.Claim != c.Claim || o.State != OnceIntent {
 		return o
 	}
-	if c.State == OnceFree {
+	if c.State == OnceReleased {
 		tx.Delete(key)
-		return Once{State: OnceFree}
+		return OnceRecord{State: OnceReleased}
 	}
 	o.State, o.Status, o.Body = c.State, c.Status, c.Body
 	write(tx, key, o)
--- a/peer/core/rules_programs.go
+++ b/peer/core/rules_programs.go
@@ -14,7 +14,7 @@
 )
 
 // lockedTold is how many locked users are told of a part.
-const lockedTold = 100
+const maxLockedUsers = 100
 
 func readLocked(tx *partition.Tx) LockedUsers {
 	var list LockedUsers
@@ -24,7 +24,7 @@
 		}
 	}
 	slices.SortFunc(list.Users, func(a, b LockedUser) int { return int(a.Left - b.Left) })
-	list.Users = list.Users[:min(len(list.Users), lockedTold)]
+	list.Users = list.Users[:min(len(list.Users), maxLockedUsers)]
 	return list
 }
 
@@ -41,12 +41,12 @@
 func (r *rules) openProgram(tx *partition.Tx, c OpenProgram) any {
 	key := programPrefix + c.Record.Tenant + "/" + c.Record.ID
 	if p, ok := read[program.Record](tx, key); ok {
-		return Programmed{Found: true, Owned: p.Node == c.Record.Node && p.Incarnation == c.Record.Incarnation, Record: p, Clock: tx.Clock()}
+		return ProgramResult{Found: true, Owned: p.Node == c.Record.Node && p.Incarnation == c.Record.Incarnation, Record: p, Clock: tx.Clock()}
 	}
 	p := c.Record
 	p.Fence, p.Opened, p.Touched = 1, tx.Clock(), tx.Clock()
 	write(tx, key, p)
-	return Programmed{Found: true, Owned: true, Record: p, Clock: tx.Clock()}
+	return ProgramResult{Found: true, Owned: true, Record: p, Clock: tx.Clock()}
 }
 
 func (r *rules) claimProgram(tx *partition.Tx, c ClaimProgram) any {
@@ -54,13 +54,13 @@
 	p, ok := read[program.Record](tx, key)
 	if !ok {
 		_, past := tx.Get("past/" + key)
-		return Programmed{Gone: past}
+		return ProgramResult{Expired: past}
 	}
-	answer := Programmed{Found: true, Clock: tx.Clock()}
+	answer := ProgramResult{Found: true, Clock: tx.Clock()}
 	switch {
 	case p.Node == c.Node && p.Incarnation == c.Incarnation:
 		answer.Owned = true
-	case p.Node == c.EndedNode && p.Incarnation == c.EndedFormer:
+	case p.Node == c.EndedNode && p.Incarnation == c.EndedIncarnation:
 		p.Fence++
 		p.Node, p.Incarnation, p.Address = c.Node, c.Incarnation, c.Address
 		p.Settle()
@@ -81,10 +81,10 @@
 	key := programPrefix + c.Record.Tenant + "/" + c.Record.ID
 	p, ok := read[program.Record](tx, key)
 	if !ok || p.Fence != c.Record.Fence || p.Incarnation != c.Record.Incarnation {
-		return Programmed{Found: ok, Fenced: true}
+		return ProgramResult{Found: ok, Fenced: true}
 	}
 	if c.Record.Version <= p.Version {
-		return Programmed{Found: true, Version: c.Record.Version}
+		return ProgramResult{Found: true, Version: c.Record.Version}
 	}
 	p = c.Record
 	p.Touched = tx.Clock()
@@ -92,10 +92,10 @@
 	for _, t := range c.Turns {
 		write(tx, fmt.Sprintf("%s/turn/%s/%06d", key, t.Line, t.Number), t)
 	}
-	return Programmed{Found: true, Version: p.Version}
+	return ProgramResult{Found: true, Version: p.Version}
 }
 
-func (r *rules) shareTenant(tx *partition.Tx, c ShareTenant) any {
+func (r *rules) shareTenant(tx *partition.Tx, c DrawAllowance) any {
 	key := "tenant/" + c.Tenant + "/" + c.Kind
 	l, ok := read[allowance.Ledger](tx, key)
 	if !ok && c.Kind == "day" {
@@ -107,16 +107,16 @@
 		l.End(clock, holder)
 	}
 	if !l.Report(clock, c.Holder, c.Spent, c.Returned) {
-		return Shared{}
+		return DrawResult{}
 	}
 	target := c.Target
 	if c.Kind != "day" {
-		d := allowance.Division{Whole: c.Whole / c.Chunk, Holders: c.Members, Idle: IdleWeight}
-		target = l.Want(c.Holder, c.Target, d) * c.Chunk
+		d := allowance.Division{Whole: c.Limit / c.UnitsPerRequest, Holders: c.Members, Idle: IdleWeight}
+		target = l.Want(c.Holder, c.Target, d) * c.UnitsPerRequest
 	}
-	granted := l.Draw(clock, c.Holder, target, []int64{c.Whole})
+	granted := l.Draw(clock, c.Holder, target, []int64{c.Limit})
 	if !reflect.DeepEqual(l, before) {
 		write(tx, key, l)
 	}
-	return Shared{Granted: granted, Target: target, Others: ordered.Keys(l.Holders)}
+	return DrawResult{Granted: granted, Target: target, Holders: ordered.Keys(l.Holders)}
 }
--- a/peer/core/rules_test.go
+++ b/peer/core/rules_test.go
@@ -13,57 +13,57 @@
 )
 
 // alone is a fleet of one core, so that commands can be tried one by one.
-type alone struct {
-	t   *testing.T
-	m   *Machine
-	now time.Duration
-	id  uint64
-	got map[uint64]CommandReturn
+type singleCore struct {
+	t       *testing.T
+	m       *Machine
+	now     time.Duration
+	id      uint64
+	results map[uint64]CommandResult
 }
 
-func newAlone(t *testing.T, changes ...func(p *Params)) *alone {
-	p := Params{Part: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8}, MemberTerm: 2 * time.Second,
-		Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}
+func newSingleCore(t *testing.T, changes ...func(p *Params)) *singleCore {
+	p := Params{Partition: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8}, MemberLease: 2 * time.Second,
+		AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}
 	for _, change := range changes {
 		change(&p)
 	}
-	a := &alone{t: t, got: map[uint64]CommandReturn{}}
+	a := &singleCore{t: t, results: map[uint64]CommandResult{}}
 	a.m = New(Options{Params: p, ID: "c", Address: "c", Stored: Stored{Incarnation: "1"}, Random: func() float64 { return 0.5 }})
 	out, ok := a.m.Found(0, Plan("f", 4, 1, []Core{a.m.Self()}))
 	if !ok {
 		t.Fatal("not founded")
 	}
-	a.take(out)
-	a.pass(time.Second)
+	a.handle(out)
+	a.advance(time.Second)
 	return a
 }
 
-func (a *alone) take(o Output) {
+func (a *singleCore) handle(o Output) {
 	for _, s := range o.Sends {
 		switch b := s.Body.(type) {
-		case CommandReturn:
-			a.got[b.ID] = b
+		case CommandResult:
+			a.results[b.ID] = b
 		default:
 			if s.To == "c" {
-				a.take(a.m.Receive(a.now, "c", s.Body))
+				a.handle(a.m.Receive(a.now, "c", s.Body))
 			}
 		}
 	}
 }
 
-func (a *alone) pass(d time.Duration) {
+func (a *singleCore) advance(d time.Duration) {
 	for end := a.now + d; a.now < end; {
 		a.now += 20 * time.Millisecond
-		a.take(a.m.Tick(a.now))
+		a.handle(a.m.Tick(a.now))
 	}
 }
 
-func (a *alone) run(command any) any {
+func (a *singleCore) run(command any) any {
 	a.t.Helper()
 	a.id++
-	a.take(a.m.Receive(a.now, "node", Command{ID: a.id, Part: Target(4, command), Raw: message.Pack(command)}))
-	r, ok := a.got[a.id]
-	if !ok || r.Moved || r.Unsure {
+	a.handle(a.m.Receive(a.now, "node", Command{ID: a.id, Partition: TargetPartition(4, command), Raw: message.Pack(command)}))
+	r, ok := a.results[a.id]
+	if !ok || r.NotLeader || r.Uncertain {
 		a.t.Fatalf("%T: %+v", command, r)
 	}
 	answer, err := message.Open(r.Raw)
@@ -76,33 +76,33 @@
 // TestFence: after a takeover nothing that the former owner says counts, not
 // even with a higher version, and a takeover needs proof.
 func TestFence(t *testing.T) {
-	a := newAlone(t)
-	open := a.run(OpenProgram{Record: program.Record{Tenant: "t", ID: "p", Node: "n1", Incarnation: "1"}}).(Programmed)
+	a := newSingleCore(t)
+	open := a.run(OpenProgram{Record: program.Record{Tenant: "t", ID: "p", Node: "n1", Incarnation: "1"}}).(ProgramResult)
 	old := open.Record
-	if p := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1"}).(Programmed); p.Owned {
+	if p := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1"}).(ProgramResult); p.Owned {
 		t.Error("taken over without proof")
 	}
-	if p := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1", EndedNode: "n1", EndedFormer: "0"}).(Programmed); p.Owned {
+	if p := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1", EndedNode: "n1", EndedIncarnation: "0"}).(ProgramResult); p.Owned {
 		t.Error("taken over with proof about another life")
 	}
 	old.Running = map[string]program.Reservation{"x": {Tokens: 70}}
 	old.Version = 1
 	a.run(SaveProgram{Record: old})
-	taken := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1", EndedNode: "n1", EndedFormer: "1"}).(Programmed)
+	taken := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1", EndedNode: "n1", EndedIncarnation: "1"}).(ProgramResult)
 	if !taken.Owned || taken.Record.Fence != 2 || taken.Record.Spent != 70 || len(taken.Record.Running) != 0 {
 		t.Errorf("%+v", taken)
 	}
 	old.Version = 99
-	if p := a.run(SaveProgram{Record: old}).(Programmed); !p.Fenced {
+	if p := a.run(SaveProgram{Record: old}).(ProgramResult); !p.Fenced {
 		t.Error("a former owner's save counted")
 	}
-	if p := a.run(HandProgram{Tenant: "t", ID: "p", Fence: 1, Node: "n3"}).(Programmed); !p.Fenced {
+	if p := a.run(HandOverProgram{Tenant: "t", ID: "p", Fence: 1, Node: "n3"}).(ProgramResult); !p.Fenced {
 		t.Error("a former owner handed over")
 	}
-	if p := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n1", Incarnation: "1"}).(Programmed); p.Owned || p.Record.Node != "n2" {
+	if p := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n1", Incarnation: "1"}).(ProgramResult); p.Owned || p.Record.Node != "n2" {
 		t.Error("the former owner has it again")
 	}
-	if p := a.run(ClaimProgram{Tenant: "other", ID: "p", Node: "n2", Incarnation: "1"}).(Programmed); p.Found {
+	if p := a.run(ClaimProgram{Tenant: "other", ID: "p", Node: "n2", Incarnation: "1"}).(ProgramResult); p.Found {
 		t.Error("found under another tenant")
 	}
 }
@@ -110,31 +110,31 @@
 // TestMember: a term is not renewed once it was called ended, nor with an old
 // configuration, and a new life waits for the old one's term.
 func TestMember(t *testing.T) {
-	a := newAlone(t)
+	a := newSingleCore(t)
 	member := Member{ID: "n", Incarnation: "1", Version: 1}
-	if r := a.run(JoinMember{Member: member}).(Termed); !r.Granted {
+	if r := a.run(JoinMember{Member: member}).(MembershipResult); !r.Granted {
 		t.Fatalf("%+v", r)
 	}
 	fresh := Member{ID: "n", Incarnation: "2", Version: 1}
-	if r := a.run(JoinMember{Member: fresh}).(Termed); r.Granted || r.Wait <= 0 {
+	if r := a.run(JoinMember{Member: fresh}).(MembershipResult); r.Granted || r.Wait <= 0 {
 		t.Errorf("a second life at once: %+v", r)
 	}
-	part := PartOf(4, "member", "n")
-	if f := a.run(SetFloor{Part: part, Version: 2}).(Floored); f.Done || len(f.Lagging) != 1 {
+	part := PartitionOf(4, "member", "n")
+	if f := a.run(SetVersionFloor{Partition: part, Version: 2}).(VersionFloorResult); f.Done || len(f.Lagging) != 1 {
 		t.Errorf("floor: %+v", f)
 	}
-	if r := a.run(RenewMember{ID: "n", Incarnation: "1", Version: 1}).(Termed); r.Granted {
+	if r := a.run(RenewMember{ID: "n", Incarnation: "1", Version: 1}).(MembershipResult); r.Granted {
 		t.Error("renewed with an old configuration")
 	}
-	a.pass(3 * time.Second)
-	if f := a.run(SetFloor{Part: part, Version: 2}).(Floored); !f.Done {
+	a.advance(3 * time.Second)
+	if f := a.run(SetVersionFloor{Partition: part, Version: 2}).(VersionFloorResult); !f.Done {
 		t.Errorf("floor after the term: %+v", f)
 	}
-	if r := a.run(RenewMember{ID: "n", Incarnation: "1", Version: 2}).(Termed); r.Granted || !r.Ended {
+	if r := a.run(RenewMember{ID: "n", Incarnation: "1", Version: 2}).(MembershipResult); r.Granted || !r.Ended {
 		t.Errorf("an ended term was renewed: %+v", r)
 	}
 	fresh.Version = 2
-	if r := a.run(JoinMember{Member: fresh}).(Termed); !r.Granted {
+	if r := a.run(JoinMember{Member: fresh}).(MembershipResult); !r.Granted {
 		t.Errorf("a new life after the old term: %+v", r)
 	}
 }
@@ -144,12 +144,12 @@
 func TestSharesNeverPassTheWhole(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for round := 0; round < 20; round++ {
-		a := newAlone(t)
+		a := newSingleCore(t)
 		type holder struct{ granted, spent, returned int64 }
 		holders := map[string]*holder{}
 		var past int64
 		const whole = 1000
-		var late []ShareTenant
+		var late []DrawAllowance
 		for i := 0; i < 200; i++ {
 			name := fmt.Sprintf("n%d/%d", random.IntN(4), i/60)
 			h := holders[name]
@@ -164,7 +164,7 @@
 			case 1:
 				h.returned += random.Int64N(free + 1)
 			}
-			c := ShareTenant{Tenant: "t", Kind: "day", Holder: name, Spent: h.spent, Returned: h.returned, Target: random.Int64N(500), Whole: whole}
+			c := DrawAllowance{Tenant: "t", Kind: "day", Holder: name, Spent: h.spent, Returned: h.returned, Target: random.Int64N(500), Limit: whole}
 			if i%60 == 59 {
 				for n, gone := range holders {
 					if n[len(n)-1] == name[len(name)-1] {
@@ -175,19 +175,19 @@
 				}
 				c.Holder, c.Spent, c.Returned = "next/9", 0, 0
 				a.run(c)
-				holders["next/9"] = &holder{granted: a.run(ShareTenant{Tenant: "t", Kind: "day", Holder: "next/9", Whole: whole}).(Shared).Granted}
+				holders["next/9"] = &holder{granted: a.run(DrawAllowance{Tenant: "t", Kind: "day", Holder: "next/9", Limit: whole}).(DrawResult).Granted}
 			} else {
 				late = append(late, c)
-				r := a.run(c).(Shared)
+				r := a.run(c).(DrawResult)
 				h.granted = max(h.granted, r.Granted)
 				if random.IntN(3) == 0 {
 					// A late copy may come from a holder that has ended long ago.
 					again := late[random.IntN(len(late))]
-					granted := a.run(again).(Shared).Granted
+					granted := a.run(again).(DrawResult).Granted
 					if one := holders[again.Holder]; one != nil {
 						one.granted = max(one.granted, granted)
 					} else {
-						a.run(ShareTenant{Tenant: "t", Kind: "day", Holder: name, Spent: h.spent, Returned: h.returned, Whole: whole, Ended: []string{again.Holder}})
+						a.run(DrawAllowance{Tenant: "t", Kind: "day", Holder: name, Spent: h.spent, Returned: h.returned, Limit: whole, Ended: []string{again.Holder}})
 					}
 				}
 			}
@@ -205,12 +205,12 @@
 // TestOnceStates: one claim shoots; an outcome is kept; only a claim that
 // surely did not run is freed.
 func TestOnceStates(t *testing.T) {
-	a := newAlone(t)
-	claim := func(id string) Once {
-		return a.run(ClaimOnce{Tenant: "t", Service: "s", Key: "k", Claim: id, Digest: "d", Keep: time.Hour}).(Once)
+	a := newSingleCore(t)
+	claim := func(id string) OnceRecord {
+		return a.run(ClaimOnce{Tenant: "t", Service: "s", Key: "k", Claim: id, Digest: "d", Retention: time.Hour}).(OnceRecord)
 	}
-	end := func(id, state string) Once {
-		return a.run(EndOnce{Tenant: "t", Service: "s", Key: "k", Claim: id, State: state, Body: []byte("{}")}).(Once)
+	end := func(id, state string) OnceRecord {
+		return a.run(EndOnce{Tenant: "t", Service: "s", Key: "k", Claim: id, State: state, Body: []byte("{}")}).(OnceRecord)
 	}
 	if o := claim("a"); o.Claim != "a" {
 		t.Errorf("%+v", o)
@@ -218,17 +218,17 @@
 	if o := claim("b"); o.Claim != "a" || o.State != OnceIntent {
 		t.Errorf("%+v", o)
 	}
-	end("b", OnceFree)
+	end("b", OnceReleased)
 	if o := claim("b"); o.Claim != "a" {
 		t.Error("freed by a claim that is not its own")
 	}
-	end("a", OnceFree)
+	end("a", OnceReleased)
 	if o := claim("b"); o.Claim != "b" {
 		t.Errorf("not freed: %+v", o)
 	}
-	end("b", OnceMaybe)
-	end("b", OnceFree)
-	if o := claim("c"); o.State != OnceMaybe {
+	end("b", OnceUncertain)
+	end("b", OnceReleased)
+	if o := claim("c"); o.State != OnceUncertain {
 		t.Errorf("what may have run was freed: %+v", o)
 	}
 }
@@ -243,7 +243,7 @@
 	f := Plan("f", 16, 3, cores)
 	firsts, seats := map[string]int{}, map[string]int{}
 	for n, g := range f.Groups {
-		if zones(f.Cores, g.Members) != 3 {
+		if zoneCount(f.Cores, g.Members) != 3 {
 			t.Errorf("part %d: %v", n, g.Members)
 		}
 		firsts[g.Members[0]]++
@@ -252,10 +252,10 @@
 		}
 	}
 	for _, c := range cores {
-		if n := firsts[c.Seat()]; n < 1 || n > 3 {
+		if n := firsts[c.MemberID()]; n < 1 || n > 3 {
 			t.Errorf("%s is first in %d groups of 16", c.ID, n)
 		}
-		if n := seats[c.Seat()]; n != 6 {
+		if n := seats[c.MemberID()]; n != 6 {
 			t.Errorf("%s has %d seats of 48 in 8 cores", c.ID, n)
 		}
 	}
@@ -263,7 +263,7 @@
 	f.Cores["new"] = fresh
 	gets := 0
 	for _, m := range PlanChange(f.Cores, nil, f.Groups, 3, Add, "new", "").Moves {
-		if SeatID(m.Add) == "new" {
+		if CoreID(m.Add) == "new" {
 			gets++
 		}
 	}
@@ -275,11 +275,11 @@
 	after[0].Retired = true
 	gone := 0
 	for n, seats := range Place(16, 3, after, nil) {
-		if zones(f.Cores, seats) != 3 {
+		if zoneCount(f.Cores, seats) != 3 {
 			t.Errorf("part %d loses a zone", n)
 		}
 		for _, move := range difference(n, f.Groups[n].Members, seats) {
-			if SeatID(move.Remove) == cores[0].ID {
+			if CoreID(move.Remove) == cores[0].ID {
 				gone++
 			}
 		}
@@ -289,10 +289,10 @@
 	}
 }
 
-func zones(cores map[string]Core, seats []string) int {
+func zoneCount(cores map[string]Core, seats []string) int {
 	seen := map[string]bool{}
 	for _, s := range seats {
-		seen[cores[SeatID(s)].Zone] = true
+		seen[cores[CoreID(s)].Zone] = true
 	}
 	return len(seen)
 }
--- a/peer/core/sample.go
+++ b/peer/core/sample.go
@@ -7,7 +7,7 @@
 // Messages of rehearsal.
 type (
 	// AskSamples asks a node for its recent inquiries.
-	AskSamples struct {
+	ReadSamples struct {
 		ID uint64 `msgpack:"ID"`
 	}
 	// Samples answers it.
--- a/peer/core/stall_test.go
+++ b/peer/core/stall_test.go
@@ -14,15 +14,15 @@
 func TestNothingPilesUpBeforeAStalledDisk(t *testing.T) {
 	self, other := Core{ID: "a", Incarnation: "1", Zone: "z", Peer: "a:1"}, Core{ID: "b", Incarnation: "1", Zone: "y", Peer: "b:1"}
 	third := Core{ID: "c", Incarnation: "1", Zone: "x", Peer: "c:1"}
-	p := newAlone(t).m.params
+	p := newSingleCore(t).m.params
 	m := New(Options{Params: p, ID: self.ID, Zone: self.Zone, Address: self.Peer, Stored: Stored{Incarnation: self.Incarnation}, Random: func() float64 { return 0.5 }})
 	if _, ok := m.Found(0, Plan("f", 1, 3, []Core{self, other, third})); !ok {
 		t.Fatal("not founded")
 	}
 	group := m.Part(0).Group()
-	group.Term = partition.Term{Round: 1, Leader: other.Seat()}
+	group.Term = partition.Term{Round: 1, Leader: other.MemberID()}
 	deliver := func(now time.Duration, body any) Output {
-		o := m.Receive(now, other.Peer, PartMessage{Part: 0, From: other.Seat(), To: self.Seat(), Raw: message.Pack(body)})
+		o := m.Receive(now, other.Peer, ReplicaMessage{Partition: 0, From: other.MemberID(), To: self.MemberID(), Raw: message.Pack(body)})
 		for _, s := range o.Sends {
 			if s.To == self.Peer && s.Synced {
 				m.Receive(now, self.Peer, s.Body)
@@ -42,7 +42,7 @@
 			t.Fatalf("a write while the disk hangs: %+v", o)
 		}
 	}
-	later := partition.Term{Round: 2, Leader: third.Seat()}
+	later := partition.Term{Round: 2, Leader: third.MemberID()}
 	if o := deliver(time.Second, partition.Prepare{Term: later, Group: group, Released: group.Term}); len(o.Changes)+len(o.Sends) != 0 {
 		t.Fatalf("a promise while the disk hangs: %+v", o)
 	}
--- a/peer/core/stored.go
+++ b/peer/core/stored.go
@@ -8,7 +8,7 @@
 type Stored struct {
 	Incarnation string                  `msgpack:"i"`
 	Founding    Founding                `msgpack:"f"`
-	Copies      map[int]partition.State `msgpack:"c"`
+	Replicas    map[int]partition.State `msgpack:"c"`
 }
 
 // Change is one thing to write to disk.
@@ -19,35 +19,35 @@
 
 // Apply brings what is stored up to a change.
 func (s *Stored) Apply(c Change) {
-	if s.Copies == nil {
-		s.Copies = map[int]partition.State{}
+	if s.Replicas == nil {
+		s.Replicas = map[int]partition.State{}
 	}
 	if c.Founding != nil {
 		s.Founding = *c.Founding
 		for n, g := range c.Founding.Groups {
-			p := s.Copies[n]
+			p := s.Replicas[n]
 			if p.Group.Epoch == 0 {
 				p.Group = g
 			}
-			s.Copies[n] = p
+			s.Replicas[n] = p
 		}
 	}
 	if c.Record != nil {
-		p := s.Copies[c.Record.Partition]
+		p := s.Replicas[c.Record.Partition]
 		p.Apply(*c.Record)
-		s.Copies[c.Record.Partition] = p
+		s.Replicas[c.Record.Partition] = p
 	}
 }
 
 // CopyFrom makes an image that can be changed apart from its source.
 func (s *Stored) CopyFrom(o Stored) {
-	s.Incarnation, s.Founding, s.Copies = o.Incarnation, o.Founding, map[int]partition.State{}
-	for n, c := range o.Copies {
+	s.Incarnation, s.Founding, s.Replicas = o.Incarnation, o.Founding, map[int]partition.State{}
+	for n, c := range o.Replicas {
 		entries := make(map[string]partition.Entry, len(c.Entries))
 		for k, e := range c.Entries {
 			entries[k] = e
 		}
 		c.Entries = entries
-		s.Copies[n] = c
+		s.Replicas[n] = c
 	}
 }
--- a/peer/core/topology.go
+++ b/peer/core/topology.go
@@ -33,7 +33,7 @@
 }
 
 func (m *Machine) learnCores() {
-	if p := m.parts[ConfigurationPart]; p != nil {
+	if p := m.parts[ConfigurationPartition]; p != nil {
 		m.learnCoresOf(p.State())
 	}
 }
@@ -138,13 +138,13 @@
 func (t Topology) Digest() uint64 {
 	var text digestText
 	text.words(t.Fleet)
-	text.numbers(uint64(len(t.Cores)), uint64(len(t.Owners)), uint64(len(t.Groups)))
+	text.numbers(uint64(len(t.Cores)), uint64(len(t.Leaders)), uint64(len(t.Groups)))
 	for _, id := range ordered.Keys(t.Cores) {
 		c := t.Cores[id]
 		text.words(c.ID, c.Incarnation, c.Zone, c.Peer, c.Operator, strconv.FormatBool(c.Retired))
 		text.numbers(c.Version)
 	}
-	for _, owner := range t.Owners {
+	for _, owner := range t.Leaders {
 		text.words(owner.Leader)
 		text.numbers(owner.Round)
 	}
@@ -177,7 +177,7 @@
 // tellDiffering tells a core what this one knows, if that core knows something
 // else. It does the same, so that both end with what either knew.
 func (m *Machine) tellDiffering(now time.Duration, to string, theirs uint64) {
-	if theirs == 0 || m.known == 0 || theirs == m.known || now < m.toldAt[to]+m.params.MemberTerm/4 {
+	if theirs == 0 || m.known == 0 || theirs == m.known || now < m.toldAt[to]+m.params.MemberLease/4 {
 		return
 	}
 	m.toldAt[to] = now
@@ -206,18 +206,18 @@
 		}
 	}
 	if whole {
-		m.changed, m.tellAt = false, now+wholeGossipTerms*m.params.MemberTerm
+		m.changed, m.tellAt = false, now+wholeGossipTerms*m.params.MemberLease
 	}
 }
 
 // hasReplica reports whether a core keeps a replica of any partition.
 func (m *Machine) hasReplica(c Core) bool {
-	return slices.ContainsFunc(m.groups, func(g partition.Group) bool { return g.Has(c.Seat()) })
+	return slices.ContainsFunc(m.groups, func(g partition.Group) bool { return g.Has(c.MemberID()) })
 }
 
 // Topology is what this core knows of cores, groups and owners.
 func (m *Machine) Topology() Topology {
-	t := Topology{Fleet: m.founding.Fleet, Size: m.size(), Cores: map[string]Core{}, Owners: append([]partition.Term(nil), m.owners...), Groups: append([]partition.Group(nil), m.groups...)}
+	t := Topology{Fleet: m.founding.Fleet, GroupSize: m.size(), Cores: map[string]Core{}, Leaders: append([]partition.Term(nil), m.owners...), Groups: append([]partition.Group(nil), m.groups...)}
 	for id, c := range m.cores {
 		t.Cores[id] = c
 	}
@@ -225,11 +225,11 @@
 }
 
 func (m *Machine) addressOf(seat string) string {
-	if seat == m.self.Seat() {
+	if seat == m.self.MemberID() {
 		return m.self.Peer
 	}
 	for _, c := range m.cores {
-		if c.Seat() == seat {
+		if c.MemberID() == seat {
 			return c.Peer
 		}
 	}
@@ -249,12 +249,12 @@
 }
 
 func (m *Machine) adopt(t Topology) {
-	if m.founding.Fleet != t.Fleet || len(t.Owners) != len(m.owners) || len(t.Groups) != len(m.groups) {
+	if m.founding.Fleet != t.Fleet || len(t.Leaders) != len(m.owners) || len(t.Groups) != len(m.groups) {
 		return
 	}
-	for n := range t.Owners {
-		if m.owners[n].Less(t.Owners[n]) {
-			m.owners[n] = t.Owners[n]
+	for n := range t.Leaders {
+		if m.owners[n].Less(t.Leaders[n]) {
+			m.owners[n] = t.Leaders[n]
 		}
 		if m.groups[n].Before(t.Groups[n]) {
 			m.groups[n] = t.Groups[n]
--- a/peer/desk/amend.go
+++ b/peer/desk/amend.go
@@ -31,7 +31,7 @@
 	until := now + m.params.Within
 	m.await(now, ticket, Handed{Unsure: true})
 	m.caller.Call(now, core.ReadTable{}, until, func(now time.Duration, o core.Outcome) {
-		current, ok := o.Answer.(core.AgreedTable)
+		current, ok := o.Answer.(core.CurrentTable)
 		if _, waiting := m.pending[ticket]; !waiting {
 			return
 		}
@@ -51,7 +51,7 @@
 // before, or another order was.
 func (m *Machine) findAmendment(now time.Duration, ticket uint64, a Amendment, until time.Duration) {
 	m.caller.Call(now, core.FindOrder{Base: a.Base, Number: a.Number, Digest: a.Digest}, until, func(_ time.Duration, o core.Outcome) {
-		found, ok := o.Answer.(core.TableAgreed)
+		found, ok := o.Answer.(core.AcceptTableResult)
 		switch {
 		case !ok:
 			m.settle(ticket, Handed{Unsure: true})
@@ -64,7 +64,7 @@
 }
 
 // joinAmendment checks what comes of an amendment, and has it agreed.
-func (m *Machine) joinAmendment(now time.Duration, ticket uint64, a Amendment, current core.AgreedTable, until time.Duration) {
+func (m *Machine) joinAmendment(now time.Duration, ticket uint64, a Amendment, current core.CurrentTable, until time.Duration) {
 	text, faults := a.Join(current.Text)
 	var next *route.Table
 	if faults == nil {
@@ -77,7 +77,7 @@
 	case a.PreviewOnly:
 		m.settle(ticket, Handed{Number: current.Number, Preview: previewOf(current.Text, next)})
 	default:
-		m.agree(now, ticket, core.AgreeTable{Base: a.Base, Number: next.Number, Text: text, Digest: a.Digest}, next, until)
+		m.agree(now, ticket, core.AcceptTable{Base: a.Base, Number: next.Number, Text: text, Digest: a.Digest}, next, until)
 	}
 }
 
--- a/peer/desk/amend_test.go
+++ b/peer/desk/amend_test.go
@@ -28,7 +28,7 @@
 		}
 		s.commands = append(s.commands, command)
 		if body := s.answer(command); body != nil {
-			next := s.desk.Receive(now, "c:1", core.CommandReturn{ID: c.ID, Part: c.Part, Raw: message.Pack(body)})
+			next := s.desk.Receive(now, "c:1", core.CommandResult{ID: c.ID, Partition: c.Partition, Raw: message.Pack(body)})
 			answers = append(answers, s.carry(t, now, next)...)
 		}
 	}
@@ -43,7 +43,7 @@
 // TestAmend: an amendment is joined to the table that the cores say is in force and
 // agreed whole; what came before it decides what one on another base is answered.
 func TestAmend(t *testing.T) {
-	read := core.AgreedTable{Number: 4, Text: table(4), Digest: "four"}
+	read := core.CurrentTable{Number: 4, Text: table(4), Digest: "four"}
 	for _, c := range []struct {
 		name      string
 		amendment Amendment
@@ -53,11 +53,11 @@
 		// commands are how many went to the cores.
 		commands int
 	}{
-		{name: "taken", amendment: addService(4, 5), agreed: core.TableAgreed{OK: true, Number: 5}, want: Handed{OK: true, Number: 5}, commands: 2},
-		{name: "race lost while joining", amendment: addService(4, 5), agreed: core.TableAgreed{Number: 6}, want: Handed{Race: true, Number: 6}, commands: 2},
-		{name: "taken before", amendment: addService(3, 4), found: core.TableAgreed{OK: true, Number: 4}, want: Handed{OK: true, Number: 4}, commands: 2},
-		{name: "race lost before", amendment: addService(3, 5), found: core.TableAgreed{Number: 4}, want: Handed{Race: true, Number: 4}, commands: 2},
-		{name: "on a base that is not there yet", amendment: addService(9, 10), found: core.TableAgreed{Number: 4}, want: Handed{Race: true, Number: 4}, commands: 2},
+		{name: "taken", amendment: addService(4, 5), agreed: core.AcceptTableResult{OK: true, Number: 5}, want: Handed{OK: true, Number: 5}, commands: 2},
+		{name: "race lost while joining", amendment: addService(4, 5), agreed: core.AcceptTableResult{Number: 6}, want: Handed{Race: true, Number: 6}, commands: 2},
+		{name: "taken before", amendment: addService(3, 4), found: core.AcceptTableResult{OK: true, Number: 4}, want: Handed{OK: true, Number: 4}, commands: 2},
+		{name: "race lost before", amendment: addService(3, 5), found: core.AcceptTableResult{Number: 4}, want: Handed{Race: true, Number: 4}, commands: 2},
+		{name: "on a base that is not there yet", amendment: addService(9, 10), found: core.AcceptTableResult{Number: 4}, want: Handed{Race: true, Number: 4}, commands: 2},
 		{name: "not above", amendment: addService(4, 4), want: Handed{Number: 4, Faults: configuration.Faults{{}}}, commands: 1},
 		{name: "no answer", amendment: addService(4, 5), want: Handed{Unsure: true}, commands: 2},
 	} {
@@ -96,7 +96,7 @@
 func TestPreviewChangesNothing(t *testing.T) {
 	m := newDesk(nil)
 	founded(m)
-	cores := &scriptedCores{desk: m, answer: func(any) any { return core.AgreedTable{Number: 4, Text: table(4), Digest: "four"} }}
+	cores := &scriptedCores{desk: m, answer: func(any) any { return core.CurrentTable{Number: 4, Text: table(4), Digest: "four"} }}
 	a := addService(4, 5)
 	a.PreviewOnly = true
 	answers := cores.carry(t, time.Millisecond, m.Amend(time.Millisecond, 7, a))
--- a/peer/desk/current_test.go
+++ b/peer/desk/current_test.go
@@ -26,9 +26,9 @@
 
 // agree brings a desk the news of an agreed table.
 func agree(m *Machine, now time.Duration, number uint64) Output {
-	value := message.Marshal(core.AgreedTable{Number: number, Text: largeTable(number), Digest: fmt.Sprint("digest ", number)})
+	value := message.Marshal(core.CurrentTable{Number: number, Text: largeTable(number), Digest: fmt.Sprint("digest ", number)})
 	at := partition.Version{Term: partition.Term{Round: 1, Leader: "c.1"}, Seq: number}
-	return m.Receive(now, "c:1", core.News{Part: core.ConfigurationPart, Upto: at, Entries: []partition.Entry{{Key: core.TableKey, Value: value, Version: at}}})
+	return m.Receive(now, "c:1", core.Update{Partition: core.ConfigurationPartition, UpTo: at, Entries: []partition.Entry{{Key: core.TableKey, Value: value, Version: at}}})
 }
 
 // TestSubscribersGetDifferences: who has a table gets what changed since, who has
@@ -86,9 +86,9 @@
 	m := newDesk(nil)
 	founded(m)
 	agree(m, 0, 2)
-	again := message.Marshal(core.AgreedTable{Number: 2, Text: []byte("not a table"), Digest: "digest 2"})
+	again := message.Marshal(core.CurrentTable{Number: 2, Text: []byte("not a table"), Digest: "digest 2"})
 	at := partition.Version{Term: partition.Term{Round: 1, Leader: "c.1"}, Seq: 9}
-	m.Receive(0, "c:1", core.News{Part: core.ConfigurationPart, Upto: at, Entries: []partition.Entry{{Key: core.TableKey, Value: again, Version: at}}})
+	m.Receive(0, "c:1", core.Update{Partition: core.ConfigurationPartition, UpTo: at, Entries: []partition.Entry{{Key: core.TableKey, Value: again, Version: at}}})
 	if m.Counters.BadMessages != 0 || m.Number() != 2 {
 		t.Errorf("%d texts were found bad, table %d", m.Counters.BadMessages, m.Number())
 	}
--- a/peer/desk/cutoff_test.go
+++ b/peer/desk/cutoff_test.go
@@ -15,15 +15,15 @@
 	t.Helper()
 	m := newDesk(nil)
 	leader := partition.Term{Round: 1, Leader: "c1.x"}
-	m.Receive(now, "c1:1", core.Topology{Fleet: "f", Size: 1, Cores: map[string]core.Core{"c1": {ID: "c1", Incarnation: "x", Peer: "c1:1", Version: 1}},
-		Owners: []partition.Term{leader, leader}, Groups: []partition.Group{{Epoch: 1, Members: []string{"c1.x"}}, {Epoch: 1, Members: []string{"c1.x"}}}})
+	m.Receive(now, "c1:1", core.Topology{Fleet: "f", GroupSize: 1, Cores: map[string]core.Core{"c1": {ID: "c1", Incarnation: "x", Peer: "c1:1", Version: 1}},
+		Leaders: []partition.Term{leader, leader}, Groups: []partition.Group{{Epoch: 1, Members: []string{"c1.x"}}, {Epoch: 1, Members: []string{"c1.x"}}}})
 	confirm(m, now)
 	return m
 }
 
 func confirm(m *Machine, now time.Duration) {
-	m.Receive(now, "c1:1", core.News{Part: core.ConfigurationPart, Upto: partition.Version{Term: partition.Term{Round: 1, Leader: "c1.x"}, Seq: 1}})
-	m.Receive(now, "c1:1", core.Fresh{Sent: now, Upto: partition.Version{Term: partition.Term{Round: 1, Leader: "c1.x"}, Seq: 1}})
+	m.Receive(now, "c1:1", core.Update{Partition: core.ConfigurationPartition, UpTo: partition.Version{Term: partition.Term{Round: 1, Leader: "c1.x"}, Seq: 1}})
+	m.Receive(now, "c1:1", core.Freshness{SentAt: now, UpTo: partition.Version{Term: partition.Term{Round: 1, Leader: "c1.x"}, Seq: 1}})
 }
 
 // answeredAfter lets a desk tick with nobody answering it, until it answers a
@@ -64,7 +64,7 @@
 			allowed := 250 * time.Millisecond
 			if after == 0 {
 				// It can't know yet that it is cut off.
-				allowed += touchPulls * m.params.Core.Pull
+				allowed += touchPulls * m.params.Core.PullInterval
 			}
 			if took > allowed {
 				t.Errorf("%s, %v after the cut: answered after %v", name, after, took)
@@ -74,7 +74,7 @@
 				if !b.Unsure || b.OK || b.Race || b.Faults != nil {
 					t.Errorf("%s: %+v", name, b)
 				}
-			case core.AgreedTable:
+			case core.CurrentTable:
 				if b.Number != 0 {
 					t.Errorf("%s: an old table: %+v", name, b)
 				}
@@ -101,7 +101,7 @@
 	if took, _ := answeredAfter(m, 5*time.Second, 1); took > 250*time.Millisecond {
 		t.Fatalf("answered after %v", took)
 	}
-	late := m.Receive(5*time.Second+300*time.Millisecond, "c1:1", core.CommandReturn{ID: asked[0].ID, Part: asked[0].Part, Raw: message.Pack(core.TableAgreed{OK: true, Number: 3})})
+	late := m.Receive(5*time.Second+300*time.Millisecond, "c1:1", core.CommandResult{ID: asked[0].ID, Partition: asked[0].Partition, Raw: message.Pack(core.AcceptTableResult{OK: true, Number: 3})})
 	if len(late.Answers) != 0 {
 		t.Errorf("answered twice: %+v", late.Answers)
 	}
@@ -175,7 +175,7 @@
 	}
 	m := newDesk(func(o *Options) { o.Life, o.Seeds, o.Peers = "l2", []string{"unreachable:1"}, written })
 	o := m.Tick(0)
-	if len(sentTo[core.Pull](o, "c1:1")) != 1 || len(sentTo[Follow](o, "d3:1")) != 1 {
+	if len(sentTo[core.PullUpdates](o, "c1:1")) != 1 || len(sentTo[Follow](o, "d3:1")) != 1 {
 		t.Errorf("neither cores nor desks are asked: %+v", o.Sends)
 	}
 	if m.Number() != 0 || m.Ready() || m.inTouch(0) {
--- a/peer/desk/departure.go
+++ b/peer/desk/departure.go
@@ -47,7 +47,7 @@
 func (m *Machine) answerDepartures(now time.Duration) {
 	within := m.params.DepartureWithin()
 	if !m.inTouch(now) {
-		within = cutOffPulls * m.params.Core.Pull
+		within = cutOffPulls * m.params.Core.PullInterval
 	}
 	waiting := m.departures[:0]
 	for _, d := range m.departures {
--- a/peer/desk/handler.go
+++ b/peer/desk/handler.go
@@ -20,7 +20,7 @@
 	Leave(ctx context.Context, id string) error
 	Apply(ctx context.Context, base uint64, text []byte, digest string) (Handed, error)
 	Amend(ctx context.Context, a Amendment) (Handed, error)
-	Read(ctx context.Context) (core.AgreedTable, error)
+	Read(ctx context.Context) (core.CurrentTable, error)
 	Retire(ctx context.Context, id string) (Emptied, error)
 	Retired(ctx context.Context, id string) (Emptied, error)
 	Counters(ctx context.Context) (map[string]int64, error)
--- a/peer/desk/machine.go
+++ b/peer/desk/machine.go
@@ -52,7 +52,7 @@
 	table           *currentTable
 	pulledUpTo      partition.Version
 	confirmed       time.Duration
-	fresh           core.Fresh
+	fresh           core.Freshness
 	pullAt          time.Duration
 	followAt        time.Duration
 	sweepAt         time.Duration
@@ -79,9 +79,9 @@
 	if o.Peers != nil {
 		m.recall(*o.Peers)
 	}
-	m.caller = &core.Caller{Retry: o.Params.Core.Retry, Random: o.Random,
+	m.caller = &core.Caller{Retry: o.Params.Core.AttemptTimeout, Random: o.Random,
 		Send:   func(to string, body any) { m.send(to, body) },
-		Parts:  func() int { return len(m.topology.Owners) },
+		Parts:  func() int { return len(m.topology.Leaders) },
 		Anyone: m.coreAddresses,
 		Others: m.others}
 	return m
@@ -108,16 +108,16 @@
 		m.onBulletin(now, from, b)
 	case LoadReport:
 		m.onLoadReport(now, from, b)
-	case core.Present:
+	case core.AnnounceCore:
 		m.onPresent(now, from, b)
 	case core.Topology:
 		m.adopt(now, b)
-	case core.News:
+	case core.Update:
 		m.onNews(now, b)
-	case core.Fresh:
+	case core.Freshness:
 		m.fresh = b
 		m.confirm(now)
-	case core.CommandReturn:
+	case core.CommandResult:
 		m.caller.Receive(now, from, b)
 	default:
 		m.Counters.BadMessages++
@@ -135,7 +135,7 @@
 	m.listenForEcho(now)
 	m.tellLoads(now)
 	if now >= m.followAt {
-		m.followAt = now + m.params.Core.Pull*2
+		m.followAt = now + m.params.Core.PullInterval*2
 		targets := ordered.Keys(m.desks)
 		for _, seed := range m.seeds {
 			if _, ok := m.desks[seed]; !ok {
@@ -147,7 +147,7 @@
 		}
 	}
 	if now >= m.pullAt {
-		m.pullAt = now + m.params.Core.Pull
+		m.pullAt = now + m.params.Core.PullInterval
 		m.pull(now)
 	}
 	if now >= m.sweepAt {
@@ -191,7 +191,7 @@
 func (m *Machine) Number() uint64 { return m.table.number() }
 
 // Ready reports whether this desk has a table and cores to ask.
-func (m *Machine) Ready() bool { return len(m.topology.Owners) > 0 }
+func (m *Machine) Ready() bool { return len(m.topology.Leaders) > 0 }
 
 // Status is what this desk counts and holds.
 func (m *Machine) Status(now time.Duration) map[string]int64 {
--- a/peer/desk/machine_test.go
+++ b/peer/desk/machine_test.go
@@ -16,7 +16,7 @@
 
 func newDesk(change func(o *Options)) *Machine {
 	o := Options{ID: "d1", Life: "l1", Address: "d1:1", Seeds: []string{"d1:1", "d2:1"}, Random: func() float64 { return 0.5 },
-		Params: Params{Core: core.Params{MemberTerm: time.Second, Retry: 100 * time.Millisecond, Pull: 100 * time.Millisecond}, Beat: beat, Seats: 3, PartsPerCore: 2, Within: time.Second}}
+		Params: Params{Core: core.Params{MemberLease: time.Second, AttemptTimeout: 100 * time.Millisecond, PullInterval: 100 * time.Millisecond}, Beat: beat, Seats: 3, PartsPerCore: 2, Within: time.Second}}
 	if change != nil {
 		change(&o)
 	}
@@ -118,7 +118,7 @@
 func TestFounding(t *testing.T) {
 	present := func(m *Machine, now time.Duration, ids ...string) {
 		for _, id := range ids {
-			m.Receive(now, id+":1", core.Present{Core: core.Core{ID: id, Incarnation: "i", Zone: id, Peer: id + ":1"}, Cold: true})
+			m.Receive(now, id+":1", core.AnnounceCore{Core: core.Core{ID: id, Incarnation: "i", Zone: id, Peer: id + ":1"}, MayFound: true})
 		}
 	}
 	m := newDesk(func(o *Options) { o.Founds = true })
@@ -149,7 +149,7 @@
 }
 
 func founded(m *Machine) core.Topology {
-	t := core.Topology{Fleet: "f", Size: 1, Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1", Version: 1}}, Owners: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}}, Groups: make([]partition.Group, 2)}
+	t := core.Topology{Fleet: "f", GroupSize: 1, Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1", Version: 1}}, Leaders: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}}, Groups: make([]partition.Group, 2)}
 	m.Receive(0, "c:1", t)
 	return t
 }
@@ -170,8 +170,8 @@
 		told   bool
 	}{
 		{"faulty", []byte(`{"number":1,"routes":[{"host":"h","prefix":"nowhere","mode":"once","timeout_ms":1}]}`), nil, Handed{}, false},
-		{"taken", table(3), core.TableAgreed{OK: true, Number: 3}, Handed{OK: true, Number: 3}, true},
-		{"another in force", table(3), core.TableAgreed{Number: 2}, Handed{Race: true, Number: 2}, false},
+		{"taken", table(3), core.AcceptTableResult{OK: true, Number: 3}, Handed{OK: true, Number: 3}, true},
+		{"another in force", table(3), core.AcceptTableResult{Number: 2}, Handed{Race: true, Number: 2}, false},
 		{"no answer", table(3), nil, Handed{Unsure: true}, false},
 	} {
 		m := newDesk(nil)
@@ -189,7 +189,7 @@
 			t.Fatalf("%s: %+v", c.name, o)
 		}
 		if c.answer != nil {
-			o = m.Receive(2*time.Millisecond, "c:1", core.CommandReturn{ID: commands[0].ID, Part: commands[0].Part, Raw: message.Pack(c.answer)})
+			o = m.Receive(2*time.Millisecond, "c:1", core.CommandResult{ID: commands[0].ID, Partition: commands[0].Partition, Raw: message.Pack(c.answer)})
 		} else {
 			o = m.Tick(2 * time.Second)
 		}
@@ -211,24 +211,24 @@
 func TestEmptiedOnlyWhenEveryPartSaysSo(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		seats []core.Seats
+		seats []core.GroupMembers
 		done  bool
 	}{
-		{"no seat", []core.Seats{{Seats: []string{"a.1"}}, {Seats: []string{"b.1"}}}, true},
-		{"a seat", []core.Seats{{Seats: []string{"a.1"}}, {Seats: []string{"c.1"}}}, false},
-		{"a former seat", []core.Seats{{Seats: []string{"a.1"}}, {Seats: []string{"a.1"}, Former: []string{"c.1"}}}, false},
-		{"one part silent", []core.Seats{{Seats: []string{"a.1"}}}, false},
+		{"no seat", []core.GroupMembers{{Members: []string{"a.1"}}, {Members: []string{"b.1"}}}, true},
+		{"a seat", []core.GroupMembers{{Members: []string{"a.1"}}, {Members: []string{"c.1"}}}, false},
+		{"a former seat", []core.GroupMembers{{Members: []string{"a.1"}}, {Members: []string{"a.1"}, Former: []string{"c.1"}}}, false},
+		{"one part silent", []core.GroupMembers{{Members: []string{"a.1"}}}, false},
 	} {
 		m := newDesk(nil)
 		topology := founded(m)
 		retired := topology.Cores["c"]
 		retired.Retired, retired.Version = true, 2
-		m.Receive(0, "x:1", core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": retired, "x": {ID: "x", Incarnation: "1", Peer: "x:1", Version: 1}}, Owners: []partition.Term{{Round: 2, Leader: "x.1"}, {Round: 2, Leader: "x.1"}}})
+		m.Receive(0, "x:1", core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": retired, "x": {ID: "x", Incarnation: "1", Peer: "x:1", Version: 1}}, Leaders: []partition.Term{{Round: 2, Leader: "x.1"}, {Round: 2, Leader: "x.1"}}})
 		o := m.Retired(time.Millisecond, 9, "c")
 		answers := o.Answers
 		for i, command := range sentTo[core.Command](o, "x:1") {
 			if i < len(c.seats) {
-				answers = append(answers, m.Receive(2*time.Millisecond, "x:1", core.CommandReturn{ID: command.ID, Part: command.Part, Raw: message.Pack(c.seats[i])}).Answers...)
+				answers = append(answers, m.Receive(2*time.Millisecond, "x:1", core.CommandResult{ID: command.ID, Partition: command.Partition, Raw: message.Pack(c.seats[i])}).Answers...)
 			}
 		}
 		if len(answers) == 0 {
--- a/peer/desk/peers.go
+++ b/peer/desk/peers.go
@@ -18,7 +18,7 @@
 
 // Peers are the addresses that this desk knows.
 func (m *Machine) Peers() Peers {
-	known := Peers{Fleet: m.topology.Fleet, Size: m.topology.Size, Cores: make(map[string]core.Core, len(m.topology.Cores)), Desks: ordered.Keys(m.desks)}
+	known := Peers{Fleet: m.topology.Fleet, Size: m.topology.GroupSize, Cores: make(map[string]core.Core, len(m.topology.Cores)), Desks: ordered.Keys(m.desks)}
 	for id, c := range m.topology.Cores {
 		known.Cores[id] = c
 	}
@@ -35,7 +35,7 @@
 // recall takes over the addresses that an earlier life wrote down. They say where
 // to ask, and nothing of who leads or which table is in force.
 func (m *Machine) recall(known Peers) {
-	m.topology.Fleet, m.topology.Size = known.Fleet, known.Size
+	m.topology.Fleet, m.topology.GroupSize = known.Fleet, known.Size
 	for id, c := range known.Cores {
 		m.topology.Cores[id] = c
 	}
@@ -50,7 +50,7 @@
 
 // savePeers writes the addresses down when they have changed.
 func (m *Machine) savePeers() {
-	if m.saved.version == m.topologyVersion || len(m.topology.Owners) == 0 {
+	if m.saved.version == m.topologyVersion || len(m.topology.Leaders) == 0 {
 		return
 	}
 	m.saved.version = m.topologyVersion
--- a/peer/desk/reach.go
+++ b/peer/desk/reach.go
@@ -72,7 +72,7 @@
 
 // inTouch reports whether the cores confirmed the table in force lately.
 func (m *Machine) inTouch(now time.Duration) bool {
-	return m.confirmed >= 0 && now-m.confirmed < touchPulls*m.params.Core.Pull
+	return m.confirmed >= 0 && now-m.confirmed < touchPulls*m.params.Core.PullInterval
 }
 
 // giveUpCalls answers calls that a desk can't have decided because it is cut off.
@@ -84,7 +84,7 @@
 	}
 	for _, ticket := range ordered.Keys(m.pending) {
 		call := m.pending[ticket]
-		if now >= call.began+cutOffPulls*m.params.Core.Pull {
+		if now >= call.began+cutOffPulls*m.params.Core.PullInterval {
 			m.settle(ticket, call.unsure)
 		}
 	}
--- a/peer/desk/table.go
+++ b/peer/desk/table.go
@@ -13,11 +13,11 @@
 
 // confirm notes as of when this desk has missed no table.
 func (m *Machine) confirm(now time.Duration) {
-	if m.fresh.Upto == (partition.Version{}) || m.pulledUpTo.Less(m.fresh.Upto) {
+	if m.fresh.UpTo == (partition.Version{}) || m.pulledUpTo.Less(m.fresh.UpTo) {
 		return
 	}
 	first := m.confirmed < 0
-	m.confirmed = max(m.confirmed, m.fresh.Sent-m.fresh.Age)
+	m.confirmed = max(m.confirmed, m.fresh.SentAt-m.fresh.Age)
 	if first {
 		for _, address := range ordered.Keys(m.subscribers) {
 			m.tell(now, address, m.subscribers[address], true)
@@ -25,16 +25,16 @@
 	}
 }
 
-func (m *Machine) onNews(now time.Duration, b core.News) {
-	if b.Part != core.ConfigurationPart || !m.pulledUpTo.Less(b.Upto) || (!b.Whole && m.pulledUpTo.Less(b.After)) {
+func (m *Machine) onNews(now time.Duration, b core.Update) {
+	if b.Partition != core.ConfigurationPartition || !m.pulledUpTo.Less(b.UpTo) || (!b.Snapshot && m.pulledUpTo.Less(b.After)) {
 		return
 	}
-	m.pulledUpTo = b.Upto
+	m.pulledUpTo = b.UpTo
 	t := core.Topology{Fleet: m.topology.Fleet, Cores: map[string]core.Core{}}
 	for _, e := range b.Entries {
 		switch {
 		case e.Key == core.TableKey:
-			var agreed core.AgreedTable
+			var agreed core.CurrentTable
 			if message.Unmarshal(e.Value, &agreed) == nil {
 				m.installText(now, agreed.Number, agreed.Digest, agreed.Text)
 			}
@@ -50,12 +50,12 @@
 }
 
 func (m *Machine) pull(now time.Duration) {
-	ask := core.Pull{Versions: map[int]partition.Version{core.ConfigurationPart: m.pulledUpTo}, Fresh: true, Sent: now, Want: len(m.topology.Owners) == 0 || m.random() < 0.2}
-	if to := m.caller.HintOf(core.ConfigurationPart); to != "" && m.confirmed >= 0 && now-m.confirmed < 3*m.params.Core.Pull {
+	ask := core.PullUpdates{Versions: map[int]partition.Version{core.ConfigurationPartition: m.pulledUpTo}, WantFreshness: true, SentAt: now, WantTopology: len(m.topology.Leaders) == 0 || m.random() < 0.2}
+	if to := m.caller.HintOf(core.ConfigurationPartition); to != "" && m.confirmed >= 0 && now-m.confirmed < 3*m.params.Core.PullInterval {
 		m.send(to, ask)
 		return
 	}
-	ask.Want = true
+	ask.WantTopology = true
 	for _, to := range m.coreAddresses() {
 		m.send(to, ask)
 	}
@@ -85,14 +85,14 @@
 		return *m.out
 	}
 	m.await(now, ticket, Handed{Unsure: true})
-	m.agree(now, ticket, core.AgreeTable{Base: base, Number: parsed.Number, Text: text, Digest: digest}, parsed, now+m.params.Within)
+	m.agree(now, ticket, core.AcceptTable{Base: base, Number: parsed.Number, Text: text, Digest: digest}, parsed, now+m.params.Within)
 	return *m.out
 }
 
 // agree has a checked table agreed by the cores, and answers the call that brought it.
-func (m *Machine) agree(now time.Duration, ticket uint64, c core.AgreeTable, parsed *route.Table, until time.Duration) {
+func (m *Machine) agree(now time.Duration, ticket uint64, c core.AcceptTable, parsed *route.Table, until time.Duration) {
 	m.caller.Call(now, c, until, func(now time.Duration, o core.Outcome) {
-		agreed, ok := o.Answer.(core.TableAgreed)
+		agreed, ok := o.Answer.(core.AcceptTableResult)
 		switch {
 		case !ok:
 			m.settle(ticket, Handed{Unsure: true})
@@ -111,9 +111,9 @@
 // Read reads the table in force from the cores: what they answer is the newest.
 func (m *Machine) Read(now time.Duration, ticket uint64) Output {
 	m.out = &Output{}
-	m.await(now, ticket, core.AgreedTable{})
+	m.await(now, ticket, core.CurrentTable{})
 	m.caller.Call(now, core.ReadTable{}, now+m.params.Within, func(now time.Duration, o core.Outcome) {
-		t, _ := o.Answer.(core.AgreedTable)
+		t, _ := o.Answer.(core.CurrentTable)
 		m.settle(ticket, t)
 	})
 	return *m.out
--- a/peer/desk/topology.go
+++ b/peer/desk/topology.go
@@ -36,41 +36,41 @@
 }
 
 // onPresent notes a core that says it is there.
-func (m *Machine) onPresent(now time.Duration, from string, b core.Present) {
-	if len(m.topology.Owners) == 0 {
+func (m *Machine) onPresent(now time.Duration, from string, b core.AnnounceCore) {
+	if len(m.topology.Leaders) == 0 {
 		if _, ok := m.foundingCores[b.Core.ID]; !ok || m.foundingCores[b.Core.ID].Incarnation != b.Core.Incarnation {
 			m.foundingCoresAt = now
 		}
-		if b.Cold {
+		if b.MayFound {
 			m.foundingCores[b.Core.ID] = b.Core
 		}
 	}
-	if known, ok := m.topology.Cores[b.Core.ID]; !ok || known.Version < b.Core.Version || (known.Version == b.Core.Version && known.Incarnation != b.Core.Incarnation && len(m.topology.Owners) == 0) {
+	if known, ok := m.topology.Cores[b.Core.ID]; !ok || known.Version < b.Core.Version || (known.Version == b.Core.Version && known.Incarnation != b.Core.Incarnation && len(m.topology.Leaders) == 0) {
 		m.topology.Cores[b.Core.ID] = b.Core
 		m.topologyVersion++
 	}
-	if b.Known != 0 && b.Known == m.topology.Digest() {
+	if b.KnownDigest != 0 && b.KnownDigest == m.topology.Digest() {
 		return
 	}
 	// They know different things: each tells the other.
 	m.send(from, m.topology)
-	m.send(from, core.Pull{Want: true})
+	m.send(from, core.PullUpdates{WantTopology: true})
 }
 
 // adopt takes over what is newer in another's topology.
 func (m *Machine) adopt(now time.Duration, t core.Topology) {
 	changed := false
-	if len(m.topology.Owners) == 0 && len(t.Owners) > 0 {
+	if len(m.topology.Leaders) == 0 && len(t.Leaders) > 0 {
 		cores := m.topology.Cores
-		m.topology = core.Topology{Fleet: t.Fleet, Size: t.Size, Cores: cores, Owners: slices.Clone(t.Owners), Groups: slices.Clone(t.Groups)}
+		m.topology = core.Topology{Fleet: t.Fleet, GroupSize: t.GroupSize, Cores: cores, Leaders: slices.Clone(t.Leaders), Groups: slices.Clone(t.Groups)}
 		changed = true
 	}
 	if m.topology.Fleet != t.Fleet && t.Fleet != "" {
 		return
 	}
-	for n := range t.Owners {
-		if n < len(m.topology.Owners) && m.topology.Owners[n].Less(t.Owners[n]) {
-			m.topology.Owners[n] = t.Owners[n]
+	for n := range t.Leaders {
+		if n < len(m.topology.Leaders) && m.topology.Leaders[n].Less(t.Leaders[n]) {
+			m.topology.Leaders[n] = t.Leaders[n]
 			changed = true
 		}
 	}
@@ -95,9 +95,9 @@
 
 // HintOwners tells a caller who owns which part.
 func HintOwners(caller *core.Caller, t core.Topology) {
-	for n, owner := range t.Owners {
+	for n, owner := range t.Leaders {
 		for _, c := range t.Cores {
-			if c.Seat() == owner.Leader {
+			if c.MemberID() == owner.Leader {
 				caller.Hint(n, c.Peer)
 			}
 		}
@@ -107,7 +107,7 @@
 // found founds the fleet, once all cores that came have been there for a while.
 func (m *Machine) found(now time.Duration) {
 	settle := m.params.Beat
-	if !m.founds || len(m.topology.Owners) > 0 || len(m.foundingCores) < m.params.Seats || now < m.foundAt || now < m.foundingCoresAt+settle {
+	if !m.founds || len(m.topology.Leaders) > 0 || len(m.foundingCores) < m.params.Seats || now < m.foundAt || now < m.foundingCoresAt+settle {
 		return
 	}
 	m.foundAt = now + settle/4
--- a/peer/node/announcement.go
+++ b/peer/node/announcement.go
@@ -92,7 +92,7 @@
 }
 
 // lifeOf names this process's life, whatever terms it had.
-func (m *Machine) lifeOf() string { return m.params.ID + "/" + core.LifeOf(m.incarnation) }
+func (m *Machine) lifeOf() string { return m.params.ID + "/" + core.ProcessIncarnation(m.incarnation) }
 
 func (m *Machine) hear(now time.Duration, r Replica, since time.Duration) {
 	list := m.replicas[r.Service]
@@ -156,7 +156,7 @@
 	}
 	for _, key := range ordered.Keys(m.conditions) {
 		c := m.conditions[key]
-		if c.outstanding == 0 && now >= c.until && now >= c.usedAt+m.params.Core.MemberTerm*ejectionsKept {
+		if c.outstanding == 0 && now >= c.until && now >= c.usedAt+m.params.Core.MemberLease*ejectionsKept {
 			delete(m.conditions, key)
 		}
 	}
--- a/peer/node/drain.go
+++ b/peer/node/drain.go
@@ -79,8 +79,8 @@
 	m.owners[key] = to
 	m.handing++
 	m.Counters.Handed++
-	c := core.HandProgram{Tenant: h.record.Tenant, ID: h.record.ID, Fence: h.record.Fence, Node: to.ID, Incarnation: to.Incarnation, Address: to.Peer}
-	m.caller.Call(now, c, now+m.params.Core.MemberTerm, func(time.Duration, core.Outcome) { m.handing-- })
+	c := core.HandOverProgram{Tenant: h.record.Tenant, ID: h.record.ID, Fence: h.record.Fence, Node: to.ID, Incarnation: to.Incarnation, Address: to.Peer}
+	m.caller.Call(now, c, now+m.params.Core.MemberLease, func(time.Duration, core.Outcome) { m.handing-- })
 }
 
 // giveBack returns all shares, then the term.
@@ -98,14 +98,14 @@
 	}
 	ask := func(command any) {
 		waiting++
-		m.caller.Call(now, command, now+m.params.Core.MemberTerm/2, done)
+		m.caller.Call(now, command, now+m.params.Core.MemberLease/2, done)
 	}
 	for _, tenant := range m.tenants {
-		var back core.ShareRates
+		var back core.DrawAllowances
 		for _, urgent := range []bool{false, true} {
 			p, rate, burst := m.paceOf(tenant, urgent)
 			p.give(now, p.books.Held(), rate, burst)
-			back.Rates = append(back.Rates, m.askPace(tenant, urgent, 0))
+			back.Draws = append(back.Draws, m.askPace(tenant, urgent, 0))
 		}
 		ask(back)
 		s := m.dayOf(tenant)
@@ -118,9 +118,9 @@
 }
 
 func (m *Machine) leave(now time.Duration) {
-	m.caller.Call(now, core.LeaveMember{ID: m.params.ID, Incarnation: m.incarnation}, now+m.params.Core.MemberTerm, func(now time.Duration, o core.Outcome) {
+	m.caller.Call(now, core.LeaveMember{ID: m.params.ID, Incarnation: m.incarnation}, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		// Until every other node has learned it, some may still pass inquiries
 		// here, and are told to ask elsewhere.
-		m.later.Add(now+3*m.params.Core.Pull, func(time.Duration) { m.left = true })
+		m.later.Add(now+3*m.params.Core.PullInterval, func(time.Duration) { m.left = true })
 	})
 }
--- a/peer/node/forward.go
+++ b/peer/node/forward.go
@@ -45,7 +45,7 @@
 }
 
 func (m *Machine) sendForward(now time.Duration, t slab.Ticket, a *asked) {
-	a.again = now + m.params.Core.Retry
+	a.again = now + m.params.Core.AttemptTimeout
 	q := a.way.inquiry
 	q.Budget = a.until - now
 	m.send(a.to, Forward{ID: m.caller.Mark(t), Inquiry: q})
@@ -57,7 +57,7 @@
 		return
 	}
 	number := 0
-	m.served[key] = &servedWay{until: now + b.Inquiry.Budget + m.params.Core.MemberTerm}
+	m.served[key] = &servedWay{until: now + b.Inquiry.Budget + m.params.Core.MemberLease}
 	m.send(from, Pieced{ID: b.ID, Number: number, Piece: Piece{Kind: PieceTaken}})
 	t := m.begin(now, b.Inquiry, true, func(p Piece) {
 		number++
@@ -70,7 +70,7 @@
 	key := fmt.Sprintf("%s#%d", from, b.ID)
 	s, ok := m.served[key]
 	if !ok {
-		m.served[key] = &servedWay{until: now + m.params.Budget + m.params.Core.MemberTerm}
+		m.served[key] = &servedWay{until: now + m.params.Budget + m.params.Core.MemberLease}
 		return
 	}
 	m.abandon(now, s.ticket)
@@ -109,7 +109,7 @@
 			m.refuse(w, unsure("the program is changing hands"))
 			return
 		}
-		m.later.Add(now+m.params.Core.Pull/4, func(now time.Duration) { m.locate(now, w) })
+		m.later.Add(now+m.params.Core.PullInterval/4, func(now time.Duration) { m.locate(now, w) })
 		return
 	}
 	m.end(w, b.Piece)
@@ -131,9 +131,9 @@
 	if a.way.inquiry.Kind == Look || a.way.inquiry.Kind == Close {
 		ran = verdict.NotExecuted
 	}
-	wait := m.params.Core.MemberTerm
+	wait := m.params.Core.MemberLease
 	if m.hasEnded(a.member.ID, a.member.Incarnation) {
-		wait = m.params.Core.Pull
+		wait = m.params.Core.PullInterval
 	}
 	v := verdict.Refused(verdict.Refusal{Check: "owner", Code: "owner_silent", Reason: "the program's owner gave no whole return", Status: 503, Ran: ran, RetryAfter: wait})
 	if now >= a.way.until {
@@ -151,7 +151,7 @@
 			m.loseAsked(now, t, a)
 		default:
 			// One that left in good order still says that it is not the owner.
-			m.later.Add(now+2*m.params.Core.Retry, func(now time.Duration) {
+			m.later.Add(now+2*m.params.Core.AttemptTimeout, func(now time.Duration) {
 				if still, ok := m.asked.Look(t); ok && still == a {
 					m.loseAsked(now, t, a)
 				}
--- a/peer/node/inquiry.go
+++ b/peer/node/inquiry.go
@@ -102,7 +102,7 @@
 	m.Counters.Refused++
 	m.Counters.Refusals[v.Code]++
 	if v.Status == 503 && v.RetryAfter <= 0 {
-		v.RetryAfter = m.params.Core.Pull
+		v.RetryAfter = m.params.Core.PullInterval
 	}
 	if w.ran != verdict.NotExecuted && v.Ran == verdict.NotExecuted {
 		v.Ran = verdict.MaybeExecuted
@@ -140,7 +140,7 @@
 		return
 	}
 	if !m.termed(now) {
-		m.refuse(w, verdict.RetryLater("term", "this node's term is not in force", m.params.Core.MemberTerm/4))
+		m.refuse(w, verdict.RetryLater("term", "this node's term is not in force", m.params.Core.MemberLease/4))
 		return
 	}
 	switch q.Kind {
@@ -151,7 +151,7 @@
 		}
 	}
 	if m.leaving && q.Kind == Open {
-		m.refuse(w, verdict.RetryLater("node", "this node leaves; ask another", m.params.Core.Pull))
+		m.refuse(w, verdict.RetryLater("node", "this node leaves; ask another", m.params.Core.PullInterval))
 		return
 	}
 	switch q.Kind {
@@ -206,16 +206,16 @@
 
 func (m *Machine) claim(now time.Duration, w *way, proof core.ClaimProgram) {
 	c := core.ClaimProgram{Tenant: w.tenant, ID: w.inquiry.Program, Node: m.params.ID, Incarnation: m.incarnation, Address: m.params.Address,
-		EndedNode: proof.EndedNode, EndedFormer: proof.EndedFormer}
+		EndedNode: proof.EndedNode, EndedIncarnation: proof.EndedIncarnation}
 	key := c.Tenant + "/" + c.ID
 	m.caller.Call(now, c, m.patient(now, w), func(now time.Duration, o core.Outcome) {
-		p, ok := o.Answer.(core.Programmed)
+		p, ok := o.Answer.(core.ProgramResult)
 		owner := core.Member{ID: p.Record.Node, Incarnation: p.Record.Incarnation, Peer: p.Record.Address}
 		switch {
 		case w.over:
 		case !ok || c.Incarnation != m.incarnation:
 			m.refuse(w, unsure("the program's owner could not be found out in time"))
-		case p.Gone:
+		case p.Expired:
 			m.refuse(w, verdict.Refused(verdict.Refusal{Check: "program", Code: "gone", Reason: "the program's keeping time has passed", Status: 410}))
 		case !p.Found:
 			m.refuse(w, denied("unknown_program", "no such program", 404))
@@ -227,8 +227,8 @@
 				m.hold(now, p)
 			}
 			m.atOwner(now, w, m.programs[key])
-		case m.hasEnded(owner.ID, owner.Incarnation) && c.EndedFormer != owner.Incarnation:
-			m.claim(now, w, core.ClaimProgram{EndedNode: owner.ID, EndedFormer: owner.Incarnation})
+		case m.hasEnded(owner.ID, owner.Incarnation) && c.EndedIncarnation != owner.Incarnation:
+			m.claim(now, w, core.ClaimProgram{EndedNode: owner.ID, EndedIncarnation: owner.Incarnation})
 		default:
 			m.owners[key] = owner
 			m.forward(now, w, owner)
@@ -245,9 +245,9 @@
 // patientRetries is how many tries at a command are waited for.
 const patientRetries = 12
 
-func (m *Machine) patience() time.Duration { return patientRetries * m.params.Core.Retry }
+func (m *Machine) patience() time.Duration { return patientRetries * m.params.Core.AttemptTimeout }
 
-func (m *Machine) hold(now time.Duration, p core.Programmed) *held {
+func (m *Machine) hold(now time.Duration, p core.ProgramResult) *held {
 	h := &held{record: copyRecord(p.Record), turns: map[string][]program.Turn{}, offset: p.Clock - now, saved: p.Record.Version, usedAt: now}
 	for _, t := range p.Turns {
 		h.turns[t.Line] = append(h.turns[t.Line], t)
--- a/peer/node/machine.go
+++ b/peer/node/machine.go
@@ -98,7 +98,7 @@
 	served   map[string]*servedWay
 	passed   slab.Slab[*passed]
 	passing  []slab.Ticket
-	later    core.Later
+	later    core.Timers
 	nextID   uint64
 	samples  []rehearsal.Sample
 	nextSamp int
@@ -137,9 +137,9 @@
 		conditions: map[string]*condition{}, waiting: map[uint64]slab.Ticket{}, live: map[slab.Ticket]*shot{},
 		open: map[slab.Ticket]*asked{}, served: map[string]*servedWay{}, mirrors: map[string]*mirrored{}, rooms: map[string]*room{}, breakerState: breaker.Closed}
 	m.Counters.Refusals = map[string]int64{}
-	m.caller = &core.Caller{Retry: o.Params.Core.Retry, Random: o.Random,
+	m.caller = &core.Caller{Retry: o.Params.Core.AttemptTimeout, Random: o.Random,
 		Send:   func(to string, body any) { m.send(to, body) },
-		Parts:  func() int { return len(m.topology.Owners) },
+		Parts:  func() int { return len(m.topology.Leaders) },
 		Anyone: func() []string { return m.coreAddresses() },
 		Others: func() []string { return m.others() }}
 	m.clear()
@@ -179,7 +179,7 @@
 	}
 	for _, tenant := range m.tenants {
 		p := m.paces[tenant+"/rate"]
-		if (p == nil || p.filled < 1) && now < m.joinedAt+m.params.Core.MemberTerm/2 {
+		if (p == nil || p.filled < 1) && now < m.joinedAt+m.params.Core.MemberLease/2 {
 			return false
 		}
 	}
@@ -217,7 +217,7 @@
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
 	m.step(now)
 	switch b := body.(type) {
-	case core.CommandReturn:
+	case core.CommandResult:
 		if b.ID&passedOn == 0 {
 			m.caller.Receive(now, from, b)
 		} else {
@@ -227,11 +227,11 @@
 		m.passOn(now, from, b)
 	case core.Topology:
 		m.onTopology(b)
-	case core.News:
+	case core.Update:
 		m.onNews(now, b)
-	case core.Pull:
+	case core.PullUpdates:
 		m.onPull(now, from, b)
-	case core.Fresh:
+	case core.Freshness:
 		m.onFresh(b)
 	case Announced:
 		m.onAnnounced(now, b)
@@ -249,7 +249,7 @@
 		m.onAskCopy(now, from, b)
 	case CopyHeld:
 		m.onCopyHeld(now, b)
-	case core.AskSamples:
+	case core.ReadSamples:
 		list := append([]rehearsal.Sample(nil), m.samples...)
 		for i := range list {
 			list[i].Age = now - list[i].Age
--- a/peer/node/machine_test.go
+++ b/peer/node/machine_test.go
@@ -13,7 +13,7 @@
 // configuration from other nodes only may be behind what this node had in force
 // in an earlier life, and does not join.
 func TestNewLifeAsksTheConfigurationsOwner(t *testing.T) {
-	m := New(Options{Params: Params{Core: core.Params{MemberTerm: 2 * time.Second, Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}, Newest: time.Second},
+	m := New(Options{Params: Params{Core: core.Params{MemberLease: 2 * time.Second, AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}, Newest: time.Second},
 		ID: "n", Incarnation: "a", Address: "10.0.0.9:1", Random: func() float64 { return 0.5 }})
 	joins := func(now time.Duration) (n int) {
 		for _, s := range m.Tick(now).Sends {
@@ -27,21 +27,21 @@
 		}
 		return n
 	}
-	m.Receive(time.Second, "10.0.0.1:1", core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "10.0.0.1:1"}}, Groups: make([]partition.Group, 2), Owners: make([]partition.Term, 2)})
+	m.Receive(time.Second, "10.0.0.1:1", core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "10.0.0.1:1"}}, Groups: make([]partition.Group, 2), Leaders: make([]partition.Term, 2)})
 	at := partition.Version{Seq: 4}
-	m.Receive(time.Second, "10.0.0.2:1", core.News{Part: core.ConfigurationPart, Upto: at, Whole: true, Entries: []partition.Entry{{Key: "configuration",
-		Value: message.Marshal(core.Configured{Version: 1, Text: []byte(`{"roles":{"viewer":{}},"tenants":{"t":{}},"services":{"model":{"kind":"model"}}}`)})}}})
+	m.Receive(time.Second, "10.0.0.2:1", core.Update{Partition: core.ConfigurationPartition, UpTo: at, Snapshot: true, Entries: []partition.Entry{{Key: "configuration",
+		Value: message.Marshal(core.CurrentConfiguration{Version: 1, Text: []byte(`{"roles":{"viewer":{}},"tenants":{"t":{}},"services":{"model":{"kind":"model"}}}`)})}}})
 	if m.Version() != 1 {
 		t.Fatal("the description was not taken")
 	}
 	if joins(1100*time.Millisecond) != 0 {
 		t.Error("it joins by another node's word")
 	}
-	m.Receive(1200*time.Millisecond, "10.0.0.1:1", core.Fresh{Sent: 1100 * time.Millisecond, Upto: partition.Version{Seq: 5}})
+	m.Receive(1200*time.Millisecond, "10.0.0.1:1", core.Freshness{SentAt: 1100 * time.Millisecond, UpTo: partition.Version{Seq: 5}})
 	if joins(1300*time.Millisecond) != 0 {
 		t.Error("it joins though the owner has a newer one")
 	}
-	m.Receive(1400*time.Millisecond, "10.0.0.1:1", core.Fresh{Sent: 1100 * time.Millisecond, Upto: at})
+	m.Receive(1400*time.Millisecond, "10.0.0.1:1", core.Freshness{SentAt: 1100 * time.Millisecond, UpTo: at})
 	if joins(1500*time.Millisecond) != 1 {
 		t.Error("it does not join")
 	}
--- a/peer/node/membership.go
+++ b/peer/node/membership.go
@@ -21,7 +21,7 @@
 		m.Counters.TermsLost++
 		m.reset(now)
 	}
-	if m.renewing || now < m.renewAt || len(m.topology.Owners) == 0 || m.version == 0 || (m.leaving && !m.joined) {
+	if m.renewing || now < m.renewAt || len(m.topology.Leaders) == 0 || m.version == 0 || (m.leaving && !m.joined) {
 		return
 	}
 	if m.freshAt < m.bornAt {
@@ -34,16 +34,16 @@
 		return
 	}
 	m.renewing = true
-	m.renewAt = now + m.params.Core.MemberTerm/6
+	m.renewAt = now + m.params.Core.MemberLease/6
 	sent, incarnation := now, m.incarnation
 	var command any = core.RenewMember{ID: m.params.ID, Incarnation: incarnation, Version: m.version}
 	if !m.joined {
 		command = core.JoinMember{Member: core.Member{ID: m.params.ID, Incarnation: incarnation, Zone: m.params.Zone,
 			Peer: m.params.Address, HTTP: m.params.HTTP, Host: m.params.Host, Version: m.version}}
 	}
-	m.caller.Call(now, command, now+m.params.Core.MemberTerm, func(now time.Duration, o core.Outcome) {
+	m.caller.Call(now, command, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		m.renewing = false
-		t, ok := o.Answer.(core.Termed)
+		t, ok := o.Answer.(core.MembershipResult)
 		if !ok || incarnation != m.incarnation {
 			return
 		}
@@ -53,13 +53,13 @@
 				m.Counters.Joins++
 				m.joinedAt = now
 			}
-			if until := sent + m.params.Core.MemberTerm; until > now {
+			if until := sent + m.params.Core.MemberLease; until > now {
 				m.joined, m.termUntil = true, max(m.termUntil, until)
 			}
 		case t.Ended:
 			m.reset(now)
 		case t.Wait > 0:
-			m.renewAt = now + min(t.Wait, m.params.Core.MemberTerm)
+			m.renewAt = now + min(t.Wait, m.params.Core.MemberLease)
 		}
 	})
 }
@@ -70,9 +70,9 @@
 func (m *Machine) bury(now time.Duration) {
 	m.renewing = true
 	former := m.former[0]
-	m.caller.Call(now, core.LeaveMember{ID: m.params.ID, Incarnation: former}, now+m.params.Core.MemberTerm, func(now time.Duration, o core.Outcome) {
+	m.caller.Call(now, core.LeaveMember{ID: m.params.ID, Incarnation: former}, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		m.renewing = false
-		if t, ok := o.Answer.(core.Termed); ok && t.Ended {
+		if t, ok := o.Answer.(core.MembershipResult); ok && t.Ended {
 			m.buried[former] = true
 			m.former = slices.DeleteFunc(m.former, func(life string) bool { return life == former })
 		}
@@ -85,7 +85,7 @@
 	m.Counters.Resets++
 	m.births++
 	m.former = append(m.former, m.incarnation)
-	m.incarnation = fmt.Sprintf("%s+%d", core.LifeOf(m.incarnation), m.births)
+	m.incarnation = fmt.Sprintf("%s+%d", core.ProcessIncarnation(m.incarnation), m.births)
 	m.joined, m.termUntil, m.renewing, m.renewAt = false, 0, false, now
 	var lost []*held
 	for _, key := range ordered.Keys(m.programs) {
@@ -112,7 +112,7 @@
 		m.failSaves(now, h)
 	}
 	for _, w := range waiters {
-		w.next(now, false, m.params.Core.Retry)
+		w.next(now, false, m.params.Core.AttemptTimeout)
 	}
 }
 
--- a/peer/node/mirror.go
+++ b/peer/node/mirror.go
@@ -98,7 +98,7 @@
 // mirrorEnded reports whether what a mirror held is surely lost or unreachable.
 func (m *Machine) mirrorEnded(one program.Mirror) bool {
 	o, ok := m.members[one.ID]
-	return !ok || core.LifeOf(o.Incarnation) != one.Life || o.Ended
+	return !ok || core.ProcessIncarnation(o.Incarnation) != one.Life || o.Ended
 }
 
 // chooseMirrors picks members in other zones than this node's and each other's,
@@ -119,10 +119,10 @@
 				continue
 			}
 			zones[o.Zone] = true
-			chosen = append(chosen, program.Mirror{ID: o.ID, Life: core.LifeOf(o.Incarnation), Peer: o.Peer})
+			chosen = append(chosen, program.Mirror{ID: o.ID, Life: core.ProcessIncarnation(o.Incarnation), Peer: o.Peer})
 		}
 	}
-	chosen = append(chosen, program.Mirror{ID: m.params.ID, Life: core.LifeOf(m.incarnation), Peer: m.params.Address})
+	chosen = append(chosen, program.Mirror{ID: m.params.ID, Life: core.ProcessIncarnation(m.incarnation), Peer: m.params.Address})
 	sort.Slice(chosen, func(i, j int) bool { return chosen[i].ID < chosen[j].ID })
 	return chosen
 }
@@ -130,14 +130,14 @@
 // copyOut gives mirrors what the cores have not taken in time, if what is
 // durable there names these mirrors and covers what was charged since.
 func (m *Machine) copyOut(now time.Duration, h *held) {
-	if h.saved >= h.record.Version || h.lost || h.consulting != nil || now < h.unsavedAt+m.params.Core.Retry || now < h.copyAt ||
+	if h.saved >= h.record.Version || h.lost || h.consulting != nil || now < h.unsavedAt+m.params.Core.AttemptTimeout || now < h.copyAt ||
 		h.copied >= h.record.Version || !m.termed(now) {
 		return
 	}
 	if len(h.named) != mirrorsOfProgram+1 || !slices.Equal(h.named, h.record.Mirrors) || h.record.Charged() > min(h.covered, h.dayCovered) {
 		return
 	}
-	h.copyAt = now + m.params.Core.Retry
+	h.copyAt = now + m.params.Core.AttemptTimeout
 	c := Copy{Record: copyRecord(h.record), Turns: slices.Clone(h.unsaved)}
 	for _, one := range m.without(h.named) {
 		m.send(one.Peer, c)
@@ -161,7 +161,7 @@
 		c.fence, c.found, c.record, c.turns = b.Record.Fence, true, b.Record, b.Turns
 	}
 	c.until = now + b.Record.Keep
-	m.send(from, Copied{Tenant: b.Record.Tenant, Program: b.Record.ID, Fence: b.Record.Fence, Version: b.Record.Version, Life: core.LifeOf(m.incarnation)})
+	m.send(from, Copied{Tenant: b.Record.Tenant, Program: b.Record.ID, Fence: b.Record.Fence, Version: b.Record.Version, Life: core.ProcessIncarnation(m.incarnation)})
 }
 
 // keepOwn keeps what this node did for a program that is no longer its own, for
@@ -196,13 +196,13 @@
 
 func (m *Machine) onAskCopy(now time.Duration, from string, b AskCopy) {
 	c := m.mirroredOf(b.Tenant, b.Program)
-	held := CopyHeld{Tenant: b.Tenant, Program: b.Program, Fence: b.Fence, Life: core.LifeOf(m.incarnation), Found: c.found}
+	held := CopyHeld{Tenant: b.Tenant, Program: b.Program, Fence: b.Fence, Life: core.ProcessIncarnation(m.incarnation), Found: c.found}
 	if c.found {
 		held.Record, held.Turns = c.record, c.turns
 	}
 	// What comes from an owner before the one that asks is no longer taken.
 	c.fence = max(c.fence, b.Fence)
-	c.until = max(c.until, now+m.params.Core.MemberTerm*ejectionsKept)
+	c.until = max(c.until, now+m.params.Core.MemberLease*ejectionsKept)
 	m.send(from, held)
 }
 
@@ -235,14 +235,14 @@
 	if c == nil || h.lost || now < c.askAt {
 		return
 	}
-	c.askAt = now + m.params.Core.Retry
+	c.askAt = now + m.params.Core.AttemptTimeout
 	lost := 0
 	for _, one := range c.mirrors {
-		if one.ID == m.params.ID && one.Life == core.LifeOf(m.incarnation) {
+		if one.ID == m.params.ID && one.Life == core.ProcessIncarnation(m.incarnation) {
 			m.send(one.Peer, AskCopy{Tenant: h.record.Tenant, Program: h.record.ID, Fence: h.record.Fence})
 			continue
 		}
-		if o, ok := m.members[one.ID]; ok && core.LifeOf(o.Incarnation) != one.Life {
+		if o, ok := m.members[one.ID]; ok && core.ProcessIncarnation(o.Incarnation) != one.Life {
 			// The process that held it is no more.
 			lost++
 			continue
@@ -251,7 +251,7 @@
 			if c.goneAt[one.ID] == 0 {
 				c.goneAt[one.ID] = now
 			}
-			if now >= c.goneAt[one.ID]+mirrorTerms*m.params.Core.MemberTerm {
+			if now >= c.goneAt[one.ID]+mirrorTerms*m.params.Core.MemberLease {
 				lost++
 			}
 		}
--- a/peer/node/news.go
+++ b/peer/node/news.go
@@ -17,13 +17,13 @@
 	if now < m.pullAt {
 		return
 	}
-	m.pullAt = now + m.params.Core.Pull
+	m.pullAt = now + m.params.Core.PullInterval
 	versions := map[int]partition.Version{}
 	for n, v := range m.versions {
 		versions[n] = v
 	}
 	m.pulls++
-	ask := core.Pull{Sent: now, Versions: versions, Member: m.params.ID, Fresh: m.freshAt < m.bornAt, Want: m.pulls%8 == 1 || len(m.topology.Owners) == 0}
+	ask := core.PullUpdates{SentAt: now, Versions: versions, Member: m.params.ID, WantFreshness: m.freshAt < m.bornAt, WantTopology: m.pulls%8 == 1 || len(m.topology.Leaders) == 0}
 	targets := m.coreAddresses()
 	if len(targets) == 0 {
 		targets = m.params.Seeds
@@ -53,15 +53,15 @@
 }
 
 func (m *Machine) onTopology(t core.Topology) {
-	if m.topology.Fleet != "" && m.topology.Fleet != t.Fleet || len(t.Owners) == 0 {
+	if m.topology.Fleet != "" && m.topology.Fleet != t.Fleet || len(t.Leaders) == 0 {
 		return
 	}
 	if m.topology.Fleet == "" {
 		m.topology = t
 	}
-	for n := range t.Owners {
-		if n < len(m.topology.Owners) && m.topology.Owners[n].Less(t.Owners[n]) {
-			m.topology.Owners[n] = t.Owners[n]
+	for n := range t.Leaders {
+		if n < len(m.topology.Leaders) && m.topology.Leaders[n].Less(t.Leaders[n]) {
+			m.topology.Leaders[n] = t.Leaders[n]
 		}
 	}
 	for id, c := range t.Cores {
@@ -69,9 +69,9 @@
 			m.topology.Cores[id] = c
 		}
 	}
-	for n, owner := range m.topology.Owners {
+	for n, owner := range m.topology.Leaders {
 		for _, c := range m.topology.Cores {
-			if c.Seat() == owner.Leader {
+			if c.MemberID() == owner.Leader {
 				m.caller.Hint(n, c.Peer)
 			}
 		}
@@ -79,14 +79,14 @@
 }
 
 // onFresh notes as of when this node has missed nothing of the configuration.
-func (m *Machine) onFresh(b core.Fresh) {
-	if !m.versions[core.ConfigurationPart].Less(b.Upto) {
-		m.freshAt = max(m.freshAt, b.Sent-b.Age)
+func (m *Machine) onFresh(b core.Freshness) {
+	if !m.versions[core.ConfigurationPartition].Less(b.UpTo) {
+		m.freshAt = max(m.freshAt, b.SentAt-b.Age)
 	}
 }
 
-func (m *Machine) onPull(now time.Duration, from string, b core.Pull) {
-	if b.Want && m.topology.Fleet != "" {
+func (m *Machine) onPull(now time.Duration, from string, b core.PullUpdates) {
+	if b.WantTopology && m.topology.Fleet != "" {
 		m.send(from, m.topology)
 	}
 	for _, n := range ordered.Keys(m.versions) {
@@ -94,32 +94,32 @@
 		if !after.Less(upto) {
 			continue
 		}
-		news := core.News{Part: n, Upto: upto, Whole: true}
+		news := core.Update{Partition: n, UpTo: upto, Snapshot: true}
 		for _, k := range ordered.Keys(m.entries[n]) {
 			news.Entries = append(news.Entries, m.entries[n][k])
 		}
 		m.send(from, news)
 	}
-	m.tellAnnounced(now, from, b.Sent)
+	m.tellAnnounced(now, from, b.SentAt)
 }
 
-func (m *Machine) onNews(now time.Duration, b core.News) {
-	if !m.versions[b.Part].Less(b.Upto) || (!b.Whole && m.versions[b.Part].Less(b.After)) {
+func (m *Machine) onNews(now time.Duration, b core.Update) {
+	if !m.versions[b.Partition].Less(b.UpTo) || (!b.Snapshot && m.versions[b.Partition].Less(b.After)) {
 		m.Counters.StaleNews++
 		return
 	}
-	if b.Whole || m.entries[b.Part] == nil {
-		m.entries[b.Part] = map[string]partition.Entry{}
+	if b.Snapshot || m.entries[b.Partition] == nil {
+		m.entries[b.Partition] = map[string]partition.Entry{}
 	}
 	for _, e := range b.Entries {
 		if e.Deleted {
-			delete(m.entries[b.Part], e.Key)
+			delete(m.entries[b.Partition], e.Key)
 		} else {
-			m.entries[b.Part][e.Key] = e
+			m.entries[b.Partition][e.Key] = e
 		}
 	}
-	m.versions[b.Part] = b.Upto
-	m.learn(now, b.Part)
+	m.versions[b.Partition] = b.UpTo
+	m.learn(now, b.Partition)
 }
 
 func (m *Machine) learn(now time.Duration, n int) {
@@ -132,7 +132,7 @@
 	kind, _, _ := strings.Cut(e.Key, "/")
 	switch kind {
 	case "configuration":
-		var c core.Configured
+		var c core.CurrentConfiguration
 		if message.Unmarshal(e.Value, &c) != nil || c.Version <= m.version {
 			return
 		}
@@ -157,7 +157,7 @@
 			}
 		}
 	case "breaker":
-		var b core.BreakerNews
+		var b core.BreakerSummary
 		if message.Unmarshal(e.Value, &b) == nil {
 			state := breaker.State(b.State)
 			if state == breaker.Open && m.breakerState != breaker.Open && m.description != nil {
--- a/peer/node/nonsense_test.go
+++ b/peer/node/nonsense_test.go
@@ -13,12 +13,12 @@
 // FuzzReceive gives a node and a core whatever a member may send, whole, cut
 // short or changed, and wants them to go on.
 func FuzzReceive(f *testing.F) {
-	for _, body := range []any{core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c"}}, Groups: make([]partition.Group, 3), Owners: make([]partition.Term, 3)},
-		core.News{Part: 1, Upto: partition.Version{Seq: 1}, Whole: true, Entries: []partition.Entry{{Key: "member/n", Value: message.Marshal(core.Member{ID: "n"})}}},
-		core.Pull{Versions: map[int]partition.Version{0: {}}}, core.Fresh{}, core.Command{Part: 1, Raw: message.Pack(core.JoinMember{Member: core.Member{ID: "x"}})}, core.CommandReturn{ID: 1},
-		core.PartMessage{Part: 1, Raw: message.Pack(partition.Prepare{})}, Forward{ID: 1, Inquiry: Inquiry{Kind: Turn, Key: "k", Program: "p"}}, Withdraw{ID: 2}, Pieced{ID: 3},
+	for _, body := range []any{core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c"}}, Groups: make([]partition.Group, 3), Leaders: make([]partition.Term, 3)},
+		core.Update{Partition: 1, UpTo: partition.Version{Seq: 1}, Snapshot: true, Entries: []partition.Entry{{Key: "member/n", Value: message.Marshal(core.Member{ID: "n"})}}},
+		core.PullUpdates{Versions: map[int]partition.Version{0: {}}}, core.Freshness{}, core.Command{Partition: 1, Raw: message.Pack(core.JoinMember{Member: core.Member{ID: "x"}})}, core.CommandResult{ID: 1},
+		core.ReplicaMessage{Partition: 1, Raw: message.Pack(partition.Prepare{})}, Forward{ID: 1, Inquiry: Inquiry{Kind: Turn, Key: "k", Program: "p"}}, Withdraw{ID: 2}, Pieced{ID: 3},
 		Copy{Record: program.Record{ID: "p", Tenant: "t"}}, Copied{}, AskCopy{Tenant: "t", Program: "p"}, CopyHeld{}, Announced{List: []Announcement{{Replica: Replica{Service: "s", ID: "r"}}}},
-		core.AskSamples{}, core.Samples{}} {
+		core.ReadSamples{}, core.Samples{}} {
 		f.Add(message.Pack(body))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -26,7 +26,7 @@
 		if err != nil {
 			return
 		}
-		params := core.Params{Part: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeHome: 20}, MemberTerm: 2 * time.Second, Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}
+		params := core.Params{Partition: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeHome: 20}, MemberLease: 2 * time.Second, AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}
 		random := func() float64 { return 0.3 }
 		n := New(Options{Params: Params{Core: params, Newest: time.Second, Buffer: 8}, ID: "n", Incarnation: "a", Address: "10.0.0.9:1", Random: random})
 		self := core.Core{ID: "c", Incarnation: "i", Peer: "10.0.0.1:1"}
--- a/peer/node/once.go
+++ b/peer/node/once.go
@@ -41,9 +41,9 @@
 	s := &shot{way: w, tried: map[string]bool{}, claim: fmt.Sprintf("%s-%s-%d", m.params.ID, m.incarnation, m.nextID)}
 	s.payload = Payload{Shot: s.claim, Tenant: w.tenant, OnceKey: q.OnceKey, Body: q.Arguments}
 	keep := time.Duration(m.description.OnceKeepSeconds) * time.Second
-	claim := core.ClaimOnce{Tenant: w.tenant, Service: q.Service, Key: onceKey(q.OnceKey), Claim: s.claim, Digest: digest, Keep: keep}
+	claim := core.ClaimOnce{Tenant: w.tenant, Service: q.Service, Key: onceKey(q.OnceKey), Claim: s.claim, Digest: digest, Retention: keep}
 	m.caller.Call(now, claim, m.patient(now, w), func(now time.Duration, o core.Outcome) {
-		c, ok := o.Answer.(core.Once)
+		c, ok := o.Answer.(core.OnceRecord)
 		switch {
 		case !ok:
 			m.undo(now, s, unsure("the intent could not be made durable in time"))
@@ -65,8 +65,8 @@
 
 func (m *Machine) endOnce(now time.Duration, s *shot, state string, status int, body []byte, next func(now time.Duration, ok bool)) {
 	end := core.EndOnce{Tenant: s.way.tenant, Service: s.way.inquiry.Service, Key: onceKey(s.way.inquiry.OnceKey), Claim: s.claim, State: state, Status: status, Body: body}
-	m.caller.Call(now, end, now+20*m.params.Core.MemberTerm, func(now time.Duration, o core.Outcome) {
-		_, ok := o.Answer.(core.Once)
+	m.caller.Call(now, end, now+20*m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
+		_, ok := o.Answer.(core.OnceRecord)
 		next(now, ok)
 	})
 }
@@ -74,7 +74,7 @@
 func (m *Machine) endAction(now time.Duration, s *shot, e Event) {
 	w := s.way
 	if e.Kind != EventDone {
-		m.endOnce(now, s, core.OnceMaybe, 0, nil, func(time.Duration, bool) {})
+		m.endOnce(now, s, core.OnceUncertain, 0, nil, func(time.Duration, bool) {})
 		m.breakOff(now, w)
 		return
 	}
--- a/peer/node/opening.go
+++ b/peer/node/opening.go
@@ -38,8 +38,8 @@
 		next(now, 0)
 		return
 	}
-	m.caller.Call(now, core.AdmitTest{Program: id, Limits: m.limits()}, m.patient(now, w), func(now time.Duration, o core.Outcome) {
-		t, ok := o.Answer.(core.Tested)
+	m.caller.Call(now, core.AdmitProbe{Program: id, Limits: m.limits()}, m.patient(now, w), func(now time.Duration, o core.Outcome) {
+		t, ok := o.Answer.(core.ProbeResult)
 		switch {
 		case w.over:
 		case !ok:
@@ -55,7 +55,7 @@
 }
 
 func (m *Machine) closeUser(now time.Duration, w *way, id string, charged int64) {
-	m.caller.Call(now, core.ChargeUser{Tenant: w.tenant, User: w.inquiry.User, Program: id, Charged: charged, Closed: true}, now+10*m.params.Core.MemberTerm, func(time.Duration, core.Outcome) {})
+	m.caller.Call(now, core.ChargeUser{Tenant: w.tenant, User: w.inquiry.User, Program: id, Charged: charged, Closed: true}, now+10*m.params.Core.MemberLease, func(time.Duration, core.Outcome) {})
 }
 
 func (m *Machine) openDay(now time.Duration, w *way, id string, test int, warnings []verdict.Warning) {
@@ -73,7 +73,7 @@
 		m.cover(&fresh)
 		r = fresh.record
 		m.caller.Call(now, core.OpenProgram{Record: r}, m.patient(now, w), func(now time.Duration, o core.Outcome) {
-			p, ok := o.Answer.(core.Programmed)
+			p, ok := o.Answer.(core.ProgramResult)
 			if !ok || !p.Owned || w.over || p.Record.Incarnation != m.incarnation {
 				m.closeUser(now, w, id, 0)
 				m.refuse(w, unsure("the program's record could not be made durable in time"))
@@ -98,5 +98,5 @@
 	if !told {
 		return unsure("no share of the tenant's day could be had in time")
 	}
-	return verdict.Refused(verdict.Refusal{Check: "tenant_day", Code: "tenant_day_tokens_spent", Reason: "the tenant's day is spent, or its shares are all held", Status: 429, RetryAfter: m.params.Core.MemberTerm})
+	return verdict.Refused(verdict.Refusal{Check: "tenant_day", Code: "tenant_day_tokens_spent", Reason: "the tenant's day is spent, or its shares are all held", Status: 429, RetryAfter: m.params.Core.MemberLease})
 }
--- a/peer/node/passing.go
+++ b/peer/node/passing.go
@@ -8,36 +8,36 @@
 
 // passOn carries a command to a core for a node whose own way there is cut.
 func (m *Machine) passOn(now time.Duration, from string, b core.Command) {
-	to := m.caller.HintOf(b.Part)
+	to := m.caller.HintOf(b.Partition)
 	if all := m.coreAddresses(); to == "" && len(all) > 0 {
 		to = all[int(m.random()*float64(len(all)))%len(all)]
 	}
 	if to == "" || m.passed.Used() >= m.params.Buffer || !m.termed(now) {
-		m.send(from, core.CommandReturn{ID: b.ID, Part: b.Part, Moved: true})
+		m.send(from, core.CommandResult{ID: b.ID, Partition: b.Partition, NotLeader: true})
 		return
 	}
 	m.Counters.PassedOn++
-	p := &passed{from: from, command: b, until: now + m.params.Core.MemberTerm}
+	p := &passed{from: from, command: b, until: now + m.params.Core.MemberLease}
 	t := m.passed.Keep(p)
 	m.passing = append(m.passing, t)
 	b.ID = m.caller.Mark(t) | passedOn
 	m.send(to, b)
 }
 
-func (m *Machine) passBack(now time.Duration, b core.CommandReturn) {
+func (m *Machine) passBack(now time.Duration, b core.CommandResult) {
 	t := m.caller.Unmark(b.ID &^ passedOn)
 	p, ok := m.passed.Look(t)
 	if !ok {
 		return
 	}
-	if b.Moved && b.Hint != "" && p.moved < 3 {
+	if b.NotLeader && b.LeaderHint != "" && p.moved < 3 {
 		p.moved++
-		m.caller.Hint(b.Part, b.Hint)
-		m.send(b.Hint, core.Command{ID: b.ID, Part: b.Part, Raw: p.command.Raw})
+		m.caller.Hint(b.Partition, b.LeaderHint)
+		m.send(b.LeaderHint, core.Command{ID: b.ID, Partition: b.Partition, Raw: p.command.Raw})
 		return
 	}
 	m.passed.Take(t)
-	b.ID, b.Hint = p.command.ID, ""
+	b.ID, b.LeaderHint = p.command.ID, ""
 	m.send(p.from, b)
 }
 
--- a/peer/node/room.go
+++ b/peer/node/room.go
@@ -22,7 +22,7 @@
 func (m *Machine) roomOf(service string) *room {
 	r := m.rooms[service]
 	if r == nil {
-		r = &room{took: m.params.Core.Retry}
+		r = &room{took: m.params.Core.AttemptTimeout}
 		m.rooms[service] = r
 	}
 	return r
@@ -45,7 +45,7 @@
 	if places == 0 {
 		return m.params.Newest
 	}
-	return max(m.params.Core.Pull, r.took*time.Duration(len(r.waiting)+1)/time.Duration(places))
+	return max(m.params.Core.PullInterval, r.took*time.Duration(len(r.waiting)+1)/time.Duration(places))
 }
 
 // awaitRoom buffers a shot until a replica has a place, if there is hope within
--- a/peer/node/saves.go
+++ b/peer/node/saves.go
@@ -52,7 +52,7 @@
 	turns := append([]program.Turn(nil), h.unsaved...)
 	m.caller.Call(now, core.SaveProgram{Record: record, Turns: turns}, now+m.patience(), func(now time.Duration, o core.Outcome) {
 		h.saving = false
-		p, ok := o.Answer.(core.Programmed)
+		p, ok := o.Answer.(core.ProgramResult)
 		switch {
 		case h.lost:
 			m.failSaves(now, h)
--- a/peer/node/share.go
+++ b/peer/node/share.go
@@ -89,7 +89,7 @@
 
 // wholeOf is how many units a rate is divided into. A chunk of them is the
 // least that lets a bucket hold one inquiry.
-func wholeOf(burst int64) int64 { return burst * core.Chunk }
+func wholeOf(burst int64) int64 { return burst * core.UnitsPerRequest }
 
 func (m *Machine) paceOf(tenant string, urgent bool) (*pace, float64, int64) {
 	t := m.description.Tenants[tenant]
@@ -154,12 +154,12 @@
 }
 
 func (m *Machine) learnShare(now time.Duration, s *share, o core.Outcome) {
-	r, ok := o.Answer.(core.Shared)
+	r, ok := o.Answer.(core.DrawResult)
 	if !ok {
 		return
 	}
 	s.books.Granted = max(s.books.Granted, r.Granted)
-	s.others = r.Others
+	s.others = r.Holders
 	if s == m.money && r.Open {
 		m.openUntil = now + r.Left
 	}
@@ -167,8 +167,8 @@
 
 func (m *Machine) askDay(tenant string, s *share) func(target int64) any {
 	return func(target int64) any {
-		return core.ShareTenant{Tenant: tenant, Kind: "day", Holder: m.holder(), Spent: s.books.Spent, Returned: s.books.Returned,
-			Target: target, Whole: m.description.Tenants[tenant].DayTokens, Chunk: 1, Ended: m.ended(s.others)}
+		return core.DrawAllowance{Tenant: tenant, Kind: "day", Holder: m.holder(), Spent: s.books.Spent, Returned: s.books.Returned,
+			Target: target, Limit: m.description.Tenants[tenant].DayTokens, UnitsPerRequest: 1, Ended: m.ended(s.others)}
 	}
 }
 
@@ -180,16 +180,16 @@
 
 func (m *Machine) drawMoney(target, need int64) any {
 	return core.DrawBreaker{Holder: m.holder(), Spent: m.money.books.Spent, Returned: m.money.books.Returned, Target: target, Need: need,
-		Ended: m.ended(m.money.others), Description: m.limits()}
+		Ended: m.ended(m.money.others), Limits: m.limits()}
 }
 
 func (m *Machine) limits() core.BreakerLimits {
 	p := m.description.BreakerParams()
-	return core.BreakerLimits{Minute: p.Minute, Hour: p.Hour, Day: p.Day, Recovery: p.Recovery, Tests: p.Probes}
+	return core.BreakerLimits{Minute: p.Minute, Hour: p.Hour, Day: p.Day, Recovery: p.Recovery, Probes: p.Probes}
 }
 
 func (m *Machine) report(now time.Duration) {
-	if m.description == nil || !m.termed(now) || m.givingBack || now < m.joinedAt+2*m.params.Core.Pull {
+	if m.description == nil || !m.termed(now) || m.givingBack || now < m.joinedAt+2*m.params.Core.PullInterval {
 		return
 	}
 	for _, tenant := range m.tenants {
@@ -214,7 +214,7 @@
 	open := s == m.money && (now < m.openUntil || m.breakerState != breaker.Closed)
 	idle := s.free() < chunk && !s.changed && !open
 	if s.asking || now < s.reportAt || (idle && s.free() > 0) {
-		if now < s.reportAt+m.params.Core.MemberTerm || s.asking {
+		if now < s.reportAt+m.params.Core.MemberLease || s.asking {
 			return
 		}
 	}
@@ -229,7 +229,7 @@
 	}
 	s.changed, s.asking = false, true
 	incarnation := m.incarnation
-	m.caller.Call(now, ask(target), now+m.params.Core.MemberTerm, func(now time.Duration, o core.Outcome) {
+	m.caller.Call(now, ask(target), now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		if incarnation == m.incarnation {
 			s.asking = false
 			m.learnShare(now, s, o)
@@ -238,14 +238,14 @@
 }
 
 // askPace is a report of one of a tenant's rates, and what is wanted of it.
-func (m *Machine) askPace(tenant string, urgent bool, want int64) core.ShareTenant {
+func (m *Machine) askPace(tenant string, urgent bool, want int64) core.DrawAllowance {
 	p, _, burst := m.paceOf(tenant, urgent)
 	kind := "rate"
 	if urgent {
 		kind = "urgent"
 	}
-	return core.ShareTenant{Tenant: tenant, Kind: kind, Holder: m.holder(), Returned: p.books.Returned, Target: want,
-		Whole: wholeOf(burst), Chunk: core.Chunk, Members: int64(len(m.others()) + 1), Ended: m.ended(p.others)}
+	return core.DrawAllowance{Tenant: tenant, Kind: kind, Holder: m.holder(), Returned: p.books.Returned, Target: want,
+		Limit: wholeOf(burst), UnitsPerRequest: core.UnitsPerRequest, Members: int64(len(m.others()) + 1), Ended: m.ended(p.others)}
 }
 
 // paceDue reports whether one of a tenant's rates is to be reported, and notes
@@ -274,32 +274,32 @@
 // reportPaces reports a tenant's rates, those that are due in one command.
 func (m *Machine) reportPaces(now time.Duration, tenant string) {
 	var due []bool
-	var ask core.ShareRates
+	var ask core.DrawAllowances
 	for _, urgent := range []bool{false, true} {
 		if m.paceDue(now, tenant, urgent) {
 			p, _, _ := m.paceOf(tenant, urgent)
 			due = append(due, urgent)
-			ask.Rates = append(ask.Rates, m.askPace(tenant, urgent, p.want))
+			ask.Draws = append(ask.Draws, m.askPace(tenant, urgent, p.want))
 		}
 	}
 	if len(due) == 0 {
 		return
 	}
 	incarnation := m.incarnation
-	m.caller.Call(now, ask, now+m.params.Core.MemberTerm, func(now time.Duration, o core.Outcome) {
+	m.caller.Call(now, ask, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		if incarnation != m.incarnation {
 			return
 		}
-		r, _ := o.Answer.(core.SharedRates)
+		r, _ := o.Answer.(core.DrawResults)
 		for i, urgent := range due {
 			p, rate, burst := m.paceOf(tenant, urgent)
 			p.asking = false
-			if i >= len(r.Rates) {
+			if i >= len(r.Results) {
 				continue
 			}
-			told := r.Rates[i]
+			told := r.Results[i]
 			p.gain(now, told.Granted, rate, burst)
-			p.others, p.target = told.Others, told.Target
+			p.others, p.target = told.Holders, told.Target
 			if over := p.books.Held() - told.Target; over > 0 {
 				p.give(now, over, rate, burst)
 				p.reportAt = now
@@ -332,7 +332,7 @@
 	if speed <= 0 {
 		return 2 * m.params.Report
 	}
-	return max(m.params.Core.Pull, time.Duration((float64(len(p.waiting)+1)-p.filled)/speed*float64(time.Second)))
+	return max(m.params.Core.PullInterval, time.Duration((float64(len(p.waiting)+1)-p.filled)/speed*float64(time.Second)))
 }
 
 // pass takes one inquiry's place in a tenant's rate, now or after a short wait.
--- a/peer/node/turn.go
+++ b/peer/node/turn.go
@@ -208,8 +208,8 @@
 	})
 	version = h.record.Version
 	charge := core.ChargeUser{Tenant: w.tenant, User: h.record.User, Program: h.record.ID, Charged: h.record.Charged(), Covered: h.record.Covered}
-	m.caller.Call(now, charge, now+10*m.params.Core.MemberTerm, func(now time.Duration, o core.Outcome) {
-		day, ok := o.Answer.(core.UserDay)
+	m.caller.Call(now, charge, now+10*m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
+		day, ok := o.Answer.(core.ChargeUserResult)
 		role := m.description.Roles[h.record.Role]
 		if ok && day.Tokens >= role.UserDayTokensSoft {
 			s.warnings = append(s.warnings, verdict.Warning{Scope: "user_day_tokens", Used: day.Tokens, Limit: role.UserDayTokensHard})
@@ -291,7 +291,7 @@
 			m.resave(now, s.held)
 		}
 	case Action:
-		m.endOnce(now, s, core.OnceFree, 0, nil, func(time.Duration, bool) {})
+		m.endOnce(now, s, core.OnceReleased, 0, nil, func(time.Duration, bool) {})
 	}
 	s.way.ran = verdict.NotExecuted
 	if v.Kind != "" {
@@ -384,7 +384,7 @@
 	s.settle(spent, min(s.price, m.description.Services[w.inquiry.Service].Price(spent)))
 	if h.record.Test > 0 && !h.record.Tested && !h.lost {
 		h.record.Tested = good
-		m.caller.Call(now, core.ResultTest{Program: h.record.ID, Good: good, Limits: m.limits()}, now+10*m.params.Core.MemberTerm, func(time.Duration, core.Outcome) {})
+		m.caller.Call(now, core.ReportProbe{Program: h.record.ID, Good: good, Limits: m.limits()}, now+10*m.params.Core.MemberLease, func(time.Duration, core.Outcome) {})
 	}
 	if h.lost {
 		m.breakOff(now, w)
--- a/peer/operator/call.go
+++ b/peer/operator/call.go
@@ -187,7 +187,7 @@
 		}
 		life.ID, t.Cores[who.Core.ID] = who.Core.ID, who.Core
 	}
-	plan := core.PlanChange(t.Cores, nil, t.Groups, t.Size, life.Kind, life.ID, life.By)
+	plan := core.PlanChange(t.Cores, nil, t.Groups, t.GroupSize, life.Kind, life.ID, life.By)
 	if plan.Code != "" {
 		return plan, &Refused{Code: plan.Code, Reason: plan.Reason}
 	}
--- a/peer/operator/handler.go
+++ b/peer/operator/handler.go
@@ -183,13 +183,13 @@
 		within = 15 * time.Second
 	}
 	body, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-		return m.Apply(now, ticket, core.Hand{BasedOn: h.BasedOn, Text: h.Description, Digest: hex.EncodeToString(sum[:]), Within: within, PlanOnly: h.PlanOnly})
+		return m.ApplyConfiguration(now, ticket, core.ApplyRequest{BasedOn: h.BasedOn, Text: h.Description, Digest: hex.EncodeToString(sum[:]), Timeout: within, PlanOnly: h.PlanOnly})
 	})
 	if err != nil {
 		Write(w, 503, Fault{Code: "unsure", Reason: err.Error(), Ran: "maybe"})
 		return
 	}
-	taking := body.(core.Taking)
+	taking := body.(core.ApplyResult)
 	status := map[string]int{"": 200, "planned": 200, "agreed_not_taken": 202, "faulty": 400, "race_lost": 409, "not_approved": 422, "unsure": 503}[taking.Code]
 	Write(w, status, taking)
 }
@@ -256,7 +256,7 @@
 
 func entries(ctx context.Context, p Process, number int, prefix string) ([]partition.Entry, bool, error) {
 	body, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-		return m.Ask(now, ticket, core.ReadEntries{Part: number, Prefix: prefix}, time.Second)
+		return m.RunCommand(now, ticket, core.ReadEntries{Partition: number, Prefix: prefix}, time.Second)
 	})
 	if err != nil {
 		return nil, false, err
@@ -265,9 +265,9 @@
 	return list.Entries, ok, nil
 }
 
-func configured(ctx context.Context, p Process) (core.Configured, error) {
-	var c core.Configured
-	list, ok, err := entries(ctx, p, core.ConfigurationPart, "configuration")
+func configured(ctx context.Context, p Process) (core.CurrentConfiguration, error) {
+	var c core.CurrentConfiguration
+	list, ok, err := entries(ctx, p, core.ConfigurationPartition, "configuration")
 	if err != nil || !ok {
 		return c, context.DeadlineExceeded
 	}
@@ -291,8 +291,8 @@
 	for _, id := range ordered.Keys(t.Cores) {
 		s.Cores = append(s.Cores, t.Cores[id])
 	}
-	for n := range t.Owners {
-		s.Parts = append(s.Parts, PartStatus{Part: n, Owner: t.Owners[n].Leader, Round: t.Owners[n].Round, Epoch: t.Groups[n].Epoch, Seats: t.Groups[n].Members})
+	for n := range t.Leaders {
+		s.Parts = append(s.Parts, PartStatus{Part: n, Owner: t.Leaders[n].Leader, Round: t.Leaders[n].Round, Epoch: t.Groups[n].Epoch, Seats: t.Groups[n].Members})
 		missing := false
 		for _, prefix := range []string{"member/", "breaker", "configuration"} {
 			list, ok, err := entries(ctx, p, n, prefix)
@@ -308,7 +308,7 @@
 			}
 		}
 		if told, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-			return m.Ask(now, ticket, core.ReadLocked{Part: n}, time.Second)
+			return m.RunCommand(now, ticket, core.ReadLockedUsers{Partition: n}, time.Second)
 		}); err == nil && !missing {
 			locked, _ := told.(core.Outcome).Answer.(core.LockedUsers)
 			s.Locked = append(s.Locked, locked.Users...)
@@ -325,8 +325,8 @@
 
 func (s *Status) add(e partition.Entry) {
 	var m core.Member
-	var b core.BreakerNews
-	var c core.Configured
+	var b core.BreakerSummary
+	var c core.CurrentConfiguration
 	switch {
 	case len(e.Key) > 7 && e.Key[:7] == "member/" && message.Unmarshal(e.Value, &m) == nil:
 		s.Members = append(s.Members, m)
--- a/peer/relay/budget.go
+++ b/peer/relay/budget.go
@@ -12,10 +12,10 @@
 	w.reserving = true
 	m.reservations++
 	w.reservation = m.life + "-" + strconv.FormatUint(m.reservations, 36)
-	c := core.ReserveTurn{Tenant: m.tenantName(w), Program: w.ask.Program, Attempt: w.reservation, Most: w.ask.Most, Budget: w.ask.Budget, Keep: m.params.BookKeep}
+	c := core.ReserveTurn{Tenant: m.tenantName(w), Program: w.ask.Program, Attempt: w.reservation, MaxTokens: w.ask.Most, Budget: w.ask.Budget, Retention: m.params.BookKeep}
 	m.caller.Call(now, c, w.patience, func(now time.Duration, o core.Outcome) {
 		w.reserving = false
-		r, ok := o.Answer.(core.TurnReserved)
+		r, ok := o.Answer.(core.ReserveTurnResult)
 		switch {
 		case !ok:
 			// It may have been booked; what never runs is booked out again.
--- a/peer/relay/ended.go
+++ b/peer/relay/ended.go
@@ -165,7 +165,7 @@
 // audited compares what is counted in two ways, and looks for requests that are
 // held beyond their time.
 func (m *Machine) audited(now time.Duration) {
-	bound := overdue + 2*m.params.Core.MemberTerm
+	bound := overdue + 2*m.params.Core.MemberLease
 	if now > m.tickedAt+lateTick {
 		m.lenient = now + bound
 	}
--- a/peer/relay/history.go
+++ b/peer/relay/history.go
@@ -18,13 +18,13 @@
 	}
 	m.Counters.CacheMisses++
 	w.fetching = true
-	m.read(now, w, w.ask.Previous, func(now time.Duration, last core.KeptTurn) {
-		turns := make([]*turn, len(last.Before)+1)
-		fill := func(now time.Duration, i int, attempt string, k core.KeptTurn) {
+	m.read(now, w, w.ask.Previous, func(now time.Duration, last core.ReadTurnResult) {
+		turns := make([]*turn, len(last.Previous)+1)
+		fill := func(now time.Duration, i int, attempt string, k core.ReadTurnResult) {
 			turns[i] = &turn{attempt: attempt, tenant: tenant, input: k.Input, output: k.Output, until: now + k.Left}
 		}
-		fill(now, len(last.Before), w.ask.Previous, last)
-		waiting := len(last.Before)
+		fill(now, len(last.Previous), w.ask.Previous, last)
+		waiting := len(last.Previous)
 		link := func(now time.Duration) {
 			for i := 1; i < len(turns); i++ {
 				turns[i].former = turns[i-1]
@@ -39,8 +39,8 @@
 			link(now)
 			return
 		}
-		for i, attempt := range last.Before {
-			m.read(now, w, attempt, func(now time.Duration, k core.KeptTurn) {
+		for i, attempt := range last.Previous {
+			m.read(now, w, attempt, func(now time.Duration, k core.ReadTurnResult) {
 				fill(now, i, attempt, k)
 				if waiting--; waiting == 0 {
 					link(now)
@@ -50,9 +50,9 @@
 	})
 }
 
-func (m *Machine) read(now time.Duration, w *way, attempt string, next func(now time.Duration, k core.KeptTurn)) {
+func (m *Machine) read(now time.Duration, w *way, attempt string, next func(now time.Duration, k core.ReadTurnResult)) {
 	m.caller.Call(now, core.ReadTurn{Tenant: m.tenantName(w), Attempt: attempt}, w.patience, func(now time.Duration, o core.Outcome) {
-		k, ok := o.Answer.(core.KeptTurn)
+		k, ok := o.Answer.(core.ReadTurnResult)
 		switch {
 		case w.ended:
 		case !ok:
@@ -75,7 +75,7 @@
 		m.refuse(now, w, CauseHistoryMissing)
 	case kept || absence == core.Expired:
 		m.refuse(now, w, CauseHistoryExpired)
-	case absence == core.Foreign:
+	case absence == core.OtherTenant:
 		m.refuse(now, w, CauseHistoryForeign)
 	default:
 		m.refuse(now, w, CauseHistoryUnknown)
--- a/peer/relay/history_test.go
+++ b/peer/relay/history_test.go
@@ -22,11 +22,11 @@
 		status   int
 		breaches int
 	}{
-		{"never kept", false, 0, core.NeverKept, CauseHistoryUnknown, 404, 0},
-		{"another tenant's", false, 0, core.Foreign, CauseHistoryForeign, 404, 0},
+		{"never kept", false, 0, core.NotStored, CauseHistoryUnknown, 404, 0},
+		{"another tenant's", false, 0, core.OtherTenant, CauseHistoryForeign, 404, 0},
 		{"run out, as the cores know", false, 0, core.Expired, CauseHistoryExpired, 404, 0},
-		{"run out, as this node knows", true, 61 * time.Second, core.NeverKept, CauseHistoryExpired, 404, 0},
-		{"missed within its time", true, 59 * time.Second, core.NeverKept, CauseHistoryMissing, 503, 1},
+		{"run out, as this node knows", true, 61 * time.Second, core.NotStored, CauseHistoryExpired, 404, 0},
+		{"missed within its time", true, 59 * time.Second, core.NotStored, CauseHistoryMissing, 503, 1},
 		{"said to have run out within its time", true, 0, core.Expired, CauseHistoryMissing, 503, 1},
 	} {
 		g := newRig(t)
--- a/peer/relay/identity_test.go
+++ b/peer/relay/identity_test.go
@@ -41,7 +41,7 @@
 	g.hear("d1:1", replicas("model", "m1", "m2"), 1, table(1, func(t *route.Table) {
 		t.Tenants = append(t.Tenants, route.Tenant{Name: "t2", Keys: []string{configuration.KeyDigest("second key")}})
 	}))
-	g.kept["same"] = core.KeepTurn{Tenant: "t2", Attempt: "same", Input: []byte("in of t2"), Output: []byte("out of t2")}
+	g.kept["same"] = core.StoreTurn{Tenant: "t2", Attempt: "same", Input: []byte("in of t2"), Output: []byte("out of t2")}
 	g.m.cache.put(&turn{attempt: "same", tenant: "t1", input: []byte("in of t1"), output: []byte("out of t1"), until: g.now + 1<<40})
 	w := g.arrive(ask("/chat/x", func(a *Ask) { a.Key, a.Previous = "second key", "same" }))
 	g.want(w, StepSend, 0)
