--- a/peer/relay/machine.go
+++ b/peer/relay/machine.go
@@ -88,9 +88,9 @@
 		audit:    audit{violated: o.Violated, byCause: map[Cause]int64{}, tickedAt: o.Now},
 		choosing: choosing{services: map[string]*service{}, replicas: map[string]*replicaRecord{}, policy: &placement.Policy{Settings: o.Params.Placement, Zone: o.Zone, Random: o.Random}},
 		spending: spending{paces: map[string]*pace{}}, cache: newCache(o.Params.Cache), live: map[uint64]*way{}}
-	m.caller = &core.Caller{Retry: o.Params.Core.Retry, Random: o.Random,
+	m.caller = &core.Caller{Retry: o.Params.Core.AttemptTimeout, Random: o.Random,
 		Send:   func(to string, body any) { m.send(to, body) },
-		Parts:  func() int { return len(m.topology.Owners) },
+		Parts:  func() int { return len(m.topology.Leaders) },
 		Anyone: func() []string { return desk.CoreAddresses(m.topology) }}
 	return m
 }
@@ -105,7 +105,7 @@
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
 	m.out = &Output{}
 	switch b := body.(type) {
-	case core.CommandReturn:
+	case core.CommandResult:
 		m.caller.Receive(now, from, b)
 		if now >= m.drawAt {
 			m.drawAt = now + m.params.Window/50
@@ -219,15 +219,15 @@
 }
 
 func (m *Machine) adopt(t core.Topology) {
-	if len(m.topology.Owners) == 0 || m.topology.Fleet == "" {
-		m.topology = core.Topology{Fleet: t.Fleet, Cores: map[string]core.Core{}, Owners: slices.Clone(t.Owners), Groups: slices.Clone(t.Groups)}
+	if len(m.topology.Leaders) == 0 || m.topology.Fleet == "" {
+		m.topology = core.Topology{Fleet: t.Fleet, Cores: map[string]core.Core{}, Leaders: slices.Clone(t.Leaders), Groups: slices.Clone(t.Groups)}
 	}
 	if t.Fleet != m.topology.Fleet {
 		return
 	}
-	for n := range t.Owners {
-		if n < len(m.topology.Owners) && m.topology.Owners[n].Less(t.Owners[n]) {
-			m.topology.Owners[n] = t.Owners[n]
+	for n := range t.Leaders {
+		if n < len(m.topology.Leaders) && m.topology.Leaders[n].Less(t.Leaders[n]) {
+			m.topology.Leaders[n] = t.Leaders[n]
 		}
 	}
 	for id, c := range t.Cores {
--- a/peer/relay/machine_test.go
+++ b/peer/relay/machine_test.go
@@ -27,7 +27,7 @@
 	m       *Machine
 	steps   map[uint64][]Step
 	books   map[string]*book.Book
-	kept    map[string]core.KeepTurn
+	kept    map[string]core.StoreTurn
 	ledgers map[string]*rate.Ledger
 	silent  bool
 	held    []func()
@@ -42,9 +42,9 @@
 
 func newRig(t *testing.T) *rig {
 	random := rand.New(rand.NewPCG(1, 1))
-	g := &rig{t: t, steps: map[uint64][]Step{}, books: map[string]*book.Book{}, kept: map[string]core.KeepTurn{}, ledgers: map[string]*rate.Ledger{}, until: map[uint64]time.Duration{}}
+	g := &rig{t: t, steps: map[uint64][]Step{}, books: map[string]*book.Book{}, kept: map[string]core.StoreTurn{}, ledgers: map[string]*rate.Ledger{}, until: map[uint64]time.Duration{}}
 	g.m = New(Options{ID: "n1", Life: "x", Zone: "a", Address: "n1:1", Seeds: []string{"d1:1"}, Random: random.Float64,
-		Params: Params{Core: core.Params{MemberTerm: time.Second, Retry: 100 * time.Millisecond, Pull: 100 * time.Millisecond}, Beat: time.Second, Follow: 500 * time.Millisecond,
+		Params: Params{Core: core.Params{MemberLease: time.Second, AttemptTimeout: 100 * time.Millisecond, PullInterval: 100 * time.Millisecond}, Beat: time.Second, Follow: 500 * time.Millisecond,
 			Window: 5 * time.Second, Placement: placement.Settings{PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: time.Second}, Buffer: 100, Cache: 1 << 20, BookKeep: time.Minute}})
 	return g
 }
@@ -82,7 +82,7 @@
 				if err != nil {
 					g.t.Fatal(err)
 				}
-				g.take(g.m.Receive(g.now, s.To, core.CommandReturn{ID: c.ID, Part: c.Part, Raw: message.Pack(g.answer(body))}))
+				g.take(g.m.Receive(g.now, s.To, core.CommandResult{ID: c.ID, Partition: c.Partition, Raw: message.Pack(g.answer(body))}))
 			}
 			if g.silent {
 				g.held = append(g.held, answer)
@@ -101,31 +101,31 @@
 			b = &book.Book{}
 			g.books[c.Program] = b
 		}
-		return core.TurnReserved{OK: b.Reserve(c.Attempt, c.Most, c.Budget)}
+		return core.ReserveTurnResult{OK: b.Reserve(c.Attempt, c.MaxTokens, c.Budget)}
 	case core.SettleTurn:
 		if g.books[c.Program] == nil {
 			g.books[c.Program] = &book.Book{}
 		}
 		g.books[c.Program].Settle(c.Attempt, c.Tokens)
 		return core.Done{OK: true}
-	case core.KeepTurn:
+	case core.StoreTurn:
 		g.kept[c.Attempt] = c
 		return core.Done{OK: true}
-	case core.ProlongTurn:
+	case core.ExtendTurn:
 		return core.Done{OK: true}
-	case core.ReadSeats:
-		return core.Seats{}
+	case core.ReadGroup:
+		return core.GroupMembers{}
 	case core.ReadTurn:
 		k, ok := g.kept[c.Attempt]
-		return core.KeptTurn{Found: ok && k.Tenant == c.Tenant, Absence: g.absence, Before: k.Before, Input: k.Input, Output: k.Output, Left: time.Minute}
+		return core.ReadTurnResult{Found: ok && k.Tenant == c.Tenant, Absence: g.absence, Previous: k.Previous, Input: k.Input, Output: k.Output, Left: time.Minute}
 	case core.DrawRates:
-		var answer core.RatesDrawn
+		var answer core.DrawRatesResult
 		for _, d := range c.Draws {
 			if g.ledgers[d.Tenant] == nil {
-				g.ledgers[d.Tenant] = rate.Restore(g.now, rate.DurableState{}, d.Draw.LeaseDuration)
+				g.ledgers[d.Tenant] = rate.Restore(g.now, rate.DurableState{}, d.Request.LeaseDuration)
 			}
-			drawn, _ := g.ledgers[d.Tenant].Draw(g.now, d.Draw)
-			answer.Drawn = append(answer.Drawn, drawn)
+			drawn, _ := g.ledgers[d.Tenant].Draw(g.now, d.Request)
+			answer.Responses = append(answer.Responses, drawn)
 		}
 		return answer
 	}
@@ -136,7 +136,7 @@
 // hear brings a bulletin of a desk.
 func (g *rig) hear(from string, list []desk.Listed, number uint64, text []byte) {
 	g.version++
-	topology := core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1"}}, Owners: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}},
+	topology := core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1"}}, Leaders: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}},
 		Groups: make([]partition.Group, 2)}
 	g.take(g.m.Receive(g.now, from, desk.Bulletin{Life: "l", Version: g.version, List: list, Number: number, Table: text, Nodes: 1, Topology: &topology}))
 }
--- a/peer/relay/pace.go
+++ b/peer/relay/pace.go
@@ -246,7 +246,7 @@
 
 // draw asks for what is needed, in one command for each part.
 func (m *Machine) draw(now time.Duration) {
-	if len(m.topology.Owners) == 0 || m.table == nil {
+	if len(m.topology.Leaders) == 0 || m.table == nil {
 		return
 	}
 	batches := map[int]*core.DrawRates{}
@@ -290,11 +290,11 @@
 			d.Recent = append(d.Recent, rate.RecentSpend{Age: now - r.at, Count: r.count})
 		}
 		p.told = p.spent
-		n := core.RatePart(len(m.topology.Owners), name)
+		n := core.RatePartition(len(m.topology.Leaders), name)
 		if batches[n] == nil {
-			batches[n] = &core.DrawRates{Part: n}
+			batches[n] = &core.DrawRates{Partition: n}
 		}
-		batches[n].Draws = append(batches[n].Draws, core.TenantDraw{Tenant: name, Draw: d})
+		batches[n].Draws = append(batches[n].Draws, core.TenantDraw{Tenant: name, Request: d})
 		asked[n] = append(asked[n], p)
 	}
 	for _, n := range ordered.Keys(batches) {
@@ -304,21 +304,21 @@
 			births[i], told[i] = p.births, p.told
 		}
 		m.caller.Call(now, *batches[n], now+m.drawTerm(), func(at time.Duration, o core.Outcome) {
-			answer, ok := o.Answer.(core.RatesDrawn)
+			answer, ok := o.Answer.(core.DrawRatesResult)
 			for i, p := range paces {
 				p.drawing = false
-				if !ok || len(answer.Drawn) != len(paces) || p.births != births[i] {
+				if !ok || len(answer.Responses) != len(paces) || p.births != births[i] {
 					m.drawFailed(at, p)
 					continue
 				}
-				if answer.Drawn[i].Expired || p.granted > 0 && at >= p.until {
+				if answer.Responses[i].Expired || p.granted > 0 && at >= p.until {
 					// What this node had has ended, there or here.
 					m.rename(p)
 					p.wanted, m.drawAt = true, at
 					continue
 				}
 				p.acknowledge(told[i])
-				m.drawn(at, p, answer.Drawn[i], now+m.drawTerm())
+				m.drawn(at, p, answer.Responses[i], now+m.drawTerm())
 			}
 		})
 	}
--- a/peer/relay/share_test.go
+++ b/peer/relay/share_test.go
@@ -136,7 +136,7 @@
 		asked, refused, wrongly := 0, 0, 0
 		for seed := uint64(1); seed <= 3; seed++ {
 			s := newSharedRate(t, seed, c.nodes)
-			runaway := core.ReserveTurn{Program: "runaway", Attempt: "all", Most: 100, Budget: 100}
+			runaway := core.ReserveTurn{Program: "runaway", Attempt: "all", MaxTokens: 100, Budget: 100}
 			s.nodes[0].answer(runaway)
 			s.live(20*time.Second, c.calls, c.spentTurns)
 			asked, refused, wrongly = asked+s.asked, refused+s.refused, wrongly+s.wrongly
--- a/peer/relay/touch.go
+++ b/peer/relay/touch.go
@@ -22,12 +22,12 @@
 
 // cutOff reports whether this node has reached no core for long.
 func (m *Machine) cutOff(now time.Duration) bool {
-	return m.caller.Silent(now) > cutOffRetries*m.params.Core.Retry
+	return m.caller.Silent(now) > cutOffRetries*m.params.Core.AttemptTimeout
 }
 
 // reachesCores reports whether cores answer this node, as far as it asked them.
 func (m *Machine) reachesCores(now time.Duration) bool {
-	return m.caller.Silent(now) <= unreadyRetries*m.params.Core.Retry
+	return m.caller.Silent(now) <= unreadyRetries*m.params.Core.AttemptTimeout
 }
 
 // needsCores reports whether a request can't go on without the cores' answer.
@@ -52,12 +52,12 @@
 }
 
 func (m *Machine) probeCores(now time.Duration) {
-	if now < m.probeAt || len(m.topology.Owners) == 0 {
+	if now < m.probeAt || len(m.topology.Leaders) == 0 {
 		return
 	}
-	wait := probeRetries * m.params.Core.Retry
+	wait := probeRetries * m.params.Core.AttemptTimeout
 	m.probeAt = now + wait
-	m.caller.Call(now, core.ReadSeats{Part: core.ConfigurationPart}, now+wait, func(time.Duration, core.Outcome) {})
+	m.caller.Call(now, core.ReadGroup{Partition: core.ConfigurationPartition}, now+wait, func(time.Duration, core.Outcome) {})
 }
 
 // refuseCutOff ends a request that has not run, before it is sent anywhere. The
--- a/peer/relay/way.go
+++ b/peer/relay/way.go
@@ -332,9 +332,9 @@
 		m.keptHere.add(fresh.name(), now+m.owedFor(w))
 		m.end(at, w, CauseServed, Step{Kind: StepPass})
 	}
-	c := core.KeepTurn{Tenant: fresh.tenant, Attempt: fresh.attempt, Input: fresh.input, Output: fresh.output, Keep: keep}
+	c := core.StoreTurn{Tenant: fresh.tenant, Attempt: fresh.attempt, Input: fresh.input, Output: fresh.output, Retention: keep}
 	if w.former != nil {
-		c.Before = w.former.names()
+		c.Previous = w.former.names()
 	}
 	// A turn is kept with all before it: those that would go before it are
 	// prolonged.
@@ -346,9 +346,9 @@
 	}
 	waiting += len(old)
 	m.settle(now, w, m.tokens(w))
-	m.caller.Call(now, c, max(w.until, now+m.params.Core.MemberTerm), done)
+	m.caller.Call(now, c, max(w.until, now+m.params.Core.MemberLease), done)
 	for _, at := range old {
-		m.caller.Call(now, core.ProlongTurn{Tenant: at.tenant, Attempt: at.attempt, Keep: keep}, max(w.until, now+m.params.Core.MemberTerm), func(when time.Duration, o core.Outcome) {
+		m.caller.Call(now, core.ExtendTurn{Tenant: at.tenant, Attempt: at.attempt, Retention: keep}, max(w.until, now+m.params.Core.MemberLease), func(when time.Duration, o core.Outcome) {
 			if d, ok := o.Answer.(core.Done); ok && d.OK {
 				at.until = max(at.until, now+keep)
 			}
@@ -385,7 +385,7 @@
 	}
 	v := verdicts[cause]
 	if retry == 0 {
-		retry = time.Duration(v.retries * float64(m.params.Core.Retry))
+		retry = time.Duration(v.retries * float64(m.params.Core.AttemptTimeout))
 	}
 	m.end(now, w, cause, Step{Kind: StepRefuse, Status: v.status, Check: v.check, Reason: v.reason, RetryAfter: retry})
 }
--- a/rehearsalkit/capacity/capacity_test.go
+++ b/rehearsalkit/capacity/capacity_test.go
@@ -143,7 +143,7 @@
 	if struck := values(t, 3, Node); struck["requester unreached/s"] == 0 {
 		t.Error("nobody missed the node")
 	}
-	const stands = "core sent PartMessage part.Stand n/s"
+	const stands = "core sent ReplicaMessage part.Stand n/s"
 	for _, failure := range []string{Core, Wipe, Zone} {
 		if struck := values(t, 3, failure); struck[stands] <= calm[stands] || struck["requester whole/s"] < 5 {
 			t.Errorf("%s: %v stands a second, calm %v; %v turns whole", failure, struck[stands], calm[stands], struck["requester whole/s"])
--- a/rehearsalkit/capacity/measure.go
+++ b/rehearsalkit/capacity/measure.go
@@ -131,7 +131,7 @@
 	for _, x := range struck {
 		x.kill()
 		if failure == Wipe {
-			x.stored.Copies, x.stored.Founding.Parts = nil, 0
+			x.stored.Replicas, x.stored.Founding.Parts = nil, 0
 			x.stored.Incarnation = x.id + "-anew"
 		}
 		w.after(length, x.boot)
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -38,8 +38,8 @@
 )
 
 func coreParams() core.Params {
-	return core.Params{Part: partition.Params{LeaseDuration: contact / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberTerm: contact / 2, Retry: contact / 24,
-		Pull: contact / 20, Gone: 2200 * time.Millisecond, ColdStart: true}
+	return core.Params{Partition: partition.Params{LeaseDuration: contact / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberLease: contact / 2, AttemptTimeout: contact / 24,
+		PullInterval: contact / 20, GoneAfter: 2200 * time.Millisecond, ColdStart: true}
 }
 
 func deskParams() desk.Params {
@@ -219,14 +219,14 @@
 	p.life++
 	p.alive = true
 	zone := fmt.Sprintf("zone-%d", p.zone)
-	every := coreParams().Pull / 3
+	every := coreParams().PullInterval / 3
 	switch p.id[:4] {
 	case "core":
 		p.pending, p.held, p.busy, p.issued, p.synced = nil, nil, false, 0, 0
 		var image core.Stored
 		image.CopyFrom(p.stored)
 		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: zone, Address: p.address, Seeds: w.seeds(), Stored: image, Now: w.now, Random: w.random.Float64})
-		every = coreParams().Part.LeaseDuration / 20
+		every = coreParams().Partition.LeaseDuration / 20
 	case "desk":
 		p.calls = map[uint64]func(any){}
 		p.desk = desk.New(desk.Options{Params: deskParams(), ID: p.id, Life: fmt.Sprintf("%s.%d", p.id, p.life), Address: p.address, Seeds: w.seeds(), Founds: p == w.desks[0] && p.life == 1, Now: w.now, Random: w.random.Float64})
@@ -310,9 +310,9 @@
 	switch b := body.(type) {
 	case core.Command:
 		raw = b.Raw
-	case core.CommandReturn:
+	case core.CommandResult:
 		raw = b.Raw
-	case core.PartMessage:
+	case core.ReplicaMessage:
 		raw = b.Raw
 	case desk.Bulletin:
 		switch {
--- a/rehearsalkit/fleet/fleet.go
+++ b/rehearsalkit/fleet/fleet.go
@@ -314,7 +314,7 @@
 	}
 	for try := 0; ; try++ {
 		taking, status, err := f.Hand(ctx, f.cores[0], 0, "probe-first")
-		if taking.Taken {
+		if taking.InForce {
 			break
 		}
 		if try == 20 {
@@ -344,8 +344,8 @@
 }
 
 // Hand hands a description over at a core.
-func (f *Fleet) Hand(ctx context.Context, at *Machine, basedOn uint64, mark string) (core.Taking, int, error) {
-	var taking core.Taking
+func (f *Fleet) Hand(ctx context.Context, at *Machine, basedOn uint64, mark string) (core.ApplyResult, int, error) {
+	var taking core.ApplyResult
 	status, raw, err := f.Caller().Do(ctx, "POST", at.operator, "/v1/configuration", operator.Handed{BasedOn: basedOn, Description: f.Describe(mark), BudgetMS: 8000}, nil)
 	if err == nil {
 		err = json.Unmarshal(raw, &taking)
--- a/rehearsalkit/fleet/probe.go
+++ b/rehearsalkit/fleet/probe.go
@@ -14,11 +14,11 @@
 
 // noteTaken keeps what an operator was told of a description, for the judge and
 // for those who look for it at the nodes.
-func (f *Fleet) noteTaken(mark string, base uint64, taking core.Taking) {
+func (f *Fleet) noteTaken(mark string, base uint64, taking core.ApplyResult) {
 	f.note(func(r *judge.Record) {
 		f.marks[mark] = base + 1
 		switch {
-		case taking.Taken:
+		case taking.InForce:
 			r.Taken = append(r.Taken, judge.Taken{At: f.now(), Version: taking.Version, Mark: mark})
 		case taking.Code == "race_lost" || taking.Code == "not_approved" || taking.Code == "faulty":
 			f.marks[mark] = refusedBase + uint64(len(f.marks))
--- a/rehearsalkit/fleet/scenarios.go
+++ b/rehearsalkit/fleet/scenarios.go
@@ -283,7 +283,7 @@
 			mark := fmt.Sprintf("probe-%d-%d", i, j)
 			go func() {
 				taking, _, _ := f.Hand(ctx, f.cores[rand.IntN(len(f.cores))], base, mark)
-				done <- outcome{mark, taking.Version, taking.Taken, taking.Code}
+				done <- outcome{mark, taking.Version, taking.InForce, taking.Code}
 			}()
 		}
 		for j := 0; j < 2; j++ {
--- a/rehearsalkit/relaysim/client.go
+++ b/rehearsalkit/relaysim/client.go
@@ -21,7 +21,7 @@
 	c := &client{process: p}
 	p.client = c
 	c.caller = &core.Caller{
-		Retry:  coreParams().Retry,
+		Retry:  coreParams().AttemptTimeout,
 		Random: w.random.Float64,
 		Send:   func(to string, body any) { w.send(p, to, body) },
 		Anyone: w.coreAddresses,
@@ -48,7 +48,7 @@
 func (c *client) tick(now time.Duration) { c.caller.Tick(now) }
 
 func (c *client) receive(now time.Duration, from string, body any) {
-	if r, ok := body.(core.CommandReturn); ok {
+	if r, ok := body.(core.CommandResult); ok {
 		c.caller.Receive(now, from, r)
 	}
 }
--- a/rehearsalkit/relaysim/longcut.go
+++ b/rehearsalkit/relaysim/longcut.go
@@ -115,7 +115,7 @@
 	case callOrderAgain:
 		l.book.resend(at, recentOrders)
 	case callRead:
-		l.book.read(at, func(t core.AgreedTable, ok bool) {})
+		l.book.read(at, func(t core.CurrentTable, ok bool) {})
 	case callRetire:
 		l.book.call(kind, at, func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.Retire(now, ticket, "nobody") }, known, ignore)
 	case callStatus:
--- a/rehearsalkit/relaysim/longcut_test.go
+++ b/rehearsalkit/relaysim/longcut_test.go
@@ -73,7 +73,7 @@
 		}},
 		{"orders get another base on their way", RuleRefused, altering(func(from, to string, c core.Command) (core.Command, bool) {
 			inner, _ := message.Open(c.Raw)
-			if a, ok := inner.(core.AgreeTable); ok && a.Number%3 == 0 {
+			if a, ok := inner.(core.AcceptTable); ok && a.Number%3 == 0 {
 				a.Base++
 				c.Raw = message.Pack(a)
 			}
@@ -99,7 +99,7 @@
 		}},
 		{"a desk hears of nothing fresh any more", RuleWholeAgain, func(p *Params) {
 			heard := 0
-			altering(func(from, to string, b core.Fresh) (core.Fresh, bool) {
+			altering(func(from, to string, b core.Freshness) (core.Freshness, bool) {
 				if to == "desk2" {
 					heard++
 				}
--- a/rehearsalkit/relaysim/manychanges.go
+++ b/rehearsalkit/relaysim/manychanges.go
@@ -120,7 +120,7 @@
 	if m.over {
 		return
 	}
-	m.book.read(w.liveDesk(), func(t core.AgreedTable, ok bool) {
+	m.book.read(w.liveDesk(), func(t core.CurrentTable, ok bool) {
 		if !ok {
 			w.after(50*time.Millisecond, m.hand)
 			return
@@ -229,12 +229,12 @@
 		return
 	}
 	w.after(20*time.Millisecond, m.watchLeader)
-	owner := w.coreOf(core.ConfigurationPart)
+	owner := w.coreOf(core.ConfigurationPartition)
 	if owner == nil || len(m.book.acked) == 0 {
 		return
 	}
-	var has core.AgreedTable
-	raw := owner.core.core.Part(core.ConfigurationPart).State().Entries[core.TableKey].Value
+	var has core.CurrentTable
+	raw := owner.core.core.Part(core.ConfigurationPartition).State().Entries[core.TableKey].Value
 	if message.Unmarshal(raw, &has) == nil && has.Number < m.book.newest {
 		m.findings.breach(RuleBehind, "%s owns the configuration at %v with table %d, and %d had been told", owner.core.id, w.now, has.Number, m.book.newest)
 	}
@@ -269,7 +269,7 @@
 	for _, s := range w.present() {
 		now.state = max(now.state, int64(len(message.Marshal(s.core.disk.stored))))
 		entries := 0
-		for _, c := range s.core.disk.stored.Copies {
+		for _, c := range s.core.disk.stored.Replicas {
 			entries += len(c.Entries)
 		}
 		now.entries = max(now.entries, int64(entries))
--- a/rehearsalkit/relaysim/manychanges_test.go
+++ b/rehearsalkit/relaysim/manychanges_test.go
@@ -38,9 +38,9 @@
 func (h *hoarder) Apply(now time.Duration, ticket uint64, base uint64, text []byte, digest string) desk.Output {
 	o := h.Desk.Apply(now, ticket, base, text, digest)
 	h.kept++
-	command := core.KeepTurn{Tenant: "t", Attempt: fmt.Sprint(&h, h.kept), Input: text, Keep: time.Hour}
+	command := core.StoreTurn{Tenant: "t", Attempt: fmt.Sprint(&h, h.kept), Input: text, Retention: time.Hour}
 	for n := 1; n <= 3; n++ {
-		o.Sends = append(o.Sends, desk.Send{To: fmt.Sprintf("10.0.0.%d:2", n), Body: core.Command{ID: uint64(h.kept), Part: core.Target(7, command), Raw: message.Pack(command)}})
+		o.Sends = append(o.Sends, desk.Send{To: fmt.Sprintf("10.0.0.%d:2", n), Body: core.Command{ID: uint64(h.kept), Partition: core.TargetPartition(7, command), Raw: message.Pack(command)}})
 	}
 	return o
 }
@@ -51,7 +51,7 @@
 func (b *boaster) Receive(now time.Duration, from string, body any) desk.Output {
 	o := b.Desk.Receive(now, from, body)
 	for i, a := range o.Answers {
-		if t, ok := a.Body.(core.AgreedTable); ok && t.Number > 0 {
+		if t, ok := a.Body.(core.CurrentTable); ok && t.Number > 0 {
 			t.Number++
 			o.Answers[i].Body = t
 		}
@@ -77,7 +77,7 @@
 			}
 			return b, true
 		})},
-		{"who comes back gets nothing", RuleWholeAgain, altering(func(from, to string, b core.PartMessage) (core.PartMessage, bool) {
+		{"who comes back gets nothing", RuleWholeAgain, altering(func(from, to string, b core.ReplicaMessage) (core.ReplicaMessage, bool) {
 			return b, to != "core1"
 		})},
 	} {
--- a/rehearsalkit/relaysim/operator.go
+++ b/rehearsalkit/relaysim/operator.go
@@ -147,7 +147,7 @@
 }
 
 // read reads the table in force, at one desk after the other.
-func (w *World) read(until time.Duration, done func(from time.Duration, t core.AgreedTable)) {
+func (w *World) read(until time.Duration, done func(from time.Duration, t core.CurrentTable)) {
 	over, from := false, w.now
 	again := func() {
 		if !over && w.now <= until {
@@ -156,7 +156,7 @@
 		}
 	}
 	w.operate(w.anyDesk(), func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.Read(now, ticket) }, func(body any) {
-		if t, ok := body.(core.AgreedTable); ok && !over && t.Number > 0 {
+		if t, ok := body.(core.CurrentTable); ok && !over && t.Number > 0 {
 			over = true
 			w.Counts["tables read"]++
 			done(from, t)
@@ -179,7 +179,7 @@
 		}
 		return
 	}
-	w.read(w.now+10*time.Second, func(from time.Duration, now core.AgreedTable) {
+	w.read(w.now+10*time.Second, func(from time.Duration, now core.CurrentTable) {
 		w.Record.Readings = append(w.Record.Readings, ReadBack{From: from, At: w.now, Number: now.Number, Text: now.Text})
 		harm := 0
 		if w.chance(0.25) {
@@ -198,7 +198,7 @@
 
 // readBack reads the table in force at the end.
 func (w *World) readBack() {
-	w.read(w.Record.End, func(from time.Duration, t core.AgreedTable) {
+	w.read(w.Record.End, func(from time.Duration, t core.CurrentTable) {
 		w.Record.Reads = append(w.Record.Reads, ReadBack{From: from, At: w.now, Number: t.Number, Text: t.Text})
 	})
 }
--- a/rehearsalkit/relaysim/orders.go
+++ b/rehearsalkit/relaysim/orders.go
@@ -195,13 +195,13 @@
 }
 
 // read reads the table in force back at a desk once.
-func (b *orderBook) read(at *process, done func(t core.AgreedTable, ok bool)) {
+func (b *orderBook) read(at *process, done func(t core.CurrentTable, ok bool)) {
 	w := b.world
 	began, newest := w.now, b.newest
 	step := func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.Read(now, ticket) }
-	clear := func(body any) bool { t, ok := body.(core.AgreedTable); return ok && t.Number > 0 }
+	clear := func(body any) bool { t, ok := body.(core.CurrentTable); return ok && t.Number > 0 }
 	b.call(callRead, at, step, clear, func(body any) {
-		t, _ := body.(core.AgreedTable)
+		t, _ := body.(core.CurrentTable)
 		if t.Number == 0 {
 			done(t, false)
 			return
@@ -239,7 +239,7 @@
 	if r.over() {
 		return
 	}
-	b.read(w.anyDesk(), func(t core.AgreedTable, ok bool) {
+	b.read(w.anyDesk(), func(t core.CurrentTable, ok bool) {
 		if !ok {
 			next()
 			return
--- a/rehearsalkit/relaysim/orderstorm.go
+++ b/rehearsalkit/relaysim/orderstorm.go
@@ -56,7 +56,7 @@
 	b.lost = 0.7 + 0.05*float64(w.Params.Seed%5)
 	b.patience = stormPatience
 	if w.Params.Seed%2 == 1 {
-		w.loses = func(body any) bool { _, ok := body.(core.CommandReturn); return ok && w.chance(returnsLost) }
+		w.loses = func(body any) bool { _, ok := body.(core.CommandResult); return ok && w.chance(returnsLost) }
 	}
 	for range stormOperators {
 		o := &orderer{book: b, rivals: 0.8, amends: 0.5, over: func() bool { return s.over }, pause: func() time.Duration { return w.between(20*time.Millisecond, 200*time.Millisecond) }}
--- a/rehearsalkit/relaysim/orderstorm_test.go
+++ b/rehearsalkit/relaysim/orderstorm_test.go
@@ -37,14 +37,14 @@
 			some := every(3)
 			altering(func(from, to string, c core.Command) (core.Command, bool) {
 				inner, _ := message.Open(c.Raw)
-				if a, ok := inner.(core.AgreeTable); ok && some() {
+				if a, ok := inner.(core.AcceptTable); ok && some() {
 					a.Digest += "x"
 					c.Raw = message.Pack(a)
 				}
 				return c, true
 			})(p)
 		}},
-		{"all orders on one base are acknowledged", RuleRace, answering(func(a core.TableAgreed) core.TableAgreed { a.OK = true; return a })},
+		{"all orders on one base are acknowledged", RuleRace, answering(func(a core.AcceptTableResult) core.AcceptTableResult { a.OK = true; return a })},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/rehearsalkit/relaysim/process.go
+++ b/rehearsalkit/relaysim/process.go
@@ -93,7 +93,7 @@
 		var image core.Stored
 		image.CopyFrom(p.disk.stored)
 		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: p.zone, Address: p.address, Seeds: p.seedList(), Stored: image, Now: p.now(), Random: w.random.Float64, Violated: w.violated})
-		p.tick(p.life, coreParams().Part.LeaseDuration/40)
+		p.tick(p.life, coreParams().Partition.LeaseDuration/40)
 	case p.isDesk:
 		var known []desk.Listed
 		for _, id := range ordered.Keys(p.known) {
@@ -104,15 +104,15 @@
 		if w.Params.WrapDesk != nil {
 			p.desk = w.Params.WrapDesk(p.desk)
 		}
-		p.tick(p.life, coreParams().Pull/3)
+		p.tick(p.life, coreParams().PullInterval/3)
 	case p.client != nil:
-		p.tick(p.life, coreParams().Pull/3)
+		p.tick(p.life, coreParams().PullInterval/3)
 	default:
 		p.node = relay.New(relay.Options{Params: w.nodeParams(), ID: p.id, Life: fmt.Sprintf("%s.%d", p.id, p.life), Zone: p.zone, Address: p.address, Seeds: p.seedList(), Now: p.now(), Random: w.random.Float64, Violated: w.violated})
 		if w.Params.WrapNode != nil {
 			p.node = w.Params.WrapNode(p.node)
 		}
-		p.tick(p.life, coreParams().Pull/3)
+		p.tick(p.life, coreParams().PullInterval/3)
 	}
 }
 
--- a/rehearsalkit/relaysim/relaysim_test.go
+++ b/rehearsalkit/relaysim/relaysim_test.go
@@ -133,7 +133,7 @@
 func answering[T any](change func(a T) T) func(p *Params) {
 	return func(p *Params) {
 		p.Alter = func(from, to string, body any) (any, bool) {
-			r, ok := body.(core.CommandReturn)
+			r, ok := body.(core.CommandResult)
 			if !ok || r.Raw == nil {
 				return body, true
 			}
@@ -183,7 +183,7 @@
 				return s, true
 			}}
 		})},
-		{"cores always reserve", RuleBudget, answering(func(a core.TurnReserved) core.TurnReserved { a.OK = true; return a })},
+		{"cores always reserve", RuleBudget, answering(func(a core.ReserveTurnResult) core.ReserveTurnResult { a.OK = true; return a })},
 		{"turns are booked at too much", RuleSpent, func(p *Params) {
 			p.Alter = func(from, to string, body any) (any, bool) {
 				if c, ok := body.(core.Command); ok {
@@ -197,8 +197,8 @@
 				return body, true
 			}
 		}},
-		{"kept turns get lost", RuleKept, answering(func(a core.KeptTurn) core.KeptTurn { return core.KeptTurn{} })},
-		{"kept turns change", RuleChain, answering(func(a core.KeptTurn) core.KeptTurn { a.Input = append(a.Input, 'x'); return a })},
+		{"kept turns get lost", RuleKept, answering(func(a core.ReadTurnResult) core.ReadTurnResult { return core.ReadTurnResult{} })},
+		{"kept turns change", RuleChain, answering(func(a core.ReadTurnResult) core.ReadTurnResult { a.Input = append(a.Input, 'x'); return a })},
 		{"a former turn is left out", RuleChain, nodes(func() *broken {
 			return &broken{step: func(s relay.Step) (relay.Step, bool) {
 				if len(s.Before) > 2 {
@@ -215,13 +215,13 @@
 				return o
 			}}
 		})},
-		{"cores grant more of a rate", RuleRate, answering(func(a core.RatesDrawn) core.RatesDrawn {
+		{"cores grant more of a rate", RuleRate, answering(func(a core.DrawRatesResult) core.DrawRatesResult {
 			var more []rate.DrawResponse
-			for _, d := range a.Drawn {
+			for _, d := range a.Responses {
 				d.Granted += 1000
 				more = append(more, d)
 			}
-			return core.RatesDrawn{Drawn: more}
+			return core.DrawRatesResult{Responses: more}
 		})},
 		{"requests run as another tenant", RuleAllowed, nodes(func() *broken {
 			return &broken{step: func(s relay.Step) (relay.Step, bool) {
--- a/rehearsalkit/relaysim/secondloss.go
+++ b/rehearsalkit/relaysim/secondloss.go
@@ -270,7 +270,7 @@
 		}
 		group, _ := owner.core.core.Part(n).CommittedGroup()
 		for _, seat := range group.All() {
-			if core.SeatID(seat) == r.goes.core.id {
+			if core.CoreID(seat) == r.goes.core.id {
 				r.findings.breach(RuleRetired, "the retirement was said to be done at %v, and part %d has the group %v", w.now, n, group)
 				return
 			}
@@ -293,7 +293,7 @@
 		copies := 0
 		for _, s := range w.present() {
 			if s != r.goes {
-				if _, ok := s.core.disk.stored.Copies[t.part].Entries[t.key()]; ok {
+				if _, ok := s.core.disk.stored.Replicas[t.part].Entries[t.key()]; ok {
 					copies++
 				}
 			}
--- a/rehearsalkit/relaysim/secondloss_test.go
+++ b/rehearsalkit/relaysim/secondloss_test.go
@@ -58,7 +58,7 @@
 				return &sayer{Desk: d, say: func(e desk.Emptied) desk.Emptied { e.Done = true; return e }}
 			}
 		}},
-		{"a new core gets nothing", RuleRestored, changeReplacement, lossPower, altering(func(from, to string, b core.PartMessage) (core.PartMessage, bool) {
+		{"a new core gets nothing", RuleRestored, changeReplacement, lossPower, altering(func(from, to string, b core.ReplicaMessage) (core.ReplicaMessage, bool) {
 			return b, to != "core4"
 		})},
 		{"turns are acknowledged and not kept", RuleLost, changeRetirement, lossWipe, altering(func(from, to string, c core.Command) (core.Command, bool) {
@@ -79,7 +79,7 @@
 // forgetting makes every tenth turn be kept under another name.
 func forgetting(c core.Command) core.Command {
 	inner, _ := message.Open(c.Raw)
-	if k, ok := inner.(core.KeepTurn); ok && k.Attempt[len(k.Attempt)-1] == '7' {
+	if k, ok := inner.(core.StoreTurn); ok && k.Attempt[len(k.Attempt)-1] == '7' {
 		k.Attempt += "-elsewhere"
 		c.Raw = message.Pack(k)
 	}
--- a/rehearsalkit/relaysim/start.go
+++ b/rehearsalkit/relaysim/start.go
@@ -18,7 +18,7 @@
 	var last *tableRead
 	var again func()
 	again = func() {
-		b.read(w.anyDesk(), func(t core.AgreedTable, ok bool) {
+		b.read(w.anyDesk(), func(t core.CurrentTable, ok bool) {
 			if ok && last == nil {
 				last = &tableRead{began: w.now, ended: w.now, number: t.Number, text: t.Text}
 				w.Record.Reads = append(w.Record.Reads, ReadBack{At: w.now, Number: t.Number, Text: t.Text})
--- a/rehearsalkit/relaysim/turnbook.go
+++ b/rehearsalkit/relaysim/turnbook.go
@@ -42,10 +42,10 @@
 	}
 	b.asked++
 	attempt := fmt.Sprintf("turn-%d", b.asked)
-	command := core.KeepTurn{Tenant: "t1", Attempt: attempt, Input: inputOf(attempt), Output: []byte("output"), Keep: turnKeep}
+	command := core.StoreTurn{Tenant: "t1", Attempt: attempt, Input: inputOf(attempt), Output: []byte("output"), Retention: turnKeep}
 	b.client.call(command, patience, func(o core.Outcome) {
 		if done, ok := o.Answer.(core.Done); ok && done.OK {
-			b.acked = append(b.acked, ackedTurn{attempt: attempt, part: core.Target(b.client.parts, command), at: w.now})
+			b.acked = append(b.acked, ackedTurn{attempt: attempt, part: core.TargetPartition(b.client.parts, command), at: w.now})
 		}
 	})
 	w.after(every, func() { b.keep(every) })
@@ -58,7 +58,7 @@
 	for _, t := range b.acked {
 		b.client.call(core.ReadTurn{Tenant: "t1", Attempt: t.attempt}, within, func(o core.Outcome) {
 			waiting--
-			kept, ok := o.Answer.(core.KeptTurn)
+			kept, ok := o.Answer.(core.ReadTurnResult)
 			switch {
 			case !ok:
 				b.findings.breach(RuleLost, "%s, acknowledged at %v, could not be read within %v", t.attempt, t.at, within)
--- a/rehearsalkit/relaysim/whole.go
+++ b/rehearsalkit/relaysim/whole.go
@@ -125,7 +125,7 @@
 
 func (w *World) seatLacks(owner *partition.Machine, n int, seat string) string {
 	i := slices.IndexFunc(w.stores, func(s *store) bool {
-		return s.core.alive && s.core.core.Founded() && s.core.core.Self().Seat() == seat
+		return s.core.alive && s.core.core.Founded() && s.core.core.Self().MemberID() == seat
 	})
 	if i < 0 {
 		return fmt.Sprintf("part %d: nobody is %s", n, seat)
@@ -148,7 +148,7 @@
 // placementLacks tells which part's group is not the one that the cores that
 // there are should have.
 func (w *World) placementLacks() string {
-	owner := w.coreOf(core.ConfigurationPart)
+	owner := w.coreOf(core.ConfigurationPartition)
 	if owner == nil {
 		return "the configuration's part has no owner"
 	}
--- a/rehearsalkit/simulator/conformance_test.go
+++ b/rehearsalkit/simulator/conformance_test.go
@@ -131,7 +131,7 @@
 	locked := 0
 	for n := range w.Params.Parts {
 		w.Operate(w.cores[0], func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-			return m.Ask(now, ticket, core.ReadLocked{Part: n}, time.Second)
+			return m.RunCommand(now, ticket, core.ReadLockedUsers{Partition: n}, time.Second)
 		}, func(body any) {
 			list, _ := body.(core.Outcome).Answer.(core.LockedUsers)
 			for _, u := range list.Users {
--- a/rehearsalkit/simulator/crash.go
+++ b/rehearsalkit/simulator/crash.go
@@ -90,11 +90,11 @@
 	switch b := body.(type) {
 	case core.Command:
 		raw = b.Raw
-	case core.CommandReturn:
+	case core.CommandResult:
 		raw = b.Raw
-	case core.PartMessage:
+	case core.ReplicaMessage:
 		raw = b.Raw
-	case core.Pull, core.News, core.Topology, core.Fresh, node.Announced, core.Samples, core.AskSamples, core.Present:
+	case core.PullUpdates, core.Update, core.Topology, core.Freshness, node.Announced, core.Samples, core.ReadSamples, core.AnnounceCore:
 		return ""
 	default:
 		return reflect.TypeOf(body).Name()
--- a/rehearsalkit/simulator/failure_test.go
+++ b/rehearsalkit/simulator/failure_test.go
@@ -239,13 +239,13 @@
 		open(w, i%3, fmt.Sprint("u", i%2))
 	}
 	w.Params.Describe = design(func(role, tenant, services, breaker tree) { role["sessions_per_minute"] = 1 })
-	var got core.Taking
+	var got core.ApplyResult
 	w.Operate(w.cores[0], func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-		return m.Apply(now, ticket, core.Hand{BasedOn: 1, Text: w.Params.Describe("x"), Digest: "x", Within: 5 * time.Second})
-	}, func(body any) { got = body.(core.Taking) })
+		return m.ApplyConfiguration(now, ticket, core.ApplyRequest{BasedOn: 1, Text: w.Params.Describe("x"), Digest: "x", Timeout: 5 * time.Second})
+	}, func(body any) { got = body.(core.ApplyResult) })
 	w.Pass(3 * time.Second)
-	if got.Code != "not_approved" || got.Figures == nil || got.Figures.NewlyRefused < 20 {
-		t.Errorf("%+v %+v", got, got.Figures)
+	if got.Code != "not_approved" || got.Rehearsal == nil || got.Rehearsal.NewlyRefused < 20 {
+		t.Errorf("%+v %+v", got, got.Rehearsal)
 	}
 	a, _ := w.Do(0, node.Inquiry{Kind: node.Look, Key: "x", Program: "none"})
 	want(t, "the refused version's key", a, "unknown_key")
@@ -503,7 +503,7 @@
 func TestOldNewsOfALifeIsNoProof(t *testing.T) {
 	w := judged(small(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 }))
 	parts := w.Params.Parts
-	news := core.PartOf(parts, "member", "node1")
+	news := core.PartitionOf(parts, "member", "node1")
 	for _, c := range w.cores {
 		if len(c.coreM.Owned(c.now())) == 0 {
 			t.Fatal("a core owns nothing")
--- a/rehearsalkit/simulator/run.go
+++ b/rehearsalkit/simulator/run.go
@@ -121,7 +121,7 @@
 
 func (w *World) hand(at *proc, basedOn uint64, mark string, done func(taken bool)) {
 	text := w.describe(mark)
-	h := core.Hand{BasedOn: basedOn, Text: text, Digest: digestOf(text), Within: 8*time.Second + 2*w.Params.MemberTerm}
+	h := core.ApplyRequest{BasedOn: basedOn, Text: text, Digest: digestOf(text), Timeout: 8*time.Second + 2*w.Params.MemberTerm}
 	w.handed[mark] = basedOn + 1
 	began := w.now
 	revoked := ""
@@ -129,12 +129,14 @@
 		revoked = "t1"
 	}
 	w.Record.Handed = append(w.Record.Handed, judge.Handed{At: began, BasedOn: basedOn})
-	w.Operate(at, func(m *core.Machine, now time.Duration, ticket uint64) core.Output { return m.Apply(now, ticket, h) }, func(body any) {
-		t := body.(core.Taking)
+	w.Operate(at, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
+		return m.ApplyConfiguration(now, ticket, h)
+	}, func(body any) {
+		t := body.(core.ApplyResult)
 		w.logf("configuration %s on %d: %+v", mark, basedOn, t.Code)
 		w.Counts["configuration "+t.Code]++
 		w.version = max(w.version, t.Version)
-		if t.Taken {
+		if t.InForce {
 			w.keys[t.Version] = mark
 			w.Record.Taken = append(w.Record.Taken, judge.Taken{At: w.now, Version: t.Version, Mark: mark, Revoked: revoked})
 			delete(w.handed, mark)
@@ -148,7 +150,7 @@
 			w.keys[t.Version] = mark
 			delete(w.handed, mark)
 		}
-		done(t.Taken)
+		done(t.InForce)
 	})
 }
 
@@ -252,7 +254,7 @@
 func (w *World) seated() bool {
 	current := map[string]bool{}
 	for _, p := range w.cores {
-		current[p.coreM.Self().Seat()] = true
+		current[p.coreM.Self().MemberID()] = true
 	}
 	for _, p := range w.cores {
 		if !p.coreM.Founded() {
--- a/rehearsalkit/simulator/world.go
+++ b/rehearsalkit/simulator/world.go
@@ -161,8 +161,8 @@
 }
 
 func (w *World) coreParams() core.Params {
-	return core.Params{Part: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeHome: 20}, MemberTerm: w.Params.MemberTerm,
-		Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}
+	return core.Params{Partition: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeHome: 20}, MemberLease: w.Params.MemberTerm,
+		AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}
 }
 
 func (w *World) nodeParams() node.Params {
--- a/saffronfall/coreprocess/process.go
+++ b/saffronfall/coreprocess/process.go
@@ -106,7 +106,7 @@
 	life, cancel := context.WithCancel(context.Background())
 	group.Add(func() error { return s.own(ctx, life) }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
-	writes := writer{folder: folder, image: image, batches: s.toDisk, done: s.onDisk, pause: p.Core().Part.LeaseDuration}
+	writes := writer{folder: folder, image: image, batches: s.toDisk, done: s.onDisk, pause: p.Core().Partition.LeaseDuration}
 	group.Add(func() error { return writes.run(life) }, func(error) { cancel() })
 	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "core", Look: s.snapshot}, log)
 	server := &http.Server{Addr: p.OperatorListen, Handler: operator.Handler(s, p.Operators, s.drain), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: callTime, IdleTimeout: callTime}
@@ -172,7 +172,7 @@
 // own is the one goroutine that drives the machine.
 func (s *process) own(ctx, life context.Context) error {
 	runtime.LockOSThread()
-	ticker := time.NewTicker(s.params.Core().Part.LeaseDuration / 20)
+	ticker := time.NewTicker(s.params.Core().Partition.LeaseDuration / 20)
 	defer ticker.Stop()
 	var leaveBy time.Duration
 	stop, drain := ctx.Done(), s.drain
@@ -232,7 +232,7 @@
 }
 
 func (s *process) watch() {
-	stalled := s.busy && s.now()-s.busyAt > s.params.Core().Part.LeaseDuration
+	stalled := s.busy && s.now()-s.busyAt > s.params.Core().Partition.LeaseDuration
 	if stalled != s.stalled {
 		s.stalled = stalled
 		s.machine.Stall(stalled)
--- a/saffronfall/deskprocess/process.go
+++ b/saffronfall/deskprocess/process.go
@@ -132,7 +132,7 @@
 		return err
 	}
 	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.Secret,
-		QueueSize: int(p.Buffer), MaxMessageBytes: 64 << 20, Timeout: 2 * p.Core().Pull})
+		QueueSize: int(p.Buffer), MaxMessageBytes: 64 << 20, Timeout: 2 * p.Core().PullInterval})
 	if err != nil {
 		return err
 	}
@@ -180,7 +180,7 @@
 
 // own is the one goroutine that drives the machine.
 func (s *process) own() error {
-	ticker := time.NewTicker(s.params.Core().Pull / 3)
+	ticker := time.NewTicker(s.params.Core().PullInterval / 3)
 	defer ticker.Stop()
 	for {
 		select {
@@ -284,8 +284,8 @@
 }
 
 // Read reads the routing table in force.
-func (s *process) Read(ctx context.Context) (core.AgreedTable, error) {
-	return call[core.AgreedTable](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output { return m.Read(now, ticket) })
+func (s *process) Read(ctx context.Context) (core.CurrentTable, error) {
+	return call[core.CurrentTable](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output { return m.Read(now, ticket) })
 }
 
 // Retire asks for a core to be emptied.
--- a/saffronfall/main.go
+++ b/saffronfall/main.go
@@ -186,8 +186,8 @@
 	BasedOn int64  `help:"Version that the description or amendment is based on; -1: the one now in force." default:"-1"`
 }
 
-func (c *applyCommand) hand(planOnly bool) (int, []byte, core.Taking, error) {
-	var taking core.Taking
+func (c *applyCommand) hand(planOnly bool) (int, []byte, core.ApplyResult, error) {
+	var taking core.ApplyResult
 	text, err := os.ReadFile(c.File)
 	if err != nil {
 		return 0, nil, taking, err
@@ -246,7 +246,7 @@
 		fmt.Println(strings.TrimSpace(string(raw)))
 		return nil
 	}
-	fmt.Print(taking.Figures.Text(taking.Version))
+	fmt.Print(taking.Rehearsal.Text(taking.Version))
 	return nil
 }
 
@@ -294,11 +294,11 @@
 		}
 	}
 	for _, one := range s.Cores {
-		note := fmt.Sprintf("votes in %d parts", seats[one.Seat()])
+		note := fmt.Sprintf("votes in %d parts", seats[one.MemberID()])
 		switch {
 		case one.Retired:
 			note = "retired"
-		case seats[one.Seat()] == 0:
+		case seats[one.MemberID()] == 0:
 			note = "has no vote"
 		}
 		fmt.Printf("core    %-12s %-10s %s %s\n", one.ID, one.Zone, one.Peer, note)
--- a/saffronfall/nodeprocess/process.go
+++ b/saffronfall/nodeprocess/process.go
@@ -134,7 +134,7 @@
 
 func (s *process) own(ctx context.Context) error {
 	runtime.LockOSThread()
-	ticker := time.NewTicker(s.params.Core().Pull / 15)
+	ticker := time.NewTicker(s.params.Core().PullInterval / 15)
 	defer ticker.Stop()
 	stop, drain := ctx.Done(), s.drain
 	var leaveBy time.Duration
@@ -176,7 +176,7 @@
 			if leaveBy > 0 && s.now() >= leaveBy {
 				s.log.Info("grace is over", "inquiries left", len(s.waiting))
 				s.take(s.machine.Quit(s.now()))
-				leaveBy = s.now() + s.params.Core().Retry
+				leaveBy = s.now() + s.params.Core().AttemptTimeout
 				if quit {
 					return nil
 				}
--- a/saffronfall/params/params.go
+++ b/saffronfall/params/params.go
@@ -183,9 +183,9 @@
 
 // Core are the control plane's bounds.
 func (p Params) Core() core.Params {
-	return core.Params{Part: partition.Params{LeaseDuration: ms(p.OwnerTermMS), Drift: p.Drift, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20},
-		MemberTerm: ms(p.MemberTermMS),
-		Retry:      ms(p.RetryMS), Pull: ms(p.PullMS), Gone: ms(p.CoreGoneMS), OrderKeep: time.Duration(p.OrderKeepH) * time.Hour, ColdStart: p.ColdStart}
+	return core.Params{Partition: partition.Params{LeaseDuration: ms(p.OwnerTermMS), Drift: p.Drift, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20},
+		MemberLease:    ms(p.MemberTermMS),
+		AttemptTimeout: ms(p.RetryMS), PullInterval: ms(p.PullMS), GoneAfter: ms(p.CoreGoneMS), OrderRetention: time.Duration(p.OrderKeepH) * time.Hour, ColdStart: p.ColdStart}
 }
 
 // Node are the data plane's bounds.
--- a/saffronfall/relayprocess/process.go
+++ b/saffronfall/relayprocess/process.go
@@ -98,7 +98,7 @@
 		return err
 	}
 	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.Secret,
-		QueueSize: int(p.Buffer), MaxMessageBytes: 64 << 20, Timeout: 2 * p.Core().Pull})
+		QueueSize: int(p.Buffer), MaxMessageBytes: 64 << 20, Timeout: 2 * p.Core().PullInterval})
 	if err != nil {
 		return err
 	}
@@ -176,7 +176,7 @@
 
 // own is the one goroutine that drives the machine.
 func (s *process) own() error {
-	ticker := time.NewTicker(s.params.Core().Pull / 3)
+	ticker := time.NewTicker(s.params.Core().PullInterval / 3)
 	defer ticker.Stop()
 	for {
 		select {
--- a/saffronfall/schema_test.go
+++ b/saffronfall/schema_test.go
@@ -25,7 +25,7 @@
 	schematest.Check(t, "json_schema", []schematest.Entry{
 		schematest.JSON[core.Changed]("answer to a change of cores"),
 		schematest.JSON[core.Founding]("founding"),
-		schematest.JSON[core.Taking]("answer to a description handed over"),
+		schematest.JSON[core.ApplyResult]("answer to a description handed over"),
 		schematest.JSON[core.Topology]("topology"),
 		schematest.JSON[desk.Emptied]("state of retiring a core"),
 		schematest.JSON[desk.Handed]("answer to a table handed over"),
