--- a/peer/core/commands.go
+++ b/peer/core/commands.go
@@ -8,6 +8,8 @@
 	"saffronfall/rule/slab"
 )
 
+// commandOrigin is where a command came from: the address and ID to answer, or a
+// function that takes the result.
 type commandOrigin struct {
 	from      string
 	id        uint64
@@ -15,6 +17,7 @@
 	onResult  func(now time.Duration, r partition.Result)
 }
 
+// handleOutput puts what a partition's machine returned into the core's output.
 func (m *Machine) handleOutput(now time.Duration, n int, o partition.Output) {
 	for i := range o.Records {
 		m.out.Changes = append(m.out.Changes, Change{Record: &o.Records[i]})
@@ -38,6 +41,7 @@
 	}
 }
 
+// reply sends a command's result to where the command came from.
 func (m *Machine) reply(n int, at commandOrigin, r partition.Result) {
 	if at.from == "" {
 		return
@@ -55,26 +59,27 @@
 	m.send(at.from, answer, false)
 }
 
+// propose runs a command in partition n, if this core leads it.
 func (m *Machine) propose(now time.Duration, n int, command any, from commandOrigin) {
 	p := m.parts[n]
 	if c, ok := command.(ChangeGroup); ok && p != nil {
-		answer := from
+		client := from
 		from = commandOrigin{onResult: func(now time.Duration, r partition.Result) {
 			r.Body = Done{OK: r.Body == true}
-			m.reply(n, answer, r)
+			m.reply(n, client, r)
 		}}
 		m.handleOutput(now, n, p.ChangeMembers(now, uint64(m.tickets.Keep(from)), c.Add, c.Remove))
 		return
 	}
 	if _, ok := command.(ReadGroup); ok && p != nil {
-		answer := from
+		client := from
 		from = commandOrigin{onResult: func(now time.Duration, r partition.Result) {
 			g := p.Group()
-			if owned, ok := p.CommittedGroup(); ok {
-				g = owned
+			if committed, ok := p.CommittedGroup(); ok {
+				g = committed
 			}
 			r.Body = GroupMembers{Members: g.Members, Former: g.Former}
-			m.reply(n, answer, r)
+			m.reply(n, client, r)
 		}}
 	}
 	ticket := m.tickets.Keep(from)
@@ -85,6 +90,8 @@
 	m.handleOutput(now, n, p.Propose(now, uint64(ticket), command))
 }
 
+// onReplicaMessage passes a message to this core's replica of a partition. A snapshot
+// creates the replica.
 func (m *Machine) onReplicaMessage(now time.Duration, b ReplicaMessage) {
 	m.hear(now, b.From)
 	if b.To != m.self.MemberID() || b.Partition < 0 || b.Partition >= m.founding.Parts {
@@ -96,15 +103,15 @@
 		return
 	}
 	if m.stalled && requiresDisk(body) {
-		// Nothing may pile up before a disk that takes nothing. Whoever sent it
-		// sends it again, or a whole copy once the disk is back.
+		// Nothing may queue up for a stalled disk. The leader retries, or sends a
+		// snapshot once the disk is back.
 		m.Counters.Stalled++
 		return
 	}
 	p := m.parts[b.Partition]
 	if _, write := body.(partition.Write); write && m.self.Retired && (p == nil || !p.Group().Has(m.self.MemberID())) {
-		// A leader that has not heard of the retirement wants to hand a replica to
-		// this core, which may be taken away at any moment.
+		// The leader does not know yet that this core is retired. A retired core may
+		// be removed at any moment, so it joins no group.
 		return
 	}
 	if p == nil {
@@ -116,7 +123,7 @@
 	m.handleOutput(now, b.Partition, p.Receive(now, b.From, body))
 }
 
-// wantsDisk reports whether a message makes a replica write.
+// requiresDisk reports whether a message makes a replica write to disk.
 func requiresDisk(body any) bool {
 	switch b := body.(type) {
 	case partition.Write:
@@ -127,6 +134,7 @@
 	return false
 }
 
+// onPullUpdates sends the updates of the partitions that this core leads.
 func (m *Machine) onPullUpdates(now time.Duration, from string, b PullUpdates) {
 	if b.WantTopology {
 		m.learn()
@@ -140,24 +148,25 @@
 		if _, ok := p.LeadingTerm(now); !ok {
 			continue
 		}
-		upto, _ := p.CommittedVersion()
+		upTo, _ := p.CommittedVersion()
 		if n == ConfigurationPartition && b.WantFreshness {
-			m.send(from, Freshness{SentAt: b.SentAt, UpTo: upto}, false)
+			m.send(from, Freshness{SentAt: b.SentAt, UpTo: upTo}, false)
 		}
 		after := b.Versions[n]
-		if !after.Less(upto) {
+		if !after.Less(upTo) {
 			continue
 		}
-		news := Update{Partition: n, After: after, UpTo: upto}
-		if after.Term != upto.Term || after.Seq < p.PurgedSeq() {
-			after, news.Snapshot = partition.Version{}, true
+		update := Update{Partition: n, After: after, UpTo: upTo}
+		if after.Term != upTo.Term || after.Seq < p.PurgedSeq() {
+			after, update.Snapshot = partition.Version{}, true
 		}
-		news.Entries = p.Updates(after, UpdatePrefixes)
-		m.send(from, news, false)
+		update.Entries = p.Updates(after, UpdatePrefixes)
+		m.send(from, update, false)
 	}
 }
 
-// Ask runs one command on behalf of an operator.
+// RunCommand runs a command on behalf of an operator and answers the ticket with its
+// Outcome.
 func (m *Machine) RunCommand(now time.Duration, ticket uint64, command any, within time.Duration) Output {
 	m.out = &Output{}
 	m.caller.Call(now, command, now+within, func(now time.Duration, o Outcome) {
--- /dev/null
+++ b/peer/core/configuration.go
@@ -0,0 +1,183 @@
+package core
+
+import (
+	"strconv"
+	"time"
+
+	"saffronfall/rule/configuration"
+	"saffronfall/rule/message"
+	"saffronfall/rule/ordered"
+	"saffronfall/rule/rehearsal"
+)
+
+// ApplyResult tells how far a configuration got, from ApplyRequest to being in force.
+type ApplyResult struct {
+	Version   uint64               `json:"version"`
+	InForce   bool                 `json:"taken"`
+	Code      string               `json:"code,omitempty"`
+	Reason    string               `json:"reason,omitempty"`
+	Faults    configuration.Faults `json:"faults,omitempty"`
+	Rehearsal *rehearsal.Result    `json:"figures,omitempty"`
+}
+
+// ApplyRequest is a configuration that an operator submits.
+type ApplyRequest struct {
+	BasedOn uint64
+	Text    []byte
+	// Digest is computed by the operator's side. It identifies a repeated request with
+	// the same text.
+	Digest  string
+	Timeout time.Duration
+	// PlanOnly rehearses the configuration and changes nothing.
+	PlanOnly bool
+}
+
+// ApplyConfiguration checks a configuration, rehearses it on recent requests, compares
+// the result with its approval limits, commits it, and waits until each member follows
+// it or its membership has ended.
+func (m *Machine) ApplyConfiguration(now time.Duration, ticket uint64, request ApplyRequest) Output {
+	m.out = &Output{}
+	until := now + request.Timeout
+	after, faults := configuration.Parse(request.Text)
+	if len(faults) > 0 {
+		m.answerOperator(ticket, ApplyResult{Code: "faulty", Reason: "the configuration has faults", Faults: faults})
+		return *m.out
+	}
+	m.caller.Call(now, ReadEntries{Partition: ConfigurationPartition, Prefix: configurationKey}, until, func(now time.Duration, o Outcome) {
+		list, ok := o.Answer.(Entries)
+		if !ok {
+			m.answerOperator(ticket, ApplyResult{Code: "unsure", Reason: "the configuration's partition did not answer; nothing was changed"})
+			return
+		}
+		var current CurrentConfiguration
+		var before *configuration.Description
+		for _, e := range list.Entries {
+			if message.Unmarshal(e.Value, &current) == nil {
+				before, _ = configuration.Parse(current.Text)
+			}
+		}
+		switch {
+		case request.PlanOnly:
+		case current.Version > request.BasedOn:
+			// It lost a race or is a repeated request, so it needs no rehearsal: it can
+			// no longer be newly accepted.
+			m.acceptConfiguration(now, ticket, until, request, nil)
+			return
+		case current.Version < request.BasedOn:
+			m.answerOperator(ticket, raceLost(current.Version))
+			return
+		}
+		m.collectSamples(now, until, func(now time.Duration, samples []rehearsal.Sample) {
+			rehearsed := rehearsal.Run(before, after, samples)
+			switch {
+			case request.PlanOnly:
+				m.answerOperator(ticket, ApplyResult{Version: current.Version, Code: "planned", Rehearsal: &rehearsed})
+			case !rehearsed.Approved:
+				m.answerOperator(ticket, ApplyResult{Version: current.Version, Code: "not_approved", Reason: "the rehearsal newly refused more requests than the configuration's approval limit allows", Rehearsal: &rehearsed})
+			default:
+				m.acceptConfiguration(now, ticket, until, request, &rehearsed)
+			}
+		})
+	})
+	return *m.out
+}
+
+// raceLost is the result when another configuration was accepted first.
+func raceLost(version uint64) ApplyResult {
+	return ApplyResult{Version: version, Code: "race_lost", Reason: "another configuration was accepted first; version " + strconv.FormatUint(version, 10) + " is in force"}
+}
+
+// acceptConfiguration commits the configuration and then waits for the members.
+func (m *Machine) acceptConfiguration(now time.Duration, ticket uint64, until time.Duration, request ApplyRequest, rehearsed *rehearsal.Result) {
+	m.caller.Call(now, AcceptConfiguration{BasedOn: request.BasedOn, Text: request.Text, Digest: request.Digest}, until, func(now time.Duration, o Outcome) {
+		accepted, ok := o.Answer.(AcceptConfigurationResult)
+		switch {
+		case !ok:
+			m.answerOperator(ticket, ApplyResult{Code: "unsure", Reason: "the configuration's partition did not answer in time; apply the same text again to find out whether it was accepted"})
+		case !accepted.Accepted:
+			m.answerOperator(ticket, raceLost(accepted.Version))
+		default:
+			m.raiseVersionFloor(now, ApplyResult{Version: accepted.Version, Rehearsal: rehearsed}, ticket, until, map[int]bool{})
+		}
+	})
+}
+
+// collectSamples asks all members for their recent requests. Members that do not
+// answer in a quarter of a member lease are left out.
+func (m *Machine) collectSamples(now, until time.Duration, next func(now time.Duration, samples []rehearsal.Sample)) {
+	waiting := m.founding.Parts
+	members := map[string]Member{}
+	for n := 0; n < m.founding.Parts; n++ {
+		m.caller.Call(now, ReadEntries{Partition: n, Prefix: memberPrefix}, min(until, now+m.params.MemberLease), func(now time.Duration, o Outcome) {
+			list, _ := o.Answer.(Entries)
+			for _, e := range list.Entries {
+				var member Member
+				if message.Unmarshal(e.Value, &member) == nil && !member.Ended {
+					members[member.ID] = member
+				}
+			}
+			waiting--
+			if waiting > 0 {
+				return
+			}
+			m.gathered++
+			id := m.gathered
+			m.samples = map[string][]rehearsal.Sample{}
+			for _, name := range ordered.Keys(members) {
+				m.send(members[name].Peer, ReadSamples{ID: id}, false)
+			}
+			m.awaitSamples(now, now+m.params.MemberLease/4, id, len(members), next)
+		})
+	}
+}
+
+// awaitSamples passes on the samples when all have come or the time is over.
+func (m *Machine) awaitSamples(now, until time.Duration, id uint64, want int, next func(now time.Duration, samples []rehearsal.Sample)) {
+	if id != m.gathered || len(m.samples) >= want || now >= until {
+		var all []rehearsal.Sample
+		for _, name := range ordered.Keys(m.samples) {
+			all = append(all, m.samples[name]...)
+		}
+		next(now, all)
+		return
+	}
+	m.later.Add(now+m.params.PullInterval/4, func(now time.Duration) { m.awaitSamples(now, until, id, want, next) })
+}
+
+// raiseVersionFloor raises the version floor of each partition until no member lags
+// behind, and answers the ticket then or at the deadline.
+func (m *Machine) raiseVersionFloor(now time.Duration, result ApplyResult, ticket uint64, until time.Duration, done map[int]bool) {
+	version := result.Version
+	waiting := 0
+	for n := 0; n < m.founding.Parts; n++ {
+		if !done[n] {
+			waiting++
+		}
+	}
+	if waiting == 0 {
+		result.InForce = true
+		m.answerOperator(ticket, result)
+		return
+	}
+	if now >= until {
+		result.Code, result.Reason = "agreed_not_taken", "accepted, and will be in force; not every member has confirmed that it follows it"
+		m.answerOperator(ticket, result)
+		return
+	}
+	scheduled := false
+	for n := 0; n < m.founding.Parts; n++ {
+		if done[n] {
+			continue
+		}
+		m.caller.Call(now, SetVersionFloor{Partition: n, Version: version}, until, func(now time.Duration, o Outcome) {
+			if f, ok := o.Answer.(VersionFloorResult); ok {
+				done[n] = f.Done
+			}
+			waiting--
+			if waiting == 0 && !scheduled {
+				scheduled = true
+				m.later.Add(now+m.params.PullInterval/4, func(now time.Duration) { m.raiseVersionFloor(now, result, ticket, until, done) })
+			}
+		})
+	}
+}
--- /dev/null
+++ b/peer/core/doc.go
@@ -0,0 +1,22 @@
+// Package core is the control plane. A fleet of cores keeps the control state in
+// partitions, each of which is replicated to a group of cores and led by one of them
+// for a term (rule/partition has the consensus protocol).
+//
+// Nodes, desks and operators change the state by commands, which a Caller sends to the
+// leader of the command's partition (TargetPartition). The leader runs a command by the
+// rules of this package (rules.Apply) and answers with its result once the resulting
+// entries are durable on a majority. Nodes learn of changed entries by pulling updates.
+//
+// Invariants:
+//
+//   - Every command may be repeated: a retry has no further effect.
+//   - An incarnation of a member, once it ended, is never granted a lease again.
+//   - What holders of a rate, an allowance or the breaker's budget were granted never
+//     exceeds the limit; the grants of a holder that ended count as spent.
+//   - A write to a program's record takes effect only under the record's current fence.
+//   - Configurations and routing tables replace only the version that they build on.
+//
+// The package does no I/O: Machine takes messages and the time, and returns what is to
+// be written and sent. Start reading at messages.go for the commands, at rules.go for
+// what they do, and at machine.go for the process that runs the partitions.
+package core
--- /dev/null
+++ b/peer/core/expiry.go
@@ -0,0 +1,90 @@
+package core
+
+import (
+	"strings"
+	"time"
+
+	"saffronfall/rule/partition"
+	"saffronfall/rule/rate"
+)
+
+// expiry is the planned deletion of an entry at a time of the partition's clock. The
+// entry's own time is read again then, as it may have been extended.
+type expiry struct {
+	key   string
+	until time.Duration
+}
+
+// expiryQueue holds expiries in buckets of expiryBucket, so that a sweep looks only at
+// what is due.
+type expiryQueue map[time.Duration][]expiry
+
+const expiryBucket = 15 * time.Second
+
+func (e expiryQueue) add(key string, until time.Duration) {
+	at := until/expiryBucket + 1
+	e[at] = append(e[at], expiry{key: key, until: until})
+}
+
+func (e expiryQueue) due(clock time.Duration) []expiry {
+	var list []expiry
+	for at := range e {
+		if clock >= at*expiryBucket {
+			list = append(list, e[at]...)
+			delete(e, at)
+		}
+	}
+	return list
+}
+
+// loadExpiries fills the queue from the stored entries after an election.
+func (r *rules) loadExpiries(tx *partition.Tx) {
+	r.expiries, r.ledgers, r.expired = expiryQueue{}, map[string]*rate.Ledger{}, newRecentKeys()
+	for _, key := range tx.Keys(turnPrefix) {
+		if t, ok := read[storedTurn](tx, key); ok {
+			r.expiries.add(key, t.Until)
+		}
+	}
+	for _, key := range tx.Keys(bookPrefix) {
+		if b, ok := read[storedBook](tx, key); ok {
+			r.expiries.add(key, b.Until)
+		}
+	}
+	for _, key := range tx.Keys(acceptedPrefix) {
+		if o, ok := read[acceptedOrder](tx, key); ok {
+			r.expiries.add(key, o.Until)
+		}
+	}
+}
+
+// sweepExpired deletes the entries whose time has come.
+func (r *rules) sweepExpired(tx *partition.Tx) {
+	clock := tx.Clock()
+	for _, e := range r.expiries.due(clock) {
+		var until time.Duration
+		if b, ok := readWithPrefix[storedBook](tx, e.key, bookPrefix); ok {
+			until = b.Until
+		} else if t, ok := readWithPrefix[storedTurn](tx, e.key, turnPrefix); ok {
+			until = t.Until
+		} else if o, ok := readWithPrefix[acceptedOrder](tx, e.key, acceptedPrefix); ok {
+			until = o.Until
+		} else {
+			continue
+		}
+		if clock < until {
+			r.expiries.add(e.key, until)
+			continue
+		}
+		tx.Delete(e.key)
+		r.expired.add(e.key)
+	}
+}
+
+// readWithPrefix reads an entry if its key has the prefix.
+func readWithPrefix[T any](tx *partition.Tx, key, prefix string) (T, bool) {
+	var none T
+	if !strings.HasPrefix(key, prefix) {
+		return none, false
+	}
+	return read[T](tx, key)
+}
--- a/peer/core/ops.go
+++ b/peer/core/messages.go
@@ -1,5 +1,3 @@
-// Package core is the control plane: the commands that it understands, the way
-// to call it, and the machine that keeps the parts.
 package core
 
 import (
@@ -13,25 +11,28 @@
 	"saffronfall/rule/program"
 )
 
-// Commands and their answers. Each may be repeated without harm.
+// Commands to partitions and their results. Every command may be retried safely.
 type (
-	// JoinMember asks for a member's first term.
+	// JoinMember asks for the first lease of a member's incarnation.
 	JoinMember struct {
 		Member Member `msgpack:"Member"`
 	}
-	// RenewMember prolongs a member's term.
+	// RenewMember renews a member's lease. Version is the configuration that the
+	// member follows.
 	RenewMember struct {
 		ID          string `msgpack:"ID"`
 		Incarnation string `msgpack:"Incarnation"`
 		Version     uint64 `msgpack:"Version"`
 		Load        int    `msgpack:"Load"`
 	}
-	// LeaveMember ends a member's term.
+	// LeaveMember ends an incarnation's membership.
 	LeaveMember struct {
 		ID          string `msgpack:"ID"`
 		Incarnation string `msgpack:"Incarnation"`
 	}
-	// Termed answers all three.
+	// MembershipResult answers JoinMember, RenewMember and LeaveMember. Floor is the
+	// lowest configuration version that a member must follow to get a lease. Wait, if
+	// positive, is how long the previous incarnation's lease may still last.
 	MembershipResult struct {
 		Granted bool          `msgpack:"Granted"`
 		Ended   bool          `msgpack:"Ended"`
@@ -39,7 +40,7 @@
 		Wait    time.Duration `msgpack:"Wait"`
 	}
 
-	// OpenUser checks and counts a session start.
+	// OpenUser checks a user's session limits and counts a session start.
 	OpenUser struct {
 		Tenant    string             `msgpack:"Tenant"`
 		User      string             `msgpack:"User"`
@@ -47,27 +48,29 @@
 		Role      configuration.Role `msgpack:"Role"`
 		WarnRatio float64            `msgpack:"WarnRatio"`
 	}
-	// ChargeUser raises what a program has spent of a user's day.
+	// ChargeUser raises what a program has charged to a user's daily tokens.
 	ChargeUser struct {
 		Tenant  string `msgpack:"Tenant"`
 		User    string `msgpack:"User"`
 		Program string `msgpack:"Program"`
-		// Charged is spent or running, Covered what may be spent beforehand.
+		// Charged is spent or reserved by running turns; Covered may be spent without
+		// a further command.
 		Charged int64 `msgpack:"Charged"`
 		Covered int64 `msgpack:"Covered"`
 		Closed  bool  `msgpack:"Closed"`
 	}
-	// UserDay answers it.
+	// ChargeUserResult answers ChargeUser with the user's tokens of the day.
 	ChargeUserResult struct {
 		Tokens int64 `msgpack:"Tokens"`
 	}
 
-	// OpenProgram makes a program's record.
+	// OpenProgram creates a program's record, unless it exists.
 	OpenProgram struct {
 		Record program.Record `msgpack:"Record"`
 	}
-	// ClaimProgram moves a program to a node. Without a proof that the former
-	// owner's term ended, or a handover, it only tells who the owner is.
+	// ClaimProgram makes a node the owner of a program, given proof that the
+	// incarnation of the former owner has ended (EndedNode, EndedIncarnation). Without
+	// proof it only reads the record.
 	ClaimProgram struct {
 		Tenant           string `msgpack:"Tenant"`
 		ID               string `msgpack:"ID"`
@@ -77,12 +80,12 @@
 		EndedNode        string `msgpack:"EndedNode"`
 		EndedIncarnation string `msgpack:"EndedFormer"`
 	}
-	// SaveProgram writes the owner's newest record and turns.
+	// SaveProgram writes the owner's latest record and turns.
 	SaveProgram struct {
 		Record program.Record `msgpack:"Record"`
 		Turns  []program.Turn `msgpack:"Turns"`
 	}
-	// HandProgram names the successor of an owner that leaves.
+	// HandOverProgram makes another node the owner, on behalf of an owner that leaves.
 	HandOverProgram struct {
 		Tenant      string `msgpack:"Tenant"`
 		ID          string `msgpack:"ID"`
@@ -91,7 +94,10 @@
 		Incarnation string `msgpack:"Incarnation"`
 		Address     string `msgpack:"Address"`
 	}
-	// Programmed answers all four.
+	// ProgramResult answers OpenProgram, ClaimProgram, SaveProgram and
+	// HandOverProgram. Fenced means that the program has another owner by now, Expired
+	// that the record was deleted after its retention, and Clock is the partition's
+	// clock.
 	ProgramResult struct {
 		Found   bool           `msgpack:"Found"`
 		Owned   bool           `msgpack:"Owned"`
@@ -103,7 +109,10 @@
 		Version uint64         `msgpack:"Version"`
 	}
 
-	// ShareTenant reports and draws a holder's share of a tenant's allowance.
+	// DrawAllowance reports what a holder spent and returned of a tenant's allowance
+	// and draws up to Target. Kind is "day" for the daily tokens or names a rate.
+	// Ended lists holders whose incarnation has ended. A rate is drawn in whole
+	// requests of UnitsPerRequest.
 	DrawAllowance struct {
 		Tenant          string   `msgpack:"Tenant"`
 		Kind            string   `msgpack:"Kind"`
@@ -116,26 +125,28 @@
 		Members         int64    `msgpack:"Members"`
 		Ended           []string `msgpack:"Ended"`
 	}
-	// ShareRates does so for both rates of a tenant at once.
+	// DrawAllowances runs several draws of one tenant.
 	DrawAllowances struct {
 		Draws []DrawAllowance `msgpack:"Rates"`
 	}
-	// SharedRates answers it, in the same order.
+	// DrawResults answers DrawAllowances, in the same order.
 	DrawResults struct {
 		Results []DrawResult `msgpack:"Rates"`
 	}
-	// DrawBreaker does the same for money.
+	// DrawBreaker reports and draws a holder's share of the breaker's budget.
 	DrawBreaker struct {
 		Holder   string `msgpack:"Holder"`
 		Spent    int64  `msgpack:"Spent"`
 		Returned int64  `msgpack:"Returned"`
 		Target   int64  `msgpack:"Target"`
-		// Need is what running inquiries need; the rest is held in advance.
+		// Need is what running requests need; the rest of Target is held in advance.
 		Need   int64         `msgpack:"Need"`
 		Ended  []string      `msgpack:"Ended"`
 		Limits BreakerLimits `msgpack:"Description"`
 	}
-	// Shared answers both.
+	// DrawResult answers DrawAllowance and DrawBreaker. Granted is the holder's total;
+	// it is zero if the holder has ended. Holders names all holders. Open and Left
+	// tell whether the breaker is open and for how long.
 	DrawResult struct {
 		Granted int64         `msgpack:"Granted"`
 		Target  int64         `msgpack:"Target"`
@@ -143,7 +154,8 @@
 		Open    bool          `msgpack:"Open"`
 		Holders []string      `msgpack:"Others"`
 	}
-	// BreakerLimits are the thresholds in force at the caller.
+	// BreakerLimits are the breaker's thresholds in the configuration that the caller
+	// follows.
 	BreakerLimits struct {
 		Minute   int64         `msgpack:"Minute"`
 		Hour     int64         `msgpack:"Hour"`
@@ -151,25 +163,26 @@
 		Recovery time.Duration `msgpack:"Recovery"`
 		Probes   int           `msgpack:"Tests"`
 	}
-	// AdmitTest asks for a test number of a half-open breaker.
+	// AdmitProbe asks a half-open breaker to admit a probe.
 	AdmitProbe struct {
 		Program string        `msgpack:"Program"`
 		Limits  BreakerLimits `msgpack:"Limits"`
 	}
-	// ResultTest reports a test's outcome.
+	// ReportProbe reports whether a probe succeeded.
 	ReportProbe struct {
 		Program string        `msgpack:"Program"`
 		Good    bool          `msgpack:"Good"`
 		Limits  BreakerLimits `msgpack:"Limits"`
 	}
-	// Tested answers both.
+	// ProbeResult answers AdmitProbe and ReportProbe.
 	ProbeResult struct {
 		Number int           `msgpack:"Number"`
 		State  string        `msgpack:"State"`
 		Left   time.Duration `msgpack:"Left"`
 	}
 
-	// ClaimOnce makes the intent of a once-only action durable.
+	// ClaimOnce stores the intent to run a once-only action, before it runs. An
+	// earlier claim under the key wins.
 	ClaimOnce struct {
 		Tenant    string        `msgpack:"Tenant"`
 		Service   string        `msgpack:"Service"`
@@ -178,7 +191,8 @@
 		Digest    string        `msgpack:"Digest"`
 		Retention time.Duration `msgpack:"Keep"`
 	}
-	// EndOnce stores an outcome, or releases a claim that surely did not run.
+	// EndOnce stores the outcome of a claim, or releases one that certainly did not
+	// run.
 	EndOnce struct {
 		Tenant  string `msgpack:"Tenant"`
 		Service string `msgpack:"Service"`
@@ -188,7 +202,7 @@
 		Status  int    `msgpack:"Status"`
 		Body    []byte `msgpack:"Body"`
 	}
-	// Once answers both, and is the durable state.
+	// OnceRecord answers ClaimOnce and EndOnce, and is the stored entry of a once-key.
 	OnceRecord struct {
 		Claim  string        `msgpack:"c"`
 		Digest string        `msgpack:"d"`
@@ -196,71 +210,73 @@
 		Status int           `msgpack:"t"`
 		Body   []byte        `msgpack:"b"`
 		Until  time.Duration `msgpack:"u"`
-		Mine   bool          `msgpack:"-"`
 	}
 
-	// ReadLocked lists the users of a part that are locked out, soonest free
-	// first, and no more than operators can read.
+	// ReadLockedUsers lists the users of a partition that are locked out, those whose
+	// lockout ends first first, at most maxLockedUsers.
 	ReadLockedUsers struct {
 		Partition int `msgpack:"Part"`
 	}
-	// LockedUsers answers it.
+	// LockedUsers answers ReadLockedUsers.
 	LockedUsers struct {
 		Users []LockedUser `msgpack:"Users"`
 	}
-	// LockedUser is a user that is locked out, and for how long.
+	// LockedUser is a user that is locked out, and for how much longer.
 	LockedUser struct {
 		Name string        `json:"user" msgpack:"Name"`
 		Left time.Duration `json:"left" msgpack:"Left"`
 	}
-	// ReadEntries lists entries of a part by prefix.
+	// ReadEntries lists the entries of a partition whose keys have a prefix.
 	ReadEntries struct {
 		Partition int    `msgpack:"Part"`
 		Prefix    string `msgpack:"Prefix"`
 	}
-	// Entries answers it.
+	// Entries answers ReadEntries.
 	Entries struct {
 		Entries []partition.Entry `msgpack:"Entries"`
 	}
 
-	// AgreeConfiguration makes a checked and rehearsed description agreed.
+	// AcceptConfiguration puts a checked and rehearsed configuration in force.
 	AcceptConfiguration struct {
 		BasedOn uint64 `msgpack:"BasedOn"`
 		Text    []byte `msgpack:"Text"`
 		Digest  string `msgpack:"Digest"`
 	}
-	// Agreed answers it.
+	// AcceptConfigurationResult answers AcceptConfiguration. Version is the one in
+	// force if the configuration was refused.
 	AcceptConfigurationResult struct {
 		Accepted bool   `msgpack:"Agreed"`
 		Version  uint64 `msgpack:"Version"`
 	}
-	// SetFloor makes a part's members be at a version of the configuration.
+	// SetVersionFloor raises the configuration version that a partition's members must
+	// follow to get a lease.
 	SetVersionFloor struct {
 		Partition int    `msgpack:"Part"`
 		Version   uint64 `msgpack:"Version"`
 	}
-	// Floored answers it: Done when every member of the part is there or ended.
+	// VersionFloorResult answers SetVersionFloor. Done means that no member of the
+	// partition with a lease lags behind.
 	VersionFloorResult struct {
 		Done    bool     `msgpack:"Done"`
 		Lagging []string `msgpack:"Lagging"`
 	}
-	// Sweep lets a part's rules end what has run out.
+	// Sweep deletes expired entries and ends expired memberships of a partition.
 	Sweep struct{}
-	// Done is an answer with nothing to say.
+	// Done answers commands that have no other result.
 	Done struct {
 		OK bool `msgpack:"OK"`
 	}
 )
 
-// States of a once-only action.
+// States of a once-only action, in OnceRecord and EndOnce.
 const (
-	OnceIntent    = "intent"
-	OnceDone      = "done"
-	OnceUncertain = "maybe"
-	OnceReleased  = "free"
+	OnceIntent    = "intent" // claimed, outcome not known yet
+	OnceDone      = "done"   // ran; status and body are stored
+	OnceUncertain = "maybe"  // may have run; never run again under this key
+	OnceReleased  = "free"   // did not run; the key may be claimed again
 )
 
-// Member is a node that holds, or held, a term.
+// Member is a node that has, or had, a membership lease.
 type Member struct {
 	ID          string `msgpack:"i" json:"id"`
 	Incarnation string `msgpack:"n" json:"incarnation"`
@@ -270,16 +286,15 @@
 	Version     uint64 `msgpack:"v" json:"version"`
 	Ended       bool   `msgpack:"e" json:"ended"`
 	Leaving     bool   `msgpack:"l" json:"leaving"`
-	// Host is what only one process at a time can hold. Another life with the
-	// same one proves that this one has ended.
+	// Host can be held by only one process at a time. Another process with the same
+	// one proves that the earlier one has ended.
 	Host string `msgpack:"o" json:"-"`
-	// Past has the earlier lives, all of which have surely ended. A life that is
-	// neither here nor the present one is not known to have ended: the news may
-	// be older than that life.
+	// PastIncarnations have all ended. One that is neither here nor the present one is
+	// not known to have ended: this copy of the entry may be older than it.
 	PastIncarnations []string `msgpack:"a" json:"-"`
 }
 
-// HasEnded reports whether a life of the member is known to have ended.
+// HasEnded reports whether an incarnation of the member is known to have ended.
 func (m Member) HasEnded(incarnation string) bool {
 	if m.Incarnation == incarnation {
 		return m.Ended
@@ -287,26 +302,26 @@
 	return slices.Contains(m.PastIncarnations, incarnation)
 }
 
-// Holder names a member's incarnation as a holder of shares.
+// Holder identifies the member's incarnation as a holder of allowances.
 func (m Member) Holder() string { return m.ID + "/" + m.Incarnation }
 
-// Configured is the agreed configuration.
+// CurrentConfiguration is the stored entry of the configuration in force.
 type CurrentConfiguration struct {
 	Version uint64 `msgpack:"v"`
 	Text    []byte `msgpack:"t"`
 	Digest  string `msgpack:"d"`
-	// Past is what a former version kept of accepted orders. It is read and no
-	// longer written.
+	// Past lists accepted configurations as earlier releases stored them. It is read
+	// but no longer written.
 	Past []PastConfiguration `msgpack:"p"`
 }
 
-// Handed is one description that was agreed.
+// PastConfiguration is a configuration that was accepted.
 type PastConfiguration struct {
 	Version uint64 `msgpack:"v"`
 	Digest  string `msgpack:"d"`
 }
 
-// Core is one core of the fleet.
+// Core is the stored entry of one core of the fleet.
 type Core struct {
 	ID          string `msgpack:"i" json:"id"`
 	Incarnation string `msgpack:"n" json:"incarnation"`
@@ -318,25 +333,28 @@
 	Version uint64 `msgpack:"v" json:"version"`
 }
 
-// Seat names a core's incarnation as a seat of groups.
+// MemberID identifies the core's incarnation as a member of groups.
 func (c Core) MemberID() string { return c.ID + "." + c.Incarnation }
 
 // Messages between processes.
 type (
-	// PartMessage goes from seat to seat of a part.
+	// ReplicaMessage carries a packed message of rule/partition between members of a
+	// partition's group.
 	ReplicaMessage struct {
 		Partition int    `msgpack:"Part"`
 		From      string `msgpack:"From"`
 		To        string `msgpack:"To"`
 		Raw       []byte `msgpack:"Raw"`
 	}
-	// Command asks a part's owner to run a command.
+	// Command asks the leader of a partition to run the packed command Raw.
 	Command struct {
 		ID        uint64 `msgpack:"ID"`
 		Partition int    `msgpack:"Part"`
 		Raw       []byte `msgpack:"Raw"`
 	}
-	// CommandReturn answers it.
+	// CommandResult answers Command. If Uncertain, the command may or may not take
+	// effect. If NotLeader, it has none here, and LeaderHint is the address of the
+	// leader, if known.
 	CommandResult struct {
 		ID         uint64 `msgpack:"ID"`
 		Partition  int    `msgpack:"Part"`
@@ -345,23 +363,27 @@
 		NotLeader  bool   `msgpack:"Moved"`
 		LeaderHint string `msgpack:"Hint"`
 	}
-	// Pull asks for all news after a vector of versions.
+	// PullUpdates asks a core for all entries that changed after the given versions in
+	// the partitions that it leads.
 	PullUpdates struct {
 		Versions     map[int]partition.Version `msgpack:"Versions"`
 		Member       string                    `msgpack:"Member"`
 		WantTopology bool                      `msgpack:"Want"`
-		// Fresh asks the configuration's owner to say how new the news is.
+		// WantFreshness asks the leader of the configuration partition for a
+		// Freshness.
 		WantFreshness bool          `msgpack:"Fresh"`
 		SentAt        time.Duration `msgpack:"Sent"`
 	}
-	// Fresh says up to where the configuration goes, and how old that knowledge
-	// is. It lets a new life of a node know that it has missed nothing.
+	// Freshness tells up to which version the configuration partition has committed,
+	// as known at Age before SentAt, when the pull was sent by the puller's clock. It
+	// lets a new incarnation of a node know that it has missed no configuration.
 	Freshness struct {
 		SentAt time.Duration     `msgpack:"Sent"`
 		Age    time.Duration     `msgpack:"Age"`
 		UpTo   partition.Version `msgpack:"Upto"`
 	}
-	// News answers it, a part at a time.
+	// Update answers PullUpdates for one partition. A Snapshot has all entries and
+	// replaces what the node knew of the partition.
 	Update struct {
 		Partition int               `msgpack:"Part"`
 		After     partition.Version `msgpack:"After"`
@@ -369,76 +391,82 @@
 		Snapshot  bool              `msgpack:"Whole"`
 		Entries   []partition.Entry `msgpack:"Entries"`
 	}
-	// Topology is who the cores are and who owns which part.
+	// Topology describes the cores of a fleet and the group and leader of each
+	// partition.
 	Topology struct {
 		Fleet   string            `msgpack:"Fleet" json:"Fleet"`
 		Cores   map[string]Core   `msgpack:"Cores" json:"Cores"`
 		Groups  []partition.Group `msgpack:"Groups" json:"Groups"`
 		Leaders []partition.Term  `msgpack:"Owners" json:"Owners"`
-		// Size is how many seats a group is to have.
+		// GroupSize is how many members a group should have.
 		GroupSize int `msgpack:"Size" json:"Size"`
 	}
 )
 
-// Keys of entries.
+// ConfigurationPartition holds the configuration, the routing table and the cores.
+const ConfigurationPartition = 0
+
+// Keys and key prefixes of stored entries.
 const (
-	ConfigurationPartition = 0
-	configurationKey       = "configuration"
-	versionFloorKey        = "floor"
-	breakerSummaryKey      = "breaker"
-	breakerStateKey        = "books/breaker"
-	corePrefix             = "core/"
-	supersededPrefix       = "outlived/"
-	memberPrefix           = "member/"
-	programPrefix          = "program/"
-	oncePrefix             = "once/"
+	configurationKey  = "configuration"
+	versionFloorKey   = "floor" // of configuration versions
+	breakerSummaryKey = "breaker"
+	breakerStateKey   = "books/breaker"
+	corePrefix        = "core/"
+	supersededPrefix  = "outlived/" // incarnations of cores
+	memberPrefix      = "member/"
+	programPrefix     = "program/"
+	pastPrefix        = "past/" // tombstones of deleted programs
+	userPrefix        = "user/"
+	allowancePrefix   = "tenant/"
+	oncePrefix        = "once/"
 )
 
-// NewsPrefixes are the kinds of entries that nodes pull.
+// UpdatePrefixes are the key prefixes of the entries that nodes pull.
 var UpdatePrefixes = []string{configurationKey, breakerSummaryKey, memberPrefix, corePrefix, TableKey}
 
-// PartOf is the part that a name belongs to: configuration and cores have one
-// of their own, all else goes by hash of the name's first segments.
-func PartitionOf(parts int, segments ...string) int {
-	if segments[0] == configurationKey || parts < 2 {
+// PartitionOf returns the partition of a key with the given segments: the
+// configuration has its own, other keys are distributed by hash.
+func PartitionOf(partitions int, segments ...string) int {
+	if segments[0] == configurationKey || partitions < 2 {
 		return ConfigurationPartition
 	}
 	h := fnv.New64a()
 	h.Write([]byte(strings.Join(segments, "/")))
-	return 1 + int(h.Sum64()%uint64(parts-1))
+	return 1 + int(h.Sum64()%uint64(partitions-1))
 }
 
-// Target is the part that a command is for.
-func TargetPartition(parts int, command any) int {
+// TargetPartition returns the partition that a command is for.
+func TargetPartition(partitions int, command any) int {
 	switch c := command.(type) {
 	case JoinMember:
-		return PartitionOf(parts, "member", c.Member.ID)
+		return PartitionOf(partitions, "member", c.Member.ID)
 	case RenewMember:
-		return PartitionOf(parts, "member", c.ID)
+		return PartitionOf(partitions, "member", c.ID)
 	case LeaveMember:
-		return PartitionOf(parts, "member", c.ID)
+		return PartitionOf(partitions, "member", c.ID)
 	case OpenUser:
-		return PartitionOf(parts, "user", c.Tenant, c.User)
+		return PartitionOf(partitions, "user", c.Tenant, c.User)
 	case ChargeUser:
-		return PartitionOf(parts, "user", c.Tenant, c.User)
+		return PartitionOf(partitions, "user", c.Tenant, c.User)
 	case OpenProgram:
-		return PartitionOf(parts, "program", c.Record.Tenant, c.Record.ID)
+		return PartitionOf(partitions, "program", c.Record.Tenant, c.Record.ID)
 	case ClaimProgram:
-		return PartitionOf(parts, "program", c.Tenant, c.ID)
+		return PartitionOf(partitions, "program", c.Tenant, c.ID)
 	case SaveProgram:
-		return PartitionOf(parts, "program", c.Record.Tenant, c.Record.ID)
+		return PartitionOf(partitions, "program", c.Record.Tenant, c.Record.ID)
 	case HandOverProgram:
-		return PartitionOf(parts, "program", c.Tenant, c.ID)
+		return PartitionOf(partitions, "program", c.Tenant, c.ID)
 	case DrawAllowance:
-		return PartitionOf(parts, "tenant", c.Tenant)
+		return PartitionOf(partitions, "tenant", c.Tenant)
 	case DrawAllowances:
-		return PartitionOf(parts, "tenant", c.Draws[0].Tenant)
+		return PartitionOf(partitions, "tenant", c.Draws[0].Tenant)
 	case DrawBreaker, AdmitProbe, ReportProbe:
-		return PartitionOf(parts, "breaker")
+		return PartitionOf(partitions, "breaker")
 	case ClaimOnce:
-		return PartitionOf(parts, "once", c.Tenant, c.Service, c.Key)
+		return PartitionOf(partitions, "once", c.Tenant, c.Service, c.Key)
 	case EndOnce:
-		return PartitionOf(parts, "once", c.Tenant, c.Service, c.Key)
+		return PartitionOf(partitions, "once", c.Tenant, c.Service, c.Key)
 	case ReadEntries:
 		return c.Partition
 	case ReadLockedUsers:
@@ -450,7 +478,7 @@
 	case SetVersionFloor:
 		return c.Partition
 	}
-	if n, ok := relayTargetPartition(parts, command); ok {
+	if n, ok := relayTargetPartition(partitions, command); ok {
 		return n
 	}
 	return ConfigurationPartition
--- /dev/null
+++ b/peer/core/messages_relay.go
@@ -0,0 +1,179 @@
+package core
+
+import (
+	"strings"
+	"time"
+
+	"saffronfall/rule/book"
+	"saffronfall/rule/rate"
+)
+
+// Commands of nodes that relay requests, and of desks, with their results. Every
+// command may be retried safely.
+type (
+	// ReserveTurn reserves the most tokens that a turn may produce from its program's
+	// budget. Attempt is the node's unique ID of this reservation, not the requester's
+	// ID of the attempt: a repeated command must find its reservation, and two turns
+	// must not share one.
+	ReserveTurn struct {
+		Tenant    string        `msgpack:"t"`
+		Program   string        `msgpack:"p"`
+		Attempt   string        `msgpack:"a"`
+		MaxTokens int64         `msgpack:"m"`
+		Budget    int64         `msgpack:"b"`
+		Retention time.Duration `msgpack:"k"`
+	}
+	// ReserveTurnResult answers ReserveTurn. OK means that the turn may run.
+	ReserveTurnResult struct {
+		OK      bool  `msgpack:"o"`
+		Charged int64 `msgpack:"c"`
+	}
+	// SettleTurn replaces a reservation by the tokens that the turn produced.
+	SettleTurn struct {
+		Tenant  string `msgpack:"t"`
+		Program string `msgpack:"p"`
+		Attempt string `msgpack:"a"`
+		Tokens  int64  `msgpack:"n"`
+	}
+	// StoreTurn stores a turn with the IDs of the turns before it, oldest first.
+	StoreTurn struct {
+		Tenant    string        `msgpack:"t"`
+		Attempt   string        `msgpack:"a"`
+		Previous  []string      `msgpack:"b"`
+		Input     []byte        `msgpack:"i"`
+		Output    []byte        `msgpack:"o"`
+		Retention time.Duration `msgpack:"k"`
+	}
+	// ReadTurn reads a stored turn.
+	ReadTurn struct {
+		Tenant  string `msgpack:"t"`
+		Attempt string `msgpack:"a"`
+	}
+	// ReadTurnResult answers ReadTurn. A turn that is not Found is certainly not
+	// stored: the answer reflects what a majority has committed.
+	ReadTurnResult struct {
+		Found bool `msgpack:"f"`
+		// Absence tells why the turn is not found.
+		Absence  Absence  `msgpack:"w,omitempty"`
+		Previous []string `msgpack:"b"`
+		Input    []byte   `msgpack:"i"`
+		Output   []byte   `msgpack:"o"`
+		// Left is how much longer the turn is stored.
+		Left time.Duration `msgpack:"l"`
+	}
+	// ExtendTurn extends the retention of a stored turn when a turn that continues it
+	// was stored.
+	ExtendTurn struct {
+		Tenant    string        `msgpack:"t"`
+		Attempt   string        `msgpack:"a"`
+		Retention time.Duration `msgpack:"k"`
+	}
+	// DrawRates draws from the rates of several tenants whose ledgers are in one
+	// partition.
+	DrawRates struct {
+		Partition int          `msgpack:"p"`
+		Draws     []TenantDraw `msgpack:"d"`
+	}
+	// TenantDraw is a draw from one tenant's rate.
+	TenantDraw struct {
+		Tenant  string           `msgpack:"n"`
+		Request rate.DrawRequest `msgpack:"d"`
+	}
+	// DrawRatesResult answers DrawRates, in the same order.
+	DrawRatesResult struct {
+		Responses []rate.DrawResponse `msgpack:"d"`
+	}
+	// AcceptTable puts a checked routing table in force if it builds on the current
+	// one.
+	AcceptTable struct {
+		Base   uint64 `msgpack:"b"`
+		Number uint64 `msgpack:"n"`
+		Text   []byte `msgpack:"t"`
+		Digest string `msgpack:"d"`
+	}
+	// AcceptTableResult answers AcceptTable. Number is the accepted table's, or else
+	// that of the table in force.
+	AcceptTableResult struct {
+		OK     bool   `msgpack:"o"`
+		Number uint64 `msgpack:"n"`
+	}
+	// FindOrder asks whether the order for a routing table was accepted. It is
+	// answered as AcceptTable is, and changes nothing.
+	FindOrder struct {
+		Base   uint64 `msgpack:"b"`
+		Number uint64 `msgpack:"n"`
+		Digest string `msgpack:"d"`
+	}
+	// ReadTable reads the routing table in force.
+	ReadTable struct{}
+	// CurrentTable answers ReadTable, and is the stored entry. Past lists accepted
+	// tables as earlier releases stored them; it is read but no longer written.
+	CurrentTable struct {
+		Number uint64      `msgpack:"n"`
+		Text   []byte      `msgpack:"t"`
+		Digest string      `msgpack:"d"`
+		Past   []PastTable `msgpack:"p"`
+	}
+	// PastTable is a table that was accepted, and the one it was based on.
+	PastTable struct {
+		Base   uint64 `msgpack:"b"`
+		Number uint64 `msgpack:"n"`
+		Digest string `msgpack:"d"`
+	}
+
+	// storedTurn is the entry of a stored turn.
+	storedTurn struct {
+		Tenant   string        `msgpack:"t"`
+		Previous []string      `msgpack:"b"`
+		Input    []byte        `msgpack:"i"`
+		Output   []byte        `msgpack:"o"`
+		Until    time.Duration `msgpack:"u"`
+	}
+	// storedBook is the entry of a program's budget and reservations.
+	storedBook struct {
+		Book  book.Book     `msgpack:"b"`
+		Until time.Duration `msgpack:"u"`
+	}
+)
+
+// TableKey is the key of the routing table in force.
+const TableKey = "table"
+
+// Key prefixes of entries about turns and rates.
+const (
+	bookPrefix = "book/"
+	turnPrefix = "kept/"
+	ratePrefix = "rate/"
+)
+
+// IsCoreKey reports whether an entry is a core's.
+func IsCoreKey(key string) bool { return strings.HasPrefix(key, corePrefix) }
+
+// CoreID returns the ID of the core of a group member.
+func CoreID(memberID string) string {
+	if i := strings.LastIndexByte(memberID, '.'); i >= 0 {
+		return memberID[:i]
+	}
+	return memberID
+}
+
+// RatePartition returns the partition that holds the ledger of a tenant's rate.
+func RatePartition(partitions int, tenant string) int { return PartitionOf(partitions, "rate", tenant) }
+
+func relayTargetPartition(partitions int, command any) (int, bool) {
+	switch c := command.(type) {
+	case ReserveTurn:
+		return PartitionOf(partitions, "book", c.Tenant, c.Program), true
+	case SettleTurn:
+		return PartitionOf(partitions, "book", c.Tenant, c.Program), true
+	case StoreTurn:
+		return PartitionOf(partitions, "kept", c.Attempt), true
+	case ReadTurn:
+		return PartitionOf(partitions, "kept", c.Attempt), true
+	case ExtendTurn:
+		return PartitionOf(partitions, "kept", c.Attempt), true
+	case DrawRates:
+		return c.Partition, true
+	}
+	return 0, false
+}
--- a/peer/core/sample.go
+++ b/peer/core/messages_samples.go
@@ -4,13 +4,13 @@
 	"saffronfall/rule/rehearsal"
 )
 
-// Messages of rehearsal.
+// Messages that collect recent requests for rehearsals.
 type (
-	// AskSamples asks a node for its recent inquiries.
+	// ReadSamples asks a node for its recent requests.
 	ReadSamples struct {
 		ID uint64 `msgpack:"ID"`
 	}
-	// Samples answers it.
+	// Samples answers ReadSamples.
 	Samples struct {
 		ID   uint64             `msgpack:"ID"`
 		List []rehearsal.Sample `msgpack:"List"`
--- a/peer/core/orders.go
+++ b/peer/core/orders.go
@@ -8,11 +8,11 @@
 	"saffronfall/rule/partition"
 )
 
-// An operator whose answer was lost sends the same order again, to any control
-// machine, maybe hundreds of changes later. Each accepted order therefore leaves
-// a record of its own, by which it is known again and acknowledged again. The
-// records are entries beside the configuration, so a change rewrites none of the
-// earlier ones.
+// An order is an operator's request to put a routing table or a configuration in force.
+// An operator that got no answer sends the same order again, to any core or desk, possibly
+// after hundreds of others. Each accepted order therefore has a record of its own, by
+// which a repeated order is acknowledged. The records are entries beside the
+// configuration, so that an order rewrites none of the earlier ones.
 
 const (
 	acceptedPrefix = "accepted/"
@@ -21,11 +21,11 @@
 	configurationOrder = "description/"
 )
 
-// defaultOrderKeep is how long an accepted order is known again, on the clock of
-// the configuration's partition.
+// defaultOrderRetention is how long an accepted order is recognized, by the clock of
+// the configuration partition.
 const defaultOrderRetention = 24 * time.Hour
 
-// orderID tells one order from all others.
+// orderID identifies an order.
 type orderID struct {
 	kind   string
 	base   uint64
@@ -37,8 +37,8 @@
 	return acceptedPrefix + o.kind + strconv.FormatUint(o.number, 10)
 }
 
-// acceptedOrder is the record of an order that was accepted. Numbers only rise,
-// so there is at most one record under a number.
+// acceptedOrder is the record of an order that was accepted. Numbers only rise, so
+// there is at most one record under a number.
 type acceptedOrder struct {
 	Base   uint64        `msgpack:"b"`
 	Digest string        `msgpack:"d"`
@@ -52,14 +52,14 @@
 	return defaultOrderRetention
 }
 
-// wasAccepted reports whether this very order was accepted before: whether it has
-// its record, or is in the list that a former version kept.
+// wasAccepted reports whether an order has a record, or is in the list that an earlier
+// release stored.
 func wasAccepted(tx *partition.Tx, order orderID, past []orderID) bool {
 	record, ok := read[acceptedOrder](tx, order.key())
 	return ok && record.Base == order.base && record.Digest == order.digest || slices.Contains(past, order)
 }
 
-// recordAccepted makes orders known again.
+// recordAccepted stores records of accepted orders.
 func (r *rules) recordAccepted(tx *partition.Tx, orders ...orderID) {
 	until := tx.Clock() + r.params.orderRetention()
 	for _, order := range orders {
@@ -68,7 +68,7 @@
 	}
 }
 
-// agreeTable puts a routing table in force if it builds on the one that is.
+// acceptTable puts a routing table in force if it builds on the current one.
 func (r *rules) acceptTable(tx *partition.Tx, c AcceptTable) any {
 	order := orderID{kind: tableOrder, base: c.Base, number: c.Number, digest: c.Digest}
 	current, _ := read[CurrentTable](tx, TableKey)
@@ -84,7 +84,8 @@
 	return AcceptTableResult{OK: true, Number: c.Number}
 }
 
-// findOrder tells whether an order was accepted, and which table is in force.
+// findOrder reports whether an order for a routing table was accepted, and which table
+// is in force.
 func findOrder(tx *partition.Tx, c FindOrder) AcceptTableResult {
 	current, _ := read[CurrentTable](tx, TableKey)
 	order := orderID{kind: tableOrder, base: c.Base, number: c.Number, digest: c.Digest}
@@ -94,15 +95,15 @@
 	return AcceptTableResult{Number: current.Number}
 }
 
-// past are the orders in the list that a former version kept.
+// past returns the orders in the list that an earlier release stored.
 func (t CurrentTable) past() (orders []orderID) {
-	for _, one := range t.Past {
-		orders = append(orders, orderID{kind: tableOrder, base: one.Base, number: one.Number, digest: one.Digest})
+	for _, table := range t.Past {
+		orders = append(orders, orderID{kind: tableOrder, base: table.Base, number: table.Number, digest: table.Digest})
 	}
 	return orders
 }
 
-// agreeDescription puts a description in force if it builds on the one that is.
+// acceptConfiguration puts a configuration in force if it builds on the current one.
 func (r *rules) acceptConfiguration(tx *partition.Tx, c AcceptConfiguration) any {
 	order := orderID{kind: configurationOrder, base: c.BasedOn, number: c.BasedOn + 1, digest: c.Digest}
 	current, _ := read[CurrentConfiguration](tx, configurationKey)
@@ -118,10 +119,10 @@
 	return AcceptConfigurationResult{Accepted: true, Version: order.number}
 }
 
-// past are the orders in the list that a former version kept.
+// past returns the orders in the list that an earlier release stored.
 func (c CurrentConfiguration) past() (orders []orderID) {
-	for _, one := range c.Past {
-		orders = append(orders, orderID{kind: configurationOrder, base: one.Version - 1, number: one.Version, digest: one.Digest})
+	for _, accepted := range c.Past {
+		orders = append(orders, orderID{kind: configurationOrder, base: accepted.Version - 1, number: accepted.Version, digest: accepted.Digest})
 	}
 	return orders
 }
--- a/peer/core/registered.go
+++ b/peer/core/registered.go
@@ -6,7 +6,10 @@
 	"saffronfall/rule/verdict"
 )
 
-// Messages about members, programs, configuration and entries, under their outer names.
+// The registered names are part of the protocol and of stored data; they stay when a
+// Go type is renamed.
+
+// Messages about members, programs, the configuration and entries.
 func init() {
 	message.Register(map[string]any{
 		"core.AskSamples":         ReadSamples{},
@@ -73,7 +76,7 @@
 	})
 }
 
-// Messages about cores and the seats of groups.
+// Messages about cores and the groups of partitions.
 func init() {
 	message.Register(map[string]any{
 		"core.PutCore":    PutCore{},
--- a/peer/core/rules.go
+++ b/peer/core/rules.go
@@ -11,55 +11,62 @@
 	"saffronfall/rule/rate"
 )
 
-// Chunk is how many units of a tenant's rate let a bucket hold one inquiry.
+// UnitsPerRequest is how many units of a tenant's rate one request takes from a
+// bucket.
 const UnitsPerRequest = 16
 
-// IdleWeight is what a node wants of a rate that nobody asks it for, so that
-// it holds a share in advance.
+// IdleWeight is the weight in requests of a node that gets no requests of a tenant, so
+// that it holds a share of the rate in advance.
 const IdleWeight = 32
 
-// Params bound the control plane's timing; what else it needs are ratios to
-// these.
+// Params set the control plane's timing; other durations are ratios of these.
 type Params struct {
-	Partition   partition.Params
+	Partition partition.Params
+	// MemberLease is how long a membership lasts without a renewal.
 	MemberLease time.Duration
-	// Retry is how long an attempt at a command may take.
+	// AttemptTimeout is how long one attempt at a command may take.
 	AttemptTimeout time.Duration
-	// Pull is how often news is pulled.
+	// PullInterval is how often updates are pulled.
 	PullInterval time.Duration
-	// Gone is after how long a silent core's seats may go to others; zero: three
-	// terms of a member.
+	// GoneAfter is how long a core may be silent before its places in groups go to
+	// others; zero means three member leases.
 	GoneAfter time.Duration
-	// ColdStart allows a core with an empty folder to found a fleet.
+	// ColdStart allows a core with an empty data folder to found a fleet.
 	ColdStart bool
-	// OrderKeep is how long an accepted order of an operator is known again; zero:
-	// defaultOrderKeep.
+	// OrderRetention is how long the record of an accepted order is kept; zero means
+	// defaultOrderRetention.
 	OrderRetention time.Duration
 }
 
+// rules runs the commands of one partition on its leader. Fields other than params
+// hold what the leader knows since its election and are lost with its leadership.
 type rules struct {
 	params Params
-	// fleet tells the known cores, in a map of its own, and how many must stay.
-	fleet          func() (map[string]Core, int)
+	// fleet returns the known cores, in a map that the caller may change, and how many
+	// must remain.
+	fleet func() (map[string]Core, int)
+	// renewedAt is when each member's lease was last renewed, by the leader's clock;
+	// memberVersions is the configuration version that it followed then.
 	renewedAt      map[string]time.Duration
 	memberVersions map[string]uint64
-	seatedAt       time.Duration
 	violated       invariant.Reporter
 	expiries       expiryQueue
 	ledgers        map[string]*rate.Ledger
-	// expired are the keys of kept turns whose time ended under this leader.
+	// expired holds the keys of entries that this leader deleted on expiry.
 	expired *recentKeys
 }
 
+// Elected resets the leader's memory. It counts all leases from now, as an earlier
+// leader may have renewed them until its term ended.
 func (r *rules) Elected(now time.Duration, tx *partition.Tx) {
 	r.renewedAt, r.memberVersions = map[string]time.Duration{}, map[string]uint64{}
-	r.seatedAt = now
 	for _, key := range tx.Keys(memberPrefix) {
 		r.renewedAt[key] = now
 	}
 	r.loadExpiries(tx)
 }
 
+// read decodes the entry under a key. It panics if the entry is corrupt.
 func read[T any](tx *partition.Tx, key string) (T, bool) {
 	var value T
 	raw, ok := tx.Get(key)
@@ -74,7 +81,7 @@
 
 func write(tx *partition.Tx, key string, value any) { tx.Put(key, message.Marshal(value)) }
 
-// Apply runs one command.
+// Apply runs one command and returns its result.
 func (r *rules) Apply(now time.Duration, tx *partition.Tx, command any) any {
 	switch c := command.(type) {
 	case JoinMember:
@@ -90,7 +97,7 @@
 		}
 		return MembershipResult{Ended: true}
 	case OpenUser:
-		key := "user/" + c.Tenant + "/" + c.User
+		key := userPrefix + c.Tenant + "/" + c.User
 		u, ok := read[program.User](tx, key)
 		if !ok {
 			u = program.NewUser()
@@ -99,7 +106,7 @@
 		write(tx, key, u)
 		return v
 	case ChargeUser:
-		key := "user/" + c.Tenant + "/" + c.User
+		key := userPrefix + c.Tenant + "/" + c.User
 		u, ok := read[program.User](tx, key)
 		if !ok {
 			u = program.NewUser()
@@ -125,16 +132,16 @@
 		p.Fence++
 		p.Node, p.Incarnation, p.Address = c.Node, c.Incarnation, c.Address
 		p.Settle()
-		// The owner wrote everything through before it handed the program over.
+		// The owner saved everything before it handed the program over.
 		p.Covered, p.Mirrors, p.MirrorsFence = 0, nil, 0
 		write(tx, key, p)
 		return ProgramResult{Found: true}
 	case DrawAllowance:
-		return r.shareTenant(tx, c)
+		return r.drawAllowance(tx, c)
 	case DrawAllowances:
 		var all DrawResults
 		for _, one := range c.Draws {
-			all.Results = append(all.Results, r.shareTenant(tx, one).(DrawResult))
+			all.Results = append(all.Results, r.drawAllowance(tx, one).(DrawResult))
 		}
 		return all
 	case DrawBreaker:
@@ -161,11 +168,11 @@
 		}
 		return list
 	case ReadLockedUsers:
-		return readLocked(tx)
+		return readLockedUsers(tx)
 	case AcceptConfiguration:
 		return r.acceptConfiguration(tx, c)
 	case SetVersionFloor:
-		return r.setFloor(now, tx, c)
+		return r.setVersionFloor(now, tx, c)
 	case PutCore:
 		return putCore(tx, c)
 	case RetireCore:
--- a/peer/core/rules_breaker.go
+++ b/peer/core/rules_breaker.go
@@ -13,6 +13,8 @@
 	return breaker.Params{Minute: b.Minute, Hour: b.Hour, Day: b.Day, Recovery: b.Recovery, Probes: b.Probes}
 }
 
+// loadBreaker returns two independent copies of the stored breaker: one to change, and
+// one for saveBreaker to compare with.
 func (r *rules) loadBreaker(tx *partition.Tx) (b, before breaker.Breaker) {
 	b, ok := read[breaker.Breaker](tx, breakerStateKey)
 	if !ok {
@@ -22,18 +24,21 @@
 	return b, before
 }
 
+// saveBreaker stores a changed breaker, and its summary if the state or the number of
+// trips changed.
 func (r *rules) saveBreaker(tx *partition.Tx, b, before breaker.Breaker) {
 	if !reflect.DeepEqual(b, before) {
 		write(tx, breakerStateKey, b)
 	}
 	old, _ := read[BreakerSummary](tx, breakerSummaryKey)
-	news := BreakerSummary{State: string(b.State), Trips: b.Trips, Since: b.Since, Reason: b.Reason, Clock: tx.Clock()}
-	if old.State != news.State || old.Trips != news.Trips {
-		write(tx, breakerSummaryKey, news)
+	summary := BreakerSummary{State: string(b.State), Trips: b.Trips, Since: b.Since, Reason: b.Reason, Clock: tx.Clock()}
+	if old.State != summary.State || old.Trips != summary.Trips {
+		write(tx, breakerSummaryKey, summary)
 	}
 }
 
-// BreakerNews is what nodes learn of the breaker.
+// BreakerSummary is the part of the breaker's state that nodes pull. Since and Clock
+// are on the partition's clock.
 type BreakerSummary struct {
 	State  string        `msgpack:"s"`
 	Trips  int64         `msgpack:"t"`
--- a/peer/core/rules_cores.go
+++ b/peer/core/rules_cores.go
@@ -4,11 +4,14 @@
 	"saffronfall/rule/partition"
 )
 
+// putCore writes a core's entry if its version is newer. An incarnation that a later
+// core has replaced is recorded as superseded and rejected from then on, as is any
+// change that would undo a retirement.
 func putCore(tx *partition.Tx, c PutCore) any {
 	old, ok := read[Core](tx, corePrefix+c.Core.ID)
-	_, outlived := tx.Get(supersededPrefix + c.Core.MemberID())
+	_, superseded := tx.Get(supersededPrefix + c.Core.MemberID())
 	switch {
-	case outlived, ok && old.Retired && !c.Core.Retired:
+	case superseded, ok && old.Retired && !c.Core.Retired:
 		return PutCoreRejected{Core: old}
 	case ok && old == c.Core:
 		return Done{OK: true}
@@ -22,14 +25,15 @@
 	return Done{OK: true}
 }
 
+// retireCore marks a core as retired if enough others remain.
 func (r *rules) retireCore(tx *partition.Tx, c RetireCore) any {
 	cores, enough := r.fleet()
 	for _, key := range tx.Keys(corePrefix) {
-		if one, _ := read[Core](tx, key); cores[one.ID].Version <= one.Version {
-			cores[one.ID] = one
+		if core, _ := read[Core](tx, key); cores[core.ID].Version <= core.Version {
+			cores[core.ID] = core
 		}
 	}
-	one, ok := cores[c.ID]
+	core, ok := cores[c.ID]
 	staying := 0
 	for _, other := range cores {
 		if !other.Retired && other.ID != c.ID {
@@ -39,13 +43,13 @@
 	switch {
 	case !ok:
 		return RetireCoreResult{}
-	case one.Retired:
+	case core.Retired:
 	case staying < enough:
 		return RetireCoreResult{Found: true}
 	default:
-		one.Retired = true
-		one.Version++
-		write(tx, corePrefix+c.ID, one)
+		core.Retired = true
+		core.Version++
+		write(tx, corePrefix+c.ID, core)
 	}
 	return RetireCoreResult{Found: true, EnoughRemain: true, Done: true}
 }
--- a/peer/core/rules_members.go
+++ b/peer/core/rules_members.go
@@ -8,10 +8,21 @@
 	"saffronfall/rule/program"
 )
 
+// maxPastIncarnations bounds Member.PastIncarnations.
+const maxPastIncarnations = 256
+
+// tombstoneRetention is how long a deleted program is reported as expired.
+const tombstoneRetention = 24 * time.Hour
+
+// memberLease is the lease as the leader counts it: longer than the member does by the
+// most that clocks may drift, so that the member stops first.
 func (r *rules) memberLease() time.Duration {
 	return time.Duration(float64(r.params.MemberLease) * (1 + r.params.Partition.Drift))
 }
 
+// join grants the first lease of an incarnation. While another incarnation may still
+// hold a lease, the new one waits, unless the host proves that the process of the
+// earlier one has ended.
 func (r *rules) join(now time.Duration, tx *partition.Tx, c JoinMember) any {
 	key := memberPrefix + c.Member.ID
 	floor, _ := read[uint64](tx, versionFloorKey)
@@ -28,25 +39,28 @@
 		return MembershipResult{Floor: floor}
 	}
 	if !ok || m.Incarnation != c.Member.Incarnation {
-		fresh := c.Member
+		joined := c.Member
 		if ok {
-			fresh.PastIncarnations = append(m.PastIncarnations, m.Incarnation)
-			if n := len(fresh.PastIncarnations); n > maxPastIncarnations {
-				fresh.PastIncarnations = fresh.PastIncarnations[n-maxPastIncarnations:]
+			joined.PastIncarnations = append(m.PastIncarnations, m.Incarnation)
+			if n := len(joined.PastIncarnations); n > maxPastIncarnations {
+				joined.PastIncarnations = joined.PastIncarnations[n-maxPastIncarnations:]
 			}
 		}
-		write(tx, key, fresh)
+		write(tx, key, joined)
 	}
 	r.renewedAt[key], r.memberVersions[key] = now, c.Member.Version
 	return MembershipResult{Granted: true, Floor: floor}
 }
 
-// LifeOf is the process that an incarnation belongs to: its terms have one each.
+// ProcessIncarnation returns the part of a member's incarnation that identifies its
+// process. A process gets a new incarnation each time its membership ends.
 func ProcessIncarnation(incarnation string) string {
-	life, _, _ := strings.Cut(incarnation, "+")
-	return life
+	process, _, _ := strings.Cut(incarnation, "+")
+	return process
 }
 
+// renew renews a lease, unless it has ended or the member follows a configuration
+// below the floor.
 func (r *rules) renew(now time.Duration, tx *partition.Tx, c RenewMember) any {
 	key := memberPrefix + c.ID
 	floor, _ := read[uint64](tx, versionFloorKey)
@@ -61,7 +75,9 @@
 	return MembershipResult{Granted: true, Floor: floor}
 }
 
-func (r *rules) setFloor(now time.Duration, tx *partition.Tx, c SetVersionFloor) any {
+// setVersionFloor raises the version floor and reports the members that are still
+// below it.
+func (r *rules) setVersionFloor(now time.Duration, tx *partition.Tx, c SetVersionFloor) any {
 	floor, _ := read[uint64](tx, versionFloorKey)
 	if floor < c.Version {
 		write(tx, versionFloorKey, c.Version)
@@ -77,6 +93,8 @@
 	return answer
 }
 
+// sweep ends expired memberships and deletes expired programs, their tombstones and
+// once-keys.
 func (r *rules) sweep(now time.Duration, tx *partition.Tx) {
 	for _, key := range tx.Keys(memberPrefix) {
 		m, _ := read[Member](tx, key)
@@ -87,8 +105,8 @@
 	}
 	clock := tx.Clock()
 	for _, key := range tx.Keys(programPrefix) {
-		if countSlashes(key) != 2 {
-			continue
+		if strings.Count(key, "/") != 2 {
+			continue // the key of a turn
 		}
 		p, _ := read[program.Record](tx, key)
 		if clock >= p.Touched+p.Keep && len(p.Running) == 0 {
@@ -96,11 +114,11 @@
 				tx.Delete(turn)
 			}
 			tx.Delete(key)
-			write(tx, "past/"+key, clock)
+			write(tx, pastPrefix+key, clock)
 		}
 	}
-	for _, key := range tx.Keys("past/") {
-		if at, _ := read[time.Duration](tx, key); clock >= at+24*time.Hour {
+	for _, key := range tx.Keys(pastPrefix) {
+		if at, _ := read[time.Duration](tx, key); clock >= at+tombstoneRetention {
 			tx.Delete(key)
 		}
 	}
@@ -110,5 +128,3 @@
 		}
 	}
 }
-
-const maxPastIncarnations = 256
--- a/peer/core/rules_programs.go
+++ b/peer/core/rules_programs.go
@@ -13,14 +13,15 @@
 	"saffronfall/rule/program"
 )
 
-// lockedTold is how many locked users are told of a part.
+// maxLockedUsers bounds LockedUsers for one partition.
 const maxLockedUsers = 100
 
-func readLocked(tx *partition.Tx) LockedUsers {
+// readLockedUsers lists the users that are locked out.
+func readLockedUsers(tx *partition.Tx) LockedUsers {
 	var list LockedUsers
-	for _, key := range tx.Keys("user/") {
+	for _, key := range tx.Keys(userPrefix) {
 		if u, _ := read[program.User](tx, key); u.Locked > tx.Clock() {
-			list.Users = append(list.Users, LockedUser{Name: strings.TrimPrefix(key, "user/"), Left: u.Locked - tx.Clock()})
+			list.Users = append(list.Users, LockedUser{Name: strings.TrimPrefix(key, userPrefix), Left: u.Locked - tx.Clock()})
 		}
 	}
 	slices.SortFunc(list.Users, func(a, b LockedUser) int { return int(a.Left - b.Left) })
@@ -28,16 +29,7 @@
 	return list
 }
 
-func countSlashes(s string) int {
-	n := 0
-	for i := range s {
-		if s[i] == '/' {
-			n++
-		}
-	}
-	return n
-}
-
+// openProgram creates a program's record unless it exists.
 func (r *rules) openProgram(tx *partition.Tx, c OpenProgram) any {
 	key := programPrefix + c.Record.Tenant + "/" + c.Record.ID
 	if p, ok := read[program.Record](tx, key); ok {
@@ -49,12 +41,14 @@
 	return ProgramResult{Found: true, Owned: true, Record: p, Clock: tx.Clock()}
 }
 
+// claimProgram moves a program to a node if its former owner has ended. The fence then
+// rises, so that no late write of the former owner counts.
 func (r *rules) claimProgram(tx *partition.Tx, c ClaimProgram) any {
 	key := programPrefix + c.Tenant + "/" + c.ID
 	p, ok := read[program.Record](tx, key)
 	if !ok {
-		_, past := tx.Get("past/" + key)
-		return ProgramResult{Expired: past}
+		_, expired := tx.Get(pastPrefix + key)
+		return ProgramResult{Expired: expired}
 	}
 	answer := ProgramResult{Found: true, Clock: tx.Clock()}
 	switch {
@@ -77,6 +71,8 @@
 	return answer
 }
 
+// saveProgram stores a record from the program's owner, unless a later version is
+// stored.
 func (r *rules) saveProgram(tx *partition.Tx, c SaveProgram) any {
 	key := programPrefix + c.Record.Tenant + "/" + c.Record.ID
 	p, ok := read[program.Record](tx, key)
@@ -95,8 +91,9 @@
 	return ProgramResult{Found: true, Version: p.Version}
 }
 
-func (r *rules) shareTenant(tx *partition.Tx, c DrawAllowance) any {
-	key := "tenant/" + c.Tenant + "/" + c.Kind
+// drawAllowance draws from a tenant's daily tokens or from one of its rates.
+func (r *rules) drawAllowance(tx *partition.Tx, c DrawAllowance) any {
+	key := allowancePrefix + c.Tenant + "/" + c.Kind
 	l, ok := read[allowance.Ledger](tx, key)
 	if !ok && c.Kind == "day" {
 		l = allowance.Ledger{Windows: []allowance.Window{{Width: 24 * time.Hour}}}
--- /dev/null
+++ b/peer/core/rules_relay.go
@@ -0,0 +1,105 @@
+package core
+
+import (
+	"net/url"
+	"time"
+
+	"saffronfall/rule/invariant"
+	"saffronfall/rule/partition"
+	"saffronfall/rule/rate"
+)
+
+// settledBookRetention is how long a book is stored that only has a settlement.
+const settledBookRetention = time.Minute
+
+// applyRelay runs the commands of nodes that relay requests, and of desks.
+func (r *rules) applyRelay(tx *partition.Tx, command any) any {
+	switch c := command.(type) {
+	case ReserveTurn:
+		return r.reserveTurn(tx, c)
+	case SettleTurn:
+		key := bookKey(c.Tenant, c.Program)
+		b, ok := read[storedBook](tx, key)
+		if !ok {
+			// The reservation may be delayed and arrive after its settlement; the book
+			// must reserve nothing then.
+			b.Until = tx.Clock() + settledBookRetention
+			r.expiries.add(key, b.Until)
+		}
+		if b.Book.Settle(c.Attempt, c.Tokens) {
+			write(tx, key, b)
+		}
+		return Done{OK: true}
+	case StoreTurn:
+		return r.storeTurn(tx, c)
+	case ReadTurn:
+		return r.readTurn(tx, c)
+	case ExtendTurn:
+		key, t, ok := findTurn(tx, c.Tenant, c.Attempt)
+		if !ok {
+			return Done{}
+		}
+		if until := tx.Clock() + c.Retention; until > t.Until {
+			t.Until = until
+			write(tx, key, t)
+		}
+		return Done{OK: true}
+	case DrawRates:
+		return r.drawRates(tx, c)
+	case AcceptTable:
+		return r.acceptTable(tx, c)
+	case FindOrder:
+		return findOrder(tx, c)
+	case ReadTable:
+		t, _ := read[CurrentTable](tx, TableKey)
+		return t
+	}
+	return Done{OK: true}
+}
+
+// drawRates draws from the ledgers of rates. They are in memory; only what a successor
+// must know of them is stored.
+func (r *rules) drawRates(tx *partition.Tx, c DrawRates) any {
+	var answer DrawRatesResult
+	for _, d := range c.Draws {
+		key := ratePrefix + d.Tenant
+		l := r.ledgers[key]
+		if l == nil {
+			stored, _ := read[rate.DurableState](tx, key)
+			l = rate.Restore(tx.Clock(), stored, d.Request.LeaseDuration)
+			r.ledgers[key] = l
+		}
+		drawn, changed := l.Draw(tx.Clock(), d.Request)
+		if l.Exceeded {
+			r.violated.Violated(invariant.GrantedWithinLimit, "tenant %s: more than %d in %v is granted or spent", d.Tenant, l.Limit.Max, l.Limit.Window)
+		}
+		answer.Responses = append(answer.Responses, drawn)
+		if changed {
+			write(tx, key, l.DurableState)
+		}
+	}
+	return answer
+}
+
+// bookKey returns the key of a program's reservations. The tenant's name is escaped,
+// so that no two pairs of tenant and program share a key.
+func bookKey(tenant, program string) string {
+	return bookPrefix + url.PathEscape(tenant) + "/" + program
+}
+
+// reserveTurn reserves tokens of a program's budget.
+func (r *rules) reserveTurn(tx *partition.Tx, c ReserveTurn) any {
+	key := bookKey(c.Tenant, c.Program)
+	b, ok := read[storedBook](tx, key)
+	if !b.Book.Reserve(c.Attempt, c.MaxTokens, c.Budget) {
+		return ReserveTurnResult{Charged: b.Book.Charged + b.Book.Outstanding()}
+	}
+	until := tx.Clock() + c.Retention
+	if !ok {
+		r.expiries.add(key, until)
+	}
+	b.Until = max(b.Until, until)
+	b.Book.LastUsed = tx.Clock()
+	write(tx, key, b)
+	return ReserveTurnResult{OK: true, Charged: b.Book.Charged}
+}
--- a/peer/core/stored.go
+++ b/peer/core/stored.go
@@ -4,20 +4,20 @@
 	"saffronfall/rule/partition"
 )
 
-// Stored is what a core's disk holds.
+// Stored is what a core's disk holds. Replicas are by partition.
 type Stored struct {
 	Incarnation string                  `msgpack:"i"`
 	Founding    Founding                `msgpack:"f"`
 	Replicas    map[int]partition.State `msgpack:"c"`
 }
 
-// Change is one thing to write to disk.
+// Change is one change of Stored to write to disk.
 type Change struct {
 	Founding *Founding         `msgpack:"f"`
 	Record   *partition.Record `msgpack:"r"`
 }
 
-// Apply brings what is stored up to a change.
+// Apply applies a change.
 func (s *Stored) Apply(c Change) {
 	if s.Replicas == nil {
 		s.Replicas = map[int]partition.State{}
@@ -39,7 +39,7 @@
 	}
 }
 
-// CopyFrom makes an image that can be changed apart from its source.
+// CopyFrom makes s a copy of o that shares no entries map with it.
 func (s *Stored) CopyFrom(o Stored) {
 	s.Incarnation, s.Founding, s.Replicas = o.Incarnation, o.Founding, map[int]partition.State{}
 	for n, c := range o.Replicas {
--- a/peer/core/kept.go
+++ b/peer/core/turns.go
@@ -9,24 +9,23 @@
 	"saffronfall/rule/partition"
 )
 
-// Absence is why a kept turn is not found. It is for operators: whoever asks for the
-// turn is told the same in each case.
+// Absence is why a stored turn is not found. It is for operators only: a requester
+// gets the same answer in each case.
 type Absence string
 
 const (
-	// NeverKept: the partition has no trace of it.
+	// NotStored means that the partition has no trace of the turn.
 	NotStored Absence = ""
-	// Expired: it was kept, and its time is over.
+	// Expired means that the turn's retention has ended.
 	Expired Absence = "expired"
-	// Foreign: a turn of another tenant has this id.
+	// OtherTenant means that a turn of another tenant has this ID.
 	OtherTenant Absence = "foreign"
 )
 
-// recentKeysMost is how many keys of entries that have ended a partition's leader
-// remembers.
+// recentKeysMax bounds recentKeys.
 const recentKeysMax = 4096
 
-// recentKeys remembers the last keys that were added, by their hashes.
+// recentKeys holds hashes of the keys that were added last.
 type recentKeys struct {
 	seed   maphash.Seed
 	hashes map[uint64]bool
@@ -55,16 +54,18 @@
 
 func (k *recentKeys) has(key string) bool { return k.hashes[maphash.String(k.seed, key)] }
 
-// keptKeys are where a kept turn may be. Requesters choose the ids of their attempts,
-// so an id means something only together with its tenant. The first tenant that uses
-// an id has its turn under the id alone, where a core of the former version, which
-// may lead the partition in the middle of an upgrade, looks for it; others have
-// theirs under a mark that no header can hold, their name and the id.
+// turnKeys returns the keys under which a turn may be stored. Requesters choose the
+// IDs of their attempts, so an ID is unique only within its tenant. The first tenant
+// that uses an ID has its turn under the ID alone, which is where a core of the
+// previous release, which may lead the partition during an upgrade, looks for it.
+// Other tenants' turns are under a prefix that no header can contain, the tenant's
+// name and the ID.
 func turnKeys(tenant, attempt string) [2]string {
 	return [2]string{turnPrefix + attempt, turnPrefix + "\x00" + url.PathEscape(tenant) + "/" + attempt}
 }
 
-// findTurn finds a tenant's kept turn. If there is none, the key is where it goes.
+// findTurn looks up a tenant's stored turn. If there is none, key is where to store
+// it.
 func findTurn(tx *partition.Tx, tenant, attempt string) (key string, t storedTurn, ok bool) {
 	free := ""
 	for _, key := range turnKeys(tenant, attempt) {
@@ -79,8 +80,8 @@
 	return free, storedTurn{}, false
 }
 
-// keepTurn keeps a turn. The same command is acknowledged again; another turn under
-// an id that its tenant used before is not kept, and not said to be.
+// storeTurn stores a turn. A repeated command succeeds again; a different turn under
+// an ID that its tenant has used is refused.
 func (r *rules) storeTurn(tx *partition.Tx, c StoreTurn) any {
 	key, t, ok := findTurn(tx, c.Tenant, c.Attempt)
 	if ok {
@@ -92,7 +93,7 @@
 	return Done{OK: true}
 }
 
-// readTurn reads a kept turn.
+// readTurn returns a stored turn, or why there is none.
 func (r *rules) readTurn(tx *partition.Tx, c ReadTurn) ReadTurnResult {
 	_, t, ok := findTurn(tx, c.Tenant, c.Attempt)
 	if !ok {
@@ -101,7 +102,7 @@
 	return ReadTurnResult{Found: true, Previous: t.Previous, Input: t.Input, Output: t.Output, Left: t.Until - tx.Clock()}
 }
 
-// absenceOf tells why a turn is not kept, as far as this leader knows.
+// absenceReason tells why a turn is not stored, as far as this leader knows.
 func (r *rules) absenceReason(tx *partition.Tx, c ReadTurn) Absence {
 	keys := turnKeys(c.Tenant, c.Attempt)
 	if _, taken := read[storedTurn](tx, keys[0]); taken {
