--- a/peer/core/orders_test.go
+++ b/peer/core/orders_test.go
@@ -9,15 +9,14 @@
 	"saffronfall/rule/partition"
 )
 
-// order is a routing table's number with a body of its own.
+// numberedTable is an order for a routing table whose text depends on its number.
 func numberedTable(base, number uint64) AcceptTable {
 	return AcceptTable{Base: base, Number: number, Text: fmt.Appendf(nil, `{"number":%d}`, number), Digest: fmt.Sprint("digest of ", number)}
 }
 
-// TestAcceptedOrderIsKnownAfterHundredsOfOthers: an order whose answer was lost
-// is acknowledged when it comes again, however many came after it, until its
-// time is over; another one under its number is refused all the while.
-func TestAcceptedOrderIsKnownAfterHundredsOfOthers(t *testing.T) {
+// TestRepeatedTableOrder checks that an accepted order is acknowledged when it is
+// repeated after hundreds of others, and that another order under its number is refused.
+func TestRepeatedTableOrder(t *testing.T) {
 	a := newSingleCore(t)
 	const orders = 400
 	for number := uint64(1); number <= orders; number++ {
@@ -28,20 +27,20 @@
 	for number := uint64(1); number <= orders; number += 7 {
 		find := FindOrder{Base: number - 1, Number: number, Digest: numberedTable(0, number).Digest}
 		if got := a.run(find).(AcceptTableResult); !got.OK || got.Number != number {
-			t.Fatalf("order %d is not found: %+v", number, got)
+			t.Fatalf("accepted order %d not found: %+v", number, got)
 		}
 		for _, other := range []FindOrder{{Base: number, Number: number, Digest: find.Digest}, {Base: number - 1, Number: number, Digest: "another"}, {Base: orders, Number: orders + 1, Digest: "none"}} {
 			if got := a.run(other).(AcceptTableResult); got.OK || got.Number != orders {
-				t.Fatalf("order %+v is found: %+v", other, got)
+				t.Fatalf("order %+v was never accepted, but found: %+v", other, got)
 			}
 		}
 		if got := a.run(numberedTable(number-1, number)).(AcceptTableResult); !got.OK || got.Number != number {
-			t.Fatalf("order %d came again: %+v", number, got)
+			t.Fatalf("order %d repeated: %+v", number, got)
 		}
 		other := numberedTable(number-1, number)
 		other.Digest = "another"
 		if got := a.run(other).(AcceptTableResult); got.OK {
-			t.Fatalf("another order under number %d was acknowledged", number)
+			t.Fatalf("a different order under number %d was acknowledged", number)
 		}
 		onAnother := numberedTable(number, number)
 		if got := a.run(onAnother).(AcceptTableResult); got.OK {
@@ -49,13 +48,12 @@
 		}
 	}
 	if got := a.run(ReadTable{}).(CurrentTable); got.Number != orders {
-		t.Fatalf("in force is %d", got.Number)
+		t.Fatalf("table %d is in force", got.Number)
 	}
 }
 
-// TestAcceptedDescriptionIsKnownAfterHundredsOfOthers is the same for whole
-// descriptions.
-func TestAcceptedDescriptionIsKnownAfterHundredsOfOthers(t *testing.T) {
+// TestRepeatedConfigurationOrder checks the same for configurations.
+func TestRepeatedConfigurationOrder(t *testing.T) {
 	a := newSingleCore(t)
 	const orders = 200
 	for base := uint64(0); base < orders; base++ {
@@ -64,16 +62,16 @@
 		}
 	}
 	if got := a.run(AcceptConfiguration{BasedOn: 3, Text: []byte("{}"), Digest: "3"}).(AcceptConfigurationResult); !got.Accepted || got.Version != 4 {
-		t.Fatalf("came again: %+v", got)
+		t.Fatalf("repeated order: %+v", got)
 	}
 	if got := a.run(AcceptConfiguration{BasedOn: 3, Text: []byte("{}"), Digest: "another"}).(AcceptConfigurationResult); got.Accepted {
-		t.Fatal("another one on the same base was acknowledged")
+		t.Fatal("a different order on the same base was acknowledged")
 	}
 }
 
-// TestAcceptedOrdersAreForgottenInTime: the records go after their stated time,
-// and the value that every change rewrites does not grow with them.
-func TestAcceptedOrdersAreForgottenInTime(t *testing.T) {
+// TestOrderRecordsExpire checks that records of orders are deleted after their retention,
+// and that the table's entry does not grow with them.
+func TestOrderRecordsExpire(t *testing.T) {
 	const keep = 10 * time.Minute
 	a := newSingleCore(t, func(p *Params) { p.OrderRetention = keep })
 	size := func() int { return len(a.m.Part(ConfigurationPartition).State().Entries[TableKey].Value) }
@@ -99,31 +97,31 @@
 	}
 	a.advance(keep - time.Minute)
 	if records() != 60 {
-		t.Fatalf("%d records are left before their time", records())
+		t.Fatalf("%d of 60 records are left before their retention ends", records())
 	}
 	a.advance(2 * time.Minute)
 	if records() != 0 {
-		t.Fatalf("%d records are left after their time", records())
+		t.Fatalf("%d records are left after their retention", records())
 	}
 }
 
-// TestOrdersOfAFormerVersionAreKnown: the list that a former version kept inside
-// the table's entry is read, and goes over into records with the next order.
-func TestOrdersOfAFormerVersionAreKnown(t *testing.T) {
+// TestOrdersOfEarlierRelease checks that orders in the list that an earlier release stored
+// in the table's entry are acknowledged, before and after the next order replaces it.
+func TestOrdersOfEarlierRelease(t *testing.T) {
 	founder := newSingleCore(t)
 	founding := founder.m.Founding()
 	stored := Stored{Incarnation: "1"}
 	stored.Apply(Change{Founding: &founding})
-	copied := stored.Replicas[ConfigurationPartition]
+	replica := stored.Replicas[ConfigurationPartition]
 	version := partition.Version{Term: partition.Term{Round: 1, Leader: "c.1"}, Seq: 1}
 	table := CurrentTable{Number: 7, Text: []byte(`{"number":7}`), Digest: "seven", Past: []PastTable{{Base: 0, Number: 4, Digest: "four"}, {Base: 4, Number: 7, Digest: "seven"}}}
-	copied.Entries = map[string]partition.Entry{TableKey: {Key: TableKey, Value: message.Marshal(table), Version: version}}
-	copied.Promised, copied.Base = version.Term, version.Term
-	stored.Replicas[ConfigurationPartition] = copied
+	replica.Entries = map[string]partition.Entry{TableKey: {Key: TableKey, Value: message.Marshal(table), Version: version}}
+	replica.Promised, replica.Base = version.Term, version.Term
+	stored.Replicas[ConfigurationPartition] = replica
 	a := &singleCore{t: t, results: map[uint64]CommandResult{}}
 	a.m = New(Options{Params: founder.m.params, ID: "c", Address: "c", Stored: stored, Random: func() float64 { return 0.5 }})
 	a.advance(3 * time.Second)
-	known := func() {
+	checkAcknowledged := func() {
 		t.Helper()
 		for _, past := range table.Past {
 			if got := a.run(AcceptTable{Base: past.Base, Number: past.Number, Digest: past.Digest}).(AcceptTableResult); !got.OK || got.Number != past.Number {
@@ -131,9 +129,9 @@
 			}
 		}
 	}
-	known()
+	checkAcknowledged()
 	if got := a.run(numberedTable(7, 9)).(AcceptTableResult); !got.OK {
 		t.Fatalf("the next order: %+v", got)
 	}
-	known()
+	checkAcknowledged()
 }
--- a/peer/core/relay_test.go
+++ b/peer/core/rules_relay_test.go
@@ -9,15 +9,15 @@
 	"saffronfall/rule/rate"
 )
 
-// TestKeptTurnLastsAndGoes: a kept turn is there for its time, longer where it was
-// prolonged, for its own tenant only, and then it is gone and takes no room.
-func TestKeptTurnLastsAndGoes(t *testing.T) {
+// TestStoredTurnExpires checks that a stored turn is found by its own tenant only, until
+// its retention, possibly extended, ends, and is deleted then.
+func TestStoredTurnExpires(t *testing.T) {
 	a := newSingleCore(t)
 	keep := 20 * time.Second
 	for i := 0; i < 20; i++ {
 		a.run(StoreTurn{Tenant: "t", Attempt: fmt.Sprint("k", i), Previous: []string{"x"}, Input: []byte("in"), Output: []byte("out"), Retention: keep})
 	}
-	// Repeated with other bytes: the first stands.
+	// A different turn under the same ID does not replace the first.
 	a.run(StoreTurn{Tenant: "t", Attempt: "k0", Input: []byte("other"), Retention: keep})
 	found := func(tenant, attempt string) ReadTurnResult {
 		return a.run(ReadTurn{Tenant: tenant, Attempt: attempt}).(ReadTurnResult)
@@ -26,25 +26,25 @@
 		t.Fatalf("%+v", k)
 	}
 	if found("other", "k0").Found || found("t", "none").Found {
-		t.Fatal("another tenant's, or none, is found")
+		t.Fatal("found a turn of another tenant, or one that was never stored")
 	}
 	if other, none := found("other", "k0").Absence, found("t", "none").Absence; other != OtherTenant || none != NotStored {
-		t.Fatalf("another tenant's is absent as %q, one that never was as %q", other, none)
+		t.Fatalf("absence of another tenant's turn: %q; of one never stored: %q", other, none)
 	}
 	a.advance(15 * time.Second)
 	if d := a.run(ExtendTurn{Tenant: "t", Attempt: "k1", Retention: keep}).(Done); !d.OK {
-		t.Fatal("not prolonged")
+		t.Fatal("retention was not extended")
 	}
 	if a.run(ExtendTurn{Tenant: "other", Attempt: "k2", Retention: keep}).(Done).OK || a.run(ExtendTurn{Tenant: "t", Attempt: "none", Retention: keep}).(Done).OK {
-		t.Fatal("prolonged what is not there")
+		t.Fatal("extended a turn that is not stored for the tenant")
 	}
 	a.advance(4 * time.Second)
 	if !found("t", "k0").Found {
-		t.Fatal("gone before its time")
+		t.Fatal("turn expired early")
 	}
 	a.advance(12 * time.Second)
 	if !found("t", "k1").Found {
-		t.Fatal("a prolonged turn is gone before its time")
+		t.Fatal("extended turn expired early")
 	}
 	a.advance(time.Minute)
 	left := 0
@@ -56,16 +56,16 @@
 		}
 	}
 	if left != 0 || found("t", "k1").Found {
-		t.Fatalf("%d kept turns are left after their time", left)
+		t.Fatalf("%d stored turns are left after their retention", left)
 	}
 	if why := found("t", "k1").Absence; why != Expired {
-		t.Fatalf("one whose time is over is absent as %q", why)
+		t.Fatalf("absence of an expired turn: %q", why)
 	}
 }
 
-// TestBooksOfAProgram by the commands: side by side, repeated, late, and gone
-// after their time.
-func TestBooksOfAProgram(t *testing.T) {
+// TestProgramReservations checks a program's budget with concurrent, repeated and late
+// reservations, and that its book expires.
+func TestProgramReservations(t *testing.T) {
 	a := newSingleCore(t)
 	reserve := func(attempt string, most int64) bool {
 		return a.run(ReserveTurn{Tenant: "t", Program: "p", Attempt: attempt, MaxTokens: most, Budget: 100, Retention: 30 * time.Second}).(ReserveTurnResult).OK
@@ -76,29 +76,29 @@
 	settle("early", 0)
 	first, again := reserve("a", 60), reserve("a", 60)
 	if !first || !again || reserve("b", 60) {
-		t.Fatal("side by side")
+		t.Fatal("concurrent reservations")
 	}
 	settle("a", 10)
 	settle("a", 10)
 	if !reserve("b", 90) || reserve("c", 1) {
-		t.Fatal("after the first turn's end")
+		t.Fatal("reservations after the first turn was settled")
 	}
 	if !reserve("early", 50) || reserve("c", 1) {
-		t.Fatal("a reservation after its end was refused, or booked")
+		t.Fatal("a reservation that arrived after its settlement was refused, or reserved tokens")
 	}
 	settle("b", 0)
 	if !reserve("c", 90) {
-		t.Fatal("what never ran is charged")
+		t.Fatal("a turn that never ran was charged")
 	}
 	a.advance(2 * time.Minute)
 	if !reserve("d", 100) {
-		t.Fatal("books are kept for ever")
+		t.Fatal("the book did not expire")
 	}
 }
 
-// TestRateOverATakeover: whoever takes the part over knows what was spent, goes on
-// with what holders have, and never grants beyond the window.
-func TestRateOverATakeover(t *testing.T) {
+// TestRateAfterLeaderChange checks that a new leader counts what was granted before, lets
+// holders go on with their grants, and never grants beyond the window.
+func TestRateAfterLeaderChange(t *testing.T) {
 	a := newSingleCore(t)
 	n := RatePartition(4, "t")
 	limit := rate.Limit{Window: 5 * time.Second, Max: 40}
@@ -109,21 +109,21 @@
 	if got := draw(rate.DrawRequest{Holder: "x", Want: 30}); got.Granted != 30 {
 		t.Fatalf("%+v", got)
 	}
-	// The owner is seated anew: its memory is gone.
-	copies := map[int]partition.State{}
+	// Restart the leader: what it held in memory only is lost.
+	replicas := map[int]partition.State{}
 	for number := 0; number < 4; number++ {
-		copies[number] = a.m.Part(number).State()
+		replicas[number] = a.m.Part(number).State()
 	}
-	a.m = New(Options{Params: a.m.params, ID: "c", Address: "c", Stored: Stored{Incarnation: "1", Founding: a.m.founding, Replicas: copies}, Now: a.now, Random: func() float64 { return 0.5 }})
+	a.m = New(Options{Params: a.m.params, ID: "c", Address: "c", Stored: Stored{Incarnation: "1", Founding: a.m.founding, Replicas: replicas}, Now: a.now, Random: func() float64 { return 0.5 }})
 	a.advance(time.Second)
 	if got := draw(rate.DrawRequest{Holder: "y", Want: 20}); got.Granted > 10 {
-		t.Fatalf("a successor granted %d beside 30 of 40", got.Granted)
+		t.Fatalf("the new leader granted %d in addition to 30 of 40", got.Granted)
 	}
 	if got := draw(rate.DrawRequest{Holder: "x", Granted: 30, Spent: 25, Want: 5}); got.Expired || got.Granted != 30 {
-		t.Fatalf("a holder that goes on: %+v", got)
+		t.Fatalf("draw of a holder from before: %+v", got)
 	}
 	a.advance(10 * time.Second)
 	if got := draw(rate.DrawRequest{Holder: "z", Want: 20}); got.Granted != 20 {
-		t.Fatalf("after the window: %+v", got)
+		t.Fatalf("draw after the window: %+v", got)
 	}
 }
--- a/peer/core/rules_test.go
+++ b/peer/core/rules_test.go
@@ -12,7 +12,7 @@
 	"saffronfall/rule/program"
 )
 
-// alone is a fleet of one core, so that commands can be tried one by one.
+// singleCore is a fleet of one core, to run single commands.
 type singleCore struct {
 	t       *testing.T
 	m       *Machine
@@ -31,7 +31,7 @@
 	a.m = New(Options{Params: p, ID: "c", Address: "c", Stored: Stored{Incarnation: "1"}, Random: func() float64 { return 0.5 }})
 	out, ok := a.m.Found(0, Plan("f", 4, 1, []Core{a.m.Self()}))
 	if !ok {
-		t.Fatal("not founded")
+		t.Fatal("fleet not founded")
 	}
 	a.handle(out)
 	a.advance(time.Second)
@@ -73,17 +73,17 @@
 	return answer
 }
 
-// TestFence: after a takeover nothing that the former owner says counts, not
-// even with a higher version, and a takeover needs proof.
+// TestFence checks that a program changes its owner only with proof that the former one
+// has ended, and that later writes of the former owner are rejected.
 func TestFence(t *testing.T) {
 	a := newSingleCore(t)
 	open := a.run(OpenProgram{Record: program.Record{Tenant: "t", ID: "p", Node: "n1", Incarnation: "1"}}).(ProgramResult)
 	old := open.Record
 	if p := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1"}).(ProgramResult); p.Owned {
-		t.Error("taken over without proof")
+		t.Error("claimed without proof")
 	}
 	if p := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1", EndedNode: "n1", EndedIncarnation: "0"}).(ProgramResult); p.Owned {
-		t.Error("taken over with proof about another life")
+		t.Error("claimed with proof about another incarnation")
 	}
 	old.Running = map[string]program.Reservation{"x": {Tokens: 70}}
 	old.Version = 1
@@ -94,22 +94,22 @@
 	}
 	old.Version = 99
 	if p := a.run(SaveProgram{Record: old}).(ProgramResult); !p.Fenced {
-		t.Error("a former owner's save counted")
+		t.Error("a save of the former owner was accepted")
 	}
 	if p := a.run(HandOverProgram{Tenant: "t", ID: "p", Fence: 1, Node: "n3"}).(ProgramResult); !p.Fenced {
-		t.Error("a former owner handed over")
+		t.Error("the former owner handed the program over")
 	}
 	if p := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n1", Incarnation: "1"}).(ProgramResult); p.Owned || p.Record.Node != "n2" {
-		t.Error("the former owner has it again")
+		t.Error("the former owner owns the program again")
 	}
 	if p := a.run(ClaimProgram{Tenant: "other", ID: "p", Node: "n2", Incarnation: "1"}).(ProgramResult); p.Found {
-		t.Error("found under another tenant")
+		t.Error("program found under another tenant")
 	}
 }
 
-// TestMember: a term is not renewed once it was called ended, nor with an old
-// configuration, and a new life waits for the old one's term.
-func TestMember(t *testing.T) {
+// TestMemberLease checks that a membership is not renewed after it ended or with an old
+// configuration, and that a new incarnation waits for the lease of the previous one.
+func TestMemberLease(t *testing.T) {
 	a := newSingleCore(t)
 	member := Member{ID: "n", Incarnation: "1", Version: 1}
 	if r := a.run(JoinMember{Member: member}).(MembershipResult); !r.Granted {
@@ -117,39 +117,39 @@
 	}
 	fresh := Member{ID: "n", Incarnation: "2", Version: 1}
 	if r := a.run(JoinMember{Member: fresh}).(MembershipResult); r.Granted || r.Wait <= 0 {
-		t.Errorf("a second life at once: %+v", r)
+		t.Errorf("second incarnation during the first one's lease: %+v", r)
 	}
-	part := PartitionOf(4, "member", "n")
-	if f := a.run(SetVersionFloor{Partition: part, Version: 2}).(VersionFloorResult); f.Done || len(f.Lagging) != 1 {
+	n := PartitionOf(4, "member", "n")
+	if f := a.run(SetVersionFloor{Partition: n, Version: 2}).(VersionFloorResult); f.Done || len(f.Lagging) != 1 {
 		t.Errorf("floor: %+v", f)
 	}
 	if r := a.run(RenewMember{ID: "n", Incarnation: "1", Version: 1}).(MembershipResult); r.Granted {
 		t.Error("renewed with an old configuration")
 	}
 	a.advance(3 * time.Second)
-	if f := a.run(SetVersionFloor{Partition: part, Version: 2}).(VersionFloorResult); !f.Done {
-		t.Errorf("floor after the term: %+v", f)
+	if f := a.run(SetVersionFloor{Partition: n, Version: 2}).(VersionFloorResult); !f.Done {
+		t.Errorf("floor after the lease: %+v", f)
 	}
 	if r := a.run(RenewMember{ID: "n", Incarnation: "1", Version: 2}).(MembershipResult); r.Granted || !r.Ended {
-		t.Errorf("an ended term was renewed: %+v", r)
+		t.Errorf("an ended membership was renewed: %+v", r)
 	}
 	fresh.Version = 2
 	if r := a.run(JoinMember{Member: fresh}).(MembershipResult); !r.Granted {
-		t.Errorf("a new life after the old term: %+v", r)
+		t.Errorf("new incarnation after the lease of the previous one: %+v", r)
 	}
 }
 
-// TestSharesNeverPassTheWhole draws, spends, returns and ends at random, with
-// repeats and late copies, and adds up what holders have.
-func TestSharesNeverPassTheWhole(t *testing.T) {
+// TestAllowanceNeverExceedsLimit draws, spends, returns and ends holders at random, with
+// repeated and delayed commands, and checks the sum of all grants.
+func TestAllowanceNeverExceedsLimit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for round := 0; round < 20; round++ {
 		a := newSingleCore(t)
 		type holder struct{ granted, spent, returned int64 }
 		holders := map[string]*holder{}
-		var past int64
-		const whole = 1000
-		var late []DrawAllowance
+		var ended int64
+		const limit = 1000
+		var delayed []DrawAllowance
 		for i := 0; i < 200; i++ {
 			name := fmt.Sprintf("n%d/%d", random.IntN(4), i/60)
 			h := holders[name]
@@ -164,46 +164,46 @@
 			case 1:
 				h.returned += random.Int64N(free + 1)
 			}
-			c := DrawAllowance{Tenant: "t", Kind: "day", Holder: name, Spent: h.spent, Returned: h.returned, Target: random.Int64N(500), Limit: whole}
+			c := DrawAllowance{Tenant: "t", Kind: "day", Holder: name, Spent: h.spent, Returned: h.returned, Target: random.Int64N(500), Limit: limit}
 			if i%60 == 59 {
 				for n, gone := range holders {
 					if n[len(n)-1] == name[len(name)-1] {
 						c.Ended = append(c.Ended, n)
-						past += gone.granted - gone.returned
+						ended += gone.granted - gone.returned
 						delete(holders, n)
 					}
 				}
 				c.Holder, c.Spent, c.Returned = "next/9", 0, 0
 				a.run(c)
-				holders["next/9"] = &holder{granted: a.run(DrawAllowance{Tenant: "t", Kind: "day", Holder: "next/9", Limit: whole}).(DrawResult).Granted}
+				holders["next/9"] = &holder{granted: a.run(DrawAllowance{Tenant: "t", Kind: "day", Holder: "next/9", Limit: limit}).(DrawResult).Granted}
 			} else {
-				late = append(late, c)
+				delayed = append(delayed, c)
 				r := a.run(c).(DrawResult)
 				h.granted = max(h.granted, r.Granted)
 				if random.IntN(3) == 0 {
-					// A late copy may come from a holder that has ended long ago.
-					again := late[random.IntN(len(late))]
+					// A delayed command may come from a holder that has ended.
+					again := delayed[random.IntN(len(delayed))]
 					granted := a.run(again).(DrawResult).Granted
 					if one := holders[again.Holder]; one != nil {
 						one.granted = max(one.granted, granted)
 					} else {
-						a.run(DrawAllowance{Tenant: "t", Kind: "day", Holder: name, Spent: h.spent, Returned: h.returned, Limit: whole, Ended: []string{again.Holder}})
+						a.run(DrawAllowance{Tenant: "t", Kind: "day", Holder: name, Spent: h.spent, Returned: h.returned, Limit: limit, Ended: []string{again.Holder}})
 					}
 				}
 			}
-			sum := past
+			sum := ended
 			for _, h := range holders {
 				sum += h.granted - h.returned
 			}
-			if sum > whole {
-				t.Fatalf("round %d step %d: %d of %d were given out", round, i, sum, whole)
+			if sum > limit {
+				t.Fatalf("round %d step %d: %d of %d were granted", round, i, sum, limit)
 			}
 		}
 	}
 }
 
-// TestOnceStates: one claim shoots; an outcome is kept; only a claim that
-// surely did not run is freed.
+// TestOnceStates checks that one claim of a once-key stands, that its outcome is stored,
+// and that only a claim that certainly did not run is released.
 func TestOnceStates(t *testing.T) {
 	a := newSingleCore(t)
 	claim := func(id string) OnceRecord {
@@ -220,43 +220,43 @@
 	}
 	end("b", OnceReleased)
 	if o := claim("b"); o.Claim != "a" {
-		t.Error("freed by a claim that is not its own")
+		t.Error("released by another claim")
 	}
 	end("a", OnceReleased)
 	if o := claim("b"); o.Claim != "b" {
-		t.Errorf("not freed: %+v", o)
+		t.Errorf("not released: %+v", o)
 	}
 	end("b", OnceUncertain)
 	end("b", OnceReleased)
 	if o := claim("c"); o.State != OnceUncertain {
-		t.Errorf("what may have run was freed: %+v", o)
+		t.Errorf("a claim that may have run was released: %+v", o)
 	}
 }
 
-// TestPlans: groups stand in different zones, first seats are spread, and a
-// core that comes or goes moves no more than it must.
-func TestPlans(t *testing.T) {
+// TestPlacement checks that groups span zones, that first members are spread evenly, and
+// that a core that joins or retires moves no more members than necessary.
+func TestPlacement(t *testing.T) {
 	var cores []Core
 	for i := 0; i < 8; i++ {
 		cores = append(cores, Core{ID: fmt.Sprint("c", i), Incarnation: "1", Zone: fmt.Sprint("z", i%4)})
 	}
 	f := Plan("f", 16, 3, cores)
-	firsts, seats := map[string]int{}, map[string]int{}
+	firsts, places := map[string]int{}, map[string]int{}
 	for n, g := range f.Groups {
 		if zoneCount(f.Cores, g.Members) != 3 {
-			t.Errorf("part %d: %v", n, g.Members)
+			t.Errorf("partition %d: %v", n, g.Members)
 		}
 		firsts[g.Members[0]]++
 		for _, s := range g.Members {
-			seats[s]++
+			places[s]++
 		}
 	}
 	for _, c := range cores {
 		if n := firsts[c.MemberID()]; n < 1 || n > 3 {
 			t.Errorf("%s is first in %d groups of 16", c.ID, n)
 		}
-		if n := seats[c.MemberID()]; n != 6 {
-			t.Errorf("%s has %d seats of 48 in 8 cores", c.ID, n)
+		if n := places[c.MemberID()]; n != 6 {
+			t.Errorf("%s has %d of 48 places in 8 cores", c.ID, n)
 		}
 	}
 	fresh := Core{ID: "new", Incarnation: "1", Zone: "z0"}
@@ -268,30 +268,30 @@
 		}
 	}
 	if gets < 5 || gets > 6 {
-		t.Errorf("a ninth core gets %d seats of 48", gets)
+		t.Errorf("a ninth core gets %d of 48 places", gets)
 	}
 	delete(f.Cores, "new")
 	after := slices.Clone(cores)
 	after[0].Retired = true
 	gone := 0
-	for n, seats := range Place(16, 3, after, nil) {
-		if zoneCount(f.Cores, seats) != 3 {
-			t.Errorf("part %d loses a zone", n)
+	for n, places := range Place(16, 3, after, nil) {
+		if zoneCount(f.Cores, places) != 3 {
+			t.Errorf("partition %d loses a zone", n)
 		}
-		for _, move := range difference(n, f.Groups[n].Members, seats) {
+		for _, move := range difference(n, f.Groups[n].Members, places) {
 			if CoreID(move.Remove) == cores[0].ID {
 				gone++
 			}
 		}
 	}
 	if gone != 6 {
-		t.Errorf("a retired core loses %d seats of 6", gone)
+		t.Errorf("a retired core loses %d of 6 places", gone)
 	}
 }
 
-func zoneCount(cores map[string]Core, seats []string) int {
+func zoneCount(cores map[string]Core, places []string) int {
 	seen := map[string]bool{}
-	for _, s := range seats {
+	for _, s := range places {
 		seen[cores[CoreID(s)].Zone] = true
 	}
 	return len(seen)
--- a/peer/core/schema_test.go
+++ b/peer/core/schema_test.go
@@ -11,7 +11,7 @@
 	"saffronfall/rule/rate"
 )
 
-// TestStoredSchema: values of stored entries.
+// TestStoredSchema checks the encoding of stored entries.
 func TestStoredSchema(t *testing.T) {
 	schematest.Check(t, "stored_schema", []schematest.Entry{
 		schematest.Msgpack[Member]("member"),
