--- a/peer/core/doc.go
+++ b/peer/core/doc.go
@@ -9,10 +9,11 @@
 //
 // Invariants:
 //
-//   - Every command may be repeated: a retry has no further effect.
-//   - An incarnation of a member, once it ended, is never granted a lease again.
-//   - What holders of a rate, an allowance or the breaker's budget were granted never
-//     exceeds the limit; the grants of a holder that ended count as spent.
+//   - Every command may be retried safely.
+//   - An incarnation of a member that has ended is granted no lease again (the last
+//     maxPastIncarnations are remembered).
+//   - No grant raises what holders have of a rate, an allowance or the breaker's budget
+//     above the limit; what a holder that ended did not return counts as spent.
 //   - A write to a program's record takes effect only under the record's current fence.
 //   - Configurations and routing tables replace only the version that they build on.
 //
--- a/peer/core/messages.go
+++ b/peer/core/messages.go
@@ -170,9 +170,9 @@
 	}
 	// ReportProbe reports whether a probe succeeded.
 	ReportProbe struct {
-		Program string        `msgpack:"Program"`
-		Good    bool          `msgpack:"Good"`
-		Limits  BreakerLimits `msgpack:"Limits"`
+		Program   string        `msgpack:"Program"`
+		Succeeded bool          `msgpack:"Good"`
+		Limits    BreakerLimits `msgpack:"Limits"`
 	}
 	// ProbeResult answers AdmitProbe and ReportProbe.
 	ProbeResult struct {
--- a/peer/core/rules.go
+++ b/peer/core/rules.go
@@ -153,7 +153,7 @@
 		return ProbeResult{Number: number, State: string(b.State), Left: b.RecoveryLeft(tx.Clock(), c.Limits.params())}
 	case ReportProbe:
 		b, before := r.loadBreaker(tx)
-		b.RecordResult(tx.Clock(), c.Program, c.Good, c.Limits.params())
+		b.RecordResult(tx.Clock(), c.Program, c.Succeeded, c.Limits.params())
 		r.saveBreaker(tx, b, before)
 		return ProbeResult{State: string(b.State)}
 	case ClaimOnce:
--- a/peer/node/turn.go
+++ b/peer/node/turn.go
@@ -384,7 +384,7 @@
 	s.settle(spent, min(s.price, m.description.Services[w.inquiry.Service].Price(spent)))
 	if h.record.Test > 0 && !h.record.Tested && !h.lost {
 		h.record.Tested = good
-		m.caller.Call(now, core.ReportProbe{Program: h.record.ID, Good: good, Limits: m.limits()}, now+10*m.params.Core.MemberLease, func(time.Duration, core.Outcome) {})
+		m.caller.Call(now, core.ReportProbe{Program: h.record.ID, Succeeded: good, Limits: m.limits()}, now+10*m.params.Core.MemberLease, func(time.Duration, core.Outcome) {})
 	}
 	if h.lost {
 		m.breakOff(now, w)
