--- a/peer/core/commands.go
+++ b/peer/core/commands.go
@@ -29,24 +29,24 @@
 		}
 	}
 	for _, r := range o.Results {
-		at, ok := m.tickets.Take(slab.Ticket(r.RequestID))
+		origin, ok := m.tickets.Take(slab.Ticket(r.RequestID))
 		if !ok {
 			continue
 		}
-		if at.onResult != nil {
-			at.onResult(now, r)
+		if origin.onResult != nil {
+			origin.onResult(now, r)
 			continue
 		}
-		m.reply(n, at, r)
+		m.reply(n, origin, r)
 	}
 }
 
 // reply sends a command's result to where the command came from.
-func (m *Machine) reply(n int, at commandOrigin, r partition.Result) {
-	if at.from == "" {
+func (m *Machine) reply(n int, origin commandOrigin, r partition.Result) {
+	if origin.from == "" {
 		return
 	}
-	answer := CommandResult{ID: at.id, Partition: at.partition, Uncertain: r.Uncertain, NotLeader: r.NotLeader}
+	answer := CommandResult{ID: origin.id, Partition: origin.partition, Uncertain: r.Uncertain, NotLeader: r.NotLeader}
 	switch {
 	case r.NotLeader:
 		m.Counters.Moved++
@@ -56,7 +56,7 @@
 	default:
 		answer.Raw = message.Pack(r.Body)
 	}
-	m.send(at.from, answer, false)
+	m.send(origin.from, answer, false)
 }
 
 // propose runs a command in partition n, if this core leads it.
--- a/peer/core/orders_test.go
+++ b/peer/core/orders_test.go
@@ -42,8 +42,8 @@
 		if got := a.run(other).(AcceptTableResult); got.OK {
 			t.Fatalf("a different order under number %d was acknowledged", number)
 		}
-		onAnother := numberedTable(number, number)
-		if got := a.run(onAnother).(AcceptTableResult); got.OK {
+		otherBase := numberedTable(number, number)
+		if got := a.run(otherBase).(AcceptTableResult); got.OK {
 			t.Fatalf("order %d on another base was acknowledged", number)
 		}
 	}
