--- a/peer/core/caller.go
+++ b/peer/core/caller.go
@@ -76,7 +76,7 @@
 		outcome(now, Outcome{Unsure: true})
 		return
 	}
-	k := &pendingCall{partition: Target(c.Partitions(), command), raw: message.Pack(command), deadline: until, outcome: outcome}
+	k := &pendingCall{partition: TargetPartition(c.Partitions(), command), raw: message.Pack(command), deadline: until, outcome: outcome}
 	k.ticket = c.calls.Keep(k)
 	if c.pending == nil {
 		c.pending, c.hints = map[slab.Ticket]*pendingCall{}, map[int]string{}
@@ -117,7 +117,7 @@
 		c.unansweredSince, c.unanswered = now, true
 	}
 	k.retryAt = now + c.Retry*time.Duration(min(max(k.attempts-fixedDelayAttempts, 1), maxDelayRetries))
-	c.Send(to, Command{ID: c.MessageID(k.ticket), Part: k.partition, Raw: k.raw})
+	c.Send(to, Command{ID: c.MessageID(k.ticket), Partition: k.partition, Raw: k.raw})
 }
 
 // SetLeader records the address of a partition's leader.
@@ -193,20 +193,20 @@
 }
 
 // Receive handles the answer of the core at an address.
-func (c *Caller) Receive(now time.Duration, from string, r CommandReturn) {
+func (c *Caller) Receive(now time.Duration, from string, r CommandResult) {
 	c.unanswered = false
 	k, ok := c.calls.Look(c.Ticket(r.ID))
 	switch {
 	case !ok:
-	case r.Moved:
-		if r.Hint != "" && r.Hint != from && c.hints[k.partition] != r.Hint {
-			c.hints[k.partition] = r.Hint
+	case r.NotLeader:
+		if r.LeaderHint != "" && r.LeaderHint != from && c.hints[k.partition] != r.LeaderHint {
+			c.hints[k.partition] = r.LeaderHint
 			c.attempt(now, k)
 			return
 		}
 		delete(c.hints, k.partition)
 		k.retryAt = now + c.Retry/4
-	case r.Unsure:
+	case r.Uncertain:
 		k.retryAt = now + c.Retry/4
 	default:
 		answer, err := message.Open(r.Raw)
--- a/peer/core/caller_test.go
+++ b/peer/core/caller_test.go
@@ -22,17 +22,17 @@
 	first, second := newCaller(1, &before), newCaller(2, &after)
 	accepted := 0
 	for i := 0; i < 40; i++ {
-		first.Call(0, ReadEntries{Part: 1}, time.Second, func(time.Duration, Outcome) {})
-		second.Call(0, ReadEntries{Part: 1}, time.Second, func(time.Duration, Outcome) { accepted++ })
+		first.Call(0, ReadEntries{Partition: 1}, time.Second, func(time.Duration, Outcome) {})
+		second.Call(0, ReadEntries{Partition: 1}, time.Second, func(time.Duration, Outcome) { accepted++ })
 	}
 	for _, c := range before {
-		second.Receive(0, "c", CommandReturn{ID: c.ID, Part: 1, Raw: message.Pack(Done{OK: true})})
+		second.Receive(0, "c", CommandResult{ID: c.ID, Partition: 1, Raw: message.Pack(Done{OK: true})})
 	}
 	if accepted > 0 {
 		t.Errorf("%d returns for an earlier incarnation were accepted", accepted)
 	}
 	for _, c := range after {
-		second.Receive(0, "c", CommandReturn{ID: c.ID, Part: 1, Raw: message.Pack(Done{OK: true})})
+		second.Receive(0, "c", CommandResult{ID: c.ID, Partition: 1, Raw: message.Pack(Done{OK: true})})
 	}
 	if accepted != 40 {
 		t.Errorf("%d of 40 own returns were accepted", accepted)
@@ -47,7 +47,7 @@
 	c := newCaller(1, &sent)
 	const commands, within = 50, 10 * time.Minute
 	for range commands {
-		c.Call(0, ReadEntries{Part: 1}, within, func(time.Duration, Outcome) {})
+		c.Call(0, ReadEntries{Partition: 1}, within, func(time.Duration, Outcome) {})
 	}
 	now := time.Duration(0)
 	advance := func(d time.Duration) int {
@@ -74,11 +74,11 @@
 	if again := advance(100 * time.Millisecond); again > 0 {
 		t.Errorf("%d attempts because of a leader that was known", again)
 	}
-	c.Receive(now, "other", CommandReturn{ID: sent[len(sent)-1].ID, Part: 1, Raw: message.Pack(Done{OK: true})})
+	c.Receive(now, "other", CommandResult{ID: sent[len(sent)-1].ID, Partition: 1, Raw: message.Pack(Done{OK: true})})
 	if woken := advance(100 * time.Millisecond); woken < commands-1 {
 		t.Errorf("%d of %d commands are sent at once after an answer", woken, commands-1)
 	}
-	c.Receive(now, "other", CommandReturn{ID: sent[len(sent)-1].ID, Part: 1, Raw: message.Pack(Done{OK: true})})
+	c.Receive(now, "other", CommandResult{ID: sent[len(sent)-1].ID, Partition: 1, Raw: message.Pack(Done{OK: true})})
 	if again := advance(100 * time.Millisecond); again > 0 {
 		t.Errorf("%d attempts because of a second answer", again)
 	}
--- a/peer/core/founding.go
+++ b/peer/core/founding.go
@@ -57,8 +57,8 @@
 }
 
 // presence returns the heartbeat of this core.
-func (m *Machine) presence() Present {
-	return Present{Core: m.self, Cold: m.params.ColdStart, Fleet: m.founding.Fleet, Known: m.digest}
+func (m *Machine) presence() AnnounceCore {
+	return AnnounceCore{Core: m.self, MayFound: m.params.ColdStart, Fleet: m.founding.Fleet, KnownDigest: m.digest}
 }
 
 // announce sends this core's heartbeat to the seed addresses.
@@ -75,16 +75,16 @@
 
 // onPresence handles the heartbeat of a core of the same fleet, or the request of
 // one without a fleet to be told of it.
-func (m *Machine) onPresence(now time.Duration, from string, b Present) {
+func (m *Machine) onPresence(now time.Duration, from string, b AnnounceCore) {
 	switch b.Fleet {
 	case m.founding.Fleet:
 		m.mergeCore(b.Core)
-		m.recordContact(now, b.Core.Seat())
-		m.sendTopologyIfDifferent(now, from, b.Known)
+		m.recordContact(now, b.Core.MemberID())
+		m.sendTopologyIfDifferent(now, from, b.KnownDigest)
 	case "":
 		m.refreshTopology()
 		m.send(from, m.Topology(), false)
-		if founder, ok := m.founding.Cores[b.Core.ID]; ok && b.Cold && founder.Incarnation == b.Core.Incarnation && m.founding.Groups[0].Epoch > 0 {
+		if founder, ok := m.founding.Cores[b.Core.ID]; ok && b.MayFound && founder.Incarnation == b.Core.Incarnation && m.founding.Groups[0].Epoch > 0 {
 			m.send(from, FoundFleet{Founding: m.founding}, false)
 		}
 	}
--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -66,13 +66,13 @@
 	terms      []partition.Term
 	groups     []partition.Group
 	caller     *Caller
-	tickets    slab.Slab[origin]
+	tickets    slab.Slab[commandOrigin]
 	outputs
 	random     func() float64
 	sweepAt    time.Duration
 	draining   bool
 	stalled    bool
-	later      Later
+	later      Timers
 	seeds      []string
 	announceAt time.Duration
 	// registering is set while a command to register this core's entry is pending;
@@ -115,7 +115,7 @@
 func New(o Options) *Machine {
 	m := &Machine{params: o.Params, random: o.Random, outputs: outputs{violated: o.Violated}, seeds: o.Seeds, partitions: map[int]*partition.Machine{}, cores: map[string]Core{},
 		self: Core{ID: o.ID, Incarnation: o.Stored.Incarnation, Zone: o.Zone, Peer: o.Address, Operator: o.Operator}}
-	m.caller = &Caller{Retry: o.Params.Retry, Random: o.Random,
+	m.caller = &Caller{Retry: o.Params.AttemptTimeout, Random: o.Random,
 		Send:       func(to string, body any) { m.send(to, body, false) },
 		Partitions: func() int { return m.founding.Partitions },
 		Cores: func() []string {
@@ -141,19 +141,19 @@
 	for id, c := range s.Founding.Cores {
 		m.cores[id] = c
 	}
-	m.mergeCoresOf(s.Copies[ConfigurationPart])
+	m.mergeCoresOf(s.Replicas[ConfigurationPartition])
 	m.refreshSelf()
 	m.unregistered = true
 	m.topologySentAt = map[string]time.Duration{}
 	m.contacts, m.nextChangeAt, m.observedSince, m.activeAt = map[string]contact{}, map[int]time.Duration{}, now, now
-	for _, n := range ordered.Keys(s.Copies) {
-		m.addReplica(now, n, s.Copies[n])
+	for _, n := range ordered.Keys(s.Replicas) {
+		m.addReplica(now, n, s.Replicas[n])
 	}
 }
 
 // addReplica starts this core's replica of partition n.
 func (m *Machine) addReplica(now time.Duration, n int, state partition.State) *partition.Machine {
-	m.partitions[n] = partition.New(partition.Options{Params: m.params.Part, Member: m.self.Seat(), Partition: n, Rules: &rules{params: m.params, fleet: m.fleet, violated: m.violated}, State: state, Now: now,
+	m.partitions[n] = partition.New(partition.Options{Params: m.params.Partition, Member: m.self.MemberID(), Partition: n, Rules: &rules{params: m.params, fleet: m.fleet, violated: m.violated}, State: state, Now: now,
 		Random: m.random, Violated: m.violated})
 	return m.partitions[n]
 }
@@ -177,7 +177,7 @@
 	m.out = &Output{}
 	if !m.Founded() {
 		if now >= m.announceAt {
-			m.announceAt = now + max(50*time.Millisecond, m.params.MemberTerm/20)
+			m.announceAt = now + max(50*time.Millisecond, m.params.MemberLease/20)
 			m.announce()
 		}
 		return *m.out
@@ -189,34 +189,34 @@
 			continue
 		}
 		if m.draining || m.stalled {
-			m.take(now, n, p.ReleaseLeadership(now))
+			m.handleOutput(now, n, p.ReleaseLeadership(now))
 			if _, leads := p.LeadingTerm(now); !leads {
 				continue
 			}
 		}
-		m.take(now, n, p.Tick(now))
+		m.handleOutput(now, n, p.Tick(now))
 	}
 	if now >= m.gossipAt {
-		m.gossipAt = now + m.params.Pull
+		m.gossipAt = now + m.params.PullInterval
 		m.refreshTopology()
 		m.gossip(now)
 	}
 	if now >= m.rebalanceAt {
-		m.rebalanceAt = now + m.params.Part.LeaseDuration/4
+		m.rebalanceAt = now + m.params.Partition.LeaseDuration/4
 		m.rebalance(now)
 	}
 	if now >= m.sweepAt {
-		m.sweepAt = now + m.params.MemberTerm/4
+		m.sweepAt = now + m.params.MemberLease/4
 		for n := 0; n < m.founding.Partitions; n++ {
 			if p := m.partitions[n]; p != nil {
 				if _, ok := p.LeadingTerm(now); ok {
-					m.propose(now, n, Sweep{}, origin{})
+					m.propose(now, n, Sweep{}, commandOrigin{})
 				}
 			}
 		}
 	}
 	if now >= m.announceAt {
-		m.announceAt = now + m.params.MemberTerm/4
+		m.announceAt = now + m.params.MemberLease/4
 		m.announce()
 		m.register(now)
 	}
@@ -278,24 +278,24 @@
 	}
 	m.detectPause(now)
 	switch b := body.(type) {
-	case PartMessage:
-		m.onPart(now, b)
+	case ReplicaMessage:
+		m.onReplicaMessage(now, b)
 	case Command:
 		m.Counters.Commands++
 		command, err := message.Open(b.Raw)
-		if err != nil || b.Part < 0 || b.Part >= m.founding.Partitions {
+		if err != nil || b.Partition < 0 || b.Partition >= m.founding.Partitions {
 			m.Counters.BadMessages++
 			return *m.out
 		}
-		m.propose(now, b.Part, command, origin{from: from, id: b.ID, part: b.Part})
-	case CommandReturn:
+		m.propose(now, b.Partition, command, commandOrigin{from: from, id: b.ID, partition: b.Partition})
+	case CommandResult:
 		m.caller.Receive(now, from, b)
-	case Pull:
+	case PullUpdates:
 		m.Counters.Pulls++
-		m.onPull(now, from, b)
+		m.onPullUpdates(now, from, b)
 	case Topology:
 		m.mergeTopology(b)
-	case Present:
+	case AnnounceCore:
 		m.onPresence(now, from, b)
 	case Samples:
 		if b.ID == m.sampleRound && m.samples != nil {
--- a/peer/core/membership.go
+++ b/peer/core/membership.go
@@ -45,11 +45,11 @@
 		return
 	}
 	for _, g := range t.Groups {
-		if g.Epoch == 0 || g.Has(m.self.Seat()) {
+		if g.Epoch == 0 || g.Has(m.self.MemberID()) {
 			return
 		}
 	}
-	f := Founding{Fleet: t.Fleet, Partitions: len(t.Groups), Cores: maps.Clone(t.Cores), Groups: make([]partition.Group, len(t.Groups)), Size: t.Size}
+	f := Founding{Fleet: t.Fleet, Partitions: len(t.Groups), Cores: maps.Clone(t.Cores), Groups: make([]partition.Group, len(t.Groups)), Size: t.GroupSize}
 	if f.Cores == nil {
 		f.Cores = map[string]Core{}
 	}
@@ -83,10 +83,10 @@
 		claim.Version = max(claim.Version, known.Version+1)
 	}
 	claim.Version += m.claimIncrement
-	m.caller.Call(now, PutCore{Core: claim}, now+10*m.params.MemberTerm, func(now time.Duration, o Outcome) {
+	m.caller.Call(now, PutCore{Core: claim}, now+10*m.params.MemberLease, func(now time.Duration, o Outcome) {
 		m.registering = false
 		switch a := o.Answer.(type) {
-		case CoreEnded:
+		case PutCoreRejected:
 			m.superseded = a.Core.Incarnation != m.self.Incarnation
 			m.mergeCore(a.Core)
 		case Done:
@@ -181,29 +181,29 @@
 	until := now + within
 	plan := PlanChange(m.cores, m.silentCores(now), m.groups, m.groupSize(), kind, id, by)
 	if plan.Code != "" {
-		m.answer(ticket, plan)
+		m.answerOperator(ticket, plan)
 		return *m.out
 	}
 	if kind == KindAdd {
 		m.awaitGroups(now, ticket, until, plan, func(n int, members []string) bool {
 			wanted := m.desiredGroups(m.activeAt)[n]
-			member := m.cores[id].Seat()
+			member := m.cores[id].MemberID()
 			return slices.Contains(members, member) || !slices.Contains(wanted, member)
 		})
 		return *m.out
 	}
 	m.caller.Call(now, RetireCore{ID: id}, until, func(now time.Duration, o Outcome) {
-		retiring, ok := o.Answer.(Retiring)
+		retiring, ok := o.Answer.(RetireCoreResult)
 		switch {
 		case !ok:
-			m.answer(ticket, ChangeResult{Moves: plan.Moves, Code: "not_finished", Reason: "the core could not be marked as retired in time; repeat the request"})
-		case !retiring.Known:
-			m.answer(ticket, ChangeResult{Code: "unknown_core", Reason: "no core of this fleet is called " + id})
-		case !retiring.Enough:
-			m.answer(ticket, ChangeResult{Moves: plan.Moves, Code: "no_room", Reason: tooFewCores(id)})
+			m.answerOperator(ticket, ChangeResult{Moves: plan.Moves, Code: "not_finished", Reason: "the core could not be marked as retired in time; repeat the request"})
+		case !retiring.Found:
+			m.answerOperator(ticket, ChangeResult{Code: "unknown_core", Reason: "no core of this fleet is called " + id})
+		case !retiring.EnoughRemain:
+			m.answerOperator(ticket, ChangeResult{Moves: plan.Moves, Code: "no_room", Reason: tooFewCores(id)})
 		default:
 			m.awaitGroups(now, ticket, until, plan, func(n int, members []string) bool {
-				return !slices.ContainsFunc(members, func(member string) bool { return SeatID(member) == id })
+				return !slices.ContainsFunc(members, func(member string) bool { return CoreID(member) == id })
 			})
 		}
 	})
@@ -215,8 +215,8 @@
 func (m *Machine) awaitGroups(now time.Duration, ticket uint64, until time.Duration, plan ChangeResult, settled func(n int, members []string) bool) {
 	waiting, settledCount := m.founding.Partitions, 0
 	for n := 0; n < m.founding.Partitions; n++ {
-		m.caller.Call(now, ReadSeats{Part: n}, until, func(now time.Duration, o Outcome) {
-			if group, ok := o.Answer.(Seats); ok && settled(n, append(slices.Clone(group.Seats), group.Former...)) {
+		m.caller.Call(now, ReadGroup{Partition: n}, until, func(now time.Duration, o Outcome) {
+			if group, ok := o.Answer.(GroupMembers); ok && settled(n, append(slices.Clone(group.Members), group.Former...)) {
 				settledCount++
 			}
 			if waiting--; waiting > 0 {
@@ -226,12 +226,12 @@
 			switch {
 			case settledCount == m.founding.Partitions:
 				plan.Done, plan.MovesMade = true, len(plan.Moves)
-				m.answer(ticket, plan)
+				m.answerOperator(ticket, plan)
 			case now >= until:
 				plan.Code, plan.Reason = "not_finished", "not all moves were made in time; repeat the request to continue"
-				m.answer(ticket, plan)
+				m.answerOperator(ticket, plan)
 			default:
-				m.later.Add(now+m.params.Pull, func(now time.Duration) { m.awaitGroups(now, ticket, until, plan, settled) })
+				m.later.Add(now+m.params.PullInterval, func(now time.Duration) { m.awaitGroups(now, ticket, until, plan, settled) })
 			}
 		})
 	}
@@ -242,7 +242,7 @@
 func (m *Machine) RegisterCore(now time.Duration, ticket uint64, c Core, within time.Duration) Output {
 	m.out = &Output{}
 	if old, ok := m.cores[c.ID]; ok && old.Incarnation != c.Incarnation && !old.Retired {
-		m.answer(ticket, Done{})
+		m.answerOperator(ticket, Done{})
 		return *m.out
 	} else if ok {
 		c.Version = old.Version + 1
@@ -252,7 +252,7 @@
 		if d.OK {
 			m.mergeCore(c)
 		}
-		m.answer(ticket, d)
+		m.answerOperator(ticket, d)
 	})
 	return *m.out
 }
--- a/peer/core/membership_test.go
+++ b/peer/core/membership_test.go
@@ -65,8 +65,8 @@
 // newFleet founds a fleet, stores some claims and waits until it has settled.
 func newFleet(t *testing.T, size, cores int) *fleet {
 	f := &fleet{t: t, size: size, random: rand.New(rand.NewPCG(7, uint64(cores))), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
-		params: Params{Part: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberTerm: 2 * time.Second,
-			Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond, Gone: 2 * time.Second, ColdStart: true}}
+		params: Params{Partition: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberLease: 2 * time.Second,
+			AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond, GoneAfter: 2 * time.Second, ColdStart: true}}
 	var founders []Core
 	for i := 0; i < cores; i++ {
 		added := f.addCore(fmt.Sprintf("c%d", i+1))
@@ -85,9 +85,9 @@
 
 // tolerateSilence raises the time until silent cores lose their replicas.
 func (f *fleet) tolerateSilence() {
-	f.params.Gone = time.Minute
+	f.params.GoneAfter = time.Minute
 	for _, core := range f.cores {
-		core.m.params.Gone = time.Minute
+		core.m.params.GoneAfter = time.Minute
 	}
 }
 
@@ -147,7 +147,7 @@
 
 func (f *fleet) send(core *testCore, s Send) {
 	kind := fmt.Sprintf("%T", s.Body)
-	if p, ok := s.Body.(PartMessage); ok {
+	if p, ok := s.Body.(ReplicaMessage); ok {
 		inner, _ := message.Open(p.Raw)
 		kind = fmt.Sprintf("%T", inner)
 	}
@@ -221,7 +221,7 @@
 	}
 	for _, core := range f.cores {
 		if core.m != nil && !core.frozen && f.now >= core.tickAt {
-			core.tickAt = f.now + f.params.Part.LeaseDuration/20
+			core.tickAt = f.now + f.params.Partition.LeaseDuration/20
 			f.handle(core, core.m.Tick(f.now))
 		}
 	}
@@ -286,7 +286,7 @@
 	ticket := f.lastTicket
 	for _, core := range f.cores {
 		if core.m != nil && !core.frozen && core.m.Founded() {
-			f.handle(core, core.m.Ask(f.now, ticket, command, 4*time.Second))
+			f.handle(core, core.m.RunCommand(f.now, ticket, command, 4*time.Second))
 			break
 		}
 	}
@@ -304,7 +304,7 @@
 func (f *fleet) claim(i int) {
 	f.t.Helper()
 	key, claim := fmt.Sprint("k", i), fmt.Sprint("first ", i)
-	if o, ok := f.call(ClaimOnce{Tenant: "t", Service: "s", Key: key, Claim: claim, Keep: time.Hour}).(Once); !ok || o.Claim != claim {
+	if o, ok := f.call(ClaimOnce{Tenant: "t", Service: "s", Key: key, Claim: claim, Retention: time.Hour}).(OnceRecord); !ok || o.Claim != claim {
 		f.t.Fatalf("%v: the claim of %s was not stored: %+v", f.now, key, o)
 	}
 	f.claims[key] = claim
@@ -314,7 +314,7 @@
 func (f *fleet) checkClaims() {
 	f.t.Helper()
 	for key, claim := range f.claims {
-		if o, ok := f.call(ClaimOnce{Tenant: "t", Service: "s", Key: key, Claim: "other", Keep: time.Hour}).(Once); !ok || o.Claim != claim {
+		if o, ok := f.call(ClaimOnce{Tenant: "t", Service: "s", Key: key, Claim: "other", Retention: time.Hour}).(OnceRecord); !ok || o.Claim != claim {
 			f.t.Errorf("%v: %s was acknowledged as %q but is %+v", f.now, key, claim, o)
 		}
 	}
@@ -330,7 +330,7 @@
 		}
 		if core.m != nil && !core.frozen && core.m.Founded() && !core.m.Self().Retired {
 			active = append(active, core.m.Self())
-			replicas[core.m.Self().Seat()] = 0
+			replicas[core.m.Self().MemberID()] = 0
 		}
 	}
 	for n := 0; n < testPartitions; n++ {
@@ -347,7 +347,7 @@
 			}
 			replicas[member]++
 			for _, core := range f.cores {
-				if core.m == nil || core.m.Self().Seat() != member {
+				if core.m == nil || core.m.Self().MemberID() != member {
 					continue
 				}
 				p := core.m.Partition(n)
@@ -355,7 +355,7 @@
 					return fmt.Sprintf("partition %d: %s has no replica", n, member)
 				}
 				for key, e := range leader.m.Partition(n).State().Entries {
-					if stored, ok := core.stored.Copies[n].Entries[key]; !e.Deleted && (!ok || stored.Version != e.Version) {
+					if stored, ok := core.stored.Replicas[n].Entries[key]; !e.Deleted && (!ok || stored.Version != e.Version) {
 						return fmt.Sprintf("partition %d: the replica of %s lacks the entry %s", n, member, key)
 					}
 				}
@@ -477,10 +477,10 @@
 // its replicas, but not below the group size.
 func TestRetiredWhileAnotherIsEmptied(t *testing.T) {
 	f := newFleet(t, 3, 5)
-	if r := f.call(RetireCore{ID: "nobody"}); r != (Retiring{}) {
+	if r := f.call(RetireCore{ID: "nobody"}); r != (RetireCoreResult{}) {
 		t.Errorf("retiring an unknown core: %+v", r)
 	}
-	if r := f.call(RetireCore{ID: "c1"}); r != (Retiring{Known: true, Enough: true, Done: true}) {
+	if r := f.call(RetireCore{ID: "c1"}); r != (RetireCoreResult{Found: true, EnoughRemain: true, Done: true}) {
 		t.Errorf("retiring: %+v", r)
 	}
 	core := f.cores[2]
@@ -490,15 +490,15 @@
 	f.awaitSettled("one core retired, one wiped", settleTime)
 	f.checkClaims()
 	for n := 0; n < testPartitions; n++ {
-		seats, ok := f.call(ReadSeats{Part: n}).(Seats)
-		if !ok || len(seats.Seats) != 3 || len(seats.Former) != 0 || slices.ContainsFunc(seats.Seats, func(member string) bool { return SeatID(member) == "c1" }) {
+		seats, ok := f.call(ReadGroup{Partition: n}).(GroupMembers)
+		if !ok || len(seats.Members) != 3 || len(seats.Former) != 0 || slices.ContainsFunc(seats.Members, func(member string) bool { return CoreID(member) == "c1" }) {
 			t.Errorf("partition %d: %+v", n, seats)
 		}
 	}
-	if r := f.call(RetireCore{ID: "c2"}); r != (Retiring{Known: true, Enough: true, Done: true}) {
+	if r := f.call(RetireCore{ID: "c2"}); r != (RetireCoreResult{Found: true, EnoughRemain: true, Done: true}) {
 		t.Errorf("retiring a second core: %+v", r)
 	}
-	if r := f.call(RetireCore{ID: "c4"}); r != (Retiring{Known: true}) {
+	if r := f.call(RetireCore{ID: "c4"}); r != (RetireCoreResult{Found: true}) {
 		t.Errorf("retiring one core too many: %+v", r)
 	}
 	f.retired = "c1"
@@ -522,7 +522,7 @@
 	core := f.cores[1]
 	f.kill(core)
 	f.advance(300 * time.Millisecond)
-	if r := f.call(RetireCore{ID: core.id}).(Retiring); !r.Done {
+	if r := f.call(RetireCore{ID: core.id}).(RetireCoreResult); !r.Done {
 		t.Errorf("%+v", r)
 	}
 	f.awaitSettled("retired while down", settleTime)
@@ -554,13 +554,13 @@
 		_, g, _ := f.leader(n)
 		before[n] = g.Has(silent)
 	}
-	if r := f.call(RetireCore{ID: "c1"}).(Retiring); !r.Done {
+	if r := f.call(RetireCore{ID: "c1"}).(RetireCoreResult); !r.Done {
 		t.Errorf("%+v", r)
 	}
 	f.advance(settleTime)
 	for n := 0; n < testPartitions; n++ {
 		_, g, _ := f.leader(n)
-		if g.Has(f.cores[0].m.Self().Seat()) || (before[n] && !g.Has(silent)) {
+		if g.Has(f.cores[0].m.Self().MemberID()) || (before[n] && !g.Has(silent)) {
 			t.Errorf("partition %d: %+v", n, g)
 		}
 	}
@@ -600,14 +600,14 @@
 	f := newFleet(t, 3, 5)
 	core := f.cores[1]
 	core.frozen = true
-	f.advance(f.params.Gone + 3*time.Second)
+	f.advance(f.params.GoneAfter + 3*time.Second)
 	f.awaitSettled("without it", settleTime)
 	before := f.epochSum()
 	for i := 0; i < 4; i++ {
 		f.thaw(core)
 		f.advance(300 * time.Millisecond)
 		core.frozen = true
-		f.advance(f.params.Gone + 500*time.Millisecond)
+		f.advance(f.params.GoneAfter + 500*time.Millisecond)
 	}
 	if after := f.epochSum(); after != before {
 		t.Errorf("%d group changes", after-before)
@@ -627,7 +627,7 @@
 	for _, core := range f.cores {
 		core.frozen = true
 	}
-	f.advance(3 * f.params.Gone)
+	f.advance(3 * f.params.GoneAfter)
 	f.drop = nil
 	for _, core := range f.cores {
 		f.thaw(core)
@@ -673,7 +673,7 @@
 		t.Errorf("%+v", c)
 	}
 	for n := 0; n < testPartitions; n++ {
-		if _, g, ok := f.leader(n); ok && g.Has(f.cores[0].m.Self().Seat()) {
+		if _, g, ok := f.leader(n); ok && g.Has(f.cores[0].m.Self().MemberID()) {
 			t.Errorf("partition %d: %+v", n, g)
 		}
 	}
@@ -705,7 +705,7 @@
 func (f *fleet) adding(id string) (leader *testCore, n int) {
 	for n := 0; n < testPartitions; n++ {
 		if core, _, ok := f.leader(n); ok {
-			if adding, _ := core.m.Partition(n).ChangeInProgress(); adding != "" && SeatID(adding) == id {
+			if adding, _ := core.m.Partition(n).ChangeInProgress(); adding != "" && CoreID(adding) == id {
 				return core, n
 			}
 		}
@@ -747,7 +747,7 @@
 		f.waitUntil(name, func() bool { return stages[name](f) })
 		f.loseForGood(joining)
 		// Its replicas move to other cores once it counts as silent.
-		f.awaitSettled(name+", core lost", f.params.Gone+settleTime)
+		f.awaitSettled(name+", core lost", f.params.GoneAfter+settleTime)
 		f.checkClaims()
 		f.start(f.addCore("next"))
 		f.awaitSettled(name+", another core added", settleTime)
@@ -772,7 +772,7 @@
 	f := newFleet(t, 3, 4)
 	core := f.addCore("fresh")
 	f.drop = func(from, to string, body any) bool {
-		_, p := body.(PartMessage)
+		_, p := body.(ReplicaMessage)
 		return p && (from == core.address || to == core.address)
 	}
 	f.start(core)
@@ -826,7 +826,7 @@
 	f := newFleet(t, 3, 5)
 	core := f.cores[1]
 	core.frozen = true
-	f.advance(f.params.Gone + f.params.Gone/2)
+	f.advance(f.params.GoneAfter + f.params.GoneAfter/2)
 	f.awaitSettled("without the frozen core", settleTime)
 	f.checkClaims()
 	f.thaw(core)
@@ -840,7 +840,7 @@
 	}
 	// A short freeze changes no group.
 	core.frozen = true
-	f.advance(f.params.Gone / 2)
+	f.advance(f.params.GoneAfter / 2)
 	f.thaw(core)
 	f.advance(3 * time.Second)
 	if after := f.epochSum(); after != before {
@@ -855,7 +855,7 @@
 	f := newFleet(t, 3, 3)
 	before := f.epochSum()
 	f.kill(f.cores[2])
-	f.advance(3 * f.params.Gone)
+	f.advance(3 * f.params.GoneAfter)
 	if after := f.epochSum(); after != before {
 		t.Errorf("%d group changes", after-before)
 	}
@@ -903,7 +903,7 @@
 	old.frozen = true
 	f.awaitSettled("the former incarnation restarted", settleTime)
 	for n := 0; n < testPartitions; n++ {
-		if _, g, ok := f.leader(n); ok && g.Has(old.m.Self().Seat()) {
+		if _, g, ok := f.leader(n); ok && g.Has(old.m.Self().MemberID()) {
 			t.Errorf("partition %d: %+v", n, g)
 		}
 	}
@@ -913,7 +913,7 @@
 // TestRetiredCoresStayRetired: retired cores and superseded incarnations are not
 // revived by later entries.
 func TestRetiredCoresStayRetired(t *testing.T) {
-	a := newAlone(t)
+	a := newSingleCore(t)
 	x := Core{ID: "x", Incarnation: "1", Version: 1}
 	for _, step := range []struct {
 		command, want any
@@ -922,13 +922,13 @@
 		{PutCore{Core: x}, Done{OK: true}},
 		{PutCore{Core: Core{ID: "x", Incarnation: "1", Peer: "p", Version: 1}}, Done{}},
 		{PutCore{Core: Core{ID: "x", Incarnation: "2", Version: 2}}, Done{OK: true}},
-		{PutCore{Core: Core{ID: "x", Incarnation: "1", Version: 9}}, CoreEnded{Core: Core{ID: "x", Incarnation: "2", Version: 2}}},
-		{RetireCore{ID: "x"}, Retiring{Known: true, Enough: true, Done: true}},
-		{RetireCore{ID: "x"}, Retiring{Known: true, Enough: true, Done: true}},
-		{RetireCore{ID: "y"}, Retiring{}},
-		{RetireCore{ID: "c"}, Retiring{Known: true}},
-		{PutCore{Core: Core{ID: "x", Incarnation: "2", Version: 9}}, CoreEnded{Core: Core{ID: "x", Incarnation: "2", Version: 3, Retired: true}}},
-		{PutCore{Core: Core{ID: "x", Incarnation: "3", Version: 9}}, CoreEnded{Core: Core{ID: "x", Incarnation: "2", Version: 3, Retired: true}}},
+		{PutCore{Core: Core{ID: "x", Incarnation: "1", Version: 9}}, PutCoreRejected{Core: Core{ID: "x", Incarnation: "2", Version: 2}}},
+		{RetireCore{ID: "x"}, RetireCoreResult{Found: true, EnoughRemain: true, Done: true}},
+		{RetireCore{ID: "x"}, RetireCoreResult{Found: true, EnoughRemain: true, Done: true}},
+		{RetireCore{ID: "y"}, RetireCoreResult{}},
+		{RetireCore{ID: "c"}, RetireCoreResult{Found: true}},
+		{PutCore{Core: Core{ID: "x", Incarnation: "2", Version: 9}}, PutCoreRejected{Core: Core{ID: "x", Incarnation: "2", Version: 3, Retired: true}}},
+		{PutCore{Core: Core{ID: "x", Incarnation: "3", Version: 9}}, PutCoreRejected{Core: Core{ID: "x", Incarnation: "2", Version: 3, Retired: true}}},
 	} {
 		if got := a.run(step.command); got != step.want {
 			t.Errorf("%+v: %+v", step.command, got)
@@ -950,7 +950,7 @@
 // that names them.
 func TestColdStart(t *testing.T) {
 	f := &fleet{t: t, size: 3, random: rand.New(rand.NewPCG(1, 1)), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
-		params: Params{Part: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40}, MemberTerm: 2 * time.Second, Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}}
+		params: Params{Partition: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40}, MemberLease: 2 * time.Second, AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}}
 	var founders []Core
 	for i := 0; i < 4; i++ {
 		core := f.addCore(fmt.Sprintf("c%d", i+1))
@@ -978,7 +978,7 @@
 	f.drop = nil
 	f.awaitSettled("founded and joined by a fourth core", settleTime)
 	for _, core := range f.cores {
-		if got := core.m.Topology().Size; got != 3 {
+		if got := core.m.Topology().GroupSize; got != 3 {
 			t.Errorf("%s: groups of %d", core.id, got)
 		}
 	}
@@ -1022,7 +1022,7 @@
 			for _, member := range g {
 				replicas[member]++
 				for _, c := range cores {
-					if c.Seat() == member {
+					if c.MemberID() == member {
 						byZone[c.Zone]++
 					}
 				}
@@ -1034,10 +1034,10 @@
 		}
 		if count%zoneCount == 0 {
 			for _, c := range cores {
-				if got, even := replicas[c.Seat()], partitions*min(size, count)/count; got < even-1 || got > even+2 {
+				if got, even := replicas[c.MemberID()], partitions*min(size, count)/count; got < even-1 || got > even+2 {
 					t.Errorf("%d cores, %d zones, %d partitions with groups of %d: %s has %d replicas, balanced is %d", count, zoneCount, partitions, size, c.ID, got, even)
 				}
-				if got := homes[c.Seat()]; got > partitions/count+2 {
+				if got := homes[c.MemberID()]; got > partitions/count+2 {
 					t.Errorf("%s is the home of %d partitions of %d", c.ID, got, partitions)
 				}
 			}
@@ -1062,7 +1062,7 @@
 		}
 		cores[0].Retired = true
 		for n, g := range Place(partitions, size, cores, nil) {
-			if slices.Contains(g, cores[0].Seat()) {
+			if slices.Contains(g, cores[0].MemberID()) {
 				t.Errorf("partition %d: %v with %s retired", n, g, cores[0].ID)
 			}
 		}
--- a/peer/core/placement.go
+++ b/peer/core/placement.go
@@ -122,7 +122,7 @@
 			return 1
 		})
 		for _, i := range members {
-			groups[n] = append(groups[n], cores[i].Seat())
+			groups[n] = append(groups[n], cores[i].MemberID())
 		}
 	}
 	return groups
@@ -135,7 +135,7 @@
 	home := make([]string, len(groups))
 	for n, members := range groups {
 		for _, member := range members {
-			if home[n] == "" || weight("home", n, SeatID(member)) > weight("home", n, SeatID(home[n])) {
+			if home[n] == "" || weight("home", n, CoreID(member)) > weight("home", n, CoreID(home[n])) {
 				home[n] = member
 			}
 		}
@@ -168,21 +168,21 @@
 
 // silenceTimeout is the time without a message after which a core counts as silent.
 func (m *Machine) silenceTimeout() time.Duration {
-	if m.params.Gone > 0 {
-		return m.params.Gone
+	if m.params.GoneAfter > 0 {
+		return m.params.GoneAfter
 	}
-	return 3 * m.params.MemberTerm
+	return 3 * m.params.MemberLease
 }
 
 // heartbeatInterval is the time between a core's heartbeats.
 func (m *Machine) heartbeatInterval() time.Duration {
-	return min(m.params.MemberTerm/4, m.silenceTimeout()/8)
+	return min(m.params.MemberLease/4, m.silenceTimeout()/8)
 }
 
 // recoveryTime is how long messages from a silent core must arrive again until it
 // no longer counts as silent.
 func (m *Machine) recoveryTime() time.Duration {
-	return min(m.params.MemberTerm, m.silenceTimeout()) / 4
+	return min(m.params.MemberLease, m.silenceTimeout()) / 4
 }
 
 // contact is when the last message of a core arrived, and when the first one
@@ -211,7 +211,7 @@
 // silent reports whether a member counts as silent: no message arrived for the
 // silence timeout, or it has not yet recovered from such a silence.
 func (m *Machine) silent(now time.Duration, member string) bool {
-	if member == m.self.Seat() {
+	if member == m.self.MemberID() {
 		return false
 	}
 	c := m.contacts[member]
@@ -222,7 +222,7 @@
 func (m *Machine) silentCores(now time.Duration) map[string]bool {
 	silent := map[string]bool{}
 	for id, c := range m.cores {
-		if m.silent(now, c.Seat()) {
+		if m.silent(now, c.MemberID()) {
 			silent[id] = true
 		}
 	}
@@ -233,7 +233,7 @@
 // heartbeat intervals.
 func (m *Machine) recentlyHeard(now time.Duration, member string) bool {
 	c, ok := m.contacts[member]
-	return member == m.self.Seat() || (ok && now-c.last < 3*m.heartbeatInterval())
+	return member == m.self.MemberID() || (ok && now-c.last < 3*m.heartbeatInterval())
 }
 
 // Reasons for removing a member from a group, the most urgent first.
@@ -248,9 +248,9 @@
 // removalUrgency returns whether and how urgently a member should be removed from
 // a group.
 func (m *Machine) removalUrgency(now time.Duration, member string, wanted []string) int {
-	c, ok := m.cores[SeatID(member)]
+	c, ok := m.cores[CoreID(member)]
 	switch {
-	case ok && c.Seat() != member:
+	case ok && c.MemberID() != member:
 		return memberSuperseded
 	case c.Retired:
 		return memberRetired
@@ -289,7 +289,7 @@
 		}
 		if adding, changing := p.ChangeInProgress(); changing {
 			if adding != "" && (!m.recentlyHeard(now, adding) || m.removalUrgency(now, adding, nil) < memberSilent) {
-				m.take(now, n, p.AbortChange(now))
+				m.handleOutput(now, n, p.AbortChange(now))
 			}
 			continue
 		}
@@ -301,15 +301,15 @@
 		add, remove := m.nextChange(now, group, wanted)
 		switch {
 		case add != "" || remove != "":
-			ticket := m.tickets.Keep(origin{handled: func(now time.Duration, r partition.Result) {
+			ticket := m.tickets.Keep(commandOrigin{onResult: func(now time.Duration, r partition.Result) {
 				if r.Body != true {
-					m.nextChangeAt[n] = now + m.params.Part.LeaseDuration
+					m.nextChangeAt[n] = now + m.params.Partition.LeaseDuration
 				}
 			}})
-			m.take(now, n, p.ChangeMembers(now, uint64(ticket), add, remove))
+			m.handleOutput(now, n, p.ChangeMembers(now, uint64(ticket), add, remove))
 		case len(wanted) > 0 && wanted[0] != group[0] && slices.Contains(group, wanted[0]) && m.recentlyHeard(now, wanted[0]):
 			i := slices.Index(group, wanted[0])
-			m.take(now, n, p.ReorderMembers(now, append([]string{wanted[0]}, slices.Delete(slices.Clone(group), i, i+1)...)))
+			m.handleOutput(now, n, p.ReorderMembers(now, append([]string{wanted[0]}, slices.Delete(slices.Clone(group), i, i+1)...)))
 		}
 	}
 }
@@ -326,7 +326,7 @@
 		healthy = healthy && m.recentlyHeard(now, s)
 	}
 	for _, s := range wanted {
-		if !slices.Contains(group, s) && m.recentlyHeard(now, s) && (add == "" || SeatID(s) == SeatID(remove)) {
+		if !slices.Contains(group, s) && m.recentlyHeard(now, s) && (add == "" || CoreID(s) == CoreID(remove)) {
 			add = s
 		}
 	}
--- a/peer/core/registered.go
+++ b/peer/core/registered.go
@@ -6,49 +6,52 @@
 	"saffronfall/rule/verdict"
 )
 
-// Messages about members, programs, configuration and entries, under their outer names.
+// The registered names are part of the protocol and of stored data; they stay when a
+// Go type is renamed.
+
+// Messages about members, programs, the configuration and entries.
 func init() {
 	message.Register(map[string]any{
-		"core.AskSamples":         AskSamples{},
+		"core.AskSamples":         ReadSamples{},
 		"core.Samples":            Samples{},
 		"core.JoinMember":         JoinMember{},
 		"core.RenewMember":        RenewMember{},
 		"core.LeaveMember":        LeaveMember{},
-		"core.Termed":             Termed{},
+		"core.Termed":             MembershipResult{},
 		"core.OpenUser":           OpenUser{},
 		"core.ChargeUser":         ChargeUser{},
-		"core.UserDay":            UserDay{},
+		"core.UserDay":            ChargeUserResult{},
 		"core.OpenProgram":        OpenProgram{},
 		"core.ClaimProgram":       ClaimProgram{},
 		"core.SaveProgram":        SaveProgram{},
-		"core.HandProgram":        HandProgram{},
-		"core.Programmed":         Programmed{},
-		"core.ShareTenant":        ShareTenant{},
-		"core.ShareRates":         ShareRates{},
-		"core.SharedRates":        SharedRates{},
+		"core.HandProgram":        HandOverProgram{},
+		"core.Programmed":         ProgramResult{},
+		"core.ShareTenant":        DrawAllowance{},
+		"core.ShareRates":         DrawAllowances{},
+		"core.SharedRates":        DrawResults{},
 		"core.DrawBreaker":        DrawBreaker{},
-		"core.Shared":             Shared{},
-		"core.AdmitTest":          AdmitTest{},
-		"core.ResultTest":         ResultTest{},
-		"core.Tested":             Tested{},
+		"core.Shared":             DrawResult{},
+		"core.AdmitTest":          AdmitProbe{},
+		"core.ResultTest":         ReportProbe{},
+		"core.Tested":             ProbeResult{},
 		"core.ClaimOnce":          ClaimOnce{},
 		"core.EndOnce":            EndOnce{},
-		"core.Once":               Once{},
+		"core.Once":               OnceRecord{},
 		"core.ReadEntries":        ReadEntries{},
 		"core.Entries":            Entries{},
-		"core.ReadLocked":         ReadLocked{},
+		"core.ReadLocked":         ReadLockedUsers{},
 		"core.LockedUsers":        LockedUsers{},
-		"core.AgreeConfiguration": AgreeConfiguration{},
-		"core.Agreed":             Agreed{},
-		"core.SetFloor":           SetFloor{},
-		"core.Floored":            Floored{},
+		"core.AgreeConfiguration": AcceptConfiguration{},
+		"core.Agreed":             AcceptConfigurationResult{},
+		"core.SetFloor":           SetVersionFloor{},
+		"core.Floored":            VersionFloorResult{},
 		"core.Done":               Done{},
-		"core.PartMessage":        PartMessage{},
+		"core.PartMessage":        ReplicaMessage{},
 		"core.Command":            Command{},
-		"core.CommandReturn":      CommandReturn{},
-		"core.Pull":               Pull{},
-		"core.News":               News{},
-		"core.Fresh":              Fresh{},
+		"core.CommandReturn":      CommandResult{},
+		"core.Pull":               PullUpdates{},
+		"core.News":               Update{},
+		"core.Fresh":              Freshness{},
 		"core.Topology":           Topology{},
 	})
 }
@@ -57,34 +60,34 @@
 func init() {
 	message.Register(map[string]any{
 		"core.ReserveTurn":  ReserveTurn{},
-		"core.TurnReserved": TurnReserved{},
+		"core.TurnReserved": ReserveTurnResult{},
 		"core.SettleTurn":   SettleTurn{},
-		"core.KeepTurn":     KeepTurn{},
+		"core.KeepTurn":     StoreTurn{},
 		"core.ReadTurn":     ReadTurn{},
-		"core.KeptTurn":     KeptTurn{},
-		"core.ProlongTurn":  ProlongTurn{},
+		"core.KeptTurn":     ReadTurnResult{},
+		"core.ProlongTurn":  ExtendTurn{},
 		"core.DrawRates":    DrawRates{},
-		"core.RatesDrawn":   RatesDrawn{},
-		"core.AgreeTable":   AgreeTable{},
-		"core.TableAgreed":  TableAgreed{},
+		"core.RatesDrawn":   DrawRatesResult{},
+		"core.AgreeTable":   AcceptTable{},
+		"core.TableAgreed":  AcceptTableResult{},
 		"core.FindOrder":    FindOrder{},
 		"core.ReadTable":    ReadTable{},
-		"core.AgreedTable":  AgreedTable{},
+		"core.AgreedTable":  CurrentTable{},
 	})
 }
 
-// Messages about cores and the seats of groups.
+// Messages about cores and the groups of partitions.
 func init() {
 	message.Register(map[string]any{
 		"core.PutCore":    PutCore{},
-		"core.ChangeSeat": ChangeSeat{},
-		"core.Present":    Present{},
+		"core.ChangeSeat": ChangeGroup{},
+		"core.Present":    AnnounceCore{},
 		"core.FoundFleet": FoundFleet{},
 		"core.RetireCore": RetireCore{},
-		"core.Retiring":   Retiring{},
-		"core.ReadSeats":  ReadSeats{},
-		"core.Seats":      Seats{},
-		"core.CoreEnded":  CoreEnded{},
+		"core.Retiring":   RetireCoreResult{},
+		"core.ReadSeats":  ReadGroup{},
+		"core.Seats":      GroupMembers{},
+		"core.CoreEnded":  PutCoreRejected{},
 	})
 }
 
--- a/peer/core/rules_cores.go
+++ b/peer/core/rules_cores.go
@@ -4,32 +4,36 @@
 	"saffronfall/rule/partition"
 )
 
+// putCore writes a core's entry if its version is newer. An incarnation that a later
+// core has replaced is recorded as superseded and rejected from then on, as is any
+// change that would undo a retirement.
 func putCore(tx *partition.Tx, c PutCore) any {
 	old, ok := read[Core](tx, corePrefix+c.Core.ID)
-	_, outlived := tx.Get(outlivedPrefix + c.Core.Seat())
+	_, superseded := tx.Get(supersededPrefix + c.Core.MemberID())
 	switch {
-	case outlived, ok && old.Retired && !c.Core.Retired:
-		return CoreEnded{Core: old}
+	case superseded, ok && old.Retired && !c.Core.Retired:
+		return PutCoreRejected{Core: old}
 	case ok && old == c.Core:
 		return Done{OK: true}
 	case ok && old.Version >= c.Core.Version:
 		return Done{}
 	}
 	if ok && old.Incarnation != c.Core.Incarnation {
-		write(tx, outlivedPrefix+old.Seat(), true)
+		write(tx, supersededPrefix+old.MemberID(), true)
 	}
 	write(tx, corePrefix+c.Core.ID, c.Core)
 	return Done{OK: true}
 }
 
+// retireCore marks a core as retired if enough others remain.
 func (r *rules) retireCore(tx *partition.Tx, c RetireCore) any {
 	cores, enough := r.fleet()
 	for _, key := range tx.Keys(corePrefix) {
-		if one, _ := read[Core](tx, key); cores[one.ID].Version <= one.Version {
-			cores[one.ID] = one
+		if core, _ := read[Core](tx, key); cores[core.ID].Version <= core.Version {
+			cores[core.ID] = core
 		}
 	}
-	one, ok := cores[c.ID]
+	core, ok := cores[c.ID]
 	staying := 0
 	for _, other := range cores {
 		if !other.Retired && other.ID != c.ID {
@@ -38,14 +42,14 @@
 	}
 	switch {
 	case !ok:
-		return Retiring{}
-	case one.Retired:
+		return RetireCoreResult{}
+	case core.Retired:
 	case staying < enough:
-		return Retiring{Known: true}
+		return RetireCoreResult{Found: true}
 	default:
-		one.Retired = true
-		one.Version++
-		write(tx, corePrefix+c.ID, one)
+		core.Retired = true
+		core.Version++
+		write(tx, corePrefix+c.ID, core)
 	}
-	return Retiring{Known: true, Enough: true, Done: true}
+	return RetireCoreResult{Found: true, EnoughRemain: true, Done: true}
 }
--- a/peer/core/topology.go
+++ b/peer/core/topology.go
@@ -35,7 +35,7 @@
 // mergeStoredCores merges the core entries of this core's replica of the
 // configuration partition, if it has one.
 func (m *Machine) mergeStoredCores() {
-	if p := m.partitions[ConfigurationPart]; p != nil {
+	if p := m.partitions[ConfigurationPartition]; p != nil {
 		m.mergeCoresOf(p.State())
 	}
 }
@@ -147,13 +147,13 @@
 func (t Topology) Digest() uint64 {
 	var input digestInput
 	input.addStrings(t.Fleet)
-	input.addNumbers(uint64(len(t.Cores)), uint64(len(t.Owners)), uint64(len(t.Groups)))
+	input.addNumbers(uint64(len(t.Cores)), uint64(len(t.Leaders)), uint64(len(t.Groups)))
 	for _, id := range ordered.Keys(t.Cores) {
 		c := t.Cores[id]
 		input.addStrings(c.ID, c.Incarnation, c.Zone, c.Peer, c.Operator, strconv.FormatBool(c.Retired))
 		input.addNumbers(c.Version)
 	}
-	for _, term := range t.Owners {
+	for _, term := range t.Leaders {
 		input.addStrings(term.Leader)
 		input.addNumbers(term.Round)
 	}
@@ -187,7 +187,7 @@
 // sendTopologyIfDifferent sends this core's topology to a core that reports another
 // digest. The other core does the same, so that both end with the merged topology.
 func (m *Machine) sendTopologyIfDifferent(now time.Duration, to string, theirs uint64) {
-	if theirs == 0 || m.digest == 0 || theirs == m.digest || now < m.topologySentAt[to]+m.params.MemberTerm/4 {
+	if theirs == 0 || m.digest == 0 || theirs == m.digest || now < m.topologySentAt[to]+m.params.MemberLease/4 {
 		return
 	}
 	m.topologySentAt[to] = now
@@ -216,19 +216,19 @@
 		}
 	}
 	if sendTopology {
-		m.topologyChanged, m.topologyAt = false, now+topologyGossipTerms*m.params.MemberTerm
+		m.topologyChanged, m.topologyAt = false, now+topologyGossipTerms*m.params.MemberLease
 	}
 }
 
 // hasReplica reports whether a core keeps a replica of any partition.
 func (m *Machine) hasReplica(c Core) bool {
-	return slices.ContainsFunc(m.groups, func(g partition.Group) bool { return g.Has(c.Seat()) })
+	return slices.ContainsFunc(m.groups, func(g partition.Group) bool { return g.Has(c.MemberID()) })
 }
 
 // Topology returns a copy of what this core knows of the fleet's cores, groups and
 // leaders' terms.
 func (m *Machine) Topology() Topology {
-	t := Topology{Fleet: m.founding.Fleet, Size: m.groupSize(), Cores: map[string]Core{}, Owners: append([]partition.Term(nil), m.terms...), Groups: append([]partition.Group(nil), m.groups...)}
+	t := Topology{Fleet: m.founding.Fleet, GroupSize: m.groupSize(), Cores: map[string]Core{}, Leaders: append([]partition.Term(nil), m.terms...), Groups: append([]partition.Group(nil), m.groups...)}
 	for id, c := range m.cores {
 		t.Cores[id] = c
 	}
@@ -237,11 +237,11 @@
 
 // addressOf returns the address of a member, or "" if it is not known.
 func (m *Machine) addressOf(member string) string {
-	if member == m.self.Seat() {
+	if member == m.self.MemberID() {
 		return m.self.Peer
 	}
 	for _, c := range m.cores {
-		if c.Seat() == member {
+		if c.MemberID() == member {
 			return c.Peer
 		}
 	}
@@ -265,12 +265,12 @@
 // mergeTopology merges a received topology of the same fleet: for each term, group
 // and core the later one wins.
 func (m *Machine) mergeTopology(t Topology) {
-	if m.founding.Fleet != t.Fleet || len(t.Owners) != len(m.terms) || len(t.Groups) != len(m.groups) {
+	if m.founding.Fleet != t.Fleet || len(t.Leaders) != len(m.terms) || len(t.Groups) != len(m.groups) {
 		return
 	}
-	for n := range t.Owners {
-		if m.terms[n].Less(t.Owners[n]) {
-			m.terms[n] = t.Owners[n]
+	for n := range t.Leaders {
+		if m.terms[n].Less(t.Leaders[n]) {
+			m.terms[n] = t.Leaders[n]
 		}
 		if m.groups[n].Before(t.Groups[n]) {
 			m.groups[n] = t.Groups[n]
--- a/peer/relay/budget.go
+++ b/peer/relay/budget.go
@@ -12,10 +12,10 @@
 	req.reserving = true
 	m.reservations++
 	req.reservationID = m.incarnation + "-" + strconv.FormatUint(m.reservations, 36)
-	c := core.ReserveTurn{Tenant: m.tenantName(req), Program: req.spec.Program, Attempt: req.reservationID, Most: req.spec.MaxTokens, Budget: req.spec.TokenBudget, Keep: m.params.BookRetention}
+	c := core.ReserveTurn{Tenant: m.tenantName(req), Program: req.spec.Program, Attempt: req.reservationID, MaxTokens: req.spec.MaxTokens, Budget: req.spec.TokenBudget, Retention: m.params.BookRetention}
 	m.caller.Call(now, c, req.admissionDeadline, func(now time.Duration, o core.Outcome) {
 		req.reserving = false
-		r, ok := o.Answer.(core.TurnReserved)
+		r, ok := o.Answer.(core.ReserveTurnResult)
 		switch {
 		case !ok:
 			// The reservation may have been made, so it is settled when the request ends.
--- a/peer/relay/completion.go
+++ b/peer/relay/completion.go
@@ -166,7 +166,7 @@
 // checkInvariants compares the request counts and looks for requests in progress past their
 // deadline.
 func (m *Machine) checkInvariants(now time.Duration) {
-	bound := overdueGrace + 2*m.params.Core.MemberTerm
+	bound := overdueGrace + 2*m.params.Core.MemberLease
 	if now > m.lastTick+stalledTick {
 		m.lenientUntil = now + bound
 	}
--- a/peer/relay/cores.go
+++ b/peer/relay/cores.go
@@ -21,12 +21,12 @@
 
 // coresUnreachable reports whether commands have been unanswered for long.
 func (m *Machine) coresUnreachable(now time.Duration) bool {
-	return m.caller.SilentFor(now) > unreachableRetries*m.params.Core.Retry
+	return m.caller.SilentFor(now) > unreachableRetries*m.params.Core.AttemptTimeout
 }
 
 // coresResponsive reports whether the cores answer this node's commands, if there were any.
 func (m *Machine) coresResponsive(now time.Duration) bool {
-	return m.caller.SilentFor(now) <= unreadyRetries*m.params.Core.Retry
+	return m.caller.SilentFor(now) <= unreadyRetries*m.params.Core.AttemptTimeout
 }
 
 // needsCores reports whether a request waits for an answer of the cores.
@@ -51,12 +51,12 @@
 }
 
 func (m *Machine) probeCores(now time.Duration) {
-	if now < m.probeAt || len(m.topology.Owners) == 0 {
+	if now < m.probeAt || len(m.topology.Leaders) == 0 {
 		return
 	}
-	wait := probeRetries * m.params.Core.Retry
+	wait := probeRetries * m.params.Core.AttemptTimeout
 	m.probeAt = now + wait
-	m.caller.Call(now, core.ReadSeats{Part: core.ConfigurationPart}, now+wait, func(time.Duration, core.Outcome) {})
+	m.caller.Call(now, core.ReadGroup{Partition: core.ConfigurationPartition}, now+wait, func(time.Duration, core.Outcome) {})
 }
 
 // refuseCoresUnreachable refuses a request that has not been sent. A reservation in
--- a/peer/relay/history.go
+++ b/peer/relay/history.go
@@ -18,13 +18,13 @@
 	}
 	m.Counters.CacheMisses++
 	req.fetching = true
-	m.readTurn(now, req, req.spec.Previous, func(now time.Duration, last core.KeptTurn) {
-		turns := make([]*turn, len(last.Before)+1)
-		fill := func(now time.Duration, i int, attempt string, k core.KeptTurn) {
+	m.readTurn(now, req, req.spec.Previous, func(now time.Duration, last core.ReadTurnResult) {
+		turns := make([]*turn, len(last.Previous)+1)
+		fill := func(now time.Duration, i int, attempt string, k core.ReadTurnResult) {
 			turns[i] = &turn{attempt: attempt, tenant: tenant, input: k.Input, output: k.Output, storedUntil: now + k.Left}
 		}
-		fill(now, len(last.Before), req.spec.Previous, last)
-		waiting := len(last.Before)
+		fill(now, len(last.Previous), req.spec.Previous, last)
+		waiting := len(last.Previous)
 		link := func(now time.Duration) {
 			for i := 1; i < len(turns); i++ {
 				turns[i].previous = turns[i-1]
@@ -39,8 +39,8 @@
 			link(now)
 			return
 		}
-		for i, attempt := range last.Before {
-			m.readTurn(now, req, attempt, func(now time.Duration, k core.KeptTurn) {
+		for i, attempt := range last.Previous {
+			m.readTurn(now, req, attempt, func(now time.Duration, k core.ReadTurnResult) {
 				fill(now, i, attempt, k)
 				if waiting--; waiting == 0 {
 					link(now)
@@ -51,9 +51,9 @@
 }
 
 // readTurn reads one turn from the cores for a request, which is refused if that fails.
-func (m *Machine) readTurn(now time.Duration, req *activeRequest, attempt string, next func(now time.Duration, k core.KeptTurn)) {
+func (m *Machine) readTurn(now time.Duration, req *activeRequest, attempt string, next func(now time.Duration, k core.ReadTurnResult)) {
 	m.caller.Call(now, core.ReadTurn{Tenant: m.tenantName(req), Attempt: attempt}, req.admissionDeadline, func(now time.Duration, o core.Outcome) {
-		k, ok := o.Answer.(core.KeptTurn)
+		k, ok := o.Answer.(core.ReadTurnResult)
 		switch {
 		case req.completed:
 		case !ok:
@@ -76,7 +76,7 @@
 		m.refuse(now, req, CauseHistoryMissing)
 	case kept || absence == core.Expired:
 		m.refuse(now, req, CauseHistoryExpired)
-	case absence == core.Foreign:
+	case absence == core.OtherTenant:
 		m.refuse(now, req, CauseHistoryForeign)
 	default:
 		m.refuse(now, req, CauseHistoryUnknown)
--- a/peer/relay/machine.go
+++ b/peer/relay/machine.go
@@ -91,9 +91,9 @@
 		auditState: auditState{violated: o.Violated, byCause: map[Cause]int64{}, lastTick: o.Now},
 		selection:  selection{services: map[string]*service{}, replicas: map[string]*replicaRecord{}, policy: &placement.Policy{Settings: o.Params.Placement, Zone: o.Zone, Random: o.Random}},
 		rateState:  rateState{rates: map[string]*tenantRate{}}, cache: newTurnCache(o.Params.CacheBytes), active: map[uint64]*activeRequest{}}
-	m.caller = &core.Caller{Retry: o.Params.Core.Retry, Random: o.Random,
+	m.caller = &core.Caller{Retry: o.Params.Core.AttemptTimeout, Random: o.Random,
 		Send:       func(to string, body any) { m.send(to, body) },
-		Partitions: func() int { return len(m.topology.Owners) },
+		Partitions: func() int { return len(m.topology.Leaders) },
 		Cores:      func() []string { return desk.CoreAddresses(m.topology) }}
 	return m
 }
@@ -108,7 +108,7 @@
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
 	m.out = &Output{}
 	switch b := body.(type) {
-	case core.CommandReturn:
+	case core.CommandResult:
 		m.caller.Receive(now, from, b)
 		if now >= m.drawAt {
 			m.drawAt = now + m.params.RateWindow/drawChecksPerWindow
@@ -227,15 +227,15 @@
 // mergeTopology takes the newer terms and core addresses of a topology, unless it is of
 // another fleet.
 func (m *Machine) mergeTopology(t core.Topology) {
-	if len(m.topology.Owners) == 0 || m.topology.Fleet == "" {
-		m.topology = core.Topology{Fleet: t.Fleet, Cores: map[string]core.Core{}, Owners: slices.Clone(t.Owners), Groups: slices.Clone(t.Groups)}
+	if len(m.topology.Leaders) == 0 || m.topology.Fleet == "" {
+		m.topology = core.Topology{Fleet: t.Fleet, Cores: map[string]core.Core{}, Leaders: slices.Clone(t.Leaders), Groups: slices.Clone(t.Groups)}
 	}
 	if t.Fleet != m.topology.Fleet {
 		return
 	}
-	for n := range t.Owners {
-		if n < len(m.topology.Owners) && m.topology.Owners[n].Less(t.Owners[n]) {
-			m.topology.Owners[n] = t.Owners[n]
+	for n := range t.Leaders {
+		if n < len(m.topology.Leaders) && m.topology.Leaders[n].Less(t.Leaders[n]) {
+			m.topology.Leaders[n] = t.Leaders[n]
 		}
 	}
 	for id, c := range t.Cores {
--- a/peer/relay/machine_test.go
+++ b/peer/relay/machine_test.go
@@ -27,7 +27,7 @@
 	node        *Machine
 	steps       map[uint64][]Step
 	books       map[string]*book.Book
-	storedTurns map[string]core.KeepTurn
+	storedTurns map[string]core.StoreTurn
 	ledgers     map[string]*rate.Ledger
 	coresSilent bool
 	heldAnswers []func()
@@ -42,9 +42,9 @@
 
 func newHarness(t *testing.T) *harness {
 	random := rand.New(rand.NewPCG(1, 1))
-	h := &harness{t: t, steps: map[uint64][]Step{}, books: map[string]*book.Book{}, storedTurns: map[string]core.KeepTurn{}, ledgers: map[string]*rate.Ledger{}, deadlines: map[uint64]time.Duration{}}
+	h := &harness{t: t, steps: map[uint64][]Step{}, books: map[string]*book.Book{}, storedTurns: map[string]core.StoreTurn{}, ledgers: map[string]*rate.Ledger{}, deadlines: map[uint64]time.Duration{}}
 	h.node = New(Options{ID: "n1", Incarnation: "x", Zone: "a", Address: "n1:1", Seeds: []string{"d1:1"}, Random: random.Float64,
-		Params: Params{Core: core.Params{MemberTerm: time.Second, Retry: 100 * time.Millisecond, Pull: 100 * time.Millisecond}, HeartbeatInterval: time.Second, UpdateInterval: 500 * time.Millisecond,
+		Params: Params{Core: core.Params{MemberLease: time.Second, AttemptTimeout: 100 * time.Millisecond, PullInterval: 100 * time.Millisecond}, HeartbeatInterval: time.Second, UpdateInterval: 500 * time.Millisecond,
 			RateWindow: 5 * time.Second, Placement: placement.Settings{PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: time.Second}, MaxRequests: 100, CacheBytes: 1 << 20, BookRetention: time.Minute}})
 	return h
 }
@@ -82,7 +82,7 @@
 				if err != nil {
 					h.t.Fatal(err)
 				}
-				h.apply(h.node.Receive(h.now, s.To, core.CommandReturn{ID: c.ID, Part: c.Part, Raw: message.Pack(h.answer(body))}))
+				h.apply(h.node.Receive(h.now, s.To, core.CommandResult{ID: c.ID, Partition: c.Partition, Raw: message.Pack(h.answer(body))}))
 			}
 			if h.coresSilent {
 				h.heldAnswers = append(h.heldAnswers, answer)
@@ -101,31 +101,31 @@
 			b = &book.Book{}
 			h.books[c.Program] = b
 		}
-		return core.TurnReserved{OK: b.Reserve(c.Attempt, c.Most, c.Budget)}
+		return core.ReserveTurnResult{OK: b.Reserve(c.Attempt, c.MaxTokens, c.Budget)}
 	case core.SettleTurn:
 		if h.books[c.Program] == nil {
 			h.books[c.Program] = &book.Book{}
 		}
 		h.books[c.Program].Settle(c.Attempt, c.Tokens)
 		return core.Done{OK: true}
-	case core.KeepTurn:
+	case core.StoreTurn:
 		h.storedTurns[c.Attempt] = c
 		return core.Done{OK: true}
-	case core.ProlongTurn:
+	case core.ExtendTurn:
 		return core.Done{OK: true}
-	case core.ReadSeats:
-		return core.Seats{}
+	case core.ReadGroup:
+		return core.GroupMembers{}
 	case core.ReadTurn:
 		k, ok := h.storedTurns[c.Attempt]
-		return core.KeptTurn{Found: ok && k.Tenant == c.Tenant, Absence: h.absence, Before: k.Before, Input: k.Input, Output: k.Output, Left: time.Minute}
+		return core.ReadTurnResult{Found: ok && k.Tenant == c.Tenant, Absence: h.absence, Previous: k.Previous, Input: k.Input, Output: k.Output, Left: time.Minute}
 	case core.DrawRates:
-		var answer core.RatesDrawn
+		var answer core.DrawRatesResult
 		for _, d := range c.Draws {
 			if h.ledgers[d.Tenant] == nil {
-				h.ledgers[d.Tenant] = rate.Restore(h.now, rate.DurableState{}, d.Draw.LeaseDuration)
+				h.ledgers[d.Tenant] = rate.Restore(h.now, rate.DurableState{}, d.Request.LeaseDuration)
 			}
-			drawn, _ := h.ledgers[d.Tenant].Draw(h.now, d.Draw)
-			answer.Drawn = append(answer.Drawn, drawn)
+			drawn, _ := h.ledgers[d.Tenant].Draw(h.now, d.Request)
+			answer.Responses = append(answer.Responses, drawn)
 		}
 		return answer
 	}
@@ -136,7 +136,7 @@
 // update delivers an update of a desk.
 func (h *harness) update(from string, list []desk.Listed, number uint64, text []byte) {
 	h.version++
-	topology := core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1"}}, Owners: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}},
+	topology := core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1"}}, Leaders: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}},
 		Groups: make([]partition.Group, 2)}
 	h.apply(h.node.Receive(h.now, from, desk.Bulletin{Life: "l", Version: h.version, List: list, Number: number, Table: text, Nodes: 1, Topology: &topology}))
 }
--- a/peer/relay/rate.go
+++ b/peer/relay/rate.go
@@ -274,7 +274,7 @@
 // drawRates asks the cores for the units that are needed, with one command per partition.
 // It also reports spends and returns units that are not needed.
 func (m *Machine) drawRates(now time.Duration) {
-	if len(m.topology.Owners) == 0 || m.table == nil {
+	if len(m.topology.Leaders) == 0 || m.table == nil {
 		return
 	}
 	batches := map[int]*core.DrawRates{}
@@ -318,11 +318,11 @@
 			d.Recent = append(d.Recent, rate.RecentSpend{Age: now - r.at, Count: r.count})
 		}
 		tr.reported = tr.spent
-		n := core.RatePart(len(m.topology.Owners), name)
+		n := core.RatePartition(len(m.topology.Leaders), name)
 		if batches[n] == nil {
-			batches[n] = &core.DrawRates{Part: n}
+			batches[n] = &core.DrawRates{Partition: n}
 		}
-		batches[n].Draws = append(batches[n].Draws, core.TenantDraw{Tenant: name, Draw: d})
+		batches[n].Draws = append(batches[n].Draws, core.TenantDraw{Tenant: name, Request: d})
 		drawing[n] = append(drawing[n], tr)
 	}
 	for _, n := range ordered.Keys(batches) {
@@ -332,21 +332,21 @@
 			holdings[i], reported[i] = tr.holding, tr.reported
 		}
 		m.caller.Call(now, *batches[n], now+m.leaseDuration(), func(at time.Duration, o core.Outcome) {
-			drawn, ok := o.Answer.(core.RatesDrawn)
+			drawn, ok := o.Answer.(core.DrawRatesResult)
 			for i, tr := range rates {
 				tr.drawing = false
-				if !ok || len(drawn.Drawn) != len(rates) || tr.holding != holdings[i] {
+				if !ok || len(drawn.Responses) != len(rates) || tr.holding != holdings[i] {
 					m.drawFailed(at, tr)
 					continue
 				}
-				if drawn.Drawn[i].Expired || tr.granted > 0 && at >= tr.expiresAt {
+				if drawn.Responses[i].Expired || tr.granted > 0 && at >= tr.expiresAt {
 					// The holding has expired at the partition or here.
 					m.startHolding(tr)
 					tr.drawWanted, m.drawAt = true, at
 					continue
 				}
 				tr.acknowledge(reported[i])
-				m.applyDraw(at, tr, drawn.Drawn[i], now+m.leaseDuration())
+				m.applyDraw(at, tr, drawn.Responses[i], now+m.leaseDuration())
 			}
 		})
 	}
--- a/peer/relay/rate_test.go
+++ b/peer/relay/rate_test.go
@@ -138,7 +138,7 @@
 		asked, refused, refusedWithRoom := 0, 0, 0
 		for seed := uint64(1); seed <= 3; seed++ {
 			st := newSharedRate(t, seed, c.nodes)
-			reservation := core.ReserveTurn{Program: "runaway", Attempt: "all", Most: 100, Budget: 100}
+			reservation := core.ReserveTurn{Program: "runaway", Attempt: "all", MaxTokens: 100, Budget: 100}
 			st.nodes[0].answer(reservation)
 			st.run(20*time.Second, c.calls, c.spentTurns)
 			asked, refused, refusedWithRoom = asked+st.requests, refused+st.refused, refusedWithRoom+st.refusedWithRoom
--- a/peer/relay/request.go
+++ b/peer/relay/request.go
@@ -336,9 +336,9 @@
 		m.recentTurns.add(stored.name(), now+m.turnRetention(req))
 		m.finish(at, req, CauseServed, Step{Kind: StepDeliver})
 	}
-	c := core.KeepTurn{Tenant: stored.tenant, Attempt: stored.attempt, Input: stored.input, Output: stored.output, Keep: keep}
+	c := core.StoreTurn{Tenant: stored.tenant, Attempt: stored.attempt, Input: stored.input, Output: stored.output, Retention: keep}
 	if req.previous != nil {
-		c.Before = req.previous.attemptIDs()
+		c.Previous = req.previous.attemptIDs()
 	}
 	// Turns before this one must be kept as long as this one, so those that would
 	// expire earlier are prolonged.
@@ -350,9 +350,9 @@
 	}
 	waiting += len(old)
 	m.settle(now, req, m.tokenCount(req))
-	m.caller.Call(now, c, max(req.deadline, now+m.params.Core.MemberTerm), done)
+	m.caller.Call(now, c, max(req.deadline, now+m.params.Core.MemberLease), done)
 	for _, t := range old {
-		m.caller.Call(now, core.ProlongTurn{Tenant: t.tenant, Attempt: t.attempt, Keep: keep}, max(req.deadline, now+m.params.Core.MemberTerm), func(when time.Duration, o core.Outcome) {
+		m.caller.Call(now, core.ExtendTurn{Tenant: t.tenant, Attempt: t.attempt, Retention: keep}, max(req.deadline, now+m.params.Core.MemberLease), func(when time.Duration, o core.Outcome) {
 			if d, ok := o.Answer.(core.Done); ok && d.OK {
 				t.storedUntil = max(t.storedUntil, now+keep)
 			}
@@ -390,7 +390,7 @@
 	}
 	a := requesterAnswers[cause]
 	if retry == 0 {
-		retry = time.Duration(a.retryFactor * float64(m.params.Core.Retry))
+		retry = time.Duration(a.retryFactor * float64(m.params.Core.AttemptTimeout))
 	}
 	m.finish(now, req, cause, Step{Kind: StepRefuse, Status: a.status, Check: a.check, Reason: a.reason, RetryAfter: retry})
 }
