--- a/peer/core/membership_test.go
+++ b/peer/core/membership_test.go
@@ -959,8 +959,8 @@
 		founders = append(founders, core.m.Self())
 	}
 	f.advance(time.Second)
-	if f.kinds["core.Present"] < 20 {
-		t.Errorf("cores without a fleet sent %d announcements in a second", f.kinds["core.Present"])
+	if f.kinds["core.AnnounceCore"] < 20 {
+		t.Errorf("cores without a fleet sent %d announcements in a second", f.kinds["core.AnnounceCore"])
 	}
 	plan := PlanFleet("f", testPartitions, 3, founders[:3])
 	for _, core := range []*testCore{f.cores[3], f.cores[0]} {
