--- a/peer/core/caller.go
+++ b/peer/core/caller.go
@@ -65,7 +65,7 @@
 		return
 	}
 	k := &call{part: Target(c.Parts(), command), raw: message.Pack(command), until: until, outcome: outcome}
-	k.ticket = c.calls.Keep(k)
+	k.ticket = c.calls.Put(k)
 	if c.pending == nil {
 		c.pending, c.hints = map[slab.Ticket]*call{}, map[int]string{}
 	}
@@ -179,7 +179,7 @@
 // Receive takes an answer.
 func (c *Caller) Receive(now time.Duration, from string, r CommandReturn) {
 	c.unanswered = false
-	k, ok := c.calls.Look(c.Unmark(r.ID))
+	k, ok := c.calls.Get(c.Unmark(r.ID))
 	switch {
 	case !ok:
 	case r.Moved:
@@ -204,4 +204,4 @@
 }
 
 // Waiting is how many commands have no outcome yet.
-func (c *Caller) Waiting() int { return c.calls.Used() }
+func (c *Caller) Waiting() int { return c.calls.Len() }
--- a/peer/core/commands.go
+++ b/peer/core/commands.go
@@ -63,7 +63,7 @@
 			r.Body = Done{OK: r.Body == true}
 			m.reply(n, answer, r)
 		}}
-		m.take(now, n, p.ChangeMembers(now, uint64(m.tickets.Keep(from)), c.Add, c.Remove))
+		m.take(now, n, p.ChangeMembers(now, uint64(m.tickets.Put(from)), c.Add, c.Remove))
 		return
 	}
 	if _, ok := command.(ReadSeats); ok && p != nil {
@@ -77,7 +77,7 @@
 			m.reply(n, answer, r)
 		}}
 	}
-	ticket := m.tickets.Keep(from)
+	ticket := m.tickets.Put(from)
 	if p == nil {
 		m.take(now, n, partition.Output{Results: []partition.Result{{RequestID: uint64(ticket), NotLeader: true}}})
 		return
--- a/peer/core/place.go
+++ b/peer/core/place.go
@@ -283,7 +283,7 @@
 		add, remove := m.step(now, group, wanted)
 		switch {
 		case add != "" || remove != "":
-			ticket := m.tickets.Keep(origin{handled: func(now time.Duration, r partition.Result) {
+			ticket := m.tickets.Put(origin{handled: func(now time.Duration, r partition.Result) {
 				if r.Body != true {
 					m.movedAt[n] = now + m.params.Part.LeaseDuration
 				}
--- a/peer/desk/amend.go
+++ b/peer/desk/amend.go
@@ -18,7 +18,7 @@
 	Digest string
 	// Join makes the next table's text from the current one's, which is empty where
 	// there is none yet.
-	Join func(current []byte) ([]byte, configuration.Faults)
+	Apply func(current []byte) ([]byte, configuration.Faults)
 	// PreviewOnly asks what would change; nothing does.
 	PreviewOnly bool
 }
@@ -28,20 +28,20 @@
 // only lose its race.
 func (m *Machine) Amend(now time.Duration, ticket uint64, a Amendment) Output {
 	m.out = &Output{}
-	until := now + m.params.Within
-	m.await(now, ticket, Handed{Unsure: true})
-	m.caller.Call(now, core.ReadTable{}, until, func(now time.Duration, o core.Outcome) {
+	deadline := now + m.params.OperationTimeout
+	m.addPending(now, ticket, OrderResult{Unsure: true})
+	m.caller.Call(now, core.ReadTable{}, deadline, func(now time.Duration, o core.Outcome) {
 		current, ok := o.Answer.(core.AgreedTable)
 		if _, waiting := m.pending[ticket]; !waiting {
 			return
 		}
 		switch {
 		case !ok:
-			m.settle(ticket, Handed{Unsure: true})
+			m.resolve(ticket, OrderResult{Unsure: true})
 		case current.Number != a.Base:
-			m.findAmendment(now, ticket, a, until)
+			m.findOrder(now, ticket, a, deadline)
 		default:
-			m.joinAmendment(now, ticket, a, current, until)
+			m.proposeAmendment(now, ticket, a, current, deadline)
 		}
 	})
 	return *m.out
@@ -49,35 +49,35 @@
 
 // findAmendment answers an amendment whose base is not in force: either it was taken
 // before, or another order was.
-func (m *Machine) findAmendment(now time.Duration, ticket uint64, a Amendment, until time.Duration) {
-	m.caller.Call(now, core.FindOrder{Base: a.Base, Number: a.Number, Digest: a.Digest}, until, func(_ time.Duration, o core.Outcome) {
+func (m *Machine) findOrder(now time.Duration, ticket uint64, a Amendment, deadline time.Duration) {
+	m.caller.Call(now, core.FindOrder{Base: a.Base, Number: a.Number, Digest: a.Digest}, deadline, func(_ time.Duration, o core.Outcome) {
 		found, ok := o.Answer.(core.TableAgreed)
 		switch {
 		case !ok:
-			m.settle(ticket, Handed{Unsure: true})
+			m.resolve(ticket, OrderResult{Unsure: true})
 		case found.OK:
-			m.settle(ticket, Handed{OK: true, Number: found.Number})
+			m.resolve(ticket, OrderResult{Accepted: true, Number: found.Number})
 		default:
-			m.settle(ticket, Handed{Race: true, Number: found.Number})
+			m.resolve(ticket, OrderResult{RaceLost: true, Number: found.Number})
 		}
 	})
 }
 
 // joinAmendment checks what comes of an amendment, and has it agreed.
-func (m *Machine) joinAmendment(now time.Duration, ticket uint64, a Amendment, current core.AgreedTable, until time.Duration) {
-	text, faults := a.Join(current.Text)
+func (m *Machine) proposeAmendment(now time.Duration, ticket uint64, a Amendment, current core.AgreedTable, deadline time.Duration) {
+	text, faults := a.Apply(current.Text)
 	var next *route.Table
 	if faults == nil {
 		next, faults = route.Parse(text)
 	}
 	switch {
 	case faults != nil:
-		m.Counters.Refused++
-		m.settle(ticket, Handed{Number: current.Number, Faults: faults})
+		m.Counters.TablesRefused++
+		m.resolve(ticket, OrderResult{Number: current.Number, Faults: faults})
 	case a.PreviewOnly:
-		m.settle(ticket, Handed{Number: current.Number, Preview: previewOf(current.Text, next)})
+		m.resolve(ticket, OrderResult{Number: current.Number, Preview: previewOf(current.Text, next)})
 	default:
-		m.agree(now, ticket, core.AgreeTable{Base: a.Base, Number: next.Number, Text: text, Digest: a.Digest}, next, until)
+		m.proposeTable(now, ticket, core.AgreeTable{Base: a.Base, Number: next.Number, Text: text, Digest: a.Digest}, next, deadline)
 	}
 }
 
@@ -91,7 +91,7 @@
 }
 
 // JoinTable is how an amendment in the product's own words is joined.
-func JoinTable(a route.Amendment) func(current []byte) ([]byte, configuration.Faults) {
+func ApplyAmendment(a route.Amendment) func(current []byte) ([]byte, configuration.Faults) {
 	return func(text []byte) ([]byte, configuration.Faults) {
 		current, faults := route.Parse(text)
 		if faults != nil {
--- a/peer/desk/amend_test.go
+++ b/peer/desk/amend_test.go
@@ -37,7 +37,7 @@
 
 func addService(base, number uint64) Amendment {
 	a := route.Amendment{Number: number, Set: route.SetItems{Services: []route.Service{{Name: "new", Connections: 1, TokensPerEvent: 1}}}}
-	return Amendment{Base: base, Number: number, Digest: "d", Join: JoinTable(a)}
+	return Amendment{Base: base, Number: number, Digest: "d", Apply: ApplyAmendment(a)}
 }
 
 // TestAmend: an amendment is joined to the table that the cores say is in force and
@@ -49,17 +49,17 @@
 		amendment Amendment
 		agreed    any
 		found     any
-		want      Handed
+		want      OrderResult
 		// commands are how many went to the cores.
 		commands int
 	}{
-		{name: "taken", amendment: addService(4, 5), agreed: core.TableAgreed{OK: true, Number: 5}, want: Handed{OK: true, Number: 5}, commands: 2},
-		{name: "race lost while joining", amendment: addService(4, 5), agreed: core.TableAgreed{Number: 6}, want: Handed{Race: true, Number: 6}, commands: 2},
-		{name: "taken before", amendment: addService(3, 4), found: core.TableAgreed{OK: true, Number: 4}, want: Handed{OK: true, Number: 4}, commands: 2},
-		{name: "race lost before", amendment: addService(3, 5), found: core.TableAgreed{Number: 4}, want: Handed{Race: true, Number: 4}, commands: 2},
-		{name: "on a base that is not there yet", amendment: addService(9, 10), found: core.TableAgreed{Number: 4}, want: Handed{Race: true, Number: 4}, commands: 2},
-		{name: "not above", amendment: addService(4, 4), want: Handed{Number: 4, Faults: configuration.Faults{{}}}, commands: 1},
-		{name: "no answer", amendment: addService(4, 5), want: Handed{Unsure: true}, commands: 2},
+		{name: "taken", amendment: addService(4, 5), agreed: core.TableAgreed{OK: true, Number: 5}, want: OrderResult{Accepted: true, Number: 5}, commands: 2},
+		{name: "race lost while joining", amendment: addService(4, 5), agreed: core.TableAgreed{Number: 6}, want: OrderResult{RaceLost: true, Number: 6}, commands: 2},
+		{name: "taken before", amendment: addService(3, 4), found: core.TableAgreed{OK: true, Number: 4}, want: OrderResult{Accepted: true, Number: 4}, commands: 2},
+		{name: "race lost before", amendment: addService(3, 5), found: core.TableAgreed{Number: 4}, want: OrderResult{RaceLost: true, Number: 4}, commands: 2},
+		{name: "on a base that is not there yet", amendment: addService(9, 10), found: core.TableAgreed{Number: 4}, want: OrderResult{RaceLost: true, Number: 4}, commands: 2},
+		{name: "not above", amendment: addService(4, 4), want: OrderResult{Number: 4, Faults: configuration.Faults{{}}}, commands: 1},
+		{name: "no answer", amendment: addService(4, 5), want: OrderResult{Unsure: true}, commands: 2},
 	} {
 		m := newDesk(nil)
 		founded(m)
@@ -79,15 +79,15 @@
 		if len(answers) != 1 || answers[0].Ticket != 7 {
 			t.Fatalf("%s: answers %+v", c.name, answers)
 		}
-		got := answers[0].Body.(Handed)
-		if got.OK != c.want.OK || got.Race != c.want.Race || got.Unsure != c.want.Unsure || got.Number != c.want.Number || (got.Faults == nil) != (c.want.Faults == nil) {
+		got := answers[0].Body.(OrderResult)
+		if got.Accepted != c.want.Accepted || got.RaceLost != c.want.RaceLost || got.Unsure != c.want.Unsure || got.Number != c.want.Number || (got.Faults == nil) != (c.want.Faults == nil) {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 		if len(cores.commands) != c.commands {
 			t.Errorf("%s: commands %+v", c.name, cores.commands)
 		}
-		if c.name == "taken" && m.Number() != 5 {
-			t.Errorf("the desk knows table %d", m.Number())
+		if c.name == "taken" && m.TableNumber() != 5 {
+			t.Errorf("the desk knows table %d", m.TableNumber())
 		}
 	}
 }
@@ -103,8 +103,8 @@
 	if len(answers) != 1 || len(cores.commands) != 1 {
 		t.Fatalf("answers %+v, commands %+v", answers, cores.commands)
 	}
-	got := answers[0].Body.(Handed)
-	if got.OK || got.Preview == nil || len(got.Preview.Services.Added) != 1 || got.Preview.Services.Added[0] != "new" {
+	got := answers[0].Body.(OrderResult)
+	if got.Accepted || got.Preview == nil || len(got.Preview.Services.Added) != 1 || got.Preview.Services.Added[0] != "new" {
 		t.Fatalf("%+v", got)
 	}
 }
--- a/peer/desk/current.go
+++ b/peer/desk/current.go
@@ -8,7 +8,7 @@
 
 // differencesKept is how many tables back a subscriber may be to be brought up to
 // date by differences.
-const differencesKept = 16
+const maxDifferences = 16
 
 // currentTable is the newest agreed table that a desk knows. A nil one is none.
 type currentTable struct {
@@ -29,21 +29,21 @@
 	return t.parsed.Number
 }
 
-func (t *currentTable) digestOf() string {
+func (t *currentTable) digestOrEmpty() string {
 	if t == nil {
 		return ""
 	}
 	return t.digest
 }
 
-func (t *currentTable) parsedOf() *route.Table {
+func (t *currentTable) parsedOrNil() *route.Table {
 	if t == nil {
 		return nil
 	}
 	return t.parsed
 }
 
-func (t *currentTable) whole() []byte {
+func (t *currentTable) encoded() []byte {
 	if t.text == nil {
 		t.text = t.parsed.JSONWithoutSource()
 	}
@@ -51,7 +51,7 @@
 }
 
 // from lists the differences that lead from a table to this one.
-func (t *currentTable) from(number uint64) []route.Difference {
+func (t *currentTable) differencesSince(number uint64) []route.Difference {
 	for i, d := range t.differences {
 		if d.BaseNumber == number {
 			return t.differences[i:]
@@ -61,7 +61,7 @@
 }
 
 // smaller reports whether differences carry less than the whole table.
-func (t *currentTable) smaller(differences []route.Difference) bool {
+func (t *currentTable) isSmaller(differences []route.Difference) bool {
 	items := 0
 	for _, d := range differences {
 		items += d.Size()
@@ -71,12 +71,12 @@
 
 // differencesFor lists what brings a subscriber up to date, or nothing where it is
 // better sent the whole table.
-func (m *Machine) differencesFor(f *subscriber) []route.Difference {
-	if !f.differs || f.table == 0 {
+func (m *Machine) differencesFor(s *subscriber) []route.Difference {
+	if !s.acceptsDifferences || s.table == 0 {
 		return nil
 	}
-	differences := m.table.from(f.table)
-	if len(differences) == 0 || !m.table.smaller(differences) {
+	differences := m.table.differencesSince(s.table)
+	if len(differences) == 0 || !m.table.isSmaller(differences) {
 		return nil
 	}
 	return differences
@@ -105,10 +105,10 @@
 	if m.table != nil {
 		difference := route.Compare(m.table.parsed, m.table.digest, table, digest)
 		next.differences = append(append(next.differences, m.table.differences...), difference)
-		if extra := len(next.differences) - differencesKept; extra > 0 {
+		if extra := len(next.differences) - maxDifferences; extra > 0 {
 			next.differences = next.differences[extra:]
 		}
 	}
 	m.table = next
-	m.tellAll(now)
+	m.notifyAll(now)
 }
--- a/peer/desk/current_test.go
+++ b/peer/desk/current_test.go
@@ -38,44 +38,44 @@
 	m := newDesk(nil)
 	founded(m)
 	agree(m, 0, 2)
-	told := func(o Output, to string) Bulletin {
+	told := func(o Output, to string) Update {
 		t.Helper()
-		list := sentTo[Bulletin](o, to)
+		list := sentTo[Update](o, to)
 		if len(list) != 1 {
 			t.Fatalf("%s was told %d times", to, len(list))
 		}
 		return list[0]
 	}
-	first := told(m.Receive(0, "n1:1", Follow{Node: "n1", Differs: true}), "n1:1")
+	first := told(m.Receive(0, "n1:1", Subscribe{Node: "n1", AcceptsDifferences: true}), "n1:1")
 	plain, faults := route.Parse(first.Table)
-	if faults != nil || plain.Number != 2 || plain.Source != "" || len(first.Differences) != 0 || first.Digest != "digest 2" {
+	if faults != nil || plain.Number != 2 || plain.Source != "" || len(first.Differences) != 0 || first.TableDigest != "digest 2" {
 		t.Fatalf("the first table: %v, %d bytes", faults, len(first.Table))
 	}
 	second := told(agree(m, 0, 4), "n1:1")
 	if second.Table != nil || len(second.Differences) != 1 || second.Differences[0].BaseNumber != 2 || second.Differences[0].Size() != 2 {
 		t.Fatalf("a change: %d bytes, %d differences", len(second.Table), len(second.Differences))
 	}
-	next, ok := second.Differences[0].Apply(plain, first.Digest)
+	next, ok := second.Differences[0].Apply(plain, first.TableDigest)
 	if !ok || next.Number != 4 || second.Differences[0].Digest != "digest 4" {
 		t.Fatal("the difference does not fit the table before it")
 	}
 	// It missed one, and says so.
 	agree(m, 0, 5)
-	if b := told(m.Receive(0, "n1:1", Follow{Node: "n1", Differs: true, Table: 4}), "n1:1"); len(b.Differences) != 1 || b.Differences[0].Number != 5 {
+	if b := told(m.Receive(0, "n1:1", Subscribe{Node: "n1", AcceptsDifferences: true, Table: 4}), "n1:1"); len(b.Differences) != 1 || b.Differences[0].Number != 5 {
 		t.Fatalf("told again: %+v", b)
 	}
-	for name, f := range map[string]Follow{"none": {Differs: true}, "unknown": {Differs: true, Table: 3}, "a former version's node": {Table: 4}} {
+	for name, f := range map[string]Subscribe{"none": {AcceptsDifferences: true}, "unknown": {AcceptsDifferences: true, Table: 3}, "a former version's node": {Table: 4}} {
 		if b := told(m.Receive(0, "n2:1", f), "n2:1"); b.Table == nil || b.Differences != nil {
 			t.Errorf("%s: %d bytes, %d differences", name, len(b.Table), len(b.Differences))
 		}
 	}
-	for number := uint64(6); number < 6+2*differencesKept; number++ {
+	for number := uint64(6); number < 6+2*maxDifferences; number++ {
 		agree(m, 0, number)
 	}
-	if got := len(m.table.differences); got != differencesKept {
+	if got := len(m.table.differences); got != maxDifferences {
 		t.Errorf("%d differences are kept", got)
 	}
-	if b := told(m.Receive(0, "n3:1", Follow{Node: "n3", Differs: true, Table: 4}), "n3:1"); b.Table == nil {
+	if b := told(m.Receive(0, "n3:1", Subscribe{Node: "n3", AcceptsDifferences: true, Table: 4}), "n3:1"); b.Table == nil {
 		t.Errorf("one that is far behind: %+v", b)
 	}
 }
@@ -89,7 +89,7 @@
 	again := message.Marshal(core.AgreedTable{Number: 2, Text: []byte("not a table"), Digest: "digest 2"})
 	at := partition.Version{Term: partition.Term{Round: 1, Leader: "c.1"}, Seq: 9}
 	m.Receive(0, "c:1", core.News{Part: core.ConfigurationPart, Upto: at, Entries: []partition.Entry{{Key: core.TableKey, Value: again, Version: at}}})
-	if m.Counters.BadMessages != 0 || m.Number() != 2 {
-		t.Errorf("%d texts were found bad, table %d", m.Counters.BadMessages, m.Number())
+	if m.Counters.BadMessages != 0 || m.TableNumber() != 2 {
+		t.Errorf("%d texts were found bad, table %d", m.Counters.BadMessages, m.TableNumber())
 	}
 }
--- a/peer/desk/cutoff_test.go
+++ b/peer/desk/cutoff_test.go
@@ -47,7 +47,7 @@
 		"order":         func(m *Machine, now time.Duration) Output { return m.Apply(now, 1, 0, table(3), "d") },
 		"read":          func(m *Machine, now time.Duration) Output { return m.Read(now, 1) },
 		"retire":        func(m *Machine, now time.Duration) Output { return m.Retire(now, 1, "c1") },
-		"retire status": func(m *Machine, now time.Duration) Output { return m.Retired(now, 1, "c1") },
+		"retire status": func(m *Machine, now time.Duration) Output { return m.RetirementStatus(now, 1, "c1") },
 	}
 	for name, call := range calls {
 		for _, after := range []time.Duration{0, time.Second, 20 * time.Second} {
@@ -64,21 +64,21 @@
 			allowed := 250 * time.Millisecond
 			if after == 0 {
 				// It can't know yet that it is cut off.
-				allowed += touchPulls * m.params.Core.Pull
+				allowed += maxUnconfirmedPulls * m.params.Core.Pull
 			}
 			if took > allowed {
 				t.Errorf("%s, %v after the cut: answered after %v", name, after, took)
 			}
 			switch b := body.(type) {
-			case Handed:
-				if !b.Unsure || b.OK || b.Race || b.Faults != nil {
+			case OrderResult:
+				if !b.Unsure || b.Accepted || b.RaceLost || b.Faults != nil {
 					t.Errorf("%s: %+v", name, b)
 				}
 			case core.AgreedTable:
 				if b.Number != 0 {
 					t.Errorf("%s: an old table: %+v", name, b)
 				}
-			case Emptied:
+			case RetirementStatus:
 				if !b.Unsure {
 					t.Errorf("%s: %+v", name, b)
 				}
@@ -105,8 +105,8 @@
 	if len(late.Answers) != 0 {
 		t.Errorf("answered twice: %+v", late.Answers)
 	}
-	if m.Number() != 3 {
-		t.Errorf("what the cores have agreed is not known: table %d", m.Number())
+	if m.TableNumber() != 3 {
+		t.Errorf("what the cores have agreed is not known: table %d", m.TableNumber())
 	}
 }
 
@@ -128,7 +128,7 @@
 	m := inTouchDesk(t, 0)
 	nodes := []string{"n1:1", "n2:1", "n3:1"}
 	for _, n := range nodes {
-		m.Receive(0, n, Follow{Node: n})
+		m.Receive(0, n, Subscribe{Node: n})
 	}
 	if m.Isolated(0) {
 		t.Error("isolated at once")
@@ -140,7 +140,7 @@
 	}
 	later := 20 * time.Second
 	for _, n := range nodes[:2] {
-		m.Receive(later, n, Follow{Node: n})
+		m.Receive(later, n, Subscribe{Node: n})
 	}
 	if m.Isolated(later) {
 		t.Error("isolated though most nodes hear it")
@@ -160,7 +160,7 @@
 // table is in force, and passes addresses on to who asks it.
 func TestRestartedDeskFindsItsFleetByWhatItWroteDown(t *testing.T) {
 	before := inTouchDesk(t, 0)
-	before.Receive(0, "d3:1", Follow{Node: "d3", Desk: true})
+	before.Receive(0, "d3:1", Subscribe{Node: "d3", IsDesk: true})
 	var written *Peers
 	for now := time.Duration(0); now < time.Second; now += 50 * time.Millisecond {
 		if o := before.Tick(now); o.Peers != nil {
@@ -173,15 +173,15 @@
 	if o := before.Tick(2 * time.Second); o.Peers != nil {
 		t.Error("the same addresses are written again")
 	}
-	m := newDesk(func(o *Options) { o.Life, o.Seeds, o.Peers = "l2", []string{"unreachable:1"}, written })
+	m := newDesk(func(o *Options) { o.Incarnation, o.Seeds, o.KnownPeers = "l2", []string{"unreachable:1"}, written })
 	o := m.Tick(0)
-	if len(sentTo[core.Pull](o, "c1:1")) != 1 || len(sentTo[Follow](o, "d3:1")) != 1 {
+	if len(sentTo[core.Pull](o, "c1:1")) != 1 || len(sentTo[Subscribe](o, "d3:1")) != 1 {
 		t.Errorf("neither cores nor desks are asked: %+v", o.Sends)
 	}
-	if m.Number() != 0 || m.Ready() || m.inTouch(0) {
+	if m.TableNumber() != 0 || m.Ready() || m.coresReachable(0) {
 		t.Error("something is believed of who leads or what is in force")
 	}
-	b := sentTo[Bulletin](m.Receive(0, "n1:1", Follow{Node: "n1"}), "n1:1")
+	b := sentTo[Update](m.Receive(0, "n1:1", Subscribe{Node: "n1"}), "n1:1")
 	if len(b) != 1 || b[0].Topology == nil || len(b[0].Topology.Cores) != 1 || len(b[0].Desks) < 2 {
 		t.Errorf("a node is told %+v", b)
 	}
--- a/peer/desk/departure_test.go
+++ b/peer/desk/departure_test.go
@@ -6,9 +6,9 @@
 )
 
 // heardBy lists the answers to a ticket.
-func heardBy(o Output, ticket uint64) (list []Heard) {
+func heardBy(o Output, ticket uint64) (list []Acknowledgment) {
 	for _, a := range o.Answers {
-		if h, ok := a.Body.(Heard); ok && a.Ticket == ticket {
+		if h, ok := a.Body.(Acknowledgment); ok && a.Ticket == ticket {
 			list = append(list, h)
 		}
 	}
@@ -19,45 +19,47 @@
 // others hold it, and else the replica is told in time to go elsewhere.
 func TestLeavingIsAcknowledgedOnceItOutlivesTheDesk(t *testing.T) {
 	const ticket = 7
-	desk := func(version uint64) Follow { return Follow{Node: "d2", Life: "l1", Version: version, Desk: true} }
-	node := func(version uint64) Follow { return Follow{Node: "n1", Life: "l1", Version: version} }
+	desk := func(version uint64) Subscribe {
+		return Subscribe{Node: "d2", Incarnation: "l1", Version: version, IsDesk: true}
+	}
+	node := func(version uint64) Subscribe { return Subscribe{Node: "n1", Incarnation: "l1", Version: version} }
 	for _, c := range []struct {
 		name string
 		// before is heard before the replica leaves, after afterwards.
-		before, after map[string]Follow
+		before, after map[string]Subscribe
 		seats         int
 		leaving       bool
 		atOnce, then  bool
 	}{
-		{name: "a heartbeat that says nothing of leaving", before: map[string]Follow{"d2:1": desk(0)}, atOnce: true},
+		{name: "a heartbeat that says nothing of leaving", before: map[string]Subscribe{"d2:1": desk(0)}, atOnce: true},
 		{name: "nobody else is there", leaving: true, atOnce: true},
-		{name: "another desk holds it", leaving: true, before: map[string]Follow{"d2:1": desk(1), "n1:1": node(1)}, after: map[string]Follow{"d2:1": desk(2)}, then: true},
-		{name: "only nodes hold it while another desk speaks", leaving: true, before: map[string]Follow{"d2:1": desk(1), "n1:1": node(1)}, after: map[string]Follow{"n1:1": node(2)}},
-		{name: "the other desk has what was before", leaving: true, before: map[string]Follow{"d2:1": desk(1)}, after: map[string]Follow{"d2:1": desk(1)}},
-		{name: "the other desk has another life's version", leaving: true, before: map[string]Follow{"d2:1": desk(1)}, after: map[string]Follow{"d2:1": {Node: "d2", Life: "l0", Version: 99, Desk: true}}},
-		{name: "all nodes hold it and no other desk speaks", leaving: true, before: map[string]Follow{"n1:1": node(1), "n2:1": node(1)}, after: map[string]Follow{"n1:1": node(2), "n2:1": node(2)}, then: true},
-		{name: "one node lacks it and no other desk speaks", leaving: true, before: map[string]Follow{"n1:1": node(1), "n2:1": node(1)}, after: map[string]Follow{"n1:1": node(2)}},
-		{name: "two losses are borne and one other desk holds it", seats: 5, leaving: true, before: map[string]Follow{"d2:1": desk(1), "d3:1": desk(1)}, after: map[string]Follow{"d2:1": desk(2)}},
-		{name: "two losses are borne and two other desks hold it", seats: 5, leaving: true, before: map[string]Follow{"d2:1": desk(1), "d3:1": desk(1)}, after: map[string]Follow{"d2:1": desk(2), "d3:1": desk(2)}, then: true},
+		{name: "another desk holds it", leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "n1:1": node(1)}, after: map[string]Subscribe{"d2:1": desk(2)}, then: true},
+		{name: "only nodes hold it while another desk speaks", leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "n1:1": node(1)}, after: map[string]Subscribe{"n1:1": node(2)}},
+		{name: "the other desk has what was before", leaving: true, before: map[string]Subscribe{"d2:1": desk(1)}, after: map[string]Subscribe{"d2:1": desk(1)}},
+		{name: "the other desk has another life's version", leaving: true, before: map[string]Subscribe{"d2:1": desk(1)}, after: map[string]Subscribe{"d2:1": {Node: "d2", Incarnation: "l0", Version: 99, IsDesk: true}}},
+		{name: "all nodes hold it and no other desk speaks", leaving: true, before: map[string]Subscribe{"n1:1": node(1), "n2:1": node(1)}, after: map[string]Subscribe{"n1:1": node(2), "n2:1": node(2)}, then: true},
+		{name: "one node lacks it and no other desk speaks", leaving: true, before: map[string]Subscribe{"n1:1": node(1), "n2:1": node(1)}, after: map[string]Subscribe{"n1:1": node(2)}},
+		{name: "two losses are borne and one other desk holds it", seats: 5, leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "d3:1": desk(1)}, after: map[string]Subscribe{"d2:1": desk(2)}},
+		{name: "two losses are borne and two other desks hold it", seats: 5, leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "d3:1": desk(1)}, after: map[string]Subscribe{"d2:1": desk(2), "d3:1": desk(2)}, then: true},
 	} {
 		m := inTouchDesk(t, 0)
-		m.params.Seats = max(c.seats, 3)
-		m.Beat(0, 0, replica(1, false))
+		m.params.GroupSize = max(c.seats, 3)
+		m.Heartbeat(0, 0, replica(1, false))
 		for from, f := range c.before {
 			m.Receive(0, from, f)
 		}
-		if got := heardBy(m.Beat(time.Millisecond, ticket, replica(2, c.leaving)), ticket); (len(got) == 1 && got[0].Reached) != c.atOnce {
+		if got := heardBy(m.Heartbeat(time.Millisecond, ticket, replica(2, c.leaving)), ticket); (len(got) == 1 && got[0].Accepted) != c.atOnce {
 			t.Errorf("%s: %+v at once", c.name, got)
 		}
-		var got []Heard
+		var got []Acknowledgment
 		for from, f := range c.after {
 			got = append(got, heardBy(m.Receive(2*time.Millisecond, from, f), ticket)...)
 		}
-		if (len(got) == 1 && got[0].Reached) != c.then {
+		if (len(got) == 1 && got[0].Accepted) != c.then {
 			t.Errorf("%s: %+v then", c.name, got)
 		}
 		late := heardBy(m.Tick(beat*3/4), ticket)
-		if wanted := !c.atOnce && !c.then; wanted != (len(late) == 1 && !late[0].Reached) {
+		if wanted := !c.atOnce && !c.then; wanted != (len(late) == 1 && !late[0].Accepted) {
 			t.Errorf("%s: %+v in the end", c.name, late)
 		}
 	}
@@ -66,11 +68,11 @@
 // TestDeskConfirmsLeavingAtOnce: a desk that is told who leaves says at once that it has
 // it, as a replica waits for that.
 func TestDeskConfirmsLeavingAtOnce(t *testing.T) {
-	first, second := newDesk(nil), newDesk(func(o *Options) { o.ID, o.Address, o.Life = "d2", "d2:1", "l2" })
-	first.Receive(0, "d2:1", Follow{Node: "d2", Desk: true})
-	for _, b := range sentTo[Bulletin](first.Beat(time.Millisecond, 1, replica(1, true)), "d2:1") {
-		for _, f := range sentTo[Follow](second.Receive(2*time.Millisecond, "d1:1", b), "d1:1") {
-			if got := heardBy(first.Receive(3*time.Millisecond, "d2:1", f), 1); len(got) == 1 && got[0].Reached {
+	first, second := newDesk(nil), newDesk(func(o *Options) { o.ID, o.Address, o.Incarnation = "d2", "d2:1", "l2" })
+	first.Receive(0, "d2:1", Subscribe{Node: "d2", IsDesk: true})
+	for _, b := range sentTo[Update](first.Heartbeat(time.Millisecond, 1, replica(1, true)), "d2:1") {
+		for _, f := range sentTo[Subscribe](second.Receive(2*time.Millisecond, "d1:1", b), "d1:1") {
+			if got := heardBy(first.Receive(3*time.Millisecond, "d2:1", f), 1); len(got) == 1 && got[0].Accepted {
 				return
 			}
 		}
@@ -83,14 +85,14 @@
 func TestNodesConfirmLeavingToALoneDesk(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		m := newDesk(nil)
-		m.Receive(0, "n1:1", Follow{Node: "n1"})
+		m.Receive(0, "n1:1", Subscribe{Node: "n1"})
 		if !alone {
-			m.Receive(0, "d2:1", Follow{Node: "d2", Desk: true})
+			m.Receive(0, "d2:1", Subscribe{Node: "d2", IsDesk: true})
 		}
-		if b := sentTo[Bulletin](m.Beat(1, 0, replica(1, false)), "n1:1"); len(b) != 1 || b[0].Confirm {
+		if b := sentTo[Update](m.Heartbeat(1, 0, replica(1, false)), "n1:1"); len(b) != 1 || b[0].RenewNow {
 			t.Errorf("alone %v: a replica that comes: %+v", alone, b)
 		}
-		if b := sentTo[Bulletin](m.Beat(2, 0, replica(2, true)), "n1:1"); len(b) != 1 || b[0].Confirm != alone {
+		if b := sentTo[Update](m.Heartbeat(2, 0, replica(2, true)), "n1:1"); len(b) != 1 || b[0].RenewNow != alone {
 			t.Errorf("alone %v: a replica that leaves: %+v", alone, b)
 		}
 	}
@@ -112,17 +114,17 @@
 		m := inTouchDesk(t, 0)
 		began := time.Second
 		m.Tick(began)
-		m.Receive(began, "d2:1", Follow{Node: "d2", Life: "l1", Version: 0, Desk: true})
+		m.Receive(began, "d2:1", Subscribe{Node: "d2", Incarnation: "l1", Version: 0, IsDesk: true})
 		if c.inTouch {
 			confirm(m, began)
 		}
-		m.Beat(began, 1, replica(1, true))
+		m.Heartbeat(began, 1, replica(1, true))
 		took := time.Duration(0)
 		for now := began; took == 0 && now < began+2*beat; now += 10 * time.Millisecond {
 			if c.inTouch {
 				confirm(m, now)
 			}
-			if got := heardBy(m.Tick(now), 1); len(got) == 1 && !got[0].Reached {
+			if got := heardBy(m.Tick(now), 1); len(got) == 1 && !got[0].Accepted {
 				took = now - began
 			}
 		}
--- a/peer/desk/handler.go
+++ b/peer/desk/handler.go
@@ -15,14 +15,14 @@
 )
 
 // Calls are what replicas and operators can ask of a desk.
-type Calls interface {
-	Beat(ctx context.Context, r Replica) error
+type API interface {
+	Heartbeat(ctx context.Context, r Replica) error
 	Leave(ctx context.Context, id string) error
-	Apply(ctx context.Context, base uint64, text []byte, digest string) (Handed, error)
-	Amend(ctx context.Context, a Amendment) (Handed, error)
+	Apply(ctx context.Context, base uint64, text []byte, digest string) (OrderResult, error)
+	Amend(ctx context.Context, a Amendment) (OrderResult, error)
 	Read(ctx context.Context) (core.AgreedTable, error)
-	Retire(ctx context.Context, id string) (Emptied, error)
-	Retired(ctx context.Context, id string) (Emptied, error)
+	Retire(ctx context.Context, id string) (RetirementStatus, error)
+	RetirementStatus(ctx context.Context, id string) (RetirementStatus, error)
 	Counters(ctx context.Context) (map[string]int64, error)
 }
 
@@ -39,117 +39,117 @@
 
 // readOrder reads an operator's order and what it builds on. It answers the call where
 // that fails.
-func readOrder(w http.ResponseWriter, r *http.Request, most int64, what string) (base uint64, text []byte, ok bool) {
+func readOrder(w http.ResponseWriter, r *http.Request, maxBody int64, kind string) (base uint64, text []byte, ok bool) {
 	base, err := strconv.ParseUint(r.URL.Query().Get("base"), 10, 64)
-	text, more := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
-	if err != nil || more != nil {
-		operator.Write(w, 400, operator.Fault{Code: "malformed", Reason: "base must be the number of the table in force, and the body a whole " + what, Ran: "no"})
+	text, bodyErr := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	if err != nil || bodyErr != nil {
+		operator.WriteJSON(w, 400, operator.ErrorResponse{Code: "malformed", Reason: "base must be the number of the table in force, and the body a whole " + kind, Executed: "no"})
 		return 0, nil, false
 	}
 	return base, text, true
 }
 
 // tellHanded answers an operator's order.
-func tellHanded(w http.ResponseWriter, h Handed, err error) {
+func writeOrderResult(w http.ResponseWriter, h OrderResult, err error) {
 	switch {
 	case err != nil || h.Unsure:
-		operator.Write(w, 503, operator.Fault{Code: "unsure", Reason: "hand the same order over again to find out", Ran: "maybe"})
+		operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: "hand the same order over again to find out", Executed: "maybe"})
 	case h.Faults != nil:
-		operator.Write(w, 400, h)
-	case h.Race:
-		operator.Write(w, 409, h)
+		operator.WriteJSON(w, 400, h)
+	case h.RaceLost:
+		operator.WriteJSON(w, 409, h)
 	default:
-		operator.Write(w, 200, h)
+		operator.WriteJSON(w, 200, h)
 	}
 }
 
 // amend takes an amendment in the product's own words.
-func amend(calls Calls, w http.ResponseWriter, r *http.Request, most int64) {
-	base, text, ok := readOrder(w, r, most, "amendment")
+func handleAmendment(api API, w http.ResponseWriter, r *http.Request, maxBody int64) {
+	base, text, ok := readOrder(w, r, maxBody, "amendment")
 	if !ok {
 		return
 	}
 	a, faults := route.ParseAmendment(text)
 	if faults != nil {
-		operator.Write(w, 400, Handed{Faults: faults})
+		operator.WriteJSON(w, 400, OrderResult{Faults: faults})
 		return
 	}
 	isPreview := r.URL.Query().Get("preview") == "true"
-	h, err := calls.Amend(r.Context(), Amendment{Base: base, Number: a.Number, Digest: AmendmentDigest(text), Join: JoinTable(a), PreviewOnly: isPreview})
-	tellHanded(w, h, err)
+	h, err := api.Amend(r.Context(), Amendment{Base: base, Number: a.Number, Digest: AmendmentDigest(text), Apply: ApplyAmendment(a), PreviewOnly: isPreview})
+	writeOrderResult(w, h, err)
 }
 
 // Surface is the product's own handler of a desk's calls.
-func Surface(operators, replicas string, most int64) func(calls Calls) http.Handler {
-	return func(calls Calls) http.Handler {
+func Handler(operatorKey, replicaKey string, maxBody int64) func(api API) http.Handler {
+	return func(api API) http.Handler {
 		mux := http.NewServeMux()
 		guarded := http.NewServeMux()
-		mux.Handle("/v1/replicas/", operator.Guard(replicas, announcements(calls)))
-		mux.Handle("/", operator.Guard(operators, guarded))
+		mux.Handle("/v1/replicas/", operator.RequireKey(replicaKey, replicaHandler(api)))
+		mux.Handle("/", operator.RequireKey(operatorKey, guarded))
 		guarded.HandleFunc("PUT /v1/table", func(w http.ResponseWriter, r *http.Request) {
-			base, text, ok := readOrder(w, r, most, "table")
+			base, text, ok := readOrder(w, r, maxBody, "table")
 			if !ok {
 				return
 			}
-			h, err := calls.Apply(r.Context(), base, text, Digest(text))
-			tellHanded(w, h, err)
+			h, err := api.Apply(r.Context(), base, text, Digest(text))
+			writeOrderResult(w, h, err)
 		})
-		guarded.HandleFunc("PATCH /v1/table", func(w http.ResponseWriter, r *http.Request) { amend(calls, w, r, most) })
+		guarded.HandleFunc("PATCH /v1/table", func(w http.ResponseWriter, r *http.Request) { handleAmendment(api, w, r, maxBody) })
 		guarded.HandleFunc("GET /v1/table", func(w http.ResponseWriter, r *http.Request) {
-			t, err := calls.Read(r.Context())
+			t, err := api.Read(r.Context())
 			if err != nil || t.Number == 0 {
-				operator.Write(w, 503, operator.Fault{Code: "unsure", Reason: "no table is known", Ran: "no"})
+				operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: "no table is known", Executed: "no"})
 				return
 			}
 			w.Header().Set("Content-Type", "application/json")
 			w.Write(t.Text)
 		})
-		retiring := func(ask func(ctx context.Context, id string) (Emptied, error)) http.HandlerFunc {
+		retiring := func(call func(ctx context.Context, id string) (RetirementStatus, error)) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) {
-				e, err := ask(r.Context(), r.PathValue("id"))
+				e, err := call(r.Context(), r.PathValue("id"))
 				switch {
 				case err != nil || e.Unsure:
-					operator.Write(w, 503, operator.Fault{Code: "unsure", Reason: "the cores did not answer", Ran: "maybe"})
+					operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: "the cores did not answer", Executed: "maybe"})
 				case !e.Known:
-					operator.Write(w, 404, operator.Fault{Code: "unknown_core", Reason: "no core has this name", Ran: "no"})
+					operator.WriteJSON(w, 404, operator.ErrorResponse{Code: "unknown_core", Reason: "no core has this name", Executed: "no"})
 				default:
-					operator.Write(w, 200, e)
+					operator.WriteJSON(w, 200, e)
 				}
 			}
 		}
-		guarded.HandleFunc("POST /v1/cores/{id}/retire", retiring(calls.Retire))
-		guarded.HandleFunc("GET /v1/cores/{id}/retire", retiring(calls.Retired))
+		guarded.HandleFunc("POST /v1/cores/{id}/retire", retiring(api.Retire))
+		guarded.HandleFunc("GET /v1/cores/{id}/retire", retiring(api.RetirementStatus))
 		guarded.HandleFunc("GET /counters", func(w http.ResponseWriter, r *http.Request) {
-			counts, err := calls.Counters(r.Context())
+			counts, err := api.Counters(r.Context())
 			if err != nil {
-				operator.Write(w, 503, operator.Fault{Code: "unsure", Reason: err.Error(), Ran: "no"})
+				operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 				return
 			}
-			operator.Write(w, 200, counts)
+			operator.WriteJSON(w, 200, counts)
 		})
 		return mux
 	}
 }
 
-func announcements(calls Calls) http.Handler {
+func replicaHandler(api API) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /v1/replicas/{id}", func(w http.ResponseWriter, r *http.Request) {
-		var one Replica
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&one); err != nil || one.Service == "" || one.Address == "" {
-			operator.Write(w, 400, operator.Fault{Code: "malformed", Reason: "a replica with its service and address", Ran: "no"})
+		var replica Replica
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&replica); err != nil || replica.Service == "" || replica.Address == "" {
+			operator.WriteJSON(w, 400, operator.ErrorResponse{Code: "malformed", Reason: "a replica with its service and address", Executed: "no"})
 			return
 		}
-		one.ID = r.PathValue("id")
-		told(w, calls.Beat(r.Context(), one))
+		replica.ID = r.PathValue("id")
+		writeAck(w, api.Heartbeat(r.Context(), replica))
 	})
-	mux.HandleFunc("DELETE /v1/replicas/{id}", func(w http.ResponseWriter, r *http.Request) { told(w, calls.Leave(r.Context(), r.PathValue("id"))) })
+	mux.HandleFunc("DELETE /v1/replicas/{id}", func(w http.ResponseWriter, r *http.Request) { writeAck(w, api.Leave(r.Context(), r.PathValue("id"))) })
 	return mux
 }
 
-func told(w http.ResponseWriter, err error) {
+func writeAck(w http.ResponseWriter, err error) {
 	if err != nil {
-		operator.Write(w, 503, operator.Fault{Code: "unsure", Reason: err.Error(), Ran: "maybe"})
+		operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
 		return
 	}
-	operator.Write(w, 200, map[string]bool{"heard": true})
+	operator.WriteJSON(w, 200, map[string]bool{"heard": true})
 }
--- a/peer/desk/machine.go
+++ b/peer/desk/machine.go
@@ -10,40 +10,40 @@
 
 // Options make a machine.
 type Options struct {
-	Params  Params
-	ID      string
-	Life    string
-	Address string
-	Seeds   []string
+	Params      Params
+	ID          string
+	Incarnation string
+	Address     string
+	Seeds       []string
 	// Founds is set at the one desk that founds a fleet which was never founded.
-	Founds bool
+	FoundsFleet bool
 	// Known is the list that an earlier life of this desk kept. It saves nodes
 	// the wait for the next beats, and is believed only that long.
-	Known []Listed
+	KnownReplicas []ReplicaEntry
 	// Peers are the addresses that it kept.
-	Peers  *Peers
-	Now    time.Duration
-	Random func() float64
+	KnownPeers *Peers
+	Now        time.Duration
+	Random     func() float64
 }
 
 // Machine is one desk.
 type Machine struct {
 	Counters Counters
 
-	params      Params
-	id, life    string
-	address     string
-	seeds       []string
-	founds      bool
-	random      func() float64
-	out         *Output
-	caller      *core.Caller
-	version     uint64
-	list        map[string]*listed
-	subscribers map[string]*subscriber
-	desks       map[string]time.Duration
+	params              Params
+	deskID, incarnation string
+	address             string
+	seeds               []string
+	foundsFleet         bool
+	random              func() float64
+	out                 *Output
+	caller              *core.Caller
+	version             uint64
+	replicas            map[string]*trackedReplica
+	subscribers         map[string]*subscriber
+	desks               map[string]time.Duration
 	// otherDesks is what this desk has heard of the others, by address.
-	otherDesks      map[string]deskHeard
+	deskCursors     map[string]deskCursor
 	topology        core.Topology
 	topologyVersion uint64
 	foundingCores   map[string]core.Core
@@ -51,15 +51,15 @@
 	startedAt       time.Duration
 	table           *currentTable
 	pulledUpTo      partition.Version
-	confirmed       time.Duration
-	fresh           core.Fresh
+	lastConfirmed   time.Duration
+	lastFresh       core.Fresh
 	pullAt          time.Duration
-	followAt        time.Duration
+	subscribeAt     time.Duration
 	sweepAt         time.Duration
-	foundAt         time.Duration
+	sendFoundingAt  time.Duration
 	founding        *core.Founding
-	reach
-	loads    loads
+	reachability
+	loads    loadState
 	tickedAt time.Duration
 	// saved are the addresses that were written down last.
 	saved savedPeers
@@ -67,33 +67,33 @@
 
 // New makes a desk.
 func New(o Options) *Machine {
-	m := &Machine{params: o.Params, id: o.ID, life: o.Life, address: o.Address, seeds: o.Seeds, founds: o.Founds, random: o.Random,
-		otherDesks: map[string]deskHeard{}, list: map[string]*listed{}, subscribers: map[string]*subscriber{}, reach: reach{pending: map[uint64]pendingCall{}}, desks: map[string]time.Duration{o.Address: o.Now},
-		loads: loads{nodes: map[string]nodeLoad{}, records: map[string]*replicaRecord{}}, foundingCores: map[string]core.Core{}, startedAt: o.Now, confirmed: -1}
+	m := &Machine{params: o.Params, deskID: o.ID, incarnation: o.Incarnation, address: o.Address, seeds: o.Seeds, foundsFleet: o.FoundsFleet, random: o.Random,
+		deskCursors: map[string]deskCursor{}, replicas: map[string]*trackedReplica{}, subscribers: map[string]*subscriber{}, reachability: reachability{pending: map[uint64]pendingCall{}}, desks: map[string]time.Duration{o.Address: o.Now},
+		loads: loadState{reports: map[string]nodeReport{}, histories: map[string]*replicaHistory{}}, foundingCores: map[string]core.Core{}, startedAt: o.Now, lastConfirmed: -1}
 	m.topology.Cores = map[string]core.Core{}
-	for _, l := range o.Known {
+	for _, l := range o.KnownReplicas {
 		m.version++
 		l.Version = m.version
-		m.list[l.Replica.ID] = &listed{Listed: l, heard: o.Now - (lost-2)*o.Params.Beat}
+		m.replicas[l.Replica.ID] = &trackedReplica{ReplicaEntry: l, lastHeard: o.Now - (missedHeartbeats-2)*o.Params.HeartbeatInterval}
 	}
-	if o.Peers != nil {
-		m.recall(*o.Peers)
+	if o.KnownPeers != nil {
+		m.restorePeers(*o.KnownPeers)
 	}
 	m.caller = &core.Caller{Retry: o.Params.Core.Retry, Random: o.Random,
-		Send:   func(to string, body any) { m.send(to, body) },
+		Send:   func(to string, body any) { m.addSend(to, body) },
 		Parts:  func() int { return len(m.topology.Owners) },
 		Anyone: m.coreAddresses,
-		Others: m.others}
+		Others: m.relays}
 	return m
 }
 
-func (m *Machine) send(to string, body any) {
+func (m *Machine) addSend(to string, body any) {
 	if to != "" && to != m.address {
 		m.out.Sends = append(m.out.Sends, Send{To: to, Body: body})
 	}
 }
 
-func (m *Machine) answer(ticket uint64, body any) {
+func (m *Machine) addAnswer(ticket uint64, body any) {
 	m.out.Answers = append(m.out.Answers, Answer{Ticket: ticket, Body: body})
 }
 
@@ -102,21 +102,21 @@
 	m.out = &Output{}
 	m.Counters.Messages++
 	switch b := body.(type) {
-	case Follow:
-		m.onFollow(now, from, b)
-	case Bulletin:
-		m.onBulletin(now, from, b)
+	case Subscribe:
+		m.onSubscribe(now, from, b)
+	case Update:
+		m.onUpdate(now, from, b)
 	case LoadReport:
 		m.onLoadReport(now, from, b)
 	case core.Present:
 		m.onPresent(now, from, b)
 	case core.Topology:
-		m.adopt(now, b)
+		m.mergeTopology(now, b)
 	case core.News:
-		m.onNews(now, b)
+		m.onTableSnapshot(now, b)
 	case core.Fresh:
-		m.fresh = b
-		m.confirm(now)
+		m.lastFresh = b
+		m.updateConfirmation(now)
 	case core.CommandReturn:
 		m.caller.Receive(now, from, b)
 	default:
@@ -130,12 +130,12 @@
 	m.out = &Output{}
 	m.tickedAt = now
 	m.caller.Tick(now)
-	m.giveUpCalls(now)
+	m.expireCalls(now)
 	m.answerDepartures(now)
-	m.listenForEcho(now)
-	m.tellLoads(now)
-	if now >= m.followAt {
-		m.followAt = now + m.params.Core.Pull*2
+	m.probeReachability(now)
+	m.sendLoads(now)
+	if now >= m.subscribeAt {
+		m.subscribeAt = now + m.params.Core.Pull*2
 		targets := ordered.Keys(m.desks)
 		for _, seed := range m.seeds {
 			if _, ok := m.desks[seed]; !ok {
@@ -143,7 +143,7 @@
 			}
 		}
 		for _, to := range targets {
-			m.follow(to)
+			m.subscribeTo(to)
 		}
 	}
 	if now >= m.pullAt {
@@ -151,51 +151,51 @@
 		m.pull(now)
 	}
 	if now >= m.sweepAt {
-		m.sweepAt = now + m.params.Beat/4
-		m.sweep(now)
-		m.forgetRecords()
+		m.sweepAt = now + m.params.HeartbeatInterval/4
+		m.expireReplicas(now)
+		m.dropUnlistedRecords()
 	}
-	m.found(now)
+	m.sendFounding(now)
 	m.savePeers()
 	return *m.out
 }
 
 // lost is after how many beats without a word a replica is taken off the list.
-const lost = 4
+const missedHeartbeats = 4
 
-func (m *Machine) sweep(now time.Duration) {
-	for _, id := range ordered.Keys(m.list) {
-		l := m.list[id]
+func (m *Machine) expireReplicas(now time.Duration) {
+	for _, id := range ordered.Keys(m.replicas) {
+		l := m.replicas[id]
 		switch {
-		case !l.Gone && now > l.heard+lost*m.params.Beat:
+		case !l.Gone && now > l.lastHeard+missedHeartbeats*m.params.HeartbeatInterval:
 			l.Gone = true
-			m.change(now, l)
-		case l.Gone && now > l.heard+20*lost*m.params.Beat:
-			delete(m.list, id)
+			m.recordChange(now, l)
+		case l.Gone && now > l.lastHeard+20*missedHeartbeats*m.params.HeartbeatInterval:
+			delete(m.replicas, id)
 		}
 	}
-	for address, f := range m.subscribers {
-		if now > f.heard+nodeMemory*m.params.Beat {
+	for address, s := range m.subscribers {
+		if now > s.lastHeard+nodeRetention*m.params.HeartbeatInterval {
 			delete(m.subscribers, address)
 		}
 	}
 	for address, heard := range m.desks {
-		if address != m.address && now > heard+10*lost*m.params.Beat {
+		if address != m.address && now > heard+10*missedHeartbeats*m.params.HeartbeatInterval {
 			delete(m.desks, address)
-			delete(m.otherDesks, address)
+			delete(m.deskCursors, address)
 		}
 	}
 }
 
 // Number is the newest table that this desk knows to be agreed.
-func (m *Machine) Number() uint64 { return m.table.number() }
+func (m *Machine) TableNumber() uint64 { return m.table.number() }
 
 // Ready reports whether this desk has a table and cores to ask.
 func (m *Machine) Ready() bool { return len(m.topology.Owners) > 0 }
 
 // Status is what this desk counts and holds.
 func (m *Machine) Status(now time.Duration) map[string]int64 {
-	return map[string]int64{"messages": m.Counters.Messages, "beats": m.Counters.Beats, "bulletins": m.Counters.Bulletins, "changes": m.Counters.Changes,
-		"tables_applied": m.Counters.Applied, "tables_refused": m.Counters.Refused, "bad_messages": m.Counters.BadMessages,
-		"replicas": int64(len(m.list)), "followers": int64(len(m.subscribers)), "desks": int64(len(m.desks)), "table": int64(m.table.number()), "cores": int64(len(m.topology.Cores))}
+	return map[string]int64{"messages": m.Counters.Messages, "beats": m.Counters.Heartbeats, "bulletins": m.Counters.Updates, "changes": m.Counters.Changes,
+		"tables_applied": m.Counters.TablesApplied, "tables_refused": m.Counters.TablesRefused, "bad_messages": m.Counters.BadMessages,
+		"replicas": int64(len(m.replicas)), "followers": int64(len(m.subscribers)), "desks": int64(len(m.desks)), "table": int64(m.table.number()), "cores": int64(len(m.topology.Cores))}
 }
--- a/peer/desk/machine_test.go
+++ b/peer/desk/machine_test.go
@@ -15,8 +15,8 @@
 const beat = time.Second
 
 func newDesk(change func(o *Options)) *Machine {
-	o := Options{ID: "d1", Life: "l1", Address: "d1:1", Seeds: []string{"d1:1", "d2:1"}, Random: func() float64 { return 0.5 },
-		Params: Params{Core: core.Params{MemberTerm: time.Second, Retry: 100 * time.Millisecond, Pull: 100 * time.Millisecond}, Beat: beat, Seats: 3, PartsPerCore: 2, Within: time.Second}}
+	o := Options{ID: "d1", Incarnation: "l1", Address: "d1:1", Seeds: []string{"d1:1", "d2:1"}, Random: func() float64 { return 0.5 },
+		Params: Params{Core: core.Params{MemberTerm: time.Second, Retry: 100 * time.Millisecond, Pull: 100 * time.Millisecond}, HeartbeatInterval: beat, GroupSize: 3, PartitionsPerCore: 2, OperationTimeout: time.Second}}
 	if change != nil {
 		change(&o)
 	}
@@ -35,29 +35,29 @@
 }
 
 func replica(call int64, leaving bool) Replica {
-	return Replica{ID: "r1", Service: "app", Address: "r1:1", Slots: 4, Call: call, Leaving: leaving}
+	return Replica{ID: "r1", Service: "app", Address: "r1:1", Slots: 4, Sequence: call, Leaving: leaving}
 }
 
 // TestNewsIsToldAtOnce to every node that follows, and told again until it says
 // that it has it.
 func TestNewsIsToldAtOnce(t *testing.T) {
 	m := newDesk(nil)
-	first := sentTo[Bulletin](m.Receive(0, "n1:1", Follow{Node: "n1"}), "n1:1")
+	first := sentTo[Update](m.Receive(0, "n1:1", Subscribe{Node: "n1"}), "n1:1")
 	if len(first) != 1 {
 		t.Fatalf("%d bulletins for a follower", len(first))
 	}
-	o := m.Beat(time.Millisecond, 0, replica(1, false))
-	if b := sentTo[Bulletin](o, "n1:1"); len(b) != 1 || len(b[0].List) != 1 || len(o.Changes) != 1 {
-		t.Fatalf("%+v, changes %+v", b, o.Changes)
+	o := m.Heartbeat(time.Millisecond, 0, replica(1, false))
+	if b := sentTo[Update](o, "n1:1"); len(b) != 1 || len(b[0].Replicas) != 1 || len(o.ChangedReplicas) != 1 {
+		t.Fatalf("%+v, changes %+v", b, o.ChangedReplicas)
 	}
-	if o := m.Beat(2*time.Millisecond, 0, replica(2, false)); len(o.Sends)+len(o.Changes) != 0 {
+	if o := m.Heartbeat(2*time.Millisecond, 0, replica(2, false)); len(o.Sends)+len(o.ChangedReplicas) != 0 {
 		t.Fatalf("a beat that says nothing new is told: %+v", o)
 	}
-	if b := sentTo[Bulletin](m.Beat(3*time.Millisecond, 0, replica(3, true)), "n1:1"); len(b) != 1 || !b[0].List[0].Replica.Leaving {
+	if b := sentTo[Update](m.Heartbeat(3*time.Millisecond, 0, replica(3, true)), "n1:1"); len(b) != 1 || !b[0].Replicas[0].Replica.Leaving {
 		t.Fatalf("leaving: %+v", b)
 	}
 	// The bulletins were lost: the node says what it has.
-	if b := sentTo[Bulletin](m.Receive(4*time.Millisecond, "n1:1", Follow{Node: "n1", Life: first[0].Life, Version: first[0].Version}), "n1:1"); len(b) != 1 || len(b[0].List) != 1 {
+	if b := sentTo[Update](m.Receive(4*time.Millisecond, "n1:1", Subscribe{Node: "n1", Incarnation: first[0].Incarnation, Version: first[0].Version}), "n1:1"); len(b) != 1 || len(b[0].Replicas) != 1 {
 		t.Fatalf("after a loss: %+v", b)
 	}
 }
@@ -65,14 +65,14 @@
 // TestLeavingIsNeverTakenBack, not by a late call, and whoever left stays gone.
 func TestLeavingIsNeverTakenBack(t *testing.T) {
 	m := newDesk(nil)
-	m.Beat(0, 0, replica(5, true))
-	m.Beat(1, 0, replica(4, false))
-	m.Beat(2, 0, replica(6, false))
+	m.Heartbeat(0, 0, replica(5, true))
+	m.Heartbeat(1, 0, replica(4, false))
+	m.Heartbeat(2, 0, replica(6, false))
 	if l := m.List(); !l[0].Replica.Leaving {
 		t.Fatalf("%+v", l)
 	}
 	m.Leave(3, 0, "r1")
-	m.Beat(4, 0, replica(7, false))
+	m.Heartbeat(4, 0, replica(7, false))
 	if l := m.List(); !l[0].Gone || !l[0].Final {
 		t.Fatalf("%+v", l)
 	}
@@ -81,7 +81,7 @@
 // TestSilentReplicaIsTakenOffAndComesBack with a newer call.
 func TestSilentReplicaIsTakenOffAndComesBack(t *testing.T) {
 	m := newDesk(nil)
-	m.Beat(0, 0, replica(1, false))
+	m.Heartbeat(0, 0, replica(1, false))
 	m.Tick(3 * beat)
 	if m.List()[0].Gone {
 		t.Fatal("gone after three beats")
@@ -90,11 +90,11 @@
 	if l := m.List()[0]; !l.Gone || l.Final {
 		t.Fatalf("after five beats: %+v", l)
 	}
-	m.Beat(6*beat, 0, replica(1, false))
+	m.Heartbeat(6*beat, 0, replica(1, false))
 	if !m.List()[0].Gone {
 		t.Fatal("an old call brought it back")
 	}
-	m.Beat(6*beat, 0, replica(2, false))
+	m.Heartbeat(6*beat, 0, replica(2, false))
 	if m.List()[0].Gone {
 		t.Fatal("it does not come back")
 	}
@@ -102,7 +102,7 @@
 
 // TestKeptListIsBelievedForTwoBeats after a restart.
 func TestKeptListIsBelievedForTwoBeats(t *testing.T) {
-	m := newDesk(func(o *Options) { o.Known, o.Now = []Listed{{Replica: replica(1, false)}}, 100*beat })
+	m := newDesk(func(o *Options) { o.KnownReplicas, o.Now = []ReplicaEntry{{Replica: replica(1, false)}}, 100*beat })
 	m.Tick(101 * beat)
 	if m.List()[0].Gone {
 		t.Fatal("not believed for a beat")
@@ -121,7 +121,7 @@
 			m.Receive(now, id+":1", core.Present{Core: core.Core{ID: id, Incarnation: "i", Zone: id, Peer: id + ":1"}, Cold: true})
 		}
 	}
-	m := newDesk(func(o *Options) { o.Founds = true })
+	m := newDesk(func(o *Options) { o.FoundsFleet = true })
 	present(m, 0, "a", "b")
 	if o := m.Tick(5 * beat); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
 		t.Fatal("founded with two of three")
@@ -166,21 +166,21 @@
 		name   string
 		text   []byte
 		answer any
-		want   Handed
+		want   OrderResult
 		told   bool
 	}{
-		{"faulty", []byte(`{"number":1,"routes":[{"host":"h","prefix":"nowhere","mode":"once","timeout_ms":1}]}`), nil, Handed{}, false},
-		{"taken", table(3), core.TableAgreed{OK: true, Number: 3}, Handed{OK: true, Number: 3}, true},
-		{"another in force", table(3), core.TableAgreed{Number: 2}, Handed{Race: true, Number: 2}, false},
-		{"no answer", table(3), nil, Handed{Unsure: true}, false},
+		{"faulty", []byte(`{"number":1,"routes":[{"host":"h","prefix":"nowhere","mode":"once","timeout_ms":1}]}`), nil, OrderResult{}, false},
+		{"taken", table(3), core.TableAgreed{OK: true, Number: 3}, OrderResult{Accepted: true, Number: 3}, true},
+		{"another in force", table(3), core.TableAgreed{Number: 2}, OrderResult{RaceLost: true, Number: 2}, false},
+		{"no answer", table(3), nil, OrderResult{Unsure: true}, false},
 	} {
 		m := newDesk(nil)
 		founded(m)
-		m.Receive(0, "n1:1", Follow{Node: "n1"})
+		m.Receive(0, "n1:1", Subscribe{Node: "n1"})
 		o := m.Apply(time.Millisecond, 7, 1, c.text, "digest")
 		commands := sentTo[core.Command](o, "c:1")
 		if c.name == "faulty" {
-			if len(commands) != 0 || len(o.Answers) != 1 || o.Answers[0].Body.(Handed).Faults == nil {
+			if len(commands) != 0 || len(o.Answers) != 1 || o.Answers[0].Body.(OrderResult).Faults == nil {
 				t.Errorf("%s: %+v", c.name, o)
 			}
 			continue
@@ -196,11 +196,11 @@
 		if len(o.Answers) != 1 {
 			t.Fatalf("%s: %+v", c.name, o)
 		}
-		got := o.Answers[0].Body.(Handed)
-		if got.OK != c.want.OK || got.Race != c.want.Race || got.Unsure != c.want.Unsure || got.Number != c.want.Number {
+		got := o.Answers[0].Body.(OrderResult)
+		if got.Accepted != c.want.Accepted || got.RaceLost != c.want.RaceLost || got.Unsure != c.want.Unsure || got.Number != c.want.Number {
 			t.Errorf("%s: %+v", c.name, got)
 		}
-		if b := sentTo[Bulletin](o, "n1:1"); (len(b) == 1 && len(b[0].Table) > 0) != c.told {
+		if b := sentTo[Update](o, "n1:1"); (len(b) == 1 && len(b[0].Table) > 0) != c.told {
 			t.Errorf("%s: told %+v", c.name, b)
 		}
 	}
@@ -224,7 +224,7 @@
 		retired := topology.Cores["c"]
 		retired.Retired, retired.Version = true, 2
 		m.Receive(0, "x:1", core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": retired, "x": {ID: "x", Incarnation: "1", Peer: "x:1", Version: 1}}, Owners: []partition.Term{{Round: 2, Leader: "x.1"}, {Round: 2, Leader: "x.1"}}})
-		o := m.Retired(time.Millisecond, 9, "c")
+		o := m.RetirementStatus(time.Millisecond, 9, "c")
 		answers := o.Answers
 		for i, command := range sentTo[core.Command](o, "x:1") {
 			if i < len(c.seats) {
@@ -234,7 +234,7 @@
 		if len(answers) == 0 {
 			answers = m.Tick(3 * time.Second).Answers
 		}
-		if len(answers) != 1 || answers[0].Body.(Emptied).Done != c.done {
+		if len(answers) != 1 || answers[0].Body.(RetirementStatus).Done != c.done {
 			t.Errorf("%s: %+v", c.name, answers)
 		}
 	}
@@ -244,48 +244,48 @@
 // is told once, and again only to a desk that lost it.
 func TestDesksTellEachOtherWhoLeaves(t *testing.T) {
 	for name, leave := range map[string]func(m *Machine) Output{
-		"leaving": func(m *Machine) Output { return m.Beat(time.Second, 0, replica(2, true)) },
+		"leaving": func(m *Machine) Output { return m.Heartbeat(time.Second, 0, replica(2, true)) },
 		"gone":    func(m *Machine) Output { return m.Leave(time.Second, 0, "r1") },
 	} {
-		first, second := newDesk(nil), newDesk(func(o *Options) { o.ID, o.Address, o.Life = "d2", "d2:1", "l2" })
+		first, second := newDesk(nil), newDesk(func(o *Options) { o.ID, o.Address, o.Incarnation = "d2", "d2:1", "l2" })
 		follow := func(now time.Duration) Output {
-			first.followAt, second.followAt = now, now
-			for _, f := range sentTo[Follow](second.Tick(now), "d1:1") {
+			first.subscribeAt, second.subscribeAt = now, now
+			for _, f := range sentTo[Subscribe](second.Tick(now), "d1:1") {
 				return first.Receive(now, "d2:1", f)
 			}
 			t.Fatalf("%s: the second desk does not follow the first", name)
 			return Output{}
 		}
 		// The second desk has heard of the replica, and a node follows it.
-		second.Beat(0, 0, replica(1, false))
-		second.Receive(0, "n1:1", Follow{Node: "n1"})
-		first.Beat(0, 0, replica(1, false))
-		for _, b := range sentTo[Bulletin](follow(0), "d2:1") {
-			if len(b.List) != 0 {
-				t.Fatalf("%s: a desk is told of replicas that stay: %+v", name, b.List)
+		second.Heartbeat(0, 0, replica(1, false))
+		second.Receive(0, "n1:1", Subscribe{Node: "n1"})
+		first.Heartbeat(0, 0, replica(1, false))
+		for _, b := range sentTo[Update](follow(0), "d2:1") {
+			if len(b.Replicas) != 0 {
+				t.Fatalf("%s: a desk is told of replicas that stay: %+v", name, b.Replicas)
 			}
 			second.Receive(0, "d1:1", b)
 		}
-		told := sentTo[Bulletin](leave(first), "d2:1")
-		if len(told) != 1 || len(told[0].List) != 1 {
+		told := sentTo[Update](leave(first), "d2:1")
+		if len(told) != 1 || len(told[0].Replicas) != 1 {
 			t.Fatalf("%s: the other desk is told %+v", name, told)
 		}
 		o := second.Receive(time.Second, "d1:1", told[0])
-		if len(o.Changes) != 1 {
-			t.Errorf("%s: the other desk writes down %+v", name, o.Changes)
+		if len(o.ChangedReplicas) != 1 {
+			t.Errorf("%s: the other desk writes down %+v", name, o.ChangedReplicas)
 		}
-		passed := sentTo[Bulletin](o, "n1:1")
-		if len(passed) != 1 || len(passed[0].List) != 1 || !passed[0].List[0].Replica.Leaving && !passed[0].List[0].Final {
+		passed := sentTo[Update](o, "n1:1")
+		if len(passed) != 1 || len(passed[0].Replicas) != 1 || !passed[0].Replicas[0].Replica.Leaving && !passed[0].Replicas[0].Final {
 			t.Errorf("%s: the other desk's node is told %+v", name, passed)
 		}
 		// A late word of the replica brings it back nowhere.
-		second.Beat(2*time.Second, 0, replica(1, false))
-		if l := second.list["r1"]; !l.Replica.Leaving && !l.Final {
-			t.Errorf("%s: the other desk has %+v after a late word", name, l.Listed)
+		second.Heartbeat(2*time.Second, 0, replica(1, false))
+		if l := second.replicas["r1"]; !l.Replica.Leaving && !l.Final {
+			t.Errorf("%s: the other desk has %+v after a late word", name, l.ReplicaEntry)
 		}
-		for _, b := range sentTo[Bulletin](follow(3*time.Second), "d2:1") {
-			if len(b.List) != 0 {
-				t.Errorf("%s: told again: %+v", name, b.List)
+		for _, b := range sentTo[Update](follow(3*time.Second), "d2:1") {
+			if len(b.Replicas) != 0 {
+				t.Errorf("%s: told again: %+v", name, b.Replicas)
 			}
 		}
 	}
--- a/peer/desk/peers.go
+++ b/peer/desk/peers.go
@@ -34,7 +34,7 @@
 
 // recall takes over the addresses that an earlier life wrote down. They say where
 // to ask, and nothing of who leads or which table is in force.
-func (m *Machine) recall(known Peers) {
+func (m *Machine) restorePeers(known Peers) {
 	m.topology.Fleet, m.topology.Size = known.Fleet, known.Size
 	for id, c := range known.Cores {
 		m.topology.Cores[id] = c
--- a/peer/desk/reach_test.go
+++ b/peer/desk/reach_test.go
@@ -15,10 +15,10 @@
 		isolated := time.Duration(0)
 		for now := time.Duration(0); now < 20*time.Second; now += 50 * time.Millisecond {
 			m.Tick(now)
-			if now%(m.params.Beat/2) == 0 {
+			if now%(m.params.HeartbeatInterval/2) == 0 {
 				for address, version := range nodes {
-					o := m.Receive(now, address, Follow{Node: address, Life: m.life, Version: version})
-					for _, b := range sentTo[Bulletin](o, address) {
+					o := m.Receive(now, address, Subscribe{Node: address, Incarnation: m.incarnation, Version: version})
+					for _, b := range sentTo[Update](o, address) {
 						if heard {
 							nodes[address] = b.Version
 						}
@@ -32,7 +32,7 @@
 		switch {
 		case heard && isolated > 0:
 			t.Errorf("isolated at %v though all nodes hear it", isolated)
-		case !heard && (isolated == 0 || isolated > 4*m.params.Beat):
+		case !heard && (isolated == 0 || isolated > 4*m.params.HeartbeatInterval):
 			t.Errorf("nobody hears it, and it is isolated at %v", isolated)
 		}
 	}
--- a/peer/desk/replicas.go
+++ b/peer/desk/replicas.go
@@ -6,98 +6,98 @@
 	"saffronfall/rule/ordered"
 )
 
-type listed struct {
-	Listed
-	heard time.Duration
+type trackedReplica struct {
+	ReplicaEntry
+	lastHeard time.Duration
 }
 
 // Beat takes what a replica says of itself. What is new is told at once. The ticket is
 // answered with Heard; zero: nobody waits.
-func (m *Machine) Beat(now time.Duration, ticket uint64, r Replica) Output {
+func (m *Machine) Heartbeat(now time.Duration, ticket uint64, r Replica) Output {
 	m.out = &Output{}
-	m.Counters.Beats++
-	m.acknowledge(now, ticket, m.takeBeat(now, r))
+	m.Counters.Heartbeats++
+	m.acknowledge(now, ticket, m.applyHeartbeat(now, r))
 	return *m.out
 }
 
 // takeBeat takes a heartbeat into the list, unless a later word was heard.
-func (m *Machine) takeBeat(now time.Duration, r Replica) *listed {
-	old, ok := m.list[r.ID]
-	if ok && r.Call < old.Replica.Call {
-		return old
+func (m *Machine) applyHeartbeat(now time.Duration, r Replica) *trackedReplica {
+	entry, ok := m.replicas[r.ID]
+	if ok && r.Sequence < entry.Replica.Sequence {
+		return entry
 	}
-	if ok && (old.Final || old.Gone && r.Call <= old.Replica.Call) {
-		return old
+	if ok && (entry.Final || entry.Gone && r.Sequence <= entry.Replica.Sequence) {
+		return entry
 	}
 	if !ok {
-		old = &listed{}
-		m.list[r.ID] = old
+		entry = &trackedReplica{}
+		m.replicas[r.ID] = entry
 	}
-	old.heard = now
-	before := old.Replica
-	if before.Leaving {
+	entry.lastHeard = now
+	previous := entry.Replica
+	if previous.Leaving {
 		r.Leaving = true
 	}
-	changed := !ok || old.Gone || before.Leaving != r.Leaving || before.Address != r.Address || before.Service != r.Service || before.Slots != r.Slots
-	old.Replica, old.Gone = r, false
+	changed := !ok || entry.Gone || previous.Leaving != r.Leaving || previous.Address != r.Address || previous.Service != r.Service || previous.Slots != r.Slots
+	entry.Replica, entry.Gone = r, false
 	if changed {
-		m.change(now, old)
+		m.recordChange(now, entry)
 	}
-	return old
+	return entry
 }
 
 // Leave takes a replica off the list. The ticket is answered as by Beat.
 func (m *Machine) Leave(now time.Duration, ticket uint64, id string) Output {
 	m.out = &Output{}
-	old, ok := m.list[id]
+	entry, ok := m.replicas[id]
 	if !ok {
-		old = &listed{Listed: Listed{Replica: Replica{ID: id}}}
-		m.list[id] = old
+		entry = &trackedReplica{ReplicaEntry: ReplicaEntry{Replica: Replica{ID: id}}}
+		m.replicas[id] = entry
 	}
-	old.heard = now
-	if !old.Final {
-		old.Gone, old.Final = true, true
-		m.change(now, old)
+	entry.lastHeard = now
+	if !entry.Final {
+		entry.Gone, entry.Final = true, true
+		m.recordChange(now, entry)
 	}
-	m.acknowledge(now, ticket, old)
+	m.acknowledge(now, ticket, entry)
 	return *m.out
 }
 
 // departed reports whether a replica said that it leaves, or that it has left. It
 // never comes back under its id.
-func (l *listed) departed() bool { return l.Replica.Leaving || l.Final }
+func (l *trackedReplica) isDeparting() bool { return l.Replica.Leaving || l.Final }
 
 // depart notes that another desk heard that a replica leaves, or has left.
-func (m *Machine) depart(now time.Duration, l Listed) {
-	old, known := m.list[l.Replica.ID]
+func (m *Machine) applyDeparture(now time.Duration, reported ReplicaEntry) {
+	entry, known := m.replicas[reported.Replica.ID]
 	switch {
-	case !l.Replica.Leaving && !l.Final, known && old.Final, known && old.Replica.Leaving && !l.Final:
+	case !reported.Replica.Leaving && !reported.Final, known && entry.Final, known && entry.Replica.Leaving && !reported.Final:
 		return
 	case !known:
-		old = &listed{Listed: l}
-		m.list[l.Replica.ID] = old
+		entry = &trackedReplica{ReplicaEntry: reported}
+		m.replicas[reported.Replica.ID] = entry
 	}
-	old.heard = now
-	old.Replica.Leaving = old.Replica.Leaving || l.Replica.Leaving
-	if l.Final {
-		old.Gone, old.Final = true, true
+	entry.lastHeard = now
+	entry.Replica.Leaving = entry.Replica.Leaving || reported.Replica.Leaving
+	if reported.Final {
+		entry.Gone, entry.Final = true, true
 	}
-	m.change(now, old)
+	m.recordChange(now, entry)
 }
 
-func (m *Machine) change(now time.Duration, l *listed) {
+func (m *Machine) recordChange(now time.Duration, entry *trackedReplica) {
 	m.Counters.Changes++
 	m.version++
-	l.Version = m.version
-	m.out.Changes = append(m.out.Changes, l.Listed)
-	m.tellAll(now)
+	entry.Version = m.version
+	m.out.ChangedReplicas = append(m.out.ChangedReplicas, entry.ReplicaEntry)
+	m.notifyAll(now)
 }
 
 // List is the whole list.
-func (m *Machine) List() []Listed {
-	var list []Listed
-	for _, id := range ordered.Keys(m.list) {
-		list = append(list, m.list[id].Listed)
+func (m *Machine) List() []ReplicaEntry {
+	var list []ReplicaEntry
+	for _, id := range ordered.Keys(m.replicas) {
+		list = append(list, m.replicas[id].ReplicaEntry)
 	}
 	return list
 }
--- a/peer/desk/retire.go
+++ b/peer/desk/retire.go
@@ -8,7 +8,7 @@
 )
 
 // Emptied tells how far the emptying of a core is.
-type Emptied struct {
+type RetirementStatus struct {
 	// Unsure: the cores gave no answer.
 	Unsure bool `json:"unsure"`
 	Known  bool `json:"known"`
@@ -19,33 +19,33 @@
 // Retire asks for a core to be emptied; it gets no seats any more.
 func (m *Machine) Retire(now time.Duration, ticket uint64, id string) Output {
 	m.out = &Output{}
-	m.await(now, ticket, Emptied{Unsure: true})
-	m.caller.Call(now, core.RetireCore{ID: id}, now+m.params.Within, func(now time.Duration, o core.Outcome) {
-		r, ok := o.Answer.(core.Retiring)
-		m.settle(ticket, Emptied{Unsure: !ok, Known: r.Known, Enough: r.Enough})
+	m.addPending(now, ticket, RetirementStatus{Unsure: true})
+	m.caller.Call(now, core.RetireCore{ID: id}, now+m.params.OperationTimeout, func(now time.Duration, o core.Outcome) {
+		retiring, ok := o.Answer.(core.Retiring)
+		m.resolve(ticket, RetirementStatus{Unsure: !ok, Known: retiring.Known, Enough: retiring.Enough})
 	})
 	return *m.out
 }
 
 // Retired asks every part whether a core still has a seat there.
-func (m *Machine) Retired(now time.Duration, ticket uint64, id string) Output {
+func (m *Machine) RetirementStatus(now time.Duration, ticket uint64, id string) Output {
 	m.out = &Output{}
-	waiting, unsure, held := len(m.topology.Owners), false, false
-	if waiting == 0 {
-		m.answer(ticket, Emptied{Unsure: true})
+	remaining, unsure, hasMember := len(m.topology.Owners), false, false
+	if remaining == 0 {
+		m.addAnswer(ticket, RetirementStatus{Unsure: true})
 		return *m.out
 	}
-	m.await(now, ticket, Emptied{Unsure: true})
+	m.addPending(now, ticket, RetirementStatus{Unsure: true})
 	for n := range m.topology.Owners {
-		m.caller.Call(now, core.ReadSeats{Part: n}, now+m.params.Within, func(now time.Duration, o core.Outcome) {
-			seats, ok := o.Answer.(core.Seats)
+		m.caller.Call(now, core.ReadSeats{Part: n}, now+m.params.OperationTimeout, func(now time.Duration, o core.Outcome) {
+			members, ok := o.Answer.(core.Seats)
 			unsure = unsure || !ok
-			for _, seat := range append(slices.Clone(seats.Seats), seats.Former...) {
-				held = held || core.SeatID(seat) == id
+			for _, member := range append(slices.Clone(members.Seats), members.Former...) {
+				hasMember = hasMember || core.SeatID(member) == id
 			}
-			if waiting--; waiting == 0 {
+			if remaining--; remaining == 0 {
 				known, ok := m.topology.Cores[id]
-				m.settle(ticket, Emptied{Unsure: unsure, Known: ok, Done: !unsure && !held && known.Retired})
+				m.resolve(ticket, RetirementStatus{Unsure: unsure, Known: ok, Done: !unsure && !hasMember && known.Retired})
 			}
 		})
 	}
--- a/peer/desk/subscribers.go
+++ b/peer/desk/subscribers.go
@@ -7,74 +7,74 @@
 )
 
 type subscriber struct {
-	life            string
-	version         uint64
-	table           uint64
-	differs         bool
-	topologyVersion uint64
-	heard           time.Duration
-	desk            bool
+	incarnation        string
+	version            uint64
+	table              uint64
+	acceptsDifferences bool
+	topologyVersion    uint64
+	lastHeard          time.Duration
+	isDesk             bool
 	// has is the version that it said it has of this life of the desk.
-	has uint64
+	confirmedVersion uint64
 }
 
 // listens reports whether a subscriber was heard of lately.
-func (m *Machine) listens(now time.Duration, f *subscriber) bool {
-	return now <= f.heard+lost*m.params.Beat
+func (m *Machine) isSubscribed(now time.Duration, s *subscriber) bool {
+	return now <= s.lastHeard+missedHeartbeats*m.params.HeartbeatInterval
 }
 
 // speaks reports whether a subscriber was heard within a heartbeat.
-func (f *subscriber) speaks(now, beat time.Duration) bool { return now <= f.heard+beat }
+func (s *subscriber) isActive(now, beat time.Duration) bool { return now <= s.lastHeard+beat }
 
-func (m *Machine) tellAll(now time.Duration) {
+func (m *Machine) notifyAll(now time.Duration) {
 	for _, address := range ordered.Keys(m.subscribers) {
-		if f := m.subscribers[address]; m.listens(now, f) {
-			m.tell(now, address, f, false)
+		if s := m.subscribers[address]; m.isSubscribed(now, s) {
+			m.sendUpdate(now, address, s, false)
 		}
 	}
 }
 
 // tell sends a follower what it lacks. What was sent counts as had until the
 // follower says otherwise in its next word.
-func (m *Machine) tell(now time.Duration, to string, f *subscriber, always bool) {
-	b := Bulletin{Life: m.life, Since: f.version, Version: m.version, Number: m.table.number(), Digest: m.table.digestOf(), Confirmed: -1, Nodes: m.nodes(now)}
-	if m.confirmed >= 0 {
-		b.Confirmed = now - m.confirmed
-	}
-	if f.life != m.life {
-		b.Since = 0
-	}
-	for _, id := range ordered.Keys(m.list) {
-		if l := m.list[id]; l.Version > b.Since && (!f.desk || l.departed()) {
-			b.List = append(b.List, l.Listed)
-			b.Confirm = b.Confirm || l.departed()
+func (m *Machine) sendUpdate(now time.Duration, to string, s *subscriber, always bool) {
+	update := Update{Incarnation: m.incarnation, Since: s.version, Version: m.version, TableNumber: m.table.number(), TableDigest: m.table.digestOrEmpty(), ConfirmationAge: -1, NodeCount: m.nodeCount(now)}
+	if m.lastConfirmed >= 0 {
+		update.ConfirmationAge = now - m.lastConfirmed
+	}
+	if s.incarnation != m.incarnation {
+		update.Since = 0
+	}
+	for _, id := range ordered.Keys(m.replicas) {
+		if l := m.replicas[id]; l.Version > update.Since && (!s.isDesk || l.isDeparting()) {
+			update.Replicas = append(update.Replicas, l.ReplicaEntry)
+			update.RenewNow = update.RenewNow || l.isDeparting()
 		}
 	}
-	if f.table < m.table.number() {
-		b.Differences = m.differencesFor(f)
-		if b.Differences == nil {
-			b.Table = m.table.whole()
+	if s.table < m.table.number() {
+		update.Differences = m.differencesFor(s)
+		if update.Differences == nil {
+			update.Table = m.table.encoded()
 		}
 	}
-	if f.topologyVersion != m.topologyVersion {
+	if s.topologyVersion != m.topologyVersion {
 		t := m.topology
-		b.Topology = &t
-		b.Desks = ordered.Keys(m.desks)
+		update.Topology = &t
+		update.Desks = ordered.Keys(m.desks)
 	}
-	if !always && len(b.List) == 0 && b.Table == nil && b.Differences == nil && b.Topology == nil {
+	if !always && len(update.Replicas) == 0 && update.Table == nil && update.Differences == nil && update.Topology == nil {
 		return
 	}
-	b.Confirm = b.Confirm && !f.desk && m.speakingDesks(now) == 0
-	f.life, f.version, f.table, f.topologyVersion = m.life, m.version, max(f.table, m.table.number()), m.topologyVersion
-	m.Counters.Bulletins++
-	m.send(to, b)
+	update.RenewNow = update.RenewNow && !s.isDesk && m.activeDesks(now) == 0
+	s.incarnation, s.version, s.table, s.topologyVersion = m.incarnation, m.version, max(s.table, m.table.number()), m.topologyVersion
+	m.Counters.Updates++
+	m.addSend(to, update)
 }
 
 // speakingDesks counts the other desks that were heard within a heartbeat.
-func (m *Machine) speakingDesks(now time.Duration) int {
+func (m *Machine) activeDesks(now time.Duration) int {
 	n := 0
-	for _, f := range m.subscribers {
-		if f.desk && f.speaks(now, m.params.Beat) {
+	for _, s := range m.subscribers {
+		if s.isDesk && s.isActive(now, m.params.HeartbeatInterval) {
 			n++
 		}
 	}
@@ -82,69 +82,69 @@
 }
 
 // nodes counts the nodes that listen.
-func (m *Machine) nodes(now time.Duration) int {
+func (m *Machine) nodeCount(now time.Duration) int {
 	n := 0
-	for _, f := range m.subscribers {
-		if !f.desk && m.listens(now, f) {
+	for _, s := range m.subscribers {
+		if !s.isDesk && m.isSubscribed(now, s) {
 			n++
 		}
 	}
 	return n
 }
 
-func (m *Machine) onFollow(now time.Duration, from string, b Follow) {
-	f := m.subscribers[from]
-	if f == nil {
-		f = &subscriber{}
-		m.subscribers[from] = f
-	}
-	f.heard, f.desk = now, b.Desk
-	f.life, f.version, f.table, f.differs = b.Life, b.Version, b.Table, b.Differs
-	f.has = b.Version
-	if b.Life != m.life {
-		f.topologyVersion, f.has = 0, 0
-	}
-	if b.Desk {
+func (m *Machine) onSubscribe(now time.Duration, from string, request Subscribe) {
+	s := m.subscribers[from]
+	if s == nil {
+		s = &subscriber{}
+		m.subscribers[from] = s
+	}
+	s.lastHeard, s.isDesk = now, request.IsDesk
+	s.incarnation, s.version, s.table, s.acceptsDifferences = request.Incarnation, request.Version, request.Table, request.AcceptsDifferences
+	s.confirmedVersion = request.Version
+	if request.Incarnation != m.incarnation {
+		s.topologyVersion, s.confirmedVersion = 0, 0
+	}
+	if request.IsDesk {
 		m.learnDesk(now, from)
 	}
-	if b.Table > m.table.number() {
+	if request.Table > m.table.number() {
 		// The follower knows a newer one: the cores are asked at once.
 		m.pullAt = now
 	}
-	m.tell(now, from, f, true)
+	m.sendUpdate(now, from, s, true)
 	m.answerDepartures(now)
 }
 
 // deskHeard is up to where this desk has heard another one's life.
-type deskHeard struct {
-	life    string
-	version uint64
+type deskCursor struct {
+	incarnation string
+	version     uint64
 }
 
 // learnDeparted takes who leaves or has left from another desk: what a desk has
 // acknowledged must outlive it.
-func (m *Machine) learnDeparted(now time.Duration, from string, b Bulletin) {
-	other := m.otherDesks[from]
-	if other.life != b.Life {
-		other = deskHeard{life: b.Life}
-	}
-	if b.Since <= other.version {
-		for _, l := range b.List {
-			m.depart(now, l)
+func (m *Machine) applyDepartures(now time.Duration, from string, update Update) {
+	cursor := m.deskCursors[from]
+	if cursor.incarnation != update.Incarnation {
+		cursor = deskCursor{incarnation: update.Incarnation}
+	}
+	if update.Since <= cursor.version {
+		for _, l := range update.Replicas {
+			m.applyDeparture(now, l)
 		}
-		other.version = max(other.version, b.Version)
+		cursor.version = max(cursor.version, update.Version)
 	}
-	m.otherDesks[from] = other
-	if len(b.List) > 0 {
+	m.deskCursors[from] = cursor
+	if len(update.Replicas) > 0 {
 		// A replica waits for the word that its leaving is known here.
-		m.follow(from)
+		m.subscribeTo(from)
 	}
 }
 
 // follow asks another desk for what is new, and tells up to where it was heard.
-func (m *Machine) follow(to string) {
-	other := m.otherDesks[to]
-	m.send(to, Follow{Node: m.id, Table: m.table.number(), Differs: true, Desk: true, Life: other.life, Version: other.version})
+func (m *Machine) subscribeTo(to string) {
+	cursor := m.deskCursors[to]
+	m.addSend(to, Subscribe{Node: m.deskID, Table: m.table.number(), AcceptsDifferences: true, IsDesk: true, Incarnation: cursor.incarnation, Version: cursor.version})
 }
 
 func (m *Machine) learnDesk(now time.Duration, address string) {
@@ -154,23 +154,23 @@
 	m.desks[address] = now
 }
 
-func (m *Machine) onBulletin(now time.Duration, from string, b Bulletin) {
+func (m *Machine) onUpdate(now time.Duration, from string, update Update) {
 	m.learnDesk(now, from)
-	m.learnDeparted(now, from, b)
-	if b.Topology != nil {
-		m.adopt(now, *b.Topology)
+	m.applyDepartures(now, from, update)
+	if update.Topology != nil {
+		m.mergeTopology(now, *update.Topology)
 	}
-	for _, address := range b.Desks {
+	for _, address := range update.Desks {
 		if _, ok := m.desks[address]; !ok {
 			m.learnDesk(now, address)
-			m.followAt = now
+			m.subscribeAt = now
 		}
 	}
-	if b.Table != nil {
-		m.installText(now, b.Number, b.Digest, b.Table)
+	if update.Table != nil {
+		m.installText(now, update.TableNumber, update.TableDigest, update.Table)
 	}
-	for _, difference := range b.Differences {
-		if next, ok := difference.Apply(m.table.parsedOf(), m.table.digestOf()); ok {
+	for _, difference := range update.Differences {
+		if next, ok := difference.Apply(m.table.parsedOrNil(), m.table.digestOrEmpty()); ok {
 			m.install(now, next, difference.Digest)
 		}
 	}
--- a/peer/desk/table.go
+++ b/peer/desk/table.go
@@ -12,20 +12,20 @@
 )
 
 // confirm notes as of when this desk has missed no table.
-func (m *Machine) confirm(now time.Duration) {
-	if m.fresh.Upto == (partition.Version{}) || m.pulledUpTo.Less(m.fresh.Upto) {
+func (m *Machine) updateConfirmation(now time.Duration) {
+	if m.lastFresh.Upto == (partition.Version{}) || m.pulledUpTo.Less(m.lastFresh.Upto) {
 		return
 	}
-	first := m.confirmed < 0
-	m.confirmed = max(m.confirmed, m.fresh.Sent-m.fresh.Age)
+	first := m.lastConfirmed < 0
+	m.lastConfirmed = max(m.lastConfirmed, m.lastFresh.Sent-m.lastFresh.Age)
 	if first {
 		for _, address := range ordered.Keys(m.subscribers) {
-			m.tell(now, address, m.subscribers[address], true)
+			m.sendUpdate(now, address, m.subscribers[address], true)
 		}
 	}
 }
 
-func (m *Machine) onNews(now time.Duration, b core.News) {
+func (m *Machine) onTableSnapshot(now time.Duration, b core.News) {
 	if b.Part != core.ConfigurationPart || !m.pulledUpTo.Less(b.Upto) || (!b.Whole && m.pulledUpTo.Less(b.After)) {
 		return
 	}
@@ -45,32 +45,32 @@
 			}
 		}
 	}
-	m.adopt(now, t)
-	m.confirm(now)
+	m.mergeTopology(now, t)
+	m.updateConfirmation(now)
 }
 
 func (m *Machine) pull(now time.Duration) {
-	ask := core.Pull{Versions: map[int]partition.Version{core.ConfigurationPart: m.pulledUpTo}, Fresh: true, Sent: now, Want: len(m.topology.Owners) == 0 || m.random() < 0.2}
-	if to := m.caller.HintOf(core.ConfigurationPart); to != "" && m.confirmed >= 0 && now-m.confirmed < 3*m.params.Core.Pull {
-		m.send(to, ask)
+	request := core.Pull{Versions: map[int]partition.Version{core.ConfigurationPart: m.pulledUpTo}, Fresh: true, Sent: now, Want: len(m.topology.Owners) == 0 || m.random() < 0.2}
+	if to := m.caller.HintOf(core.ConfigurationPart); to != "" && m.lastConfirmed >= 0 && now-m.lastConfirmed < 3*m.params.Core.Pull {
+		m.addSend(to, request)
 		return
 	}
-	ask.Want = true
+	request.Want = true
 	for _, to := range m.coreAddresses() {
-		m.send(to, ask)
+		m.addSend(to, request)
 	}
 }
 
 // Handed is what became of a table that was handed over.
-type Handed struct {
+type OrderResult struct {
 	// OK: agreed, and durable. Unsure: nobody knows yet; the same may be handed
 	// over again.
-	OK     bool `json:"taken"`
-	Unsure bool `json:"unsure"`
+	Accepted bool `json:"taken"`
+	Unsure   bool `json:"unsure"`
 	// Race: another is in force than it was based on.
-	Race   bool                 `json:"race_lost"`
-	Number uint64               `json:"number"`
-	Faults configuration.Faults `json:"faults,omitempty"`
+	RaceLost bool                 `json:"race_lost"`
+	Number   uint64               `json:"number"`
+	Faults   configuration.Faults `json:"faults,omitempty"`
 	// Preview is what an amendment would change, where only that was asked.
 	Preview *route.Preview `json:"preview,omitempty"`
 }
@@ -80,30 +80,30 @@
 	m.out = &Output{}
 	parsed, faults := route.Parse(text)
 	if faults != nil {
-		m.Counters.Refused++
-		m.answer(ticket, Handed{Faults: faults})
+		m.Counters.TablesRefused++
+		m.addAnswer(ticket, OrderResult{Faults: faults})
 		return *m.out
 	}
-	m.await(now, ticket, Handed{Unsure: true})
-	m.agree(now, ticket, core.AgreeTable{Base: base, Number: parsed.Number, Text: text, Digest: digest}, parsed, now+m.params.Within)
+	m.addPending(now, ticket, OrderResult{Unsure: true})
+	m.proposeTable(now, ticket, core.AgreeTable{Base: base, Number: parsed.Number, Text: text, Digest: digest}, parsed, now+m.params.OperationTimeout)
 	return *m.out
 }
 
 // agree has a checked table agreed by the cores, and answers the call that brought it.
-func (m *Machine) agree(now time.Duration, ticket uint64, c core.AgreeTable, parsed *route.Table, until time.Duration) {
-	m.caller.Call(now, c, until, func(now time.Duration, o core.Outcome) {
+func (m *Machine) proposeTable(now time.Duration, ticket uint64, c core.AgreeTable, parsed *route.Table, deadline time.Duration) {
+	m.caller.Call(now, c, deadline, func(now time.Duration, o core.Outcome) {
 		agreed, ok := o.Answer.(core.TableAgreed)
 		switch {
 		case !ok:
-			m.settle(ticket, Handed{Unsure: true})
+			m.resolve(ticket, OrderResult{Unsure: true})
 		case agreed.OK:
-			m.Counters.Applied++
+			m.Counters.TablesApplied++
 			m.install(now, parsed, c.Digest)
-			m.settle(ticket, Handed{OK: true, Number: agreed.Number})
+			m.resolve(ticket, OrderResult{Accepted: true, Number: agreed.Number})
 		case parsed.Number <= agreed.Number && c.Base == agreed.Number:
-			m.settle(ticket, Handed{Number: agreed.Number, Faults: configuration.Faults{{Path: "number", Value: parsed.Number, Allowed: "above the one in force"}}})
+			m.resolve(ticket, OrderResult{Number: agreed.Number, Faults: configuration.Faults{{Path: "number", Value: parsed.Number, Allowed: "above the one in force"}}})
 		default:
-			m.settle(ticket, Handed{Race: true, Number: agreed.Number})
+			m.resolve(ticket, OrderResult{RaceLost: true, Number: agreed.Number})
 		}
 	})
 }
@@ -111,10 +111,10 @@
 // Read reads the table in force from the cores: what they answer is the newest.
 func (m *Machine) Read(now time.Duration, ticket uint64) Output {
 	m.out = &Output{}
-	m.await(now, ticket, core.AgreedTable{})
-	m.caller.Call(now, core.ReadTable{}, now+m.params.Within, func(now time.Duration, o core.Outcome) {
+	m.addPending(now, ticket, core.AgreedTable{})
+	m.caller.Call(now, core.ReadTable{}, now+m.params.OperationTimeout, func(now time.Duration, o core.Outcome) {
 		t, _ := o.Answer.(core.AgreedTable)
-		m.settle(ticket, t)
+		m.resolve(ticket, t)
 	})
 	return *m.out
 }
--- a/peer/desk/topology.go
+++ b/peer/desk/topology.go
@@ -25,10 +25,10 @@
 }
 
 // others are nodes and desks that may pass a command on when cores stay silent.
-func (m *Machine) others() []string {
+func (m *Machine) relays() []string {
 	var list []string
 	for _, address := range ordered.Keys(m.subscribers) {
-		if m.listens(m.tickedAt, m.subscribers[address]) {
+		if m.isSubscribed(m.tickedAt, m.subscribers[address]) {
 			list = append(list, address)
 		}
 	}
@@ -53,12 +53,12 @@
 		return
 	}
 	// They know different things: each tells the other.
-	m.send(from, m.topology)
-	m.send(from, core.Pull{Want: true})
+	m.addSend(from, m.topology)
+	m.addSend(from, core.Pull{Want: true})
 }
 
 // adopt takes over what is newer in another's topology.
-func (m *Machine) adopt(now time.Duration, t core.Topology) {
+func (m *Machine) mergeTopology(now time.Duration, t core.Topology) {
 	changed := false
 	if len(m.topology.Owners) == 0 && len(t.Owners) > 0 {
 		cores := m.topology.Cores
@@ -88,13 +88,13 @@
 	}
 	if changed {
 		m.topologyVersion++
-		HintOwners(m.caller, m.topology)
-		m.tellAll(now)
+		HintLeaders(m.caller, m.topology)
+		m.notifyAll(now)
 	}
 }
 
 // HintOwners tells a caller who owns which part.
-func HintOwners(caller *core.Caller, t core.Topology) {
+func HintLeaders(caller *core.Caller, t core.Topology) {
 	for n, owner := range t.Owners {
 		for _, c := range t.Cores {
 			if c.Seat() == owner.Leader {
@@ -105,22 +105,22 @@
 }
 
 // found founds the fleet, once all cores that came have been there for a while.
-func (m *Machine) found(now time.Duration) {
-	settle := m.params.Beat
-	if !m.founds || len(m.topology.Owners) > 0 || len(m.foundingCores) < m.params.Seats || now < m.foundAt || now < m.foundingCoresAt+settle {
+func (m *Machine) sendFounding(now time.Duration) {
+	settle := m.params.HeartbeatInterval
+	if !m.foundsFleet || len(m.topology.Owners) > 0 || len(m.foundingCores) < m.params.GroupSize || now < m.sendFoundingAt || now < m.foundingCoresAt+settle {
 		return
 	}
-	m.foundAt = now + settle/4
+	m.sendFoundingAt = now + settle/4
 	if m.founding == nil {
 		// It is planned once, so that it is the same whenever it is sent again.
 		var cores []core.Core
 		for _, id := range ordered.Keys(m.foundingCores) {
 			cores = append(cores, m.foundingCores[id])
 		}
-		founding := core.Plan(fmt.Sprintf("%s-%s", m.id, m.life), 1+m.params.PartsPerCore*len(cores), m.params.Seats, cores)
+		founding := core.Plan(fmt.Sprintf("%s-%s", m.deskID, m.incarnation), 1+m.params.PartitionsPerCore*len(cores), m.params.GroupSize, cores)
 		m.founding = &founding
 	}
 	for _, id := range ordered.Keys(m.founding.Cores) {
-		m.send(m.founding.Cores[id].Peer, core.FoundFleet{Founding: *m.founding})
+		m.addSend(m.founding.Cores[id].Peer, core.FoundFleet{Founding: *m.founding})
 	}
 }
--- a/peer/desk/types.go
+++ b/peer/desk/types.go
@@ -20,14 +20,14 @@
 	Slots   int64  `msgpack:"l" json:"slots"`
 	Leaving bool   `msgpack:"g" json:"leaving"`
 	// Cold is how much longer it stays slow.
-	Cold time.Duration `msgpack:"c" json:"cold"`
+	WarmupRemaining time.Duration `msgpack:"c" json:"cold"`
 	// Call numbers its announcements.
-	Call int64 `msgpack:"q" json:"call"`
+	Sequence int64 `msgpack:"q" json:"call"`
 }
 
 // Listed is a replica in a desk's list. One that is Gone stays listed for a
 // while, so that all nodes learn it.
-type Listed struct {
+type ReplicaEntry struct {
 	Replica Replica `msgpack:"r"`
 	Gone    bool    `msgpack:"x"`
 	// Final: it said so itself, and never comes back under this name.
@@ -39,48 +39,48 @@
 type (
 	// Follow asks a desk for what changed since a version. A node says so again
 	// and again, and hears of every change at once while it does.
-	Follow struct {
+	Subscribe struct {
 		Node string `msgpack:"n"`
 		// Life is the desk's life that Version is of.
-		Life    string `msgpack:"l"`
-		Version uint64 `msgpack:"v"`
+		Incarnation string `msgpack:"l"`
+		Version     uint64 `msgpack:"v"`
 		// Table is the number of the newest table that the node has; zero: it wants
 		// it whole. Differs says that it can do with differences.
-		Table   uint64 `msgpack:"t"`
-		Differs bool   `msgpack:"p"`
+		Table              uint64 `msgpack:"t"`
+		AcceptsDifferences bool   `msgpack:"p"`
 		// Desk is set when the follower is a desk itself.
-		Desk bool `msgpack:"d"`
+		IsDesk bool `msgpack:"d"`
 	}
 	// Bulletin tells it.
-	Bulletin struct {
-		Life    string   `msgpack:"l"`
-		Since   uint64   `msgpack:"s"`
-		Version uint64   `msgpack:"v"`
-		List    []Listed `msgpack:"r"`
+	Update struct {
+		Incarnation string         `msgpack:"l"`
+		Since       uint64         `msgpack:"s"`
+		Version     uint64         `msgpack:"v"`
+		Replicas    []ReplicaEntry `msgpack:"r"`
 		// Number and Digest tell the newest agreed table. A subscriber that lacks it
 		// gets the differences from the one that it has, each building on the one
 		// before, or the Table whole.
-		Number      uint64             `msgpack:"n"`
-		Digest      string             `msgpack:"h"`
+		TableNumber uint64             `msgpack:"n"`
+		TableDigest string             `msgpack:"h"`
 		Differences []route.Difference `msgpack:"p"`
 		Table       []byte             `msgpack:"t"`
 		// Confirmed is how long ago the cores said that none is newer; negative:
 		// never.
-		Confirmed time.Duration `msgpack:"c"`
+		ConfirmationAge time.Duration `msgpack:"c"`
 		// Nodes is how many nodes follow this desk, Desks where all desks are.
-		Nodes    int            `msgpack:"o"`
-		Desks    []string       `msgpack:"d"`
-		Topology *core.Topology `msgpack:"y"`
+		NodeCount int            `msgpack:"o"`
+		Desks     []string       `msgpack:"d"`
+		Topology  *core.Topology `msgpack:"y"`
 		// Confirm asks a node to follow again at once, as a replica that leaves waits
 		// until it is known beyond this desk.
-		Confirm bool `msgpack:"k,omitempty"`
+		RenewNow bool `msgpack:"k,omitempty"`
 	}
 )
 
 func init() {
 	message.Register(map[string]any{
-		"desk.Follow":   Follow{},
-		"desk.Bulletin": Bulletin{},
+		"desk.Follow":   Subscribe{},
+		"desk.Bulletin": Update{},
 	})
 }
 
@@ -88,16 +88,16 @@
 type Params struct {
 	Core core.Params
 	// Beat is how often replicas announce themselves.
-	Beat time.Duration
+	HeartbeatInterval time.Duration
 	// Seats is the size of a group, Parts how many parts a fleet is founded with.
-	Seats int
+	GroupSize int
 	// PartsPerCore is how many parts a fleet gets for each core that it is
 	// founded with, besides the configuration's.
-	PartsPerCore int
+	PartitionsPerCore int
 	// LoadPeriod is how often nodes are told of replicas' load; zero: never.
-	LoadPeriod time.Duration
+	LoadInterval time.Duration
 	// Within is how long an operator's call may take.
-	Within time.Duration
+	OperationTimeout time.Duration
 }
 
 // Send is a message for the process at an address.
@@ -116,13 +116,13 @@
 // where they are set, go to disk first, where there is one, then sends, then
 // answers.
 type Output struct {
-	Changes []Listed
-	Peers   *Peers
-	Sends   []Send
-	Answers []Answer
+	ChangedReplicas []ReplicaEntry
+	Peers           *Peers
+	Sends           []Send
+	Answers         []Answer
 }
 
 // Counters are what a desk counts.
 type Counters struct {
-	Messages, Beats, Bulletins, Changes, Applied, Refused, BadMessages int64
+	Messages, Heartbeats, Updates, Changes, TablesApplied, TablesRefused, BadMessages int64
 }
--- a/peer/node/drain.go
+++ b/peer/node/drain.go
@@ -40,7 +40,7 @@
 		return
 	}
 	if !m.joined {
-		if !m.givingBack && m.running == 0 && m.ways.Used() == 0 {
+		if !m.givingBack && m.running == 0 && m.ways.Len() == 0 {
 			m.left = true
 		}
 		return
@@ -55,7 +55,7 @@
 		m.handed++
 		m.hand(now, key, h, to)
 	}
-	if m.running > 0 || m.ways.Used() > 0 || m.handing > 0 || (len(m.programs) > 0 && len(successors) > 0) {
+	if m.running > 0 || m.ways.Len() > 0 || m.handing > 0 || (len(m.programs) > 0 && len(successors) > 0) {
 		return
 	}
 	m.giveBack(now)
--- a/peer/node/forward.go
+++ b/peer/node/forward.go
@@ -38,7 +38,7 @@
 		return
 	}
 	a := &asked{way: w, to: owner.Peer, member: owner, until: w.until, next: 1}
-	w.asked = m.asked.Keep(a)
+	w.asked = m.asked.Put(a)
 	m.open[w.asked] = a
 	m.Counters.Forwarded++
 	m.sendForward(now, w.asked, a)
@@ -78,7 +78,7 @@
 
 func (m *Machine) onPieced(now time.Duration, from string, b Pieced) {
 	t := m.caller.Unmark(b.ID)
-	a, ok := m.asked.Look(t)
+	a, ok := m.asked.Get(t)
 	if !ok || a.to != from {
 		return
 	}
@@ -152,7 +152,7 @@
 		default:
 			// One that left in good order still says that it is not the owner.
 			m.later.Add(now+2*m.params.Core.Retry, func(now time.Duration) {
-				if still, ok := m.asked.Look(t); ok && still == a {
+				if still, ok := m.asked.Get(t); ok && still == a {
 					m.loseAsked(now, t, a)
 				}
 			})
--- a/peer/node/inquiry.go
+++ b/peer/node/inquiry.go
@@ -37,7 +37,7 @@
 	m.step(now)
 	m.Counters.Inquiries++
 	t := m.begin(now, q, false, func(p Piece) { m.out.Returns = append(m.out.Returns, Return{Ticket: ticket, Piece: p}) })
-	if _, ok := m.ways.Look(t); ok {
+	if _, ok := m.ways.Get(t); ok {
 		m.waiting[ticket] = t
 	}
 	return *m.out
@@ -54,18 +54,18 @@
 }
 
 func (m *Machine) abandon(now time.Duration, t slab.Ticket) {
-	w, ok := m.ways.Look(t)
+	w, ok := m.ways.Get(t)
 	if !ok {
 		return
 	}
-	if a, ok := m.asked.Look(w.asked); ok {
+	if a, ok := m.asked.Get(w.asked); ok {
 		m.send(a.to, Withdraw{ID: m.caller.Mark(w.asked)})
 		m.asked.Take(w.asked)
 		delete(m.open, w.asked)
 	}
 	shot := w.shot
 	m.end(w, Piece{Kind: PieceBreak})
-	if _, ok := m.shots.Look(shot); ok {
+	if _, ok := m.shots.Get(shot); ok {
 		m.out.Cancels = append(m.out.Cancels, uint64(shot))
 		m.endShot(now, shot, Event{Kind: EventBroken})
 	}
@@ -76,7 +76,7 @@
 		q.Budget = m.params.Budget
 	}
 	w := &way{inquiry: q, until: now + q.Budget, give: give, passed: passed, ran: verdict.NotExecuted}
-	w.ticket = m.ways.Keep(w)
+	w.ticket = m.ways.Put(w)
 	m.enter(now, w)
 	return w.ticket
 }
@@ -272,7 +272,7 @@
 		}
 	}
 	for _, t := range m.liveShots() {
-		s, ok := m.shots.Look(t)
+		s, ok := m.shots.Get(t)
 		if ok && now >= s.way.until {
 			m.out.Cancels = append(m.out.Cancels, uint64(t))
 			m.endShot(now, t, Event{Kind: EventBroken})
--- a/peer/node/membership.go
+++ b/peer/node/membership.go
@@ -103,7 +103,7 @@
 	}
 	m.clear()
 	for _, t := range m.liveShots() {
-		if s, ok := m.shots.Look(t); ok && s.fenced {
+		if s, ok := m.shots.Get(t); ok && s.fenced {
 			m.out.Cancels = append(m.out.Cancels, uint64(t))
 			m.endShot(now, t, Event{Kind: EventBroken})
 		}
--- a/peer/node/passing.go
+++ b/peer/node/passing.go
@@ -12,13 +12,13 @@
 	if all := m.coreAddresses(); to == "" && len(all) > 0 {
 		to = all[int(m.random()*float64(len(all)))%len(all)]
 	}
-	if to == "" || m.passed.Used() >= m.params.Buffer || !m.termed(now) {
+	if to == "" || m.passed.Len() >= m.params.Buffer || !m.termed(now) {
 		m.send(from, core.CommandReturn{ID: b.ID, Part: b.Part, Moved: true})
 		return
 	}
 	m.Counters.PassedOn++
 	p := &passed{from: from, command: b, until: now + m.params.Core.MemberTerm}
-	t := m.passed.Keep(p)
+	t := m.passed.Put(p)
 	m.passing = append(m.passing, t)
 	b.ID = m.caller.Mark(t) | passedOn
 	m.send(to, b)
@@ -26,7 +26,7 @@
 
 func (m *Machine) passBack(now time.Duration, b core.CommandReturn) {
 	t := m.caller.Unmark(b.ID &^ passedOn)
-	p, ok := m.passed.Look(t)
+	p, ok := m.passed.Get(t)
 	if !ok {
 		return
 	}
@@ -53,7 +53,7 @@
 
 func (m *Machine) tickPassed(now time.Duration) {
 	for len(m.passing) > 0 {
-		p, ok := m.passed.Look(m.passing[0])
+		p, ok := m.passed.Get(m.passing[0])
 		if ok && now < p.until {
 			return
 		}
--- a/peer/node/status.go
+++ b/peer/node/status.go
@@ -26,7 +26,7 @@
 	}
 	shares["money"] = map[string]int64{"held": m.money.books.Held(), "reserved": m.money.reserved, "spent": m.money.books.Spent}
 	return map[string]any{"id": m.params.ID, "incarnation": m.incarnation, "version": m.version, "ready": m.Ready(now), "breaker": m.breakerState,
-		"programs": len(m.programs), "running": m.running, "waiting": m.ways.Used(), "shares": shares, "replicas": replicas, "term_left_ms": max(0, m.termUntil-now).Milliseconds(), "refusals": refusals,
+		"programs": len(m.programs), "running": m.running, "waiting": m.ways.Len(), "shares": shares, "replicas": replicas, "term_left_ms": max(0, m.termUntil-now).Milliseconds(), "refusals": refusals,
 		"inquiries": c.Inquiries, "forwarded": c.Forwarded, "gated": c.Gated, "warned": c.Warned, "refused": c.Refused, "shots": c.Shots,
 		"not_run": c.NotRun, "broken": c.Broken, "whole": c.Whole, "takeovers": c.Takeovers, "joins": c.Joins, "terms_lost": c.TermsLost,
 		"stale_news": c.StaleNews, "resets": c.Resets, "fenced": c.Fenced, "bad_messages": c.BadMessages, "saves": c.Saves, "handed": c.Handed, "passed_on": c.PassedOn, "mirrored": c.Mirrored, "mirrors_used": c.MirrorsUsed, "mirrors_lost": c.MirrorsLost, "command_tries": m.caller.Tries}
--- a/peer/node/turn.go
+++ b/peer/node/turn.go
@@ -270,7 +270,7 @@
 	s.replica = r
 	s.tried[r.ID] = true
 	m.conditionOf(r).outstanding++
-	t := m.shots.Keep(s)
+	t := m.shots.Put(s)
 	m.live[t] = s
 	w.shot = t
 	w.ran = verdict.MaybeExecuted
@@ -303,7 +303,7 @@
 func (m *Machine) Shot(now time.Duration, e Event) Output {
 	m.step(now)
 	t := slab.Ticket(e.Shot)
-	s, ok := m.shots.Look(t)
+	s, ok := m.shots.Get(t)
 	if !ok {
 		return *m.out
 	}
--- a/peer/operator/call.go
+++ b/peer/operator/call.go
@@ -15,23 +15,23 @@
 )
 
 // Caller calls processes on behalf of an operator.
-type Caller struct {
+type Client struct {
 	Key  string
 	HTTP *http.Client
 }
 
 // Refused is what a process said that did not do what it was asked for.
-type Refused struct {
+type ResponseError struct {
 	Status int    `json:"Status"`
 	Code   string `json:"code"`
 	Reason string `json:"reason"`
 }
 
-func (r *Refused) Error() string { return r.Code + ": " + r.Reason }
+func (r *ResponseError) Error() string { return r.Code + ": " + r.Reason }
 
 // Refusal reads a return that is no success.
-func Refusal(status int, raw []byte) error {
-	r := &Refused{Status: status}
+func NewResponseError(status int, raw []byte) error {
+	r := &ResponseError{Status: status}
 	if json.Unmarshal(raw, r) != nil || r.Code == "" {
 		r.Code, r.Reason = "malformed", string(raw)
 	}
@@ -43,7 +43,7 @@
 
 // Do makes one call and decodes its return. A status of 400 or above comes
 // back with no error, so that the caller can tell what was refused.
-func (c Caller) Do(ctx context.Context, method, address, path string, body, target any) (int, []byte, error) {
+func (c Client) Do(ctx context.Context, method, address, path string, body, target any) (int, []byte, error) {
 	var reader io.Reader
 	if body != nil {
 		raw, err := json.Marshal(body)
@@ -52,174 +52,174 @@
 		}
 		reader = bytes.NewReader(raw)
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, reader)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, reader)
 	if err != nil {
 		return 0, nil, errors.Wrap(err, "call")
 	}
-	r.Header.Set("Authorization", "Bearer "+c.Key)
-	r.Header.Set("Content-Type", "application/json")
+	request.Header.Set("Authorization", "Bearer "+c.Key)
+	request.Header.Set("Content-Type", "application/json")
 	client := c.HTTP
 	if client == nil {
 		client = http.DefaultClient
 	}
-	got, err := client.Do(r)
+	response, err := client.Do(request)
 	if err != nil {
 		return 0, nil, errors.Mark(errors.Wrapf(err, "%s", address), ErrUnreachable)
 	}
-	defer got.Body.Close()
-	raw, err := io.ReadAll(got.Body)
+	defer response.Body.Close()
+	raw, err := io.ReadAll(response.Body)
 	if err != nil {
-		return got.StatusCode, nil, errors.Wrap(err, "call")
+		return response.StatusCode, nil, errors.Wrap(err, "call")
 	}
-	if target != nil && got.StatusCode < 400 {
+	if target != nil && response.StatusCode < 400 {
 		if err := json.Unmarshal(raw, target); err != nil {
-			return got.StatusCode, raw, errors.Wrap(err, "return")
+			return response.StatusCode, raw, errors.Wrap(err, "return")
 		}
 	}
-	return got.StatusCode, raw, nil
+	return response.StatusCode, raw, nil
 }
 
 // Found founds a fleet on the cores at the given addresses: all of them must
 // answer, and none may belong to a fleet yet, unless an earlier founding of
 // the same cores was cut off and is carried on.
-func (c Caller) Found(ctx context.Context, fleet string, addresses []string, parts, size int) (core.Founding, error) {
+func (c Client) Found(ctx context.Context, fleet string, addresses []string, parts, size int) (core.Founding, error) {
 	var cores []core.Core
-	var begun *core.Founding
-	at := map[string]string{}
+	var existing *core.Founding
+	addressOf := map[string]string{}
 	for _, address := range addresses {
-		var who Identity
-		status, raw, err := c.Do(ctx, "GET", address, "/v1/identity", nil, &who)
+		var identity Identity
+		status, raw, err := c.Do(ctx, "GET", address, "/v1/identity", nil, &identity)
 		if err != nil {
 			return core.Founding{}, errors.Wrapf(err, "core at %s", address)
 		}
 		if status != 200 {
-			return core.Founding{}, errors.Wrapf(Refusal(status, raw), "core at %s", address)
+			return core.Founding{}, errors.Wrapf(NewResponseError(status, raw), "core at %s", address)
 		}
-		if _, twice := at[who.Core.ID]; twice {
-			return core.Founding{}, errors.Newf("two cores are called %s", who.Core.ID)
+		if _, duplicate := addressOf[identity.Core.ID]; duplicate {
+			return core.Founding{}, errors.Newf("two cores are called %s", identity.Core.ID)
 		}
-		at[who.Core.ID] = address
-		cores = append(cores, who.Core)
-		if who.Founded {
-			f := who.Founding
-			begun = &f
+		addressOf[identity.Core.ID] = address
+		cores = append(cores, identity.Core)
+		if identity.Founded {
+			founding := identity.Founding
+			existing = &founding
 		}
 	}
-	f := core.Plan(fleet, parts, size, cores)
-	if begun != nil {
+	founding := core.Plan(fleet, parts, size, cores)
+	if existing != nil {
 		for _, one := range cores {
-			if named, ok := begun.Cores[one.ID]; !ok || named.Incarnation != one.Incarnation || len(begun.Cores) != len(cores) {
+			if named, ok := existing.Cores[one.ID]; !ok || named.Incarnation != one.Incarnation || len(existing.Cores) != len(cores) {
 				return core.Founding{}, errors.Newf("core %s: a fleet was founded already, and not with these cores", one.ID)
 			}
 		}
-		f = *begun
+		founding = *existing
 	}
 	for _, one := range cores {
-		status, raw, err := c.Do(ctx, "POST", at[one.ID], "/v1/found", f, nil)
+		status, raw, err := c.Do(ctx, "POST", addressOf[one.ID], "/v1/found", founding, nil)
 		if err != nil {
-			return f, errors.Wrapf(err, "core %s; run found again with the same cores to carry on", one.ID)
+			return founding, errors.Wrapf(err, "core %s; run found again with the same cores to carry on", one.ID)
 		}
 		if status != 200 {
-			return f, errors.Wrapf(Refusal(status, raw), "core %s", one.ID)
+			return founding, errors.Wrapf(NewResponseError(status, raw), "core %s", one.ID)
 		}
 	}
-	return f, nil
+	return founding, nil
 }
 
 // AddCore brings a core with an empty folder into a running fleet.
-func (c Caller) AddCore(ctx context.Context, any, fresh string) (core.Changed, error) {
+func (c Client) AddCore(ctx context.Context, member, newCore string) (core.Changed, error) {
 	var changed core.Changed
-	var who Identity
-	if status, raw, err := c.Do(ctx, "GET", fresh, "/v1/identity", nil, &who); err != nil {
+	var identity Identity
+	if status, raw, err := c.Do(ctx, "GET", newCore, "/v1/identity", nil, &identity); err != nil {
 		return changed, err
 	} else if status != 200 {
-		return changed, errors.Wrapf(Refusal(status, raw), "core at %s", fresh)
+		return changed, errors.Wrapf(NewResponseError(status, raw), "core at %s", newCore)
 	}
 	var t core.Topology
-	if status, raw, err := c.Do(ctx, "GET", any, "/v1/topology", nil, &t); err != nil {
+	if status, raw, err := c.Do(ctx, "GET", member, "/v1/topology", nil, &t); err != nil {
 		return changed, err
 	} else if status != 200 {
-		return changed, errors.Wrapf(Refusal(status, raw), "core at %s", any)
+		return changed, errors.Wrapf(NewResponseError(status, raw), "core at %s", member)
 	}
-	if !who.Founded {
+	if !identity.Founded {
 		f := core.Founding{Fleet: t.Fleet, Parts: len(t.Groups), Cores: t.Cores, Groups: make([]partition.Group, len(t.Groups))}
-		f.Cores[who.Core.ID] = who.Core
-		if status, raw, err := c.Do(ctx, "POST", fresh, "/v1/found", f, nil); err != nil {
+		f.Cores[identity.Core.ID] = identity.Core
+		if status, raw, err := c.Do(ctx, "POST", newCore, "/v1/found", f, nil); err != nil {
 			return changed, err
 		} else if status != 200 {
-			return changed, errors.Wrapf(Refusal(status, raw), "core at %s", fresh)
+			return changed, errors.Wrapf(NewResponseError(status, raw), "core at %s", newCore)
 		}
 	}
-	return c.Change(ctx, any, Life{Kind: core.Add, ID: who.Core.ID, New: &who.Core})
+	return c.Change(ctx, member, CoreChange{Kind: core.Add, ID: identity.Core.ID, New: &identity.Core})
 }
 
 // Change asks for a change in a core's life until it is done or refused.
-func (c Caller) Change(ctx context.Context, any string, life Life) (core.Changed, error) {
+func (c Client) Change(ctx context.Context, member string, change CoreChange) (core.Changed, error) {
 	for {
 		var changed core.Changed
-		status, raw, err := c.Do(ctx, "POST", any, "/v1/cores", life, &changed)
+		status, raw, err := c.Do(ctx, "POST", member, "/v1/cores", change, &changed)
 		switch {
 		case err != nil:
 			return changed, err
 		case status == 200:
 			return changed, nil
 		case status != 202:
-			return changed, Refusal(status, raw)
+			return changed, NewResponseError(status, raw)
 		}
 	}
 }
 
 // Plan lists what a change in a core's life would move, and changes nothing. A
 // new core is asked who it is at its address.
-func (c Caller) Plan(ctx context.Context, any string, life Life, fresh string) (core.Changed, error) {
+func (c Client) Plan(ctx context.Context, member string, change CoreChange, newCore string) (core.Changed, error) {
 	var t core.Topology
-	if status, raw, err := c.Do(ctx, "GET", any, "/v1/topology", nil, &t); err != nil {
+	if status, raw, err := c.Do(ctx, "GET", member, "/v1/topology", nil, &t); err != nil {
 		return core.Changed{}, err
 	} else if status != 200 {
-		return core.Changed{}, Refusal(status, raw)
+		return core.Changed{}, NewResponseError(status, raw)
 	}
-	if fresh != "" {
-		var who Identity
-		if status, raw, err := c.Do(ctx, "GET", fresh, "/v1/identity", nil, &who); err != nil {
+	if newCore != "" {
+		var identity Identity
+		if status, raw, err := c.Do(ctx, "GET", newCore, "/v1/identity", nil, &identity); err != nil {
 			return core.Changed{}, err
 		} else if status != 200 {
-			return core.Changed{}, errors.Wrapf(Refusal(status, raw), "core at %s", fresh)
+			return core.Changed{}, errors.Wrapf(NewResponseError(status, raw), "core at %s", newCore)
 		}
-		life.ID, t.Cores[who.Core.ID] = who.Core.ID, who.Core
+		change.ID, t.Cores[identity.Core.ID] = identity.Core.ID, identity.Core
 	}
-	plan := core.PlanChange(t.Cores, nil, t.Groups, t.Size, life.Kind, life.ID, life.By)
+	plan := core.PlanChange(t.Cores, nil, t.Groups, t.Size, change.Kind, change.ID, change.By)
 	if plan.Code != "" {
-		return plan, &Refused{Code: plan.Code, Reason: plan.Reason}
+		return plan, &ResponseError{Code: plan.Code, Reason: plan.Reason}
 	}
 	return plan, nil
 }
 
 // Nodes asks each living member what it counts and holds; one that gives no
 // return has none here.
-func (c Caller) Nodes(ctx context.Context, members []core.Member) map[string]map[string]any {
+func (c Client) NodeCounters(ctx context.Context, members []core.Member) map[string]map[string]any {
 	type told struct {
 		id     string
 		counts map[string]any
 	}
-	all, asked := make(chan told), 0
-	for _, one := range members {
-		if one.Ended {
+	results, pending := make(chan told), 0
+	for _, member := range members {
+		if member.Ended {
 			continue
 		}
-		asked++
+		pending++
 		go func() {
-			t := told{id: one.ID}
+			t := told{id: member.ID}
 			ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 			defer cancel()
-			if status, _, err := c.Do(ctx, "GET", one.HTTP, "/counters", nil, &t.counts); err != nil || status != 200 {
+			if status, _, err := c.Do(ctx, "GET", member.HTTP, "/counters", nil, &t.counts); err != nil || status != 200 {
 				t.counts = nil
 			}
-			all <- t
+			results <- t
 		}()
 	}
 	nodes := map[string]map[string]any{}
-	for ; asked > 0; asked-- {
-		if t := <-all; t.counts != nil {
+	for ; pending > 0; pending-- {
+		if t := <-results; t.counts != nil {
 			nodes[t.id] = t.counts
 		}
 	}
--- a/peer/operator/handler.go
+++ b/peer/operator/handler.go
@@ -22,7 +22,7 @@
 // Process is a core as its operators' side needs it.
 type Process interface {
 	Call(ctx context.Context, step func(m *core.Machine, now time.Duration, ticket uint64) core.Output) (any, error)
-	Look(ctx context.Context, look func(m *core.Machine, now time.Duration) any) (any, error)
+	Inspect(ctx context.Context, look func(m *core.Machine, now time.Duration) any) (any, error)
 	Counters(ctx context.Context) (map[string]int64, error)
 }
 
@@ -34,28 +34,28 @@
 }
 
 // PartStatus is one part as a core sees it.
-type PartStatus struct {
-	Part  int      `json:"part"`
-	Owner string   `json:"owner"`
-	Round uint64   `json:"term"`
-	Epoch uint64   `json:"epoch"`
-	Seats []string `json:"seats"`
+type PartitionStatus struct {
+	Partition int      `json:"part"`
+	Leader    string   `json:"owner"`
+	Term      uint64   `json:"term"`
+	Epoch     uint64   `json:"epoch"`
+	Members   []string `json:"seats"`
 }
 
 // Status is the fleet as one core sees it.
 type Status struct {
-	Fleet   string            `json:"fleet"`
-	Cores   []core.Core       `json:"cores"`
-	Parts   []PartStatus      `json:"parts"`
-	Members []core.Member     `json:"members"`
-	Locked  []core.LockedUser `json:"locked_out"`
-	Version uint64            `json:"configuration_version"`
-	Breaker string            `json:"breaker"`
-	Missing []int             `json:"parts_without_answer"`
+	Fleet                string            `json:"fleet"`
+	Cores                []core.Core       `json:"cores"`
+	Partitions           []PartitionStatus `json:"parts"`
+	Members              []core.Member     `json:"members"`
+	LockedUsers          []core.LockedUser `json:"locked_out"`
+	ConfigurationVersion uint64            `json:"configuration_version"`
+	Breaker              string            `json:"breaker"`
+	MissingPartitions    []int             `json:"parts_without_answer"`
 }
 
 // Handed is a description as it is handed over.
-type Handed struct {
+type ConfigurationRequest struct {
 	BasedOn     uint64          `json:"based_on"`
 	Description json.RawMessage `json:"description"`
 	PlanOnly    bool            `json:"plan_only"`
@@ -63,18 +63,18 @@
 }
 
 // Fault is an operator's side refusal.
-type Fault struct {
-	Code   string `json:"code"`
-	Reason string `json:"reason"`
-	Ran    string `json:"ran"`
+type ErrorResponse struct {
+	Code     string `json:"code"`
+	Reason   string `json:"reason"`
+	Executed string `json:"ran"`
 }
 
 // Guard lets only those in who show a key; with an empty key it lets in none.
-func Guard(key string, next http.Handler) http.Handler {
+func RequireKey(key string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		shown := r.Header.Get("Authorization")
-		if key == "" || subtle.ConstantTimeCompare([]byte(shown), []byte("Bearer "+key)) != 1 {
-			Write(w, 401, Fault{Code: "unknown_key", Reason: "the operator key is missing or wrong", Ran: "no"})
+		header := r.Header.Get("Authorization")
+		if key == "" || subtle.ConstantTimeCompare([]byte(header), []byte("Bearer "+key)) != 1 {
+			WriteJSON(w, 401, ErrorResponse{Code: "unknown_key", Reason: "the operator key is missing or wrong", Executed: "no"})
 			return
 		}
 		next.ServeHTTP(w, r)
@@ -82,7 +82,7 @@
 }
 
 // Write writes a JSON return.
-func Write(w http.ResponseWriter, status int, body any) {
+func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	encoder := json.NewEncoder(w)
@@ -91,22 +91,22 @@
 }
 
 // Drain asks a process to leave, as SIGTERM does.
-func Drain(drain chan<- struct{}) http.HandlerFunc {
+func DrainHandler(drain chan<- struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case drain <- struct{}{}:
 		default:
 		}
-		Write(w, 202, map[string]bool{"draining": true})
+		WriteJSON(w, 202, map[string]bool{"draining": true})
 	}
 }
 
 // Handler is a core's operators' side.
 func Handler(p Process, key string, drain chan<- struct{}) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/drain", Drain(drain))
+	mux.HandleFunc("POST /v1/drain", DrainHandler(drain))
 	mux.HandleFunc("GET /v1/identity", func(w http.ResponseWriter, r *http.Request) {
-		answer(w, r, p, func(m *core.Machine, now time.Duration) any {
+		inspect(w, r, p, func(m *core.Machine, now time.Duration) any {
 			return Identity{Core: m.Self(), Founded: m.Founded(), Founding: m.Founding()}
 		})
 	})
@@ -122,80 +122,80 @@
 		})
 		switch {
 		case err != nil:
-			Write(w, 503, Fault{Code: "unsure", Reason: err.Error(), Ran: "maybe"})
+			WriteJSON(w, 503, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
 		case body == true:
-			Write(w, 200, map[string]bool{"founded": true})
+			WriteJSON(w, 200, map[string]bool{"founded": true})
 		default:
-			Write(w, 409, Fault{Code: "not_founded", Reason: "this core belongs to another fleet, or the founding does not name its incarnation", Ran: "no"})
+			WriteJSON(w, 409, ErrorResponse{Code: "not_founded", Reason: "this core belongs to another fleet, or the founding does not name its incarnation", Executed: "no"})
 		}
 	})
 	mux.HandleFunc("GET /v1/topology", func(w http.ResponseWriter, r *http.Request) {
-		answer(w, r, p, func(m *core.Machine, now time.Duration) any { return m.Topology() })
+		inspect(w, r, p, func(m *core.Machine, now time.Duration) any { return m.Topology() })
 	})
 	mux.HandleFunc("POST /v1/cores", func(w http.ResponseWriter, r *http.Request) {
-		var c Life
+		var c CoreChange
 		if readBody(w, r, &c) {
-			change(w, r, p, c)
+			changeCores(w, r, p, c)
 		}
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, r *http.Request) {
-		status, err := Gather(r.Context(), p)
+		status, err := GatherStatus(r.Context(), p)
 		if err != nil {
-			Write(w, 503, Fault{Code: "unsure", Reason: err.Error(), Ran: "no"})
+			WriteJSON(w, 503, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 			return
 		}
-		Write(w, 200, status)
+		WriteJSON(w, 200, status)
 	})
 	mux.HandleFunc("GET /v1/configuration", func(w http.ResponseWriter, r *http.Request) {
-		c, err := configured(r.Context(), p)
+		c, err := readConfiguration(r.Context(), p)
 		if err != nil {
-			Write(w, 503, Fault{Code: "unsure", Reason: err.Error(), Ran: "no"})
+			WriteJSON(w, 503, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 			return
 		}
 		text := json.RawMessage(c.Text)
 		if len(text) == 0 {
 			text = json.RawMessage("null")
 		}
-		Write(w, 200, map[string]any{"version": c.Version, "description": text})
+		WriteJSON(w, 200, map[string]any{"version": c.Version, "description": text})
 	})
 	mux.HandleFunc("POST /v1/configuration", func(w http.ResponseWriter, r *http.Request) {
-		var h Handed
-		if !readBody(w, r, &h) {
+		var request ConfigurationRequest
+		if !readBody(w, r, &request) {
 			return
 		}
-		hand(w, r, p, h)
+		applyConfiguration(w, r, p, request)
 	})
 	mux.HandleFunc("GET /counters", func(w http.ResponseWriter, r *http.Request) {
 		counts, err := p.Counters(r.Context())
 		if err != nil {
-			Write(w, 503, Fault{Code: "unsure", Reason: err.Error(), Ran: "no"})
+			WriteJSON(w, 503, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 			return
 		}
-		Write(w, 200, counts)
+		WriteJSON(w, 200, counts)
 	})
-	return Guard(key, mux)
+	return RequireKey(key, mux)
 }
 
-func hand(w http.ResponseWriter, r *http.Request, p Process, h Handed) {
-	sum := sha256.Sum256(h.Description)
-	within := time.Duration(h.BudgetMS) * time.Millisecond
-	if within <= 0 {
-		within = 15 * time.Second
+func applyConfiguration(w http.ResponseWriter, r *http.Request, p Process, request ConfigurationRequest) {
+	sum := sha256.Sum256(request.Description)
+	timeout := time.Duration(request.BudgetMS) * time.Millisecond
+	if timeout <= 0 {
+		timeout = 15 * time.Second
 	}
 	body, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-		return m.Apply(now, ticket, core.Hand{BasedOn: h.BasedOn, Text: h.Description, Digest: hex.EncodeToString(sum[:]), Within: within, PlanOnly: h.PlanOnly})
+		return m.Apply(now, ticket, core.Hand{BasedOn: request.BasedOn, Text: request.Description, Digest: hex.EncodeToString(sum[:]), Within: timeout, PlanOnly: request.PlanOnly})
 	})
 	if err != nil {
-		Write(w, 503, Fault{Code: "unsure", Reason: err.Error(), Ran: "maybe"})
+		WriteJSON(w, 503, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
 		return
 	}
-	taking := body.(core.Taking)
-	status := map[string]int{"": 200, "planned": 200, "agreed_not_taken": 202, "faulty": 400, "race_lost": 409, "not_approved": 422, "unsure": 503}[taking.Code]
-	Write(w, status, taking)
+	result := body.(core.Taking)
+	status := map[string]int{"": 200, "planned": 200, "agreed_not_taken": 202, "faulty": 400, "race_lost": 409, "not_approved": 422, "unsure": 503}[result.Code]
+	WriteJSON(w, status, result)
 }
 
 // Life is a change in a core's life, as an operator asks for it.
-type Life struct {
+type CoreChange struct {
 	Kind     string     `json:"kind"`
 	ID       string     `json:"id"`
 	By       string     `json:"by,omitempty"`
@@ -203,43 +203,43 @@
 	BudgetMS int64      `json:"budget_ms"`
 }
 
-func change(w http.ResponseWriter, r *http.Request, p Process, c Life) {
-	within := time.Duration(c.BudgetMS) * time.Millisecond
-	if within <= 0 {
-		within = 30 * time.Second
+func changeCores(w http.ResponseWriter, r *http.Request, p Process, c CoreChange) {
+	timeout := time.Duration(c.BudgetMS) * time.Millisecond
+	if timeout <= 0 {
+		timeout = 30 * time.Second
 	}
 	if c.Kind != core.Add && c.Kind != core.Retire && c.Kind != core.Replace {
-		Write(w, 400, Fault{Code: "malformed", Reason: "kind must be add, retire or replace", Ran: "no"})
+		WriteJSON(w, 400, ErrorResponse{Code: "malformed", Reason: "kind must be add, retire or replace", Executed: "no"})
 		return
 	}
 	if c.New != nil {
 		body, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-			return m.Introduce(now, ticket, *c.New, within)
+			return m.Introduce(now, ticket, *c.New, timeout)
 		})
 		if done, ok := body.(core.Done); err != nil || !ok || !done.OK {
-			Write(w, 409, Fault{Code: "not_introduced", Reason: "the core could not be made known; another core may have its name", Ran: "maybe"})
+			WriteJSON(w, 409, ErrorResponse{Code: "not_introduced", Reason: "the core could not be made known; another core may have its name", Executed: "maybe"})
 			return
 		}
 	}
 	body, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-		return m.Change(now, ticket, c.Kind, c.ID, c.By, within)
+		return m.Change(now, ticket, c.Kind, c.ID, c.By, timeout)
 	})
 	if err != nil {
-		Write(w, 503, Fault{Code: "unsure", Reason: err.Error(), Ran: "maybe"})
+		WriteJSON(w, 503, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
 		return
 	}
 	changed := body.(core.Changed)
 	status := map[string]int{"": 200, "unknown_core": 404, "no_room": 409, "not_finished": 202}[changed.Code]
-	Write(w, status, changed)
+	WriteJSON(w, status, changed)
 }
 
-func answer(w http.ResponseWriter, r *http.Request, p Process, look func(m *core.Machine, now time.Duration) any) {
-	body, err := p.Look(r.Context(), look)
+func inspect(w http.ResponseWriter, r *http.Request, p Process, inspectMachine func(m *core.Machine, now time.Duration) any) {
+	body, err := p.Inspect(r.Context(), inspectMachine)
 	if err != nil {
-		Write(w, 503, Fault{Code: "unsure", Reason: err.Error(), Ran: "no"})
+		WriteJSON(w, 503, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 		return
 	}
-	Write(w, 200, body)
+	WriteJSON(w, 200, body)
 }
 
 func readBody(w http.ResponseWriter, r *http.Request, target any) bool {
@@ -248,13 +248,13 @@
 		err = json.Unmarshal(raw, target)
 	}
 	if err != nil {
-		Write(w, 400, Fault{Code: "malformed", Reason: err.Error(), Ran: "no"})
+		WriteJSON(w, 400, ErrorResponse{Code: "malformed", Reason: err.Error(), Executed: "no"})
 		return false
 	}
 	return true
 }
 
-func entries(ctx context.Context, p Process, number int, prefix string) ([]partition.Entry, bool, error) {
+func readEntries(ctx context.Context, p Process, number int, prefix string) ([]partition.Entry, bool, error) {
 	body, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
 		return m.Ask(now, ticket, core.ReadEntries{Part: number, Prefix: prefix}, time.Second)
 	})
@@ -265,9 +265,9 @@
 	return list.Entries, ok, nil
 }
 
-func configured(ctx context.Context, p Process) (core.Configured, error) {
+func readConfiguration(ctx context.Context, p Process) (core.Configured, error) {
 	var c core.Configured
-	list, ok, err := entries(ctx, p, core.ConfigurationPart, "configuration")
+	list, ok, err := readEntries(ctx, p, core.ConfigurationPart, "configuration")
 	if err != nil || !ok {
 		return c, context.DeadlineExceeded
 	}
@@ -280,9 +280,9 @@
 }
 
 // Gather asks every part for what operators want to see.
-func Gather(ctx context.Context, p Process) (Status, error) {
+func GatherStatus(ctx context.Context, p Process) (Status, error) {
 	var s Status
-	body, err := p.Look(ctx, func(m *core.Machine, now time.Duration) any { return m.Topology() })
+	body, err := p.Inspect(ctx, func(m *core.Machine, now time.Duration) any { return m.Topology() })
 	if err != nil {
 		return s, err
 	}
@@ -292,10 +292,10 @@
 		s.Cores = append(s.Cores, t.Cores[id])
 	}
 	for n := range t.Owners {
-		s.Parts = append(s.Parts, PartStatus{Part: n, Owner: t.Owners[n].Leader, Round: t.Owners[n].Round, Epoch: t.Groups[n].Epoch, Seats: t.Groups[n].Members})
+		s.Partitions = append(s.Partitions, PartitionStatus{Partition: n, Leader: t.Owners[n].Leader, Term: t.Owners[n].Round, Epoch: t.Groups[n].Epoch, Members: t.Groups[n].Members})
 		missing := false
 		for _, prefix := range []string{"member/", "breaker", "configuration"} {
-			list, ok, err := entries(ctx, p, n, prefix)
+			list, ok, err := readEntries(ctx, p, n, prefix)
 			if err != nil {
 				return s, err
 			}
@@ -304,17 +304,17 @@
 				break
 			}
 			for _, e := range list {
-				s.add(e)
+				s.addEntry(e)
 			}
 		}
-		if told, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
+		if answer, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
 			return m.Ask(now, ticket, core.ReadLocked{Part: n}, time.Second)
 		}); err == nil && !missing {
-			locked, _ := told.(core.Outcome).Answer.(core.LockedUsers)
-			s.Locked = append(s.Locked, locked.Users...)
+			locked, _ := answer.(core.Outcome).Answer.(core.LockedUsers)
+			s.LockedUsers = append(s.LockedUsers, locked.Users...)
 		}
 		if missing {
-			s.Missing = append(s.Missing, n)
+			s.MissingPartitions = append(s.MissingPartitions, n)
 		}
 	}
 	if s.Breaker == "" {
@@ -323,7 +323,7 @@
 	return s, nil
 }
 
-func (s *Status) add(e partition.Entry) {
+func (s *Status) addEntry(e partition.Entry) {
 	var m core.Member
 	var b core.BreakerNews
 	var c core.Configured
@@ -336,6 +336,6 @@
 			s.Breaker += " (" + b.Reason + ", trip " + strconv.FormatInt(b.Trips, 10) + ")"
 		}
 	case e.Key == "configuration" && message.Unmarshal(e.Value, &c) == nil:
-		s.Version = c.Version
+		s.ConfigurationVersion = c.Version
 	}
 }
--- a/peer/relay/choice.go
+++ b/peer/relay/choice.go
@@ -29,7 +29,7 @@
 }
 
 type posted struct {
-	desk.Listed
+	desk.ReplicaEntry
 	// until is when it is dropped; zero: when the desk says so.
 	until time.Duration
 }
@@ -86,7 +86,7 @@
 // replica counts; that it leaves or has left counts whoever said it, and for good:
 // it is no word of the desk that told of it, which may fall silent or be forgotten.
 func (m *Machine) gather(now time.Duration) {
-	best := map[string]desk.Listed{}
+	best := map[string]desk.ReplicaEntry{}
 	live := false
 	for _, b := range m.boards {
 		live = live || b.speaks(now, m.params.Beat)
@@ -105,8 +105,8 @@
 			old, ok := best[id]
 			// That one desk has not heard of it for long is no word against another
 			// that has.
-			if !ok || old.Gone && !p.Gone || old.Gone == p.Gone && old.Replica.Call < p.Replica.Call {
-				best[id] = p.Listed
+			if !ok || old.Gone && !p.Gone || old.Gone == p.Gone && old.Replica.Sequence < p.Replica.Sequence {
+				best[id] = p.ReplicaEntry
 			}
 		}
 	}
@@ -128,7 +128,7 @@
 
 // listReplicas takes the replicas that can be chosen from now on, and forgets those that
 // nobody tells of any more and that have nothing of this node's.
-func (m *Machine) listReplicas(told map[string]desk.Listed) {
+func (m *Machine) listReplicas(told map[string]desk.ReplicaEntry) {
 	for _, s := range m.services {
 		s.estimates = s.estimates[:0]
 	}
@@ -145,7 +145,7 @@
 			m.replicas[id] = r
 		}
 		r.listed = l.Replica
-		r.estimate.ID, r.estimate.Zone, r.estimate.Slots, r.estimate.Warming = id, l.Replica.Zone, l.Replica.Slots, l.Replica.Cold > 0
+		r.estimate.ID, r.estimate.Zone, r.estimate.Slots, r.estimate.Warming = id, l.Replica.Zone, l.Replica.Slots, l.Replica.WarmupRemaining > 0
 		s := m.serviceOf(l.Replica.Service)
 		s.estimates = append(s.estimates, r.estimate)
 	}
--- a/peer/relay/choice_test.go
+++ b/peer/relay/choice_test.go
@@ -11,9 +11,9 @@
 // falls silent, and another one, which heard of the replica before that and hears a
 // late word of it, tells of it as though it stayed. It is not chosen again.
 func TestLeavingOutlivesItsDesk(t *testing.T) {
-	for name, last := range map[string]func(l *desk.Listed){
-		"leaving": func(l *desk.Listed) { l.Replica.Leaving, l.Replica.Call = true, 2 },
-		"gone":    func(l *desk.Listed) { l.Gone, l.Final = true, true },
+	for name, last := range map[string]func(l *desk.ReplicaEntry){
+		"leaving": func(l *desk.ReplicaEntry) { l.Replica.Leaving, l.Replica.Sequence = true, 2 },
+		"gone":    func(l *desk.ReplicaEntry) { l.Gone, l.Final = true, true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t)
@@ -64,7 +64,7 @@
 	g.hear("d2:1", nil, 1, nil)
 	asked := func(address string) bool {
 		for _, s := range g.m.Tick(g.now + g.m.params.Follow).Sends {
-			if _, follows := s.Body.(desk.Follow); follows && s.To == address {
+			if _, follows := s.Body.(desk.Subscribe); follows && s.To == address {
 				return true
 			}
 		}
--- a/peer/relay/confirm_test.go
+++ b/peer/relay/confirm_test.go
@@ -11,13 +11,13 @@
 func TestNodeConfirmsWhoLeaves(t *testing.T) {
 	g := newRig(t)
 	g.version++
-	leaving := desk.Listed{Replica: desk.Replica{ID: "r1", Service: "app", Leaving: true}, Version: g.version}
+	leaving := desk.ReplicaEntry{Replica: desk.Replica{ID: "r1", Service: "app", Leaving: true}, Version: g.version}
 	for _, confirm := range []bool{false, true} {
-		o := g.m.Receive(g.now, "d1:1", desk.Bulletin{Life: "l", Version: g.version, List: []desk.Listed{leaving}, Nodes: 1, Confirm: confirm})
+		o := g.m.Receive(g.now, "d1:1", desk.Update{Incarnation: "l", Version: g.version, Replicas: []desk.ReplicaEntry{leaving}, NodeCount: 1, RenewNow: confirm})
 		told := false
 		for _, s := range o.Sends {
-			f, ok := s.Body.(desk.Follow)
-			told = told || ok && s.To == "d1:1" && f.Life == "l" && f.Version == g.version
+			f, ok := s.Body.(desk.Subscribe)
+			told = told || ok && s.To == "d1:1" && f.Incarnation == "l" && f.Version == g.version
 		}
 		if told != confirm {
 			t.Errorf("asked %v, told %v", confirm, told)
--- a/peer/relay/loads.go
+++ b/peer/relay/loads.go
@@ -26,7 +26,7 @@
 // life has told of. What an earlier life told is kept for a while, and has no place.
 func (b *board) places() []string {
 	if b.placesVersion != b.version || b.placesOf == nil {
-		b.placesOf = desk.Places(b.list, func(p posted) bool { return p.Gone || p.until > 0 })
+		b.placesOf = desk.ReplicaOrder(b.list, func(p posted) bool { return p.Gone || p.until > 0 })
 		b.placesVersion = b.version
 	}
 	return b.placesOf
@@ -44,11 +44,11 @@
 		if !b.speaks(now, m.params.Beat) {
 			continue
 		}
-		report := desk.LoadReport{Life: b.life, Version: b.version, List: m.loadsAt(b)}
-		if len(report.List) == 0 && !b.toldLoad {
+		report := desk.LoadReport{Incarnation: b.life, Version: b.version, Replicas: m.loadsAt(b)}
+		if len(report.Replicas) == 0 && !b.toldLoad {
 			continue
 		}
-		b.toldLoad = len(report.List) > 0
+		b.toldLoad = len(report.Replicas) > 0
 		m.send(address, report)
 	}
 }
@@ -64,7 +64,7 @@
 		if r.estimate.Outstanding == 0 && ended == (placement.Outcomes{}) {
 			continue
 		}
-		list = append(list, desk.ReplicaLoad{Place: uint16(place), Outstanding: small(r.estimate.Outstanding), Served: small(ended.Served), Failed: small(ended.Failed),
+		list = append(list, desk.ReplicaLoad{Index: uint16(place), Outstanding: small(r.estimate.Outstanding), Served: small(ended.Served), Failed: small(ended.Failed),
 			Busy: ended.Busy, Units: small(ended.Units)})
 	}
 	return list
@@ -75,11 +75,11 @@
 // onLoads takes a desk's word of load.
 func (m *Machine) onLoads(now time.Duration, from string, l desk.Loads) {
 	b := m.boards[from]
-	if b == nil || b.life != l.Life || b.version != l.Version {
+	if b == nil || b.life != l.Incarnation || b.version != l.Version {
 		return
 	}
 	places := b.places()
-	if len(l.Outstanding) != len(places) || len(l.Failing) != len(places) || len(l.Paces) != len(places) {
+	if len(l.Outstanding) != len(places) || len(l.FailureRates) != len(places) || len(l.UnitTimes) != len(places) {
 		m.Counters.BadMessages++
 		return
 	}
@@ -87,9 +87,9 @@
 	until := now + shareMemory*m.params.LoadPeriod
 	for i, id := range places {
 		if r := m.replicas[id]; r != nil {
-			r.estimate.SetShared(int64(l.Outstanding[i]), float64(l.Failing[i])/math.MaxUint8, until)
-			if l.Paces[i] > 0 {
-				r.estimate.SetUnitTime(time.Duration(l.Paces[i]) * desk.PaceUnit)
+			r.estimate.SetShared(int64(l.Outstanding[i]), float64(l.FailureRates[i])/math.MaxUint8, until)
+			if l.UnitTimes[i] > 0 {
+				r.estimate.SetUnitTime(time.Duration(l.UnitTimes[i]) * desk.UnitTimeResolution)
 			}
 		}
 	}
--- a/peer/relay/loads_test.go
+++ b/peer/relay/loads_test.go
@@ -13,8 +13,8 @@
 func TestPlacesAreOfTheDesksPresentLife(t *testing.T) {
 	g := newRig(t)
 	g.m.params.LoadPeriod = 100 * time.Millisecond
-	tell := func(life string, list []desk.Listed) {
-		g.take(g.m.Receive(g.now, "d1:1", desk.Bulletin{Life: life, Version: 7, List: list, Nodes: 1}))
+	tell := func(life string, list []desk.ReplicaEntry) {
+		g.take(g.m.Receive(g.now, "d1:1", desk.Update{Incarnation: life, Version: 7, Replicas: list, NodeCount: 1}))
 	}
 	tell("first", replicas("app", "a1", "a2", "a3"))
 	if got := g.m.boards["d1:1"].places(); len(got) != 3 {
@@ -25,7 +25,7 @@
 		t.Errorf("after a restart: places %v", got)
 	}
 	g.m.gather(g.now)
-	g.take(g.m.Receive(g.now, "d1:1", desk.Loads{Life: "second", Version: 7, Outstanding: []byte{2, 9}, Failing: []byte{0, 0}, Paces: []uint16{0, 0}}))
+	g.take(g.m.Receive(g.now, "d1:1", desk.Loads{Incarnation: "second", Version: 7, Outstanding: []byte{2, 9}, FailureRates: []byte{0, 0}, UnitTimes: []uint16{0, 0}}))
 	if g.m.loadsHeard != 1 || g.m.Counters.BadMessages != 0 {
 		t.Errorf("%d words of load are heard, %d messages are bad", g.m.loadsHeard, g.m.Counters.BadMessages)
 	}
--- a/peer/relay/machine.go
+++ b/peer/relay/machine.go
@@ -111,7 +111,7 @@
 			m.drawAt = now + m.params.Window/50
 			m.draw(now)
 		}
-	case desk.Bulletin:
+	case desk.Update:
 		m.Counters.Bulletins++
 		m.onBulletin(now, from, b)
 	case desk.Loads:
@@ -122,7 +122,7 @@
 	return *m.out
 }
 
-func (m *Machine) onBulletin(now time.Duration, from string, b desk.Bulletin) {
+func (m *Machine) onBulletin(now time.Duration, from string, b desk.Update) {
 	at := m.boards[from]
 	if at == nil {
 		at = &board{list: map[string]posted{}}
@@ -132,29 +132,29 @@
 		m.desks = append(m.desks, from)
 	}
 	at.heard = now
-	if at.life != b.Life {
+	if at.life != b.Incarnation {
 		// What an earlier life of the desk told holds until replicas had time to
 		// announce themselves again.
 		for id, p := range at.list {
 			p.until = now + lostBeats*m.params.Beat
 			at.list[id] = p
 		}
-		at.life, at.version, at.placesOf = b.Life, 0, nil
+		at.life, at.version, at.placesOf = b.Incarnation, 0, nil
 	}
 	if b.Since <= at.version {
-		for _, l := range b.List {
+		for _, l := range b.Replicas {
 			if l.Replica.Leaving || l.Final {
 				m.left.add(now, l.Replica.ID)
 			}
-			at.list[l.Replica.ID] = posted{Listed: l}
+			at.list[l.Replica.ID] = posted{ReplicaEntry: l}
 		}
 		at.version = max(at.version, b.Version)
 	}
-	if b.Confirm {
+	if b.RenewNow {
 		m.follow(from)
 	}
-	m.nodes = max(b.Nodes, 1)
-	if len(b.List) > 0 {
+	m.nodes = max(b.NodeCount, 1)
+	if len(b.Replicas) > 0 {
 		// They are joined when the next one is chosen.
 		m.gatherAt = now
 		m.unpark(now)
@@ -169,15 +169,15 @@
 		}
 	}
 	m.learnTable(now, b)
-	fresh := b.Confirmed >= 0 && b.Confirmed < m.params.Beat
-	if fresh && b.Number == 0 {
+	fresh := b.ConfirmationAge >= 0 && b.ConfirmationAge < m.params.Beat
+	if fresh && b.TableNumber == 0 {
 		m.none = true
 	}
-	if m.pending != nil && (m.table == nil || m.table.Number < m.pending.Number) && (m.table != nil || fresh && b.Number <= m.pending.Number || now > m.started+2*m.params.Beat) {
+	if m.pending != nil && (m.table == nil || m.table.Number < m.pending.Number) && (m.table != nil || fresh && b.TableNumber <= m.pending.Number || now > m.started+2*m.params.Beat) {
 		m.install(now)
 	}
-	if m.table != nil && b.Number == m.table.Number && b.Confirmed >= 0 {
-		m.confirmed = max(m.confirmed, now-b.Confirmed)
+	if m.table != nil && b.TableNumber == m.table.Number && b.ConfirmationAge >= 0 {
+		m.confirmed = max(m.confirmed, now-b.ConfirmationAge)
 	}
 }
 
@@ -235,17 +235,17 @@
 			m.topology.Cores[id] = c
 		}
 	}
-	desk.HintOwners(m.caller, m.topology)
+	desk.HintLeaders(m.caller, m.topology)
 }
 
 // follow asks a desk for what is new, and tells up to where it was heard.
 func (m *Machine) follow(to string) {
-	f := desk.Follow{Node: m.id, Differs: true}
+	f := desk.Subscribe{Node: m.id, AcceptsDifferences: true}
 	if m.pending != nil && !m.wantWhole {
 		f.Table = m.pending.Number
 	}
 	if b := m.boards[to]; b != nil {
-		f.Life, f.Version = b.life, b.version
+		f.Incarnation, f.Version = b.life, b.version
 	}
 	m.send(to, f)
 }
--- a/peer/relay/machine_test.go
+++ b/peer/relay/machine_test.go
@@ -134,17 +134,17 @@
 }
 
 // hear brings a bulletin of a desk.
-func (g *rig) hear(from string, list []desk.Listed, number uint64, text []byte) {
+func (g *rig) hear(from string, list []desk.ReplicaEntry, number uint64, text []byte) {
 	g.version++
 	topology := core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1"}}, Owners: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}},
 		Groups: make([]partition.Group, 2)}
-	g.take(g.m.Receive(g.now, from, desk.Bulletin{Life: "l", Version: g.version, List: list, Number: number, Table: text, Nodes: 1, Topology: &topology}))
+	g.take(g.m.Receive(g.now, from, desk.Update{Incarnation: "l", Version: g.version, Replicas: list, TableNumber: number, Table: text, NodeCount: 1, Topology: &topology}))
 }
 
-func replicas(service string, ids ...string) []desk.Listed {
-	var list []desk.Listed
+func replicas(service string, ids ...string) []desk.ReplicaEntry {
+	var list []desk.ReplicaEntry
 	for i, id := range ids {
-		list = append(list, desk.Listed{Replica: desk.Replica{ID: id, Service: service, Address: id + ":1", Zone: "a", Slots: 4, Call: int64(i + 1)}, Version: 1})
+		list = append(list, desk.ReplicaEntry{Replica: desk.Replica{ID: id, Service: service, Address: id + ":1", Zone: "a", Slots: 4, Sequence: int64(i + 1)}, Version: 1})
 	}
 	return list
 }
@@ -222,8 +222,8 @@
 func TestSilenceAtOneDeskIsNoWordAgainstAnother(t *testing.T) {
 	g := newRig(t)
 	g.begin()
-	at := func(call int64, gone bool) []desk.Listed {
-		return []desk.Listed{{Replica: desk.Replica{ID: "r", Service: "app", Address: "r:1", Zone: "a", Slots: 4, Call: call}, Gone: gone, Version: 9}}
+	at := func(call int64, gone bool) []desk.ReplicaEntry {
+		return []desk.ReplicaEntry{{Replica: desk.Replica{ID: "r", Service: "app", Address: "r:1", Zone: "a", Slots: 4, Sequence: call}, Gone: gone, Version: 9}}
 	}
 	g.hear("d2:1", at(11, false), 1, nil)
 	g.hear("d1:1", at(12, false), 1, nil)
@@ -425,7 +425,7 @@
 	g.begin()
 	leaving := replicas("app", "a1", "a2")
 	for i := range leaving {
-		leaving[i].Replica.Leaving, leaving[i].Replica.Call = true, 50
+		leaving[i].Replica.Leaving, leaving[i].Replica.Sequence = true, 50
 	}
 	g.hear("d1:1", leaving, 1, nil)
 	for i := 0; i < 30; i++ {
@@ -443,7 +443,7 @@
 	g.m.params.Beat = time.Hour
 	tell := func(number uint64, text []byte, confirmed time.Duration) {
 		g.version++
-		g.take(g.m.Receive(g.now, "d1:1", desk.Bulletin{Life: "l", Version: g.version, Number: number, Table: text, Confirmed: confirmed, Nodes: 1}))
+		g.take(g.m.Receive(g.now, "d1:1", desk.Update{Incarnation: "l", Version: g.version, TableNumber: number, Table: text, ConfirmationAge: confirmed, NodeCount: 1}))
 	}
 	tell(3, table(3, nil), -1)
 	if g.m.Ready(g.now) || g.m.Number() != 0 {
--- a/peer/relay/overload_test.go
+++ b/peer/relay/overload_test.go
@@ -33,7 +33,7 @@
 		for i := range load {
 			load[i] = outstanding
 		}
-		g.take(g.m.Receive(g.now, "d1:1", desk.Loads{Life: b.life, Version: b.version, Outstanding: load, Failing: make([]byte, n), Paces: make([]uint16, n)}))
+		g.take(g.m.Receive(g.now, "d1:1", desk.Loads{Incarnation: b.life, Version: b.version, Outstanding: load, FailureRates: make([]byte, n), UnitTimes: make([]uint16, n)}))
 	}
 }
 
--- a/peer/relay/stale_test.go
+++ b/peer/relay/stale_test.go
@@ -12,7 +12,7 @@
 // while ago.
 func (g *rig) confirmed(number uint64, ago time.Duration) {
 	g.version++
-	g.take(g.m.Receive(g.now, "d1:1", desk.Bulletin{Life: "l", Version: g.version, Number: number, Confirmed: ago, Nodes: 1}))
+	g.take(g.m.Receive(g.now, "d1:1", desk.Update{Incarnation: "l", Version: g.version, TableNumber: number, ConfirmationAge: ago, NodeCount: 1}))
 }
 
 // unknownThings are a request on a route, and one with a key, that the table
@@ -58,7 +58,7 @@
 
 	g.pass(staleBeats*g.m.params.Beat + 20*time.Millisecond)
 	g.version++
-	g.take(g.m.Receive(g.now, "d1:1", desk.Bulletin{Life: "l", Version: g.version, Number: 2, Nodes: 1,
+	g.take(g.m.Receive(g.now, "d1:1", desk.Update{Incarnation: "l", Version: g.version, TableNumber: 2, NodeCount: 1,
 		Table: table(2, func(t *route.Table) { t.Routes[0].TimeoutMS = 3500 })}))
 	answers("a newer table came", false)
 }
--- a/peer/relay/table.go
+++ b/peer/relay/table.go
@@ -34,7 +34,7 @@
 
 // learnTable takes a newer table, from its text or from what changed since the
 // one that this node has. It is in force once it is installed.
-func (m *Machine) learnTable(now time.Duration, b desk.Bulletin) {
+func (m *Machine) learnTable(now time.Duration, b desk.Update) {
 	if b.Table != nil {
 		m.wantWhole = false
 		m.learnText(b)
@@ -57,12 +57,12 @@
 
 // learnText takes a newer table from its text. Each desk sends it to a node that
 // has none; it is parsed once.
-func (m *Machine) learnText(b desk.Bulletin) {
-	if m.pending != nil && b.Number <= m.pending.Number {
+func (m *Machine) learnText(b desk.Update) {
+	if m.pending != nil && b.TableNumber <= m.pending.Number {
 		return
 	}
 	if t, faults := route.Parse(b.Table); faults == nil {
-		m.pending, m.digest = t, b.Digest
+		m.pending, m.digest = t, b.TableDigest
 	}
 }
 
--- a/rehearsalkit/capacity/hollow.go
+++ b/rehearsalkit/capacity/hollow.go
@@ -29,7 +29,7 @@
 		}
 	}
 	if d.alive {
-		word := desk.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: fmt.Sprintf("zone-%d", r.zone), Slots: 16, Call: r.call}
+		word := desk.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: fmt.Sprintf("zone-%d", r.zone), Slots: 16, Sequence: r.call}
 		raw, err := json.Marshal(word)
 		if err != nil {
 			panic(err)
@@ -37,7 +37,7 @@
 		d.meter.Received++
 		d.meter.ReceivedBytes += int64(len(raw))
 		d.meter.kind("received heartbeat", len(raw))
-		d.takeDesk(timed(d, func() desk.Output { return d.desk.Beat(w.now, 0, word) }))
+		d.takeDesk(timed(d, func() desk.Output { return d.desk.Heartbeat(w.now, 0, word) }))
 	}
 	w.after(w.between(beat*9/10, beat*11/10), func() { w.beats(r) })
 }
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -43,7 +43,7 @@
 }
 
 func deskParams() desk.Params {
-	return desk.Params{Core: coreParams(), Beat: beat, Seats: seats, PartsPerCore: 2, Within: 3 * time.Second}
+	return desk.Params{Core: coreParams(), HeartbeatInterval: beat, GroupSize: seats, PartitionsPerCore: 2, OperationTimeout: 3 * time.Second}
 }
 
 func nodeParams() relay.Params {
@@ -229,7 +229,7 @@
 		every = coreParams().Part.LeaseDuration / 20
 	case "desk":
 		p.calls = map[uint64]func(any){}
-		p.desk = desk.New(desk.Options{Params: deskParams(), ID: p.id, Life: fmt.Sprintf("%s.%d", p.id, p.life), Address: p.address, Seeds: w.seeds(), Founds: p == w.desks[0] && p.life == 1, Now: w.now, Random: w.random.Float64})
+		p.desk = desk.New(desk.Options{Params: deskParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.life), Address: p.address, Seeds: w.seeds(), FoundsFleet: p == w.desks[0] && p.life == 1, Now: w.now, Random: w.random.Float64})
 	default:
 		p.ways = map[uint64]*turn{}
 		p.node = relay.New(relay.Options{Params: nodeParams(), ID: p.id, Life: fmt.Sprintf("%s.%d", p.id, p.life), Zone: zone, Address: p.address, Seeds: w.seeds(), Now: w.now, Random: w.random.Float64})
@@ -314,11 +314,11 @@
 		raw = b.Raw
 	case core.PartMessage:
 		raw = b.Raw
-	case desk.Bulletin:
+	case desk.Update:
 		switch {
 		case b.Table != nil:
 			return name + " with table"
-		case len(b.List) > 0:
+		case len(b.Replicas) > 0:
 			return name + " with list"
 		case b.Topology != nil:
 			return name + " with topology"
@@ -478,11 +478,11 @@
 		w.handedAt[number] = w.now
 	}
 	d.calls[w.tickets] = func(body any) {
-		h := body.(desk.Handed)
-		if h.OK {
+		h := body.(desk.OrderResult)
+		if h.Accepted {
 			w.table = number
 		}
-		then(h.OK)
+		then(h.Accepted)
 	}
 	d.takeDesk(timed(d, func() desk.Output { return d.desk.Apply(w.now, w.tickets, w.table, text, fmt.Sprint(number)) }))
 }
--- a/rehearsalkit/fleet/fleet.go
+++ b/rehearsalkit/fleet/fleet.go
@@ -263,7 +263,7 @@
 }
 
 // Caller calls the fleet as an operator.
-func (f *Fleet) Caller() operator.Caller { return operator.Caller{Key: operatorKey} }
+func (f *Fleet) Caller() operator.Client { return operator.Client{Key: operatorKey} }
 
 // Describe is a description for the layout. The mark makes a key of the
 // version's own.
@@ -346,7 +346,7 @@
 // Hand hands a description over at a core.
 func (f *Fleet) Hand(ctx context.Context, at *Machine, basedOn uint64, mark string) (core.Taking, int, error) {
 	var taking core.Taking
-	status, raw, err := f.Caller().Do(ctx, "POST", at.operator, "/v1/configuration", operator.Handed{BasedOn: basedOn, Description: f.Describe(mark), BudgetMS: 8000}, nil)
+	status, raw, err := f.Caller().Do(ctx, "POST", at.operator, "/v1/configuration", operator.ConfigurationRequest{BasedOn: basedOn, Description: f.Describe(mark), BudgetMS: 8000}, nil)
 	if err == nil {
 		err = json.Unmarshal(raw, &taking)
 	}
--- a/rehearsalkit/fleet/scenarios.go
+++ b/rehearsalkit/fleet/scenarios.go
@@ -179,7 +179,7 @@
 	f.cores = append(f.cores, m)
 	pause(ctx, length/5, length/5)
 	gone := f.cores[1]
-	changed, err = f.Caller().Change(ctx, f.cores[0].operator, operator.Life{Kind: core.Retire, ID: gone.Name})
+	changed, err = f.Caller().Change(ctx, f.cores[0].operator, operator.CoreChange{Kind: core.Retire, ID: gone.Name})
 	tell(f, "retired %s: %d moves, %v", gone.Name, changed.Made, err)
 	if err == nil {
 		f.Kill(gone)
--- a/rehearsalkit/relaysim/fault.go
+++ b/rehearsalkit/relaysim/fault.go
@@ -200,7 +200,7 @@
 	w.operate(w.anyDesk(), func(d Desk, now time.Duration, ticket uint64) desk.Output {
 		return d.Retire(now, ticket, s.core.id)
 	}, func(body any) {
-		e, ok := body.(desk.Emptied)
+		e, ok := body.(desk.RetirementStatus)
 		if over {
 			return
 		}
@@ -233,9 +233,9 @@
 		}
 	}
 	w.operate(w.anyDesk(), func(d Desk, now time.Duration, ticket uint64) desk.Output {
-		return d.Retired(now, ticket, s.core.id)
+		return d.RetirementStatus(now, ticket, s.core.id)
 	}, func(body any) {
-		e, _ := body.(desk.Emptied)
+		e, _ := body.(desk.RetirementStatus)
 		if over {
 			return
 		}
--- a/rehearsalkit/relaysim/judge_orders.go
+++ b/rehearsalkit/relaysim/judge_orders.go
@@ -91,9 +91,9 @@
 		bound := answerBound
 		switch c.kind {
 		case callOrder, callOrderAgain, callRead, callRetire, callStatus:
-			bound += b.world.deskParams().Within
+			bound += b.world.deskParams().OperationTimeout
 		case callLeave:
-			bound += b.world.deskParams().DepartureWithin()
+			bound += b.world.deskParams().DepartureTimeout()
 		}
 		took := c.ended - c.at
 		if c.ended < 0 {
--- a/rehearsalkit/relaysim/lastdesk_test.go
+++ b/rehearsalkit/relaysim/lastdesk_test.go
@@ -10,9 +10,9 @@
 // hastyDesk acknowledges that a replica leaves before anybody else can have heard of it.
 type hastyDesk struct{ Desk }
 
-func (d hastyDesk) Beat(now time.Duration, ticket uint64, r desk.Replica) desk.Output {
-	o := d.Desk.Beat(now, 0, r)
-	o.Answers = append(o.Answers, desk.Answer{Ticket: ticket, Body: desk.Heard{Reached: true}})
+func (d hastyDesk) Heartbeat(now time.Duration, ticket uint64, r desk.Replica) desk.Output {
+	o := d.Desk.Heartbeat(now, 0, r)
+	o.Answers = append(o.Answers, desk.Answer{Ticket: ticket, Body: desk.Acknowledgment{Accepted: true}})
 	return o
 }
 
--- a/rehearsalkit/relaysim/later.go
+++ b/rehearsalkit/relaysim/later.go
@@ -15,7 +15,7 @@
 // laterSteps are the rows of a laterTable.
 var laterSteps = []int{8, 16, 64, 256, 1 << 30}
 
-func (t laterTable) add(changes int, h desk.Handed) {
+func (t laterTable) add(changes int, h desk.OrderResult) {
 	step := 0
 	for changes > laterSteps[step] {
 		step++
@@ -28,7 +28,7 @@
 	switch {
 	case h.Unsure:
 		row.unclear++
-	case h.OK:
+	case h.Accepted:
 		row.acked++
 	default:
 		row.refused++
--- a/rehearsalkit/relaysim/longcut.go
+++ b/rehearsalkit/relaysim/longcut.go
@@ -108,7 +108,7 @@
 	}
 	w.after(w.between(500*time.Millisecond, 1100*time.Millisecond), func() { l.callOver(kind, at) })
 	ignore := func(body any) {}
-	known := func(body any) bool { e, ok := body.(desk.Emptied); return ok && !e.Unsure }
+	known := func(body any) bool { e, ok := body.(desk.RetirementStatus); return ok && !e.Unsure }
 	switch kind {
 	case callHeartbeat, callLeave:
 		l.announce(kind, at)
@@ -120,7 +120,7 @@
 		l.book.call(kind, at, func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.Retire(now, ticket, "nobody") }, known, ignore)
 	case callStatus:
 		id := w.anyStore().core.id
-		l.book.call(kind, at, func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.Retired(now, ticket, id) }, known, ignore)
+		l.book.call(kind, at, func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.RetirementStatus(now, ticket, id) }, known, ignore)
 	}
 }
 
@@ -135,8 +135,8 @@
 			say := func(ticket uint64) desk.Output { return at.desk.Leave(at.now(), ticket, w.mark("left")) }
 			if kind == callHeartbeat {
 				w.marks++
-				word := desk.Replica{ID: id, Service: "idle", Address: "10.0.4.1:1", Call: int64(w.marks)}
-				say = func(ticket uint64) desk.Output { return at.desk.Beat(at.now(), ticket, word) }
+				word := desk.Replica{ID: id, Service: "idle", Address: "10.0.4.1:1", Sequence: int64(w.marks)}
+				say = func(ticket uint64) desk.Output { return at.desk.Heartbeat(at.now(), ticket, word) }
 			}
 			at.announce(say, func(reached bool) { l.book.end(c, reached) })
 		})
--- a/rehearsalkit/relaysim/longcut_test.go
+++ b/rehearsalkit/relaysim/longcut_test.go
@@ -64,9 +64,9 @@
 	}{
 		{"desks refuse some orders that were taken", RuleTaken, func(p *Params) {
 			some := every(5)
-			forging(func(h desk.Handed) desk.Handed {
-				if h.OK && h.Number > 1 && some() {
-					return desk.Handed{Race: true}
+			forging(func(h desk.OrderResult) desk.OrderResult {
+				if h.Accepted && h.Number > 1 && some() {
+					return desk.OrderResult{RaceLost: true}
 				}
 				return h
 			})(p)
@@ -79,16 +79,16 @@
 			}
 			return c, true
 		})},
-		{"desks acknowledge what they do not know", RuleLost, forging(func(h desk.Handed) desk.Handed {
-			h.OK, h.Unsure = h.OK || h.Unsure, false
+		{"desks acknowledge what they do not know", RuleLost, forging(func(h desk.OrderResult) desk.OrderResult {
+			h.Accepted, h.Unsure = h.Accepted || h.Unsure, false
 			return h
 		})},
-		{"desks acknowledge what lost its race", RuleRace, forging(func(h desk.Handed) desk.Handed {
-			h.OK, h.Race = h.OK || h.Race, false
+		{"desks acknowledge what lost its race", RuleRace, forging(func(h desk.OrderResult) desk.OrderResult {
+			h.Accepted, h.RaceLost = h.Accepted || h.RaceLost, false
 			return h
 		})},
-		{"desks always say that their news are fresh", RuleNewest, altering(func(from, to string, b desk.Bulletin) (desk.Bulletin, bool) {
-			b.Confirmed = min(b.Confirmed, 0)
+		{"desks always say that their news are fresh", RuleNewest, altering(func(from, to string, b desk.Update) (desk.Update, bool) {
+			b.ConfirmationAge = min(b.ConfirmationAge, 0)
 			return b, true
 		})},
 		{"desks say nothing when nobody answers them", RuleAnswered, func(p *Params) {
@@ -126,7 +126,7 @@
 func (m *mute) out(o desk.Output) desk.Output {
 	var kept []desk.Answer
 	for _, a := range o.Answers {
-		if h, ok := a.Body.(desk.Handed); !ok || !h.Unsure {
+		if h, ok := a.Body.(desk.OrderResult); !ok || !h.Unsure {
 			kept = append(kept, a)
 		}
 	}
--- a/rehearsalkit/relaysim/manychanges.go
+++ b/rehearsalkit/relaysim/manychanges.go
@@ -130,7 +130,7 @@
 }
 
 func (m *manyChanges) insist(o *order) {
-	m.book.send(o, m.world.liveDesk(), func(h desk.Handed) {
+	m.book.send(o, m.world.liveDesk(), func(h desk.OrderResult) {
 		if h.Unsure {
 			m.insist(o)
 			return
--- a/rehearsalkit/relaysim/operator.go
+++ b/rehearsalkit/relaysim/operator.go
@@ -117,16 +117,16 @@
 	w.operate(at, func(d Desk, now time.Duration, ticket uint64) desk.Output {
 		return d.Apply(now, ticket, t.Base, t.Text, desk.Digest(t.Text))
 	}, func(body any) {
-		h, _ := body.(desk.Handed)
+		h, _ := body.(desk.OrderResult)
 		if over {
-			if h.OK && !t.IsAcked {
+			if h.Accepted && !t.IsAcked {
 				// An answer that came late is an answer.
 				t.IsAcked, t.Acked = true, w.now
 			}
 			return
 		}
 		switch {
-		case h.OK:
+		case h.Accepted:
 			w.logf("table %d on %d acknowledged by %s", t.Number, t.Base, at.id)
 			w.Counts["tables acknowledged"]++
 			t.IsAcked, t.Acked = true, w.now
@@ -137,7 +137,7 @@
 		case h.Unsure:
 			again()
 		default:
-			w.logf("table %d on %d refused by %s: race %v, %v", t.Number, t.Base, at.id, h.Race, h.Faults)
+			w.logf("table %d on %d refused by %s: race %v, %v", t.Number, t.Base, at.id, h.RaceLost, h.Faults)
 			w.Counts["tables refused"]++
 			t.Refused, t.RefusedAt, over = true, w.now, true
 			done()
--- a/rehearsalkit/relaysim/orders.go
+++ b/rehearsalkit/relaysim/orders.go
@@ -78,7 +78,7 @@
 	if o.amendment == nil {
 		return d.Apply(now, ticket, o.Base, o.Text, desk.Digest(o.Text))
 	}
-	return d.Amend(now, ticket, desk.Amendment{Base: o.Base, Number: o.Number, Digest: desk.AmendmentDigest(o.Text), Join: desk.JoinTable(*o.amendment)})
+	return d.Amend(now, ticket, desk.Amendment{Base: o.Base, Number: o.Number, Digest: desk.AmendmentDigest(o.Text), Apply: desk.ApplyAmendment(*o.amendment)})
 }
 
 // begin notes a call that has just reached a desk.
@@ -123,7 +123,7 @@
 }
 
 // send hands an order over at a desk once, and notes what is answered.
-func (b *orderBook) send(o *order, at *process, done func(h desk.Handed)) {
+func (b *orderBook) send(o *order, at *process, done func(h desk.OrderResult)) {
 	kind := callOrderAgain
 	if o.Sent == 0 {
 		kind, o.Sent = callOrder, b.world.now
@@ -133,9 +133,9 @@
 	step := func(d Desk, now time.Duration, ticket uint64) desk.Output {
 		return o.hand(d, now, ticket)
 	}
-	clear := func(body any) bool { h, ok := body.(desk.Handed); return ok && !h.Unsure }
+	clear := func(body any) bool { h, ok := body.(desk.OrderResult); return ok && !h.Unsure }
 	b.call(kind, at, step, clear, func(body any) {
-		h, ok := body.(desk.Handed)
+		h, ok := body.(desk.OrderResult)
 		if !ok {
 			h.Unsure = true
 		}
@@ -145,7 +145,7 @@
 }
 
 // note judges one answer by those before.
-func (b *orderBook) note(o *order, at *process, h desk.Handed) {
+func (b *orderBook) note(o *order, at *process, h desk.OrderResult) {
 	w := b.world
 	if o.IsAcked {
 		b.later.add(len(b.acked)-o.ackedAs, h)
@@ -153,7 +153,7 @@
 	switch {
 	case h.Unsure:
 		w.Counts["orders answered unclear"]++
-	case h.OK:
+	case h.Accepted:
 		if o.Refused {
 			b.findings.breach(RuleTaken, "order %d on %d was refused at %v and is acknowledged at %v by %s", o.Number, o.Base, o.refusedAt, w.now, at.id)
 		}
@@ -168,11 +168,11 @@
 		}
 	default:
 		if o.IsAcked {
-			b.findings.breach(RuleTaken, "order %d on %d was acknowledged at %v, and is refused %d orders later at %v by %s (race %v, in force %d)", o.Number, o.Base, o.Acked, len(b.acked)-o.ackedAs, w.now, at.id, h.Race, h.Number)
+			b.findings.breach(RuleTaken, "order %d on %d was acknowledged at %v, and is refused %d orders later at %v by %s (race %v, in force %d)", o.Number, o.Base, o.Acked, len(b.acked)-o.ackedAs, w.now, at.id, h.RaceLost, h.Number)
 		}
 		if !o.Refused {
 			w.Counts["orders refused"]++
-			w.logf("order %d on %d refused by %s: race %v, in force %d", o.Number, o.Base, at.id, h.Race, h.Number)
+			w.logf("order %d on %d refused by %s: race %v, in force %d", o.Number, o.Base, at.id, h.RaceLost, h.Number)
 			o.Refused, o.refusedAt = true, w.now
 		}
 	}
@@ -181,7 +181,7 @@
 // settle hands an order over at any desk until the answer is clear.
 func (b *orderBook) settle(o *order, until time.Duration, done func()) {
 	w := b.world
-	b.send(o, w.anyDesk(), func(h desk.Handed) {
+	b.send(o, w.anyDesk(), func(h desk.OrderResult) {
 		switch {
 		case !h.Unsure || o.IsAcked:
 			done()
@@ -276,5 +276,5 @@
 		return
 	}
 	o := b.acked[from+b.world.random.IntN(len(b.acked)-from)]
-	b.send(o, at, func(h desk.Handed) {})
+	b.send(o, at, func(h desk.OrderResult) {})
 }
--- a/rehearsalkit/relaysim/orderstorm.go
+++ b/rehearsalkit/relaysim/orderstorm.go
@@ -106,7 +106,7 @@
 }
 
 func (s *orderStorm) insist(o *order, done func()) {
-	s.book.send(o, s.world.anyDesk(), func(h desk.Handed) {
+	s.book.send(o, s.world.anyDesk(), func(h desk.OrderResult) {
 		if h.Unsure {
 			s.insist(o, done)
 			return
--- a/rehearsalkit/relaysim/params.go
+++ b/rehearsalkit/relaysim/params.go
@@ -79,7 +79,7 @@
 }
 
 func (w *World) deskParams() desk.Params {
-	return desk.Params{Core: coreParams(), Beat: beatPeriod, Seats: max(3, w.Params.Seats), PartsPerCore: 2, LoadPeriod: beatPeriod / 12, Within: 3 * time.Second}
+	return desk.Params{Core: coreParams(), HeartbeatInterval: beatPeriod, GroupSize: max(3, w.Params.Seats), PartitionsPerCore: 2, LoadInterval: beatPeriod / 12, OperationTimeout: 3 * time.Second}
 }
 
 func (w *World) nodeParams() relay.Params {
--- a/rehearsalkit/relaysim/process.go
+++ b/rehearsalkit/relaysim/process.go
@@ -49,7 +49,7 @@
 type deskProcess struct {
 	isDesk bool
 	desk   Desk
-	known  map[string]desk.Listed
+	known  map[string]desk.ReplicaEntry
 	calls  map[uint64]func(body any)
 	next   uint64
 	founds bool
@@ -95,12 +95,12 @@
 		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: p.zone, Address: p.address, Seeds: p.seedList(), Stored: image, Now: p.now(), Random: w.random.Float64, Violated: w.violated})
 		p.tick(p.life, coreParams().Part.LeaseDuration/40)
 	case p.isDesk:
-		var known []desk.Listed
+		var known []desk.ReplicaEntry
 		for _, id := range ordered.Keys(p.known) {
 			known = append(known, p.known[id])
 		}
 		p.calls = map[uint64]func(any){}
-		p.desk = desk.New(desk.Options{Params: w.deskParams(), ID: p.id, Life: fmt.Sprintf("%s.%d", p.id, p.life), Address: p.address, Seeds: p.seedList(), Founds: p.founds, Known: known, Now: p.now(), Random: w.random.Float64})
+		p.desk = desk.New(desk.Options{Params: w.deskParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.life), Address: p.address, Seeds: p.seedList(), FoundsFleet: p.founds, KnownReplicas: known, Now: p.now(), Random: w.random.Float64})
 		if w.Params.WrapDesk != nil {
 			p.desk = w.Params.WrapDesk(p.desk)
 		}
@@ -199,7 +199,7 @@
 		p.disk = p.world.emptyDisk(p.id)
 	}
 	if p.isDesk {
-		p.known = map[string]desk.Listed{}
+		p.known = map[string]desk.ReplicaEntry{}
 	}
 }
 
@@ -229,8 +229,8 @@
 func (p *process) announce(step func(ticket uint64) desk.Output, then func(reached bool)) {
 	p.next++
 	p.calls[p.next] = func(body any) {
-		h, _ := body.(desk.Heard)
-		then(h.Reached)
+		h, _ := body.(desk.Acknowledgment)
+		then(h.Accepted)
 	}
 	p.takeDesk(step(p.next))
 }
@@ -238,7 +238,7 @@
 // takeDesk carries out what a desk wants done. Changes of its list are on its
 // disk before anybody hears of them.
 func (p *process) takeDesk(o desk.Output) {
-	for _, l := range o.Changes {
+	for _, l := range o.ChangedReplicas {
 		p.known[l.Replica.ID] = l
 	}
 	for _, s := range o.Sends {
--- a/rehearsalkit/relaysim/relaysim_test.go
+++ b/rehearsalkit/relaysim/relaysim_test.go
@@ -101,12 +101,12 @@
 // forger is a desk that answers operators wrongly.
 type forger struct {
 	Desk
-	forge func(h desk.Handed) desk.Handed
+	forge func(h desk.OrderResult) desk.OrderResult
 }
 
 func (f *forger) out(o desk.Output) desk.Output {
 	for i, a := range o.Answers {
-		if h, ok := a.Body.(desk.Handed); ok {
+		if h, ok := a.Body.(desk.OrderResult); ok {
 			o.Answers[i].Body = f.forge(h)
 		}
 	}
@@ -123,7 +123,7 @@
 	return f.out(f.Desk.Apply(now, ticket, base, text, digest))
 }
 
-func forging(forge func(h desk.Handed) desk.Handed) func(p *Params) {
+func forging(forge func(h desk.OrderResult) desk.OrderResult) func(p *Params) {
 	return func(p *Params) {
 		p.WrapDesk = func(d Desk) Desk { return &forger{Desk: d, forge: forge} }
 	}
@@ -233,7 +233,7 @@
 		})},
 		{"a node hears of no table after the first", RuleFollow, func(p *Params) {
 			p.Alter = func(from, to string, body any) (any, bool) {
-				if b, ok := body.(desk.Bulletin); ok && to == "node1" && b.Number > 1 {
+				if b, ok := body.(desk.Update); ok && to == "node1" && b.TableNumber > 1 {
 					b.Table = nil
 					return b, true
 				}
@@ -249,17 +249,17 @@
 				return a
 			}}
 		})},
-		{"desks acknowledge what lost its race", RuleRace, forging(func(h desk.Handed) desk.Handed {
-			h.OK, h.Race = h.OK || h.Race, false
+		{"desks acknowledge what lost its race", RuleRace, forging(func(h desk.OrderResult) desk.OrderResult {
+			h.Accepted, h.RaceLost = h.Accepted || h.RaceLost, false
 			return h
 		})},
-		{"desks acknowledge what is invalid", RuleRace, forging(func(h desk.Handed) desk.Handed {
-			h.OK, h.Faults = h.OK || h.Faults != nil, nil
+		{"desks acknowledge what is invalid", RuleRace, forging(func(h desk.OrderResult) desk.OrderResult {
+			h.Accepted, h.Faults = h.Accepted || h.Faults != nil, nil
 			return h
 		})},
-		{"desks refuse what is agreed", RuleLost, forging(func(h desk.Handed) desk.Handed {
-			if h.OK && h.Number > 1 {
-				return desk.Handed{Race: true}
+		{"desks refuse what is agreed", RuleLost, forging(func(h desk.OrderResult) desk.OrderResult {
+			if h.Accepted && h.Number > 1 {
+				return desk.OrderResult{RaceLost: true}
 			}
 			return h
 		})},
@@ -269,12 +269,12 @@
 			// them are compared for a request: more callers meet it in its last second.
 			p.Callers, p.Talkers = 20, 20
 			p.Alter = func(from, to string, body any) (any, bool) {
-				if b, ok := body.(desk.Bulletin); ok {
-					list := append([]desk.Listed(nil), b.List...)
+				if b, ok := body.(desk.Update); ok {
+					list := append([]desk.ReplicaEntry(nil), b.Replicas...)
 					for i := range list {
 						list[i].Replica.Leaving = false
 					}
-					b.List = list
+					b.Replicas = list
 					return b, true
 				}
 				return body, true
--- a/rehearsalkit/relaysim/replica.go
+++ b/rehearsalkit/relaysim/replica.go
@@ -80,14 +80,14 @@
 	}
 	to, done := r.target, false
 	r.call++
-	word := desk.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: r.zone, Slots: int64(r.slots), Leaving: r.leaving, Call: r.call}
+	word := desk.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: r.zone, Slots: int64(r.slots), Leaving: r.leaving, Sequence: r.call}
 	w.after(w.delay(), func() {
 		if w.isCut(r.address, to.address) {
 			return
 		}
 		to.do(func() {
 			life := to.life
-			to.announce(func(ticket uint64) desk.Output { return to.desk.Beat(to.now(), ticket, word) }, func(reached bool) {
+			to.announce(func(ticket uint64) desk.Output { return to.desk.Heartbeat(to.now(), ticket, word) }, func(reached bool) {
 				if !reached {
 					return
 				}
--- a/rehearsalkit/relaysim/secondloss.go
+++ b/rehearsalkit/relaysim/secondloss.go
@@ -211,26 +211,26 @@
 	step := func(d Desk, now time.Duration, ticket uint64) desk.Output {
 		return d.Retire(now, ticket, r.goes.core.id)
 	}
-	r.ask(callRetire, step, r.askRetire, func(e desk.Emptied) bool { return e.Known && e.Enough }, r.askDone)
+	r.ask(callRetire, step, r.askRetire, func(e desk.RetirementStatus) bool { return e.Known && e.Enough }, r.askDone)
 }
 
 func (r *lossRun) askDone() {
 	step := func(d Desk, now time.Duration, ticket uint64) desk.Output {
-		return d.Retired(now, ticket, r.goes.core.id)
+		return d.RetirementStatus(now, ticket, r.goes.core.id)
 	}
-	r.ask(callStatus, step, r.askDone, func(e desk.Emptied) bool { return e.Done }, r.retired)
+	r.ask(callStatus, step, r.askDone, func(e desk.RetirementStatus) bool { return e.Done }, r.retired)
 }
 
-func (r *lossRun) ask(kind string, step func(d Desk, now time.Duration, ticket uint64) desk.Output, again func(), good func(e desk.Emptied) bool, next func()) {
+func (r *lossRun) ask(kind string, step func(d Desk, now time.Duration, ticket uint64) desk.Output, again func(), good func(e desk.RetirementStatus) bool, next func()) {
 	w := r.world
 	at := w.anyDesk()
 	if !at.alive {
 		w.after(50*time.Millisecond, again)
 		return
 	}
-	known := func(body any) bool { e, ok := body.(desk.Emptied); return ok && !e.Unsure }
+	known := func(body any) bool { e, ok := body.(desk.RetirementStatus); return ok && !e.Unsure }
 	r.book.call(kind, at, step, known, func(body any) {
-		e, ok := body.(desk.Emptied)
+		e, ok := body.(desk.RetirementStatus)
 		switch {
 		case r.doneAt > 0:
 		case ok && !e.Unsure && good(e):
--- a/rehearsalkit/relaysim/secondloss_test.go
+++ b/rehearsalkit/relaysim/secondloss_test.go
@@ -26,17 +26,17 @@
 // sayer is a desk whose words on retirements are changed.
 type sayer struct {
 	Desk
-	say func(e desk.Emptied) desk.Emptied
+	say func(e desk.RetirementStatus) desk.RetirementStatus
 }
 
-func (s *sayer) Retired(now time.Duration, ticket uint64, id string) desk.Output {
-	o := s.Desk.Retired(now, ticket, id)
+func (s *sayer) RetirementStatus(now time.Duration, ticket uint64, id string) desk.Output {
+	o := s.Desk.RetirementStatus(now, ticket, id)
 	return s.out(o)
 }
 
 func (s *sayer) out(o desk.Output) desk.Output {
 	for i, a := range o.Answers {
-		if e, ok := a.Body.(desk.Emptied); ok {
+		if e, ok := a.Body.(desk.RetirementStatus); ok {
 			o.Answers[i].Body = s.say(e)
 		}
 	}
@@ -55,7 +55,7 @@
 	}{
 		{"retirements are done at once", RuleRetired, changePlanned, lossPower, func(p *Params) {
 			p.WrapDesk = func(d Desk) Desk {
-				return &sayer{Desk: d, say: func(e desk.Emptied) desk.Emptied { e.Done = true; return e }}
+				return &sayer{Desk: d, say: func(e desk.RetirementStatus) desk.RetirementStatus { e.Done = true; return e }}
 			}
 		}},
 		{"a new core gets nothing", RuleRestored, changeReplacement, lossPower, altering(func(from, to string, b core.PartMessage) (core.PartMessage, bool) {
--- a/rehearsalkit/relaysim/whole.go
+++ b/rehearsalkit/relaysim/whole.go
@@ -23,7 +23,7 @@
 
 type toldNews struct {
 	at       time.Duration
-	bulletin desk.Bulletin
+	bulletin desk.Update
 }
 
 // clockSlack is what clocks that run apart may make of a desk's age of its news.
@@ -36,12 +36,12 @@
 }
 
 func (h *health) delivered(from string, to *process, body any) {
-	ask, ok := body.(desk.Follow)
-	if !ok || !to.isDesk || ask.Desk {
+	ask, ok := body.(desk.Subscribe)
+	if !ok || !to.isDesk || ask.IsDesk {
 		return
 	}
 	kind := callPull
-	if ask.Life == "" {
+	if ask.Incarnation == "" {
 		kind = callFirst
 	}
 	h.asked[[2]string{to.address, from}] = h.book.begin(kind, to)
@@ -50,11 +50,11 @@
 // sent judges what desks tell: what they say of the age of their news must be
 // true of the tables that were acknowledged before.
 func (h *health) sent(from *process, to string, body any) {
-	news, ok := body.(desk.Bulletin)
+	news, ok := body.(desk.Update)
 	if !ok || !from.isDesk {
 		return
 	}
-	fresh := news.Confirmed >= 0 && news.Confirmed < contact
+	fresh := news.ConfirmationAge >= 0 && news.ConfirmationAge < contact
 	pair := [2]string{from.address, to}
 	if c := h.asked[pair]; c != nil {
 		h.book.end(c, fresh)
@@ -62,13 +62,13 @@
 	}
 	w := h.world
 	h.told[from.id] = toldNews{at: w.now, bulletin: news}
-	if news.Confirmed < 0 {
+	if news.ConfirmationAge < 0 {
 		return
 	}
 	for i := len(h.book.acked) - 1; i >= 0; i-- {
 		o := h.book.acked[i]
-		if o.Number > news.Number && o.Acked < w.now-news.Confirmed-clockSlack {
-			h.book.findings.breach(RuleNewest, "%s said at %v that table %d was the newest %v ago, and %d had been acknowledged at %v", from.id, w.now, news.Number, news.Confirmed, o.Number, o.Acked)
+		if o.Number > news.TableNumber && o.Acked < w.now-news.ConfirmationAge-clockSlack {
+			h.book.findings.breach(RuleNewest, "%s said at %v that table %d was the newest %v ago, and %d had been acknowledged at %v", from.id, w.now, news.TableNumber, news.ConfirmationAge, o.Number, o.Acked)
 		}
 		if o.Acked < w.now-10*catchUp {
 			return
@@ -86,7 +86,7 @@
 		if s.desk == nil {
 			continue
 		}
-		if told := h.told[s.desk.id]; !s.desk.alive || w.now-told.at > beatPeriod || told.bulletin.Confirmed < 0 || told.bulletin.Confirmed > beatPeriod {
+		if told := h.told[s.desk.id]; !s.desk.alive || w.now-told.at > beatPeriod || told.bulletin.ConfirmationAge < 0 || told.bulletin.ConfirmationAge > beatPeriod {
 			return s.desk.id + " has no confirmed table"
 		}
 	}
@@ -108,7 +108,7 @@
 		}
 		owner := s.core.core.Part(n)
 		group, _ := owner.CommittedGroup()
-		if len(group.Members) != w.deskParams().Seats || len(group.Former) > 0 {
+		if len(group.Members) != w.deskParams().GroupSize || len(group.Former) > 0 {
 			return fmt.Sprintf("part %d has the group %v, formerly %v", n, group.Members, group.Former)
 		}
 		for _, seat := range group.Members {
@@ -164,7 +164,7 @@
 			return "the fleet does not know " + s.core.id
 		}
 	}
-	for n, wanted := range core.Place(w.parts(), w.deskParams().Seats, cores, silent) {
+	for n, wanted := range core.Place(w.parts(), w.deskParams().GroupSize, cores, silent) {
 		s := w.coreOf(n)
 		if s == nil {
 			return fmt.Sprintf("part %d has no owner", n)
--- a/rehearsalkit/relaysim/world.go
+++ b/rehearsalkit/relaysim/world.go
@@ -27,7 +27,7 @@
 
 // Desk is the desk's machine as the simulator drives it.
 type Desk interface {
-	Beat(now time.Duration, ticket uint64, r desk.Replica) desk.Output
+	Heartbeat(now time.Duration, ticket uint64, r desk.Replica) desk.Output
 	Leave(now time.Duration, ticket uint64, id string) desk.Output
 	Receive(now time.Duration, from string, body any) desk.Output
 	Tick(now time.Duration) desk.Output
@@ -35,7 +35,7 @@
 	Amend(now time.Duration, ticket uint64, a desk.Amendment) desk.Output
 	Read(now time.Duration, ticket uint64) desk.Output
 	Retire(now time.Duration, ticket uint64, id string) desk.Output
-	Retired(now time.Duration, ticket uint64, id string) desk.Output
+	RetirementStatus(now time.Duration, ticket uint64, id string) desk.Output
 }
 
 // World is one run.
@@ -114,7 +114,7 @@
 	s.core.disk = w.emptyDisk(s.core.id)
 	if withDesk {
 		s.desk = w.add(fmt.Sprintf("desk%d", n), n, fmt.Sprintf("10.0.0.%d:0", n))
-		s.desk.isDesk, s.desk.known, s.desk.founds = true, map[string]desk.Listed{}, n == 1
+		s.desk.isDesk, s.desk.known, s.desk.founds = true, map[string]desk.ReplicaEntry{}, n == 1
 	}
 	w.stores = append(w.stores, s)
 	return s
--- a/saffronfall/amend.go
+++ b/saffronfall/amend.go
@@ -39,7 +39,7 @@
 	if c.Preview {
 		path += "&preview=true"
 	}
-	var handed desk.Handed
+	var handed desk.OrderResult
 	status, raw, err := c.do(http.MethodPatch, path, json.RawMessage(text), &handed)
 	if err != nil {
 		return err
@@ -50,13 +50,13 @@
 	}
 	switch {
 	case err != nil:
-		return errors.Wrap(operator.Refusal(status, raw), "not taken")
+		return errors.Wrap(operator.NewResponseError(status, raw), "not taken")
 	case status == http.StatusBadRequest && handed.Faults != nil:
 		return handed.Faults
 	case status == http.StatusConflict:
 		return errors.Newf("not taken: table %d is in force, and the amendment builds on %d", handed.Number, base)
 	case status != http.StatusOK:
-		return errors.Wrap(operator.Refusal(status, raw), "not taken")
+		return errors.Wrap(operator.NewResponseError(status, raw), "not taken")
 	case handed.Preview != nil:
 		printPreview(out, base, *handed.Preview)
 	default:
@@ -75,7 +75,7 @@
 	}
 	status, raw, err := c.do(http.MethodGet, "/v1/table", nil, &current)
 	if err == nil && status != http.StatusOK {
-		err = operator.Refusal(status, raw)
+		err = operator.NewResponseError(status, raw)
 	}
 	return current.Number, errors.Wrap(err, "the table in force")
 }
--- a/saffronfall/amend_test.go
+++ b/saffronfall/amend_test.go
@@ -18,7 +18,7 @@
 )
 
 // amendBy runs apply --amend against a desk that answers a PATCH as told.
-func amendBy(t *testing.T, preview bool, status int, handed desk.Handed) (printed, query, body string, err error) {
+func amendBy(t *testing.T, preview bool, status int, handed desk.OrderResult) (printed, query, body string, err error) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
@@ -44,21 +44,21 @@
 // TestApplyAmendment: it goes to the desk on top of the table in force, as it was
 // written, and each outcome is told.
 func TestApplyAmendment(t *testing.T) {
-	printed, query, body, err := amendBy(t, false, http.StatusOK, desk.Handed{OK: true, Number: 9})
+	printed, query, body, err := amendBy(t, false, http.StatusOK, desk.OrderResult{Accepted: true, Number: 9})
 	if err != nil || printed != "table 9 taken\n" || query != "base=7" || !strings.Contains(body, `"old"`) {
 		t.Errorf("taken: %q, %q, %q, %v", printed, query, body, err)
 	}
-	printed, query, _, err = amendBy(t, true, http.StatusOK, desk.Handed{Number: 7, Preview: &route.Preview{Routes: route.ChangedNames{Removed: []string{"old"}}}})
+	printed, query, _, err = amendBy(t, true, http.StatusOK, desk.OrderResult{Number: 7, Preview: &route.Preview{Routes: route.ChangedNames{Removed: []string{"old"}}}})
 	if err != nil || printed != "on table 7:\n  routes removed: old\n" || query != "base=7&preview=true" {
 		t.Errorf("preview: %q, %q, %v", printed, query, err)
 	}
-	if _, _, _, err = amendBy(t, false, http.StatusConflict, desk.Handed{Race: true, Number: 8}); err == nil || !strings.Contains(err.Error(), "table 8 is in force") {
+	if _, _, _, err = amendBy(t, false, http.StatusConflict, desk.OrderResult{RaceLost: true, Number: 8}); err == nil || !strings.Contains(err.Error(), "table 8 is in force") {
 		t.Errorf("race: %v", err)
 	}
-	if _, _, _, err = amendBy(t, false, http.StatusBadRequest, desk.Handed{Faults: configuration.Faults{{Path: "routes[0].targets.service", Value: "x", Allowed: "a service of this table"}}}); err == nil || !strings.Contains(err.Error(), "routes[0].targets.service: x") {
+	if _, _, _, err = amendBy(t, false, http.StatusBadRequest, desk.OrderResult{Faults: configuration.Faults{{Path: "routes[0].targets.service", Value: "x", Allowed: "a service of this table"}}}); err == nil || !strings.Contains(err.Error(), "routes[0].targets.service: x") {
 		t.Errorf("faults: %v", err)
 	}
-	if _, _, _, err = amendBy(t, false, http.StatusServiceUnavailable, desk.Handed{}); err == nil {
+	if _, _, _, err = amendBy(t, false, http.StatusServiceUnavailable, desk.OrderResult{}); err == nil {
 		t.Error("unsure is told as taken")
 	}
 }
--- a/saffronfall/coreprocess/process.go
+++ b/saffronfall/coreprocess/process.go
@@ -325,8 +325,8 @@
 	}
 }
 
-// Look runs a function on the owner's goroutine.
-func (s *process) Look(ctx context.Context, look func(m *core.Machine, now time.Duration) any) (any, error) {
+// Inspect runs a function on the owner's goroutine.
+func (s *process) Inspect(ctx context.Context, look func(m *core.Machine, now time.Duration) any) (any, error) {
 	return s.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
 		return core.Output{Answers: []core.Answer{{Ticket: ticket, Body: look(m, now)}}}
 	})
@@ -337,14 +337,14 @@
 	if told.Values, err = s.Counters(ctx); err != nil {
 		return told, err
 	}
-	violations, err := s.Look(ctx, func(*core.Machine, time.Duration) any { return telemetry.Counted(s.violations) })
+	violations, err := s.Inspect(ctx, func(*core.Machine, time.Duration) any { return telemetry.Counted(s.violations) })
 	told.Violations, _ = violations.(map[invariant.Name]int64)
 	return told, err
 }
 
 // Counters are this process's counts.
 func (s *process) Counters(ctx context.Context) (map[string]int64, error) {
-	body, err := s.Look(ctx, func(m *core.Machine, now time.Duration) any {
+	body, err := s.Inspect(ctx, func(m *core.Machine, now time.Duration) any {
 		p := m.PartCounters()
 		return map[string]int64{"messages": m.Counters.Messages, "commands": m.Counters.Commands, "commands_moved": m.Counters.Moved,
 			"commands_unsure": m.Counters.Unsure, "pulls": m.Counters.Pulls, "refused_while_stalled": m.Counters.Stalled, "returns_with_empty_folder": m.Counters.Returns, "bad_messages": m.Counters.BadMessages,
--- a/saffronfall/coreprocess/process_test.go
+++ b/saffronfall/coreprocess/process_test.go
@@ -38,7 +38,7 @@
 		tick := time.NewTicker(20 * time.Millisecond)
 		defer tick.Stop()
 		for {
-			_, err := operator.Caller{Key: operatorKey}.Found(ctx, "f", []string{p.OperatorListen}, 4, 1)
+			_, err := operator.Client{Key: operatorKey}.Found(ctx, "f", []string{p.OperatorListen}, 4, 1)
 			if err == nil || ctx.Err() != nil {
 				founded <- err
 				return
--- a/saffronfall/deskprocess/process.go
+++ b/saffronfall/deskprocess/process.go
@@ -46,13 +46,13 @@
 // kept is what a desk writes down: a state, or what changed of it. Frames of a
 // former version are a bare list.
 type kept struct {
-	List  []desk.Listed `msgpack:"l"`
-	Peers *desk.Peers   `msgpack:"p"`
+	List  []desk.ReplicaEntry `msgpack:"l"`
+	Peers *desk.Peers         `msgpack:"p"`
 }
 
 // memory is what an earlier life of a desk has left.
 type memory struct {
-	list  map[string]desk.Listed
+	list  map[string]desk.ReplicaEntry
 	peers *desk.Peers
 }
 
@@ -71,7 +71,7 @@
 
 // open reads the list and the addresses that an earlier life kept. They are a
 // help and no more: a desk whose folder is lost begins without.
-func open(path string, log logr.Logger) (*disk.Store, []desk.Listed, *desk.Peers) {
+func open(path string, log logr.Logger) (*disk.Store, []desk.ReplicaEntry, *desk.Peers) {
 	folder, held, err := disk.Open(path)
 	if errors.Is(err, disk.ErrDamaged) {
 		if err = disk.SetAside(path); err == nil {
@@ -85,13 +85,13 @@
 		log.Info("no list is kept", "reason", err.Error())
 		return nil, nil, nil
 	}
-	before := memory{list: map[string]desk.Listed{}}
+	before := memory{list: map[string]desk.ReplicaEntry{}}
 	for _, raw := range append([][]byte{held.State}, held.Records...) {
 		if raw != nil {
 			before.read(raw)
 		}
 	}
-	var known []desk.Listed
+	var known []desk.ReplicaEntry
 	for _, id := range ordered.Keys(before.list) {
 		known = append(known, before.list[id])
 	}
@@ -104,7 +104,7 @@
 // keep writes changes down before anybody hears of them. While the disk is full
 // they are left out, as the list is a help and no more; a folder that fails is not
 // used any more.
-func (s *process) keep(changes []desk.Listed, peers *desk.Peers) {
+func (s *process) keep(changes []desk.ReplicaEntry, peers *desk.Peers) {
 	if s.folder == nil || len(changes) == 0 && peers == nil {
 		return
 	}
@@ -126,7 +126,7 @@
 
 // Run runs the role until the context ends. The surface makes the handler of
 // what replicas and operators call.
-func Run(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger, surface func(calls desk.Calls) http.Handler) error {
+func Run(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger, surface func(calls desk.API) http.Handler) error {
 	raw := make([]byte, 6)
 	if _, err := crypto.Read(raw); err != nil {
 		return err
@@ -138,12 +138,12 @@
 	}
 	life, cancel := context.WithCancel(context.Background())
 	s := &process{params: p, adopt: adopt, log: log, streams: streams, start: clock.Now(), life: life, calls: make(chan func(time.Duration) desk.Output, 64), answers: map[uint64]chan any{}}
-	var known []desk.Listed
+	var known []desk.ReplicaEntry
 	var peers *desk.Peers
 	if p.Folder != "" {
 		s.folder, known, peers = open(p.Folder, log)
 	}
-	s.machine = desk.New(desk.Options{Params: p.Desk(), ID: p.ID, Life: hex.EncodeToString(raw), Address: p.PeerAdvertise, Seeds: p.Seeds, Founds: p.Founds, Known: known, Peers: peers, Now: s.now(), Random: rand.Float64})
+	s.machine = desk.New(desk.Options{Params: p.Desk(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Address: p.PeerAdvertise, Seeds: p.Seeds, FoundsFleet: p.Founds, KnownReplicas: known, KnownPeers: peers, Now: s.now(), Random: rand.Float64})
 	log.Info("desk started", "id", p.ID, "founds", p.Founds)
 	var group run.Group
 	group.Add(func() error { return s.own() }, func(error) { cancel() })
@@ -193,7 +193,7 @@
 			s.bad += c.BadStreams
 		case <-ticker.C:
 			s.take(s.machine.Tick(s.now()))
-			if table := s.machine.Number(); table != s.table {
+			if table := s.machine.TableNumber(); table != s.table {
 				s.table = table
 				s.log.Info("routing table known", "number", table)
 			}
@@ -204,7 +204,7 @@
 }
 
 func (s *process) take(o desk.Output) {
-	s.keep(o.Changes, o.Peers)
+	s.keep(o.ChangedReplicas, o.Peers)
 	for _, send := range o.Sends {
 		s.sent++
 		if !s.streams.Send(send.To, send.Body) {
@@ -248,37 +248,37 @@
 var errIsolated = errors.New("this desk can't pass it on now; tell another")
 
 // heard turns the answer to a replica into an error where it should tell another.
-func heard(h desk.Heard, err error) error {
-	if err == nil && !h.Reached {
+func heard(h desk.Acknowledgment, err error) error {
+	if err == nil && !h.Accepted {
 		return errIsolated
 	}
 	return err
 }
 
-// Beat takes what a replica says of itself.
-func (s *process) Beat(ctx context.Context, r desk.Replica) error {
-	return heard(call[desk.Heard](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
-		return m.Beat(now, ticket, r)
+// Heartbeat records the state that a replica reports.
+func (s *process) Heartbeat(ctx context.Context, r desk.Replica) error {
+	return heard(call[desk.Acknowledgment](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
+		return m.Heartbeat(now, ticket, r)
 	}))
 }
 
 // Leave takes a replica off the list.
 func (s *process) Leave(ctx context.Context, id string) error {
-	return heard(call[desk.Heard](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
+	return heard(call[desk.Acknowledgment](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
 		return m.Leave(now, ticket, id)
 	}))
 }
 
 // Apply hands a routing table over.
-func (s *process) Apply(ctx context.Context, base uint64, text []byte, digest string) (desk.Handed, error) {
-	return call[desk.Handed](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
+func (s *process) Apply(ctx context.Context, base uint64, text []byte, digest string) (desk.OrderResult, error) {
+	return call[desk.OrderResult](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
 		return m.Apply(now, ticket, base, text, digest)
 	})
 }
 
 // Amend hands over an amendment of the routing table in force.
-func (s *process) Amend(ctx context.Context, a desk.Amendment) (desk.Handed, error) {
-	return call[desk.Handed](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
+func (s *process) Amend(ctx context.Context, a desk.Amendment) (desk.OrderResult, error) {
+	return call[desk.OrderResult](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
 		return m.Amend(now, ticket, a)
 	})
 }
@@ -289,13 +289,15 @@
 }
 
 // Retire asks for a core to be emptied.
-func (s *process) Retire(ctx context.Context, id string) (desk.Emptied, error) {
-	return call[desk.Emptied](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output { return m.Retire(now, ticket, id) })
+func (s *process) Retire(ctx context.Context, id string) (desk.RetirementStatus, error) {
+	return call[desk.RetirementStatus](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output { return m.Retire(now, ticket, id) })
 }
 
-// Retired tells how far the emptying of a core is.
-func (s *process) Retired(ctx context.Context, id string) (desk.Emptied, error) {
-	return call[desk.Emptied](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output { return m.Retired(now, ticket, id) })
+// RetirementStatus reports how far the retirement of a core is.
+func (s *process) RetirementStatus(ctx context.Context, id string) (desk.RetirementStatus, error) {
+	return call[desk.RetirementStatus](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
+		return m.RetirementStatus(now, ticket, id)
+	})
 }
 
 // snapshot is what this process counts now.
--- a/saffronfall/deskprocess/process_test.go
+++ b/saffronfall/deskprocess/process_test.go
@@ -12,8 +12,8 @@
 	"saffronfall/rule/message"
 )
 
-func listed(id string, leaving bool) desk.Listed {
-	return desk.Listed{Replica: desk.Replica{ID: id, Service: "app", Address: id + ":1", Leaving: leaving}}
+func listed(id string, leaving bool) desk.ReplicaEntry {
+	return desk.ReplicaEntry{Replica: desk.Replica{ID: id, Service: "app", Address: id + ":1", Leaving: leaving}}
 }
 
 // TestListIsKept over lives of the process, the newest word of each replica, also
@@ -25,8 +25,8 @@
 		t.Fatalf("%v, %+v", folder, known)
 	}
 	s := &process{folder: folder, log: logr.Discard()}
-	s.keep([]desk.Listed{listed("a", false), listed("b", false)}, nil)
-	s.keep([]desk.Listed{listed("b", true)}, nil)
+	s.keep([]desk.ReplicaEntry{listed("a", false), listed("b", false)}, nil)
+	s.keep([]desk.ReplicaEntry{listed("b", true)}, nil)
 	s.keep(nil, nil)
 	folder.Close()
 	folder, known, _ = open(path, logr.Discard())
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	s.folder = folder
-	s.keep([]desk.Listed{listed("c", false)}, nil)
+	s.keep([]desk.ReplicaEntry{listed("c", false)}, nil)
 	folder.Close()
 	folder, known, _ = open(path, logr.Discard())
 	if len(known) != 3 {
@@ -70,11 +70,11 @@
 	folder, _, _ := open(t.TempDir(), logr.Discard())
 	s := &process{folder: folder, log: logr.Discard()}
 	folder.Close()
-	s.keep([]desk.Listed{listed("a", false)}, nil)
+	s.keep([]desk.ReplicaEntry{listed("a", false)}, nil)
 	if s.folder != nil {
 		t.Fatal("a folder that failed is used on")
 	}
-	s.keep([]desk.Listed{listed("b", false)}, nil)
+	s.keep([]desk.ReplicaEntry{listed("b", false)}, nil)
 }
 
 // TestAddressesAreKept: a desk that is started again knows where its fleet was,
@@ -85,12 +85,12 @@
 	if peers != nil {
 		t.Fatalf("a new folder holds %+v", peers)
 	}
-	if err := folder.Append(message.Marshal([]desk.Listed{listed("a", false)})); err != nil {
+	if err := folder.Append(message.Marshal([]desk.ReplicaEntry{listed("a", false)})); err != nil {
 		t.Fatal(err)
 	}
 	s := &process{folder: folder, log: logr.Discard()}
 	s.keep(nil, &desk.Peers{Fleet: "f", Desks: []string{"d1:1"}})
-	s.keep([]desk.Listed{listed("b", false)}, &desk.Peers{Fleet: "f", Desks: []string{"d1:1", "d2:1"}, Cores: map[string]core.Core{"c": {ID: "c", Peer: "c:1"}}})
+	s.keep([]desk.ReplicaEntry{listed("b", false)}, &desk.Peers{Fleet: "f", Desks: []string{"d1:1", "d2:1"}, Cores: map[string]core.Core{"c": {ID: "c", Peer: "c:1"}}})
 	folder.Close()
 	folder, known, peers := open(path, logr.Discard())
 	if len(known) != 2 || peers == nil || len(peers.Desks) != 2 || peers.Cores["c"].Peer != "c:1" {
--- a/saffronfall/deskprocess/schema_test.go
+++ b/saffronfall/deskprocess/schema_test.go
@@ -12,6 +12,6 @@
 func TestDiskSchema(t *testing.T) {
 	schematest.Check(t, "disk_schema", []schematest.Entry{
 		schematest.Msgpack[kept]("slot or frame"),
-		schematest.Msgpack[[]desk.Listed]("former frame"),
+		schematest.Msgpack[[]desk.ReplicaEntry]("former frame"),
 	})
 }
--- a/saffronfall/main.go
+++ b/saffronfall/main.go
@@ -35,7 +35,7 @@
 
 func (c *deskCommand) Run() error {
 	return role.Start(c.Settings, func(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger) error {
-		return deskprocess.Run(ctx, p, adopt, log, desk.Surface(p.Operators, p.Replicas, p.Largest))
+		return deskprocess.Run(ctx, p, adopt, log, desk.Handler(p.Operators, p.Replicas, p.Largest))
 	})
 }
 
@@ -60,7 +60,7 @@
 }
 
 func (c *coreAdd) Run() error {
-	return c.change(operator.Life{Kind: core.Add}, c.New)
+	return c.change(operator.CoreChange{Kind: core.Add}, c.New)
 }
 
 type coreRetire struct {
@@ -69,7 +69,7 @@
 }
 
 func (c *coreRetire) Run() error {
-	return c.change(operator.Life{Kind: core.Retire, ID: c.ID}, "")
+	return c.change(operator.CoreChange{Kind: core.Retire, ID: c.ID}, "")
 }
 
 type coreReplace struct {
@@ -79,7 +79,7 @@
 }
 
 func (c *coreReplace) Run() error {
-	return c.change(operator.Life{Kind: core.Replace, ID: c.ID, By: c.By}, "")
+	return c.change(operator.CoreChange{Kind: core.Replace, ID: c.ID, By: c.By}, "")
 }
 
 type changing struct {
@@ -87,10 +87,10 @@
 	Plan bool `help:"Show which seats would move; change nothing."`
 }
 
-func (c changing) change(life operator.Life, fresh string) error {
+func (c changing) change(life operator.CoreChange, fresh string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Within)
 	defer cancel()
-	o := operator.Caller{Key: c.Key}
+	o := operator.Client{Key: c.Key}
 	var changed core.Changed
 	var err error
 	switch {
@@ -132,7 +132,7 @@
 func (c calling) do(method, path string, body, target any) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Within)
 	defer cancel()
-	return operator.Caller{Key: c.Key}.Do(ctx, method, c.Core, path, body, target)
+	return operator.Client{Key: c.Key}.Do(ctx, method, c.Core, path, body, target)
 }
 
 type foundCommand struct {
@@ -146,7 +146,7 @@
 func (c *foundCommand) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Within)
 	defer cancel()
-	f, err := operator.Caller{Key: c.Key}.Found(ctx, c.Fleet, c.Cores, c.Parts, c.Size)
+	f, err := operator.Client{Key: c.Key}.Found(ctx, c.Fleet, c.Cores, c.Parts, c.Size)
 	if err != nil {
 		return err
 	}
@@ -195,7 +195,7 @@
 	if _, faults := configuration.Parse(text); len(faults) > 0 {
 		return 0, nil, taking, faults
 	}
-	h := operator.Handed{Description: text, PlanOnly: planOnly, BudgetMS: c.Within.Milliseconds()}
+	h := operator.ConfigurationRequest{Description: text, PlanOnly: planOnly, BudgetMS: c.Within.Milliseconds()}
 	if c.BasedOn >= 0 {
 		h.BasedOn = uint64(c.BasedOn)
 	} else {
@@ -223,7 +223,7 @@
 		return err
 	}
 	if status != 200 {
-		return errors.Wrap(operator.Refusal(status, raw), "not taken")
+		return errors.Wrap(operator.NewResponseError(status, raw), "not taken")
 	}
 	fmt.Printf("version %d taken: in force on every member\n", taking.Version)
 	return nil
@@ -240,7 +240,7 @@
 		return err
 	}
 	if status != 200 {
-		return errors.Wrap(operator.Refusal(status, raw), "no plan")
+		return errors.Wrap(operator.NewResponseError(status, raw), "no plan")
 	}
 	if c.JSON {
 		fmt.Println(strings.TrimSpace(string(raw)))
@@ -262,7 +262,7 @@
 		return err
 	}
 	if status != 202 {
-		return operator.Refusal(status, raw)
+		return operator.NewResponseError(status, raw)
 	}
 	fmt.Println("draining")
 	return nil
@@ -280,16 +280,16 @@
 		return err
 	}
 	if status != 200 {
-		return operator.Refusal(status, raw)
+		return operator.NewResponseError(status, raw)
 	}
 	if c.JSON {
 		fmt.Println(strings.TrimSpace(string(raw)))
 		return nil
 	}
-	fmt.Printf("fleet %s, configuration %d, breaker %s\n", s.Fleet, s.Version, s.Breaker)
+	fmt.Printf("fleet %s, configuration %d, breaker %s\n", s.Fleet, s.ConfigurationVersion, s.Breaker)
 	seats := map[string]int{}
-	for _, p := range s.Parts {
-		for _, seat := range p.Seats {
+	for _, p := range s.Partitions {
+		for _, seat := range p.Members {
 			seats[seat]++
 		}
 	}
@@ -303,12 +303,12 @@
 		}
 		fmt.Printf("core    %-12s %-10s %s %s\n", one.ID, one.Zone, one.Peer, note)
 	}
-	for _, p := range s.Parts {
-		fmt.Printf("part    %-3d owner %s term %d epoch %d seats %s\n", p.Part, p.Owner, p.Round, p.Epoch, strings.Join(p.Seats, " "))
+	for _, p := range s.Partitions {
+		fmt.Printf("part    %-3d owner %s term %d epoch %d seats %s\n", p.Partition, p.Leader, p.Term, p.Epoch, strings.Join(p.Members, " "))
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Within)
 	defer cancel()
-	nodes := operator.Caller{Key: c.Key}.Nodes(ctx, s.Members)
+	nodes := operator.Client{Key: c.Key}.NodeCounters(ctx, s.Members)
 	for _, m := range s.Members {
 		told, ok := nodes[m.ID]
 		switch {
@@ -326,11 +326,11 @@
 		printTree("replica", nodes[id]["replicas"])
 		break
 	}
-	for _, u := range s.Locked {
+	for _, u := range s.LockedUsers {
 		fmt.Printf("locked out %s for %v more\n", u.Name, u.Left.Round(time.Second))
 	}
-	if len(s.Missing) > 0 {
-		fmt.Printf("no answer from parts %v\n", s.Missing)
+	if len(s.MissingPartitions) > 0 {
+		fmt.Printf("no answer from parts %v\n", s.MissingPartitions)
 	}
 	return nil
 }
@@ -390,7 +390,7 @@
 // exitCode tells scripts what became of a command.
 func exitCode(err error) int {
 	var faults configuration.Faults
-	var refused *operator.Refused
+	var refused *operator.ResponseError
 	switch {
 	case errors.As(err, &faults):
 		return 2
--- a/saffronfall/nodeprocess/process.go
+++ b/saffronfall/nodeprocess/process.go
@@ -102,7 +102,7 @@
 		})
 	}
 	listen(p.RequesterListen, mux, "requester address")
-	listen(p.OperatorListen, operator.Guard(p.Operators, s.operators()), "operator address")
+	listen(p.OperatorListen, operator.RequireKey(p.Operators, s.operators()), "operator address")
 	return group.Run()
 }
 
@@ -329,14 +329,14 @@
 
 func (s *process) operators() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/drain", operator.Drain(s.drain))
+	mux.HandleFunc("POST /v1/drain", operator.DrainHandler(s.drain))
 	mux.HandleFunc("GET /counters", func(w http.ResponseWriter, r *http.Request) {
 		counts, err := s.Counters(r.Context())
 		if err != nil {
-			operator.Write(w, 503, operator.Fault{Code: "unsure", Reason: err.Error(), Ran: "no"})
+			operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 			return
 		}
-		operator.Write(w, 200, counts)
+		operator.WriteJSON(w, 200, counts)
 	})
 	return mux
 }
--- a/saffronfall/params/relay.go
+++ b/saffronfall/params/relay.go
@@ -102,7 +102,7 @@
 
 // Desk are a desk's bounds.
 func (p Params) Desk() desk.Params {
-	return desk.Params{Core: p.Core(), Beat: ms(p.BeatMS), Seats: int(p.GroupSeats), PartsPerCore: int(p.PartsPerCore), LoadPeriod: ms(p.LoadMS), Within: ms(p.OrderMS)}
+	return desk.Params{Core: p.Core(), HeartbeatInterval: ms(p.BeatMS), GroupSize: int(p.GroupSeats), PartitionsPerCore: int(p.PartsPerCore), LoadInterval: ms(p.LoadMS), OperationTimeout: ms(p.OrderMS)}
 }
 
 // placement is the policy by which replicas are chosen.
--- a/saffronfall/relayprocess/process.go
+++ b/saffronfall/relayprocess/process.go
@@ -123,7 +123,7 @@
 		serve(&group, &http.Server{Addr: p.ReadyListen, Handler: http.HandlerFunc(s.tellReady), ReadHeaderTimeout: 5 * time.Second}, (*http.Server).ListenAndServe, "readiness address")
 	}
 	if p.OperatorListen != "" && p.Operators != "" {
-		serve(&group, &http.Server{Addr: p.OperatorListen, Handler: operator.Guard(p.Operators, s.operators()), ReadHeaderTimeout: 5 * time.Second}, (*http.Server).ListenAndServe, "operator address")
+		serve(&group, &http.Server{Addr: p.OperatorListen, Handler: operator.RequireKey(p.Operators, s.operators()), ReadHeaderTimeout: 5 * time.Second}, (*http.Server).ListenAndServe, "operator address")
 	}
 	group.Add(func() error {
 		select {
@@ -383,10 +383,10 @@
 	mux.HandleFunc("GET /counters", func(w http.ResponseWriter, r *http.Request) {
 		told, err := s.snapshot(r.Context())
 		if err != nil {
-			operator.Write(w, 503, operator.Fault{Code: "unsure", Reason: err.Error(), Ran: "no"})
+			operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 			return
 		}
-		operator.Write(w, 200, told.Values)
+		operator.WriteJSON(w, 200, told.Values)
 	})
 	return mux
 }
