--- a/peer/desk/amend.go
+++ b/peer/desk/amend.go
@@ -8,31 +8,31 @@
 	"saffronfall/rule/route"
 )
 
-// Amendment is an order that changes named items of the table in force. It is joined to
-// that table at the desk and agreed whole, so that it is as atomic, as durable and as
-// well known again as a whole table.
+// Amendment is an operator's order that changes named items of the current table. The desk
+// applies it to that table and proposes the resulting full table, so it is as atomic,
+// durable and idempotent as a full table.
 type Amendment struct {
-	// Base is the number of the table that it builds on, Number the next one's.
+	// Base is the number of the table that it is based on, Number that of the result.
 	Base, Number uint64
-	// Digest tells this order from all others on its base.
+	// Digest identifies the order among all orders on its base.
 	Digest string
-	// Join makes the next table's text from the current one's, which is empty where
-	// there is none yet.
+	// Apply returns the text of the resulting table. The current text is empty if there is
+	// no table yet.
 	Apply func(current []byte) ([]byte, configuration.Faults)
-	// PreviewOnly asks what would change; nothing does.
+	// PreviewOnly asks only for the changes that the amendment would make.
 	PreviewOnly bool
 }
 
-// Amend joins an amendment to the table in force and has the outcome agreed by the
-// cores. The cores are asked for that table, since an amendment of an older copy could
-// only lose its race.
+// Amend applies an amendment to the current table and proposes the result to the cores. It
+// reads that table from the cores, because a proposal based on an older copy would be
+// rejected. The ticket is answered with an OrderResult.
 func (m *Machine) Amend(now time.Duration, ticket uint64, a Amendment) Output {
 	m.out = &Output{}
 	deadline := now + m.params.OperationTimeout
 	m.addPending(now, ticket, OrderResult{Unsure: true})
 	m.caller.Call(now, core.ReadTable{}, deadline, func(now time.Duration, o core.Outcome) {
 		current, ok := o.Answer.(core.AgreedTable)
-		if _, waiting := m.pending[ticket]; !waiting {
+		if _, isPending := m.pending[ticket]; !isPending {
 			return
 		}
 		switch {
@@ -47,8 +47,8 @@
 	return *m.out
 }
 
-// findAmendment answers an amendment whose base is not in force: either it was taken
-// before, or another order was.
+// findOrder answers an amendment whose base is not the current table: either it was accepted
+// earlier, or another order on that base was.
 func (m *Machine) findOrder(now time.Duration, ticket uint64, a Amendment, deadline time.Duration) {
 	m.caller.Call(now, core.FindOrder{Base: a.Base, Number: a.Number, Digest: a.Digest}, deadline, func(_ time.Duration, o core.Outcome) {
 		found, ok := o.Answer.(core.TableAgreed)
@@ -63,7 +63,7 @@
 	})
 }
 
-// joinAmendment checks what comes of an amendment, and has it agreed.
+// proposeAmendment applies and checks an amendment, and proposes the resulting table.
 func (m *Machine) proposeAmendment(now time.Duration, ticket uint64, a Amendment, current core.AgreedTable, deadline time.Duration) {
 	text, faults := a.Apply(current.Text)
 	var next *route.Table
@@ -90,7 +90,7 @@
 	return &preview
 }
 
-// JoinTable is how an amendment in the product's own words is joined.
+// ApplyAmendment returns the Apply function for an amendment in the product's own format.
 func ApplyAmendment(a route.Amendment) func(current []byte) ([]byte, configuration.Faults) {
 	return func(text []byte) ([]byte, configuration.Faults) {
 		current, faults := route.Parse(text)
--- a/peer/desk/amend_test.go
+++ b/peer/desk/amend_test.go
@@ -18,7 +18,7 @@
 }
 
 // carry answers commands until no more come, and returns what the desk answered.
-func (s *scriptedCores) carry(t *testing.T, now time.Duration, o Output) []Answer {
+func (s *scriptedCores) run(t *testing.T, now time.Duration, o Output) []Answer {
 	t.Helper()
 	answers := o.Answers
 	for _, c := range sentTo[core.Command](o, "c:1") {
@@ -29,7 +29,7 @@
 		s.commands = append(s.commands, command)
 		if body := s.answer(command); body != nil {
 			next := s.desk.Receive(now, "c:1", core.CommandReturn{ID: c.ID, Part: c.Part, Raw: message.Pack(body)})
-			answers = append(answers, s.carry(t, now, next)...)
+			answers = append(answers, s.run(t, now, next)...)
 		}
 	}
 	return answers
@@ -62,7 +62,7 @@
 		{name: "no answer", amendment: addService(4, 5), want: OrderResult{Unsure: true}, commands: 2},
 	} {
 		m := newDesk(nil)
-		founded(m)
+		foundFleet(m)
 		cores := &scriptedCores{desk: m, answer: func(command any) any {
 			switch command.(type) {
 			case core.ReadTable:
@@ -72,7 +72,7 @@
 			}
 			return c.agreed
 		}}
-		answers := cores.carry(t, time.Millisecond, m.Amend(time.Millisecond, 7, c.amendment))
+		answers := cores.run(t, time.Millisecond, m.Amend(time.Millisecond, 7, c.amendment))
 		if len(answers) == 0 {
 			answers = m.Tick(5 * time.Second).Answers
 		}
@@ -95,11 +95,11 @@
 // TestPreviewChangesNothing: what an amendment would change is told, and not agreed.
 func TestPreviewChangesNothing(t *testing.T) {
 	m := newDesk(nil)
-	founded(m)
+	foundFleet(m)
 	cores := &scriptedCores{desk: m, answer: func(any) any { return core.AgreedTable{Number: 4, Text: table(4), Digest: "four"} }}
 	a := addService(4, 5)
 	a.PreviewOnly = true
-	answers := cores.carry(t, time.Millisecond, m.Amend(time.Millisecond, 7, a))
+	answers := cores.run(t, time.Millisecond, m.Amend(time.Millisecond, 7, a))
 	if len(answers) != 1 || len(cores.commands) != 1 {
 		t.Fatalf("answers %+v, commands %+v", answers, cores.commands)
 	}
--- a/peer/desk/current.go
+++ b/peer/desk/currenttable.go
@@ -6,19 +6,18 @@
 	"saffronfall/rule/route"
 )
 
-// differencesKept is how many tables back a subscriber may be to be brought up to
-// date by differences.
+// maxDifferences is the number of tables that a subscriber may lag behind and still be
+// updated by differences.
 const maxDifferences = 16
 
-// currentTable is the newest agreed table that a desk knows. A nil one is none.
+// currentTable is the newest agreed table that a desk knows; nil if it knows none.
 type currentTable struct {
 	parsed *route.Table
 	digest string
-	// text is the table as subscribers get it: without the text that it was
-	// translated from, which only the operator reads back. It is made when it is
-	// first asked for.
+	// text is the table as sent to subscribers, without the source that it was translated
+	// from, which only operators read. It is encoded on first use.
 	text []byte
-	// differences lead from earlier tables to this one, each to the next.
+	// differences lead from earlier tables to this one, each based on the one before.
 	differences []route.Difference
 }
 
@@ -50,7 +49,8 @@
 	return t.text
 }
 
-// from lists the differences that lead from a table to this one.
+// differencesSince returns the differences that lead from the numbered table to this one; nil
+// if they are no longer stored.
 func (t *currentTable) differencesSince(number uint64) []route.Difference {
 	for i, d := range t.differences {
 		if d.BaseNumber == number {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// smaller reports whether differences carry less than the whole table.
+// isSmaller reports whether differences have less than half as many items as the table.
 func (t *currentTable) isSmaller(differences []route.Difference) bool {
 	items := 0
 	for _, d := range differences {
@@ -69,8 +69,8 @@
 	return 2*items < len(t.parsed.Routes)+len(t.parsed.Services)+len(t.parsed.Tenants)
 }
 
-// differencesFor lists what brings a subscriber up to date, or nothing where it is
-// better sent the whole table.
+// differencesFor returns the differences that update a subscriber; nil if it needs the full
+// table.
 func (m *Machine) differencesFor(s *subscriber) []route.Difference {
 	if !s.acceptsDifferences || s.table == 0 {
 		return nil
@@ -82,21 +82,21 @@
 	return differences
 }
 
-// installText takes a table from its text, if it is newer. One that is known
-// already, as an operator brought it here or a difference led to it, is not parsed.
+// installText parses and installs a table if it is newer than the known one. A table that was
+// already learned from an operator or a difference is not parsed again.
 func (m *Machine) installText(now time.Duration, number uint64, digest string, text []byte) {
 	if number <= m.table.number() {
 		return
 	}
-	table, faults := route.Parse(text)
+	parsed, faults := route.Parse(text)
 	if faults != nil {
 		m.Counters.BadMessages++
 		return
 	}
-	m.install(now, table, digest)
+	m.install(now, parsed, digest)
 }
 
-// install takes a newer agreed table and passes it on at once.
+// install replaces the current table by a newer agreed one and notifies subscribers at once.
 func (m *Machine) install(now time.Duration, table *route.Table, digest string) {
 	if table.Number <= m.table.number() {
 		return
--- a/peer/desk/departure.go
+++ b/peer/desk/departure.go
@@ -6,30 +6,30 @@
 	"saffronfall/rule/ordered"
 )
 
-// Heard answers a replica's heartbeat or leave. Where it is not Reached, what the
-// replica said may be known to this desk alone, and it should tell another.
+// Acknowledgment answers a replica's heartbeat or Leave call. If it is not Accepted, this desk
+// may be the only process that has the report, and the replica should send it to another desk.
 type Acknowledgment struct{ Accepted bool }
 
-// departureBeats is for how many heartbeats, at most, a replica that leaves waits until
-// what it said is known beyond this desk.
+// departureHeartbeats bounds, in heartbeat intervals, how long a departing replica waits until
+// its departure is known outside this desk.
 const departureHeartbeats = 0.6
 
-// DepartureWithin is how long a replica's word that it leaves may take to be answered.
+// DepartureTimeout bounds the time to acknowledge a replica's departure.
 func (p Params) DepartureTimeout() time.Duration {
 	return time.Duration(departureHeartbeats * float64(p.HeartbeatInterval))
 }
 
-// departure is a replica's word that it leaves, or has left, which is acknowledged once
-// it outlives this desk.
+// departure is a reported departure that is not acknowledged yet, because it could be lost
+// with this desk.
 type departure struct {
 	ticket uint64
-	// version is the desk's version that has the word.
+	// version is the first version of the desk's list that includes the departure.
 	version   uint64
 	startedAt time.Duration
 }
 
-// acknowledge answers a replica. What is no word of leaving needs nobody else: the next
-// heartbeat says it again.
+// acknowledge answers a replica's report. Only a departure has to be known elsewhere first:
+// anything else is repeated by the next heartbeat.
 func (m *Machine) acknowledge(now time.Duration, ticket uint64, entry *trackedReplica) {
 	if ticket == 0 {
 		return
@@ -42,53 +42,53 @@
 	m.answerDepartures(now)
 }
 
-// answerDepartures acknowledges the words of leaving that others hold by now, and tells
-// replicas to go elsewhere whose word nobody confirmed in time.
+// answerDepartures acknowledges the departures that other processes have confirmed, and
+// rejects those that nobody confirmed in time.
 func (m *Machine) answerDepartures(now time.Duration) {
-	within := m.params.DepartureTimeout()
+	timeout := m.params.DepartureTimeout()
 	if !m.coresReachable(now) {
-		within = disconnectedCallPulls * m.params.Core.Pull
+		timeout = disconnectedCallPulls * m.params.Core.Pull
 	}
-	waiting := m.departures[:0]
+	remaining := m.departures[:0]
 	for _, d := range m.departures {
 		switch {
 		case m.isReplicated(now, d.version):
 			m.addAnswer(d.ticket, Acknowledgment{Accepted: !m.Isolated(now)})
-		case now >= d.startedAt+within:
+		case now >= d.startedAt+timeout:
 			m.addAnswer(d.ticket, Acknowledgment{})
 		default:
-			waiting = append(waiting, d)
+			remaining = append(remaining, d)
 		}
 	}
-	m.departures = waiting
+	m.departures = remaining
 }
 
-// heldElsewhere reports whether a version of this desk's list outlives it: as many other
-// desks hold it as may be lost at once, or, where no other desk speaks, all nodes that
-// speak.
+// isReplicated reports whether a version of this desk's list survives the loss of this desk.
+// It does if as many other desks have it as may be lost at once, or, if no other desk is
+// active, if all active nodes have it.
 func (m *Machine) isReplicated(now time.Duration, version uint64) bool {
-	desks, holding, nodesLack := 0, 0, false
+	desks, confirmed, nodeMissing := 0, 0, false
 	for _, address := range ordered.Keys(m.subscribers) {
 		s := m.subscribers[address]
 		if !s.isActive(now, m.params.HeartbeatInterval) {
 			continue
 		}
-		has := s.confirmedVersion >= version
+		hasVersion := s.confirmedVersion >= version
 		switch {
-		case s.isDesk && has:
-			desks, holding = desks+1, holding+1
+		case s.isDesk && hasVersion:
+			desks, confirmed = desks+1, confirmed+1
 		case s.isDesk:
 			desks++
 		default:
-			nodesLack = nodesLack || !has
+			nodeMissing = nodeMissing || !hasVersion
 		}
 	}
 	if desks == 0 {
-		return !nodesLack
+		return !nodeMissing
 	}
-	return holding >= min(desks, m.toleratedLosses())
+	return confirmed >= min(desks, m.toleratedLosses())
 }
 
-// lossesBorne is how many machines may be lost at once: groups have one member more than
-// twice as many.
+// toleratedLosses returns the number f of machines that may be lost at once: groups have
+// 2f+1 members.
 func (m *Machine) toleratedLosses() int { return max((m.params.GroupSize-1)/2, 1) }
--- a/peer/desk/departure_test.go
+++ b/peer/desk/departure_test.go
@@ -6,7 +6,7 @@
 )
 
 // heardBy lists the answers to a ticket.
-func heardBy(o Output, ticket uint64) (list []Acknowledgment) {
+func acknowledgments(o Output, ticket uint64) (list []Acknowledgment) {
 	for _, a := range o.Answers {
 		if h, ok := a.Body.(Acknowledgment); ok && a.Ticket == ticket {
 			list = append(list, h)
@@ -17,7 +17,7 @@
 
 // TestLeavingIsAcknowledgedOnceItOutlivesTheDesk: a word of leaving is acknowledged when
 // others hold it, and else the replica is told in time to go elsewhere.
-func TestLeavingIsAcknowledgedOnceItOutlivesTheDesk(t *testing.T) {
+func TestDepartureIsAcknowledgedOnceReplicated(t *testing.T) {
 	const ticket = 7
 	desk := func(version uint64) Subscribe {
 		return Subscribe{Node: "d2", Incarnation: "l1", Version: version, IsDesk: true}
@@ -42,24 +42,24 @@
 		{name: "two losses are borne and one other desk holds it", seats: 5, leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "d3:1": desk(1)}, after: map[string]Subscribe{"d2:1": desk(2)}},
 		{name: "two losses are borne and two other desks hold it", seats: 5, leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "d3:1": desk(1)}, after: map[string]Subscribe{"d2:1": desk(2), "d3:1": desk(2)}, then: true},
 	} {
-		m := inTouchDesk(t, 0)
+		m := connectedDesk(t, 0)
 		m.params.GroupSize = max(c.seats, 3)
 		m.Heartbeat(0, 0, replica(1, false))
 		for from, f := range c.before {
 			m.Receive(0, from, f)
 		}
-		if got := heardBy(m.Heartbeat(time.Millisecond, ticket, replica(2, c.leaving)), ticket); (len(got) == 1 && got[0].Accepted) != c.atOnce {
+		if got := acknowledgments(m.Heartbeat(time.Millisecond, ticket, replica(2, c.leaving)), ticket); (len(got) == 1 && got[0].Accepted) != c.atOnce {
 			t.Errorf("%s: %+v at once", c.name, got)
 		}
 		var got []Acknowledgment
 		for from, f := range c.after {
-			got = append(got, heardBy(m.Receive(2*time.Millisecond, from, f), ticket)...)
+			got = append(got, acknowledgments(m.Receive(2*time.Millisecond, from, f), ticket)...)
 		}
 		if (len(got) == 1 && got[0].Accepted) != c.then {
 			t.Errorf("%s: %+v then", c.name, got)
 		}
-		late := heardBy(m.Tick(beat*3/4), ticket)
-		if wanted := !c.atOnce && !c.then; wanted != (len(late) == 1 && !late[0].Accepted) {
+		late := acknowledgments(m.Tick(heartbeat*3/4), ticket)
+		if wantRejected := !c.atOnce && !c.then; wantRejected != (len(late) == 1 && !late[0].Accepted) {
 			t.Errorf("%s: %+v in the end", c.name, late)
 		}
 	}
@@ -67,12 +67,12 @@
 
 // TestDeskConfirmsLeavingAtOnce: a desk that is told who leaves says at once that it has
 // it, as a replica waits for that.
-func TestDeskConfirmsLeavingAtOnce(t *testing.T) {
+func TestDeskConfirmsDepartureAtOnce(t *testing.T) {
 	first, second := newDesk(nil), newDesk(func(o *Options) { o.ID, o.Address, o.Incarnation = "d2", "d2:1", "l2" })
 	first.Receive(0, "d2:1", Subscribe{Node: "d2", IsDesk: true})
 	for _, b := range sentTo[Update](first.Heartbeat(time.Millisecond, 1, replica(1, true)), "d2:1") {
 		for _, f := range sentTo[Subscribe](second.Receive(2*time.Millisecond, "d1:1", b), "d1:1") {
-			if got := heardBy(first.Receive(3*time.Millisecond, "d2:1", f), 1); len(got) == 1 && got[0].Accepted {
+			if got := acknowledgments(first.Receive(3*time.Millisecond, "d2:1", f), 1); len(got) == 1 && got[0].Accepted {
 				return
 			}
 		}
@@ -82,7 +82,7 @@
 
 // TestNodesConfirmLeavingToALoneDesk: where no other desk speaks, nodes are asked to
 // confirm at once, and not otherwise.
-func TestNodesConfirmLeavingToALoneDesk(t *testing.T) {
+func TestNodesConfirmDepartureToLoneDesk(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		m := newDesk(nil)
 		m.Receive(0, "n1:1", Subscribe{Node: "n1"})
@@ -101,31 +101,31 @@
 // TestCutOffDeskSendsLeaversElsewhere: a desk that knows that it reaches no core keeps a
 // replica that leaves waiting no longer than any other call; one in touch gives others
 // time to confirm.
-func TestCutOffDeskSendsLeaversElsewhere(t *testing.T) {
+func TestDisconnectedDeskRejectsDepartureEarly(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		inTouch bool
 		least   time.Duration
 		most    time.Duration
 	}{
-		{"in touch", true, beat / 2, beat * 3 / 4},
-		{"cut off", false, 0, beat / 5},
+		{"in touch", true, heartbeat / 2, heartbeat * 3 / 4},
+		{"cut off", false, 0, heartbeat / 5},
 	} {
-		m := inTouchDesk(t, 0)
-		began := time.Second
-		m.Tick(began)
-		m.Receive(began, "d2:1", Subscribe{Node: "d2", Incarnation: "l1", Version: 0, IsDesk: true})
+		m := connectedDesk(t, 0)
+		start := time.Second
+		m.Tick(start)
+		m.Receive(start, "d2:1", Subscribe{Node: "d2", Incarnation: "l1", Version: 0, IsDesk: true})
 		if c.inTouch {
-			confirm(m, began)
+			confirm(m, start)
 		}
-		m.Heartbeat(began, 1, replica(1, true))
+		m.Heartbeat(start, 1, replica(1, true))
 		took := time.Duration(0)
-		for now := began; took == 0 && now < began+2*beat; now += 10 * time.Millisecond {
+		for now := start; took == 0 && now < start+2*heartbeat; now += 10 * time.Millisecond {
 			if c.inTouch {
 				confirm(m, now)
 			}
-			if got := heardBy(m.Tick(now), 1); len(got) == 1 && !got[0].Accepted {
-				took = now - began
+			if got := acknowledgments(m.Tick(now), 1); len(got) == 1 && !got[0].Accepted {
+				took = now - start
 			}
 		}
 		if took < c.least || took > c.most || took == 0 {
--- a/peer/desk/cutoff_test.go
+++ b/peer/desk/disconnected_test.go
@@ -11,7 +11,7 @@
 
 // inTouchDesk is a desk whose fleet has one core, with the configuration
 // confirmed at a time.
-func inTouchDesk(t *testing.T, now time.Duration) *Machine {
+func connectedDesk(t *testing.T, now time.Duration) *Machine {
 	t.Helper()
 	m := newDesk(nil)
 	leader := partition.Term{Round: 1, Leader: "c1.x"}
@@ -28,11 +28,11 @@
 
 // answeredAfter lets a desk tick with nobody answering it, until it answers a
 // ticket or a second has passed.
-func answeredAfter(m *Machine, asked time.Duration, ticket uint64) (time.Duration, any) {
-	for now := asked; now < asked+2*time.Second; now += 5 * time.Millisecond {
+func tickUntilAnswered(m *Machine, start time.Duration, ticket uint64) (time.Duration, any) {
+	for now := start; now < start+2*time.Second; now += 5 * time.Millisecond {
 		for _, a := range m.Tick(now).Answers {
 			if a.Ticket == ticket {
-				return now - asked, a.Body
+				return now - start, a.Body
 			}
 		}
 	}
@@ -41,7 +41,7 @@
 
 // TestCutOffDeskAnswersSoon: a desk that hears from no core any more answers each
 // call within 250 ms, as unsure, and never confirms or refuses one.
-func TestCutOffDeskAnswersSoon(t *testing.T) {
+func TestDisconnectedDeskAnswersInTime(t *testing.T) {
 	const cut = 10 * time.Second
 	calls := map[string]func(m *Machine, now time.Duration) Output{
 		"order":         func(m *Machine, now time.Duration) Output { return m.Apply(now, 1, 0, table(3), "d") },
@@ -51,7 +51,7 @@
 	}
 	for name, call := range calls {
 		for _, after := range []time.Duration{0, time.Second, 20 * time.Second} {
-			m := inTouchDesk(t, cut)
+			m := connectedDesk(t, cut)
 			now := cut
 			for ; now < cut+after; now += 5 * time.Millisecond {
 				m.Tick(now)
@@ -60,7 +60,7 @@
 			if len(o.Answers) != 0 {
 				t.Fatalf("%s is answered with no core asked: %+v", name, o.Answers)
 			}
-			took, body := answeredAfter(m, now, 1)
+			took, body := tickUntilAnswered(m, now, 1)
 			allowed := 250 * time.Millisecond
 			if after == 0 {
 				// It can't know yet that it is cut off.
@@ -92,13 +92,13 @@
 // TestAnsweredOnce: the cores' answer that comes after a desk has given a call up
 // is not a second answer.
 func TestAnsweredOnce(t *testing.T) {
-	m := inTouchDesk(t, 0)
+	m := connectedDesk(t, 0)
 	o := m.Apply(5*time.Second, 1, 0, table(3), "d")
 	asked := sentTo[core.Command](o, "c1:1")
 	if len(asked) != 1 {
 		t.Fatalf("%d commands", len(asked))
 	}
-	if took, _ := answeredAfter(m, 5*time.Second, 1); took > 250*time.Millisecond {
+	if took, _ := tickUntilAnswered(m, 5*time.Second, 1); took > 250*time.Millisecond {
 		t.Fatalf("answered after %v", took)
 	}
 	late := m.Receive(5*time.Second+300*time.Millisecond, "c1:1", core.CommandReturn{ID: asked[0].ID, Part: asked[0].Part, Raw: message.Pack(core.TableAgreed{OK: true, Number: 3})})
@@ -111,8 +111,8 @@
 }
 
 // TestInTouchDeskWaits: as long as the cores confirm, a call may take its time.
-func TestInTouchDeskWaits(t *testing.T) {
-	m := inTouchDesk(t, 0)
+func TestConnectedDeskWaits(t *testing.T) {
+	m := connectedDesk(t, 0)
 	m.Apply(0, 1, 0, table(3), "d")
 	for now := time.Duration(0); now < 900*time.Millisecond; now += 5 * time.Millisecond {
 		confirm(m, now)
@@ -125,7 +125,7 @@
 // TestIsolatedDeskAcknowledgesNoHeartbeat: a desk that hears neither cores nor most of
 // its nodes would keep what replicas say to itself; they are to tell another.
 func TestIsolatedDeskAcknowledgesNoHeartbeat(t *testing.T) {
-	m := inTouchDesk(t, 0)
+	m := connectedDesk(t, 0)
 	nodes := []string{"n1:1", "n2:1", "n3:1"}
 	for _, n := range nodes {
 		m.Receive(0, n, Subscribe{Node: n})
@@ -158,22 +158,22 @@
 // TestRestartedDeskFindsItsFleetByWhatItWroteDown: with no seed to be reached it
 // asks the cores and desks that it knew, believes nothing of who leads or which
 // table is in force, and passes addresses on to who asks it.
-func TestRestartedDeskFindsItsFleetByWhatItWroteDown(t *testing.T) {
-	before := inTouchDesk(t, 0)
-	before.Receive(0, "d3:1", Subscribe{Node: "d3", IsDesk: true})
-	var written *Peers
+func TestRestartedDeskUsesSavedPeers(t *testing.T) {
+	previous := connectedDesk(t, 0)
+	previous.Receive(0, "d3:1", Subscribe{Node: "d3", IsDesk: true})
+	var saved *Peers
 	for now := time.Duration(0); now < time.Second; now += 50 * time.Millisecond {
-		if o := before.Tick(now); o.Peers != nil {
-			written = o.Peers
+		if o := previous.Tick(now); o.Peers != nil {
+			saved = o.Peers
 		}
 	}
-	if written == nil {
+	if saved == nil {
 		t.Fatal("no addresses were written down")
 	}
-	if o := before.Tick(2 * time.Second); o.Peers != nil {
+	if o := previous.Tick(2 * time.Second); o.Peers != nil {
 		t.Error("the same addresses are written again")
 	}
-	m := newDesk(func(o *Options) { o.Incarnation, o.Seeds, o.KnownPeers = "l2", []string{"unreachable:1"}, written })
+	m := newDesk(func(o *Options) { o.Incarnation, o.Seeds, o.KnownPeers = "l2", []string{"unreachable:1"}, saved })
 	o := m.Tick(0)
 	if len(sentTo[core.Pull](o, "c1:1")) != 1 || len(sentTo[Subscribe](o, "d3:1")) != 1 {
 		t.Errorf("neither cores nor desks are asked: %+v", o.Sends)
--- a/peer/desk/handler.go
+++ b/peer/desk/handler.go
@@ -14,7 +14,8 @@
 	"saffronfall/rule/route"
 )
 
-// Calls are what replicas and operators can ask of a desk.
+// API has the calls of replicas and operators to a desk. Errors of Heartbeat and Leave tell
+// the replica to report to another desk.
 type API interface {
 	Heartbeat(ctx context.Context, r Replica) error
 	Leave(ctx context.Context, id string) error
@@ -26,30 +27,30 @@
 	Counters(ctx context.Context) (map[string]int64, error)
 }
 
-// Digest tells a text from others.
+// Digest returns the SHA-256 of a text in hexadecimal.
 func Digest(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
 
-// AmendmentDigest tells an amendment from others, and from whole tables.
+// AmendmentDigest returns the digest of an amendment, which differs from that of a table.
 func AmendmentDigest(text []byte) string {
 	return Digest(append([]byte("amendment\n"), text...))
 }
 
-// readOrder reads an operator's order and what it builds on. It answers the call where
-// that fails.
-func readOrder(w http.ResponseWriter, r *http.Request, maxBody int64, kind string) (base uint64, text []byte, ok bool) {
+// readOrder reads an operator's order and the number of its base table. It writes the error
+// response itself if that fails.
+func readOrder(w http.ResponseWriter, r *http.Request, maxBody int64, kind string) (base uint64, body []byte, ok bool) {
 	base, err := strconv.ParseUint(r.URL.Query().Get("base"), 10, 64)
-	text, bodyErr := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, bodyErr := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil || bodyErr != nil {
 		operator.WriteJSON(w, 400, operator.ErrorResponse{Code: "malformed", Reason: "base must be the number of the table in force, and the body a whole " + kind, Executed: "no"})
 		return 0, nil, false
 	}
-	return base, text, true
+	return base, body, true
 }
 
-// tellHanded answers an operator's order.
+// writeOrderResult writes the response to an operator's order.
 func writeOrderResult(w http.ResponseWriter, h OrderResult, err error) {
 	switch {
 	case err != nil || h.Unsure:
@@ -63,7 +64,7 @@
 	}
 }
 
-// amend takes an amendment in the product's own words.
+// handleAmendment submits an amendment in the product's own format.
 func handleAmendment(api API, w http.ResponseWriter, r *http.Request, maxBody int64) {
 	base, text, ok := readOrder(w, r, maxBody, "amendment")
 	if !ok {
@@ -79,7 +80,8 @@
 	writeOrderResult(w, h, err)
 }
 
-// Surface is the product's own handler of a desk's calls.
+// Handler returns a function that makes the HTTP handler of a desk's API. Calls need the
+// operator or the replica key; maxBody bounds an order in bytes.
 func Handler(operatorKey, replicaKey string, maxBody int64) func(api API) http.Handler {
 	return func(api API) http.Handler {
 		mux := http.NewServeMux()
--- a/peer/desk/loads.go
+++ b/peer/desk/loads.go
@@ -10,41 +10,41 @@
 	"saffronfall/rule/placement"
 )
 
-// Messages by which nodes share what they know of replicas' load. Replicas are named by
-// their places in the desk's list, sorted by id without those that are gone, so both
-// sides must have the list of the same version; otherwise a message says nothing. A lost
-// one is made up for by the next.
+// Messages by which nodes share the load of replicas. Replicas are identified by their index
+// in ReplicaOrder, so sender and receiver must have the same version of the list; a message
+// of another version is ignored. A lost message is replaced by the next one.
 type (
-	// LoadReport is a node's word to a desk: what it has at replicas now, and how
-	// requests ended there since its last word.
+	// LoadReport is sent by a node to a desk: its outstanding requests at replicas, and the
+	// results of requests there since its last report.
 	LoadReport struct {
 		Incarnation string        `msgpack:"l"`
 		Version     uint64        `msgpack:"v"`
 		Replicas    []ReplicaLoad `msgpack:"r"`
 	}
-	// ReplicaLoad is what one node has at one replica.
+	// ReplicaLoad is one node's load at one replica.
 	ReplicaLoad struct {
 		Index       uint16 `msgpack:"p"`
 		Outstanding uint16 `msgpack:"o"`
 		Served      uint16 `msgpack:"s"`
 		Failed      uint16 `msgpack:"f"`
-		// Busy is the time that Units of work took there.
+		// Busy is the total time that Units of work took.
 		Busy  time.Duration `msgpack:"b"`
 		Units uint16        `msgpack:"u"`
 	}
-	// Loads is a desk's word to a node: for each place, what all other nodes have there
-	// and how often requests fail there, in parts of 255.
+	// Loads is sent by a desk to a node. By replica index, it has the outstanding requests
+	// of all other nodes and the failure rates, scaled to 255.
 	Loads struct {
 		Incarnation  string `msgpack:"l"`
 		Version      uint64 `msgpack:"v"`
 		Outstanding  []byte `msgpack:"o"`
 		FailureRates []byte `msgpack:"f"`
-		// Paces are the times that units of work take, in PaceUnits; zero: not known.
+		// UnitTimes are the times per unit of work in multiples of UnitTimeResolution; zero
+		// if unknown.
 		UnitTimes []uint16 `msgpack:"a"`
 	}
 )
 
-// PaceUnit is the unit in which paces are told.
+// UnitTimeResolution is the unit of Loads.UnitTimes.
 const UnitTimeResolution = 100 * time.Microsecond
 
 func init() {
@@ -54,48 +54,49 @@
 	})
 }
 
-// loads is what a desk knows of replicas' load.
+// loadState is a desk's view of the load of replicas.
 type loadState struct {
-	// places are the ids of the list of a version, in order.
+	// order is the ReplicaOrder of the list at orderVersion.
 	order        []string
 	orderVersion uint64
 	reports      map[string]nodeReport
 	histories    map[string]*replicaHistory
 	sendAt       time.Duration
-	// news is set when a node has said something since the last telling.
+	// changed is set if a report arrived since Loads were last sent.
 	changed bool
 }
 
-// replicaRecord is how a replica has done lately, for all nodes.
+// replicaHistory has a replica's recent failure rate and speed, as seen by all nodes.
 type replicaHistory struct {
 	failures placement.FailureRate
 	unitTime placement.UnitTime
 }
 
-// nodeLoad is a node's last word.
+// nodeReport is the latest report of a node.
 type nodeReport struct {
 	receivedAt  time.Duration
 	outstanding map[string]uint16
 }
 
-// loadMemory is for how many telling periods a node's word holds: a node that has
-// something under way repeats itself well within.
+// reportRetention is the number of load intervals after which a report expires. A node with
+// outstanding requests reports more often.
 const reportRetention = 4
 
-// Places lists the ids by which loads name replicas: those of a list that are not gone.
-func ReplicaOrder[L any](list map[string]L, gone func(L) bool) []string {
-	var places []string
-	for _, id := range ordered.Keys(list) {
-		if !gone(list[id]) {
-			places = append(places, id)
+// ReplicaOrder returns the sorted ids of the replicas that are not gone. Load messages
+// identify replicas by their index in it.
+func ReplicaOrder[L any](replicas map[string]L, isGone func(L) bool) []string {
+	var order []string
+	for _, id := range ordered.Keys(replicas) {
+		if !isGone(replicas[id]) {
+			order = append(order, id)
 		}
 	}
-	return places
+	return order
 }
 
 func (m *Machine) currentOrder() []string {
 	if m.loads.orderVersion != m.version || m.loads.order == nil {
-		m.loads.order = ReplicaOrder(m.replicas, func(l *trackedReplica) bool { return l.Gone })
+		m.loads.order = ReplicaOrder(m.replicas, func(entry *trackedReplica) bool { return entry.Gone })
 		m.loads.orderVersion = m.version
 	}
 	return m.loads.order
@@ -105,19 +106,19 @@
 	if report.Incarnation != m.incarnation || report.Version != m.version {
 		return
 	}
-	places := m.currentOrder()
-	if slices.ContainsFunc(report.Replicas, func(one ReplicaLoad) bool { return int(one.Index) >= len(places) }) {
+	order := m.currentOrder()
+	if slices.ContainsFunc(report.Replicas, func(load ReplicaLoad) bool { return int(load.Index) >= len(order) }) {
 		m.Counters.BadMessages++
 		return
 	}
 	received := nodeReport{receivedAt: now, outstanding: map[string]uint16{}}
-	for _, one := range report.Replicas {
-		id := places[one.Index]
-		received.outstanding[id] = one.Outstanding
-		if one.Served > 0 || one.Failed > 0 || one.Units > 0 {
-			record := m.historyOf(id)
-			record.failures.Add(now, m.params.HeartbeatInterval, int64(one.Served), int64(one.Failed))
-			record.unitTime.Add(now, m.params.HeartbeatInterval, one.Busy, int64(one.Units))
+	for _, load := range report.Replicas {
+		id := order[load.Index]
+		received.outstanding[id] = load.Outstanding
+		if load.Served > 0 || load.Failed > 0 || load.Units > 0 {
+			history := m.historyOf(id)
+			history.failures.Add(now, m.params.HeartbeatInterval, int64(load.Served), int64(load.Failed))
+			history.unitTime.Add(now, m.params.HeartbeatInterval, load.Busy, int64(load.Units))
 		}
 	}
 	m.loads.reports[from] = received
@@ -133,8 +134,8 @@
 	return r
 }
 
-// tellLoads tells the nodes that have something at replicas of the load there, if anything
-// was said since the last time. A node without requests needs no word.
+// sendLoads sends Loads to the nodes with recent reports, if any report arrived since the
+// last time. A node without requests needs none.
 func (m *Machine) sendLoads(now time.Duration) {
 	if m.params.LoadInterval <= 0 || now < m.loads.sendAt || !m.loads.changed {
 		return
@@ -145,24 +146,24 @@
 			delete(m.loads.reports, address)
 		}
 	}
-	places := m.currentOrder()
-	total := m.totalOutstanding(places)
-	summary := m.loadSummary(now, places)
+	order := m.currentOrder()
+	total := m.totalOutstanding(order)
+	summary := m.loadSummary(now, order)
 	for _, address := range ordered.Keys(m.loads.reports) {
-		own := m.loads.reports[address].outstanding
-		others := make([]byte, len(places))
-		for i, id := range places {
-			others[i] = byte(min(total[i]-int(own[id]), math.MaxUint8))
+		reported := m.loads.reports[address].outstanding
+		others := make([]byte, len(order))
+		for i, id := range order {
+			others[i] = byte(min(total[i]-int(reported[id]), math.MaxUint8))
 		}
 		summary.Outstanding = others
 		m.addSend(address, summary)
 	}
 }
 
-// totals adds up what all nodes have at each place.
-func (m *Machine) totalOutstanding(places []string) []int {
-	outstanding := make([]int, len(places))
-	for i, id := range places {
+// totalOutstanding sums the outstanding requests of all nodes per replica.
+func (m *Machine) totalOutstanding(order []string) []int {
+	outstanding := make([]int, len(order))
+	for i, id := range order {
 		for _, report := range m.loads.reports {
 			outstanding[i] += int(report.outstanding[id])
 		}
@@ -170,10 +171,10 @@
 	return outstanding
 }
 
-// loadsOf is what is told to all nodes alike: how replicas have done lately.
-func (m *Machine) loadSummary(now time.Duration, places []string) Loads {
-	summary := Loads{Incarnation: m.incarnation, Version: m.version, FailureRates: make([]byte, len(places)), UnitTimes: make([]uint16, len(places))}
-	for i, id := range places {
+// loadSummary returns the part of Loads that is the same for all nodes.
+func (m *Machine) loadSummary(now time.Duration, order []string) Loads {
+	summary := Loads{Incarnation: m.incarnation, Version: m.version, FailureRates: make([]byte, len(order)), UnitTimes: make([]uint16, len(order))}
+	for i, id := range order {
 		if r := m.loads.histories[id]; r != nil {
 			summary.FailureRates[i] = byte(r.failures.At(now, m.params.HeartbeatInterval) * math.MaxUint8)
 			summary.UnitTimes[i] = uint16(min(r.unitTime.At(now, m.params.HeartbeatInterval)/UnitTimeResolution, math.MaxUint16))
@@ -182,7 +183,7 @@
 	return summary
 }
 
-// forgetRecords forgets replicas that are no longer listed.
+// dropUnlistedRecords drops the histories of replicas that are no longer listed.
 func (m *Machine) dropUnlistedRecords() {
 	for id := range m.loads.histories {
 		if _, known := m.replicas[id]; !known {
--- a/peer/desk/machine.go
+++ b/peer/desk/machine.go
@@ -8,25 +8,25 @@
 	"saffronfall/rule/partition"
 )
 
-// Options make a machine.
+// Options configure New.
 type Options struct {
 	Params      Params
 	ID          string
 	Incarnation string
 	Address     string
 	Seeds       []string
-	// Founds is set at the one desk that founds a fleet which was never founded.
+	// FoundsFleet is set at the one desk that may found a new fleet.
 	FoundsFleet bool
-	// Known is the list that an earlier life of this desk kept. It saves nodes
-	// the wait for the next beats, and is believed only that long.
+	// KnownReplicas is the list that an earlier incarnation of this desk saved. It serves
+	// nodes until the next heartbeats arrive; entries without one soon expire.
 	KnownReplicas []ReplicaEntry
-	// Peers are the addresses that it kept.
+	// KnownPeers are the addresses that it saved; nil if there are none.
 	KnownPeers *Peers
 	Now        time.Duration
 	Random     func() float64
 }
 
-// Machine is one desk.
+// Machine is the state machine of one desk. It is not safe for concurrent use.
 type Machine struct {
 	Counters Counters
 
@@ -42,7 +42,7 @@
 	replicas            map[string]*trackedReplica
 	subscribers         map[string]*subscriber
 	desks               map[string]time.Duration
-	// otherDesks is what this desk has heard of the others, by address.
+	// deskCursors are the versions received from other desks, by address.
 	deskCursors     map[string]deskCursor
 	topology        core.Topology
 	topologyVersion uint64
@@ -61,11 +61,11 @@
 	reachability
 	loads    loadState
 	tickedAt time.Duration
-	// saved are the addresses that were written down last.
+	// saved are the peers that were last written to disk.
 	saved savedPeers
 }
 
-// New makes a desk.
+// New returns a desk that has subscribed to nobody yet.
 func New(o Options) *Machine {
 	m := &Machine{params: o.Params, deskID: o.ID, incarnation: o.Incarnation, address: o.Address, seeds: o.Seeds, foundsFleet: o.FoundsFleet, random: o.Random,
 		deskCursors: map[string]deskCursor{}, replicas: map[string]*trackedReplica{}, subscribers: map[string]*subscriber{}, reachability: reachability{pending: map[uint64]pendingCall{}}, desks: map[string]time.Duration{o.Address: o.Now},
@@ -97,7 +97,7 @@
 	m.out.Answers = append(m.out.Answers, Answer{Ticket: ticket, Body: body})
 }
 
-// Receive takes a message from the process at an address.
+// Receive handles a message from the process at an address.
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
 	m.out = &Output{}
 	m.Counters.Messages++
@@ -125,7 +125,7 @@
 	return *m.out
 }
 
-// Tick lets time pass.
+// Tick runs the timers that are due.
 func (m *Machine) Tick(now time.Duration) Output {
 	m.out = &Output{}
 	m.tickedAt = now
@@ -160,17 +160,18 @@
 	return *m.out
 }
 
-// lost is after how many beats without a word a replica is taken off the list.
+// missedHeartbeats is the number of heartbeat intervals without a heartbeat after which a
+// replica counts as gone.
 const missedHeartbeats = 4
 
 func (m *Machine) expireReplicas(now time.Duration) {
 	for _, id := range ordered.Keys(m.replicas) {
-		l := m.replicas[id]
+		entry := m.replicas[id]
 		switch {
-		case !l.Gone && now > l.lastHeard+missedHeartbeats*m.params.HeartbeatInterval:
-			l.Gone = true
-			m.recordChange(now, l)
-		case l.Gone && now > l.lastHeard+20*missedHeartbeats*m.params.HeartbeatInterval:
+		case !entry.Gone && now > entry.lastHeard+missedHeartbeats*m.params.HeartbeatInterval:
+			entry.Gone = true
+			m.recordChange(now, entry)
+		case entry.Gone && now > entry.lastHeard+20*missedHeartbeats*m.params.HeartbeatInterval:
 			delete(m.replicas, id)
 		}
 	}
@@ -179,21 +180,21 @@
 			delete(m.subscribers, address)
 		}
 	}
-	for address, heard := range m.desks {
-		if address != m.address && now > heard+10*missedHeartbeats*m.params.HeartbeatInterval {
+	for address, lastHeard := range m.desks {
+		if address != m.address && now > lastHeard+10*missedHeartbeats*m.params.HeartbeatInterval {
 			delete(m.desks, address)
 			delete(m.deskCursors, address)
 		}
 	}
 }
 
-// Number is the newest table that this desk knows to be agreed.
+// TableNumber returns the number of the newest agreed table that this desk knows; zero if none.
 func (m *Machine) TableNumber() uint64 { return m.table.number() }
 
-// Ready reports whether this desk has a table and cores to ask.
+// Ready reports whether this desk knows the leaders of a founded fleet.
 func (m *Machine) Ready() bool { return len(m.topology.Owners) > 0 }
 
-// Status is what this desk counts and holds.
+// Status returns the desk's counters and sizes by metric name.
 func (m *Machine) Status(now time.Duration) map[string]int64 {
 	return map[string]int64{"messages": m.Counters.Messages, "beats": m.Counters.Heartbeats, "bulletins": m.Counters.Updates, "changes": m.Counters.Changes,
 		"tables_applied": m.Counters.TablesApplied, "tables_refused": m.Counters.TablesRefused, "bad_messages": m.Counters.BadMessages,
--- a/peer/desk/machine_test.go
+++ b/peer/desk/machine_test.go
@@ -12,11 +12,11 @@
 	"saffronfall/rule/route"
 )
 
-const beat = time.Second
+const heartbeat = time.Second
 
 func newDesk(change func(o *Options)) *Machine {
 	o := Options{ID: "d1", Incarnation: "l1", Address: "d1:1", Seeds: []string{"d1:1", "d2:1"}, Random: func() float64 { return 0.5 },
-		Params: Params{Core: core.Params{MemberTerm: time.Second, Retry: 100 * time.Millisecond, Pull: 100 * time.Millisecond}, HeartbeatInterval: beat, GroupSize: 3, PartitionsPerCore: 2, OperationTimeout: time.Second}}
+		Params: Params{Core: core.Params{MemberTerm: time.Second, Retry: 100 * time.Millisecond, Pull: 100 * time.Millisecond}, HeartbeatInterval: heartbeat, GroupSize: 3, PartitionsPerCore: 2, OperationTimeout: time.Second}}
 	if change != nil {
 		change(&o)
 	}
@@ -40,7 +40,7 @@
 
 // TestNewsIsToldAtOnce to every node that follows, and told again until it says
 // that it has it.
-func TestNewsIsToldAtOnce(t *testing.T) {
+func TestChangeIsSentAtOnce(t *testing.T) {
 	m := newDesk(nil)
 	first := sentTo[Update](m.Receive(0, "n1:1", Subscribe{Node: "n1"}), "n1:1")
 	if len(first) != 1 {
@@ -63,7 +63,7 @@
 }
 
 // TestLeavingIsNeverTakenBack, not by a late call, and whoever left stays gone.
-func TestLeavingIsNeverTakenBack(t *testing.T) {
+func TestDepartureIsFinal(t *testing.T) {
 	m := newDesk(nil)
 	m.Heartbeat(0, 0, replica(5, true))
 	m.Heartbeat(1, 0, replica(4, false))
@@ -79,35 +79,35 @@
 }
 
 // TestSilentReplicaIsTakenOffAndComesBack with a newer call.
-func TestSilentReplicaIsTakenOffAndComesBack(t *testing.T) {
+func TestSilentReplicaExpiresAndReturns(t *testing.T) {
 	m := newDesk(nil)
 	m.Heartbeat(0, 0, replica(1, false))
-	m.Tick(3 * beat)
+	m.Tick(3 * heartbeat)
 	if m.List()[0].Gone {
 		t.Fatal("gone after three beats")
 	}
-	m.Tick(5 * beat)
+	m.Tick(5 * heartbeat)
 	if l := m.List()[0]; !l.Gone || l.Final {
 		t.Fatalf("after five beats: %+v", l)
 	}
-	m.Heartbeat(6*beat, 0, replica(1, false))
+	m.Heartbeat(6*heartbeat, 0, replica(1, false))
 	if !m.List()[0].Gone {
 		t.Fatal("an old call brought it back")
 	}
-	m.Heartbeat(6*beat, 0, replica(2, false))
+	m.Heartbeat(6*heartbeat, 0, replica(2, false))
 	if m.List()[0].Gone {
 		t.Fatal("it does not come back")
 	}
 }
 
 // TestKeptListIsBelievedForTwoBeats after a restart.
-func TestKeptListIsBelievedForTwoBeats(t *testing.T) {
-	m := newDesk(func(o *Options) { o.KnownReplicas, o.Now = []ReplicaEntry{{Replica: replica(1, false)}}, 100*beat })
-	m.Tick(101 * beat)
+func TestRestoredReplicaExpiresAfterTwoHeartbeats(t *testing.T) {
+	m := newDesk(func(o *Options) { o.KnownReplicas, o.Now = []ReplicaEntry{{Replica: replica(1, false)}}, 100*heartbeat })
+	m.Tick(101 * heartbeat)
 	if m.List()[0].Gone {
 		t.Fatal("not believed for a beat")
 	}
-	m.Tick(103 * beat)
+	m.Tick(103 * heartbeat)
 	if !m.List()[0].Gone {
 		t.Fatal("believed for three beats")
 	}
@@ -123,16 +123,16 @@
 	}
 	m := newDesk(func(o *Options) { o.FoundsFleet = true })
 	present(m, 0, "a", "b")
-	if o := m.Tick(5 * beat); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
+	if o := m.Tick(5 * heartbeat); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
 		t.Fatal("founded with two of three")
 	}
-	present(m, 5*beat, "c")
-	if o := m.Tick(5*beat + beat/2); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
+	present(m, 5*heartbeat, "c")
+	if o := m.Tick(5*heartbeat + heartbeat/2); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
 		t.Fatal("founded before others had time to come")
 	}
-	first := sentTo[core.FoundFleet](m.Tick(6*beat+beat/2), "a:1")
-	present(m, 7*beat, "d")
-	again := sentTo[core.FoundFleet](m.Tick(9*beat), "a:1")
+	first := sentTo[core.FoundFleet](m.Tick(6*heartbeat+heartbeat/2), "a:1")
+	present(m, 7*heartbeat, "d")
+	again := sentTo[core.FoundFleet](m.Tick(9*heartbeat), "a:1")
 	if len(first) != 1 || len(again) != 1 || !reflect.DeepEqual(first[0], again[0]) {
 		t.Fatalf("%d and %d foundings, or other ones", len(first), len(again))
 	}
@@ -141,14 +141,14 @@
 	}
 	other := newDesk(nil)
 	present(other, 0, "a", "b", "c")
-	for now := time.Duration(0); now < 10*beat; now += beat / 4 {
+	for now := time.Duration(0); now < 10*heartbeat; now += heartbeat / 4 {
 		if o := other.Tick(now); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
 			t.Fatal("a desk that may not founds")
 		}
 	}
 }
 
-func founded(m *Machine) core.Topology {
+func foundFleet(m *Machine) core.Topology {
 	t := core.Topology{Fleet: "f", Size: 1, Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1", Version: 1}}, Owners: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}}, Groups: make([]partition.Group, 2)}
 	m.Receive(0, "c:1", t)
 	return t
@@ -175,7 +175,7 @@
 		{"no answer", table(3), nil, OrderResult{Unsure: true}, false},
 	} {
 		m := newDesk(nil)
-		founded(m)
+		foundFleet(m)
 		m.Receive(0, "n1:1", Subscribe{Node: "n1"})
 		o := m.Apply(time.Millisecond, 7, 1, c.text, "digest")
 		commands := sentTo[core.Command](o, "c:1")
@@ -208,7 +208,7 @@
 
 // TestEmptiedOnlyWhenEveryPartSaysSo: one part with a seat, new or former, or one
 // without an answer, and the core is not done.
-func TestEmptiedOnlyWhenEveryPartSaysSo(t *testing.T) {
+func TestRetirementNeedsEveryPartition(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		seats []core.Seats
@@ -220,7 +220,7 @@
 		{"one part silent", []core.Seats{{Seats: []string{"a.1"}}}, false},
 	} {
 		m := newDesk(nil)
-		topology := founded(m)
+		topology := foundFleet(m)
 		retired := topology.Cores["c"]
 		retired.Retired, retired.Version = true, 2
 		m.Receive(0, "x:1", core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": retired, "x": {ID: "x", Incarnation: "1", Peer: "x:1", Version: 1}}, Owners: []partition.Term{{Round: 2, Leader: "x.1"}, {Round: 2, Leader: "x.1"}}})
@@ -242,13 +242,13 @@
 
 // TestDesksTellEachOtherWhoLeaves: what one desk acknowledged outlives it. Each word
 // is told once, and again only to a desk that lost it.
-func TestDesksTellEachOtherWhoLeaves(t *testing.T) {
+func TestDesksReplicateDepartures(t *testing.T) {
 	for name, leave := range map[string]func(m *Machine) Output{
 		"leaving": func(m *Machine) Output { return m.Heartbeat(time.Second, 0, replica(2, true)) },
 		"gone":    func(m *Machine) Output { return m.Leave(time.Second, 0, "r1") },
 	} {
 		first, second := newDesk(nil), newDesk(func(o *Options) { o.ID, o.Address, o.Incarnation = "d2", "d2:1", "l2" })
-		follow := func(now time.Duration) Output {
+		subscribe := func(now time.Duration) Output {
 			first.subscribeAt, second.subscribeAt = now, now
 			for _, f := range sentTo[Subscribe](second.Tick(now), "d1:1") {
 				return first.Receive(now, "d2:1", f)
@@ -260,30 +260,30 @@
 		second.Heartbeat(0, 0, replica(1, false))
 		second.Receive(0, "n1:1", Subscribe{Node: "n1"})
 		first.Heartbeat(0, 0, replica(1, false))
-		for _, b := range sentTo[Update](follow(0), "d2:1") {
+		for _, b := range sentTo[Update](subscribe(0), "d2:1") {
 			if len(b.Replicas) != 0 {
 				t.Fatalf("%s: a desk is told of replicas that stay: %+v", name, b.Replicas)
 			}
 			second.Receive(0, "d1:1", b)
 		}
-		told := sentTo[Update](leave(first), "d2:1")
-		if len(told) != 1 || len(told[0].Replicas) != 1 {
-			t.Fatalf("%s: the other desk is told %+v", name, told)
+		sent := sentTo[Update](leave(first), "d2:1")
+		if len(sent) != 1 || len(sent[0].Replicas) != 1 {
+			t.Fatalf("%s: the other desk is told %+v", name, sent)
 		}
-		o := second.Receive(time.Second, "d1:1", told[0])
+		o := second.Receive(time.Second, "d1:1", sent[0])
 		if len(o.ChangedReplicas) != 1 {
 			t.Errorf("%s: the other desk writes down %+v", name, o.ChangedReplicas)
 		}
-		passed := sentTo[Update](o, "n1:1")
-		if len(passed) != 1 || len(passed[0].Replicas) != 1 || !passed[0].Replicas[0].Replica.Leaving && !passed[0].Replicas[0].Final {
-			t.Errorf("%s: the other desk's node is told %+v", name, passed)
+		forwarded := sentTo[Update](o, "n1:1")
+		if len(forwarded) != 1 || len(forwarded[0].Replicas) != 1 || !forwarded[0].Replicas[0].Replica.Leaving && !forwarded[0].Replicas[0].Final {
+			t.Errorf("%s: the other desk's node is told %+v", name, forwarded)
 		}
 		// A late word of the replica brings it back nowhere.
 		second.Heartbeat(2*time.Second, 0, replica(1, false))
 		if l := second.replicas["r1"]; !l.Replica.Leaving && !l.Final {
 			t.Errorf("%s: the other desk has %+v after a late word", name, l.ReplicaEntry)
 		}
-		for _, b := range sentTo[Update](follow(3*time.Second), "d2:1") {
+		for _, b := range sentTo[Update](subscribe(3*time.Second), "d2:1") {
 			if len(b.Replicas) != 0 {
 				t.Errorf("%s: told again: %+v", name, b.Replicas)
 			}
--- a/peer/desk/peers.go
+++ b/peer/desk/peers.go
@@ -7,8 +7,8 @@
 	"saffronfall/rule/ordered"
 )
 
-// Peers are the addresses that a desk writes down, so that it finds its fleet
-// again after a restart during which every seed of its settings is cut off.
+// Peers are the addresses that a desk saves, so that it can rejoin its fleet after a restart
+// even if none of its configured seeds is reachable.
 type Peers struct {
 	Fleet string               `msgpack:"f"`
 	Size  int                  `msgpack:"s"`
@@ -16,48 +16,47 @@
 	Desks []string             `msgpack:"d"`
 }
 
-// Peers are the addresses that this desk knows.
+// Peers returns the addresses that this desk knows.
 func (m *Machine) Peers() Peers {
-	known := Peers{Fleet: m.topology.Fleet, Size: m.topology.Size, Cores: make(map[string]core.Core, len(m.topology.Cores)), Desks: ordered.Keys(m.desks)}
+	peers := Peers{Fleet: m.topology.Fleet, Size: m.topology.Size, Cores: make(map[string]core.Core, len(m.topology.Cores)), Desks: ordered.Keys(m.desks)}
 	for id, c := range m.topology.Cores {
-		known.Cores[id] = c
+		peers.Cores[id] = c
 	}
-	return known
+	return peers
 }
 
-// savedPeers are addresses as they were written down, and the version of the topology that
-// they are of.
+// savedPeers are the peers last written to disk and the topology version they were taken at.
 type savedPeers struct {
 	peers   Peers
 	version uint64
 }
 
-// recall takes over the addresses that an earlier life wrote down. They say where
-// to ask, and nothing of who leads or which table is in force.
-func (m *Machine) restorePeers(known Peers) {
-	m.topology.Fleet, m.topology.Size = known.Fleet, known.Size
-	for id, c := range known.Cores {
+// restorePeers restores the addresses that an earlier incarnation saved. They only say where
+// to ask; leaders and the current table are learned anew.
+func (m *Machine) restorePeers(peers Peers) {
+	m.topology.Fleet, m.topology.Size = peers.Fleet, peers.Size
+	for id, c := range peers.Cores {
 		m.topology.Cores[id] = c
 	}
-	for _, address := range known.Desks {
+	for _, address := range peers.Desks {
 		if _, ok := m.desks[address]; !ok {
 			m.desks[address] = m.startedAt
 		}
 	}
-	m.saved.peers = known
+	m.saved.peers = peers
 	m.topologyVersion++
 }
 
-// savePeers writes the addresses down when they have changed.
+// savePeers has the addresses written to disk if they have changed.
 func (m *Machine) savePeers() {
 	if m.saved.version == m.topologyVersion || len(m.topology.Owners) == 0 {
 		return
 	}
 	m.saved.version = m.topologyVersion
-	known := m.Peers()
-	if reflect.DeepEqual(known, m.saved.peers) {
+	peers := m.Peers()
+	if reflect.DeepEqual(peers, m.saved.peers) {
 		return
 	}
-	m.saved.peers = known
-	m.out.Peers = &known
+	m.saved.peers = peers
+	m.out.Peers = &peers
 }
--- /dev/null
+++ b/peer/desk/reachability.go
@@ -0,0 +1,111 @@
+package desk
+
+import (
+	"time"
+
+	"saffronfall/rule/ordered"
+)
+
+const (
+	// maxUnconfirmedPulls is the number of pull intervals without a confirmation after which
+	// a desk considers itself disconnected from the cores.
+	maxUnconfirmedPulls = 3
+	// disconnectedCallPulls is the number of pull intervals that a call may wait while the
+	// desk is disconnected.
+	disconnectedCallPulls = 1
+	// nodeRetention is the number of heartbeat intervals for which a silent node still counts
+	// as one that the desk should reach.
+	nodeRetention = 40
+	// probeHeartbeats is the number of heartbeat intervals that nodes have to confirm a probe.
+	// They renew their subscriptions twice per interval, and some messages are lost.
+	probeHeartbeats = 2
+)
+
+// reachability tracks which processes the desk can reach, and the calls that depend on it.
+type reachability struct {
+	// pending has the calls that wait for the cores, by ticket.
+	pending map[uint64]pendingCall
+	// departures are not acknowledged yet.
+	departures []departure
+	probe      reachabilityProbe
+}
+
+// reachabilityProbe lets a disconnected desk find out whether nodes receive its messages: it
+// increments its version, and nodes report the version that they have when they renew.
+type reachabilityProbe struct {
+	nextAt time.Duration
+	// version is that of the latest probe. previous is that of the one before, which
+	// every reachable node has confirmed by now.
+	version, previous uint64
+}
+
+// probeReachability sends a probe every probeHeartbeats while the desk is disconnected.
+func (m *Machine) probeReachability(now time.Duration) {
+	switch {
+	case m.coresReachable(now):
+		m.probe = reachabilityProbe{}
+	case now >= m.probe.nextAt:
+		m.version++
+		m.probe = reachabilityProbe{nextAt: now + probeHeartbeats*m.params.HeartbeatInterval, version: m.version, previous: m.probe.version}
+	}
+}
+
+// pendingCall is an operator's call that waits for the cores.
+type pendingCall struct {
+	startedAt time.Duration
+	// timeoutAnswer answers the call if the cores are unreachable.
+	timeoutAnswer any
+}
+
+// addPending records a call that was sent to the cores.
+func (m *Machine) addPending(now time.Duration, ticket uint64, unsure any) {
+	m.pending[ticket] = pendingCall{startedAt: now, timeoutAnswer: unsure}
+}
+
+// resolve answers a call unless it was answered already.
+func (m *Machine) resolve(ticket uint64, body any) {
+	if _, isPending := m.pending[ticket]; !isPending {
+		return
+	}
+	delete(m.pending, ticket)
+	m.addAnswer(ticket, body)
+}
+
+// coresReachable reports whether the cores recently confirmed the current table.
+func (m *Machine) coresReachable(now time.Duration) bool {
+	return m.lastConfirmed >= 0 && now-m.lastConfirmed < maxUnconfirmedPulls*m.params.Core.Pull
+}
+
+// expireCalls answers calls as undecided while the desk is disconnected from the cores. Their
+// commands are retried until they time out. That is safe because they are idempotent, and the
+// operator, who learns that the outcome is unknown, can repeat the call at another desk.
+func (m *Machine) expireCalls(now time.Duration) {
+	if m.coresReachable(now) {
+		return
+	}
+	for _, ticket := range ordered.Keys(m.pending) {
+		call := m.pending[ticket]
+		if now >= call.startedAt+disconnectedCallPulls*m.params.Core.Pull {
+			m.resolve(ticket, call.timeoutAnswer)
+		}
+	}
+}
+
+// Isolated reports whether a desk reaches neither the cores nor at least half of its nodes.
+// Replicas should then report to another desk, since this one can't pass their reports on.
+func (m *Machine) Isolated(now time.Duration) bool {
+	if m.coresReachable(now) {
+		return false
+	}
+	known, reached := 0, 0
+	for _, s := range m.subscribers {
+		if s.isDesk {
+			continue
+		}
+		known++
+		if now < s.lastHeard+m.params.HeartbeatInterval && s.confirmedVersion >= m.probe.previous {
+			reached++
+		}
+	}
+	return 2*reached < known
+}
--- a/peer/desk/reach_test.go
+++ b/peer/desk/reachability_test.go
@@ -8,9 +8,9 @@
 // TestUnheardDeskIsIsolated: a desk hears its nodes and not the cores. Where
 // nothing that it says arrives, nodes go on telling what they had, and it counts
 // as isolated; where nodes hear it, it does not.
-func TestUnheardDeskIsIsolated(t *testing.T) {
-	for _, heard := range []bool{false, true} {
-		m := inTouchDesk(t, 0)
+func TestUnreachableDeskIsIsolated(t *testing.T) {
+	for _, delivered := range []bool{false, true} {
+		m := connectedDesk(t, 0)
 		nodes := map[string]uint64{"n1:1": 0, "n2:1": 0, "n3:1": 0}
 		isolated := time.Duration(0)
 		for now := time.Duration(0); now < 20*time.Second; now += 50 * time.Millisecond {
@@ -19,7 +19,7 @@
 				for address, version := range nodes {
 					o := m.Receive(now, address, Subscribe{Node: address, Incarnation: m.incarnation, Version: version})
 					for _, b := range sentTo[Update](o, address) {
-						if heard {
+						if delivered {
 							nodes[address] = b.Version
 						}
 					}
@@ -30,9 +30,9 @@
 			}
 		}
 		switch {
-		case heard && isolated > 0:
+		case delivered && isolated > 0:
 			t.Errorf("isolated at %v though all nodes hear it", isolated)
-		case !heard && (isolated == 0 || isolated > 4*m.params.HeartbeatInterval):
+		case !delivered && (isolated == 0 || isolated > 4*m.params.HeartbeatInterval):
 			t.Errorf("nobody hears it, and it is isolated at %v", isolated)
 		}
 	}
--- a/peer/desk/replicas.go
+++ b/peer/desk/replicas.go
@@ -11,8 +11,8 @@
 	lastHeard time.Duration
 }
 
-// Beat takes what a replica says of itself. What is new is told at once. The ticket is
-// answered with Heard; zero: nobody waits.
+// Heartbeat records the state that a replica reports and notifies subscribers of a change at
+// once. The ticket is answered with an Acknowledgment; ticket zero gets no answer.
 func (m *Machine) Heartbeat(now time.Duration, ticket uint64, r Replica) Output {
 	m.out = &Output{}
 	m.Counters.Heartbeats++
@@ -20,7 +20,7 @@
 	return *m.out
 }
 
-// takeBeat takes a heartbeat into the list, unless a later word was heard.
+// applyHeartbeat updates the list from a heartbeat, unless a later one was received.
 func (m *Machine) applyHeartbeat(now time.Duration, r Replica) *trackedReplica {
 	entry, ok := m.replicas[r.ID]
 	if ok && r.Sequence < entry.Replica.Sequence {
@@ -46,7 +46,7 @@
 	return entry
 }
 
-// Leave takes a replica off the list. The ticket is answered as by Beat.
+// Leave marks a replica as gone for good. The ticket is answered as by Heartbeat.
 func (m *Machine) Leave(now time.Duration, ticket uint64, id string) Output {
 	m.out = &Output{}
 	entry, ok := m.replicas[id]
@@ -63,11 +63,11 @@
 	return *m.out
 }
 
-// departed reports whether a replica said that it leaves, or that it has left. It
-// never comes back under its id.
+// isDeparting reports whether a replica said that it is leaving or has left. It never returns
+// under its id.
 func (l *trackedReplica) isDeparting() bool { return l.Replica.Leaving || l.Final }
 
-// depart notes that another desk heard that a replica leaves, or has left.
+// applyDeparture records a departure that was reported to another desk.
 func (m *Machine) applyDeparture(now time.Duration, reported ReplicaEntry) {
 	entry, known := m.replicas[reported.Replica.ID]
 	switch {
@@ -93,7 +93,7 @@
 	m.notifyAll(now)
 }
 
-// List is the whole list.
+// List returns all entries, ordered by id.
 func (m *Machine) List() []ReplicaEntry {
 	var list []ReplicaEntry
 	for _, id := range ordered.Keys(m.replicas) {
--- a/peer/desk/retire.go
+++ b/peer/desk/retirement.go
@@ -7,16 +7,19 @@
 	"saffronfall/peer/core"
 )
 
-// Emptied tells how far the emptying of a core is.
+// RetirementStatus reports how far the retirement of a core is.
 type RetirementStatus struct {
-	// Unsure: the cores gave no answer.
+	// Unsure is set if the cores gave no answer.
 	Unsure bool `json:"unsure"`
+	// Known is set if a core has this id, Enough if enough other cores remain.
 	Known  bool `json:"known"`
 	Enough bool `json:"enough"`
-	Done   bool `json:"done"`
+	// Done is set if the core is retired and a member of no group.
+	Done bool `json:"done"`
 }
 
-// Retire asks for a core to be emptied; it gets no seats any more.
+// Retire starts the retirement of a core: it becomes a member of no further group. The ticket
+// is answered with a RetirementStatus.
 func (m *Machine) Retire(now time.Duration, ticket uint64, id string) Output {
 	m.out = &Output{}
 	m.addPending(now, ticket, RetirementStatus{Unsure: true})
@@ -27,7 +30,8 @@
 	return *m.out
 }
 
-// Retired asks every part whether a core still has a seat there.
+// RetirementStatus asks every partition whether a core is still a member of its group, old or
+// new. The ticket is answered with a RetirementStatus.
 func (m *Machine) RetirementStatus(now time.Duration, ticket uint64, id string) Output {
 	m.out = &Output{}
 	remaining, unsure, hasMember := len(m.topology.Owners), false, false
--- a/peer/desk/subscribers.go
+++ b/peer/desk/subscribers.go
@@ -14,16 +14,16 @@
 	topologyVersion    uint64
 	lastHeard          time.Duration
 	isDesk             bool
-	// has is the version that it said it has of this life of the desk.
+	// confirmedVersion is the version that it confirmed of this incarnation's list.
 	confirmedVersion uint64
 }
 
-// listens reports whether a subscriber was heard of lately.
+// isSubscribed reports whether a subscription has not expired.
 func (m *Machine) isSubscribed(now time.Duration, s *subscriber) bool {
 	return now <= s.lastHeard+missedHeartbeats*m.params.HeartbeatInterval
 }
 
-// speaks reports whether a subscriber was heard within a heartbeat.
+// isActive reports whether a subscriber renewed within the last heartbeat interval.
 func (s *subscriber) isActive(now, beat time.Duration) bool { return now <= s.lastHeard+beat }
 
 func (m *Machine) notifyAll(now time.Duration) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// tell sends a follower what it lacks. What was sent counts as had until the
-// follower says otherwise in its next word.
+// sendUpdate sends a subscriber what it lacks; with always, even if that is nothing. What was
+// sent counts as received until the next renewal says otherwise.
 func (m *Machine) sendUpdate(now time.Duration, to string, s *subscriber, always bool) {
 	update := Update{Incarnation: m.incarnation, Since: s.version, Version: m.version, TableNumber: m.table.number(), TableDigest: m.table.digestOrEmpty(), ConfirmationAge: -1, NodeCount: m.nodeCount(now)}
 	if m.lastConfirmed >= 0 {
@@ -70,7 +70,7 @@
 	m.addSend(to, update)
 }
 
-// speakingDesks counts the other desks that were heard within a heartbeat.
+// activeDesks counts the other desks that renewed within the last heartbeat interval.
 func (m *Machine) activeDesks(now time.Duration) int {
 	n := 0
 	for _, s := range m.subscribers {
@@ -81,7 +81,7 @@
 	return n
 }
 
-// nodes counts the nodes that listen.
+// nodeCount counts the subscribed nodes.
 func (m *Machine) nodeCount(now time.Duration) int {
 	n := 0
 	for _, s := range m.subscribers {
@@ -108,21 +108,21 @@
 		m.learnDesk(now, from)
 	}
 	if request.Table > m.table.number() {
-		// The follower knows a newer one: the cores are asked at once.
+		// The subscriber has a newer table, so the cores are asked for it at once.
 		m.pullAt = now
 	}
 	m.sendUpdate(now, from, s, true)
 	m.answerDepartures(now)
 }
 
-// deskHeard is up to where this desk has heard another one's life.
+// deskCursor is the version up to which another desk's updates were received.
 type deskCursor struct {
 	incarnation string
 	version     uint64
 }
 
-// learnDeparted takes who leaves or has left from another desk: what a desk has
-// acknowledged must outlive it.
+// applyDepartures records the departures that another desk reports, so that those it has
+// acknowledged survive its loss.
 func (m *Machine) applyDepartures(now time.Duration, from string, update Update) {
 	cursor := m.deskCursors[from]
 	if cursor.incarnation != update.Incarnation {
@@ -136,12 +136,12 @@
 	}
 	m.deskCursors[from] = cursor
 	if len(update.Replicas) > 0 {
-		// A replica waits for the word that its leaving is known here.
+		// A replica waits for the confirmation that this desk has its departure.
 		m.subscribeTo(from)
 	}
 }
 
-// follow asks another desk for what is new, and tells up to where it was heard.
+// subscribeTo subscribes to another desk, and confirms the version received from it.
 func (m *Machine) subscribeTo(to string) {
 	cursor := m.deskCursors[to]
 	m.addSend(to, Subscribe{Node: m.deskID, Table: m.table.number(), AcceptsDifferences: true, IsDesk: true, Incarnation: cursor.incarnation, Version: cursor.version})
--- a/peer/desk/table.go
+++ b/peer/desk/table.go
@@ -11,27 +11,27 @@
 	"saffronfall/rule/route"
 )
 
-// confirm notes as of when this desk has missed no table.
+// updateConfirmation records the time up to which this desk is known to have missed no table.
 func (m *Machine) updateConfirmation(now time.Duration) {
 	if m.lastFresh.Upto == (partition.Version{}) || m.pulledUpTo.Less(m.lastFresh.Upto) {
 		return
 	}
-	first := m.lastConfirmed < 0
+	isFirst := m.lastConfirmed < 0
 	m.lastConfirmed = max(m.lastConfirmed, m.lastFresh.Sent-m.lastFresh.Age)
-	if first {
+	if isFirst {
 		for _, address := range ordered.Keys(m.subscribers) {
 			m.sendUpdate(now, address, m.subscribers[address], true)
 		}
 	}
 }
 
-func (m *Machine) onTableSnapshot(now time.Duration, b core.News) {
-	if b.Part != core.ConfigurationPart || !m.pulledUpTo.Less(b.Upto) || (!b.Whole && m.pulledUpTo.Less(b.After)) {
+func (m *Machine) onTableSnapshot(now time.Duration, snapshot core.News) {
+	if snapshot.Part != core.ConfigurationPart || !m.pulledUpTo.Less(snapshot.Upto) || (!snapshot.Whole && m.pulledUpTo.Less(snapshot.After)) {
 		return
 	}
-	m.pulledUpTo = b.Upto
+	m.pulledUpTo = snapshot.Upto
 	t := core.Topology{Fleet: m.topology.Fleet, Cores: map[string]core.Core{}}
-	for _, e := range b.Entries {
+	for _, e := range snapshot.Entries {
 		switch {
 		case e.Key == core.TableKey:
 			var agreed core.AgreedTable
@@ -39,9 +39,9 @@
 				m.installText(now, agreed.Number, agreed.Digest, agreed.Text)
 			}
 		case core.IsCoreKey(e.Key) && !e.Deleted:
-			var one core.Core
-			if message.Unmarshal(e.Value, &one) == nil {
-				t.Cores[one.ID] = one
+			var c core.Core
+			if message.Unmarshal(e.Value, &c) == nil {
+				t.Cores[c.ID] = c
 			}
 		}
 	}
@@ -61,21 +61,23 @@
 	}
 }
 
-// Handed is what became of a table that was handed over.
+// OrderResult is the result of an operator's table or amendment.
 type OrderResult struct {
-	// OK: agreed, and durable. Unsure: nobody knows yet; the same may be handed
-	// over again.
+	// Accepted is set if the table is agreed and durable. Unsure is set if the outcome is
+	// unknown; repeating the same order is safe.
 	Accepted bool `json:"taken"`
 	Unsure   bool `json:"unsure"`
-	// Race: another is in force than it was based on.
+	// RaceLost is set if the order's base is not the current table. Number is that of the
+	// current table.
 	RaceLost bool                 `json:"race_lost"`
 	Number   uint64               `json:"number"`
 	Faults   configuration.Faults `json:"faults,omitempty"`
-	// Preview is what an amendment would change, where only that was asked.
+	// Preview lists the changes of an amendment with PreviewOnly.
 	Preview *route.Preview `json:"preview,omitempty"`
 }
 
-// Apply checks a table and has it agreed by the cores.
+// Apply checks a table and proposes it to the cores as the successor of table base. The ticket
+// is answered with an OrderResult.
 func (m *Machine) Apply(now time.Duration, ticket uint64, base uint64, text []byte, digest string) Output {
 	m.out = &Output{}
 	parsed, faults := route.Parse(text)
@@ -89,7 +91,7 @@
 	return *m.out
 }
 
-// agree has a checked table agreed by the cores, and answers the call that brought it.
+// proposeTable proposes a checked table to the cores and answers the call.
 func (m *Machine) proposeTable(now time.Duration, ticket uint64, c core.AgreeTable, parsed *route.Table, deadline time.Duration) {
 	m.caller.Call(now, c, deadline, func(now time.Duration, o core.Outcome) {
 		agreed, ok := o.Answer.(core.TableAgreed)
@@ -108,7 +110,8 @@
 	})
 }
 
-// Read reads the table in force from the cores: what they answer is the newest.
+// Read reads the current table from the cores, never from this desk's copy. The ticket is
+// answered with a core.AgreedTable; its number is zero if the cores did not answer.
 func (m *Machine) Read(now time.Duration, ticket uint64) Output {
 	m.out = &Output{}
 	m.addPending(now, ticket, core.AgreedTable{})
--- a/peer/desk/topology.go
+++ b/peer/desk/topology.go
@@ -12,7 +12,7 @@
 
 func (m *Machine) coreAddresses() []string { return CoreAddresses(m.topology) }
 
-// CoreAddresses lists where the cores of a topology are.
+// CoreAddresses returns the sorted peer addresses of the cores that are not retired.
 func CoreAddresses(t core.Topology) []string {
 	var list []string
 	for _, c := range t.Cores {
@@ -24,7 +24,7 @@
 	return list
 }
 
-// others are nodes and desks that may pass a command on when cores stay silent.
+// relays returns the nodes and desks that can forward a command if no core answers directly.
 func (m *Machine) relays() []string {
 	var list []string
 	for _, address := range ordered.Keys(m.subscribers) {
@@ -35,52 +35,52 @@
 	return list
 }
 
-// onPresent notes a core that says it is there.
-func (m *Machine) onPresent(now time.Duration, from string, b core.Present) {
+// onPresent records a core that announces itself.
+func (m *Machine) onPresent(now time.Duration, from string, announced core.Present) {
 	if len(m.topology.Owners) == 0 {
-		if _, ok := m.foundingCores[b.Core.ID]; !ok || m.foundingCores[b.Core.ID].Incarnation != b.Core.Incarnation {
+		if _, ok := m.foundingCores[announced.Core.ID]; !ok || m.foundingCores[announced.Core.ID].Incarnation != announced.Core.Incarnation {
 			m.foundingCoresAt = now
 		}
-		if b.Cold {
-			m.foundingCores[b.Core.ID] = b.Core
+		if announced.Cold {
+			m.foundingCores[announced.Core.ID] = announced.Core
 		}
 	}
-	if known, ok := m.topology.Cores[b.Core.ID]; !ok || known.Version < b.Core.Version || (known.Version == b.Core.Version && known.Incarnation != b.Core.Incarnation && len(m.topology.Owners) == 0) {
-		m.topology.Cores[b.Core.ID] = b.Core
+	if known, ok := m.topology.Cores[announced.Core.ID]; !ok || known.Version < announced.Core.Version || (known.Version == announced.Core.Version && known.Incarnation != announced.Core.Incarnation && len(m.topology.Owners) == 0) {
+		m.topology.Cores[announced.Core.ID] = announced.Core
 		m.topologyVersion++
 	}
-	if b.Known != 0 && b.Known == m.topology.Digest() {
+	if announced.Known != 0 && announced.Known == m.topology.Digest() {
 		return
 	}
-	// They know different things: each tells the other.
+	// The two topologies differ, so each side sends its own.
 	m.addSend(from, m.topology)
 	m.addSend(from, core.Pull{Want: true})
 }
 
-// adopt takes over what is newer in another's topology.
-func (m *Machine) mergeTopology(now time.Duration, t core.Topology) {
+// mergeTopology takes the newer parts of a received topology.
+func (m *Machine) mergeTopology(now time.Duration, other core.Topology) {
 	changed := false
-	if len(m.topology.Owners) == 0 && len(t.Owners) > 0 {
+	if len(m.topology.Owners) == 0 && len(other.Owners) > 0 {
 		cores := m.topology.Cores
-		m.topology = core.Topology{Fleet: t.Fleet, Size: t.Size, Cores: cores, Owners: slices.Clone(t.Owners), Groups: slices.Clone(t.Groups)}
+		m.topology = core.Topology{Fleet: other.Fleet, Size: other.Size, Cores: cores, Owners: slices.Clone(other.Owners), Groups: slices.Clone(other.Groups)}
 		changed = true
 	}
-	if m.topology.Fleet != t.Fleet && t.Fleet != "" {
+	if m.topology.Fleet != other.Fleet && other.Fleet != "" {
 		return
 	}
-	for n := range t.Owners {
-		if n < len(m.topology.Owners) && m.topology.Owners[n].Less(t.Owners[n]) {
-			m.topology.Owners[n] = t.Owners[n]
+	for n := range other.Owners {
+		if n < len(m.topology.Owners) && m.topology.Owners[n].Less(other.Owners[n]) {
+			m.topology.Owners[n] = other.Owners[n]
 			changed = true
 		}
 	}
-	for n := range t.Groups {
-		if n < len(m.topology.Groups) && m.topology.Groups[n].Before(t.Groups[n]) {
-			m.topology.Groups[n] = t.Groups[n]
+	for n := range other.Groups {
+		if n < len(m.topology.Groups) && m.topology.Groups[n].Before(other.Groups[n]) {
+			m.topology.Groups[n] = other.Groups[n]
 			changed = true
 		}
 	}
-	for id, c := range t.Cores {
+	for id, c := range other.Cores {
 		if known, ok := m.topology.Cores[id]; !ok || known.Version < c.Version {
 			m.topology.Cores[id] = c
 			changed = true
@@ -93,7 +93,7 @@
 	}
 }
 
-// HintOwners tells a caller who owns which part.
+// HintLeaders gives a caller the addresses of the leaders of all partitions.
 func HintLeaders(caller *core.Caller, t core.Topology) {
 	for n, owner := range t.Owners {
 		for _, c := range t.Cores {
@@ -104,15 +104,16 @@
 	}
 }
 
-// found founds the fleet, once all cores that came have been there for a while.
+// sendFounding founds the fleet once enough cores have announced themselves and no new one has
+// appeared for a heartbeat interval.
 func (m *Machine) sendFounding(now time.Duration) {
-	settle := m.params.HeartbeatInterval
-	if !m.foundsFleet || len(m.topology.Owners) > 0 || len(m.foundingCores) < m.params.GroupSize || now < m.sendFoundingAt || now < m.foundingCoresAt+settle {
+	settleTime := m.params.HeartbeatInterval
+	if !m.foundsFleet || len(m.topology.Owners) > 0 || len(m.foundingCores) < m.params.GroupSize || now < m.sendFoundingAt || now < m.foundingCoresAt+settleTime {
 		return
 	}
-	m.sendFoundingAt = now + settle/4
+	m.sendFoundingAt = now + settleTime/4
 	if m.founding == nil {
-		// It is planned once, so that it is the same whenever it is sent again.
+		// It is planned once, so that every retry sends the same founding.
 		var cores []core.Core
 		for _, id := range ordered.Keys(m.foundingCores) {
 			cores = append(cores, m.foundingCores[id])
--- a/peer/desk/types.go
+++ b/peer/desk/types.go
@@ -1,6 +1,12 @@
-// Package desk is where replicas announce themselves and operators hand over
-// tables: it keeps the list of replicas, passes news on to nodes, and brings
-// cores together. It holds nothing that must last; the cores do.
+// Package desk is the state machine of the control front (role "desk"). Replicas send it
+// heartbeats, operators submit routing tables and amendments, and nodes and other desks
+// subscribe to it for updates of the replica list, the table and the topology.
+//
+// A Machine does no I/O and reads no clock: Receive, Tick and the API methods take the
+// current time and return an Output that the process carries out. Durable state belongs to
+// the cores. A desk saves only its replica list and peer addresses, as a start-up aid. A
+// replica's departure is acknowledged once other processes have it, so that it survives the
+// loss of this desk. Start reading at Machine.Receive and Machine.Tick.
 package desk
 
 import (
@@ -11,7 +17,7 @@
 	"saffronfall/rule/route"
 )
 
-// Replica is one replica as it announced itself.
+// Replica is the state that a replica reports in its heartbeat.
 type Replica struct {
 	ID      string `msgpack:"i" json:"id"`
 	Service string `msgpack:"s" json:"service"`
@@ -19,60 +25,60 @@
 	Zone    string `msgpack:"z" json:"zone"`
 	Slots   int64  `msgpack:"l" json:"slots"`
 	Leaving bool   `msgpack:"g" json:"leaving"`
-	// Cold is how much longer it stays slow.
+	// WarmupRemaining is the rest of the time after its start in which it is slow.
 	WarmupRemaining time.Duration `msgpack:"c" json:"cold"`
-	// Call numbers its announcements.
+	// Sequence numbers the replica's heartbeats; an older one never replaces a newer one.
 	Sequence int64 `msgpack:"q" json:"call"`
 }
 
-// Listed is a replica in a desk's list. One that is Gone stays listed for a
-// while, so that all nodes learn it.
+// ReplicaEntry is a replica in a desk's list. An entry that is Gone stays listed for a while
+// so that all nodes learn of it.
 type ReplicaEntry struct {
 	Replica Replica `msgpack:"r"`
 	Gone    bool    `msgpack:"x"`
-	// Final: it said so itself, and never comes back under this name.
+	// Final is set if the replica itself reported that it has left. It never returns under
+	// this id.
 	Final   bool   `msgpack:"f"`
 	Version uint64 `msgpack:"v"`
 }
 
 // Messages between nodes and desks.
 type (
-	// Follow asks a desk for what changed since a version. A node says so again
-	// and again, and hears of every change at once while it does.
+	// Subscribe asks a desk for the changes since a version, and subscribes the sender to
+	// later ones. The subscription expires unless it is renewed.
 	Subscribe struct {
 		Node string `msgpack:"n"`
-		// Life is the desk's life that Version is of.
+		// Incarnation is the desk's incarnation that Version belongs to.
 		Incarnation string `msgpack:"l"`
 		Version     uint64 `msgpack:"v"`
-		// Table is the number of the newest table that the node has; zero: it wants
-		// it whole. Differs says that it can do with differences.
+		// Table is the number of the subscriber's newest table; zero asks for a full table.
+		// AcceptsDifferences is set if it can apply differences.
 		Table              uint64 `msgpack:"t"`
 		AcceptsDifferences bool   `msgpack:"p"`
-		// Desk is set when the follower is a desk itself.
+		// IsDesk is set if the subscriber is a desk.
 		IsDesk bool `msgpack:"d"`
 	}
-	// Bulletin tells it.
+	// Update carries the changes after version Since to a subscriber.
 	Update struct {
 		Incarnation string         `msgpack:"l"`
 		Since       uint64         `msgpack:"s"`
 		Version     uint64         `msgpack:"v"`
 		Replicas    []ReplicaEntry `msgpack:"r"`
-		// Number and Digest tell the newest agreed table. A subscriber that lacks it
-		// gets the differences from the one that it has, each building on the one
-		// before, or the Table whole.
+		// TableNumber and TableDigest identify the newest agreed table. A subscriber that
+		// lacks it gets either Differences, each based on the one before, or the full Table.
 		TableNumber uint64             `msgpack:"n"`
 		TableDigest string             `msgpack:"h"`
 		Differences []route.Difference `msgpack:"p"`
 		Table       []byte             `msgpack:"t"`
-		// Confirmed is how long ago the cores said that none is newer; negative:
-		// never.
+		// ConfirmationAge is the time since the cores confirmed that no newer table exists;
+		// negative if they never did.
 		ConfirmationAge time.Duration `msgpack:"c"`
-		// Nodes is how many nodes follow this desk, Desks where all desks are.
+		// NodeCount is the number of subscribed nodes. Desks are the addresses of all desks.
 		NodeCount int            `msgpack:"o"`
 		Desks     []string       `msgpack:"d"`
 		Topology  *core.Topology `msgpack:"y"`
-		// Confirm asks a node to follow again at once, as a replica that leaves waits
-		// until it is known beyond this desk.
+		// RenewNow asks a node to renew its subscription at once, because a departing replica
+		// waits until its departure is known outside this desk.
 		RenewNow bool `msgpack:"k,omitempty"`
 	}
 )
@@ -84,37 +90,36 @@
 	})
 }
 
-// Params bound a desk's timing; what else it needs are ratios to these.
+// Params are a desk's timing and sizes; other timing is derived from them.
 type Params struct {
 	Core core.Params
-	// Beat is how often replicas announce themselves.
+	// HeartbeatInterval is the time between two heartbeats of a replica.
 	HeartbeatInterval time.Duration
-	// Seats is the size of a group, Parts how many parts a fleet is founded with.
+	// GroupSize is the number of members of a consensus group.
 	GroupSize int
-	// PartsPerCore is how many parts a fleet gets for each core that it is
-	// founded with, besides the configuration's.
+	// PartitionsPerCore is the number of partitions that a new fleet gets for each of its
+	// cores, besides the configuration partition.
 	PartitionsPerCore int
-	// LoadPeriod is how often nodes are told of replicas' load; zero: never.
+	// LoadInterval is the time between two Loads messages to a node; zero disables them.
 	LoadInterval time.Duration
-	// Within is how long an operator's call may take.
+	// OperationTimeout bounds an operator's call.
 	OperationTimeout time.Duration
 }
 
-// Send is a message for the process at an address.
+// Send is a message to the process at an address.
 type Send struct {
 	To   string
 	Body any
 }
 
-// Answer goes to a waiting call.
+// Answer is the result of the call with the given ticket.
 type Answer struct {
 	Ticket uint64
 	Body   any
 }
 
-// Output is what a step wants done: changes of the list, and of the addresses
-// where they are set, go to disk first, where there is one, then sends, then
-// answers.
+// Output lists the effects of a step. If the desk has a disk, ChangedReplicas and Peers (if
+// not nil) are written first; then messages are sent, then calls are answered.
 type Output struct {
 	ChangedReplicas []ReplicaEntry
 	Peers           *Peers
@@ -122,7 +127,7 @@
 	Answers         []Answer
 }
 
-// Counters are what a desk counts.
+// Counters are a desk's event counts since it started.
 type Counters struct {
 	Messages, Heartbeats, Updates, Changes, TablesApplied, TablesRefused, BadMessages int64
 }
--- a/peer/operator/handler.go
+++ b/peer/operator/handler.go
@@ -254,24 +254,24 @@
 	return true
 }
 
-func readEntries(ctx context.Context, p Process, number int, prefix string) ([]partition.Entry, bool, error) {
+func readEntries(ctx context.Context, p Process, partitionIndex int, prefix string) ([]partition.Entry, bool, error) {
 	body, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-		return m.Ask(now, ticket, core.ReadEntries{Part: number, Prefix: prefix}, time.Second)
+		return m.Ask(now, ticket, core.ReadEntries{Part: partitionIndex, Prefix: prefix}, time.Second)
 	})
 	if err != nil {
 		return nil, false, err
 	}
-	list, ok := body.(core.Outcome).Answer.(core.Entries)
-	return list.Entries, ok, nil
+	result, ok := body.(core.Outcome).Answer.(core.Entries)
+	return result.Entries, ok, nil
 }
 
 func readConfiguration(ctx context.Context, p Process) (core.Configured, error) {
 	var c core.Configured
-	list, ok, err := readEntries(ctx, p, core.ConfigurationPart, "configuration")
+	result, ok, err := readEntries(ctx, p, core.ConfigurationPart, "configuration")
 	if err != nil || !ok {
 		return c, context.DeadlineExceeded
 	}
-	for _, e := range list {
+	for _, e := range result {
 		if err := message.Unmarshal(e.Value, &c); err != nil {
 			return c, err
 		}
@@ -286,16 +286,16 @@
 	if err != nil {
 		return s, err
 	}
-	t := body.(core.Topology)
-	s.Fleet = t.Fleet
-	for _, id := range ordered.Keys(t.Cores) {
-		s.Cores = append(s.Cores, t.Cores[id])
+	topology := body.(core.Topology)
+	s.Fleet = topology.Fleet
+	for _, id := range ordered.Keys(topology.Cores) {
+		s.Cores = append(s.Cores, topology.Cores[id])
 	}
-	for n := range t.Owners {
-		s.Partitions = append(s.Partitions, PartitionStatus{Partition: n, Leader: t.Owners[n].Leader, Term: t.Owners[n].Round, Epoch: t.Groups[n].Epoch, Members: t.Groups[n].Members})
+	for partitionIndex := range topology.Owners {
+		s.Partitions = append(s.Partitions, PartitionStatus{Partition: partitionIndex, Leader: topology.Owners[partitionIndex].Leader, Term: topology.Owners[partitionIndex].Round, Epoch: topology.Groups[partitionIndex].Epoch, Members: topology.Groups[partitionIndex].Members})
 		missing := false
 		for _, prefix := range []string{"member/", "breaker", "configuration"} {
-			list, ok, err := readEntries(ctx, p, n, prefix)
+			result, ok, err := readEntries(ctx, p, partitionIndex, prefix)
 			if err != nil {
 				return s, err
 			}
@@ -303,18 +303,18 @@
 			if !ok {
 				break
 			}
-			for _, e := range list {
+			for _, e := range result {
 				s.addEntry(e)
 			}
 		}
 		if answer, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-			return m.Ask(now, ticket, core.ReadLocked{Part: n}, time.Second)
+			return m.Ask(now, ticket, core.ReadLocked{Part: partitionIndex}, time.Second)
 		}); err == nil && !missing {
 			locked, _ := answer.(core.Outcome).Answer.(core.LockedUsers)
 			s.LockedUsers = append(s.LockedUsers, locked.Users...)
 		}
 		if missing {
-			s.MissingPartitions = append(s.MissingPartitions, n)
+			s.MissingPartitions = append(s.MissingPartitions, partitionIndex)
 		}
 	}
 	if s.Breaker == "" {
--- a/rehearsalkit/breaks/soak.go
+++ b/rehearsalkit/breaks/soak.go
@@ -37,7 +37,7 @@
 		From: "if m.pending != nil && b.TableNumber <= m.pending.Number {", To: "if m.pending != nil && b.TableNumber == m.pending.Number {"},
 	{What: "a leaving is told to nobody", File: "peer/desk/replicas.go", Seeds: 3,
 		From: "previous.Leaving != r.Leaving || ", To: ""},
-	{What: "a change of replicas is told to nobody at once", File: "peer/desk/replicas.go", Seeds: 1, Elsewhere: "TestNewsIsToldAtOnce; nodes ask again within the bound, and leavings are acknowledged once another desk has asked, so the soak sees nothing",
+	{What: "a change of replicas is told to nobody at once", File: "peer/desk/replicas.go", Seeds: 1, Elsewhere: "TestChangeIsSentAtOnce; nodes ask again within the bound, and leavings are acknowledged once another desk has asked, so the soak sees nothing",
 		From: "	m.notifyAll(now)\n", To: ""},
 	{What: "a leaving is acknowledged before anybody else holds it", File: "peer/desk/departure.go", Seeds: 1, Elsewhere: "TestLeavingOutlivesADeskThatDies; the soak's desks keep what they heard on their disks",
 		From: "case m.isReplicated(now, d.version):", To: "case true:"},
--- a/rule/slab/slab_test.go
+++ b/rule/slab/slab_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // TestLateTicket: what comes late for a slot that was reused finds nothing.
-func TestLateTicket(t *testing.T) {
+func TestStaleTicket(t *testing.T) {
 	var s Slab[string]
 	first := s.Put("a")
 	if v, ok := s.Take(first); !ok || v != "a" {
