--- a/peer/desk/departure.go
+++ b/peer/desk/departure.go
@@ -89,6 +89,6 @@
 	return confirmed >= min(desks, m.toleratedLosses())
 }
 
-// toleratedLosses returns the number f of machines that may be lost at once: groups have
-// 2f+1 members.
+// toleratedLosses returns the number f of machines that may be lost at once, at least 1: groups
+// have 2f+1 members.
 func (m *Machine) toleratedLosses() int { return max((m.params.GroupSize-1)/2, 1) }
--- a/peer/desk/handler.go
+++ b/peer/desk/handler.go
@@ -44,23 +44,23 @@
 	base, err := strconv.ParseUint(r.URL.Query().Get("base"), 10, 64)
 	body, bodyErr := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil || bodyErr != nil {
-		operator.WriteJSON(w, 400, operator.ErrorResponse{Code: "malformed", Reason: "base must be the number of the table in force, and the body a whole " + kind, Executed: "no"})
+		operator.WriteJSON(w, 400, operator.ErrorResponse{Code: "malformed", Reason: "base must be the number of the current table, and the body a complete " + kind, Executed: "no"})
 		return 0, nil, false
 	}
 	return base, body, true
 }
 
 // writeOrderResult writes the response to an operator's order.
-func writeOrderResult(w http.ResponseWriter, h OrderResult, err error) {
+func writeOrderResult(w http.ResponseWriter, result OrderResult, err error) {
 	switch {
-	case err != nil || h.Unsure:
-		operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: "hand the same order over again to find out", Executed: "maybe"})
-	case h.Faults != nil:
-		operator.WriteJSON(w, 400, h)
-	case h.RaceLost:
-		operator.WriteJSON(w, 409, h)
+	case err != nil || result.Unsure:
+		operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: "the outcome is unknown; send the same request again to find out", Executed: "maybe"})
+	case result.Faults != nil:
+		operator.WriteJSON(w, 400, result)
+	case result.RaceLost:
+		operator.WriteJSON(w, 409, result)
 	default:
-		operator.WriteJSON(w, 200, h)
+		operator.WriteJSON(w, 200, result)
 	}
 }
 
@@ -70,14 +70,14 @@
 	if !ok {
 		return
 	}
-	a, faults := route.ParseAmendment(text)
+	amendment, faults := route.ParseAmendment(text)
 	if faults != nil {
 		operator.WriteJSON(w, 400, OrderResult{Faults: faults})
 		return
 	}
-	isPreview := r.URL.Query().Get("preview") == "true"
-	h, err := api.Amend(r.Context(), Amendment{Base: base, Number: a.Number, Digest: AmendmentDigest(text), Apply: ApplyAmendment(a), PreviewOnly: isPreview})
-	writeOrderResult(w, h, err)
+	previewOnly := r.URL.Query().Get("preview") == "true"
+	result, err := api.Amend(r.Context(), Amendment{Base: base, Number: amendment.Number, Digest: AmendmentDigest(text), Apply: ApplyAmendment(amendment), PreviewOnly: previewOnly})
+	writeOrderResult(w, result, err)
 }
 
 // Handler returns a function that makes the HTTP handler of a desk's API. Calls need the
@@ -93,34 +93,34 @@
 			if !ok {
 				return
 			}
-			h, err := api.Apply(r.Context(), base, text, Digest(text))
-			writeOrderResult(w, h, err)
+			result, err := api.Apply(r.Context(), base, text, Digest(text))
+			writeOrderResult(w, result, err)
 		})
 		guarded.HandleFunc("PATCH /v1/table", func(w http.ResponseWriter, r *http.Request) { handleAmendment(api, w, r, maxBody) })
 		guarded.HandleFunc("GET /v1/table", func(w http.ResponseWriter, r *http.Request) {
-			t, err := api.Read(r.Context())
-			if err != nil || t.Number == 0 {
-				operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: "no table is known", Executed: "no"})
+			table, err := api.Read(r.Context())
+			if err != nil || table.Number == 0 {
+				operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: "no table is known yet, or the cores did not answer", Executed: "no"})
 				return
 			}
 			w.Header().Set("Content-Type", "application/json")
-			w.Write(t.Text)
+			w.Write(table.Text)
 		})
-		retiring := func(call func(ctx context.Context, id string) (RetirementStatus, error)) http.HandlerFunc {
+		retirement := func(call func(ctx context.Context, id string) (RetirementStatus, error)) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) {
-				e, err := call(r.Context(), r.PathValue("id"))
+				status, err := call(r.Context(), r.PathValue("id"))
 				switch {
-				case err != nil || e.Unsure:
+				case err != nil || status.Unsure:
 					operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: "the cores did not answer", Executed: "maybe"})
-				case !e.Known:
-					operator.WriteJSON(w, 404, operator.ErrorResponse{Code: "unknown_core", Reason: "no core has this name", Executed: "no"})
+				case !status.Known:
+					operator.WriteJSON(w, 404, operator.ErrorResponse{Code: "unknown_core", Reason: "no core has this id", Executed: "no"})
 				default:
-					operator.WriteJSON(w, 200, e)
+					operator.WriteJSON(w, 200, status)
 				}
 			}
 		}
-		guarded.HandleFunc("POST /v1/cores/{id}/retire", retiring(api.Retire))
-		guarded.HandleFunc("GET /v1/cores/{id}/retire", retiring(api.RetirementStatus))
+		guarded.HandleFunc("POST /v1/cores/{id}/retire", retirement(api.Retire))
+		guarded.HandleFunc("GET /v1/cores/{id}/retire", retirement(api.RetirementStatus))
 		guarded.HandleFunc("GET /counters", func(w http.ResponseWriter, r *http.Request) {
 			counts, err := api.Counters(r.Context())
 			if err != nil {
@@ -138,7 +138,7 @@
 	mux.HandleFunc("PUT /v1/replicas/{id}", func(w http.ResponseWriter, r *http.Request) {
 		var replica Replica
 		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&replica); err != nil || replica.Service == "" || replica.Address == "" {
-			operator.WriteJSON(w, 400, operator.ErrorResponse{Code: "malformed", Reason: "a replica with its service and address", Executed: "no"})
+			operator.WriteJSON(w, 400, operator.ErrorResponse{Code: "malformed", Reason: "the body must be a replica with its service and address", Executed: "no"})
 			return
 		}
 		replica.ID = r.PathValue("id")
--- a/peer/desk/loads.go
+++ b/peer/desk/loads.go
@@ -126,12 +126,12 @@
 }
 
 func (m *Machine) historyOf(id string) *replicaHistory {
-	r := m.loads.histories[id]
-	if r == nil {
-		r = &replicaHistory{}
-		m.loads.histories[id] = r
+	history := m.loads.histories[id]
+	if history == nil {
+		history = &replicaHistory{}
+		m.loads.histories[id] = history
 	}
-	return r
+	return history
 }
 
 // sendLoads sends Loads to the nodes with recent reports, if any report arrived since the
@@ -175,16 +175,16 @@
 func (m *Machine) loadSummary(now time.Duration, order []string) Loads {
 	summary := Loads{Incarnation: m.incarnation, Version: m.version, FailureRates: make([]byte, len(order)), UnitTimes: make([]uint16, len(order))}
 	for i, id := range order {
-		if r := m.loads.histories[id]; r != nil {
-			summary.FailureRates[i] = byte(r.failures.At(now, m.params.HeartbeatInterval) * math.MaxUint8)
-			summary.UnitTimes[i] = uint16(min(r.unitTime.At(now, m.params.HeartbeatInterval)/UnitTimeResolution, math.MaxUint16))
+		if history := m.loads.histories[id]; history != nil {
+			summary.FailureRates[i] = byte(history.failures.At(now, m.params.HeartbeatInterval) * math.MaxUint8)
+			summary.UnitTimes[i] = uint16(min(history.unitTime.At(now, m.params.HeartbeatInterval)/UnitTimeResolution, math.MaxUint16))
 		}
 	}
 	return summary
 }
 
 // dropUnlistedRecords drops the histories of replicas that are no longer listed.
-func (m *Machine) dropUnlistedRecords() {
+func (m *Machine) dropUnlistedHistories() {
 	for id := range m.loads.histories {
 		if _, known := m.replicas[id]; !known {
 			delete(m.loads.histories, id)
--- a/peer/desk/machine.go
+++ b/peer/desk/machine.go
@@ -55,7 +55,7 @@
 	lastFresh       core.Fresh
 	pullAt          time.Duration
 	subscribeAt     time.Duration
-	sweepAt         time.Duration
+	expireAt        time.Duration
 	sendFoundingAt  time.Duration
 	founding        *core.Founding
 	reachability
@@ -135,7 +135,7 @@
 	m.probeReachability(now)
 	m.sendLoads(now)
 	if now >= m.subscribeAt {
-		m.subscribeAt = now + m.params.Core.Pull*2
+		m.subscribeAt = now + subscribePulls*m.params.Core.Pull
 		targets := ordered.Keys(m.desks)
 		for _, seed := range m.seeds {
 			if _, ok := m.desks[seed]; !ok {
@@ -150,19 +150,30 @@
 		m.pullAt = now + m.params.Core.Pull
 		m.pull(now)
 	}
-	if now >= m.sweepAt {
-		m.sweepAt = now + m.params.HeartbeatInterval/4
+	if now >= m.expireAt {
+		m.expireAt = now + m.params.HeartbeatInterval/4
 		m.expireReplicas(now)
-		m.dropUnlistedRecords()
+		m.dropUnlistedHistories()
 	}
 	m.sendFounding(now)
 	m.savePeers()
 	return *m.out
 }
 
-// missedHeartbeats is the number of heartbeat intervals without a heartbeat after which a
-// replica counts as gone.
-const missedHeartbeats = 4
+// Times in heartbeat intervals.
+const (
+	// missedHeartbeats is the time without a heartbeat after which a replica counts as gone.
+	missedHeartbeats = 4
+	// goneRetention is the time since the last heartbeat for which a gone replica stays
+	// listed.
+	goneRetention = 20 * missedHeartbeats
+	// deskRetention is the time for which a silent desk is remembered.
+	deskRetention = 10 * missedHeartbeats
+)
+
+// subscribePulls is the number of pull intervals after which subscriptions to other desks are
+// renewed.
+const subscribePulls = 2
 
 func (m *Machine) expireReplicas(now time.Duration) {
 	for _, id := range ordered.Keys(m.replicas) {
@@ -171,7 +182,7 @@
 		case !entry.Gone && now > entry.lastHeard+missedHeartbeats*m.params.HeartbeatInterval:
 			entry.Gone = true
 			m.recordChange(now, entry)
-		case entry.Gone && now > entry.lastHeard+20*missedHeartbeats*m.params.HeartbeatInterval:
+		case entry.Gone && now > entry.lastHeard+goneRetention*m.params.HeartbeatInterval:
 			delete(m.replicas, id)
 		}
 	}
@@ -181,7 +192,7 @@
 		}
 	}
 	for address, lastHeard := range m.desks {
-		if address != m.address && now > lastHeard+10*missedHeartbeats*m.params.HeartbeatInterval {
+		if address != m.address && now > lastHeard+deskRetention*m.params.HeartbeatInterval {
 			delete(m.desks, address)
 			delete(m.deskCursors, address)
 		}
@@ -194,7 +205,8 @@
 // Ready reports whether this desk knows the leaders of a founded fleet.
 func (m *Machine) Ready() bool { return len(m.topology.Owners) > 0 }
 
-// Status returns the desk's counters and sizes by metric name.
+// Status returns the desk's counters and sizes by metric name. Of the names, "beats" counts
+// heartbeats, "bulletins" updates sent, and "followers" is the number of subscribers.
 func (m *Machine) Status(now time.Duration) map[string]int64 {
 	return map[string]int64{"messages": m.Counters.Messages, "beats": m.Counters.Heartbeats, "bulletins": m.Counters.Updates, "changes": m.Counters.Changes,
 		"tables_applied": m.Counters.TablesApplied, "tables_refused": m.Counters.TablesRefused, "bad_messages": m.Counters.BadMessages,
--- a/peer/desk/replicas.go
+++ b/peer/desk/replicas.go
@@ -95,9 +95,9 @@
 
 // List returns all entries, ordered by id.
 func (m *Machine) List() []ReplicaEntry {
-	var list []ReplicaEntry
+	var entries []ReplicaEntry
 	for _, id := range ordered.Keys(m.replicas) {
-		list = append(list, m.replicas[id].ReplicaEntry)
+		entries = append(entries, m.replicas[id].ReplicaEntry)
 	}
-	return list
+	return entries
 }
--- a/peer/desk/subscribers.go
+++ b/peer/desk/subscribers.go
@@ -24,7 +24,7 @@
 }
 
 // isActive reports whether a subscriber renewed within the last heartbeat interval.
-func (s *subscriber) isActive(now, beat time.Duration) bool { return now <= s.lastHeard+beat }
+func (s *subscriber) isActive(now, interval time.Duration) bool { return now <= s.lastHeard+interval }
 
 func (m *Machine) notifyAll(now time.Duration) {
 	for _, address := range ordered.Keys(m.subscribers) {
@@ -45,9 +45,9 @@
 		update.Since = 0
 	}
 	for _, id := range ordered.Keys(m.replicas) {
-		if l := m.replicas[id]; l.Version > update.Since && (!s.isDesk || l.isDeparting()) {
-			update.Replicas = append(update.Replicas, l.ReplicaEntry)
-			update.RenewNow = update.RenewNow || l.isDeparting()
+		if entry := m.replicas[id]; entry.Version > update.Since && (!s.isDesk || entry.isDeparting()) {
+			update.Replicas = append(update.Replicas, entry.ReplicaEntry)
+			update.RenewNow = update.RenewNow || entry.isDeparting()
 		}
 	}
 	if s.table < m.table.number() {
--- a/peer/desk/table.go
+++ b/peer/desk/table.go
@@ -25,6 +25,8 @@
 	}
 }
 
+// onTableSnapshot handles entries of the configuration partition. Partial ones must continue at
+// the version that was already pulled.
 func (m *Machine) onTableSnapshot(now time.Duration, snapshot core.News) {
 	if snapshot.Part != core.ConfigurationPart || !m.pulledUpTo.Less(snapshot.Upto) || (!snapshot.Whole && m.pulledUpTo.Less(snapshot.After)) {
 		return
@@ -49,9 +51,13 @@
 	m.updateConfirmation(now)
 }
 
+// topologyShare is the share of pulls that also ask for the topology.
+const topologyShare = 0.2
+
+// pull asks for configuration changes: the leader while it answers, otherwise all cores.
 func (m *Machine) pull(now time.Duration) {
-	request := core.Pull{Versions: map[int]partition.Version{core.ConfigurationPart: m.pulledUpTo}, Fresh: true, Sent: now, Want: len(m.topology.Owners) == 0 || m.random() < 0.2}
-	if to := m.caller.HintOf(core.ConfigurationPart); to != "" && m.lastConfirmed >= 0 && now-m.lastConfirmed < 3*m.params.Core.Pull {
+	request := core.Pull{Versions: map[int]partition.Version{core.ConfigurationPart: m.pulledUpTo}, Fresh: true, Sent: now, Want: len(m.topology.Owners) == 0 || m.random() < topologyShare}
+	if to := m.caller.HintOf(core.ConfigurationPart); to != "" && m.coresReachable(now) {
 		m.addSend(to, request)
 		return
 	}
@@ -103,7 +109,7 @@
 			m.install(now, parsed, c.Digest)
 			m.resolve(ticket, OrderResult{Accepted: true, Number: agreed.Number})
 		case parsed.Number <= agreed.Number && c.Base == agreed.Number:
-			m.resolve(ticket, OrderResult{Number: agreed.Number, Faults: configuration.Faults{{Path: "number", Value: parsed.Number, Allowed: "above the one in force"}}})
+			m.resolve(ticket, OrderResult{Number: agreed.Number, Faults: configuration.Faults{{Path: "number", Value: parsed.Number, Allowed: "a number above that of the current table"}}})
 		default:
 			m.resolve(ticket, OrderResult{RaceLost: true, Number: agreed.Number})
 		}
--- a/peer/desk/topology.go
+++ b/peer/desk/topology.go
@@ -14,25 +14,25 @@
 
 // CoreAddresses returns the sorted peer addresses of the cores that are not retired.
 func CoreAddresses(t core.Topology) []string {
-	var list []string
+	var addresses []string
 	for _, c := range t.Cores {
-		if !c.Retired && c.Peer != "" && !slices.Contains(list, c.Peer) {
-			list = append(list, c.Peer)
+		if !c.Retired && c.Peer != "" && !slices.Contains(addresses, c.Peer) {
+			addresses = append(addresses, c.Peer)
 		}
 	}
-	sort.Strings(list)
-	return list
+	sort.Strings(addresses)
+	return addresses
 }
 
 // relays returns the nodes and desks that can forward a command if no core answers directly.
 func (m *Machine) relays() []string {
-	var list []string
+	var addresses []string
 	for _, address := range ordered.Keys(m.subscribers) {
 		if m.isSubscribed(m.tickedAt, m.subscribers[address]) {
-			list = append(list, address)
+			addresses = append(addresses, address)
 		}
 	}
-	return list
+	return addresses
 }
 
 // onPresent records a core that announces itself.
--- a/peer/operator/client.go
+++ b/peer/operator/client.go
@@ -14,13 +14,14 @@
 	"saffronfall/rule/partition"
 )
 
-// Caller calls processes on behalf of an operator.
+// Client calls the HTTP API of processes with the operator key. A nil HTTP stands for
+// http.DefaultClient.
 type Client struct {
 	Key  string
 	HTTP *http.Client
 }
 
-// Refused is what a process said that did not do what it was asked for.
+// ResponseError is an error response of a process.
 type ResponseError struct {
 	Status int    `json:"Status"`
 	Code   string `json:"code"`
@@ -29,7 +30,8 @@
 
 func (r *ResponseError) Error() string { return r.Code + ": " + r.Reason }
 
-// Refusal reads a return that is no success.
+// NewResponseError returns the ResponseError of a response body; its code is "malformed" if the
+// body has none.
 func NewResponseError(status int, raw []byte) error {
 	r := &ResponseError{Status: status}
 	if json.Unmarshal(raw, r) != nil || r.Code == "" {
@@ -38,23 +40,23 @@
 	return r
 }
 
-// ErrUnreachable says that an address gave no return.
-var ErrUnreachable = errors.New("no return from this address")
+// ErrUnreachable marks errors of calls to which an address gave no response.
+var ErrUnreachable = errors.New("no response from this address")
 
-// Do makes one call and decodes its return. A status of 400 or above comes
-// back with no error, so that the caller can tell what was refused.
+// Do makes one call and decodes a successful response into target, if that is not nil. It
+// returns the status and the raw body. A status of 400 or above is not an error.
 func (c Client) Do(ctx context.Context, method, address, path string, body, target any) (int, []byte, error) {
 	var reader io.Reader
 	if body != nil {
 		raw, err := json.Marshal(body)
 		if err != nil {
-			return 0, nil, errors.Wrap(err, "call")
+			return 0, nil, errors.Wrap(err, "encoding the request")
 		}
 		reader = bytes.NewReader(raw)
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, reader)
 	if err != nil {
-		return 0, nil, errors.Wrap(err, "call")
+		return 0, nil, errors.Wrap(err, "making the request")
 	}
 	request.Header.Set("Authorization", "Bearer "+c.Key)
 	request.Header.Set("Content-Type", "application/json")
@@ -69,20 +71,19 @@
 	defer response.Body.Close()
 	raw, err := io.ReadAll(response.Body)
 	if err != nil {
-		return response.StatusCode, nil, errors.Wrap(err, "call")
+		return response.StatusCode, nil, errors.Wrap(err, "reading the response")
 	}
 	if target != nil && response.StatusCode < 400 {
 		if err := json.Unmarshal(raw, target); err != nil {
-			return response.StatusCode, raw, errors.Wrap(err, "return")
+			return response.StatusCode, raw, errors.Wrap(err, "decoding the response")
 		}
 	}
 	return response.StatusCode, raw, nil
 }
 
-// Found founds a fleet on the cores at the given addresses: all of them must
-// answer, and none may belong to a fleet yet, unless an earlier founding of
-// the same cores was cut off and is carried on.
-func (c Client) Found(ctx context.Context, fleet string, addresses []string, parts, size int) (core.Founding, error) {
+// Found founds a fleet on the cores at the given addresses. All of them must answer, and none
+// may belong to a fleet yet, unless an interrupted founding of the same cores is resumed.
+func (c Client) Found(ctx context.Context, fleet string, addresses []string, partitions, size int) (core.Founding, error) {
 	var cores []core.Core
 	var existing *core.Founding
 	addressOf := map[string]string{}
@@ -96,7 +97,7 @@
 			return core.Founding{}, errors.Wrapf(NewResponseError(status, raw), "core at %s", address)
 		}
 		if _, duplicate := addressOf[identity.Core.ID]; duplicate {
-			return core.Founding{}, errors.Newf("two cores are called %s", identity.Core.ID)
+			return core.Founding{}, errors.Newf("two of the addresses belong to a core with the id %s", identity.Core.ID)
 		}
 		addressOf[identity.Core.ID] = address
 		cores = append(cores, identity.Core)
@@ -105,11 +106,11 @@
 			existing = &founding
 		}
 	}
-	founding := core.Plan(fleet, parts, size, cores)
+	founding := core.Plan(fleet, partitions, size, cores)
 	if existing != nil {
 		for _, one := range cores {
 			if named, ok := existing.Cores[one.ID]; !ok || named.Incarnation != one.Incarnation || len(existing.Cores) != len(cores) {
-				return core.Founding{}, errors.Newf("core %s: a fleet was founded already, and not with these cores", one.ID)
+				return core.Founding{}, errors.Newf("core %s belongs to a fleet that was founded with other cores", one.ID)
 			}
 		}
 		founding = *existing
@@ -117,7 +118,7 @@
 	for _, one := range cores {
 		status, raw, err := c.Do(ctx, "POST", addressOf[one.ID], "/v1/found", founding, nil)
 		if err != nil {
-			return founding, errors.Wrapf(err, "core %s; run found again with the same cores to carry on", one.ID)
+			return founding, errors.Wrapf(err, "core %s; run found again with the same cores to resume", one.ID)
 		}
 		if status != 200 {
 			return founding, errors.Wrapf(NewResponseError(status, raw), "core %s", one.ID)
@@ -126,7 +127,7 @@
 	return founding, nil
 }
 
-// AddCore brings a core with an empty folder into a running fleet.
+// AddCore adds the new core at an address, whose folder is empty, to the fleet of a member.
 func (c Client) AddCore(ctx context.Context, member, newCore string) (core.Changed, error) {
 	var changed core.Changed
 	var identity Identity
@@ -153,7 +154,7 @@
 	return c.Change(ctx, member, CoreChange{Kind: core.Add, ID: identity.Core.ID, New: &identity.Core})
 }
 
-// Change asks for a change in a core's life until it is done or refused.
+// Change requests a change of cores, again until it is done or fails.
 func (c Client) Change(ctx context.Context, member string, change CoreChange) (core.Changed, error) {
 	for {
 		var changed core.Changed
@@ -169,8 +170,8 @@
 	}
 }
 
-// Plan lists what a change in a core's life would move, and changes nothing. A
-// new core is asked who it is at its address.
+// Plan returns what a change of cores would move, without making it. If newCore is not empty,
+// it is the address of the core to add or to replace another.
 func (c Client) Plan(ctx context.Context, member string, change CoreChange, newCore string) (core.Changed, error) {
 	var t core.Topology
 	if status, raw, err := c.Do(ctx, "GET", member, "/v1/topology", nil, &t); err != nil {
@@ -194,33 +195,36 @@
 	return plan, nil
 }
 
-// Nodes asks each living member what it counts and holds; one that gives no
-// return has none here.
+// countersTimeout bounds the request for the counters of one node.
+const countersTimeout = 2 * time.Second
+
+// NodeCounters reads the counters of all members that have not ended, by member id. Members
+// that don't answer in time are left out.
 func (c Client) NodeCounters(ctx context.Context, members []core.Member) map[string]map[string]any {
-	type told struct {
+	type result struct {
 		id     string
 		counts map[string]any
 	}
-	results, pending := make(chan told), 0
+	results, pending := make(chan result), 0
 	for _, member := range members {
 		if member.Ended {
 			continue
 		}
 		pending++
 		go func() {
-			t := told{id: member.ID}
-			ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
+			r := result{id: member.ID}
+			ctx, cancel := context.WithTimeout(ctx, countersTimeout)
 			defer cancel()
-			if status, _, err := c.Do(ctx, "GET", member.HTTP, "/counters", nil, &t.counts); err != nil || status != 200 {
-				t.counts = nil
+			if status, _, err := c.Do(ctx, "GET", member.HTTP, "/counters", nil, &r.counts); err != nil || status != 200 {
+				r.counts = nil
 			}
-			results <- t
+			results <- r
 		}()
 	}
 	nodes := map[string]map[string]any{}
 	for ; pending > 0; pending-- {
-		if t := <-results; t.counts != nil {
-			nodes[t.id] = t.counts
+		if r := <-results; r.counts != nil {
+			nodes[r.id] = r.counts
 		}
 	}
 	return nodes
--- a/peer/operator/handler.go
+++ b/peer/operator/handler.go
@@ -1,5 +1,7 @@
-// Package operator is the side of the fleet that operators see: what a core
-// answers them, and the calls that the command line makes.
+// Package operator has the HTTP API that a core offers to operators, and the client that the
+// command line uses. All calls need the operator key. A response says in "ran" whether the
+// request was executed ("no" or "maybe"), so that clients know when a retry is needed.
+// Start reading at Handler and Client.
 package operator
 
 import (
@@ -19,21 +21,31 @@
 	"saffronfall/rule/partition"
 )
 
-// Process is a core as its operators' side needs it.
+const (
+	defaultApplyTimeout  = 15 * time.Second
+	defaultChangeTimeout = 30 * time.Second
+	// readTimeout bounds each read of a partition.
+	readTimeout = time.Second
+	// maxBodyBytes bounds the body of a request.
+	maxBodyBytes = 16 << 20
+)
+
+// Process runs steps of a core's state machine. Call waits for the answer to the step's ticket,
+// Inspect returns the result of a function that changes nothing. Both fail when ctx ends.
 type Process interface {
 	Call(ctx context.Context, step func(m *core.Machine, now time.Duration, ticket uint64) core.Output) (any, error)
 	Inspect(ctx context.Context, look func(m *core.Machine, now time.Duration) any) (any, error)
 	Counters(ctx context.Context) (map[string]int64, error)
 }
 
-// Identity is what a core says of itself.
+// Identity identifies a core and the fleet that it was founded with.
 type Identity struct {
 	Core     core.Core     `json:"core"`
 	Founded  bool          `json:"founded"`
 	Founding core.Founding `json:"founding"`
 }
 
-// PartStatus is one part as a core sees it.
+// PartitionStatus is one partition as a core sees it.
 type PartitionStatus struct {
 	Partition int      `json:"part"`
 	Leader    string   `json:"owner"`
@@ -54,7 +66,8 @@
 	MissingPartitions    []int             `json:"parts_without_answer"`
 }
 
-// Handed is a description as it is handed over.
+// ConfigurationRequest asks to apply a configuration, or only to plan it. BudgetMS bounds it in
+// milliseconds; zero selects a default.
 type ConfigurationRequest struct {
 	BasedOn     uint64          `json:"based_on"`
 	Description json.RawMessage `json:"description"`
@@ -62,14 +75,15 @@
 	BudgetMS    int64           `json:"budget_ms"`
 }
 
-// Fault is an operator's side refusal.
+// ErrorResponse is the body of an error response. Executed is "no" or "maybe".
 type ErrorResponse struct {
 	Code     string `json:"code"`
 	Reason   string `json:"reason"`
 	Executed string `json:"ran"`
 }
 
-// Guard lets only those in who show a key; with an empty key it lets in none.
+// RequireKey passes on requests with the bearer key and rejects all others. An empty key rejects
+// every request.
 func RequireKey(key string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		header := r.Header.Get("Authorization")
@@ -81,7 +95,7 @@
 	})
 }
 
-// Write writes a JSON return.
+// WriteJSON writes a response with a JSON body.
 func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -90,7 +104,7 @@
 	encoder.Encode(body)
 }
 
-// Drain asks a process to leave, as SIGTERM does.
+// DrainHandler returns a handler that asks the process to leave, as SIGTERM does.
 func DrainHandler(drain chan<- struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -101,7 +115,7 @@
 	}
 }
 
-// Handler is a core's operators' side.
+// Handler returns the operators' HTTP API of a core.
 func Handler(p Process, key string, drain chan<- struct{}) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/drain", DrainHandler(drain))
@@ -180,7 +194,7 @@
 	sum := sha256.Sum256(request.Description)
 	timeout := time.Duration(request.BudgetMS) * time.Millisecond
 	if timeout <= 0 {
-		timeout = 15 * time.Second
+		timeout = defaultApplyTimeout
 	}
 	body, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
 		return m.Apply(now, ticket, core.Hand{BasedOn: request.BasedOn, Text: request.Description, Digest: hex.EncodeToString(sum[:]), Within: timeout, PlanOnly: request.PlanOnly})
@@ -194,7 +208,8 @@
 	WriteJSON(w, status, result)
 }
 
-// Life is a change in a core's life, as an operator asks for it.
+// CoreChange is an operator's request to add, retire or replace a core. BudgetMS bounds it in
+// milliseconds; zero selects a default.
 type CoreChange struct {
 	Kind     string     `json:"kind"`
 	ID       string     `json:"id"`
@@ -206,7 +221,7 @@
 func changeCores(w http.ResponseWriter, r *http.Request, p Process, c CoreChange) {
 	timeout := time.Duration(c.BudgetMS) * time.Millisecond
 	if timeout <= 0 {
-		timeout = 30 * time.Second
+		timeout = defaultChangeTimeout
 	}
 	if c.Kind != core.Add && c.Kind != core.Retire && c.Kind != core.Replace {
 		WriteJSON(w, 400, ErrorResponse{Code: "malformed", Reason: "kind must be add, retire or replace", Executed: "no"})
@@ -217,7 +232,7 @@
 			return m.Introduce(now, ticket, *c.New, timeout)
 		})
 		if done, ok := body.(core.Done); err != nil || !ok || !done.OK {
-			WriteJSON(w, 409, ErrorResponse{Code: "not_introduced", Reason: "the core could not be made known; another core may have its name", Executed: "maybe"})
+			WriteJSON(w, 409, ErrorResponse{Code: "not_introduced", Reason: "the new core could not be registered; another core may have its id", Executed: "maybe"})
 			return
 		}
 	}
@@ -243,7 +258,7 @@
 }
 
 func readBody(w http.ResponseWriter, r *http.Request, target any) bool {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 16<<20))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
 		err = json.Unmarshal(raw, target)
 	}
@@ -256,7 +271,7 @@
 
 func readEntries(ctx context.Context, p Process, partitionIndex int, prefix string) ([]partition.Entry, bool, error) {
 	body, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-		return m.Ask(now, ticket, core.ReadEntries{Part: partitionIndex, Prefix: prefix}, time.Second)
+		return m.Ask(now, ticket, core.ReadEntries{Part: partitionIndex, Prefix: prefix}, readTimeout)
 	})
 	if err != nil {
 		return nil, false, err
@@ -279,7 +294,8 @@
 	return c, nil
 }
 
-// Gather asks every part for what operators want to see.
+// GatherStatus asks every partition for its part of the status. Partitions that don't answer are
+// listed as missing.
 func GatherStatus(ctx context.Context, p Process) (Status, error) {
 	var s Status
 	body, err := p.Inspect(ctx, func(m *core.Machine, now time.Duration) any { return m.Topology() })
@@ -308,7 +324,7 @@
 			}
 		}
 		if answer, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-			return m.Ask(now, ticket, core.ReadLocked{Part: partitionIndex}, time.Second)
+			return m.Ask(now, ticket, core.ReadLocked{Part: partitionIndex}, readTimeout)
 		}); err == nil && !missing {
 			locked, _ := answer.(core.Outcome).Answer.(core.LockedUsers)
 			s.LockedUsers = append(s.LockedUsers, locked.Users...)
--- a/rule/slab/slab.go
+++ b/rule/slab/slab.go
@@ -1,12 +1,14 @@
-// Package slab keeps the waiting steps of inquiries in reusable slots. A ticket
-// names a slot and its generation, so that what comes late for a slot that has
-// since been reused finds nothing.
+// Package slab stores values, such as the state of pending requests, in reusable slots. A
+// ticket identifies a slot and its generation, so a late ticket of a slot that has been reused
+// finds nothing. Start reading at Slab.
 package slab
 
-// Ticket names a kept value: generation in the upper half, index in the lower.
+// Ticket identifies a stored value: the upper 32 bits are the generation of its slot, the lower
+// 32 bits the index. Zero is never a valid ticket.
 type Ticket uint64
 
-// Slab keeps values of one type.
+// Slab stores values of one type. Its zero value is ready for use. It is not safe for concurrent
+// use.
 type Slab[T any] struct {
 	slots []slot[T]
 	free  []uint32
@@ -19,7 +21,7 @@
 	value      T
 }
 
-// Keep stores a value and returns its ticket, which is never zero.
+// Put stores a value and returns its ticket, which is never zero.
 func (s *Slab[T]) Put(value T) Ticket {
 	var index uint32
 	if n := len(s.free); n > 0 {
@@ -33,7 +35,7 @@
 	return Ticket(uint64(s.slots[index].generation)<<32 | uint64(index))
 }
 
-// Look returns the value of a ticket that is still current.
+// Get returns the value of a ticket, and false if the ticket is no longer valid.
 func (s *Slab[T]) Get(t Ticket) (T, bool) {
 	var none T
 	index, generation := uint32(t), uint32(t>>32)
@@ -43,7 +45,7 @@
 	return s.slots[index].value, true
 }
 
-// Take returns the value of a current ticket and ends the ticket.
+// Take removes and returns the value of a ticket, and false if the ticket is no longer valid.
 func (s *Slab[T]) Take(t Ticket) (T, bool) {
 	value, ok := s.Get(t)
 	if !ok {
@@ -61,5 +63,5 @@
 	return value, true
 }
 
-// Used is how many values are kept.
+// Len returns the number of stored values.
 func (s *Slab[T]) Len() int { return s.count }
--- a/rule/slab/slab_test.go
+++ b/rule/slab/slab_test.go
@@ -2,21 +2,21 @@
 
 import "testing"
 
-// TestLateTicket: what comes late for a slot that was reused finds nothing.
+// TestStaleTicket checks that a ticket of a reused slot finds nothing.
 func TestStaleTicket(t *testing.T) {
 	var s Slab[string]
 	first := s.Put("a")
 	if v, ok := s.Take(first); !ok || v != "a" {
-		t.Fatal("not kept")
+		t.Fatal("the stored value was not returned")
 	}
 	second := s.Put("b")
 	if uint32(first) != uint32(second) || first == second {
-		t.Fatalf("%x and %x", first, second)
+		t.Fatalf("tickets %x and %x: want the same slot and another generation", first, second)
 	}
 	if _, ok := s.Get(first); ok {
-		t.Error("a late ticket found the next one's value")
+		t.Error("a stale ticket found the value of the next one")
 	}
 	if _, ok := s.Take(0); ok || s.Len() != 1 {
-		t.Error("the ticket that is none")
+		t.Error("the zero ticket removed a value")
 	}
 }
