--- a/peer/desk/amend_test.go
+++ b/peer/desk/amend_test.go
@@ -10,14 +10,14 @@
 	"saffronfall/rule/route"
 )
 
-// scriptedCores answer a desk's commands by a function; nil is silence.
+// scriptedCores answers a desk's commands by a function; nil sends no answer.
 type scriptedCores struct {
 	desk     *Machine
 	answer   func(command any) any
 	commands []any
 }
 
-// carry answers commands until no more come, and returns what the desk answered.
+// run answers commands until there are none left, and returns the desk's answers.
 func (s *scriptedCores) run(t *testing.T, now time.Duration, o Output) []Answer {
 	t.Helper()
 	answers := o.Answers
@@ -40,8 +40,8 @@
 	return Amendment{Base: base, Number: number, Digest: "d", Apply: ApplyAmendment(a)}
 }
 
-// TestAmend: an amendment is joined to the table that the cores say is in force and
-// agreed whole; what came before it decides what one on another base is answered.
+// TestAmend checks that an amendment is applied to the current table of the cores and proposed as
+// a full table, and the answers to amendments whose base is not current.
 func TestAmend(t *testing.T) {
 	read := core.AgreedTable{Number: 4, Text: table(4), Digest: "four"}
 	for _, c := range []struct {
@@ -50,15 +50,15 @@
 		agreed    any
 		found     any
 		want      OrderResult
-		// commands are how many went to the cores.
+		// commands is the number of commands sent to the cores.
 		commands int
 	}{
-		{name: "taken", amendment: addService(4, 5), agreed: core.TableAgreed{OK: true, Number: 5}, want: OrderResult{Accepted: true, Number: 5}, commands: 2},
-		{name: "race lost while joining", amendment: addService(4, 5), agreed: core.TableAgreed{Number: 6}, want: OrderResult{RaceLost: true, Number: 6}, commands: 2},
-		{name: "taken before", amendment: addService(3, 4), found: core.TableAgreed{OK: true, Number: 4}, want: OrderResult{Accepted: true, Number: 4}, commands: 2},
+		{name: "accepted", amendment: addService(4, 5), agreed: core.TableAgreed{OK: true, Number: 5}, want: OrderResult{Accepted: true, Number: 5}, commands: 2},
+		{name: "race lost during the proposal", amendment: addService(4, 5), agreed: core.TableAgreed{Number: 6}, want: OrderResult{RaceLost: true, Number: 6}, commands: 2},
+		{name: "accepted before", amendment: addService(3, 4), found: core.TableAgreed{OK: true, Number: 4}, want: OrderResult{Accepted: true, Number: 4}, commands: 2},
 		{name: "race lost before", amendment: addService(3, 5), found: core.TableAgreed{Number: 4}, want: OrderResult{RaceLost: true, Number: 4}, commands: 2},
-		{name: "on a base that is not there yet", amendment: addService(9, 10), found: core.TableAgreed{Number: 4}, want: OrderResult{RaceLost: true, Number: 4}, commands: 2},
-		{name: "not above", amendment: addService(4, 4), want: OrderResult{Number: 4, Faults: configuration.Faults{{}}}, commands: 1},
+		{name: "on a base that does not exist yet", amendment: addService(9, 10), found: core.TableAgreed{Number: 4}, want: OrderResult{RaceLost: true, Number: 4}, commands: 2},
+		{name: "number not above the base", amendment: addService(4, 4), want: OrderResult{Number: 4, Faults: configuration.Faults{{}}}, commands: 1},
 		{name: "no answer", amendment: addService(4, 5), want: OrderResult{Unsure: true}, commands: 2},
 	} {
 		m := newDesk(nil)
@@ -86,13 +86,13 @@
 		if len(cores.commands) != c.commands {
 			t.Errorf("%s: commands %+v", c.name, cores.commands)
 		}
-		if c.name == "taken" && m.TableNumber() != 5 {
+		if c.name == "accepted" && m.TableNumber() != 5 {
 			t.Errorf("the desk knows table %d", m.TableNumber())
 		}
 	}
 }
 
-// TestPreviewChangesNothing: what an amendment would change is told, and not agreed.
+// TestPreviewChangesNothing checks that a preview reports the changes and proposes nothing.
 func TestPreviewChangesNothing(t *testing.T) {
 	m := newDesk(nil)
 	foundFleet(m)
--- a/peer/desk/currenttable_test.go
+++ b/peer/desk/currenttable_test.go
@@ -11,7 +11,7 @@
 	"saffronfall/rule/route"
 )
 
-// largeTable is a table with many routes, one of which changes with the number.
+// largeTable returns a table with many routes, one of which depends on the number.
 func largeTable(number uint64) []byte {
 	routes := ""
 	for i := range 50 {
@@ -24,16 +24,15 @@
 	return fmt.Appendf(nil, `{"number":%d,"source":"what the operator sent","routes":[%s],"services":[{"name":"s"}]}`, number, routes[:len(routes)-1])
 }
 
-// agree brings a desk the news of an agreed table.
+// deliverTable sends a desk the cores' snapshot of an agreed table.
 func deliverTable(m *Machine, now time.Duration, number uint64) Output {
 	value := message.Marshal(core.AgreedTable{Number: number, Text: largeTable(number), Digest: fmt.Sprint("digest ", number)})
 	at := partition.Version{Term: partition.Term{Round: 1, Leader: "c.1"}, Seq: number}
 	return m.Receive(now, "c:1", core.News{Part: core.ConfigurationPart, Upto: at, Entries: []partition.Entry{{Key: core.TableKey, Value: value, Version: at}}})
 }
 
-// TestSubscribersGetDifferences: who has a table gets what changed since, who has
-// none, or one that is too old or not known here, the whole, and never the text
-// that only the operator reads.
+// TestSubscribersGetDifferences checks that a subscriber with a recent table gets differences, any
+// other one the full table, and none of them the table's source.
 func TestSubscribersGetDifferences(t *testing.T) {
 	m := newDesk(nil)
 	foundFleet(m)
@@ -42,7 +41,7 @@
 		t.Helper()
 		list := sentTo[Update](o, to)
 		if len(list) != 1 {
-			t.Fatalf("%s was told %d times", to, len(list))
+			t.Fatalf("%s got %d updates", to, len(list))
 		}
 		return list[0]
 	}
@@ -59,12 +58,12 @@
 	if !ok || next.Number != 4 || second.Differences[0].Digest != "digest 4" {
 		t.Fatal("the difference does not fit the table before it")
 	}
-	// It missed one, and says so.
+	// The node missed an update and reports its last table.
 	deliverTable(m, 0, 5)
 	if b := onlyUpdate(m.Receive(0, "n1:1", Subscribe{Node: "n1", AcceptsDifferences: true, Table: 4}), "n1:1"); len(b.Differences) != 1 || b.Differences[0].Number != 5 {
-		t.Fatalf("told again: %+v", b)
+		t.Fatalf("after a lost update: %+v", b)
 	}
-	for name, f := range map[string]Subscribe{"none": {AcceptsDifferences: true}, "unknown": {AcceptsDifferences: true, Table: 3}, "a former version's node": {Table: 4}} {
+	for name, f := range map[string]Subscribe{"none": {AcceptsDifferences: true}, "unknown": {AcceptsDifferences: true, Table: 3}, "a node that can't apply differences": {Table: 4}} {
 		if b := onlyUpdate(m.Receive(0, "n2:1", f), "n2:1"); b.Table == nil || b.Differences != nil {
 			t.Errorf("%s: %d bytes, %d differences", name, len(b.Table), len(b.Differences))
 		}
@@ -76,12 +75,12 @@
 		t.Errorf("%d differences are kept", got)
 	}
 	if b := onlyUpdate(m.Receive(0, "n3:1", Subscribe{Node: "n3", AcceptsDifferences: true, Table: 4}), "n3:1"); b.Table == nil {
-		t.Errorf("one that is far behind: %+v", b)
+		t.Errorf("a subscriber that is far behind: %+v", b)
 	}
 }
 
-// TestKnownTableIsNotParsedAgain: the cores' news of a table that an operator just
-// brought here, or that a difference led to, costs no second reading of its text.
+// TestKnownTableIsNotParsedAgain checks that a snapshot of a table that is already known is not
+// parsed.
 func TestKnownTableIsNotParsedAgain(t *testing.T) {
 	m := newDesk(nil)
 	foundFleet(m)
@@ -90,6 +89,6 @@
 	at := partition.Version{Term: partition.Term{Round: 1, Leader: "c.1"}, Seq: 9}
 	m.Receive(0, "c:1", core.News{Part: core.ConfigurationPart, Upto: at, Entries: []partition.Entry{{Key: core.TableKey, Value: again, Version: at}}})
 	if m.Counters.BadMessages != 0 || m.TableNumber() != 2 {
-		t.Errorf("%d texts were found bad, table %d", m.Counters.BadMessages, m.TableNumber())
+		t.Errorf("%d bad messages, table %d", m.Counters.BadMessages, m.TableNumber())
 	}
 }
--- a/peer/desk/departure_test.go
+++ b/peer/desk/departure_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// heardBy lists the answers to a ticket.
+// acknowledgments returns the answers to a ticket.
 func acknowledgments(o Output, ticket uint64) (list []Acknowledgment) {
 	for _, a := range o.Answers {
 		if h, ok := a.Body.(Acknowledgment); ok && a.Ticket == ticket {
@@ -15,8 +15,8 @@
 	return list
 }
 
-// TestLeavingIsAcknowledgedOnceItOutlivesTheDesk: a word of leaving is acknowledged when
-// others hold it, and else the replica is told in time to go elsewhere.
+// TestDepartureIsAcknowledgedOnceReplicated checks that a departure is acknowledged when enough
+// others have it, and is otherwise rejected in time to report it to another desk.
 func TestDepartureIsAcknowledgedOnceReplicated(t *testing.T) {
 	const ticket = 7
 	desk := func(version uint64) Subscribe {
@@ -25,25 +25,25 @@
 	node := func(version uint64) Subscribe { return Subscribe{Node: "n1", Incarnation: "l1", Version: version} }
 	for _, c := range []struct {
 		name string
-		// before is heard before the replica leaves, after afterwards.
+		// before and after are received before and after the replica departs.
 		before, after map[string]Subscribe
-		seats         int
+		groupSize     int
 		leaving       bool
 		atOnce, then  bool
 	}{
-		{name: "a heartbeat that says nothing of leaving", before: map[string]Subscribe{"d2:1": desk(0)}, atOnce: true},
-		{name: "nobody else is there", leaving: true, atOnce: true},
-		{name: "another desk holds it", leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "n1:1": node(1)}, after: map[string]Subscribe{"d2:1": desk(2)}, then: true},
-		{name: "only nodes hold it while another desk speaks", leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "n1:1": node(1)}, after: map[string]Subscribe{"n1:1": node(2)}},
-		{name: "the other desk has what was before", leaving: true, before: map[string]Subscribe{"d2:1": desk(1)}, after: map[string]Subscribe{"d2:1": desk(1)}},
-		{name: "the other desk has another life's version", leaving: true, before: map[string]Subscribe{"d2:1": desk(1)}, after: map[string]Subscribe{"d2:1": {Node: "d2", Incarnation: "l0", Version: 99, IsDesk: true}}},
-		{name: "all nodes hold it and no other desk speaks", leaving: true, before: map[string]Subscribe{"n1:1": node(1), "n2:1": node(1)}, after: map[string]Subscribe{"n1:1": node(2), "n2:1": node(2)}, then: true},
-		{name: "one node lacks it and no other desk speaks", leaving: true, before: map[string]Subscribe{"n1:1": node(1), "n2:1": node(1)}, after: map[string]Subscribe{"n1:1": node(2)}},
-		{name: "two losses are borne and one other desk holds it", seats: 5, leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "d3:1": desk(1)}, after: map[string]Subscribe{"d2:1": desk(2)}},
-		{name: "two losses are borne and two other desks hold it", seats: 5, leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "d3:1": desk(1)}, after: map[string]Subscribe{"d2:1": desk(2), "d3:1": desk(2)}, then: true},
+		{name: "a heartbeat without a departure", before: map[string]Subscribe{"d2:1": desk(0)}, atOnce: true},
+		{name: "no other process", leaving: true, atOnce: true},
+		{name: "another desk has it", leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "n1:1": node(1)}, after: map[string]Subscribe{"d2:1": desk(2)}, then: true},
+		{name: "only nodes have it while another desk is active", leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "n1:1": node(1)}, after: map[string]Subscribe{"n1:1": node(2)}},
+		{name: "the other desk has an earlier version", leaving: true, before: map[string]Subscribe{"d2:1": desk(1)}, after: map[string]Subscribe{"d2:1": desk(1)}},
+		{name: "the other desk has another incarnation's version", leaving: true, before: map[string]Subscribe{"d2:1": desk(1)}, after: map[string]Subscribe{"d2:1": {Node: "d2", Incarnation: "l0", Version: 99, IsDesk: true}}},
+		{name: "all nodes have it and no other desk is active", leaving: true, before: map[string]Subscribe{"n1:1": node(1), "n2:1": node(1)}, after: map[string]Subscribe{"n1:1": node(2), "n2:1": node(2)}, then: true},
+		{name: "one node lacks it and no other desk is active", leaving: true, before: map[string]Subscribe{"n1:1": node(1), "n2:1": node(1)}, after: map[string]Subscribe{"n1:1": node(2)}},
+		{name: "two losses are tolerated and one other desk has it", groupSize: 5, leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "d3:1": desk(1)}, after: map[string]Subscribe{"d2:1": desk(2)}},
+		{name: "two losses are tolerated and two other desks have it", groupSize: 5, leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "d3:1": desk(1)}, after: map[string]Subscribe{"d2:1": desk(2), "d3:1": desk(2)}, then: true},
 	} {
 		m := connectedDesk(t, 0)
-		m.params.GroupSize = max(c.seats, 3)
+		m.params.GroupSize = max(c.groupSize, 3)
 		m.Heartbeat(0, 0, replica(1, false))
 		for from, f := range c.before {
 			m.Receive(0, from, f)
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestDeskConfirmsLeavingAtOnce: a desk that is told who leaves says at once that it has
-// it, as a replica waits for that.
+// TestDeskConfirmsDepartureAtOnce checks that a desk confirms a received departure at once, because
+// the replica waits for that.
 func TestDeskConfirmsDepartureAtOnce(t *testing.T) {
 	first, second := newDesk(nil), newDesk(func(o *Options) { o.ID, o.Address, o.Incarnation = "d2", "d2:1", "l2" })
 	first.Receive(0, "d2:1", Subscribe{Node: "d2", IsDesk: true})
@@ -77,11 +77,11 @@
 			}
 		}
 	}
-	t.Error("not acknowledged by what the desks say at once")
+	t.Error("not acknowledged by the immediate messages of the desks")
 }
 
-// TestNodesConfirmLeavingToALoneDesk: where no other desk speaks, nodes are asked to
-// confirm at once, and not otherwise.
+// TestNodesConfirmDepartureToLoneDesk checks that nodes are asked to confirm at once if, and only
+// if, no other desk is active.
 func TestNodesConfirmDepartureToLoneDesk(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		m := newDesk(nil)
@@ -90,17 +90,16 @@
 			m.Receive(0, "d2:1", Subscribe{Node: "d2", IsDesk: true})
 		}
 		if b := sentTo[Update](m.Heartbeat(1, 0, replica(1, false)), "n1:1"); len(b) != 1 || b[0].RenewNow {
-			t.Errorf("alone %v: a replica that comes: %+v", alone, b)
+			t.Errorf("alone %v: a new replica: %+v", alone, b)
 		}
 		if b := sentTo[Update](m.Heartbeat(2, 0, replica(2, true)), "n1:1"); len(b) != 1 || b[0].RenewNow != alone {
-			t.Errorf("alone %v: a replica that leaves: %+v", alone, b)
+			t.Errorf("alone %v: a departing replica: %+v", alone, b)
 		}
 	}
 }
 
-// TestCutOffDeskSendsLeaversElsewhere: a desk that knows that it reaches no core keeps a
-// replica that leaves waiting no longer than any other call; one in touch gives others
-// time to confirm.
+// TestDisconnectedDeskRejectsDepartureEarly checks that a disconnected desk rejects an unconfirmed
+// departure as soon as any other call, and a connected one gives others time to confirm.
 func TestDisconnectedDeskRejectsDepartureEarly(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -108,8 +107,8 @@
 		least   time.Duration
 		most    time.Duration
 	}{
-		{"in touch", true, heartbeat / 2, heartbeat * 3 / 4},
-		{"cut off", false, 0, heartbeat / 5},
+		{"connected", true, heartbeat / 2, heartbeat * 3 / 4},
+		{"disconnected", false, 0, heartbeat / 5},
 	} {
 		m := connectedDesk(t, 0)
 		start := time.Second
@@ -129,7 +128,7 @@
 			}
 		}
 		if took < c.least || took > c.most || took == 0 {
-			t.Errorf("%s: sent elsewhere after %v", c.name, took)
+			t.Errorf("%s: rejected after %v", c.name, took)
 		}
 	}
 }
--- a/peer/desk/disconnected_test.go
+++ b/peer/desk/disconnected_test.go
@@ -9,8 +9,8 @@
 	"saffronfall/rule/partition"
 )
 
-// inTouchDesk is a desk whose fleet has one core, with the configuration
-// confirmed at a time.
+// connectedDesk returns a desk whose fleet has one core, with its configuration confirmed at the
+// given time.
 func connectedDesk(t *testing.T, now time.Duration) *Machine {
 	t.Helper()
 	m := newDesk(nil)
@@ -26,8 +26,8 @@
 	m.Receive(now, "c1:1", core.Fresh{Sent: now, Upto: partition.Version{Term: partition.Term{Round: 1, Leader: "c1.x"}, Seq: 1}})
 }
 
-// answeredAfter lets a desk tick with nobody answering it, until it answers a
-// ticket or a second has passed.
+// tickUntilAnswered ticks a desk that gets no messages until it answers a ticket, or for two
+// seconds. It returns the time that took and the answer.
 func tickUntilAnswered(m *Machine, start time.Duration, ticket uint64) (time.Duration, any) {
 	for now := start; now < start+2*time.Second; now += 5 * time.Millisecond {
 		for _, a := range m.Tick(now).Answers {
@@ -39,8 +39,8 @@
 	return 2 * time.Second, nil
 }
 
-// TestCutOffDeskAnswersSoon: a desk that hears from no core any more answers each
-// call within 250 ms, as unsure, and never confirms or refuses one.
+// TestDisconnectedDeskAnswersInTime checks that a desk without contact to a core answers each call
+// as undecided within 250 ms.
 func TestDisconnectedDeskAnswersInTime(t *testing.T) {
 	const cut = 10 * time.Second
 	calls := map[string]func(m *Machine, now time.Duration) Output{
@@ -58,16 +58,16 @@
 			}
 			o := call(m, now)
 			if len(o.Answers) != 0 {
-				t.Fatalf("%s is answered with no core asked: %+v", name, o.Answers)
+				t.Fatalf("%s is answered without asking a core: %+v", name, o.Answers)
 			}
 			took, body := tickUntilAnswered(m, now, 1)
 			allowed := 250 * time.Millisecond
 			if after == 0 {
-				// It can't know yet that it is cut off.
+				// The desk can't know yet that it is disconnected.
 				allowed += maxUnconfirmedPulls * m.params.Core.Pull
 			}
 			if took > allowed {
-				t.Errorf("%s, %v after the cut: answered after %v", name, after, took)
+				t.Errorf("%s, %v after the disconnection: answered after %v", name, after, took)
 			}
 			switch b := body.(type) {
 			case OrderResult:
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestAnsweredOnce: the cores' answer that comes after a desk has given a call up
-// is not a second answer.
+// TestAnsweredOnce checks that a late answer of the cores to an expired call is not answered
+// again, but that its table is installed.
 func TestAnsweredOnce(t *testing.T) {
 	m := connectedDesk(t, 0)
 	o := m.Apply(5*time.Second, 1, 0, table(3), "d")
@@ -106,24 +106,24 @@
 		t.Errorf("answered twice: %+v", late.Answers)
 	}
 	if m.TableNumber() != 3 {
-		t.Errorf("what the cores have agreed is not known: table %d", m.TableNumber())
+		t.Errorf("the agreed table is not installed: table %d", m.TableNumber())
 	}
 }
 
-// TestInTouchDeskWaits: as long as the cores confirm, a call may take its time.
+// TestConnectedDeskWaits checks that no call expires while the cores confirm the table.
 func TestConnectedDeskWaits(t *testing.T) {
 	m := connectedDesk(t, 0)
 	m.Apply(0, 1, 0, table(3), "d")
 	for now := time.Duration(0); now < 900*time.Millisecond; now += 5 * time.Millisecond {
 		confirm(m, now)
 		if o := m.Tick(now); len(o.Answers) != 0 {
-			t.Fatalf("given up after %v though the cores can be reached", now)
+			t.Fatalf("expired after %v although the cores are reachable", now)
 		}
 	}
 }
 
-// TestIsolatedDeskAcknowledgesNoHeartbeat: a desk that hears neither cores nor most of
-// its nodes would keep what replicas say to itself; they are to tell another.
+// TestIsolatedDeskAcknowledgesNoHeartbeat checks when a desk counts as isolated, so that replicas
+// report to another desk that can pass their reports on.
 func TestIsolatedDeskAcknowledgesNoHeartbeat(t *testing.T) {
 	m := connectedDesk(t, 0)
 	nodes := []string{"n1:1", "n2:1", "n3:1"}
@@ -143,21 +143,20 @@
 		m.Receive(later, n, Subscribe{Node: n})
 	}
 	if m.Isolated(later) {
-		t.Error("isolated though most nodes hear it")
+		t.Error("isolated although it reaches most nodes")
 	}
 	later += 10 * time.Second
 	confirm(m, later)
 	if m.Isolated(later) {
-		t.Error("isolated though the cores answer")
+		t.Error("isolated although the cores answer")
 	}
 	if newDesk(nil).Isolated(time.Hour) {
-		t.Error("a desk that never had a node is called isolated")
+		t.Error("a desk that never had a node is isolated")
 	}
 }
 
-// TestRestartedDeskFindsItsFleetByWhatItWroteDown: with no seed to be reached it
-// asks the cores and desks that it knew, believes nothing of who leads or which
-// table is in force, and passes addresses on to who asks it.
+// TestRestartedDeskUsesSavedPeers checks that a restarted desk without reachable seeds asks the
+// saved cores and desks, restores no leader and no table, and passes the addresses on.
 func TestRestartedDeskUsesSavedPeers(t *testing.T) {
 	previous := connectedDesk(t, 0)
 	previous.Receive(0, "d3:1", Subscribe{Node: "d3", IsDesk: true})
@@ -168,10 +167,10 @@
 		}
 	}
 	if saved == nil {
-		t.Fatal("no addresses were written down")
+		t.Fatal("no addresses were saved")
 	}
 	if o := previous.Tick(2 * time.Second); o.Peers != nil {
-		t.Error("the same addresses are written again")
+		t.Error("the same addresses are saved again")
 	}
 	m := newDesk(func(o *Options) { o.Incarnation, o.Seeds, o.KnownPeers = "l2", []string{"unreachable:1"}, saved })
 	o := m.Tick(0)
@@ -179,10 +178,10 @@
 		t.Errorf("neither cores nor desks are asked: %+v", o.Sends)
 	}
 	if m.TableNumber() != 0 || m.Ready() || m.coresReachable(0) {
-		t.Error("something is believed of who leads or what is in force")
+		t.Error("a leader or a table was restored")
 	}
 	b := sentTo[Update](m.Receive(0, "n1:1", Subscribe{Node: "n1"}), "n1:1")
 	if len(b) != 1 || b[0].Topology == nil || len(b[0].Topology.Cores) != 1 || len(b[0].Desks) < 2 {
-		t.Errorf("a node is told %+v", b)
+		t.Errorf("a node is sent %+v", b)
 	}
 }
--- a/peer/desk/handler.go
+++ b/peer/desk/handler.go
@@ -44,7 +44,7 @@
 	base, err := strconv.ParseUint(r.URL.Query().Get("base"), 10, 64)
 	body, bodyErr := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil || bodyErr != nil {
-		operator.WriteJSON(w, 400, operator.ErrorResponse{Code: "malformed", Reason: "base must be the number of the current table, and the body a complete " + kind, Executed: "no"})
+		operator.WriteJSON(w, http.StatusBadRequest, operator.ErrorResponse{Code: "malformed", Reason: "base must be the number of the current table, and the body a complete " + kind, Executed: "no"})
 		return 0, nil, false
 	}
 	return base, body, true
@@ -54,13 +54,13 @@
 func writeOrderResult(w http.ResponseWriter, result OrderResult, err error) {
 	switch {
 	case err != nil || result.Unsure:
-		operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: "the outcome is unknown; send the same request again to find out", Executed: "maybe"})
+		operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "the outcome is unknown; send the same request again to find out", Executed: "maybe"})
 	case result.Faults != nil:
-		operator.WriteJSON(w, 400, result)
+		operator.WriteJSON(w, http.StatusBadRequest, result)
 	case result.RaceLost:
-		operator.WriteJSON(w, 409, result)
+		operator.WriteJSON(w, http.StatusConflict, result)
 	default:
-		operator.WriteJSON(w, 200, result)
+		operator.WriteJSON(w, http.StatusOK, result)
 	}
 }
 
@@ -72,7 +72,7 @@
 	}
 	amendment, faults := route.ParseAmendment(text)
 	if faults != nil {
-		operator.WriteJSON(w, 400, OrderResult{Faults: faults})
+		operator.WriteJSON(w, http.StatusBadRequest, OrderResult{Faults: faults})
 		return
 	}
 	previewOnly := r.URL.Query().Get("preview") == "true"
@@ -100,7 +100,7 @@
 		guarded.HandleFunc("GET /v1/table", func(w http.ResponseWriter, r *http.Request) {
 			table, err := api.Read(r.Context())
 			if err != nil || table.Number == 0 {
-				operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: "no table is known yet, or the cores did not answer", Executed: "no"})
+				operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "no table is known yet, or the cores did not answer", Executed: "no"})
 				return
 			}
 			w.Header().Set("Content-Type", "application/json")
@@ -111,11 +111,11 @@
 				status, err := call(r.Context(), r.PathValue("id"))
 				switch {
 				case err != nil || status.Unsure:
-					operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: "the cores did not answer", Executed: "maybe"})
+					operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "the cores did not answer", Executed: "maybe"})
 				case !status.Known:
-					operator.WriteJSON(w, 404, operator.ErrorResponse{Code: "unknown_core", Reason: "no core has this id", Executed: "no"})
+					operator.WriteJSON(w, http.StatusNotFound, operator.ErrorResponse{Code: "unknown_core", Reason: "no core has this id", Executed: "no"})
 				default:
-					operator.WriteJSON(w, 200, status)
+					operator.WriteJSON(w, http.StatusOK, status)
 				}
 			}
 		}
@@ -124,21 +124,25 @@
 		guarded.HandleFunc("GET /counters", func(w http.ResponseWriter, r *http.Request) {
 			counts, err := api.Counters(r.Context())
 			if err != nil {
-				operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
+				operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 				return
 			}
-			operator.WriteJSON(w, 200, counts)
+			operator.WriteJSON(w, http.StatusOK, counts)
 		})
 		return mux
 	}
 }
 
+// maxReplicaBytes bounds the body of a heartbeat.
+const maxReplicaBytes = 64 << 10
+
+// replicaHandler returns the HTTP handler of the calls of replicas.
 func replicaHandler(api API) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /v1/replicas/{id}", func(w http.ResponseWriter, r *http.Request) {
 		var replica Replica
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&replica); err != nil || replica.Service == "" || replica.Address == "" {
-			operator.WriteJSON(w, 400, operator.ErrorResponse{Code: "malformed", Reason: "the body must be a replica with its service and address", Executed: "no"})
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxReplicaBytes)).Decode(&replica); err != nil || replica.Service == "" || replica.Address == "" {
+			operator.WriteJSON(w, http.StatusBadRequest, operator.ErrorResponse{Code: "malformed", Reason: "the body must be a replica with its service and address", Executed: "no"})
 			return
 		}
 		replica.ID = r.PathValue("id")
@@ -148,10 +152,11 @@
 	return mux
 }
 
+// writeAck writes the response to a replica; "heard" says that its report was accepted.
 func writeAck(w http.ResponseWriter, err error) {
 	if err != nil {
-		operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
+		operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
 		return
 	}
-	operator.WriteJSON(w, 200, map[string]bool{"heard": true})
+	operator.WriteJSON(w, http.StatusOK, map[string]bool{"heard": true})
 }
--- a/peer/desk/machine_test.go
+++ b/peer/desk/machine_test.go
@@ -23,7 +23,7 @@
 	return New(o)
 }
 
-// sentTo lists what was sent to an address.
+// sentTo returns the messages of type T that were sent to an address.
 func sentTo[T any](o Output, to string) []T {
 	var list []T
 	for _, s := range o.Sends {
@@ -38,31 +38,32 @@
 	return Replica{ID: "r1", Service: "app", Address: "r1:1", Slots: 4, Sequence: call, Leaving: leaving}
 }
 
-// TestNewsIsToldAtOnce to every node that follows, and told again until it says
-// that it has it.
+// TestChangeIsSentAtOnce checks that a change is sent to every subscribed node at once, and again
+// if a renewal shows that it was lost.
 func TestChangeIsSentAtOnce(t *testing.T) {
 	m := newDesk(nil)
 	first := sentTo[Update](m.Receive(0, "n1:1", Subscribe{Node: "n1"}), "n1:1")
 	if len(first) != 1 {
-		t.Fatalf("%d bulletins for a follower", len(first))
+		t.Fatalf("%d updates for a new subscriber", len(first))
 	}
 	o := m.Heartbeat(time.Millisecond, 0, replica(1, false))
 	if b := sentTo[Update](o, "n1:1"); len(b) != 1 || len(b[0].Replicas) != 1 || len(o.ChangedReplicas) != 1 {
 		t.Fatalf("%+v, changes %+v", b, o.ChangedReplicas)
 	}
 	if o := m.Heartbeat(2*time.Millisecond, 0, replica(2, false)); len(o.Sends)+len(o.ChangedReplicas) != 0 {
-		t.Fatalf("a beat that says nothing new is told: %+v", o)
+		t.Fatalf("a heartbeat without a change is sent: %+v", o)
 	}
 	if b := sentTo[Update](m.Heartbeat(3*time.Millisecond, 0, replica(3, true)), "n1:1"); len(b) != 1 || !b[0].Replicas[0].Replica.Leaving {
 		t.Fatalf("leaving: %+v", b)
 	}
-	// The bulletins were lost: the node says what it has.
+	// The updates were lost, and the node reports the version that it has.
 	if b := sentTo[Update](m.Receive(4*time.Millisecond, "n1:1", Subscribe{Node: "n1", Incarnation: first[0].Incarnation, Version: first[0].Version}), "n1:1"); len(b) != 1 || len(b[0].Replicas) != 1 {
 		t.Fatalf("after a loss: %+v", b)
 	}
 }
 
-// TestLeavingIsNeverTakenBack, not by a late call, and whoever left stays gone.
+// TestDepartureIsFinal checks that no later or delayed heartbeat reverts a departure, and that a
+// replica that left stays gone.
 func TestDepartureIsFinal(t *testing.T) {
 	m := newDesk(nil)
 	m.Heartbeat(0, 0, replica(5, true))
@@ -78,43 +79,45 @@
 	}
 }
 
-// TestSilentReplicaIsTakenOffAndComesBack with a newer call.
+// TestSilentReplicaExpiresAndReturns checks that a silent replica expires, and that only a newer
+// heartbeat brings it back.
 func TestSilentReplicaExpiresAndReturns(t *testing.T) {
 	m := newDesk(nil)
 	m.Heartbeat(0, 0, replica(1, false))
 	m.Tick(3 * heartbeat)
 	if m.List()[0].Gone {
-		t.Fatal("gone after three beats")
+		t.Fatal("gone after three heartbeat intervals")
 	}
 	m.Tick(5 * heartbeat)
 	if l := m.List()[0]; !l.Gone || l.Final {
-		t.Fatalf("after five beats: %+v", l)
+		t.Fatalf("after five heartbeat intervals: %+v", l)
 	}
 	m.Heartbeat(6*heartbeat, 0, replica(1, false))
 	if !m.List()[0].Gone {
-		t.Fatal("an old call brought it back")
+		t.Fatal("an old heartbeat brought it back")
 	}
 	m.Heartbeat(6*heartbeat, 0, replica(2, false))
 	if m.List()[0].Gone {
-		t.Fatal("it does not come back")
+		t.Fatal("a newer heartbeat does not bring it back")
 	}
 }
 
-// TestKeptListIsBelievedForTwoBeats after a restart.
+// TestRestoredReplicaExpiresAfterTwoHeartbeats checks how long a list from before a restart is
+// used without new heartbeats.
 func TestRestoredReplicaExpiresAfterTwoHeartbeats(t *testing.T) {
 	m := newDesk(func(o *Options) { o.KnownReplicas, o.Now = []ReplicaEntry{{Replica: replica(1, false)}}, 100*heartbeat })
 	m.Tick(101 * heartbeat)
 	if m.List()[0].Gone {
-		t.Fatal("not believed for a beat")
+		t.Fatal("gone after one heartbeat interval")
 	}
 	m.Tick(103 * heartbeat)
 	if !m.List()[0].Gone {
-		t.Fatal("believed for three beats")
+		t.Fatal("not gone after three heartbeat intervals")
 	}
 }
 
-// TestFounding: once all that came have been there for a beat, with as many cores
-// as a group has seats, at one desk only, and the same however often it is sent.
+// TestFounding checks that one desk founds the fleet, once there are enough cores for a group and
+// no new one appeared for a heartbeat interval, and that retries send the same founding.
 func TestFounding(t *testing.T) {
 	present := func(m *Machine, now time.Duration, ids ...string) {
 		for _, id := range ids {
@@ -128,13 +131,13 @@
 	}
 	present(m, 5*heartbeat, "c")
 	if o := m.Tick(5*heartbeat + heartbeat/2); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
-		t.Fatal("founded before others had time to come")
+		t.Fatal("founded before other cores had time to announce themselves")
 	}
 	first := sentTo[core.FoundFleet](m.Tick(6*heartbeat+heartbeat/2), "a:1")
 	present(m, 7*heartbeat, "d")
 	again := sentTo[core.FoundFleet](m.Tick(9*heartbeat), "a:1")
 	if len(first) != 1 || len(again) != 1 || !reflect.DeepEqual(first[0], again[0]) {
-		t.Fatalf("%d and %d foundings, or other ones", len(first), len(again))
+		t.Fatalf("%d and %d foundings, or different ones", len(first), len(again))
 	}
 	if f := first[0].Founding; f.Parts != 7 || len(f.Cores) != 3 || len(f.Groups[0].Members) != 3 {
 		t.Fatalf("%+v", f)
@@ -143,7 +146,7 @@
 	present(other, 0, "a", "b", "c")
 	for now := time.Duration(0); now < 10*heartbeat; now += heartbeat / 4 {
 		if o := other.Tick(now); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
-			t.Fatal("a desk that may not founds")
+			t.Fatal("a desk founds a fleet without permission")
 		}
 	}
 }
@@ -159,19 +162,19 @@
 	return text
 }
 
-// TestApply: faulty tables are not agreed on; what the cores say is the answer;
-// a taken one is told to followers in the same step.
+// TestApply checks that faulty tables are not proposed, that the cores' decision is the answer,
+// and that an accepted table is sent to subscribers in the same step.
 func TestApply(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		text   []byte
 		answer any
 		want   OrderResult
-		told   bool
+		sent   bool
 	}{
 		{"faulty", []byte(`{"number":1,"routes":[{"host":"h","prefix":"nowhere","mode":"once","timeout_ms":1}]}`), nil, OrderResult{}, false},
 		{"taken", table(3), core.TableAgreed{OK: true, Number: 3}, OrderResult{Accepted: true, Number: 3}, true},
-		{"another in force", table(3), core.TableAgreed{Number: 2}, OrderResult{RaceLost: true, Number: 2}, false},
+		{"another current table", table(3), core.TableAgreed{Number: 2}, OrderResult{RaceLost: true, Number: 2}, false},
 		{"no answer", table(3), nil, OrderResult{Unsure: true}, false},
 	} {
 		m := newDesk(nil)
@@ -200,24 +203,24 @@
 		if got.Accepted != c.want.Accepted || got.RaceLost != c.want.RaceLost || got.Unsure != c.want.Unsure || got.Number != c.want.Number {
 			t.Errorf("%s: %+v", c.name, got)
 		}
-		if b := sentTo[Update](o, "n1:1"); (len(b) == 1 && len(b[0].Table) > 0) != c.told {
-			t.Errorf("%s: told %+v", c.name, b)
+		if b := sentTo[Update](o, "n1:1"); (len(b) == 1 && len(b[0].Table) > 0) != c.sent {
+			t.Errorf("%s: sent %+v", c.name, b)
 		}
 	}
 }
 
-// TestEmptiedOnlyWhenEveryPartSaysSo: one part with a seat, new or former, or one
-// without an answer, and the core is not done.
+// TestRetirementNeedsEveryPartition checks that a core's retirement is not done while it is a
+// member of some group, old or new, or while a partition does not answer.
 func TestRetirementNeedsEveryPartition(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		seats []core.Seats
-		done  bool
+		name    string
+		members []core.Seats
+		done    bool
 	}{
-		{"no seat", []core.Seats{{Seats: []string{"a.1"}}, {Seats: []string{"b.1"}}}, true},
-		{"a seat", []core.Seats{{Seats: []string{"a.1"}}, {Seats: []string{"c.1"}}}, false},
-		{"a former seat", []core.Seats{{Seats: []string{"a.1"}}, {Seats: []string{"a.1"}, Former: []string{"c.1"}}}, false},
-		{"one part silent", []core.Seats{{Seats: []string{"a.1"}}}, false},
+		{"no member", []core.Seats{{Seats: []string{"a.1"}}, {Seats: []string{"b.1"}}}, true},
+		{"a member", []core.Seats{{Seats: []string{"a.1"}}, {Seats: []string{"c.1"}}}, false},
+		{"a former member", []core.Seats{{Seats: []string{"a.1"}}, {Seats: []string{"a.1"}, Former: []string{"c.1"}}}, false},
+		{"one partition silent", []core.Seats{{Seats: []string{"a.1"}}}, false},
 	} {
 		m := newDesk(nil)
 		topology := foundFleet(m)
@@ -227,8 +230,8 @@
 		o := m.RetirementStatus(time.Millisecond, 9, "c")
 		answers := o.Answers
 		for i, command := range sentTo[core.Command](o, "x:1") {
-			if i < len(c.seats) {
-				answers = append(answers, m.Receive(2*time.Millisecond, "x:1", core.CommandReturn{ID: command.ID, Part: command.Part, Raw: message.Pack(c.seats[i])}).Answers...)
+			if i < len(c.members) {
+				answers = append(answers, m.Receive(2*time.Millisecond, "x:1", core.CommandReturn{ID: command.ID, Part: command.Part, Raw: message.Pack(c.members[i])}).Answers...)
 			}
 		}
 		if len(answers) == 0 {
@@ -240,8 +243,8 @@
 	}
 }
 
-// TestDesksTellEachOtherWhoLeaves: what one desk acknowledged outlives it. Each word
-// is told once, and again only to a desk that lost it.
+// TestDesksReplicateDepartures checks that a departure acknowledged by one desk survives its loss,
+// and is sent to another desk only once unless that one lost it.
 func TestDesksReplicateDepartures(t *testing.T) {
 	for name, leave := range map[string]func(m *Machine) Output{
 		"leaving": func(m *Machine) Output { return m.Heartbeat(time.Second, 0, replica(2, true)) },
@@ -253,39 +256,39 @@
 			for _, f := range sentTo[Subscribe](second.Tick(now), "d1:1") {
 				return first.Receive(now, "d2:1", f)
 			}
-			t.Fatalf("%s: the second desk does not follow the first", name)
+			t.Fatalf("%s: the second desk does not subscribe to the first", name)
 			return Output{}
 		}
-		// The second desk has heard of the replica, and a node follows it.
+		// The second desk knows the replica, and a node subscribes to it.
 		second.Heartbeat(0, 0, replica(1, false))
 		second.Receive(0, "n1:1", Subscribe{Node: "n1"})
 		first.Heartbeat(0, 0, replica(1, false))
 		for _, b := range sentTo[Update](subscribe(0), "d2:1") {
 			if len(b.Replicas) != 0 {
-				t.Fatalf("%s: a desk is told of replicas that stay: %+v", name, b.Replicas)
+				t.Fatalf("%s: a desk is sent replicas that stay: %+v", name, b.Replicas)
 			}
 			second.Receive(0, "d1:1", b)
 		}
 		sent := sentTo[Update](leave(first), "d2:1")
 		if len(sent) != 1 || len(sent[0].Replicas) != 1 {
-			t.Fatalf("%s: the other desk is told %+v", name, sent)
+			t.Fatalf("%s: the other desk is sent %+v", name, sent)
 		}
 		o := second.Receive(time.Second, "d1:1", sent[0])
 		if len(o.ChangedReplicas) != 1 {
-			t.Errorf("%s: the other desk writes down %+v", name, o.ChangedReplicas)
+			t.Errorf("%s: the other desk saves %+v", name, o.ChangedReplicas)
 		}
 		forwarded := sentTo[Update](o, "n1:1")
 		if len(forwarded) != 1 || len(forwarded[0].Replicas) != 1 || !forwarded[0].Replicas[0].Replica.Leaving && !forwarded[0].Replicas[0].Final {
-			t.Errorf("%s: the other desk's node is told %+v", name, forwarded)
+			t.Errorf("%s: the other desk's node is sent %+v", name, forwarded)
 		}
-		// A late word of the replica brings it back nowhere.
+		// A late heartbeat does not bring the replica back.
 		second.Heartbeat(2*time.Second, 0, replica(1, false))
 		if l := second.replicas["r1"]; !l.Replica.Leaving && !l.Final {
-			t.Errorf("%s: the other desk has %+v after a late word", name, l.ReplicaEntry)
+			t.Errorf("%s: the other desk has %+v after a late heartbeat", name, l.ReplicaEntry)
 		}
 		for _, b := range sentTo[Update](subscribe(3*time.Second), "d2:1") {
 			if len(b.Replicas) != 0 {
-				t.Errorf("%s: told again: %+v", name, b.Replicas)
+				t.Errorf("%s: sent again: %+v", name, b.Replicas)
 			}
 		}
 	}
--- a/peer/desk/reachability_test.go
+++ b/peer/desk/reachability_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// TestUnheardDeskIsIsolated: a desk hears its nodes and not the cores. Where
-// nothing that it says arrives, nodes go on telling what they had, and it counts
-// as isolated; where nodes hear it, it does not.
+// TestUnreachableDeskIsIsolated checks a desk that receives messages of its nodes, but not of the
+// cores: it is isolated if the nodes' reported versions show that its own messages are lost.
 func TestUnreachableDeskIsIsolated(t *testing.T) {
 	for _, delivered := range []bool{false, true} {
 		m := connectedDesk(t, 0)
@@ -31,9 +30,9 @@
 		}
 		switch {
 		case delivered && isolated > 0:
-			t.Errorf("isolated at %v though all nodes hear it", isolated)
+			t.Errorf("isolated at %v although all nodes receive its messages", isolated)
 		case !delivered && (isolated == 0 || isolated > 4*m.params.HeartbeatInterval):
-			t.Errorf("nobody hears it, and it is isolated at %v", isolated)
+			t.Errorf("no node receives its messages, and it is isolated at %v", isolated)
 		}
 	}
 }
--- a/peer/desk/types.go
+++ b/peer/desk/types.go
@@ -83,6 +83,7 @@
 	}
 )
 
+// The registered names are part of the wire format and differ from the Go names.
 func init() {
 	message.Register(map[string]any{
 		"desk.Follow":   Subscribe{},
--- a/peer/operator/client.go
+++ b/peer/operator/client.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return response.StatusCode, nil, errors.Wrap(err, "reading the response")
 	}
-	if target != nil && response.StatusCode < 400 {
+	if target != nil && response.StatusCode < http.StatusBadRequest {
 		if err := json.Unmarshal(raw, target); err != nil {
 			return response.StatusCode, raw, errors.Wrap(err, "decoding the response")
 		}
@@ -93,7 +93,7 @@
 		if err != nil {
 			return core.Founding{}, errors.Wrapf(err, "core at %s", address)
 		}
-		if status != 200 {
+		if status != http.StatusOK {
 			return core.Founding{}, errors.Wrapf(NewResponseError(status, raw), "core at %s", address)
 		}
 		if _, duplicate := addressOf[identity.Core.ID]; duplicate {
@@ -120,7 +120,7 @@
 		if err != nil {
 			return founding, errors.Wrapf(err, "core %s; run found again with the same cores to resume", one.ID)
 		}
-		if status != 200 {
+		if status != http.StatusOK {
 			return founding, errors.Wrapf(NewResponseError(status, raw), "core %s", one.ID)
 		}
 	}
@@ -133,13 +133,13 @@
 	var identity Identity
 	if status, raw, err := c.Do(ctx, "GET", newCore, "/v1/identity", nil, &identity); err != nil {
 		return changed, err
-	} else if status != 200 {
+	} else if status != http.StatusOK {
 		return changed, errors.Wrapf(NewResponseError(status, raw), "core at %s", newCore)
 	}
 	var t core.Topology
 	if status, raw, err := c.Do(ctx, "GET", member, "/v1/topology", nil, &t); err != nil {
 		return changed, err
-	} else if status != 200 {
+	} else if status != http.StatusOK {
 		return changed, errors.Wrapf(NewResponseError(status, raw), "core at %s", member)
 	}
 	if !identity.Founded {
@@ -147,7 +147,7 @@
 		f.Cores[identity.Core.ID] = identity.Core
 		if status, raw, err := c.Do(ctx, "POST", newCore, "/v1/found", f, nil); err != nil {
 			return changed, err
-		} else if status != 200 {
+		} else if status != http.StatusOK {
 			return changed, errors.Wrapf(NewResponseError(status, raw), "core at %s", newCore)
 		}
 	}
@@ -162,9 +162,9 @@
 		switch {
 		case err != nil:
 			return changed, err
-		case status == 200:
+		case status == http.StatusOK:
 			return changed, nil
-		case status != 202:
+		case status != http.StatusAccepted:
 			return changed, NewResponseError(status, raw)
 		}
 	}
@@ -176,14 +176,14 @@
 	var t core.Topology
 	if status, raw, err := c.Do(ctx, "GET", member, "/v1/topology", nil, &t); err != nil {
 		return core.Changed{}, err
-	} else if status != 200 {
+	} else if status != http.StatusOK {
 		return core.Changed{}, NewResponseError(status, raw)
 	}
 	if newCore != "" {
 		var identity Identity
 		if status, raw, err := c.Do(ctx, "GET", newCore, "/v1/identity", nil, &identity); err != nil {
 			return core.Changed{}, err
-		} else if status != 200 {
+		} else if status != http.StatusOK {
 			return core.Changed{}, errors.Wrapf(NewResponseError(status, raw), "core at %s", newCore)
 		}
 		change.ID, t.Cores[identity.Core.ID] = identity.Core.ID, identity.Core
@@ -215,7 +215,7 @@
 			r := result{id: member.ID}
 			ctx, cancel := context.WithTimeout(ctx, countersTimeout)
 			defer cancel()
-			if status, _, err := c.Do(ctx, "GET", member.HTTP, "/counters", nil, &r.counts); err != nil || status != 200 {
+			if status, _, err := c.Do(ctx, "GET", member.HTTP, "/counters", nil, &r.counts); err != nil || status != http.StatusOK {
 				r.counts = nil
 			}
 			results <- r
--- a/peer/operator/handler.go
+++ b/peer/operator/handler.go
@@ -1,5 +1,5 @@
 // Package operator has the HTTP API that a core offers to operators, and the client that the
-// command line uses. All calls need the operator key. A response says in "ran" whether the
+// command line uses. All calls need the operator key. An error response says in "ran" whether the
 // request was executed ("no" or "maybe"), so that clients know when a retry is needed.
 // Start reading at Handler and Client.
 package operator
@@ -13,6 +13,7 @@
 	"io"
 	"net/http"
 	"strconv"
+	"strings"
 	"time"
 
 	"saffronfall/peer/core"
@@ -21,6 +22,9 @@
 	"saffronfall/rule/partition"
 )
 
+// memberPrefix begins the stored keys of members.
+const memberPrefix = "member/"
+
 const (
 	defaultApplyTimeout  = 15 * time.Second
 	defaultChangeTimeout = 30 * time.Second
@@ -34,7 +38,7 @@
 // Inspect returns the result of a function that changes nothing. Both fail when ctx ends.
 type Process interface {
 	Call(ctx context.Context, step func(m *core.Machine, now time.Duration, ticket uint64) core.Output) (any, error)
-	Inspect(ctx context.Context, look func(m *core.Machine, now time.Duration) any) (any, error)
+	Inspect(ctx context.Context, read func(m *core.Machine, now time.Duration) any) (any, error)
 	Counters(ctx context.Context) (map[string]int64, error)
 }
 
@@ -45,7 +49,8 @@
 	Founding core.Founding `json:"founding"`
 }
 
-// PartitionStatus is one partition as a core sees it.
+// PartitionStatus is one partition as a core sees it. Its JSON names part, owner and seats stand
+// for partition, leader and members.
 type PartitionStatus struct {
 	Partition int      `json:"part"`
 	Leader    string   `json:"owner"`
@@ -88,7 +93,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		header := r.Header.Get("Authorization")
 		if key == "" || subtle.ConstantTimeCompare([]byte(header), []byte("Bearer "+key)) != 1 {
-			WriteJSON(w, 401, ErrorResponse{Code: "unknown_key", Reason: "the operator key is missing or wrong", Executed: "no"})
+			WriteJSON(w, http.StatusUnauthorized, ErrorResponse{Code: "unknown_key", Reason: "the operator key is missing or wrong", Executed: "no"})
 			return
 		}
 		next.ServeHTTP(w, r)
@@ -111,7 +116,7 @@
 		case drain <- struct{}{}:
 		default:
 		}
-		WriteJSON(w, 202, map[string]bool{"draining": true})
+		WriteJSON(w, http.StatusAccepted, map[string]bool{"draining": true})
 	}
 }
 
@@ -136,11 +141,11 @@
 		})
 		switch {
 		case err != nil:
-			WriteJSON(w, 503, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
+			WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
 		case body == true:
-			WriteJSON(w, 200, map[string]bool{"founded": true})
+			WriteJSON(w, http.StatusOK, map[string]bool{"founded": true})
 		default:
-			WriteJSON(w, 409, ErrorResponse{Code: "not_founded", Reason: "this core belongs to another fleet, or the founding does not name its incarnation", Executed: "no"})
+			WriteJSON(w, http.StatusConflict, ErrorResponse{Code: "not_founded", Reason: "this core belongs to another fleet, or the founding does not name its incarnation", Executed: "no"})
 		}
 	})
 	mux.HandleFunc("GET /v1/topology", func(w http.ResponseWriter, r *http.Request) {
@@ -155,22 +160,22 @@
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, r *http.Request) {
 		status, err := GatherStatus(r.Context(), p)
 		if err != nil {
-			WriteJSON(w, 503, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
+			WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 			return
 		}
-		WriteJSON(w, 200, status)
+		WriteJSON(w, http.StatusOK, status)
 	})
 	mux.HandleFunc("GET /v1/configuration", func(w http.ResponseWriter, r *http.Request) {
 		c, err := readConfiguration(r.Context(), p)
 		if err != nil {
-			WriteJSON(w, 503, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
+			WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 			return
 		}
 		text := json.RawMessage(c.Text)
 		if len(text) == 0 {
 			text = json.RawMessage("null")
 		}
-		WriteJSON(w, 200, map[string]any{"version": c.Version, "description": text})
+		WriteJSON(w, http.StatusOK, map[string]any{"version": c.Version, "description": text})
 	})
 	mux.HandleFunc("POST /v1/configuration", func(w http.ResponseWriter, r *http.Request) {
 		var request ConfigurationRequest
@@ -182,10 +187,10 @@
 	mux.HandleFunc("GET /counters", func(w http.ResponseWriter, r *http.Request) {
 		counts, err := p.Counters(r.Context())
 		if err != nil {
-			WriteJSON(w, 503, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
+			WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 			return
 		}
-		WriteJSON(w, 200, counts)
+		WriteJSON(w, http.StatusOK, counts)
 	})
 	return RequireKey(key, mux)
 }
@@ -200,11 +205,11 @@
 		return m.Apply(now, ticket, core.Hand{BasedOn: request.BasedOn, Text: request.Description, Digest: hex.EncodeToString(sum[:]), Within: timeout, PlanOnly: request.PlanOnly})
 	})
 	if err != nil {
-		WriteJSON(w, 503, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
+		WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
 		return
 	}
 	result := body.(core.Taking)
-	status := map[string]int{"": 200, "planned": 200, "agreed_not_taken": 202, "faulty": 400, "race_lost": 409, "not_approved": 422, "unsure": 503}[result.Code]
+	status := map[string]int{"": http.StatusOK, "planned": http.StatusOK, "agreed_not_taken": http.StatusAccepted, "faulty": http.StatusBadRequest, "race_lost": http.StatusConflict, "not_approved": http.StatusUnprocessableEntity, "unsure": http.StatusServiceUnavailable}[result.Code]
 	WriteJSON(w, status, result)
 }
 
@@ -224,7 +229,7 @@
 		timeout = defaultChangeTimeout
 	}
 	if c.Kind != core.Add && c.Kind != core.Retire && c.Kind != core.Replace {
-		WriteJSON(w, 400, ErrorResponse{Code: "malformed", Reason: "kind must be add, retire or replace", Executed: "no"})
+		WriteJSON(w, http.StatusBadRequest, ErrorResponse{Code: "malformed", Reason: "kind must be add, retire or replace", Executed: "no"})
 		return
 	}
 	if c.New != nil {
@@ -232,7 +237,7 @@
 			return m.Introduce(now, ticket, *c.New, timeout)
 		})
 		if done, ok := body.(core.Done); err != nil || !ok || !done.OK {
-			WriteJSON(w, 409, ErrorResponse{Code: "not_introduced", Reason: "the new core could not be registered; another core may have its id", Executed: "maybe"})
+			WriteJSON(w, http.StatusConflict, ErrorResponse{Code: "not_introduced", Reason: "the new core could not be registered; another core may have its id", Executed: "maybe"})
 			return
 		}
 	}
@@ -240,21 +245,21 @@
 		return m.Change(now, ticket, c.Kind, c.ID, c.By, timeout)
 	})
 	if err != nil {
-		WriteJSON(w, 503, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
+		WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
 		return
 	}
 	changed := body.(core.Changed)
-	status := map[string]int{"": 200, "unknown_core": 404, "no_room": 409, "not_finished": 202}[changed.Code]
+	status := map[string]int{"": http.StatusOK, "unknown_core": http.StatusNotFound, "no_room": http.StatusConflict, "not_finished": http.StatusAccepted}[changed.Code]
 	WriteJSON(w, status, changed)
 }
 
-func inspect(w http.ResponseWriter, r *http.Request, p Process, inspectMachine func(m *core.Machine, now time.Duration) any) {
-	body, err := p.Inspect(r.Context(), inspectMachine)
+func inspect(w http.ResponseWriter, r *http.Request, p Process, read func(m *core.Machine, now time.Duration) any) {
+	body, err := p.Inspect(r.Context(), read)
 	if err != nil {
-		WriteJSON(w, 503, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
+		WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 		return
 	}
-	WriteJSON(w, 200, body)
+	WriteJSON(w, http.StatusOK, body)
 }
 
 func readBody(w http.ResponseWriter, r *http.Request, target any) bool {
@@ -263,15 +268,15 @@
 		err = json.Unmarshal(raw, target)
 	}
 	if err != nil {
-		WriteJSON(w, 400, ErrorResponse{Code: "malformed", Reason: err.Error(), Executed: "no"})
+		WriteJSON(w, http.StatusBadRequest, ErrorResponse{Code: "malformed", Reason: err.Error(), Executed: "no"})
 		return false
 	}
 	return true
 }
 
-func readEntries(ctx context.Context, p Process, partitionIndex int, prefix string) ([]partition.Entry, bool, error) {
+func readEntries(ctx context.Context, p Process, index int, prefix string) ([]partition.Entry, bool, error) {
 	body, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-		return m.Ask(now, ticket, core.ReadEntries{Part: partitionIndex, Prefix: prefix}, readTimeout)
+		return m.Ask(now, ticket, core.ReadEntries{Part: index, Prefix: prefix}, readTimeout)
 	})
 	if err != nil {
 		return nil, false, err
@@ -307,11 +312,11 @@
 	for _, id := range ordered.Keys(topology.Cores) {
 		s.Cores = append(s.Cores, topology.Cores[id])
 	}
-	for partitionIndex := range topology.Owners {
-		s.Partitions = append(s.Partitions, PartitionStatus{Partition: partitionIndex, Leader: topology.Owners[partitionIndex].Leader, Term: topology.Owners[partitionIndex].Round, Epoch: topology.Groups[partitionIndex].Epoch, Members: topology.Groups[partitionIndex].Members})
+	for index := range topology.Owners {
+		s.Partitions = append(s.Partitions, PartitionStatus{Partition: index, Leader: topology.Owners[index].Leader, Term: topology.Owners[index].Round, Epoch: topology.Groups[index].Epoch, Members: topology.Groups[index].Members})
 		missing := false
-		for _, prefix := range []string{"member/", "breaker", "configuration"} {
-			result, ok, err := readEntries(ctx, p, partitionIndex, prefix)
+		for _, prefix := range []string{memberPrefix, "breaker", "configuration"} {
+			result, ok, err := readEntries(ctx, p, index, prefix)
 			if err != nil {
 				return s, err
 			}
@@ -324,13 +329,13 @@
 			}
 		}
 		if answer, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-			return m.Ask(now, ticket, core.ReadLocked{Part: partitionIndex}, readTimeout)
+			return m.Ask(now, ticket, core.ReadLocked{Part: index}, readTimeout)
 		}); err == nil && !missing {
 			locked, _ := answer.(core.Outcome).Answer.(core.LockedUsers)
 			s.LockedUsers = append(s.LockedUsers, locked.Users...)
 		}
 		if missing {
-			s.MissingPartitions = append(s.MissingPartitions, partitionIndex)
+			s.MissingPartitions = append(s.MissingPartitions, index)
 		}
 	}
 	if s.Breaker == "" {
@@ -344,7 +349,7 @@
 	var b core.BreakerNews
 	var c core.Configured
 	switch {
-	case len(e.Key) > 7 && e.Key[:7] == "member/" && message.Unmarshal(e.Value, &m) == nil:
+	case len(e.Key) > len(memberPrefix) && strings.HasPrefix(e.Key, memberPrefix) && message.Unmarshal(e.Value, &m) == nil:
 		s.Members = append(s.Members, m)
 	case e.Key == "breaker" && message.Unmarshal(e.Value, &b) == nil:
 		s.Breaker = b.State
