--- a/peer/desk/machine.go
+++ b/peer/desk/machine.go
@@ -83,7 +83,7 @@
 		Send:   func(to string, body any) { m.addSend(to, body) },
 		Parts:  func() int { return len(m.topology.Owners) },
 		Anyone: m.coreAddresses,
-		Others: m.relays}
+		Others: m.forwarders}
 	return m
 }
 
@@ -175,6 +175,7 @@
 // renewed.
 const subscribePulls = 2
 
+// expireReplicas marks silent replicas as gone, and drops old entries, subscribers and desks.
 func (m *Machine) expireReplicas(now time.Duration) {
 	for _, id := range ordered.Keys(m.replicas) {
 		entry := m.replicas[id]
--- a/peer/desk/reachability.go
+++ b/peer/desk/reachability.go
@@ -58,8 +58,8 @@
 }
 
 // addPending records a call that was sent to the cores.
-func (m *Machine) addPending(now time.Duration, ticket uint64, unsure any) {
-	m.pending[ticket] = pendingCall{startedAt: now, timeoutAnswer: unsure}
+func (m *Machine) addPending(now time.Duration, ticket uint64, timeoutAnswer any) {
+	m.pending[ticket] = pendingCall{startedAt: now, timeoutAnswer: timeoutAnswer}
 }
 
 // resolve answers a call unless it was answered already.
--- a/peer/desk/replicas.go
+++ b/peer/desk/replicas.go
@@ -6,6 +6,7 @@
 	"saffronfall/rule/ordered"
 )
 
+// trackedReplica is a list entry and the time of its last report.
 type trackedReplica struct {
 	ReplicaEntry
 	lastHeard time.Duration
@@ -21,25 +22,25 @@
 }
 
 // applyHeartbeat updates the list from a heartbeat, unless a later one was received.
-func (m *Machine) applyHeartbeat(now time.Duration, r Replica) *trackedReplica {
-	entry, ok := m.replicas[r.ID]
-	if ok && r.Sequence < entry.Replica.Sequence {
+func (m *Machine) applyHeartbeat(now time.Duration, reported Replica) *trackedReplica {
+	entry, ok := m.replicas[reported.ID]
+	if ok && reported.Sequence < entry.Replica.Sequence {
 		return entry
 	}
-	if ok && (entry.Final || entry.Gone && r.Sequence <= entry.Replica.Sequence) {
+	if ok && (entry.Final || entry.Gone && reported.Sequence <= entry.Replica.Sequence) {
 		return entry
 	}
 	if !ok {
 		entry = &trackedReplica{}
-		m.replicas[r.ID] = entry
+		m.replicas[reported.ID] = entry
 	}
 	entry.lastHeard = now
 	previous := entry.Replica
 	if previous.Leaving {
-		r.Leaving = true
+		reported.Leaving = true
 	}
-	changed := !ok || entry.Gone || previous.Leaving != r.Leaving || previous.Address != r.Address || previous.Service != r.Service || previous.Slots != r.Slots
-	entry.Replica, entry.Gone = r, false
+	changed := !ok || entry.Gone || previous.Leaving != reported.Leaving || previous.Address != reported.Address || previous.Service != reported.Service || previous.Slots != reported.Slots
+	entry.Replica, entry.Gone = reported, false
 	if changed {
 		m.recordChange(now, entry)
 	}
@@ -65,7 +66,7 @@
 
 // isDeparting reports whether a replica said that it is leaving or has left. It never returns
 // under its id.
-func (l *trackedReplica) isDeparting() bool { return l.Replica.Leaving || l.Final }
+func (r *trackedReplica) isDeparting() bool { return r.Replica.Leaving || r.Final }
 
 // applyDeparture records a departure that was reported to another desk.
 func (m *Machine) applyDeparture(now time.Duration, reported ReplicaEntry) {
@@ -85,6 +86,7 @@
 	m.recordChange(now, entry)
 }
 
+// recordChange gives a changed entry the next version, has it saved and notifies subscribers.
 func (m *Machine) recordChange(now time.Duration, entry *trackedReplica) {
 	m.Counters.Changes++
 	m.version++
--- a/peer/desk/retirement.go
+++ b/peer/desk/retirement.go
@@ -11,9 +11,9 @@
 type RetirementStatus struct {
 	// Unsure is set if the cores gave no answer.
 	Unsure bool `json:"unsure"`
-	// Known is set if a core has this id, Enough if enough other cores remain.
-	Known  bool `json:"known"`
-	Enough bool `json:"enough"`
+	// Known is set if a core has this id, EnoughCores if enough other cores remain.
+	Known       bool `json:"known"`
+	EnoughCores bool `json:"enough"`
 	// Done is set if the core is retired and a member of no group.
 	Done bool `json:"done"`
 }
@@ -25,7 +25,7 @@
 	m.addPending(now, ticket, RetirementStatus{Unsure: true})
 	m.caller.Call(now, core.RetireCore{ID: id}, now+m.params.OperationTimeout, func(now time.Duration, o core.Outcome) {
 		retiring, ok := o.Answer.(core.Retiring)
-		m.resolve(ticket, RetirementStatus{Unsure: !ok, Known: retiring.Known, Enough: retiring.Enough})
+		m.resolve(ticket, RetirementStatus{Unsure: !ok, Known: retiring.Known, EnoughCores: retiring.Enough})
 	})
 	return *m.out
 }
--- a/peer/desk/subscribers.go
+++ b/peer/desk/subscribers.go
@@ -6,6 +6,8 @@
 	"saffronfall/rule/ordered"
 )
 
+// subscriber is a node or another desk. version, table and topologyVersion are the newest that it
+// has, or will have once it receives what was sent to it.
 type subscriber struct {
 	incarnation        string
 	version            uint64
@@ -26,6 +28,7 @@
 // isActive reports whether a subscriber renewed within the last heartbeat interval.
 func (s *subscriber) isActive(now, interval time.Duration) bool { return now <= s.lastHeard+interval }
 
+// notifyAll sends all subscribers what they lack.
 func (m *Machine) notifyAll(now time.Duration) {
 	for _, address := range ordered.Keys(m.subscribers) {
 		if s := m.subscribers[address]; m.isSubscribed(now, s) {
@@ -92,6 +95,7 @@
 	return n
 }
 
+// onSubscribe records or renews a subscription and answers with an Update.
 func (m *Machine) onSubscribe(now time.Duration, from string, request Subscribe) {
 	s := m.subscribers[from]
 	if s == nil {
@@ -129,8 +133,8 @@
 		cursor = deskCursor{incarnation: update.Incarnation}
 	}
 	if update.Since <= cursor.version {
-		for _, l := range update.Replicas {
-			m.applyDeparture(now, l)
+		for _, entry := range update.Replicas {
+			m.applyDeparture(now, entry)
 		}
 		cursor.version = max(cursor.version, update.Version)
 	}
@@ -147,6 +151,7 @@
 	m.addSend(to, Subscribe{Node: m.deskID, Table: m.table.number(), AcceptsDifferences: true, IsDesk: true, Incarnation: cursor.incarnation, Version: cursor.version})
 }
 
+// learnDesk records the address of a desk that was heard from or reported by another.
 func (m *Machine) learnDesk(now time.Duration, address string) {
 	if _, ok := m.desks[address]; !ok {
 		m.topologyVersion++
@@ -154,6 +159,7 @@
 	m.desks[address] = now
 }
 
+// onUpdate merges an update of another desk: departures, topology, addresses and table.
 func (m *Machine) onUpdate(now time.Duration, from string, update Update) {
 	m.learnDesk(now, from)
 	m.applyDepartures(now, from, update)
--- a/peer/desk/topology.go
+++ b/peer/desk/topology.go
@@ -24,8 +24,8 @@
 	return addresses
 }
 
-// relays returns the nodes and desks that can forward a command if no core answers directly.
-func (m *Machine) relays() []string {
+// forwarders returns the nodes and desks that can forward a command if no core answers directly.
+func (m *Machine) forwarders() []string {
 	var addresses []string
 	for _, address := range ordered.Keys(m.subscribers) {
 		if m.isSubscribed(m.tickedAt, m.subscribers[address]) {
--- a/rehearsalkit/breaks/soak.go
+++ b/rehearsalkit/breaks/soak.go
@@ -36,7 +36,7 @@
 	{What: "an older table replaces a newer one", File: "peer/relay/table.go", Seeds: 1, Elsewhere: "two guards hide one another; TestNodeGoesByDifferences for both",
 		From: "if m.pending != nil && b.TableNumber <= m.pending.Number {", To: "if m.pending != nil && b.TableNumber == m.pending.Number {"},
 	{What: "a leaving is told to nobody", File: "peer/desk/replicas.go", Seeds: 3,
-		From: "previous.Leaving != r.Leaving || ", To: ""},
+		From: "previous.Leaving != reported.Leaving || ", To: ""},
 	{What: "a change of replicas is told to nobody at once", File: "peer/desk/replicas.go", Seeds: 1, Elsewhere: "TestChangeIsSentAtOnce; nodes ask again within the bound, and leavings are acknowledged once another desk has asked, so the soak sees nothing",
 		From: "	m.notifyAll(now)\n", To: ""},
 	{What: "a leaving is acknowledged before anybody else holds it", File: "peer/desk/departure.go", Seeds: 1, Elsewhere: "TestLeavingOutlivesADeskThatDies; the soak's desks keep what they heard on their disks",
--- a/rehearsalkit/relaysim/secondloss.go
+++ b/rehearsalkit/relaysim/secondloss.go
@@ -211,7 +211,7 @@
 	step := func(d Desk, now time.Duration, ticket uint64) desk.Output {
 		return d.Retire(now, ticket, r.goes.core.id)
 	}
-	r.ask(callRetire, step, r.askRetire, func(e desk.RetirementStatus) bool { return e.Known && e.Enough }, r.askDone)
+	r.ask(callRetire, step, r.askRetire, func(e desk.RetirementStatus) bool { return e.Known && e.EnoughCores }, r.askDone)
 }
 
 func (r *lossRun) askDone() {
