--- a/peer/core/caller.go
+++ b/peer/core/caller.go
@@ -77,7 +77,7 @@
 		return
 	}
 	k := &pendingCall{partition: TargetPartition(c.Partitions(), command), raw: message.Pack(command), deadline: until, outcome: outcome}
-	k.ticket = c.calls.Keep(k)
+	k.ticket = c.calls.Put(k)
 	if c.pending == nil {
 		c.pending, c.hints = map[slab.Ticket]*pendingCall{}, map[int]string{}
 	}
@@ -195,7 +195,7 @@
 // Receive handles the answer of the core at an address.
 func (c *Caller) Receive(now time.Duration, from string, r CommandResult) {
 	c.unanswered = false
-	k, ok := c.calls.Look(c.Ticket(r.ID))
+	k, ok := c.calls.Get(c.Ticket(r.ID))
 	switch {
 	case !ok:
 	case r.NotLeader:
@@ -220,4 +220,4 @@
 }
 
 // Pending returns the number of commands without an outcome.
-func (c *Caller) Pending() int { return c.calls.Used() }
+func (c *Caller) Pending() int { return c.calls.Len() }
--- a/peer/core/commands.go
+++ b/peer/core/commands.go
@@ -68,7 +68,7 @@
 			r.Body = Done{OK: r.Body == true}
 			m.reply(n, client, r)
 		}}
-		m.handleOutput(now, n, p.ChangeMembers(now, uint64(m.tickets.Keep(from)), c.Add, c.Remove))
+		m.handleOutput(now, n, p.ChangeMembers(now, uint64(m.tickets.Put(from)), c.Add, c.Remove))
 		return
 	}
 	if _, ok := command.(ReadGroup); ok && p != nil {
@@ -82,7 +82,7 @@
 			m.reply(n, client, r)
 		}}
 	}
-	ticket := m.tickets.Keep(from)
+	ticket := m.tickets.Put(from)
 	if p == nil {
 		m.handleOutput(now, n, partition.Output{Results: []partition.Result{{RequestID: uint64(ticket), NotLeader: true}}})
 		return
--- a/peer/core/placement.go
+++ b/peer/core/placement.go
@@ -301,7 +301,7 @@
 		add, remove := m.nextChange(now, group, wanted)
 		switch {
 		case add != "" || remove != "":
-			ticket := m.tickets.Keep(commandOrigin{onResult: func(now time.Duration, r partition.Result) {
+			ticket := m.tickets.Put(commandOrigin{onResult: func(now time.Duration, r partition.Result) {
 				if r.Body != true {
 					m.nextChangeAt[n] = now + m.params.Partition.LeaseDuration
 				}
--- a/peer/desk/amend.go
+++ b/peer/desk/amend.go
@@ -8,76 +8,76 @@
 	"saffronfall/rule/route"
 )
 
-// Amendment is an order that changes named items of the table in force. It is joined to
-// that table at the desk and agreed whole, so that it is as atomic, as durable and as
-// well known again as a whole table.
+// Amendment is an operator's order that changes named items of the current table. The desk
+// applies it to that table and proposes the resulting full table, so it is as atomic,
+// durable and idempotent as a full table.
 type Amendment struct {
-	// Base is the number of the table that it builds on, Number the next one's.
+	// Base is the number of the table that it is based on, Number that of the result.
 	Base, Number uint64
-	// Digest tells this order from all others on its base.
+	// Digest identifies the order among all orders on its base.
 	Digest string
-	// Join makes the next table's text from the current one's, which is empty where
-	// there is none yet.
-	Join func(current []byte) ([]byte, configuration.Faults)
-	// PreviewOnly asks what would change; nothing does.
+	// Apply returns the text of the resulting table. The current text is empty if there is
+	// no table yet.
+	Apply func(current []byte) ([]byte, configuration.Faults)
+	// PreviewOnly asks only for the changes that the amendment would make.
 	PreviewOnly bool
 }
 
-// Amend joins an amendment to the table in force and has the outcome agreed by the
-// cores. The cores are asked for that table, since an amendment of an older copy could
-// only lose its race.
+// Amend applies an amendment to the current table and proposes the result to the cores. It
+// reads that table from the cores, because a proposal based on an older copy would be
+// rejected. The ticket is answered with an OrderResult.
 func (m *Machine) Amend(now time.Duration, ticket uint64, a Amendment) Output {
 	m.out = &Output{}
-	until := now + m.params.Within
-	m.await(now, ticket, Handed{Unsure: true})
-	m.caller.Call(now, core.ReadTable{}, until, func(now time.Duration, o core.Outcome) {
+	deadline := now + m.params.OperationTimeout
+	m.addPending(now, ticket, OrderResult{Unsure: true})
+	m.caller.Call(now, core.ReadTable{}, deadline, func(now time.Duration, o core.Outcome) {
 		current, ok := o.Answer.(core.CurrentTable)
-		if _, waiting := m.pending[ticket]; !waiting {
+		if _, isPending := m.pending[ticket]; !isPending {
 			return
 		}
 		switch {
 		case !ok:
-			m.settle(ticket, Handed{Unsure: true})
+			m.resolve(ticket, OrderResult{Unsure: true})
 		case current.Number != a.Base:
-			m.findAmendment(now, ticket, a, until)
+			m.findOrder(now, ticket, a, deadline)
 		default:
-			m.joinAmendment(now, ticket, a, current, until)
+			m.proposeAmendment(now, ticket, a, current, deadline)
 		}
 	})
 	return *m.out
 }
 
-// findAmendment answers an amendment whose base is not in force: either it was taken
-// before, or another order was.
-func (m *Machine) findAmendment(now time.Duration, ticket uint64, a Amendment, until time.Duration) {
-	m.caller.Call(now, core.FindOrder{Base: a.Base, Number: a.Number, Digest: a.Digest}, until, func(_ time.Duration, o core.Outcome) {
+// findOrder answers an amendment whose base is not the current table: either it was accepted
+// earlier, or another order on that base was.
+func (m *Machine) findOrder(now time.Duration, ticket uint64, a Amendment, deadline time.Duration) {
+	m.caller.Call(now, core.FindOrder{Base: a.Base, Number: a.Number, Digest: a.Digest}, deadline, func(_ time.Duration, o core.Outcome) {
 		found, ok := o.Answer.(core.AcceptTableResult)
 		switch {
 		case !ok:
-			m.settle(ticket, Handed{Unsure: true})
+			m.resolve(ticket, OrderResult{Unsure: true})
 		case found.OK:
-			m.settle(ticket, Handed{OK: true, Number: found.Number})
+			m.resolve(ticket, OrderResult{Accepted: true, Number: found.Number})
 		default:
-			m.settle(ticket, Handed{Race: true, Number: found.Number})
+			m.resolve(ticket, OrderResult{RaceLost: true, Number: found.Number})
 		}
 	})
 }
 
-// joinAmendment checks what comes of an amendment, and has it agreed.
-func (m *Machine) joinAmendment(now time.Duration, ticket uint64, a Amendment, current core.CurrentTable, until time.Duration) {
-	text, faults := a.Join(current.Text)
+// proposeAmendment applies and checks an amendment, and proposes the resulting table.
+func (m *Machine) proposeAmendment(now time.Duration, ticket uint64, a Amendment, current core.CurrentTable, deadline time.Duration) {
+	text, faults := a.Apply(current.Text)
 	var next *route.Table
 	if faults == nil {
 		next, faults = route.Parse(text)
 	}
 	switch {
 	case faults != nil:
-		m.Counters.Refused++
-		m.settle(ticket, Handed{Number: current.Number, Faults: faults})
+		m.Counters.TablesRefused++
+		m.resolve(ticket, OrderResult{Number: current.Number, Faults: faults})
 	case a.PreviewOnly:
-		m.settle(ticket, Handed{Number: current.Number, Preview: previewOf(current.Text, next)})
+		m.resolve(ticket, OrderResult{Number: current.Number, Preview: previewOf(current.Text, next)})
 	default:
-		m.agree(now, ticket, core.AcceptTable{Base: a.Base, Number: next.Number, Text: text, Digest: a.Digest}, next, until)
+		m.proposeTable(now, ticket, core.AcceptTable{Base: a.Base, Number: next.Number, Text: text, Digest: a.Digest}, next, deadline)
 	}
 }
 
@@ -90,12 +90,12 @@
 	return &preview
 }
 
-// JoinTable is how an amendment in the product's own words is joined.
-func JoinTable(a route.Amendment) func(current []byte) ([]byte, configuration.Faults) {
+// ApplyAmendment returns the Apply function for an amendment in the product's own format.
+func ApplyAmendment(a route.Amendment) func(current []byte) ([]byte, configuration.Faults) {
 	return func(text []byte) ([]byte, configuration.Faults) {
 		current, faults := route.Parse(text)
 		if faults != nil {
-			return nil, configuration.Faults{{Path: "$", Value: "no table is in force", Allowed: "an amendment of a table that is in force"}}
+			return nil, configuration.Faults{{Path: "$", Value: "there is no current table", Allowed: "an amendment of the current table"}}
 		}
 		next, faults := a.Apply(current)
 		if faults != nil {
--- a/peer/desk/current_test.go
+++ b/peer/desk/currenttable_test.go
@@ -11,7 +11,7 @@
 	"saffronfall/rule/route"
 )
 
-// largeTable is a table with many routes, one of which changes with the number.
+// largeTable returns a table with many routes, one of which depends on the number.
 func largeTable(number uint64) []byte {
 	routes := ""
 	for i := range 50 {
@@ -24,72 +24,71 @@
 	return fmt.Appendf(nil, `{"number":%d,"source":"what the operator sent","routes":[%s],"services":[{"name":"s"}]}`, number, routes[:len(routes)-1])
 }
 
-// agree brings a desk the news of an agreed table.
-func agree(m *Machine, now time.Duration, number uint64) Output {
+// deliverTable sends a desk the cores' snapshot of an agreed table.
+func deliverTable(m *Machine, now time.Duration, number uint64) Output {
 	value := message.Marshal(core.CurrentTable{Number: number, Text: largeTable(number), Digest: fmt.Sprint("digest ", number)})
 	at := partition.Version{Term: partition.Term{Round: 1, Leader: "c.1"}, Seq: number}
 	return m.Receive(now, "c:1", core.Update{Partition: core.ConfigurationPartition, UpTo: at, Entries: []partition.Entry{{Key: core.TableKey, Value: value, Version: at}}})
 }
 
-// TestSubscribersGetDifferences: who has a table gets what changed since, who has
-// none, or one that is too old or not known here, the whole, and never the text
-// that only the operator reads.
+// TestSubscribersGetDifferences checks that a subscriber with a recent table gets differences, any
+// other one the full table, and none of them the table's source.
 func TestSubscribersGetDifferences(t *testing.T) {
 	m := newDesk(nil)
-	founded(m)
-	agree(m, 0, 2)
-	told := func(o Output, to string) Bulletin {
+	foundFleet(m)
+	deliverTable(m, 0, 2)
+	onlyUpdate := func(o Output, to string) Update {
 		t.Helper()
-		list := sentTo[Bulletin](o, to)
+		list := sentTo[Update](o, to)
 		if len(list) != 1 {
-			t.Fatalf("%s was told %d times", to, len(list))
+			t.Fatalf("%s got %d updates", to, len(list))
 		}
 		return list[0]
 	}
-	first := told(m.Receive(0, "n1:1", Follow{Node: "n1", Differs: true}), "n1:1")
+	first := onlyUpdate(m.Receive(0, "n1:1", Subscribe{Node: "n1", AcceptsDifferences: true}), "n1:1")
 	plain, faults := route.Parse(first.Table)
-	if faults != nil || plain.Number != 2 || plain.Source != "" || len(first.Differences) != 0 || first.Digest != "digest 2" {
+	if faults != nil || plain.Number != 2 || plain.Source != "" || len(first.Differences) != 0 || first.TableDigest != "digest 2" {
 		t.Fatalf("the first table: %v, %d bytes", faults, len(first.Table))
 	}
-	second := told(agree(m, 0, 4), "n1:1")
+	second := onlyUpdate(deliverTable(m, 0, 4), "n1:1")
 	if second.Table != nil || len(second.Differences) != 1 || second.Differences[0].BaseNumber != 2 || second.Differences[0].Size() != 2 {
 		t.Fatalf("a change: %d bytes, %d differences", len(second.Table), len(second.Differences))
 	}
-	next, ok := second.Differences[0].Apply(plain, first.Digest)
+	next, ok := second.Differences[0].Apply(plain, first.TableDigest)
 	if !ok || next.Number != 4 || second.Differences[0].Digest != "digest 4" {
 		t.Fatal("the difference does not fit the table before it")
 	}
-	// It missed one, and says so.
-	agree(m, 0, 5)
-	if b := told(m.Receive(0, "n1:1", Follow{Node: "n1", Differs: true, Table: 4}), "n1:1"); len(b.Differences) != 1 || b.Differences[0].Number != 5 {
-		t.Fatalf("told again: %+v", b)
+	// The node missed an update and reports its last table.
+	deliverTable(m, 0, 5)
+	if b := onlyUpdate(m.Receive(0, "n1:1", Subscribe{Node: "n1", AcceptsDifferences: true, Table: 4}), "n1:1"); len(b.Differences) != 1 || b.Differences[0].Number != 5 {
+		t.Fatalf("after a lost update: %+v", b)
 	}
-	for name, f := range map[string]Follow{"none": {Differs: true}, "unknown": {Differs: true, Table: 3}, "a former version's node": {Table: 4}} {
-		if b := told(m.Receive(0, "n2:1", f), "n2:1"); b.Table == nil || b.Differences != nil {
+	for name, f := range map[string]Subscribe{"none": {AcceptsDifferences: true}, "unknown": {AcceptsDifferences: true, Table: 3}, "a node that can't apply differences": {Table: 4}} {
+		if b := onlyUpdate(m.Receive(0, "n2:1", f), "n2:1"); b.Table == nil || b.Differences != nil {
 			t.Errorf("%s: %d bytes, %d differences", name, len(b.Table), len(b.Differences))
 		}
 	}
-	for number := uint64(6); number < 6+2*differencesKept; number++ {
-		agree(m, 0, number)
+	for number := uint64(6); number < 6+2*maxDifferences; number++ {
+		deliverTable(m, 0, number)
 	}
-	if got := len(m.table.differences); got != differencesKept {
+	if got := len(m.table.differences); got != maxDifferences {
 		t.Errorf("%d differences are kept", got)
 	}
-	if b := told(m.Receive(0, "n3:1", Follow{Node: "n3", Differs: true, Table: 4}), "n3:1"); b.Table == nil {
-		t.Errorf("one that is far behind: %+v", b)
+	if b := onlyUpdate(m.Receive(0, "n3:1", Subscribe{Node: "n3", AcceptsDifferences: true, Table: 4}), "n3:1"); b.Table == nil {
+		t.Errorf("a subscriber that is far behind: %+v", b)
 	}
 }
 
-// TestKnownTableIsNotParsedAgain: the cores' news of a table that an operator just
-// brought here, or that a difference led to, costs no second reading of its text.
+// TestKnownTableIsNotParsedAgain checks that a snapshot of a table that is already known is not
+// parsed.
 func TestKnownTableIsNotParsedAgain(t *testing.T) {
 	m := newDesk(nil)
-	founded(m)
-	agree(m, 0, 2)
+	foundFleet(m)
+	deliverTable(m, 0, 2)
 	again := message.Marshal(core.CurrentTable{Number: 2, Text: []byte("not a table"), Digest: "digest 2"})
 	at := partition.Version{Term: partition.Term{Round: 1, Leader: "c.1"}, Seq: 9}
 	m.Receive(0, "c:1", core.Update{Partition: core.ConfigurationPartition, UpTo: at, Entries: []partition.Entry{{Key: core.TableKey, Value: again, Version: at}}})
-	if m.Counters.BadMessages != 0 || m.Number() != 2 {
-		t.Errorf("%d texts were found bad, table %d", m.Counters.BadMessages, m.Number())
+	if m.Counters.BadMessages != 0 || m.TableNumber() != 2 {
+		t.Errorf("%d bad messages, table %d", m.Counters.BadMessages, m.TableNumber())
 	}
 }
--- a/peer/desk/departure.go
+++ b/peer/desk/departure.go
@@ -6,89 +6,89 @@
 	"saffronfall/rule/ordered"
 )
 
-// Heard answers a replica's heartbeat or leave. Where it is not Reached, what the
-// replica said may be known to this desk alone, and it should tell another.
-type Heard struct{ Reached bool }
+// Acknowledgment answers a replica's heartbeat or Leave call. If it is not Accepted, this desk
+// may be the only process that has the report, and the replica should send it to another desk.
+type Acknowledgment struct{ Accepted bool }
 
-// departureBeats is for how many heartbeats, at most, a replica that leaves waits until
-// what it said is known beyond this desk.
-const departureBeats = 0.6
+// departureHeartbeats bounds, in heartbeat intervals, how long a departing replica waits until
+// its departure is known outside this desk.
+const departureHeartbeats = 0.6
 
-// DepartureWithin is how long a replica's word that it leaves may take to be answered.
-func (p Params) DepartureWithin() time.Duration {
-	return time.Duration(departureBeats * float64(p.Beat))
+// DepartureTimeout bounds the time to acknowledge a replica's departure.
+func (p Params) DepartureTimeout() time.Duration {
+	return time.Duration(departureHeartbeats * float64(p.HeartbeatInterval))
 }
 
-// departure is a replica's word that it leaves, or has left, which is acknowledged once
-// it outlives this desk.
+// departure is a reported departure that is not acknowledged yet, because it could be lost
+// with this desk.
 type departure struct {
 	ticket uint64
-	// version is the desk's version that has the word.
-	version uint64
-	began   time.Duration
+	// version is the first version of the desk's list that includes the departure.
+	version   uint64
+	startedAt time.Duration
 }
 
-// acknowledge answers a replica. What is no word of leaving needs nobody else: the next
-// heartbeat says it again.
-func (m *Machine) acknowledge(now time.Duration, ticket uint64, l *listed) {
+// acknowledge answers a replica's report. Only a departure has to be known elsewhere first:
+// anything else is repeated by the next heartbeat.
+func (m *Machine) acknowledge(now time.Duration, ticket uint64, entry *trackedReplica) {
 	if ticket == 0 {
 		return
 	}
-	if !l.departed() {
-		m.answer(ticket, Heard{Reached: !m.Isolated(now)})
+	if !entry.isDeparting() {
+		m.addAnswer(ticket, Acknowledgment{Accepted: !m.Isolated(now)})
 		return
 	}
-	m.departures = append(m.departures, departure{ticket: ticket, version: l.Version, began: now})
+	m.departures = append(m.departures, departure{ticket: ticket, version: entry.Version, startedAt: now})
 	m.answerDepartures(now)
 }
 
-// answerDepartures acknowledges the words of leaving that others hold by now, and tells
-// replicas to go elsewhere whose word nobody confirmed in time.
+// answerDepartures acknowledges the departures that other processes have confirmed, and
+// rejects those that nobody confirmed in time.
 func (m *Machine) answerDepartures(now time.Duration) {
-	within := m.params.DepartureWithin()
-	if !m.inTouch(now) {
-		within = cutOffPulls * m.params.Core.PullInterval
+	timeout := m.params.DepartureTimeout()
+	if !m.coresReachable(now) {
+		timeout = disconnectedCallPulls * m.params.Core.PullInterval
 	}
-	waiting := m.departures[:0]
+	remaining := m.departures[:0]
 	for _, d := range m.departures {
 		switch {
-		case m.heldElsewhere(now, d.version):
-			m.answer(d.ticket, Heard{Reached: !m.Isolated(now)})
-		case now >= d.began+within:
-			m.answer(d.ticket, Heard{})
+		case m.isReplicated(now, d.version):
+			m.addAnswer(d.ticket, Acknowledgment{Accepted: !m.Isolated(now)})
+		case now >= d.startedAt+timeout:
+			m.addAnswer(d.ticket, Acknowledgment{})
 		default:
-			waiting = append(waiting, d)
+			remaining = append(remaining, d)
 		}
 	}
-	m.departures = waiting
+	m.departures = remaining
 }
 
-// heldElsewhere reports whether a version of this desk's list outlives it: as many other
-// desks hold it as may be lost at once, or, where no other desk speaks, all nodes that
-// speak.
-func (m *Machine) heldElsewhere(now time.Duration, version uint64) bool {
-	desks, holding, nodesLack := 0, 0, false
+// isReplicated reports whether a version of this desk's list survives the loss of this desk.
+// It does if as many other desks have it as may be lost at once, or, if no other desk is
+// active, if all active nodes have it.
+func (m *Machine) isReplicated(now time.Duration, version uint64) bool {
+	desks, confirmed, nodeMissing := 0, 0, false
 	for _, address := range ordered.Keys(m.subscribers) {
 		s := m.subscribers[address]
-		if !s.speaks(now, m.params.Beat) {
+		if !s.isActive(now, m.params.HeartbeatInterval) {
 			continue
 		}
-		has := s.has >= version
+		hasVersion := s.confirmedVersion >= version
 		switch {
-		case s.desk && has:
-			desks, holding = desks+1, holding+1
-		case s.desk:
+		case s.isDesk && hasVersion:
+			desks, confirmed = desks+1, confirmed+1
+		case s.isDesk:
 			desks++
 		default:
-			nodesLack = nodesLack || !has
+			nodeMissing = nodeMissing || !hasVersion
 		}
 	}
 	if desks == 0 {
-		return !nodesLack
+		return !nodeMissing
 	}
-	return holding >= min(desks, m.lossesBorne())
+	return confirmed >= min(desks, m.toleratedLosses())
 }
 
-// lossesBorne is how many machines may be lost at once: groups have one member more than
-// twice as many.
-func (m *Machine) lossesBorne() int { return max((m.params.Seats-1)/2, 1) }
+// toleratedLosses returns the number f of machines that may be lost at once, at least 1: groups
+// have 2f+1 members.
+func (m *Machine) toleratedLosses() int { return max((m.params.GroupSize-1)/2, 1) }
--- /dev/null
+++ b/peer/desk/retirement.go
@@ -0,0 +1,57 @@
+package desk
+
+import (
+	"slices"
+	"time"
+
+	"saffronfall/peer/core"
+)
+
+// RetirementStatus reports how far the retirement of a core is.
+type RetirementStatus struct {
+	// Unsure is set if the cores gave no answer.
+	Unsure bool `json:"unsure"`
+	// Known is set if a core has this id, EnoughCores if enough other cores remain.
+	Known       bool `json:"known"`
+	EnoughCores bool `json:"enough"`
+	// Done is set if the core is retired and a member of no group.
+	Done bool `json:"done"`
+}
+
+// Retire starts the retirement of a core: it becomes a member of no further group. The ticket
+// is answered with a RetirementStatus.
+func (m *Machine) Retire(now time.Duration, ticket uint64, id string) Output {
+	m.out = &Output{}
+	m.addPending(now, ticket, RetirementStatus{Unsure: true})
+	m.caller.Call(now, core.RetireCore{ID: id}, now+m.params.OperationTimeout, func(now time.Duration, o core.Outcome) {
+		retiring, ok := o.Answer.(core.RetireCoreResult)
+		m.resolve(ticket, RetirementStatus{Unsure: !ok, Known: retiring.Found, EnoughCores: retiring.EnoughRemain})
+	})
+	return *m.out
+}
+
+// RetirementStatus asks every partition whether a core is still a member of its group, old or
+// new. The ticket is answered with a RetirementStatus.
+func (m *Machine) RetirementStatus(now time.Duration, ticket uint64, id string) Output {
+	m.out = &Output{}
+	remaining, unsure, hasMember := len(m.topology.Leaders), false, false
+	if remaining == 0 {
+		m.addAnswer(ticket, RetirementStatus{Unsure: true})
+		return *m.out
+	}
+	m.addPending(now, ticket, RetirementStatus{Unsure: true})
+	for n := range m.topology.Leaders {
+		m.caller.Call(now, core.ReadGroup{Partition: n}, now+m.params.OperationTimeout, func(now time.Duration, o core.Outcome) {
+			members, ok := o.Answer.(core.GroupMembers)
+			unsure = unsure || !ok
+			for _, member := range append(slices.Clone(members.Members), members.Former...) {
+				hasMember = hasMember || core.CoreID(member) == id
+			}
+			if remaining--; remaining == 0 {
+				known, ok := m.topology.Cores[id]
+				m.resolve(ticket, RetirementStatus{Unsure: unsure, Known: ok, Done: !unsure && !hasMember && known.Retired})
+			}
+		})
+	}
+	return *m.out
+}
--- a/peer/desk/table.go
+++ b/peer/desk/table.go
@@ -11,27 +11,29 @@
 	"saffronfall/rule/route"
 )
 
-// confirm notes as of when this desk has missed no table.
-func (m *Machine) confirm(now time.Duration) {
-	if m.fresh.UpTo == (partition.Version{}) || m.pulledUpTo.Less(m.fresh.UpTo) {
+// updateConfirmation records the time up to which this desk is known to have missed no table.
+func (m *Machine) updateConfirmation(now time.Duration) {
+	if m.lastFresh.UpTo == (partition.Version{}) || m.pulledUpTo.Less(m.lastFresh.UpTo) {
 		return
 	}
-	first := m.confirmed < 0
-	m.confirmed = max(m.confirmed, m.fresh.SentAt-m.fresh.Age)
-	if first {
+	isFirst := m.lastConfirmed < 0
+	m.lastConfirmed = max(m.lastConfirmed, m.lastFresh.SentAt-m.lastFresh.Age)
+	if isFirst {
 		for _, address := range ordered.Keys(m.subscribers) {
-			m.tell(now, address, m.subscribers[address], true)
+			m.sendUpdate(now, address, m.subscribers[address], true)
 		}
 	}
 }
 
-func (m *Machine) onNews(now time.Duration, b core.Update) {
-	if b.Partition != core.ConfigurationPartition || !m.pulledUpTo.Less(b.UpTo) || (!b.Snapshot && m.pulledUpTo.Less(b.After)) {
+// onTableSnapshot handles entries of the configuration partition. Partial ones must continue at
+// the version that was already pulled.
+func (m *Machine) onTableSnapshot(now time.Duration, snapshot core.Update) {
+	if snapshot.Partition != core.ConfigurationPartition || !m.pulledUpTo.Less(snapshot.UpTo) || (!snapshot.Snapshot && m.pulledUpTo.Less(snapshot.After)) {
 		return
 	}
-	m.pulledUpTo = b.UpTo
+	m.pulledUpTo = snapshot.UpTo
 	t := core.Topology{Fleet: m.topology.Fleet, Cores: map[string]core.Core{}}
-	for _, e := range b.Entries {
+	for _, e := range snapshot.Entries {
 		switch {
 		case e.Key == core.TableKey:
 			var agreed core.CurrentTable
@@ -39,82 +41,89 @@
 				m.installText(now, agreed.Number, agreed.Digest, agreed.Text)
 			}
 		case core.IsCoreKey(e.Key) && !e.Deleted:
-			var one core.Core
-			if message.Unmarshal(e.Value, &one) == nil {
-				t.Cores[one.ID] = one
+			var c core.Core
+			if message.Unmarshal(e.Value, &c) == nil {
+				t.Cores[c.ID] = c
 			}
 		}
 	}
-	m.adopt(now, t)
-	m.confirm(now)
+	m.mergeTopology(now, t)
+	m.updateConfirmation(now)
 }
 
+// topologyShare is the share of pulls that also ask for the topology.
+const topologyShare = 0.2
+
+// pull asks for configuration changes: the leader while it answers, otherwise all cores.
 func (m *Machine) pull(now time.Duration) {
-	ask := core.PullUpdates{Versions: map[int]partition.Version{core.ConfigurationPartition: m.pulledUpTo}, WantFreshness: true, SentAt: now, WantTopology: len(m.topology.Leaders) == 0 || m.random() < 0.2}
-	if to := m.caller.Leader(core.ConfigurationPartition); to != "" && m.confirmed >= 0 && now-m.confirmed < 3*m.params.Core.PullInterval {
-		m.send(to, ask)
+	request := core.PullUpdates{Versions: map[int]partition.Version{core.ConfigurationPartition: m.pulledUpTo}, WantFreshness: true, SentAt: now, WantTopology: len(m.topology.Leaders) == 0 || m.random() < topologyShare}
+	if to := m.caller.Leader(core.ConfigurationPartition); to != "" && m.coresReachable(now) {
+		m.addSend(to, request)
 		return
 	}
-	ask.WantTopology = true
+	request.WantTopology = true
 	for _, to := range m.coreAddresses() {
-		m.send(to, ask)
+		m.addSend(to, request)
 	}
 }
 
-// Handed is what became of a table that was handed over.
-type Handed struct {
-	// OK: agreed, and durable. Unsure: nobody knows yet; the same may be handed
-	// over again.
-	OK     bool `json:"taken"`
-	Unsure bool `json:"unsure"`
-	// Race: another is in force than it was based on.
-	Race   bool                 `json:"race_lost"`
-	Number uint64               `json:"number"`
-	Faults configuration.Faults `json:"faults,omitempty"`
-	// Preview is what an amendment would change, where only that was asked.
+// OrderResult is the result of an operator's table or amendment.
+type OrderResult struct {
+	// Accepted is set if the table is agreed and durable. Unsure is set if the outcome is
+	// unknown; repeating the same order is safe.
+	Accepted bool `json:"taken"`
+	Unsure   bool `json:"unsure"`
+	// RaceLost is set if the order's base is not the current table. Number is that of the
+	// current table.
+	RaceLost bool                 `json:"race_lost"`
+	Number   uint64               `json:"number"`
+	Faults   configuration.Faults `json:"faults,omitempty"`
+	// Preview lists the changes of an amendment with PreviewOnly.
 	Preview *route.Preview `json:"preview,omitempty"`
 }
 
-// Apply checks a table and has it agreed by the cores.
+// Apply checks a table and proposes it to the cores as the successor of table base. The ticket
+// is answered with an OrderResult.
 func (m *Machine) Apply(now time.Duration, ticket uint64, base uint64, text []byte, digest string) Output {
 	m.out = &Output{}
 	parsed, faults := route.Parse(text)
 	if faults != nil {
-		m.Counters.Refused++
-		m.answer(ticket, Handed{Faults: faults})
+		m.Counters.TablesRefused++
+		m.addAnswer(ticket, OrderResult{Faults: faults})
 		return *m.out
 	}
-	m.await(now, ticket, Handed{Unsure: true})
-	m.agree(now, ticket, core.AcceptTable{Base: base, Number: parsed.Number, Text: text, Digest: digest}, parsed, now+m.params.Within)
+	m.addPending(now, ticket, OrderResult{Unsure: true})
+	m.proposeTable(now, ticket, core.AcceptTable{Base: base, Number: parsed.Number, Text: text, Digest: digest}, parsed, now+m.params.OperationTimeout)
 	return *m.out
 }
 
-// agree has a checked table agreed by the cores, and answers the call that brought it.
-func (m *Machine) agree(now time.Duration, ticket uint64, c core.AcceptTable, parsed *route.Table, until time.Duration) {
-	m.caller.Call(now, c, until, func(now time.Duration, o core.Outcome) {
+// proposeTable proposes a checked table to the cores and answers the call.
+func (m *Machine) proposeTable(now time.Duration, ticket uint64, c core.AcceptTable, parsed *route.Table, deadline time.Duration) {
+	m.caller.Call(now, c, deadline, func(now time.Duration, o core.Outcome) {
 		agreed, ok := o.Answer.(core.AcceptTableResult)
 		switch {
 		case !ok:
-			m.settle(ticket, Handed{Unsure: true})
+			m.resolve(ticket, OrderResult{Unsure: true})
 		case agreed.OK:
-			m.Counters.Applied++
+			m.Counters.TablesApplied++
 			m.install(now, parsed, c.Digest)
-			m.settle(ticket, Handed{OK: true, Number: agreed.Number})
+			m.resolve(ticket, OrderResult{Accepted: true, Number: agreed.Number})
 		case parsed.Number <= agreed.Number && c.Base == agreed.Number:
-			m.settle(ticket, Handed{Number: agreed.Number, Faults: configuration.Faults{{Path: "number", Value: parsed.Number, Allowed: "above the one in force"}}})
+			m.resolve(ticket, OrderResult{Number: agreed.Number, Faults: configuration.Faults{{Path: "number", Value: parsed.Number, Allowed: "a number above that of the current table"}}})
 		default:
-			m.settle(ticket, Handed{Race: true, Number: agreed.Number})
+			m.resolve(ticket, OrderResult{RaceLost: true, Number: agreed.Number})
 		}
 	})
 }
 
-// Read reads the table in force from the cores: what they answer is the newest.
+// Read reads the current table from the cores, never from this desk's copy. The ticket is
+// answered with a core.AgreedTable; its number is zero if the cores did not answer.
 func (m *Machine) Read(now time.Duration, ticket uint64) Output {
 	m.out = &Output{}
-	m.await(now, ticket, core.CurrentTable{})
-	m.caller.Call(now, core.ReadTable{}, now+m.params.Within, func(now time.Duration, o core.Outcome) {
+	m.addPending(now, ticket, core.CurrentTable{})
+	m.caller.Call(now, core.ReadTable{}, now+m.params.OperationTimeout, func(now time.Duration, o core.Outcome) {
 		t, _ := o.Answer.(core.CurrentTable)
-		m.settle(ticket, t)
+		m.resolve(ticket, t)
 	})
 	return *m.out
 }
--- a/peer/desk/topology.go
+++ b/peer/desk/topology.go
@@ -12,75 +12,75 @@
 
 func (m *Machine) coreAddresses() []string { return CoreAddresses(m.topology) }
 
-// CoreAddresses lists where the cores of a topology are.
+// CoreAddresses returns the sorted peer addresses of the cores that are not retired.
 func CoreAddresses(t core.Topology) []string {
-	var list []string
+	var addresses []string
 	for _, c := range t.Cores {
-		if !c.Retired && c.Peer != "" && !slices.Contains(list, c.Peer) {
-			list = append(list, c.Peer)
+		if !c.Retired && c.Peer != "" && !slices.Contains(addresses, c.Peer) {
+			addresses = append(addresses, c.Peer)
 		}
 	}
-	sort.Strings(list)
-	return list
+	sort.Strings(addresses)
+	return addresses
 }
 
-// others are nodes and desks that may pass a command on when cores stay silent.
-func (m *Machine) others() []string {
-	var list []string
+// forwarders returns the nodes and desks that can forward a command if no core answers directly.
+func (m *Machine) forwarders() []string {
+	var addresses []string
 	for _, address := range ordered.Keys(m.subscribers) {
-		if m.listens(m.tickedAt, m.subscribers[address]) {
-			list = append(list, address)
+		if m.isSubscribed(m.tickedAt, m.subscribers[address]) {
+			addresses = append(addresses, address)
 		}
 	}
-	return list
+	return addresses
 }
 
-// onPresent notes a core that says it is there.
-func (m *Machine) onPresent(now time.Duration, from string, b core.AnnounceCore) {
+// onPresent records a core that announces itself.
+func (m *Machine) onPresent(now time.Duration, from string, announced core.AnnounceCore) {
 	if len(m.topology.Leaders) == 0 {
-		if _, ok := m.foundingCores[b.Core.ID]; !ok || m.foundingCores[b.Core.ID].Incarnation != b.Core.Incarnation {
+		if _, ok := m.foundingCores[announced.Core.ID]; !ok || m.foundingCores[announced.Core.ID].Incarnation != announced.Core.Incarnation {
 			m.foundingCoresAt = now
 		}
-		if b.MayFound {
-			m.foundingCores[b.Core.ID] = b.Core
+		if announced.MayFound {
+			m.foundingCores[announced.Core.ID] = announced.Core
 		}
 	}
-	if known, ok := m.topology.Cores[b.Core.ID]; !ok || known.Version < b.Core.Version || (known.Version == b.Core.Version && known.Incarnation != b.Core.Incarnation && len(m.topology.Leaders) == 0) {
-		m.topology.Cores[b.Core.ID] = b.Core
+	if known, ok := m.topology.Cores[announced.Core.ID]; !ok || known.Version < announced.Core.Version || (known.Version == announced.Core.Version && known.Incarnation != announced.Core.Incarnation && len(m.topology.Leaders) == 0) {
+		m.topology.Cores[announced.Core.ID] = announced.Core
 		m.topologyVersion++
 	}
-	if b.KnownDigest != 0 && b.KnownDigest == m.topology.Digest() {
+	if announced.KnownDigest != 0 && announced.KnownDigest == m.topology.Digest() {
 		return
 	}
-	// They know different things: each tells the other.
-	m.send(from, m.topology)
-	m.send(from, core.PullUpdates{WantTopology: true})
+	// The two topologies differ, so each side sends its own.
+	m.addSend(from, m.topology)
+	m.addSend(from, core.PullUpdates{WantTopology: true})
 }
 
-// adopt takes over what is newer in another's topology.
-func (m *Machine) adopt(now time.Duration, t core.Topology) {
+// mergeTopology takes the newer parts of a received topology.
+func (m *Machine) mergeTopology(now time.Duration, other core.Topology) {
 	changed := false
-	if len(m.topology.Leaders) == 0 && len(t.Leaders) > 0 {
+	if len(m.topology.Leaders) == 0 && len(other.Leaders) > 0 {
 		cores := m.topology.Cores
-		m.topology = core.Topology{Fleet: t.Fleet, GroupSize: t.GroupSize, Cores: cores, Leaders: slices.Clone(t.Leaders), Groups: slices.Clone(t.Groups)}
+		m.topology = core.Topology{Fleet: other.Fleet, GroupSize: other.GroupSize, Cores: cores, Leaders: slices.Clone(other.Leaders), Groups: slices.Clone(other.Groups)}
 		changed = true
 	}
-	if m.topology.Fleet != t.Fleet && t.Fleet != "" {
+	if m.topology.Fleet != other.Fleet && other.Fleet != "" {
 		return
 	}
-	for n := range t.Leaders {
-		if n < len(m.topology.Leaders) && m.topology.Leaders[n].Less(t.Leaders[n]) {
-			m.topology.Leaders[n] = t.Leaders[n]
+	for n := range other.Leaders {
+		if n < len(m.topology.Leaders) && m.topology.Leaders[n].Less(other.Leaders[n]) {
+			m.topology.Leaders[n] = other.Leaders[n]
 			changed = true
 		}
 	}
-	for n := range t.Groups {
-		if n < len(m.topology.Groups) && m.topology.Groups[n].Before(t.Groups[n]) {
-			m.topology.Groups[n] = t.Groups[n]
+	for n := range other.Groups {
+		if n < len(m.topology.Groups) && m.topology.Groups[n].Before(other.Groups[n]) {
+			m.topology.Groups[n] = other.Groups[n]
 			changed = true
 		}
 	}
-	for id, c := range t.Cores {
+	for id, c := range other.Cores {
 		if known, ok := m.topology.Cores[id]; !ok || known.Version < c.Version {
 			m.topology.Cores[id] = c
 			changed = true
@@ -88,13 +88,13 @@
 	}
 	if changed {
 		m.topologyVersion++
-		HintOwners(m.caller, m.topology)
-		m.tellAll(now)
+		HintLeaders(m.caller, m.topology)
+		m.notifyAll(now)
 	}
 }
 
-// HintOwners tells a caller who owns which part.
-func HintOwners(caller *core.Caller, t core.Topology) {
+// HintLeaders gives a caller the addresses of the leaders of all partitions.
+func HintLeaders(caller *core.Caller, t core.Topology) {
 	for n, owner := range t.Leaders {
 		for _, c := range t.Cores {
 			if c.MemberID() == owner.Leader {
@@ -104,23 +104,24 @@
 	}
 }
 
-// found founds the fleet, once all cores that came have been there for a while.
-func (m *Machine) found(now time.Duration) {
-	settle := m.params.Beat
-	if !m.founds || len(m.topology.Leaders) > 0 || len(m.foundingCores) < m.params.Seats || now < m.foundAt || now < m.foundingCoresAt+settle {
+// sendFounding founds the fleet once enough cores have announced themselves and no new one has
+// appeared for a heartbeat interval.
+func (m *Machine) sendFounding(now time.Duration) {
+	settleTime := m.params.HeartbeatInterval
+	if !m.foundsFleet || len(m.topology.Leaders) > 0 || len(m.foundingCores) < m.params.GroupSize || now < m.sendFoundingAt || now < m.foundingCoresAt+settleTime {
 		return
 	}
-	m.foundAt = now + settle/4
+	m.sendFoundingAt = now + settleTime/4
 	if m.founding == nil {
-		// It is planned once, so that it is the same whenever it is sent again.
+		// It is planned once, so that every retry sends the same founding.
 		var cores []core.Core
 		for _, id := range ordered.Keys(m.foundingCores) {
 			cores = append(cores, m.foundingCores[id])
 		}
-		founding := core.PlanFleet(fmt.Sprintf("%s-%s", m.id, m.life), 1+m.params.PartsPerCore*len(cores), m.params.Seats, cores)
+		founding := core.PlanFleet(fmt.Sprintf("%s-%s", m.deskID, m.incarnation), 1+m.params.PartitionsPerCore*len(cores), m.params.GroupSize, cores)
 		m.founding = &founding
 	}
 	for _, id := range ordered.Keys(m.founding.Cores) {
-		m.send(m.founding.Cores[id].Peer, core.FoundFleet{Founding: *m.founding})
+		m.addSend(m.founding.Cores[id].Peer, core.FoundFleet{Founding: *m.founding})
 	}
 }
--- a/peer/operator/handler.go
+++ b/peer/operator/handler.go
@@ -1,5 +1,7 @@
-// Package operator is the side of the fleet that operators see: what a core
-// answers them, and the calls that the command line makes.
+// Package operator has the HTTP API that a core offers to operators, and the client that the
+// command line uses. All calls need the operator key. An error response says in "ran" whether the
+// request was executed ("no" or "maybe"), so that clients know when a retry is needed.
+// Start reading at Handler and Client.
 package operator
 
 import (
@@ -11,6 +13,7 @@
 	"io"
 	"net/http"
 	"strconv"
+	"strings"
 	"time"
 
 	"saffronfall/peer/core"
@@ -19,70 +22,86 @@
 	"saffronfall/rule/partition"
 )
 
-// Process is a core as its operators' side needs it.
+// memberPrefix begins the stored keys of members.
+const memberPrefix = "member/"
+
+const (
+	defaultApplyTimeout  = 15 * time.Second
+	defaultChangeTimeout = 30 * time.Second
+	// readTimeout bounds each read of a partition.
+	readTimeout = time.Second
+	// maxBodyBytes bounds the body of a request.
+	maxBodyBytes = 16 << 20
+)
+
+// Process runs steps of a core's state machine. Call waits for the answer to the step's ticket,
+// Inspect returns the result of a function that changes nothing. Both fail when ctx ends.
 type Process interface {
 	Call(ctx context.Context, step func(m *core.Machine, now time.Duration, ticket uint64) core.Output) (any, error)
-	Look(ctx context.Context, look func(m *core.Machine, now time.Duration) any) (any, error)
+	Inspect(ctx context.Context, read func(m *core.Machine, now time.Duration) any) (any, error)
 	Counters(ctx context.Context) (map[string]int64, error)
 }
 
-// Identity is what a core says of itself.
+// Identity identifies a core and the fleet that it was founded with.
 type Identity struct {
 	Core     core.Core     `json:"core"`
 	Founded  bool          `json:"founded"`
 	Founding core.Founding `json:"founding"`
 }
 
-// PartStatus is one part as a core sees it.
-type PartStatus struct {
-	Part  int      `json:"part"`
-	Owner string   `json:"owner"`
-	Round uint64   `json:"term"`
-	Epoch uint64   `json:"epoch"`
-	Seats []string `json:"seats"`
+// PartitionStatus is one partition as a core sees it. Its JSON names part, owner and seats stand
+// for partition, leader and members.
+type PartitionStatus struct {
+	Partition int      `json:"part"`
+	Leader    string   `json:"owner"`
+	Term      uint64   `json:"term"`
+	Epoch     uint64   `json:"epoch"`
+	Members   []string `json:"seats"`
 }
 
 // Status is the fleet as one core sees it.
 type Status struct {
-	Fleet   string            `json:"fleet"`
-	Cores   []core.Core       `json:"cores"`
-	Parts   []PartStatus      `json:"parts"`
-	Members []core.Member     `json:"members"`
-	Locked  []core.LockedUser `json:"locked_out"`
-	Version uint64            `json:"configuration_version"`
-	Breaker string            `json:"breaker"`
-	Missing []int             `json:"parts_without_answer"`
+	Fleet                string            `json:"fleet"`
+	Cores                []core.Core       `json:"cores"`
+	Partitions           []PartitionStatus `json:"parts"`
+	Members              []core.Member     `json:"members"`
+	LockedUsers          []core.LockedUser `json:"locked_out"`
+	ConfigurationVersion uint64            `json:"configuration_version"`
+	Breaker              string            `json:"breaker"`
+	MissingPartitions    []int             `json:"parts_without_answer"`
 }
 
-// Handed is a description as it is handed over.
-type Handed struct {
+// ConfigurationRequest asks to apply a configuration, or only to plan it. BudgetMS bounds it in
+// milliseconds; zero selects a default.
+type ConfigurationRequest struct {
 	BasedOn     uint64          `json:"based_on"`
 	Description json.RawMessage `json:"description"`
 	PlanOnly    bool            `json:"plan_only"`
 	BudgetMS    int64           `json:"budget_ms"`
 }
 
-// Fault is an operator's side refusal.
-type Fault struct {
-	Code   string `json:"code"`
-	Reason string `json:"reason"`
-	Ran    string `json:"ran"`
+// ErrorResponse is the body of an error response. Executed is "no" or "maybe".
+type ErrorResponse struct {
+	Code     string `json:"code"`
+	Reason   string `json:"reason"`
+	Executed string `json:"ran"`
 }
 
-// Guard lets only those in who show a key; with an empty key it lets in none.
-func Guard(key string, next http.Handler) http.Handler {
+// RequireKey passes on requests with the bearer key and rejects all others. An empty key rejects
+// every request.
+func RequireKey(key string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		shown := r.Header.Get("Authorization")
-		if key == "" || subtle.ConstantTimeCompare([]byte(shown), []byte("Bearer "+key)) != 1 {
-			Write(w, 401, Fault{Code: "unknown_key", Reason: "the operator key is missing or wrong", Ran: "no"})
+		header := r.Header.Get("Authorization")
+		if key == "" || subtle.ConstantTimeCompare([]byte(header), []byte("Bearer "+key)) != 1 {
+			WriteJSON(w, http.StatusUnauthorized, ErrorResponse{Code: "unknown_key", Reason: "the operator key is missing or wrong", Executed: "no"})
 			return
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// Write writes a JSON return.
-func Write(w http.ResponseWriter, status int, body any) {
+// WriteJSON writes a response with a JSON body.
+func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	encoder := json.NewEncoder(w)
@@ -90,23 +109,23 @@
 	encoder.Encode(body)
 }
 
-// Drain asks a process to leave, as SIGTERM does.
-func Drain(drain chan<- struct{}) http.HandlerFunc {
+// DrainHandler returns a handler that asks the process to leave, as SIGTERM does.
+func DrainHandler(drain chan<- struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case drain <- struct{}{}:
 		default:
 		}
-		Write(w, 202, map[string]bool{"draining": true})
+		WriteJSON(w, http.StatusAccepted, map[string]bool{"draining": true})
 	}
 }
 
-// Handler is a core's operators' side.
+// Handler returns the operators' HTTP API of a core.
 func Handler(p Process, key string, drain chan<- struct{}) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/drain", Drain(drain))
+	mux.HandleFunc("POST /v1/drain", DrainHandler(drain))
 	mux.HandleFunc("GET /v1/identity", func(w http.ResponseWriter, r *http.Request) {
-		answer(w, r, p, func(m *core.Machine, now time.Duration) any {
+		inspect(w, r, p, func(m *core.Machine, now time.Duration) any {
 			return Identity{Core: m.Self(), Founded: m.Founded(), Founding: m.Founding()}
 		})
 	})
@@ -122,80 +141,81 @@
 		})
 		switch {
 		case err != nil:
-			Write(w, 503, Fault{Code: "unsure", Reason: err.Error(), Ran: "maybe"})
+			WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
 		case body == true:
-			Write(w, 200, map[string]bool{"founded": true})
+			WriteJSON(w, http.StatusOK, map[string]bool{"founded": true})
 		default:
-			Write(w, 409, Fault{Code: "not_founded", Reason: "this core belongs to another fleet, or the founding does not name its incarnation", Ran: "no"})
+			WriteJSON(w, http.StatusConflict, ErrorResponse{Code: "not_founded", Reason: "this core belongs to another fleet, or the founding does not name its incarnation", Executed: "no"})
 		}
 	})
 	mux.HandleFunc("GET /v1/topology", func(w http.ResponseWriter, r *http.Request) {
-		answer(w, r, p, func(m *core.Machine, now time.Duration) any { return m.Topology() })
+		inspect(w, r, p, func(m *core.Machine, now time.Duration) any { return m.Topology() })
 	})
 	mux.HandleFunc("POST /v1/cores", func(w http.ResponseWriter, r *http.Request) {
-		var c Life
+		var c CoreChange
 		if readBody(w, r, &c) {
-			change(w, r, p, c)
+			changeCores(w, r, p, c)
 		}
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, r *http.Request) {
-		status, err := Gather(r.Context(), p)
+		status, err := GatherStatus(r.Context(), p)
 		if err != nil {
-			Write(w, 503, Fault{Code: "unsure", Reason: err.Error(), Ran: "no"})
+			WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 			return
 		}
-		Write(w, 200, status)
+		WriteJSON(w, http.StatusOK, status)
 	})
 	mux.HandleFunc("GET /v1/configuration", func(w http.ResponseWriter, r *http.Request) {
-		c, err := configured(r.Context(), p)
+		c, err := readConfiguration(r.Context(), p)
 		if err != nil {
-			Write(w, 503, Fault{Code: "unsure", Reason: err.Error(), Ran: "no"})
+			WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 			return
 		}
 		text := json.RawMessage(c.Text)
 		if len(text) == 0 {
 			text = json.RawMessage("null")
 		}
-		Write(w, 200, map[string]any{"version": c.Version, "description": text})
+		WriteJSON(w, http.StatusOK, map[string]any{"version": c.Version, "description": text})
 	})
 	mux.HandleFunc("POST /v1/configuration", func(w http.ResponseWriter, r *http.Request) {
-		var h Handed
-		if !readBody(w, r, &h) {
+		var request ConfigurationRequest
+		if !readBody(w, r, &request) {
 			return
 		}
-		hand(w, r, p, h)
+		applyConfiguration(w, r, p, request)
 	})
 	mux.HandleFunc("GET /counters", func(w http.ResponseWriter, r *http.Request) {
 		counts, err := p.Counters(r.Context())
 		if err != nil {
-			Write(w, 503, Fault{Code: "unsure", Reason: err.Error(), Ran: "no"})
+			WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 			return
 		}
-		Write(w, 200, counts)
+		WriteJSON(w, http.StatusOK, counts)
 	})
-	return Guard(key, mux)
+	return RequireKey(key, mux)
 }
 
-func hand(w http.ResponseWriter, r *http.Request, p Process, h Handed) {
-	sum := sha256.Sum256(h.Description)
-	within := time.Duration(h.BudgetMS) * time.Millisecond
-	if within <= 0 {
-		within = 15 * time.Second
+func applyConfiguration(w http.ResponseWriter, r *http.Request, p Process, request ConfigurationRequest) {
+	sum := sha256.Sum256(request.Description)
+	timeout := time.Duration(request.BudgetMS) * time.Millisecond
+	if timeout <= 0 {
+		timeout = defaultApplyTimeout
 	}
 	body, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-		return m.ApplyConfiguration(now, ticket, core.ApplyRequest{BasedOn: h.BasedOn, Text: h.Description, Digest: hex.EncodeToString(sum[:]), Timeout: within, PlanOnly: h.PlanOnly})
+		return m.ApplyConfiguration(now, ticket, core.ApplyRequest{BasedOn: request.BasedOn, Text: request.Description, Digest: hex.EncodeToString(sum[:]), Timeout: timeout, PlanOnly: request.PlanOnly})
 	})
 	if err != nil {
-		Write(w, 503, Fault{Code: "unsure", Reason: err.Error(), Ran: "maybe"})
+		WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
 		return
 	}
-	taking := body.(core.ApplyResult)
-	status := map[string]int{"": 200, "planned": 200, "agreed_not_taken": 202, "faulty": 400, "race_lost": 409, "not_approved": 422, "unsure": 503}[taking.Code]
-	Write(w, status, taking)
+	result := body.(core.ApplyResult)
+	status := map[string]int{"": http.StatusOK, "planned": http.StatusOK, "agreed_not_taken": http.StatusAccepted, "faulty": http.StatusBadRequest, "race_lost": http.StatusConflict, "not_approved": http.StatusUnprocessableEntity, "unsure": http.StatusServiceUnavailable}[result.Code]
+	WriteJSON(w, status, result)
 }
 
-// Life is a change in a core's life, as an operator asks for it.
-type Life struct {
+// CoreChange is an operator's request to add, retire or replace a core. BudgetMS bounds it in
+// milliseconds; zero selects a default.
+type CoreChange struct {
 	Kind     string     `json:"kind"`
 	ID       string     `json:"id"`
 	By       string     `json:"by,omitempty"`
@@ -203,75 +223,75 @@
 	BudgetMS int64      `json:"budget_ms"`
 }
 
-func change(w http.ResponseWriter, r *http.Request, p Process, c Life) {
-	within := time.Duration(c.BudgetMS) * time.Millisecond
-	if within <= 0 {
-		within = 30 * time.Second
+func changeCores(w http.ResponseWriter, r *http.Request, p Process, c CoreChange) {
+	timeout := time.Duration(c.BudgetMS) * time.Millisecond
+	if timeout <= 0 {
+		timeout = defaultChangeTimeout
 	}
 	if c.Kind != core.KindAdd && c.Kind != core.KindRetire && c.Kind != core.KindReplace {
-		Write(w, 400, Fault{Code: "malformed", Reason: "kind must be add, retire or replace", Ran: "no"})
+		WriteJSON(w, http.StatusBadRequest, ErrorResponse{Code: "malformed", Reason: "kind must be add, retire or replace", Executed: "no"})
 		return
 	}
 	if c.New != nil {
 		body, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-			return m.RegisterCore(now, ticket, *c.New, within)
+			return m.RegisterCore(now, ticket, *c.New, timeout)
 		})
 		if done, ok := body.(core.Done); err != nil || !ok || !done.OK {
-			Write(w, 409, Fault{Code: "not_introduced", Reason: "the core could not be made known; another core may have its name", Ran: "maybe"})
+			WriteJSON(w, http.StatusConflict, ErrorResponse{Code: "not_introduced", Reason: "the new core could not be registered; another core may have its id", Executed: "maybe"})
 			return
 		}
 	}
 	body, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-		return m.ChangeCore(now, ticket, c.Kind, c.ID, c.By, within)
+		return m.ChangeCore(now, ticket, c.Kind, c.ID, c.By, timeout)
 	})
 	if err != nil {
-		Write(w, 503, Fault{Code: "unsure", Reason: err.Error(), Ran: "maybe"})
+		WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
 		return
 	}
 	changed := body.(core.ChangeResult)
-	status := map[string]int{"": 200, "unknown_core": 404, "no_room": 409, "not_finished": 202}[changed.Code]
-	Write(w, status, changed)
+	status := map[string]int{"": http.StatusOK, "unknown_core": http.StatusNotFound, "no_room": http.StatusConflict, "not_finished": http.StatusAccepted}[changed.Code]
+	WriteJSON(w, status, changed)
 }
 
-func answer(w http.ResponseWriter, r *http.Request, p Process, look func(m *core.Machine, now time.Duration) any) {
-	body, err := p.Look(r.Context(), look)
+func inspect(w http.ResponseWriter, r *http.Request, p Process, read func(m *core.Machine, now time.Duration) any) {
+	body, err := p.Inspect(r.Context(), read)
 	if err != nil {
-		Write(w, 503, Fault{Code: "unsure", Reason: err.Error(), Ran: "no"})
+		WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 		return
 	}
-	Write(w, 200, body)
+	WriteJSON(w, http.StatusOK, body)
 }
 
 func readBody(w http.ResponseWriter, r *http.Request, target any) bool {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 16<<20))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
 		err = json.Unmarshal(raw, target)
 	}
 	if err != nil {
-		Write(w, 400, Fault{Code: "malformed", Reason: err.Error(), Ran: "no"})
+		WriteJSON(w, http.StatusBadRequest, ErrorResponse{Code: "malformed", Reason: err.Error(), Executed: "no"})
 		return false
 	}
 	return true
 }
 
-func entries(ctx context.Context, p Process, number int, prefix string) ([]partition.Entry, bool, error) {
+func readEntries(ctx context.Context, p Process, index int, prefix string) ([]partition.Entry, bool, error) {
 	body, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-		return m.RunCommand(now, ticket, core.ReadEntries{Partition: number, Prefix: prefix}, time.Second)
+		return m.RunCommand(now, ticket, core.ReadEntries{Partition: index, Prefix: prefix}, readTimeout)
 	})
 	if err != nil {
 		return nil, false, err
 	}
-	list, ok := body.(core.Outcome).Answer.(core.Entries)
-	return list.Entries, ok, nil
+	result, ok := body.(core.Outcome).Answer.(core.Entries)
+	return result.Entries, ok, nil
 }
 
-func configured(ctx context.Context, p Process) (core.CurrentConfiguration, error) {
+func readConfiguration(ctx context.Context, p Process) (core.CurrentConfiguration, error) {
 	var c core.CurrentConfiguration
-	list, ok, err := entries(ctx, p, core.ConfigurationPartition, "configuration")
+	result, ok, err := readEntries(ctx, p, core.ConfigurationPartition, "configuration")
 	if err != nil || !ok {
 		return c, context.DeadlineExceeded
 	}
-	for _, e := range list {
+	for _, e := range result {
 		if err := message.Unmarshal(e.Value, &c); err != nil {
 			return c, err
 		}
@@ -279,23 +299,24 @@
 	return c, nil
 }
 
-// Gather asks every part for what operators want to see.
-func Gather(ctx context.Context, p Process) (Status, error) {
+// GatherStatus asks every partition for its part of the status. Partitions that don't answer are
+// listed as missing.
+func GatherStatus(ctx context.Context, p Process) (Status, error) {
 	var s Status
-	body, err := p.Look(ctx, func(m *core.Machine, now time.Duration) any { return m.Topology() })
+	body, err := p.Inspect(ctx, func(m *core.Machine, now time.Duration) any { return m.Topology() })
 	if err != nil {
 		return s, err
 	}
-	t := body.(core.Topology)
-	s.Fleet = t.Fleet
-	for _, id := range ordered.Keys(t.Cores) {
-		s.Cores = append(s.Cores, t.Cores[id])
+	topology := body.(core.Topology)
+	s.Fleet = topology.Fleet
+	for _, id := range ordered.Keys(topology.Cores) {
+		s.Cores = append(s.Cores, topology.Cores[id])
 	}
-	for n := range t.Leaders {
-		s.Parts = append(s.Parts, PartStatus{Part: n, Owner: t.Leaders[n].Leader, Round: t.Leaders[n].Round, Epoch: t.Groups[n].Epoch, Seats: t.Groups[n].Members})
+	for index := range topology.Leaders {
+		s.Partitions = append(s.Partitions, PartitionStatus{Partition: index, Leader: topology.Leaders[index].Leader, Term: topology.Leaders[index].Round, Epoch: topology.Groups[index].Epoch, Members: topology.Groups[index].Members})
 		missing := false
-		for _, prefix := range []string{"member/", "breaker", "configuration"} {
-			list, ok, err := entries(ctx, p, n, prefix)
+		for _, prefix := range []string{memberPrefix, "breaker", "configuration"} {
+			result, ok, err := readEntries(ctx, p, index, prefix)
 			if err != nil {
 				return s, err
 			}
@@ -303,18 +324,18 @@
 			if !ok {
 				break
 			}
-			for _, e := range list {
-				s.add(e)
+			for _, e := range result {
+				s.addEntry(e)
 			}
 		}
-		if told, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-			return m.RunCommand(now, ticket, core.ReadLockedUsers{Partition: n}, time.Second)
+		if answer, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
+			return m.RunCommand(now, ticket, core.ReadLockedUsers{Partition: index}, readTimeout)
 		}); err == nil && !missing {
-			locked, _ := told.(core.Outcome).Answer.(core.LockedUsers)
-			s.Locked = append(s.Locked, locked.Users...)
+			locked, _ := answer.(core.Outcome).Answer.(core.LockedUsers)
+			s.LockedUsers = append(s.LockedUsers, locked.Users...)
 		}
 		if missing {
-			s.Missing = append(s.Missing, n)
+			s.MissingPartitions = append(s.MissingPartitions, index)
 		}
 	}
 	if s.Breaker == "" {
@@ -323,12 +344,12 @@
 	return s, nil
 }
 
-func (s *Status) add(e partition.Entry) {
+func (s *Status) addEntry(e partition.Entry) {
 	var m core.Member
 	var b core.BreakerSummary
 	var c core.CurrentConfiguration
 	switch {
-	case len(e.Key) > 7 && e.Key[:7] == "member/" && message.Unmarshal(e.Value, &m) == nil:
+	case len(e.Key) > len(memberPrefix) && strings.HasPrefix(e.Key, memberPrefix) && message.Unmarshal(e.Value, &m) == nil:
 		s.Members = append(s.Members, m)
 	case e.Key == "breaker" && message.Unmarshal(e.Value, &b) == nil:
 		s.Breaker = b.State
@@ -336,6 +357,6 @@
 			s.Breaker += " (" + b.Reason + ", trip " + strconv.FormatInt(b.Trips, 10) + ")"
 		}
 	case e.Key == "configuration" && message.Unmarshal(e.Value, &c) == nil:
-		s.Version = c.Version
+		s.ConfigurationVersion = c.Version
 	}
 }
--- a/peer/relay/loads.go
+++ b/peer/relay/loads.go
@@ -27,7 +27,7 @@
 // a while but not indexed.
 func (view *deskView) loadIndex() []string {
 	if view.indexedVersion != view.version || view.indexedIDs == nil {
-		view.indexedIDs = desk.Places(view.replicas, func(p listing) bool { return p.Gone || p.expiresAt > 0 })
+		view.indexedIDs = desk.ReplicaOrder(view.replicas, func(p listing) bool { return p.Gone || p.expiresAt > 0 })
 		view.indexedVersion = view.version
 	}
 	return view.indexedIDs
@@ -45,11 +45,11 @@
 		if !view.alive(now, m.params.HeartbeatInterval) {
 			continue
 		}
-		report := desk.LoadReport{Life: view.incarnation, Version: view.version, List: m.loadsFor(view)}
-		if len(report.List) == 0 && !view.reportedLoad {
+		report := desk.LoadReport{Incarnation: view.incarnation, Version: view.version, Replicas: m.loadsFor(view)}
+		if len(report.Replicas) == 0 && !view.reportedLoad {
 			continue
 		}
-		view.reportedLoad = len(report.List) > 0
+		view.reportedLoad = len(report.Replicas) > 0
 		m.send(address, report)
 	}
 }
@@ -65,7 +65,7 @@
 		if r.estimate.Outstanding == 0 && ended == (placement.Outcomes{}) {
 			continue
 		}
-		list = append(list, desk.ReplicaLoad{Place: uint16(index), Outstanding: clampUint16(r.estimate.Outstanding), Served: clampUint16(ended.Served), Failed: clampUint16(ended.Failed),
+		list = append(list, desk.ReplicaLoad{Index: uint16(index), Outstanding: clampUint16(r.estimate.Outstanding), Served: clampUint16(ended.Served), Failed: clampUint16(ended.Failed),
 			Busy: ended.Busy, Units: clampUint16(ended.Units)})
 	}
 	return list
@@ -77,11 +77,11 @@
 // handleLoads applies a desk's load report.
 func (m *Machine) handleLoads(now time.Duration, from string, l desk.Loads) {
 	view := m.desks[from]
-	if view == nil || view.incarnation != l.Life || view.version != l.Version {
+	if view == nil || view.incarnation != l.Incarnation || view.version != l.Version {
 		return
 	}
 	ids := view.loadIndex()
-	if len(l.Outstanding) != len(ids) || len(l.Failing) != len(ids) || len(l.Paces) != len(ids) {
+	if len(l.Outstanding) != len(ids) || len(l.FailureRates) != len(ids) || len(l.UnitTimes) != len(ids) {
 		m.Counters.BadMessages++
 		return
 	}
@@ -89,9 +89,9 @@
 	until := now + loadMemoryPeriods*m.params.LoadReportInterval
 	for i, id := range ids {
 		if r := m.replicas[id]; r != nil {
-			r.estimate.SetShared(int64(l.Outstanding[i]), float64(l.Failing[i])/math.MaxUint8, until)
-			if l.Paces[i] > 0 {
-				r.estimate.SetUnitTime(time.Duration(l.Paces[i]) * desk.PaceUnit)
+			r.estimate.SetShared(int64(l.Outstanding[i]), float64(l.FailureRates[i])/math.MaxUint8, until)
+			if l.UnitTimes[i] > 0 {
+				r.estimate.SetUnitTime(time.Duration(l.UnitTimes[i]) * desk.UnitTimeResolution)
 			}
 		}
 	}
--- a/peer/relay/loads_test.go
+++ b/peer/relay/loads_test.go
@@ -13,8 +13,8 @@
 func TestLoadIndexUsesCurrentDeskIncarnation(t *testing.T) {
 	h := newHarness(t)
 	h.node.params.LoadReportInterval = 100 * time.Millisecond
-	tell := func(incarnation string, list []desk.Listed) {
-		h.apply(h.node.Receive(h.now, "d1:1", desk.Bulletin{Life: incarnation, Version: 7, List: list, Nodes: 1}))
+	tell := func(incarnation string, list []desk.ReplicaEntry) {
+		h.apply(h.node.Receive(h.now, "d1:1", desk.Update{Incarnation: incarnation, Version: 7, Replicas: list, NodeCount: 1}))
 	}
 	tell("first", listings("app", "a1", "a2", "a3"))
 	if got := h.node.desks["d1:1"].loadIndex(); len(got) != 3 {
@@ -25,7 +25,7 @@
 		t.Errorf("after a restart: index %v", got)
 	}
 	h.node.mergeListings(h.now)
-	h.apply(h.node.Receive(h.now, "d1:1", desk.Loads{Life: "second", Version: 7, Outstanding: []byte{2, 9}, Failing: []byte{0, 0}, Paces: []uint16{0, 0}}))
+	h.apply(h.node.Receive(h.now, "d1:1", desk.Loads{Incarnation: "second", Version: 7, Outstanding: []byte{2, 9}, FailureRates: []byte{0, 0}, UnitTimes: []uint16{0, 0}}))
 	if h.node.loadUpdates != 1 || h.node.Counters.BadMessages != 0 {
 		t.Errorf("%d load reports applied, %d bad messages", h.node.loadUpdates, h.node.Counters.BadMessages)
 	}
--- a/peer/relay/machine.go
+++ b/peer/relay/machine.go
@@ -114,7 +114,7 @@
 			m.drawAt = now + m.params.RateWindow/drawChecksPerWindow
 			m.drawRates(now)
 		}
-	case desk.Bulletin:
+	case desk.Update:
 		m.Counters.Updates++
 		m.handleUpdate(now, from, b)
 	case desk.Loads:
@@ -128,7 +128,7 @@
 // handleUpdate takes the replicas, routing table and topology of a desk's update. A first
 // table is put in force once a desk has confirmed it as the newest, or two heartbeat
 // intervals after the start.
-func (m *Machine) handleUpdate(now time.Duration, from string, b desk.Bulletin) {
+func (m *Machine) handleUpdate(now time.Duration, from string, b desk.Update) {
 	view := m.desks[from]
 	if view == nil {
 		view = &deskView{replicas: map[string]listing{}}
@@ -138,29 +138,29 @@
 		m.deskAddresses = append(m.deskAddresses, from)
 	}
 	view.heardAt = now
-	if view.incarnation != b.Life {
+	if view.incarnation != b.Incarnation {
 		// The desk has restarted. Its earlier listings stay valid until replicas had
 		// time to announce themselves again.
 		for id, p := range view.replicas {
 			p.expiresAt = now + lostHeartbeats*m.params.HeartbeatInterval
 			view.replicas[id] = p
 		}
-		view.incarnation, view.version, view.indexedIDs = b.Life, 0, nil
+		view.incarnation, view.version, view.indexedIDs = b.Incarnation, 0, nil
 	}
 	if b.Since <= view.version {
-		for _, l := range b.List {
+		for _, l := range b.Replicas {
 			if l.Replica.Leaving || l.Final {
 				m.departed.add(now, l.Replica.ID)
 			}
-			view.replicas[l.Replica.ID] = listing{Listed: l}
+			view.replicas[l.Replica.ID] = listing{ReplicaEntry: l}
 		}
 		view.version = max(view.version, b.Version)
 	}
-	if b.Confirm {
+	if b.RenewNow {
 		m.requestUpdate(from)
 	}
-	m.nodes = max(b.Nodes, 1)
-	if len(b.List) > 0 {
+	m.nodes = max(b.NodeCount, 1)
+	if len(b.Replicas) > 0 {
 		// The listings are merged when the next replica is chosen.
 		m.mergeAt = now
 		m.resumeAwaitingReplicas(now)
@@ -175,15 +175,15 @@
 		}
 	}
 	m.updateTable(now, b)
-	fresh := b.Confirmed >= 0 && b.Confirmed < m.params.HeartbeatInterval
-	if fresh && b.Number == 0 {
+	fresh := b.ConfirmationAge >= 0 && b.ConfirmationAge < m.params.HeartbeatInterval
+	if fresh && b.TableNumber == 0 {
 		m.noTableAgreed = true
 	}
-	if m.pending != nil && (m.table == nil || m.table.Number < m.pending.Number) && (m.table != nil || fresh && b.Number <= m.pending.Number || now > m.started+2*m.params.HeartbeatInterval) {
+	if m.pending != nil && (m.table == nil || m.table.Number < m.pending.Number) && (m.table != nil || fresh && b.TableNumber <= m.pending.Number || now > m.started+2*m.params.HeartbeatInterval) {
 		m.installTable(now)
 	}
-	if m.table != nil && b.Number == m.table.Number && b.Confirmed >= 0 {
-		m.confirmedAt = max(m.confirmedAt, now-b.Confirmed)
+	if m.table != nil && b.TableNumber == m.table.Number && b.ConfirmationAge >= 0 {
+		m.confirmedAt = max(m.confirmedAt, now-b.ConfirmationAge)
 	}
 }
 
@@ -243,18 +243,18 @@
 			m.topology.Cores[id] = c
 		}
 	}
-	desk.HintOwners(m.caller, m.topology)
+	desk.HintLeaders(m.caller, m.topology)
 }
 
 // requestUpdate asks a desk for updates after the version last received from it, and
 // thereby acknowledges that version.
 func (m *Machine) requestUpdate(to string) {
-	f := desk.Follow{Node: m.id, Differs: true}
+	f := desk.Subscribe{Node: m.id, AcceptsDifferences: true}
 	if m.pending != nil && !m.wantFull {
 		f.Table = m.pending.Number
 	}
 	if view := m.desks[to]; view != nil {
-		f.Life, f.Version = view.incarnation, view.version
+		f.Incarnation, f.Version = view.incarnation, view.version
 	}
 	m.send(to, f)
 }
--- a/peer/relay/machine_test.go
+++ b/peer/relay/machine_test.go
@@ -134,17 +134,17 @@
 }
 
 // update delivers an update of a desk.
-func (h *harness) update(from string, list []desk.Listed, number uint64, text []byte) {
+func (h *harness) update(from string, list []desk.ReplicaEntry, number uint64, text []byte) {
 	h.version++
 	topology := core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1"}}, Leaders: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}},
 		Groups: make([]partition.Group, 2)}
-	h.apply(h.node.Receive(h.now, from, desk.Bulletin{Life: "l", Version: h.version, List: list, Number: number, Table: text, Nodes: 1, Topology: &topology}))
+	h.apply(h.node.Receive(h.now, from, desk.Update{Incarnation: "l", Version: h.version, Replicas: list, TableNumber: number, Table: text, NodeCount: 1, Topology: &topology}))
 }
 
-func listings(service string, ids ...string) []desk.Listed {
-	var list []desk.Listed
+func listings(service string, ids ...string) []desk.ReplicaEntry {
+	var list []desk.ReplicaEntry
 	for i, id := range ids {
-		list = append(list, desk.Listed{Replica: desk.Replica{ID: id, Service: service, Address: id + ":1", Zone: "a", Slots: 4, Call: int64(i + 1)}, Version: 1})
+		list = append(list, desk.ReplicaEntry{Replica: desk.Replica{ID: id, Service: service, Address: id + ":1", Zone: "a", Slots: 4, Sequence: int64(i + 1)}, Version: 1})
 	}
 	return list
 }
@@ -222,8 +222,8 @@
 func TestReplicaListedByOneDeskStaysKnown(t *testing.T) {
 	h := newHarness(t)
 	h.start()
-	at := func(call int64, gone bool) []desk.Listed {
-		return []desk.Listed{{Replica: desk.Replica{ID: "r", Service: "app", Address: "r:1", Zone: "a", Slots: 4, Call: call}, Gone: gone, Version: 9}}
+	at := func(call int64, gone bool) []desk.ReplicaEntry {
+		return []desk.ReplicaEntry{{Replica: desk.Replica{ID: "r", Service: "app", Address: "r:1", Zone: "a", Slots: 4, Sequence: call}, Gone: gone, Version: 9}}
 	}
 	h.update("d2:1", at(11, false), 1, nil)
 	h.update("d1:1", at(12, false), 1, nil)
@@ -426,7 +426,7 @@
 	h.start()
 	leaving := listings("app", "a1", "a2")
 	for i := range leaving {
-		leaving[i].Replica.Leaving, leaving[i].Replica.Call = true, 50
+		leaving[i].Replica.Leaving, leaving[i].Replica.Sequence = true, 50
 	}
 	h.update("d1:1", leaving, 1, nil)
 	for i := 0; i < 30; i++ {
@@ -445,7 +445,7 @@
 	h.node.params.HeartbeatInterval = time.Hour
 	tell := func(number uint64, text []byte, confirmed time.Duration) {
 		h.version++
-		h.apply(h.node.Receive(h.now, "d1:1", desk.Bulletin{Life: "l", Version: h.version, Number: number, Table: text, Confirmed: confirmed, Nodes: 1}))
+		h.apply(h.node.Receive(h.now, "d1:1", desk.Update{Incarnation: "l", Version: h.version, TableNumber: number, Table: text, ConfirmationAge: confirmed, NodeCount: 1}))
 	}
 	tell(3, tableJSON(3, nil), -1)
 	if h.node.Ready(h.now) || h.node.TableNumber() != 0 {
--- a/peer/relay/overload_test.go
+++ b/peer/relay/overload_test.go
@@ -35,7 +35,7 @@
 		for i := range load {
 			load[i] = outstanding
 		}
-		h.apply(h.node.Receive(h.now, "d1:1", desk.Loads{Life: view.incarnation, Version: view.version, Outstanding: load, Failing: make([]byte, n), Paces: make([]uint16, n)}))
+		h.apply(h.node.Receive(h.now, "d1:1", desk.Loads{Incarnation: view.incarnation, Version: view.version, Outstanding: load, FailureRates: make([]byte, n), UnitTimes: make([]uint16, n)}))
 	}
 }
 
--- a/peer/relay/replicas.go
+++ b/peer/relay/replicas.go
@@ -30,7 +30,7 @@
 
 // listing is a replica as a desk lists it.
 type listing struct {
-	desk.Listed
+	desk.ReplicaEntry
 	// expiresAt is when the listing is dropped; zero means when the desk withdraws it.
 	expiresAt time.Duration
 }
@@ -89,7 +89,7 @@
 // heartbeat of a replica counts. A departure counts from any desk and permanently, even if
 // that desk falls silent or is forgotten.
 func (m *Machine) mergeListings(now time.Duration) {
-	best := map[string]desk.Listed{}
+	best := map[string]desk.ReplicaEntry{}
 	anyAlive := false
 	for _, view := range m.desks {
 		anyAlive = anyAlive || view.alive(now, m.params.HeartbeatInterval)
@@ -108,8 +108,8 @@
 			old, ok := best[id]
 			// A desk that has not heard from the replica for long doesn't overrule one
 			// that has.
-			if !ok || old.Gone && !p.Gone || old.Gone == p.Gone && old.Replica.Call < p.Replica.Call {
-				best[id] = p.Listed
+			if !ok || old.Gone && !p.Gone || old.Gone == p.Gone && old.Replica.Sequence < p.Replica.Sequence {
+				best[id] = p.ReplicaEntry
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 
 // updateReplicas sets the replicas that can be chosen, and forgets those that are no longer
 // listed and have none of this node's requests.
-func (m *Machine) updateReplicas(listed map[string]desk.Listed) {
+func (m *Machine) updateReplicas(listed map[string]desk.ReplicaEntry) {
 	for _, s := range m.services {
 		s.replicas = s.replicas[:0]
 	}
@@ -150,7 +150,7 @@
 			m.replicas[id] = r
 		}
 		r.listed = l.Replica
-		r.estimate.ID, r.estimate.Zone, r.estimate.Slots, r.estimate.Warming = id, l.Replica.Zone, l.Replica.Slots, l.Replica.Cold > 0
+		r.estimate.ID, r.estimate.Zone, r.estimate.Slots, r.estimate.Warming = id, l.Replica.Zone, l.Replica.Slots, l.Replica.WarmupRemaining > 0
 		s := m.serviceOf(l.Replica.Service)
 		s.replicas = append(s.replicas, r.estimate)
 	}
--- a/peer/relay/replicas_test.go
+++ b/peer/relay/replicas_test.go
@@ -10,9 +10,9 @@
 // TestLeavingIsRememberedAfterDeskIsSilent: a replica that one desk listed as leaving is
 // not chosen after that desk falls silent, even if another desk lists it as present.
 func TestLeavingIsRememberedAfterDeskIsSilent(t *testing.T) {
-	for name, last := range map[string]func(l *desk.Listed){
-		"leaving": func(l *desk.Listed) { l.Replica.Leaving, l.Replica.Call = true, 2 },
-		"gone":    func(l *desk.Listed) { l.Gone, l.Final = true, true },
+	for name, last := range map[string]func(l *desk.ReplicaEntry){
+		"leaving": func(l *desk.ReplicaEntry) { l.Replica.Leaving, l.Replica.Sequence = true, 2 },
+		"gone":    func(l *desk.ReplicaEntry) { l.Gone, l.Final = true, true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
@@ -63,7 +63,7 @@
 	h.update("d2:1", nil, 1, nil)
 	asked := func(address string) bool {
 		for _, s := range h.node.Tick(h.now + h.node.params.UpdateInterval).Sends {
-			if _, follows := s.Body.(desk.Follow); follows && s.To == address {
+			if _, follows := s.Body.(desk.Subscribe); follows && s.To == address {
 				return true
 			}
 		}
--- a/peer/relay/stale_table_test.go
+++ b/peer/relay/stale_table_test.go
@@ -11,7 +11,7 @@
 // confirm delivers a desk's confirmation that a table was the newest some time ago.
 func (h *harness) confirm(number uint64, ago time.Duration) {
 	h.version++
-	h.apply(h.node.Receive(h.now, "d1:1", desk.Bulletin{Life: "l", Version: h.version, Number: number, Confirmed: ago, Nodes: 1}))
+	h.apply(h.node.Receive(h.now, "d1:1", desk.Update{Incarnation: "l", Version: h.version, TableNumber: number, ConfirmationAge: ago, NodeCount: 1}))
 }
 
 // unknownRequests are requests with a route or a key that the table lacks, by the status
@@ -57,7 +57,7 @@
 
 	h.advance(staleHeartbeats*h.node.params.HeartbeatInterval + 20*time.Millisecond)
 	h.version++
-	h.apply(h.node.Receive(h.now, "d1:1", desk.Bulletin{Life: "l", Version: h.version, Number: 2, Nodes: 1,
+	h.apply(h.node.Receive(h.now, "d1:1", desk.Update{Incarnation: "l", Version: h.version, TableNumber: 2, NodeCount: 1,
 		Table: tableJSON(2, func(t *route.Table) { t.Routes[0].TimeoutMS = 3500 })}))
 	answers("a newer table was received", false)
 }
--- a/peer/relay/table.go
+++ b/peer/relay/table.go
@@ -36,7 +36,7 @@
 
 // updateTable makes a newer table pending, from its text or from the differences to the
 // pending one.
-func (m *Machine) updateTable(now time.Duration, b desk.Bulletin) {
+func (m *Machine) updateTable(now time.Duration, b desk.Update) {
 	if b.Table != nil {
 		m.wantFull = false
 		m.parseTable(b)
@@ -59,12 +59,12 @@
 
 // parseTable makes the table in an update pending if it is newer. Every desk sends the
 // table to a new node; it is parsed once.
-func (m *Machine) parseTable(b desk.Bulletin) {
-	if m.pending != nil && b.Number <= m.pending.Number {
+func (m *Machine) parseTable(b desk.Update) {
+	if m.pending != nil && b.TableNumber <= m.pending.Number {
 		return
 	}
 	if t, faults := route.Parse(b.Table); faults == nil {
-		m.pending, m.digest = t, b.Digest
+		m.pending, m.digest = t, b.TableDigest
 	}
 }
 
--- a/peer/relay/table_test.go
+++ b/peer/relay/table_test.go
@@ -19,15 +19,15 @@
 }
 
 // lastFollow returns the request for updates that the node sends to a desk.
-func lastFollow(t *testing.T, o Output) desk.Follow {
+func lastFollow(t *testing.T, o Output) desk.Subscribe {
 	t.Helper()
 	for _, s := range o.Sends {
-		if f, ok := s.Body.(desk.Follow); ok {
+		if f, ok := s.Body.(desk.Subscribe); ok {
 			return f
 		}
 	}
 	t.Fatal("no request for updates was sent")
-	return desk.Follow{}
+	return desk.Subscribe{}
 }
 
 // TestNodeAppliesTableDifferences: differences are applied in order. Those to another base
@@ -39,9 +39,9 @@
 	step := func(from, to uint64) route.Difference {
 		return route.Compare(tableOf(t, from), digests[from], tableOf(t, to), digests[to])
 	}
-	tell := func(b desk.Bulletin) {
+	tell := func(b desk.Update) {
 		h.version++
-		b.Life, b.Version, b.Confirmed, b.Nodes = "l", h.version, time.Millisecond, 1
+		b.Incarnation, b.Version, b.ConfirmationAge, b.NodeCount = "l", h.version, time.Millisecond, 1
 		h.apply(h.node.Receive(h.now, "d1:1", b))
 	}
 	want := func(number uint64) {
@@ -50,30 +50,30 @@
 			t.Fatalf("table %d is in force, want %d", h.node.TableNumber(), number)
 		}
 	}
-	tell(desk.Bulletin{Number: 3, Digest: "three", Table: tableJSON(3, nil)})
+	tell(desk.Update{TableNumber: 3, TableDigest: "three", Table: tableJSON(3, nil)})
 	want(3)
-	tell(desk.Bulletin{Number: 6, Digest: "six", Differences: []route.Difference{step(3, 5), step(5, 6)}})
+	tell(desk.Update{TableNumber: 6, TableDigest: "six", Differences: []route.Difference{step(3, 5), step(5, 6)}})
 	want(6)
 	// The same differences from another desk, and from one that is behind.
-	tell(desk.Bulletin{Number: 6, Digest: "six", Differences: []route.Difference{step(3, 5), step(5, 6)}})
-	tell(desk.Bulletin{Number: 5, Digest: "five", Differences: []route.Difference{step(3, 5)}})
+	tell(desk.Update{TableNumber: 6, TableDigest: "six", Differences: []route.Difference{step(3, 5), step(5, 6)}})
+	tell(desk.Update{TableNumber: 5, TableDigest: "five", Differences: []route.Difference{step(3, 5)}})
 	want(6)
 	// A difference to a table that this node does not have.
-	tell(desk.Bulletin{Number: 9, Digest: "nine", Differences: []route.Difference{step(5, 9)}})
+	tell(desk.Update{TableNumber: 9, TableDigest: "nine", Differences: []route.Difference{step(5, 9)}})
 	want(6)
 	h.now += time.Second
-	if f := lastFollow(t, h.node.Tick(h.now)); f.Table != 6 || !f.Differs {
+	if f := lastFollow(t, h.node.Tick(h.now)); f.Table != 6 || !f.AcceptsDifferences {
 		t.Fatalf("request for updates %+v", f)
 	}
 	// The base has the same number but other content.
 	other := step(6, 9)
 	other.BaseDigest = "another six"
-	tell(desk.Bulletin{Number: 9, Digest: "nine", Differences: []route.Difference{other}})
+	tell(desk.Update{TableNumber: 9, TableDigest: "nine", Differences: []route.Difference{other}})
 	want(6)
 	if f := lastFollow(t, h.node.Tick(h.now)); f.Table != 0 {
 		t.Fatalf("request for updates %+v", f)
 	}
-	tell(desk.Bulletin{Number: 9, Digest: "nine", Table: tableJSON(9, nil)})
+	tell(desk.Update{TableNumber: 9, TableDigest: "nine", Table: tableJSON(9, nil)})
 	want(9)
 	if h.node.Counters.BadDifferences != 1 {
 		t.Errorf("%d bad differences counted", h.node.Counters.BadDifferences)
--- a/saffronfall/params/relay.go
+++ b/saffronfall/params/relay.go
@@ -101,7 +101,7 @@
 
 // Desk returns the parameters of a desk.
 func (p Params) Desk() desk.Params {
-	return desk.Params{Core: p.Core(), Beat: ms(p.HeartbeatMS), Seats: int(p.GroupSize), PartsPerCore: int(p.PartitionsPerCore), LoadPeriod: ms(p.LoadShareMS), Within: ms(p.CommandTimeoutMS)}
+	return desk.Params{Core: p.Core(), HeartbeatInterval: ms(p.HeartbeatMS), GroupSize: int(p.GroupSize), PartitionsPerCore: int(p.PartitionsPerCore), LoadInterval: ms(p.LoadShareMS), OperationTimeout: ms(p.CommandTimeoutMS)}
 }
 
 // policy returns the placement policy, given the period of replicas' heartbeats.
