--- a/rehearsalkit/agenda/agenda.go
+++ b/rehearsalkit/agenda/agenda.go
@@ -14,9 +14,9 @@
 }
 
 type event struct {
-	at   time.Duration
-	seq  uint64
-	what func()
+	at  time.Duration
+	seq uint64
+	run func()
 }
 
 type events []event
@@ -41,7 +41,7 @@
 // Add notes something for a time.
 func (a *Agenda) Add(at time.Duration, what func()) {
 	a.seq++
-	heap.Push(&a.events, event{at: at, seq: a.seq, what: what})
+	heap.Push(&a.events, event{at: at, seq: a.seq, run: what})
 }
 
 // Run does what is due up to a time, with the clock at each one's time.
@@ -49,7 +49,7 @@
 	for len(a.events) > 0 && a.events[0].at <= until {
 		e := heap.Pop(&a.events).(event)
 		*now = e.at
-		e.what()
+		e.run()
 	}
 	*now = until
 }
--- a/rehearsalkit/days/command.go
+++ b/rehearsalkit/days/command.go
@@ -30,12 +30,12 @@
 const (
 	defaultLosses   = 1
 	defaultCatchUpS = 4.5
-	inTurn          = "turn"
+	themeRotation   = "turn"
 )
 
 // Run writes the days, and prints their paths.
 func (c *Command) Run() error {
-	wish, err := c.wish()
+	wish, err := c.options()
 	if err != nil {
 		return err
 	}
@@ -43,10 +43,10 @@
 		return errors.Wrap(err, "folder")
 	}
 	for i := range c.Count {
-		if c.Theme == inTurn {
+		if c.Theme == themeRotation {
 			wish.Theme = Themes[(int(c.Seed)+i)%len(Themes)].Name
 		}
-		day := Make(wish, c.Seed+uint64(i))
+		day := Generate(wish, c.Seed+uint64(i))
 		path := filepath.Join(c.Out, day.Name+".toml")
 		if err := os.WriteFile(path, []byte(day.Text()), 0o644); err != nil {
 			return errors.Wrap(err, "day")
@@ -57,29 +57,29 @@
 }
 
 // wish puts the flags and the site's figures together.
-func (c *Command) wish() (Wish, error) {
-	wish := Wish{
-		Theme:    c.Theme,
-		LengthS:  c.Length,
-		Floor:    c.Floor,
-		Losses:   defaultLosses,
-		CatchUpS: defaultCatchUpS,
-		PauseS:   c.Pause,
-		Closing:  c.Closing,
-		Names:    targets{services: c.Service, classes: c.Class},
+func (c *Command) options() (Options, error) {
+	wish := Options{
+		Theme:      c.Theme,
+		LengthS:    c.Length,
+		Floor:      c.Floor,
+		MaxLosses:  defaultLosses,
+		CatchUpS:   defaultCatchUpS,
+		MeanPauseS: c.Pause,
+		Closing:    c.Closing,
+		Targets:    targets{services: c.Service, classes: c.Class},
 	}
 	if c.Site != "" {
 		read, err := readSite(c.Site)
 		if err != nil {
-			return Wish{}, err
+			return Options{}, err
 		}
 		if wish.Traffic, err = read.traffic(c.Load); err != nil {
-			return Wish{}, err
+			return Options{}, err
 		}
-		wish.Losses, wish.CatchUpS = max(wish.Losses, read.Tolerate.Machines), read.Timing.CatchUpS
+		wish.MaxLosses, wish.CatchUpS = max(wish.MaxLosses, read.Tolerate.Machines), read.Timing.CatchUpS
 	}
 	if c.Losses > 0 {
-		wish.Losses = c.Losses
+		wish.MaxLosses = c.Losses
 	}
 	if c.CatchUp > 0 {
 		wish.CatchUpS = c.CatchUp
@@ -88,18 +88,18 @@
 }
 
 // check refuses what no day can be made of.
-func (c *Command) check(wish Wish) error {
-	if _, known := themeNamed(c.Theme); !known && c.Theme != inTurn {
+func (c *Command) check(wish Options) error {
+	if _, known := themeNamed(c.Theme); !known && c.Theme != themeRotation {
 		return errors.Newf("no theme %q", c.Theme)
 	}
-	if _, known := closings[c.Closing]; !known && c.Closing != closingNone && c.Closing != closingByLot {
+	if _, known := closingVariants[c.Closing]; !known && c.Closing != closingNone && c.Closing != closingRandom {
 		return errors.Newf("no closing fault %q", c.Closing)
 	}
-	if wish.PauseS < shortestPauseS || wish.LengthS <= firstS+lastS {
+	if wish.MeanPauseS < minPauseS || wish.LengthS <= firstEntryS+quietEndS {
 		return errors.New("a day needs pauses of a tenth of a second at least, and over 7.5 seconds")
 	}
 	return nil
 }
 
 // shortestPauseS keeps the number of entries of a day in bounds.
-const shortestPauseS = 0.1
+const minPauseS = 0.1
--- a/rehearsalkit/days/day.go
+++ b/rehearsalkit/days/day.go
@@ -64,42 +64,42 @@
 }
 
 // Wish is what a caller asks of days.
-type Wish struct {
+type Options struct {
 	Theme   string
 	LengthS float64
 	Floor   float64
 	// Losses is how many machines of a group may be lost at once.
-	Losses int
+	MaxLosses int
 	// CatchUpS is how long a machine counts as lost after its return.
 	CatchUpS float64
 	// PauseS is the mean pause between two sequences of the theme.
-	PauseS  float64
-	Closing string
-	Names   targets
-	Traffic []string
+	MeanPauseS float64
+	Closing    string
+	Targets    targets
+	Traffic    []string
 }
 
 // firstS is when the first entry strikes; untilS before its end, none does.
 const (
-	firstS = 1.5
-	lastS  = 6.0
+	firstEntryS = 1.5
+	quietEndS   = 6.0
 )
 
 // closings are the closing faults, and in which ways each may strike.
-var closings = map[string][]string{
+var closingVariants = map[string][]string{
 	"power_off_all":  {"all", "timed", "taken"},
 	"wipe_after_ack": {"", "all", "timed", "taken"},
 	"kill_all":       {"", "timed"},
 }
 
 // Make draws the day of a seed.
-func Make(wish Wish, seed uint64) Day {
-	random := rand.New(rand.NewPCG(seed, streamOfDays))
+func Generate(wish Options, seed uint64) Day {
+	random := rand.New(rand.NewPCG(seed, randomStream))
 	theme, _ := themeNamed(wish.Theme)
-	maker := maker{wish: wish, random: random, ledger: ledger{most: wish.Losses, catchUpS: wish.CatchUpS}}
-	maker.sequences(theme)
-	maker.orders(theme)
-	maker.changes(theme)
+	maker := generator{options: wish, random: random, schedule: lossSchedule{maxMachines: wish.MaxLosses, catchUpS: wish.CatchUpS}}
+	maker.addSequences(theme)
+	maker.addPlanned(theme)
+	maker.addChanges(theme)
 	slices.SortStableFunc(maker.entries, func(a, b Entry) int {
 		switch {
 		case a.AtS < b.AtS:
@@ -121,21 +121,21 @@
 }
 
 // streamOfDays keeps these draws apart from those of other users of a seed.
-const streamOfDays = 0x646179
+const randomStream = 0x646179
 
 // Closings by lot and none.
 const (
-	closingByLot = "random"
-	closingNone  = "none"
+	closingRandom = "random"
+	closingNone   = "none"
 )
 
 // drawClosing draws how a closing fault strikes.
 func drawClosing(random *rand.Rand, wanted string) *Closing {
-	if wanted == closingByLot {
+	if wanted == closingRandom {
 		wanted = pick(random, []string{closingNone, "power_off_all", "wipe_after_ack", "kill_all"})
 	}
 	if wanted == closingNone {
 		return nil
 	}
-	return &Closing{Kind: wanted, DownS: rounded(0.5 + random.Float64()), How: pick(random, closings[wanted])}
+	return &Closing{Kind: wanted, DownS: rounded(0.5 + random.Float64()), How: pick(random, closingVariants[wanted])}
 }
--- a/rehearsalkit/days/days_test.go
+++ b/rehearsalkit/days/days_test.go
@@ -9,26 +9,26 @@
 	"github.com/BurntSushi/toml"
 )
 
-func wishOf(theme string) Wish {
-	return Wish{Theme: theme, LengthS: 60, Floor: 0.3, Losses: 1, CatchUpS: 4.5, PauseS: 2, Closing: closingByLot}
+func optionsFor(theme string) Options {
+	return Options{Theme: theme, LengthS: 60, Floor: 0.3, MaxLosses: 1, CatchUpS: 4.5, MeanPauseS: 2, Closing: closingRandom}
 }
 
 func TestSameSeedSameBytes(t *testing.T) {
 	for _, theme := range Themes {
-		first, second := Make(wishOf(theme.Name), 7).Text(), Make(wishOf(theme.Name), 7).Text()
+		first, second := Generate(optionsFor(theme.Name), 7).Text(), Generate(optionsFor(theme.Name), 7).Text()
 		if first != second {
 			t.Fatalf("%s: two days of one seed differ", theme.Name)
 		}
-		if first == Make(wishOf(theme.Name), 8).Text() {
+		if first == Generate(optionsFor(theme.Name), 8).Text() {
 			t.Fatalf("%s: two seeds made the same day", theme.Name)
 		}
 	}
 }
 
-func TestEveryKindAndVariantIsReached(t *testing.T) {
+func TestEveryKindAndVariantIsDrawn(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(400) {
-		for _, entry := range Make(wishOf(anyTheme), seed).Entries {
+		for _, entry := range Generate(optionsFor(anyTheme), seed).Entries {
 			seen[entry.Kind.Name+"/"+entry.text("how")] = true
 			seen[entry.Kind.Name] = true
 		}
@@ -47,7 +47,7 @@
 
 func TestThemesNameKnownKindsAndVariants(t *testing.T) {
 	for _, theme := range Themes {
-		steps := append([]Step{}, theme.Orders...)
+		steps := append([]Step{}, theme.Planned...)
 		for _, sequence := range theme.Sequences {
 			steps = append(steps, sequence...)
 		}
@@ -62,7 +62,7 @@
 				}
 			}
 		}
-		for _, order := range theme.Orders {
+		for _, order := range theme.Planned {
 			if kind, _ := kindNamed(order.Kind); !kind.Planned {
 				t.Errorf("%s: order %s is no planned work", theme.Name, order.Kind)
 			}
@@ -81,13 +81,13 @@
 
 // TestNeverMoreLossesThanAskedFor counts, at each loss's start, the machines of
 // its group that are away then.
-func TestNeverMoreLossesThanAskedFor(t *testing.T) {
+func TestConcurrentLossesStayWithinLimit(t *testing.T) {
 	for _, theme := range Themes {
 		for most := 1; most <= 2; most++ {
 			for seed := range uint64(200) {
-				wish := wishOf(theme.Name)
-				wish.Losses = most
-				checkLosses(t, Make(wish, seed), most, wish.CatchUpS)
+				wish := optionsFor(theme.Name)
+				wish.MaxLosses = most
+				checkLosses(t, Generate(wish, seed), most, wish.CatchUpS)
 			}
 		}
 	}
@@ -98,11 +98,11 @@
 	for _, entry := range day.Entries {
 		away := 0
 		for _, other := range day.Entries {
-			if sameGroup(entry, other) && other.AtS <= entry.AtS && entry.AtS < other.AtS+other.lostS()+catchUpS {
+			if sameGroup(entry, other) && other.AtS <= entry.AtS && entry.AtS < other.AtS+other.lossDurationS()+catchUpS {
 				away += other.machinesLost()
 			}
 		}
-		if entry.Kind.Lossy && away > most {
+		if entry.Kind.CausesLoss && away > most {
 			t.Fatalf("%s: %d machines lost at %v, asked for %d", day.Name, away, entry.AtS, most)
 		}
 	}
@@ -110,37 +110,37 @@
 
 func sameGroup(a, b Entry) bool {
 	stores := func(e Entry) bool { return e.Group == Store || e.Kind.Name == "retire" }
-	return a.Kind.Lossy && b.Kind.Lossy && stores(a) == stores(b)
+	return a.Kind.CausesLoss && b.Kind.CausesLoss && stores(a) == stores(b)
 }
 
 func TestDaysAreDense(t *testing.T) {
 	for _, theme := range Themes {
 		entries := 0
 		for seed := range uint64(20) {
-			entries += len(Make(wishOf(theme.Name), seed).Entries)
+			entries += len(Generate(optionsFor(theme.Name), seed).Entries)
 		}
 		if entries < 20*10 {
 			t.Errorf("%s: %d entries in 20 days", theme.Name, entries)
 		}
 	}
-	if entries := len(Make(wishOf("changes"), 3).Entries); entries < 120 {
+	if entries := len(Generate(optionsFor("changes"), 3).Entries); entries < 120 {
 		t.Errorf("a day of changes has %d entries, want hundreds", entries)
 	}
 }
 
-func TestSecondLossFollowsTheRepairAtOnce(t *testing.T) {
+func TestSecondLossFollowsRepairImmediately(t *testing.T) {
 	closest := 1000.0
 	for seed := range uint64(50) {
 		previous := map[bool]float64{}
-		for _, entry := range Make(wishOf("repair"), seed).Entries {
-			if !entry.Kind.Lossy {
+		for _, entry := range Generate(optionsFor("repair"), seed).Entries {
+			if !entry.Kind.CausesLoss {
 				continue
 			}
 			stores := entry.Group == Store || entry.Kind.Name == "retire"
 			if ended, ok := previous[stores]; ok {
 				closest = min(closest, entry.AtS-ended)
 			}
-			previous[stores] = entry.AtS + entry.lostS() + 4.5
+			previous[stores] = entry.AtS + entry.lossDurationS() + 4.5
 		}
 	}
 	if closest > 0.1 {
@@ -148,9 +148,9 @@
 	}
 }
 
-func TestTextIsReadBack(t *testing.T) {
+func TestTextParsesAsTOML(t *testing.T) {
 	for _, theme := range Themes {
-		wish := wishOf(theme.Name)
+		wish := optionsFor(theme.Name)
 		wish.Closing = "wipe_after_ack"
 		var read struct {
 			Day []struct {
@@ -160,7 +160,7 @@
 				Closing map[string]any
 			}
 		}
-		day := Make(wish, 5)
+		day := Generate(wish, 5)
 		if _, err := toml.Decode(day.Text(), &read); err != nil {
 			t.Fatalf("%s: %v\n%s", theme.Name, err, day.Text())
 		}
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestSiteFileGivesTrafficAndTolerance(t *testing.T) {
+func TestSiteFileSetsTrafficAndTolerance(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "site.toml")
 	text := `traffic = [{ zone = "north", per_s = 8.0, mix = { ask = 2.0 }, shape = { kind = "wave" } }]
@@ -185,12 +185,12 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	command := Command{Theme: inTurn, Seed: 1, Count: 3, Length: 30, Pause: 2, Closing: closingNone, Site: path, Load: 0.5, Out: filepath.Join(folder, "out")}
-	wish, err := command.wish()
+	command := Command{Theme: themeRotation, Seed: 1, Count: 3, Length: 30, Pause: 2, Closing: closingNone, Site: path, Load: 0.5, Out: filepath.Join(folder, "out")}
+	wish, err := command.options()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if wish.Losses != 2 || wish.CatchUpS != 6.5 || len(wish.Traffic) != 1 || !strings.Contains(wish.Traffic[0], "per_s = 4") {
+	if wish.MaxLosses != 2 || wish.CatchUpS != 6.5 || len(wish.Traffic) != 1 || !strings.Contains(wish.Traffic[0], "per_s = 4") {
 		t.Fatalf("wish %+v", wish)
 	}
 	if err := command.Run(); err != nil {
@@ -202,7 +202,7 @@
 	}
 }
 
-func TestFlagsThatMakeNoDayAreRefused(t *testing.T) {
+func TestInvalidFlagsAreRejected(t *testing.T) {
 	usual := Command{Theme: "cut", Length: 30, Pause: 2, Closing: closingNone}
 	for name, spoil := range map[string]func(*Command){
 		"theme":   func(c *Command) { c.Theme = "unknown" },
@@ -212,7 +212,7 @@
 	} {
 		command := usual
 		spoil(&command)
-		if _, err := command.wish(); err == nil {
+		if _, err := command.options(); err == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
--- a/rehearsalkit/days/entry.go
+++ b/rehearsalkit/days/entry.go
@@ -48,12 +48,12 @@
 }
 
 // lostS is how long the entry itself keeps machines away.
-func (e Entry) lostS() float64 {
-	length := e.Kind.LastsS
-	if told, ok := e.number(lasting); ok {
+func (e Entry) lossDurationS() float64 {
+	length := e.Kind.DefaultLossS
+	if told, ok := e.number(fieldDuration); ok {
 		length = max(length, told)
 	}
-	if wait, ok := e.number(times); ok && e.Kind.Name == "replace_core" {
+	if wait, ok := e.number(fieldFactor); ok && e.Kind.Name == "replace_core" {
 		length = max(length, wait)
 	}
 	return length
@@ -61,10 +61,10 @@
 
 // machinesLost is how many machines the entry takes at once, for the ledger.
 func (e Entry) machinesLost() int {
-	if !e.Kind.Lossy {
+	if !e.Kind.CausesLoss {
 		return 0
 	}
-	if told, ok := e.number(count); ok {
+	if told, ok := e.number(fieldCount); ok {
 		return int(told)
 	}
 	return 1
--- a/rehearsalkit/days/theme.go
+++ b/rehearsalkit/days/theme.go
@@ -29,7 +29,7 @@
 	// Sequences of steps follow each other through the day, drawn by lot.
 	Sequences [][]Step
 	// Orders are planned work that goes on beside them all day.
-	Orders []Step
+	Planned []Step
 	// ChangesS is the pause between single changes of the configuration; 0: none.
 	ChangesS Field
 }
@@ -48,30 +48,30 @@
 	{
 		Name: "cut",
 		Sequences: [][]Step{
-			{{Kind: "core_cut", Group: Core, Fixed: []Field{exactly(lasting, 20)}}},
+			{{Kind: "core_cut", Group: Core, Fixed: []Field{exactly(fieldDuration, 20)}}},
 			{
-				{Kind: "core_cut", Group: Core, Fixed: []Field{between(lasting, 4, 8)}},
+				{Kind: "core_cut", Group: Core, Fixed: []Field{between(fieldDuration, 4, 8)}},
 				{Kind: "core_cut", Group: Core, Variants: []string{"leader race hard", "leader one_way race", "both", "seeds"}, AfterRepair: true},
 			},
-			{{Kind: "core_cut", Group: Store, Fixed: []Field{between(lasting, 5, 20)}}},
+			{{Kind: "core_cut", Group: Store, Fixed: []Field{between(fieldDuration, 5, 20)}}},
 			{
-				{Kind: "node_cut", Group: Front, Fixed: []Field{between(lasting, 4, 20)}},
+				{Kind: "node_cut", Group: Front, Fixed: []Field{between(fieldDuration, 4, 20)}},
 				{Kind: "reset_conns", AfterS: between("", 0.2, 2)},
 			},
-			{{Kind: "core_cut", Group: Core, Variants: []string{"leader one_way race hard"}, Fixed: []Field{exactly(lasting, 20)}}, {Kind: "reset_conns", AfterS: between("", 19, 21)}},
+			{{Kind: "core_cut", Group: Core, Variants: []string{"leader one_way race hard"}, Fixed: []Field{exactly(fieldDuration, 20)}}, {Kind: "reset_conns", AfterS: between("", 19, 21)}},
 		},
-		Orders: []Step{{Kind: "config_race", Fixed: []Field{between(count, 4, 10)}}, {Kind: "config_change"}, {Kind: "bad_config"}},
+		Planned: []Step{{Kind: "config_race", Fixed: []Field{between(fieldCount, 4, 10)}}, {Kind: "config_change"}, {Kind: "bad_config"}},
 	},
 	{
 		Name: "orders",
 		Sequences: [][]Step{
 			{{Kind: "ack_lost"}, {Kind: "node_kill", Group: Core, Variants: []string{"leader race hard", "leader race drain", "power leader race hard"}, AfterS: between("", 1, 4)}},
-			{{Kind: "ack_lost"}, {Kind: "core_cut", Group: Core, Variants: []string{"leader race hard", "leader race", "leader one_way race hard"}, Fixed: []Field{between(lasting, 3, 9)}, AfterS: between("", 1, 4)}},
+			{{Kind: "ack_lost"}, {Kind: "core_cut", Group: Core, Variants: []string{"leader race hard", "leader race", "leader one_way race hard"}, Fixed: []Field{between(fieldDuration, 3, 9)}, AfterS: between("", 1, 4)}},
 			{{Kind: "ack_lost"}, {Kind: "after_ack_kill", AfterS: between("", 0, 3)}},
 			{{Kind: "node_freeze", Group: Core, Variants: []string{"leader race hard", "leader"}}, {Kind: "hup", AfterS: between("", 0.5, 2)}},
 			{{Kind: "node_kill", Group: Store}, {Kind: "ack_lost", AfterS: between("", 0, 1)}},
 		},
-		Orders:   []Step{{Kind: "config_race", Fixed: []Field{between(count, 6, 14)}}, {Kind: "bad_config"}, {Kind: "config_race"}, {Kind: "revoke"}, {Kind: "config_change"}},
+		Planned:  []Step{{Kind: "config_race", Fixed: []Field{between(fieldCount, 6, 14)}}, {Kind: "bad_config"}, {Kind: "config_race"}, {Kind: "revoke"}, {Kind: "config_change"}},
 		ChangesS: between("", 0.8, 2),
 	},
 	{
@@ -87,7 +87,7 @@
 			{{Kind: "node_kill", Group: Core, Variants: []string{"power"}}, {Kind: "after_ack_wipe", Variants: []string{"taken"}, AfterRepair: true}},
 			{{Kind: "herd_kill", Group: Front, Variants: []string{"power"}}, {Kind: "after_ack_wipe", Variants: []string{"taken", "timed"}, AfterRepair: true}},
 		},
-		Orders: []Step{{Kind: "config_race"}, {Kind: "config_change"}, {Kind: "roll_term"}},
+		Planned: []Step{{Kind: "config_race"}, {Kind: "config_change"}, {Kind: "roll_term"}},
 	},
 	{
 		Name: "changes",
@@ -95,10 +95,10 @@
 			{{Kind: "disk_slow"}, {Kind: "node_kill", Group: Core, AfterRepair: true}},
 			{{Kind: "disk_full"}, {Kind: "node_kill", Group: Store, Variants: []string{"", "power"}, AfterRepair: true}},
 			{{Kind: "disk_stall"}, {Kind: "after_ack_kill", AfterRepair: true}},
-			{{Kind: "node_kill", Group: Core, Fixed: []Field{between(lasting, 8, 15)}}, {Kind: "node_kill", Group: Core, Variants: []string{"power"}, AfterRepair: true}},
-			{{Kind: "node_kill", Group: Store, Fixed: []Field{between(lasting, 6, 12)}}, {Kind: "roll_term", AfterRepair: true}},
+			{{Kind: "node_kill", Group: Core, Fixed: []Field{between(fieldDuration, 8, 15)}}, {Kind: "node_kill", Group: Core, Variants: []string{"power"}, AfterRepair: true}},
+			{{Kind: "node_kill", Group: Store, Fixed: []Field{between(fieldDuration, 6, 12)}}, {Kind: "roll_term", AfterRepair: true}},
 		},
-		Orders:   []Step{{Kind: "config_race", Fixed: []Field{between(count, 10, 30), between(gap, 0.2, 0.5)}}, {Kind: "roll_term"}},
+		Planned:  []Step{{Kind: "config_race", Fixed: []Field{between(fieldCount, 10, 30), between(fieldGap, 0.2, 0.5)}}, {Kind: "roll_term"}},
 		ChangesS: between("", 0.15, 0.5),
 	},
 	{
@@ -111,7 +111,7 @@
 			{{Kind: "srv_crash"}, {Kind: "replace_with_reuse", Variants: []string{"dark", "drain"}, AfterS: between("", 0, 2)}, {Kind: "garble", AfterS: between("", 0, 1)}},
 			{{Kind: "burst"}, {Kind: "answer_lost", AfterS: between("", 0, 1)}, {Kind: "srv_slow", AfterS: between("", 0, 1)}},
 		},
-		Orders: []Step{{Kind: "release"}, {Kind: "roll_term", Variants: []string{"busy"}}, {Kind: "config_change", Variants: []string{"timeout", "weights"}}},
+		Planned: []Step{{Kind: "release"}, {Kind: "roll_term", Variants: []string{"busy"}}, {Kind: "config_change", Variants: []string{"timeout", "weights"}}},
 	},
 	{Name: anyTheme},
 }
--- a/rehearsalkit/faultdisk/core.go
+++ b/rehearsalkit/faultdisk/core.go
@@ -16,7 +16,7 @@
 )
 
 // PowerLost is the exit code of a core whose machine has lost power.
-const PowerLost = 77
+const PowerLossExitCode = 77
 
 // Command runs the shipped core role on a disk of this package, which is told over HTTP
 // what ails it.
@@ -33,7 +33,7 @@
 		life, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		d := New(life, c.Seed)
-		server := &http.Server{Addr: c.Control, Handler: controls(d), ReadHeaderTimeout: time.Second}
+		server := &http.Server{Addr: c.Control, Handler: controlHandler(d), ReadHeaderTimeout: time.Second}
 		context.AfterFunc(life, func() { server.Close() })
 		go func() {
 			if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
@@ -46,7 +46,7 @@
 
 // controls let somebody outside make the disk fail: PUT /faults with full, stalled and
 // slow_ms, and POST /power, which ends the process.
-func controls(d *Disk) http.Handler {
+func controlHandler(d *Disk) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
@@ -58,7 +58,7 @@
 		w.WriteHeader(http.StatusNoContent)
 	})
 	mux.HandleFunc("POST /power", func(w http.ResponseWriter, r *http.Request) {
-		err := d.LosePower(func() { os.Exit(PowerLost) })
+		err := d.LosePower(func() { os.Exit(PowerLossExitCode) })
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 	})
 	return mux
--- a/rehearsalkit/faultdisk/disk.go
+++ b/rehearsalkit/faultdisk/disk.go
@@ -32,7 +32,7 @@
 type Disk struct {
 	ctx context.Context
 	// asks are carried out by the owner, one after the other.
-	asks chan func(s *state)
+	operations chan func(s *state)
 }
 
 // state is what the owner knows.
@@ -41,14 +41,14 @@
 	random *rand.Rand
 	// names are the files as they are called now, durable as a loss of power leaves them
 	// at least.
-	names, durable map[string]*file
+	current, durable map[string]*file
 	// renames are the changes of names since their folder was synced.
-	renames []rename
+	nameChanges []nameChange
 }
 
 // rename is one change of a name. One without a former name makes a file, one without a
 // new name removes it.
-type rename struct {
+type nameChange struct {
 	from, to string
 	file     *file
 }
@@ -61,21 +61,21 @@
 
 // write is one write, or a cut to a size where it has no bytes.
 type write struct {
-	at    int64
-	bytes []byte
-	cut   bool
+	offset   int64
+	bytes    []byte
+	truncate bool
 }
 
 // apply carries a write out on a content.
 func (w write) apply(content []byte) []byte {
-	if w.cut {
-		return resized(content, w.at)
+	if w.truncate {
+		return resized(content, w.offset)
 	}
-	end := w.at + int64(len(w.bytes))
+	end := w.offset + int64(len(w.bytes))
 	if end > int64(len(content)) {
 		content = resized(content, end)
 	}
-	copy(content[w.at:], w.bytes)
+	copy(content[w.offset:], w.bytes)
 	return content
 }
 
@@ -87,12 +87,12 @@
 
 // New makes a disk without faults, until the context ends.
 func New(ctx context.Context, seed uint64) *Disk {
-	d := &Disk{ctx: ctx, asks: make(chan func(s *state))}
-	s := &state{random: rand.New(rand.NewPCG(seed, 7)), names: map[string]*file{}, durable: map[string]*file{}}
+	d := &Disk{ctx: ctx, operations: make(chan func(s *state))}
+	s := &state{random: rand.New(rand.NewPCG(seed, 7)), current: map[string]*file{}, durable: map[string]*file{}}
 	go func() {
 		for {
 			select {
-			case ask := <-d.asks:
+			case ask := <-d.operations:
 				ask(s)
 			case <-ctx.Done():
 				return
@@ -106,7 +106,7 @@
 func (d *Disk) do(what func(s *state) error) error {
 	done := make(chan error, 1)
 	select {
-	case d.asks <- func(s *state) { done <- what(s) }:
+	case d.operations <- func(s *state) { done <- what(s) }:
 		return <-done
 	case <-d.ctx.Done():
 		return d.ctx.Err()
@@ -122,10 +122,10 @@
 }
 
 // stallPoll is how often an operation looks whether the disk is still stalled.
-const stallPoll = 5 * time.Millisecond
+const stallPollInterval = 5 * time.Millisecond
 
 // wait waits while the disk is stalled, and as long as it is slow.
-func (d *Disk) wait() error {
+func (d *Disk) awaitReady() error {
 	for waited := false; ; {
 		var f Faults
 		if err := d.do(func(s *state) error {
@@ -134,7 +134,7 @@
 		}); err != nil {
 			return err
 		}
-		pause := stallPoll
+		pause := stallPollInterval
 		switch {
 		case !f.Stalled && (f.Slow == 0 || waited):
 			return nil
@@ -152,8 +152,8 @@
 }
 
 // known is the file of a name, which is read when it is first named.
-func (s *state) known(name string) (*file, error) {
-	if f, ok := s.names[name]; ok {
+func (s *state) lookup(name string) (*file, error) {
+	if f, ok := s.current[name]; ok {
 		return f, nil
 	}
 	content, err := os.ReadFile(name)
@@ -161,18 +161,18 @@
 		return nil, err
 	}
 	f := &file{synced: content}
-	s.names[name], s.durable[name] = f, f
+	s.current[name], s.durable[name] = f, f
 	return f, nil
 }
 
 // OpenFile opens a file.
 func (d *Disk) OpenFile(name string, flag int, mode os.FileMode) (disk.File, error) {
-	if err := d.wait(); err != nil {
+	if err := d.awaitReady(); err != nil {
 		return nil, err
 	}
 	var opened disk.File
 	return opened, d.do(func(s *state) error {
-		f, err := s.known(name)
+		f, err := s.lookup(name)
 		isNew := os.IsNotExist(err)
 		if err != nil && !isNew {
 			return err
@@ -184,19 +184,19 @@
 		switch {
 		case isNew:
 			f = &file{}
-			s.names[name] = f
-			s.renames = append(s.renames, rename{to: name, file: f})
+			s.current[name] = f
+			s.nameChanges = append(s.nameChanges, nameChange{to: name, file: f})
 		case flag&os.O_TRUNC != 0:
-			f.writes = append(f.writes, write{cut: true})
+			f.writes = append(f.writes, write{truncate: true})
 		}
-		opened = &handle{disk: d, name: name, file: f, real: real, appends: flag&os.O_APPEND != 0}
+		opened = &handle{disk: d, name: name, file: f, real: real, appendOnly: flag&os.O_APPEND != 0}
 		return nil
 	})
 }
 
 // ReadFile reads a file whole.
 func (d *Disk) ReadFile(name string) ([]byte, error) {
-	if err := d.wait(); err != nil {
+	if err := d.awaitReady(); err != nil {
 		return nil, err
 	}
 	return os.ReadFile(name)
@@ -204,67 +204,67 @@
 
 // Rename renames a file. The new name lasts once its folder was synced.
 func (d *Disk) Rename(from, to string) error {
-	if err := d.wait(); err != nil {
+	if err := d.awaitReady(); err != nil {
 		return err
 	}
 	return d.do(func(s *state) error {
-		f, err := s.known(from)
+		f, err := s.lookup(from)
 		if err != nil {
 			return err
 		}
-		if _, err := s.known(to); err != nil && !os.IsNotExist(err) {
+		if _, err := s.lookup(to); err != nil && !os.IsNotExist(err) {
 			return err
 		}
 		if err := os.Rename(from, to); err != nil {
 			return err
 		}
-		delete(s.names, from)
-		s.names[to] = f
-		s.renames = append(s.renames, rename{from: from, to: to, file: f})
+		delete(s.current, from)
+		s.current[to] = f
+		s.nameChanges = append(s.nameChanges, nameChange{from: from, to: to, file: f})
 		return nil
 	})
 }
 
 // Remove removes a file.
 func (d *Disk) Remove(name string) error {
-	if err := d.wait(); err != nil {
+	if err := d.awaitReady(); err != nil {
 		return err
 	}
 	return d.do(func(s *state) error {
-		f, err := s.known(name)
+		f, err := s.lookup(name)
 		if err != nil {
 			return err
 		}
 		if err := os.Remove(name); err != nil {
 			return err
 		}
-		delete(s.names, name)
-		s.renames = append(s.renames, rename{from: name, file: f})
+		delete(s.current, name)
+		s.nameChanges = append(s.nameChanges, nameChange{from: name, file: f})
 		return nil
 	})
 }
 
 // SyncDir makes the names in a folder durable.
 func (d *Disk) SyncDir(path string) error {
-	if err := d.wait(); err != nil {
+	if err := d.awaitReady(); err != nil {
 		return err
 	}
 	return d.do(func(s *state) error {
-		var others []rename
-		for _, r := range s.renames {
+		var others []nameChange
+		for _, r := range s.nameChanges {
 			if filepath.Dir(r.from) != path && filepath.Dir(r.to) != path {
 				others = append(others, r)
 				continue
 			}
 			r.apply(s.durable)
 		}
-		s.renames = others
+		s.nameChanges = others
 		return nil
 	})
 }
 
 // apply carries a change of a name out.
-func (r rename) apply(names map[string]*file) {
+func (r nameChange) apply(names map[string]*file) {
 	if r.from != "" && names[r.from] == r.file {
 		delete(names, r.from)
 	}
@@ -279,15 +279,15 @@
 		f.synced = w.apply(f.synced)
 	}
 	f.writes = nil
-	kept := s.renames[:0]
-	for _, r := range s.renames {
+	kept := s.nameChanges[:0]
+	for _, r := range s.nameChanges {
 		if r.file == f && r.from == "" {
 			r.apply(s.durable)
 			continue
 		}
 		kept = append(kept, r)
 	}
-	s.renames = kept
+	s.nameChanges = kept
 }
 
 // LosePower makes of the files what a loss of power leaves of them, and then ends the
@@ -304,20 +304,20 @@
 
 const (
 	// loseAllChance is how likely a loss of power takes every write that was not synced.
-	loseAllChance = 0.3
+	loseAllProbability = 0.3
 	// block is what a torn write loses or keeps at a time.
-	block = 512
+	sectorSize = 512
 )
 
 func (s *state) losePower() error {
-	losesAll := s.random.Float64() < loseAllChance
+	losesAll := s.random.Float64() < loseAllProbability
 	names := s.durable
-	for _, r := range s.renames {
+	for _, r := range s.nameChanges {
 		if !losesAll && s.random.IntN(2) == 0 {
 			r.apply(names)
 		}
 	}
-	for name := range s.names {
+	for name := range s.current {
 		if err := os.Remove(name); err != nil && !os.IsNotExist(err) {
 			return errors.Wrap(err, "a loss of power")
 		}
@@ -326,7 +326,7 @@
 		content := append([]byte(nil), f.synced...)
 		for _, w := range f.writes {
 			if !losesAll {
-				content = s.mayApply(content, w)
+				content = s.applyRandomly(content, w)
 			}
 		}
 		if err := os.WriteFile(name, content, 0o600); err != nil {
@@ -337,20 +337,20 @@
 }
 
 // mayApply keeps, loses or tears a write.
-func (s *state) mayApply(content []byte, w write) []byte {
+func (s *state) applyRandomly(content []byte, w write) []byte {
 	switch s.random.IntN(3) {
 	case 0:
 		return content
 	case 1:
 		return w.apply(content)
 	}
-	if w.cut {
+	if w.truncate {
 		return content
 	}
-	for at := 0; at < len(w.bytes); at += block {
+	for at := 0; at < len(w.bytes); at += sectorSize {
 		if s.random.IntN(2) == 0 {
-			piece := w.bytes[at:min(at+block, len(w.bytes))]
-			content = write{at: w.at + int64(at), bytes: piece}.apply(content)
+			piece := w.bytes[at:min(at+sectorSize, len(w.bytes))]
+			content = write{offset: w.offset + int64(at), bytes: piece}.apply(content)
 		}
 	}
 	return content
@@ -358,17 +358,17 @@
 
 // handle is an open file.
 type handle struct {
-	disk    *Disk
-	name    string
-	file    *file
-	real    *os.File
-	at      int64
-	appends bool
+	disk       *Disk
+	name       string
+	file       *file
+	real       *os.File
+	offset     int64
+	appendOnly bool
 }
 
 // Write writes at the handle's place. On a full disk a part of it is written.
 func (h *handle) Write(raw []byte) (written int, err error) {
-	if err := h.disk.wait(); err != nil {
+	if err := h.disk.awaitReady(); err != nil {
 		return 0, err
 	}
 	err = h.disk.do(func(s *state) error {
@@ -376,19 +376,19 @@
 		if s.faults.Full {
 			part = raw[:s.random.IntN(len(raw)+1)]
 		}
-		if h.appends {
+		if h.appendOnly {
 			end, err := h.real.Seek(0, io.SeekEnd)
 			if err != nil {
 				return err
 			}
-			h.at = end
+			h.offset = end
 		}
 		var err error
 		if written, err = h.real.Write(part); err != nil {
 			return err
 		}
-		h.file.writes = append(h.file.writes, write{at: h.at, bytes: append([]byte(nil), part...)})
-		h.at += int64(written)
+		h.file.writes = append(h.file.writes, write{offset: h.offset, bytes: append([]byte(nil), part...)})
+		h.offset += int64(written)
 		if s.faults.Full {
 			return &os.PathError{Op: "write", Path: h.name, Err: syscall.ENOSPC}
 		}
@@ -401,7 +401,7 @@
 func (h *handle) Seek(offset int64, whence int) (int64, error) {
 	at, err := h.real.Seek(offset, whence)
 	if err == nil {
-		h.at = at
+		h.offset = at
 	}
 	return at, err
 }
@@ -412,14 +412,14 @@
 		if err := h.real.Truncate(size); err != nil {
 			return err
 		}
-		h.file.writes = append(h.file.writes, write{at: size, cut: true})
+		h.file.writes = append(h.file.writes, write{offset: size, truncate: true})
 		return nil
 	})
 }
 
 // Sync makes the file's content last.
 func (h *handle) Sync() error {
-	if err := h.disk.wait(); err != nil {
+	if err := h.disk.awaitReady(); err != nil {
 		return err
 	}
 	return h.disk.do(func(s *state) error {
--- a/rehearsalkit/faultdisk/disk_test.go
+++ b/rehearsalkit/faultdisk/disk_test.go
@@ -13,7 +13,7 @@
 )
 
 // folder opens the product's folder on a disk of its own.
-func folder(t *testing.T, seed uint64, path string) (*Disk, *disk.Store, disk.Contents) {
+func openStore(t *testing.T, seed uint64, path string) (*Disk, *disk.Store, disk.Contents) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -27,13 +27,13 @@
 
 // TestWhatIsSyncedOutlivesPower: whatever a loss of power takes, the product's folder
 // holds all that it acknowledged, and at most what was written besides.
-func TestWhatIsSyncedOutlivesPower(t *testing.T) {
+func TestSyncedDataSurvivesPowerLoss(t *testing.T) {
 	tornTails := 0
 	for seed := uint64(0); seed < 150; seed++ {
 		path := t.TempDir()
 		state, acknowledged := "", 0
 		for life := 0; life < 4; life++ {
-			d, f, held := folder(t, seed*10+uint64(life), path)
+			d, f, held := openStore(t, seed*10+uint64(life), path)
 			if held.Empty != (life == 0) {
 				t.Fatalf("seed %d: empty %v in life %d", seed, held.Empty, life)
 			}
@@ -76,7 +76,7 @@
 
 // TestPowerTakesWhatIsNotSynced: an unsynced write is lost in some losses of power, and
 // kept in others.
-func TestPowerTakesWhatIsNotSynced(t *testing.T) {
+func TestPowerLossMayDropUnsyncedWrites(t *testing.T) {
 	sizes := map[int]int{}
 	for seed := uint64(0); seed < 100; seed++ {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -106,7 +106,7 @@
 // TestFullDisk: a full disk says so, and what was there stays.
 func TestFullDisk(t *testing.T) {
 	path := t.TempDir()
-	d, f, _ := folder(t, 1, path)
+	d, f, _ := openStore(t, 1, path)
 	if err := f.Replace([]byte("state")); err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	f.Close()
-	_, _, held := folder(t, 2, path)
+	_, _, held := openStore(t, 2, path)
 	if len(held.Records) != 1 || string(held.State) != "state" {
 		t.Errorf("%d frames, state %q", len(held.Records), held.State)
 	}
--- a/rehearsalkit/fleet/backend.go
+++ b/rehearsalkit/fleet/backend.go
@@ -140,7 +140,7 @@
 		w.WriteHeader(400)
 		return
 	}
-	seen := judge.Shot{At: b.fleet.now(), Service: b.service, Replica: b.id, Tenant: p.Tenant, Program: p.Program, Line: p.Line, Mark: p.Say, History: p.History, Most: p.MaxTokens}
+	seen := judge.Attempt{At: b.fleet.now(), Service: b.service, Replica: b.id, Tenant: p.Tenant, Program: p.Program, Conversation: p.Line, RequestID: p.Say, History: p.History, MaxTokens: p.MaxTokens}
 	var text strings.Builder
 	pieces := 3 + rand.IntN(4)
 	lost := -1
@@ -161,7 +161,7 @@
 		list, counts = append(list, piece), append(counts, tokens)
 	}
 	seen.Text = text.String()
-	b.fleet.note(func(r *judge.Record) { r.Shots = append(r.Shots, seen) })
+	b.fleet.note(func(r *judge.Record) { r.Attempts = append(r.Attempts, seen) })
 	for i := range list {
 		encoder.Encode(map[string]any{"text": list[i], "tokens": counts[i]})
 		w.(http.Flusher).Flush()
@@ -182,9 +182,9 @@
 		Mark string `json:"Mark"`
 	}
 	json.NewDecoder(r.Body).Decode(&p)
-	seen := judge.Shot{At: b.fleet.now(), Service: b.service, Replica: b.id, Tenant: r.Header.Get("Saffronfall-Tenant"), Program: r.Header.Get("Saffronfall-Program"),
-		Mark: p.Mark, Once: r.Header.Get("Once-Key"), Tool: r.Header.Get("Once-Key") == ""}
-	b.fleet.note(func(r *judge.Record) { r.Shots = append(r.Shots, seen) })
+	seen := judge.Attempt{At: b.fleet.now(), Service: b.service, Replica: b.id, Tenant: r.Header.Get("Saffronfall-Tenant"), Program: r.Header.Get("Saffronfall-Program"),
+		RequestID: p.Mark, OnceKey: r.Header.Get("Once-Key"), Tool: r.Header.Get("Once-Key") == ""}
+	b.fleet.note(func(r *judge.Record) { r.Attempts = append(r.Attempts, seen) })
 	time.Sleep(time.Duration(2+rand.IntN(20)) * time.Millisecond)
 	if rand.Float64() < b.loses {
 		panic(http.ErrAbortHandler)
--- a/rehearsalkit/fleet/fleet.go
+++ b/rehearsalkit/fleet/fleet.go
@@ -111,8 +111,8 @@
 func New(ctx context.Context, l Layout) (*Fleet, error) {
 	f := &Fleet{Layout: l, links: links.New(ctx), start: time.Now(), notes: make(chan func(*judge.Record), 64), ctx: ctx, record: &judge.Record{}, marks: map[string]uint64{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}}
-	f.record.Limits = judge.Limits{ProgramTokens: 50_000, TurnTokens: 1000, Keep: time.Hour, Late: 2 * time.Second, Rate: map[string]float64{}, Burst: map[string]float64{},
-		MinuteDollars: 50, Price: map[string]float64{"model": 10}, Drift: 0.03, Users: map[string]judge.UserLimits{}}
+	f.record.Limits = judge.Limits{ProgramTokens: 50_000, TurnTokens: 1000, Retention: time.Hour, PropagationLimit: 2 * time.Second, Rate: map[string]float64{}, Burst: map[string]float64{},
+		MinuteDollars: 50, Price: map[string]float64{"model": 10}, ClockDrift: 0.03, Users: map[string]judge.UserLimits{}}
 	go func() {
 		for {
 			select {
@@ -192,7 +192,7 @@
 	}
 	defer out.Close()
 	if m.command != nil {
-		f.note(func(r *judge.Record) { r.Restarts = append(r.Restarts, judge.Restart{At: f.now(), Who: m.Name}) })
+		f.note(func(r *judge.Record) { r.Restarts = append(r.Restarts, judge.Restart{At: f.now(), Process: m.Name}) })
 	}
 	m.command = exec.Command(f.Layout.Binary, m.Role, m.settings)
 	m.command.Stdout, m.command.Stderr = out, out
@@ -390,7 +390,7 @@
 	var copied judge.Record
 	f.note(func(r *judge.Record) {
 		copied = *r
-		copied.Shots, copied.Asked = append([]judge.Shot(nil), r.Shots...), append([]judge.Asked(nil), r.Asked...)
+		copied.Attempts, copied.Requests = append([]judge.Attempt(nil), r.Attempts...), append([]judge.Request(nil), r.Requests...)
 	})
 	return &copied, copied.Judge()
 }
--- a/rehearsalkit/fleet/probe.go
+++ b/rehearsalkit/fleet/probe.go
@@ -19,10 +19,10 @@
 		f.marks[mark] = base + 1
 		switch {
 		case taking.Taken:
-			r.Taken = append(r.Taken, judge.Taken{At: f.now(), Version: taking.Version, Mark: mark})
+			r.Decisions = append(r.Decisions, judge.Decision{At: f.now(), Version: taking.Version, ID: mark})
 		case taking.Code == "race_lost" || taking.Code == "not_approved" || taking.Code == "faulty":
 			f.marks[mark] = refusedBase + uint64(len(f.marks))
-			r.Taken = append(r.Taken, judge.Taken{At: f.now(), Version: f.marks[mark], Mark: mark, Refused: true})
+			r.Decisions = append(r.Decisions, judge.Decision{At: f.now(), Version: f.marks[mark], ID: mark, Refused: true})
 		}
 	})
 }
@@ -41,7 +41,7 @@
 		if a.Code == "unknown_program" {
 			newest = max(newest, marks[mark])
 			f.note(func(r *judge.Record) {
-				r.Probes = append(r.Probes, judge.Probe{At: a.At, Ended: a.Ended, Node: m.Name, Version: marks[mark], Last: last})
+				r.Probes = append(r.Probes, judge.Probe{At: a.At, Ended: a.Ended, Node: m.Name, Version: marks[mark], Final: last})
 			})
 		}
 	}
@@ -63,7 +63,7 @@
 	const within = 12 * time.Second
 	taken := uint64(0)
 	f.note(func(r *judge.Record) {
-		for _, t := range r.Taken {
+		for _, t := range r.Decisions {
 			if !t.Refused {
 				taken = max(taken, t.Version)
 			}
--- a/rehearsalkit/fleet/requester.go
+++ b/rehearsalkit/fleet/requester.go
@@ -35,8 +35,8 @@
 }
 
 // ask makes one inquiry over HTTP and records what its requester saw.
-func (f *Fleet) ask(ctx context.Context, at *Machine, q asking) (judge.Asked, got) {
-	a := judge.Asked{At: f.now(), Kind: q.kind, Node: at.Name, Tenant: tenantOf(q.key), User: q.user, Program: q.program, Line: q.line, Mark: q.mark, Once: q.once, Service: q.service, Outcome: judge.Silent}
+func (f *Fleet) ask(ctx context.Context, at *Machine, q asking) (judge.Request, got) {
+	a := judge.Request{At: f.now(), Kind: q.kind, Node: at.Name, Tenant: tenantOf(q.key), User: q.user, Program: q.program, Conversation: q.line, ID: q.mark, OnceKey: q.once, Service: q.service, Outcome: judge.Silent}
 	var last got
 	// An inquiry that is under way when the run ends is seen to its end.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), q.within+500*time.Millisecond)
@@ -72,7 +72,7 @@
 			a.Outcome = judge.Whole
 			if answer.StatusCode >= 300 {
 				a.Outcome, a.Code, a.Ran = judge.Refused, last.Code, last.Ran
-				a.Wait = time.Duration(last.RetryAfterMS) * time.Millisecond
+				a.RetryAfter = time.Duration(last.RetryAfterMS) * time.Millisecond
 			}
 		}
 		answer.Body.Close()
@@ -81,7 +81,7 @@
 	if a.Program == "" {
 		a.Program = last.Program
 	}
-	f.note(func(r *judge.Record) { r.Asked = append(r.Asked, a) })
+	f.note(func(r *judge.Record) { r.Requests = append(r.Requests, a) })
 	return a, last
 }
 
--- a/rehearsalkit/fleetcommand.go
+++ b/rehearsalkit/fleetcommand.go
@@ -67,7 +67,7 @@
 	after := f.Work(ctx)
 	record, breaches := f.Finish(ctx)
 	report(record)
-	if shots := float64(len(record.Shots)); c.Work && shots > 0 {
+	if shots := float64(len(record.Attempts)); c.Work && shots > 0 {
 		fmt.Printf("  for each shot, all cores: %.1f commands, %.1f writes, %.1f syncs, %.1f messages\n", float64(after.Commands-before.Commands)/shots,
 			float64(after.Writes-before.Writes)/shots, float64(after.Syncs-before.Syncs)/shots, float64(after.Messages-before.Messages)/shots)
 	}
@@ -92,7 +92,7 @@
 	if err != nil {
 		return layout, nil, err
 	}
-	if err := setup.Program(layout.Binary); err != nil {
+	if err := setup.CheckProgram(layout.Binary); err != nil {
 		return layout, nil, err
 	}
 	layout.Next = c.Next
@@ -105,9 +105,9 @@
 		cleanUp = func() { os.RemoveAll(layout.Folder) }
 	}
 	if err != nil {
-		return layout, nil, &setup.Fault{What: "folder", Path: os.TempDir(), Reason: err.Error()}
+		return layout, nil, &setup.Fault{Resource: "folder", Path: os.TempDir(), Reason: err.Error()}
 	}
-	return layout, cleanUp, setup.Folder(layout.Folder)
+	return layout, cleanUp, setup.EnsureFolder(layout.Folder)
 }
 
 // verdict tells what a run proved.
@@ -125,7 +125,7 @@
 		}
 	}
 	served := 0
-	for _, a := range record.Asked {
+	for _, a := range record.Requests {
 		if a.Kind == "turn" && a.Outcome == judge.Whole {
 			served++
 		}
--- a/rehearsalkit/judge/judge.go
+++ b/rehearsalkit/judge/judge.go
@@ -23,31 +23,31 @@
 // Judge lists the breaches of a run.
 func (r *Record) Judge() []Breach {
 	var all []Breach
-	for _, check := range []func() []Breach{r.spending, r.notRun, r.once, r.gone, r.histories, r.quotas, r.configurations, r.leaving, r.whole,
-		r.allowances, r.tripped, r.starts} {
+	for _, check := range []func() []Breach{r.programTokens, r.notRun, r.once, r.retention, r.histories, r.quotas, r.configurations, r.leaving, r.completeAnswers,
+		r.tokenLimits, r.breakerTrips, r.sessionStarts} {
 		all = append(all, check()...)
 	}
 	return all
 }
 
 func breach(rule int, format string, args ...any) Breach {
-	return Breach{Rule: rule, What: fmt.Sprintf(format, args...)}
+	return Breach{Rule: rule, Detail: fmt.Sprintf(format, args...)}
 }
 
 // spending is rule 1, from both ends: what requesters got and what replicas
 // made.
-func (r *Record) spending() (list []Breach) {
+func (r *Record) programTokens() (list []Breach) {
 	made, got := map[string]int64{}, map[string]int64{}
-	for _, s := range r.Shots {
+	for _, s := range r.Attempts {
 		if s.Program != "" && !s.Tool {
 			// What a replica makes beyond what it was asked for is cut off.
-			made[s.Program] += min(s.Tokens, s.Most)
-			if s.Tokens > s.Most && !s.Overran {
-				list = append(list, breach(1, "replica made %d tokens of %d for %s", s.Tokens, s.Most, s.Mark))
+			made[s.Program] += min(s.Tokens, s.MaxTokens)
+			if s.Tokens > s.MaxTokens && !s.OverLimit {
+				list = append(list, breach(1, "replica made %d tokens of %d for %s", s.Tokens, s.MaxTokens, s.RequestID))
 			}
 		}
 	}
-	for _, a := range r.Asked {
+	for _, a := range r.Requests {
 		if a.Kind == "turn" {
 			got[a.Program] += a.Tokens
 		}
@@ -67,19 +67,19 @@
 // end, before or after.
 func (r *Record) notRun() (list []Breach) {
 	reached := map[string]bool{}
-	for _, s := range r.Shots {
-		reached[s.Mark] = true
+	for _, s := range r.Attempts {
+		reached[s.RequestID] = true
 	}
-	for _, a := range r.Asked {
-		if a.Outcome == Refused && a.Ran == "no" && a.Mark != "" && a.Once == "" && reached[a.Mark] {
+	for _, a := range r.Requests {
+		if a.Outcome == Refused && a.Ran == "no" && a.ID != "" && a.OnceKey == "" && reached[a.ID] {
 			rule := 4
 			if a.Code == "breaker_open" || a.Code == "program_tokens_spent" || a.Code == "tenant_day_tokens_spent" {
 				rule = 2
 			}
-			list = append(list, breach(rule, "%s was refused (%s, not run) and ran", a.Mark, a.Code))
+			list = append(list, breach(rule, "%s was refused (%s, not run) and ran", a.ID, a.Code))
 		}
-		if a.Outcome == Whole && (a.Kind == "turn" || a.Kind == "tool") && !reached[a.Mark] {
-			list = append(list, breach(11, "%s came whole and never reached a back end", a.Mark))
+		if a.Outcome == Whole && (a.Kind == "turn" || a.Kind == "tool") && !reached[a.ID] {
+			list = append(list, breach(11, "%s came whole and never reached a back end", a.ID))
 		}
 	}
 	return list
@@ -89,25 +89,25 @@
 // refused as not run never ran.
 func (r *Record) once() (list []Breach) {
 	ran := map[string]int{}
-	for _, s := range r.Shots {
-		if s.Once != "" {
-			ran[s.Once]++
-			if ran[s.Once] == 2 {
-				list = append(list, breach(3, "once-key %s ran twice", s.Once))
+	for _, s := range r.Attempts {
+		if s.OnceKey != "" {
+			ran[s.OnceKey]++
+			if ran[s.OnceKey] == 2 {
+				list = append(list, breach(3, "once-key %s ran twice", s.OnceKey))
 			}
 		}
 	}
 	all, not := map[string]int{}, map[string]int{}
-	for _, a := range r.Asked {
-		if a.Once == "" {
+	for _, a := range r.Requests {
+		if a.OnceKey == "" {
 			continue
 		}
-		all[a.Once]++
+		all[a.OnceKey]++
 		if a.Outcome == Refused && a.Ran == "no" {
-			not[a.Once]++
+			not[a.OnceKey]++
 		}
-		if a.Outcome == Whole && ran[a.Once] == 0 {
-			list = append(list, breach(11, "once-key %s was answered and never ran", a.Once))
+		if a.Outcome == Whole && ran[a.OnceKey] == 0 {
+			list = append(list, breach(11, "once-key %s was answered and never ran", a.OnceKey))
 		}
 	}
 	for _, k := range ordered.Keys(all) {
@@ -119,9 +119,9 @@
 }
 
 // gone is rule 5.
-func (r *Record) gone() (list []Breach) {
+func (r *Record) retention() (list []Breach) {
 	last := map[string]time.Duration{}
-	for _, a := range r.Asked {
+	for _, a := range r.Requests {
 		if a.Program == "" {
 			continue
 		}
@@ -129,9 +129,9 @@
 			last[a.Program] = max(last[a.Program], a.At)
 		}
 	}
-	for _, a := range r.Asked {
+	for _, a := range r.Requests {
 		if (a.Status == 410 || a.Status == 404) && a.Program != "" {
-			if at, ok := last[a.Program]; ok && at < a.Ended && a.Ended < at+r.Limits.Keep {
+			if at, ok := last[a.Program]; ok && at < a.Ended && a.Ended < at+r.Limits.Retention {
 				list = append(list, breach(5, "program %s was called gone (%d %s) %v after its last whole turn", a.Program, a.Status, a.Code, a.Ended-at))
 			}
 		}
@@ -146,81 +146,81 @@
 // and what was history once stays so.
 func (r *Record) histories() (list []Breach) {
 	type line struct{ program, line string }
-	said := map[string]Asked{}
-	whole := map[line][]Asked{}
-	for _, a := range r.Asked {
+	said := map[string]Request{}
+	whole := map[line][]Request{}
+	for _, a := range r.Requests {
 		if a.Kind != "turn" {
 			continue
 		}
-		said[a.Mark] = a
+		said[a.ID] = a
 		if a.Outcome == Whole {
-			whole[line{a.Program, a.Line}] = append(whole[line{a.Program, a.Line}], a)
+			whole[line{a.Program, a.Conversation}] = append(whole[line{a.Program, a.Conversation}], a)
 		}
 	}
-	made := map[string][]Shot{}
-	lines := map[line][]Shot{}
-	for _, s := range r.Shots {
-		made[s.Mark] = append(made[s.Mark], s)
+	made := map[string][]Attempt{}
+	lines := map[line][]Attempt{}
+	for _, s := range r.Attempts {
+		made[s.RequestID] = append(made[s.RequestID], s)
 		if s.Program != "" && !s.Tool {
-			lines[line{s.Program, s.Line}] = append(lines[line{s.Program, s.Line}], s)
+			lines[line{s.Program, s.Conversation}] = append(lines[line{s.Program, s.Conversation}], s)
 		}
 	}
-	for _, s := range r.Shots {
+	for _, s := range r.Attempts {
 		if s.Program == "" || s.Tool {
 			continue
 		}
-		own := said[s.Mark]
-		if own.Tenant != s.Tenant || own.Program != s.Program || own.Line != s.Line {
-			list = append(list, breach(6, "%s of %s/%s reached a replica as %s/%s", s.Mark, own.Tenant, own.Program, s.Tenant, s.Program))
+		own := said[s.RequestID]
+		if own.Tenant != s.Tenant || own.Program != s.Program || own.Conversation != s.Conversation {
+			list = append(list, breach(6, "%s of %s/%s reached a replica as %s/%s", s.RequestID, own.Tenant, own.Program, s.Tenant, s.Program))
 		}
 		in := map[string]bool{}
 		before := time.Duration(-1)
 		for _, t := range s.History {
-			a := said[t.Say]
+			a := said[t.Prompt]
 			switch {
-			case in[t.Say]:
-				list = append(list, breach(6, "history of %s has the turn %s twice", s.Mark, t.Say))
-			case a.Program != s.Program || a.Line != s.Line:
-				list = append(list, breach(6, "history of %s has a turn of %s", s.Mark, a.Program))
+			case in[t.Prompt]:
+				list = append(list, breach(6, "history of %s has the turn %s twice", s.RequestID, t.Prompt))
+			case a.Program != s.Program || a.Conversation != s.Conversation:
+				list = append(list, breach(6, "history of %s has a turn of %s", s.RequestID, a.Program))
 			case a.At < before:
-				list = append(list, breach(6, "history of %s has the turn %s out of order", s.Mark, t.Say))
-			case a.Outcome == Whole && t.Got != a.Text:
-				list = append(list, breach(6, "history of %s has %q for the turn %s, whose requester got %q", s.Mark, t.Got, t.Say, a.Text))
-			case !relayed(t.Got, a.Text, made[t.Say]):
-				list = append(list, breach(6, "history of %s has an answer for %s that no replica gave", s.Mark, t.Say))
+				list = append(list, breach(6, "history of %s has the turn %s out of order", s.RequestID, t.Prompt))
+			case a.Outcome == Whole && t.Answer != a.Text:
+				list = append(list, breach(6, "history of %s has %q for the turn %s, whose requester got %q", s.RequestID, t.Answer, t.Prompt, a.Text))
+			case !relayed(t.Answer, a.Text, made[t.Prompt]):
+				list = append(list, breach(6, "history of %s has an answer for %s that no replica gave", s.RequestID, t.Prompt))
 			}
-			in[t.Say], before = true, a.At
+			in[t.Prompt], before = true, a.At
 		}
-		for _, a := range whole[line{s.Program, s.Line}] {
-			if a.Ended < own.At && !in[a.Mark] {
-				list = append(list, breach(6, "history of %s lacks the whole turn %s", s.Mark, a.Mark))
+		for _, a := range whole[line{s.Program, s.Conversation}] {
+			if a.Ended < own.At && !in[a.ID] {
+				list = append(list, breach(6, "history of %s lacks the whole turn %s", s.RequestID, a.ID))
 			}
 		}
 	}
 	for _, shots := range lines {
 		sort.SliceStable(shots, func(i, j int) bool { return shots[i].At < shots[j].At })
 		for i := 1; i < len(shots); i++ {
-			if !begins(shots[i].History, shots[i-1].History) {
-				list = append(list, breach(6, "history of %s does not go on from that of %s", shots[i].Mark, shots[i-1].Mark))
+			if !hasPrefix(shots[i].History, shots[i-1].History) {
+				list = append(list, breach(6, "history of %s does not go on from that of %s", shots[i].RequestID, shots[i-1].RequestID))
 			}
 		}
 	}
-	sort.SliceStable(list, func(i, j int) bool { return list[i].What < list[j].What })
+	sort.SliceStable(list, func(i, j int) bool { return list[i].Detail < list[j].Detail })
 	return list
 }
 
 // relayed reports whether a turn is what one replica gave: all of it, or as
 // much as its inquiry had room for.
-func relayed(turn, got string, made []Shot) bool {
+func relayed(turn, got string, made []Attempt) bool {
 	for _, s := range made {
-		if strings.HasPrefix(turn, got) && (s.Text == turn || s.Overran && strings.HasPrefix(s.Text, turn)) {
+		if strings.HasPrefix(turn, got) && (s.Text == turn || s.OverLimit && strings.HasPrefix(s.Text, turn)) {
 			return true
 		}
 	}
 	return false
 }
 
-func begins(history, with []Turn) bool {
+func hasPrefix(history, with []Turn) bool {
 	return len(history) >= len(with) && slices.Equal(history[:len(with)], with)
 }
 
@@ -228,7 +228,7 @@
 // and burst allow.
 func (r *Record) quotas() (list []Breach) {
 	times := map[string][]time.Duration{}
-	for _, s := range r.Shots {
+	for _, s := range r.Attempts {
 		times[s.Tenant] = append(times[s.Tenant], s.At)
 	}
 	for _, tenant := range ordered.Keys(times) {
@@ -257,7 +257,7 @@
 	taken := map[uint64]bool{}
 	refused := map[uint64]bool{}
 	last := uint64(0)
-	for _, t := range r.Taken {
+	for _, t := range r.Decisions {
 		if t.Refused {
 			refused[t.Version] = true
 		} else {
@@ -277,31 +277,31 @@
 			}
 		}
 		byNode[p.Node] = append(byNode[p.Node], p)
-		for _, t := range r.Taken {
-			if !t.Refused && p.Version < t.Version && p.At > t.At+r.Limits.Late {
+		for _, t := range r.Decisions {
+			if !t.Refused && p.Version < t.Version && p.At > t.At+r.Limits.PropagationLimit {
 				list = append(list, breach(8, "node %s was at version %d %v after %d was taken", p.Node, p.Version, p.At-t.At, t.Version))
 			}
 		}
 		if refused[p.Version] && !taken[p.Version] {
 			list = append(list, breach(9, "node %s has refused description %d in force", p.Node, p.Version))
 		}
-		if p.Last {
+		if p.Final {
 			final[p.Node] = max(final[p.Node], p.Version)
 		}
 	}
-	for _, t := range r.Taken {
-		if t.Revoked == "" {
+	for _, t := range r.Decisions {
+		if t.RevokedTenant == "" {
 			continue
 		}
 		until := time.Duration(1 << 62)
-		for _, h := range r.Handed {
+		for _, h := range r.Submissions {
 			if h.BasedOn >= t.Version {
 				until = min(until, h.At)
 			}
 		}
-		for _, s := range r.Shots {
-			if s.Tenant == t.Revoked && s.At > t.At+r.Limits.Late && s.At < until {
-				list = append(list, breach(8, "%s of %s ran %v after its keys were revoked", s.Mark, s.Tenant, s.At-t.At))
+		for _, s := range r.Attempts {
+			if s.Tenant == t.RevokedTenant && s.At > t.At+r.Limits.PropagationLimit && s.At < until {
+				list = append(list, breach(8, "%s of %s ran %v after its keys were revoked", s.RequestID, s.Tenant, s.At-t.At))
 				break
 			}
 		}
@@ -317,8 +317,8 @@
 // leaving is rule 10.
 func (r *Record) leaving() (list []Breach) {
 	for _, l := range r.Leaving {
-		for _, s := range r.Shots {
-			if s.Replica == l.Replica && s.At > l.At+r.Limits.Late {
+		for _, s := range r.Attempts {
+			if s.Replica == l.Replica && s.At > l.At+r.Limits.PropagationLimit {
 				list = append(list, breach(10, "replica %s got work %v after it said that it leaves", s.Replica, s.At-l.At))
 				break
 			}
@@ -328,33 +328,33 @@
 }
 
 // whole is rule 11: what came whole is exactly what one replica gave for it.
-func (r *Record) whole() (list []Breach) {
+func (r *Record) completeAnswers() (list []Breach) {
 	type answer struct {
 		text   string
 		tokens int64
 	}
 	made, overran := map[string]map[answer]bool{}, map[string]string{}
-	for _, s := range r.Shots {
-		if made[s.Mark] == nil {
-			made[s.Mark] = map[answer]bool{}
+	for _, s := range r.Attempts {
+		if made[s.RequestID] == nil {
+			made[s.RequestID] = map[answer]bool{}
 		}
-		if s.Overran {
-			overran[s.Mark] = s.Text
+		if s.OverLimit {
+			overran[s.RequestID] = s.Text
 		}
-		made[s.Mark][answer{s.Text, s.Tokens}] = true
+		made[s.RequestID][answer{s.Text, s.Tokens}] = true
 	}
-	for _, a := range r.Asked {
-		if a.Kind == "turn" && a.Outcome == Whole && !made[a.Mark][answer{a.Text, a.Tokens}] && (overran[a.Mark] == "" || !strings.HasPrefix(overran[a.Mark], a.Text)) {
-			list = append(list, breach(11, "%s came whole with %q (%d tokens), which no replica gave", a.Mark, a.Text, a.Tokens))
+	for _, a := range r.Requests {
+		if a.Kind == "turn" && a.Outcome == Whole && !made[a.ID][answer{a.Text, a.Tokens}] && (overran[a.ID] == "" || !strings.HasPrefix(overran[a.ID], a.Text)) {
+			list = append(list, breach(11, "%s came whole with %q (%d tokens), which no replica gave", a.ID, a.Text, a.Tokens))
 		}
 	}
 	return list
 }
 
 // Gap is the longest time in which no turn came whole.
-func (r *Record) Gap() time.Duration {
+func (r *Record) LongestGap() time.Duration {
 	var ends []time.Duration
-	for _, a := range r.Asked {
+	for _, a := range r.Requests {
 		if a.Kind == "turn" && a.Outcome == Whole {
 			ends = append(ends, a.Ended)
 		}
@@ -370,10 +370,10 @@
 // Outages lists, for every conversation that was hindered, how long it took
 // from its first turn that did not come whole to its next one that did.
 func (r *Record) Outages() []time.Duration {
-	turns := map[string][]Asked{}
-	for _, a := range r.Asked {
+	turns := map[string][]Request{}
+	for _, a := range r.Requests {
 		if a.Kind == "turn" {
-			turns[a.Program+"/"+a.Line] = append(turns[a.Program+"/"+a.Line], a)
+			turns[a.Program+"/"+a.Conversation] = append(turns[a.Program+"/"+a.Conversation], a)
 		}
 	}
 	var list []time.Duration
--- a/rehearsalkit/judge/books.go
+++ b/rehearsalkit/judge/limits.go
@@ -11,16 +11,16 @@
 // tenant's day and no minute of the breaker passes its whole, as every turn was
 // drawn from shares before it ran; and nothing runs of a program whose
 // requesters were told that its allowance is spent.
-func (r *Record) allowances() (list []Breach) {
+func (r *Record) tokenLimits() (list []Breach) {
 	day := map[string]int64{}
 	type spend struct {
 		at      time.Duration
 		dollars float64
 	}
 	var spends []spend
-	for _, s := range r.Shots {
-		day[s.Tenant] += min(s.Tokens, max(s.Most, 0))
-		spends = append(spends, spend{s.At, float64(min(s.Tokens, max(s.Most, 0))) * r.Limits.Price[s.Service] / 1e6})
+	for _, s := range r.Attempts {
+		day[s.Tenant] += min(s.Tokens, max(s.MaxTokens, 0))
+		spends = append(spends, spend{s.At, float64(min(s.Tokens, max(s.MaxTokens, 0))) * r.Limits.Price[s.Service] / 1e6})
 	}
 	for _, tenant := range ordered.Keys(r.Limits.DayTokens) {
 		if most := r.Limits.DayTokens[tenant]; day[tenant] > most {
@@ -28,7 +28,7 @@
 		}
 	}
 	sort.SliceStable(spends, func(i, j int) bool { return spends[i].at < spends[j].at })
-	minute, first, sum := time.Duration(float64(time.Minute)*(1-r.Limits.Drift)), 0, 0.0
+	minute, first, sum := time.Duration(float64(time.Minute)*(1-r.Limits.ClockDrift)), 0, 0.0
 	for _, s := range spends {
 		sum += s.dollars
 		for spends[first].at < s.at-minute {
@@ -41,27 +41,27 @@
 		}
 	}
 	spent := map[string]time.Duration{}
-	for _, a := range r.Asked {
+	for _, a := range r.Requests {
 		if a.Code == "program_tokens_spent" {
 			if at, ok := spent[a.Program]; !ok || a.Ended < at {
 				spent[a.Program] = a.Ended
 			}
 		}
 	}
-	asked := r.marks()
-	for _, s := range r.Shots {
-		if at, ok := spent[s.Program]; ok && !s.Tool && s.Program != "" && asked[s.Mark].At > at {
-			list = append(list, breach(2, "%s ran after its program's allowance was told to be spent", s.Mark))
+	asked := r.requestsByID()
+	for _, s := range r.Attempts {
+		if at, ok := spent[s.Program]; ok && !s.Tool && s.Program != "" && asked[s.RequestID].At > at {
+			list = append(list, breach(2, "%s ran after its program's allowance was told to be spent", s.RequestID))
 		}
 	}
 	return list
 }
 
-func (r *Record) marks() map[string]Asked {
-	asked := map[string]Asked{}
-	for _, a := range r.Asked {
-		if a.Mark != "" {
-			asked[a.Mark] = a
+func (r *Record) requestsByID() map[string]Request {
+	asked := map[string]Request{}
+	for _, a := range r.Requests {
+		if a.ID != "" {
+			asked[a.ID] = a
 		}
 	}
 	return asked
@@ -69,9 +69,9 @@
 
 // trips are the times during which requesters were told that the breaker is
 // open: from the first word of it to the earliest end that was told.
-func (r *Record) trips() (list [][2]time.Duration) {
-	var told []Asked
-	for _, a := range r.Asked {
+func (r *Record) tripIntervals() (list [][2]time.Duration) {
+	var told []Request
+	for _, a := range r.Requests {
 		if a.Code == "breaker_open" {
 			told = append(told, a)
 		}
@@ -79,21 +79,21 @@
 	sort.SliceStable(told, func(i, j int) bool { return told[i].Ended < told[j].Ended })
 	for _, a := range told {
 		n := len(list)
-		if n > 0 && a.Ended < list[n-1][1]+r.Limits.Late {
+		if n > 0 && a.Ended < list[n-1][1]+r.Limits.PropagationLimit {
 			continue
 		}
-		list = append(list, [2]time.Duration{a.Ended, a.Ended + a.Wait})
+		list = append(list, [2]time.Duration{a.Ended, a.Ended + a.RetryAfter})
 	}
 	return list
 }
 
 // tripped is rule 2 for the breaker: from Late after the first word of a trip to
 // Late before the end that was told, nothing that spends begins anywhere.
-func (r *Record) tripped() (list []Breach) {
-	for _, t := range r.trips() {
-		for _, s := range r.Shots {
-			if s.Most > 0 && s.At > t[0]+r.Limits.Late && s.At < t[1]-r.Limits.Late {
-				list = append(list, breach(2, "%s ran %v after the breaker was told to be open", s.Mark, s.At-t[0]))
+func (r *Record) breakerTrips() (list []Breach) {
+	for _, t := range r.tripIntervals() {
+		for _, s := range r.Attempts {
+			if s.MaxTokens > 0 && s.At > t[0]+r.Limits.PropagationLimit && s.At < t[1]-r.Limits.PropagationLimit {
+				list = append(list, breach(2, "%s ran %v after the breaker was told to be open", s.RequestID, s.At-t[0]))
 				break
 			}
 		}
@@ -104,9 +104,9 @@
 // LateAfterTrip is the longest time after the first word of a trip at which
 // another node still gated something that spends.
 func (r *Record) LateAfterTrip() (late time.Duration) {
-	for _, t := range r.trips() {
-		for _, s := range r.Shots {
-			if s.Most > 0 && s.At > t[0] && s.At < t[1]-r.Limits.Late {
+	for _, t := range r.tripIntervals() {
+		for _, s := range r.Attempts {
+			if s.MaxTokens > 0 && s.At > t[0] && s.At < t[1]-r.Limits.PropagationLimit {
 				late = max(late, s.At-t[0])
 			}
 		}
@@ -117,11 +117,11 @@
 // starts is rule 12: from a lockout on, a user's session starts get it or an
 // earlier check, at every node, with what remains of it; and none is gated
 // that the windows, concurrency or the day must have refused.
-func (r *Record) starts() (list []Breach) {
+func (r *Record) sessionStarts() (list []Breach) {
 	type user struct{ tenant, user string }
-	starts := map[user][]Asked{}
+	starts := map[user][]Request{}
 	closes := map[string]time.Duration{}
-	for _, a := range r.Asked {
+	for _, a := range r.Requests {
 		switch a.Kind {
 		case "open":
 			starts[user{a.Tenant, a.User}] = append(starts[user{a.Tenant, a.User}], a)
@@ -140,13 +140,13 @@
 		}
 	}
 	// What a user's day surely holds: turns that came whole, from their end on.
-	days := map[user][]Asked{}
-	for _, a := range r.Asked {
+	days := map[user][]Request{}
+	for _, a := range r.Requests {
 		if u, ok := owner[a.Program]; ok && a.Kind == "turn" && a.Outcome == Whole {
 			days[u] = append(days[u], a)
 		}
 	}
-	short := func(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 - r.Limits.Drift)) }
+	short := func(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 - r.Limits.ClockDrift)) }
 	for u, asked := range starts {
 		limits, ok := r.Limits.Users[u.tenant]
 		if !ok {
@@ -159,18 +159,18 @@
 			inLockout := lockedFrom >= 0 && a.At > lockedFrom && a.Ended < lockedTill
 			switch a.Code {
 			case "locked_out", "sessions_per_minute":
-				if a.Wait > limits.Lockout {
-					list = append(list, breach(12, "%s was told to be locked out for %v, and a lockout is %v", name, a.Wait, limits.Lockout))
+				if a.RetryAfter > limits.Lockout {
+					list = append(list, breach(12, "%s was told to be locked out for %v, and a lockout is %v", name, a.RetryAfter, limits.Lockout))
 				}
 				if a.Code == "sessions_per_minute" && inLockout {
 					list = append(list, breach(12, "%s was told of the minute's window within a lockout", name))
 				}
 				// A wait counts by a clock that may be fast, from a moment after the
 				// inquiry was sent.
-				if inLockout && a.Ended+a.Wait < lockedTill {
-					list = append(list, breach(12, "%s was told %v of a lockout that lasts %v longer", name, a.Wait, lockedTill-a.Ended))
+				if inLockout && a.Ended+a.RetryAfter < lockedTill {
+					list = append(list, breach(12, "%s was told %v of a lockout that lasts %v longer", name, a.RetryAfter, lockedTill-a.Ended))
 				}
-				if till := a.At + short(a.Wait); till > lockedTill {
+				if till := a.At + short(a.RetryAfter); till > lockedTill {
 					if lockedTill < a.At {
 						lockedFrom = a.Ended
 					}
@@ -214,7 +214,7 @@
 			}
 		}
 	}
-	sort.SliceStable(list, func(i, j int) bool { return list[i].What < list[j].What })
+	sort.SliceStable(list, func(i, j int) bool { return list[i].Detail < list[j].Detail })
 	return list
 }
 
@@ -224,7 +224,7 @@
 	counts := map[string]int{"1 allowances of programs reached": 0, "2 breaker open": 0, "2 breaker half-open": 0, "2 tenants' days spent": 0, "3 once answers lost": 0,
 		"4 refused as not run": 0, "5 asked within 12 s of a restart": 0, "6 shots with a history": 0, "7 quota reached": 0, "8 configurations taken": 0,
 		"9 configurations refused": 0, "10 replicas leaving": 0, "11 broken streams": 0, "12 lockouts": 0, "12 concurrency reached": 0, "12 users' days spent": 0}
-	for _, a := range r.Asked {
+	for _, a := range r.Requests {
 		switch a.Code {
 		case "program_tokens_spent":
 			counts["1 allowances of programs reached"]++
@@ -243,7 +243,7 @@
 		case "user_day_tokens_spent":
 			counts["12 users' days spent"]++
 		}
-		if a.Once != "" && a.Ran == "maybe" {
+		if a.OnceKey != "" && a.Ran == "maybe" {
 			counts["3 once answers lost"]++
 		}
 		if a.Outcome == Refused && a.Ran == "no" {
@@ -261,12 +261,12 @@
 			}
 		}
 	}
-	for _, s := range r.Shots {
+	for _, s := range r.Attempts {
 		if len(s.History) > 0 {
 			counts["6 shots with a history"]++
 		}
 	}
-	for _, t := range r.Taken {
+	for _, t := range r.Decisions {
 		if t.Refused {
 			counts["9 configurations refused"]++
 		} else {
--- a/rehearsalkit/judge/record.go
+++ b/rehearsalkit/judge/record.go
@@ -6,50 +6,50 @@
 )
 
 // Shot is a piece of work that reached a back end.
-type Shot struct {
-	At      time.Duration
-	Ended   time.Duration
-	Service string
-	Replica string
-	Tenant  string
-	Program string
-	Line    string
-	Mark    string
-	History []Turn
-	Text    string
-	Tokens  int64
-	Most    int64
-	Once    string
-	Tool    bool
+type Attempt struct {
+	At           time.Duration
+	Ended        time.Duration
+	Service      string
+	Replica      string
+	Tenant       string
+	Program      string
+	Conversation string
+	RequestID    string
+	History      []Turn
+	Text         string
+	Tokens       int64
+	MaxTokens    int64
+	OnceKey      string
+	Tool         bool
 	// Overran says that the replica gave more than it was asked for.
-	Overran bool
+	OverLimit bool
 }
 
 // Turn is one turn of a history.
 type Turn struct {
-	Say string `json:"Say"`
-	Got string `json:"Got"`
+	Prompt string `json:"Say"`
+	Answer string `json:"Got"`
 }
 
 // Asked is what a requester asked and got.
-type Asked struct {
-	At, Ended time.Duration
-	Kind      string
-	Node      string
-	Tenant    string
-	User      string
-	Program   string
-	Line      string
-	Mark      string
-	Outcome   string
-	Code      string
-	Ran       string
-	Status    int
-	Wait      time.Duration
-	Text      string
-	Tokens    int64
-	Once      string
-	Service   string
+type Request struct {
+	At, Ended    time.Duration
+	Kind         string
+	Node         string
+	Tenant       string
+	User         string
+	Program      string
+	Conversation string
+	ID           string
+	Outcome      string
+	Code         string
+	Ran          string
+	Status       int
+	RetryAfter   time.Duration
+	Text         string
+	Tokens       int64
+	OnceKey      string
+	Service      string
 }
 
 // Limits are what the rules are measured against, per tenant or overall.
@@ -58,9 +58,9 @@
 	TurnTokens    int64
 	Rate          map[string]float64
 	Burst         map[string]float64
-	Keep          time.Duration
+	Retention     time.Duration
 	// Late is how long what was learned may still be ignored.
-	Late time.Duration
+	PropagationLimit time.Duration
 	// DayTokens and Users are the limits of a tenant's day and of its users.
 	DayTokens map[string]int64
 	Users     map[string]UserLimits
@@ -69,7 +69,7 @@
 	MinuteDollars float64
 	Price         map[string]float64
 	// Drift is by how much clocks may differ in their rates.
-	Drift float64
+	ClockDrift float64
 }
 
 // UserLimits are what a tenant's users may do.
@@ -94,40 +94,40 @@
 	At, Ended time.Duration
 	Node      string
 	Version   uint64
-	Last      bool
+	Final     bool
 }
 
 // Restart is a process that was started again.
 type Restart struct {
-	At  time.Duration
-	Who string
+	At      time.Duration
+	Process string
 }
 
 // Taken is a configuration that an operator was told is taken, or refused.
-type Taken struct {
+type Decision struct {
 	At      time.Duration
 	Version uint64
-	Mark    string
+	ID      string
 	Refused bool
 	// Revoked is a tenant that has no key in it.
-	Revoked string
+	RevokedTenant string
 }
 
 // Handed is a description that an operator began to hand over.
-type Handed struct {
+type Submission struct {
 	At      time.Duration
 	BasedOn uint64
 }
 
 // Record is all that was seen in a run.
 type Record struct {
-	Limits  Limits
-	Shots   []Shot
-	Asked   []Asked
-	Leaving []Leaving
-	Probes  []Probe
-	Taken   []Taken
-	Handed  []Handed
+	Limits      Limits
+	Attempts    []Attempt
+	Requests    []Request
+	Leaving     []Leaving
+	Probes      []Probe
+	Decisions   []Decision
+	Submissions []Submission
 	// Nodes are those that must follow the last configuration in the end.
 	Nodes    []string
 	Restarts []Restart
@@ -135,8 +135,8 @@
 
 // Breach is a broken rule.
 type Breach struct {
-	Rule int
-	What string
+	Rule   int
+	Detail string
 }
 
-func (b Breach) String() string { return fmt.Sprintf("rule %d: %s", b.Rule, b.What) }
+func (b Breach) String() string { return fmt.Sprintf("rule %d: %s", b.Rule, b.Detail) }
--- a/rehearsalkit/links/links.go
+++ b/rehearsalkit/links/links.go
@@ -15,15 +15,15 @@
 // Links owns the state of all links. One goroutine holds it; others ask it over
 // channels.
 type Links struct {
-	ask      chan ask
-	set      chan func(m map[way]state)
-	register chan registration
-	reset    chan string
-	dropped  chan *stream
+	queries       chan query
+	changes       chan func(m map[direction]state)
+	registrations chan registration
+	resets        chan string
+	closed        chan *stream
 }
 
 // way is one direction between two machines.
-type way struct{ from, to string }
+type direction struct{ from, to string }
 
 // state is what befalls the bytes of one direction.
 type state struct {
@@ -31,9 +31,9 @@
 	delay time.Duration
 }
 
-type ask struct {
-	way    way
-	answer chan state
+type query struct {
+	direction direction
+	answer    chan state
 }
 
 // stream is one relayed connection.
@@ -49,25 +49,25 @@
 
 // New makes links that carry everything, until the context ends.
 func New(ctx context.Context) *Links {
-	l := &Links{ask: make(chan ask), set: make(chan func(map[way]state)), register: make(chan registration), reset: make(chan string), dropped: make(chan *stream)}
-	go l.own(ctx)
+	l := &Links{queries: make(chan query), changes: make(chan func(map[direction]state)), registrations: make(chan registration), resets: make(chan string), closed: make(chan *stream)}
+	go l.run(ctx)
 	return l
 }
 
-func (l *Links) own(ctx context.Context) {
-	states, streams := map[way]state{}, map[*stream]bool{}
+func (l *Links) run(ctx context.Context) {
+	states, streams := map[direction]state{}, map[*stream]bool{}
 	for {
 		select {
-		case a := <-l.ask:
-			a.answer <- states[a.way]
-		case change := <-l.set:
+		case a := <-l.queries:
+			a.answer <- states[a.direction]
+		case change := <-l.changes:
 			change(states)
-		case r := <-l.register:
+		case r := <-l.registrations:
 			streams[r.stream] = true
 			close(r.done)
-		case s := <-l.dropped:
+		case s := <-l.closed:
 			delete(streams, s)
-		case machine := <-l.reset:
+		case machine := <-l.resets:
 			for s := range streams {
 				if s.a == machine || s.b == machine {
 					s.close()
@@ -79,19 +79,19 @@
 	}
 }
 
-func (l *Links) change(ctx context.Context, to func(m map[way]state)) {
+func (l *Links) change(ctx context.Context, to func(m map[direction]state)) {
 	select {
-	case l.set <- to:
+	case l.changes <- to:
 	case <-ctx.Done():
 	}
 }
 
 // CutOneWay cuts, or mends, what one machine says to another.
 func (l *Links) CutOneWay(ctx context.Context, from, to string, cut bool) {
-	l.change(ctx, func(m map[way]state) {
-		s := m[way{from, to}]
+	l.change(ctx, func(m map[direction]state) {
+		s := m[direction{from, to}]
 		s.cut = cut
-		m[way{from, to}] = s
+		m[direction{from, to}] = s
 	})
 }
 
@@ -103,36 +103,36 @@
 
 // Delay holds up what one machine says to another.
 func (l *Links) Delay(ctx context.Context, from, to string, delay time.Duration) {
-	l.change(ctx, func(m map[way]state) {
-		s := m[way{from, to}]
+	l.change(ctx, func(m map[direction]state) {
+		s := m[direction{from, to}]
 		s.delay = delay
-		m[way{from, to}] = s
+		m[direction{from, to}] = s
 	})
 }
 
 // Reset ends all connections of a machine.
 func (l *Links) Reset(ctx context.Context, machine string) {
 	select {
-	case l.reset <- machine:
+	case l.resets <- machine:
 	case <-ctx.Done():
 	}
 }
 
 // pollEvery is how often a link that is cut is looked at again.
-const pollEvery = 10 * time.Millisecond
+const cutPollInterval = 10 * time.Millisecond
 
 // carries waits while a direction is cut, and as long as it delays. It reports
 // false once the context has ended.
-func (l *Links) carries(ctx context.Context, from, to string) bool {
+func (l *Links) waitOpen(ctx context.Context, from, to string) bool {
 	for waited := false; ; {
-		a := ask{way: way{from, to}, answer: make(chan state, 1)}
+		a := query{direction: direction{from, to}, answer: make(chan state, 1)}
 		select {
-		case l.ask <- a:
+		case l.queries <- a:
 		case <-ctx.Done():
 			return false
 		}
 		s := <-a.answer
-		pause := pollEvery
+		pause := cutPollInterval
 		switch {
 		case !s.cut && (s.delay == 0 || waited):
 			return true
@@ -166,17 +166,17 @@
 			if err != nil {
 				return
 			}
-			go l.carry(ctx, in, own, to)
+			go l.serve(ctx, in, own, to)
 		}
 	}()
 	return nil
 }
 
 // carry carries one connection until either side ends it.
-func (l *Links) carry(ctx context.Context, in net.Conn, own, to string) {
+func (l *Links) serve(ctx context.Context, in net.Conn, own, to string) {
 	defer in.Close()
 	from, _, err := net.SplitHostPort(in.RemoteAddr().String())
-	if err != nil || !l.carries(ctx, from, own) {
+	if err != nil || !l.waitOpen(ctx, from, own) {
 		return
 	}
 	out, err := net.Dial("tcp", to)
@@ -192,27 +192,27 @@
 	defer stop()
 	r := registration{stream: s, done: make(chan struct{})}
 	select {
-	case l.register <- r:
+	case l.registrations <- r:
 		<-r.done
 	case <-ctx.Done():
 		return
 	}
 	ended := make(chan struct{}, 2)
-	go l.pump(ctx, in, out, from, own, ended)
-	go l.pump(ctx, out, in, own, from, ended)
+	go l.forward(ctx, in, out, from, own, ended)
+	go l.forward(ctx, out, in, own, from, ended)
 	<-ended
 	select {
-	case l.dropped <- s:
+	case l.closed <- s:
 	case <-ctx.Done():
 	}
 }
 
-func (l *Links) pump(ctx context.Context, in io.Reader, out io.Writer, from, to string, ended chan<- struct{}) {
+func (l *Links) forward(ctx context.Context, in io.Reader, out io.Writer, from, to string, ended chan<- struct{}) {
 	buffer := make([]byte, 64<<10)
 	for {
 		n, err := in.Read(buffer)
 		if n > 0 {
-			if !l.carries(ctx, from, to) {
+			if !l.waitOpen(ctx, from, to) {
 				break
 			}
 			if _, err := out.Write(buffer[:n]); err != nil {
--- a/rehearsalkit/links/links_test.go
+++ b/rehearsalkit/links/links_test.go
@@ -9,7 +9,7 @@
 )
 
 // echo answers each line at an address.
-func echo(t *testing.T, at string) {
+func startEchoServer(t *testing.T, at string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", at)
 	if err != nil {
@@ -38,7 +38,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	const client, server = "127.4.0.1", "127.4.0.2"
-	echo(t, server+":7900")
+	startEchoServer(t, server+":7900")
 	l := New(ctx)
 	if err := l.Relay(ctx, server+":7901", server+":7900"); err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 	if say(); !answered(long) {
 		t.Fatal("nothing is carried")
 	}
-	for _, cut := range []way{{client, server}, {server, client}} {
+	for _, cut := range []direction{{client, server}, {server, client}} {
 		l.CutOneWay(ctx, cut.from, cut.to, true)
 		if say(); answered(short) {
 			t.Fatalf("carried though %v is cut", cut)
--- a/rehearsalkit/main.go
+++ b/rehearsalkit/main.go
@@ -33,7 +33,7 @@
 
 func report(r *judge.Record) {
 	counts := map[string]int{}
-	for _, a := range r.Asked {
+	for _, a := range r.Requests {
 		name := a.Kind + " " + a.Outcome
 		if a.Code != "" {
 			name += " " + a.Code
@@ -44,7 +44,7 @@
 		fmt.Printf("  requesters saw %-42s %d\n", name, counts[name])
 	}
 	byCode := map[string][]int{}
-	for _, a := range r.Asked {
+	for _, a := range r.Requests {
 		if a.Outcome == judge.Refused && a.Code != "may_have_run" {
 			second := int(a.At / time.Second)
 			for len(byCode[a.Code]) <= second {
@@ -56,7 +56,7 @@
 	for _, code := range ordered.Keys(byCode) {
 		fmt.Printf("  refusals a second: %-24s %v\n", code, byCode[code])
 	}
-	fmt.Printf("  back ends saw  %-42s %d\n", "shots", len(r.Shots))
+	fmt.Printf("  back ends saw  %-42s %d\n", "shots", len(r.Attempts))
 	if out := r.Outages(); len(out) > 0 {
 		fmt.Printf("  conversations hindered: %d; served again after: half %v, all %v\n", len(out), out[len(out)/2].Round(time.Millisecond), out[len(out)-1].Round(time.Millisecond))
 	}
@@ -64,7 +64,7 @@
 	for _, name := range ordered.Keys(situations) {
 		fmt.Printf("  came about     %-42s %d\n", name, situations[name])
 	}
-	fmt.Printf("  longest time with no whole return: %v\n", r.Gap().Round(time.Millisecond))
+	fmt.Printf("  longest time with no whole return: %v\n", r.LongestGap().Round(time.Millisecond))
 }
 
 type simulateCommand struct {
@@ -333,7 +333,7 @@
 }
 
 func (c *breaksCommand) Run() error {
-	if err := setup.Sources(); err != nil {
+	if err := setup.CheckSources(); err != nil {
 		return err
 	}
 	switch {
@@ -399,7 +399,7 @@
 	if err := parser.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "rehearsalkit:", err)
 		if setup.IsFault(err) {
-			os.Exit(setup.ExitCode)
+			os.Exit(setup.FaultExitCode)
 		}
 		os.Exit(1)
 	}
--- a/rehearsalkit/refusals/refusals.go
+++ b/rehearsalkit/refusals/refusals.go
@@ -16,7 +16,7 @@
 )
 
 // message is what a node logs of a request that was not served.
-const message = "request not served"
+const logMessage = "request not served"
 
 // line is one such line of a log.
 type line struct {
@@ -27,7 +27,7 @@
 	Attempt string `json:"attempt"`
 	Route   string `json:"route"`
 	// More is how many of the cause the node did not log since its last such line.
-	More int64 `json:"more_of_this_cause"`
+	Suppressed int64 `json:"more_of_this_cause"`
 }
 
 // Kind is one sort of refusal.
@@ -48,22 +48,22 @@
 type Refusals map[Kind]Count
 
 // longestLine is the longest line of a log that is read.
-const longestLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // Read adds what a log tells. Lines may have something before their JSON, as where many
 // processes write into one log. What was not logged one by one counts to the route of the
 // line that told how many there were.
 func (r Refusals) Read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(make([]byte, 0, 64<<10), longestLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Bytes()
 		start := bytes.IndexByte(text, '{')
-		if start < 0 || !bytes.Contains(text, []byte(message)) {
+		if start < 0 || !bytes.Contains(text, []byte(logMessage)) {
 			continue
 		}
 		var l line
-		if json.Unmarshal(text[start:], &l) != nil || l.Message != message {
+		if json.Unmarshal(text[start:], &l) != nil || l.Message != logMessage {
 			continue
 		}
 		r.add(l)
@@ -81,41 +81,41 @@
 	if count.Example == "" {
 		count.Example, count.Node = l.Attempt, l.Node
 	}
-	count.Given += 1 + l.More
+	count.Given += 1 + l.Suppressed
 	r[kind] = count
 }
 
 // Reading says what a cause shows by itself.
-type Reading struct {
+type Assessment struct {
 	// Owed: the answer is right whatever else happened. Otherwise Check says what must be
 	// looked at.
-	Owed  bool
-	Check string
+	Justified bool
+	Check     string
 }
 
 // readings are the causes of answers of 400 to 499.
-var readings = map[string]Reading{
-	"malformed":       {Owed: true},
-	"body_incomplete": {Owed: true},
-	"body_late":       {Owed: true},
-	"body_too_large":  {Owed: true},
-	"head_too_large":  {Owed: true},
-	"requester_gone":  {Owed: true},
+var assessments = map[string]Assessment{
+	"malformed":       {Justified: true},
+	"body_incomplete": {Justified: true},
+	"body_late":       {Justified: true},
+	"body_too_large":  {Justified: true},
+	"head_too_large":  {Justified: true},
+	"requester_gone":  {Justified: true},
 	"unknown_route":   {Check: "that no table in force had the route (probes of removed routes are owed)"},
 	"unknown_key":     {Check: "that no table in force had the key"},
 	"budget":          {Check: "that the program's budget could not hold one more turn"},
 	"rate":            {Check: "that the tenant's window was full"},
 	"history_unknown": {Check: "that the turn was never answered whole"},
-	"history_foreign": {Owed: true},
+	"history_foreign": {Justified: true},
 	"history_expired": {Check: "that the turn's time was over"},
 }
 
 // ReadingOf is what a cause shows. An unknown cause has to be looked at.
-func ReadingOf(cause string) Reading {
-	if reading, known := readings[cause]; known {
+func Assess(cause string) Assessment {
+	if reading, known := assessments[cause]; known {
 		return reading
 	}
-	return Reading{Check: "a cause that this command does not know"}
+	return Assessment{Check: "a cause that this command does not know"}
 }
 
 // Print writes the counts, by status and cause, the most frequent first.
@@ -124,13 +124,13 @@
 	for kind := range r {
 		kinds = append(kinds, kind)
 	}
-	sort.Slice(kinds, func(i, j int) bool { return r.before(kinds[i], kinds[j]) })
+	sort.Slice(kinds, func(i, j int) bool { return r.less(kinds[i], kinds[j]) })
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "status\tcause\troute\tgiven\tattempt\tat\towed, or what to check")
 	for _, kind := range kinds {
-		count, reading := r[kind], ReadingOf(kind.Cause)
+		count, reading := r[kind], Assess(kind.Cause)
 		verdict := reading.Check
-		if reading.Owed {
+		if reading.Justified {
 			verdict = "owed"
 		}
 		fmt.Fprintf(table, "%d\t%s\t%s\t%d\t%s\t%s\t%s\n", kind.Status, kind.Cause, kind.Route, count.Given, count.Example, count.Node, verdict)
@@ -138,7 +138,7 @@
 	return table.Flush()
 }
 
-func (r Refusals) before(a, b Kind) bool {
+func (r Refusals) less(a, b Kind) bool {
 	switch {
 	case a.Status != b.Status:
 		return a.Status < b.Status
--- a/rehearsalkit/refusals/refusals_test.go
+++ b/rehearsalkit/refusals/refusals_test.go
@@ -39,9 +39,9 @@
 }
 
 // TestEveryCauseIsRead: each cause that nodes answer with 400 to 499 has its reading.
-func TestEveryCauseIsRead(t *testing.T) {
+func TestEveryCauseHasAssessment(t *testing.T) {
 	for _, cause := range relay.RefusalCauses() {
-		if _, known := readings[string(cause)]; !known {
+		if _, known := assessments[string(cause)]; !known {
 			t.Errorf("%s has no reading", cause)
 		}
 	}
--- a/rehearsalkit/setup/setup.go
+++ b/rehearsalkit/setup/setup.go
@@ -12,16 +12,16 @@
 )
 
 // ExitCode is what commands end with at a fault of the set-up.
-const ExitCode = 2
+const FaultExitCode = 2
 
 // Fault is something that a rehearsal needs and that is not there.
 type Fault struct {
-	What, Path string
-	Reason     string
+	Resource, Path string
+	Reason         string
 }
 
 func (f *Fault) Error() string {
-	return fmt.Sprintf("set-up: %s %s: %s", f.What, f.Path, f.Reason)
+	return fmt.Sprintf("set-up: %s %s: %s", f.Resource, f.Path, f.Reason)
 }
 
 // IsFault reports whether an error is a fault of the set-up.
@@ -31,25 +31,25 @@
 }
 
 // Program checks that a file can be run.
-func Program(path string) error {
+func CheckProgram(path string) error {
 	info, err := os.Stat(path)
 	switch {
 	case err != nil:
-		return &Fault{What: "program", Path: path, Reason: "is not there; build it first: go build -o bin/ ./saffronfall ./rehearsalkit"}
+		return &Fault{Resource: "program", Path: path, Reason: "is not there; build it first: go build -o bin/ ./saffronfall ./rehearsalkit"}
 	case info.IsDir() || info.Mode()&0o111 == 0:
-		return &Fault{What: "program", Path: path, Reason: "can't be run"}
+		return &Fault{Resource: "program", Path: path, Reason: "can't be run"}
 	}
 	return nil
 }
 
 // Folder makes a folder that files can be written to.
-func Folder(path string) error {
+func EnsureFolder(path string) error {
 	if err := os.MkdirAll(path, 0o755); err != nil {
-		return &Fault{What: "folder", Path: path, Reason: err.Error()}
+		return &Fault{Resource: "folder", Path: path, Reason: err.Error()}
 	}
 	probe, err := os.CreateTemp(path, ".probe")
 	if err != nil {
-		return &Fault{What: "folder", Path: path, Reason: err.Error()}
+		return &Fault{Resource: "folder", Path: path, Reason: err.Error()}
 	}
 	probe.Close()
 	return errors.Wrap(os.Remove(probe.Name()), "probe")
@@ -57,12 +57,12 @@
 
 // Sources checks that the current folder holds this repository's sources and that they
 // can be built.
-func Sources() error {
+func CheckSources() error {
 	if _, err := exec.LookPath("go"); err != nil {
-		return &Fault{What: "program", Path: "go", Reason: "is not on the search path"}
+		return &Fault{Resource: "program", Path: "go", Reason: "is not on the search path"}
 	}
 	if _, err := os.Stat(filepath.Join("rehearsalkit", "go.mod")); err != nil {
-		return &Fault{What: "folder", Path: ".", Reason: "is not the root of the repository"}
+		return &Fault{Resource: "folder", Path: ".", Reason: "is not the root of the repository"}
 	}
 	return nil
 }
--- a/rehearsalkit/setup/setup_test.go
+++ b/rehearsalkit/setup/setup_test.go
@@ -17,17 +17,17 @@
 		t.Fatal(err)
 	}
 	for what, err := range map[string]error{
-		"missing program": Program(filepath.Join(dir, "none")),
-		"no program":      Program(file),
-		"folder":          Program(dir),
-		"folder in file":  Folder(filepath.Join(file, "below")),
-		"other sources":   inside(t, dir, Sources),
+		"missing program": CheckProgram(filepath.Join(dir, "none")),
+		"no program":      CheckProgram(file),
+		"folder":          CheckProgram(dir),
+		"folder in file":  EnsureFolder(filepath.Join(file, "below")),
+		"other sources":   runIn(t, dir, CheckSources),
 	} {
 		if !IsFault(err) || !IsFault(errors.Wrap(err, "soak")) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if err := errors.CombineErrors(Program(program), Folder(filepath.Join(dir, "new"))); err != nil {
+	if err := errors.CombineErrors(CheckProgram(program), EnsureFolder(filepath.Join(dir, "new"))); err != nil {
 		t.Error(err)
 	}
 	if IsFault(errors.New("a broken promise")) {
@@ -35,7 +35,7 @@
 	}
 }
 
-func inside(t *testing.T, dir string, check func() error) error {
+func runIn(t *testing.T, dir string, check func() error) error {
 	t.Helper()
 	t.Chdir(dir)
 	return check()
--- a/rehearsalkit/simulator/backend.go
+++ b/rehearsalkit/simulator/backend.go
@@ -152,7 +152,7 @@
 
 func (b *backend) serve(s node.Shoot, back func(delay time.Duration, e node.Event)) {
 	w := b.world
-	seen := judge.Shot{At: w.now, Service: b.service, Replica: b.name(), Tenant: s.Payload.Tenant, Program: s.Payload.Program, Line: s.Payload.Line}
+	seen := judge.Attempt{At: w.now, Service: b.service, Replica: b.name(), Tenant: s.Payload.Tenant, Program: s.Payload.Program, Conversation: s.Payload.Line}
 	lose := w.chance(b.loses)
 	serial := b.serial
 	b.running++
@@ -164,20 +164,20 @@
 		})
 	}
 	if s.Kind != "model" {
-		seen.Mark, seen.Once, seen.Tool = markOf(s.Payload.Body), s.Payload.OnceKey, s.Kind == "tool"
-		w.Record.Shots = append(w.Record.Shots, seen)
+		seen.RequestID, seen.OnceKey, seen.Tool = markOf(s.Payload.Body), s.Payload.OnceKey, s.Kind == "tool"
+		w.Record.Attempts = append(w.Record.Attempts, seen)
 		delay := w.between(2*time.Millisecond, 40*time.Millisecond)
 		done(delay)
 		if lose {
 			back(delay, node.Event{Kind: node.EventBroken})
 			return
 		}
-		back(delay, node.Event{Kind: node.EventDone, Status: 200, Body: []byte(fmt.Sprintf(`{"done":%q}`, seen.Mark))})
+		back(delay, node.Event{Kind: node.EventDone, Status: 200, Body: []byte(fmt.Sprintf(`{"done":%q}`, seen.RequestID))})
 		return
 	}
-	seen.Mark, seen.Most = s.Payload.Say, s.Payload.MaxTokens
+	seen.RequestID, seen.MaxTokens = s.Payload.Say, s.Payload.MaxTokens
 	for _, t := range s.Payload.History {
-		seen.History = append(seen.History, judge.Turn{Say: t.Say, Got: t.Got})
+		seen.History = append(seen.History, judge.Turn{Prompt: t.Say, Answer: t.Got})
 	}
 	if b.manner == late {
 		w.after(w.between(500*time.Millisecond, 3*time.Second), func() {
@@ -190,7 +190,7 @@
 	b.answer(s, seen, lose, done, back)
 }
 
-func (b *backend) answer(s node.Shoot, seen judge.Shot, lose bool, done func(time.Duration), back func(delay time.Duration, e node.Event)) {
+func (b *backend) answer(s node.Shoot, seen judge.Attempt, lose bool, done func(time.Duration), back func(delay time.Duration, e node.Event)) {
 	w := b.world
 	pieces := 2 + w.random.IntN(4)
 	fail := -1
@@ -206,7 +206,7 @@
 		}
 		tokens = min(tokens, s.Payload.MaxTokens-seen.Tokens)
 		if b.manner == overrun {
-			tokens, seen.Overran = s.Payload.MaxTokens, true
+			tokens, seen.OverLimit = s.Payload.MaxTokens, true
 		}
 		piece := fmt.Sprintf("[%s %s %d]", b.name(), s.Payload.Say, i)
 		text.WriteString(piece)
@@ -215,7 +215,7 @@
 		delay += w.between(5*time.Millisecond, 80*time.Millisecond)
 	}
 	seen.Text = text.String()
-	w.Record.Shots = append(w.Record.Shots, seen)
+	w.Record.Attempts = append(w.Record.Attempts, seen)
 	done(delay)
 	if lose {
 		back(delay, node.Event{Kind: node.EventBroken})
--- a/rehearsalkit/simulator/conformance_test.go
+++ b/rehearsalkit/simulator/conformance_test.go
@@ -36,11 +36,11 @@
 	return Calm(p)
 }
 
-func call(w *World, at int, id, arguments string) (judge.Asked, node.Piece) {
+func call(w *World, at int, id, arguments string) (judge.Request, node.Piece) {
 	return w.Do(at, node.Inquiry{Kind: node.Tool, Key: "key-t1", Program: id, Service: "search", Arguments: []byte(arguments)})
 }
 
-func want(t *testing.T, what string, a judge.Asked, code string) {
+func want(t *testing.T, what string, a judge.Request, code string) {
 	t.Helper()
 	got := a.Code
 	if a.Outcome == judge.Whole {
--- a/rehearsalkit/simulator/crash.go
+++ b/rehearsalkit/simulator/crash.go
@@ -37,7 +37,7 @@
 	return node.Inquiry{Kind: node.Action, Key: "key-t1", User: "u", Service: "alert", OnceKey: "crash", Arguments: []byte(`{"mark":"crash"}`), Budget: 3 * time.Second}
 }
 
-func drop(judge.Asked, node.Piece) {}
+func drop(judge.Request, node.Piece) {}
 
 func askAgain(q func(s *scene) node.Inquiry) func(w *World, s *scene, at int) {
 	return func(w *World, s *scene, at int) { w.Do(at, q(s)) }
--- a/rehearsalkit/simulator/failure_test.go
+++ b/rehearsalkit/simulator/failure_test.go
@@ -12,19 +12,19 @@
 )
 
 // begin starts an inquiry and lets only so much time pass.
-func begin(w *World, at int, q node.Inquiry, d time.Duration) *judge.Asked {
-	got := &judge.Asked{}
+func begin(w *World, at int, q node.Inquiry, d time.Duration) *judge.Request {
+	got := &judge.Request{}
 	if q.Budget == 0 {
 		q.Budget = 8 * time.Second
 	}
-	w.ask(w.nodes[at], q, func(a judge.Asked, _ node.Piece) { *got = a })
+	w.ask(w.nodes[at], q, func(a judge.Request, _ node.Piece) { *got = a })
 	w.Pass(d)
 	return got
 }
 
 func shotsOf(w *World, mark string) (n int, last time.Duration) {
-	for _, s := range w.Record.Shots {
-		if s.Mark == mark || s.Once == mark {
+	for _, s := range w.Record.Attempts {
+		if s.RequestID == mark || s.OnceKey == mark {
 			n++
 			last = s.At
 		}
@@ -40,7 +40,7 @@
 }
 
 func judged(w *World) *World {
-	w.Record.Limits = judge.Limits{ProgramTokens: 50_000, TurnTokens: 1000, Keep: time.Hour, Late: 2 * time.Second, Rate: map[string]float64{"t1": 50}, Burst: map[string]float64{"t1": 64}}
+	w.Record.Limits = judge.Limits{ProgramTokens: 50_000, TurnTokens: 1000, Retention: time.Hour, PropagationLimit: 2 * time.Second, Rate: map[string]float64{"t1": 50}, Burst: map[string]float64{"t1": 64}}
 	return w
 }
 
@@ -139,7 +139,7 @@
 // term is over, so a cut-off node never gates by an older one afterwards.
 func TestConfigurationAndCutOffNode(t *testing.T) {
 	w := judged(small(nil))
-	w.Record.Limits.Late = 0
+	w.Record.Limits.PropagationLimit = 0
 	w.keys[1] = "probe-first"
 	w.cutOff(w.nodes[2], 6*time.Second)
 	w.hand(w.cores[0], 1, "probe-second", func(bool) {})
@@ -321,7 +321,7 @@
 	for end := w.now + 10*time.Second; w.now < end; w.Pass(100 * time.Millisecond) {
 		for i := range ids {
 			if w.chance(0.4) {
-				w.ask(w.anyNode(), node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: ids[i], Service: "model", Before: heads[i], Say: w.mark("crowd"), MaxTokens: 5, Budget: 2 * time.Second}, func(a judge.Asked, last node.Piece) {
+				w.ask(w.anyNode(), node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: ids[i], Service: "model", Before: heads[i], Say: w.mark("crowd"), MaxTokens: 5, Budget: 2 * time.Second}, func(a judge.Request, last node.Piece) {
 					crowded++
 					if a.Outcome == judge.Whole {
 						heads[i] = last.Head
@@ -333,7 +333,7 @@
 		}
 		if w.chance(0.3) {
 			mark := w.mark("alert")
-			w.ask(w.anyNode(), node.Inquiry{Kind: node.Action, Key: "key-t1", User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(fmt.Sprintf(`{"mark":%q}`, mark)), Budget: 2 * time.Second}, func(a judge.Asked, last node.Piece) {
+			w.ask(w.anyNode(), node.Inquiry{Kind: node.Action, Key: "key-t1", User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(fmt.Sprintf(`{"mark":%q}`, mark)), Budget: 2 * time.Second}, func(a judge.Request, last node.Piece) {
 				if a.Outcome != judge.Silent && a.Outcome != judge.Broken {
 					alerts++
 				}
@@ -348,7 +348,7 @@
 		}
 	}
 	w.Pass(3 * time.Second)
-	shots := len(w.Record.Shots)
+	shots := len(w.Record.Attempts)
 	t.Logf("%d turns asked, %d shots in 10 s at a quota of 20/s and 32, %d of %d alerts through", crowded, shots, through, alerts)
 	if shots < 120 {
 		t.Errorf("only %d shots: the quota is not used", shots)
@@ -435,7 +435,7 @@
 			say := w.mark("say")
 			var closing node.Piece
 			over := false
-			w.ask(w.nodes[i%3], node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: p.Text, Service: "model", Before: head, Say: say, MaxTokens: 50, Budget: 5 * time.Second}, func(a judge.Asked, last node.Piece) {
+			w.ask(w.nodes[i%3], node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: p.Text, Service: "model", Before: head, Say: say, MaxTokens: 50, Budget: 5 * time.Second}, func(a judge.Request, last node.Piece) {
 				over, closing = true, last
 				for _, c := range w.cores {
 					c.kill()
@@ -529,7 +529,7 @@
 		if p.Text == "" {
 			t.Fatalf("no program at the new life: %+v", p)
 		}
-		w.ask(w.nodes[2], node.Inquiry{Kind: node.Look, Key: "key-t1", Program: p.Text, Budget: 300 * time.Millisecond}, func(a judge.Asked, last node.Piece) {})
+		w.ask(w.nodes[2], node.Inquiry{Kind: node.Look, Key: "key-t1", Program: p.Text, Budget: 300 * time.Millisecond}, func(a judge.Request, last node.Piece) {})
 		w.Pass(500 * time.Millisecond)
 	}
 	stolen = int(w.nodes[2].nodeM.Counters.Takeovers)
@@ -558,7 +558,7 @@
 			if !at.nodeM.Ready(at.now()) {
 				at = w.nodes[1]
 			}
-			w.ask(at, node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: id, Service: "model", Before: head, Say: w.mark("say"), MaxTokens: 20, Budget: 5 * time.Second}, func(a judge.Asked, last node.Piece) {
+			w.ask(at, node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: id, Service: "model", Before: head, Say: w.mark("say"), MaxTokens: 20, Budget: 5 * time.Second}, func(a judge.Request, last node.Piece) {
 				code := a.Code
 				if a.Outcome != judge.Refused {
 					code = a.Outcome
@@ -662,7 +662,7 @@
 	_, p := open(w, 0, "u")
 	head := program.Start
 	take := func(n int) (shots, broken int) {
-		from := len(w.Record.Shots)
+		from := len(w.Record.Attempts)
 		for i := 0; i < n; i++ {
 			a, last := turn(w, 0, p.Text, head, 5)
 			if a.Outcome == judge.Whole {
@@ -671,7 +671,7 @@
 				broken++
 			}
 		}
-		for _, s := range w.Record.Shots[from:] {
+		for _, s := range w.Record.Attempts[from:] {
 			if s.Replica == bad.name() {
 				shots++
 			}
--- a/rehearsalkit/simulator/loads.go
+++ b/rehearsalkit/simulator/loads.go
@@ -47,7 +47,7 @@
 	alert := func(period int) {
 		mark := w.mark("alert")
 		c.Alerts[period]++
-		w.ask(w.anyNode(), node.Inquiry{Kind: node.Action, Key: "key-t1", User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Budget: 2 * time.Second}, func(a judge.Asked, _ node.Piece) {
+		w.ask(w.anyNode(), node.Inquiry{Kind: node.Action, Key: "key-t1", User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Budget: 2 * time.Second}, func(a judge.Request, _ node.Piece) {
 			if a.Outcome == judge.Whole {
 				c.Through[period]++
 				took[period] = append(took[period], a.Ended-a.At)
@@ -121,7 +121,7 @@
 	w.after(2*time.Second, move)
 	w.run(until + 3*time.Second)
 	shots := 0
-	for _, s := range w.Record.Shots {
+	for _, s := range w.Record.Attempts {
 		if s.Tenant == "t1" && s.At >= from && s.At < until {
 			shots++
 		}
--- a/rehearsalkit/simulator/process.go
+++ b/rehearsalkit/simulator/process.go
@@ -60,7 +60,7 @@
 	p.life++
 	p.alive, p.frozen, p.backlog, p.started = true, false, nil, w.now
 	if p.life > 1 {
-		w.Record.Restarts = append(w.Record.Restarts, judge.Restart{At: w.now, Who: p.id})
+		w.Record.Restarts = append(w.Record.Restarts, judge.Restart{At: w.now, Process: p.id})
 	}
 	p.rate = 1 + (w.random.Float64()-0.5)*0.08
 	if p.disk != nil {
--- a/rehearsalkit/simulator/requester.go
+++ b/rehearsalkit/simulator/requester.go
@@ -11,11 +11,11 @@
 )
 
 // ask sends one inquiry to a node and tells its outcome.
-func (w *World) ask(p *proc, q node.Inquiry, done func(a judge.Asked, last node.Piece)) {
-	a := judge.Asked{At: w.now, Kind: q.Kind, Node: p.id, Tenant: tenantOf(q.Key), User: q.User, Program: q.Program, Line: q.Line, Mark: q.Say, Service: q.Service}
+func (w *World) ask(p *proc, q node.Inquiry, done func(a judge.Request, last node.Piece)) {
+	a := judge.Request{At: w.now, Kind: q.Kind, Node: p.id, Tenant: tenantOf(q.Key), User: q.User, Program: q.Program, Conversation: q.Line, ID: q.Say, Service: q.Service}
 	if q.Kind == node.Action || q.Kind == node.Tool {
-		a.Mark = markOf(q.Arguments)
-		a.Once = q.OnceKey
+		a.ID = markOf(q.Arguments)
+		a.OnceKey = q.OnceKey
 	}
 	over := false
 	finish := func(last node.Piece) {
@@ -24,7 +24,7 @@
 		}
 		over = true
 		a.Ended = w.now
-		w.Record.Asked = append(w.Record.Asked, a)
+		w.Record.Requests = append(w.Record.Requests, a)
 		w.Counts["asked "+a.Kind+" "+a.Outcome]++
 		if a.Outcome == judge.Refused {
 			w.Counts["refused "+a.Code]++
@@ -56,7 +56,7 @@
 				finish(piece)
 			case node.PieceVerdict:
 				a.Outcome, a.Code, a.Ran, a.Status = judge.Refused, piece.Verdict.Code, string(piece.Verdict.Ran), piece.Status
-				a.Wait = piece.Verdict.RetryAfter
+				a.RetryAfter = piece.Verdict.RetryAfter
 				finish(piece)
 			case node.PieceBody:
 				a.Outcome, a.Status = judge.Whole, piece.Status
@@ -118,7 +118,7 @@
 		return
 	}
 	u.heads, u.turns = map[string]string{"": program.Start}, 0
-	w.ask(w.anyNode(), node.Inquiry{Kind: node.Open, Key: u.key, User: u.name, Budget: 3 * time.Second}, func(a judge.Asked, last node.Piece) {
+	w.ask(w.anyNode(), node.Inquiry{Kind: node.Open, Key: u.key, User: u.name, Budget: 3 * time.Second}, func(a judge.Request, last node.Piece) {
 		if a.Outcome != judge.Whole {
 			u.pause(300*time.Millisecond, 900*time.Millisecond, u.live)
 			return
@@ -139,7 +139,7 @@
 		// Some begin anew without an end, and more often than they may.
 		u.live()
 	case u.turns > 14 || w.chance(0.04):
-		w.ask(w.anyNode(), node.Inquiry{Kind: node.Close, Key: u.key, Program: u.program, Budget: 3 * time.Second}, func(judge.Asked, node.Piece) {
+		w.ask(w.anyNode(), node.Inquiry{Kind: node.Close, Key: u.key, Program: u.program, Budget: 3 * time.Second}, func(judge.Request, node.Piece) {
 			u.pause(100*time.Millisecond, 600*time.Millisecond, u.live)
 		})
 	case w.chance(0.15):
@@ -164,11 +164,11 @@
 	}
 	before, mark := u.heads[line], w.mark("turn")
 	q := node.Inquiry{Kind: node.Turn, Key: u.key, Program: u.program, Line: line, Service: "model", Before: before, Say: mark, Budget: w.between(800*time.Millisecond, 5*time.Second)}
-	w.ask(w.anyNode(), q, func(a judge.Asked, last node.Piece) {
+	w.ask(w.anyNode(), q, func(a judge.Request, last node.Piece) {
 		switch {
 		case a.Outcome == judge.Whole:
 			if want := program.Chain(before, mark, a.Text); want != last.Head {
-				w.Record.Asked[len(w.Record.Asked)-1].Text += " (head does not follow)"
+				w.Record.Requests[len(w.Record.Requests)-1].Text += " (head does not follow)"
 			}
 			u.heads[line] = last.Head
 		case a.Outcome == judge.Refused && a.Code == "wrong_history":
@@ -187,7 +187,7 @@
 	w := u.world
 	mark := w.mark("tool")
 	raw, _ := json.Marshal(map[string]string{"mark": mark})
-	w.ask(w.anyNode(), node.Inquiry{Kind: node.Tool, Key: u.key, Program: u.program, Service: "search", Arguments: raw, Budget: 2 * time.Second}, func(judge.Asked, node.Piece) { u.again() })
+	w.ask(w.anyNode(), node.Inquiry{Kind: node.Tool, Key: u.key, Program: u.program, Service: "search", Arguments: raw, Budget: 2 * time.Second}, func(judge.Request, node.Piece) { u.again() })
 }
 
 // alert sends a once-only alert, often at two nodes at once, and asks again
@@ -200,7 +200,7 @@
 	tries := 0
 	var try func(then func())
 	try = func(then func()) {
-		w.ask(w.anyNode(), q, func(a judge.Asked, last node.Piece) {
+		w.ask(w.anyNode(), q, func(a judge.Request, last node.Piece) {
 			tries++
 			if a.Outcome != judge.Whole && tries < 5 {
 				u.pause(50*time.Millisecond, 800*time.Millisecond, func() { try(then) })
--- a/rehearsalkit/simulator/restart_test.go
+++ b/rehearsalkit/simulator/restart_test.go
@@ -60,7 +60,7 @@
 				want(t, "after", a, "")
 			}
 			whole := 0
-			for _, a := range w.Record.Asked {
+			for _, a := range w.Record.Requests {
 				if a.Kind == node.Look && a.Outcome == judge.Whole {
 					whole++
 				}
--- a/rehearsalkit/simulator/run.go
+++ b/rehearsalkit/simulator/run.go
@@ -94,9 +94,9 @@
 // limits tells the judge what the world's description allows.
 func (w *World) limits() {
 	p := w.Params
-	w.Record.Limits = judge.Limits{ProgramTokens: 6000, TurnTokens: 1000, Rate: map[string]float64{}, Burst: map[string]float64{}, Keep: time.Hour, Late: 2 * time.Second,
+	w.Record.Limits = judge.Limits{ProgramTokens: 6000, TurnTokens: 1000, Rate: map[string]float64{}, Burst: map[string]float64{}, Retention: time.Hour, PropagationLimit: 2 * time.Second,
 		DayTokens: map[string]int64{"t2": p.DayTokens}, Users: map[string]judge.UserLimits{fmt.Sprintf("t%d", tenants): strictUser},
-		MinuteDollars: p.MinuteCost, Price: map[string]float64{"model": 10}, Drift: 0.09}
+		MinuteDollars: p.MinuteCost, Price: map[string]float64{"model": 10}, ClockDrift: 0.09}
 	for _, n := range w.nodes {
 		w.Record.Nodes = append(w.Record.Nodes, n.id)
 	}
@@ -128,7 +128,7 @@
 	if strings.HasSuffix(mark, revoking) {
 		revoked = "t1"
 	}
-	w.Record.Handed = append(w.Record.Handed, judge.Handed{At: began, BasedOn: basedOn})
+	w.Record.Submissions = append(w.Record.Submissions, judge.Submission{At: began, BasedOn: basedOn})
 	w.Operate(at, func(m *core.Machine, now time.Duration, ticket uint64) core.Output { return m.Apply(now, ticket, h) }, func(body any) {
 		t := body.(core.Taking)
 		w.logf("configuration %s on %d: %+v", mark, basedOn, t.Code)
@@ -136,12 +136,12 @@
 		w.version = max(w.version, t.Version)
 		if t.Taken {
 			w.keys[t.Version] = mark
-			w.Record.Taken = append(w.Record.Taken, judge.Taken{At: w.now, Version: t.Version, Mark: mark, Revoked: revoked})
+			w.Record.Decisions = append(w.Record.Decisions, judge.Decision{At: w.now, Version: t.Version, ID: mark, RevokedTenant: revoked})
 			delete(w.handed, mark)
 		}
 		if t.Code == "race_lost" || t.Code == "not_approved" || t.Code == "faulty" {
 			w.keys[refusedBase+uint64(len(w.keys))] = mark
-			w.Record.Taken = append(w.Record.Taken, judge.Taken{At: w.now, Mark: mark, Refused: true})
+			w.Record.Decisions = append(w.Record.Decisions, judge.Decision{At: w.now, ID: mark, Refused: true})
 			delete(w.handed, mark)
 		}
 		if t.Code == "agreed_not_taken" {
@@ -188,11 +188,11 @@
 
 func (w *World) look(p *proc, last bool) {
 	see := func(key string, version uint64) {
-		w.ask(p, node.Inquiry{Kind: node.Look, Key: key, Program: "none", Budget: time.Second}, func(a judge.Asked, _ node.Piece) {
+		w.ask(p, node.Inquiry{Kind: node.Look, Key: key, Program: "none", Budget: time.Second}, func(a judge.Request, _ node.Piece) {
 			if a.Code == "unknown_program" {
-				w.Record.Probes = append(w.Record.Probes, judge.Probe{At: a.At, Ended: a.Ended, Node: p.id, Version: version, Last: last})
+				w.Record.Probes = append(w.Record.Probes, judge.Probe{At: a.At, Ended: a.Ended, Node: p.id, Version: version, Final: last})
 				if version >= refusedBase {
-					w.Record.Taken = append(w.Record.Taken, judge.Taken{Version: version, Refused: true})
+					w.Record.Decisions = append(w.Record.Decisions, judge.Decision{Version: version, Refused: true})
 				}
 			}
 		})
@@ -230,14 +230,14 @@
 }
 
 // Do makes one inquiry at a node and runs the world until its return.
-func (w *World) Do(number int, q node.Inquiry) (judge.Asked, node.Piece) {
-	var got judge.Asked
+func (w *World) Do(number int, q node.Inquiry) (judge.Request, node.Piece) {
+	var got judge.Request
 	var last node.Piece
 	over := false
 	if q.Budget == 0 {
 		q.Budget = 3 * time.Second
 	}
-	w.ask(w.nodes[number], q, func(a judge.Asked, p node.Piece) { got, last, over = a, p, true })
+	w.ask(w.nodes[number], q, func(a judge.Request, p node.Piece) { got, last, over = a, p, true })
 	for until := w.now + q.Budget + time.Second; !over && w.now < until; {
 		w.run(w.now + 5*time.Millisecond)
 	}
@@ -289,10 +289,10 @@
 	w.after(w.between(100*time.Millisecond, time.Second), p.boot)
 }
 
-func open(w *World, at int, user string) (judge.Asked, node.Piece) {
+func open(w *World, at int, user string) (judge.Request, node.Piece) {
 	return w.Do(at, node.Inquiry{Kind: node.Open, Key: "key-t1", User: user})
 }
 
-func turn(w *World, at int, id, before string, tokens int64) (judge.Asked, node.Piece) {
+func turn(w *World, at int, id, before string, tokens int64) (judge.Request, node.Piece) {
 	return w.Do(at, node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: id, Service: "model", Before: before, Say: w.mark("say"), MaxTokens: tokens})
 }
--- a/rehearsalkit/simulator/terms.go
+++ b/rehearsalkit/simulator/terms.go
@@ -96,7 +96,7 @@
 		if w.now >= until {
 			return
 		}
-		w.ask(w.anyNode(), node.Inquiry{Kind: node.Open, Key: key, User: w.mark("u"), Budget: 2 * time.Second}, func(a judge.Asked, p node.Piece) {
+		w.ask(w.anyNode(), node.Inquiry{Kind: node.Open, Key: key, User: w.mark("u"), Budget: 2 * time.Second}, func(a judge.Request, p node.Piece) {
 			if a.Outcome != judge.Whole {
 				w.after(200*time.Millisecond, open)
 				return
@@ -108,7 +108,7 @@
 		if w.now >= until {
 			return
 		}
-		w.ask(w.anyNode(), node.Inquiry{Kind: node.Turn, Key: key, Program: id, Service: "model", Before: head, Say: w.mark("say"), MaxTokens: 100, Budget: 2 * time.Second}, func(a judge.Asked, p node.Piece) {
+		w.ask(w.anyNode(), node.Inquiry{Kind: node.Turn, Key: key, Program: id, Service: "model", Before: head, Say: w.mark("say"), MaxTokens: 100, Budget: 2 * time.Second}, func(a judge.Request, p node.Piece) {
 			done(a.At, a.Outcome == judge.Whole)
 			pause := w.between(500*time.Millisecond, 1500*time.Millisecond)
 			switch {
--- a/rehearsalkit/sizes/larger_test.go
+++ b/rehearsalkit/sizes/larger_test.go
@@ -1,7 +1,7 @@
 package sizes
 
 // larger are the sizes that the code had when the bounds came. It may only shrink.
-var larger = map[string]int{
+var exceptions = map[string]int{
 	"function peer/core/placement.go assignMembers":                 79,
 	"function peer/core/rules.go rules.Apply":                       103,
 	"function peer/operator/handler.go Handler":                     73,
@@ -12,7 +12,7 @@
 	"function platform/settings.go translate":                       67,
 	"function rehearsalkit/capacity/command.go Command.Run":         72,
 	"function rehearsalkit/capacity/measure.go world.figures":       85,
-	"function rehearsalkit/judge/books.go Record.starts":            100,
+	"function rehearsalkit/judge/limits.go Record.sessionStarts":    100,
 	"function rehearsalkit/judge/judge.go Record.histories":         64,
 	"function rehearsalkit/relaysim/judge_tables.go books.handling": 62,
 	"function rehearsalkit/relaysim/operator.go World.table":        79,
@@ -36,7 +36,7 @@
 	"struct rehearsalkit/capacity/world.go process":                 19,
 	"struct rehearsalkit/capacity/world.go world":                   19,
 	"struct rehearsalkit/fleet/fleet.go Layout":                     17,
-	"struct rehearsalkit/judge/record.go Asked":                     18,
+	"struct rehearsalkit/judge/record.go Request":                   18,
 	"struct rehearsalkit/relaysim/params.go Params":                 21,
 	"struct rehearsalkit/relaysim/record.go Request":                24,
 	"struct rehearsalkit/simulator/process.go proc":                 16,
--- a/rehearsalkit/sizes/sizes_test.go
+++ b/rehearsalkit/sizes/sizes_test.go
@@ -23,7 +23,7 @@
 	found := map[string]bool{}
 	for _, s := range sizes {
 		name := string(s.Kind) + " " + s.Place
-		allowed, listed := larger[name]
+		allowed, listed := exceptions[name]
 		found[name] = true
 		switch {
 		case !listed && s.Size > bounds[s.Kind]:
@@ -34,7 +34,7 @@
 			t.Errorf("%s is small enough now: take it off the list", name)
 		}
 	}
-	for name := range larger {
+	for name := range exceptions {
 		if !found[name] {
 			t.Errorf("%s is listed and is not there", name)
 		}
--- a/rehearsalkit/soak/command.go
+++ b/rehearsalkit/soak/command.go
@@ -39,7 +39,7 @@
 
 // Run runs the seeds and prints what broke.
 func (c *Command) Run() error {
-	if err := errors.CombineErrors(setup.Program(c.Binary), setup.Folder(c.Folder)); err != nil {
+	if err := errors.CombineErrors(setup.CheckProgram(c.Binary), setup.EnsureFolder(c.Folder)); err != nil {
 		return err
 	}
 	// Whoever starts processes and may tell them to reload at any moment starts them
--- a/rehearsalkit/worth/command.go
+++ b/rehearsalkit/worth/command.go
@@ -60,11 +60,11 @@
 	}
 	fmt.Fprintln(out, "\n| from second | asked | in aim | late | refused | failed | worth | p50 ms | troubles |\n|---|---|---|---|---|---|---|---|---|")
 	for i, w := range r.Windows {
-		from, to := start(w), math.Inf(1)
+		from, to := windowStart(w), math.Inf(1)
 		if i+1 < len(r.Windows) {
-			to = start(r.Windows[i+1])
+			to = windowStart(r.Windows[i+1])
 		}
-		fmt.Fprintf(out, "| %v | %d | %d | %d | %d | %d | %.3f | %.0f | %s |\n", w.Name, w.Asked, w.InAim, w.Late, w.Refused, w.Failed, w.Worth, w.Median, strings.Join(r.Troubles(from, to), ", "))
+		fmt.Fprintf(out, "| %v | %d | %d | %d | %d | %d | %.3f | %.0f | %s |\n", w.Name, w.Asked, w.InAim, w.Late, w.Refused, w.Failed, w.Worth, w.Median, strings.Join(r.EventsBetween(from, to), ", "))
 	}
 	fmt.Fprintln(out, "\n| kind | asked | in aim | late | refused | failed | worth | p50 ms |\n|---|---|---|---|---|---|---|---|")
 	for _, w := range r.Classes {
@@ -74,7 +74,7 @@
 }
 
 // start is the second that a window begins at.
-func start(w Window) float64 {
+func windowStart(w Window) float64 {
 	second, err := strconv.ParseFloat(fmt.Sprint(w.Name), 64)
 	if err != nil {
 		return 0
--- a/rehearsalkit/worth/report.go
+++ b/rehearsalkit/worth/report.go
@@ -12,24 +12,24 @@
 
 // Report is what a played day's report tells of its worth.
 type Report struct {
-	Worth   float64  `json:"G"`
-	Parts   []Part   `json:"parts"`
-	Prices  []Price  `json:"prices"`
-	Windows []Window `json:"windows"`
-	Classes []Window `json:"classes"`
-	Events  []Event  `json:"events"`
+	Worth      float64     `json:"G"`
+	Components []Component `json:"parts"`
+	Prices     []Price     `json:"prices"`
+	Windows    []Window    `json:"windows"`
+	Classes    []Window    `json:"classes"`
+	Events     []Event     `json:"events"`
 	// Ends counts how clients' tries ended.
-	Ends map[string]int `json:"ends"`
+	Outcomes map[string]int `json:"ends"`
 }
 
 // Part is one part of the goal: its weight, and the ratio of worth earned in it.
-type Part struct {
+type Component struct {
 	Name          string
 	Weight, Value float64
 }
 
 // UnmarshalJSON reads a part as reports write it: a list of name, weight and value.
-func (p *Part) UnmarshalJSON(raw []byte) error {
+func (p *Component) UnmarshalJSON(raw []byte) error {
 	return json.Unmarshal(raw, &[]any{&p.Name, &p.Weight, &p.Value})
 }
 
@@ -73,7 +73,7 @@
 	if err := json.Unmarshal(text, &r); err != nil {
 		return r, errors.Wrap(err, path)
 	}
-	if len(r.Parts) == 0 {
+	if len(r.Components) == 0 {
 		return r, errors.Newf("%s: no report of a day", path)
 	}
 	return r, nil
@@ -90,7 +90,7 @@
 func (r Report) Losses() []Loss {
 	var losses []Loss
 	rest := 1 - r.Worth
-	for _, p := range r.Parts {
+	for _, p := range r.Components {
 		losses = append(losses, Loss{Cause: p.Name, Worth: p.Weight * (1 - p.Value)})
 		rest -= p.Weight * (1 - p.Value)
 	}
@@ -104,7 +104,7 @@
 }
 
 // Troubles names what struck between two moments.
-func (r Report) Troubles(from, to float64) (kinds []string) {
+func (r Report) EventsBetween(from, to float64) (kinds []string) {
 	for _, e := range r.Events {
 		if e.From < to && e.To > from {
 			kinds = append(kinds, e.Kind)
--- a/rehearsalkit/worth/worth_test.go
+++ b/rehearsalkit/worth/worth_test.go
@@ -28,7 +28,7 @@
 }
 
 // TestLossesAddUp to all that a day lost.
-func TestLossesAddUp(t *testing.T) {
+func TestLossesSumToTotal(t *testing.T) {
 	r := sampleReport(t, sample)
 	sum := 0.0
 	for _, l := range r.Losses() {
@@ -50,7 +50,7 @@
 }
 
 // TestPairs: differences are taken pair by pair; other numbers of reports are refused.
-func TestPairs(t *testing.T) {
+func TestComparePairs(t *testing.T) {
 	at := func(worth float64) Report { return Report{Worth: worth} }
 	var out bytes.Buffer
 	if err := compare(&out, []Report{at(0.5), at(0.6), at(0.4)}, []Report{at(0.6), at(0.7), at(0.5)}); err != nil {
@@ -71,7 +71,7 @@
 }
 
 // TestNoReport: something else is refused.
-func TestNoReport(t *testing.T) {
+func TestReadRejectsOtherFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "other.json")
 	if err := os.WriteFile(path, []byte(`{}`), 0o600); err != nil {
 		t.Fatal(err)
