--- a/rehearsalkit/judge/judge.go
+++ b/rehearsalkit/judge/judge.go
@@ -1,5 +1,6 @@
-// Package judge holds a run against the twelve rules, by what requesters and
-// back ends saw and by nothing that the fleet says of itself.
+// Package judge checks a recorded run against the twelve rules that the product keeps. It
+// relies only on what requesters and back ends observed, never on what the fleet reports
+// about itself. Record describes the observations; start reading at Record.Judge.
 package judge
 
 import (
@@ -12,15 +13,19 @@
 	"saffronfall/rule/ordered"
 )
 
-// Outcomes that a requester sees.
+// Outcomes of a request, as its requester saw them.
 const (
-	Whole   = "whole"
-	Broken  = "broken"
+	// Whole is a complete answer.
+	Whole = "whole"
+	// Broken is an answer whose stream ended early.
+	Broken = "broken"
+	// Refused is an error response.
 	Refused = "refused"
-	Silent  = "silent"
+	// Silent is no answer at all.
+	Silent = "silent"
 )
 
-// Judge lists the breaches of a run.
+// Judge returns the breaches found in a run.
 func (r *Record) Judge() []Breach {
 	var all []Breach
 	for _, check := range []func() []Breach{r.programTokens, r.notRun, r.once, r.retention, r.histories, r.quotas, r.configurations, r.leaving, r.completeAnswers,
@@ -34,37 +39,37 @@
 	return Breach{Rule: rule, Detail: fmt.Sprintf(format, args...)}
 }
 
-// spending is rule 1, from both ends: what requesters got and what replicas
-// made.
+// programTokens checks rule 1, the token budget of a program, against what requesters
+// received and against what replicas produced.
 func (r *Record) programTokens() (list []Breach) {
-	made, got := map[string]int64{}, map[string]int64{}
+	produced, received := map[string]int64{}, map[string]int64{}
 	for _, s := range r.Attempts {
 		if s.Program != "" && !s.Tool {
-			// What a replica makes beyond what it was asked for is cut off.
-			made[s.Program] += min(s.Tokens, s.MaxTokens)
+			// Tokens beyond the attempt's limit are cut off by the node.
+			produced[s.Program] += min(s.Tokens, s.MaxTokens)
 			if s.Tokens > s.MaxTokens && !s.OverLimit {
-				list = append(list, breach(1, "replica made %d tokens of %d for %s", s.Tokens, s.MaxTokens, s.RequestID))
+				list = append(list, breach(1, "replica produced %d tokens for %s; the limit is %d", s.Tokens, s.RequestID, s.MaxTokens))
 			}
 		}
 	}
 	for _, a := range r.Requests {
 		if a.Kind == "turn" {
-			got[a.Program] += a.Tokens
+			received[a.Program] += a.Tokens
 		}
 	}
-	most := r.Limits.ProgramTokens + r.Limits.TurnTokens
-	for _, side := range []map[string]int64{made, got} {
+	limit := r.Limits.ProgramTokens + r.Limits.TurnTokens
+	for _, side := range []map[string]int64{produced, received} {
 		for _, p := range ordered.Keys(side) {
-			if side[p] > most {
-				list = append(list, breach(1, "program %s got %d tokens; at most %d", p, side[p], most))
+			if side[p] > limit {
+				list = append(list, breach(1, "program %s used %d tokens; the limit is %d", p, side[p], limit))
 			}
 		}
 	}
 	return list
 }
 
-// notRun is rules 2 and 4: what was refused as not run never reached a back
-// end, before or after.
+// notRun checks rules 2 and 4: a request refused as not run never reaches a back end,
+// before or after the refusal.
 func (r *Record) notRun() (list []Breach) {
 	reached := map[string]bool{}
 	for _, s := range r.Attempts {
@@ -76,17 +81,17 @@
 			if a.Code == "breaker_open" || a.Code == "program_tokens_spent" || a.Code == "tenant_day_tokens_spent" {
 				rule = 2
 			}
-			list = append(list, breach(rule, "%s was refused (%s, not run) and ran", a.ID, a.Code))
+			list = append(list, breach(rule, "%s was refused as not run (%s), but it ran", a.ID, a.Code))
 		}
 		if a.Outcome == Whole && (a.Kind == "turn" || a.Kind == "tool") && !reached[a.ID] {
-			list = append(list, breach(11, "%s came whole and never reached a back end", a.ID))
+			list = append(list, breach(11, "%s was answered completely, but never reached a back end", a.ID))
 		}
 	}
 	return list
 }
 
-// once is rule 3, and rule 4 for once-keys: a key all of whose inquiries were
-// refused as not run never ran.
+// once checks rule 3, that an idempotency key (once-key) runs at most once, and rule 4 for
+// such keys: a key all of whose requests were refused as not run never ran.
 func (r *Record) once() (list []Breach) {
 	ran := map[string]int{}
 	for _, s := range r.Attempts {
@@ -97,28 +102,29 @@
 			}
 		}
 	}
-	all, not := map[string]int{}, map[string]int{}
+	total, refused := map[string]int{}, map[string]int{}
 	for _, a := range r.Requests {
 		if a.OnceKey == "" {
 			continue
 		}
-		all[a.OnceKey]++
+		total[a.OnceKey]++
 		if a.Outcome == Refused && a.Ran == "no" {
-			not[a.OnceKey]++
+			refused[a.OnceKey]++
 		}
 		if a.Outcome == Whole && ran[a.OnceKey] == 0 {
-			list = append(list, breach(11, "once-key %s was answered and never ran", a.OnceKey))
+			list = append(list, breach(11, "once-key %s was answered, but never ran", a.OnceKey))
 		}
 	}
-	for _, k := range ordered.Keys(all) {
-		if all[k] == not[k] && ran[k] > 0 {
-			list = append(list, breach(4, "once-key %s was only refused as not run, and ran", k))
+	for _, k := range ordered.Keys(total) {
+		if total[k] == refused[k] && ran[k] > 0 {
+			list = append(list, breach(4, "once-key %s was always refused as not run, but it ran", k))
 		}
 	}
 	return list
 }
 
-// gone is rule 5.
+// retention checks rule 5: a program is not reported as gone or unknown before its
+// retention time after its last successful request has passed.
 func (r *Record) retention() (list []Breach) {
 	last := map[string]time.Duration{}
 	for _, a := range r.Requests {
@@ -132,76 +138,76 @@
 	for _, a := range r.Requests {
 		if (a.Status == 410 || a.Status == 404) && a.Program != "" {
 			if at, ok := last[a.Program]; ok && at < a.Ended && a.Ended < at+r.Limits.Retention {
-				list = append(list, breach(5, "program %s was called gone (%d %s) %v after its last whole turn", a.Program, a.Status, a.Code, a.Ended-at))
+				list = append(list, breach(5, "program %s was reported gone (%d %s) %v after its last complete answer", a.Program, a.Status, a.Code, a.Ended-at))
 			}
 		}
 	}
 	return list
 }
 
-// histories is rule 6: each history that a replica got has turns of that very
-// conversation, each once and in order. One that came whole is just what its
-// requester got; one that broke is what a replica gave, and its requester got
-// the beginning of it. No turn that its requester saw whole before is lacking,
-// and what was history once stays so.
+// histories checks rule 6: every history sent to a replica holds turns of its own
+// conversation only, each once and in order. A complete turn has exactly the text that its
+// requester received; the text of a broken turn comes from a replica and begins with what
+// the requester received. No turn that was complete before is missing, and every history
+// extends the previous one of its conversation.
 func (r *Record) histories() (list []Breach) {
-	type line struct{ program, line string }
-	said := map[string]Request{}
-	whole := map[line][]Request{}
+	type conversation struct{ program, name string }
+	requests := map[string]Request{}
+	whole := map[conversation][]Request{}
 	for _, a := range r.Requests {
 		if a.Kind != "turn" {
 			continue
 		}
-		said[a.ID] = a
+		requests[a.ID] = a
 		if a.Outcome == Whole {
-			whole[line{a.Program, a.Conversation}] = append(whole[line{a.Program, a.Conversation}], a)
+			whole[conversation{a.Program, a.Conversation}] = append(whole[conversation{a.Program, a.Conversation}], a)
 		}
 	}
-	made := map[string][]Attempt{}
-	lines := map[line][]Attempt{}
+	produced := map[string][]Attempt{}
+	byConversation := map[conversation][]Attempt{}
 	for _, s := range r.Attempts {
-		made[s.RequestID] = append(made[s.RequestID], s)
+		produced[s.RequestID] = append(produced[s.RequestID], s)
 		if s.Program != "" && !s.Tool {
-			lines[line{s.Program, s.Conversation}] = append(lines[line{s.Program, s.Conversation}], s)
+			byConversation[conversation{s.Program, s.Conversation}] = append(byConversation[conversation{s.Program, s.Conversation}], s)
 		}
 	}
 	for _, s := range r.Attempts {
 		if s.Program == "" || s.Tool {
 			continue
 		}
-		own := said[s.RequestID]
+		own := requests[s.RequestID]
 		if own.Tenant != s.Tenant || own.Program != s.Program || own.Conversation != s.Conversation {
-			list = append(list, breach(6, "%s of %s/%s reached a replica as %s/%s", s.RequestID, own.Tenant, own.Program, s.Tenant, s.Program))
+			list = append(list, breach(6, "%s of %s/%s reached a replica as a request of %s/%s", s.RequestID, own.Tenant, own.Program, s.Tenant, s.Program))
 		}
 		in := map[string]bool{}
 		before := time.Duration(-1)
 		for _, t := range s.History {
-			a := said[t.Prompt]
+			a := requests[t.Prompt]
 			switch {
 			case in[t.Prompt]:
-				list = append(list, breach(6, "history of %s has the turn %s twice", s.RequestID, t.Prompt))
+				list = append(list, breach(6, "history of %s contains the turn %s twice", s.RequestID, t.Prompt))
 			case a.Program != s.Program || a.Conversation != s.Conversation:
-				list = append(list, breach(6, "history of %s has a turn of %s", s.RequestID, a.Program))
+				list = append(list, breach(6, "history of %s contains a turn of another conversation, of program %s", s.RequestID, a.Program))
 			case a.At < before:
-				list = append(list, breach(6, "history of %s has the turn %s out of order", s.RequestID, t.Prompt))
+				list = append(list, breach(6, "history of %s contains the turn %s out of order", s.RequestID, t.Prompt))
 			case a.Outcome == Whole && t.Answer != a.Text:
-				list = append(list, breach(6, "history of %s has %q for the turn %s, whose requester got %q", s.RequestID, t.Answer, t.Prompt, a.Text))
-			case !relayed(t.Answer, a.Text, made[t.Prompt]):
-				list = append(list, breach(6, "history of %s has an answer for %s that no replica gave", s.RequestID, t.Prompt))
+				list = append(list, breach(6, "history of %s contains %q for the turn %s, whose requester received %q", s.RequestID, t.Answer, t.Prompt, a.Text))
+			case !relayed(t.Answer, a.Text, produced[t.Prompt]):
+				list = append(list, breach(6, "history of %s contains an answer for %s that no replica produced", s.RequestID, t.Prompt))
 			}
 			in[t.Prompt], before = true, a.At
 		}
-		for _, a := range whole[line{s.Program, s.Conversation}] {
+		for _, a := range whole[conversation{s.Program, s.Conversation}] {
 			if a.Ended < own.At && !in[a.ID] {
-				list = append(list, breach(6, "history of %s lacks the whole turn %s", s.RequestID, a.ID))
+				list = append(list, breach(6, "history of %s lacks the complete turn %s", s.RequestID, a.ID))
 			}
 		}
 	}
-	for _, shots := range lines {
-		sort.SliceStable(shots, func(i, j int) bool { return shots[i].At < shots[j].At })
-		for i := 1; i < len(shots); i++ {
-			if !hasPrefix(shots[i].History, shots[i-1].History) {
-				list = append(list, breach(6, "history of %s does not go on from that of %s", shots[i].RequestID, shots[i-1].RequestID))
+	for _, attempts := range byConversation {
+		sort.SliceStable(attempts, func(i, j int) bool { return attempts[i].At < attempts[j].At })
+		for i := 1; i < len(attempts); i++ {
+			if !hasPrefix(attempts[i].History, attempts[i-1].History) {
+				list = append(list, breach(6, "history of %s does not extend that of %s", attempts[i].RequestID, attempts[i-1].RequestID))
 			}
 		}
 	}
@@ -209,23 +215,23 @@
 	return list
 }
 
-// relayed reports whether a turn is what one replica gave: all of it, or as
-// much as its inquiry had room for.
-func relayed(turn, got string, made []Attempt) bool {
-	for _, s := range made {
-		if strings.HasPrefix(turn, got) && (s.Text == turn || s.OverLimit && strings.HasPrefix(s.Text, turn)) {
+// relayed reports whether a turn of a history begins with what the requester received and
+// is what one replica produced, cut off at the attempt's token limit where it exceeded it.
+func relayed(turn, received string, produced []Attempt) bool {
+	for _, s := range produced {
+		if strings.HasPrefix(turn, received) && (s.Text == turn || s.OverLimit && strings.HasPrefix(s.Text, turn)) {
 			return true
 		}
 	}
 	return false
 }
 
+// hasPrefix reports whether a history begins with another one.
 func hasPrefix(history, with []Turn) bool {
 	return len(history) >= len(with) && slices.Equal(history[:len(with)], with)
 }
 
-// quotas is rule 7: in every window, no more shots of a tenant than its rate
-// and burst allow.
+// quotas checks rule 7: a tenant's attempts stay within its rate and burst in every window.
 func (r *Record) quotas() (list []Breach) {
 	times := map[string][]time.Duration{}
 	for _, s := range r.Attempts {
@@ -238,13 +244,13 @@
 		}
 		at := times[tenant]
 		sort.Slice(at, func(i, j int) bool { return at[i] < at[j] })
-		// level is the most that a bucket of this rate would be overdrawn.
+		// level is the content of a leaky bucket that drains at the tenant's rate.
 		level, before := 0.0, time.Duration(0)
 		for _, t := range at {
 			level = max(0, level-rate*(t-before).Seconds()) + 1
 			before = t
 			if level > r.Limits.Burst[tenant]+1 {
-				list = append(list, breach(7, "tenant %s: %.1f shots above rate %.1f at %v; burst is %.0f", tenant, level, rate, t, r.Limits.Burst[tenant]))
+				list = append(list, breach(7, "tenant %s: %.1f attempts above the rate of %.1f a second at %v; the burst is %.0f", tenant, level, rate, t, r.Limits.Burst[tenant]))
 				break
 			}
 		}
@@ -252,16 +258,18 @@
 	return list
 }
 
-// configurations is rules 8 and 9.
+// configurations checks rule 8, that nodes apply an accepted configuration in time and
+// never return to an older one, and rule 9, that a refused one is never in force and that
+// all nodes end with the last accepted one.
 func (r *Record) configurations() (list []Breach) {
-	taken := map[uint64]bool{}
+	accepted := map[uint64]bool{}
 	refused := map[uint64]bool{}
 	last := uint64(0)
 	for _, t := range r.Decisions {
 		if t.Refused {
 			refused[t.Version] = true
 		} else {
-			taken[t.Version] = true
+			accepted[t.Version] = true
 			last = max(last, t.Version)
 		}
 	}
@@ -272,18 +280,18 @@
 	for _, p := range probes {
 		for _, older := range byNode[p.Node] {
 			if older.Ended < p.At && older.Version > p.Version {
-				list = append(list, breach(8, "node %s slid back from version %d to %d", p.Node, older.Version, p.Version))
+				list = append(list, breach(8, "node %s went back from version %d to %d", p.Node, older.Version, p.Version))
 				break
 			}
 		}
 		byNode[p.Node] = append(byNode[p.Node], p)
 		for _, t := range r.Decisions {
 			if !t.Refused && p.Version < t.Version && p.At > t.At+r.Limits.PropagationLimit {
-				list = append(list, breach(8, "node %s was at version %d %v after %d was taken", p.Node, p.Version, p.At-t.At, t.Version))
+				list = append(list, breach(8, "node %s was at version %d %v after version %d was accepted", p.Node, p.Version, p.At-t.At, t.Version))
 			}
 		}
-		if refused[p.Version] && !taken[p.Version] {
-			list = append(list, breach(9, "node %s has refused description %d in force", p.Node, p.Version))
+		if refused[p.Version] && !accepted[p.Version] {
+			list = append(list, breach(9, "node %s has the refused configuration %d in force", p.Node, p.Version))
 		}
 		if p.Final {
 			final[p.Node] = max(final[p.Node], p.Version)
@@ -308,18 +316,18 @@
 	}
 	for _, node := range r.Nodes {
 		if final[node] < last {
-			list = append(list, breach(9, "node %s has version %d in force in the end, and %d was taken", node, final[node], last))
+			list = append(list, breach(9, "node %s ends with version %d in force, but version %d was accepted", node, final[node], last))
 		}
 	}
 	return list
 }
 
-// leaving is rule 10.
+// leaving checks rule 10: a replica gets no work after it announced that it leaves.
 func (r *Record) leaving() (list []Breach) {
 	for _, l := range r.Leaving {
 		for _, s := range r.Attempts {
 			if s.Replica == l.Replica && s.At > l.At+r.Limits.PropagationLimit {
-				list = append(list, breach(10, "replica %s got work %v after it said that it leaves", s.Replica, s.At-l.At))
+				list = append(list, breach(10, "replica %s got work %v after it announced that it leaves", s.Replica, s.At-l.At))
 				break
 			}
 		}
@@ -327,31 +335,32 @@
 	return list
 }
 
-// whole is rule 11: what came whole is exactly what one replica gave for it.
+// completeAnswers checks rule 11: a complete answer is exactly what one replica produced,
+// or the beginning of an answer that exceeded its token limit.
 func (r *Record) completeAnswers() (list []Breach) {
 	type answer struct {
 		text   string
 		tokens int64
 	}
-	made, overran := map[string]map[answer]bool{}, map[string]string{}
+	produced, overLimit := map[string]map[answer]bool{}, map[string]string{}
 	for _, s := range r.Attempts {
-		if made[s.RequestID] == nil {
-			made[s.RequestID] = map[answer]bool{}
+		if produced[s.RequestID] == nil {
+			produced[s.RequestID] = map[answer]bool{}
 		}
 		if s.OverLimit {
-			overran[s.RequestID] = s.Text
+			overLimit[s.RequestID] = s.Text
 		}
-		made[s.RequestID][answer{s.Text, s.Tokens}] = true
+		produced[s.RequestID][answer{s.Text, s.Tokens}] = true
 	}
 	for _, a := range r.Requests {
-		if a.Kind == "turn" && a.Outcome == Whole && !made[a.ID][answer{a.Text, a.Tokens}] && (overran[a.ID] == "" || !strings.HasPrefix(overran[a.ID], a.Text)) {
-			list = append(list, breach(11, "%s came whole with %q (%d tokens), which no replica gave", a.ID, a.Text, a.Tokens))
+		if a.Kind == "turn" && a.Outcome == Whole && !produced[a.ID][answer{a.Text, a.Tokens}] && (overLimit[a.ID] == "" || !strings.HasPrefix(overLimit[a.ID], a.Text)) {
+			list = append(list, breach(11, "%s was answered completely with %q (%d tokens), which no replica produced", a.ID, a.Text, a.Tokens))
 		}
 	}
 	return list
 }
 
-// Gap is the longest time in which no turn came whole.
+// LongestGap returns the longest time between the ends of two complete turns.
 func (r *Record) LongestGap() time.Duration {
 	var ends []time.Duration
 	for _, a := range r.Requests {
@@ -367,8 +376,9 @@
 	return gap
 }
 
-// Outages lists, for every conversation that was hindered, how long it took
-// from its first turn that did not come whole to its next one that did.
+// Outages returns, in ascending order, how long interrupted conversations took from the
+// first turn that was not complete to the end of the next complete one. Conflicts and quota
+// refusals (409 and 429) don't count as interruptions.
 func (r *Record) Outages() []time.Duration {
 	turns := map[string][]Request{}
 	for _, a := range r.Requests {
--- a/rehearsalkit/judge/judge_test.go
+++ b/rehearsalkit/judge/judge_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// validRecord returns a record that breaks no rule.
 func validRecord() *Record {
 	s := time.Second
 	return &Record{
@@ -33,56 +34,56 @@
 	}
 }
 
-// TestJudge breaks each rule in a record that breaks none, and wants that very
-// rule named.
+// TestJudge changes a valid record so that it breaks one rule, and checks that this rule is
+// reported.
 func TestJudge(t *testing.T) {
 	if b := validRecord().Judge(); len(b) > 0 {
-		t.Fatalf("a good record: %v", b)
+		t.Fatalf("a valid record has breaches: %v", b)
 	}
 	for _, c := range []struct {
-		name string
-		rule int
-		harm func(r *Record)
+		name    string
+		rule    int
+		corrupt func(r *Record)
 	}{
-		{"more output than budget and a turn", 1, func(r *Record) { r.Limits.ProgramTokens = -1; r.Limits.TurnTokens = 1 }},
-		{"a turn longer than asked for", 1, func(r *Record) { r.Attempts[0].MaxTokens = 4 }},
-		{"refused for the breaker and run", 2, func(r *Record) {
+		{"more tokens than the budget and one turn", 1, func(r *Record) { r.Limits.ProgramTokens = -1; r.Limits.TurnTokens = 1 }},
+		{"a turn above its token limit", 1, func(r *Record) { r.Attempts[0].MaxTokens = 4 }},
+		{"refused for the breaker but run", 2, func(r *Record) {
 			r.Requests[3].Code = "breaker_open"
 			r.Attempts = append(r.Attempts, Attempt{At: 9 * time.Second, Tenant: "t", Program: "p", RequestID: "c", MaxTokens: 10, History: []Turn{{"a", "A"}, {"b", "B"}}})
 		}},
-		{"once-key twice", 3, func(r *Record) {
+		{"once-key run twice", 3, func(r *Record) {
 			again := r.Attempts[2]
 			again.At += 9 * time.Second
 			r.Attempts = append(r.Attempts, again)
 		}},
-		{"refused as not run and run", 4, func(r *Record) {
+		{"refused as not run but run", 4, func(r *Record) {
 			r.Attempts = append(r.Attempts, Attempt{At: 9 * time.Second, Tenant: "t", Program: "p", RequestID: "c", MaxTokens: 10, History: []Turn{{"a", "A"}, {"b", "B"}}})
 		}},
-		{"once-key refused as not run and run", 4, func(r *Record) { r.Requests[2].Outcome, r.Requests[2].Ran = Refused, "no" }},
-		{"gone too early", 5, func(r *Record) { r.Requests[3].Status, r.Requests[3].Code = 410, "gone" }},
-		{"another tenant's", 6, func(r *Record) { r.Attempts[1].Tenant = "u" }},
+		{"once-key refused as not run but run", 4, func(r *Record) { r.Requests[2].Outcome, r.Requests[2].Ran = Refused, "no" }},
+		{"reported gone too early", 5, func(r *Record) { r.Requests[3].Status, r.Requests[3].Code = 410, "gone" }},
+		{"a request under another tenant", 6, func(r *Record) { r.Attempts[1].Tenant = "u" }},
 		{"a turn missing from a history", 6, func(r *Record) { r.Attempts[1].History = nil }},
 		{"a foreign answer in a history", 6, func(r *Record) { r.Attempts[1].History[0].Answer = "X" }},
 		{"faster than the quota", 7, func(r *Record) { r.Limits.Rate["t"], r.Limits.Burst["t"] = 0.01, 1 }},
-		{"a taken version ignored", 8, func(r *Record) { r.Probes[1].Version = 1 }},
-		{"a node slides back", 8, func(r *Record) { r.Probes = append(r.Probes, Probe{At: 6 * time.Second, Node: "n", Version: 1}) }},
-		{"a refused description in force", 9, func(r *Record) {
+		{"an accepted version ignored", 8, func(r *Record) { r.Probes[1].Version = 1 }},
+		{"a node returns to an older version", 8, func(r *Record) { r.Probes = append(r.Probes, Probe{At: 6 * time.Second, Node: "n", Version: 1}) }},
+		{"a refused configuration in force", 9, func(r *Record) {
 			r.Decisions = append(r.Decisions, Decision{Version: 7, Refused: true})
 			r.Probes = append(r.Probes, Probe{At: 6 * time.Second, Node: "n", Version: 7})
 		}},
 		{"work for a leaving replica", 10, func(r *Record) { r.Leaving[0].At = 500 * time.Millisecond }},
-		{"a node slides back in another life", 8, func(r *Record) {
+		{"a node returns to an older version after a restart", 8, func(r *Record) {
 			r.Decisions, r.Nodes = nil, nil
 			r.Probes = []Probe{{At: 3 * time.Second, Ended: 3 * time.Second, Node: "n", Version: 2}, {At: 4 * time.Second, Ended: 5 * time.Second, Node: "n", Version: 1}}
 		}},
-		{"the last taken is not in force in the end", 9, func(r *Record) { r.Probes[1].Final = false }},
+		{"the last accepted version is not in force at the end", 9, func(r *Record) { r.Probes[1].Final = false }},
 		{"work for a revoked key", 8, func(r *Record) { r.Decisions[0].At, r.Decisions[0].RevokedTenant = 500*time.Millisecond, "t" }},
 		{"a turn twice in a history", 6, func(r *Record) { r.Attempts[1].History = append(r.Attempts[1].History, r.Attempts[1].History[0]) }},
-		{"part of a whole turn in a history", 6, func(r *Record) {
+		{"part of a complete turn in a history", 6, func(r *Record) {
 			r.Attempts[0].Text, r.Requests[0].Text = "AAA", "AAA"
 			r.Attempts[1].History[0].Answer = "A"
 		}},
-		{"a broken turn that is not what was relayed", 6, func(r *Record) {
+		{"a broken turn shorter than what was relayed", 6, func(r *Record) {
 			r.Attempts[0].Text, r.Requests[0].Text, r.Requests[0].Outcome = "ABC", "AB", Broken
 			r.Attempts[1].History[0].Answer = "A"
 		}},
@@ -90,7 +91,7 @@
 			r.Attempts = append(r.Attempts, Attempt{At: 8 * time.Second, Tenant: "t", Program: "p", RequestID: "c", MaxTokens: 1, History: []Turn{{"b", "B"}, {"a", "A"}}})
 			r.Requests[3].Ran = "maybe"
 		}},
-		{"a history that does not go on from the last", 6, func(r *Record) {
+		{"a history that does not extend the previous one", 6, func(r *Record) {
 			r.Requests[0].Outcome, r.Requests[3].Ran = Broken, "maybe"
 			r.Attempts = append(r.Attempts, Attempt{At: 8 * time.Second, Tenant: "t", Program: "p", RequestID: "c", MaxTokens: 1, History: []Turn{{"b", "B"}}})
 		}},
@@ -99,46 +100,46 @@
 			again.Replica = "m2"
 			r.Attempts = append(r.Attempts, again, again, again)
 		}},
-		{"a tenant's day passed", 2, func(r *Record) { r.Limits.DayTokens["t"] = 9 }},
-		{"a breaker's minute passed", 2, func(r *Record) { r.Limits.MinuteDollars = 0.0001 }},
-		{"work long after a trip was told", 2, func(r *Record) {
+		{"a tenant's daily limit exceeded", 2, func(r *Record) { r.Limits.DayTokens["t"] = 9 }},
+		{"the breaker's limit per minute exceeded", 2, func(r *Record) { r.Limits.MinuteDollars = 0.0001 }},
+		{"work long after a trip was reported", 2, func(r *Record) {
 			r.Requests[6].Kind, r.Requests[6].Code, r.Requests[6].Ended, r.Requests[6].At, r.Requests[6].RetryAfter = "turn", "breaker_open", 0, 0, time.Minute
 		}},
-		{"work after the allowance was told to be spent", 2, func(r *Record) {
+		{"work after the program's tokens were reported spent", 2, func(r *Record) {
 			r.Requests[3].Code, r.Requests[3].ID, r.Requests[3].At, r.Requests[3].Ended = "program_tokens_spent", "z", 2*time.Second, 2*time.Second
 		}},
-		{"a session within a lockout", 12, func(r *Record) {
+		{"a session admitted during a lockout", 12, func(r *Record) {
 			r.Requests[7].Outcome, r.Requests[7].Code, r.Requests[7].Program = Whole, "", "q"
 			r.Limits.Users["t"] = UserLimits{PerMinute: 9, Lockout: 10 * time.Second, Concurrent: 9, Session: time.Minute, DayTokens: 100}
 		}},
-		{"a later check within a lockout", 12, func(r *Record) { r.Requests[7].Code = "concurrent_sessions" }},
-		{"a lockout that ends before it was told to", 12, func(r *Record) { r.Requests[6].RetryAfter = time.Second }},
-		{"a lockout longer than one", 12, func(r *Record) { r.Requests[6].RetryAfter = 11 * time.Second }},
-		{"more sessions in a minute", 12, func(r *Record) {
+		{"a refusal by a later check during a lockout", 12, func(r *Record) { r.Requests[7].Code = "concurrent_sessions" }},
+		{"a lockout that ends before its announced end", 12, func(r *Record) { r.Requests[6].RetryAfter = time.Second }},
+		{"a lockout longer than the limit", 12, func(r *Record) { r.Requests[6].RetryAfter = 11 * time.Second }},
+		{"more sessions in a minute than allowed", 12, func(r *Record) {
 			r.Requests[5] = r.Requests[4]
 			r.Requests[5].At = time.Second
 			r.Limits.Users["t"] = UserLimits{PerMinute: 1, Concurrent: 9, DayTokens: 100}
 		}},
-		{"more sessions at once", 12, func(r *Record) {
+		{"more concurrent sessions than allowed", 12, func(r *Record) {
 			r.Requests[5] = r.Requests[4]
 			r.Requests[5].At, r.Requests[5].Ended = time.Second, time.Second
 			r.Limits.Users["t"] = UserLimits{PerMinute: 9, Concurrent: 1, Session: time.Minute, DayTokens: 100}
 		}},
-		{"a session after the day was spent", 12, func(r *Record) {
+		{"a session after the daily tokens were spent", 12, func(r *Record) {
 			r.Requests[5] = r.Requests[4]
 			r.Requests[5].At, r.Requests[5].Ended = 9*time.Second, 9*time.Second
 		}},
-		{"mixed answers", 11, func(r *Record) { r.Requests[0].Text = "B" }},
-		{"whole and never run", 11, func(r *Record) { r.Attempts = r.Attempts[1:] }},
+		{"an answer of another request", 11, func(r *Record) { r.Requests[0].Text = "B" }},
+		{"answered completely but never run", 11, func(r *Record) { r.Attempts = r.Attempts[1:] }},
 	} {
 		r := validRecord()
-		c.harm(r)
+		c.corrupt(r)
 		found := false
 		for _, b := range r.Judge() {
 			found = found || b.Rule == c.rule
 		}
 		if !found {
-			t.Errorf("%s: rule %d was not named: %s", c.name, c.rule, fmt.Sprint(r.Judge()))
+			t.Errorf("%s: rule %d was not reported: %s", c.name, c.rule, fmt.Sprint(r.Judge()))
 		}
 	}
 }
--- a/rehearsalkit/judge/limits.go
+++ b/rehearsalkit/judge/limits.go
@@ -7,10 +7,10 @@
 	"saffronfall/rule/ordered"
 )
 
-// allowances is rule 2 by the judge's own books, from what back ends made: no
-// tenant's day and no minute of the breaker passes its whole, as every turn was
-// drawn from shares before it ran; and nothing runs of a program whose
-// requesters were told that its allowance is spent.
+// tokenLimits checks rule 2 from the tokens that back ends produced: no tenant exceeds its
+// daily tokens, no minute exceeds the breaker's threshold, and no attempt runs for a
+// program after a requester was told that the program's tokens are spent. The limits hold
+// exactly because every turn reserves its tokens before it runs.
 func (r *Record) tokenLimits() (list []Breach) {
 	day := map[string]int64{}
 	type spend struct {
@@ -23,8 +23,8 @@
 		spends = append(spends, spend{s.At, float64(min(s.Tokens, max(s.MaxTokens, 0))) * r.Limits.Price[s.Service] / 1e6})
 	}
 	for _, tenant := range ordered.Keys(r.Limits.DayTokens) {
-		if most := r.Limits.DayTokens[tenant]; day[tenant] > most {
-			list = append(list, breach(2, "tenant %s got %d tokens of its day's %d", tenant, day[tenant], most))
+		if limit := r.Limits.DayTokens[tenant]; day[tenant] > limit {
+			list = append(list, breach(2, "tenant %s used %d tokens in a day; its daily limit is %d", tenant, day[tenant], limit))
 		}
 	}
 	sort.SliceStable(spends, func(i, j int) bool { return spends[i].at < spends[j].at })
@@ -36,7 +36,7 @@
 			first++
 		}
 		if r.Limits.MinuteDollars > 0 && sum > r.Limits.MinuteDollars+1e-6 {
-			list = append(list, breach(2, "%.4f dollars were spent in a minute, of %.4f", sum, r.Limits.MinuteDollars))
+			list = append(list, breach(2, "%.4f dollars were spent in one minute; the breaker's limit is %.4f", sum, r.Limits.MinuteDollars))
 			break
 		}
 	}
@@ -48,36 +48,37 @@
 			}
 		}
 	}
-	asked := r.requestsByID()
+	requests := r.requestsByID()
 	for _, s := range r.Attempts {
-		if at, ok := spent[s.Program]; ok && !s.Tool && s.Program != "" && asked[s.RequestID].At > at {
-			list = append(list, breach(2, "%s ran after its program's allowance was told to be spent", s.RequestID))
+		if at, ok := spent[s.Program]; ok && !s.Tool && s.Program != "" && requests[s.RequestID].At > at {
+			list = append(list, breach(2, "%s ran after its program was reported to have spent its tokens", s.RequestID))
 		}
 	}
 	return list
 }
 
+// requestsByID indexes the requests that have an ID.
 func (r *Record) requestsByID() map[string]Request {
-	asked := map[string]Request{}
+	requests := map[string]Request{}
 	for _, a := range r.Requests {
 		if a.ID != "" {
-			asked[a.ID] = a
+			requests[a.ID] = a
 		}
 	}
-	return asked
+	return requests
 }
 
-// trips are the times during which requesters were told that the breaker is
-// open: from the first word of it to the earliest end that was told.
+// tripIntervals lists the intervals in which the breaker was reported open: from the first
+// such answer to the end that it announced.
 func (r *Record) tripIntervals() (list [][2]time.Duration) {
-	var told []Request
+	var refusals []Request
 	for _, a := range r.Requests {
 		if a.Code == "breaker_open" {
-			told = append(told, a)
+			refusals = append(refusals, a)
 		}
 	}
-	sort.SliceStable(told, func(i, j int) bool { return told[i].Ended < told[j].Ended })
-	for _, a := range told {
+	sort.SliceStable(refusals, func(i, j int) bool { return refusals[i].Ended < refusals[j].Ended })
+	for _, a := range refusals {
 		n := len(list)
 		if n > 0 && a.Ended < list[n-1][1]+r.Limits.PropagationLimit {
 			continue
@@ -87,13 +88,13 @@
 	return list
 }
 
-// tripped is rule 2 for the breaker: from Late after the first word of a trip to
-// Late before the end that was told, nothing that spends begins anywhere.
+// breakerTrips checks rule 2 for the breaker: no attempt that costs tokens starts on any
+// node during a trip, less PropagationLimit at both ends.
 func (r *Record) breakerTrips() (list []Breach) {
 	for _, t := range r.tripIntervals() {
 		for _, s := range r.Attempts {
 			if s.MaxTokens > 0 && s.At > t[0]+r.Limits.PropagationLimit && s.At < t[1]-r.Limits.PropagationLimit {
-				list = append(list, breach(2, "%s ran %v after the breaker was told to be open", s.RequestID, s.At-t[0]))
+				list = append(list, breach(2, "%s ran %v after the breaker was reported open", s.RequestID, s.At-t[0]))
 				break
 			}
 		}
@@ -101,8 +102,8 @@
 	return list
 }
 
-// LateAfterTrip is the longest time after the first word of a trip at which
-// another node still gated something that spends.
+// LateAfterTrip returns the longest time after the first report of a trip at which a node
+// still admitted an attempt that costs tokens.
 func (r *Record) LateAfterTrip() (late time.Duration) {
 	for _, t := range r.tripIntervals() {
 		for _, s := range r.Attempts {
@@ -114,9 +115,9 @@
 	return late
 }
 
-// starts is rule 12: from a lockout on, a user's session starts get it or an
-// earlier check, at every node, with what remains of it; and none is gated
-// that the windows, concurrency or the day must have refused.
+// sessionStarts checks rule 12: during a lockout every node refuses the user's session
+// starts with the remaining time of the lockout or because of a check that comes earlier,
+// and no session is admitted beyond the limits per minute, of concurrency or of daily tokens.
 func (r *Record) sessionStarts() (list []Breach) {
 	type user struct{ tenant, user string }
 	starts := map[user][]Request{}
@@ -131,71 +132,71 @@
 			}
 		}
 	}
-	owner := map[string]user{}
-	for u, asked := range starts {
-		for _, a := range asked {
+	userOf := map[string]user{}
+	for u, requests := range starts {
+		for _, a := range requests {
 			if a.Outcome == Whole {
-				owner[a.Program] = u
+				userOf[a.Program] = u
 			}
 		}
 	}
-	// What a user's day surely holds: turns that came whole, from their end on.
+	// Complete turns certainly count towards a user's day from their end on.
 	days := map[user][]Request{}
 	for _, a := range r.Requests {
-		if u, ok := owner[a.Program]; ok && a.Kind == "turn" && a.Outcome == Whole {
+		if u, ok := userOf[a.Program]; ok && a.Kind == "turn" && a.Outcome == Whole {
 			days[u] = append(days[u], a)
 		}
 	}
-	short := func(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 - r.Limits.ClockDrift)) }
-	for u, asked := range starts {
+	shortest := func(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 - r.Limits.ClockDrift)) }
+	for u, requests := range starts {
 		limits, ok := r.Limits.Users[u.tenant]
 		if !ok {
 			continue
 		}
-		sort.SliceStable(asked, func(i, j int) bool { return asked[i].Ended < asked[j].Ended })
+		sort.SliceStable(requests, func(i, j int) bool { return requests[i].Ended < requests[j].Ended })
 		name := u.tenant + "/" + u.user
-		lockedFrom, lockedTill := time.Duration(-1), time.Duration(-1)
-		for _, a := range asked {
-			inLockout := lockedFrom >= 0 && a.At > lockedFrom && a.Ended < lockedTill
+		lockedFrom, lockedUntil := time.Duration(-1), time.Duration(-1)
+		for _, a := range requests {
+			inLockout := lockedFrom >= 0 && a.At > lockedFrom && a.Ended < lockedUntil
 			switch a.Code {
 			case "locked_out", "sessions_per_minute":
 				if a.RetryAfter > limits.Lockout {
-					list = append(list, breach(12, "%s was told to be locked out for %v, and a lockout is %v", name, a.RetryAfter, limits.Lockout))
+					list = append(list, breach(12, "%s was told of a lockout of %v; the limit is %v", name, a.RetryAfter, limits.Lockout))
 				}
 				if a.Code == "sessions_per_minute" && inLockout {
-					list = append(list, breach(12, "%s was told of the minute's window within a lockout", name))
+					list = append(list, breach(12, "%s was refused for sessions per minute during a lockout", name))
 				}
-				// A wait counts by a clock that may be fast, from a moment after the
-				// inquiry was sent.
-				if inLockout && a.Ended+a.RetryAfter < lockedTill {
-					list = append(list, breach(12, "%s was told %v of a lockout that lasts %v longer", name, a.RetryAfter, lockedTill-a.Ended))
+				// The wait is counted by a clock that may run fast, and starts after the
+				// request was sent.
+				if inLockout && a.Ended+a.RetryAfter < lockedUntil {
+					list = append(list, breach(12, "%s was told to wait %v during a lockout that lasts %v longer", name, a.RetryAfter, lockedUntil-a.Ended))
 				}
-				if till := a.At + short(a.RetryAfter); till > lockedTill {
-					if lockedTill < a.At {
+				if until := a.At + shortest(a.RetryAfter); until > lockedUntil {
+					if lockedUntil < a.At {
 						lockedFrom = a.Ended
 					}
-					lockedTill = till
+					lockedUntil = until
 				}
 			case "sessions_per_hour", "sessions_per_day", "concurrent_sessions", "user_day_tokens_spent", "tenant_day_tokens_spent":
 				if inLockout {
-					list = append(list, breach(12, "%s got %s within a lockout", name, a.Code))
+					list = append(list, breach(12, "%s was refused with %s during a lockout", name, a.Code))
 				}
 			}
 			if a.Outcome != Whole {
 				continue
 			}
 			if inLockout {
-				list = append(list, breach(12, "a session of %s was gated within a lockout", name))
+				list = append(list, breach(12, "a session of %s was admitted during a lockout", name))
 			}
 			var minute, live, tokens int64
-			for _, b := range asked {
+			for _, b := range requests {
 				if b.Outcome != Whole || b.Ended > a.At {
 					continue
 				}
-				if b.At > a.Ended-short(time.Minute) {
+				if b.At > a.Ended-shortest(time.Minute) {
 					minute++
 				}
-				if at, closed := closes[b.Program]; b.At > a.Ended-short(limits.Session) && (!closed || at > a.Ended) {
+				if at, closed := closes[b.Program]; b.At > a.Ended-shortest(limits.Session) && (!closed || at > a.Ended) {
 					live++
 				}
 			}
@@ -206,11 +207,11 @@
 			}
 			switch {
 			case minute >= limits.PerMinute:
-				list = append(list, breach(12, "a session of %s was gated after %d in the minute, of %d", name, minute, limits.PerMinute))
+				list = append(list, breach(12, "a session of %s was admitted after %d in the same minute; the limit is %d", name, minute, limits.PerMinute))
 			case live >= limits.Concurrent:
-				list = append(list, breach(12, "a session of %s was gated beside %d, of %d", name, live, limits.Concurrent))
+				list = append(list, breach(12, "a session of %s was admitted beside %d live sessions; the limit is %d", name, live, limits.Concurrent))
 			case tokens >= limits.DayTokens:
-				list = append(list, breach(12, "a session of %s was gated after %d tokens of the day, of %d", name, tokens, limits.DayTokens))
+				list = append(list, breach(12, "a session of %s was admitted after %d tokens in the day; the limit is %d", name, tokens, limits.DayTokens))
 			}
 		}
 	}
@@ -218,8 +219,8 @@
 	return list
 }
 
-// Situations counts how often the situation of each rule came about: a rule
-// whose situation never did was not tried.
+// Situations counts how often the run reached the situation that each rule is about. A
+// rule whose situation was never reached was not exercised.
 func (r *Record) Situations() map[string]int {
 	counts := map[string]int{"1 allowances of programs reached": 0, "2 breaker open": 0, "2 breaker half-open": 0, "2 tenants' days spent": 0, "3 once answers lost": 0,
 		"4 refused as not run": 0, "5 asked within 12 s of a restart": 0, "6 shots with a history": 0, "7 quota reached": 0, "8 configurations taken": 0,
--- a/rehearsalkit/judge/record.go
+++ b/rehearsalkit/judge/record.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Shot is a piece of work that reached a back end.
+// Attempt is one piece of work that reached a back end. Times count from the start of the
+// run.
 type Attempt struct {
 	At           time.Duration
 	Ended        time.Duration
@@ -21,17 +22,17 @@
 	MaxTokens    int64
 	OnceKey      string
 	Tool         bool
-	// Overran says that the replica gave more than it was asked for.
+	// OverLimit marks an attempt whose replica produced more than MaxTokens.
 	OverLimit bool
 }
 
-// Turn is one turn of a history.
+// Turn is one turn of the history that a replica receives.
 type Turn struct {
 	Prompt string `json:"Say"`
 	Answer string `json:"Got"`
 }
 
-// Asked is what a requester asked and got.
+// Request is what a requester sent and received. Times count from the start of the run.
 type Request struct {
 	At, Ended    time.Duration
 	Kind         string
@@ -52,27 +53,27 @@
 	Service      string
 }
 
-// Limits are what the rules are measured against, per tenant or overall.
+// Limits are the limits that the rules check against, per tenant or overall.
 type Limits struct {
 	ProgramTokens int64
 	TurnTokens    int64
 	Rate          map[string]float64
 	Burst         map[string]float64
 	Retention     time.Duration
-	// Late is how long what was learned may still be ignored.
+	// PropagationLimit is how long a change may take to reach all processes.
 	PropagationLimit time.Duration
-	// DayTokens and Users are the limits of a tenant's day and of its users.
+	// DayTokens is the daily limit of each tenant, Users the limits of its users.
 	DayTokens map[string]int64
 	Users     map[string]UserLimits
-	// MinuteDollars is the breaker's first threshold, Price that of a million
-	// tokens of a service, in dollars.
+	// MinuteDollars is the breaker's first threshold, Price the price in dollars of a
+	// million tokens of each service.
 	MinuteDollars float64
 	Price         map[string]float64
-	// Drift is by how much clocks may differ in their rates.
+	// ClockDrift is the largest relative difference between the rates of two clocks.
 	ClockDrift float64
 }
 
-// UserLimits are what a tenant's users may do.
+// UserLimits are the limits of each user of a tenant.
 type UserLimits struct {
 	PerMinute  int64
 	Lockout    time.Duration
@@ -81,15 +82,15 @@
 	DayTokens  int64
 }
 
-// Leaving is a replica that said so, and when the first node got it.
+// Leaving is a replica that announced that it leaves, and when the first node received it.
 type Leaving struct {
 	At      time.Duration
 	Replica string
 }
 
-// Probe is one look at which configuration is in force at a node, whatever its
-// life: the version whose own key the node takes between two moments. The last
-// probes are made when all has been mended for some time.
+// Probe observes the configuration that is in force at a node, across its restarts: the
+// version whose own key the node accepted between At and Ended. Final probes are made some
+// time after all faults have ended.
 type Probe struct {
 	At, Ended time.Duration
 	Node      string
@@ -97,29 +98,29 @@
 	Final     bool
 }
 
-// Restart is a process that was started again.
+// Restart is the restart of a process.
 type Restart struct {
 	At      time.Duration
 	Process string
 }
 
-// Taken is a configuration that an operator was told is taken, or refused.
+// Decision is the answer to an operator's configuration: accepted or refused.
 type Decision struct {
 	At      time.Duration
 	Version uint64
 	ID      string
 	Refused bool
-	// Revoked is a tenant that has no key in it.
+	// RevokedTenant is a tenant that has no key in this configuration.
 	RevokedTenant string
 }
 
-// Handed is a description that an operator began to hand over.
+// Submission is a configuration that an operator began to send, based on a version.
 type Submission struct {
 	At      time.Duration
 	BasedOn uint64
 }
 
-// Record is all that was seen in a run.
+// Record holds everything observed in a run.
 type Record struct {
 	Limits      Limits
 	Attempts    []Attempt
@@ -128,12 +129,12 @@
 	Probes      []Probe
 	Decisions   []Decision
 	Submissions []Submission
-	// Nodes are those that must follow the last configuration in the end.
+	// Nodes are the nodes that must have the last accepted configuration at the end.
 	Nodes    []string
 	Restarts []Restart
 }
 
-// Breach is a broken rule.
+// Breach is a violation of a rule.
 type Breach struct {
 	Rule   int
 	Detail string
