--- a/rehearsalkit/agenda/agenda.go
+++ b/rehearsalkit/agenda/agenda.go
@@ -1,5 +1,5 @@
-// Package agenda is the simulated clock of rehearsals: what is to be done, in the
-// order of its time, and what is for one time in the order that it was noted.
+// Package agenda is the event queue of the simulators. It runs events in the order of their
+// simulated times, and events of one time in the order in which they were added.
 package agenda
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Agenda is empty and ready as it is.
+// Agenda is a queue of events. The zero value is empty and ready to use.
 type Agenda struct {
 	events events
 	seq    uint64
@@ -38,13 +38,14 @@
 	return last
 }
 
-// Add notes something for a time.
-func (a *Agenda) Add(at time.Duration, what func()) {
+// Add schedules a function for a simulated time.
+func (a *Agenda) Add(at time.Duration, run func()) {
 	a.seq++
-	heap.Push(&a.events, event{at: at, seq: a.seq, run: what})
+	heap.Push(&a.events, event{at: at, seq: a.seq, run: run})
 }
 
-// Run does what is due up to a time, with the clock at each one's time.
+// Run runs the events that are due up to a time, with now set to the time of each, and
+// leaves now at that time.
 func (a *Agenda) Run(until time.Duration, now *time.Duration) {
 	for len(a.events) > 0 && a.events[0].at <= until {
 		e := heap.Pop(&a.events).(event)
--- a/rehearsalkit/links/links.go
+++ b/rehearsalkit/links/links.go
@@ -1,6 +1,7 @@
-// Package links puts a relay on every link between the machines of a rehearsed
-// fleet, so that links can be cut, one way or both, delayed and reset while real
-// processes speak over real sockets. Machines are told apart by their IP numbers.
+// Package links relays the TCP connections between the machines of a test fleet and injects
+// faults into them: partitions in one or both directions, delays and resets. Machines are
+// identified by their IP addresses. A cut holds bytes back and delivers them once the link is
+// restored, as TCP does. Start reading at Links.Relay.
 package links
 
 import (
@@ -12,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Links owns the state of all links. One goroutine holds it; others ask it over
+// Links holds the state of all links. A single goroutine owns it and serves the others over
 // channels.
 type Links struct {
 	queries       chan query
@@ -22,10 +23,10 @@
 	closed        chan *stream
 }
 
-// way is one direction between two machines.
+// direction is one direction of the link between two machines.
 type direction struct{ from, to string }
 
-// state is what befalls the bytes of one direction.
+// state is the fault of one direction; the zero value is none.
 type state struct {
 	cut   bool
 	delay time.Duration
@@ -47,7 +48,7 @@
 	done   chan struct{}
 }
 
-// New makes links that carry everything, until the context ends.
+// New returns links without faults. They stop when the context ends.
 func New(ctx context.Context) *Links {
 	l := &Links{queries: make(chan query), changes: make(chan func(map[direction]state)), registrations: make(chan registration), resets: make(chan string), closed: make(chan *stream)}
 	go l.run(ctx)
@@ -79,14 +80,14 @@
 	}
 }
 
-func (l *Links) change(ctx context.Context, to func(m map[direction]state)) {
+func (l *Links) change(ctx context.Context, apply func(m map[direction]state)) {
 	select {
-	case l.changes <- to:
+	case l.changes <- apply:
 	case <-ctx.Done():
 	}
 }
 
-// CutOneWay cuts, or mends, what one machine says to another.
+// CutOneWay cuts or restores the direction from one machine to another.
 func (l *Links) CutOneWay(ctx context.Context, from, to string, cut bool) {
 	l.change(ctx, func(m map[direction]state) {
 		s := m[direction{from, to}]
@@ -95,13 +96,13 @@
 	})
 }
 
-// Cut cuts, or mends, the link between two machines both ways.
+// Cut cuts or restores the link between two machines in both directions.
 func (l *Links) Cut(ctx context.Context, a, b string, cut bool) {
 	l.CutOneWay(ctx, a, b, cut)
 	l.CutOneWay(ctx, b, a, cut)
 }
 
-// Delay holds up what one machine says to another.
+// Delay delays each piece of data that one machine sends to another; 0 ends the delay.
 func (l *Links) Delay(ctx context.Context, from, to string, delay time.Duration) {
 	l.change(ctx, func(m map[direction]state) {
 		s := m[direction{from, to}]
@@ -110,7 +111,7 @@
 	})
 }
 
-// Reset ends all connections of a machine.
+// Reset closes all connections of a machine.
 func (l *Links) Reset(ctx context.Context, machine string) {
 	select {
 	case l.resets <- machine:
@@ -118,11 +119,11 @@
 	}
 }
 
-// pollEvery is how often a link that is cut is looked at again.
+// cutPollInterval is how often a cut direction is checked again.
 const cutPollInterval = 10 * time.Millisecond
 
-// carries waits while a direction is cut, and as long as it delays. It reports
-// false once the context has ended.
+// waitOpen waits while a direction is cut, and for its delay. It returns false once the
+// context has ended.
 func (l *Links) waitOpen(ctx context.Context, from, to string) bool {
 	for waited := false; ; {
 		a := query{direction: direction{from, to}, answer: make(chan state, 1)}
@@ -149,16 +150,17 @@
 	}
 }
 
-// Relay takes connections at one address and carries them to another.
+// Relay listens on one address and forwards every connection to another, until the context
+// ends. It returns an error if it can't listen.
 func (l *Links) Relay(ctx context.Context, at, to string) error {
 	listener, err := net.Listen("tcp", at)
 	if err != nil {
-		return errors.Wrap(err, "relay")
+		return errors.Wrapf(err, "relay from %s to %s", at, to)
 	}
 	context.AfterFunc(ctx, func() { listener.Close() })
-	own, _, err := net.SplitHostPort(at)
+	local, _, err := net.SplitHostPort(at)
 	if err != nil {
-		return errors.Wrap(err, "relay")
+		return errors.Wrapf(err, "relay from %s to %s", at, to)
 	}
 	go func() {
 		for {
@@ -166,17 +168,17 @@
 			if err != nil {
 				return
 			}
-			go l.serve(ctx, in, own, to)
+			go l.serve(ctx, in, local, to)
 		}
 	}()
 	return nil
 }
 
-// carry carries one connection until either side ends it.
-func (l *Links) serve(ctx context.Context, in net.Conn, own, to string) {
+// serve forwards one connection until either side closes it.
+func (l *Links) serve(ctx context.Context, in net.Conn, local, to string) {
 	defer in.Close()
 	from, _, err := net.SplitHostPort(in.RemoteAddr().String())
-	if err != nil || !l.waitOpen(ctx, from, own) {
+	if err != nil || !l.waitOpen(ctx, from, local) {
 		return
 	}
 	out, err := net.Dial("tcp", to)
@@ -184,7 +186,7 @@
 		return
 	}
 	defer out.Close()
-	s := &stream{a: from, b: own, close: func() {
+	s := &stream{a: from, b: local, close: func() {
 		in.Close()
 		out.Close()
 	}}
@@ -198,8 +200,8 @@
 		return
 	}
 	ended := make(chan struct{}, 2)
-	go l.forward(ctx, in, out, from, own, ended)
-	go l.forward(ctx, out, in, own, from, ended)
+	go l.forward(ctx, in, out, from, local, ended)
+	go l.forward(ctx, out, in, local, from, ended)
 	<-ended
 	select {
 	case l.closed <- s:
@@ -207,6 +209,7 @@
 	}
 }
 
+// forward copies one direction of a connection.
 func (l *Links) forward(ctx context.Context, in io.Reader, out io.Writer, from, to string, ended chan<- struct{}) {
 	buffer := make([]byte, 64<<10)
 	for {
--- a/rehearsalkit/links/links_test.go
+++ b/rehearsalkit/links/links_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// echo answers each line at an address.
+// startEchoServer echoes each line that is sent to an address.
 func startEchoServer(t *testing.T, at string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", at)
@@ -32,8 +32,8 @@
 	}()
 }
 
-// TestLinks: what is cut is held until it is mended, each way by itself, and a reset
-// ends connections.
+// TestLinks: a cut in either direction holds data back until it is restored, a delay
+// postpones it, and a reset closes connections.
 func TestLinks(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -54,32 +54,32 @@
 		_, err := reader.ReadString('\n')
 		return err == nil
 	}
-	say := func() {
+	send := func() {
 		if _, err := c.Write([]byte("a\n")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	const long, short = 5 * time.Second, 100 * time.Millisecond
-	if say(); !answered(long) {
-		t.Fatal("nothing is carried")
+	if send(); !answered(long) {
+		t.Fatal("no answer over a link without faults")
 	}
 	for _, cut := range []direction{{client, server}, {server, client}} {
 		l.CutOneWay(ctx, cut.from, cut.to, true)
-		if say(); answered(short) {
-			t.Fatalf("carried though %v is cut", cut)
+		if send(); answered(short) {
+			t.Fatalf("answered although %v is cut", cut)
 		}
 		l.CutOneWay(ctx, cut.from, cut.to, false)
 		if !answered(long) {
-			t.Fatalf("what %v held is lost", cut)
+			t.Fatalf("no answer after %v was restored", cut)
 		}
 	}
 	l.Delay(ctx, client, server, 2*short)
-	if say(); answered(short) || !answered(long) {
-		t.Fatal("not delayed, or never carried")
+	if send(); answered(short) || !answered(long) {
+		t.Fatal("the answer was not delayed, or was lost")
 	}
 	l.Delay(ctx, client, server, 0)
 	l.Reset(ctx, client)
 	if answered(long) {
-		t.Fatal("not reset")
+		t.Fatal("the connection still works after a reset")
 	}
 }
--- a/rehearsalkit/refusals/command.go
+++ b/rehearsalkit/refusals/command.go
@@ -6,12 +6,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Command lists the refusals that logs of nodes tell of.
+// Command lists the refusals that node logs contain.
 type Command struct {
-	Logs []string `arg:"" type:"existingfile" help:"Logs of nodes, as JSON lines; each line may have something before its JSON."`
+	Logs []string `arg:"" type:"existingfile" help:"Node logs as JSON lines; a line may have a prefix before its JSON."`
 }
 
-// Run reads the logs and prints their refusals.
+// Run reads the logs and prints their refusals to the standard output.
 func (c *Command) Run() error {
 	all := Refusals{}
 	for _, path := range c.Logs {
--- a/rehearsalkit/refusals/refusals.go
+++ b/rehearsalkit/refusals/refusals.go
@@ -1,6 +1,6 @@
-// Package refusals lists what nodes refused, and why, from their logs: each answer of
-// 400 to 499 with its cause, its route and how often it was given, and whether the cause
-// itself shows that the answer is owed.
+// Package refusals counts the client errors (status 400 to 499) in node logs by status,
+// cause and route, and tells whether the cause alone shows that the answer was correct. Start
+// reading at Refusals.Read.
 package refusals
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// message is what a node logs of a request that was not served.
+// logMessage is the log message of a request that was not served.
 const logMessage = "request not served"
 
-// line is one such line of a log.
+// line is a log line with this message.
 type line struct {
 	Message string `json:"msg"`
 	Node    string `json:"id"`
@@ -26,33 +26,34 @@
 	Status  int    `json:"status"`
 	Attempt string `json:"attempt"`
 	Route   string `json:"route"`
-	// More is how many of the cause the node did not log since its last such line.
+	// Suppressed is how many requests with this cause the node did not log since its last
+	// such line.
 	Suppressed int64 `json:"more_of_this_cause"`
 }
 
-// Kind is one sort of refusal.
+// Kind identifies refusals that are counted together.
 type Kind struct {
 	Status int
 	Cause  string
 	Route  string
 }
 
-// Count is how often a kind of refusal was given, with an attempt that got it.
+// Count is the number of refusals of a kind, with the first logged attempt and its node.
 type Count struct {
 	Given   int64
 	Example string
 	Node    string
 }
 
-// Refusals are the counted refusals of some logs.
+// Refusals holds the counts of refusals by kind.
 type Refusals map[Kind]Count
 
-// longestLine is the longest line of a log that is read.
+// maxLineBytes is the length of the longest log line that can be read.
 const maxLineBytes = 1 << 20
 
-// Read adds what a log tells. Lines may have something before their JSON, as where many
-// processes write into one log. What was not logged one by one counts to the route of the
-// line that told how many there were.
+// Read adds the refusals of a log. Lines may have a prefix before their JSON, as in a log
+// that several processes share. Suppressed refusals count for the route of the line that
+// reports their number. It returns an error if the log can't be read or a line is too long.
 func (r Refusals) Read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
@@ -71,7 +72,7 @@
 	return errors.Wrap(scanner.Err(), "log")
 }
 
-// add counts a line, if it tells of an answer of 400 to 499.
+// add counts a line if its status is a client error.
 func (r Refusals) add(l line) {
 	if l.Status < 400 || l.Status > 499 {
 		return
@@ -85,15 +86,15 @@
 	r[kind] = count
 }
 
-// Reading says what a cause shows by itself.
+// Assessment is what a cause alone shows about a refusal.
 type Assessment struct {
-	// Owed: the answer is right whatever else happened. Otherwise Check says what must be
-	// looked at.
+	// Justified means that the answer is correct whatever else happened. Otherwise Check
+	// says what must be verified.
 	Justified bool
 	Check     string
 }
 
-// readings are the causes of answers of 400 to 499.
+// assessments lists the causes of client errors.
 var assessments = map[string]Assessment{
 	"malformed":       {Justified: true},
 	"body_incomplete": {Justified: true},
@@ -110,15 +111,15 @@
 	"history_expired": {Check: "that the turn's time was over"},
 }
 
-// ReadingOf is what a cause shows. An unknown cause has to be looked at.
+// Assess returns the assessment of a cause. An unknown cause has to be checked.
 func Assess(cause string) Assessment {
-	if reading, known := assessments[cause]; known {
-		return reading
+	if assessment, known := assessments[cause]; known {
+		return assessment
 	}
 	return Assessment{Check: "a cause that this command does not know"}
 }
 
-// Print writes the counts, by status and cause, the most frequent first.
+// Print writes a table of the counts by status and cause, the most frequent route first.
 func (r Refusals) Print(out io.Writer) error {
 	var kinds []Kind
 	for kind := range r {
@@ -128,9 +129,9 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "status\tcause\troute\tgiven\tattempt\tat\towed, or what to check")
 	for _, kind := range kinds {
-		count, reading := r[kind], Assess(kind.Cause)
-		verdict := reading.Check
-		if reading.Justified {
+		count, assessment := r[kind], Assess(kind.Cause)
+		verdict := assessment.Check
+		if assessment.Justified {
 			verdict = "owed"
 		}
 		fmt.Fprintf(table, "%d\t%s\t%s\t%d\t%s\t%s\t%s\n", kind.Status, kind.Cause, kind.Route, count.Given, count.Example, count.Node, verdict)
--- a/rehearsalkit/refusals/refusals_test.go
+++ b/rehearsalkit/refusals/refusals_test.go
@@ -17,7 +17,7 @@
 {"msg":"request not served","status":404
 `
 
-// TestRead counts what was logged and what was not, and passes over all else.
+// TestRead counts logged and suppressed refusals, and ignores all other lines.
 func TestRead(t *testing.T) {
 	r := Refusals{}
 	if err := r.Read(strings.NewReader(log)); err != nil {
@@ -38,11 +38,11 @@
 	}
 }
 
-// TestEveryCauseIsRead: each cause that nodes answer with 400 to 499 has its reading.
+// TestEveryCauseHasAssessment: every cause that nodes answer with a client error is assessed.
 func TestEveryCauseHasAssessment(t *testing.T) {
 	for _, cause := range relay.RefusalCauses() {
 		if _, known := assessments[string(cause)]; !known {
-			t.Errorf("%s has no reading", cause)
+			t.Errorf("%s has no assessment", cause)
 		}
 	}
 }
--- a/rehearsalkit/setup/setup.go
+++ b/rehearsalkit/setup/setup.go
@@ -1,5 +1,5 @@
-// Package setup checks what a rehearsal needs before it begins, so that something that is
-// missing is told as a fault of the set-up and never as a broken promise.
+// Package setup checks the prerequisites of a test run before it begins, so that a missing
+// one is reported as a fault of the set-up and never as a violated rule.
 package setup
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ExitCode is what commands end with at a fault of the set-up.
+// FaultExitCode is the exit code of commands that end with a fault of the set-up.
 const FaultExitCode = 2
 
-// Fault is something that a rehearsal needs and that is not there.
+// Fault is the error for a prerequisite that is missing or can't be used.
 type Fault struct {
 	Resource, Path string
 	Reason         string
@@ -30,19 +30,20 @@
 	return errors.As(err, &fault)
 }
 
-// Program checks that a file can be run.
+// CheckProgram returns a Fault unless the file exists and is executable.
 func CheckProgram(path string) error {
 	info, err := os.Stat(path)
 	switch {
 	case err != nil:
-		return &Fault{Resource: "program", Path: path, Reason: "is not there; build it first: go build -o bin/ ./saffronfall ./rehearsalkit"}
+		return &Fault{Resource: "program", Path: path, Reason: "not found; build it first: go build -o bin/ ./saffronfall ./rehearsalkit"}
 	case info.IsDir() || info.Mode()&0o111 == 0:
-		return &Fault{Resource: "program", Path: path, Reason: "can't be run"}
+		return &Fault{Resource: "program", Path: path, Reason: "is not executable"}
 	}
 	return nil
 }
 
-// Folder makes a folder that files can be written to.
+// EnsureFolder creates a folder where it is missing. It returns a Fault unless files can be
+// written to it.
 func EnsureFolder(path string) error {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return &Fault{Resource: "folder", Path: path, Reason: err.Error()}
@@ -52,11 +53,11 @@
 		return &Fault{Resource: "folder", Path: path, Reason: err.Error()}
 	}
 	probe.Close()
-	return errors.Wrap(os.Remove(probe.Name()), "probe")
+	return errors.Wrap(os.Remove(probe.Name()), "remove the probe file")
 }
 
-// Sources checks that the current folder holds this repository's sources and that they
-// can be built.
+// CheckSources returns a Fault unless the working directory is the root of this repository
+// and the Go tool is on the search path.
 func CheckSources() error {
 	if _, err := exec.LookPath("go"); err != nil {
 		return &Fault{Resource: "program", Path: "go", Reason: "is not on the search path"}
--- a/rehearsalkit/setup/setup_test.go
+++ b/rehearsalkit/setup/setup_test.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TestFaults: what is missing or can't be used is a fault of the set-up, and what is
-// there is not.
+// TestFaults: a prerequisite that is missing or can't be used is reported as a fault of the
+// set-up; other errors are not.
 func TestFaults(t *testing.T) {
 	dir := t.TempDir()
 	file, program := filepath.Join(dir, "file"), filepath.Join(dir, "program")
@@ -18,7 +18,7 @@
 	}
 	for what, err := range map[string]error{
 		"missing program": CheckProgram(filepath.Join(dir, "none")),
-		"no program":      CheckProgram(file),
+		"not executable":  CheckProgram(file),
 		"folder":          CheckProgram(dir),
 		"folder in file":  EnsureFolder(filepath.Join(file, "below")),
 		"other sources":   runIn(t, dir, CheckSources),
@@ -30,11 +30,12 @@
 	if err := errors.CombineErrors(CheckProgram(program), EnsureFolder(filepath.Join(dir, "new"))); err != nil {
 		t.Error(err)
 	}
-	if IsFault(errors.New("a broken promise")) {
-		t.Error("any error is a fault of the set-up")
+	if IsFault(errors.New("a violated rule")) {
+		t.Error("an unrelated error counts as a fault of the set-up")
 	}
 }
 
+// runIn runs a check in a folder.
 func runIn(t *testing.T, dir string, check func() error) error {
 	t.Helper()
 	t.Chdir(dir)
--- a/rehearsalkit/sizes/larger_test.go
+++ b/rehearsalkit/sizes/larger_test.go
@@ -1,6 +1,6 @@
 package sizes
 
-// larger are the sizes that the code had when the bounds came. It may only shrink.
+// exceptions are the items above the bounds, with their allowed sizes. It may only shrink.
 var exceptions = map[string]int{
 	"function peer/core/placement.go assignMembers":                 79,
 	"function peer/core/rules.go rules.Apply":                       103,
--- a/rehearsalkit/sizes/sizes.go
+++ b/rehearsalkit/sizes/sizes.go
@@ -1,5 +1,5 @@
-// Package sizes measures source code: lines of files and functions, fields of
-// structs. Its test holds the repository's own code to the bounds.
+// Package sizes measures Go source code: lines of files and functions, fields of structs. Its
+// test checks the code of this repository against upper bounds.
 package sizes
 
 import (
@@ -13,24 +13,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind is what is measured.
+// Kind is the kind of a measured item.
 type Kind string
 
-// Kinds.
+// Kinds of measured items.
 const (
 	File     Kind = "file"
 	Function Kind = "function"
 	Struct   Kind = "struct"
 )
 
-// Size is one measurement: lines of a file or a function, fields of a struct.
+// Size is one measurement, in lines for a file or a function and in fields for a struct.
+// Place is the file relative to the root and, for functions and structs, the name.
 type Size struct {
 	Kind  Kind
 	Place string
 	Size  int
 }
 
-// Measure measures all Go files below a folder, leaving out tests.
+// Measure measures all Go files below a folder except tests and hidden folders. It returns
+// an error if a file can't be read or parsed.
 func Measure(root string) ([]Size, error) {
 	var sizes []Size
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -46,11 +48,11 @@
 		if err != nil {
 			return err
 		}
-		some, err := measureFile(path, name)
-		sizes = append(sizes, some...)
+		fileSizes, err := measureFile(path, name)
+		sizes = append(sizes, fileSizes...)
 		return err
 	})
-	return sizes, errors.Wrap(err, "measuring")
+	return sizes, errors.Wrapf(err, "measure the sources below %s", root)
 }
 
 func measureFile(path, name string) ([]Size, error) {
@@ -75,7 +77,7 @@
 	return sizes, nil
 }
 
-// receiver is a method's type and a dot, and nothing for a plain function.
+// receiver returns a method's receiver type and a dot, and "" for a plain function.
 func receiver(f *ast.FuncDecl) string {
 	if f.Recv == nil || len(f.Recv.List) == 0 {
 		return ""
--- a/rehearsalkit/sizes/sizes_test.go
+++ b/rehearsalkit/sizes/sizes_test.go
@@ -9,9 +9,9 @@
 // bounds are the largest sizes of each kind.
 var bounds = map[Kind]int{File: 500, Function: 60, Struct: 15}
 
-// TestSizes holds the repository's code to the bounds. What was larger when the
-// bounds came is listed in larger_test.go with its size: it may not grow, and
-// leaves the list once it has become small enough.
+// TestSizes checks the repository's code against the bounds. Items above a bound are listed
+// in larger_test.go with their sizes: they may not grow, and must leave the list once they
+// are within the bounds.
 func TestSizes(t *testing.T) {
 	sizes, err := Measure(filepath.Join("..", ".."))
 	if err != nil {
@@ -31,17 +31,17 @@
 		case listed && s.Size > allowed:
 			t.Errorf("%s has grown from %d to %d", name, allowed, s.Size)
 		case listed && s.Size <= bounds[s.Kind]:
-			t.Errorf("%s is small enough now: take it off the list", name)
+			t.Errorf("%s is within the bounds now: remove it from the list", name)
 		}
 	}
 	for name := range exceptions {
 		if !found[name] {
-			t.Errorf("%s is listed and is not there", name)
+			t.Errorf("%s is listed but does not exist", name)
 		}
 	}
 }
 
-// TestMeasure counts in a file of its own.
+// TestMeasure measures a small file, and ignores its test.
 func TestMeasure(t *testing.T) {
 	root := t.TempDir()
 	text := "package p\n\ntype s struct {\n\ta, b int\n\tc string\n}\n\nfunc (x s) f() {\n\tx.a++\n}\n"
