--- a/rehearsalkit/faultdisk/core.go
+++ b/rehearsalkit/faultdisk/core.go
@@ -15,37 +15,37 @@
 	"saffronfall/saffronfall/role"
 )
 
-// PowerLost is the exit code of a core whose machine has lost power.
+// PowerLossExitCode is the exit code of a core whose machine has lost power.
 const PowerLossExitCode = 77
 
-// Command runs the shipped core role on a disk of this package, which is told over HTTP
-// what ails it.
+// Command runs the product's core role on a Disk whose faults are controlled over HTTP.
 type Command struct {
 	Settings string `arg:"" type:"path" help:"Settings file (JSON)."`
-	Control  string `help:"Address at which the disk is told what ails it." required:""`
-	Seed     uint64 `help:"Seed of what losses of power take." default:"1"`
+	Control  string `help:"Address of the HTTP server that controls the disk's faults." required:""`
+	Seed     uint64 `help:"Seed of the random choice of what a loss of power takes." default:"1"`
 }
 
-// Run runs the core until it is told to end.
+// Run runs the core until it is told to end. It returns an error if the core can't start.
 func (c *Command) Run() error {
 	return role.Start(c.Settings, func(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger) error {
-		// The disk outlives the drain of a core that was told to end.
-		life, cancel := context.WithCancel(context.Background())
+		// The disk has its own context, because the core still writes while it drains after
+		// ctx has ended.
+		diskCtx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		d := New(life, c.Seed)
+		d := New(diskCtx, c.Seed)
 		server := &http.Server{Addr: c.Control, Handler: controlHandler(d), ReadHeaderTimeout: time.Second}
-		context.AfterFunc(life, func() { server.Close() })
+		context.AfterFunc(diskCtx, func() { server.Close() })
 		go func() {
 			if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-				log.Error(err, "the disk's controls")
+				log.Error(err, "the control server of the disk failed; its faults can't be changed", "address", c.Control)
 			}
 		}()
 		return coreprocess.RunOn(ctx, d, p, adopt, log)
 	})
 }
 
-// controls let somebody outside make the disk fail: PUT /faults with full, stalled and
-// slow_ms, and POST /power, which ends the process.
+// controlHandler serves PUT /faults, with the parameters full, stalled and slow_ms, and
+// POST /power, which applies a loss of power and ends the process.
 func controlHandler(d *Disk) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, r *http.Request) {
--- a/rehearsalkit/faultdisk/disk.go
+++ b/rehearsalkit/faultdisk/disk.go
@@ -1,8 +1,8 @@
-// Package faultdisk is a file system for rehearsals: real files in real folders, on a disk
-// that can be full, slow or stalled, and can lose power. What a sync has covered outlives
-// a loss of power; every later write, and every later change of a name, is then kept, lost
-// or torn by chance. One goroutine owns the disk; all operations go through it. Start
-// reading at Disk.LosePower.
+// Package faultdisk is a file system with injected faults: it keeps real files in real
+// folders, on a disk that can be full, slow or stalled, and can lose power. Synced data
+// survives a loss of power; later writes and later changes of names are kept, lost or torn at
+// random. A single goroutine owns the state of the disk, and all operations go through it.
+// Start reading at Disk.LosePower.
 package faultdisk
 
 import (
@@ -19,54 +19,53 @@
 	"saffronfall/peer/disk"
 )
 
-// Faults are what ails a disk now.
+// Faults are the faults that are currently injected; the zero value is none.
 type Faults struct {
-	// Full: writes end short, for want of room.
+	// Full makes writes end short with ENOSPC.
 	Full bool
-	// Stalled: operations wait until it is over. Slow is how long each takes longer.
+	// Stalled blocks operations until it is cleared. Slow is added to the duration of each.
 	Stalled bool
 	Slow    time.Duration
 }
 
-// Disk is a disk with its folders.
+// Disk is a disk with injected faults. It implements the file system of peer/disk.
 type Disk struct {
 	ctx context.Context
-	// asks are carried out by the owner, one after the other.
+	// operations are executed one at a time by the goroutine that owns the state.
 	operations chan func(s *state)
 }
 
-// state is what the owner knows.
+// state is owned by the goroutine that New starts.
 type state struct {
 	faults Faults
 	random *rand.Rand
-	// names are the files as they are called now, durable as a loss of power leaves them
-	// at least.
+	// current maps the present names to files, durable the names that surely survive a loss
+	// of power.
 	current, durable map[string]*file
-	// renames are the changes of names since their folder was synced.
+	// nameChanges are the changes of names since their folder was synced, oldest first.
 	nameChanges []nameChange
 }
 
-// rename is one change of a name. One without a former name makes a file, one without a
-// new name removes it.
+// nameChange is a rename. Without from it creates the file, without to it removes it.
 type nameChange struct {
 	from, to string
 	file     *file
 }
 
-// file is a file's content: what was synced, and what was written since.
+// file is a file's content at its last sync, and the writes since.
 type file struct {
 	synced []byte
 	writes []write
 }
 
-// write is one write, or a cut to a size where it has no bytes.
+// write is a write at an offset, or with truncate a truncation to that size.
 type write struct {
 	offset   int64
 	bytes    []byte
 	truncate bool
 }
 
-// apply carries a write out on a content.
+// apply returns the content after the write.
 func (w write) apply(content []byte) []byte {
 	if w.truncate {
 		return resized(content, w.offset)
@@ -79,21 +78,23 @@
 	return content
 }
 
+// resized returns a copy of the content, cut off or extended by zeros.
 func resized(content []byte, size int64) []byte {
 	fresh := make([]byte, size)
 	copy(fresh, content)
 	return fresh
 }
 
-// New makes a disk without faults, until the context ends.
+// New returns a disk without faults. Once the context has ended, its operations fail. The
+// seed determines what losses of power take.
 func New(ctx context.Context, seed uint64) *Disk {
 	d := &Disk{ctx: ctx, operations: make(chan func(s *state))}
 	s := &state{random: rand.New(rand.NewPCG(seed, 7)), current: map[string]*file{}, durable: map[string]*file{}}
 	go func() {
 		for {
 			select {
-			case ask := <-d.operations:
-				ask(s)
+			case operation := <-d.operations:
+				operation(s)
 			case <-ctx.Done():
 				return
 			}
@@ -102,18 +103,18 @@
 	return d
 }
 
-// do has the owner carry something out, and waits for it.
-func (d *Disk) do(what func(s *state) error) error {
+// do runs a function in the goroutine that owns the state, and waits for it.
+func (d *Disk) do(operation func(s *state) error) error {
 	done := make(chan error, 1)
 	select {
-	case d.operations <- func(s *state) { done <- what(s) }:
+	case d.operations <- func(s *state) { done <- operation(s) }:
 		return <-done
 	case <-d.ctx.Done():
 		return d.ctx.Err()
 	}
 }
 
-// SetFaults changes what ails the disk.
+// SetFaults replaces the injected faults.
 func (d *Disk) SetFaults(f Faults) {
 	d.do(func(s *state) error {
 		s.faults = f
@@ -121,10 +122,10 @@
 	})
 }
 
-// stallPoll is how often an operation looks whether the disk is still stalled.
+// stallPollInterval is how often an operation checks whether the disk is still stalled.
 const stallPollInterval = 5 * time.Millisecond
 
-// wait waits while the disk is stalled, and as long as it is slow.
+// awaitReady waits while the disk is stalled, and for the delay of a slow disk.
 func (d *Disk) awaitReady() error {
 	for waited := false; ; {
 		var f Faults
@@ -151,7 +152,7 @@
 	}
 }
 
-// known is the file of a name, which is read when it is first named.
+// lookup returns the file of a name, and reads it from the real disk at its first use.
 func (s *state) lookup(name string) (*file, error) {
 	if f, ok := s.current[name]; ok {
 		return f, nil
@@ -165,7 +166,7 @@
 	return f, nil
 }
 
-// OpenFile opens a file.
+// OpenFile opens a file like os.OpenFile.
 func (d *Disk) OpenFile(name string, flag int, mode os.FileMode) (disk.File, error) {
 	if err := d.awaitReady(); err != nil {
 		return nil, err
@@ -194,7 +195,7 @@
 	})
 }
 
-// ReadFile reads a file whole.
+// ReadFile reads a whole file.
 func (d *Disk) ReadFile(name string) ([]byte, error) {
 	if err := d.awaitReady(); err != nil {
 		return nil, err
@@ -202,7 +203,7 @@
 	return os.ReadFile(name)
 }
 
-// Rename renames a file. The new name lasts once its folder was synced.
+// Rename renames a file. The change is durable after a sync of the folder.
 func (d *Disk) Rename(from, to string) error {
 	if err := d.awaitReady(); err != nil {
 		return err
@@ -225,7 +226,7 @@
 	})
 }
 
-// Remove removes a file.
+// Remove removes a file. The change is durable after a sync of the folder.
 func (d *Disk) Remove(name string) error {
 	if err := d.awaitReady(); err != nil {
 		return err
@@ -244,7 +245,7 @@
 	})
 }
 
-// SyncDir makes the names in a folder durable.
+// SyncDir makes the changes of names in a folder durable.
 func (d *Disk) SyncDir(path string) error {
 	if err := d.awaitReady(); err != nil {
 		return err
@@ -263,7 +264,7 @@
 	})
 }
 
-// apply carries a change of a name out.
+// apply applies the change to a map of names.
 func (r nameChange) apply(names map[string]*file) {
 	if r.from != "" && names[r.from] == r.file {
 		delete(names, r.from)
@@ -273,7 +274,7 @@
 	}
 }
 
-// syncFile makes a file's content last. A new file lasts with its own sync.
+// syncFile makes a file's content durable, and its name too if the file is new.
 func (s *state) syncFile(f *file) {
 	for _, w := range f.writes {
 		f.synced = w.apply(f.synced)
@@ -290,8 +291,9 @@
 	s.nameChanges = kept
 }
 
-// LosePower makes of the files what a loss of power leaves of them, and then ends the
-// disk's service by calling end, which must not return.
+// LosePower replaces the real files by what a loss of power leaves of them, and then calls
+// end while no other operation can run. A product process must not continue after that: end
+// exits it. It returns an error if the files can't be written.
 func (d *Disk) LosePower(end func()) error {
 	return d.do(func(s *state) error {
 		if err := s.losePower(); err != nil {
@@ -303,9 +305,9 @@
 }
 
 const (
-	// loseAllChance is how likely a loss of power takes every write that was not synced.
+	// loseAllProbability is the probability that a loss of power takes every unsynced write.
 	loseAllProbability = 0.3
-	// block is what a torn write loses or keeps at a time.
+	// sectorSize is the unit, in bytes, in which a torn write is kept or lost.
 	sectorSize = 512
 )
 
@@ -319,7 +321,7 @@
 	}
 	for name := range s.current {
 		if err := os.Remove(name); err != nil && !os.IsNotExist(err) {
-			return errors.Wrap(err, "a loss of power")
+			return errors.Wrap(err, "apply a loss of power")
 		}
 	}
 	for name, f := range names {
@@ -330,13 +332,13 @@
 			}
 		}
 		if err := os.WriteFile(name, content, 0o600); err != nil {
-			return errors.Wrap(err, "a loss of power")
+			return errors.Wrap(err, "apply a loss of power")
 		}
 	}
 	return nil
 }
 
-// mayApply keeps, loses or tears a write.
+// applyRandomly keeps, loses or tears a write. A truncation is never torn.
 func (s *state) applyRandomly(content []byte, w write) []byte {
 	switch s.random.IntN(3) {
 	case 0:
@@ -356,7 +358,7 @@
 	return content
 }
 
-// handle is an open file.
+// handle is an open file. It implements disk.File.
 type handle struct {
 	disk       *Disk
 	name       string
@@ -366,7 +368,8 @@
 	appendOnly bool
 }
 
-// Write writes at the handle's place. On a full disk a part of it is written.
+// Write writes at the handle's offset. On a full disk it writes a random part of the data and
+// returns ENOSPC.
 func (h *handle) Write(raw []byte) (written int, err error) {
 	if err := h.disk.awaitReady(); err != nil {
 		return 0, err
@@ -397,7 +400,7 @@
 	return written, err
 }
 
-// Seek moves the handle's place.
+// Seek sets the handle's offset.
 func (h *handle) Seek(offset int64, whence int) (int64, error) {
 	at, err := h.real.Seek(offset, whence)
 	if err == nil {
@@ -406,7 +409,7 @@
 	return at, err
 }
 
-// Truncate cuts the file to a size.
+// Truncate changes the size of the file.
 func (h *handle) Truncate(size int64) error {
 	return h.disk.do(func(*state) error {
 		if err := h.real.Truncate(size); err != nil {
@@ -417,7 +420,7 @@
 	})
 }
 
-// Sync makes the file's content last.
+// Sync makes the file's content durable.
 func (h *handle) Sync() error {
 	if err := h.disk.awaitReady(); err != nil {
 		return err
--- a/rehearsalkit/faultdisk/disk_test.go
+++ b/rehearsalkit/faultdisk/disk_test.go
@@ -12,41 +12,41 @@
 	"saffronfall/peer/disk"
 )
 
-// folder opens the product's folder on a disk of its own.
+// openStore opens the product's store in a folder on a new disk.
 func openStore(t *testing.T, seed uint64, path string) (*Disk, *disk.Store, disk.Contents) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	d := New(ctx, seed)
-	f, held, err := disk.OpenIn(d, path)
+	f, contents, err := disk.OpenIn(d, path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d, f, held
+	return d, f, contents
 }
 
-// TestWhatIsSyncedOutlivesPower: whatever a loss of power takes, the product's folder
-// holds all that it acknowledged, and at most what was written besides.
+// TestSyncedDataSurvivesPowerLoss: after a loss of power the product's store still holds
+// everything that it acknowledged, and nothing that was never written.
 func TestSyncedDataSurvivesPowerLoss(t *testing.T) {
 	tornTails := 0
 	for seed := uint64(0); seed < 150; seed++ {
 		path := t.TempDir()
 		state, acknowledged := "", 0
-		for life := 0; life < 4; life++ {
-			d, f, held := openStore(t, seed*10+uint64(life), path)
-			if held.Empty != (life == 0) {
-				t.Fatalf("seed %d: empty %v in life %d", seed, held.Empty, life)
+		for run := 0; run < 4; run++ {
+			d, f, contents := openStore(t, seed*10+uint64(run), path)
+			if contents.Empty != (run == 0) {
+				t.Fatalf("seed %d: empty %v in run %d", seed, contents.Empty, run)
 			}
-			if life > 0 && string(held.State) != state {
-				t.Fatalf("seed %d: the state is %q, want %q", seed, held.State, state)
+			if run > 0 && string(contents.State) != state {
+				t.Fatalf("seed %d: the state is %q, want %q", seed, contents.State, state)
 			}
-			if len(held.Records) < acknowledged {
-				t.Fatalf("seed %d: %d frames of %d that were acknowledged", seed, len(held.Records), acknowledged)
+			if len(contents.Records) < acknowledged {
+				t.Fatalf("seed %d: %d of %d acknowledged frames", seed, len(contents.Records), acknowledged)
 			}
-			if held.TruncatedBytes > 0 {
+			if contents.TruncatedBytes > 0 {
 				tornTails++
 			}
-			state, acknowledged = fmt.Sprintf("state %d of seed %d", life, seed), 0
+			state, acknowledged = fmt.Sprintf("state %d of seed %d", run, seed), 0
 			if err := f.Replace([]byte(state)); err != nil {
 				t.Fatal(err)
 			}
@@ -56,12 +56,12 @@
 				}
 				acknowledged++
 			}
-			// One more frame is written and not synced.
-			handle, err := d.OpenFile(filepath.Join(path, fmt.Sprintf("log-%d", (life+1)%2)), os.O_RDWR|os.O_APPEND, 0o600)
+			// Write one more frame without a sync.
+			handle, err := d.OpenFile(filepath.Join(path, fmt.Sprintf("log-%d", (run+1)%2)), os.O_RDWR|os.O_APPEND, 0o600)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := handle.Write([]byte(fmt.Sprintf("%2000d", life))); err != nil {
+			if _, err := handle.Write([]byte(fmt.Sprintf("%2000d", run))); err != nil {
 				t.Fatal(err)
 			}
 			if err := d.LosePower(func() {}); err != nil {
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestPowerTakesWhatIsNotSynced: an unsynced write is lost in some losses of power, and
-// kept in others.
+// TestPowerLossMayDropUnsyncedWrites: some losses of power drop an unsynced write, others
+// keep it.
 func TestPowerLossMayDropUnsyncedWrites(t *testing.T) {
 	sizes := map[int]int{}
 	for seed := uint64(0); seed < 100; seed++ {
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestFullDisk: a full disk says so, and what was there stays.
+// TestFullDisk: a write to a full disk fails, and earlier data stays.
 func TestFullDisk(t *testing.T) {
 	path := t.TempDir()
 	d, f, _ := openStore(t, 1, path)
@@ -112,15 +112,15 @@
 	}
 	d.SetFaults(Faults{Full: true})
 	if err := f.Append(make([]byte, 1000)); !errors.Is(err, disk.ErrFull) {
-		t.Fatalf("a full disk: %v", err)
+		t.Fatalf("append on a full disk: %v", err)
 	}
 	d.SetFaults(Faults{})
 	if err := f.Append([]byte("frame")); err != nil {
 		t.Fatal(err)
 	}
 	f.Close()
-	_, _, held := openStore(t, 2, path)
-	if len(held.Records) != 1 || string(held.State) != "state" {
-		t.Errorf("%d frames, state %q", len(held.Records), held.State)
+	_, _, contents := openStore(t, 2, path)
+	if len(contents.Records) != 1 || string(contents.State) != "state" {
+		t.Errorf("%d frames, state %q", len(contents.Records), contents.State)
 	}
 }
--- a/rehearsalkit/worth/command.go
+++ b/rehearsalkit/worth/command.go
@@ -12,13 +12,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Command prints where days lost their worth, or compares two builds' days in pairs.
+// Command prints where played days lost worth, or compares the days of two builds in pairs.
 type Command struct {
 	Reports []string `arg:"" type:"path" help:"Reports of played days."`
-	Against []string `type:"path" help:"Reports of another build's days, with the same seeds in the same order: paired differences are printed."`
+	Against []string `type:"path" help:"Reports of another build's days with the same seeds in the same order; prints the paired differences."`
 }
 
-// Run prints each report's losses, or the paired differences.
+// Run prints the losses of each report, or the paired differences. It returns an error if a
+// report can't be read or has no counterpart.
 func (c *Command) Run() error {
 	reports, err := readAll(c.Reports)
 	if err != nil {
@@ -49,8 +50,8 @@
 	return reports, nil
 }
 
-// print writes a report's losses, largest first, and the windows in which worth was lost
-// with the troubles that struck then.
+// print writes the losses of a report, largest first, its windows with the faults and planned
+// work during each, and its classes of requests.
 func (r Report) print(out io.Writer) {
 	losses := r.Losses()
 	sort.SliceStable(losses, func(i, j int) bool { return losses[i].Worth > losses[j].Worth })
@@ -73,7 +74,7 @@
 	fmt.Fprintln(out)
 }
 
-// start is the second that a window begins at.
+// windowStart returns the second at which a window begins, which is its name.
 func windowStart(w Window) float64 {
 	second, err := strconv.ParseFloat(fmt.Sprint(w.Name), 64)
 	if err != nil {
@@ -82,13 +83,15 @@
 	return second
 }
 
-// studentT95 are the factors of two-sided intervals of 95 in 100, by degrees of freedom.
+// studentT95 lists the two-sided 95% quantiles of Student's t distribution by degrees of
+// freedom.
 var studentT95 = []float64{0, 12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23}
 
-// compare prints the paired differences of two builds' days with their mean and interval.
+// compare prints the paired differences of two builds' days, with their mean and its 95%
+// confidence interval.
 func compare(out io.Writer, before, after []Report) error {
 	if len(before) != len(after) {
-		return errors.Newf("%d reports against %d: pairs are needed", len(after), len(before))
+		return errors.Newf("%d reports can't be paired with %d", len(after), len(before))
 	}
 	var differences []float64
 	fmt.Fprintln(out, "| pair | before | after | difference |\n|---|---|---|---|")
@@ -102,8 +105,8 @@
 	return nil
 }
 
-// interval is the mean of some values and half of its interval of 95 in 100; infinite for
-// a single value.
+// interval returns the mean of values and half the width of its 95% confidence interval,
+// which is infinite for a single value.
 func interval(values []float64) (mean, half float64) {
 	n := float64(len(values))
 	for _, v := range values {
--- a/rehearsalkit/worth/report.go
+++ b/rehearsalkit/worth/report.go
@@ -1,6 +1,6 @@
-// Package worth tells where a played day lost its worth: it reads the report of a day and
-// splits what was lost into parts that add up, and compares days of two builds seed by
-// seed.
+// Package worth analyses the reports of played days. Worth is a day's score, at most 1. The
+// package splits the lost worth of a day by cause, and compares the days of two builds seed by
+// seed. Start reading at Report.Losses.
 package worth
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Report is what a played day's report tells of its worth.
+// Report holds the parts of a day's report that concern its worth (G).
 type Report struct {
 	Worth      float64     `json:"G"`
 	Components []Component `json:"parts"`
@@ -18,33 +18,34 @@
 	Windows    []Window    `json:"windows"`
 	Classes    []Window    `json:"classes"`
 	Events     []Event     `json:"events"`
-	// Ends counts how clients' tries ended.
+	// Outcomes counts the outcomes of clients' attempts.
 	Outcomes map[string]int `json:"ends"`
 }
 
-// Part is one part of the goal: its weight, and the ratio of worth earned in it.
+// Component is one component of the score: its weight, and the share of worth earned in it.
 type Component struct {
 	Name          string
 	Weight, Value float64
 }
 
-// UnmarshalJSON reads a part as reports write it: a list of name, weight and value.
+// UnmarshalJSON reads a component in the form of reports: a list of name, weight and value.
 func (p *Component) UnmarshalJSON(raw []byte) error {
 	return json.Unmarshal(raw, &[]any{&p.Name, &p.Weight, &p.Value})
 }
 
-// Price is what was taken off for one thing.
+// Price is a deduction from the score for the use of a resource.
 type Price struct {
 	Name         string
 	Amount, Cost float64
 }
 
-// UnmarshalJSON reads a price as reports write it: a list of name, amount and cost.
+// UnmarshalJSON reads a price in the form of reports: a list of name, amount and cost.
 func (p *Price) UnmarshalJSON(raw []byte) error {
 	return json.Unmarshal(raw, &[]any{&p.Name, &p.Amount, &p.Cost})
 }
 
-// Window counts the requests that began in some seconds, or that are of one kind.
+// Window counts the requests that began in an interval of the day, or that are of one class.
+// InAim is the number that met their latency target, Late those answered after it.
 type Window struct {
 	Name    any     `json:"name"`
 	Asked   int     `json:"n"`
@@ -56,14 +57,14 @@
 	Median  float64 `json:"p50_ms"`
 }
 
-// Event is a trouble or a planned work of the day.
+// Event is a fault or a piece of planned work of the day, with its times in seconds.
 type Event struct {
 	From float64 `json:"at_s"`
 	To   float64 `json:"to_s"`
 	Kind string  `json:"kind"`
 }
 
-// Read reads a day's report.
+// Read reads the report of a day. It returns an error if the file is not such a report.
 func Read(path string) (Report, error) {
 	var r Report
 	text, err := os.ReadFile(path)
@@ -74,19 +75,19 @@
 		return r, errors.Wrap(err, path)
 	}
 	if len(r.Components) == 0 {
-		return r, errors.Newf("%s: no report of a day", path)
+		return r, errors.Newf("%s is not the report of a day", path)
 	}
 	return r, nil
 }
 
-// Loss is one cause of lost worth.
+// Loss is the worth lost to one cause.
 type Loss struct {
 	Cause string
 	Worth float64
 }
 
-// Losses split what a day lost against serving all in time at no price. They add up to
-// 1 less the day's worth, but for rounding, which is told as a loss of its own.
+// Losses splits the difference between 1 and the day's worth by cause. The difference that
+// rounding in the report leaves is a loss of its own, so that the losses always add up.
 func (r Report) Losses() []Loss {
 	var losses []Loss
 	rest := 1 - r.Worth
@@ -103,7 +104,7 @@
 	return append(losses, Loss{Cause: "rounding", Worth: rest})
 }
 
-// Troubles names what struck between two moments.
+// EventsBetween returns the kinds of the events that overlap an interval, in seconds.
 func (r Report) EventsBetween(from, to float64) (kinds []string) {
 	for _, e := range r.Events {
 		if e.From < to && e.To > from {
--- a/rehearsalkit/worth/worth_test.go
+++ b/rehearsalkit/worth/worth_test.go
@@ -27,7 +27,7 @@
 	return r
 }
 
-// TestLossesAddUp to all that a day lost.
+// TestLossesSumToTotal: the losses add up to all worth that a day lost.
 func TestLossesSumToTotal(t *testing.T) {
 	r := sampleReport(t, sample)
 	sum := 0.0
@@ -45,11 +45,12 @@
 		}
 	}
 	if strings.Contains(out.String(), "probes") {
-		t.Error("a price of nothing is printed")
+		t.Error("a price without cost is printed")
 	}
 }
 
-// TestPairs: differences are taken pair by pair; other numbers of reports are refused.
+// TestComparePairs: differences are taken pair by pair; unequal numbers of reports are an
+// error.
 func TestComparePairs(t *testing.T) {
 	at := func(worth float64) Report { return Report{Worth: worth} }
 	var out bytes.Buffer
@@ -60,17 +61,17 @@
 		t.Error(out.String())
 	}
 	if compare(&out, []Report{at(1)}, nil) == nil {
-		t.Error("one against none was compared")
+		t.Error("one report was compared with none")
 	}
 	if mean, half := interval([]float64{1}); mean != 1 || !math.IsInf(half, 1) {
-		t.Errorf("of a single value: %v, %v", mean, half)
+		t.Errorf("interval of a single value: %v, %v", mean, half)
 	}
 	if mean, half := interval([]float64{1, 2, 3, 4}); mean != 2.5 || math.Abs(half-3.18*math.Sqrt(5.0/3/4)) > 1e-9 {
 		t.Errorf("mean %v, half %v", mean, half)
 	}
 }
 
-// TestNoReport: something else is refused.
+// TestReadRejectsOtherFiles: a missing file and one that is no report are errors.
 func TestReadRejectsOtherFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "other.json")
 	if err := os.WriteFile(path, []byte(`{}`), 0o600); err != nil {
@@ -78,7 +79,7 @@
 	}
 	for _, name := range []string{path, path + ".none"} {
 		if _, err := Read(name); err == nil {
-			t.Errorf("%s is read", name)
+			t.Errorf("%s was read as a report", name)
 		}
 	}
 }
