--- a/rehearsalkit/days/command.go
+++ b/rehearsalkit/days/command.go
@@ -8,57 +8,58 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Command is rehearsalkit's command that writes days.
+// Command is the subcommand that writes days. Its exported fields are its flags.
 type Command struct {
 	Seed    uint64   `help:"First seed; each day has the next one." default:"1"`
 	Count   int      `help:"How many days." default:"1"`
-	Theme   string   `help:"Weak point to aim at: cut, orders, repair, changes, answers, any; or turn, which takes them in turn." default:"turn"`
+	Theme   string   `help:"Weak point to target: cut, orders, repair, changes, answers, any; or turn, which rotates through them." default:"turn"`
 	Length  float64  `help:"Seconds of traffic in a day." default:"40"`
-	Pause   float64  `help:"Mean seconds between two troubles." default:"3"`
-	Losses  int      `help:"Machines of a group that may be lost at once; 0: what the site file tells, or 1."`
-	CatchUp float64  `help:"Seconds that a machine counts as lost after its return; 0: what the site file tells, or 4.5."`
-	Floor   float64  `help:"Least worth that passes." default:"0.3"`
+	Pause   float64  `help:"Mean seconds between two fault sequences." default:"3"`
+	Losses  int      `help:"Machines of a group that may be lost at once; 0: the value of the site file, or 1."`
+	CatchUp float64  `help:"Seconds that a machine counts as lost after its return; 0: the value of the site file, or 4.5."`
+	Floor   float64  `help:"Lowest worth that passes." default:"0.3"`
 	Closing string   `help:"Closing fault: none, random, power_off_all, wipe_after_ack, kill_all." default:"none"`
-	Site    string   `help:"Site file to read traffic and tolerances from, when it runs." type:"existingfile"`
+	Site    string   `help:"Site file from which traffic and tolerances are read." type:"existingfile"`
 	Load    float64  `help:"Share of the site's traffic." default:"1"`
-	Service []string `help:"Services that troubles of replicas may name; none: the bench chooses."`
+	Service []string `help:"Services that faults of replicas may name; none: the bench chooses."`
 	Class   []string `help:"Kinds of request that bursts may name; none: the bench chooses."`
 	Out     string   `help:"Folder for the days." default:"days-out" type:"path"`
 }
 
-// Defaults where neither flags nor a site file tell.
+// Defaults that apply without flags and site file, and the theme that rotates through all.
 const (
 	defaultLosses   = 1
 	defaultCatchUpS = 4.5
 	themeRotation   = "turn"
 )
 
-// Run writes the days, and prints their paths.
+// Run writes the days and prints their paths. It returns an error if the flags are invalid or
+// a file can't be read or written.
 func (c *Command) Run() error {
-	wish, err := c.options()
+	options, err := c.options()
 	if err != nil {
 		return err
 	}
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
-		return errors.Wrap(err, "folder")
+		return errors.Wrap(err, "create the output folder")
 	}
 	for i := range c.Count {
 		if c.Theme == themeRotation {
-			wish.Theme = Themes[(int(c.Seed)+i)%len(Themes)].Name
+			options.Theme = Themes[(int(c.Seed)+i)%len(Themes)].Name
 		}
-		day := Generate(wish, c.Seed+uint64(i))
+		day := Generate(options, c.Seed+uint64(i))
 		path := filepath.Join(c.Out, day.Name+".toml")
 		if err := os.WriteFile(path, []byte(day.Text()), 0o644); err != nil {
-			return errors.Wrap(err, "day")
+			return errors.Wrap(err, "write a day")
 		}
 		fmt.Println(path)
 	}
 	return nil
 }
 
-// wish puts the flags and the site's figures together.
+// options combines the flags with the values of the site file. Flags take precedence.
 func (c *Command) options() (Options, error) {
-	wish := Options{
+	options := Options{
 		Theme:      c.Theme,
 		LengthS:    c.Length,
 		Floor:      c.Floor,
@@ -69,37 +70,37 @@
 		Targets:    targets{services: c.Service, classes: c.Class},
 	}
 	if c.Site != "" {
-		read, err := readSite(c.Site)
+		site, err := readSite(c.Site)
 		if err != nil {
 			return Options{}, err
 		}
-		if wish.Traffic, err = read.traffic(c.Load); err != nil {
+		if options.Traffic, err = site.traffic(c.Load); err != nil {
 			return Options{}, err
 		}
-		wish.MaxLosses, wish.CatchUpS = max(wish.MaxLosses, read.Tolerate.Machines), read.Timing.CatchUpS
+		options.MaxLosses, options.CatchUpS = max(options.MaxLosses, site.Tolerate.Machines), site.Timing.CatchUpS
 	}
 	if c.Losses > 0 {
-		wish.MaxLosses = c.Losses
+		options.MaxLosses = c.Losses
 	}
 	if c.CatchUp > 0 {
-		wish.CatchUpS = c.CatchUp
+		options.CatchUpS = c.CatchUp
 	}
-	return wish, c.check(wish)
+	return options, c.check(options)
 }
 
-// check refuses what no day can be made of.
-func (c *Command) check(wish Options) error {
+// check returns an error if no day can be generated from the options.
+func (c *Command) check(options Options) error {
 	if _, known := themeNamed(c.Theme); !known && c.Theme != themeRotation {
-		return errors.Newf("no theme %q", c.Theme)
+		return errors.Newf("unknown theme %q", c.Theme)
 	}
 	if _, known := closingVariants[c.Closing]; !known && c.Closing != closingNone && c.Closing != closingRandom {
-		return errors.Newf("no closing fault %q", c.Closing)
+		return errors.Newf("unknown closing fault %q", c.Closing)
 	}
-	if wish.MeanPauseS < minPauseS || wish.LengthS <= firstEntryS+quietEndS {
-		return errors.New("a day needs pauses of a tenth of a second at least, and over 7.5 seconds")
+	if options.MeanPauseS < minPauseS || options.LengthS <= firstEntryS+quietEndS {
+		return errors.New("--pause must be at least 0.1 seconds and --length more than 7.5 seconds")
 	}
 	return nil
 }
 
-// shortestPauseS keeps the number of entries of a day in bounds.
+// minPauseS limits the number of entries of a day.
 const minPauseS = 0.1
--- a/rehearsalkit/days/day.go
+++ b/rehearsalkit/days/day.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// Closing is the fault that may end a day.
+// Closing is the fault at the end of a day: its kind, the downtime in seconds and the variant.
 type Closing struct {
 	Kind  string
 	DownS float64
 	How   string
 }
 
-// Day is a day for the bench.
+// Day is a generated day: the faults and planned work that the bench applies to a deployment.
 type Day struct {
 	Name    string
 	Seed    uint64
@@ -23,11 +23,11 @@
 	Floor   float64
 	Entries []Entry
 	Closing *Closing
-	// Traffic are lines of the day's traffic; none leaves the deployment's own.
+	// Traffic lists the day's traffic as inline TOML; empty keeps the deployment's own.
 	Traffic []string
 }
 
-// Text writes the day in the bench's form.
+// Text returns the day in the bench's TOML format.
 func (d Day) Text() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[[day]]\nname = %s\nslot = \"trouble\"\nseed = %d\n", strconv.Quote(d.Name), d.Seed)
@@ -44,7 +44,7 @@
 	return text.String()
 }
 
-// lines are the day's planned entries, or its others, by time.
+// lines returns the planned entries of the day, or its faults, in the order of their times.
 func (d Day) lines(planned bool) []string {
 	var lines []string
 	for _, entry := range d.Entries {
@@ -55,6 +55,7 @@
 	return lines
 }
 
+// writeList writes a TOML array with one element a line.
 func writeList(text *strings.Builder, name string, lines []string) {
 	fmt.Fprintf(text, "%s = [\n", name)
 	for _, line := range lines {
@@ -63,44 +64,44 @@
 	text.WriteString("]\n")
 }
 
-// Wish is what a caller asks of days.
+// Options are the parameters of generated days. Fields that end in S are in seconds.
 type Options struct {
 	Theme   string
 	LengthS float64
 	Floor   float64
-	// Losses is how many machines of a group may be lost at once.
+	// MaxLosses is how many machines of a group may be lost at the same time.
 	MaxLosses int
-	// CatchUpS is how long a machine counts as lost after its return.
+	// CatchUpS is how long a machine still counts as lost after its return.
 	CatchUpS float64
-	// PauseS is the mean pause between two sequences of the theme.
+	// MeanPauseS is the mean time between the starts of two sequences of the theme.
 	MeanPauseS float64
 	Closing    string
 	Targets    targets
 	Traffic    []string
 }
 
-// firstS is when the first entry strikes; untilS before its end, none does.
+// Entries occur from firstEntryS after the start of the day to quietEndS before its end.
 const (
 	firstEntryS = 1.5
 	quietEndS   = 6.0
 )
 
-// closings are the closing faults, and in which ways each may strike.
+// closingVariants lists the variants of each closing fault.
 var closingVariants = map[string][]string{
 	"power_off_all":  {"all", "timed", "taken"},
 	"wipe_after_ack": {"", "all", "timed", "taken"},
 	"kill_all":       {"", "timed"},
 }
 
-// Make draws the day of a seed.
-func Generate(wish Options, seed uint64) Day {
+// Generate returns the day of a seed. Equal options and seeds give equal days.
+func Generate(options Options, seed uint64) Day {
 	random := rand.New(rand.NewPCG(seed, randomStream))
-	theme, _ := themeNamed(wish.Theme)
-	maker := generator{options: wish, random: random, schedule: lossSchedule{maxMachines: wish.MaxLosses, catchUpS: wish.CatchUpS}}
-	maker.addSequences(theme)
-	maker.addPlanned(theme)
-	maker.addChanges(theme)
-	slices.SortStableFunc(maker.entries, func(a, b Entry) int {
+	theme, _ := themeNamed(options.Theme)
+	g := generator{options: options, random: random, schedule: lossSchedule{maxMachines: options.MaxLosses, catchUpS: options.CatchUpS}}
+	g.addSequences(theme)
+	g.addPlanned(theme)
+	g.addChanges(theme)
+	slices.SortStableFunc(g.entries, func(a, b Entry) int {
 		switch {
 		case a.AtS < b.AtS:
 			return -1
@@ -110,32 +111,33 @@
 		return 0
 	})
 	return Day{
-		Name:    fmt.Sprintf("%s-%d", wish.Theme, seed),
+		Name:    fmt.Sprintf("%s-%d", options.Theme, seed),
 		Seed:    seed,
-		LengthS: wish.LengthS,
-		Floor:   wish.Floor,
-		Entries: maker.entries,
-		Closing: drawClosing(random, wish.Closing),
-		Traffic: wish.Traffic,
+		LengthS: options.LengthS,
+		Floor:   options.Floor,
+		Entries: g.entries,
+		Closing: drawClosing(random, options.Closing),
+		Traffic: options.Traffic,
 	}
 }
 
-// streamOfDays keeps these draws apart from those of other users of a seed.
+// randomStream separates these random numbers from those of other users of a seed.
 const randomStream = 0x646179
 
-// Closings by lot and none.
+// Values of the flag for the closing fault that name no single fault.
 const (
 	closingRandom = "random"
 	closingNone   = "none"
 )
 
-// drawClosing draws how a closing fault strikes.
-func drawClosing(random *rand.Rand, wanted string) *Closing {
-	if wanted == closingRandom {
-		wanted = pick(random, []string{closingNone, "power_off_all", "wipe_after_ack", "kill_all"})
+// drawClosing draws the downtime and the variant of a closing fault, and its kind if that is
+// to be random.
+func drawClosing(random *rand.Rand, kind string) *Closing {
+	if kind == closingRandom {
+		kind = pick(random, []string{closingNone, "power_off_all", "wipe_after_ack", "kill_all"})
 	}
-	if wanted == closingNone {
+	if kind == closingNone {
 		return nil
 	}
-	return &Closing{Kind: wanted, DownS: rounded(0.5 + random.Float64()), How: pick(random, closingVariants[wanted])}
+	return &Closing{Kind: kind, DownS: rounded(0.5 + random.Float64()), How: pick(random, closingVariants[kind])}
 }
--- a/rehearsalkit/days/days_test.go
+++ b/rehearsalkit/days/days_test.go
@@ -9,10 +9,12 @@
 	"github.com/BurntSushi/toml"
 )
 
+// optionsFor returns options for a theme, with one loss at a time.
 func optionsFor(theme string) Options {
 	return Options{Theme: theme, LengthS: 60, Floor: 0.3, MaxLosses: 1, CatchUpS: 4.5, MeanPauseS: 2, Closing: closingRandom}
 }
 
+// TestSameSeedSameBytes checks that days depend on the seed and the options alone.
 func TestSameSeedSameBytes(t *testing.T) {
 	for _, theme := range Themes {
 		first, second := Generate(optionsFor(theme.Name), 7).Text(), Generate(optionsFor(theme.Name), 7).Text()
@@ -25,6 +27,7 @@
 	}
 }
 
+// TestEveryKindAndVariantIsDrawn guards against kinds and variants that no seed reaches.
 func TestEveryKindAndVariantIsDrawn(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(400) {
@@ -45,6 +48,7 @@
 	}
 }
 
+// TestThemesNameKnownKindsAndVariants guards against steps that name unknown kinds or fields.
 func TestThemesNameKnownKindsAndVariants(t *testing.T) {
 	for _, theme := range Themes {
 		steps := append([]Step{}, theme.Planned...)
@@ -54,7 +58,7 @@
 		for _, step := range steps {
 			kind, known := kindNamed(step.Kind)
 			if !known {
-				t.Errorf("%s: no kind %q", theme.Name, step.Kind)
+				t.Errorf("%s: unknown kind %q", theme.Name, step.Kind)
 			}
 			for _, fixed := range step.Fixed {
 				if !hasField(kind, fixed.Name) {
@@ -62,9 +66,9 @@
 				}
 			}
 		}
-		for _, order := range theme.Planned {
-			if kind, _ := kindNamed(order.Kind); !kind.Planned {
-				t.Errorf("%s: order %s is no planned work", theme.Name, order.Kind)
+		for _, planned := range theme.Planned {
+			if kind, _ := kindNamed(planned.Kind); !kind.Planned {
+				t.Errorf("%s: %s is not planned work", theme.Name, planned.Kind)
 			}
 		}
 	}
@@ -79,21 +83,21 @@
 	return false
 }
 
-// TestNeverMoreLossesThanAskedFor counts, at each loss's start, the machines of
-// its group that are away then.
+// TestConcurrentLossesStayWithinLimit counts the lost machines of a group at the start of each
+// loss.
 func TestConcurrentLossesStayWithinLimit(t *testing.T) {
 	for _, theme := range Themes {
-		for most := 1; most <= 2; most++ {
+		for limit := 1; limit <= 2; limit++ {
 			for seed := range uint64(200) {
-				wish := optionsFor(theme.Name)
-				wish.MaxLosses = most
-				checkLosses(t, Generate(wish, seed), most, wish.CatchUpS)
+				options := optionsFor(theme.Name)
+				options.MaxLosses = limit
+				checkLosses(t, Generate(options, seed), limit, options.CatchUpS)
 			}
 		}
 	}
 }
 
-func checkLosses(t *testing.T, day Day, most int, catchUpS float64) {
+func checkLosses(t *testing.T, day Day, limit int, catchUpS float64) {
 	t.Helper()
 	for _, entry := range day.Entries {
 		away := 0
@@ -102,8 +106,8 @@
 				away += other.machinesLost()
 			}
 		}
-		if entry.Kind.CausesLoss && away > most {
-			t.Fatalf("%s: %d machines lost at %v, asked for %d", day.Name, away, entry.AtS, most)
+		if entry.Kind.CausesLoss && away > limit {
+			t.Fatalf("%s: %d machines lost at %v, limit %d", day.Name, away, entry.AtS, limit)
 		}
 	}
 }
@@ -113,6 +117,7 @@
 	return a.Kind.CausesLoss && b.Kind.CausesLoss && stores(a) == stores(b)
 }
 
+// TestDaysAreDense guards against days with few entries.
 func TestDaysAreDense(t *testing.T) {
 	for _, theme := range Themes {
 		entries := 0
@@ -124,10 +129,11 @@
 		}
 	}
 	if entries := len(Generate(optionsFor("changes"), 3).Entries); entries < 120 {
-		t.Errorf("a day of changes has %d entries, want hundreds", entries)
+		t.Errorf("a day of changes has %d entries, want at least 120", entries)
 	}
 }
 
+// TestSecondLossFollowsRepairImmediately checks that the repair theme places a loss right after a repair.
 func TestSecondLossFollowsRepairImmediately(t *testing.T) {
 	closest := 1000.0
 	for seed := range uint64(50) {
@@ -148,10 +154,11 @@
 	}
 }
 
+// TestTextParsesAsTOML checks that the text of a day holds all of its entries.
 func TestTextParsesAsTOML(t *testing.T) {
 	for _, theme := range Themes {
-		wish := optionsFor(theme.Name)
-		wish.Closing = "wipe_after_ack"
+		options := optionsFor(theme.Name)
+		options.Closing = "wipe_after_ack"
 		var read struct {
 			Day []struct {
 				Seed    uint64
@@ -160,7 +167,7 @@
 				Closing map[string]any
 			}
 		}
-		day := Generate(wish, 5)
+		day := Generate(options, 5)
 		if _, err := toml.Decode(day.Text(), &read); err != nil {
 			t.Fatalf("%s: %v\n%s", theme.Name, err, day.Text())
 		}
@@ -173,6 +180,7 @@
 	}
 }
 
+// TestSiteFileSetsTrafficAndTolerance checks the values that are read from a site file.
 func TestSiteFileSetsTrafficAndTolerance(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "site.toml")
@@ -186,12 +194,12 @@
 		t.Fatal(err)
 	}
 	command := Command{Theme: themeRotation, Seed: 1, Count: 3, Length: 30, Pause: 2, Closing: closingNone, Site: path, Load: 0.5, Out: filepath.Join(folder, "out")}
-	wish, err := command.options()
+	options, err := command.options()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if wish.MaxLosses != 2 || wish.CatchUpS != 6.5 || len(wish.Traffic) != 1 || !strings.Contains(wish.Traffic[0], "per_s = 4") {
-		t.Fatalf("wish %+v", wish)
+	if options.MaxLosses != 2 || options.CatchUpS != 6.5 || len(options.Traffic) != 1 || !strings.Contains(options.Traffic[0], "per_s = 4") {
+		t.Fatalf("options %+v", options)
 	}
 	if err := command.Run(); err != nil {
 		t.Fatal(err)
@@ -202,16 +210,17 @@
 	}
 }
 
+// TestInvalidFlagsAreRejected checks that each invalid flag is an error.
 func TestInvalidFlagsAreRejected(t *testing.T) {
-	usual := Command{Theme: "cut", Length: 30, Pause: 2, Closing: closingNone}
-	for name, spoil := range map[string]func(*Command){
+	valid := Command{Theme: "cut", Length: 30, Pause: 2, Closing: closingNone}
+	for name, invalidate := range map[string]func(*Command){
 		"theme":   func(c *Command) { c.Theme = "unknown" },
 		"closing": func(c *Command) { c.Closing = "unknown" },
 		"pause":   func(c *Command) { c.Pause = 0 },
 		"length":  func(c *Command) { c.Length = 5 },
 	} {
-		command := usual
-		spoil(&command)
+		command := valid
+		invalidate(&command)
 		if _, err := command.options(); err == nil {
 			t.Errorf("%s: accepted", name)
 		}
--- a/rehearsalkit/days/draw.go
+++ b/rehearsalkit/days/draw.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// targets are names of a deployment that entries may be aimed at.
+// targets are the names of a deployment that entries may refer to.
 type targets struct {
 	services, classes []string
 }
 
-// drawEntry draws an entry of a kind: the fields that the step fixes, and the
-// others from the kind's ranges.
+// drawEntry draws an entry of a kind. Fields come from the ranges of the step where it has
+// them, and from those of the kind otherwise.
 func drawEntry(random *rand.Rand, step Step, kind Kind, names targets) Entry {
 	entry := Entry{Kind: kind, Group: drawGroup(random, step, kind)}
 	for _, field := range kind.Fields {
@@ -34,8 +34,8 @@
 	return entry
 }
 
-// draw picks a name for a kind that takes one; a caller who told none leaves
-// the choice to the bench.
+// draw picks a target for a kind that takes one. An empty name leaves the choice to the
+// bench.
 func (t targets) draw(random *rand.Rand, kind Kind) string {
 	switch kind.Target {
 	case targetService:
@@ -46,6 +46,7 @@
 	return ""
 }
 
+// drawGroup returns the step's group if the kind allows it, or a random one of the kind's.
 func drawGroup(random *rand.Rand, step Step, kind Kind) Group {
 	if step.Group != AnyGroup && slices.Contains(kind.Groups, step.Group) {
 		return step.Group
@@ -56,6 +57,7 @@
 	return kind.Groups[random.IntN(len(kind.Groups))]
 }
 
+// drawNumber draws a number uniformly from a field's range.
 func drawNumber(random *rand.Rand, field Field) float64 {
 	number := field.Min + random.Float64()*(field.Max-field.Min)
 	if field.Whole {
@@ -64,11 +66,12 @@
 	return rounded(number)
 }
 
+// rounded rounds a number to three decimal places.
 func rounded(number float64) float64 {
 	return math.Round(number*1000) / 1000
 }
 
-// pick draws one of a list, or nothing from an empty one.
+// pick returns a random element, or "" for an empty list.
 func pick(random *rand.Rand, list []string) string {
 	if len(list) == 0 {
 		return ""
--- a/rehearsalkit/days/entry.go
+++ b/rehearsalkit/days/entry.go
@@ -6,14 +6,15 @@
 	"strings"
 )
 
-// Value is a field of an entry: a number or a name.
+// Value is a field of an entry: a text, or a number if Text is empty.
 type Value struct {
 	Name   string
 	Number float64
 	Text   string
 }
 
-// Entry is one trouble, or one piece of planned work, of a day.
+// Entry is one fault or one piece of planned work of a day. AtS is its time in seconds from
+// the start of the day.
 type Entry struct {
 	AtS    float64
 	Kind   Kind
@@ -21,7 +22,7 @@
 	Values []Value
 }
 
-// number tells a numeric field's value, and whether the entry has it.
+// number returns the value of a numeric field, and whether the entry has it.
 func (e Entry) number(name string) (float64, bool) {
 	for _, value := range e.Values {
 		if value.Name == name && value.Text == "" {
@@ -31,7 +32,7 @@
 	return 0, false
 }
 
-// text tells a named field's value.
+// text returns the value of a text field, or "" if the entry lacks it.
 func (e Entry) text(name string) string {
 	for _, value := range e.Values {
 		if value.Name == name {
@@ -41,17 +42,17 @@
 	return ""
 }
 
-// set gives a numeric field a value.
+// set sets the value of a numeric field.
 func (e *Entry) set(name string, number float64) {
 	e.Values = slices.DeleteFunc(e.Values, func(v Value) bool { return v.Name == name })
 	e.Values = append(e.Values, Value{Name: name, Number: number})
 }
 
-// lostS is how long the entry itself keeps machines away.
+// lossDurationS returns how many seconds the entry keeps machines away, without catching up.
 func (e Entry) lossDurationS() float64 {
 	length := e.Kind.DefaultLossS
-	if told, ok := e.number(fieldDuration); ok {
-		length = max(length, told)
+	if value, ok := e.number(fieldDuration); ok {
+		length = max(length, value)
 	}
 	if wait, ok := e.number(fieldFactor); ok && e.Kind.Name == "replace_core" {
 		length = max(length, wait)
@@ -59,18 +60,18 @@
 	return length
 }
 
-// machinesLost is how many machines the entry takes at once, for the ledger.
+// machinesLost returns how many machines the entry takes away at the same time.
 func (e Entry) machinesLost() int {
 	if !e.Kind.CausesLoss {
 		return 0
 	}
-	if told, ok := e.number(fieldCount); ok {
-		return int(told)
+	if value, ok := e.number(fieldCount); ok {
+		return int(value)
 	}
 	return 1
 }
 
-// line writes the entry as a line of a day.
+// line returns the entry as an inline TOML table.
 func (e Entry) line() string {
 	parts := []string{"at = " + decimal(e.AtS), "kind = " + strconv.Quote(e.Kind.Name)}
 	if e.Group != AnyGroup {
@@ -86,7 +87,7 @@
 	return "{ " + strings.Join(parts, ", ") + " }"
 }
 
-// decimal writes a number with three places at most.
+// decimal formats a number with at most three decimal places.
 func decimal(number float64) string {
 	return strconv.FormatFloat(rounded(number), 'f', -1, 64)
 }
--- a/rehearsalkit/days/kind.go
+++ b/rehearsalkit/days/kind.go
@@ -1,13 +1,14 @@
-// Package days writes days for the users' bench from a seed: what strikes a
-// deployment, when and how hard. Its days are denser than the bench's own
-// mixes and aim at chosen weak points. The bench plays and judges them.
+// Package days generates days for the users' bench from a seed. A day is a schedule of faults
+// and planned work on a deployment. These days are denser than the bench's own and target
+// chosen weak points; the bench plays and scores them. No more machines of a group are lost at
+// the same time than the options allow. Start reading at Generate.
 package days
 
-// Group is the class of machines that an entry strikes.
+// Group is the class of machines that an entry affects.
 type Group string
 
-// The groups of machines that the bench tells apart. Core stands for the
-// machines whose loss the deployment counts.
+// The groups of machines that the bench distinguishes. For the limit of losses, all machines
+// outside Store count as Core.
 const (
 	AnyGroup Group = ""
 	Core     Group = "core"
@@ -15,32 +16,34 @@
 	Store    Group = "store"
 )
 
-// Field is a number that an entry of a kind may carry, with its usual range.
+// Field is a numeric field of an entry, with the range from which it is drawn. Whole makes it
+// an integer.
 type Field struct {
 	Name     string
 	Min, Max float64
 	Whole    bool
 }
 
-// Kind is a sort of trouble or of planned work that the bench knows.
+// Kind is a kind of fault or of planned work that the bench supports.
 type Kind struct {
 	Name string
-	// Planned entries stand in a day's plan, all others among its faults.
+	// Planned marks planned work, which is listed apart from the faults.
 	Planned bool
 	Fields  []Field
-	// Variants are the values that its field how may take.
+	// Variants are the values of the text field how.
 	Variants []string
-	// Groups are the classes of machines it may strike; empty: it takes none.
+	// Groups are the groups that it can affect; empty if it has no such field.
 	Groups []Group
-	// Lossy kinds take machines down, or away from the others.
+	// CausesLoss marks kinds that stop, slow down or disconnect machines.
 	CausesLoss bool
-	// LastsS is how long its loss lasts where the entry does not say.
+	// DefaultLossS is how many seconds the loss lasts at least.
 	DefaultLossS float64
-	// Target is the name of a field that a caller's name fills, if any.
+	// Target is the field, if any, that takes a name of the deployment.
 	Target string
 }
 
-// Names of the fields.
+// Names of the numeric fields in the bench's format. Depending on the kind, x (fieldFactor) is
+// a factor, a probability, a count or a time.
 const (
 	fieldDuration = "for_s"
 	fieldGap      = "gap_s"
@@ -49,25 +52,28 @@
 	fieldFactor   = "x"
 )
 
-// Names of the fields that take a name from the deployment.
+// Names of the fields that take a name of the deployment.
 const (
 	targetService = "service"
 	targetClass   = "class"
 )
 
-// machineVariants choose a machine and what happens on its return.
+// machineVariants select the affected machine, how it fails and what happens meanwhile.
 var machineVariants = []string{"", "power", "leader", "leader race", "leader race hard", "leader race drain", "reader", "seed", "seed race drain", "meet", "meet drain", "power leader race hard", "race", "hard"}
 
-// cutVariants choose the machines that are cut off, and how.
+// cutVariants select the machines that are disconnected, and how.
 var cutVariants = []string{"", "one_way", "seeds", "both", "leader", "leader race", "leader one_way race hard", "leader one_way race drain hard", "race", "meet", "race hard", "seeds race", "both race", "leader reset", "leader refuse race", "reader"}
 
+// greyVariants are the ways in which a replica fails partially.
 var greyVariants = []string{"errors", "shed", "busy", "hang", "reset", "mute", "slow"}
 
+// badConfigVariants are the defects of a configuration that must be refused.
 var badConfigVariants = []string{"", "cut_short", "unknown_service", "same_place", "no_weight", "no_timeout", "old_version", "same_version", "stale_match", "shared_key"}
 
+// configChangeVariants are the parts of the configuration that a change concerns.
 var configChangeVariants = []string{"route", "weights", "timeout", "tenant", "quota", "idle"}
 
-// Kinds are all kinds that days are made of.
+// Kinds lists all kinds of entries.
 var Kinds = []Kind{
 	{Name: "burst", Fields: []Field{{fieldFactor, 1.5, 2.2, false}, {fieldDuration, 2, 6, false}}, Target: targetClass},
 	{Name: "release", Planned: true, Fields: []Field{{fieldShare, 0.3, 0.6, false}, {fieldFactor, 1, 2, true}, {fieldGap, 0.5, 1.2, false}}},
@@ -105,7 +111,7 @@
 	{Name: "ack_lost", Fields: []Field{{fieldFactor, 0.7, 0.95, false}, {fieldDuration, 5, 25, false}}},
 }
 
-// kindNamed finds a kind.
+// kindNamed returns the kind of a name, and whether there is one.
 func kindNamed(name string) (Kind, bool) {
 	for _, kind := range Kinds {
 		if kind.Name == name {
--- a/rehearsalkit/days/site.go
+++ b/rehearsalkit/days/site.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// site is what days need of a deployment that the caller names.
+// site is the part of a deployment's site file that days need.
 type site struct {
 	Traffic []map[string]any `toml:"traffic"`
 	Timing  struct {
@@ -21,16 +21,16 @@
 	} `toml:"tolerate"`
 }
 
-// readSite reads a deployment's file.
+// readSite reads a site file.
 func readSite(path string) (site, error) {
 	var read site
 	if _, err := toml.DecodeFile(path, &read); err != nil {
-		return site{}, errors.Wrap(err, "site file")
+		return site{}, errors.Wrap(err, "read the site file")
 	}
 	return read, nil
 }
 
-// traffic is the deployment's own traffic at a share of its rate.
+// traffic returns the deployment's traffic as inline TOML, with its rates multiplied by load.
 func (s site) traffic(load float64) ([]string, error) {
 	var lines []string
 	for _, source := range s.Traffic {
@@ -40,7 +40,7 @@
 		}
 		rate, ok := scaled["per_s"].(float64)
 		if !ok {
-			return nil, errors.New("a line of traffic has no rate per_s")
+			return nil, errors.New("a traffic entry of the site file lacks the number per_s")
 		}
 		scaled["per_s"] = rounded(rate * load)
 		lines = append(lines, inline(scaled))
@@ -48,7 +48,7 @@
 	return lines, nil
 }
 
-// inline writes a value as TOML within one line.
+// inline returns a value as TOML on a single line, with sorted keys.
 func inline(value any) string {
 	switch typed := value.(type) {
 	case map[string]any:
--- a/rehearsalkit/days/theme.go
+++ b/rehearsalkit/days/theme.go
@@ -1,19 +1,19 @@
 package days
 
-// Step is one entry of a sequence: its kind, and what the sequence fixes of it.
-// What it leaves open is drawn from the kind's ranges.
+// Step is one entry of a sequence: its kind, and restrictions on its group, variants and
+// fields. Everything else is drawn from the kind's ranges.
 type Step struct {
 	Kind     string
 	Group    Group
 	Variants []string
 	Fixed    []Field
-	// AfterS is the pause since the step before, from its start.
+	// AfterS is the pause in seconds after the start of the previous step.
 	AfterS Field
-	// AfterRepair also waits until what the step before lost has caught up.
+	// AfterRepair also waits until the machines that the previous step lost have caught up.
 	AfterRepair bool
 }
 
-// field is a range that the step fixes.
+// field returns the range that the step gives for a field, and whether it gives one.
 func (s Step) field(name string) (Field, bool) {
 	for _, field := range s.Fixed {
 		if field.Name == name {
@@ -23,27 +23,28 @@
 	return Field{}, false
 }
 
-// Theme is the weak point that a day aims at.
+// Theme is a weak point that a day targets.
 type Theme struct {
 	Name string
-	// Sequences of steps follow each other through the day, drawn by lot.
+	// Sequences are drawn at random throughout the day; none: single entries of all kinds.
 	Sequences [][]Step
-	// Orders are planned work that goes on beside them all day.
+	// Planned is planned work that is drawn at random beside them.
 	Planned []Step
-	// ChangesS is the pause between single changes of the configuration; 0: none.
+	// ChangesS is the pause in seconds between single changes of the configuration; 0: none.
 	ChangesS Field
 }
 
-// exactly fixes a field to one value.
+// exactly returns a field with a single value.
 func exactly(name string, value float64) Field {
 	return Field{Name: name, Min: value, Max: value}
 }
 
+// between returns a field with a range.
 func between(name string, low, high float64) Field {
 	return Field{Name: name, Min: low, Max: high}
 }
 
-// Themes are the weak points, in the order in which rounds go through them.
+// Themes lists the themes in the order of their rotation.
 var Themes = []Theme{
 	{
 		Name: "cut",
@@ -79,7 +80,7 @@
 		Sequences: [][]Step{
 			{{Kind: "replace_core"}, {Kind: "after_ack_wipe", AfterRepair: true}},
 			{{Kind: "replace_core", Group: Store}, {Kind: "after_ack_wipe", Group: Store, AfterRepair: true}, {Kind: "after_ack_kill", Group: Store, AfterRepair: true}},
-			// A store is emptied only where enough others are left: a new one first.
+			// Add a store first: one may be wiped only while enough others remain.
 			{{Kind: "add_nodes", Group: Store}, {Kind: "retire", Variants: []string{"wipe"}, AfterS: between("", 5, 7)}, {Kind: "after_ack_wipe", Group: Store, AfterRepair: true}},
 			{{Kind: "add_nodes", Group: Store}, {Kind: "after_ack_wipe", Group: Store, AfterS: between("", 1, 6)}},
 			{{Kind: "after_ack_wipe", Group: Store}, {Kind: "after_ack_wipe", Group: Store, AfterRepair: true}},
@@ -116,10 +117,10 @@
 	{Name: anyTheme},
 }
 
-// anyTheme draws single entries of all kinds.
+// anyTheme is the theme of single entries of all kinds.
 const anyTheme = "any"
 
-// themeNamed finds a theme.
+// themeNamed returns the theme of a name, and whether there is one.
 func themeNamed(name string) (Theme, bool) {
 	for _, theme := range Themes {
 		if theme.Name == name {
--- a/rehearsalkit/faultdisk/disk.go
+++ b/rehearsalkit/faultdisk/disk.go
@@ -292,8 +292,8 @@
 }
 
 // LosePower replaces the real files by what a loss of power leaves of them, and then calls
-// end while no other operation can run. A product process must not continue after that: end
-// exits it. It returns an error if the files can't be written.
+// end while no other operation can run. A process that uses the disk must exit in end. It
+// returns an error if the files can't be written.
 func (d *Disk) LosePower(end func()) error {
 	return d.do(func(s *state) error {
 		if err := s.losePower(); err != nil {
--- a/rehearsalkit/faultdisk/disk_test.go
+++ b/rehearsalkit/faultdisk/disk_test.go
@@ -26,7 +26,7 @@
 }
 
 // TestSyncedDataSurvivesPowerLoss: after a loss of power the product's store still holds
-// everything that it acknowledged, and nothing that was never written.
+// everything that it acknowledged, whatever became of later writes.
 func TestSyncedDataSurvivesPowerLoss(t *testing.T) {
 	tornTails := 0
 	for seed := uint64(0); seed < 150; seed++ {
--- a/rehearsalkit/fleetcommand.go
+++ b/rehearsalkit/fleetcommand.go
@@ -66,7 +66,7 @@
 	<-done
 	after := f.Work(ctx)
 	record, breaches := f.Finish(ctx)
-	report(record)
+	printRecord(record)
 	if shots := float64(len(record.Attempts)); c.Work && shots > 0 {
 		fmt.Printf("  for each shot, all cores: %.1f commands, %.1f writes, %.1f syncs, %.1f messages\n", float64(after.Commands-before.Commands)/shots,
 			float64(after.Writes-before.Writes)/shots, float64(after.Syncs-before.Syncs)/shots, float64(after.Messages-before.Messages)/shots)
--- a/rehearsalkit/main.go
+++ b/rehearsalkit/main.go
@@ -1,5 +1,6 @@
-// Command rehearsalkit rehearses saffronfall: a fleet of processes on one
-// machine, and a simulator with seeds. It is never deployed.
+// Command rehearsalkit tests saffronfall under injected faults: with seeded simulators, with
+// fleets of real processes on one machine, with a model checker and with deliberate breaks of
+// the code. It is never deployed. Each field of commands is one subcommand.
 package main
 
 import (
@@ -31,7 +32,9 @@
 	"saffronfall/rule/ordered"
 )
 
-func report(r *judge.Record) {
+// printRecord prints what requesters and back ends saw in a run, and which situations it
+// reached.
+func printRecord(r *judge.Record) {
 	counts := map[string]int{}
 	for _, a := range r.Requests {
 		name := a.Kind + " " + a.Outcome
@@ -67,6 +70,7 @@
 	fmt.Printf("  longest time with no whole return: %v\n", r.LongestGap().Round(time.Millisecond))
 }
 
+// simulateCommand runs the simulator over seeds.
 type simulateCommand struct {
 	Seeds int    `help:"How many seeds." default:"100"`
 	First uint64 `help:"First seed; 0: a random one, which is printed." default:"0"`
@@ -106,16 +110,17 @@
 	return nil
 }
 
+// relaysimCommand runs the simulator of the relaying tier over seeds.
 type relaysimCommand struct {
 	Seeds int    `help:"How many seeds." default:"100"`
 	First uint64 `help:"First seed; 0: a random one, which is printed." default:"0"`
 	Logs  bool   `help:"Print what happens in each run; for single seeds."`
-	// Scenario names a run with a workload and faults of its own.
-	Scenario string `help:"A named scenario (docs/worst-days.md) in place of the seeded day."`
-	Workers  int    `help:"How many seeds of a scenario run side by side." default:"4"`
+	// Scenario names a run with its own workload and faults.
+	Scenario string `help:"A named scenario (docs/worst-days.md) instead of the seeded day."`
+	Workers  int    `help:"How many seeds of a scenario run in parallel." default:"4"`
 }
 
-// runScenario plays a named scenario over seeds.
+// runScenario runs a named scenario over seeds.
 func (c *relaysimCommand) runScenario(first uint64, logf func(format string, args ...any)) error {
 	scenario, err := relaysim.ScenarioNamed(c.Scenario)
 	if err != nil {
@@ -126,7 +131,7 @@
 	scenario.PlaySeeds(first, c.Seeds, c.Workers, func(p *relaysim.Params) { p.Logf = logf }, func(f *relaysim.Findings) {
 		merged.Add(f)
 		for i, b := range f.Breaches {
-			if i < breachesTold {
+			if i < maxPrintedBreaches {
 				fmt.Printf("BROKEN seed %d: %s\n", f.Seed, b)
 			}
 		}
@@ -144,8 +149,8 @@
 	return nil
 }
 
-// breachesTold is how many breaches of one seed of a scenario are printed.
-const breachesTold = 12
+// maxPrintedBreaches is how many breaches of one seed of a scenario are printed.
+const maxPrintedBreaches = 12
 
 func (c *relaysimCommand) Run() error {
 	first := c.First
@@ -189,10 +194,11 @@
 	return nil
 }
 
+// termsCommand measures the effects of the lease terms of members.
 type termsCommand struct {
-	Terms []time.Duration `help:"Terms of members." default:"2s,5s,15s,40s"`
-	Cuts  []time.Duration `help:"How long all cores are cut off." default:"1s,5s,30s"`
-	Seeds uint64          `help:"Seeds for each." default:"3"`
+	Terms []time.Duration `help:"Lease terms of members." default:"2s,5s,15s,40s"`
+	Cuts  []time.Duration `help:"How long all cores are disconnected." default:"1s,5s,30s"`
+	Seeds uint64          `help:"Seeds for each setting." default:"3"`
 }
 
 func (c *termsCommand) Run() error {
@@ -215,8 +221,9 @@
 	return nil
 }
 
+// crashCommand crashes processes at every point of every operation.
 type crashCommand struct {
-	Every int `help:"Make one in every so many runs." default:"1"`
+	Every int `help:"Execute only one in this many runs." default:"1"`
 }
 
 func (c *crashCommand) Run() error {
@@ -232,8 +239,9 @@
 	return nil
 }
 
+// loadsCommand measures overload and the use of quotas.
 type loadsCommand struct {
-	Seeds uint64 `help:"Seeds for each." default:"5"`
+	Seeds uint64 `help:"Seeds for each setting." default:"5"`
 }
 
 func (c *loadsCommand) Run() error {
@@ -260,16 +268,17 @@
 	return nil
 }
 
+// breaksCommand checks that deliberate breaks of the code are found.
 type breaksCommand struct {
-	Seeds int    `help:"How many seeds may be needed to find a break." default:"80"`
-	Root  string `help:"The workspace." default:"." type:"path"`
+	Seeds int    `help:"Maximum number of seeds that are tried to find a break." default:"80"`
+	Root  string `help:"Root of the workspace." default:"." type:"path"`
 	Rule  int    `help:"Only the breaks of this rule; 0: all." default:"0"`
-	// Checker and Only choose the breaks that the model checker must find.
-	Checker bool `help:"The breaks that the model checker must find, and not those of rules."`
-	// Soak chooses those that the soak must find, Jobs how many run side by side.
+	// Checker selects the breaks that the model checker must find.
+	Checker bool `help:"The breaks that the model checker must find, instead of those of rules."`
+	// Soak selects the breaks that the soak must find, Jobs how many run in parallel.
 	Soak bool   `help:"The breaks that the soak of real processes must find."`
-	Jobs int    `help:"With --soak: how many breaks are tried side by side." default:"3"`
-	Only string `help:"With --checker or --soak: only the breaks that have this in their description."`
+	Jobs int    `help:"With --soak: how many breaks are tried in parallel." default:"3"`
+	Only string `help:"With --checker or --soak: only the breaks whose description contains this text."`
 }
 
 func (c *breaksCommand) runChecker() error {
@@ -292,38 +301,38 @@
 	return nil
 }
 
-// soakFinding is what became of one break under the soak.
-type soakFinding struct {
-	of    breaks.SoakBreak
-	found string
-	err   error
+// soakResult is the result of running the soak over one break.
+type soakResult struct {
+	target breaks.SoakBreak
+	found  string
+	err    error
 }
 
 func (c *breaksCommand) runSoak() error {
-	places, findings, count := make(chan struct{}, max(c.Jobs, 1)), make(chan soakFinding), 0
+	slots, results, count := make(chan struct{}, max(c.Jobs, 1)), make(chan soakResult), 0
 	for i, b := range breaks.Soak {
 		if !strings.Contains(b.What, c.Only) {
 			continue
 		}
 		count++
 		go func() {
-			places <- struct{}{}
+			slots <- struct{}{}
 			found, err := b.Run(c.Root, 1+20*i)
-			<-places
-			findings <- soakFinding{of: b, found: found, err: err}
+			<-slots
+			results <- soakResult{target: b, found: found, err: err}
 		}()
 	}
 	unseen := 0
 	for range count {
-		f := <-findings
+		result := <-results
 		switch {
-		case f.err == nil:
-			fmt.Printf("found within %d seeds: %s: %s\n", f.of.Seeds, f.of.What, f.found)
-		case f.of.Elsewhere != "":
-			fmt.Printf("not by the soak (%s): %s\n", f.of.Elsewhere, f.of.What)
+		case result.err == nil:
+			fmt.Printf("found within %d seeds: %s: %s\n", result.target.Seeds, result.target.What, result.found)
+		case result.target.Elsewhere != "":
+			fmt.Printf("not by the soak (%s): %s\n", result.target.Elsewhere, result.target.What)
 		default:
 			unseen++
-			fmt.Printf("UNSEEN within %d seeds: %s: %v\n", f.of.Seeds, f.of.What, f.err)
+			fmt.Printf("UNSEEN within %d seeds: %s: %v\n", result.target.Seeds, result.target.What, result.err)
 		}
 	}
 	if unseen > 0 {
@@ -361,12 +370,13 @@
 	return nil
 }
 
+// backendCommand runs one stand-in back end.
 type backendCommand struct {
 	Service string   `help:"Name of the service." default:"model"`
 	ID      string   `help:"Name of the replica." default:"stand-in"`
 	Zone    string   `help:"Zone." default:"zone-1"`
-	Address string   `help:"Where it listens, by IP number." default:"127.0.9.1:7900"`
-	Node    []string `help:"Nodes' requester addresses to announce at." default:"127.0.1.4:7002,127.0.1.5:7002,127.0.1.6:7002"`
+	Address string   `help:"IP address and port on which it listens." default:"127.0.9.1:7900"`
+	Node    []string `help:"Requester addresses of the nodes to which the replica announces itself." default:"127.0.1.4:7002,127.0.1.5:7002,127.0.1.6:7002"`
 	Key     string   `help:"Replica key." required:""`
 }
 
@@ -376,26 +386,27 @@
 	return fleet.Backend(ctx, c.Service, c.ID, c.Zone, c.Address, c.Node, c.Key)
 }
 
+// commands are the subcommands.
 var commands struct {
 	Backend    backendCommand     `cmd:"" help:"Run one stand-in back end."`
-	Fleet      fleetCommand       `cmd:"" help:"Run a fleet of processes with stand-in requesters and back ends, and judge it."`
-	Capacity   capacity.Command   `cmd:"" help:"Measure what nodes, desks and cores cost at a size, with hollow processes in simulated time."`
-	Days       days.Command       `cmd:"" help:"Write days for the users' bench from a seed, aimed at chosen weak points."`
-	Breaks     breaksCommand      `cmd:"" help:"Break the code on purpose in scratch copies, one line at a time, and want each break found."`
-	Loads      loadsCommand       `cmd:"" help:"Measure alerts under a crowd and the use of shares, in simulated time."`
-	Terms      termsCommand       `cmd:"" help:"Measure, in simulated time, what lengths of a member's term give and cost."`
-	Crash      crashCommand       `cmd:"" help:"Lose each process concerned after each message and round each sync of each operation, and judge."`
-	Modelcheck modelcheck.Command `cmd:"" help:"Explore all states of a partition's shipped state machine within bounds, or replay a trace."`
+	Fleet      fleetCommand       `cmd:"" help:"Run a fleet of processes with stand-in requesters and back ends, and check the rules."`
+	Capacity   capacity.Command   `cmd:"" help:"Measure the resource use of nodes, desks and cores at a size, with simplified processes in simulated time."`
+	Days       days.Command       `cmd:"" help:"Generate days for the users' bench from a seed, targeting chosen weak points."`
+	Breaks     breaksCommand      `cmd:"" help:"Break the code on purpose in scratch copies, one change at a time, and check that each break is found."`
+	Loads      loadsCommand       `cmd:"" help:"Measure alerts under overload and the use of quotas, in simulated time."`
+	Terms      termsCommand       `cmd:"" help:"Measure the effects of different lease terms of members, in simulated time."`
+	Crash      crashCommand       `cmd:"" help:"Crash each involved process after each message and around each sync of each operation, and check the rules."`
+	Modelcheck modelcheck.Command `cmd:"" help:"Explore all states of the product's partition state machine within bounds, or replay a trace."`
 	Simulate   simulateCommand    `cmd:"" help:"Run the simulator over seeds."`
 	Relaysim   relaysimCommand    `cmd:"" help:"Run the simulator of the relaying tier over seeds."`
-	FaultyCore faultdisk.Command  `cmd:"" help:"Run the shipped core role on a disk that can be full, slow or stalled, or lose power, as told over HTTP."`
-	Refusals   refusals.Command   `cmd:"" help:"List answers of 400 to 499 that logs of nodes tell of, by cause and route, and whether they are owed."`
-	Worth      worth.Command      `cmd:"" help:"Tell where played days lost their worth, by their reports, or compare two builds' days in pairs."`
-	Soak       soak.Command       `cmd:"" help:"Run cores, desks and relaying nodes as real processes under overlapping random troubles, over seeds, and judge."`
+	FaultyCore faultdisk.Command  `cmd:"" help:"Run the product's core role on a disk that can be full, slow or stalled or lose power, controlled over HTTP."`
+	Refusals   refusals.Command   `cmd:"" help:"List the client errors (400 to 499) in node logs by cause and route, and whether they are justified."`
+	Worth      worth.Command      `cmd:"" help:"Show from reports where played days lost worth, or compare the days of two builds in pairs."`
+	Soak       soak.Command       `cmd:"" help:"Run cores, desks and relaying nodes as real processes under overlapping random faults, over seeds, and check the rules."`
 }
 
 func main() {
-	parser := kong.Parse(&commands, kong.Name("rehearsalkit"), kong.Description("Rehearses saffronfall and judges it by what requesters and back ends saw."))
+	parser := kong.Parse(&commands, kong.Name("rehearsalkit"), kong.Description("Tests saffronfall under faults and checks what requesters and back ends saw against its rules."))
 	if err := parser.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "rehearsalkit:", err)
 		if setup.IsFault(err) {
