--- a/rehearsalkit/judge/judge.go
+++ b/rehearsalkit/judge/judge.go
@@ -43,18 +43,18 @@
 // received and against what replicas produced.
 func (r *Record) programTokens() (list []Breach) {
 	produced, received := map[string]int64{}, map[string]int64{}
-	for _, s := range r.Attempts {
-		if s.Program != "" && !s.Tool {
+	for _, attempt := range r.Attempts {
+		if attempt.Program != "" && !attempt.Tool {
 			// Tokens beyond the attempt's limit are cut off by the node.
-			produced[s.Program] += min(s.Tokens, s.MaxTokens)
-			if s.Tokens > s.MaxTokens && !s.OverLimit {
-				list = append(list, breach(1, "replica produced %d tokens for %s; the limit is %d", s.Tokens, s.RequestID, s.MaxTokens))
+			produced[attempt.Program] += min(attempt.Tokens, attempt.MaxTokens)
+			if attempt.Tokens > attempt.MaxTokens && !attempt.OverLimit {
+				list = append(list, breach(1, "replica produced %d tokens for %s; the limit is %d", attempt.Tokens, attempt.RequestID, attempt.MaxTokens))
 			}
 		}
 	}
-	for _, a := range r.Requests {
-		if a.Kind == "turn" {
-			received[a.Program] += a.Tokens
+	for _, request := range r.Requests {
+		if request.Kind == "turn" {
+			received[request.Program] += request.Tokens
 		}
 	}
 	limit := r.Limits.ProgramTokens + r.Limits.TurnTokens
@@ -72,19 +72,19 @@
 // before or after the refusal.
 func (r *Record) notRun() (list []Breach) {
 	reached := map[string]bool{}
-	for _, s := range r.Attempts {
-		reached[s.RequestID] = true
+	for _, attempt := range r.Attempts {
+		reached[attempt.RequestID] = true
 	}
-	for _, a := range r.Requests {
-		if a.Outcome == Refused && a.Ran == "no" && a.ID != "" && a.OnceKey == "" && reached[a.ID] {
+	for _, request := range r.Requests {
+		if request.Outcome == Refused && request.Ran == "no" && request.ID != "" && request.OnceKey == "" && reached[request.ID] {
 			rule := 4
-			if a.Code == "breaker_open" || a.Code == "program_tokens_spent" || a.Code == "tenant_day_tokens_spent" {
+			if request.Code == "breaker_open" || request.Code == "program_tokens_spent" || request.Code == "tenant_day_tokens_spent" {
 				rule = 2
 			}
-			list = append(list, breach(rule, "%s was refused as not run (%s), but it ran", a.ID, a.Code))
+			list = append(list, breach(rule, "%s was refused as not run (%s), but it ran", request.ID, request.Code))
 		}
-		if a.Outcome == Whole && (a.Kind == "turn" || a.Kind == "tool") && !reached[a.ID] {
-			list = append(list, breach(11, "%s was answered completely, but never reached a back end", a.ID))
+		if request.Outcome == Whole && (request.Kind == "turn" || request.Kind == "tool") && !reached[request.ID] {
+			list = append(list, breach(11, "%s was answered completely, but never reached a back end", request.ID))
 		}
 	}
 	return list
@@ -94,25 +94,25 @@
 // such keys: a key all of whose requests were refused as not run never ran.
 func (r *Record) once() (list []Breach) {
 	ran := map[string]int{}
-	for _, s := range r.Attempts {
-		if s.OnceKey != "" {
-			ran[s.OnceKey]++
-			if ran[s.OnceKey] == 2 {
-				list = append(list, breach(3, "once-key %s ran twice", s.OnceKey))
+	for _, attempt := range r.Attempts {
+		if attempt.OnceKey != "" {
+			ran[attempt.OnceKey]++
+			if ran[attempt.OnceKey] == 2 {
+				list = append(list, breach(3, "once-key %s ran twice", attempt.OnceKey))
 			}
 		}
 	}
 	total, refused := map[string]int{}, map[string]int{}
-	for _, a := range r.Requests {
-		if a.OnceKey == "" {
+	for _, request := range r.Requests {
+		if request.OnceKey == "" {
 			continue
 		}
-		total[a.OnceKey]++
-		if a.Outcome == Refused && a.Ran == "no" {
-			refused[a.OnceKey]++
+		total[request.OnceKey]++
+		if request.Outcome == Refused && request.Ran == "no" {
+			refused[request.OnceKey]++
 		}
-		if a.Outcome == Whole && ran[a.OnceKey] == 0 {
-			list = append(list, breach(11, "once-key %s was answered, but never ran", a.OnceKey))
+		if request.Outcome == Whole && ran[request.OnceKey] == 0 {
+			list = append(list, breach(11, "once-key %s was answered, but never ran", request.OnceKey))
 		}
 	}
 	for _, k := range ordered.Keys(total) {
@@ -127,18 +127,18 @@
 // retention time after its last successful request has passed.
 func (r *Record) retention() (list []Breach) {
 	last := map[string]time.Duration{}
-	for _, a := range r.Requests {
-		if a.Program == "" {
+	for _, request := range r.Requests {
+		if request.Program == "" {
 			continue
 		}
-		if a.Outcome == Whole {
-			last[a.Program] = max(last[a.Program], a.At)
+		if request.Outcome == Whole {
+			last[request.Program] = max(last[request.Program], request.At)
 		}
 	}
-	for _, a := range r.Requests {
-		if (a.Status == 410 || a.Status == 404) && a.Program != "" {
-			if at, ok := last[a.Program]; ok && at < a.Ended && a.Ended < at+r.Limits.Retention {
-				list = append(list, breach(5, "program %s was reported gone (%d %s) %v after its last complete answer", a.Program, a.Status, a.Code, a.Ended-at))
+	for _, request := range r.Requests {
+		if (request.Status == 410 || request.Status == 404) && request.Program != "" {
+			if at, ok := last[request.Program]; ok && at < request.Ended && request.Ended < at+r.Limits.Retention {
+				list = append(list, breach(5, "program %s was reported gone (%d %s) %v after its last complete answer", request.Program, request.Status, request.Code, request.Ended-at))
 			}
 		}
 	}
@@ -154,52 +154,52 @@
 	type conversation struct{ program, name string }
 	requests := map[string]Request{}
 	whole := map[conversation][]Request{}
-	for _, a := range r.Requests {
-		if a.Kind != "turn" {
+	for _, request := range r.Requests {
+		if request.Kind != "turn" {
 			continue
 		}
-		requests[a.ID] = a
-		if a.Outcome == Whole {
-			whole[conversation{a.Program, a.Conversation}] = append(whole[conversation{a.Program, a.Conversation}], a)
+		requests[request.ID] = request
+		if request.Outcome == Whole {
+			whole[conversation{request.Program, request.Conversation}] = append(whole[conversation{request.Program, request.Conversation}], request)
 		}
 	}
 	produced := map[string][]Attempt{}
 	byConversation := map[conversation][]Attempt{}
-	for _, s := range r.Attempts {
-		produced[s.RequestID] = append(produced[s.RequestID], s)
-		if s.Program != "" && !s.Tool {
-			byConversation[conversation{s.Program, s.Conversation}] = append(byConversation[conversation{s.Program, s.Conversation}], s)
+	for _, attempt := range r.Attempts {
+		produced[attempt.RequestID] = append(produced[attempt.RequestID], attempt)
+		if attempt.Program != "" && !attempt.Tool {
+			byConversation[conversation{attempt.Program, attempt.Conversation}] = append(byConversation[conversation{attempt.Program, attempt.Conversation}], attempt)
 		}
 	}
-	for _, s := range r.Attempts {
-		if s.Program == "" || s.Tool {
+	for _, attempt := range r.Attempts {
+		if attempt.Program == "" || attempt.Tool {
 			continue
 		}
-		own := requests[s.RequestID]
-		if own.Tenant != s.Tenant || own.Program != s.Program || own.Conversation != s.Conversation {
-			list = append(list, breach(6, "%s of %s/%s reached a replica as a request of %s/%s", s.RequestID, own.Tenant, own.Program, s.Tenant, s.Program))
+		own := requests[attempt.RequestID]
+		if own.Tenant != attempt.Tenant || own.Program != attempt.Program || own.Conversation != attempt.Conversation {
+			list = append(list, breach(6, "%s of %s/%s reached a replica as a request of %s/%s", attempt.RequestID, own.Tenant, own.Program, attempt.Tenant, attempt.Program))
 		}
 		in := map[string]bool{}
 		before := time.Duration(-1)
-		for _, t := range s.History {
-			a := requests[t.Prompt]
+		for _, t := range attempt.History {
+			request := requests[t.Prompt]
 			switch {
 			case in[t.Prompt]:
-				list = append(list, breach(6, "history of %s contains the turn %s twice", s.RequestID, t.Prompt))
-			case a.Program != s.Program || a.Conversation != s.Conversation:
-				list = append(list, breach(6, "history of %s contains a turn of another conversation, of program %s", s.RequestID, a.Program))
-			case a.At < before:
-				list = append(list, breach(6, "history of %s contains the turn %s out of order", s.RequestID, t.Prompt))
-			case a.Outcome == Whole && t.Answer != a.Text:
-				list = append(list, breach(6, "history of %s contains %q for the turn %s, whose requester received %q", s.RequestID, t.Answer, t.Prompt, a.Text))
-			case !relayed(t.Answer, a.Text, produced[t.Prompt]):
-				list = append(list, breach(6, "history of %s contains an answer for %s that no replica produced", s.RequestID, t.Prompt))
+				list = append(list, breach(6, "history of %s contains the turn %s twice", attempt.RequestID, t.Prompt))
+			case request.Program != attempt.Program || request.Conversation != attempt.Conversation:
+				list = append(list, breach(6, "history of %s contains a turn of another conversation, of program %s", attempt.RequestID, request.Program))
+			case request.At < before:
+				list = append(list, breach(6, "history of %s contains the turn %s out of order", attempt.RequestID, t.Prompt))
+			case request.Outcome == Whole && t.Answer != request.Text:
+				list = append(list, breach(6, "history of %s contains %q for the turn %s, whose requester received %q", attempt.RequestID, t.Answer, t.Prompt, request.Text))
+			case !relayed(t.Answer, request.Text, produced[t.Prompt]):
+				list = append(list, breach(6, "history of %s contains an answer for %s that no replica produced", attempt.RequestID, t.Prompt))
 			}
-			in[t.Prompt], before = true, a.At
+			in[t.Prompt], before = true, request.At
 		}
-		for _, a := range whole[conversation{s.Program, s.Conversation}] {
-			if a.Ended < own.At && !in[a.ID] {
-				list = append(list, breach(6, "history of %s lacks the complete turn %s", s.RequestID, a.ID))
+		for _, request := range whole[conversation{attempt.Program, attempt.Conversation}] {
+			if request.Ended < own.At && !in[request.ID] {
+				list = append(list, breach(6, "history of %s lacks the complete turn %s", attempt.RequestID, request.ID))
 			}
 		}
 	}
@@ -218,8 +218,8 @@
 // relayed reports whether a turn of a history begins with what the requester received and
 // is what one replica produced, cut off at the attempt's token limit where it exceeded it.
 func relayed(turn, received string, produced []Attempt) bool {
-	for _, s := range produced {
-		if strings.HasPrefix(turn, received) && (s.Text == turn || s.OverLimit && strings.HasPrefix(s.Text, turn)) {
+	for _, attempt := range produced {
+		if strings.HasPrefix(turn, received) && (attempt.Text == turn || attempt.OverLimit && strings.HasPrefix(attempt.Text, turn)) {
 			return true
 		}
 	}
@@ -234,8 +234,8 @@
 // quotas checks rule 7: a tenant's attempts stay within its rate and burst in every window.
 func (r *Record) quotas() (list []Breach) {
 	times := map[string][]time.Duration{}
-	for _, s := range r.Attempts {
-		times[s.Tenant] = append(times[s.Tenant], s.At)
+	for _, attempt := range r.Attempts {
+		times[attempt.Tenant] = append(times[attempt.Tenant], attempt.At)
 	}
 	for _, tenant := range ordered.Keys(times) {
 		rate, ok := r.Limits.Rate[tenant]
@@ -307,9 +307,9 @@
 				until = min(until, h.At)
 			}
 		}
-		for _, s := range r.Attempts {
-			if s.Tenant == t.RevokedTenant && s.At > t.At+r.Limits.PropagationLimit && s.At < until {
-				list = append(list, breach(8, "%s of %s ran %v after its keys were revoked", s.RequestID, s.Tenant, s.At-t.At))
+		for _, attempt := range r.Attempts {
+			if attempt.Tenant == t.RevokedTenant && attempt.At > t.At+r.Limits.PropagationLimit && attempt.At < until {
+				list = append(list, breach(8, "%s of %s ran %v after its keys were revoked", attempt.RequestID, attempt.Tenant, attempt.At-t.At))
 				break
 			}
 		}
@@ -325,9 +325,9 @@
 // leaving checks rule 10: a replica gets no work after it announced that it leaves.
 func (r *Record) leaving() (list []Breach) {
 	for _, l := range r.Leaving {
-		for _, s := range r.Attempts {
-			if s.Replica == l.Replica && s.At > l.At+r.Limits.PropagationLimit {
-				list = append(list, breach(10, "replica %s got work %v after it announced that it leaves", s.Replica, s.At-l.At))
+		for _, attempt := range r.Attempts {
+			if attempt.Replica == l.Replica && attempt.At > l.At+r.Limits.PropagationLimit {
+				list = append(list, breach(10, "replica %s got work %v after it announced that it leaves", attempt.Replica, attempt.At-l.At))
 				break
 			}
 		}
@@ -343,18 +343,18 @@
 		tokens int64
 	}
 	produced, overLimit := map[string]map[answer]bool{}, map[string]string{}
-	for _, s := range r.Attempts {
-		if produced[s.RequestID] == nil {
-			produced[s.RequestID] = map[answer]bool{}
+	for _, attempt := range r.Attempts {
+		if produced[attempt.RequestID] == nil {
+			produced[attempt.RequestID] = map[answer]bool{}
 		}
-		if s.OverLimit {
-			overLimit[s.RequestID] = s.Text
+		if attempt.OverLimit {
+			overLimit[attempt.RequestID] = attempt.Text
 		}
-		produced[s.RequestID][answer{s.Text, s.Tokens}] = true
+		produced[attempt.RequestID][answer{attempt.Text, attempt.Tokens}] = true
 	}
-	for _, a := range r.Requests {
-		if a.Kind == "turn" && a.Outcome == Whole && !produced[a.ID][answer{a.Text, a.Tokens}] && (overLimit[a.ID] == "" || !strings.HasPrefix(overLimit[a.ID], a.Text)) {
-			list = append(list, breach(11, "%s was answered completely with %q (%d tokens), which no replica produced", a.ID, a.Text, a.Tokens))
+	for _, request := range r.Requests {
+		if request.Kind == "turn" && request.Outcome == Whole && !produced[request.ID][answer{request.Text, request.Tokens}] && (overLimit[request.ID] == "" || !strings.HasPrefix(overLimit[request.ID], request.Text)) {
+			list = append(list, breach(11, "%s was answered completely with %q (%d tokens), which no replica produced", request.ID, request.Text, request.Tokens))
 		}
 	}
 	return list
@@ -363,9 +363,9 @@
 // LongestGap returns the longest time between the ends of two complete turns.
 func (r *Record) LongestGap() time.Duration {
 	var ends []time.Duration
-	for _, a := range r.Requests {
-		if a.Kind == "turn" && a.Outcome == Whole {
-			ends = append(ends, a.Ended)
+	for _, request := range r.Requests {
+		if request.Kind == "turn" && request.Outcome == Whole {
+			ends = append(ends, request.Ended)
 		}
 	}
 	sort.Slice(ends, func(i, j int) bool { return ends[i] < ends[j] })
@@ -381,22 +381,22 @@
 // refusals (409 and 429) don't count as interruptions.
 func (r *Record) Outages() []time.Duration {
 	turns := map[string][]Request{}
-	for _, a := range r.Requests {
-		if a.Kind == "turn" {
-			turns[a.Program+"/"+a.Conversation] = append(turns[a.Program+"/"+a.Conversation], a)
+	for _, request := range r.Requests {
+		if request.Kind == "turn" {
+			turns[request.Program+"/"+request.Conversation] = append(turns[request.Program+"/"+request.Conversation], request)
 		}
 	}
 	var list []time.Duration
 	for _, key := range ordered.Keys(turns) {
 		sort.SliceStable(turns[key], func(i, j int) bool { return turns[key][i].At < turns[key][j].At })
 		since := time.Duration(-1)
-		for _, a := range turns[key] {
+		for _, request := range turns[key] {
 			switch {
-			case a.Outcome == Whole && since >= 0:
-				list = append(list, a.Ended-since)
+			case request.Outcome == Whole && since >= 0:
+				list = append(list, request.Ended-since)
 				since = -1
-			case a.Outcome != Whole && since < 0 && a.Status != 409 && a.Status != 429:
-				since = a.At
+			case request.Outcome != Whole && since < 0 && request.Status != 409 && request.Status != 429:
+				since = request.At
 			}
 		}
 	}
--- a/rehearsalkit/judge/limits.go
+++ b/rehearsalkit/judge/limits.go
@@ -18,9 +18,9 @@
 		dollars float64
 	}
 	var spends []spend
-	for _, s := range r.Attempts {
-		day[s.Tenant] += min(s.Tokens, max(s.MaxTokens, 0))
-		spends = append(spends, spend{s.At, float64(min(s.Tokens, max(s.MaxTokens, 0))) * r.Limits.Price[s.Service] / 1e6})
+	for _, attempt := range r.Attempts {
+		day[attempt.Tenant] += min(attempt.Tokens, max(attempt.MaxTokens, 0))
+		spends = append(spends, spend{attempt.At, float64(min(attempt.Tokens, max(attempt.MaxTokens, 0))) * r.Limits.Price[attempt.Service] / 1e6})
 	}
 	for _, tenant := range ordered.Keys(r.Limits.DayTokens) {
 		if limit := r.Limits.DayTokens[tenant]; day[tenant] > limit {
@@ -41,17 +41,17 @@
 		}
 	}
 	spent := map[string]time.Duration{}
-	for _, a := range r.Requests {
-		if a.Code == "program_tokens_spent" {
-			if at, ok := spent[a.Program]; !ok || a.Ended < at {
-				spent[a.Program] = a.Ended
+	for _, request := range r.Requests {
+		if request.Code == "program_tokens_spent" {
+			if at, ok := spent[request.Program]; !ok || request.Ended < at {
+				spent[request.Program] = request.Ended
 			}
 		}
 	}
 	requests := r.requestsByID()
-	for _, s := range r.Attempts {
-		if at, ok := spent[s.Program]; ok && !s.Tool && s.Program != "" && requests[s.RequestID].At > at {
-			list = append(list, breach(2, "%s ran after its program was reported to have spent its tokens", s.RequestID))
+	for _, attempt := range r.Attempts {
+		if at, ok := spent[attempt.Program]; ok && !attempt.Tool && attempt.Program != "" && requests[attempt.RequestID].At > at {
+			list = append(list, breach(2, "%s ran after its program was reported to have spent its tokens", attempt.RequestID))
 		}
 	}
 	return list
@@ -60,9 +60,9 @@
 // requestsByID indexes the requests that have an ID.
 func (r *Record) requestsByID() map[string]Request {
 	requests := map[string]Request{}
-	for _, a := range r.Requests {
-		if a.ID != "" {
-			requests[a.ID] = a
+	for _, request := range r.Requests {
+		if request.ID != "" {
+			requests[request.ID] = request
 		}
 	}
 	return requests
@@ -72,18 +72,18 @@
 // such answer to the end that it announced.
 func (r *Record) tripIntervals() (list [][2]time.Duration) {
 	var refusals []Request
-	for _, a := range r.Requests {
-		if a.Code == "breaker_open" {
-			refusals = append(refusals, a)
+	for _, request := range r.Requests {
+		if request.Code == "breaker_open" {
+			refusals = append(refusals, request)
 		}
 	}
 	sort.SliceStable(refusals, func(i, j int) bool { return refusals[i].Ended < refusals[j].Ended })
-	for _, a := range refusals {
+	for _, request := range refusals {
 		n := len(list)
-		if n > 0 && a.Ended < list[n-1][1]+r.Limits.PropagationLimit {
+		if n > 0 && request.Ended < list[n-1][1]+r.Limits.PropagationLimit {
 			continue
 		}
-		list = append(list, [2]time.Duration{a.Ended, a.Ended + a.RetryAfter})
+		list = append(list, [2]time.Duration{request.Ended, request.Ended + request.RetryAfter})
 	}
 	return list
 }
@@ -92,9 +92,9 @@
 // node during a trip, less PropagationLimit at both ends.
 func (r *Record) breakerTrips() (list []Breach) {
 	for _, t := range r.tripIntervals() {
-		for _, s := range r.Attempts {
-			if s.MaxTokens > 0 && s.At > t[0]+r.Limits.PropagationLimit && s.At < t[1]-r.Limits.PropagationLimit {
-				list = append(list, breach(2, "%s ran %v after the breaker was reported open", s.RequestID, s.At-t[0]))
+		for _, attempt := range r.Attempts {
+			if attempt.MaxTokens > 0 && attempt.At > t[0]+r.Limits.PropagationLimit && attempt.At < t[1]-r.Limits.PropagationLimit {
+				list = append(list, breach(2, "%s ran %v after the breaker was reported open", attempt.RequestID, attempt.At-t[0]))
 				break
 			}
 		}
@@ -106,9 +106,9 @@
 // still admitted an attempt that costs tokens.
 func (r *Record) LateAfterTrip() (late time.Duration) {
 	for _, t := range r.tripIntervals() {
-		for _, s := range r.Attempts {
-			if s.MaxTokens > 0 && s.At > t[0] && s.At < t[1]-r.Limits.PropagationLimit {
-				late = max(late, s.At-t[0])
+		for _, attempt := range r.Attempts {
+			if attempt.MaxTokens > 0 && attempt.At > t[0] && attempt.At < t[1]-r.Limits.PropagationLimit {
+				late = max(late, attempt.At-t[0])
 			}
 		}
 	}
@@ -122,29 +122,29 @@
 	type user struct{ tenant, user string }
 	starts := map[user][]Request{}
 	closes := map[string]time.Duration{}
-	for _, a := range r.Requests {
-		switch a.Kind {
+	for _, request := range r.Requests {
+		switch request.Kind {
 		case "open":
-			starts[user{a.Tenant, a.User}] = append(starts[user{a.Tenant, a.User}], a)
+			starts[user{request.Tenant, request.User}] = append(starts[user{request.Tenant, request.User}], request)
 		case "close":
-			if at, ok := closes[a.Program]; !ok || a.At < at {
-				closes[a.Program] = a.At
+			if at, ok := closes[request.Program]; !ok || request.At < at {
+				closes[request.Program] = request.At
 			}
 		}
 	}
 	userOf := map[string]user{}
 	for u, requests := range starts {
-		for _, a := range requests {
-			if a.Outcome == Whole {
-				userOf[a.Program] = u
+		for _, request := range requests {
+			if request.Outcome == Whole {
+				userOf[request.Program] = u
 			}
 		}
 	}
 	// Complete turns certainly count towards a user's day from their end on.
 	days := map[user][]Request{}
-	for _, a := range r.Requests {
-		if u, ok := userOf[a.Program]; ok && a.Kind == "turn" && a.Outcome == Whole {
-			days[u] = append(days[u], a)
+	for _, request := range r.Requests {
+		if u, ok := userOf[request.Program]; ok && request.Kind == "turn" && request.Outcome == Whole {
+			days[u] = append(days[u], request)
 		}
 	}
 	shortest := func(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 - r.Limits.ClockDrift)) }
@@ -156,33 +156,33 @@
 		sort.SliceStable(requests, func(i, j int) bool { return requests[i].Ended < requests[j].Ended })
 		name := u.tenant + "/" + u.user
 		lockedFrom, lockedUntil := time.Duration(-1), time.Duration(-1)
-		for _, a := range requests {
-			inLockout := lockedFrom >= 0 && a.At > lockedFrom && a.Ended < lockedUntil
-			switch a.Code {
+		for _, request := range requests {
+			inLockout := lockedFrom >= 0 && request.At > lockedFrom && request.Ended < lockedUntil
+			switch request.Code {
 			case "locked_out", "sessions_per_minute":
-				if a.RetryAfter > limits.Lockout {
-					list = append(list, breach(12, "%s was told of a lockout of %v; the limit is %v", name, a.RetryAfter, limits.Lockout))
+				if request.RetryAfter > limits.Lockout {
+					list = append(list, breach(12, "%s was told of a lockout of %v; the limit is %v", name, request.RetryAfter, limits.Lockout))
 				}
-				if a.Code == "sessions_per_minute" && inLockout {
+				if request.Code == "sessions_per_minute" && inLockout {
 					list = append(list, breach(12, "%s was refused for sessions per minute during a lockout", name))
 				}
 				// The wait is counted by a clock that may run fast, and starts after the
 				// request was sent.
-				if inLockout && a.Ended+a.RetryAfter < lockedUntil {
-					list = append(list, breach(12, "%s was told to wait %v during a lockout that lasts %v longer", name, a.RetryAfter, lockedUntil-a.Ended))
+				if inLockout && request.Ended+request.RetryAfter < lockedUntil {
+					list = append(list, breach(12, "%s was told to wait %v during a lockout that lasts %v longer", name, request.RetryAfter, lockedUntil-request.Ended))
 				}
-				if until := a.At + shortest(a.RetryAfter); until > lockedUntil {
-					if lockedUntil < a.At {
-						lockedFrom = a.Ended
+				if until := request.At + shortest(request.RetryAfter); until > lockedUntil {
+					if lockedUntil < request.At {
+						lockedFrom = request.Ended
 					}
 					lockedUntil = until
 				}
 			case "sessions_per_hour", "sessions_per_day", "concurrent_sessions", "user_day_tokens_spent", "tenant_day_tokens_spent":
 				if inLockout {
-					list = append(list, breach(12, "%s was refused with %s during a lockout", name, a.Code))
+					list = append(list, breach(12, "%s was refused with %s during a lockout", name, request.Code))
 				}
 			}
-			if a.Outcome != Whole {
+			if request.Outcome != Whole {
 				continue
 			}
 			if inLockout {
@@ -190,18 +190,18 @@
 			}
 			var minute, live, tokens int64
 			for _, b := range requests {
-				if b.Outcome != Whole || b.Ended > a.At {
+				if b.Outcome != Whole || b.Ended > request.At {
 					continue
 				}
-				if b.At > a.Ended-shortest(time.Minute) {
+				if b.At > request.Ended-shortest(time.Minute) {
 					minute++
 				}
-				if at, closed := closes[b.Program]; b.At > a.Ended-shortest(limits.Session) && (!closed || at > a.Ended) {
+				if at, closed := closes[b.Program]; b.At > request.Ended-shortest(limits.Session) && (!closed || at > request.Ended) {
 					live++
 				}
 			}
 			for _, b := range days[u] {
-				if b.Ended < a.At {
+				if b.Ended < request.At {
 					tokens += b.Tokens
 				}
 			}
@@ -225,8 +225,8 @@
 	counts := map[string]int{"1 allowances of programs reached": 0, "2 breaker open": 0, "2 breaker half-open": 0, "2 tenants' days spent": 0, "3 once answers lost": 0,
 		"4 refused as not run": 0, "5 asked within 12 s of a restart": 0, "6 shots with a history": 0, "7 quota reached": 0, "8 configurations taken": 0,
 		"9 configurations refused": 0, "10 replicas leaving": 0, "11 broken streams": 0, "12 lockouts": 0, "12 concurrency reached": 0, "12 users' days spent": 0}
-	for _, a := range r.Requests {
-		switch a.Code {
+	for _, request := range r.Requests {
+		switch request.Code {
 		case "program_tokens_spent":
 			counts["1 allowances of programs reached"]++
 		case "breaker_open":
@@ -244,26 +244,26 @@
 		case "user_day_tokens_spent":
 			counts["12 users' days spent"]++
 		}
-		if a.OnceKey != "" && a.Ran == "maybe" {
+		if request.OnceKey != "" && request.Ran == "maybe" {
 			counts["3 once answers lost"]++
 		}
-		if a.Outcome == Refused && a.Ran == "no" {
+		if request.Outcome == Refused && request.Ran == "no" {
 			counts["4 refused as not run"]++
 		}
-		if a.Outcome == Broken && a.Kind == "turn" {
+		if request.Outcome == Broken && request.Kind == "turn" {
 			counts["11 broken streams"]++
 		}
-		if a.Kind == "turn" {
-			for _, s := range r.Restarts {
-				if a.At >= s.At && a.At < s.At+12*time.Second {
+		if request.Kind == "turn" {
+			for _, restart := range r.Restarts {
+				if request.At >= restart.At && request.At < restart.At+12*time.Second {
 					counts["5 asked within 12 s of a restart"]++
 					break
 				}
 			}
 		}
 	}
-	for _, s := range r.Attempts {
-		if len(s.History) > 0 {
+	for _, attempt := range r.Attempts {
+		if len(attempt.History) > 0 {
 			counts["6 shots with a history"]++
 		}
 	}
--- a/rehearsalkit/main.go
+++ b/rehearsalkit/main.go
@@ -194,9 +194,9 @@
 	return nil
 }
 
-// termsCommand measures the effects of the lease terms of members.
+// termsCommand measures the effects of the lease duration of members.
 type termsCommand struct {
-	Terms []time.Duration `help:"Lease terms of members." default:"2s,5s,15s,40s"`
+	Terms []time.Duration `help:"Lease durations of members." default:"2s,5s,15s,40s"`
 	Cuts  []time.Duration `help:"How long all cores are disconnected." default:"1s,5s,30s"`
 	Seeds uint64          `help:"Seeds for each setting." default:"3"`
 }
@@ -394,7 +394,7 @@
 	Days       days.Command       `cmd:"" help:"Generate days for the users' bench from a seed, targeting chosen weak points."`
 	Breaks     breaksCommand      `cmd:"" help:"Break the code on purpose in scratch copies, one change at a time, and check that each break is found."`
 	Loads      loadsCommand       `cmd:"" help:"Measure alerts under overload and the use of quotas, in simulated time."`
-	Terms      termsCommand       `cmd:"" help:"Measure the effects of different lease terms of members, in simulated time."`
+	Terms      termsCommand       `cmd:"" help:"Measure the effects of different lease durations of members, in simulated time."`
 	Crash      crashCommand       `cmd:"" help:"Crash each involved process after each message and around each sync of each operation, and check the rules."`
 	Modelcheck modelcheck.Command `cmd:"" help:"Explore all states of the product's partition state machine within bounds, or replay a trace."`
 	Simulate   simulateCommand    `cmd:"" help:"Run the simulator over seeds."`
