--- a/rehearsalkit/judge/record.go
+++ b/rehearsalkit/judge/record.go
@@ -32,7 +32,10 @@
 	Answer string `json:"Got"`
 }
 
-// Request is what a requester sent and received. Times count from the start of the run.
+// Request is what a requester sent and received. Times count from the start of the run. ID is
+// the text by which attempts and histories refer to it. Outcome is one of the constants of
+// this package; Code, Status and Ran come from the response, where Ran says whether the
+// request ran: "no" or "maybe".
 type Request struct {
 	At, Ended    time.Duration
 	Kind         string
