--- a/rehearsalkit/breaks/soak.go
+++ b/rehearsalkit/breaks/soak.go
@@ -34,7 +34,7 @@
 	{What: "a turn is sent before its reservation", File: "peer/relay/request.go", Seeds: 2,
 		From: "req.state != stateAdmitting || req.reserving ||", To: "req.state != stateAdmitting ||"},
 	{What: "an older table replaces a newer one", File: "peer/relay/table.go", Seeds: 1, Elsewhere: "two guards hide one another; TestNodeAppliesTableDifferences for both",
-		From: "if m.pending != nil && b.Number <= m.pending.Number {", To: "if m.pending != nil && b.Number == m.pending.Number {"},
+		From: "if m.pending != nil && b.TableNumber <= m.pending.Number {", To: "if m.pending != nil && b.TableNumber == m.pending.Number {"},
 	{What: "a leaving is told to nobody", File: "peer/desk/replicas.go", Seeds: 3,
 		From: "previous.Leaving != reported.Leaving || ", To: ""},
 	{What: "a change of replicas is told to nobody at once", File: "peer/desk/replicas.go", Seeds: 1, Elsewhere: "TestChangeIsSentAtOnce; nodes ask again within the bound, and leavings are acknowledged once another desk has asked, so the soak sees nothing",
--- a/rehearsalkit/faultdisk/disk.go
+++ b/rehearsalkit/faultdisk/disk.go
@@ -1,8 +1,8 @@
-// Package faultdisk is a file system for rehearsals: real files in real folders, on a disk
-// that can be full, slow or stalled, and can lose power. What a sync has covered outlives
-// a loss of power; every later write, and every later change of a name, is then kept, lost
-// or torn by chance. One goroutine owns the disk; all operations go through it. Start
-// reading at Disk.LosePower.
+// Package faultdisk is a file system with injected faults: it keeps real files in real
+// folders, on a disk that can be full, slow or stalled, and can lose power. Synced data
+// survives a loss of power; later writes and later changes of names are kept, lost or torn at
+// random. A single goroutine owns the state of the disk, and all operations go through it.
+// Start reading at Disk.LosePower.
 package faultdisk
 
 import (
@@ -19,81 +19,82 @@
 	"saffronfall/peer/disk"
 )
 
-// Faults are what ails a disk now.
+// Faults are the faults that are currently injected; the zero value is none.
 type Faults struct {
-	// Full: writes end short, for want of room.
+	// Full makes writes end short with ENOSPC.
 	Full bool
-	// Stalled: operations wait until it is over. Slow is how long each takes longer.
+	// Stalled blocks operations until it is cleared. Slow is added to the duration of each.
 	Stalled bool
 	Slow    time.Duration
 }
 
-// Disk is a disk with its folders.
+// Disk is a disk with injected faults. It implements the file system of peer/disk.
 type Disk struct {
 	ctx context.Context
-	// asks are carried out by the owner, one after the other.
-	asks chan func(s *state)
+	// operations are executed one at a time by the goroutine that owns the state.
+	operations chan func(s *state)
 }
 
-// state is what the owner knows.
+// state is owned by the goroutine that New starts.
 type state struct {
 	faults Faults
 	random *rand.Rand
-	// names are the files as they are called now, durable as a loss of power leaves them
-	// at least.
-	names, durable map[string]*file
-	// renames are the changes of names since their folder was synced.
-	renames []rename
+	// current maps the present names to files, durable the names that surely survive a loss
+	// of power.
+	current, durable map[string]*file
+	// nameChanges are the changes of names since their folder was synced, oldest first.
+	nameChanges []nameChange
 }
 
-// rename is one change of a name. One without a former name makes a file, one without a
-// new name removes it.
-type rename struct {
+// nameChange is a rename. Without from it creates the file, without to it removes it.
+type nameChange struct {
 	from, to string
 	file     *file
 }
 
-// file is a file's content: what was synced, and what was written since.
+// file is a file's content at its last sync, and the writes since.
 type file struct {
 	synced []byte
 	writes []write
 }
 
-// write is one write, or a cut to a size where it has no bytes.
+// write is a write at an offset, or with truncate a truncation to that size.
 type write struct {
-	at    int64
-	bytes []byte
-	cut   bool
+	offset   int64
+	bytes    []byte
+	truncate bool
 }
 
-// apply carries a write out on a content.
+// apply returns the content after the write.
 func (w write) apply(content []byte) []byte {
-	if w.cut {
-		return resized(content, w.at)
+	if w.truncate {
+		return resized(content, w.offset)
 	}
-	end := w.at + int64(len(w.bytes))
+	end := w.offset + int64(len(w.bytes))
 	if end > int64(len(content)) {
 		content = resized(content, end)
 	}
-	copy(content[w.at:], w.bytes)
+	copy(content[w.offset:], w.bytes)
 	return content
 }
 
+// resized returns a copy of the content, cut off or extended by zeros.
 func resized(content []byte, size int64) []byte {
 	fresh := make([]byte, size)
 	copy(fresh, content)
 	return fresh
 }
 
-// New makes a disk without faults, until the context ends.
+// New returns a disk without faults. Once the context has ended, its operations fail. The
+// seed determines what losses of power take.
 func New(ctx context.Context, seed uint64) *Disk {
-	d := &Disk{ctx: ctx, asks: make(chan func(s *state))}
-	s := &state{random: rand.New(rand.NewPCG(seed, 7)), names: map[string]*file{}, durable: map[string]*file{}}
+	d := &Disk{ctx: ctx, operations: make(chan func(s *state))}
+	s := &state{random: rand.New(rand.NewPCG(seed, 7)), current: map[string]*file{}, durable: map[string]*file{}}
 	go func() {
 		for {
 			select {
-			case ask := <-d.asks:
-				ask(s)
+			case operation := <-d.operations:
+				operation(s)
 			case <-ctx.Done():
 				return
 			}
@@ -102,18 +103,18 @@
 	return d
 }
 
-// do has the owner carry something out, and waits for it.
-func (d *Disk) do(what func(s *state) error) error {
+// do runs a function in the goroutine that owns the state, and waits for it.
+func (d *Disk) do(operation func(s *state) error) error {
 	done := make(chan error, 1)
 	select {
-	case d.asks <- func(s *state) { done <- what(s) }:
+	case d.operations <- func(s *state) { done <- operation(s) }:
 		return <-done
 	case <-d.ctx.Done():
 		return d.ctx.Err()
 	}
 }
 
-// SetFaults changes what ails the disk.
+// SetFaults replaces the injected faults.
 func (d *Disk) SetFaults(f Faults) {
 	d.do(func(s *state) error {
 		s.faults = f
@@ -121,11 +122,11 @@
 	})
 }
 
-// stallPoll is how often an operation looks whether the disk is still stalled.
-const stallPoll = 5 * time.Millisecond
+// stallPollInterval is how often an operation checks whether the disk is still stalled.
+const stallPollInterval = 5 * time.Millisecond
 
-// wait waits while the disk is stalled, and as long as it is slow.
-func (d *Disk) wait() error {
+// awaitReady waits while the disk is stalled, and for the delay of a slow disk.
+func (d *Disk) awaitReady() error {
 	for waited := false; ; {
 		var f Faults
 		if err := d.do(func(s *state) error {
@@ -134,7 +135,7 @@
 		}); err != nil {
 			return err
 		}
-		pause := stallPoll
+		pause := stallPollInterval
 		switch {
 		case !f.Stalled && (f.Slow == 0 || waited):
 			return nil
@@ -151,9 +152,9 @@
 	}
 }
 
-// known is the file of a name, which is read when it is first named.
-func (s *state) known(name string) (*file, error) {
-	if f, ok := s.names[name]; ok {
+// lookup returns the file of a name, and reads it from the real disk at its first use.
+func (s *state) lookup(name string) (*file, error) {
+	if f, ok := s.current[name]; ok {
 		return f, nil
 	}
 	content, err := os.ReadFile(name)
@@ -161,18 +162,18 @@
 		return nil, err
 	}
 	f := &file{synced: content}
-	s.names[name], s.durable[name] = f, f
+	s.current[name], s.durable[name] = f, f
 	return f, nil
 }
 
-// OpenFile opens a file.
+// OpenFile opens a file like os.OpenFile.
 func (d *Disk) OpenFile(name string, flag int, mode os.FileMode) (disk.File, error) {
-	if err := d.wait(); err != nil {
+	if err := d.awaitReady(); err != nil {
 		return nil, err
 	}
 	var opened disk.File
 	return opened, d.do(func(s *state) error {
-		f, err := s.known(name)
+		f, err := s.lookup(name)
 		isNew := os.IsNotExist(err)
 		if err != nil && !isNew {
 			return err
@@ -184,87 +185,87 @@
 		switch {
 		case isNew:
 			f = &file{}
-			s.names[name] = f
-			s.renames = append(s.renames, rename{to: name, file: f})
+			s.current[name] = f
+			s.nameChanges = append(s.nameChanges, nameChange{to: name, file: f})
 		case flag&os.O_TRUNC != 0:
-			f.writes = append(f.writes, write{cut: true})
+			f.writes = append(f.writes, write{truncate: true})
 		}
-		opened = &handle{disk: d, name: name, file: f, real: real, appends: flag&os.O_APPEND != 0}
+		opened = &handle{disk: d, name: name, file: f, real: real, appendOnly: flag&os.O_APPEND != 0}
 		return nil
 	})
 }
 
-// ReadFile reads a file whole.
+// ReadFile reads a whole file.
 func (d *Disk) ReadFile(name string) ([]byte, error) {
-	if err := d.wait(); err != nil {
+	if err := d.awaitReady(); err != nil {
 		return nil, err
 	}
 	return os.ReadFile(name)
 }
 
-// Rename renames a file. The new name lasts once its folder was synced.
+// Rename renames a file. The change is durable after a sync of the folder.
 func (d *Disk) Rename(from, to string) error {
-	if err := d.wait(); err != nil {
+	if err := d.awaitReady(); err != nil {
 		return err
 	}
 	return d.do(func(s *state) error {
-		f, err := s.known(from)
+		f, err := s.lookup(from)
 		if err != nil {
 			return err
 		}
-		if _, err := s.known(to); err != nil && !os.IsNotExist(err) {
+		if _, err := s.lookup(to); err != nil && !os.IsNotExist(err) {
 			return err
 		}
 		if err := os.Rename(from, to); err != nil {
 			return err
 		}
-		delete(s.names, from)
-		s.names[to] = f
-		s.renames = append(s.renames, rename{from: from, to: to, file: f})
+		delete(s.current, from)
+		s.current[to] = f
+		s.nameChanges = append(s.nameChanges, nameChange{from: from, to: to, file: f})
 		return nil
 	})
 }
 
-// Remove removes a file.
+// Remove removes a file. The change is durable after a sync of the folder.
 func (d *Disk) Remove(name string) error {
-	if err := d.wait(); err != nil {
+	if err := d.awaitReady(); err != nil {
 		return err
 	}
 	return d.do(func(s *state) error {
-		f, err := s.known(name)
+		f, err := s.lookup(name)
 		if err != nil {
 			return err
 		}
 		if err := os.Remove(name); err != nil {
 			return err
 		}
-		delete(s.names, name)
-		s.renames = append(s.renames, rename{from: name, file: f})
+		delete(s.current, name)
+		s.nameChanges = append(s.nameChanges, nameChange{from: name, file: f})
 		return nil
 	})
 }
 
-// SyncDir makes the names in a folder durable.
+// SyncDir makes the changes of names in a folder durable.
 func (d *Disk) SyncDir(path string) error {
-	if err := d.wait(); err != nil {
+	if err := d.awaitReady(); err != nil {
 		return err
 	}
 	return d.do(func(s *state) error {
-		var others []rename
-		for _, r := range s.renames {
+		var others []nameChange
+		for _, r := range s.nameChanges {
 			if filepath.Dir(r.from) != path && filepath.Dir(r.to) != path {
 				others = append(others, r)
 				continue
 			}
 			r.apply(s.durable)
 		}
-		s.renames = others
+		s.nameChanges = others
 		return nil
 	})
 }
 
-// apply carries a change of a name out.
-func (r rename) apply(names map[string]*file) {
+// apply applies the change to a map of names.
+func (r nameChange) apply(names map[string]*file) {
 	if r.from != "" && names[r.from] == r.file {
 		delete(names, r.from)
 	}
@@ -273,25 +274,26 @@
 	}
 }
 
-// syncFile makes a file's content last. A new file lasts with its own sync.
+// syncFile makes a file's content durable, and its name too if the file is new.
 func (s *state) syncFile(f *file) {
 	for _, w := range f.writes {
 		f.synced = w.apply(f.synced)
 	}
 	f.writes = nil
-	kept := s.renames[:0]
-	for _, r := range s.renames {
+	kept := s.nameChanges[:0]
+	for _, r := range s.nameChanges {
 		if r.file == f && r.from == "" {
 			r.apply(s.durable)
 			continue
 		}
 		kept = append(kept, r)
 	}
-	s.renames = kept
+	s.nameChanges = kept
 }
 
-// LosePower makes of the files what a loss of power leaves of them, and then ends the
-// disk's service by calling end, which must not return.
+// LosePower replaces the real files by what a loss of power leaves of them, and then calls
+// end while no other operation can run. A process that uses the disk must exit in end. It
+// returns an error if the files can't be written.
 func (d *Disk) LosePower(end func()) error {
 	return d.do(func(s *state) error {
 		if err := s.losePower(); err != nil {
@@ -303,72 +305,73 @@
 }
 
 const (
-	// loseAllChance is how likely a loss of power takes every write that was not synced.
-	loseAllChance = 0.3
-	// block is what a torn write loses or keeps at a time.
-	block = 512
+	// loseAllProbability is the probability that a loss of power takes every unsynced write.
+	loseAllProbability = 0.3
+	// sectorSize is the unit, in bytes, in which a torn write is kept or lost.
+	sectorSize = 512
 )
 
 func (s *state) losePower() error {
-	losesAll := s.random.Float64() < loseAllChance
+	losesAll := s.random.Float64() < loseAllProbability
 	names := s.durable
-	for _, r := range s.renames {
+	for _, r := range s.nameChanges {
 		if !losesAll && s.random.IntN(2) == 0 {
 			r.apply(names)
 		}
 	}
-	for name := range s.names {
+	for name := range s.current {
 		if err := os.Remove(name); err != nil && !os.IsNotExist(err) {
-			return errors.Wrap(err, "a loss of power")
+			return errors.Wrap(err, "apply a loss of power")
 		}
 	}
 	for name, f := range names {
 		content := append([]byte(nil), f.synced...)
 		for _, w := range f.writes {
 			if !losesAll {
-				content = s.mayApply(content, w)
+				content = s.applyRandomly(content, w)
 			}
 		}
 		if err := os.WriteFile(name, content, 0o600); err != nil {
-			return errors.Wrap(err, "a loss of power")
+			return errors.Wrap(err, "apply a loss of power")
 		}
 	}
 	return nil
 }
 
-// mayApply keeps, loses or tears a write.
-func (s *state) mayApply(content []byte, w write) []byte {
+// applyRandomly keeps, loses or tears a write. A truncation is never torn.
+func (s *state) applyRandomly(content []byte, w write) []byte {
 	switch s.random.IntN(3) {
 	case 0:
 		return content
 	case 1:
 		return w.apply(content)
 	}
-	if w.cut {
+	if w.truncate {
 		return content
 	}
-	for at := 0; at < len(w.bytes); at += block {
+	for at := 0; at < len(w.bytes); at += sectorSize {
 		if s.random.IntN(2) == 0 {
-			piece := w.bytes[at:min(at+block, len(w.bytes))]
-			content = write{at: w.at + int64(at), bytes: piece}.apply(content)
+			piece := w.bytes[at:min(at+sectorSize, len(w.bytes))]
+			content = write{offset: w.offset + int64(at), bytes: piece}.apply(content)
 		}
 	}
 	return content
 }
 
-// handle is an open file.
+// handle is an open file. It implements disk.File.
 type handle struct {
-	disk    *Disk
-	name    string
-	file    *file
-	real    *os.File
-	at      int64
-	appends bool
+	disk       *Disk
+	name       string
+	file       *file
+	real       *os.File
+	offset     int64
+	appendOnly bool
 }
 
-// Write writes at the handle's place. On a full disk a part of it is written.
+// Write writes at the handle's offset. On a full disk it writes a random part of the data and
+// returns ENOSPC.
 func (h *handle) Write(raw []byte) (written int, err error) {
-	if err := h.disk.wait(); err != nil {
+	if err := h.disk.awaitReady(); err != nil {
 		return 0, err
 	}
 	err = h.disk.do(func(s *state) error {
@@ -376,19 +379,19 @@
 		if s.faults.Full {
 			part = raw[:s.random.IntN(len(raw)+1)]
 		}
-		if h.appends {
+		if h.appendOnly {
 			end, err := h.real.Seek(0, io.SeekEnd)
 			if err != nil {
 				return err
 			}
-			h.at = end
+			h.offset = end
 		}
 		var err error
 		if written, err = h.real.Write(part); err != nil {
 			return err
 		}
-		h.file.writes = append(h.file.writes, write{at: h.at, bytes: append([]byte(nil), part...)})
-		h.at += int64(written)
+		h.file.writes = append(h.file.writes, write{offset: h.offset, bytes: append([]byte(nil), part...)})
+		h.offset += int64(written)
 		if s.faults.Full {
 			return &os.PathError{Op: "write", Path: h.name, Err: syscall.ENOSPC}
 		}
@@ -397,29 +400,29 @@
 	return written, err
 }
 
-// Seek moves the handle's place.
+// Seek sets the handle's offset.
 func (h *handle) Seek(offset int64, whence int) (int64, error) {
 	at, err := h.real.Seek(offset, whence)
 	if err == nil {
-		h.at = at
+		h.offset = at
 	}
 	return at, err
 }
 
-// Truncate cuts the file to a size.
+// Truncate changes the size of the file.
 func (h *handle) Truncate(size int64) error {
 	return h.disk.do(func(*state) error {
 		if err := h.real.Truncate(size); err != nil {
 			return err
 		}
-		h.file.writes = append(h.file.writes, write{at: size, cut: true})
+		h.file.writes = append(h.file.writes, write{offset: size, truncate: true})
 		return nil
 	})
 }
 
-// Sync makes the file's content last.
+// Sync makes the file's content durable.
 func (h *handle) Sync() error {
-	if err := h.disk.wait(); err != nil {
+	if err := h.disk.awaitReady(); err != nil {
 		return err
 	}
 	return h.disk.do(func(s *state) error {
--- a/rehearsalkit/judge/record.go
+++ b/rehearsalkit/judge/record.go
@@ -5,74 +5,78 @@
 	"time"
 )
 
-// Shot is a piece of work that reached a back end.
-type Shot struct {
-	At      time.Duration
-	Ended   time.Duration
-	Service string
-	Replica string
-	Tenant  string
-	Program string
-	Line    string
-	Mark    string
-	History []Turn
-	Text    string
-	Tokens  int64
-	Most    int64
-	Once    string
-	Tool    bool
-	// Overran says that the replica gave more than it was asked for.
-	Overran bool
+// Attempt is one piece of work that reached a back end. Times count from the start of the
+// run.
+type Attempt struct {
+	At           time.Duration
+	Ended        time.Duration
+	Service      string
+	Replica      string
+	Tenant       string
+	Program      string
+	Conversation string
+	RequestID    string
+	History      []Turn
+	Text         string
+	Tokens       int64
+	MaxTokens    int64
+	OnceKey      string
+	Tool         bool
+	// OverLimit marks an attempt whose replica produced more than MaxTokens.
+	OverLimit bool
 }
 
-// Turn is one turn of a history.
+// Turn is one turn of the history that a replica receives.
 type Turn struct {
-	Say string `json:"Say"`
-	Got string `json:"Got"`
+	Prompt string `json:"Say"`
+	Answer string `json:"Got"`
 }
 
-// Asked is what a requester asked and got.
-type Asked struct {
-	At, Ended time.Duration
-	Kind      string
-	Node      string
-	Tenant    string
-	User      string
-	Program   string
-	Line      string
-	Mark      string
-	Outcome   string
-	Code      string
-	Ran       string
-	Status    int
-	Wait      time.Duration
-	Text      string
-	Tokens    int64
-	Once      string
-	Service   string
+// Request is what a requester sent and received. Times count from the start of the run. ID is
+// the text by which attempts and histories refer to it. Outcome is one of the constants of
+// this package; Code, Status and Ran come from the response, where Ran says whether the
+// request ran: "no" or "maybe".
+type Request struct {
+	At, Ended    time.Duration
+	Kind         string
+	Node         string
+	Tenant       string
+	User         string
+	Program      string
+	Conversation string
+	ID           string
+	Outcome      string
+	Code         string
+	Ran          string
+	Status       int
+	RetryAfter   time.Duration
+	Text         string
+	Tokens       int64
+	OnceKey      string
+	Service      string
 }
 
-// Limits are what the rules are measured against, per tenant or overall.
+// Limits are the limits that the rules check against, per tenant or overall.
 type Limits struct {
 	ProgramTokens int64
 	TurnTokens    int64
 	Rate          map[string]float64
 	Burst         map[string]float64
-	Keep          time.Duration
-	// Late is how long what was learned may still be ignored.
-	Late time.Duration
-	// DayTokens and Users are the limits of a tenant's day and of its users.
+	Retention     time.Duration
+	// PropagationLimit is how long a change may take to reach all processes.
+	PropagationLimit time.Duration
+	// DayTokens is the daily limit of each tenant, Users the limits of its users.
 	DayTokens map[string]int64
 	Users     map[string]UserLimits
-	// MinuteDollars is the breaker's first threshold, Price that of a million
-	// tokens of a service, in dollars.
+	// MinuteDollars is the breaker's first threshold, Price the price in dollars of a
+	// million tokens of each service.
 	MinuteDollars float64
 	Price         map[string]float64
-	// Drift is by how much clocks may differ in their rates.
-	Drift float64
+	// ClockDrift is the largest relative difference between the rates of two clocks.
+	ClockDrift float64
 }
 
-// UserLimits are what a tenant's users may do.
+// UserLimits are the limits of each user of a tenant.
 type UserLimits struct {
 	PerMinute  int64
 	Lockout    time.Duration
@@ -81,62 +85,62 @@
 	DayTokens  int64
 }
 
-// Leaving is a replica that said so, and when the first node got it.
+// Leaving is a replica that announced that it leaves, and when the first node received it.
 type Leaving struct {
 	At      time.Duration
 	Replica string
 }
 
-// Probe is one look at which configuration is in force at a node, whatever its
-// life: the version whose own key the node takes between two moments. The last
-// probes are made when all has been mended for some time.
+// Probe observes the configuration that is in force at a node, across its restarts: the
+// version whose own key the node accepted between At and Ended. Final probes are made some
+// time after all faults have ended.
 type Probe struct {
 	At, Ended time.Duration
 	Node      string
 	Version   uint64
-	Last      bool
+	Final     bool
 }
 
-// Restart is a process that was started again.
+// Restart is the restart of a process.
 type Restart struct {
-	At  time.Duration
-	Who string
+	At      time.Duration
+	Process string
 }
 
-// Taken is a configuration that an operator was told is taken, or refused.
-type Taken struct {
+// Decision is the answer to an operator's configuration: accepted or refused.
+type Decision struct {
 	At      time.Duration
 	Version uint64
-	Mark    string
+	ID      string
 	Refused bool
-	// Revoked is a tenant that has no key in it.
-	Revoked string
+	// RevokedTenant is a tenant that has no key in this configuration.
+	RevokedTenant string
 }
 
-// Handed is a description that an operator began to hand over.
-type Handed struct {
+// Submission is a configuration that an operator began to send, based on a version.
+type Submission struct {
 	At      time.Duration
 	BasedOn uint64
 }
 
-// Record is all that was seen in a run.
+// Record holds everything observed in a run.
 type Record struct {
-	Limits  Limits
-	Shots   []Shot
-	Asked   []Asked
-	Leaving []Leaving
-	Probes  []Probe
-	Taken   []Taken
-	Handed  []Handed
-	// Nodes are those that must follow the last configuration in the end.
+	Limits      Limits
+	Attempts    []Attempt
+	Requests    []Request
+	Leaving     []Leaving
+	Probes      []Probe
+	Decisions   []Decision
+	Submissions []Submission
+	// Nodes are the nodes that must have the last accepted configuration at the end.
 	Nodes    []string
 	Restarts []Restart
 }
 
-// Breach is a broken rule.
+// Breach is a violation of a rule.
 type Breach struct {
-	Rule int
-	What string
+	Rule   int
+	Detail string
 }
 
-func (b Breach) String() string { return fmt.Sprintf("rule %d: %s", b.Rule, b.What) }
+func (b Breach) String() string { return fmt.Sprintf("rule %d: %s", b.Rule, b.Detail) }
--- a/rehearsalkit/links/links.go
+++ b/rehearsalkit/links/links.go
@@ -1,6 +1,7 @@
-// Package links puts a relay on every link between the machines of a rehearsed
-// fleet, so that links can be cut, one way or both, delayed and reset while real
-// processes speak over real sockets. Machines are told apart by their IP numbers.
+// Package links relays the TCP connections between the machines of a test fleet and injects
+// faults into them: partitions in one or both directions, delays and resets. Machines are
+// identified by their IP addresses. A cut holds bytes back and delivers them once the link is
+// restored, as TCP does. Start reading at Links.Relay.
 package links
 
 import (
@@ -12,28 +13,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Links owns the state of all links. One goroutine holds it; others ask it over
+// Links holds the state of all links. A single goroutine owns it and serves the others over
 // channels.
 type Links struct {
-	ask      chan ask
-	set      chan func(m map[way]state)
-	register chan registration
-	reset    chan string
-	dropped  chan *stream
+	queries       chan query
+	changes       chan func(m map[direction]state)
+	registrations chan registration
+	resets        chan string
+	closed        chan *stream
 }
 
-// way is one direction between two machines.
-type way struct{ from, to string }
+// direction is one direction of the link between two machines.
+type direction struct{ from, to string }
 
-// state is what befalls the bytes of one direction.
+// state is the fault of one direction; the zero value is none.
 type state struct {
 	cut   bool
 	delay time.Duration
 }
 
-type ask struct {
-	way    way
-	answer chan state
+type query struct {
+	direction direction
+	answer    chan state
 }
 
 // stream is one relayed connection.
@@ -47,27 +48,27 @@
 	done   chan struct{}
 }
 
-// New makes links that carry everything, until the context ends.
+// New returns links without faults. They stop when the context ends.
 func New(ctx context.Context) *Links {
-	l := &Links{ask: make(chan ask), set: make(chan func(map[way]state)), register: make(chan registration), reset: make(chan string), dropped: make(chan *stream)}
-	go l.own(ctx)
+	l := &Links{queries: make(chan query), changes: make(chan func(map[direction]state)), registrations: make(chan registration), resets: make(chan string), closed: make(chan *stream)}
+	go l.run(ctx)
 	return l
 }
 
-func (l *Links) own(ctx context.Context) {
-	states, streams := map[way]state{}, map[*stream]bool{}
+func (l *Links) run(ctx context.Context) {
+	states, streams := map[direction]state{}, map[*stream]bool{}
 	for {
 		select {
-		case a := <-l.ask:
-			a.answer <- states[a.way]
-		case change := <-l.set:
+		case a := <-l.queries:
+			a.answer <- states[a.direction]
+		case change := <-l.changes:
 			change(states)
-		case r := <-l.register:
+		case r := <-l.registrations:
 			streams[r.stream] = true
 			close(r.done)
-		case s := <-l.dropped:
+		case s := <-l.closed:
 			delete(streams, s)
-		case machine := <-l.reset:
+		case machine := <-l.resets:
 			for s := range streams {
 				if s.a == machine || s.b == machine {
 					s.close()
@@ -79,60 +80,60 @@
 	}
 }
 
-func (l *Links) change(ctx context.Context, to func(m map[way]state)) {
+func (l *Links) change(ctx context.Context, apply func(m map[direction]state)) {
 	select {
-	case l.set <- to:
+	case l.changes <- apply:
 	case <-ctx.Done():
 	}
 }
 
-// CutOneWay cuts, or mends, what one machine says to another.
+// CutOneWay cuts or restores the direction from one machine to another.
 func (l *Links) CutOneWay(ctx context.Context, from, to string, cut bool) {
-	l.change(ctx, func(m map[way]state) {
-		s := m[way{from, to}]
+	l.change(ctx, func(m map[direction]state) {
+		s := m[direction{from, to}]
 		s.cut = cut
-		m[way{from, to}] = s
+		m[direction{from, to}] = s
 	})
 }
 
-// Cut cuts, or mends, the link between two machines both ways.
+// Cut cuts or restores the link between two machines in both directions.
 func (l *Links) Cut(ctx context.Context, a, b string, cut bool) {
 	l.CutOneWay(ctx, a, b, cut)
 	l.CutOneWay(ctx, b, a, cut)
 }
 
-// Delay holds up what one machine says to another.
+// Delay delays each piece of data that one machine sends to another; 0 ends the delay.
 func (l *Links) Delay(ctx context.Context, from, to string, delay time.Duration) {
-	l.change(ctx, func(m map[way]state) {
-		s := m[way{from, to}]
+	l.change(ctx, func(m map[direction]state) {
+		s := m[direction{from, to}]
 		s.delay = delay
-		m[way{from, to}] = s
+		m[direction{from, to}] = s
 	})
 }
 
-// Reset ends all connections of a machine.
+// Reset closes all connections of a machine.
 func (l *Links) Reset(ctx context.Context, machine string) {
 	select {
-	case l.reset <- machine:
+	case l.resets <- machine:
 	case <-ctx.Done():
 	}
 }
 
-// pollEvery is how often a link that is cut is looked at again.
-const pollEvery = 10 * time.Millisecond
+// cutPollInterval is how often a cut direction is checked again.
+const cutPollInterval = 10 * time.Millisecond
 
-// carries waits while a direction is cut, and as long as it delays. It reports
-// false once the context has ended.
-func (l *Links) carries(ctx context.Context, from, to string) bool {
+// waitOpen waits while a direction is cut, and for its delay. It returns false once the
+// context has ended.
+func (l *Links) waitOpen(ctx context.Context, from, to string) bool {
 	for waited := false; ; {
-		a := ask{way: way{from, to}, answer: make(chan state, 1)}
+		a := query{direction: direction{from, to}, answer: make(chan state, 1)}
 		select {
-		case l.ask <- a:
+		case l.queries <- a:
 		case <-ctx.Done():
 			return false
 		}
 		s := <-a.answer
-		pause := pollEvery
+		pause := cutPollInterval
 		switch {
 		case !s.cut && (s.delay == 0 || waited):
 			return true
@@ -149,16 +150,17 @@
 	}
 }
 
-// Relay takes connections at one address and carries them to another.
+// Relay listens on one address and forwards every connection to another, until the context
+// ends. It returns an error if it can't listen.
 func (l *Links) Relay(ctx context.Context, at, to string) error {
 	listener, err := net.Listen("tcp", at)
 	if err != nil {
-		return errors.Wrap(err, "relay")
+		return errors.Wrapf(err, "relay from %s to %s", at, to)
 	}
 	context.AfterFunc(ctx, func() { listener.Close() })
-	own, _, err := net.SplitHostPort(at)
+	local, _, err := net.SplitHostPort(at)
 	if err != nil {
-		return errors.Wrap(err, "relay")
+		return errors.Wrapf(err, "relay from %s to %s", at, to)
 	}
 	go func() {
 		for {
@@ -166,17 +168,17 @@
 			if err != nil {
 				return
 			}
-			go l.carry(ctx, in, own, to)
+			go l.serve(ctx, in, local, to)
 		}
 	}()
 	return nil
 }
 
-// carry carries one connection until either side ends it.
-func (l *Links) carry(ctx context.Context, in net.Conn, own, to string) {
+// serve forwards one connection until either side closes it.
+func (l *Links) serve(ctx context.Context, in net.Conn, local, to string) {
 	defer in.Close()
 	from, _, err := net.SplitHostPort(in.RemoteAddr().String())
-	if err != nil || !l.carries(ctx, from, own) {
+	if err != nil || !l.waitOpen(ctx, from, local) {
 		return
 	}
 	out, err := net.Dial("tcp", to)
@@ -184,7 +186,7 @@
 		return
 	}
 	defer out.Close()
-	s := &stream{a: from, b: own, close: func() {
+	s := &stream{a: from, b: local, close: func() {
 		in.Close()
 		out.Close()
 	}}
@@ -192,27 +194,28 @@
 	defer stop()
 	r := registration{stream: s, done: make(chan struct{})}
 	select {
-	case l.register <- r:
+	case l.registrations <- r:
 		<-r.done
 	case <-ctx.Done():
 		return
 	}
 	ended := make(chan struct{}, 2)
-	go l.pump(ctx, in, out, from, own, ended)
-	go l.pump(ctx, out, in, own, from, ended)
+	go l.forward(ctx, in, out, from, local, ended)
+	go l.forward(ctx, out, in, local, from, ended)
 	<-ended
 	select {
-	case l.dropped <- s:
+	case l.closed <- s:
 	case <-ctx.Done():
 	}
 }
 
-func (l *Links) pump(ctx context.Context, in io.Reader, out io.Writer, from, to string, ended chan<- struct{}) {
+// forward copies one direction of a connection.
+func (l *Links) forward(ctx context.Context, in io.Reader, out io.Writer, from, to string, ended chan<- struct{}) {
 	buffer := make([]byte, 64<<10)
 	for {
 		n, err := in.Read(buffer)
 		if n > 0 {
-			if !l.carries(ctx, from, to) {
+			if !l.waitOpen(ctx, from, to) {
 				break
 			}
 			if _, err := out.Write(buffer[:n]); err != nil {
