--- a/peer/core/rules.go
+++ b/peer/core/rules.go
@@ -95,7 +95,7 @@
 		if !ok {
 			u = program.NewUser()
 		}
-		v := u.Open(tx.Clock(), c.Program, c.Role, c.WarnRatio)
+		v := u.OpenSession(tx.Clock(), c.Program, c.Role, c.WarnRatio)
 		write(tx, key, u)
 		return v
 	case ChargeUser:
@@ -104,9 +104,9 @@
 		if !ok {
 			u = program.NewUser()
 		}
-		tokens := u.Charge(tx.Clock(), c.Program, c.Charged, c.Covered)
+		tokens := u.ChargeSession(tx.Clock(), c.Program, c.Charged, c.Covered)
 		if c.Closed {
-			u.Close(c.Program)
+			u.CloseSession(c.Program)
 		}
 		write(tx, key, u)
 		return UserDay{Tokens: tokens}
@@ -124,9 +124,9 @@
 		}
 		p.Fence++
 		p.Node, p.Incarnation, p.Address = c.Node, c.Incarnation, c.Address
-		p.Settle()
+		p.ChargeRunning()
 		// The owner wrote everything through before it handed the program over.
-		p.Covered, p.Mirrors, p.MirrorsFence = 0, nil, 0
+		p.Precharged, p.Mirrors, p.MirrorsFence = 0, nil, 0
 		write(tx, key, p)
 		return Programmed{Found: true}
 	case ShareTenant:
--- a/peer/core/rules_breaker.go
+++ b/peer/core/rules_breaker.go
@@ -46,7 +46,7 @@
 	b, before := r.breaker(tx)
 	clock := tx.Clock()
 	for _, holder := range c.Ended {
-		b.Ledger.End(clock, holder)
+		b.Ledger.CloseAccount(clock, holder)
 	}
 	if !b.Ledger.Report(clock, c.Holder, c.Spent, c.Returned) {
 		return Shared{}
--- a/peer/core/rules_members.go
+++ b/peer/core/rules_members.go
@@ -91,7 +91,7 @@
 			continue
 		}
 		p, _ := read[program.Record](tx, key)
-		if clock >= p.Touched+p.Keep && len(p.Running) == 0 {
+		if clock >= p.LastActive+p.Retention && len(p.Running) == 0 {
 			for _, turn := range tx.Keys(key + "/") {
 				tx.Delete(turn)
 			}
--- a/peer/core/rules_programs.go
+++ b/peer/core/rules_programs.go
@@ -19,8 +19,8 @@
 func readLocked(tx *partition.Tx) LockedUsers {
 	var list LockedUsers
 	for _, key := range tx.Keys("user/") {
-		if u, _ := read[program.User](tx, key); u.Locked > tx.Clock() {
-			list.Users = append(list.Users, LockedUser{Name: strings.TrimPrefix(key, "user/"), Left: u.Locked - tx.Clock()})
+		if u, _ := read[program.User](tx, key); u.LockedUntil > tx.Clock() {
+			list.Users = append(list.Users, LockedUser{Name: strings.TrimPrefix(key, "user/"), Left: u.LockedUntil - tx.Clock()})
 		}
 	}
 	slices.SortFunc(list.Users, func(a, b LockedUser) int { return int(a.Left - b.Left) })
@@ -44,7 +44,7 @@
 		return Programmed{Found: true, Owned: p.Node == c.Record.Node && p.Incarnation == c.Record.Incarnation, Record: p, Clock: tx.Clock()}
 	}
 	p := c.Record
-	p.Fence, p.Opened, p.Touched = 1, tx.Clock(), tx.Clock()
+	p.Fence, p.OpenedAt, p.LastActive = 1, tx.Clock(), tx.Clock()
 	write(tx, key, p)
 	return Programmed{Found: true, Owned: true, Record: p, Clock: tx.Clock()}
 }
@@ -63,7 +63,7 @@
 	case p.Node == c.EndedNode && p.Incarnation == c.EndedFormer:
 		p.Fence++
 		p.Node, p.Incarnation, p.Address = c.Node, c.Incarnation, c.Address
-		p.Settle()
+		p.ChargeRunning()
 		write(tx, key, p)
 		answer.Owned = true
 	}
@@ -87,10 +87,10 @@
 		return Programmed{Found: true, Version: c.Record.Version}
 	}
 	p = c.Record
-	p.Touched = tx.Clock()
+	p.LastActive = tx.Clock()
 	write(tx, key, p)
 	for _, t := range c.Turns {
-		write(tx, fmt.Sprintf("%s/turn/%s/%06d", key, t.Line, t.Number), t)
+		write(tx, fmt.Sprintf("%s/turn/%s/%06d", key, t.Conversation, t.Number), t)
 	}
 	return Programmed{Found: true, Version: p.Version}
 }
@@ -104,17 +104,17 @@
 	before, _ := read[allowance.Ledger](tx, key)
 	clock := tx.Clock()
 	for _, holder := range c.Ended {
-		l.End(clock, holder)
+		l.CloseAccount(clock, holder)
 	}
 	if !l.Report(clock, c.Holder, c.Spent, c.Returned) {
 		return Shared{}
 	}
 	target := c.Target
 	if c.Kind != "day" {
-		d := allowance.Division{Whole: c.Whole / c.Chunk, Holders: c.Members, Idle: IdleWeight}
-		target = l.Want(c.Holder, c.Target, d) * c.Chunk
+		d := allowance.Division{Total: c.Whole / c.Chunk, Holders: c.Members, IdleDemand: IdleWeight}
+		target = l.SetDemand(c.Holder, c.Target, d) * c.Chunk
 	}
-	granted := l.Draw(clock, c.Holder, target, []int64{c.Whole})
+	granted := l.Grant(clock, c.Holder, target, []int64{c.Whole})
 	if !reflect.DeepEqual(l, before) {
 		write(tx, key, l)
 	}
--- a/peer/node/drain.go
+++ b/peer/node/drain.go
@@ -9,27 +9,27 @@
 
 // Leave begins to drain this node: it is not ready, what runs ends, programs
 // go to named successors, shares back, and the term ends last.
-func (m *Machine) Leave(now time.Duration) Output {
-	m.step(now)
+func (m *Machine) Drain(now time.Duration) Output {
+	m.beginStep(now)
 	m.leaving = true
 	return *m.out
 }
 
 // Left reports whether a leaving node has nothing more to do.
-func (m *Machine) Left(now time.Duration) bool { return m.leaving && m.left }
+func (m *Machine) Drained(now time.Duration) bool { return m.leaving && m.left }
 
 // Quit ends what is still running when the grace is over: streams break, and
 // the term is given back so that successors need not wait for it.
-func (m *Machine) Quit(now time.Duration) Output {
-	m.step(now)
+func (m *Machine) Shutdown(now time.Duration) Output {
+	m.beginStep(now)
 	m.leaving = true
-	for _, t := range m.liveShots() {
+	for _, t := range m.liveAttemptTickets() {
 		m.out.Cancels = append(m.out.Cancels, uint64(t))
-		m.endShot(now, t, Event{Kind: EventBroken})
+		m.finishAttempt(now, t, AttemptEvent{Kind: EventInterrupted})
 	}
 	if m.joined {
 		m.joined = false
-		m.leave(now)
+		m.endMembership(now)
 	}
 	return *m.out
 }
@@ -40,25 +40,25 @@
 		return
 	}
 	if !m.joined {
-		if !m.givingBack && m.running == 0 && m.ways.Used() == 0 {
+		if !m.returningShares && m.running == 0 && m.requests.Used() == 0 {
 			m.left = true
 		}
 		return
 	}
 	successors := m.successors()
 	for _, key := range ordered.Keys(m.programs) {
-		h := m.programs[key]
-		if len(successors) == 0 || h.consulting != nil || len(h.record.Running) > 0 || len(h.waiters) > 0 || h.saved < h.record.Version {
+		prog := m.programs[key]
+		if len(successors) == 0 || prog.recovery != nil || len(prog.record.Running) > 0 || len(prog.waiters) > 0 || prog.savedVersion < prog.record.Version {
 			continue
 		}
-		to := successors[m.handed%len(successors)]
-		m.handed++
-		m.hand(now, key, h, to)
+		to := successors[m.handedOver%len(successors)]
+		m.handedOver++
+		m.handOver(now, key, prog, to)
 	}
-	if m.running > 0 || m.ways.Used() > 0 || m.handing > 0 || (len(m.programs) > 0 && len(successors) > 0) {
+	if m.running > 0 || m.requests.Used() > 0 || m.pendingHandovers > 0 || (len(m.programs) > 0 && len(successors) > 0) {
 		return
 	}
-	m.giveBack(now)
+	m.returnShares(now)
 }
 
 func (m *Machine) successors() []core.Member {
@@ -73,27 +73,27 @@
 
 // hand gives one program to a successor. From here on this node does nothing
 // for it, whatever becomes of the message.
-func (m *Machine) hand(now time.Duration, key string, h *held, to core.Member) {
-	h.lost = true
+func (m *Machine) handOver(now time.Duration, key string, prog *ownedProgram, to core.Member) {
+	prog.lost = true
 	delete(m.programs, key)
 	m.owners[key] = to
-	m.handing++
-	m.Counters.Handed++
-	c := core.HandProgram{Tenant: h.record.Tenant, ID: h.record.ID, Fence: h.record.Fence, Node: to.ID, Incarnation: to.Incarnation, Address: to.Peer}
-	m.caller.Call(now, c, now+m.params.Core.MemberTerm, func(time.Duration, core.Outcome) { m.handing-- })
+	m.pendingHandovers++
+	m.Counters.HandedOver++
+	c := core.HandProgram{Tenant: prog.record.Tenant, ID: prog.record.ID, Fence: prog.record.Fence, Node: to.ID, Incarnation: to.Incarnation, Address: to.Peer}
+	m.caller.Call(now, c, now+m.params.Core.MemberTerm, func(time.Duration, core.Outcome) { m.pendingHandovers-- })
 }
 
 // giveBack returns all shares, then the term.
-func (m *Machine) giveBack(now time.Duration) {
-	if m.givingBack {
+func (m *Machine) returnShares(now time.Duration) {
+	if m.returningShares {
 		return
 	}
-	m.givingBack = true
+	m.returningShares = true
 	waiting := 1
 	done := func(now time.Duration, o core.Outcome) {
 		if waiting--; waiting == 0 {
 			m.joined = false
-			m.leave(now)
+			m.endMembership(now)
 		}
 	}
 	ask := func(command any) {
@@ -103,24 +103,24 @@
 	for _, tenant := range m.tenants {
 		var back core.ShareRates
 		for _, urgent := range []bool{false, true} {
-			p, rate, burst := m.paceOf(tenant, urgent)
-			p.give(now, p.books.Held(), rate, burst)
-			back.Rates = append(back.Rates, m.askPace(tenant, urgent, 0))
+			p, rate, burst := m.rateShareOf(tenant, urgent)
+			p.returnUnits(now, p.account.Held(), rate, burst)
+			back.Rates = append(back.Rates, m.rateReport(tenant, urgent, 0))
 		}
 		ask(back)
-		s := m.dayOf(tenant)
-		s.books.Returned += s.free()
-		ask(m.askDay(tenant, s)(0))
+		s := m.dayShareOf(tenant)
+		s.account.Returned += s.free()
+		ask(m.dayShareCommand(tenant, s)(0))
 	}
-	m.money.books.Returned += m.money.free()
-	ask(m.prefetchMoney(0))
+	m.spendShare.account.Returned += m.spendShare.free()
+	ask(m.spendPrefetchCommand(0))
 	done(now, core.Outcome{})
 }
 
-func (m *Machine) leave(now time.Duration) {
+func (m *Machine) endMembership(now time.Duration) {
 	m.caller.Call(now, core.LeaveMember{ID: m.params.ID, Incarnation: m.incarnation}, now+m.params.Core.MemberTerm, func(now time.Duration, o core.Outcome) {
 		// Until every other node has learned it, some may still pass inquiries
 		// here, and are told to ask elsewhere.
-		m.later.Add(now+3*m.params.Core.Pull, func(time.Duration) { m.left = true })
+		m.timers.Add(now+3*m.params.Core.Pull, func(time.Duration) { m.left = true })
 	})
 }
--- a/peer/node/forward.go
+++ b/peer/node/forward.go
@@ -11,155 +11,155 @@
 )
 
 // asked is an inquiry that was passed to its owner.
-type asked struct {
-	way    *way
-	to     string
-	member core.Member
-	next   int
-	until  time.Duration
-	again  time.Duration
-	taken  bool
+type forwardState struct {
+	req        *requestState
+	to         string
+	member     core.Member
+	nextNumber int
+	deadline   time.Duration
+	retryAt    time.Duration
+	accepted   bool
 }
 
 // servedWay is one that came from another node.
-type servedWay struct {
+type servedRequest struct {
 	ticket slab.Ticket
 	until  time.Duration
 }
 
-func (m *Machine) forward(now time.Duration, w *way, owner core.Member) {
-	if w.passed {
-		m.refuse(w, denied(notOwner, "this node does not own the program", 503))
+func (m *Machine) forward(now time.Duration, req *requestState, owner core.Member) {
+	if req.forwarded {
+		m.refuse(req, denied(notOwner, "this node does not own the program", 503))
 		return
 	}
 	if owner.ID == m.params.ID {
-		delete(m.owners, w.tenant+"/"+w.inquiry.Program)
-		m.refuse(w, unsure("the program is changing hands"))
+		delete(m.owners, req.tenant+"/"+req.request.Program)
+		m.refuse(req, retryLater("the program is changing hands"))
 		return
 	}
-	a := &asked{way: w, to: owner.Peer, member: owner, until: w.until, next: 1}
-	w.asked = m.asked.Keep(a)
-	m.open[w.asked] = a
+	f := &forwardState{req: req, to: owner.Peer, member: owner, deadline: req.deadline, nextNumber: 1}
+	req.forward = m.forwards.Keep(f)
+	m.openForwards[req.forward] = f
 	m.Counters.Forwarded++
-	m.sendForward(now, w.asked, a)
+	m.sendForward(now, req.forward, f)
 }
 
-func (m *Machine) sendForward(now time.Duration, t slab.Ticket, a *asked) {
-	a.again = now + m.params.Core.Retry
-	q := a.way.inquiry
-	q.Budget = a.until - now
-	m.send(a.to, Forward{ID: m.caller.Mark(t), Inquiry: q})
+func (m *Machine) sendForward(now time.Duration, t slab.Ticket, f *forwardState) {
+	f.retryAt = now + m.params.Core.Retry
+	request := f.req.request
+	request.Timeout = f.deadline - now
+	m.send(f.to, ForwardRequest{ID: m.caller.Mark(t), Request: request})
 }
 
-func (m *Machine) onForward(now time.Duration, from string, b Forward) {
+func (m *Machine) onForward(now time.Duration, from string, b ForwardRequest) {
 	key := fmt.Sprintf("%s#%d", from, b.ID)
 	if _, ok := m.served[key]; ok {
 		return
 	}
 	number := 0
-	m.served[key] = &servedWay{until: now + b.Inquiry.Budget + m.params.Core.MemberTerm}
-	m.send(from, Pieced{ID: b.ID, Number: number, Piece: Piece{Kind: PieceTaken}})
-	t := m.begin(now, b.Inquiry, true, func(p Piece) {
+	m.served[key] = &servedRequest{until: now + b.Request.Timeout + m.params.Core.MemberTerm}
+	m.send(from, ForwardedFrame{ID: b.ID, Number: number, Frame: Frame{Kind: FrameAccepted}})
+	t := m.beginRequest(now, b.Request, true, func(p Frame) {
 		number++
-		m.send(from, Pieced{ID: b.ID, Number: number, Piece: p})
+		m.send(from, ForwardedFrame{ID: b.ID, Number: number, Frame: p})
 	})
 	m.served[key].ticket = t
 }
 
-func (m *Machine) onWithdraw(now time.Duration, from string, b Withdraw) {
+func (m *Machine) onCancelForward(now time.Duration, from string, b CancelForward) {
 	key := fmt.Sprintf("%s#%d", from, b.ID)
-	s, ok := m.served[key]
+	served, ok := m.served[key]
 	if !ok {
-		m.served[key] = &servedWay{until: now + m.params.Budget + m.params.Core.MemberTerm}
+		m.served[key] = &servedRequest{until: now + m.params.DefaultTimeout + m.params.Core.MemberTerm}
 		return
 	}
-	m.abandon(now, s.ticket)
+	m.cancel(now, served.ticket)
 }
 
-func (m *Machine) onPieced(now time.Duration, from string, b Pieced) {
+func (m *Machine) onForwardedFrame(now time.Duration, from string, b ForwardedFrame) {
 	t := m.caller.Unmark(b.ID)
-	a, ok := m.asked.Look(t)
-	if !ok || a.to != from {
+	f, ok := m.forwards.Look(t)
+	if !ok || f.to != from {
 		return
 	}
-	a.taken = true
-	if b.Piece.Kind == PieceTaken {
+	f.accepted = true
+	if b.Frame.Kind == FrameAccepted {
 		return
 	}
-	if b.Number != a.next {
-		m.loseAsked(now, t, a)
+	if b.Number != f.nextNumber {
+		m.failForward(now, t, f)
 		return
 	}
-	a.next++
-	w := a.way
-	if !b.Piece.Last() {
-		w.opened = w.opened || b.Piece.Kind == PieceOpen
-		if !w.over {
-			w.give(b.Piece)
+	f.nextNumber++
+	req := f.req
+	if !b.Frame.Last() {
+		req.streaming = req.streaming || b.Frame.Kind == FrameOpen
+		if !req.done {
+			req.respond(b.Frame)
 		}
 		return
 	}
-	m.asked.Take(t)
-	delete(m.open, t)
-	key := w.tenant + "/" + w.inquiry.Program
-	if b.Piece.Kind == PieceVerdict && b.Piece.Verdict.Code == notOwner {
+	m.forwards.Take(t)
+	delete(m.openForwards, t)
+	key := req.tenant + "/" + req.request.Program
+	if b.Frame.Kind == FrameVerdict && b.Frame.Verdict.Code == notOwner {
 		// It surely did not run there. Find out who owns it now, and go on.
 		delete(m.owners, key)
-		if w.hops++; w.hops > mostHops || w.over {
-			m.refuse(w, unsure("the program is changing hands"))
+		if req.hops++; req.hops > maxHops || req.done {
+			m.refuse(req, retryLater("the program is changing hands"))
 			return
 		}
-		m.later.Add(now+m.params.Core.Pull/4, func(now time.Duration) { m.locate(now, w) })
+		m.timers.Add(now+m.params.Core.Pull/4, func(now time.Duration) { m.locate(now, req) })
 		return
 	}
-	m.end(w, b.Piece)
+	m.finish(req, b.Frame)
 }
 
 // notOwner is said between nodes only.
 const notOwner = "not_owner"
 
-const mostHops = 12
+const maxHops = 12
 
 // loseAsked ends an inquiry whose owner fell silent or whose pieces have a
 // gap: a stream is broken, and anything else may have run.
-func (m *Machine) loseAsked(now time.Duration, t slab.Ticket, a *asked) {
-	m.asked.Take(t)
-	delete(m.open, t)
-	m.send(a.to, Withdraw{ID: m.caller.Mark(t)})
-	delete(m.owners, a.way.tenant+"/"+a.way.inquiry.Program)
+func (m *Machine) failForward(now time.Duration, t slab.Ticket, f *forwardState) {
+	m.forwards.Take(t)
+	delete(m.openForwards, t)
+	m.send(f.to, CancelForward{ID: m.caller.Mark(t)})
+	delete(m.owners, f.req.tenant+"/"+f.req.request.Program)
 	ran := verdict.MaybeExecuted
-	if a.way.inquiry.Kind == Look || a.way.inquiry.Kind == Close {
+	if f.req.request.Kind == KindStatus || f.req.request.Kind == KindClose {
 		ran = verdict.NotExecuted
 	}
 	wait := m.params.Core.MemberTerm
-	if m.hasEnded(a.member.ID, a.member.Incarnation) {
+	if m.hasEnded(f.member.ID, f.member.Incarnation) {
 		wait = m.params.Core.Pull
 	}
 	v := verdict.Refused(verdict.Refusal{Check: "owner", Code: "owner_silent", Reason: "the program's owner gave no whole return", Status: 503, Ran: ran, RetryAfter: wait})
-	if now >= a.way.until {
-		v = late(ran)
+	if now >= f.req.deadline {
+		v = deadlineExceeded(ran)
 	}
-	m.refuse(a.way, v)
+	m.refuse(f.req, v)
 }
 
-func (m *Machine) breakFrom(now time.Duration, o core.Member) {
-	for _, t := range m.openAsked() {
-		a := m.open[t]
+func (m *Machine) failForwardsTo(now time.Duration, o core.Member) {
+	for _, t := range m.openForwardTickets() {
+		f := m.openForwards[t]
 		switch {
-		case a.member.ID != o.ID || !o.HasEnded(a.member.Incarnation):
-		case a.taken:
-			m.loseAsked(now, t, a)
+		case f.member.ID != o.ID || !o.HasEnded(f.member.Incarnation):
+		case f.accepted:
+			m.failForward(now, t, f)
 		default:
 			// One that left in good order still says that it is not the owner.
-			m.later.Add(now+2*m.params.Core.Retry, func(now time.Duration) {
-				if still, ok := m.asked.Look(t); ok && still == a {
-					m.loseAsked(now, t, a)
+			m.timers.Add(now+2*m.params.Core.Retry, func(now time.Duration) {
+				if current, ok := m.forwards.Look(t); ok && current == f {
+					m.failForward(now, t, f)
 				}
 			})
 		}
 	}
 }
 
-func (m *Machine) openAsked() []slab.Ticket {
-	return ordered.Keys(m.open)
+func (m *Machine) openForwardTickets() []slab.Ticket {
+	return ordered.Keys(m.openForwards)
 }
--- a/peer/node/nonsense_test.go
+++ b/peer/node/fuzz_test.go
@@ -16,8 +16,8 @@
 	for _, body := range []any{core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c"}}, Groups: make([]partition.Group, 3), Owners: make([]partition.Term, 3)},
 		core.News{Part: 1, Upto: partition.Version{Seq: 1}, Whole: true, Entries: []partition.Entry{{Key: "member/n", Value: message.Marshal(core.Member{ID: "n"})}}},
 		core.Pull{Versions: map[int]partition.Version{0: {}}}, core.Fresh{}, core.Command{Part: 1, Raw: message.Pack(core.JoinMember{Member: core.Member{ID: "x"}})}, core.CommandReturn{ID: 1},
-		core.PartMessage{Part: 1, Raw: message.Pack(partition.Prepare{})}, Forward{ID: 1, Inquiry: Inquiry{Kind: Turn, Key: "k", Program: "p"}}, Withdraw{ID: 2}, Pieced{ID: 3},
-		Copy{Record: program.Record{ID: "p", Tenant: "t"}}, Copied{}, AskCopy{Tenant: "t", Program: "p"}, CopyHeld{}, Announced{List: []Announcement{{Replica: Replica{Service: "s", ID: "r"}}}},
+		core.PartMessage{Part: 1, Raw: message.Pack(partition.Prepare{})}, ForwardRequest{ID: 1, Request: Request{Kind: KindTurn, Key: "k", Program: "p"}}, CancelForward{ID: 2}, ForwardedFrame{ID: 3},
+		CopyProgram{Record: program.Record{ID: "p", Tenant: "t"}}, CopyAck{}, CopyQuery{Tenant: "t", Program: "p"}, CopyAnswer{}, Announcements{List: []Announcement{{Replica: Replica{Service: "s", ID: "r"}}}},
 		core.AskSamples{}, core.Samples{}} {
 		f.Add(message.Pack(body))
 	}
@@ -28,7 +28,7 @@
 		}
 		params := core.Params{Part: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeHome: 20}, MemberTerm: 2 * time.Second, Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}
 		random := func() float64 { return 0.3 }
-		n := New(Options{Params: Params{Core: params, Newest: time.Second, Buffer: 8}, ID: "n", Incarnation: "a", Address: "10.0.0.9:1", Random: random})
+		n := New(Options{Params: Params{Core: params, AnnouncementMaxAge: time.Second, QueueLimit: 8}, ID: "n", Incarnation: "a", Address: "10.0.0.9:1", Random: random})
 		self := core.Core{ID: "c", Incarnation: "i", Peer: "10.0.0.1:1"}
 		plan := core.Plan("f", 3, 1, []core.Core{self})
 		stored := core.Stored{Incarnation: "i"}
--- a/peer/node/machine.go
+++ b/peer/node/machine.go
@@ -40,115 +40,115 @@
 type Machine struct {
 	Counters Counters
 
-	params      identity
-	now         time.Duration
-	out         *Output
-	random      func() float64
-	incarnation string
-	births      int
-	former      []string
-	buried      map[string]bool
-	caller      *core.Caller
+	params             identity
+	now                time.Duration
+	out                *Output
+	random             func() float64
+	incarnation        string
+	formerCount        int
+	formerIncarnations []string
+	endedIncarnations  map[string]bool
+	caller             *core.Caller
 
-	topology core.Topology
-	versions map[int]partition.Version
-	freshAt  time.Duration
-	bornAt   time.Duration
-	entries  map[int]map[string]partition.Entry
-	pullAt   time.Duration
-	pulls    int
+	topology  core.Topology
+	versions  map[int]partition.Version
+	freshAt   time.Duration
+	startedAt time.Duration
+	entries   map[int]map[string]partition.Entry
+	pullAt    time.Duration
+	pulls     int
 
-	description  *configuration.Description
-	version      uint64
-	tenants      []string
-	members      map[string]core.Member
-	replicas     map[string]map[string]announced
-	cores        map[string]core.Core
-	conditions   map[string]*condition
-	breakerState breaker.State
-	openUntil    time.Duration
+	description          *configuration.Description
+	configurationVersion uint64
+	tenants              []string
+	members              map[string]core.Member
+	replicas             map[string]map[string]knownReplica
+	cores                map[string]core.Core
+	health               map[string]*replicaHealth
+	breakerState         breaker.State
+	openUntil            time.Duration
 
-	termUntil time.Duration
-	joined    bool
-	joinedAt  time.Duration
-	renewAt   time.Duration
-	renewing  bool
-	leaving   bool
-	left      bool
+	termExpiresAt time.Duration
+	joined        bool
+	joinedAt      time.Duration
+	renewAt       time.Duration
+	renewing      bool
+	leaving       bool
+	left          bool
 
-	handed, handing int
-	givingBack      bool
+	handedOver, pendingHandovers int
+	returningShares              bool
 
-	programs map[string]*held
-	mirrors  map[string]*mirrored
-	owners   map[string]core.Member
-	paces    map[string]*pace
-	days     map[string]*share
-	money    *share
-	rooms    map[string]*room
-	buffered int
-	running  int
+	programs   map[string]*ownedProgram
+	mirrors    map[string]*mirrorCopy
+	owners     map[string]core.Member
+	rateShares map[string]*rateShare
+	dayShares  map[string]*share
+	spendShare *share
+	queues     map[string]*replicaQueue
+	queued     int
+	running    int
 
-	ways     slab.Slab[*way]
-	waiting  map[uint64]slab.Ticket
-	shots    slab.Slab[*shot]
-	live     map[slab.Ticket]*shot
-	asked    slab.Slab[*asked]
-	open     map[slab.Ticket]*asked
-	served   map[string]*servedWay
-	passed   slab.Slab[*passed]
-	passing  []slab.Ticket
-	later    core.Later
-	nextID   uint64
-	samples  []rehearsal.Sample
-	nextSamp int
+	requests     slab.Slab[*requestState]
+	byTicket     map[uint64]slab.Ticket
+	attempts     slab.Slab[*attempt]
+	liveAttempts map[slab.Ticket]*attempt
+	forwards     slab.Slab[*forwardState]
+	openForwards map[slab.Ticket]*forwardState
+	served       map[string]*servedRequest
+	relayed      slab.Slab[*relayedCommand]
+	relayOrder   []slab.Ticket
+	timers       core.Later
+	nextID       uint64
+	samples      []rehearsal.Sample
+	nextSample   int
 }
 
-type held struct {
-	record  program.Record
-	turns   map[string][]program.Turn
-	offset  time.Duration
-	saved   uint64
-	unsaved []program.Turn
-	saving  bool
+type ownedProgram struct {
+	record       program.Record
+	turns        map[string][]program.Turn
+	clockOffset  time.Duration
+	savedVersion uint64
+	unsavedTurns []program.Turn
+	saving       bool
 	// unsavedAt is since when the cores lack something; named and covered are
 	// what the record that they have says; copied is the version that all
 	// mirrors hold.
-	unsavedAt time.Duration
-	named     []program.Mirror
-	covered   int64
+	unsavedSince    time.Duration
+	savedMirrors    []program.Mirror
+	savedPrecharged int64
 	// dayCovered is up to where the user's day is charged beforehand.
-	dayCovered int64
-	copied     uint64
-	acked      map[string]uint64
-	copyAt     time.Duration
-	consulting *consulting
-	waiters    []saver
-	lost       bool
-	usedAt     time.Duration
+	dayPrecharged   int64
+	mirroredVersion uint64
+	acked           map[string]uint64
+	nextCopyAt      time.Duration
+	recovery        *mirrorRecovery
+	waiters         []saveWaiter
+	lost            bool
+	lastUsed        time.Duration
 }
 
 // New makes a node.
 func New(o Options) *Machine {
 	m := &Machine{params: identity{Params: o.Params, ID: o.ID, Zone: o.Zone, Address: o.Address, HTTP: o.HTTP, Host: o.Host, Seeds: o.Seeds},
-		random: o.Random, incarnation: o.Incarnation, buried: map[string]bool{}, now: o.Now,
-		versions: map[int]partition.Version{}, freshAt: -1, bornAt: o.Now, entries: map[int]map[string]partition.Entry{},
-		members: map[string]core.Member{}, replicas: map[string]map[string]announced{}, cores: map[string]core.Core{},
-		conditions: map[string]*condition{}, waiting: map[uint64]slab.Ticket{}, live: map[slab.Ticket]*shot{},
-		open: map[slab.Ticket]*asked{}, served: map[string]*servedWay{}, mirrors: map[string]*mirrored{}, rooms: map[string]*room{}, breakerState: breaker.Closed}
+		random: o.Random, incarnation: o.Incarnation, endedIncarnations: map[string]bool{}, now: o.Now,
+		versions: map[int]partition.Version{}, freshAt: -1, startedAt: o.Now, entries: map[int]map[string]partition.Entry{},
+		members: map[string]core.Member{}, replicas: map[string]map[string]knownReplica{}, cores: map[string]core.Core{},
+		health: map[string]*replicaHealth{}, byTicket: map[uint64]slab.Ticket{}, liveAttempts: map[slab.Ticket]*attempt{},
+		openForwards: map[slab.Ticket]*forwardState{}, served: map[string]*servedRequest{}, mirrors: map[string]*mirrorCopy{}, queues: map[string]*replicaQueue{}, breakerState: breaker.Closed}
 	m.Counters.Refusals = map[string]int64{}
 	m.caller = &core.Caller{Retry: o.Params.Core.Retry, Random: o.Random,
 		Send:   func(to string, body any) { m.send(to, body) },
 		Parts:  func() int { return len(m.topology.Owners) },
 		Anyone: func() []string { return m.coreAddresses() },
 		Others: func() []string { return m.others() }}
-	m.clear()
+	m.clearOwned()
 	return m
 }
 
-func (m *Machine) clear() {
-	m.programs, m.owners = map[string]*held{}, map[string]core.Member{}
-	m.paces, m.days, m.money = map[string]*pace{}, map[string]*share{}, &share{}
+func (m *Machine) clearOwned() {
+	m.programs, m.owners = map[string]*ownedProgram{}, map[string]core.Member{}
+	m.rateShares, m.dayShares, m.spendShare = map[string]*rateShare{}, map[string]*share{}, &share{}
 }
 
 func (m *Machine) send(to string, body any) {
@@ -168,18 +168,18 @@
 	return list
 }
 
-func (m *Machine) step(now time.Duration) {
+func (m *Machine) beginStep(now time.Duration) {
 	m.now, m.out = now, &Output{}
 }
 
 // Ready reports whether requesters should be sent here.
 func (m *Machine) Ready(now time.Duration) bool {
-	if !m.termed(now) || m.leaving {
+	if !m.inTerm(now) || m.leaving {
 		return false
 	}
 	for _, tenant := range m.tenants {
-		p := m.paces[tenant+"/rate"]
-		if (p == nil || p.filled < 1) && now < m.joinedAt+m.params.Core.MemberTerm/2 {
+		p := m.rateShares[tenant+"/rate"]
+		if (p == nil || p.tokens < 1) && now < m.joinedAt+m.params.Core.MemberTerm/2 {
 			return false
 		}
 	}
@@ -187,68 +187,68 @@
 }
 
 // Version is the configuration that is in force here.
-func (m *Machine) Version() uint64 { return m.version }
+func (m *Machine) ConfigurationVersion() uint64 { return m.configurationVersion }
 
 // Breaker is the breaker's position as this node knows it.
-func (m *Machine) Breaker() string { return string(m.breakerState) }
+func (m *Machine) BreakerState() string { return string(m.breakerState) }
 
 // Incarnation tells this life of the node from its earlier ones.
 func (m *Machine) Incarnation() string { return m.incarnation }
 
 // Tick lets time pass.
 func (m *Machine) Tick(now time.Duration) Output {
-	m.step(now)
+	m.beginStep(now)
 	m.pull(now)
-	m.forget(now)
-	m.forgetMirrored(now)
+	m.expireReplicas(now)
+	m.expireMirrorCopies(now)
 	m.renew(now)
 	m.caller.Tick(now)
-	m.report(now)
-	m.tickWays(now)
-	m.freeRoom(now)
+	m.reportShares(now)
+	m.expireRequests(now)
+	m.drainQueues(now)
 	m.tickPrograms(now)
-	m.later.Tick(now)
-	m.tickPassed(now)
+	m.timers.Tick(now)
+	m.expireRelayed(now)
 	m.drain(now)
 	return *m.out
 }
 
 // Receive takes a message from the process at an address.
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
-	m.step(now)
+	m.beginStep(now)
 	switch b := body.(type) {
 	case core.CommandReturn:
-		if b.ID&passedOn == 0 {
+		if b.ID&relayedBit == 0 {
 			m.caller.Receive(now, from, b)
 		} else {
-			m.passBack(now, b)
+			m.relayReturn(now, b)
 		}
 	case core.Command:
-		m.passOn(now, from, b)
+		m.relayCommand(now, from, b)
 	case core.Topology:
 		m.onTopology(b)
 	case core.News:
-		m.onNews(now, b)
+		m.onUpdate(now, b)
 	case core.Pull:
 		m.onPull(now, from, b)
 	case core.Fresh:
 		m.onFresh(b)
-	case Announced:
-		m.onAnnounced(now, b)
-	case Forward:
+	case Announcements:
+		m.onAnnouncements(now, b)
+	case ForwardRequest:
 		m.onForward(now, from, b)
-	case Withdraw:
-		m.onWithdraw(now, from, b)
-	case Pieced:
-		m.onPieced(now, from, b)
-	case Copy:
+	case CancelForward:
+		m.onCancelForward(now, from, b)
+	case ForwardedFrame:
+		m.onForwardedFrame(now, from, b)
+	case CopyProgram:
 		m.onCopy(now, from, b)
-	case Copied:
-		m.onCopied(now, from, b)
-	case AskCopy:
-		m.onAskCopy(now, from, b)
-	case CopyHeld:
-		m.onCopyHeld(now, b)
+	case CopyAck:
+		m.onCopyAck(now, from, b)
+	case CopyQuery:
+		m.onCopyQuery(now, from, b)
+	case CopyAnswer:
+		m.onCopyAnswer(now, b)
 	case core.AskSamples:
 		list := append([]rehearsal.Sample(nil), m.samples...)
 		for i := range list {
@@ -262,24 +262,24 @@
 }
 
 // Samples are the recent inquiries that rehearsal works on.
-func (m *Machine) sample(s rehearsal.Sample) {
+func (m *Machine) recordSample(s rehearsal.Sample) {
 	const most = 256
 	s.Age = m.now
 	if len(m.samples) < most {
 		m.samples = append(m.samples, s)
 		return
 	}
-	m.samples[m.nextSamp%most] = s
-	m.nextSamp++
+	m.samples[m.nextSample%most] = s
+	m.nextSample++
 }
 
-func unsure(reason string) verdict.Verdict {
+func retryLater(reason string) verdict.Verdict {
 	return verdict.RetryLater("unsure", reason, time.Second)
 }
 
 // Adopt takes those bounds that may change while the node runs.
-func (m *Machine) Adopt(p Params) Output {
-	m.step(m.now)
-	m.params.Buffer, m.params.Patience, m.params.Newest, m.params.UrgentRatio, m.params.Budget = p.Buffer, p.Patience, p.Newest, p.UrgentRatio, p.Budget
+func (m *Machine) UpdateParams(p Params) Output {
+	m.beginStep(m.now)
+	m.params.QueueLimit, m.params.MaxQueueWait, m.params.AnnouncementMaxAge, m.params.UrgentRatio, m.params.DefaultTimeout = p.QueueLimit, p.MaxQueueWait, p.AnnouncementMaxAge, p.UrgentRatio, p.DefaultTimeout
 	return *m.out
 }
--- a/peer/node/machine_test.go
+++ b/peer/node/machine_test.go
@@ -13,7 +13,7 @@
 // configuration from other nodes only may be behind what this node had in force
 // in an earlier life, and does not join.
 func TestNewLifeAsksTheConfigurationsOwner(t *testing.T) {
-	m := New(Options{Params: Params{Core: core.Params{MemberTerm: 2 * time.Second, Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}, Newest: time.Second},
+	m := New(Options{Params: Params{Core: core.Params{MemberTerm: 2 * time.Second, Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}, AnnouncementMaxAge: time.Second},
 		ID: "n", Incarnation: "a", Address: "10.0.0.9:1", Random: func() float64 { return 0.5 }})
 	joins := func(now time.Duration) (n int) {
 		for _, s := range m.Tick(now).Sends {
@@ -31,7 +31,7 @@
 	at := partition.Version{Seq: 4}
 	m.Receive(time.Second, "10.0.0.2:1", core.News{Part: core.ConfigurationPart, Upto: at, Whole: true, Entries: []partition.Entry{{Key: "configuration",
 		Value: message.Marshal(core.Configured{Version: 1, Text: []byte(`{"roles":{"viewer":{}},"tenants":{"t":{}},"services":{"model":{"kind":"model"}}}`)})}}})
-	if m.Version() != 1 {
+	if m.ConfigurationVersion() != 1 {
 		t.Fatal("the description was not taken")
 	}
 	if joins(1100*time.Millisecond) != 0 {
--- a/peer/node/replicas.go
+++ b/peer/node/replicas.go
@@ -4,58 +4,58 @@
 	"time"
 )
 
-type condition struct {
-	outstanding int64
-	failures    int
-	until       time.Duration
-	usedAt      time.Duration
+type replicaHealth struct {
+	outstanding  int64
+	failures     int
+	ejectedUntil time.Duration
+	lastUsed     time.Duration
 }
 
 // choose picks a replica: of two at random the less loaded, near ones first.
-func (m *Machine) choose(now time.Duration, service string, may func(id string) bool) (Replica, bool) {
-	var near, far []Replica
+func (m *Machine) chooseReplica(now time.Duration, service string, may func(id string) bool) (Replica, bool) {
+	var local, remote []Replica
 	limit := m.description.Services[service].AttemptsPerReplica
-	for _, r := range m.present(now, service) {
-		c := m.conditions[service+"/"+r.ID]
-		if !may(r.ID) || (c != nil && (now < c.until || c.outstanding >= limit)) {
+	for _, r := range m.currentReplicas(now, service) {
+		h := m.health[service+"/"+r.ID]
+		if !may(r.ID) || (h != nil && (now < h.ejectedUntil || h.outstanding >= limit)) {
 			continue
 		}
 		if r.Zone == m.params.Zone {
-			near = append(near, r)
+			local = append(local, r)
 		} else {
-			far = append(far, r)
+			remote = append(remote, r)
 		}
 	}
-	list := near
-	if len(near) < 2 {
-		list = append(near, far...)
+	list := local
+	if len(local) < 2 {
+		list = append(local, remote...)
 	}
 	if len(list) == 0 {
 		return Replica{}, false
 	}
 	a := list[int(m.random()*float64(len(list)))%len(list)]
 	b := list[int(m.random()*float64(len(list)))%len(list)]
-	if m.load(b) < m.load(a) {
+	if m.loadOf(b) < m.loadOf(a) {
 		return b, true
 	}
 	return a, true
 }
 
-func (m *Machine) load(r Replica) int64 {
+func (m *Machine) loadOf(r Replica) int64 {
 	load := r.Load
-	if c := m.conditions[r.Service+"/"+r.ID]; c != nil {
-		load += c.outstanding
+	if h := m.health[r.Service+"/"+r.ID]; h != nil {
+		load += h.outstanding
 	}
 	return load
 }
 
-func (m *Machine) conditionOf(r Replica) *condition {
+func (m *Machine) healthOf(r Replica) *replicaHealth {
 	key := r.Service + "/" + r.ID
-	c := m.conditions[key]
-	if c == nil {
-		c = &condition{}
-		m.conditions[key] = c
+	h := m.health[key]
+	if h == nil {
+		h = &replicaHealth{}
+		m.health[key] = h
 	}
-	c.usedAt = m.now
-	return c
+	h.lastUsed = m.now
+	return h
 }
--- /dev/null
+++ b/peer/node/request.go
@@ -0,0 +1,286 @@
+package node
+
+import (
+	"sort"
+	"time"
+
+	"saffronfall/peer/core"
+	"saffronfall/rule/breaker"
+	"saffronfall/rule/configuration"
+	"saffronfall/rule/program"
+	"saffronfall/rule/rehearsal"
+	"saffronfall/rule/slab"
+	"saffronfall/rule/verdict"
+)
+
+// way is one inquiry's way through this process.
+type requestState struct {
+	request     Request
+	tenant      string
+	role        string
+	keySum      string
+	deadline    time.Duration
+	respond     func(p Frame)
+	done        bool
+	streaming   bool
+	forwarded   bool
+	triedOpener bool
+	hops        int
+	attempt     slab.Ticket
+	forward     slab.Ticket
+	ticket      slab.Ticket
+	ran         verdict.Execution
+}
+
+// Inquire takes a requester's inquiry; pieces come back under its ticket.
+func (m *Machine) Submit(now time.Duration, ticket uint64, request Request) Output {
+	m.beginStep(now)
+	m.Counters.Requests++
+	t := m.beginRequest(now, request, false, func(p Frame) { m.out.Responses = append(m.out.Responses, Response{Ticket: ticket, Frame: p}) })
+	if _, ok := m.requests.Look(t); ok {
+		m.byTicket[ticket] = t
+	}
+	return *m.out
+}
+
+// Gone says that a requester no longer waits.
+func (m *Machine) CancelRequest(now time.Duration, ticket uint64) Output {
+	m.beginStep(now)
+	if t, ok := m.byTicket[ticket]; ok {
+		delete(m.byTicket, ticket)
+		m.cancel(now, t)
+	}
+	return *m.out
+}
+
+func (m *Machine) cancel(now time.Duration, t slab.Ticket) {
+	req, ok := m.requests.Look(t)
+	if !ok {
+		return
+	}
+	if f, ok := m.forwards.Look(req.forward); ok {
+		m.send(f.to, CancelForward{ID: m.caller.Mark(req.forward)})
+		m.forwards.Take(req.forward)
+		delete(m.openForwards, req.forward)
+	}
+	shot := req.attempt
+	m.finish(req, Frame{Kind: FrameAbort})
+	if _, ok := m.attempts.Look(shot); ok {
+		m.out.Cancels = append(m.out.Cancels, uint64(shot))
+		m.finishAttempt(now, shot, AttemptEvent{Kind: EventInterrupted})
+	}
+}
+
+func (m *Machine) beginRequest(now time.Duration, request Request, passed bool, give func(p Frame)) slab.Ticket {
+	if request.Timeout <= 0 {
+		request.Timeout = m.params.DefaultTimeout
+	}
+	req := &requestState{request: request, deadline: now + request.Timeout, respond: give, forwarded: passed, ran: verdict.NotExecuted}
+	req.ticket = m.requests.Keep(req)
+	m.dispatch(now, req)
+	return req.ticket
+}
+
+// end gives the last piece, once.
+func (m *Machine) finish(req *requestState, p Frame) {
+	if req.done {
+		return
+	}
+	req.done = true
+	m.requests.Take(req.ticket)
+	req.respond(p)
+}
+
+func (m *Machine) refuse(req *requestState, v verdict.Verdict) {
+	if req.done {
+		return
+	}
+	if req.streaming {
+		m.finish(req, Frame{Kind: FrameAbort})
+		return
+	}
+	m.Counters.Refused++
+	m.Counters.Refusals[v.Code]++
+	if v.Status == 503 && v.RetryAfter <= 0 {
+		v.RetryAfter = m.params.Core.Pull
+	}
+	if req.ran != verdict.NotExecuted && v.Ran == verdict.NotExecuted {
+		v.Ran = verdict.MaybeExecuted
+	}
+	if m.now >= req.deadline && v.Status == 503 {
+		v = deadlineExceeded(v.Ran)
+	}
+	m.recordSample(rehearsal.Sample{KeySum: req.keySum, Tenant: req.tenant, User: req.request.User, Role: req.role, Kind: req.request.Kind, Service: req.request.Service, Refused: true})
+	m.finish(req, Frame{Kind: FrameVerdict, Status: v.Status, Verdict: v})
+}
+
+func denied(code, reason string, status int) verdict.Verdict {
+	return verdict.Refused(verdict.Refusal{Check: "inquiry", Code: code, Reason: reason, Status: status})
+}
+
+func deadlineExceeded(ran verdict.Execution) verdict.Verdict {
+	return verdict.Refused(verdict.Refusal{Check: "budget", Code: "budget_passed", Reason: "the inquiry's budget has passed", Status: 504, Ran: ran})
+}
+
+// enter is the first step of every inquiry: whose it is, then the breaker.
+func (m *Machine) dispatch(now time.Duration, req *requestState) {
+	q := &req.request
+	if m.description == nil {
+		m.refuse(req, retryLater("no configuration has come yet"))
+		return
+	}
+	tenant, role, ok := m.description.TenantAndRole(q.Key)
+	if !ok {
+		m.refuse(req, denied("unknown_key", "the key is not known, or was revoked", 401))
+		return
+	}
+	req.tenant, req.role, req.keySum = tenant, role, configuration.KeyDigest(q.Key)
+	if m.leaving && req.forwarded && !m.inTerm(now) {
+		m.refuse(req, denied(notOwner, "this node has left", 503))
+		return
+	}
+	if !m.inTerm(now) {
+		m.refuse(req, verdict.RetryLater("term", "this node's term is not in force", m.params.Core.MemberTerm/4))
+		return
+	}
+	switch q.Kind {
+	case KindOpen, KindTurn, KindTool:
+		if v := m.breakerVerdict(now); v.Refused() {
+			m.refuse(req, v)
+			return
+		}
+	}
+	if m.leaving && q.Kind == KindOpen {
+		m.refuse(req, verdict.RetryLater("node", "this node leaves; ask another", m.params.Core.Pull))
+		return
+	}
+	switch q.Kind {
+	case KindOpen:
+		m.openProgram(now, req)
+	case KindAction:
+		m.startAction(now, req)
+	case KindTurn, KindTool, KindClose, KindStatus:
+		m.locate(now, req)
+	default:
+		m.refuse(req, denied("unknown_inquiry", "no such inquiry", 400))
+	}
+}
+
+func (m *Machine) breakerVerdict(now time.Duration) verdict.Verdict {
+	if now < m.openUntil || m.breakerState == breaker.Open {
+		return verdict.Refused(verdict.Refusal{Check: "breaker", Code: "breaker_open", Reason: "spending reached a threshold; everything is refused for a time",
+			Status: 503, RetryAfter: max(m.openUntil-now, m.params.ReportInterval)})
+	}
+	return verdict.Verdict{}
+}
+
+// locate finds the owner of an inquiry's program: this node, or another.
+func (m *Machine) locate(now time.Duration, req *requestState) {
+	if req.done {
+		return
+	}
+	if now >= req.deadline {
+		m.refuse(req, deadlineExceeded(req.ran))
+		return
+	}
+	key := req.tenant + "/" + req.request.Program
+	if prog, ok := m.programs[key]; ok {
+		m.serve(now, req, prog)
+		return
+	}
+	if owner, ok := m.owners[key]; ok && !m.hasEnded(owner.ID, owner.Incarnation) {
+		m.forward(now, req, owner)
+		return
+	}
+	if m.leaving && req.forwarded {
+		m.refuse(req, denied(notOwner, "this node leaves", 503))
+		return
+	}
+	if owner, ok := m.opener(req.request.Program); ok && !req.triedOpener && !req.forwarded {
+		req.triedOpener = true
+		m.forward(now, req, owner)
+		return
+	}
+	m.claimProgram(now, req, core.ClaimProgram{})
+}
+
+func (m *Machine) claimProgram(now time.Duration, req *requestState, proof core.ClaimProgram) {
+	c := core.ClaimProgram{Tenant: req.tenant, ID: req.request.Program, Node: m.params.ID, Incarnation: m.incarnation, Address: m.params.Address,
+		EndedNode: proof.EndedNode, EndedFormer: proof.EndedFormer}
+	key := c.Tenant + "/" + c.ID
+	m.caller.Call(now, c, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
+		p, ok := o.Answer.(core.Programmed)
+		owner := core.Member{ID: p.Record.Node, Incarnation: p.Record.Incarnation, Peer: p.Record.Address}
+		switch {
+		case req.done:
+		case !ok || c.Incarnation != m.incarnation:
+			m.refuse(req, retryLater("the program's owner could not be found out in time"))
+		case p.Gone:
+			m.refuse(req, verdict.Refused(verdict.Refusal{Check: "program", Code: "gone", Reason: "the program's keeping time has passed", Status: 410}))
+		case !p.Found:
+			m.refuse(req, denied("unknown_program", "no such program", 404))
+		case p.Owned:
+			if _, there := m.programs[key]; !there {
+				if c.EndedNode != "" {
+					m.Counters.Takeovers++
+				}
+				m.adoptProgram(now, p)
+			}
+			m.serve(now, req, m.programs[key])
+		case m.hasEnded(owner.ID, owner.Incarnation) && c.EndedFormer != owner.Incarnation:
+			m.claimProgram(now, req, core.ClaimProgram{EndedNode: owner.ID, EndedFormer: owner.Incarnation})
+		default:
+			m.owners[key] = owner
+			m.forward(now, req, owner)
+		}
+	})
+}
+
+// patient is until when a step may take: the budget, but never so long that a
+// fault is sat out instead of told.
+func (m *Machine) stepDeadline(now time.Duration, req *requestState) time.Duration {
+	return min(req.deadline, now+m.stepTimeout())
+}
+
+// patientRetries is how many tries at a command are waited for.
+const stepRetries = 12
+
+func (m *Machine) stepTimeout() time.Duration { return stepRetries * m.params.Core.Retry }
+
+func (m *Machine) adoptProgram(now time.Duration, p core.Programmed) *ownedProgram {
+	prog := &ownedProgram{record: copyRecord(p.Record), turns: map[string][]program.Turn{}, clockOffset: p.Clock - now, savedVersion: p.Record.Version, lastUsed: now}
+	for _, t := range p.Turns {
+		prog.turns[t.Conversation] = append(prog.turns[t.Conversation], t)
+	}
+	for line := range prog.turns {
+		list := prog.turns[line]
+		sort.Slice(list, func(i, j int) bool { return list[i].Number < list[j].Number })
+	}
+	m.programs[p.Record.Tenant+"/"+p.Record.ID] = prog
+	m.recoverFromMirrors(now, prog)
+	return prog
+}
+
+func (m *Machine) expireRequests(now time.Duration) {
+	for _, t := range m.openForwardTickets() {
+		f := m.openForwards[t]
+		switch {
+		case now >= f.deadline:
+			m.failForward(now, t, f)
+		case !f.accepted && now >= f.retryAt:
+			m.sendForward(now, t, f)
+		}
+	}
+	for _, t := range m.liveAttemptTickets() {
+		a, ok := m.attempts.Look(t)
+		if ok && now >= a.req.deadline {
+			m.out.Cancels = append(m.out.Cancels, uint64(t))
+			m.finishAttempt(now, t, AttemptEvent{Kind: EventInterrupted})
+		}
+	}
+	for key, served := range m.served {
+		if now >= served.until {
+			delete(m.served, key)
+		}
+	}
+}
--- a/peer/node/status.go
+++ b/peer/node/status.go
@@ -12,11 +12,11 @@
 		refusals[code] = n
 	}
 	shares := map[string]any{}
-	for name, p := range m.paces {
-		shares[name] = map[string]int64{"units": p.books.Held(), "of": p.whole, "waiting": int64(len(p.waiting))}
+	for name, p := range m.rateShares {
+		shares[name] = map[string]int64{"units": p.account.Held(), "of": p.totalUnits, "waiting": int64(len(p.waiting))}
 	}
-	for name, s := range m.days {
-		shares[name+"/day"] = map[string]int64{"held": s.books.Held(), "reserved": s.reserved, "spent": s.books.Spent}
+	for name, s := range m.dayShares {
+		shares[name+"/day"] = map[string]int64{"held": s.account.Held(), "reserved": s.reserved, "spent": s.account.Spent}
 	}
 	replicas := map[string]any{}
 	for service := range m.replicas {
@@ -24,10 +24,10 @@
 			replicas[service+"/"+id] = map[string]any{"address": a.replica.Address, "zone": a.replica.Zone, "load": a.replica.Load, "leaving": a.replica.Leaving, "age_ms": (now - a.since).Milliseconds()}
 		}
 	}
-	shares["money"] = map[string]int64{"held": m.money.books.Held(), "reserved": m.money.reserved, "spent": m.money.books.Spent}
-	return map[string]any{"id": m.params.ID, "incarnation": m.incarnation, "version": m.version, "ready": m.Ready(now), "breaker": m.breakerState,
-		"programs": len(m.programs), "running": m.running, "waiting": m.ways.Used(), "shares": shares, "replicas": replicas, "term_left_ms": max(0, m.termUntil-now).Milliseconds(), "refusals": refusals,
-		"inquiries": c.Inquiries, "forwarded": c.Forwarded, "gated": c.Gated, "warned": c.Warned, "refused": c.Refused, "shots": c.Shots,
-		"not_run": c.NotRun, "broken": c.Broken, "whole": c.Whole, "takeovers": c.Takeovers, "joins": c.Joins, "terms_lost": c.TermsLost,
-		"stale_news": c.StaleNews, "resets": c.Resets, "fenced": c.Fenced, "bad_messages": c.BadMessages, "saves": c.Saves, "handed": c.Handed, "passed_on": c.PassedOn, "mirrored": c.Mirrored, "mirrors_used": c.MirrorsUsed, "mirrors_lost": c.MirrorsLost, "command_tries": m.caller.Tries}
+	shares["money"] = map[string]int64{"held": m.spendShare.account.Held(), "reserved": m.spendShare.reserved, "spent": m.spendShare.account.Spent}
+	return map[string]any{"id": m.params.ID, "incarnation": m.incarnation, "version": m.configurationVersion, "ready": m.Ready(now), "breaker": m.breakerState,
+		"programs": len(m.programs), "running": m.running, "waiting": m.requests.Used(), "shares": shares, "replicas": replicas, "term_left_ms": max(0, m.termExpiresAt-now).Milliseconds(), "refusals": refusals,
+		"inquiries": c.Requests, "forwarded": c.Forwarded, "gated": c.Admitted, "warned": c.Warned, "refused": c.Refused, "shots": c.Attempts,
+		"not_run": c.NotRun, "broken": c.Interrupted, "whole": c.Completed, "takeovers": c.Takeovers, "joins": c.Joins, "terms_lost": c.TermsLost,
+		"stale_news": c.StaleUpdates, "resets": c.Resets, "fenced": c.Fenced, "bad_messages": c.BadMessages, "saves": c.Saves, "handed": c.HandedOver, "passed_on": c.Relayed, "mirrored": c.Mirrored, "mirrors_used": c.MirrorsUsed, "mirrors_lost": c.MirrorsLost, "command_tries": m.caller.Tries}
 }
--- a/peer/node/tool.go
+++ b/peer/node/tool.go
@@ -10,62 +10,62 @@
 	"saffronfall/rule/verdict"
 )
 
-func (m *Machine) tool(now time.Duration, w *way, h *held) {
-	name := w.inquiry.Service
+func (m *Machine) startTool(now time.Duration, req *requestState, prog *ownedProgram) {
+	name := req.request.Service
 	service, known := m.description.Services[name]
-	role := m.description.Roles[h.record.Role]
+	role := m.description.Roles[prog.record.Role]
 	if !known || service.Kind != "tool" {
-		m.refuse(w, denied("unknown_service", "no such tool", 400))
+		m.refuse(req, denied("unknown_service", "no such tool", 400))
 		return
 	}
-	arguments, err := program.Arguments(w.inquiry.Arguments)
+	arguments, err := program.ArgumentsDigest(req.request.Arguments)
 	if err != nil {
-		m.refuse(w, denied("bad_arguments", "arguments are not JSON: "+err.Error(), 400))
+		m.refuse(req, denied("bad_arguments", "arguments are not JSON: "+err.Error(), 400))
 		return
 	}
-	if m.breakerState == breaker.HalfOpen && h.record.Test == 0 {
-		m.refuse(w, onlyTests())
+	if m.breakerState == breaker.HalfOpen && prog.record.TestSession == 0 {
+		m.refuse(req, testSessionsOnly())
 		return
 	}
-	v := h.record.Tool(h.offset+now, name, arguments, role, service, m.description.WarnRatio)
+	v := prog.record.CheckToolCall(prog.clockOffset+now, name, arguments, role, service, m.description.WarnRatio)
 	if v.Refused() {
-		m.refuse(w, v)
+		m.refuse(req, v)
 		return
 	}
 	m.nextID++
-	s := &shot{way: w, held: h, fenced: true, tried: map[string]bool{}, arguments: arguments, warnings: v.Warnings}
-	s.payload = Payload{Shot: fmt.Sprintf("%s-%s-%d", m.params.ID, m.incarnation, m.nextID), Tenant: w.tenant, Program: h.record.ID, Line: w.inquiry.Line, Body: w.inquiry.Arguments}
-	h.record.CallTool(h.offset+now, name, arguments)
-	m.save(now, h, m.patient(now, w), func(now time.Duration, ok bool) {
-		if !ok || w.over {
-			m.undo(now, s, unsure("the call could not be made durable in time"))
+	a := &attempt{req: req, prog: prog, fenced: true, triedReplicas: map[string]bool{}, argumentsDigest: arguments, warnings: v.Warnings}
+	a.payload = Payload{Attempt: fmt.Sprintf("%s-%s-%d", m.params.ID, m.incarnation, m.nextID), Tenant: req.tenant, Program: prog.record.ID, Conversation: req.request.Conversation, Body: req.request.Arguments}
+	prog.record.StartToolCall(prog.clockOffset+now, name, arguments)
+	m.save(now, prog, m.stepDeadline(now, req), func(now time.Duration, ok bool) {
+		if !ok || req.done {
+			m.cancelAttempt(now, a, retryLater("the call could not be made durable in time"))
 			return
 		}
-		m.launch(now, s)
+		m.admitAttempt(now, a)
 	})
 }
 
-func (m *Machine) endTool(now time.Duration, s *shot, e Event) {
-	w, h := s.way, s.held
+func (m *Machine) finishTool(now time.Duration, a *attempt, e AttemptEvent) {
+	req, prog := a.req, a.prog
 	good := e.Kind == EventDone && e.Status < 500
-	if !h.lost {
+	if !prog.lost {
 		longest := time.Duration(m.description.MaxCooldownSeconds) * time.Second
-		h.record.ToolDone(h.offset+now, w.inquiry.Service, good, m.description.Services[w.inquiry.Service], longest)
+		prog.record.FinishToolCall(prog.clockOffset+now, req.request.Service, good, m.description.Services[req.request.Service], longest)
 	}
 	if e.Kind != EventDone {
-		if !h.lost {
-			m.resave(now, h)
+		if !prog.lost {
+			m.resave(now, prog)
 		}
-		m.breakOff(now, w)
+		m.abortRequest(now, req)
 		return
 	}
-	m.save(now, h, w.until, func(now time.Duration, ok bool) {
+	m.save(now, prog, req.deadline, func(now time.Duration, ok bool) {
 		if !ok {
-			m.breakOff(now, w)
+			m.abortRequest(now, req)
 			return
 		}
-		m.count(s.warnings)
-		m.sample(rehearsal.Sample{KeySum: w.keySum, Tenant: w.tenant, User: h.record.User, Role: h.record.Role, Kind: Tool, Service: w.inquiry.Service})
-		m.end(w, Piece{Kind: PieceBody, Status: e.Status, Body: e.Body, Verdict: verdict.Allowed(verdict.Executed, s.warnings)})
+		m.countAdmitted(a.warnings)
+		m.recordSample(rehearsal.Sample{KeySum: req.keySum, Tenant: req.tenant, User: prog.record.User, Role: prog.record.Role, Kind: KindTool, Service: req.request.Service})
+		m.finish(req, Frame{Kind: FrameBody, Status: e.Status, Body: e.Body, Verdict: verdict.Allowed(verdict.Executed, a.warnings)})
 	})
 }
--- a/peer/node/turn.go
+++ b/peer/node/turn.go
@@ -15,105 +15,105 @@
 )
 
 // shot is one try at a back end, and what it takes of allowances.
-type shot struct {
-	way       *way
-	held      *held
-	fenced    bool
-	replica   Replica
-	firedAt   time.Duration
-	tried     map[string]bool
-	payload   Payload
-	turn      string
-	tokens    int64
-	relayed   int64
-	price     int64
-	text      bytes.Buffer
-	warnings  []verdict.Warning
-	arguments string
-	claim     string
-	day       *share
-	money     *share
+type attempt struct {
+	req             *requestState
+	prog            *ownedProgram
+	fenced          bool
+	replica         Replica
+	startedAt       time.Duration
+	triedReplicas   map[string]bool
+	payload         Payload
+	turnID          string
+	reservedTokens  int64
+	relayedTokens   int64
+	reservedPrice   int64
+	text            bytes.Buffer
+	warnings        []verdict.Warning
+	argumentsDigest string
+	claim           string
+	dayShare        *share
+	spendShare      *share
 }
 
 // atOwner goes on with an inquiry at the node that owns its program.
-func (m *Machine) atOwner(now time.Duration, w *way, h *held) {
-	h.usedAt = now
-	if h.consulting != nil {
-		m.await(now, w, h)
+func (m *Machine) serve(now time.Duration, req *requestState, prog *ownedProgram) {
+	prog.lastUsed = now
+	if prog.recovery != nil {
+		m.awaitRecovery(now, req, prog)
 		return
 	}
-	switch w.inquiry.Kind {
-	case Turn:
-		m.turn(now, w, h)
-	case Tool:
-		m.tool(now, w, h)
-	case Look:
-		body, _ := json.Marshal(map[string]any{"program": h.record.ID, "user": h.record.User, "role": h.record.Role, "steps": h.record.Steps,
-			"tokens": h.record.Charged(), "head": h.record.Line(w.inquiry.Line).Head, "turns": append([]program.Turn{}, h.turns[w.inquiry.Line]...), "closed": h.record.Closed, "owner": m.params.ID})
-		m.end(w, Piece{Kind: PieceBody, Status: 200, Body: body})
-	case Close:
-		h.record.Closed = true
-		m.save(now, h, m.patient(now, w), func(now time.Duration, ok bool) {
+	switch req.request.Kind {
+	case KindTurn:
+		m.startTurn(now, req, prog)
+	case KindTool:
+		m.startTool(now, req, prog)
+	case KindStatus:
+		body, _ := json.Marshal(map[string]any{"program": prog.record.ID, "user": prog.record.User, "role": prog.record.Role, "steps": prog.record.Steps,
+			"tokens": prog.record.Charged(), "head": prog.record.Conversation(req.request.Conversation).Head, "turns": append([]program.Turn{}, prog.turns[req.request.Conversation]...), "closed": prog.record.Closed, "owner": m.params.ID})
+		m.finish(req, Frame{Kind: FrameBody, Status: 200, Body: body})
+	case KindClose:
+		prog.record.Closed = true
+		m.save(now, prog, m.stepDeadline(now, req), func(now time.Duration, ok bool) {
 			if !ok {
-				m.refuse(w, unsure("the end could not be made durable in time"))
+				m.refuse(req, retryLater("the end could not be made durable in time"))
 				return
 			}
-			q := w.inquiry
-			q.User = h.record.User
-			m.closeUser(now, &way{tenant: w.tenant, inquiry: q}, h.record.ID, h.record.Charged())
-			m.sample(rehearsal.Sample{KeySum: w.keySum, Tenant: w.tenant, Program: h.record.ID, User: h.record.User, Role: h.record.Role, Kind: Close})
-			m.end(w, Piece{Kind: PieceBody, Status: 200, Body: []byte(`{"closed":true}`)})
+			request := req.request
+			request.User = prog.record.User
+			m.closeSession(now, &requestState{tenant: req.tenant, request: request}, prog.record.ID, prog.record.Charged())
+			m.recordSample(rehearsal.Sample{KeySum: req.keySum, Tenant: req.tenant, Program: prog.record.ID, User: prog.record.User, Role: prog.record.Role, Kind: KindClose})
+			m.finish(req, Frame{Kind: FrameBody, Status: 200, Body: []byte(`{"closed":true}`)})
 		})
 	}
 }
 
-func (m *Machine) turn(now time.Duration, w *way, h *held) {
-	q := w.inquiry
-	service, known := m.description.Services[q.Service]
-	role := m.description.Roles[h.record.Role]
-	line := h.record.Line(q.Line)
+func (m *Machine) startTurn(now time.Duration, req *requestState, prog *ownedProgram) {
+	request := req.request
+	service, known := m.description.Services[request.Service]
+	role := m.description.Roles[prog.record.Role]
+	conversation := prog.record.Conversation(request.Conversation)
 	switch {
 	case !known || service.Kind != "model":
-		m.refuse(w, denied("unknown_service", "no such model service", 400))
+		m.refuse(req, denied("unknown_service", "no such model service", 400))
 		return
-	case m.breakerState == breaker.HalfOpen && h.record.Test == 0:
-		m.refuse(w, onlyTests())
+	case m.breakerState == breaker.HalfOpen && prog.record.TestSession == 0:
+		m.refuse(req, testSessionsOnly())
 		return
-	case h.record.Busy(q.Line):
-		m.refuse(w, verdict.Refused(verdict.Refusal{Check: "program", Code: "turn_running", Reason: "a turn of this conversation is running", Status: 409, RetryAfter: time.Second, Head: line.Head}))
+	case prog.record.HasRunningTurn(request.Conversation):
+		m.refuse(req, verdict.Refused(verdict.Refusal{Check: "program", Code: "turn_running", Reason: "a turn of this conversation is running", Status: 409, RetryAfter: time.Second, Head: conversation.Head}))
 		return
-	case q.Before != line.Head || !fits(q.History, h.turns[q.Line]):
-		m.refuse(w, verdict.Refused(verdict.Refusal{Check: "program", Code: "wrong_history", Reason: "what came before is not this conversation's history", Status: 409, Head: line.Head}))
+	case request.PreviousHead != conversation.Head || !historyMatches(request.History, prog.turns[request.Conversation]):
+		m.refuse(req, verdict.Refused(verdict.Refusal{Check: "program", Code: "wrong_history", Reason: "what came before is not this conversation's history", Status: 409, Head: conversation.Head}))
 		return
 	}
-	caps := h.record.Caps(h.offset+now, role, m.description.WarnRatio)
+	caps := prog.record.CheckTurnLimits(prog.clockOffset+now, role, m.description.WarnRatio)
 	if caps.Refused() {
-		m.refuse(w, caps)
+		m.refuse(req, caps)
 		return
 	}
-	budget := h.record.Budget(role)
+	budget := prog.record.CheckTokenBudget(role)
 	if budget.Refused() {
-		m.refuse(w, budget)
+		m.refuse(req, budget)
 		return
 	}
-	s := &shot{way: w, held: h, fenced: true, tried: map[string]bool{}, tokens: role.TurnTokens, warnings: append(caps.Warnings, budget.Warnings...)}
-	if q.MaxTokens > 0 {
-		s.tokens = min(s.tokens, q.MaxTokens)
+	a := &attempt{req: req, prog: prog, fenced: true, triedReplicas: map[string]bool{}, reservedTokens: role.TurnTokens, warnings: append(caps.Warnings, budget.Warnings...)}
+	if request.MaxTokens > 0 {
+		a.reservedTokens = min(a.reservedTokens, request.MaxTokens)
 	}
-	s.price = service.Price(s.tokens)
+	a.reservedPrice = service.Price(a.reservedTokens)
 	m.nextID++
-	s.turn = fmt.Sprintf("%s-%s-%d", m.params.ID, m.incarnation, m.nextID)
-	h.record.Reserve(s.turn, q.Line, s.tokens)
-	s.payload = Payload{Shot: s.turn, Tenant: w.tenant, Program: h.record.ID, Line: q.Line, Head: line.Head,
-		History: append([]program.Turn{}, h.turns[q.Line]...), Say: q.Say, MaxTokens: s.tokens}
-	m.drawTurn(now, s)
+	a.turnID = fmt.Sprintf("%s-%s-%d", m.params.ID, m.incarnation, m.nextID)
+	prog.record.ReserveTurn(a.turnID, request.Conversation, a.reservedTokens)
+	a.payload = Payload{Attempt: a.turnID, Tenant: req.tenant, Program: prog.record.ID, Conversation: request.Conversation, Head: conversation.Head,
+		History: append([]program.Turn{}, prog.turns[request.Conversation]...), Prompt: request.Prompt, MaxTokens: a.reservedTokens}
+	m.drawTurnShares(now, a)
 }
 
-func onlyTests() verdict.Verdict {
+func testSessionsOnly() verdict.Verdict {
 	return verdict.Refused(verdict.Refusal{Check: "breaker", Code: "breaker_half_open", Reason: "only test sessions are gated", Status: 503, RetryAfter: time.Second})
 }
 
-func fits(told, kept []program.Turn) bool {
+func historyMatches(told, kept []program.Turn) bool {
 	if len(told) == 0 {
 		return true
 	}
@@ -121,7 +121,7 @@
 		return false
 	}
 	for i := range told {
-		if told[i].Say != kept[i].Say || told[i].Got != kept[i].Got {
+		if told[i].Prompt != kept[i].Prompt || told[i].Response != kept[i].Response {
 			return false
 		}
 	}
@@ -130,300 +130,300 @@
 
 // drawTurn gets the shares of the tenant's day and of money that a turn needs,
 // then makes its reservation durable, at the program's part and the user's.
-func (m *Machine) drawTurn(now time.Duration, s *shot) {
-	w, day := s.way, m.dayOf(s.way.tenant)
-	m.draw(now, day, s.tokens, m.dayChunk(w.tenant), m.patient(now, w), m.askDay(w.tenant, day), func(now time.Duration, ok, told bool) {
-		if !ok || w.over || s.held.lost {
-			m.dropTurn(now, s)
-			m.refuse(w, m.dayVerdict(told))
+func (m *Machine) drawTurnShares(now time.Duration, a *attempt) {
+	req, day := a.req, m.dayShareOf(a.req.tenant)
+	m.drawShare(now, day, a.reservedTokens, m.dayChunk(req.tenant), m.stepDeadline(now, req), m.dayShareCommand(req.tenant, day), func(now time.Duration, ok, told bool) {
+		if !ok || req.done || a.prog.lost {
+			m.cancelTurn(now, a)
+			m.refuse(req, m.dayShareRefusal(told))
 			return
 		}
-		day.reserve(s.tokens)
-		m.draw(now, m.money, s.price, m.moneyChunk(), m.patient(now, w), m.askMoney, func(now time.Duration, ok, _ bool) {
-			if !ok || w.over || s.held.lost {
-				day.settle(s.tokens, 0)
-				m.dropTurn(now, s)
+		day.reserve(a.reservedTokens)
+		m.drawShare(now, m.spendShare, a.reservedPrice, m.spendChunk(), m.stepDeadline(now, req), m.spendShareCommand, func(now time.Duration, ok, _ bool) {
+			if !ok || req.done || a.prog.lost {
+				day.settle(a.reservedTokens, 0)
+				m.cancelTurn(now, a)
 				v := m.breakerVerdict(now)
 				if !v.Refused() {
-					v = unsure("no share of the spend could be had in time")
+					v = retryLater("no share of the spend could be had in time")
 				}
-				m.refuse(w, v)
+				m.refuse(req, v)
 				return
 			}
-			m.money.reserve(s.price)
-			s.day, s.money = day, m.money
-			m.reserveTurn(now, s)
+			m.spendShare.reserve(a.reservedPrice)
+			a.dayShare, a.spendShare = day, m.spendShare
+			m.persistReservation(now, a)
 		})
 	})
 }
 
-func (m *Machine) dropTurn(now time.Duration, s *shot) {
-	if s.held == nil || s.held.lost {
+func (m *Machine) cancelTurn(now time.Duration, a *attempt) {
+	if a.prog == nil || a.prog.lost {
 		return
 	}
-	s.held.record.Unreserve(s.turn)
-	m.resave(now, s.held)
+	a.prog.record.CancelTurn(a.turnID)
+	m.resave(now, a.prog)
 }
 
 // refund gives back what a shot that did not run had taken.
-func (m *Machine) refund(now time.Duration, s *shot) {
-	if s.day == nil {
+func (m *Machine) refund(now time.Duration, a *attempt) {
+	if a.dayShare == nil {
 		return
 	}
-	s.settle(0, 0)
-	m.dropTurn(now, s)
+	a.settle(0, 0)
+	m.cancelTurn(now, a)
 }
 
 // settle turns what a shot had reserved into what it spent, once.
-func (s *shot) settle(tokens, price int64) {
-	if s.day != nil {
-		s.day.settle(s.tokens, tokens)
-		s.money.settle(s.price, price)
-		s.day, s.money = nil, nil
+func (a *attempt) settle(tokens, price int64) {
+	if a.dayShare != nil {
+		a.dayShare.settle(a.reservedTokens, tokens)
+		a.spendShare.settle(a.reservedPrice, price)
+		a.dayShare, a.spendShare = nil, nil
 	}
 }
 
 // reserveTurn makes a turn's reservation durable: at the cores with the user's
 // day charged, or, while they can't be reached, at all mirrors; the user's day is
 // then charged later, and counts meanwhile as charged beforehand.
-func (m *Machine) reserveTurn(now time.Duration, s *shot) {
-	w, h := s.way, s.held
+func (m *Machine) persistReservation(now time.Duration, a *attempt) {
+	req, prog := a.req, a.prog
 	over, saved, charged, version := false, false, false, uint64(0)
 	goOn := func(now time.Duration, good bool) {
-		alone := h.saved < version
+		alone := prog.savedVersion < version
 		if over || (good && !(saved && (charged || alone))) {
 			return
 		}
 		over = true
-		if !good || h.lost || w.over {
-			m.refund(now, s)
-			m.refuse(w, unsure("the reservation could not be made durable in time"))
+		if !good || prog.lost || req.done {
+			m.refund(now, a)
+			m.refuse(req, retryLater("the reservation could not be made durable in time"))
 			return
 		}
-		m.launch(now, s)
+		m.admitAttempt(now, a)
 	}
-	m.save(now, h, m.patient(now, w), func(now time.Duration, ok bool) {
+	m.save(now, prog, m.stepDeadline(now, req), func(now time.Duration, ok bool) {
 		saved = ok
 		goOn(now, ok)
 	})
-	version = h.record.Version
-	charge := core.ChargeUser{Tenant: w.tenant, User: h.record.User, Program: h.record.ID, Charged: h.record.Charged(), Covered: h.record.Covered}
+	version = prog.record.Version
+	charge := core.ChargeUser{Tenant: req.tenant, User: prog.record.User, Program: prog.record.ID, Charged: prog.record.Charged(), Covered: prog.record.Precharged}
 	m.caller.Call(now, charge, now+10*m.params.Core.MemberTerm, func(now time.Duration, o core.Outcome) {
 		day, ok := o.Answer.(core.UserDay)
-		role := m.description.Roles[h.record.Role]
+		role := m.description.Roles[prog.record.Role]
 		if ok && day.Tokens >= role.UserDayTokensSoft {
-			s.warnings = append(s.warnings, verdict.Warning{Scope: "user_day_tokens", Used: day.Tokens, Limit: role.UserDayTokensHard})
+			a.warnings = append(a.warnings, verdict.Warning{Scope: "user_day_tokens", Used: day.Tokens, Limit: role.UserDayTokensHard})
 		}
 		charged = ok
 		if ok {
-			h.dayCovered = max(h.dayCovered, charge.Covered)
+			prog.dayPrecharged = max(prog.dayPrecharged, charge.Covered)
 		}
 		goOn(now, true)
 	})
-	m.later.Add(m.patient(now, w), func(now time.Duration) { goOn(now, charged && saved) })
+	m.timers.Add(m.stepDeadline(now, req), func(now time.Duration) { goOn(now, charged && saved) })
 }
 
 // launch takes the tenant's rate and a replica, and shoots, all in one moment
 // if the term still holds then.
-func (m *Machine) launch(now time.Duration, s *shot) {
-	m.pass(now, s.way.tenant, m.description.Services[s.way.inquiry.Service].Urgent, s.way.until, func(now time.Duration, ok bool, wait time.Duration) {
-		if s.way.over {
-			m.undo(now, s, verdict.Verdict{})
+func (m *Machine) admitAttempt(now time.Duration, a *attempt) {
+	m.takeRate(now, a.req.tenant, m.description.Services[a.req.request.Service].Urgent, a.req.deadline, func(now time.Duration, ok bool, wait time.Duration) {
+		if a.req.done {
+			m.cancelAttempt(now, a, verdict.Verdict{})
 			return
 		}
 		if !ok {
-			m.undo(now, s, verdict.Refused(verdict.Refusal{Check: "rate", Code: "too_many", Reason: "the tenant's inquiries come faster than its rate", Status: 429, RetryAfter: wait}))
+			m.cancelAttempt(now, a, verdict.Refused(verdict.Refusal{Check: "rate", Code: "too_many", Reason: "the tenant's inquiries come faster than its rate", Status: 429, RetryAfter: wait}))
 			return
 		}
-		m.fire(now, s)
+		m.startAttempt(now, a)
 	})
 }
 
-func (m *Machine) fire(now time.Duration, s *shot) {
-	w, service := s.way, s.way.inquiry.Service
-	if !m.termed(now) || (s.fenced && s.held.lost) {
-		m.undo(now, s, unsure("this node's term ended"))
+func (m *Machine) startAttempt(now time.Duration, a *attempt) {
+	req, service := a.req, a.req.request.Service
+	if !m.inTerm(now) || (a.fenced && a.prog.lost) {
+		m.cancelAttempt(now, a, retryLater("this node's term ended"))
 		return
 	}
-	if w.inquiry.Kind != Action || !m.description.Services[service].BypassesBreaker {
+	if req.request.Kind != KindAction || !m.description.Services[service].BypassesBreaker {
 		if v := m.breakerVerdict(now); v.Refused() {
-			m.undo(now, s, v)
+			m.cancelAttempt(now, a, v)
 			return
 		}
 	}
-	if _, _, known := m.description.TenantAndRole(w.inquiry.Key); !known {
-		m.undo(now, s, denied("unknown_key", "the key was revoked", 401))
+	if _, _, known := m.description.TenantAndRole(req.request.Key); !known {
+		m.cancelAttempt(now, a, denied("unknown_key", "the key was revoked", 401))
 		return
 	}
-	if now >= w.until {
-		m.undo(now, s, late(verdict.NotExecuted))
+	if now >= req.deadline {
+		m.cancelAttempt(now, a, deadlineExceeded(verdict.NotExecuted))
 		return
 	}
-	r, ok := m.choose(now, service, s.untried)
+	r, ok := m.chooseReplica(now, service, a.untriedReplica)
 	if !ok {
-		if !m.awaitRoom(now, s) {
-			m.undo(now, s, m.noReplica(now, service))
+		if !m.enqueue(now, a) {
+			m.cancelAttempt(now, a, m.noReplicaVerdict(now, service))
 		}
 		return
 	}
-	s.firedAt = now
-	s.replica = r
-	s.tried[r.ID] = true
-	m.conditionOf(r).outstanding++
-	t := m.shots.Keep(s)
-	m.live[t] = s
-	w.shot = t
-	w.ran = verdict.MaybeExecuted
+	a.startedAt = now
+	a.replica = r
+	a.triedReplicas[r.ID] = true
+	m.healthOf(r).outstanding++
+	t := m.attempts.Keep(a)
+	m.liveAttempts[t] = a
+	req.attempt = t
+	req.ran = verdict.MaybeExecuted
 	m.running++
-	m.Counters.Shots++
-	m.out.Shots = append(m.out.Shots, Shoot{Shot: uint64(t), Service: service, Kind: m.description.Services[service].Kind,
-		Replica: r.ID, Address: r.Address, Payload: s.payload, Budget: w.until - now})
+	m.Counters.Attempts++
+	m.out.Attempts = append(m.out.Attempts, StartAttempt{Attempt: uint64(t), Service: service, Kind: m.description.Services[service].Kind,
+		Replica: r.ID, Address: r.Address, Payload: a.payload, Timeout: req.deadline - now})
 }
 
 // undo refuses an inquiry whose shot did not run, after taking everything back.
-func (m *Machine) undo(now time.Duration, s *shot, v verdict.Verdict) {
-	switch s.way.inquiry.Kind {
-	case Turn:
-		m.refund(now, s)
-	case Tool:
-		if !s.held.lost {
-			s.held.record.UncallTool(s.way.inquiry.Service, s.arguments)
-			m.resave(now, s.held)
+func (m *Machine) cancelAttempt(now time.Duration, a *attempt, v verdict.Verdict) {
+	switch a.req.request.Kind {
+	case KindTurn:
+		m.refund(now, a)
+	case KindTool:
+		if !a.prog.lost {
+			a.prog.record.CancelToolCall(a.req.request.Service, a.argumentsDigest)
+			m.resave(now, a.prog)
 		}
-	case Action:
-		m.endOnce(now, s, core.OnceFree, 0, nil, func(time.Duration, bool) {})
+	case KindAction:
+		m.finishOnce(now, a, core.OnceFree, 0, nil, func(time.Duration, bool) {})
 	}
-	s.way.ran = verdict.NotExecuted
+	a.req.ran = verdict.NotExecuted
 	if v.Kind != "" {
-		m.refuse(s.way, v)
+		m.refuse(a.req, v)
 	}
 }
 
 // Shot takes an event of a shot.
-func (m *Machine) Shot(now time.Duration, e Event) Output {
-	m.step(now)
-	t := slab.Ticket(e.Shot)
-	s, ok := m.shots.Look(t)
+func (m *Machine) HandleAttemptEvent(now time.Duration, e AttemptEvent) Output {
+	m.beginStep(now)
+	t := slab.Ticket(e.Attempt)
+	a, ok := m.attempts.Look(t)
 	if !ok {
 		return *m.out
 	}
 	if e.Kind != EventChunk {
-		m.endShot(now, t, e)
-		m.freeRoom(now)
+		m.finishAttempt(now, t, e)
+		m.drainQueues(now)
 		return *m.out
 	}
-	w := s.way
-	if !w.opened {
-		w.opened = true
-		w.give(Piece{Kind: PieceOpen, Status: 200})
+	req := a.req
+	if !req.streaming {
+		req.streaming = true
+		req.respond(Frame{Kind: FrameOpen, Status: 200})
 	}
-	if s.relayed+e.Tokens > s.tokens {
-		m.out.Cancels = append(m.out.Cancels, e.Shot)
-		m.endShot(now, t, Event{Kind: EventDone, Status: 200, Text: "cut at the reservation"})
+	if a.relayedTokens+e.Tokens > a.reservedTokens {
+		m.out.Cancels = append(m.out.Cancels, e.Attempt)
+		m.finishAttempt(now, t, AttemptEvent{Kind: EventDone, Status: 200, Text: "cut at the reservation"})
 		return *m.out
 	}
-	s.relayed += e.Tokens
-	s.text.WriteString(e.Text)
-	w.give(Piece{Kind: PieceChunk, Text: e.Text, Tokens: e.Tokens})
+	a.relayedTokens += e.Tokens
+	a.text.WriteString(e.Text)
+	req.respond(Frame{Kind: FrameChunk, Text: e.Text, Tokens: e.Tokens})
 	return *m.out
 }
 
-func (m *Machine) endShot(now time.Duration, t slab.Ticket, e Event) {
-	s, ok := m.shots.Take(t)
+func (m *Machine) finishAttempt(now time.Duration, t slab.Ticket, e AttemptEvent) {
+	a, ok := m.attempts.Take(t)
 	if !ok {
 		return
 	}
-	delete(m.live, t)
+	delete(m.liveAttempts, t)
 	m.running--
-	c := m.conditionOf(s.replica)
-	c.outstanding--
+	h := m.healthOf(a.replica)
+	h.outstanding--
 	switch e.Kind {
 	case EventDone:
-		c.failures = 0
-		r := m.roomOf(s.way.inquiry.Service)
-		r.took = (7*r.took + now - s.firedAt) / 8
+		h.failures = 0
+		r := m.queueOf(a.req.request.Service)
+		r.averageDuration = (7*r.averageDuration + now - a.startedAt) / 8
 	case EventNotRun:
 		m.Counters.NotRun++
-		m.eject(now, c)
-		s.way.ran = verdict.NotExecuted
-		if len(s.tried) < 3 && !s.way.over {
+		m.recordFailure(now, h)
+		a.req.ran = verdict.NotExecuted
+		if len(a.triedReplicas) < 3 && !a.req.done {
 			// Another replica is another inquiry to the tenant's quota.
-			m.launch(now, s)
+			m.admitAttempt(now, a)
 			return
 		}
-		m.undo(now, s, m.noReplica(now, s.way.inquiry.Service))
+		m.cancelAttempt(now, a, m.noReplicaVerdict(now, a.req.request.Service))
 		return
-	case EventBroken:
-		m.Counters.Broken++
-		m.eject(now, c)
-	}
-	switch s.way.inquiry.Kind {
-	case Turn:
-		m.endTurn(now, s, e)
-	case Tool:
-		m.endTool(now, s, e)
-	case Action:
-		m.endAction(now, s, e)
+	case EventInterrupted:
+		m.Counters.Interrupted++
+		m.recordFailure(now, h)
+	}
+	switch a.req.request.Kind {
+	case KindTurn:
+		m.finishTurn(now, a, e)
+	case KindTool:
+		m.finishTool(now, a, e)
+	case KindAction:
+		m.finishAction(now, a, e)
 	}
 }
 
-func (m *Machine) eject(now time.Duration, c *condition) {
-	c.failures++
-	if c.failures >= 3 {
-		c.until = now + m.params.Newest*time.Duration(min(c.failures-2, 8))
+func (m *Machine) recordFailure(now time.Duration, h *replicaHealth) {
+	h.failures++
+	if h.failures >= 3 {
+		h.ejectedUntil = now + m.params.AnnouncementMaxAge*time.Duration(min(h.failures-2, 8))
 	}
 }
 
-func (m *Machine) endTurn(now time.Duration, s *shot, e Event) {
-	w, h := s.way, s.held
-	good := e.Kind == EventDone && e.Status < 300 && !w.over
-	spent := s.tokens
+func (m *Machine) finishTurn(now time.Duration, a *attempt, e AttemptEvent) {
+	req, prog := a.req, a.prog
+	good := e.Kind == EventDone && e.Status < 300 && !req.done
+	spent := a.reservedTokens
 	if good {
-		spent = s.relayed
+		spent = a.relayedTokens
 	}
-	s.settle(spent, min(s.price, m.description.Services[w.inquiry.Service].Price(spent)))
-	if h.record.Test > 0 && !h.record.Tested && !h.lost {
-		h.record.Tested = good
-		m.caller.Call(now, core.ResultTest{Program: h.record.ID, Good: good, Limits: m.limits()}, now+10*m.params.Core.MemberTerm, func(time.Duration, core.Outcome) {})
+	a.settle(spent, min(a.reservedPrice, m.description.Services[req.request.Service].Price(spent)))
+	if prog.record.TestSession > 0 && !prog.record.TestReported && !prog.lost {
+		prog.record.TestReported = good
+		m.caller.Call(now, core.ResultTest{Program: prog.record.ID, Good: good, Limits: m.breakerLimits()}, now+10*m.params.Core.MemberTerm, func(time.Duration, core.Outcome) {})
 	}
-	if h.lost {
-		m.breakOff(now, w)
+	if prog.lost {
+		m.abortRequest(now, req)
 		return
 	}
 	if !good {
-		h.record.Fail(s.turn)
-		m.resave(now, h)
-		m.breakOff(now, w)
+		prog.record.FailTurn(a.turnID)
+		m.resave(now, prog)
+		m.abortRequest(now, req)
 		return
 	}
-	t := h.record.Finish(s.turn, s.relayed, w.inquiry.Say, s.text.String())
-	h.turns[t.Line] = append(h.turns[t.Line], t)
-	h.unsaved = append(h.unsaved, t)
-	m.save(now, h, w.until, func(now time.Duration, ok bool) {
+	t := prog.record.FinishTurn(a.turnID, a.relayedTokens, req.request.Prompt, a.text.String())
+	prog.turns[t.Conversation] = append(prog.turns[t.Conversation], t)
+	prog.unsavedTurns = append(prog.unsavedTurns, t)
+	m.save(now, prog, req.deadline, func(now time.Duration, ok bool) {
 		if !ok {
-			m.breakOff(now, w)
+			m.abortRequest(now, req)
 			return
 		}
-		m.Counters.Whole++
-		m.count(s.warnings)
-		m.sample(rehearsal.Sample{KeySum: w.keySum, Tenant: w.tenant, Program: h.record.ID, User: h.record.User, Role: h.record.Role, Kind: Turn, Service: w.inquiry.Service, Tokens: s.relayed, Steps: h.record.Steps, Charged: h.record.Charged()})
+		m.Counters.Completed++
+		m.countAdmitted(a.warnings)
+		m.recordSample(rehearsal.Sample{KeySum: req.keySum, Tenant: req.tenant, Program: prog.record.ID, User: prog.record.User, Role: prog.record.Role, Kind: KindTurn, Service: req.request.Service, Tokens: a.relayedTokens, Steps: prog.record.Steps, Charged: prog.record.Charged()})
 		end := "complete"
 		if e.Text != "" {
 			end = e.Text
 		}
-		m.end(w, Piece{Kind: PieceClose, Status: 200, Tokens: s.relayed, Head: t.Head, End: end, Verdict: verdict.Allowed(verdict.Executed, s.warnings)})
+		m.finish(req, Frame{Kind: FrameClose, Status: 200, Tokens: a.relayedTokens, Head: t.Head, FinishReason: end, Verdict: verdict.Allowed(verdict.Executed, a.warnings)})
 	})
 }
 
 // breakOff ends a turn that has no whole outcome.
-func (m *Machine) breakOff(now time.Duration, w *way) {
+func (m *Machine) abortRequest(now time.Duration, req *requestState) {
 	switch {
-	case w.over:
-	case w.opened:
-		m.end(w, Piece{Kind: PieceBreak})
-	case now >= w.until:
-		m.refuse(w, late(verdict.MaybeExecuted))
+	case req.done:
+	case req.streaming:
+		m.finish(req, Frame{Kind: FrameAbort})
+	case now >= req.deadline:
+		m.refuse(req, deadlineExceeded(verdict.MaybeExecuted))
 	default:
-		m.refuse(w, verdict.Refused(verdict.Refusal{Check: "replica", Code: "answer_lost", Reason: "the replica's answer was lost; the turn may have run and is charged", Status: 502, Ran: verdict.MaybeExecuted}))
+		m.refuse(req, verdict.Refused(verdict.Refusal{Check: "replica", Code: "answer_lost", Reason: "the replica's answer was lost; the turn may have run and is charged", Status: 502, Ran: verdict.MaybeExecuted}))
 	}
 }
--- a/peer/node/types.go
+++ b/peer/node/types.go
@@ -13,134 +13,134 @@
 
 // Kinds of inquiries.
 const (
-	Open   = "open"
-	Turn   = "turn"
-	Tool   = "tool"
-	Action = "action"
-	Close  = "close"
-	Look   = "look"
+	KindOpen   = "open"
+	KindTurn   = "turn"
+	KindTool   = "tool"
+	KindAction = "action"
+	KindClose  = "close"
+	KindStatus = "look"
 )
 
 // Inquiry is what a requester asks for.
-type Inquiry struct {
-	Kind      string         `msgpack:"k"`
-	Key       string         `msgpack:"y"`
-	User      string         `msgpack:"u"`
-	Program   string         `msgpack:"p"`
-	Line      string         `msgpack:"l"`
-	Service   string         `msgpack:"s"`
-	Before    string         `msgpack:"b"`
-	Say       string         `msgpack:"t"`
-	History   []program.Turn `msgpack:"h"`
-	MaxTokens int64          `msgpack:"m"`
-	Arguments []byte         `msgpack:"a"`
-	OnceKey   string         `msgpack:"o"`
-	Budget    time.Duration  `msgpack:"d"`
+type Request struct {
+	Kind         string         `msgpack:"k"`
+	Key          string         `msgpack:"y"`
+	User         string         `msgpack:"u"`
+	Program      string         `msgpack:"p"`
+	Conversation string         `msgpack:"l"`
+	Service      string         `msgpack:"s"`
+	PreviousHead string         `msgpack:"b"`
+	Prompt       string         `msgpack:"t"`
+	History      []program.Turn `msgpack:"h"`
+	MaxTokens    int64          `msgpack:"m"`
+	Arguments    []byte         `msgpack:"a"`
+	OnceKey      string         `msgpack:"o"`
+	Timeout      time.Duration  `msgpack:"d"`
 }
 
 // Kinds of pieces of a return.
 const (
-	PieceTaken   = "taken"
-	PieceVerdict = "verdict"
-	PieceBody    = "body"
-	PieceOpen    = "open"
-	PieceChunk   = "chunk"
-	PieceClose   = "close"
-	PieceBreak   = "break"
+	FrameAccepted = "taken"
+	FrameVerdict  = "verdict"
+	FrameBody     = "body"
+	FrameOpen     = "open"
+	FrameChunk    = "chunk"
+	FrameClose    = "close"
+	FrameAbort    = "break"
 )
 
 // Piece is one part of what a requester gets back. The last one is a verdict,
 // a body, a close or a break, and only a close makes a stream whole.
-type Piece struct {
-	Kind    string          `msgpack:"k"`
-	Verdict verdict.Verdict `msgpack:"v"`
-	Status  int             `msgpack:"s"`
-	Body    []byte          `msgpack:"b"`
-	Text    string          `msgpack:"t"`
-	Tokens  int64           `msgpack:"n"`
-	Head    string          `msgpack:"h"`
-	End     string          `msgpack:"e"`
+type Frame struct {
+	Kind         string          `msgpack:"k"`
+	Verdict      verdict.Verdict `msgpack:"v"`
+	Status       int             `msgpack:"s"`
+	Body         []byte          `msgpack:"b"`
+	Text         string          `msgpack:"t"`
+	Tokens       int64           `msgpack:"n"`
+	Head         string          `msgpack:"h"`
+	FinishReason string          `msgpack:"e"`
 }
 
 // Last reports whether nothing follows a piece.
-func (p Piece) Last() bool {
-	return p.Kind == PieceVerdict || p.Kind == PieceBody || p.Kind == PieceClose || p.Kind == PieceBreak
+func (p Frame) Last() bool {
+	return p.Kind == FrameVerdict || p.Kind == FrameBody || p.Kind == FrameClose || p.Kind == FrameAbort
 }
 
 // Messages between nodes.
 type (
 	// Forward passes an inquiry to the owner of its program.
-	Forward struct {
+	ForwardRequest struct {
 		ID      uint64  `msgpack:"i"`
-		Inquiry Inquiry `msgpack:"q"`
+		Request Request `msgpack:"q"`
 	}
 	// Withdraw says that nobody waits for a forwarded inquiry any more.
-	Withdraw struct {
+	CancelForward struct {
 		ID uint64 `msgpack:"i"`
 	}
 	// Pieced carries one piece back, numbered without gaps.
-	Pieced struct {
+	ForwardedFrame struct {
 		ID     uint64 `msgpack:"i"`
 		Number int    `msgpack:"n"`
-		Piece  Piece  `msgpack:"p"`
+		Frame  Frame  `msgpack:"p"`
 	}
 )
 
 func init() {
 	message.Register(map[string]any{
-		"node.Forward":  Forward{},
-		"node.Withdraw": Withdraw{},
-		"node.Pieced":   Pieced{},
+		"node.Forward":  ForwardRequest{},
+		"node.Withdraw": CancelForward{},
+		"node.Pieced":   ForwardedFrame{},
 	})
 }
 
 // Return is a piece for the requester that waits under a ticket.
-type Return struct {
+type Response struct {
 	Ticket uint64
-	Piece  Piece
+	Frame  Frame
 }
 
 // Shoot asks for one shot at a replica.
-type Shoot struct {
-	Shot    uint64
+type StartAttempt struct {
+	Attempt uint64
 	Service string
 	Kind    string
 	Replica string
 	Address string
 	Payload Payload
-	Budget  time.Duration
+	Timeout time.Duration
 }
 
 // Payload is what a replica is sent.
 type Payload struct {
-	Shot      string         `json:"shot"`
-	Tenant    string         `json:"tenant"`
-	Program   string         `json:"program,omitempty"`
-	Line      string         `json:"line,omitempty"`
-	Head      string         `json:"head,omitempty"`
-	History   []program.Turn `json:"history"`
-	Say       string         `json:"say,omitempty"`
-	MaxTokens int64          `json:"max_tokens,omitempty"`
-	OnceKey   string         `json:"once_key,omitempty"`
-	Body      []byte         `json:"-"`
+	Attempt      string         `json:"shot"`
+	Tenant       string         `json:"tenant"`
+	Program      string         `json:"program,omitempty"`
+	Conversation string         `json:"line,omitempty"`
+	Head         string         `json:"head,omitempty"`
+	History      []program.Turn `json:"history"`
+	Prompt       string         `json:"say,omitempty"`
+	MaxTokens    int64          `json:"max_tokens,omitempty"`
+	OnceKey      string         `json:"once_key,omitempty"`
+	Body         []byte         `json:"-"`
 }
 
 // Kinds of events of a shot.
 const (
-	EventChunk  = "chunk"
-	EventDone   = "done"
-	EventNotRun = "not run"
-	EventBroken = "broken"
+	EventChunk       = "chunk"
+	EventDone        = "done"
+	EventNotRun      = "not run"
+	EventInterrupted = "broken"
 )
 
 // Event is something that became of a shot.
-type Event struct {
-	Shot   uint64
-	Kind   string
-	Text   string
-	Tokens int64
-	Status int
-	Body   []byte
+type AttemptEvent struct {
+	Attempt uint64
+	Kind    string
+	Text    string
+	Tokens  int64
+	Status  int
+	Body    []byte
 }
 
 // Send is a message for the process at an address.
@@ -151,33 +151,33 @@
 
 // Output is what a step wants done.
 type Output struct {
-	Sends   []Send
-	Returns []Return
-	Shots   []Shoot
-	Cancels []uint64
+	Sends     []Send
+	Responses []Response
+	Attempts  []StartAttempt
+	Cancels   []uint64
 }
 
 // Params bound a node's timing and room; all else are ratios to these.
 type Params struct {
 	Core core.Params
 	// Buffer is how many inquiries may wait for a shot.
-	Buffer int
+	QueueLimit int
 	// Patience is the longest that a shot waits for its tenant's rate.
-	Patience time.Duration
+	MaxQueueWait time.Duration
 	// Report is how often shares are reported while they change.
-	Report time.Duration
+	ReportInterval time.Duration
 	// Newest is how old a replica's announcement may be when a shot is made.
-	Newest time.Duration
+	AnnouncementMaxAge time.Duration
 	// UrgentRatio is the part of the buffer kept for urgent services.
 	UrgentRatio float64
 	// Budget is that of inquiries which name none.
-	Budget time.Duration
+	DefaultTimeout time.Duration
 }
 
 // Counters are what a node counts.
 type Counters struct {
-	Inquiries, Forwarded, Gated, Warned, Refused, Shots, NotRun, Broken, Whole                   int64
-	Takeovers, Joins, TermsLost, StaleNews, Resets, Fenced, BadMessages, Saves, Handed, PassedOn int64
-	Mirrored, MirrorsUsed, MirrorsLost                                                           int64
-	Refusals                                                                                     map[string]int64
+	Requests, Forwarded, Admitted, Warned, Refused, Attempts, NotRun, Interrupted, Completed           int64
+	Takeovers, Joins, TermsLost, StaleUpdates, Resets, Fenced, BadMessages, Saves, HandedOver, Relayed int64
+	Mirrored, MirrorsUsed, MirrorsLost                                                                 int64
+	Refusals                                                                                           map[string]int64
 }
--- a/peer/node/news.go
+++ b/peer/node/update.go
@@ -23,7 +23,7 @@
 		versions[n] = v
 	}
 	m.pulls++
-	ask := core.Pull{Sent: now, Versions: versions, Member: m.params.ID, Fresh: m.freshAt < m.bornAt, Want: m.pulls%8 == 1 || len(m.topology.Owners) == 0}
+	ask := core.Pull{Sent: now, Versions: versions, Member: m.params.ID, Fresh: m.freshAt < m.startedAt, Want: m.pulls%8 == 1 || len(m.topology.Owners) == 0}
 	targets := m.coreAddresses()
 	if len(targets) == 0 {
 		targets = m.params.Seeds
@@ -100,12 +100,12 @@
 		}
 		m.send(from, news)
 	}
-	m.tellAnnounced(now, from, b.Sent)
+	m.sendAnnouncements(now, from, b.Sent)
 }
 
-func (m *Machine) onNews(now time.Duration, b core.News) {
+func (m *Machine) onUpdate(now time.Duration, b core.News) {
 	if !m.versions[b.Part].Less(b.Upto) || (!b.Whole && m.versions[b.Part].Less(b.After)) {
-		m.Counters.StaleNews++
+		m.Counters.StaleUpdates++
 		return
 	}
 	if b.Whole || m.entries[b.Part] == nil {
@@ -119,34 +119,34 @@
 		}
 	}
 	m.versions[b.Part] = b.Upto
-	m.learn(now, b.Part)
+	m.applyPartition(now, b.Part)
 }
 
-func (m *Machine) learn(now time.Duration, n int) {
+func (m *Machine) applyPartition(now time.Duration, n int) {
 	for _, k := range ordered.Keys(m.entries[n]) {
-		m.learnEntry(now, m.entries[n][k])
+		m.applyEntry(now, m.entries[n][k])
 	}
 }
 
-func (m *Machine) learnEntry(now time.Duration, e partition.Entry) {
+func (m *Machine) applyEntry(now time.Duration, e partition.Entry) {
 	kind, _, _ := strings.Cut(e.Key, "/")
 	switch kind {
 	case "configuration":
 		var c core.Configured
-		if message.Unmarshal(e.Value, &c) != nil || c.Version <= m.version {
+		if message.Unmarshal(e.Value, &c) != nil || c.Version <= m.configurationVersion {
 			return
 		}
 		d, faults := configuration.Parse(c.Text)
 		if len(faults) > 0 {
 			return
 		}
-		m.description, m.version, m.tenants = d, c.Version, d.TenantNames()
+		m.description, m.configurationVersion, m.tenants = d, c.Version, d.TenantNames()
 		m.renewAt = now
 	case "member":
 		var o core.Member
 		if message.Unmarshal(e.Value, &o) == nil {
 			m.members[o.ID] = o
-			m.breakFrom(now, o)
+			m.failForwardsTo(now, o)
 		}
 	case "core":
 		var c core.Core
--- a/peer/replica/announce.go
+++ b/peer/replica/announce.go
@@ -30,7 +30,7 @@
 // AnnouncementHandler returns a handler that authenticates announcements by the bearer
 // key, validates them and passes them to announce. Requests are rejected if key is
 // empty.
-func AnnouncementHandler(key string, announce func(ctx context.Context, r node.Replica, version string) (node.Heard, error)) http.Handler {
+func AnnouncementHandler(key string, announce func(ctx context.Context, r node.Replica, version string) (node.AnnounceReply, error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		refuse := func(status int, code, reason string) {
@@ -60,7 +60,7 @@
 				refuse(503, "come_back", "it was not heard; tell another node")
 				return
 			}
-			json.NewEncoder(w).Encode(AnnouncementReply{Accepted: reply.Counted, Version: reply.Stamp, NextMS: reply.Again.Milliseconds()})
+			json.NewEncoder(w).Encode(AnnouncementReply{Accepted: reply.Accepted, Version: reply.Token, NextMS: reply.NextIn.Milliseconds()})
 		}
 	})
 }
--- a/peer/replica/sender.go
+++ b/peer/replica/sender.go
@@ -40,8 +40,8 @@
 // Send makes one attempt and reports its events. The last event is node.EventDone,
 // node.EventNotRun if the replica certainly did not run the attempt, or
 // node.EventBroken if it may have run.
-func (s *Sender) Send(ctx context.Context, attempt node.Shoot, report func(e node.Event)) {
-	ctx, cancel := context.WithTimeout(ctx, attempt.Budget)
+func (s *Sender) Send(ctx context.Context, attempt node.StartAttempt, report func(e node.AttemptEvent)) {
+	ctx, cancel := context.WithTimeout(ctx, attempt.Timeout)
 	defer cancel()
 	path, body := "/v1/calls", attempt.Payload.Body
 	if attempt.Kind == "model" {
@@ -50,12 +50,12 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, "POST", "http://"+attempt.Address+path, bytes.NewReader(body))
 	if err != nil {
-		report(node.Event{Shot: attempt.Shot, Kind: node.EventNotRun})
+		report(node.AttemptEvent{Attempt: attempt.Attempt, Kind: node.EventNotRun})
 		return
 	}
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
-	request.Header.Set("Saffronfall-Shot", attempt.Payload.Shot)
+	request.Header.Set("Saffronfall-Shot", attempt.Payload.Attempt)
 	request.Header.Set("Saffronfall-Tenant", attempt.Payload.Tenant)
 	request.Header.Set("Saffronfall-Program", attempt.Payload.Program)
 	if attempt.Payload.OnceKey != "" {
@@ -63,17 +63,17 @@
 	}
 	response, err := s.client.Do(request)
 	if err != nil {
-		kind := node.EventBroken
+		kind := node.EventInterrupted
 		var dial *net.OpError
 		if errors.As(err, &dial) && dial.Op == "dial" {
 			kind = node.EventNotRun
 		}
-		report(node.Event{Shot: attempt.Shot, Kind: kind})
+		report(node.AttemptEvent{Attempt: attempt.Attempt, Kind: kind})
 		return
 	}
 	defer response.Body.Close()
 	if attempt.Kind == "model" && response.StatusCode == 200 {
-		s.readStream(attempt.Shot, response.Body, report)
+		s.readStream(attempt.Attempt, response.Body, report)
 		return
 	}
 	raw, err := io.ReadAll(io.LimitReader(response.Body, s.maxBytes+1))
@@ -82,19 +82,19 @@
 	}
 	switch {
 	case err != nil || int64(len(raw)) > s.maxBytes:
-		report(node.Event{Shot: attempt.Shot, Kind: node.EventBroken})
+		report(node.AttemptEvent{Attempt: attempt.Attempt, Kind: node.EventInterrupted})
 	case response.StatusCode >= 400 && json.Unmarshal(raw, &proof) == nil && proof.Ran == "no":
-		report(node.Event{Shot: attempt.Shot, Kind: node.EventNotRun})
+		report(node.AttemptEvent{Attempt: attempt.Attempt, Kind: node.EventNotRun})
 	case attempt.Kind == "model" || !json.Valid(raw):
-		report(node.Event{Shot: attempt.Shot, Kind: node.EventBroken})
+		report(node.AttemptEvent{Attempt: attempt.Attempt, Kind: node.EventInterrupted})
 	default:
-		report(node.Event{Shot: attempt.Shot, Kind: node.EventDone, Status: response.StatusCode, Body: raw})
+		report(node.AttemptEvent{Attempt: attempt.Attempt, Kind: node.EventDone, Status: response.StatusCode, Body: raw})
 	}
 }
 
 // readStream reports the lines of a turn. A turn is done only if its last line states
 // the right total of tokens.
-func (s *Sender) readStream(attempt uint64, body io.Reader, report func(e node.Event)) {
+func (s *Sender) readStream(attempt uint64, body io.Reader, report func(e node.AttemptEvent)) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 4096), int(s.maxBytes))
 	var total int64
@@ -107,11 +107,11 @@
 			if l.Total != total {
 				break
 			}
-			report(node.Event{Shot: attempt, Kind: node.EventDone, Status: 200})
+			report(node.AttemptEvent{Attempt: attempt, Kind: node.EventDone, Status: 200})
 			return
 		}
 		total += l.Tokens
-		report(node.Event{Shot: attempt, Kind: node.EventChunk, Text: l.Text, Tokens: l.Tokens})
+		report(node.AttemptEvent{Attempt: attempt, Kind: node.EventChunk, Text: l.Text, Tokens: l.Tokens})
 	}
-	report(node.Event{Shot: attempt, Kind: node.EventBroken})
+	report(node.AttemptEvent{Attempt: attempt, Kind: node.EventInterrupted})
 }
--- a/peer/requester/handler.go
+++ b/peer/requester/handler.go
@@ -27,7 +27,7 @@
 type Backend interface {
 	// Submit hands over a request. Its answer arrives in pieces on the channel; ending the
 	// context cancels the request. The result is false if the node's buffer is full.
-	Submit(ctx context.Context, q node.Inquiry) (<-chan node.Piece, bool)
+	Submit(ctx context.Context, q node.Request) (<-chan node.Frame, bool)
 	// Ready reports whether the node accepts requests.
 	Ready(ctx context.Context) bool
 	// Counters returns the node's counters, to be encoded as JSON.
@@ -65,25 +65,25 @@
 // Handler returns the handler of a node's API. Bodies may have at most maxBody bytes.
 func Handler(backend Backend, maxBody int64) http.Handler {
 	mux := http.NewServeMux()
-	handle := func(pattern string, fill func(q *node.Inquiry, b body, r *http.Request) string) {
+	handle := func(pattern string, fill func(q *node.Request, b body, r *http.Request) string) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) { serve(w, r, backend, maxBody, fill) })
 	}
-	handle("POST /v1/programs", func(q *node.Inquiry, b body, r *http.Request) string {
-		q.Kind, q.User = node.Open, b.User
+	handle("POST /v1/programs", func(q *node.Request, b body, r *http.Request) string {
+		q.Kind, q.User = node.KindOpen, b.User
 		if !configuration.ValidName(b.User) {
 			return "user must be a name"
 		}
 		return ""
 	})
-	handle("POST /v1/programs/{program}/turns", func(q *node.Inquiry, b body, r *http.Request) string {
-		q.Kind, q.Program, q.Line, q.Service = node.Turn, r.PathValue("program"), b.Helper, b.Service
-		q.Before, q.Say, q.MaxTokens = b.Before, b.Say, b.MaxTokens
+	handle("POST /v1/programs/{program}/turns", func(q *node.Request, b body, r *http.Request) string {
+		q.Kind, q.Program, q.Conversation, q.Service = node.KindTurn, r.PathValue("program"), b.Helper, b.Service
+		q.PreviousHead, q.Prompt, q.MaxTokens = b.Before, b.Say, b.MaxTokens
 		for _, t := range b.History {
-			q.History = append(q.History, program.Turn{Say: t.Say, Got: t.Got})
+			q.History = append(q.History, program.Turn{Prompt: t.Say, Response: t.Got})
 		}
 		switch {
 		case b.Before == "":
-			return "before must name the head that this turn follows; the first turn follows \"" + program.Start + "\""
+			return "before must name the head that this turn follows; the first turn follows \"" + program.EmptyHead + "\""
 		case b.Say == "":
 			return "say must not be empty"
 		case b.MaxTokens < 0:
@@ -93,15 +93,15 @@
 		}
 		return ""
 	})
-	handle("POST /v1/programs/{program}/tools/{service}", func(q *node.Inquiry, b body, r *http.Request) string {
-		q.Kind, q.Program, q.Service, q.Line, q.Arguments = node.Tool, r.PathValue("program"), r.PathValue("service"), b.Helper, b.Arguments
+	handle("POST /v1/programs/{program}/tools/{service}", func(q *node.Request, b body, r *http.Request) string {
+		q.Kind, q.Program, q.Service, q.Conversation, q.Arguments = node.KindTool, r.PathValue("program"), r.PathValue("service"), b.Helper, b.Arguments
 		if len(b.Arguments) == 0 {
 			return "arguments are missing"
 		}
 		return ""
 	})
-	handle("POST /v1/actions/{service}", func(q *node.Inquiry, b body, r *http.Request) string {
-		q.Kind, q.Service, q.User, q.OnceKey, q.Arguments = node.Action, r.PathValue("service"), b.User, b.OnceKey, b.Body
+	handle("POST /v1/actions/{service}", func(q *node.Request, b body, r *http.Request) string {
+		q.Kind, q.Service, q.User, q.OnceKey, q.Arguments = node.KindAction, r.PathValue("service"), b.User, b.OnceKey, b.Body
 		switch {
 		case b.OnceKey == "" || len(b.OnceKey) > 256:
 			return "once_key must have 1 to 256 bytes"
@@ -110,12 +110,12 @@
 		}
 		return ""
 	})
-	handle("GET /v1/programs/{program}", func(q *node.Inquiry, b body, r *http.Request) string {
-		q.Kind, q.Program, q.Line = node.Look, r.PathValue("program"), r.URL.Query().Get("helper")
+	handle("GET /v1/programs/{program}", func(q *node.Request, b body, r *http.Request) string {
+		q.Kind, q.Program, q.Conversation = node.KindStatus, r.PathValue("program"), r.URL.Query().Get("helper")
 		return ""
 	})
-	handle("DELETE /v1/programs/{program}", func(q *node.Inquiry, b body, r *http.Request) string {
-		q.Kind, q.Program = node.Close, r.PathValue("program")
+	handle("DELETE /v1/programs/{program}", func(q *node.Request, b body, r *http.Request) string {
+		q.Kind, q.Program = node.KindClose, r.PathValue("program")
 		return ""
 	})
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, r *http.Request) {
@@ -168,7 +168,7 @@
 
 // serve decodes a request, lets fill complete it, submits it and writes the answer. fill
 // returns what is malformed, or an empty string.
-func serve(w http.ResponseWriter, r *http.Request, backend Backend, maxBody int64, fill func(q *node.Inquiry, b body, r *http.Request) string) {
+func serve(w http.ResponseWriter, r *http.Request, backend Backend, maxBody int64, fill func(q *node.Request, b body, r *http.Request) string) {
 	var b body
 	if r.Method == "POST" {
 		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
@@ -189,7 +189,7 @@
 			return
 		}
 	}
-	q := node.Inquiry{Budget: time.Duration(b.BudgetMS) * time.Millisecond}
+	q := node.Request{Timeout: time.Duration(b.BudgetMS) * time.Millisecond}
 	if b.BudgetMS < 0 {
 		writeVerdict(w, verdict.Refused(verdict.Refusal{Check: "budget", Code: "budget_passed", Reason: "the inquiry's budget has passed"}), 504)
 		return
@@ -214,16 +214,16 @@
 
 // writePieces writes the pieces of an answer as they arrive. It aborts the connection of a
 // stream that breaks off, so that the stream never looks complete.
-func writePieces(w http.ResponseWriter, pieces <-chan node.Piece) {
+func writePieces(w http.ResponseWriter, pieces <-chan node.Frame) {
 	flusher, _ := w.(http.Flusher)
 	encoder := json.NewEncoder(w)
 	encoder.SetEscapeHTML(false)
 	for p := range pieces {
 		switch p.Kind {
-		case node.PieceVerdict:
+		case node.FrameVerdict:
 			writeVerdict(w, p.Verdict, p.Status)
 			return
-		case node.PieceBody:
+		case node.FrameBody:
 			if p.Body == nil {
 				writeJSON(w, p.Status, struct {
 					Answer
@@ -232,7 +232,7 @@
 				return
 			}
 			w.Header().Set("Content-Type", "application/json")
-			if p.End == "repeated" {
+			if p.FinishReason == "repeated" {
 				w.Header().Set("Saffronfall-Repeated", "true")
 			}
 			w.Header().Set("Saffronfall-Ran", string(verdict.Executed))
@@ -243,18 +243,18 @@
 			w.WriteHeader(p.Status)
 			w.Write(p.Body)
 			return
-		case node.PieceOpen:
+		case node.FrameOpen:
 			w.Header().Set("Content-Type", "application/x-ndjson")
 			w.WriteHeader(200)
 			flusher.Flush()
-		case node.PieceChunk:
+		case node.FrameChunk:
 			encoder.Encode(map[string]any{"text": p.Text, "tokens": p.Tokens})
 			flusher.Flush()
-		case node.PieceClose:
-			encoder.Encode(map[string]any{"closing": true, "status": p.End, "tokens": p.Tokens, "head": p.Head,
+		case node.FrameClose:
+			encoder.Encode(map[string]any{"closing": true, "status": p.FinishReason, "tokens": p.Tokens, "head": p.Head,
 				"verdict": p.Verdict.Kind, "warnings": p.Verdict.Warnings, "ran": verdict.Executed})
 			return
-		case node.PieceBreak:
+		case node.FrameAbort:
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/peer/requester/requester_test.go
+++ b/peer/requester/requester_test.go
@@ -17,14 +17,14 @@
 )
 
 type backend struct {
-	pieces    []node.Piece
+	pieces    []node.Frame
 	full      bool
-	submitted node.Inquiry
+	submitted node.Request
 }
 
-func (b *backend) Submit(ctx context.Context, q node.Inquiry) (<-chan node.Piece, bool) {
+func (b *backend) Submit(ctx context.Context, q node.Request) (<-chan node.Frame, bool) {
 	b.submitted = q
-	pieces := make(chan node.Piece, len(b.pieces))
+	pieces := make(chan node.Frame, len(b.pieces))
 	for _, p := range b.pieces {
 		pieces <- p
 	}
@@ -79,15 +79,15 @@
 
 // TestStreams: a stream without a closing record is aborted and never looks complete.
 func TestStreams(t *testing.T) {
-	chunk := node.Piece{Kind: node.PieceChunk, Text: "a", Tokens: 1}
+	chunk := node.Frame{Kind: node.FrameChunk, Text: "a", Tokens: 1}
 	for _, c := range []struct {
 		name     string
-		pieces   []node.Piece
+		pieces   []node.Frame
 		complete bool
 	}{
-		{"complete", []node.Piece{{Kind: node.PieceOpen}, chunk, {Kind: node.PieceClose, Tokens: 1, Head: "h", End: "complete"}}, true},
-		{"broken", []node.Piece{{Kind: node.PieceOpen}, chunk, {Kind: node.PieceBreak}}, false},
-		{"cut off", []node.Piece{{Kind: node.PieceOpen}, chunk}, false},
+		{"complete", []node.Frame{{Kind: node.FrameOpen}, chunk, {Kind: node.FrameClose, Tokens: 1, Head: "h", FinishReason: "complete"}}, true},
+		{"broken", []node.Frame{{Kind: node.FrameOpen}, chunk, {Kind: node.FrameAbort}}, false},
+		{"cut off", []node.Frame{{Kind: node.FrameOpen}, chunk}, false},
 	} {
 		server := httptest.NewServer(Handler(&backend{pieces: c.pieces}, 2000))
 		r, _ := http.NewRequest("POST", server.URL+"/v1/programs/p/turns", strings.NewReader(`{"before":"start","say":"x","service":"model"}`))
@@ -106,10 +106,10 @@
 
 // TestRetryAfter: the header is rounded up to seconds, the body has milliseconds.
 func TestRetryAfter(t *testing.T) {
-	b := &backend{pieces: []node.Piece{{Kind: node.PieceVerdict, Status: 429, Verdict: verdict.Refused(verdict.Refusal{Check: "lockout", Code: "locked_out", RetryAfter: 1200 * time.Millisecond})}}}
+	b := &backend{pieces: []node.Frame{{Kind: node.FrameVerdict, Status: 429, Verdict: verdict.Refused(verdict.Refusal{Check: "lockout", Code: "locked_out", RetryAfter: 1200 * time.Millisecond})}}}
 	w := request(b, "POST", "/v1/programs", "k", `{"user":"u","budget_ms":1500}`)
-	if w.Header().Get("Retry-After") != "2" || !strings.Contains(w.Body.String(), `"retry_after_ms":1200`) || b.submitted.Budget != 1500*time.Millisecond {
-		t.Errorf("%v %s %v", w.Header(), w.Body, b.submitted.Budget)
+	if w.Header().Get("Retry-After") != "2" || !strings.Contains(w.Body.String(), `"retry_after_ms":1200`) || b.submitted.Timeout != 1500*time.Millisecond {
+		t.Errorf("%v %s %v", w.Header(), w.Body, b.submitted.Timeout)
 	}
 }
 
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	found := 0
-	for _, path := range []string{"handler.go", "../node/inquiry.go", "../node/turn.go", "../../rule/program/program.go", "../../rule/program/user.go", "../../rule/verdict/verdict.go"} {
+	for _, path := range []string{"handler.go", "../node/request.go", "../node/turn.go", "../../rule/program/program.go", "../../rule/program/user.go", "../../rule/verdict/verdict.go"} {
 		code, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
--- a/rehearsalkit/fleet/requester.go
+++ b/rehearsalkit/fleet/requester.go
@@ -108,7 +108,7 @@
 			pause(ctx, 200*time.Millisecond, time.Second)
 			continue
 		}
-		head := program.Start
+		head := program.EmptyHead
 		for turn := 0; turn < 12 && ctx.Err() == nil; turn++ {
 			pause(ctx, 20*time.Millisecond, 300*time.Millisecond)
 			mark := fmt.Sprintf("%s-%d-%d", name, serial, turn)
@@ -156,7 +156,7 @@
 			pause(ctx, 200*time.Millisecond, time.Second)
 		}
 	}
-	head := program.Start
+	head := program.EmptyHead
 	for turn := 0; ctx.Err() == nil; turn++ {
 		mark := fmt.Sprintf("%s-%d", name, turn)
 		if turn%5 == 4 {
--- a/rehearsalkit/simulator/backend.go
+++ b/rehearsalkit/simulator/backend.go
@@ -56,7 +56,7 @@
 			w.after(w.between(200*time.Microsecond, 3*time.Millisecond), func() {
 				if !over && p.alive {
 					over = true
-					w.after(heard.Again, func() { b.tell(p, serial, heard.Stamp) })
+					w.after(heard.NextIn, func() { b.tell(p, serial, heard.Token) })
 				}
 			})
 		})
@@ -103,13 +103,13 @@
 }
 
 // shoot carries a shot to a replica and its events back.
-func (w *World) shoot(p *proc, s node.Shoot) {
+func (w *World) shoot(p *proc, s node.StartAttempt) {
 	shot := &simShot{}
-	p.shots[s.Shot] = shot
+	p.shots[s.Attempt] = shot
 	life := p.life
 	w.Counts["shots"]++
-	back := func(delay time.Duration, e node.Event) {
-		e.Shot = s.Shot
+	back := func(delay time.Duration, e node.AttemptEvent) {
+		e.Attempt = s.Attempt
 		w.after(delay, func() {
 			if p.life != life || shot.cancelled {
 				return
@@ -119,9 +119,9 @@
 					return
 				}
 				if e.Kind != node.EventChunk {
-					delete(p.shots, s.Shot)
+					delete(p.shots, s.Attempt)
 				}
-				p.takeNode(p.nodeM.Shot(p.now(), e))
+				p.takeNode(p.nodeM.HandleAttemptEvent(p.now(), e))
 			})
 		})
 	}
@@ -133,7 +133,7 @@
 			}
 		}
 		if target == nil {
-			back(time.Millisecond, node.Event{Kind: node.EventNotRun})
+			back(time.Millisecond, node.AttemptEvent{Kind: node.EventNotRun})
 			return
 		}
 		target.serve(s, back)
@@ -150,9 +150,9 @@
 
 var manners = []string{late, twice, overrun, holds}
 
-func (b *backend) serve(s node.Shoot, back func(delay time.Duration, e node.Event)) {
+func (b *backend) serve(s node.StartAttempt, back func(delay time.Duration, e node.AttemptEvent)) {
 	w := b.world
-	seen := judge.Shot{At: w.now, Service: b.service, Replica: b.name(), Tenant: s.Payload.Tenant, Program: s.Payload.Program, Line: s.Payload.Line}
+	seen := judge.Shot{At: w.now, Service: b.service, Replica: b.name(), Tenant: s.Payload.Tenant, Program: s.Payload.Program, Line: s.Payload.Conversation}
 	lose := w.chance(b.loses)
 	serial := b.serial
 	b.running++
@@ -169,15 +169,15 @@
 		delay := w.between(2*time.Millisecond, 40*time.Millisecond)
 		done(delay)
 		if lose {
-			back(delay, node.Event{Kind: node.EventBroken})
+			back(delay, node.AttemptEvent{Kind: node.EventInterrupted})
 			return
 		}
-		back(delay, node.Event{Kind: node.EventDone, Status: 200, Body: []byte(fmt.Sprintf(`{"done":%q}`, seen.Mark))})
+		back(delay, node.AttemptEvent{Kind: node.EventDone, Status: 200, Body: []byte(fmt.Sprintf(`{"done":%q}`, seen.Mark))})
 		return
 	}
-	seen.Mark, seen.Most = s.Payload.Say, s.Payload.MaxTokens
+	seen.Mark, seen.Most = s.Payload.Prompt, s.Payload.MaxTokens
 	for _, t := range s.Payload.History {
-		seen.History = append(seen.History, judge.Turn{Say: t.Say, Got: t.Got})
+		seen.History = append(seen.History, judge.Turn{Say: t.Prompt, Got: t.Response})
 	}
 	if b.manner == late {
 		w.after(w.between(500*time.Millisecond, 3*time.Second), func() {
@@ -190,7 +190,7 @@
 	b.answer(s, seen, lose, done, back)
 }
 
-func (b *backend) answer(s node.Shoot, seen judge.Shot, lose bool, done func(time.Duration), back func(delay time.Duration, e node.Event)) {
+func (b *backend) answer(s node.StartAttempt, seen judge.Shot, lose bool, done func(time.Duration), back func(delay time.Duration, e node.AttemptEvent)) {
 	w := b.world
 	pieces := 2 + w.random.IntN(4)
 	fail := -1
@@ -208,26 +208,26 @@
 		if b.manner == overrun {
 			tokens, seen.Overran = s.Payload.MaxTokens, true
 		}
-		piece := fmt.Sprintf("[%s %s %d]", b.name(), s.Payload.Say, i)
+		piece := fmt.Sprintf("[%s %s %d]", b.name(), s.Payload.Prompt, i)
 		text.WriteString(piece)
 		seen.Tokens += tokens
-		back(delay, node.Event{Kind: node.EventChunk, Text: piece, Tokens: tokens})
+		back(delay, node.AttemptEvent{Kind: node.EventChunk, Text: piece, Tokens: tokens})
 		delay += w.between(5*time.Millisecond, 80*time.Millisecond)
 	}
 	seen.Text = text.String()
 	w.Record.Shots = append(w.Record.Shots, seen)
 	done(delay)
 	if lose {
-		back(delay, node.Event{Kind: node.EventBroken})
+		back(delay, node.AttemptEvent{Kind: node.EventInterrupted})
 		return
 	}
 	if b.manner == holds {
 		return
 	}
-	back(delay, node.Event{Kind: node.EventDone, Status: 200})
+	back(delay, node.AttemptEvent{Kind: node.EventDone, Status: 200})
 	if b.manner == twice {
-		back(delay+time.Millisecond, node.Event{Kind: node.EventChunk, Text: "again", Tokens: 1})
-		back(delay+2*time.Millisecond, node.Event{Kind: node.EventDone, Status: 200})
+		back(delay+time.Millisecond, node.AttemptEvent{Kind: node.EventChunk, Text: "again", Tokens: 1})
+		back(delay+2*time.Millisecond, node.AttemptEvent{Kind: node.EventDone, Status: 200})
 	}
 }
 
--- a/rehearsalkit/simulator/conformance_test.go
+++ b/rehearsalkit/simulator/conformance_test.go
@@ -36,8 +36,8 @@
 	return Calm(p)
 }
 
-func call(w *World, at int, id, arguments string) (judge.Asked, node.Piece) {
-	return w.Do(at, node.Inquiry{Kind: node.Tool, Key: "key-t1", Program: id, Service: "search", Arguments: []byte(arguments)})
+func call(w *World, at int, id, arguments string) (judge.Asked, node.Frame) {
+	return w.Do(at, node.Request{Kind: node.KindTool, Key: "key-t1", Program: id, Service: "search", Arguments: []byte(arguments)})
 }
 
 func want(t *testing.T, what string, a judge.Asked, code string) {
@@ -85,7 +85,7 @@
 		_, first := open(w, 0, "u")
 		second, _ := open(w, 1, "u")
 		want(t, c.name+": second session", second, "")
-		head := program.Start
+		head := program.EmptyHead
 		for i, code := 0, ""; i < 5 || (c.breaker && i < 9 && code != "breaker_open"); i++ {
 			a, last := turn(w, i%3, first.Text, head, 1000)
 			if code = a.Code; a.Outcome == judge.Whole {
@@ -93,8 +93,8 @@
 			}
 		}
 		if !c.concurrent {
-			w.Do(0, node.Inquiry{Kind: node.Close, Key: "key-t1", Program: first.Text})
-			w.Do(0, node.Inquiry{Kind: node.Close, Key: "key-t1", Program: second.Program})
+			w.Do(0, node.Request{Kind: node.KindClose, Key: "key-t1", Program: first.Text})
+			w.Do(0, node.Request{Kind: node.KindClose, Key: "key-t1", Program: second.Program})
 		}
 		if c.locked {
 			for i := 0; i < 5; i++ {
@@ -173,7 +173,7 @@
 func TestProgramCaps(t *testing.T) {
 	w := small(nil)
 	_, p := open(w, 0, "steps")
-	head, warned := program.Start, 0
+	head, warned := program.EmptyHead, 0
 	for i := 0; i < 10; i++ {
 		a, last := turn(w, i%3, p.Text, head, 10)
 		want(t, "a step", a, "")
@@ -200,7 +200,7 @@
 	}
 	a, _ = call(w, 2, p.Text, `{"b":[2],"a":1}`)
 	want(t, "the same call a third time", a, "loop")
-	a, _ = turn(w, 2, p.Text, program.Start, 10)
+	a, _ = turn(w, 2, p.Text, program.EmptyHead, 10)
 	want(t, "the turn after a loop", a, "loop")
 
 	_, p = open(w, 1, "type")
@@ -210,12 +210,12 @@
 	}
 	a, _ = call(w, 2, p.Text, `{"n":9}`)
 	want(t, "a sixth call of one tool", a, "tool_calls_per_type_reached")
-	a, _ = turn(w, 0, p.Text, program.Start, 10)
+	a, _ = turn(w, 0, p.Text, program.EmptyHead, 10)
 	want(t, "the turn after", a, "tool_calls_per_type_reached")
 
 	_, p = open(w, 1, "time")
 	w.Pass(121 * time.Second)
-	a, _ = turn(w, 0, p.Text, program.Start, 10)
+	a, _ = turn(w, 0, p.Text, program.EmptyHead, 10)
 	want(t, "a turn after 120 s", a, "duration_reached")
 }
 
@@ -229,11 +229,11 @@
 		role["sessions_per_minute"], role["concurrent_sessions"] = 10, 10
 	})
 	_, p := open(w, 0, "u")
-	heads := map[string]string{"": program.Start, "helper": program.Start}
+	heads := map[string]string{"": program.EmptyHead, "helper": program.EmptyHead}
 	softly, stopped := false, false
 	for i := 0; i < 10 && !stopped; i++ {
 		line := []string{"", "helper"}[i%2]
-		a, last := w.Do(i%3, node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: p.Text, Line: line, Service: "model", Before: heads[line], Say: w.mark("say"), MaxTokens: 30})
+		a, last := w.Do(i%3, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Conversation: line, Service: "model", PreviousHead: heads[line], Prompt: w.mark("say"), MaxTokens: 30})
 		stopped = a.Code == "program_tokens_spent"
 		heads[line] = last.Head
 		for _, one := range last.Verdict.Warnings {
@@ -250,7 +250,7 @@
 
 	w = small(func(role, tenant, services, breaker tree) { tenant["day_tokens"] = 2500 })
 	_, p = open(w, 0, "u")
-	head, refused := program.Start, false
+	head, refused := program.EmptyHead, false
 	for i := 0; i < 8 && !refused; i++ {
 		a, last := turn(w, 0, p.Text, head, 1000)
 		refused = a.Code == "tenant_day_tokens_spent"
@@ -270,7 +270,7 @@
 		role["sessions_per_minute"], role["concurrent_sessions"] = 50, 50
 	})
 	_, p := open(w, 0, "u")
-	head := program.Start
+	head := program.EmptyHead
 	tripped := false
 	for i := 0; i < 6 && !tripped; i++ {
 		a, last := turn(w, 0, p.Text, head, 1000)
@@ -306,7 +306,7 @@
 	a, _ := turn(w, 0, p.Text, head, 10)
 	want(t, "an old session while half-open", a, "breaker_half_open")
 	for _, id := range tests {
-		a, _ := turn(w, 0, id, program.Start, 10)
+		a, _ := turn(w, 0, id, program.EmptyHead, 10)
 		want(t, "a test's turn", a, "")
 	}
 	w.Pass(500 * time.Millisecond)
@@ -320,15 +320,15 @@
 	service := configuration.Service{CooldownSeconds: 10}
 	clock := time.Duration(0)
 	for i, rest := range []time.Duration{10, 20, 40, 80, 160, 320, 640, 1280, 2560, 3600, 3600} {
-		r.CallTool(clock, "x", "a")
-		r.ToolDone(clock, "x", false, service, time.Hour)
-		if got := r.Tools["x"].CoolTill - clock; got != rest*time.Second {
+		r.StartToolCall(clock, "x", "a")
+		r.FinishToolCall(clock, "x", false, service, time.Hour)
+		if got := r.Tools["x"].CooldownUntil - clock; got != rest*time.Second {
 			t.Errorf("error %d: rests %v, want %v s", i+1, got, int(rest))
 		}
 		clock += rest * time.Second
 	}
-	r.ToolDone(clock, "x", true, service, time.Hour)
-	if r.Tools["x"].CoolTill != 0 {
+	r.FinishToolCall(clock, "x", true, service, time.Hour)
+	if r.Tools["x"].CooldownUntil != 0 {
 		t.Error("a good call did not end the rest")
 	}
 }
--- a/rehearsalkit/simulator/crash.go
+++ b/rehearsalkit/simulator/crash.go
@@ -29,29 +29,29 @@
 	mark     string
 }
 
-func (s *scene) turnOf(line, before string) node.Inquiry {
-	return node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: s.id, Line: line, Service: "model", Before: before, Say: s.mark, MaxTokens: 300, Budget: 4 * time.Second}
+func (s *scene) turnOf(line, before string) node.Request {
+	return node.Request{Kind: node.KindTurn, Key: "key-t1", Program: s.id, Conversation: line, Service: "model", PreviousHead: before, Prompt: s.mark, MaxTokens: 300, Timeout: 4 * time.Second}
 }
 
-func (s *scene) once() node.Inquiry {
-	return node.Inquiry{Kind: node.Action, Key: "key-t1", User: "u", Service: "alert", OnceKey: "crash", Arguments: []byte(`{"mark":"crash"}`), Budget: 3 * time.Second}
+func (s *scene) once() node.Request {
+	return node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: "crash", Arguments: []byte(`{"mark":"crash"}`), Timeout: 3 * time.Second}
 }
 
-func drop(judge.Asked, node.Piece) {}
+func drop(judge.Asked, node.Frame) {}
 
-func askAgain(q func(s *scene) node.Inquiry) func(w *World, s *scene, at int) {
+func askAgain(q func(s *scene) node.Request) func(w *World, s *scene, at int) {
 	return func(w *World, s *scene, at int) { w.Do(at, q(s)) }
 }
 
 var operations = []operation{
 	{name: "turn", begin: func(w *World, s *scene) { w.ask(w.nodes[1], s.turnOf("", s.head), drop) }},
-	{name: "turn of a helper", begin: func(w *World, s *scene) { w.ask(w.nodes[1], s.turnOf("helper", program.Start), drop) }},
+	{name: "turn of a helper", begin: func(w *World, s *scene) { w.ask(w.nodes[1], s.turnOf("helper", program.EmptyHead), drop) }},
 	{name: "tool call", begin: func(w *World, s *scene) {
-		w.ask(w.nodes[1], node.Inquiry{Kind: node.Tool, Key: "key-t1", Program: s.id, Service: "search", Arguments: []byte(`{"mark":"crash-tool"}`), Budget: 3 * time.Second}, drop)
+		w.ask(w.nodes[1], node.Request{Kind: node.KindTool, Key: "key-t1", Program: s.id, Service: "search", Arguments: []byte(`{"mark":"crash-tool"}`), Timeout: 3 * time.Second}, drop)
 	}},
 	{name: "once-only action", begin: func(w *World, s *scene) { w.ask(w.nodes[1], s.once(), drop) }, again: askAgain((*scene).once)},
 	{name: "session start", begin: func(w *World, s *scene) {
-		w.ask(w.nodes[1], node.Inquiry{Kind: node.Open, Key: "key-t1", User: "v", Budget: 3 * time.Second}, drop)
+		w.ask(w.nodes[1], node.Request{Kind: node.KindOpen, Key: "key-t1", User: "v", Timeout: 3 * time.Second}, drop)
 	}},
 	{name: "grant of shares", shares: true, begin: func(w *World, s *scene) {
 		w.nodes[2].kill()
@@ -59,7 +59,7 @@
 	}},
 	{name: "handover", begin: func(w *World, s *scene) {
 		n := w.nodes[0]
-		n.takeNode(n.nodeM.Leave(n.now()))
+		n.takeNode(n.nodeM.Drain(n.now()))
 		w.after(100*time.Millisecond, func() { n.drained(n.life, w.now+3*time.Second) })
 	}},
 	{name: "configuration", begin: func(w *World, s *scene) { w.hand(w.cores[0], w.version, "probe-crash", func(bool) {}) }},
@@ -94,7 +94,7 @@
 		raw = b.Raw
 	case core.PartMessage:
 		raw = b.Raw
-	case core.Pull, core.News, core.Topology, core.Fresh, node.Announced, core.Samples, core.AskSamples, core.Present:
+	case core.Pull, core.News, core.Topology, core.Fresh, node.Announcements, core.Samples, core.AskSamples, core.Present:
 		return ""
 	default:
 		return reflect.TypeOf(body).Name()
@@ -135,7 +135,7 @@
 	s := &scene{}
 	_, opened := open(w, 0, "u")
 	s.id = opened.Text
-	_, first := turn(w, 0, s.id, program.Start, 100)
+	_, first := turn(w, 0, s.id, program.EmptyHead, 100)
 	s.head = first.Head
 	w.Pass(700 * time.Millisecond)
 	s.mark = w.mark("crash")
--- a/rehearsalkit/simulator/failure_test.go
+++ b/rehearsalkit/simulator/failure_test.go
@@ -12,12 +12,12 @@
 )
 
 // begin starts an inquiry and lets only so much time pass.
-func begin(w *World, at int, q node.Inquiry, d time.Duration) *judge.Asked {
+func begin(w *World, at int, q node.Request, d time.Duration) *judge.Asked {
 	got := &judge.Asked{}
-	if q.Budget == 0 {
-		q.Budget = 8 * time.Second
+	if q.Timeout == 0 {
+		q.Timeout = 8 * time.Second
 	}
-	w.ask(w.nodes[at], q, func(a judge.Asked, _ node.Piece) { *got = a })
+	w.ask(w.nodes[at], q, func(a judge.Asked, _ node.Frame) { *got = a })
 	w.Pass(d)
 	return got
 }
@@ -55,7 +55,7 @@
 		w := judged(Calm(params))
 		_, p := open(w, 0, "u")
 		mark := w.mark("say")
-		begin(w, 0, node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: p.Text, Service: "model", Before: program.Start, Say: mark}, delay)
+		begin(w, 0, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: program.EmptyHead, Prompt: mark}, delay)
 		w.nodes[0].freeze()
 		w.Pass(5 * time.Second)
 		before, _ := shotsOf(w, mark)
@@ -73,10 +73,10 @@
 func TestOwnerKilledInMidTurn(t *testing.T) {
 	w := judged(small(nil))
 	_, p := open(w, 0, "u")
-	a, first := turn(w, 1, p.Text, program.Start, 100)
+	a, first := turn(w, 1, p.Text, program.EmptyHead, 100)
 	want(t, "first turn", a, "")
 	mark := w.mark("say")
-	begin(w, 1, node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: p.Text, Service: "model", Before: first.Head, Say: mark, MaxTokens: 700}, 40*time.Millisecond)
+	begin(w, 1, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: first.Head, Prompt: mark, MaxTokens: 700}, 40*time.Millisecond)
 	if n, _ := shotsOf(w, mark); n != 1 {
 		t.Fatalf("%d shots before the kill", n)
 	}
@@ -88,7 +88,7 @@
 			t.Fatalf("called gone: %s", a.Code)
 		}
 		if a.Outcome == judge.Whole {
-			a, look := w.Do(1, node.Inquiry{Kind: node.Look, Key: "key-t1", Program: p.Text})
+			a, look := w.Do(1, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text})
 			want(t, "look", a, "")
 			var spent int64
 			fmt.Sscanf(string(look.Body[indexAfter(look.Body, `"tokens":`):]), "%d", &spent)
@@ -125,12 +125,12 @@
 	w.cutOff(w.nodes[0], 20*time.Second)
 	w.Pass(3 * time.Second)
 	for i := 0; i < 3; i++ {
-		a, last := turn(w, 0, p.Text, program.Start, 100)
+		a, last := turn(w, 0, p.Text, program.EmptyHead, 100)
 		if a.Outcome != judge.Refused || a.Status != 503 || a.Ran != "no" || last.Verdict.RetryAfter <= 0 {
 			t.Errorf("a cut-off node said %+v", a)
 		}
 	}
-	a, _ := turn(w, 1, p.Text, program.Start, 100)
+	a, _ := turn(w, 1, p.Text, program.EmptyHead, 100)
 	want(t, "at another node", a, "")
 	noBreach(t, w)
 }
@@ -198,9 +198,9 @@
 	}
 	w.Pass(5 * time.Second)
 	for i := range w.nodes {
-		a, _ := w.Do(i, node.Inquiry{Kind: node.Look, Key: "probe-second", Program: "none"})
+		a, _ := w.Do(i, node.Request{Kind: node.KindStatus, Key: "probe-second", Program: "none"})
 		want(t, "the newer version's key", a, "unknown_program")
-		a, _ = w.Do(i, node.Inquiry{Kind: node.Look, Key: "probe-first", Program: "none"})
+		a, _ = w.Do(i, node.Request{Kind: node.KindStatus, Key: "probe-first", Program: "none"})
 		want(t, "the older version's key", a, "unknown_key")
 	}
 }
@@ -210,7 +210,7 @@
 func TestRevokedKey(t *testing.T) {
 	w := judged(small(nil))
 	_, p := open(w, 0, "u")
-	a, last := turn(w, 1, p.Text, program.Start, 100)
+	a, last := turn(w, 1, p.Text, program.EmptyHead, 100)
 	want(t, "before", a, "")
 	w.Params.Describe = func(mark string) []byte {
 		return []byte(`{"roles":{"viewer":{}},"tenants":{"t1":{}},"services":{"model":{"kind":"model"}},"approval":{"newly_refused_ratio":1}}`)
@@ -247,7 +247,7 @@
 	if got.Code != "not_approved" || got.Figures == nil || got.Figures.NewlyRefused < 20 {
 		t.Errorf("%+v %+v", got, got.Figures)
 	}
-	a, _ := w.Do(0, node.Inquiry{Kind: node.Look, Key: "x", Program: "none"})
+	a, _ := w.Do(0, node.Request{Kind: node.KindStatus, Key: "x", Program: "none"})
 	want(t, "the refused version's key", a, "unknown_key")
 }
 
@@ -260,7 +260,7 @@
 			b.loses = 1
 		}
 	}
-	q := node.Inquiry{Kind: node.Action, Key: "key-t1", User: "u", Service: "alert", OnceKey: "k", Arguments: []byte(`{"mark":"k"}`)}
+	q := node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: "k", Arguments: []byte(`{"mark":"k"}`)}
 	a, _ := w.Do(0, q)
 	if a.Ran != "maybe" {
 		t.Errorf("the first said %+v", a)
@@ -278,7 +278,7 @@
 // the end. Another body under the key is refused.
 func TestOnceKeyAtTwoNodes(t *testing.T) {
 	w := judged(small(nil))
-	q := node.Inquiry{Kind: node.Action, Key: "key-t1", User: "u", Service: "alert", OnceKey: "k", Arguments: []byte(`{"mark":"k"}`)}
+	q := node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: "k", Arguments: []byte(`{"mark":"k"}`)}
 	for i := range w.nodes {
 		begin(w, i, q, 0)
 	}
@@ -286,7 +286,7 @@
 	for i := range w.nodes {
 		a, last := w.Do(i, q)
 		want(t, "the outcome", a, "")
-		if string(last.Body) != `{"done":"k"}` || last.End != "repeated" {
+		if string(last.Body) != `{"done":"k"}` || last.FinishReason != "repeated" {
 			t.Errorf("node %d: %+v", i, last)
 		}
 	}
@@ -315,13 +315,13 @@
 	w.Pass(2 * time.Second)
 	heads := make([]string, len(ids))
 	for i := range heads {
-		heads[i] = program.Start
+		heads[i] = program.EmptyHead
 	}
 	crowded, alerts, through := 0, 0, 0
 	for end := w.now + 10*time.Second; w.now < end; w.Pass(100 * time.Millisecond) {
 		for i := range ids {
 			if w.chance(0.4) {
-				w.ask(w.anyNode(), node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: ids[i], Service: "model", Before: heads[i], Say: w.mark("crowd"), MaxTokens: 5, Budget: 2 * time.Second}, func(a judge.Asked, last node.Piece) {
+				w.ask(w.anyNode(), node.Request{Kind: node.KindTurn, Key: "key-t1", Program: ids[i], Service: "model", PreviousHead: heads[i], Prompt: w.mark("crowd"), MaxTokens: 5, Timeout: 2 * time.Second}, func(a judge.Asked, last node.Frame) {
 					crowded++
 					if a.Outcome == judge.Whole {
 						heads[i] = last.Head
@@ -333,7 +333,7 @@
 		}
 		if w.chance(0.3) {
 			mark := w.mark("alert")
-			w.ask(w.anyNode(), node.Inquiry{Kind: node.Action, Key: "key-t1", User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(fmt.Sprintf(`{"mark":%q}`, mark)), Budget: 2 * time.Second}, func(a judge.Asked, last node.Piece) {
+			w.ask(w.anyNode(), node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(fmt.Sprintf(`{"mark":%q}`, mark)), Timeout: 2 * time.Second}, func(a judge.Asked, last node.Frame) {
 				if a.Outcome != judge.Silent && a.Outcome != judge.Broken {
 					alerts++
 				}
@@ -366,7 +366,7 @@
 	p.Users, p.Describe = 0, design(nil)
 	w := judged(Calm(p))
 	_, opened := open(w, 0, "u")
-	head := program.Start
+	head := program.EmptyHead
 	for i, c := range w.cores {
 		a, last := turn(w, i%4, opened.Text, head, 10)
 		want(t, "a turn", a, "")
@@ -405,7 +405,7 @@
 		w.nodes[i%3].boot()
 		w.cores[i%3].boot()
 		for end := w.now + 12*time.Second; w.now < end; w.Pass(300 * time.Millisecond) {
-			a, last := w.Do(w.random.IntN(3), node.Inquiry{Kind: node.Look, Key: "key-t1", Program: p.Text, Budget: time.Second})
+			a, last := w.Do(w.random.IntN(3), node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text, Timeout: time.Second})
 			if a.Status == 404 || a.Status == 410 {
 				t.Fatalf("called gone: %s", a.Code)
 			}
@@ -414,10 +414,10 @@
 			}
 		}
 	}
-	a, _ := w.Do(0, node.Inquiry{Kind: node.Look, Key: "probe-first", Program: p.Text})
+	a, _ := w.Do(0, node.Request{Kind: node.KindStatus, Key: "probe-first", Program: p.Text})
 	want(t, "another tenant", a, "unknown_program")
 	w.Pass(4 * time.Minute)
-	a, _ = w.Do(0, node.Inquiry{Kind: node.Look, Key: "key-t1", Program: p.Text})
+	a, _ = w.Do(0, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text})
 	want(t, "after its keeping time", a, "gone")
 }
 
@@ -430,12 +430,12 @@
 		params.Sync = 60 * time.Millisecond
 		w := judged(Calm(params))
 		_, p := open(w, 0, "u")
-		head := program.Start
+		head := program.EmptyHead
 		for i := 0; i < 4; i++ {
 			say := w.mark("say")
-			var closing node.Piece
+			var closing node.Frame
 			over := false
-			w.ask(w.nodes[i%3], node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: p.Text, Service: "model", Before: head, Say: say, MaxTokens: 50, Budget: 5 * time.Second}, func(a judge.Asked, last node.Piece) {
+			w.ask(w.nodes[i%3], node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: head, Prompt: say, MaxTokens: 50, Timeout: 5 * time.Second}, func(a judge.Asked, last node.Frame) {
 				over, closing = true, last
 				for _, c := range w.cores {
 					c.kill()
@@ -453,12 +453,12 @@
 			for _, n := range w.nodes {
 				n.boot()
 			}
-			if closing.Kind != node.PieceClose {
+			if closing.Kind != node.FrameClose {
 				t.Fatalf("seed %d turn %d: %+v", seed, i, closing)
 			}
 			head = closing.Head
 			w.Pass(5 * time.Second)
-			a, look := w.Do(0, node.Inquiry{Kind: node.Look, Key: "key-t1", Program: p.Text})
+			a, look := w.Do(0, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text})
 			want(t, "look", a, "")
 			if at := indexAfter(look.Body, `"head":"`); string(look.Body[at:at+len(head)]) != head {
 				t.Errorf("seed %d: turn %d was confirmed and is lost", seed, i)
@@ -482,7 +482,7 @@
 	if w.nodes[0].nodeM.Counters.TermsLost > 0 || !w.nodes[0].nodeM.Ready(w.nodes[0].now()) {
 		t.Errorf("the term was lost %d times", w.nodes[0].nodeM.Counters.TermsLost)
 	}
-	head := program.Start
+	head := program.EmptyHead
 	for i := 0; i < 3; i++ {
 		a, last := turn(w, 0, p.Text, head, 100)
 		want(t, "a turn by way of another node", a, "")
@@ -491,8 +491,8 @@
 	ok := false
 	w.hand(w.cores[0], 1, "probe-second", func(taken bool) { ok = taken })
 	w.Pass(2 * time.Second)
-	if !ok || w.nodes[0].nodeM.Version() != 2 {
-		t.Errorf("taken %v, version %d at the node", ok, w.nodes[0].nodeM.Version())
+	if !ok || w.nodes[0].nodeM.ConfigurationVersion() != 2 {
+		t.Errorf("taken %v, version %d at the node", ok, w.nodes[0].nodeM.ConfigurationVersion())
 	}
 	noBreach(t, w)
 }
@@ -529,7 +529,7 @@
 		if p.Text == "" {
 			t.Fatalf("no program at the new life: %+v", p)
 		}
-		w.ask(w.nodes[2], node.Inquiry{Kind: node.Look, Key: "key-t1", Program: p.Text, Budget: 300 * time.Millisecond}, func(a judge.Asked, last node.Piece) {})
+		w.ask(w.nodes[2], node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text, Timeout: 300 * time.Millisecond}, func(a judge.Asked, last node.Frame) {})
 		w.Pass(500 * time.Millisecond)
 	}
 	stolen = int(w.nodes[2].nodeM.Counters.Takeovers)
@@ -558,7 +558,7 @@
 			if !at.nodeM.Ready(at.now()) {
 				at = w.nodes[1]
 			}
-			w.ask(at, node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: id, Service: "model", Before: head, Say: w.mark("say"), MaxTokens: 20, Budget: 5 * time.Second}, func(a judge.Asked, last node.Piece) {
+			w.ask(at, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: head, Prompt: w.mark("say"), MaxTokens: 20, Timeout: 5 * time.Second}, func(a judge.Asked, last node.Frame) {
 				code := a.Code
 				if a.Outcome != judge.Refused {
 					code = a.Outcome
@@ -574,12 +574,12 @@
 		}
 		for i := 0; i < 9; i++ {
 			_, p := open(w, 0, fmt.Sprint("u", i))
-			live(p.Text, program.Start)
+			live(p.Text, program.EmptyHead)
 		}
 		w.Pass(time.Second)
 		began := w.now
-		w.nodes[0].takeNode(w.nodes[0].nodeM.Leave(w.nodes[0].now()))
-		for !w.nodes[0].nodeM.Left(w.nodes[0].now()) && w.now < began+6*time.Second {
+		w.nodes[0].takeNode(w.nodes[0].nodeM.Drain(w.nodes[0].now()))
+		for !w.nodes[0].nodeM.Drained(w.nodes[0].now()) && w.now < began+6*time.Second {
 			w.Pass(10 * time.Millisecond)
 		}
 		took := w.now - began
@@ -616,7 +616,7 @@
 	mended := w.now
 	for i, id := range ids {
 		for {
-			a, last := w.Do(i, node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: id, Service: "model", Before: program.Start, Say: w.mark("say"), MaxTokens: 10, Budget: time.Second})
+			a, last := w.Do(i, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.mark("say"), MaxTokens: 10, Timeout: time.Second})
 			if a.Outcome == judge.Whole {
 				break
 			}
@@ -638,7 +638,7 @@
 func TestOwnerDiesAndComesBack(t *testing.T) {
 	w := judged(small(nil))
 	_, p := open(w, 0, "u")
-	got := begin(w, 1, node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: p.Text, Service: "model", Before: program.Start, Say: w.mark("say"), Budget: 15 * time.Second}, 30*time.Millisecond)
+	got := begin(w, 1, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.mark("say"), Timeout: 15 * time.Second}, 30*time.Millisecond)
 	w.nodes[0].kill()
 	died := w.now
 	w.nodes[0].boot()
@@ -660,7 +660,7 @@
 	bad := w.models[0]
 	bad.loses = 1
 	_, p := open(w, 0, "u")
-	head := program.Start
+	head := program.EmptyHead
 	take := func(n int) (shots, broken int) {
 		from := len(w.Record.Shots)
 		for i := 0; i < n; i++ {
@@ -682,8 +682,8 @@
 	if first < 3 || broken > 12 {
 		t.Errorf("%d shots at the failing replica, %d broken turns of 60", first, broken)
 	}
-	if at := w.nodes[0].nodeM; at.Counters.Broken > 12 {
-		t.Errorf("%d broken shots", at.Counters.Broken)
+	if at := w.nodes[0].nodeM; at.Counters.Interrupted > 12 {
+		t.Errorf("%d broken shots", at.Counters.Interrupted)
 	}
 	bad.loses = 0
 	w.Pass(20 * time.Second)
--- a/rehearsalkit/simulator/fault.go
+++ b/rehearsalkit/simulator/fault.go
@@ -86,10 +86,10 @@
 		for i := 0; i < 40; i++ {
 			w.after(w.between(0, 500*time.Millisecond), func() {
 				mark := w.mark("burst")
-				w.ask(w.anyNode(), node.Inquiry{Kind: node.Action, Key: "key-t1", User: "crowd", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Budget: 2 * time.Second}, drop)
+				w.ask(w.anyNode(), node.Request{Kind: node.KindAction, Key: "key-t1", User: "crowd", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Timeout: 2 * time.Second}, drop)
 			})
 			w.after(w.between(0, 500*time.Millisecond), func() {
-				w.ask(w.anyNode(), node.Inquiry{Kind: node.Open, Key: "key-t1", User: w.mark("crowd"), Budget: 2 * time.Second}, drop)
+				w.ask(w.anyNode(), node.Request{Kind: node.KindOpen, Key: "key-t1", User: w.mark("crowd"), Timeout: 2 * time.Second}, drop)
 			})
 		}
 	case 19:
@@ -138,7 +138,7 @@
 	case 13:
 		if n.alive && !n.frozen {
 			w.logf("%s drains", n.id)
-			n.takeNode(n.nodeM.Leave(n.now()))
+			n.takeNode(n.nodeM.Drain(n.now()))
 			w.after(100*time.Millisecond, func() { n.drained(n.life, w.now+5*time.Second) })
 		}
 	case 14:
--- a/rehearsalkit/simulator/load_test.go
+++ b/rehearsalkit/simulator/load_test.go
@@ -31,7 +31,7 @@
 	var waits []time.Duration
 	began := w.now
 	for _, id := range ids {
-		w.ask(w.nodes[0], node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: id, Service: "model", Before: program.Start, Say: w.mark("say"), MaxTokens: 20, Budget: 4 * time.Second}, func(a judge.Asked, last node.Piece) {
+		w.ask(w.nodes[0], node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.mark("say"), MaxTokens: 20, Timeout: 4 * time.Second}, func(a judge.Asked, last node.Frame) {
 			switch {
 			case a.Outcome == judge.Whole:
 				whole++
--- a/rehearsalkit/simulator/loads.go
+++ b/rehearsalkit/simulator/loads.go
@@ -47,7 +47,7 @@
 	alert := func(period int) {
 		mark := w.mark("alert")
 		c.Alerts[period]++
-		w.ask(w.anyNode(), node.Inquiry{Kind: node.Action, Key: "key-t1", User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Budget: 2 * time.Second}, func(a judge.Asked, _ node.Piece) {
+		w.ask(w.anyNode(), node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Timeout: 2 * time.Second}, func(a judge.Asked, _ node.Frame) {
 			if a.Outcome == judge.Whole {
 				c.Through[period]++
 				took[period] = append(took[period], a.Ended-a.At)
@@ -92,7 +92,7 @@
 	asked, moved := 0, 0
 	ask := func(key string, at *proc) {
 		mark := w.mark("load")
-		w.ask(at, node.Inquiry{Kind: node.Action, Key: key, User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Budget: 2 * time.Second}, drop)
+		w.ask(at, node.Request{Kind: node.KindAction, Key: key, User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Timeout: 2 * time.Second}, drop)
 	}
 	var load func()
 	load = func() {
--- a/rehearsalkit/simulator/process.go
+++ b/rehearsalkit/simulator/process.go
@@ -125,7 +125,7 @@
 	for _, ticket := range ordered.Keys(p.world.returns) {
 		if at := p.world.returns[ticket]; at.node == p {
 			delete(p.world.returns, ticket)
-			p.world.after(p.world.between(time.Millisecond, 3*time.Millisecond), func() { at.piece(node.Piece{Kind: node.PieceBreak}) })
+			p.world.after(p.world.between(time.Millisecond, 3*time.Millisecond), func() { at.piece(node.Frame{Kind: node.FrameAbort}) })
 		}
 	}
 }
@@ -261,19 +261,19 @@
 		}
 		p.world.send(p, s.To, s.Body)
 	}
-	for _, r := range o.Returns {
+	for _, r := range o.Responses {
 		at, ok := p.world.returns[r.Ticket]
 		if !ok || at.node != p {
 			continue
 		}
-		if r.Piece.Last() {
+		if r.Frame.Last() {
 			delete(p.world.returns, r.Ticket)
 		}
-		piece := r.Piece
+		piece := r.Frame
 		at.next = max(at.next, p.world.now+p.world.between(200*time.Microsecond, 2*time.Millisecond))
 		p.world.after(at.next-p.world.now, func() { at.piece(piece) })
 	}
-	for _, s := range o.Shots {
+	for _, s := range o.Attempts {
 		p.world.shoot(p, s)
 	}
 	for _, shot := range o.Cancels {
--- a/rehearsalkit/simulator/requester.go
+++ b/rehearsalkit/simulator/requester.go
@@ -11,14 +11,14 @@
 )
 
 // ask sends one inquiry to a node and tells its outcome.
-func (w *World) ask(p *proc, q node.Inquiry, done func(a judge.Asked, last node.Piece)) {
-	a := judge.Asked{At: w.now, Kind: q.Kind, Node: p.id, Tenant: tenantOf(q.Key), User: q.User, Program: q.Program, Line: q.Line, Mark: q.Say, Service: q.Service}
-	if q.Kind == node.Action || q.Kind == node.Tool {
+func (w *World) ask(p *proc, q node.Request, done func(a judge.Asked, last node.Frame)) {
+	a := judge.Asked{At: w.now, Kind: q.Kind, Node: p.id, Tenant: tenantOf(q.Key), User: q.User, Program: q.Program, Line: q.Conversation, Mark: q.Prompt, Service: q.Service}
+	if q.Kind == node.KindAction || q.Kind == node.KindTool {
 		a.Mark = markOf(q.Arguments)
 		a.Once = q.OnceKey
 	}
 	over := false
-	finish := func(last node.Piece) {
+	finish := func(last node.Frame) {
 		if over {
 			return
 		}
@@ -34,31 +34,31 @@
 	w.after(w.between(200*time.Microsecond, 2*time.Millisecond), func() {
 		if !p.alive {
 			a.Outcome = judge.Silent
-			finish(node.Piece{})
+			finish(node.Frame{})
 			return
 		}
 		w.tickets++
 		ticket := w.tickets
-		w.returns[ticket] = &waiting{node: p, piece: func(piece node.Piece) {
+		w.returns[ticket] = &waiting{node: p, piece: func(piece node.Frame) {
 			if over {
 				return
 			}
 			switch piece.Kind {
-			case node.PieceChunk:
+			case node.FrameChunk:
 				a.Text += piece.Text
 				a.Tokens += piece.Tokens
-			case node.PieceClose:
+			case node.FrameClose:
 				// A requester need not count; the judge does.
 				a.Outcome = judge.Whole
 				finish(piece)
-			case node.PieceBreak:
+			case node.FrameAbort:
 				a.Outcome = judge.Broken
 				finish(piece)
-			case node.PieceVerdict:
+			case node.FrameVerdict:
 				a.Outcome, a.Code, a.Ran, a.Status = judge.Refused, piece.Verdict.Code, string(piece.Verdict.Ran), piece.Status
 				a.Wait = piece.Verdict.RetryAfter
 				finish(piece)
-			case node.PieceBody:
+			case node.FrameBody:
 				a.Outcome, a.Status = judge.Whole, piece.Status
 				if a.Program == "" {
 					a.Program = piece.Text
@@ -66,21 +66,21 @@
 				finish(piece)
 			}
 		}}
-		p.do(func() { p.takeNode(p.nodeM.Inquire(p.now(), ticket, q)) })
+		p.do(func() { p.takeNode(p.nodeM.Submit(p.now(), ticket, q)) })
 		away := func() {
 			if over {
 				return
 			}
 			delete(w.returns, ticket)
-			p.do(func() { p.takeNode(p.nodeM.Gone(p.now(), ticket)) })
+			p.do(func() { p.takeNode(p.nodeM.CancelRequest(p.now(), ticket)) })
 			a.Outcome = judge.Silent
-			finish(node.Piece{})
+			finish(node.Frame{})
 		}
-		if w.Params.Faults && q.Kind == node.Turn && w.chance(0.02) {
+		if w.Params.Faults && q.Kind == node.KindTurn && w.chance(0.02) {
 			w.Counts["requesters gone"]++
 			w.after(w.between(5*time.Millisecond, 200*time.Millisecond), away)
 		}
-		w.after(q.Budget+300*time.Millisecond, away)
+		w.after(q.Timeout+300*time.Millisecond, away)
 	})
 }
 
@@ -117,8 +117,8 @@
 	if w.now > w.Params.Length {
 		return
 	}
-	u.heads, u.turns = map[string]string{"": program.Start}, 0
-	w.ask(w.anyNode(), node.Inquiry{Kind: node.Open, Key: u.key, User: u.name, Budget: 3 * time.Second}, func(a judge.Asked, last node.Piece) {
+	u.heads, u.turns = map[string]string{"": program.EmptyHead}, 0
+	w.ask(w.anyNode(), node.Request{Kind: node.KindOpen, Key: u.key, User: u.name, Timeout: 3 * time.Second}, func(a judge.Asked, last node.Frame) {
 		if a.Outcome != judge.Whole {
 			u.pause(300*time.Millisecond, 900*time.Millisecond, u.live)
 			return
@@ -139,7 +139,7 @@
 		// Some begin anew without an end, and more often than they may.
 		u.live()
 	case u.turns > 14 || w.chance(0.04):
-		w.ask(w.anyNode(), node.Inquiry{Kind: node.Close, Key: u.key, Program: u.program, Budget: 3 * time.Second}, func(judge.Asked, node.Piece) {
+		w.ask(w.anyNode(), node.Request{Kind: node.KindClose, Key: u.key, Program: u.program, Timeout: 3 * time.Second}, func(judge.Asked, node.Frame) {
 			u.pause(100*time.Millisecond, 600*time.Millisecond, u.live)
 		})
 	case w.chance(0.15):
@@ -160,14 +160,14 @@
 		line = "helper"
 	}
 	if u.heads[line] == "" {
-		u.heads[line] = program.Start
+		u.heads[line] = program.EmptyHead
 	}
 	before, mark := u.heads[line], w.mark("turn")
-	q := node.Inquiry{Kind: node.Turn, Key: u.key, Program: u.program, Line: line, Service: "model", Before: before, Say: mark, Budget: w.between(800*time.Millisecond, 5*time.Second)}
-	w.ask(w.anyNode(), q, func(a judge.Asked, last node.Piece) {
+	q := node.Request{Kind: node.KindTurn, Key: u.key, Program: u.program, Conversation: line, Service: "model", PreviousHead: before, Prompt: mark, Timeout: w.between(800*time.Millisecond, 5*time.Second)}
+	w.ask(w.anyNode(), q, func(a judge.Asked, last node.Frame) {
 		switch {
 		case a.Outcome == judge.Whole:
-			if want := program.Chain(before, mark, a.Text); want != last.Head {
+			if want := program.NextHead(before, mark, a.Text); want != last.Head {
 				w.Record.Asked[len(w.Record.Asked)-1].Text += " (head does not follow)"
 			}
 			u.heads[line] = last.Head
@@ -187,7 +187,7 @@
 	w := u.world
 	mark := w.mark("tool")
 	raw, _ := json.Marshal(map[string]string{"mark": mark})
-	w.ask(w.anyNode(), node.Inquiry{Kind: node.Tool, Key: u.key, Program: u.program, Service: "search", Arguments: raw, Budget: 2 * time.Second}, func(judge.Asked, node.Piece) { u.again() })
+	w.ask(w.anyNode(), node.Request{Kind: node.KindTool, Key: u.key, Program: u.program, Service: "search", Arguments: raw, Timeout: 2 * time.Second}, func(judge.Asked, node.Frame) { u.again() })
 }
 
 // alert sends a once-only alert, often at two nodes at once, and asks again
@@ -196,11 +196,11 @@
 	w := u.world
 	mark := w.mark("once")
 	raw, _ := json.Marshal(map[string]string{"mark": mark})
-	q := node.Inquiry{Kind: node.Action, Key: u.key, User: u.name, Service: "alert", OnceKey: mark, Arguments: raw, Budget: 2 * time.Second}
+	q := node.Request{Kind: node.KindAction, Key: u.key, User: u.name, Service: "alert", OnceKey: mark, Arguments: raw, Timeout: 2 * time.Second}
 	tries := 0
 	var try func(then func())
 	try = func(then func()) {
-		w.ask(w.anyNode(), q, func(a judge.Asked, last node.Piece) {
+		w.ask(w.anyNode(), q, func(a judge.Asked, last node.Frame) {
 			tries++
 			if a.Outcome != judge.Whole && tries < 5 {
 				u.pause(50*time.Millisecond, 800*time.Millisecond, func() { try(then) })
--- a/rehearsalkit/simulator/restart_test.go
+++ b/rehearsalkit/simulator/restart_test.go
@@ -29,7 +29,7 @@
 			heads := map[string]string{}
 			for i := 0; i < 6; i++ {
 				_, opened := open(w, i%4, fmt.Sprint("u", i))
-				a, p := turn(w, (i+1)%4, opened.Text, program.Start, 50)
+				a, p := turn(w, (i+1)%4, opened.Text, program.EmptyHead, 50)
 				want(t, "before", a, "")
 				heads[opened.Text] = p.Head
 			}
@@ -50,7 +50,7 @@
 				for id := range heads {
 					for _, n := range w.nodes {
 						looks++
-						w.ask(n, node.Inquiry{Kind: node.Look, Key: "key-t1", Program: id, Budget: 2 * time.Second}, drop)
+						w.ask(n, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: id, Timeout: 2 * time.Second}, drop)
 					}
 				}
 			}
@@ -61,7 +61,7 @@
 			}
 			whole := 0
 			for _, a := range w.Record.Asked {
-				if a.Kind == node.Look && a.Outcome == judge.Whole {
+				if a.Kind == node.KindStatus && a.Outcome == judge.Whole {
 					whole++
 				}
 			}
--- a/rehearsalkit/simulator/run.go
+++ b/rehearsalkit/simulator/run.go
@@ -188,7 +188,7 @@
 
 func (w *World) look(p *proc, last bool) {
 	see := func(key string, version uint64) {
-		w.ask(p, node.Inquiry{Kind: node.Look, Key: key, Program: "none", Budget: time.Second}, func(a judge.Asked, _ node.Piece) {
+		w.ask(p, node.Request{Kind: node.KindStatus, Key: key, Program: "none", Timeout: time.Second}, func(a judge.Asked, _ node.Frame) {
 			if a.Code == "unknown_program" {
 				w.Record.Probes = append(w.Record.Probes, judge.Probe{At: a.At, Ended: a.Ended, Node: p.id, Version: version, Last: last})
 				if version >= refusedBase {
@@ -230,15 +230,15 @@
 }
 
 // Do makes one inquiry at a node and runs the world until its return.
-func (w *World) Do(number int, q node.Inquiry) (judge.Asked, node.Piece) {
+func (w *World) Do(number int, q node.Request) (judge.Asked, node.Frame) {
 	var got judge.Asked
-	var last node.Piece
+	var last node.Frame
 	over := false
-	if q.Budget == 0 {
-		q.Budget = 3 * time.Second
+	if q.Timeout == 0 {
+		q.Timeout = 3 * time.Second
 	}
-	w.ask(w.nodes[number], q, func(a judge.Asked, p node.Piece) { got, last, over = a, p, true })
-	for until := w.now + q.Budget + time.Second; !over && w.now < until; {
+	w.ask(w.nodes[number], q, func(a judge.Asked, p node.Frame) { got, last, over = a, p, true })
+	for until := w.now + q.Timeout + time.Second; !over && w.now < until; {
 		w.run(w.now + 5*time.Millisecond)
 	}
 	return got, last
@@ -276,11 +276,11 @@
 	switch {
 	case p.life != life:
 		return
-	case p.nodeM.Left(p.now()):
+	case p.nodeM.Drained(p.now()):
 		w.Counts["drained"]++
 	case w.now >= until && !p.frozen:
 		w.Counts["drains cut short"]++
-		p.takeNode(p.nodeM.Quit(p.now()))
+		p.takeNode(p.nodeM.Shutdown(p.now()))
 	default:
 		w.after(50*time.Millisecond, func() { p.drained(life, until) })
 		return
@@ -289,10 +289,10 @@
 	w.after(w.between(100*time.Millisecond, time.Second), p.boot)
 }
 
-func open(w *World, at int, user string) (judge.Asked, node.Piece) {
-	return w.Do(at, node.Inquiry{Kind: node.Open, Key: "key-t1", User: user})
+func open(w *World, at int, user string) (judge.Asked, node.Frame) {
+	return w.Do(at, node.Request{Kind: node.KindOpen, Key: "key-t1", User: user})
 }
 
-func turn(w *World, at int, id, before string, tokens int64) (judge.Asked, node.Piece) {
-	return w.Do(at, node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: id, Service: "model", Before: before, Say: w.mark("say"), MaxTokens: tokens})
+func turn(w *World, at int, id, before string, tokens int64) (judge.Asked, node.Frame) {
+	return w.Do(at, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: before, Prompt: w.mark("say"), MaxTokens: tokens})
 }
--- a/rehearsalkit/simulator/terms.go
+++ b/rehearsalkit/simulator/terms.go
@@ -63,7 +63,7 @@
 	}
 	for seed := uint64(1); seed <= seeds; seed++ {
 		w := world(seed)
-		_, opened := w.Do(0, node.Inquiry{Kind: node.Open, Key: "key-t1", User: "u"})
+		_, opened := w.Do(0, node.Request{Kind: node.KindOpen, Key: "key-t1", User: "u"})
 		w.Pass(term)
 		w.nodes[0].kill()
 		died := w.now
@@ -74,7 +74,7 @@
 			}
 		})
 		for w.now < died+3*term+10*time.Second {
-			a, _ := w.Do(1, node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: opened.Text, Service: "model", Before: program.Start, Say: w.mark("say"), MaxTokens: 10})
+			a, _ := w.Do(1, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: opened.Text, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.mark("say"), MaxTokens: 10})
 			if a.Outcome == judge.Whole {
 				t.Successor = max(t.Successor, w.now-died)
 				break
@@ -96,19 +96,19 @@
 		if w.now >= until {
 			return
 		}
-		w.ask(w.anyNode(), node.Inquiry{Kind: node.Open, Key: key, User: w.mark("u"), Budget: 2 * time.Second}, func(a judge.Asked, p node.Piece) {
+		w.ask(w.anyNode(), node.Request{Kind: node.KindOpen, Key: key, User: w.mark("u"), Timeout: 2 * time.Second}, func(a judge.Asked, p node.Frame) {
 			if a.Outcome != judge.Whole {
 				w.after(200*time.Millisecond, open)
 				return
 			}
-			talk(p.Text, program.Start)
+			talk(p.Text, program.EmptyHead)
 		})
 	}
 	talk = func(id, head string) {
 		if w.now >= until {
 			return
 		}
-		w.ask(w.anyNode(), node.Inquiry{Kind: node.Turn, Key: key, Program: id, Service: "model", Before: head, Say: w.mark("say"), MaxTokens: 100, Budget: 2 * time.Second}, func(a judge.Asked, p node.Piece) {
+		w.ask(w.anyNode(), node.Request{Kind: node.KindTurn, Key: key, Program: id, Service: "model", PreviousHead: head, Prompt: w.mark("say"), MaxTokens: 100, Timeout: 2 * time.Second}, func(a judge.Asked, p node.Frame) {
 			done(a.At, a.Outcome == judge.Whole)
 			pause := w.between(500*time.Millisecond, 1500*time.Millisecond)
 			switch {
--- a/rehearsalkit/simulator/touch_test.go
+++ b/rehearsalkit/simulator/touch_test.go
@@ -16,7 +16,7 @@
 		at := nodes[i%len(nodes)]
 		if _, p := open(w, at, w.mark("u")); p.Text != "" {
 			asked++
-			if a, _ := turn(w, at, p.Text, program.Start, 50); a.Outcome == judge.Whole {
+			if a, _ := turn(w, at, p.Text, program.EmptyHead, 50); a.Outcome == judge.Whole {
 				whole++
 			}
 		}
@@ -46,7 +46,7 @@
 func TestOldWordAtAWokenNode(t *testing.T) {
 	w := judged(small(nil))
 	leaver, frozen := w.models[0], w.nodes[0]
-	stamp := frozen.nodeM.Announce(frozen.now(), node.Replica{Service: "model", ID: "other", Address: "other"}, "").Stamp
+	stamp := frozen.nodeM.Announce(frozen.now(), node.Replica{Service: "model", ID: "other", Address: "other"}, "").Token
 	frozen.freeze()
 	leaver.tell(frozen, leaver.serial, stamp)
 	w.Pass(50 * time.Millisecond)
@@ -74,7 +74,7 @@
 	}), 8*time.Second
 	w = judged(Calm(p))
 	_, opened := open(w, 0, "u")
-	a, first := turn(w, 0, opened.Text, program.Start, 100)
+	a, first := turn(w, 0, opened.Text, program.EmptyHead, 100)
 	want(t, "in touch", a, "")
 	w.Pass(500 * time.Millisecond)
 	for _, c := range w.cores {
@@ -190,7 +190,7 @@
 	want(t, "the lost turn's head", a, "wrong_history")
 	a, _ = turn(w, 2, id, last.Verdict.Head, 100)
 	want(t, "the kept head", a, "")
-	a, look := w.Do(1, node.Inquiry{Kind: node.Look, Key: "key-t1", Program: id})
+	a, look := w.Do(1, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: id})
 	want(t, "look", a, "")
 	var tokens int64
 	if _, err := fmt.Sscanf(string(look.Body[indexAfter(look.Body, `"tokens":`):]), "%d", &tokens); err != nil || tokens < 2000 {
@@ -205,7 +205,7 @@
 	w.Record.Limits.ProgramTokens, w.Record.Limits.TurnTokens = 2000, 1000
 	tokens, beyond := int64(0), 0
 	for range 12 {
-		a, p := w.Do(0, node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: id, Service: "model", Before: head, Say: w.mark("say")})
+		a, p := w.Do(0, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: head, Prompt: w.mark("say")})
 		tokens += a.Tokens
 		if a.Outcome == judge.Whole {
 			head = p.Head
--- a/rehearsalkit/simulator/world.go
+++ b/rehearsalkit/simulator/world.go
@@ -107,7 +107,7 @@
 type waiting struct {
 	node  *proc
 	next  time.Duration
-	piece func(p node.Piece)
+	piece func(p node.Frame)
 }
 
 // New lays out a world.
@@ -166,7 +166,7 @@
 }
 
 func (w *World) nodeParams() node.Params {
-	return node.Params{Core: w.coreParams(), Buffer: 64, Patience: time.Second, Newest: w.Params.Newest, Report: 300 * time.Millisecond, UrgentRatio: 0.25, Budget: 10 * time.Second}
+	return node.Params{Core: w.coreParams(), QueueLimit: 64, MaxQueueWait: time.Second, AnnouncementMaxAge: w.Params.Newest, ReportInterval: 300 * time.Millisecond, UrgentRatio: 0.25, DefaultTimeout: 10 * time.Second}
 }
 
 func (w *World) seeds() []string {
--- a/rule/allowance/allowance_test.go
+++ b/rule/allowance/allowance_test.go
@@ -50,11 +50,11 @@
 		w.Add(time.Duration(i)*10*time.Minute, 1)
 	}
 	now := 35 * time.Minute
-	wait := w.Until(now, 1, 4)
+	wait := w.WaitTime(now, 1, 4)
 	if w.Sum(now+wait-time.Second)+1 <= 4 || w.Sum(now+wait)+1 > 4 {
 		t.Errorf("wait %v", wait)
 	}
-	if w.Until(now, 1, 5) != 0 {
+	if w.WaitTime(now, 1, 5) != 0 {
 		t.Error("a wait where there is room")
 	}
 }
@@ -64,18 +64,18 @@
 func TestEndedHolderStaysEnded(t *testing.T) {
 	l := Ledger{Windows: []Window{{Width: time.Hour}}}
 	limits := []int64{100}
-	if l.Draw(0, "a", 80, limits) != 80 {
+	if l.Grant(0, "a", 80, limits) != 80 {
 		t.Fatal("not granted")
 	}
 	l.Report(0, "a", 30, 40)
-	l.End(0, "a")
-	room := l.Room(0, limits)
+	l.CloseAccount(0, "a")
+	room := l.Available(0, limits)
 	l.Report(0, "a", 30, 40)
-	if l.Room(0, limits) != room {
-		t.Errorf("a late message made %d of room into %d", room, l.Room(0, limits))
+	if l.Available(0, limits) != room {
+		t.Errorf("a late message made %d of room into %d", room, l.Available(0, limits))
 	}
-	l.Draw(0, "b", 100, limits)
-	if out := l.Out(); out != room {
+	l.Grant(0, "b", 100, limits)
+	if out := l.Outstanding(); out != room {
 		t.Errorf("%d are out of %d", out, room)
 	}
 }
@@ -90,13 +90,13 @@
 	}{{[]int64{1}, 1, 10}, {[]int64{32, 32, 320}, 3, 48}, {[]int64{32}, 13, 48}, {[]int64{5, 5, 5, 5, 5}, 5, 3}, {[]int64{1000, 1}, 2, 2}} {
 		var l Ledger
 		names := []string{"a", "b", "c", "d", "e"}
-		d := Division{Whole: c.whole, Holders: c.holders, Idle: 32}
+		d := Division{Total: c.whole, Holders: c.holders, IdleDemand: 32}
 		for i, w := range c.wants {
-			l.Want(names[i], w, d)
+			l.SetDemand(names[i], w, d)
 		}
 		var sum, none int64
 		for i, w := range c.wants {
-			got := l.Want(names[i], w, d)
+			got := l.SetDemand(names[i], w, d)
 			sum += got
 			if got == 0 {
 				none++
--- a/rule/allowance/window.go
+++ b/rule/allowance/window.go
@@ -23,7 +23,7 @@
 
 // Sum is what the window holds at a time.
 func (w *Window) Sum(now time.Duration) int64 {
-	w.trim(now)
+	w.expire(now)
 	var sum int64
 	for _, s := range w.Slots {
 		sum += s.Amount
@@ -36,7 +36,7 @@
 	if amount == 0 {
 		return
 	}
-	w.trim(now)
+	w.expire(now)
 	if n := len(w.Slots); n > 0 && now-w.Slots[n-1].First < w.Width/SlotsPerWindow {
 		w.Slots[n-1].Amount += amount
 		if now > w.Slots[n-1].Last {
@@ -49,7 +49,7 @@
 
 // Until is how long it takes until the window has room for an amount under a
 // limit, if nothing more is added.
-func (w *Window) Until(now time.Duration, amount, limit int64) time.Duration {
+func (w *Window) WaitTime(now time.Duration, amount, limit int64) time.Duration {
 	over := w.Sum(now) + amount - limit
 	if over <= 0 {
 		return 0
@@ -63,7 +63,7 @@
 	return w.Width
 }
 
-func (w *Window) trim(now time.Duration) {
+func (w *Window) expire(now time.Duration) {
 	n := 0
 	for n < len(w.Slots) && w.Slots[n].Last+w.Width <= now {
 		n++
--- a/rule/breaker/breaker.go
+++ b/rule/breaker/breaker.go
@@ -95,18 +95,18 @@
 		return b.Ledger.Holders[holder].Granted
 	}
 	shortfall := need - b.Ledger.Holders[holder].Held()
-	if shortfall > 0 && b.Ledger.Room(now, p.limits()) < shortfall {
+	if shortfall > 0 && b.Ledger.Available(now, p.limits()) < shortfall {
 		b.trip(now, shortfall, p)
 		return b.Ledger.Holders[holder].Granted
 	}
-	return b.Ledger.Draw(now, holder, target, p.limits())
+	return b.Ledger.Grant(now, holder, target, p.limits())
 }
 
 // trip opens the breaker and records the first limit that the shortfall exceeds.
 func (b *Breaker) trip(now time.Duration, shortfall int64, p Params) {
 	b.State, b.Since, b.Probes = Open, now, nil
 	b.Trips++
-	outstanding := b.Ledger.Out()
+	outstanding := b.Ledger.Outstanding()
 	for i, name := range []string{"minute", "hour", "day"} {
 		if outstanding+b.Ledger.Windows[i].Sum(now)+shortfall > p.limits()[i] {
 			b.Reason = "spend of the " + name
--- a/rule/breaker/breaker_test.go
+++ b/rule/breaker/breaker_test.go
@@ -36,7 +36,7 @@
 			t.Errorf("%s: %s by %q after %d", c.name, b.State, b.Reason, spent)
 		}
 		for i, limit := range params().limits() {
-			if sum := b.Ledger.Windows[i].Sum(now) + b.Ledger.Out(); sum > limit {
+			if sum := b.Ledger.Windows[i].Sum(now) + b.Ledger.Outstanding(); sum > limit {
 				t.Errorf("%s: window %d has %d of %d", c.name, i, sum, limit)
 			}
 		}
--- a/rule/program/program.go
+++ b/rule/program/program.go
@@ -16,84 +16,84 @@
 )
 
 // Line is one conversation of a program: the root's, or a helper's.
-type Line struct {
+type Conversation struct {
 	Head  string `msgpack:"h"`
 	Turns int    `msgpack:"t"`
 }
 
 // Reservation is the greatest possible output of a running turn.
 type Reservation struct {
-	Line   string `msgpack:"l"`
-	Tokens int64  `msgpack:"t"`
+	Conversation string `msgpack:"l"`
+	Tokens       int64  `msgpack:"t"`
 }
 
 // ToolBook counts the calls of one tool.
-type ToolBook struct {
-	Calls    int64            `msgpack:"c"`
-	Same     map[string]int64 `msgpack:"s"`
-	Minute   allowance.Window `msgpack:"m"`
-	Hour     allowance.Window `msgpack:"h"`
-	Running  int64            `msgpack:"r"`
-	Errors   int64            `msgpack:"e"`
-	CoolTill time.Duration    `msgpack:"u"`
+type ToolUsage struct {
+	Calls         int64            `msgpack:"c"`
+	Identical     map[string]int64 `msgpack:"s"`
+	Minute        allowance.Window `msgpack:"m"`
+	Hour          allowance.Window `msgpack:"h"`
+	Running       int64            `msgpack:"r"`
+	Errors        int64            `msgpack:"e"`
+	CooldownUntil time.Duration    `msgpack:"u"`
 }
 
 // Record is a program's durable state. One node at a time owns it, by its
 // fence, and is the only one that changes it. Times are of the part's clock.
 type Record struct {
-	ID          string                 `msgpack:"i"`
-	Tenant      string                 `msgpack:"t"`
-	User        string                 `msgpack:"u"`
-	Role        string                 `msgpack:"r"`
-	Node        string                 `msgpack:"n"`
-	Incarnation string                 `msgpack:"a"`
-	Address     string                 `msgpack:"d"`
-	Fence       uint64                 `msgpack:"f"`
-	Version     uint64                 `msgpack:"v"`
-	Opened      time.Duration          `msgpack:"o"`
-	Touched     time.Duration          `msgpack:"z"`
-	Keep        time.Duration          `msgpack:"e"`
-	Closed      bool                   `msgpack:"c"`
-	Steps       int64                  `msgpack:"s"`
-	Spent       int64                  `msgpack:"p"`
-	Bytes       int64                  `msgpack:"b"`
-	Test        int                    `msgpack:"x"`
-	Tested      bool                   `msgpack:"y"`
-	Lines       map[string]Line        `msgpack:"l"`
-	Running     map[string]Reservation `msgpack:"q"`
-	ToolCalls   int64                  `msgpack:"k"`
-	Tools       map[string]ToolBook    `msgpack:"w"`
+	ID            string                  `msgpack:"i"`
+	Tenant        string                  `msgpack:"t"`
+	User          string                  `msgpack:"u"`
+	Role          string                  `msgpack:"r"`
+	Node          string                  `msgpack:"n"`
+	Incarnation   string                  `msgpack:"a"`
+	Address       string                  `msgpack:"d"`
+	Fence         uint64                  `msgpack:"f"`
+	Version       uint64                  `msgpack:"v"`
+	OpenedAt      time.Duration           `msgpack:"o"`
+	LastActive    time.Duration           `msgpack:"z"`
+	Retention     time.Duration           `msgpack:"e"`
+	Closed        bool                    `msgpack:"c"`
+	Steps         int64                   `msgpack:"s"`
+	Spent         int64                   `msgpack:"p"`
+	Bytes         int64                   `msgpack:"b"`
+	TestSession   int                     `msgpack:"x"`
+	TestReported  bool                    `msgpack:"y"`
+	Conversations map[string]Conversation `msgpack:"l"`
+	Running       map[string]Reservation  `msgpack:"q"`
+	ToolCalls     int64                   `msgpack:"k"`
+	Tools         map[string]ToolUsage    `msgpack:"w"`
 	// Covered is up to where the allowance is charged beforehand, so that the
 	// owner may go on to there while the cores can't be reached. Mirrors then
 	// hold what it does, under the fence that named them.
-	Covered      int64    `msgpack:"g"`
+	Precharged   int64    `msgpack:"g"`
 	Mirrors      []Mirror `msgpack:"m"`
 	MirrorsFence uint64   `msgpack:"j"`
 }
 
 // Mirror is one life of a node that holds copies for an owner.
 type Mirror struct {
-	ID   string `msgpack:"i"`
-	Life string `msgpack:"l"`
-	Peer string `msgpack:"p"`
+	ID      string `msgpack:"i"`
+	Process string `msgpack:"l"`
+	Address string `msgpack:"p"`
 }
 
 // Turn is one kept turn of a line: what was said and what came of it.
 type Turn struct {
-	Line   string `msgpack:"l" json:"-"`
-	Number int    `msgpack:"n" json:"-"`
-	Say    string `msgpack:"s" json:"say"`
-	Got    string `msgpack:"g" json:"got"`
-	Head   string `msgpack:"h" json:"head"`
+	Conversation string `msgpack:"l" json:"-"`
+	Number       int    `msgpack:"n" json:"-"`
+	Prompt       string `msgpack:"s" json:"say"`
+	Response     string `msgpack:"g" json:"got"`
+	Head         string `msgpack:"h" json:"head"`
 }
 
 // Start is the head of a line that has no turns.
-const Start = "start"
+const EmptyHead = "start"
 
 // Chain is the head that follows another one after a turn.
-func Chain(head, say, got string) string {
+func NextHead(head, prompt, response string) string {
 	h := sha256.New()
-	for _, text := range []string{head, say, got} {
+	for _, text := range []string{head, prompt, response} {
 		sum := sha256.Sum256([]byte(text))
 		h.Write(sum[:])
 	}
@@ -103,8 +103,8 @@
 // Reserved is the sum of the running reservations.
 func (r *Record) Reserved() int64 {
 	var sum int64
-	for _, q := range r.Running {
-		sum += q.Tokens
+	for _, reservation := range r.Running {
+		sum += reservation.Tokens
 	}
 	return sum
 }
@@ -114,26 +114,26 @@
 
 // coveredTurns is how many of the greatest turns an owner has charged
 // beforehand, to be taken while nobody can be asked.
-const coveredTurns = 2
+const prechargedTurns = 2
 
 // Cover is up to where an allowance is charged beforehand, of which something
 // is charged already.
-func Cover(role configuration.Role, charged int64) int64 {
-	return min(role.ProgramTokensHard, charged+coveredTurns*role.TurnTokens)
+func PrechargeTarget(role configuration.Role, charged int64) int64 {
+	return min(role.ProgramTokensHard, charged+prechargedTurns*role.TurnTokens)
 }
 
 // Line finds a line; one that has no turns yet begins at Start.
-func (r *Record) Line(name string) Line {
-	if l, ok := r.Lines[name]; ok {
+func (r *Record) Conversation(name string) Conversation {
+	if l, ok := r.Conversations[name]; ok {
 		return l
 	}
-	return Line{Head: Start}
+	return Conversation{Head: EmptyHead}
 }
 
 // Busy reports whether a turn of a line is running.
-func (r *Record) Busy(line string) bool {
-	for _, q := range r.Running {
-		if q.Line == line {
+func (r *Record) HasRunningTurn(line string) bool {
+	for _, reservation := range r.Running {
+		if reservation.Conversation == line {
 			return true
 		}
 	}
@@ -141,12 +141,12 @@
 }
 
 // Settle charges everything that was running when an owner was lost.
-func (r *Record) Settle() {
+func (r *Record) ChargeRunning() {
 	r.Spent = r.Charged()
 	r.Running = nil
-	for name, book := range r.Tools {
-		book.Running = 0
-		r.Tools[name] = book
+	for name, usage := range r.Tools {
+		usage.Running = 0
+		r.Tools[name] = usage
 	}
 }
 
@@ -154,7 +154,7 @@
 	return verdict.Refused(verdict.Refusal{Check: check, Code: code, Reason: reason, Status: status, RetryAfter: after})
 }
 
-func near(warnings []verdict.Warning, scope string, used, of int64, ratio float64) []verdict.Warning {
+func appendWarning(warnings []verdict.Warning, scope string, used, of int64, ratio float64) []verdict.Warning {
 	if of > 0 && float64(used) >= ratio*float64(of) {
 		warnings = append(warnings, verdict.Warning{Scope: scope, Used: used, Limit: of})
 	}
@@ -163,9 +163,9 @@
 
 // Caps checks a program's caps before a turn, in their order: closed, steps,
 // duration, tool calls in all, per type, identical, size of the history.
-func (r *Record) Caps(clock time.Duration, role configuration.Role, ratio float64) verdict.Verdict {
+func (r *Record) CheckTurnLimits(clock time.Duration, role configuration.Role, ratio float64) verdict.Verdict {
 	var warnings []verdict.Warning
-	age := clock - r.Opened
+	age := clock - r.OpenedAt
 	switch {
 	case r.Closed:
 		return refuse("program", "program_closed", "the program was closed", 409, 0)
@@ -177,28 +177,28 @@
 		return refuse("tool_calls", "tool_calls_reached", "the program has made all its tool calls", 429, 0)
 	}
 	for _, name := range ordered.Keys(r.Tools) {
-		book := r.Tools[name]
-		if book.Calls >= role.ToolCallsPerType {
+		usage := r.Tools[name]
+		if usage.Calls >= role.ToolCallsPerType {
 			return refuse("tool_calls_per_type", "tool_calls_per_type_reached", "the program has made all its calls of "+name, 429, 0)
 		}
-		for _, n := range book.Same {
+		for _, n := range usage.Identical {
 			if n >= role.IdenticalToolCalls {
 				return refuse("identical_tool_calls", "loop", "the program repeated a call of "+name, 429, 0)
 			}
 		}
-		warnings = near(warnings, "tool_calls_per_type/"+name, book.Calls, role.ToolCallsPerType, ratio)
+		warnings = appendWarning(warnings, "tool_calls_per_type/"+name, usage.Calls, role.ToolCallsPerType, ratio)
 	}
 	if r.Bytes >= role.HistoryBytes {
 		return refuse("history_bytes", "history_full", "the program's history is full", 429, 0)
 	}
-	warnings = near(warnings, "steps", r.Steps, role.Steps, ratio)
-	warnings = near(warnings, "tool_calls", r.ToolCalls, role.ToolCalls, ratio)
-	warnings = near(warnings, "duration", int64(age/time.Second), role.SessionSeconds, ratio)
+	warnings = appendWarning(warnings, "steps", r.Steps, role.Steps, ratio)
+	warnings = appendWarning(warnings, "tool_calls", r.ToolCalls, role.ToolCalls, ratio)
+	warnings = appendWarning(warnings, "duration", int64(age/time.Second), role.SessionSeconds, ratio)
 	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
 
 // Budget checks the program's own allowance of tokens before a turn.
-func (r *Record) Budget(role configuration.Role) verdict.Verdict {
+func (r *Record) CheckTokenBudget(role configuration.Role) verdict.Verdict {
 	charged := r.Charged()
 	if charged >= role.ProgramTokensHard {
 		return refuse("program_tokens", "program_tokens_spent", "the program's allowance is spent", 429, 0)
@@ -210,16 +210,16 @@
 }
 
 // Reserve begins a turn.
-func (r *Record) Reserve(turn, line string, tokens int64) {
+func (r *Record) ReserveTurn(turn, line string, tokens int64) {
 	if r.Running == nil {
 		r.Running = map[string]Reservation{}
 	}
-	r.Running[turn] = Reservation{Line: line, Tokens: tokens}
+	r.Running[turn] = Reservation{Conversation: line, Tokens: tokens}
 	r.Steps++
 }
 
 // Unreserve takes back a turn that surely did not run.
-func (r *Record) Unreserve(turn string) {
+func (r *Record) CancelTurn(turn string) {
 	if _, ok := r.Running[turn]; ok {
 		delete(r.Running, turn)
 		r.Steps--
@@ -227,31 +227,31 @@
 }
 
 // Fail ends a turn that has no whole outcome: its reservation counts as spent.
-func (r *Record) Fail(turn string) {
-	if q, ok := r.Running[turn]; ok {
-		r.Spent += q.Tokens
+func (r *Record) FailTurn(turn string) {
+	if reservation, ok := r.Running[turn]; ok {
+		r.Spent += reservation.Tokens
 		delete(r.Running, turn)
 	}
 }
 
 // Finish ends a turn that came whole.
-func (r *Record) Finish(turn string, tokens int64, say, got string) Turn {
-	q := r.Running[turn]
+func (r *Record) FinishTurn(turn string, tokens int64, prompt, response string) Turn {
+	reservation := r.Running[turn]
 	delete(r.Running, turn)
 	r.Spent += tokens
-	line := r.Line(q.Line)
-	t := Turn{Line: q.Line, Number: line.Turns, Say: say, Got: got, Head: Chain(line.Head, say, got)}
-	if r.Lines == nil {
-		r.Lines = map[string]Line{}
+	conversation := r.Conversation(reservation.Conversation)
+	t := Turn{Conversation: reservation.Conversation, Number: conversation.Turns, Prompt: prompt, Response: response, Head: NextHead(conversation.Head, prompt, response)}
+	if r.Conversations == nil {
+		r.Conversations = map[string]Conversation{}
 	}
-	r.Lines[q.Line] = Line{Head: t.Head, Turns: line.Turns + 1}
-	r.Bytes += int64(len(say) + len(got))
+	r.Conversations[reservation.Conversation] = Conversation{Head: t.Head, Turns: conversation.Turns + 1}
+	r.Bytes += int64(len(prompt) + len(response))
 	return t
 }
 
 // Arguments is the digest of a tool call's arguments in canonical form: keys
 // in order, no spaces, numbers as written.
-func Arguments(raw []byte) (string, error) {
+func ArgumentsDigest(raw []byte) (string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
 	var value any
@@ -268,81 +268,81 @@
 
 // Tool checks a tool call, in order: closed, duration, calls in all, per type,
 // identical, cooldown, per-tool rates, concurrency.
-func (r *Record) Tool(clock time.Duration, name, arguments string, role configuration.Role, service configuration.Service, ratio float64) verdict.Verdict {
-	book := r.Tools[name]
+func (r *Record) CheckToolCall(clock time.Duration, name, arguments string, role configuration.Role, service configuration.Service, ratio float64) verdict.Verdict {
+	usage := r.Tools[name]
 	switch {
 	case r.Closed:
 		return refuse("program", "program_closed", "the program was closed", 409, 0)
-	case clock-r.Opened >= time.Duration(role.SessionSeconds)*time.Second:
+	case clock-r.OpenedAt >= time.Duration(role.SessionSeconds)*time.Second:
 		return refuse("duration", "duration_reached", "the program's time is over", 429, 0)
 	case r.ToolCalls >= role.ToolCalls:
 		return refuse("tool_calls", "tool_calls_reached", "the program has made all its tool calls", 429, 0)
-	case book.Calls >= role.ToolCallsPerType:
+	case usage.Calls >= role.ToolCallsPerType:
 		return refuse("tool_calls_per_type", "tool_calls_per_type_reached", "the program has made all its calls of "+name, 429, 0)
-	case book.Same[arguments] >= role.IdenticalToolCalls:
+	case usage.Identical[arguments] >= role.IdenticalToolCalls:
 		return refuse("identical_tool_calls", "loop", "the same call was made before", 429, 0)
-	case clock < book.CoolTill:
-		return refuse("cooldown", "tool_cooling", name+" failed and rests", 429, book.CoolTill-clock)
+	case clock < usage.CooldownUntil:
+		return refuse("cooldown", "tool_cooling", name+" failed and rests", 429, usage.CooldownUntil-clock)
 	}
-	if wait := book.Minute.Until(clock, 1, service.CallsPerMinute); wait > 0 && book.Minute.Width > 0 {
+	if wait := usage.Minute.WaitTime(clock, 1, service.CallsPerMinute); wait > 0 && usage.Minute.Width > 0 {
 		return refuse("tool_rate", "tool_rate_reached", "calls of "+name+" in a minute", 429, wait)
 	}
-	if wait := book.Hour.Until(clock, 1, service.CallsPerHour); wait > 0 && book.Hour.Width > 0 {
+	if wait := usage.Hour.WaitTime(clock, 1, service.CallsPerHour); wait > 0 && usage.Hour.Width > 0 {
 		return refuse("tool_rate", "tool_rate_reached", "calls of "+name+" in an hour", 429, wait)
 	}
-	if book.Running >= service.ConcurrentCalls {
+	if usage.Running >= service.ConcurrentCalls {
 		return refuse("tool_concurrency", "tool_busy", "calls of "+name+" at once", 429, time.Second)
 	}
 	var warnings []verdict.Warning
-	warnings = near(warnings, "tool_calls", r.ToolCalls+1, role.ToolCalls, ratio)
-	warnings = near(warnings, "tool_calls_per_type/"+name, book.Calls+1, role.ToolCallsPerType, ratio)
+	warnings = appendWarning(warnings, "tool_calls", r.ToolCalls+1, role.ToolCalls, ratio)
+	warnings = appendWarning(warnings, "tool_calls_per_type/"+name, usage.Calls+1, role.ToolCallsPerType, ratio)
 	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
 
 // CallTool counts a tool call that is about to be made.
-func (r *Record) CallTool(clock time.Duration, name, arguments string) {
+func (r *Record) StartToolCall(clock time.Duration, name, arguments string) {
 	if r.Tools == nil {
-		r.Tools = map[string]ToolBook{}
+		r.Tools = map[string]ToolUsage{}
 	}
-	book := r.Tools[name]
-	if book.Same == nil {
-		book.Same = map[string]int64{}
-		book.Minute.Width, book.Hour.Width = time.Minute, time.Hour
+	usage := r.Tools[name]
+	if usage.Identical == nil {
+		usage.Identical = map[string]int64{}
+		usage.Minute.Width, usage.Hour.Width = time.Minute, time.Hour
 	}
-	book.Calls++
-	book.Running++
-	book.Same[arguments]++
-	book.Minute.Add(clock, 1)
-	book.Hour.Add(clock, 1)
+	usage.Calls++
+	usage.Running++
+	usage.Identical[arguments]++
+	usage.Minute.Add(clock, 1)
+	usage.Hour.Add(clock, 1)
 	r.ToolCalls++
-	r.Tools[name] = book
+	r.Tools[name] = usage
 }
 
 // UncallTool takes back a call that surely did not run. Its place in the rate
 // windows stays taken.
-func (r *Record) UncallTool(name, arguments string) {
-	book := r.Tools[name]
-	book.Calls--
-	book.Running--
-	book.Same[arguments]--
+func (r *Record) CancelToolCall(name, arguments string) {
+	usage := r.Tools[name]
+	usage.Calls--
+	usage.Running--
+	usage.Identical[arguments]--
 	r.ToolCalls--
-	r.Tools[name] = book
+	r.Tools[name] = usage
 }
 
 // ToolDone takes the outcome of a tool call. Each error in a row doubles the
 // cooldown, up to a greatest one.
-func (r *Record) ToolDone(clock time.Duration, name string, good bool, service configuration.Service, longest time.Duration) {
-	book := r.Tools[name]
-	book.Running = max(0, book.Running-1)
+func (r *Record) FinishToolCall(clock time.Duration, name string, good bool, service configuration.Service, longest time.Duration) {
+	usage := r.Tools[name]
+	usage.Running = max(0, usage.Running-1)
 	if good {
-		book.Errors, book.CoolTill = 0, 0
+		usage.Errors, usage.CooldownUntil = 0, 0
 	} else {
 		cool := time.Duration(service.CooldownSeconds) * time.Second
-		for i := int64(0); i < book.Errors && cool < longest; i++ {
+		for i := int64(0); i < usage.Errors && cool < longest; i++ {
 			cool *= 2
 		}
-		book.Errors++
-		book.CoolTill = clock + min(cool, longest)
+		usage.Errors++
+		usage.CooldownUntil = clock + min(cool, longest)
 	}
-	r.Tools[name] = book
+	r.Tools[name] = usage
 }
--- a/rule/program/user.go
+++ b/rule/program/user.go
@@ -10,29 +10,29 @@
 
 // Session is an open session of a user.
 type Session struct {
-	Until   time.Duration `msgpack:"u"`
-	Charged int64         `msgpack:"c"`
-	Closed  bool          `msgpack:"d"`
+	ExpiresAt time.Duration `msgpack:"u"`
+	Charged   int64         `msgpack:"c"`
+	Closed    bool          `msgpack:"d"`
 	// Covered is up to where the program may spend before it can be asked again.
-	Covered int64 `msgpack:"v"`
+	Precharged int64 `msgpack:"v"`
 }
 
 // Opening is the outcome of a recent try to open a session, kept so that a
 // repeated message is answered as the first one was.
-type Opening struct {
+type OpenResult struct {
 	Program string          `msgpack:"p"`
 	Verdict verdict.Verdict `msgpack:"v"`
 }
 
 // User is a user's durable state: windows, lockout, sessions, the day.
 type User struct {
-	Minute   allowance.Window   `msgpack:"m"`
-	Hour     allowance.Window   `msgpack:"h"`
-	Day      allowance.Window   `msgpack:"d"`
-	Locked   time.Duration      `msgpack:"l"`
-	Sessions map[string]Session `msgpack:"s"`
-	Tokens   allowance.Window   `msgpack:"t"`
-	Recent   []Opening          `msgpack:"r"`
+	Minute      allowance.Window   `msgpack:"m"`
+	Hour        allowance.Window   `msgpack:"h"`
+	Day         allowance.Window   `msgpack:"d"`
+	LockedUntil time.Duration      `msgpack:"l"`
+	Sessions    map[string]Session `msgpack:"s"`
+	Tokens      allowance.Window   `msgpack:"t"`
+	RecentOpens []OpenResult       `msgpack:"r"`
 }
 
 // NewUser is a user who has done nothing yet.
@@ -41,28 +41,28 @@
 		Day: allowance.Window{Width: 24 * time.Hour}, Tokens: allowance.Window{Width: 24 * time.Hour}}
 }
 
-const recentOpenings = 8
+const recentOpens = 8
 
 // Open checks a session start: lockout and the three windows in one pass, then
 // concurrency, then the day. A passed window pass is used up even if a later
 // check refuses.
-func (u *User) Open(clock time.Duration, program string, role configuration.Role, ratio float64) verdict.Verdict {
-	for _, o := range u.Recent {
+func (u *User) OpenSession(clock time.Duration, program string, role configuration.Role, ratio float64) verdict.Verdict {
+	for _, o := range u.RecentOpens {
 		if o.Program == program {
 			return o.Verdict
 		}
 	}
-	v := u.open(clock, program, role, ratio)
-	u.Recent = append(u.Recent, Opening{Program: program, Verdict: v})
-	if n := len(u.Recent); n > recentOpenings {
-		u.Recent = append([]Opening(nil), u.Recent[n-recentOpenings:]...)
+	v := u.checkSession(clock, program, role, ratio)
+	u.RecentOpens = append(u.RecentOpens, OpenResult{Program: program, Verdict: v})
+	if n := len(u.RecentOpens); n > recentOpens {
+		u.RecentOpens = append([]OpenResult(nil), u.RecentOpens[n-recentOpens:]...)
 	}
 	return v
 }
 
-func (u *User) open(clock time.Duration, program string, role configuration.Role, ratio float64) verdict.Verdict {
-	if clock < u.Locked {
-		return refuse("lockout", "locked_out", "the user is locked out", 429, u.Locked-clock)
+func (u *User) checkSession(clock time.Duration, program string, role configuration.Role, ratio float64) verdict.Verdict {
+	if clock < u.LockedUntil {
+		return refuse("lockout", "locked_out", "the user is locked out", 429, u.LockedUntil-clock)
 	}
 	windows := []struct {
 		name   string
@@ -70,13 +70,13 @@
 		limit  int64
 	}{{"minute", &u.Minute, role.SessionsPerMinute}, {"hour", &u.Hour, role.SessionsPerHour}, {"day", &u.Day, role.SessionsPerDay}}
 	for i, w := range windows {
-		wait := w.window.Until(clock, 1, w.limit)
+		wait := w.window.WaitTime(clock, 1, w.limit)
 		if wait <= 0 {
 			continue
 		}
 		if i == 0 {
 			lockout := time.Duration(role.LockoutSeconds) * time.Second
-			u.Locked = clock + lockout
+			u.LockedUntil = clock + lockout
 			return refuse("window_minute", "sessions_per_minute", "too many sessions in a minute; the user is locked out", 429, lockout)
 		}
 		return refuse("window_"+w.name, "sessions_per_"+w.name, "too many sessions in the "+w.name, 429, wait)
@@ -88,41 +88,41 @@
 	soonest := time.Duration(role.SessionSeconds) * time.Second
 	for id, s := range u.Sessions {
 		switch {
-		case clock >= s.Until+24*time.Hour:
+		case clock >= s.ExpiresAt+24*time.Hour:
 			delete(u.Sessions, id)
-		case !s.Closed && clock < s.Until:
+		case !s.Closed && clock < s.ExpiresAt:
 			live++
-			soonest = min(soonest, s.Until-clock)
+			soonest = min(soonest, s.ExpiresAt-clock)
 		}
 	}
 	if live >= role.ConcurrentSessions {
 		return refuse("concurrency", "concurrent_sessions", "the user has as many sessions open as the role may", 429, soonest)
 	}
-	spent := u.day(clock)
+	spent := u.dayTokens(clock)
 	if spent >= role.UserDayTokensHard {
-		return refuse("day_tokens", "user_day_tokens_spent", "the user's day is spent", 429, u.Tokens.Until(clock, 1, role.UserDayTokensHard))
+		return refuse("day_tokens", "user_day_tokens_spent", "the user's day is spent", 429, u.Tokens.WaitTime(clock, 1, role.UserDayTokensHard))
 	}
 	if u.Sessions == nil {
 		u.Sessions = map[string]Session{}
 	}
-	u.Sessions[program] = Session{Until: clock + time.Duration(role.SessionSeconds)*time.Second, Covered: Cover(role, 0)}
+	u.Sessions[program] = Session{ExpiresAt: clock + time.Duration(role.SessionSeconds)*time.Second, Precharged: PrechargeTarget(role, 0)}
 	var warnings []verdict.Warning
 	if spent >= role.UserDayTokensSoft {
 		warnings = append(warnings, verdict.Warning{Scope: "user_day_tokens", Used: spent, Limit: role.UserDayTokensHard})
 	}
 	for _, w := range windows {
-		warnings = near(warnings, "sessions_per_"+w.name, w.window.Sum(clock), w.limit, ratio)
+		warnings = appendWarning(warnings, "sessions_per_"+w.name, w.window.Sum(clock), w.limit, ratio)
 	}
 	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
 
 // day is what the user's day holds: what was charged, and what open sessions
 // may spend before they can be asked.
-func (u *User) day(clock time.Duration) int64 {
+func (u *User) dayTokens(clock time.Duration) int64 {
 	spent := u.Tokens.Sum(clock)
 	for _, s := range u.Sessions {
-		if !s.Closed && clock < s.Until+u.Minute.Width {
-			spent += max(0, s.Covered-s.Charged)
+		if !s.Closed && clock < s.ExpiresAt+u.Minute.Width {
+			spent += max(0, s.Precharged-s.Charged)
 		}
 	}
 	return spent
@@ -130,11 +130,11 @@
 
 // Charge raises what a program of this user has spent and may spend
 // beforehand, cumulatively, and returns what of the user's day is charged.
-func (u *User) Charge(clock time.Duration, program string, charged, covered int64) int64 {
+func (u *User) ChargeSession(clock time.Duration, program string, charged, covered int64) int64 {
 	s := u.Sessions[program]
-	if charged > s.Charged || covered > s.Covered {
+	if charged > s.Charged || covered > s.Precharged {
 		u.Tokens.Add(clock, max(0, charged-s.Charged))
-		s.Charged, s.Covered = max(charged, s.Charged), max(covered, s.Covered)
+		s.Charged, s.Precharged = max(charged, s.Charged), max(covered, s.Precharged)
 		if u.Sessions == nil {
 			u.Sessions = map[string]Session{}
 		}
@@ -144,7 +144,7 @@
 }
 
 // Close ends a session, so that it no longer counts as one at once.
-func (u *User) Close(program string) {
+func (u *User) CloseSession(program string) {
 	if s, ok := u.Sessions[program]; ok {
 		s.Closed = true
 		u.Sessions[program] = s
--- a/rule/rehearsal/rehearsal.go
+++ b/rule/rehearsal/rehearsal.go
@@ -149,10 +149,10 @@
 	}
 	switch s.Kind {
 	case "open":
-		v := u.Open(at, id, role, r.d.WarnRatio)
+		v := u.OpenSession(at, id, role, r.d.WarnRatio)
 		if s.Program == "" {
 			// The sampled request was refused, so it left no session open.
-			u.Close(id)
+			u.CloseSession(id)
 		}
 		switch {
 		case v.Refused():
@@ -162,7 +162,7 @@
 		}
 		return ""
 	case "close":
-		u.Close(id)
+		u.CloseSession(id)
 		return ""
 	case "turn":
 		switch {
@@ -173,7 +173,7 @@
 		case r.dayTokens[s.Tenant]+s.Tokens > t.DayTokens:
 			return "tenant_day"
 		}
-		u.Charge(at, id, s.Charged, 0)
+		u.ChargeSession(at, id, s.Charged, 0)
 		r.dayTokens[s.Tenant] += s.Tokens
 	}
 	b := r.buckets[s.Tenant]
--- a/saffronfall/coreprocess/process.go
+++ b/saffronfall/coreprocess/process.go
@@ -90,7 +90,7 @@
 		return err
 	}
 	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.FleetSecret,
-		QueueSize: int(p.BufferSize), MaxMessageBytes: 64 << 20, Timeout: p.Node().Newest})
+		QueueSize: int(p.BufferSize), MaxMessageBytes: 64 << 20, Timeout: p.Node().AnnouncementMaxAge})
 	if err != nil {
 		return err
 	}
--- a/saffronfall/nodeprocess/process.go
+++ b/saffronfall/nodeprocess/process.go
@@ -27,8 +27,8 @@
 )
 
 type inquiry struct {
-	inquiry node.Inquiry
-	pieces  chan node.Piece
+	inquiry node.Request
+	pieces  chan node.Frame
 	gone    <-chan struct{}
 }
 
@@ -43,12 +43,12 @@
 	start   time.Duration
 	arrive  chan inquiry
 	gone    chan uint64
-	events  chan node.Event
+	events  chan node.AttemptEvent
 	calls   chan func(now time.Duration) node.Output
 	life    context.Context
 	drain   chan struct{}
 
-	waiting  map[uint64]chan node.Piece
+	waiting  map[uint64]chan node.Frame
 	shots    map[uint64]context.CancelFunc
 	next     uint64
 	sent     int64
@@ -68,15 +68,15 @@
 		return err
 	}
 	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.FleetSecret,
-		QueueSize: int(p.BufferSize), MaxMessageBytes: 64 << 20, Timeout: p.Node().Newest})
+		QueueSize: int(p.BufferSize), MaxMessageBytes: 64 << 20, Timeout: p.Node().AnnouncementMaxAge})
 	if err != nil {
 		return err
 	}
 	life, cancel := context.WithCancel(context.Background())
 	s := &process{params: p, adopt: adopt, others: map[string]byte{}, log: log, streams: streams, start: clock.Now(), life: life, drain: make(chan struct{}, 1), breaker: "closed", arrive: make(chan inquiry, p.BufferSize), gone: make(chan uint64, p.BufferSize),
-		events: make(chan node.Event, p.BufferSize), calls: make(chan func(time.Duration) node.Output, 64),
-		waiting: map[uint64]chan node.Piece{}, shots: map[uint64]context.CancelFunc{},
-		sender: replica.NewSender(&net.Dialer{Timeout: p.Node().Newest}, p.MaxRequestBytes*16)}
+		events: make(chan node.AttemptEvent, p.BufferSize), calls: make(chan func(time.Duration) node.Output, 64),
+		waiting: map[uint64]chan node.Frame{}, shots: map[uint64]context.CancelFunc{},
+		sender: replica.NewSender(&net.Dialer{Timeout: p.Node().AnnouncementMaxAge}, p.MaxRequestBytes*16)}
 	s.machine = node.New(node.Options{Params: p.Node(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Zone: p.Zone, Address: p.PeerAdvertise,
 		HTTP: p.RequesterAdvertise, Host: host(p.PeerListen), Seeds: p.Seeds, Now: s.now(), Random: rand.Float64})
 	log.Info("node started", "id", p.ID, "incarnation", s.machine.Incarnation())
@@ -149,22 +149,22 @@
 			ticket := s.next
 			s.waiting[ticket] = q.pieces
 			go s.watch(ticket, q.gone)
-			s.take(s.machine.Inquire(s.now(), ticket, q.inquiry))
+			s.take(s.machine.Submit(s.now(), ticket, q.inquiry))
 		case ticket := <-s.gone:
 			delete(s.waiting, ticket)
-			s.take(s.machine.Gone(s.now(), ticket))
+			s.take(s.machine.CancelRequest(s.now(), ticket))
 		case e := <-s.events:
-			s.take(s.machine.Shot(s.now(), e))
+			s.take(s.machine.HandleAttemptEvent(s.now(), e))
 			if e.Kind != node.EventChunk {
-				if cancel, ok := s.shots[e.Shot]; ok {
+				if cancel, ok := s.shots[e.Attempt]; ok {
 					cancel()
-					delete(s.shots, e.Shot)
+					delete(s.shots, e.Attempt)
 				}
 			}
 		case call := <-s.calls:
 			s.take(call(s.now()))
 		case s.params = <-s.adopt:
-			s.take(s.machine.Adopt(s.params.Node()))
+			s.take(s.machine.UpdateParams(s.params.Node()))
 		case c := <-s.streams.Counts:
 			s.bad += c.BadStreams
 			if c.VersionMismatches > 0 {
@@ -175,14 +175,14 @@
 			s.report()
 			if leaveBy > 0 && s.now() >= leaveBy {
 				s.log.Info("grace is over", "inquiries left", len(s.waiting))
-				s.take(s.machine.Quit(s.now()))
+				s.take(s.machine.Shutdown(s.now()))
 				leaveBy = s.now() + s.params.Core().Retry
 				if quit {
 					return nil
 				}
 				quit = true
 			}
-			if s.machine.Left(s.now()) {
+			if s.machine.Drained(s.now()) {
 				s.log.Info("node stopped", "inquiries left", len(s.waiting))
 				return nil
 			}
@@ -198,16 +198,16 @@
 
 func (s *process) leave() time.Duration {
 	s.log.Info("node leaves")
-	s.take(s.machine.Leave(s.now()))
+	s.take(s.machine.Drain(s.now()))
 	return s.now() + s.params.Grace()
 }
 
 func (s *process) report() {
-	if state := s.machine.Breaker(); state != s.breaker {
+	if state := s.machine.BreakerState(); state != s.breaker {
 		s.breaker = state
 		s.log.Info("breaker", "state", state)
 	}
-	if v := s.machine.Version(); v != s.version {
+	if v := s.machine.ConfigurationVersion(); v != s.version {
 		s.version = v
 		s.log.Info("configuration in force", "version", v)
 	}
@@ -240,14 +240,14 @@
 			s.dropped++
 		}
 	}
-	for _, r := range o.Returns {
+	for _, r := range o.Responses {
 		pieces, ok := s.waiting[r.Ticket]
 		if !ok {
 			continue
 		}
 		select {
-		case pieces <- r.Piece:
-			if r.Piece.Last() {
+		case pieces <- r.Frame:
+			if r.Frame.Last() {
 				delete(s.waiting, r.Ticket)
 				close(pieces)
 			}
@@ -255,13 +255,13 @@
 			s.slow++
 			delete(s.waiting, r.Ticket)
 			close(pieces)
-			s.take(s.machine.Gone(s.now(), r.Ticket))
+			s.take(s.machine.CancelRequest(s.now(), r.Ticket))
 		}
 	}
-	for _, shoot := range o.Shots {
+	for _, shoot := range o.Attempts {
 		ctx, cancel := context.WithCancel(s.life)
-		s.shots[shoot.Shot] = cancel
-		go s.sender.Send(ctx, shoot, func(e node.Event) {
+		s.shots[shoot.Attempt] = cancel
+		go s.sender.Send(ctx, shoot, func(e node.AttemptEvent) {
 			select {
 			case s.events <- e:
 			case <-s.life.Done():
@@ -277,8 +277,8 @@
 }
 
 // Submit hands a request to the goroutine that owns the machine.
-func (s *process) Submit(ctx context.Context, q node.Inquiry) (<-chan node.Piece, bool) {
-	pieces := make(chan node.Piece, 256)
+func (s *process) Submit(ctx context.Context, q node.Request) (<-chan node.Frame, bool) {
+	pieces := make(chan node.Frame, 256)
 	select {
 	case s.arrive <- inquiry{inquiry: q, pieces: pieces, gone: ctx.Done()}:
 		return pieces, true
@@ -287,8 +287,8 @@
 	}
 }
 
-func (s *process) announce(ctx context.Context, r node.Replica, stamp string) (node.Heard, error) {
-	return look(ctx, s, func(now time.Duration) node.Heard { return s.machine.Announce(now, r, stamp) })
+func (s *process) announce(ctx context.Context, r node.Replica, stamp string) (node.AnnounceReply, error) {
+	return look(ctx, s, func(now time.Duration) node.AnnounceReply { return s.machine.Announce(now, r, stamp) })
 }
 
 func look[T any](ctx context.Context, s *process, of func(now time.Duration) T) (T, error) {
--- a/saffronfall/params/params.go
+++ b/saffronfall/params/params.go
@@ -195,8 +195,8 @@
 
 // Node returns the parameters of a data plane node.
 func (p Params) Node() node.Params {
-	return node.Params{Core: p.Core(), Buffer: int(p.BufferSize), Patience: ms(p.MaxRateWaitMS), Newest: ms(p.MaxHeartbeatAgeMS), Report: 2 * ms(p.PullMS),
-		UrgentRatio: p.UrgentRatio, Budget: ms(p.BudgetMS)}
+	return node.Params{Core: p.Core(), QueueLimit: int(p.BufferSize), MaxQueueWait: ms(p.MaxRateWaitMS), AnnouncementMaxAge: ms(p.MaxHeartbeatAgeMS), ReportInterval: 2 * ms(p.PullMS),
+		UrgentRatio: p.UrgentRatio, DefaultTimeout: ms(p.BudgetMS)}
 }
 
 // Grace returns the longest duration of a drain.
