--- a/peer/node/announcement.go
+++ b/peer/node/announcement.go
@@ -12,7 +12,7 @@
 	"saffronfall/rule/ordered"
 )
 
-// Replica is what a replica says of itself.
+// Replica is what a replica announces about itself.
 type Replica struct {
 	Service string `msgpack:"s" json:"service"`
 	ID      string `msgpack:"i" json:"id"`
@@ -22,22 +22,23 @@
 	Leaving bool   `msgpack:"g" json:"leaving"`
 }
 
-// Heard answers an announcement. One that came without the stamp of this very
-// node is not counted, and is to be said again at once with it.
+// AnnounceReply answers an announcement. An announcement without a token of this process is not
+// accepted, and should be repeated at once with the token from the reply. NextIn is the delay
+// until the next one.
 type AnnounceReply struct {
 	Accepted bool
 	Token    string
 	NextIn   time.Duration
 }
 
-// Announcement is a replica's word as it goes from node to node, with its age:
-// at least that of an ordinary one, at most that of a leaving.
+// Announcement is a replica's announcement as exchanged between nodes. Age is an upper bound of
+// the age of an ordinary announcement, and a lower bound of that of a leaving replica.
 type Announcement struct {
 	Replica Replica       `msgpack:"r"`
 	Age     time.Duration `msgpack:"a"`
 }
 
-// Announced answers a pull between nodes.
+// Announcements answers a pull between nodes.
 type Announcements struct {
 	Sent time.Duration  `msgpack:"s"`
 	List []Announcement `msgpack:"l"`
@@ -49,23 +50,22 @@
 	})
 }
 
-// announced is what a node holds of a replica: what it said last, and since
-// when that may have been so. A leaving is kept until every older word has
-// grown too old everywhere.
+// knownReplica is a replica's last announcement and the earliest time at which it may have been
+// made. That of a leaving replica is kept until every older announcement has expired on all nodes.
 type knownReplica struct {
 	replica Replica
 	since   time.Duration
 }
 
-// Ratios of an announcement's times to the bound on its age.
+// Announcement intervals and retention, relative to AnnouncementMaxAge.
 const (
 	announcementsPerMaxAge = 6
 	leavingMaxAges         = 3
 )
 
-// Announce takes a replica's word about itself. An ordinary one counts from
-// when this node gave its stamp out, since it may have waited for this node to
-// wake; a leaving counts from now.
+// Announce handles a replica's announcement about itself. An ordinary one counts from when this
+// node issued its token, since it may have been delayed while this node was frozen; that of a
+// leaving replica counts from now.
 func (m *Machine) Announce(now time.Duration, r Replica, stamp string) AnnounceReply {
 	heard := AnnounceReply{Accepted: r.Leaving, NextIn: m.params.AnnouncementMaxAge / announcementsPerMaxAge,
 		Token: fmt.Sprintf("%s.%d", m.processID(), now)}
@@ -83,6 +83,7 @@
 	return heard
 }
 
+// cutToken splits a token into the process that issued it and the time of issue.
 func cutToken(stamp string) (life, at string, ok bool) {
 	i := strings.LastIndexByte(stamp, '.')
 	if i < 0 {
@@ -91,23 +92,24 @@
 	return stamp[:i], stamp[i+1:], true
 }
 
-// lifeOf names this process's life, whatever terms it had.
+// processID names this process; it stays the same across membership incarnations.
 func (m *Machine) processID() string { return m.params.ID + "/" + core.LifeOf(m.incarnation) }
 
+// recordReplica stores an announcement, unless a newer one or that of leaving is known.
 func (m *Machine) recordReplica(now time.Duration, r Replica, since time.Duration) {
-	list := m.replicas[r.Service]
-	if list == nil {
-		list = map[string]knownReplica{}
-		m.replicas[r.Service] = list
+	known := m.replicas[r.Service]
+	if known == nil {
+		known = map[string]knownReplica{}
+		m.replicas[r.Service] = known
 	}
-	known, ok := list[r.ID]
+	previous, ok := known[r.ID]
 	switch {
-	case r.Leaving && ok && known.replica.Leaving:
+	case r.Leaving && ok && previous.replica.Leaving:
 	case r.Leaving:
-		// Whoever hears it stops at once; what was said before it no longer counts.
-		list[r.ID] = knownReplica{replica: r, since: now}
-	case !ok || since > known.since:
-		list[r.ID] = knownReplica{replica: r, since: since}
+		// Counted from now: it overrides every earlier announcement at once.
+		known[r.ID] = knownReplica{replica: r, since: now}
+	case !ok || since > previous.since:
+		known[r.ID] = knownReplica{replica: r, since: since}
 	}
 }
 
@@ -138,7 +140,8 @@
 	}
 }
 
-// forget drops what has grown too old to be acted on.
+// expireReplicas drops announcements that are too old to act on, and the health of replicas that
+// are no longer used.
 func (m *Machine) expireReplicas(now time.Duration) {
 	for _, service := range ordered.Keys(m.replicas) {
 		for id, a := range m.replicas[service] {
@@ -162,11 +165,11 @@
 	}
 }
 
-// ejectionsKept is how many member terms a condition outlives its last use.
+// healthTerms is how many member terms a replica's health is kept after its last use.
 const healthTerms = 16
 
-// present lists the replicas of a service that a shot may go to now: those that
-// were announced lately enough, whoever can't be reached.
+// currentReplicas lists the replicas of a service whose announcements are recent enough for an
+// attempt, including those that can't be reached.
 func (m *Machine) currentReplicas(now time.Duration, service string) []Replica {
 	var list []Replica
 	for _, a := range m.replicas[service] {
--- a/peer/node/drain.go
+++ b/peer/node/drain.go
@@ -7,19 +7,19 @@
 	"saffronfall/rule/ordered"
 )
 
-// Leave begins to drain this node: it is not ready, what runs ends, programs
-// go to named successors, shares back, and the term ends last.
+// Drain begins to take this node out of service: it is no longer ready, running requests end,
+// programs are handed to successors, shares are returned, and the membership ends last.
 func (m *Machine) Drain(now time.Duration) Output {
 	m.beginStep(now)
 	m.leaving = true
 	return *m.out
 }
 
-// Left reports whether a leaving node has nothing more to do.
+// Drained reports whether draining is complete.
 func (m *Machine) Drained(now time.Duration) bool { return m.leaving && m.left }
 
-// Quit ends what is still running when the grace is over: streams break, and
-// the term is given back so that successors need not wait for it.
+// Shutdown aborts what still runs when the drain's grace period is over, and ends the membership
+// so that successors need not wait for its term to expire.
 func (m *Machine) Shutdown(now time.Duration) Output {
 	m.beginStep(now)
 	m.leaving = true
@@ -34,7 +34,7 @@
 	return *m.out
 }
 
-// drain takes the next steps of leaving.
+// drain takes the next steps of draining.
 func (m *Machine) drain(now time.Duration) {
 	if !m.leaving || m.left {
 		return
@@ -61,6 +61,7 @@
 	m.returnShares(now)
 }
 
+// successors lists the other members that can take over programs.
 func (m *Machine) successors() []core.Member {
 	var list []core.Member
 	for _, id := range ordered.Keys(m.members) {
@@ -71,8 +72,8 @@
 	return list
 }
 
-// hand gives one program to a successor. From here on this node does nothing
-// for it, whatever becomes of the message.
+// handOver assigns a program to a successor. From here on this node does nothing more for the
+// program, even if the message is lost.
 func (m *Machine) handOver(now time.Duration, key string, prog *ownedProgram, to core.Member) {
 	prog.lost = true
 	delete(m.programs, key)
@@ -83,7 +84,7 @@
 	m.caller.Call(now, c, now+m.params.Core.MemberTerm, func(time.Duration, core.Outcome) { m.pendingHandovers-- })
 }
 
-// giveBack returns all shares, then the term.
+// returnShares returns all shares, then ends the membership.
 func (m *Machine) returnShares(now time.Duration) {
 	if m.returningShares {
 		return
@@ -119,8 +120,8 @@
 
 func (m *Machine) endMembership(now time.Duration) {
 	m.caller.Call(now, core.LeaveMember{ID: m.params.ID, Incarnation: m.incarnation}, now+m.params.Core.MemberTerm, func(now time.Duration, o core.Outcome) {
-		// Until every other node has learned it, some may still pass inquiries
-		// here, and are told to ask elsewhere.
+		// Until all other nodes have learned of it, some may still forward requests
+		// here; these are refused with notOwner.
 		m.timers.Add(now+3*m.params.Core.Pull, func(time.Duration) { m.left = true })
 	})
 }
--- a/peer/node/forward.go
+++ b/peer/node/forward.go
@@ -10,7 +10,7 @@
 	"saffronfall/rule/verdict"
 )
 
-// asked is an inquiry that was passed to its owner.
+// forwardState is a request that was forwarded to its program's owner.
 type forwardState struct {
 	req        *requestState
 	to         string
@@ -21,7 +21,7 @@
 	accepted   bool
 }
 
-// servedWay is one that came from another node.
+// servedRequest is a request that another node forwarded here.
 type servedRequest struct {
 	ticket slab.Ticket
 	until  time.Duration
@@ -103,7 +103,7 @@
 	delete(m.openForwards, t)
 	key := req.tenant + "/" + req.request.Program
 	if b.Frame.Kind == FrameVerdict && b.Frame.Verdict.Code == notOwner {
-		// It surely did not run there. Find out who owns it now, and go on.
+		// The request did not run there. Look the owner up again and continue.
 		delete(m.owners, key)
 		if req.hops++; req.hops > maxHops || req.done {
 			m.refuse(req, retryLater("the program is changing hands"))
@@ -115,13 +115,14 @@
 	m.finish(req, b.Frame)
 }
 
-// notOwner is said between nodes only.
+// notOwner is a refusal code used between nodes only.
 const notOwner = "not_owner"
 
+// maxHops bounds how often a request is forwarded again after notOwner.
 const maxHops = 12
 
-// loseAsked ends an inquiry whose owner fell silent or whose pieces have a
-// gap: a stream is broken, and anything else may have run.
+// failForward ends a forwarded request whose owner stopped responding or whose frames have a gap.
+// A stream is aborted; any other request that has effects is refused as possibly executed.
 func (m *Machine) failForward(now time.Duration, t slab.Ticket, f *forwardState) {
 	m.forwards.Take(t)
 	delete(m.openForwards, t)
@@ -142,6 +143,7 @@
 	m.refuse(f.req, v)
 }
 
+// failForwardsTo fails the requests that were forwarded to an ended incarnation of a member.
 func (m *Machine) failForwardsTo(now time.Duration, o core.Member) {
 	for _, t := range m.openForwardTickets() {
 		f := m.openForwards[t]
@@ -150,7 +152,7 @@
 		case f.accepted:
 			m.failForward(now, t, f)
 		default:
-			// One that left in good order still says that it is not the owner.
+			// A member that left cleanly still answers with notOwner.
 			m.timers.Add(now+2*m.params.Core.Retry, func(now time.Duration) {
 				if current, ok := m.forwards.Look(t); ok && current == f {
 					m.failForward(now, t, f)
--- a/peer/node/fuzz_test.go
+++ b/peer/node/fuzz_test.go
@@ -10,8 +10,8 @@
 	"saffronfall/rule/program"
 )
 
-// FuzzReceive gives a node and a core whatever a member may send, whole, cut
-// short or changed, and wants them to go on.
+// FuzzReceive sends arbitrary messages, whole, truncated or modified, to a node and a core, which
+// must not panic.
 func FuzzReceive(f *testing.F) {
 	for _, body := range []any{core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c"}}, Groups: make([]partition.Group, 3), Owners: make([]partition.Term, 3)},
 		core.News{Part: 1, Upto: partition.Version{Seq: 1}, Whole: true, Entries: []partition.Entry{{Key: "member/n", Value: message.Marshal(core.Member{ID: "n"})}}},
--- a/peer/node/machine.go
+++ b/peer/node/machine.go
@@ -14,7 +14,7 @@
 	"saffronfall/rule/verdict"
 )
 
-// Options make a machine.
+// Options configures a machine.
 type Options struct {
 	Params      Params
 	ID          string
@@ -22,25 +22,26 @@
 	Zone        string
 	Address     string
 	HTTP        string
-	// Host names what only one process at a time can hold, such as an address
-	// bound on a running machine; empty: nothing.
+	// Host names a resource that only one process at a time can hold, such as an
+	// address bound on a running machine. It may be empty.
 	Host   string
 	Seeds  []string
 	Now    time.Duration
 	Random func() float64
 }
 
-type identity struct {
+// settings holds what a machine was configured with, apart from its state.
+type settings struct {
 	Params
 	ID, Zone, Address, HTTP, Host string
 	Seeds                         []string
 }
 
-// Machine is one node.
+// Machine is the state machine of one node. It is not safe for concurrent use.
 type Machine struct {
 	Counters Counters
 
-	params             identity
+	params             settings
 	now                time.Duration
 	out                *Output
 	random             func() float64
@@ -104,6 +105,8 @@
 	nextSample   int
 }
 
+// ownedProgram is a program that this node owns, with its turns by conversation. clockOffset turns
+// the node's time into that of the program's partition.
 type ownedProgram struct {
 	record       program.Record
 	turns        map[string][]program.Turn
@@ -111,13 +114,14 @@
 	savedVersion uint64
 	unsavedTurns []program.Turn
 	saving       bool
-	// unsavedAt is since when the cores lack something; named and covered are
-	// what the record that they have says; copied is the version that all
-	// mirrors hold.
+	// unsavedSince is when the cores began to lack a change. savedMirrors and
+	// savedPrecharged are from the record that the cores have; mirroredVersion is
+	// the version that all mirrors hold.
 	unsavedSince    time.Duration
 	savedMirrors    []program.Mirror
 	savedPrecharged int64
-	// dayCovered is up to where the user's day is charged beforehand.
+	// dayPrecharged is the total, in tokens, that is charged to the user's day in
+	// advance.
 	dayPrecharged   int64
 	mirroredVersion uint64
 	acked           map[string]uint64
@@ -128,9 +132,9 @@
 	lastUsed        time.Duration
 }
 
-// New makes a node.
+// New returns a machine that has not joined the fleet yet.
 func New(o Options) *Machine {
-	m := &Machine{params: identity{Params: o.Params, ID: o.ID, Zone: o.Zone, Address: o.Address, HTTP: o.HTTP, Host: o.Host, Seeds: o.Seeds},
+	m := &Machine{params: settings{Params: o.Params, ID: o.ID, Zone: o.Zone, Address: o.Address, HTTP: o.HTTP, Host: o.Host, Seeds: o.Seeds},
 		random: o.Random, incarnation: o.Incarnation, endedIncarnations: map[string]bool{}, now: o.Now,
 		versions: map[int]partition.Version{}, freshAt: -1, startedAt: o.Now, entries: map[int]map[string]partition.Entry{},
 		members: map[string]core.Member{}, replicas: map[string]map[string]knownReplica{}, cores: map[string]core.Core{},
@@ -146,6 +150,7 @@
 	return m
 }
 
+// clearOwned drops everything that is held under a membership term.
 func (m *Machine) clearOwned() {
 	m.programs, m.owners = map[string]*ownedProgram{}, map[string]core.Member{}
 	m.rateShares, m.dayShares, m.spendShare = map[string]*rateShare{}, map[string]*share{}, &share{}
@@ -172,7 +177,7 @@
 	m.now, m.out = now, &Output{}
 }
 
-// Ready reports whether requesters should be sent here.
+// Ready reports whether this node should receive client requests.
 func (m *Machine) Ready(now time.Duration) bool {
 	if !m.inTerm(now) || m.leaving {
 		return false
@@ -186,16 +191,16 @@
 	return true
 }
 
-// Version is the configuration that is in force here.
+// ConfigurationVersion returns the version of the configuration in force on this node.
 func (m *Machine) ConfigurationVersion() uint64 { return m.configurationVersion }
 
-// Breaker is the breaker's position as this node knows it.
+// BreakerState returns the spending breaker's state as this node knows it.
 func (m *Machine) BreakerState() string { return string(m.breakerState) }
 
-// Incarnation tells this life of the node from its earlier ones.
+// Incarnation returns the name of this node's current membership incarnation.
 func (m *Machine) Incarnation() string { return m.incarnation }
 
-// Tick lets time pass.
+// Tick advances the machine to now: it expires what is overdue and sends what is due.
 func (m *Machine) Tick(now time.Duration) Output {
 	m.beginStep(now)
 	m.pull(now)
@@ -213,7 +218,7 @@
 	return *m.out
 }
 
-// Receive takes a message from the process at an address.
+// Receive handles a message from the process at an address.
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
 	m.beginStep(now)
 	switch b := body.(type) {
@@ -261,15 +266,15 @@
 	return *m.out
 }
 
-// Samples are the recent inquiries that rehearsal works on.
+// recordSample keeps a recent request for rehearsals of configuration changes.
 func (m *Machine) recordSample(s rehearsal.Sample) {
-	const most = 256
+	const maxSamples = 256
 	s.Age = m.now
-	if len(m.samples) < most {
+	if len(m.samples) < maxSamples {
 		m.samples = append(m.samples, s)
 		return
 	}
-	m.samples[m.nextSample%most] = s
+	m.samples[m.nextSample%maxSamples] = s
 	m.nextSample++
 }
 
@@ -277,7 +282,7 @@
 	return verdict.RetryLater("unsure", reason, time.Second)
 }
 
-// Adopt takes those bounds that may change while the node runs.
+// UpdateParams applies those bounds that may change while the node runs.
 func (m *Machine) UpdateParams(p Params) Output {
 	m.beginStep(m.now)
 	m.params.QueueLimit, m.params.MaxQueueWait, m.params.AnnouncementMaxAge, m.params.UrgentRatio, m.params.DefaultTimeout = p.QueueLimit, p.MaxQueueWait, p.AnnouncementMaxAge, p.UrgentRatio, p.DefaultTimeout
--- a/peer/node/machine_test.go
+++ b/peer/node/machine_test.go
@@ -9,10 +9,10 @@
 	"saffronfall/rule/partition"
 )
 
-// TestNewLifeAsksTheConfigurationsOwner: a life that has heard of the
-// configuration from other nodes only may be behind what this node had in force
-// in an earlier life, and does not join.
-func TestNewLifeAsksTheConfigurationsOwner(t *testing.T) {
+// TestJoinNeedsFreshConfiguration guards against a restarted process joining with a configuration
+// older than the one that an earlier process of this node had in force. It has to hear from the
+// leader of the configuration's partition first.
+func TestJoinNeedsFreshConfiguration(t *testing.T) {
 	m := New(Options{Params: Params{Core: core.Params{MemberTerm: 2 * time.Second, Retry: 150 * time.Millisecond, Pull: 150 * time.Millisecond}, AnnouncementMaxAge: time.Second},
 		ID: "n", Incarnation: "a", Address: "10.0.0.9:1", Random: func() float64 { return 0.5 }})
 	joins := func(now time.Duration) (n int) {
@@ -32,17 +32,17 @@
 	m.Receive(time.Second, "10.0.0.2:1", core.News{Part: core.ConfigurationPart, Upto: at, Whole: true, Entries: []partition.Entry{{Key: "configuration",
 		Value: message.Marshal(core.Configured{Version: 1, Text: []byte(`{"roles":{"viewer":{}},"tenants":{"t":{}},"services":{"model":{"kind":"model"}}}`)})}}})
 	if m.ConfigurationVersion() != 1 {
-		t.Fatal("the description was not taken")
+		t.Fatal("the description was not applied")
 	}
 	if joins(1100*time.Millisecond) != 0 {
-		t.Error("it joins by another node's word")
+		t.Error("joined with a configuration known from another node only")
 	}
 	m.Receive(1200*time.Millisecond, "10.0.0.1:1", core.Fresh{Sent: 1100 * time.Millisecond, Upto: partition.Version{Seq: 5}})
 	if joins(1300*time.Millisecond) != 0 {
-		t.Error("it joins though the owner has a newer one")
+		t.Error("joined although the leader has a newer configuration")
 	}
 	m.Receive(1400*time.Millisecond, "10.0.0.1:1", core.Fresh{Sent: 1100 * time.Millisecond, Upto: at})
 	if joins(1500*time.Millisecond) != 1 {
-		t.Error("it does not join")
+		t.Error("did not join with a fresh configuration")
 	}
 }
--- a/peer/node/membership.go
+++ b/peer/node/membership.go
@@ -10,12 +10,14 @@
 	"saffronfall/rule/slab"
 )
 
-// termed reports whether this node's term is in force. It is asked again just
-// before each shot, so that a node woken from a freeze shoots nothing.
+// inTerm reports whether this node's membership term is in force. It is checked again just before
+// each attempt, so that a node that was frozen starts nothing after its term.
 func (m *Machine) inTerm(now time.Duration) bool {
 	return m.joined && now < m.termExpiresAt && m.description != nil
 }
 
+// renew joins the fleet or renews the membership term. The term counts from when the request was
+// sent, never later than the core counts it.
 func (m *Machine) renew(now time.Duration) {
 	if m.joined && now >= m.termExpiresAt {
 		m.Counters.TermsLost++
@@ -25,8 +27,8 @@
 		return
 	}
 	if m.freshAt < m.startedAt {
-		// A life that has not heard from the configuration's owner may be behind
-		// what an earlier life of this node had in force.
+		// A process that has not heard from the leader of the configuration's
+		// partition may be behind what an earlier process of this node had in force.
 		return
 	}
 	if !m.joined && len(m.formerIncarnations) > 0 {
@@ -64,9 +66,9 @@
 	})
 }
 
-// bury tells the core that this node's former life is over, which this node
-// alone can know before its term has run out there. What that life owned may
-// then be taken over at once, by this node too.
+// endFormerIncarnation tells the cores that a former incarnation of this node has ended, which
+// only this node can know before that incarnation's term expires at the cores. Its programs may
+// then be taken over at once, also by this node.
 func (m *Machine) endFormerIncarnation(now time.Duration) {
 	m.renewing = true
 	former := m.formerIncarnations[0]
@@ -74,13 +76,12 @@
 		m.renewing = false
 		if t, ok := o.Answer.(core.Termed); ok && t.Ended {
 			m.endedIncarnations[former] = true
-			m.formerIncarnations = slices.DeleteFunc(m.formerIncarnations, func(life string) bool { return life == former })
+			m.formerIncarnations = slices.DeleteFunc(m.formerIncarnations, func(incarnation string) bool { return incarnation == former })
 		}
 	})
 }
 
-// reset begins a new incarnation: what the old one owned, held and ran is no
-// longer this node's.
+// reset begins a new incarnation: everything owned, held or run under the old one is dropped.
 func (m *Machine) reset(now time.Duration) {
 	m.Counters.Resets++
 	m.formerCount++
@@ -120,6 +121,7 @@
 	return ordered.Keys(m.liveAttempts)
 }
 
+// hasEnded reports whether an incarnation of a node is known to have ended.
 func (m *Machine) hasEnded(id, incarnation string) bool {
 	if id == m.params.ID && m.endedIncarnations[incarnation] {
 		return true
--- a/peer/node/mirror.go
+++ b/peer/node/mirror.go
@@ -13,13 +13,13 @@
 
 // Messages between an owner, its mirrors and its successor.
 type (
-	// Copy gives a mirror a program as its owner has it, with all turns that the
-	// cores have not taken yet.
+	// CopyProgram gives a mirror the owner's state of a program, with all turns that the cores have
+	// not stored yet.
 	CopyProgram struct {
 		Record program.Record `msgpack:"r"`
 		Turns  []program.Turn `msgpack:"t"`
 	}
-	// Copied says that a life of a mirror holds that version.
+	// CopyAck says that a mirror's process holds a version of a program.
 	CopyAck struct {
 		Tenant  string `msgpack:"t"`
 		Program string `msgpack:"p"`
@@ -27,14 +27,14 @@
 		Version uint64 `msgpack:"v"`
 		Process string `msgpack:"l"`
 	}
-	// AskCopy asks a mirror for what it holds. From then on it holds nothing more
-	// for owners before the one that asks.
+	// CopyQuery asks a mirror for its copy. From then on the mirror accepts no more copies from
+	// earlier owners.
 	CopyQuery struct {
 		Tenant  string `msgpack:"t"`
 		Program string `msgpack:"p"`
 		Fence   uint64 `msgpack:"f"`
 	}
-	// CopyHeld answers it.
+	// CopyAnswer answers a CopyQuery.
 	CopyAnswer struct {
 		Tenant  string         `msgpack:"t"`
 		Program string         `msgpack:"p"`
@@ -55,8 +55,8 @@
 	})
 }
 
-// mirrored is what this node holds for an owner. It outlives this node's terms,
-// as it lasts as long as the process does.
+// mirrorCopy is what this node holds as a mirror. It lasts as long as the process, across
+// membership incarnations.
 type mirrorCopy struct {
 	fence  uint64
 	found  bool
@@ -65,55 +65,54 @@
 	until  time.Duration
 }
 
-// mirrorsOfProgram is how many mirrors a program has. All must hold what the
-// cores don't, so that any one of them is enough for a successor.
+// mirrorsPerProgram is the number of mirrors of a program. A version that the cores lack counts as
+// durable only when all of them hold it, so that a successor needs any one of them.
 const mirrorsPerProgram = 2
 
-// cover makes a record ready to be written: what is charged beforehand never
-// shrinks while the program is open, and mirrors are living members. A record
-// that this changes is a new version, so that two of one version never differ
-// in it.
+// prepareRecord makes a record ready to be saved: the total charged in advance never shrinks while
+// the program is open, and the mirrors are live members. If this changes the record, it becomes a
+// new version, so that two records of one version never differ in these fields.
 func (m *Machine) prepareRecord(prog *ownedProgram) {
 	r := &prog.record
 	role := m.description.Roles[r.Role]
-	covered, mirrors := max(r.Precharged, program.PrechargeTarget(role, r.Charged())), r.Mirrors
+	precharged, mirrors := max(r.Precharged, program.PrechargeTarget(role, r.Charged())), r.Mirrors
 	if r.Closed {
-		covered = 0
+		precharged = 0
 	}
 	if r.MirrorsFence != r.Fence || len(mirrors) != mirrorsPerProgram+1 || slices.ContainsFunc(m.otherMirrors(mirrors), m.mirrorEnded) {
 		mirrors = m.chooseMirrors()
 	}
-	if covered != r.Precharged || r.MirrorsFence != r.Fence || !slices.Equal(mirrors, r.Mirrors) {
-		r.Precharged, r.Mirrors, r.MirrorsFence = covered, mirrors, r.Fence
+	if precharged != r.Precharged || r.MirrorsFence != r.Fence || !slices.Equal(mirrors, r.Mirrors) {
+		r.Precharged, r.Mirrors, r.MirrorsFence = precharged, mirrors, r.Fence
 		r.Version++
 	}
 }
 
-// without are a program's mirrors but for its owner, which is named among them,
-// since it still has what it did when its term has run out.
+// otherMirrors returns a program's mirrors other than this node. The owner is listed among them
+// because it still holds its changes after its term has ended.
 func (m *Machine) otherMirrors(mirrors []program.Mirror) []program.Mirror {
 	return slices.DeleteFunc(slices.Clone(mirrors), func(mirror program.Mirror) bool { return mirror.ID == m.params.ID })
 }
 
-// mirrorEnded reports whether what a mirror held is surely lost or unreachable.
+// mirrorEnded reports whether a mirror's copies are certainly lost or unreachable.
 func (m *Machine) mirrorEnded(mirror program.Mirror) bool {
 	o, ok := m.members[mirror.ID]
 	return !ok || core.LifeOf(o.Incarnation) != mirror.Process || o.Ended
 }
 
-// chooseMirrors picks members in other zones than this node's and each other's,
-// where there are any.
+// chooseMirrors picks members in zones other than this node's and each other's where possible, and
+// adds this node.
 func (m *Machine) chooseMirrors() []program.Mirror {
 	candidates := m.successors()
 	if len(candidates) < mirrorsPerProgram {
 		return nil
 	}
-	turn := int(m.random() * float64(len(candidates)))
+	first := int(m.random() * float64(len(candidates)))
 	var chosen []program.Mirror
 	zones := map[string]bool{m.params.Zone: true}
 	for _, strict := range []bool{true, false} {
 		for i := range candidates {
-			o := candidates[(i+turn)%len(candidates)]
+			o := candidates[(i+first)%len(candidates)]
 			taken := slices.ContainsFunc(chosen, func(c program.Mirror) bool { return c.ID == o.ID })
 			if len(chosen) == mirrorsPerProgram || taken || (strict && zones[o.Zone]) {
 				continue
@@ -127,8 +126,8 @@
 	return chosen
 }
 
-// copyOut gives mirrors what the cores have not taken in time, if what is
-// durable there names these mirrors and covers what was charged since.
+// copyToMirrors sends the mirrors what the cores have not stored in time, if the stored record
+// names these mirrors and covers everything charged since.
 func (m *Machine) copyToMirrors(now time.Duration, prog *ownedProgram) {
 	if prog.savedVersion >= prog.record.Version || prog.lost || prog.recovery != nil || now < prog.unsavedSince+m.params.Core.Retry || now < prog.nextCopyAt ||
 		prog.mirroredVersion >= prog.record.Version || !m.inTerm(now) {
@@ -144,6 +143,8 @@
 	}
 }
 
+// mirrorCopyOf returns this node's mirror copy of a program, creating an empty one if there is
+// none.
 func (m *Machine) mirrorCopyOf(tenant, id string) *mirrorCopy {
 	key := tenant + "/" + id
 	if m.mirrors[key] == nil {
@@ -153,19 +154,19 @@
 }
 
 func (m *Machine) onCopy(now time.Duration, from string, b CopyProgram) {
-	c := m.mirrorCopyOf(b.Record.Tenant, b.Record.ID)
-	if b.Record.Fence < c.fence {
+	stored := m.mirrorCopyOf(b.Record.Tenant, b.Record.ID)
+	if b.Record.Fence < stored.fence {
 		return
 	}
-	if !c.found || b.Record.Fence > c.fence || b.Record.Version > c.record.Version {
-		c.fence, c.found, c.record, c.turns = b.Record.Fence, true, b.Record, b.Turns
+	if !stored.found || b.Record.Fence > stored.fence || b.Record.Version > stored.record.Version {
+		stored.fence, stored.found, stored.record, stored.turns = b.Record.Fence, true, b.Record, b.Turns
 	}
-	c.until = now + b.Record.Retention
+	stored.until = now + b.Record.Retention
 	m.send(from, CopyAck{Tenant: b.Record.Tenant, Program: b.Record.ID, Fence: b.Record.Fence, Version: b.Record.Version, Process: core.LifeOf(m.incarnation)})
 }
 
-// keepOwn keeps what this node did for a program that is no longer its own, for
-// whoever owns it next.
+// keepUnsaved stores the unsaved changes of a program that this node no longer owns as a mirror
+// copy, for its next owner.
 func (m *Machine) keepUnsaved(now time.Duration, prog *ownedProgram) {
 	if prog.recovery == nil && prog.record.Version > prog.savedVersion {
 		m.onCopy(now, "", CopyProgram{Record: copyRecord(prog.record), Turns: slices.Clone(prog.unsavedTurns)})
@@ -195,18 +196,18 @@
 }
 
 func (m *Machine) onCopyQuery(now time.Duration, from string, b CopyQuery) {
-	c := m.mirrorCopyOf(b.Tenant, b.Program)
-	held := CopyAnswer{Tenant: b.Tenant, Program: b.Program, Fence: b.Fence, Process: core.LifeOf(m.incarnation), Found: c.found}
-	if c.found {
-		held.Record, held.Turns = c.record, c.turns
-	}
-	// What comes from an owner before the one that asks is no longer taken.
-	c.fence = max(c.fence, b.Fence)
-	c.until = max(c.until, now+m.params.Core.MemberTerm*healthTerms)
-	m.send(from, held)
+	stored := m.mirrorCopyOf(b.Tenant, b.Program)
+	answer := CopyAnswer{Tenant: b.Tenant, Program: b.Program, Fence: b.Fence, Process: core.LifeOf(m.incarnation), Found: stored.found}
+	if stored.found {
+		answer.Record, answer.Turns = stored.record, stored.turns
+	}
+	// Copies from owners before the asking one are no longer accepted.
+	stored.fence = max(stored.fence, b.Fence)
+	stored.until = max(stored.until, now+m.params.Core.MemberTerm*healthTerms)
+	m.send(from, answer)
 }
 
-// consulting is a successor's asking of the former owner's mirrors.
+// mirrorRecovery is a new owner's query of the former owner's mirrors.
 type mirrorRecovery struct {
 	mirrors     []program.Mirror
 	formerFence uint64
@@ -215,71 +216,73 @@
 	waiting     []*requestState
 }
 
-// mirrorTerms is after how many member terms a mirror whose term has ended
-// counts as lost with its machine.
+// lostMirrorTerms is the number of member terms after which a mirror whose membership ended counts
+// as lost with its machine.
 const lostMirrorTerms = 15
 
-// consult asks the mirrors of the former owner before a successor does anything
-// for a program: turns may be there that the cores never got.
+// recoverFromMirrors queries the former owner's mirrors before a new owner does anything for a
+// program: they may hold turns that the cores never stored.
 func (m *Machine) recoverFromMirrors(now time.Duration, prog *ownedProgram) {
-	r := prog.record
-	if len(r.Mirrors) == 0 || r.MirrorsFence == r.Fence {
+	record := prog.record
+	if len(record.Mirrors) == 0 || record.MirrorsFence == record.Fence {
 		return
 	}
-	prog.recovery = &mirrorRecovery{mirrors: r.Mirrors, formerFence: r.MirrorsFence, goneAt: map[string]time.Duration{}}
+	prog.recovery = &mirrorRecovery{mirrors: record.Mirrors, formerFence: record.MirrorsFence, goneAt: map[string]time.Duration{}}
 	m.queryMirrors(now, prog)
 }
 
+// queryMirrors asks the mirrors for their copies, and gives up when all of them are lost.
 func (m *Machine) queryMirrors(now time.Duration, prog *ownedProgram) {
-	c := prog.recovery
-	if c == nil || prog.lost || now < c.nextQueryAt {
+	recovery := prog.recovery
+	if recovery == nil || prog.lost || now < recovery.nextQueryAt {
 		return
 	}
-	c.nextQueryAt = now + m.params.Core.Retry
+	recovery.nextQueryAt = now + m.params.Core.Retry
 	lost := 0
-	for _, mirror := range c.mirrors {
+	for _, mirror := range recovery.mirrors {
 		if mirror.ID == m.params.ID && mirror.Process == core.LifeOf(m.incarnation) {
 			m.send(mirror.Address, CopyQuery{Tenant: prog.record.Tenant, Program: prog.record.ID, Fence: prog.record.Fence})
 			continue
 		}
 		if o, ok := m.members[mirror.ID]; ok && core.LifeOf(o.Incarnation) != mirror.Process {
-			// The process that held it is no more.
+			// The process that held the copy has ended.
 			lost++
 			continue
 		}
 		if m.mirrorEnded(mirror) {
-			if c.goneAt[mirror.ID] == 0 {
-				c.goneAt[mirror.ID] = now
+			if recovery.goneAt[mirror.ID] == 0 {
+				recovery.goneAt[mirror.ID] = now
 			}
-			if now >= c.goneAt[mirror.ID]+lostMirrorTerms*m.params.Core.MemberTerm {
+			if now >= recovery.goneAt[mirror.ID]+lostMirrorTerms*m.params.Core.MemberTerm {
 				lost++
 			}
 		}
 		m.send(mirror.Address, CopyQuery{Tenant: prog.record.Tenant, Program: prog.record.ID, Fence: prog.record.Fence})
 	}
-	if lost == len(c.mirrors) {
-		// Owner and mirrors are gone. What was charged beforehand counts as spent.
+	if lost == len(recovery.mirrors) {
+		// Owner and mirrors are lost: everything charged in advance counts as spent.
 		m.Counters.MirrorsLost++
 		prog.record.Spent = max(prog.record.Spent, prog.record.Precharged)
 		m.finishRecovery(now, prog)
 	}
 }
 
+// onCopyAnswer adopts a mirror's copy if it is newer than the record from the cores.
 func (m *Machine) onCopyAnswer(now time.Duration, b CopyAnswer) {
 	prog := m.programs[b.Tenant+"/"+b.Program]
 	if prog == nil || prog.recovery == nil || b.Fence != prog.record.Fence {
 		return
 	}
-	c := prog.recovery
-	if !slices.ContainsFunc(c.mirrors, func(mirror program.Mirror) bool { return mirror.Process == b.Process }) {
+	recovery := prog.recovery
+	if !slices.ContainsFunc(recovery.mirrors, func(mirror program.Mirror) bool { return mirror.Process == b.Process }) {
 		return
 	}
-	if b.Found && b.Record.Fence == c.formerFence && b.Record.Version > prog.record.Version {
+	if b.Found && b.Record.Fence == recovery.formerFence && b.Record.Version > prog.record.Version {
 		m.Counters.MirrorsUsed++
-		r := b.Record
-		r.ChargeRunning()
-		r.Fence, r.Node, r.Incarnation, r.Address = prog.record.Fence, prog.record.Node, prog.record.Incarnation, prog.record.Address
-		prog.record = r
+		record := b.Record
+		record.ChargeRunning()
+		record.Fence, record.Node, record.Incarnation, record.Address = prog.record.Fence, prog.record.Node, prog.record.Incarnation, prog.record.Address
+		prog.record = record
 		for _, t := range b.Turns {
 			if t.Number == len(prog.turns[t.Conversation]) {
 				prog.turns[t.Conversation] = append(prog.turns[t.Conversation], t)
@@ -290,6 +293,7 @@
 	m.finishRecovery(now, prog)
 }
 
+// finishRecovery continues the requests that waited for the mirrors.
 func (m *Machine) finishRecovery(now time.Duration, prog *ownedProgram) {
 	waiting := prog.recovery.waiting
 	prog.recovery = nil
@@ -299,8 +303,8 @@
 	}
 }
 
-// await lets an inquiry wait for the mirrors' word, or tells it when to ask
-// again.
+// awaitRecovery holds a request until the mirrors have answered, or refuses it at the step's
+// deadline.
 func (m *Machine) awaitRecovery(now time.Duration, req *requestState, prog *ownedProgram) {
 	prog.recovery.waiting = append(prog.recovery.waiting, req)
 	m.timers.Add(m.stepDeadline(now, req), func(now time.Duration) {
@@ -318,8 +322,8 @@
 	}
 }
 
-// opener is the member whose present life opened a program, by the program's
-// name: it is asked first, so that no core is needed to find an owner.
+// opener returns the member whose current incarnation opened a program, as named in the program's
+// id. It is tried first, so that no core is needed to find the owner.
 func (m *Machine) opener(id string) (core.Member, bool) {
 	for _, name := range ordered.Keys(m.members) {
 		o := m.members[name]
@@ -331,7 +335,7 @@
 	return core.Member{}, false
 }
 
-// MirrorsOf lists the addresses of a program's mirrors, if this node owns it.
+// MirrorsOf lists the addresses of a program's mirrors if this node owns the program.
 func (m *Machine) MirrorsOf(tenant, id string) (list []string) {
 	if prog := m.programs[tenant+"/"+id]; prog != nil {
 		for _, mirror := range m.otherMirrors(prog.savedMirrors) {
--- a/peer/node/once.go
+++ b/peer/node/once.go
@@ -17,8 +17,8 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// action does what may happen only once: its intent is durable before its only
-// shot, and whoever asks again gets the outcome, or that it may have run.
+// startAction runs an action at most once: its intent is durable before its only attempt, and a
+// repeated request gets the stored outcome, or the answer that it may have run.
 func (m *Machine) startAction(now time.Duration, req *requestState) {
 	request := req.request
 	service, known := m.description.Services[request.Service]
@@ -63,6 +63,7 @@
 	})
 }
 
+// finishOnce stores the outcome of an action under its once-key.
 func (m *Machine) finishOnce(now time.Duration, a *attempt, state string, status int, body []byte, next func(now time.Duration, ok bool)) {
 	end := core.EndOnce{Tenant: a.req.tenant, Service: a.req.request.Service, Key: onceKeyDigest(a.req.request.OnceKey), Claim: a.claim, State: state, Status: status, Body: body}
 	m.caller.Call(now, end, now+20*m.params.Core.MemberTerm, func(now time.Duration, o core.Outcome) {
@@ -71,6 +72,7 @@
 	})
 }
 
+// finishAction stores and delivers the outcome of an action.
 func (m *Machine) finishAction(now time.Duration, a *attempt, e AttemptEvent) {
 	req := a.req
 	if e.Kind != EventDone {
--- a/peer/node/opening.go
+++ b/peer/node/opening.go
@@ -11,9 +11,9 @@
 	"saffronfall/rule/verdict"
 )
 
-// openProgram is a session start: the breaker came first; the user's windows,
-// lockout, concurrency and day follow at the user's part, in that order, and
-// the tenant's day last.
+// openProgram starts a session. The breaker was checked before; the user's windows, lockout,
+// concurrency and day are checked at the user's partition, in that order, and the tenant's day
+// last.
 func (m *Machine) openProgram(now time.Duration, req *requestState) {
 	role := m.description.Roles[req.role]
 	m.nextID++
@@ -54,25 +54,27 @@
 	})
 }
 
+// closeSession closes a user's session with its final charge.
 func (m *Machine) closeSession(now time.Duration, req *requestState, id string, charged int64) {
 	m.caller.Call(now, core.ChargeUser{Tenant: req.tenant, User: req.request.User, Program: id, Charged: charged, Closed: true}, now+10*m.params.Core.MemberTerm, func(time.Duration, core.Outcome) {})
 }
 
+// openWithDayShare draws a share of the tenant's day, then creates the program.
 func (m *Machine) openWithDayShare(now time.Duration, req *requestState, id string, test int, warnings []verdict.Warning) {
 	s := m.dayShareOf(req.tenant)
-	m.drawShare(now, s, 1, m.dayChunk(req.tenant), m.stepDeadline(now, req), m.dayShareCommand(req.tenant, s), func(now time.Duration, ok, told bool) {
+	m.drawShare(now, s, 1, m.dayChunk(req.tenant), m.stepDeadline(now, req), m.dayShareCommand(req.tenant, s), func(now time.Duration, ok, answered bool) {
 		if req.done || !ok {
 			m.closeSession(now, req, id, 0)
-			m.refuse(req, m.dayShareRefusal(told))
+			m.refuse(req, m.dayShareRefusal(answered))
 			return
 		}
-		r := program.Record{Fence: 1, ID: id, Tenant: req.tenant, User: req.request.User, Role: req.role, Node: m.params.ID, Incarnation: m.incarnation, Address: m.params.Address, TestSession: test,
+		record := program.Record{Fence: 1, ID: id, Tenant: req.tenant, User: req.request.User, Role: req.role, Node: m.params.ID, Incarnation: m.incarnation, Address: m.params.Address, TestSession: test,
 			Retention: time.Duration(m.description.KeepSeconds) * time.Second}
-		fresh := ownedProgram{record: r}
+		prog := ownedProgram{record: record}
 		covered := program.PrechargeTarget(m.description.Roles[req.role], 0)
-		m.prepareRecord(&fresh)
-		r = fresh.record
-		m.caller.Call(now, core.OpenProgram{Record: r}, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
+		m.prepareRecord(&prog)
+		record = prog.record
+		m.caller.Call(now, core.OpenProgram{Record: record}, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
 			p, ok := o.Answer.(core.Programmed)
 			if !ok || !p.Owned || req.done || p.Record.Incarnation != m.incarnation {
 				m.closeSession(now, req, id, 0)
@@ -87,6 +89,7 @@
 	})
 }
 
+// countAdmitted counts an admitted request and its warnings.
 func (m *Machine) countAdmitted(warnings []verdict.Warning) {
 	m.Counters.Admitted++
 	if len(warnings) > 0 {
@@ -94,8 +97,8 @@
 	}
 }
 
-func (m *Machine) dayShareRefusal(told bool) verdict.Verdict {
-	if !told {
+func (m *Machine) dayShareRefusal(answered bool) verdict.Verdict {
+	if !answered {
 		return retryLater("no share of the tenant's day could be had in time")
 	}
 	return verdict.Refused(verdict.Refusal{Check: "tenant_day", Code: "tenant_day_tokens_spent", Reason: "the tenant's day is spent, or its shares are all held", Status: 429, RetryAfter: m.params.Core.MemberTerm})
--- a/peer/node/queue.go
+++ b/peer/node/queue.go
@@ -7,8 +7,8 @@
 	"saffronfall/rule/verdict"
 )
 
-// room is what waits for a place at a service's replicas, in order, and how long
-// their shots took lately.
+// replicaQueue holds the attempts that wait for capacity at a service's replicas, in order of
+// arrival, and the moving average of their duration.
 type replicaQueue struct {
 	waiting         []queuedAttempt
 	averageDuration time.Duration
@@ -28,8 +28,8 @@
 	return r
 }
 
-// roomFor is how many inquiries may be buffered; some places are kept for what
-// is urgent.
+// queueLimitFor returns the maximum number of queued requests; part of the queue is reserved for
+// urgent services.
 func (m *Machine) queueLimitFor(urgent bool) int {
 	if urgent {
 		return m.params.QueueLimit
@@ -37,8 +37,7 @@
 	return int(float64(m.params.QueueLimit) * (1 - m.params.UrgentRatio))
 }
 
-// roomWait is how long it should take until a service's replicas have a place
-// for one more than wait already.
+// queueWait estimates how long one more queued attempt would wait for a replica.
 func (m *Machine) queueWait(now time.Duration, service string) time.Duration {
 	r := m.queueOf(service)
 	places := m.description.Services[service].AttemptsPerReplica * int64(len(m.currentReplicas(now, service)))
@@ -48,8 +47,8 @@
 	return max(m.params.Core.Pull, r.averageDuration*time.Duration(len(r.waiting)+1)/time.Duration(places))
 }
 
-// awaitRoom buffers a shot until a replica has a place, if there is hope within
-// its budget.
+// enqueue queues an attempt until a replica has capacity. It returns false if the queue is full or
+// the expected wait is too long.
 func (m *Machine) enqueue(now time.Duration, a *attempt) bool {
 	service := a.req.request.Service
 	until := min(a.req.deadline, now+m.params.MaxQueueWait)
@@ -62,20 +61,19 @@
 	return true
 }
 
-// freeRoom lets waiting shots go as places become free, and ends those whose
-// time is over.
+// drainQueues starts queued attempts as capacity becomes available, and cancels the expired ones.
 func (m *Machine) drainQueues(now time.Duration) {
 	for _, service := range ordered.Keys(m.queues) {
 		r := m.queues[service]
 		for len(r.waiting) > 0 {
 			w := r.waiting[0]
-			over := w.attempt.req.done || now >= w.until || !m.inTerm(now)
-			if _, ok := m.chooseReplica(now, service, w.attempt.untriedReplica); !ok && !over {
+			expired := w.attempt.req.done || now >= w.until || !m.inTerm(now)
+			if _, ok := m.chooseReplica(now, service, w.attempt.untriedReplica); !ok && !expired {
 				break
 			}
 			r.waiting = r.waiting[1:]
 			m.queued--
-			if over {
+			if expired {
 				m.cancelAttempt(now, w.attempt, m.noReplicaVerdict(now, service))
 			} else {
 				m.startAttempt(now, w.attempt)
--- a/peer/node/relay.go
+++ b/peer/node/relay.go
@@ -6,7 +6,7 @@
 	"saffronfall/peer/core"
 )
 
-// passOn carries a command to a core for a node whose own way there is cut.
+// relayCommand passes a command to a core on behalf of a node that can't reach the cores.
 func (m *Machine) relayCommand(now time.Duration, from string, b core.Command) {
 	to := m.caller.HintOf(b.Part)
 	if all := m.coreAddresses(); to == "" && len(all) > 0 {
@@ -17,33 +17,35 @@
 		return
 	}
 	m.Counters.Relayed++
-	p := &relayedCommand{from: from, command: b, until: now + m.params.Core.MemberTerm}
-	t := m.relayed.Keep(p)
+	relayed := &relayedCommand{from: from, command: b, until: now + m.params.Core.MemberTerm}
+	t := m.relayed.Keep(relayed)
 	m.relayOrder = append(m.relayOrder, t)
 	b.ID = m.caller.Mark(t) | relayedBit
 	m.send(to, b)
 }
 
+// relayReturn passes a core's return to the node whose command was relayed.
 func (m *Machine) relayReturn(now time.Duration, b core.CommandReturn) {
 	t := m.caller.Unmark(b.ID &^ relayedBit)
-	p, ok := m.relayed.Look(t)
+	relayed, ok := m.relayed.Look(t)
 	if !ok {
 		return
 	}
-	if b.Moved && b.Hint != "" && p.moved < 3 {
-		p.moved++
+	if b.Moved && b.Hint != "" && relayed.moved < 3 {
+		relayed.moved++
 		m.caller.Hint(b.Part, b.Hint)
-		m.send(b.Hint, core.Command{ID: b.ID, Part: b.Part, Raw: p.command.Raw})
+		m.send(b.Hint, core.Command{ID: b.ID, Part: b.Part, Raw: relayed.command.Raw})
 		return
 	}
 	m.relayed.Take(t)
-	b.ID, b.Hint = p.command.ID, ""
-	m.send(p.from, b)
+	b.ID, b.Hint = relayed.command.ID, ""
+	m.send(relayed.from, b)
 }
 
-// passedOn marks the ids of commands that are carried for others.
+// relayedBit marks the ids of relayed commands.
 const relayedBit = 1 << 63
 
+// relayedCommand is a command that was relayed for another node.
 type relayedCommand struct {
 	from    string
 	command core.Command
@@ -53,8 +55,8 @@
 
 func (m *Machine) expireRelayed(now time.Duration) {
 	for len(m.relayOrder) > 0 {
-		p, ok := m.relayed.Look(m.relayOrder[0])
-		if ok && now < p.until {
+		relayed, ok := m.relayed.Look(m.relayOrder[0])
+		if ok && now < relayed.until {
 			return
 		}
 		m.relayed.Take(m.relayOrder[0])
--- a/peer/node/replicas.go
+++ b/peer/node/replicas.go
@@ -4,6 +4,8 @@
 	"time"
 )
 
+// replicaHealth is this node's own view of a replica: its attempts in progress, its consecutive
+// failures and until when it is ejected.
 type replicaHealth struct {
 	outstanding  int64
 	failures     int
@@ -11,7 +13,8 @@
 	lastUsed     time.Duration
 }
 
-// choose picks a replica: of two at random the less loaded, near ones first.
+// chooseReplica picks the less loaded of two random replicas, preferring this node's zone. It
+// skips those that are ejected, at capacity or not allowed.
 func (m *Machine) chooseReplica(now time.Duration, service string, may func(id string) bool) (Replica, bool) {
 	var local, remote []Replica
 	limit := m.description.Services[service].AttemptsPerReplica
--- a/peer/node/request.go
+++ b/peer/node/request.go
@@ -13,7 +13,7 @@
 	"saffronfall/rule/verdict"
 )
 
-// way is one inquiry's way through this process.
+// requestState is a request in progress in this process.
 type requestState struct {
 	request     Request
 	tenant      string
@@ -32,7 +32,7 @@
 	ran         verdict.Execution
 }
 
-// Inquire takes a requester's inquiry; pieces come back under its ticket.
+// Submit accepts a client's request. Its response frames carry the ticket.
 func (m *Machine) Submit(now time.Duration, ticket uint64, request Request) Output {
 	m.beginStep(now)
 	m.Counters.Requests++
@@ -43,7 +43,7 @@
 	return *m.out
 }
 
-// Gone says that a requester no longer waits.
+// CancelRequest ends a request whose client no longer waits.
 func (m *Machine) CancelRequest(now time.Duration, ticket uint64) Output {
 	m.beginStep(now)
 	if t, ok := m.byTicket[ticket]; ok {
@@ -53,6 +53,8 @@
 	return *m.out
 }
 
+// cancel ends a request, withdraws it from the node that it was forwarded to and stops its
+// attempt.
 func (m *Machine) cancel(now time.Duration, t slab.Ticket) {
 	req, ok := m.requests.Look(t)
 	if !ok {
@@ -81,7 +83,7 @@
 	return req.ticket
 }
 
-// end gives the last piece, once.
+// finish sends the last frame of a response, once.
 func (m *Machine) finish(req *requestState, p Frame) {
 	if req.done {
 		return
@@ -91,6 +93,7 @@
 	req.respond(p)
 }
 
+// refuse ends a request with a verdict, or aborts the stream if one has begun.
 func (m *Machine) refuse(req *requestState, v verdict.Verdict) {
 	if req.done {
 		return
@@ -122,7 +125,8 @@
 	return verdict.Refused(verdict.Refusal{Check: "budget", Code: "budget_passed", Reason: "the inquiry's budget has passed", Status: 504, Ran: ran})
 }
 
-// enter is the first step of every inquiry: whose it is, then the breaker.
+// dispatch authenticates a request, checks the node's term and the breaker, and routes the request
+// by its kind.
 func (m *Machine) dispatch(now time.Duration, req *requestState) {
 	q := &req.request
 	if m.description == nil {
@@ -174,7 +178,7 @@
 	return verdict.Verdict{}
 }
 
-// locate finds the owner of an inquiry's program: this node, or another.
+// locate finds the owner of a request's program: this node, or one to forward to.
 func (m *Machine) locate(now time.Duration, req *requestState) {
 	if req.done {
 		return
@@ -204,6 +208,8 @@
 	m.claimProgram(now, req, core.ClaimProgram{})
 }
 
+// claimProgram asks the cores who owns a program, and takes it over if its owner's membership has
+// ended.
 func (m *Machine) claimProgram(now time.Duration, req *requestState, proof core.ClaimProgram) {
 	c := core.ClaimProgram{Tenant: req.tenant, ID: req.request.Program, Node: m.params.ID, Incarnation: m.incarnation, Address: m.params.Address,
 		EndedNode: proof.EndedNode, EndedFormer: proof.EndedFormer}
@@ -236,17 +242,18 @@
 	})
 }
 
-// patient is until when a step may take: the budget, but never so long that a
-// fault is sat out instead of told.
+// stepDeadline returns the deadline of one step of a request: the request's own, but no later than
+// a step's timeout, so that a fault is reported rather than waited out.
 func (m *Machine) stepDeadline(now time.Duration, req *requestState) time.Duration {
 	return min(req.deadline, now+m.stepTimeout())
 }
 
-// patientRetries is how many tries at a command are waited for.
+// stepRetries is the timeout of a step, in retries of a command.
 const stepRetries = 12
 
 func (m *Machine) stepTimeout() time.Duration { return stepRetries * m.params.Core.Retry }
 
+// adoptProgram installs a program that the cores assigned to this node.
 func (m *Machine) adoptProgram(now time.Duration, p core.Programmed) *ownedProgram {
 	prog := &ownedProgram{record: copyRecord(p.Record), turns: map[string][]program.Turn{}, clockOffset: p.Clock - now, savedVersion: p.Record.Version, lastUsed: now}
 	for _, t := range p.Turns {
@@ -261,6 +268,8 @@
 	return prog
 }
 
+// expireRequests ends forwarded requests and attempts past their deadlines, and retransmits
+// forwards that were not accepted yet.
 func (m *Machine) expireRequests(now time.Duration) {
 	for _, t := range m.openForwardTickets() {
 		f := m.openForwards[t]
--- a/peer/node/save.go
+++ b/peer/node/save.go
@@ -9,26 +9,28 @@
 	"saffronfall/rule/program"
 )
 
+// saveWaiter continues once a version is durable, or at its deadline.
 type saveWaiter struct {
 	version uint64
 	until   time.Duration
 	next    func(now time.Duration, ok bool)
 }
 
-// save makes a program's record durable, then goes on. One save of a program
-// is under way at a time; each carries the newest record.
+// save makes a program's record durable, then calls next. At most one save of a program is in
+// flight; each carries the newest record.
 func (m *Machine) save(now time.Duration, prog *ownedProgram, until time.Duration, next func(now time.Duration, ok bool)) {
 	m.markChanged(now, prog)
 	prog.waiters = append(prog.waiters, saveWaiter{version: prog.record.Version, until: until, next: next})
 	m.startSave(now, prog)
 }
 
-// resave makes a changed record durable, with nobody waiting for it.
+// resave makes a changed record durable without waiting for it.
 func (m *Machine) resave(now time.Duration, prog *ownedProgram) {
 	m.markChanged(now, prog)
 	m.startSave(now, prog)
 }
 
+// markChanged gives a changed record its next version.
 func (m *Machine) markChanged(now time.Duration, prog *ownedProgram) {
 	if prog.savedVersion >= prog.record.Version {
 		prog.unsavedSince = now
@@ -36,6 +38,8 @@
 	prog.record.Version++
 }
 
+// startSave sends the newest record to the cores unless a save is in flight. If the cores fence it
+// off, this node has lost the program.
 func (m *Machine) startSave(now time.Duration, prog *ownedProgram) {
 	if prog.lost {
 		m.failSaves(now, prog)
@@ -76,8 +80,7 @@
 	})
 }
 
-// wakeSaves goes on with what waited for a version that is now held, by the
-// cores or by all mirrors.
+// completeSaves calls the waiters whose version is now held by the cores or by all mirrors.
 func (m *Machine) completeSaves(now time.Duration, prog *ownedProgram) {
 	ready := prog.waiters
 	prog.waiters = nil
@@ -90,14 +93,16 @@
 	}
 }
 
-func copyRecord(r program.Record) program.Record {
+// copyRecord returns a deep copy of a record.
+func copyRecord(record program.Record) program.Record {
 	var c program.Record
-	if err := message.Unmarshal(message.Marshal(r), &c); err != nil {
+	if err := message.Unmarshal(message.Marshal(record), &c); err != nil {
 		panic(err)
 	}
 	return c
 }
 
+// failSaves tells all waiters that their version was not made durable.
 func (m *Machine) failSaves(now time.Duration, prog *ownedProgram) {
 	waiters := prog.waiters
 	prog.waiters = nil
--- a/peer/node/share.go
+++ b/peer/node/share.go
@@ -10,8 +10,8 @@
 	"saffronfall/rule/configuration"
 )
 
-// share is this node's part of an allowance that is spent: tokens of a
-// tenant's day, or money.
+// share is this node's share of an allowance that is used up: a tenant's tokens of the day, or the
+// spend budget.
 type share struct {
 	account   allowance.Account
 	reserved  int64
@@ -32,8 +32,8 @@
 	s.changed = true
 }
 
-// pace is this node's part of a tenant's rate: units, and a bucket that fills
-// by them. Units that are newly held come with nothing in the bucket.
+// rateShare is this node's share of a tenant's rate: a number of units, and a token bucket whose
+// size and rate are proportional to them. Newly granted units come with an empty bucket.
 type rateShare struct {
 	account        allowance.Account
 	tokens         float64
@@ -50,8 +50,8 @@
 	reportedDemand int64
 }
 
-// What a node wants of a rate weighs by its recent demand, over a base that
-// keeps a share in advance at nodes where nobody asks.
+// demandWeight weighs a node's recent demand for a rate against core.IdleWeight, which keeps a
+// share in advance at nodes without demand.
 const demandWeight = 64
 
 type rateWaiter struct {
@@ -59,11 +59,12 @@
 	next  func(now time.Duration, ok bool, wait time.Duration)
 }
 
+// fill adds the tokens that have accrued since the last call.
 func (p *rateShare) fill(now time.Duration, rate float64, burst int64) {
 	whole := rateUnits(burst)
 	if whole < p.totalUnits {
-		// The allowance was cut: every holder gives back its part of the cut,
-		// so that what is held never comes to more than the new whole.
+		// The allowance was reduced: every holder returns its part of the reduction,
+		// so that the shares held never exceed the new total.
 		p.account.Returned += p.account.Held() - p.account.Held()*whole/p.totalUnits
 	}
 	p.totalUnits = whole
@@ -72,8 +73,7 @@
 	p.filledAt = now
 }
 
-// gain takes newly granted units; what they would have filled before they
-// were held is not theirs.
+// applyGrant records newly granted units. They fill the bucket only from now on.
 func (p *rateShare) applyGrant(now time.Duration, granted int64, rate float64, burst int64) {
 	p.fill(now, rate, burst)
 	if granted > p.account.Granted {
@@ -81,16 +81,19 @@
 	}
 }
 
+// returnUnits gives units back, with the part of the bucket beyond the remaining ones.
 func (p *rateShare) returnUnits(now time.Duration, units int64, rate float64, burst int64) {
 	p.fill(now, rate, burst)
 	p.account.Returned += units
 	p.fill(now, rate, burst)
 }
 
-// wholeOf is how many units a rate is divided into. A chunk of them is the
-// least that lets a bucket hold one inquiry.
+// rateUnits returns the number of units that a rate is divided into. core.Chunk of them are the
+// fewest whose bucket can hold one request.
 func rateUnits(burst int64) int64 { return burst * core.Chunk }
 
+// rateShareOf returns this node's share of a tenant's ordinary or urgent rate, with that rate in
+// requests per second and its burst.
 func (m *Machine) rateShareOf(tenant string, urgent bool) (*rateShare, float64, int64) {
 	t := m.description.Tenants[tenant]
 	key, ratio := tenant+"/rate", 1-t.UrgentRatio
@@ -114,6 +117,7 @@
 	return s
 }
 
+// endedHolders returns those holders whose incarnation has ended.
 func (m *Machine) endedHolders(holders []string) []string {
 	var list []string
 	for _, h := range holders {
@@ -132,9 +136,9 @@
 
 func (m *Machine) holderID() string { return m.params.ID + "/" + m.incarnation }
 
-// draw gets a share up to a need, then goes on; told says whether that is the
-// word of whoever divides the allowance, and not only its silence.
-func (m *Machine) drawShare(now time.Duration, s *share, need, chunk int64, until time.Duration, ask func(target int64) any, next func(now time.Duration, ok, told bool)) {
+// drawShare enlarges a share until need is free, then calls next. The argument answered tells
+// whether the result is a definite answer from the cores rather than a timeout.
+func (m *Machine) drawShare(now time.Duration, s *share, need, chunk int64, until time.Duration, ask func(target int64) any, next func(now time.Duration, ok, answered bool)) {
 	if s.free() >= need {
 		next(now, true, true)
 		return
@@ -208,8 +212,8 @@
 	return max(1, configuration.MicroDollars(m.description.Breaker.MinuteDollars)/512)
 }
 
-// reportShare tells what was spent, gives idle share back, and tops the share
-// up so that the next inquiry finds it here.
+// reportShare reports what was spent, returns unused share, and tops the share up so that the next
+// request finds it here.
 func (m *Machine) reportShare(now time.Duration, s *share, ask func(target int64) any, chunk int64) {
 	open := s == m.spendShare && (now < m.openUntil || m.breakerState != breaker.Closed)
 	idle := s.free() < chunk && !s.changed && !open
@@ -237,7 +241,7 @@
 	})
 }
 
-// askPace is a report of one of a tenant's rates, and what is wanted of it.
+// rateReport builds a report of one of a tenant's rates with the demand for it.
 func (m *Machine) rateReport(tenant string, urgent bool, want int64) core.ShareTenant {
 	p, _, burst := m.rateShareOf(tenant, urgent)
 	kind := "rate"
@@ -248,8 +252,8 @@
 		Whole: rateUnits(burst), Chunk: core.Chunk, Members: int64(len(m.others()) + 1), Ended: m.endedHolders(p.others)}
 }
 
-// paceDue reports whether one of a tenant's rates is to be reported, and notes
-// what is wanted of it.
+// rateReportDue reports whether one of a tenant's rates is due for a report, and if so updates its
+// demand.
 func (m *Machine) rateReportDue(now time.Duration, tenant string, urgent bool) bool {
 	p, rate, burst := m.rateShareOf(tenant, urgent)
 	p.fill(now, rate, burst)
@@ -259,7 +263,7 @@
 		return false
 	}
 	if now >= p.demandAt+m.params.ReportInterval {
-		// A report that follows on the last one says nothing of the demand.
+		// A report right after the last one carries no information on demand.
 		p.recent, p.demand, p.demandAt = (p.recent+p.demand*demandWeight)/2, 0, now
 	}
 	want := core.IdleWeight + p.recent
@@ -271,7 +275,7 @@
 	return true
 }
 
-// reportPaces reports a tenant's rates, those that are due in one command.
+// reportRates reports the rates of a tenant that are due, in one command.
 func (m *Machine) reportRates(now time.Duration, tenant string) {
 	var due []bool
 	var ask core.ShareRates
@@ -308,7 +312,7 @@
 	})
 }
 
-// release lets waiting shots go as the bucket fills.
+// releaseWaiters admits waiting attempts as the bucket fills.
 func (m *Machine) releaseWaiters(now time.Duration, p *rateShare, rate float64, burst int64) {
 	for len(p.waiting) > 0 {
 		w := p.waiting[0]
@@ -325,8 +329,7 @@
 	}
 }
 
-// rateWait is how long it takes until the rate's bucket has a place for one
-// more.
+// rateWait returns how long it takes until the bucket admits one more request.
 func (m *Machine) rateWait(p *rateShare, rate float64, burst int64) time.Duration {
 	speed := float64(p.account.Held()) / float64(rateUnits(burst)) * rate
 	if speed <= 0 {
@@ -335,7 +338,7 @@
 	return max(m.params.Core.Pull, time.Duration((float64(len(p.waiting)+1)-p.tokens)/speed*float64(time.Second)))
 }
 
-// pass takes one inquiry's place in a tenant's rate, now or after a short wait.
+// takeRate takes a place in a tenant's rate for one request, now or after a short wait.
 func (m *Machine) takeRate(now time.Duration, tenant string, urgent bool, until time.Duration, next func(now time.Duration, ok bool, wait time.Duration)) {
 	p, rate, burst := m.rateShareOf(tenant, urgent)
 	p.demand++
@@ -346,11 +349,11 @@
 		return
 	}
 	if urgent {
-		// What is urgent may also take of the rate that is nobody's reserve.
-		common, rate, burst := m.rateShareOf(tenant, false)
-		common.demand++
-		if common.fill(now, rate, burst); common.tokens >= 1 {
-			common.tokens--
+		// Urgent requests may also use the ordinary rate.
+		ordinary, rate, burst := m.rateShareOf(tenant, false)
+		ordinary.demand++
+		if ordinary.fill(now, rate, burst); ordinary.tokens >= 1 {
+			ordinary.tokens--
 			next(now, true, 0)
 			return
 		}
--- a/peer/node/status.go
+++ b/peer/node/status.go
@@ -4,7 +4,8 @@
 	"time"
 )
 
-// Status is what this node counts and holds.
+// Status returns the node's counts and holdings for operators. Its keys are part of the operator
+// interface.
 func (m *Machine) Status(now time.Duration) map[string]any {
 	c := m.Counters
 	refusals := map[string]int64{}
--- a/peer/node/tool.go
+++ b/peer/node/tool.go
@@ -10,6 +10,7 @@
 	"saffronfall/rule/verdict"
 )
 
+// startTool checks a tool call and starts its attempt once the call is durable.
 func (m *Machine) startTool(now time.Duration, req *requestState, prog *ownedProgram) {
 	name := req.request.Service
 	service, known := m.description.Services[name]
@@ -45,6 +46,7 @@
 	})
 }
 
+// finishTool records the outcome of a tool call, and delivers it only once it is durable.
 func (m *Machine) finishTool(now time.Duration, a *attempt, e AttemptEvent) {
 	req, prog := a.req, a.prog
 	good := e.Kind == EventDone && e.Status < 500
--- a/peer/node/turn.go
+++ b/peer/node/turn.go
@@ -14,7 +14,8 @@
 	"saffronfall/rule/verdict"
 )
 
-// shot is one try at a back end, and what it takes of allowances.
+// attempt is the work of a request at a back end, with what it reserved of allowances. It may be
+// tried at several replicas, but runs at one at most.
 type attempt struct {
 	req             *requestState
 	prog            *ownedProgram
@@ -35,7 +36,7 @@
 	spendShare      *share
 }
 
-// atOwner goes on with an inquiry at the node that owns its program.
+// serve runs a request on the node that owns its program.
 func (m *Machine) serve(now time.Duration, req *requestState, prog *ownedProgram) {
 	prog.lastUsed = now
 	if prog.recovery != nil {
@@ -109,10 +110,12 @@
 	m.drawTurnShares(now, a)
 }
 
+// testSessionsOnly refuses a session that isn't a test session while the breaker is half open.
 func testSessionsOnly() verdict.Verdict {
 	return verdict.Refused(verdict.Refusal{Check: "breaker", Code: "breaker_half_open", Reason: "only test sessions are gated", Status: 503, RetryAfter: time.Second})
 }
 
+// historyMatches reports whether the history that a client sent, if any, is the stored one.
 func historyMatches(told, kept []program.Turn) bool {
 	if len(told) == 0 {
 		return true
@@ -128,14 +131,14 @@
 	return true
 }
 
-// drawTurn gets the shares of the tenant's day and of money that a turn needs,
-// then makes its reservation durable, at the program's part and the user's.
+// drawTurnShares draws the shares of the tenant's day and of the spend budget that a turn needs,
+// then makes its reservation durable at the program's and the user's partitions.
 func (m *Machine) drawTurnShares(now time.Duration, a *attempt) {
 	req, day := a.req, m.dayShareOf(a.req.tenant)
-	m.drawShare(now, day, a.reservedTokens, m.dayChunk(req.tenant), m.stepDeadline(now, req), m.dayShareCommand(req.tenant, day), func(now time.Duration, ok, told bool) {
+	m.drawShare(now, day, a.reservedTokens, m.dayChunk(req.tenant), m.stepDeadline(now, req), m.dayShareCommand(req.tenant, day), func(now time.Duration, ok, answered bool) {
 		if !ok || req.done || a.prog.lost {
 			m.cancelTurn(now, a)
-			m.refuse(req, m.dayShareRefusal(told))
+			m.refuse(req, m.dayShareRefusal(answered))
 			return
 		}
 		day.reserve(a.reservedTokens)
@@ -157,6 +160,7 @@
 	})
 }
 
+// cancelTurn reverts the reservation of a turn that did not run.
 func (m *Machine) cancelTurn(now time.Duration, a *attempt) {
 	if a.prog == nil || a.prog.lost {
 		return
@@ -165,7 +169,7 @@
 	m.resave(now, a.prog)
 }
 
-// refund gives back what a shot that did not run had taken.
+// refund returns what an attempt that did not run had reserved.
 func (m *Machine) refund(now time.Duration, a *attempt) {
 	if a.dayShare == nil {
 		return
@@ -174,7 +178,7 @@
 	m.cancelTurn(now, a)
 }
 
-// settle turns what a shot had reserved into what it spent, once.
+// settle converts the reserved shares into spent ones. It acts once.
 func (a *attempt) settle(tokens, price int64) {
 	if a.dayShare != nil {
 		a.dayShare.settle(a.reservedTokens, tokens)
@@ -183,18 +187,18 @@
 	}
 }
 
-// reserveTurn makes a turn's reservation durable: at the cores with the user's
-// day charged, or, while they can't be reached, at all mirrors; the user's day is
-// then charged later, and counts meanwhile as charged beforehand.
+// persistReservation makes a turn's reservation durable: at the cores, with the user's day
+// charged, or, while the cores can't be reached, at all mirrors. In the second case the user's day
+// is charged later, and the turn is covered by what was charged in advance.
 func (m *Machine) persistReservation(now time.Duration, a *attempt) {
 	req, prog := a.req, a.prog
-	over, saved, charged, version := false, false, false, uint64(0)
+	started, saved, charged, version := false, false, false, uint64(0)
 	goOn := func(now time.Duration, good bool) {
-		alone := prog.savedVersion < version
-		if over || (good && !(saved && (charged || alone))) {
+		unsaved := prog.savedVersion < version
+		if started || (good && !(saved && (charged || unsaved))) {
 			return
 		}
-		over = true
+		started = true
 		if !good || prog.lost || req.done {
 			m.refund(now, a)
 			m.refuse(req, retryLater("the reservation could not be made durable in time"))
@@ -223,8 +227,7 @@
 	m.timers.Add(m.stepDeadline(now, req), func(now time.Duration) { goOn(now, charged && saved) })
 }
 
-// launch takes the tenant's rate and a replica, and shoots, all in one moment
-// if the term still holds then.
+// admitAttempt takes a place in the tenant's rate, then starts the attempt.
 func (m *Machine) admitAttempt(now time.Duration, a *attempt) {
 	m.takeRate(now, a.req.tenant, m.description.Services[a.req.request.Service].Urgent, a.req.deadline, func(now time.Duration, ok bool, wait time.Duration) {
 		if a.req.done {
@@ -239,6 +242,9 @@
 	})
 }
 
+// startAttempt checks the term, the breaker, the key and the deadline, chooses a replica and
+// starts the attempt there, all in one step, so that nothing starts after a check has become
+// outdated.
 func (m *Machine) startAttempt(now time.Duration, a *attempt) {
 	req, service := a.req, a.req.request.Service
 	if !m.inTerm(now) || (a.fenced && a.prog.lost) {
@@ -280,7 +286,7 @@
 		Replica: r.ID, Address: r.Address, Payload: a.payload, Timeout: req.deadline - now})
 }
 
-// undo refuses an inquiry whose shot did not run, after taking everything back.
+// cancelAttempt reverts the reservations of an attempt that did not run and refuses its request.
 func (m *Machine) cancelAttempt(now time.Duration, a *attempt, v verdict.Verdict) {
 	switch a.req.request.Kind {
 	case KindTurn:
@@ -299,7 +305,7 @@
 	}
 }
 
-// Shot takes an event of a shot.
+// HandleAttemptEvent processes an event of an attempt. Events of unknown attempts are ignored.
 func (m *Machine) HandleAttemptEvent(now time.Duration, e AttemptEvent) Output {
 	m.beginStep(now)
 	t := slab.Ticket(e.Attempt)
@@ -328,6 +334,7 @@
 	return *m.out
 }
 
+// finishAttempt ends an attempt, or retries it at another replica if it did not run.
 func (m *Machine) finishAttempt(now time.Duration, t slab.Ticket, e AttemptEvent) {
 	a, ok := m.attempts.Take(t)
 	if !ok {
@@ -347,7 +354,7 @@
 		m.recordFailure(now, h)
 		a.req.ran = verdict.NotExecuted
 		if len(a.triedReplicas) < 3 && !a.req.done {
-			// Another replica is another inquiry to the tenant's quota.
+			// Each replica tried counts against the tenant's rate.
 			m.admitAttempt(now, a)
 			return
 		}
@@ -367,6 +374,7 @@
 	}
 }
 
+// recordFailure ejects a replica for a growing time after repeated failures.
 func (m *Machine) recordFailure(now time.Duration, h *replicaHealth) {
 	h.failures++
 	if h.failures >= 3 {
@@ -374,6 +382,7 @@
 	}
 }
 
+// finishTurn settles a turn, and delivers its end only after its result is durable.
 func (m *Machine) finishTurn(now time.Duration, a *attempt, e AttemptEvent) {
 	req, prog := a.req, a.prog
 	good := e.Kind == EventDone && e.Status < 300 && !req.done
@@ -415,7 +424,7 @@
 	})
 }
 
-// breakOff ends a turn that has no whole outcome.
+// abortRequest ends a request whose attempt has no complete outcome.
 func (m *Machine) abortRequest(now time.Duration, req *requestState) {
 	switch {
 	case req.done:
--- a/peer/node/types.go
+++ b/peer/node/types.go
@@ -1,5 +1,9 @@
-// Package node is the data plane: the machine that owns programs, holds shares
-// and carries inquiries to back ends.
+// Package node implements the state machine of a data-plane node. A node owns programs under a
+// membership term, spends shares of allowances that the cores grant, and runs requests as attempts
+// at replicas of back-end services. Two invariants hold throughout: nothing starts outside the
+// node's term, and an attempt starts only after its reservation is durable at the cores or at all
+// mirrors of its program. Machine does no input or output of its own; each step returns an Output.
+// Start reading at Machine.Receive, then dispatch and startTurn.
 package node
 
 import (
@@ -11,7 +15,7 @@
 	"saffronfall/rule/verdict"
 )
 
-// Kinds of inquiries.
+// Kinds of requests.
 const (
 	KindOpen   = "open"
 	KindTurn   = "turn"
@@ -21,7 +25,8 @@
 	KindStatus = "look"
 )
 
-// Inquiry is what a requester asks for.
+// Request is what a client asks for. OnceKey is its idempotency key, PreviousHead the head that
+// its turn follows.
 type Request struct {
 	Kind         string         `msgpack:"k"`
 	Key          string         `msgpack:"y"`
@@ -38,7 +43,7 @@
 	Timeout      time.Duration  `msgpack:"d"`
 }
 
-// Kinds of pieces of a return.
+// Kinds of response frames. FrameAccepted is sent between nodes only.
 const (
 	FrameAccepted = "taken"
 	FrameVerdict  = "verdict"
@@ -49,8 +54,8 @@
 	FrameAbort    = "break"
 )
 
-// Piece is one part of what a requester gets back. The last one is a verdict,
-// a body, a close or a break, and only a close makes a stream whole.
+// Frame is one part of a response. The last one has the kind FrameVerdict, FrameBody, FrameClose
+// or FrameAbort; a stream is complete only with FrameClose.
 type Frame struct {
 	Kind         string          `msgpack:"k"`
 	Verdict      verdict.Verdict `msgpack:"v"`
@@ -62,23 +67,23 @@
 	FinishReason string          `msgpack:"e"`
 }
 
-// Last reports whether nothing follows a piece.
+// Last reports whether the frame is the last one of its response.
 func (p Frame) Last() bool {
 	return p.Kind == FrameVerdict || p.Kind == FrameBody || p.Kind == FrameClose || p.Kind == FrameAbort
 }
 
 // Messages between nodes.
 type (
-	// Forward passes an inquiry to the owner of its program.
+	// ForwardRequest passes a request to the owner of its program.
 	ForwardRequest struct {
 		ID      uint64  `msgpack:"i"`
 		Request Request `msgpack:"q"`
 	}
-	// Withdraw says that nobody waits for a forwarded inquiry any more.
+	// CancelForward says that a forwarded request's client no longer waits.
 	CancelForward struct {
 		ID uint64 `msgpack:"i"`
 	}
-	// Pieced carries one piece back, numbered without gaps.
+	// ForwardedFrame carries one response frame back, numbered without gaps.
 	ForwardedFrame struct {
 		ID     uint64 `msgpack:"i"`
 		Number int    `msgpack:"n"`
@@ -94,13 +99,13 @@
 	})
 }
 
-// Return is a piece for the requester that waits under a ticket.
+// Response is a frame for the client request with a ticket.
 type Response struct {
 	Ticket uint64
 	Frame  Frame
 }
 
-// Shoot asks for one shot at a replica.
+// StartAttempt asks for one attempt at a replica.
 type StartAttempt struct {
 	Attempt uint64
 	Service string
@@ -111,7 +116,7 @@
 	Timeout time.Duration
 }
 
-// Payload is what a replica is sent.
+// Payload is the content of an attempt, as sent to a replica.
 type Payload struct {
 	Attempt      string         `json:"shot"`
 	Tenant       string         `json:"tenant"`
@@ -125,7 +130,7 @@
 	Body         []byte         `json:"-"`
 }
 
-// Kinds of events of a shot.
+// Kinds of attempt events. After EventInterrupted the attempt may have run.
 const (
 	EventChunk       = "chunk"
 	EventDone        = "done"
@@ -133,7 +138,7 @@
 	EventInterrupted = "broken"
 )
 
-// Event is something that became of a shot.
+// AttemptEvent reports progress or the outcome of an attempt.
 type AttemptEvent struct {
 	Attempt uint64
 	Kind    string
@@ -149,7 +154,7 @@
 	Body any
 }
 
-// Output is what a step wants done.
+// Output lists the effects of a step, to be carried out by the caller.
 type Output struct {
 	Sends     []Send
 	Responses []Response
@@ -157,24 +162,25 @@
 	Cancels   []uint64
 }
 
-// Params bound a node's timing and room; all else are ratios to these.
+// Params bounds a node's timing and queues. Other bounds are ratios of these.
 type Params struct {
 	Core core.Params
-	// Buffer is how many inquiries may wait for a shot.
+	// QueueLimit is the maximum number of requests that wait for an attempt.
 	QueueLimit int
-	// Patience is the longest that a shot waits for its tenant's rate.
+	// MaxQueueWait bounds the wait of an attempt for its tenant's rate or a replica.
 	MaxQueueWait time.Duration
-	// Report is how often shares are reported while they change.
+	// ReportInterval is the interval of share reports while shares change.
 	ReportInterval time.Duration
-	// Newest is how old a replica's announcement may be when a shot is made.
+	// AnnouncementMaxAge is the maximum age of a replica's announcement when an
+	// attempt at it starts.
 	AnnouncementMaxAge time.Duration
-	// UrgentRatio is the part of the buffer kept for urgent services.
+	// UrgentRatio is the fraction of the queue reserved for urgent services.
 	UrgentRatio float64
-	// Budget is that of inquiries which name none.
+	// DefaultTimeout applies to requests without a timeout.
 	DefaultTimeout time.Duration
 }
 
-// Counters are what a node counts.
+// Counters are a node's cumulative counts.
 type Counters struct {
 	Requests, Forwarded, Admitted, Warned, Refused, Attempts, NotRun, Interrupted, Completed           int64
 	Takeovers, Joins, TermsLost, StaleUpdates, Resets, Fenced, BadMessages, Saves, HandedOver, Relayed int64
--- a/peer/node/update.go
+++ b/peer/node/update.go
@@ -13,6 +13,7 @@
 	"saffronfall/rule/partition"
 )
 
+// pull asks the cores, and two random members, for updates of state and announcements.
 func (m *Machine) pull(now time.Duration) {
 	if now < m.pullAt {
 		return
@@ -31,8 +32,8 @@
 	for _, to := range targets {
 		m.send(to, ask)
 	}
-	// Two others a pull carry a replica's word to every node of a fleet well
-	// before it is too old.
+	// Pulling from two random members each time spreads an announcement to all
+	// nodes well before it expires.
 	others := m.others()
 	for i := 0; i < 2 && len(others) > 0; i++ {
 		chosen := int(m.random()*float64(len(others))) % len(others)
@@ -78,13 +79,14 @@
 	}
 }
 
-// onFresh notes as of when this node has missed nothing of the configuration.
+// onFresh records the time as of which this node has the current configuration.
 func (m *Machine) onFresh(b core.Fresh) {
 	if !m.versions[core.ConfigurationPart].Less(b.Upto) {
 		m.freshAt = max(m.freshAt, b.Sent-b.Age)
 	}
 }
 
+// onPull answers another member's pull with what this node knows and the other lacks.
 func (m *Machine) onPull(now time.Duration, from string, b core.Pull) {
 	if b.Want && m.topology.Fleet != "" {
 		m.send(from, m.topology)
@@ -103,6 +105,7 @@
 	m.sendAnnouncements(now, from, b.Sent)
 }
 
+// onUpdate applies an update of a partition's published entries, unless it is old or leaves a gap.
 func (m *Machine) onUpdate(now time.Duration, b core.News) {
 	if !m.versions[b.Part].Less(b.Upto) || (!b.Whole && m.versions[b.Part].Less(b.After)) {
 		m.Counters.StaleUpdates++
--- a/rule/allowance/allowance_test.go
+++ b/rule/allowance/allowance_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestWindowRunsLong: a window never holds less than an exact one would, and
-// forgets all in the end.
+// TestWindowRunsLong checks that a window never holds less than an exact one, and eventually
+// forgets everything.
 func TestWindowRunsLong(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	w := Window{Width: time.Minute}
@@ -32,19 +32,19 @@
 			}
 		}
 		if sum := w.Sum(now); sum < exact || sum > slack {
-			t.Fatalf("step %d: %d, exactly %d, with a slot's slack %d", i, sum, exact, slack)
+			t.Fatalf("step %d: sum %d, want between %d (exact) and %d (one slot longer)", i, sum, exact, slack)
 		}
 		if n := len(w.Slots); n > SlotsPerWindow+2 {
 			t.Fatalf("%d slots", n)
 		}
 	}
 	if w.Sum(now+2*w.Width) != 0 {
-		t.Error("something is never forgotten")
+		t.Error("an amount never leaves the window")
 	}
 }
 
-// TestUntil: who waits as long as told finds room, and not much sooner.
-func TestUntil(t *testing.T) {
+// TestWaitTime checks that there is room after the returned wait, and not much sooner.
+func TestWaitTime(t *testing.T) {
 	w := Window{Width: time.Hour}
 	for i := 0; i < 4; i++ {
 		w.Add(time.Duration(i)*10*time.Minute, 1)
@@ -55,33 +55,33 @@
 		t.Errorf("wait %v", wait)
 	}
 	if w.WaitTime(now, 1, 5) != 0 {
-		t.Error("a wait where there is room")
+		t.Error("nonzero wait although the amount fits")
 	}
 }
 
-// TestEndedHolderStaysEnded: a late message of a holder whose books were
-// closed must not make room.
-func TestEndedHolderStaysEnded(t *testing.T) {
+// TestClosedAccountStaysClosed guards against a late report of a closed account freeing part of the
+// allowance.
+func TestClosedAccountStaysClosed(t *testing.T) {
 	l := Ledger{Windows: []Window{{Width: time.Hour}}}
 	limits := []int64{100}
 	if l.Grant(0, "a", 80, limits) != 80 {
-		t.Fatal("not granted")
+		t.Fatal("the share was not granted")
 	}
 	l.Report(0, "a", 30, 40)
 	l.CloseAccount(0, "a")
 	room := l.Available(0, limits)
 	l.Report(0, "a", 30, 40)
 	if l.Available(0, limits) != room {
-		t.Errorf("a late message made %d of room into %d", room, l.Available(0, limits))
+		t.Errorf("a late report changed the available amount from %d to %d", room, l.Available(0, limits))
 	}
 	l.Grant(0, "b", 100, limits)
 	if out := l.Outstanding(); out != room {
-		t.Errorf("%d are out of %d", out, room)
+		t.Errorf("%d outstanding, want %d", out, room)
 	}
 }
 
-// TestDivision: parts come to no more than the whole, everybody that wants has
-// one while there are enough, and room is kept for those who did not ask yet.
+// TestDivision checks that shares never exceed the total, that every holder with a demand gets one
+// while there are enough, and that units are kept for holders that have not reported yet.
 func TestDivision(t *testing.T) {
 	for _, c := range []struct {
 		wants   []int64
@@ -103,7 +103,7 @@
 			}
 		}
 		if sum > c.whole || (none > 0 && int64(len(c.wants)) <= c.whole) {
-			t.Errorf("%+v: %d given out, %d with none", c, sum, none)
+			t.Errorf("%+v: %d granted in total, %d holders without a share", c, sum, none)
 		}
 	}
 }
--- a/rule/allowance/ledger.go
+++ b/rule/allowance/ledger.go
@@ -6,26 +6,26 @@
 	"saffronfall/rule/ordered"
 )
 
-// Books are the cumulative counts of one holder of shares. They only grow, so
-// repeated, late and reordered copies do no harm.
+// Account holds the cumulative counts of one holder of shares. They only grow, so repeated, late
+// and reordered reports do no harm.
 type Account struct {
 	Granted  int64 `msgpack:"g"`
 	Spent    int64 `msgpack:"s"`
 	Returned int64 `msgpack:"r"`
 }
 
-// Held is what the holder may still spend.
+// Held returns the amount that the holder may still spend.
 func (b Account) Held() int64 { return b.Granted - b.Spent - b.Returned }
 
-// Ledger divides an allowance into shares. What is out counts as used until it
-// was returned, or was reported spent and has left every window.
+// Ledger divides an allowance into shares. A granted amount counts as used until it is returned,
+// or until it was reported spent and has left every window.
 type Ledger struct {
 	Windows []Window           `msgpack:"w"`
 	Holders map[string]Account `msgpack:"h"`
 	Demands map[string]int64   `msgpack:"t"`
 }
 
-// Out is the sum of the shares that are held.
+// Outstanding returns the sum of the shares that are held.
 func (l *Ledger) Outstanding() int64 {
 	var out int64
 	for _, b := range l.Holders {
@@ -34,16 +34,16 @@
 	return out
 }
 
-// Report takes a holder's cumulative counts. A holder with counts and no books
-// has ended before.
+// Report records a holder's cumulative counts. It returns false, and changes nothing, for a holder
+// whose account was closed.
 func (l *Ledger) Report(now time.Duration, holder string, spent, returned int64) bool {
 	if l.Holders == nil {
 		l.Holders = map[string]Account{}
 	}
 	b, known := l.Holders[holder]
 	if !known && (spent > 0 || returned > 0) {
-		// Nobody spends or returns before a grant: this holder's books were
-		// closed, and what was in them is counted already.
+		// A holder can't spend or return before a grant, so this account was closed
+		// and its counts are already included.
 		return false
 	}
 	if spent > b.Spent {
@@ -59,8 +59,8 @@
 	return true
 }
 
-// Room is how much may still be granted under the limits, one for each window.
-// With no windows the single limit is one on the shares that are out.
+// Available returns how much may still be granted under the limits, one for each window. Without
+// windows, the single limit bounds the outstanding shares.
 func (l *Ledger) Available(now time.Duration, limits []int64) int64 {
 	out := l.Outstanding()
 	if len(l.Windows) == 0 {
@@ -76,8 +76,8 @@
 	return room
 }
 
-// Draw raises what a holder has to a target, as far as there is room, and
-// returns what the holder was granted in all.
+// Grant raises the holder's share towards target as far as the limits allow, and returns the
+// cumulative amount granted to the holder.
 func (l *Ledger) Grant(now time.Duration, holder string, target int64, limits []int64) int64 {
 	if l.Holders == nil {
 		l.Holders = map[string]Account{}
@@ -90,8 +90,8 @@
 	return b.Granted
 }
 
-// End closes the books of a holder that surely spends no more. What it held
-// counts as spent where there are windows.
+// CloseAccount closes the account of a holder that can no longer spend, and reports whether there
+// was one. Where there are windows, its unspent share counts as spent.
 func (l *Ledger) CloseAccount(now time.Duration, holder string) bool {
 	b, ok := l.Holders[holder]
 	if !ok {
@@ -105,18 +105,18 @@
 	return true
 }
 
-// Division says how a whole is divided among holders by what they want.
+// Division describes how a total is divided among holders in proportion to their demands.
 type Division struct {
-	// Whole is in the units that are divided.
+	// Total is the number of units to divide.
 	Total int64
-	// Holders is how many there may be; those that have not asked yet are kept
-	// room for, as if each wanted Idle.
+	// Holders is the expected number of holders. Those that have not reported a
+	// demand yet count as if each had IdleDemand.
 	Holders    int64
 	IdleDemand int64
 }
 
-// Want notes what a holder would like to hold and returns what it should hold.
-// While there are enough units, each holder that wants anything has one.
+// SetDemand records a holder's demand and returns the share that it should hold. While there are
+// enough units, each holder with a demand has at least one.
 func (l *Ledger) SetDemand(holder string, want int64, d Division) int64 {
 	if l.Demands == nil {
 		l.Demands = map[string]int64{}
--- a/rule/allowance/window.go
+++ b/rule/allowance/window.go
@@ -1,27 +1,29 @@
-// Package allowance counts what was used of an allowance: sliding windows that
-// run long and never short, and ledgers that divide an allowance into shares.
+// Package allowance tracks the use of an allowance. A Window is a sliding window that may count an
+// amount too long but never too briefly; a Ledger divides an allowance into shares that holders
+// spend without asking again. Start reading at Ledger.
 package allowance
 
 import "time"
 
-// Slot is one slice of a window: an amount, counted until its youngest part has
-// left the window.
+// Slot is one time slice of a window. Its amount counts until its latest addition has left the
+// window.
 type Slot struct {
 	Last   time.Duration `msgpack:"l"`
 	First  time.Duration `msgpack:"f"`
 	Amount int64         `msgpack:"a"`
 }
 
-// Window is a sliding window. Its slots make it forget late, never early.
+// Window is a sliding window over amounts, kept in slots. Its sum is never below that of an exact
+// window.
 type Window struct {
 	Width time.Duration `msgpack:"w"`
 	Slots []Slot        `msgpack:"s"`
 }
 
-// SlotsPerWindow is the number of slices that a window is kept in.
+// SlotsPerWindow is the number of slots into which a window's width is divided.
 const SlotsPerWindow = 60
 
-// Sum is what the window holds at a time.
+// Sum returns the amount in the window at now.
 func (w *Window) Sum(now time.Duration) int64 {
 	w.expire(now)
 	var sum int64
@@ -31,7 +33,7 @@
 	return sum
 }
 
-// Add counts an amount at a time.
+// Add records an amount at now.
 func (w *Window) Add(now time.Duration, amount int64) {
 	if amount == 0 {
 		return
@@ -47,8 +49,8 @@
 	w.Slots = append(w.Slots, Slot{First: now, Last: now, Amount: amount})
 }
 
-// Until is how long it takes until the window has room for an amount under a
-// limit, if nothing more is added.
+// WaitTime returns how long it takes until amount fits under limit if nothing else is added; zero
+// means that it fits now.
 func (w *Window) WaitTime(now time.Duration, amount, limit int64) time.Duration {
 	over := w.Sum(now) + amount - limit
 	if over <= 0 {
--- a/rule/program/program.go
+++ b/rule/program/program.go
@@ -1,5 +1,7 @@
-// Package program holds the rules of one program: a root conversation and all
-// its helpers, with its caps, its spending and its chains of history.
+// Package program holds the rules of a program: a root conversation and its helper conversations,
+// with their limits, token budget and chained history. A turn is charged its
+// full reservation unless it finished or certainly did not run. Start reading at Record; User
+// holds the limits across a user's programs.
 package program
 
 import (
@@ -15,19 +17,20 @@
 	"saffronfall/rule/verdict"
 )
 
-// Line is one conversation of a program: the root's, or a helper's.
+// Conversation is the state of one conversation of a program: that of the root or of a helper.
+// Head is the hash of its history.
 type Conversation struct {
 	Head  string `msgpack:"h"`
 	Turns int    `msgpack:"t"`
 }
 
-// Reservation is the greatest possible output of a running turn.
+// Reservation is the maximum output, in tokens, of a running turn.
 type Reservation struct {
 	Conversation string `msgpack:"l"`
 	Tokens       int64  `msgpack:"t"`
 }
 
-// ToolBook counts the calls of one tool.
+// ToolUsage counts the calls of one tool. Identical counts calls by the digest of their arguments.
 type ToolUsage struct {
 	Calls         int64            `msgpack:"c"`
 	Identical     map[string]int64 `msgpack:"s"`
@@ -38,8 +41,8 @@
 	CooldownUntil time.Duration    `msgpack:"u"`
 }
 
-// Record is a program's durable state. One node at a time owns it, by its
-// fence, and is the only one that changes it. Times are of the part's clock.
+// Record is a program's durable state. Only the node that owns the program under the current fence
+// changes it. Times are on the clock of the program's partition.
 type Record struct {
 	ID            string                  `msgpack:"i"`
 	Tenant        string                  `msgpack:"t"`
@@ -63,22 +66,23 @@
 	Running       map[string]Reservation  `msgpack:"q"`
 	ToolCalls     int64                   `msgpack:"k"`
 	Tools         map[string]ToolUsage    `msgpack:"w"`
-	// Covered is up to where the allowance is charged beforehand, so that the
-	// owner may go on to there while the cores can't be reached. Mirrors then
-	// hold what it does, under the fence that named them.
+	// Precharged is the total, in tokens, that is charged in advance, up to which
+	// the owner may run turns while the cores can't be reached. Mirrors then hold
+	// those turns, under the fence that chose the mirrors.
 	Precharged   int64    `msgpack:"g"`
 	Mirrors      []Mirror `msgpack:"m"`
 	MirrorsFence uint64   `msgpack:"j"`
 }
 
-// Mirror is one life of a node that holds copies for an owner.
+// Mirror names one process of a node that holds copies for a program's owner. Process is the
+// process's incarnation, without the count of its membership terms.
 type Mirror struct {
 	ID      string `msgpack:"i"`
 	Process string `msgpack:"l"`
 	Address string `msgpack:"p"`
 }
 
-// Turn is one kept turn of a line: what was said and what came of it.
+// Turn is one stored turn of a conversation.
 type Turn struct {
 	Conversation string `msgpack:"l" json:"-"`
 	Number       int    `msgpack:"n" json:"-"`
@@ -87,10 +91,10 @@
 	Head         string `msgpack:"h" json:"head"`
 }
 
-// Start is the head of a line that has no turns.
+// EmptyHead is the head of a conversation without turns.
 const EmptyHead = "start"
 
-// Chain is the head that follows another one after a turn.
+// NextHead returns the head that follows head after a turn.
 func NextHead(head, prompt, response string) string {
 	h := sha256.New()
 	for _, text := range []string{head, prompt, response} {
@@ -100,7 +104,7 @@
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// Reserved is the sum of the running reservations.
+// Reserved returns the sum of the running reservations, in tokens.
 func (r *Record) Reserved() int64 {
 	var sum int64
 	for _, reservation := range r.Running {
@@ -109,20 +113,20 @@
 	return sum
 }
 
-// Charged is what counts as spent: output and running reservations.
+// Charged returns the tokens that count as spent: output and running reservations.
 func (r *Record) Charged() int64 { return r.Spent + r.Reserved() }
 
-// coveredTurns is how many of the greatest turns an owner has charged
-// beforehand, to be taken while nobody can be asked.
+// prechargedTurns is the number of maximum-size turns that an owner charges in advance, to be run
+// while the cores can't be reached.
 const prechargedTurns = 2
 
-// Cover is up to where an allowance is charged beforehand, of which something
-// is charged already.
+// PrechargeTarget returns the total, in tokens, up to which a program should be charged in advance
+// when charged tokens are charged already.
 func PrechargeTarget(role configuration.Role, charged int64) int64 {
 	return min(role.ProgramTokensHard, charged+prechargedTurns*role.TurnTokens)
 }
 
-// Line finds a line; one that has no turns yet begins at Start.
+// Conversation returns a conversation's state; one without turns is at EmptyHead.
 func (r *Record) Conversation(name string) Conversation {
 	if l, ok := r.Conversations[name]; ok {
 		return l
@@ -130,7 +134,7 @@
 	return Conversation{Head: EmptyHead}
 }
 
-// Busy reports whether a turn of a line is running.
+// HasRunningTurn reports whether a turn of a conversation is running.
 func (r *Record) HasRunningTurn(line string) bool {
 	for _, reservation := range r.Running {
 		if reservation.Conversation == line {
@@ -140,7 +144,7 @@
 	return false
 }
 
-// Settle charges everything that was running when an owner was lost.
+// ChargeRunning charges all running reservations in full, after the owner that ran them was lost.
 func (r *Record) ChargeRunning() {
 	r.Spent = r.Charged()
 	r.Running = nil
@@ -161,8 +165,9 @@
 	return warnings
 }
 
-// Caps checks a program's caps before a turn, in their order: closed, steps,
-// duration, tool calls in all, per type, identical, size of the history.
+// CheckTurnLimits checks a program's limits before a turn, in this order: closed, steps, duration,
+// all tool calls, calls per tool, identical calls, history size. Use of at least ratio of a limit
+// adds a warning.
 func (r *Record) CheckTurnLimits(clock time.Duration, role configuration.Role, ratio float64) verdict.Verdict {
 	var warnings []verdict.Warning
 	age := clock - r.OpenedAt
@@ -197,7 +202,7 @@
 	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
 
-// Budget checks the program's own allowance of tokens before a turn.
+// CheckTokenBudget checks the program's token budget before a turn.
 func (r *Record) CheckTokenBudget(role configuration.Role) verdict.Verdict {
 	charged := r.Charged()
 	if charged >= role.ProgramTokensHard {
@@ -209,7 +214,7 @@
 	return verdict.Allowed(verdict.NotExecuted, nil)
 }
 
-// Reserve begins a turn.
+// ReserveTurn starts a turn with its maximum output reserved.
 func (r *Record) ReserveTurn(turn, line string, tokens int64) {
 	if r.Running == nil {
 		r.Running = map[string]Reservation{}
@@ -218,7 +223,7 @@
 	r.Steps++
 }
 
-// Unreserve takes back a turn that surely did not run.
+// CancelTurn reverts a turn that certainly did not run.
 func (r *Record) CancelTurn(turn string) {
 	if _, ok := r.Running[turn]; ok {
 		delete(r.Running, turn)
@@ -226,7 +231,7 @@
 	}
 }
 
-// Fail ends a turn that has no whole outcome: its reservation counts as spent.
+// FailTurn ends a turn without a complete result; its whole reservation counts as spent.
 func (r *Record) FailTurn(turn string) {
 	if reservation, ok := r.Running[turn]; ok {
 		r.Spent += reservation.Tokens
@@ -234,7 +239,7 @@
 	}
 }
 
-// Finish ends a turn that came whole.
+// FinishTurn ends a turn with a complete result, appends it to its conversation and returns it.
 func (r *Record) FinishTurn(turn string, tokens int64, prompt, response string) Turn {
 	reservation := r.Running[turn]
 	delete(r.Running, turn)
@@ -249,8 +254,8 @@
 	return t
 }
 
-// Arguments is the digest of a tool call's arguments in canonical form: keys
-// in order, no spaces, numbers as written.
+// ArgumentsDigest returns a digest of a tool call's JSON arguments in canonical form: sorted keys,
+// no spaces, numbers as written.
 func ArgumentsDigest(raw []byte) (string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -266,8 +271,8 @@
 	return hex.EncodeToString(sum[:8]), nil
 }
 
-// Tool checks a tool call, in order: closed, duration, calls in all, per type,
-// identical, cooldown, per-tool rates, concurrency.
+// CheckToolCall checks a tool call, in this order: closed, duration, all calls, calls per tool,
+// identical calls, cooldown, per-tool rates, concurrency.
 func (r *Record) CheckToolCall(clock time.Duration, name, arguments string, role configuration.Role, service configuration.Service, ratio float64) verdict.Verdict {
 	usage := r.Tools[name]
 	switch {
@@ -299,7 +304,7 @@
 	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
 
-// CallTool counts a tool call that is about to be made.
+// StartToolCall counts a tool call that is about to be made.
 func (r *Record) StartToolCall(clock time.Duration, name, arguments string) {
 	if r.Tools == nil {
 		r.Tools = map[string]ToolUsage{}
@@ -318,8 +323,7 @@
 	r.Tools[name] = usage
 }
 
-// UncallTool takes back a call that surely did not run. Its place in the rate
-// windows stays taken.
+// CancelToolCall reverts a call that certainly did not run. It still counts in the rate windows.
 func (r *Record) CancelToolCall(name, arguments string) {
 	usage := r.Tools[name]
 	usage.Calls--
@@ -329,8 +333,8 @@
 	r.Tools[name] = usage
 }
 
-// ToolDone takes the outcome of a tool call. Each error in a row doubles the
-// cooldown, up to a greatest one.
+// FinishToolCall records the outcome of a tool call. Each consecutive error doubles the cooldown,
+// up to longest.
 func (r *Record) FinishToolCall(clock time.Duration, name string, good bool, service configuration.Service, longest time.Duration) {
 	usage := r.Tools[name]
 	usage.Running = max(0, usage.Running-1)
--- a/rule/program/program_test.go
+++ b/rule/program/program_test.go
@@ -11,9 +11,9 @@
 	return configuration.Role{Steps: 10, SessionSeconds: 120, ToolCalls: 20, ToolCallsPerType: 5, IdenticalToolCalls: 2, HistoryBytes: 1000, TurnTokens: 100, ProgramTokensSoft: 500, ProgramTokensHard: 1000}
 }
 
-// TestToolOrder puts a program in the way of every check of a tool call and
-// takes them away one by one.
-func TestToolOrder(t *testing.T) {
+// TestToolCheckOrder violates every check of a tool call at once and clears the violations one by one,
+// in the order of the checks.
+func TestToolCheckOrder(t *testing.T) {
 	service := configuration.Service{CallsPerMinute: 3, CallsPerHour: 100, ConcurrentCalls: 1, CooldownSeconds: 10}
 	role := viewer()
 	r := Record{ToolCalls: 20, Closed: true}
@@ -50,23 +50,23 @@
 		switch c.code {
 		case "tool_cooling":
 			if v.RetryAfter != time.Hour-clock {
-				t.Errorf("rests %v", v.RetryAfter)
+				t.Errorf("retry after %v, want the rest of the cooldown", v.RetryAfter)
 			}
 		case "tool_rate_reached":
 			if v.RetryAfter != 50*time.Second {
-				t.Errorf("room after %v", v.RetryAfter)
+				t.Errorf("retry after %v, want 50s", v.RetryAfter)
 			}
 		case "":
 			if len(v.Warnings) != 2 {
-				t.Errorf("warnings at 80%%: %+v", v.Warnings)
+				t.Errorf("warnings at 80%%: %+v, want 2", v.Warnings)
 			}
 		}
 		c.clear()
 	}
 }
 
-// TestTurnOrder does the same for the caps of a turn.
-func TestTurnOrder(t *testing.T) {
+// TestTurnLimitOrder does the same for the limits of a turn.
+func TestTurnLimitOrder(t *testing.T) {
 	role := viewer()
 	r := Record{Closed: true, Steps: 10, ToolCalls: 20, Bytes: 1000, Tools: map[string]ToolUsage{"x": {Calls: 5, Identical: map[string]int64{"a": 2}}}}
 	for _, c := range []struct {
@@ -89,9 +89,8 @@
 	}
 }
 
-// TestOneTurnCrosses: whatever helpers run at once, what is made never passes
-// the hard limit by more than one turn.
-func TestOneTurnCrosses(t *testing.T) {
+// TestBudgetExceededByOneTurnAtMost checks that concurrent turns exceed the hard limit by one turn at most.
+func TestBudgetExceededByOneTurnAtMost(t *testing.T) {
 	role := viewer()
 	var r Record
 	turns := 0
@@ -113,13 +112,13 @@
 	}
 	r.ChargeRunning()
 	if r.Spent != 610 || r.Reserved() != 0 {
-		t.Errorf("settled: %+v", r)
+		t.Errorf("after ChargeRunning: %+v", r)
 	}
 }
 
-// TestArguments: the same call is known however it is written, and numbers
-// count as they are.
-func TestArguments(t *testing.T) {
+// TestArgumentsDigest checks that the digest ignores the formatting of JSON and keeps numbers as
+// written.
+func TestArgumentsDigest(t *testing.T) {
 	one, _ := ArgumentsDigest([]byte(`{"b":[1,2],"a":{"y":1,"x":"é"}}`))
 	for text, same := range map[string]bool{
 		` { "a" : {"x":"\u00e9","y":1}, "b":[1,2]}`: true,
@@ -132,6 +131,6 @@
 		}
 	}
 	if _, err := ArgumentsDigest([]byte(`{`)); err == nil {
-		t.Error("no JSON was taken")
+		t.Error("incomplete JSON was accepted")
 	}
 }
--- a/rule/program/user.go
+++ b/rule/program/user.go
@@ -13,18 +13,20 @@
 	ExpiresAt time.Duration `msgpack:"u"`
 	Charged   int64         `msgpack:"c"`
 	Closed    bool          `msgpack:"d"`
-	// Covered is up to where the program may spend before it can be asked again.
+	// Precharged is the total, in tokens, that the program may spend before its
+	// next report.
 	Precharged int64 `msgpack:"v"`
 }
 
-// Opening is the outcome of a recent try to open a session, kept so that a
-// repeated message is answered as the first one was.
+// OpenResult is the result of a recent attempt to open a session, kept so that a repeated message
+// gets the same answer.
 type OpenResult struct {
 	Program string          `msgpack:"p"`
 	Verdict verdict.Verdict `msgpack:"v"`
 }
 
-// User is a user's durable state: windows, lockout, sessions, the day.
+// User is a user's durable state: session windows, lockout, sessions and the tokens of the last
+// day.
 type User struct {
 	Minute      allowance.Window   `msgpack:"m"`
 	Hour        allowance.Window   `msgpack:"h"`
@@ -35,17 +37,18 @@
 	RecentOpens []OpenResult       `msgpack:"r"`
 }
 
-// NewUser is a user who has done nothing yet.
+// NewUser returns the state of a user without any activity.
 func NewUser() User {
 	return User{Minute: allowance.Window{Width: time.Minute}, Hour: allowance.Window{Width: time.Hour},
 		Day: allowance.Window{Width: 24 * time.Hour}, Tokens: allowance.Window{Width: 24 * time.Hour}}
 }
 
+// recentOpens is the number of open results that are kept per user.
 const recentOpens = 8
 
-// Open checks a session start: lockout and the three windows in one pass, then
-// concurrency, then the day. A passed window pass is used up even if a later
-// check refuses.
+// OpenSession checks a session start: lockout and the three windows in one pass, then concurrency,
+// then the day's tokens. A start that passed the windows counts in them even if a later check
+// refuses it.
 func (u *User) OpenSession(clock time.Duration, program string, role configuration.Role, ratio float64) verdict.Verdict {
 	for _, o := range u.RecentOpens {
 		if o.Program == program {
@@ -116,8 +119,8 @@
 	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
 
-// day is what the user's day holds: what was charged, and what open sessions
-// may spend before they can be asked.
+// dayTokens returns the tokens charged in the last day, and those that open sessions were charged
+// in advance.
 func (u *User) dayTokens(clock time.Duration) int64 {
 	spent := u.Tokens.Sum(clock)
 	for _, s := range u.Sessions {
@@ -128,8 +131,8 @@
 	return spent
 }
 
-// Charge raises what a program of this user has spent and may spend
-// beforehand, cumulatively, and returns what of the user's day is charged.
+// ChargeSession raises the cumulative tokens that a program has spent and was charged in advance,
+// and returns the tokens charged to the user in the last day.
 func (u *User) ChargeSession(clock time.Duration, program string, charged, covered int64) int64 {
 	s := u.Sessions[program]
 	if charged > s.Charged || covered > s.Precharged {
@@ -143,7 +146,7 @@
 	return u.Tokens.Sum(clock)
 }
 
-// Close ends a session, so that it no longer counts as one at once.
+// CloseSession closes a session, so that it no longer counts as concurrent.
 func (u *User) CloseSession(program string) {
 	if s, ok := u.Sessions[program]; ok {
 		s.Closed = true
