--- a/peer/node/announcement.go
+++ b/peer/node/announcement.go
@@ -22,9 +22,9 @@
 	Leaving bool   `msgpack:"g" json:"leaving"`
 }
 
-// AnnounceReply answers an announcement. An announcement without a token of this process is not
-// accepted, and should be repeated at once with the token from the reply. NextIn is the delay
-// until the next one.
+// AnnounceReply answers an announcement. An ordinary announcement without a token of this process
+// is not accepted, and should be repeated at once with the token from the reply. NextIn is the
+// delay until the next one.
 type AnnounceReply struct {
 	Accepted bool
 	Token    string
@@ -66,30 +66,30 @@
 // Announce handles a replica's announcement about itself. An ordinary one counts from when this
 // node issued its token, since it may have been delayed while this node was frozen; that of a
 // leaving replica counts from now.
-func (m *Machine) Announce(now time.Duration, r Replica, stamp string) AnnounceReply {
-	heard := AnnounceReply{Accepted: r.Leaving, NextIn: m.params.AnnouncementMaxAge / announcementsPerMaxAge,
+func (m *Machine) Announce(now time.Duration, r Replica, token string) AnnounceReply {
+	reply := AnnounceReply{Accepted: r.Leaving, NextIn: m.params.AnnouncementMaxAge / announcementsPerMaxAge,
 		Token: fmt.Sprintf("%s.%d", m.processID(), now)}
 	since := now
-	if life, at, ok := cutToken(stamp); ok && life == m.processID() {
-		if told, err := strconv.ParseInt(at, 10, 64); err == nil && time.Duration(told) <= now {
-			since, heard.Accepted = time.Duration(told), true
+	if process, issued, ok := cutToken(token); ok && process == m.processID() {
+		if issuedAt, err := strconv.ParseInt(issued, 10, 64); err == nil && time.Duration(issuedAt) <= now {
+			since, reply.Accepted = time.Duration(issuedAt), true
 		}
 	}
-	if !heard.Accepted {
-		heard.NextIn = 0
-		return heard
+	if !reply.Accepted {
+		reply.NextIn = 0
+		return reply
 	}
 	m.recordReplica(now, r, since)
-	return heard
+	return reply
 }
 
 // cutToken splits a token into the process that issued it and the time of issue.
-func cutToken(stamp string) (life, at string, ok bool) {
-	i := strings.LastIndexByte(stamp, '.')
+func cutToken(token string) (process, issued string, ok bool) {
+	i := strings.LastIndexByte(token, '.')
 	if i < 0 {
 		return "", "", false
 	}
-	return stamp[:i], stamp[i+1:], true
+	return token[:i], token[i+1:], true
 }
 
 // processID names this process; it stays the same across membership incarnations.
--- a/peer/node/drain.go
+++ b/peer/node/drain.go
@@ -104,8 +104,8 @@
 	for _, tenant := range m.tenants {
 		var back core.ShareRates
 		for _, urgent := range []bool{false, true} {
-			p, rate, burst := m.rateShareOf(tenant, urgent)
-			p.returnUnits(now, p.account.Held(), rate, burst)
+			rs, rate, burst := m.rateShareOf(tenant, urgent)
+			rs.returnUnits(now, rs.account.Held(), rate, burst)
 			back.Rates = append(back.Rates, m.rateReport(tenant, urgent, 0))
 		}
 		ask(back)
--- a/peer/node/forward.go
+++ b/peer/node/forward.go
@@ -27,6 +27,7 @@
 	until  time.Duration
 }
 
+// forward passes a request to its program's owner, unless it was forwarded already.
 func (m *Machine) forward(now time.Duration, req *requestState, owner core.Member) {
 	if req.forwarded {
 		m.refuse(req, denied(notOwner, "this node does not own the program", 503))
@@ -51,6 +52,7 @@
 	m.send(f.to, ForwardRequest{ID: m.caller.Mark(t), Request: request})
 }
 
+// onForward begins a forwarded request, once per sender and id.
 func (m *Machine) onForward(now time.Duration, from string, b ForwardRequest) {
 	key := fmt.Sprintf("%s#%d", from, b.ID)
 	if _, ok := m.served[key]; ok {
@@ -59,13 +61,14 @@
 	number := 0
 	m.served[key] = &servedRequest{until: now + b.Request.Timeout + m.params.Core.MemberTerm}
 	m.send(from, ForwardedFrame{ID: b.ID, Number: number, Frame: Frame{Kind: FrameAccepted}})
-	t := m.beginRequest(now, b.Request, true, func(p Frame) {
+	t := m.beginRequest(now, b.Request, true, func(frame Frame) {
 		number++
-		m.send(from, ForwardedFrame{ID: b.ID, Number: number, Frame: p})
+		m.send(from, ForwardedFrame{ID: b.ID, Number: number, Frame: frame})
 	})
 	m.served[key].ticket = t
 }
 
+// onCancelForward cancels a forwarded request. A cancellation that arrives first prevents it.
 func (m *Machine) onCancelForward(now time.Duration, from string, b CancelForward) {
 	key := fmt.Sprintf("%s#%d", from, b.ID)
 	served, ok := m.served[key]
@@ -76,6 +79,7 @@
 	m.cancel(now, served.ticket)
 }
 
+// onForwardedFrame relays an owner's response frame to the client.
 func (m *Machine) onForwardedFrame(now time.Duration, from string, b ForwardedFrame) {
 	t := m.caller.Unmark(b.ID)
 	f, ok := m.forwards.Look(t)
--- a/peer/node/machine.go
+++ b/peer/node/machine.go
@@ -183,8 +183,8 @@
 		return false
 	}
 	for _, tenant := range m.tenants {
-		p := m.rateShares[tenant+"/rate"]
-		if (p == nil || p.tokens < 1) && now < m.joinedAt+m.params.Core.MemberTerm/2 {
+		rs := m.rateShares[tenant+"/rate"]
+		if (rs == nil || rs.tokens < 1) && now < m.joinedAt+m.params.Core.MemberTerm/2 {
 			return false
 		}
 	}
--- a/peer/node/once.go
+++ b/peer/node/once.go
@@ -41,8 +41,8 @@
 	a := &attempt{req: req, triedReplicas: map[string]bool{}, claim: fmt.Sprintf("%s-%s-%d", m.params.ID, m.incarnation, m.nextID)}
 	a.payload = Payload{Attempt: a.claim, Tenant: req.tenant, OnceKey: request.OnceKey, Body: request.Arguments}
 	keep := time.Duration(m.description.OnceKeepSeconds) * time.Second
-	claim := core.ClaimOnce{Tenant: req.tenant, Service: request.Service, Key: onceKeyDigest(request.OnceKey), Claim: a.claim, Digest: digest, Keep: keep}
-	m.caller.Call(now, claim, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
+	command := core.ClaimOnce{Tenant: req.tenant, Service: request.Service, Key: onceKeyDigest(request.OnceKey), Claim: a.claim, Digest: digest, Keep: keep}
+	m.caller.Call(now, command, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
 		once, ok := o.Answer.(core.Once)
 		switch {
 		case !ok:
@@ -65,8 +65,8 @@
 
 // finishOnce stores the outcome of an action under its once-key.
 func (m *Machine) finishOnce(now time.Duration, a *attempt, state string, status int, body []byte, next func(now time.Duration, ok bool)) {
-	end := core.EndOnce{Tenant: a.req.tenant, Service: a.req.request.Service, Key: onceKeyDigest(a.req.request.OnceKey), Claim: a.claim, State: state, Status: status, Body: body}
-	m.caller.Call(now, end, now+20*m.params.Core.MemberTerm, func(now time.Duration, o core.Outcome) {
+	command := core.EndOnce{Tenant: a.req.tenant, Service: a.req.request.Service, Key: onceKeyDigest(a.req.request.OnceKey), Claim: a.claim, State: state, Status: status, Body: body}
+	m.caller.Call(now, command, now+20*m.params.Core.MemberTerm, func(now time.Duration, o core.Outcome) {
 		_, ok := o.Answer.(core.Once)
 		next(now, ok)
 	})
--- a/peer/node/opening.go
+++ b/peer/node/opening.go
@@ -39,17 +39,17 @@
 		return
 	}
 	m.caller.Call(now, core.AdmitTest{Program: id, Limits: m.breakerLimits()}, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
-		t, ok := o.Answer.(core.Tested)
+		test, ok := o.Answer.(core.Tested)
 		switch {
 		case req.done:
 		case !ok:
 			m.refuse(req, retryLater("the breaker could not be asked"))
-		case t.State == string(breaker.Closed):
+		case test.State == string(breaker.Closed):
 			next(now, 0)
-		case t.Number == 0:
-			m.refuse(req, verdict.Refused(verdict.Refusal{Check: "breaker", Code: "breaker_half_open", Reason: "only a few test sessions are gated", Status: 503, RetryAfter: max(t.Left, time.Second)}))
+		case test.Number == 0:
+			m.refuse(req, verdict.Refused(verdict.Refusal{Check: "breaker", Code: "breaker_half_open", Reason: "only a few test sessions are gated", Status: 503, RetryAfter: max(test.Left, time.Second)}))
 		default:
-			next(now, t.Number)
+			next(now, test.Number)
 		}
 	})
 }
@@ -71,17 +71,17 @@
 		record := program.Record{Fence: 1, ID: id, Tenant: req.tenant, User: req.request.User, Role: req.role, Node: m.params.ID, Incarnation: m.incarnation, Address: m.params.Address, TestSession: test,
 			Retention: time.Duration(m.description.KeepSeconds) * time.Second}
 		prog := ownedProgram{record: record}
-		covered := program.PrechargeTarget(m.description.Roles[req.role], 0)
+		precharged := program.PrechargeTarget(m.description.Roles[req.role], 0)
 		m.prepareRecord(&prog)
 		record = prog.record
 		m.caller.Call(now, core.OpenProgram{Record: record}, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
-			p, ok := o.Answer.(core.Programmed)
-			if !ok || !p.Owned || req.done || p.Record.Incarnation != m.incarnation {
+			answer, ok := o.Answer.(core.Programmed)
+			if !ok || !answer.Owned || req.done || answer.Record.Incarnation != m.incarnation {
 				m.closeSession(now, req, id, 0)
 				m.refuse(req, retryLater("the program's record could not be made durable in time"))
 				return
 			}
-			m.adoptProgram(now, p).dayPrecharged = covered
+			m.adoptProgram(now, answer).dayPrecharged = precharged
 			m.countAdmitted(warnings)
 			m.recordSample(rehearsal.Sample{KeySum: req.keySum, Tenant: req.tenant, Program: id, User: req.request.User, Role: req.role, Kind: KindOpen})
 			m.finish(req, Frame{Kind: FrameBody, Status: 201, Head: program.EmptyHead, Verdict: verdict.Allowed(verdict.Executed, warnings), Text: id})
--- a/peer/node/queue.go
+++ b/peer/node/queue.go
@@ -19,13 +19,14 @@
 	until   time.Duration
 }
 
+// queueOf returns a service's queue, creating an empty one if there is none.
 func (m *Machine) queueOf(service string) *replicaQueue {
-	r := m.queues[service]
-	if r == nil {
-		r = &replicaQueue{averageDuration: m.params.Core.Retry}
-		m.queues[service] = r
+	queue := m.queues[service]
+	if queue == nil {
+		queue = &replicaQueue{averageDuration: m.params.Core.Retry}
+		m.queues[service] = queue
 	}
-	return r
+	return queue
 }
 
 // queueLimitFor returns the maximum number of queued requests; part of the queue is reserved for
@@ -39,12 +40,12 @@
 
 // queueWait estimates how long one more queued attempt would wait for a replica.
 func (m *Machine) queueWait(now time.Duration, service string) time.Duration {
-	r := m.queueOf(service)
+	queue := m.queueOf(service)
 	places := m.description.Services[service].AttemptsPerReplica * int64(len(m.currentReplicas(now, service)))
 	if places == 0 {
 		return m.params.AnnouncementMaxAge
 	}
-	return max(m.params.Core.Pull, r.averageDuration*time.Duration(len(r.waiting)+1)/time.Duration(places))
+	return max(m.params.Core.Pull, queue.averageDuration*time.Duration(len(queue.waiting)+1)/time.Duration(places))
 }
 
 // enqueue queues an attempt until a replica has capacity. It returns false if the queue is full or
@@ -56,22 +57,22 @@
 		return false
 	}
 	m.queued++
-	r := m.queueOf(service)
-	r.waiting = append(r.waiting, queuedAttempt{attempt: a, until: until})
+	queue := m.queueOf(service)
+	queue.waiting = append(queue.waiting, queuedAttempt{attempt: a, until: until})
 	return true
 }
 
 // drainQueues starts queued attempts as capacity becomes available, and cancels the expired ones.
 func (m *Machine) drainQueues(now time.Duration) {
 	for _, service := range ordered.Keys(m.queues) {
-		r := m.queues[service]
-		for len(r.waiting) > 0 {
-			w := r.waiting[0]
+		queue := m.queues[service]
+		for len(queue.waiting) > 0 {
+			w := queue.waiting[0]
 			expired := w.attempt.req.done || now >= w.until || !m.inTerm(now)
 			if _, ok := m.chooseReplica(now, service, w.attempt.untriedReplica); !ok && !expired {
 				break
 			}
-			r.waiting = r.waiting[1:]
+			queue.waiting = queue.waiting[1:]
 			m.queued--
 			if expired {
 				m.cancelAttempt(now, w.attempt, m.noReplicaVerdict(now, service))
--- a/peer/node/replicas.go
+++ b/peer/node/replicas.go
@@ -44,6 +44,7 @@
 	return a, true
 }
 
+// loadOf returns a replica's announced load plus this node's attempts in progress there.
 func (m *Machine) loadOf(r Replica) int64 {
 	load := r.Load
 	if h := m.health[r.Service+"/"+r.ID]; h != nil {
--- a/peer/node/request.go
+++ b/peer/node/request.go
@@ -20,7 +20,7 @@
 	role        string
 	keySum      string
 	deadline    time.Duration
-	respond     func(p Frame)
+	respond     func(frame Frame)
 	done        bool
 	streaming   bool
 	forwarded   bool
@@ -36,7 +36,7 @@
 func (m *Machine) Submit(now time.Duration, ticket uint64, request Request) Output {
 	m.beginStep(now)
 	m.Counters.Requests++
-	t := m.beginRequest(now, request, false, func(p Frame) { m.out.Responses = append(m.out.Responses, Response{Ticket: ticket, Frame: p}) })
+	t := m.beginRequest(now, request, false, func(frame Frame) { m.out.Responses = append(m.out.Responses, Response{Ticket: ticket, Frame: frame}) })
 	if _, ok := m.requests.Look(t); ok {
 		m.byTicket[ticket] = t
 	}
@@ -65,32 +65,32 @@
 		m.forwards.Take(req.forward)
 		delete(m.openForwards, req.forward)
 	}
-	shot := req.attempt
+	ticket := req.attempt
 	m.finish(req, Frame{Kind: FrameAbort})
-	if _, ok := m.attempts.Look(shot); ok {
-		m.out.Cancels = append(m.out.Cancels, uint64(shot))
-		m.finishAttempt(now, shot, AttemptEvent{Kind: EventInterrupted})
+	if _, ok := m.attempts.Look(ticket); ok {
+		m.out.Cancels = append(m.out.Cancels, uint64(ticket))
+		m.finishAttempt(now, ticket, AttemptEvent{Kind: EventInterrupted})
 	}
 }
 
-func (m *Machine) beginRequest(now time.Duration, request Request, passed bool, give func(p Frame)) slab.Ticket {
+func (m *Machine) beginRequest(now time.Duration, request Request, forwarded bool, respond func(frame Frame)) slab.Ticket {
 	if request.Timeout <= 0 {
 		request.Timeout = m.params.DefaultTimeout
 	}
-	req := &requestState{request: request, deadline: now + request.Timeout, respond: give, forwarded: passed, ran: verdict.NotExecuted}
+	req := &requestState{request: request, deadline: now + request.Timeout, respond: respond, forwarded: forwarded, ran: verdict.NotExecuted}
 	req.ticket = m.requests.Keep(req)
 	m.dispatch(now, req)
 	return req.ticket
 }
 
 // finish sends the last frame of a response, once.
-func (m *Machine) finish(req *requestState, p Frame) {
+func (m *Machine) finish(req *requestState, frame Frame) {
 	if req.done {
 		return
 	}
 	req.done = true
 	m.requests.Take(req.ticket)
-	req.respond(p)
+	req.respond(frame)
 }
 
 // refuse ends a request with a verdict, or aborts the stream if one has begun.
@@ -128,17 +128,17 @@
 // dispatch authenticates a request, checks the node's term and the breaker, and routes the request
 // by its kind.
 func (m *Machine) dispatch(now time.Duration, req *requestState) {
-	q := &req.request
+	request := &req.request
 	if m.description == nil {
 		m.refuse(req, retryLater("no configuration has come yet"))
 		return
 	}
-	tenant, role, ok := m.description.TenantAndRole(q.Key)
+	tenant, role, ok := m.description.TenantAndRole(request.Key)
 	if !ok {
 		m.refuse(req, denied("unknown_key", "the key is not known, or was revoked", 401))
 		return
 	}
-	req.tenant, req.role, req.keySum = tenant, role, configuration.KeyDigest(q.Key)
+	req.tenant, req.role, req.keySum = tenant, role, configuration.KeyDigest(request.Key)
 	if m.leaving && req.forwarded && !m.inTerm(now) {
 		m.refuse(req, denied(notOwner, "this node has left", 503))
 		return
@@ -147,18 +147,18 @@
 		m.refuse(req, verdict.RetryLater("term", "this node's term is not in force", m.params.Core.MemberTerm/4))
 		return
 	}
-	switch q.Kind {
+	switch request.Kind {
 	case KindOpen, KindTurn, KindTool:
 		if v := m.breakerVerdict(now); v.Refused() {
 			m.refuse(req, v)
 			return
 		}
 	}
-	if m.leaving && q.Kind == KindOpen {
+	if m.leaving && request.Kind == KindOpen {
 		m.refuse(req, verdict.RetryLater("node", "this node leaves; ask another", m.params.Core.Pull))
 		return
 	}
-	switch q.Kind {
+	switch request.Kind {
 	case KindOpen:
 		m.openProgram(now, req)
 	case KindAction:
@@ -211,29 +211,29 @@
 // claimProgram asks the cores who owns a program, and takes it over if its owner's membership has
 // ended.
 func (m *Machine) claimProgram(now time.Duration, req *requestState, proof core.ClaimProgram) {
-	c := core.ClaimProgram{Tenant: req.tenant, ID: req.request.Program, Node: m.params.ID, Incarnation: m.incarnation, Address: m.params.Address,
+	claim := core.ClaimProgram{Tenant: req.tenant, ID: req.request.Program, Node: m.params.ID, Incarnation: m.incarnation, Address: m.params.Address,
 		EndedNode: proof.EndedNode, EndedFormer: proof.EndedFormer}
-	key := c.Tenant + "/" + c.ID
-	m.caller.Call(now, c, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
-		p, ok := o.Answer.(core.Programmed)
-		owner := core.Member{ID: p.Record.Node, Incarnation: p.Record.Incarnation, Peer: p.Record.Address}
+	key := claim.Tenant + "/" + claim.ID
+	m.caller.Call(now, claim, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
+		answer, ok := o.Answer.(core.Programmed)
+		owner := core.Member{ID: answer.Record.Node, Incarnation: answer.Record.Incarnation, Peer: answer.Record.Address}
 		switch {
 		case req.done:
-		case !ok || c.Incarnation != m.incarnation:
+		case !ok || claim.Incarnation != m.incarnation:
 			m.refuse(req, retryLater("the program's owner could not be found out in time"))
-		case p.Gone:
+		case answer.Gone:
 			m.refuse(req, verdict.Refused(verdict.Refusal{Check: "program", Code: "gone", Reason: "the program's keeping time has passed", Status: 410}))
-		case !p.Found:
+		case !answer.Found:
 			m.refuse(req, denied("unknown_program", "no such program", 404))
-		case p.Owned:
+		case answer.Owned:
 			if _, there := m.programs[key]; !there {
-				if c.EndedNode != "" {
+				if claim.EndedNode != "" {
 					m.Counters.Takeovers++
 				}
-				m.adoptProgram(now, p)
+				m.adoptProgram(now, answer)
 			}
 			m.serve(now, req, m.programs[key])
-		case m.hasEnded(owner.ID, owner.Incarnation) && c.EndedFormer != owner.Incarnation:
+		case m.hasEnded(owner.ID, owner.Incarnation) && claim.EndedFormer != owner.Incarnation:
 			m.claimProgram(now, req, core.ClaimProgram{EndedNode: owner.ID, EndedFormer: owner.Incarnation})
 		default:
 			m.owners[key] = owner
@@ -254,16 +254,16 @@
 func (m *Machine) stepTimeout() time.Duration { return stepRetries * m.params.Core.Retry }
 
 // adoptProgram installs a program that the cores assigned to this node.
-func (m *Machine) adoptProgram(now time.Duration, p core.Programmed) *ownedProgram {
-	prog := &ownedProgram{record: copyRecord(p.Record), turns: map[string][]program.Turn{}, clockOffset: p.Clock - now, savedVersion: p.Record.Version, lastUsed: now}
-	for _, t := range p.Turns {
+func (m *Machine) adoptProgram(now time.Duration, answer core.Programmed) *ownedProgram {
+	prog := &ownedProgram{record: copyRecord(answer.Record), turns: map[string][]program.Turn{}, clockOffset: answer.Clock - now, savedVersion: answer.Record.Version, lastUsed: now}
+	for _, t := range answer.Turns {
 		prog.turns[t.Conversation] = append(prog.turns[t.Conversation], t)
 	}
-	for line := range prog.turns {
-		list := prog.turns[line]
+	for conversation := range prog.turns {
+		list := prog.turns[conversation]
 		sort.Slice(list, func(i, j int) bool { return list[i].Number < list[j].Number })
 	}
-	m.programs[p.Record.Tenant+"/"+p.Record.ID] = prog
+	m.programs[answer.Record.Tenant+"/"+answer.Record.ID] = prog
 	m.recoverFromMirrors(now, prog)
 	return prog
 }
--- a/peer/node/save.go
+++ b/peer/node/save.go
@@ -56,12 +56,12 @@
 	turns := append([]program.Turn(nil), prog.unsavedTurns...)
 	m.caller.Call(now, core.SaveProgram{Record: record, Turns: turns}, now+m.stepTimeout(), func(now time.Duration, o core.Outcome) {
 		prog.saving = false
-		p, ok := o.Answer.(core.Programmed)
+		answer, ok := o.Answer.(core.Programmed)
 		switch {
 		case prog.lost:
 			m.failSaves(now, prog)
 			return
-		case ok && (p.Fenced || !p.Found):
+		case ok && (answer.Fenced || !answer.Found):
 			m.Counters.Fenced++
 			prog.lost = true
 			if m.programs[prog.record.Tenant+"/"+prog.record.ID] == prog {
@@ -70,7 +70,7 @@
 			m.failSaves(now, prog)
 			return
 		case ok:
-			prog.savedVersion = max(prog.savedVersion, p.Version)
+			prog.savedVersion = max(prog.savedVersion, answer.Version)
 			prog.savedMirrors, prog.savedPrecharged = record.Mirrors, record.Precharged
 			prog.unsavedTurns = prog.unsavedTurns[len(turns):]
 			prog.unsavedSince = now
--- a/peer/node/share.go
+++ b/peer/node/share.go
@@ -43,7 +43,7 @@
 	demandAt       time.Duration
 	target         int64
 	reportAt       time.Duration
-	asking         bool
+	reporting      bool
 	others         []string
 	waiting        []rateWaiter
 	totalUnits     int64
@@ -60,32 +60,32 @@
 }
 
 // fill adds the tokens that have accrued since the last call.
-func (p *rateShare) fill(now time.Duration, rate float64, burst int64) {
-	whole := rateUnits(burst)
-	if whole < p.totalUnits {
+func (rs *rateShare) fill(now time.Duration, rate float64, burst int64) {
+	total := rateUnits(burst)
+	if total < rs.totalUnits {
 		// The allowance was reduced: every holder returns its part of the reduction,
 		// so that the shares held never exceed the new total.
-		p.account.Returned += p.account.Held() - p.account.Held()*whole/p.totalUnits
+		rs.account.Returned += rs.account.Held() - rs.account.Held()*total/rs.totalUnits
 	}
-	p.totalUnits = whole
-	held := float64(p.account.Held()) / float64(whole)
-	p.tokens = min(held*float64(burst), p.tokens+held*rate*(now-p.filledAt).Seconds())
-	p.filledAt = now
+	rs.totalUnits = total
+	held := float64(rs.account.Held()) / float64(total)
+	rs.tokens = min(held*float64(burst), rs.tokens+held*rate*(now-rs.filledAt).Seconds())
+	rs.filledAt = now
 }
 
 // applyGrant records newly granted units. They fill the bucket only from now on.
-func (p *rateShare) applyGrant(now time.Duration, granted int64, rate float64, burst int64) {
-	p.fill(now, rate, burst)
-	if granted > p.account.Granted {
-		p.account.Granted = granted
+func (rs *rateShare) applyGrant(now time.Duration, granted int64, rate float64, burst int64) {
+	rs.fill(now, rate, burst)
+	if granted > rs.account.Granted {
+		rs.account.Granted = granted
 	}
 }
 
 // returnUnits gives units back, with the part of the bucket beyond the remaining ones.
-func (p *rateShare) returnUnits(now time.Duration, units int64, rate float64, burst int64) {
-	p.fill(now, rate, burst)
-	p.account.Returned += units
-	p.fill(now, rate, burst)
+func (rs *rateShare) returnUnits(now time.Duration, units int64, rate float64, burst int64) {
+	rs.fill(now, rate, burst)
+	rs.account.Returned += units
+	rs.fill(now, rate, burst)
 }
 
 // rateUnits returns the number of units that a rate is divided into. core.Chunk of them are the
@@ -100,14 +100,15 @@
 	if urgent {
 		key, ratio = tenant+"/urgent", t.UrgentRatio
 	}
-	p := m.rateShares[key]
-	if p == nil {
-		p = &rateShare{filledAt: m.now}
-		m.rateShares[key] = p
+	rs := m.rateShares[key]
+	if rs == nil {
+		rs = &rateShare{filledAt: m.now}
+		m.rateShares[key] = rs
 	}
-	return p, t.RequestsPerSecond * ratio, max(1, int64(float64(t.Burst)*ratio))
+	return rs, t.RequestsPerSecond * ratio, max(1, int64(float64(t.Burst)*ratio))
 }
 
+// dayShareOf returns this node's share of a tenant's tokens of the day.
 func (m *Machine) dayShareOf(tenant string) *share {
 	s := m.dayShares[tenant]
 	if s == nil {
@@ -134,6 +135,7 @@
 	return list
 }
 
+// holderID names this node's current incarnation as a holder of shares.
 func (m *Machine) holderID() string { return m.params.ID + "/" + m.incarnation }
 
 // drawShare enlarges a share until need is free, then calls next. The argument answered tells
@@ -157,6 +159,7 @@
 	})
 }
 
+// applyShare records the cores' answer to a draw or report of a share.
 func (m *Machine) applyShare(now time.Duration, s *share, o core.Outcome) {
 	r, ok := o.Answer.(core.Shared)
 	if !ok {
@@ -180,6 +183,7 @@
 	return m.breakerDraw(target, m.spendShare.reserved+m.spendShare.pending)
 }
 
+// spendPrefetchCommand draws on the spend budget without an immediate need.
 func (m *Machine) spendPrefetchCommand(target int64) any { return m.breakerDraw(target, 0) }
 
 func (m *Machine) breakerDraw(target, need int64) any {
@@ -192,6 +196,7 @@
 	return core.BreakerLimits{Minute: p.Minute, Hour: p.Hour, Day: p.Day, Recovery: p.Recovery, Tests: p.Probes}
 }
 
+// reportShares reports all shares that are due.
 func (m *Machine) reportShares(now time.Duration) {
 	if m.description == nil || !m.inTerm(now) || m.returningShares || now < m.joinedAt+2*m.params.Core.Pull {
 		return
@@ -204,10 +209,12 @@
 	m.reportShare(now, m.spendShare, m.spendPrefetchCommand, m.spendChunk())
 }
 
+// dayChunk is how many tokens a node holds in advance of need.
 func (m *Machine) dayChunk(tenant string) int64 {
 	return max(1, m.description.Tenants[tenant].DayTokens/4096)
 }
 
+// spendChunk is how many micro-dollars a node holds in advance of need.
 func (m *Machine) spendChunk() int64 {
 	return max(1, configuration.MicroDollars(m.description.Breaker.MinuteDollars)/512)
 }
@@ -243,35 +250,35 @@
 
 // rateReport builds a report of one of a tenant's rates with the demand for it.
 func (m *Machine) rateReport(tenant string, urgent bool, want int64) core.ShareTenant {
-	p, _, burst := m.rateShareOf(tenant, urgent)
+	rs, _, burst := m.rateShareOf(tenant, urgent)
 	kind := "rate"
 	if urgent {
 		kind = "urgent"
 	}
-	return core.ShareTenant{Tenant: tenant, Kind: kind, Holder: m.holderID(), Returned: p.account.Returned, Target: want,
-		Whole: rateUnits(burst), Chunk: core.Chunk, Members: int64(len(m.others()) + 1), Ended: m.endedHolders(p.others)}
+	return core.ShareTenant{Tenant: tenant, Kind: kind, Holder: m.holderID(), Returned: rs.account.Returned, Target: want,
+		Whole: rateUnits(burst), Chunk: core.Chunk, Members: int64(len(m.others()) + 1), Ended: m.endedHolders(rs.others)}
 }
 
 // rateReportDue reports whether one of a tenant's rates is due for a report, and if so updates its
 // demand.
 func (m *Machine) rateReportDue(now time.Duration, tenant string, urgent bool) bool {
-	p, rate, burst := m.rateShareOf(tenant, urgent)
-	p.fill(now, rate, burst)
-	m.releaseWaiters(now, p, rate, burst)
-	held := p.account.Held()
-	if p.asking || now < p.reportAt {
+	rs, rate, burst := m.rateShareOf(tenant, urgent)
+	rs.fill(now, rate, burst)
+	m.releaseWaiters(now, rs, rate, burst)
+	held := rs.account.Held()
+	if rs.reporting || now < rs.reportAt {
 		return false
 	}
-	if now >= p.demandAt+m.params.ReportInterval {
+	if now >= rs.demandAt+m.params.ReportInterval {
 		// A report right after the last one carries no information on demand.
-		p.recent, p.demand, p.demandAt = (p.recent+p.demand*demandWeight)/2, 0, now
+		rs.recent, rs.demand, rs.demandAt = (rs.recent+rs.demand*demandWeight)/2, 0, now
 	}
-	want := core.IdleWeight + p.recent
-	steady := want-p.reportedDemand <= p.reportedDemand/4 && p.reportedDemand-want <= p.reportedDemand/4
-	if held > 0 && held == p.target && steady && now < p.reportAt+m.params.ReportInterval && p.reportAt > 0 {
+	want := core.IdleWeight + rs.recent
+	steady := want-rs.reportedDemand <= rs.reportedDemand/4 && rs.reportedDemand-want <= rs.reportedDemand/4
+	if held > 0 && held == rs.target && steady && now < rs.reportAt+m.params.ReportInterval && rs.reportAt > 0 {
 		return false
 	}
-	p.reportedDemand, p.reportAt, p.asking = want, now+m.params.ReportInterval, true
+	rs.reportedDemand, rs.reportAt, rs.reporting = want, now+m.params.ReportInterval, true
 	return true
 }
 
@@ -281,9 +288,9 @@
 	var ask core.ShareRates
 	for _, urgent := range []bool{false, true} {
 		if m.rateReportDue(now, tenant, urgent) {
-			p, _, _ := m.rateShareOf(tenant, urgent)
+			rs, _, _ := m.rateShareOf(tenant, urgent)
 			due = append(due, urgent)
-			ask.Rates = append(ask.Rates, m.rateReport(tenant, urgent, p.reportedDemand))
+			ask.Rates = append(ask.Rates, m.rateReport(tenant, urgent, rs.reportedDemand))
 		}
 	}
 	if len(due) == 0 {
@@ -296,55 +303,55 @@
 		}
 		r, _ := o.Answer.(core.SharedRates)
 		for i, urgent := range due {
-			p, rate, burst := m.rateShareOf(tenant, urgent)
-			p.asking = false
+			rs, rate, burst := m.rateShareOf(tenant, urgent)
+			rs.reporting = false
 			if i >= len(r.Rates) {
 				continue
 			}
-			told := r.Rates[i]
-			p.applyGrant(now, told.Granted, rate, burst)
-			p.others, p.target = told.Others, told.Target
-			if over := p.account.Held() - told.Target; over > 0 {
-				p.returnUnits(now, over, rate, burst)
-				p.reportAt = now
+			answer := r.Rates[i]
+			rs.applyGrant(now, answer.Granted, rate, burst)
+			rs.others, rs.target = answer.Others, answer.Target
+			if over := rs.account.Held() - answer.Target; over > 0 {
+				rs.returnUnits(now, over, rate, burst)
+				rs.reportAt = now
 			}
 		}
 	})
 }
 
 // releaseWaiters admits waiting attempts as the bucket fills.
-func (m *Machine) releaseWaiters(now time.Duration, p *rateShare, rate float64, burst int64) {
-	for len(p.waiting) > 0 {
-		w := p.waiting[0]
-		if now < w.until && p.tokens < 1 {
+func (m *Machine) releaseWaiters(now time.Duration, rs *rateShare, rate float64, burst int64) {
+	for len(rs.waiting) > 0 {
+		w := rs.waiting[0]
+		if now < w.until && rs.tokens < 1 {
 			return
 		}
-		p.waiting = p.waiting[1:]
+		rs.waiting = rs.waiting[1:]
 		m.queued--
-		ok := now < w.until && p.tokens >= 1
+		ok := now < w.until && rs.tokens >= 1
 		if ok {
-			p.tokens--
+			rs.tokens--
 		}
-		w.next(now, ok, m.rateWait(p, rate, burst))
+		w.next(now, ok, m.rateWait(rs, rate, burst))
 	}
 }
 
 // rateWait returns how long it takes until the bucket admits one more request.
-func (m *Machine) rateWait(p *rateShare, rate float64, burst int64) time.Duration {
-	speed := float64(p.account.Held()) / float64(rateUnits(burst)) * rate
+func (m *Machine) rateWait(rs *rateShare, rate float64, burst int64) time.Duration {
+	speed := float64(rs.account.Held()) / float64(rateUnits(burst)) * rate
 	if speed <= 0 {
 		return 2 * m.params.ReportInterval
 	}
-	return max(m.params.Core.Pull, time.Duration((float64(len(p.waiting)+1)-p.tokens)/speed*float64(time.Second)))
+	return max(m.params.Core.Pull, time.Duration((float64(len(rs.waiting)+1)-rs.tokens)/speed*float64(time.Second)))
 }
 
 // takeRate takes a place in a tenant's rate for one request, now or after a short wait.
 func (m *Machine) takeRate(now time.Duration, tenant string, urgent bool, until time.Duration, next func(now time.Duration, ok bool, wait time.Duration)) {
-	p, rate, burst := m.rateShareOf(tenant, urgent)
-	p.demand++
-	p.fill(now, rate, burst)
-	if len(p.waiting) == 0 && p.tokens >= 1 {
-		p.tokens--
+	rs, rate, burst := m.rateShareOf(tenant, urgent)
+	rs.demand++
+	rs.fill(now, rate, burst)
+	if len(rs.waiting) == 0 && rs.tokens >= 1 {
+		rs.tokens--
 		next(now, true, 0)
 		return
 	}
@@ -361,10 +368,10 @@
 	if !urgent {
 		until = min(until, now+m.params.MaxQueueWait)
 	}
-	if wait := m.rateWait(p, rate, burst); m.queued >= m.queueLimitFor(urgent) || now+wait > until {
+	if wait := m.rateWait(rs, rate, burst); m.queued >= m.queueLimitFor(urgent) || now+wait > until {
 		next(now, false, wait)
 		return
 	}
 	m.queued++
-	p.waiting = append(p.waiting, rateWaiter{until: until, next: next})
+	rs.waiting = append(rs.waiting, rateWaiter{until: until, next: next})
 }
--- a/peer/node/status.go
+++ b/peer/node/status.go
@@ -13,8 +13,8 @@
 		refusals[code] = n
 	}
 	shares := map[string]any{}
-	for name, p := range m.rateShares {
-		shares[name] = map[string]int64{"units": p.account.Held(), "of": p.totalUnits, "waiting": int64(len(p.waiting))}
+	for name, rs := range m.rateShares {
+		shares[name] = map[string]int64{"units": rs.account.Held(), "of": rs.totalUnits, "waiting": int64(len(rs.waiting))}
 	}
 	for name, s := range m.dayShares {
 		shares[name+"/day"] = map[string]int64{"held": s.account.Held(), "reserved": s.reserved, "spent": s.account.Spent}
--- a/peer/node/tool.go
+++ b/peer/node/tool.go
@@ -49,10 +49,10 @@
 // finishTool records the outcome of a tool call, and delivers it only once it is durable.
 func (m *Machine) finishTool(now time.Duration, a *attempt, e AttemptEvent) {
 	req, prog := a.req, a.prog
-	good := e.Kind == EventDone && e.Status < 500
+	succeeded := e.Kind == EventDone && e.Status < 500
 	if !prog.lost {
 		longest := time.Duration(m.description.MaxCooldownSeconds) * time.Second
-		prog.record.FinishToolCall(prog.clockOffset+now, req.request.Service, good, m.description.Services[req.request.Service], longest)
+		prog.record.FinishToolCall(prog.clockOffset+now, req.request.Service, succeeded, m.description.Services[req.request.Service], longest)
 	}
 	if e.Kind != EventDone {
 		if !prog.lost {
--- a/peer/node/turn.go
+++ b/peer/node/turn.go
@@ -87,9 +87,9 @@
 		m.refuse(req, verdict.Refused(verdict.Refusal{Check: "program", Code: "wrong_history", Reason: "what came before is not this conversation's history", Status: 409, Head: conversation.Head}))
 		return
 	}
-	caps := prog.record.CheckTurnLimits(prog.clockOffset+now, role, m.description.WarnRatio)
-	if caps.Refused() {
-		m.refuse(req, caps)
+	limits := prog.record.CheckTurnLimits(prog.clockOffset+now, role, m.description.WarnRatio)
+	if limits.Refused() {
+		m.refuse(req, limits)
 		return
 	}
 	budget := prog.record.CheckTokenBudget(role)
@@ -97,7 +97,7 @@
 		m.refuse(req, budget)
 		return
 	}
-	a := &attempt{req: req, prog: prog, fenced: true, triedReplicas: map[string]bool{}, reservedTokens: role.TurnTokens, warnings: append(caps.Warnings, budget.Warnings...)}
+	a := &attempt{req: req, prog: prog, fenced: true, triedReplicas: map[string]bool{}, reservedTokens: role.TurnTokens, warnings: append(limits.Warnings, budget.Warnings...)}
 	if request.MaxTokens > 0 {
 		a.reservedTokens = min(a.reservedTokens, request.MaxTokens)
 	}
@@ -116,15 +116,15 @@
 }
 
 // historyMatches reports whether the history that a client sent, if any, is the stored one.
-func historyMatches(told, kept []program.Turn) bool {
-	if len(told) == 0 {
+func historyMatches(sent, stored []program.Turn) bool {
+	if len(sent) == 0 {
 		return true
 	}
-	if len(told) != len(kept) {
+	if len(sent) != len(stored) {
 		return false
 	}
-	for i := range told {
-		if told[i].Prompt != kept[i].Prompt || told[i].Response != kept[i].Response {
+	for i := range sent {
+		if sent[i].Prompt != stored[i].Prompt || sent[i].Response != stored[i].Response {
 			return false
 		}
 	}
@@ -192,14 +192,14 @@
 // is charged later, and the turn is covered by what was charged in advance.
 func (m *Machine) persistReservation(now time.Duration, a *attempt) {
 	req, prog := a.req, a.prog
-	started, saved, charged, version := false, false, false, uint64(0)
-	goOn := func(now time.Duration, good bool) {
+	decided, saved, charged, version := false, false, false, uint64(0)
+	proceed := func(now time.Duration, succeeded bool) {
 		unsaved := prog.savedVersion < version
-		if started || (good && !(saved && (charged || unsaved))) {
+		if decided || (succeeded && !(saved && (charged || unsaved))) {
 			return
 		}
-		started = true
-		if !good || prog.lost || req.done {
+		decided = true
+		if !succeeded || prog.lost || req.done {
 			m.refund(now, a)
 			m.refuse(req, retryLater("the reservation could not be made durable in time"))
 			return
@@ -208,7 +208,7 @@
 	}
 	m.save(now, prog, m.stepDeadline(now, req), func(now time.Duration, ok bool) {
 		saved = ok
-		goOn(now, ok)
+		proceed(now, ok)
 	})
 	version = prog.record.Version
 	charge := core.ChargeUser{Tenant: req.tenant, User: prog.record.User, Program: prog.record.ID, Charged: prog.record.Charged(), Covered: prog.record.Precharged}
@@ -222,9 +222,9 @@
 		if ok {
 			prog.dayPrecharged = max(prog.dayPrecharged, charge.Covered)
 		}
-		goOn(now, true)
+		proceed(now, true)
 	})
-	m.timers.Add(m.stepDeadline(now, req), func(now time.Duration) { goOn(now, charged && saved) })
+	m.timers.Add(m.stepDeadline(now, req), func(now time.Duration) { proceed(now, charged && saved) })
 }
 
 // admitAttempt takes a place in the tenant's rate, then starts the attempt.
@@ -347,8 +347,8 @@
 	switch e.Kind {
 	case EventDone:
 		h.failures = 0
-		r := m.queueOf(a.req.request.Service)
-		r.averageDuration = (7*r.averageDuration + now - a.startedAt) / 8
+		queue := m.queueOf(a.req.request.Service)
+		queue.averageDuration = (7*queue.averageDuration + now - a.startedAt) / 8
 	case EventNotRun:
 		m.Counters.NotRun++
 		m.recordFailure(now, h)
@@ -385,21 +385,21 @@
 // finishTurn settles a turn, and delivers its end only after its result is durable.
 func (m *Machine) finishTurn(now time.Duration, a *attempt, e AttemptEvent) {
 	req, prog := a.req, a.prog
-	good := e.Kind == EventDone && e.Status < 300 && !req.done
+	succeeded := e.Kind == EventDone && e.Status < 300 && !req.done
 	spent := a.reservedTokens
-	if good {
+	if succeeded {
 		spent = a.relayedTokens
 	}
 	a.settle(spent, min(a.reservedPrice, m.description.Services[req.request.Service].Price(spent)))
-	if prog.record.TestSession > 0 && !prog.record.TestReported && !prog.lost {
-		prog.record.TestReported = good
-		m.caller.Call(now, core.ResultTest{Program: prog.record.ID, Good: good, Limits: m.breakerLimits()}, now+10*m.params.Core.MemberTerm, func(time.Duration, core.Outcome) {})
+	if prog.record.TestSession > 0 && !prog.record.TestPassed && !prog.lost {
+		prog.record.TestPassed = succeeded
+		m.caller.Call(now, core.ResultTest{Program: prog.record.ID, Good: succeeded, Limits: m.breakerLimits()}, now+10*m.params.Core.MemberTerm, func(time.Duration, core.Outcome) {})
 	}
 	if prog.lost {
 		m.abortRequest(now, req)
 		return
 	}
-	if !good {
+	if !succeeded {
 		prog.record.FailTurn(a.turnID)
 		m.resave(now, prog)
 		m.abortRequest(now, req)
@@ -416,11 +416,11 @@
 		m.Counters.Completed++
 		m.countAdmitted(a.warnings)
 		m.recordSample(rehearsal.Sample{KeySum: req.keySum, Tenant: req.tenant, Program: prog.record.ID, User: prog.record.User, Role: prog.record.Role, Kind: KindTurn, Service: req.request.Service, Tokens: a.relayedTokens, Steps: prog.record.Steps, Charged: prog.record.Charged()})
-		end := "complete"
+		finishReason := "complete"
 		if e.Text != "" {
-			end = e.Text
+			finishReason = e.Text
 		}
-		m.finish(req, Frame{Kind: FrameClose, Status: 200, Tokens: a.relayedTokens, Head: t.Head, FinishReason: end, Verdict: verdict.Allowed(verdict.Executed, a.warnings)})
+		m.finish(req, Frame{Kind: FrameClose, Status: 200, Tokens: a.relayedTokens, Head: t.Head, FinishReason: finishReason, Verdict: verdict.Allowed(verdict.Executed, a.warnings)})
 	})
 }
 
--- a/peer/node/types.go
+++ b/peer/node/types.go
@@ -1,9 +1,10 @@
 // Package node implements the state machine of a data-plane node. A node owns programs under a
 // membership term, spends shares of allowances that the cores grant, and runs requests as attempts
-// at replicas of back-end services. Two invariants hold throughout: nothing starts outside the
-// node's term, and an attempt starts only after its reservation is durable at the cores or at all
-// mirrors of its program. Machine does no input or output of its own; each step returns an Output.
-// Start reading at Machine.Receive, then dispatch and startTurn.
+// at replicas of back-end services. Two invariants hold throughout: no attempt starts outside the
+// node's term, and an attempt starts only after its reservation or intent is durable, at the cores
+// or at all mirrors of its program. Machine does no input or output of its own; each step returns
+// an Output. Start reading at Machine.Submit and dispatch for requests, and at Machine.Receive for
+// messages between processes.
 package node
 
 import (
@@ -68,8 +69,8 @@
 }
 
 // Last reports whether the frame is the last one of its response.
-func (p Frame) Last() bool {
-	return p.Kind == FrameVerdict || p.Kind == FrameBody || p.Kind == FrameClose || p.Kind == FrameAbort
+func (f Frame) Last() bool {
+	return f.Kind == FrameVerdict || f.Kind == FrameBody || f.Kind == FrameClose || f.Kind == FrameAbort
 }
 
 // Messages between nodes.
--- a/peer/node/update.go
+++ b/peer/node/update.go
@@ -53,6 +53,7 @@
 	return list
 }
 
+// onTopology merges a topology of this node's fleet; the newest term of each partition wins.
 func (m *Machine) onTopology(t core.Topology) {
 	if m.topology.Fleet != "" && m.topology.Fleet != t.Fleet || len(t.Owners) == 0 {
 		return
@@ -131,6 +132,7 @@
 	}
 }
 
+// applyEntry applies one published entry: configuration, member, core or breaker.
 func (m *Machine) applyEntry(now time.Duration, e partition.Entry) {
 	kind, _, _ := strings.Cut(e.Key, "/")
 	switch kind {
--- a/rule/allowance/allowance_test.go
+++ b/rule/allowance/allowance_test.go
@@ -75,8 +75,8 @@
 		t.Errorf("a late report changed the available amount from %d to %d", room, l.Available(0, limits))
 	}
 	l.Grant(0, "b", 100, limits)
-	if out := l.Outstanding(); out != room {
-		t.Errorf("%d outstanding, want %d", out, room)
+	if outstanding := l.Outstanding(); outstanding != room {
+		t.Errorf("%d outstanding, want %d", outstanding, room)
 	}
 }
 
--- a/rule/allowance/ledger.go
+++ b/rule/allowance/ledger.go
@@ -27,11 +27,11 @@
 
 // Outstanding returns the sum of the shares that are held.
 func (l *Ledger) Outstanding() int64 {
-	var out int64
+	var outstanding int64
 	for _, b := range l.Holders {
-		out += b.Held()
+		outstanding += b.Held()
 	}
-	return out
+	return outstanding
 }
 
 // Report records a holder's cumulative counts. It returns false, and changes nothing, for a holder
@@ -62,13 +62,13 @@
 // Available returns how much may still be granted under the limits, one for each window. Without
 // windows, the single limit bounds the outstanding shares.
 func (l *Ledger) Available(now time.Duration, limits []int64) int64 {
-	out := l.Outstanding()
+	outstanding := l.Outstanding()
 	if len(l.Windows) == 0 {
-		return max(0, limits[0]-out)
+		return max(0, limits[0]-outstanding)
 	}
 	room := int64(-1)
 	for i := range l.Windows {
-		left := max(0, limits[i]-out-l.Windows[i].Sum(now))
+		left := max(0, limits[i]-outstanding-l.Windows[i].Sum(now))
 		if room < 0 || left < room {
 			room = left
 		}
@@ -117,16 +117,16 @@
 
 // SetDemand records a holder's demand and returns the share that it should hold. While there are
 // enough units, each holder with a demand has at least one.
-func (l *Ledger) SetDemand(holder string, want int64, d Division) int64 {
+func (l *Ledger) SetDemand(holder string, demand int64, d Division) int64 {
 	if l.Demands == nil {
 		l.Demands = map[string]int64{}
 	}
-	if want > 0 {
-		l.Demands[holder] = want
+	if demand > 0 {
+		l.Demands[holder] = demand
 	} else {
 		delete(l.Demands, holder)
 	}
-	if want <= 0 || d.Total <= 0 {
+	if demand <= 0 || d.Total <= 0 {
 		return 0
 	}
 	var sum int64
@@ -145,5 +145,5 @@
 		}
 		return 0
 	}
-	return 1 + (d.Total-count)*want/sum
+	return 1 + (d.Total-count)*demand/sum
 }
--- a/rule/program/program.go
+++ b/rule/program/program.go
@@ -42,7 +42,9 @@
 }
 
 // Record is a program's durable state. Only the node that owns the program under the current fence
-// changes it. Times are on the clock of the program's partition.
+// changes it. Times are on the clock of the program's partition. Steps counts turns, Bytes the
+// size of the history. TestSession is the number of the breaker's test session, or zero;
+// TestPassed tells that the session has reported a successful turn.
 type Record struct {
 	ID            string                  `msgpack:"i"`
 	Tenant        string                  `msgpack:"t"`
@@ -61,7 +63,7 @@
 	Spent         int64                   `msgpack:"p"`
 	Bytes         int64                   `msgpack:"b"`
 	TestSession   int                     `msgpack:"x"`
-	TestReported  bool                    `msgpack:"y"`
+	TestPassed    bool                    `msgpack:"y"`
 	Conversations map[string]Conversation `msgpack:"l"`
 	Running       map[string]Reservation  `msgpack:"q"`
 	ToolCalls     int64                   `msgpack:"k"`
@@ -135,9 +137,9 @@
 }
 
 // HasRunningTurn reports whether a turn of a conversation is running.
-func (r *Record) HasRunningTurn(line string) bool {
+func (r *Record) HasRunningTurn(conversation string) bool {
 	for _, reservation := range r.Running {
-		if reservation.Conversation == line {
+		if reservation.Conversation == conversation {
 			return true
 		}
 	}
@@ -215,11 +217,11 @@
 }
 
 // ReserveTurn starts a turn with its maximum output reserved.
-func (r *Record) ReserveTurn(turn, line string, tokens int64) {
+func (r *Record) ReserveTurn(turn, conversation string, tokens int64) {
 	if r.Running == nil {
 		r.Running = map[string]Reservation{}
 	}
-	r.Running[turn] = Reservation{Conversation: line, Tokens: tokens}
+	r.Running[turn] = Reservation{Conversation: conversation, Tokens: tokens}
 	r.Steps++
 }
 
@@ -334,19 +336,19 @@
 }
 
 // FinishToolCall records the outcome of a tool call. Each consecutive error doubles the cooldown,
-// up to longest.
-func (r *Record) FinishToolCall(clock time.Duration, name string, good bool, service configuration.Service, longest time.Duration) {
+// up to maxCooldown.
+func (r *Record) FinishToolCall(clock time.Duration, name string, succeeded bool, service configuration.Service, maxCooldown time.Duration) {
 	usage := r.Tools[name]
 	usage.Running = max(0, usage.Running-1)
-	if good {
+	if succeeded {
 		usage.Errors, usage.CooldownUntil = 0, 0
 	} else {
-		cool := time.Duration(service.CooldownSeconds) * time.Second
-		for i := int64(0); i < usage.Errors && cool < longest; i++ {
-			cool *= 2
+		cooldown := time.Duration(service.CooldownSeconds) * time.Second
+		for i := int64(0); i < usage.Errors && cooldown < maxCooldown; i++ {
+			cooldown *= 2
 		}
 		usage.Errors++
-		usage.CooldownUntil = clock + min(cool, longest)
+		usage.CooldownUntil = clock + min(cooldown, maxCooldown)
 	}
 	r.Tools[name] = usage
 }
