--- a/peer/node/forward.go
+++ b/peer/node/forward.go
@@ -126,7 +126,7 @@
 const maxHops = 12
 
 // failForward ends a forwarded request whose owner stopped responding or whose frames have a gap.
-// A stream is aborted; any other request that has effects is refused as possibly executed.
+// A stream is aborted; any other request but a status or close is refused as possibly executed.
 func (m *Machine) failForward(now time.Duration, t slab.Ticket, f *forwardState) {
 	m.forwards.Take(t)
 	delete(m.openForwards, t)
--- a/peer/node/mirror.go
+++ b/peer/node/mirror.go
@@ -101,7 +101,7 @@
 }
 
 // chooseMirrors picks members in zones other than this node's and each other's where possible, and
-// adds this node.
+// adds this node. It returns nil if there are too few members.
 func (m *Machine) chooseMirrors() []program.Mirror {
 	candidates := m.successors()
 	if len(candidates) < mirrorsPerProgram {
@@ -153,6 +153,7 @@
 	return m.mirrors[key]
 }
 
+// onCopy stores an owner's copy unless a newer owner's fence is known, and acknowledges it.
 func (m *Machine) onCopy(now time.Duration, from string, b CopyProgram) {
 	stored := m.mirrorCopyOf(b.Record.Tenant, b.Record.ID)
 	if b.Record.Fence < stored.fence {
@@ -173,6 +174,8 @@
 	}
 }
 
+// onCopyAck records that a mirror holds a version. A version held by all mirrors completes the
+// saves that wait for it.
 func (m *Machine) onCopyAck(now time.Duration, from string, b CopyAck) {
 	prog := m.programs[b.Tenant+"/"+b.Program]
 	if prog == nil || prog.record.Fence != b.Fence || !m.inTerm(now) {
@@ -195,6 +198,7 @@
 	}
 }
 
+// onCopyQuery answers with this node's mirror copy.
 func (m *Machine) onCopyQuery(now time.Duration, from string, b CopyQuery) {
 	stored := m.mirrorCopyOf(b.Tenant, b.Program)
 	answer := CopyAnswer{Tenant: b.Tenant, Program: b.Program, Fence: b.Fence, Process: core.LifeOf(m.incarnation), Found: stored.found}
--- a/rehearsalkit/breaks/breaks.go
+++ b/rehearsalkit/breaks/breaks.go
@@ -30,7 +30,7 @@
 	{Rule: 1, What: "a program's hard limit is not looked at", File: "rule/program/program.go", From: "if charged >= role.ProgramTokensHard {", To: "if false {"},
 	{Rule: 1, What: "what a lost owner had running is forgotten", File: "rule/program/program.go", From: "	r.Spent = r.Charged()\n	r.Running = nil", To: "	r.Running = nil", Test: "OwnerKilledInMidTurn"},
 	{Rule: 1, What: "turns go on alone beyond what was charged beforehand", File: "peer/node/mirror.go", From: " || prog.record.Charged() > min(prog.savedPrecharged, prog.dayPrecharged) {", To: " {", Test: "CoveredOutOfTouch"},
-	{Rule: 2, What: "shares that are out do not count", File: "rule/allowance/ledger.go", From: "left := max(0, limits[i]-out-l.Windows[i].Sum(now))", To: "left := max(0, limits[i]-l.Windows[i].Sum(now))"},
+	{Rule: 2, What: "shares that are out do not count", File: "rule/allowance/ledger.go", From: "left := max(0, limits[i]-outstanding-l.Windows[i].Sum(now))", To: "left := max(0, limits[i]-l.Windows[i].Sum(now))"},
 	{Rule: 3, What: "whoever asks may shoot", File: "peer/node/once.go", From: "case once.Claim == a.claim && once.State == core.OnceIntent:", To: "case once.State == core.OnceIntent:"},
 	{Rule: 3, What: "a lost answer frees the claim", File: "peer/node/once.go", From: "m.finishOnce(now, a, core.OnceMaybe, 0, nil", To: "m.finishOnce(now, a, core.OnceFree, 0, nil"},
 	{Rule: 4, What: "an owner that fell silent is told as not run", File: "peer/node/forward.go", From: "	ran := verdict.MaybeExecuted\n", To: "	ran := verdict.NotExecuted\n"},
--- a/rule/allowance/ledger.go
+++ b/rule/allowance/ledger.go
@@ -66,14 +66,14 @@
 	if len(l.Windows) == 0 {
 		return max(0, limits[0]-outstanding)
 	}
-	room := int64(-1)
+	available := int64(-1)
 	for i := range l.Windows {
 		left := max(0, limits[i]-outstanding-l.Windows[i].Sum(now))
-		if room < 0 || left < room {
-			room = left
+		if available < 0 || left < available {
+			available = left
 		}
 	}
-	return room
+	return available
 }
 
 // Grant raises the holder's share towards target as far as the limits allow, and returns the
