--- a/peer/node/announcement.go
+++ b/peer/node/announcement.go
@@ -12,7 +12,7 @@
 	"saffronfall/rule/ordered"
 )
 
-// Replica is what a replica says of itself.
+// Replica is what a replica announces about itself.
 type Replica struct {
 	Service string `msgpack:"s" json:"service"`
 	ID      string `msgpack:"i" json:"id"`
@@ -22,96 +22,100 @@
 	Leaving bool   `msgpack:"g" json:"leaving"`
 }
 
-// Heard answers an announcement. One that came without the stamp of this very
-// node is not counted, and is to be said again at once with it.
-type Heard struct {
-	Counted bool
-	Stamp   string
-	Again   time.Duration
+// AnnounceReply answers an announcement. An ordinary announcement without a token of this process
+// is not accepted, and should be repeated at once with the token from the reply. NextIn is the
+// delay until the next one.
+type AnnounceReply struct {
+	Accepted bool
+	Token    string
+	NextIn   time.Duration
 }
 
-// Announcement is a replica's word as it goes from node to node, with its age:
-// at least that of an ordinary one, at most that of a leaving.
+// Announcement is a replica's announcement as exchanged between nodes. Age is an upper bound of
+// the age of an ordinary announcement, and a lower bound of that of a leaving replica.
 type Announcement struct {
 	Replica Replica       `msgpack:"r"`
 	Age     time.Duration `msgpack:"a"`
 }
 
-// Announced answers a pull between nodes.
-type Announced struct {
+// Announcements answers a pull between nodes.
+type Announcements struct {
 	Sent time.Duration  `msgpack:"s"`
 	List []Announcement `msgpack:"l"`
 }
 
 func init() {
 	message.Register(map[string]any{
-		"node.Announced": Announced{},
+		"node.Announced": Announcements{},
 	})
 }
 
-// announced is what a node holds of a replica: what it said last, and since
-// when that may have been so. A leaving is kept until every older word has
-// grown too old everywhere.
-type announced struct {
+// knownReplica is a replica's last announcement and the earliest time at which it may have been
+// made. That of a leaving replica is kept until every older announcement has expired on all nodes.
+type knownReplica struct {
 	replica Replica
 	since   time.Duration
 }
 
-// Ratios of an announcement's times to the bound on its age.
+// Announcement intervals and retention, relative to AnnouncementMaxAge.
 const (
-	announcementsPerNewest = 6
-	leavingsKept           = 3
+	announcementsPerMaxAge = 6
+	leavingMaxAges         = 3
 )
 
-// Announce takes a replica's word about itself. An ordinary one counts from
-// when this node gave its stamp out, since it may have waited for this node to
-// wake; a leaving counts from now.
-func (m *Machine) Announce(now time.Duration, r Replica, stamp string) Heard {
-	heard := Heard{Counted: r.Leaving, Again: m.params.Newest / announcementsPerNewest,
-		Stamp: fmt.Sprintf("%s.%d", m.lifeOf(), now)}
+// Announce handles a replica's announcement about itself. An ordinary one counts from when this
+// node issued its token, since it may have been delayed while this node was frozen; that of a
+// leaving replica counts from now.
+func (m *Machine) Announce(now time.Duration, r Replica, token string) AnnounceReply {
+	reply := AnnounceReply{Accepted: r.Leaving, NextIn: m.params.AnnouncementMaxAge / announcementsPerMaxAge,
+		Token: fmt.Sprintf("%s.%d", m.processID(), now)}
 	since := now
-	if life, at, ok := cutLast(stamp); ok && life == m.lifeOf() {
-		if told, err := strconv.ParseInt(at, 10, 64); err == nil && time.Duration(told) <= now {
-			since, heard.Counted = time.Duration(told), true
+	if process, issued, ok := cutToken(token); ok && process == m.processID() {
+		if issuedAt, err := strconv.ParseInt(issued, 10, 64); err == nil && time.Duration(issuedAt) <= now {
+			since, reply.Accepted = time.Duration(issuedAt), true
 		}
 	}
-	if !heard.Counted {
-		heard.Again = 0
-		return heard
+	if !reply.Accepted {
+		reply.NextIn = 0
+		return reply
 	}
-	m.hear(now, r, since)
-	return heard
+	m.recordReplica(now, r, since)
+	return reply
 }
 
-func cutLast(stamp string) (life, at string, ok bool) {
-	i := strings.LastIndexByte(stamp, '.')
+// cutToken splits a token into the process that issued it and the time of issue.
+func cutToken(token string) (process, issued string, ok bool) {
+	i := strings.LastIndexByte(token, '.')
 	if i < 0 {
 		return "", "", false
 	}
-	return stamp[:i], stamp[i+1:], true
+	return token[:i], token[i+1:], true
 }
 
-// lifeOf names this process's life, whatever terms it had.
-func (m *Machine) lifeOf() string { return m.params.ID + "/" + core.ProcessIncarnation(m.incarnation) }
+// processID names this process; it stays the same across membership incarnations.
+func (m *Machine) processID() string {
+	return m.params.ID + "/" + core.ProcessIncarnation(m.incarnation)
+}
 
-func (m *Machine) hear(now time.Duration, r Replica, since time.Duration) {
-	list := m.replicas[r.Service]
-	if list == nil {
-		list = map[string]announced{}
-		m.replicas[r.Service] = list
+// recordReplica stores an announcement, unless a newer one or that of leaving is known.
+func (m *Machine) recordReplica(now time.Duration, r Replica, since time.Duration) {
+	known := m.replicas[r.Service]
+	if known == nil {
+		known = map[string]knownReplica{}
+		m.replicas[r.Service] = known
 	}
-	known, ok := list[r.ID]
+	previous, ok := known[r.ID]
 	switch {
-	case r.Leaving && ok && known.replica.Leaving:
+	case r.Leaving && ok && previous.replica.Leaving:
 	case r.Leaving:
-		// Whoever hears it stops at once; what was said before it no longer counts.
-		list[r.ID] = announced{replica: r, since: now}
-	case !ok || since > known.since:
-		list[r.ID] = announced{replica: r, since: since}
+		// Counted from now: it overrides every earlier announcement at once.
+		known[r.ID] = knownReplica{replica: r, since: now}
+	case !ok || since > previous.since:
+		known[r.ID] = knownReplica{replica: r, since: since}
 	}
 }
 
-func (m *Machine) onAnnounced(now time.Duration, b Announced) {
+func (m *Machine) onAnnouncements(now time.Duration, b Announcements) {
 	if b.Sent > now {
 		return
 	}
@@ -119,32 +123,33 @@
 		age := a.Age + now - b.Sent
 		switch {
 		case a.Age < 0:
-		case a.Replica.Leaving && a.Age < m.params.Newest*(leavingsKept-1), !a.Replica.Leaving && age < m.params.Newest:
-			m.hear(now, a.Replica, now-age)
+		case a.Replica.Leaving && a.Age < m.params.AnnouncementMaxAge*(leavingMaxAges-1), !a.Replica.Leaving && age < m.params.AnnouncementMaxAge:
+			m.recordReplica(now, a.Replica, now-age)
 		}
 	}
 }
 
-func (m *Machine) tellAnnounced(now time.Duration, to string, sent time.Duration) {
-	told := Announced{Sent: sent}
+func (m *Machine) sendAnnouncements(now time.Duration, to string, sent time.Duration) {
+	reply := Announcements{Sent: sent}
 	for _, service := range ordered.Keys(m.replicas) {
 		for _, id := range ordered.Keys(m.replicas[service]) {
 			a := m.replicas[service][id]
-			told.List = append(told.List, Announcement{Replica: a.replica, Age: now - a.since})
+			reply.List = append(reply.List, Announcement{Replica: a.replica, Age: now - a.since})
 		}
 	}
-	if len(told.List) > 0 {
-		m.send(to, told)
+	if len(reply.List) > 0 {
+		m.send(to, reply)
 	}
 }
 
-// forget drops what has grown too old to be acted on.
-func (m *Machine) forget(now time.Duration) {
+// expireReplicas drops announcements that are too old to act on, and the health of replicas that
+// are no longer used.
+func (m *Machine) expireReplicas(now time.Duration) {
 	for _, service := range ordered.Keys(m.replicas) {
 		for id, a := range m.replicas[service] {
-			keep := m.params.Newest
+			keep := m.params.AnnouncementMaxAge
 			if a.replica.Leaving {
-				keep *= leavingsKept
+				keep *= leavingMaxAges
 			}
 			if now >= a.since+keep {
 				delete(m.replicas[service], id)
@@ -154,23 +159,23 @@
 			delete(m.replicas, service)
 		}
 	}
-	for _, key := range ordered.Keys(m.conditions) {
-		c := m.conditions[key]
-		if c.outstanding == 0 && now >= c.until && now >= c.usedAt+m.params.Core.MemberLease*ejectionsKept {
-			delete(m.conditions, key)
+	for _, key := range ordered.Keys(m.health) {
+		h := m.health[key]
+		if h.outstanding == 0 && now >= h.ejectedUntil && now >= h.lastUsed+m.params.Core.MemberLease*healthTerms {
+			delete(m.health, key)
 		}
 	}
 }
 
-// ejectionsKept is how many member terms a condition outlives its last use.
-const ejectionsKept = 16
+// healthTerms is how many member terms a replica's health is kept after its last use.
+const healthTerms = 16
 
-// present lists the replicas of a service that a shot may go to now: those that
-// were announced lately enough, whoever can't be reached.
-func (m *Machine) present(now time.Duration, service string) []Replica {
+// currentReplicas lists the replicas of a service whose announcements are recent enough for an
+// attempt, including those that can't be reached.
+func (m *Machine) currentReplicas(now time.Duration, service string) []Replica {
 	var list []Replica
 	for _, a := range m.replicas[service] {
-		if !a.replica.Leaving && now < a.since+m.params.Newest {
+		if !a.replica.Leaving && now < a.since+m.params.AnnouncementMaxAge {
 			list = append(list, a.replica)
 		}
 	}
--- a/peer/node/news.go
+++ b/peer/node/update.go
@@ -13,6 +13,7 @@
 	"saffronfall/rule/partition"
 )
 
+// pull asks the cores, and two random members, for updates of state and announcements.
 func (m *Machine) pull(now time.Duration) {
 	if now < m.pullAt {
 		return
@@ -23,7 +24,7 @@
 		versions[n] = v
 	}
 	m.pulls++
-	ask := core.PullUpdates{SentAt: now, Versions: versions, Member: m.params.ID, WantFreshness: m.freshAt < m.bornAt, WantTopology: m.pulls%8 == 1 || len(m.topology.Leaders) == 0}
+	ask := core.PullUpdates{SentAt: now, Versions: versions, Member: m.params.ID, WantFreshness: m.freshAt < m.startedAt, WantTopology: m.pulls%8 == 1 || len(m.topology.Leaders) == 0}
 	targets := m.coreAddresses()
 	if len(targets) == 0 {
 		targets = m.params.Seeds
@@ -31,8 +32,8 @@
 	for _, to := range targets {
 		m.send(to, ask)
 	}
-	// Two others a pull carry a replica's word to every node of a fleet well
-	// before it is too old.
+	// Pulling from two random members each time spreads an announcement to all
+	// nodes well before it expires.
 	others := m.others()
 	for i := 0; i < 2 && len(others) > 0; i++ {
 		chosen := int(m.random()*float64(len(others))) % len(others)
@@ -52,6 +53,7 @@
 	return list
 }
 
+// onTopology merges a topology of this node's fleet; the newest term of each partition wins.
 func (m *Machine) onTopology(t core.Topology) {
 	if m.topology.Fleet != "" && m.topology.Fleet != t.Fleet || len(t.Leaders) == 0 {
 		return
@@ -78,13 +80,14 @@
 	}
 }
 
-// onFresh notes as of when this node has missed nothing of the configuration.
+// onFresh records the time as of which this node has the current configuration.
 func (m *Machine) onFresh(b core.Freshness) {
 	if !m.versions[core.ConfigurationPartition].Less(b.UpTo) {
 		m.freshAt = max(m.freshAt, b.SentAt-b.Age)
 	}
 }
 
+// onPull answers another member's pull with what this node knows and the other lacks.
 func (m *Machine) onPull(now time.Duration, from string, b core.PullUpdates) {
 	if b.WantTopology && m.topology.Fleet != "" {
 		m.send(from, m.topology)
@@ -100,12 +103,13 @@
 		}
 		m.send(from, news)
 	}
-	m.tellAnnounced(now, from, b.SentAt)
+	m.sendAnnouncements(now, from, b.SentAt)
 }
 
-func (m *Machine) onNews(now time.Duration, b core.Update) {
+// onUpdate applies an update of a partition's published entries, unless it is old or leaves a gap.
+func (m *Machine) onUpdate(now time.Duration, b core.Update) {
 	if !m.versions[b.Partition].Less(b.UpTo) || (!b.Snapshot && m.versions[b.Partition].Less(b.After)) {
-		m.Counters.StaleNews++
+		m.Counters.StaleUpdates++
 		return
 	}
 	if b.Snapshot || m.entries[b.Partition] == nil {
@@ -119,34 +123,35 @@
 		}
 	}
 	m.versions[b.Partition] = b.UpTo
-	m.learn(now, b.Partition)
+	m.applyPartition(now, b.Partition)
 }
 
-func (m *Machine) learn(now time.Duration, n int) {
+func (m *Machine) applyPartition(now time.Duration, n int) {
 	for _, k := range ordered.Keys(m.entries[n]) {
-		m.learnEntry(now, m.entries[n][k])
+		m.applyEntry(now, m.entries[n][k])
 	}
 }
 
-func (m *Machine) learnEntry(now time.Duration, e partition.Entry) {
+// applyEntry applies one published entry: configuration, member, core or breaker.
+func (m *Machine) applyEntry(now time.Duration, e partition.Entry) {
 	kind, _, _ := strings.Cut(e.Key, "/")
 	switch kind {
 	case "configuration":
 		var c core.CurrentConfiguration
-		if message.Unmarshal(e.Value, &c) != nil || c.Version <= m.version {
+		if message.Unmarshal(e.Value, &c) != nil || c.Version <= m.configurationVersion {
 			return
 		}
 		d, faults := configuration.Parse(c.Text)
 		if len(faults) > 0 {
 			return
 		}
-		m.description, m.version, m.tenants = d, c.Version, d.TenantNames()
+		m.description, m.configurationVersion, m.tenants = d, c.Version, d.TenantNames()
 		m.renewAt = now
 	case "member":
 		var o core.Member
 		if message.Unmarshal(e.Value, &o) == nil {
 			m.members[o.ID] = o
-			m.breakFrom(now, o)
+			m.failForwardsTo(now, o)
 		}
 	case "core":
 		var c core.Core
--- a/rule/allowance/allowance_test.go
+++ b/rule/allowance/allowance_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestWindowRunsLong: a window never holds less than an exact one would, and
-// forgets all in the end.
+// TestWindowRunsLong checks that a window never holds less than an exact one, and eventually
+// forgets everything.
 func TestWindowRunsLong(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	w := Window{Width: time.Minute}
@@ -32,56 +32,56 @@
 			}
 		}
 		if sum := w.Sum(now); sum < exact || sum > slack {
-			t.Fatalf("step %d: %d, exactly %d, with a slot's slack %d", i, sum, exact, slack)
+			t.Fatalf("step %d: sum %d, want between %d (exact) and %d (one slot longer)", i, sum, exact, slack)
 		}
 		if n := len(w.Slots); n > SlotsPerWindow+2 {
 			t.Fatalf("%d slots", n)
 		}
 	}
 	if w.Sum(now+2*w.Width) != 0 {
-		t.Error("something is never forgotten")
+		t.Error("an amount never leaves the window")
 	}
 }
 
-// TestUntil: who waits as long as told finds room, and not much sooner.
-func TestUntil(t *testing.T) {
+// TestWaitTime checks that there is room after the returned wait, and not much sooner.
+func TestWaitTime(t *testing.T) {
 	w := Window{Width: time.Hour}
 	for i := 0; i < 4; i++ {
 		w.Add(time.Duration(i)*10*time.Minute, 1)
 	}
 	now := 35 * time.Minute
-	wait := w.Until(now, 1, 4)
+	wait := w.WaitTime(now, 1, 4)
 	if w.Sum(now+wait-time.Second)+1 <= 4 || w.Sum(now+wait)+1 > 4 {
 		t.Errorf("wait %v", wait)
 	}
-	if w.Until(now, 1, 5) != 0 {
-		t.Error("a wait where there is room")
+	if w.WaitTime(now, 1, 5) != 0 {
+		t.Error("nonzero wait although the amount fits")
 	}
 }
 
-// TestEndedHolderStaysEnded: a late message of a holder whose books were
-// closed must not make room.
-func TestEndedHolderStaysEnded(t *testing.T) {
+// TestClosedAccountStaysClosed guards against a late report of a closed account freeing part of the
+// allowance.
+func TestClosedAccountStaysClosed(t *testing.T) {
 	l := Ledger{Windows: []Window{{Width: time.Hour}}}
 	limits := []int64{100}
-	if l.Draw(0, "a", 80, limits) != 80 {
-		t.Fatal("not granted")
+	if l.Grant(0, "a", 80, limits) != 80 {
+		t.Fatal("the share was not granted")
 	}
 	l.Report(0, "a", 30, 40)
-	l.End(0, "a")
-	room := l.Room(0, limits)
+	l.CloseAccount(0, "a")
+	room := l.Available(0, limits)
 	l.Report(0, "a", 30, 40)
-	if l.Room(0, limits) != room {
-		t.Errorf("a late message made %d of room into %d", room, l.Room(0, limits))
+	if l.Available(0, limits) != room {
+		t.Errorf("a late report changed the available amount from %d to %d", room, l.Available(0, limits))
 	}
-	l.Draw(0, "b", 100, limits)
-	if out := l.Out(); out != room {
-		t.Errorf("%d are out of %d", out, room)
+	l.Grant(0, "b", 100, limits)
+	if outstanding := l.Outstanding(); outstanding != room {
+		t.Errorf("%d outstanding, want %d", outstanding, room)
 	}
 }
 
-// TestDivision: parts come to no more than the whole, everybody that wants has
-// one while there are enough, and room is kept for those who did not ask yet.
+// TestDivision checks that shares never exceed the total, that every holder with a demand gets one
+// while there are enough, and that units are kept for holders that have not reported yet.
 func TestDivision(t *testing.T) {
 	for _, c := range []struct {
 		wants   []int64
@@ -90,20 +90,20 @@
 	}{{[]int64{1}, 1, 10}, {[]int64{32, 32, 320}, 3, 48}, {[]int64{32}, 13, 48}, {[]int64{5, 5, 5, 5, 5}, 5, 3}, {[]int64{1000, 1}, 2, 2}} {
 		var l Ledger
 		names := []string{"a", "b", "c", "d", "e"}
-		d := Division{Whole: c.whole, Holders: c.holders, Idle: 32}
+		d := Division{Total: c.whole, Holders: c.holders, IdleDemand: 32}
 		for i, w := range c.wants {
-			l.Want(names[i], w, d)
+			l.SetDemand(names[i], w, d)
 		}
 		var sum, none int64
 		for i, w := range c.wants {
-			got := l.Want(names[i], w, d)
+			got := l.SetDemand(names[i], w, d)
 			sum += got
 			if got == 0 {
 				none++
 			}
 		}
 		if sum > c.whole || (none > 0 && int64(len(c.wants)) <= c.whole) {
-			t.Errorf("%+v: %d given out, %d with none", c, sum, none)
+			t.Errorf("%+v: %d granted in total, %d holders without a share", c, sum, none)
 		}
 	}
 }
