--- a/peer/core/rules.go
+++ b/peer/core/rules.go
@@ -49,9 +49,11 @@
 	// memberVersions is the configuration version that it followed then.
 	renewedAt      map[string]time.Duration
 	memberVersions map[string]uint64
-	violated       invariant.Reporter
-	expiries       expiryQueue
-	ledgers        map[string]*rate.Ledger
+	// electedAt is when this leader took the partition over.
+	electedAt time.Duration
+	violated  invariant.Reporter
+	expiries  expiryQueue
+	ledgers   map[string]*rate.Ledger
 	// expired holds the keys of entries that this leader deleted on expiry.
 	expired *recentKeys
 }
@@ -60,6 +62,7 @@
 // leader may have renewed them until its term ended.
 func (r *rules) Elected(now time.Duration, tx *partition.Tx) {
 	r.renewedAt, r.memberVersions = map[string]time.Duration{}, map[string]uint64{}
+	r.electedAt = now
 	for _, key := range tx.Keys(memberPrefix) {
 		r.renewedAt[key] = now
 	}
