--- a/peer/core/membership_test.go
+++ b/peer/core/membership_test.go
@@ -65,7 +65,7 @@
 // newFleet founds a fleet, stores some claims and waits until it has settled.
 func newFleet(t *testing.T, size, cores int) *fleet {
 	f := &fleet{t: t, size: size, random: rand.New(rand.NewPCG(7, uint64(cores))), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
-		params: Params{Partition: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberLease: 2 * time.Second,
+		params: Params{Partition: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeTransfer: 20}, MemberLease: 2 * time.Second,
 			AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond, GoneAfter: 2 * time.Second, ColdStart: true}}
 	var founders []Core
 	for i := 0; i < cores; i++ {
--- a/peer/core/messages_relay.go
+++ b/peer/core/messages_relay.go
@@ -131,7 +131,7 @@
 	}
 	// storedBook is the entry of a program's budget and reservations.
 	storedBook struct {
-		Book  book.Book     `msgpack:"b"`
+		Book  book.Account  `msgpack:"b"`
 		Until time.Duration `msgpack:"u"`
 	}
 )
--- a/peer/node/fuzz_test.go
+++ b/peer/node/fuzz_test.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			return
 		}
-		params := core.Params{Partition: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeHome: 20}, MemberLease: 2 * time.Second, AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}
+		params := core.Params{Partition: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeTransfer: 20}, MemberLease: 2 * time.Second, AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}
 		random := func() float64 { return 0.3 }
 		n := New(Options{Params: Params{Core: params, AnnouncementMaxAge: time.Second, QueueLimit: 8}, ID: "n", Incarnation: "a", Address: "10.0.0.9:1", Random: random})
 		self := core.Core{ID: "c", Incarnation: "i", Peer: "10.0.0.1:1"}
--- a/peer/node/opening.go
+++ b/peer/node/opening.go
@@ -68,7 +68,7 @@
 			m.refuse(req, m.dayShareRefusal(answered))
 			return
 		}
-		record := program.Record{Fence: 1, ID: id, Tenant: req.tenant, User: req.request.User, Role: req.role, Node: m.params.ID, Incarnation: m.incarnation, Address: m.params.Address, TestSession: test,
+		record := program.Record{Fence: 1, ID: id, Tenant: req.tenant, User: req.request.User, Role: req.role, Node: m.params.ID, Incarnation: m.incarnation, Address: m.params.Address, ProbeNumber: test,
 			Retention: time.Duration(m.description.KeepSeconds) * time.Second}
 		prog := ownedProgram{record: record}
 		precharged := program.PrechargeTarget(m.description.Roles[req.role], 0)
@@ -83,7 +83,7 @@
 			}
 			m.adoptProgram(now, answer).dayPrecharged = precharged
 			m.countAdmitted(warnings)
-			m.recordSample(rehearsal.Sample{KeySum: req.keySum, Tenant: req.tenant, Program: id, User: req.request.User, Role: req.role, Kind: KindOpen})
+			m.recordSample(rehearsal.Sample{KeyDigest: req.keySum, Tenant: req.tenant, Program: id, User: req.request.User, Role: req.role, Kind: KindOpen})
 			m.finish(req, Frame{Kind: FrameBody, Status: 201, Head: program.EmptyHead, Verdict: verdict.Allowed(verdict.Executed, warnings), Text: id})
 		})
 	})
--- a/peer/node/request.go
+++ b/peer/node/request.go
@@ -113,7 +113,7 @@
 	if m.now >= req.deadline && v.Status == 503 {
 		v = deadlineExceeded(v.Ran)
 	}
-	m.recordSample(rehearsal.Sample{KeySum: req.keySum, Tenant: req.tenant, User: req.request.User, Role: req.role, Kind: req.request.Kind, Service: req.request.Service, Refused: true})
+	m.recordSample(rehearsal.Sample{KeyDigest: req.keySum, Tenant: req.tenant, User: req.request.User, Role: req.role, Kind: req.request.Kind, Service: req.request.Service, Refused: true})
 	m.finish(req, Frame{Kind: FrameVerdict, Status: v.Status, Verdict: v})
 }
 
--- a/peer/node/tool.go
+++ b/peer/node/tool.go
@@ -24,7 +24,7 @@
 		m.refuse(req, denied("bad_arguments", "arguments are not JSON: "+err.Error(), 400))
 		return
 	}
-	if m.breakerState == breaker.HalfOpen && prog.record.TestSession == 0 {
+	if m.breakerState == breaker.HalfOpen && prog.record.ProbeNumber == 0 {
 		m.refuse(req, testSessionsOnly())
 		return
 	}
@@ -67,7 +67,7 @@
 			return
 		}
 		m.countAdmitted(a.warnings)
-		m.recordSample(rehearsal.Sample{KeySum: req.keySum, Tenant: req.tenant, User: prog.record.User, Role: prog.record.Role, Kind: KindTool, Service: req.request.Service})
+		m.recordSample(rehearsal.Sample{KeyDigest: req.keySum, Tenant: req.tenant, User: prog.record.User, Role: prog.record.Role, Kind: KindTool, Service: req.request.Service})
 		m.finish(req, Frame{Kind: FrameBody, Status: e.Status, Body: e.Body, Verdict: verdict.Allowed(verdict.Executed, a.warnings)})
 	})
 }
--- a/peer/node/turn.go
+++ b/peer/node/turn.go
@@ -62,7 +62,7 @@
 			request := req.request
 			request.User = prog.record.User
 			m.closeSession(now, &requestState{tenant: req.tenant, request: request}, prog.record.ID, prog.record.Charged())
-			m.recordSample(rehearsal.Sample{KeySum: req.keySum, Tenant: req.tenant, Program: prog.record.ID, User: prog.record.User, Role: prog.record.Role, Kind: KindClose})
+			m.recordSample(rehearsal.Sample{KeyDigest: req.keySum, Tenant: req.tenant, Program: prog.record.ID, User: prog.record.User, Role: prog.record.Role, Kind: KindClose})
 			m.finish(req, Frame{Kind: FrameBody, Status: 200, Body: []byte(`{"closed":true}`)})
 		})
 	}
@@ -77,7 +77,7 @@
 	case !known || service.Kind != "model":
 		m.refuse(req, denied("unknown_service", "no such model service", 400))
 		return
-	case m.breakerState == breaker.HalfOpen && prog.record.TestSession == 0:
+	case m.breakerState == breaker.HalfOpen && prog.record.ProbeNumber == 0:
 		m.refuse(req, testSessionsOnly())
 		return
 	case prog.record.HasRunningTurn(request.Conversation):
@@ -391,8 +391,8 @@
 		spent = a.relayedTokens
 	}
 	a.settle(spent, min(a.reservedPrice, m.description.Services[req.request.Service].Price(spent)))
-	if prog.record.TestSession > 0 && !prog.record.TestPassed && !prog.lost {
-		prog.record.TestPassed = succeeded
+	if prog.record.ProbeNumber > 0 && !prog.record.ProbeSucceeded && !prog.lost {
+		prog.record.ProbeSucceeded = succeeded
 		m.caller.Call(now, core.ReportProbe{Program: prog.record.ID, Succeeded: succeeded, Limits: m.breakerLimits()}, now+10*m.params.Core.MemberLease, func(time.Duration, core.Outcome) {})
 	}
 	if prog.lost {
@@ -415,7 +415,7 @@
 		}
 		m.Counters.Completed++
 		m.countAdmitted(a.warnings)
-		m.recordSample(rehearsal.Sample{KeySum: req.keySum, Tenant: req.tenant, Program: prog.record.ID, User: prog.record.User, Role: prog.record.Role, Kind: KindTurn, Service: req.request.Service, Tokens: a.relayedTokens, Steps: prog.record.Steps, Charged: prog.record.Charged()})
+		m.recordSample(rehearsal.Sample{KeyDigest: req.keySum, Tenant: req.tenant, Program: prog.record.ID, User: prog.record.User, Role: prog.record.Role, Kind: KindTurn, Service: req.request.Service, Tokens: a.relayedTokens, Steps: prog.record.Steps, Charged: prog.record.Charged()})
 		finishReason := "complete"
 		if e.Text != "" {
 			finishReason = e.Text
--- a/peer/relay/machine_test.go
+++ b/peer/relay/machine_test.go
@@ -26,7 +26,7 @@
 	now         time.Duration
 	node        *Machine
 	steps       map[uint64][]Step
-	books       map[string]*book.Book
+	books       map[string]*book.Account
 	storedTurns map[string]core.StoreTurn
 	ledgers     map[string]*rate.Ledger
 	coresSilent bool
@@ -42,10 +42,10 @@
 
 func newHarness(t *testing.T) *harness {
 	random := rand.New(rand.NewPCG(1, 1))
-	h := &harness{t: t, steps: map[uint64][]Step{}, books: map[string]*book.Book{}, storedTurns: map[string]core.StoreTurn{}, ledgers: map[string]*rate.Ledger{}, deadlines: map[uint64]time.Duration{}}
+	h := &harness{t: t, steps: map[uint64][]Step{}, books: map[string]*book.Account{}, storedTurns: map[string]core.StoreTurn{}, ledgers: map[string]*rate.Ledger{}, deadlines: map[uint64]time.Duration{}}
 	h.node = New(Options{ID: "n1", Incarnation: "x", Zone: "a", Address: "n1:1", Seeds: []string{"d1:1"}, Random: random.Float64,
 		Params: Params{Core: core.Params{MemberLease: time.Second, AttemptTimeout: 100 * time.Millisecond, PullInterval: 100 * time.Millisecond}, HeartbeatInterval: time.Second, UpdateInterval: 500 * time.Millisecond,
-			RateWindow: 5 * time.Second, Placement: placement.Settings{PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: time.Second}, MaxRequests: 100, CacheBytes: 1 << 20, BookRetention: time.Minute}})
+			RateWindow: 5 * time.Second, Placement: placement.Settings{PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMillisecond: 80, HeartbeatInterval: time.Second}, MaxRequests: 100, CacheBytes: 1 << 20, BookRetention: time.Minute}})
 	return h
 }
 
@@ -53,9 +53,9 @@
 	key := configuration.KeyDigest("key")
 	t := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20},
 		Routes: []route.Route{
-			{Name: "chat", Host: "h", Prefix: "/chat/", Mode: route.Stream, KeepHistory: true, KeepSeconds: 60, TimeoutMS: 4000, Tries: 2, Targets: []route.Target{{Service: "model", Weight: 1}}},
-			{Name: "once", Host: "h", Prefix: "/once/", Mode: route.Once, TimeoutMS: 3000, Tries: 3, Targets: []route.Target{{Service: "app", Weight: 1}}},
-			{Name: "again", Host: "h", Prefix: "/again/", Mode: route.Repeatable, TimeoutMS: 3000, Tries: 2, Targets: []route.Target{{Service: "app", Weight: 1}}}},
+			{Name: "chat", Host: "h", Prefix: "/chat/", Mode: route.Stream, KeepHistory: true, KeepSeconds: 60, TimeoutMS: 4000, MaxAttempts: 2, Targets: []route.Target{{Service: "model", Weight: 1}}},
+			{Name: "once", Host: "h", Prefix: "/once/", Mode: route.Once, TimeoutMS: 3000, MaxAttempts: 3, Targets: []route.Target{{Service: "app", Weight: 1}}},
+			{Name: "again", Host: "h", Prefix: "/again/", Mode: route.Repeatable, TimeoutMS: 3000, MaxAttempts: 2, Targets: []route.Target{{Service: "app", Weight: 1}}}},
 		Services: []route.Service{{Name: "model", Connections: 100, TokensPerEvent: 10, Slots: 4}, {Name: "app", Connections: 100, TokensPerEvent: 1, Slots: 4}},
 		Tenants:  []route.Tenant{{Name: "t1", Keys: []string{key}}}}
 	if change != nil {
@@ -98,13 +98,13 @@
 	case core.ReserveTurn:
 		b := h.books[c.Program]
 		if b == nil {
-			b = &book.Book{}
+			b = &book.Account{}
 			h.books[c.Program] = b
 		}
 		return core.ReserveTurnResult{OK: b.Reserve(c.Attempt, c.MaxTokens, c.Budget)}
 	case core.SettleTurn:
 		if h.books[c.Program] == nil {
-			h.books[c.Program] = &book.Book{}
+			h.books[c.Program] = &book.Account{}
 		}
 		h.books[c.Program].Settle(c.Attempt, c.Tokens)
 		return core.Done{OK: true}
--- a/peer/relay/overload_test.go
+++ b/peer/relay/overload_test.go
@@ -17,7 +17,7 @@
 	h.node.params.ShedOverload, h.node.params.LoadReportInterval = true, 100*time.Millisecond
 	h.update("d1:1", listings("model", "m1", "m2"), 1, tableJSON(1, func(t *route.Table) {
 		t.Routes[0].Urgency = 1
-		t.Routes = append(t.Routes, route.Route{Name: "idle", Host: "h", Prefix: "/idle/", Mode: route.Stream, KeepHistory: true, Urgency: 5, TimeoutMS: 4000, Tries: 2, Targets: []route.Target{{Service: "model", Weight: 1}}})
+		t.Routes = append(t.Routes, route.Route{Name: "idle", Host: "h", Prefix: "/idle/", Mode: route.Stream, KeepHistory: true, Urgency: 5, TimeoutMS: 4000, MaxAttempts: 2, Targets: []route.Target{{Service: "model", Weight: 1}}})
 	}))
 	// The first request makes the node merge the listings.
 	h.outcome(h.request(newRequest("/chat/x", nil)), Outcome{Kind: OutcomeComplete, Events: 1, Started: true})
--- a/peer/relay/request.go
+++ b/peer/relay/request.go
@@ -184,8 +184,8 @@
 	if m.params.ResendUnrun {
 		return req.attempts - req.notRun
 	}
-	if req.unreachable > 4*req.route.Tries+4 {
-		return req.route.Tries
+	if req.unreachable > 4*req.route.MaxAttempts+4 {
+		return req.route.MaxAttempts
 	}
 	return req.attempts - req.unreachable
 }
@@ -196,7 +196,7 @@
 	case now >= req.deadline:
 		m.refuse(now, req, CauseDeadline)
 		return
-	case m.attemptsUsed(req) >= req.route.Tries:
+	case m.attemptsUsed(req) >= req.route.MaxAttempts:
 		m.refuse(now, req, CauseAttemptsExhausted)
 		return
 	}
@@ -287,7 +287,7 @@
 // retryOrAbort sends a request that may have run to another replica if its route allows it
 // to run again, and aborts it otherwise.
 func (m *Machine) retryOrAbort(now time.Duration, req *activeRequest) {
-	canRetry := req.route.Retryable() && m.attemptsUsed(req) < req.route.Tries && now < req.deadline
+	canRetry := req.route.Retryable() && m.attemptsUsed(req) < req.route.MaxAttempts && now < req.deadline
 	if req.started && req.route.Mode != route.Stream {
 		canRetry = false
 	}
@@ -432,8 +432,8 @@
 	switch {
 	case req.mayHaveRun && !req.route.Retryable():
 		m.violated.Violated(invariant.RunsOnce, "attempt %s on route %s may have run and is sent to %s", req.spec.Attempt, req.route.Name, req.replicaID)
-	case m.attemptsUsed(req) > req.route.Tries:
-		m.violated.Violated(invariant.AttemptsWithinRoute, "attempt %s is sent to replica number %d; route %s allows %d", req.spec.Attempt, req.attempts, req.route.Name, req.route.Tries)
+	case m.attemptsUsed(req) > req.route.MaxAttempts:
+		m.violated.Violated(invariant.AttemptsWithinRoute, "attempt %s is sent to replica number %d; route %s allows %d", req.spec.Attempt, req.attempts, req.route.Name, req.route.MaxAttempts)
 	case req.rate != nil && !req.covered:
 		m.violated.Violated(invariant.GrantedBeforeSent, "attempt %s of tenant %s is sent to %s without a unit of the tenant's rate", req.spec.Attempt, req.tenant.Name, req.replicaID)
 	case req.route.Mode == route.Stream && req.spec.Program != "" && req.spec.TokenBudget > 0 && !req.reserved:
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -38,7 +38,7 @@
 )
 
 func coreParams() core.Params {
-	return core.Params{Partition: partition.Params{LeaseDuration: contact / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberLease: contact / 2, AttemptTimeout: contact / 24,
+	return core.Params{Partition: partition.Params{LeaseDuration: contact / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeTransfer: 20}, MemberLease: contact / 2, AttemptTimeout: contact / 24,
 		PullInterval: contact / 20, GoneAfter: 2200 * time.Millisecond, ColdStart: true}
 }
 
@@ -47,7 +47,7 @@
 }
 
 func nodeParams() relay.Params {
-	return relay.Params{Core: coreParams(), HeartbeatInterval: beat, UpdateInterval: follow, RateWindow: window, RateOvershoot: 0.1, RateSlack: 4, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: beat}, LoadReportInterval: beat / 12, ResendUnrun: true, ShedOverload: true, MaxRequests: 2000, CacheBytes: nodeCache, BookRetention: 10 * time.Minute}
+	return relay.Params{Core: coreParams(), HeartbeatInterval: beat, UpdateInterval: follow, RateWindow: window, RateOvershoot: 0.1, RateSlack: 4, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMillisecond: 80, HeartbeatInterval: beat}, LoadReportInterval: beat / 12, ResendUnrun: true, ShedOverload: true, MaxRequests: 2000, CacheBytes: nodeCache, BookRetention: 10 * time.Minute}
 }
 
 // cpu is the processor time that this thread has had: another process on the
@@ -447,7 +447,7 @@
 		name := fmt.Sprintf("model-%d", i)
 		t.Services = append(t.Services, route.Service{Name: name, Connections: 100_000, TokensPerEvent: 1, Slots: 16, CacheTokens: 186629})
 		t.Routes = append(t.Routes, route.Route{Name: "chat-" + name, Host: "tier", Prefix: "/" + name + "/", Mode: route.Stream, KeepHistory: true, KeepSeconds: w.point.think().Seconds() * keepOfThink, TimeoutMS: 4000,
-			Tries: 2, Targets: []route.Target{{Service: name, Weight: 1}}})
+			MaxAttempts: 2, Targets: []route.Target{{Service: name, Weight: 1}}})
 	}
 	for i, share := range w.shares {
 		t.Tenants = append(t.Tenants, route.Tenant{Name: fmt.Sprintf("tenant-%d", i), Keys: []string{configuration.KeyDigest(fmt.Sprintf("key-%d", i))}, Rate: share*float64(w.point.Rate)*3 + 5, Burst: 10})
--- a/rehearsalkit/relaysim/operator.go
+++ b/rehearsalkit/relaysim/operator.go
@@ -25,7 +25,7 @@
 			used[target.Service] = true
 		}
 		t.Routes[prefix] = r
-		text.Routes = append(text.Routes, route.Route{Name: prefix, Host: host, Prefix: prefix, Mode: mode, Resumable: resumable, KeepHistory: kept, KeepSeconds: keepFor.Seconds(), TimeoutMS: 3500, Tries: 3, Public: open, Targets: targets})
+		text.Routes = append(text.Routes, route.Route{Name: prefix, Host: host, Prefix: prefix, Mode: mode, Resumable: resumable, KeepHistory: kept, KeepSeconds: keepFor.Seconds(), TimeoutMS: 3500, MaxAttempts: 3, Public: open, Targets: targets})
 	}
 	pick := func(a, b string) []route.Target {
 		switch w.random.IntN(4) {
--- a/rehearsalkit/relaysim/params.go
+++ b/rehearsalkit/relaysim/params.go
@@ -74,7 +74,7 @@
 )
 
 func coreParams() core.Params {
-	return core.Params{Partition: partition.Params{LeaseDuration: contact / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeHome: 20}, MemberLease: contact / 2,
+	return core.Params{Partition: partition.Params{LeaseDuration: contact / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeTransfer: 20}, MemberLease: contact / 2,
 		AttemptTimeout: contact / 24, PullInterval: contact / 20, GoneAfter: catchUp / 2, ColdStart: true}
 }
 
@@ -83,6 +83,6 @@
 }
 
 func (w *World) nodeParams() relay.Params {
-	return relay.Params{Core: coreParams(), HeartbeatInterval: beatPeriod, UpdateInterval: beatPeriod / 2, RateWindow: window, RateOvershoot: w.Params.Overshoot, RateSlack: w.Params.Slack, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: beatPeriod}, LoadReportInterval: beatPeriod / 12, ResendUnrun: true, ShedOverload: true,
+	return relay.Params{Core: coreParams(), HeartbeatInterval: beatPeriod, UpdateInterval: beatPeriod / 2, RateWindow: window, RateOvershoot: w.Params.Overshoot, RateSlack: w.Params.Slack, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMillisecond: 80, HeartbeatInterval: beatPeriod}, LoadReportInterval: beatPeriod / 12, ResendUnrun: true, ShedOverload: true,
 		MaxRequests: 2000, CacheBytes: 1 << 20, BookRetention: 10 * time.Minute}
 }
--- a/rehearsalkit/simulator/world.go
+++ b/rehearsalkit/simulator/world.go
@@ -161,7 +161,7 @@
 }
 
 func (w *World) coreParams() core.Params {
-	return core.Params{Partition: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeHome: 20}, MemberLease: w.Params.MemberTerm,
+	return core.Params{Partition: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeTransfer: 20}, MemberLease: w.Params.MemberTerm,
 		AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}
 }
 
--- a/rehearsalkit/soak/operator.go
+++ b/rehearsalkit/soak/operator.go
@@ -26,7 +26,7 @@
 
 // one is a route of the soak's tables.
 func one(kind, mode, service string, tries int64) route.Route {
-	return route.Route{Name: kind, Host: host, Prefix: "/" + kind + "/", Mode: mode, TimeoutMS: float64(routeTimeout.Milliseconds()), Tries: tries, KeepSeconds: 60,
+	return route.Route{Name: kind, Host: host, Prefix: "/" + kind + "/", Mode: mode, TimeoutMS: float64(routeTimeout.Milliseconds()), MaxAttempts: tries, KeepSeconds: 60,
 		Targets: []route.Target{{Service: service, Weight: 1}}}
 }
 
--- a/rule/admission/admission_test.go
+++ b/rule/admission/admission_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The simulated service runs turns in FIFO order, without priorities.
+// Parameters of the simulated service, which runs turns in FIFO order without priorities.
 const (
 	slots     = 60
 	turnTime  = 250 * time.Millisecond
--- a/rule/allowance/allowance_test.go
+++ b/rule/allowance/allowance_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestWindowRunsLong checks that a window never holds less than an exact one, and eventually
+// TestWindowNeverUndercounts checks that a window never holds less than an exact one, and eventually
 // forgets everything.
-func TestWindowRunsLong(t *testing.T) {
+func TestWindowNeverUndercounts(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	w := Window{Width: time.Minute}
 	type one struct {
--- a/rule/allowance/ledger.go
+++ b/rule/allowance/ledger.go
@@ -15,10 +15,11 @@
 }
 
 // Held returns the amount that the holder may still spend.
-func (b Account) Held() int64 { return b.Granted - b.Spent - b.Returned }
+func (a Account) Held() int64 { return a.Granted - a.Spent - a.Returned }
 
 // Ledger divides an allowance into shares. A granted amount counts as used until it is returned,
-// or until it was reported spent and has left every window.
+// or until it was reported spent and has left every window. Holders and Demands have the holders'
+// names as keys.
 type Ledger struct {
 	Windows []Window           `msgpack:"w"`
 	Holders map[string]Account `msgpack:"h"`
@@ -28,8 +29,8 @@
 // Outstanding returns the sum of the shares that are held.
 func (l *Ledger) Outstanding() int64 {
 	var outstanding int64
-	for _, b := range l.Holders {
-		outstanding += b.Held()
+	for _, account := range l.Holders {
+		outstanding += account.Held()
 	}
 	return outstanding
 }
@@ -40,22 +41,22 @@
 	if l.Holders == nil {
 		l.Holders = map[string]Account{}
 	}
-	b, known := l.Holders[holder]
+	account, known := l.Holders[holder]
 	if !known && (spent > 0 || returned > 0) {
 		// A holder can't spend or return before a grant, so this account was closed
 		// and its counts are already included.
 		return false
 	}
-	if spent > b.Spent {
+	if spent > account.Spent {
 		for i := range l.Windows {
-			l.Windows[i].Add(now, spent-b.Spent)
+			l.Windows[i].Add(now, spent-account.Spent)
 		}
-		b.Spent = spent
+		account.Spent = spent
 	}
-	if returned > b.Returned {
-		b.Returned = returned
+	if returned > account.Returned {
+		account.Returned = returned
 	}
-	l.Holders[holder] = b
+	l.Holders[holder] = account
 	return true
 }
 
@@ -82,23 +83,23 @@
 	if l.Holders == nil {
 		l.Holders = map[string]Account{}
 	}
-	b := l.Holders[holder]
-	if lack := target - b.Held(); lack > 0 {
-		b.Granted += min(lack, l.Available(now, limits))
-		l.Holders[holder] = b
+	account := l.Holders[holder]
+	if shortfall := target - account.Held(); shortfall > 0 {
+		account.Granted += min(shortfall, l.Available(now, limits))
+		l.Holders[holder] = account
 	}
-	return b.Granted
+	return account.Granted
 }
 
 // CloseAccount closes the account of a holder that can no longer spend, and reports whether there
 // was one. Where there are windows, its unspent share counts as spent.
 func (l *Ledger) CloseAccount(now time.Duration, holder string) bool {
-	b, ok := l.Holders[holder]
+	account, ok := l.Holders[holder]
 	if !ok {
 		return false
 	}
 	for i := range l.Windows {
-		l.Windows[i].Add(now, b.Held())
+		l.Windows[i].Add(now, account.Held())
 	}
 	delete(l.Holders, holder)
 	delete(l.Demands, holder)
@@ -130,8 +131,8 @@
 		return 0
 	}
 	var sum int64
-	for _, w := range l.Demands {
-		sum += w
+	for _, d := range l.Demands {
+		sum += d
 	}
 	count := int64(len(l.Demands))
 	if missing := d.Holders - count; missing > 0 {
--- a/rule/allowance/window.go
+++ b/rule/allowance/window.go
@@ -1,6 +1,6 @@
 // Package allowance tracks the use of an allowance. A Window is a sliding window that may count an
-// amount too long but never too briefly; a Ledger divides an allowance into shares that holders
-// spend without asking again. Start reading at Ledger.
+// amount longer than its width but never shorter. A Ledger divides an allowance into shares that
+// holders spend without asking again. Start reading at Ledger.
 package allowance
 
 import "time"
--- a/rule/book/book.go
+++ b/rule/book/book.go
@@ -1,7 +1,6 @@
 // Package book accounts for the output tokens of one program across all nodes: what its ended
 // turns used and what running turns have reserved. A reservation is refused if both together
-// would exceed the budget.
-// Start reading at Book.Reserve and Book.Settle.
+// would exceed the budget. Start reading at Account.Reserve and Account.Settle.
 package book
 
 import (
@@ -9,15 +8,16 @@
 	"time"
 )
 
-// Book is the durable account of one program, in tokens. Charged is the usage of settled
+// Account is the durable account of one program, in tokens. Charged is the usage of settled
 // turns. Running holds the reservations of turns by attempt; a lost turn keeps its
 // reservation.
-type Book struct {
+type Account struct {
 	Charged int64            `msgpack:"c"`
 	Running map[string]int64 `msgpack:"r,omitempty"`
-	// Ended holds hashes of the most recently settled attempts. A delayed duplicate of a
-	// reservation is recognised by them and reserves nothing.
-	Ended    []uint32      `msgpack:"e,omitempty"`
+	// Ended holds hashes of the most recently settled attempts, so that a delayed duplicate
+	// of a reservation is recognised and reserves nothing.
+	Ended []uint32 `msgpack:"e,omitempty"`
+	// LastUsed is when the account was last used; the caller sets it.
 	LastUsed time.Duration `msgpack:"t"`
 }
 
@@ -31,9 +31,9 @@
 }
 
 // Outstanding returns the tokens reserved by running turns.
-func (b *Book) Outstanding() int64 {
+func (a *Account) Outstanding() int64 {
 	var sum int64
-	for _, reserved := range b.Running {
+	for _, reserved := range a.Running {
 		sum += reserved
 	}
 	return sum
@@ -41,41 +41,41 @@
 
 // Reserve reserves the greatest output of a turn, and returns false if it exceeds the budget.
 // It is idempotent: a repeated call for an attempt reserves nothing more.
-func (b *Book) Reserve(attempt string, maxTokens, budget int64) bool {
-	if _, ok := b.Running[attempt]; ok {
+func (a *Account) Reserve(attempt string, maxTokens, budget int64) bool {
+	if _, ok := a.Running[attempt]; ok {
 		return true
 	}
 	hash := attemptHash(attempt)
-	for _, e := range b.Ended {
+	for _, e := range a.Ended {
 		if e == hash {
 			return true
 		}
 	}
-	if b.Charged+b.Outstanding()+maxTokens > budget {
+	if a.Charged+a.Outstanding()+maxTokens > budget {
 		return false
 	}
-	if b.Running == nil {
-		b.Running = map[string]int64{}
+	if a.Running == nil {
+		a.Running = map[string]int64{}
 	}
-	b.Running[attempt] = maxTokens
+	a.Running[attempt] = maxTokens
 	return true
 }
 
 // Settle replaces the reservation of an attempt by its actual usage. An attempt that has no
 // reservation yet can no longer get one. It reports whether anything changed.
-func (b *Book) Settle(attempt string, tokens int64) bool {
-	for _, e := range b.Ended {
+func (a *Account) Settle(attempt string, tokens int64) bool {
+	for _, e := range a.Ended {
 		if e == attemptHash(attempt) {
 			return false
 		}
 	}
-	if _, ok := b.Running[attempt]; ok {
-		delete(b.Running, attempt)
-		b.Charged += tokens
+	if _, ok := a.Running[attempt]; ok {
+		delete(a.Running, attempt)
+		a.Charged += tokens
 	}
-	b.Ended = append(b.Ended, attemptHash(attempt))
-	if n := len(b.Ended); n > maxEnded {
-		b.Ended = append([]uint32(nil), b.Ended[n-maxEnded:]...)
+	a.Ended = append(a.Ended, attemptHash(attempt))
+	if n := len(a.Ended); n > maxEnded {
+		a.Ended = append([]uint32(nil), a.Ended[n-maxEnded:]...)
 	}
 	return true
 }
--- a/rule/breaker/breaker.go
+++ b/rule/breaker/breaker.go
@@ -1,7 +1,7 @@
 // Package breaker implements the system-wide circuit breaker on spend.
 //
-// Holders draw shares of the spend limits per minute, hour and day. A need that does not fit
-// into every limit opens the breaker. After the recovery time it is half-open and admits a
+// Holders draw shares of the spend limits per minute, hour and day and spend them without asking
+// again. A need that does not fit into every limit opens the breaker. After the recovery time it is half-open and admits a
 // few probe sessions: if all of them succeed it closes, and if one fails it opens again.
 // Start reading at Breaker.Draw.
 package breaker
@@ -40,8 +40,9 @@
 	Succeeded bool          `msgpack:"d"`
 }
 
-// Breaker is the durable state of the breaker. All times are of the partition's clock, which
-// never runs fast.
+// Breaker is the durable state of the breaker. Since is when it entered its state, Trips how often
+// it has opened because of a limit, and Reason the limit that last opened it. All times are on the
+// clock of its partition, which is never ahead of real time.
 type Breaker struct {
 	State  State            `msgpack:"s"`
 	Since  time.Duration    `msgpack:"i"`
@@ -51,7 +52,7 @@
 	Ledger allowance.Ledger `msgpack:"l"`
 }
 
-// New returns a closed breaker.
+// New returns a closed breaker with windows of a minute, an hour and a day.
 func New() Breaker {
 	return Breaker{State: Closed, Ledger: allowance.Ledger{Windows: []allowance.Window{
 		{Width: time.Minute}, {Width: time.Hour}, {Width: 24 * time.Hour}}}}
@@ -87,8 +88,8 @@
 }
 
 // Draw raises a holder's share towards the target as far as the limits permit, and returns the
-// total granted to the holder. If the need does not fit, the breaker opens. The part of the
-// target beyond the need is only prefetched and never opens it.
+// total granted to the holder. Amounts are in millionths of a dollar. If the need does not fit,
+// the breaker opens. What the target exceeds the need by is only prefetched and never opens it.
 func (b *Breaker) Draw(now time.Duration, holder string, target, need int64, p Params) int64 {
 	b.Advance(now, p)
 	if b.State == Open {
--- a/rule/breaker/breaker_test.go
+++ b/rule/breaker/breaker_test.go
@@ -9,9 +9,9 @@
 	return Params{Minute: 50, Hour: 500, Day: 2000, Recovery: 300 * time.Second, Probes: 2}
 }
 
-// TestTrips checks that a need beyond any of the three limits opens the breaker, and that a
+// TestExceededLimitOpens checks that a need beyond any of the three limits opens the breaker, and that a
 // prefetched share does not.
-func TestTrips(t *testing.T) {
+func TestExceededLimitOpens(t *testing.T) {
 	b := New()
 	if got := b.Draw(0, "idle", 60, 0, params()); got != 50 || b.State != Closed {
 		t.Errorf("prefetched share: %d, %s", got, b.State)
@@ -33,19 +33,19 @@
 			}
 		}
 		if b.State != Open || b.Reason != c.name {
-			t.Errorf("%s: %s by %q after %d", c.name, b.State, b.Reason, spent)
+			t.Errorf("%s: state %s, reason %q after a spend of %d", c.name, b.State, b.Reason, spent)
 		}
 		for i, limit := range params().limits() {
 			if sum := b.Ledger.Windows[i].Sum(now) + b.Ledger.Outstanding(); sum > limit {
-				t.Errorf("%s: window %d has %d of %d", c.name, i, sum, limit)
+				t.Errorf("%s: %d spent or granted in window %d; its limit is %d", c.name, sum, i, limit)
 			}
 		}
 	}
 }
 
-// TestCycle checks the states: open for the recovery time, then half-open with numbered
+// TestStateTransitions checks the states: open for the recovery time, then half-open with numbered
 // probes; a failed probe opens it again, and enough successful ones close it.
-func TestCycle(t *testing.T) {
+func TestStateTransitions(t *testing.T) {
 	b := New()
 	b.Draw(0, "n", 51, 51, params())
 	if b.State != Open || b.RecoveryLeft(100*time.Second, params()) != 200*time.Second {
--- a/rule/configuration/description.go
+++ b/rule/configuration/description.go
@@ -46,7 +46,8 @@
 	UrgentRatio       float64 `json:"urgent_ratio"`
 }
 
-// Service describes a kind of back end and its limits.
+// Service describes a kind of back end and its limits. BypassesBreaker keeps it available while the
+// spend breaker is open.
 type Service struct {
 	Kind                    string  `json:"kind"`
 	Urgent                  bool    `json:"urgent"`
@@ -115,7 +116,7 @@
 	{Path: "services.*.kind", Type: "text", Required: true, Allowed: []string{"model", "tool", "once"}, Help: "model: streamed turns; tool: tool calls of programs; once: actions executed at most once"},
 	{Path: "services.*.urgent", Type: "bool", Default: false, Help: "has reserved capacity in buffers, attempts and quotas"},
 	{Path: "services.*.past_breaker", Type: "bool", Default: false, Help: "stays available while the breaker is open; only for services that spend no tokens"},
-	{Path: "services.*.dollars_per_million_tokens", Type: "number", Default: 10.0, Min: 0, Max: 1e6, Help: "price of output"},
+	{Path: "services.*.dollars_per_million_tokens", Type: "number", Default: 10.0, Min: 0, Max: 1e6, Help: "price of a million output tokens, in dollars"},
 	{Path: "services.*.calls_per_minute", Type: "int", Default: 20, Min: 1, Max: 1e6, Help: "tool calls of one program in a minute"},
 	{Path: "services.*.calls_per_hour", Type: "int", Default: 200, Min: 1, Max: 1e6, Help: "tool calls of one program in an hour"},
 	{Path: "services.*.concurrent_calls", Type: "int", Default: 3, Min: 1, Max: 1e6, Help: "tool calls of one program at once"},
@@ -233,7 +234,7 @@
 	return text
 }
 
-// KeyDigest returns the SHA-256 of a key in hex, which stands for the key in configuration.
+// KeyDigest returns the SHA-256 of a key in hex. Configuration contains keys only in this form.
 func KeyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/rule/configuration/settings.go
+++ b/rule/configuration/settings.go
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// node is one level of the tree of settings.
+// node is a node of the tree of settings; setting is nil unless it is a leaf.
 type node struct {
 	setting  *Setting
 	children map[string]*node
@@ -153,7 +153,7 @@
 		tree[key] = checkNode(joinPath(path, key), child, next, faults)
 	}
 	for key, next := range at.children {
-		if _, there := tree[key]; there || key == "*" {
+		if _, present := tree[key]; present || key == "*" {
 			continue
 		}
 		switch {
@@ -200,7 +200,7 @@
 
 // checkValue validates a value that has no settings below it.
 func checkValue(path string, value any, setting *Setting, faults *Faults) any {
-	wrong := func() any {
+	reject := func() any {
 		*faults = append(*faults, Fault{Path: path, Value: value, Allowed: allowed(setting)})
 		return value
 	}
@@ -208,16 +208,16 @@
 	case "int", "number":
 		number, ok := number(value)
 		if !ok || number < setting.Min || number > setting.Max || (setting.Type == "int" && number != math.Trunc(number)) {
-			return wrong()
+			return reject()
 		}
 	case "bool":
 		if _, ok := value.(bool); !ok {
-			return wrong()
+			return reject()
 		}
 	case "text":
 		text, ok := value.(string)
 		if !ok {
-			return wrong()
+			return reject()
 		}
 		if len(setting.Allowed) > 0 {
 			found := false
@@ -225,17 +225,17 @@
 				found = found || a == text
 			}
 			if !found {
-				return wrong()
+				return reject()
 			}
 		}
 	case "texts":
 		items, ok := value.([]any)
 		if !ok {
-			return wrong()
+			return reject()
 		}
 		for _, item := range items {
 			if _, ok := item.(string); !ok {
-				return wrong()
+				return reject()
 			}
 		}
 	}
--- a/rule/invariant/invariant.go
+++ b/rule/invariant/invariant.go
@@ -5,8 +5,8 @@
 // invariant. In tests and soak runs it panics.
 //
 // A check repairs nothing and does not replace error handling. Faults of other processes,
-// requesters and replicas are no violations; an invariant is what this code guarantees in
-// spite of them. Start reading at Reporter and Counter.
+// clients and replicas are no violations: an invariant is what this code guarantees despite
+// them. Start reading at Reporter and Counter.
 package invariant
 
 import (
@@ -54,7 +54,7 @@
 	CountsAgree Name = "counts_agree"
 )
 
-// Invariants of cores.
+// Invariants of cores, the processes that store the replicated state.
 const (
 	// PromisedTermNeverLower: a replica of a partition never promises, nor accepts from, a
 	// term below the one that it has promised.
@@ -88,12 +88,11 @@
 	r(v)
 }
 
-// Counter counts the violations in one process. It is not safe for concurrent use: only the
-// goroutine that owns the checked state may use it.
+// Counter counts the violations in one process. It is not safe for concurrent use.
 type Counter struct {
-	// First, if not nil, is called at the first violation of each invariant.
-	First  func(v Violation)
-	counts map[Name]int64
+	// OnFirst, if not nil, is called at the first violation of each invariant.
+	OnFirst func(v Violation)
+	counts  map[Name]int64
 }
 
 // Report counts a violation. It can be used as a Reporter.
@@ -102,8 +101,8 @@
 		c.counts = map[Name]int64{}
 	}
 	c.counts[v.Name]++
-	if c.counts[v.Name] == 1 && c.First != nil {
-		c.First(v)
+	if c.counts[v.Name] == 1 && c.OnFirst != nil {
+		c.OnFirst(v)
 	}
 }
 
--- a/rule/invariant/invariant_test.go
+++ b/rule/invariant/invariant_test.go
@@ -7,7 +7,7 @@
 
 func TestViolationsAreCounted(t *testing.T) {
 	var first []Violation
-	c := &Counter{First: func(v Violation) { first = append(first, v) }}
+	c := &Counter{OnFirst: func(v Violation) { first = append(first, v) }}
 	report := Reporter(c.Report)
 	report.Violated(RunsOnce, "attempt %s went to replica %d", "a", 2)
 	report.Violated(RunsOnce, "again")
--- a/rule/message/message.go
+++ b/rule/message/message.go
@@ -2,10 +2,11 @@
 // msgpack.
 //
 // A message is the outer name of its type followed by its value. Outer names of types are
-// given to Register, outer names of fields are their msgpack and json tags. Both are fixed:
-// stored data, and processes of other builds during a rolling upgrade, know them. Go types
-// and fields can be renamed freely as long as their outer names stay. The schema tests
-// (package schematest) fail if an outer name or an encoding changes.
+// given to Register, outer names of fields are their msgpack and json tags. Both are fixed, as
+// they occur in stored data and in the messages of other builds during a rolling upgrade. Go
+// types and fields can be renamed freely as long as their outer names stay. The schema tests
+// (package schematest) fail if an outer name or an encoding changes. Start reading at Register,
+// Pack and Open.
 package message
 
 import (
@@ -22,7 +23,7 @@
 // may send one during a rolling upgrade.
 var ErrUnknown = errors.New("unknown type")
 
-// types has every registered type by its outer name, and names the reverse.
+// types maps outer names to registered types, names maps types to outer names.
 var (
 	types = map[string]reflect.Type{}
 	names = map[reflect.Type]string{}
--- a/rule/partition/command.go
+++ b/rule/partition/command.go
@@ -14,15 +14,15 @@
 	Apply(now time.Duration, tx *Tx, command any) any
 }
 
-// Tx is the view that one command has of the partition's entries.
+// Tx gives one command access to the partition's entries.
 type Tx struct {
 	m     *Machine
 	now   time.Duration
 	wrote bool
 }
 
-// Clock returns the partition's clock, which passes from leader to leader. It may lag behind
-// real time but is never ahead, so periods measured by it are never too short.
+// Clock returns the partition's clock, which each leader continues from its predecessor. It may
+// lag behind real time but is never ahead, so periods measured by it are never too short.
 func (t *Tx) Clock() time.Duration { return t.m.clock(t.now) }
 
 // Get returns the value of an entry, and whether it exists.
--- a/rule/partition/digest.go
+++ b/rule/partition/digest.go
@@ -6,10 +6,10 @@
 	"github.com/dchest/siphash"
 )
 
-// DigestKey is the secret key of a term's digests. The candidate draws it at random and sends
-// it to the members. States with the same digest are taken for equal, and tenants choose what
-// entries hold, so without the key it must not be possible to construct two different states
-// with the same digest.
+// DigestKey is the secret key of a term's digests. The candidate generates it at random and sends
+// it to the members. States with the same digest are treated as equal, and tenants control the
+// contents of entries, so it must not be possible to construct two different states with the
+// same digest without the key.
 type DigestKey [2]uint64
 
 // table returns the digest of a table: the sum of its entries' digests, so that it can be
--- a/rule/partition/durable_test.go
+++ b/rule/partition/durable_test.go
@@ -58,48 +58,48 @@
 		if leader == "a" {
 			other = "b"
 		}
-		var held []packet
+		var delayed []packet
 		if snapshot {
 			// A snapshot for another replica, delayed by the network.
-			c.propose(leader, put{"ghost", "boo"})
+			c.propose(leader, put{"deleted", "v"})
 			c.replicas[leader].leading.needsSnapshot[other] = true
 			c.replicas[leader].out = &Output{}
 			c.replicas[leader].sendSnapshots(c.now)
 			for _, s := range c.replicas[leader].out.Sends {
-				held = append(held, packet{from: leader, to: s.To, body: s.Body})
+				delayed = append(delayed, packet{from: leader, to: s.To, body: s.Body})
 			}
 		} else {
 			c.drop = func(from, to string, body any) bool {
-				if w, ok := body.(Write); ok && to == other && len(held) == 0 {
-					held = append(held, packet{from: from, to: to, body: w})
+				if w, ok := body.(Write); ok && to == other && len(delayed) == 0 {
+					delayed = append(delayed, packet{from: from, to: to, body: w})
 				}
 				return false
 			}
-			c.propose(leader, put{"ghost", "boo"})
+			c.propose(leader, put{"deleted", "v"})
 		}
-		if len(held) == 0 {
+		if len(delayed) == 0 {
 			t.Fatal("no write was delayed")
 		}
-		c.propose(leader, put{"ghost", ""})
+		c.propose(leader, put{"deleted", ""})
 		c.advance(time.Second)
-		if _, ok := c.replicas[other].state.Entries["ghost"]; ok {
+		if _, ok := c.replicas[other].state.Entries["deleted"]; ok {
 			t.Fatal("the tombstone was not purged")
 		}
-		for _, p := range held {
+		for _, p := range delayed {
 			c.collect(p.to, c.replicas[p.to].Receive(c.now, p.from, p.body))
 		}
 		c.deliver()
-		if _, ok := c.replicas[other].state.Entries["ghost"]; ok {
+		if _, ok := c.replicas[other].state.Entries["deleted"]; ok {
 			t.Errorf("snapshot %v: a late write restored a deleted entry", snapshot)
 		}
 		c.replicas[leader] = nil
 		c.advance(500 * time.Millisecond)
-		c.wantValue("ghost", "")
+		c.wantValue("deleted", "")
 	}
 }
 
-// TestEachTermHasItsDigestKey checks that digests depend on a secret key that each term draws
-// anew, as tenants choose what entries hold and could construct collisions otherwise.
+// TestEachTermHasItsDigestKey checks that digests depend on a secret key that each term generates
+// anew. Tenants control the contents of entries and could construct collisions otherwise.
 func TestEachTermHasItsDigestKey(t *testing.T) {
 	entry := func(key, value string) Entry {
 		return Entry{Key: key, Value: []byte(value), Version: Version{Term: Term{Round: 1, Leader: "a"}, Seq: 1}}
--- a/rule/partition/election.go
+++ b/rule/partition/election.go
@@ -25,7 +25,7 @@
 }
 
 // startElection makes this member the candidate of a new term. A released term is that of
-// a leader that no longer serves; its lease need not be waited for, nor a pre-vote held.
+// a leader that no longer serves, so the end of its lease isn't awaited and no pre-vote held.
 func (m *Machine) startElection(now time.Duration, released Term) {
 	m.Counters.Elections++
 	round := max(m.state.Promised.Round, m.leaseTerm.Round, m.highestRound) + 1
@@ -37,7 +37,7 @@
 	m.sendPrepare(now)
 }
 
-// sendPrepare asks the members that have not promised yet.
+// sendPrepare sends Prepare to the members that have not promised yet.
 func (m *Machine) sendPrepare(now time.Duration) {
 	lead := m.leading
 	lead.preparedAt = now
@@ -68,7 +68,7 @@
 		m.out.Results = append(m.out.Results, Result{RequestID: m.change.requestID, Uncertain: true})
 	}
 	if m.leading != nil && m.leaseTerm == m.leading.term {
-		// No leader serves under this term any more.
+		// No leader serves under this term from now on.
 		m.leaseUntil = now
 	}
 	m.leading, m.change = nil, nil
@@ -90,14 +90,14 @@
 }
 
 // isJoining reports whether this member belongs to a group that is newer than the one it
-// knows. The leader that added it may be gone before its write arrived here, and the other
+// knows. The leader that added it may have failed before its write arrived here, and the other
 // members may be no majority without this one.
 func (m *Machine) isJoining(group Group) bool {
 	return m.state.Group.Before(group) && group.Has(m.member)
 }
 
 // onPrepare answers a candidate. A pre-vote records nothing. A promise is sent once it is on
-// disk, and counts as a lease so that the new leader can take over undisturbed.
+// disk. It counts as a lease, so that no other election interrupts the new leader's takeover.
 func (m *Machine) onPrepare(now time.Duration, from string, msg Prepare) {
 	reject := Reject{Term: msg.Term, Promised: m.state.Promised, Group: m.state.Group}
 	leaseHeld := now < m.leaseUntil && m.leaseTerm != msg.Released && m.leaseTerm.Leader != msg.Term.Leader
@@ -192,8 +192,8 @@
 	}
 }
 
-// restartPhase asks all members anew: for binding promises after a pre-vote, or for entries
-// where digests differed.
+// restartPhase asks all members again: for binding promises after a pre-vote, or for their
+// entries if digests differ.
 func (m *Machine) restartPhase(now time.Duration, needEntries bool) {
 	lead := m.leading
 	if !needEntries {
@@ -230,7 +230,7 @@
 }
 
 // assumeLeadership builds the table of the new term from the promised entries of a quorum,
-// and sends it as the leader's first write. The leader serves once that is committed.
+// and sends it as the leader's first write. The leader serves once that write is committed.
 func (m *Machine) assumeLeadership(now time.Duration) {
 	lead := m.leading
 	allEqual := m.digestsMatch()
@@ -304,9 +304,9 @@
 	}
 }
 
-// sendInitialWrite sends the leader's first write, which completes a member's state. A member
-// whose digest shows that it has all entries is only told to rebase them; one that may have
-// them gets nothing until its promise shows it.
+// sendInitialWrite sends the leader's first write, which completes a member's state. If the
+// member's digest shows that it has all entries, the write contains none and rebases them. If
+// its digest isn't known yet although the write could rebase, nothing is sent.
 func (m *Machine) sendInitialWrite(now time.Duration, member string) {
 	lead := m.leading
 	w := lead.pending.write
@@ -319,8 +319,8 @@
 	m.send(member, w, false)
 }
 
-// onReject handles a rejection of a candidate or leader. A candidate gives up once the rest
-// of its group is no quorum any more.
+// onReject handles a rejection of a candidate or leader. A candidate steps down once the members
+// that have not rejected it are no quorum.
 func (m *Machine) onReject(now time.Duration, from string, msg Reject) {
 	lead := m.leading
 	if m.state.Group.Before(msg.Group) {
--- a/rule/partition/group.go
+++ b/rule/partition/group.go
@@ -65,9 +65,9 @@
 // All returns the current and the former members.
 func (g Group) All() []string {
 	all := append([]string(nil), g.Members...)
-	for _, s := range g.Former {
-		if !contains(all, s) {
-			all = append(all, s)
+	for _, member := range g.Former {
+		if !contains(all, member) {
+			all = append(all, member)
 		}
 	}
 	return all
@@ -81,8 +81,8 @@
 
 func majority(members []string, accepted func(string) bool) bool {
 	n := 0
-	for _, s := range members {
-		if accepted(s) {
+	for _, member := range members {
+		if accepted(member) {
 			n++
 		}
 	}
--- a/rule/partition/lease.go
+++ b/rule/partition/lease.go
@@ -22,8 +22,8 @@
 // start elections at the same time.
 func (m *Machine) electionTimeout() time.Duration {
 	rank := 0
-	for i, s := range m.state.Group.Members {
-		if s == m.member {
+	for i, member := range m.state.Group.Members {
+		if member == m.member {
 			rank = i
 		}
 	}
@@ -48,7 +48,7 @@
 	})
 }
 
-// extendLease counts the lease of a term's leader anew from now.
+// extendLease restarts the lease of a term's leader at now.
 func (m *Machine) extendLease(now time.Duration, term Term) {
 	m.leaseTerm, m.leaseUntil = term, now+m.followerLease()
 	m.electionAt = m.leaseUntil + m.electionTimeout()
@@ -56,7 +56,7 @@
 
 // onRenewLease renews the lease of a leader whose term this member has promised. For a later
 // term, which it hasn't promised yet, it answers without renewing: the time in that answer is
-// already a whole lease ago.
+// one lease duration ago.
 func (m *Machine) onRenewLease(now time.Duration, from string, msg RenewLease) {
 	if msg.Term.Less(m.state.Promised) {
 		m.send(from, Reject{Term: msg.Term, Promised: m.state.Promised, Group: m.state.Group}, false)
@@ -90,7 +90,7 @@
 	}
 	lead.ackedAt[from] = max(lead.ackedAt[from], msg.SentAt)
 	lead.completeSeq[from] = max(lead.completeSeq[from], msg.CompleteSeq)
-	m.noteNewMember(now, from)
+	m.recordNewMemberAck(now, from)
 	if lead.serving && (msg.CompleteSeq < lead.committedSeq || msg.Diverged) && (lead.pending == nil || msg.CompleteSeq < lead.pending.write.PriorSeq) && contains(m.recipients(), from) {
 		m.scheduleSnapshot(now, from)
 	}
--- a/rule/partition/machine.go
+++ b/rule/partition/machine.go
@@ -41,7 +41,7 @@
 	durableTerm Term
 }
 
-// effects collects what a step wants done, and receives violated invariants.
+// effects holds the output of the current call, and the reporter of violated invariants.
 type effects struct {
 	out      *Output
 	violated invariant.Reporter
@@ -74,7 +74,8 @@
 	seq          uint64
 	committedSeq uint64
 	purgedSeq    uint64
-	// pending is the write that waits for a quorum; what is queued goes into the next one.
+	// pending is the write that waits for a quorum. Queued entries, purges and groups are in
+	// the next write.
 	pending       *pendingWrite
 	queuedEntries []Entry
 	queuedPurges  []Entry
@@ -99,7 +100,7 @@
 	Member    string
 	Partition int
 	Rules     Rules
-	// State is what the member's disk holds; its zero value is that of a new member.
+	// State is the state on the member's disk; its zero value is that of a new member.
 	State State
 	Now   time.Duration
 	// Random returns numbers in [0, 1).
@@ -172,23 +173,23 @@
 		m.digest = m.digestKey.table(m.state.Entries)
 		return
 	}
-	touched := make(map[string]bool, len(r.Entries)+len(r.Purged))
+	changed := make(map[string]bool, len(r.Entries)+len(r.Purged))
 	for _, list := range [][]Entry{r.Entries, r.Purged} {
 		for _, e := range list {
-			touched[e.Key] = true
+			changed[e.Key] = true
 		}
 	}
-	for key := range touched {
+	for key := range changed {
 		m.digest -= m.digestKey.entry(m.state.Entries[key])
 	}
 	m.state.Apply(r)
-	for key := range touched {
+	for key := range changed {
 		m.digest += m.digestKey.entry(m.state.Entries[key])
 	}
 }
 
-// Tick runs what has become due: a leader renews its lease and sweeps, another member starts
-// an election once its election timeout has passed.
+// Tick runs the work that is due: a leader renews its lease and compares digests in a sweep,
+// another member starts an election once its election timeout has passed.
 func (m *Machine) Tick(now time.Duration) Output {
 	m.out = &Output{}
 	lead := m.leading
@@ -200,7 +201,7 @@
 	case !lead.serving && now > lead.phaseStartedAt+m.params.LeaseDuration:
 		m.stepDown(now)
 	case !lead.serving && lead.table == nil && now > lead.preparedAt+m.params.LeaseDuration/10:
-		// Requests may have been lost or their receivers down.
+		// The messages may have been lost, or their receivers may have been down.
 		m.sendPrepare(now)
 	case !lead.serving && lead.pending != nil && now > lead.pending.sentAt+m.params.LeaseDuration/4:
 		lead.pending.sentAt = now
@@ -249,7 +250,7 @@
 			}
 		}
 	}
-	if c := m.change; c != nil && (now > c.heardAt+maxSilentLeases*m.params.LeaseDuration || now > c.startedAt+maxChangeLeases*m.params.LeaseDuration) {
+	if c := m.change; c != nil && (now > c.lastAckAt+maxSilentLeases*m.params.LeaseDuration || now > c.startedAt+maxChangeLeases*m.params.LeaseDuration) {
 		m.abortChange(now)
 	}
 	m.advanceChange(now)
@@ -258,16 +259,16 @@
 	if lead.pending != nil || m.change != nil || len(lead.group.Former) > 0 {
 		return
 	}
-	home := lead.group.Members[0]
+	preferred := lead.group.Members[0]
 	switch {
 	case !lead.group.Has(m.member):
 		if best := m.successor(); best != "" {
 			m.transferLeadership(now, best)
 		}
-	case m.params.LeasesBeforeHome > 0 && home != m.member && now > lead.servingSince+m.params.LeaseDuration*time.Duration(m.params.LeasesBeforeHome):
+	case m.params.LeasesBeforeTransfer > 0 && preferred != m.member && now > lead.servingSince+m.params.LeaseDuration*time.Duration(m.params.LeasesBeforeTransfer):
 		lead.servingSince = now
-		if lead.completeSeq[home] >= lead.committedSeq && now < lead.ackedAt[home]+m.params.LeaseDuration/2 {
-			m.transferLeadership(now, home)
+		if lead.completeSeq[preferred] >= lead.committedSeq && now < lead.ackedAt[preferred]+m.params.LeaseDuration/2 {
+			m.transferLeadership(now, preferred)
 		}
 	}
 }
--- a/rule/partition/machine_test.go
+++ b/rule/partition/machine_test.go
@@ -141,14 +141,14 @@
 	}
 }
 
-// TestUncommittedWriteStaysLost checks that a write which only one member has, and which was
+// TestUncommittedWriteIsNotRestored checks that a write which only one member has, and which was
 // never committed, isn't restored after a later leader has served without it.
-func TestUncommittedWriteStaysLost(t *testing.T) {
+func TestUncommittedWriteIsNotRestored(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
 	first := c.leader()
 	c.drop = func(from, to string, body any) bool { return from == first && to != first }
-	if r := c.propose(first, put{"ghost", "boo"}); !r.Uncertain {
+	if r := c.propose(first, put{"uncommitted", "v"}); !r.Uncertain {
 		t.Fatal("a write without a majority was acknowledged")
 	}
 	old := c.replicas[first]
@@ -156,7 +156,7 @@
 	c.drop = func(string, string, any) bool { return false }
 	c.advance(500 * time.Millisecond)
 	second := c.leader()
-	c.wantValue("ghost", "")
+	c.wantValue("uncommitted", "")
 	// The member with the uncommitted write returns, and the leader without it stops.
 	c.replicas[first] = New(Options{Params: old.params, Member: first, Rules: registers{}, State: old.state, Now: c.now, Random: func() float64 { return 0 }})
 	c.drop = func(from, to string, body any) bool { return to == first }
@@ -166,7 +166,7 @@
 	if c.leader() == "" {
 		t.Fatal("no leader")
 	}
-	c.wantValue("ghost", "")
+	c.wantValue("uncommitted", "")
 }
 
 func TestNonMemberNeverVotes(t *testing.T) {
@@ -272,22 +272,22 @@
 func TestRepairsReplicaAndPurgesTombstones(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
-	behind := "c"
+	outdated := "c"
 	if c.leader() == "c" {
-		behind = "b"
+		outdated = "b"
 	}
-	c.drop = func(from, to string, body any) bool { _, write := body.(Write); return write && to == behind }
+	c.drop = func(from, to string, body any) bool { _, write := body.(Write); return write && to == outdated }
 	c.propose(c.leader(), put{"k", "v"})
-	c.propose(c.leader(), put{"gone", "v"})
-	c.propose(c.leader(), put{"gone", ""})
+	c.propose(c.leader(), put{"deleted", "v"})
+	c.propose(c.leader(), put{"deleted", ""})
 	c.drop = func(string, string, any) bool { return false }
 	c.advance(100 * time.Millisecond)
-	if e := c.replicas[behind].State().Entries["k"]; string(e.Value) != "v" {
-		t.Error("an outdated replica was not repaired")
+	if e := c.replicas[outdated].State().Entries["k"]; string(e.Value) != "v" {
+		t.Error("the outdated replica was not repaired")
 	}
 	c.advance(2 * time.Second)
 	for _, s := range c.order {
-		if _, there := c.replicas[s].State().Entries["gone"]; there {
+		if _, present := c.replicas[s].State().Entries["deleted"]; present {
 			t.Errorf("%s still has a tombstone", s)
 		}
 	}
--- a/rule/partition/membership.go
+++ b/rule/partition/membership.go
@@ -11,10 +11,10 @@
 	group  Group
 	adding string
 	step   int
-	// startedAt is when the change began, heardAt when the member to be added last
-	// acknowledged a message.
-	startedAt, heardAt time.Duration
-	// heldSince is since when writes are held back for that member to catch up.
+	// startedAt is when the change began, lastAckAt when the member to be added last
+	// acknowledged a message, initially startedAt.
+	startedAt, lastAckAt time.Duration
+	// heldSince is when the last pause of writes, for that member to catch up, began.
 	heldSince time.Duration
 }
 
@@ -26,19 +26,19 @@
 )
 
 const (
-	// maxSilentLeases is after how many leases without an acknowledgement of the member to
-	// be added a change is aborted, maxChangeLeases after how many in any case.
+	// A change that is still catching up is aborted after maxSilentLeases leases without an
+	// acknowledgement of the member to be added, and after maxChangeLeases leases in any case.
 	maxSilentLeases = 8
 	maxChangeLeases = 30
-	// catchUpWrites is how many writes a new member may lag behind for the leader to hold
-	// back its next write until the member has caught up.
+	// catchUpWrites is the greatest number of writes that a new member may lack for the
+	// leader to hold back its next write until the member has caught up.
 	catchUpWrites = 8
 )
 
 // ChangeMembers asks the leader to change its group by one member to add and one to remove,
 // either of which may be empty. An added member takes the position of the removed one. The
-// Result's body reports whether the group is as asked; it is false if the change was aborted
-// or another one is in progress, and true at once if the member to remove has left already.
+// Result's body is true once the group is as requested, at once if the member to remove is no
+// member. It is false if the change was aborted or another one is in progress.
 func (m *Machine) ChangeMembers(now time.Duration, requestID uint64, add, remove string) Output {
 	m.out = &Output{}
 	lead := m.leading
@@ -48,14 +48,14 @@
 	}
 	members := []string{}
 	pendingAdd := add != "" && !contains(lead.group.Members, add)
-	for _, s := range lead.group.Members {
-		if s == remove {
+	for _, member := range lead.group.Members {
+		if member == remove {
 			if !pendingAdd {
 				continue
 			}
-			s, pendingAdd = add, false
+			member, pendingAdd = add, false
 		}
-		members = append(members, s)
+		members = append(members, member)
 	}
 	if pendingAdd {
 		members = append(members, add)
@@ -68,7 +68,7 @@
 		m.out.Results = append(m.out.Results, Result{RequestID: requestID, Body: true})
 		return *m.out
 	}
-	m.change = &memberChange{requestID: requestID, adding: add, startedAt: now, heardAt: now,
+	m.change = &memberChange{requestID: requestID, adding: add, startedAt: now, lastAckAt: now,
 		group: Group{Term: lead.term, Epoch: lead.group.Epoch + 1, Members: members, Former: lead.group.Members}}
 	if add != "" && !lead.group.Has(add) {
 		lead.completeSeq[add] = 0
@@ -79,8 +79,8 @@
 	return *m.out
 }
 
-// ChangeInProgress reports whether a change is in progress, and which member it adds as long as
-// it can still be aborted.
+// ChangeInProgress reports whether a change is in progress. While the change can still be aborted,
+// it also returns the member to be added.
 func (m *Machine) ChangeInProgress() (adding string, changing bool) {
 	switch {
 	case m.change == nil:
@@ -133,8 +133,8 @@
 	if len(a) != len(b) {
 		return false
 	}
-	for _, s := range a {
-		if !contains(b, s) {
+	for _, member := range a {
+		if !contains(b, member) {
 			return false
 		}
 	}
@@ -184,9 +184,9 @@
 	return c != nil && c.step == stepCatchUp && c.adding != "" && c.heldSince > 0 && now < c.heldSince+m.params.LeaseDuration/8 && lead.completeSeq[c.adding] < lead.committedSeq
 }
 
-// noteNewMember records an acknowledgement if it is from the member to be added.
-func (m *Machine) noteNewMember(now time.Duration, from string) {
+// recordNewMemberAck records an acknowledgement if it is from the member to be added.
+func (m *Machine) recordNewMemberAck(now time.Duration, from string) {
 	if m.change != nil && m.change.adding == from {
-		m.change.heardAt = now
+		m.change.lastAckAt = now
 	}
 }
--- a/rule/partition/membership_test.go
+++ b/rule/partition/membership_test.go
@@ -49,7 +49,7 @@
 	if c.leader() != leader {
 		t.Fatal("the leader changed")
 	}
-	if e, there := c.replicas[removed].State().Entries["old"]; there && !e.Deleted {
+	if e, present := c.replicas[removed].State().Entries["old"]; present && !e.Deleted {
 		t.Error("a deleted entry is restored in a replica")
 	}
 	c.replicas[leader] = nil
--- a/rule/partition/messages.go
+++ b/rule/partition/messages.go
@@ -5,8 +5,8 @@
 // Messages between the members of a group. SentAt is a time of the clock of the candidate or
 // leader. An answer returns it, so that a lease counts from before its renewal was sent.
 type (
-	// Prepare asks for the promise of a term. A pre-vote binds no one; it keeps a member
-	// that was partitioned from deposing a leader that serves.
+	// Prepare asks for the promise of a term. A pre-vote is not binding. It prevents a member
+	// that was cut off from the network from deposing a serving leader.
 	Prepare struct {
 		PreVote bool `msgpack:"a"`
 		// DigestOnly asks for the digest of the entries instead of the entries.
@@ -15,8 +15,8 @@
 		DigestKey DigestKey `msgpack:"k"`
 		Term      Term      `msgpack:"t"`
 		Group     Group     `msgpack:"g"`
-		// Released is a term whose leader no longer serves, so that its lease doesn't count:
-		// one that handed over to the candidate, or the candidate's own former term.
+		// Released is a term whose leader no longer serves, so that its lease is ignored: a
+		// leader that transferred its leadership to the candidate, or the candidate itself.
 		Released Term          `msgpack:"r"`
 		SentAt   time.Duration `msgpack:"s"`
 	}
@@ -34,12 +34,12 @@
 		SentAt     time.Duration `msgpack:"s"`
 	}
 	// Reject rejects a message of a term, because of a higher promise, a newer group or the
-	// lease of another leader. It also tells removed members of the new group.
+	// lease of another leader. It also informs removed members of the new group.
 	Reject struct {
 		Term     Term  `msgpack:"t"`
 		Promised Term  `msgpack:"p"`
 		Group    Group `msgpack:"g"`
-		// LeaseRemaining is how long that lease may still hold.
+		// LeaseRemaining is the time until that lease ends.
 		LeaseRemaining time.Duration `msgpack:"w"`
 	}
 	// Write replicates entries, or a snapshot of all entries, and renews the lease.
@@ -95,7 +95,7 @@
 		Term Term `msgpack:"t"`
 	}
 	// TransferLeadership makes the receiver start an election without waiting for the end
-	// of the sender's lease, which the sender has given up.
+	// of the sender's lease, which the sender has released.
 	TransferLeadership struct {
 		Term Term `msgpack:"t"`
 	}
--- a/rule/partition/replication.go
+++ b/rule/partition/replication.go
@@ -38,8 +38,8 @@
 	return *m.out
 }
 
-// flush sends what is queued as the next write, unless one is pending or writes are held back
-// for a new member.
+// flush sends the queued entries, purges and group as the next write, unless one is pending or
+// writes are held back for a new member.
 func (m *Machine) flush(now time.Duration) {
 	lead := m.leading
 	if lead.pending != nil || m.writesHeld(now) || (len(lead.queuedEntries) == 0 && lead.queuedGroup == nil && len(lead.queuedPurges) == 0) {
@@ -114,7 +114,7 @@
 	if m.completeTerm != msg.Term {
 		m.completeTerm, m.completeSeq = msg.Term, 0
 	}
-	// A write that was applied before must not be applied again: it would bring back entries
+	// A write that was applied before must not be applied again: it would restore entries
 	// that were deleted since and whose tombstones are purged.
 	duplicate := m.completeSeq >= msg.Seq && (msg.Rebase || !msg.Snapshot) || m.completeSeq > msg.Seq
 	if msg.Rebase && !duplicate && m.digest != msg.Digest {
@@ -140,7 +140,7 @@
 	}
 	lead.completeSeq[from] = max(lead.completeSeq[from], msg.CompleteSeq)
 	lead.ackedAt[from] = max(lead.ackedAt[from], msg.SentAt)
-	m.noteNewMember(now, from)
+	m.recordNewMemberAck(now, from)
 	pending := lead.pending
 	if msg.DigestMismatch && pending != nil && pending.write.Rebase {
 		// The member's entries have changed since its promise, so it needs the snapshot.
--- a/rule/partition/restart_test.go
+++ b/rule/partition/restart_test.go
@@ -11,9 +11,9 @@
 	c.replicas[member] = New(Options{Params: old.params, Member: member, Rules: registers{}, State: old.state, Now: c.now, Random: func() float64 { return 0.5 }})
 }
 
-// TestFormerLeaderNeedNotWait checks that a restarted leader, whose own lease ended with its
+// TestFormerLeaderResumesAtOnce checks that a restarted leader, whose own lease ended with its
 // process, serves again as soon as a majority is back.
-func TestFormerLeaderNeedNotWait(t *testing.T) {
+func TestFormerLeaderResumesAtOnce(t *testing.T) {
 	group := []string{"a", "b", "c"}
 	for _, late := range []time.Duration{0, 30 * time.Millisecond, 70 * time.Millisecond} {
 		c := newCluster(t, group, group...)
--- a/rule/partition/state.go
+++ b/rule/partition/state.go
@@ -24,7 +24,7 @@
 	Entries   []Entry       `msgpack:"e"`
 	// Purged has the tombstones to remove.
 	Purged []Entry `msgpack:"d"`
-	// Snapshot means that Entries are all there are up to the promised term and UpTo.
+	// Snapshot means that Entries are all entries up to the promised term and UpTo.
 	Snapshot bool `msgpack:"w"`
 	// UpTo is the sequence number of a snapshot or rebase in the promised term.
 	UpTo uint64 `msgpack:"u"`
--- a/rule/partition/types.go
+++ b/rule/partition/types.go
@@ -14,9 +14,9 @@
 	// LeasesPerSweep is the interval, in leases, at which the leader compares the digests
 	// of all replicas.
 	LeasesPerSweep int
-	// LeasesBeforeHome is after how many leases a leader hands over to the first member of
-	// the group; zero means never.
-	LeasesBeforeHome int
+	// LeasesBeforeTransfer is the number of leases after which a leader transfers its
+	// leadership to the first member of the group, the preferred leader. Zero means never.
+	LeasesBeforeTransfer int
 }
 
 // Send is a message to a member of the group, which may be the machine's own.
@@ -37,7 +37,8 @@
 	NotLeader bool
 }
 
-// Output is what a step wants done, in the order of its fields.
+// Output is what the caller must do after a call of a Machine: sync Records to disk, send Sends,
+// and return Results to their requesters.
 type Output struct {
 	Records []Record
 	Sends   []Send
@@ -45,7 +46,7 @@
 }
 
 // Counters count events of a replica. Elections are those that it started, Elected those that
-// it won; Entries are those of its Writes as the leader.
+// it won. Entries is the number of entries in its Writes as the leader.
 type Counters struct {
 	Elections, Elected, Writes, Entries, SnapshotsSent, Sweeps, TombstonesPurged int64
 }
--- a/rule/placement/home.go
+++ b/rule/placement/home.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// homes are the first two replicas of a conversation by rendezvous hashing (Thaler and
-// Ravishankar 1998). All nodes compute the same homes without coordination, so the turns of
+// homes are the home replica of a conversation and the next candidate by rendezvous hashing
+// (Thaler and Ravishankar 1998). All nodes compute the same homes without coordination, so the turns of
 // a conversation reach the replica that has cached its earlier turns, whichever node they
 // come through. Replicas in the node's zone rank above others.
 type homes struct {
@@ -27,6 +27,7 @@
 	return s.rank > other.rank
 }
 
+// homesOf returns the homes of a request, or nil replicas if it has no key for one.
 func (p *Policy) homesOf(request Request, replicas []*Replica, allowed func(*Replica) bool) (h homes) {
 	key, ok := request.homeKey()
 	if !ok || !p.Settings.HomeReplicas {
--- a/rule/placement/placement_test.go
+++ b/rule/placement/placement_test.go
@@ -13,7 +13,7 @@
 )
 
 func settings() Settings {
-	return Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: heartbeat}
+	return Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMillisecond: 80, HeartbeatInterval: heartbeat}
 }
 
 func replicas(count int) []*Replica {
@@ -118,10 +118,10 @@
 	}
 }
 
-// TestFailingReplicaIsAvoidedAndForgiven checks that failing replicas get few requests, that
+// TestFailingReplicaIsAvoidedUntilRecovery checks that failing replicas get few requests, that
 // they get their share again after they recover, and that some replica is chosen even if
 // all are failing.
-func TestFailingReplicaIsAvoidedAndForgiven(t *testing.T) {
+func TestFailingReplicaIsAvoidedUntilRecovery(t *testing.T) {
 	list := replicas(12)
 	p := policy(1, settings())
 	now := time.Duration(0)
@@ -213,7 +213,7 @@
 // combination of settings, and nil if none is allowed.
 func TestChooseUnderAllSettings(t *testing.T) {
 	for choice := range 32 {
-		s := Settings{SampleSize: choice % 2 * 2, HomeReplicas: choice&2 > 0, PromptCache: choice&4 > 0, LocalZone: choice&8 > 0, FailureRates: choice&16 > 0, PromptTokensPerMilli: 80, HeartbeatInterval: heartbeat}
+		s := Settings{SampleSize: choice % 2 * 2, HomeReplicas: choice&2 > 0, PromptCache: choice&4 > 0, LocalZone: choice&8 > 0, FailureRates: choice&16 > 0, PromptTokensPerMillisecond: 80, HeartbeatInterval: heartbeat}
 		p, list := policy(1, s), replicas(7)
 		only := list[4]
 		for turns := range 4 {
--- a/rule/placement/policy.go
+++ b/rule/placement/policy.go
@@ -7,16 +7,17 @@
 	// SampleSize is the number of replicas in the node's zone that are sampled and
 	// compared for a request, besides half as many in other zones. Zero compares all.
 	SampleSize int
-	// HomeReplicas prefers a conversation's home by rendezvous hashing.
+	// HomeReplicas prefers the home replica of a conversation, which rendezvous hashing
+	// selects from all replicas.
 	HomeReplicas bool
 	// UnitTimes takes the speed of replicas into account.
 	UnitTimes bool
 	// PromptCache takes into account which prompt segments a replica has cached, LocalZone
 	// whether it is in the node's zone, and FailureRates how often it fails.
 	PromptCache, LocalZone, FailureRates bool
-	// PromptTokensPerMilli is the number of prompt tokens that a replica processes in a
+	// PromptTokensPerMillisecond is the number of prompt tokens that a replica processes in a
 	// millisecond.
-	PromptTokensPerMilli float64
+	PromptTokensPerMillisecond float64
 	// HeartbeatInterval is the interval of the replicas' heartbeats.
 	HeartbeatInterval time.Duration
 }
@@ -66,7 +67,7 @@
 	affinityGain = 0.2
 	// tieBreak is the range of the random cost that spreads requests over equal replicas.
 	tieBreak = 3 * time.Millisecond
-	// reportValidityDivisor is the fraction of the heartbeat interval for which a
+	// reportValidityDivisor divides the heartbeat interval into the time for which a
 	// replica's load report is used.
 	reportValidityDivisor = 4
 )
@@ -180,7 +181,7 @@
 		// Other nodes send the earlier turns to the home too; assume that they are cached.
 		missing = min(missing, request.Prompt[len(request.Prompt)-1].Tokens)
 	}
-	return time.Duration(float64(missing) / p.Settings.PromptTokensPerMilli * float64(time.Millisecond) * float64(1+running))
+	return time.Duration(float64(missing) / p.Settings.PromptTokensPerMillisecond * float64(time.Millisecond) * float64(1+running))
 }
 
 // failureCost returns the expected cost of a failure. A repeatable request loses about its
--- a/rule/placement/replica.go
+++ b/rule/placement/replica.go
@@ -38,7 +38,8 @@
 	Canceled
 )
 
-// Replica is a node's view of one replica.
+// Replica is a node's view of one replica. Slots is the number of requests that it runs at a time.
+// Warming means that it has just started.
 type Replica struct {
 	ID      string
 	Zone    string
@@ -78,7 +79,7 @@
 	known     bool
 }
 
-// sharedLoad is what other nodes reported about a replica.
+// sharedLoad is the load and failure rate of a replica that other nodes reported.
 type sharedLoad struct {
 	outstanding int64
 	failureRate float64
--- a/rule/program/program.go
+++ b/rule/program/program.go
@@ -1,7 +1,9 @@
 // Package program holds the rules of a program: a root conversation and its helper conversations,
-// with their limits, token budget and chained history. A turn is charged its
-// full reservation unless it finished or certainly did not run. Start reading at Record; User
-// holds the limits across a user's programs.
+// with their limits, token budget and hash-chained history.
+//
+// A program is run by one node, its owner, under a fencing token that grows with each change of
+// owner. A turn is charged its full reservation unless it finished or certainly did not run. Start
+// reading at Record; User holds the limits across a user's programs.
 package program
 
 import (
@@ -41,43 +43,44 @@
 	CooldownUntil time.Duration    `msgpack:"u"`
 }
 
-// Record is a program's durable state. Only the node that owns the program under the current fence
-// changes it. Times are on the clock of the program's partition. Steps counts turns, Bytes the
-// size of the history. TestSession is the number of the breaker's test session, or zero;
-// TestPassed tells that the session has reported a successful turn.
+// Record is a program's durable state. Only the owner under the current Fence, the fencing token,
+// changes it. Node, Incarnation and Address are those of the owner. Times are on the clock of the
+// program's partition. Steps counts turns, Bytes is the size of the history, and Spent the output
+// of ended turns in tokens. ProbeNumber is the number of the breaker's probe that the program is,
+// or zero; ProbeSucceeded means that it has reported a successful turn.
 type Record struct {
-	ID            string                  `msgpack:"i"`
-	Tenant        string                  `msgpack:"t"`
-	User          string                  `msgpack:"u"`
-	Role          string                  `msgpack:"r"`
-	Node          string                  `msgpack:"n"`
-	Incarnation   string                  `msgpack:"a"`
-	Address       string                  `msgpack:"d"`
-	Fence         uint64                  `msgpack:"f"`
-	Version       uint64                  `msgpack:"v"`
-	OpenedAt      time.Duration           `msgpack:"o"`
-	LastActive    time.Duration           `msgpack:"z"`
-	Retention     time.Duration           `msgpack:"e"`
-	Closed        bool                    `msgpack:"c"`
-	Steps         int64                   `msgpack:"s"`
-	Spent         int64                   `msgpack:"p"`
-	Bytes         int64                   `msgpack:"b"`
-	TestSession   int                     `msgpack:"x"`
-	TestPassed    bool                    `msgpack:"y"`
-	Conversations map[string]Conversation `msgpack:"l"`
-	Running       map[string]Reservation  `msgpack:"q"`
-	ToolCalls     int64                   `msgpack:"k"`
-	Tools         map[string]ToolUsage    `msgpack:"w"`
-	// Precharged is the total, in tokens, that is charged in advance, up to which
-	// the owner may run turns while the cores can't be reached. Mirrors then hold
-	// those turns, under the fence that chose the mirrors.
+	ID             string                  `msgpack:"i"`
+	Tenant         string                  `msgpack:"t"`
+	User           string                  `msgpack:"u"`
+	Role           string                  `msgpack:"r"`
+	Node           string                  `msgpack:"n"`
+	Incarnation    string                  `msgpack:"a"`
+	Address        string                  `msgpack:"d"`
+	Fence          uint64                  `msgpack:"f"`
+	Version        uint64                  `msgpack:"v"`
+	OpenedAt       time.Duration           `msgpack:"o"`
+	LastActive     time.Duration           `msgpack:"z"`
+	Retention      time.Duration           `msgpack:"e"`
+	Closed         bool                    `msgpack:"c"`
+	Steps          int64                   `msgpack:"s"`
+	Spent          int64                   `msgpack:"p"`
+	Bytes          int64                   `msgpack:"b"`
+	ProbeNumber    int                     `msgpack:"x"`
+	ProbeSucceeded bool                    `msgpack:"y"`
+	Conversations  map[string]Conversation `msgpack:"l"`
+	Running        map[string]Reservation  `msgpack:"q"`
+	ToolCalls      int64                   `msgpack:"k"`
+	Tools          map[string]ToolUsage    `msgpack:"w"`
+	// Precharged is the total, in tokens, up to which the owner may run turns while it
+	// can't reach the cores, the processes that store records. It is charged in advance.
+	// Mirrors then store those turns; they were chosen under MirrorsFence.
 	Precharged   int64    `msgpack:"g"`
 	Mirrors      []Mirror `msgpack:"m"`
 	MirrorsFence uint64   `msgpack:"j"`
 }
 
-// Mirror names one process of a node that holds copies for a program's owner. Process is the
-// process's incarnation, without the count of its membership terms.
+// Mirror identifies a process of a node that stores copies of turns for a program's owner. Process
+// is the process's incarnation, without the count of its membership terms.
 type Mirror struct {
 	ID      string `msgpack:"i"`
 	Process string `msgpack:"l"`
@@ -96,7 +99,8 @@
 // EmptyHead is the head of a conversation without turns.
 const EmptyHead = "start"
 
-// NextHead returns the head that follows head after a turn.
+// NextHead returns the head of a conversation after a turn: a hash of the previous head, the prompt
+// and the response.
 func NextHead(head, prompt, response string) string {
 	h := sha256.New()
 	for _, text := range []string{head, prompt, response} {
@@ -118,20 +122,19 @@
 // Charged returns the tokens that count as spent: output and running reservations.
 func (r *Record) Charged() int64 { return r.Spent + r.Reserved() }
 
-// prechargedTurns is the number of maximum-size turns that an owner charges in advance, to be run
-// while the cores can't be reached.
+// prechargedTurns is the number of maximum-size turns that are charged in advance.
 const prechargedTurns = 2
 
 // PrechargeTarget returns the total, in tokens, up to which a program should be charged in advance
-// when charged tokens are charged already.
+// if the given number of tokens is already charged.
 func PrechargeTarget(role configuration.Role, charged int64) int64 {
 	return min(role.ProgramTokensHard, charged+prechargedTurns*role.TurnTokens)
 }
 
 // Conversation returns a conversation's state; one without turns is at EmptyHead.
 func (r *Record) Conversation(name string) Conversation {
-	if l, ok := r.Conversations[name]; ok {
-		return l
+	if c, ok := r.Conversations[name]; ok {
+		return c
 	}
 	return Conversation{Head: EmptyHead}
 }
@@ -146,7 +149,8 @@
 	return false
 }
 
-// ChargeRunning charges all running reservations in full, after the owner that ran them was lost.
+// ChargeRunning charges all running reservations in full. It is used after the owner that ran the
+// turns has failed, as they may have produced their maximum output.
 func (r *Record) ChargeRunning() {
 	r.Spent = r.Charged()
 	r.Running = nil
@@ -160,9 +164,9 @@
 	return verdict.Refused(verdict.Refusal{Check: check, Code: code, Reason: reason, Status: status, RetryAfter: after})
 }
 
-func appendWarning(warnings []verdict.Warning, scope string, used, of int64, ratio float64) []verdict.Warning {
-	if of > 0 && float64(used) >= ratio*float64(of) {
-		warnings = append(warnings, verdict.Warning{Scope: scope, Used: used, Limit: of})
+func appendWarning(warnings []verdict.Warning, scope string, used, limit int64, ratio float64) []verdict.Warning {
+	if limit > 0 && float64(used) >= ratio*float64(limit) {
+		warnings = append(warnings, verdict.Warning{Scope: scope, Used: used, Limit: limit})
 	}
 	return warnings
 }
--- a/rule/program/program_test.go
+++ b/rule/program/program_test.go
@@ -21,11 +21,11 @@
 	usage.Minute.Width, usage.Hour.Width = time.Minute, time.Hour
 	usage.Minute.Add(190*time.Second, 3)
 	r.Tools = map[string]ToolUsage{"x": usage}
-	set := func(change func(b *ToolUsage)) func() {
+	set := func(change func(u *ToolUsage)) func() {
 		return func() {
-			b := r.Tools["x"]
-			change(&b)
-			r.Tools["x"] = b
+			u := r.Tools["x"]
+			change(&u)
+			r.Tools["x"] = u
 		}
 	}
 	clock := 200 * time.Second
@@ -36,11 +36,11 @@
 		{"program_closed", func() { r.Closed = false }},
 		{"duration_reached", func() { r.OpenedAt = 190 * time.Second }},
 		{"tool_calls_reached", func() { r.ToolCalls = 19 }},
-		{"tool_calls_per_type_reached", set(func(b *ToolUsage) { b.Calls = 4 })},
-		{"loop", set(func(b *ToolUsage) { b.Identical["a"] = 1 })},
-		{"tool_cooling", set(func(b *ToolUsage) { b.CooldownUntil = 0 })},
+		{"tool_calls_per_type_reached", set(func(u *ToolUsage) { u.Calls = 4 })},
+		{"loop", set(func(u *ToolUsage) { u.Identical["a"] = 1 })},
+		{"tool_cooling", set(func(u *ToolUsage) { u.CooldownUntil = 0 })},
 		{"tool_rate_reached", func() { service.CallsPerMinute = 4 }},
-		{"tool_busy", set(func(b *ToolUsage) { b.Running = 0 })},
+		{"tool_busy", set(func(u *ToolUsage) { u.Running = 0 })},
 		{"", func() {}},
 	} {
 		v := r.CheckToolCall(clock, "x", "a", role, service, 0.8)
@@ -65,7 +65,8 @@
 	}
 }
 
-// TestTurnLimitOrder does the same for the limits of a turn.
+// TestTurnLimitOrder violates every limit of a turn at once and clears the violations one by one, in
+// the order of the checks.
 func TestTurnLimitOrder(t *testing.T) {
 	role := viewer()
 	r := Record{Closed: true, Steps: 10, ToolCalls: 20, Bytes: 1000, Tools: map[string]ToolUsage{"x": {Calls: 5, Identical: map[string]int64{"a": 2}}}}
@@ -94,18 +95,18 @@
 	role := viewer()
 	var r Record
 	turns := 0
-	for line := 'a'; ; line++ {
+	for id := 'a'; ; id++ {
 		if r.CheckTokenBudget(role).Refused() {
 			break
 		}
-		r.ReserveTurn(string(line), string(line), 300)
+		r.ReserveTurn(string(id), string(id), 300)
 		turns++
 	}
 	if turns != 4 || r.Charged() > role.ProgramTokensHard+300 {
 		t.Errorf("%d turns, %d charged", turns, r.Charged())
 	}
 	r.CancelTurn("a")
-	r.FinishTurn("b", 10, "say", "got")
+	r.FinishTurn("b", 10, "prompt", "response")
 	r.FailTurn("c")
 	if r.Spent != 310 || r.Reserved() != 300 || r.Steps != 3 {
 		t.Errorf("%+v", r)
--- a/rule/program/user.go
+++ b/rule/program/user.go
@@ -8,7 +8,7 @@
 	"saffronfall/rule/verdict"
 )
 
-// Session is an open session of a user.
+// Session is a program that counts towards a user's limits. Charged is its usage in tokens.
 type Session struct {
 	ExpiresAt time.Duration `msgpack:"u"`
 	Charged   int64         `msgpack:"c"`
@@ -43,8 +43,8 @@
 		Day: allowance.Window{Width: 24 * time.Hour}, Tokens: allowance.Window{Width: 24 * time.Hour}}
 }
 
-// recentOpens is the number of open results that are kept per user.
-const recentOpens = 8
+// maxRecentOpens is the number of open results that are kept per user.
+const maxRecentOpens = 8
 
 // OpenSession checks a session start: lockout and the three windows in one pass, then concurrency,
 // then the day's tokens. A start that passed the windows counts in them even if a later check
@@ -57,8 +57,8 @@
 	}
 	v := u.checkSession(clock, program, role, ratio)
 	u.RecentOpens = append(u.RecentOpens, OpenResult{Program: program, Verdict: v})
-	if n := len(u.RecentOpens); n > recentOpens {
-		u.RecentOpens = append([]OpenResult(nil), u.RecentOpens[n-recentOpens:]...)
+	if n := len(u.RecentOpens); n > maxRecentOpens {
+		u.RecentOpens = append([]OpenResult(nil), u.RecentOpens[n-maxRecentOpens:]...)
 	}
 	return v
 }
@@ -119,8 +119,8 @@
 	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
 
-// dayTokens returns the tokens charged in the last day, and those that open sessions were charged
-// in advance.
+// dayTokens returns the tokens charged in the last day, plus those that open sessions may spend
+// before their next reports.
 func (u *User) dayTokens(clock time.Duration) int64 {
 	spent := u.Tokens.Sum(clock)
 	for _, s := range u.Sessions {
@@ -131,13 +131,14 @@
 	return spent
 }
 
-// ChargeSession raises the cumulative tokens that a program has spent and was charged in advance,
-// and returns the tokens charged to the user in the last day.
-func (u *User) ChargeSession(clock time.Duration, program string, charged, covered int64) int64 {
+// ChargeSession raises the totals, in tokens, that a program was charged and was charged in advance.
+// It returns the tokens charged to the user in the last day. Lower totals than before change
+// nothing, so that a repeated or delayed report has no effect.
+func (u *User) ChargeSession(clock time.Duration, program string, charged, precharged int64) int64 {
 	s := u.Sessions[program]
-	if charged > s.Charged || covered > s.Precharged {
+	if charged > s.Charged || precharged > s.Precharged {
 		u.Tokens.Add(clock, max(0, charged-s.Charged))
-		s.Charged, s.Precharged = max(charged, s.Charged), max(covered, s.Precharged)
+		s.Charged, s.Precharged = max(charged, s.Charged), max(precharged, s.Precharged)
 		if u.Sessions == nil {
 			u.Sessions = map[string]Session{}
 		}
--- a/rule/rate/ledger.go
+++ b/rule/rate/ledger.go
@@ -3,8 +3,9 @@
 // A Ledger grants nodes leases on requests ahead of their use, so that nodes admit requests
 // locally. Its main invariant is that no window ever contains more requests than the limit
 // allows, although nodes crash, messages are lost, delayed and repeated, and the ledger is
-// restored from its DurableState by a new leader. Whatever a node may have spent without
-// reporting it therefore counts as spent as late as possible. Start reading at Ledger.Draw.
+// restored from its DurableState by a new leader. Requests that a node may have spent without
+// reporting them therefore count as spent at the latest possible time. Start reading at
+// Ledger.Draw.
 package rate
 
 import "time"
--- a/rule/rate/ledger_test.go
+++ b/rule/rate/ledger_test.go
@@ -227,10 +227,10 @@
 	}
 }
 
-// TestRestoredLedgerKnowsWhatWasSpent checks that a restored ledger counts little more than
+// TestRestoredLedgerCountsSpentRequests checks that a restored ledger counts little more than
 // was spent, so that a tenant within its limit is not refused, and that a holder can continue
 // its lease.
-func TestRestoredLedgerKnowsWhatWasSpent(t *testing.T) {
+func TestRestoredLedgerCountsSpentRequests(t *testing.T) {
 	const window, leaseDuration = 5 * time.Second, 2500 * time.Millisecond
 	limit := Limit{Window: window, Max: 100}
 	l, durable := Restore(0, DurableState{}, leaseDuration), DurableState{}
--- a/rule/rehearsal/rehearsal.go
+++ b/rule/rehearsal/rehearsal.go
@@ -1,5 +1,5 @@
-// Package rehearsal replays recent requests under two configurations and counts which of
-// them only the newer one would refuse.
+// Package rehearsal replays recent requests under two configurations and counts those that
+// only the newer one would refuse.
 //
 // A replay evaluates the same checks as nodes do, in the same order, from the sampled
 // requests alone; it has no side effects. Start reading at Run.
@@ -16,21 +16,22 @@
 	"saffronfall/rule/program"
 )
 
-// Sample is one recent request. KeySum is the SHA-256 of its key; Steps and Charged are
-// its program's totals with it, Tokens is its own charge. Age is how long ago it was made.
+// Sample is one recent request. KeyDigest is the digest of its key. Steps and Charged are the
+// totals of its program including this request, Tokens is its own charge. Age is the time since
+// it was made.
 type Sample struct {
-	Tenant  string        `msgpack:"t" json:"tenant"`
-	Program string        `msgpack:"p" json:"program"`
-	User    string        `msgpack:"u" json:"user"`
-	Role    string        `msgpack:"r" json:"role"`
-	Kind    string        `msgpack:"k" json:"kind"`
-	Service string        `msgpack:"s" json:"service"`
-	KeySum  string        `msgpack:"y" json:"-"`
-	Steps   int64         `msgpack:"n" json:"steps"`
-	Tokens  int64         `msgpack:"o" json:"tokens"`
-	Charged int64         `msgpack:"c" json:"charged"`
-	Refused bool          `msgpack:"f" json:"refused"`
-	Age     time.Duration `msgpack:"a" json:"age"`
+	Tenant    string        `msgpack:"t" json:"tenant"`
+	Program   string        `msgpack:"p" json:"program"`
+	User      string        `msgpack:"u" json:"user"`
+	Role      string        `msgpack:"r" json:"role"`
+	Kind      string        `msgpack:"k" json:"kind"`
+	Service   string        `msgpack:"s" json:"service"`
+	KeyDigest string        `msgpack:"y" json:"-"`
+	Steps     int64         `msgpack:"n" json:"steps"`
+	Tokens    int64         `msgpack:"o" json:"tokens"`
+	Charged   int64         `msgpack:"c" json:"charged"`
+	Refused   bool          `msgpack:"f" json:"refused"`
+	Age       time.Duration `msgpack:"a" json:"age"`
 }
 
 // Result is the outcome of a rehearsal. Its JSON names say "inquiries" for requests and
@@ -44,18 +45,19 @@
 	ByCheck           map[string]int64 `json:"newly_refused_by_check"`
 	ByTenant          map[string]int64 `json:"newly_refused_by_tenant"`
 	// AllowedRatio is the largest NewlyRefusedRatio that is approved. With fewer than
-	// LeastRequests samples, every change is approved.
-	AllowedRatio  float64 `json:"allowed_ratio"`
-	LeastRequests int64   `json:"least_inquiries"`
-	Approved      bool    `json:"approved"`
-	// Changes are the result of the function Changes.
+	// MinRequests samples, every change is approved.
+	AllowedRatio float64 `json:"allowed_ratio"`
+	MinRequests  int64   `json:"least_inquiries"`
+	Approved     bool    `json:"approved"`
+	// Changes lists the changed settings; see the function Changes.
 	Changes []string `json:"moves"`
 }
 
 // replay is the state of one replay under a configuration.
 type replay struct {
 	d *configuration.Description
-	// users has its keys as "tenant/user"; buckets and dayTokens have them as tenants.
+	// users has keys of the form "tenant/user". The keys of buckets and dayTokens are names
+	// of tenants.
 	users     map[string]*program.User
 	buckets   map[string]*bucket
 	dayTokens map[string]int64
@@ -71,14 +73,14 @@
 	at     time.Duration
 }
 
-// Run replays samples under the configuration in force, which may be nil, and under a new
-// one. Without one in force, every request counts as refused before, and none as newly refused.
+// Run replays samples under the current configuration, which may be nil, and under a new one.
+// Without a current one, every request counts as refused before and none as newly refused.
 func Run(before, after *configuration.Description, samples []Sample) Result {
 	list := append([]Sample(nil), samples...)
 	sort.SliceStable(list, func(i, j int) bool { return list[i].Age > list[j].Age })
-	result := Result{ByCheck: map[string]int64{}, ByTenant: map[string]int64{}, AllowedRatio: after.Approval.NewlyRefusedRatio, LeastRequests: after.Approval.MinRequests}
-	inForce := newReplay(before)
-	planned := newReplay(after)
+	result := Result{ByCheck: map[string]int64{}, ByTenant: map[string]int64{}, AllowedRatio: after.Approval.NewlyRefusedRatio, MinRequests: after.Approval.MinRequests}
+	replayBefore := newReplay(before)
+	replayAfter := newReplay(after)
 	var start time.Duration
 	if len(list) > 0 {
 		start = list[0].Age
@@ -88,9 +90,9 @@
 		id := fmt.Sprint(i)
 		oldCheck := "unknown"
 		if before != nil {
-			oldCheck = inForce.check(s, at, id)
+			oldCheck = replayBefore.check(s, at, id)
 		}
-		newCheck := planned.check(s, at, id)
+		newCheck := replayAfter.check(s, at, id)
 		result.Requests++
 		if oldCheck != "" {
 			result.RefusedBefore++
@@ -107,7 +109,7 @@
 	if result.Requests > 0 {
 		result.NewlyRefusedRatio = float64(result.NewlyRefused) / float64(result.Requests)
 	}
-	result.Approved = result.Requests < result.LeastRequests || result.NewlyRefusedRatio <= result.AllowedRatio
+	result.Approved = result.Requests < result.MinRequests || result.NewlyRefusedRatio <= result.AllowedRatio
 	result.Changes = Changes(before, after)
 	return result
 }
@@ -119,10 +121,10 @@
 	if !ok {
 		return "tenant"
 	}
-	if s.KeySum != "" {
+	if s.KeyDigest != "" {
 		known := false
 		for _, k := range t.Keys {
-			known = known || k.SHA256 == s.KeySum
+			known = known || k.SHA256 == s.KeyDigest
 		}
 		if !known {
 			return "key"
@@ -207,8 +209,8 @@
 		line("  newly refused of %s: %d", tenant, r.ByTenant[tenant])
 	}
 	switch {
-	case r.Requests < r.LeastRequests:
-		line("it would be approved: %d inquiries are too few to measure by, the least is %d", r.Requests, r.LeastRequests)
+	case r.Requests < r.MinRequests:
+		line("it would be approved: %d inquiries are too few to measure by, the least is %d", r.Requests, r.MinRequests)
 	case r.Approved:
 		line("it would be approved")
 	default:
--- a/rule/rehearsal/rehearsal_test.go
+++ b/rule/rehearsal/rehearsal_test.go
@@ -9,9 +9,9 @@
 	"saffronfall/rule/configuration"
 )
 
-// TestPlan: the text for a change that removes a key, restricts a role and lowers a rate,
+// TestResultText checks the text for a change that removes a key, restricts a role and lowers a rate,
 // with samples that each of the three refuses.
-func TestPlan(t *testing.T) {
+func TestResultText(t *testing.T) {
 	parse := func(text string) *configuration.Description {
 		d, faults := configuration.Parse([]byte(text))
 		if len(faults) > 0 {
@@ -19,25 +19,25 @@
 		}
 		return d
 	}
-	clerk, keeper := configuration.KeyDigest("clerk"), configuration.KeyDigest("keeper")
+	parishKey, stationKey := configuration.KeyDigest("clerk"), configuration.KeyDigest("keeper")
 	before := parse(`{"roles":{"viewer":{"sessions_per_minute":5}},"services":{"model":{"kind":"model"}},
-		"tenants":{"parish":{"keys":[{"sha256":"` + clerk + `"}]},"station":{"keys":[{"sha256":"` + keeper + `"}],"inquiries_per_second":50}}}`)
+		"tenants":{"parish":{"keys":[{"sha256":"` + parishKey + `"}]},"station":{"keys":[{"sha256":"` + stationKey + `"}],"inquiries_per_second":50}}}`)
 	after := parse(`{"roles":{"viewer":{"sessions_per_minute":2,"steps":3}},"services":{"model":{"kind":"model"}},
-		"tenants":{"parish":{"keys":[]},"station":{"keys":[{"sha256":"` + keeper + `"}],"inquiries_per_second":1,"burst":4}}}`)
+		"tenants":{"parish":{"keys":[]},"station":{"keys":[{"sha256":"` + stationKey + `"}],"inquiries_per_second":1,"burst":4}}}`)
 	var samples []Sample
 	for i := 0; i < 4; i++ {
-		samples = append(samples, Sample{Tenant: "parish", User: "ana", Role: "viewer", Kind: "open", KeySum: clerk, Age: time.Duration(9-i) * time.Second},
-			Sample{Tenant: "station", User: "bo", Role: "viewer", Kind: "open", KeySum: keeper, Age: time.Duration(9-i) * time.Second})
+		samples = append(samples, Sample{Tenant: "parish", User: "ana", Role: "viewer", Kind: "open", KeyDigest: parishKey, Age: time.Duration(9-i) * time.Second},
+			Sample{Tenant: "station", User: "bo", Role: "viewer", Kind: "open", KeyDigest: stationKey, Age: time.Duration(9-i) * time.Second})
 	}
 	for i := 0; i < 8; i++ {
-		samples = append(samples, Sample{Tenant: "station", User: "bo", Role: "viewer", Kind: "turn", Service: "model", KeySum: keeper, Steps: int64(i + 1), Tokens: 100, Charged: int64(i+1) * 100, Age: time.Duration(900-i*10) * time.Millisecond})
+		samples = append(samples, Sample{Tenant: "station", User: "bo", Role: "viewer", Kind: "turn", Service: "model", KeyDigest: stationKey, Steps: int64(i + 1), Tokens: 100, Charged: int64(i+1) * 100, Age: time.Duration(900-i*10) * time.Millisecond})
 	}
 	goldie.New(t).Assert(t, "plan", []byte(Run(before, after, samples).Text(7)))
 }
 
-// TestChecksAsNodesDo: a replay counts sessions and the tokens of users' days, programs and
-// tenants' days as nodes do, and names the first check that refuses.
-func TestChecksAsNodesDo(t *testing.T) {
+// TestReplayAppliesNodeChecks checks that a replay counts sessions and the daily tokens of users and
+// tenants and the tokens of programs as nodes do, and returns the first check that refuses.
+func TestReplayAppliesNodeChecks(t *testing.T) {
 	key := configuration.KeyDigest("clerk")
 	for _, c := range []struct{ role, tenant, want string }{
 		{`"concurrent_sessions":1,"sessions_per_minute":9`, `"burst":9`, "concurrency"},
@@ -54,7 +54,7 @@
 			t.Fatal(faults)
 		}
 		s := func(kind, id string, steps, charged int64, age time.Duration) Sample {
-			return Sample{Tenant: "parish", User: "ana", Role: "viewer", Program: id, Kind: kind, KeySum: key, Steps: steps, Tokens: 100, Charged: charged, Age: age * time.Second}
+			return Sample{Tenant: "parish", User: "ana", Role: "viewer", Program: id, Kind: kind, KeyDigest: key, Steps: steps, Tokens: 100, Charged: charged, Age: age * time.Second}
 		}
 		recent := []Sample{s("open", "a", 0, 0, 9), s("turn", "a", 1, 100, 8), s("turn", "a", 2, 200, 7), s("open", "b", 0, 0, 6), s("close", "a", 0, 0, 5), s("close", "b", 0, 0, 4), s("open", "c", 0, 0, 3)}
 		result := Run(nil, d, recent)
--- a/rule/route/difference_test.go
+++ b/rule/route/difference_test.go
@@ -26,7 +26,7 @@
 		if random.IntN(4) == 0 {
 			continue
 		}
-		r := Route{Name: fmt.Sprint(i), Host: []string{"h.example", "H2.example"}[i%2], Prefix: fmt.Sprintf("/p%d/", i/2), Mode: Once, TimeoutMS: 1000 + float64(random.IntN(2)), Tries: 1, Urgency: int64(random.IntN(2))}
+		r := Route{Name: fmt.Sprint(i), Host: []string{"h.example", "H2.example"}[i%2], Prefix: fmt.Sprintf("/p%d/", i/2), Mode: Once, TimeoutMS: 1000 + float64(random.IntN(2)), MaxAttempts: 1, Urgency: int64(random.IntN(2))}
 		r.Targets = []Target{{Service: table.Services[random.IntN(len(table.Services))].Name, Weight: 1 + float64(random.IntN(2))}}
 		table.Routes = append(table.Routes, r)
 	}
@@ -178,7 +178,7 @@
 func benchTables(b *testing.B) (base, next *Table) {
 	table := Table{Number: 1, Services: []Service{{Name: "s", Connections: 1, TokensPerEvent: 1}}, Limits: Limits{HeaderBytes: 1000, BodyBytes: 1000}, Tenants: []Tenant{}}
 	for i := range 150 {
-		table.Routes = append(table.Routes, Route{Name: fmt.Sprint(i), Host: "h", Prefix: fmt.Sprintf("/p%d/", i), Mode: Once, TimeoutMS: 1000, Tries: 1, Targets: []Target{{Service: "s", Weight: 1}}})
+		table.Routes = append(table.Routes, Route{Name: fmt.Sprint(i), Host: "h", Prefix: fmt.Sprintf("/p%d/", i), Mode: Once, TimeoutMS: 1000, MaxAttempts: 1, Targets: []Target{{Service: "s", Weight: 1}}})
 	}
 	parse := func(t Table) *Table {
 		text, _ := json.Marshal(t)
--- a/rule/route/table.go
+++ b/rule/route/table.go
@@ -48,11 +48,11 @@
 	MaxEventGapMS   float64 `json:"gap_ms" msgpack:"GapMS"`
 	// Urgency is the priority of requests; 0 is the most urgent.
 	Urgency int64 `json:"urgency" msgpack:"Urgency"`
-	// Tries is the greatest number of replicas that one request is sent to.
-	Tries int64 `json:"tries" msgpack:"Tries"`
+	// MaxAttempts is the greatest number of replicas that one request is sent to.
+	MaxAttempts int64 `json:"tries" msgpack:"Tries"`
 	// Public requests need no key.
 	Public bool `json:"open" msgpack:"Open"`
-	// CacheAffinity prefers replicas that recently served a request for the same item.
+	// CacheAffinity prefers replicas that recently served a request with the same affinity key.
 	CacheAffinity bool     `json:"pinned" msgpack:"Pinned"`
 	Targets       []Target `json:"targets" msgpack:"Targets"`
 }
@@ -270,7 +270,7 @@
 	return nil, false
 }
 
-// TenantByKey returns the tenant that owns a key, given in clear text.
+// TenantByKey returns the tenant of a key, given in clear text.
 func (t *Table) TenantByKey(key string) (*Tenant, bool) {
 	tenant, ok := t.byKey[configuration.KeyDigest(key)]
 	return tenant, ok
--- a/rule/route/table_test.go
+++ b/rule/route/table_test.go
@@ -101,10 +101,10 @@
 			if !ok || found != r {
 				t.Fatalf("%+v is not found; found %+v", r, found)
 			}
-			for _, where := range []float64{0, 0.5, math.Nextafter(1, 0), 1} {
-				picked := r.PickService(where)
+			for _, fraction := range []float64{0, 0.5, math.Nextafter(1, 0), 1} {
+				picked := r.PickService(fraction)
 				if _, ok := table.Service(picked); !ok {
-					t.Fatalf("%+v at %v: picked the unknown service %q", r, where, picked)
+					t.Fatalf("%+v at %v: picked the unknown service %q", r, fraction, picked)
 				}
 				weight := 0.0
 				for _, target := range r.Targets {
@@ -113,7 +113,7 @@
 					}
 				}
 				if weight <= 0 {
-					t.Fatalf("%+v at %v: picked %q, which has no weight", r, where, picked)
+					t.Fatalf("%+v at %v: picked %q, which has no weight", r, fraction, picked)
 				}
 			}
 		}
--- a/rule/slab/slab.go
+++ b/rule/slab/slab.go
@@ -1,6 +1,6 @@
 // Package slab stores values, such as the state of pending requests, in reusable slots. A
-// ticket identifies a slot and its generation, so a late ticket of a slot that has been reused
-// finds nothing. Start reading at Slab.
+// ticket identifies a slot and its generation, so that the ticket of a removed value is never
+// valid for the next value in its slot. Start reading at Slab.
 package slab
 
 // Ticket identifies a stored value: the upper 32 bits are the generation of its slot, the lower
--- a/saffronfall/params/params.go
+++ b/saffronfall/params/params.go
@@ -188,7 +188,7 @@
 
 // Core returns the parameters of the control plane.
 func (p Params) Core() core.Params {
-	return core.Params{Partition: partition.Params{LeaseDuration: ms(p.LeaderTermMS), Drift: p.Drift, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20},
+	return core.Params{Partition: partition.Params{LeaseDuration: ms(p.LeaderTermMS), Drift: p.Drift, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeTransfer: 20},
 		MemberLease:    ms(p.MemberTermMS),
 		AttemptTimeout: ms(p.RetryMS), PullInterval: ms(p.PullMS), GoneAfter: ms(p.CoreLossTimeoutMS), OrderRetention: time.Duration(p.CommandRetentionHours) * time.Hour, ColdStart: p.ColdStart}
 }
--- a/saffronfall/params/relay.go
+++ b/saffronfall/params/relay.go
@@ -106,7 +106,7 @@
 
 // policy returns the placement policy, given the period of replicas' heartbeats.
 func (p Placement) policy(heartbeat time.Duration) placement.Settings {
-	return placement.Settings{SampleSize: int(p.ComparedReplicas), HomeReplicas: p.ConversationHomes, UnitTimes: p.WeighSpeeds, PromptCache: p.WeighPrefixes, LocalZone: p.WeighZones, FailureRates: p.WeighFailures, PromptTokensPerMilli: p.PromptTokensPerMS, HeartbeatInterval: heartbeat}
+	return placement.Settings{SampleSize: int(p.ComparedReplicas), HomeReplicas: p.ConversationHomes, UnitTimes: p.WeighSpeeds, PromptCache: p.WeighPrefixes, LocalZone: p.WeighZones, FailureRates: p.WeighFailures, PromptTokensPerMillisecond: p.PromptTokensPerMS, HeartbeatInterval: heartbeat}
 }
 
 // RelayNode returns the parameters of a relaying node.
--- a/saffronfall/telemetry/telemetry.go
+++ b/saffronfall/telemetry/telemetry.go
@@ -115,7 +115,7 @@
 // NewViolationCounts returns the counters of violated invariants. The first violation of
 // each invariant is logged; if strict is set, it panics instead.
 func NewViolationCounts(strict bool, log logr.Logger) *invariant.Counter {
-	return &invariant.Counter{First: func(v invariant.Violation) {
+	return &invariant.Counter{OnFirst: func(v invariant.Violation) {
 		if strict {
 			panic(v)
 		}
