--- a/rule/admission/admission.go
+++ b/rule/admission/admission.go
@@ -43,7 +43,7 @@
 	maxLevel = 2.0
 	// maxInterval bounds the time that one observation accounts for.
 	maxInterval = 500 * time.Millisecond
-	// minRetryAfter is the shortest delay that a refused request is told to wait.
+	// minRetryAfter is the lower bound of RetryAfter.
 	minRetryAfter = 200 * time.Millisecond
 )
 
--- a/rule/allowance/allowance_test.go
+++ b/rule/allowance/allowance_test.go
@@ -86,11 +86,11 @@
 	for _, c := range []struct {
 		wants   []int64
 		holders int64
-		whole   int64
+		total   int64
 	}{{[]int64{1}, 1, 10}, {[]int64{32, 32, 320}, 3, 48}, {[]int64{32}, 13, 48}, {[]int64{5, 5, 5, 5, 5}, 5, 3}, {[]int64{1000, 1}, 2, 2}} {
 		var l Ledger
 		names := []string{"a", "b", "c", "d", "e"}
-		d := Division{Total: c.whole, Holders: c.holders, IdleDemand: 32}
+		d := Division{Total: c.total, Holders: c.holders, IdleDemand: 32}
 		for i, w := range c.wants {
 			l.SetDemand(names[i], w, d)
 		}
@@ -102,7 +102,7 @@
 				none++
 			}
 		}
-		if sum > c.whole || (none > 0 && int64(len(c.wants)) <= c.whole) {
+		if sum > c.total || (none > 0 && int64(len(c.wants)) <= c.total) {
 			t.Errorf("%+v: %d granted in total, %d holders without a share", c, sum, none)
 		}
 	}
--- a/rule/configuration/description.go
+++ b/rule/configuration/description.go
@@ -67,7 +67,7 @@
 	MinRequests       int64   `json:"least_inquiries"`
 }
 
-// Description is the whole configuration of roles, tenants, services and quotas.
+// Description is the configuration of roles, tenants, services and quotas.
 type Description struct {
 	Roles    map[string]Role    `json:"roles"`
 	Tenants  map[string]Tenant  `json:"tenants"`
--- a/rule/invariant/invariant.go
+++ b/rule/invariant/invariant.go
@@ -15,7 +15,8 @@
 	"saffronfall/rule/ordered"
 )
 
-// Name identifies an invariant in logs and metrics.
+// Name identifies an invariant in logs and metrics. Values that differ from their constants are
+// fixed outer names: in them, "tries" are attempts and "paid" means covered by a grant.
 type Name string
 
 // Invariants of a node that relays requests.
--- a/rule/message/message_test.go
+++ b/rule/message/message_test.go
@@ -48,7 +48,7 @@
 			t.Fatal(err)
 		}
 		if again := Pack(opened); !bytes.Equal(Marshal(value), Marshal(opened)) || len(again) != len(raw) {
-			t.Errorf("%+v came back as %+v", value, opened)
+			t.Errorf("%+v was decoded as %+v", value, opened)
 		}
 	}
 }
--- a/rule/partition/durable_test.go
+++ b/rule/partition/durable_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestEachTermHasItsDigestKey checks that digests depend on a secret key that each term generates
-// anew. Tenants control the contents of entries and could construct collisions otherwise.
+// TestEachTermHasItsDigestKey checks that digests depend on a new secret key in each
+// term. Tenants control the contents of entries and could construct collisions otherwise.
 func TestEachTermHasItsDigestKey(t *testing.T) {
 	entry := func(key, value string) Entry {
 		return Entry{Key: key, Value: []byte(value), Version: Version{Term: Term{Round: 1, Leader: "a"}, Seq: 1}}
--- a/rule/partition/election.go
+++ b/rule/partition/election.go
@@ -107,7 +107,7 @@
 	case msg.Group.Before(m.state.Group):
 		m.send(from, reject, false)
 	case leaseHeld:
-		// This member's own candidacy may end at any time, so it is no reason to wait.
+		// This member's own candidacy may end at any time, so the candidate need not wait for it.
 		if m.leading == nil || m.leading.serving {
 			reject.LeaseRemaining = m.leaseUntil - now
 		}
@@ -164,8 +164,8 @@
 	case !lead.group.hasQuorum(lead.promised):
 	case lead.preVote && now < m.leaseUntil && m.leaseTerm.Leader != m.member:
 		// The candidate has renewed another leader's lease since it asked. It must not
-		// promise its own term while that lease lasts: after a restart it would take the
-		// lease for its own and not wait for its end.
+		// promise its own term while that lease lasts: after a restart it would treat
+		// the lease as its own and not wait for its end.
 		m.stepDown(now)
 	case lead.preVote:
 		m.restartPhase(now, false)
--- a/rule/partition/membership_test.go
+++ b/rule/partition/membership_test.go
@@ -194,8 +194,8 @@
 	t.Error("the new member was never added")
 }
 
-// TestRemovedLeaderTransfersLeadership checks that a leader hands over once it is removed from its
-// group.
+// TestRemovedLeaderTransfersLeadership checks that a leader transfers its leadership once it is
+// removed from its group.
 func TestRemovedLeaderTransfersLeadership(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(300 * time.Millisecond)
--- a/rule/partition/rebase_test.go
+++ b/rule/partition/rebase_test.go
@@ -58,8 +58,8 @@
 	c.wantValue("k7", "")
 }
 
-// TestTakeoverOfUnequalReplicas has one member lack a write that a majority has. Whichever member
-// takes over, the write is kept and reaches every member.
+// TestTakeoverOfUnequalReplicas lets one member lack a write that a majority has. The write must
+// reach every member, whichever member becomes the leader.
 func TestTakeoverOfUnequalReplicas(t *testing.T) {
 	group := []string{"a", "b", "c"}
 	for _, lacking := range group {
--- a/rule/placement/failurerate.go
+++ b/rule/placement/failurerate.go
@@ -10,7 +10,7 @@
 	// the observed ones, so that a single failure weighs little.
 	priorSuccesses = 2
 	// minFailureRate is the failure rate below which an estimate is reported as zero:
-	// services fail occasionally whichever replica is chosen.
+	// requests occasionally fail at any replica.
 	minFailureRate = 0.03
 )
 
--- a/rule/program/program.go
+++ b/rule/program/program.go
@@ -237,7 +237,7 @@
 	}
 }
 
-// FailTurn ends a turn without a complete result; its whole reservation counts as spent.
+// FailTurn ends a turn without a complete result; its full reservation counts as spent.
 func (r *Record) FailTurn(turn string) {
 	if reservation, ok := r.Running[turn]; ok {
 		r.Spent += reservation.Tokens
--- a/rule/route/amendment.go
+++ b/rule/route/amendment.go
@@ -54,8 +54,8 @@
 	return settings
 }
 
-// ParseAmendment decodes an amendment from JSON and checks whatever does not depend on the
-// table that it changes.
+// ParseAmendment decodes an amendment from JSON and makes the checks that do not depend on the
+// table that it changes. It returns every fault.
 func ParseAmendment(text []byte) (Amendment, configuration.Faults) {
 	var a Amendment
 	if faults := configuration.Read(text, AmendmentSettings, &a); faults != nil {
--- a/rule/route/difference.go
+++ b/rule/route/difference.go
@@ -8,7 +8,7 @@
 )
 
 // Difference holds the changes from one table to a later one. A node that has the base
-// table, identified by number and digest, is sent the difference instead of the whole table.
+// table, identified by number and digest, is sent the difference instead of the complete table.
 type Difference struct {
 	BaseNumber uint64 `msgpack:"b"`
 	BaseDigest string `msgpack:"c"`
--- a/rule/route/table.go
+++ b/rule/route/table.go
@@ -2,7 +2,7 @@
 // prefixes to services, and lists the tenants, their keys and their limits.
 //
 // A Table is immutable once it is parsed or built from another one, and every such table
-// has passed the same validation. Tables are replaced whole (Parse), by an operator's
+// has passed the same validation. Tables are replaced completely (Parse), by an operator's
 // partial change (Amendment), or by the difference that is sent to a node which already has
 // an earlier table (Difference). Start reading at Table and Parse.
 package route
