--- a/rule/partition/membership_test.go
+++ b/rule/partition/membership_test.go
@@ -49,7 +49,7 @@
 	if c.leader() != leader {
 		t.Fatal("the leader changed")
 	}
-	if e, there := c.replicas[removed].State().Entries["old"]; there && !e.Deleted {
+	if e, present := c.replicas[removed].State().Entries["old"]; present && !e.Deleted {
 		t.Error("a deleted entry is restored in a replica")
 	}
 	c.replicas[leader] = nil
@@ -194,8 +194,8 @@
 	t.Error("the new member was never added")
 }
 
-// TestRemovedLeaderTransfersLeadership checks that a leader hands over once it is removed from its
-// group.
+// TestRemovedLeaderTransfersLeadership checks that a leader transfers its leadership once it is
+// removed from its group.
 func TestRemovedLeaderTransfersLeadership(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(300 * time.Millisecond)
