--- a/peer/front/handler.go
+++ b/peer/front/handler.go
@@ -1,8 +1,8 @@
-// Package front is the HTTP server of a relay node. It reads requests, has a Dispatcher
-// decide each next step, sends attempts to replicas and returns their answers.
+// Package front is the HTTP server of a relay node. It reads requests, asks a Dispatcher
+// for each next step, sends attempts to replicas and returns their responses.
 //
-// An answer that is not streamed is passed on only if it arrived complete; a stream is
-// passed on in whole events, and one that breaks off never looks complete to the
+// A response that is not streamed is forwarded only if it arrived complete; a stream is
+// forwarded in whole events, and an interrupted one never looks complete to the
 // requester. Memory, connections and time that requesters can hold are limited (see
 // intake and Serve). Start reading at handler.ServeHTTP.
 package front
@@ -28,13 +28,14 @@
 
 // Dispatcher decides what happens to requests: admission, replica choice and retries.
 type Dispatcher interface {
-	// Dispatch hands over a request and waits for its first step. The line leads to the
-	// replica if the step is relay.StepSend. The result is false if the node stops first.
-	Dispatch(ctx context.Context, a relay.Request) (Request, relay.Step, *replica.Pool, bool)
+	// Dispatch hands over a request and waits for its first step. The pool is that
+	// of the replica if the step is relay.StepSend. The result is false if the node stops
+	// before that.
+	Dispatch(ctx context.Context, spec relay.Request) (DispatchedRequest, relay.Step, *replica.Pool, bool)
 }
 
-// Request is a dispatched request.
-type Request interface {
+// DispatchedRequest is a request that a Dispatcher has accepted.
+type DispatchedRequest interface {
 	// Next reports the outcome of the last attempt and waits for the next step. Its
 	// results are those of Dispatch.
 	Next(o relay.Outcome) (relay.Step, *replica.Pool, bool)
@@ -43,10 +44,11 @@
 // Options configure a handler.
 type Options struct {
 	Dispatcher Dispatcher
-	Names      replica.Headers
+	// Headers are the header names that requesters and replicas use.
+	Headers replica.Headers
 	// MaxBody is the largest body that is accepted from requesters and replicas, in bytes.
 	MaxBody int64
-	// Draining is closed when the node drains. Answers then close their connections.
+	// Draining is closed when the node drains. Responses then close their connections.
 	Draining <-chan struct{}
 	// BodyTimeout limits how long a requester may take to send a body, in addition to the
 	// request's deadline. IntakeBytes limits the memory for the bodies of all open
@@ -75,25 +77,25 @@
 	intake *intake
 }
 
-// exchange is one request and its answer.
+// exchange is one request and its response.
 type exchange struct {
 	*handler
 	w          http.ResponseWriter
 	r          *http.Request
 	controller *http.ResponseController
 	body       []byte
-	ask        relay.Request
-	request    Request
-	// started is set once the answer's head has been written.
+	spec       relay.Request
+	dispatched DispatchedRequest
+	// started is set once the response's head has been written.
 	started bool
-	// lastEventID is the id of the last event that was passed on.
+	// lastEventID is the id of the last event that was forwarded.
 	lastEventID string
-	// output is the data of a kept turn's events.
+	// output is the data of a stored turn's events.
 	output []byte
 }
 
 // ServeHTTP reads a request and follows the dispatcher's steps until it is answered. An
-// answer that has begun and cannot be completed is aborted with its connection.
+// response that has begun and cannot be completed is aborted with its connection.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-h.Draining:
@@ -105,10 +107,10 @@
 	}
 	x := &exchange{handler: h, w: w, r: r, controller: http.NewResponseController(w)}
 	// net/http flushes the connection's buffer after the handler has returned.
-	defer x.setWriteTimeout(answerTimeout)
+	defer x.setWriteTimeout(responseTimeout)
 	arrived := clock.Now()
-	ask, fault := h.parseHead(r)
-	x.ask = ask
+	spec, fault := h.parseHead(r)
+	x.spec = spec
 	if fault != "" {
 		x.discardBody()
 		x.reject(relay.CauseMalformed, relay.Step{Status: 400, Check: "request", Reason: fault})
@@ -121,9 +123,9 @@
 		return
 	}
 	x.body = b.raw
-	x.ask.Input, x.ask.BodyBytes, x.ask.HeadReceived = x.body, int64(len(x.body)), arrived
-	request, step, pool, ok := h.Dispatcher.Dispatch(r.Context(), x.ask)
-	x.request = request
+	x.spec.Input, x.spec.BodyBytes, x.spec.HeadReceived = x.body, int64(len(x.body)), arrived
+	dispatched, step, pool, ok := h.Dispatcher.Dispatch(r.Context(), x.spec)
+	x.dispatched = dispatched
 	for ok {
 		switch step.Kind {
 		case relay.StepSend:
@@ -149,8 +151,8 @@
 // receiveBody reads the body within BodyTimeout and the request's deadline.
 func (x *exchange) receiveBody(b *body) error {
 	timeout := x.BodyTimeout
-	if x.ask.Remaining > 0 {
-		timeout = min(timeout, x.ask.Remaining)
+	if x.spec.Remaining > 0 {
+		timeout = min(timeout, x.spec.Remaining)
 	}
 	x.setWriteTimeout(timeout)
 	x.setReadTimeout(timeout)
@@ -162,9 +164,9 @@
 	return nil
 }
 
-// discardBody makes the answer close the connection of a request whose body is not
+// discardBody makes the response close the connection of a request whose body is not
 // wanted. The server still reads from it for a limited time: closing a connection with
-// unread data would reset it, and the requester could lose the answer.
+// unread data would reset it, and the requester could lose the response.
 func (x *exchange) discardBody() {
 	if x.r.ContentLength == 0 {
 		return
@@ -188,26 +190,26 @@
 	}
 }
 
-// intakeRetryAfter is the Retry-After of requests that exceeded the intake.
+// intakeRetryAfter is the Retry-After of requests refused for want of body memory.
 const intakeRetryAfter = 500 * time.Millisecond
 
 // reject answers a request that is malformed or incomplete, and reports it.
 func (x *exchange) reject(cause relay.Cause, s relay.Step) {
 	if x.OnRejected != nil {
-		x.OnRejected(relay.Completion{Cause: cause, Attempt: x.ask.Attempt, Program: x.ask.Program, Status: s.Status})
+		x.OnRejected(relay.Completion{Cause: cause, Attempt: x.spec.Attempt, Program: x.spec.Program, Status: s.Status})
 	}
 	x.refuse(s)
 }
 
-// refuse writes the node's own answer to a request that no replica answered.
+// refuse writes the node's own response to a request that no replica answered.
 func (x *exchange) refuse(s relay.Step) {
-	x.setWriteTimeout(answerTimeout)
+	x.setWriteTimeout(responseTimeout)
 	body, _ := json.Marshal(map[string]string{"error": s.Reason, "check": s.Check})
 	header := x.w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(len(body)))
-	if x.ask.Attempt != "" {
-		header.Set(x.Names.Attempt, x.ask.Attempt)
+	if x.spec.Attempt != "" {
+		header.Set(x.Headers.Attempt, x.spec.Attempt)
 	}
 	if s.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(s.RetryAfter.Seconds(), 'f', 3, 64))
@@ -243,14 +245,14 @@
 // send makes one attempt at a replica, reports its outcome and returns the next step.
 func (x *exchange) send(s relay.Step, pool *replica.Pool) (relay.Step, *replica.Pool, bool) {
 	if s.Timeout <= 0 {
-		// The time limit passed before the attempt was started.
-		return x.request.Next(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true})
+		// The timeout expired before the attempt was started.
+		return x.dispatched.Next(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true})
 	}
 	x.setWriteTimeout(s.Timeout)
-	n := x.Names
-	q := replica.Request{Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Attempt: x.ask.Attempt, Timeout: s.Timeout, HasBody: x.r.ContentLength != 0 || x.r.Method == http.MethodPost,
+	n := x.Headers
+	q := replica.Request{Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Attempt: x.spec.Attempt, Timeout: s.Timeout, HasBody: x.r.ContentLength != 0 || x.r.Method == http.MethodPost,
 		Header: endToEnd(x.r.Header, n.Attempt, n.Key, n.Tenant, n.Target, n.Deadline, n.Urgency, "Expect"), Body: append(append([][]byte(nil), s.History...), x.body)}
-	q.NodeHeaders = append(q.NodeHeaders, [2]string{n.Attempt, x.ask.Attempt}, [2]string{n.Target, s.Replica.ID}, [2]string{n.Deadline, strconv.FormatInt(max(1, s.Timeout.Milliseconds()), 10)})
+	q.NodeHeaders = append(q.NodeHeaders, [2]string{n.Attempt, x.spec.Attempt}, [2]string{n.Target, s.Replica.ID}, [2]string{n.Deadline, strconv.FormatInt(max(1, s.Timeout.Milliseconds()), 10)})
 	if s.Tenant != "" {
 		q.NodeHeaders = append(q.NodeHeaders, [2]string{n.Tenant, s.Tenant})
 	}
@@ -261,13 +263,13 @@
 		delete(q.Header, http.CanonicalHeaderKey(n.LastEvent))
 		q.NodeHeaders = append(q.NodeHeaders, [2]string{n.LastEvent, x.lastEventID})
 	}
-	r, unreached, err := pool.Do(x.r.Context(), n, q)
-	gone := x.r.Context().Err() != nil
+	r, notSent, err := pool.Do(x.r.Context(), n, q)
+	disconnected := x.r.Context().Err() != nil
 	switch {
-	case unreached:
-		return x.request.Next(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true, RequesterDisconnected: gone, NewConnection: true})
+	case notSent:
+		return x.dispatched.Next(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true, RequesterDisconnected: disconnected, NewConnection: true})
 	case err != nil:
-		return x.request.Next(relay.Outcome{Kind: relay.OutcomeInterrupted, RequesterDisconnected: gone})
+		return x.dispatched.Next(relay.Outcome{Kind: relay.OutcomeInterrupted, RequesterDisconnected: disconnected})
 	}
 	o := relay.Outcome{Load: parseLoad(r.Header.Get(n.Load)), NewConnection: r.NewConnection}
 	ok := r.StatusCode >= 200 && r.StatusCode < 300
@@ -282,14 +284,14 @@
 	case ok && s.Stream:
 		o = x.relayStream(r, s, o)
 	default:
-		return x.relayWhole(r, o)
+		return x.relayBuffered(r, o)
 	}
 	o.RequesterDisconnected = o.RequesterDisconnected || x.r.Context().Err() != nil
-	return x.request.Next(o)
+	return x.dispatched.Next(o)
 }
 
-// maxNotRunBody is how much is read of an answer that says that the request did not run,
-// in bytes. A connection with a longer one is not reused.
+// maxNotRunBody is how many bytes are read of a response that says that the request did
+// not run. A connection with a longer one is not reused.
 const maxNotRunBody = 64 << 10
 
 // parseLoad reads a replica's load header, "running,waiting,slots". It is nil if malformed.
@@ -309,10 +311,10 @@
 	return &relay.Load{Running: counts[0], Waiting: counts[1], Slots: counts[2]}
 }
 
-// copyHead copies the headers of a replica's answer.
+// copyHead copies the headers of a replica's response.
 func (x *exchange) copyHead(r *replica.Response) {
-	if id := r.Header.Get(x.Names.Attempt); id != "" && id != x.ask.Attempt {
-		x.Violated.Violated(invariant.AnswerMatches, "the answer to attempt %s is passed on as that to attempt %s", id, x.ask.Attempt)
+	if id := r.Header.Get(x.Headers.Attempt); id != "" && id != x.spec.Attempt {
+		x.Violated.Violated(invariant.AnswerMatches, "the answer to attempt %s is passed on as that to attempt %s", id, x.spec.Attempt)
 	}
 	header := x.w.Header()
 	for name, values := range endToEnd(r.Header) {
@@ -324,24 +326,24 @@
 	}
 }
 
-var errAnswerTooLarge = errors.New("the replica's answer is larger than the largest allowed body")
+var errResponseTooLarge = errors.New("the replica's answer is larger than the largest allowed body")
 
-// relayWhole passes on an answer that is not streamed, if it arrived complete.
-func (x *exchange) relayWhole(r *replica.Response, o relay.Outcome) (relay.Step, *replica.Pool, bool) {
+// relayBuffered forwards a response that is not streamed, if it arrived complete.
+func (x *exchange) relayBuffered(r *replica.Response, o relay.Outcome) (relay.Step, *replica.Pool, bool) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, x.MaxBody+1))
 	if int64(len(body)) > x.MaxBody {
-		err = errAnswerTooLarge
+		err = errResponseTooLarge
 	}
 	r.Done(err == nil)
 	o.RequesterDisconnected = x.r.Context().Err() != nil
 	if err != nil || x.started || !r.Delimited() {
 		o.Kind = relay.OutcomeInterrupted
-		return x.request.Next(o)
+		return x.dispatched.Next(o)
 	}
 	o.Kind, o.Failed, o.Status = relay.OutcomeComplete, r.StatusCode >= 300, r.StatusCode
-	step, pool, ok := x.request.Next(o)
+	step, pool, ok := x.dispatched.Next(o)
 	if ok && step.Kind == relay.StepDeliver {
-		x.setWriteTimeout(answerTimeout)
+		x.setWriteTimeout(responseTimeout)
 		x.copyHead(r)
 		size := int64(len(body))
 		if x.r.Method == http.MethodHead {
@@ -355,8 +357,8 @@
 	return step, pool, ok
 }
 
-// relayStream passes on a stream event by event. An event that did not arrive complete is
-// not passed on.
+// relayStream forwards a stream event by event. An event that did not arrive complete is
+// not forwarded.
 func (x *exchange) relayStream(r *replica.Response, s relay.Step, o relay.Outcome) relay.Outcome {
 	reader := bufio.NewReaderSize(r.Body, 4096)
 	var e event
@@ -370,7 +372,7 @@
 		o.Kind = kind
 		return o
 	}
-	dispatch := func() bool {
+	forward := func() bool {
 		if !x.writeEvent(r, e.raw) {
 			o.RequesterDisconnected = true
 			return false
@@ -401,7 +403,7 @@
 			continue
 		}
 		if blank := e.parseLine(e.raw[lineStart:]); blank && err == nil {
-			if !dispatch() {
+			if !forward() {
 				return end(relay.OutcomeInterrupted, false)
 			}
 			continue
@@ -409,7 +411,7 @@
 		lineStart = len(e.raw)
 		if err == io.EOF {
 			// The end of a complete stream ends its last event even without a blank line.
-			if (len(e.raw) > 0 || !x.started) && !dispatch() {
+			if (len(e.raw) > 0 || !x.started) && !forward() {
 				return end(relay.OutcomeInterrupted, false)
 			}
 			o.Started, o.Output = x.started, x.output
@@ -443,7 +445,7 @@
 }
 
 // writeEvent writes and flushes one event, after the head if it is the first. It reports
-// whether the requester took it.
+// whether that succeeded.
 func (x *exchange) writeEvent(r *replica.Response, event []byte) bool {
 	if !x.started {
 		x.copyHead(r)
--- a/peer/front/handler_test.go
+++ b/peer/front/handler_test.go
@@ -23,7 +23,7 @@
 
 const testTimeout = 10 * time.Second
 
-// scriptedDispatcher returns a fixed list of steps; attempts use its lines in turn.
+// scriptedDispatcher returns a fixed list of steps; attempts use its pools in turn.
 type scriptedDispatcher struct {
 	t          *testing.T
 	steps      []relay.Step
@@ -32,7 +32,7 @@
 	outcomes   chan relay.Outcome
 }
 
-func (s *scriptedDispatcher) Dispatch(ctx context.Context, a relay.Request) (Request, relay.Step, *replica.Pool, bool) {
+func (s *scriptedDispatcher) Dispatch(ctx context.Context, a relay.Request) (DispatchedRequest, relay.Step, *replica.Pool, bool) {
 	s.dispatched <- a
 	r := &scriptedRequest{dispatcher: s}
 	step, pool, ok := r.next()
@@ -65,9 +65,9 @@
 
 var sendStep = relay.Step{Kind: relay.StepSend, Replica: desk.Replica{ID: "i-1"}, Tenant: "tenant", Timeout: testTimeout}
 
-func streamStep(kept bool) relay.Step {
+func streamStep(stored bool) relay.Step {
 	s := sendStep
-	s.Stream, s.ReturnOutput, s.Urgency = true, kept, 3
+	s.Stream, s.ReturnOutput, s.Urgency = true, stored, 3
 	return s
 }
 
@@ -89,7 +89,7 @@
 	received chan capturedRequest
 }
 
-func newReplica(t *testing.T, answer func(c net.Conn, h capturedRequest)) *rawReplica {
+func newReplica(t *testing.T, response func(c net.Conn, h capturedRequest)) *rawReplica {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -117,7 +117,7 @@
 				head, _, _ := strings.Cut(read.String(), "\r\n\r\n")
 				h := capturedRequest{head: head, request: request, body: body}
 				r.received <- h
-				answer(c, h)
+				response(c, h)
 			}()
 		}
 	}()
@@ -141,7 +141,7 @@
 		t.Cleanup(pool.Close)
 		s.pools = append(s.pools, pool)
 	}
-	server := httptest.NewServer(Handler(Options{Dispatcher: s, Names: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{})}))
+	server := httptest.NewServer(Handler(Options{Dispatcher: s, Headers: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{})}))
 	t.Cleanup(server.Close)
 	return &node{scriptedDispatcher: s, server: server}
 }
@@ -182,15 +182,15 @@
 
 const okHead = "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal: s\r\n"
 
-// TestAnswersUnchanged: status, body and end-to-end headers of a replica's answer reach the
+// TestResponsesUnchanged: status, body and end-to-end headers of a replica's response reach the
 // requester unchanged.
-func TestAnswersUnchanged(t *testing.T) {
+func TestResponsesUnchanged(t *testing.T) {
 	body := "\x00\xff\r\nbody"
 	length := fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 	for _, c := range []struct {
-		name, method, answer string
-		status               int
-		body                 string
+		name, method, response string
+		status                 int
+		body                   string
 	}{
 		{"length", "POST", okHead + length, 200, body},
 		{"chunks", "POST", okHead + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n", 200, "abcde"},
@@ -205,8 +205,8 @@
 		{"moved", "POST", "HTTP/1.1 302 X\r\nSaffronfall-Attempt: a1\r\nLocation: /x\r\n" + length, 302, body},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			answer := strings.Replace(c.answer, "\r\n", "\r\nConnection: X-Hop, keep-alive\r\nX-Hop: 1\r\nKeep-Alive: timeout=9\r\nProxy-Authenticate: x\r\nX-Odd_name: a\r\nX-Many: 1\r\nX-Many: 2\r\n", 1)
-			r := newStaticReplica(t, answer)
+			response := strings.Replace(c.response, "\r\n", "\r\nConnection: X-Hop, keep-alive\r\nX-Hop: 1\r\nKeep-Alive: timeout=9\r\nProxy-Authenticate: x\r\nX-Odd_name: a\r\nX-Many: 1\r\nX-Many: 2\r\n", 1)
+			r := newStaticReplica(t, response)
 			n := newNode(t, []relay.Step{sendStep, passStep}, r)
 			q := n.dial(t)
 			q.write(strings.Replace(request, "POST", c.method, 1))
@@ -221,7 +221,7 @@
 				}
 			}
 			for _, name := range []string{"Saffronfall-Seal", "Retry-After", "Location", "Content-Type"} {
-				from, _ := http.ReadResponse(bufio.NewReader(strings.NewReader(c.answer)), &http.Request{Method: c.method})
+				from, _ := http.ReadResponse(bufio.NewReader(strings.NewReader(c.response)), &http.Request{Method: c.method})
 				if got.Header.Get(name) != from.Header.Get(name) {
 					t.Errorf("%s: %q, was %q", name, got.Header.Get(name), from.Header.Get(name))
 				}
@@ -284,7 +284,7 @@
 				t.Errorf("Content-Length %d", h.request.ContentLength)
 			}
 			if strings.Contains(h.head, "secret") {
-				t.Errorf("the key was passed on: %s", h.head)
+				t.Errorf("the key was forwarded: %s", h.head)
 			}
 			for name, want := range map[string]string{"Saffronfall-Tenant": "tenant", "Saffronfall-Replica": "i-1", "Saffronfall-Attempt": "a1", "Saffronfall-Program": "p", "Saffronfall-Session": "s", "Last-Event-Id": "12",
 				"X-Own": "1,2", "Te": "", "Keep-Alive": "", "Expect": "", "Saffronfall-Key": "", "Saffronfall-Deadline-Ms": "10000", "Saffronfall-Urgency": ""} {
@@ -300,7 +300,7 @@
 	}
 }
 
-// TestTenantOnlyFromNode: a tenant header from the requester is never passed on.
+// TestTenantOnlyFromNode: a tenant header from the requester is never forwarded.
 func TestTenantOnlyFromNode(t *testing.T) {
 	open := sendStep
 	open.Tenant = ""
@@ -314,7 +314,7 @@
 	}
 }
 
-// TestHistoryPrecedesInput: the history of kept turns precedes the new input.
+// TestHistoryPrecedesInput: the history of stored turns precedes the new input.
 func TestHistoryPrecedesInput(t *testing.T) {
 	s := streamStep(true)
 	s.History = [][]byte{[]byte("in1"), []byte("out1\n"), []byte("in2"), []byte("out2\nout3\n")}
@@ -331,10 +331,10 @@
 	}
 }
 
-// TestInvalidAnswersAreNotPassedOn: an incomplete, unsealed or foreign answer never reaches
+// TestInvalidResponsesAreNotForwarded: an incomplete, unsealed or foreign response never reaches
 // the requester as a complete one.
-func TestInvalidAnswersAreNotPassedOn(t *testing.T) {
-	for _, c := range []struct{ name, answer, kind string }{
+func TestInvalidResponsesAreNotForwarded(t *testing.T) {
+	for _, c := range []struct{ name, response, kind string }{
 		{"success without seal", "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nContent-Length: 2\r\n\r\nok", relay.OutcomeInterrupted},
 		{"success with an empty seal", "HTTP/1.1 204 OK\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal:\r\n\r\n", relay.OutcomeInterrupted},
 		{"success without end", okHead + "\r\nok", relay.OutcomeInterrupted},
@@ -342,7 +342,7 @@
 		{"truncated chunks", okHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", relay.OutcomeInterrupted},
 		{"truncated failure", "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nContent-Length: 3\r\n\r\nok", relay.OutcomeInterrupted},
 		{"failure without end", "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\n\r\nok", relay.OutcomeInterrupted},
-		{"answer to another attempt", strings.Replace(okHead, "a1", "a2", 1) + "Content-Length: 2\r\n\r\nok", relay.OutcomeInterrupted},
+		{"response to another attempt", strings.Replace(okHead, "a1", "a2", 1) + "Content-Length: 2\r\n\r\nok", relay.OutcomeInterrupted},
 		{"not HTTP", "hello", relay.OutcomeInterrupted},
 		{"too large", okHead + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 1<<20+1, strings.Repeat("x", 1<<20+1)), relay.OutcomeInterrupted},
 		{"not run", "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Not-Run: 1\r\nContent-Length: 2\r\n\r\nno", relay.OutcomeNotRun},
@@ -350,17 +350,17 @@
 	} {
 		for _, s := range []relay.Step{sendStep, streamStep(false), streamStep(true)} {
 			t.Run(fmt.Sprint(c.name, s.Stream, s.ReturnOutput), func(t *testing.T) {
-				n := newNode(t, []relay.Step{s, breakStep}, newStaticReplica(t, c.answer))
+				n := newNode(t, []relay.Step{s, breakStep}, newStaticReplica(t, c.response))
 				q := n.dial(t)
 				q.write(request)
 				got, err := http.ReadResponse(q.reader, nil)
 				if err == nil && got.StatusCode != 502 {
 					_, err = io.ReadAll(got.Body)
 					if err == nil {
-						t.Errorf("the answer looks complete: %d", got.StatusCode)
+						t.Errorf("the response looks complete: %d", got.StatusCode)
 					}
 					if !s.Stream {
-						t.Errorf("a partial answer was passed on: %d", got.StatusCode)
+						t.Errorf("a partial response was forwarded: %d", got.StatusCode)
 					}
 				}
 				if o := <-n.outcomes; o.Kind != c.kind || o.RequesterDisconnected || o.Unreachable {
@@ -371,10 +371,10 @@
 	}
 }
 
-// TestLongNotRunAnswer: a connection whose not-run answer was not read to its end is not
-// reused, so that the next request gets its own answer.
-func TestLongNotRunAnswer(t *testing.T) {
-	more, kept := make(chan struct{}), make(chan int, 4)
+// TestLongNotRunResponse: a connection whose not-run response was not read to its end is not
+// reused, so that the next request gets its own response.
+func TestLongNotRunResponse(t *testing.T) {
+	more, connections := make(chan struct{}), make(chan int, 4)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -396,7 +396,7 @@
 						return
 					}
 					io.Copy(io.Discard, got.Body)
-					kept <- made
+					connections <- made
 					if made == 1 {
 						io.WriteString(c, "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Not-Run: 1\r\nContent-Length: 100000\r\n\r\n"+strings.Repeat("x", maxNotRunBody))
 						<-more
@@ -414,7 +414,7 @@
 	q.write(request)
 	got := q.read("POST")
 	close(more)
-	if first, second := <-kept, <-kept; got.StatusCode != 200 || first != 1 || second != 2 {
+	if first, second := <-connections, <-connections; got.StatusCode != 200 || first != 1 || second != 2 {
 		t.Errorf("%d, connections %d and %d", got.StatusCode, first, second)
 	}
 }
@@ -435,7 +435,7 @@
 		}
 	}
 	if reader.Buffered() > 0 {
-		q.t.Errorf("%d more bytes were passed on", reader.Buffered())
+		q.t.Errorf("%d more bytes were forwarded", reader.Buffered())
 	}
 	return text.String()
 }
@@ -476,9 +476,9 @@
 	}
 }
 
-// TestKeptOutput: a kept turn's output is the data of each event, followed by a line feed,
+// TestStoredOutput: a stored turn's output is the data of each event, followed by a line feed,
 // for any segmentation; the requester gets the bytes unchanged.
-func TestKeptOutput(t *testing.T) {
+func TestStoredOutput(t *testing.T) {
 	for _, c := range []struct {
 		name, text, output string
 		readEvents         int64
@@ -531,9 +531,9 @@
 }
 
 // TestAbortedStream: a stream that the replica interrupts never looks complete, and no
-// partial event is passed on.
+// partial event is forwarded.
 func TestAbortedStream(t *testing.T) {
-	for _, c := range []struct{ name, answer, want string }{
+	for _, c := range []struct{ name, response, want string }{
 		{"between events", streamHead + chunk("id: 1\ndata: a\n\n"), "id: 1\ndata: a\n\n"},
 		{"within an event", streamHead + chunk("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n"},
 		{"with a length", okHead + "Content-Length: 40\r\n\r\nid: 1\ndata: a\n\nid: 2\n", "id: 1\ndata: a\n\n"},
@@ -547,7 +547,7 @@
 					// The node stops.
 					steps = steps[:1]
 				}
-				n := newNode(t, steps, newStaticReplica(t, c.answer))
+				n := newNode(t, steps, newStaticReplica(t, c.response))
 				q := n.dial(t)
 				q.write(request)
 				got := q.read("POST")
@@ -563,8 +563,8 @@
 	}
 }
 
-// TestFailedKeepAbortsStream: a complete turn that could not be kept does not look complete.
-func TestFailedKeepAbortsStream(t *testing.T) {
+// TestFailedStoreAbortsStream: a complete turn that could not be stored does not look complete.
+func TestFailedStoreAbortsStream(t *testing.T) {
 	n := newNode(t, []relay.Step{streamStep(true), breakStep}, newStaticReplica(t, streamHead+chunk("data: a\n\n")+"0\r\n\r\n"))
 	q := n.dial(t)
 	q.write(request)
@@ -620,10 +620,10 @@
 	}
 }
 
-// TestFailedResume: an answer that does not resume a stream is not appended to it.
+// TestFailedResume: a response that does not resume a stream is not appended to it.
 func TestFailedResume(t *testing.T) {
-	for _, answer := range []string{"HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nContent-Length: 4\r\n\r\noops", "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nContent-Length: 10\r\n\r\ndata: a\n\n ", "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n"} {
-		n := newNode(t, []relay.Step{streamStep(false), streamStep(false), breakStep}, newStaticReplica(t, streamHead+chunk("id: 1\ndata: a\n\n")), newStaticReplica(t, answer))
+	for _, response := range []string{"HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nContent-Length: 4\r\n\r\noops", "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nContent-Length: 10\r\n\r\ndata: a\n\n ", "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n"} {
+		n := newNode(t, []relay.Step{streamStep(false), streamStep(false), breakStep}, newStaticReplica(t, streamHead+chunk("id: 1\ndata: a\n\n")), newStaticReplica(t, response))
 		q := n.dial(t)
 		q.write(request)
 		if text, err := io.ReadAll(q.read("POST").Body); err == nil || string(text) != "id: 1\ndata: a\n\n" {
@@ -682,7 +682,7 @@
 // TestDeadlines: a passed deadline is distinct from a missing one, and a huge one does not
 // overflow into a passed one.
 func TestDeadlines(t *testing.T) {
-	h := &handler{Options: Options{Names: replica.DefaultHeaders}}
+	h := &handler{Options: Options{Headers: replica.DefaultHeaders}}
 	for text, check := range map[string]func(left time.Duration) bool{
 		"":             func(left time.Duration) bool { return left == 0 },
 		"0":            func(left time.Duration) bool { return left < 0 },
@@ -781,7 +781,7 @@
 	}
 }
 
-// TestRequesterDisconnects: when the requester disconnects, before the answer or within a
+// TestRequesterDisconnects: when the requester disconnects, before the response or within a
 // stream, the replica's connection is closed and the outcome does not blame the replica.
 func TestRequesterDisconnects(t *testing.T) {
 	for _, begun := range []string{"", streamHead + chunk("id: 1\ndata: a\n\n")} {
@@ -829,12 +829,12 @@
 	}
 }
 
-// TestDrainingClosesConnections: while the node drains, each answer closes its connection.
+// TestDrainingClosesConnections: while the node drains, each response closes its connection.
 func TestDrainingClosesConnections(t *testing.T) {
 	closing := make(chan struct{})
 	s := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, dispatched: make(chan relay.Request, 4), outcomes: make(chan relay.Outcome, 4)}
 	s.pools = []*replica.Pool{replica.NewPool(newStaticReplica(t, okHead+"Content-Length: 2\r\n\r\nok").address, 4, time.Second)}
-	server := httptest.NewServer(Handler(Options{Dispatcher: s, Names: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: closing}))
+	server := httptest.NewServer(Handler(Options{Dispatcher: s, Headers: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: closing}))
 	defer server.Close()
 	n := &node{scriptedDispatcher: s, server: server}
 	q := n.dial(t)
@@ -860,8 +860,8 @@
 	f.Add("a", "1e308", "9223372036854775807", " 1 , 2 ", ",,")
 	f.Add("a", "0x1p-1000", "+5", "9223372036854775808,1", "x:9223372036854775807,x:9223372036854775807")
 	f.Fuzz(func(t *testing.T, attempt, deadline, budget, tokens, prompt string) {
-		h := &handler{Options: Options{Names: replica.DefaultHeaders}}
-		n := h.Names
+		h := &handler{Options: Options{Headers: replica.DefaultHeaders}}
+		n := h.Headers
 		r := httptest.NewRequest("GET", "/a", nil)
 		for name, value := range map[string]string{n.Attempt: attempt, n.Deadline: deadline, n.Budget: budget, n.Tokens: tokens, n.Prompt: prompt} {
 			if value != "" {
--- a/peer/front/head.go
+++ b/peer/front/head.go
@@ -19,7 +19,7 @@
 // parseHead reads a request's head. The second result says what is malformed; it is
 // empty for a valid head.
 func (h *handler) parseHead(r *http.Request) (relay.Request, string) {
-	n := h.Names
+	n := h.Headers
 	a := relay.Request{Host: r.Host, Path: r.URL.Path, Attempt: r.Header.Get(n.Attempt), Program: r.Header.Get(n.Program), Session: r.Header.Get(n.Session),
 		Previous: r.Header.Get(n.Previous), Key: r.Header.Get(n.Key)}
 	_, a.HasKey = r.Header[http.CanonicalHeaderKey(n.Key)]
--- a/peer/front/head_test.go
+++ b/peer/front/head_test.go
@@ -11,7 +11,7 @@
 // and cannot be computed without its key.
 func TestHashesAreKeyed(t *testing.T) {
 	read := func(key [2]uint64, name string) (affinity uint64, part uint64) {
-		h := &handler{Options: Options{Names: replica.DefaultHeaders, HashKey: key}}
+		h := &handler{Options: Options{Headers: replica.DefaultHeaders, HashKey: key}}
 		r := httptest.NewRequest("POST", "/a", nil)
 		r.Header.Set("Saffronfall-Attempt", "a1")
 		r.Header.Set("Saffronfall-Affinity", name)
@@ -32,7 +32,7 @@
 	if elsewhere, otherPart := read([2]uint64{3, 4}, "17"); elsewhere == affinity || otherPart == part {
 		t.Error("the hashes do not depend on the key")
 	}
-	h := &handler{Options: Options{Names: replica.DefaultHeaders}}
+	h := &handler{Options: Options{Headers: replica.DefaultHeaders}}
 	r := httptest.NewRequest("POST", "/a", nil)
 	r.Header.Set("Saffronfall-Attempt", "a1")
 	if a, _ := h.parseHead(r); a.Affinity != 0 {
--- a/peer/front/intake.go
+++ b/peer/front/intake.go
@@ -17,8 +17,8 @@
 	// defaultBodyTimeout and defaultIntakeBytes apply where Options set no limit.
 	defaultBodyTimeout = 30 * time.Second
 	defaultIntakeBytes = 64 << 20
-	// answerTimeout is how long a requester may take to read a complete answer.
-	answerTimeout = 10 * time.Second
+	// responseTimeout is how long a requester may take to read a buffered response.
+	responseTimeout = 10 * time.Second
 	// discardTimeout limits how long an unwanted body is read.
 	discardTimeout = 2 * time.Second
 	// bodyChunk is the unit, in bytes, in which memory for a large body is reserved.
@@ -30,8 +30,8 @@
 	errIntakeFull   = errors.New("the bodies of requests under way fill the room for them")
 )
 
-// intake limits the memory that the bodies of all open requests share. Memory is
-// reserved for received bytes, never for an announced length of a large body.
+// intake limits the total memory of the bodies of all open requests. Memory is reserved
+// for received bytes, never for the announced length of a large body.
 type intake struct{ bytes *semaphore.Weighted }
 
 func newIntake(size int64) *intake {
--- a/peer/front/interruption_test.go
+++ b/peer/front/interruption_test.go
@@ -27,7 +27,7 @@
 	dispatched atomic.Int64
 }
 
-func (d *outcomeDispatcher) Dispatch(context.Context, relay.Request) (Request, relay.Step, *replica.Pool, bool) {
+func (d *outcomeDispatcher) Dispatch(context.Context, relay.Request) (DispatchedRequest, relay.Step, *replica.Pool, bool) {
 	d.dispatched.Add(1)
 	return &outcomeRequest{dispatcher: d}, d.first, d.pools[0], true
 }
@@ -57,7 +57,7 @@
 	for _, address := range addresses {
 		dispatcher.pools = append(dispatcher.pools, replica.NewPool(address, 4, time.Second))
 	}
-	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Names: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{})}))
+	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Headers: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{})}))
 	t.Cleanup(func() {
 		server.Close()
 		for _, pool := range dispatcher.pools {
@@ -78,26 +78,26 @@
 
 // TestReplicaDisconnectsAtEveryByte: a request that may run only once is sent to the next
 // replica only if the first one said that it did not run, and the requester sees a complete
-// answer only if the replica's arrived to its last byte.
+// response only if the replica's arrived to its last byte.
 func TestReplicaDisconnectsAtEveryByte(t *testing.T) {
 	for name, c := range map[string]struct {
-		step   relay.Step
-		answer string
-		want   string
-		status int
+		step     relay.Step
+		response string
+		want     string
+		status   int
 	}{
-		"by length":   {sendStep, lengthAnswer, "ok", 200},
-		"in chunks":   {sendStep, chunkedAnswer, "ok", 200},
-		"a stream":    {streamStep(false), streamAnswer, twoEvents, 200},
-		"a kept turn": {streamStep(true), streamAnswer, twoEvents, 200},
-		"a failure":   {sendStep, failedAnswer, "oops", 500},
-		"not run":     {sendStep, notRunAnswer, "next", 200},
+		"by length":     {sendStep, lengthAnswer, "ok", 200},
+		"in chunks":     {sendStep, chunkedAnswer, "ok", 200},
+		"a stream":      {streamStep(false), streamAnswer, twoEvents, 200},
+		"a stored turn": {streamStep(true), streamAnswer, twoEvents, 200},
+		"a failure":     {sendStep, failedAnswer, "oops", 500},
+		"not run":       {sendStep, notRunAnswer, "next", 200},
 	} {
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reset %v", name, reset), func(t *testing.T) {
-				for cut := range len(c.answer) + 1 {
-					got := interruptAnswer(t, c.step, c.answer[:cut], reset)
-					got.check(t, c.answer, cut, reset, c.want, c.status)
+				for cut := range len(c.response) + 1 {
+					got := interruptResponse(t, c.step, c.response[:cut], reset)
+					got.check(t, c.response, cut, reset, c.want, c.status)
 				}
 			})
 		}
@@ -113,35 +113,35 @@
 	first, second int
 }
 
-func (r interruptedResult) check(t *testing.T, answer string, cut int, reset bool, want string, status int) {
+func (r interruptedResult) check(t *testing.T, response string, cut int, reset bool, want string, status int) {
 	t.Helper()
-	notRun := strings.Contains(answer, "Not-Run")
-	head := strings.Index(answer, "\r\n\r\n") + len("\r\n\r\n")
+	notRun := strings.Contains(response, "Not-Run")
+	head := strings.Index(response, "\r\n\r\n") + len("\r\n\r\n")
 	if r.first != 1 {
 		t.Errorf("cut at %d: the first replica received the request %d times", cut, r.first)
 	}
 	if r.second > 0 && (!notRun || cut < head) {
 		t.Errorf("cut at %d: the request was sent to another replica though it may have run", cut)
 	}
-	if cut == len(answer) && !reset && (!r.complete || r.status != status || r.body != want) {
-		t.Errorf("complete answer: %+v", r)
+	if cut == len(response) && !reset && (!r.complete || r.status != status || r.body != want) {
+		t.Errorf("complete response: %+v", r)
 	}
-	if cut < len(answer) && !notRun && r.complete && r.status != breakStep.Status {
-		t.Errorf("cut at %d of %d: the requester got a complete answer: %+v", cut, len(answer), r)
+	if cut < len(response) && !notRun && r.complete && r.status != breakStep.Status {
+		t.Errorf("cut at %d of %d: the requester got a complete response: %+v", cut, len(response), r)
 	}
 	if r.complete && r.status/100 == 2 && r.body != want {
 		t.Errorf("cut at %d: success with body %q", cut, r.body)
 	}
 	if !r.complete && !strings.HasPrefix(want, r.body) {
-		t.Errorf("cut at %d: %q is not a prefix of the answer", cut, r.body)
+		t.Errorf("cut at %d: %q is not a prefix of the response", cut, r.body)
 	}
 	if r.complete && r.status == http.StatusServiceUnavailable && r.second == 0 {
 		t.Errorf("cut at %d: refused, though it may have run", cut)
 	}
 }
 
-// interruptAnswer sends a request to a replica that writes some bytes and disconnects.
-func interruptAnswer(t *testing.T, step relay.Step, written string, reset bool) interruptedResult {
+// interruptResponse sends a request to a replica that writes some bytes and disconnects.
+func interruptResponse(t *testing.T, step relay.Step, written string, reset bool) interruptedResult {
 	t.Helper()
 	first := newReplica(t, func(c net.Conn, h capturedRequest) {
 		if reset {
@@ -211,7 +211,7 @@
 }
 
 // TestPipelinedRequests: each of several pipelined requests runs once and gets its own
-// answer, in order.
+// response, in order.
 func TestPipelinedRequests(t *testing.T) {
 	received := make(chan string, 64)
 	n, dispatcher := newDispatcherNode(t, sendStep, newEchoReplica(t, received))
@@ -305,7 +305,7 @@
 }
 
 // TestConnectionReuseUnderLoad: while requesters reuse and close their connections and
-// share few connections to a replica, no answer goes to another request and no request
+// share few connections to a replica, no response goes to another request and no request
 // runs twice.
 func TestConnectionReuseUnderLoad(t *testing.T) {
 	const requesters, each = 16, 40
@@ -333,7 +333,7 @@
 }
 
 // useConnections sends requests one after the other. Every fifth closes its connection
-// without reading the answer.
+// without reading the response.
 func useConnections(t *testing.T, n *node, requester, each int) {
 	q := n.dial(t)
 	for i := range each {
@@ -361,7 +361,7 @@
 }
 
 // FuzzStream: whatever bytes a replica sends for a stream, the requester gets a prefix of
-// whole lines, and a complete answer only if the replica's was complete.
+// whole lines, and a complete response only if the replica's was complete.
 func FuzzStream(f *testing.F) {
 	for _, seed := range []string{streamAnswer, streamHead, lengthAnswer, chunkedAnswer, notRunAnswer, failedAnswer, streamAnswer[:len(streamAnswer)-4], streamHead + "5\r\ndata:\r\n0\r\n\r\n",
 		strings.Replace(streamAnswer, "a1", "other", 1) + streamAnswer, streamHead + chunk("id: 1\r\rdata: x\n\n") + "0\r\n\r\n", streamAnswer + streamAnswer, "\x00"} {
@@ -375,12 +375,12 @@
 		if got.status/100 != 2 || got.body == "" || got.second > 0 {
 			return
 		}
-		whole, complete := readAsClient(raw)
-		if got.complete && (!complete || got.body != whole) {
-			t.Fatalf("complete answer %q, replica sent %q", got.body, whole)
+		full, complete := readAsClient(raw)
+		if got.complete && (!complete || got.body != full) {
+			t.Fatalf("complete response %q, replica sent %q", got.body, full)
 		}
-		if !got.complete && (!strings.HasPrefix(whole, got.body) || !strings.HasSuffix(got.body, "\n")) {
-			t.Fatalf("partial answer %q, replica sent %q", got.body, whole)
+		if !got.complete && (!strings.HasPrefix(full, got.body) || !strings.HasSuffix(got.body, "\n")) {
+			t.Fatalf("partial response %q, replica sent %q", got.body, full)
 		}
 	})
 }
@@ -388,10 +388,10 @@
 // interruptStream sends a request for a stream to a replica that writes raw bytes.
 func interruptStream(t *testing.T, raw []byte) interruptedResult {
 	t.Helper()
-	return interruptAnswer(t, streamStep(false), string(raw), false)
+	return interruptResponse(t, streamStep(false), string(raw), false)
 }
 
-// readAsClient reads the answer to the request from a replica's bytes, as any HTTP client
+// readAsClient reads the response to the request from a replica's bytes, as any HTTP client
 // would.
 func readAsClient(raw []byte) (body string, complete bool) {
 	reader := bufio.NewReader(strings.NewReader(string(raw)))
--- a/peer/front/limits_test.go
+++ b/peer/front/limits_test.go
@@ -66,7 +66,7 @@
 // newNodeWithBodyTimeout is a node with the given BodyTimeout.
 func newNodeWithBodyTimeout(t *testing.T, bodyTime time.Duration) *node {
 	dispatcher := &scriptedDispatcher{t: t, dispatched: make(chan relay.Request, 16), outcomes: make(chan relay.Outcome, 16)}
-	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Names: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{}), BodyTimeout: bodyTime}))
+	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Headers: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{}), BodyTimeout: bodyTime}))
 	t.Cleanup(server.Close)
 	return &node{scriptedDispatcher: dispatcher, server: server}
 }
@@ -144,7 +144,7 @@
 	})
 	dispatcher := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, dispatched: make(chan relay.Request, 16), outcomes: make(chan relay.Outcome, 16), pools: []*replica.Pool{replica.NewPool(r.address, 4, time.Second)}}
 	rejected := make(chan relay.Completion, 16)
-	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Names: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{}), IntakeBytes: 3 * bodyChunk, OnRejected: func(e relay.Completion) { rejected <- e }}))
+	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Headers: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{}), IntakeBytes: 3 * bodyChunk, OnRejected: func(e relay.Completion) { rejected <- e }}))
 	t.Cleanup(server.Close)
 	n := &node{scriptedDispatcher: dispatcher, server: server}
 	post := func(attempt string, size int) *client {
--- a/peer/front/listener.go
+++ b/peer/front/listener.go
@@ -14,8 +14,8 @@
 // Serve listens on the server's address and serves it, as
 // http.Server.ListenAndServe does, with two differences.
 //
-// It detects heads with both Content-Length and Transfer-Encoding, so that the handler
-// can close their connection after the answer (RFC 9112, section 6.1). net/http drops
+// It detects request heads with both Content-Length and Transfer-Encoding, so that the handler
+// can close their connection after the response (RFC 9112, section 6.1). net/http drops
 // the length and keeps the connection, which would allow request smuggling.
 //
 // It keeps at most maxConnections open at a time, so that requesters cannot exhaust the
--- a/peer/front/listener_test.go
+++ b/peer/front/listener_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{Handler: Handler(Options{Dispatcher: dispatcher, Names: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{})}), ReadHeaderTimeout: time.Second}
+	server := &http.Server{Handler: Handler(Options{Dispatcher: dispatcher, Headers: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{})}), ReadHeaderTimeout: time.Second}
 	go ServeOn(server, listener, 100)
 	t.Cleanup(func() { server.Close() })
 	n.server.Listener = listener
--- a/saffronfall/relayprocess/process.go
+++ b/saffronfall/relayprocess/process.go
@@ -115,7 +115,7 @@
 	group.Add(func() error { return s.own() }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
 	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "node", Snapshot: s.snapshot, Set: s.observer.set}, log)
-	handler := front.Handler(front.Options{Dispatcher: s, Names: names, HashKey: hashKey(p.FleetSecret), MaxBody: p.MaxRequestBytes, Draining: s.closing,
+	handler := front.Handler(front.Options{Dispatcher: s, Headers: names, HashKey: hashKey(p.FleetSecret), MaxBody: p.MaxRequestBytes, Draining: s.closing,
 		BodyTimeout: time.Duration(p.BodyTimeoutMS) * time.Millisecond, IntakeBytes: p.IntakeBytes, OnRejected: s.rejected, Violated: s.violated})
 	server := &http.Server{Addr: p.RequesterListen, Handler: handler, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 1 << 20}
 	serve(&group, server, func(server *http.Server) error { return front.Serve(server, int(p.MaxConnections)) }, "requester address")
@@ -274,7 +274,7 @@
 }
 
 // Dispatch hands a request to the owner's goroutine and waits for its first step.
-func (s *process) Dispatch(ctx context.Context, a relay.Request) (front.Request, relay.Step, *replica.Pool, bool) {
+func (s *process) Dispatch(ctx context.Context, a relay.Request) (front.DispatchedRequest, relay.Step, *replica.Pool, bool) {
 	w := &way{process: s, ctx: ctx, ask: a, answers: make(chan told, 2)}
 	select {
 	case s.arrive <- w:
