--- a/peer/clock/clock.go
+++ b/peer/clock/clock.go
@@ -1,6 +1,6 @@
 // Package clock provides the only clock that decisions use. It is monotonic, cannot be
-// set, and continues while the machine is suspended. A test keeps other packages from
-// reading the time in any other way.
+// set, and continues while the machine is suspended. A test checks that other packages
+// read the time only through this one.
 package clock
 
 import (
@@ -18,8 +18,8 @@
 	return time.Duration(at.Nano())
 }
 
-// Deadline returns the time after a duration, for read and write deadlines of the
-// standard library. Nothing else may use it.
+// Deadline returns the wall clock time after a duration, with a monotonic reading. It is
+// only for read and write deadlines of the standard library.
 func Deadline(after time.Duration) time.Time { return time.Now().Add(after) }
 
 // TimeOfDay returns the wall clock time in UTC, for log entries that people read.
--- a/peer/disk/bench_test.go
+++ b/peer/disk/bench_test.go
@@ -25,6 +25,6 @@
 	rest := make([]byte, 64<<10)
 	b.SetBytes(int64(len(rest)))
 	for b.Loop() {
-		f.any(rest, 40)
+		f.containsRecord(rest, 40)
 	}
 }
--- a/peer/disk/checksum.go
+++ b/peer/disk/checksum.go
@@ -14,6 +14,7 @@
 // bytes that look like a log record, or whose loss leaves the checksum unchanged.
 type checksumKey [2]uint64
 
+// checksumKeySize is the size of an encoded key in bytes.
 const checksumKeySize = 16
 
 // newChecksumKey generates a random key.
--- a/peer/disk/disk.go
+++ b/peer/disk/disk.go
@@ -38,14 +38,15 @@
 	path       string
 	generation uint64
 	log        File
-	// format encodes and checks the records of the current log.
+	// format encodes and checks the records of the current log, whose length in bytes is
+	// size.
 	format recordFormat
 	size   int64
 	// Syncs counts the file syncs made.
 	Syncs int64
 }
 
-// Contents is what a directory held when it was opened.
+// Contents is what a directory contained when it was opened.
 type Contents struct {
 	Empty   bool
 	State   []byte
@@ -82,7 +83,7 @@
 	}
 	contents := Contents{State: slots[newest].body}
 	if logs[newest].generation < s.generation {
-		// The crash came after the slot was written and before its log was installed.
+		// The process stopped after the slot was written and before its log was installed.
 		return s, contents, s.startLog(newest)
 	}
 	err = s.replayLog(newest, logs[newest], &contents)
@@ -97,7 +98,7 @@
 	for len(rest) > 0 {
 		record, n := s.format.read(rest, s.size)
 		if n == 0 {
-			if s.format.any(rest[1:], s.size+1) {
+			if s.format.containsRecord(rest[1:], s.size+1) {
 				return errors.Wrap(ErrDamaged, "the log is damaged before its last record")
 			}
 			break
@@ -254,21 +255,21 @@
 	return nil
 }
 
-// SetAside moves damaged files into a new subdirectory, so that the directory opens as
-// empty.
+// SetAside moves the files of a damaged store into a new subdirectory, so that the
+// directory opens as empty.
 func SetAside(path string) error {
 	for i := 0; ; i++ {
-		aside := filepath.Join(path, fmt.Sprintf("lost-%d", i))
-		if _, err := os.Stat(aside); err == nil {
+		target := filepath.Join(path, fmt.Sprintf("lost-%d", i))
+		if _, err := os.Stat(target); err == nil {
 			continue
 		}
-		if err := os.Mkdir(aside, 0o700); err != nil {
+		if err := os.Mkdir(target, 0o700); err != nil {
 			return errors.Wrap(err, "setting aside the damaged state")
 		}
 		for _, kind := range []string{"slot", "log", "fresh"} {
 			for n := 0; n < 2; n++ {
 				name := fmt.Sprintf("%s-%d", kind, n)
-				err := os.Rename(filepath.Join(path, name), filepath.Join(aside, name))
+				err := os.Rename(filepath.Join(path, name), filepath.Join(target, name))
 				if err != nil && !os.IsNotExist(err) {
 					return errors.Wrap(err, "setting aside the damaged state")
 				}
--- a/peer/disk/format1.go
+++ b/peer/disk/format1.go
@@ -5,11 +5,12 @@
 	"hash/crc32"
 )
 
-// The first format, whose unkeyed CRC checksums anyone can compute. Directories in
-// this format are still read, and their logs appended to until the next call of
-// Replace.
+// castagnoli is the table for the unkeyed checksums (CRC-32C) of the first format.
+// Directories in this format are still read, and their logs are appended to until the
+// next call of Replace.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
+// Sizes of headers of the first format, in bytes.
 const (
 	slotHeaderSizeV1   = len(slotMagicV1) + 16
 	logHeaderSizeV1    = len(logMagicV1) + 8
--- a/peer/disk/log.go
+++ b/peer/disk/log.go
@@ -14,7 +14,7 @@
 	logMagicV1 = "SFLOG001"
 )
 
-// logHeaderSize covers the magic number, generation, key and checksum.
+// logHeaderSize is in bytes and covers the magic number, generation, key and checksum.
 const logHeaderSize = len(logMagic) + 8 + checksumKeySize + 8
 
 // logHeader encodes the header of a log.
@@ -55,8 +55,8 @@
 		if err := checkMagic(s.name("log", i), raw, recognized, logMagic, logMagicV1); err != nil {
 			return logs, err
 		}
-		var whole bool
-		if logs[i], whole = readLogHeader(raw); !whole {
+		var valid bool
+		if logs[i], valid = readLogHeader(raw); !valid {
 			return logs, errors.Wrap(ErrDamaged, "a log header is damaged")
 		}
 	}
@@ -89,23 +89,23 @@
 // record's offset in the log. A nil key selects the first format.
 type recordFormat struct{ key *checksumKey }
 
-// recordHeaderSize covers the length, its checksum and the record's checksum.
+// recordHeaderSize is in bytes and covers the length, its checksum and the record's checksum.
 const recordHeaderSize = 4 + 4 + 8
 
-// append appends to raw the record that is stored at offset at of the log.
-func (f recordFormat) append(raw []byte, at int64, body []byte) []byte {
+// append appends to raw the record with the given body, for an offset in the log.
+func (f recordFormat) append(raw []byte, offset int64, body []byte) []byte {
 	if f.key == nil {
 		return appendRecordV1(raw, body)
 	}
 	header := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
-	header = binary.LittleEndian.AppendUint32(header, f.lengthChecksum(at, header))
-	header = binary.LittleEndian.AppendUint64(header, f.checksum(at, header, body))
+	header = binary.LittleEndian.AppendUint32(header, f.lengthChecksum(offset, header))
+	header = binary.LittleEndian.AppendUint64(header, f.checksum(offset, header, body))
 	return append(append(raw, header...), body...)
 }
 
-// read decodes the record at offset at of the log, which raw begins with. It returns
-// the body and the encoded length, or zero if there is no valid record.
-func (f recordFormat) read(raw []byte, at int64) ([]byte, int) {
+// read decodes the record that raw begins with, which has the given offset in the log.
+// It returns the body and the encoded length, or zero if there is no valid record.
+func (f recordFormat) read(raw []byte, offset int64) ([]byte, int) {
 	if f.key == nil {
 		return readRecordV1(raw)
 	}
@@ -113,22 +113,22 @@
 		return nil, 0
 	}
 	length := uint64(binary.LittleEndian.Uint32(raw))
-	if f.lengthChecksum(at, raw[:4]) != binary.LittleEndian.Uint32(raw[4:]) || uint64(len(raw)) < recordHeaderSize+length {
+	if f.lengthChecksum(offset, raw[:4]) != binary.LittleEndian.Uint32(raw[4:]) || uint64(len(raw)) < recordHeaderSize+length {
 		return nil, 0
 	}
 	end := recordHeaderSize + int(length)
 	body := raw[recordHeaderSize:end]
-	if f.checksum(at, raw[:8], body) != binary.LittleEndian.Uint64(raw[8:]) {
+	if f.checksum(offset, raw[:8], body) != binary.LittleEndian.Uint64(raw[8:]) {
 		return nil, 0
 	}
 	return body, end
 }
 
-// any reports whether raw, which begins at offset at of the log, contains a valid
-// record.
-func (f recordFormat) any(raw []byte, at int64) bool {
+// containsRecord reports whether raw, which begins at the given offset in the log,
+// contains a valid record.
+func (f recordFormat) containsRecord(raw []byte, offset int64) bool {
 	for i := range raw {
-		if _, n := f.read(raw[i:], at+int64(i)); n > 0 {
+		if _, n := f.read(raw[i:], offset+int64(i)); n > 0 {
 			return true
 		}
 	}
@@ -136,13 +136,13 @@
 }
 
 // lengthChecksum returns the checksum of a record's length at an offset.
-func (f recordFormat) lengthChecksum(at int64, length []byte) uint32 {
-	text := binary.LittleEndian.AppendUint64(make([]byte, 0, 8+4), uint64(at))
+func (f recordFormat) lengthChecksum(offset int64, length []byte) uint32 {
+	text := binary.LittleEndian.AppendUint64(make([]byte, 0, 8+4), uint64(offset))
 	return uint32(f.key.checksumShort(append(text, length[:4]...)))
 }
 
 // checksum returns the checksum of a whole record at an offset.
-func (f recordFormat) checksum(at int64, header, body []byte) uint64 {
-	text := binary.LittleEndian.AppendUint64(make([]byte, 0, 8+8), uint64(at))
+func (f recordFormat) checksum(offset int64, header, body []byte) uint64 {
+	text := binary.LittleEndian.AppendUint64(make([]byte, 0, 8+8), uint64(offset))
 	return f.key.checksum(append(text, header[:8]...), body)
 }
--- a/peer/disk/slot.go
+++ b/peer/disk/slot.go
@@ -14,7 +14,7 @@
 	slotMagicV1 = "SFSLOT01"
 )
 
-// slotHeaderSize covers the magic number, generation, key, length and checksum.
+// slotHeaderSize is in bytes and covers the magic number, generation, key, length and checksum.
 const slotHeaderSize = len(slotMagic) + 8 + checksumKeySize + 8 + 8
 
 // slotFile is a slot as read from disk. An invalid slot has a zero generation and no
@@ -59,10 +59,10 @@
 	return slots, nil
 }
 
-// checkMagic checks the magic number of a file that is long enough to have one. A
-// version number that is not known belongs to a newer version. Any other mismatch is
-// damage if the directory is recognized as this program's, and a foreign file
-// otherwise.
+// checkMagic checks the magic number of a file that is long enough to have one. An
+// unknown version number belongs to a newer version. Any other mismatch is damage, which
+// the caller detects, if the directory is recognized as this program's, and a file of
+// another program otherwise.
 func checkMagic(name string, raw []byte, recognized bool, magics ...string) error {
 	size := len(magics[0])
 	if len(raw) < size || bytes.Count(raw[:size], []byte{0}) == size {
--- a/peer/replica/announce.go
+++ b/peer/replica/announce.go
@@ -11,26 +11,25 @@
 	"saffronfall/rule/configuration"
 )
 
-// Announcement is what a replica says of itself. Version is the version that the same
-// node returned in its last reply, or empty.
+// Announcement is a replica's registration at a node, which the replica renews. Token is
+// the token from the last reply of the same node, or empty.
 type Announcement struct {
 	node.Replica
-	Version string `json:"stamp"`
+	Token string `json:"stamp"`
 }
 
 // AnnouncementReply answers an announcement. If it was accepted, the replica announces
 // itself again to the same node after NextMS milliseconds. Otherwise it repeats the
-// announcement at once with Version.
+// announcement at once with Token.
 type AnnouncementReply struct {
 	Accepted bool   `json:"counted"`
-	Version  string `json:"stamp"`
+	Token    string `json:"stamp"`
 	NextMS   int64  `json:"again_ms"`
 }
 
 // AnnouncementHandler returns a handler that authenticates announcements by the bearer
-// key, validates them and passes them to announce. Requests are rejected if key is
-// empty.
-func AnnouncementHandler(key string, announce func(ctx context.Context, r node.Replica, version string) (node.AnnounceReply, error)) http.Handler {
+// key, validates them and calls announce. If key is empty, all requests are rejected.
+func AnnouncementHandler(key string, announce func(ctx context.Context, r node.Replica, token string) (node.AnnounceReply, error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		refuse := func(status int, code, reason string) {
@@ -55,12 +54,12 @@
 		case err != nil || net.ParseIP(host) == nil:
 			refuse(400, "malformed", "address must be an IP number and a port")
 		default:
-			reply, err := announce(r.Context(), announcement.Replica, announcement.Version)
+			reply, err := announce(r.Context(), announcement.Replica, announcement.Token)
 			if err != nil {
 				refuse(503, "come_back", "it was not heard; tell another node")
 				return
 			}
-			json.NewEncoder(w).Encode(AnnouncementReply{Accepted: reply.Accepted, Version: reply.Token, NextMS: reply.NextIn.Milliseconds()})
+			json.NewEncoder(w).Encode(AnnouncementReply{Accepted: reply.Accepted, Token: reply.Token, NextMS: reply.NextIn.Milliseconds()})
 		}
 	})
 }
--- a/peer/replica/pool.go
+++ b/peer/replica/pool.go
@@ -1,9 +1,10 @@
-// Package replica is the HTTP side towards replicas, the back ends that run requests.
+// Package replica is the HTTP client for replicas, the back ends that run requests, and
+// the HTTP handler that registers them.
 //
 // Pool reuses connections to one replica for requests that a node relays. Sender sends
 // each attempt over a connection of its own. AnnouncementHandler receives the
-// announcements of replicas. Nothing in this package sends a request twice: only the
-// caller decides on a retry, from whether the attempt may have run. Start reading at
+// announcements of replicas. This package never sends a request twice: the caller decides
+// on a retry by whether the attempt may have run. Start reading at
 // Pool.Do.
 package replica
 
@@ -25,7 +26,10 @@
 	"saffronfall/peer/socket"
 )
 
-// Headers are the names of the headers between requesters, nodes and replicas.
+// Headers are the names of the headers between requesters, nodes and replicas. A replica
+// sets Seal on each successful response; one without it counts as interrupted. It sets
+// NotRun if it did not run the request. Target is the ID of the replica that a request is
+// for.
 type Headers struct {
 	Attempt, Deadline, LastEvent, Target, Load, NotRun, Seal, Tenant, Key, Urgency, Affinity string
 	ProgramHeaders
@@ -59,7 +63,9 @@
 	headBytesLeft int
 }
 
-// Limits on what precedes the body of a response.
+// Limits on what precedes the body of a response: the total size of its heads, the number
+// of heads including informational (1xx) ones, and the number of responses to earlier
+// requests.
 const (
 	maxHeadBytes      = 256 << 10
 	maxHeads          = 8
@@ -81,7 +87,9 @@
 	return n, err
 }
 
-// NewPool returns a pool that keeps at most the given number of idle connections.
+// NewPool returns a pool for a replica's address that keeps at most the given number of
+// idle connections. Data that is not acknowledged within twice dialTimeout ends a
+// connection.
 func NewPool(address string, idle int, dialTimeout time.Duration) *Pool {
 	return &Pool{address: address, idle: make(chan *conn, idle), dialer: &net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: socket.UserTimeout(2 * dialTimeout)}}
 }
@@ -102,7 +110,7 @@
 var errUnreachable = errors.New("the replica could not be reached")
 
 // acquire returns an idle connection or dials a new one.
-func (p *Pool) acquire(ctx context.Context) (c *conn, fresh bool, err error) {
+func (p *Pool) acquire(ctx context.Context) (c *conn, dialed bool, err error) {
 	for {
 		select {
 		case c := <-p.idle:
@@ -155,7 +163,7 @@
 	}
 }
 
-// Request is one attempt of a request.
+// Request is one attempt of a request. Its body is the concatenation of Body.
 type Request struct {
 	Method, URI string
 	Host        string
@@ -169,7 +177,7 @@
 	HasBody     bool
 }
 
-// Response is a replica's response, whose body the caller reads and then calls Done.
+// Response is a replica's response. The caller reads its body and then calls Done.
 type Response struct {
 	*http.Response
 	// NotRun means that the replica states that it did not run the request.
@@ -193,7 +201,7 @@
 // was sent; after any other error the request may have run. Do never sends a request
 // twice.
 func (p *Pool) Do(ctx context.Context, headers Headers, q Request) (r *Response, notSent bool, err error) {
-	c, fresh, err := p.acquire(ctx)
+	c, dialed, err := p.acquire(ctx)
 	if err != nil {
 		return nil, true, err
 	}
@@ -222,7 +230,7 @@
 		return fail(err)
 	}
 	request := &http.Request{Method: q.Method}
-	r = &Response{pool: p, conn: c, detach: stop, NewConnection: fresh}
+	r = &Response{pool: p, conn: c, detach: stop, NewConnection: dialed}
 	c.headBytesLeft = maxHeadBytes
 	for heads, stale := 0, 0; ; heads++ {
 		if heads == maxHeads {
@@ -258,7 +266,7 @@
 }
 
 // Done ends a response. The connection is reused only if the body was read completely
-// and the response left no doubt about where it ends.
+// and the response states where its body ends.
 func (r *Response) Done(complete bool) {
 	if r.done {
 		return
@@ -278,8 +286,8 @@
 // or by chunks.
 func (r *Response) Delimited() bool { return r.ContentLength >= 0 || len(r.TransferEncoding) > 0 }
 
-// idleTime returns how long an idle connection may be used: less than the replica's
-// Keep-Alive timeout, so that the replica does not close it first.
+// idleTime returns how long an idle connection may be reused. This is less than the
+// replica's Keep-Alive timeout, so that the replica does not close it first.
 func idleTime(header string) time.Duration {
 	for _, field := range strings.Split(header, ",") {
 		if value, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout="); ok {
@@ -291,7 +299,7 @@
 	return time.Minute
 }
 
-// head encodes the request line and the headers.
+// head encodes the request line and the headers, up to the blank line.
 func (q *Request) head() []byte {
 	b := make([]byte, 0, 1024)
 	b = append(b, q.Method...)
--- a/peer/replica/sender.go
+++ b/peer/replica/sender.go
@@ -14,8 +14,8 @@
 	"saffronfall/peer/node"
 )
 
-// Sender sends attempts over HTTP. Each attempt uses a new connection, so that the
-// HTTP library never retries one.
+// Sender sends attempts over HTTP. Each attempt uses a new connection, because net/http
+// may resend a request that fails on a reused one.
 type Sender struct {
 	client   *http.Client
 	maxBytes int64
@@ -39,7 +39,7 @@
 
 // Send makes one attempt and reports its events. The last event is node.EventDone,
 // node.EventNotRun if the replica certainly did not run the attempt, or
-// node.EventBroken if it may have run.
+// node.EventInterrupted if it may have run.
 func (s *Sender) Send(ctx context.Context, attempt node.StartAttempt, report func(e node.AttemptEvent)) {
 	ctx, cancel := context.WithTimeout(ctx, attempt.Timeout)
 	defer cancel()
@@ -77,13 +77,13 @@
 		return
 	}
 	raw, err := io.ReadAll(io.LimitReader(response.Body, s.maxBytes+1))
-	var proof struct {
+	var refusal struct {
 		Ran string `json:"ran"`
 	}
 	switch {
 	case err != nil || int64(len(raw)) > s.maxBytes:
 		report(node.AttemptEvent{Attempt: attempt.Attempt, Kind: node.EventInterrupted})
-	case response.StatusCode >= 400 && json.Unmarshal(raw, &proof) == nil && proof.Ran == "no":
+	case response.StatusCode >= 400 && json.Unmarshal(raw, &refusal) == nil && refusal.Ran == "no":
 		report(node.AttemptEvent{Attempt: attempt.Attempt, Kind: node.EventNotRun})
 	case attempt.Kind == "model" || !json.Valid(raw):
 		report(node.AttemptEvent{Attempt: attempt.Attempt, Kind: node.EventInterrupted})
@@ -92,8 +92,8 @@
 	}
 }
 
-// readStream reports the lines of a turn. A turn is done only if its last line states
-// the right total of tokens.
+// readStream reports the lines of a turn. A turn is complete only if its last line states
+// the correct total of tokens.
 func (s *Sender) readStream(attempt uint64, body io.Reader, report func(e node.AttemptEvent)) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 4096), int(s.maxBytes))
--- a/peer/replica/sender_test.go
+++ b/peer/replica/sender_test.go
@@ -18,7 +18,7 @@
 	abort := func(w http.ResponseWriter) { w.(http.Flusher).Flush(); panic(http.ErrAbortHandler) }
 	for _, c := range []struct {
 		name, kind string
-		answer     func(w http.ResponseWriter)
+		respond    func(w http.ResponseWriter)
 		last       string
 		chunks     int
 	}{
@@ -41,7 +41,7 @@
 		{"redirected", "once", func(w http.ResponseWriter) { w.Header().Set("Location", "/elsewhere"); w.WriteHeader(307) }, node.EventInterrupted, 0},
 	} {
 		calls := 0
-		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { calls++; c.answer(w) }))
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { calls++; c.respond(w) }))
 		var events []node.AttemptEvent
 		s := NewSender(&net.Dialer{}, 1<<16)
 		s.Send(context.Background(), node.StartAttempt{Attempt: 1, Kind: c.kind, Address: server.Listener.Addr().String(), Timeout: 5 * time.Second, Payload: node.Payload{Body: []byte("{}")}}, func(e node.AttemptEvent) { events = append(events, e) })
--- a/peer/stream/stream.go
+++ b/peer/stream/stream.go
@@ -2,9 +2,9 @@
 // length-prefixed msgpack.
 //
 // A stream is one-way: each process dials one stream to every member that it sends to.
-// The dialing side proves that it knows the fleet's secret and states its address and
-// protocol version. Delivery is not guaranteed. Start reading at
-// Transport.Send and Transport.Run.
+// The dialing side authenticates with the fleet's secret and states its address and
+// protocol version. Messages on a stream keep their order, but may be lost. Start reading
+// at Transport.Send and Transport.Run.
 package stream
 
 import (
@@ -31,7 +31,8 @@
 	// Listen is the address that this process listens on; Advertise is the address
 	// that others dial.
 	Listen, Advertise string
-	Secret            string
+	// Secret is the fleet's shared secret.
+	Secret string
 	// QueueSize is how many messages may wait for one member, and how many received
 	// messages may wait in In.
 	QueueSize int
@@ -83,12 +84,12 @@
 	lastUsed time.Duration
 }
 
-const defaultIdle = time.Minute
+const defaultIdleTimeout = time.Minute
 
 // Listen opens the listening socket. Run then accepts streams.
 func Listen(p Params) (*Transport, error) {
 	if p.IdleTimeout <= 0 {
-		p.IdleTimeout = defaultIdle
+		p.IdleTimeout = defaultIdleTimeout
 	}
 	listener, err := net.Listen("tcp", p.Listen)
 	if err != nil {
@@ -187,6 +188,7 @@
 		}
 		if c == nil {
 			if clock.Now()-dialedAt < t.params.Timeout/10 {
+				// Too soon after the last dial: the message is dropped.
 				continue
 			}
 			dialedAt = clock.Now()
@@ -220,11 +222,11 @@
 	}
 }
 
-// batchBytes is the size from which no more messages are added to a write.
+// batchBytes is the size in bytes from which no more messages are added to a write.
 const batchBytes = 32 << 10
 
-// The dialing side answers the nonce with a MAC, its version, the length of its
-// address and the address.
+// Sizes in the handshake, in bytes. The dialing side responds to the nonce with a MAC,
+// its version, the length of its address and the address.
 const (
 	nonceSize = 32
 	macSize   = sha256.Size
@@ -254,7 +256,7 @@
 		c.Close()
 		return nil
 	}
-	hello := append(t.proof(nonce, t.params.Advertise), version(), byte(len(t.params.Advertise)))
+	hello := append(t.handshakeMAC(nonce, t.params.Advertise), version(), byte(len(t.params.Advertise)))
 	if _, err := c.Write(append(hello, t.params.Advertise...)); err != nil {
 		c.Close()
 		return nil
@@ -269,8 +271,8 @@
 	return c
 }
 
-// proof returns the MAC of a nonce and an address under the fleet's secret.
-func (t *Transport) proof(nonce []byte, address string) []byte {
+// handshakeMAC returns the MAC of a nonce and an address under the fleet's secret.
+func (t *Transport) handshakeMAC(nonce []byte, address string) []byte {
 	mac := hmac.New(sha256.New, []byte(t.params.Secret))
 	mac.Write(nonce)
 	mac.Write([]byte(address))
@@ -340,7 +342,7 @@
 	if _, err := io.ReadFull(c, address); err != nil {
 		return "", err
 	}
-	if !hmac.Equal(hello[:macSize], t.proof(nonce, string(address))) {
+	if !hmac.Equal(hello[:macSize], t.handshakeMAC(nonce, string(address))) {
 		return "", errors.New("peer does not know the secret")
 	}
 	if peerVersion := hello[macSize]; peerVersion+1 < version() || peerVersion > version()+1 {
@@ -351,9 +353,9 @@
 	return string(address), nil
 }
 
-// Version is the protocol version. A version is compatible with the previous and the
-// next one, so that a fleet can be upgraded process by process. A build may override
-// it to rehearse an upgrade.
+// Version is the protocol version, a decimal number of one byte. A version is compatible
+// with the previous and the next one, so that a fleet can be upgraded process by process.
+// Builds that test an upgrade override it.
 var Version = "2"
 
 func version() byte {
--- a/peer/stream/stream_test.go
+++ b/peer/stream/stream_test.go
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	peer := Transport{params: Params{Secret: secret}}
-	c.Write(append(peer.proof(nonce, "x"), peerVersion, 1, 'x'))
+	c.Write(append(peer.handshakeMAC(nonce, "x"), peerVersion, 1, 'x'))
 	return c
 }
 
--- a/rehearsalkit/breaks/soak.go
+++ b/rehearsalkit/breaks/soak.go
@@ -42,7 +42,7 @@
 	{What: "a leaving is acknowledged before anybody else holds it", File: "peer/desk/departure.go", Seeds: 1, Elsewhere: "TestLeavingOutlivesADeskThatDies; the soak's desks keep what they heard on their disks",
 		From: "case m.isReplicated(now, d.version):", To: "case true:"},
 	{What: "a torn frame is taken for a whole one", File: "peer/disk/log.go", Seeds: 4,
-		From: "	if f.checksum(at, raw[:8], body) != binary.LittleEndian.Uint64(raw[8:]) {\n		return nil, 0\n	}\n", To: ""},
+		From: "	if f.checksum(offset, raw[:8], body) != binary.LittleEndian.Uint64(raw[8:]) {\n		return nil, 0\n	}\n", To: ""},
 	{What: "a new state counts before it is synced", File: "peer/disk/disk.go", Seeds: 4,
 		From: "	if err := file.Sync(); err != nil {\n		return errors.Wrap(err, \"syncing a state file\")\n	}\n	return s.files.SyncDir(s.path)", To: "	return s.files.SyncDir(s.path)"},
 	{What: "a frame counts before it is synced", File: "peer/disk/disk.go", Seeds: 2,
--- a/rehearsalkit/fleet/backend.go
+++ b/rehearsalkit/fleet/backend.go
@@ -78,7 +78,7 @@
 				pause(b.life, 20*time.Millisecond, 50*time.Millisecond)
 				break
 			}
-			stamp = heard.Version
+			stamp = heard.Token
 			select {
 			case <-time.After(time.Duration(heard.NextMS) * time.Millisecond):
 			case <-b.life.Done():
@@ -97,7 +97,7 @@
 }
 
 func (b *backend) tell(at *Machine, stamp string, leaving bool) (heard replica.AnnouncementReply, ok bool) {
-	body, _ := json.Marshal(replica.Announcement{Replica: node.Replica{Service: b.service, ID: b.id, Address: b.address, Zone: b.zone, Leaving: leaving}, Version: stamp})
+	body, _ := json.Marshal(replica.Announcement{Replica: node.Replica{Service: b.service, ID: b.id, Address: b.address, Zone: b.zone, Leaving: leaving}, Token: stamp})
 	ctx, cancel := context.WithTimeout(b.life, 400*time.Millisecond)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, "POST", "http://"+at.requester+"/v1/replicas", bytes.NewReader(body))
