--- a/peer/disk/checksum_test.go
+++ b/peer/disk/checksum_test.go
@@ -13,7 +13,7 @@
 // TestTornWriteWithARecordInside guards against reporting damage when a torn last write
 // contains tenant-chosen bytes that look like a record.
 func TestTornWriteWithARecordInside(t *testing.T) {
-	for name, inside := range map[string][]byte{
+	for name, embedded := range map[string][]byte{
 		"of the first format":      appendRecordV1(nil, []byte("chosen by a tenant")),
 		"under another disk's key": recordFormat{key: &checksumKey{1, 2}}.append(nil, 100, []byte("chosen by a tenant")),
 	} {
@@ -21,7 +21,7 @@
 		s, _, err := Open(path)
 		must(t, err)
 		before := s.Size()
-		must(t, s.Append(append(make([]byte, 600), inside...)))
+		must(t, s.Append(append(make([]byte, 600), embedded...)))
 		must(t, s.Close())
 		change(t, path, "log-1", func(raw []byte) []byte {
 			clear(raw[before : before+512])
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// TestTornStateWithANeutralBlock guards against accepting a torn slot that lost a
-// block which a CRC would not miss.
+// TestTornStateWithANeutralBlock guards against accepting a torn slot that lacks a block
+// whose loss leaves a CRC unchanged.
 func TestTornStateWithANeutralBlock(t *testing.T) {
 	const block = 512
 	path := newStore(t)
--- a/peer/disk/disk_test.go
+++ b/peer/disk/disk_test.go
@@ -65,7 +65,7 @@
 	for _, c := range []struct {
 		name    string
 		damage  func(t *testing.T, path string)
-		lost    bool
+		damaged bool
 		empty   bool
 		records int
 	}{
@@ -87,26 +87,26 @@
 		{"damaged slot", func(t *testing.T, path string) {
 			change(t, path, "slot-1", func(raw []byte) []byte { raw[len(raw)-1] ^= 1; return raw })
 		}, true, false, 0},
-		{"slot gone", func(t *testing.T, path string) { must(t, os.Remove(filepath.Join(path, "slot-1"))) }, true, false, 0},
+		{"missing slot", func(t *testing.T, path string) { must(t, os.Remove(filepath.Join(path, "slot-1"))) }, true, false, 0},
 		{"damaged log header", func(t *testing.T, path string) {
 			change(t, path, "log-1", func(raw []byte) []byte { raw[2] ^= 1; return raw })
 		}, true, false, 0},
 		{"torn slot of the next generation", func(t *testing.T, path string) {
 			must(t, os.WriteFile(filepath.Join(path, "slot-0"), []byte("SFSLOT01 half"), 0o600))
 		}, false, false, 3},
-		{"everything gone", func(t *testing.T, path string) { must(t, os.RemoveAll(path)) }, false, true, 0},
+		{"missing directory", func(t *testing.T, path string) { must(t, os.RemoveAll(path)) }, false, true, 0},
 	} {
 		path := newStore(t)
 		c.damage(t, path)
 		_, contents, err := Open(path)
-		if errors.Is(err, ErrDamaged) != c.lost || (err != nil && !c.lost) {
+		if errors.Is(err, ErrDamaged) != c.damaged || (err != nil && !c.damaged) {
 			t.Errorf("%s: %v", c.name, err)
 			continue
 		}
-		if !c.lost && (contents.Empty != c.empty || len(contents.Records) != c.records) {
+		if !c.damaged && (contents.Empty != c.empty || len(contents.Records) != c.records) {
 			t.Errorf("%s: %d records, empty %v", c.name, len(contents.Records), contents.Empty)
 		}
-		if c.lost {
+		if c.damaged {
 			must(t, SetAside(path))
 			if _, contents, err := Open(path); err != nil || !contents.Empty {
 				t.Errorf("%s: after SetAside: %+v %v", c.name, contents, err)
--- a/peer/disk/full_test.go
+++ b/peer/disk/full_test.go
@@ -14,8 +14,8 @@
 // syncs.
 type smallDisk struct {
 	systemFiles
-	space     int64
-	syncFault error
+	space   int64
+	syncErr error
 }
 
 type smallFile struct {
@@ -75,9 +75,9 @@
 }
 
 // Sync only returns the configured error, without syncing.
-func (f *smallFile) Sync() error { return f.disk.syncFault }
+func (f *smallFile) Sync() error { return f.disk.syncErr }
 
-func (d *smallDisk) SyncDir(string) error { return d.syncFault }
+func (d *smallDisk) SyncDir(string) error { return d.syncErr }
 
 // checkContents opens a copy of a directory, as after a crash, and checks what it
 // holds.
@@ -142,7 +142,7 @@
 		s, _, err := OpenIn(disk, filepath.Join(t.TempDir()))
 		must(t, err)
 		must(t, s.Replace([]byte("state")))
-		disk.syncFault = fault
+		disk.syncErr = fault
 		if err := s.Append([]byte("one")); err == nil || errors.Is(err, ErrFull) {
 			t.Errorf("%v: Append returned %v", fault, err)
 		}
--- a/peer/relay/machine_test.go
+++ b/peer/relay/machine_test.go
@@ -22,20 +22,20 @@
 // harness runs one node with one desk, and cores that answer at once unless coresSilent is
 // set.
 type harness struct {
-	t           *testing.T
-	now         time.Duration
-	node        *Machine
-	steps       map[uint64][]Step
-	books       map[string]*book.Book
-	storedTurns map[string]core.StoreTurn
-	ledgers     map[string]*rate.Ledger
-	coresSilent bool
-	heldAnswers []func()
-	nextTicket  uint64
-	sentBodies  []any
-	version     uint64
-	deadlines   map[uint64]time.Duration
-	completions []Completion
+	t              *testing.T
+	now            time.Duration
+	node           *Machine
+	steps          map[uint64][]Step
+	books          map[string]*book.Book
+	storedTurns    map[string]core.StoreTurn
+	ledgers        map[string]*rate.Ledger
+	coresSilent    bool
+	delayedResults []func()
+	nextTicket     uint64
+	sentBodies     []any
+	version        uint64
+	deadlines      map[uint64]time.Duration
+	completions    []Completion
 	// absence is why the cores do not find a stored turn.
 	absence core.Absence
 }
@@ -85,7 +85,7 @@
 				h.apply(h.node.Receive(h.now, s.To, core.CommandResult{ID: c.ID, Partition: c.Partition, Raw: message.Pack(h.answer(body))}))
 			}
 			if h.coresSilent {
-				h.heldAnswers = append(h.heldAnswers, answer)
+				h.delayedResults = append(h.delayedResults, answer)
 			} else {
 				answer()
 			}
@@ -93,6 +93,7 @@
 	}
 }
 
+// answer returns the cores' result of a command.
 func (h *harness) answer(command any) any {
 	switch c := command.(type) {
 	case core.ReserveTurn:
@@ -116,8 +117,8 @@
 	case core.ReadGroup:
 		return core.GroupMembers{}
 	case core.ReadTurn:
-		k, ok := h.storedTurns[c.Attempt]
-		return core.ReadTurnResult{Found: ok && k.Tenant == c.Tenant, Absence: h.absence, Previous: k.Previous, Input: k.Input, Output: k.Output, Left: time.Minute}
+		stored, ok := h.storedTurns[c.Attempt]
+		return core.ReadTurnResult{Found: ok && stored.Tenant == c.Tenant, Absence: h.absence, Previous: stored.Previous, Input: stored.Input, Output: stored.Output, Left: time.Minute}
 	case core.DrawRates:
 		var answer core.DrawRatesResult
 		for _, d := range c.Draws {
@@ -247,6 +248,7 @@
 	}
 }
 
+// TestOrderOfChecks: of several reasons for a refusal, the first check in order counts.
 func TestOrderOfChecks(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -314,13 +316,15 @@
 	}
 }
 
+// TestRequestThatMayHaveRun: a request that may have run is sent again only on a route that
+// allows it.
 func TestRequestThatMayHaveRun(t *testing.T) {
 	for _, c := range []struct {
 		name, path string
 		outcomes   []Outcome
 		kind       string
 		status     int
-		sendings   int
+		sends      int
 	}{
 		{"a once-only request that is interrupted", "/once/x", []Outcome{{Kind: OutcomeInterrupted}}, StepAbort, 502, 1},
 		{"a once-only request that did not run, then is interrupted", "/once/x", []Outcome{{Kind: OutcomeNotRun}, {Kind: OutcomeInterrupted}}, StepAbort, 502, 2},
@@ -335,14 +339,14 @@
 		for _, o := range c.outcomes {
 			h.outcome(ticket, o)
 		}
-		sendings := 0
+		sends := 0
 		for _, s := range h.steps[ticket] {
 			if s.Kind == StepSend {
-				sendings++
+				sends++
 			}
 		}
-		if s := h.lastStep(ticket); s.Kind != c.kind || s.Status != c.status || sendings != c.sendings {
-			t.Errorf("%s: %d attempts, last step %+v", c.name, sendings, s)
+		if s := h.lastStep(ticket); s.Kind != c.kind || s.Status != c.status || sends != c.sends {
+			t.Errorf("%s: %d attempts, last step %+v", c.name, sends, s)
 		}
 	}
 }
@@ -363,8 +367,8 @@
 	h.advance(200 * time.Millisecond)
 	h.expect(ticket, StepRefuse, 503)
 	h.coresSilent = false
-	held := h.heldAnswers
-	h.heldAnswers = nil
+	held := h.delayedResults
+	h.delayedResults = nil
 	for _, answer := range held {
 		answer()
 	}
@@ -413,7 +417,7 @@
 	if s := h.lastStep(ticket); s.Kind != StepSend {
 		t.Fatalf("%+v before the cores have stored the turn", s)
 	}
-	for _, answer := range h.heldAnswers {
+	for _, answer := range h.delayedResults {
 		answer()
 	}
 	h.expect(ticket, StepDeliver, 0)
--- a/peer/relay/outcomes_test.go
+++ b/peer/relay/outcomes_test.go
@@ -168,9 +168,9 @@
 	}
 }
 
-// TestAttemptsAfterInterruptedAnswers: a repeatable request is sent to no more replicas
+// TestAttemptsAfterInterruptedResponses: a repeatable request is sent to no more replicas
 // than its route allows.
-func TestAttemptsAfterInterruptedAnswers(t *testing.T) {
+func TestAttemptsAfterInterruptedResponses(t *testing.T) {
 	for _, o := range []Outcome{{Kind: OutcomeInterrupted}, {Kind: OutcomeNotRun}} {
 		h := newHarness(t)
 		h.start()
@@ -188,16 +188,16 @@
 // TestRetryIsChargedToTenantRate: an attempt after an interrupted one needs another unit of
 // the tenant's rate.
 func TestRetryIsChargedToTenantRate(t *testing.T) {
-	for _, c := range []struct{ most, sendings int }{{1, 1}, {100, 2}} {
+	for _, c := range []struct{ most, sends int }{{1, 1}, {100, 2}} {
 		h := newHarness(t)
 		h.update("d1:1", listings("app", "a1", "a2", "a3"), 1, tableJSON(1, func(t *route.Table) { t.Tenants[0].Rate, t.Tenants[0].Burst = 0.001, float64(c.most) }))
 		ticket := h.request(newRequest("/again/x", nil))
-		sendings := 0
-		for ; h.lastStep(ticket).Kind == StepSend; sendings++ {
+		sends := 0
+		for ; h.lastStep(ticket).Kind == StepSend; sends++ {
 			h.outcome(ticket, Outcome{Kind: OutcomeInterrupted})
 		}
-		if sendings != c.sendings {
-			t.Errorf("%d attempts with a rate of %d", sendings, c.most)
+		if sends != c.sends {
+			t.Errorf("%d attempts with a rate of %d", sends, c.most)
 		}
 		h.expect(ticket, StepAbort, 502)
 	}
--- a/peer/relay/overload_test.go
+++ b/peer/relay/overload_test.go
@@ -137,12 +137,12 @@
 		r.estimate.SetShared(40, 0, time.Hour)
 	}
 	ticket = h.request(newRequest("/once/x", nil))
-	sendings := 0
-	for ; h.lastStep(ticket).Kind == StepSend; sendings++ {
+	sends := 0
+	for ; h.lastStep(ticket).Kind == StepSend; sends++ {
 		h.outcome(ticket, Outcome{Kind: OutcomeNotRun})
 	}
-	if sendings != unrestrictedResends {
-		t.Errorf("sent to %d full replicas", sendings)
+	if sends != unrestrictedResends {
+		t.Errorf("sent to %d full replicas", sends)
 	}
 	h.expect(ticket, StepRefuse, 503)
 }
--- a/peer/relay/rate_test.go
+++ b/peer/relay/rate_test.go
@@ -15,8 +15,8 @@
 	t      *testing.T
 	random *rand.Rand
 	nodes  []*harness
-	// sent holds the times at which requests were sent to replicas, pending the answers
-	// that are due.
+	// sent holds the times at which requests were sent to replicas, pending the responses
+	// that are outstanding.
 	sent    []time.Duration
 	pending []pendingOutcome
 	// refused counts requests refused for the rate, refusedWithRoom those of them that
@@ -24,7 +24,7 @@
 	requests, refused, refusedWithRoom int
 }
 
-// pendingOutcome is when a replica answers a request.
+// pendingOutcome is the time at which a replica responds to a request.
 type pendingOutcome struct {
 	at     time.Duration
 	node   *harness
@@ -90,15 +90,15 @@
 			delete(h.steps, ticket)
 		}
 	}
-	kept := st.pending[:0]
+	remaining := st.pending[:0]
 	for _, e := range st.pending {
 		if now < e.at {
-			kept = append(kept, e)
+			remaining = append(remaining, e)
 			continue
 		}
 		e.node.outcome(e.ticket, Outcome{Kind: OutcomeComplete, Status: 200, Events: 1, Started: true})
 	}
-	st.pending = kept
+	st.pending = remaining
 }
 
 // run simulates a period with the given rates of calls and of turns of a program whose
--- a/peer/replica/faults_test.go
+++ b/peer/replica/faults_test.go
@@ -105,12 +105,12 @@
 	return f
 }
 
-// draw counts a run and draws the kind of its response.
-func (f *faultyReplica) draw(id string, among int) int {
+// draw counts a run of a request and draws the kind of its response.
+func (f *faultyReplica) draw(id string, kinds int) int {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.runs[id]++
-	return f.random.IntN(among)
+	return f.random.IntN(kinds)
 }
 
 // faultyConnection is a connection of a faultyReplica. Nothing is written after a
