--- a/peer/relay/outcomes_test.go
+++ b/peer/relay/outcomes_test.go
@@ -73,13 +73,13 @@
 	}
 	d.outcome(one.ticket, o)
 	d.collect()
-	if o.RequesterGone && !trace.completed {
+	if o.RequesterDisconnected && !trace.completed {
 		d.t.Fatalf("request %d continues although its requester has disconnected", one.ticket)
 	}
 }
 
 func (d *randomDriver) randomOutcome(trace *requestTrace) Outcome {
-	o := Outcome{RequesterGone: d.random.IntN(12) == 0, NewConnection: d.random.IntN(3) == 0}
+	o := Outcome{RequesterDisconnected: d.random.IntN(12) == 0, NewConnection: d.random.IntN(3) == 0}
 	switch d.random.IntN(6) {
 	case 0:
 		o.Kind, o.Unreachable = OutcomeNotRun, true
@@ -168,9 +168,9 @@
 	}
 }
 
-// TestAttemptsAfterInterruptedAnswers: a repeatable request is sent to no more replicas
+// TestAttemptsAfterInterruptedResponses: a repeatable request is sent to no more replicas
 // than its route allows.
-func TestAttemptsAfterInterruptedAnswers(t *testing.T) {
+func TestAttemptsAfterInterruptedResponses(t *testing.T) {
 	for _, o := range []Outcome{{Kind: OutcomeInterrupted}, {Kind: OutcomeNotRun}} {
 		h := newHarness(t)
 		h.start()
@@ -188,16 +188,16 @@
 // TestRetryIsChargedToTenantRate: an attempt after an interrupted one needs another unit of
 // the tenant's rate.
 func TestRetryIsChargedToTenantRate(t *testing.T) {
-	for _, c := range []struct{ most, sendings int }{{1, 1}, {100, 2}} {
+	for _, c := range []struct{ most, sends int }{{1, 1}, {100, 2}} {
 		h := newHarness(t)
 		h.update("d1:1", listings("app", "a1", "a2", "a3"), 1, tableJSON(1, func(t *route.Table) { t.Tenants[0].Rate, t.Tenants[0].Burst = 0.001, float64(c.most) }))
 		ticket := h.request(newRequest("/again/x", nil))
-		sendings := 0
-		for ; h.lastStep(ticket).Kind == StepSend; sendings++ {
+		sends := 0
+		for ; h.lastStep(ticket).Kind == StepSend; sends++ {
 			h.outcome(ticket, Outcome{Kind: OutcomeInterrupted})
 		}
-		if sendings != c.sendings {
-			t.Errorf("%d attempts with a rate of %d", sendings, c.most)
+		if sends != c.sends {
+			t.Errorf("%d attempts with a rate of %d", sends, c.most)
 		}
 		h.expect(ticket, StepAbort, 502)
 	}
