--- a/peer/core/configuration.go
+++ b/peer/core/configuration.go
@@ -40,13 +40,13 @@
 	until := now + request.Timeout
 	after, faults := configuration.Parse(request.Text)
 	if len(faults) > 0 {
-		m.answerOperator(ticket, ApplyResult{Code: "faulty", Reason: "the configuration has faults", Faults: faults})
+		m.answerOperator(ticket, ApplyResult{Code: "faulty", Reason: "the description has faults", Faults: faults})
 		return *m.out
 	}
 	m.caller.Call(now, ReadEntries{Partition: ConfigurationPartition, Prefix: configurationKey}, until, func(now time.Duration, o Outcome) {
 		list, ok := o.Answer.(Entries)
 		if !ok {
-			m.answerOperator(ticket, ApplyResult{Code: "unsure", Reason: "the configuration's partition did not answer; nothing was changed"})
+			m.answerOperator(ticket, ApplyResult{Code: "unsure", Reason: "the configuration's part gave no answer; nothing was agreed"})
 			return
 		}
 		var current CurrentConfiguration
@@ -73,7 +73,7 @@
 			case request.PlanOnly:
 				m.answerOperator(ticket, ApplyResult{Version: current.Version, Code: "planned", Rehearsal: &rehearsed})
 			case !rehearsed.Approved:
-				m.answerOperator(ticket, ApplyResult{Version: current.Version, Code: "not_approved", Reason: "the rehearsal newly refused more requests than the configuration's approval limit allows", Rehearsal: &rehearsed})
+				m.answerOperator(ticket, ApplyResult{Version: current.Version, Code: "not_approved", Reason: "rehearsal newly refused more than the description's approval limit", Rehearsal: &rehearsed})
 			default:
 				m.acceptConfiguration(now, ticket, until, request, &rehearsed)
 			}
@@ -84,7 +84,7 @@
 
 // raceLost is the result when another configuration was accepted first.
 func raceLost(version uint64) ApplyResult {
-	return ApplyResult{Version: version, Code: "race_lost", Reason: "another configuration was accepted first; version " + strconv.FormatUint(version, 10) + " is in force"}
+	return ApplyResult{Version: version, Code: "race_lost", Reason: "another configuration came first; version " + strconv.FormatUint(version, 10) + " is in force"}
 }
 
 // acceptConfiguration commits the configuration and then waits for the members.
@@ -93,7 +93,7 @@
 		accepted, ok := o.Answer.(AcceptConfigurationResult)
 		switch {
 		case !ok:
-			m.answerOperator(ticket, ApplyResult{Code: "unsure", Reason: "the configuration's partition did not answer in time; apply the same text again to find out whether it was accepted"})
+			m.answerOperator(ticket, ApplyResult{Code: "unsure", Reason: "the configuration's part gave no answer in time; hand the same text over again to find out"})
 		case !accepted.Accepted:
 			m.answerOperator(ticket, raceLost(accepted.Version))
 		default:
@@ -160,7 +160,7 @@
 		return
 	}
 	if now >= until {
-		result.Code, result.Reason = "agreed_not_taken", "accepted, and will be in force; not every member has confirmed that it follows it"
+		result.Code, result.Reason = "agreed_not_taken", "agreed, and will be in force; not every member has said that it follows"
 		m.answerOperator(ticket, result)
 		return
 	}
--- a/peer/core/membership.go
+++ b/peer/core/membership.go
@@ -146,7 +146,7 @@
 
 // tooFewCores is the reason for refusing to retire a core.
 func tooFewCores(id string) string {
-	return "without " + id + " some group would have too few members; add a core first"
+	return "without " + id + " some group would have fewer seats; add a core first"
 }
 
 // membershipMoves returns the moves that turn a group into the wanted one, each
@@ -196,7 +196,7 @@
 		retiring, ok := o.Answer.(RetireCoreResult)
 		switch {
 		case !ok:
-			m.answerOperator(ticket, ChangeResult{Moves: plan.Moves, Code: "not_finished", Reason: "the core could not be marked as retired in time; repeat the request"})
+			m.answerOperator(ticket, ChangeResult{Moves: plan.Moves, Code: "not_finished", Reason: "not marked as retired yet; ask again"})
 		case !retiring.Found:
 			m.answerOperator(ticket, ChangeResult{Code: "unknown_core", Reason: "no core of this fleet is called " + id})
 		case !retiring.EnoughRemain:
@@ -228,7 +228,7 @@
 				plan.Done, plan.MovesMade = true, len(plan.Moves)
 				m.answerOperator(ticket, plan)
 			case now >= until:
-				plan.Code, plan.Reason = "not_finished", "not all moves were made in time; repeat the request to continue"
+				plan.Code, plan.Reason = "not_finished", "not all moves were made in time; ask again to go on"
 				m.answerOperator(ticket, plan)
 			default:
 				m.later.Add(now+m.params.PullInterval, func(now time.Duration) { m.awaitGroups(now, ticket, until, plan, settled) })
--- a/peer/desk/amend.go
+++ b/peer/desk/amend.go
@@ -95,7 +95,7 @@
 	return func(text []byte) ([]byte, configuration.Faults) {
 		current, faults := route.Parse(text)
 		if faults != nil {
-			return nil, configuration.Faults{{Path: "$", Value: "there is no current table", Allowed: "an amendment of the current table"}}
+			return nil, configuration.Faults{{Path: "$", Value: "no table is in force", Allowed: "an amendment of a table that is in force"}}
 		}
 		next, faults := a.Apply(current)
 		if faults != nil {
--- a/peer/desk/handler.go
+++ b/peer/desk/handler.go
@@ -44,7 +44,7 @@
 	base, err := strconv.ParseUint(r.URL.Query().Get("base"), 10, 64)
 	body, bodyErr := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil || bodyErr != nil {
-		operator.WriteJSON(w, http.StatusBadRequest, operator.ErrorResponse{Code: "malformed", Reason: "base must be the number of the current table, and the body a complete " + kind, Executed: "no"})
+		operator.WriteJSON(w, http.StatusBadRequest, operator.ErrorResponse{Code: "malformed", Reason: "base must be the number of the table in force, and the body a whole " + kind, Executed: "no"})
 		return 0, nil, false
 	}
 	return base, body, true
@@ -54,7 +54,7 @@
 func writeOrderResult(w http.ResponseWriter, result OrderResult, err error) {
 	switch {
 	case err != nil || result.Unsure:
-		operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "the outcome is unknown; send the same request again to find out", Executed: "maybe"})
+		operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "hand the same order over again to find out", Executed: "maybe"})
 	case result.Faults != nil:
 		operator.WriteJSON(w, http.StatusBadRequest, result)
 	case result.RaceLost:
@@ -100,7 +100,7 @@
 		guarded.HandleFunc("GET /v1/table", func(w http.ResponseWriter, r *http.Request) {
 			table, err := api.Read(r.Context())
 			if err != nil || table.Number == 0 {
-				operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "no table is known yet, or the cores did not answer", Executed: "no"})
+				operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "no table is known", Executed: "no"})
 				return
 			}
 			w.Header().Set("Content-Type", "application/json")
@@ -113,7 +113,7 @@
 				case err != nil || status.Unsure:
 					operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "the cores did not answer", Executed: "maybe"})
 				case !status.Known:
-					operator.WriteJSON(w, http.StatusNotFound, operator.ErrorResponse{Code: "unknown_core", Reason: "no core has this id", Executed: "no"})
+					operator.WriteJSON(w, http.StatusNotFound, operator.ErrorResponse{Code: "unknown_core", Reason: "no core has this name", Executed: "no"})
 				default:
 					operator.WriteJSON(w, http.StatusOK, status)
 				}
@@ -142,7 +142,7 @@
 	mux.HandleFunc("PUT /v1/replicas/{id}", func(w http.ResponseWriter, r *http.Request) {
 		var replica Replica
 		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxReplicaBytes)).Decode(&replica); err != nil || replica.Service == "" || replica.Address == "" {
-			operator.WriteJSON(w, http.StatusBadRequest, operator.ErrorResponse{Code: "malformed", Reason: "the body must be a replica with its service and address", Executed: "no"})
+			operator.WriteJSON(w, http.StatusBadRequest, operator.ErrorResponse{Code: "malformed", Reason: "a replica with its service and address", Executed: "no"})
 			return
 		}
 		replica.ID = r.PathValue("id")
--- a/peer/desk/table.go
+++ b/peer/desk/table.go
@@ -109,7 +109,7 @@
 			m.install(now, parsed, c.Digest)
 			m.resolve(ticket, OrderResult{Accepted: true, Number: agreed.Number})
 		case parsed.Number <= agreed.Number && c.Base == agreed.Number:
-			m.resolve(ticket, OrderResult{Number: agreed.Number, Faults: configuration.Faults{{Path: "number", Value: parsed.Number, Allowed: "a number above that of the current table"}}})
+			m.resolve(ticket, OrderResult{Number: agreed.Number, Faults: configuration.Faults{{Path: "number", Value: parsed.Number, Allowed: "above the one in force"}}})
 		default:
 			m.resolve(ticket, OrderResult{RaceLost: true, Number: agreed.Number})
 		}
--- a/peer/operator/handler.go
+++ b/peer/operator/handler.go
@@ -237,7 +237,7 @@
 			return m.RegisterCore(now, ticket, *c.New, timeout)
 		})
 		if done, ok := body.(core.Done); err != nil || !ok || !done.OK {
-			WriteJSON(w, http.StatusConflict, ErrorResponse{Code: "not_introduced", Reason: "the new core could not be registered; another core may have its id", Executed: "maybe"})
+			WriteJSON(w, http.StatusConflict, ErrorResponse{Code: "not_introduced", Reason: "the core could not be made known; another core may have its name", Executed: "maybe"})
 			return
 		}
 	}
--- a/rule/route/amendment.go
+++ b/rule/route/amendment.go
@@ -80,7 +80,7 @@
 		path := "set." + list + "[" + strconv.Itoa(i) + "].name"
 		switch {
 		case name(item) == "":
-			faults = append(faults, configuration.Fault{Path: path, Value: "", Allowed: "the name of the item"})
+			faults = append(faults, configuration.Fault{Path: path, Value: "", Allowed: "the name that the item is known by"})
 		case isSet[name(item)]:
 			faults = append(faults, configuration.Fault{Path: path, Value: name(item), Allowed: "a name that is set once"})
 		}
@@ -88,7 +88,7 @@
 	}
 	for i, item := range removed {
 		if item == "" {
-			faults = append(faults, configuration.Fault{Path: "remove." + list + "[" + strconv.Itoa(i) + "]", Value: item, Allowed: "the name of the item"})
+			faults = append(faults, configuration.Fault{Path: "remove." + list + "[" + strconv.Itoa(i) + "]", Value: item, Allowed: "the name that the item is known by"})
 		}
 		if isSet[item] {
 			faults = append(faults, configuration.Fault{Path: "remove." + list + "[" + strconv.Itoa(i) + "]", Value: item, Allowed: "a name that is not set by the same amendment"})
@@ -102,7 +102,7 @@
 func (a Amendment) Apply(current *Table) (*Table, configuration.Faults) {
 	var faults configuration.Faults
 	if a.Number <= current.Number {
-		faults = append(faults, configuration.Fault{Path: "number", Value: a.Number, Allowed: "greater than the current number, " + strconv.FormatUint(current.Number, 10)})
+		faults = append(faults, configuration.Fault{Path: "number", Value: a.Number, Allowed: "above the one in force, " + strconv.FormatUint(current.Number, 10)})
 	}
 	if current.Source != "" {
 		faults = append(faults, configuration.Fault{Path: "$", Value: "a table that was translated from another text", Allowed: "an amendment of that text"})
@@ -133,7 +133,7 @@
 	}
 	for _, item := range named {
 		if count[item] > 1 {
-			faults = append(faults, configuration.Fault{Path: list, Value: item, Allowed: "a name of exactly one item of the current table"})
+			faults = append(faults, configuration.Fault{Path: list, Value: item, Allowed: "a name that one item of the table in force bears"})
 		}
 	}
 	return faults
