--- a/rehearsalkit/sizes/larger_test.go
+++ b/rehearsalkit/sizes/larger_test.go
@@ -22,7 +22,7 @@
 	"function rehearsalkit/simulator/terms.go MeasureTerm":          61,
 	"function rule/rehearsal/rehearsal.go replay.check":             75,
 	"function saffronfall/main.go statusCommand.Run":                61,
-	"function saffronfall/nodeprocess/process.go process.own":       63,
+	"function saffronfall/nodeprocess/process.go process.run":       63,
 	"struct peer/core/machine.go Machine":                           34,
 	"struct peer/desk/machine.go Machine":                           33,
 	"struct peer/node/machine.go Machine":                           58,
--- a/saffronfall/coreprocess/process.go
+++ b/saffronfall/coreprocess/process.go
@@ -1,4 +1,10 @@
-// Package coreprocess is the core role: a thin shell round the core's machine.
+// Package coreprocess runs the role of a core, which stores partitions of the fleet's state.
+//
+// All decisions are made by the state machine of peer/core; this package connects it to
+// sockets, clocks and the disk. One goroutine, process.run, calls the machine and owns all
+// mutable state; another, writer.run, writes to the disk. Messages that depend on changes
+// are held back until the changes are synced. Start reading at RunOn, process.run and
+// process.apply.
 package coreprocess
 
 import (
@@ -25,77 +31,86 @@
 	"saffronfall/saffronfall/telemetry"
 )
 
-type written struct {
-	upto uint64
-	took time.Duration
-	err  error
-	// full says that there was no room and the batch is tried again.
+// writeResult is the result of writing a batch.
+type writeResult struct {
+	// upTo is the number of the last change that is synced.
+	upTo     uint64
+	duration time.Duration
+	err      error
+	// full means that the disk was full and that the writer retries the batch.
 	full bool
 }
 
+// batch holds the changes to write up to the one numbered upTo.
 type batch struct {
-	upto    uint64
+	upTo    uint64
 	changes []core.Change
 }
 
 type process struct {
 	params  params.Params
-	adopt   <-chan params.Params
-	others  map[string]byte
-	log     logr.Logger
-	machine *core.Machine
-	streams *stream.Transport
-	start   time.Duration
-	calls   chan func(now time.Duration) core.Output
-	drain   chan struct{}
-	toDisk  chan batch
-	onDisk  chan written
+	updates <-chan params.Params
+	// otherVersions has the last refused protocol version of each member.
+	otherVersions map[string]byte
+	log           logr.Logger
+	machine       *core.Machine
+	streams       *stream.Transport
+	start         time.Duration
+	calls         chan func(now time.Duration) core.Output
+	drain         chan struct{}
+	writes        chan batch
+	written       chan writeResult
 
 	violations *invariant.Counter
-	changes    []core.Change
+	// changes waits for the batch being written, if any.
+	changes []core.Change
+	// issued and synced number outputs with changes: the last one made by the machine, and
+	// the last one on the disk.
 	issued     uint64
 	synced     uint64
-	busy       bool
-	busyAt     time.Duration
+	writing    bool
+	writeStart time.Duration
 	held       []heldSend
 	answers    map[uint64]chan any
-	next       uint64
-	owned      int
+	lastTicket uint64
+	leading    int
 	messages
 	syncs    int64
 	syncTime time.Duration
 	stalled  bool
 }
 
-// messages counts what was said to and by other processes of the fleet.
+// messages counts messages to and from other processes of the fleet.
 type messages struct{ sent, dropped, received, bad int64 }
 
+// heldSend is a message to send once the changes up to a number are synced.
 type heldSend struct {
 	after uint64
 	send  core.Send
 }
 
-// Run runs the role until the context ends, then hands its parts over.
-func Run(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger) error {
-	return RunOn(ctx, disk.System, p, adopt, log)
+// Run runs the role until ctx ends, then hands its partitions over. Settings received on
+// updates replace p. The error is that of the disk or of a listener which failed, or nil.
+func Run(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger) error {
+	return RunOn(ctx, disk.System, p, updates, log)
 }
 
-// RunOn runs the role with its folder in a file system.
-func RunOn(ctx context.Context, files disk.FileSystem, p params.Params, adopt <-chan params.Params, log logr.Logger) error {
+// RunOn is like Run, with the data directory in the given file system.
+func RunOn(ctx context.Context, files disk.FileSystem, p params.Params, updates <-chan params.Params, log logr.Logger) error {
 	if p.DataDir == "" {
-		return errors.New("a core needs a folder")
+		return errors.New("a core needs a data directory: the setting folder is missing")
 	}
-	folder, stored, err := load(files, p.DataDir, log)
+	store, stored, err := load(files, p.DataDir, log)
 	if err != nil {
 		return err
 	}
 	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.FleetSecret,
-		QueueSize: int(p.BufferSize), MaxMessageBytes: 64 << 20, Timeout: p.Node().AnnouncementMaxAge})
+		QueueSize: int(p.BufferSize), MaxMessageBytes: maxMessageBytes, Timeout: p.Node().AnnouncementMaxAge})
 	if err != nil {
 		return err
 	}
-	s := &process{params: p, violations: telemetry.NewViolationCounts(p.StrictInvariants, log), adopt: adopt, others: map[string]byte{}, log: log, streams: streams, start: clock.Now(), calls: make(chan func(time.Duration) core.Output, 64),
-		drain: make(chan struct{}, 1), toDisk: make(chan batch, 1), onDisk: make(chan written, 1), answers: map[uint64]chan any{}}
+	s := &process{params: p, violations: telemetry.NewViolationCounts(p.StrictInvariants, log), updates: updates, otherVersions: map[string]byte{}, log: log, streams: streams, start: clock.Now(), calls: make(chan func(time.Duration) core.Output, 64),
+		drain: make(chan struct{}, 1), writes: make(chan batch, 1), written: make(chan writeResult, 1), answers: map[uint64]chan any{}}
 	var image core.Stored
 	image.CopyFrom(stored)
 	s.machine = core.New(core.Options{Params: p.Core(), ID: p.ID, Zone: p.Zone, Address: p.PeerAdvertise, Operator: p.OperatorAdvertise, Seeds: p.Seeds,
@@ -103,13 +118,13 @@
 	log.Info("core started", "id", p.ID, "incarnation", stored.Incarnation, "founded", s.machine.Founded())
 
 	var group run.Group
-	life, cancel := context.WithCancel(context.Background())
-	group.Add(func() error { return s.own(ctx, life) }, func(error) { cancel() })
+	runCtx, cancel := context.WithCancel(context.Background())
+	group.Add(func() error { return s.run(ctx, runCtx) }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
-	writes := writer{folder: folder, image: image, batches: s.toDisk, done: s.onDisk, pause: p.Core().Partition.LeaseDuration}
-	group.Add(func() error { return writes.run(life) }, func(error) { cancel() })
+	diskWriter := writer{store: store, image: image, batches: s.writes, results: s.written, retryInterval: p.Core().Partition.LeaseDuration}
+	group.Add(func() error { return diskWriter.run(runCtx) }, func(error) { cancel() })
 	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "core", Snapshot: s.snapshot}, log)
-	server := &http.Server{Addr: p.OperatorListen, Handler: operator.Handler(s, p.OperatorKey, s.drain), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: callTime, IdleTimeout: callTime}
+	server := &http.Server{Addr: p.OperatorListen, Handler: operator.Handler(s, p.OperatorKey, s.drain), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: callTimeout, IdleTimeout: callTimeout}
 	group.Add(func() error {
 		if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 			return errors.Wrap(err, "operator address")
@@ -119,17 +134,22 @@
 	return group.Run()
 }
 
-// callTime bounds how long an operator's call may take to send.
-const callTime = time.Minute
+// callTimeout bounds how long reading an operator's request may take.
+const callTimeout = time.Minute
+
+const maxMessageBytes = 64 << 20
 
+// load opens the data directory and returns the state stored there. An empty directory gets
+// a new incarnation. A damaged one is set aside, and the core starts as a new one: without a
+// vote, because it has lost what it promised.
 func load(files disk.FileSystem, path string, log logr.Logger) (*disk.Store, core.Stored, error) {
-	folder, found, err := disk.OpenIn(files, path)
+	store, found, err := disk.OpenIn(files, path)
 	if errors.Is(err, disk.ErrDamaged) {
-		log.Info("copy lost; this core begins as a new one without a vote", "cause", err.Error())
+		log.Info("stored state is damaged and was set aside; the core starts as a new one without a vote", "cause", err.Error())
 		if err := disk.SetAside(path); err != nil {
 			return nil, core.Stored{}, err
 		}
-		folder, found, err = disk.OpenIn(files, path)
+		store, found, err = disk.OpenIn(files, path)
 	}
 	if err != nil {
 		return nil, core.Stored{}, err
@@ -141,110 +161,117 @@
 			return nil, core.Stored{}, err
 		}
 		stored.Incarnation = hex.EncodeToString(raw)
-		return folder, stored, folder.Replace(message.Marshal(stored))
+		return store, stored, store.Replace(message.Marshal(stored))
 	}
 	if err := message.Unmarshal(found.State, &stored); err != nil {
-		return nil, core.Stored{}, errors.Wrap(err, "slot")
+		return nil, core.Stored{}, errors.Wrap(err, "decoding the slot")
 	}
-	for _, frame := range found.Records {
+	for _, record := range found.Records {
 		var changes []core.Change
-		if err := message.Unmarshal(frame, &changes); err != nil {
-			return nil, core.Stored{}, errors.Wrap(err, "log")
+		if err := message.Unmarshal(record, &changes); err != nil {
+			return nil, core.Stored{}, errors.Wrap(err, "decoding the log")
 		}
 		for _, c := range changes {
 			stored.Apply(c)
 		}
 	}
-	return folder, stored, nil
+	return store, stored, nil
 }
 
-// refuseVersion says once of each member that its version does not go with this
-// one.
-func (s *process) refuseVersion(c stream.Counters) {
-	if s.others[c.PeerAddress] != c.PeerVersion {
-		s.others[c.PeerAddress] = c.PeerVersion
-		s.log.Info("member of another version refused; change a fleet one version at a time", "member", c.PeerAddress, "its version", c.PeerVersion, "own version", stream.Version)
+// logVersionMismatch logs, once for each member and version, that a member's protocol
+// version is incompatible with this process.
+func (s *process) logVersionMismatch(c stream.Counters) {
+	if s.otherVersions[c.PeerAddress] != c.PeerVersion {
+		s.otherVersions[c.PeerAddress] = c.PeerVersion
+		s.log.Info("refused a member of an incompatible version; upgrade a fleet one version at a time", "member", c.PeerAddress, "its version", c.PeerVersion, "own version", stream.Version)
 	}
 }
 
 func (s *process) now() time.Duration { return clock.Now() - s.start }
 
-// own is the one goroutine that drives the machine.
-func (s *process) own(ctx, life context.Context) error {
+// run is the event loop. No other goroutine calls the machine. It starts to hand partitions
+// over when ctx ends, and returns once none is led here, the grace period is over or runCtx
+// ends.
+func (s *process) run(ctx, runCtx context.Context) error {
 	runtime.LockOSThread()
 	ticker := time.NewTicker(s.params.Core().Partition.LeaseDuration / 20)
 	defer ticker.Stop()
-	var leaveBy time.Duration
+	var drainDeadline time.Duration
 	stop, drain := ctx.Done(), s.drain
 	for {
 		select {
 		case in := <-s.streams.In:
 			s.received++
-			s.take(s.machine.Receive(s.now(), in.From, in.Body))
+			s.apply(s.machine.Receive(s.now(), in.From, in.Body))
 			for n := len(s.streams.In); n > 0; n-- {
 				in := <-s.streams.In
 				s.received++
-				s.take(s.machine.Receive(s.now(), in.From, in.Body))
+				s.apply(s.machine.Receive(s.now(), in.From, in.Body))
 			}
 		case call := <-s.calls:
-			s.take(call(s.now()))
-		case w := <-s.onDisk:
-			if w.full {
-				s.log.Info("disk full; this core takes nothing until there is room", "cause", w.err.Error())
+			s.apply(call(s.now()))
+		case result := <-s.written:
+			if result.full {
+				s.log.Info("disk is full; the core stores nothing until there is space", "cause", result.err.Error())
 				continue
 			}
-			if w.err != nil {
-				return errors.Wrap(w.err, "the disk failed; nothing after this is certain")
+			if result.err != nil {
+				return errors.Wrap(result.err, "writing to the disk failed; what it now stores is unknown")
 			}
-			s.busy = false
-			s.synced = w.upto
+			s.writing = false
+			s.synced = result.upTo
 			s.syncs++
-			s.syncTime += w.took
-			s.flushHeld()
-		case s.params = <-s.adopt:
+			s.syncTime += result.duration
+			s.sendHeld()
+		case s.params = <-s.updates:
 		case c := <-s.streams.Counts:
 			s.bad += c.BadStreams
 			if c.VersionMismatches > 0 {
-				s.refuseVersion(c)
+				s.logVersionMismatch(c)
 			}
 		case <-ticker.C:
-			s.take(s.machine.Tick(s.now()))
-			s.watch()
-			if leaveBy > 0 && (s.now() >= leaveBy || len(s.machine.LeadingPartitions(s.now())) == 0) {
-				s.log.Info("core stopped", "parts left", len(s.machine.LeadingPartitions(s.now())))
+			s.apply(s.machine.Tick(s.now()))
+			s.logChanges()
+			if drainDeadline > 0 && (s.now() >= drainDeadline || len(s.machine.LeadingPartitions(s.now())) == 0) {
+				s.log.Info("core stopped", "partitions_still_led", len(s.machine.LeadingPartitions(s.now())))
 				return nil
 			}
 		case <-stop:
-			stop, drain, leaveBy = nil, nil, s.leave()
+			stop, drain, drainDeadline = nil, nil, s.startDrain()
 		case <-drain:
-			stop, drain, leaveBy = nil, nil, s.leave()
-		case <-life.Done():
+			stop, drain, drainDeadline = nil, nil, s.startDrain()
+		case <-runCtx.Done():
 			return nil
 		}
-		s.pushDisk()
+		s.writeChanges()
 	}
 }
 
-func (s *process) leave() time.Duration {
+// startDrain starts to hand partitions over and returns when the grace period ends.
+func (s *process) startDrain() time.Duration {
 	s.machine.Drain()
-	s.log.Info("core leaves", "parts", len(s.machine.LeadingPartitions(s.now())))
+	s.log.Info("core is draining", "partitions", len(s.machine.LeadingPartitions(s.now())))
 	return s.now() + s.params.Grace()
 }
 
-func (s *process) watch() {
-	stalled := s.busy && s.now()-s.busyAt > s.params.Core().Partition.LeaseDuration
+// logChanges tells the machine whether the disk stalls, and logs changes of that and of the
+// number of partitions led here.
+func (s *process) logChanges() {
+	stalled := s.writing && s.now()-s.writeStart > s.params.Core().Partition.LeaseDuration
 	if stalled != s.stalled {
 		s.stalled = stalled
 		s.machine.SetStalled(stalled)
 		s.log.Info("disk", "stalled", stalled)
 	}
-	if owned := len(s.machine.LeadingPartitions(s.now())); owned != s.owned {
-		s.owned = owned
-		s.log.Info("ownership", "parts", owned)
+	if leading := len(s.machine.LeadingPartitions(s.now())); leading != s.leading {
+		s.leading = leading
+		s.log.Info("ownership", "parts", leading)
 	}
 }
 
-func (s *process) take(o core.Output) {
+// apply carries out what the machine has decided. A message that depends on changes is sent
+// only once they are synced: otherwise a power failure could undo what it says.
+func (s *process) apply(o core.Output) {
 	if len(o.Changes) > 0 {
 		s.changes = append(s.changes, o.Changes...)
 		s.issued++
@@ -257,24 +284,25 @@
 		s.sendSynced(send, s.issued)
 	}
 	for _, a := range o.Answers {
-		if waiting, ok := s.answers[a.Ticket]; ok {
+		if answer, ok := s.answers[a.Ticket]; ok {
 			delete(s.answers, a.Ticket)
-			waiting <- a.Body
+			answer <- a.Body
 		}
 	}
 }
 
-// sendSynced sends what rests on the changes that were issued up to a number.
-func (s *process) sendSynced(send core.Send, rests uint64) {
-	if send.Synced && rests > s.synced {
-		invariant.Reporter(s.violations.Report).Violated(invariant.AcknowledgedAfterSync, "%T to %s rests on change %d; %d are synced", send.Body, send.To, rests, s.synced)
+// sendSynced sends a message that depends on the changes up to a number. It reports a
+// violated invariant if they are not synced.
+func (s *process) sendSynced(send core.Send, upTo uint64) {
+	if send.Synced && upTo > s.synced {
+		invariant.Reporter(s.violations.Report).Violated(invariant.AcknowledgedAfterSync, "%T to %s depends on change %d; changes up to %d are synced", send.Body, send.To, upTo, s.synced)
 	}
 	s.send(send)
 }
 
 func (s *process) send(send core.Send) {
 	if send.To == s.params.PeerAdvertise {
-		s.take(s.machine.Receive(s.now(), send.To, send.Body))
+		s.apply(s.machine.Receive(s.now(), send.To, send.Body))
 		return
 	}
 	s.sent++
@@ -283,10 +311,11 @@
 	}
 }
 
-func (s *process) flushHeld() {
-	ready := s.held
+// sendHeld sends the held messages whose changes are synced.
+func (s *process) sendHeld() {
+	held := s.held
 	s.held = nil
-	for _, h := range ready {
+	for _, h := range held {
 		if h.after <= s.synced {
 			s.sendSynced(h.send, h.after)
 		} else {
@@ -295,22 +324,23 @@
 	}
 }
 
-func (s *process) pushDisk() {
-	if s.busy || len(s.changes) == 0 {
+// writeChanges hands the collected changes to the writer, unless it is busy.
+func (s *process) writeChanges() {
+	if s.writing || len(s.changes) == 0 {
 		return
 	}
-	s.busy, s.busyAt = true, s.now()
-	s.toDisk <- batch{upto: s.issued, changes: s.changes}
+	s.writing, s.writeStart = true, s.now()
+	s.writes <- batch{upTo: s.issued, changes: s.changes}
 	s.changes = nil
 }
 
-// Call runs a step on the owner's goroutine and waits for its answer.
+// Call calls step on the goroutine of run and waits for the machine's answer to the ticket.
 func (s *process) Call(ctx context.Context, step func(m *core.Machine, now time.Duration, ticket uint64) core.Output) (any, error) {
-	waiting := make(chan any, 1)
+	answer := make(chan any, 1)
 	call := func(now time.Duration) core.Output {
-		s.next++
-		s.answers[s.next] = waiting
-		return step(s.machine, now, s.next)
+		s.lastTicket++
+		s.answers[s.lastTicket] = answer
+		return step(s.machine, now, s.lastTicket)
 	}
 	select {
 	case s.calls <- call:
@@ -318,31 +348,31 @@
 		return nil, ctx.Err()
 	}
 	select {
-	case body := <-waiting:
+	case body := <-answer:
 		return body, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// Inspect runs a function on the owner's goroutine.
-func (s *process) Inspect(ctx context.Context, look func(m *core.Machine, now time.Duration) any) (any, error) {
+// Inspect calls read on the goroutine of run and returns its result.
+func (s *process) Inspect(ctx context.Context, read func(m *core.Machine, now time.Duration) any) (any, error) {
 	return s.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-		return core.Output{Answers: []core.Answer{{Ticket: ticket, Body: look(m, now)}}}
+		return core.Output{Answers: []core.Answer{{Ticket: ticket, Body: read(m, now)}}}
 	})
 }
 
-// snapshot is what this process counts now.
-func (s *process) snapshot(ctx context.Context) (told telemetry.Snapshot, err error) {
-	if told.Values, err = s.Counters(ctx); err != nil {
-		return told, err
+// snapshot returns the current counters and violated invariants.
+func (s *process) snapshot(ctx context.Context) (snapshot telemetry.Snapshot, err error) {
+	if snapshot.Values, err = s.Counters(ctx); err != nil {
+		return snapshot, err
 	}
 	violations, err := s.Inspect(ctx, func(*core.Machine, time.Duration) any { return telemetry.ViolationCounts(s.violations) })
-	told.Violations, _ = violations.(map[invariant.Name]int64)
-	return told, err
+	snapshot.Violations, _ = violations.(map[invariant.Name]int64)
+	return snapshot, err
 }
 
-// Counters are this process's counts.
+// Counters returns the counters of this process.
 func (s *process) Counters(ctx context.Context) (map[string]int64, error) {
 	body, err := s.Inspect(ctx, func(m *core.Machine, now time.Duration) any {
 		p := m.PartitionCounters()
@@ -350,7 +380,7 @@
 			"commands_unsure": m.Counters.Uncertain, "pulls": m.Counters.Pulls, "refused_while_stalled": m.Counters.RefusedWhileStalled, "returns_with_empty_folder": m.Counters.Rejoins, "bad_messages": m.Counters.BadMessages,
 			"stands": p.Elections, "seated": p.Elected, "writes": p.Writes, "entries_written": p.Entries, "copies_mended": p.SnapshotsSent,
 			"sweeps": p.Sweeps, "marks_dropped": p.TombstonesPurged, "parts_owned": int64(len(m.LeadingPartitions(now))), "sent": s.sent, "dropped": s.dropped,
-			"received": s.received, "bad_streams": s.bad, "syncs": s.syncs, "sync_micros": s.syncTime.Microseconds(), "disk_stalled": flag(s.stalled)}
+			"received": s.received, "bad_streams": s.bad, "syncs": s.syncs, "sync_micros": s.syncTime.Microseconds(), "disk_stalled": boolGauge(s.stalled)}
 	})
 	if err != nil {
 		return nil, err
@@ -358,7 +388,8 @@
 	return body.(map[string]int64), nil
 }
 
-func flag(b bool) int64 {
+// boolGauge returns 1 for true and 0 for false.
+func boolGauge(b bool) int64 {
 	if b {
 		return 1
 	}
--- a/saffronfall/coreprocess/process_test.go
+++ b/saffronfall/coreprocess/process_test.go
@@ -13,15 +13,15 @@
 	"saffronfall/saffronfall/params"
 )
 
-// ownAddress is an address that no other test uses.
+// ownAddress returns a loopback address that no other test process uses.
 func ownAddress(port int) string {
 	return fmt.Sprintf("127.8.%d.%d:%d", os.Getpid()>>8&0xff, os.Getpid()&0xff, port)
 }
 
 const operatorKey = "operators of a test"
 
-// TestReloadsWhileWriting: settings are adopted while the core writes to its disk. The
-// race detector watches.
+// TestReloadsWhileWriting applies settings while the core writes to its disk. Under the race
+// detector it fails if the two share data.
 func TestReloadsWhileWriting(t *testing.T) {
 	text := fmt.Sprintf(`{"id":"c","seeds":[],"fleet_secret":"a secret of some length","folder":%q,"peer_listen":%q,"operator_listen":%q,"operator_key":%q,"strict_invariants":true,"grace_ms":0}`,
 		t.TempDir(), ownAddress(7100), ownAddress(7101), operatorKey)
@@ -31,8 +31,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	adopt, ended := make(chan params.Params), make(chan error, 1)
-	go func() { ended <- Run(ctx, p, adopt, logr.Discard()) }()
+	updates, ended := make(chan params.Params), make(chan error, 1)
+	go func() { ended <- Run(ctx, p, updates, logr.Discard()) }()
 	founded := make(chan error, 1)
 	go func() {
 		tick := time.NewTicker(20 * time.Millisecond)
@@ -48,7 +48,7 @@
 	}()
 	for done := false; !done; {
 		select {
-		case adopt <- p:
+		case updates <- p:
 		case err := <-founded:
 			if err != nil {
 				t.Fatal(err)
--- a/saffronfall/coreprocess/schema_test.go
+++ b/saffronfall/coreprocess/schema_test.go
@@ -7,7 +7,7 @@
 	"saffronfall/rule/message/schematest"
 )
 
-// TestDiskSchema: the slot and the frames of the log of a core's folder.
+// TestDiskSchema checks the encoding of the slot and the log records of a core's data directory.
 func TestDiskSchema(t *testing.T) {
 	schematest.Check(t, "disk_schema", []schematest.Entry{
 		schematest.Msgpack[core.Stored]("slot"),
--- a/saffronfall/coreprocess/writer.go
+++ b/saffronfall/coreprocess/writer.go
@@ -12,68 +12,75 @@
 	"saffronfall/rule/message"
 )
 
-// writer owns the disk. It keeps its own image of what is stored, so that a slot can
-// be written without asking the machine, and shares nothing with the process's owner
-// but the two channels.
+// writer writes batches of changes to the disk. It has its own copy of the stored state, so
+// that it can write a slot without the machine, and shares only the two channels with the
+// event loop.
 type writer struct {
-	folder  *disk.Store
+	store   *disk.Store
 	image   core.Stored
 	batches <-chan batch
-	done    chan<- written
-	// pause is how long it waits while the disk is full.
-	pause time.Duration
+	results chan<- writeResult
+	// retryInterval is the time between retries while the disk is full.
+	retryInterval time.Duration
 }
 
-// run writes batches until the process ends.
-func (w *writer) run(life context.Context) error {
-	defer w.folder.Close()
-	slotSize := int64(1 << 20)
+const (
+	minSlotSize = int64(1 << 20)
+	// logSlots is the size of the log, in sizes of the last slot, at which a new slot is
+	// written and the log begins anew.
+	logSlots = 4
+)
+
+// run writes batches until ctx ends.
+func (w *writer) run(ctx context.Context) error {
+	defer w.store.Close()
+	slotSize := minSlotSize
 	for {
 		select {
 		case b := <-w.batches:
-			began := clock.Now()
-			err := w.appendWhenRoom(life, message.Marshal(b.changes))
+			start := clock.Now()
+			err := w.appendRetrying(ctx, message.Marshal(b.changes))
 			for _, c := range b.changes {
 				w.image.Apply(c)
 			}
-			if err == nil && w.folder.Size() > 4*slotSize {
+			if err == nil && w.store.Size() > logSlots*slotSize {
 				state := message.Marshal(w.image)
-				slotSize = max(1<<20, int64(len(state)))
-				if err = w.folder.Replace(state); errors.Is(err, disk.ErrFull) {
-					// The log goes on as it is until there is room for a new slot.
+				slotSize = max(minSlotSize, int64(len(state)))
+				if err = w.store.Replace(state); errors.Is(err, disk.ErrFull) {
+					// The log keeps growing until there is space for a new slot.
 					err = nil
 				}
 			}
-			w.tell(life, written{upto: b.upto, took: clock.Now() - began, err: err})
-		case <-life.Done():
+			w.report(ctx, writeResult{upTo: b.upTo, duration: clock.Now() - start, err: err})
+		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// tell tells the owner, unless it has ended.
-func (w *writer) tell(life context.Context, what written) {
+// report hands a result to the event loop, unless ctx ends first.
+func (w *writer) report(ctx context.Context, result writeResult) {
 	select {
-	case w.done <- what:
-	case <-life.Done():
+	case w.results <- result:
+	case <-ctx.Done():
 	}
 }
 
-// appendWhenRoom appends to the log, and while the disk is full tries again after
-// a pause. The machine sees a disk that hangs meanwhile: it hands its leaderships
-// on, stands for none, and nothing that rests on the batch is acknowledged.
-func (w *writer) appendWhenRoom(life context.Context, frame []byte) error {
-	err := w.folder.Append(frame)
+// appendRetrying appends a record to the log and retries while the disk is full. Meanwhile
+// the machine considers the disk stalled: it hands over the partitions that it leads, starts
+// no elections, and acknowledges nothing that depends on the batch.
+func (w *writer) appendRetrying(ctx context.Context, record []byte) error {
+	err := w.store.Append(record)
 	if errors.Is(err, disk.ErrFull) {
-		w.tell(life, written{full: true, err: err})
+		w.report(ctx, writeResult{full: true, err: err})
 	}
-	pause := time.NewTicker(w.pause)
-	defer pause.Stop()
+	retry := time.NewTicker(w.retryInterval)
+	defer retry.Stop()
 	for errors.Is(err, disk.ErrFull) {
 		select {
-		case <-pause.C:
-			err = w.folder.Append(frame)
-		case <-life.Done():
+		case <-retry.C:
+			err = w.store.Append(record)
+		case <-ctx.Done():
 			return err
 		}
 	}
--- a/saffronfall/nodeprocess/process.go
+++ b/saffronfall/nodeprocess/process.go
@@ -1,4 +1,8 @@
-// Package nodeprocess is the node role: a thin shell round the node's machine.
+// Package nodeprocess runs the role of a node that serves turns and tool calls of programs.
+//
+// All decisions are made by the state machine of peer/node; this package connects it to
+// sockets, clocks and replicas. One goroutine, process.run, calls the machine and owns all
+// mutable state; the others reach it over channels. Start reading at Run and process.run.
 package nodeprocess
 
 import (
@@ -26,90 +30,104 @@
 	"saffronfall/saffronfall/params"
 )
 
-type inquiry struct {
-	inquiry node.Request
-	pieces  chan node.Frame
-	gone    <-chan struct{}
+// request is a request on its way to process.run.
+type request struct {
+	spec   node.Request
+	frames chan node.Frame
+	// gone is closed when the requester is gone.
+	gone <-chan struct{}
 }
 
+const (
+	// framesPerRequest is how many frames of an answer a requester may fall behind before
+	// its request is cancelled.
+	framesPerRequest = 256
+	maxMessageBytes  = 64 << 20
+)
+
 type process struct {
 	params  params.Params
-	adopt   <-chan params.Params
-	others  map[string]byte
-	log     logr.Logger
-	machine *node.Machine
-	streams *stream.Transport
-	sender  *replica.Sender
-	start   time.Duration
-	arrive  chan inquiry
-	gone    chan uint64
-	events  chan node.AttemptEvent
-	calls   chan func(now time.Duration) node.Output
-	life    context.Context
-	drain   chan struct{}
+	updates <-chan params.Params
+	// otherVersions has the last refused protocol version of each member.
+	otherVersions map[string]byte
+	log           logr.Logger
+	machine       *node.Machine
+	streams       *stream.Transport
+	sender        *replica.Sender
+	start         time.Duration
+	requests      chan request
+	cancelled     chan uint64
+	events        chan node.AttemptEvent
+	calls         chan func(now time.Duration) node.Output
+	// ctx ends with the run method.
+	ctx   context.Context
+	drain chan struct{}
 
-	waiting  map[uint64]chan node.Frame
-	shots    map[uint64]context.CancelFunc
-	next     uint64
-	sent     int64
-	dropped  int64
-	received int64
-	bad      int64
-	slow     int64
-	version  uint64
-	ready    bool
-	breaker  string
+	// pending has the frames channel of each request in flight, by ticket.
+	pending map[uint64]chan node.Frame
+	// attempts has the cancel function of each attempt in flight.
+	attempts       map[uint64]context.CancelFunc
+	lastTicket     uint64
+	sent           int64
+	dropped        int64
+	received       int64
+	badStreams     int64
+	slowRequesters int64
+	version        uint64
+	ready          bool
+	breaker        string
 }
 
-// Run runs the role until the context ends, then drains it.
-func Run(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger) error {
+// Run runs the role until ctx ends, then drains it. Settings received on updates replace
+// p. The error is that of a listener which failed, or nil.
+func Run(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger) error {
 	raw := make([]byte, 6)
 	if _, err := crypto.Read(raw); err != nil {
 		return err
 	}
 	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.FleetSecret,
-		QueueSize: int(p.BufferSize), MaxMessageBytes: 64 << 20, Timeout: p.Node().AnnouncementMaxAge})
+		QueueSize: int(p.BufferSize), MaxMessageBytes: maxMessageBytes, Timeout: p.Node().AnnouncementMaxAge})
 	if err != nil {
 		return err
 	}
-	life, cancel := context.WithCancel(context.Background())
-	s := &process{params: p, adopt: adopt, others: map[string]byte{}, log: log, streams: streams, start: clock.Now(), life: life, drain: make(chan struct{}, 1), breaker: "closed", arrive: make(chan inquiry, p.BufferSize), gone: make(chan uint64, p.BufferSize),
+	runCtx, cancel := context.WithCancel(context.Background())
+	s := &process{params: p, updates: updates, otherVersions: map[string]byte{}, log: log, streams: streams, start: clock.Now(), ctx: runCtx, drain: make(chan struct{}, 1), breaker: "closed", requests: make(chan request, p.BufferSize), cancelled: make(chan uint64, p.BufferSize),
 		events: make(chan node.AttemptEvent, p.BufferSize), calls: make(chan func(time.Duration) node.Output, 64),
-		waiting: map[uint64]chan node.Frame{}, shots: map[uint64]context.CancelFunc{},
+		pending: map[uint64]chan node.Frame{}, attempts: map[uint64]context.CancelFunc{},
 		sender: replica.NewSender(&net.Dialer{Timeout: p.Node().AnnouncementMaxAge}, p.MaxRequestBytes*16)}
 	s.machine = node.New(node.Options{Params: p.Node(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Zone: p.Zone, Address: p.PeerAdvertise,
-		HTTP: p.RequesterAdvertise, Host: host(p.PeerListen), Seeds: p.Seeds, Now: s.now(), Random: rand.Float64})
+		HTTP: p.RequesterAdvertise, Host: hostIdentity(p.PeerListen), Seeds: p.Seeds, Now: s.now(), Random: rand.Float64})
 	log.Info("node started", "id", p.ID, "incarnation", s.machine.Incarnation())
 
 	var group run.Group
-	group.Add(func() error { return s.own(ctx) }, func(error) { cancel() })
+	group.Add(func() error { return s.run(ctx) }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
 	mux := http.NewServeMux()
 	mux.Handle("/", requester.Handler(s, p.MaxRequestBytes))
 	mux.Handle("POST /v1/replicas", replica.AnnouncementHandler(p.ReplicaKey, s.announce))
-	listen := func(address string, handler http.Handler, what string) {
+	listen := func(address string, handler http.Handler, name string) {
 		server := &http.Server{Addr: address, Handler: handler, ReadHeaderTimeout: 5 * time.Second}
 		group.Add(func() error {
 			if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-				return errors.Wrap(err, what)
+				return errors.Wrap(err, name)
 			}
 			return nil
 		}, func(error) {
-			ending, done := context.WithTimeout(context.Background(), time.Second)
-			defer done()
-			server.Shutdown(ending)
+			shutdownCtx, cancel := context.WithTimeout(context.Background(), time.Second)
+			defer cancel()
+			server.Shutdown(shutdownCtx)
 			server.Close()
 		})
 	}
 	listen(p.RequesterListen, mux, "requester address")
-	listen(p.OperatorListen, operator.RequireKey(p.OperatorKey, s.operators()), "operator address")
+	listen(p.OperatorListen, operator.RequireKey(p.OperatorKey, s.operatorHandler()), "operator address")
 	return group.Run()
 }
 
-// host names the address that this process has bound on this run of its
-// machine: while it is bound here, no other process of the same machine and
-// network has it.
-func host(bound string) string {
+// hostIdentity identifies a listen address together with the boot and the network
+// namespace of the host. While this process listens there, no other process of the same
+// boot and namespace can. It is empty if the boot or the namespace is unknown.
+func hostIdentity(listen string) string {
 	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
 		return ""
@@ -118,91 +136,95 @@
 	if err != nil {
 		return ""
 	}
-	return strings.TrimSpace(string(boot)) + " " + network + " " + bound
+	return strings.TrimSpace(string(boot)) + " " + network + " " + listen
 }
 
-// refuseVersion says once of each member that its version does not go with this
-// one.
-func (s *process) refuseVersion(c stream.Counters) {
-	if s.others[c.PeerAddress] != c.PeerVersion {
-		s.others[c.PeerAddress] = c.PeerVersion
-		s.log.Info("member of another version refused; change a fleet one version at a time", "member", c.PeerAddress, "its version", c.PeerVersion, "own version", stream.Version)
+// logVersionMismatch logs, once for each member and version, that a member's protocol
+// version is incompatible with this process.
+func (s *process) logVersionMismatch(c stream.Counters) {
+	if s.otherVersions[c.PeerAddress] != c.PeerVersion {
+		s.otherVersions[c.PeerAddress] = c.PeerVersion
+		s.log.Info("refused a member of an incompatible version; upgrade a fleet one version at a time", "member", c.PeerAddress, "its version", c.PeerVersion, "own version", stream.Version)
 	}
 }
 
 func (s *process) now() time.Duration { return clock.Now() - s.start }
 
-func (s *process) own(ctx context.Context) error {
+// run is the event loop. No other goroutine calls the machine. It drains the node when ctx
+// ends and returns once the node is drained or the grace period is over.
+func (s *process) run(ctx context.Context) error {
 	runtime.LockOSThread()
 	ticker := time.NewTicker(s.params.Core().PullInterval / 15)
 	defer ticker.Stop()
 	stop, drain := ctx.Done(), s.drain
-	var leaveBy time.Duration
-	quit := false
+	var drainDeadline time.Duration
+	shutDown := false
 	for {
 		select {
 		case in := <-s.streams.In:
 			s.received++
-			s.take(s.machine.Receive(s.now(), in.From, in.Body))
-		case q := <-s.arrive:
-			s.next++
-			ticket := s.next
-			s.waiting[ticket] = q.pieces
-			go s.watch(ticket, q.gone)
-			s.take(s.machine.Submit(s.now(), ticket, q.inquiry))
-		case ticket := <-s.gone:
-			delete(s.waiting, ticket)
-			s.take(s.machine.CancelRequest(s.now(), ticket))
+			s.apply(s.machine.Receive(s.now(), in.From, in.Body))
+		case r := <-s.requests:
+			s.lastTicket++
+			ticket := s.lastTicket
+			s.pending[ticket] = r.frames
+			go s.watchRequester(ticket, r.gone)
+			s.apply(s.machine.Submit(s.now(), ticket, r.spec))
+		case ticket := <-s.cancelled:
+			delete(s.pending, ticket)
+			s.apply(s.machine.CancelRequest(s.now(), ticket))
 		case e := <-s.events:
-			s.take(s.machine.HandleAttemptEvent(s.now(), e))
+			s.apply(s.machine.HandleAttemptEvent(s.now(), e))
 			if e.Kind != node.EventChunk {
-				if cancel, ok := s.shots[e.Attempt]; ok {
+				if cancel, ok := s.attempts[e.Attempt]; ok {
 					cancel()
-					delete(s.shots, e.Attempt)
+					delete(s.attempts, e.Attempt)
 				}
 			}
 		case call := <-s.calls:
-			s.take(call(s.now()))
-		case s.params = <-s.adopt:
-			s.take(s.machine.UpdateParams(s.params.Node()))
+			s.apply(call(s.now()))
+		case s.params = <-s.updates:
+			s.apply(s.machine.UpdateParams(s.params.Node()))
 		case c := <-s.streams.Counts:
-			s.bad += c.BadStreams
+			s.badStreams += c.BadStreams
 			if c.VersionMismatches > 0 {
-				s.refuseVersion(c)
+				s.logVersionMismatch(c)
 			}
 		case <-ticker.C:
-			s.take(s.machine.Tick(s.now()))
-			s.report()
-			if leaveBy > 0 && s.now() >= leaveBy {
-				s.log.Info("grace is over", "inquiries left", len(s.waiting))
-				s.take(s.machine.Shutdown(s.now()))
-				leaveBy = s.now() + s.params.Core().AttemptTimeout
-				if quit {
+			s.apply(s.machine.Tick(s.now()))
+			s.logChanges()
+			if drainDeadline > 0 && s.now() >= drainDeadline {
+				s.log.Info("grace period is over; requests in flight are ended", "requests", len(s.pending))
+				s.apply(s.machine.Shutdown(s.now()))
+				drainDeadline = s.now() + s.params.Core().AttemptTimeout
+				if shutDown {
 					return nil
 				}
-				quit = true
+				shutDown = true
 			}
 			if s.machine.Drained(s.now()) {
-				s.log.Info("node stopped", "inquiries left", len(s.waiting))
+				s.log.Info("node stopped", "requests", len(s.pending))
 				return nil
 			}
 		case <-stop:
-			stop, drain, leaveBy = nil, nil, s.leave()
+			stop, drain, drainDeadline = nil, nil, s.startDrain()
 		case <-drain:
-			stop, drain, leaveBy = nil, nil, s.leave()
-		case <-s.life.Done():
+			stop, drain, drainDeadline = nil, nil, s.startDrain()
+		case <-s.ctx.Done():
 			return nil
 		}
 	}
 }
 
-func (s *process) leave() time.Duration {
-	s.log.Info("node leaves")
-	s.take(s.machine.Drain(s.now()))
+// startDrain starts to drain the node and returns when the grace period ends.
+func (s *process) startDrain() time.Duration {
+	s.log.Info("node is draining")
+	s.apply(s.machine.Drain(s.now()))
 	return s.now() + s.params.Grace()
 }
 
-func (s *process) report() {
+// logChanges logs changes of the breaker, the configuration and readiness.
+func (s *process) logChanges() {
 	if state := s.machine.BreakerState(); state != s.breaker {
 		s.breaker = state
 		s.log.Info("breaker", "state", state)
@@ -213,26 +235,29 @@
 	}
 	if ready := s.machine.Ready(s.now()); ready != s.ready {
 		s.ready = ready
-		s.log.Info("term", "ready", ready, "incarnation", s.machine.Incarnation())
+		s.log.Info("readiness", "ready", ready, "incarnation", s.machine.Incarnation())
 	}
 }
 
-func (s *process) watch(ticket uint64, gone <-chan struct{}) {
+// watchRequester cancels the request with a ticket when its requester is gone.
+func (s *process) watchRequester(ticket uint64, gone <-chan struct{}) {
 	select {
 	case <-gone:
-	case <-s.life.Done():
+	case <-s.ctx.Done():
 		return
 	}
 	select {
-	case s.gone <- ticket:
-	case <-s.life.Done():
+	case s.cancelled <- ticket:
+	case <-s.ctx.Done():
 	}
 }
 
-func (s *process) take(o node.Output) {
+// apply carries out what the machine has decided: it sends messages, passes on frames of
+// answers, and starts and cancels attempts.
+func (s *process) apply(o node.Output) {
 	for _, send := range o.Sends {
 		if send.To == s.params.PeerAdvertise {
-			s.take(s.machine.Receive(s.now(), send.To, send.Body))
+			s.apply(s.machine.Receive(s.now(), send.To, send.Body))
 			continue
 		}
 		s.sent++
@@ -241,69 +266,72 @@
 		}
 	}
 	for _, r := range o.Responses {
-		pieces, ok := s.waiting[r.Ticket]
+		frames, ok := s.pending[r.Ticket]
 		if !ok {
 			continue
 		}
 		select {
-		case pieces <- r.Frame:
+		case frames <- r.Frame:
 			if r.Frame.Last() {
-				delete(s.waiting, r.Ticket)
-				close(pieces)
+				delete(s.pending, r.Ticket)
+				close(frames)
 			}
 		default:
-			s.slow++
-			delete(s.waiting, r.Ticket)
-			close(pieces)
-			s.take(s.machine.CancelRequest(s.now(), r.Ticket))
+			s.slowRequesters++
+			delete(s.pending, r.Ticket)
+			close(frames)
+			s.apply(s.machine.CancelRequest(s.now(), r.Ticket))
 		}
 	}
-	for _, shoot := range o.Attempts {
-		ctx, cancel := context.WithCancel(s.life)
-		s.shots[shoot.Attempt] = cancel
-		go s.sender.Send(ctx, shoot, func(e node.AttemptEvent) {
+	for _, attempt := range o.Attempts {
+		ctx, cancel := context.WithCancel(s.ctx)
+		s.attempts[attempt.Attempt] = cancel
+		go s.sender.Send(ctx, attempt, func(e node.AttemptEvent) {
 			select {
 			case s.events <- e:
-			case <-s.life.Done():
+			case <-s.ctx.Done():
 			}
 		})
 	}
-	for _, shot := range o.Cancels {
-		if cancel, ok := s.shots[shot]; ok {
+	for _, attempt := range o.Cancels {
+		if cancel, ok := s.attempts[attempt]; ok {
 			cancel()
-			delete(s.shots, shot)
+			delete(s.attempts, attempt)
 		}
 	}
 }
 
-// Submit hands a request to the goroutine that owns the machine.
-func (s *process) Submit(ctx context.Context, q node.Request) (<-chan node.Frame, bool) {
-	pieces := make(chan node.Frame, 256)
+// Submit hands a request to the machine and returns the frames of its answer. It returns
+// false if the queue is full.
+func (s *process) Submit(ctx context.Context, spec node.Request) (<-chan node.Frame, bool) {
+	frames := make(chan node.Frame, framesPerRequest)
 	select {
-	case s.arrive <- inquiry{inquiry: q, pieces: pieces, gone: ctx.Done()}:
-		return pieces, true
+	case s.requests <- request{spec: spec, frames: frames, gone: ctx.Done()}:
+		return frames, true
 	default:
 		return nil, false
 	}
 }
 
-func (s *process) announce(ctx context.Context, r node.Replica, stamp string) (node.AnnounceReply, error) {
-	return look(ctx, s, func(now time.Duration) node.AnnounceReply { return s.machine.Announce(now, r, stamp) })
+// announce records the announcement of a replica.
+func (s *process) announce(ctx context.Context, r node.Replica, token string) (node.AnnounceReply, error) {
+	return inspect(ctx, s, func(now time.Duration) node.AnnounceReply { return s.machine.Announce(now, r, token) })
 }
 
-func look[T any](ctx context.Context, s *process, of func(now time.Duration) T) (T, error) {
-	got := make(chan T, 1)
+// inspect calls read on the goroutine of run and returns its result.
+func inspect[T any](ctx context.Context, s *process, read func(now time.Duration) T) (T, error) {
+	result := make(chan T, 1)
 	var none T
 	select {
 	case s.calls <- func(now time.Duration) node.Output {
-		got <- of(now)
+		result <- read(now)
 		return node.Output{}
 	}:
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
 	select {
-	case value := <-got:
+	case value := <-result:
 		return value, nil
 	case <-ctx.Done():
 		return none, ctx.Err()
@@ -314,29 +342,29 @@
 func (s *process) Ready(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	ready, err := look(ctx, s, func(now time.Duration) bool { return s.machine.Ready(now) })
+	ready, err := inspect(ctx, s, func(now time.Duration) bool { return s.machine.Ready(now) })
 	return err == nil && ready
 }
 
-// Counters are this process's counts.
+// Counters returns the counters of this process.
 func (s *process) Counters(ctx context.Context) (any, error) {
-	return look(ctx, s, func(now time.Duration) map[string]any {
-		c := s.machine.Status(now)
-		c["sent"], c["dropped"], c["received"], c["bad_streams"], c["slow_requesters"] = s.sent, s.dropped, s.received, s.bad, s.slow
-		return c
+	return inspect(ctx, s, func(now time.Duration) map[string]any {
+		counts := s.machine.Status(now)
+		counts["sent"], counts["dropped"], counts["received"], counts["bad_streams"], counts["slow_requesters"] = s.sent, s.dropped, s.received, s.badStreams, s.slowRequesters
+		return counts
 	})
 }
 
-func (s *process) operators() http.Handler {
+func (s *process) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/drain", operator.DrainHandler(s.drain))
 	mux.HandleFunc("GET /counters", func(w http.ResponseWriter, r *http.Request) {
 		counts, err := s.Counters(r.Context())
 		if err != nil {
-			operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
+			operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 			return
 		}
-		operator.WriteJSON(w, 200, counts)
+		operator.WriteJSON(w, http.StatusOK, counts)
 	})
 	return mux
 }
--- a/saffronfall/relayprocess/observe.go
+++ b/saffronfall/relayprocess/observe.go
@@ -15,64 +15,64 @@
 	"saffronfall/peer/relay"
 )
 
-// failure is one request that was not served, as operators read it.
+// failure is the record of a request that was not served, as operators read it.
 type failure struct {
 	Time    time.Time   `json:"time"`
 	Cause   relay.Cause `json:"cause"`
 	Status  int         `json:"status"`
 	Attempt string      `json:"attempt"`
 	Program string      `json:"program,omitempty"`
-	// Previous is the turn that it goes on from.
+	// Previous is the turn that the request continues.
 	Previous string `json:"previous,omitempty"`
 	Route    string `json:"route,omitempty"`
-	// Tenant is a digest: names of tenants stay out of logs.
+	// Tenant is a digest, so that logs do not disclose names of tenants.
 	Tenant string `json:"tenant_digest,omitempty"`
-	sendings
+	delivery
 	Table    uint64 `json:"table"`
 	WaitedMS int64  `json:"waited_ms"`
 	TookMS   int64  `json:"took_ms"`
-	// CoresSilentMS is for how long cores had left commands without an answer.
+	// CoresSilentMS is how long the cores had not answered commands.
 	CoresSilentMS int64 `json:"cores_silent_ms"`
-	// Life is the incarnation of the node.
-	Life string `json:"life"`
+	// Incarnation is that of the node.
+	Incarnation string `json:"life"`
 }
 
-// sendings is what is known of a request's sendings to replicas.
-type sendings struct {
-	// Replica is the last one.
-	Replica  string `json:"replica,omitempty"`
-	Sendings int64  `json:"sendings"`
-	Ran      bool   `json:"may_have_run"`
+// delivery describes the attempts of a request at replicas.
+type delivery struct {
+	// Replica is the one of the last attempt.
+	Replica    string `json:"replica,omitempty"`
+	Attempts   int64  `json:"sendings"`
+	MayHaveRun bool   `json:"may_have_run"`
 }
 
 const (
-	// logEvery is how often a failure of one cause is logged; all are counted, and
-	// the next line tells how many were not.
-	logEvery = time.Second
-	// mostRoutes bounds how many routes have figures of their own, as tables bring
-	// new ones for as long as a process lives.
-	mostRoutes = 500
+	// logInterval is the least time between two log lines of the same cause. The next
+	// line has the number of failures that were not logged.
+	logInterval = time.Second
+	// maxRoutes bounds the number of routes with metrics of their own, because new tables
+	// keep adding routes while a process runs. Others are counted under otherRoute.
+	maxRoutes  = 500
 	otherRoute = "other"
 )
 
-// observer tells of requests that ended: a histogram for each route, a count for
-// each route and cause, a line in the log and a place among the last failures for
-// each that was not served. It belongs to the owner's goroutine; only its set of
-// metrics is read by others.
+// observer records completed requests: a histogram for each route, a counter for each
+// route and cause, and for failures a rate-limited log line and an entry in a ring of
+// recent failures. Only the goroutine of process.run may call it; its set of metrics may
+// be read concurrently.
 type observer struct {
-	set    *metrics.Set
-	log    logr.Logger
-	secret []byte
-	life   string
-	routes map[string]*metrics.PrometheusHistogram
-	counts map[routeCause]*metrics.Counter
-	// last is a ring of the last failures; next is where the next one goes.
-	last []failure
-	next int
-	kept int
-	// logged is when a failure of a cause was last logged, unlogged how many were
-	// not since.
-	logged   map[relay.Cause]time.Duration
+	set         *metrics.Set
+	log         logr.Logger
+	secret      []byte
+	incarnation string
+	durations   map[string]*metrics.PrometheusHistogram
+	counts      map[routeCause]*metrics.Counter
+	// recent is a ring of at most maxRecent failures; next is the index to overwrite.
+	recent    []failure
+	next      int
+	maxRecent int
+	// loggedAt is when a failure of a cause was last logged, and unlogged the number of
+	// those since then that were not.
+	loggedAt map[relay.Cause]time.Duration
 	unlogged map[relay.Cause]int64
 }
 
@@ -81,72 +81,73 @@
 	cause relay.Cause
 }
 
-func newObserver(secret, life string, kept int, log logr.Logger) *observer {
-	return &observer{set: metrics.NewSet(), log: log, secret: []byte(secret), life: life, kept: kept, routes: map[string]*metrics.PrometheusHistogram{},
-		counts: map[routeCause]*metrics.Counter{}, logged: map[relay.Cause]time.Duration{}, unlogged: map[relay.Cause]int64{}}
+func newObserver(secret, incarnation string, maxRecent int, log logr.Logger) *observer {
+	return &observer{set: metrics.NewSet(), log: log, secret: []byte(secret), incarnation: incarnation, maxRecent: maxRecent, durations: map[string]*metrics.PrometheusHistogram{},
+		counts: map[routeCause]*metrics.Counter{}, loggedAt: map[relay.Cause]time.Duration{}, unlogged: map[relay.Cause]int64{}}
 }
 
-// ended takes a request that has ended.
-func (o *observer) ended(now time.Duration, e relay.Completion) {
-	route := o.count(e)
-	o.routes[route].Update(e.Duration.Seconds())
-	if !e.Failed() {
+// completed records a request that has ended.
+func (o *observer) completed(now time.Duration, c relay.Completion) {
+	route := o.count(c)
+	o.durations[route].Update(c.Duration.Seconds())
+	if !c.Failed() {
 		return
 	}
-	f := failure{Time: clock.TimeOfDay(), Cause: e.Cause, Status: e.Status, Attempt: e.Attempt, Program: e.Program, Previous: e.Previous, Route: e.Route, Tenant: o.digest(e.Tenant), sendings: sendings{Replica: e.Replica, Sendings: e.ReplicasTried, Ran: e.MayHaveRun}, Table: e.Table, WaitedMS: e.QueueTime.Milliseconds(), TookMS: e.Duration.Milliseconds(), CoresSilentMS: e.CoresSilent.Milliseconds(), Life: o.life}
-	o.keep(f)
-	o.write(now, f)
+	f := failure{Time: clock.TimeOfDay(), Cause: c.Cause, Status: c.Status, Attempt: c.Attempt, Program: c.Program, Previous: c.Previous, Route: c.Route, Tenant: o.digest(c.Tenant), delivery: delivery{Replica: c.Replica, Attempts: c.ReplicasTried, MayHaveRun: c.MayHaveRun}, Table: c.Table, WaitedMS: c.QueueTime.Milliseconds(), TookMS: c.Duration.Milliseconds(), CoresSilentMS: c.CoresSilent.Milliseconds(), Incarnation: o.incarnation}
+	o.remember(f)
+	o.logFailure(now, f)
 }
 
-// count counts a request, and tells which route its figures go to.
-func (o *observer) count(e relay.Completion) string {
-	route := e.Route
-	if o.routes[route] == nil && len(o.routes) >= mostRoutes {
+// count counts a request and returns the route that it is counted under.
+func (o *observer) count(c relay.Completion) string {
+	route := c.Route
+	if o.durations[route] == nil && len(o.durations) >= maxRoutes {
 		route = otherRoute
 	}
-	if o.routes[route] == nil {
-		o.routes[route] = o.set.NewPrometheusHistogram(fmt.Sprintf("saffronfall_request_seconds{route=%q}", route))
+	if o.durations[route] == nil {
+		o.durations[route] = o.set.NewPrometheusHistogram(fmt.Sprintf("saffronfall_request_seconds{route=%q}", route))
 	}
-	key := routeCause{route: route, cause: e.Cause}
+	key := routeCause{route: route, cause: c.Cause}
 	if o.counts[key] == nil {
-		o.counts[key] = o.set.NewCounter(fmt.Sprintf("saffronfall_requests_total{route=%q,cause=%q}", route, e.Cause))
+		o.counts[key] = o.set.NewCounter(fmt.Sprintf("saffronfall_requests_total{route=%q,cause=%q}", route, c.Cause))
 	}
 	o.counts[key].Inc()
 	return route
 }
 
-func (o *observer) keep(f failure) {
+// remember adds a failure to the ring of recent ones.
+func (o *observer) remember(f failure) {
 	switch {
-	case o.kept == 0:
-	case len(o.last) < o.kept:
-		o.last = append(o.last, f)
+	case o.maxRecent == 0:
+	case len(o.recent) < o.maxRecent:
+		o.recent = append(o.recent, f)
 	default:
-		o.last[o.next] = f
-		o.next = (o.next + 1) % o.kept
+		o.recent[o.next] = f
+		o.next = (o.next + 1) % o.maxRecent
 	}
 }
 
-// failures lists the last failures, oldest first.
+// failures returns the recent failures, oldest first.
 func (o *observer) failures() []failure {
-	list := make([]failure, 0, len(o.last))
-	list = append(list, o.last[o.next:]...)
-	return append(list, o.last[:o.next]...)
+	list := make([]failure, 0, len(o.recent))
+	list = append(list, o.recent[o.next:]...)
+	return append(list, o.recent[:o.next]...)
 }
 
-// write logs a failure, unless one of its cause was logged just before.
-func (o *observer) write(now time.Duration, f failure) {
-	if at, ok := o.logged[f.Cause]; ok && now < at+logEvery {
+// logFailure logs a failure, unless one of the same cause was logged within logInterval.
+func (o *observer) logFailure(now time.Duration, f failure) {
+	if at, ok := o.loggedAt[f.Cause]; ok && now < at+logInterval {
 		o.unlogged[f.Cause]++
 		return
 	}
 	o.log.Info("request not served", "cause", f.Cause, "status", f.Status, "attempt", f.Attempt, "program", f.Program, "previous", f.Previous, "route", f.Route, "tenant_digest", f.Tenant, "replica", f.Replica,
-		"sendings", f.Sendings, "may_have_run", f.Ran, "table", f.Table, "waited_ms", f.WaitedMS, "took_ms", f.TookMS, "cores_silent_ms", f.CoresSilentMS, "life", f.Life,
+		"sendings", f.Attempts, "may_have_run", f.MayHaveRun, "table", f.Table, "waited_ms", f.WaitedMS, "took_ms", f.TookMS, "cores_silent_ms", f.CoresSilentMS, "life", f.Incarnation,
 		"more_of_this_cause", o.unlogged[f.Cause])
-	o.logged[f.Cause], o.unlogged[f.Cause] = now, 0
+	o.loggedAt[f.Cause], o.unlogged[f.Cause] = now, 0
 }
 
-// digest stands for a tenant's name; only who knows the fleet's secret can tell
-// which name it is.
+// digest returns a keyed digest of a tenant's name. Without the fleet's secret the name
+// cannot be found by hashing candidates.
 func (o *observer) digest(tenant string) string {
 	if tenant == "" {
 		return ""
@@ -156,8 +157,8 @@
 	return hex.EncodeToString(mac.Sum(nil)[:8])
 }
 
-// hashKey is the key of hashes of what requesters choose: the same at all nodes, as it is
-// made of the fleet's secret.
+// hashKey returns the key for hashing values that requesters choose. It is derived from the
+// fleet's secret, so all nodes compute the same hashes and requesters cannot predict them.
 func hashKey(secret string) [2]uint64 {
 	mac := hmac.New(sha256.New, []byte(secret))
 	mac.Write([]byte("placement"))
--- a/saffronfall/relayprocess/process.go
+++ b/saffronfall/relayprocess/process.go
@@ -1,5 +1,9 @@
-// Package relayprocess is the role of a node that relays requests by a routing
-// table: a thin shell round the relay's machine.
+// Package relayprocess runs the role of a node that relays requests by a routing table.
+//
+// All decisions are made by the state machine of peer/relay; this package connects it to
+// sockets, clocks and replicas. One goroutine, process.run, calls the machine and owns all
+// mutable state. Each request has a goroutine of its own, which hands its events to
+// process.run over channels. Start reading at Run and process.run.
 package relayprocess
 
 import (
@@ -25,74 +29,86 @@
 	"saffronfall/saffronfall/telemetry"
 )
 
-type told struct {
+// nextStep is a step on its way to its request's goroutine.
+type nextStep struct {
 	step relay.Step
-	line *replica.Pool
-	at   time.Duration
+	// pool connects to the replica of a StepSend; nil for other steps.
+	pool      *replica.Pool
+	createdAt time.Duration
 }
 
-// taken is a step as its request's goroutine takes it up: some of its time may have
-// passed since the owner made it.
-func (t told) taken() (relay.Step, *replica.Pool, bool) {
-	if t.step.Kind == relay.StepSend {
-		t.step.Timeout -= clock.Now() - t.at
+// receive returns the step with its timeout reduced by the time since it was created.
+func (n nextStep) receive() (relay.Step, *replica.Pool, bool) {
+	if n.step.Kind == relay.StepSend {
+		n.step.Timeout -= clock.Now() - n.createdAt
 	}
-	return t.step, t.line, true
+	return n.step, n.pool, true
 }
 
-// left is how much of its time a request still has when the owner takes it: reading
-// its body and waiting for the owner took some.
-func left(a relay.Request, now time.Duration) time.Duration {
-	if a.Remaining <= 0 {
-		return a.Remaining
+// remaining returns the time left to a request's deadline, less the time spent since its
+// head was received: on reading its body and on waiting for process.run. It returns -1 if
+// the deadline has passed.
+func remaining(r relay.Request, now time.Duration) time.Duration {
+	if r.Remaining <= 0 {
+		return r.Remaining
 	}
-	if rest := a.Remaining - (now - a.HeadReceived); rest > 0 {
+	if rest := r.Remaining - (now - r.HeadReceived); rest > 0 {
 		return rest
 	}
 	return -1
 }
 
-type came struct {
+// attemptOutcome is the outcome of an attempt of the request with a ticket.
+type attemptOutcome struct {
 	ticket  uint64
 	outcome relay.Outcome
 }
 
 type process struct {
-	params  params.Params
-	adopt   <-chan params.Params
-	log     logr.Logger
-	machine *relay.Machine
-	streams *stream.Transport
-	start   time.Duration
-	arrive  chan *way
-	came    chan came
-	gone    chan uint64
-	calls   chan func(now time.Duration)
-	closing chan struct{}
-	life    context.Context
-
-	waiting map[uint64]*way
-	lines   map[string]*line
-	next    uint64
+	params    params.Params
+	updates   <-chan params.Params
+	log       logr.Logger
+	machine   *relay.Machine
+	streams   *stream.Transport
+	start     time.Duration
+	requests  chan *request
+	outcomes  chan attemptOutcome
+	cancelled chan uint64
+	calls     chan func(now time.Duration)
+	closing   chan struct{}
+	// ctx ends with the run method.
+	ctx context.Context
+
+	pending    map[uint64]*request
+	pools      map[string]*pool
+	lastTicket uint64
 	messages
-	observer   *observer
-	violations *invariant.Counter
-	number     uint64
-	ready      bool
+	observer    *observer
+	violations  *invariant.Counter
+	tableNumber uint64
+	ready       bool
 }
 
-// messages counts what was said to and by other processes of the fleet.
+// messages counts messages to and from other processes of the fleet.
 type messages struct{ sent, dropped, bad int64 }
 
-type line struct {
+// pool is a connection pool to one replica.
+type pool struct {
 	*replica.Pool
 	address string
 	usedAt  time.Duration
 }
 
-// Run runs the role until the context ends, then drains it. Names are the
-// headers that requesters and replicas speak with.
-func Run(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger, names replica.Headers) error {
+const (
+	connectionsPerReplica = 32
+	// poolIdleTimeout is after how long without an attempt a pool is closed.
+	poolIdleTimeout = time.Minute
+)
+
+// Run runs the role until ctx ends, then drains it. Settings received on updates replace
+// p. Names are the HTTP headers exchanged with requesters and replicas. The error is that
+// of a listener which failed, or nil.
+func Run(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger, names replica.Headers) error {
 	raw := make([]byte, 6)
 	if _, err := crypto.Read(raw); err != nil {
 		return err
@@ -102,17 +118,17 @@
 	if err != nil {
 		return err
 	}
-	life, cancel := context.WithCancel(context.Background())
-	s := &process{params: p, adopt: adopt, log: log, streams: streams, start: clock.Now(), life: life, closing: make(chan struct{}),
-		arrive: make(chan *way, 64), came: make(chan came, 64), gone: make(chan uint64, 64), calls: make(chan func(time.Duration), 16),
-		waiting: map[uint64]*way{}, lines: map[string]*line{}}
+	runCtx, cancel := context.WithCancel(context.Background())
+	s := &process{params: p, updates: updates, log: log, streams: streams, start: clock.Now(), ctx: runCtx, closing: make(chan struct{}),
+		requests: make(chan *request, 64), outcomes: make(chan attemptOutcome, 64), cancelled: make(chan uint64, 64), calls: make(chan func(time.Duration), 16),
+		pending: map[uint64]*request{}, pools: map[string]*pool{}}
 	s.violations = telemetry.NewViolationCounts(p.StrictInvariants, log)
 	s.observer = newObserver(p.FleetSecret, hex.EncodeToString(raw), int(p.MaxFailures), log)
 	s.machine = relay.New(relay.Options{Params: p.RelayNode(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Zone: p.Zone, Address: p.PeerAdvertise, Seeds: p.Seeds, Now: s.now(), Random: rand.Float64, Violated: s.violations.Report})
 	log.Info("relay started", "id", p.ID)
 
 	var group run.Group
-	group.Add(func() error { return s.own() }, func(error) { cancel() })
+	group.Add(func() error { return s.run() }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
 	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "node", Snapshot: s.snapshot, Set: s.observer.set}, log)
 	handler := front.Handler(front.Options{Dispatcher: s, Names: names, HashKey: hashKey(p.FleetSecret), MaxBody: p.MaxRequestBytes, Draining: s.closing,
@@ -120,15 +136,15 @@
 	server := &http.Server{Addr: p.RequesterListen, Handler: handler, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 1 << 20}
 	serve(&group, server, func(server *http.Server) error { return front.Serve(server, int(p.MaxConnections)) }, "requester address")
 	if p.ReadyListen != "" {
-		serve(&group, &http.Server{Addr: p.ReadyListen, Handler: http.HandlerFunc(s.tellReady), ReadHeaderTimeout: 5 * time.Second}, (*http.Server).ListenAndServe, "readiness address")
+		serve(&group, &http.Server{Addr: p.ReadyListen, Handler: http.HandlerFunc(s.serveReadiness), ReadHeaderTimeout: 5 * time.Second}, (*http.Server).ListenAndServe, "readiness address")
 	}
 	if p.OperatorListen != "" && p.OperatorKey != "" {
-		serve(&group, &http.Server{Addr: p.OperatorListen, Handler: operator.RequireKey(p.OperatorKey, s.operators()), ReadHeaderTimeout: 5 * time.Second}, (*http.Server).ListenAndServe, "operator address")
+		serve(&group, &http.Server{Addr: p.OperatorListen, Handler: operator.RequireKey(p.OperatorKey, s.operatorHandler()), ReadHeaderTimeout: 5 * time.Second}, (*http.Server).ListenAndServe, "operator address")
 	}
 	group.Add(func() error {
 		select {
 		case <-ctx.Done():
-		case <-life.Done():
+		case <-runCtx.Done():
 			return nil
 		}
 		s.drain(server)
@@ -137,11 +153,12 @@
 	return group.Run()
 }
 
-func serve(group *run.Group, server *http.Server, listen func(*http.Server) error, what string) {
+// serve adds a server to the group. Its name is part of the error if it fails.
+func serve(group *run.Group, server *http.Server, listen func(*http.Server) error, name string) {
 	ended := make(chan struct{})
 	group.Add(func() error {
 		if err := listen(server); !errors.Is(err, http.ErrServerClosed) {
-			return errors.Wrap(err, what)
+			return errors.Wrap(err, name)
 		}
 		<-ended
 		return nil
@@ -151,80 +168,87 @@
 	})
 }
 
-// drain says that this node is not ready, and goes on until nobody sends new
-// connections here and what runs has ended.
+// drain reports this node as not ready, keeps accepting requests until load balancers
+// have noticed, and then waits for requests in flight, at most for the grace period.
 func (s *process) drain(server *http.Server) {
 	s.log.Info("relay leaves")
 	var p params.Params
-	if s.look(s.life, func(time.Duration) {
+	if s.inspect(s.ctx, func(time.Duration) {
 		s.machine.Drain()
 		p = s.params
 	}) != nil {
-		// The owner has ended, and all requests with it.
+		// run has returned, and all requests ended with it.
 		return
 	}
 	close(s.closing)
 	wait := time.NewTimer(time.Duration(p.NotReadyDelayMS) * time.Millisecond)
 	<-wait.C
-	ending, cancel := context.WithTimeout(context.Background(), p.Grace())
+	graceCtx, cancel := context.WithTimeout(context.Background(), p.Grace())
 	defer cancel()
-	err := server.Shutdown(ending)
+	err := server.Shutdown(graceCtx)
 	s.log.Info("relay stopped", "whole", err == nil)
 }
 
 func (s *process) now() time.Duration { return clock.Now() - s.start }
 
-// own is the one goroutine that drives the machine.
-func (s *process) own() error {
+// run is the event loop. No other goroutine calls the machine.
+func (s *process) run() error {
 	ticker := time.NewTicker(s.params.Core().PullInterval / 3)
 	defer ticker.Stop()
 	for {
 		select {
 		case in := <-s.streams.In:
-			s.take(s.machine.Receive(s.now(), in.From, in.Body))
-		case w := <-s.arrive:
-			s.next++
-			w.ticket = s.next
-			s.waiting[w.ticket] = w
-			w.ask.Remaining = left(w.ask, clock.Now())
-			s.take(s.machine.HandleRequest(s.now(), w.ticket, w.ask))
-		case c := <-s.came:
-			s.take(s.machine.HandleOutcome(s.now(), c.ticket, c.outcome))
-		case ticket := <-s.gone:
-			s.take(s.machine.Cancel(s.now(), ticket))
+			s.apply(s.machine.Receive(s.now(), in.From, in.Body))
+		case r := <-s.requests:
+			s.lastTicket++
+			r.ticket = s.lastTicket
+			s.pending[r.ticket] = r
+			r.spec.Remaining = remaining(r.spec, clock.Now())
+			s.apply(s.machine.HandleRequest(s.now(), r.ticket, r.spec))
+		case o := <-s.outcomes:
+			s.apply(s.machine.HandleOutcome(s.now(), o.ticket, o.outcome))
+		case ticket := <-s.cancelled:
+			s.apply(s.machine.Cancel(s.now(), ticket))
 		case call := <-s.calls:
 			call(s.now())
-		case s.params = <-s.adopt:
+		case s.params = <-s.updates:
 		case c := <-s.streams.Counts:
 			s.bad += c.BadStreams
 		case <-ticker.C:
 			now := s.now()
-			s.take(s.machine.Tick(now))
-			s.report(now)
-		case <-s.life.Done():
+			s.apply(s.machine.Tick(now))
+			s.logChanges(now)
+			s.closeIdlePools(now)
+		case <-s.ctx.Done():
 			return nil
 		}
 	}
 }
 
-func (s *process) report(now time.Duration) {
-	if number := s.machine.TableNumber(); number != s.number {
-		s.number = number
+// logChanges logs a change of the routing table or of this node's readiness.
+func (s *process) logChanges(now time.Duration) {
+	if number := s.machine.TableNumber(); number != s.tableNumber {
+		s.tableNumber = number
 		s.log.Info("routing table in force", "number", number)
 	}
 	if ready := s.machine.Ready(now); ready != s.ready {
 		s.ready = ready
 		s.log.Info("readiness", "ready", ready, "knows", s.machine.Describe(now))
 	}
-	for id, l := range s.lines {
-		if now > l.usedAt+time.Minute {
-			l.Close()
-			delete(s.lines, id)
+}
+
+func (s *process) closeIdlePools(now time.Duration) {
+	for id, p := range s.pools {
+		if now > p.usedAt+poolIdleTimeout {
+			p.Close()
+			delete(s.pools, id)
 		}
 	}
 }
 
-func (s *process) take(o relay.Output) {
+// apply carries out what the machine has decided: it sends messages, records completed
+// requests and passes steps to the goroutines of their requests.
+func (s *process) apply(o relay.Output) {
 	for _, send := range o.Sends {
 		s.sent++
 		if !s.streams.Send(send.To, send.Body) {
@@ -232,128 +256,136 @@
 		}
 	}
 	now := s.now()
-	for _, e := range o.Completions {
-		s.observer.ended(now, e)
+	for _, c := range o.Completions {
+		s.observer.completed(now, c)
 	}
-	for _, r := range o.Steps {
-		w, ok := s.waiting[r.Ticket]
+	for _, result := range o.Steps {
+		r, ok := s.pending[result.Ticket]
 		if !ok {
 			continue
 		}
-		t := told{step: r.Step, at: clock.Now()}
-		if r.Step.Kind == relay.StepSend {
-			t.line = s.lineTo(r.Step)
+		next := nextStep{step: result.Step, createdAt: clock.Now()}
+		if result.Step.Kind == relay.StepSend {
+			next.pool = s.poolTo(result.Step)
 		} else {
-			delete(s.waiting, r.Ticket)
+			delete(s.pending, result.Ticket)
 		}
-		w.answers <- t
+		r.steps <- next
 	}
 }
 
-func (s *process) lineTo(step relay.Step) *replica.Pool {
-	l := s.lines[step.Replica.ID]
-	if l != nil && l.address != step.Replica.Address {
-		l.Close()
-		l = nil
+// poolTo returns the connection pool to the replica of a step.
+func (s *process) poolTo(step relay.Step) *replica.Pool {
+	p := s.pools[step.Replica.ID]
+	if p != nil && p.address != step.Replica.Address {
+		p.Close()
+		p = nil
 	}
-	if l == nil {
-		l = &line{Pool: replica.NewPool(step.Replica.Address, 32, time.Duration(s.params.DialTimeoutMS)*time.Millisecond), address: step.Replica.Address}
-		s.lines[step.Replica.ID] = l
+	if p == nil {
+		p = &pool{Pool: replica.NewPool(step.Replica.Address, connectionsPerReplica, time.Duration(s.params.DialTimeoutMS)*time.Millisecond), address: step.Replica.Address}
+		s.pools[step.Replica.ID] = p
 	}
-	l.usedAt = s.now()
-	return l.Pool
+	p.usedAt = s.now()
+	return p.Pool
 }
 
-// way is one request, as its own goroutine sees it.
-type way struct {
+// request is a request in flight. Its methods are called by its own goroutine; ticket and
+// spec belong to process.run once the request is handed over.
+type request struct {
 	process *process
 	ctx     context.Context
-	ask     relay.Request
+	spec    relay.Request
 	ticket  uint64
-	answers chan told
+	steps   chan nextStep
 }
 
-// Dispatch hands a request to the owner's goroutine and waits for its first step.
-func (s *process) Dispatch(ctx context.Context, a relay.Request) (front.Request, relay.Step, *replica.Pool, bool) {
-	w := &way{process: s, ctx: ctx, ask: a, answers: make(chan told, 2)}
+// Dispatch hands a request to the machine and waits for its first step. It returns false
+// if the process ends first.
+func (s *process) Dispatch(ctx context.Context, spec relay.Request) (front.Request, relay.Step, *replica.Pool, bool) {
+	r := &request{process: s, ctx: ctx, spec: spec, steps: make(chan nextStep, 2)}
 	select {
-	case s.arrive <- w:
-	case <-s.life.Done():
+	case s.requests <- r:
+	case <-s.ctx.Done():
 		return nil, relay.Step{}, nil, false
 	}
-	step, line, ok := w.wait()
-	return w, step, line, ok
+	step, pool, ok := r.wait()
+	return r, step, pool, ok
 }
 
-func (w *way) wait() (relay.Step, *replica.Pool, bool) {
+// wait returns the next step. If the requester is gone, it cancels the request and returns
+// the step that follows.
+func (r *request) wait() (relay.Step, *replica.Pool, bool) {
 	select {
-	case t := <-w.answers:
-		return t.taken()
-	case <-w.process.life.Done():
+	case next := <-r.steps:
+		return next.receive()
+	case <-r.process.ctx.Done():
 		return relay.Step{}, nil, false
-	case <-w.ctx.Done():
+	case <-r.ctx.Done():
 	}
 	select {
-	case t := <-w.answers:
-		return t.taken()
-	case w.process.gone <- w.ticketOf():
-	case <-w.process.life.Done():
+	case next := <-r.steps:
+		return next.receive()
+	case r.process.cancelled <- r.assignedTicket():
+	case <-r.process.ctx.Done():
 		return relay.Step{}, nil, false
 	}
 	select {
-	case t := <-w.answers:
-		return t.taken()
-	case <-w.process.life.Done():
+	case next := <-r.steps:
+		return next.receive()
+	case <-r.process.ctx.Done():
 		return relay.Step{}, nil, false
 	}
 }
 
-func (w *way) ticketOf() uint64 {
-	got := make(chan uint64, 1)
+// assignedTicket returns the ticket by way of process.run, which assigns it.
+func (r *request) assignedTicket() uint64 {
+	result := make(chan uint64, 1)
 	select {
-	case w.process.calls <- func(time.Duration) { got <- w.ticket }:
-	case <-w.process.life.Done():
+	case r.process.calls <- func(time.Duration) { result <- r.ticket }:
+	case <-r.process.ctx.Done():
 		return 0
 	}
 	select {
-	case ticket := <-got:
+	case ticket := <-result:
 		return ticket
-	case <-w.process.life.Done():
+	case <-r.process.ctx.Done():
 		return 0
 	}
 }
 
-// violated takes a violated invariant from a request's goroutine.
+// violated reports a violated invariant from a request's goroutine.
 func (s *process) violated(v invariant.Violation) {
 	select {
 	case s.calls <- func(time.Duration) { s.violations.Report(v) }:
-	case <-s.life.Done():
+	case <-s.ctx.Done():
 	}
 }
 
-// rejected takes a request that did not arrive whole.
-func (s *process) rejected(e relay.Completion) {
+// rejected records a request that was rejected before it was received completely.
+func (s *process) rejected(c relay.Completion) {
 	select {
-	case s.calls <- func(now time.Duration) { s.observer.ended(now, e) }:
-	case <-s.life.Done():
+	case s.calls <- func(now time.Duration) { s.observer.completed(now, c) }:
+	case <-s.ctx.Done():
 	}
 }
 
-// Next reports the outcome of an attempt and waits for the next step.
-func (w *way) Next(o relay.Outcome) (relay.Step, *replica.Pool, bool) {
+// Next reports the outcome of an attempt and waits for the next step. It returns false if
+// the process ends first.
+func (r *request) Next(o relay.Outcome) (relay.Step, *replica.Pool, bool) {
 	select {
-	case w.process.came <- came{ticket: w.ticket, outcome: o}:
-	case <-w.process.life.Done():
+	case r.process.outcomes <- attemptOutcome{ticket: r.ticket, outcome: o}:
+	case <-r.process.ctx.Done():
 		return relay.Step{}, nil, false
 	}
-	return w.wait()
+	return r.wait()
 }
 
-func (s *process) look(ctx context.Context, of func(now time.Duration)) error {
+// inspect calls read on the goroutine of run and waits until it returns.
+func (s *process) inspect(ctx context.Context, read func(now time.Duration)) error {
 	done := make(chan struct{})
 	select {
 	case s.calls <- func(now time.Duration) {
-		of(now)
+		read(now)
 		close(done)
 	}:
 	case <-ctx.Done():
@@ -367,35 +399,36 @@
 	}
 }
 
-func (s *process) tellReady(w http.ResponseWriter, r *http.Request) {
+// serveReadiness answers 200 if requests should be sent here, else 503.
+func (s *process) serveReadiness(w http.ResponseWriter, r *http.Request) {
 	ready := false
 	ctx, cancel := context.WithTimeout(r.Context(), time.Second)
 	defer cancel()
-	if err := s.look(ctx, func(now time.Duration) { ready = s.machine.Ready(now) }); err != nil || !ready {
+	if err := s.inspect(ctx, func(now time.Duration) { ready = s.machine.Ready(now) }); err != nil || !ready {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-func (s *process) operators() http.Handler {
+func (s *process) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /counters", func(w http.ResponseWriter, r *http.Request) {
-		told, err := s.snapshot(r.Context())
+		snapshot, err := s.snapshot(r.Context())
 		if err != nil {
-			operator.WriteJSON(w, 503, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
+			operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
 			return
 		}
-		operator.WriteJSON(w, 200, told.Values)
+		operator.WriteJSON(w, http.StatusOK, snapshot.Values)
 	})
 	return mux
 }
 
-// snapshot is what this process counts now.
-func (s *process) snapshot(ctx context.Context) (told telemetry.Snapshot, err error) {
-	err = s.look(ctx, func(now time.Duration) {
-		told = telemetry.Snapshot{Values: s.machine.Status(now), Violations: telemetry.ViolationCounts(s.violations), Failures: s.observer.failures()}
-		told.Values["messages_sent"], told.Values["messages_dropped"], told.Values["bad_streams"] = s.sent, s.dropped, s.bad
+// snapshot returns the current counters and the recent failures.
+func (s *process) snapshot(ctx context.Context) (snapshot telemetry.Snapshot, err error) {
+	err = s.inspect(ctx, func(now time.Duration) {
+		snapshot = telemetry.Snapshot{Values: s.machine.Status(now), Violations: telemetry.ViolationCounts(s.violations), Failures: s.observer.failures()}
+		snapshot.Values["messages_sent"], snapshot.Values["messages_dropped"], snapshot.Values["bad_streams"] = s.sent, s.dropped, s.bad
 	})
-	return told, err
+	return snapshot, err
 }
