--- a/saffronfall/coreprocess/process.go
+++ b/saffronfall/coreprocess/process.go
@@ -33,7 +33,7 @@
 
 // writeResult is the result of writing a batch.
 type writeResult struct {
-	// upTo is the number of the last change that is synced.
+	// upTo is the batch's.
 	upTo     uint64
 	duration time.Duration
 	err      error
@@ -41,7 +41,8 @@
 	full bool
 }
 
-// batch holds the changes to write up to the one numbered upTo.
+// batch holds the changes to write. Its upTo is the number of the last output of the machine
+// that they belong to.
 type batch struct {
 	upTo    uint64
 	changes []core.Change
--- a/saffronfall/deskprocess/process.go
+++ b/saffronfall/deskprocess/process.go
@@ -1,5 +1,10 @@
-// Package deskprocess is the desk's role: a thin shell round the desk's machine,
-// with a surface for replicas and operators.
+// Package deskprocess runs the role of a desk, where replicas register and operators apply
+// routing tables.
+//
+// All decisions are made by the state machine of peer/desk; this package connects it to
+// sockets, clocks and a data directory. One goroutine, process.run, calls the machine and
+// owns all mutable state. The stored list of replicas and peers only speeds up a restart: a
+// desk also works without it. Start reading at Run, process.run and process.store.
 package deskprocess
 
 import (
@@ -27,129 +32,136 @@
 
 type process struct {
 	params  params.Params
-	adopt   <-chan params.Params
+	updates <-chan params.Params
 	log     logr.Logger
 	machine *desk.Machine
 	streams *stream.Transport
 	start   time.Duration
 	calls   chan func(now time.Duration) desk.Output
-	life    context.Context
-	answers map[uint64]chan any
-	next    uint64
-	sent    int64
-	dropped int64
-	bad     int64
-	table   uint64
-	folder  *disk.Store
+	// ctx ends with the run method.
+	ctx         context.Context
+	answers     map[uint64]chan any
+	lastTicket  uint64
+	sent        int64
+	dropped     int64
+	badStreams  int64
+	tableNumber uint64
+	// dataDir is nil if nothing is stored.
+	dataDir *disk.Store
 }
 
-// kept is what a desk writes down: a state, or what changed of it. Frames of a
-// former version are a bare list.
-type kept struct {
-	List  []desk.ReplicaEntry `msgpack:"l"`
-	Peers *desk.Peers         `msgpack:"p"`
+// record is a stored state of a desk, or the changes to one. Records of a former version
+// are a bare list of replicas.
+type record struct {
+	Replicas []desk.ReplicaEntry `msgpack:"l"`
+	Peers    *desk.Peers         `msgpack:"p"`
 }
 
-// memory is what an earlier life of a desk has left.
-type memory struct {
-	list  map[string]desk.ReplicaEntry
-	peers *desk.Peers
+// storedState is the state that the records of a data directory add up to.
+type storedState struct {
+	replicas map[string]desk.ReplicaEntry
+	peers    *desk.Peers
 }
 
-func (k *memory) read(raw []byte) {
-	var one kept
-	if message.Unmarshal(raw, &one.List) != nil && message.Unmarshal(raw, &one) != nil {
+// apply applies an encoded record. One that cannot be decoded is ignored.
+func (s *storedState) apply(encoded []byte) {
+	var r record
+	if message.Unmarshal(encoded, &r.Replicas) != nil && message.Unmarshal(encoded, &r) != nil {
 		return
 	}
-	for _, l := range one.List {
-		k.list[l.Replica.ID] = l
+	for _, entry := range r.Replicas {
+		s.replicas[entry.Replica.ID] = entry
 	}
-	if one.Peers != nil {
-		k.peers = one.Peers
+	if r.Peers != nil {
+		s.peers = r.Peers
 	}
 }
 
-// open reads the list and the addresses that an earlier life kept. They are a
-// help and no more: a desk whose folder is lost begins without.
+// open opens the data directory and returns the replicas and peers stored there. A damaged
+// directory is set aside. If none can be used, the desk runs without one.
 func open(path string, log logr.Logger) (*disk.Store, []desk.ReplicaEntry, *desk.Peers) {
-	folder, held, err := disk.Open(path)
+	dataDir, found, err := disk.Open(path)
 	if errors.Is(err, disk.ErrDamaged) {
 		if err = disk.SetAside(path); err == nil {
-			folder, held, err = disk.Open(path)
+			dataDir, found, err = disk.Open(path)
 		}
 	}
-	if err == nil && held.Empty {
-		err = folder.Replace(message.Marshal(kept{}))
+	if err == nil && found.Empty {
+		err = dataDir.Replace(message.Marshal(record{}))
 	}
 	if err != nil {
-		log.Info("no list is kept", "reason", err.Error())
+		log.Info("data directory cannot be used; replicas and peers are not stored", "reason", err.Error())
 		return nil, nil, nil
 	}
-	before := memory{list: map[string]desk.ReplicaEntry{}}
-	for _, raw := range append([][]byte{held.State}, held.Records...) {
-		if raw != nil {
-			before.read(raw)
+	state := storedState{replicas: map[string]desk.ReplicaEntry{}}
+	for _, encoded := range append([][]byte{found.State}, found.Records...) {
+		if encoded != nil {
+			state.apply(encoded)
 		}
 	}
-	var known []desk.ReplicaEntry
-	for _, id := range ordered.Keys(before.list) {
-		known = append(known, before.list[id])
+	var replicas []desk.ReplicaEntry
+	for _, id := range ordered.Keys(state.replicas) {
+		replicas = append(replicas, state.replicas[id])
 	}
-	return folder, known, before.peers
+	return dataDir, replicas, state.peers
 }
 
-// logBound is how long the log may grow before the whole is written anew.
-const logBound = 256 << 10
+const (
+	// maxLogBytes is the size of the log at which the whole state is written as a new slot.
+	maxLogBytes     = 256 << 10
+	maxMessageBytes = 64 << 20
+)
 
-// keep writes changes down before anybody hears of them. While the disk is full
-// they are left out, as the list is a help and no more; a folder that fails is not
-// used any more.
-func (s *process) keep(changes []desk.ReplicaEntry, peers *desk.Peers) {
-	if s.folder == nil || len(changes) == 0 && peers == nil {
+// store stores changes before any message about them is sent. Changes that find the disk
+// full are dropped, because a desk also works without them; after any other error nothing
+// more is stored.
+func (s *process) store(changes []desk.ReplicaEntry, peers *desk.Peers) {
+	if s.dataDir == nil || len(changes) == 0 && peers == nil {
 		return
 	}
-	err := s.folder.Append(message.Marshal(kept{List: changes, Peers: peers}))
-	if err == nil && s.folder.Size() > logBound {
-		known := s.machine.Peers()
-		err = s.folder.Replace(message.Marshal(kept{List: s.machine.List(), Peers: &known}))
+	err := s.dataDir.Append(message.Marshal(record{Replicas: changes, Peers: peers}))
+	if err == nil && s.dataDir.Size() > maxLogBytes {
+		allPeers := s.machine.Peers()
+		err = s.dataDir.Replace(message.Marshal(record{Replicas: s.machine.List(), Peers: &allPeers}))
 	}
 	if err != nil && !errors.Is(err, disk.ErrFull) {
-		s.log.Info("no list is kept any more", "reason", err.Error())
-		s.folder.Close()
-		s.folder = nil
+		s.log.Info("data directory failed; replicas and peers are no longer stored", "reason", err.Error())
+		s.dataDir.Close()
+		s.dataDir = nil
 	}
 }
 
-// callTime bounds how long a call may take to send and to read, beside the time that
-// the cores have for it.
-const callTime = time.Minute
+// callTimeout bounds how long reading a request may take, and likewise writing the response
+// after the time that the cores have for it.
+const callTimeout = time.Minute
 
-// Run runs the role until the context ends. The surface makes the handler of
-// what replicas and operators call.
-func Run(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger, surface func(calls desk.API) http.Handler) error {
+// Run runs the role until ctx ends. Settings received on updates replace p. The handler that
+// newHandler returns serves the calls of replicas and operators. The error is that of a
+// listener which failed, or nil.
+func Run(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger, newHandler func(api desk.API) http.Handler) error {
 	raw := make([]byte, 6)
 	if _, err := crypto.Read(raw); err != nil {
 		return err
 	}
 	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.FleetSecret,
-		QueueSize: int(p.BufferSize), MaxMessageBytes: 64 << 20, Timeout: 2 * p.Core().PullInterval})
+		QueueSize: int(p.BufferSize), MaxMessageBytes: maxMessageBytes, Timeout: 2 * p.Core().PullInterval})
 	if err != nil {
 		return err
 	}
-	life, cancel := context.WithCancel(context.Background())
-	s := &process{params: p, adopt: adopt, log: log, streams: streams, start: clock.Now(), life: life, calls: make(chan func(time.Duration) desk.Output, 64), answers: map[uint64]chan any{}}
-	var known []desk.ReplicaEntry
+	runCtx, cancel := context.WithCancel(context.Background())
+	s := &process{params: p, updates: updates, log: log, streams: streams, start: clock.Now(), ctx: runCtx, calls: make(chan func(time.Duration) desk.Output, 64), answers: map[uint64]chan any{}}
+	var replicas []desk.ReplicaEntry
 	var peers *desk.Peers
 	if p.DataDir != "" {
-		s.folder, known, peers = open(p.DataDir, log)
+		s.dataDir, replicas, peers = open(p.DataDir, log)
 	}
-	s.machine = desk.New(desk.Options{Params: p.Desk(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Address: p.PeerAdvertise, Seeds: p.Seeds, FoundsFleet: p.Bootstrap, KnownReplicas: known, KnownPeers: peers, Now: s.now(), Random: rand.Float64})
+	s.machine = desk.New(desk.Options{Params: p.Desk(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Address: p.PeerAdvertise, Seeds: p.Seeds, FoundsFleet: p.Bootstrap, KnownReplicas: replicas, KnownPeers: peers, Now: s.now(), Random: rand.Float64})
 	log.Info("desk started", "id", p.ID, "founds", p.Bootstrap)
 	var group run.Group
-	group.Add(func() error { return s.own() }, func(error) { cancel() })
+	group.Add(func() error { return s.run() }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
 	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "desk", Snapshot: s.snapshot}, log)
-	server := &http.Server{Addr: p.OperatorListen, Handler: surface(s), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: callTime, WriteTimeout: callTime, IdleTimeout: time.Minute}
+	server := &http.Server{Addr: p.OperatorListen, Handler: newHandler(s), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: callTimeout, WriteTimeout: callTimeout, IdleTimeout: time.Minute}
 	ended := make(chan struct{})
 	group.Add(func() error {
 		if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
@@ -164,13 +176,13 @@
 	group.Add(func() error {
 		select {
 		case <-ctx.Done():
-		case <-life.Done():
+		case <-runCtx.Done():
 			return nil
 		}
-		log.Info("desk leaves")
-		ending, done := context.WithTimeout(context.Background(), time.Second)
-		defer done()
-		server.Shutdown(ending)
+		log.Info("desk is shutting down")
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), time.Second)
+		defer cancel()
+		server.Shutdown(shutdownCtx)
 		return nil
 	}, func(error) { cancel() })
 	return group.Run()
@@ -178,33 +190,35 @@
 
 func (s *process) now() time.Duration { return clock.Now() - s.start }
 
-// own is the one goroutine that drives the machine.
-func (s *process) own() error {
+// run is the event loop. No other goroutine calls the machine.
+func (s *process) run() error {
 	ticker := time.NewTicker(s.params.Core().PullInterval / 3)
 	defer ticker.Stop()
 	for {
 		select {
 		case in := <-s.streams.In:
-			s.take(s.machine.Receive(s.now(), in.From, in.Body))
+			s.apply(s.machine.Receive(s.now(), in.From, in.Body))
 		case call := <-s.calls:
-			s.take(call(s.now()))
-		case s.params = <-s.adopt:
+			s.apply(call(s.now()))
+		case s.params = <-s.updates:
 		case c := <-s.streams.Counts:
-			s.bad += c.BadStreams
+			s.badStreams += c.BadStreams
 		case <-ticker.C:
-			s.take(s.machine.Tick(s.now()))
-			if table := s.machine.TableNumber(); table != s.table {
-				s.table = table
-				s.log.Info("routing table known", "number", table)
+			s.apply(s.machine.Tick(s.now()))
+			if number := s.machine.TableNumber(); number != s.tableNumber {
+				s.tableNumber = number
+				s.log.Info("received a routing table", "number", number)
 			}
-		case <-s.life.Done():
+		case <-s.ctx.Done():
 			return nil
 		}
 	}
 }
 
-func (s *process) take(o desk.Output) {
-	s.keep(o.ChangedReplicas, o.Peers)
+// apply carries out what the machine has decided: it stores changes, then sends messages and
+// passes on answers.
+func (s *process) apply(o desk.Output) {
+	s.store(o.ChangedReplicas, o.Peers)
 	for _, send := range o.Sends {
 		s.sent++
 		if !s.streams.Send(send.To, send.Body) {
@@ -212,28 +226,28 @@
 		}
 	}
 	for _, a := range o.Answers {
-		if waiting, ok := s.answers[a.Ticket]; ok {
+		if answer, ok := s.answers[a.Ticket]; ok {
 			delete(s.answers, a.Ticket)
-			waiting <- a.Body
+			answer <- a.Body
 		}
 	}
 }
 
-// call runs a step on the owner's goroutine and waits for its answer.
+// call calls step on the goroutine of run and waits for the machine's answer to the ticket.
 func call[T any](ctx context.Context, s *process, step func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output) (T, error) {
 	var none T
-	waiting := make(chan any, 1)
+	answer := make(chan any, 1)
 	select {
 	case s.calls <- func(now time.Duration) desk.Output {
-		s.next++
-		s.answers[s.next] = waiting
-		return step(s.machine, now, s.next)
+		s.lastTicket++
+		s.answers[s.lastTicket] = answer
+		return step(s.machine, now, s.lastTicket)
 	}:
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
 	select {
-	case body := <-waiting:
+	case body := <-answer:
 		value, ok := body.(T)
 		if !ok {
 			return none, errors.Newf("unexpected answer %T", body)
@@ -244,12 +258,13 @@
 	}
 }
 
-// errIsolated says that what a replica told this desk may be known to nobody else.
+// errIsolated means that this desk may be unable to pass on what a replica reported, so that
+// the replica should report to another desk.
 var errIsolated = errors.New("this desk can't pass it on now; tell another")
 
-// heard turns the answer to a replica into an error where it should tell another.
-func heard(h desk.Acknowledgment, err error) error {
-	if err == nil && !h.Accepted {
+// acknowledged returns errIsolated for a report that was not accepted, else err.
+func acknowledged(ack desk.Acknowledgment, err error) error {
+	if err == nil && !ack.Accepted {
 		return errIsolated
 	}
 	return err
@@ -257,60 +272,60 @@
 
 // Heartbeat records the state that a replica reports.
 func (s *process) Heartbeat(ctx context.Context, r desk.Replica) error {
-	return heard(call[desk.Acknowledgment](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
+	return acknowledged(call[desk.Acknowledgment](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
 		return m.Heartbeat(now, ticket, r)
 	}))
 }
 
-// Leave takes a replica off the list.
+// Leave removes a replica from the list.
 func (s *process) Leave(ctx context.Context, id string) error {
-	return heard(call[desk.Acknowledgment](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
+	return acknowledged(call[desk.Acknowledgment](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
 		return m.Leave(now, ticket, id)
 	}))
 }
 
-// Apply hands a routing table over.
+// Apply replaces the routing table numbered base by the one in text.
 func (s *process) Apply(ctx context.Context, base uint64, text []byte, digest string) (desk.OrderResult, error) {
 	return call[desk.OrderResult](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
 		return m.Apply(now, ticket, base, text, digest)
 	})
 }
 
-// Amend hands over an amendment of the routing table in force.
+// Amend applies an amendment to the current routing table.
 func (s *process) Amend(ctx context.Context, a desk.Amendment) (desk.OrderResult, error) {
 	return call[desk.OrderResult](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
 		return m.Amend(now, ticket, a)
 	})
 }
 
-// Read reads the routing table in force.
+// Read returns the current routing table.
 func (s *process) Read(ctx context.Context) (core.CurrentTable, error) {
 	return call[core.CurrentTable](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output { return m.Read(now, ticket) })
 }
 
-// Retire asks for a core to be emptied.
+// Retire starts to retire a core.
 func (s *process) Retire(ctx context.Context, id string) (desk.RetirementStatus, error) {
 	return call[desk.RetirementStatus](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output { return m.Retire(now, ticket, id) })
 }
 
-// RetirementStatus reports how far the retirement of a core is.
+// RetirementStatus returns the progress of retiring a core.
 func (s *process) RetirementStatus(ctx context.Context, id string) (desk.RetirementStatus, error) {
 	return call[desk.RetirementStatus](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
 		return m.RetirementStatus(now, ticket, id)
 	})
 }
 
-// snapshot is what this process counts now.
+// snapshot returns the current counters.
 func (s *process) snapshot(ctx context.Context) (telemetry.Snapshot, error) {
 	values, err := s.Counters(ctx)
 	return telemetry.Snapshot{Values: values}, err
 }
 
-// Counters are this process's counts.
+// Counters returns the counters of this process.
 func (s *process) Counters(ctx context.Context) (map[string]int64, error) {
 	return call[map[string]int64](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
 		counts := m.Status(now)
-		counts["messages_sent"], counts["messages_dropped"], counts["bad_streams"] = s.sent, s.dropped, s.bad
+		counts["messages_sent"], counts["messages_dropped"], counts["bad_streams"] = s.sent, s.dropped, s.badStreams
 		return desk.Output{Answers: []desk.Answer{{Ticket: ticket, Body: counts}}}
 	})
 }
--- a/saffronfall/deskprocess/process_test.go
+++ b/saffronfall/deskprocess/process_test.go
@@ -12,38 +12,38 @@
 	"saffronfall/rule/message"
 )
 
-func listed(id string, leaving bool) desk.ReplicaEntry {
+func entry(id string, leaving bool) desk.ReplicaEntry {
 	return desk.ReplicaEntry{Replica: desk.Replica{ID: id, Service: "app", Address: id + ":1", Leaving: leaving}}
 }
 
-// TestListIsKept over lives of the process, the newest word of each replica, also
-// after the slot was written anew; a damaged folder is set aside and begun again.
-func TestListIsKept(t *testing.T) {
+// TestReplicasAreStored checks that the latest entry of each replica survives restarts, also
+// after a new slot was written, and that a damaged data directory is set aside.
+func TestReplicasAreStored(t *testing.T) {
 	path := t.TempDir()
-	folder, known, _ := open(path, logr.Discard())
-	if folder == nil || len(known) != 0 {
-		t.Fatalf("%v, %+v", folder, known)
+	dataDir, replicas, _ := open(path, logr.Discard())
+	if dataDir == nil || len(replicas) != 0 {
+		t.Fatalf("%v, %+v", dataDir, replicas)
 	}
-	s := &process{folder: folder, log: logr.Discard()}
-	s.keep([]desk.ReplicaEntry{listed("a", false), listed("b", false)}, nil)
-	s.keep([]desk.ReplicaEntry{listed("b", true)}, nil)
-	s.keep(nil, nil)
-	folder.Close()
-	folder, known, _ = open(path, logr.Discard())
-	if len(known) != 2 || known[0].Replica.Leaving || !known[1].Replica.Leaving {
-		t.Fatalf("%+v", known)
+	s := &process{dataDir: dataDir, log: logr.Discard()}
+	s.store([]desk.ReplicaEntry{entry("a", false), entry("b", false)}, nil)
+	s.store([]desk.ReplicaEntry{entry("b", true)}, nil)
+	s.store(nil, nil)
+	dataDir.Close()
+	dataDir, replicas, _ = open(path, logr.Discard())
+	if len(replicas) != 2 || replicas[0].Replica.Leaving || !replicas[1].Replica.Leaving {
+		t.Fatalf("%+v", replicas)
 	}
-	if err := folder.Replace(message.Marshal(known)); err != nil {
+	if err := dataDir.Replace(message.Marshal(replicas)); err != nil {
 		t.Fatal(err)
 	}
-	s.folder = folder
-	s.keep([]desk.ReplicaEntry{listed("c", false)}, nil)
-	folder.Close()
-	folder, known, _ = open(path, logr.Discard())
-	if len(known) != 3 {
-		t.Fatalf("%+v", known)
+	s.dataDir = dataDir
+	s.store([]desk.ReplicaEntry{entry("c", false)}, nil)
+	dataDir.Close()
+	dataDir, replicas, _ = open(path, logr.Discard())
+	if len(replicas) != 3 {
+		t.Fatalf("%+v", replicas)
 	}
-	folder.Close()
+	dataDir.Close()
 	names, _ := filepath.Glob(filepath.Join(path, "slot-*"))
 	for _, name := range names {
 		raw, err := os.ReadFile(name)
@@ -55,46 +55,47 @@
 			t.Fatal(err)
 		}
 	}
-	folder, known, _ = open(path, logr.Discard())
-	if folder == nil || len(known) != 0 {
-		t.Fatalf("after damage: %v, %+v", folder, known)
+	dataDir, replicas, _ = open(path, logr.Discard())
+	if dataDir == nil || len(replicas) != 0 {
+		t.Fatalf("after damage: %v, %+v", dataDir, replicas)
 	}
-	folder.Close()
+	dataDir.Close()
 	if aside, _ := filepath.Glob(filepath.Join(path, "lost-*")); len(aside) != 1 {
-		t.Fatalf("the damaged list is not set aside: %v", aside)
+		t.Fatalf("the damaged data directory is not set aside: %v", aside)
 	}
 }
 
-// TestFailingFolderIsGivenUp: a desk goes on without a list on disk.
-func TestFailingFolderIsGivenUp(t *testing.T) {
-	folder, _, _ := open(t.TempDir(), logr.Discard())
-	s := &process{folder: folder, log: logr.Discard()}
-	folder.Close()
-	s.keep([]desk.ReplicaEntry{listed("a", false)}, nil)
-	if s.folder != nil {
-		t.Fatal("a folder that failed is used on")
+// TestFailingDirectoryIsAbandoned checks that a desk continues without storing after the data
+// directory failed.
+func TestFailingDirectoryIsAbandoned(t *testing.T) {
+	dataDir, _, _ := open(t.TempDir(), logr.Discard())
+	s := &process{dataDir: dataDir, log: logr.Discard()}
+	dataDir.Close()
+	s.store([]desk.ReplicaEntry{entry("a", false)}, nil)
+	if s.dataDir != nil {
+		t.Fatal("a data directory that failed is still used")
 	}
-	s.keep([]desk.ReplicaEntry{listed("b", false)}, nil)
+	s.store([]desk.ReplicaEntry{entry("b", false)}, nil)
 }
 
-// TestAddressesAreKept: a desk that is started again knows where its fleet was,
-// also from a folder that a former version wrote, which has the list alone.
-func TestAddressesAreKept(t *testing.T) {
+// TestPeersAreStored checks that a restarted desk has the addresses of its fleet, also from a
+// data directory with a record of a former version, which has the list of replicas alone.
+func TestPeersAreStored(t *testing.T) {
 	path := t.TempDir()
-	folder, _, peers := open(path, logr.Discard())
+	dataDir, _, peers := open(path, logr.Discard())
 	if peers != nil {
-		t.Fatalf("a new folder holds %+v", peers)
+		t.Fatalf("a new data directory holds peers: %+v", peers)
 	}
-	if err := folder.Append(message.Marshal([]desk.ReplicaEntry{listed("a", false)})); err != nil {
+	if err := dataDir.Append(message.Marshal([]desk.ReplicaEntry{entry("a", false)})); err != nil {
 		t.Fatal(err)
 	}
-	s := &process{folder: folder, log: logr.Discard()}
-	s.keep(nil, &desk.Peers{Fleet: "f", Desks: []string{"d1:1"}})
-	s.keep([]desk.ReplicaEntry{listed("b", false)}, &desk.Peers{Fleet: "f", Desks: []string{"d1:1", "d2:1"}, Cores: map[string]core.Core{"c": {ID: "c", Peer: "c:1"}}})
-	folder.Close()
-	folder, known, peers := open(path, logr.Discard())
-	if len(known) != 2 || peers == nil || len(peers.Desks) != 2 || peers.Cores["c"].Peer != "c:1" {
-		t.Fatalf("%+v %+v", known, peers)
+	s := &process{dataDir: dataDir, log: logr.Discard()}
+	s.store(nil, &desk.Peers{Fleet: "f", Desks: []string{"d1:1"}})
+	s.store([]desk.ReplicaEntry{entry("b", false)}, &desk.Peers{Fleet: "f", Desks: []string{"d1:1", "d2:1"}, Cores: map[string]core.Core{"c": {ID: "c", Peer: "c:1"}}})
+	dataDir.Close()
+	dataDir, replicas, peers := open(path, logr.Discard())
+	if len(replicas) != 2 || peers == nil || len(peers.Desks) != 2 || peers.Cores["c"].Peer != "c:1" {
+		t.Fatalf("%+v %+v", replicas, peers)
 	}
-	folder.Close()
+	dataDir.Close()
 }
--- a/saffronfall/deskprocess/schema_test.go
+++ b/saffronfall/deskprocess/schema_test.go
@@ -7,11 +7,11 @@
 	"saffronfall/rule/message/schematest"
 )
 
-// TestDiskSchema: the slot and the frames of the log of a desk's folder. A bare list is a
-// frame of a former version.
+// TestDiskSchema checks the encoding of the slot and the log records of a desk's data
+// directory. A bare list is a record of a former version.
 func TestDiskSchema(t *testing.T) {
 	schematest.Check(t, "disk_schema", []schematest.Entry{
-		schematest.Msgpack[kept]("slot or frame"),
+		schematest.Msgpack[record]("slot or frame"),
 		schematest.Msgpack[[]desk.ReplicaEntry]("former frame"),
 	})
 }
