--- a/saffronfall/amend.go
+++ b/saffronfall/amend.go
@@ -16,13 +16,13 @@
 	"saffronfall/rule/route"
 )
 
-// amendOptions are the form of apply that changes named items of a routing table.
+// amendOptions are the flags of apply for amending a routing table.
 type amendOptions struct {
-	Amend   bool `help:"The file is an amendment of the routing table in force, and --core names a desk's operator address."`
+	Amend   bool `help:"The file is an amendment of the current routing table, and --core is the operator address of a desk."`
 	Preview bool `help:"With --amend: print what would change, and change nothing."`
 }
 
-// runAmend hands an amendment over, or prints what it would change.
+// runAmend applies an amendment, or prints what it would change.
 func (c *applyCommand) runAmend(out io.Writer) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -31,7 +31,7 @@
 	if _, faults := route.ParseAmendment(text); faults != nil {
 		return faults
 	}
-	base, err := c.tableBase()
+	base, err := c.baseTable()
 	if err != nil {
 		return err
 	}
@@ -39,34 +39,34 @@
 	if c.Preview {
 		path += "&preview=true"
 	}
-	var handed desk.OrderResult
-	status, raw, err := c.do(http.MethodPatch, path, json.RawMessage(text), &handed)
+	var result desk.OrderResult
+	status, raw, err := c.do(http.MethodPatch, path, json.RawMessage(text), &result)
 	if err != nil {
 		return err
 	}
 	if status == http.StatusBadRequest || status == http.StatusConflict {
-		// A refusal that is no desk's is told as it came.
-		err = json.Unmarshal(raw, &handed)
+		// A response that does not come from a desk cannot be decoded, and is reported as it is.
+		err = json.Unmarshal(raw, &result)
 	}
 	switch {
 	case err != nil:
-		return errors.Wrap(operator.NewResponseError(status, raw), "not taken")
-	case status == http.StatusBadRequest && handed.Faults != nil:
-		return handed.Faults
+		return errors.Wrap(operator.NewResponseError(status, raw), "the amendment was not applied")
+	case status == http.StatusBadRequest && result.Faults != nil:
+		return result.Faults
 	case status == http.StatusConflict:
-		return errors.Newf("not taken: table %d is in force, and the amendment builds on %d", handed.Number, base)
+		return errors.Newf("the amendment was not applied: table %d is in force, and the amendment is based on %d", result.Number, base)
 	case status != http.StatusOK:
-		return errors.Wrap(operator.NewResponseError(status, raw), "not taken")
-	case handed.Preview != nil:
-		printPreview(out, base, *handed.Preview)
+		return errors.Wrap(operator.NewResponseError(status, raw), "the amendment was not applied")
+	case result.Preview != nil:
+		printPreview(out, base, *result.Preview)
 	default:
-		fmt.Fprintf(out, "table %d taken\n", handed.Number)
+		fmt.Fprintf(out, "table %d taken\n", result.Number)
 	}
 	return nil
 }
 
-// tableBase is the number of the table that an amendment builds on.
-func (c *applyCommand) tableBase() (uint64, error) {
+// baseTable returns the number of the table that the amendment is based on.
+func (c *applyCommand) baseTable() (uint64, error) {
 	if c.BasedOn >= 0 {
 		return uint64(c.BasedOn), nil
 	}
@@ -77,30 +77,30 @@
 	if err == nil && status != http.StatusOK {
 		err = operator.NewResponseError(status, raw)
 	}
-	return current.Number, errors.Wrap(err, "the table in force")
+	return current.Number, errors.Wrap(err, "reading the current table")
 }
 
-// printPreview tells what an amendment would change.
+// printPreview prints what an amendment would change.
 func printPreview(out io.Writer, base uint64, p route.Preview) {
 	fmt.Fprintf(out, "on table %d:\n", base)
 	kinds := []struct {
 		name    string
 		changed route.ChangedNames
 	}{{"routes", p.Routes}, {"services", p.Services}, {"tenants", p.Tenants}}
-	nothing := true
+	unchanged := true
 	for _, kind := range kinds {
-		fates := []struct {
-			fate  string
-			names []string
+		changes := []struct {
+			change string
+			names  []string
 		}{{"added", kind.changed.Added}, {"replaced", kind.changed.Replaced}, {"removed", kind.changed.Removed}}
-		for _, fate := range fates {
-			if len(fate.names) > 0 {
-				nothing = false
-				fmt.Fprintf(out, "  %s %s: %s\n", kind.name, fate.fate, strings.Join(fate.names, ", "))
+		for _, c := range changes {
+			if len(c.names) > 0 {
+				unchanged = false
+				fmt.Fprintf(out, "  %s %s: %s\n", kind.name, c.change, strings.Join(c.names, ", "))
 			}
 		}
 	}
-	if nothing {
-		fmt.Fprintln(out, "  nothing changes but the number")
+	if unchanged {
+		fmt.Fprintln(out, "  only the number changes")
 	}
 }
--- a/saffronfall/coreprocess/process.go
+++ b/saffronfall/coreprocess/process.go
@@ -33,7 +33,7 @@
 
 // writeResult is the result of writing a batch.
 type writeResult struct {
-	// upTo is the batch's.
+	// upTo is that of the batch.
 	upTo     uint64
 	duration time.Duration
 	err      error
@@ -63,10 +63,10 @@
 	written       chan writeResult
 
 	violations *invariant.Counter
-	// changes waits for the batch being written, if any.
+	// changes holds the changes that are not handed to the writer yet.
 	changes []core.Change
-	// issued and synced number outputs with changes: the last one made by the machine, and
-	// the last one on the disk.
+	// Outputs with changes are numbered from 1. issued is the number of the machine's last
+	// one, synced that of the last one on the disk.
 	issued     uint64
 	synced     uint64
 	writing    bool
@@ -82,7 +82,7 @@
 }
 
 // messages counts messages to and from other processes of the fleet.
-type messages struct{ sent, dropped, received, bad int64 }
+type messages struct{ sent, dropped, received, badStreams int64 }
 
 // heldSend is a message to send once the changes up to a number are synced.
 type heldSend struct {
@@ -226,7 +226,7 @@
 			s.sendHeld()
 		case s.params = <-s.updates:
 		case c := <-s.streams.Counts:
-			s.bad += c.BadStreams
+			s.badStreams += c.BadStreams
 			if c.VersionMismatches > 0 {
 				s.logVersionMismatch(c)
 			}
@@ -381,7 +381,7 @@
 			"commands_unsure": m.Counters.Uncertain, "pulls": m.Counters.Pulls, "refused_while_stalled": m.Counters.RefusedWhileStalled, "returns_with_empty_folder": m.Counters.Rejoins, "bad_messages": m.Counters.BadMessages,
 			"stands": p.Elections, "seated": p.Elected, "writes": p.Writes, "entries_written": p.Entries, "copies_mended": p.SnapshotsSent,
 			"sweeps": p.Sweeps, "marks_dropped": p.TombstonesPurged, "parts_owned": int64(len(m.LeadingPartitions(now))), "sent": s.sent, "dropped": s.dropped,
-			"received": s.received, "bad_streams": s.bad, "syncs": s.syncs, "sync_micros": s.syncTime.Microseconds(), "disk_stalled": boolGauge(s.stalled)}
+			"received": s.received, "bad_streams": s.badStreams, "syncs": s.syncs, "sync_micros": s.syncTime.Microseconds(), "disk_stalled": boolGauge(s.stalled)}
 	})
 	if err != nil {
 		return nil, err
--- a/saffronfall/main.go
+++ b/saffronfall/main.go
@@ -1,10 +1,13 @@
-// Command saffronfall is the serving tier: its roles and its operators' tools.
+// Command saffronfall runs the roles of a fleet (core, node, desk and relay) and the commands
+// by which operators found, configure and inspect one. The commands are listed in the
+// variable commands; exitCode maps their errors to exit codes for scripts.
 package main
 
 import (
 	"context"
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"os"
 	"strings"
 	"time"
@@ -27,6 +30,7 @@
 	"saffronfall/saffronfall/role"
 )
 
+// settingsFile is the argument of the commands that run a role.
 type settingsFile struct {
 	Settings string `arg:"" type:"path" help:"Settings file (JSON)."`
 }
@@ -34,28 +38,28 @@
 type deskCommand struct{ settingsFile }
 
 func (c *deskCommand) Run() error {
-	return role.Start(c.Settings, func(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger) error {
-		return deskprocess.Run(ctx, p, adopt, log, desk.Handler(p.OperatorKey, p.ReplicaKey, p.MaxRequestBytes))
+	return role.Start(c.Settings, func(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger) error {
+		return deskprocess.Run(ctx, p, updates, log, desk.Handler(p.OperatorKey, p.ReplicaKey, p.MaxRequestBytes))
 	})
 }
 
 type relayCommand struct{ settingsFile }
 
 func (c *relayCommand) Run() error {
-	return role.Start(c.Settings, func(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger) error {
-		return relayprocess.Run(ctx, p, adopt, log, replica.DefaultHeaders)
+	return role.Start(c.Settings, func(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger) error {
+		return relayprocess.Run(ctx, p, updates, log, replica.DefaultHeaders)
 	})
 }
 
 type coreCommand struct {
-	Run     coreRun     `cmd:"" default:"withargs" help:"Run a core: a part of the control plane, on a machine with a disk."`
-	Add     coreAdd     `cmd:"" help:"Bring a running core with an empty folder into the fleet and give it its seats."`
-	Retire  coreRetire  `cmd:"" help:"Empty a core, dead or alive, and retire it."`
-	Replace coreReplace `cmd:"" help:"Give all seats of one core to another one."`
+	Run     coreRun     `cmd:"" default:"withargs" help:"Run a core, a replica of the control plane, on a machine with a disk."`
+	Add     coreAdd     `cmd:"" help:"Add a running core with an empty data directory to the fleet and to its groups."`
+	Retire  coreRetire  `cmd:"" help:"Move all group memberships off a core, running or not, and retire it."`
+	Replace coreReplace `cmd:"" help:"Move all group memberships of one core to another."`
 }
 
 type coreAdd struct {
-	changing
+	changeOptions
 	New string `arg:"" help:"Operator address of the new core."`
 }
 
@@ -64,8 +68,8 @@
 }
 
 type coreRetire struct {
-	changing
-	ID string `arg:"" help:"Name of the core."`
+	changeOptions
+	ID string `arg:"" help:"ID of the core."`
 }
 
 func (c *coreRetire) Run() error {
@@ -73,45 +77,48 @@
 }
 
 type coreReplace struct {
-	changing
-	ID string `arg:"" help:"Name of the core that goes."`
-	By string `arg:"" help:"Name of the core that takes its seats."`
+	changeOptions
+	ID string `arg:"" help:"ID of the core to replace."`
+	By string `arg:"" help:"ID of the core that takes its place."`
 }
 
 func (c *coreReplace) Run() error {
 	return c.change(operator.CoreChange{Kind: core.KindReplace, ID: c.ID, By: c.By}, "")
 }
 
-type changing struct {
-	calling
-	Plan bool `help:"Show which seats would move; change nothing."`
+// changeOptions are the flags of the commands that change the set of cores.
+type changeOptions struct {
+	clientOptions
+	Plan bool `help:"Show which group memberships would move; change nothing."`
 }
 
-func (c changing) change(life operator.CoreChange, fresh string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), c.Within)
+// change makes or plans a change and prints the moves. The address newCore is empty except
+// for a core to add.
+func (c changeOptions) change(change operator.CoreChange, newCore string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	o := operator.Client{Key: c.Key}
-	var changed core.ChangeResult
+	client := operator.Client{Key: c.Key}
+	var result core.ChangeResult
 	var err error
 	switch {
 	case c.Plan:
-		changed, err = o.Plan(ctx, c.Core, life, fresh)
-	case fresh != "":
-		changed, err = o.AddCore(ctx, c.Core, fresh)
+		result, err = client.Plan(ctx, c.Core, change, newCore)
+	case newCore != "":
+		result, err = client.AddCore(ctx, c.Core, newCore)
 	default:
-		changed, err = o.Change(ctx, c.Core, life)
+		result, err = client.Change(ctx, c.Core, change)
 	}
 	if err != nil {
 		return err
 	}
-	for _, m := range changed.Moves {
-		fmt.Printf("part %d: %s comes, %s goes\n", m.Partition, m.Add, m.Remove)
+	for _, m := range result.Moves {
+		fmt.Printf("partition %d: add %s, remove %s\n", m.Partition, m.Add, m.Remove)
 	}
 	if c.Plan {
-		fmt.Printf("%d seats would move; nothing was changed\n", len(changed.Moves))
+		fmt.Printf("%d group memberships would move; nothing was changed\n", len(result.Moves))
 		return nil
 	}
-	fmt.Printf("done: %d moves\n", changed.MovesMade)
+	fmt.Printf("done: %d moves\n", result.MovesMade)
 	return nil
 }
 
@@ -123,40 +130,43 @@
 
 func (c *nodeCommand) Run() error { return role.Start(c.Settings, nodeprocess.Run) }
 
-type calling struct {
-	Core   string        `help:"Operator address of any core, by IP number." placeholder:"IP:PORT" env:"SAFFRONFALL_CORE"`
-	Key    string        `help:"Operator key." env:"SAFFRONFALL_OPERATOR_KEY"`
-	Within time.Duration `help:"How long the call may take." default:"20s"`
+// clientOptions are the flags of the commands that call a process of the fleet.
+type clientOptions struct {
+	Core    string        `help:"Operator address of any core, by IP number." placeholder:"IP:PORT" env:"SAFFRONFALL_CORE"`
+	Key     string        `help:"Operator key." env:"SAFFRONFALL_OPERATOR_KEY"`
+	Timeout time.Duration `name:"within" help:"Timeout of the call." default:"20s"`
 }
 
-func (c calling) do(method, path string, body, target any) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), c.Within)
+// do sends a request and decodes the response into target. It returns the status and the
+// undecoded body.
+func (c clientOptions) do(method, path string, body, target any) (int, []byte, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
 	return operator.Client{Key: c.Key}.Do(ctx, method, c.Core, path, body, target)
 }
 
 type foundCommand struct {
-	calling
-	Cores []string `arg:"" help:"Operator addresses of all the cores."`
-	Fleet string   `help:"Name of the fleet." default:"saffronfall"`
-	Parts int      `help:"Number of parts; it never changes." default:"16"`
-	Size  int      `help:"Seats of each part's group." default:"3" enum:"1,3,5"`
+	clientOptions
+	Cores      []string `arg:"" help:"Operator addresses of all the cores."`
+	Fleet      string   `help:"Name of the fleet." default:"saffronfall"`
+	Partitions int      `name:"parts" help:"Number of partitions; it cannot be changed later." default:"16"`
+	GroupSize  int      `name:"size" help:"Number of members of each partition's group." default:"3" enum:"1,3,5"`
 }
 
 func (c *foundCommand) Run() error {
-	ctx, cancel := context.WithTimeout(context.Background(), c.Within)
+	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	f, err := operator.Client{Key: c.Key}.Found(ctx, c.Fleet, c.Cores, c.Parts, c.Size)
+	f, err := operator.Client{Key: c.Key}.Found(ctx, c.Fleet, c.Cores, c.Partitions, c.GroupSize)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("fleet %s founded: %d cores, %d parts, groups of %d\n", f.Fleet, len(f.Cores), f.Partitions, len(f.Groups[0].Members))
+	fmt.Printf("fleet %s founded: %d cores, %d partitions, groups of %d\n", f.Fleet, len(f.Cores), f.Partitions, len(f.Groups[0].Members))
 	return nil
 }
 
 type checkCommand struct {
 	File     string `arg:"" type:"path" help:"File to check."`
-	Settings bool   `help:"The file is a process's settings, not a description."`
+	Settings bool   `help:"The file is the settings of a process, not a configuration."`
 }
 
 func (c *checkCommand) Run() error {
@@ -164,7 +174,7 @@
 		if _, err := params.ReadFile(c.File); err != nil {
 			return err
 		}
-		fmt.Println("settings are right")
+		fmt.Println("settings are valid")
 		return nil
 	}
 	text, err := os.ReadFile(c.File)
@@ -175,40 +185,41 @@
 	if len(faults) > 0 {
 		return faults
 	}
-	fmt.Printf("description is right: %d tenants, %d roles, %d services\n", len(d.Tenants), len(d.Roles), len(d.Services))
+	fmt.Printf("configuration is valid: %d tenants, %d roles, %d services\n", len(d.Tenants), len(d.Roles), len(d.Services))
 	return nil
 }
 
 type applyCommand struct {
-	calling
+	clientOptions
 	amendOptions
-	File    string `arg:"" type:"path" help:"Description, or amendment (JSON)."`
-	BasedOn int64  `help:"Version that the description or amendment is based on; -1: the one now in force." default:"-1"`
+	File    string `arg:"" type:"path" help:"Configuration, or amendment of a routing table (JSON)."`
+	BasedOn int64  `help:"Version that the configuration or amendment is based on; -1: the current one." default:"-1"`
 }
 
-func (c *applyCommand) hand(planOnly bool) (int, []byte, core.ApplyResult, error) {
-	var taking core.ApplyResult
+// submit checks the file and sends it to a core, to apply it or only to plan it.
+func (c *applyCommand) submit(planOnly bool) (int, []byte, core.ApplyResult, error) {
+	var result core.ApplyResult
 	text, err := os.ReadFile(c.File)
 	if err != nil {
-		return 0, nil, taking, err
+		return 0, nil, result, err
 	}
 	if _, faults := configuration.Parse(text); len(faults) > 0 {
-		return 0, nil, taking, faults
+		return 0, nil, result, faults
 	}
-	h := operator.ConfigurationRequest{Description: text, PlanOnly: planOnly, BudgetMS: c.Within.Milliseconds()}
+	request := operator.ConfigurationRequest{Description: text, PlanOnly: planOnly, BudgetMS: c.Timeout.Milliseconds()}
 	if c.BasedOn >= 0 {
-		h.BasedOn = uint64(c.BasedOn)
+		request.BasedOn = uint64(c.BasedOn)
 	} else {
-		var now struct {
+		var current struct {
 			Version uint64 `json:"Version"`
 		}
-		if status, raw, err := c.do("GET", "/v1/configuration", nil, &now); err != nil || status != 200 {
-			return status, raw, taking, err
+		if status, raw, err := c.do("GET", "/v1/configuration", nil, &current); err != nil || status != http.StatusOK {
+			return status, raw, result, err
 		}
-		h.BasedOn = now.Version
+		request.BasedOn = current.Version
 	}
-	status, raw, err := c.do("POST", "/v1/configuration", h, &taking)
-	return status, raw, taking, err
+	status, raw, err := c.do("POST", "/v1/configuration", request, &result)
+	return status, raw, result, err
 }
 
 func (c *applyCommand) Run() error {
@@ -216,16 +227,16 @@
 		return c.runAmend(os.Stdout)
 	}
 	if c.Preview {
-		return errors.New("--preview goes with --amend; plan previews a description")
+		return errors.New("--preview needs --amend; to preview a configuration, use the command plan")
 	}
-	status, raw, taking, err := c.hand(false)
+	status, raw, result, err := c.submit(false)
 	if err != nil {
 		return err
 	}
-	if status != 200 {
-		return errors.Wrap(operator.NewResponseError(status, raw), "not taken")
+	if status != http.StatusOK {
+		return errors.Wrap(operator.NewResponseError(status, raw), "the configuration was not applied")
 	}
-	fmt.Printf("version %d taken: in force on every member\n", taking.Version)
+	fmt.Printf("version %d applied: in force on every member\n", result.Version)
 	return nil
 }
 
@@ -235,33 +246,33 @@
 }
 
 func (c *planCommand) Run() error {
-	status, raw, taking, err := c.hand(true)
+	status, raw, result, err := c.submit(true)
 	if err != nil {
 		return err
 	}
-	if status != 200 {
-		return errors.Wrap(operator.NewResponseError(status, raw), "no plan")
+	if status != http.StatusOK {
+		return errors.Wrap(operator.NewResponseError(status, raw), "the configuration was not planned")
 	}
 	if c.JSON {
 		fmt.Println(strings.TrimSpace(string(raw)))
 		return nil
 	}
-	fmt.Print(taking.Rehearsal.Text(taking.Version))
+	fmt.Print(result.Rehearsal.Text(result.Version))
 	return nil
 }
 
 type drainCommand struct {
-	Process string        `arg:"" help:"Operator address of the node or core that is to leave."`
+	Process string        `arg:"" help:"Operator address of the node or core to drain."`
 	Key     string        `help:"Operator key." env:"SAFFRONFALL_OPERATOR_KEY"`
-	Within  time.Duration `help:"How long the call may take." default:"5s"`
+	Timeout time.Duration `name:"within" help:"Timeout of the call." default:"5s"`
 }
 
 func (c *drainCommand) Run() error {
-	status, raw, err := calling{Core: c.Process, Key: c.Key, Within: c.Within}.do("POST", "/v1/drain", nil, nil)
+	status, raw, err := clientOptions{Core: c.Process, Key: c.Key, Timeout: c.Timeout}.do("POST", "/v1/drain", nil, nil)
 	if err != nil {
 		return err
 	}
-	if status != 202 {
+	if status != http.StatusAccepted {
 		return operator.NewResponseError(status, raw)
 	}
 	fmt.Println("draining")
@@ -269,7 +280,7 @@
 }
 
 type statusCommand struct {
-	calling
+	clientOptions
 	JSON bool `help:"Print JSON."`
 }
 
@@ -279,7 +290,7 @@
 	if err != nil {
 		return err
 	}
-	if status != 200 {
+	if status != http.StatusOK {
 		return operator.NewResponseError(status, raw)
 	}
 	if c.JSON {
@@ -287,39 +298,39 @@
 		return nil
 	}
 	fmt.Printf("fleet %s, configuration %d, breaker %s\n", s.Fleet, s.ConfigurationVersion, s.Breaker)
-	seats := map[string]int{}
+	memberships := map[string]int{}
 	for _, p := range s.Partitions {
-		for _, seat := range p.Members {
-			seats[seat]++
+		for _, member := range p.Members {
+			memberships[member]++
 		}
 	}
-	for _, one := range s.Cores {
-		note := fmt.Sprintf("votes in %d parts", seats[one.MemberID()])
+	for _, c := range s.Cores {
+		note := fmt.Sprintf("votes in %d partitions", memberships[c.MemberID()])
 		switch {
-		case one.Retired:
+		case c.Retired:
 			note = "retired"
-		case seats[one.MemberID()] == 0:
+		case memberships[c.MemberID()] == 0:
 			note = "has no vote"
 		}
-		fmt.Printf("core    %-12s %-10s %s %s\n", one.ID, one.Zone, one.Peer, note)
+		fmt.Printf("core    %-12s %-10s %s %s\n", c.ID, c.Zone, c.Peer, note)
 	}
 	for _, p := range s.Partitions {
 		fmt.Printf("part    %-3d owner %s term %d epoch %d seats %s\n", p.Partition, p.Leader, p.Term, p.Epoch, strings.Join(p.Members, " "))
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), c.Within)
+	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
 	nodes := operator.Client{Key: c.Key}.NodeCounters(ctx, s.Members)
 	for _, m := range s.Members {
-		told, ok := nodes[m.ID]
+		counters, ok := nodes[m.ID]
 		switch {
 		case m.Ended:
 			fmt.Printf("member  %-12s %-10s %s ended\n", m.ID, m.Zone, m.HTTP)
 		case !ok:
-			fmt.Printf("member  %-12s %-10s %s gives no return here: cut off, frozen or dead\n", m.ID, m.Zone, m.HTTP)
+			fmt.Printf("member  %-12s %-10s %s does not respond: unreachable, suspended or dead\n", m.ID, m.Zone, m.HTTP)
 		default:
 			fmt.Printf("member  %-12s %-10s %s version=%v ready=%v term_left_ms=%v breaker=%v programs=%v running=%v\n", m.ID, m.Zone, m.HTTP,
-				told["version"], told["ready"], told["term_left_ms"], told["breaker"], told["programs"], told["running"])
-			printTree("share", told["shares"])
+				counters["version"], counters["ready"], counters["term_left_ms"], counters["breaker"], counters["programs"], counters["running"])
+			printTree("share", counters["shares"])
 		}
 	}
 	for _, id := range ordered.Keys(nodes) {
@@ -330,16 +341,17 @@
 		fmt.Printf("locked out %s for %v more\n", u.Name, u.Left.Round(time.Second))
 	}
 	if len(s.MissingPartitions) > 0 {
-		fmt.Printf("no answer from parts %v\n", s.MissingPartitions)
+		fmt.Printf("no answer from partitions %v\n", s.MissingPartitions)
 	}
 	return nil
 }
 
-func printTree(what string, tree any) {
-	list, _ := tree.(map[string]any)
-	for _, name := range ordered.Keys(list) {
-		raw, _ := json.Marshal(list[name])
-		fmt.Printf("  %-8s %-24s %s\n", what, name, raw)
+// printTree prints each entry of a JSON object on a line that starts with label.
+func printTree(label string, tree any) {
+	entries, _ := tree.(map[string]any)
+	for _, name := range ordered.Keys(entries) {
+		raw, _ := json.Marshal(entries[name])
+		fmt.Printf("  %-8s %-24s %s\n", label, name, raw)
 	}
 }
 
@@ -347,12 +359,12 @@
 
 func (settingsCommand) Run() error {
 	for _, table := range []struct {
-		name string
-		rows []configuration.Setting
-	}{{"a process", params.Rows}, {"a description", configuration.Settings}} {
+		name     string
+		settings []configuration.Setting
+	}{{"a process", params.Rows}, {"a configuration", configuration.Settings}} {
 		fmt.Printf("Settings of %s:\n", table.name)
-		for _, r := range table.rows {
-			fmt.Printf("  %-44s %-7s default %-14v %s\n", r.Path, r.Type, r.Default, r.Help)
+		for _, s := range table.settings {
+			fmt.Printf("  %-44s %-7s default %-14v %s\n", s.Path, s.Type, s.Default, s.Help)
 		}
 	}
 	return nil
@@ -361,15 +373,15 @@
 var commands struct {
 	Core     coreCommand     `cmd:"" help:"Run a core, the control plane."`
 	Node     nodeCommand     `cmd:"" help:"Run a node, the data plane."`
-	Desk     deskCommand     `cmd:"" help:"Run a desk, where replicas announce themselves and operators hand routing tables over."`
+	Desk     deskCommand     `cmd:"" help:"Run a desk, where replicas register and operators apply routing tables."`
 	Relay    relayCommand    `cmd:"" help:"Run a node that relays requests by the routing table."`
-	Found    foundCommand    `cmd:"" help:"Found a fleet, once."`
-	Check    checkCommand    `cmd:"" help:"Check a description or settings."`
-	Apply    applyCommand    `cmd:"" help:"Hand over a whole description (checked, rehearsed, measured, agreed, taken), or an amendment of a routing table."`
-	Plan     planCommand     `cmd:"" help:"Show what a description would move and whom it would refuse; change nothing."`
-	Drain    drainCommand    `cmd:"" help:"Make a node or core leave in good order, as SIGTERM does."`
-	Status   statusCommand   `cmd:"" help:"Show the fleet."`
-	Settings settingsCommand `cmd:"" help:"List every setting with type, default and meaning."`
+	Found    foundCommand    `cmd:"" help:"Found a fleet of new cores."`
+	Check    checkCommand    `cmd:"" help:"Check a configuration or settings."`
+	Apply    applyCommand    `cmd:"" help:"Apply a complete configuration, which is checked and rehearsed first, or an amendment of a routing table."`
+	Plan     planCommand     `cmd:"" help:"Show what a configuration would change and which requests it would refuse; change nothing."`
+	Drain    drainCommand    `cmd:"" help:"Drain and stop a node or core, as SIGTERM does."`
+	Status   statusCommand   `cmd:"" help:"Show the state of the fleet."`
+	Settings settingsCommand `cmd:"" help:"List all settings with type, default and meaning."`
 }
 
 func main() {
@@ -387,15 +399,15 @@
 	os.Exit(exitCode(err))
 }
 
-// exitCode tells scripts what became of a command.
+// exitCode returns the exit code for a failed command.
 func exitCode(err error) int {
 	var faults configuration.Faults
-	var refused *operator.ResponseError
+	var refusal *operator.ResponseError
 	switch {
 	case errors.As(err, &faults):
 		return 2
-	case errors.As(err, &refused):
-		return max(1, map[string]int{"faulty": 2, "unsure": 3, "agreed_not_taken": 3, "not_finished": 3, "unknown_key": 4, "race_lost": 5, "not_approved": 6, "unknown_core": 7, "no_room": 8}[refused.Code])
+	case errors.As(err, &refusal):
+		return max(1, map[string]int{"faulty": 2, "unsure": 3, "agreed_not_taken": 3, "not_finished": 3, "unknown_key": 4, "race_lost": 5, "not_approved": 6, "unknown_core": 7, "no_room": 8}[refusal.Code])
 	case errors.Is(err, operator.ErrUnreachable):
 		return 9
 	}
--- a/saffronfall/main_test.go
+++ b/saffronfall/main_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// asProgram makes the test's own program behave as the shipped one.
+// asProgram is the environment variable that makes the test binary run main.
 const asProgram = "SAFFRONFALL_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -24,22 +24,21 @@
 	os.Exit(m.Run())
 }
 
-// TestReloadWhileStarting: a reload that comes before the settings have been read
-// does not end the process. The settings file is a pipe, so that the process is held
-// at reading it for as long as the test likes.
+// TestReloadWhileStarting checks that SIGHUP before the settings have been read does not end
+// the process. The settings file is a named pipe, which blocks the process while it reads.
 func TestReloadWhileStarting(t *testing.T) {
-	folder := t.TempDir()
-	path := filepath.Join(folder, "settings.json")
+	dir := t.TempDir()
+	path := filepath.Join(dir, "settings.json")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	operators := ownAddress(7001)
-	settings, err := json.Marshal(map[string]any{"id": "n", "seeds": []string{}, "fleet_secret": "a secret of some length", "folder": filepath.Join(folder, "data"),
-		"peer_listen": ownAddress(7000), "operator_listen": operators})
+	operatorAddress := ownAddress(7001)
+	settings, err := json.Marshal(map[string]any{"id": "n", "seeds": []string{}, "fleet_secret": "a secret of some length", "folder": filepath.Join(dir, "data"),
+		"peer_listen": ownAddress(7000), "operator_listen": operatorAddress})
 	if err != nil {
 		t.Fatal(err)
 	}
-	logPath := filepath.Join(folder, "log")
+	logPath := filepath.Join(dir, "log")
 	log, err := os.Create(logPath)
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +52,7 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- command.Wait() }()
-	// A pipe opens for writing once the process reads it.
+	// Opening a pipe for writing blocks until the process opens it for reading.
 	pipe, err := os.OpenFile(path, os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -75,7 +74,7 @@
 			t.Fatalf("ended: %v\n%s", err, text)
 		default:
 		}
-		c, err := net.Dial("tcp", operators)
+		c, err := net.Dial("tcp", operatorAddress)
 		if err == nil {
 			c.Close()
 		}
@@ -89,7 +88,7 @@
 		t.Fatal(err)
 	}
 	pipe.Close()
-	until(t, "the reload is carried out", func() bool {
+	until(t, "the settings are reloaded", func() bool {
 		text, err := os.ReadFile(logPath)
 		return err == nil && strings.Contains(string(text), "settings read again")
 	})
@@ -102,12 +101,12 @@
 		}
 	case <-time.After(10 * time.Second):
 		command.Process.Kill()
-		t.Fatal("it does not end")
+		t.Fatal("the process does not end after SIGTERM")
 	}
 }
 
-// until waits until a condition is met.
-func until(t *testing.T, what string, met func() bool) {
+// until waits until a condition is met, at most ten seconds.
+func until(t *testing.T, condition string, met func() bool) {
 	t.Helper()
 	tick, deadline := time.NewTicker(20*time.Millisecond), time.After(10*time.Second)
 	defer tick.Stop()
@@ -115,13 +114,13 @@
 		select {
 		case <-tick.C:
 		case <-deadline:
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timeout waiting until %s", condition)
 		}
 	}
 }
 
-// ownAddress is an address that no other test uses: the loopback network has a number
-// for each process, and ports below those that the system hands out.
+// ownAddress returns an address that no other test process uses: a loopback IP derived from
+// the process ID, with a port below the ephemeral ones.
 func ownAddress(port int) string {
 	return fmt.Sprintf("127.7.%d.%d:%d", os.Getpid()>>8&0xff, os.Getpid()&0xff, port)
 }
--- a/saffronfall/relayprocess/process.go
+++ b/saffronfall/relayprocess/process.go
@@ -90,7 +90,7 @@
 }
 
 // messages counts messages to and from other processes of the fleet.
-type messages struct{ sent, dropped, bad int64 }
+type messages struct{ sent, dropped, badStreams int64 }
 
 // pool is a connection pool to one replica.
 type pool struct {
@@ -100,6 +100,7 @@
 }
 
 const (
+	maxMessageBytes       = 64 << 20
 	connectionsPerReplica = 32
 	// poolIdleTimeout is after how long without an attempt a pool is closed.
 	poolIdleTimeout = time.Minute
@@ -114,7 +115,7 @@
 		return err
 	}
 	streams, err := stream.Listen(stream.Params{Listen: p.PeerListen, Advertise: p.PeerAdvertise, Secret: p.FleetSecret,
-		QueueSize: int(p.BufferSize), MaxMessageBytes: 64 << 20, Timeout: 2 * p.Core().PullInterval})
+		QueueSize: int(p.BufferSize), MaxMessageBytes: maxMessageBytes, Timeout: 2 * p.Core().PullInterval})
 	if err != nil {
 		return err
 	}
@@ -213,7 +214,7 @@
 			call(s.now())
 		case s.params = <-s.updates:
 		case c := <-s.streams.Counts:
-			s.bad += c.BadStreams
+			s.badStreams += c.BadStreams
 		case <-ticker.C:
 			now := s.now()
 			s.apply(s.machine.Tick(now))
@@ -428,7 +429,7 @@
 func (s *process) snapshot(ctx context.Context) (snapshot telemetry.Snapshot, err error) {
 	err = s.inspect(ctx, func(now time.Duration) {
 		snapshot = telemetry.Snapshot{Values: s.machine.Status(now), Violations: telemetry.ViolationCounts(s.violations), Failures: s.observer.failures()}
-		snapshot.Values["messages_sent"], snapshot.Values["messages_dropped"], snapshot.Values["bad_streams"] = s.sent, s.dropped, s.bad
+		snapshot.Values["messages_sent"], snapshot.Values["messages_dropped"], snapshot.Values["bad_streams"] = s.sent, s.dropped, s.badStreams
 	})
 	return snapshot, err
 }
--- a/saffronfall/schema_test.go
+++ b/saffronfall/schema_test.go
@@ -14,13 +14,13 @@
 	"saffronfall/saffronfall/params"
 )
 
-// TestRegisteredSchema: this program links every role, so it has every message that
-// processes send to each other.
+// TestRegisteredSchema checks the encoding of all messages between processes. This program
+// links every role, and therefore has all of them.
 func TestRegisteredSchema(t *testing.T) {
 	schematest.Check(t, "registered_schema", schematest.Registered())
 }
 
-// TestJSONSchema: bodies of HTTP calls, settings, descriptions and tables.
+// TestJSONSchema checks the encoding of HTTP bodies, settings, configurations and tables.
 func TestJSONSchema(t *testing.T) {
 	schematest.Check(t, "json_schema", []schematest.Entry{
 		schematest.JSON[core.ChangeResult]("answer to a change of cores"),
