--- a/saffronfall/coreprocess/process.go
+++ b/saffronfall/coreprocess/process.go
@@ -48,6 +48,7 @@
 	changes []core.Change
 }
 
+// process is a running core.
 type process struct {
 	params  params.Params
 	updates <-chan params.Params
@@ -192,7 +193,7 @@
 
 // run is the event loop. No other goroutine calls the machine. It starts to hand partitions
 // over when ctx ends, and returns once none is led here, the grace period is over or runCtx
-// ends.
+// ends. A drain by an operator has the same effect as the end of ctx.
 func (s *process) run(ctx, runCtx context.Context) error {
 	runtime.LockOSThread()
 	ticker := time.NewTicker(s.params.Core().Partition.LeaseDuration / 20)
@@ -232,7 +233,7 @@
 			}
 		case <-ticker.C:
 			s.apply(s.machine.Tick(s.now()))
-			s.logChanges()
+			s.monitor()
 			if drainDeadline > 0 && (s.now() >= drainDeadline || len(s.machine.LeadingPartitions(s.now())) == 0) {
 				s.log.Info("core stopped", "partitions_still_led", len(s.machine.LeadingPartitions(s.now())))
 				return nil
@@ -255,9 +256,9 @@
 	return s.now() + s.params.Grace()
 }
 
-// logChanges tells the machine whether the disk stalls, and logs changes of that and of the
+// monitor tells the machine whether the disk stalls, and logs changes of that and of the
 // number of partitions led here.
-func (s *process) logChanges() {
+func (s *process) monitor() {
 	stalled := s.writing && s.now()-s.writeStart > s.params.Core().Partition.LeaseDuration
 	if stalled != s.stalled {
 		s.stalled = stalled
--- a/saffronfall/deskprocess/process.go
+++ b/saffronfall/deskprocess/process.go
@@ -30,6 +30,7 @@
 	"saffronfall/saffronfall/telemetry"
 )
 
+// process is a running desk.
 type process struct {
 	params  params.Params
 	updates <-chan params.Params
--- a/saffronfall/nodeprocess/process.go
+++ b/saffronfall/nodeprocess/process.go
@@ -45,6 +45,7 @@
 	maxMessageBytes  = 64 << 20
 )
 
+// process is a running node.
 type process struct {
 	params  params.Params
 	updates <-chan params.Params
@@ -150,8 +151,8 @@
 
 func (s *process) now() time.Duration { return clock.Now() - s.start }
 
-// run is the event loop. No other goroutine calls the machine. It drains the node when ctx
-// ends and returns once the node is drained or the grace period is over.
+// run is the event loop. No other goroutine calls the machine. It drains the node when ctx ends
+// or an operator asks for it, and returns once the node is drained or the grace period is over.
 func (s *process) run(ctx context.Context) error {
 	runtime.LockOSThread()
 	ticker := time.NewTicker(s.params.Core().PullInterval / 15)
--- a/saffronfall/relayprocess/process.go
+++ b/saffronfall/relayprocess/process.go
@@ -64,6 +64,7 @@
 	outcome relay.Outcome
 }
 
+// process is a running relay node.
 type process struct {
 	params    params.Params
 	updates   <-chan params.Params
