--- a/peer/core/caller.go
+++ b/peer/core/caller.go
@@ -12,9 +12,9 @@
 // deadline, so that the command may or may not have run; Sent tells whether it was
 // sent at all.
 type Outcome struct {
-	Answer any
-	Unsure bool
-	Sent   bool
+	Answer    any
+	Uncertain bool
+	Sent      bool
 }
 
 // Caller sends commands to the leaders of partitions and retries each until it is
@@ -73,7 +73,7 @@
 // Tick after until.
 func (c *Caller) Call(now time.Duration, command any, until time.Duration, outcome func(now time.Duration, o Outcome)) {
 	if c.Partitions() == 0 {
-		outcome(now, Outcome{Unsure: true})
+		outcome(now, Outcome{Uncertain: true})
 		return
 	}
 	k := &pendingCall{partition: TargetPartition(c.Partitions(), command), raw: message.Pack(command), deadline: until, outcome: outcome}
@@ -172,7 +172,7 @@
 	}
 	for _, k := range due {
 		if now >= k.deadline {
-			c.finish(now, k, Outcome{Unsure: true, Sent: k.attempts > 0})
+			c.finish(now, k, Outcome{Uncertain: true, Sent: k.attempts > 0})
 			continue
 		}
 		delete(c.hints, k.partition)
--- a/peer/core/founding.go
+++ b/peer/core/founding.go
@@ -56,8 +56,8 @@
 	return true
 }
 
-// presence returns the heartbeat of this core.
-func (m *Machine) presence() AnnounceCore {
+// announcement returns this core's heartbeat.
+func (m *Machine) announcement() AnnounceCore {
 	return AnnounceCore{Core: m.self, MayFound: m.params.ColdStart, Fleet: m.founding.Fleet, KnownDigest: m.digest}
 }
 
@@ -68,14 +68,14 @@
 	}
 	for _, seed := range m.seeds {
 		if seed != m.self.Peer {
-			m.send(seed, m.presence(), false)
+			m.send(seed, m.announcement(), false)
 		}
 	}
 }
 
-// onPresence handles the heartbeat of a core of the same fleet, or the request of
+// onAnnounceCore handles the heartbeat of a core of the same fleet, or the request of
 // one without a fleet to be told of it.
-func (m *Machine) onPresence(now time.Duration, from string, b AnnounceCore) {
+func (m *Machine) onAnnounceCore(now time.Duration, from string, b AnnounceCore) {
 	switch b.Fleet {
 	case m.founding.Fleet:
 		m.mergeCore(b.Core)
--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -296,7 +296,7 @@
 	case Topology:
 		m.mergeTopology(b)
 	case AnnounceCore:
-		m.onPresence(now, from, b)
+		m.onAnnounceCore(now, from, b)
 	case Samples:
 		if b.ID == m.sampleRound && m.samples != nil {
 			m.samples[from] = b.List
--- a/peer/core/membership.go
+++ b/peer/core/membership.go
@@ -108,7 +108,7 @@
 func (m *Machine) announceToAll() {
 	for _, id := range ordered.Keys(m.cores) {
 		if c := m.cores[id]; id != m.self.ID {
-			m.send(c.Peer, m.presence(), false)
+			m.send(c.Peer, m.announcement(), false)
 		}
 	}
 }
--- a/peer/core/membership_test.go
+++ b/peer/core/membership_test.go
@@ -66,7 +66,7 @@
 func newFleet(t *testing.T, size, cores int) *fleet {
 	f := &fleet{t: t, size: size, random: rand.New(rand.NewPCG(7, uint64(cores))), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
 		params: Params{Partition: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberLease: 2 * time.Second,
-			AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond, GoneAfter: 2 * time.Second, ColdStart: true}}
+			AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond, SilenceTimeout: 2 * time.Second, ColdStart: true}}
 	var founders []Core
 	for i := 0; i < cores; i++ {
 		added := f.addCore(fmt.Sprintf("c%d", i+1))
@@ -85,9 +85,9 @@
 
 // tolerateSilence raises the time until silent cores lose their replicas.
 func (f *fleet) tolerateSilence() {
-	f.params.GoneAfter = time.Minute
+	f.params.SilenceTimeout = time.Minute
 	for _, core := range f.cores {
-		core.m.params.GoneAfter = time.Minute
+		core.m.params.SilenceTimeout = time.Minute
 	}
 }
 
@@ -600,14 +600,14 @@
 	f := newFleet(t, 3, 5)
 	core := f.cores[1]
 	core.frozen = true
-	f.advance(f.params.GoneAfter + 3*time.Second)
+	f.advance(f.params.SilenceTimeout + 3*time.Second)
 	f.awaitSettled("without it", settleTime)
 	before := f.epochSum()
 	for i := 0; i < 4; i++ {
 		f.thaw(core)
 		f.advance(300 * time.Millisecond)
 		core.frozen = true
-		f.advance(f.params.GoneAfter + 500*time.Millisecond)
+		f.advance(f.params.SilenceTimeout + 500*time.Millisecond)
 	}
 	if after := f.epochSum(); after != before {
 		t.Errorf("%d group changes", after-before)
@@ -627,7 +627,7 @@
 	for _, core := range f.cores {
 		core.frozen = true
 	}
-	f.advance(3 * f.params.GoneAfter)
+	f.advance(3 * f.params.SilenceTimeout)
 	f.drop = nil
 	for _, core := range f.cores {
 		f.thaw(core)
@@ -747,7 +747,7 @@
 		f.waitUntil(name, func() bool { return stages[name](f) })
 		f.loseForGood(joining)
 		// Its replicas move to other cores once it counts as silent.
-		f.awaitSettled(name+", core lost", f.params.GoneAfter+settleTime)
+		f.awaitSettled(name+", core lost", f.params.SilenceTimeout+settleTime)
 		f.checkClaims()
 		f.start(f.addCore("next"))
 		f.awaitSettled(name+", another core added", settleTime)
@@ -826,7 +826,7 @@
 	f := newFleet(t, 3, 5)
 	core := f.cores[1]
 	core.frozen = true
-	f.advance(f.params.GoneAfter + f.params.GoneAfter/2)
+	f.advance(f.params.SilenceTimeout + f.params.SilenceTimeout/2)
 	f.awaitSettled("without the frozen core", settleTime)
 	f.checkClaims()
 	f.thaw(core)
@@ -840,7 +840,7 @@
 	}
 	// A short freeze changes no group.
 	core.frozen = true
-	f.advance(f.params.GoneAfter / 2)
+	f.advance(f.params.SilenceTimeout / 2)
 	f.thaw(core)
 	f.advance(3 * time.Second)
 	if after := f.epochSum(); after != before {
@@ -855,7 +855,7 @@
 	f := newFleet(t, 3, 3)
 	before := f.epochSum()
 	f.kill(f.cores[2])
-	f.advance(3 * f.params.GoneAfter)
+	f.advance(3 * f.params.SilenceTimeout)
 	if after := f.epochSum(); after != before {
 		t.Errorf("%d group changes", after-before)
 	}
--- a/peer/core/messages.go
+++ b/peer/core/messages.go
@@ -148,11 +148,11 @@
 	// it is zero if the holder has ended. Holders names all holders. Open and Left
 	// tell whether the breaker is open and for how long.
 	DrawResult struct {
-		Granted int64         `msgpack:"Granted"`
-		Target  int64         `msgpack:"Target"`
-		Left    time.Duration `msgpack:"Left"`
-		Open    bool          `msgpack:"Open"`
-		Holders []string      `msgpack:"Others"`
+		Granted   int64         `msgpack:"Granted"`
+		Target    int64         `msgpack:"Target"`
+		Remaining time.Duration `msgpack:"Left"`
+		Open      bool          `msgpack:"Open"`
+		Holders   []string      `msgpack:"Others"`
 	}
 	// BreakerLimits are the breaker's thresholds in the configuration that the caller
 	// follows.
@@ -176,9 +176,9 @@
 	}
 	// ProbeResult answers AdmitProbe and ReportProbe.
 	ProbeResult struct {
-		Number int           `msgpack:"Number"`
-		State  string        `msgpack:"State"`
-		Left   time.Duration `msgpack:"Left"`
+		Number    int           `msgpack:"Number"`
+		State     string        `msgpack:"State"`
+		Remaining time.Duration `msgpack:"Left"`
 	}
 
 	// ClaimOnce stores the intent to run a once-only action, before it runs. An
@@ -223,8 +223,8 @@
 	}
 	// LockedUser is a user that is locked out, and for how much longer.
 	LockedUser struct {
-		Name string        `json:"user" msgpack:"Name"`
-		Left time.Duration `json:"left" msgpack:"Left"`
+		Name      string        `json:"user" msgpack:"Name"`
+		Remaining time.Duration `json:"left" msgpack:"Left"`
 	}
 	// ReadEntries lists the entries of a partition whose keys have a prefix.
 	ReadEntries struct {
@@ -416,7 +416,7 @@
 	supersededPrefix  = "outlived/" // incarnations of cores
 	memberPrefix      = "member/"
 	programPrefix     = "program/"
-	pastPrefix        = "past/" // tombstones of deleted programs
+	tombstonePrefix   = "past/" // tombstones of deleted programs
 	userPrefix        = "user/"
 	allowancePrefix   = "tenant/"
 	oncePrefix        = "once/"
--- a/peer/core/messages_relay.go
+++ b/peer/core/messages_relay.go
@@ -58,8 +58,8 @@
 		Previous []string `msgpack:"b"`
 		Input    []byte   `msgpack:"i"`
 		Output   []byte   `msgpack:"o"`
-		// Left is how much longer the turn is stored.
-		Left time.Duration `msgpack:"l"`
+		// Remaining is how much longer the turn is stored.
+		Remaining time.Duration `msgpack:"l"`
 	}
 	// ExtendTurn extends the retention of a stored turn when a turn that continues it
 	// was stored.
--- a/peer/core/placement.go
+++ b/peer/core/placement.go
@@ -168,8 +168,8 @@
 
 // silenceTimeout is the time without a message after which a core counts as silent.
 func (m *Machine) silenceTimeout() time.Duration {
-	if m.params.GoneAfter > 0 {
-		return m.params.GoneAfter
+	if m.params.SilenceTimeout > 0 {
+		return m.params.SilenceTimeout
 	}
 	return 3 * m.params.MemberLease
 }
@@ -229,9 +229,9 @@
 	return silent
 }
 
-// recentlyHeard reports whether a message of a member arrived within the last three
+// hasRecentContact reports whether a message of a member arrived within the last three
 // heartbeat intervals.
-func (m *Machine) recentlyHeard(now time.Duration, member string) bool {
+func (m *Machine) hasRecentContact(now time.Duration, member string) bool {
 	c, ok := m.contacts[member]
 	return member == m.self.MemberID() || (ok && now-c.last < 3*m.heartbeatInterval())
 }
@@ -288,7 +288,7 @@
 			continue
 		}
 		if adding, changing := p.ChangeInProgress(); changing {
-			if adding != "" && (!m.recentlyHeard(now, adding) || m.removalUrgency(now, adding, nil) < memberSilent) {
+			if adding != "" && (!m.hasRecentContact(now, adding) || m.removalUrgency(now, adding, nil) < memberSilent) {
 				m.handleOutput(now, n, p.AbortChange(now))
 			}
 			continue
@@ -307,7 +307,7 @@
 				}
 			}})
 			m.handleOutput(now, n, p.ChangeMembers(now, uint64(ticket), add, remove))
-		case len(wanted) > 0 && wanted[0] != group[0] && slices.Contains(group, wanted[0]) && m.recentlyHeard(now, wanted[0]):
+		case len(wanted) > 0 && wanted[0] != group[0] && slices.Contains(group, wanted[0]) && m.hasRecentContact(now, wanted[0]):
 			i := slices.Index(group, wanted[0])
 			m.handleOutput(now, n, p.ReorderMembers(now, append([]string{wanted[0]}, slices.Delete(slices.Clone(group), i, i+1)...)))
 		}
@@ -323,10 +323,10 @@
 		if u := m.removalUrgency(now, s, wanted); u < urgency {
 			urgency, remove = u, s
 		}
-		healthy = healthy && m.recentlyHeard(now, s)
+		healthy = healthy && m.hasRecentContact(now, s)
 	}
 	for _, s := range wanted {
-		if !slices.Contains(group, s) && m.recentlyHeard(now, s) && (add == "" || CoreID(s) == CoreID(remove)) {
+		if !slices.Contains(group, s) && m.hasRecentContact(now, s) && (add == "" || CoreID(s) == CoreID(remove)) {
 			add = s
 		}
 	}
--- a/peer/core/rules.go
+++ b/peer/core/rules.go
@@ -28,9 +28,9 @@
 	AttemptTimeout time.Duration
 	// PullInterval is how often updates are pulled.
 	PullInterval time.Duration
-	// GoneAfter is how long a core may be silent before its places in groups go to
+	// SilenceTimeout is how long a core may be silent before its places in groups go to
 	// others; zero means three member leases.
-	GoneAfter time.Duration
+	SilenceTimeout time.Duration
 	// ColdStart allows a core with an empty data folder to found a fleet.
 	ColdStart bool
 	// OrderRetention is how long the record of an accepted order is kept; zero means
@@ -150,7 +150,7 @@
 		b, before := r.loadBreaker(tx)
 		number := b.IssueProbe(tx.Clock(), c.Program, c.Limits.params())
 		r.saveBreaker(tx, b, before)
-		return ProbeResult{Number: number, State: string(b.State), Left: b.RecoveryLeft(tx.Clock(), c.Limits.params())}
+		return ProbeResult{Number: number, State: string(b.State), Remaining: b.RecoveryLeft(tx.Clock(), c.Limits.params())}
 	case ReportProbe:
 		b, before := r.loadBreaker(tx)
 		b.RecordResult(tx.Clock(), c.Program, c.Succeeded, c.Limits.params())
--- a/peer/core/rules_breaker.go
+++ b/peer/core/rules_breaker.go
@@ -60,5 +60,5 @@
 	b.Advance(clock, params)
 	granted := b.Draw(clock, c.Holder, c.Target, c.Need, params)
 	r.saveBreaker(tx, b, before)
-	return DrawResult{Granted: granted, Open: b.State == breaker.Open, Left: b.RecoveryLeft(clock, params), Holders: ordered.Keys(b.Ledger.Holders)}
+	return DrawResult{Granted: granted, Open: b.State == breaker.Open, Remaining: b.RecoveryLeft(clock, params), Holders: ordered.Keys(b.Ledger.Holders)}
 }
--- a/peer/core/rules_members.go
+++ b/peer/core/rules_members.go
@@ -114,10 +114,10 @@
 				tx.Delete(turn)
 			}
 			tx.Delete(key)
-			write(tx, pastPrefix+key, clock)
+			write(tx, tombstonePrefix+key, clock)
 		}
 	}
-	for _, key := range tx.Keys(pastPrefix) {
+	for _, key := range tx.Keys(tombstonePrefix) {
 		if at, _ := read[time.Duration](tx, key); clock >= at+tombstoneRetention {
 			tx.Delete(key)
 		}
--- a/peer/core/rules_programs.go
+++ b/peer/core/rules_programs.go
@@ -21,10 +21,10 @@
 	var list LockedUsers
 	for _, key := range tx.Keys(userPrefix) {
 		if u, _ := read[program.User](tx, key); u.LockedUntil > tx.Clock() {
-			list.Users = append(list.Users, LockedUser{Name: strings.TrimPrefix(key, userPrefix), Left: u.LockedUntil - tx.Clock()})
+			list.Users = append(list.Users, LockedUser{Name: strings.TrimPrefix(key, userPrefix), Remaining: u.LockedUntil - tx.Clock()})
 		}
 	}
-	slices.SortFunc(list.Users, func(a, b LockedUser) int { return int(a.Left - b.Left) })
+	slices.SortFunc(list.Users, func(a, b LockedUser) int { return int(a.Remaining - b.Remaining) })
 	list.Users = list.Users[:min(len(list.Users), maxLockedUsers)]
 	return list
 }
@@ -47,7 +47,7 @@
 	key := programPrefix + c.Tenant + "/" + c.ID
 	p, ok := read[program.Record](tx, key)
 	if !ok {
-		_, expired := tx.Get(pastPrefix + key)
+		_, expired := tx.Get(tombstonePrefix + key)
 		return ProgramResult{Expired: expired}
 	}
 	answer := ProgramResult{Found: true, Clock: tx.Clock()}
--- a/peer/core/rules_relay_test.go
+++ b/peer/core/rules_relay_test.go
@@ -22,7 +22,7 @@
 	found := func(tenant, attempt string) ReadTurnResult {
 		return a.run(ReadTurn{Tenant: tenant, Attempt: attempt}).(ReadTurnResult)
 	}
-	if k := found("t", "k0"); !k.Found || string(k.Input) != "in" || string(k.Output) != "out" || len(k.Previous) != 1 || k.Left > keep {
+	if k := found("t", "k0"); !k.Found || string(k.Input) != "in" || string(k.Output) != "out" || len(k.Previous) != 1 || k.Remaining > keep {
 		t.Fatalf("%+v", k)
 	}
 	if found("other", "k0").Found || found("t", "none").Found {
--- a/peer/core/topology.go
+++ b/peer/core/topology.go
@@ -138,10 +138,10 @@
 	topologySentAt map[string]time.Duration
 }
 
-// topologyGossipTerms is the number of member terms after which the topology is
+// topologyGossipLeases is the number of member terms after which the topology is
 // sent although it has not changed. A core whose heartbeat has another digest is
 // sent it sooner.
-const topologyGossipTerms = 8
+const topologyGossipLeases = 8
 
 // Digest returns a hash of the topology. Size is not part of it.
 func (t Topology) Digest() uint64 {
@@ -210,13 +210,13 @@
 		if id == m.self.ID || c.Retired && !m.hasReplica(c) {
 			continue
 		}
-		m.send(c.Peer, m.presence(), false)
+		m.send(c.Peer, m.announcement(), false)
 		if sendTopology {
 			m.send(c.Peer, topology, false)
 		}
 	}
 	if sendTopology {
-		m.topologyChanged, m.topologyAt = false, now+topologyGossipTerms*m.params.MemberLease
+		m.topologyChanged, m.topologyAt = false, now+topologyGossipLeases*m.params.MemberLease
 	}
 }
 
--- a/peer/core/turns.go
+++ b/peer/core/turns.go
@@ -99,7 +99,7 @@
 	if !ok {
 		return ReadTurnResult{Absence: r.absenceReason(tx, c)}
 	}
-	return ReadTurnResult{Found: true, Previous: t.Previous, Input: t.Input, Output: t.Output, Left: t.Until - tx.Clock()}
+	return ReadTurnResult{Found: true, Previous: t.Previous, Input: t.Input, Output: t.Output, Remaining: t.Until - tx.Clock()}
 }
 
 // absenceReason tells why a turn is not stored, as far as this leader knows.
--- a/peer/desk/amend.go
+++ b/peer/desk/amend.go
@@ -29,7 +29,7 @@
 func (m *Machine) Amend(now time.Duration, ticket uint64, a Amendment) Output {
 	m.out = &Output{}
 	deadline := now + m.params.OperationTimeout
-	m.addPending(now, ticket, OrderResult{Unsure: true})
+	m.addPending(now, ticket, OrderResult{Uncertain: true})
 	m.caller.Call(now, core.ReadTable{}, deadline, func(now time.Duration, o core.Outcome) {
 		current, ok := o.Answer.(core.CurrentTable)
 		if _, isPending := m.pending[ticket]; !isPending {
@@ -37,7 +37,7 @@
 		}
 		switch {
 		case !ok:
-			m.resolve(ticket, OrderResult{Unsure: true})
+			m.resolve(ticket, OrderResult{Uncertain: true})
 		case current.Number != a.Base:
 			m.findOrder(now, ticket, a, deadline)
 		default:
@@ -54,7 +54,7 @@
 		found, ok := o.Answer.(core.AcceptTableResult)
 		switch {
 		case !ok:
-			m.resolve(ticket, OrderResult{Unsure: true})
+			m.resolve(ticket, OrderResult{Uncertain: true})
 		case found.OK:
 			m.resolve(ticket, OrderResult{Accepted: true, Number: found.Number})
 		default:
--- a/peer/desk/amend_test.go
+++ b/peer/desk/amend_test.go
@@ -59,7 +59,7 @@
 		{name: "race lost before", amendment: addService(3, 5), found: core.AcceptTableResult{Number: 4}, want: OrderResult{RaceLost: true, Number: 4}, commands: 2},
 		{name: "on a base that does not exist yet", amendment: addService(9, 10), found: core.AcceptTableResult{Number: 4}, want: OrderResult{RaceLost: true, Number: 4}, commands: 2},
 		{name: "number not above the base", amendment: addService(4, 4), want: OrderResult{Number: 4, Faults: configuration.Faults{{}}}, commands: 1},
-		{name: "no answer", amendment: addService(4, 5), want: OrderResult{Unsure: true}, commands: 2},
+		{name: "no answer", amendment: addService(4, 5), want: OrderResult{Uncertain: true}, commands: 2},
 	} {
 		m := newDesk(nil)
 		foundFleet(m)
@@ -80,7 +80,7 @@
 			t.Fatalf("%s: answers %+v", c.name, answers)
 		}
 		got := answers[0].Body.(OrderResult)
-		if got.Accepted != c.want.Accepted || got.RaceLost != c.want.RaceLost || got.Unsure != c.want.Unsure || got.Number != c.want.Number || (got.Faults == nil) != (c.want.Faults == nil) {
+		if got.Accepted != c.want.Accepted || got.RaceLost != c.want.RaceLost || got.Uncertain != c.want.Uncertain || got.Number != c.want.Number || (got.Faults == nil) != (c.want.Faults == nil) {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 		if len(cores.commands) != c.commands {
--- a/peer/desk/disconnected_test.go
+++ b/peer/desk/disconnected_test.go
@@ -71,7 +71,7 @@
 			}
 			switch b := body.(type) {
 			case OrderResult:
-				if !b.Unsure || b.Accepted || b.RaceLost || b.Faults != nil {
+				if !b.Uncertain || b.Accepted || b.RaceLost || b.Faults != nil {
 					t.Errorf("%s: %+v", name, b)
 				}
 			case core.CurrentTable:
@@ -79,7 +79,7 @@
 					t.Errorf("%s: an old table: %+v", name, b)
 				}
 			case RetirementStatus:
-				if !b.Unsure {
+				if !b.Uncertain {
 					t.Errorf("%s: %+v", name, b)
 				}
 			default:
--- a/peer/desk/handler.go
+++ b/peer/desk/handler.go
@@ -53,7 +53,7 @@
 // writeOrderResult writes the response to an operator's order.
 func writeOrderResult(w http.ResponseWriter, result OrderResult, err error) {
 	switch {
-	case err != nil || result.Unsure:
+	case err != nil || result.Uncertain:
 		operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "the outcome is unknown; send the same request again to find out", Executed: "maybe"})
 	case result.Faults != nil:
 		operator.WriteJSON(w, http.StatusBadRequest, result)
@@ -110,7 +110,7 @@
 			return func(w http.ResponseWriter, r *http.Request) {
 				status, err := call(r.Context(), r.PathValue("id"))
 				switch {
-				case err != nil || status.Unsure:
+				case err != nil || status.Uncertain:
 					operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "the cores did not answer", Executed: "maybe"})
 				case !status.Known:
 					operator.WriteJSON(w, http.StatusNotFound, operator.ErrorResponse{Code: "unknown_core", Reason: "no core has this id", Executed: "no"})
--- a/peer/desk/loads.go
+++ b/peer/desk/loads.go
@@ -84,10 +84,10 @@
 
 // ReplicaOrder returns the sorted ids of the replicas that are not gone. Load messages
 // identify replicas by their index in it.
-func ReplicaOrder[L any](replicas map[string]L, isGone func(L) bool) []string {
+func ReplicaOrder[L any](replicas map[string]L, isRemoved func(L) bool) []string {
 	var order []string
 	for _, id := range ordered.Keys(replicas) {
-		if !isGone(replicas[id]) {
+		if !isRemoved(replicas[id]) {
 			order = append(order, id)
 		}
 	}
@@ -96,7 +96,7 @@
 
 func (m *Machine) currentOrder() []string {
 	if m.loads.orderVersion != m.version || m.loads.order == nil {
-		m.loads.order = ReplicaOrder(m.replicas, func(entry *trackedReplica) bool { return entry.Gone })
+		m.loads.order = ReplicaOrder(m.replicas, func(entry *trackedReplica) bool { return entry.Removed })
 		m.loads.orderVersion = m.version
 	}
 	return m.loads.order
--- a/peer/desk/machine.go
+++ b/peer/desk/machine.go
@@ -74,7 +74,7 @@
 	for _, l := range o.KnownReplicas {
 		m.version++
 		l.Version = m.version
-		m.replicas[l.Replica.ID] = &trackedReplica{ReplicaEntry: l, lastHeard: o.Now - (missedHeartbeats-2)*o.Params.HeartbeatInterval}
+		m.replicas[l.Replica.ID] = &trackedReplica{ReplicaEntry: l, lastSeen: o.Now - (missedHeartbeats-2)*o.Params.HeartbeatInterval}
 	}
 	if o.KnownPeers != nil {
 		m.restorePeers(*o.KnownPeers)
@@ -109,7 +109,7 @@
 	case LoadReport:
 		m.onLoadReport(now, from, b)
 	case core.AnnounceCore:
-		m.onPresent(now, from, b)
+		m.onAnnounceCore(now, from, b)
 	case core.Topology:
 		m.mergeTopology(now, b)
 	case core.Update:
@@ -164,9 +164,9 @@
 const (
 	// missedHeartbeats is the time without a heartbeat after which a replica counts as gone.
 	missedHeartbeats = 4
-	// goneRetention is the time since the last heartbeat for which a gone replica stays
+	// removedRetention is the time since the last heartbeat for which a gone replica stays
 	// listed.
-	goneRetention = 20 * missedHeartbeats
+	removedRetention = 20 * missedHeartbeats
 	// deskRetention is the time for which a silent desk is remembered.
 	deskRetention = 10 * missedHeartbeats
 )
@@ -180,20 +180,20 @@
 	for _, id := range ordered.Keys(m.replicas) {
 		entry := m.replicas[id]
 		switch {
-		case !entry.Gone && now > entry.lastHeard+missedHeartbeats*m.params.HeartbeatInterval:
-			entry.Gone = true
+		case !entry.Removed && now > entry.lastSeen+missedHeartbeats*m.params.HeartbeatInterval:
+			entry.Removed = true
 			m.recordChange(now, entry)
-		case entry.Gone && now > entry.lastHeard+goneRetention*m.params.HeartbeatInterval:
+		case entry.Removed && now > entry.lastSeen+removedRetention*m.params.HeartbeatInterval:
 			delete(m.replicas, id)
 		}
 	}
 	for address, s := range m.subscribers {
-		if now > s.lastHeard+nodeRetention*m.params.HeartbeatInterval {
+		if now > s.lastSeen+nodeRetention*m.params.HeartbeatInterval {
 			delete(m.subscribers, address)
 		}
 	}
-	for address, lastHeard := range m.desks {
-		if address != m.address && now > lastHeard+deskRetention*m.params.HeartbeatInterval {
+	for address, lastSeen := range m.desks {
+		if address != m.address && now > lastSeen+deskRetention*m.params.HeartbeatInterval {
 			delete(m.desks, address)
 			delete(m.deskCursors, address)
 		}
--- a/peer/desk/machine_test.go
+++ b/peer/desk/machine_test.go
@@ -74,7 +74,7 @@
 	}
 	m.Leave(3, 0, "r1")
 	m.Heartbeat(4, 0, replica(7, false))
-	if l := m.List(); !l[0].Gone || !l[0].Final {
+	if l := m.List(); !l[0].Removed || !l[0].Final {
 		t.Fatalf("%+v", l)
 	}
 }
@@ -85,19 +85,19 @@
 	m := newDesk(nil)
 	m.Heartbeat(0, 0, replica(1, false))
 	m.Tick(3 * heartbeat)
-	if m.List()[0].Gone {
+	if m.List()[0].Removed {
 		t.Fatal("gone after three heartbeat intervals")
 	}
 	m.Tick(5 * heartbeat)
-	if l := m.List()[0]; !l.Gone || l.Final {
+	if l := m.List()[0]; !l.Removed || l.Final {
 		t.Fatalf("after five heartbeat intervals: %+v", l)
 	}
 	m.Heartbeat(6*heartbeat, 0, replica(1, false))
-	if !m.List()[0].Gone {
+	if !m.List()[0].Removed {
 		t.Fatal("an old heartbeat brought it back")
 	}
 	m.Heartbeat(6*heartbeat, 0, replica(2, false))
-	if m.List()[0].Gone {
+	if m.List()[0].Removed {
 		t.Fatal("a newer heartbeat does not bring it back")
 	}
 }
@@ -107,11 +107,11 @@
 func TestRestoredReplicaExpiresAfterTwoHeartbeats(t *testing.T) {
 	m := newDesk(func(o *Options) { o.KnownReplicas, o.Now = []ReplicaEntry{{Replica: replica(1, false)}}, 100*heartbeat })
 	m.Tick(101 * heartbeat)
-	if m.List()[0].Gone {
+	if m.List()[0].Removed {
 		t.Fatal("gone after one heartbeat interval")
 	}
 	m.Tick(103 * heartbeat)
-	if !m.List()[0].Gone {
+	if !m.List()[0].Removed {
 		t.Fatal("not gone after three heartbeat intervals")
 	}
 }
@@ -175,7 +175,7 @@
 		{"faulty", []byte(`{"number":1,"routes":[{"host":"h","prefix":"nowhere","mode":"once","timeout_ms":1}]}`), nil, OrderResult{}, false},
 		{"taken", table(3), core.AcceptTableResult{OK: true, Number: 3}, OrderResult{Accepted: true, Number: 3}, true},
 		{"another current table", table(3), core.AcceptTableResult{Number: 2}, OrderResult{RaceLost: true, Number: 2}, false},
-		{"no answer", table(3), nil, OrderResult{Unsure: true}, false},
+		{"no answer", table(3), nil, OrderResult{Uncertain: true}, false},
 	} {
 		m := newDesk(nil)
 		foundFleet(m)
@@ -200,7 +200,7 @@
 			t.Fatalf("%s: %+v", c.name, o)
 		}
 		got := o.Answers[0].Body.(OrderResult)
-		if got.Accepted != c.want.Accepted || got.RaceLost != c.want.RaceLost || got.Unsure != c.want.Unsure || got.Number != c.want.Number {
+		if got.Accepted != c.want.Accepted || got.RaceLost != c.want.RaceLost || got.Uncertain != c.want.Uncertain || got.Number != c.want.Number {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 		if b := sentTo[Update](o, "n1:1"); (len(b) == 1 && len(b[0].Table) > 0) != c.sent {
--- a/peer/desk/reachability.go
+++ b/peer/desk/reachability.go
@@ -103,7 +103,7 @@
 			continue
 		}
 		known++
-		if now < s.lastHeard+m.params.HeartbeatInterval && s.confirmedVersion >= m.probe.previous {
+		if now < s.lastSeen+m.params.HeartbeatInterval && s.confirmedVersion >= m.probe.previous {
 			reached++
 		}
 	}
--- a/peer/desk/replicas.go
+++ b/peer/desk/replicas.go
@@ -9,7 +9,7 @@
 // trackedReplica is a list entry and the time of its last report.
 type trackedReplica struct {
 	ReplicaEntry
-	lastHeard time.Duration
+	lastSeen time.Duration
 }
 
 // Heartbeat records the state that a replica reports and notifies subscribers of a change at
@@ -27,20 +27,20 @@
 	if ok && reported.Sequence < entry.Replica.Sequence {
 		return entry
 	}
-	if ok && (entry.Final || entry.Gone && reported.Sequence <= entry.Replica.Sequence) {
+	if ok && (entry.Final || entry.Removed && reported.Sequence <= entry.Replica.Sequence) {
 		return entry
 	}
 	if !ok {
 		entry = &trackedReplica{}
 		m.replicas[reported.ID] = entry
 	}
-	entry.lastHeard = now
+	entry.lastSeen = now
 	previous := entry.Replica
 	if previous.Leaving {
 		reported.Leaving = true
 	}
-	changed := !ok || entry.Gone || previous.Leaving != reported.Leaving || previous.Address != reported.Address || previous.Service != reported.Service || previous.Slots != reported.Slots
-	entry.Replica, entry.Gone = reported, false
+	changed := !ok || entry.Removed || previous.Leaving != reported.Leaving || previous.Address != reported.Address || previous.Service != reported.Service || previous.Slots != reported.Slots
+	entry.Replica, entry.Removed = reported, false
 	if changed {
 		m.recordChange(now, entry)
 	}
@@ -55,9 +55,9 @@
 		entry = &trackedReplica{ReplicaEntry: ReplicaEntry{Replica: Replica{ID: id}}}
 		m.replicas[id] = entry
 	}
-	entry.lastHeard = now
+	entry.lastSeen = now
 	if !entry.Final {
-		entry.Gone, entry.Final = true, true
+		entry.Removed, entry.Final = true, true
 		m.recordChange(now, entry)
 	}
 	m.acknowledge(now, ticket, entry)
@@ -78,10 +78,10 @@
 		entry = &trackedReplica{ReplicaEntry: reported}
 		m.replicas[reported.Replica.ID] = entry
 	}
-	entry.lastHeard = now
+	entry.lastSeen = now
 	entry.Replica.Leaving = entry.Replica.Leaving || reported.Replica.Leaving
 	if reported.Final {
-		entry.Gone, entry.Final = true, true
+		entry.Removed, entry.Final = true, true
 	}
 	m.recordChange(now, entry)
 }
--- a/peer/desk/retirement.go
+++ b/peer/desk/retirement.go
@@ -9,8 +9,8 @@
 
 // RetirementStatus reports how far the retirement of a core is.
 type RetirementStatus struct {
-	// Unsure is set if the cores gave no answer.
-	Unsure bool `json:"unsure"`
+	// Uncertain is set if the cores gave no answer.
+	Uncertain bool `json:"unsure"`
 	// Known is set if a core has this id, EnoughCores if enough other cores remain.
 	Known       bool `json:"known"`
 	EnoughCores bool `json:"enough"`
@@ -22,10 +22,10 @@
 // is answered with a RetirementStatus.
 func (m *Machine) Retire(now time.Duration, ticket uint64, id string) Output {
 	m.out = &Output{}
-	m.addPending(now, ticket, RetirementStatus{Unsure: true})
+	m.addPending(now, ticket, RetirementStatus{Uncertain: true})
 	m.caller.Call(now, core.RetireCore{ID: id}, now+m.params.OperationTimeout, func(now time.Duration, o core.Outcome) {
 		retiring, ok := o.Answer.(core.RetireCoreResult)
-		m.resolve(ticket, RetirementStatus{Unsure: !ok, Known: retiring.Found, EnoughCores: retiring.EnoughRemain})
+		m.resolve(ticket, RetirementStatus{Uncertain: !ok, Known: retiring.Found, EnoughCores: retiring.EnoughRemain})
 	})
 	return *m.out
 }
@@ -36,10 +36,10 @@
 	m.out = &Output{}
 	remaining, unsure, hasMember := len(m.topology.Leaders), false, false
 	if remaining == 0 {
-		m.addAnswer(ticket, RetirementStatus{Unsure: true})
+		m.addAnswer(ticket, RetirementStatus{Uncertain: true})
 		return *m.out
 	}
-	m.addPending(now, ticket, RetirementStatus{Unsure: true})
+	m.addPending(now, ticket, RetirementStatus{Uncertain: true})
 	for n := range m.topology.Leaders {
 		m.caller.Call(now, core.ReadGroup{Partition: n}, now+m.params.OperationTimeout, func(now time.Duration, o core.Outcome) {
 			members, ok := o.Answer.(core.GroupMembers)
@@ -49,7 +49,7 @@
 			}
 			if remaining--; remaining == 0 {
 				known, ok := m.topology.Cores[id]
-				m.resolve(ticket, RetirementStatus{Unsure: unsure, Known: ok, Done: !unsure && !hasMember && known.Retired})
+				m.resolve(ticket, RetirementStatus{Uncertain: unsure, Known: ok, Done: !unsure && !hasMember && known.Retired})
 			}
 		})
 	}
--- a/peer/desk/subscribers.go
+++ b/peer/desk/subscribers.go
@@ -14,7 +14,7 @@
 	table              uint64
 	acceptsDifferences bool
 	topologyVersion    uint64
-	lastHeard          time.Duration
+	lastSeen           time.Duration
 	isDesk             bool
 	// confirmedVersion is the version that it confirmed of this incarnation's list.
 	confirmedVersion uint64
@@ -22,11 +22,11 @@
 
 // isSubscribed reports whether a subscription has not expired.
 func (m *Machine) isSubscribed(now time.Duration, s *subscriber) bool {
-	return now <= s.lastHeard+missedHeartbeats*m.params.HeartbeatInterval
+	return now <= s.lastSeen+missedHeartbeats*m.params.HeartbeatInterval
 }
 
 // isActive reports whether a subscriber renewed within the last heartbeat interval.
-func (s *subscriber) isActive(now, interval time.Duration) bool { return now <= s.lastHeard+interval }
+func (s *subscriber) isActive(now, interval time.Duration) bool { return now <= s.lastSeen+interval }
 
 // notifyAll sends all subscribers what they lack.
 func (m *Machine) notifyAll(now time.Duration) {
@@ -102,7 +102,7 @@
 		s = &subscriber{}
 		m.subscribers[from] = s
 	}
-	s.lastHeard, s.isDesk = now, request.IsDesk
+	s.lastSeen, s.isDesk = now, request.IsDesk
 	s.incarnation, s.version, s.table, s.acceptsDifferences = request.Incarnation, request.Version, request.Table, request.AcceptsDifferences
 	s.confirmedVersion = request.Version
 	if request.Incarnation != m.incarnation {
--- a/peer/desk/table.go
+++ b/peer/desk/table.go
@@ -71,8 +71,8 @@
 type OrderResult struct {
 	// Accepted is set if the table is agreed and durable. Unsure is set if the outcome is
 	// unknown; repeating the same order is safe.
-	Accepted bool `json:"taken"`
-	Unsure   bool `json:"unsure"`
+	Accepted  bool `json:"taken"`
+	Uncertain bool `json:"unsure"`
 	// RaceLost is set if the order's base is not the current table. Number is that of the
 	// current table.
 	RaceLost bool                 `json:"race_lost"`
@@ -92,7 +92,7 @@
 		m.addAnswer(ticket, OrderResult{Faults: faults})
 		return *m.out
 	}
-	m.addPending(now, ticket, OrderResult{Unsure: true})
+	m.addPending(now, ticket, OrderResult{Uncertain: true})
 	m.proposeTable(now, ticket, core.AcceptTable{Base: base, Number: parsed.Number, Text: text, Digest: digest}, parsed, now+m.params.OperationTimeout)
 	return *m.out
 }
@@ -103,7 +103,7 @@
 		agreed, ok := o.Answer.(core.AcceptTableResult)
 		switch {
 		case !ok:
-			m.resolve(ticket, OrderResult{Unsure: true})
+			m.resolve(ticket, OrderResult{Uncertain: true})
 		case agreed.OK:
 			m.Counters.TablesApplied++
 			m.install(now, parsed, c.Digest)
--- a/peer/desk/topology.go
+++ b/peer/desk/topology.go
@@ -35,8 +35,8 @@
 	return addresses
 }
 
-// onPresent records a core that announces itself.
-func (m *Machine) onPresent(now time.Duration, from string, announced core.AnnounceCore) {
+// onAnnounceCore records a core that announces itself.
+func (m *Machine) onAnnounceCore(now time.Duration, from string, announced core.AnnounceCore) {
 	if len(m.topology.Leaders) == 0 {
 		if _, ok := m.foundingCores[announced.Core.ID]; !ok || m.foundingCores[announced.Core.ID].Incarnation != announced.Core.Incarnation {
 			m.foundingCoresAt = now
--- a/peer/desk/types.go
+++ b/peer/desk/types.go
@@ -35,7 +35,7 @@
 // so that all nodes learn of it.
 type ReplicaEntry struct {
 	Replica Replica `msgpack:"r"`
-	Gone    bool    `msgpack:"x"`
+	Removed bool    `msgpack:"x"`
 	// Final is set if the replica itself reported that it has left. It never returns under
 	// this id.
 	Final   bool   `msgpack:"f"`
--- a/peer/node/announcement.go
+++ b/peer/node/announcement.go
@@ -161,14 +161,14 @@
 	}
 	for _, key := range ordered.Keys(m.health) {
 		h := m.health[key]
-		if h.outstanding == 0 && now >= h.ejectedUntil && now >= h.lastUsed+m.params.Core.MemberLease*healthTerms {
+		if h.outstanding == 0 && now >= h.ejectedUntil && now >= h.lastUsed+m.params.Core.MemberLease*healthRetentionLeases {
 			delete(m.health, key)
 		}
 	}
 }
 
-// healthTerms is how many member terms a replica's health is kept after its last use.
-const healthTerms = 16
+// healthRetentionLeases is how many member terms a replica's health is kept after its last use.
+const healthRetentionLeases = 16
 
 // currentReplicas lists the replicas of a service whose announcements are recent enough for an
 // attempt, including those that can't be reached.
--- a/peer/node/machine.go
+++ b/peer/node/machine.go
@@ -69,13 +69,13 @@
 	breakerState         breaker.State
 	openUntil            time.Duration
 
-	termExpiresAt time.Duration
-	joined        bool
-	joinedAt      time.Duration
-	renewAt       time.Duration
-	renewing      bool
-	leaving       bool
-	left          bool
+	leaseExpiresAt time.Duration
+	joined         bool
+	joinedAt       time.Duration
+	renewAt        time.Duration
+	renewing       bool
+	leaving        bool
+	left           bool
 
 	handedOver, pendingHandovers int
 	returningShares              bool
@@ -179,7 +179,7 @@
 
 // Ready reports whether this node should receive client requests.
 func (m *Machine) Ready(now time.Duration) bool {
-	if !m.inTerm(now) || m.leaving {
+	if !m.hasLease(now) || m.leaving {
 		return false
 	}
 	for _, tenant := range m.tenants {
@@ -226,7 +226,7 @@
 		if b.ID&relayedBit == 0 {
 			m.caller.Receive(now, from, b)
 		} else {
-			m.relayReturn(now, b)
+			m.relayResult(now, b)
 		}
 	case core.Command:
 		m.relayCommand(now, from, b)
@@ -235,9 +235,9 @@
 	case core.Update:
 		m.onUpdate(now, b)
 	case core.PullUpdates:
-		m.onPull(now, from, b)
+		m.onPullUpdates(now, from, b)
 	case core.Freshness:
-		m.onFresh(b)
+		m.onFreshness(b)
 	case Announcements:
 		m.onAnnouncements(now, b)
 	case ForwardRequest:
--- a/peer/node/membership.go
+++ b/peer/node/membership.go
@@ -10,17 +10,17 @@
 	"saffronfall/rule/slab"
 )
 
-// inTerm reports whether this node's membership term is in force. It is checked again just before
+// hasLease reports whether this node's membership term is in force. It is checked again just before
 // each attempt, so that a node that was frozen starts nothing after its term.
-func (m *Machine) inTerm(now time.Duration) bool {
-	return m.joined && now < m.termExpiresAt && m.description != nil
+func (m *Machine) hasLease(now time.Duration) bool {
+	return m.joined && now < m.leaseExpiresAt && m.description != nil
 }
 
 // renew joins the fleet or renews the membership term. The term counts from when the request was
 // sent, never later than the core counts it.
 func (m *Machine) renew(now time.Duration) {
-	if m.joined && now >= m.termExpiresAt {
-		m.Counters.TermsLost++
+	if m.joined && now >= m.leaseExpiresAt {
+		m.Counters.LeasesLost++
 		m.reset(now)
 	}
 	if m.renewing || now < m.renewAt || len(m.topology.Leaders) == 0 || m.configurationVersion == 0 || (m.leaving && !m.joined) {
@@ -56,7 +56,7 @@
 				m.joinedAt = now
 			}
 			if until := sent + m.params.Core.MemberLease; until > now {
-				m.joined, m.termExpiresAt = true, max(m.termExpiresAt, until)
+				m.joined, m.leaseExpiresAt = true, max(m.leaseExpiresAt, until)
 			}
 		case t.Ended:
 			m.reset(now)
@@ -87,7 +87,7 @@
 	m.formerCount++
 	m.formerIncarnations = append(m.formerIncarnations, m.incarnation)
 	m.incarnation = fmt.Sprintf("%s+%d", core.ProcessIncarnation(m.incarnation), m.formerCount)
-	m.joined, m.termExpiresAt, m.renewing, m.renewAt = false, 0, false, now
+	m.joined, m.leaseExpiresAt, m.renewing, m.renewAt = false, 0, false, now
 	var lost []*ownedProgram
 	for _, key := range ordered.Keys(m.programs) {
 		m.programs[key].lost = true
--- a/peer/node/mirror.go
+++ b/peer/node/mirror.go
@@ -130,7 +130,7 @@
 // names these mirrors and covers everything charged since.
 func (m *Machine) copyToMirrors(now time.Duration, prog *ownedProgram) {
 	if prog.savedVersion >= prog.record.Version || prog.lost || prog.recovery != nil || now < prog.unsavedSince+m.params.Core.AttemptTimeout || now < prog.nextCopyAt ||
-		prog.mirroredVersion >= prog.record.Version || !m.inTerm(now) {
+		prog.mirroredVersion >= prog.record.Version || !m.hasLease(now) {
 		return
 	}
 	if len(prog.savedMirrors) != mirrorsPerProgram+1 || !slices.Equal(prog.savedMirrors, prog.record.Mirrors) || prog.record.Charged() > min(prog.savedPrecharged, prog.dayPrecharged) {
@@ -178,7 +178,7 @@
 // saves that wait for it.
 func (m *Machine) onCopyAck(now time.Duration, from string, b CopyAck) {
 	prog := m.programs[b.Tenant+"/"+b.Program]
-	if prog == nil || prog.record.Fence != b.Fence || !m.inTerm(now) {
+	if prog == nil || prog.record.Fence != b.Fence || !m.hasLease(now) {
 		return
 	}
 	if prog.acked == nil {
@@ -207,7 +207,7 @@
 	}
 	// Copies from owners before the asking one are no longer accepted.
 	stored.fence = max(stored.fence, b.Fence)
-	stored.until = max(stored.until, now+m.params.Core.MemberLease*healthTerms)
+	stored.until = max(stored.until, now+m.params.Core.MemberLease*healthRetentionLeases)
 	m.send(from, answer)
 }
 
@@ -216,13 +216,13 @@
 	mirrors     []program.Mirror
 	formerFence uint64
 	nextQueryAt time.Duration
-	goneAt      map[string]time.Duration
+	endedAt     map[string]time.Duration
 	waiting     []*requestState
 }
 
-// lostMirrorTerms is the number of member terms after which a mirror whose membership ended counts
+// lostMirrorLeases is the number of member terms after which a mirror whose membership ended counts
 // as lost with its machine.
-const lostMirrorTerms = 15
+const lostMirrorLeases = 15
 
 // recoverFromMirrors queries the former owner's mirrors before a new owner does anything for a
 // program: they may hold turns that the cores never stored.
@@ -231,7 +231,7 @@
 	if len(record.Mirrors) == 0 || record.MirrorsFence == record.Fence {
 		return
 	}
-	prog.recovery = &mirrorRecovery{mirrors: record.Mirrors, formerFence: record.MirrorsFence, goneAt: map[string]time.Duration{}}
+	prog.recovery = &mirrorRecovery{mirrors: record.Mirrors, formerFence: record.MirrorsFence, endedAt: map[string]time.Duration{}}
 	m.queryMirrors(now, prog)
 }
 
@@ -254,10 +254,10 @@
 			continue
 		}
 		if m.mirrorEnded(mirror) {
-			if recovery.goneAt[mirror.ID] == 0 {
-				recovery.goneAt[mirror.ID] = now
+			if recovery.endedAt[mirror.ID] == 0 {
+				recovery.endedAt[mirror.ID] = now
 			}
-			if now >= recovery.goneAt[mirror.ID]+lostMirrorTerms*m.params.Core.MemberLease {
+			if now >= recovery.endedAt[mirror.ID]+lostMirrorLeases*m.params.Core.MemberLease {
 				lost++
 			}
 		}
--- a/peer/node/opening.go
+++ b/peer/node/opening.go
@@ -47,7 +47,7 @@
 		case test.State == string(breaker.Closed):
 			next(now, 0)
 		case test.Number == 0:
-			m.refuse(req, verdict.Refused(verdict.Refusal{Check: "breaker", Code: "breaker_half_open", Reason: "only a few test sessions are gated", Status: 503, RetryAfter: max(test.Left, time.Second)}))
+			m.refuse(req, verdict.Refused(verdict.Refusal{Check: "breaker", Code: "breaker_half_open", Reason: "only a few test sessions are gated", Status: 503, RetryAfter: max(test.Remaining, time.Second)}))
 		default:
 			next(now, test.Number)
 		}
--- a/peer/node/queue.go
+++ b/peer/node/queue.go
@@ -68,7 +68,7 @@
 		queue := m.queues[service]
 		for len(queue.waiting) > 0 {
 			w := queue.waiting[0]
-			expired := w.attempt.req.done || now >= w.until || !m.inTerm(now)
+			expired := w.attempt.req.done || now >= w.until || !m.hasLease(now)
 			if _, ok := m.chooseReplica(now, service, w.attempt.untriedReplica); !ok && !expired {
 				break
 			}
--- a/peer/node/relay.go
+++ b/peer/node/relay.go
@@ -12,7 +12,7 @@
 	if all := m.coreAddresses(); to == "" && len(all) > 0 {
 		to = all[int(m.random()*float64(len(all)))%len(all)]
 	}
-	if to == "" || m.relayed.Len() >= m.params.QueueLimit || !m.inTerm(now) {
+	if to == "" || m.relayed.Len() >= m.params.QueueLimit || !m.hasLease(now) {
 		m.send(from, core.CommandResult{ID: b.ID, Partition: b.Partition, NotLeader: true})
 		return
 	}
@@ -24,15 +24,15 @@
 	m.send(to, b)
 }
 
-// relayReturn passes a core's return to the node whose command was relayed.
-func (m *Machine) relayReturn(now time.Duration, b core.CommandResult) {
+// relayResult passes a core's return to the node whose command was relayed.
+func (m *Machine) relayResult(now time.Duration, b core.CommandResult) {
 	t := m.caller.Ticket(b.ID &^ relayedBit)
 	relayed, ok := m.relayed.Get(t)
 	if !ok {
 		return
 	}
-	if b.NotLeader && b.LeaderHint != "" && relayed.moved < 3 {
-		relayed.moved++
+	if b.NotLeader && b.LeaderHint != "" && relayed.redirects < 3 {
+		relayed.redirects++
 		m.caller.SetLeader(b.Partition, b.LeaderHint)
 		m.send(b.LeaderHint, core.Command{ID: b.ID, Partition: b.Partition, Raw: relayed.command.Raw})
 		return
@@ -47,10 +47,10 @@
 
 // relayedCommand is a command that was relayed for another node.
 type relayedCommand struct {
-	from    string
-	command core.Command
-	moved   int
-	until   time.Duration
+	from      string
+	command   core.Command
+	redirects int
+	until     time.Duration
 }
 
 func (m *Machine) expireRelayed(now time.Duration) {
--- a/peer/node/request.go
+++ b/peer/node/request.go
@@ -139,11 +139,11 @@
 		return
 	}
 	req.tenant, req.role, req.keySum = tenant, role, configuration.KeyDigest(request.Key)
-	if m.leaving && req.forwarded && !m.inTerm(now) {
+	if m.leaving && req.forwarded && !m.hasLease(now) {
 		m.refuse(req, denied(notOwner, "this node has left", 503))
 		return
 	}
-	if !m.inTerm(now) {
+	if !m.hasLease(now) {
 		m.refuse(req, verdict.RetryLater("term", "this node's term is not in force", m.params.Core.MemberLease/4))
 		return
 	}
--- a/peer/node/share.go
+++ b/peer/node/share.go
@@ -155,7 +155,7 @@
 		}
 		s.pending -= need
 		m.applyShare(now, s, o)
-		next(now, s.free() >= need, !o.Unsure)
+		next(now, s.free() >= need, !o.Uncertain)
 	})
 }
 
@@ -168,7 +168,7 @@
 	s.account.Granted = max(s.account.Granted, r.Granted)
 	s.others = r.Holders
 	if s == m.spendShare && r.Open {
-		m.openUntil = now + r.Left
+		m.openUntil = now + r.Remaining
 	}
 }
 
@@ -198,7 +198,7 @@
 
 // reportShares reports all shares that are due.
 func (m *Machine) reportShares(now time.Duration) {
-	if m.description == nil || !m.inTerm(now) || m.returningShares || now < m.joinedAt+2*m.params.Core.PullInterval {
+	if m.description == nil || !m.hasLease(now) || m.returningShares || now < m.joinedAt+2*m.params.Core.PullInterval {
 		return
 	}
 	for _, tenant := range m.tenants {
--- a/peer/node/status.go
+++ b/peer/node/status.go
@@ -27,8 +27,8 @@
 	}
 	shares["money"] = map[string]int64{"held": m.spendShare.account.Held(), "reserved": m.spendShare.reserved, "spent": m.spendShare.account.Spent}
 	return map[string]any{"id": m.params.ID, "incarnation": m.incarnation, "version": m.configurationVersion, "ready": m.Ready(now), "breaker": m.breakerState,
-		"programs": len(m.programs), "running": m.running, "waiting": m.requests.Len(), "shares": shares, "replicas": replicas, "term_left_ms": max(0, m.termExpiresAt-now).Milliseconds(), "refusals": refusals,
+		"programs": len(m.programs), "running": m.running, "waiting": m.requests.Len(), "shares": shares, "replicas": replicas, "term_left_ms": max(0, m.leaseExpiresAt-now).Milliseconds(), "refusals": refusals,
 		"inquiries": c.Requests, "forwarded": c.Forwarded, "gated": c.Admitted, "warned": c.Warned, "refused": c.Refused, "shots": c.Attempts,
-		"not_run": c.NotRun, "broken": c.Interrupted, "whole": c.Completed, "takeovers": c.Takeovers, "joins": c.Joins, "terms_lost": c.TermsLost,
+		"not_run": c.NotRun, "broken": c.Interrupted, "whole": c.Completed, "takeovers": c.Takeovers, "joins": c.Joins, "terms_lost": c.LeasesLost,
 		"stale_news": c.StaleUpdates, "resets": c.Resets, "fenced": c.Fenced, "bad_messages": c.BadMessages, "saves": c.Saves, "handed": c.HandedOver, "passed_on": c.Relayed, "mirrored": c.Mirrored, "mirrors_used": c.MirrorsUsed, "mirrors_lost": c.MirrorsLost, "command_tries": m.caller.Attempts}
 }
--- a/peer/node/turn.go
+++ b/peer/node/turn.go
@@ -247,7 +247,7 @@
 // outdated.
 func (m *Machine) startAttempt(now time.Duration, a *attempt) {
 	req, service := a.req, a.req.request.Service
-	if !m.inTerm(now) || (a.fenced && a.prog.lost) {
+	if !m.hasLease(now) || (a.fenced && a.prog.lost) {
 		m.cancelAttempt(now, a, retryLater("this node's term ended"))
 		return
 	}
--- a/peer/node/types.go
+++ b/peer/node/types.go
@@ -183,8 +183,8 @@
 
 // Counters are a node's cumulative counts.
 type Counters struct {
-	Requests, Forwarded, Admitted, Warned, Refused, Attempts, NotRun, Interrupted, Completed           int64
-	Takeovers, Joins, TermsLost, StaleUpdates, Resets, Fenced, BadMessages, Saves, HandedOver, Relayed int64
-	Mirrored, MirrorsUsed, MirrorsLost                                                                 int64
-	Refusals                                                                                           map[string]int64
+	Requests, Forwarded, Admitted, Warned, Refused, Attempts, NotRun, Interrupted, Completed            int64
+	Takeovers, Joins, LeasesLost, StaleUpdates, Resets, Fenced, BadMessages, Saves, HandedOver, Relayed int64
+	Mirrored, MirrorsUsed, MirrorsLost                                                                  int64
+	Refusals                                                                                            map[string]int64
 }
--- a/peer/node/update.go
+++ b/peer/node/update.go
@@ -80,15 +80,15 @@
 	}
 }
 
-// onFresh records the time as of which this node has the current configuration.
-func (m *Machine) onFresh(b core.Freshness) {
+// onFreshness records the time as of which this node has the current configuration.
+func (m *Machine) onFreshness(b core.Freshness) {
 	if !m.versions[core.ConfigurationPartition].Less(b.UpTo) {
 		m.freshAt = max(m.freshAt, b.SentAt-b.Age)
 	}
 }
 
-// onPull answers another member's pull with what this node knows and the other lacks.
-func (m *Machine) onPull(now time.Duration, from string, b core.PullUpdates) {
+// onPullUpdates answers another member's pull with what this node knows and the other lacks.
+func (m *Machine) onPullUpdates(now time.Duration, from string, b core.PullUpdates) {
 	if b.WantTopology && m.topology.Fleet != "" {
 		m.send(from, m.topology)
 	}
--- a/peer/relay/history.go
+++ b/peer/relay/history.go
@@ -21,7 +21,7 @@
 	m.readTurn(now, req, req.spec.Previous, func(now time.Duration, last core.ReadTurnResult) {
 		turns := make([]*turn, len(last.Previous)+1)
 		fill := func(now time.Duration, i int, attempt string, k core.ReadTurnResult) {
-			turns[i] = &turn{attempt: attempt, tenant: tenant, input: k.Input, output: k.Output, storedUntil: now + k.Left}
+			turns[i] = &turn{attempt: attempt, tenant: tenant, input: k.Input, output: k.Output, storedUntil: now + k.Remaining}
 		}
 		fill(now, len(last.Previous), req.spec.Previous, last)
 		waiting := len(last.Previous)
--- a/peer/relay/loads.go
+++ b/peer/relay/loads.go
@@ -27,7 +27,7 @@
 // a while but not indexed.
 func (view *deskView) loadIndex() []string {
 	if view.indexedVersion != view.version || view.indexedIDs == nil {
-		view.indexedIDs = desk.ReplicaOrder(view.replicas, func(p listing) bool { return p.Gone || p.expiresAt > 0 })
+		view.indexedIDs = desk.ReplicaOrder(view.replicas, func(p listing) bool { return p.Removed || p.expiresAt > 0 })
 		view.indexedVersion = view.version
 	}
 	return view.indexedIDs
--- a/peer/relay/machine_test.go
+++ b/peer/relay/machine_test.go
@@ -117,7 +117,7 @@
 		return core.GroupMembers{}
 	case core.ReadTurn:
 		k, ok := h.storedTurns[c.Attempt]
-		return core.ReadTurnResult{Found: ok && k.Tenant == c.Tenant, Absence: h.absence, Previous: k.Previous, Input: k.Input, Output: k.Output, Left: time.Minute}
+		return core.ReadTurnResult{Found: ok && k.Tenant == c.Tenant, Absence: h.absence, Previous: k.Previous, Input: k.Input, Output: k.Output, Remaining: time.Minute}
 	case core.DrawRates:
 		var answer core.DrawRatesResult
 		for _, d := range c.Draws {
@@ -223,7 +223,7 @@
 	h := newHarness(t)
 	h.start()
 	at := func(call int64, gone bool) []desk.ReplicaEntry {
-		return []desk.ReplicaEntry{{Replica: desk.Replica{ID: "r", Service: "app", Address: "r:1", Zone: "a", Slots: 4, Sequence: call}, Gone: gone, Version: 9}}
+		return []desk.ReplicaEntry{{Replica: desk.Replica{ID: "r", Service: "app", Address: "r:1", Zone: "a", Slots: 4, Sequence: call}, Removed: gone, Version: 9}}
 	}
 	h.update("d2:1", at(11, false), 1, nil)
 	h.update("d1:1", at(12, false), 1, nil)
--- a/peer/relay/replicas.go
+++ b/peer/relay/replicas.go
@@ -108,7 +108,7 @@
 			old, ok := best[id]
 			// A desk that has not heard from the replica for long doesn't overrule one
 			// that has.
-			if !ok || old.Gone && !p.Gone || old.Gone == p.Gone && old.Replica.Sequence < p.Replica.Sequence {
+			if !ok || old.Removed && !p.Removed || old.Removed == p.Removed && old.Replica.Sequence < p.Replica.Sequence {
 				best[id] = p.ReplicaEntry
 			}
 		}
@@ -140,7 +140,7 @@
 	listedIDs := map[string]bool{}
 	for _, id := range ordered.Keys(listed) {
 		l := listed[id]
-		if l.Gone || m.departed.has(id) {
+		if l.Removed || m.departed.has(id) {
 			continue
 		}
 		listedIDs[id] = true
--- a/peer/relay/replicas_test.go
+++ b/peer/relay/replicas_test.go
@@ -12,7 +12,7 @@
 func TestLeavingIsRememberedAfterDeskIsSilent(t *testing.T) {
 	for name, last := range map[string]func(l *desk.ReplicaEntry){
 		"leaving": func(l *desk.ReplicaEntry) { l.Replica.Leaving, l.Replica.Sequence = true, 2 },
-		"gone":    func(l *desk.ReplicaEntry) { l.Gone, l.Final = true, true },
+		"gone":    func(l *desk.ReplicaEntry) { l.Removed, l.Final = true, true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
--- a/peer/requester/handler.go
+++ b/peer/requester/handler.go
@@ -25,7 +25,7 @@
 
 // Backend is the node that requests are handed to.
 type Backend interface {
-	// Submit hands over a request. Its answer arrives in pieces on the channel; ending the
+	// Submit hands over a request. Its answer arrives in frames on the channel; ending the
 	// context cancels the request. The result is false if the node's buffer is full.
 	Submit(ctx context.Context, q node.Request) (<-chan node.Frame, bool)
 	// Ready reports whether the node accepts requests.
@@ -204,21 +204,21 @@
 		refuse(w, "malformed", problem, 400)
 		return
 	}
-	pieces, ok := backend.Submit(r.Context(), q)
+	frames, ok := backend.Submit(r.Context(), q)
 	if !ok {
 		writeVerdict(w, verdict.RetryLater("buffer", "this node's buffer is full", time.Second), 503)
 		return
 	}
-	writePieces(w, pieces)
+	writeFrames(w, frames)
 }
 
-// writePieces writes the pieces of an answer as they arrive. It aborts the connection of a
+// writeFrames writes the frames of an answer as they arrive. It aborts the connection of a
 // stream that breaks off, so that the stream never looks complete.
-func writePieces(w http.ResponseWriter, pieces <-chan node.Frame) {
+func writeFrames(w http.ResponseWriter, frames <-chan node.Frame) {
 	flusher, _ := w.(http.Flusher)
 	encoder := json.NewEncoder(w)
 	encoder.SetEscapeHTML(false)
-	for p := range pieces {
+	for p := range frames {
 		switch p.Kind {
 		case node.FrameVerdict:
 			writeVerdict(w, p.Verdict, p.Status)
--- a/rehearsalkit/breaks/soak.go
+++ b/rehearsalkit/breaks/soak.go
@@ -48,7 +48,7 @@
 	{What: "a frame counts before it is synced", File: "peer/disk/disk.go", Seeds: 2,
 		From: "	return errors.Wrap(s.log.Sync(), \"syncing the log\")\n}\n\n// undoWrite", To: "	return nil\n}\n\n// undoWrite"},
 	{What: "nodes forget who leaves with the desk that told of it", File: "peer/relay/replicas.go", Seeds: 6, Elsewhere: "TestLeavingIsRememberedAfterDeskIsSilent; since desks tell each other who leaves, the soak no longer sees it",
-		From: "if l.Gone || m.departed.has(id) {", To: "if l.Gone || l.Replica.Leaving || l.Final {"},
+		From: "if l.Removed || m.departed.has(id) {", To: "if l.Removed || l.Replica.Leaving || l.Final {"},
 	{What: "a quota's block is granted anew after a takeover", File: "rule/rate/ledger.go", Seeds: 4,
 		From: "pool: s.Outstanding, poolExpiresAt", To: "pool: 0, poolExpiresAt"},
 	{What: "a stream is joined at the wrong event", File: "peer/front/handler.go", Seeds: 2,
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -39,7 +39,7 @@
 
 func coreParams() core.Params {
 	return core.Params{Partition: partition.Params{LeaseDuration: contact / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberLease: contact / 2, AttemptTimeout: contact / 24,
-		PullInterval: contact / 20, GoneAfter: 2200 * time.Millisecond, ColdStart: true}
+		PullInterval: contact / 20, SilenceTimeout: 2200 * time.Millisecond, ColdStart: true}
 }
 
 func deskParams() desk.Params {
--- a/rehearsalkit/relaysim/fault.go
+++ b/rehearsalkit/relaysim/fault.go
@@ -205,7 +205,7 @@
 			return
 		}
 		over = true
-		if !ok || e.Unsure || !e.Known || !e.EnoughCores {
+		if !ok || e.Uncertain || !e.Known || !e.EnoughCores {
 			again()
 			return
 		}
--- a/rehearsalkit/relaysim/later.go
+++ b/rehearsalkit/relaysim/later.go
@@ -26,7 +26,7 @@
 		t[laterSteps[step]] = row
 	}
 	switch {
-	case h.Unsure:
+	case h.Uncertain:
 		row.unclear++
 	case h.Accepted:
 		row.acked++
--- a/rehearsalkit/relaysim/longcut.go
+++ b/rehearsalkit/relaysim/longcut.go
@@ -108,7 +108,7 @@
 	}
 	w.after(w.between(500*time.Millisecond, 1100*time.Millisecond), func() { l.callOver(kind, at) })
 	ignore := func(body any) {}
-	known := func(body any) bool { e, ok := body.(desk.RetirementStatus); return ok && !e.Unsure }
+	known := func(body any) bool { e, ok := body.(desk.RetirementStatus); return ok && !e.Uncertain }
 	switch kind {
 	case callHeartbeat, callLeave:
 		l.announce(kind, at)
--- a/rehearsalkit/relaysim/longcut_test.go
+++ b/rehearsalkit/relaysim/longcut_test.go
@@ -80,7 +80,7 @@
 			return c, true
 		})},
 		{"desks acknowledge what they do not know", RuleLost, forging(func(h desk.OrderResult) desk.OrderResult {
-			h.Accepted, h.Unsure = h.Accepted || h.Unsure, false
+			h.Accepted, h.Uncertain = h.Accepted || h.Uncertain, false
 			return h
 		})},
 		{"desks acknowledge what lost its race", RuleRace, forging(func(h desk.OrderResult) desk.OrderResult {
@@ -126,7 +126,7 @@
 func (m *mute) out(o desk.Output) desk.Output {
 	var kept []desk.Answer
 	for _, a := range o.Answers {
-		if h, ok := a.Body.(desk.OrderResult); !ok || !h.Unsure {
+		if h, ok := a.Body.(desk.OrderResult); !ok || !h.Uncertain {
 			kept = append(kept, a)
 		}
 	}
--- a/rehearsalkit/relaysim/manychanges.go
+++ b/rehearsalkit/relaysim/manychanges.go
@@ -131,7 +131,7 @@
 
 func (m *manyChanges) insist(o *order) {
 	m.book.send(o, m.world.liveDesk(), func(h desk.OrderResult) {
-		if h.Unsure {
+		if h.Uncertain {
 			m.insist(o)
 			return
 		}
--- a/rehearsalkit/relaysim/operator.go
+++ b/rehearsalkit/relaysim/operator.go
@@ -134,7 +134,7 @@
 			over = true
 			w.afterAck()
 			done()
-		case h.Unsure:
+		case h.Uncertain:
 			again()
 		default:
 			w.logf("table %d on %d refused by %s: race %v, %v", t.Number, t.Base, at.id, h.RaceLost, h.Faults)
--- a/rehearsalkit/relaysim/orders.go
+++ b/rehearsalkit/relaysim/orders.go
@@ -133,11 +133,11 @@
 	step := func(d Desk, now time.Duration, ticket uint64) desk.Output {
 		return o.hand(d, now, ticket)
 	}
-	clear := func(body any) bool { h, ok := body.(desk.OrderResult); return ok && !h.Unsure }
+	clear := func(body any) bool { h, ok := body.(desk.OrderResult); return ok && !h.Uncertain }
 	b.call(kind, at, step, clear, func(body any) {
 		h, ok := body.(desk.OrderResult)
 		if !ok {
-			h.Unsure = true
+			h.Uncertain = true
 		}
 		b.note(o, at, h)
 		done(h)
@@ -151,7 +151,7 @@
 		b.later.add(len(b.acked)-o.ackedAs, h)
 	}
 	switch {
-	case h.Unsure:
+	case h.Uncertain:
 		w.Counts["orders answered unclear"]++
 	case h.Accepted:
 		if o.Refused {
@@ -183,7 +183,7 @@
 	w := b.world
 	b.send(o, w.anyDesk(), func(h desk.OrderResult) {
 		switch {
-		case !h.Unsure || o.IsAcked:
+		case !h.Uncertain || o.IsAcked:
 			done()
 		case w.now > until:
 			w.Counts["orders without a clear answer"]++
--- a/rehearsalkit/relaysim/orderstorm.go
+++ b/rehearsalkit/relaysim/orderstorm.go
@@ -107,7 +107,7 @@
 
 func (s *orderStorm) insist(o *order, done func()) {
 	s.book.send(o, s.world.anyDesk(), func(h desk.OrderResult) {
-		if h.Unsure {
+		if h.Uncertain {
 			s.insist(o, done)
 			return
 		}
--- a/rehearsalkit/relaysim/params.go
+++ b/rehearsalkit/relaysim/params.go
@@ -75,7 +75,7 @@
 
 func coreParams() core.Params {
 	return core.Params{Partition: partition.Params{LeaseDuration: contact / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeHome: 20}, MemberLease: contact / 2,
-		AttemptTimeout: contact / 24, PullInterval: contact / 20, GoneAfter: catchUp / 2, ColdStart: true}
+		AttemptTimeout: contact / 24, PullInterval: contact / 20, SilenceTimeout: catchUp / 2, ColdStart: true}
 }
 
 func (w *World) deskParams() desk.Params {
--- a/rehearsalkit/relaysim/secondloss.go
+++ b/rehearsalkit/relaysim/secondloss.go
@@ -228,12 +228,12 @@
 		w.after(50*time.Millisecond, again)
 		return
 	}
-	known := func(body any) bool { e, ok := body.(desk.RetirementStatus); return ok && !e.Unsure }
+	known := func(body any) bool { e, ok := body.(desk.RetirementStatus); return ok && !e.Uncertain }
 	r.book.call(kind, at, step, known, func(body any) {
 		e, ok := body.(desk.RetirementStatus)
 		switch {
 		case r.doneAt > 0:
-		case ok && !e.Unsure && good(e):
+		case ok && !e.Uncertain && good(e):
 			next()
 		default:
 			w.after(100*time.Millisecond, again)
--- a/rehearsalkit/simulator/conformance_test.go
+++ b/rehearsalkit/simulator/conformance_test.go
@@ -135,8 +135,8 @@
 		}, func(body any) {
 			list, _ := body.(core.Outcome).Answer.(core.LockedUsers)
 			for _, u := range list.Users {
-				if locked++; u.Left <= 0 || u.Left > 600*time.Second {
-					t.Errorf("%s is locked out for %v", u.Name, u.Left)
+				if locked++; u.Remaining <= 0 || u.Remaining > 600*time.Second {
+					t.Errorf("%s is locked out for %v", u.Name, u.Remaining)
 				}
 			}
 		})
--- a/rehearsalkit/simulator/failure_test.go
+++ b/rehearsalkit/simulator/failure_test.go
@@ -479,8 +479,8 @@
 		}
 	}
 	w.Pass(10 * time.Second)
-	if w.nodes[0].nodeM.Counters.TermsLost > 0 || !w.nodes[0].nodeM.Ready(w.nodes[0].now()) {
-		t.Errorf("the term was lost %d times", w.nodes[0].nodeM.Counters.TermsLost)
+	if w.nodes[0].nodeM.Counters.LeasesLost > 0 || !w.nodes[0].nodeM.Ready(w.nodes[0].now()) {
+		t.Errorf("the term was lost %d times", w.nodes[0].nodeM.Counters.LeasesLost)
 	}
 	head := program.EmptyHead
 	for i := 0; i < 3; i++ {
--- a/saffronfall/main.go
+++ b/saffronfall/main.go
@@ -327,7 +327,7 @@
 		break
 	}
 	for _, u := range s.LockedUsers {
-		fmt.Printf("locked out %s for %v more\n", u.Name, u.Left.Round(time.Second))
+		fmt.Printf("locked out %s for %v more\n", u.Name, u.Remaining.Round(time.Second))
 	}
 	if len(s.MissingPartitions) > 0 {
 		fmt.Printf("no answer from parts %v\n", s.MissingPartitions)
--- a/saffronfall/params/params.go
+++ b/saffronfall/params/params.go
@@ -190,7 +190,7 @@
 func (p Params) Core() core.Params {
 	return core.Params{Partition: partition.Params{LeaseDuration: ms(p.LeaderTermMS), Drift: p.Drift, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20},
 		MemberLease:    ms(p.MemberTermMS),
-		AttemptTimeout: ms(p.RetryMS), PullInterval: ms(p.PullMS), GoneAfter: ms(p.CoreLossTimeoutMS), OrderRetention: time.Duration(p.CommandRetentionHours) * time.Hour, ColdStart: p.ColdStart}
+		AttemptTimeout: ms(p.RetryMS), PullInterval: ms(p.PullMS), SilenceTimeout: ms(p.CoreLossTimeoutMS), OrderRetention: time.Duration(p.CommandRetentionHours) * time.Hour, ColdStart: p.ColdStart}
 }
 
 // Node returns the parameters of a data plane node.
