--- a/peer/core/caller.go
+++ b/peer/core/caller.go
@@ -8,9 +8,8 @@
 	"saffronfall/rule/slab"
 )
 
-// Outcome is the result of a command. Unsure means that no answer came before the
-// deadline, so that the command may or may not have run; Sent tells whether it was
-// sent at all.
+// Outcome is the result of a command. If Uncertain, it was not answered before the
+// deadline and may or may not have run. Sent reports whether it was sent at all.
 type Outcome struct {
 	Answer    any
 	Uncertain bool
@@ -21,7 +20,7 @@
 // answered or its deadline passes. Commands are idempotent. All functions but
 // Forwarders must be set.
 type Caller struct {
-	// Retry is the delay before the first retries of a command.
+	// Retry is the interval between the first attempts at a command.
 	Retry  time.Duration
 	Random func() float64
 	Send   func(to string, body any)
@@ -35,11 +34,12 @@
 	// hints are the addresses that the next attempts go to, by partition.
 	hints map[int]string
 	// leaders are the addresses of the last known leaders, by partition. An entry is
-	// removed when a command stayed unanswered for long.
+	// removed when all attempts at the fixed interval stayed unanswered.
 	leaders map[int]string
 	calls   slab.Slab[*pendingCall]
 	pending map[slab.Ticket]*pendingCall
-	// salt makes message IDs differ from those of other incarnations.
+	// salt is a random number that makes message IDs differ from those of other
+	// incarnations.
 	salt uint64
 	// Attempts counts the attempts made.
 	Attempts int64
@@ -86,9 +86,8 @@
 }
 
 const (
-	// fixedDelayAttempts is the number of attempts at intervals of Retry. They span
-	// more time than a request waits for its command and than a partition needs to
-	// elect a leader. After them, each interval is one Retry longer than the last.
+	// fixedDelayAttempts is the number of attempts at intervals of Retry, enough to
+	// outlast an election. After them, each interval is one Retry longer than the last.
 	fixedDelayAttempts = 20
 	// maxDelayRetries is the longest interval between attempts, in units of Retry.
 	maxDelayRetries = 32
@@ -121,33 +120,33 @@
 }
 
 // SetLeader records the address of a partition's leader.
-func (c *Caller) SetLeader(number int, address string) {
+func (c *Caller) SetLeader(partition int, address string) {
 	if c.hints == nil {
 		c.pending, c.hints = map[slab.Ticket]*pendingCall{}, map[int]string{}
 	}
-	c.hints[number] = address
-	c.retryWaiting(number, address)
+	c.hints[partition] = address
+	c.retryWaiting(partition, address)
 }
 
 // retryWaiting makes commands that have backed off due at once if the partition's
 // leader was not known before, or is another one now.
-func (c *Caller) retryWaiting(number int, leader string) {
+func (c *Caller) retryWaiting(partition int, leader string) {
 	if c.leaders == nil {
 		c.leaders = map[int]string{}
 	}
-	if c.leaders[number] == leader {
+	if c.leaders[partition] == leader {
 		return
 	}
-	c.leaders[number] = leader
+	c.leaders[partition] = leader
 	for _, k := range c.pending {
-		if k.partition == number && k.attempts > fixedDelayAttempts {
+		if k.partition == partition && k.attempts > fixedDelayAttempts {
 			k.retryAt = 0
 		}
 	}
 }
 
 // MessageID turns a ticket into an ID that other incarnations of this process don't
-// use, so that a return meant for an earlier one matches no ticket here.
+// use, so that a result for an earlier one matches no ticket here.
 func (c *Caller) MessageID(t slab.Ticket) uint64 {
 	for c.salt == 0 {
 		c.salt = uint64(c.Random()*(1<<31))<<31 | uint64(c.Random()*(1<<31))
@@ -159,10 +158,10 @@
 func (c *Caller) Ticket(id uint64) slab.Ticket { return slab.Ticket(c.MessageID(slab.Ticket(id))) }
 
 // Leader returns the address of a partition's presumed leader, or "".
-func (c *Caller) Leader(number int) string { return c.hints[number] }
+func (c *Caller) Leader(partition int) string { return c.hints[partition] }
 
 // Tick retries commands that are due and ends those whose deadline has passed with
-// an unsure outcome.
+// an uncertain outcome.
 func (c *Caller) Tick(now time.Duration) {
 	var due []*pendingCall
 	for _, t := range ordered.Keys(c.pending) {
--- a/peer/core/caller_test.go
+++ b/peer/core/caller_test.go
@@ -14,10 +14,10 @@
 		Send: func(to string, body any) { *sent = append(*sent, body.(Command)) }}
 }
 
-// TestReturnForEarlierIncarnationIsIgnored: a process restarted at the same address
-// may receive returns meant for its earlier incarnation. They must not be taken for
+// TestResultForEarlierIncarnationIsIgnored: a process restarted at the same address
+// may receive results for commands of its earlier incarnation. They must not be taken for
 // answers to its own commands.
-func TestReturnForEarlierIncarnationIsIgnored(t *testing.T) {
+func TestResultForEarlierIncarnationIsIgnored(t *testing.T) {
 	var before, after []Command
 	first, second := newCaller(1, &before), newCaller(2, &after)
 	accepted := 0
@@ -75,8 +75,8 @@
 		t.Errorf("%d attempts because of a leader that was known", again)
 	}
 	c.Receive(now, "other", CommandResult{ID: sent[len(sent)-1].ID, Partition: 1, Raw: message.Pack(Done{OK: true})})
-	if woken := advance(100 * time.Millisecond); woken < commands-1 {
-		t.Errorf("%d of %d commands are sent at once after an answer", woken, commands-1)
+	if retried := advance(100 * time.Millisecond); retried < commands-1 {
+		t.Errorf("%d of %d commands are sent at once after an answer", retried, commands-1)
 	}
 	c.Receive(now, "other", CommandResult{ID: sent[len(sent)-1].ID, Partition: 1, Raw: message.Pack(Done{OK: true})})
 	if again := advance(100 * time.Millisecond); again > 0 {
--- a/peer/core/commands.go
+++ b/peer/core/commands.go
@@ -8,8 +8,8 @@
 	"saffronfall/rule/slab"
 )
 
-// commandOrigin is where a command came from: the address and ID to answer, or a
-// function that takes the result.
+// commandOrigin is the sender of a command: the address and ID to answer, or a function
+// that is called with the result.
 type commandOrigin struct {
 	from      string
 	id        uint64
@@ -41,7 +41,7 @@
 	}
 }
 
-// reply sends a command's result to where the command came from.
+// reply sends a command's result to its sender.
 func (m *Machine) reply(n int, origin commandOrigin, r partition.Result) {
 	if origin.from == "" {
 		return
@@ -60,20 +60,20 @@
 }
 
 // propose runs a command in partition n, if this core leads it.
-func (m *Machine) propose(now time.Duration, n int, command any, from commandOrigin) {
+func (m *Machine) propose(now time.Duration, n int, command any, origin commandOrigin) {
 	p := m.partitions[n]
 	if c, ok := command.(ChangeGroup); ok && p != nil {
-		client := from
-		from = commandOrigin{onResult: func(now time.Duration, r partition.Result) {
+		client := origin
+		origin = commandOrigin{onResult: func(now time.Duration, r partition.Result) {
 			r.Body = Done{OK: r.Body == true}
 			m.reply(n, client, r)
 		}}
-		m.handleOutput(now, n, p.ChangeMembers(now, uint64(m.tickets.Put(from)), c.Add, c.Remove))
+		m.handleOutput(now, n, p.ChangeMembers(now, uint64(m.tickets.Put(origin)), c.Add, c.Remove))
 		return
 	}
 	if _, ok := command.(ReadGroup); ok && p != nil {
-		client := from
-		from = commandOrigin{onResult: func(now time.Duration, r partition.Result) {
+		client := origin
+		origin = commandOrigin{onResult: func(now time.Duration, r partition.Result) {
 			g := p.Group()
 			if committed, ok := p.CommittedGroup(); ok {
 				g = committed
@@ -82,7 +82,7 @@
 			m.reply(n, client, r)
 		}}
 	}
-	ticket := m.tickets.Put(from)
+	ticket := m.tickets.Put(origin)
 	if p == nil {
 		m.handleOutput(now, n, partition.Output{Results: []partition.Result{{RequestID: uint64(ticket), NotLeader: true}}})
 		return
@@ -103,15 +103,15 @@
 		return
 	}
 	if m.stalled && requiresDisk(body) {
-		// Nothing may queue up for a stalled disk. The leader retries, or sends a
-		// snapshot once the disk is back.
+		// Writes must not queue up for a stalled disk. The leader retries, or sends a
+		// snapshot once the disk works again.
 		m.Counters.RefusedWhileStalled++
 		return
 	}
 	p := m.partitions[b.Partition]
 	if _, write := body.(partition.Write); write && m.self.Retired && (p == nil || !p.Group().Has(m.self.MemberID())) {
 		// The leader does not know yet that this core is retired. A retired core may
-		// be removed at any moment, so it joins no group.
+		// be shut down at any time, so it joins no group.
 		return
 	}
 	if p == nil {
--- a/peer/core/configuration.go
+++ b/peer/core/configuration.go
@@ -10,7 +10,8 @@
 	"saffronfall/rule/rehearsal"
 )
 
-// ApplyResult tells how far a configuration got, from ApplyRequest to being in force.
+// ApplyResult is the outcome of an ApplyRequest. InForce means that every member follows
+// the configuration.
 type ApplyResult struct {
 	Version   uint64               `json:"version"`
 	InForce   bool                 `json:"taken"`
@@ -24,8 +25,7 @@
 type ApplyRequest struct {
 	BasedOn uint64
 	Text    []byte
-	// Digest is computed by the operator's side. It identifies a repeated request with
-	// the same text.
+	// Digest is the digest of the text. It identifies repetitions of this request.
 	Digest  string
 	Timeout time.Duration
 	// PlanOnly rehearses the configuration and changes nothing.
@@ -59,8 +59,8 @@
 		switch {
 		case request.PlanOnly:
 		case current.Version > request.BasedOn:
-			// It lost a race or is a repeated request, so it needs no rehearsal: it can
-			// no longer be newly accepted.
+			// It lost a race or is a repetition. It can no longer be newly accepted, so
+			// it needs no rehearsal.
 			m.acceptConfiguration(now, ticket, until, request, nil)
 			return
 		case current.Version < request.BasedOn:
@@ -82,7 +82,7 @@
 	return *m.out
 }
 
-// raceLost is the result when another configuration was accepted first.
+// raceLost returns the result of a request that another configuration was accepted before.
 func raceLost(version uint64) ApplyResult {
 	return ApplyResult{Version: version, Code: "race_lost", Reason: "another configuration was accepted first; version " + strconv.FormatUint(version, 10) + " is in force"}
 }
@@ -131,7 +131,7 @@
 	}
 }
 
-// awaitSamples passes on the samples when all have come or the time is over.
+// awaitSamples calls next with the samples when all members have answered, or at until.
 func (m *Machine) awaitSamples(now, until time.Duration, id uint64, want int, next func(now time.Duration, samples []rehearsal.Sample)) {
 	if id != m.sampleRound || len(m.samples) >= want || now >= until {
 		var all []rehearsal.Sample
@@ -141,7 +141,7 @@
 		next(now, all)
 		return
 	}
-	m.later.Add(now+m.params.PullInterval/4, func(now time.Duration) { m.awaitSamples(now, until, id, want, next) })
+	m.timers.Add(now+m.params.PullInterval/4, func(now time.Duration) { m.awaitSamples(now, until, id, want, next) })
 }
 
 // raiseVersionFloor raises the version floor of each partition until no member lags
@@ -176,7 +176,7 @@
 			waiting--
 			if waiting == 0 && !scheduled {
 				scheduled = true
-				m.later.Add(now+m.params.PullInterval/4, func(now time.Duration) { m.raiseVersionFloor(now, result, ticket, until, done) })
+				m.timers.Add(now+m.params.PullInterval/4, func(now time.Duration) { m.raiseVersionFloor(now, result, ticket, until, done) })
 			}
 		})
 	}
--- a/peer/core/doc.go
+++ b/peer/core/doc.go
@@ -4,16 +4,16 @@
 //
 // Nodes, desks and operators change the state by commands, which a Caller sends to the
 // leader of the command's partition (TargetPartition). The leader runs a command by the
-// rules of this package (rules.Apply) and answers with its result once the resulting
-// entries are durable on a majority. Nodes learn of changed entries by pulling updates.
+// rules of this package (rules.Apply) and answers once the resulting entries are
+// durable on a majority. Nodes learn of changed entries by pulling updates.
 //
 // Invariants:
 //
 //   - Every command may be retried safely.
 //   - An incarnation of a member that has ended is granted no lease again (the last
 //     maxPastIncarnations are remembered).
-//   - No grant raises what holders have of a rate, an allowance or the breaker's budget
-//     above the limit; what a holder that ended did not return counts as spent.
+//   - The shares of a rate, an allowance or the breaker's budget that are granted never
+//     exceed its limit together; what an ended holder did not return counts as spent.
 //   - A write to a program's record takes effect only under the record's current fence.
 //   - Configurations and routing tables replace only the version that they build on.
 //
--- a/peer/core/expiry.go
+++ b/peer/core/expiry.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// sweepExpired deletes the entries whose time has come.
+// sweepExpired deletes the entries that have expired.
 func (r *rules) sweepExpired(tx *partition.Tx) {
 	clock := tx.Clock()
 	for _, e := range r.expiries.due(clock) {
--- a/peer/core/founding.go
+++ b/peer/core/founding.go
@@ -32,7 +32,7 @@
 }
 
 // Found makes this core a founding core of a new fleet and reports whether it
-// belongs to that fleet. A core that already belongs to a fleet stays in it.
+// belongs to that fleet. A core that already belongs to another fleet is left unchanged.
 func (m *Machine) Found(now time.Duration, f Founding) (Output, bool) {
 	m.out = &Output{}
 	if m.Founded() {
@@ -73,8 +73,8 @@
 	}
 }
 
-// onAnnounceCore handles the heartbeat of a core of the same fleet, or the request of
-// one without a fleet to be told of it.
+// onAnnounceCore handles the heartbeat of a core of the same fleet, or of one without a
+// fleet, which is sent the topology.
 func (m *Machine) onAnnounceCore(now time.Duration, from string, b AnnounceCore) {
 	switch b.Fleet {
 	case m.founding.Fleet:
--- a/peer/core/identity_test.go
+++ b/peer/core/identity_test.go
@@ -17,10 +17,10 @@
 // testSameIDOfTwoTenants: two tenants use the same ID for a turn of their own.
 func testSameIDOfTwoTenants(t *testing.T) {
 	a := newSingleCore(t)
-	keep := func(tenant, output string) bool {
+	store := func(tenant, output string) bool {
 		return a.run(StoreTurn{Tenant: tenant, Attempt: "same", Input: []byte("in"), Output: []byte(output), Retention: time.Minute}).(Done).OK
 	}
-	if !keep("first", "of the first") || !keep("second", "of the second") {
+	if !store("first", "of the first") || !store("second", "of the second") {
 		t.Fatal("a turn was not kept")
 	}
 	for tenant, want := range map[string]string{"first": "of the first", "second": "of the second"} {
@@ -34,8 +34,8 @@
 	}
 }
 
-// testSecondTurnUnderOneID: a turn that differs from the one kept under its ID must
-// not be acknowledged as kept, while a repetition of the same command is.
+// testSecondTurnUnderOneID: a turn that differs from the one stored under its ID must
+// not be acknowledged as stored, while a repetition of the same command is.
 func testSecondTurnUnderOneID(t *testing.T) {
 	a := newSingleCore(t)
 	command := StoreTurn{Tenant: "t", Attempt: "x", Previous: []string{"w"}, Input: []byte("in"), Output: []byte("out"), Retention: time.Minute}
@@ -85,7 +85,7 @@
 // joined does not overwrite that tenant's turn.
 func TestIDResemblingAnotherTenantsKey(t *testing.T) {
 	a := newSingleCore(t)
-	keep := func(tenant, attempt string) bool {
+	store := func(tenant, attempt string) bool {
 		return a.run(StoreTurn{Tenant: tenant, Attempt: attempt, Output: []byte(tenant), Retention: time.Minute}).(Done).OK
 	}
 	found := func(tenant, attempt string) bool {
@@ -93,7 +93,7 @@
 		return k.Found && string(k.Output) == tenant
 	}
 	for _, one := range [][2]string{{"c", "x"}, {"b", "a/x"}, {"a", "x"}} {
-		if !keep(one[0], one[1]) {
+		if !store(one[0], one[1]) {
 			t.Errorf("the turn of tenant %s with ID %s was not kept", one[0], one[1])
 		}
 	}
--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -26,8 +26,8 @@
 	Body   any
 }
 
-// Output is what a step asks its caller to do, in this order: write the changes,
-// send the messages, return the answers.
+// Output lists the effects of a step. The caller carries them out in this order: write
+// the changes, send the messages, return the answers.
 type Output struct {
 	Changes []Change
 	Sends   []Send
@@ -72,11 +72,11 @@
 	sweepAt    time.Duration
 	draining   bool
 	stalled    bool
-	later      Timers
+	timers     Timers
 	seeds      []string
 	announceAt time.Duration
 	// registering is set while a command to register this core's entry is pending;
-	// unregistered is set while the fleet may hold another entry.
+	// unregistered is set while the fleet may have a different entry of this core.
 	registering  bool
 	unregistered bool
 	// sampleRound identifies the last collection of samples.
@@ -111,7 +111,7 @@
 	violated invariant.Reporter
 }
 
-// New returns a machine in the state that the core's disk holds.
+// New returns a machine in the state stored on the core's disk.
 func New(o Options) *Machine {
 	m := &Machine{params: o.Params, random: o.Random, outputs: outputs{violated: o.Violated}, seeds: o.Seeds, partitions: map[int]*partition.Machine{}, cores: map[string]Core{},
 		self: Core{ID: o.ID, Incarnation: o.Stored.Incarnation, Zone: o.Zone, Peer: o.Address, Operator: o.Operator}}
@@ -221,11 +221,11 @@
 		m.register(now)
 	}
 	m.caller.Tick(now)
-	m.later.Tick(now)
+	m.timers.Tick(now)
 	return *m.out
 }
 
-// Drain starts to hand leadership of all partitions over to other cores.
+// Drain starts to transfer the leadership of all partitions to other cores.
 // LeadingPartitions lists those that remain.
 func (m *Machine) Drain() { m.draining = true }
 
@@ -306,5 +306,5 @@
 }
 
 // SetStalled tells the machine whether its disk is stalled. A core with a stalled
-// disk gives up leadership of its partitions and does not stand for election.
+// disk gives up leadership of its partitions and is not a candidate in elections.
 func (m *Machine) SetStalled(stalled bool) { m.stalled = stalled }
--- a/peer/core/membership.go
+++ b/peer/core/membership.go
@@ -25,7 +25,7 @@
 )
 
 // ChangeResult is the outcome of a change to the fleet's cores. Code and Reason
-// are empty if nothing went wrong.
+// are empty if it succeeded.
 type ChangeResult struct {
 	Done      bool   `json:"done"`
 	Moves     []Move `json:"moves"`
@@ -36,9 +36,9 @@
 
 // rejoin makes a core with an empty directory join the fleet that sent its
 // topology, whether or not the fleet knows the core's ID. The core has no vote
-// until groups have changed to admit it. It waits for FoundFleet instead if it is
-// a member of a group already, or if the topology lacks a group and so can't tell.
-// A retired core stays outside.
+// until it is added to groups. It waits for FoundFleet instead if it is a member of a
+// group already, or if that is unknown because the topology lacks a group. A retired
+// core does not join.
 func (m *Machine) rejoin(now time.Duration, t Topology) {
 	known, ok := t.Cores[m.self.ID]
 	if len(t.Groups) == 0 || known.Retired {
@@ -72,7 +72,7 @@
 }
 
 // register corrects the fleet's entry of this core. The partitions' leaders then
-// let this incarnation take the place of an earlier one in their groups.
+// replace an earlier incarnation in their groups by this one.
 func (m *Machine) register(now time.Duration) {
 	if m.registering || m.self.Retired || m.draining || m.stalled || !m.unregistered || m.superseded {
 		return
@@ -125,16 +125,16 @@
 		return ChangeResult{Code: "unknown_core", Reason: "no core of this fleet is called " + by}
 	}
 	var after []Core
-	staying := 0
+	remaining := 0
 	for _, otherID := range ordered.Keys(cores) {
 		next := cores[otherID]
 		next.Retired = next.Retired || (otherID == id && kind != KindAdd)
 		after = append(after, next)
 		if !next.Retired {
-			staying++
+			remaining++
 		}
 	}
-	if kind != KindAdd && staying < size && !changed.Retired {
+	if kind != KindAdd && remaining < size && !changed.Retired {
 		return ChangeResult{Code: "no_room", Reason: tooFewCores(id)}
 	}
 	var moves []Move
@@ -211,7 +211,7 @@
 }
 
 // awaitGroups asks the partitions' leaders for their groups until all of them
-// satisfy settled, or until the deadline.
+// satisfy settled, or until the deadline, and then answers the ticket.
 func (m *Machine) awaitGroups(now time.Duration, ticket uint64, until time.Duration, plan ChangeResult, settled func(n int, members []string) bool) {
 	waiting, settledCount := m.founding.Partitions, 0
 	for n := 0; n < m.founding.Partitions; n++ {
@@ -231,7 +231,7 @@
 				plan.Code, plan.Reason = "not_finished", "not all moves were made in time; repeat the request to continue"
 				m.answerOperator(ticket, plan)
 			default:
-				m.later.Add(now+m.params.PullInterval, func(now time.Duration) { m.awaitGroups(now, ticket, until, plan, settled) })
+				m.timers.Add(now+m.params.PullInterval, func(now time.Duration) { m.awaitGroups(now, ticket, until, plan, settled) })
 			}
 		})
 	}
--- a/peer/core/membership_test.go
+++ b/peer/core/membership_test.go
@@ -56,7 +56,7 @@
 	incarnations int
 	claims       map[string]string
 	kinds        map[string]int
-	// lostMembers are incarnations whose replicas are lost for good.
+	// lostMembers are incarnations whose replicas are permanently lost.
 	lostMembers map[string]bool
 	// retired is the ID of a core that must not rejoin the fleet.
 	retired string
@@ -121,8 +121,8 @@
 // kill stops a core; changes that were not synced are lost.
 func (f *fleet) kill(core *testCore) { core.m, core.pending = nil, nil }
 
-// loseForGood kills a core whose machine never comes back.
-func (f *fleet) loseForGood(core *testCore) {
+// losePermanently kills a core that never restarts.
+func (f *fleet) losePermanently(core *testCore) {
 	f.kill(core)
 	core.lost = true
 	f.lostMembers[core.id+"."+core.stored.Incarnation] = true
@@ -228,8 +228,8 @@
 	f.checkLosses()
 }
 
-// thaw resumes a frozen core and delivers the messages that arrived meanwhile.
-func (f *fleet) thaw(core *testCore) {
+// resume resumes a frozen core and delivers the messages that arrived meanwhile.
+func (f *fleet) resume(core *testCore) {
 	core.frozen = false
 	backlog := core.inbox
 	core.inbox = nil
@@ -430,7 +430,7 @@
 	for _, name := range []string{"another name", "the same name"} {
 		f := newFleet(t, 3, 5)
 		old := f.cores[1]
-		f.loseForGood(old)
+		f.losePermanently(old)
 		f.advance(300 * time.Millisecond)
 		id := "fresh"
 		if name == "the same name" {
@@ -441,7 +441,7 @@
 		f.start(core)
 		f.awaitSettled(name, settleTime)
 		f.checkClaims()
-		f.loseForGood(f.cores[2])
+		f.losePermanently(f.cores[2])
 		f.start(f.addCore("next"))
 		f.awaitSettled("the next loss", settleTime)
 		f.checkClaims()
@@ -453,7 +453,7 @@
 func TestSmallestFleetReplacesCores(t *testing.T) {
 	f := newFleet(t, 3, 3)
 	for i := 0; i < 3; i++ {
-		f.loseForGood(f.cores[i])
+		f.losePermanently(f.cores[i])
 		f.start(f.addCore(fmt.Sprint("fresh", i)))
 		f.awaitSettled("a new core", settleTime)
 		f.checkClaims()
@@ -490,9 +490,9 @@
 	f.awaitSettled("one core retired, one wiped", settleTime)
 	f.checkClaims()
 	for n := 0; n < testPartitions; n++ {
-		seats, ok := f.call(ReadGroup{Partition: n}).(GroupMembers)
-		if !ok || len(seats.Members) != 3 || len(seats.Former) != 0 || slices.ContainsFunc(seats.Members, func(member string) bool { return CoreID(member) == "c1" }) {
-			t.Errorf("partition %d: %+v", n, seats)
+		group, ok := f.call(ReadGroup{Partition: n}).(GroupMembers)
+		if !ok || len(group.Members) != 3 || len(group.Former) != 0 || slices.ContainsFunc(group.Members, func(member string) bool { return CoreID(member) == "c1" }) {
+			t.Errorf("partition %d: %+v", n, group)
 		}
 	}
 	if r := f.call(RetireCore{ID: "c2"}); r != (RetireCoreResult{Found: true, EnoughRemain: true, Done: true}) {
@@ -604,7 +604,7 @@
 	f.awaitSettled("without it", settleTime)
 	before := f.epochSum()
 	for i := 0; i < 4; i++ {
-		f.thaw(core)
+		f.resume(core)
 		f.advance(300 * time.Millisecond)
 		core.frozen = true
 		f.advance(f.params.SilenceTimeout + 500*time.Millisecond)
@@ -612,7 +612,7 @@
 	if after := f.epochSum(); after != before {
 		t.Errorf("%d group changes", after-before)
 	}
-	f.thaw(core)
+	f.resume(core)
 	f.awaitSettled("running steadily", settleTime)
 	f.checkClaims()
 }
@@ -630,7 +630,7 @@
 	f.advance(3 * f.params.SilenceTimeout)
 	f.drop = nil
 	for _, core := range f.cores {
-		f.thaw(core)
+		f.resume(core)
 	}
 	f.advance(8 * time.Second)
 	if after := f.epochSum(); after != before {
@@ -642,7 +642,7 @@
 // TestHomesAreBalanced: in a settled fleet each partition's home is the planned one.
 func TestHomesAreBalanced(t *testing.T) {
 	f := newFleet(t, 3, 5)
-	f.loseForGood(f.cores[1])
+	f.losePermanently(f.cores[1])
 	f.start(f.addCore("fresh"))
 	f.awaitSettled("replaced", settleTime)
 	f.advance(2 * time.Second)
@@ -745,7 +745,7 @@
 		joining := f.addCore("fresh")
 		f.start(joining)
 		f.waitUntil(name, func() bool { return stages[name](f) })
-		f.loseForGood(joining)
+		f.losePermanently(joining)
 		// Its replicas move to other cores once it counts as silent.
 		f.awaitSettled(name+", core lost", f.params.SilenceTimeout+settleTime)
 		f.checkClaims()
@@ -829,7 +829,7 @@
 	f.advance(f.params.SilenceTimeout + f.params.SilenceTimeout/2)
 	f.awaitSettled("without the frozen core", settleTime)
 	f.checkClaims()
-	f.thaw(core)
+	f.resume(core)
 	f.awaitSettled("with the resumed core", settleTime)
 	f.checkClaims()
 	f.advance(time.Second)
@@ -841,7 +841,7 @@
 	// A short freeze changes no group.
 	core.frozen = true
 	f.advance(f.params.SilenceTimeout / 2)
-	f.thaw(core)
+	f.resume(core)
 	f.advance(3 * time.Second)
 	if after := f.epochSum(); after != before {
 		t.Errorf("%d group changes because of a short freeze", after-before)
@@ -872,7 +872,7 @@
 	f.advance(300 * time.Millisecond)
 	f.start(f.cores[2])
 	f.awaitSettled("elsewhere", settleTime)
-	f.loseForGood(f.cores[0])
+	f.losePermanently(f.cores[0])
 	f.advance(2 * time.Second)
 	f.checkClaims()
 }
@@ -886,7 +886,7 @@
 	core := f.addCore(old.id)
 	f.start(core)
 	f.awaitSettled("superseded", settleTime)
-	f.thaw(old)
+	f.resume(old)
 	f.advance(4 * time.Second)
 	old.frozen = true
 	f.awaitSettled("the former incarnation resumed", settleTime)
--- a/peer/core/messages.go
+++ b/peer/core/messages.go
@@ -111,8 +111,8 @@
 
 	// DrawAllowance reports what a holder spent and returned of a tenant's allowance
 	// and draws up to Target. Kind is "day" for the daily tokens or names a rate.
-	// Ended lists holders whose incarnation has ended. A rate is drawn in whole
-	// requests of UnitsPerRequest.
+	// Ended lists holders whose incarnation has ended. A rate is drawn in multiples of
+	// UnitsPerRequest.
 	DrawAllowance struct {
 		Tenant          string   `msgpack:"Tenant"`
 		Kind            string   `msgpack:"Kind"`
@@ -145,8 +145,8 @@
 		Limits BreakerLimits `msgpack:"Description"`
 	}
 	// DrawResult answers DrawAllowance and DrawBreaker. Granted is the holder's total;
-	// it is zero if the holder has ended. Holders names all holders. Open and Left
-	// tell whether the breaker is open and for how long.
+	// it is zero if the holder has ended. Holders names all holders. Open and Remaining
+	// report whether the breaker is open and for how long.
 	DrawResult struct {
 		Granted   int64         `msgpack:"Granted"`
 		Target    int64         `msgpack:"Target"`
@@ -212,8 +212,8 @@
 		Until  time.Duration `msgpack:"u"`
 	}
 
-	// ReadLockedUsers lists the users of a partition that are locked out, those whose
-	// lockout ends first first, at most maxLockedUsers.
+	// ReadLockedUsers lists the users of a partition that are locked out, in the order
+	// in which the lockouts end, at most maxLockedUsers.
 	ReadLockedUsers struct {
 		Partition int `msgpack:"Part"`
 	}
@@ -286,11 +286,11 @@
 	Version     uint64 `msgpack:"v" json:"version"`
 	Ended       bool   `msgpack:"e" json:"ended"`
 	Leaving     bool   `msgpack:"l" json:"leaving"`
-	// Host can be held by only one process at a time. Another process with the same
-	// one proves that the earlier one has ended.
+	// Host is a resource that only one process at a time can hold. A later process with
+	// the same Host proves that the earlier one has ended.
 	Host string `msgpack:"o" json:"-"`
-	// PastIncarnations have all ended. One that is neither here nor the present one is
-	// not known to have ended: this copy of the entry may be older than it.
+	// PastIncarnations have all ended. Any other incarnation but the current one is not
+	// known to have ended, because this copy of the entry may be older.
 	PastIncarnations []string `msgpack:"a" json:"-"`
 }
 
@@ -374,9 +374,9 @@
 		WantFreshness bool          `msgpack:"Fresh"`
 		SentAt        time.Duration `msgpack:"Sent"`
 	}
-	// Freshness tells up to which version the configuration partition has committed,
-	// as known at Age before SentAt, when the pull was sent by the puller's clock. It
-	// lets a new incarnation of a node know that it has missed no configuration.
+	// Freshness is the version that the configuration partition has committed, as of
+	// SentAt minus Age; SentAt is when the pull was sent, by the puller's clock. A node
+	// with this version has missed no configuration.
 	Freshness struct {
 		SentAt time.Duration     `msgpack:"Sent"`
 		Age    time.Duration     `msgpack:"Age"`
--- a/peer/core/messages_cores.go
+++ b/peer/core/messages_cores.go
@@ -35,7 +35,7 @@
 	FoundFleet struct {
 		Founding Founding `msgpack:"Founding"`
 	}
-	// RetireCore marks a core as retired for good: it joins no more groups, and the
+	// RetireCore marks a core as permanently retired: it joins no more groups, and the
 	// leaders of its partitions replace it.
 	RetireCore struct {
 		ID string `msgpack:"ID"`
--- a/peer/core/messages_relay.go
+++ b/peer/core/messages_relay.go
@@ -53,7 +53,7 @@
 	// stored: the answer reflects what a majority has committed.
 	ReadTurnResult struct {
 		Found bool `msgpack:"f"`
-		// Absence tells why the turn is not found.
+		// Absence is why the turn is not found.
 		Absence  Absence  `msgpack:"w,omitempty"`
 		Previous []string `msgpack:"b"`
 		Input    []byte   `msgpack:"i"`
--- a/peer/core/placement.go
+++ b/peer/core/placement.go
@@ -15,7 +15,7 @@
 // spread over zones and cores as evenly as possible, and so are the homes, the
 // first members. The result depends only on the set of cores, and changes little
 // when a core is added or removed (rendezvous hashing, followed by balancing).
-// Retired cores get no replicas, silent ones only where too few others remain.
+// Retired cores get no replicas, and silent ones only if there are too few others.
 func Place(partitions, size int, cores []Core, silent map[string]bool) [][]string {
 	var present, absent []Core
 	for _, c := range cores {
@@ -229,7 +229,7 @@
 	return silent
 }
 
-// hasRecentContact reports whether a message of a member arrived within the last three
+// hasRecentContact reports whether a message from a member arrived within the last three
 // heartbeat intervals.
 func (m *Machine) hasRecentContact(now time.Duration, member string) bool {
 	c, ok := m.contacts[member]
@@ -241,7 +241,7 @@
 	memberSuperseded = iota
 	memberRetired
 	memberSilent
-	memberSurplus
+	memberUnplaced
 	memberStays
 )
 
@@ -257,7 +257,7 @@
 	case m.silent(now, member):
 		return memberSilent
 	case !slices.Contains(wanted, member):
-		return memberSurplus
+		return memberUnplaced
 	}
 	return memberStays
 }
@@ -296,8 +296,8 @@
 		if now < m.nextChangeAt[n] || m.draining || m.stalled {
 			continue
 		}
-		agreed, _ := p.CommittedGroup()
-		group, wanted := agreed.Members, m.desiredGroups(now)[n]
+		committed, _ := p.CommittedGroup()
+		group, wanted := committed.Members, m.desiredGroups(now)[n]
 		add, remove := m.nextChange(now, group, wanted)
 		switch {
 		case add != "" || remove != "":
@@ -337,7 +337,7 @@
 		return "", ""
 	case len(group) < size && urgency > memberSuperseded:
 		return add, ""
-	case urgency == memberStays, urgency == memberSurplus && !healthy:
+	case urgency == memberStays, urgency == memberUnplaced && !healthy:
 		return "", ""
 	}
 	return add, remove
--- a/peer/core/retired_test.go
+++ b/peer/core/retired_test.go
@@ -19,45 +19,45 @@
 	if _, ok := m.Found(0, founding); !ok {
 		t.Fatal("not founded")
 	}
-	takes := func(n int, seq uint64) bool {
+	accepts := func(n int, seq uint64) bool {
 		group := founding.Groups[n]
 		group.Term = partition.Term{Round: 1, Leader: leader.MemberID()}
 		write := partition.Write{Term: group.Term, Seq: seq, Group: group, Snapshot: true}
 		o := m.Receive(time.Second, leader.Peer, ReplicaMessage{Partition: n, From: leader.MemberID(), To: self.MemberID(), Raw: message.Pack(write)})
 		return len(o.Changes) > 0
 	}
-	if !takes(0, 1) || !takes(1, 1) {
+	if !accepts(0, 1) || !accepts(1, 1) {
 		t.Fatal("a core that is not retired refuses a replica")
 	}
 	retired := self
 	retired.Retired, retired.Version = true, 9
 	m.Receive(time.Second, leader.Peer, Topology{Fleet: "f", Cores: map[string]Core{self.ID: retired}, Leaders: make([]partition.Term, 2), Groups: make([]partition.Group, 2)})
-	if takes(1, 2) {
+	if accepts(1, 2) {
 		t.Error("a retired core accepted a replica of a group that it does not belong to")
 	}
-	if !takes(0, 2) {
+	if !accepts(0, 2) {
 		t.Error("a retired core refused a write to its existing replica")
 	}
 }
 
 // TestRetiredCoresGetNoHeartbeats: a retired core is sent heartbeats only as long as
-// it has a replica, since its machine may be gone for good.
+// it has a replica, since it may be permanently down.
 func TestRetiredCoresGetNoHeartbeats(t *testing.T) {
-	for _, keeps := range []bool{true, false} {
+	for _, hasReplica := range []bool{true, false} {
 		a := newSingleCore(t)
 		retired := Core{ID: "x", Incarnation: "1", Peer: "x:1", Version: 1, Retired: true}
 		a.m.mergeCore(retired)
-		if keeps {
+		if hasReplica {
 			a.m.groups[1].Former = append(a.m.groups[1].Former, retired.MemberID())
 		}
-		called := false
+		contacted := false
 		for end := a.now + 10*time.Second; a.now < end; a.now += 50 * time.Millisecond {
 			for _, s := range a.m.Tick(a.now).Sends {
-				called = called || s.To == retired.Peer
+				contacted = contacted || s.To == retired.Peer
 			}
 		}
-		if called != keeps {
-			t.Errorf("core with a replica: %v, sent messages: %v", keeps, called)
+		if contacted != hasReplica {
+			t.Errorf("core with a replica: %v, sent messages: %v", hasReplica, contacted)
 		}
 	}
 }
--- a/peer/core/rules.go
+++ b/peer/core/rules.go
@@ -11,12 +11,11 @@
 	"saffronfall/rule/rate"
 )
 
-// UnitsPerRequest is how many units of a tenant's rate one request takes from a
-// bucket.
+// UnitsPerRequest is the number of units of a tenant's rate that one request uses.
 const UnitsPerRequest = 16
 
-// IdleWeight is the weight in requests of a node that gets no requests of a tenant, so
-// that it holds a share of the rate in advance.
+// IdleWeight is the demand, in requests, that a node without requests of a tenant counts
+// with, so that it holds a share of the rate in advance.
 const IdleWeight = 32
 
 // Params set the control plane's timing; other durations are ratios of these.
@@ -24,12 +23,12 @@
 	Partition partition.Params
 	// MemberLease is how long a membership lasts without a renewal.
 	MemberLease time.Duration
-	// AttemptTimeout is how long one attempt at a command may take.
+	// AttemptTimeout is the time without an answer after which a command is retried.
 	AttemptTimeout time.Duration
 	// PullInterval is how often updates are pulled.
 	PullInterval time.Duration
-	// SilenceTimeout is how long a core may be silent before its places in groups go to
-	// others; zero means three member leases.
+	// SilenceTimeout is how long a core may be silent before other cores replace it in its
+	// groups; zero means three member leases.
 	SilenceTimeout time.Duration
 	// ColdStart allows a core with an empty data folder to found a fleet.
 	ColdStart bool
@@ -39,11 +38,11 @@
 }
 
 // rules runs the commands of one partition on its leader. Fields other than params
-// hold what the leader knows since its election and are lost with its leadership.
+// are the leader's volatile state: they start empty when it is elected.
 type rules struct {
 	params Params
-	// fleet returns the known cores, in a map that the caller may change, and how many
-	// must remain.
+	// fleet returns the known cores, in a map that the caller may change, and the minimum
+	// number of cores that are not retired.
 	fleet func() (map[string]Core, int)
 	// renewedAt is when each member's lease was last renewed, by the leader's clock;
 	// memberVersions is the configuration version that it followed then.
@@ -56,8 +55,8 @@
 	expired *recentKeys
 }
 
-// Elected resets the leader's memory. It counts all leases from now, as an earlier
-// leader may have renewed them until its term ended.
+// Elected resets the volatile state. All leases count from now, because an earlier leader
+// may have renewed them until its term ended.
 func (r *rules) Elected(now time.Duration, tx *partition.Tx) {
 	r.renewedAt, r.memberVersions = map[string]time.Duration{}, map[string]uint64{}
 	for _, key := range tx.Keys(memberPrefix) {
--- a/peer/core/rules_cores.go
+++ b/peer/core/rules_cores.go
@@ -4,9 +4,9 @@
 	"saffronfall/rule/partition"
 )
 
-// putCore writes a core's entry if its version is newer. An incarnation that a later
-// core has replaced is recorded as superseded and rejected from then on, as is any
-// change that would undo a retirement.
+// putCore writes a core's entry if its version is newer. The incarnation that it replaces
+// is recorded as superseded and rejected from then on, as is any change that would undo
+// a retirement.
 func putCore(tx *partition.Tx, c PutCore) any {
 	old, ok := read[Core](tx, corePrefix+c.Core.ID)
 	_, superseded := tx.Get(supersededPrefix + c.Core.MemberID())
@@ -34,17 +34,17 @@
 		}
 	}
 	core, ok := cores[c.ID]
-	staying := 0
+	remaining := 0
 	for _, other := range cores {
 		if !other.Retired && other.ID != c.ID {
-			staying++
+			remaining++
 		}
 	}
 	switch {
 	case !ok:
 		return RetireCoreResult{}
 	case core.Retired:
-	case staying < enough:
+	case remaining < enough:
 		return RetireCoreResult{Found: true}
 	default:
 		core.Retired = true
--- a/peer/core/rules_members.go
+++ b/peer/core/rules_members.go
@@ -11,11 +11,11 @@
 // maxPastIncarnations bounds Member.PastIncarnations.
 const maxPastIncarnations = 256
 
-// tombstoneRetention is how long a deleted program is reported as expired.
+// tombstoneRetention is how long a program is reported as expired after its deletion.
 const tombstoneRetention = 24 * time.Hour
 
-// memberLease is the lease as the leader counts it: longer than the member does by the
-// most that clocks may drift, so that the member stops first.
+// memberLease is the lease by the leader's clock. It is longer than the member's by the
+// maximum clock drift, so that the member stops first.
 func (r *rules) memberLease() time.Duration {
 	return time.Duration(float64(r.params.MemberLease) * (1 + r.params.Partition.Drift))
 }
--- a/peer/core/rules_once.go
+++ b/peer/core/rules_once.go
@@ -4,7 +4,7 @@
 	"saffronfall/rule/partition"
 )
 
-// claimOnce stores a claim unless the key is taken, and returns the claim that stands.
+// claimOnce stores a claim unless the key has one, and returns the stored claim.
 func (r *rules) claimOnce(tx *partition.Tx, c ClaimOnce) any {
 	key := oncePrefix + c.Tenant + "/" + c.Service + "/" + c.Key
 	o, ok := read[OnceRecord](tx, key)
@@ -15,7 +15,7 @@
 	return o
 }
 
-// endOnce ends the given claim, if it is the one that stands and has no outcome yet.
+// endOnce ends the given claim, if it is the stored one and has no outcome yet.
 func (r *rules) endOnce(tx *partition.Tx, c EndOnce) any {
 	key := oncePrefix + c.Tenant + "/" + c.Service + "/" + c.Key
 	o, ok := read[OnceRecord](tx, key)
--- a/peer/core/rules_programs.go
+++ b/peer/core/rules_programs.go
@@ -41,8 +41,8 @@
 	return ProgramResult{Found: true, Owned: true, Record: p, Clock: tx.Clock()}
 }
 
-// claimProgram moves a program to a node if its former owner has ended. The fence then
-// rises, so that no late write of the former owner counts.
+// claimProgram makes a node the owner of a program if the former owner has ended. It
+// raises the fence, so that late writes of the former owner are rejected.
 func (r *rules) claimProgram(tx *partition.Tx, c ClaimProgram) any {
 	key := programPrefix + c.Tenant + "/" + c.ID
 	p, ok := read[program.Record](tx, key)
--- a/peer/core/rules_relay.go
+++ b/peer/core/rules_relay.go
@@ -21,8 +21,8 @@
 		key := bookKey(c.Tenant, c.Program)
 		b, ok := read[storedBook](tx, key)
 		if !ok {
-			// The reservation may be delayed and arrive after its settlement; the book
-			// must reserve nothing then.
+			// A delayed reservation may arrive after its settlement and must then
+			// reserve nothing.
 			b.Until = tx.Clock() + settledBookRetention
 			r.expiries.add(key, b.Until)
 		}
@@ -57,8 +57,8 @@
 	return Done{OK: true}
 }
 
-// drawRates draws from the ledgers of rates. They are in memory; only what a successor
-// must know of them is stored.
+// drawRates draws from the ledgers of rates. They are in memory; only the state that the
+// next leader needs is stored.
 func (r *rules) drawRates(tx *partition.Tx, c DrawRates) any {
 	var answer DrawRatesResult
 	for _, d := range c.Draws {
--- a/peer/core/rules_test.go
+++ b/peer/core/rules_test.go
@@ -88,9 +88,9 @@
 	old.Running = map[string]program.Reservation{"x": {Tokens: 70}}
 	old.Version = 1
 	a.run(SaveProgram{Record: old})
-	taken := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1", EndedNode: "n1", EndedIncarnation: "1"}).(ProgramResult)
-	if !taken.Owned || taken.Record.Fence != 2 || taken.Record.Spent != 70 || len(taken.Record.Running) != 0 {
-		t.Errorf("%+v", taken)
+	claimed := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1", EndedNode: "n1", EndedIncarnation: "1"}).(ProgramResult)
+	if !claimed.Owned || claimed.Record.Fence != 2 || claimed.Record.Spent != 70 || len(claimed.Record.Running) != 0 {
+		t.Errorf("%+v", claimed)
 	}
 	old.Version = 99
 	if p := a.run(SaveProgram{Record: old}).(ProgramResult); !p.Fenced {
@@ -166,10 +166,10 @@
 			}
 			c := DrawAllowance{Tenant: "t", Kind: "day", Holder: name, Spent: h.spent, Returned: h.returned, Target: random.Int64N(500), Limit: limit}
 			if i%60 == 59 {
-				for n, gone := range holders {
+				for n, closed := range holders {
 					if n[len(n)-1] == name[len(name)-1] {
 						c.Ended = append(c.Ended, n)
-						ended += gone.granted - gone.returned
+						ended += closed.granted - closed.returned
 						delete(holders, n)
 					}
 				}
@@ -202,7 +202,7 @@
 	}
 }
 
-// TestOnceStates checks that one claim of a once-key stands, that its outcome is stored,
+// TestOnceStates checks that the first claim of a once-key wins, that its outcome is stored,
 // and that only a claim that certainly did not run is released.
 func TestOnceStates(t *testing.T) {
 	a := newSingleCore(t)
@@ -261,31 +261,31 @@
 	}
 	fresh := Core{ID: "new", Incarnation: "1", Zone: "z0"}
 	f.Cores["new"] = fresh
-	gets := 0
+	added := 0
 	for _, m := range PlanChange(f.Cores, nil, f.Groups, 3, KindAdd, "new", "").Moves {
 		if CoreID(m.Add) == "new" {
-			gets++
+			added++
 		}
 	}
-	if gets < 5 || gets > 6 {
-		t.Errorf("a ninth core gets %d of 48 places", gets)
+	if added < 5 || added > 6 {
+		t.Errorf("a ninth core gets %d of 48 places", added)
 	}
 	delete(f.Cores, "new")
 	after := slices.Clone(cores)
 	after[0].Retired = true
-	gone := 0
+	removed := 0
 	for n, places := range Place(16, 3, after, nil) {
 		if zoneCount(f.Cores, places) != 3 {
 			t.Errorf("partition %d loses a zone", n)
 		}
 		for _, move := range membershipMoves(n, f.Groups[n].Members, places) {
 			if CoreID(move.Remove) == cores[0].ID {
-				gone++
+				removed++
 			}
 		}
 	}
-	if gone != 6 {
-		t.Errorf("a retired core loses %d of 6 places", gone)
+	if removed != 6 {
+		t.Errorf("a retired core loses %d of 6 places", removed)
 	}
 }
 
--- a/peer/core/stall_test.go
+++ b/peer/core/stall_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestStalledDiskRefusesWrites: a core whose disk is full or stalled accepts no
-// writes and makes no promises, so that nothing queues up. It goes on renewing a
+// writes and makes no promises, so that no writes queue up. It continues to renew a
 // lease that it already granted, and accepts writes again once the disk works.
 func TestStalledDiskRefusesWrites(t *testing.T) {
 	self, other := Core{ID: "a", Incarnation: "1", Zone: "z", Peer: "a:1"}, Core{ID: "b", Incarnation: "1", Zone: "y", Peer: "b:1"}
--- a/peer/core/topology.go
+++ b/peer/core/topology.go
@@ -13,7 +13,7 @@
 )
 
 // refreshSelf updates this core's entry if its address or incarnation changed while
-// it was down, and has it registered with the fleet if need be.
+// it was down, and marks a changed entry as unregistered.
 func (m *Machine) refreshSelf() {
 	registered, ok := m.cores[m.self.ID]
 	if founded := m.founding.Cores[m.self.ID]; ok && registered.Incarnation != m.self.Incarnation && founded.Incarnation == m.self.Incarnation {
@@ -53,7 +53,7 @@
 }
 
 // mergeCore merges a received entry of a core: the higher version wins, and a core
-// that was retired once stays retired.
+// that was retired stays retired.
 func (m *Machine) mergeCore(c Core) {
 	old, ok := m.cores[c.ID]
 	c.Retired = c.Retired || old.Retired
@@ -112,8 +112,7 @@
 	return maps.Clone(m.cores), m.groupSize()
 }
 
-// refreshTopology brings the known cores, terms and groups up to the state of this
-// core's replicas.
+// refreshTopology updates the known cores, terms and groups from this core's replicas.
 func (m *Machine) refreshTopology() {
 	m.mergeStoredCores()
 	for n, p := range m.partitions {
@@ -138,9 +137,8 @@
 	topologySentAt map[string]time.Duration
 }
 
-// topologyGossipLeases is the number of member terms after which the topology is
-// sent although it has not changed. A core whose heartbeat has another digest is
-// sent it sooner.
+// topologyGossipLeases is the interval, in member leases, at which an unchanged topology
+// is sent. A core whose heartbeat has another digest is sent it sooner.
 const topologyGossipLeases = 8
 
 // Digest returns a hash of the topology. Size is not part of it.
@@ -196,7 +194,7 @@
 }
 
 // gossip sends heartbeats to the other cores, together with the topology if it has
-// changed or was not sent for long.
+// changed or is due again.
 func (m *Machine) gossip(now time.Duration) {
 	sendTopology := m.topologyChanged || now >= m.topologyAt
 	if m.superseded || (!sendTopology && now < m.heartbeatAt) {
--- a/peer/core/turns.go
+++ b/peer/core/turns.go
@@ -25,7 +25,7 @@
 // recentKeysMax bounds recentKeys.
 const recentKeysMax = 4096
 
-// recentKeys holds hashes of the keys that were added last.
+// recentKeys is a set of the hashes of the last recentKeysMax keys that were added.
 type recentKeys struct {
 	seed   maphash.Seed
 	hashes map[uint64]bool
@@ -102,7 +102,7 @@
 	return ReadTurnResult{Found: true, Previous: t.Previous, Input: t.Input, Output: t.Output, Remaining: t.Until - tx.Clock()}
 }
 
-// absenceReason tells why a turn is not stored, as far as this leader knows.
+// absenceReason returns why a turn is not stored, as far as this leader knows.
 func (r *rules) absenceReason(tx *partition.Tx, c ReadTurn) Absence {
 	keys := turnKeys(c.Tenant, c.Attempt)
 	if _, taken := read[storedTurn](tx, keys[0]); taken {
