--- a/peer/desk/amend.go
+++ b/peer/desk/amend.go
@@ -19,7 +19,7 @@
 	// Apply returns the text of the resulting table. The current text is empty if there is
 	// no table yet.
 	Apply func(current []byte) ([]byte, configuration.Faults)
-	// PreviewOnly asks only for the changes that the amendment would make.
+	// PreviewOnly requests a preview of the changes without proposing the table.
 	PreviewOnly bool
 }
 
--- a/peer/desk/currenttable.go
+++ b/peer/desk/currenttable.go
@@ -10,7 +10,7 @@
 // updated by differences.
 const maxDifferences = 16
 
-// currentTable is the newest agreed table that a desk knows; nil if it knows none.
+// currentTable is the newest accepted table that a desk knows; nil if it knows none.
 type currentTable struct {
 	parsed *route.Table
 	digest string
@@ -96,7 +96,7 @@
 	m.install(now, parsed, digest)
 }
 
-// install replaces the current table by a newer agreed one and notifies subscribers at once.
+// install replaces the current table by a newer accepted one and notifies subscribers at once.
 func (m *Machine) install(now time.Duration, table *route.Table, digest string) {
 	if table.Number <= m.table.number() {
 		return
--- a/peer/desk/currenttable_test.go
+++ b/peer/desk/currenttable_test.go
@@ -24,7 +24,7 @@
 	return fmt.Appendf(nil, `{"number":%d,"source":"what the operator sent","routes":[%s],"services":[{"name":"s"}]}`, number, routes[:len(routes)-1])
 }
 
-// deliverTable sends a desk the cores' snapshot of an agreed table.
+// deliverTable sends a desk the cores' snapshot of the current table.
 func deliverTable(m *Machine, now time.Duration, number uint64) Output {
 	value := message.Marshal(core.CurrentTable{Number: number, Text: largeTable(number), Digest: fmt.Sprint("digest ", number)})
 	at := partition.Version{Term: partition.Term{Round: 1, Leader: "c.1"}, Seq: number}
--- a/peer/desk/departure.go
+++ b/peer/desk/departure.go
@@ -6,8 +6,8 @@
 	"saffronfall/rule/ordered"
 )
 
-// Acknowledgment answers a replica's heartbeat or Leave call. If it is not Accepted, this desk
-// may be the only process that has the report, and the replica should send it to another desk.
+// Acknowledgment answers a replica's heartbeat or Leave call. If it is not Accepted, the report
+// may be lost with this desk, and the replica should send it to another one.
 type Acknowledgment struct{ Accepted bool }
 
 // departureHeartbeats bounds, in heartbeat intervals, how long a departing replica waits until
@@ -28,8 +28,8 @@
 	startedAt time.Duration
 }
 
-// acknowledge answers a replica's report. Only a departure has to be known elsewhere first:
-// anything else is repeated by the next heartbeat.
+// acknowledge answers a replica's report. Only a departure must be replicated first: all other
+// state is repeated by the next heartbeat.
 func (m *Machine) acknowledge(now time.Duration, ticket uint64, entry *trackedReplica) {
 	if ticket == 0 {
 		return
@@ -43,7 +43,7 @@
 }
 
 // answerDepartures acknowledges the departures that other processes have confirmed, and
-// rejects those that nobody confirmed in time.
+// rejects those that were not confirmed in time.
 func (m *Machine) answerDepartures(now time.Duration) {
 	timeout := m.params.DepartureTimeout()
 	if !m.coresReachable(now) {
--- a/peer/desk/handler.go
+++ b/peer/desk/handler.go
@@ -14,8 +14,8 @@
 	"saffronfall/rule/route"
 )
 
-// API has the calls of replicas and operators to a desk. Errors of Heartbeat and Leave tell
-// the replica to report to another desk.
+// API is the interface of a desk to replicas and operators. After an error of Heartbeat or
+// Leave the replica should report to another desk.
 type API interface {
 	Heartbeat(ctx context.Context, r Replica) error
 	Leave(ctx context.Context, id string) error
@@ -152,7 +152,7 @@
 	return mux
 }
 
-// writeAck writes the response to a replica; "heard" says that its report was accepted.
+// writeAck writes the response to a replica's report; "heard" means that it was accepted.
 func writeAck(w http.ResponseWriter, err error) {
 	if err != nil {
 		operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
--- a/peer/desk/loads.go
+++ b/peer/desk/loads.go
@@ -82,7 +82,7 @@
 // outstanding requests reports more often.
 const reportRetention = 4
 
-// ReplicaOrder returns the sorted ids of the replicas that are not gone. Load messages
+// ReplicaOrder returns the sorted ids of the replicas that are not removed. Load messages
 // identify replicas by their index in it.
 func ReplicaOrder[L any](replicas map[string]L, isRemoved func(L) bool) []string {
 	var order []string
@@ -183,7 +183,7 @@
 	return summary
 }
 
-// dropUnlistedRecords drops the histories of replicas that are no longer listed.
+// dropUnlistedHistories drops the histories of replicas that are no longer listed.
 func (m *Machine) dropUnlistedHistories() {
 	for id := range m.loads.histories {
 		if _, known := m.replicas[id]; !known {
--- a/peer/desk/loads_test.go
+++ b/peer/desk/loads_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestBadLoadReportChangesNothing checks that a report with an index out of range is dropped as a
-// whole.
+// TestBadLoadReportChangesNothing checks that a report with an index out of range is rejected
+// completely.
 func TestBadLoadReportChangesNothing(t *testing.T) {
 	m := newDesk(func(o *Options) { o.Params.LoadInterval = 100 * time.Millisecond })
 	m.Heartbeat(0, 0, replica(1, false))
--- a/peer/desk/machine.go
+++ b/peer/desk/machine.go
@@ -65,7 +65,7 @@
 	saved savedPeers
 }
 
-// New returns a desk that has subscribed to nobody yet.
+// New returns a desk without subscriptions to other desks.
 func New(o Options) *Machine {
 	m := &Machine{params: o.Params, deskID: o.ID, incarnation: o.Incarnation, address: o.Address, seeds: o.Seeds, foundsFleet: o.FoundsFleet, random: o.Random,
 		deskCursors: map[string]deskCursor{}, replicas: map[string]*trackedReplica{}, subscribers: map[string]*subscriber{}, reachability: reachability{pending: map[uint64]pendingCall{}}, desks: map[string]time.Duration{o.Address: o.Now},
@@ -162,10 +162,10 @@
 
 // Times in heartbeat intervals.
 const (
-	// missedHeartbeats is the time without a heartbeat after which a replica counts as gone.
+	// missedHeartbeats is the time without a heartbeat after which a replica is removed.
 	missedHeartbeats = 4
-	// removedRetention is the time since the last heartbeat for which a gone replica stays
-	// listed.
+	// removedRetention is the time since the last heartbeat for which a removed replica
+	// stays listed.
 	removedRetention = 20 * missedHeartbeats
 	// deskRetention is the time for which a silent desk is remembered.
 	deskRetention = 10 * missedHeartbeats
@@ -175,7 +175,8 @@
 // renewed.
 const subscribePulls = 2
 
-// expireReplicas marks silent replicas as gone, and drops old entries, subscribers and desks.
+// expireReplicas marks silent replicas as removed, and drops expired entries, subscribers and
+// desks.
 func (m *Machine) expireReplicas(now time.Duration) {
 	for _, id := range ordered.Keys(m.replicas) {
 		entry := m.replicas[id]
@@ -200,7 +201,7 @@
 	}
 }
 
-// TableNumber returns the number of the newest agreed table that this desk knows; zero if none.
+// TableNumber returns the number of the newest accepted table that this desk knows; zero if none.
 func (m *Machine) TableNumber() uint64 { return m.table.number() }
 
 // Ready reports whether this desk knows the leaders of a founded fleet.
--- a/peer/desk/machine_test.go
+++ b/peer/desk/machine_test.go
@@ -63,7 +63,7 @@
 }
 
 // TestDepartureIsFinal checks that no later or delayed heartbeat reverts a departure, and that a
-// replica that left stays gone.
+// replica that left stays removed.
 func TestDepartureIsFinal(t *testing.T) {
 	m := newDesk(nil)
 	m.Heartbeat(0, 0, replica(5, true))
--- a/peer/desk/peers.go
+++ b/peer/desk/peers.go
@@ -31,8 +31,8 @@
 	version uint64
 }
 
-// restorePeers restores the addresses that an earlier incarnation saved. They only say where
-// to ask; leaders and the current table are learned anew.
+// restorePeers restores the addresses that an earlier incarnation saved. Leaders and the current
+// table are not restored but learned from these peers.
 func (m *Machine) restorePeers(peers Peers) {
 	m.topology.Fleet, m.topology.GroupSize = peers.Fleet, peers.Size
 	for id, c := range peers.Cores {
--- a/peer/desk/reachability.go
+++ b/peer/desk/reachability.go
@@ -16,8 +16,8 @@
 	// nodeRetention is the number of heartbeat intervals for which a silent node still counts
 	// as one that the desk should reach.
 	nodeRetention = 40
-	// probeHeartbeats is the number of heartbeat intervals that nodes have to confirm a probe.
-	// They renew their subscriptions twice per interval, and some messages are lost.
+	// probeHeartbeats is the number of heartbeat intervals in which nodes must confirm a probe.
+	// Nodes renew twice per interval, so a single lost message causes no failure.
 	probeHeartbeats = 2
 )
 
@@ -76,7 +76,7 @@
 	return m.lastConfirmed >= 0 && now-m.lastConfirmed < maxUnconfirmedPulls*m.params.Core.PullInterval
 }
 
-// expireCalls answers calls as undecided while the desk is disconnected from the cores. Their
+// expireCalls answers calls as uncertain while the desk is disconnected from the cores. Their
 // commands are retried until they time out. That is safe because they are idempotent, and the
 // operator, who learns that the outcome is unknown, can repeat the call at another desk.
 func (m *Machine) expireCalls(now time.Duration) {
--- a/peer/desk/replicas.go
+++ b/peer/desk/replicas.go
@@ -47,7 +47,7 @@
 	return entry
 }
 
-// Leave marks a replica as gone for good. The ticket is answered as by Heartbeat.
+// Leave marks a replica as permanently removed. The ticket is answered as by Heartbeat.
 func (m *Machine) Leave(now time.Duration, ticket uint64, id string) Output {
 	m.out = &Output{}
 	entry, ok := m.replicas[id]
--- a/peer/desk/retirement.go
+++ b/peer/desk/retirement.go
@@ -18,7 +18,7 @@
 	Done bool `json:"done"`
 }
 
-// Retire starts the retirement of a core: it becomes a member of no further group. The ticket
+// Retire starts the retirement of a core, which then joins no further groups. The ticket
 // is answered with a RetirementStatus.
 func (m *Machine) Retire(now time.Duration, ticket uint64, id string) Output {
 	m.out = &Output{}
@@ -34,7 +34,7 @@
 // new. The ticket is answered with a RetirementStatus.
 func (m *Machine) RetirementStatus(now time.Duration, ticket uint64, id string) Output {
 	m.out = &Output{}
-	remaining, unsure, hasMember := len(m.topology.Leaders), false, false
+	remaining, uncertain, hasMember := len(m.topology.Leaders), false, false
 	if remaining == 0 {
 		m.addAnswer(ticket, RetirementStatus{Uncertain: true})
 		return *m.out
@@ -43,13 +43,13 @@
 	for n := range m.topology.Leaders {
 		m.caller.Call(now, core.ReadGroup{Partition: n}, now+m.params.OperationTimeout, func(now time.Duration, o core.Outcome) {
 			members, ok := o.Answer.(core.GroupMembers)
-			unsure = unsure || !ok
+			uncertain = uncertain || !ok
 			for _, member := range append(slices.Clone(members.Members), members.Former...) {
 				hasMember = hasMember || core.CoreID(member) == id
 			}
 			if remaining--; remaining == 0 {
 				known, ok := m.topology.Cores[id]
-				m.resolve(ticket, RetirementStatus{Uncertain: unsure, Known: ok, Done: !unsure && !hasMember && known.Retired})
+				m.resolve(ticket, RetirementStatus{Uncertain: uncertain, Known: ok, Done: !uncertain && !hasMember && known.Retired})
 			}
 		})
 	}
--- a/peer/desk/subscribers.go
+++ b/peer/desk/subscribers.go
@@ -6,8 +6,8 @@
 	"saffronfall/rule/ordered"
 )
 
-// subscriber is a node or another desk. version, table and topologyVersion are the newest that it
-// has, or will have once it receives what was sent to it.
+// subscriber is a node or another desk. version, table and topologyVersion include what was sent
+// to it but not confirmed yet.
 type subscriber struct {
 	incarnation        string
 	version            uint64
@@ -16,7 +16,7 @@
 	topologyVersion    uint64
 	lastSeen           time.Duration
 	isDesk             bool
-	// confirmedVersion is the version that it confirmed of this incarnation's list.
+	// confirmedVersion is the version of this incarnation's list that it confirmed.
 	confirmedVersion uint64
 }
 
@@ -37,8 +37,8 @@
 	}
 }
 
-// sendUpdate sends a subscriber what it lacks; with always, even if that is nothing. What was
-// sent counts as received until the next renewal says otherwise.
+// sendUpdate sends a subscriber what it lacks; with always, even if that is nothing. The update
+// counts as received until a renewal of the subscription reports an older version.
 func (m *Machine) sendUpdate(now time.Duration, to string, s *subscriber, always bool) {
 	update := Update{Incarnation: m.incarnation, Since: s.version, Version: m.version, TableNumber: m.table.number(), TableDigest: m.table.digestOrEmpty(), ConfirmationAge: -1, NodeCount: m.nodeCount(now)}
 	if m.lastConfirmed >= 0 {
@@ -151,7 +151,7 @@
 	m.addSend(to, Subscribe{Node: m.deskID, Table: m.table.number(), AcceptsDifferences: true, IsDesk: true, Incarnation: cursor.incarnation, Version: cursor.version})
 }
 
-// learnDesk records the address of a desk that was heard from or reported by another.
+// learnDesk records the address of a desk that sent a message or was reported by another.
 func (m *Machine) learnDesk(now time.Duration, address string) {
 	if _, ok := m.desks[address]; !ok {
 		m.topologyVersion++
--- a/peer/desk/table.go
+++ b/peer/desk/table.go
@@ -11,7 +11,7 @@
 	"saffronfall/rule/route"
 )
 
-// updateConfirmation records the time up to which this desk is known to have missed no table.
+// updateConfirmation records the time up to which this desk has the current table for certain.
 func (m *Machine) updateConfirmation(now time.Duration) {
 	if m.lastFresh.UpTo == (partition.Version{}) || m.pulledUpTo.Less(m.lastFresh.UpTo) {
 		return
@@ -25,8 +25,8 @@
 	}
 }
 
-// onTableSnapshot handles entries of the configuration partition. Partial ones must continue at
-// the version that was already pulled.
+// onTableSnapshot handles an update of the configuration partition: its table and cores. An
+// update that is no snapshot must continue at the version that was already pulled.
 func (m *Machine) onTableSnapshot(now time.Duration, snapshot core.Update) {
 	if snapshot.Partition != core.ConfigurationPartition || !m.pulledUpTo.Less(snapshot.UpTo) || (!snapshot.Snapshot && m.pulledUpTo.Less(snapshot.After)) {
 		return
@@ -36,9 +36,9 @@
 	for _, e := range snapshot.Entries {
 		switch {
 		case e.Key == core.TableKey:
-			var agreed core.CurrentTable
-			if message.Unmarshal(e.Value, &agreed) == nil {
-				m.installText(now, agreed.Number, agreed.Digest, agreed.Text)
+			var current core.CurrentTable
+			if message.Unmarshal(e.Value, &current) == nil {
+				m.installText(now, current.Number, current.Digest, current.Text)
 			}
 		case core.IsCoreKey(e.Key) && !e.Deleted:
 			var c core.Core
@@ -51,10 +51,11 @@
 	m.updateConfirmation(now)
 }
 
-// topologyShare is the share of pulls that also ask for the topology.
+// topologyShare is the fraction of pulls that also request the topology.
 const topologyShare = 0.2
 
-// pull asks for configuration changes: the leader while it answers, otherwise all cores.
+// pull requests changes of the configuration partition from its leader while that answers,
+// otherwise from all cores.
 func (m *Machine) pull(now time.Duration) {
 	request := core.PullUpdates{Versions: map[int]partition.Version{core.ConfigurationPartition: m.pulledUpTo}, WantFreshness: true, SentAt: now, WantTopology: len(m.topology.Leaders) == 0 || m.random() < topologyShare}
 	if to := m.caller.Leader(core.ConfigurationPartition); to != "" && m.coresReachable(now) {
@@ -69,8 +70,8 @@
 
 // OrderResult is the result of an operator's table or amendment.
 type OrderResult struct {
-	// Accepted is set if the table is agreed and durable. Unsure is set if the outcome is
-	// unknown; repeating the same order is safe.
+	// Accepted is set if the table is in force and durable. Uncertain is set if the outcome
+	// is unknown; repeating the same order is safe.
 	Accepted  bool `json:"taken"`
 	Uncertain bool `json:"unsure"`
 	// RaceLost is set if the order's base is not the current table. Number is that of the
@@ -100,24 +101,24 @@
 // proposeTable proposes a checked table to the cores and answers the call.
 func (m *Machine) proposeTable(now time.Duration, ticket uint64, c core.AcceptTable, parsed *route.Table, deadline time.Duration) {
 	m.caller.Call(now, c, deadline, func(now time.Duration, o core.Outcome) {
-		agreed, ok := o.Answer.(core.AcceptTableResult)
+		accepted, ok := o.Answer.(core.AcceptTableResult)
 		switch {
 		case !ok:
 			m.resolve(ticket, OrderResult{Uncertain: true})
-		case agreed.OK:
+		case accepted.OK:
 			m.Counters.TablesApplied++
 			m.install(now, parsed, c.Digest)
-			m.resolve(ticket, OrderResult{Accepted: true, Number: agreed.Number})
-		case parsed.Number <= agreed.Number && c.Base == agreed.Number:
-			m.resolve(ticket, OrderResult{Number: agreed.Number, Faults: configuration.Faults{{Path: "number", Value: parsed.Number, Allowed: "a number above that of the current table"}}})
+			m.resolve(ticket, OrderResult{Accepted: true, Number: accepted.Number})
+		case parsed.Number <= accepted.Number && c.Base == accepted.Number:
+			m.resolve(ticket, OrderResult{Number: accepted.Number, Faults: configuration.Faults{{Path: "number", Value: parsed.Number, Allowed: "a number above that of the current table"}}})
 		default:
-			m.resolve(ticket, OrderResult{RaceLost: true, Number: agreed.Number})
+			m.resolve(ticket, OrderResult{RaceLost: true, Number: accepted.Number})
 		}
 	})
 }
 
 // Read reads the current table from the cores, never from this desk's copy. The ticket is
-// answered with a core.AgreedTable; its number is zero if the cores did not answer.
+// answered with a core.CurrentTable; its number is zero if the cores did not answer.
 func (m *Machine) Read(now time.Duration, ticket uint64) Output {
 	m.out = &Output{}
 	m.addPending(now, ticket, core.CurrentTable{})
--- a/peer/desk/topology.go
+++ b/peer/desk/topology.go
@@ -35,7 +35,8 @@
 	return addresses
 }
 
-// onAnnounceCore records a core that announces itself.
+// onAnnounceCore records a core that announces itself, and exchanges topologies with it if they
+// differ.
 func (m *Machine) onAnnounceCore(now time.Duration, from string, announced core.AnnounceCore) {
 	if len(m.topology.Leaders) == 0 {
 		if _, ok := m.foundingCores[announced.Core.ID]; !ok || m.foundingCores[announced.Core.ID].Incarnation != announced.Core.Incarnation {
@@ -57,7 +58,7 @@
 	m.addSend(from, core.PullUpdates{WantTopology: true})
 }
 
-// mergeTopology takes the newer parts of a received topology.
+// mergeTopology merges a received topology of the same fleet; the newer entries win.
 func (m *Machine) mergeTopology(now time.Duration, other core.Topology) {
 	changed := false
 	if len(m.topology.Leaders) == 0 && len(other.Leaders) > 0 {
@@ -93,11 +94,11 @@
 	}
 }
 
-// HintLeaders gives a caller the addresses of the leaders of all partitions.
+// HintLeaders sets the leader addresses of a caller from a topology.
 func HintLeaders(caller *core.Caller, t core.Topology) {
-	for n, owner := range t.Leaders {
+	for n, term := range t.Leaders {
 		for _, c := range t.Cores {
-			if c.MemberID() == owner.Leader {
+			if c.MemberID() == term.Leader {
 				caller.SetLeader(n, c.Peer)
 			}
 		}
--- a/peer/desk/types.go
+++ b/peer/desk/types.go
@@ -4,8 +4,8 @@
 //
 // A Machine does no I/O and reads no clock: Receive, Tick and the API methods take the
 // current time and return an Output that the process carries out. Durable state belongs to
-// the cores. A desk saves only its replica list and peer addresses, as a start-up aid. A
-// replica's departure is acknowledged once other processes have it, so that it survives the
+// the cores. A desk saves only its replica list and peer addresses, to use after a restart. A
+// replica's departure is acknowledged once other processes know it, so that it survives the
 // loss of this desk. Start reading at Machine.Receive and Machine.Tick.
 package desk
 
@@ -25,14 +25,14 @@
 	Zone    string `msgpack:"z" json:"zone"`
 	Slots   int64  `msgpack:"l" json:"slots"`
 	Leaving bool   `msgpack:"g" json:"leaving"`
-	// WarmupRemaining is the rest of the time after its start in which it is slow.
+	// WarmupRemaining is how much longer the replica is slow after its start.
 	WarmupRemaining time.Duration `msgpack:"c" json:"cold"`
 	// Sequence numbers the replica's heartbeats; an older one never replaces a newer one.
 	Sequence int64 `msgpack:"q" json:"call"`
 }
 
-// ReplicaEntry is a replica in a desk's list. An entry that is Gone stays listed for a while
-// so that all nodes learn of it.
+// ReplicaEntry is a replica in a desk's list. A Removed replica gets no requests; its entry
+// stays listed for a while so that all nodes learn of the removal.
 type ReplicaEntry struct {
 	Replica Replica `msgpack:"r"`
 	Removed bool    `msgpack:"x"`
@@ -64,7 +64,7 @@
 		Since       uint64         `msgpack:"s"`
 		Version     uint64         `msgpack:"v"`
 		Replicas    []ReplicaEntry `msgpack:"r"`
-		// TableNumber and TableDigest identify the newest agreed table. A subscriber that
+		// TableNumber and TableDigest identify the newest accepted table. A subscriber that
 		// lacks it gets either Differences, each based on the one before, or the full Table.
 		TableNumber uint64             `msgpack:"n"`
 		TableDigest string             `msgpack:"h"`
--- a/peer/operator/client.go
+++ b/peer/operator/client.go
@@ -14,7 +14,7 @@
 	"saffronfall/rule/partition"
 )
 
-// Client calls the HTTP API of processes with the operator key. A nil HTTP stands for
+// Client calls the HTTP API of processes with the operator key. If HTTP is nil, it uses
 // http.DefaultClient.
 type Client struct {
 	Key  string
@@ -127,7 +127,8 @@
 	return founding, nil
 }
 
-// AddCore adds the new core at an address, whose folder is empty, to the fleet of a member.
+// AddCore adds the core at address newCore, whose data folder is empty, to the fleet of the core
+// at address member.
 func (c Client) AddCore(ctx context.Context, member, newCore string) (core.ChangeResult, error) {
 	var changed core.ChangeResult
 	var identity Identity
@@ -154,7 +155,7 @@
 	return c.Change(ctx, member, CoreChange{Kind: core.KindAdd, ID: identity.Core.ID, New: &identity.Core})
 }
 
-// Change requests a change of cores, again until it is done or fails.
+// Change requests a change of cores, and repeats the request until it is done or fails.
 func (c Client) Change(ctx context.Context, member string, change CoreChange) (core.ChangeResult, error) {
 	for {
 		var changed core.ChangeResult
--- a/peer/operator/handler.go
+++ b/peer/operator/handler.go
@@ -35,7 +35,7 @@
 )
 
 // Process runs steps of a core's state machine. Call waits for the answer to the step's ticket,
-// Inspect returns the result of a function that changes nothing. Both fail when ctx ends.
+// Inspect returns the result of a read-only function. Both fail when ctx ends.
 type Process interface {
 	Call(ctx context.Context, step func(m *core.Machine, now time.Duration, ticket uint64) core.Output) (any, error)
 	Inspect(ctx context.Context, read func(m *core.Machine, now time.Duration) any) (any, error)
@@ -49,8 +49,8 @@
 	Founding core.Founding `json:"founding"`
 }
 
-// PartitionStatus is one partition as a core sees it. Its JSON names part, owner and seats stand
-// for partition, leader and members.
+// PartitionStatus is one partition as a core sees it. In its JSON form, part is the partition,
+// owner the leader, and seats are the members.
 type PartitionStatus struct {
 	Partition int      `json:"part"`
 	Leader    string   `json:"owner"`
@@ -71,7 +71,7 @@
 	MissingPartitions    []int             `json:"parts_without_answer"`
 }
 
-// ConfigurationRequest asks to apply a configuration, or only to plan it. BudgetMS bounds it in
+// ConfigurationRequest is a request to apply a configuration, or only to plan it. BudgetMS bounds it in
 // milliseconds; zero selects a default.
 type ConfigurationRequest struct {
 	BasedOn     uint64          `json:"based_on"`
@@ -109,7 +109,7 @@
 	encoder.Encode(body)
 }
 
-// DrainHandler returns a handler that asks the process to leave, as SIGTERM does.
+// DrainHandler returns a handler that starts a graceful shutdown, as SIGTERM does.
 func DrainHandler(drain chan<- struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -299,8 +299,8 @@
 	return c, nil
 }
 
-// GatherStatus asks every partition for its part of the status. Partitions that don't answer are
-// listed as missing.
+// GatherStatus reads the status from every partition. Partitions that don't answer are listed as
+// missing.
 func GatherStatus(ctx context.Context, p Process) (Status, error) {
 	var s Status
 	body, err := p.Inspect(ctx, func(m *core.Machine, now time.Duration) any { return m.Topology() })
--- a/peer/requester/handler.go
+++ b/peer/requester/handler.go
@@ -1,7 +1,7 @@
 // Package requester is the HTTP API of a node: JSON requests that open, continue and close
 // programs and call tools and actions.
 //
-// Every verdict says whether the request ran; a request refused here did not run. A
+// Every verdict reports whether the request ran; a request refused here did not run. A
 // streamed turn is complete only if it ends with a closing record. Start reading at
 // Handler.
 package requester
@@ -23,9 +23,9 @@
 	"saffronfall/rule/verdict"
 )
 
-// Backend is the node that requests are handed to.
+// Backend is the node that runs the requests.
 type Backend interface {
-	// Submit hands over a request. Its answer arrives in frames on the channel; ending the
+	// Submit starts a request. Its response arrives in frames on the channel; ending the
 	// context cancels the request. The result is false if the node's buffer is full.
 	Submit(ctx context.Context, q node.Request) (<-chan node.Frame, bool)
 	// Ready reports whether the node accepts requests.
@@ -34,7 +34,8 @@
 	Counters(ctx context.Context) (any, error)
 }
 
-// body is a request's body. Each path uses some of the fields.
+// body is the body of a request. Each path uses some of the fields: Before is the head that a
+// turn follows, Say its prompt, and Helper names its conversation.
 type body struct {
 	User      string          `json:"user"`
 	Service   string          `json:"service"`
@@ -212,47 +213,47 @@
 	writeFrames(w, frames)
 }
 
-// writeFrames writes the frames of an answer as they arrive. It aborts the connection of a
-// stream that breaks off, so that the stream never looks complete.
+// writeFrames writes the frames of a response as they arrive. It aborts the connection of an
+// interrupted stream, so that the stream never looks complete.
 func writeFrames(w http.ResponseWriter, frames <-chan node.Frame) {
 	flusher, _ := w.(http.Flusher)
 	encoder := json.NewEncoder(w)
 	encoder.SetEscapeHTML(false)
-	for p := range frames {
-		switch p.Kind {
+	for frame := range frames {
+		switch frame.Kind {
 		case node.FrameVerdict:
-			writeVerdict(w, p.Verdict, p.Status)
+			writeVerdict(w, frame.Verdict, frame.Status)
 			return
 		case node.FrameBody:
-			if p.Body == nil {
-				writeJSON(w, p.Status, struct {
+			if frame.Body == nil {
+				writeJSON(w, frame.Status, struct {
 					Answer
 					Head string `json:"head"`
-				}{Answer{Verdict: p.Verdict, Program: p.Text}, p.Head})
+				}{Answer{Verdict: frame.Verdict, Program: frame.Text}, frame.Head})
 				return
 			}
 			w.Header().Set("Content-Type", "application/json")
-			if p.FinishReason == "repeated" {
+			if frame.FinishReason == "repeated" {
 				w.Header().Set("Saffronfall-Repeated", "true")
 			}
 			w.Header().Set("Saffronfall-Ran", string(verdict.Executed))
-			if len(p.Verdict.Warnings) > 0 {
-				raw, _ := json.Marshal(p.Verdict.Warnings)
+			if len(frame.Verdict.Warnings) > 0 {
+				raw, _ := json.Marshal(frame.Verdict.Warnings)
 				w.Header().Set("Saffronfall-Warnings", string(raw))
 			}
-			w.WriteHeader(p.Status)
-			w.Write(p.Body)
+			w.WriteHeader(frame.Status)
+			w.Write(frame.Body)
 			return
 		case node.FrameOpen:
 			w.Header().Set("Content-Type", "application/x-ndjson")
 			w.WriteHeader(200)
 			flusher.Flush()
 		case node.FrameChunk:
-			encoder.Encode(map[string]any{"text": p.Text, "tokens": p.Tokens})
+			encoder.Encode(map[string]any{"text": frame.Text, "tokens": frame.Tokens})
 			flusher.Flush()
 		case node.FrameClose:
-			encoder.Encode(map[string]any{"closing": true, "status": p.FinishReason, "tokens": p.Tokens, "head": p.Head,
-				"verdict": p.Verdict.Kind, "warnings": p.Verdict.Warnings, "ran": verdict.Executed})
+			encoder.Encode(map[string]any{"closing": true, "status": frame.FinishReason, "tokens": frame.Tokens, "head": frame.Head,
+				"verdict": frame.Verdict.Kind, "warnings": frame.Verdict.Warnings, "ran": verdict.Executed})
 			return
 		case node.FrameAbort:
 			panic(http.ErrAbortHandler)
