--- a/peer/node/announcement.go
+++ b/peer/node/announcement.go
@@ -12,7 +12,7 @@
 	"saffronfall/rule/ordered"
 )
 
-// Replica is what a replica announces about itself.
+// Replica is the state that a replica announces.
 type Replica struct {
 	Service string `msgpack:"s" json:"service"`
 	ID      string `msgpack:"i" json:"id"`
@@ -63,9 +63,9 @@
 	leavingMaxAges         = 3
 )
 
-// Announce handles a replica's announcement about itself. An ordinary one counts from when this
-// node issued its token, since it may have been delayed while this node was frozen; that of a
-// leaving replica counts from now.
+// Announce handles a replica's announcement. Its age counts from when this node issued its token,
+// since it may have been delayed while this node was paused; that of a leaving replica counts from
+// now.
 func (m *Machine) Announce(now time.Duration, r Replica, token string) AnnounceReply {
 	reply := AnnounceReply{Accepted: r.Leaving, NextIn: m.params.AnnouncementMaxAge / announcementsPerMaxAge,
 		Token: fmt.Sprintf("%s.%d", m.processID(), now)}
@@ -97,7 +97,8 @@
 	return m.params.ID + "/" + core.ProcessIncarnation(m.incarnation)
 }
 
-// recordReplica stores an announcement, unless a newer one or that of leaving is known.
+// recordReplica stores an announcement, unless a newer one is known. The first announcement of a
+// leaving replica is always stored.
 func (m *Machine) recordReplica(now time.Duration, r Replica, since time.Duration) {
 	known := m.replicas[r.Service]
 	if known == nil {
@@ -108,7 +109,7 @@
 	switch {
 	case r.Leaving && ok && previous.replica.Leaving:
 	case r.Leaving:
-		// Counted from now: it overrides every earlier announcement at once.
+		// It overrides every earlier announcement.
 		known[r.ID] = knownReplica{replica: r, since: now}
 	case !ok || since > previous.since:
 		known[r.ID] = knownReplica{replica: r, since: since}
@@ -167,7 +168,8 @@
 	}
 }
 
-// healthRetentionLeases is how many member terms a replica's health is kept after its last use.
+// healthRetentionLeases is how long, in member leases, a replica's health is stored after its last
+// use.
 const healthRetentionLeases = 16
 
 // currentReplicas lists the replicas of a service whose announcements are recent enough for an
--- a/peer/node/drain.go
+++ b/peer/node/drain.go
@@ -7,8 +7,8 @@
 	"saffronfall/rule/ordered"
 )
 
-// Drain begins to take this node out of service: it is no longer ready, running requests end,
-// programs are handed to successors, shares are returned, and the membership ends last.
+// Drain starts a graceful shutdown: the node is no longer ready, running requests complete,
+// programs are handed over to successors, shares are returned, and the membership ends last.
 func (m *Machine) Drain(now time.Duration) Output {
 	m.beginStep(now)
 	m.leaving = true
@@ -19,7 +19,7 @@
 func (m *Machine) Drained(now time.Duration) bool { return m.leaving && m.left }
 
 // Shutdown aborts what still runs when the drain's grace period is over, and ends the membership
-// so that successors need not wait for its term to expire.
+// so that successors need not wait for its lease to expire.
 func (m *Machine) Shutdown(now time.Duration) Output {
 	m.beginStep(now)
 	m.leaving = true
@@ -34,7 +34,7 @@
 	return *m.out
 }
 
-// drain takes the next steps of draining.
+// drain continues a drain that has begun.
 func (m *Machine) drain(now time.Duration) {
 	if !m.leaving || m.left {
 		return
@@ -72,8 +72,8 @@
 	return list
 }
 
-// handOver assigns a program to a successor. From here on this node does nothing more for the
-// program, even if the message is lost.
+// handOver assigns a program to a successor. This node no longer serves the program afterwards,
+// even if the command is lost.
 func (m *Machine) handOver(now time.Duration, key string, prog *ownedProgram, to core.Member) {
 	prog.lost = true
 	delete(m.programs, key)
@@ -97,24 +97,24 @@
 			m.endMembership(now)
 		}
 	}
-	ask := func(command any) {
+	call := func(command any) {
 		waiting++
 		m.caller.Call(now, command, now+m.params.Core.MemberLease/2, done)
 	}
 	for _, tenant := range m.tenants {
-		var back core.DrawAllowances
+		var returned core.DrawAllowances
 		for _, urgent := range []bool{false, true} {
 			rs, rate, burst := m.rateShareOf(tenant, urgent)
 			rs.returnUnits(now, rs.account.Held(), rate, burst)
-			back.Draws = append(back.Draws, m.rateReport(tenant, urgent, 0))
+			returned.Draws = append(returned.Draws, m.rateReport(tenant, urgent, 0))
 		}
-		ask(back)
+		call(returned)
 		s := m.dayShareOf(tenant)
 		s.account.Returned += s.free()
-		ask(m.dayShareCommand(tenant, s)(0))
+		call(m.dayShareCommand(tenant, s)(0))
 	}
 	m.spendShare.account.Returned += m.spendShare.free()
-	ask(m.spendPrefetchCommand(0))
+	call(m.spendPrefetchCommand(0))
 	done(now, core.Outcome{})
 }
 
--- a/peer/node/forward.go
+++ b/peer/node/forward.go
@@ -27,7 +27,7 @@
 	until  time.Duration
 }
 
-// forward passes a request to its program's owner, unless it was forwarded already.
+// forward sends a request to its program's owner, unless it was forwarded already.
 func (m *Machine) forward(now time.Duration, req *requestState, owner core.Member) {
 	if req.forwarded {
 		m.refuse(req, denied(notOwner, "this node does not own the program", 503))
--- a/peer/node/machine.go
+++ b/peer/node/machine.go
@@ -22,8 +22,8 @@
 	Zone        string
 	Address     string
 	HTTP        string
-	// Host names a resource that only one process at a time can hold, such as an
-	// address bound on a running machine. It may be empty.
+	// Host names a resource that only one process at a time can hold, such as a bound
+	// address. It may be empty.
 	Host   string
 	Seeds  []string
 	Now    time.Duration
@@ -105,8 +105,8 @@
 	nextSample   int
 }
 
-// ownedProgram is a program that this node owns, with its turns by conversation. clockOffset turns
-// the node's time into that of the program's partition.
+// ownedProgram is a program that this node owns, with its turns by conversation. clockOffset plus
+// the node's time is the time of the program's partition.
 type ownedProgram struct {
 	record       program.Record
 	turns        map[string][]program.Turn
@@ -114,9 +114,9 @@
 	savedVersion uint64
 	unsavedTurns []program.Turn
 	saving       bool
-	// unsavedSince is when the cores began to lack a change. savedMirrors and
-	// savedPrecharged are from the record that the cores have; mirroredVersion is
-	// the version that all mirrors hold.
+	// unsavedSince is the time of the oldest change that the cores have not stored.
+	// savedMirrors and savedPrecharged are from the record that they have stored;
+	// mirroredVersion is the version that all mirrors have.
 	unsavedSince    time.Duration
 	savedMirrors    []program.Mirror
 	savedPrecharged int64
@@ -150,7 +150,7 @@
 	return m
 }
 
-// clearOwned drops everything that is held under a membership term.
+// clearOwned drops everything that is held under a membership lease.
 func (m *Machine) clearOwned() {
 	m.programs, m.owners = map[string]*ownedProgram{}, map[string]core.Member{}
 	m.rateShares, m.dayShares, m.spendShare = map[string]*rateShare{}, map[string]*share{}, &share{}
@@ -266,7 +266,7 @@
 	return *m.out
 }
 
-// recordSample keeps a recent request for rehearsals of configuration changes.
+// recordSample stores a recent request for rehearsals of configuration changes.
 func (m *Machine) recordSample(s rehearsal.Sample) {
 	const maxSamples = 256
 	s.Age = m.now
--- a/peer/node/membership.go
+++ b/peer/node/membership.go
@@ -10,14 +10,14 @@
 	"saffronfall/rule/slab"
 )
 
-// hasLease reports whether this node's membership term is in force. It is checked again just before
-// each attempt, so that a node that was frozen starts nothing after its term.
+// hasLease reports whether this node has a valid membership lease. It is checked again just before
+// each attempt, so that a node that was paused starts none after its lease.
 func (m *Machine) hasLease(now time.Duration) bool {
 	return m.joined && now < m.leaseExpiresAt && m.description != nil
 }
 
-// renew joins the fleet or renews the membership term. The term counts from when the request was
-// sent, never later than the core counts it.
+// renew joins the fleet or renews the membership lease. The lease counts from when the request was
+// sent, so it ends here before it ends at the cores.
 func (m *Machine) renew(now time.Duration) {
 	if m.joined && now >= m.leaseExpiresAt {
 		m.Counters.LeasesLost++
@@ -27,8 +27,8 @@
 		return
 	}
 	if m.freshAt < m.startedAt {
-		// A process that has not heard from the leader of the configuration's
-		// partition may be behind what an earlier process of this node had in force.
+		// Until the leader of the configuration partition has answered, this process may
+		// have an older configuration than an earlier process of this node had.
 		return
 	}
 	if !m.joined && len(m.formerIncarnations) > 0 {
@@ -66,9 +66,8 @@
 	})
 }
 
-// endFormerIncarnation tells the cores that a former incarnation of this node has ended, which
-// only this node can know before that incarnation's term expires at the cores. Its programs may
-// then be taken over at once, also by this node.
+// endFormerIncarnation reports the end of a former incarnation of this node to the cores before its
+// lease expires there. Its programs may then be taken over at once, also by this node.
 func (m *Machine) endFormerIncarnation(now time.Duration) {
 	m.renewing = true
 	former := m.formerIncarnations[0]
--- a/peer/node/mirror.go
+++ b/peer/node/mirror.go
@@ -13,13 +13,13 @@
 
 // Messages between an owner, its mirrors and its successor.
 type (
-	// CopyProgram gives a mirror the owner's state of a program, with all turns that the cores have
+	// CopyProgram sends a mirror the owner's state of a program, with all turns that the cores have
 	// not stored yet.
 	CopyProgram struct {
 		Record program.Record `msgpack:"r"`
 		Turns  []program.Turn `msgpack:"t"`
 	}
-	// CopyAck says that a mirror's process holds a version of a program.
+	// CopyAck confirms that a mirror's process has a version of a program.
 	CopyAck struct {
 		Tenant  string `msgpack:"t"`
 		Program string `msgpack:"p"`
@@ -27,8 +27,8 @@
 		Version uint64 `msgpack:"v"`
 		Process string `msgpack:"l"`
 	}
-	// CopyQuery asks a mirror for its copy. From then on the mirror accepts no more copies from
-	// earlier owners.
+	// CopyQuery requests a mirror's copy. After it the mirror accepts no more copies from earlier
+	// owners.
 	CopyQuery struct {
 		Tenant  string `msgpack:"t"`
 		Program string `msgpack:"p"`
@@ -55,8 +55,8 @@
 	})
 }
 
-// mirrorCopy is what this node holds as a mirror. It lasts as long as the process, across
-// membership incarnations.
+// mirrorCopy is the copy of a program that this node has as a mirror. It is in memory and survives
+// a new membership incarnation of the process.
 type mirrorCopy struct {
 	fence  uint64
 	found  bool
@@ -66,7 +66,7 @@
 }
 
 // mirrorsPerProgram is the number of mirrors of a program. A version that the cores lack counts as
-// durable only when all of them hold it, so that a successor needs any one of them.
+// durable only when all of them have it, so that a successor can recover it from any one.
 const mirrorsPerProgram = 2
 
 // prepareRecord makes a record ready to be saved: the total charged in advance never shrinks while
@@ -89,7 +89,7 @@
 }
 
 // otherMirrors returns a program's mirrors other than this node. The owner is listed among them
-// because it still holds its changes after its term has ended.
+// because it still has its changes after its lease has ended.
 func (m *Machine) otherMirrors(mirrors []program.Mirror) []program.Mirror {
 	return slices.DeleteFunc(slices.Clone(mirrors), func(mirror program.Mirror) bool { return mirror.ID == m.params.ID })
 }
@@ -167,15 +167,15 @@
 }
 
 // keepUnsaved stores the unsaved changes of a program that this node no longer owns as a mirror
-// copy, for its next owner.
+// copy for its next owner.
 func (m *Machine) keepUnsaved(now time.Duration, prog *ownedProgram) {
 	if prog.recovery == nil && prog.record.Version > prog.savedVersion {
 		m.onCopy(now, "", CopyProgram{Record: copyRecord(prog.record), Turns: slices.Clone(prog.unsavedTurns)})
 	}
 }
 
-// onCopyAck records that a mirror holds a version. A version held by all mirrors completes the
-// saves that wait for it.
+// onCopyAck records that a mirror has a version. Once all mirrors have it, the saves that wait for
+// it are complete.
 func (m *Machine) onCopyAck(now time.Duration, from string, b CopyAck) {
 	prog := m.programs[b.Tenant+"/"+b.Program]
 	if prog == nil || prog.record.Fence != b.Fence || !m.hasLease(now) {
@@ -205,7 +205,7 @@
 	if stored.found {
 		answer.Record, answer.Turns = stored.record, stored.turns
 	}
-	// Copies from owners before the asking one are no longer accepted.
+	// Copies from owners before the querying one are no longer accepted.
 	stored.fence = max(stored.fence, b.Fence)
 	stored.until = max(stored.until, now+m.params.Core.MemberLease*healthRetentionLeases)
 	m.send(from, answer)
@@ -220,12 +220,12 @@
 	waiting     []*requestState
 }
 
-// lostMirrorLeases is the number of member terms after which a mirror whose membership ended counts
-// as lost with its machine.
+// lostMirrorLeases is the time, in member leases, after which a mirror whose membership ended counts
+// as lost.
 const lostMirrorLeases = 15
 
-// recoverFromMirrors queries the former owner's mirrors before a new owner does anything for a
-// program: they may hold turns that the cores never stored.
+// recoverFromMirrors queries the former owner's mirrors before a new owner serves a program, because
+// they may have turns that the cores never stored.
 func (m *Machine) recoverFromMirrors(now time.Duration, prog *ownedProgram) {
 	record := prog.record
 	if len(record.Mirrors) == 0 || record.MirrorsFence == record.Fence {
@@ -235,7 +235,7 @@
 	m.queryMirrors(now, prog)
 }
 
-// queryMirrors asks the mirrors for their copies, and gives up when all of them are lost.
+// queryMirrors requests the mirrors' copies, and ends the recovery when all of them are lost.
 func (m *Machine) queryMirrors(now time.Duration, prog *ownedProgram) {
 	recovery := prog.recovery
 	if recovery == nil || prog.lost || now < recovery.nextQueryAt {
@@ -249,7 +249,7 @@
 			continue
 		}
 		if o, ok := m.members[mirror.ID]; ok && core.ProcessIncarnation(o.Incarnation) != mirror.Process {
-			// The process that held the copy has ended.
+			// The process that had the copy has ended.
 			lost++
 			continue
 		}
@@ -307,7 +307,7 @@
 	}
 }
 
-// awaitRecovery holds a request until the mirrors have answered, or refuses it at the step's
+// awaitRecovery delays a request until the mirrors have answered, or refuses it at the step's
 // deadline.
 func (m *Machine) awaitRecovery(now time.Duration, req *requestState, prog *ownedProgram) {
 	prog.recovery.waiting = append(prog.recovery.waiting, req)
--- a/peer/node/once.go
+++ b/peer/node/once.go
@@ -17,8 +17,8 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// startAction runs an action at most once: its intent is durable before its only attempt, and a
-// repeated request gets the stored outcome, or the answer that it may have run.
+// startAction runs an action at most once: its intent is durable before its only attempt. A
+// repeated request gets the stored outcome, or a refusal because the action may have run.
 func (m *Machine) startAction(now time.Duration, req *requestState) {
 	request := req.request
 	service, known := m.description.Services[request.Service]
@@ -40,8 +40,8 @@
 	m.nextID++
 	a := &attempt{req: req, triedReplicas: map[string]bool{}, claim: fmt.Sprintf("%s-%s-%d", m.params.ID, m.incarnation, m.nextID)}
 	a.payload = Payload{Attempt: a.claim, Tenant: req.tenant, OnceKey: request.OnceKey, Body: request.Arguments}
-	keep := time.Duration(m.description.OnceKeepSeconds) * time.Second
-	command := core.ClaimOnce{Tenant: req.tenant, Service: request.Service, Key: onceKeyDigest(request.OnceKey), Claim: a.claim, Digest: digest, Retention: keep}
+	retention := time.Duration(m.description.OnceKeepSeconds) * time.Second
+	command := core.ClaimOnce{Tenant: req.tenant, Service: request.Service, Key: onceKeyDigest(request.OnceKey), Claim: a.claim, Digest: digest, Retention: retention}
 	m.caller.Call(now, command, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
 		once, ok := o.Answer.(core.OnceRecord)
 		switch {
--- a/peer/node/opening.go
+++ b/peer/node/opening.go
@@ -11,9 +11,8 @@
 	"saffronfall/rule/verdict"
 )
 
-// openProgram starts a session. The breaker was checked before; the user's windows, lockout,
-// concurrency and day are checked at the user's partition, in that order, and the tenant's day
-// last.
+// openProgram starts a session. The breaker was checked before. The user's windows, lockout,
+// concurrency and day are checked at the user's partition in that order, then the tenant's day.
 func (m *Machine) openProgram(now time.Duration, req *requestState) {
 	role := m.description.Roles[req.role]
 	m.nextID++
--- a/peer/node/queue.go
+++ b/peer/node/queue.go
@@ -41,11 +41,11 @@
 // queueWait estimates how long one more queued attempt would wait for a replica.
 func (m *Machine) queueWait(now time.Duration, service string) time.Duration {
 	queue := m.queueOf(service)
-	places := m.description.Services[service].AttemptsPerReplica * int64(len(m.currentReplicas(now, service)))
-	if places == 0 {
+	capacity := m.description.Services[service].AttemptsPerReplica * int64(len(m.currentReplicas(now, service)))
+	if capacity == 0 {
 		return m.params.AnnouncementMaxAge
 	}
-	return max(m.params.Core.PullInterval, queue.averageDuration*time.Duration(len(queue.waiting)+1)/time.Duration(places))
+	return max(m.params.Core.PullInterval, queue.averageDuration*time.Duration(len(queue.waiting)+1)/time.Duration(capacity))
 }
 
 // enqueue queues an attempt until a replica has capacity. It returns false if the queue is full or
--- a/peer/node/relay.go
+++ b/peer/node/relay.go
@@ -6,7 +6,7 @@
 	"saffronfall/peer/core"
 )
 
-// relayCommand passes a command to a core on behalf of a node that can't reach the cores.
+// relayCommand forwards a command to a core for a process that can't reach the cores.
 func (m *Machine) relayCommand(now time.Duration, from string, b core.Command) {
 	to := m.caller.Leader(b.Partition)
 	if all := m.coreAddresses(); to == "" && len(all) > 0 {
@@ -24,14 +24,14 @@
 	m.send(to, b)
 }
 
-// relayResult passes a core's return to the node whose command was relayed.
+// relayResult forwards a core's result to the sender of the relayed command.
 func (m *Machine) relayResult(now time.Duration, b core.CommandResult) {
 	t := m.caller.Ticket(b.ID &^ relayedBit)
 	relayed, ok := m.relayed.Get(t)
 	if !ok {
 		return
 	}
-	if b.NotLeader && b.LeaderHint != "" && relayed.redirects < 3 {
+	if b.NotLeader && b.LeaderHint != "" && relayed.redirects < maxRelayRedirects {
 		relayed.redirects++
 		m.caller.SetLeader(b.Partition, b.LeaderHint)
 		m.send(b.LeaderHint, core.Command{ID: b.ID, Partition: b.Partition, Raw: relayed.command.Raw})
@@ -45,7 +45,10 @@
 // relayedBit marks the ids of relayed commands.
 const relayedBit = 1 << 63
 
-// relayedCommand is a command that was relayed for another node.
+// maxRelayRedirects bounds how often a relayed command is redirected to another leader.
+const maxRelayRedirects = 3
+
+// relayedCommand is a command that was relayed for another process.
 type relayedCommand struct {
 	from      string
 	command   core.Command
--- a/peer/node/replicas.go
+++ b/peer/node/replicas.go
@@ -15,12 +15,12 @@
 
 // chooseReplica picks the less loaded of two random replicas, preferring this node's zone. It
 // skips those that are ejected, at capacity or not allowed.
-func (m *Machine) chooseReplica(now time.Duration, service string, may func(id string) bool) (Replica, bool) {
+func (m *Machine) chooseReplica(now time.Duration, service string, isAllowed func(id string) bool) (Replica, bool) {
 	var local, remote []Replica
 	limit := m.description.Services[service].AttemptsPerReplica
 	for _, r := range m.currentReplicas(now, service) {
 		h := m.health[service+"/"+r.ID]
-		if !may(r.ID) || (h != nil && (now < h.ejectedUntil || h.outstanding >= limit)) {
+		if !isAllowed(r.ID) || (h != nil && (now < h.ejectedUntil || h.outstanding >= limit)) {
 			continue
 		}
 		if r.Zone == m.params.Zone {
--- a/peer/node/request.go
+++ b/peer/node/request.go
@@ -53,8 +53,7 @@
 	return *m.out
 }
 
-// cancel ends a request, withdraws it from the node that it was forwarded to and stops its
-// attempt.
+// cancel ends a request, cancels it at the node that it was forwarded to and stops its attempt.
 func (m *Machine) cancel(now time.Duration, t slab.Ticket) {
 	req, ok := m.requests.Get(t)
 	if !ok {
@@ -125,7 +124,7 @@
 	return verdict.Refused(verdict.Refusal{Check: "budget", Code: "budget_passed", Reason: "the inquiry's budget has passed", Status: 504, Ran: ran})
 }
 
-// dispatch authenticates a request, checks the node's term and the breaker, and routes the request
+// dispatch authenticates a request, checks the node's lease and the breaker, and routes the request
 // by its kind.
 func (m *Machine) dispatch(now time.Duration, req *requestState) {
 	request := &req.request
@@ -208,8 +207,8 @@
 	m.claimProgram(now, req, core.ClaimProgram{})
 }
 
-// claimProgram asks the cores who owns a program, and takes it over if its owner's membership has
-// ended.
+// claimProgram reads a program's owner from the cores, and takes the program over if the owner's
+// membership has ended.
 func (m *Machine) claimProgram(now time.Duration, req *requestState, proof core.ClaimProgram) {
 	claim := core.ClaimProgram{Tenant: req.tenant, ID: req.request.Program, Node: m.params.ID, Incarnation: m.incarnation, Address: m.params.Address,
 		EndedNode: proof.EndedNode, EndedIncarnation: proof.EndedIncarnation}
@@ -226,7 +225,7 @@
 		case !answer.Found:
 			m.refuse(req, denied("unknown_program", "no such program", 404))
 		case answer.Owned:
-			if _, there := m.programs[key]; !there {
+			if _, owned := m.programs[key]; !owned {
 				if claim.EndedNode != "" {
 					m.Counters.Takeovers++
 				}
@@ -243,12 +242,12 @@
 }
 
 // stepDeadline returns the deadline of one step of a request: the request's own, but no later than
-// a step's timeout, so that a fault is reported rather than waited out.
+// a step's timeout, so that a request fails early when the cores don't answer.
 func (m *Machine) stepDeadline(now time.Duration, req *requestState) time.Duration {
 	return min(req.deadline, now+m.stepTimeout())
 }
 
-// stepRetries is the timeout of a step, in retries of a command.
+// stepRetries is the timeout of a step, in attempt timeouts.
 const stepRetries = 12
 
 func (m *Machine) stepTimeout() time.Duration { return stepRetries * m.params.Core.AttemptTimeout }
--- a/peer/node/save.go
+++ b/peer/node/save.go
@@ -114,15 +114,15 @@
 func (m *Machine) tickPrograms(now time.Duration) {
 	for _, k := range ordered.Keys(m.programs) {
 		prog := m.programs[k]
-		var late, kept []saveWaiter
+		var late, waiting []saveWaiter
 		for _, w := range prog.waiters {
 			if now >= w.until {
 				late = append(late, w)
 			} else {
-				kept = append(kept, w)
+				waiting = append(waiting, w)
 			}
 		}
-		prog.waiters = kept
+		prog.waiters = waiting
 		for _, w := range late {
 			w.next(now, false)
 		}
--- a/peer/node/share.go
+++ b/peer/node/share.go
@@ -10,8 +10,8 @@
 	"saffronfall/rule/configuration"
 )
 
-// share is this node's share of an allowance that is used up: a tenant's tokens of the day, or the
-// spend budget.
+// share is this node's share of a consumable allowance: a tenant's tokens of the day, or the spend
+// budget.
 type share struct {
 	account   allowance.Account
 	reserved  int64
@@ -88,8 +88,8 @@
 	rs.fill(now, rate, burst)
 }
 
-// rateUnits returns the number of units that a rate is divided into. core.Chunk of them are the
-// fewest whose bucket can hold one request.
+// rateUnits returns the number of units that a rate is divided into. core.UnitsPerRequest
+// of them are the fewest whose bucket can hold one request.
 func rateUnits(burst int64) int64 { return burst * core.UnitsPerRequest }
 
 // rateShareOf returns this node's share of a tenant's ordinary or urgent rate, with that rate in
@@ -140,7 +140,7 @@
 
 // drawShare enlarges a share until need is free, then calls next. The argument answered tells
 // whether the result is a definite answer from the cores rather than a timeout.
-func (m *Machine) drawShare(now time.Duration, s *share, need, chunk int64, until time.Duration, ask func(target int64) any, next func(now time.Duration, ok, answered bool)) {
+func (m *Machine) drawShare(now time.Duration, s *share, need, chunk int64, until time.Duration, command func(target int64) any, next func(now time.Duration, ok, answered bool)) {
 	if s.free() >= need {
 		next(now, true, true)
 		return
@@ -148,7 +148,7 @@
 	s.pending += need
 	target := s.reserved + s.pending + chunk
 	incarnation := m.incarnation
-	m.caller.Call(now, ask(target), until, func(now time.Duration, o core.Outcome) {
+	m.caller.Call(now, command(target), until, func(now time.Duration, o core.Outcome) {
 		if incarnation != m.incarnation {
 			next(now, false, false)
 			return
@@ -209,19 +209,19 @@
 	m.reportShare(now, m.spendShare, m.spendPrefetchCommand, m.spendChunk())
 }
 
-// dayChunk is how many tokens a node holds in advance of need.
+// dayChunk is the number of tokens that a node holds in advance.
 func (m *Machine) dayChunk(tenant string) int64 {
 	return max(1, m.description.Tenants[tenant].DayTokens/4096)
 }
 
-// spendChunk is how many micro-dollars a node holds in advance of need.
+// spendChunk is the number of micro-dollars that a node holds in advance.
 func (m *Machine) spendChunk() int64 {
 	return max(1, configuration.MicroDollars(m.description.Breaker.MinuteDollars)/512)
 }
 
-// reportShare reports what was spent, returns unused share, and tops the share up so that the next
-// request finds it here.
-func (m *Machine) reportShare(now time.Duration, s *share, ask func(target int64) any, chunk int64) {
+// reportShare reports what was spent, returns what is unused, and draws the chunk that is held in
+// advance.
+func (m *Machine) reportShare(now time.Duration, s *share, command func(target int64) any, chunk int64) {
 	open := s == m.spendShare && (now < m.openUntil || m.breakerState != breaker.Closed)
 	idle := s.free() < chunk && !s.changed && !open
 	if s.reporting || now < s.reportAt || (idle && s.free() > 0) {
@@ -240,7 +240,7 @@
 	}
 	s.changed, s.reporting = false, true
 	incarnation := m.incarnation
-	m.caller.Call(now, ask(target), now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
+	m.caller.Call(now, command(target), now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		if incarnation == m.incarnation {
 			s.reporting = false
 			m.applyShare(now, s, o)
@@ -270,7 +270,7 @@
 		return false
 	}
 	if now >= rs.demandAt+m.params.ReportInterval {
-		// A report right after the last one carries no information on demand.
+		// A report right after the last one has too short an interval to measure demand.
 		rs.recent, rs.demand, rs.demandAt = (rs.recent+rs.demand*demandWeight)/2, 0, now
 	}
 	want := core.IdleWeight + rs.recent
@@ -285,19 +285,19 @@
 // reportRates reports the rates of a tenant that are due, in one command.
 func (m *Machine) reportRates(now time.Duration, tenant string) {
 	var due []bool
-	var ask core.DrawAllowances
+	var report core.DrawAllowances
 	for _, urgent := range []bool{false, true} {
 		if m.rateReportDue(now, tenant, urgent) {
 			rs, _, _ := m.rateShareOf(tenant, urgent)
 			due = append(due, urgent)
-			ask.Draws = append(ask.Draws, m.rateReport(tenant, urgent, rs.reportedDemand))
+			report.Draws = append(report.Draws, m.rateReport(tenant, urgent, rs.reportedDemand))
 		}
 	}
 	if len(due) == 0 {
 		return
 	}
 	incarnation := m.incarnation
-	m.caller.Call(now, ask, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
+	m.caller.Call(now, report, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		if incarnation != m.incarnation {
 			return
 		}
@@ -345,7 +345,7 @@
 	return max(m.params.Core.PullInterval, time.Duration((float64(len(rs.waiting)+1)-rs.tokens)/speed*float64(time.Second)))
 }
 
-// takeRate takes a place in a tenant's rate for one request, now or after a short wait.
+// takeRate takes a token of a tenant's rate for one request, now or after a short wait.
 func (m *Machine) takeRate(now time.Duration, tenant string, urgent bool, until time.Duration, next func(now time.Duration, ok bool, wait time.Duration)) {
 	rs, rate, burst := m.rateShareOf(tenant, urgent)
 	rs.demand++
--- a/peer/node/status.go
+++ b/peer/node/status.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Status returns the node's counts and holdings for operators. Its keys are part of the operator
-// interface.
+// Status returns the node's counters and shares for operators. Its keys are part of the operator
+// interface; in them, inquiries are requests, shots attempts, news updates, and terms leases.
 func (m *Machine) Status(now time.Duration) map[string]any {
 	c := m.Counters
 	refusals := map[string]int64{}
--- a/peer/node/turn.go
+++ b/peer/node/turn.go
@@ -14,8 +14,8 @@
 	"saffronfall/rule/verdict"
 )
 
-// attempt is the work of a request at a back end, with what it reserved of allowances. It may be
-// tried at several replicas, but runs at one at most.
+// attempt is the execution of a request at a back end, with its reservations. It may be tried at
+// several replicas, but runs at most once.
 type attempt struct {
 	req             *requestState
 	prog            *ownedProgram
@@ -178,7 +178,7 @@
 	m.cancelTurn(now, a)
 }
 
-// settle converts the reserved shares into spent ones. It acts once.
+// settle converts the reserved shares into spent ones. Later calls have no effect.
 func (a *attempt) settle(tokens, price int64) {
 	if a.dayShare != nil {
 		a.dayShare.settle(a.reservedTokens, tokens)
@@ -188,8 +188,8 @@
 }
 
 // persistReservation makes a turn's reservation durable: at the cores, with the user's day
-// charged, or, while the cores can't be reached, at all mirrors. In the second case the user's day
-// is charged later, and the turn is covered by what was charged in advance.
+// charged, or, while the cores can't be reached, at all mirrors. In the second case the tokens
+// charged in advance cover the turn, and the user's day is charged later.
 func (m *Machine) persistReservation(now time.Duration, a *attempt) {
 	req, prog := a.req, a.prog
 	decided, saved, charged, version := false, false, false, uint64(0)
@@ -227,7 +227,7 @@
 	m.timers.Add(m.stepDeadline(now, req), func(now time.Duration) { proceed(now, charged && saved) })
 }
 
-// admitAttempt takes a place in the tenant's rate, then starts the attempt.
+// admitAttempt waits for the tenant's rate limit, then starts the attempt.
 func (m *Machine) admitAttempt(now time.Duration, a *attempt) {
 	m.takeRate(now, a.req.tenant, m.description.Services[a.req.request.Service].Urgent, a.req.deadline, func(now time.Duration, ok bool, wait time.Duration) {
 		if a.req.done {
@@ -242,9 +242,8 @@
 	})
 }
 
-// startAttempt checks the term, the breaker, the key and the deadline, chooses a replica and
-// starts the attempt there, all in one step, so that nothing starts after a check has become
-// outdated.
+// startAttempt checks the lease, the breaker, the key and the deadline, chooses a replica and
+// starts the attempt there, all in one step, so that no check is outdated when the attempt starts.
 func (m *Machine) startAttempt(now time.Duration, a *attempt) {
 	req, service := a.req, a.req.request.Service
 	if !m.hasLease(now) || (a.fenced && a.prog.lost) {
@@ -353,7 +352,7 @@
 		m.Counters.NotRun++
 		m.recordFailure(now, h)
 		a.req.ran = verdict.NotExecuted
-		if len(a.triedReplicas) < 3 && !a.req.done {
+		if len(a.triedReplicas) < maxTriedReplicas && !a.req.done {
 			// Each replica tried counts against the tenant's rate.
 			m.admitAttempt(now, a)
 			return
@@ -374,11 +373,21 @@
 	}
 }
 
+// maxTriedReplicas bounds the replicas at which one attempt is tried.
+const maxTriedReplicas = 3
+
+// Outlier ejection: a replica with minEjectionFailures consecutive failures is ejected for one
+// AnnouncementMaxAge, and for one more with each further failure, up to maxEjectionAges.
+const (
+	minEjectionFailures = 3
+	maxEjectionAges     = 8
+)
+
 // recordFailure ejects a replica for a growing time after repeated failures.
 func (m *Machine) recordFailure(now time.Duration, h *replicaHealth) {
 	h.failures++
-	if h.failures >= 3 {
-		h.ejectedUntil = now + m.params.AnnouncementMaxAge*time.Duration(min(h.failures-2, 8))
+	if h.failures >= minEjectionFailures {
+		h.ejectedUntil = now + m.params.AnnouncementMaxAge*time.Duration(min(h.failures-minEjectionFailures+1, maxEjectionAges))
 	}
 }
 
--- a/peer/node/types.go
+++ b/peer/node/types.go
@@ -1,9 +1,9 @@
-// Package node implements the state machine of a data-plane node. A node owns programs under a
-// membership term, spends shares of allowances that the cores grant, and runs requests as attempts
-// at replicas of back-end services. Two invariants hold throughout: no attempt starts outside the
-// node's term, and an attempt starts only after its reservation or intent is durable, at the cores
-// or at all mirrors of its program. Machine does no input or output of its own; each step returns
-// an Output. Start reading at Machine.Submit and dispatch for requests, and at Machine.Receive for
+// Package node implements the state machine of a data-plane node. A node owns programs while it
+// has a membership lease, spends shares of allowances that the cores grant, and runs requests as
+// attempts at replicas of back-end services. Two invariants hold throughout: no attempt starts
+// without a valid lease, and an attempt starts only after its reservation or intent is durable, at
+// the cores or at all mirrors of its program. Machine does no input or output of its own; each step
+// returns an Output. Start reading at Machine.Submit and dispatch for requests, and at Machine.Receive for
 // messages between processes.
 package node
 
@@ -26,8 +26,8 @@
 	KindStatus = "look"
 )
 
-// Request is what a client asks for. OnceKey is its idempotency key, PreviousHead the head that
-// its turn follows.
+// Request is a client's request. OnceKey is its idempotency key, PreviousHead the head that its
+// turn follows.
 type Request struct {
 	Kind         string         `msgpack:"k"`
 	Key          string         `msgpack:"y"`
@@ -75,12 +75,12 @@
 
 // Messages between nodes.
 type (
-	// ForwardRequest passes a request to the owner of its program.
+	// ForwardRequest forwards a request to the owner of its program.
 	ForwardRequest struct {
 		ID      uint64  `msgpack:"i"`
 		Request Request `msgpack:"q"`
 	}
-	// CancelForward says that a forwarded request's client no longer waits.
+	// CancelForward cancels a forwarded request whose client no longer waits.
 	CancelForward struct {
 		ID uint64 `msgpack:"i"`
 	}
@@ -106,7 +106,7 @@
 	Frame  Frame
 }
 
-// StartAttempt asks for one attempt at a replica.
+// StartAttempt tells the caller to make one attempt at a replica.
 type StartAttempt struct {
 	Attempt uint64
 	Service string
--- a/peer/node/update.go
+++ b/peer/node/update.go
@@ -13,7 +13,7 @@
 	"saffronfall/rule/partition"
 )
 
-// pull asks the cores, and two random members, for updates of state and announcements.
+// pull requests updates of state and announcements from the cores and two random members.
 func (m *Machine) pull(now time.Duration) {
 	if now < m.pullAt {
 		return
@@ -24,20 +24,20 @@
 		versions[n] = v
 	}
 	m.pulls++
-	ask := core.PullUpdates{SentAt: now, Versions: versions, Member: m.params.ID, WantFreshness: m.freshAt < m.startedAt, WantTopology: m.pulls%8 == 1 || len(m.topology.Leaders) == 0}
+	request := core.PullUpdates{SentAt: now, Versions: versions, Member: m.params.ID, WantFreshness: m.freshAt < m.startedAt, WantTopology: m.pulls%8 == 1 || len(m.topology.Leaders) == 0}
 	targets := m.coreAddresses()
 	if len(targets) == 0 {
 		targets = m.params.Seeds
 	}
 	for _, to := range targets {
-		m.send(to, ask)
+		m.send(to, request)
 	}
 	// Pulling from two random members each time spreads an announcement to all
 	// nodes well before it expires.
 	others := m.others()
 	for i := 0; i < 2 && len(others) > 0; i++ {
 		chosen := int(m.random()*float64(len(others))) % len(others)
-		m.send(others[chosen], ask)
+		m.send(others[chosen], request)
 		others = append(others[:chosen], others[chosen+1:]...)
 	}
 }
@@ -71,9 +71,9 @@
 			m.topology.Cores[id] = c
 		}
 	}
-	for n, owner := range m.topology.Leaders {
+	for n, term := range m.topology.Leaders {
 		for _, c := range m.topology.Cores {
-			if c.MemberID() == owner.Leader {
+			if c.MemberID() == term.Leader {
 				m.caller.SetLeader(n, c.Peer)
 			}
 		}
@@ -87,7 +87,7 @@
 	}
 }
 
-// onPullUpdates answers another member's pull with what this node knows and the other lacks.
+// onPullUpdates answers another member's pull with the state and announcements that it lacks.
 func (m *Machine) onPullUpdates(now time.Duration, from string, b core.PullUpdates) {
 	if b.WantTopology && m.topology.Fleet != "" {
 		m.send(from, m.topology)
@@ -97,11 +97,11 @@
 		if !after.Less(upto) {
 			continue
 		}
-		news := core.Update{Partition: n, UpTo: upto, Snapshot: true}
+		update := core.Update{Partition: n, UpTo: upto, Snapshot: true}
 		for _, k := range ordered.Keys(m.entries[n]) {
-			news.Entries = append(news.Entries, m.entries[n][k])
+			update.Entries = append(update.Entries, m.entries[n][k])
 		}
-		m.send(from, news)
+		m.send(from, update)
 	}
 	m.sendAnnouncements(now, from, b.SentAt)
 }
