--- a/peer/core/caller.go
+++ b/peer/core/caller.go
@@ -44,7 +44,7 @@
 	// Attempts counts the attempts made.
 	Attempts int64
 	// unansweredSince is when the first command was sent since the last answer;
-	// unanswered tells whether one was.
+	// unanswered is set if there is such a command.
 	unansweredSince time.Duration
 	unanswered      bool
 }
--- a/peer/core/configuration.go
+++ b/peer/core/configuration.go
@@ -102,7 +102,7 @@
 	})
 }
 
-// collectSamples asks all members for their recent requests. Members that do not
+// collectSamples reads the recent requests of all members. Members that do not
 // answer in a quarter of a member lease are left out.
 func (m *Machine) collectSamples(now, until time.Duration, next func(now time.Duration, samples []rehearsal.Sample)) {
 	waiting := m.founding.Partitions
--- a/peer/core/doc.go
+++ b/peer/core/doc.go
@@ -17,7 +17,7 @@
 //   - A write to a program's record takes effect only under the record's current fence.
 //   - Configurations and routing tables replace only the version that they build on.
 //
-// The package does no I/O: Machine takes messages and the time, and returns what is to
-// be written and sent. Start reading at messages.go for the commands, at rules.go for
+// The package does no I/O: Machine takes messages and the time, and returns the changes
+// to write and the messages to send. Start reading at messages.go for the commands, at rules.go for
 // what they do, and at machine.go for the process that runs the partitions.
 package core
--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -305,6 +305,6 @@
 	return *m.out
 }
 
-// SetStalled tells the machine whether its disk is stalled. A core with a stalled
+// SetStalled sets whether the core's disk is stalled. A core with a stalled
 // disk gives up leadership of its partitions and is not a candidate in elections.
 func (m *Machine) SetStalled(stalled bool) { m.stalled = stalled }
--- a/peer/core/membership.go
+++ b/peer/core/membership.go
@@ -210,7 +210,7 @@
 	return *m.out
 }
 
-// awaitGroups asks the partitions' leaders for their groups until all of them
+// awaitGroups reads the groups from the partitions' leaders until all of them
 // satisfy settled, or until the deadline, and then answers the ticket.
 func (m *Machine) awaitGroups(now time.Duration, ticket uint64, until time.Duration, plan ChangeResult, settled func(n int, members []string) bool) {
 	waiting, settledCount := m.founding.Partitions, 0
--- a/peer/core/messages.go
+++ b/peer/core/messages.go
@@ -13,7 +13,7 @@
 
 // Commands to partitions and their results. Every command may be retried safely.
 type (
-	// JoinMember asks for the first lease of a member's incarnation.
+	// JoinMember requests the first lease of a member's incarnation.
 	JoinMember struct {
 		Member Member `msgpack:"Member"`
 	}
@@ -163,7 +163,7 @@
 		Recovery time.Duration `msgpack:"Recovery"`
 		Probes   int           `msgpack:"Tests"`
 	}
-	// AdmitProbe asks a half-open breaker to admit a probe.
+	// AdmitProbe requests the admission of a probe by a half-open breaker.
 	AdmitProbe struct {
 		Program string        `msgpack:"Program"`
 		Limits  BreakerLimits `msgpack:"Limits"`
@@ -346,7 +346,7 @@
 		To        string `msgpack:"To"`
 		Raw       []byte `msgpack:"Raw"`
 	}
-	// Command asks the leader of a partition to run the packed command Raw.
+	// Command is the request to a partition's leader to run the packed command Raw.
 	Command struct {
 		ID        uint64 `msgpack:"ID"`
 		Partition int    `msgpack:"Part"`
@@ -363,14 +363,14 @@
 		NotLeader  bool   `msgpack:"Moved"`
 		LeaderHint string `msgpack:"Hint"`
 	}
-	// PullUpdates asks a core for all entries that changed after the given versions in
+	// PullUpdates requests from a core all entries that changed after the given versions in
 	// the partitions that it leads.
 	PullUpdates struct {
 		Versions     map[int]partition.Version `msgpack:"Versions"`
 		Member       string                    `msgpack:"Member"`
 		WantTopology bool                      `msgpack:"Want"`
-		// WantFreshness asks the leader of the configuration partition for a
-		// Freshness.
+		// WantFreshness requests a Freshness from the leader of the configuration
+		// partition.
 		WantFreshness bool          `msgpack:"Fresh"`
 		SentAt        time.Duration `msgpack:"Sent"`
 	}
--- a/peer/core/messages_cores.go
+++ b/peer/core/messages_cores.go
@@ -22,7 +22,7 @@
 	// it belongs to a fleet.
 	AnnounceCore struct {
 		Core Core `msgpack:"Core"`
-		// MayFound says that the core may found a fleet.
+		// MayFound is set if the core may found a fleet.
 		MayFound bool `msgpack:"Cold"`
 		// Fleet is empty as long as the core belongs to none.
 		Fleet string `msgpack:"Fleet"`
@@ -40,8 +40,8 @@
 	RetireCore struct {
 		ID string `msgpack:"ID"`
 	}
-	// RetireCoreResult answers RetireCore: whether the core is known, whether enough
-	// others remain, and whether it is marked as retired.
+	// RetireCoreResult answers RetireCore. Found is set if the core is known,
+	// EnoughRemain if enough others are not retired, and Done if it is marked as retired.
 	RetireCoreResult struct {
 		Found        bool `msgpack:"Known"`
 		EnoughRemain bool `msgpack:"Enough"`
@@ -52,7 +52,7 @@
 	PutCoreRejected struct {
 		Core Core `msgpack:"Core"`
 	}
-	// ReadGroup asks a partition's leader for its committed group.
+	// ReadGroup requests the committed group from a partition's leader.
 	ReadGroup struct {
 		Partition int `msgpack:"Part"`
 	}
--- a/peer/core/messages_relay.go
+++ b/peer/core/messages_relay.go
@@ -14,7 +14,7 @@
 	// ReserveTurn reserves the most tokens that a turn may produce from its program's
 	// budget. Attempt is the node's unique ID of this reservation, not the requester's
 	// ID of the attempt: a repeated command must find its reservation, and two turns
-	// must not share one.
+	// must not have the same one.
 	ReserveTurn struct {
 		Tenant    string        `msgpack:"t"`
 		Program   string        `msgpack:"p"`
@@ -97,8 +97,8 @@
 		OK     bool   `msgpack:"o"`
 		Number uint64 `msgpack:"n"`
 	}
-	// FindOrder asks whether the order for a routing table was accepted. It is
-	// answered as AcceptTable is, and changes nothing.
+	// FindOrder looks up whether the order for a routing table was accepted. It is
+	// read-only and has the same result as AcceptTable.
 	FindOrder struct {
 		Base   uint64 `msgpack:"b"`
 		Number uint64 `msgpack:"n"`
--- a/peer/core/messages_samples.go
+++ b/peer/core/messages_samples.go
@@ -6,7 +6,7 @@
 
 // Messages that collect recent requests for rehearsals.
 type (
-	// ReadSamples asks a node for its recent requests.
+	// ReadSamples requests a node's recent requests for a rehearsal.
 	ReadSamples struct {
 		ID uint64 `msgpack:"ID"`
 	}
--- a/peer/core/orders_test.go
+++ b/peer/core/orders_test.go
@@ -72,8 +72,8 @@
 // TestOrderRecordsExpire checks that records of orders are deleted after their retention,
 // and that the table's entry does not grow with them.
 func TestOrderRecordsExpire(t *testing.T) {
-	const keep = 10 * time.Minute
-	a := newSingleCore(t, func(p *Params) { p.OrderRetention = keep })
+	const retention = 10 * time.Minute
+	a := newSingleCore(t, func(p *Params) { p.OrderRetention = retention })
 	size := func() int { return len(a.m.Partition(ConfigurationPartition).State().Entries[TableKey].Value) }
 	a.run(numberedTable(0, 1))
 	first := size()
@@ -95,7 +95,7 @@
 	if records() != 60 {
 		t.Fatalf("%d records of 60 orders", records())
 	}
-	a.advance(keep - time.Minute)
+	a.advance(retention - time.Minute)
 	if records() != 60 {
 		t.Fatalf("%d of 60 records are left before their retention ends", records())
 	}
--- a/peer/core/placement.go
+++ b/peer/core/placement.go
@@ -200,7 +200,7 @@
 }
 
 // detectPause restarts the observation of other cores' silence if this core itself
-// did not run for a while, because it then can't tell who was silent.
+// did not run for a while, because it received no messages in that time.
 func (m *Machine) detectPause(now time.Duration) {
 	if now-m.activeAt > m.silenceTimeout()/4 {
 		m.observedSince = now
--- a/peer/core/rules.go
+++ b/peer/core/rules.go
@@ -131,7 +131,7 @@
 		p.Fence++
 		p.Node, p.Incarnation, p.Address = c.Node, c.Incarnation, c.Address
 		p.ChargeRunning()
-		// The owner saved everything before it handed the program over.
+		// The owner saved all changes before the handover, so no mirror is needed.
 		p.Precharged, p.Mirrors, p.MirrorsFence = 0, nil, 0
 		write(tx, key, p)
 		return ProgramResult{Found: true}
--- a/peer/core/rules_relay_test.go
+++ b/peer/core/rules_relay_test.go
@@ -13,16 +13,16 @@
 // its retention, possibly extended, ends, and is deleted then.
 func TestStoredTurnExpires(t *testing.T) {
 	a := newSingleCore(t)
-	keep := 20 * time.Second
+	retention := 20 * time.Second
 	for i := 0; i < 20; i++ {
-		a.run(StoreTurn{Tenant: "t", Attempt: fmt.Sprint("k", i), Previous: []string{"x"}, Input: []byte("in"), Output: []byte("out"), Retention: keep})
+		a.run(StoreTurn{Tenant: "t", Attempt: fmt.Sprint("k", i), Previous: []string{"x"}, Input: []byte("in"), Output: []byte("out"), Retention: retention})
 	}
 	// A different turn under the same ID does not replace the first.
-	a.run(StoreTurn{Tenant: "t", Attempt: "k0", Input: []byte("other"), Retention: keep})
+	a.run(StoreTurn{Tenant: "t", Attempt: "k0", Input: []byte("other"), Retention: retention})
 	found := func(tenant, attempt string) ReadTurnResult {
 		return a.run(ReadTurn{Tenant: tenant, Attempt: attempt}).(ReadTurnResult)
 	}
-	if k := found("t", "k0"); !k.Found || string(k.Input) != "in" || string(k.Output) != "out" || len(k.Previous) != 1 || k.Remaining > keep {
+	if k := found("t", "k0"); !k.Found || string(k.Input) != "in" || string(k.Output) != "out" || len(k.Previous) != 1 || k.Remaining > retention {
 		t.Fatalf("%+v", k)
 	}
 	if found("other", "k0").Found || found("t", "none").Found {
@@ -32,10 +32,10 @@
 		t.Fatalf("absence of another tenant's turn: %q; of one never stored: %q", other, none)
 	}
 	a.advance(15 * time.Second)
-	if d := a.run(ExtendTurn{Tenant: "t", Attempt: "k1", Retention: keep}).(Done); !d.OK {
+	if d := a.run(ExtendTurn{Tenant: "t", Attempt: "k1", Retention: retention}).(Done); !d.OK {
 		t.Fatal("retention was not extended")
 	}
-	if a.run(ExtendTurn{Tenant: "other", Attempt: "k2", Retention: keep}).(Done).OK || a.run(ExtendTurn{Tenant: "t", Attempt: "none", Retention: keep}).(Done).OK {
+	if a.run(ExtendTurn{Tenant: "other", Attempt: "k2", Retention: retention}).(Done).OK || a.run(ExtendTurn{Tenant: "t", Attempt: "none", Retention: retention}).(Done).OK {
 		t.Fatal("extended a turn that is not stored for the tenant")
 	}
 	a.advance(4 * time.Second)
@@ -58,8 +58,8 @@
 	if left != 0 || found("t", "k1").Found {
 		t.Fatalf("%d stored turns are left after their retention", left)
 	}
-	if why := found("t", "k1").Absence; why != Expired {
-		t.Fatalf("absence of an expired turn: %q", why)
+	if absence := found("t", "k1").Absence; absence != Expired {
+		t.Fatalf("absence of an expired turn: %q", absence)
 	}
 }
 
@@ -109,7 +109,7 @@
 	if got := draw(rate.DrawRequest{Holder: "x", Want: 30}); got.Granted != 30 {
 		t.Fatalf("%+v", got)
 	}
-	// Restart the leader: what it held in memory only is lost.
+	// Restart the leader: its volatile state is lost.
 	replicas := map[int]partition.State{}
 	for number := 0; number < 4; number++ {
 		replicas[number] = a.m.Partition(number).State()
--- a/peer/core/stored.go
+++ b/peer/core/stored.go
@@ -4,7 +4,7 @@
 	"saffronfall/rule/partition"
 )
 
-// Stored is what a core's disk holds. Replicas are by partition.
+// Stored is the contents of a core's disk. Replicas are by partition number.
 type Stored struct {
 	Incarnation string                  `msgpack:"i"`
 	Founding    Founding                `msgpack:"f"`
--- a/peer/desk/disconnected_test.go
+++ b/peer/desk/disconnected_test.go
@@ -40,9 +40,9 @@
 }
 
 // TestDisconnectedDeskAnswersInTime checks that a desk without contact to a core answers each call
-// as undecided within 250 ms.
+// as uncertain within 250 ms.
 func TestDisconnectedDeskAnswersInTime(t *testing.T) {
-	const cut = 10 * time.Second
+	const disconnectedAt = 10 * time.Second
 	calls := map[string]func(m *Machine, now time.Duration) Output{
 		"order":         func(m *Machine, now time.Duration) Output { return m.Apply(now, 1, 0, table(3), "d") },
 		"read":          func(m *Machine, now time.Duration) Output { return m.Read(now, 1) },
@@ -51,9 +51,9 @@
 	}
 	for name, call := range calls {
 		for _, after := range []time.Duration{0, time.Second, 20 * time.Second} {
-			m := connectedDesk(t, cut)
-			now := cut
-			for ; now < cut+after; now += 5 * time.Millisecond {
+			m := connectedDesk(t, disconnectedAt)
+			now := disconnectedAt
+			for ; now < disconnectedAt+after; now += 5 * time.Millisecond {
 				m.Tick(now)
 			}
 			o := call(m, now)
--- a/peer/desk/reachability.go
+++ b/peer/desk/reachability.go
@@ -30,7 +30,7 @@
 	probe      reachabilityProbe
 }
 
-// reachabilityProbe lets a disconnected desk find out whether nodes receive its messages: it
+// reachabilityProbe checks whether nodes receive the messages of a disconnected desk: it
 // increments its version, and nodes report the version that they have when they renew.
 type reachabilityProbe struct {
 	nextAt time.Duration
--- a/peer/desk/retirement.go
+++ b/peer/desk/retirement.go
@@ -30,8 +30,8 @@
 	return *m.out
 }
 
-// RetirementStatus asks every partition whether a core is still a member of its group, old or
-// new. The ticket is answered with a RetirementStatus.
+// RetirementStatus reads from every partition whether a core is still a member of its current
+// or former group. The ticket is answered with a RetirementStatus.
 func (m *Machine) RetirementStatus(now time.Duration, ticket uint64, id string) Output {
 	m.out = &Output{}
 	remaining, uncertain, hasMember := len(m.topology.Leaders), false, false
--- a/peer/desk/types.go
+++ b/peer/desk/types.go
@@ -44,14 +44,14 @@
 
 // Messages between nodes and desks.
 type (
-	// Subscribe asks a desk for the changes since a version, and subscribes the sender to
-	// later ones. The subscription expires unless it is renewed.
+	// Subscribe requests the changes since a version from a desk, and subscribes the sender
+	// to later ones. The subscription expires unless it is renewed.
 	Subscribe struct {
 		Node string `msgpack:"n"`
 		// Incarnation is the desk's incarnation that Version belongs to.
 		Incarnation string `msgpack:"l"`
 		Version     uint64 `msgpack:"v"`
-		// Table is the number of the subscriber's newest table; zero asks for a full table.
+		// Table is the number of the subscriber's newest table; zero requests a full table.
 		// AcceptsDifferences is set if it can apply differences.
 		Table              uint64 `msgpack:"t"`
 		AcceptsDifferences bool   `msgpack:"p"`
@@ -77,7 +77,7 @@
 		NodeCount int            `msgpack:"o"`
 		Desks     []string       `msgpack:"d"`
 		Topology  *core.Topology `msgpack:"y"`
-		// RenewNow asks a node to renew its subscription at once, because a departing replica
+		// RenewNow tells a node to renew its subscription at once, because a departing replica
 		// waits until its departure is known outside this desk.
 		RenewNow bool `msgpack:"k,omitempty"`
 	}
--- a/peer/node/membership.go
+++ b/peer/node/membership.go
@@ -80,7 +80,7 @@
 	})
 }
 
-// reset begins a new incarnation: everything owned, held or run under the old one is dropped.
+// reset begins a new incarnation: the programs, shares and attempts of the old one are dropped.
 func (m *Machine) reset(now time.Duration) {
 	m.Counters.Resets++
 	m.formerCount++
--- a/peer/node/save.go
+++ b/peer/node/save.go
@@ -80,7 +80,7 @@
 	})
 }
 
-// completeSaves calls the waiters whose version is now held by the cores or by all mirrors.
+// completeSaves calls the waiters whose version the cores or all mirrors have.
 func (m *Machine) completeSaves(now time.Duration, prog *ownedProgram) {
 	ready := prog.waiters
 	prog.waiters = nil
@@ -102,7 +102,7 @@
 	return c
 }
 
-// failSaves tells all waiters that their version was not made durable.
+// failSaves calls all waiters with a failure, because their version is not durable.
 func (m *Machine) failSaves(now time.Duration, prog *ownedProgram) {
 	waiters := prog.waiters
 	prog.waiters = nil
--- a/peer/node/share.go
+++ b/peer/node/share.go
@@ -138,8 +138,8 @@
 // holderID names this node's current incarnation as a holder of shares.
 func (m *Machine) holderID() string { return m.params.ID + "/" + m.incarnation }
 
-// drawShare enlarges a share until need is free, then calls next. The argument answered tells
-// whether the result is a definite answer from the cores rather than a timeout.
+// drawShare enlarges a share until need is free, then calls next. Its argument
+// answered is false if the cores did not answer in time.
 func (m *Machine) drawShare(now time.Duration, s *share, need, chunk int64, until time.Duration, command func(target int64) any, next func(now time.Duration, ok, answered bool)) {
 	if s.free() >= need {
 		next(now, true, true)
--- a/peer/operator/client.go
+++ b/peer/operator/client.go
@@ -28,6 +28,7 @@
 	Reason string `json:"reason"`
 }
 
+// Error returns the code and the reason.
 func (r *ResponseError) Error() string { return r.Code + ": " + r.Reason }
 
 // NewResponseError returns the ResponseError of a response body; its code is "malformed" if the
--- a/peer/operator/handler.go
+++ b/peer/operator/handler.go
@@ -1,6 +1,6 @@
 // Package operator has the HTTP API that a core offers to operators, and the client that the
-// command line uses. All calls need the operator key. An error response says in "ran" whether the
-// request was executed ("no" or "maybe"), so that clients know when a retry is needed.
+// command line uses. All calls need the operator key. The field "ran" of an error response is
+// "no" or "maybe": whether the request was executed, so that clients know when a retry is needed.
 // Start reading at Handler and Client.
 package operator
 
--- a/peer/requester/requester_test.go
+++ b/peer/requester/requester_test.go
@@ -17,19 +17,19 @@
 )
 
 type backend struct {
-	pieces    []node.Frame
+	frames    []node.Frame
 	full      bool
 	submitted node.Request
 }
 
 func (b *backend) Submit(ctx context.Context, q node.Request) (<-chan node.Frame, bool) {
 	b.submitted = q
-	pieces := make(chan node.Frame, len(b.pieces))
-	for _, p := range b.pieces {
-		pieces <- p
+	frames := make(chan node.Frame, len(b.frames))
+	for _, frame := range b.frames {
+		frames <- frame
 	}
-	close(pieces)
-	return pieces, !b.full
+	close(frames)
+	return frames, !b.full
 }
 func (b *backend) Ready(context.Context) bool            { return true }
 func (b *backend) Counters(context.Context) (any, error) { return map[string]int{}, nil }
@@ -82,14 +82,14 @@
 	chunk := node.Frame{Kind: node.FrameChunk, Text: "a", Tokens: 1}
 	for _, c := range []struct {
 		name     string
-		pieces   []node.Frame
+		frames   []node.Frame
 		complete bool
 	}{
 		{"complete", []node.Frame{{Kind: node.FrameOpen}, chunk, {Kind: node.FrameClose, Tokens: 1, Head: "h", FinishReason: "complete"}}, true},
 		{"broken", []node.Frame{{Kind: node.FrameOpen}, chunk, {Kind: node.FrameAbort}}, false},
 		{"cut off", []node.Frame{{Kind: node.FrameOpen}, chunk}, false},
 	} {
-		server := httptest.NewServer(Handler(&backend{pieces: c.pieces}, 2000))
+		server := httptest.NewServer(Handler(&backend{frames: c.frames}, 2000))
 		r, _ := http.NewRequest("POST", server.URL+"/v1/programs/p/turns", strings.NewReader(`{"before":"start","say":"x","service":"model"}`))
 		r.Header.Set("Authorization", "Bearer k")
 		got, err := http.DefaultClient.Do(r)
@@ -106,7 +106,7 @@
 
 // TestRetryAfter: the header is rounded up to seconds, the body has milliseconds.
 func TestRetryAfter(t *testing.T) {
-	b := &backend{pieces: []node.Frame{{Kind: node.FrameVerdict, Status: 429, Verdict: verdict.Refused(verdict.Refusal{Check: "lockout", Code: "locked_out", RetryAfter: 1200 * time.Millisecond})}}}
+	b := &backend{frames: []node.Frame{{Kind: node.FrameVerdict, Status: 429, Verdict: verdict.Refused(verdict.Refusal{Check: "lockout", Code: "locked_out", RetryAfter: 1200 * time.Millisecond})}}}
 	w := request(b, "POST", "/v1/programs", "k", `{"user":"u","budget_ms":1500}`)
 	if w.Header().Get("Retry-After") != "2" || !strings.Contains(w.Body.String(), `"retry_after_ms":1200`) || b.submitted.Timeout != 1500*time.Millisecond {
 		t.Errorf("%v %s %v", w.Header(), w.Body, b.submitted.Timeout)
