--- a/peer/core/messages.go
+++ b/peer/core/messages.go
@@ -13,7 +13,7 @@
 
 // Commands to partitions and their results. Every command may be retried safely.
 type (
-	// JoinMember asks for the first lease of a member's incarnation.
+	// JoinMember requests the first lease of a member's incarnation.
 	JoinMember struct {
 		Member Member `msgpack:"Member"`
 	}
@@ -111,8 +111,8 @@
 
 	// DrawAllowance reports what a holder spent and returned of a tenant's allowance
 	// and draws up to Target. Kind is "day" for the daily tokens or names a rate.
-	// Ended lists holders whose incarnation has ended. A rate is drawn in whole
-	// requests of UnitsPerRequest.
+	// Ended lists holders whose incarnation has ended. A rate is drawn in multiples of
+	// UnitsPerRequest.
 	DrawAllowance struct {
 		Tenant          string   `msgpack:"Tenant"`
 		Kind            string   `msgpack:"Kind"`
@@ -145,14 +145,14 @@
 		Limits BreakerLimits `msgpack:"Description"`
 	}
 	// DrawResult answers DrawAllowance and DrawBreaker. Granted is the holder's total;
-	// it is zero if the holder has ended. Holders names all holders. Open and Left
-	// tell whether the breaker is open and for how long.
+	// it is zero if the holder has ended. Holders names all holders. Open and Remaining
+	// report whether the breaker is open and for how long.
 	DrawResult struct {
-		Granted int64         `msgpack:"Granted"`
-		Target  int64         `msgpack:"Target"`
-		Left    time.Duration `msgpack:"Left"`
-		Open    bool          `msgpack:"Open"`
-		Holders []string      `msgpack:"Others"`
+		Granted   int64         `msgpack:"Granted"`
+		Target    int64         `msgpack:"Target"`
+		Remaining time.Duration `msgpack:"Left"`
+		Open      bool          `msgpack:"Open"`
+		Holders   []string      `msgpack:"Others"`
 	}
 	// BreakerLimits are the breaker's thresholds in the configuration that the caller
 	// follows.
@@ -163,7 +163,7 @@
 		Recovery time.Duration `msgpack:"Recovery"`
 		Probes   int           `msgpack:"Tests"`
 	}
-	// AdmitProbe asks a half-open breaker to admit a probe.
+	// AdmitProbe requests the admission of a probe by a half-open breaker.
 	AdmitProbe struct {
 		Program string        `msgpack:"Program"`
 		Limits  BreakerLimits `msgpack:"Limits"`
@@ -176,9 +176,9 @@
 	}
 	// ProbeResult answers AdmitProbe and ReportProbe.
 	ProbeResult struct {
-		Number int           `msgpack:"Number"`
-		State  string        `msgpack:"State"`
-		Left   time.Duration `msgpack:"Left"`
+		Number    int           `msgpack:"Number"`
+		State     string        `msgpack:"State"`
+		Remaining time.Duration `msgpack:"Left"`
 	}
 
 	// ClaimOnce stores the intent to run a once-only action, before it runs. An
@@ -212,8 +212,8 @@
 		Until  time.Duration `msgpack:"u"`
 	}
 
-	// ReadLockedUsers lists the users of a partition that are locked out, those whose
-	// lockout ends first first, at most maxLockedUsers.
+	// ReadLockedUsers lists the users of a partition that are locked out, in the order
+	// in which the lockouts end, at most maxLockedUsers.
 	ReadLockedUsers struct {
 		Partition int `msgpack:"Part"`
 	}
@@ -223,8 +223,8 @@
 	}
 	// LockedUser is a user that is locked out, and for how much longer.
 	LockedUser struct {
-		Name string        `json:"user" msgpack:"Name"`
-		Left time.Duration `json:"left" msgpack:"Left"`
+		Name      string        `json:"user" msgpack:"Name"`
+		Remaining time.Duration `json:"left" msgpack:"Left"`
 	}
 	// ReadEntries lists the entries of a partition whose keys have a prefix.
 	ReadEntries struct {
@@ -286,11 +286,11 @@
 	Version     uint64 `msgpack:"v" json:"version"`
 	Ended       bool   `msgpack:"e" json:"ended"`
 	Leaving     bool   `msgpack:"l" json:"leaving"`
-	// Host can be held by only one process at a time. Another process with the same
-	// one proves that the earlier one has ended.
+	// Host is a resource that only one process at a time can hold. A later process with
+	// the same Host proves that the earlier one has ended.
 	Host string `msgpack:"o" json:"-"`
-	// PastIncarnations have all ended. One that is neither here nor the present one is
-	// not known to have ended: this copy of the entry may be older than it.
+	// PastIncarnations have all ended. Any other incarnation but the current one is not
+	// known to have ended, because this copy of the entry may be older.
 	PastIncarnations []string `msgpack:"a" json:"-"`
 }
 
@@ -346,7 +346,7 @@
 		To        string `msgpack:"To"`
 		Raw       []byte `msgpack:"Raw"`
 	}
-	// Command asks the leader of a partition to run the packed command Raw.
+	// Command is the request to a partition's leader to run the packed command Raw.
 	Command struct {
 		ID        uint64 `msgpack:"ID"`
 		Partition int    `msgpack:"Part"`
@@ -363,20 +363,20 @@
 		NotLeader  bool   `msgpack:"Moved"`
 		LeaderHint string `msgpack:"Hint"`
 	}
-	// PullUpdates asks a core for all entries that changed after the given versions in
+	// PullUpdates requests from a core all entries that changed after the given versions in
 	// the partitions that it leads.
 	PullUpdates struct {
 		Versions     map[int]partition.Version `msgpack:"Versions"`
 		Member       string                    `msgpack:"Member"`
 		WantTopology bool                      `msgpack:"Want"`
-		// WantFreshness asks the leader of the configuration partition for a
-		// Freshness.
+		// WantFreshness requests a Freshness from the leader of the configuration
+		// partition.
 		WantFreshness bool          `msgpack:"Fresh"`
 		SentAt        time.Duration `msgpack:"Sent"`
 	}
-	// Freshness tells up to which version the configuration partition has committed,
-	// as known at Age before SentAt, when the pull was sent by the puller's clock. It
-	// lets a new incarnation of a node know that it has missed no configuration.
+	// Freshness is the version that the configuration partition has committed, as of
+	// SentAt minus Age; SentAt is when the pull was sent, by the puller's clock. A node
+	// with this version has missed no configuration.
 	Freshness struct {
 		SentAt time.Duration     `msgpack:"Sent"`
 		Age    time.Duration     `msgpack:"Age"`
@@ -416,7 +416,7 @@
 	supersededPrefix  = "outlived/" // incarnations of cores
 	memberPrefix      = "member/"
 	programPrefix     = "program/"
-	pastPrefix        = "past/" // tombstones of deleted programs
+	tombstonePrefix   = "past/" // tombstones of deleted programs
 	userPrefix        = "user/"
 	allowancePrefix   = "tenant/"
 	oncePrefix        = "once/"
--- a/peer/core/placement.go
+++ b/peer/core/placement.go
@@ -15,7 +15,7 @@
 // spread over zones and cores as evenly as possible, and so are the homes, the
 // first members. The result depends only on the set of cores, and changes little
 // when a core is added or removed (rendezvous hashing, followed by balancing).
-// Retired cores get no replicas, silent ones only where too few others remain.
+// Retired cores get no replicas, and silent ones only if there are too few others.
 func Place(partitions, size int, cores []Core, silent map[string]bool) [][]string {
 	var present, absent []Core
 	for _, c := range cores {
@@ -168,8 +168,8 @@
 
 // silenceTimeout is the time without a message after which a core counts as silent.
 func (m *Machine) silenceTimeout() time.Duration {
-	if m.params.GoneAfter > 0 {
-		return m.params.GoneAfter
+	if m.params.SilenceTimeout > 0 {
+		return m.params.SilenceTimeout
 	}
 	return 3 * m.params.MemberLease
 }
@@ -200,7 +200,7 @@
 }
 
 // detectPause restarts the observation of other cores' silence if this core itself
-// did not run for a while, because it then can't tell who was silent.
+// did not run for a while, because it received no messages in that time.
 func (m *Machine) detectPause(now time.Duration) {
 	if now-m.activeAt > m.silenceTimeout()/4 {
 		m.observedSince = now
@@ -229,9 +229,9 @@
 	return silent
 }
 
-// recentlyHeard reports whether a message of a member arrived within the last three
+// hasRecentContact reports whether a message from a member arrived within the last three
 // heartbeat intervals.
-func (m *Machine) recentlyHeard(now time.Duration, member string) bool {
+func (m *Machine) hasRecentContact(now time.Duration, member string) bool {
 	c, ok := m.contacts[member]
 	return member == m.self.MemberID() || (ok && now-c.last < 3*m.heartbeatInterval())
 }
@@ -241,7 +241,7 @@
 	memberSuperseded = iota
 	memberRetired
 	memberSilent
-	memberSurplus
+	memberUnplaced
 	memberStays
 )
 
@@ -257,7 +257,7 @@
 	case m.silent(now, member):
 		return memberSilent
 	case !slices.Contains(wanted, member):
-		return memberSurplus
+		return memberUnplaced
 	}
 	return memberStays
 }
@@ -288,7 +288,7 @@
 			continue
 		}
 		if adding, changing := p.ChangeInProgress(); changing {
-			if adding != "" && (!m.recentlyHeard(now, adding) || m.removalUrgency(now, adding, nil) < memberSilent) {
+			if adding != "" && (!m.hasRecentContact(now, adding) || m.removalUrgency(now, adding, nil) < memberSilent) {
 				m.handleOutput(now, n, p.AbortChange(now))
 			}
 			continue
@@ -296,8 +296,8 @@
 		if now < m.nextChangeAt[n] || m.draining || m.stalled {
 			continue
 		}
-		agreed, _ := p.CommittedGroup()
-		group, wanted := agreed.Members, m.desiredGroups(now)[n]
+		committed, _ := p.CommittedGroup()
+		group, wanted := committed.Members, m.desiredGroups(now)[n]
 		add, remove := m.nextChange(now, group, wanted)
 		switch {
 		case add != "" || remove != "":
@@ -307,7 +307,7 @@
 				}
 			}})
 			m.handleOutput(now, n, p.ChangeMembers(now, uint64(ticket), add, remove))
-		case len(wanted) > 0 && wanted[0] != group[0] && slices.Contains(group, wanted[0]) && m.recentlyHeard(now, wanted[0]):
+		case len(wanted) > 0 && wanted[0] != group[0] && slices.Contains(group, wanted[0]) && m.hasRecentContact(now, wanted[0]):
 			i := slices.Index(group, wanted[0])
 			m.handleOutput(now, n, p.ReorderMembers(now, append([]string{wanted[0]}, slices.Delete(slices.Clone(group), i, i+1)...)))
 		}
@@ -323,10 +323,10 @@
 		if u := m.removalUrgency(now, s, wanted); u < urgency {
 			urgency, remove = u, s
 		}
-		healthy = healthy && m.recentlyHeard(now, s)
+		healthy = healthy && m.hasRecentContact(now, s)
 	}
 	for _, s := range wanted {
-		if !slices.Contains(group, s) && m.recentlyHeard(now, s) && (add == "" || CoreID(s) == CoreID(remove)) {
+		if !slices.Contains(group, s) && m.hasRecentContact(now, s) && (add == "" || CoreID(s) == CoreID(remove)) {
 			add = s
 		}
 	}
@@ -337,7 +337,7 @@
 		return "", ""
 	case len(group) < size && urgency > memberSuperseded:
 		return add, ""
-	case urgency == memberStays, urgency == memberSurplus && !healthy:
+	case urgency == memberStays, urgency == memberUnplaced && !healthy:
 		return "", ""
 	}
 	return add, remove
--- a/peer/core/rules.go
+++ b/peer/core/rules.go
@@ -11,12 +11,11 @@
 	"saffronfall/rule/rate"
 )
 
-// UnitsPerRequest is how many units of a tenant's rate one request takes from a
-// bucket.
+// UnitsPerRequest is the number of units of a tenant's rate that one request uses.
 const UnitsPerRequest = 16
 
-// IdleWeight is the weight in requests of a node that gets no requests of a tenant, so
-// that it holds a share of the rate in advance.
+// IdleWeight is the demand, in requests, that a node without requests of a tenant counts
+// with, so that it holds a share of the rate in advance.
 const IdleWeight = 32
 
 // Params set the control plane's timing; other durations are ratios of these.
@@ -24,13 +23,13 @@
 	Partition partition.Params
 	// MemberLease is how long a membership lasts without a renewal.
 	MemberLease time.Duration
-	// AttemptTimeout is how long one attempt at a command may take.
+	// AttemptTimeout is the time without an answer after which a command is retried.
 	AttemptTimeout time.Duration
 	// PullInterval is how often updates are pulled.
 	PullInterval time.Duration
-	// GoneAfter is how long a core may be silent before its places in groups go to
-	// others; zero means three member leases.
-	GoneAfter time.Duration
+	// SilenceTimeout is how long a core may be silent before other cores replace it in its
+	// groups; zero means three member leases.
+	SilenceTimeout time.Duration
 	// ColdStart allows a core with an empty data folder to found a fleet.
 	ColdStart bool
 	// OrderRetention is how long the record of an accepted order is kept; zero means
@@ -39,11 +38,11 @@
 }
 
 // rules runs the commands of one partition on its leader. Fields other than params
-// hold what the leader knows since its election and are lost with its leadership.
+// are the leader's volatile state: they start empty when it is elected.
 type rules struct {
 	params Params
-	// fleet returns the known cores, in a map that the caller may change, and how many
-	// must remain.
+	// fleet returns the known cores, in a map that the caller may change, and the minimum
+	// number of cores that are not retired.
 	fleet func() (map[string]Core, int)
 	// renewedAt is when each member's lease was last renewed, by the leader's clock;
 	// memberVersions is the configuration version that it followed then.
@@ -58,8 +57,8 @@
 	expired *recentKeys
 }
 
-// Elected resets the leader's memory. It counts all leases from now, as an earlier
-// leader may have renewed them until its term ended.
+// Elected resets the volatile state. All leases count from now, because an earlier leader
+// may have renewed them until its term ended.
 func (r *rules) Elected(now time.Duration, tx *partition.Tx) {
 	r.renewedAt, r.memberVersions = map[string]time.Duration{}, map[string]uint64{}
 	r.electedAt = now
@@ -135,7 +134,7 @@
 		p.Fence++
 		p.Node, p.Incarnation, p.Address = c.Node, c.Incarnation, c.Address
 		p.ChargeRunning()
-		// The owner saved everything before it handed the program over.
+		// The owner saved all changes before the handover, so no mirror is needed.
 		p.Precharged, p.Mirrors, p.MirrorsFence = 0, nil, 0
 		write(tx, key, p)
 		return ProgramResult{Found: true}
@@ -153,7 +152,7 @@
 		b, before := r.loadBreaker(tx)
 		number := b.IssueProbe(tx.Clock(), c.Program, c.Limits.params())
 		r.saveBreaker(tx, b, before)
-		return ProbeResult{Number: number, State: string(b.State), Left: b.RecoveryLeft(tx.Clock(), c.Limits.params())}
+		return ProbeResult{Number: number, State: string(b.State), Remaining: b.RecoveryLeft(tx.Clock(), c.Limits.params())}
 	case ReportProbe:
 		b, before := r.loadBreaker(tx)
 		b.RecordResult(tx.Clock(), c.Program, c.Succeeded, c.Limits.params())
--- a/peer/core/turns.go
+++ b/peer/core/turns.go
@@ -25,7 +25,7 @@
 // recentKeysMax bounds recentKeys.
 const recentKeysMax = 4096
 
-// recentKeys holds hashes of the keys that were added last.
+// recentKeys is a set of the hashes of the last recentKeysMax keys that were added.
 type recentKeys struct {
 	seed   maphash.Seed
 	hashes map[uint64]bool
@@ -99,10 +99,10 @@
 	if !ok {
 		return ReadTurnResult{Absence: r.absenceReason(tx, c)}
 	}
-	return ReadTurnResult{Found: true, Previous: t.Previous, Input: t.Input, Output: t.Output, Left: t.Until - tx.Clock()}
+	return ReadTurnResult{Found: true, Previous: t.Previous, Input: t.Input, Output: t.Output, Remaining: t.Until - tx.Clock()}
 }
 
-// absenceReason tells why a turn is not stored, as far as this leader knows.
+// absenceReason returns why a turn is not stored, as far as this leader knows.
 func (r *rules) absenceReason(tx *partition.Tx, c ReadTurn) Absence {
 	keys := turnKeys(c.Tenant, c.Attempt)
 	if _, taken := read[storedTurn](tx, keys[0]); taken {
--- a/peer/desk/handler.go
+++ b/peer/desk/handler.go
@@ -14,8 +14,8 @@
 	"saffronfall/rule/route"
 )
 
-// API has the calls of replicas and operators to a desk. Errors of Heartbeat and Leave tell
-// the replica to report to another desk.
+// API is the interface of a desk to replicas and operators. After an error of Heartbeat or
+// Leave the replica should report to another desk.
 type API interface {
 	Heartbeat(ctx context.Context, r Replica) error
 	Leave(ctx context.Context, id string) error
@@ -53,8 +53,8 @@
 // writeOrderResult writes the response to an operator's order.
 func writeOrderResult(w http.ResponseWriter, result OrderResult, err error) {
 	switch {
-	case err != nil || result.Unsure:
-		operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "hand the same order over again to find out", Executed: "maybe"})
+	case err != nil || result.Uncertain:
+		operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "the outcome is unknown; send the same request again to find out", Executed: "maybe"})
 	case result.Faults != nil:
 		operator.WriteJSON(w, http.StatusBadRequest, result)
 	case result.RaceLost:
@@ -110,7 +110,7 @@
 			return func(w http.ResponseWriter, r *http.Request) {
 				status, err := call(r.Context(), r.PathValue("id"))
 				switch {
-				case err != nil || status.Unsure:
+				case err != nil || status.Uncertain:
 					operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "the cores did not answer", Executed: "maybe"})
 				case !status.Known:
 					operator.WriteJSON(w, http.StatusNotFound, operator.ErrorResponse{Code: "unknown_core", Reason: "no core has this name", Executed: "no"})
@@ -152,7 +152,7 @@
 	return mux
 }
 
-// writeAck writes the response to a replica; "heard" says that its report was accepted.
+// writeAck writes the response to a replica's report; "heard" means that it was accepted.
 func writeAck(w http.ResponseWriter, err error) {
 	if err != nil {
 		operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
--- a/peer/desk/loads.go
+++ b/peer/desk/loads.go
@@ -82,12 +82,12 @@
 // outstanding requests reports more often.
 const reportRetention = 4
 
-// ReplicaOrder returns the sorted ids of the replicas that are not gone. Load messages
+// ReplicaOrder returns the sorted ids of the replicas that are not removed. Load messages
 // identify replicas by their index in it.
-func ReplicaOrder[L any](replicas map[string]L, isGone func(L) bool) []string {
+func ReplicaOrder[L any](replicas map[string]L, isRemoved func(L) bool) []string {
 	var order []string
 	for _, id := range ordered.Keys(replicas) {
-		if !isGone(replicas[id]) {
+		if !isRemoved(replicas[id]) {
 			order = append(order, id)
 		}
 	}
@@ -96,7 +96,7 @@
 
 func (m *Machine) currentOrder() []string {
 	if m.loads.orderVersion != m.version || m.loads.order == nil {
-		m.loads.order = ReplicaOrder(m.replicas, func(entry *trackedReplica) bool { return entry.Gone })
+		m.loads.order = ReplicaOrder(m.replicas, func(entry *trackedReplica) bool { return entry.Removed })
 		m.loads.orderVersion = m.version
 	}
 	return m.loads.order
@@ -183,7 +183,7 @@
 	return summary
 }
 
-// dropUnlistedRecords drops the histories of replicas that are no longer listed.
+// dropUnlistedHistories drops the histories of replicas that are no longer listed.
 func (m *Machine) dropUnlistedHistories() {
 	for id := range m.loads.histories {
 		if _, known := m.replicas[id]; !known {
--- a/peer/desk/machine.go
+++ b/peer/desk/machine.go
@@ -65,7 +65,7 @@
 	saved savedPeers
 }
 
-// New returns a desk that has subscribed to nobody yet.
+// New returns a desk without subscriptions to other desks.
 func New(o Options) *Machine {
 	m := &Machine{params: o.Params, deskID: o.ID, incarnation: o.Incarnation, address: o.Address, seeds: o.Seeds, foundsFleet: o.FoundsFleet, random: o.Random,
 		deskCursors: map[string]deskCursor{}, replicas: map[string]*trackedReplica{}, subscribers: map[string]*subscriber{}, reachability: reachability{pending: map[uint64]pendingCall{}}, desks: map[string]time.Duration{o.Address: o.Now},
@@ -74,7 +74,7 @@
 	for _, l := range o.KnownReplicas {
 		m.version++
 		l.Version = m.version
-		m.replicas[l.Replica.ID] = &trackedReplica{ReplicaEntry: l, lastHeard: o.Now - (missedHeartbeats-2)*o.Params.HeartbeatInterval}
+		m.replicas[l.Replica.ID] = &trackedReplica{ReplicaEntry: l, lastSeen: o.Now - (missedHeartbeats-2)*o.Params.HeartbeatInterval}
 	}
 	if o.KnownPeers != nil {
 		m.restorePeers(*o.KnownPeers)
@@ -109,7 +109,7 @@
 	case LoadReport:
 		m.onLoadReport(now, from, b)
 	case core.AnnounceCore:
-		m.onPresent(now, from, b)
+		m.onAnnounceCore(now, from, b)
 	case core.Topology:
 		m.mergeTopology(now, b)
 	case core.Update:
@@ -162,11 +162,11 @@
 
 // Times in heartbeat intervals.
 const (
-	// missedHeartbeats is the time without a heartbeat after which a replica counts as gone.
+	// missedHeartbeats is the time without a heartbeat after which a replica is removed.
 	missedHeartbeats = 4
-	// goneRetention is the time since the last heartbeat for which a gone replica stays
-	// listed.
-	goneRetention = 20 * missedHeartbeats
+	// removedRetention is the time since the last heartbeat for which a removed replica
+	// stays listed.
+	removedRetention = 20 * missedHeartbeats
 	// deskRetention is the time for which a silent desk is remembered.
 	deskRetention = 10 * missedHeartbeats
 )
@@ -175,32 +175,33 @@
 // renewed.
 const subscribePulls = 2
 
-// expireReplicas marks silent replicas as gone, and drops old entries, subscribers and desks.
+// expireReplicas marks silent replicas as removed, and drops expired entries, subscribers and
+// desks.
 func (m *Machine) expireReplicas(now time.Duration) {
 	for _, id := range ordered.Keys(m.replicas) {
 		entry := m.replicas[id]
 		switch {
-		case !entry.Gone && now > entry.lastHeard+missedHeartbeats*m.params.HeartbeatInterval:
-			entry.Gone = true
+		case !entry.Removed && now > entry.lastSeen+missedHeartbeats*m.params.HeartbeatInterval:
+			entry.Removed = true
 			m.recordChange(now, entry)
-		case entry.Gone && now > entry.lastHeard+goneRetention*m.params.HeartbeatInterval:
+		case entry.Removed && now > entry.lastSeen+removedRetention*m.params.HeartbeatInterval:
 			delete(m.replicas, id)
 		}
 	}
 	for address, s := range m.subscribers {
-		if now > s.lastHeard+nodeRetention*m.params.HeartbeatInterval {
+		if now > s.lastSeen+nodeRetention*m.params.HeartbeatInterval {
 			delete(m.subscribers, address)
 		}
 	}
-	for address, lastHeard := range m.desks {
-		if address != m.address && now > lastHeard+deskRetention*m.params.HeartbeatInterval {
+	for address, lastSeen := range m.desks {
+		if address != m.address && now > lastSeen+deskRetention*m.params.HeartbeatInterval {
 			delete(m.desks, address)
 			delete(m.deskCursors, address)
 		}
 	}
 }
 
-// TableNumber returns the number of the newest agreed table that this desk knows; zero if none.
+// TableNumber returns the number of the newest accepted table that this desk knows; zero if none.
 func (m *Machine) TableNumber() uint64 { return m.table.number() }
 
 // Ready reports whether this desk knows the leaders of a founded fleet.
--- a/peer/desk/retirement.go
+++ b/peer/desk/retirement.go
@@ -9,8 +9,8 @@
 
 // RetirementStatus reports how far the retirement of a core is.
 type RetirementStatus struct {
-	// Unsure is set if the cores gave no answer.
-	Unsure bool `json:"unsure"`
+	// Uncertain is set if the cores gave no answer.
+	Uncertain bool `json:"unsure"`
 	// Known is set if a core has this id, EnoughCores if enough other cores remain.
 	Known       bool `json:"known"`
 	EnoughCores bool `json:"enough"`
@@ -18,38 +18,38 @@
 	Done bool `json:"done"`
 }
 
-// Retire starts the retirement of a core: it becomes a member of no further group. The ticket
+// Retire starts the retirement of a core, which then joins no further groups. The ticket
 // is answered with a RetirementStatus.
 func (m *Machine) Retire(now time.Duration, ticket uint64, id string) Output {
 	m.out = &Output{}
-	m.addPending(now, ticket, RetirementStatus{Unsure: true})
+	m.addPending(now, ticket, RetirementStatus{Uncertain: true})
 	m.caller.Call(now, core.RetireCore{ID: id}, now+m.params.OperationTimeout, func(now time.Duration, o core.Outcome) {
 		retiring, ok := o.Answer.(core.RetireCoreResult)
-		m.resolve(ticket, RetirementStatus{Unsure: !ok, Known: retiring.Found, EnoughCores: retiring.EnoughRemain})
+		m.resolve(ticket, RetirementStatus{Uncertain: !ok, Known: retiring.Found, EnoughCores: retiring.EnoughRemain})
 	})
 	return *m.out
 }
 
-// RetirementStatus asks every partition whether a core is still a member of its group, old or
-// new. The ticket is answered with a RetirementStatus.
+// RetirementStatus reads from every partition whether a core is still a member of its current
+// or former group. The ticket is answered with a RetirementStatus.
 func (m *Machine) RetirementStatus(now time.Duration, ticket uint64, id string) Output {
 	m.out = &Output{}
-	remaining, unsure, hasMember := len(m.topology.Leaders), false, false
+	remaining, uncertain, hasMember := len(m.topology.Leaders), false, false
 	if remaining == 0 {
-		m.addAnswer(ticket, RetirementStatus{Unsure: true})
+		m.addAnswer(ticket, RetirementStatus{Uncertain: true})
 		return *m.out
 	}
-	m.addPending(now, ticket, RetirementStatus{Unsure: true})
+	m.addPending(now, ticket, RetirementStatus{Uncertain: true})
 	for n := range m.topology.Leaders {
 		m.caller.Call(now, core.ReadGroup{Partition: n}, now+m.params.OperationTimeout, func(now time.Duration, o core.Outcome) {
 			members, ok := o.Answer.(core.GroupMembers)
-			unsure = unsure || !ok
+			uncertain = uncertain || !ok
 			for _, member := range append(slices.Clone(members.Members), members.Former...) {
 				hasMember = hasMember || core.CoreID(member) == id
 			}
 			if remaining--; remaining == 0 {
 				known, ok := m.topology.Cores[id]
-				m.resolve(ticket, RetirementStatus{Unsure: unsure, Known: ok, Done: !unsure && !hasMember && known.Retired})
+				m.resolve(ticket, RetirementStatus{Uncertain: uncertain, Known: ok, Done: !uncertain && !hasMember && known.Retired})
 			}
 		})
 	}
--- a/peer/desk/subscribers.go
+++ b/peer/desk/subscribers.go
@@ -6,27 +6,27 @@
 	"saffronfall/rule/ordered"
 )
 
-// subscriber is a node or another desk. version, table and topologyVersion are the newest that it
-// has, or will have once it receives what was sent to it.
+// subscriber is a node or another desk. version, table and topologyVersion include what was sent
+// to it but not confirmed yet.
 type subscriber struct {
 	incarnation        string
 	version            uint64
 	table              uint64
 	acceptsDifferences bool
 	topologyVersion    uint64
-	lastHeard          time.Duration
+	lastSeen           time.Duration
 	isDesk             bool
-	// confirmedVersion is the version that it confirmed of this incarnation's list.
+	// confirmedVersion is the version of this incarnation's list that it confirmed.
 	confirmedVersion uint64
 }
 
 // isSubscribed reports whether a subscription has not expired.
 func (m *Machine) isSubscribed(now time.Duration, s *subscriber) bool {
-	return now <= s.lastHeard+missedHeartbeats*m.params.HeartbeatInterval
+	return now <= s.lastSeen+missedHeartbeats*m.params.HeartbeatInterval
 }
 
 // isActive reports whether a subscriber renewed within the last heartbeat interval.
-func (s *subscriber) isActive(now, interval time.Duration) bool { return now <= s.lastHeard+interval }
+func (s *subscriber) isActive(now, interval time.Duration) bool { return now <= s.lastSeen+interval }
 
 // notifyAll sends all subscribers what they lack.
 func (m *Machine) notifyAll(now time.Duration) {
@@ -37,8 +37,8 @@
 	}
 }
 
-// sendUpdate sends a subscriber what it lacks; with always, even if that is nothing. What was
-// sent counts as received until the next renewal says otherwise.
+// sendUpdate sends a subscriber what it lacks; with always, even if that is nothing. The update
+// counts as received until a renewal of the subscription reports an older version.
 func (m *Machine) sendUpdate(now time.Duration, to string, s *subscriber, always bool) {
 	update := Update{Incarnation: m.incarnation, Since: s.version, Version: m.version, TableNumber: m.table.number(), TableDigest: m.table.digestOrEmpty(), ConfirmationAge: -1, NodeCount: m.nodeCount(now)}
 	if m.lastConfirmed >= 0 {
@@ -102,7 +102,7 @@
 		s = &subscriber{}
 		m.subscribers[from] = s
 	}
-	s.lastHeard, s.isDesk = now, request.IsDesk
+	s.lastSeen, s.isDesk = now, request.IsDesk
 	s.incarnation, s.version, s.table, s.acceptsDifferences = request.Incarnation, request.Version, request.Table, request.AcceptsDifferences
 	s.confirmedVersion = request.Version
 	if request.Incarnation != m.incarnation {
@@ -151,7 +151,7 @@
 	m.addSend(to, Subscribe{Node: m.deskID, Table: m.table.number(), AcceptsDifferences: true, IsDesk: true, Incarnation: cursor.incarnation, Version: cursor.version})
 }
 
-// learnDesk records the address of a desk that was heard from or reported by another.
+// learnDesk records the address of a desk that sent a message or was reported by another.
 func (m *Machine) learnDesk(now time.Duration, address string) {
 	if _, ok := m.desks[address]; !ok {
 		m.topologyVersion++
--- a/peer/desk/types.go
+++ b/peer/desk/types.go
@@ -4,8 +4,8 @@
 //
 // A Machine does no I/O and reads no clock: Receive, Tick and the API methods take the
 // current time and return an Output that the process carries out. Durable state belongs to
-// the cores. A desk saves only its replica list and peer addresses, as a start-up aid. A
-// replica's departure is acknowledged once other processes have it, so that it survives the
+// the cores. A desk saves only its replica list and peer addresses, to use after a restart. A
+// replica's departure is acknowledged once other processes know it, so that it survives the
 // loss of this desk. Start reading at Machine.Receive and Machine.Tick.
 package desk
 
@@ -25,17 +25,17 @@
 	Zone    string `msgpack:"z" json:"zone"`
 	Slots   int64  `msgpack:"l" json:"slots"`
 	Leaving bool   `msgpack:"g" json:"leaving"`
-	// WarmupRemaining is the rest of the time after its start in which it is slow.
+	// WarmupRemaining is how much longer the replica is slow after its start.
 	WarmupRemaining time.Duration `msgpack:"c" json:"cold"`
 	// Sequence numbers the replica's heartbeats; an older one never replaces a newer one.
 	Sequence int64 `msgpack:"q" json:"call"`
 }
 
-// ReplicaEntry is a replica in a desk's list. An entry that is Gone stays listed for a while
-// so that all nodes learn of it.
+// ReplicaEntry is a replica in a desk's list. A Removed replica gets no requests; its entry
+// stays listed for a while so that all nodes learn of the removal.
 type ReplicaEntry struct {
 	Replica Replica `msgpack:"r"`
-	Gone    bool    `msgpack:"x"`
+	Removed bool    `msgpack:"x"`
 	// Final is set if the replica itself reported that it has left. It never returns under
 	// this id.
 	Final   bool   `msgpack:"f"`
@@ -44,14 +44,14 @@
 
 // Messages between nodes and desks.
 type (
-	// Subscribe asks a desk for the changes since a version, and subscribes the sender to
-	// later ones. The subscription expires unless it is renewed.
+	// Subscribe requests the changes since a version from a desk, and subscribes the sender
+	// to later ones. The subscription expires unless it is renewed.
 	Subscribe struct {
 		Node string `msgpack:"n"`
 		// Incarnation is the desk's incarnation that Version belongs to.
 		Incarnation string `msgpack:"l"`
 		Version     uint64 `msgpack:"v"`
-		// Table is the number of the subscriber's newest table; zero asks for a full table.
+		// Table is the number of the subscriber's newest table; zero requests a full table.
 		// AcceptsDifferences is set if it can apply differences.
 		Table              uint64 `msgpack:"t"`
 		AcceptsDifferences bool   `msgpack:"p"`
@@ -64,7 +64,7 @@
 		Since       uint64         `msgpack:"s"`
 		Version     uint64         `msgpack:"v"`
 		Replicas    []ReplicaEntry `msgpack:"r"`
-		// TableNumber and TableDigest identify the newest agreed table. A subscriber that
+		// TableNumber and TableDigest identify the newest accepted table. A subscriber that
 		// lacks it gets either Differences, each based on the one before, or the full Table.
 		TableNumber uint64             `msgpack:"n"`
 		TableDigest string             `msgpack:"h"`
@@ -77,7 +77,7 @@
 		NodeCount int            `msgpack:"o"`
 		Desks     []string       `msgpack:"d"`
 		Topology  *core.Topology `msgpack:"y"`
-		// RenewNow asks a node to renew its subscription at once, because a departing replica
+		// RenewNow tells a node to renew its subscription at once, because a departing replica
 		// waits until its departure is known outside this desk.
 		RenewNow bool `msgpack:"k,omitempty"`
 	}
--- a/peer/node/machine.go
+++ b/peer/node/machine.go
@@ -22,8 +22,8 @@
 	Zone        string
 	Address     string
 	HTTP        string
-	// Host names a resource that only one process at a time can hold, such as an
-	// address bound on a running machine. It may be empty.
+	// Host names a resource that only one process at a time can hold, such as a bound
+	// address. It may be empty.
 	Host   string
 	Seeds  []string
 	Now    time.Duration
@@ -69,13 +69,13 @@
 	breakerState         breaker.State
 	openUntil            time.Duration
 
-	termExpiresAt time.Duration
-	joined        bool
-	joinedAt      time.Duration
-	renewAt       time.Duration
-	renewing      bool
-	leaving       bool
-	left          bool
+	leaseExpiresAt time.Duration
+	joined         bool
+	joinedAt       time.Duration
+	renewAt        time.Duration
+	renewing       bool
+	leaving        bool
+	left           bool
 
 	handedOver, pendingHandovers int
 	returningShares              bool
@@ -105,8 +105,8 @@
 	nextSample   int
 }
 
-// ownedProgram is a program that this node owns, with its turns by conversation. clockOffset turns
-// the node's time into that of the program's partition.
+// ownedProgram is a program that this node owns, with its turns by conversation. clockOffset plus
+// the node's time is the time of the program's partition.
 type ownedProgram struct {
 	record       program.Record
 	turns        map[string][]program.Turn
@@ -114,9 +114,9 @@
 	savedVersion uint64
 	unsavedTurns []program.Turn
 	saving       bool
-	// unsavedSince is when the cores began to lack a change. savedMirrors and
-	// savedPrecharged are from the record that the cores have; mirroredVersion is
-	// the version that all mirrors hold.
+	// unsavedSince is the time of the oldest change that the cores have not stored.
+	// savedMirrors and savedPrecharged are from the record that they have stored;
+	// mirroredVersion is the version that all mirrors have.
 	unsavedSince    time.Duration
 	savedMirrors    []program.Mirror
 	savedPrecharged int64
@@ -150,7 +150,7 @@
 	return m
 }
 
-// clearOwned drops everything that is held under a membership term.
+// clearOwned drops everything that is held under a membership lease.
 func (m *Machine) clearOwned() {
 	m.programs, m.owners = map[string]*ownedProgram{}, map[string]core.Member{}
 	m.rateShares, m.dayShares, m.spendShare = map[string]*rateShare{}, map[string]*share{}, &share{}
@@ -179,7 +179,7 @@
 
 // Ready reports whether this node should receive client requests.
 func (m *Machine) Ready(now time.Duration) bool {
-	if !m.inTerm(now) || m.leaving {
+	if !m.hasLease(now) || m.leaving {
 		return false
 	}
 	for _, tenant := range m.tenants {
@@ -226,7 +226,7 @@
 		if b.ID&relayedBit == 0 {
 			m.caller.Receive(now, from, b)
 		} else {
-			m.relayReturn(now, b)
+			m.relayResult(now, b)
 		}
 	case core.Command:
 		m.relayCommand(now, from, b)
@@ -235,9 +235,9 @@
 	case core.Update:
 		m.onUpdate(now, b)
 	case core.PullUpdates:
-		m.onPull(now, from, b)
+		m.onPullUpdates(now, from, b)
 	case core.Freshness:
-		m.onFresh(b)
+		m.onFreshness(b)
 	case Announcements:
 		m.onAnnouncements(now, b)
 	case ForwardRequest:
@@ -266,7 +266,7 @@
 	return *m.out
 }
 
-// recordSample keeps a recent request for rehearsals of configuration changes.
+// recordSample stores a recent request for rehearsals of configuration changes.
 func (m *Machine) recordSample(s rehearsal.Sample) {
 	const maxSamples = 256
 	s.Age = m.now
--- a/peer/node/membership.go
+++ b/peer/node/membership.go
@@ -10,25 +10,25 @@
 	"saffronfall/rule/slab"
 )
 
-// inTerm reports whether this node's membership term is in force. It is checked again just before
-// each attempt, so that a node that was frozen starts nothing after its term.
-func (m *Machine) inTerm(now time.Duration) bool {
-	return m.joined && now < m.termExpiresAt && m.description != nil
+// hasLease reports whether this node has a valid membership lease. It is checked again just before
+// each attempt, so that a node that was paused starts none after its lease.
+func (m *Machine) hasLease(now time.Duration) bool {
+	return m.joined && now < m.leaseExpiresAt && m.description != nil
 }
 
-// renew joins the fleet or renews the membership term. The term counts from when the request was
-// sent, never later than the core counts it.
+// renew joins the fleet or renews the membership lease. The lease counts from when the request was
+// sent, so it ends here before it ends at the cores.
 func (m *Machine) renew(now time.Duration) {
-	if m.joined && now >= m.termExpiresAt {
-		m.Counters.TermsLost++
+	if m.joined && now >= m.leaseExpiresAt {
+		m.Counters.LeasesLost++
 		m.reset(now)
 	}
 	if m.renewing || now < m.renewAt || len(m.topology.Leaders) == 0 || m.configurationVersion == 0 || (m.leaving && !m.joined) {
 		return
 	}
 	if m.freshAt < m.startedAt {
-		// A process that has not heard from the leader of the configuration's
-		// partition may be behind what an earlier process of this node had in force.
+		// Until the leader of the configuration partition has answered, this process may
+		// have an older configuration than an earlier process of this node had.
 		return
 	}
 	if !m.joined && len(m.formerIncarnations) > 0 {
@@ -56,7 +56,7 @@
 				m.joinedAt = now
 			}
 			if until := sent + m.params.Core.MemberLease; until > now {
-				m.joined, m.termExpiresAt = true, max(m.termExpiresAt, until)
+				m.joined, m.leaseExpiresAt = true, max(m.leaseExpiresAt, until)
 			}
 		case t.Ended:
 			m.reset(now)
@@ -66,9 +66,8 @@
 	})
 }
 
-// endFormerIncarnation tells the cores that a former incarnation of this node has ended, which
-// only this node can know before that incarnation's term expires at the cores. Its programs may
-// then be taken over at once, also by this node.
+// endFormerIncarnation reports the end of a former incarnation of this node to the cores before its
+// lease expires there. Its programs may then be taken over at once, also by this node.
 func (m *Machine) endFormerIncarnation(now time.Duration) {
 	m.renewing = true
 	former := m.formerIncarnations[0]
@@ -81,13 +80,13 @@
 	})
 }
 
-// reset begins a new incarnation: everything owned, held or run under the old one is dropped.
+// reset begins a new incarnation: the programs, shares and attempts of the old one are dropped.
 func (m *Machine) reset(now time.Duration) {
 	m.Counters.Resets++
 	m.formerCount++
 	m.formerIncarnations = append(m.formerIncarnations, m.incarnation)
 	m.incarnation = fmt.Sprintf("%s+%d", core.ProcessIncarnation(m.incarnation), m.formerCount)
-	m.joined, m.termExpiresAt, m.renewing, m.renewAt = false, 0, false, now
+	m.joined, m.leaseExpiresAt, m.renewing, m.renewAt = false, 0, false, now
 	var lost []*ownedProgram
 	for _, key := range ordered.Keys(m.programs) {
 		m.programs[key].lost = true
--- a/peer/node/opening.go
+++ b/peer/node/opening.go
@@ -11,9 +11,8 @@
 	"saffronfall/rule/verdict"
 )
 
-// openProgram starts a session. The breaker was checked before; the user's windows, lockout,
-// concurrency and day are checked at the user's partition, in that order, and the tenant's day
-// last.
+// openProgram starts a session. The breaker was checked before. The user's windows, lockout,
+// concurrency and day are checked at the user's partition in that order, then the tenant's day.
 func (m *Machine) openProgram(now time.Duration, req *requestState) {
 	role := m.description.Roles[req.role]
 	m.nextID++
@@ -47,7 +46,7 @@
 		case test.State == string(breaker.Closed):
 			next(now, 0)
 		case test.Number == 0:
-			m.refuse(req, verdict.Refused(verdict.Refusal{Check: "breaker", Code: "breaker_half_open", Reason: "only a few test sessions are gated", Status: 503, RetryAfter: max(test.Left, time.Second)}))
+			m.refuse(req, verdict.Refused(verdict.Refusal{Check: "breaker", Code: "breaker_half_open", Reason: "only a few test sessions are gated", Status: 503, RetryAfter: max(test.Remaining, time.Second)}))
 		default:
 			next(now, test.Number)
 		}
