--- /dev/null
+++ b/rehearsalkit/relaysim/activerequest.go
@@ -0,0 +1,270 @@
+package relaysim
+
+import (
+	"time"
+
+	"saffronfall/peer/relay"
+)
+
+// activeRequest is one request at a node. It carries out the steps that the node's
+// state machine decides, like the real process.
+type activeRequest struct {
+	node        *process
+	incarnation int
+	ticket      uint64
+	request     *Request
+	done        func(r *Request)
+	// events and output are what was relayed so far, over all dispatches.
+	events   int64
+	output   []byte
+	dispatch *dispatch
+	ended    bool
+	// requesterAt is when the last message to the requester arrives; it keeps them in
+	// order.
+	requesterAt time.Duration
+}
+
+// dispatch is one transmission of a request to a replica.
+type dispatch struct {
+	request   *activeRequest
+	step      relay.Step
+	sentAt    time.Duration
+	job       *job
+	done      bool
+	events    int64
+	respondAt time.Duration
+	waiting   []func()
+}
+
+// sendRequest sends one attempt of a request to a node. done is called once with the
+// outcome.
+func (w *World) sendRequest(n *process, r Request, done func(r *Request)) {
+	request := &r
+	request.At, request.Node, request.Ended = w.now, n.id, -1
+	w.Record.Requests = append(w.Record.Requests, request)
+	w.after(w.delay(), func() {
+		if !n.alive {
+			w.after(w.delay(), func() { w.endRequest(request, Unreachable, 0, done) })
+			return
+		}
+		incarnation := n.incarnation
+		request.Incarnation = incarnation
+		n.do(func() {
+			if request.Ended >= 0 {
+				return
+			}
+			request.Arrived = true
+			n.lastTicket++
+			at := &activeRequest{node: n, incarnation: incarnation, ticket: n.lastTicket, request: request, done: done}
+			n.requests[at.ticket] = at
+			left := request.Deadline - (w.now - request.At)
+			a := relay.Request{Host: host, Path: request.Path, Key: request.Key, HasKey: request.Key != "", Attempt: request.Attempt, Program: request.Program, Previous: request.Previous,
+				TokenBudget: request.Budget, MaxTokens: request.MaxTokens, Remaining: left, Arrival: relay.Arrival{HeadBytes: 300, BodyBytes: int64(len(request.Input))}, Input: []byte(request.Input)}
+			if left <= 0 {
+				a.Remaining = -1
+			}
+			n.applyNodeOutput(n.node.HandleRequest(n.now(), at.ticket, a))
+			w.after(max(left, 0)+20*time.Millisecond, at.requesterGone)
+		})
+	})
+	w.after(request.Deadline+50*time.Millisecond, func() { w.endRequest(request, GaveUp, 0, done) })
+}
+
+// endRequest records the outcome of a request at its requester.
+func (w *World) endRequest(r *Request, outcome string, status int, done func(r *Request)) {
+	if r.Ended >= 0 {
+		return
+	}
+	r.Ended, r.Outcome, r.Status = w.now, outcome, status
+	name := r.Kind + " " + outcome
+	if status > 0 {
+		name += " " + statusText(status)
+	}
+	w.Counts["asked "+name]++
+	if done != nil {
+		done(r)
+	}
+}
+
+func (a *activeRequest) world() *World { return a.node.world }
+
+// toRequester delivers something to the requester, in order.
+func (a *activeRequest) toRequester(f func()) {
+	w := a.world()
+	a.requesterAt = max(a.requesterAt, w.now+w.delay())
+	w.after(a.requesterAt-w.now, f)
+}
+
+// applyStep carries out the next step that the node's state machine decided.
+func (a *activeRequest) applyStep(s relay.Step) {
+	if a.ended {
+		return
+	}
+	if s.Kind == relay.StepSend {
+		a.startDispatch(s)
+		return
+	}
+	a.ended = true
+	delete(a.node.requests, a.ticket)
+	r, w := a.request, a.world()
+	r.LastStep = w.now
+	r.Check = s.Check
+	begun := a.events > 0
+	a.toRequester(func() {
+		switch {
+		case s.Kind == relay.StepDeliver:
+			w.endRequest(r, r.answer(), 200, a.done)
+		case begun, s.Kind == relay.StepAbort && s.Status == 499:
+			w.endRequest(r, Closed, 0, a.done)
+		default:
+			r.RetryAfter = s.RetryAfter
+			w.endRequest(r, Refused, s.Status, a.done)
+		}
+	})
+}
+
+func (r *Request) answer() string {
+	if r.failed {
+		return Failed
+	}
+	return Complete
+}
+
+// connectionLost ends a request whose node process has stopped: its connections close.
+func (a *activeRequest) connectionLost() {
+	a.ended = true
+	w, r, done := a.world(), a.request, a.done
+	r.LastStep = w.now
+	if s := a.dispatch; s != nil && !s.done {
+		s.done = true
+		if s.job != nil && w.chance(0.8) {
+			w.after(w.delay(), s.job.cancel)
+		}
+	}
+	a.toRequester(func() { w.endRequest(r, Closed, 0, done) })
+}
+
+// requesterGone handles the end of the requester's wait.
+func (a *activeRequest) requesterGone() {
+	n := a.node
+	if a.ended || n.incarnation != a.incarnation {
+		return
+	}
+	n.do(func() {
+		if a.ended || n.incarnation != a.incarnation {
+			return
+		}
+		if s := a.dispatch; s != nil && !s.done {
+			s.done = true
+			if s.job != nil {
+				a.world().after(a.world().delay(), s.job.cancel)
+			}
+			n.applyNodeOutput(n.node.HandleOutcome(n.now(), a.ticket, relay.Outcome{Kind: relay.OutcomeInterrupted, RequesterGone: true, Events: s.events, Started: a.events > 0}))
+			return
+		}
+		n.applyNodeOutput(n.node.Cancel(n.now(), a.ticket))
+	})
+}
+
+// dialTimeout is the limit for connecting to a replica.
+const dialTimeout = contactTimeout / 10
+
+func (a *activeRequest) startDispatch(step relay.Step) {
+	w := a.world()
+	s := &dispatch{request: a, step: step, sentAt: w.now}
+	a.dispatch = s
+	// The state machine may reuse its buffers later.
+	before := make([][]byte, len(step.History))
+	for i, b := range step.History {
+		before[i] = append([]byte(nil), b...)
+	}
+	s.step.History = before
+	w.after(w.delay(), func() {
+		r := w.replicas[step.Replica.Address]
+		switch {
+		case s.done:
+		case w.isCut(a.node.address, step.Replica.Address):
+			w.after(dialTimeout, func() {
+				s.runAtNode(func() { s.finish(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true, NewConnection: true}) })
+			})
+		case r == nil:
+			s.respond(func() { s.finish(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true, NewConnection: true}) })
+		default:
+			r.receive(s)
+		}
+	})
+	w.after(step.Timeout+100*time.Millisecond, func() {
+		s.runAtNode(func() {
+			if s.job != nil {
+				w.after(w.delay(), s.job.cancel)
+			}
+			s.finish(relay.Outcome{Kind: relay.OutcomeInterrupted})
+		})
+	})
+}
+
+// respond carries something from the replica to the node, in order. It is delayed while
+// the link is cut.
+func (s *dispatch) respond(f func()) {
+	w := s.request.world()
+	s.waiting = append(s.waiting, f)
+	s.respondAt = max(s.respondAt, w.now+w.delay())
+	w.after(s.respondAt-w.now, s.deliverNext)
+}
+
+// deliverNext delivers the next response unless the link is cut.
+func (s *dispatch) deliverNext() {
+	w := s.request.world()
+	if len(s.waiting) == 0 || s.done {
+		return
+	}
+	if w.isCut(s.step.Replica.Address, s.request.node.address) {
+		w.after(50*time.Millisecond, s.deliverNext)
+		return
+	}
+	next := s.waiting[0]
+	s.waiting = s.waiting[1:]
+	s.runAtNode(next)
+}
+
+func (s *dispatch) runAtNode(f func()) {
+	n := s.request.node
+	if n.incarnation != s.request.incarnation {
+		return
+	}
+	n.do(func() {
+		if n.incarnation == s.request.incarnation && !s.done && !s.request.ended {
+			f()
+		}
+	})
+}
+
+// relayEvent relays one event of a stream.
+func (s *dispatch) relayEvent(n, per int64) {
+	a := s.request
+	s.events++
+	a.events = n
+	text := streamEvent(a.request.Attempt, n) + "\n"
+	a.output = append(a.output, text...)
+	r := a.request
+	a.toRequester(func() {
+		if r.Ended < 0 {
+			r.Tokens += per
+			r.Output += text
+		}
+	})
+}
+
+// finish reports the outcome of a dispatch to the node's state machine.
+func (s *dispatch) finish(o relay.Outcome) {
+	a, n := s.request, s.request.node
+	s.done = true
+	o.Events, o.Started = s.events, a.events > 0
+	if s.step.ReturnOutput {
+		o.Output = append([]byte(nil), a.output...)
+	}
+	if o.Kind == relay.OutcomeComplete && o.Failed {
+		a.request.failed = true
+	}
+	n.applyNodeOutput(n.node.HandleOutcome(n.now(), a.ticket, o))
+}
--- a/rehearsalkit/relaysim/answers.go
+++ b/rehearsalkit/relaysim/answers.go
@@ -9,40 +9,43 @@
 	"saffronfall/rule/ordered"
 )
 
-// Kinds of calls at a desk.
+// Kinds of calls to a desk. The values are printed as table headings.
 const (
-	callHeartbeat  = "heartbeat"
-	callLeave      = "leave"
-	callOrder      = "order"
-	callOrderAgain = "order again"
-	callRead       = "read-back"
-	callRetire     = "retire"
-	callStatus     = "retire status"
-	callPull       = "node pull"
-	callFirst      = "first question"
+	callHeartbeat = "heartbeat"
+	callLeave     = "leave"
+	callOrder     = "order"
+	callResend    = "order again"
+	callRead      = "read-back"
+	callRetire    = "retire"
+	callStatus    = "retire status"
+	callPull      = "node pull"
+	callFirstPull = "first question"
 )
 
-var callKinds = []string{callHeartbeat, callLeave, callOrder, callOrderAgain, callRead, callRetire, callStatus, callPull, callFirst}
+var callKinds = []string{callHeartbeat, callLeave, callOrder, callResend, callRead, callRetire, callStatus, callPull, callFirstPull}
 
-// deskCall is one call that reached a live desk. It has not ended while ended is
-// below zero.
+// deskCall is one call that reached a running desk. It is pending while ended is
+// negative.
 type deskCall struct {
-	kind  string
-	desk  *process
-	life  int
-	at    time.Duration
-	ended time.Duration
-	// clear: the answer says what is, or what became of the order.
-	clear bool
+	kind        string
+	desk        *process
+	incarnation int
+	started     time.Duration
+	ended       time.Duration
+	// conclusive is set when the answer states the current state or the outcome of the
+	// order.
+	conclusive bool
 }
 
-// lost reports whether the desk's life ended before the call did.
-func (c *deskCall) lost() bool { return c.ended < 0 && (c.desk.life != c.life || !c.desk.alive) }
+// interrupted reports whether the desk stopped before the call ended.
+func (c *deskCall) interrupted() bool {
+	return c.ended < 0 && (c.desk.incarnation != c.incarnation || !c.desk.alive)
+}
 
-// answerCell is what the calls of one kind and second got.
+// answerCell counts the answers to calls of one kind that started in the same second.
 type answerCell struct {
-	clear, unclear int
-	longest        time.Duration
+	conclusive, inconclusive int
+	longest                  time.Duration
 }
 
 type answerKey struct {
@@ -51,34 +54,33 @@
 	kind   string
 }
 
-// answerTable tells, second by second, what calls got.
+// answerTable holds the answers to calls by group, second and kind.
 type answerTable map[answerKey]answerCell
 
 func (t answerTable) add(group string, second int, c *deskCall) {
 	key := answerKey{group: group, second: second, kind: c.kind}
 	cell := t[key]
-	if c.clear {
-		cell.clear++
+	if c.conclusive {
+		cell.conclusive++
 	} else {
-		cell.unclear++
+		cell.inconclusive++
 	}
-	cell.longest = max(cell.longest, c.ended-c.at)
+	cell.longest = max(cell.longest, c.ended-c.started)
 	t[key] = cell
 }
 
 func (t answerTable) merge(o answerTable) {
 	for key, cell := range o {
 		sum := t[key]
-		sum.clear += cell.clear
-		sum.unclear += cell.unclear
+		sum.conclusive += cell.conclusive
+		sum.inconclusive += cell.inconclusive
 		sum.longest = max(sum.longest, cell.longest)
 		t[key] = sum
 	}
 }
 
-// Lines are the table as Markdown: for each kind and second of the call's begin,
-// how many got a clear answer, how many none, and the longest wait in
-// milliseconds.
+// Lines formats the table as Markdown: for each kind and starting second, the numbers
+// of conclusive and inconclusive answers and the longest wait in milliseconds.
 func (t answerTable) Lines() (lines []string) {
 	groups, seconds := map[string]bool{}, map[int]bool{}
 	for key := range t {
@@ -95,7 +97,7 @@
 					row += " |"
 					continue
 				}
-				row += fmt.Sprintf(" %d/%d %d |", cell.clear, cell.unclear, cell.longest.Milliseconds())
+				row += fmt.Sprintf(" %d/%d %d |", cell.conclusive, cell.inconclusive, cell.longest.Milliseconds())
 			}
 			lines = append(lines, row)
 		}
@@ -103,8 +105,8 @@
 	return lines
 }
 
-// spanLine sums measured times up.
-func spanLine(what string, list []time.Duration) string {
+// durationSummary formats the count, median and maximum of a list of durations.
+func durationSummary(what string, list []time.Duration) string {
 	sorted := slices.Clone(list)
 	slices.Sort(sorted)
 	return fmt.Sprintf("%-52s n %d, median %v, longest %v", what, len(sorted), sorted[len(sorted)/2].Round(time.Millisecond), sorted[len(sorted)-1].Round(time.Millisecond))
--- a/rehearsalkit/relaysim/client.go
+++ b/rehearsalkit/relaysim/client.go
@@ -7,15 +7,15 @@
 	"saffronfall/rule/message"
 )
 
-// client calls the cores directly, as nodes and desks do, and stands outside of
-// the fleet's faults.
+// client sends commands directly to the cores, as nodes and desks do. Faults never
+// affect it.
 type client struct {
-	process *process
-	caller  *core.Caller
-	parts   int
+	process    *process
+	caller     *core.Caller
+	partitions int
 }
 
-// addClient adds a client at an address of its own. The fleet must be founded.
+// addClient adds a client at its own address. The fleet must be founded.
 func (w *World) addClient(id, address string) *client {
 	p := w.add(id, 0, address)
 	c := &client{process: p}
@@ -25,21 +25,21 @@
 		Random:     w.random.Float64,
 		Send:       func(to string, body any) { w.send(p, to, body) },
 		Cores:      w.coreAddresses,
-		Partitions: func() int { return c.parts },
+		Partitions: func() int { return c.partitions },
 	}
 	p.boot()
 	return c
 }
 
-// coreAddresses lists where the cores of the fleet are.
+// coreAddresses lists the addresses of all cores of the fleet.
 func (w *World) coreAddresses() (list []string) {
-	for _, s := range w.present() {
+	for _, s := range w.presentStores() {
 		list = append(list, s.core.address)
 	}
 	return list
 }
 
-// call sends a command until it is answered or a time has passed.
+// call sends a command with retries until it is answered or the timeout expires.
 func (c *client) call(command any, within time.Duration, done func(o core.Outcome)) {
 	now := c.process.now()
 	c.caller.Call(now, command, now+within, func(now time.Duration, o core.Outcome) { done(o) })
@@ -53,5 +53,5 @@
 	}
 }
 
-// sizeOf is how long a message is on the wire.
-func sizeOf(body any) int { return len(message.Pack(body)) }
+// encodedSize is the size of a message on the wire, in bytes.
+func encodedSize(body any) int { return len(message.Pack(body)) }
--- a/rehearsalkit/relaysim/disk.go
+++ b/rehearsalkit/relaysim/disk.go
@@ -13,20 +13,20 @@
 	pending [][]core.Change
 	issued  uint64
 	synced  uint64
-	held    []held
+	held    []heldSend
 	busy    bool
 }
 
-type held struct {
-	after uint64
-	send  core.Send
+type heldSend struct {
+	afterBatch uint64
+	send       core.Send
 }
 
 func (w *World) emptyDisk(id string) *disk {
 	return &disk{stored: core.Stored{Incarnation: fmt.Sprintf("%s-%d", id, w.random.Uint32())}}
 }
 
-func (p *process) takeCore(o core.Output) {
+func (p *process) applyCoreOutput(o core.Output) {
 	d := p.disk
 	if len(o.Changes) > 0 {
 		d.pending = append(d.pending, o.Changes)
@@ -34,7 +34,7 @@
 	}
 	for _, s := range o.Sends {
 		if s.Synced && d.issued > d.synced {
-			d.held = append(d.held, held{after: d.issued, send: s})
+			d.held = append(d.held, heldSend{afterBatch: d.issued, send: s})
 			continue
 		}
 		p.sendCore(s)
@@ -48,7 +48,7 @@
 		if err != nil {
 			panic(err)
 		}
-		p.takeCore(p.core.Receive(p.now(), p.address, value))
+		p.applyCoreOutput(p.core.Receive(p.now(), p.address, value))
 		return
 	}
 	p.world.send(p, s.To, s.Body)
@@ -60,29 +60,29 @@
 		return
 	}
 	d.busy = true
-	count, upto, life := len(d.pending), d.issued, p.life
+	count, lastBatch, incarnation := len(d.pending), d.issued, p.incarnation
 	w.Counts["syncs"]++
 	w.after(w.between(300*time.Microsecond, 3*time.Millisecond), func() {
-		if p.life != life {
+		if p.incarnation != incarnation {
 			return
 		}
 		p.do(func() {
-			if seen := w.watch.synced; seen != nil {
-				if seen(p, d.pending[:count]); p.life != life {
+			if seen := w.observers.synced; seen != nil {
+				if seen(p, d.pending[:count]); p.incarnation != incarnation {
 					return
 				}
 			}
 			for _, batch := range d.pending[:count] {
 				for _, c := range batch {
-					d.stored.Apply(reopenChange(c))
+					d.stored.Apply(copyChange(c))
 				}
 			}
 			d.pending = d.pending[count:]
-			d.busy, d.synced = false, upto
+			d.busy, d.synced = false, lastBatch
 			ready := d.held
 			d.held = nil
 			for _, h := range ready {
-				if h.after <= d.synced {
+				if h.afterBatch <= d.synced {
 					p.sendCore(h.send)
 				} else {
 					d.held = append(d.held, h)
@@ -93,7 +93,7 @@
 	})
 }
 
-func reopenChange(c core.Change) core.Change {
+func copyChange(c core.Change) core.Change {
 	var fresh core.Change
 	if err := message.Unmarshal(message.Marshal(c), &fresh); err != nil {
 		panic(err)
--- a/rehearsalkit/relaysim/fault.go
+++ b/rehearsalkit/relaysim/fault.go
@@ -7,12 +7,12 @@
 	"saffronfall/rule/ordered"
 )
 
-// fault brings one fault about, and ends it later.
-func (w *World) fault() {
+// injectFault injects one random fault and schedules its end and the next fault.
+func (w *World) injectFault() {
 	if w.now > w.faultsUntil {
 		return
 	}
-	w.after(w.between(400*time.Millisecond, 2200*time.Millisecond), w.fault)
+	w.after(w.between(400*time.Millisecond, 2200*time.Millisecond), w.injectFault)
 	length := w.between(50*time.Millisecond, 3*time.Second)
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	switch w.random.IntN(10) {
@@ -22,34 +22,34 @@
 		w.outage(n, n.id, "frozen", length, func() { n.frozen = true }, n.wake)
 	case 2:
 		w.logf("%s cut off for %v", n.id, length)
-		w.cutAll([]*process{n}, length, n.id)
+		w.isolate([]*process{n}, length, n.id)
 	case 3:
 		s := w.anyStore()
 		w.logf("%s and %s cut for %v", n.id, s.core.id, length)
-		w.cutPairs([]*process{n}, s.processes(), length, n.id)
+		w.cutBetween([]*process{n}, s.processes(), length, n.id)
 	default:
-		w.storeFault(length)
+		w.injectStoreFault(length)
 	}
 }
 
-// outage harms a process, and mends it after a time.
-func (w *World) outage(p *process, who, what string, length time.Duration, harm, mend func()) {
+// outage disturbs a process and repairs it after the given time.
+func (w *World) outage(p *process, who, what string, length time.Duration, inject, repair func()) {
 	if !p.alive || p.frozen {
 		return
 	}
 	w.logf("%s %s for %v", p.id, what, length)
 	w.Counts["fault: "+what]++
-	harm()
-	end := w.trouble(who)
+	inject()
+	end := w.beginDisruption(who)
 	w.after(length, func() {
 		if !w.closing {
-			mend()
+			repair()
 		}
 		end()
 	})
 }
 
-func (w *World) present() (list []*store) {
+func (w *World) presentStores() (list []*store) {
 	for _, s := range w.stores {
 		if !s.gone {
 			list = append(list, s)
@@ -59,14 +59,14 @@
 }
 
 func (w *World) anyStore() *store {
-	list := w.present()
+	list := w.presentStores()
 	return list[w.random.IntN(len(list))]
 }
 
-// storeFault harms one machine with a disk. There is never more than one such
-// loss at a time, and time to catch up between two.
-func (w *World) storeFault(length time.Duration) {
-	if w.now < w.busyUntil {
+// injectStoreFault disturbs one store. Store faults never overlap, and each is followed
+// by time to catch up.
+func (w *World) injectStoreFault(length time.Duration) {
+	if w.now < w.noLossUntil {
 		return
 	}
 	s := w.anyStore()
@@ -74,47 +74,47 @@
 	if s.desk != nil && w.chance(0.4) {
 		p = s.desk
 	}
-	w.busyUntil = w.now + length + catchUp
+	w.noLossUntil = w.now + length + catchUpTime
 	switch w.random.IntN(12) {
 	case 0, 1:
-		w.outage(p, Stores, "process of a store killed", length, p.kill, p.boot)
+		w.outage(p, AnyStore, "process of a store killed", length, p.kill, p.boot)
 	case 2:
-		w.power(s, false, length)
+		w.losePower(s, false, length)
 	case 3, 4:
-		w.power(s, true, length)
+		w.losePower(s, true, length)
 	case 5, 6:
 		for _, p := range s.processes() {
-			w.outage(p, Stores, "store frozen", length, func() { p.frozen = true }, p.wake)
+			w.outage(p, AnyStore, "store frozen", length, func() { p.frozen = true }, p.wake)
 		}
 	case 7, 8:
 		w.logf("%s cut from the other stores for %v", s.core.id, length)
 		w.Counts["fault: store cut from the others"]++
 		var others []*process
-		for _, other := range w.present() {
+		for _, other := range w.presentStores() {
 			if other != s {
 				others = append(others, other.processes()...)
 			}
 		}
-		w.cutPairs(s.processes(), others, length, Stores)
+		w.cutBetween(s.processes(), others, length, AnyStore)
 	case 9:
 		w.logf("%s cut off for %v", s.core.id, length)
 		w.Counts["fault: store cut off"]++
-		w.cutAll(s.processes(), length, Stores)
+		w.isolate(s.processes(), length, AnyStore)
 	case 10:
-		if !w.changed {
-			w.changed = true
-			w.replace(s)
+		if !w.storeChanged {
+			w.storeChanged = true
+			w.replaceStore(s)
 		}
 	case 11:
-		if !w.changed {
-			w.changed = true
+		if !w.storeChanged {
+			w.storeChanged = true
 			w.addAndRetire(s)
 		}
 	}
 }
 
-// power takes the power from a store, and maybe its disk.
-func (w *World) power(s *store, wipe bool, length time.Duration) {
+// losePower cuts the power of a store, and optionally erases its disk.
+func (w *World) losePower(s *store, wipe bool, length time.Duration) {
 	if !s.core.alive || s.core.frozen {
 		return
 	}
@@ -124,7 +124,7 @@
 	} else {
 		w.Counts["fault: store without power"]++
 	}
-	end := w.trouble(Stores)
+	end := w.beginDisruption(AnyStore)
 	for _, p := range s.processes() {
 		p.powerOff()
 		if wipe {
@@ -141,34 +141,33 @@
 	})
 }
 
-// afterAck may take the power from the store that has just acknowledged a table.
-func (w *World) afterAck() {
-	if !w.Params.Faults || w.now < w.busyUntil || w.now > w.faultsUntil || !w.chance(0.3) {
+// losePowerAfterAck may cut the power of the store that has just acknowledged a table.
+func (w *World) losePowerAfterAck() {
+	if !w.Params.Faults || w.now < w.noLossUntil || w.now > w.faultsUntil || !w.chance(0.3) {
 		return
 	}
-	if s := w.coreOf(0); s != nil && !s.gone {
+	if s := w.leaderOf(0); s != nil && !s.gone {
 		w.Counts["fault: power lost after an acknowledgement"]++
 		length := w.between(200*time.Millisecond, 3*time.Second)
-		w.busyUntil = w.now + length + catchUp
-		w.power(s, w.chance(0.5), length)
+		w.noLossUntil = w.now + length + catchUpTime
+		w.losePower(s, w.chance(0.5), length)
 	}
 }
 
-// replace ends a store for good and puts an empty one at another address in its
-// place.
-func (w *World) replace(s *store) {
+// replaceStore removes a store for good and adds an empty one at another address.
+func (w *World) replaceStore(s *store) {
 	w.logf("%s is replaced", s.core.id)
 	w.Counts["fault: store replaced"]++
-	end := w.trouble(Stores)
+	end := w.beginDisruption(AnyStore)
 	for _, p := range s.processes() {
 		p.powerOff()
 	}
 	s.gone = true
-	w.busyUntil = w.now + 2*catchUp
+	w.noLossUntil = w.now + 2*catchUpTime
 	w.after(w.between(200*time.Millisecond, 1500*time.Millisecond), func() {
 		fresh := w.addStore(s.desk != nil)
 		for _, p := range fresh.processes() {
-			p.founds = false
+			p.foundsFleet = false
 			if !w.closing {
 				p.boot()
 			}
@@ -177,106 +176,106 @@
 	})
 }
 
-// addAndRetire adds a store, and later retires another, which goes once it is
+// addAndRetire adds a store and later retires another, which is removed once it is
 // empty.
 func (w *World) addAndRetire(s *store) {
 	w.logf("a store comes, %s is to retire", s.core.id)
 	w.Counts["stores added"]++
 	fresh := w.addStore(false)
-	end := w.trouble(Stores)
+	end := w.beginDisruption(AnyStore)
 	fresh.core.boot()
 	end()
 	until := w.now + 12*time.Second
-	w.busyUntil = until
-	w.after(2*time.Second, func() { w.retire(s, until) })
+	w.noLossUntil = until
+	w.after(2*time.Second, func() { w.retireStore(s, until) })
 }
 
-func (w *World) retire(s *store, until time.Duration) {
+func (w *World) retireStore(s *store, until time.Duration) {
 	if w.now > until || w.closing || s.gone {
 		return
 	}
-	again := func() { w.after(300*time.Millisecond, func() { w.retire(s, until) }) }
-	over := false
-	w.operate(w.anyDesk(), func(d Desk, now time.Duration, ticket uint64) desk.Output {
+	retry := func() { w.after(300*time.Millisecond, func() { w.retireStore(s, until) }) }
+	finished := false
+	w.callDesk(w.anyDesk(), func(d Desk, now time.Duration, ticket uint64) desk.Output {
 		return d.Retire(now, ticket, s.core.id)
 	}, func(body any) {
 		e, ok := body.(desk.RetirementStatus)
-		if over {
+		if finished {
 			return
 		}
-		over = true
+		finished = true
 		if !ok || e.Unsure || !e.Known || !e.EnoughCores {
-			again()
+			retry()
 			return
 		}
-		w.emptied(s, until)
+		w.awaitRetired(s, until)
 	})
 	w.after(1500*time.Millisecond, func() {
-		if !over {
-			over = true
-			again()
+		if !finished {
+			finished = true
+			retry()
 		}
 	})
 }
 
-// emptied asks until a retired store has nothing left, and takes it away.
-func (w *World) emptied(s *store, until time.Duration) {
+// awaitRetired polls until a retired store holds nothing more, and removes it.
+func (w *World) awaitRetired(s *store, until time.Duration) {
 	if w.now > until || w.closing || s.gone {
 		w.Counts["retirements not done in time"]++
 		return
 	}
-	over := false
-	again := func() {
-		if !over {
-			over = true
-			w.after(300*time.Millisecond, func() { w.emptied(s, until) })
+	finished := false
+	retry := func() {
+		if !finished {
+			finished = true
+			w.after(300*time.Millisecond, func() { w.awaitRetired(s, until) })
 		}
 	}
-	w.operate(w.anyDesk(), func(d Desk, now time.Duration, ticket uint64) desk.Output {
+	w.callDesk(w.anyDesk(), func(d Desk, now time.Duration, ticket uint64) desk.Output {
 		return d.RetirementStatus(now, ticket, s.core.id)
 	}, func(body any) {
 		e, _ := body.(desk.RetirementStatus)
-		if over {
+		if finished {
 			return
 		}
 		if !e.Done || w.closing {
-			again()
+			retry()
 			return
 		}
-		over = true
+		finished = true
 		w.logf("%s is empty and goes", s.core.id)
 		w.Counts["stores retired"]++
-		end := w.trouble(Stores)
+		end := w.beginDisruption(AnyStore)
 		for _, p := range s.processes() {
 			p.powerOff()
 			p.wipe()
 		}
 		s.gone = true
-		w.busyUntil = w.now + time.Second
+		w.noLossUntil = w.now + time.Second
 		end()
 	})
-	w.after(1500*time.Millisecond, again)
+	w.after(1500*time.Millisecond, retry)
 }
 
-// cutPairs cuts links between two sides: both ways, or one way only.
-func (w *World) cutPairs(from, to []*process, length time.Duration, who string) {
-	way := w.random.IntN(4)
+// cutBetween cuts the links between two groups of processes, in one or both directions.
+func (w *World) cutBetween(from, to []*process, length time.Duration, who string) {
+	direction := w.random.IntN(4)
 	var pairs [][2]string
 	for _, a := range from {
 		for _, b := range to {
-			if way != 0 {
+			if direction != 0 {
 				pairs = append(pairs, [2]string{a.address, b.address})
 			}
-			if way != 1 {
+			if direction != 1 {
 				pairs = append(pairs, [2]string{b.address, a.address})
 			}
 		}
 	}
-	w.cutThese(pairs, length, who)
+	w.cutLinks(pairs, length, who)
 }
 
-// cutAll cuts processes of one machine from all others and from replicas.
-func (w *World) cutAll(from []*process, length time.Duration, who string) {
+// isolate cuts the processes of one machine off from all others and from replicas.
+func (w *World) isolate(from []*process, length time.Duration, who string) {
 	mine := map[string]bool{}
 	for _, p := range from {
 		mine[p.address] = true
@@ -295,12 +294,12 @@
 			both(p.address, address)
 		}
 	}
-	w.cutThese(pairs, length, who)
+	w.cutLinks(pairs, length, who)
 }
 
-func (w *World) cutThese(pairs [][2]string, length time.Duration, who string) {
+func (w *World) cutLinks(pairs [][2]string, length time.Duration, who string) {
 	w.Counts["fault: links cut"]++
-	end := w.trouble(who)
+	end := w.beginDisruption(who)
 	for _, pair := range pairs {
 		w.cut[pair]++
 	}
@@ -312,16 +311,16 @@
 	})
 }
 
-// close is the closing fault: everything ends at once and comes back.
-func (w *World) close() {
+// injectClosingFault stops all machines at once and restarts them after a short time.
+func (w *World) injectClosingFault() {
 	w.closing = true
-	w.Record.Closing = w.now
-	end := w.trouble(Everyone)
+	w.Record.ClosingAt = w.now
+	end := w.beginDisruption(AllMachines)
 	w.logf("closing fault: %s", w.Params.Closing)
 	w.Counts["closing fault: "+w.Params.Closing]++
 	wiped := w.anyStore()
 	var all []*process
-	for _, s := range w.present() {
+	for _, s := range w.presentStores() {
 		all = append(all, s.processes()...)
 	}
 	all = append(all, w.nodes...)
@@ -344,13 +343,13 @@
 		w.after(after, p.boot)
 	}
 	back := w.now + longest
-	w.after(longest, func() { w.Record.Back = w.now })
+	w.after(longest, func() { w.Record.RestoredAt = w.now })
 	w.after(longest+w.Record.Limits.Contact, end)
-	for i := len(w.kept) - 1; i >= 0 && i >= len(w.kept)-30; i -= 3 {
-		k := w.kept[i]
+	for i := len(w.keptTurns) - 1; i >= 0 && i >= len(w.keptTurns)-30; i -= 3 {
+		k := w.keptTurns[i]
 		if k.at < w.now-4*time.Second {
 			break
 		}
-		w.after(longest+w.between(0, 2*time.Second), func() { w.resume(k.attempt, k.key, back+recovery) })
+		w.after(longest+w.between(0, 2*time.Second), func() { w.resumeTurn(k.attempt, k.key, back+recoveryTime) })
 	}
 }
--- a/rehearsalkit/relaysim/footprint.go
+++ b/rehearsalkit/relaysim/footprint.go
@@ -2,45 +2,46 @@
 
 import "reflect"
 
-// footprint is about how many bytes a value takes with all that it points to,
-// but for functions and what they hold.
+// footprint estimates how many bytes a value and everything that it references occupy.
+// Functions and what they capture are not counted.
 func footprint(value any) int64 {
 	f := footprinter{seen: map[uintptr]bool{}}
-	return f.of(reflect.ValueOf(value))
+	return f.total(reflect.ValueOf(value))
 }
 
 type footprinter struct{ seen map[uintptr]bool }
 
-// of counts what a value points to, and its own size where it is in no other.
-func (f *footprinter) of(v reflect.Value) int64 {
+// total is the size of a value that is not part of another one, with all that it
+// references.
+func (f *footprinter) total(v reflect.Value) int64 {
 	if !v.IsValid() {
 		return 0
 	}
-	return int64(v.Type().Size()) + f.below(v)
+	return int64(v.Type().Size()) + f.referenced(v)
 }
 
-// first reports whether something is met for the first time.
-func (f *footprinter) first(at uintptr) bool {
-	met := f.seen[at]
+// firstVisit marks an address as visited and reports whether it was new.
+func (f *footprinter) firstVisit(at uintptr) bool {
+	visited := f.seen[at]
 	f.seen[at] = true
-	return !met
+	return !visited
 }
 
-// below counts what a value points to.
-func (f *footprinter) below(v reflect.Value) (sum int64) {
+// referenced is the size of all that a value references, without the value itself.
+func (f *footprinter) referenced(v reflect.Value) (sum int64) {
 	switch v.Kind() {
 	case reflect.Pointer:
-		if !v.IsNil() && f.first(v.Pointer()) {
-			return f.of(v.Elem())
+		if !v.IsNil() && f.firstVisit(v.Pointer()) {
+			return f.total(v.Elem())
 		}
 	case reflect.Interface:
 		if !v.IsNil() {
-			return f.of(v.Elem())
+			return f.total(v.Elem())
 		}
 	case reflect.String:
 		return int64(v.Len())
 	case reflect.Slice:
-		if v.IsNil() || !f.first(v.Pointer()) {
+		if v.IsNil() || !f.firstVisit(v.Pointer()) {
 			return 0
 		}
 		sum = int64(v.Cap()) * int64(v.Type().Elem().Size())
@@ -48,19 +49,19 @@
 			return sum
 		}
 		for i := 0; i < v.Len(); i++ {
-			sum += f.below(v.Index(i))
+			sum += f.referenced(v.Index(i))
 		}
 	case reflect.Array:
 		for i := 0; i < v.Len(); i++ {
-			sum += f.below(v.Index(i))
+			sum += f.referenced(v.Index(i))
 		}
 	case reflect.Map:
 		for each := v.MapRange(); each.Next(); {
-			sum += f.of(each.Key()) + f.of(each.Value())
+			sum += f.total(each.Key()) + f.total(each.Value())
 		}
 	case reflect.Struct:
 		for i := 0; i < v.NumField(); i++ {
-			sum += f.below(v.Field(i))
+			sum += f.referenced(v.Field(i))
 		}
 	}
 	return sum
--- /dev/null
+++ b/rehearsalkit/relaysim/health.go
@@ -0,0 +1,202 @@
+package relaysim
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"saffronfall/peer/core"
+	"saffronfall/peer/desk"
+	"saffronfall/rule/ordered"
+	"saffronfall/rule/partition"
+)
+
+// health observes the updates from desks to nodes and determines whether the fleet is
+// healthy.
+type health struct {
+	world   *World
+	history *orderHistory
+	// lastUpdates holds the last update from each desk to a node.
+	lastUpdates map[string]lastUpdate
+	// pendingPulls holds the nodes' pulls that wait for a desk's answer.
+	pendingPulls map[[2]string]*deskCall
+}
+
+type lastUpdate struct {
+	at     time.Duration
+	update desk.Update
+}
+
+// clockSlack allows for clock drift in the confirmation age that a desk reports.
+const clockSlack = 50 * time.Millisecond
+
+func (w *World) watchHealth(b *orderHistory) *health {
+	h := &health{world: w, history: b, lastUpdates: map[string]lastUpdate{}, pendingPulls: map[[2]string]*deskCall{}}
+	w.observers.sent, w.observers.delivered = h.sent, h.delivered
+	return h
+}
+
+func (h *health) delivered(from string, to *process, body any) {
+	ask, ok := body.(desk.Subscribe)
+	if !ok || !to.isDesk || ask.IsDesk {
+		return
+	}
+	kind := callPull
+	if ask.Incarnation == "" {
+		kind = callFirstPull
+	}
+	h.pendingPulls[[2]string{to.address, from}] = h.history.beginCall(kind, to)
+}
+
+// sent checks that the confirmation age in a desk's update is true, given the tables
+// acknowledged before.
+func (h *health) sent(from *process, to string, body any) {
+	update, ok := body.(desk.Update)
+	if !ok || !from.isDesk {
+		return
+	}
+	fresh := update.ConfirmationAge >= 0 && update.ConfirmationAge < contactTimeout
+	pair := [2]string{from.address, to}
+	if c := h.pendingPulls[pair]; c != nil {
+		h.history.endCall(c, fresh)
+		delete(h.pendingPulls, pair)
+	}
+	w := h.world
+	h.lastUpdates[from.id] = lastUpdate{at: w.now, update: update}
+	if update.ConfirmationAge < 0 {
+		return
+	}
+	for i := len(h.history.acked) - 1; i >= 0; i-- {
+		o := h.history.acked[i]
+		if o.Number > update.TableNumber && o.AckedAt < w.now-update.ConfirmationAge-clockSlack {
+			h.history.findings.breach(RuleNewestTable, "%s said at %v that table %d was the newest %v ago, and %d had been acknowledged at %v", from.id, w.now, update.TableNumber, update.ConfirmationAge, o.Number, o.AckedAt)
+		}
+		if o.AckedAt < w.now-10*catchUpTime {
+			return
+		}
+	}
+}
+
+// problem describes why the fleet is not healthy, or is empty.
+func (h *health) problem() string {
+	w := h.world
+	if missing := w.partitionProblem(); missing != "" {
+		return missing
+	}
+	for _, s := range w.presentStores() {
+		if s.desk == nil {
+			continue
+		}
+		if reported := h.lastUpdates[s.desk.id]; !s.desk.alive || w.now-reported.at > heartbeatInterval || reported.update.ConfirmationAge < 0 || reported.update.ConfirmationAge > heartbeatInterval {
+			return s.desk.id + " has no confirmed table"
+		}
+	}
+	for _, n := range w.nodes {
+		if !n.alive || !n.node.Ready(n.now()) {
+			return n.id + " is not ready"
+		}
+	}
+	return ""
+}
+
+// partitionProblem describes a partition without a leader, without a full group or with
+// a member that lacks committed data, or is empty.
+func (w *World) partitionProblem() string {
+	for n := 0; n < w.partitions(); n++ {
+		s := w.leaderOf(n)
+		if s == nil {
+			return fmt.Sprintf("part %d has no owner", n)
+		}
+		leader := s.core.core.Partition(n)
+		group, _ := leader.CommittedGroup()
+		if len(group.Members) != w.deskParams().GroupSize || len(group.Former) > 0 {
+			return fmt.Sprintf("part %d has the group %v, formerly %v", n, group.Members, group.Former)
+		}
+		for _, member := range group.Members {
+			if missing := w.memberProblem(leader, n, member); missing != "" {
+				return missing
+			}
+		}
+	}
+	return ""
+}
+
+// maxInFlight is how many writes an up-to-date member may be behind.
+const maxInFlight = 4
+
+func (w *World) memberProblem(leader *partition.Machine, n int, member string) string {
+	i := slices.IndexFunc(w.stores, func(s *store) bool {
+		return s.core.alive && s.core.core.Founded() && s.core.core.Self().MemberID() == member
+	})
+	if i < 0 {
+		return fmt.Sprintf("part %d: nobody is %s", n, member)
+	}
+	machine := w.stores[i].core.core.Partition(n)
+	if machine == nil {
+		return fmt.Sprintf("part %d: %s has no copy", n, member)
+	}
+	committed, _ := leader.CommittedVersion()
+	copied := machine.State().Entries
+	for key, e := range leader.State().Entries {
+		settled := e.Version.Term == committed.Term && e.Version.Seq+maxInFlight <= committed.Seq
+		if settled && !e.Deleted && copied[key].Version != e.Version {
+			return fmt.Sprintf("part %d: %s lacks %s", n, member, key)
+		}
+	}
+	return ""
+}
+
+// placementProblem describes a partition whose group differs from the placement over
+// the present cores, or is empty.
+func (w *World) placementProblem() string {
+	leader := w.leaderOf(core.ConfigurationPartition)
+	if leader == nil {
+		return "the configuration's part has no owner"
+	}
+	known := leader.core.core.Topology().Cores
+	var cores []core.Core
+	silent := map[string]bool{}
+	for _, id := range ordered.Keys(known) {
+		cores = append(cores, known[id])
+		silent[id] = true
+	}
+	for _, s := range w.presentStores() {
+		if silent[s.core.id] = !s.core.alive; known[s.core.id].ID == "" {
+			return "the fleet does not know " + s.core.id
+		}
+	}
+	for n, wanted := range core.Place(w.partitions(), w.deskParams().GroupSize, cores, silent) {
+		s := w.leaderOf(n)
+		if s == nil {
+			return fmt.Sprintf("part %d has no owner", n)
+		}
+		group, _ := s.core.core.Partition(n).CommittedGroup()
+		members := slices.Clone(group.Members)
+		slices.Sort(members)
+		slices.Sort(wanted)
+		if !slices.Equal(members, wanted) {
+			return fmt.Sprintf("part %d has the group %v and should have %v", n, members, wanted)
+		}
+	}
+	return ""
+}
+
+// partitions is the number of partitions of the fleet, or zero before it is founded.
+func (w *World) partitions() int {
+	for _, s := range w.presentStores() {
+		if s.core.alive && s.core.core.Founded() {
+			return s.core.core.Founding().Partitions
+		}
+	}
+	return 0
+}
+
+// awaitHealthy polls until the fleet is healthy and then reports the time since from.
+func (h *health) awaitHealthy(from time.Duration, done func(took time.Duration)) {
+	w := h.world
+	if h.problem() == "" {
+		done(w.now - from)
+		return
+	}
+	w.after(50*time.Millisecond, func() { h.awaitHealthy(from, done) })
+}
--- a/rehearsalkit/relaysim/judge.go
+++ b/rehearsalkit/relaysim/judge.go
@@ -9,65 +9,65 @@
 	"saffronfall/rule/ordered"
 )
 
-// Names of the rules that a run is judged by.
+// Rules that every run is checked against. The values are printed with each breach.
 const (
-	RuleTwice    = "runs at most once"
-	RulePromised = "refused is never run"
-	RuleBudget   = "budget"
-	RuleSpent    = "refused for its budget only when it cannot fit"
-	RuleKept     = "kept turns are found"
-	RuleChain    = "replicas get the chain of former turns"
-	RuleWhole    = "answers are the replica's whole"
-	RuleRate     = "rate"
-	RuleAllowed  = "only what a table allows"
-	RuleLost     = "acknowledged tables stay"
-	RuleRace     = "one table on one base"
-	RuleBack     = "a life never goes back to an older table"
-	RuleFollow   = "calm nodes follow in time"
-	RuleLeaving  = "leaving replicas are left alone"
-	RuleServed   = "served again after the closing fault"
-	RuleHeld     = "every request gets a last step"
-	RuleChecked  = "invariants hold in the code"
+	RuleAtMostOnce     = "runs at most once"
+	RuleRefusedNotRun  = "refused is never run"
+	RuleBudget         = "budget"
+	RuleBudgetRefusal  = "refused for its budget only when it cannot fit"
+	RuleTurnKept       = "kept turns are found"
+	RuleHistory        = "replicas get the chain of former turns"
+	RuleAnswerComplete = "answers are the replica's whole"
+	RuleRate           = "rate"
+	RuleTableAllows    = "only what a table allows"
+	RuleDurable        = "acknowledged tables stay"
+	RuleTableRace      = "one table on one base"
+	RuleNoRollback     = "a life never goes back to an older table"
+	RuleTableLag       = "calm nodes follow in time"
+	RuleDraining       = "leaving replicas are left alone"
+	RuleRecovery       = "served again after the closing fault"
+	RuleFinalStep      = "every request gets a last step"
+	RuleInvariant      = "invariants hold in the code"
 )
 
-// books are the record, sorted for judging.
-type books struct {
+// recordIndex is a record with indexes for checking.
+type recordIndex struct {
 	*Record
-	runs     map[string][]*Work
-	requests map[string]*Request
-	arrivals map[string][]*Arrival
-	byNumber []*Table
+	runs           map[string][]*Execution
+	requests       map[string]*Request
+	arrivals       map[string][]*Arrival
+	tablesByNumber []*Table
 }
 
-// Judge looks for broken rules.
+// Judge checks the record against all rules and returns the breaches.
 func (r *Record) Judge() []Breach {
-	b := r.books()
-	return all(b.ran, b.budgets, b.spent, b.kept, b.chains, b.answers, b.rates, b.tables, b.linear, b.handling, b.leaving, b.served, b.heldUp, b.checked)
+	b := r.index()
+	return checkAll(b.checkRuns, b.checkBudgets, b.checkBudgetRefusals, b.checkKeptTurns, b.checkHistories, b.checkAnswers, b.checkRates, b.checkTables, b.checkLinearizable, b.checkHandling, b.checkDraining, b.checkRecovery, b.checkFinalSteps, b.checkInvariants)
 }
 
-// JudgeTables looks for broken rules of routing tables only.
+// JudgeTables checks only the rules on routing tables.
 func (r *Record) JudgeTables() []Breach {
-	b := r.books()
-	return all(b.ran, b.tables, b.linear, b.handling, b.heldUp, b.checked)
+	b := r.index()
+	return checkAll(b.checkRuns, b.checkTables, b.checkLinearizable, b.checkHandling, b.checkFinalSteps, b.checkInvariants)
 }
 
-// checked tells of invariants that the machines found violated.
-func (b *books) checked() (list []Breach) {
+// checkInvariants reports the invariants that state machines found violated.
+func (b *recordIndex) checkInvariants() (list []Breach) {
 	for _, v := range b.Violations {
-		list = append(list, breach(RuleChecked, "%s", v.Error()))
+		list = append(list, breach(RuleInvariant, "%s", v.Error()))
 	}
 	return list
 }
 
-func all(rules ...func() []Breach) (list []Breach) {
+func checkAll(rules ...func() []Breach) (list []Breach) {
 	for _, rule := range rules {
 		list = append(list, rule()...)
 	}
 	return list
 }
 
-func (r *Record) books() *books {
-	b := &books{Record: r, runs: map[string][]*Work{}, requests: map[string]*Request{}, arrivals: map[string][]*Arrival{}}
+func (r *Record) index() *recordIndex {
+	b := &recordIndex{Record: r, runs: map[string][]*Execution{}, requests: map[string]*Request{}, arrivals: map[string][]*Arrival{}}
 	for i := range r.Runs {
 		b.runs[r.Runs[i].Attempt] = append(b.runs[r.Runs[i].Attempt], &r.Runs[i])
 	}
@@ -77,17 +77,17 @@
 	for _, q := range r.Requests {
 		b.requests[q.Attempt] = q
 	}
-	b.byNumber = append(b.byNumber, r.Tables...)
-	sort.SliceStable(b.byNumber, func(i, j int) bool { return b.byNumber[i].Number < b.byNumber[j].Number })
+	b.tablesByNumber = append(b.tablesByNumber, r.Tables...)
+	sort.SliceStable(b.tablesByNumber, func(i, j int) bool { return b.tablesByNumber[i].Number < b.tablesByNumber[j].Number })
 	return b
 }
 
-// repeats tells whether a request of a path may run more than once. Tables never
-// change that of a path.
-func (b *books) repeats(path string) bool {
+// repeatable reports whether requests to a path may run more than once. No table
+// changes this for a path.
+func (b *recordIndex) repeatable(path string) bool {
 	for _, t := range b.Tables {
 		if r, ok := t.route(path); ok {
-			return r.Repeats
+			return r.Repeatable
 		}
 	}
 	return false
@@ -103,7 +103,7 @@
 	return t.Routes[best], best != ""
 }
 
-func promises(q *Request) bool {
+func promisesNotRun(q *Request) bool {
 	if q.Outcome != Refused {
 		return false
 	}
@@ -114,24 +114,24 @@
 	return false
 }
 
-func (b *books) ran() (list []Breach) {
+func (b *recordIndex) checkRuns() (list []Breach) {
 	for _, attempt := range ordered.Keys(b.runs) {
 		runs, q := b.runs[attempt], b.requests[attempt]
 		switch {
 		case q == nil:
-			list = append(list, breach(RuleAllowed, "%s ran at %v and was never asked", attempt, runs[0].At))
+			list = append(list, breach(RuleTableAllows, "%s ran at %v and was never asked", attempt, runs[0].At))
 			continue
-		case len(runs) > 1 && !b.repeats(q.Path):
-			list = append(list, breach(RuleTwice, "%s %s ran %d times, at %v and %v", q.Kind, attempt, len(runs), runs[0].At, runs[1].At))
+		case len(runs) > 1 && !b.repeatable(q.Path):
+			list = append(list, breach(RuleAtMostOnce, "%s %s ran %d times, at %v and %v", q.Kind, attempt, len(runs), runs[0].At, runs[1].At))
 		}
-		if promises(q) {
-			list = append(list, breach(RulePromised, "%s %s was answered %d (%s) at %v and ran at %v", q.Kind, attempt, q.Status, q.Check, q.Ended, runs[0].At))
+		if promisesNotRun(q) {
+			list = append(list, breach(RuleRefusedNotRun, "%s %s was answered %d (%s) at %v and ran at %v", q.Kind, attempt, q.Status, q.Check, q.Ended, runs[0].At))
 		}
 	}
 	return list
 }
 
-func (b *books) budgets() (list []Breach) {
+func (b *recordIndex) checkBudgets() (list []Breach) {
 	sum, largest, budget := map[string]int64{}, map[string]int64{}, map[string]int64{}
 	for _, q := range b.Requests {
 		if q.Program != "" && q.Budget > 0 {
@@ -148,10 +148,10 @@
 	return list
 }
 
-// spent: when a turn is refused for its program's budget, that could not hold
-// one more, with all that had not ended whole or refused long enough before
-// counted at their most.
-func (b *books) spent() (list []Breach) {
+// checkBudgetRefusals checks that a turn is refused for its program's budget only when
+// the budget could not hold it. Turns count with their maximum unless they completed or
+// were refused at least the settlement time earlier.
+func (b *recordIndex) checkBudgetRefusals() (list []Breach) {
 	programs := map[string][]*Request{}
 	for _, q := range b.Requests {
 		if q.Program != "" && q.Budget > 0 {
@@ -162,68 +162,70 @@
 		if q.Outcome != Refused || q.Status != 402 {
 			continue
 		}
-		sum := q.Most
+		sum := q.MaxTokens
 		for _, other := range programs[q.Program] {
 			switch {
 			case other == q || other.At > q.Ended:
-			case other.Ended >= 0 && other.Ended <= q.At-b.Limits.Settling && other.Outcome == Whole:
+			case other.Ended >= 0 && other.Ended <= q.At-b.Limits.Settlement && other.Outcome == Complete:
 				sum += other.Tokens
-			case other.Ended >= 0 && other.Ended <= q.At-b.Limits.Settling && promises(other):
+			case other.Ended >= 0 && other.Ended <= q.At-b.Limits.Settlement && promisesNotRun(other):
 			case !other.Arrived:
 			default:
-				sum += other.Most
+				sum += other.MaxTokens
 			}
 		}
 		if sum <= q.Budget {
-			list = append(list, breach(RuleSpent, "%s at %s was refused 402 at %v with %d of %d used at most", q.Attempt, q.Node, q.Ended, sum-q.Most, q.Budget))
+			list = append(list, breach(RuleBudgetRefusal, "%s at %s was refused 402 at %v with %d of %d used at most", q.Attempt, q.Node, q.Ended, sum-q.MaxTokens, q.Budget))
 		}
 	}
 	return list
 }
 
-func (b *books) kept() (list []Breach) {
+func (b *recordIndex) checkKeptTurns() (list []Breach) {
 	for _, q := range b.Requests {
 		if q.Outcome != Refused || q.Status != 404 && q.Status != 410 || q.Previous == "" {
 			continue
 		}
 		p := b.requests[q.Previous]
-		if p != nil && p.Outcome == Whole && p.Tenant == q.Tenant && q.Ended < p.Ended+b.Limits.Keep {
-			list = append(list, breach(RuleKept, "%s at %s got %d (%s) at %v, and its former turn %s had come whole at %v", q.Attempt, q.Node, q.Status, q.Check, q.Ended, p.Attempt, p.Ended))
+		if p != nil && p.Outcome == Complete && p.Tenant == q.Tenant && q.Ended < p.Ended+b.Limits.Retention {
+			list = append(list, breach(RuleTurnKept, "%s at %s got %d (%s) at %v, and its former turn %s had come whole at %v", q.Attempt, q.Node, q.Status, q.Check, q.Ended, p.Attempt, p.Ended))
 		}
 	}
 	return list
 }
 
-// inTrouble reports whether someone was harmed at some time of a span.
-func (b *books) inTrouble(who string, from, until time.Duration) bool {
-	for _, t := range b.Troubles {
-		if (t.Who == who || t.Who == Everyone) && t.From <= until && (t.Until < 0 || t.Until >= from) {
+// disrupted reports whether the named machine was disrupted at any time of an interval.
+func (b *recordIndex) disrupted(who string, from, until time.Duration) bool {
+	for _, t := range b.Disruptions {
+		if (t.Who == who || t.Who == AllMachines) && t.From <= until && (t.Until < 0 || t.Until >= from) {
 			return true
 		}
 	}
 	return false
 }
 
-// Everyone is who is in trouble in a closing fault.
-const Everyone = "everyone"
+// AllMachines is the Who of the disruption by a closing fault.
+const AllMachines = "everyone"
 
-// calm reports whether a node was in touch throughout a span.
-func (b *books) calm(node string, from, until time.Duration) bool {
+// inTouch reports whether a node and all stores were undisturbed throughout an interval
+// and for the contact timeout before it.
+func (b *recordIndex) inTouch(node string, from, until time.Duration) bool {
 	from -= b.Limits.Contact
-	return !b.inTrouble(node, from, until) && !b.inTrouble(Stores, from, until)
+	return !b.disrupted(node, from, until) && !b.disrupted(AnyStore, from, until)
 }
 
-// outer reports whether a node itself was well while stores may not have been.
-func (b *books) outer(node string, from, until time.Duration) bool {
-	return !b.inTrouble(node, from-b.Limits.Contact, until)
+// nodeUndisturbed reports whether a node was undisturbed, whatever the state of the
+// stores.
+func (b *recordIndex) nodeUndisturbed(node string, from, until time.Duration) bool {
+	return !b.disrupted(node, from-b.Limits.Contact, until)
 }
 
-// binds is from when on a table is in force at every node: the first time, long
-// enough after its acknowledgement, by which all have been in touch.
-func (b *books) binds(t *Table) time.Duration {
-	at := t.Acked + b.Limits.Apply
+// inForceFrom is the time from which a table is in force at every node: the first time
+// after its acknowledgement and the apply limit at which all nodes are in touch.
+func (b *recordIndex) inForceFrom(t *Table) time.Duration {
+	at := t.AckedAt + b.Limits.Apply
 	for _, n := range b.Nodes {
-		for !b.calm(n, at, at) {
+		for !b.inTouch(n, at, at) {
 			at += 100 * time.Millisecond
 			if at > b.End {
 				return math.MaxInt64 / 4
@@ -233,19 +235,19 @@
 	return at
 }
 
-// rates: in every span of a window's length, what runs of a tenant stays within
+// checkRates checks that in every rate window the executions of a tenant stay within
 // the largest limit that may have been in force.
-func (b *books) rates() (list []Breach) {
+func (b *recordIndex) checkRates() (list []Breach) {
 	bound := map[*Table]time.Duration{}
 	for _, t := range b.Tables {
-		if t.IsAcked {
-			bound[t] = b.binds(t)
+		if t.Acked {
+			bound[t] = b.inForceFrom(t)
 		}
 	}
 	allowed := func(tenant string, from time.Duration) float64 {
 		most, known := 0.0, false
 		for _, t := range b.Tables {
-			if t.Refused || t.Sent > from+b.Limits.Window {
+			if t.Refused || t.SentAt > from+b.Limits.Window {
 				continue
 			}
 			superseded := false
@@ -255,7 +257,7 @@
 			if superseded {
 				continue
 			}
-			if one, ok := t.Allowed[tenant]; ok {
+			if one, ok := t.MaxPerWindow[tenant]; ok {
 				known = true
 				most = max(most, one)
 			} else if t.Valid {
@@ -288,53 +290,53 @@
 	return list
 }
 
-func (b *books) leaving() (list []Breach) {
+func (b *recordIndex) checkDraining() (list []Breach) {
 	heard := map[string]time.Duration{}
-	for _, w := range b.Words {
+	for _, w := range b.LeaveAcks {
 		if at, ok := heard[w.Replica]; !ok || w.At < at {
 			heard[w.Replica] = w.At
 		}
 	}
 	for _, a := range b.Arrivals {
 		at, ok := heard[a.Replica]
-		if ok && !a.Moved && a.At > at+b.Limits.Drain && b.calm(a.Node, at, a.At) {
-			list = append(list, breach(RuleLeaving, "%s reached %s at %v by %s, and it was heard at %v that this one leaves", a.Attempt, a.Replica, a.At, a.Node, at))
+		if ok && !a.Misdirected && a.At > at+b.Limits.Drain && b.inTouch(a.Node, at, a.At) {
+			list = append(list, breach(RuleDraining, "%s reached %s at %v by %s, and it was heard at %v that this one leaves", a.Attempt, a.Replica, a.At, a.Node, at))
 		}
 	}
 	return list
 }
 
-// served: from the recovery time on a quarter of what may be served is, of all
-// requests and of each kind that there are many of.
-func (b *books) served() (list []Breach) {
-	if b.Back == 0 {
+// checkRecovery checks that after the recovery time at least a quarter of the requests
+// are served, in total and for each frequent kind.
+func (b *recordIndex) checkRecovery() (list []Breach) {
+	if b.RestoredAt == 0 {
 		return nil
 	}
 	const many = 20
 	whole, all := map[string]int{}, map[string]int{"": 0}
 	for _, q := range b.Requests {
-		if q.At <= b.Back+b.Limits.Recovery || q.Ended < 0 || q.Kind == "probe" || q.Outcome == Refused && q.Status != 503 {
+		if q.At <= b.RestoredAt+b.Limits.Recovery || q.Ended < 0 || q.Kind == "probe" || q.Outcome == Refused && q.Status != 503 {
 			continue
 		}
 		for _, kind := range []string{"", q.Kind} {
 			all[kind]++
-			if q.Outcome == Whole {
+			if q.Outcome == Complete {
 				whole[kind]++
 			}
 		}
 	}
 	for _, kind := range ordered.Keys(all) {
 		if (kind == "" || all[kind] >= many) && (all[kind] == 0 || whole[kind]*4 < all[kind]) {
-			list = append(list, breach(RuleServed, "%d of %d requests %s were served from %v on, after the closing fault's end at %v", whole[kind], all[kind], kind, b.Back+b.Limits.Recovery, b.Back))
+			list = append(list, breach(RuleRecovery, "%d of %d requests %s were served from %v on, after the closing fault's end at %v", whole[kind], all[kind], kind, b.RestoredAt+b.Limits.Recovery, b.RestoredAt))
 		}
 	}
 	return list
 }
 
-func (b *books) heldUp() (list []Breach) {
+func (b *recordIndex) checkFinalSteps() (list []Breach) {
 	for _, q := range b.Requests {
-		if q.Arrived && q.LastStep == 0 && q.At+b.Limits.Longest < b.End && !b.inTrouble(q.Node, q.At, b.End) {
-			list = append(list, breach(RuleHeld, "%s %s arrived at %s at %v and got no last step", q.Kind, q.Attempt, q.Node, q.At))
+		if q.Arrived && q.LastStep == 0 && q.At+b.Limits.FinalStep < b.End && !b.disrupted(q.Node, q.At, b.End) {
+			list = append(list, breach(RuleFinalStep, "%s %s arrived at %s at %v and got no last step", q.Kind, q.Attempt, q.Node, q.At))
 		}
 	}
 	return list
--- a/rehearsalkit/relaysim/judge_tables.go
+++ b/rehearsalkit/relaysim/judge_tables.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-func (b *books) tables() (list []Breach) {
+func (b *recordIndex) checkTables() (list []Breach) {
 	onBase := map[uint64]*Table{}
 	var newest *Table
 	for _, t := range b.Tables {
-		if !t.IsAcked {
+		if !t.Acked {
 			continue
 		}
 		if !t.Valid {
-			list = append(list, breach(RuleRace, "table %d (%s) is invalid and was acknowledged at %v", t.Number, t.Mark, t.Acked))
+			list = append(list, breach(RuleTableRace, "table %d (%s) is invalid and was acknowledged at %v", t.Number, t.ID, t.AckedAt))
 		}
 		if other := onBase[t.Base]; other != nil {
-			list = append(list, breach(RuleRace, "tables %d (%s) and %d (%s) were both acknowledged on base %d", other.Number, other.Mark, t.Number, t.Mark, t.Base))
+			list = append(list, breach(RuleTableRace, "tables %d (%s) and %d (%s) were both acknowledged on base %d", other.Number, other.ID, t.Number, t.ID, t.Base))
 		}
 		onBase[t.Base] = t
 		if newest == nil || newest.Number < t.Number {
 			newest = t
 		}
 	}
-	for _, read := range b.Reads {
+	for _, read := range b.FinalReads {
 		if newest != nil && read.Number < newest.Number {
-			list = append(list, breach(RuleLost, "table %d was read back at %v, and %d had been acknowledged", read.Number, read.At, newest.Number))
+			list = append(list, breach(RuleDurable, "table %d was read back at %v, and %d had been acknowledged", read.Number, read.At, newest.Number))
 			continue
 		}
 		sent, refused := false, false
@@ -35,41 +35,42 @@
 			}
 		}
 		if !sent || refused {
-			list = append(list, breach(RuleLost, "table %d was read back at %v: not what was sent under its number, or refused", read.Number, read.At))
+			list = append(list, breach(RuleDurable, "table %d was read back at %v: not what was sent under its number, or refused", read.Number, read.At))
 		}
 	}
-	if newest != nil && len(b.Reads) == 0 && b.End > 0 {
-		list = append(list, breach(RuleLost, "no table could be read back at the end"))
+	if newest != nil && len(b.FinalReads) == 0 && b.End > 0 {
+		list = append(list, breach(RuleDurable, "no table could be read back at the end"))
 	}
 	return list
 }
 
-// handled is one sign of which tables a node may have had in force.
-type handled struct {
-	request *Request
-	at      time.Duration
-	sent    time.Duration
-	node    string
-	life    int
-	fits    func(t *Table) bool
-	what    string
+// evidence is one observation that shows which tables a node may have had in force.
+type evidence struct {
+	request     *Request
+	at          time.Duration
+	sent        time.Duration
+	node        string
+	incarnation int
+	fits        func(t *Table) bool
+	what        string
 }
 
-// signs lists what tells which tables were in force where.
-func (b *books) signs() (list []handled) {
+// collectEvidence lists all observations that show which tables were in force, ordered
+// by time.
+func (b *recordIndex) collectEvidence() (list []evidence) {
 	for i := range b.Arrivals {
 		a := &b.Arrivals[i]
 		q := b.requests[a.Attempt]
-		if q == nil || a.Moved {
+		if q == nil || a.Misdirected {
 			continue
 		}
-		list = append(list, handled{request: q, at: a.At, sent: q.At, node: a.Node, life: a.Life, what: "sent to " + a.Service + " as " + a.Tenant, fits: func(t *Table) bool {
+		list = append(list, evidence{request: q, at: a.At, sent: q.At, node: a.Node, incarnation: a.Incarnation, what: "sent to " + a.Service + " as " + a.Tenant, fits: func(t *Table) bool {
 			r, ok := t.route(q.Path)
 			if !ok {
 				return false
 			}
-			holder := t.Holders[q.Key]
-			if holder != a.Tenant || holder == "" && !r.Open {
+			holder := t.KeyTenants[q.Key]
+			if holder != a.Tenant || holder == "" && !r.Public {
 				return false
 			}
 			for _, s := range r.Services {
@@ -91,42 +92,43 @@
 		case q.Status == 401:
 			fits = func(t *Table) bool {
 				r, ok := t.route(q.Path)
-				return ok && !r.Open && t.Holders[q.Key] == ""
+				return ok && !r.Public && t.KeyTenants[q.Key] == ""
 			}
 		case q.Status == 429 || q.Status == 402:
 			fits = func(t *Table) bool {
 				r, ok := t.route(q.Path)
-				return ok && (r.Open || t.Holders[q.Key] != "")
+				return ok && (r.Public || t.KeyTenants[q.Key] != "")
 			}
 		default:
 			continue
 		}
-		list = append(list, handled{request: q, at: q.Ended, sent: q.At, node: q.Node, life: q.Life, what: "answered " + statusText(q.Status), fits: fits})
+		list = append(list, evidence{request: q, at: q.Ended, sent: q.At, node: q.Node, incarnation: q.Incarnation, what: "answered " + statusText(q.Status), fits: fits})
 	}
 	sort.SliceStable(list, func(i, j int) bool { return list[i].at < list[j].at })
 	return list
 }
 
-// handling judges by which tables requests were handled.
-func (b *books) handling() (list []Breach) {
+// checkHandling checks that each request was handled by a table that is valid, recent
+// enough and not older than one the same incarnation used before.
+func (b *recordIndex) checkHandling() (list []Breach) {
 	type proof struct {
 		at     time.Duration
 		number uint64
 	}
 	proofs := map[string][]proof{}
-	told := map[string]bool{}
-	add := func(rule, life, format string, args ...any) {
-		if !told[rule+life] {
-			told[rule+life] = true
+	reported := map[string]bool{}
+	add := func(rule, incarnation, format string, args ...any) {
+		if !reported[rule+incarnation] {
+			reported[rule+incarnation] = true
 			list = append(list, breach(rule, format, args...))
 		}
 	}
-	for _, s := range b.signs() {
-		life := s.node + "/" + statusText(s.life)
+	for _, s := range b.collectEvidence() {
+		incarnation := s.node + "/" + statusText(s.incarnation)
 		var lowest, highest uint64
 		fits, any := 0, false
-		for _, t := range b.byNumber {
-			if t.Sent > s.at {
+		for _, t := range b.tablesByNumber {
+			if t.SentAt > s.at {
 				continue
 			}
 			any = true
@@ -144,28 +146,28 @@
 		}
 		q := s.request
 		if fits == 0 {
-			add(RuleAllowed, life, "%s %s was %s at %v by %s, which no table that was handed over and not refused allows", q.Kind, q.Attempt, s.what, s.at, s.node)
+			add(RuleTableAllows, incarnation, "%s %s was %s at %v by %s, which no table that was handed over and not refused allows", q.Kind, q.Attempt, s.what, s.at, s.node)
 			continue
 		}
-		for _, t := range b.byNumber {
-			if !t.IsAcked || t.Number <= highest {
+		for _, t := range b.tablesByNumber {
+			if !t.Acked || t.Number <= highest {
 				continue
 			}
-			late := s.sent > t.Acked+b.Limits.Apply && b.calm(s.node, min(t.Acked, s.sent-b.Limits.Contact), s.at)
-			late = late || s.sent > t.Acked+b.Limits.Apply+b.Limits.Outer && b.outer(s.node, t.Acked, s.at)
+			late := s.sent > t.AckedAt+b.Limits.Apply && b.inTouch(s.node, min(t.AckedAt, s.sent-b.Limits.Contact), s.at)
+			late = late || s.sent > t.AckedAt+b.Limits.Apply+b.Limits.ApplyWithoutStores && b.nodeUndisturbed(s.node, t.AckedAt, s.at)
 			if late {
-				add(RuleFollow, life, "%s %s, sent at %v to %s, was %s, as only tables up to %d allow; %d had been acknowledged at %v", q.Kind, q.Attempt, s.sent, s.node, s.what, highest, t.Number, t.Acked)
+				add(RuleTableLag, incarnation, "%s %s, sent at %v to %s, was %s, as only tables up to %d allow; %d had been acknowledged at %v", q.Kind, q.Attempt, s.sent, s.node, s.what, highest, t.Number, t.AckedAt)
 				break
 			}
 		}
-		for _, p := range proofs[life] {
+		for _, p := range proofs[incarnation] {
 			if p.number > highest && s.sent > p.at+b.Limits.Revert {
-				add(RuleBack, life, "%s %s, sent at %v, was %s by %s, as only tables up to %d allow; the same life had shown %d at %v", q.Kind, q.Attempt, s.sent, s.what, s.node, highest, p.number, p.at)
+				add(RuleNoRollback, incarnation, "%s %s, sent at %v, was %s by %s, as only tables up to %d allow; the same life had shown %d at %v", q.Kind, q.Attempt, s.sent, s.what, s.node, highest, p.number, p.at)
 				break
 			}
 		}
-		if list := proofs[life]; len(list) == 0 || list[len(list)-1].number < lowest {
-			proofs[life] = append(list, proof{at: s.at, number: lowest})
+		if list := proofs[incarnation]; len(list) == 0 || list[len(list)-1].number < lowest {
+			proofs[incarnation] = append(list, proof{at: s.at, number: lowest})
 		}
 	}
 	return list
--- /dev/null
+++ b/rehearsalkit/relaysim/leaveloss_test.go
@@ -0,0 +1,86 @@
+package relaysim
+
+import (
+	"testing"
+	"time"
+
+	"saffronfall/peer/desk"
+)
+
+// earlyAckDesk acknowledges that a replica leaves before any other process can know it.
+type earlyAckDesk struct{ Desk }
+
+func (d earlyAckDesk) Heartbeat(now time.Duration, ticket uint64, r desk.Replica) desk.Output {
+	o := d.Desk.Heartbeat(now, 0, r)
+	o.Answers = append(o.Answers, desk.Answer{Ticket: ticket, Body: desk.Acknowledgment{Accepted: true}})
+	return o
+}
+
+// loseAckingDesk has a desk fail right after it was told that a replica leaves, with
+// all that it had sent, and counts the requests that reach the replica too long after
+// an acknowledgement. The bound holds even though the acknowledging machine is
+// disrupted.
+func loseAckingDesk(seed uint64, wrap func(d Desk) Desk) (acknowledged, late int) {
+	p := Defaults(seed)
+	p.Faults, p.Operators, p.Closing = false, 0, ""
+	p.Callers = 30
+	p.WrapDesk = wrap
+	w := New(p)
+	w.startFleet(w.applyFirstTable)
+	w.runUntil(startupTime)
+	w.Record.End = startupTime + 10*time.Second
+	w.startWorkload()
+	w.runUntil(w.now + 2*time.Second)
+	address := w.now % 4
+	leaver := w.replicas[[]string{"10.0.3.6:8080", "10.0.3.7:8080", "10.0.3.8:8080", "10.0.3.9:8080"}[(seed+uint64(address))%4]]
+	reported := w.anyDesk()
+	leaver.target = reported
+	w.blocked = func(from, to string) bool { return from == reported.address && w.processes[to] != nil }
+	leaver.leave(func() {})
+	w.after(w.between(3*time.Millisecond, 40*time.Millisecond), func() {
+		for _, s := range w.stores {
+			if s.desk == reported {
+				w.losePower(s, true, time.Minute)
+			}
+		}
+	})
+	w.runUntil(w.Record.End)
+	for _, ack := range w.Record.LeaveAcks {
+		if ack.Replica != leaver.id {
+			continue
+		}
+		acknowledged++
+		for _, a := range w.Record.Arrivals {
+			if a.Replica == leaver.id && !a.Misdirected && a.At > ack.At+w.Record.Limits.Drain {
+				late++
+			}
+		}
+		break
+	}
+	return acknowledged, late
+}
+
+// TestAcknowledgedLeaveSurvivesDeskLoss checks that an acknowledged leave takes effect
+// although the acknowledging desk fails at that moment.
+func TestAcknowledgedLeaveSurvivesDeskLoss(t *testing.T) {
+	const seeds = 12
+	acknowledged := 0
+	for seed := uint64(1); seed <= seeds; seed++ {
+		n, late := loseAckingDesk(seed, nil)
+		acknowledged += n
+		if late > 0 {
+			t.Errorf("seed %d: %d requests reach a replica after it was acknowledged that it leaves", seed, late)
+		}
+	}
+	if acknowledged < seeds/2 {
+		t.Errorf("%d of %d leavings were acknowledged", acknowledged, seeds)
+	}
+	found := 0
+	for seed := uint64(1); seed <= seeds && found == 0; seed++ {
+		_, late := loseAckingDesk(seed, func(d Desk) Desk { return earlyAckDesk{d} })
+		found += late
+	}
+	if found == 0 {
+		t.Error("a desk that acknowledges at once is not found")
+	}
+}
--- a/rehearsalkit/relaysim/linear.go
+++ b/rehearsalkit/relaysim/linear.go
@@ -7,40 +7,41 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// RuleLinear is that orders and reads of the table in force could have happened
-// one after the other, each at a moment between its call and its answer.
+// RuleLinear is broken when no sequential execution explains the answers to all orders
+// and reads, with each taking effect between its call and its answer (linearizability).
 const RuleLinear = "tables are linearizable"
 
-// linearTime is how long a search for such an order may take.
-const linearTime = 20 * time.Second
+// linearTimeout limits the search for a sequential execution.
+const linearTimeout = 20 * time.Second
 
-// tableState is the table in force, in the model of a register.
+// tableState is the state of the register model: the table in force.
 type tableState struct {
 	Number uint64
 	Text   string
 }
 
-// tableCall is one order, or one read.
+// tableCall is one order or one read.
 type tableCall struct {
 	Read bool
 	Base uint64
 	To   tableState
 }
 
-// What became of an order.
+// Outcomes of an order.
 const (
 	orderUnsure = iota
-	orderTaken
+	orderAccepted
 	orderRefused
 )
 
-// tableAnswer is what a call was answered with.
+// tableAnswer is the answer to a call.
 type tableAnswer struct {
 	Outcome int
 	Found   tableState
 }
 
-// tableModel is a register that changes only from the base that an order names.
+// tableModel is a register with compare-and-set: an order takes effect only on the base
+// that it names.
 var tableModel = porcupine.Model{
 	Init: func() any { return tableState{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -59,18 +60,18 @@
 	},
 }
 
-// tableHistory is what operators did, and what they were answered. Orders without
-// a clear answer may come into force at any time, or never.
+// tableHistory lists the operators' calls and answers. An order without a conclusive
+// answer may take effect at any later time or never.
 func (r *Record) tableHistory() []porcupine.Operation {
 	var history []porcupine.Operation
 	for _, t := range r.Tables {
 		if !t.Valid {
 			continue
 		}
-		one := porcupine.Operation{Input: tableCall{Base: t.Base, To: tableState{t.Number, string(t.Text)}}, Call: int64(t.Sent), Output: tableAnswer{}, Return: math.MaxInt64}
+		one := porcupine.Operation{Input: tableCall{Base: t.Base, To: tableState{t.Number, string(t.Text)}}, Call: int64(t.SentAt), Output: tableAnswer{}, Return: math.MaxInt64}
 		switch {
-		case t.IsAcked:
-			one.Output, one.Return = tableAnswer{Outcome: orderTaken}, int64(t.Acked)
+		case t.Acked:
+			one.Output, one.Return = tableAnswer{Outcome: orderAccepted}, int64(t.AckedAt)
 		case t.Refused && t.RefusedAt > 0:
 			one.Output, one.Return = tableAnswer{Outcome: orderRefused}, int64(t.RefusedAt)
 		case t.Refused:
@@ -78,21 +79,21 @@
 		}
 		history = append(history, one)
 	}
-	for _, read := range append(append([]ReadBack(nil), r.Readings...), r.Reads...) {
+	for _, read := range append(append([]ReadBack(nil), r.OperatorReads...), r.FinalReads...) {
 		found := tableState{read.Number, string(read.Text)}
 		history = append(history, porcupine.Operation{Input: tableCall{Read: true}, Call: int64(read.From), Output: tableAnswer{Found: found}, Return: int64(read.At)})
 	}
 	return history
 }
 
-// linear looks for an order of all calls that explains their answers.
-func (b *books) linear() []Breach {
+// checkLinearizable checks that the history of orders and reads is linearizable.
+func (b *recordIndex) checkLinearizable() []Breach {
 	history := b.tableHistory()
-	switch porcupine.CheckOperationsTimeout(tableModel, history, linearTime) {
+	switch porcupine.CheckOperationsTimeout(tableModel, history, linearTimeout) {
 	case porcupine.Illegal:
 		return []Breach{breach(RuleLinear, "no order of %d calls explains their answers", len(history))}
 	case porcupine.Unknown:
-		return []Breach{breach(RuleLinear, "%d calls could not be judged within %v", len(history), linearTime)}
+		return []Breach{breach(RuleLinear, "%d calls could not be judged within %v", len(history), linearTimeout)}
 	}
 	return nil
 }
--- a/rehearsalkit/relaysim/longcut.go
+++ b/rehearsalkit/relaysim/longcut.go
@@ -8,18 +8,18 @@
 	"saffronfall/peer/desk"
 )
 
-// Ways of cutting a machine off.
+// Modes of cutting a machine off.
 const (
-	cutBoth    = "both ways"
-	cutSilent  = "only what it says is lost"
-	cutDeaf    = "only what it should hear is lost"
-	cutPeers   = "only from its own kind"
-	cutRestart = "both ways, others start again and know only it"
+	cutBoth     = "both ways"
+	cutOutbound = "only what it says is lost"
+	cutInbound  = "only what it should hear is lost"
+	cutPeers    = "only from its own kind"
+	cutRestart  = "both ways, others start again and know only it"
 )
 
-var cutWays = []string{cutBoth, cutSilent, cutDeaf, cutPeers, cutRestart}
+var cutModes = []string{cutBoth, cutOutbound, cutInbound, cutPeers, cutRestart}
 
-// cutLength is how long a cut lasts.
+// cutLength is the duration of a cut.
 const cutLength = 20 * time.Second
 
 func longcutParams(seed uint64) Params {
@@ -30,16 +30,16 @@
 	return p
 }
 
-// longcut cuts each machine of the control side off in turn, twice in a row,
-// with orders and read-backs all through.
+// longcut cuts off each machine of the control side twice in a row, under continuous
+// orders and reads.
 type longcut struct {
 	world    *World
-	book     *orderBook
+	history  *orderHistory
 	health   *health
 	findings *Findings
-	way      string
-	over     bool
-	fresh    int
+	mode     string
+	stopped  bool
+	newNodes int
 }
 
 func playLongcut(w *World) *Findings {
@@ -53,11 +53,11 @@
 
 func newLongcut(w *World) *longcut {
 	f := newFindings(w)
-	b := newOrderBook(w, f)
-	return &longcut{world: w, book: b, health: w.watchHealth(b), findings: f, way: cutWays[w.Params.Seed%uint64(len(cutWays))]}
+	b := newOrderHistory(w, f)
+	return &longcut{world: w, history: b, health: w.watchHealth(b), findings: f, mode: cutModes[w.Params.Seed%uint64(len(cutModes))]}
 }
 
-// targets are all machines of the control side.
+// targets lists all machines of the control side.
 func (l *longcut) targets() (list []*process) {
 	for _, s := range l.world.stores {
 		list = append(list, s.processes()...)
@@ -65,158 +65,160 @@
 	return list
 }
 
-// play cuts machines off one after the other, and judges the run.
+// play cuts off one target after the other and judges the run.
 func (l *longcut) play(targets []*process) *Findings {
 	w := l.world
 	w.Record.End = time.Hour
-	w.start(l.book)
-	l.load()
+	w.startScenario(l.history)
+	l.startLoad()
 	for _, target := range targets {
 		l.cut(target)
 	}
-	l.over = true
-	w.Pass(patience + time.Second)
-	w.finish(l.book)
+	l.stopped = true
+	w.Advance(answerTimeout + time.Second)
+	w.finishScenario(l.history)
 	return l.findings
 }
 
-// load begins orders, races, read-backs and all other calls.
-func (l *longcut) load() {
+// startLoad starts orders, competing orders, reads and all other calls.
+func (l *longcut) startLoad() {
 	w := l.world
 	for range 2 {
-		o := &orderer{book: l.book, rivals: 0.4, amends: 0.5, over: func() bool { return l.over }, pause: func() time.Duration { return w.between(500*time.Millisecond, 1500*time.Millisecond) }}
+		o := &orderGenerator{history: l.history, rivalRate: 0.4, amendmentRate: 0.5, stopped: func() bool { return l.stopped }, pause: func() time.Duration { return w.between(500*time.Millisecond, 1500*time.Millisecond) }}
 		w.after(w.between(0, time.Second), o.run)
 	}
 	for _, s := range w.stores {
 		if s.desk != nil {
-			for _, kind := range []string{callHeartbeat, callLeave, callOrderAgain, callRead, callRetire, callStatus} {
-				w.after(w.between(0, time.Second), func() { l.callOver(kind, s.desk) })
+			for _, kind := range []string{callHeartbeat, callLeave, callResend, callRead, callRetire, callStatus} {
+				w.after(w.between(0, time.Second), func() { l.callRepeatedly(kind, s.desk) })
 			}
 		}
 	}
-	w.probe()
+	w.runProbe()
 }
 
-// recentOrders is how many orders back those are that are handed over again.
+// recentOrders is how many of the newest orders are candidates for sending again.
 const recentOrders = 10
 
-// callOver makes one kind of call at a desk again and again.
-func (l *longcut) callOver(kind string, at *process) {
+// callRepeatedly makes calls of one kind to a desk until the scenario stops.
+func (l *longcut) callRepeatedly(kind string, at *process) {
 	w := l.world
-	if l.over {
+	if l.stopped {
 		return
 	}
-	w.after(w.between(500*time.Millisecond, 1100*time.Millisecond), func() { l.callOver(kind, at) })
+	w.after(w.between(500*time.Millisecond, 1100*time.Millisecond), func() { l.callRepeatedly(kind, at) })
 	ignore := func(body any) {}
 	known := func(body any) bool { e, ok := body.(desk.RetirementStatus); return ok && !e.Unsure }
 	switch kind {
 	case callHeartbeat, callLeave:
 		l.announce(kind, at)
-	case callOrderAgain:
-		l.book.resend(at, recentOrders)
+	case callResend:
+		l.history.resend(at, recentOrders)
 	case callRead:
-		l.book.read(at, func(t core.CurrentTable, ok bool) {})
+		l.history.read(at, func(t core.CurrentTable, ok bool) {})
 	case callRetire:
-		l.book.call(kind, at, func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.Retire(now, ticket, "nobody") }, known, ignore)
+		l.history.call(kind, at, func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.Retire(now, ticket, "nobody") }, known, ignore)
 	case callStatus:
 		id := w.anyStore().core.id
-		l.book.call(kind, at, func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.RetirementStatus(now, ticket, id) }, known, ignore)
+		l.history.call(kind, at, func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.RetirementStatus(now, ticket, id) }, known, ignore)
 	}
 }
 
-// announce is a heartbeat of a replica, or its leave. A desk confirms neither where it
-// could pass nothing on.
+// announce sends a replica's heartbeat or leave. A desk acknowledges neither if it
+// could not pass it on.
 func (l *longcut) announce(kind string, at *process) {
 	w := l.world
 	id := "idle-" + at.id
 	w.after(w.delay(), func() {
 		at.do(func() {
-			c := l.book.begin(kind, at)
-			say := func(ticket uint64) desk.Output { return at.desk.Leave(at.now(), ticket, w.mark("left")) }
+			c := l.history.beginCall(kind, at)
+			say := func(ticket uint64) desk.Output { return at.desk.Leave(at.now(), ticket, w.uniqueID("left")) }
 			if kind == callHeartbeat {
-				w.marks++
-				word := desk.Replica{ID: id, Service: "idle", Address: "10.0.4.1:1", Sequence: int64(w.marks)}
+				w.lastID++
+				word := desk.Replica{ID: id, Service: "idle", Address: "10.0.4.1:1", Sequence: int64(w.lastID)}
 				say = func(ticket uint64) desk.Output { return at.desk.Heartbeat(at.now(), ticket, word) }
 			}
-			at.announce(say, func(reached bool) { l.book.end(c, reached) })
+			at.announce(say, func(reached bool) { l.history.endCall(c, reached) })
 		})
 	})
 }
 
-// cut cuts a machine off, heals it, and lets a little time pass.
+// cut cuts a machine off, heals the cut and waits until the fleet has recovered.
 func (l *longcut) cut(target *process) {
 	w, f := l.world, l.findings
-	group := fmt.Sprintf("%s, %s", map[bool]string{true: "desk", false: "core"}[target.isDesk], l.way)
-	w.logf("%s cut off: %s", target.id, l.way)
+	group := fmt.Sprintf("%s, %s", map[bool]string{true: "desk", false: "core"}[target.isDesk], l.mode)
+	w.logf("%s cut off: %s", target.id, l.mode)
 	w.Counts["cuts: "+group]++
-	began, first, acked := w.now, len(l.book.calls), len(l.book.acked)
-	end := w.trouble(Stores)
-	w.barrier = l.barrier(target)
-	l.during(target)
-	w.Pass(cutLength)
-	w.barrier = nil
+	began, first, acked := w.now, len(l.history.calls), len(l.history.acked)
+	end := w.beginDisruption(AnyStore)
+	w.blocked = l.blockedLinks(target)
+	l.injectDuringCut(target)
+	w.Advance(cutLength)
+	w.blocked = nil
 	healed := w.now
 	w.logf("%s healed", target.id)
 	for _, p := range w.processes {
 		p.seeds = nil
 	}
 	whole := time.Duration(-1)
-	l.health.untilWhole(healed, func(took time.Duration) { whole = took })
-	w.Pass(catchUp)
+	l.health.awaitHealthy(healed, func(took time.Duration) { whole = took })
+	w.Advance(catchUpTime)
 	if whole < 0 {
-		f.breach(RuleWholeAgain, "%v after %s was cut off (%s) from %v to %v: %s", catchUp, target.id, l.way, began, healed, l.health.lacks())
+		f.breach(RuleFleetRecovery, "%v after %s was cut off (%s) from %v to %v: %s", catchUpTime, target.id, l.mode, began, healed, l.health.problem())
 	} else {
-		f.span("whole again after a cut of a "+group, whole)
+		f.recordDuration("whole again after a cut of a "+group, whole)
 	}
 	end()
-	w.Pass(patience)
+	w.Advance(answerTimeout)
 	l.tabulate(group, target, began, first)
-	w.Counts["orders acknowledged in cuts: "+group] += int64(len(l.book.acked) - acked)
+	w.Counts["orders acknowledged in cuts: "+group] += int64(len(l.history.acked) - acked)
 }
 
-// tabulate sorts the calls of a cut by second and kind: those at the desk that
-// was cut off, or at all desks where a core was.
+// tabulate records the calls during a cut by second and kind: those to the desk that
+// was cut off or, for a core, those to all desks.
 func (l *longcut) tabulate(group string, target *process, began time.Duration, first int) {
-	for _, c := range l.book.calls[first:] {
-		l.judgeKnowing(target, began, c)
+	for _, c := range l.history.calls[first:] {
+		l.judgeIsolatedDesk(target, began, c)
 		if c.ended < 0 || target.isDesk && c.desk != target {
 			continue
 		}
-		l.findings.Answers.add(group, int((c.at-began)/time.Second), c)
-		if during := c.at-began < cutLength; during {
-			l.findings.span(fmt.Sprintf("answer in a cut: %s, %s", group, c.kind), c.ended-c.at)
+		l.findings.Answers.add(group, int((c.started-began)/time.Second), c)
+		if during := c.started-began < cutLength; during {
+			l.findings.recordDuration(fmt.Sprintf("answer in a cut: %s, %s", group, c.kind), c.ended-c.started)
 		}
 	}
 }
 
 const (
-	// knowsAfter is after what time a desk that reaches no core must know it.
-	knowsAfter = time.Second
-	// unheardAfter is after what time a desk that no node hears must know it.
-	unheardAfter = 5 * time.Second
+	// detectsCoresAfter is the time within which a desk must notice that it reaches no
+	// core.
+	detectsCoresAfter = time.Second
+	// detectsNodesAfter is the time within which a desk must notice that no node reaches
+	// it.
+	detectsNodesAfter = 5 * time.Second
 )
 
-// judgeKnowing wants a desk that must know that it reaches no core to keep no call
-// waiting, and one that no node hears to take nothing from replicas.
-func (l *longcut) judgeKnowing(target *process, began time.Duration, c *deskCall) {
-	since := c.at - began
-	if c.desk != target || l.way == cutPeers || since < knowsAfter || since > cutLength-answerBound || c.lost() {
+// judgeIsolatedDesk checks that a desk that reaches no core answers promptly, and that
+// one without contact to nodes accepts no announcements of replicas.
+func (l *longcut) judgeIsolatedDesk(target *process, began time.Duration, c *deskCall) {
+	since := c.started - began
+	if c.desk != target || l.mode == cutPeers || since < detectsCoresAfter || since > cutLength-answerBound || c.interrupted() {
 		return
 	}
-	if took := c.ended - c.at; c.ended < 0 || took > answerBound {
-		l.findings.breach(RuleAnswered, "%s at %s, which had been cut off (%s) for %v, took %v", c.kind, c.desk.id, l.way, since, took)
+	if took := c.ended - c.started; c.ended < 0 || took > answerBound {
+		l.findings.breach(RuleCallBound, "%s at %s, which had been cut off (%s) for %v, took %v", c.kind, c.desk.id, l.mode, since, took)
 	}
-	if c.clear && since > unheardAfter && (c.kind == callHeartbeat || c.kind == callLeave) {
-		l.findings.breach(RuleUnheard, "%s was acknowledged by %s, which had been cut off (%s) for %v", c.kind, c.desk.id, l.way, since)
+	if c.conclusive && since > detectsNodesAfter && (c.kind == callHeartbeat || c.kind == callLeave) {
+		l.findings.breach(RuleIsolatedDesk, "%s was acknowledged by %s, which had been cut off (%s) for %v", c.kind, c.desk.id, l.mode, since)
 	}
 }
 
-// barrier tells which links a cut of a machine takes.
-func (l *longcut) barrier(target *process) func(from, to string) bool {
+// blockedLinks returns the predicate of the links that a cut of the target blocks.
+func (l *longcut) blockedLinks(target *process) func(from, to string) bool {
 	w := l.world
 	mine := map[string]bool{target.address: true}
-	if l.way == cutRestart && target.disk != nil {
-		// The desk beside a core is what others would look for the fleet at.
+	if l.mode == cutRestart && target.disk != nil {
+		// Restarted machines would find the fleet through the desk beside the core.
 		for _, s := range w.stores {
 			if s.core == target && s.desk != nil {
 				mine[s.desk.address] = true
@@ -224,7 +226,7 @@
 		}
 	}
 	inFleet := func(address string) bool { return w.processes[address] != nil }
-	kindred := func(address string) bool {
+	sameKind := func(address string) bool {
 		p := w.processes[address]
 		return p != nil && p.isDesk == target.isDesk && (p.disk != nil) == (target.disk != nil)
 	}
@@ -232,28 +234,28 @@
 		if mine[from] == mine[to] || !inFleet(from) || !inFleet(to) {
 			return false
 		}
-		switch l.way {
-		case cutSilent:
+		switch l.mode {
+		case cutOutbound:
 			return mine[from]
-		case cutDeaf:
+		case cutInbound:
 			return mine[to]
 		case cutPeers:
-			return kindred(from) && kindred(to)
+			return sameKind(from) && sameKind(to)
 		}
 		return true
 	}
 }
 
-// during brings about what happens while a machine is cut off: a new node comes,
-// whose first question goes to it, and in one way others start again.
-func (l *longcut) during(target *process) {
+// injectDuringCut starts a new node during a cut, whose first request goes to the
+// target, and restarts other machines in the mode cutRestart.
+func (l *longcut) injectDuringCut(target *process) {
 	w := l.world
 	seeds := w.seeds()
 	if target.isDesk {
 		seeds = []string{target.address}
 	}
 	w.after(5*time.Second, func() { l.newNode(seeds) })
-	if l.way != cutRestart {
+	if l.mode != cutRestart {
 		return
 	}
 	var others []*process
@@ -276,23 +278,23 @@
 	})
 }
 
-// newNode starts a node that knows only some seeds, and ends it once it was
-// ready, or when it has not become so until the fleet was whole for a while.
+// newNode starts a node with the given seeds and stops it once it is ready. Not being
+// ready some time after the end of the cut is a breach.
 func (l *longcut) newNode(seeds []string) {
 	w := l.world
-	l.fresh++
-	n := w.add(fmt.Sprintf("fresh%d", l.fresh), l.fresh, fmt.Sprintf("10.0.5.%d:1", l.fresh))
-	n.ways, n.seeds = map[uint64]*way{}, seeds
+	l.newNodes++
+	n := w.add(fmt.Sprintf("fresh%d", l.newNodes), l.newNodes, fmt.Sprintf("10.0.5.%d:1", l.newNodes))
+	n.requests, n.seeds = map[uint64]*activeRequest{}, seeds
 	n.boot()
 	began := w.now
 	var look func()
 	look = func() {
 		switch {
 		case n.node.Ready(n.now()):
-			l.findings.span("a new node is ready, "+l.way, w.now-began)
+			l.findings.recordDuration("a new node is ready, "+l.mode, w.now-began)
 			w.after(time.Second, func() { n.kill() })
-		case w.now > began+cutLength+catchUp:
-			l.findings.breach(RuleWholeAgain, "%s, which came at %v, is not ready at %v", n.id, began, w.now)
+		case w.now > began+cutLength+catchUpTime:
+			l.findings.breach(RuleFleetRecovery, "%s, which came at %v, is not ready at %v", n.id, began, w.now)
 			n.kill()
 		default:
 			w.after(20*time.Millisecond, look)
--- a/rehearsalkit/relaysim/longcut_test.go
+++ b/rehearsalkit/relaysim/longcut_test.go
@@ -9,11 +9,11 @@
 	"saffronfall/rule/message"
 )
 
-// TestLongCut cuts a core and a desk off in each way, twice in a row, others in
-// each; all machines in turn are for the command.
+// TestLongCut cuts off one core and one desk twice each, in every mode. The kit's
+// command runs all machines.
 func TestLongCut(t *testing.T) {
-	for seed := uint64(1); seed <= uint64(len(cutWays)); seed++ {
-		t.Run(cutWays[seed%uint64(len(cutWays))], func(t *testing.T) {
+	for seed := uint64(1); seed <= uint64(len(cutModes)); seed++ {
+		t.Run(cutModes[seed%uint64(len(cutModes))], func(t *testing.T) {
 			t.Parallel()
 			l := newLongcut(New(longcutParams(seed)))
 			chosen := l.world.stores[seed%3]
@@ -28,7 +28,7 @@
 	}
 }
 
-// wantBreach runs a broken build over a few seeds until the judge names a rule.
+// wantBreach plays a faulty system on several seeds until the judge reports the rule.
 func wantBreach(t *testing.T, rule string, run func(seed uint64) *Findings) {
 	t.Helper()
 	var seen []Breach
@@ -43,8 +43,8 @@
 	t.Errorf("no breach of %q in any seed, only %.300v", rule, seen)
 }
 
-// altering changes some messages of one kind.
-func altering[T any](change func(from, to string, body T) (T, bool)) func(p *Params) {
+// alterMessages applies a change to all messages of one type.
+func alterMessages[T any](change func(from, to string, body T) (T, bool)) func(p *Params) {
 	return func(p *Params) {
 		p.Alter = func(from, to string, body any) (any, bool) {
 			if b, ok := body.(T); ok {
@@ -55,23 +55,23 @@
 	}
 }
 
-// TestLongCutBreaks breaks the control side on purpose and wants the judge to
-// name the very rule that is broken.
+// TestLongCutBreaks breaks the control side on purpose and checks that the judge
+// reports the broken rule.
 func TestLongCutBreaks(t *testing.T) {
 	for _, c := range []struct {
 		name, rule string
-		harm       func(p *Params)
+		inject     func(p *Params)
 	}{
-		{"desks refuse some orders that were taken", RuleTaken, func(p *Params) {
-			some := every(5)
-			forging(func(h desk.OrderResult) desk.OrderResult {
+		{"desks refuse some orders that were taken", RuleAcceptedNotRefused, func(p *Params) {
+			some := everyNth(5)
+			forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
 				if h.Accepted && h.Number > 1 && some() {
 					return desk.OrderResult{RaceLost: true}
 				}
 				return h
 			})(p)
 		}},
-		{"orders get another base on their way", RuleRefused, altering(func(from, to string, c core.Command) (core.Command, bool) {
+		{"orders get another base on their way", RuleRefusedByRace, alterMessages(func(from, to string, c core.Command) (core.Command, bool) {
 			inner, _ := message.Open(c.Raw)
 			if a, ok := inner.(core.AcceptTable); ok && a.Number%3 == 0 {
 				a.Base++
@@ -79,27 +79,27 @@
 			}
 			return c, true
 		})},
-		{"desks acknowledge what they do not know", RuleLost, forging(func(h desk.OrderResult) desk.OrderResult {
+		{"desks acknowledge what they do not know", RuleDurable, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
 			h.Accepted, h.Unsure = h.Accepted || h.Unsure, false
 			return h
 		})},
-		{"desks acknowledge what lost its race", RuleRace, forging(func(h desk.OrderResult) desk.OrderResult {
+		{"desks acknowledge what lost its race", RuleTableRace, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
 			h.Accepted, h.RaceLost = h.Accepted || h.RaceLost, false
 			return h
 		})},
-		{"desks always say that their news are fresh", RuleNewest, altering(func(from, to string, b desk.Update) (desk.Update, bool) {
+		{"desks always say that their news are fresh", RuleNewestTable, alterMessages(func(from, to string, b desk.Update) (desk.Update, bool) {
 			b.ConfirmationAge = min(b.ConfirmationAge, 0)
 			return b, true
 		})},
-		{"desks say nothing when nobody answers them", RuleAnswered, func(p *Params) {
-			p.WrapDesk = func(d Desk) Desk { return &mute{d} }
+		{"desks say nothing when nobody answers them", RuleCallBound, func(p *Params) {
+			p.WrapDesk = func(d Desk) Desk { return &unansweringDesk{d} }
 		}},
-		{"desks take heartbeats that they can pass on to nobody", RuleUnheard, func(p *Params) {
-			p.WrapDesk = func(d Desk) Desk { return hastyDesk{d} }
+		{"desks take heartbeats that they can pass on to nobody", RuleIsolatedDesk, func(p *Params) {
+			p.WrapDesk = func(d Desk) Desk { return earlyAckDesk{d} }
 		}},
-		{"a desk hears of nothing fresh any more", RuleWholeAgain, func(p *Params) {
+		{"a desk hears of nothing fresh any more", RuleFleetRecovery, func(p *Params) {
 			heard := 0
-			altering(func(from, to string, b core.Freshness) (core.Freshness, bool) {
+			alterMessages(func(from, to string, b core.Freshness) (core.Freshness, bool) {
 				if to == "desk2" {
 					heard++
 				}
@@ -111,19 +111,19 @@
 			t.Parallel()
 			wantBreach(t, c.rule, func(seed uint64) *Findings {
 				p := longcutParams(seed)
-				c.harm(&p)
+				c.inject(&p)
 				l := newLongcut(New(p))
-				l.way = cutBoth
+				l.mode = cutBoth
 				return l.play(l.targets()[1:2])
 			})
 		})
 	}
 }
 
-// mute is a desk that drops its unclear answers.
-type mute struct{ Desk }
+// unansweringDesk is a desk that drops its inconclusive answers.
+type unansweringDesk struct{ Desk }
 
-func (m *mute) out(o desk.Output) desk.Output {
+func (m *unansweringDesk) out(o desk.Output) desk.Output {
 	var kept []desk.Answer
 	for _, a := range o.Answers {
 		if h, ok := a.Body.(desk.OrderResult); !ok || !h.Unsure {
@@ -134,4 +134,4 @@
 	return o
 }
 
-func (m *mute) Tick(now time.Duration) desk.Output { return m.out(m.Desk.Tick(now)) }
+func (m *unansweringDesk) Tick(now time.Duration) desk.Output { return m.out(m.Desk.Tick(now)) }
--- a/rehearsalkit/relaysim/manychanges.go
+++ b/rehearsalkit/relaysim/manychanges.go
@@ -9,7 +9,7 @@
 	"saffronfall/rule/message"
 )
 
-// States of the disk with which a machine comes back.
+// States of the disk of a machine that returns.
 const (
 	diskOld   = "an old disk"
 	diskTorn  = "a torn disk"
@@ -20,22 +20,22 @@
 
 // Bounds of the scenario manychanges.
 const (
-	// tornLost is how long before the end those writes are that a torn disk lacks.
-	tornLost = 60 * time.Millisecond
-	// logFactor and smallestSlot are as in the core's process: the log is replaced
-	// by a new slot once it is so many times as long as that.
+	// tornWindow is the interval before the stop whose writes a torn disk lacks.
+	tornWindow = 60 * time.Millisecond
+	// logFactor and smallestSlot are those of the core's process, which starts a new slot
+	// once the log is longer than logFactor times the slot.
 	logFactor    = 4
 	smallestSlot = 1 << 20
-	// caughtUpStates and caughtUpMore bound the bytes that a machine is sent until
-	// it has caught up: so many times what cores hold, and what is sent anyway.
-	caughtUpStates = 4
-	caughtUpMore   = 1 << 20
-	// stateGrowth and memoryGrowth bound what one more change may leave behind.
+	// catchUpStates and catchUpExtra bound the bytes sent to a machine until it has caught
+	// up: catchUpStates times a core's state, and catchUpExtra for regular traffic.
+	catchUpStates = 4
+	catchUpExtra  = 1 << 20
+	// stateGrowth and memoryGrowth bound the bytes that each further change may add.
 	stateGrowth  = 256
 	memoryGrowth = 1024
-	// changeSlowest is how long a change may take on average.
-	changeSlowest = 200 * time.Millisecond
-	// sampleEvery is after how many changes sizes are noted, mostly.
+	// maxChangeTime bounds the average time per change.
+	maxChangeTime = 200 * time.Millisecond
+	// sampleEvery is the default number of changes between two samples of sizes.
 	sampleEvery = 300
 )
 
@@ -46,33 +46,33 @@
 	return p
 }
 
-// manyChanges hands thousands of tables over while machines are away for some of
-// them.
+// manyChanges applies thousands of tables while single machines are away.
 type manyChanges struct {
-	world    *World
-	findings *Findings
-	book     *orderBook
-	health   *health
-	state    string
-	over     bool
-	// sampleEvery is after how many changes sizes are noted.
+	world     *World
+	findings  *Findings
+	history   *orderHistory
+	health    *health
+	diskState string
+	stopped   bool
+	// sampleEvery is the number of changes between two samples of sizes.
 	sampleEvery int
 	logs        map[*process]*logMeter
 	samples     []sizes
-	// images are what a core's disk held a moment before.
+	// images are earlier contents of cores' disks.
 	images map[*process]core.Stored
-	// received counts the bytes sent to each process.
+	// received counts the bytes sent to each address.
 	received map[string]int64
 }
 
-// logMeter is how long a core's log is, by the rule of the core's process.
+// logMeter tracks the length of a core's log as the core's process would keep it.
 type logMeter struct{ size, slot, longest int64 }
 
-// sizes are what the largest machine of each kind holds after some changes.
+// sizes are the sizes of the largest machine of each kind after a number of changes.
+// All but changes and entries are in bytes.
 type sizes struct {
-	changes                       int
-	log, state, entries           int64
-	coreMemory, deskMemory, nodes int64
+	changes                            int
+	log, state, entries                int64
+	coreMemory, deskMemory, nodeMemory int64
 }
 
 func playManyChanges(w *World) *Findings {
@@ -81,68 +81,69 @@
 
 func newManyChanges(w *World) *manyChanges {
 	f := newFindings(w)
-	b := newOrderBook(w, f)
-	m := &manyChanges{world: w, findings: f, book: b, health: w.watchHealth(b), state: diskStates[w.Params.Seed%uint64(len(diskStates))], sampleEvery: sampleEvery,
+	b := newOrderHistory(w, f)
+	m := &manyChanges{world: w, findings: f, history: b, health: w.watchHealth(b), diskState: diskStates[w.Params.Seed%uint64(len(diskStates))], sampleEvery: sampleEvery,
 		logs: map[*process]*logMeter{}, images: map[*process]core.Stored{}, received: map[string]int64{}}
-	told := w.watch.sent
-	w.watch.sent = func(from *process, to string, body any) {
-		told(from, to, body)
-		m.received[to] += int64(sizeOf(body))
+	reported := w.observers.sent
+	w.observers.sent = func(from *process, to string, body any) {
+		reported(from, to, body)
+		m.received[to] += int64(encodedSize(body))
 	}
-	w.watch.synced = m.synced
+	w.observers.synced = m.synced
 	return m
 }
 
-// play hands a number of tables over. One machine after the other is away for so
-// many of them as is told.
+// play applies tables up to the given total. For each element of away one machine
+// misses that many changes.
 func (m *manyChanges) play(away []int, changes int) *Findings {
 	w := m.world
 	w.Record.End = time.Hour
-	w.boot()
-	w.after(time.Second, m.book.found)
-	w.run(starting)
-	m.hand()
+	w.bootAll()
+	w.after(time.Second, m.history.applyFirstTable)
+	w.runUntil(startupTime)
+	m.applyNext()
 	m.watchLeader()
 	for i, n := range away {
 		m.awayFor(w.stores[i], w.nodes[i], n)
 	}
-	m.until(changes)
-	m.over = true
-	w.Pass(time.Second)
+	m.awaitChanges(changes)
+	m.stopped = true
+	w.Advance(time.Second)
 	m.judgeSizes()
-	w.finish(m.book)
+	w.finishScenario(m.history)
 	return m.findings
 }
 
-// hand hands one table over after the other, at desks that run.
-func (m *manyChanges) hand() {
+// applyNext reads the table in force and applies the next one, until the scenario
+// stops.
+func (m *manyChanges) applyNext() {
 	w := m.world
-	if m.over {
+	if m.stopped {
 		return
 	}
-	m.book.read(w.liveDesk(), func(t core.CurrentTable, ok bool) {
+	m.history.read(w.liveDesk(), func(t core.CurrentTable, ok bool) {
 		if !ok {
-			w.after(50*time.Millisecond, m.hand)
+			w.after(50*time.Millisecond, m.applyNext)
 			return
 		}
-		m.insist(&order{Table: w.table(t.Number, t.Number+1, 0)})
+		m.applyUntilAnswered(&order{Table: w.newTable(t.Number, t.Number+1, 0)})
 	})
 }
 
-func (m *manyChanges) insist(o *order) {
-	m.book.send(o, m.world.liveDesk(), func(h desk.OrderResult) {
+func (m *manyChanges) applyUntilAnswered(o *order) {
+	m.history.send(o, m.world.liveDesk(), func(h desk.OrderResult) {
 		if h.Unsure {
-			m.insist(o)
+			m.applyUntilAnswered(o)
 			return
 		}
-		if n := len(m.book.acked); n%m.sampleEvery == 0 {
+		if n := len(m.history.acked); n%m.sampleEvery == 0 {
 			m.sample(n)
 		}
-		m.hand()
+		m.applyNext()
 	})
 }
 
-// liveDesk is a desk that runs.
+// liveDesk returns a random running desk.
 func (w *World) liveDesk() *process {
 	for {
 		if at := w.anyDesk(); at.alive {
@@ -151,32 +152,32 @@
 	}
 }
 
-// until lets time pass until so many tables were acknowledged.
-func (m *manyChanges) until(changes int) {
+// awaitChanges advances time until the given number of tables is acknowledged.
+func (m *manyChanges) awaitChanges(changes int) {
 	w := m.world
-	stuck := w.now + changeSlowest*time.Duration(20+changes-len(m.book.acked))
-	for len(m.book.acked) < changes && w.now < stuck {
-		w.Pass(10 * time.Millisecond)
+	stuck := w.now + maxChangeTime*time.Duration(20+changes-len(m.history.acked))
+	for len(m.history.acked) < changes && w.now < stuck {
+		w.Advance(10 * time.Millisecond)
 	}
-	if len(m.book.acked) < changes {
-		m.findings.breach(RuleWholeAgain, "only %d of %d orders were acknowledged by %v", len(m.book.acked), changes, w.now)
+	if len(m.history.acked) < changes {
+		m.findings.breach(RuleFleetRecovery, "only %d of %d orders were acknowledged by %v", len(m.history.acked), changes, w.now)
 	}
 }
 
-// awayFor takes a machine and a node away for a number of changes, and wants
-// them to catch up in time and with bounded bytes.
+// awayFor stops a store and a node for a number of changes, and checks that they catch
+// up in time and with bounded traffic.
 func (m *manyChanges) awayFor(s *store, node *process, changes int) {
 	w := m.world
-	name := fmt.Sprintf("away for %d changes, %s", changes, m.state)
-	m.images[s.core] = copyOf(s.core.disk.stored)
-	w.Pass(tornLost)
-	end := w.trouble(Everyone)
+	name := fmt.Sprintf("away for %d changes, %s", changes, m.diskState)
+	m.images[s.core] = copyStored(s.core.disk.stored)
+	w.Advance(tornWindow)
+	end := w.beginDisruption(AllMachines)
 	w.logf("%s goes: %s", s.core.id, name)
 	processes := append(s.processes(), node)
 	for _, p := range processes {
 		p.powerOff()
 	}
-	switch m.state {
+	switch m.diskState {
 	case diskTorn:
 		s.core.disk.stored = m.images[s.core]
 	case diskEmpty:
@@ -184,63 +185,63 @@
 			p.wipe()
 		}
 	}
-	m.until(len(m.book.acked) + changes)
+	m.awaitChanges(len(m.history.acked) + changes)
 	before := int64(0)
 	for _, p := range processes {
 		before -= m.received[p.address]
 		p.boot()
 	}
 	back, whole := w.now, time.Duration(-1)
-	m.health.untilWhole(back, func(took time.Duration) {
+	m.health.awaitHealthy(back, func(took time.Duration) {
 		whole = took
 		m.judgeBytes(name, processes, before)
 	})
-	w.Pass(catchUp)
+	w.Advance(catchUpTime)
 	if whole < 0 {
-		m.findings.breach(RuleWholeAgain, "%s: %v after %s was back at %v: %s", name, catchUp, s.core.id, back, m.health.lacks())
+		m.findings.breach(RuleFleetRecovery, "%s: %v after %s was back at %v: %s", name, catchUpTime, s.core.id, back, m.health.problem())
 	} else {
-		m.findings.span("caught up: "+name, whole)
+		m.findings.recordDuration("caught up: "+name, whole)
 	}
 	end()
 }
 
-func copyOf(stored core.Stored) core.Stored {
+func copyStored(stored core.Stored) core.Stored {
 	var image core.Stored
 	image.CopyFrom(stored)
 	return image
 }
 
-// judgeBytes bounds what machines were sent until they had caught up.
+// judgeBytes bounds the bytes sent to machines until they had caught up.
 func (m *manyChanges) judgeBytes(name string, processes []*process, sum int64) {
 	for _, p := range processes {
 		sum += m.received[p.address]
 	}
 	m.findings.Counts["bytes to catch up: "+name] += sum
-	if bound := caughtUpStates*m.size(0).state + caughtUpMore; sum > bound {
-		m.findings.breach(RuleBytes, "%s: %d bytes were sent until it had caught up, more than %d", name, sum, bound)
+	if bound := catchUpStates*m.size(0).state + catchUpExtra; sum > bound {
+		m.findings.breach(RuleCatchUpBytes, "%s: %d bytes were sent until it had caught up, more than %d", name, sum, bound)
 	}
 }
 
-// watchLeader wants whoever owns the configuration to have all that was
-// acknowledged.
+// watchLeader checks regularly that the leader of the configuration partition holds all
+// acknowledged tables.
 func (m *manyChanges) watchLeader() {
 	w := m.world
-	if m.over {
+	if m.stopped {
 		return
 	}
 	w.after(20*time.Millisecond, m.watchLeader)
-	owner := w.coreOf(core.ConfigurationPartition)
-	if owner == nil || len(m.book.acked) == 0 {
+	leader := w.leaderOf(core.ConfigurationPartition)
+	if leader == nil || len(m.history.acked) == 0 {
 		return
 	}
 	var has core.CurrentTable
-	raw := owner.core.core.Partition(core.ConfigurationPartition).State().Entries[core.TableKey].Value
-	if message.Unmarshal(raw, &has) == nil && has.Number < m.book.newest {
-		m.findings.breach(RuleBehind, "%s owns the configuration at %v with table %d, and %d had been told", owner.core.id, w.now, has.Number, m.book.newest)
+	raw := leader.core.core.Partition(core.ConfigurationPartition).State().Entries[core.TableKey].Value
+	if message.Unmarshal(raw, &has) == nil && has.Number < m.history.newestSeen {
+		m.findings.breach(RuleLeaderCurrent, "%s owns the configuration at %v with table %d, and %d had been told", leader.core.id, w.now, has.Number, m.history.newestSeen)
 	}
 }
 
-// synced keeps count of a core's log.
+// synced updates the length of a core's log.
 func (m *manyChanges) synced(p *process, batches [][]core.Change) {
 	const head = 12
 	log := m.logs[p]
@@ -259,14 +260,14 @@
 	}
 }
 
-// size measures the largest machines.
+// size measures disks and logs.
 func (m *manyChanges) size(changes int) sizes {
 	w := m.world
 	now := sizes{changes: changes}
 	for _, log := range m.logs {
 		now.log = max(now.log, log.longest)
 	}
-	for _, s := range w.present() {
+	for _, s := range w.presentStores() {
 		now.state = max(now.state, int64(len(message.Marshal(s.core.disk.stored))))
 		entries := 0
 		for _, c := range s.core.disk.stored.Replicas {
@@ -277,7 +278,7 @@
 	return now
 }
 
-// sample notes the sizes of all after a number of changes.
+// sample records the sizes of all machines, memory included.
 func (m *manyChanges) sample(changes int) {
 	now := m.size(changes)
 	for _, p := range m.world.processes {
@@ -290,20 +291,20 @@
 		case p.isDesk:
 			now.deskMemory = max(now.deskMemory, footprint(p.desk))
 		case p.node != nil:
-			now.nodes = max(now.nodes, footprint(p.node))
+			now.nodeMemory = max(now.nodeMemory, footprint(p.node))
 		}
 	}
 	m.samples = append(m.samples, now)
 }
 
-// judgeSizes bounds how sizes grow with the number of changes, and tabulates
-// them.
+// judgeSizes adds the samples to the findings and bounds their growth with the number
+// of changes.
 func (m *manyChanges) judgeSizes() {
 	f := m.findings
-	f.Lines = append(f.Lines, "", fmt.Sprintf("seed %d, %s", f.Seed, m.state), "",
+	f.Lines = append(f.Lines, "", fmt.Sprintf("seed %d, %s", f.Seed, m.diskState), "",
 		"| changes | longest log, bytes | state, bytes | entries | core memory | desk memory | node memory |", "|---|---|---|---|---|---|---|")
 	for _, s := range m.samples {
-		f.Lines = append(f.Lines, fmt.Sprintf("| %d | %d | %d | %d | %d | %d | %d |", s.changes, s.log, s.state, s.entries, s.coreMemory, s.deskMemory, s.nodes))
+		f.Lines = append(f.Lines, fmt.Sprintf("| %d | %d | %d | %d | %d | %d | %d |", s.changes, s.log, s.state, s.entries, s.coreMemory, s.deskMemory, s.nodeMemory))
 	}
 	for i, s := range m.samples {
 		if i == 0 {
@@ -318,7 +319,7 @@
 			{"the state", s.state, first.state, stateGrowth},
 			{"a core's memory", s.coreMemory, first.coreMemory, memoryGrowth},
 			{"a desk's memory", s.deskMemory, first.deskMemory, memoryGrowth},
-			{"a node's memory", s.nodes, first.nodes, memoryGrowth},
+			{"a node's memory", s.nodeMemory, first.nodeMemory, memoryGrowth},
 		}
 		for _, b := range bounds {
 			if b.value > 2*b.from+b.by*more {
--- a/rehearsalkit/relaysim/manychanges_test.go
+++ b/rehearsalkit/relaysim/manychanges_test.go
@@ -11,8 +11,8 @@
 	"saffronfall/rule/message"
 )
 
-// TestManyChanges has machines away for some changes, and back with each state of
-// their disks; thousands of changes are for the command.
+// TestManyChanges stops machines for some changes and restarts them with each state of
+// their disks. The kit's command runs thousands of changes.
 func TestManyChanges(t *testing.T) {
 	for seed := uint64(1); seed <= uint64(len(diskStates)); seed++ {
 		t.Run(diskStates[seed%uint64(len(diskStates))], func(t *testing.T) {
@@ -29,26 +29,26 @@
 	}
 }
 
-// hoarder is a desk that has the cores keep a thing with each order.
-type hoarder struct {
+// storingDesk is a desk that stores an additional turn at the cores with each order.
+type storingDesk struct {
 	Desk
-	kept int
+	stored int
 }
 
-func (h *hoarder) Apply(now time.Duration, ticket uint64, base uint64, text []byte, digest string) desk.Output {
+func (h *storingDesk) Apply(now time.Duration, ticket uint64, base uint64, text []byte, digest string) desk.Output {
 	o := h.Desk.Apply(now, ticket, base, text, digest)
-	h.kept++
-	command := core.StoreTurn{Tenant: "t", Attempt: fmt.Sprint(&h, h.kept), Input: text, Retention: time.Hour}
+	h.stored++
+	command := core.StoreTurn{Tenant: "t", Attempt: fmt.Sprint(&h, h.stored), Input: text, Retention: time.Hour}
 	for n := 1; n <= 3; n++ {
-		o.Sends = append(o.Sends, desk.Send{To: fmt.Sprintf("10.0.0.%d:2", n), Body: core.Command{ID: uint64(h.kept), Partition: core.TargetPartition(7, command), Raw: message.Pack(command)}})
+		o.Sends = append(o.Sends, desk.Send{To: fmt.Sprintf("10.0.0.%d:2", n), Body: core.Command{ID: uint64(h.stored), Partition: core.TargetPartition(7, command), Raw: message.Pack(command)}})
 	}
 	return o
 }
 
-// boaster is a desk that reads higher numbers back than there are.
-type boaster struct{ Desk }
+// overstatingDesk is a desk that reads back higher table numbers than exist.
+type overstatingDesk struct{ Desk }
 
-func (b *boaster) Receive(now time.Duration, from string, body any) desk.Output {
+func (b *overstatingDesk) Receive(now time.Duration, from string, body any) desk.Output {
 	o := b.Desk.Receive(now, from, body)
 	for i, a := range o.Answers {
 		if t, ok := a.Body.(core.CurrentTable); ok && t.Number > 0 {
@@ -59,25 +59,26 @@
 	return o
 }
 
-// TestManyChangesBreaks breaks the fleet on purpose.
+// TestManyChangesBreaks breaks the fleet on purpose and checks that the judge reports
+// the broken rule.
 func TestManyChangesBreaks(t *testing.T) {
 	for _, c := range []struct {
 		name, rule string
-		harm       func(p *Params)
+		inject     func(p *Params)
 	}{
 		{"cores keep more with each order", RuleGrowth, func(p *Params) {
-			p.WrapDesk = func(d Desk) Desk { return &hoarder{Desk: d} }
+			p.WrapDesk = func(d Desk) Desk { return &storingDesk{Desk: d} }
 		}},
-		{"desks tell more than the owner has", RuleBehind, func(p *Params) {
-			p.WrapDesk = func(d Desk) Desk { return &boaster{d} }
+		{"desks tell more than the owner has", RuleLeaderCurrent, func(p *Params) {
+			p.WrapDesk = func(d Desk) Desk { return &overstatingDesk{d} }
 		}},
-		{"who comes back is told far too much", RuleBytes, altering(func(from, to string, b core.Topology) (core.Topology, bool) {
+		{"who comes back is told far too much", RuleCatchUpBytes, alterMessages(func(from, to string, b core.Topology) (core.Topology, bool) {
 			if to == "core1" {
-				b.Fleet = strings.Repeat("x", 2*caughtUpMore)
+				b.Fleet = strings.Repeat("x", 2*catchUpExtra)
 			}
 			return b, true
 		})},
-		{"who comes back gets nothing", RuleWholeAgain, altering(func(from, to string, b core.ReplicaMessage) (core.ReplicaMessage, bool) {
+		{"who comes back gets nothing", RuleFleetRecovery, alterMessages(func(from, to string, b core.ReplicaMessage) (core.ReplicaMessage, bool) {
 			return b, to != "core1"
 		})},
 	} {
@@ -85,7 +86,7 @@
 			t.Parallel()
 			wantBreach(t, c.rule, func(seed uint64) *Findings {
 				p := manyChangesParams(seed)
-				c.harm(&p)
+				c.inject(&p)
 				m := newManyChanges(New(p))
 				m.sampleEvery = 20
 				return m.play([]int{20}, 60)
--- /dev/null
+++ b/rehearsalkit/relaysim/network.go
@@ -0,0 +1,78 @@
+package relaysim
+
+import (
+	"time"
+
+	"saffronfall/peer/core"
+	"saffronfall/rule/message"
+)
+
+// network holds the state of the links between processes.
+type network struct {
+	// cut counts the active cuts of each link, by source and destination address.
+	cut map[[2]string]int
+	// lastArrival is the arrival time of the newest message on each link.
+	lastArrival map[[2]string]time.Duration
+	// blocked reports whether a link is cut in addition to cut; it may be nil.
+	blocked func(from, to string) bool
+	// dropMessage reports whether a message is lost in addition to random loss; it may be
+	// nil.
+	dropMessage func(body any) bool
+	// observers are called for each message sent or delivered and each disk sync.
+	observers observers
+}
+
+// observers are a scenario's callbacks for network and disk events. Each may be nil.
+type observers struct {
+	sent      func(from *process, to string, body any)
+	delivered func(from string, to *process, body any)
+	synced    func(p *process, batches [][]core.Change)
+}
+
+func (w *World) isCut(from, to string) bool {
+	return w.cut[[2]string{from, to}] > 0 || w.blocked != nil && w.blocked(from, to)
+}
+
+// send delivers a message after a random delay. Messages on a link stay in order unless
+// the connection is lost; later messages may then overtake earlier ones.
+func (w *World) send(from *process, to string, body any) {
+	w.Counts["messages"]++
+	if w.Params.Alter != nil {
+		var pass bool
+		if body, pass = w.Params.Alter(from.id, w.idOf(to), body); !pass {
+			return
+		}
+	}
+	if w.observers.sent != nil {
+		w.observers.sent(from, to, body)
+	}
+	raw := message.Pack(body)
+	pair := [2]string{from.address, to}
+	if w.isCut(from.address, to) {
+		return
+	}
+	if w.chance(w.Params.Loss) || w.dropMessage != nil && w.dropMessage(body) {
+		delete(w.lastArrival, pair)
+		return
+	}
+	delay := w.delay()
+	if w.chance(0.005) {
+		delay += w.between(0, 60*time.Millisecond)
+	}
+	at := max(w.now+delay, w.lastArrival[pair])
+	w.lastArrival[pair] = at
+	w.after(at-w.now, func() {
+		target := w.processes[to]
+		if target == nil || !target.alive {
+			return
+		}
+		target.do(func() { target.receive(from.address, raw) })
+	})
+}
+
+func (w *World) idOf(address string) string {
+	if p := w.processes[address]; p != nil {
+		return p.id
+	}
+	return ""
+}
--- a/rehearsalkit/relaysim/operator.go
+++ b/rehearsalkit/relaysim/operator.go
@@ -10,31 +10,34 @@
 	"saffronfall/rule/route"
 )
 
-func one(service string) []route.Target { return []route.Target{{Service: service, Weight: 1}} }
+func singleTarget(service string) []route.Target {
+	return []route.Target{{Service: service, Weight: 1}}
+}
 
-// table makes one more table on a base. Harm makes it invalid.
-func (w *World) table(base, number uint64, harm int) *Table {
-	t := &Table{Number: number, Base: base, Mark: w.mark("t"), Valid: harm == 0, Routes: map[string]Route{}, Holders: map[string]string{"k-1a": "t1", "k-2a": "t2", "k-3a": "t3"},
-		Allowed: map[string]float64{}}
+// newTable makes a random table on a base. A defect above zero selects what makes it
+// invalid.
+func (w *World) newTable(base, number uint64, defect int) *Table {
+	t := &Table{Number: number, Base: base, ID: w.uniqueID("t"), Valid: defect == 0, Routes: map[string]Route{}, KeyTenants: map[string]string{"k-1a": "t1", "k-2a": "t2", "k-3a": "t3"},
+		MaxPerWindow: map[string]float64{}}
 	text := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20}}
 	used := map[string]bool{}
 	add := func(prefix, mode string, targets []route.Target, kept, resumable, open bool) {
-		r := Route{Open: open, Stream: mode == route.Stream, Kept: kept, Repeats: mode == route.Repeatable || resumable}
+		r := Route{Public: open, Stream: mode == route.Stream, KeepsHistory: kept, Repeatable: mode == route.Repeatable || resumable}
 		for _, target := range targets {
 			r.Services = append(r.Services, target.Service)
 			used[target.Service] = true
 		}
 		t.Routes[prefix] = r
-		text.Routes = append(text.Routes, route.Route{Name: prefix, Host: host, Prefix: prefix, Mode: mode, Resumable: resumable, KeepHistory: kept, KeepSeconds: keepFor.Seconds(), TimeoutMS: 3500, Tries: 3, Public: open, Targets: targets})
+		text.Routes = append(text.Routes, route.Route{Name: prefix, Host: host, Prefix: prefix, Mode: mode, Resumable: resumable, KeepHistory: kept, KeepSeconds: keepDuration.Seconds(), TimeoutMS: 3500, Tries: 3, Public: open, Targets: targets})
 	}
 	pick := func(a, b string) []route.Target {
 		switch w.random.IntN(4) {
 		case 0:
-			return one(b)
+			return singleTarget(b)
 		case 1:
 			return []route.Target{{Service: a, Weight: 9}, {Service: b, Weight: 1}}
 		}
-		return one(a)
+		return singleTarget(a)
 	}
 	models := pick(modelA, modelB)
 	add("/chat/", route.Stream, models, true, false, false)
@@ -42,12 +45,12 @@
 	add("/raw/", route.Stream, models, false, false, false)
 	add("/tool/", route.Once, pick(plainA, plainB), false, false, false)
 	add("/look/", route.Repeatable, pick(plainA, plainB), false, false, false)
-	add(probePath(t.Mark), route.Repeatable, one(plainA), false, false, true)
+	add(probePath(t.ID), route.Repeatable, singleTarget(plainA), false, false, true)
 	for _, s := range []string{modelA, modelB, plainA, plainB} {
 		if used[s] {
 			per := int64(1)
-			if streams(s) {
-				per = tokensPer(s)
+			if isStreaming(s) {
+				per = tokensPerEvent(s)
 			}
 			text.Services = append(text.Services, route.Service{Name: s, Connections: 200, TokensPerEvent: per, Slots: 8})
 		}
@@ -55,11 +58,11 @@
 	tenant := func(name string, rate, burst float64, keys ...string) {
 		one := route.Tenant{Name: name, Rate: rate, Burst: burst}
 		for _, k := range keys {
-			t.Holders[k] = name
+			t.KeyTenants[k] = name
 			one.Keys = append(one.Keys, configuration.KeyDigest(k))
 		}
 		if rate > 0 {
-			t.Allowed[name] = rate*window.Seconds() + burst
+			t.MaxPerWindow[name] = rate*rateWindow.Seconds() + burst
 		}
 		text.Tenants = append(text.Tenants, one)
 	}
@@ -74,9 +77,9 @@
 		rate = 4
 	}
 	tenant("t3", rate, 5, "k-3a")
-	switch harm {
+	switch defect {
 	case 1:
-		text.Routes[3].Targets = one("nowhere")
+		text.Routes[3].Targets = singleTarget("nowhere")
 	case 2:
 		text.Routes[3].Targets = []route.Target{{Service: plainA, Weight: 0}}
 	case 3:
@@ -87,41 +90,41 @@
 		text.Number = base
 	}
 	t.Text, _ = json.Marshal(text)
-	if harm == 6 {
+	if defect == 6 {
 		t.Text = t.Text[:len(t.Text)/2]
 	}
 	return t
 }
 
-// hand hands a table over, and again unchanged at another desk, until the answer
-// is clear.
-func (w *World) hand(t *Table, until time.Duration, done func()) {
-	if t.Sent == 0 {
-		t.Sent = w.now
+// applyTable sends a table to random desks until the answer is conclusive or the time
+// is over.
+func (w *World) applyTable(t *Table, until time.Duration, done func()) {
+	if t.SentAt == 0 {
+		t.SentAt = w.now
 		w.Record.Tables = append(w.Record.Tables, t)
 	}
-	over := false
-	again := func() {
-		if over {
+	finished := false
+	retry := func() {
+		if finished {
 			return
 		}
-		over = true
+		finished = true
 		if w.now > until {
 			w.Counts["tables without a clear answer"]++
 			done()
 			return
 		}
-		w.after(w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.hand(t, until, done) })
+		w.after(w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.applyTable(t, until, done) })
 	}
 	at := w.anyDesk()
-	w.operate(at, func(d Desk, now time.Duration, ticket uint64) desk.Output {
+	w.callDesk(at, func(d Desk, now time.Duration, ticket uint64) desk.Output {
 		return d.Apply(now, ticket, t.Base, t.Text, desk.Digest(t.Text))
 	}, func(body any) {
 		h, _ := body.(desk.OrderResult)
-		if over {
-			if h.Accepted && !t.IsAcked {
-				// An answer that came late is an answer.
-				t.IsAcked, t.Acked = true, w.now
+		if finished {
+			if h.Accepted && !t.Acked {
+				// A late acknowledgement still counts.
+				t.Acked, t.AckedAt = true, w.now
 			}
 			return
 		}
@@ -129,76 +132,76 @@
 		case h.Accepted:
 			w.logf("table %d on %d acknowledged by %s", t.Number, t.Base, at.id)
 			w.Counts["tables acknowledged"]++
-			t.IsAcked, t.Acked = true, w.now
-			w.acked = max(w.acked, t.Number)
-			over = true
-			w.afterAck()
+			t.Acked, t.AckedAt = true, w.now
+			w.newestAcked = max(w.newestAcked, t.Number)
+			finished = true
+			w.losePowerAfterAck()
 			done()
 		case h.Unsure:
-			again()
+			retry()
 		default:
 			w.logf("table %d on %d refused by %s: race %v, %v", t.Number, t.Base, at.id, h.RaceLost, h.Faults)
 			w.Counts["tables refused"]++
-			t.Refused, t.RefusedAt, over = true, w.now, true
+			t.Refused, t.RefusedAt, finished = true, w.now, true
 			done()
 		}
 	})
-	w.after(time.Second, again)
+	w.after(time.Second, retry)
 }
 
-// read reads the table in force, at one desk after the other.
-func (w *World) read(until time.Duration, done func(from time.Duration, t core.CurrentTable)) {
-	over, from := false, w.now
-	again := func() {
-		if !over && w.now <= until {
-			over = true
-			w.read(until, done)
+// readTable reads the table in force, trying other desks until the time is over.
+func (w *World) readTable(until time.Duration, done func(from time.Duration, t core.CurrentTable)) {
+	finished, from := false, w.now
+	retry := func() {
+		if !finished && w.now <= until {
+			finished = true
+			w.readTable(until, done)
 		}
 	}
-	w.operate(w.anyDesk(), func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.Read(now, ticket) }, func(body any) {
-		if t, ok := body.(core.CurrentTable); ok && !over && t.Number > 0 {
-			over = true
+	w.callDesk(w.anyDesk(), func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.Read(now, ticket) }, func(body any) {
+		if t, ok := body.(core.CurrentTable); ok && !finished && t.Number > 0 {
+			finished = true
 			w.Counts["tables read"]++
 			done(from, t)
 		}
 	})
-	w.after(time.Second, again)
+	w.after(time.Second, retry)
 }
 
-// firstTable hands the first table over until it is taken.
-func (w *World) firstTable() {
-	t := w.table(0, 1, 0)
-	w.hand(t, time.Minute, func() {})
+// applyFirstTable sends the first table until it is accepted.
+func (w *World) applyFirstTable() {
+	t := w.newTable(0, 1, 0)
+	w.applyTable(t, time.Minute, func() {})
 }
 
-// operator hands new tables over, each on the one that it reads as in force.
-func (w *World) operator() {
-	if w.now > w.faultsUntil || w.acked == 0 {
-		if w.acked == 0 {
-			w.after(500*time.Millisecond, w.operator)
+// runOperator applies new tables, each on the table that it reads as in force.
+func (w *World) runOperator() {
+	if w.now > w.faultsUntil || w.newestAcked == 0 {
+		if w.newestAcked == 0 {
+			w.after(500*time.Millisecond, w.runOperator)
 		}
 		return
 	}
-	w.read(w.now+10*time.Second, func(from time.Duration, now core.CurrentTable) {
-		w.Record.Readings = append(w.Record.Readings, ReadBack{From: from, At: w.now, Number: now.Number, Text: now.Text})
-		harm := 0
+	w.readTable(w.now+10*time.Second, func(from time.Duration, now core.CurrentTable) {
+		w.Record.OperatorReads = append(w.Record.OperatorReads, ReadBack{From: from, At: w.now, Number: now.Number, Text: now.Text})
+		defect := 0
 		if w.chance(0.25) {
-			harm = 1 + w.random.IntN(6)
+			defect = 1 + w.random.IntN(6)
 		}
 		number := now.Number + 1 + uint64(w.random.IntN(3))
-		w.hand(w.table(now.Number, number, harm), w.now+8*time.Second, func() { w.after(w.between(time.Second, 4*time.Second), w.operator) })
+		w.applyTable(w.newTable(now.Number, number, defect), w.now+8*time.Second, func() { w.after(w.between(time.Second, 4*time.Second), w.runOperator) })
 		if w.chance(0.4) {
-			// Another operator sends at the same time, on the same base.
+			// A second operator sends concurrently on the same base.
 			other := now.Number + 1 + uint64(w.random.IntN(3))
-			rival := w.table(now.Number, other, 0)
-			w.after(w.between(0, 20*time.Millisecond), func() { w.hand(rival, w.now+8*time.Second, func() {}) })
+			rival := w.newTable(now.Number, other, 0)
+			w.after(w.between(0, 20*time.Millisecond), func() { w.applyTable(rival, w.now+8*time.Second, func() {}) })
 		}
 	})
 }
 
-// readBack reads the table in force at the end.
-func (w *World) readBack() {
-	w.read(w.Record.End, func(from time.Duration, t core.CurrentTable) {
-		w.Record.Reads = append(w.Record.Reads, ReadBack{From: from, At: w.now, Number: t.Number, Text: t.Text})
+// readFinalTable reads the table in force at the end of the run.
+func (w *World) readFinalTable() {
+	w.readTable(w.Record.End, func(from time.Duration, t core.CurrentTable) {
+		w.Record.FinalReads = append(w.Record.FinalReads, ReadBack{From: from, At: w.now, Number: t.Number, Text: t.Text})
 	})
 }
--- a/rehearsalkit/relaysim/orders.go
+++ b/rehearsalkit/relaysim/orders.go
@@ -8,18 +8,17 @@
 	"saffronfall/rule/route"
 )
 
-// order is one table as an operator hands it over, again and again where need
-// be.
+// order is one table as an operator sends it, possibly several times.
 type order struct {
 	*Table
 	refusedAt time.Duration
-	// amendment is how the order is worded, where it is no whole table.
+	// amendment is the form in which the order is sent; nil for a whole table.
 	amendment *route.Amendment
-	// ackedAs is how many orders had been acknowledged when this one was.
-	ackedAs int
+	// ackedIndex is how many orders had been acknowledged before this one.
+	ackedIndex int
 }
 
-// tableRead is one read-back that got a table.
+// tableRead is one successful read of the table in force.
 type tableRead struct {
 	began, ended time.Duration
 	desk         string
@@ -27,35 +26,36 @@
 	text         []byte
 }
 
-// orderBook is what operators know of their orders and read-backs, and all calls
-// that they made.
-type orderBook struct {
+// orderHistory is what operators know of their orders and reads, and all calls that
+// they made.
+type orderHistory struct {
 	world    *World
 	findings *Findings
-	// lost is the part of answers to orders that get lost between desk and operator.
-	lost float64
-	// patience is after how long an operator no longer waits for an answer.
-	patience time.Duration
-	// later counts the answers to orders handed over again, by how many orders
-	// were acknowledged in between.
-	later  laterTable
-	orders []*order
-	acked  []*order
-	reads  []tableRead
-	calls  []*deskCall
-	// newest is the highest number acknowledged, or read back.
-	newest uint64
+	// answerLoss is the fraction of answers to orders that are lost between desk and
+	// operator.
+	answerLoss float64
+	// answerTimeout is how long an operator waits for an answer.
+	answerTimeout time.Duration
+	// resends counts the answers to orders sent again, by the number of orders acknowledged
+	// in between.
+	resends resendTable
+	orders  []*order
+	acked   []*order
+	reads   []tableRead
+	calls   []*deskCall
+	// newestSeen is the highest table number acknowledged or read back.
+	newestSeen uint64
 }
 
-// patience is after how long an operator mostly no longer waits for an answer:
-// longer than a desk may take.
-const patience = 5 * time.Second
+// answerTimeout is the default time that callers wait for an answer. It is longer than
+// a desk's own timeout.
+const answerTimeout = 5 * time.Second
 
-func newOrderBook(w *World, f *Findings) *orderBook {
-	return &orderBook{world: w, findings: f, patience: patience, later: laterTable{}}
+func newOrderHistory(w *World, f *Findings) *orderHistory {
+	return &orderHistory{world: w, findings: f, answerTimeout: answerTimeout, resends: resendTable{}}
 }
 
-// amend words an order as an amendment of the table that it builds on.
+// amend turns an order into an amendment of the table that it is based on.
 func (o *order) amend(base []byte) {
 	current, faults := route.Parse(base)
 	next, more := route.Parse(o.Text)
@@ -73,65 +73,65 @@
 	}
 }
 
-// hand hands an order over at a desk.
-func (o *order) hand(d Desk, now time.Duration, ticket uint64) desk.Output {
+// apply sends an order to a desk.
+func (o *order) apply(d Desk, now time.Duration, ticket uint64) desk.Output {
 	if o.amendment == nil {
 		return d.Apply(now, ticket, o.Base, o.Text, desk.Digest(o.Text))
 	}
 	return d.Amend(now, ticket, desk.Amendment{Base: o.Base, Number: o.Number, Digest: desk.AmendmentDigest(o.Text), Apply: desk.ApplyAmendment(*o.amendment)})
 }
 
-// begin notes a call that has just reached a desk.
-func (b *orderBook) begin(kind string, at *process) *deskCall {
-	c := &deskCall{kind: kind, desk: at, life: at.life, at: b.world.now, ended: -1}
+// beginCall records a call that has just reached a desk.
+func (b *orderHistory) beginCall(kind string, at *process) *deskCall {
+	c := &deskCall{kind: kind, desk: at, incarnation: at.incarnation, started: b.world.now, ended: -1}
 	b.calls = append(b.calls, c)
 	return c
 }
 
-func (b *orderBook) end(c *deskCall, clear bool) {
+func (b *orderHistory) endCall(c *deskCall, clear bool) {
 	if c.ended < 0 {
-		c.ended, c.clear = b.world.now, clear
+		c.ended, c.conclusive = b.world.now, clear
 	}
 }
 
-// call makes a call at a desk. Its answer may get lost; then done is called with
-// nil after the operator's patience.
-func (b *orderBook) call(kind string, at *process, step func(d Desk, now time.Duration, ticket uint64) desk.Output, clear func(body any) bool, done func(body any)) {
+// call calls a desk. If the answer is lost, done is called with nil after the answer
+// timeout.
+func (b *orderHistory) call(kind string, at *process, step func(d Desk, now time.Duration, ticket uint64) desk.Output, clear func(body any) bool, done func(body any)) {
 	w := b.world
-	over := false
+	finished := false
 	finish := func(body any) {
-		if !over {
-			over = true
+		if !finished {
+			finished = true
 			done(body)
 		}
 	}
 	w.after(w.delay(), func() {
 		at.do(func() {
-			c := b.begin(kind, at)
-			at.next++
-			at.calls[at.next] = func(body any) {
-				b.end(c, clear(body))
-				lost := (kind == callOrder || kind == callOrderAgain) && w.chance(b.lost)
+			c := b.beginCall(kind, at)
+			at.lastTicket++
+			at.pendingCalls[at.lastTicket] = func(body any) {
+				b.endCall(c, clear(body))
+				lost := (kind == callOrder || kind == callResend) && w.chance(b.answerLoss)
 				if !lost {
 					w.after(w.delay(), func() { finish(body) })
 				}
 			}
-			at.takeDesk(step(at.desk, at.now(), at.next))
+			at.applyDeskOutput(step(at.desk, at.now(), at.lastTicket))
 		})
 	})
-	w.after(b.patience, func() { finish(nil) })
+	w.after(b.answerTimeout, func() { finish(nil) })
 }
 
-// send hands an order over at a desk once, and notes what is answered.
-func (b *orderBook) send(o *order, at *process, done func(h desk.OrderResult)) {
-	kind := callOrderAgain
-	if o.Sent == 0 {
-		kind, o.Sent = callOrder, b.world.now
+// send sends an order to a desk once and records the answer.
+func (b *orderHistory) send(o *order, at *process, done func(h desk.OrderResult)) {
+	kind := callResend
+	if o.SentAt == 0 {
+		kind, o.SentAt = callOrder, b.world.now
 		b.orders = append(b.orders, o)
 		b.world.Record.Tables = append(b.world.Record.Tables, o.Table)
 	}
 	step := func(d Desk, now time.Duration, ticket uint64) desk.Output {
-		return o.hand(d, now, ticket)
+		return o.apply(d, now, ticket)
 	}
 	clear := func(body any) bool { h, ok := body.(desk.OrderResult); return ok && !h.Unsure }
 	b.call(kind, at, step, clear, func(body any) {
@@ -139,36 +139,37 @@
 		if !ok {
 			h.Unsure = true
 		}
-		b.note(o, at, h)
+		b.recordAnswer(o, at, h)
 		done(h)
 	})
 }
 
-// note judges one answer by those before.
-func (b *orderBook) note(o *order, at *process, h desk.OrderResult) {
+// recordAnswer checks an answer against the earlier ones to the same order and records
+// it.
+func (b *orderHistory) recordAnswer(o *order, at *process, h desk.OrderResult) {
 	w := b.world
-	if o.IsAcked {
-		b.later.add(len(b.acked)-o.ackedAs, h)
+	if o.Acked {
+		b.resends.add(len(b.acked)-o.ackedIndex, h)
 	}
 	switch {
 	case h.Unsure:
 		w.Counts["orders answered unclear"]++
 	case h.Accepted:
 		if o.Refused {
-			b.findings.breach(RuleTaken, "order %d on %d was refused at %v and is acknowledged at %v by %s", o.Number, o.Base, o.refusedAt, w.now, at.id)
+			b.findings.breach(RuleAcceptedNotRefused, "order %d on %d was refused at %v and is acknowledged at %v by %s", o.Number, o.Base, o.refusedAt, w.now, at.id)
 		}
-		if !o.IsAcked {
+		if !o.Acked {
 			w.Counts["orders acknowledged"]++
 			w.logf("order %d on %d acknowledged by %s", o.Number, o.Base, at.id)
-			o.IsAcked, o.Acked, o.ackedAs = true, w.now, len(b.acked)
+			o.Acked, o.AckedAt, o.ackedIndex = true, w.now, len(b.acked)
 			b.acked = append(b.acked, o)
-			b.newest = max(b.newest, o.Number)
+			b.newestSeen = max(b.newestSeen, o.Number)
 		} else {
 			w.Counts["orders acknowledged again"]++
 		}
 	default:
-		if o.IsAcked {
-			b.findings.breach(RuleTaken, "order %d on %d was acknowledged at %v, and is refused %d orders later at %v by %s (race %v, in force %d)", o.Number, o.Base, o.Acked, len(b.acked)-o.ackedAs, w.now, at.id, h.RaceLost, h.Number)
+		if o.Acked {
+			b.findings.breach(RuleAcceptedNotRefused, "order %d on %d was acknowledged at %v, and is refused %d orders later at %v by %s (race %v, in force %d)", o.Number, o.Base, o.AckedAt, len(b.acked)-o.ackedIndex, w.now, at.id, h.RaceLost, h.Number)
 		}
 		if !o.Refused {
 			w.Counts["orders refused"]++
@@ -178,26 +179,27 @@
 	}
 }
 
-// settle hands an order over at any desk until the answer is clear.
-func (b *orderBook) settle(o *order, until time.Duration, done func()) {
+// sendUntilAnswered sends an order to random desks until the answer is conclusive or
+// the time is over.
+func (b *orderHistory) sendUntilAnswered(o *order, until time.Duration, done func()) {
 	w := b.world
 	b.send(o, w.anyDesk(), func(h desk.OrderResult) {
 		switch {
-		case !h.Unsure || o.IsAcked:
+		case !h.Unsure || o.Acked:
 			done()
 		case w.now > until:
 			w.Counts["orders without a clear answer"]++
 			done()
 		default:
-			w.after(w.between(50*time.Millisecond, 300*time.Millisecond), func() { b.settle(o, until, done) })
+			w.after(w.between(50*time.Millisecond, 300*time.Millisecond), func() { b.sendUntilAnswered(o, until, done) })
 		}
 	})
 }
 
-// read reads the table in force back at a desk once.
-func (b *orderBook) read(at *process, done func(t core.CurrentTable, ok bool)) {
+// read reads the table in force at a desk once.
+func (b *orderHistory) read(at *process, done func(t core.CurrentTable, ok bool)) {
 	w := b.world
-	began, newest := w.now, b.newest
+	began, newest := w.now, b.newestSeen
 	step := func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.Read(now, ticket) }
 	clear := func(body any) bool { t, ok := body.(core.CurrentTable); return ok && t.Number > 0 }
 	b.call(callRead, at, step, clear, func(body any) {
@@ -207,36 +209,37 @@
 			return
 		}
 		if t.Number < newest {
-			b.findings.breach(RuleNewest, "%s read back table %d, from %v to %v, and %d had been told before", at.id, t.Number, began, w.now, newest)
+			b.findings.breach(RuleNewestTable, "%s read back table %d, from %v to %v, and %d had been told before", at.id, t.Number, began, w.now, newest)
 		}
-		b.newest = max(b.newest, t.Number)
+		b.newestSeen = max(b.newestSeen, t.Number)
 		b.reads = append(b.reads, tableRead{began: began, ended: w.now, desk: at.id, number: t.Number, text: t.Text})
 		done(t, true)
 	})
 }
 
-// found hands the first table over until it is taken.
-func (b *orderBook) found() {
-	b.settle(&order{Table: b.world.table(0, 1, 0)}, b.world.now+time.Minute, func() {})
+// applyFirstTable sends the first table until it is accepted.
+func (b *orderHistory) applyFirstTable() {
+	b.sendUntilAnswered(&order{Table: b.world.newTable(0, 1, 0)}, b.world.now+time.Minute, func() {})
 }
 
-// orderer hands orders over, one after the other, each on what it has read.
-type orderer struct {
-	book *orderBook
-	// pause is between two orders.
+// orderGenerator sends orders one after the other, each based on the table that it has
+// read.
+type orderGenerator struct {
+	history *orderHistory
+	// pause returns the time until the next order.
 	pause func() time.Duration
-	// rivals is how often another order on the same base is sent at the same time;
-	// half of them have the same number too.
-	rivals float64
-	// amends is which part of the orders are amendments.
-	amends float64
-	over   func() bool
+	// rivalRate is the probability of a concurrent order on the same base; half of these
+	// have the same number too.
+	rivalRate float64
+	// amendmentRate is the fraction of orders that are amendments.
+	amendmentRate float64
+	stopped       func() bool
 }
 
-func (r *orderer) run() {
-	b, w := r.book, r.book.world
+func (r *orderGenerator) run() {
+	b, w := r.history, r.history.world
 	next := func() { w.after(r.pause(), r.run) }
-	if r.over() {
+	if r.stopped() {
 		return
 	}
 	b.read(w.anyDesk(), func(t core.CurrentTable, ok bool) {
@@ -244,30 +247,30 @@
 			next()
 			return
 		}
-		one := &order{Table: w.table(t.Number, t.Number+1+uint64(w.random.IntN(3)), 0)}
-		if w.chance(r.amends) {
+		one := &order{Table: w.newTable(t.Number, t.Number+1+uint64(w.random.IntN(3)), 0)}
+		if w.chance(r.amendmentRate) {
 			w.Counts["amendments handed over"]++
 			one.amend(t.Text)
 		}
 		until := w.now + 20*time.Second
-		b.settle(one, until, next)
-		if w.chance(r.rivals) {
+		b.sendUntilAnswered(one, until, next)
+		if w.chance(r.rivalRate) {
 			number := one.Number
 			if w.chance(0.5) {
 				number = t.Number + 1 + uint64(w.random.IntN(3))
 			}
-			rival := &order{Table: w.table(t.Number, number, 0)}
-			if w.chance(r.amends) {
+			rival := &order{Table: w.newTable(t.Number, number, 0)}
+			if w.chance(r.amendmentRate) {
 				rival.amend(t.Text)
 			}
-			w.after(w.between(0, 20*time.Millisecond), func() { b.settle(rival, until, func() {}) })
+			w.after(w.between(0, 20*time.Millisecond), func() { b.sendUntilAnswered(rival, until, func() {}) })
 		}
 	})
 }
 
-// resend hands an acknowledged order over again, as it was, at a desk. Only the
-// last ones are chosen, where memory is above zero.
-func (b *orderBook) resend(at *process, memory int) {
+// resend sends an acknowledged order to a desk again, unchanged. If memory is positive,
+// it is one of the last memory orders.
+func (b *orderHistory) resend(at *process, memory int) {
 	from := 0
 	if memory > 0 {
 		from = max(0, len(b.acked)-memory)
--- a/rehearsalkit/relaysim/orderstorm_test.go
+++ b/rehearsalkit/relaysim/orderstorm_test.go
@@ -8,8 +8,8 @@
 	"saffronfall/rule/message"
 )
 
-// TestOrders hands orders over whose answers mostly get lost, and wants none
-// refused that was taken, however long ago.
+// TestOrders loses most answers to orders and checks that no accepted order is later
+// refused.
 func TestOrders(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run("", func(t *testing.T) {
@@ -27,15 +27,16 @@
 	}
 }
 
-// TestOrdersBreaks breaks the cores on purpose.
+// TestOrdersBreaks breaks the cores on purpose and checks that the judge reports the
+// broken rule.
 func TestOrdersBreaks(t *testing.T) {
 	for _, c := range []struct {
 		name, rule string
-		harm       func(p *Params)
+		inject     func(p *Params)
 	}{
-		{"orders are not known again", RuleTaken, func(p *Params) {
-			some := every(3)
-			altering(func(from, to string, c core.Command) (core.Command, bool) {
+		{"orders are not known again", RuleAcceptedNotRefused, func(p *Params) {
+			some := everyNth(3)
+			alterMessages(func(from, to string, c core.Command) (core.Command, bool) {
 				inner, _ := message.Open(c.Raw)
 				if a, ok := inner.(core.AcceptTable); ok && some() {
 					a.Digest += "x"
@@ -44,13 +45,13 @@
 				return c, true
 			})(p)
 		}},
-		{"all orders on one base are acknowledged", RuleRace, answering(func(a core.AcceptTableResult) core.AcceptTableResult { a.OK = true; return a })},
+		{"all orders on one base are acknowledged", RuleTableRace, alterAnswers(func(a core.AcceptTableResult) core.AcceptTableResult { a.OK = true; return a })},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			wantBreach(t, c.rule, func(seed uint64) *Findings {
 				p := ordersParams(seed)
-				c.harm(&p)
+				c.inject(&p)
 				return newOrderStorm(New(p)).play(10 * time.Second)
 			})
 		})
--- a/rehearsalkit/relaysim/params.go
+++ b/rehearsalkit/relaysim/params.go
@@ -17,41 +17,42 @@
 	ClosingWipe  = "wipe"
 )
 
-// Params size a run.
+// Params configure a run.
 type Params struct {
 	Seed  uint64
 	Cores int
 	Desks int
 	Nodes int
 	Zones int
-	// Seats is the size of a group; zero: three.
-	Seats int
-	// Length is how long faults are brought about, after the start.
-	Length time.Duration
-	Faults bool
-	// Closing is which closing fault ends the run.
+	// GroupSize is the number of members of a partition's group; below three means three.
+	GroupSize int
+	// FaultPeriod is how long faults are injected after the start.
+	FaultPeriod time.Duration
+	Faults      bool
+	// Closing is the closing fault; empty for none.
 	Closing string
-	// Loss is the part of messages at which a connection is lost.
+	// Loss is the probability that a message is lost along with its connection.
 	Loss float64
-	// Overshoot and Slack are by how much a window may pass a tenant's limit.
+	// Overshoot (a fraction) and Slack (a number of requests) are the tolerances of a
+	// tenant's rate limit per window.
 	Overshoot float64
 	Slack     int64
-	// Talkers hold conversations, Runaways go on until their budget is spent,
-	// Callers call tools, Pressers go beyond their tenant's rate.
-	Talkers, Runaways, Callers, Pressers int
-	Operators                            int
-	// WrapNode, WrapDesk and Alter break the system on purpose.
+	// Conversations hold conversations, Runaways continue until their budget is spent,
+	// Callers call tools, and Flooders exceed their tenant's rate limit.
+	Conversations, Runaways, Callers, Flooders int
+	Operators                                  int
+	// WrapNode, WrapDesk and Alter let tests break the system on purpose.
 	WrapNode func(n Node) Node
 	WrapDesk func(d Desk) Desk
 	Alter    func(from, to string, body any) (any, bool)
 	Logf     func(format string, args ...any)
 }
 
-// Defaults are a small fleet under all faults. Some seeds lose more messages, in
-// some rates are counted more narrowly.
+// Defaults are the parameters of a small fleet under all faults. Some seeds lose more
+// messages, and some have tighter rate tolerances.
 func Defaults(seed uint64) Params {
-	p := Params{Seed: seed, Cores: 3 + int(seed%2), Desks: 2 + int(seed/2%2), Nodes: 4 + int(seed/4%3), Zones: 3, Length: 20 * time.Second, Faults: true, Loss: 0.002, Overshoot: 0.1, Slack: 4,
-		Talkers: 8, Runaways: 2, Callers: 3, Pressers: 3, Operators: 2}
+	p := Params{Seed: seed, Cores: 3 + int(seed%2), Desks: 2 + int(seed/2%2), Nodes: 4 + int(seed/4%3), Zones: 3, FaultPeriod: 20 * time.Second, Faults: true, Loss: 0.002, Overshoot: 0.1, Slack: 4,
+		Conversations: 8, Runaways: 2, Callers: 3, Flooders: 3, Operators: 2}
 	if seed%5 == 4 {
 		p.Loss = 0.02
 	}
@@ -62,27 +63,27 @@
 	return p
 }
 
-// Bounds of the deployment that is simulated.
+// Timing and sizes of the simulated deployment.
 const (
-	contact    = 3 * time.Second
-	catchUp    = 4400 * time.Millisecond
-	window     = 5 * time.Second
-	keepFor    = 20 * time.Second
-	beatPeriod = time.Second
-	recovery   = 12 * time.Second
-	tokensOf   = 5
+	contactTimeout        = 3 * time.Second
+	catchUpTime           = 4400 * time.Millisecond
+	rateWindow            = 5 * time.Second
+	keepDuration          = 20 * time.Second
+	heartbeatInterval     = time.Second
+	recoveryTime          = 12 * time.Second
+	defaultTokensPerEvent = 5
 )
 
 func coreParams() core.Params {
-	return core.Params{Partition: partition.Params{LeaseDuration: contact / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeHome: 20}, MemberLease: contact / 2,
-		AttemptTimeout: contact / 24, PullInterval: contact / 20, GoneAfter: catchUp / 2, ColdStart: true}
+	return core.Params{Partition: partition.Params{LeaseDuration: contactTimeout / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeHome: 20}, MemberLease: contactTimeout / 2,
+		AttemptTimeout: contactTimeout / 24, PullInterval: contactTimeout / 20, GoneAfter: catchUpTime / 2, ColdStart: true}
 }
 
 func (w *World) deskParams() desk.Params {
-	return desk.Params{Core: coreParams(), HeartbeatInterval: beatPeriod, GroupSize: max(3, w.Params.Seats), PartitionsPerCore: 2, LoadInterval: beatPeriod / 12, OperationTimeout: 3 * time.Second}
+	return desk.Params{Core: coreParams(), HeartbeatInterval: heartbeatInterval, GroupSize: max(3, w.Params.GroupSize), PartitionsPerCore: 2, LoadInterval: heartbeatInterval / 12, OperationTimeout: 3 * time.Second}
 }
 
 func (w *World) nodeParams() relay.Params {
-	return relay.Params{Core: coreParams(), HeartbeatInterval: beatPeriod, UpdateInterval: beatPeriod / 2, RateWindow: window, RateOvershoot: w.Params.Overshoot, RateSlack: w.Params.Slack, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: beatPeriod}, LoadReportInterval: beatPeriod / 12, ResendUnrun: true, ShedOverload: true,
+	return relay.Params{Core: coreParams(), HeartbeatInterval: heartbeatInterval, UpdateInterval: heartbeatInterval / 2, RateWindow: rateWindow, RateOvershoot: w.Params.Overshoot, RateSlack: w.Params.Slack, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: heartbeatInterval}, LoadReportInterval: heartbeatInterval / 12, ResendUnrun: true, ShedOverload: true,
 		MaxRequests: 2000, CacheBytes: 1 << 20, BookRetention: 10 * time.Minute}
 }
--- a/rehearsalkit/relaysim/lastloss_test.go
+++ b/rehearsalkit/relaysim/powerloss_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// TestDisksLostWithAllPower: at the end of a day as many disks as can be borne are lost at
-// the moment at which every other machine, also those that do not count, loses power.
-// Whatever was acknowledged is there afterwards, and service comes back.
-func TestDisksLostWithAllPower(t *testing.T) {
+// TestDiskLossDuringPowerLoss loses as many disks as the fleet tolerates while all
+// other machines lose power, and checks that acknowledged data survives and service
+// recovers.
+func TestDiskLossDuringPowerLoss(t *testing.T) {
 	seeds := uint64(8)
 	if testing.Short() {
 		seeds = 3
@@ -20,7 +20,7 @@
 		if w.Counts["closing fault: "+ClosingWipe] != 1 {
 			t.Errorf("seed %d: the loss did not come about", seed)
 		}
-		if w.Record.Back <= w.Record.Closing {
+		if w.Record.RestoredAt <= w.Record.ClosingAt {
 			t.Errorf("seed %d: the machines did not come back", seed)
 		}
 	}
--- a/rehearsalkit/relaysim/process.go
+++ b/rehearsalkit/relaysim/process.go
@@ -12,60 +12,61 @@
 	"saffronfall/rule/ordered"
 )
 
-// process is one process of the fleet: a core, a desk, a node, or a client that
-// stands outside of it.
+// process is one process of the fleet: a core, a desk or a node, or a client outside of
+// it.
 type process struct {
 	world   *World
 	id      string
 	zone    string
 	address string
-	// seeds takes the place of the fleet's seeds where it is set.
+	// seeds overrides the fleet's seed addresses if set.
 	seeds []string
 
-	running
+	processState
 	coreProcess
 	deskProcess
 	nodeProcess
 	client *client
 }
 
-// running is the life of a process.
-type running struct {
-	life    int
-	alive   bool
-	frozen  bool
-	backlog []func()
-	rate    float64
-	started time.Duration
+// processState is the run state of a process. Its incarnation increases with each start
+// and stop.
+type processState struct {
+	incarnation int
+	alive       bool
+	frozen      bool
+	backlog     []func()
+	clockRate   float64
+	started     time.Duration
 }
 
-// coreProcess is what a process has that is a core.
+// coreProcess is the state of a process that is a core.
 type coreProcess struct {
 	core *core.Machine
 	disk *disk
 }
 
-// deskProcess is what a process has that is a desk.
+// deskProcess is the state of a process that is a desk.
 type deskProcess struct {
-	isDesk bool
-	desk   Desk
-	known  map[string]desk.ReplicaEntry
-	calls  map[uint64]func(body any)
-	next   uint64
-	founds bool
+	isDesk        bool
+	desk          Desk
+	knownReplicas map[string]desk.ReplicaEntry
+	pendingCalls  map[uint64]func(body any)
+	lastTicket    uint64
+	foundsFleet   bool
 }
 
-// nodeProcess is what a process has that is a node.
+// nodeProcess is the state of a process that is a node.
 type nodeProcess struct {
-	node Node
-	ways map[uint64]*way
+	node     Node
+	requests map[uint64]*activeRequest
 }
 
 func (p *process) now() time.Duration {
-	return time.Duration(float64(p.world.now-p.started) * p.rate)
+	return time.Duration(float64(p.world.now-p.started) * p.clockRate)
 }
 
-// seedList is where this process looks for the fleet.
+// seedList lists the addresses at which the process looks for the fleet.
 func (p *process) seedList() []string {
 	if p.seeds != nil {
 		return p.seeds
@@ -73,69 +74,69 @@
 	return p.world.seeds()
 }
 
-// violated notes an invariant that a machine found violated.
-func (w *World) violated(v invariant.Violation) {
+// recordViolation records an invariant that a state machine found violated.
+func (w *World) recordViolation(v invariant.Violation) {
 	w.Record.Violations = append(w.Record.Violations, v)
 }
 
-// boot starts a process from what its disk holds.
+// boot starts a process from the contents of its disk.
 func (p *process) boot() {
 	w := p.world
 	if p.alive {
 		return
 	}
-	p.life++
+	p.incarnation++
 	p.alive, p.frozen, p.backlog, p.started = true, false, nil, w.now
-	p.rate = 1 + (w.random.Float64()-0.5)*0.002
+	p.clockRate = 1 + (w.random.Float64()-0.5)*0.002
 	switch {
 	case p.disk != nil:
 		p.disk.pending, p.disk.held, p.disk.busy, p.disk.issued, p.disk.synced = nil, nil, false, 0, 0
 		var image core.Stored
 		image.CopyFrom(p.disk.stored)
-		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: p.zone, Address: p.address, Seeds: p.seedList(), Stored: image, Now: p.now(), Random: w.random.Float64, Violated: w.violated})
-		p.tick(p.life, coreParams().Partition.LeaseDuration/40)
+		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: p.zone, Address: p.address, Seeds: p.seedList(), Stored: image, Now: p.now(), Random: w.random.Float64, Violated: w.recordViolation})
+		p.tick(p.incarnation, coreParams().Partition.LeaseDuration/40)
 	case p.isDesk:
 		var known []desk.ReplicaEntry
-		for _, id := range ordered.Keys(p.known) {
-			known = append(known, p.known[id])
+		for _, id := range ordered.Keys(p.knownReplicas) {
+			known = append(known, p.knownReplicas[id])
 		}
-		p.calls = map[uint64]func(any){}
-		p.desk = desk.New(desk.Options{Params: w.deskParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.life), Address: p.address, Seeds: p.seedList(), FoundsFleet: p.founds, KnownReplicas: known, Now: p.now(), Random: w.random.Float64})
+		p.pendingCalls = map[uint64]func(any){}
+		p.desk = desk.New(desk.Options{Params: w.deskParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Address: p.address, Seeds: p.seedList(), FoundsFleet: p.foundsFleet, KnownReplicas: known, Now: p.now(), Random: w.random.Float64})
 		if w.Params.WrapDesk != nil {
 			p.desk = w.Params.WrapDesk(p.desk)
 		}
-		p.tick(p.life, coreParams().PullInterval/3)
+		p.tick(p.incarnation, coreParams().PullInterval/3)
 	case p.client != nil:
-		p.tick(p.life, coreParams().PullInterval/3)
+		p.tick(p.incarnation, coreParams().PullInterval/3)
 	default:
-		p.node = relay.New(relay.Options{Params: w.nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.life), Zone: p.zone, Address: p.address, Seeds: p.seedList(), Now: p.now(), Random: w.random.Float64, Violated: w.violated})
+		p.node = relay.New(relay.Options{Params: w.nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Zone: p.zone, Address: p.address, Seeds: p.seedList(), Now: p.now(), Random: w.random.Float64, Violated: w.recordViolation})
 		if w.Params.WrapNode != nil {
 			p.node = w.Params.WrapNode(p.node)
 		}
-		p.tick(p.life, coreParams().PullInterval/3)
+		p.tick(p.incarnation, coreParams().PullInterval/3)
 	}
 }
 
-func (p *process) tick(life int, every time.Duration) {
-	if p.life != life || !p.alive {
+func (p *process) tick(incarnation int, every time.Duration) {
+	if p.incarnation != incarnation || !p.alive {
 		return
 	}
 	if !p.frozen {
 		switch {
 		case p.disk != nil:
-			p.takeCore(p.core.Tick(p.now()))
+			p.applyCoreOutput(p.core.Tick(p.now()))
 		case p.isDesk:
-			p.takeDesk(p.desk.Tick(p.now()))
+			p.applyDeskOutput(p.desk.Tick(p.now()))
 		case p.client != nil:
 			p.client.tick(p.now())
 		default:
-			p.takeNode(p.node.Tick(p.now()))
+			p.applyNodeOutput(p.node.Tick(p.now()))
 		}
 	}
-	p.world.after(every, func() { p.tick(life, every) })
+	p.world.after(every, func() { p.tick(incarnation, every) })
 }
 
-// do runs a step now, or when a frozen process wakes.
+// do runs a step now, or when a frozen process resumes.
 func (p *process) do(step func()) {
 	switch {
 	case !p.alive:
@@ -153,27 +154,27 @@
 		return
 	}
 	p.alive, p.frozen, p.backlog = false, false, nil
-	p.life++
+	p.incarnation++
 	if p.disk != nil {
-		// What was under way to the disk may or may not have got there.
+		// Pending writes may or may not have reached the disk.
 		for _, batch := range p.disk.pending {
 			if p.world.chance(0.5) {
 				break
 			}
 			for _, c := range batch {
-				p.disk.stored.Apply(reopenChange(c))
+				p.disk.stored.Apply(copyChange(c))
 			}
 		}
 	}
-	for _, ticket := range ordered.Keys(p.ways) {
-		p.ways[ticket].lost()
+	for _, ticket := range ordered.Keys(p.requests) {
+		p.requests[ticket].connectionLost()
 	}
-	if p.ways != nil {
-		p.ways = map[uint64]*way{}
+	if p.requests != nil {
+		p.requests = map[uint64]*activeRequest{}
 	}
 }
 
-// powerOff loses all that was not synced.
+// powerOff stops a process and loses all unsynced writes.
 func (p *process) powerOff() {
 	if p.disk != nil {
 		p.disk.pending = nil
@@ -193,13 +194,13 @@
 	}
 }
 
-// wipe empties the folder of a process that does not run.
+// wipe erases the data directory of a stopped process.
 func (p *process) wipe() {
 	if p.disk != nil {
 		p.disk = p.world.emptyDisk(p.id)
 	}
 	if p.isDesk {
-		p.known = map[string]desk.ReplicaEntry{}
+		p.knownReplicas = map[string]desk.ReplicaEntry{}
 	}
 }
 
@@ -208,57 +209,58 @@
 	if err != nil {
 		panic(err)
 	}
-	if seen := p.world.watch.delivered; seen != nil {
+	if seen := p.world.observers.delivered; seen != nil {
 		if seen(from, p, value); !p.alive {
 			return
 		}
 	}
 	switch {
 	case p.disk != nil:
-		p.takeCore(p.core.Receive(p.now(), from, value))
+		p.applyCoreOutput(p.core.Receive(p.now(), from, value))
 	case p.isDesk:
-		p.takeDesk(p.desk.Receive(p.now(), from, value))
+		p.applyDeskOutput(p.desk.Receive(p.now(), from, value))
 	case p.client != nil:
 		p.client.receive(p.now(), from, value)
 	default:
-		p.takeNode(p.node.Receive(p.now(), from, value))
+		p.applyNodeOutput(p.node.Receive(p.now(), from, value))
 	}
 }
 
-// announce hands a replica's word to a desk, and tells whether it is known beyond it.
+// announce passes an announcement of a replica to a desk and reports whether it was
+// accepted, that is, known beyond this desk.
 func (p *process) announce(step func(ticket uint64) desk.Output, then func(reached bool)) {
-	p.next++
-	p.calls[p.next] = func(body any) {
+	p.lastTicket++
+	p.pendingCalls[p.lastTicket] = func(body any) {
 		h, _ := body.(desk.Acknowledgment)
 		then(h.Accepted)
 	}
-	p.takeDesk(step(p.next))
+	p.applyDeskOutput(step(p.lastTicket))
 }
 
-// takeDesk carries out what a desk wants done. Changes of its list are on its
-// disk before anybody hears of them.
-func (p *process) takeDesk(o desk.Output) {
+// applyDeskOutput carries out a desk's output. Changes of its list of replicas are
+// stored before any message or answer leaves.
+func (p *process) applyDeskOutput(o desk.Output) {
 	for _, l := range o.ChangedReplicas {
-		p.known[l.Replica.ID] = l
+		p.knownReplicas[l.Replica.ID] = l
 	}
 	for _, s := range o.Sends {
 		p.world.send(p, s.To, s.Body)
 	}
 	for _, a := range o.Answers {
-		if call, ok := p.calls[a.Ticket]; ok {
-			delete(p.calls, a.Ticket)
+		if call, ok := p.pendingCalls[a.Ticket]; ok {
+			delete(p.pendingCalls, a.Ticket)
 			call(a.Body)
 		}
 	}
 }
 
-func (p *process) takeNode(o relay.Output) {
+func (p *process) applyNodeOutput(o relay.Output) {
 	for _, s := range o.Sends {
 		p.world.send(p, s.To, s.Body)
 	}
 	for _, r := range o.Steps {
-		if at, ok := p.ways[r.Ticket]; ok {
-			at.step(r.Step)
+		if at, ok := p.requests[r.Ticket]; ok {
+			at.applyStep(r.Step)
 		}
 	}
 }
--- a/rehearsalkit/relaysim/record.go
+++ b/rehearsalkit/relaysim/record.go
@@ -7,157 +7,159 @@
 	"saffronfall/rule/invariant"
 )
 
-// What became of a request, as its requester saw it.
+// Outcomes of a request as its requester saw them. The values are part of printed
+// labels.
 const (
-	Whole     = "whole"
-	Failed    = "failed"
-	Refused   = "refused"
-	Closed    = "closed"
-	GaveUp    = "gave up"
-	Unreached = "unreached"
+	Complete    = "whole"
+	Failed      = "failed"
+	Refused     = "refused"
+	Closed      = "closed"
+	GaveUp      = "gave up"
+	Unreachable = "unreached"
 )
 
-// Request is one try, as its requester saw it.
+// Request is one attempt of a request, as its requester saw it.
 type Request struct {
 	At, Ended time.Duration
 	Node      string
-	// Life is the node's life that it arrived at; Arrived: it was read whole.
-	Life     int
-	Arrived  bool
-	LastStep time.Duration
-	Kind     string
-	Path     string
-	Attempt  string
-	Key      string
-	Tenant   string
-	Program  string
-	Previous string
-	Input    string
-	Budget   int64
-	Most     int64
-	Deadline time.Duration
-	// Outcome, and the Status where the answer was a refusal. Check is only for
-	// those who read what was broken.
+	// Incarnation is the node's incarnation that it arrived at; Arrived is set once the
+	// node has read the whole request.
+	Incarnation int
+	Arrived     bool
+	LastStep    time.Duration
+	Kind        string
+	Path        string
+	Attempt     string
+	Key         string
+	Tenant      string
+	Program     string
+	Previous    string
+	Input       string
+	Budget      int64
+	MaxTokens   int64
+	Deadline    time.Duration
+	// Outcome is one of the outcomes above, with the Status of a refusal. Check is for
+	// diagnosis only.
 	Outcome    string
 	Status     int
 	Check      string
 	RetryAfter time.Duration
-	// Tokens and Output are what the requester got.
+	// Tokens and Output are what the requester received.
 	Tokens int64
 	Output string
 
 	failed bool
 }
 
-// Arrival is a request that reached a replica, whether or not it was run there.
-// Moved: another replica was meant.
+// Arrival is a request that reached a replica, whether or not it ran there. It is
+// Misdirected if it was meant for another replica.
 type Arrival struct {
 	At, Sent         time.Duration
 	Replica, Service string
 	Node             string
-	Life             int
+	Incarnation      int
 	Attempt, Tenant  string
-	Moved            bool
+	Misdirected      bool
 }
 
-// Work is work that a replica began. Text is the whole body that it got, From how
-// many events of its stream another run had put out before.
-type Work struct {
+// Execution is a request that a replica began to run. Text is the whole input that it
+// received; FirstEvent is the number of events that earlier executions had streamed.
+type Execution struct {
 	At, Sent         time.Duration
 	Replica, Service string
 	Node             string
-	Life             int
+	Incarnation      int
 	Attempt, Tenant  string
 	Text             string
-	From             int64
+	FirstEvent       int64
 	Events           int64
 	Output           string
-	Whole            bool
+	Complete         bool
 }
 
-// Word is that a replica was told that its leaving was heard.
-type Word struct {
+// LeaveAck is an acknowledgement to a replica that it leaves.
+type LeaveAck struct {
 	At      time.Duration
 	Replica string
 }
 
-// Table is one routing table that an operator handed over.
+// Table is one routing table that an operator sent.
 type Table struct {
 	Number, Base uint64
-	Mark         string
-	// Valid tells whether it may be agreed at all.
-	Valid   bool
-	Routes  map[string]Route
-	Holders map[string]string
-	Allowed map[string]float64
-	Text    []byte
-	// Sent is when it was first handed over, Acked when that was acknowledged;
-	// Refused: the answer was that it is not taken.
-	Sent, Acked time.Duration
-	IsAcked     bool
-	Refused     bool
-	// RefusedAt is when that answer came.
+	ID           string
+	// Valid reports whether the table may be accepted at all.
+	Valid        bool
+	Routes       map[string]Route
+	KeyTenants   map[string]string
+	MaxPerWindow map[string]float64
+	Text         []byte
+	// SentAt is when the table was first sent and AckedAt when it was acknowledged. Refused
+	// is set once an answer refused it.
+	SentAt, AckedAt time.Duration
+	Acked           bool
+	Refused         bool
+	// RefusedAt is when the refusal arrived.
 	RefusedAt time.Duration
 }
 
-// Route is one route of a table, by the judge's own books.
+// Route is the judge's own description of one route of a table.
 type Route struct {
-	Services []string
-	Open     bool
-	Stream   bool
-	Kept     bool
-	// Repeats tells whether a request may run more than once.
-	Repeats bool
+	Services     []string
+	Public       bool
+	Stream       bool
+	KeepsHistory bool
+	// Repeatable reports whether a request may run more than once.
+	Repeatable bool
 }
 
-// ReadBack is the table that a desk read back, asked From and answered At.
+// ReadBack is the table that a desk returned to a read that began at From and ended at
+// At.
 type ReadBack struct {
 	From, At time.Duration
 	Number   uint64
 	Text     []byte
 }
 
-// Trouble is a time in which a machine, or any of the stores, was harmed. It has
-// not ended while Until is below zero.
-type Trouble struct {
+// Disruption is an interval in which a machine, or any store, was disturbed. It is
+// active while Until is negative.
+type Disruption struct {
 	Who         string
 	From, Until time.Duration
 }
 
-// Stores is who is in trouble when any machine with a disk is.
-const Stores = "stores"
+// AnyStore is the Who of the disruption of any store.
+const AnyStore = "stores"
 
-// Limits are the bounds that a run is judged by.
+// Limits are the time bounds and tolerances that a run is judged by.
 type Limits struct {
-	Apply, Contact, Outer, Revert, Drain, Settling, Window, Keep, Recovery time.Duration
-	// Longest is after what time a request that arrived must have had its last
-	// step.
-	Longest   time.Duration
+	Apply, Contact, ApplyWithoutStores, Revert, Drain, Settlement, Window, Retention, Recovery time.Duration
+	// FinalStep is the time within which a request that arrived must get its final step.
+	FinalStep time.Duration
 	Overshoot float64
 	Slack     float64
 }
 
 // Record is all that requesters, replicas and operators saw.
 type Record struct {
-	Limits   Limits
-	Nodes    []string
-	Requests []*Request
-	Arrivals []Arrival
-	Runs     []Work
-	Words    []Word
-	Tables   []*Table
-	// Reads are those at the end, Readings the operators' own.
-	Reads    []ReadBack
-	Readings []ReadBack
-	Troubles []Trouble
-	// Violations are the invariants that machines found violated.
+	Limits    Limits
+	Nodes     []string
+	Requests  []*Request
+	Arrivals  []Arrival
+	Runs      []Execution
+	LeaveAcks []LeaveAck
+	Tables    []*Table
+	// FinalReads are the reads at the end of the run, OperatorReads those of the operators.
+	FinalReads    []ReadBack
+	OperatorReads []ReadBack
+	Disruptions   []Disruption
+	// Violations are the invariants that state machines found violated.
 	Violations []invariant.Violation
-	// Closing is when the closing fault began, Back when all machines were back;
-	// zero: there was none. End is when the run ended.
-	Closing, Back, End time.Duration
+	// ClosingAt is when the closing fault began and RestoredAt when all machines ran again;
+	// both are zero without a closing fault. End is when the run ended.
+	ClosingAt, RestoredAt, End time.Duration
 }
 
-// Breach is one rule that was seen broken.
+// Breach is one violation of a rule.
 type Breach struct {
 	Rule string
 	Text string
--- a/rehearsalkit/relaysim/relaysim_test.go
+++ b/rehearsalkit/relaysim/relaysim_test.go
@@ -36,15 +36,15 @@
 	}
 }
 
-// calm is a fleet without faults, in which nothing may be broken.
-func calm(seed uint64) Params {
+// faultFree is a fleet without faults, in which no breach may occur.
+func faultFree(seed uint64) Params {
 	p := Defaults(seed)
-	p.Faults, p.Loss, p.Closing, p.Length = false, 0, "", 10*time.Second
+	p.Faults, p.Loss, p.Closing, p.FaultPeriod = false, 0, "", 10*time.Second
 	return p
 }
 
 func TestCalm(t *testing.T) {
-	w, breaches := Run(calm(3))
+	w, breaches := Run(faultFree(3))
 	for _, b := range breaches {
 		t.Error(b)
 	}
@@ -55,15 +55,15 @@
 	}
 }
 
-// broken is a node whose machine does one thing wrong.
-type broken struct {
+// faultyNode is a node that deviates in one respect.
+type faultyNode struct {
 	Node
-	arrive func(a relay.Request) relay.Request
-	came   func(o relay.Outcome) relay.Outcome
-	step   func(s relay.Step) (relay.Step, bool)
+	request func(a relay.Request) relay.Request
+	outcome func(o relay.Outcome) relay.Outcome
+	step    func(s relay.Step) (relay.Step, bool)
 }
 
-func (b *broken) out(o relay.Output) relay.Output {
+func (b *faultyNode) out(o relay.Output) relay.Output {
 	if b.step == nil {
 		return o
 	}
@@ -78,33 +78,33 @@
 	return o
 }
 
-func (b *broken) HandleRequest(now time.Duration, ticket uint64, a relay.Request) relay.Output {
-	if b.arrive != nil {
-		a = b.arrive(a)
+func (b *faultyNode) HandleRequest(now time.Duration, ticket uint64, a relay.Request) relay.Output {
+	if b.request != nil {
+		a = b.request(a)
 	}
 	return b.out(b.Node.HandleRequest(now, ticket, a))
 }
 
-func (b *broken) HandleOutcome(now time.Duration, ticket uint64, o relay.Outcome) relay.Output {
-	if b.came != nil {
-		o = b.came(o)
+func (b *faultyNode) HandleOutcome(now time.Duration, ticket uint64, o relay.Outcome) relay.Output {
+	if b.outcome != nil {
+		o = b.outcome(o)
 	}
 	return b.out(b.Node.HandleOutcome(now, ticket, o))
 }
 
-func (b *broken) Receive(now time.Duration, from string, body any) relay.Output {
+func (b *faultyNode) Receive(now time.Duration, from string, body any) relay.Output {
 	return b.out(b.Node.Receive(now, from, body))
 }
 
-func (b *broken) Tick(now time.Duration) relay.Output { return b.out(b.Node.Tick(now)) }
+func (b *faultyNode) Tick(now time.Duration) relay.Output { return b.out(b.Node.Tick(now)) }
 
-// forger is a desk that answers operators wrongly.
-type forger struct {
+// forgingDesk is a desk that forges its answers to orders.
+type forgingDesk struct {
 	Desk
 	forge func(h desk.OrderResult) desk.OrderResult
 }
 
-func (f *forger) out(o desk.Output) desk.Output {
+func (f *forgingDesk) out(o desk.Output) desk.Output {
 	for i, a := range o.Answers {
 		if h, ok := a.Body.(desk.OrderResult); ok {
 			o.Answers[i].Body = f.forge(h)
@@ -113,24 +113,24 @@
 	return o
 }
 
-func (f *forger) Receive(now time.Duration, from string, body any) desk.Output {
+func (f *forgingDesk) Receive(now time.Duration, from string, body any) desk.Output {
 	return f.out(f.Desk.Receive(now, from, body))
 }
 
-func (f *forger) Tick(now time.Duration) desk.Output { return f.out(f.Desk.Tick(now)) }
+func (f *forgingDesk) Tick(now time.Duration) desk.Output { return f.out(f.Desk.Tick(now)) }
 
-func (f *forger) Apply(now time.Duration, ticket uint64, base uint64, text []byte, digest string) desk.Output {
+func (f *forgingDesk) Apply(now time.Duration, ticket uint64, base uint64, text []byte, digest string) desk.Output {
 	return f.out(f.Desk.Apply(now, ticket, base, text, digest))
 }
 
-func forging(forge func(h desk.OrderResult) desk.OrderResult) func(p *Params) {
+func forgeOrderResults(forge func(h desk.OrderResult) desk.OrderResult) func(p *Params) {
 	return func(p *Params) {
-		p.WrapDesk = func(d Desk) Desk { return &forger{Desk: d, forge: forge} }
+		p.WrapDesk = func(d Desk) Desk { return &forgingDesk{Desk: d, forge: forge} }
 	}
 }
 
-// answering changes answers of the cores.
-func answering[T any](change func(a T) T) func(p *Params) {
+// alterAnswers applies a change to the cores' results of one type.
+func alterAnswers[T any](change func(a T) T) func(p *Params) {
 	return func(p *Params) {
 		p.Alter = func(from, to string, body any) (any, bool) {
 			r, ok := body.(core.CommandResult)
@@ -146,15 +146,15 @@
 	}
 }
 
-func every(n int) func() bool {
+func everyNth(n int) func() bool {
 	at := 0
 	return func() bool { at++; return at%n == 0 }
 }
 
-// TestBreaks breaks the machines on purpose and wants the judge to name the very
-// rule that is broken.
+// TestBreaks breaks the system on purpose and checks that the judge reports the broken
+// rule.
 func TestBreaks(t *testing.T) {
-	nodes := func(b func() *broken) func(p *Params) {
+	nodes := func(b func() *faultyNode) func(p *Params) {
 		return func(p *Params) {
 			p.WrapNode = func(n Node) Node {
 				one := b()
@@ -165,26 +165,26 @@
 	}
 	for _, c := range []struct {
 		name, rule string
-		harm       func(p *Params)
+		inject     func(p *Params)
 	}{
-		{"what broke off is sent again", RuleTwice, nodes(func() *broken {
-			return &broken{came: func(o relay.Outcome) relay.Outcome {
+		{"what broke off is sent again", RuleAtMostOnce, nodes(func() *faultyNode {
+			return &faultyNode{outcome: func(o relay.Outcome) relay.Outcome {
 				if o.Kind == relay.OutcomeInterrupted && !o.RequesterGone {
 					o.Kind, o.Started = relay.OutcomeNotRun, false
 				}
 				return o
 			}}
 		})},
-		{"what may have run is refused", RulePromised, nodes(func() *broken {
-			return &broken{step: func(s relay.Step) (relay.Step, bool) {
+		{"what may have run is refused", RuleRefusedNotRun, nodes(func() *faultyNode {
+			return &faultyNode{step: func(s relay.Step) (relay.Step, bool) {
 				if s.Kind == relay.StepAbort && s.Status == 502 {
 					s.Kind, s.Status = relay.StepRefuse, 503
 				}
 				return s, true
 			}}
 		})},
-		{"cores always reserve", RuleBudget, answering(func(a core.ReserveTurnResult) core.ReserveTurnResult { a.OK = true; return a })},
-		{"turns are booked at too much", RuleSpent, func(p *Params) {
+		{"cores always reserve", RuleBudget, alterAnswers(func(a core.ReserveTurnResult) core.ReserveTurnResult { a.OK = true; return a })},
+		{"turns are booked at too much", RuleBudgetRefusal, func(p *Params) {
 			p.Alter = func(from, to string, body any) (any, bool) {
 				if c, ok := body.(core.Command); ok {
 					inner, _ := message.Open(c.Raw)
@@ -197,25 +197,25 @@
 				return body, true
 			}
 		}},
-		{"kept turns get lost", RuleKept, answering(func(a core.ReadTurnResult) core.ReadTurnResult { return core.ReadTurnResult{} })},
-		{"kept turns change", RuleChain, answering(func(a core.ReadTurnResult) core.ReadTurnResult { a.Input = append(a.Input, 'x'); return a })},
-		{"a former turn is left out", RuleChain, nodes(func() *broken {
-			return &broken{step: func(s relay.Step) (relay.Step, bool) {
+		{"kept turns get lost", RuleTurnKept, alterAnswers(func(a core.ReadTurnResult) core.ReadTurnResult { return core.ReadTurnResult{} })},
+		{"kept turns change", RuleHistory, alterAnswers(func(a core.ReadTurnResult) core.ReadTurnResult { a.Input = append(a.Input, 'x'); return a })},
+		{"a former turn is left out", RuleHistory, nodes(func() *faultyNode {
+			return &faultyNode{step: func(s relay.Step) (relay.Step, bool) {
 				if len(s.History) > 2 {
 					s.History = s.History[2:]
 				}
 				return s, true
 			}}
 		})},
-		{"what broke off passes for whole", RuleWhole, nodes(func() *broken {
-			return &broken{came: func(o relay.Outcome) relay.Outcome {
+		{"what broke off passes for whole", RuleAnswerComplete, nodes(func() *faultyNode {
+			return &faultyNode{outcome: func(o relay.Outcome) relay.Outcome {
 				if o.Kind == relay.OutcomeInterrupted {
 					o.Kind = relay.OutcomeComplete
 				}
 				return o
 			}}
 		})},
-		{"cores grant more of a rate", RuleRate, answering(func(a core.DrawRatesResult) core.DrawRatesResult {
+		{"cores grant more of a rate", RuleRate, alterAnswers(func(a core.DrawRatesResult) core.DrawRatesResult {
 			var more []rate.DrawResponse
 			for _, d := range a.Responses {
 				d.Granted += 1000
@@ -223,15 +223,15 @@
 			}
 			return core.DrawRatesResult{Responses: more}
 		})},
-		{"requests run as another tenant", RuleAllowed, nodes(func() *broken {
-			return &broken{step: func(s relay.Step) (relay.Step, bool) {
+		{"requests run as another tenant", RuleTableAllows, nodes(func() *faultyNode {
+			return &faultyNode{step: func(s relay.Step) (relay.Step, bool) {
 				if s.Tenant == "t1" {
 					s.Tenant = "t2"
 				}
 				return s, true
 			}}
 		})},
-		{"a node hears of no table after the first", RuleFollow, func(p *Params) {
+		{"a node hears of no table after the first", RuleTableLag, func(p *Params) {
 			p.Alter = func(from, to string, body any) (any, bool) {
 				if b, ok := body.(desk.Update); ok && to == "node1" && b.TableNumber > 1 {
 					b.Table = nil
@@ -240,34 +240,34 @@
 				return body, true
 			}
 		}},
-		{"a node forgets what was new", RuleBack, nodes(func() *broken {
-			third := every(3)
-			return &broken{arrive: func(a relay.Request) relay.Request {
+		{"a node forgets what was new", RuleNoRollback, nodes(func() *faultyNode {
+			third := everyNth(3)
+			return &faultyNode{request: func(a relay.Request) relay.Request {
 				if len(a.Path) > 7 && a.Path[:7] == "/probe-" && third() {
 					a.Path = "/none/x"
 				}
 				return a
 			}}
 		})},
-		{"desks acknowledge what lost its race", RuleRace, forging(func(h desk.OrderResult) desk.OrderResult {
+		{"desks acknowledge what lost its race", RuleTableRace, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
 			h.Accepted, h.RaceLost = h.Accepted || h.RaceLost, false
 			return h
 		})},
-		{"desks acknowledge what is invalid", RuleRace, forging(func(h desk.OrderResult) desk.OrderResult {
+		{"desks acknowledge what is invalid", RuleTableRace, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
 			h.Accepted, h.Faults = h.Accepted || h.Faults != nil, nil
 			return h
 		})},
-		{"desks refuse what is agreed", RuleLost, forging(func(h desk.OrderResult) desk.OrderResult {
+		{"desks refuse what is agreed", RuleDurable, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
 			if h.Accepted && h.Number > 1 {
 				return desk.OrderResult{RaceLost: true}
 			}
 			return h
 		})},
-		{"nodes do not hear who leaves", RuleLeaving, func(p *Params) {
+		{"nodes do not hear who leaves", RuleDraining, func(p *Params) {
 			p.Faults = true
-			// A replica that leaves is one of many that a node may choose, and few of
-			// them are compared for a request: more callers meet it in its last second.
-			p.Callers, p.Talkers = 20, 20
+			// Placement compares only a few replicas per request, so more callers are needed for
+			// one of them to choose the leaving replica.
+			p.Callers, p.Conversations = 20, 20
 			p.Alter = func(from, to string, body any) (any, bool) {
 				if b, ok := body.(desk.Update); ok {
 					list := append([]desk.ReplicaEntry(nil), b.Replicas...)
@@ -280,21 +280,21 @@
 				return body, true
 			}
 		}},
-		{"later lives of nodes refuse everything", RuleServed, func(p *Params) {
+		{"later lives of nodes refuse everything", RuleRecovery, func(p *Params) {
 			p.Closing = ClosingKill
-			lives := 0
+			incarnations := 0
 			p.WrapNode = func(n Node) Node {
-				if lives++; lives <= p.Nodes {
+				if incarnations++; incarnations <= p.Nodes {
 					return n
 				}
-				return &broken{Node: n, step: func(s relay.Step) (relay.Step, bool) {
+				return &faultyNode{Node: n, step: func(s relay.Step) (relay.Step, bool) {
 					return relay.Step{Kind: relay.StepRefuse, Status: 503}, true
 				}}
 			}
 		}},
-		{"some last steps are forgotten", RuleHeld, nodes(func() *broken {
-			some := every(40)
-			return &broken{step: func(s relay.Step) (relay.Step, bool) {
+		{"some last steps are forgotten", RuleFinalStep, nodes(func() *faultyNode {
+			some := everyNth(40)
+			return &faultyNode{step: func(s relay.Step) (relay.Step, bool) {
 				return s, s.Kind == relay.StepSend || !some()
 			}}
 		})},
@@ -303,8 +303,8 @@
 			t.Parallel()
 			var seen []string
 			for seed := uint64(1); seed <= 6; seed++ {
-				p := calm(seed)
-				c.harm(&p)
+				p := faultFree(seed)
+				c.inject(&p)
 				_, breaches := Run(p)
 				for _, b := range breaches {
 					if b.Rule == c.rule {
--- a/rehearsalkit/relaysim/replica.go
+++ b/rehearsalkit/relaysim/replica.go
@@ -11,91 +11,91 @@
 	"saffronfall/rule/ordered"
 )
 
-// Services of the simulated deployment. The models put out streams.
+// Services of the simulated deployment. The models stream their output.
 const (
 	modelA, modelB = "model-a", "model-b"
 	plainA, plainB = "plain-a", "plain-b"
 )
 
-func streams(service string) bool { return service == modelA || service == modelB }
+func isStreaming(service string) bool { return service == modelA || service == modelB }
 
-func tokensPer(service string) int64 {
+func tokensPerEvent(service string) int64 {
 	if service == modelB {
-		return tokensOf - 2
+		return defaultTokensPerEvent - 2
 	}
-	return tokensOf
+	return defaultTokensPerEvent
 }
 
-// replica is one life of a stand-in replica.
+// replica is one incarnation of a simulated replica.
 type replica struct {
-	world   *World
-	id      string
-	service string
-	address string
-	zone    string
-	alive   bool
-	leaving bool
-	call    int64
-	slots   int
-	running int
-	queue   []*job
-	jobs    []*job
-	target  *process
+	world    *World
+	id       string
+	service  string
+	address  string
+	zone     string
+	alive    bool
+	leaving  bool
+	sequence int64
+	slots    int
+	running  int
+	queue    []*job
+	jobs     []*job
+	target   *process
 }
 
 // job is one request at a replica.
 type job struct {
-	replica *replica
-	sending *sending
-	ended   bool
-	within  time.Duration
-	queued  time.Duration
+	replica  *replica
+	dispatch *dispatch
+	ended    bool
+	deadline time.Duration
+	queued   time.Duration
 }
 
 func (w *World) startReplica(service, address string, zone int) *replica {
-	w.marks++
-	r := &replica{world: w, id: fmt.Sprintf("r%d-%s", w.marks, service), service: service, address: address, zone: fmt.Sprintf("zone-%d", zone%w.Params.Zones+1), alive: true, slots: 6}
-	if streams(service) {
+	w.lastID++
+	r := &replica{world: w, id: fmt.Sprintf("r%d-%s", w.lastID, service), service: service, address: address, zone: fmt.Sprintf("zone-%d", zone%w.Params.Zones+1), alive: true, slots: 6}
+	if isStreaming(service) {
 		r.slots = 8
 	}
 	w.replicas[address] = r
-	r.beat(func() {})
-	w.after(beatPeriod, r.beats)
+	r.heartbeat(func() {})
+	w.after(heartbeatInterval, r.heartbeats)
 	return r
 }
 
-func (r *replica) beats() {
+func (r *replica) heartbeats() {
 	if r.alive {
-		r.beat(func() {})
-		r.world.after(r.world.between(beatPeriod*9/10, beatPeriod*11/10), r.beats)
+		r.heartbeat(func() {})
+		r.world.after(r.world.between(heartbeatInterval*9/10, heartbeatInterval*11/10), r.heartbeats)
 	}
 }
 
-// beat announces the replica at a desk, and at the next where it is not heard
-// within a second, as where the desk says that it can pass nothing on.
-func (r *replica) beat(heard func()) {
+// heartbeat announces the replica to a desk, and to another one if it is not
+// acknowledged within a second.
+func (r *replica) heartbeat(heard func()) {
 	w := r.world
 	if r.target == nil {
 		r.target = w.anyDesk()
 	}
 	to, done := r.target, false
-	r.call++
-	word := desk.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: r.zone, Slots: int64(r.slots), Leaving: r.leaving, Sequence: r.call}
+	r.sequence++
+	word := desk.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: r.zone, Slots: int64(r.slots), Leaving: r.leaving, Sequence: r.sequence}
 	w.after(w.delay(), func() {
 		if w.isCut(r.address, to.address) {
 			return
 		}
 		to.do(func() {
-			life := to.life
+			incarnation := to.incarnation
 			to.announce(func(ticket uint64) desk.Output { return to.desk.Heartbeat(to.now(), ticket, word) }, func(reached bool) {
 				if !reached {
 					return
 				}
 				w.after(w.delay(), func() {
-					if to.life == life && !done && r.alive {
+					if to.incarnation == incarnation && !done && r.alive {
 						done = true
 						if word.Leaving {
-							w.Record.Words = append(w.Record.Words, Word{At: w.now, Replica: r.id})
+							w.Record.LeaveAcks = append(w.Record.LeaveAcks, LeaveAck{At: w.now, Replica: r.id})
 						}
 						heard()
 					}
@@ -106,13 +106,13 @@
 	w.after(time.Second, func() {
 		if !done && r.alive {
 			done, r.target = true, nil
-			r.beat(heard)
+			r.heartbeat(heard)
 		}
 	})
 }
 
-// leave says that the replica goes, waits until it is heard and a little longer,
-// takes its name off the list, and ends.
+// leave announces that the replica leaves, waits for the acknowledgement and the drain
+// time, deregisters and stops.
 func (r *replica) leave(then func()) {
 	w := r.world
 	r.leaving = true
@@ -120,12 +120,12 @@
 	end := func() {
 		if r.alive {
 			to := w.anyDesk()
-			to.do(func() { to.takeDesk(to.desk.Leave(to.now(), 0, r.id)) })
-			w.after(w.between(50*time.Millisecond, 300*time.Millisecond), func() { r.end(then) })
+			to.do(func() { to.applyDeskOutput(to.desk.Leave(to.now(), 0, r.id)) })
+			w.after(w.between(50*time.Millisecond, 300*time.Millisecond), func() { r.stop(then) })
 		}
 	}
 	heard := false
-	r.beat(func() {
+	r.heartbeat(func() {
 		if !heard {
 			heard = true
 			w.after(w.Record.Limits.Drain+w.between(200*time.Millisecond, 800*time.Millisecond), end)
@@ -139,8 +139,8 @@
 	})
 }
 
-// end ends a replica's life; requests that run there break off.
-func (r *replica) end(then func()) {
+// stop ends the replica and interrupts its requests.
+func (r *replica) stop(then func()) {
 	if !r.alive {
 		return
 	}
@@ -149,7 +149,7 @@
 	for _, j := range append(r.jobs, r.queue...) {
 		if !j.ended {
 			j.ended = true
-			j.sending.back(func() { j.sending.over(relay.Outcome{Kind: relay.OutcomeInterrupted}) })
+			j.dispatch.respond(func() { j.dispatch.finish(relay.Outcome{Kind: relay.OutcomeInterrupted}) })
 		}
 	}
 	r.jobs, r.queue = nil, nil
@@ -160,33 +160,33 @@
 	return &relay.Load{Running: int64(r.running), Waiting: int64(len(r.queue)), Slots: int64(r.slots)}
 }
 
-// arrive takes a request from a node.
-func (r *replica) arrive(s *sending) {
+// receive accepts a request from a node.
+func (r *replica) receive(s *dispatch) {
 	w := r.world
-	at := Arrival{At: w.now, Replica: r.id, Service: r.service, Node: s.way.node.id, Life: s.way.life, Attempt: s.way.request.Attempt, Tenant: s.step.Tenant, Sent: s.sentAt}
+	at := Arrival{At: w.now, Replica: r.id, Service: r.service, Node: s.request.node.id, Incarnation: s.request.incarnation, Attempt: s.request.request.Attempt, Tenant: s.step.Tenant, Sent: s.sentAt}
 	if s.step.Replica.ID != r.id {
-		at.Moved = true
+		at.Misdirected = true
 		w.Record.Arrivals = append(w.Record.Arrivals, at)
 		w.Counts["moved"]++
-		s.back(func() { s.over(relay.Outcome{Kind: relay.OutcomeNotRun, AddressReused: true}) })
+		s.respond(func() { s.finish(relay.Outcome{Kind: relay.OutcomeNotRun, AddressReused: true}) })
 		return
 	}
 	w.Record.Arrivals = append(w.Record.Arrivals, at)
-	j := &job{replica: r, sending: s, within: w.now + s.step.Timeout, queued: w.now}
+	j := &job{replica: r, dispatch: s, deadline: w.now + s.step.Timeout, queued: w.now}
 	s.job = j
 	switch {
 	case r.running < r.slots:
-		r.begin(j)
+		r.start(j)
 	case len(r.queue) < 3:
 		r.queue = append(r.queue, j)
-		w.after(w.between(100*time.Millisecond, 400*time.Millisecond), func() { r.turnAway(j) })
+		w.after(w.between(100*time.Millisecond, 400*time.Millisecond), func() { r.reject(j) })
 	default:
-		r.turnAway(j)
+		r.reject(j)
 	}
 }
 
-// turnAway promises that a request was not run.
-func (r *replica) turnAway(j *job) {
+// reject refuses a queued request; the answer promises that it was not run.
+func (r *replica) reject(j *job) {
 	if j.ended || slices.Contains(r.jobs, j) {
 		return
 	}
@@ -196,7 +196,7 @@
 	j.ended = true
 	r.world.Counts["turned away"]++
 	o := relay.Outcome{Kind: relay.OutcomeNotRun, Load: r.load()}
-	j.sending.back(func() { j.sending.over(o) })
+	j.dispatch.respond(func() { j.dispatch.finish(o) })
 }
 
 func hash(text string) uint64 {
@@ -205,88 +205,89 @@
 	return h.Sum64()
 }
 
-// piece is what a replica puts out as one event of an attempt's stream.
-func piece(attempt string, n int64) string { return fmt.Sprintf("%s:%d", attempt, n) }
+// streamEvent is the text of one event of an attempt's stream.
+func streamEvent(attempt string, n int64) string { return fmt.Sprintf("%s:%d", attempt, n) }
 
-// begin begins work: from here on the request has run.
-func (r *replica) begin(j *job) {
-	w, s := r.world, j.sending
+// start runs a job: from here on the request counts as executed.
+func (r *replica) start(j *job) {
+	w, s := r.world, j.dispatch
 	r.running++
 	r.jobs = append(r.jobs, j)
 	text := ""
 	for _, before := range s.step.History {
 		text += string(before)
 	}
-	w.Record.Runs = append(w.Record.Runs, Work{At: w.now, Sent: s.sentAt, Replica: r.id, Service: r.service, Node: s.way.node.id, Life: s.way.life, Attempt: s.way.request.Attempt,
-		Tenant: s.step.Tenant, Text: text + s.way.request.Input, From: s.way.events})
+	w.Record.Runs = append(w.Record.Runs, Execution{At: w.now, Sent: s.sentAt, Replica: r.id, Service: r.service, Node: s.request.node.id, Incarnation: s.request.incarnation, Attempt: s.request.request.Attempt,
+		Tenant: s.step.Tenant, Text: text + s.request.request.Input, FirstEvent: s.request.events})
 	run := len(w.Record.Runs) - 1
-	if !streams(r.service) {
+	if !isStreaming(r.service) {
 		took := w.between(3*time.Millisecond, 40*time.Millisecond)
-		fate := w.random.Float64()
+		draw := w.random.Float64()
 		w.after(took, func() {
 			if !r.finish(j) {
 				return
 			}
 			o := relay.Outcome{Kind: relay.OutcomeComplete, Load: r.load()}
 			switch {
-			case fate < 0.02:
+			case draw < 0.02:
 				w.Counts["answers lost"]++
 				o = relay.Outcome{Kind: relay.OutcomeInterrupted}
-			case fate < 0.04:
+			case draw < 0.04:
 				o.Failed = true
 			}
-			s.back(func() { s.over(o) })
+			s.respond(func() { s.finish(o) })
 		})
 		return
 	}
-	per := tokensPer(r.service)
-	count := max(1, int64(hash(s.way.request.Attempt)%uint64(max(1, s.way.request.Most/per)))+1)
-	if s.way.request.Most/per < count {
-		count = s.way.request.Most / per
+	per := tokensPerEvent(r.service)
+	count := max(1, int64(hash(s.request.request.Attempt)%uint64(max(1, s.request.request.MaxTokens/per)))+1)
+	if s.request.request.MaxTokens/per < count {
+		count = s.request.request.MaxTokens / per
 	}
 	breakAt := int64(-1)
 	if w.chance(0.05) {
-		breakAt = s.way.events + int64(w.random.IntN(int(count)+1))
+		breakAt = s.request.events + int64(w.random.IntN(int(count)+1))
 	}
 	var next func(n int64)
 	next = func(n int64) {
 		if j.ended || !r.alive {
 			return
 		}
-		if w.now >= j.within || n-1 == breakAt {
+		if w.now >= j.deadline || n-1 == breakAt {
 			if r.finish(j) {
 				w.Counts["streams broken off"]++
-				s.back(func() { s.over(relay.Outcome{Kind: relay.OutcomeInterrupted}) })
+				s.respond(func() { s.finish(relay.Outcome{Kind: relay.OutcomeInterrupted}) })
 			}
 			return
 		}
 		if n > count {
 			if r.finish(j) {
-				w.Record.Runs[run].Whole = true
+				w.Record.Runs[run].Complete = true
 				load := r.load()
-				s.back(func() { s.over(relay.Outcome{Kind: relay.OutcomeComplete, Load: load}) })
+				s.respond(func() { s.finish(relay.Outcome{Kind: relay.OutcomeComplete, Load: load}) })
 			}
 			return
 		}
 		w.Record.Runs[run].Events++
-		w.Record.Runs[run].Output += piece(s.way.request.Attempt, n) + "\n"
-		s.back(func() { s.event(n, per) })
+		w.Record.Runs[run].Output += streamEvent(s.request.request.Attempt, n) + "\n"
+		s.respond(func() { s.relayEvent(n, per) })
 		w.after(w.between(4*time.Millisecond, 30*time.Millisecond), func() { next(n + 1) })
 	}
-	w.after(w.between(5*time.Millisecond, 40*time.Millisecond), func() { next(s.way.events + 1) })
+	w.after(w.between(5*time.Millisecond, 40*time.Millisecond), func() { next(s.request.events + 1) })
 }
 
-// finish ends a job and lets the next one begin.
+// finish ends a job and starts the next one. It reports false if the job had already
+// ended.
 func (r *replica) finish(j *job) bool {
 	if j.ended || !r.alive {
 		return false
 	}
 	j.ended = true
-	r.free(j)
+	r.release(j)
 	return true
 }
 
-func (r *replica) free(j *job) {
+func (r *replica) release(j *job) {
 	r.running--
 	for i, other := range r.jobs {
 		if other == j {
@@ -298,27 +299,27 @@
 		next := r.queue[0]
 		r.queue = r.queue[1:]
 		if !next.ended {
-			r.begin(next)
+			r.start(next)
 		}
 	}
 }
 
-// drop ends a job whose connection closed.
-func (j *job) drop() {
+// cancel ends a job whose connection closed.
+func (j *job) cancel() {
 	if j.ended || !j.replica.alive {
 		return
 	}
 	j.ended = true
 	for _, other := range j.replica.jobs {
 		if other == j {
-			j.replica.free(j)
+			j.replica.release(j)
 			return
 		}
 	}
 }
 
-// churn ends replicas, by crash or in order, and starts others in their place:
-// at the same address, and not always of the same service.
+// churn stops replicas, by crash or in order, and starts others at the same address,
+// possibly for another service.
 func (w *World) churn() {
 	if w.closing {
 		return
@@ -335,7 +336,7 @@
 	if r.leaving || counts[r.service] < 2 {
 		return
 	}
-	again := func() {
+	restart := func() {
 		service := r.service
 		if w.chance(0.4) {
 			service = []string{modelA, modelB, plainA, plainB}[w.random.IntN(4)]
@@ -350,9 +351,9 @@
 		w.after(w.between(2*time.Second, 3*time.Second), func() { w.startReplica(service, r.address, zone) })
 	}
 	if w.chance(0.5) {
-		r.leave(again)
+		r.leave(restart)
 		return
 	}
 	w.Counts["replicas crashed"]++
-	r.end(again)
+	r.stop(restart)
 }
--- /dev/null
+++ b/rehearsalkit/relaysim/resends.go
@@ -0,0 +1,64 @@
+package relaysim
+
+import (
+	"fmt"
+
+	"saffronfall/peer/desk"
+)
+
+// resendTable counts the answers to acknowledged orders that were sent again, by the
+// number of orders acknowledged in between.
+type resendTable map[int]*resendCounts
+
+type resendCounts struct{ acked, refused, inconclusive int }
+
+// resendBuckets are the upper bounds of the rows of a resendTable.
+var resendBuckets = []int{8, 16, 64, 256, 1 << 30}
+
+func (t resendTable) add(changes int, h desk.OrderResult) {
+	step := 0
+	for changes > resendBuckets[step] {
+		step++
+	}
+	row := t[resendBuckets[step]]
+	if row == nil {
+		row = &resendCounts{}
+		t[resendBuckets[step]] = row
+	}
+	switch {
+	case h.Unsure:
+		row.inconclusive++
+	case h.Accepted:
+		row.acked++
+	default:
+		row.refused++
+	}
+}
+
+func (t resendTable) merge(o resendTable) {
+	for step, row := range o {
+		sum := t[step]
+		if sum == nil {
+			sum = &resendCounts{}
+			t[step] = sum
+		}
+		sum.acked += row.acked
+		sum.refused += row.refused
+		sum.inconclusive += row.inconclusive
+	}
+}
+
+// lines formats the table as Markdown.
+func (t resendTable) lines() []string {
+	lines := []string{"", "| up to so many orders later | acknowledged again | refused | no clear answer |", "|---|---|---|---|"}
+	for _, step := range resendBuckets {
+		if row := t[step]; row != nil {
+			name := fmt.Sprint(step)
+			if step == resendBuckets[len(resendBuckets)-1] {
+				name = "more"
+			}
+			lines = append(lines, fmt.Sprintf("| %s | %d | %d | %d |", name, row.acked, row.refused, row.inconclusive))
+		}
+	}
+	return lines
+}
--- a/rehearsalkit/relaysim/run.go
+++ b/rehearsalkit/relaysim/run.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// starting is how long a fleet has to be founded and to have a first table.
-const starting = 6 * time.Second
+// startupTime is the time for a fleet to be founded and to get its first table.
+const startupTime = 6 * time.Second
 
-// lay founds the fleet, its replicas and its first table, with no requesters.
-func (w *World) lay(firstTable func()) {
-	end := w.trouble(Stores)
-	w.boot()
+// startFleet starts the fleet, its replicas and its first table, without requesters.
+func (w *World) startFleet(firstTable func()) {
+	end := w.beginDisruption(AnyStore)
+	w.bootAll()
 	w.after(time.Second, func() {
 		number := 0
 		for _, service := range []string{modelA, modelA, modelA, modelB, modelB, plainA, plainA, plainA, plainB, plainB} {
@@ -21,11 +21,11 @@
 		}
 	})
 	w.after(time.Second, firstTable)
-	w.after(starting-w.Record.Limits.Contact, end)
+	w.after(startupTime-w.Record.Limits.Contact, end)
 }
 
-// boot starts all machines.
-func (w *World) boot() {
+// bootAll starts all machines.
+func (w *World) bootAll() {
 	for _, s := range w.stores {
 		for _, p := range s.processes() {
 			w.after(w.between(0, 200*time.Millisecond), p.boot)
@@ -36,59 +36,59 @@
 	}
 }
 
-// populate starts requesters and operators.
-func (w *World) populate() {
+// startWorkload starts requesters and operators.
+func (w *World) startWorkload() {
 	p := w.Params
 	keys := []string{"k-1a", "k-2a", "k-2a", "k-1b"}
-	for i := 0; i < p.Talkers+p.Runaways; i++ {
-		t := &talk{world: w, key: keys[i%len(keys)], runaway: i >= p.Talkers}
-		w.after(w.between(0, time.Second), func() { t.begin("") })
+	for i := 0; i < p.Conversations+p.Runaways; i++ {
+		t := &conversation{world: w, key: keys[i%len(keys)], runaway: i >= p.Conversations}
+		w.after(w.between(0, time.Second), func() { t.startProgram("") })
 	}
 	for i := 0; i < p.Callers; i++ {
 		key := keys[i%len(keys)]
-		w.after(w.between(0, time.Second), func() { w.caller(key) })
+		w.after(w.between(0, time.Second), func() { w.runCaller(key) })
 	}
-	for i := 0; i < p.Pressers; i++ {
+	for i := 0; i < p.Flooders; i++ {
 		key := []string{"k-3a", "k-3a", "k-1a"}[i%3]
-		w.after(w.between(0, time.Second), func() { w.press(key, i) })
+		w.after(w.between(0, time.Second), func() { w.flood(key, i) })
 	}
 	for i := 0; i < p.Operators; i++ {
-		w.after(w.between(0, 2*time.Second), w.operator)
+		w.after(w.between(0, 2*time.Second), w.runOperator)
 	}
-	w.probe()
+	w.runProbe()
 }
 
-// Run runs a whole world and returns the breaches.
+// Run simulates one run and returns the world and the breaches.
 func Run(p Params) (*World, []Breach) {
 	w := New(p)
-	w.lay(w.firstTable)
-	w.run(starting)
-	w.faultsUntil = starting + p.Length
+	w.startFleet(w.applyFirstTable)
+	w.runUntil(startupTime)
+	w.faultsUntil = startupTime + p.FaultPeriod
 	closingAt := w.faultsUntil + 5*time.Second
 	w.Record.End = closingAt
 	if p.Closing != "" {
-		w.Record.End += 1500*time.Millisecond + recovery + 6*time.Second
-		w.after(closingAt-w.now, w.close)
+		w.Record.End += 1500*time.Millisecond + recoveryTime + 6*time.Second
+		w.after(closingAt-w.now, w.injectClosingFault)
 	}
-	w.populate()
+	w.startWorkload()
 	if p.Faults {
-		w.after(time.Second, w.fault)
+		w.after(time.Second, w.injectFault)
 		w.churn()
 	}
-	w.after(w.Record.End-3*time.Second-w.now, w.readBack)
-	w.run(w.Record.End)
+	w.after(w.Record.End-3*time.Second-w.now, w.readFinalTable)
+	w.runUntil(w.Record.End)
 	return w, w.Record.Judge()
 }
 
-// Outcome is what became of one seed.
+// Outcome is the result of one seed.
 type Outcome struct {
 	Seed     uint64
 	Breaches []Breach
 	Counts   map[string]int64
 }
 
-// RunSeeds runs seeds side by side and tells their outcomes as they come.
-func RunSeeds(first uint64, count int, logf func(format string, args ...any), tell func(o Outcome)) {
+// RunSeeds runs seeds in parallel and reports each outcome as it completes.
+func RunSeeds(first uint64, count int, logf func(format string, args ...any), report func(o Outcome)) {
 	work, done := make(chan uint64), make(chan Outcome)
 	for i := 0; i < min(count, runtime.NumCPU()); i++ {
 		go func() {
@@ -107,6 +107,6 @@
 		close(work)
 	}()
 	for i := 0; i < count; i++ {
-		tell(<-done)
+		report(<-done)
 	}
 }
