--- a/rehearsalkit/relaysim/scenario.go
+++ b/rehearsalkit/relaysim/scenario.go
@@ -7,16 +7,16 @@
 	"saffronfall/rule/ordered"
 )
 
-// Scenario is a named run with a workload, faults and rules of its own.
+// Scenario is a named run with its own workload, faults and rules.
 type Scenario struct {
 	Name string
-	// Params are the defaults for a seed.
+	// Params returns the default parameters of a seed.
 	Params func(seed uint64) Params
-	// Play runs it in a world that is laid out and not started.
+	// Play runs the scenario in a new world.
 	Play func(w *World) *Findings
 }
 
-// Scenarios are all named runs.
+// Scenarios lists all scenarios.
 func Scenarios() []Scenario {
 	return []Scenario{
 		{Name: "longcut", Params: longcutParams, Play: playLongcut},
@@ -27,34 +27,34 @@
 	}
 }
 
-// Findings are what came of a scenario's run.
+// Findings are the results of one run of a scenario.
 type Findings struct {
 	Seed     uint64
 	Breaches []Breach
 	Counts   map[string]int64
-	// Answers tell what calls at desks got, second by second.
+	// Answers holds the answers to calls at desks by second.
 	Answers answerTable
-	// Spans are measured times, by what they are of.
-	Spans map[string][]time.Duration
-	// Later counts answers to orders handed over again.
-	Later laterTable
-	// Lines are rows of the scenario's own table.
+	// Durations are measured durations by their printed label.
+	Durations map[string][]time.Duration
+	// Resends counts the answers to orders sent again.
+	Resends resendTable
+	// Lines are additional lines of the report.
 	Lines []string
 }
 
 func newFindings(w *World) *Findings {
-	return &Findings{Seed: w.Params.Seed, Counts: w.Counts, Answers: answerTable{}, Spans: map[string][]time.Duration{}}
+	return &Findings{Seed: w.Params.Seed, Counts: w.Counts, Answers: answerTable{}, Durations: map[string][]time.Duration{}}
 }
 
 func (f *Findings) breach(rule, format string, args ...any) {
 	f.Breaches = append(f.Breaches, breach(rule, format, args...))
 }
 
-func (f *Findings) span(what string, length time.Duration) {
-	f.Spans[what] = append(f.Spans[what], length)
+func (f *Findings) recordDuration(what string, length time.Duration) {
+	f.Durations[what] = append(f.Durations[what], length)
 }
 
-// ScenarioNamed finds a scenario.
+// ScenarioNamed returns the scenario of that name, or an error if there is none.
 func ScenarioNamed(name string) (Scenario, error) {
 	for _, s := range Scenarios() {
 		if s.Name == name {
@@ -64,11 +64,11 @@
 	return Scenario{}, fmt.Errorf("no scenario is called %q", name)
 }
 
-// Run plays the scenario in a world of the given params.
+// Run plays the scenario in a world with the given parameters.
 func (s Scenario) Run(p Params) *Findings { return s.Play(New(p)) }
 
-// PlaySeeds plays seeds side by side and tells their findings as they come.
-func (s Scenario) PlaySeeds(first uint64, count, workers int, change func(p *Params), tell func(f *Findings)) {
+// PlaySeeds plays seeds in parallel and reports the findings of each as it completes.
+func (s Scenario) PlaySeeds(first uint64, count, workers int, change func(p *Params), report func(f *Findings)) {
 	work, done := make(chan uint64), make(chan *Findings)
 	for i := 0; i < min(count, workers); i++ {
 		go func() {
@@ -88,46 +88,46 @@
 		close(work)
 	}()
 	for i := 0; i < count; i++ {
-		tell(<-done)
+		report(<-done)
 	}
 }
 
-// Merge joins the findings of many seeds.
+// Merge combines the findings of several seeds.
 type Merge struct {
-	Counts  map[string]int64
-	Answers answerTable
-	Spans   map[string][]time.Duration
-	Later   laterTable
-	Lines   []string
+	Counts    map[string]int64
+	Answers   answerTable
+	Durations map[string][]time.Duration
+	Resends   resendTable
+	Lines     []string
 }
 
-// Add adds one seed's findings.
+// Add adds the findings of one seed.
 func (m *Merge) Add(f *Findings) {
 	if m.Counts == nil {
-		m.Counts, m.Answers, m.Spans, m.Later = map[string]int64{}, answerTable{}, map[string][]time.Duration{}, laterTable{}
+		m.Counts, m.Answers, m.Durations, m.Resends = map[string]int64{}, answerTable{}, map[string][]time.Duration{}, resendTable{}
 	}
 	for name, n := range f.Counts {
 		m.Counts[name] += n
 	}
 	m.Answers.merge(f.Answers)
-	for what, list := range f.Spans {
-		m.Spans[what] = append(m.Spans[what], list...)
+	for what, list := range f.Durations {
+		m.Durations[what] = append(m.Durations[what], list...)
 	}
-	m.Later.merge(f.Later)
+	m.Resends.merge(f.Resends)
 	m.Lines = append(m.Lines, f.Lines...)
 }
 
-// Report is the merged findings as text.
+// Report formats the merged findings as lines of text.
 func (m *Merge) Report() (lines []string) {
 	for _, name := range ordered.Keys(m.Counts) {
 		lines = append(lines, fmt.Sprintf("  came about %-44s %d", name, m.Counts[name]))
 	}
-	for _, what := range ordered.Keys(m.Spans) {
-		lines = append(lines, "  "+spanLine(what, m.Spans[what]))
+	for _, what := range ordered.Keys(m.Durations) {
+		lines = append(lines, "  "+durationSummary(what, m.Durations[what]))
 	}
 	lines = append(lines, m.Answers.Lines()...)
-	if len(m.Later) > 0 {
-		lines = append(lines, m.Later.lines()...)
+	if len(m.Resends) > 0 {
+		lines = append(lines, m.Resends.lines()...)
 	}
 	return append(lines, m.Lines...)
 }
--- a/rehearsalkit/relaysim/secondloss.go
+++ b/rehearsalkit/relaysim/secondloss.go
@@ -8,7 +8,7 @@
 	"saffronfall/peer/desk"
 )
 
-// Changes of the fleet under which a loss comes.
+// Membership changes during which a loss is injected.
 const (
 	changeReplacement = "replacement"
 	changeAddition    = "addition"
@@ -21,28 +21,28 @@
 	lossKill  = "kill"
 	lossPower = "power"
 	lossWipe  = "wipe"
-	// lossLeaver ends the retiring machine for good, with its disk.
-	lossLeaver = "the retiring one for good"
+	// lossRetiring removes the retiring machine for good, with its disk.
+	lossRetiring = "the retiring one for good"
 )
 
-// lossCase is one change with one kind of loss.
+// lossCase is one membership change with one kind of loss.
 type lossCase struct {
 	change, loss string
-	// seats is the size of a group; more than three bear two losses.
-	seats int
+	// groupSize is the number of members of a group; groups of five tolerate two losses.
+	groupSize int
 }
 
 func (c lossCase) String() string {
-	return fmt.Sprintf("%s, groups of %d, %s", c.change, c.seats, c.loss)
+	return fmt.Sprintf("%s, groups of %d, %s", c.change, c.groupSize, c.loss)
 }
 
-// lossCases are all cases of groups of a size within what those are to bear.
-func lossCases(seats int) (list []lossCase) {
+// lossCases lists all cases that groups of a size must tolerate.
+func lossCases(groupSize int) (list []lossCase) {
 	for _, change := range []string{changeReplacement, changeAddition, changePlanned, changeRetirement} {
-		for _, loss := range []string{lossKill, lossPower, lossWipe, lossLeaver} {
-			c := lossCase{change: change, loss: loss, seats: seats}
+		for _, loss := range []string{lossKill, lossPower, lossWipe, lossRetiring} {
+			c := lossCase{change: change, loss: loss, groupSize: groupSize}
 			leaves := change == changePlanned || change == changeRetirement
-			if loss == lossLeaver && !leaves || c.losses() == 0 {
+			if loss == lossRetiring && !leaves || c.victims() == 0 {
 				continue
 			}
 			list = append(list, c)
@@ -51,40 +51,39 @@
 	return list
 }
 
-// losses is how many machines are lost at once: as many as may be while the
-// change is under way. A machine that is replaced is lost already; only its
-// disk's loss counts against what acknowledged data bear.
-func (c lossCase) losses() int {
-	borne := c.seats / 2
+// victims is how many machines are lost at once: as many as groups tolerate during the
+// change. A machine that is being replaced is already lost; only the loss of its disk
+// counts against the durability of acknowledged data.
+func (c lossCase) victims() int {
+	tolerated := c.groupSize / 2
 	if c.change == changeReplacement && c.loss == lossWipe {
-		return borne - 1
+		return tolerated - 1
 	}
-	if c.change == changeReplacement || c.loss == lossLeaver {
+	if c.change == changeReplacement || c.loss == lossRetiring {
 		return 1
 	}
-	return borne
+	return tolerated
 }
 
-// cores is how many cores there are before the change.
-func (c lossCase) cores() int {
+// coreCount is the number of cores before the change.
+func (c lossCase) coreCount() int {
 	if c.change == changeRetirement {
-		return c.seats + 1
+		return c.groupSize + 1
 	}
-	return c.seats
+	return c.groupSize
 }
 
 // Bounds of the scenario secondloss.
 const (
-	// lossStarting is how long the fleet has to be founded.
-	lossStarting = 3500 * time.Millisecond
+	// lossStartupTime is the time for the fleet to be founded.
+	lossStartupTime = 3500 * time.Millisecond
 	// lossAway is how long a lost machine is away.
 	lossAway = 700 * time.Millisecond
-	// changeLongest is after what time a change that did not come to its end is
-	// given up.
+	// changeLongest is the time after which an unfinished change is given up.
 	changeLongest = 12 * time.Second
-	// lossPatience is short, as desks lose their power too.
-	lossPatience = time.Second
-	// lossStride is by how many points the losses of one seed are apart.
+	// lossAnswerTimeout is short because desks lose power too.
+	lossAnswerTimeout = time.Second
+	// lossStride is the distance between the points at which one seed injects losses.
 	lossStride = 40
 )
 
@@ -95,24 +94,24 @@
 	return p
 }
 
-// playSecondLoss takes the seed's case of groups of a size, and loses machines at
-// every so manieth point of its change, from an offset on that the seed tells
-// too. As many seeds as there are cases, times lossStride, are all points.
-func playSecondLoss(seats int) func(w *World) *Findings {
+// playSecondLoss plays the case that the seed selects and injects losses at every
+// lossStride-th point of the change, from an offset that the seed selects. As many
+// seeds as there are cases times lossStride cover all points.
+func playSecondLoss(groupSize int) func(w *World) *Findings {
 	return func(w *World) *Findings {
-		cases := lossCases(seats)
+		cases := lossCases(groupSize)
 		seed := w.Params.Seed
 		c := cases[seed%uint64(len(cases))]
 		return sweepLosses(w.Params, c, int(seed)/len(cases)%lossStride, lossStride)
 	}
 }
 
-// sweepLosses counts the points of a case's change, and runs it once for each of
-// those that are chosen, with the loss there.
+// sweepLosses counts the points of a case's change in a run without a loss, and then
+// runs the case once for each selected point.
 func sweepLosses(p Params, c lossCase, offset, stride int) *Findings {
 	sum := newFindings(New(p))
-	p.Seed = uint64(c.seats)
-	p.Cores, p.Seats = c.cores(), c.seats
+	p.Seed = uint64(c.groupSize)
+	p.Cores, p.GroupSize = c.coreCount(), c.groupSize
 	first := newLossRun(p, c, 0)
 	first.play()
 	first.collect(sum)
@@ -125,65 +124,65 @@
 	return sum
 }
 
-// lossRun is one run of a case, with the loss at one point; zero: none.
+// lossRun is one run of a case with the loss at one point; lossPoint zero means no
+// loss.
 type lossRun struct {
 	lossCase
-	world    *World
-	findings *Findings
-	book     *orderBook
-	turns    *turnBook
-	at       int
-
-	// points counts the deliveries and syncs at cores while the change is under
-	// way.
-	points   int
-	counting bool
-	goes     *store
-	comes    *store
-	lost     map[*store]time.Duration
-	back     time.Duration
-	doneAt   time.Duration
+	world     *World
+	findings  *Findings
+	history   *orderHistory
+	turnLog   *turnLog
+	lossPoint int
+
+	// points counts the deliveries and syncs at cores during the change.
+	points     int
+	counting   bool
+	leaving    *store
+	joining    *store
+	lost       map[*store]time.Duration
+	restoredAt time.Duration
+	doneAt     time.Duration
 }
 
 func newLossRun(p Params, c lossCase, at int) *lossRun {
 	w := New(p)
 	f := newFindings(w)
-	r := &lossRun{lossCase: c, world: w, findings: f, book: newOrderBook(w, f), at: at, lost: map[*store]time.Duration{}}
-	r.book.patience = lossPatience
-	w.watch.delivered = func(from string, to *process, body any) { r.point(to) }
-	w.watch.synced = func(p *process, batches [][]core.Change) { r.point(p) }
+	r := &lossRun{lossCase: c, world: w, findings: f, history: newOrderHistory(w, f), lossPoint: at, lost: map[*store]time.Duration{}}
+	r.history.answerTimeout = lossAnswerTimeout
+	w.observers.delivered = func(from string, to *process, body any) { r.countPoint(to) }
+	w.observers.synced = func(p *process, batches [][]core.Change) { r.countPoint(p) }
 	return r
 }
 
 func (r *lossRun) play() {
 	w := r.world
 	w.Record.End = time.Hour
-	w.boot()
-	w.after(time.Second, r.book.found)
-	w.run(lossStarting)
-	r.turns = newTurnBook(w, r.findings)
-	r.turns.keep(15 * time.Millisecond)
-	o := &orderer{book: r.book, amends: 0.5, over: func() bool { return r.turns.over }, pause: func() time.Duration { return 200 * time.Millisecond }}
+	w.bootAll()
+	w.after(time.Second, r.history.applyFirstTable)
+	w.runUntil(lossStartupTime)
+	r.turnLog = newTurnLog(w, r.findings)
+	r.turnLog.storeTurns(15 * time.Millisecond)
+	o := &orderGenerator{history: r.history, amendmentRate: 0.5, stopped: func() bool { return r.turnLog.stopped }, pause: func() time.Duration { return 200 * time.Millisecond }}
 	o.run()
-	w.Pass(time.Second)
-	r.begin()
-	r.untilDone()
-	r.turns.over = true
-	w.Pass(time.Second)
-	r.turns.readAll(patience)
-	w.finish(r.book)
+	w.Advance(time.Second)
+	r.beginChange()
+	r.awaitDone()
+	r.turnLog.stopped = true
+	w.Advance(time.Second)
+	r.turnLog.readAll(answerTimeout)
+	w.finishScenario(r.history)
 }
 
-// begin begins the change.
-func (r *lossRun) begin() {
+// beginChange starts the membership change.
+func (r *lossRun) beginChange() {
 	w := r.world
 	r.counting = true
 	switch r.change {
 	case changeReplacement:
-		r.goes = w.stores[len(w.stores)-1]
-		r.goes.gone = true
-		r.lost[r.goes] = -1
-		for _, p := range r.goes.processes() {
+		r.leaving = w.stores[len(w.stores)-1]
+		r.leaving.gone = true
+		r.lost[r.leaving] = -1
+		for _, p := range r.leaving.processes() {
 			p.powerOff()
 			p.wipe()
 		}
@@ -191,165 +190,164 @@
 	case changeAddition:
 		r.add()
 	case changePlanned:
-		r.goes = w.stores[len(w.stores)-1]
+		r.leaving = w.stores[len(w.stores)-1]
 		r.add()
-		w.after(500*time.Millisecond, r.askRetire)
+		w.after(500*time.Millisecond, r.requestRetirement)
 	case changeRetirement:
-		r.goes = w.stores[len(w.stores)-1]
-		r.askRetire()
+		r.leaving = w.stores[len(w.stores)-1]
+		r.requestRetirement()
 	}
 }
 
 func (r *lossRun) add() {
-	r.comes = r.world.addStore(false)
-	r.comes.core.boot()
+	r.joining = r.world.addStore(false)
+	r.joining.core.boot()
 }
 
-// askRetire asks for the retirement until it is taken, and then for its status
-// until it is done.
-func (r *lossRun) askRetire() {
+// requestRetirement requests the retirement until it is accepted, and then waits until
+// it is done.
+func (r *lossRun) requestRetirement() {
 	step := func(d Desk, now time.Duration, ticket uint64) desk.Output {
-		return d.Retire(now, ticket, r.goes.core.id)
+		return d.Retire(now, ticket, r.leaving.core.id)
 	}
-	r.ask(callRetire, step, r.askRetire, func(e desk.RetirementStatus) bool { return e.Known && e.EnoughCores }, r.askDone)
+	r.callUntil(callRetire, step, r.requestRetirement, func(e desk.RetirementStatus) bool { return e.Known && e.EnoughCores }, r.awaitRetirement)
 }
 
-func (r *lossRun) askDone() {
+func (r *lossRun) awaitRetirement() {
 	step := func(d Desk, now time.Duration, ticket uint64) desk.Output {
-		return d.RetirementStatus(now, ticket, r.goes.core.id)
+		return d.RetirementStatus(now, ticket, r.leaving.core.id)
 	}
-	r.ask(callStatus, step, r.askDone, func(e desk.RetirementStatus) bool { return e.Done }, r.retired)
+	r.callUntil(callStatus, step, r.awaitRetirement, func(e desk.RetirementStatus) bool { return e.Done }, r.retired)
 }
 
-func (r *lossRun) ask(kind string, step func(d Desk, now time.Duration, ticket uint64) desk.Output, again func(), good func(e desk.RetirementStatus) bool, next func()) {
+func (r *lossRun) callUntil(kind string, step func(d Desk, now time.Duration, ticket uint64) desk.Output, retry func(), good func(e desk.RetirementStatus) bool, next func()) {
 	w := r.world
 	at := w.anyDesk()
 	if !at.alive {
-		w.after(50*time.Millisecond, again)
+		w.after(50*time.Millisecond, retry)
 		return
 	}
 	known := func(body any) bool { e, ok := body.(desk.RetirementStatus); return ok && !e.Unsure }
-	r.book.call(kind, at, step, known, func(body any) {
+	r.history.call(kind, at, step, known, func(body any) {
 		e, ok := body.(desk.RetirementStatus)
 		switch {
 		case r.doneAt > 0:
 		case ok && !e.Unsure && good(e):
 			next()
 		default:
-			w.after(100*time.Millisecond, again)
+			w.after(100*time.Millisecond, retry)
 		}
 	})
 }
 
-// retired is called when a desk says that the retirement is done. The machine
-// goes at once; what was acknowledged must be elsewhere.
+// retired is called when a desk reports the retirement as done. It checks that
+// acknowledged data is held elsewhere and removes the machine at once.
 func (r *lossRun) retired() {
 	w := r.world
 	r.doneAt = w.now
-	r.judgeSeats()
+	r.judgeGroups()
 	r.judgeCopies()
-	r.endGoes()
+	r.removeLeaving()
 }
 
-// endGoes ends the machine that goes, with its disk.
-func (r *lossRun) endGoes() {
-	for _, p := range r.goes.processes() {
+// removeLeaving removes the leaving machine with its disk.
+func (r *lossRun) removeLeaving() {
+	for _, p := range r.leaving.processes() {
 		p.powerOff()
 		p.wipe()
 	}
-	r.goes.gone = true
+	r.leaving.gone = true
 }
 
-// judgeSeats wants no group to have the machine that goes.
-func (r *lossRun) judgeSeats() {
+// judgeGroups checks that the leaving machine is a member of no group.
+func (r *lossRun) judgeGroups() {
 	w := r.world
-	for n := 0; n < w.parts(); n++ {
-		owner := w.coreOf(n)
-		if owner == nil {
+	for n := 0; n < w.partitions(); n++ {
+		leader := w.leaderOf(n)
+		if leader == nil {
 			continue
 		}
-		group, _ := owner.core.core.Partition(n).CommittedGroup()
-		for _, seat := range group.All() {
-			if core.CoreID(seat) == r.goes.core.id {
-				r.findings.breach(RuleRetired, "the retirement was said to be done at %v, and part %d has the group %v", w.now, n, group)
+		group, _ := leader.core.core.Partition(n).CommittedGroup()
+		for _, member := range group.All() {
+			if core.CoreID(member) == r.leaving.core.id {
+				r.findings.breach(RuleRetirement, "the retirement was said to be done at %v, and part %d has the group %v", w.now, n, group)
 				return
 			}
 		}
 	}
 }
 
-// judgeCopies wants what was acknowledged some time ago on the disks of a
-// majority besides the machine that goes, but for those that are lost.
+// judgeCopies checks that acknowledged data is on the disks of a majority without the
+// leaving machine, apart from lost disks.
 func (r *lossRun) judgeCopies() {
 	w := r.world
 	missing := 0
 	for s, until := range r.lost {
-		if s != r.goes && (until < 0 || w.now < until) {
+		if s != r.leaving && (until < 0 || w.now < until) {
 			missing++
 		}
 	}
-	want := max(1, r.seats/2+1-missing)
-	for _, t := range r.turns.acked {
+	want := max(1, r.groupSize/2+1-missing)
+	for _, t := range r.turnLog.acked {
 		copies := 0
-		for _, s := range w.present() {
-			if s != r.goes {
-				if _, ok := s.core.disk.stored.Replicas[t.part].Entries[t.key()]; ok {
+		for _, s := range w.presentStores() {
+			if s != r.leaving {
+				if _, ok := s.core.disk.stored.Replicas[t.partition].Entries[t.key()]; ok {
 					copies++
 				}
 			}
 		}
 		if copies < want {
-			r.findings.breach(RuleRetired, "%s: the retirement was said to be done at %v, and %s, acknowledged at %v, is on %d other disks", r, w.now, t.attempt, t.at, copies)
+			r.findings.breach(RuleRetirement, "%s: the retirement was said to be done at %v, and %s, acknowledged at %v, is on %d other disks", r, w.now, t.attempt, t.at, copies)
 			return
 		}
 	}
 }
 
-// point counts a delivery or a sync at a core, and brings the loss about where
-// it is the one.
-func (r *lossRun) point(p *process) {
+// countPoint counts a delivery or sync at a core, and injects the loss at the selected
+// point.
+func (r *lossRun) countPoint(p *process) {
 	if !r.counting || p.disk == nil {
 		return
 	}
-	if r.points++; r.points == r.at {
-		r.lose(p)
+	if r.points++; r.points == r.lossPoint {
+		r.injectLoss(p)
 	}
 }
 
-// lose loses the machine of a process, and others besides it as far as groups
-// bear it.
-func (r *lossRun) lose(p *process) {
+// injectLoss loses the machine of the process, and as many others as groups tolerate.
+func (r *lossRun) injectLoss(p *process) {
 	w := r.world
 	var victims []*store
-	for _, s := range w.present() {
+	for _, s := range w.presentStores() {
 		if s.core == p {
 			victims = append(victims, s)
 		}
 	}
-	if r.loss == lossLeaver {
+	if r.loss == lossRetiring {
 		victims = victims[:0]
-		if !r.goes.gone {
-			victims = append(victims, r.goes)
+		if !r.leaving.gone {
+			victims = append(victims, r.leaving)
 		}
 	}
 	for _, i := range w.random.Perm(len(w.stores)) {
-		if s := w.stores[i]; len(victims) < r.losses() && !s.gone && s.core.alive && (len(victims) == 0 || victims[0] != s) {
+		if s := w.stores[i]; len(victims) < r.victims() && !s.gone && s.core.alive && (len(victims) == 0 || victims[0] != s) {
 			victims = append(victims, s)
 		}
 	}
 	for _, s := range victims {
-		r.harm(s)
+		r.loseStore(s)
 	}
 }
 
-func (r *lossRun) harm(s *store) {
+func (r *lossRun) loseStore(s *store) {
 	w := r.world
-	w.logf("point %d: %s lost: %s", r.at, s.core.id, r.loss)
-	r.lost[s] = w.now + lossAway + catchUp
-	r.back = w.now + lossAway
-	if r.loss == lossLeaver {
-		r.endGoes()
-		r.back = w.now
+	w.logf("point %d: %s lost: %s", r.lossPoint, s.core.id, r.loss)
+	r.lost[s] = w.now + lossAway + catchUpTime
+	r.restoredAt = w.now + lossAway
+	if r.loss == lossRetiring {
+		r.removeLeaving()
+		r.restoredAt = w.now
 		return
 	}
 	processes := s.processes()
@@ -373,57 +371,57 @@
 	}
 }
 
-// untilDone waits until the change is over and groups are whole, and judges
-// whether that was in time.
-func (r *lossRun) untilDone() {
+// awaitDone waits until the change is done and all groups are complete, and checks that
+// this was in time.
+func (r *lossRun) awaitDone() {
 	w := r.world
 	began := w.now
-	lacks := ""
+	problem := ""
 	for w.now < began+changeLongest {
-		w.Pass(50 * time.Millisecond)
-		if lacks = r.lacks(); lacks == "" {
+		w.Advance(50 * time.Millisecond)
+		if problem = r.problem(); problem == "" {
 			break
 		}
 	}
 	r.counting = false
-	since := max(r.back, began+lossAway)
-	if lacks == "" && w.now > since+catchUp {
-		lacks = "whole only now"
+	since := max(r.restoredAt, began+lossAway)
+	if problem == "" && w.now > since+catchUpTime {
+		problem = "whole only now"
 	}
 	switch {
-	case lacks != "":
-		r.findings.breach(RuleRestored, "at %v, %v after the change began and %v after all that comes back was there: %s", w.now, w.now-began, w.now-since, lacks)
-	case r.at == 0:
-		r.findings.span("without a loss: "+r.change+fmt.Sprintf(", groups of %d", r.seats), w.now-began)
+	case problem != "":
+		r.findings.breach(RuleGroupSize, "at %v, %v after the change began and %v after all that comes back was there: %s", w.now, w.now-began, w.now-since, problem)
+	case r.lossPoint == 0:
+		r.findings.recordDuration("without a loss: "+r.change+fmt.Sprintf(", groups of %d", r.groupSize), w.now-began)
 	default:
-		r.findings.span("groups whole after the loss: "+r.String(), max(0, w.now-r.back))
+		r.findings.recordDuration("groups whole after the loss: "+r.String(), max(0, w.now-r.restoredAt))
 	}
 }
 
-// lacks tells what is not as it should be after the change; empty: nothing.
-func (r *lossRun) lacks() string {
+// problem describes what is not yet as required after the change, or is empty.
+func (r *lossRun) problem() string {
 	leaves := r.change == changePlanned || r.change == changeRetirement
 	if leaves && r.doneAt == 0 {
 		return "the retirement is not done"
 	}
-	if r.comes != nil && !r.comes.core.alive || r.change == changeReplacement && r.comes == nil {
+	if r.joining != nil && !r.joining.core.alive || r.change == changeReplacement && r.joining == nil {
 		return "the new core does not run"
 	}
-	if missing := r.world.partsLack(); missing != "" {
+	if missing := r.world.partitionProblem(); missing != "" {
 		return missing
 	}
-	return r.world.placementLacks()
+	return r.world.placementProblem()
 }
 
-// collect adds the run's findings to a sum.
+// collect adds the findings of the run to a sum.
 func (r *lossRun) collect(sum *Findings) {
 	for _, b := range r.findings.Breaches {
-		b.Text = fmt.Sprintf("%s, point %d of %d: %s", r.String(), r.at, r.points, b.Text)
+		b.Text = fmt.Sprintf("%s, point %d of %d: %s", r.String(), r.lossPoint, r.points, b.Text)
 		sum.Breaches = append(sum.Breaches, b)
 	}
-	for what, list := range r.findings.Spans {
-		sum.Spans[what] = append(sum.Spans[what], list...)
+	for what, list := range r.findings.Durations {
+		sum.Durations[what] = append(sum.Durations[what], list...)
 	}
-	sum.Counts["turns acknowledged"] += int64(len(r.turns.acked))
-	sum.Counts["orders acknowledged"] += int64(len(r.book.acked))
+	sum.Counts["turns acknowledged"] += int64(len(r.turnLog.acked))
+	sum.Counts["orders acknowledged"] += int64(len(r.history.acked))
 }
--- a/rehearsalkit/relaysim/secondloss_test.go
+++ b/rehearsalkit/relaysim/secondloss_test.go
@@ -9,75 +9,76 @@
 	"saffronfall/rule/message"
 )
 
-// TestSecondLoss loses machines at some points of each change; all points are
-// for the command.
+// TestSecondLoss injects losses at some points of each change. The kit's command covers
+// all points.
 func TestSecondLoss(t *testing.T) {
 	strides := map[int]int{3: 900, 5: 3000}
 	for i, c := range append(lossCases(3), lossCases(5)...) {
 		t.Run(c.String(), func(t *testing.T) {
 			t.Parallel()
-			for _, b := range sweepLosses(secondLossParams(1), c, 37*i%100, strides[c.seats]).Breaches {
+			for _, b := range sweepLosses(secondLossParams(1), c, 37*i%100, strides[c.groupSize]).Breaches {
 				t.Error(b)
 			}
 		})
 	}
 }
 
-// sayer is a desk whose words on retirements are changed.
-type sayer struct {
+// forgingStatusDesk is a desk that forges the status of retirements.
+type forgingStatusDesk struct {
 	Desk
-	say func(e desk.RetirementStatus) desk.RetirementStatus
+	forge func(e desk.RetirementStatus) desk.RetirementStatus
 }
 
-func (s *sayer) RetirementStatus(now time.Duration, ticket uint64, id string) desk.Output {
+func (s *forgingStatusDesk) RetirementStatus(now time.Duration, ticket uint64, id string) desk.Output {
 	o := s.Desk.RetirementStatus(now, ticket, id)
 	return s.out(o)
 }
 
-func (s *sayer) out(o desk.Output) desk.Output {
+func (s *forgingStatusDesk) out(o desk.Output) desk.Output {
 	for i, a := range o.Answers {
 		if e, ok := a.Body.(desk.RetirementStatus); ok {
-			o.Answers[i].Body = s.say(e)
+			o.Answers[i].Body = s.forge(e)
 		}
 	}
 	return o
 }
 
-func (s *sayer) Receive(now time.Duration, from string, body any) desk.Output {
+func (s *forgingStatusDesk) Receive(now time.Duration, from string, body any) desk.Output {
 	return s.out(s.Desk.Receive(now, from, body))
 }
 
-// TestSecondLossBreaks breaks the fleet on purpose.
+// TestSecondLossBreaks breaks the fleet on purpose and checks that the judge reports
+// the broken rule.
 func TestSecondLossBreaks(t *testing.T) {
 	for _, c := range []struct {
 		name, rule, change, loss string
-		harm                     func(p *Params)
+		inject                   func(p *Params)
 	}{
-		{"retirements are done at once", RuleRetired, changePlanned, lossPower, func(p *Params) {
+		{"retirements are done at once", RuleRetirement, changePlanned, lossPower, func(p *Params) {
 			p.WrapDesk = func(d Desk) Desk {
-				return &sayer{Desk: d, say: func(e desk.RetirementStatus) desk.RetirementStatus { e.Done = true; return e }}
+				return &forgingStatusDesk{Desk: d, forge: func(e desk.RetirementStatus) desk.RetirementStatus { e.Done = true; return e }}
 			}
 		}},
-		{"a new core gets nothing", RuleRestored, changeReplacement, lossPower, altering(func(from, to string, b core.ReplicaMessage) (core.ReplicaMessage, bool) {
+		{"a new core gets nothing", RuleGroupSize, changeReplacement, lossPower, alterMessages(func(from, to string, b core.ReplicaMessage) (core.ReplicaMessage, bool) {
 			return b, to != "core4"
 		})},
-		{"turns are acknowledged and not kept", RuleLost, changeRetirement, lossWipe, altering(func(from, to string, c core.Command) (core.Command, bool) {
-			return forgetting(c), true
+		{"turns are acknowledged and not kept", RuleDurable, changeRetirement, lossWipe, alterMessages(func(from, to string, c core.Command) (core.Command, bool) {
+			return misplaceTurns(c), true
 		})},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			wantBreach(t, c.rule, func(seed uint64) *Findings {
 				p := secondLossParams(seed)
-				c.harm(&p)
-				return sweepLosses(p, lossCase{change: c.change, loss: c.loss, seats: 3}, 30, 5000)
+				c.inject(&p)
+				return sweepLosses(p, lossCase{change: c.change, loss: c.loss, groupSize: 3}, 30, 5000)
 			})
 		})
 	}
 }
 
-// forgetting makes every tenth turn be kept under another name.
-func forgetting(c core.Command) core.Command {
+// misplaceTurns stores every tenth turn under another attempt.
+func misplaceTurns(c core.Command) core.Command {
 	inner, _ := message.Open(c.Raw)
 	if k, ok := inner.(core.StoreTurn); ok && k.Attempt[len(k.Attempt)-1] == '7' {
 		k.Attempt += "-elsewhere"
@@ -86,19 +87,19 @@
 	return c
 }
 
-// TestSecondLossFound runs the points at which faults were found once.
-func TestSecondLossFound(t *testing.T) {
+// TestSecondLossRegressions runs the points at which losses once led to breaches.
+func TestSecondLossRegressions(t *testing.T) {
 	for _, c := range []struct {
 		lossCase
 		at int
 	}{
-		{lossCase{change: changeReplacement, loss: lossPower, seats: 3}, 327},
-		{lossCase{change: changeReplacement, loss: lossPower, seats: 3}, 364},
-		{lossCase{change: changeReplacement, loss: lossWipe, seats: 5}, 762},
-		{lossCase{change: changePlanned, loss: lossWipe, seats: 5}, 202},
+		{lossCase{change: changeReplacement, loss: lossPower, groupSize: 3}, 327},
+		{lossCase{change: changeReplacement, loss: lossPower, groupSize: 3}, 364},
+		{lossCase{change: changeReplacement, loss: lossWipe, groupSize: 5}, 762},
+		{lossCase{change: changePlanned, loss: lossWipe, groupSize: 5}, 202},
 	} {
-		p := secondLossParams(uint64(c.seats))
-		p.Cores, p.Seats = c.cores(), c.seats
+		p := secondLossParams(uint64(c.groupSize))
+		p.Cores, p.GroupSize = c.coreCount(), c.groupSize
 		r := newLossRun(p, c.lossCase, c.at)
 		r.play()
 		for _, b := range r.findings.Breaches {
--- a/rehearsalkit/relaysim/start.go
+++ b/rehearsalkit/relaysim/start.go
@@ -6,34 +6,34 @@
 	"saffronfall/peer/core"
 )
 
-// start founds the fleet and its first table.
-func (w *World) start(b *orderBook) {
-	w.lay(func() { b.found() })
-	w.run(starting)
+// startScenario starts the fleet and applies the first table.
+func (w *World) startScenario(b *orderHistory) {
+	w.startFleet(func() { b.applyFirstTable() })
+	w.runUntil(startupTime)
 }
 
-// finish reads the table in force back and judges the run.
-func (w *World) finish(b *orderBook) {
-	w.Record.End = w.now + patience
+// finishScenario reads the table in force and judges the run.
+func (w *World) finishScenario(b *orderHistory) {
+	w.Record.End = w.now + answerTimeout
 	var last *tableRead
-	var again func()
-	again = func() {
+	var retry func()
+	retry = func() {
 		b.read(w.anyDesk(), func(t core.CurrentTable, ok bool) {
 			if ok && last == nil {
 				last = &tableRead{began: w.now, ended: w.now, number: t.Number, text: t.Text}
-				w.Record.Reads = append(w.Record.Reads, ReadBack{At: w.now, Number: t.Number, Text: t.Text})
+				w.Record.FinalReads = append(w.Record.FinalReads, ReadBack{At: w.now, Number: t.Number, Text: t.Text})
 			} else if last == nil {
-				again()
+				retry()
 			}
 		})
 	}
-	again()
+	retry()
 	for last == nil && w.now < w.Record.End {
-		w.Pass(50 * time.Millisecond)
+		w.Advance(50 * time.Millisecond)
 	}
 	w.Record.End = w.now
 	if last == nil {
-		b.findings.breach(RuleLost, "no table could be read back at the end")
+		b.findings.breach(RuleDurable, "no table could be read back at the end")
 		return
 	}
 	b.judge(*last)
--- a/rehearsalkit/relaysim/world.go
+++ b/rehearsalkit/relaysim/world.go
@@ -1,6 +1,11 @@
-// Package relaysim runs the relaying tier's own machines in simulated time, with
-// seeded faults, and judges each run by what requesters, replicas and operators
-// saw.
+// Package relaysim simulates the relay tier in virtual time. It runs the production
+// state machines of nodes, desks and cores with simulated requesters, replicas,
+// operators, network and disks, injects seeded faults, and judges each run by what
+// requesters, replicas and operators saw.
+//
+// All randomness comes from one seeded generator, so a run is determined by its Params:
+// the order and number of random draws is part of what a seed means. Start reading at
+// Run and Scenario; Record.Judge holds the rules.
 package relaysim
 
 import (
@@ -15,7 +20,7 @@
 	"saffronfall/rule/ordered"
 )
 
-// Node is the relaying node's machine as the simulator drives it.
+// Node is the state machine of a relay node, as the simulator drives it.
 type Node interface {
 	HandleRequest(now time.Duration, ticket uint64, a relay.Request) relay.Output
 	HandleOutcome(now time.Duration, ticket uint64, o relay.Outcome) relay.Output
@@ -25,7 +30,7 @@
 	Ready(now time.Duration) bool
 }
 
-// Desk is the desk's machine as the simulator drives it.
+// Desk is the state machine of a desk, as the simulator drives it.
 type Desk interface {
 	Heartbeat(now time.Duration, ticket uint64, r desk.Replica) desk.Output
 	Leave(now time.Duration, ticket uint64, id string) desk.Output
@@ -38,7 +43,7 @@
 	RetirementStatus(now time.Duration, ticket uint64, id string) desk.Output
 }
 
-// World is one run.
+// World is the state of one run.
 type World struct {
 	Params Params
 	Record Record
@@ -47,20 +52,20 @@
 	schedule
 	network
 	fleet
-	upheaval
-	marks int
-	acked uint64
-	kept  []keptAttempt
+	faultState
+	lastID      int
+	newestAcked uint64
+	keptTurns   []keptTurn
 }
 
-// schedule is the simulated clock and the seeded randomness.
+// schedule is the simulated clock and the seeded random generator.
 type schedule struct {
 	now    time.Duration
 	agenda agenda.Agenda
 	random *rand.Rand
 }
 
-// fleet is all processes that there are or were.
+// fleet holds all processes and stores, past ones included, and the running replicas.
 type fleet struct {
 	processes map[string]*process
 	stores    []*store
@@ -68,30 +73,30 @@
 	replicas  map[string]*replica
 }
 
-// upheaval is what faults are brought about.
-type upheaval struct {
-	// busyUntil is until when no other loss of a store may come about.
-	busyUntil time.Duration
-	// faultsUntil is until when faults are brought about and tables handed over.
+// faultState is the state of fault injection.
+type faultState struct {
+	// noLossUntil is the time before which no further store fault may begin.
+	noLossUntil time.Duration
+	// faultsUntil is the time until which faults are injected and tables applied.
 	faultsUntil time.Duration
 	closing     bool
-	// changed is set once a store was replaced, or added and retired.
-	changed bool
+	// storeChanged is set once a store was replaced, or added and retired.
+	storeChanged bool
 }
 
-// store is a machine with a disk: a core, and mostly a desk.
+// store is a machine with a disk: a core and usually a desk.
 type store struct {
 	core, desk *process
 	gone       bool
 }
 
-// New lays out a world.
+// New creates a world with its processes not yet started.
 func New(p Params) *World {
 	w := &World{
 		Params:   p,
 		Counts:   map[string]int64{},
 		schedule: schedule{random: rand.New(rand.NewPCG(p.Seed, 0x5affe1))},
-		network:  network{cut: map[[2]string]int{}, last: map[[2]string]time.Duration{}},
+		network:  network{cut: map[[2]string]int{}, lastArrival: map[[2]string]time.Duration{}},
 		fleet:    fleet{processes: map[string]*process{}, replicas: map[string]*replica{}},
 	}
 	for i := 0; i < p.Cores; i++ {
@@ -99,12 +104,12 @@
 	}
 	for i := 0; i < p.Nodes; i++ {
 		n := w.add(fmt.Sprintf("node%d", i+1), i, fmt.Sprintf("10.0.1.%d:1", i+1))
-		n.ways = map[uint64]*way{}
+		n.requests = map[uint64]*activeRequest{}
 		w.nodes = append(w.nodes, n)
 		w.Record.Nodes = append(w.Record.Nodes, n.id)
 	}
-	w.Record.Limits = Limits{Apply: 2 * time.Second, Contact: contact, Outer: 5 * time.Second, Revert: 250 * time.Millisecond, Drain: 2 * time.Second, Settling: time.Second,
-		Window: window, Overshoot: p.Overshoot, Slack: float64(p.Slack), Keep: keepFor, Recovery: recovery, Longest: 10 * time.Second}
+	w.Record.Limits = Limits{Apply: 2 * time.Second, Contact: contactTimeout, ApplyWithoutStores: 5 * time.Second, Revert: 250 * time.Millisecond, Drain: 2 * time.Second, Settlement: time.Second,
+		Window: rateWindow, Overshoot: p.Overshoot, Slack: float64(p.Slack), Retention: keepDuration, Recovery: recoveryTime, FinalStep: 10 * time.Second}
 	return w
 }
 
@@ -114,7 +119,7 @@
 	s.core.disk = w.emptyDisk(s.core.id)
 	if withDesk {
 		s.desk = w.add(fmt.Sprintf("desk%d", n), n, fmt.Sprintf("10.0.0.%d:0", n))
-		s.desk.isDesk, s.desk.known, s.desk.founds = true, map[string]desk.ReplicaEntry{}, n == 1
+		s.desk.isDesk, s.desk.knownReplicas, s.desk.foundsFleet = true, map[string]desk.ReplicaEntry{}, n == 1
 	}
 	w.stores = append(w.stores, s)
 	return s
@@ -133,14 +138,14 @@
 	return []*process{s.core, s.desk}
 }
 
-// Now is the simulated time.
+// Now is the simulated time since the start of the run.
 func (w *World) Now() time.Duration { return w.now }
 
-func (w *World) after(d time.Duration, what func()) {
-	w.agenda.Add(w.now+d, what)
+func (w *World) after(d time.Duration, f func()) {
+	w.agenda.Add(w.now+d, f)
 }
 
-func (w *World) run(until time.Duration) { w.agenda.Run(until, &w.now) }
+func (w *World) runUntil(until time.Duration) { w.agenda.Run(until, &w.now) }
 
 func (w *World) between(a, b time.Duration) time.Duration {
 	return a + time.Duration(w.random.Int64N(int64(b-a)+1))
@@ -150,9 +155,9 @@
 
 func (w *World) delay() time.Duration { return w.between(200*time.Microsecond, 2*time.Millisecond) }
 
-func (w *World) mark(kind string) string {
-	w.marks++
-	return fmt.Sprintf("%s-%d", kind, w.marks)
+func (w *World) uniqueID(kind string) string {
+	w.lastID++
+	return fmt.Sprintf("%s-%d", kind, w.lastID)
 }
 
 func (w *World) logf(format string, args ...any) {
@@ -171,13 +176,13 @@
 	return list
 }
 
-// operate runs a call at a desk. Its answer may never come.
-func (w *World) operate(at *process, step func(d Desk, now time.Duration, ticket uint64) desk.Output, done func(body any)) {
+// callDesk makes a call to a desk. The answer may never arrive.
+func (w *World) callDesk(at *process, step func(d Desk, now time.Duration, ticket uint64) desk.Output, done func(body any)) {
 	w.after(w.delay(), func() {
 		at.do(func() {
-			at.next++
-			at.calls[at.next] = func(body any) { w.after(w.delay(), func() { done(body) }) }
-			at.takeDesk(step(at.desk, at.now(), at.next))
+			at.lastTicket++
+			at.pendingCalls[at.lastTicket] = func(body any) { w.after(w.delay(), func() { done(body) }) }
+			at.applyDeskOutput(step(at.desk, at.now(), at.lastTicket))
 		})
 	})
 }
@@ -192,23 +197,23 @@
 	return list[w.random.IntN(len(list))]
 }
 
-// trouble notes that a machine is harmed; the returned end is called when it no
-// longer is. Whoever is in trouble is not judged by bounds in time.
-func (w *World) trouble(who string) (end func()) {
-	w.Record.Troubles = append(w.Record.Troubles, Trouble{Who: who, From: w.now, Until: -1})
-	at, over := len(w.Record.Troubles)-1, false
+// beginDisruption records that a machine is disturbed until the returned function is
+// called. Time bounds don't apply to disrupted machines.
+func (w *World) beginDisruption(who string) (end func()) {
+	w.Record.Disruptions = append(w.Record.Disruptions, Disruption{Who: who, From: w.now, Until: -1})
+	at, finished := len(w.Record.Disruptions)-1, false
 	return func() {
-		if !over {
-			over = true
-			w.Record.Troubles[at].Until = w.now
+		if !finished {
+			finished = true
+			w.Record.Disruptions[at].Until = w.now
 		}
 	}
 }
 
-// Pass lets time pass.
-func (w *World) Pass(d time.Duration) { w.run(w.now + d) }
+// Advance runs the simulation for the given time.
+func (w *World) Advance(d time.Duration) { w.runUntil(w.now + d) }
 
-// Summary lists what was counted, in order.
+// Summary lists all counts, ordered by name.
 func (w *World) Summary() []string {
 	var lines []string
 	for _, name := range ordered.Keys(w.Counts) {
@@ -230,9 +235,9 @@
 	return ready[w.random.IntN(len(ready))]
 }
 
-func (w *World) coreOf(owned int) *store {
+func (w *World) leaderOf(partition int) *store {
 	for _, s := range w.stores {
-		if s.core.alive && !s.core.frozen && s.core.core.Founded() && slices.Contains(s.core.core.LeadingPartitions(s.core.now()), owned) {
+		if s.core.alive && !s.core.frozen && s.core.core.Founded() && slices.Contains(s.core.core.LeadingPartitions(s.core.now()), partition) {
 			return s
 		}
 	}
