--- a/rehearsalkit/relaysim/activerequest.go
+++ b/rehearsalkit/relaysim/activerequest.go
@@ -57,14 +57,14 @@
 			n.lastTicket++
 			at := &activeRequest{node: n, incarnation: incarnation, ticket: n.lastTicket, request: request, done: done}
 			n.requests[at.ticket] = at
-			left := request.Deadline - (w.now - request.At)
+			remaining := request.Deadline - (w.now - request.At)
 			a := relay.Request{Host: host, Path: request.Path, Key: request.Key, HasKey: request.Key != "", Attempt: request.Attempt, Program: request.Program, Previous: request.Previous,
-				TokenBudget: request.Budget, MaxTokens: request.MaxTokens, Remaining: left, Arrival: relay.Arrival{HeadBytes: 300, BodyBytes: int64(len(request.Input))}, Input: []byte(request.Input)}
-			if left <= 0 {
+				TokenBudget: request.Budget, MaxTokens: request.MaxTokens, Remaining: remaining, Arrival: relay.Arrival{HeadBytes: 300, BodyBytes: int64(len(request.Input))}, Input: []byte(request.Input)}
+			if remaining <= 0 {
 				a.Remaining = -1
 			}
 			n.applyNodeOutput(n.node.HandleRequest(n.now(), at.ticket, a))
-			w.after(max(left, 0)+20*time.Millisecond, at.requesterGone)
+			w.after(max(remaining, 0)+20*time.Millisecond, at.requesterGone)
 		})
 	})
 	w.after(request.Deadline+50*time.Millisecond, func() { w.endRequest(request, GaveUp, 0, done) })
@@ -78,7 +78,7 @@
 	r.Ended, r.Outcome, r.Status = w.now, outcome, status
 	name := r.Kind + " " + outcome
 	if status > 0 {
-		name += " " + statusText(status)
+		name += " " + itoa(status)
 	}
 	w.Counts["asked "+name]++
 	if done != nil {
--- a/rehearsalkit/relaysim/fault.go
+++ b/rehearsalkit/relaysim/fault.go
@@ -33,14 +33,14 @@
 }
 
 // outage disturbs a process and repairs it after the given time.
-func (w *World) outage(p *process, who, what string, length time.Duration, inject, repair func()) {
+func (w *World) outage(p *process, machine, what string, length time.Duration, inject, repair func()) {
 	if !p.alive || p.frozen {
 		return
 	}
 	w.logf("%s %s for %v", p.id, what, length)
 	w.Counts["fault: "+what]++
 	inject()
-	end := w.beginDisruption(who)
+	end := w.beginDisruption(machine)
 	w.after(length, func() {
 		if !w.closing {
 			repair()
@@ -51,7 +51,7 @@
 
 func (w *World) presentStores() (list []*store) {
 	for _, s := range w.stores {
-		if !s.gone {
+		if !s.removed {
 			list = append(list, s)
 		}
 	}
@@ -146,7 +146,7 @@
 	if !w.Params.Faults || w.now < w.noLossUntil || w.now > w.faultsUntil || !w.chance(0.3) {
 		return
 	}
-	if s := w.leaderOf(0); s != nil && !s.gone {
+	if s := w.leaderOf(0); s != nil && !s.removed {
 		w.Counts["fault: power lost after an acknowledgement"]++
 		length := w.between(200*time.Millisecond, 3*time.Second)
 		w.noLossUntil = w.now + length + catchUpTime
@@ -162,11 +162,11 @@
 	for _, p := range s.processes() {
 		p.powerOff()
 	}
-	s.gone = true
+	s.removed = true
 	w.noLossUntil = w.now + 2*catchUpTime
 	w.after(w.between(200*time.Millisecond, 1500*time.Millisecond), func() {
-		fresh := w.addStore(s.desk != nil)
-		for _, p := range fresh.processes() {
+		added := w.addStore(s.desk != nil)
+		for _, p := range added.processes() {
 			p.foundsFleet = false
 			if !w.closing {
 				p.boot()
@@ -179,11 +179,11 @@
 // addAndRetire adds a store and later retires another, which is removed once it is
 // empty.
 func (w *World) addAndRetire(s *store) {
-	w.logf("a store comes, %s is to retire", s.core.id)
+	w.logf("a store is added; %s will be retired", s.core.id)
 	w.Counts["stores added"]++
-	fresh := w.addStore(false)
+	added := w.addStore(false)
 	end := w.beginDisruption(AnyStore)
-	fresh.core.boot()
+	added.core.boot()
 	end()
 	until := w.now + 12*time.Second
 	w.noLossUntil = until
@@ -191,7 +191,7 @@
 }
 
 func (w *World) retireStore(s *store, until time.Duration) {
-	if w.now > until || w.closing || s.gone {
+	if w.now > until || w.closing || s.removed {
 		return
 	}
 	retry := func() { w.after(300*time.Millisecond, func() { w.retireStore(s, until) }) }
@@ -220,7 +220,7 @@
 
 // awaitRetired polls until a retired store holds nothing more, and removes it.
 func (w *World) awaitRetired(s *store, until time.Duration) {
-	if w.now > until || w.closing || s.gone {
+	if w.now > until || w.closing || s.removed {
 		w.Counts["retirements not done in time"]++
 		return
 	}
@@ -243,14 +243,14 @@
 			return
 		}
 		finished = true
-		w.logf("%s is empty and goes", s.core.id)
+		w.logf("%s is empty and is removed", s.core.id)
 		w.Counts["stores retired"]++
 		end := w.beginDisruption(AnyStore)
 		for _, p := range s.processes() {
 			p.powerOff()
 			p.wipe()
 		}
-		s.gone = true
+		s.removed = true
 		w.noLossUntil = w.now + time.Second
 		end()
 	})
@@ -258,7 +258,7 @@
 }
 
 // cutBetween cuts the links between two groups of processes, in one or both directions.
-func (w *World) cutBetween(from, to []*process, length time.Duration, who string) {
+func (w *World) cutBetween(from, to []*process, length time.Duration, machine string) {
 	direction := w.random.IntN(4)
 	var pairs [][2]string
 	for _, a := range from {
@@ -271,11 +271,11 @@
 			}
 		}
 	}
-	w.cutLinks(pairs, length, who)
+	w.cutLinks(pairs, length, machine)
 }
 
 // isolate cuts the processes of one machine off from all others and from replicas.
-func (w *World) isolate(from []*process, length time.Duration, who string) {
+func (w *World) isolate(from []*process, length time.Duration, machine string) {
 	mine := map[string]bool{}
 	for _, p := range from {
 		mine[p.address] = true
@@ -294,12 +294,12 @@
 			both(p.address, address)
 		}
 	}
-	w.cutLinks(pairs, length, who)
+	w.cutLinks(pairs, length, machine)
 }
 
-func (w *World) cutLinks(pairs [][2]string, length time.Duration, who string) {
+func (w *World) cutLinks(pairs [][2]string, length time.Duration, machine string) {
 	w.Counts["fault: links cut"]++
-	end := w.beginDisruption(who)
+	end := w.beginDisruption(machine)
 	for _, pair := range pairs {
 		w.cut[pair]++
 	}
--- a/rehearsalkit/relaysim/health.go
+++ b/rehearsalkit/relaysim/health.go
@@ -37,12 +37,12 @@
 }
 
 func (h *health) delivered(from string, to *process, body any) {
-	ask, ok := body.(desk.Subscribe)
-	if !ok || !to.isDesk || ask.IsDesk {
+	subscribe, ok := body.(desk.Subscribe)
+	if !ok || !to.isDesk || subscribe.IsDesk {
 		return
 	}
 	kind := callPull
-	if ask.Incarnation == "" {
+	if subscribe.Incarnation == "" {
 		kind = callFirstPull
 	}
 	h.pendingPulls[[2]string{to.address, from}] = h.history.beginCall(kind, to)
--- a/rehearsalkit/relaysim/judge.go
+++ b/rehearsalkit/relaysim/judge.go
@@ -195,9 +195,9 @@
 }
 
 // disrupted reports whether the named machine was disrupted at any time of an interval.
-func (b *recordIndex) disrupted(who string, from, until time.Duration) bool {
+func (b *recordIndex) disrupted(machine string, from, until time.Duration) bool {
 	for _, t := range b.Disruptions {
-		if (t.Who == who || t.Who == AllMachines) && t.From <= until && (t.Until < 0 || t.Until >= from) {
+		if (t.Machine == machine || t.Machine == AllMachines) && t.From <= until && (t.Until < 0 || t.Until >= from) {
 			return true
 		}
 	}
@@ -291,14 +291,14 @@
 }
 
 func (b *recordIndex) checkDraining() (list []Breach) {
-	heard := map[string]time.Duration{}
+	acknowledged := map[string]time.Duration{}
 	for _, w := range b.LeaveAcks {
-		if at, ok := heard[w.Replica]; !ok || w.At < at {
-			heard[w.Replica] = w.At
+		if at, ok := acknowledged[w.Replica]; !ok || w.At < at {
+			acknowledged[w.Replica] = w.At
 		}
 	}
 	for _, a := range b.Arrivals {
-		at, ok := heard[a.Replica]
+		at, ok := acknowledged[a.Replica]
 		if ok && !a.Misdirected && a.At > at+b.Limits.Drain && b.inTouch(a.Node, at, a.At) {
 			list = append(list, breach(RuleDraining, "%s reached %s at %v by %s, and it was heard at %v that this one leaves", a.Attempt, a.Replica, a.At, a.Node, at))
 		}
--- a/rehearsalkit/relaysim/judge_tables.go
+++ b/rehearsalkit/relaysim/judge_tables.go
@@ -102,7 +102,7 @@
 		default:
 			continue
 		}
-		list = append(list, evidence{request: q, at: q.Ended, sent: q.At, node: q.Node, incarnation: q.Incarnation, what: "answered " + statusText(q.Status), fits: fits})
+		list = append(list, evidence{request: q, at: q.Ended, sent: q.At, node: q.Node, incarnation: q.Incarnation, what: "answered " + itoa(q.Status), fits: fits})
 	}
 	sort.SliceStable(list, func(i, j int) bool { return list[i].at < list[j].at })
 	return list
@@ -124,7 +124,7 @@
 		}
 	}
 	for _, s := range b.collectEvidence() {
-		incarnation := s.node + "/" + statusText(s.incarnation)
+		incarnation := s.node + "/" + itoa(s.incarnation)
 		var lowest, highest uint64
 		fits, any := 0, false
 		for _, t := range b.tablesByNumber {
--- a/rehearsalkit/relaysim/leaveloss_test.go
+++ b/rehearsalkit/relaysim/leaveloss_test.go
@@ -32,11 +32,11 @@
 	w.startWorkload()
 	w.runUntil(w.now + 2*time.Second)
 	address := w.now % 4
-	leaver := w.replicas[[]string{"10.0.3.6:8080", "10.0.3.7:8080", "10.0.3.8:8080", "10.0.3.9:8080"}[(seed+uint64(address))%4]]
+	leaving := w.replicas[[]string{"10.0.3.6:8080", "10.0.3.7:8080", "10.0.3.8:8080", "10.0.3.9:8080"}[(seed+uint64(address))%4]]
 	reported := w.anyDesk()
-	leaver.target = reported
+	leaving.currentDesk = reported
 	w.blocked = func(from, to string) bool { return from == reported.address && w.processes[to] != nil }
-	leaver.leave(func() {})
+	leaving.leave(func() {})
 	w.after(w.between(3*time.Millisecond, 40*time.Millisecond), func() {
 		for _, s := range w.stores {
 			if s.desk == reported {
@@ -46,12 +46,12 @@
 	})
 	w.runUntil(w.Record.End)
 	for _, ack := range w.Record.LeaveAcks {
-		if ack.Replica != leaver.id {
+		if ack.Replica != leaving.id {
 			continue
 		}
 		acknowledged++
 		for _, a := range w.Record.Arrivals {
-			if a.Replica == leaver.id && !a.Misdirected && a.At > ack.At+w.Record.Limits.Drain {
+			if a.Replica == leaving.id && !a.Misdirected && a.At > ack.At+w.Record.Limits.Drain {
 				late++
 			}
 		}
@@ -69,11 +69,11 @@
 		n, late := loseAckingDesk(seed, nil)
 		acknowledged += n
 		if late > 0 {
-			t.Errorf("seed %d: %d requests reach a replica after it was acknowledged that it leaves", seed, late)
+			t.Errorf("seed %d: %d requests reached a replica too long after its leave was acknowledged", seed, late)
 		}
 	}
 	if acknowledged < seeds/2 {
-		t.Errorf("%d of %d leavings were acknowledged", acknowledged, seeds)
+		t.Errorf("only %d of %d leaves were acknowledged", acknowledged, seeds)
 	}
 	found := 0
 	for seed := uint64(1); seed <= seeds && found == 0; seed++ {
@@ -81,6 +81,6 @@
 		found += late
 	}
 	if found == 0 {
-		t.Error("a desk that acknowledges at once is not found")
+		t.Error("a desk that acknowledges too early was not detected")
 	}
 }
--- a/rehearsalkit/relaysim/linear_test.go
+++ b/rehearsalkit/relaysim/linear_test.go
@@ -7,13 +7,13 @@
 func linearizableRecord() *Record {
 	return &Record{
 		Tables: []*Table{
-			{Number: 1, Valid: true, Text: []byte("one"), SentAt: 1 * s, AckedAt: 3 * s, Acked: true},
-			{Number: 2, Valid: true, Text: []byte("two"), SentAt: 2 * s, Refused: true, RefusedAt: 4 * s},
-			{Base: 1, Number: 3, Valid: true, Text: []byte("three"), SentAt: 5 * s},
+			{Number: 1, Valid: true, Text: []byte("one"), SentAt: 1 * sec, AckedAt: 3 * sec, Acked: true},
+			{Number: 2, Valid: true, Text: []byte("two"), SentAt: 2 * sec, Refused: true, RefusedAt: 4 * sec},
+			{Base: 1, Number: 3, Valid: true, Text: []byte("three"), SentAt: 5 * sec},
 		},
 		OperatorReads: []ReadBack{
-			{From: 4 * s, At: 6 * s, Number: 1, Text: []byte("one")},
-			{From: 7 * s, At: 8 * s, Number: 3, Text: []byte("three")},
+			{From: 4 * sec, At: 6 * sec, Number: 1, Text: []byte("one")},
+			{From: 7 * sec, At: 8 * sec, Number: 3, Text: []byte("three")},
 		},
 	}
 }
@@ -25,19 +25,21 @@
 		t.Fatal(list)
 	}
 	for name, inject := range map[string]func(*Record){
-		"a read older than an acknowledged order": func(r *Record) { r.OperatorReads[0] = ReadBack{From: 4 * s, At: 6 * s} },
-		"a read that goes back": func(r *Record) {
-			r.OperatorReads = append(r.OperatorReads, ReadBack{From: 9 * s, At: 9 * s, Number: 1, Text: []byte("one")})
+		"a read older than an acknowledged order": func(r *Record) { r.OperatorReads[0] = ReadBack{From: 4 * sec, At: 6 * sec} },
+		"a read older than a previous read": func(r *Record) {
+			r.OperatorReads = append(r.OperatorReads, ReadBack{From: 9 * sec, At: 9 * sec, Number: 1, Text: []byte("one")})
 		},
-		"another text under a number":                   func(r *Record) { r.OperatorReads[0].Text = []byte("two") },
-		"two orders taken on one base":                  func(r *Record) { r.Tables[1].Refused, r.Tables[1].Acked, r.Tables[1].AckedAt = false, true, 4*s },
-		"a refused order in force":                      func(r *Record) { r.OperatorReads[1] = ReadBack{From: 7 * s, At: 8 * s, Number: 2, Text: []byte("two")} },
-		"an order refused though nothing stood against": func(r *Record) { r.Tables[1].RefusedAt, r.Tables[0].SentAt = 2*s, 2*s+1 },
-		"read before it was ordered": func(r *Record) {
-			r.OperatorReads[0] = ReadBack{From: 4 * s, At: 4 * s, Number: 3, Text: []byte("three")}
+		"another text under a number":  func(r *Record) { r.OperatorReads[0].Text = []byte("two") },
+		"two orders taken on one base": func(r *Record) { r.Tables[1].Refused, r.Tables[1].Acked, r.Tables[1].AckedAt = false, true, 4*sec },
+		"a refused order in force": func(r *Record) {
+			r.OperatorReads[1] = ReadBack{From: 7 * sec, At: 8 * sec, Number: 2, Text: []byte("two")}
+		},
+		"an order refused without a rival": func(r *Record) { r.Tables[1].RefusedAt, r.Tables[0].SentAt = 2*sec, 2*sec+1 },
+		"a table read before its order was sent": func(r *Record) {
+			r.OperatorReads[0] = ReadBack{From: 4 * sec, At: 4 * sec, Number: 3, Text: []byte("three")}
 		},
 		"an acknowledged order lost": func(r *Record) {
-			r.Tables[2].Acked, r.Tables[2].AckedAt, r.OperatorReads[1] = true, 6*s, ReadBack{From: 7 * s, At: 8 * s, Number: 1, Text: []byte("one")}
+			r.Tables[2].Acked, r.Tables[2].AckedAt, r.OperatorReads[1] = true, 6*sec, ReadBack{From: 7 * sec, At: 8 * sec, Number: 1, Text: []byte("one")}
 		},
 	} {
 		r := linearizableRecord()
--- a/rehearsalkit/relaysim/longcut.go
+++ b/rehearsalkit/relaysim/longcut.go
@@ -132,13 +132,13 @@
 	w.after(w.delay(), func() {
 		at.do(func() {
 			c := l.history.beginCall(kind, at)
-			say := func(ticket uint64) desk.Output { return at.desk.Leave(at.now(), ticket, w.uniqueID("left")) }
+			step := func(ticket uint64) desk.Output { return at.desk.Leave(at.now(), ticket, w.uniqueID("left")) }
 			if kind == callHeartbeat {
 				w.lastID++
-				word := desk.Replica{ID: id, Service: "idle", Address: "10.0.4.1:1", Sequence: int64(w.lastID)}
-				say = func(ticket uint64) desk.Output { return at.desk.Heartbeat(at.now(), ticket, word) }
+				announcement := desk.Replica{ID: id, Service: "idle", Address: "10.0.4.1:1", Sequence: int64(w.lastID)}
+				step = func(ticket uint64) desk.Output { return at.desk.Heartbeat(at.now(), ticket, announcement) }
 			}
-			at.announce(say, func(reached bool) { l.history.endCall(c, reached) })
+			at.announce(step, func(reached bool) { l.history.endCall(c, reached) })
 		})
 	})
 }
@@ -149,7 +149,7 @@
 	group := fmt.Sprintf("%s, %s", map[bool]string{true: "desk", false: "core"}[target.isDesk], l.mode)
 	w.logf("%s cut off: %s", target.id, l.mode)
 	w.Counts["cuts: "+group]++
-	began, first, acked := w.now, len(l.history.calls), len(l.history.acked)
+	started, first, acked := w.now, len(l.history.calls), len(l.history.acked)
 	end := w.beginDisruption(AnyStore)
 	w.blocked = l.blockedLinks(target)
 	l.injectDuringCut(target)
@@ -164,26 +164,26 @@
 	l.health.awaitHealthy(healed, func(took time.Duration) { whole = took })
 	w.Advance(catchUpTime)
 	if whole < 0 {
-		f.breach(RuleFleetRecovery, "%v after %s was cut off (%s) from %v to %v: %s", catchUpTime, target.id, l.mode, began, healed, l.health.problem())
+		f.breach(RuleFleetRecovery, "%v after %s was cut off (%s) from %v to %v: %s", catchUpTime, target.id, l.mode, started, healed, l.health.problem())
 	} else {
 		f.recordDuration("whole again after a cut of a "+group, whole)
 	}
 	end()
 	w.Advance(answerTimeout)
-	l.tabulate(group, target, began, first)
+	l.tabulate(group, target, started, first)
 	w.Counts["orders acknowledged in cuts: "+group] += int64(len(l.history.acked) - acked)
 }
 
 // tabulate records the calls during a cut by second and kind: those to the desk that
 // was cut off or, for a core, those to all desks.
-func (l *longcut) tabulate(group string, target *process, began time.Duration, first int) {
+func (l *longcut) tabulate(group string, target *process, started time.Duration, first int) {
 	for _, c := range l.history.calls[first:] {
-		l.judgeIsolatedDesk(target, began, c)
+		l.judgeIsolatedDesk(target, started, c)
 		if c.ended < 0 || target.isDesk && c.desk != target {
 			continue
 		}
-		l.findings.Answers.add(group, int((c.started-began)/time.Second), c)
-		if during := c.started-began < cutLength; during {
+		l.findings.Answers.add(group, int((c.started-started)/time.Second), c)
+		if during := c.started-started < cutLength; during {
 			l.findings.recordDuration(fmt.Sprintf("answer in a cut: %s, %s", group, c.kind), c.ended-c.started)
 		}
 	}
@@ -200,8 +200,8 @@
 
 // judgeIsolatedDesk checks that a desk that reaches no core answers promptly, and that
 // one without contact to nodes accepts no announcements of replicas.
-func (l *longcut) judgeIsolatedDesk(target *process, began time.Duration, c *deskCall) {
-	since := c.started - began
+func (l *longcut) judgeIsolatedDesk(target *process, started time.Duration, c *deskCall) {
+	since := c.started - started
 	if c.desk != target || l.mode == cutPeers || since < detectsCoresAfter || since > cutLength-answerBound || c.interrupted() {
 		return
 	}
@@ -270,7 +270,7 @@
 	others = append(others, w.nodes[0])
 	w.after(2*time.Second, func() {
 		for _, p := range others {
-			w.logf("%s starts again and knows only %v", p.id, seeds)
+			w.logf("%s restarts with the seeds %v only", p.id, seeds)
 			p.powerOff()
 			p.seeds = seeds
 			w.after(w.between(100*time.Millisecond, 500*time.Millisecond), p.boot)
@@ -286,15 +286,15 @@
 	n := w.add(fmt.Sprintf("fresh%d", l.newNodes), l.newNodes, fmt.Sprintf("10.0.5.%d:1", l.newNodes))
 	n.requests, n.seeds = map[uint64]*activeRequest{}, seeds
 	n.boot()
-	began := w.now
+	started := w.now
 	var look func()
 	look = func() {
 		switch {
 		case n.node.Ready(n.now()):
-			l.findings.recordDuration("a new node is ready, "+l.mode, w.now-began)
+			l.findings.recordDuration("a new node is ready, "+l.mode, w.now-started)
 			w.after(time.Second, func() { n.kill() })
-		case w.now > began+cutLength+catchUpTime:
-			l.findings.breach(RuleFleetRecovery, "%s, which came at %v, is not ready at %v", n.id, began, w.now)
+		case w.now > started+cutLength+catchUpTime:
+			l.findings.breach(RuleFleetRecovery, "%s, which came at %v, is not ready at %v", n.id, started, w.now)
 			n.kill()
 		default:
 			w.after(20*time.Millisecond, look)
--- a/rehearsalkit/relaysim/longcut_test.go
+++ b/rehearsalkit/relaysim/longcut_test.go
@@ -62,7 +62,7 @@
 		name, rule string
 		inject     func(p *Params)
 	}{
-		{"desks refuse some orders that were taken", RuleAcceptedNotRefused, func(p *Params) {
+		{"desks refuse some accepted orders", RuleAcceptedNotRefused, func(p *Params) {
 			some := everyNth(5)
 			forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
 				if h.Accepted && h.Number > 1 && some() {
@@ -71,39 +71,39 @@
 				return h
 			})(p)
 		}},
-		{"orders get another base on their way", RuleRefusedByRace, alterMessages(func(from, to string, c core.Command) (core.Command, bool) {
-			inner, _ := message.Open(c.Raw)
-			if a, ok := inner.(core.AcceptTable); ok && a.Number%3 == 0 {
+		{"orders reach the cores with another base", RuleRefusedByRace, alterMessages(func(from, to string, c core.Command) (core.Command, bool) {
+			command, _ := message.Open(c.Raw)
+			if a, ok := command.(core.AcceptTable); ok && a.Number%3 == 0 {
 				a.Base++
 				c.Raw = message.Pack(a)
 			}
 			return c, true
 		})},
-		{"desks acknowledge what they do not know", RuleDurable, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
+		{"desks acknowledge orders with unknown outcome", RuleDurable, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
 			h.Accepted, h.Unsure = h.Accepted || h.Unsure, false
 			return h
 		})},
-		{"desks acknowledge what lost its race", RuleTableRace, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
+		{"desks acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
 			h.Accepted, h.RaceLost = h.Accepted || h.RaceLost, false
 			return h
 		})},
-		{"desks always say that their news are fresh", RuleNewestTable, alterMessages(func(from, to string, b desk.Update) (desk.Update, bool) {
+		{"desks always report a fresh confirmation", RuleNewestTable, alterMessages(func(from, to string, b desk.Update) (desk.Update, bool) {
 			b.ConfirmationAge = min(b.ConfirmationAge, 0)
 			return b, true
 		})},
-		{"desks say nothing when nobody answers them", RuleCallBound, func(p *Params) {
+		{"desks leave inconclusive calls unanswered", RuleCallBound, func(p *Params) {
 			p.WrapDesk = func(d Desk) Desk { return &unansweringDesk{d} }
 		}},
-		{"desks take heartbeats that they can pass on to nobody", RuleIsolatedDesk, func(p *Params) {
+		{"desks acknowledge heartbeats that they cannot pass on", RuleIsolatedDesk, func(p *Params) {
 			p.WrapDesk = func(d Desk) Desk { return earlyAckDesk{d} }
 		}},
-		{"a desk hears of nothing fresh any more", RuleFleetRecovery, func(p *Params) {
-			heard := 0
+		{"a desk receives no more freshness messages", RuleFleetRecovery, func(p *Params) {
+			received := 0
 			alterMessages(func(from, to string, b core.Freshness) (core.Freshness, bool) {
 				if to == "desk2" {
-					heard++
+					received++
 				}
-				return b, to != "desk2" || heard < 100
+				return b, to != "desk2" || received < 100
 			})(p)
 		}},
 	} {
--- a/rehearsalkit/relaysim/manychanges.go
+++ b/rehearsalkit/relaysim/manychanges.go
@@ -172,7 +172,7 @@
 	m.images[s.core] = copyStored(s.core.disk.stored)
 	w.Advance(tornWindow)
 	end := w.beginDisruption(AllMachines)
-	w.logf("%s goes: %s", s.core.id, name)
+	w.logf("%s is stopped: %s", s.core.id, name)
 	processes := append(s.processes(), node)
 	for _, p := range processes {
 		p.powerOff()
--- a/rehearsalkit/relaysim/manychanges_test.go
+++ b/rehearsalkit/relaysim/manychanges_test.go
@@ -23,7 +23,7 @@
 				t.Errorf("seed %d: %s", seed, b)
 			}
 			if len(m.samples) < 3 {
-				t.Errorf("seed %d: sizes were noted only %d times", seed, len(m.samples))
+				t.Errorf("seed %d: sizes were sampled only %d times", seed, len(m.samples))
 			}
 		})
 	}
@@ -66,19 +66,19 @@
 		name, rule string
 		inject     func(p *Params)
 	}{
-		{"cores keep more with each order", RuleGrowth, func(p *Params) {
+		{"cores store more with each order", RuleGrowth, func(p *Params) {
 			p.WrapDesk = func(d Desk) Desk { return &storingDesk{Desk: d} }
 		}},
-		{"desks tell more than the owner has", RuleLeaderCurrent, func(p *Params) {
+		{"desks report newer tables than the leader has", RuleLeaderCurrent, func(p *Params) {
 			p.WrapDesk = func(d Desk) Desk { return &overstatingDesk{d} }
 		}},
-		{"who comes back is told far too much", RuleCatchUpBytes, alterMessages(func(from, to string, b core.Topology) (core.Topology, bool) {
+		{"a returning machine is sent far too much", RuleCatchUpBytes, alterMessages(func(from, to string, b core.Topology) (core.Topology, bool) {
 			if to == "core1" {
 				b.Fleet = strings.Repeat("x", 2*catchUpExtra)
 			}
 			return b, true
 		})},
-		{"who comes back gets nothing", RuleFleetRecovery, alterMessages(func(from, to string, b core.ReplicaMessage) (core.ReplicaMessage, bool) {
+		{"a returning machine is sent no replica messages", RuleFleetRecovery, alterMessages(func(from, to string, b core.ReplicaMessage) (core.ReplicaMessage, bool) {
 			return b, to != "core1"
 		})},
 	} {
--- a/rehearsalkit/relaysim/operator.go
+++ b/rehearsalkit/relaysim/operator.go
@@ -140,7 +140,7 @@
 		case h.Unsure:
 			retry()
 		default:
-			w.logf("table %d on %d refused by %s: race %v, %v", t.Number, t.Base, at.id, h.RaceLost, h.Faults)
+			w.logf("table %d on %d refused by %s: race lost %v, %v", t.Number, t.Base, at.id, h.RaceLost, h.Faults)
 			w.Counts["tables refused"]++
 			t.Refused, t.RefusedAt, finished = true, w.now, true
 			done()
--- a/rehearsalkit/relaysim/orders.go
+++ b/rehearsalkit/relaysim/orders.go
@@ -20,10 +20,10 @@
 
 // tableRead is one successful read of the table in force.
 type tableRead struct {
-	began, ended time.Duration
-	desk         string
-	number       uint64
-	text         []byte
+	started, ended time.Duration
+	desk           string
+	number         uint64
+	text           []byte
 }
 
 // orderHistory is what operators know of their orders and reads, and all calls that
@@ -173,7 +173,7 @@
 		}
 		if !o.Refused {
 			w.Counts["orders refused"]++
-			w.logf("order %d on %d refused by %s: race %v, in force %d", o.Number, o.Base, at.id, h.RaceLost, h.Number)
+			w.logf("order %d on %d refused by %s: race lost %v, in force %d", o.Number, o.Base, at.id, h.RaceLost, h.Number)
 			o.Refused, o.refusedAt = true, w.now
 		}
 	}
@@ -199,7 +199,7 @@
 // read reads the table in force at a desk once.
 func (b *orderHistory) read(at *process, done func(t core.CurrentTable, ok bool)) {
 	w := b.world
-	began, newest := w.now, b.newestSeen
+	started, newest := w.now, b.newestSeen
 	step := func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.Read(now, ticket) }
 	clear := func(body any) bool { t, ok := body.(core.CurrentTable); return ok && t.Number > 0 }
 	b.call(callRead, at, step, clear, func(body any) {
@@ -209,10 +209,10 @@
 			return
 		}
 		if t.Number < newest {
-			b.findings.breach(RuleNewestTable, "%s read back table %d, from %v to %v, and %d had been told before", at.id, t.Number, began, w.now, newest)
+			b.findings.breach(RuleNewestTable, "%s read back table %d, from %v to %v, and %d had been told before", at.id, t.Number, started, w.now, newest)
 		}
 		b.newestSeen = max(b.newestSeen, t.Number)
-		b.reads = append(b.reads, tableRead{began: began, ended: w.now, desk: at.id, number: t.Number, text: t.Text})
+		b.reads = append(b.reads, tableRead{started: started, ended: w.now, desk: at.id, number: t.Number, text: t.Text})
 		done(t, true)
 	})
 }
--- a/rehearsalkit/relaysim/orderstorm_test.go
+++ b/rehearsalkit/relaysim/orderstorm_test.go
@@ -34,11 +34,11 @@
 		name, rule string
 		inject     func(p *Params)
 	}{
-		{"orders are not known again", RuleAcceptedNotRefused, func(p *Params) {
+		{"repeated orders are not recognized", RuleAcceptedNotRefused, func(p *Params) {
 			some := everyNth(3)
 			alterMessages(func(from, to string, c core.Command) (core.Command, bool) {
-				inner, _ := message.Open(c.Raw)
-				if a, ok := inner.(core.AcceptTable); ok && some() {
+				command, _ := message.Open(c.Raw)
+				if a, ok := command.(core.AcceptTable); ok && some() {
 					a.Digest += "x"
 					c.Raw = message.Pack(a)
 				}
--- a/rehearsalkit/relaysim/powerloss_test.go
+++ b/rehearsalkit/relaysim/powerloss_test.go
@@ -18,10 +18,10 @@
 			t.Errorf("seed %d: %s", seed, b)
 		}
 		if w.Counts["closing fault: "+ClosingWipe] != 1 {
-			t.Errorf("seed %d: the loss did not come about", seed)
+			t.Errorf("seed %d: the closing fault was not injected", seed)
 		}
 		if w.Record.RestoredAt <= w.Record.ClosingAt {
-			t.Errorf("seed %d: the machines did not come back", seed)
+			t.Errorf("seed %d: the machines were not restarted", seed)
 		}
 	}
 }
--- a/rehearsalkit/relaysim/record.go
+++ b/rehearsalkit/relaysim/record.go
@@ -123,7 +123,7 @@
 // Disruption is an interval in which a machine, or any store, was disturbed. It is
 // active while Until is negative.
 type Disruption struct {
-	Who         string
+	Machine     string
 	From, Until time.Duration
 }
 
@@ -171,4 +171,4 @@
 	return Breach{Rule: rule, Text: fmt.Sprintf(format, args...)}
 }
 
-func statusText(status int) string { return fmt.Sprint(status) }
+func itoa(status int) string { return fmt.Sprint(status) }
--- a/rehearsalkit/relaysim/relaysim_test.go
+++ b/rehearsalkit/relaysim/relaysim_test.go
@@ -23,7 +23,7 @@
 			t.Errorf("seed %d: %s", o.Seed, b)
 		}
 		if o.Counts["asked chat whole 200"] < 100 {
-			t.Errorf("seed %d: only %d turns came whole", o.Seed, o.Counts["asked chat whole 200"])
+			t.Errorf("seed %d: only %d turns completed", o.Seed, o.Counts["asked chat whole 200"])
 		}
 	})
 }
@@ -32,7 +32,7 @@
 	one, _ := Run(Defaults(7))
 	two, _ := Run(Defaults(7))
 	if !maps.Equal(one.Counts, two.Counts) {
-		t.Errorf("the same seed went two ways: %v and %v", one.Summary(), two.Summary())
+		t.Errorf("two runs of one seed differ: %v and %v", one.Summary(), two.Summary())
 	}
 }
 
@@ -43,14 +43,14 @@
 	return p
 }
 
-func TestCalm(t *testing.T) {
+func TestFaultFree(t *testing.T) {
 	w, breaches := Run(faultFree(3))
 	for _, b := range breaches {
 		t.Error(b)
 	}
-	for _, bad := range []string{"asked chat closed", "asked chat gave up", "asked probe gave up"} {
-		if bad != "asked chat closed" && w.Counts[bad] > 0 {
-			t.Errorf("%s: %d times, with no fault", bad, w.Counts[bad])
+	for _, label := range []string{"asked chat closed", "asked chat gave up", "asked probe gave up"} {
+		if label != "asked chat closed" && w.Counts[label] > 0 {
+			t.Errorf("%s: %d times, with no fault", label, w.Counts[label])
 		}
 	}
 }
@@ -137,8 +137,8 @@
 			if !ok || r.Raw == nil {
 				return body, true
 			}
-			inner, err := message.Open(r.Raw)
-			if answer, ok := inner.(T); err == nil && ok {
+			command, err := message.Open(r.Raw)
+			if answer, ok := command.(T); err == nil && ok {
 				r.Raw = message.Pack(change(answer))
 			}
 			return r, true
@@ -167,7 +167,7 @@
 		name, rule string
 		inject     func(p *Params)
 	}{
-		{"what broke off is sent again", RuleAtMostOnce, nodes(func() *faultyNode {
+		{"interrupted requests are sent again", RuleAtMostOnce, nodes(func() *faultyNode {
 			return &faultyNode{outcome: func(o relay.Outcome) relay.Outcome {
 				if o.Kind == relay.OutcomeInterrupted && !o.RequesterGone {
 					o.Kind, o.Started = relay.OutcomeNotRun, false
@@ -175,7 +175,7 @@
 				return o
 			}}
 		})},
-		{"what may have run is refused", RuleRefusedNotRun, nodes(func() *faultyNode {
+		{"requests that may have run are refused", RuleRefusedNotRun, nodes(func() *faultyNode {
 			return &faultyNode{step: func(s relay.Step) (relay.Step, bool) {
 				if s.Kind == relay.StepAbort && s.Status == 502 {
 					s.Kind, s.Status = relay.StepRefuse, 503
@@ -183,12 +183,12 @@
 				return s, true
 			}}
 		})},
-		{"cores always reserve", RuleBudget, alterAnswers(func(a core.ReserveTurnResult) core.ReserveTurnResult { a.OK = true; return a })},
-		{"turns are booked at too much", RuleBudgetRefusal, func(p *Params) {
+		{"cores always grant reservations", RuleBudget, alterAnswers(func(a core.ReserveTurnResult) core.ReserveTurnResult { a.OK = true; return a })},
+		{"turns are settled with too many tokens", RuleBudgetRefusal, func(p *Params) {
 			p.Alter = func(from, to string, body any) (any, bool) {
 				if c, ok := body.(core.Command); ok {
-					inner, _ := message.Open(c.Raw)
-					if s, ok := inner.(core.SettleTurn); ok {
+					command, _ := message.Open(c.Raw)
+					if s, ok := command.(core.SettleTurn); ok {
 						s.Tokens += 100
 						c.Raw = message.Pack(s)
 						return c, true
@@ -197,9 +197,9 @@
 				return body, true
 			}
 		}},
-		{"kept turns get lost", RuleTurnKept, alterAnswers(func(a core.ReadTurnResult) core.ReadTurnResult { return core.ReadTurnResult{} })},
-		{"kept turns change", RuleHistory, alterAnswers(func(a core.ReadTurnResult) core.ReadTurnResult { a.Input = append(a.Input, 'x'); return a })},
-		{"a former turn is left out", RuleHistory, nodes(func() *faultyNode {
+		{"stored turns are lost", RuleTurnKept, alterAnswers(func(a core.ReadTurnResult) core.ReadTurnResult { return core.ReadTurnResult{} })},
+		{"stored turns are altered", RuleHistory, alterAnswers(func(a core.ReadTurnResult) core.ReadTurnResult { a.Input = append(a.Input, 'x'); return a })},
+		{"a previous turn is left out of the history", RuleHistory, nodes(func() *faultyNode {
 			return &faultyNode{step: func(s relay.Step) (relay.Step, bool) {
 				if len(s.History) > 2 {
 					s.History = s.History[2:]
@@ -207,7 +207,7 @@
 				return s, true
 			}}
 		})},
-		{"what broke off passes for whole", RuleAnswerComplete, nodes(func() *faultyNode {
+		{"interrupted answers pass for complete", RuleAnswerComplete, nodes(func() *faultyNode {
 			return &faultyNode{outcome: func(o relay.Outcome) relay.Outcome {
 				if o.Kind == relay.OutcomeInterrupted {
 					o.Kind = relay.OutcomeComplete
@@ -215,7 +215,7 @@
 				return o
 			}}
 		})},
-		{"cores grant more of a rate", RuleRate, alterAnswers(func(a core.DrawRatesResult) core.DrawRatesResult {
+		{"cores grant too much of a rate", RuleRate, alterAnswers(func(a core.DrawRatesResult) core.DrawRatesResult {
 			var more []rate.DrawResponse
 			for _, d := range a.Responses {
 				d.Granted += 1000
@@ -231,7 +231,7 @@
 				return s, true
 			}}
 		})},
-		{"a node hears of no table after the first", RuleTableLag, func(p *Params) {
+		{"a node gets no table after the first", RuleTableLag, func(p *Params) {
 			p.Alter = func(from, to string, body any) (any, bool) {
 				if b, ok := body.(desk.Update); ok && to == "node1" && b.TableNumber > 1 {
 					b.Table = nil
@@ -240,7 +240,7 @@
 				return body, true
 			}
 		}},
-		{"a node forgets what was new", RuleNoRollback, nodes(func() *faultyNode {
+		{"a node falls back to older tables", RuleNoRollback, nodes(func() *faultyNode {
 			third := everyNth(3)
 			return &faultyNode{request: func(a relay.Request) relay.Request {
 				if len(a.Path) > 7 && a.Path[:7] == "/probe-" && third() {
@@ -249,21 +249,21 @@
 				return a
 			}}
 		})},
-		{"desks acknowledge what lost its race", RuleTableRace, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
+		{"desks acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
 			h.Accepted, h.RaceLost = h.Accepted || h.RaceLost, false
 			return h
 		})},
-		{"desks acknowledge what is invalid", RuleTableRace, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
+		{"desks acknowledge invalid tables", RuleTableRace, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
 			h.Accepted, h.Faults = h.Accepted || h.Faults != nil, nil
 			return h
 		})},
-		{"desks refuse what is agreed", RuleDurable, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
+		{"desks refuse committed tables", RuleDurable, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
 			if h.Accepted && h.Number > 1 {
 				return desk.OrderResult{RaceLost: true}
 			}
 			return h
 		})},
-		{"nodes do not hear who leaves", RuleDraining, func(p *Params) {
+		{"nodes are not told which replicas leave", RuleDraining, func(p *Params) {
 			p.Faults = true
 			// Placement compares only a few replicas per request, so more callers are needed for
 			// one of them to choose the leaving replica.
@@ -280,7 +280,7 @@
 				return body, true
 			}
 		}},
-		{"later lives of nodes refuse everything", RuleRecovery, func(p *Params) {
+		{"restarted nodes refuse everything", RuleRecovery, func(p *Params) {
 			p.Closing = ClosingKill
 			incarnations := 0
 			p.WrapNode = func(n Node) Node {
@@ -292,7 +292,7 @@
 				}}
 			}
 		}},
-		{"some last steps are forgotten", RuleFinalStep, nodes(func() *faultyNode {
+		{"some final steps are dropped", RuleFinalStep, nodes(func() *faultyNode {
 			some := everyNth(40)
 			return &faultyNode{step: func(s relay.Step) (relay.Step, bool) {
 				return s, s.Kind == relay.StepSend || !some()
--- a/rehearsalkit/relaysim/replica.go
+++ b/rehearsalkit/relaysim/replica.go
@@ -28,19 +28,19 @@
 
 // replica is one incarnation of a simulated replica.
 type replica struct {
-	world    *World
-	id       string
-	service  string
-	address  string
-	zone     string
-	alive    bool
-	leaving  bool
-	sequence int64
-	slots    int
-	running  int
-	queue    []*job
-	jobs     []*job
-	target   *process
+	world       *World
+	id          string
+	service     string
+	address     string
+	zone        string
+	alive       bool
+	leaving     bool
+	sequence    int64
+	slots       int
+	running     int
+	queue       []*job
+	jobs        []*job
+	currentDesk *process
 }
 
 // job is one request at a replica.
@@ -73,31 +73,31 @@
 
 // heartbeat announces the replica to a desk, and to another one if it is not
 // acknowledged within a second.
-func (r *replica) heartbeat(heard func()) {
+func (r *replica) heartbeat(acknowledged func()) {
 	w := r.world
-	if r.target == nil {
-		r.target = w.anyDesk()
+	if r.currentDesk == nil {
+		r.currentDesk = w.anyDesk()
 	}
-	to, done := r.target, false
+	to, done := r.currentDesk, false
 	r.sequence++
-	word := desk.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: r.zone, Slots: int64(r.slots), Leaving: r.leaving, Sequence: r.sequence}
+	announcement := desk.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: r.zone, Slots: int64(r.slots), Leaving: r.leaving, Sequence: r.sequence}
 	w.after(w.delay(), func() {
 		if w.isCut(r.address, to.address) {
 			return
 		}
 		to.do(func() {
 			incarnation := to.incarnation
-			to.announce(func(ticket uint64) desk.Output { return to.desk.Heartbeat(to.now(), ticket, word) }, func(reached bool) {
+			to.announce(func(ticket uint64) desk.Output { return to.desk.Heartbeat(to.now(), ticket, announcement) }, func(reached bool) {
 				if !reached {
 					return
 				}
 				w.after(w.delay(), func() {
 					if to.incarnation == incarnation && !done && r.alive {
 						done = true
-						if word.Leaving {
+						if announcement.Leaving {
 							w.Record.LeaveAcks = append(w.Record.LeaveAcks, LeaveAck{At: w.now, Replica: r.id})
 						}
-						heard()
+						acknowledged()
 					}
 				})
 			})
@@ -105,8 +105,8 @@
 	})
 	w.after(time.Second, func() {
 		if !done && r.alive {
-			done, r.target = true, nil
-			r.heartbeat(heard)
+			done, r.currentDesk = true, nil
+			r.heartbeat(acknowledged)
 		}
 	})
 }
@@ -124,16 +124,16 @@
 			w.after(w.between(50*time.Millisecond, 300*time.Millisecond), func() { r.stop(then) })
 		}
 	}
-	heard := false
+	acknowledged := false
 	r.heartbeat(func() {
-		if !heard {
-			heard = true
+		if !acknowledged {
+			acknowledged = true
 			w.after(w.Record.Limits.Drain+w.between(200*time.Millisecond, 800*time.Millisecond), end)
 		}
 	})
 	w.after(6*time.Second, func() {
-		if !heard {
-			heard = true
+		if !acknowledged {
+			acknowledged = true
 			end()
 		}
 	})
--- a/rehearsalkit/relaysim/secondloss.go
+++ b/rehearsalkit/relaysim/secondloss.go
@@ -139,7 +139,7 @@
 	counting   bool
 	leaving    *store
 	joining    *store
-	lost       map[*store]time.Duration
+	lostUntil  map[*store]time.Duration
 	restoredAt time.Duration
 	doneAt     time.Duration
 }
@@ -147,7 +147,7 @@
 func newLossRun(p Params, c lossCase, at int) *lossRun {
 	w := New(p)
 	f := newFindings(w)
-	r := &lossRun{lossCase: c, world: w, findings: f, history: newOrderHistory(w, f), lossPoint: at, lost: map[*store]time.Duration{}}
+	r := &lossRun{lossCase: c, world: w, findings: f, history: newOrderHistory(w, f), lossPoint: at, lostUntil: map[*store]time.Duration{}}
 	r.history.answerTimeout = lossAnswerTimeout
 	w.observers.delivered = func(from string, to *process, body any) { r.countPoint(to) }
 	w.observers.synced = func(p *process, batches [][]core.Change) { r.countPoint(p) }
@@ -180,8 +180,8 @@
 	switch r.change {
 	case changeReplacement:
 		r.leaving = w.stores[len(w.stores)-1]
-		r.leaving.gone = true
-		r.lost[r.leaving] = -1
+		r.leaving.removed = true
+		r.lostUntil[r.leaving] = -1
 		for _, p := range r.leaving.processes() {
 			p.powerOff()
 			p.wipe()
@@ -220,7 +220,7 @@
 	r.callUntil(callStatus, step, r.awaitRetirement, func(e desk.RetirementStatus) bool { return e.Done }, r.retired)
 }
 
-func (r *lossRun) callUntil(kind string, step func(d Desk, now time.Duration, ticket uint64) desk.Output, retry func(), good func(e desk.RetirementStatus) bool, next func()) {
+func (r *lossRun) callUntil(kind string, step func(d Desk, now time.Duration, ticket uint64) desk.Output, retry func(), satisfied func(e desk.RetirementStatus) bool, next func()) {
 	w := r.world
 	at := w.anyDesk()
 	if !at.alive {
@@ -232,7 +232,7 @@
 		e, ok := body.(desk.RetirementStatus)
 		switch {
 		case r.doneAt > 0:
-		case ok && !e.Unsure && good(e):
+		case ok && !e.Unsure && satisfied(e):
 			next()
 		default:
 			w.after(100*time.Millisecond, retry)
@@ -256,7 +256,7 @@
 		p.powerOff()
 		p.wipe()
 	}
-	r.leaving.gone = true
+	r.leaving.removed = true
 }
 
 // judgeGroups checks that the leaving machine is a member of no group.
@@ -282,7 +282,7 @@
 func (r *lossRun) judgeCopies() {
 	w := r.world
 	missing := 0
-	for s, until := range r.lost {
+	for s, until := range r.lostUntil {
 		if s != r.leaving && (until < 0 || w.now < until) {
 			missing++
 		}
@@ -326,12 +326,12 @@
 	}
 	if r.loss == lossRetiring {
 		victims = victims[:0]
-		if !r.leaving.gone {
+		if !r.leaving.removed {
 			victims = append(victims, r.leaving)
 		}
 	}
 	for _, i := range w.random.Perm(len(w.stores)) {
-		if s := w.stores[i]; len(victims) < r.victims() && !s.gone && s.core.alive && (len(victims) == 0 || victims[0] != s) {
+		if s := w.stores[i]; len(victims) < r.victims() && !s.removed && s.core.alive && (len(victims) == 0 || victims[0] != s) {
 			victims = append(victims, s)
 		}
 	}
@@ -343,7 +343,7 @@
 func (r *lossRun) loseStore(s *store) {
 	w := r.world
 	w.logf("point %d: %s lost: %s", r.lossPoint, s.core.id, r.loss)
-	r.lost[s] = w.now + lossAway + catchUpTime
+	r.lostUntil[s] = w.now + lossAway + catchUpTime
 	r.restoredAt = w.now + lossAway
 	if r.loss == lossRetiring {
 		r.removeLeaving()
@@ -364,7 +364,7 @@
 			p.wipe()
 		}
 		w.after(lossAway, func() {
-			if !s.gone {
+			if !s.removed {
 				p.boot()
 			}
 		})
@@ -375,24 +375,24 @@
 // this was in time.
 func (r *lossRun) awaitDone() {
 	w := r.world
-	began := w.now
+	started := w.now
 	problem := ""
-	for w.now < began+changeLongest {
+	for w.now < started+changeLongest {
 		w.Advance(50 * time.Millisecond)
 		if problem = r.problem(); problem == "" {
 			break
 		}
 	}
 	r.counting = false
-	since := max(r.restoredAt, began+lossAway)
+	since := max(r.restoredAt, started+lossAway)
 	if problem == "" && w.now > since+catchUpTime {
 		problem = "whole only now"
 	}
 	switch {
 	case problem != "":
-		r.findings.breach(RuleGroupSize, "at %v, %v after the change began and %v after all that comes back was there: %s", w.now, w.now-began, w.now-since, problem)
+		r.findings.breach(RuleGroupSize, "at %v, %v after the change began and %v after all that comes back was there: %s", w.now, w.now-started, w.now-since, problem)
 	case r.lossPoint == 0:
-		r.findings.recordDuration("without a loss: "+r.change+fmt.Sprintf(", groups of %d", r.groupSize), w.now-began)
+		r.findings.recordDuration("without a loss: "+r.change+fmt.Sprintf(", groups of %d", r.groupSize), w.now-started)
 	default:
 		r.findings.recordDuration("groups whole after the loss: "+r.String(), max(0, w.now-r.restoredAt))
 	}
--- a/rehearsalkit/relaysim/secondloss_test.go
+++ b/rehearsalkit/relaysim/secondloss_test.go
@@ -54,15 +54,15 @@
 		name, rule, change, loss string
 		inject                   func(p *Params)
 	}{
-		{"retirements are done at once", RuleRetirement, changePlanned, lossPower, func(p *Params) {
+		{"retirements are reported done at once", RuleRetirement, changePlanned, lossPower, func(p *Params) {
 			p.WrapDesk = func(d Desk) Desk {
 				return &forgingStatusDesk{Desk: d, forge: func(e desk.RetirementStatus) desk.RetirementStatus { e.Done = true; return e }}
 			}
 		}},
-		{"a new core gets nothing", RuleGroupSize, changeReplacement, lossPower, alterMessages(func(from, to string, b core.ReplicaMessage) (core.ReplicaMessage, bool) {
+		{"a new core is sent no replica messages", RuleGroupSize, changeReplacement, lossPower, alterMessages(func(from, to string, b core.ReplicaMessage) (core.ReplicaMessage, bool) {
 			return b, to != "core4"
 		})},
-		{"turns are acknowledged and not kept", RuleDurable, changeRetirement, lossWipe, alterMessages(func(from, to string, c core.Command) (core.Command, bool) {
+		{"turns are acknowledged and not stored", RuleDurable, changeRetirement, lossWipe, alterMessages(func(from, to string, c core.Command) (core.Command, bool) {
 			return misplaceTurns(c), true
 		})},
 	} {
@@ -79,8 +79,8 @@
 
 // misplaceTurns stores every tenth turn under another attempt.
 func misplaceTurns(c core.Command) core.Command {
-	inner, _ := message.Open(c.Raw)
-	if k, ok := inner.(core.StoreTurn); ok && k.Attempt[len(k.Attempt)-1] == '7' {
+	command, _ := message.Open(c.Raw)
+	if k, ok := command.(core.StoreTurn); ok && k.Attempt[len(k.Attempt)-1] == '7' {
 		k.Attempt += "-elsewhere"
 		c.Raw = message.Pack(k)
 	}
--- a/rehearsalkit/relaysim/start.go
+++ b/rehearsalkit/relaysim/start.go
@@ -20,7 +20,7 @@
 	retry = func() {
 		b.read(w.anyDesk(), func(t core.CurrentTable, ok bool) {
 			if ok && last == nil {
-				last = &tableRead{began: w.now, ended: w.now, number: t.Number, text: t.Text}
+				last = &tableRead{started: w.now, ended: w.now, number: t.Number, text: t.Text}
 				w.Record.FinalReads = append(w.Record.FinalReads, ReadBack{At: w.now, Number: t.Number, Text: t.Text})
 			} else if last == nil {
 				retry()
--- a/rehearsalkit/relaysim/world.go
+++ b/rehearsalkit/relaysim/world.go
@@ -87,7 +87,7 @@
 // store is a machine with a disk: a core and usually a desk.
 type store struct {
 	core, desk *process
-	gone       bool
+	removed    bool
 }
 
 // New creates a world with its processes not yet started.
@@ -169,7 +169,7 @@
 func (w *World) seeds() []string {
 	var list []string
 	for _, s := range w.stores {
-		if s.desk != nil && !s.gone && len(list) < 3 {
+		if s.desk != nil && !s.removed && len(list) < 3 {
 			list = append(list, s.desk.address)
 		}
 	}
@@ -190,7 +190,7 @@
 func (w *World) anyDesk() *process {
 	var list []*process
 	for _, s := range w.stores {
-		if s.desk != nil && !s.gone {
+		if s.desk != nil && !s.removed {
 			list = append(list, s.desk)
 		}
 	}
@@ -199,8 +199,8 @@
 
 // beginDisruption records that a machine is disturbed until the returned function is
 // called. Time bounds don't apply to disrupted machines.
-func (w *World) beginDisruption(who string) (end func()) {
-	w.Record.Disruptions = append(w.Record.Disruptions, Disruption{Who: who, From: w.now, Until: -1})
+func (w *World) beginDisruption(machine string) (end func()) {
+	w.Record.Disruptions = append(w.Record.Disruptions, Disruption{Machine: machine, From: w.now, Until: -1})
 	at, finished := len(w.Record.Disruptions)-1, false
 	return func() {
 		if !finished {
