--- a/rehearsalkit/relaysim/judge.go
+++ b/rehearsalkit/relaysim/judge.go
@@ -245,7 +245,7 @@
 		}
 	}
 	allowed := func(tenant string, from time.Duration) float64 {
-		most, known := 0.0, false
+		limit, known := 0.0, false
 		for _, t := range b.Tables {
 			if t.Refused || t.SentAt > from+b.Limits.Window {
 				continue
@@ -259,7 +259,7 @@
 			}
 			if one, ok := t.MaxPerWindow[tenant]; ok {
 				known = true
-				most = max(most, one)
+				limit = max(limit, one)
 			} else if t.Valid {
 				return math.Inf(1)
 			}
@@ -267,7 +267,7 @@
 		if !known {
 			return math.Inf(1)
 		}
-		return most*(1+b.Limits.Overshoot) + b.Limits.Slack
+		return limit*(1+b.Limits.Overshoot) + b.Limits.Slack
 	}
 	times := map[string][]time.Duration{}
 	for _, run := range b.Runs {
@@ -281,8 +281,8 @@
 			for last < len(all) && all[last] <= all[first]+b.Limits.Window {
 				last++
 			}
-			if most := allowed(tenant, all[first]); float64(last-first) > most {
-				list = append(list, breach(RuleRate, "%d requests of %s ran within %v from %v on, of %.1f", last-first, tenant, b.Limits.Window, all[first], most))
+			if limit := allowed(tenant, all[first]); float64(last-first) > limit {
+				list = append(list, breach(RuleRate, "%d requests of %s ran within %v from %v on, of %.1f", last-first, tenant, b.Limits.Window, all[first], limit))
 				break
 			}
 		}
@@ -313,7 +313,7 @@
 		return nil
 	}
 	const many = 20
-	whole, all := map[string]int{}, map[string]int{"": 0}
+	served, all := map[string]int{}, map[string]int{"": 0}
 	for _, q := range b.Requests {
 		if q.At <= b.RestoredAt+b.Limits.Recovery || q.Ended < 0 || q.Kind == "probe" || q.Outcome == Refused && q.Status != 503 {
 			continue
@@ -321,13 +321,13 @@
 		for _, kind := range []string{"", q.Kind} {
 			all[kind]++
 			if q.Outcome == Complete {
-				whole[kind]++
+				served[kind]++
 			}
 		}
 	}
 	for _, kind := range ordered.Keys(all) {
-		if (kind == "" || all[kind] >= many) && (all[kind] == 0 || whole[kind]*4 < all[kind]) {
-			list = append(list, breach(RuleRecovery, "%d of %d requests %s were served from %v on, after the closing fault's end at %v", whole[kind], all[kind], kind, b.RestoredAt+b.Limits.Recovery, b.RestoredAt))
+		if (kind == "" || all[kind] >= many) && (all[kind] == 0 || served[kind]*4 < all[kind]) {
+			list = append(list, breach(RuleRecovery, "%d of %d requests %s were served from %v on, after the closing fault's end at %v", served[kind], all[kind], kind, b.RestoredAt+b.Limits.Recovery, b.RestoredAt))
 		}
 	}
 	return list
--- a/rehearsalkit/relaysim/judge_streams.go
+++ b/rehearsalkit/relaysim/judge_streams.go
@@ -18,15 +18,15 @@
 			return "", false
 		}
 	}
-	output, whole := b.output(attempt)
-	return before + q.Input + output, whole
+	output, complete := b.output(attempt)
+	return before + q.Input + output, complete
 }
 
 // output joins the output of all executions of an attempt and reports whether any of
 // them completed.
 func (b *recordIndex) output(attempt string) (string, bool) {
 	var joined []string
-	whole := false
+	complete := false
 	for _, run := range b.runs[attempt] {
 		pieces := strings.SplitAfter(run.Output, "\n")
 		for i, p := range pieces {
@@ -34,9 +34,9 @@
 				joined = append(joined, p)
 			}
 		}
-		whole = whole || run.Complete
+		complete = complete || run.Complete
 	}
-	return strings.Join(joined, ""), whole
+	return strings.Join(joined, ""), complete
 }
 
 func (b *recordIndex) checkHistories() (list []Breach) {
@@ -71,7 +71,7 @@
 			list = append(list, breach(RuleAnswerComplete, "%s was answered at %v and never ran", q.Attempt, q.Ended))
 			continue
 		}
-		if output, whole := b.output(q.Attempt); q.Output != output || output != "" && !whole {
+		if output, complete := b.output(q.Attempt); q.Output != output || output != "" && !complete {
 			list = append(list, breach(RuleAnswerComplete, "%s ended as whole at %v with %q, and was %q", q.Attempt, q.Ended, q.Output, output))
 		}
 	}
--- a/rehearsalkit/relaysim/leaveloss_test.go
+++ b/rehearsalkit/relaysim/leaveloss_test.go
@@ -33,13 +33,13 @@
 	w.runUntil(w.now + 2*time.Second)
 	address := w.now % 4
 	leaving := w.replicas[[]string{"10.0.3.6:8080", "10.0.3.7:8080", "10.0.3.8:8080", "10.0.3.9:8080"}[(seed+uint64(address))%4]]
-	reported := w.anyDesk()
-	leaving.currentDesk = reported
-	w.blocked = func(from, to string) bool { return from == reported.address && w.processes[to] != nil }
+	ackingDesk := w.anyDesk()
+	leaving.currentDesk = ackingDesk
+	w.blocked = func(from, to string) bool { return from == ackingDesk.address && w.processes[to] != nil }
 	leaving.leave(func() {})
 	w.after(w.between(3*time.Millisecond, 40*time.Millisecond), func() {
 		for _, s := range w.stores {
-			if s.desk == reported {
+			if s.desk == ackingDesk {
 				w.losePower(s, true, time.Minute)
 			}
 		}
--- a/rehearsalkit/relaysim/longcut.go
+++ b/rehearsalkit/relaysim/longcut.go
@@ -138,7 +138,7 @@
 				announcement := desk.Replica{ID: id, Service: "idle", Address: "10.0.4.1:1", Sequence: int64(w.lastID)}
 				step = func(ticket uint64) desk.Output { return at.desk.Heartbeat(at.now(), ticket, announcement) }
 			}
-			at.announce(step, func(reached bool) { l.history.endCall(c, reached) })
+			at.announce(step, func(accepted bool) { l.history.endCall(c, accepted) })
 		})
 	})
 }
@@ -160,13 +160,13 @@
 	for _, p := range w.processes {
 		p.seeds = nil
 	}
-	whole := time.Duration(-1)
-	l.health.awaitHealthy(healed, func(took time.Duration) { whole = took })
+	recovery := time.Duration(-1)
+	l.health.awaitHealthy(healed, func(took time.Duration) { recovery = took })
 	w.Advance(catchUpTime)
-	if whole < 0 {
+	if recovery < 0 {
 		f.breach(RuleFleetRecovery, "%v after %s was cut off (%s) from %v to %v: %s", catchUpTime, target.id, l.mode, started, healed, l.health.problem())
 	} else {
-		f.recordDuration("whole again after a cut of a "+group, whole)
+		f.recordDuration("whole again after a cut of a "+group, recovery)
 	}
 	end()
 	w.Advance(answerTimeout)
--- a/rehearsalkit/relaysim/manychanges.go
+++ b/rehearsalkit/relaysim/manychanges.go
@@ -84,9 +84,9 @@
 	b := newOrderHistory(w, f)
 	m := &manyChanges{world: w, findings: f, history: b, health: w.watchHealth(b), diskState: diskStates[w.Params.Seed%uint64(len(diskStates))], sampleEvery: sampleEvery,
 		logs: map[*process]*logMeter{}, images: map[*process]core.Stored{}, received: map[string]int64{}}
-	reported := w.observers.sent
+	sendObserver := w.observers.sent
 	w.observers.sent = func(from *process, to string, body any) {
-		reported(from, to, body)
+		sendObserver(from, to, body)
 		m.received[to] += int64(encodedSize(body))
 	}
 	w.observers.synced = m.synced
@@ -155,8 +155,8 @@
 // awaitChanges advances time until the given number of tables is acknowledged.
 func (m *manyChanges) awaitChanges(changes int) {
 	w := m.world
-	stuck := w.now + maxChangeTime*time.Duration(20+changes-len(m.history.acked))
-	for len(m.history.acked) < changes && w.now < stuck {
+	deadline := w.now + maxChangeTime*time.Duration(20+changes-len(m.history.acked))
+	for len(m.history.acked) < changes && w.now < deadline {
 		w.Advance(10 * time.Millisecond)
 	}
 	if len(m.history.acked) < changes {
@@ -191,16 +191,16 @@
 		before -= m.received[p.address]
 		p.boot()
 	}
-	back, whole := w.now, time.Duration(-1)
+	back, recovery := w.now, time.Duration(-1)
 	m.health.awaitHealthy(back, func(took time.Duration) {
-		whole = took
+		recovery = took
 		m.judgeBytes(name, processes, before)
 	})
 	w.Advance(catchUpTime)
-	if whole < 0 {
+	if recovery < 0 {
 		m.findings.breach(RuleFleetRecovery, "%s: %v after %s was back at %v: %s", name, catchUpTime, s.core.id, back, m.health.problem())
 	} else {
-		m.findings.recordDuration("caught up: "+name, whole)
+		m.findings.recordDuration("caught up: "+name, recovery)
 	}
 	end()
 }
@@ -326,8 +326,8 @@
 				f.breach(RuleGrowth, "%s has %d bytes after %d changes, and had %d after %d", b.what, b.value, s.changes, b.from, first.changes)
 			}
 		}
-		if most := logFactor*max(smallestSlot, s.state) + s.state; s.log > most {
-			f.breach(RuleGrowth, "a log has %d bytes after %d changes, more than %d", s.log, s.changes, most)
+		if limit := logFactor*max(smallestSlot, s.state) + s.state; s.log > limit {
+			f.breach(RuleGrowth, "a log has %d bytes after %d changes, more than %d", s.log, s.changes, limit)
 		}
 	}
 }
--- a/rehearsalkit/relaysim/orders.go
+++ b/rehearsalkit/relaysim/orders.go
@@ -88,15 +88,15 @@
 	return c
 }
 
-func (b *orderHistory) endCall(c *deskCall, clear bool) {
+func (b *orderHistory) endCall(c *deskCall, conclusive bool) {
 	if c.ended < 0 {
-		c.ended, c.conclusive = b.world.now, clear
+		c.ended, c.conclusive = b.world.now, conclusive
 	}
 }
 
 // call calls a desk. If the answer is lost, done is called with nil after the answer
 // timeout.
-func (b *orderHistory) call(kind string, at *process, step func(d Desk, now time.Duration, ticket uint64) desk.Output, clear func(body any) bool, done func(body any)) {
+func (b *orderHistory) call(kind string, at *process, step func(d Desk, now time.Duration, ticket uint64) desk.Output, conclusive func(body any) bool, done func(body any)) {
 	w := b.world
 	finished := false
 	finish := func(body any) {
@@ -110,7 +110,7 @@
 			c := b.beginCall(kind, at)
 			at.lastTicket++
 			at.pendingCalls[at.lastTicket] = func(body any) {
-				b.endCall(c, clear(body))
+				b.endCall(c, conclusive(body))
 				lost := (kind == callOrder || kind == callResend) && w.chance(b.answerLoss)
 				if !lost {
 					w.after(w.delay(), func() { finish(body) })
@@ -133,8 +133,8 @@
 	step := func(d Desk, now time.Duration, ticket uint64) desk.Output {
 		return o.apply(d, now, ticket)
 	}
-	clear := func(body any) bool { h, ok := body.(desk.OrderResult); return ok && !h.Unsure }
-	b.call(kind, at, step, clear, func(body any) {
+	conclusive := func(body any) bool { h, ok := body.(desk.OrderResult); return ok && !h.Unsure }
+	b.call(kind, at, step, conclusive, func(body any) {
 		h, ok := body.(desk.OrderResult)
 		if !ok {
 			h.Unsure = true
@@ -201,8 +201,8 @@
 	w := b.world
 	started, newest := w.now, b.newestSeen
 	step := func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.Read(now, ticket) }
-	clear := func(body any) bool { t, ok := body.(core.CurrentTable); return ok && t.Number > 0 }
-	b.call(callRead, at, step, clear, func(body any) {
+	conclusive := func(body any) bool { t, ok := body.(core.CurrentTable); return ok && t.Number > 0 }
+	b.call(callRead, at, step, conclusive, func(body any) {
 		t, _ := body.(core.CurrentTable)
 		if t.Number == 0 {
 			done(t, false)
--- a/rehearsalkit/relaysim/process.go
+++ b/rehearsalkit/relaysim/process.go
@@ -228,7 +228,7 @@
 
 // announce passes an announcement of a replica to a desk and reports whether it was
 // accepted, that is, known beyond this desk.
-func (p *process) announce(step func(ticket uint64) desk.Output, then func(reached bool)) {
+func (p *process) announce(step func(ticket uint64) desk.Output, then func(accepted bool)) {
 	p.lastTicket++
 	p.pendingCalls[p.lastTicket] = func(body any) {
 		h, _ := body.(desk.Acknowledgment)
--- a/rehearsalkit/relaysim/replica.go
+++ b/rehearsalkit/relaysim/replica.go
@@ -87,8 +87,8 @@
 		}
 		to.do(func() {
 			incarnation := to.incarnation
-			to.announce(func(ticket uint64) desk.Output { return to.desk.Heartbeat(to.now(), ticket, announcement) }, func(reached bool) {
-				if !reached {
+			to.announce(func(ticket uint64) desk.Output { return to.desk.Heartbeat(to.now(), ticket, announcement) }, func(accepted bool) {
+				if !accepted {
 					return
 				}
 				w.after(w.delay(), func() {
