--- a/rehearsalkit/soak/client.go
+++ b/rehearsalkit/soak/client.go
@@ -25,7 +25,7 @@
 const deadline = 2500 * time.Millisecond
 
 // held is how long after its deadline a request may still be without an answer.
-const held = 1500 * time.Millisecond
+const answerGrace = 1500 * time.Millisecond
 
 func keyOf(tenant string) string { return "key of " + tenant }
 
@@ -44,7 +44,7 @@
 	if rand.IntN(2) == 0 {
 		port = relayedClientPort
 	}
-	c, err := net.DialTimeout("tcp", node.at(port), time.Second)
+	c, err := net.DialTimeout("tcp", node.address(port), time.Second)
 	if err != nil {
 		return nil, err
 	}
@@ -71,24 +71,24 @@
 }
 
 // begin notes a request before anything of it is sent.
-func (f *Fleet) begin(q *request, node *process) {
+func (f *Fleet) recordStart(q *request, node *process) {
 	q.Node, q.Began, q.Ended = node.name, f.now(), -1
-	f.note(func(r *record) { r.Requests = append(r.Requests, q) })
+	f.update(func(r *record) { r.Requests = append(r.Requests, q) })
 }
 
 // end notes what became of it.
-func (f *Fleet) end(q *request, status int, whole bool, answer string) {
+func (f *Fleet) recordEnd(q *request, status int, whole bool, answer string) {
 	at := f.now()
-	f.note(func(*record) { q.Ended, q.Status, q.Whole, q.Answer = at, status, whole, answer })
+	f.update(func(*record) { q.Ended, q.Status, q.Whole, q.Answer = at, status, whole, answer })
 }
 
 // ask makes a request over a connection and waits for its answer. It reports whether
 // the connection can be used again.
 func (f *Fleet) ask(c *connection, q *request) bool {
-	f.begin(q, c.node)
-	c.SetDeadline(time.Now().Add(deadline + held + time.Second))
+	f.recordStart(q, c.node)
+	c.SetDeadline(time.Now().Add(deadline + answerGrace + time.Second))
 	if _, err := io.WriteString(c, q.head(keyOf(q.Tenant))+q.Body); err != nil {
-		f.end(q, 0, false, "")
+		f.recordEnd(q, 0, false, "")
 		return false
 	}
 	return f.answer(c, q)
@@ -97,34 +97,34 @@
 func (f *Fleet) answer(c *connection, q *request) bool {
 	got, err := http.ReadResponse(c.reader, &http.Request{Method: q.Method})
 	if err != nil {
-		f.end(q, 0, false, "")
+		f.recordEnd(q, 0, false, "")
 		return false
 	}
 	body, err := io.ReadAll(got.Body)
 	if seal := got.Header.Get("Saffronfall-Seal"); err == nil && got.StatusCode == http.StatusOK && seal != "seal-"+q.Attempt {
-		f.found(RuleAnswers, "attempt %s at %s got a success sealed %q", q.Attempt, q.Node, seal)
+		f.recordBreach(RuleAnswers, "attempt %s at %s got a success sealed %q", q.Attempt, q.Node, seal)
 	}
 	if id := got.Header.Get("Saffronfall-Attempt"); id != "" && id != q.Attempt {
-		f.found(RuleAnswers, "attempt %s at %s got the answer to %s", q.Attempt, q.Node, id)
+		f.recordBreach(RuleAnswers, "attempt %s at %s got the answer to %s", q.Attempt, q.Node, id)
 	}
-	f.end(q, got.StatusCode, err == nil, string(body))
+	f.recordEnd(q, got.StatusCode, err == nil, string(body))
 	return err == nil && !got.Close
 }
 
 // anyNode is a node by chance, as requesters are spread by hash.
 func (f *Fleet) anyNode() *process {
-	nodes := f.of(roleNode)
+	nodes := f.withRole(roleNode)
 	return nodes[rand.IntN(len(nodes))]
 }
 
 // requester is one stand-in requester, which may keep its connection.
 type requester struct {
-	fleet  *Fleet
-	tenant string
-	name   string
-	count  int
-	keeps  bool
-	kept   *connection
+	fleet     *Fleet
+	tenant    string
+	name      string
+	count     int
+	keepAlive bool
+	idle      *connection
 }
 
 func (r *requester) attempt() string {
@@ -134,16 +134,16 @@
 
 // send sends one request, over a kept connection where there is one.
 func (r *requester) send(q *request) *request {
-	c := r.kept
-	r.kept = nil
+	c := r.idle
+	r.idle = nil
 	if c == nil {
 		var err error
 		if c, err = dialNode(r.fleet.anyNode()); err != nil {
 			return q
 		}
 	}
-	if r.fleet.ask(c, q) && r.keeps {
-		r.kept = c
+	if r.fleet.ask(c, q) && r.keepAlive {
+		r.idle = c
 		return q
 	}
 	c.Close()
@@ -151,10 +151,10 @@
 }
 
 // closes lets go of a kept connection.
-func (r *requester) closes() {
-	if r.kept != nil {
-		r.kept.Close()
-		r.kept = nil
+func (r *requester) close() {
+	if r.idle != nil {
+		r.idle.Close()
+		r.idle = nil
 	}
 }
 
@@ -164,7 +164,7 @@
 
 // live lets one requester make requests of a kind until the context ends.
 func (r *requester) live(ctx context.Context, one func(ctx context.Context), between time.Duration) {
-	defer r.closes()
+	defer r.close()
 	for ctx.Err() == nil {
 		one(ctx)
 		pause(ctx, time.Duration(rand.Int64N(int64(between))))
@@ -197,14 +197,14 @@
 		q := r.request(kindKept, http.MethodPost, fmt.Sprintf("turn %d of %s;", turns, r.tenant))
 		q.Previous, q.Before = previous, before
 		if r.send(q); q.Whole && q.Status == http.StatusOK {
-			previous, before = q.Attempt, before+q.Body+spoken(q.Answer)
+			previous, before = q.Attempt, before+q.Body+eventText(q.Answer)
 		}
 		pause(ctx, 50*time.Millisecond)
 	}
 }
 
 // spoken is what a stream said: the data of its events, each followed by a line feed.
-func spoken(stream string) string {
+func eventText(stream string) string {
 	var text strings.Builder
 	for _, line := range strings.Split(stream, "\n") {
 		if data, ok := strings.CutPrefix(line, "data: "); ok {
@@ -216,7 +216,7 @@
 
 // populate lets requesters, operators and rude requesters live. It returns how to end
 // them, and what tells that they have ended.
-func (f *Fleet) populate(parent context.Context) (end context.CancelFunc, ended <-chan struct{}) {
+func (f *Fleet) startClients(parent context.Context) (end context.CancelFunc, ended <-chan struct{}) {
 	ctx, cancel := context.WithCancel(parent)
 	done, count := make(chan struct{}), 0
 	begin := func(live func()) {
@@ -230,7 +230,7 @@
 		for _, tenant := range []string{tenantFirst, tenantSecond} {
 			// Requesters of two tenants name their attempts alike.
 			named := func(kind string) *requester {
-				return &requester{fleet: f, tenant: tenant, name: fmt.Sprintf("%s%d", kind, i), keeps: i == 0}
+				return &requester{fleet: f, tenant: tenant, name: fmt.Sprintf("%s%d", kind, i), keepAlive: i == 0}
 			}
 			alerts, notices, programs, conversations := named("a"), named("o"), named("c"), named("k")
 			begin(func() { alerts.live(ctx, alerts.alert, 60*time.Millisecond) })
@@ -240,11 +240,11 @@
 		}
 	}
 	for i := range 3 {
-		flood := &requester{fleet: f, tenant: tenantLimited, name: fmt.Sprint("l", i), keeps: true}
+		flood := &requester{fleet: f, tenant: tenantLimited, name: fmt.Sprint("l", i), keepAlive: true}
 		begin(func() { flood.live(ctx, flood.alert, 20*time.Millisecond) })
 	}
-	begin(func() { f.beRude(ctx) })
-	begin(func() { f.table.operate(ctx) })
+	begin(func() { f.runMisbehaving(ctx) })
+	begin(func() { f.operator.operate(ctx) })
 	over := make(chan struct{})
 	go func() {
 		for range count {
--- a/rehearsalkit/soak/power.go
+++ b/rehearsalkit/soak/disk_link_faults.go
@@ -12,100 +12,100 @@
 
 // diskUpheavals are what befalls disks and their power. Cores keep what must last, so
 // theirs fail; other roles lose power as they would be killed.
-var diskUpheavals = []upheaval{
+var diskFaults = []faultKind{
 	{"disk full", 2, onCore(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
-		p.ail(ctx, "full=true")
+		p.setDiskFaults(ctx, "full=true")
 		pause(ctx, between(random, 300*time.Millisecond, 4*time.Second))
-		p.ail(ctx, "")
+		p.setDiskFaults(ctx, "")
 	})},
 	{"disk slow", 2, onCore(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
-		p.ail(ctx, fmt.Sprintf("slow_ms=%d", 5+random.IntN(75)))
+		p.setDiskFaults(ctx, fmt.Sprintf("slow_ms=%d", 5+random.IntN(75)))
 		pause(ctx, between(random, 500*time.Millisecond, 4*time.Second))
-		p.ail(ctx, "")
+		p.setDiskFaults(ctx, "")
 	})},
 	{"disk stalled", 2, onCore(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
-		p.ail(ctx, "stalled=true")
+		p.setDiskFaults(ctx, "stalled=true")
 		pause(ctx, between(random, 300*time.Millisecond, 5*time.Second))
-		p.ail(ctx, "")
+		p.setDiskFaults(ctx, "")
 	})},
 	{"power lost", 4, onProcess(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
-		p.powerOff()
+		p.losePower()
 		pause(ctx, between(random, 0, 1500*time.Millisecond))
 		p.start()
 	})},
 	{"power lost by several", 2, func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 		several := slices.Clone(f.processes)
 		random.Shuffle(len(several), func(i, j int) { several[i], several[j] = several[j], several[i] })
-		return f.loseTogether(ctx, random, several[:2+random.IntN(len(several)-2)])
+		return f.cutPower(ctx, random, several[:2+random.IntN(len(several)-2)])
 	}},
 	{"power lost by all", 2, func(f *Fleet, ctx context.Context, random *rand.Rand) string {
-		return f.loseTogether(ctx, random, f.processes)
+		return f.cutPower(ctx, random, f.processes)
 	}},
 }
 
 // onCore makes a trouble of what befalls one core that has no other trouble of its own.
 func onCore(what func(f *Fleet, ctx context.Context, random *rand.Rand, p *process)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	return func(f *Fleet, ctx context.Context, random *rand.Rand) string {
-		cores := f.of(roleCore)
+		cores := f.withRole(roleCore)
 		p := cores[random.IntN(len(cores))]
-		if !f.take(p) {
+		if !f.acquire(p) {
 			return ""
 		}
-		defer f.give(p)
-		p.check()
+		defer f.release(p)
+		p.checkExit()
 		what(f, ctx, random, p)
 		return p.name
 	}
 }
 
 // takenWithin is how long a trouble of several processes waits for those of single ones.
-const takenWithin = 4 * time.Second
+const acquireTimeout = 4 * time.Second
 
 // loseTogether takes the power from processes at one moment, and gives it back to each
 // after a time of its own.
-func (f *Fleet) loseTogether(ctx context.Context, random *rand.Rand, whom []*process) string {
-	whom = slices.Clone(whom)
-	waiting, cancel := context.WithTimeout(ctx, takenWithin)
+func (f *Fleet) cutPower(ctx context.Context, random *rand.Rand, targets []*process) string {
+	targets = slices.Clone(targets)
+	waiting, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	var names []string
-	for i, p := range whom {
+	for i, p := range targets {
 		select {
 		case f.busy[p] <- struct{}{}:
 		case <-waiting.Done():
-			f.giveAll(whom[:i])
+			f.releaseAll(targets[:i])
 			return ""
 		}
 		names = append(names, p.name)
 	}
-	defer f.giveAll(whom)
+	defer f.releaseAll(targets)
 	off := make(chan struct{})
-	for _, p := range whom {
-		p.check()
+	for _, p := range targets {
+		p.checkExit()
 		go func() {
-			p.powerOff()
+			p.losePower()
 			off <- struct{}{}
 		}()
 	}
-	for range whom {
+	for range targets {
 		<-off
 	}
 	pause(ctx, between(random, 0, time.Second))
-	random.Shuffle(len(whom), func(i, j int) { whom[i], whom[j] = whom[j], whom[i] })
-	for _, p := range whom {
+	random.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
+	for _, p := range targets {
 		p.start()
 		pause(ctx, between(random, 0, 150*time.Millisecond))
 	}
 	return strings.Join(names, " ")
 }
 
-func (f *Fleet) giveAll(whom []*process) {
-	for _, p := range whom {
-		f.give(p)
+func (f *Fleet) releaseAll(targets []*process) {
+	for _, p := range targets {
+		f.release(p)
 	}
 }
 
 // ail tells a core's disk what ails it.
-func (p *process) ail(ctx context.Context, query string) {
+func (p *process) setDiskFaults(ctx context.Context, query string) {
 	p.control(ctx, http.MethodPut, "/faults?"+query)
 }
 
@@ -113,7 +113,7 @@
 func (p *process) control(ctx context.Context, method, path string) bool {
 	within, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	r, err := http.NewRequestWithContext(within, method, "http://"+p.at(diskPort)+path, nil)
+	r, err := http.NewRequestWithContext(within, method, "http://"+p.address(diskPort)+path, nil)
 	if err != nil {
 		return false
 	}
@@ -127,7 +127,7 @@
 
 // powerOff ends a life as a loss of power does: a core's disk keeps what was synced, and
 // the rest by chance.
-func (p *process) powerOff() {
+func (p *process) losePower() {
 	if p.command != nil && p.role == roleCore {
 		// The core ends without an answer. One that is not up yet has nothing to lose.
 		p.control(context.Background(), http.MethodPost, "/power")
@@ -136,7 +136,7 @@
 }
 
 // linkUpheavals are what befalls the links between requesters, nodes and replicas.
-var linkUpheavals = []upheaval{
+var linkFaults = []faultKind{
 	{"requesters cut off", 2, onNodeLink(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
 		f.links.Cut(ctx, outside, p.ip, true)
 		pause(ctx, between(random, 300*time.Millisecond, 3*time.Second))
@@ -179,9 +179,9 @@
 // onReplicaLink makes a trouble of what befalls the link between nodes and one replica.
 func onReplicaLink(what func(f *Fleet, ctx context.Context, random *rand.Rand, ip string)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	return func(f *Fleet, ctx context.Context, random *rand.Rand) string {
-		var relayed []*place
-		for _, p := range f.replicas.places {
-			if p.behind != p.address {
+		var relayed []*endpoint
+		for _, p := range f.replicas.endpoints {
+			if p.listenAddress != p.address {
 				relayed = append(relayed, p)
 			}
 		}
--- a/rehearsalkit/soak/trouble.go
+++ b/rehearsalkit/soak/faults.go
@@ -9,15 +9,15 @@
 )
 
 // upheaval is one kind of trouble. It brings it about, waits and takes it back.
-type upheaval struct {
+type faultKind struct {
 	name string
 	// weight is how often it comes, among the others.
 	weight int
-	befall func(f *Fleet, ctx context.Context, random *rand.Rand) (whom string)
+	inject func(f *Fleet, ctx context.Context, random *rand.Rand) (targets string)
 }
 
 // upheavals are all kinds.
-var upheavals = []upheaval{
+var processFaults = []faultKind{
 	{"kill", 4, onProcess(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
 		p.kill()
 		pause(ctx, between(random, 0, 1500*time.Millisecond))
@@ -36,7 +36,7 @@
 	})},
 	{"end", 4, onProcess(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
 		p.signal(syscall.SIGTERM)
-		p.wait()
+		p.waitExit()
 		p.start()
 	})},
 	{"end twice, with a reload", 2, onProcess(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
@@ -45,7 +45,7 @@
 			pause(ctx, between(random, 0, 400*time.Millisecond))
 			p.signal(s)
 		}
-		p.wait()
+		p.waitExit()
 		p.start()
 	})},
 	{"end while it starts", 2, onProcess(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
@@ -53,7 +53,7 @@
 		p.start()
 		pause(ctx, between(random, 0, 120*time.Millisecond))
 		p.signal(syscall.SIGTERM)
-		p.wait()
+		p.waitExit()
 		p.start()
 	})},
 	{"reload while it starts", 2, onProcess(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
@@ -93,16 +93,16 @@
 		f.links.Reset(ctx, p.ip)
 	})},
 	{"replica leaves", 3, func(f *Fleet, ctx context.Context, random *rand.Rand) string {
-		return f.replicas.befall(random, func(p *place) {
+		return f.replicas.withEndpoint(random, func(p *endpoint) {
 			p.leave(ctx, random.IntN(3) == 0)
-			p.begin(ctx)
+			p.start(ctx)
 		})
 	}},
 	{"replica crashes", 2, func(f *Fleet, ctx context.Context, random *rand.Rand) string {
-		return f.replicas.befall(random, func(p *place) {
+		return f.replicas.withEndpoint(random, func(p *endpoint) {
 			p.crash()
 			pause(ctx, between(random, 0, 2*time.Second))
-			p.begin(ctx)
+			p.start(ctx)
 		})
 	}},
 }
@@ -116,17 +116,17 @@
 func onProcess(what func(f *Fleet, ctx context.Context, random *rand.Rand, p *process)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	return func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 		p := f.processes[random.IntN(len(f.processes))]
-		if !f.take(p) {
+		if !f.acquire(p) {
 			return ""
 		}
-		defer f.give(p)
-		p.check()
+		defer f.release(p)
+		p.checkExit()
 		what(f, ctx, random, p)
 		return p.name
 	}
 }
 
-func (f *Fleet) take(p *process) bool {
+func (f *Fleet) acquire(p *process) bool {
 	select {
 	case f.busy[p] <- struct{}{}:
 		return true
@@ -135,7 +135,7 @@
 	}
 }
 
-func (f *Fleet) give(p *process) { <-f.busy[p] }
+func (f *Fleet) release(p *process) { <-f.busy[p] }
 
 // loseDisk ends a core and empties its folder. One disk at a time may be lost, until
 // the fleet has had time to make up for it.
@@ -145,10 +145,10 @@
 	default:
 		return ""
 	}
-	const madeUp = 8 * time.Second
-	cores := f.of(roleCore)
+	const recoveryTime = 8 * time.Second
+	cores := f.withRole(roleCore)
 	p := cores[random.IntN(len(cores))]
-	if !f.take(p) {
+	if !f.acquire(p) {
 		<-f.diskLost
 		return ""
 	}
@@ -156,9 +156,9 @@
 	os.RemoveAll(p.dataFolder())
 	pause(ctx, between(random, 0, time.Second))
 	p.start()
-	f.give(p)
+	f.release(p)
 	go func() {
-		pause(ctx, madeUp)
+		pause(ctx, recoveryTime)
 		<-f.diskLost
 	}()
 	return p.name
@@ -206,7 +206,7 @@
 // halves cuts the cores and desks into two sides; nodes reach both.
 func halves(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	var one, rest []*process
-	for _, p := range append(f.of(roleCore), f.of(roleDesk)...) {
+	for _, p := range append(f.withRole(roleCore), f.withRole(roleDesk)...) {
 		if random.IntN(2) == 0 {
 			one = append(one, p)
 		} else {
@@ -225,8 +225,8 @@
 }
 
 // befall brings something about at a place that has no other trouble.
-func (r *replicas) befall(random *rand.Rand, what func(p *place)) string {
-	p := r.places[random.IntN(len(r.places))]
+func (r *replicas) withEndpoint(random *rand.Rand, what func(p *endpoint)) string {
+	p := r.endpoints[random.IntN(len(r.endpoints))]
 	select {
 	case p.busy <- struct{}{}:
 	default:
@@ -238,17 +238,17 @@
 }
 
 // kinds are the troubles that may come.
-func (f *Fleet) kinds() []upheaval {
-	kinds := append(append([]upheaval(nil), upheavals...), linkUpheavals...)
+func (f *Fleet) kinds() []faultKind {
+	kinds := append(append([]faultKind(nil), processFaults...), linkFaults...)
 	if f.DiskBinary != "" {
-		kinds = append(kinds, diskUpheavals...)
+		kinds = append(kinds, diskFaults...)
 	}
 	return kinds
 }
 
 // upheave lets troubles come for a time, overlapping as they may, and returns when
 // all are over.
-func (f *Fleet) upheave(ctx context.Context) {
+func (f *Fleet) injectFaults(ctx context.Context) {
 	all, kinds := 0, f.kinds()
 	for _, u := range kinds {
 		all += u.weight
@@ -265,16 +265,16 @@
 		random := rand.New(rand.NewPCG(f.random.Uint64(), f.random.Uint64()))
 		begun++
 		go func() {
-			f.bring(ctx, chosen, random)
+			f.injectFault(ctx, chosen, random)
 			done <- struct{}{}
 		}()
-		pause(ctx, time.Duration(f.random.ExpFloat64()/f.Troubles*float64(time.Second)))
+		pause(ctx, time.Duration(f.random.ExpFloat64()/f.Faults*float64(time.Second)))
 	}
 	for range begun {
 		<-done
 	}
 	for _, p := range f.processes {
-		p.check()
+		p.checkExit()
 	}
 }
 
@@ -282,13 +282,13 @@
 // replica of each service leaves in good order: in calm times nothing may reach it
 // beyond the bound.
 func (f *Fleet) settle(ctx context.Context) {
-	pause(ctx, contactTime+time.Second)
+	pause(ctx, contactTimeout+time.Second)
 	done := make(chan struct{})
-	leaving := []*place{f.replicas.places[0], f.replicas.places[len(f.replicas.places)-1]}
+	leaving := []*endpoint{f.replicas.endpoints[0], f.replicas.endpoints[len(f.replicas.endpoints)-1]}
 	for i, p := range leaving {
 		go func() {
 			p.leave(ctx, i == 0)
-			p.begin(ctx)
+			p.start(ctx)
 			done <- struct{}{}
 		}()
 	}
@@ -299,13 +299,13 @@
 }
 
 // bring brings one trouble about and notes it.
-func (f *Fleet) bring(ctx context.Context, u upheaval, random *rand.Rand) {
-	t := trouble{Kind: u.name, From: f.now()}
-	if t.Whom = u.befall(f, ctx, random); t.Whom == "" {
+func (f *Fleet) injectFault(ctx context.Context, u faultKind, random *rand.Rand) {
+	t := fault{Kind: u.name, From: f.now()}
+	if t.Target = u.inject(f, ctx, random); t.Target == "" {
 		return
 	}
 	t.To = f.now()
-	f.note(func(r *record) { r.Troubles = append(r.Troubles, t) })
+	f.update(func(r *record) { r.Faults = append(r.Faults, t) })
 	if f.Logf != nil {
 		f.Logf("seed %d: %s", f.Seed, t)
 	}
--- a/rehearsalkit/soak/fleet.go
+++ b/rehearsalkit/soak/fleet.go
@@ -22,14 +22,14 @@
 
 // Bounds of the rehearsed fleet, by which its settings are made and it is judged.
 const (
-	beat        = 300 * time.Millisecond
-	graceTime   = 1800 * time.Millisecond
-	applyTime   = 2 * time.Second
-	drainBound  = 2 * time.Second
-	contactTime = 3 * time.Second
-	rateWindow  = 5 * time.Second
-	rateSlack   = 2
-	keepTime    = time.Minute
+	heartbeatInterval = 300 * time.Millisecond
+	gracePeriod       = 1800 * time.Millisecond
+	applyTimeout      = 2 * time.Second
+	drainTimeout      = 2 * time.Second
+	contactTimeout    = 3 * time.Second
+	rateWindow        = 5 * time.Second
+	rateSlack         = 2
+	historyRetention  = time.Minute
 	// routeTimeout is the longest that a request is held.
 	routeTimeout = 3 * time.Second
 )
@@ -44,19 +44,19 @@
 	// troubles come, Settle how long they live after the last one is over.
 	Calm, Length, Settle time.Duration
 	// Troubles is how many come in a second, at the mean.
-	Troubles float64
-	Logf     func(format string, args ...any)
+	Faults float64
+	Logf   func(format string, args ...any)
 }
 
 // Fleet is a running fleet with its requesters, replicas and operators.
 type Fleet struct {
 	Options
-	*journal
+	*recorder
 	random    *rand.Rand
 	links     *links.Links
 	processes []*process
 	replicas  *replicas
-	table     *tables
+	operator  *tableOperator
 	client    *http.Client
 	// busy lets one trouble at a time have a process.
 	busy map[*process]chan struct{}
@@ -82,9 +82,9 @@
 )
 
 func newFleet(ctx context.Context, o Options) (*Fleet, error) {
-	f := &Fleet{Options: o, journal: newJournal(ctx), random: rand.New(rand.NewPCG(o.Seed, 21)), links: links.New(ctx), busy: map[*process]chan struct{}{},
+	f := &Fleet{Options: o, recorder: newRecorder(ctx), random: rand.New(rand.NewPCG(o.Seed, 21)), links: links.New(ctx), busy: map[*process]chan struct{}{},
 		diskLost: make(chan struct{}, 1), client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
-	f.replicas, f.table = newReplicas(f), &tables{fleet: f}
+	f.replicas, f.operator = newReplicas(f), &tableOperator{fleet: f}
 	for i, name := range []string{"core1", "core2", "core3", "desk1", "desk2", "node1", "node2", "node3"} {
 		p := &process{fleet: f, name: name, role: map[string]string{"core": roleCore, "desk": roleDesk, "node": roleNode}[name[:4]], ip: o.host(hostFleet, i+1), folder: filepath.Join(o.Folder, name)}
 		f.processes = append(f.processes, p)
@@ -92,12 +92,12 @@
 	}
 	for i, p := range f.processes {
 		p.settings = f.settingsOf(p, fmt.Sprintf("zone%d", i%3+1))
-		if err := f.links.Relay(ctx, p.at(relayedPort), p.at(peerPort)); err != nil {
+		if err := f.links.Relay(ctx, p.address(relayedPort), p.address(peerPort)); err != nil {
 			return nil, err
 		}
 	}
-	for _, p := range f.of(roleNode) {
-		if err := f.links.Relay(ctx, p.at(relayedClientPort), p.at(clientPort)); err != nil {
+	for _, p := range f.withRole(roleNode) {
+		if err := f.links.Relay(ctx, p.address(relayedClientPort), p.address(clientPort)); err != nil {
 			return nil, err
 		}
 	}
@@ -106,13 +106,13 @@
 
 func (f *Fleet) settingsOf(p *process, zone string) map[string]any {
 	var seeds []string
-	for _, desk := range f.of(roleDesk) {
-		seeds = append(seeds, desk.at(relayedPort))
+	for _, desk := range f.withRole(roleDesk) {
+		seeds = append(seeds, desk.address(relayedPort))
 	}
 	s := map[string]any{"id": p.name, "zone": zone, "seeds": seeds, "fleet_secret": fleetSecret, "operator_key": operatorKey, "replica_key": replicaKey,
-		"peer_listen": p.at(peerPort), "peer_advertise": p.at(relayedPort), "operator_listen": p.at(operatorPort), "metrics_listen": p.at(metricsPort),
-		"owner_term_ms": contactTime.Milliseconds() / 6, "member_term_ms": contactTime.Milliseconds() / 2, "pull_ms": 150, "retry_ms": 125, "core_gone_ms": 2200,
-		"grace_ms": graceTime.Milliseconds(), "beat_ms": beat.Milliseconds(), "follow_ms": beat.Milliseconds() / 2, "order_ms": 3000, "rate_window_ms": rateWindow.Milliseconds(),
+		"peer_listen": p.address(peerPort), "peer_advertise": p.address(relayedPort), "operator_listen": p.address(operatorPort), "metrics_listen": p.address(metricsPort),
+		"owner_term_ms": contactTimeout.Milliseconds() / 6, "member_term_ms": contactTimeout.Milliseconds() / 2, "pull_ms": 150, "retry_ms": 125, "core_gone_ms": 2200,
+		"grace_ms": gracePeriod.Milliseconds(), "beat_ms": heartbeatInterval.Milliseconds(), "follow_ms": heartbeatInterval.Milliseconds() / 2, "order_ms": 3000, "rate_window_ms": rateWindow.Milliseconds(),
 		"rate_overshoot": 0.1, "rate_slack": rateSlack, "dial_ms": 300, "not_ready_ms": 700, "cold_start": true, "strict_invariants": true}
 	switch p.role {
 	case roleCore:
@@ -120,13 +120,13 @@
 	case roleDesk:
 		s["folder"], s["founds"] = p.dataFolder(), p.name == "desk1"
 	default:
-		s["requester_listen"], s["ready_listen"] = p.at(clientPort), p.at(readyPort)
+		s["requester_listen"], s["ready_listen"] = p.address(clientPort), p.address(readyPort)
 	}
 	return s
 }
 
 // of lists the processes of a role.
-func (f *Fleet) of(role string) (list []*process) {
+func (f *Fleet) withRole(role string) (list []*process) {
 	for _, p := range f.processes {
 		if p.role == role {
 			list = append(list, p)
@@ -136,7 +136,7 @@
 }
 
 // up starts everything and puts a first table in force.
-func (f *Fleet) up(ctx context.Context) error {
+func (f *Fleet) start(ctx context.Context) error {
 	for _, p := range f.processes {
 		if err := p.writeSettings(nil); err != nil {
 			return err
@@ -147,11 +147,11 @@
 	}
 	f.replicas.fill(ctx)
 	const within = 20 * time.Second
-	if !f.until(ctx, within, func() bool { return f.table.hand(ctx, f.of(roleDesk)[0], 0, 1) == http.StatusOK }) {
+	if !f.waitUntil(ctx, within, func() bool { return f.operator.apply(ctx, f.withRole(roleDesk)[0], 0, 1) == http.StatusOK }) {
 		return errors.Newf("no first table within %v", within)
 	}
-	for _, p := range f.of(roleNode) {
-		if !f.until(ctx, within, func() bool { return f.ready(p) }) {
+	for _, p := range f.withRole(roleNode) {
+		if !f.waitUntil(ctx, within, func() bool { return f.ready(p) }) {
 			return errors.Newf("%s is not ready within %v", p.name, within)
 		}
 	}
@@ -168,7 +168,7 @@
 	return nil
 }
 
-func (f *Fleet) until(ctx context.Context, within time.Duration, met func() bool) bool {
+func (f *Fleet) waitUntil(ctx context.Context, within time.Duration, met func() bool) bool {
 	for end := f.now() + within; f.now() < end && ctx.Err() == nil; pause(ctx, 50*time.Millisecond) {
 		if met() {
 			return true
@@ -178,7 +178,7 @@
 }
 
 func (f *Fleet) ready(p *process) bool {
-	answer, err := f.client.Get("http://" + p.at(readyPort) + "/")
+	answer, err := f.client.Get("http://" + p.address(readyPort) + "/")
 	if err != nil {
 		return false
 	}
@@ -198,7 +198,7 @@
 type Report struct {
 	Seed     uint64
 	Breaches []Breach
-	Troubles []trouble
+	Faults   []fault
 	// Served and Asked count requests by kind.
 	Served, Asked map[string]int
 	// Runs counts what replicas ran.
@@ -206,13 +206,13 @@
 }
 
 // neverUp reports a fleet that did not come up, with what its processes logged.
-func (f *Fleet) neverUp(cause error) Report {
+func (f *Fleet) startFailure(cause error) Report {
 	for _, p := range f.processes {
-		p.check()
+		p.checkExit()
 		p.readLog()
 	}
-	all := f.copied()
-	return Report{Seed: f.Seed, Breaches: append(all.Found, breach(RuleServed, "the fleet did not come up: %v", cause))}
+	all := f.snapshot()
+	return Report{Seed: f.Seed, Breaches: append(all.Breaches, breach(RuleServed, "the fleet did not come up: %v", cause))}
 }
 
 // Run runs one seed.
@@ -224,22 +224,22 @@
 		return Report{}, err
 	}
 	defer f.stop()
-	if err := f.up(ctx); err != nil {
-		return f.neverUp(err), nil
+	if err := f.start(ctx); err != nil {
+		return f.startFailure(err), nil
 	}
-	base := f.levels(ctx)
-	living, ended := f.populate(ctx)
+	base := f.allResources(ctx)
+	stopClients, ended := f.startClients(ctx)
 	pause(ctx, o.Calm)
-	f.upheave(ctx)
+	f.injectFaults(ctx)
 	f.settle(ctx)
-	f.lastLook(ctx)
-	living()
+	f.readFinalTables(ctx)
+	stopClients()
 	<-ended
-	f.back(ctx, base)
-	all := f.copied()
-	report := Report{Seed: o.Seed, Breaches: all.judge(), Troubles: all.Troubles, Served: map[string]int{}, Asked: map[string]int{}, Runs: len(all.Runs)}
+	f.checkReleased(ctx, base)
+	all := f.snapshot()
+	report := Report{Seed: o.Seed, Breaches: all.judge(), Faults: all.Faults, Served: map[string]int{}, Asked: map[string]int{}, Runs: len(all.Runs)}
 	for _, q := range all.Requests {
-		if !q.Rude {
+		if !q.Misbehaving {
 			report.Asked[q.Kind]++
 			if q.Whole && q.Status < 300 {
 				report.Served[q.Kind]++
--- a/rehearsalkit/soak/judge.go
+++ b/rehearsalkit/soak/judge.go
@@ -11,36 +11,36 @@
 
 // Names of the rules that a run is judged by.
 const (
-	RuleOnce     = "runs at most once"
-	RulePromised = "refused is never run"
-	RuleAnswers  = "answers are the replica's whole"
-	RuleUnasked  = "only what was asked runs, unchanged"
-	RuleBudget   = "budget"
-	RuleSpent    = "refused for its budget only when it cannot fit"
-	RuleKept     = "kept turns are found"
-	RuleChain    = "replicas get the chain of former turns"
-	RuleRate     = "rate"
-	RuleTables   = "acknowledged tables stay"
-	RuleRace     = "one table on one base"
-	RuleLeaving  = "leaving replicas are left alone"
-	RuleHeld     = "no request is held beyond its time"
-	RuleServed   = "served once the troubles are over"
-	RuleBack     = "nothing is held when requesters are gone"
-	RuleEnds     = "no process ends by itself, and all end when told"
-	RuleChecked  = "invariants hold in the code"
+	RuleOnce          = "runs at most once"
+	RuleNotRun        = "refused is never run"
+	RuleAnswers       = "answers are the replica's whole"
+	RuleRequested     = "only what was asked runs, unchanged"
+	RuleBudget        = "budget"
+	RuleBudgetRefusal = "refused for its budget only when it cannot fit"
+	RuleHistory       = "kept turns are found"
+	RuleChain         = "replicas get the chain of former turns"
+	RuleRate          = "rate"
+	RuleTables        = "acknowledged tables stay"
+	RuleRace          = "one table on one base"
+	RuleLeaving       = "leaving replicas are left alone"
+	RuleDeadline      = "no request is held beyond its time"
+	RuleServed        = "served once the troubles are over"
+	RuleReleased      = "nothing is held when requesters are gone"
+	RuleExit          = "no process ends by itself, and all end when told"
+	RuleInvariants    = "invariants hold in the code"
 )
 
 // name names a request: two tenants may use the same id.
-func name(tenant, attempt string) string { return tenant + "/" + attempt }
+func requestKey(tenant, attempt string) string { return tenant + "/" + attempt }
 
 // judge holds the record against the rules.
 func (r *record) judge() []Breach {
 	runs := map[string][]run{}
 	for _, one := range r.Runs {
-		runs[name(one.Tenant, one.Attempt)] = append(runs[name(one.Tenant, one.Attempt)], one)
+		runs[requestKey(one.Tenant, one.Attempt)] = append(runs[requestKey(one.Tenant, one.Attempt)], one)
 	}
-	list := r.Found
-	for _, rule := range []func(runs map[string][]run) []Breach{r.judgeRuns, r.judgeAnswers, r.judgeUnasked, r.judgeBudgets, r.judgeKept, r.judgeRate, r.judgeTables, r.judgeLeaving, r.judgeHeld, r.judgeServed} {
+	list := r.Breaches
+	for _, rule := range []func(runs map[string][]run) []Breach{r.judgeRuns, r.judgeAnswers, r.judgeRequested, r.judgeBudgets, r.judgeHistory, r.judgeRate, r.judgeTables, r.judgeLeaving, r.judgeDeadlines, r.judgeServed} {
 		list = append(list, rule(runs)...)
 	}
 	return list
@@ -51,20 +51,20 @@
 }
 
 // promises are the statuses that promise that a request has not run and never will.
-var promises = map[int]bool{http.StatusPaymentRequired: true, http.StatusUnauthorized: true, http.StatusNotFound: true, http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true, http.StatusRequestTimeout: true}
+var notRunStatuses = map[int]bool{http.StatusPaymentRequired: true, http.StatusUnauthorized: true, http.StatusNotFound: true, http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true, http.StatusRequestTimeout: true}
 
 // judgeRuns looks for requests that ran too often, or after they were refused.
 func (r *record) judgeRuns(runs map[string][]run) (list []Breach) {
 	for _, q := range r.Requests {
-		ran := runs[name(q.Tenant, q.Attempt)]
+		ran := runs[requestKey(q.Tenant, q.Attempt)]
 		if q.Repeats {
 			continue
 		}
 		if (q.Kind == kindOnce || q.Kind == kindKept) && len(ran) > 1 {
 			list = append(list, breach(RuleOnce, "%s at %s ran %d times: %+v", q.Attempt, q.Node, len(ran), ran))
 		}
-		if promises[q.Status] && len(ran) > 0 {
-			list = append(list, breach(RulePromised, "%s of %s at %s was answered %d at %v and ran at %v", q.Attempt, q.Tenant, q.Node, q.Status, q.Ended, ran[0].At))
+		if notRunStatuses[q.Status] && len(ran) > 0 {
+			list = append(list, breach(RuleNotRun, "%s of %s at %s was answered %d at %v and ran at %v", q.Attempt, q.Tenant, q.Node, q.Status, q.Ended, ran[0].At))
 		}
 	}
 	return list
@@ -77,12 +77,12 @@
 			continue
 		}
 		given := false
-		for _, one := range runs[name(q.Tenant, q.Attempt)] {
+		for _, one := range runs[requestKey(q.Tenant, q.Attempt)] {
 			given = given || one.Gave == q.Answer
 		}
 		// A stream that was taken up elsewhere is joined of two runs of the same text.
 		if q.Kind == kindChat && !given {
-			for _, one := range runs[name(q.Tenant, q.Attempt)] {
+			for _, one := range runs[requestKey(q.Tenant, q.Attempt)] {
 				given = given || strings.HasSuffix(q.Answer, one.Gave) && q.Answer == wholeStream(q.Attempt)
 			}
 		}
@@ -102,21 +102,21 @@
 }
 
 // judgeUnasked looks for runs that nobody asked for, or not so.
-func (r *record) judgeUnasked(map[string][]run) (list []Breach) {
+func (r *record) judgeRequested(map[string][]run) (list []Breach) {
 	asked := map[string]*request{}
 	for _, q := range r.Requests {
-		asked[name(q.Tenant, q.Attempt)] = q
+		asked[requestKey(q.Tenant, q.Attempt)] = q
 	}
 	services := map[string]string{kindAlert: serviceApp, kindOnce: serviceApp, kindChat: serviceModel, kindKept: serviceModel}
 	for _, one := range r.Runs {
-		q := asked[name(one.Tenant, one.Attempt)]
+		q := asked[requestKey(one.Tenant, one.Attempt)]
 		switch {
 		case q == nil:
-			list = append(list, breach(RuleUnasked, "%s of tenant %q ran at %s and was never asked for", one.Attempt, one.Tenant, one.Replica))
+			list = append(list, breach(RuleRequested, "%s of tenant %q ran at %s and was never asked for", one.Attempt, one.Tenant, one.Replica))
 		case q.Method != one.Method || q.Path != one.Path || services[q.Kind] != one.Service:
-			list = append(list, breach(RuleUnasked, "%s ran as %s %s at %s", q.Attempt, one.Method, one.Path, one.Service))
+			list = append(list, breach(RuleRequested, "%s ran as %s %s at %s", q.Attempt, one.Method, one.Path, one.Service))
 		case one.Got != q.Before+q.Body && one.Got != unread:
-			rule := RuleUnasked
+			rule := RuleRequested
 			if q.Kind == kindKept {
 				rule = RuleChain
 			}
@@ -128,20 +128,20 @@
 
 // judgeBudgets sums up what programs got, and looks for turns refused without need.
 func (r *record) judgeBudgets(map[string][]run) (list []Breach) {
-	type books struct{ got, budget, most int64 }
-	programs := map[string]*books{}
+	type spending struct{ got, budget, most int64 }
+	programs := map[string]*spending{}
 	sort.SliceStable(r.Requests, func(i, k int) bool { return r.Requests[i].Began < r.Requests[k].Began })
 	for _, q := range r.Requests {
 		if q.Program == "" {
 			continue
 		}
-		b := programs[name(q.Tenant, q.Program)]
+		b := programs[requestKey(q.Tenant, q.Program)]
 		if b == nil {
-			b = &books{budget: q.Budget}
-			programs[name(q.Tenant, q.Program)] = b
+			b = &spending{budget: q.Budget}
+			programs[requestKey(q.Tenant, q.Program)] = b
 		}
 		if q.Status == http.StatusPaymentRequired && b.most+turnTokens <= b.budget {
-			list = append(list, breach(RuleSpent, "%s was refused though program %s had been asked for %d of its %d at the most", q.Attempt, q.Program, b.most, b.budget))
+			list = append(list, breach(RuleBudgetRefusal, "%s was refused though program %s had been asked for %d of its %d at the most", q.Attempt, q.Program, b.most, b.budget))
 		}
 		b.most += turnTokens
 		b.got += tokensPerEvent * int64(strings.Count(q.Answer, "data: "))
@@ -155,17 +155,17 @@
 }
 
 // judgeKept looks for kept turns that were said not to be there.
-func (r *record) judgeKept(map[string][]run) (list []Breach) {
+func (r *record) judgeHistory(map[string][]run) (list []Breach) {
 	whole := map[string]time.Duration{}
 	for _, q := range r.Requests {
 		if q.Kind == kindKept && q.Whole && q.Status == http.StatusOK {
-			whole[name(q.Tenant, q.Attempt)] = q.Ended
+			whole[requestKey(q.Tenant, q.Attempt)] = q.Ended
 		}
 	}
 	for _, q := range r.Requests {
-		ended, ok := whole[name(q.Tenant, q.Previous)]
-		if q.Status == http.StatusNotFound && q.Previous != "" && ok && q.Began < ended+keepTime {
-			list = append(list, breach(RuleKept, "%s of %s at %s got 404 at %v; %s had come whole at %v", q.Attempt, q.Tenant, q.Node, q.Ended, q.Previous, ended))
+		ended, ok := whole[requestKey(q.Tenant, q.Previous)]
+		if q.Status == http.StatusNotFound && q.Previous != "" && ok && q.Began < ended+historyRetention {
+			list = append(list, breach(RuleHistory, "%s of %s at %s got 404 at %v; %s had come whole at %v", q.Attempt, q.Tenant, q.Node, q.Ended, q.Previous, ended))
 		}
 	}
 	return list
@@ -194,7 +194,7 @@
 // another.
 func (r *record) judgeTables(map[string][]run) (list []Breach) {
 	taken := map[uint64]uint64{}
-	for _, o := range r.Orders {
+	for _, o := range r.Updates {
 		if o.Status != http.StatusOK {
 			continue
 		}
@@ -206,9 +206,9 @@
 		}
 		taken[o.Base] = o.Number
 	}
-	for _, read := range r.Readings {
-		for _, o := range r.Orders {
-			if o.Status == http.StatusOK && o.Ended+applyTime < read.Began && read.Number < o.Number {
+	for _, read := range r.Reads {
+		for _, o := range r.Updates {
+			if o.Status == http.StatusOK && o.Ended+applyTimeout < read.Began && read.Number < o.Number {
 				list = append(list, breach(RuleTables, "%s told table %d at %v; %d was acknowledged at %v", read.Desk, read.Number, read.Ended, o.Number, o.Ended))
 			}
 		}
@@ -220,17 +220,17 @@
 // that it leaves, at times when nothing was in trouble.
 func (r *record) judgeLeaving(map[string][]run) (list []Breach) {
 	left := map[string]time.Duration{}
-	for _, w := range r.Words {
+	for _, w := range r.Departures {
 		left[w.Replica] = w.At
 	}
 	nodes := map[string]string{}
 	for _, q := range r.Requests {
-		nodes[name(q.Tenant, q.Attempt)] = q.Node
+		nodes[requestKey(q.Tenant, q.Attempt)] = q.Node
 	}
 	for _, one := range r.Runs {
 		at, ok := left[one.Replica]
-		if ok && one.At > at+drainBound && r.calm(at, one.At) {
-			list = append(list, breach(RuleLeaving, "%s ran at %s by %s at %v; a desk had acknowledged at %v that it leaves", one.Attempt, one.Replica, nodes[name(one.Tenant, one.Attempt)], one.At, at))
+		if ok && one.At > at+drainTimeout && r.faultFree(at, one.At) {
+			list = append(list, breach(RuleLeaving, "%s ran at %s by %s at %v; a desk had acknowledged at %v that it leaves", one.Attempt, one.Replica, nodes[requestKey(one.Tenant, one.Attempt)], one.At, at))
 		}
 	}
 	return list
@@ -238,9 +238,9 @@
 
 // calm reports whether no process and no link was in trouble in a time, nor for
 // contactTime before it.
-func (r *record) calm(from, to time.Duration) bool {
-	for _, t := range r.Troubles {
-		if !strings.HasPrefix(t.Kind, "replica") && t.From < to && from < t.To+contactTime {
+func (r *record) faultFree(from, to time.Duration) bool {
+	for _, t := range r.Faults {
+		if !strings.HasPrefix(t.Kind, "replica") && t.From < to && from < t.To+contactTimeout {
 			return false
 		}
 	}
@@ -248,20 +248,20 @@
 }
 
 // judgeHeld looks for requests that got no end though nothing befell their node.
-func (r *record) judgeHeld(map[string][]run) (list []Breach) {
+func (r *record) judgeDeadlines(map[string][]run) (list []Breach) {
 	for _, q := range r.Requests {
-		if q.Rude || q.Ended < 0 || q.Ended-q.Began < deadline+held || r.befell(q.Node, q.Began-time.Second, q.Ended) {
+		if q.Misbehaving || q.Ended < 0 || q.Ended-q.Began < deadline+answerGrace || r.affected(q.Node, q.Began-time.Second, q.Ended) {
 			continue
 		}
-		list = append(list, breach(RuleHeld, "%s of kind %s at %s was asked for at %v and ended at %v with %d", q.Attempt, q.Kind, q.Node, q.Began, q.Ended, q.Status))
+		list = append(list, breach(RuleDeadline, "%s of kind %s at %s was asked for at %v and ended at %v with %d", q.Attempt, q.Kind, q.Node, q.Began, q.Ended, q.Status))
 	}
 	return list
 }
 
 // befell reports whether a process was in trouble in a time.
-func (r *record) befell(who string, from, to time.Duration) bool {
-	for _, t := range r.Troubles {
-		if slices.Contains(strings.Fields(t.Whom), who) && t.From < to && from < t.To+time.Second {
+func (r *record) affected(who string, from, to time.Duration) bool {
+	for _, t := range r.Faults {
+		if slices.Contains(strings.Fields(t.Target), who) && t.From < to && from < t.To+time.Second {
 			return true
 		}
 	}
@@ -275,12 +275,12 @@
 // judgeServed looks at what was asked for once the troubles were over.
 func (r *record) judgeServed(map[string][]run) (list []Breach) {
 	var over time.Duration
-	for _, t := range r.Troubles {
+	for _, t := range r.Faults {
 		over = max(over, t.To)
 	}
 	asked, served := map[string]int{}, map[string]int{}
 	for _, q := range r.Requests {
-		if q.Rude || q.Tenant == tenantLimited || q.Began < over+contactTime || q.Ended < 0 || q.Status == http.StatusPaymentRequired {
+		if q.Misbehaving || q.Tenant == tenantLimited || q.Began < over+contactTimeout || q.Ended < 0 || q.Status == http.StatusPaymentRequired {
 			continue
 		}
 		asked[q.Kind]++
--- a/rehearsalkit/soak/operator.go
+++ b/rehearsalkit/soak/operator.go
@@ -17,7 +17,7 @@
 
 // tables hands routing tables over, as operators do. One goroutine works it, besides
 // the first table.
-type tables struct {
+type tableOperator struct {
 	fleet *Fleet
 	// known is the newest table that was acknowledged to, or read by, the operators.
 	known  uint64
@@ -25,27 +25,27 @@
 }
 
 // one is a route of the soak's tables.
-func one(kind, mode, service string, tries int64) route.Route {
+func newRoute(kind, mode, service string, tries int64) route.Route {
 	return route.Route{Name: kind, Host: host, Prefix: "/" + kind + "/", Mode: mode, TimeoutMS: float64(routeTimeout.Milliseconds()), Tries: tries, KeepSeconds: 60,
 		Targets: []route.Target{{Service: service, Weight: 1}}}
 }
 
-func markName(number uint64) string { return fmt.Sprint("mark-", number) }
+func routeName(number uint64) string { return fmt.Sprint("mark-", number) }
 
 // markRoute is the route that only the table of a number has.
-func markRoute(number uint64) route.Route {
-	return one(markName(number), route.Repeatable, serviceApp, 2)
+func numberedRoute(number uint64) route.Route {
+	return newRoute(routeName(number), route.Repeatable, serviceApp, 2)
 }
 
 // text is the table of a number. Each has a route of its own.
-func text(number uint64) []byte {
+func tableText(number uint64) []byte {
 	tenant := func(name string, rate, burst float64) route.Tenant {
 		return route.Tenant{Name: name, Keys: []string{configuration.KeyDigest(keyOf(name))}, Rate: rate, Burst: burst}
 	}
-	chat, kept := one(kindChat, route.Stream, serviceModel, 2), one(kindKept, route.Stream, serviceModel, 2)
-	chat.Resumable, kept.KeepHistory, kept.KeepSeconds = true, true, keepTime.Seconds()
+	chat, kept := newRoute(kindChat, route.Stream, serviceModel, 2), newRoute(kindKept, route.Stream, serviceModel, 2)
+	chat.Resumable, kept.KeepHistory, kept.KeepSeconds = true, true, historyRetention.Seconds()
 	t := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20},
-		Routes:   []route.Route{one(kindAlert, route.Repeatable, serviceApp, 2), one(kindOnce, route.Once, serviceApp, 3), chat, kept, markRoute(number)},
+		Routes:   []route.Route{newRoute(kindAlert, route.Repeatable, serviceApp, 2), newRoute(kindOnce, route.Once, serviceApp, 3), chat, kept, numberedRoute(number)},
 		Services: []route.Service{{Name: serviceModel, Connections: 100, TokensPerEvent: tokensPerEvent, Slots: 8}, {Name: serviceApp, Connections: 100, TokensPerEvent: 1, Slots: 8}},
 		Tenants:  []route.Tenant{tenant(tenantFirst, 0, 0), tenant(tenantSecond, 0, 0), tenant(tenantLimited, limitedRate, limitedBurst)}}
 	raw, err := json.Marshal(t)
@@ -56,31 +56,31 @@
 }
 
 // hand hands a table over at a desk and tells its answer, zero for none.
-func (t *tables) hand(ctx context.Context, desk *process, base, number uint64) int {
-	return t.handText(ctx, desk, order{Base: base, Number: number, Valid: true}, text(number))
+func (t *tableOperator) apply(ctx context.Context, desk *process, base, number uint64) int {
+	return t.applyText(ctx, desk, tableUpdate{Base: base, Number: number, Valid: true}, tableText(number))
 }
 
-func (t *tables) handText(ctx context.Context, desk *process, o order, body []byte) int {
+func (t *tableOperator) applyText(ctx context.Context, desk *process, o tableUpdate, body []byte) int {
 	return t.send(ctx, http.MethodPut, desk, o, body)
 }
 
 // amend hands over only what differs between the tables of two numbers.
-func (t *tables) amend(ctx context.Context, desk *process, base, number uint64) int {
-	a := route.Amendment{Number: number, Set: route.SetItems{Routes: []route.Route{markRoute(number)}}, Remove: route.RemovedNames{Routes: []string{markName(base)}}}
+func (t *tableOperator) amend(ctx context.Context, desk *process, base, number uint64) int {
+	a := route.Amendment{Number: number, Set: route.SetItems{Routes: []route.Route{numberedRoute(number)}}, Remove: route.RemovedNames{Routes: []string{routeName(base)}}}
 	body, err := json.Marshal(a)
 	if err != nil {
 		panic(err)
 	}
-	return t.send(ctx, http.MethodPatch, desk, order{Base: base, Number: number, Valid: true}, body)
+	return t.send(ctx, http.MethodPatch, desk, tableUpdate{Base: base, Number: number, Valid: true}, body)
 }
 
 // send sends an order and notes how it was answered.
-func (t *tables) send(ctx context.Context, method string, desk *process, o order, body []byte) int {
+func (t *tableOperator) send(ctx context.Context, method string, desk *process, o tableUpdate, body []byte) int {
 	f := t.fleet
 	o.Began = f.now()
 	o.Status, _ = t.call(ctx, method, desk, "/v1/table?base="+strconv.FormatUint(o.Base, 10), body)
 	o.Ended = f.now()
-	f.note(func(r *record) { r.Orders = append(r.Orders, o) })
+	f.update(func(r *record) { r.Updates = append(r.Updates, o) })
 	if o.Status == http.StatusOK {
 		t.known = max(t.known, o.Number)
 	}
@@ -88,8 +88,8 @@
 	return o.Status
 }
 
-func (t *tables) call(ctx context.Context, method string, desk *process, path string, body []byte) (int, []byte) {
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+desk.at(operatorPort)+path, bytes.NewReader(body))
+func (t *tableOperator) call(ctx context.Context, method string, desk *process, path string, body []byte) (int, []byte) {
+	q, err := http.NewRequestWithContext(ctx, method, "http://"+desk.address(operatorPort)+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
@@ -107,7 +107,7 @@
 }
 
 // read reads the table in force at a desk.
-func (t *tables) read(ctx context.Context, desk *process) bool {
+func (t *tableOperator) read(ctx context.Context, desk *process) bool {
 	f := t.fleet
 	began := f.now()
 	status, got := t.call(ctx, http.MethodGet, desk, "/v1/table", nil)
@@ -115,11 +115,11 @@
 	if status != http.StatusOK || json.Unmarshal(got, &read) != nil {
 		return false
 	}
-	one := reading{Desk: desk.name, Began: began, Ended: f.now(), Number: read.Number}
-	f.note(func(r *record) { r.Readings = append(r.Readings, one) })
+	one := tableRead{Desk: desk.name, Began: began, Ended: f.now(), Number: read.Number}
+	f.update(func(r *record) { r.Reads = append(r.Reads, one) })
 	t.known = max(t.known, read.Number)
-	if !bytes.Equal(compact(got), compact(text(read.Number))) {
-		f.found(RuleTables, "table %d, read at %s, is not what was handed over", read.Number, desk.name)
+	if !bytes.Equal(compact(got), compact(tableText(read.Number))) {
+		f.recordBreach(RuleTables, "table %d, read at %s, is not what was handed over", read.Number, desk.name)
 	}
 	return true
 }
@@ -135,8 +135,8 @@
 
 // operate changes tables until the context ends: mostly in order, some by two
 // operators at once, some invalid, some with their answers lost.
-func (t *tables) operate(ctx context.Context) {
-	desks := t.fleet.of(roleDesk)
+func (t *tableOperator) operate(ctx context.Context) {
+	desks := t.fleet.withRole(roleDesk)
 	for ctx.Err() == nil {
 		pause(ctx, time.Duration(300+rand.IntN(900))*time.Millisecond)
 		desk, other := desks[rand.IntN(len(desks))], desks[rand.IntN(len(desks))]
@@ -145,18 +145,18 @@
 		case 0:
 			t.race(ctx, desk, other, next)
 		case 1:
-			t.handText(ctx, desk, order{Base: t.known, Number: next}, []byte(fmt.Sprintf(`{"number":%d,"routes":[{"host":"h"}]}`, next)))
+			t.applyText(ctx, desk, tableUpdate{Base: t.known, Number: next}, []byte(fmt.Sprintf(`{"number":%d,"routes":[{"host":"h"}]}`, next)))
 		case 2:
 			// The answer is lost; the same is sent again elsewhere.
 			lost, cancel := context.WithTimeout(ctx, time.Duration(rand.IntN(20))*time.Millisecond)
 			base := t.known
-			t.hand(lost, desk, base, next)
+			t.apply(lost, desk, base, next)
 			cancel()
-			t.hand(ctx, other, base, next)
+			t.apply(ctx, other, base, next)
 		case 3:
 			t.read(ctx, desk)
 		case 4:
-			t.send(ctx, http.MethodPatch, desk, order{Base: t.known, Number: next}, fmt.Appendf(nil, `{"number":%d,"remove":{"services":[%q]}}`, next, serviceModel))
+			t.send(ctx, http.MethodPatch, desk, tableUpdate{Base: t.known, Number: next}, fmt.Appendf(nil, `{"number":%d,"remove":{"services":[%q]}}`, next, serviceModel))
 		case 5:
 			lost, cancel := context.WithTimeout(ctx, time.Duration(rand.IntN(20))*time.Millisecond)
 			base := t.known
@@ -168,7 +168,7 @@
 				t.read(ctx, other)
 			}
 		default:
-			if t.hand(ctx, desk, t.known, next) == http.StatusConflict {
+			if t.apply(ctx, desk, t.known, next) == http.StatusConflict {
 				t.read(ctx, other)
 			}
 		}
@@ -176,14 +176,14 @@
 }
 
 // race hands two tables over on one base at the same time.
-func (t *tables) race(ctx context.Context, desk, other *process, next uint64) {
+func (t *tableOperator) race(ctx context.Context, desk, other *process, next uint64) {
 	base, first, second := t.known, *t, *t
 	done := make(chan struct{})
 	go func() {
-		first.hand(ctx, desk, base, next)
+		first.apply(ctx, desk, base, next)
 		close(done)
 	}()
-	second.hand(ctx, other, base, next+1)
+	second.apply(ctx, other, base, next+1)
 	<-done
 	t.known, t.number = max(first.known, second.known), max(first.number, second.number)
 }
--- a/rehearsalkit/soak/process.go
+++ b/rehearsalkit/soak/process.go
@@ -52,10 +52,10 @@
 	startedAt time.Duration
 	frozen    bool
 	// lives counts those of a core on a disk that can fail.
-	lives uint64
+	incarnations uint64
 }
 
-func (p *process) at(port int) string { return fmt.Sprintf("%s:%d", p.ip, port) }
+func (p *process) address(port int) string { return fmt.Sprintf("%s:%d", p.ip, port) }
 
 func (p *process) settingsPath() string { return filepath.Join(p.folder, "settings.json") }
 
@@ -95,7 +95,7 @@
 	}
 	defer out.Close()
 	fmt.Fprintf(out, "== a life begins at %.3fs\n", p.fleet.now().Seconds())
-	command := p.program()
+	command := p.newCommand()
 	command.Stdout, command.Stderr = out, out
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
@@ -109,11 +109,11 @@
 
 // program is what a life runs: the shipped program, or, for a core, the shipped role on a
 // disk that can fail.
-func (p *process) program() *exec.Cmd {
+func (p *process) newCommand() *exec.Cmd {
 	o := p.fleet.Options
 	if p.role == roleCore && o.DiskBinary != "" {
-		p.lives++
-		return exec.Command(o.DiskBinary, "faulty-core", p.settingsPath(), "--control", p.at(diskPort), "--seed", fmt.Sprint(o.Seed*1000+p.lives))
+		p.incarnations++
+		return exec.Command(o.DiskBinary, "faulty-core", p.settingsPath(), "--control", p.address(diskPort), "--seed", fmt.Sprint(o.Seed*1000+p.incarnations))
 	}
 	return exec.Command(o.Binary, p.role, p.settingsPath())
 }
@@ -132,22 +132,22 @@
 }
 
 // endsWithin is how long a process may take to end after SIGTERM, besides its grace.
-const endsWithin = 6 * time.Second
+const exitTimeout = 6 * time.Second
 
 // wait waits for the end of a life that was asked to end.
-func (p *process) wait() {
+func (p *process) waitExit() {
 	if p.command == nil {
 		return
 	}
-	timer := time.NewTimer(endsWithin + graceTime)
+	timer := time.NewTimer(exitTimeout + gracePeriod)
 	defer timer.Stop()
 	select {
 	case err := <-p.ended:
-		if err != nil && !signalled(err) {
-			p.fleet.found(RuleEnds, "%s ended by SIGTERM with %v", p.name, err)
+		if err != nil && !exitedBySIGTERM(err) {
+			p.fleet.recordBreach(RuleExit, "%s ended by SIGTERM with %v", p.name, err)
 		}
 	case <-timer.C:
-		p.fleet.found(RuleEnds, "%s was asked to end and still runs after %v", p.name, endsWithin+graceTime)
+		p.fleet.recordBreach(RuleExit, "%s was asked to end and still runs after %v", p.name, exitTimeout+gracePeriod)
 		p.command.Process.Kill()
 		<-p.ended
 	}
@@ -156,7 +156,7 @@
 
 // signalled reports whether a process was ended by the signal itself, as one is that
 // has not begun to take signals.
-func signalled(err error) bool {
+func exitedBySIGTERM(err error) bool {
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) {
 		return false
@@ -175,14 +175,14 @@
 }
 
 // check looks whether a life has ended that nobody ended, and begins another.
-func (p *process) check() {
+func (p *process) checkExit() {
 	if p.command == nil {
 		return
 	}
 	select {
 	case err := <-p.ended:
 		p.command = nil
-		p.fleet.found(RuleEnds, "%s ended by itself at %.2fs: %v\n%s", p.name, p.fleet.now().Seconds(), err, tail(p.logPath()))
+		p.fleet.recordBreach(RuleExit, "%s ended by itself at %.2fs: %v\n%s", p.name, p.fleet.now().Seconds(), err, tail(p.logPath()))
 		p.start()
 	default:
 	}
@@ -199,18 +199,18 @@
 }
 
 // signs are what no log may hold.
-var signs = []string{"DATA RACE", "panic:", "fatal error:", "an invariant was violated"}
+var faultSigns = []string{"DATA RACE", "panic:", "fatal error:", "an invariant was violated"}
 
 // readLog looks for signs of faults in a log.
 func (p *process) readLog() {
 	text, err := os.ReadFile(p.logPath())
 	if err != nil {
-		p.fleet.found(RuleEnds, "%s has no log: %v", p.name, err)
+		p.fleet.recordBreach(RuleExit, "%s has no log: %v", p.name, err)
 		return
 	}
-	for _, sign := range signs {
+	for _, sign := range faultSigns {
 		if i := strings.Index(string(text), sign); i >= 0 {
-			p.fleet.found(RuleChecked, "%s logged: %.1500s", p.name, text[max(0, i-100):])
+			p.fleet.recordBreach(RuleInvariants, "%s logged: %.1500s", p.name, text[max(0, i-100):])
 		}
 	}
 }
--- a/rehearsalkit/soak/record.go
+++ b/rehearsalkit/soak/record.go
@@ -26,16 +26,16 @@
 	Program  string
 	Budget   int64
 	// Rude requesters break the protocol: only what replicas ran of theirs counts.
-	Rude bool
+	Misbehaving bool
 	// Repeats says that the attempt's id is used more than once.
 	Repeats bool
 
 	Began time.Duration
-	end
+	result
 }
 
 // end is what became of a request.
-type end struct {
+type result struct {
 	Ended time.Duration
 	// Status is the answer's; zero: none came. Whole says that it came whole.
 	Status int
@@ -52,7 +52,7 @@
 }
 
 // order is a routing table that an operator handed over.
-type order struct {
+type tableUpdate struct {
 	Base, Number uint64
 	Began, Ended time.Duration
 	Status       int
@@ -60,55 +60,55 @@
 }
 
 // reading is a table that was read back.
-type reading struct {
+type tableRead struct {
 	Desk         string
 	Began, Ended time.Duration
 	Number       uint64
 }
 
 // word is that a replica leaves, acknowledged by a desk.
-type word struct {
+type departure struct {
 	Replica string
 	At      time.Duration
 }
 
 // trouble is what befell something, for a time.
-type trouble struct {
-	Kind, Whom string
-	From, To   time.Duration
+type fault struct {
+	Kind, Target string
+	From, To     time.Duration
 }
 
-func (t trouble) String() string {
-	return fmt.Sprintf("%6.2fs to %6.2fs %s %s", t.From.Seconds(), t.To.Seconds(), t.Kind, t.Whom)
+func (t fault) String() string {
+	return fmt.Sprintf("%6.2fs to %6.2fs %s %s", t.From.Seconds(), t.To.Seconds(), t.Kind, t.Target)
 }
 
 // record is all that requesters, replicas and operators saw.
 type record struct {
-	Requests []*request
-	Runs     []run
-	Orders   []order
-	Readings []reading
-	Words    []word
-	Troubles []trouble
+	Requests   []*request
+	Runs       []run
+	Updates    []tableUpdate
+	Reads      []tableRead
+	Departures []departure
+	Faults     []fault
 	// Found are breaches that were seen while the run went on.
-	Found []Breach
+	Breaches []Breach
 }
 
 // journal owns the record while a run goes on.
-type journal struct {
-	notes chan func(r *record)
-	ctx   context.Context
-	start time.Time
+type recorder struct {
+	updates chan func(r *record)
+	ctx     context.Context
+	start   time.Time
 }
 
-func newJournal(ctx context.Context) *journal {
-	j := &journal{notes: make(chan func(r *record), 256), ctx: ctx, start: time.Now()}
+func newRecorder(ctx context.Context) *recorder {
+	j := &recorder{updates: make(chan func(r *record), 256), ctx: ctx, start: time.Now()}
 	go func() {
 		var all record
 		for {
 			select {
-			case note := <-j.notes:
-				note(&all)
+			case update := <-j.updates:
+				update(&all)
 			case <-ctx.Done():
 				return
 			}
@@ -117,13 +117,13 @@
 	return j
 }
 
-func (j *journal) now() time.Duration { return time.Since(j.start) }
+func (j *recorder) now() time.Duration { return time.Since(j.start) }
 
 // note changes the record, and returns when that is done.
-func (j *journal) note(what func(r *record)) {
+func (j *recorder) update(what func(r *record)) {
 	done := make(chan struct{})
 	select {
-	case j.notes <- func(r *record) { what(r); close(done) }:
+	case j.updates <- func(r *record) { what(r); close(done) }:
 	case <-j.ctx.Done():
 		return
 	}
@@ -134,14 +134,16 @@
 }
 
 // found notes a breach.
-func (j *journal) found(rule, format string, args ...any) {
-	j.note(func(r *record) { r.Found = append(r.Found, Breach{Rule: rule, Text: fmt.Sprintf(format, args...)}) })
+func (j *recorder) recordBreach(rule, format string, args ...any) {
+	j.update(func(r *record) {
+		r.Breaches = append(r.Breaches, Breach{Rule: rule, Text: fmt.Sprintf(format, args...)})
+	})
 }
 
 // copied is the record as it stands.
-func (j *journal) copied() record {
+func (j *recorder) snapshot() record {
 	var all record
-	j.note(func(r *record) {
+	j.update(func(r *record) {
 		all = *r
 		all.Requests = nil
 		for _, q := range r.Requests {
--- a/rehearsalkit/soak/replica.go
+++ b/rehearsalkit/soak/replica.go
@@ -33,29 +33,29 @@
 // replicas are all stand-in replicas, by places. A place has one replica after the
 // other at one address.
 type replicas struct {
-	fleet  *Fleet
-	places []*place
+	fleet     *Fleet
+	endpoints []*endpoint
 }
 
 // place is an address that replicas come and go at.
-type place struct {
+type endpoint struct {
 	fleet            *Fleet
 	service, address string
 	// behind is where its replicas listen: the address itself, or one behind a relay.
-	behind  string
-	lives   int
-	current *replica
+	listenAddress string
+	incarnations  int
+	current       *replica
 	// busy lets one trouble at a time have the place.
 	busy chan struct{}
 }
 
 // replica is one life of a replica.
 type replica struct {
-	place  *place
-	id     string
-	server net.Listener
-	cancel context.CancelFunc
-	ctx    context.Context
+	endpoint *endpoint
+	id       string
+	server   net.Listener
+	cancel   context.CancelFunc
+	ctx      context.Context
 	// leaving is closed when it begins to say that it leaves.
 	leaving chan struct{}
 }
@@ -67,24 +67,24 @@
 		if i >= 3 {
 			service = serviceApp
 		}
-		p := &place{fleet: f, service: service, address: f.host(hostReplica, i+1) + ":7900", busy: make(chan struct{}, 1)}
-		p.behind = p.address
+		p := &endpoint{fleet: f, service: service, address: f.host(hostReplica, i+1) + ":7900", busy: make(chan struct{}, 1)}
+		p.listenAddress = p.address
 		if i%2 == 0 {
 			// Those that are not behind a relay refuse connections while they are down.
-			p.behind = f.host(hostReplica, i+1) + ":7910"
+			p.listenAddress = f.host(hostReplica, i+1) + ":7910"
 		}
-		r.places = append(r.places, p)
+		r.endpoints = append(r.endpoints, p)
 	}
 	return r
 }
 
 // relay puts relays before the places that are behind one.
 func (r *replicas) relay(ctx context.Context) error {
-	for _, p := range r.places {
-		if p.behind == p.address {
+	for _, p := range r.endpoints {
+		if p.listenAddress == p.address {
 			continue
 		}
-		if err := r.fleet.links.Relay(ctx, p.address, p.behind); err != nil {
+		if err := r.fleet.links.Relay(ctx, p.address, p.listenAddress); err != nil {
 			return err
 		}
 	}
@@ -92,17 +92,17 @@
 }
 
 func (r *replicas) fill(ctx context.Context) {
-	for _, p := range r.places {
-		p.begin(ctx)
+	for _, p := range r.endpoints {
+		p.start(ctx)
 	}
 }
 
 // begin begins a new life at a place.
-func (p *place) begin(ctx context.Context) {
+func (p *endpoint) start(ctx context.Context) {
 	var listener net.Listener
 	for range 100 {
 		var err error
-		if listener, err = net.Listen("tcp", p.behind); err == nil {
+		if listener, err = net.Listen("tcp", p.listenAddress); err == nil {
 			break
 		}
 		pause(ctx, 20*time.Millisecond)
@@ -110,18 +110,18 @@
 	if listener == nil {
 		return
 	}
-	p.lives++
-	life, cancel := context.WithCancel(ctx)
-	one := &replica{place: p, id: fmt.Sprintf("%s-%s-%d", p.service, strings.ReplaceAll(p.address, ":", "."), p.lives), server: listener, ctx: life, cancel: cancel, leaving: make(chan struct{})}
+	p.incarnations++
+	lifetime, cancel := context.WithCancel(ctx)
+	one := &replica{endpoint: p, id: fmt.Sprintf("%s-%s-%d", p.service, strings.ReplaceAll(p.address, ":", "."), p.incarnations), server: listener, ctx: lifetime, cancel: cancel, leaving: make(chan struct{})}
 	p.current = one
 	server := &http.Server{Handler: http.HandlerFunc(one.serve)}
 	go server.Serve(listener)
-	context.AfterFunc(life, func() { server.Close() })
+	context.AfterFunc(lifetime, func() { server.Close() })
 	go one.announce()
 }
 
 // crash ends a life without a word.
-func (p *place) crash() {
+func (p *endpoint) crash() {
 	if p.current != nil {
 		p.current.cancel()
 		p.current = nil
@@ -130,28 +130,28 @@
 
 // leave says that a replica leaves, serves on for a while and ends it. Some say it
 // by their last word only.
-func (p *place) leave(ctx context.Context, lastWordFirst bool) {
+func (p *endpoint) leave(ctx context.Context, deregisterFirst bool) {
 	one := p.current
 	if one == nil {
 		return
 	}
-	if !lastWordFirst {
+	if !deregisterFirst {
 		close(one.leaving)
 	} else {
-		one.lastWord()
+		one.deregister()
 	}
-	pause(ctx, drainBound+time.Duration(rand.IntN(1000))*time.Millisecond)
-	if !lastWordFirst {
-		one.lastWord()
+	pause(ctx, drainTimeout+time.Duration(rand.IntN(1000))*time.Millisecond)
+	if !deregisterFirst {
+		one.deregister()
 	}
 	p.crash()
 }
 
 // announce says all the time that the replica is there, at one desk or another.
 func (r *replica) announce() {
-	ticker := time.NewTicker(beat)
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
-	desks := r.place.fleet.of(roleDesk)
+	desks := r.endpoint.fleet.withRole(roleDesk)
 	at := rand.IntN(len(desks))
 	for call := 1; ; call++ {
 		leaving := false
@@ -160,10 +160,10 @@
 			leaving = true
 		default:
 		}
-		body, _ := json.Marshal(map[string]any{"service": r.place.service, "address": r.place.address, "zone": "zone1", "slots": 8, "leaving": leaving, "call": call})
-		if r.tell(http.MethodPut, desks[at], body) {
+		body, _ := json.Marshal(map[string]any{"service": r.endpoint.service, "address": r.endpoint.address, "zone": "zone1", "slots": 8, "leaving": leaving, "call": call})
+		if r.call(http.MethodPut, desks[at], body) {
 			if leaving {
-				r.place.fleet.left(r.id)
+				r.endpoint.fleet.recordDeparture(r.id)
 			}
 		} else {
 			at = (at + 1) % len(desks)
@@ -174,7 +174,7 @@
 			if !leaving {
 				continue
 			}
-			pause(r.ctx, beat)
+			pause(r.ctx, heartbeatInterval)
 		case <-r.ctx.Done():
 			return
 		}
@@ -182,38 +182,38 @@
 }
 
 // lastWord says that the replica goes, until a desk has heard it.
-func (r *replica) lastWord() {
-	for _, desk := range r.place.fleet.of(roleDesk) {
-		if r.tell(http.MethodDelete, desk, nil) {
-			r.place.fleet.left(r.id)
+func (r *replica) deregister() {
+	for _, desk := range r.endpoint.fleet.withRole(roleDesk) {
+		if r.call(http.MethodDelete, desk, nil) {
+			r.endpoint.fleet.recordDeparture(r.id)
 			return
 		}
 	}
 }
 
 // left notes that a desk acknowledged that a replica leaves.
-func (f *Fleet) left(id string) {
+func (f *Fleet) recordDeparture(id string) {
 	at := f.now()
-	f.note(func(r *record) {
-		for _, w := range r.Words {
+	f.update(func(r *record) {
+		for _, w := range r.Departures {
 			if w.Replica == id {
 				return
 			}
 		}
-		r.Words = append(r.Words, word{Replica: id, At: at})
+		r.Departures = append(r.Departures, departure{Replica: id, At: at})
 	})
 }
 
 // tell says something to a desk, and reports whether it was acknowledged in time.
-func (r *replica) tell(method string, desk *process, body []byte) bool {
+func (r *replica) call(method string, desk *process, body []byte) bool {
 	ctx, cancel := context.WithTimeout(r.ctx, time.Second)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+desk.at(operatorPort)+"/v1/replicas/"+r.id, bytes.NewReader(body))
+	q, err := http.NewRequestWithContext(ctx, method, "http://"+desk.address(operatorPort)+"/v1/replicas/"+r.id, bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
 	q.Header.Set("Authorization", "Bearer "+replicaKey)
-	answer, err := r.place.fleet.client.Do(q)
+	answer, err := r.endpoint.fleet.client.Do(q)
 	if err != nil {
 		return false
 	}
@@ -223,42 +223,42 @@
 }
 
 // manner is how a replica treats one request.
-type manner int
+type behavior int
 
 // Manners of replicas.
 const (
-	mannerGood manner = iota
+	behaviorGood behavior = iota
 	// mannerFull promises that it did not run.
-	mannerFull
+	behaviorFull
 	// mannerFails answers 500 after it ran.
-	mannerFails
+	behaviorFails
 	// mannerSwallows runs and ends the connection without an answer.
-	mannerSwallows
+	behaviorSwallows
 	// mannerResets does so by a reset.
-	mannerResets
+	behaviorResets
 	// mannerHalf breaks off in the middle of its answer.
-	mannerHalf
+	behaviorHalf
 	// mannerSurplus sends bytes after its whole answer.
-	mannerSurplus
+	behaviorSurplus
 	// mannerSurplusLater sends another answer where the next request's is due.
-	mannerSurplusLater
+	behaviorSurplusLater
 	// mannerSilent never answers.
-	mannerSilent
+	behaviorSilent
 	// mannerNonsense sends bytes that are no answer.
-	mannerNonsense
+	behaviorNonsense
 	// mannerEarly answers before it has read the body.
-	mannerEarly
+	behaviorEarly
 	// mannerLate answers after a pause.
-	mannerLate
-	mannersOdd
+	behaviorLate
+	behaviorCount
 )
 
 // pick is good mostly, and else one of the others.
-func pick() manner {
+func pickBehavior() behavior {
 	if rand.Float64() < 0.82 {
-		return mannerGood
+		return behaviorGood
 	}
-	return manner(1 + rand.IntN(int(mannersOdd)-1))
+	return behavior(1 + rand.IntN(int(behaviorCount)-1))
 }
 
 func (r *replica) serve(w http.ResponseWriter, q *http.Request) {
@@ -268,36 +268,36 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	how := pick()
-	if how == mannerFull {
+	how := pickBehavior()
+	if how == behaviorFull {
 		w.Header().Set("Saffronfall-Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	var got []byte
-	if how != mannerEarly {
+	if how != behaviorEarly {
 		var err error
 		if got, err = io.ReadAll(q.Body); err != nil {
 			return
 		}
 	}
-	f := r.place.fleet
+	f := r.endpoint.fleet
 	stream := strings.HasPrefix(q.URL.Path, "/"+kindChat+"/") || strings.HasPrefix(q.URL.Path, "/"+kindKept+"/")
-	one := run{At: f.now(), Replica: r.id, Service: r.place.service, Attempt: attempt, Tenant: q.Header.Get("Saffronfall-Tenant"), Method: q.Method, Path: q.URL.Path, Got: string(got), Gave: r.answer(q, stream)}
-	if how == mannerEarly {
+	one := run{At: f.now(), Replica: r.id, Service: r.endpoint.service, Attempt: attempt, Tenant: q.Header.Get("Saffronfall-Tenant"), Method: q.Method, Path: q.URL.Path, Got: string(got), Gave: r.answer(q, stream)}
+	if how == behaviorEarly {
 		one.Got = unread
 	}
-	f.note(func(r *record) { r.Runs = append(r.Runs, one) })
+	f.update(func(r *record) { r.Runs = append(r.Runs, one) })
 	pause(q.Context(), time.Duration(5+rand.IntN(30))*time.Millisecond)
-	if how == mannerLate {
+	if how == behaviorLate {
 		pause(q.Context(), time.Duration(rand.IntN(2500))*time.Millisecond)
 	}
 	w.Header().Set("Saffronfall-Seal", "seal-"+attempt)
 	w.Header().Set("Saffronfall-Load", "1,0,8")
 	switch how {
-	case mannerGood, mannerLate, mannerEarly:
-		r.give(w, one, stream)
-	case mannerFails:
+	case behaviorGood, behaviorLate, behaviorEarly:
+		r.writeAnswer(w, one, stream)
+	case behaviorFails:
 		w.WriteHeader(http.StatusInternalServerError)
 		io.WriteString(w, "failed "+attempt)
 	default:
@@ -334,7 +334,7 @@
 }
 
 // give answers in good order: a stream event by event.
-func (r *replica) give(w http.ResponseWriter, one run, stream bool) {
+func (r *replica) writeAnswer(w http.ResponseWriter, one run, stream bool) {
 	if !stream {
 		io.WriteString(w, one.Gave)
 		return
@@ -350,7 +350,7 @@
 }
 
 // misbehave answers by hand, and mostly badly.
-func (r *replica) misbehave(w http.ResponseWriter, q *http.Request, one run, how manner, stream bool) {
+func (r *replica) misbehave(w http.ResponseWriter, q *http.Request, one run, how behavior, stream bool) {
 	head := "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: " + one.Attempt + "\r\nSaffronfall-Seal: seal-" + one.Attempt + "\r\n"
 	length := fmt.Sprintf("Content-Length: %d\r\n\r\n", len(one.Gave))
 	hijacker, ok := w.(http.Hijacker)
@@ -367,27 +367,27 @@
 		io.WriteString(c, text)
 	}
 	switch how {
-	case mannerSwallows:
+	case behaviorSwallows:
 		// Nothing is said, and the connection ends.
-	case mannerResets:
+	case behaviorResets:
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
-	case mannerHalf:
+	case behaviorHalf:
 		cut := rand.IntN(len(one.Gave))
 		say(head + length + one.Gave[:cut])
-	case mannerSurplus:
+	case behaviorSurplus:
 		say(head + length + one.Gave + surplusAnswer)
-		r.linger(c, buffer.Reader, 300*time.Millisecond)
-	case mannerSurplusLater:
+		r.waitForByte(c, buffer.Reader, 300*time.Millisecond)
+	case behaviorSurplusLater:
 		say(head + length + one.Gave)
-		if r.linger(c, buffer.Reader, time.Second) {
+		if r.waitForByte(c, buffer.Reader, time.Second) {
 			say(surplusAnswer)
-			r.linger(c, buffer.Reader, 300*time.Millisecond)
+			r.waitForByte(c, buffer.Reader, 300*time.Millisecond)
 		}
-	case mannerSilent:
-		r.linger(c, buffer.Reader, 10*time.Second)
-	case mannerNonsense:
+	case behaviorSilent:
+		r.waitForByte(c, buffer.Reader, 10*time.Second)
+	case behaviorNonsense:
 		say("no answer at all\r\n\r\n")
 	}
 }
@@ -397,7 +397,7 @@
 
 // linger keeps a connection until its other end closes it, or for a time. It reports
 // whether more was said on it.
-func (r *replica) linger(c net.Conn, reader *bufio.Reader, within time.Duration) bool {
+func (r *replica) waitForByte(c net.Conn, reader *bufio.Reader, within time.Duration) bool {
 	stop := context.AfterFunc(r.ctx, func() { c.Close() })
 	defer stop()
 	c.SetReadDeadline(time.Now().Add(within))
--- a/rehearsalkit/soak/look.go
+++ b/rehearsalkit/soak/resources.go
@@ -10,7 +10,7 @@
 )
 
 // level is what a process holds: it must come back to it when requesters are gone.
-type level struct {
+type resources struct {
 	goroutines, files, live, violations float64
 }
 
@@ -24,7 +24,7 @@
 
 // metrics reads what a process tells of itself.
 func (f *Fleet) metrics(p *process) (map[string]float64, bool) {
-	answer, err := f.client.Get("http://" + p.at(metricsPort) + "/metrics")
+	answer, err := f.client.Get("http://" + p.address(metricsPort) + "/metrics")
 	if err != nil {
 		return nil, false
 	}
@@ -43,17 +43,17 @@
 	return values, answer.StatusCode == http.StatusOK
 }
 
-func (f *Fleet) level(p *process) (level, bool) {
+func (f *Fleet) resources(p *process) (resources, bool) {
 	values, ok := f.metrics(p)
-	return level{goroutines: values[goroutinesMetric], files: values[filesMetric], live: values[liveMetric], violations: values[violationsMetric]}, ok
+	return resources{goroutines: values[goroutinesMetric], files: values[filesMetric], live: values[liveMetric], violations: values[violationsMetric]}, ok
 }
 
 // levels reads all processes' levels before any requester comes.
-func (f *Fleet) levels(ctx context.Context) map[*process]level {
-	all := map[*process]level{}
+func (f *Fleet) allResources(ctx context.Context) map[*process]resources {
+	all := map[*process]resources{}
 	for _, p := range f.processes {
-		f.until(ctx, 5*time.Second, func() bool {
-			l, ok := f.level(p)
+		f.waitUntil(ctx, 5*time.Second, func() bool {
+			l, ok := f.resources(p)
 			all[p] = l
 			return ok
 		})
@@ -66,18 +66,18 @@
 const (
 	spareGoroutines = 60
 	spareFiles      = 120
-	backWithin      = 12 * time.Second
+	releaseTimeout  = 12 * time.Second
 )
 
 // back wants all processes back at their levels once the requesters are gone, and
 // looks for signs of faults in their logs.
-func (f *Fleet) back(ctx context.Context, base map[*process]level) {
+func (f *Fleet) checkReleased(ctx context.Context, base map[*process]resources) {
 	for _, p := range f.processes {
-		p.check()
-		var last level
+		p.checkExit()
+		var last resources
 		answered := false
-		met := f.until(ctx, backWithin, func() bool {
-			l, ok := f.level(p)
+		met := f.waitUntil(ctx, releaseTimeout, func() bool {
+			l, ok := f.resources(p)
 			if !ok {
 				return false
 			}
@@ -86,23 +86,23 @@
 		})
 		switch {
 		case !answered:
-			f.found(RuleBack, "%s tells no metrics at the end", p.name)
+			f.recordBreach(RuleReleased, "%s tells no metrics at the end", p.name)
 		case !met:
-			f.found(RuleBack, "%s holds %+v %v after the requesters left; it began with %+v", p.name, last, backWithin, base[p])
+			f.recordBreach(RuleReleased, "%s holds %+v %v after the requesters left; it began with %+v", p.name, last, releaseTimeout, base[p])
 		}
 		if last.violations > 0 {
-			f.found(RuleChecked, "%s counted %v violations of invariants", p.name, last.violations)
+			f.recordBreach(RuleInvariants, "%s counted %v violations of invariants", p.name, last.violations)
 		}
 		p.readLog()
 	}
 }
 
 // lastLook reads the table back at every desk until it is told.
-func (f *Fleet) lastLook(ctx context.Context) {
-	for _, desk := range f.of(roleDesk) {
-		reader := &tables{fleet: f}
-		if !f.until(ctx, contactTime+2*time.Second, func() bool { return reader.read(ctx, desk) }) {
-			f.found(RuleTables, "%s tells no table at the end", desk.name)
+func (f *Fleet) readFinalTables(ctx context.Context) {
+	for _, desk := range f.withRole(roleDesk) {
+		reader := &tableOperator{fleet: f}
+		if !f.waitUntil(ctx, contactTimeout+2*time.Second, func() bool { return reader.read(ctx, desk) }) {
+			f.recordBreach(RuleTables, "%s tells no table at the end", desk.name)
 		}
 	}
 }
