--- a/rehearsalkit/soak/client.go
+++ b/rehearsalkit/soak/client.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Tenants of the rehearsed table. Two of them use the same ids for their attempts.
+// Tenants of the routing table. The first two use the same attempt ids.
 const (
 	tenantFirst   = "first"
 	tenantSecond  = "second"
@@ -21,24 +21,25 @@
 	limitedBurst  = 20
 )
 
-// deadline is what requesters give a request.
+// deadline is the deadline that requesters send with each request.
 const deadline = 2500 * time.Millisecond
 
-// held is how long after its deadline a request may still be without an answer.
+// answerGrace is how long after its deadline a request may still be unanswered.
 const answerGrace = 1500 * time.Millisecond
 
 func keyOf(tenant string) string { return "key of " + tenant }
 
-// host is what requests name.
+// host is the Host header of all requests.
 const host = "soak.example"
 
-// connection is a requester's connection to a node, which may be kept.
+// connection is a requester's connection to a node.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
 	node   *process
 }
 
+// dialNode connects to a node, directly or through its relay, each half of the time.
 func dialNode(node *process) (*connection, error) {
 	port := clientPort
 	if rand.IntN(2) == 0 {
@@ -51,7 +52,7 @@
 	return &connection{Conn: c, reader: bufio.NewReader(c), node: node}, nil
 }
 
-// head is a request's head. More headers may follow it.
+// head formats the request line and headers, with more header lines at the end.
 func (q *request) head(key string, more ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nSaffronfall-Attempt: %s\r\nSaffronfall-Key: %s\r\nSaffronfall-Deadline-Ms: %d\r\n", q.Method, q.Path, host, q.Attempt, key, deadline.Milliseconds())
@@ -70,20 +71,20 @@
 	return b.String() + "\r\n"
 }
 
-// begin notes a request before anything of it is sent.
+// recordStart records a request. It must be called before any byte of it is sent.
 func (f *Fleet) recordStart(q *request, node *process) {
 	q.Node, q.Began, q.Ended = node.name, f.now(), -1
 	f.update(func(r *record) { r.Requests = append(r.Requests, q) })
 }
 
-// end notes what became of it.
+// recordEnd records the result of a request.
 func (f *Fleet) recordEnd(q *request, status int, whole bool, answer string) {
 	at := f.now()
 	f.update(func(*record) { q.Ended, q.Status, q.Whole, q.Answer = at, status, whole, answer })
 }
 
-// ask makes a request over a connection and waits for its answer. It reports whether
-// the connection can be used again.
+// ask sends a request over a connection and waits for its answer. It reports whether
+// the connection can be reused.
 func (f *Fleet) ask(c *connection, q *request) bool {
 	f.recordStart(q, c.node)
 	c.SetDeadline(time.Now().Add(deadline + answerGrace + time.Second))
@@ -94,6 +95,8 @@
 	return f.answer(c, q)
 }
 
+// answer reads the answer to a request, checks that it belongs to it, and records it.
+// It reports whether the connection can be reused.
 func (f *Fleet) answer(c *connection, q *request) bool {
 	got, err := http.ReadResponse(c.reader, &http.Request{Method: q.Method})
 	if err != nil {
@@ -102,7 +105,7 @@
 	}
 	body, err := io.ReadAll(got.Body)
 	if seal := got.Header.Get("Saffronfall-Seal"); err == nil && got.StatusCode == http.StatusOK && seal != "seal-"+q.Attempt {
-		f.recordBreach(RuleAnswers, "attempt %s at %s got a success sealed %q", q.Attempt, q.Node, seal)
+		f.recordBreach(RuleAnswers, "attempt %s at %s got a success with seal %q", q.Attempt, q.Node, seal)
 	}
 	if id := got.Header.Get("Saffronfall-Attempt"); id != "" && id != q.Attempt {
 		f.recordBreach(RuleAnswers, "attempt %s at %s got the answer to %s", q.Attempt, q.Node, id)
@@ -111,13 +114,13 @@
 	return err == nil && !got.Close
 }
 
-// anyNode is a node by chance, as requesters are spread by hash.
+// anyNode returns a random node.
 func (f *Fleet) anyNode() *process {
 	nodes := f.withRole(roleNode)
 	return nodes[rand.IntN(len(nodes))]
 }
 
-// requester is one stand-in requester, which may keep its connection.
+// requester is one simulated client. With keepAlive it reuses its connection.
 type requester struct {
 	fleet     *Fleet
 	tenant    string
@@ -132,7 +135,7 @@
 	return fmt.Sprintf("%s-%d", r.name, r.count)
 }
 
-// send sends one request, over a kept connection where there is one.
+// send sends one request, over the idle connection if there is one.
 func (r *requester) send(q *request) *request {
 	c := r.idle
 	r.idle = nil
@@ -150,7 +153,7 @@
 	return q
 }
 
-// closes lets go of a kept connection.
+// close closes the idle connection.
 func (r *requester) close() {
 	if r.idle != nil {
 		r.idle.Close()
@@ -162,7 +165,7 @@
 	return &request{Attempt: r.attempt(), Kind: kind, Tenant: r.tenant, Method: method, Path: "/" + kind + "/x", Body: body}
 }
 
-// live lets one requester make requests of a kind until the context ends.
+// live calls one until the context ends, with random pauses shorter than between.
 func (r *requester) live(ctx context.Context, one func(ctx context.Context), between time.Duration) {
 	defer r.close()
 	for ctx.Err() == nil {
@@ -177,7 +180,7 @@
 	r.send(r.request(kindOnce, http.MethodPost, "notice of "+r.name+strings.Repeat("-", rand.IntN(2000))))
 }
 
-// program runs turns until its budget is spent, some side by side.
+// program runs the turns of one program until its token budget is spent.
 func (r *requester) program(ctx context.Context) {
 	program := "p-" + r.attempt()
 	budget := int64(turnTokens*3 + 20)
@@ -190,7 +193,7 @@
 	}
 }
 
-// conversation runs turns that go on from one another.
+// conversation runs turns, each of which continues the last one that succeeded.
 func (r *requester) conversation(ctx context.Context) {
 	previous, before := "", ""
 	for turns := 0; turns < 6 && ctx.Err() == nil; turns++ {
@@ -203,7 +206,7 @@
 	}
 }
 
-// spoken is what a stream said: the data of its events, each followed by a line feed.
+// eventText returns the data of a stream's events, each followed by a line feed.
 func eventText(stream string) string {
 	var text strings.Builder
 	for _, line := range strings.Split(stream, "\n") {
@@ -214,8 +217,8 @@
 	return text.String()
 }
 
-// populate lets requesters, operators and rude requesters live. It returns how to end
-// them, and what tells that they have ended.
+// startClients starts requesters, misbehaving requesters and an operator. It returns a
+// function that stops them and a channel that is closed once all have returned.
 func (f *Fleet) startClients(parent context.Context) (end context.CancelFunc, ended <-chan struct{}) {
 	ctx, cancel := context.WithCancel(parent)
 	done, count := make(chan struct{}), 0
@@ -228,7 +231,7 @@
 	}
 	for i := range 2 {
 		for _, tenant := range []string{tenantFirst, tenantSecond} {
-			// Requesters of two tenants name their attempts alike.
+			// Both tenants use the same attempt ids.
 			named := func(kind string) *requester {
 				return &requester{fleet: f, tenant: tenant, name: fmt.Sprintf("%s%d", kind, i), keepAlive: i == 0}
 			}
--- a/rehearsalkit/soak/command.go
+++ b/rehearsalkit/soak/command.go
@@ -14,36 +14,36 @@
 	"saffronfall/rehearsalkit/setup"
 )
 
-// Command runs seeds of the soak.
+// Command is the soak command: it runs a range of seeds.
 type Command struct {
-	Binary  string        `help:"The saffronfall program; best built with the race detector." default:"bin/saffronfall" type:"path"`
-	Disks   string        `help:"The rehearsalkit program that runs cores on disks that can fail; 'none': no disk fails. Default: this program." default:""`
-	Folder  string        `help:"Where settings, data and logs of seeds with breaches are kept." default:"run/soak" type:"path"`
-	First   uint64        `help:"First seed." default:"1"`
-	Seeds   int           `help:"How many seeds." default:"1"`
-	Jobs    int           `help:"How many run side by side." default:"1"`
-	Calm    time.Duration `help:"How long requesters live before troubles begin." default:"2s"`
-	For     time.Duration `help:"How long troubles come." default:"12s"`
-	Settle  time.Duration `help:"How long requesters live on after the last trouble." default:"3s"`
-	Faults  float64       `name:"troubles" help:"Troubles a second, at the mean." default:"1.2"`
-	Verbose bool          `help:"Tell troubles as they end."`
-	Stop    bool          `help:"Stop at the first seed with a breach."`
+	Binary    string        `help:"The saffronfall program; best built with the race detector." default:"bin/saffronfall" type:"path"`
+	Disks     string        `help:"The rehearsalkit program that runs cores on fault-injecting disks; 'none': no disk faults. Default: this program." default:""`
+	Folder    string        `help:"Folder for settings, data and logs of seeds with breaches." default:"run/soak" type:"path"`
+	First     uint64        `help:"First seed." default:"1"`
+	Seeds     int           `help:"How many seeds." default:"1"`
+	Jobs      int           `help:"How many seeds run in parallel." default:"1"`
+	Calm      time.Duration `help:"How long requesters run before the first fault." default:"2s"`
+	For       time.Duration `help:"How long faults are injected." default:"12s"`
+	Settle    time.Duration `help:"How long requesters run after the last fault." default:"3s"`
+	FaultRate float64       `name:"troubles" help:"Mean number of faults a second." default:"1.2"`
+	Verbose   bool          `help:"Print each fault when it ends."`
+	Stop      bool          `help:"Stop at the first seed with a breach."`
 }
 
-// outcome is a seed's report, or why there is none.
+// outcome is the report of a seed, or the error that prevented it.
 type outcome struct {
 	report Report
 	folder string
 	err    error
 }
 
-// Run runs the seeds and prints what broke.
+// Run runs the seeds and prints their breaches. It fails if there was any.
 func (c *Command) Run() error {
 	if err := errors.CombineErrors(setup.CheckProgram(c.Binary), setup.EnsureFolder(c.Folder)); err != nil {
 		return err
 	}
-	// Whoever starts processes and may tell them to reload at any moment starts them
-	// with the signal ignored, as nothing can take it before a program has begun.
+	// Child processes inherit ignored signals: a SIGHUP sent before a process has
+	// installed its handler must not end it.
 	signal.Ignore(syscall.SIGHUP)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -86,10 +86,10 @@
 	return nil
 }
 
-// noDisks names no program for cores on disks that can fail.
+// noDisks is the value of Disks that turns disk faults off.
 const noDisks = "none"
 
-// diskBinary is the program that runs cores on disks that can fail, if any.
+// diskBinary returns the program that runs cores on fault-injecting disks, or "".
 func (c *Command) diskBinary() string {
 	switch c.Disks {
 	case noDisks:
@@ -103,13 +103,13 @@
 	return c.Disks
 }
 
-// one runs a seed. Its folder stays if anything broke.
+// runSeed runs a seed. Its folder is kept only if there were breaches.
 func (c *Command) runSeed(ctx context.Context, seed uint64) outcome {
 	folder := filepath.Join(c.Folder, fmt.Sprint("seed", seed))
 	if err := os.RemoveAll(folder); err != nil {
 		return outcome{err: errors.Wrap(err, "folder")}
 	}
-	o := Options{Binary: c.Binary, DiskBinary: c.diskBinary(), Folder: folder, Seed: seed, Calm: c.Calm, Length: c.For, Settle: c.Settle, Faults: c.Faults}
+	o := Options{Binary: c.Binary, DiskBinary: c.diskBinary(), Folder: folder, Seed: seed, Calm: c.Calm, Length: c.For, Settle: c.Settle, FaultRate: c.FaultRate}
 	if c.Verbose {
 		o.Logf = func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
 	}
@@ -120,10 +120,11 @@
 	return outcome{report: report, folder: folder, err: err}
 }
 
-// mostTold bounds how many breaches of a seed are printed.
+// maxPrinted bounds how many breaches of a seed are printed.
 const maxPrinted = 12
 
-// tell prints a seed's outcome, and reports whether anything broke.
+// printOutcome prints the outcome of a seed and writes its report file if there were
+// breaches. It reports whether there were any.
 func (c *Command) printOutcome(o outcome) bool {
 	r := o.report
 	fmt.Printf("seed %d: %d troubles, served %v of %v, %d breaches\n", r.Seed, len(r.Faults), r.Served, r.Asked, len(r.Breaches))
--- a/rehearsalkit/soak/disk_link_faults.go
+++ b/rehearsalkit/soak/disk_link_faults.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// diskUpheavals are what befalls disks and their power. Cores keep what must last, so
-// theirs fail; other roles lose power as they would be killed.
+// diskFaults are faults of disks and of power. Only cores have fault-injecting disks; for
+// other roles a loss of power equals a kill.
 var diskFaults = []faultKind{
 	{"disk full", 2, onCore(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
 		p.setDiskFaults(ctx, "full=true")
@@ -43,7 +43,7 @@
 	}},
 }
 
-// onCore makes a trouble of what befalls one core that has no other trouble of its own.
+// onCore makes a fault of one random core. It is skipped if the core has another fault.
 func onCore(what func(f *Fleet, ctx context.Context, random *rand.Rand, p *process)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	return func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 		cores := f.withRole(roleCore)
@@ -58,11 +58,12 @@
 	}
 }
 
-// takenWithin is how long a trouble of several processes waits for those of single ones.
+// acquireTimeout is how long a fault of several processes waits for faults of single ones
+// to end.
 const acquireTimeout = 4 * time.Second
 
-// loseTogether takes the power from processes at one moment, and gives it back to each
-// after a time of its own.
+// cutPower cuts the power of several processes at once, and starts them one by one in
+// random order.
 func (f *Fleet) cutPower(ctx context.Context, random *rand.Rand, targets []*process) string {
 	targets = slices.Clone(targets)
 	waiting, cancel := context.WithTimeout(ctx, acquireTimeout)
@@ -104,12 +105,12 @@
 	}
 }
 
-// ail tells a core's disk what ails it.
+// setDiskFaults replaces the active faults of a core's disk.
 func (p *process) setDiskFaults(ctx context.Context, query string) {
 	p.control(ctx, http.MethodPut, "/faults?"+query)
 }
 
-// control calls a core's disk, and reports whether it answered.
+// control calls the control endpoint of a core's disk, and reports whether it answered.
 func (p *process) control(ctx context.Context, method, path string) bool {
 	within, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -125,17 +126,18 @@
 	return true
 }
 
-// powerOff ends a life as a loss of power does: a core's disk keeps what was synced, and
-// the rest by chance.
+// losePower ends a process as a loss of power does: a core's disk keeps what was synced,
+// and a random part of the rest.
 func (p *process) losePower() {
 	if p.command != nil && p.role == roleCore {
-		// The core ends without an answer. One that is not up yet has nothing to lose.
+		// The core ends without an answer. A core that does not listen yet has no unsynced
+		// data.
 		p.control(context.Background(), http.MethodPost, "/power")
 	}
 	p.kill()
 }
 
-// linkUpheavals are what befalls the links between requesters, nodes and replicas.
+// linkFaults are faults of the links between requesters, nodes and replicas.
 var linkFaults = []faultKind{
 	{"requesters cut off", 2, onNodeLink(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
 		f.links.Cut(ctx, outside, p.ip, true)
@@ -164,10 +166,10 @@
 	})},
 }
 
-// outside is where requesters and nodes connect from, as links see it.
+// outside is the source address of requesters' and nodes' connections, as the relays see it.
 const outside = "127.0.0.1"
 
-// onNodeLink makes a trouble of what befalls the link between requesters and one node.
+// onNodeLink makes a fault of the link between requesters and one random node.
 func onNodeLink(what func(f *Fleet, ctx context.Context, random *rand.Rand, p *process)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	return func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 		p := f.anyNode()
@@ -176,7 +178,8 @@
 	}
 }
 
-// onReplicaLink makes a trouble of what befalls the link between nodes and one replica.
+// onReplicaLink makes a fault of the link between nodes and one random replica that is
+// behind a relay.
 func onReplicaLink(what func(f *Fleet, ctx context.Context, random *rand.Rand, ip string)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	return func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 		var relayed []*endpoint
--- a/rehearsalkit/soak/faults.go
+++ b/rehearsalkit/soak/faults.go
@@ -8,15 +8,17 @@
 	"time"
 )
 
-// upheaval is one kind of trouble. It brings it about, waits and takes it back.
+// faultKind is one kind of fault.
 type faultKind struct {
 	name string
-	// weight is how often it comes, among the others.
+	// weight is its relative frequency.
 	weight int
+	// inject causes the fault, waits and repairs it. It returns what was affected, or "" if
+	// the fault was skipped.
 	inject func(f *Fleet, ctx context.Context, random *rand.Rand) (targets string)
 }
 
-// upheavals are all kinds.
+// processFaults are faults of processes, of the links between them, and of replicas.
 var processFaults = []faultKind{
 	{"kill", 4, onProcess(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
 		p.kill()
@@ -111,8 +113,8 @@
 	return low + time.Duration(random.Int64N(int64(high-low)))
 }
 
-// onProcess makes a trouble of what befalls one process that has no other trouble of
-// its own just now.
+// onProcess makes a fault of one random process. It is skipped if the process has another
+// fault.
 func onProcess(what func(f *Fleet, ctx context.Context, random *rand.Rand, p *process)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	return func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 		p := f.processes[random.IntN(len(f.processes))]
@@ -137,8 +139,8 @@
 
 func (f *Fleet) release(p *process) { <-f.busy[p] }
 
-// loseDisk ends a core and empties its folder. One disk at a time may be lost, until
-// the fleet has had time to make up for it.
+// loseDisk kills a core, empties its folder and starts it again. The next disk may be lost
+// only after the fleet has had time to recover.
 func loseDisk(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	select {
 	case f.diskLost <- struct{}{}:
@@ -164,7 +166,7 @@
 	return p.name
 }
 
-// cutFrom cuts, or mends, the links between a process and others.
+// cutFrom cuts or restores the links between a process and others.
 func (f *Fleet) cutFrom(ctx context.Context, p *process, others []*process, cut bool) {
 	for _, o := range others {
 		if o != p {
@@ -182,7 +184,7 @@
 	}
 }
 
-// oneWayCut lets a process hear, and not be heard, or the other way round.
+// oneWayCut cuts all links of a process in one direction.
 func oneWayCut(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	p := f.processes[random.IntN(len(f.processes))]
 	speaks := random.IntN(2) == 0
@@ -203,7 +205,7 @@
 	return p.name
 }
 
-// halves cuts the cores and desks into two sides; nodes reach both.
+// halves partitions the cores and desks into two sides; nodes reach both.
 func halves(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	var one, rest []*process
 	for _, p := range append(f.withRole(roleCore), f.withRole(roleDesk)...) {
@@ -224,7 +226,8 @@
 	return "cores and desks"
 }
 
-// befall brings something about at a place that has no other trouble.
+// withEndpoint calls what for a random endpoint. It is skipped if the endpoint has another
+// fault.
 func (r *replicas) withEndpoint(random *rand.Rand, what func(p *endpoint)) string {
 	p := r.endpoints[random.IntN(len(r.endpoints))]
 	select {
@@ -237,7 +240,7 @@
 	return p.address
 }
 
-// kinds are the troubles that may come.
+// kinds returns the kinds of faults of this run.
 func (f *Fleet) kinds() []faultKind {
 	kinds := append(append([]faultKind(nil), processFaults...), linkFaults...)
 	if f.DiskBinary != "" {
@@ -246,8 +249,8 @@
 	return kinds
 }
 
-// upheave lets troubles come for a time, overlapping as they may, and returns when
-// all are over.
+// injectFaults starts random faults for Length, which may overlap, and returns when all
+// are over.
 func (f *Fleet) injectFaults(ctx context.Context) {
 	all, kinds := 0, f.kinds()
 	for _, u := range kinds {
@@ -268,7 +271,7 @@
 			f.injectFault(ctx, chosen, random)
 			done <- struct{}{}
 		}()
-		pause(ctx, time.Duration(f.random.ExpFloat64()/f.Faults*float64(time.Second)))
+		pause(ctx, time.Duration(f.random.ExpFloat64()/f.FaultRate*float64(time.Second)))
 	}
 	for range begun {
 		<-done
@@ -278,9 +281,9 @@
 	}
 }
 
-// settle lets requesters live on after the troubles. Once nothing of them is left, one
-// replica of each service leaves in good order: in calm times nothing may reach it
-// beyond the bound.
+// settle lets requesters run after the faults. Once the fleet has recovered, one replica
+// of each service leaves in an orderly way: without faults, no request may reach it after
+// drainTimeout.
 func (f *Fleet) settle(ctx context.Context) {
 	pause(ctx, contactTimeout+time.Second)
 	done := make(chan struct{})
@@ -298,7 +301,7 @@
 	pause(ctx, f.Settle)
 }
 
-// bring brings one trouble about and notes it.
+// injectFault injects one fault and records it.
 func (f *Fleet) injectFault(ctx context.Context, u faultKind, random *rand.Rand) {
 	t := fault{Kind: u.name, From: f.now()}
 	if t.Target = u.inject(f, ctx, random); t.Target == "" {
--- a/rehearsalkit/soak/fleet.go
+++ b/rehearsalkit/soak/fleet.go
@@ -1,9 +1,11 @@
-// Package soak runs the roles that serve on the platform (cores, desks and relaying
-// nodes) as real processes over real sockets, under seeded random troubles that
-// overlap: kills, freezes, ends, reloads, cuts, delays, resets, lost disks, racing
-// tables, and replicas and requesters that misbehave. Invariants are strict in the
-// processes. What requesters, replicas and operators saw is held against the rules
-// when the run has ended. Start reading at Run.
+// Package soak runs cores, desks (the control front) and relaying nodes as real processes
+// over real sockets, and injects seeded random faults that overlap: kills, freezes,
+// shutdowns, reloads, network cuts, delays, connection resets, disk faults and losses,
+// concurrent table updates, and misbehaving replicas and requesters. The processes run
+// with strict invariants. After the run, the record of what requesters, replicas and
+// operators saw is checked against the rules in judge.go. The seed determines
+// the faults and the pauses between them; requesters and replicas draw from the global
+// random source. Start reading at Run.
 package soak
 
 import (
@@ -20,7 +22,7 @@
 	"saffronfall/rehearsalkit/links"
 )
 
-// Bounds of the rehearsed fleet, by which its settings are made and it is judged.
+// Time bounds and limits, used for the fleet's settings and for the checks.
 const (
 	heartbeatInterval = 300 * time.Millisecond
 	gracePeriod       = 1800 * time.Millisecond
@@ -30,22 +32,22 @@
 	rateWindow        = 5 * time.Second
 	rateSlack         = 2
 	historyRetention  = time.Minute
-	// routeTimeout is the longest that a request is held.
+	// routeTimeout is the timeout of every route.
 	routeTimeout = 3 * time.Second
 )
 
-// Options are what a run is made of.
+// Options configures a run.
 type Options struct {
 	Binary, Folder string
-	// DiskBinary runs cores on disks that can fail; without it no disk fails.
+	// DiskBinary runs cores on fault-injecting disks. If empty, there are no disk faults.
 	DiskBinary string
 	Seed       uint64
-	// Calm is how long requesters live before troubles begin, Length how long
-	// troubles come, Settle how long they live after the last one is over.
+	// Calm is how long requesters run before the first fault, Length how long faults
+	// are injected, Settle how long requesters run after the last fault.
 	Calm, Length, Settle time.Duration
-	// Troubles is how many come in a second, at the mean.
-	Faults float64
-	Logf   func(format string, args ...any)
+	// FaultRate is the mean number of faults a second.
+	FaultRate float64
+	Logf      func(format string, args ...any)
 }
 
 // Fleet is a running fleet with its requesters, replicas and operators.
@@ -58,19 +60,19 @@
 	replicas  *replicas
 	operator  *tableOperator
 	client    *http.Client
-	// busy lets one trouble at a time have a process.
+	// busy holds a lock for each process, so that it has one fault of its own at a time.
 	busy map[*process]chan struct{}
-	// diskLost lets one disk be lost at a time.
+	// diskLost is the lock that allows one lost disk at a time.
 	diskLost chan struct{}
 }
 
-// Breach is one rule that was seen broken.
+// Breach is one observed violation of a rule.
 type Breach struct{ Rule, Text string }
 
 func (b Breach) String() string { return b.Rule + ": " + b.Text }
 
-// host is the IP number of one machine of a run. Runs side by side have networks of
-// their own.
+// host returns the loopback address of a machine. Seeds that run in parallel use
+// different networks.
 func (o Options) host(kind, number int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 64+o.Seed%128, kind, number)
 }
@@ -125,7 +127,7 @@
 	return s
 }
 
-// of lists the processes of a role.
+// withRole returns the processes of a role.
 func (f *Fleet) withRole(role string) (list []*process) {
 	for _, p := range f.processes {
 		if p.role == role {
@@ -135,7 +137,8 @@
 	return list
 }
 
-// up starts everything and puts a first table in force.
+// start starts all processes and replicas, applies the first table, and waits until all
+// nodes are ready.
 func (f *Fleet) start(ctx context.Context) error {
 	for _, p := range f.processes {
 		if err := p.writeSettings(nil); err != nil {
@@ -156,7 +159,7 @@
 		}
 	}
 	for _, p := range f.processes {
-		// Only the very first start founds.
+		// Only the first start of the fleet may found it.
 		p.settings["cold_start"], p.settings["founds"] = false, false
 		if p.role != roleDesk {
 			delete(p.settings, "founds")
@@ -168,6 +171,8 @@
 	return nil
 }
 
+// waitUntil polls until met returns true. It returns false after within, or when the
+// context ends.
 func (f *Fleet) waitUntil(ctx context.Context, within time.Duration, met func() bool) bool {
 	for end := f.now() + within; f.now() < end && ctx.Err() == nil; pause(ctx, 50*time.Millisecond) {
 		if met() {
@@ -186,7 +191,7 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// stop ends all processes, in good order where they still listen.
+// stop kills all processes.
 func (f *Fleet) stop() {
 	for _, p := range f.processes {
 		p.signal(syscall.SIGCONT)
@@ -194,18 +199,18 @@
 	}
 }
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
 	Seed     uint64
 	Breaches []Breach
 	Faults   []fault
-	// Served and Asked count requests by kind.
+	// Served and Asked count the requests of well-behaved requesters by kind.
 	Served, Asked map[string]int
-	// Runs counts what replicas ran.
+	// Runs counts the requests that replicas ran.
 	Runs int
 }
 
-// neverUp reports a fleet that did not come up, with what its processes logged.
+// startFailure reports a fleet that did not start, with the faults found in its logs.
 func (f *Fleet) startFailure(cause error) Report {
 	for _, p := range f.processes {
 		p.checkExit()
@@ -215,7 +220,7 @@
 	return Report{Seed: f.Seed, Breaches: append(all.Breaches, breach(RuleServed, "the fleet did not come up: %v", cause))}
 }
 
-// Run runs one seed.
+// Run runs one seed. A fleet that does not start is reported as a breach, not as an error.
 func Run(parent context.Context, o Options) (Report, error) {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
--- a/rehearsalkit/soak/judge.go
+++ b/rehearsalkit/soak/judge.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Names of the rules that a run is judged by.
+// Rules that a run is checked against, by the names that reports print.
 const (
 	RuleOnce          = "runs at most once"
 	RuleNotRun        = "refused is never run"
@@ -30,10 +30,10 @@
 	RuleInvariants    = "invariants hold in the code"
 )
 
-// name names a request: two tenants may use the same id.
+// requestKey identifies a request: attempt ids are unique within a tenant only.
 func requestKey(tenant, attempt string) string { return tenant + "/" + attempt }
 
-// judge holds the record against the rules.
+// judge checks the record against all rules and returns the breaches.
 func (r *record) judge() []Breach {
 	runs := map[string][]run{}
 	for _, one := range r.Runs {
@@ -50,10 +50,12 @@
 	return Breach{Rule: rule, Text: fmt.Sprintf(format, args...)}
 }
 
-// promises are the statuses that promise that a request has not run and never will.
+// notRunStatuses are the statuses that guarantee that a request has not run and never
+// will.
 var notRunStatuses = map[int]bool{http.StatusPaymentRequired: true, http.StatusUnauthorized: true, http.StatusNotFound: true, http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true, http.StatusRequestTimeout: true}
 
-// judgeRuns looks for requests that ran too often, or after they were refused.
+// judgeRuns finds once-only requests that ran twice, and requests that ran although they
+// were refused.
 func (r *record) judgeRuns(runs map[string][]run) (list []Breach) {
 	for _, q := range r.Requests {
 		ran := runs[requestKey(q.Tenant, q.Attempt)]
@@ -70,7 +72,7 @@
 	return list
 }
 
-// judgeAnswers looks for successes that no replica gave so.
+// judgeAnswers finds successful answers that differ from what a replica sent.
 func (r *record) judgeAnswers(runs map[string][]run) (list []Breach) {
 	for _, q := range r.Requests {
 		if !q.Whole || q.Status != http.StatusOK {
@@ -80,14 +82,14 @@
 		for _, one := range runs[requestKey(q.Tenant, q.Attempt)] {
 			given = given || one.Gave == q.Answer
 		}
-		// A stream that was taken up elsewhere is joined of two runs of the same text.
+		// A stream that was resumed at another replica joins the output of two runs.
 		if q.Kind == kindChat && !given {
 			for _, one := range runs[requestKey(q.Tenant, q.Attempt)] {
 				given = given || strings.HasSuffix(q.Answer, one.Gave) && q.Answer == wholeStream(q.Attempt)
 			}
 		}
 		if !given {
-			list = append(list, breach(RuleAnswers, "%s of %s at %s got an answer that no replica gave: %.200q", q.Attempt, q.Tenant, q.Node, q.Answer))
+			list = append(list, breach(RuleAnswers, "%s of %s at %s got an answer that no replica sent: %.200q", q.Attempt, q.Tenant, q.Node, q.Answer))
 		}
 	}
 	return list
@@ -101,7 +103,8 @@
 	return text.String()
 }
 
-// judgeUnasked looks for runs that nobody asked for, or not so.
+// judgeRequested finds runs without a request, or with another method, path, service or
+// body.
 func (r *record) judgeRequested(map[string][]run) (list []Breach) {
 	asked := map[string]*request{}
 	for _, q := range r.Requests {
@@ -112,7 +115,7 @@
 		q := asked[requestKey(one.Tenant, one.Attempt)]
 		switch {
 		case q == nil:
-			list = append(list, breach(RuleRequested, "%s of tenant %q ran at %s and was never asked for", one.Attempt, one.Tenant, one.Replica))
+			list = append(list, breach(RuleRequested, "%s of tenant %q ran at %s and was never requested", one.Attempt, one.Tenant, one.Replica))
 		case q.Method != one.Method || q.Path != one.Path || services[q.Kind] != one.Service:
 			list = append(list, breach(RuleRequested, "%s ran as %s %s at %s", q.Attempt, one.Method, one.Path, one.Service))
 		case one.Got != q.Before+q.Body && one.Got != unread:
@@ -126,7 +129,8 @@
 	return list
 }
 
-// judgeBudgets sums up what programs got, and looks for turns refused without need.
+// judgeBudgets finds programs that got more tokens than their budgets allow, and turns
+// that were refused although the budget sufficed.
 func (r *record) judgeBudgets(map[string][]run) (list []Breach) {
 	type spending struct{ got, budget, most int64 }
 	programs := map[string]*spending{}
@@ -141,20 +145,21 @@
 			programs[requestKey(q.Tenant, q.Program)] = b
 		}
 		if q.Status == http.StatusPaymentRequired && b.most+turnTokens <= b.budget {
-			list = append(list, breach(RuleBudgetRefusal, "%s was refused though program %s had been asked for %d of its %d at the most", q.Attempt, q.Program, b.most, b.budget))
+			list = append(list, breach(RuleBudgetRefusal, "%s was refused although program %s had requested at most %d of its %d tokens", q.Attempt, q.Program, b.most, b.budget))
 		}
 		b.most += turnTokens
 		b.got += tokensPerEvent * int64(strings.Count(q.Answer, "data: "))
 	}
 	for program, b := range programs {
 		if b.got > b.budget+turnTokens {
-			list = append(list, breach(RuleBudget, "program %s got %d tokens; its budget is %d and a turn's most %d", program, b.got, b.budget, turnTokens))
+			list = append(list, breach(RuleBudget, "program %s got %d tokens; its budget is %d and the limit of a turn %d", program, b.got, b.budget, turnTokens))
 		}
 	}
 	return list
 }
 
-// judgeKept looks for kept turns that were said not to be there.
+// judgeHistory finds turns answered 404 although the turn that they continue was complete
+// and within its retention time.
 func (r *record) judgeHistory(map[string][]run) (list []Breach) {
 	whole := map[string]time.Duration{}
 	for _, q := range r.Requests {
@@ -165,13 +170,13 @@
 	for _, q := range r.Requests {
 		ended, ok := whole[requestKey(q.Tenant, q.Previous)]
 		if q.Status == http.StatusNotFound && q.Previous != "" && ok && q.Began < ended+historyRetention {
-			list = append(list, breach(RuleHistory, "%s of %s at %s got 404 at %v; %s had come whole at %v", q.Attempt, q.Tenant, q.Node, q.Ended, q.Previous, ended))
+			list = append(list, breach(RuleHistory, "%s of %s at %s got 404 at %v; %s was complete at %v", q.Attempt, q.Tenant, q.Node, q.Ended, q.Previous, ended))
 		}
 	}
 	return list
 }
 
-// judgeRate slides a window over what ran of the tenant with a limit.
+// judgeRate checks the runs of the rate-limited tenant in a sliding window.
 func (r *record) judgeRate(map[string][]run) []Breach {
 	most := int((limitedRate*rateWindow.Seconds()+limitedBurst)*1.1) + rateSlack
 	var window []time.Duration
@@ -190,8 +195,8 @@
 	return nil
 }
 
-// judgeTables looks for acknowledged tables that are gone, hidden, or contradict one
-// another.
+// judgeTables finds acknowledged tables that are invalid, conflict on one base, or are
+// not read back.
 func (r *record) judgeTables(map[string][]run) (list []Breach) {
 	taken := map[uint64]uint64{}
 	for _, o := range r.Updates {
@@ -209,15 +214,15 @@
 	for _, read := range r.Reads {
 		for _, o := range r.Updates {
 			if o.Status == http.StatusOK && o.Ended+applyTimeout < read.Began && read.Number < o.Number {
-				list = append(list, breach(RuleTables, "%s told table %d at %v; %d was acknowledged at %v", read.Desk, read.Number, read.Ended, o.Number, o.Ended))
+				list = append(list, breach(RuleTables, "%s returned table %d at %v; table %d was acknowledged at %v", read.Desk, read.Number, read.Ended, o.Number, o.Ended))
 			}
 		}
 	}
 	return list
 }
 
-// judgeLeaving looks for requests that reach a replica long after it was acknowledged
-// that it leaves, at times when nothing was in trouble.
+// judgeLeaving finds requests that reached a replica more than drainTimeout after a desk
+// acknowledged that it leaves, while there was no fault.
 func (r *record) judgeLeaving(map[string][]run) (list []Breach) {
 	left := map[string]time.Duration{}
 	for _, w := range r.Departures {
@@ -236,8 +241,8 @@
 	return list
 }
 
-// calm reports whether no process and no link was in trouble in a time, nor for
-// contactTime before it.
+// faultFree reports whether no process or link had a fault in a time span or within
+// contactTimeout before it.
 func (r *record) faultFree(from, to time.Duration) bool {
 	for _, t := range r.Faults {
 		if !strings.HasPrefix(t.Kind, "replica") && t.From < to && from < t.To+contactTimeout {
@@ -247,18 +252,19 @@
 	return true
 }
 
-// judgeHeld looks for requests that got no end though nothing befell their node.
+// judgeDeadlines finds requests that were not ended in time although their node had no
+// fault.
 func (r *record) judgeDeadlines(map[string][]run) (list []Breach) {
 	for _, q := range r.Requests {
 		if q.Misbehaving || q.Ended < 0 || q.Ended-q.Began < deadline+answerGrace || r.affected(q.Node, q.Began-time.Second, q.Ended) {
 			continue
 		}
-		list = append(list, breach(RuleDeadline, "%s of kind %s at %s was asked for at %v and ended at %v with %d", q.Attempt, q.Kind, q.Node, q.Began, q.Ended, q.Status))
+		list = append(list, breach(RuleDeadline, "%s of kind %s at %s was sent at %v and ended at %v with %d", q.Attempt, q.Kind, q.Node, q.Began, q.Ended, q.Status))
 	}
 	return list
 }
 
-// befell reports whether a process was in trouble in a time.
+// affected reports whether a process had a fault in a time span.
 func (r *record) affected(who string, from, to time.Duration) bool {
 	for _, t := range r.Faults {
 		if slices.Contains(strings.Fields(t.Target), who) && t.From < to && from < t.To+time.Second {
@@ -268,11 +274,11 @@
 	return false
 }
 
-// servedShare is the least share of requests that is to be served once all is well,
-// as replicas go on misbehaving.
+// servedShare is the least share of requests that must be served after the faults.
+// Replicas go on misbehaving, so it is below 1.
 const servedShare = 0.5
 
-// judgeServed looks at what was asked for once the troubles were over.
+// judgeServed checks that enough requests were served after the last fault.
 func (r *record) judgeServed(map[string][]run) (list []Breach) {
 	var over time.Duration
 	for _, t := range r.Faults {
--- a/rehearsalkit/soak/misbehaving.go
+++ b/rehearsalkit/soak/misbehaving.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// rudeness is one way in which a requester misbehaves.
+// misbehavior is one way in which a requester breaks the protocol or holds a connection.
 type misbehavior func(f *Fleet, ctx context.Context, name string)
 
-// rude are all ways.
+// misbehaviors are all kinds of misbehavior.
 var misbehaviors = []misbehavior{halfBody, readsNothing, closesEarly, dripsHead, pipelines, repeatsAttempt, wrongKey, hugeHead, announcesMuch}
 
-// rudeAtOnce is how many rude requesters there are at a time.
+// misbehavingAtOnce is the largest number of concurrent misbehaving requesters.
 const misbehavingAtOnce = 6
 
-// beRude lets rude requesters come one after the other.
+// runMisbehaving starts misbehaving requesters until the context ends, and waits for them.
 func (f *Fleet) runMisbehaving(ctx context.Context) {
 	endpoints, over := make(chan struct{}, misbehavingAtOnce), 0
 	done := make(chan struct{}, 1<<16)
@@ -39,7 +39,7 @@
 	}
 }
 
-// rudely makes a request that counts as rude, on a connection of its own.
+// openMisbehaving records a misbehaving request and opens a connection for it.
 func (f *Fleet) openMisbehaving(kind, method, name, body string) (*request, *connection) {
 	return f.open(misbehavingRequest(kind, method, name, body))
 }
@@ -48,7 +48,8 @@
 	return &request{Attempt: name, Kind: kind, Tenant: tenantFirst, Method: method, Path: "/" + kind + "/x", Body: body, Misbehaving: true}
 }
 
-// begins opens a connection for a request. Without one there is no request.
+// open opens a connection and records the request. It returns nil for both if the
+// connection fails.
 func (f *Fleet) open(q *request) (*request, *connection) {
 	c, err := dialNode(f.anyNode())
 	if err != nil {
@@ -58,15 +59,17 @@
 	return q, c
 }
 
-// patient is how long a rude requester stays: longer than any request may be held.
+// holdTime is how long a misbehaving requester keeps its connection open. It is longer
+// than any request may last.
 const holdTime = 12 * time.Second
 
-// stay keeps a connection open without reading.
+// hold keeps a connection open without reading, and closes it after holdTime.
 func hold(ctx context.Context, c net.Conn) {
 	pause(ctx, holdTime)
 	c.Close()
 }
 
+// halfBody sends a part of its body and holds the connection.
 func halfBody(f *Fleet, ctx context.Context, name string) {
 	if q, c := f.openMisbehaving(kindOnce, http.MethodPost, name, strings.Repeat("b", 4000)); c != nil {
 		io.WriteString(c, q.head(keyOf(q.Tenant))+q.Body[:rand.IntN(len(q.Body))])
@@ -74,7 +77,7 @@
 	}
 }
 
-// announcesMuch tells of a large body and sends none of it.
+// announcesMuch announces a large body and sends none of it.
 func announcesMuch(f *Fleet, ctx context.Context, name string) {
 	if q, c := f.openMisbehaving(kindOnce, http.MethodPost, name, ""); c != nil {
 		io.WriteString(c, strings.Replace(q.head(keyOf(q.Tenant)), "Content-Length: 0", "Content-Length: 900000", 1))
@@ -82,7 +85,7 @@
 	}
 }
 
-// readsNothing asks for a large stream and takes nothing of it.
+// readsNothing requests a large stream and reads none of it.
 func readsNothing(f *Fleet, ctx context.Context, name string) {
 	large := misbehavingRequest(kindChat, http.MethodPost, name, "much")
 	large.Path = pathLarge
@@ -97,6 +100,7 @@
 	hold(ctx, c)
 }
 
+// closesEarly closes or resets the connection soon after a complete request.
 func closesEarly(f *Fleet, ctx context.Context, name string) {
 	kind := []string{kindAlert, kindOnce, kindChat}[rand.IntN(3)]
 	method, body := http.MethodPost, "bye"
@@ -113,6 +117,7 @@
 	}
 }
 
+// dripsHead sends the request head byte by byte.
 func dripsHead(f *Fleet, ctx context.Context, name string) {
 	q, c := f.openMisbehaving(kindAlert, http.MethodGet, name, "")
 	if c == nil {
@@ -127,7 +132,7 @@
 	}
 }
 
-// pipelines sends two requests at once.
+// pipelines sends two requests without waiting for the first answer.
 func pipelines(f *Fleet, ctx context.Context, name string) {
 	first, c := f.openMisbehaving(kindAlert, http.MethodGet, name+"a", "")
 	if c == nil {
@@ -143,7 +148,7 @@
 	}
 }
 
-// repeatsAttempt uses one id for all turns of a program.
+// repeatsAttempt uses one attempt id for all turns of a program.
 func repeatsAttempt(f *Fleet, ctx context.Context, name string) {
 	for range 6 {
 		c, err := dialNode(f.anyNode())
@@ -156,6 +161,7 @@
 	}
 }
 
+// wrongKey sends a request with an unknown key.
 func wrongKey(f *Fleet, ctx context.Context, name string) {
 	stranger := misbehavingRequest(kindOnce, http.MethodPost, name, "with a wrong key")
 	stranger.Tenant = ""
@@ -167,6 +173,7 @@
 	}
 }
 
+// hugeHead sends a request head above the limit.
 func hugeHead(f *Fleet, ctx context.Context, name string) {
 	if q, c := f.openMisbehaving(kindAlert, http.MethodGet, name, ""); c != nil {
 		c.SetDeadline(time.Now().Add(deadline + answerGrace))
--- a/rehearsalkit/soak/operator.go
+++ b/rehearsalkit/soak/operator.go
@@ -15,16 +15,17 @@
 	"saffronfall/rule/route"
 )
 
-// tables hands routing tables over, as operators do. One goroutine works it, besides
-// the first table.
+// tableOperator applies routing tables, as an operator does. It is used by one goroutine
+// at a time.
 type tableOperator struct {
 	fleet *Fleet
-	// known is the newest table that was acknowledged to, or read by, the operators.
+	// known is the newest table that was acknowledged or read. number is the highest
+	// table number used.
 	known  uint64
 	number uint64
 }
 
-// one is a route of the soak's tables.
+// newRoute returns a route of the soak's tables, named after the kind of requests.
 func newRoute(kind, mode, service string, tries int64) route.Route {
 	return route.Route{Name: kind, Host: host, Prefix: "/" + kind + "/", Mode: mode, TimeoutMS: float64(routeTimeout.Milliseconds()), Tries: tries, KeepSeconds: 60,
 		Targets: []route.Target{{Service: service, Weight: 1}}}
@@ -32,12 +33,13 @@
 
 func routeName(number uint64) string { return fmt.Sprint("mark-", number) }
 
-// markRoute is the route that only the table of a number has.
+// numberedRoute returns the route that only the table with this number has.
 func numberedRoute(number uint64) route.Route {
 	return newRoute(routeName(number), route.Repeatable, serviceApp, 2)
 }
 
-// text is the table of a number. Each has a route of its own.
+// tableText encodes the table with a number. Every table has one route of its own, so that
+// no two are equal.
 func tableText(number uint64) []byte {
 	tenant := func(name string, rate, burst float64) route.Tenant {
 		return route.Tenant{Name: name, Keys: []string{configuration.KeyDigest(keyOf(name))}, Rate: rate, Burst: burst}
@@ -55,7 +57,8 @@
 	return raw
 }
 
-// hand hands a table over at a desk and tells its answer, zero for none.
+// apply sends a whole table to a desk and returns the status of the answer, or 0 if there
+// was none.
 func (t *tableOperator) apply(ctx context.Context, desk *process, base, number uint64) int {
 	return t.applyText(ctx, desk, tableUpdate{Base: base, Number: number, Valid: true}, tableText(number))
 }
@@ -64,7 +67,7 @@
 	return t.send(ctx, http.MethodPut, desk, o, body)
 }
 
-// amend hands over only what differs between the tables of two numbers.
+// amend sends only the difference between the tables with the numbers base and number.
 func (t *tableOperator) amend(ctx context.Context, desk *process, base, number uint64) int {
 	a := route.Amendment{Number: number, Set: route.SetItems{Routes: []route.Route{numberedRoute(number)}}, Remove: route.RemovedNames{Routes: []string{routeName(base)}}}
 	body, err := json.Marshal(a)
@@ -74,7 +77,7 @@
 	return t.send(ctx, http.MethodPatch, desk, tableUpdate{Base: base, Number: number, Valid: true}, body)
 }
 
-// send sends an order and notes how it was answered.
+// send sends a table update and records its answer.
 func (t *tableOperator) send(ctx context.Context, method string, desk *process, o tableUpdate, body []byte) int {
 	f := t.fleet
 	o.Began = f.now()
@@ -106,7 +109,8 @@
 	return answer.StatusCode, got
 }
 
-// read reads the table in force at a desk.
+// read reads the active table at a desk and checks that it is what was applied. It reports
+// whether the desk answered.
 func (t *tableOperator) read(ctx context.Context, desk *process) bool {
 	f := t.fleet
 	began := f.now()
@@ -119,12 +123,12 @@
 	f.update(func(r *record) { r.Reads = append(r.Reads, one) })
 	t.known = max(t.known, read.Number)
 	if !bytes.Equal(compact(got), compact(tableText(read.Number))) {
-		f.recordBreach(RuleTables, "table %d, read at %s, is not what was handed over", read.Number, desk.name)
+		f.recordBreach(RuleTables, "table %d, read at %s, is not what was applied", read.Number, desk.name)
 	}
 	return true
 }
 
-// compact is a table as it is parsed, so that texts can be compared.
+// compact returns the canonical encoding of a table, for comparison.
 func compact(raw []byte) []byte {
 	parsed, faults := route.Parse(raw)
 	if faults != nil {
@@ -133,8 +137,8 @@
 	return parsed.JSONWithoutSource()
 }
 
-// operate changes tables until the context ends: mostly in order, some by two
-// operators at once, some invalid, some with their answers lost.
+// operate applies tables until the context ends: mostly one after the other, some
+// concurrently on one base, some invalid, some retried after a lost answer.
 func (t *tableOperator) operate(ctx context.Context) {
 	desks := t.fleet.withRole(roleDesk)
 	for ctx.Err() == nil {
@@ -147,7 +151,7 @@
 		case 1:
 			t.applyText(ctx, desk, tableUpdate{Base: t.known, Number: next}, []byte(fmt.Sprintf(`{"number":%d,"routes":[{"host":"h"}]}`, next)))
 		case 2:
-			// The answer is lost; the same is sent again elsewhere.
+			// The answer may be lost; the same update is retried at the other desk.
 			lost, cancel := context.WithTimeout(ctx, time.Duration(rand.IntN(20))*time.Millisecond)
 			base := t.known
 			t.apply(lost, desk, base, next)
@@ -175,7 +179,7 @@
 	}
 }
 
-// race hands two tables over on one base at the same time.
+// race applies two tables on one base concurrently.
 func (t *tableOperator) race(ctx context.Context, desk, other *process, next uint64) {
 	base, first, second := t.known, *t, *t
 	done := make(chan struct{})
--- a/rehearsalkit/soak/process.go
+++ b/rehearsalkit/soak/process.go
@@ -21,8 +21,8 @@
 	roleNode = "relay"
 )
 
-// Ports of every machine. Peers are advertised at the relayed port; some requesters come
-// by the relayed one of theirs.
+// Ports of every machine. Processes advertise relayedPort to their peers; some requesters
+// connect to relayedClientPort.
 const (
 	relayedPort       = 7000
 	operatorPort      = 7001
@@ -40,7 +40,7 @@
 	replicaKey  = "rehearsal-replica"
 )
 
-// process is one process of the fleet, through all its lives.
+// process is one process of the fleet, across its incarnations.
 type process struct {
 	fleet      *Fleet
 	name, role string
@@ -48,10 +48,10 @@
 	settings   map[string]any
 	command    *exec.Cmd
 	ended      chan error
-	// startedAt is when its present life began.
+	// startedAt is when the current incarnation started.
 	startedAt time.Duration
 	frozen    bool
-	// lives counts those of a core on a disk that can fail.
+	// incarnations counts the incarnations of a core on a fault-injecting disk.
 	incarnations uint64
 }
 
@@ -63,7 +63,8 @@
 
 func (p *process) logPath() string { return filepath.Join(p.folder, "log") }
 
-// writeSettings writes the settings file whole, or a text in its place.
+// writeSettings replaces the settings file atomically, with the process's settings or, if
+// text is not nil, with text.
 func (p *process) writeSettings(text []byte) error {
 	if text == nil {
 		var err error
@@ -81,7 +82,7 @@
 	return errors.Wrap(os.Rename(fresh, p.settingsPath()), "settings")
 }
 
-// start begins a new life.
+// start starts a new incarnation, unless one is running.
 func (p *process) start() error {
 	if p.command != nil {
 		return nil
@@ -94,7 +95,7 @@
 		return errors.Wrap(err, "log")
 	}
 	defer out.Close()
-	fmt.Fprintf(out, "== a life begins at %.3fs\n", p.fleet.now().Seconds())
+	fmt.Fprintf(out, "== process starts at %.3fs\n", p.fleet.now().Seconds())
 	command := p.newCommand()
 	command.Stdout, command.Stderr = out, out
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -107,8 +108,8 @@
 	return nil
 }
 
-// program is what a life runs: the shipped program, or, for a core, the shipped role on a
-// disk that can fail.
+// newCommand returns the command of the next incarnation: the shipped program or, for a
+// core with DiskBinary, the same role on a fault-injecting disk.
 func (p *process) newCommand() *exec.Cmd {
 	o := p.fleet.Options
 	if p.role == roleCore && o.DiskBinary != "" {
@@ -131,10 +132,10 @@
 	}
 }
 
-// endsWithin is how long a process may take to end after SIGTERM, besides its grace.
+// exitTimeout is how long a process may take to end after SIGTERM, beyond its grace period.
 const exitTimeout = 6 * time.Second
 
-// wait waits for the end of a life that was asked to end.
+// waitExit waits for the end of a process after SIGTERM, and kills it after the timeout.
 func (p *process) waitExit() {
 	if p.command == nil {
 		return
@@ -144,18 +145,18 @@
 	select {
 	case err := <-p.ended:
 		if err != nil && !exitedBySIGTERM(err) {
-			p.fleet.recordBreach(RuleExit, "%s ended by SIGTERM with %v", p.name, err)
+			p.fleet.recordBreach(RuleExit, "%s ended after SIGTERM with %v", p.name, err)
 		}
 	case <-timer.C:
-		p.fleet.recordBreach(RuleExit, "%s was asked to end and still runs after %v", p.name, exitTimeout+gracePeriod)
+		p.fleet.recordBreach(RuleExit, "%s still runs %v after SIGTERM", p.name, exitTimeout+gracePeriod)
 		p.command.Process.Kill()
 		<-p.ended
 	}
 	p.command = nil
 }
 
-// signalled reports whether a process was ended by the signal itself, as one is that
-// has not begun to take signals.
+// exitedBySIGTERM reports whether the signal itself ended a process, as happens before it
+// has installed its handler.
 func exitedBySIGTERM(err error) bool {
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) {
@@ -174,7 +175,7 @@
 	p.command = nil
 }
 
-// check looks whether a life has ended that nobody ended, and begins another.
+// checkExit records a breach if the process has ended by itself, and starts it again.
 func (p *process) checkExit() {
 	if p.command == nil {
 		return
@@ -188,7 +189,7 @@
 	}
 }
 
-// tail is the end of a log.
+// tail returns the end of a log.
 func tail(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -198,10 +199,10 @@
 	return string(text[max(0, len(text)-most):])
 }
 
-// signs are what no log may hold.
+// faultSigns are texts that must not appear in a log.
 var faultSigns = []string{"DATA RACE", "panic:", "fatal error:", "an invariant was violated"}
 
-// readLog looks for signs of faults in a log.
+// readLog records a breach for each fault sign in the log.
 func (p *process) readLog() {
 	text, err := os.ReadFile(p.logPath())
 	if err != nil {
@@ -215,7 +216,7 @@
 	}
 }
 
-// pause waits, or until the context ends.
+// pause waits for length or until the context ends.
 func pause(ctx context.Context, length time.Duration) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
--- a/rehearsalkit/soak/record.go
+++ b/rehearsalkit/soak/record.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Kinds of requests, which are also the first parts of their paths.
+// Kinds of requests, which are also the first segments of their paths.
 const (
 	kindAlert = "alert"
 	kindOnce  = "once"
@@ -15,29 +15,31 @@
 	kindKept  = "kept"
 )
 
-// request is one try of a stand-in requester.
+// request is one request of a simulated client.
 type request struct {
 	Attempt, Kind, Tenant, Node string
 	Method, Path, Body          string
-	// Before is what a replica is to get before the body.
+	// Before is the history that a replica must receive before the body.
 	Before string
-	// Previous names the kept turn that it goes on from.
+	// Previous is the attempt id of the turn that it continues.
 	Previous string
 	Program  string
 	Budget   int64
-	// Rude requesters break the protocol: only what replicas ran of theirs counts.
+	// Misbehaving requesters break the protocol: only the runs of their requests are checked.
 	Misbehaving bool
-	// Repeats says that the attempt's id is used more than once.
+	// Repeats tells that the attempt id is used more than once.
 	Repeats bool
 
 	Began time.Duration
 	result
 }
 
-// end is what became of a request.
+// result is the result of a request.
 type result struct {
+	// Ended is negative until the request has ended.
 	Ended time.Duration
-	// Status is the answer's; zero: none came. Whole says that it came whole.
+	// Status is the status of the answer, 0 if there was none. Whole tells that the answer
+	// is complete.
 	Status int
 	Whole  bool
 	Answer string
@@ -47,11 +49,11 @@
 type run struct {
 	At                                                   time.Duration
 	Replica, Service, Attempt, Tenant, Method, Path, Got string
-	// Gave is the whole answer that the replica meant to give.
+	// Gave is the complete answer that the replica intended to send.
 	Gave string
 }
 
-// order is a routing table that an operator handed over.
+// tableUpdate is an update of the routing table by an operator.
 type tableUpdate struct {
 	Base, Number uint64
 	Began, Ended time.Duration
@@ -59,20 +61,20 @@
 	Valid        bool
 }
 
-// reading is a table that was read back.
+// tableRead is the number of the table that a desk returned.
 type tableRead struct {
 	Desk         string
 	Began, Ended time.Duration
 	Number       uint64
 }
 
-// word is that a replica leaves, acknowledged by a desk.
+// departure is the time when a desk acknowledged that a replica leaves.
 type departure struct {
 	Replica string
 	At      time.Duration
 }
 
-// trouble is what befell something, for a time.
+// fault is one injected fault. Target names what it affected, separated by spaces.
 type fault struct {
 	Kind, Target string
 	From, To     time.Duration
@@ -82,7 +84,7 @@
 	return fmt.Sprintf("%6.2fs to %6.2fs %s %s", t.From.Seconds(), t.To.Seconds(), t.Kind, t.Target)
 }
 
-// record is all that requesters, replicas and operators saw.
+// record is everything that requesters, replicas and operators saw.
 type record struct {
 	Requests   []*request
 	Runs       []run
@@ -90,11 +92,11 @@
 	Reads      []tableRead
 	Departures []departure
 	Faults     []fault
-	// Found are breaches that were seen while the run went on.
+	// Breaches are breaches that were detected during the run.
 	Breaches []Breach
 }
 
-// journal owns the record while a run goes on.
+// recorder owns the record during a run: one goroutine applies all updates.
 type recorder struct {
 	updates chan func(r *record)
 	ctx     context.Context
@@ -119,7 +121,7 @@
 
 func (j *recorder) now() time.Duration { return time.Since(j.start) }
 
-// note changes the record, and returns when that is done.
+// update changes the record, and returns when that is done or the run has ended.
 func (j *recorder) update(what func(r *record)) {
 	done := make(chan struct{})
 	select {
@@ -133,14 +135,14 @@
 	}
 }
 
-// found notes a breach.
+// recordBreach records a breach.
 func (j *recorder) recordBreach(rule, format string, args ...any) {
 	j.update(func(r *record) {
 		r.Breaches = append(r.Breaches, Breach{Rule: rule, Text: fmt.Sprintf(format, args...)})
 	})
 }
 
-// copied is the record as it stands.
+// snapshot returns a copy of the record, with runs in order of time.
 func (j *recorder) snapshot() record {
 	var all record
 	j.update(func(r *record) {
--- a/rehearsalkit/soak/replica.go
+++ b/rehearsalkit/soak/replica.go
@@ -15,14 +15,14 @@
 	"time"
 )
 
-// Services of the rehearsed table.
+// Services of the routing table.
 const (
 	serviceModel = "model"
 	serviceApp   = "app"
 )
 
-// eventsOfTurn is how many events a whole stream has, tokensPerEvent how many tokens
-// each counts.
+// eventsOfTurn is the number of events of a complete stream, tokensPerEvent the tokens
+// that each counts.
 const (
 	eventsOfTurn   = 5
 	tokensPerEvent = 10
@@ -30,33 +30,32 @@
 	turnTokens     = eventsOfTurn * tokensPerEvent
 )
 
-// replicas are all stand-in replicas, by places. A place has one replica after the
-// other at one address.
+// replicas are all simulated replicas, by endpoint.
 type replicas struct {
 	fleet     *Fleet
 	endpoints []*endpoint
 }
 
-// place is an address that replicas come and go at.
+// endpoint is an address that has one replica after the other.
 type endpoint struct {
 	fleet            *Fleet
 	service, address string
-	// behind is where its replicas listen: the address itself, or one behind a relay.
+	// listenAddress is where its replicas listen: the address itself, or behind a relay.
 	listenAddress string
 	incarnations  int
 	current       *replica
-	// busy lets one trouble at a time have the place.
+	// busy is the lock that allows one fault at a time.
 	busy chan struct{}
 }
 
-// replica is one life of a replica.
+// replica is one replica, from its start to its end.
 type replica struct {
 	endpoint *endpoint
 	id       string
 	server   net.Listener
 	cancel   context.CancelFunc
 	ctx      context.Context
-	// leaving is closed when it begins to say that it leaves.
+	// leaving is closed when its heartbeats start to announce that it leaves.
 	leaving chan struct{}
 }
 
@@ -70,7 +69,7 @@
 		p := &endpoint{fleet: f, service: service, address: f.host(hostReplica, i+1) + ":7900", busy: make(chan struct{}, 1)}
 		p.listenAddress = p.address
 		if i%2 == 0 {
-			// Those that are not behind a relay refuse connections while they are down.
+			// Endpoints without a relay refuse connections while they have no replica.
 			p.listenAddress = f.host(hostReplica, i+1) + ":7910"
 		}
 		r.endpoints = append(r.endpoints, p)
@@ -78,7 +77,7 @@
 	return r
 }
 
-// relay puts relays before the places that are behind one.
+// relay starts the relays.
 func (r *replicas) relay(ctx context.Context) error {
 	for _, p := range r.endpoints {
 		if p.listenAddress == p.address {
@@ -97,7 +96,7 @@
 	}
 }
 
-// begin begins a new life at a place.
+// start starts a new replica at the endpoint.
 func (p *endpoint) start(ctx context.Context) {
 	var listener net.Listener
 	for range 100 {
@@ -120,7 +119,7 @@
 	go one.announce()
 }
 
-// crash ends a life without a word.
+// crash ends the replica without deregistering it.
 func (p *endpoint) crash() {
 	if p.current != nil {
 		p.current.cancel()
@@ -128,8 +127,8 @@
 	}
 }
 
-// leave says that a replica leaves, serves on for a while and ends it. Some say it
-// by their last word only.
+// leave announces that the replica leaves, lets it serve for a while and ends it. With
+// deregisterFirst it deregisters at once instead of announcing it by heartbeat first.
 func (p *endpoint) leave(ctx context.Context, deregisterFirst bool) {
 	one := p.current
 	if one == nil {
@@ -147,7 +146,7 @@
 	p.crash()
 }
 
-// announce says all the time that the replica is there, at one desk or another.
+// announce sends heartbeats to a desk, and changes to the next desk after a failure.
 func (r *replica) announce() {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -181,7 +180,7 @@
 	}
 }
 
-// lastWord says that the replica goes, until a desk has heard it.
+// deregister tells the desks in turn that the replica is gone, until one acknowledges it.
 func (r *replica) deregister() {
 	for _, desk := range r.endpoint.fleet.withRole(roleDesk) {
 		if r.call(http.MethodDelete, desk, nil) {
@@ -191,7 +190,7 @@
 	}
 }
 
-// left notes that a desk acknowledged that a replica leaves.
+// recordDeparture records the first acknowledgement that a replica leaves.
 func (f *Fleet) recordDeparture(id string) {
 	at := f.now()
 	f.update(func(r *record) {
@@ -204,7 +203,8 @@
 	})
 }
 
-// tell says something to a desk, and reports whether it was acknowledged in time.
+// call sends a heartbeat or a deregistration to a desk, and reports whether it was
+// acknowledged within a second.
 func (r *replica) call(method string, desk *process, body []byte) bool {
 	ctx, cancel := context.WithTimeout(r.ctx, time.Second)
 	defer cancel()
@@ -222,38 +222,38 @@
 	return err == nil && answer.StatusCode == http.StatusOK
 }
 
-// manner is how a replica treats one request.
+// behavior is how a replica handles one request.
 type behavior int
 
-// Manners of replicas.
+// Behaviors of replicas.
 const (
 	behaviorGood behavior = iota
-	// mannerFull promises that it did not run.
+	// behaviorFull answers that the request has not run.
 	behaviorFull
-	// mannerFails answers 500 after it ran.
+	// behaviorFails answers 500 after the run.
 	behaviorFails
-	// mannerSwallows runs and ends the connection without an answer.
+	// behaviorSwallows closes the connection without an answer after the run.
 	behaviorSwallows
-	// mannerResets does so by a reset.
+	// behaviorResets resets the connection after the run.
 	behaviorResets
-	// mannerHalf breaks off in the middle of its answer.
+	// behaviorHalf closes the connection within the answer.
 	behaviorHalf
-	// mannerSurplus sends bytes after its whole answer.
+	// behaviorSurplus sends more bytes right after the complete answer.
 	behaviorSurplus
-	// mannerSurplusLater sends another answer where the next request's is due.
+	// behaviorSurplusLater sends an unrelated answer to the next request on the connection.
 	behaviorSurplusLater
-	// mannerSilent never answers.
+	// behaviorSilent never answers.
 	behaviorSilent
-	// mannerNonsense sends bytes that are no answer.
+	// behaviorNonsense sends bytes that are not an HTTP response.
 	behaviorNonsense
-	// mannerEarly answers before it has read the body.
+	// behaviorEarly answers without reading the body.
 	behaviorEarly
-	// mannerLate answers after a pause.
+	// behaviorLate answers after a delay.
 	behaviorLate
 	behaviorCount
 )
 
-// pick is good mostly, and else one of the others.
+// pickBehavior returns a random behavior, mostly behaviorGood.
 func pickBehavior() behavior {
 	if rand.Float64() < 0.82 {
 		return behaviorGood
@@ -305,14 +305,14 @@
 	}
 }
 
-// unread stands for a body that a replica answered before.
+// unread is recorded in place of a body that the replica did not read.
 const unread = "(not read)"
 
-// pathLarge is asked for by who takes nothing of it: its streams are larger than what
-// sockets hold.
+// pathLarge is the path of streams that are larger than socket buffers, for requesters
+// that do not read them.
 const pathLarge = "/" + kindChat + "/large"
 
-// answer is the whole of what a replica answers to a request.
+// answer returns the complete answer to a request.
 func (r *replica) answer(q *http.Request, stream bool) string {
 	attempt := q.Header.Get("Saffronfall-Attempt")
 	if !stream {
@@ -333,7 +333,7 @@
 	return text.String()
 }
 
-// give answers in good order: a stream event by event.
+// writeAnswer writes a correct answer. A stream is written event by event.
 func (r *replica) writeAnswer(w http.ResponseWriter, one run, stream bool) {
 	if !stream {
 		io.WriteString(w, one.Gave)
@@ -349,7 +349,7 @@
 	}
 }
 
-// misbehave answers by hand, and mostly badly.
+// misbehave takes over the connection and answers as the behavior demands.
 func (r *replica) misbehave(w http.ResponseWriter, q *http.Request, one run, how behavior, stream bool) {
 	head := "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: " + one.Attempt + "\r\nSaffronfall-Seal: seal-" + one.Attempt + "\r\n"
 	length := fmt.Sprintf("Content-Length: %d\r\n\r\n", len(one.Gave))
@@ -362,41 +362,41 @@
 		return
 	}
 	defer c.Close()
-	say := func(text string) {
+	write := func(text string) {
 		c.SetWriteDeadline(time.Now().Add(time.Second))
 		io.WriteString(c, text)
 	}
 	switch how {
 	case behaviorSwallows:
-		// Nothing is said, and the connection ends.
+		// The deferred Close ends the connection.
 	case behaviorResets:
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
 	case behaviorHalf:
 		cut := rand.IntN(len(one.Gave))
-		say(head + length + one.Gave[:cut])
+		write(head + length + one.Gave[:cut])
 	case behaviorSurplus:
-		say(head + length + one.Gave + surplusAnswer)
+		write(head + length + one.Gave + surplusAnswer)
 		r.waitForByte(c, buffer.Reader, 300*time.Millisecond)
 	case behaviorSurplusLater:
-		say(head + length + one.Gave)
+		write(head + length + one.Gave)
 		if r.waitForByte(c, buffer.Reader, time.Second) {
-			say(surplusAnswer)
+			write(surplusAnswer)
 			r.waitForByte(c, buffer.Reader, 300*time.Millisecond)
 		}
 	case behaviorSilent:
 		r.waitForByte(c, buffer.Reader, 10*time.Second)
 	case behaviorNonsense:
-		say("no answer at all\r\n\r\n")
+		write("no answer at all\r\n\r\n")
 	}
 }
 
 // surplusAnswer is an answer that belongs to no request.
 const surplusAnswer = "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: other\r\nSaffronfall-Seal: s\r\nContent-Length: 7\r\n\r\nsurplus"
 
-// linger keeps a connection until its other end closes it, or for a time. It reports
-// whether more was said on it.
+// waitForByte keeps a connection open until the peer sends a byte or closes it, or for a
+// time. It reports whether a byte came.
 func (r *replica) waitForByte(c net.Conn, reader *bufio.Reader, within time.Duration) bool {
 	stop := context.AfterFunc(r.ctx, func() { c.Close() })
 	defer stop()
--- a/rehearsalkit/soak/resources.go
+++ b/rehearsalkit/soak/resources.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// level is what a process holds: it must come back to it when requesters are gone.
+// resources is what a process holds. It must be released when the requesters are gone.
 type resources struct {
 	goroutines, files, live, violations float64
 }
 
-// levelNames are the metrics that a level is read from.
+// Names of the metrics that resources are read from.
 const (
 	goroutinesMetric = "go_goroutines"
 	filesMetric      = "process_open_fds"
@@ -22,7 +22,7 @@
 	violationsMetric = "saffronfall_invariant_violations"
 )
 
-// metrics reads what a process tells of itself.
+// metrics reads the metrics of a process, and reports whether it answered.
 func (f *Fleet) metrics(p *process) (map[string]float64, bool) {
 	answer, err := f.client.Get("http://" + p.address(metricsPort) + "/metrics")
 	if err != nil {
@@ -48,7 +48,8 @@
 	return resources{goroutines: values[goroutinesMetric], files: values[filesMetric], live: values[liveMetric], violations: values[violationsMetric]}, ok
 }
 
-// levels reads all processes' levels before any requester comes.
+// allResources reads the resources of all processes, as the baseline before requesters
+// start.
 func (f *Fleet) allResources(ctx context.Context) map[*process]resources {
 	all := map[*process]resources{}
 	for _, p := range f.processes {
@@ -61,16 +62,16 @@
 	return all
 }
 
-// Room above the levels of the beginning: streams between processes come and go, and
-// kept connections to replicas stay.
+// Allowance above the baseline: streams between processes come and go, and idle
+// connections to replicas stay open.
 const (
 	spareGoroutines = 60
 	spareFiles      = 120
 	releaseTimeout  = 12 * time.Second
 )
 
-// back wants all processes back at their levels once the requesters are gone, and
-// looks for signs of faults in their logs.
+// checkReleased checks that all processes return to their baseline once the requesters
+// are gone, and that no invariant was violated and no fault logged.
 func (f *Fleet) checkReleased(ctx context.Context, base map[*process]resources) {
 	for _, p := range f.processes {
 		p.checkExit()
@@ -86,9 +87,9 @@
 		})
 		switch {
 		case !answered:
-			f.recordBreach(RuleReleased, "%s tells no metrics at the end", p.name)
+			f.recordBreach(RuleReleased, "%s answers no metrics request at the end", p.name)
 		case !met:
-			f.recordBreach(RuleReleased, "%s holds %+v %v after the requesters left; it began with %+v", p.name, last, releaseTimeout, base[p])
+			f.recordBreach(RuleReleased, "%s holds %+v %v after the requesters stopped; its baseline is %+v", p.name, last, releaseTimeout, base[p])
 		}
 		if last.violations > 0 {
 			f.recordBreach(RuleInvariants, "%s counted %v violations of invariants", p.name, last.violations)
@@ -97,12 +98,12 @@
 	}
 }
 
-// lastLook reads the table back at every desk until it is told.
+// readFinalTables reads the table at every desk, retrying until it is answered.
 func (f *Fleet) readFinalTables(ctx context.Context) {
 	for _, desk := range f.withRole(roleDesk) {
 		reader := &tableOperator{fleet: f}
 		if !f.waitUntil(ctx, contactTimeout+2*time.Second, func() bool { return reader.read(ctx, desk) }) {
-			f.recordBreach(RuleTables, "%s tells no table at the end", desk.name)
+			f.recordBreach(RuleTables, "%s returns no table at the end", desk.name)
 		}
 	}
 }
