--- a/rehearsalkit/fleet/fleet.go
+++ b/rehearsalkit/fleet/fleet.go
@@ -1,5 +1,7 @@
-// Package fleet runs a whole fleet of processes on one machine, with stand-in
-// requesters and back ends and links that can be cut.
+// Package fleet runs a small deployment of cores and nodes as processes on one machine,
+// with simulated requesters and back ends and relayed links that can be cut. Every request
+// and attempt is recorded, and Finish checks the record against the rules of package
+// judge. Start reading at New, StartAll and RunRequesters; scenarios.go holds the failures.
 package fleet
 
 import (
@@ -30,43 +32,43 @@
 	replicaKey  = "rehearsal-replica"
 )
 
-// Layout is what a fleet is made of.
+// Layout is the size and the configuration of a fleet.
 type Layout struct {
-	Name   string
-	Cores  int
-	Nodes  int
-	Zones  int
-	Models int
-	Alerts int
-	// Once names the once-only services, all served by the same application.
-	Once    []string
-	Tenants int
-	Users   int
-	// Long is how many sessions last as long as the run does.
-	Long   int
-	Parts  int
-	Rate   float64
-	Burst  int64
-	Binary string
-	// Next is the program that a roll-out brings.
+	Name         string
+	Cores        int
+	Nodes        int
+	Zones        int
+	Models       int
+	OnceReplicas int
+	// OnceServices are the names of the once-only services. OnceReplicas is the number of
+	// replicas of each.
+	OnceServices []string
+	Tenants      int
+	Users        int
+	// LongSessions is the number of sessions that last for the whole run.
+	LongSessions int
+	Partitions   int
+	Rate         float64
+	Burst        int64
+	Binary       string
+	// Next is the program that scenario rollout upgrades to.
 	Next     string
 	Folder   string
 	Settings map[string]any
 }
 
-// Layouts are the fleets that can be rehearsed. The two deployments have the
-// sizes of the brief: a node stands on every machine, a core beside it on those
-// with disks, and what befalls a machine befalls both.
+// Layouts are the predefined fleets by name. Every host runs a node, and the first hosts
+// a core too; a failure of a host affects both.
 var Layouts = map[string]Layout{
-	"small": {Name: "small", Cores: 3, Nodes: 3, Zones: 3, Models: 3, Alerts: 1, Once: []string{"alert"}, Tenants: 3, Users: 12, Long: 1, Parts: 8, Rate: 40, Burst: 64},
-	"aire":  {Name: "aire", Cores: 6, Nodes: 13, Zones: 3, Models: 11, Alerts: 5, Once: []string{"alert"}, Tenants: 8, Users: 60, Long: 10, Parts: 16, Rate: 60, Burst: 96},
-	"mahoe": {Name: "mahoe", Cores: 8, Nodes: 15, Zones: 4, Models: 9, Alerts: 4, Once: []string{"alert", "renewal", "receipt", "notice"}, Tenants: 8, Users: 50, Long: 5, Parts: 16, Rate: 60, Burst: 96},
+	"small": {Name: "small", Cores: 3, Nodes: 3, Zones: 3, Models: 3, OnceReplicas: 1, OnceServices: []string{"alert"}, Tenants: 3, Users: 12, LongSessions: 1, Partitions: 8, Rate: 40, Burst: 64},
+	"aire":  {Name: "aire", Cores: 6, Nodes: 13, Zones: 3, Models: 11, OnceReplicas: 5, OnceServices: []string{"alert"}, Tenants: 8, Users: 60, LongSessions: 10, Partitions: 16, Rate: 60, Burst: 96},
+	"mahoe": {Name: "mahoe", Cores: 8, Nodes: 15, Zones: 4, Models: 9, OnceReplicas: 4, OnceServices: []string{"alert", "renewal", "receipt", "notice"}, Tenants: 8, Users: 50, LongSessions: 5, Partitions: 16, Rate: 60, Burst: 96},
 }
 
-// Machine is one process of the fleet.
-type Machine struct {
+// Process is one process of the fleet.
+type Process struct {
 	Name, Zone, Role string
-	// host is the machine that the process stands on.
+	// host is the number of the host that the process runs on.
 	host         int
 	ip, settings string
 	requester    string
@@ -79,44 +81,46 @@
 // Fleet is a running fleet.
 type Fleet struct {
 	Layout   Layout
-	cores    []*Machine
-	nodes    []*Machine
+	cores    []*Process
+	nodes    []*Process
 	backends []*backend
 	links    *links.Links
 	client   *http.Client
 	start    time.Time
-	notes    chan func(r *judge.Record)
+	updates  chan func(r *judge.Record)
 	record   *judge.Record
 	ctx      context.Context
 	seeds    []string
-	// marks are the keys of all descriptions that were handed over, with their
-	// versions; only the owner of the record uses it.
-	marks map[string]uint64
+	// probeVersions maps the probe key of each description that was applied to its
+	// version. Like record, it is accessed by update functions only.
+	probeVersions map[string]uint64
 }
 
 func (f *Fleet) now() time.Duration { return time.Since(f.start) }
 
-func (f *Fleet) note(what func(r *judge.Record)) {
+// update runs what on the goroutine that owns the record, and returns when it is done.
+func (f *Fleet) update(what func(r *judge.Record)) {
 	done := make(chan struct{})
 	select {
-	case f.notes <- func(r *judge.Record) { what(r); close(done) }:
+	case f.updates <- func(r *judge.Record) { what(r); close(done) }:
 		<-done
 	case <-f.ctx.Done():
 	}
 }
 
-func (f *Fleet) anyNode() *Machine { return f.nodes[rand.IntN(len(f.nodes))] }
+func (f *Fleet) anyNode() *Process { return f.nodes[rand.IntN(len(f.nodes))] }
 
-// New lays a fleet out and writes its settings files.
+// New creates a fleet, writes its settings files and starts the relays of its links. It
+// starts no process.
 func New(ctx context.Context, l Layout) (*Fleet, error) {
-	f := &Fleet{Layout: l, links: links.New(ctx), start: time.Now(), notes: make(chan func(*judge.Record), 64), ctx: ctx, record: &judge.Record{}, marks: map[string]uint64{},
+	f := &Fleet{Layout: l, links: links.New(ctx), start: time.Now(), updates: make(chan func(*judge.Record), 64), ctx: ctx, record: &judge.Record{}, probeVersions: map[string]uint64{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}}
 	f.record.Limits = judge.Limits{ProgramTokens: 50_000, TurnTokens: 1000, Retention: time.Hour, PropagationLimit: 2 * time.Second, Rate: map[string]float64{}, Burst: map[string]float64{},
 		MinuteDollars: 50, Price: map[string]float64{"model": 10}, ClockDrift: 0.03, Users: map[string]judge.UserLimits{}}
 	go func() {
 		for {
 			select {
-			case what := <-f.notes:
+			case what := <-f.updates:
 				what(f.record)
 			case <-ctx.Done():
 				return
@@ -132,7 +136,7 @@
 			host = i - l.Cores
 			role, name = "node", fmt.Sprintf("node%d", host+1)
 		}
-		m, err := f.machine(name, role, fmt.Sprintf("zone-%d", host%l.Zones+1), i)
+		m, err := f.newProcess(name, role, fmt.Sprintf("zone-%d", host%l.Zones+1), i)
 		if err == nil {
 			m.host = host
 		}
@@ -148,8 +152,8 @@
 	for i := 0; i < l.Models; i++ {
 		f.backends = append(f.backends, &backend{fleet: f, key: replicaKey, service: "model", id: fmt.Sprintf("model%d", i+1), zone: fmt.Sprintf("zone-%d", i%l.Zones+1), address: fmt.Sprintf("127.0.9.%d:7900", i+1)})
 	}
-	for n, service := range l.Once {
-		for i := 0; i < l.Alerts; i++ {
+	for n, service := range l.OnceServices {
+		for i := 0; i < l.OnceReplicas; i++ {
 			f.backends = append(f.backends, &backend{fleet: f, key: replicaKey, service: service, id: fmt.Sprintf("%s%d", service, i+1), zone: fmt.Sprintf("zone-%d", i%l.Zones+1), address: fmt.Sprintf("127.0.9.%d:7900", 100+20*n+i)})
 		}
 	}
@@ -164,9 +168,9 @@
 
 func ipOf(i int) string { return fmt.Sprintf("127.0.%d.%d", 1+i/200, 1+i%200) }
 
-// machine lays out one process: its address, its settings, its relay.
-func (f *Fleet) machine(name, role, zone string, number int) (*Machine, error) {
-	m := &Machine{Name: name, Role: role, Zone: zone, ip: ipOf(number)}
+// newProcess creates a process with its address, settings file and relay.
+func (f *Fleet) newProcess(name, role, zone string, number int) (*Process, error) {
+	m := &Process{Name: name, Role: role, Zone: zone, ip: ipOf(number)}
 	m.requester, m.operator, m.folder = m.ip+":7002", m.ip+":7001", filepath.Join(f.Layout.Folder, m.Name, "data")
 	settings := map[string]any{"id": m.Name, "zone": m.Zone, "folder": m.folder, "seeds": f.seeds, "fleet_secret": fleetSecret, "operator_key": operatorKey,
 		"replica_key": replicaKey, "peer_listen": m.ip + ":7100", "peer_advertise": m.ip + ":7000", "operator_listen": m.operator, "requester_listen": m.requester}
@@ -184,15 +188,15 @@
 	return m, errors.Wrap(f.links.Relay(f.ctx, m.ip+":7000", m.ip+":7100"), "relay")
 }
 
-// Start starts one process.
-func (f *Fleet) Start(m *Machine) error {
+// Start starts a process. A start after the first one is recorded as a restart.
+func (f *Fleet) Start(m *Process) error {
 	out, err := os.OpenFile(filepath.Join(f.Layout.Folder, m.Name, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return errors.Wrap(err, "log")
 	}
 	defer out.Close()
 	if m.command != nil {
-		f.note(func(r *judge.Record) { r.Restarts = append(r.Restarts, judge.Restart{At: f.now(), Process: m.Name}) })
+		f.update(func(r *judge.Record) { r.Restarts = append(r.Restarts, judge.Restart{At: f.now(), Process: m.Name}) })
 	}
 	m.command = exec.Command(f.Layout.Binary, m.Role, m.settings)
 	m.command.Stdout, m.command.Stderr = out, out
@@ -209,15 +213,15 @@
 }
 
 // Signal sends a signal to a process.
-func (f *Fleet) Signal(m *Machine, s syscall.Signal) {
+func (f *Fleet) Signal(m *Process, s syscall.Signal) {
 	if m.command != nil && m.command.Process != nil {
 		m.command.Process.Signal(s)
 	}
 }
 
-// together lists all processes on the machine that a process stands on.
-func (f *Fleet) together(m *Machine) (list []*Machine) {
-	for _, o := range f.everyone() {
+// sameHost returns all processes on the host of a process.
+func (f *Fleet) sameHost(m *Process) (list []*Process) {
+	for _, o := range f.processes() {
 		if o.host == m.host {
 			list = append(list, o)
 		}
@@ -225,36 +229,36 @@
 	return list
 }
 
-// KillMachine kills all processes on a machine.
-func (f *Fleet) KillMachine(m *Machine) {
-	for _, o := range f.together(m) {
+// KillHost kills all processes on the host of a process.
+func (f *Fleet) KillHost(m *Process) {
+	for _, o := range f.sameHost(m) {
 		f.Kill(o)
 	}
 }
 
-// StartMachine starts all processes on a machine.
-func (f *Fleet) StartMachine(m *Machine) {
-	for _, o := range f.together(m) {
+// StartHost starts all processes on the host of a process.
+func (f *Fleet) StartHost(m *Process) {
+	for _, o := range f.sameHost(m) {
 		f.Start(o)
 	}
 }
 
-// SignalMachine sends a signal to all processes on a machine.
-func (f *Fleet) SignalMachine(m *Machine, s syscall.Signal) {
-	for _, o := range f.together(m) {
+// SignalHost sends a signal to all processes on the host of a process.
+func (f *Fleet) SignalHost(m *Process, s syscall.Signal) {
+	for _, o := range f.sameHost(m) {
 		f.Signal(o, s)
 	}
 }
 
 // Kill kills a process and waits for its end.
-func (f *Fleet) Kill(m *Machine) {
+func (f *Fleet) Kill(m *Process) {
 	f.Signal(m, syscall.SIGKILL)
 	<-m.ended
 }
 
-// Stop ends every process.
+// Stop kills all processes.
 func (f *Fleet) Stop() {
-	for _, m := range f.everyone() {
+	for _, m := range f.processes() {
 		if m.command != nil {
 			f.Signal(m, syscall.SIGCONT)
 			f.Kill(m)
@@ -262,22 +266,22 @@
 	}
 }
 
-// Caller calls the fleet as an operator.
+// Caller returns an operator's client of the fleet.
 func (f *Fleet) Caller() operator.Client { return operator.Client{Key: operatorKey} }
 
-// Describe is a description for the layout. The mark makes a key of the
-// version's own.
-func (f *Fleet) Describe(mark string) []byte {
+// Description encodes a configuration for the layout. It accepts probeKey as a key, so that
+// nodes that have applied it can be recognised by a request.
+func (f *Fleet) Description(probeKey string) []byte {
 	tenants := map[string]any{}
 	for i := 1; i <= f.Layout.Tenants; i++ {
 		name := fmt.Sprintf("t%d", i)
 		tenants[name] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest("key-" + name), "role": "analyst"}, map[string]any{"sha256": configuration.KeyDigest("long-" + name), "role": "keeper"}},
 			"inquiries_per_second": f.Layout.Rate, "burst": f.Layout.Burst}
 	}
-	tenants["probe"] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest(mark), "role": "viewer"}}}
+	tenants["probe"] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest(probeKey), "role": "viewer"}}}
 	services := map[string]any{"model": map[string]any{"kind": "model"}, "search": map[string]any{"kind": "tool", "calls_per_minute": 100}}
-	for i, name := range f.Layout.Once {
-		// Alerts come first; the rest of the permit application does not.
+	for i, name := range f.Layout.OnceServices {
+		// Only the first service, alert, is urgent.
 		services[name] = map[string]any{"kind": "once", "urgent": i == 0, "past_breaker": i == 0}
 	}
 	text, _ := json.Marshal(map[string]any{
@@ -290,10 +294,10 @@
 	return text
 }
 
-// Up starts everything, founds the fleet and puts a first description in
-// force.
-func (f *Fleet) Up(ctx context.Context) error {
-	for _, m := range f.everyone() {
+// StartAll starts all processes, founds the fleet, applies a first configuration, starts
+// the back ends and waits until all nodes are ready.
+func (f *Fleet) StartAll(ctx context.Context) error {
+	for _, m := range f.processes() {
 		if err := f.Start(m); err != nil {
 			return err
 		}
@@ -304,7 +308,7 @@
 	}
 	var err error
 	for try := 0; try < 50; try++ {
-		if _, err = f.Caller().Found(ctx, f.Layout.Name, addresses, f.Layout.Parts, 3); err == nil {
+		if _, err = f.Caller().Found(ctx, f.Layout.Name, addresses, f.Layout.Partitions, 3); err == nil {
 			break
 		}
 		pause(ctx, 100*time.Millisecond, 100*time.Millisecond)
@@ -313,12 +317,12 @@
 		return err
 	}
 	for try := 0; ; try++ {
-		taking, status, err := f.Hand(ctx, f.cores[0], 0, "probe-first")
-		if taking.InForce {
+		result, status, err := f.Apply(ctx, f.cores[0], 0, "probe-first")
+		if result.InForce {
 			break
 		}
 		if try == 20 {
-			return errors.Newf("no first configuration: %d %+v %v", status, taking, err)
+			return errors.Newf("the first configuration was not applied: status %d, %+v, %v", status, result, err)
 		}
 		pause(ctx, 200*time.Millisecond, 200*time.Millisecond)
 	}
@@ -328,11 +332,11 @@
 	for try := 0; try < 200; try++ {
 		ready := 0
 		for _, m := range f.nodes {
-			if got, err := f.client.Get("http://" + m.requester + "/ready"); err == nil {
-				if got.StatusCode == 200 {
+			if reply, err := f.client.Get("http://" + m.requester + "/ready"); err == nil {
+				if reply.StatusCode == 200 {
 					ready++
 				}
-				got.Body.Close()
+				reply.Body.Close()
 			}
 		}
 		if ready == len(f.nodes) {
@@ -343,24 +347,24 @@
 	return errors.New("not all nodes became ready")
 }
 
-// Hand hands a description over at a core.
-func (f *Fleet) Hand(ctx context.Context, at *Machine, basedOn uint64, mark string) (core.ApplyResult, int, error) {
-	var taking core.ApplyResult
-	status, raw, err := f.Caller().Do(ctx, "POST", at.operator, "/v1/configuration", operator.ConfigurationRequest{BasedOn: basedOn, Description: f.Describe(mark), BudgetMS: 8000}, nil)
+// Apply applies a description at a core and records the result.
+func (f *Fleet) Apply(ctx context.Context, at *Process, basedOn uint64, probeKey string) (core.ApplyResult, int, error) {
+	var result core.ApplyResult
+	status, raw, err := f.Caller().Do(ctx, "POST", at.operator, "/v1/configuration", operator.ConfigurationRequest{BasedOn: basedOn, Description: f.Description(probeKey), BudgetMS: 8000}, nil)
 	if err == nil {
-		err = json.Unmarshal(raw, &taking)
+		err = json.Unmarshal(raw, &result)
 	}
-	f.noteTaken(mark, basedOn, taking)
-	return taking, status, err
+	f.recordApplied(probeKey, basedOn, result)
+	return result, status, err
 }
 
-// Drive lets stand-in requesters live for a time.
-func (f *Fleet) Drive(ctx context.Context, length time.Duration) {
-	driving, cancel := context.WithTimeout(ctx, length)
+// RunRequesters runs the simulated requesters for a time and waits until they end.
+func (f *Fleet) RunRequesters(ctx context.Context, length time.Duration) {
+	runCtx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	ended := make(chan struct{})
-	go f.probe(driving)
-	// A few tenants are large: half of all requesters are the first one's.
+	go f.probe(runCtx)
+	// Tenants are of unequal size: half of the requesters belong to the first one.
 	tenant := func(i int) string {
 		if i%2 == 0 {
 			return "t1"
@@ -369,36 +373,37 @@
 	}
 	for i := 0; i < f.Layout.Users; i++ {
 		go func() {
-			f.live(driving, fmt.Sprintf("u%d", i), tenant(i))
+			f.runUser(runCtx, fmt.Sprintf("u%d", i), tenant(i))
 			ended <- struct{}{}
 		}()
 	}
-	for i := 0; i < f.Layout.Long; i++ {
+	for i := 0; i < f.Layout.LongSessions; i++ {
 		go func() {
-			f.keep(driving, fmt.Sprintf("long%d", i), tenant(i))
+			f.runLongSession(runCtx, fmt.Sprintf("long%d", i), tenant(i))
 			ended <- struct{}{}
 		}()
 	}
-	for i := 0; i < f.Layout.Users+f.Layout.Long; i++ {
+	for i := 0; i < f.Layout.Users+f.Layout.LongSessions; i++ {
 		<-ended
 	}
 }
 
-// Finish judges the run.
+// Finish waits until the nodes have the last configuration and returns the record and its
+// breaches.
 func (f *Fleet) Finish(ctx context.Context) (*judge.Record, []judge.Breach) {
-	f.lastLook(ctx)
+	f.probeFinal(ctx)
 	var copied judge.Record
-	f.note(func(r *judge.Record) {
+	f.update(func(r *judge.Record) {
 		copied = *r
 		copied.Attempts, copied.Requests = append([]judge.Attempt(nil), r.Attempts...), append([]judge.Request(nil), r.Requests...)
 	})
 	return &copied, copied.Judge()
 }
 
-// Logs gathers the changes of state that all processes logged.
+// Logs returns the logs of all processes.
 func (f *Fleet) Logs() string {
 	var all strings.Builder
-	for _, m := range f.everyone() {
+	for _, m := range f.processes() {
 		text, _ := os.ReadFile(filepath.Join(f.Layout.Folder, m.Name, "log"))
 		fmt.Fprintf(&all, "== %s\n%s", m.Name, text)
 	}
--- a/rehearsalkit/fleet/probe.go
+++ b/rehearsalkit/fleet/probe.go
@@ -9,74 +9,73 @@
 	"saffronfall/rule/ordered"
 )
 
-// refusedBase numbers descriptions that were refused, which have no version.
+// refusedBase is the lowest number given to refused descriptions, which have no version.
 const refusedBase = 1 << 40
 
-// noteTaken keeps what an operator was told of a description, for the judge and
-// for those who look for it at the nodes.
-func (f *Fleet) noteTaken(mark string, base uint64, taking core.ApplyResult) {
-	f.note(func(r *judge.Record) {
-		f.marks[mark] = base + 1
+// recordApplied records the result of applying a description, for the judge and for probes
+// of the nodes.
+func (f *Fleet) recordApplied(probeKey string, base uint64, result core.ApplyResult) {
+	f.update(func(r *judge.Record) {
+		f.probeVersions[probeKey] = base + 1
 		switch {
-		case taking.InForce:
-			r.Decisions = append(r.Decisions, judge.Decision{At: f.now(), Version: taking.Version, ID: mark})
-		case taking.Code == "race_lost" || taking.Code == "not_approved" || taking.Code == "faulty":
-			f.marks[mark] = refusedBase + uint64(len(f.marks))
-			r.Decisions = append(r.Decisions, judge.Decision{At: f.now(), Version: f.marks[mark], ID: mark, Refused: true})
+		case result.InForce:
+			r.Decisions = append(r.Decisions, judge.Decision{At: f.now(), Version: result.Version, ID: probeKey})
+		case result.Code == "race_lost" || result.Code == "not_approved" || result.Code == "faulty":
+			f.probeVersions[probeKey] = refusedBase + uint64(len(f.probeVersions))
+			r.Decisions = append(r.Decisions, judge.Decision{At: f.now(), Version: f.probeVersions[probeKey], ID: probeKey, Refused: true})
 		}
 	})
 }
 
-// look finds out from outside which description a node has in force, by which
-// one's own key it takes, and returns the newest version.
-func (f *Fleet) look(ctx context.Context, m *Machine, last bool) (newest uint64) {
-	marks := map[string]uint64{}
-	f.note(func(*judge.Record) {
-		for mark, version := range f.marks {
-			marks[mark] = version
+// probeNode tests which probe keys a node accepts, records the versions that they belong
+// to, and returns the newest one.
+func (f *Fleet) probeNode(ctx context.Context, m *Process, last bool) (newest uint64) {
+	probeVersions := map[string]uint64{}
+	f.update(func(*judge.Record) {
+		for probeKey, version := range f.probeVersions {
+			probeVersions[probeKey] = version
 		}
 	})
-	for _, mark := range ordered.Keys(marks) {
-		a, _ := f.ask(ctx, m, asking{method: "GET", path: "/v1/programs/none", key: mark, kind: "look", body: map[string]any{}, within: time.Second})
+	for _, probeKey := range ordered.Keys(probeVersions) {
+		a, _ := f.send(ctx, m, requestSpec{method: "GET", path: "/v1/programs/none", key: probeKey, kind: "look", body: map[string]any{}, timeout: time.Second})
 		if a.Code == "unknown_program" {
-			newest = max(newest, marks[mark])
-			f.note(func(r *judge.Record) {
-				r.Probes = append(r.Probes, judge.Probe{At: a.At, Ended: a.Ended, Node: m.Name, Version: marks[mark], Final: last})
+			newest = max(newest, probeVersions[probeKey])
+			f.update(func(r *judge.Record) {
+				r.Probes = append(r.Probes, judge.Probe{At: a.At, Ended: a.Ended, Node: m.Name, Version: probeVersions[probeKey], Final: last})
 			})
 		}
 	}
 	return newest
 }
 
-// probe looks at one node after the other for as long as requesters live.
+// probe probes random nodes until the context ends.
 func (f *Fleet) probe(ctx context.Context) {
 	for ctx.Err() == nil {
-		f.look(ctx, f.anyNode(), false)
+		f.probeNode(ctx, f.anyNode(), false)
 		pause(ctx, 50*time.Millisecond, 150*time.Millisecond)
 	}
 }
 
-// lastLook waits until every node has the version in force that was taken
-// last, or for as long as a fleet may need to be back, and notes what is in
-// force then.
-func (f *Fleet) lastLook(ctx context.Context) {
-	const within = 12 * time.Second
-	taken := uint64(0)
-	f.note(func(r *judge.Record) {
+// probeFinal waits until every node has the last accepted version, or until the timeout
+// ends, and records the version that is active then.
+func (f *Fleet) probeFinal(ctx context.Context) {
+	const timeout = 12 * time.Second
+	accepted := uint64(0)
+	f.update(func(r *judge.Record) {
 		for _, t := range r.Decisions {
 			if !t.Refused {
-				taken = max(taken, t.Version)
+				accepted = max(accepted, t.Version)
 			}
 		}
 		for _, m := range f.nodes {
 			r.Nodes = append(r.Nodes, m.Name)
 		}
 	})
-	until := f.now() + within
+	until := f.now() + timeout
 	for _, m := range f.nodes {
-		for f.look(ctx, m, f.now() >= until) < taken && f.now() < until {
+		for f.probeNode(ctx, m, f.now() >= until) < accepted && f.now() < until {
 			pause(ctx, 100*time.Millisecond, 100*time.Millisecond)
 		}
-		f.look(ctx, m, true)
+		f.probeNode(ctx, m, true)
 	}
 }
--- a/rehearsalkit/fleet/requester.go
+++ b/rehearsalkit/fleet/requester.go
@@ -16,8 +16,8 @@
 	"saffronfall/rule/program"
 )
 
-// got is what a requester reads of a return.
-type got struct {
+// reply is the part of a response that requesters use.
+type reply struct {
 	Text         string  `json:"text"`
 	Tokens       int64   `json:"tokens"`
 	Closing      bool    `json:"closing"`
@@ -28,20 +28,21 @@
 	RetryAfterMS float64 `json:"retry_after_ms"`
 }
 
-type asking struct {
-	method, path, key, kind, user, program, line, mark, once, service string
-	body                                                              map[string]any
-	within                                                            time.Duration
+// requestSpec describes one request.
+type requestSpec struct {
+	method, path, key, kind, user, program, conversation, requestID, onceKey, service string
+	body                                                                              map[string]any
+	timeout                                                                           time.Duration
 }
 
-// ask makes one inquiry over HTTP and records what its requester saw.
-func (f *Fleet) ask(ctx context.Context, at *Machine, q asking) (judge.Request, got) {
-	a := judge.Request{At: f.now(), Kind: q.kind, Node: at.Name, Tenant: tenantOf(q.key), User: q.user, Program: q.program, Conversation: q.line, ID: q.mark, OnceKey: q.once, Service: q.service, Outcome: judge.Silent}
-	var last got
-	// An inquiry that is under way when the run ends is seen to its end.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), q.within+500*time.Millisecond)
+// send sends one request over HTTP and records its outcome.
+func (f *Fleet) send(ctx context.Context, at *Process, q requestSpec) (judge.Request, reply) {
+	a := judge.Request{At: f.now(), Kind: q.kind, Node: at.Name, Tenant: tenantOf(q.key), User: q.user, Program: q.program, Conversation: q.conversation, ID: q.requestID, OnceKey: q.onceKey, Service: q.service, Outcome: judge.Silent}
+	var last reply
+	// A request in progress when the run ends is completed.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), q.timeout+500*time.Millisecond)
 	defer cancel()
-	q.body["budget_ms"] = q.within.Milliseconds()
+	q.body["budget_ms"] = q.timeout.Milliseconds()
 	raw, _ := json.Marshal(q.body)
 	r, _ := http.NewRequestWithContext(ctx, q.method, "http://"+at.requester+q.path, bytes.NewReader(raw))
 	r.Header.Set("Authorization", "Bearer "+q.key)
@@ -52,7 +53,7 @@
 			a.Outcome = judge.Broken
 			scanner := bufio.NewScanner(answer.Body)
 			for scanner.Scan() {
-				var l got
+				var l reply
 				if json.Unmarshal(scanner.Bytes(), &l) != nil {
 					break
 				}
@@ -81,7 +82,7 @@
 	if a.Program == "" {
 		a.Program = last.Program
 	}
-	f.note(func(r *judge.Record) { r.Requests = append(r.Requests, a) })
+	f.update(func(r *judge.Record) { r.Requests = append(r.Requests, a) })
 	return a, last
 }
 
@@ -91,6 +92,7 @@
 	return tenant
 }
 
+// pause waits for a random time between least and most, or until the context ends.
 func pause(ctx context.Context, least, most time.Duration) {
 	select {
 	case <-time.After(least + time.Duration(rand.Int64N(int64(most-least)+1))):
@@ -98,12 +100,12 @@
 	}
 }
 
-// live is a stand-in requester: it opens programs, takes turns at any node,
-// calls tools, sends alerts, and asks again where it is unsure.
-func (f *Fleet) live(ctx context.Context, name, tenant string) {
+// runUser is one simulated user: it opens programs, takes turns at random nodes, calls
+// tools and sends actions.
+func (f *Fleet) runUser(ctx context.Context, name, tenant string) {
 	key := "key-" + tenant
 	for serial := 0; ctx.Err() == nil; serial++ {
-		a, opened := f.ask(ctx, f.anyNode(), asking{method: "POST", path: "/v1/programs", key: key, kind: "open", user: name, body: map[string]any{"user": name}, within: 3 * time.Second})
+		a, opened := f.send(ctx, f.anyNode(), requestSpec{method: "POST", path: "/v1/programs", key: key, kind: "open", user: name, body: map[string]any{"user": name}, timeout: 3 * time.Second})
 		if a.Outcome != judge.Whole {
 			pause(ctx, 200*time.Millisecond, time.Second)
 			continue
@@ -111,29 +113,29 @@
 		head := program.EmptyHead
 		for turn := 0; turn < 12 && ctx.Err() == nil; turn++ {
 			pause(ctx, 20*time.Millisecond, 300*time.Millisecond)
-			mark := fmt.Sprintf("%s-%d-%d", name, serial, turn)
+			requestID := fmt.Sprintf("%s-%d-%d", name, serial, turn)
 			switch dice := rand.Float64(); {
 			case dice < 0.15:
-				f.alert(ctx, key, name, "alert-"+mark)
+				f.sendAction(ctx, key, name, "alert-"+requestID)
 			case dice < 0.25:
-				f.ask(ctx, f.anyNode(), asking{method: "POST", path: "/v1/programs/" + opened.Program + "/tools/search", key: key, kind: "tool", program: opened.Program, mark: "tool-" + mark, service: "search",
-					body: map[string]any{"arguments": map[string]string{"mark": "tool-" + mark}}, within: 3 * time.Second})
+				f.send(ctx, f.anyNode(), requestSpec{method: "POST", path: "/v1/programs/" + opened.Program + "/tools/search", key: key, kind: "tool", program: opened.Program, requestID: "tool-" + requestID, service: "search",
+					body: map[string]any{"arguments": map[string]string{"mark": "tool-" + requestID}}, timeout: 3 * time.Second})
 			default:
 				over := false
-				if head, over = f.turn(ctx, key, opened.Program, head, mark); over {
+				if head, over = f.turn(ctx, key, opened.Program, head, requestID); over {
 					turn = 100
 				}
 			}
 		}
-		f.ask(ctx, f.anyNode(), asking{method: "DELETE", path: "/v1/programs/" + opened.Program, key: key, kind: "close", program: opened.Program, body: map[string]any{}, within: 3 * time.Second})
+		f.send(ctx, f.anyNode(), requestSpec{method: "DELETE", path: "/v1/programs/" + opened.Program, key: key, kind: "close", program: opened.Program, body: map[string]any{}, timeout: 3 * time.Second})
 	}
 }
 
-// turn takes one turn and returns the head that the next one follows, and
-// whether there is to be none.
-func (f *Fleet) turn(ctx context.Context, key, id, head, mark string) (next string, over bool) {
-	a, last := f.ask(ctx, f.anyNode(), asking{method: "POST", path: "/v1/programs/" + id + "/turns", key: key, kind: "turn", program: id, mark: mark, service: "model",
-		body: map[string]any{"service": "model", "before": head, "say": mark}, within: 5 * time.Second})
+// turn takes one turn. It returns the head of the history for the next turn, and whether
+// the program has ended.
+func (f *Fleet) turn(ctx context.Context, key, id, head, requestID string) (next string, over bool) {
+	a, last := f.send(ctx, f.anyNode(), requestSpec{method: "POST", path: "/v1/programs/" + id + "/turns", key: key, kind: "turn", program: id, requestID: requestID, service: "model",
+		body: map[string]any{"service": "model", "before": head, "say": requestID}, timeout: 5 * time.Second})
 	switch {
 	case a.Outcome == judge.Whole, a.Code == "wrong_history":
 		return last.Head, false
@@ -145,12 +147,12 @@
 	return head, false
 }
 
-// keep is a long session, as calibrations and renewals are: one program for as
-// long as the run lasts, with a tool call now and then.
-func (f *Fleet) keep(ctx context.Context, name, tenant string) {
+// runLongSession runs one program until the context ends, with a tool call before every
+// fifth turn.
+func (f *Fleet) runLongSession(ctx context.Context, name, tenant string) {
 	key, id := "long-"+tenant, ""
 	for id == "" && ctx.Err() == nil {
-		if _, opened := f.ask(ctx, f.anyNode(), asking{method: "POST", path: "/v1/programs", key: key, kind: "open", user: name, body: map[string]any{"user": name}, within: 3 * time.Second}); opened.Program != "" {
+		if _, opened := f.send(ctx, f.anyNode(), requestSpec{method: "POST", path: "/v1/programs", key: key, kind: "open", user: name, body: map[string]any{"user": name}, timeout: 3 * time.Second}); opened.Program != "" {
 			id = opened.Program
 		} else {
 			pause(ctx, 200*time.Millisecond, time.Second)
@@ -158,30 +160,32 @@
 	}
 	head := program.EmptyHead
 	for turn := 0; ctx.Err() == nil; turn++ {
-		mark := fmt.Sprintf("%s-%d", name, turn)
+		requestID := fmt.Sprintf("%s-%d", name, turn)
 		if turn%5 == 4 {
-			f.ask(ctx, f.anyNode(), asking{method: "POST", path: "/v1/programs/" + id + "/tools/search", key: key, kind: "tool", program: id, mark: "tool-" + mark, service: "search",
-				body: map[string]any{"arguments": map[string]string{"mark": "tool-" + mark}}, within: 3 * time.Second})
+			f.send(ctx, f.anyNode(), requestSpec{method: "POST", path: "/v1/programs/" + id + "/tools/search", key: key, kind: "tool", program: id, requestID: "tool-" + requestID, service: "search",
+				body: map[string]any{"arguments": map[string]string{"mark": "tool-" + requestID}}, timeout: 3 * time.Second})
 		}
 		over := false
-		if head, over = f.turn(ctx, key, id, head, mark); over {
+		if head, over = f.turn(ctx, key, id, head, requestID); over {
 			return
 		}
 		pause(ctx, 100*time.Millisecond, 500*time.Millisecond)
 	}
 }
 
-func (f *Fleet) alert(ctx context.Context, key, name, mark string) {
-	service := f.Layout.Once[rand.IntN(len(f.Layout.Once))]
-	q := asking{method: "POST", path: "/v1/actions/" + service, key: key, kind: "action", mark: mark, once: mark, service: service, within: 2 * time.Second,
-		body: map[string]any{"user": name, "once_key": mark, "body": map[string]string{"mark": mark}}}
+// sendAction sends a once-only action and retries it; some are also sent twice
+// concurrently.
+func (f *Fleet) sendAction(ctx context.Context, key, name, requestID string) {
+	service := f.Layout.OnceServices[rand.IntN(len(f.Layout.OnceServices))]
+	q := requestSpec{method: "POST", path: "/v1/actions/" + service, key: key, kind: "action", requestID: requestID, onceKey: requestID, service: service, timeout: 2 * time.Second,
+		body: map[string]any{"user": name, "once_key": requestID, "body": map[string]string{"mark": requestID}}}
 	if rand.Float64() < 0.3 {
-		twin := q
-		twin.body = map[string]any{"user": name, "once_key": mark, "body": map[string]string{"mark": mark}}
-		go f.ask(ctx, f.anyNode(), twin)
+		duplicate := q
+		duplicate.body = map[string]any{"user": name, "once_key": requestID, "body": map[string]string{"mark": requestID}}
+		go f.send(ctx, f.anyNode(), duplicate)
 	}
 	for try := 0; try < 4 && ctx.Err() == nil; try++ {
-		if a, _ := f.ask(ctx, f.anyNode(), q); a.Outcome == judge.Whole {
+		if a, _ := f.send(ctx, f.anyNode(), q); a.Outcome == judge.Whole {
 			return
 		}
 		pause(ctx, 100*time.Millisecond, 900*time.Millisecond)
--- a/rehearsalkit/fleet/work.go
+++ b/rehearsalkit/fleet/work.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Work is what all cores together had done at a moment.
+// Work is the sum of the cores' counters at a time.
 type Work struct {
 	At                                time.Duration
 	Commands, Syncs, Writes, Messages int64
 }
 
-// Work asks all cores for their counters.
+// Work reads the counters of all cores. Cores that do not answer are left out.
 func (f *Fleet) Work(ctx context.Context) Work {
 	w := Work{At: f.now()}
 	for _, m := range f.cores {
@@ -27,8 +27,7 @@
 	return w
 }
 
-// Idle lets a fleet without requesters stand for a time and returns what its
-// cores did meanwhile, a second.
+// Idle waits for length without requesters and returns the work of the cores per second.
 func (f *Fleet) Idle(ctx context.Context, length time.Duration) Work {
 	before := f.Work(ctx)
 	pause(ctx, length, length)
--- a/rehearsalkit/fleetcommand.go
+++ b/rehearsalkit/fleetcommand.go
@@ -15,20 +15,21 @@
 	"saffronfall/rehearsalkit/setup"
 )
 
+// fleetCommand is the fleet command.
 type fleetCommand struct {
 	Layout   string        `help:"Which fleet: small, aire or mahoe." default:"small"`
 	Binary   string        `help:"The saffronfall program." default:"bin/saffronfall" type:"path"`
-	Next     string        `help:"The program that scenario rollout brings; empty: the same." type:"path"`
+	Next     string        `help:"The program that scenario rollout upgrades to; empty: the same." type:"path"`
 	Folder   string        `help:"Where settings, data and logs go; empty: a temporary folder."`
-	For      time.Duration `help:"How long requesters live." default:"15s"`
+	For      time.Duration `help:"How long requesters run." default:"15s"`
 	Scenario string        `help:"What fails: calm, kills, freeze, cut, replace, operators, disk, split, corecut, zone, crowd, drain, life, closing, stalls, readdress, rollout, all." default:"calm"`
 	Stay     bool          `help:"Keep the fleet up after the run, until interrupted."`
-	Work     bool          `help:"Measure what the cores do, idle and for each shot."`
+	Work     bool          `help:"Measure the work of the cores, idle and for each attempt."`
 	Logs     bool          `help:"Print the processes' logs."`
 }
 
-// Run starts a fleet, lets requesters live on it while a scenario plays, and judges what
-// they and the back ends saw.
+// Run starts a fleet, runs requesters and a scenario on it, and checks what requesters and
+// back ends saw.
 func (c *fleetCommand) Run() error {
 	layout, cleanUp, err := c.prepare()
 	if err != nil {
@@ -47,7 +48,7 @@
 	}
 	defer f.Stop()
 	began := time.Now()
-	if err := f.Up(ctx); err != nil {
+	if err := f.StartAll(ctx); err != nil {
 		fmt.Println(f.Logs())
 		return err
 	}
@@ -62,14 +63,14 @@
 		script(ctx, f, c.For)
 		close(done)
 	}()
-	f.Drive(ctx, c.For)
+	f.RunRequesters(ctx, c.For)
 	<-done
 	after := f.Work(ctx)
 	record, breaches := f.Finish(ctx)
 	printRecord(record)
-	if shots := float64(len(record.Attempts)); c.Work && shots > 0 {
-		fmt.Printf("  for each shot, all cores: %.1f commands, %.1f writes, %.1f syncs, %.1f messages\n", float64(after.Commands-before.Commands)/shots,
-			float64(after.Writes-before.Writes)/shots, float64(after.Syncs-before.Syncs)/shots, float64(after.Messages-before.Messages)/shots)
+	if attempts := float64(len(record.Attempts)); c.Work && attempts > 0 {
+		fmt.Printf("  for each shot, all cores: %.1f commands, %.1f writes, %.1f syncs, %.1f messages\n", float64(after.Commands-before.Commands)/attempts,
+			float64(after.Writes-before.Writes)/attempts, float64(after.Syncs-before.Syncs)/attempts, float64(after.Messages-before.Messages)/attempts)
 	}
 	logs := f.Logs()
 	if c.Logs {
@@ -82,7 +83,8 @@
 	return verdict(record, breaches, logs)
 }
 
-// prepare finds the layout and checks what the fleet needs.
+// prepare returns the layout with its program and folder, and checks that both exist. The
+// caller must call cleanUp, which removes a temporary folder.
 func (c *fleetCommand) prepare() (layout fleet.Layout, cleanUp func(), err error) {
 	layout, ok := fleet.Layouts[c.Layout]
 	if !ok {
@@ -110,7 +112,8 @@
 	return layout, cleanUp, setup.EnsureFolder(layout.Folder)
 }
 
-// verdict tells what a run proved.
+// verdict prints the breaches. It fails if there are any, if a process logged a crash or a
+// data race, or if no turn was served.
 func verdict(record *judge.Record, breaches []judge.Breach, logs string) error {
 	for _, b := range breaches {
 		fmt.Println("BROKEN", b)
