--- a/rehearsalkit/capacity/capacity_test.go
+++ b/rehearsalkit/capacity/capacity_test.go
@@ -24,13 +24,13 @@
 	return sizes, values
 }
 
-func TestFitFindsALineAndItsError(t *testing.T) {
+func TestFitLineAndStandardError(t *testing.T) {
 	f := FitLine(line(5, 3, []float64{0}))
 	if f.Verdict != Good || math.Abs(f.Slope-3) > 1e-9 || math.Abs(f.Intercept-5) > 1e-9 || f.Error > 1e-9 {
 		t.Fatalf("exact line: %+v", f)
 	}
-	// By hand: x 0..3 with three values each, residuals -1, 0 and 1 at each size:
-	// 8 over 10 degrees of freedom, over the sum of squares of x, 15.
+	// x is 0..3 with residuals -1, 0 and 1 each: the squares of the residuals sum to 8 with
+	// 10 degrees of freedom, and those of x around its mean to 15.
 	var sizes, values []float64
 	for x := range 4 {
 		for r := -1; r <= 1; r++ {
@@ -43,29 +43,29 @@
 	}
 }
 
-func TestFitSaysWhatItCannotTell(t *testing.T) {
-	if f := FitLine([]float64{1, 2, 3, 4}, []float64{1, 2, 3, 4}); f.Verdict != Few {
+func TestUnreliableFitsAreReported(t *testing.T) {
+	if f := FitLine([]float64{1, 2, 3, 4}, []float64{1, 2, 3, 4}); f.Verdict != TooFew {
 		t.Errorf("one run a size: %+v", f)
 	}
-	if f := FitLine([]float64{1, 1, 1, 2, 2, 2, 3, 3, 3}, []float64{1, 1, 1, 2, 2, 2, 3, 3, 3}); f.Verdict != Few {
+	if f := FitLine([]float64{1, 1, 1, 2, 2, 2, 3, 3, 3}, []float64{1, 1, 1, 2, 2, 2, 3, 3, 3}); f.Verdict != TooFew {
 		t.Errorf("three sizes: %+v", f)
 	}
-	if f := FitLine([]float64{4, 4, 4}, []float64{1, 2, 3}); f.Verdict != Few {
+	if f := FitLine([]float64{4, 4, 4}, []float64{1, 2, 3}); f.Verdict != TooFew {
 		t.Errorf("one size: %+v", f)
 	}
-	if f := FitLine(line(5, 0.1, []float64{10})); f.Verdict != Hidden {
+	if f := FitLine(line(5, 0.1, []float64{10})); f.Verdict != WithinNoise {
 		t.Errorf("spread above the slope: %+v", f)
 	}
 	sizes, values := line(0, 0, []float64{0})
 	for i, x := range sizes {
 		values[i] = x * x * x
 	}
-	if f := FitLine(sizes, values); f.Verdict != Bent {
+	if f := FitLine(sizes, values); f.Verdict != NotLinear {
 		t.Errorf("a curve: %+v", f)
 	}
 }
 
-func TestPointThatDoesNotFitIsRefused(t *testing.T) {
+func TestPointAboveMemoryIsRefused(t *testing.T) {
 	if err := Base.Check(1 << 30); err != nil {
 		t.Fatal(err)
 	}
@@ -73,27 +73,27 @@
 	big.Nodes, big.Replicas, big.Tenants, big.Programs, big.Turns, big.TurnBytes = 370, 700, 640, 210_000, 74, 20_000
 	err := big.Check(100 << 30)
 	if err == nil || !strings.Contains(err.Error(), "would fit") {
-		t.Fatalf("the users' target in 100 GB: %v", err)
+		t.Fatalf("a large deployment in 100 GB: %v", err)
 	}
 	big.TurnBytes = 1 << 30
 	if err := big.Check(1 << 30); err == nil || !strings.Contains(err.Error(), "not even") {
 		t.Fatalf("turns of a gigabyte: %v", err)
 	}
 	axis := Axis{"programs", []int{10, 1 << 40}, func(p *Point, n int) { p.Programs = n }}
-	if _, err := Sweep(axis, Base, 1, 1, short, 1<<30, func(int, int) { t.Error("a run began") }); err == nil {
+	if _, err := Sweep(axis, Base, 1, 1, short, 1<<30, func(int, int) { t.Error("a run started") }); err == nil {
 		t.Fatal("a sweep to a size that does not fit was not refused")
 	}
 	for _, alter := range []func(p *Point){func(p *Point) { p.Cores = 2 }, func(p *Point) { p.Nodes = 0 }, func(p *Point) { p.Models = 100 }} {
 		p := Base
 		alter(&p)
 		if p.Check(1<<40) == nil {
-			t.Errorf("taken: %+v", p)
+			t.Errorf("invalid point was accepted: %+v", p)
 		}
 	}
 }
 
-func TestRoomIsBelowTheMachinesMemory(t *testing.T) {
-	if room, err := Room(); err != nil || room < 1<<28 {
+func TestAvailableMemory(t *testing.T) {
+	if room, err := AvailableMemory(); err != nil || room < 1<<28 {
 		t.Fatalf("%d, %v", room, err)
 	}
 }
@@ -133,31 +133,31 @@
 	}
 }
 
-func TestFailuresComeAbout(t *testing.T) {
+func TestFailuresTakeEffect(t *testing.T) {
 	calm := values(t, 3, None)
 	for name := range calm {
 		if strings.HasPrefix(name, "requester refused") || name == "requester unreached/s" {
 			t.Errorf("a calm run: %s", name)
 		}
 	}
-	if struck := values(t, 3, Node); struck["requester unreached/s"] == 0 {
-		t.Error("nobody missed the node")
+	if affected := values(t, 3, Node); affected["requester unreached/s"] == 0 {
+		t.Error("no request met the failed node")
 	}
-	const stands = "core sent ReplicaMessage part.Stand n/s"
+	const elections = "core sent ReplicaMessage part.Stand n/s"
 	for _, failure := range []string{Core, Wipe, Zone} {
-		if struck := values(t, 3, failure); struck[stands] <= calm[stands] || struck["requester whole/s"] < 5 {
-			t.Errorf("%s: %v stands a second, calm %v; %v turns whole", failure, struck[stands], calm[stands], struck["requester whole/s"])
+		if affected := values(t, 3, failure); affected[elections] <= calm[elections] || affected["requester whole/s"] < 5 {
+			t.Errorf("%s: %v elections a second, calm %v; %v turns whole", failure, affected[elections], calm[elections], affected["requester whole/s"])
 		}
 	}
 	if _, err := Measure(small, 1, short, "flood"); err == nil {
-		t.Error("an unknown failure was taken")
+		t.Error("an unknown failure was accepted")
 	}
 }
 
-func TestSweepIsWrittenAndDrawn(t *testing.T) {
+func TestSweepIsWrittenAndPlotted(t *testing.T) {
 	axis := Axis{"nodes", []int{2, 3, 4, 5}, func(p *Point, n int) { p.Nodes = n }}
 	runs := 0
-	// With next to no requests: nodes that have some tell desks of their load besides.
+	// Nodes with requests also report load to the desks, so there are hardly any.
 	idle := small
 	idle.Rate, idle.Programs = 1, 1
 	samples, err := Sweep(axis, idle, 3, 1, short, 1<<30, func(int, int) { runs++ })
@@ -167,13 +167,13 @@
 	slopes := Slopes(samples)
 	good := false
 	for _, s := range slopes {
-		// A node asks each desk twice a second, and a desk each other one.
+		// A node polls each desk twice a second.
 		if s.Role == "desk" && s.Measure == "messages received/s" {
 			good = s.Verdict == Good && s.Slope > 1.5 && s.Slope < 2.5
 		}
 	}
 	if !good {
-		t.Error("a desk does not hear two more messages a second from each node more")
+		t.Error("a desk does not receive two more messages a second for each added node")
 	}
 	var raw bytes.Buffer
 	if err := WriteSamples(&raw, samples); err != nil || strings.Count(raw.String(), "\n") != len(samples)+1 {
@@ -189,6 +189,6 @@
 	}
 	drawn, err := os.ReadDir(folder)
 	if err != nil || len(drawn) == 0 {
-		t.Errorf("nothing was drawn: %v", err)
+		t.Errorf("no plot was written: %v", err)
 	}
 }
--- a/rehearsalkit/capacity/command.go
+++ b/rehearsalkit/capacity/command.go
@@ -11,23 +11,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Command is rehearsalkit's command for all of it.
+// Command is the capacity command of rehearsalkit.
 type Command struct {
 	Point   `embed:""`
-	Axis    []string      `help:"Sizes to sweep, one at a time: nodes, desks, cores, replicas, tenants, programs, rate, turns, turn_bytes, changes, or all; empty: measure the one point that the other flags tell."`
+	Axis    []string      `help:"Sizes to sweep, one at a time: nodes, desks, cores, replicas, tenants, programs, rate, turns, turn_bytes, changes, or all; empty: measure the single point that the other flags describe."`
 	Repeats int           `help:"Runs of each size." default:"3"`
 	Seed    uint64        `help:"First seed." default:"1"`
-	Warm    time.Duration `help:"Simulated time before it is measured." default:"4s"`
-	For     time.Duration `help:"Simulated time that is measured." default:"10s"`
+	Warm    time.Duration `help:"Simulated time before the measurement." default:"4s"`
+	For     time.Duration `help:"Simulated time of the measurement." default:"10s"`
 	Failure string        `help:"What fails in a single point: none, core, wipe, node, desk, zone, split." default:"none"`
 	Folder  string        `help:"Where samples.csv, slopes.csv and plots go." default:"capacity-run" type:"path"`
 	Plots   bool          `help:"Draw plots too."`
 }
 
-// Run measures a point, or sweeps from it.
+// Run measures a single point, or sweeps the chosen axes from it and writes the results.
 func (c *Command) Run() error {
 	runtime.GOMAXPROCS(min(2, runtime.GOMAXPROCS(0)))
-	room, err := Room()
+	room, err := AvailableMemory()
 	if err != nil {
 		return err
 	}
@@ -40,7 +40,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Print(Print(figures))
+		fmt.Print(Format(figures))
 		return nil
 	}
 	var samples []Sample
@@ -91,7 +91,7 @@
 	for _, s := range slopes {
 		counts[s.Verdict]++
 	}
-	fmt.Printf("fits: %d good, %d hidden by the spread, %d not a straight line, %d of too few points; all in %s\n", counts[Good], counts[Hidden], counts[Bent], counts[Few], c.Folder)
+	fmt.Printf("fits: %d good, %d hidden by the spread, %d not a straight line, %d of too few points; all in %s\n", counts[Good], counts[WithinNoise], counts[NotLinear], counts[TooFew], c.Folder)
 	if c.Plots {
 		return Plot(filepath.Join(c.Folder, "plots"), slopes)
 	}
--- a/rehearsalkit/capacity/fit.go
+++ b/rehearsalkit/capacity/fit.go
@@ -6,12 +6,12 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Verdicts on a fit.
+// Verdicts on a fit. Only the slope of a Good fit is reliable.
 const (
-	Good   = "good"
-	Few    = "too few points"
-	Hidden = "hidden by the spread"
-	Bent   = "not a straight line"
+	Good        = "good"
+	TooFew      = "too few points"
+	WithinNoise = "hidden by the spread"
+	NotLinear   = "not a straight line"
 )
 
 // Fit is a straight line through measured points.
@@ -23,25 +23,26 @@
 	Verdict  string
 }
 
+// Least numbers of sizes and of repeats of each for a reliable fit.
 const (
-	fewestSizes   = 4
-	fewestRepeats = 3
+	minSizes   = 4
+	minRepeats = 3
 )
 
-// FitLine fits a line by least squares, and says whether it can be relied on: from four
-// sizes with three repeats each, a slope above twice its standard error, and a
-// line that explains nineteen parts in twenty of the spread.
+// FitLine fits a line by least squares. The fit is good if there are at least minSizes
+// sizes with minRepeats values each, the slope exceeds twice its standard error, and R
+// squared is at least 0.95.
 func FitLine(sizes, values []float64) Fit {
 	repeats := map[float64]int{}
 	for _, x := range sizes {
 		repeats[x]++
 	}
-	enough := len(repeats) >= fewestSizes
+	enough := len(repeats) >= minSizes
 	for _, n := range repeats {
-		enough = enough && n >= fewestRepeats
+		enough = enough && n >= minRepeats
 	}
 	if len(repeats) < 2 || len(sizes) < 3 {
-		return Fit{Verdict: Few}
+		return Fit{Verdict: TooFew}
 	}
 	var f Fit
 	f.Intercept, f.Slope = stat.LinearRegression(sizes, values, nil, false)
@@ -59,11 +60,11 @@
 	}
 	switch {
 	case !enough:
-		f.Verdict = Few
+		f.Verdict = TooFew
 	case math.Abs(f.Slope) <= 2*f.Error:
-		f.Verdict = Hidden
+		f.Verdict = WithinNoise
 	case f.RSquared < 0.95:
-		f.Verdict = Bent
+		f.Verdict = NotLinear
 	default:
 		f.Verdict = Good
 	}
--- a/rehearsalkit/capacity/hollow.go
+++ b/rehearsalkit/capacity/load.go
@@ -10,14 +10,15 @@
 	"saffronfall/rule/placement"
 )
 
-// replica is a hollow replica: it announces itself and answers after a time.
+// replica is a simulated replica: it sends heartbeats and answers requests after a delay.
 type replica struct {
 	id, service, address string
 	zone                 int
 	call, running        int64
 }
 
-func (w *world) beats(r *replica) {
+// heartbeat sends a replica's heartbeat to a desk that is alive, and schedules the next one.
+func (w *world) heartbeat(r *replica) {
 	r.call++
 	d := w.desks[r.zone%len(w.desks)]
 	if !d.alive {
@@ -36,13 +37,13 @@
 		}
 		d.meter.Received++
 		d.meter.ReceivedBytes += int64(len(raw))
-		d.meter.kind("received heartbeat", len(raw))
-		d.takeDesk(timed(d, func() desk.Output { return d.desk.Heartbeat(w.now, 0, word) }))
+		d.meter.countKind("received heartbeat", len(raw))
+		d.handleDeskOutput(timed(d, func() desk.Output { return d.desk.Heartbeat(w.now, 0, word) }))
 	}
-	w.after(w.between(beat*9/10, beat*11/10), func() { w.beats(r) })
+	w.after(w.between(heartbeatInterval*9/10, heartbeatInterval*11/10), func() { w.heartbeat(r) })
 }
 
-// program is a hollow requester: turn after turn, from any node.
+// program is a simulated requester: it sends one turn after the other to random nodes.
 type program struct {
 	world    *world
 	tenant   int
@@ -53,40 +54,41 @@
 	tries    int
 }
 
+// startPrograms starts the programs, spread over the tenants by their shares.
 func (w *world) startPrograms() {
 	i := 0
 	for tenant, share := range w.shares {
 		for n := 0; n < max(1, int(share*float64(w.point.Programs)+0.5)) && i < w.point.Programs; n++ {
-			w.program(i, tenant)
+			w.addProgram(i, tenant)
 			i++
 		}
 	}
 	for ; i < w.point.Programs; i++ {
-		w.program(i, i%w.point.Tenants)
+		w.addProgram(i, i%w.point.Tenants)
 	}
 }
 
-func (w *world) program(i, tenant int) {
+func (w *world) addProgram(i, tenant int) {
 	p := &program{world: w, tenant: tenant, model: i % w.point.Models}
 	w.programs = append(w.programs, p)
-	p.renew()
-	w.after(w.between(0, w.point.think()), p.turn)
+	p.restart()
+	w.after(w.between(0, w.point.thinkTime()), p.turn)
 }
 
-func (p *program) renew() {
+func (p *program) restart() {
 	p.world.attempts++
 	p.name, p.depth, p.previous = fmt.Sprintf("program-%d", p.world.attempts), 0, ""
 }
 
 // turn is one request at a node.
 type turn struct {
-	program *program
-	node    *process
-	life    int
-	ticket  uint64
-	attempt string
-	at      time.Duration
-	ended   bool
+	program     *program
+	node        *process
+	incarnation int
+	ticket      uint64
+	attempt     string
+	at          time.Duration
+	ended       bool
 }
 
 func (p *program) turn() {
@@ -94,17 +96,17 @@
 	w.attempts++
 	w.tickets++
 	n := w.nodes[w.random.IntN(len(w.nodes))]
-	t := &turn{program: p, node: n, life: n.life, ticket: w.tickets, attempt: fmt.Sprintf("attempt-%016d", w.attempts), at: w.now}
+	t := &turn{program: p, node: n, incarnation: n.incarnation, ticket: w.tickets, attempt: fmt.Sprintf("attempt-%016d", w.attempts), at: w.now}
 	w.counts["asked"]++
 	if !n.alive {
 		t.end("unreached")
 		return
 	}
-	n.ways[t.ticket] = t
+	n.requests[t.ticket] = t
 	a := relay.Request{Host: "tier", Path: fmt.Sprintf("/model-%d/turn", p.model), Key: fmt.Sprintf("key-%d", p.tenant), HasKey: true, Attempt: t.attempt, Program: p.name, Previous: p.previous,
 		TokenBudget: 1 << 30, MaxTokens: 1000, Remaining: 4 * time.Second, Arrival: relay.Arrival{HeadBytes: 300, BodyBytes: int64(w.point.TurnBytes / 2)}, Input: w.bytes(w.point.TurnBytes / 2),
 		PlacementHints: relay.PlacementHints{Prompt: []placement.PromptSegment{{ID: uint64(p.tenant*8 + p.model), Tokens: 512}, {ID: uint64(1<<32 + w.attempts), Tokens: 600}}}}
-	n.takeNode(timed(n, func() relay.Output { return n.node.HandleRequest(w.now, t.ticket, a) }))
+	n.handleNodeOutput(timed(n, func() relay.Output { return n.node.HandleRequest(w.now, t.ticket, a) }))
 }
 
 func (w *world) bytes(n int) []byte {
@@ -115,42 +117,43 @@
 	return raw
 }
 
+// step carries out a step that the node decided for the turn's request.
 func (t *turn) step(s relay.Step) {
 	w, n := t.program.world, t.node
 	switch s.Kind {
 	case relay.StepSend:
 		r := w.services[s.Replica.Address]
 		if w.cut(n.zone, r.zone) {
-			w.after(contact/10, func() { t.came(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true}) })
+			w.after(contactTimeout/10, func() { t.handleOutcome(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true}) })
 			return
 		}
 		r.running++
 		w.after(w.between(service/2, service*3/2), func() {
 			r.running--
-			t.came(relay.Outcome{Kind: relay.OutcomeComplete, Started: true, Events: 215, Output: w.bytes(w.point.TurnBytes - w.point.TurnBytes/2), Load: &relay.Load{Running: r.running, Slots: 16}})
+			t.handleOutcome(relay.Outcome{Kind: relay.OutcomeComplete, Started: true, Events: 215, Output: w.bytes(w.point.TurnBytes - w.point.TurnBytes/2), Load: &relay.Load{Running: r.running, Slots: 16}})
 		})
 	case relay.StepDeliver:
-		delete(n.ways, t.ticket)
+		delete(n.requests, t.ticket)
 		t.end("whole")
 	case relay.StepAbort:
-		delete(n.ways, t.ticket)
+		delete(n.requests, t.ticket)
 		t.end("broken")
 	default:
-		delete(n.ways, t.ticket)
+		delete(n.requests, t.ticket)
 		t.end(fmt.Sprintf("refused %d %s", s.Status, s.Check))
 	}
 }
 
-func (t *turn) came(o relay.Outcome) {
+func (t *turn) handleOutcome(o relay.Outcome) {
 	n := t.node
-	if t.ended || n.life != t.life || !n.alive {
+	if t.ended || n.incarnation != t.incarnation || !n.alive {
 		return
 	}
-	n.takeNode(timed(n, func() relay.Output { return n.node.HandleOutcome(n.world.now, t.ticket, o) }))
+	n.handleNodeOutput(timed(n, func() relay.Output { return n.node.HandleOutcome(n.world.now, t.ticket, o) }))
 }
 
-// end books what became of a turn and plans the program's next one. A turn that
-// was not served is asked again; one whose history is gone begins anew.
+// end counts the outcome of a turn and schedules the program's next one. A turn that was
+// not served is retried; after too many tries or a lost history, a new program starts.
 func (t *turn) end(outcome string) {
 	if t.ended {
 		return
@@ -158,7 +161,7 @@
 	t.ended = true
 	p, w := t.program, t.program.world
 	w.counts[outcome]++
-	pause := w.between(w.point.think()*3/4, w.point.think()*5/4) - (w.now - t.at)
+	pause := w.between(w.point.thinkTime()*3/4, w.point.thinkTime()*5/4) - (w.now - t.at)
 	if outcome == "whole" {
 		p.depth, p.previous, p.tries = p.depth+1, t.attempt, 0
 	} else {
@@ -166,14 +169,14 @@
 		w.after(w.between(100*time.Millisecond, 300*time.Millisecond), func() {
 			if p.tries > 20 || outcome == "refused 404 history" {
 				p.tries = 0
-				p.renew()
+				p.restart()
 			}
 			p.turn()
 		})
 		return
 	}
 	if p.depth >= w.point.Turns {
-		p.renew()
+		p.restart()
 	}
 	w.after(max(pause, time.Millisecond), p.turn)
 }
--- a/rehearsalkit/capacity/measure.go
+++ b/rehearsalkit/capacity/measure.go
@@ -15,38 +15,39 @@
 	"saffronfall/rule/ordered"
 )
 
-// Failures that a run may hold: a third of the measured time after its begin,
-// for a fifth of it.
+// Failures of a run. They start after a third of the measured time and last a fifth of it.
+// Wipe is a core that loses its disk, Split a network partition between regions.
 const (
-	None   = "none"
-	Core   = "core"
-	Wipe   = "wipe"
-	Node   = "node"
-	Desk   = "desk"
-	Zone   = "zone"
-	Region = "split"
+	None  = "none"
+	Core  = "core"
+	Wipe  = "wipe"
+	Node  = "node"
+	Desk  = "desk"
+	Zone  = "zone"
+	Split = "split"
 )
 
-// Span is how long a run lasts in simulated time. Before it is measured, a run
-// goes on for Warm and for as many turns as a program has.
+// Span is the length of a run in simulated time. The measurement is preceded by Warm and by
+// the time of a complete program.
 type Span struct {
 	Warm, Measured time.Duration
 }
 
-// Figure is one measure of one role: a mean over its processes, a second.
+// Figure is one measure of one role, as a mean over its processes.
 type Figure struct {
 	Role, Measure string
 	Value         float64
-	// Time tells figures that the machine's speed decides.
+	// Time marks figures that depend on the machine and do not repeat for a seed.
 	Time bool
 }
 
-// Measure runs one point and tells what each role did and holds.
+// Measure simulates one point and returns the figures of each role. Figures without Time
+// are the same for the same seed.
 func Measure(p Point, seed uint64, span Span, failure string) ([]Figure, error) {
 	if err := p.check(); err != nil {
 		return nil, err
 	}
-	if !slices.Contains([]string{None, Core, Wipe, Node, Desk, Zone, Region}, failure) {
+	if !slices.Contains([]string{None, Core, Wipe, Node, Desk, Zone, Split}, failure) {
 		return nil, errors.Newf("no failure %q", failure)
 	}
 	runtime.LockOSThread()
@@ -60,20 +61,20 @@
 	}
 	ok := false
 	for !ok {
-		w.change(func(agreed bool) { ok = agreed })
+		w.applyTable(func(agreed bool) { ok = agreed })
 		w.run(w.now + time.Second)
 		if w.now > time.Minute {
 			return nil, errors.New("no table was agreed within a minute")
 		}
 	}
-	w.run(w.now + 2*beat)
+	w.run(w.now + 2*heartbeatInterval)
 	w.startPrograms()
-	w.run(w.now + span.Warm + time.Duration(p.Turns)*p.think())
+	w.run(w.now + span.Warm + time.Duration(p.Turns)*p.thinkTime())
 	if p.Changes > 0 {
 		every := time.Hour / time.Duration(p.Changes)
 		var next func()
 		next = func() {
-			w.change(func(bool) {})
+			w.applyTable(func(bool) {})
 			w.after(every, next)
 		}
 		w.after(every/2, next)
@@ -107,28 +108,29 @@
 	return true
 }
 
+// fail causes a failure for a time.
 func (w *world) fail(failure string, length time.Duration) {
-	var struck []*process
+	var affected []*process
 	switch failure {
 	case Core, Wipe:
-		struck = w.cores[1:2]
+		affected = w.cores[1:2]
 	case Node:
-		struck = w.nodes[:1]
+		affected = w.nodes[:1]
 	case Desk:
-		struck = w.desks[1:2]
+		affected = w.desks[1:2]
 	case Zone:
 		for _, list := range [][]*process{w.cores, w.desks, w.nodes} {
 			for _, x := range list {
 				if x.zone == 1%w.point.Zones {
-					struck = append(struck, x)
+					affected = append(affected, x)
 				}
 			}
 		}
-	case Region:
+	case Split:
 		w.split = true
 		w.after(length, func() { w.split = false })
 	}
-	for _, x := range struck {
+	for _, x := range affected {
 		x.kill()
 		if failure == Wipe {
 			x.stored.Replicas, x.stored.Founding.Partitions = nil, 0
@@ -204,10 +206,10 @@
 		cache += n.node.Status(w.now)["cache_bytes"]
 	}
 	add("node", "cache bytes", float64(cache)/float64(len(w.nodes)), false)
-	// The heap that each role holds is what its end sets free.
+	// The heap of a role is the memory that is freed when its processes are dropped.
 	w.agenda, w.programs = agenda.Agenda{}, nil
 	for _, n := range w.nodes {
-		n.ways = nil
+		n.requests = nil
 	}
 	last := heapNow()
 	for _, role := range roles {
@@ -231,8 +233,8 @@
 	return int64(m.HeapAlloc)
 }
 
-// Print tells a point's figures, for reading.
-func Print(list []Figure) string {
+// Format formats the figures of a point as a table.
+func Format(list []Figure) string {
 	var b strings.Builder
 	for _, f := range list {
 		fmt.Fprintf(&b, "%-10s %-52s %14.1f\n", f.Role, f.Measure, f.Value)
--- a/rehearsalkit/capacity/point.go
+++ b/rehearsalkit/capacity/point.go
@@ -1,7 +1,7 @@
-// Package capacity measures what the control plane costs at a given size: the
-// real state machines of nodes, desks and cores, many in one process, on a
-// simulated clock, with hollow replicas and requesters around them. Every
-// message is packed and opened as on the wire.
+// Package capacity measures the resource use of the control plane at a given size: it runs
+// the state machines of nodes, desks and cores in one process on a simulated clock, with
+// simulated replicas and requesters. Every message between processes is encoded and decoded
+// as on the wire. Start reading at Measure; Sweep repeats it along an axis.
 package capacity
 
 import (
@@ -23,27 +23,27 @@
 	Models   int `help:"Models that replicas serve." default:"4"`
 	Tenants  int `help:"Tenants, spread unevenly." default:"16"`
 	Programs int `help:"Programs under way; each takes one turn at a time." default:"100"`
-	// Rate is requests a second, all of them turns.
+	// Rate is turns a second; there are no other requests.
 	Rate int `help:"Turns a second." default:"200"`
-	// Turns is after how many turns a program ends.
+	// Turns is the number of turns of a program.
 	Turns int `help:"Turns of a program." default:"4"`
-	// TurnBytes is the input and output of one turn.
+	// TurnBytes is the size of the input and output of one turn together.
 	TurnBytes int `help:"Bytes of one turn's input and output." default:"2000"`
-	// Changes is changes of the configuration an hour.
+	// Changes is configuration changes an hour.
 	Changes int `help:"Changes of the configuration an hour." default:"0"`
 }
 
-// Base is where sweeps start from.
+// Base is the default point that sweeps start from.
 var Base = Point{Nodes: 16, Desks: 3, Cores: 3, Zones: 3, Regions: 1, Replicas: 32, Models: 4, Tenants: 16, Programs: 100, Rate: 200, Turns: 4, TurnBytes: 2000}
 
-// Axis is one size that is swept.
+// Axis is one parameter of a point that is swept.
 type Axis struct {
 	Name  string
 	Sizes []int
 	Set   func(p *Point, size int)
 }
 
-// Axes are all sizes that are swept, one at a time, from Base.
+// Axes are all axes. One is swept at a time.
 var Axes = []Axis{
 	{"nodes", []int{8, 16, 32, 64, 128}, func(p *Point, n int) { p.Nodes = n }},
 	{"desks", []int{2, 3, 4, 6}, func(p *Point, n int) { p.Desks = n }},
@@ -57,6 +57,7 @@
 	{"changes", []int{0, 600, 1200, 2400}, func(p *Point, n int) { p.Changes = n }},
 }
 
+// check returns an error if a size is out of range.
 func (p Point) check() error {
 	for _, n := range []int{p.Nodes, p.Desks, p.Replicas, p.Tenants, p.Programs, p.Rate, p.Turns, p.TurnBytes, p.Zones, p.Regions} {
 		if n < 1 {
@@ -66,23 +67,23 @@
 	if p.Models < 1 || p.Models > p.Replicas {
 		return errors.New("there must be a replica of each model")
 	}
-	if p.Cores < seats {
-		return errors.Newf("at least %d cores are needed", seats)
+	if p.Cores < groupSize {
+		return errors.Newf("at least %d cores are needed", groupSize)
 	}
 	return nil
 }
 
-// Memory estimates the heap that a run needs. The constants are rounded up from
-// heaps that runs showed; programs that have ended are kept for as long again.
+// Memory returns an upper estimate of the heap of a run, in bytes. Stored turns count
+// twice, as programs that have ended are retained for a while.
 func (p Point) Memory() int64 {
 	node := 200_000 + int64(p.Replicas)*(int64(p.Desks)*600+3000) + int64(p.Tenants)*2200 + min(nodeCache, int64(p.Rate)*int64(p.TurnBytes)*60/int64(p.Nodes))
 	desk := 200_000 + int64(p.Replicas)*600 + int64(p.Nodes)*400 + int64(p.Tenants)*1500
-	kept := int64(p.Programs) * int64(p.Turns) * (int64(p.TurnBytes) + 40*int64(p.Turns) + 800) * 2 * seats
+	kept := int64(p.Programs) * int64(p.Turns) * (int64(p.TurnBytes) + 40*int64(p.Turns) + 800) * 2 * groupSize
 	return 64_000_000 + 2*(int64(p.Nodes)*node+int64(p.Desks)*desk+kept)
 }
 
-// Room is how much memory a run may take: half of the machine's.
-func Room() (int64, error) {
+// AvailableMemory returns how many bytes a run may use: half of the machine's memory.
+func AvailableMemory() (int64, error) {
 	var info unix.Sysinfo_t
 	if err := unix.Sysinfo(&info); err != nil {
 		return 0, errors.Wrap(err, "machine's memory")
@@ -90,8 +91,8 @@
 	return int64(info.Totalram) * int64(info.Unit) / 2, nil
 }
 
-// Check refuses a point that needs more than there is room for, and says how
-// much of its nodes and programs would fit.
+// Check returns an error if the point is invalid or needs more than room bytes. The error
+// names a smaller point that would fit.
 func (p Point) Check(room int64) error {
 	if err := p.check(); err != nil {
 		return err
@@ -110,7 +111,7 @@
 	return errors.Newf("needs about %d MB and may take %d MB; not even a hundredth of its nodes and programs fits, make turns or their bytes fewer", need>>20, room>>20)
 }
 
-// think is the time from a program's turn to its next.
-func (p Point) think() time.Duration {
+// thinkTime is the time between the starts of a program's turns.
+func (p Point) thinkTime() time.Duration {
 	return time.Duration(float64(p.Programs) / float64(p.Rate) * float64(time.Second))
 }
--- a/rehearsalkit/capacity/sweep.go
+++ b/rehearsalkit/capacity/sweep.go
@@ -24,7 +24,8 @@
 	Figure
 }
 
-// Sweep runs every size of an axis, each with several seeds.
+// Sweep measures every size of an axis with repeats seeds each, and calls each after every
+// run. It fails before the first run if a size needs more than room bytes.
 func Sweep(a Axis, base Point, repeats int, seed uint64, span Span, room int64, each func(size, repeat int)) ([]Sample, error) {
 	for _, size := range a.Sizes {
 		p := base
@@ -51,7 +52,7 @@
 	return list, nil
 }
 
-// WriteSamples writes what was measured as CSV.
+// WriteSamples writes samples as CSV.
 func WriteSamples(to io.Writer, list []Sample) error {
 	w := csv.NewWriter(to)
 	rows := [][]string{{"axis", "size", "repeat", "role", "measure", "value"}}
@@ -70,8 +71,7 @@
 	sizes, values []float64
 }
 
-// Slopes fits every measure over its axis. A message that a run did not hold
-// counts as none.
+// Slopes fits every measure over its axis. A measure that is missing in a run counts as 0.
 func Slopes(list []Sample) []Slope {
 	type run struct{ size, repeat int }
 	runs := map[string]map[run]bool{}
@@ -111,13 +111,14 @@
 	return w.WriteAll(rows)
 }
 
-// Plot draws points and line of each role's main measures into a folder.
+// Plot writes a plot of each fit into a folder, except for the measures of single kinds of
+// messages.
 func Plot(folder string, list []Slope) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return errors.Wrap(err, "plots")
 	}
 	for _, s := range list {
-		if s.Verdict == Few || strings.HasPrefix(s.Measure, "sent ") || strings.HasPrefix(s.Measure, "received ") {
+		if s.Verdict == TooFew || strings.HasPrefix(s.Measure, "sent ") || strings.HasPrefix(s.Measure, "received ") {
 			continue
 		}
 		p := plot.New()
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -22,36 +22,34 @@
 	"saffronfall/rule/route"
 )
 
-// Bounds of the simulated deployment: those of the users' smallest site, by the
-// ratios of platform/settings.go.
+// Time bounds and sizes of the simulated deployment, in the ratios of platform/settings.go.
 const (
-	contact   = 3 * time.Second
-	beat      = 1200 * time.Millisecond
-	follow    = 500 * time.Millisecond
-	window    = 5 * time.Second
-	seats     = 3
-	nodeCache = 16 << 20
-	// keepOfThink is how long a turn is kept, by the time to the next turn: 60 s
-	// at the users' target, where a program's turns are 41 s apart.
-	keepOfThink = 60.0 / 41
-	service     = 150 * time.Millisecond
+	contactTimeout    = 3 * time.Second
+	heartbeatInterval = 1200 * time.Millisecond
+	updateInterval    = 500 * time.Millisecond
+	rateWindow        = 5 * time.Second
+	groupSize         = 3
+	nodeCache         = 16 << 20
+	// retentionPerThink is the retention of a turn as a multiple of the think time: 60 s
+	// for turns that are 41 s apart.
+	retentionPerThink = 60.0 / 41
+	service           = 150 * time.Millisecond
 )
 
 func coreParams() core.Params {
-	return core.Params{Partition: partition.Params{LeaseDuration: contact / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberLease: contact / 2, AttemptTimeout: contact / 24,
-		PullInterval: contact / 20, GoneAfter: 2200 * time.Millisecond, ColdStart: true}
+	return core.Params{Partition: partition.Params{LeaseDuration: contactTimeout / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20}, MemberLease: contactTimeout / 2, AttemptTimeout: contactTimeout / 24,
+		PullInterval: contactTimeout / 20, GoneAfter: 2200 * time.Millisecond, ColdStart: true}
 }
 
 func deskParams() desk.Params {
-	return desk.Params{Core: coreParams(), HeartbeatInterval: beat, GroupSize: seats, PartitionsPerCore: 2, OperationTimeout: 3 * time.Second}
+	return desk.Params{Core: coreParams(), HeartbeatInterval: heartbeatInterval, GroupSize: groupSize, PartitionsPerCore: 2, OperationTimeout: 3 * time.Second}
 }
 
 func nodeParams() relay.Params {
-	return relay.Params{Core: coreParams(), HeartbeatInterval: beat, UpdateInterval: follow, RateWindow: window, RateOvershoot: 0.1, RateSlack: 4, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: beat}, LoadReportInterval: beat / 12, ResendUnrun: true, ShedOverload: true, MaxRequests: 2000, CacheBytes: nodeCache, BookRetention: 10 * time.Minute}
+	return relay.Params{Core: coreParams(), HeartbeatInterval: heartbeatInterval, UpdateInterval: updateInterval, RateWindow: rateWindow, RateOvershoot: 0.1, RateSlack: 4, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMilli: 80, HeartbeatInterval: heartbeatInterval}, LoadReportInterval: heartbeatInterval / 12, ResendUnrun: true, ShedOverload: true, MaxRequests: 2000, CacheBytes: nodeCache, BookRetention: 10 * time.Minute}
 }
 
-// cpu is the processor time that this thread has had: another process on the
-// machine takes none of it.
+// cpu returns the CPU time of this thread, which other processes do not affect.
 func cpu() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
@@ -60,7 +58,7 @@
 	return time.Duration(t.Nano())
 }
 
-// meter counts one process.
+// meter counts the resource use of one process.
 type meter struct {
 	Sent, Received, SentBytes, ReceivedBytes int64
 	Syncs, Written                           int64
@@ -70,7 +68,7 @@
 
 type kind struct{ count, bytes int64 }
 
-func (m *meter) kind(name string, bytes int) {
+func (m *meter) countKind(name string, bytes int) {
 	k := m.kinds[name]
 	if k == nil {
 		k = &kind{}
@@ -80,36 +78,39 @@
 	k.bytes += int64(bytes)
 }
 
+// process is one simulated core, desk or node; only the fields of its role are set.
 type process struct {
-	world   *world
-	id      string
-	zone    int
-	address string
-	life    int
-	alive   bool
-	meter   meter
-
-	core    *core.Machine
-	stored  core.Stored
-	pending [][]core.Change
-	issued  uint64
-	synced  uint64
-	held    []held
-	busy    bool
+	world       *world
+	id          string
+	zone        int
+	address     string
+	incarnation int
+	alive       bool
+	meter       meter
+
+	core     *core.Machine
+	stored   core.Stored
+	pending  [][]core.Change
+	issued   uint64
+	synced   uint64
+	deferred []deferred
+	busy     bool
 
 	desk  *desk.Machine
 	calls map[uint64]func(body any)
 
-	node   *relay.Machine
-	ways   map[uint64]*turn
-	number uint64
+	node     *relay.Machine
+	requests map[uint64]*turn
+	number   uint64
 }
 
-type held struct {
+// deferred is a message that must not be sent before the write numbered after is synced.
+type deferred struct {
 	after uint64
 	send  core.Send
 }
 
+// world is a simulated deployment. It is used by one goroutine.
 type world struct {
 	point     Point
 	now       time.Duration
@@ -128,14 +129,14 @@
 	split     bool
 	counts    map[string]int64
 	table     uint64
-	// handedAt is when a table was handed over, lag the longest until a node went by
-	// it.
-	handedAt map[uint64]time.Duration
-	lag      time.Duration
+	// appliedAt is when each table was first applied, lag the longest time until a node
+	// used one.
+	appliedAt map[uint64]time.Duration
+	lag       time.Duration
 }
 
 func newWorld(p Point, seed uint64) *world {
-	w := &world{point: p, random: rand.New(rand.NewPCG(seed, 0xca9ac)), processes: map[string]*process{}, services: map[string]*replica{}, counts: map[string]int64{}, handedAt: map[uint64]time.Duration{}}
+	w := &world{point: p, random: rand.New(rand.NewPCG(seed, 0xca9ac)), processes: map[string]*process{}, services: map[string]*replica{}, counts: map[string]int64{}, appliedAt: map[uint64]time.Duration{}}
 	for i := 0; i < p.Cores; i++ {
 		c := w.add("core", 2, i)
 		c.stored = core.Stored{Incarnation: fmt.Sprintf("%s-%d", c.id, w.random.Uint32())}
@@ -164,7 +165,7 @@
 		}
 	}
 	for _, r := range w.replicas {
-		w.after(w.between(0, beat), func() { w.beats(r) })
+		w.after(w.between(0, heartbeatInterval), func() { w.heartbeat(r) })
 	}
 	return w
 }
@@ -188,7 +189,7 @@
 
 func (w *world) region(zone int) int { return zone * w.point.Regions / w.point.Zones }
 
-// delay is as on the users' sites.
+// delay returns the one-way network delay between two zones.
 func (w *world) delay(a, b int) time.Duration {
 	switch {
 	case a == b:
@@ -211,46 +212,47 @@
 	return list
 }
 
+// boot starts a new incarnation. A core starts from what it has stored.
 func (p *process) boot() {
 	w := p.world
 	if p.alive {
 		return
 	}
-	p.life++
+	p.incarnation++
 	p.alive = true
 	zone := fmt.Sprintf("zone-%d", p.zone)
 	every := coreParams().PullInterval / 3
 	switch p.id[:4] {
 	case "core":
-		p.pending, p.held, p.busy, p.issued, p.synced = nil, nil, false, 0, 0
+		p.pending, p.deferred, p.busy, p.issued, p.synced = nil, nil, false, 0, 0
 		var image core.Stored
 		image.CopyFrom(p.stored)
 		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: zone, Address: p.address, Seeds: w.seeds(), Stored: image, Now: w.now, Random: w.random.Float64})
 		every = coreParams().Partition.LeaseDuration / 20
 	case "desk":
 		p.calls = map[uint64]func(any){}
-		p.desk = desk.New(desk.Options{Params: deskParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.life), Address: p.address, Seeds: w.seeds(), FoundsFleet: p == w.desks[0] && p.life == 1, Now: w.now, Random: w.random.Float64})
+		p.desk = desk.New(desk.Options{Params: deskParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Address: p.address, Seeds: w.seeds(), FoundsFleet: p == w.desks[0] && p.incarnation == 1, Now: w.now, Random: w.random.Float64})
 	default:
-		p.ways = map[uint64]*turn{}
-		p.node = relay.New(relay.Options{Params: nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.life), Zone: zone, Address: p.address, Seeds: w.seeds(), Now: w.now, Random: w.random.Float64})
+		p.requests = map[uint64]*turn{}
+		p.node = relay.New(relay.Options{Params: nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Zone: zone, Address: p.address, Seeds: w.seeds(), Now: w.now, Random: w.random.Float64})
 	}
-	p.tick(p.life, every)
+	p.tick(p.incarnation, every)
 }
 
-func (p *process) tick(life int, every time.Duration) {
-	if p.life != life || !p.alive {
+func (p *process) tick(incarnation int, every time.Duration) {
+	if p.incarnation != incarnation || !p.alive {
 		return
 	}
 	w := p.world
 	switch {
 	case p.core != nil:
-		p.takeCore(timed(p, func() core.Output { return p.core.Tick(w.now) }))
+		p.handleCoreOutput(timed(p, func() core.Output { return p.core.Tick(w.now) }))
 	case p.desk != nil:
-		p.takeDesk(timed(p, func() desk.Output { return p.desk.Tick(w.now) }))
+		p.handleDeskOutput(timed(p, func() desk.Output { return p.desk.Tick(w.now) }))
 	default:
-		p.takeNode(timed(p, func() relay.Output { return p.node.Tick(w.now) }))
+		p.handleNodeOutput(timed(p, func() relay.Output { return p.node.Tick(w.now) }))
 	}
-	w.after(every, func() { p.tick(life, every) })
+	w.after(every, func() { p.tick(incarnation, every) })
 }
 
 func (p *process) kill() {
@@ -258,13 +260,14 @@
 		return
 	}
 	p.alive = false
-	p.life++
+	p.incarnation++
 	p.pending = nil
-	for _, t := range ordered.Keys(p.ways) {
-		p.ways[t].end("closed")
+	for _, t := range ordered.Keys(p.requests) {
+		p.requests[t].end("closed")
 	}
 }
 
+// timed runs a step and adds its CPU time to the process's meter.
 func timed[T any](p *process, step func() T) T {
 	began := cpu()
 	out := step()
@@ -272,7 +275,7 @@
 	return out
 }
 
-// pack packs as on the wire, with the four bytes that frame a message there.
+// pack encodes a message as on the wire, and counts the CPU time.
 func (p *process) pack(body any) []byte {
 	began := cpu()
 	raw := message.Pack(body)
@@ -280,6 +283,7 @@
 	return raw
 }
 
+// frame is the size of a message's frame header on the wire, in bytes.
 const frame = 4
 
 func (p *process) send(to string, body any) {
@@ -288,7 +292,7 @@
 	name := kindOf(body)
 	p.meter.Sent++
 	p.meter.SentBytes += int64(len(raw) + frame)
-	p.meter.kind("sent "+name, len(raw)+frame)
+	p.meter.countKind("sent "+name, len(raw)+frame)
 	target := w.processes[to]
 	if target == nil || w.cut(p.zone, target.zone) {
 		return
@@ -303,7 +307,7 @@
 	})
 }
 
-// kindOf names a message, and what it carries.
+// kindOf names the type of a message and the type that it carries.
 func kindOf(body any) string {
 	name := strings.TrimPrefix(fmt.Sprintf("%T", body), "core.")
 	var raw []byte
@@ -325,7 +329,7 @@
 		}
 	}
 	if len(raw) > 1 {
-		// A msgpack string of up to 31 bytes: its length is in the first one.
+		// The type name is a msgpack string of up to 31 bytes; the first byte holds its length.
 		if n := int(raw[0] & 31); n < len(raw) {
 			return name + " " + strings.TrimPrefix(string(raw[1:1+n]), "core.")
 		}
@@ -343,22 +347,22 @@
 	}
 	switch {
 	case p.core != nil:
-		p.takeCore(timed(p, func() core.Output { return p.core.Receive(w.now, from, value) }))
+		p.handleCoreOutput(timed(p, func() core.Output { return p.core.Receive(w.now, from, value) }))
 	case p.desk != nil:
-		p.takeDesk(timed(p, func() desk.Output { return p.desk.Receive(w.now, from, value) }))
+		p.handleDeskOutput(timed(p, func() desk.Output { return p.desk.Receive(w.now, from, value) }))
 	default:
-		p.takeNode(timed(p, func() relay.Output { return p.node.Receive(w.now, from, value) }))
+		p.handleNodeOutput(timed(p, func() relay.Output { return p.node.Receive(w.now, from, value) }))
 	}
 }
 
-func (p *process) takeCore(o core.Output) {
+func (p *process) handleCoreOutput(o core.Output) {
 	if len(o.Changes) > 0 {
 		p.pending = append(p.pending, o.Changes)
 		p.issued++
 	}
 	for _, s := range o.Sends {
 		if s.Synced && p.issued > p.synced {
-			p.held = append(p.held, held{after: p.issued, send: s})
+			p.deferred = append(p.deferred, deferred{after: p.issued, send: s})
 			continue
 		}
 		p.sendCore(s)
@@ -368,14 +372,15 @@
 
 func (p *process) sendCore(s core.Send) {
 	if s.To == p.address {
-		// As in the real process: no packing on the way to itself.
-		p.takeCore(timed(p, func() core.Output { return p.core.Receive(p.world.now, p.address, s.Body) }))
+		// As in a real process, messages to itself are not encoded.
+		p.handleCoreOutput(timed(p, func() core.Output { return p.core.Receive(p.world.now, p.address, s.Body) }))
 		return
 	}
 	p.send(s.To, s.Body)
 }
 
-// sync writes all that is pending in one frame.
+// sync writes all pending changes in one frame. Sends that wait for them are released once
+// it is synced.
 func (p *process) sync() {
 	if p.busy || len(p.pending) == 0 {
 		return
@@ -391,29 +396,29 @@
 	p.meter.Pack += cpu() - began
 	p.meter.Syncs++
 	p.meter.Written += int64(len(raw) + 12)
-	upto, life := p.issued, p.life
+	lastSynced, incarnation := p.issued, p.incarnation
 	p.world.after(700*time.Microsecond, func() {
-		if p.life != life {
+		if p.incarnation != incarnation {
 			return
 		}
 		for _, c := range all {
 			p.stored.Apply(c)
 		}
-		p.busy, p.synced = false, upto
-		ready := p.held
-		p.held = nil
+		p.busy, p.synced = false, lastSynced
+		ready := p.deferred
+		p.deferred = nil
 		for _, h := range ready {
 			if h.after <= p.synced {
 				p.sendCore(h.send)
 			} else {
-				p.held = append(p.held, h)
+				p.deferred = append(p.deferred, h)
 			}
 		}
 		p.sync()
 	})
 }
 
-func (p *process) takeDesk(o desk.Output) {
+func (p *process) handleDeskOutput(o desk.Output) {
 	for _, s := range o.Sends {
 		p.send(s.To, s.Body)
 	}
@@ -425,28 +430,28 @@
 	}
 }
 
-func (p *process) takeNode(o relay.Output) {
+func (p *process) handleNodeOutput(o relay.Output) {
 	for _, s := range o.Sends {
 		p.send(s.To, s.Body)
 	}
 	for _, r := range o.Steps {
-		if t, ok := p.ways[r.Ticket]; ok {
+		if t, ok := p.requests[r.Ticket]; ok {
 			t.step(r.Step)
 		}
 	}
 	if number := p.node.TableNumber(); number > p.number {
 		p.number = number
-		p.world.lag = max(p.world.lag, p.world.now-p.world.handedAt[number])
+		p.world.lag = max(p.world.lag, p.world.now-p.world.appliedAt[number])
 	}
 }
 
-// text is a routing table of the point's size; its source is about as long.
-func (w *world) text(number uint64) []byte {
+// tableText encodes a routing table of the point's size. Its source is about as long again.
+func (w *world) tableText(number uint64) []byte {
 	t := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20}}
 	for i := 0; i < w.point.Models; i++ {
 		name := fmt.Sprintf("model-%d", i)
 		t.Services = append(t.Services, route.Service{Name: name, Connections: 100_000, TokensPerEvent: 1, Slots: 16, CacheTokens: 186629})
-		t.Routes = append(t.Routes, route.Route{Name: "chat-" + name, Host: "tier", Prefix: "/" + name + "/", Mode: route.Stream, KeepHistory: true, KeepSeconds: w.point.think().Seconds() * keepOfThink, TimeoutMS: 4000,
+		t.Routes = append(t.Routes, route.Route{Name: "chat-" + name, Host: "tier", Prefix: "/" + name + "/", Mode: route.Stream, KeepHistory: true, KeepSeconds: w.point.thinkTime().Seconds() * retentionPerThink, TimeoutMS: 4000,
 			Tries: 2, Targets: []route.Target{{Service: name, Weight: 1}}})
 	}
 	for i, share := range w.shares {
@@ -464,18 +469,18 @@
 	return whole
 }
 
-// change hands a new table over, and again until it is agreed.
-func (w *world) change(then func(ok bool)) {
+// applyTable applies a new table at a random desk and passes the result to then.
+func (w *world) applyTable(then func(ok bool)) {
 	d := w.desks[w.random.IntN(len(w.desks))]
 	if !d.alive {
 		then(false)
 		return
 	}
 	number := w.table + 1
-	text := w.text(number)
+	text := w.tableText(number)
 	w.tickets++
-	if _, ok := w.handedAt[number]; !ok {
-		w.handedAt[number] = w.now
+	if _, ok := w.appliedAt[number]; !ok {
+		w.appliedAt[number] = w.now
 	}
 	d.calls[w.tickets] = func(body any) {
 		h := body.(desk.OrderResult)
@@ -484,5 +489,5 @@
 		}
 		then(h.Accepted)
 	}
-	d.takeDesk(timed(d, func() desk.Output { return d.desk.Apply(w.now, w.tickets, w.table, text, fmt.Sprint(number)) }))
+	d.handleDeskOutput(timed(d, func() desk.Output { return d.desk.Apply(w.now, w.tickets, w.table, text, fmt.Sprint(number)) }))
 }
