--- a/rehearsalkit/capacity/load.go
+++ b/rehearsalkit/capacity/load.go
@@ -30,15 +30,15 @@
 		}
 	}
 	if d.alive {
-		word := desk.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: fmt.Sprintf("zone-%d", r.zone), Slots: 16, Sequence: r.call}
-		raw, err := json.Marshal(word)
+		report := desk.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: fmt.Sprintf("zone-%d", r.zone), Slots: 16, Sequence: r.call}
+		raw, err := json.Marshal(report)
 		if err != nil {
 			panic(err)
 		}
 		d.meter.Received++
 		d.meter.ReceivedBytes += int64(len(raw))
 		d.meter.countKind("received heartbeat", len(raw))
-		d.handleDeskOutput(timed(d, func() desk.Output { return d.desk.Heartbeat(w.now, 0, word) }))
+		d.handleDeskOutput(timed(d, func() desk.Output { return d.desk.Heartbeat(w.now, 0, report) }))
 	}
 	w.after(w.between(heartbeatInterval*9/10, heartbeatInterval*11/10), func() { w.heartbeat(r) })
 }
--- a/rehearsalkit/fleet/fleet.go
+++ b/rehearsalkit/fleet/fleet.go
@@ -307,7 +307,7 @@
 		addresses = append(addresses, m.operator)
 	}
 	var err error
-	for try := 0; try < 50; try++ {
+	for attempt := 0; attempt < 50; attempt++ {
 		if _, err = f.Caller().Found(ctx, f.Layout.Name, addresses, f.Layout.Partitions, 3); err == nil {
 			break
 		}
@@ -316,12 +316,12 @@
 	if err != nil {
 		return err
 	}
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		result, status, err := f.Apply(ctx, f.cores[0], 0, "probe-first")
 		if result.InForce {
 			break
 		}
-		if try == 20 {
+		if attempt == 20 {
 			return errors.Newf("the first configuration was not applied: status %d, %+v, %v", status, result, err)
 		}
 		pause(ctx, 200*time.Millisecond, 200*time.Millisecond)
@@ -329,7 +329,7 @@
 	for _, b := range f.backends {
 		b.run(ctx)
 	}
-	for try := 0; try < 200; try++ {
+	for attempt := 0; attempt < 200; attempt++ {
 		ready := 0
 		for _, m := range f.nodes {
 			if reply, err := f.client.Get("http://" + m.requester + "/ready"); err == nil {
--- a/rehearsalkit/fleet/requester.go
+++ b/rehearsalkit/fleet/requester.go
@@ -184,7 +184,7 @@
 		duplicate.body = map[string]any{"user": name, "once_key": requestID, "body": map[string]string{"mark": requestID}}
 		go f.send(ctx, f.anyNode(), duplicate)
 	}
-	for try := 0; try < 4 && ctx.Err() == nil; try++ {
+	for attempt := 0; attempt < 4 && ctx.Err() == nil; attempt++ {
 		if a, _ := f.send(ctx, f.anyNode(), q); a.Outcome == judge.Whole {
 			return
 		}
--- a/rehearsalkit/soak/client.go
+++ b/rehearsalkit/soak/client.go
@@ -165,12 +165,12 @@
 	return &request{Attempt: r.attempt(), Kind: kind, Tenant: r.tenant, Method: method, Path: "/" + kind + "/x", Body: body}
 }
 
-// live calls one until the context ends, with random pauses shorter than between.
-func (r *requester) live(ctx context.Context, one func(ctx context.Context), between time.Duration) {
+// run calls step until the context ends, with random pauses shorter than maxPause.
+func (r *requester) run(ctx context.Context, step func(ctx context.Context), maxPause time.Duration) {
 	defer r.close()
 	for ctx.Err() == nil {
-		one(ctx)
-		pause(ctx, time.Duration(rand.Int64N(int64(between))))
+		step(ctx)
+		pause(ctx, time.Duration(rand.Int64N(int64(maxPause))))
 	}
 }
 
@@ -219,13 +219,13 @@
 
 // startClients starts requesters, misbehaving requesters and an operator. It returns a
 // function that stops them and a channel that is closed once all have returned.
-func (f *Fleet) startClients(parent context.Context) (end context.CancelFunc, ended <-chan struct{}) {
+func (f *Fleet) startClients(parent context.Context) (stop context.CancelFunc, stopped <-chan struct{}) {
 	ctx, cancel := context.WithCancel(parent)
 	done, count := make(chan struct{}), 0
-	begin := func(live func()) {
+	start := func(run func()) {
 		count++
 		go func() {
-			live()
+			run()
 			done <- struct{}{}
 		}()
 	}
@@ -236,24 +236,24 @@
 				return &requester{fleet: f, tenant: tenant, name: fmt.Sprintf("%s%d", kind, i), keepAlive: i == 0}
 			}
 			alerts, notices, programs, conversations := named("a"), named("o"), named("c"), named("k")
-			begin(func() { alerts.live(ctx, alerts.alert, 60*time.Millisecond) })
-			begin(func() { notices.live(ctx, notices.once, 60*time.Millisecond) })
-			begin(func() { programs.live(ctx, programs.program, 100*time.Millisecond) })
-			begin(func() { conversations.live(ctx, conversations.conversation, 100*time.Millisecond) })
+			start(func() { alerts.run(ctx, alerts.alert, 60*time.Millisecond) })
+			start(func() { notices.run(ctx, notices.once, 60*time.Millisecond) })
+			start(func() { programs.run(ctx, programs.program, 100*time.Millisecond) })
+			start(func() { conversations.run(ctx, conversations.conversation, 100*time.Millisecond) })
 		}
 	}
 	for i := range 3 {
 		flood := &requester{fleet: f, tenant: tenantLimited, name: fmt.Sprint("l", i), keepAlive: true}
-		begin(func() { flood.live(ctx, flood.alert, 20*time.Millisecond) })
+		start(func() { flood.run(ctx, flood.alert, 20*time.Millisecond) })
 	}
-	begin(func() { f.runMisbehaving(ctx) })
-	begin(func() { f.operator.operate(ctx) })
-	over := make(chan struct{})
+	start(func() { f.runMisbehaving(ctx) })
+	start(func() { f.operator.operate(ctx) })
+	allStopped := make(chan struct{})
 	go func() {
 		for range count {
 			<-done
 		}
-		close(over)
+		close(allStopped)
 	}()
-	return cancel, over
+	return cancel, allStopped
 }
--- a/rehearsalkit/soak/disk_link_faults.go
+++ b/rehearsalkit/soak/disk_link_faults.go
@@ -44,7 +44,7 @@
 }
 
 // onCore makes a fault of one random core. It is skipped if the core has another fault.
-func onCore(what func(f *Fleet, ctx context.Context, random *rand.Rand, p *process)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
+func onCore(action func(f *Fleet, ctx context.Context, random *rand.Rand, p *process)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	return func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 		cores := f.withRole(roleCore)
 		p := cores[random.IntN(len(cores))]
@@ -53,7 +53,7 @@
 		}
 		defer f.release(p)
 		p.checkExit()
-		what(f, ctx, random, p)
+		action(f, ctx, random, p)
 		return p.name
 	}
 }
@@ -170,17 +170,17 @@
 const outside = "127.0.0.1"
 
 // onNodeLink makes a fault of the link between requesters and one random node.
-func onNodeLink(what func(f *Fleet, ctx context.Context, random *rand.Rand, p *process)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
+func onNodeLink(action func(f *Fleet, ctx context.Context, random *rand.Rand, p *process)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	return func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 		p := f.anyNode()
-		what(f, ctx, random, p)
+		action(f, ctx, random, p)
 		return p.name
 	}
 }
 
 // onReplicaLink makes a fault of the link between nodes and one random replica that is
 // behind a relay.
-func onReplicaLink(what func(f *Fleet, ctx context.Context, random *rand.Rand, ip string)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
+func onReplicaLink(action func(f *Fleet, ctx context.Context, random *rand.Rand, ip string)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	return func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 		var relayed []*endpoint
 		for _, p := range f.replicas.endpoints {
@@ -190,7 +190,7 @@
 		}
 		p := relayed[random.IntN(len(relayed))]
 		ip, _, _ := strings.Cut(p.address, ":")
-		what(f, ctx, random, ip)
+		action(f, ctx, random, ip)
 		return p.address
 	}
 }
--- a/rehearsalkit/soak/faults.go
+++ b/rehearsalkit/soak/faults.go
@@ -115,7 +115,7 @@
 
 // onProcess makes a fault of one random process. It is skipped if the process has another
 // fault.
-func onProcess(what func(f *Fleet, ctx context.Context, random *rand.Rand, p *process)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
+func onProcess(action func(f *Fleet, ctx context.Context, random *rand.Rand, p *process)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	return func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 		p := f.processes[random.IntN(len(f.processes))]
 		if !f.acquire(p) {
@@ -123,7 +123,7 @@
 		}
 		defer f.release(p)
 		p.checkExit()
-		what(f, ctx, random, p)
+		action(f, ctx, random, p)
 		return p.name
 	}
 }
@@ -187,12 +187,12 @@
 // oneWayCut cuts all links of a process in one direction.
 func oneWayCut(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	p := f.processes[random.IntN(len(f.processes))]
-	speaks := random.IntN(2) == 0
+	outgoing := random.IntN(2) == 0
 	set := func(cut bool) {
 		for _, o := range f.processes {
 			switch {
 			case o == p:
-			case speaks:
+			case outgoing:
 				f.links.CutOneWay(ctx, p.ip, o.ip, cut)
 			default:
 				f.links.CutOneWay(ctx, o.ip, p.ip, cut)
@@ -226,16 +226,16 @@
 	return "cores and desks"
 }
 
-// withEndpoint calls what for a random endpoint. It is skipped if the endpoint has another
+// withEndpoint calls action for a random endpoint. It is skipped if the endpoint has another
 // fault.
-func (r *replicas) withEndpoint(random *rand.Rand, what func(p *endpoint)) string {
+func (r *replicas) withEndpoint(random *rand.Rand, action func(p *endpoint)) string {
 	p := r.endpoints[random.IntN(len(r.endpoints))]
 	select {
 	case p.busy <- struct{}{}:
 	default:
 		return ""
 	}
-	what(p)
+	action(p)
 	<-p.busy
 	return p.address
 }
@@ -252,18 +252,18 @@
 // injectFaults starts random faults for Length, which may overlap, and returns when all
 // are over.
 func (f *Fleet) injectFaults(ctx context.Context) {
-	all, kinds := 0, f.kinds()
-	for _, u := range kinds {
-		all += u.weight
+	totalWeight, kinds := 0, f.kinds()
+	for _, kind := range kinds {
+		totalWeight += kind.weight
 	}
 	done, begun := make(chan struct{}, 1<<12), 0
 	for end := f.now() + f.Length; f.now() < end && ctx.Err() == nil; {
-		at, chosen := f.random.IntN(all), kinds[0]
-		for _, u := range kinds {
-			if chosen = u; at < u.weight {
+		at, chosen := f.random.IntN(totalWeight), kinds[0]
+		for _, kind := range kinds {
+			if chosen = kind; at < kind.weight {
 				break
 			}
-			at -= u.weight
+			at -= kind.weight
 		}
 		random := rand.New(rand.NewPCG(f.random.Uint64(), f.random.Uint64()))
 		begun++
@@ -302,9 +302,9 @@
 }
 
 // injectFault injects one fault and records it.
-func (f *Fleet) injectFault(ctx context.Context, u faultKind, random *rand.Rand) {
-	t := fault{Kind: u.name, From: f.now()}
-	if t.Target = u.inject(f, ctx, random); t.Target == "" {
+func (f *Fleet) injectFault(ctx context.Context, kind faultKind, random *rand.Rand) {
+	t := fault{Kind: kind.name, From: f.now()}
+	if t.Target = kind.inject(f, ctx, random); t.Target == "" {
 		return
 	}
 	t.To = f.now()
--- a/rehearsalkit/soak/judge.go
+++ b/rehearsalkit/soak/judge.go
@@ -36,8 +36,8 @@
 // judge checks the record against all rules and returns the breaches.
 func (r *record) judge() []Breach {
 	runs := map[string][]run{}
-	for _, one := range r.Runs {
-		runs[requestKey(one.Tenant, one.Attempt)] = append(runs[requestKey(one.Tenant, one.Attempt)], one)
+	for _, ran := range r.Runs {
+		runs[requestKey(ran.Tenant, ran.Attempt)] = append(runs[requestKey(ran.Tenant, ran.Attempt)], ran)
 	}
 	list := r.Breaches
 	for _, rule := range []func(runs map[string][]run) []Breach{r.judgeRuns, r.judgeAnswers, r.judgeRequested, r.judgeBudgets, r.judgeHistory, r.judgeRate, r.judgeTables, r.judgeLeaving, r.judgeDeadlines, r.judgeServed} {
@@ -79,13 +79,13 @@
 			continue
 		}
 		given := false
-		for _, one := range runs[requestKey(q.Tenant, q.Attempt)] {
-			given = given || one.Gave == q.Answer
+		for _, ran := range runs[requestKey(q.Tenant, q.Attempt)] {
+			given = given || ran.Gave == q.Answer
 		}
 		// A stream that was resumed at another replica joins the output of two runs.
 		if q.Kind == kindChat && !given {
-			for _, one := range runs[requestKey(q.Tenant, q.Attempt)] {
-				given = given || strings.HasSuffix(q.Answer, one.Gave) && q.Answer == wholeStream(q.Attempt)
+			for _, ran := range runs[requestKey(q.Tenant, q.Attempt)] {
+				given = given || strings.HasSuffix(q.Answer, ran.Gave) && q.Answer == wholeStream(q.Attempt)
 			}
 		}
 		if !given {
@@ -106,24 +106,24 @@
 // judgeRequested finds runs without a request, or with another method, path, service or
 // body.
 func (r *record) judgeRequested(map[string][]run) (list []Breach) {
-	asked := map[string]*request{}
+	requested := map[string]*request{}
 	for _, q := range r.Requests {
-		asked[requestKey(q.Tenant, q.Attempt)] = q
+		requested[requestKey(q.Tenant, q.Attempt)] = q
 	}
 	services := map[string]string{kindAlert: serviceApp, kindOnce: serviceApp, kindChat: serviceModel, kindKept: serviceModel}
-	for _, one := range r.Runs {
-		q := asked[requestKey(one.Tenant, one.Attempt)]
+	for _, ran := range r.Runs {
+		q := requested[requestKey(ran.Tenant, ran.Attempt)]
 		switch {
 		case q == nil:
-			list = append(list, breach(RuleRequested, "%s of tenant %q ran at %s and was never requested", one.Attempt, one.Tenant, one.Replica))
-		case q.Method != one.Method || q.Path != one.Path || services[q.Kind] != one.Service:
-			list = append(list, breach(RuleRequested, "%s ran as %s %s at %s", q.Attempt, one.Method, one.Path, one.Service))
-		case one.Got != q.Before+q.Body && one.Got != unread:
+			list = append(list, breach(RuleRequested, "%s of tenant %q ran at %s and was never requested", ran.Attempt, ran.Tenant, ran.Replica))
+		case q.Method != ran.Method || q.Path != ran.Path || services[q.Kind] != ran.Service:
+			list = append(list, breach(RuleRequested, "%s ran as %s %s at %s", q.Attempt, ran.Method, ran.Path, ran.Service))
+		case ran.Got != q.Before+q.Body && ran.Got != unread:
 			rule := RuleRequested
 			if q.Kind == kindKept {
 				rule = RuleChain
 			}
-			list = append(list, breach(rule, "%s of %s ran with %.300q, wanted %.300q", q.Attempt, q.Tenant, one.Got, q.Before+q.Body))
+			list = append(list, breach(rule, "%s of %s ran with %.300q, wanted %.300q", q.Attempt, q.Tenant, ran.Got, q.Before+q.Body))
 		}
 	}
 	return list
@@ -161,14 +161,14 @@
 // judgeHistory finds turns answered 404 although the turn that they continue was complete
 // and within its retention time.
 func (r *record) judgeHistory(map[string][]run) (list []Breach) {
-	whole := map[string]time.Duration{}
+	completed := map[string]time.Duration{}
 	for _, q := range r.Requests {
 		if q.Kind == kindKept && q.Whole && q.Status == http.StatusOK {
-			whole[requestKey(q.Tenant, q.Attempt)] = q.Ended
+			completed[requestKey(q.Tenant, q.Attempt)] = q.Ended
 		}
 	}
 	for _, q := range r.Requests {
-		ended, ok := whole[requestKey(q.Tenant, q.Previous)]
+		ended, ok := completed[requestKey(q.Tenant, q.Previous)]
 		if q.Status == http.StatusNotFound && q.Previous != "" && ok && q.Began < ended+historyRetention {
 			list = append(list, breach(RuleHistory, "%s of %s at %s got 404 at %v; %s was complete at %v", q.Attempt, q.Tenant, q.Node, q.Ended, q.Previous, ended))
 		}
@@ -180,16 +180,16 @@
 func (r *record) judgeRate(map[string][]run) []Breach {
 	most := int((limitedRate*rateWindow.Seconds()+limitedBurst)*1.1) + rateSlack
 	var window []time.Duration
-	for _, one := range r.Runs {
-		if one.Tenant != tenantLimited {
+	for _, ran := range r.Runs {
+		if ran.Tenant != tenantLimited {
 			continue
 		}
-		window = append(window, one.At)
-		for window[0] <= one.At-rateWindow {
+		window = append(window, ran.At)
+		for window[0] <= ran.At-rateWindow {
 			window = window[1:]
 		}
 		if len(window) > most {
-			return []Breach{breach(RuleRate, "%d requests of tenant %s ran in the %v up to %v; the limit is %d", len(window), tenantLimited, rateWindow, one.At, most)}
+			return []Breach{breach(RuleRate, "%d requests of tenant %s ran in the %v up to %v; the limit is %d", len(window), tenantLimited, rateWindow, ran.At, most)}
 		}
 	}
 	return nil
@@ -198,21 +198,21 @@
 // judgeTables finds acknowledged tables that are invalid, conflict on one base, or are
 // not read back.
 func (r *record) judgeTables(map[string][]run) (list []Breach) {
-	taken := map[uint64]uint64{}
-	for _, o := range r.Updates {
+	acknowledged := map[uint64]uint64{}
+	for _, o := range r.TableUpdates {
 		if o.Status != http.StatusOK {
 			continue
 		}
 		if !o.Valid {
 			list = append(list, breach(RuleRace, "the invalid table %d was acknowledged", o.Number))
 		}
-		if other, ok := taken[o.Base]; ok && other != o.Number {
+		if other, ok := acknowledged[o.Base]; ok && other != o.Number {
 			list = append(list, breach(RuleRace, "tables %d and %d were both acknowledged on %d", other, o.Number, o.Base))
 		}
-		taken[o.Base] = o.Number
+		acknowledged[o.Base] = o.Number
 	}
-	for _, read := range r.Reads {
-		for _, o := range r.Updates {
+	for _, read := range r.TableReads {
+		for _, o := range r.TableUpdates {
 			if o.Status == http.StatusOK && o.Ended+applyTimeout < read.Began && read.Number < o.Number {
 				list = append(list, breach(RuleTables, "%s returned table %d at %v; table %d was acknowledged at %v", read.Desk, read.Number, read.Ended, o.Number, o.Ended))
 			}
@@ -224,18 +224,18 @@
 // judgeLeaving finds requests that reached a replica more than drainTimeout after a desk
 // acknowledged that it leaves, while there was no fault.
 func (r *record) judgeLeaving(map[string][]run) (list []Breach) {
-	left := map[string]time.Duration{}
+	departures := map[string]time.Duration{}
 	for _, w := range r.Departures {
-		left[w.Replica] = w.At
+		departures[w.Replica] = w.At
 	}
 	nodes := map[string]string{}
 	for _, q := range r.Requests {
 		nodes[requestKey(q.Tenant, q.Attempt)] = q.Node
 	}
-	for _, one := range r.Runs {
-		at, ok := left[one.Replica]
-		if ok && one.At > at+drainTimeout && r.faultFree(at, one.At) {
-			list = append(list, breach(RuleLeaving, "%s ran at %s by %s at %v; a desk had acknowledged at %v that it leaves", one.Attempt, one.Replica, nodes[requestKey(one.Tenant, one.Attempt)], one.At, at))
+	for _, ran := range r.Runs {
+		at, ok := departures[ran.Replica]
+		if ok && ran.At > at+drainTimeout && r.faultFree(at, ran.At) {
+			list = append(list, breach(RuleLeaving, "%s ran at %s by %s at %v; a desk had acknowledged at %v that it leaves", ran.Attempt, ran.Replica, nodes[requestKey(ran.Tenant, ran.Attempt)], ran.At, at))
 		}
 	}
 	return list
@@ -265,9 +265,9 @@
 }
 
 // affected reports whether a process had a fault in a time span.
-func (r *record) affected(who string, from, to time.Duration) bool {
+func (r *record) affected(process string, from, to time.Duration) bool {
 	for _, t := range r.Faults {
-		if slices.Contains(strings.Fields(t.Target), who) && t.From < to && from < t.To+time.Second {
+		if slices.Contains(strings.Fields(t.Target), process) && t.From < to && from < t.To+time.Second {
 			return true
 		}
 	}
@@ -280,21 +280,21 @@
 
 // judgeServed checks that enough requests were served after the last fault.
 func (r *record) judgeServed(map[string][]run) (list []Breach) {
-	var over time.Duration
+	var lastFault time.Duration
 	for _, t := range r.Faults {
-		over = max(over, t.To)
+		lastFault = max(lastFault, t.To)
 	}
-	asked, served := map[string]int{}, map[string]int{}
+	requested, served := map[string]int{}, map[string]int{}
 	for _, q := range r.Requests {
-		if q.Misbehaving || q.Tenant == tenantLimited || q.Began < over+contactTimeout || q.Ended < 0 || q.Status == http.StatusPaymentRequired {
+		if q.Misbehaving || q.Tenant == tenantLimited || q.Began < lastFault+contactTimeout || q.Ended < 0 || q.Status == http.StatusPaymentRequired {
 			continue
 		}
-		asked[q.Kind]++
+		requested[q.Kind]++
 		if q.Whole && q.Status < 300 {
 			served[q.Kind]++
 		}
 	}
-	for kind, count := range asked {
+	for kind, count := range requested {
 		if count >= 20 && float64(served[kind]) < servedShare*float64(count) {
 			list = append(list, breach(RuleServed, "%d of %d requests of kind %s were served", served[kind], count, kind))
 		}
--- a/rehearsalkit/soak/misbehaving.go
+++ b/rehearsalkit/soak/misbehaving.go
@@ -22,19 +22,19 @@
 
 // runMisbehaving starts misbehaving requesters until the context ends, and waits for them.
 func (f *Fleet) runMisbehaving(ctx context.Context) {
-	endpoints, over := make(chan struct{}, misbehavingAtOnce), 0
+	slots, started := make(chan struct{}, misbehavingAtOnce), 0
 	done := make(chan struct{}, 1<<16)
 	for number := 0; ctx.Err() == nil; number++ {
-		endpoints <- struct{}{}
-		over++
+		slots <- struct{}{}
+		started++
 		go func() {
 			misbehaviors[rand.IntN(len(misbehaviors))](f, ctx, fmt.Sprint("rude", number))
-			<-endpoints
+			<-slots
 			done <- struct{}{}
 		}()
 		pause(ctx, 50*time.Millisecond)
 	}
-	for range over {
+	for range started {
 		<-done
 	}
 }
--- a/rehearsalkit/soak/operator.go
+++ b/rehearsalkit/soak/operator.go
@@ -83,7 +83,7 @@
 	o.Began = f.now()
 	o.Status, _ = t.call(ctx, method, desk, "/v1/table?base="+strconv.FormatUint(o.Base, 10), body)
 	o.Ended = f.now()
-	f.update(func(r *record) { r.Updates = append(r.Updates, o) })
+	f.update(func(r *record) { r.TableUpdates = append(r.TableUpdates, o) })
 	if o.Status == http.StatusOK {
 		t.known = max(t.known, o.Number)
 	}
@@ -120,7 +120,7 @@
 		return false
 	}
 	one := tableRead{Desk: desk.name, Began: began, Ended: f.now(), Number: read.Number}
-	f.update(func(r *record) { r.Reads = append(r.Reads, one) })
+	f.update(func(r *record) { r.TableReads = append(r.TableReads, one) })
 	t.known = max(t.known, read.Number)
 	if !bytes.Equal(compact(got), compact(tableText(read.Number))) {
 		f.recordBreach(RuleTables, "table %d, read at %s, is not what was applied", read.Number, desk.name)
--- a/rehearsalkit/soak/record.go
+++ b/rehearsalkit/soak/record.go
@@ -86,12 +86,12 @@
 
 // record is everything that requesters, replicas and operators saw.
 type record struct {
-	Requests   []*request
-	Runs       []run
-	Updates    []tableUpdate
-	Reads      []tableRead
-	Departures []departure
-	Faults     []fault
+	Requests     []*request
+	Runs         []run
+	TableUpdates []tableUpdate
+	TableReads   []tableRead
+	Departures   []departure
+	Faults       []fault
 	// Breaches are breaches that were detected during the run.
 	Breaches []Breach
 }
@@ -122,10 +122,10 @@
 func (j *recorder) now() time.Duration { return time.Since(j.start) }
 
 // update changes the record, and returns when that is done or the run has ended.
-func (j *recorder) update(what func(r *record)) {
+func (j *recorder) update(change func(r *record)) {
 	done := make(chan struct{})
 	select {
-	case j.updates <- func(r *record) { what(r); close(done) }:
+	case j.updates <- func(r *record) { change(r); close(done) }:
 	case <-j.ctx.Done():
 		return
 	}
--- a/rehearsalkit/soak/replica.go
+++ b/rehearsalkit/soak/replica.go
@@ -111,12 +111,12 @@
 	}
 	p.incarnations++
 	lifetime, cancel := context.WithCancel(ctx)
-	one := &replica{endpoint: p, id: fmt.Sprintf("%s-%s-%d", p.service, strings.ReplaceAll(p.address, ":", "."), p.incarnations), server: listener, ctx: lifetime, cancel: cancel, leaving: make(chan struct{})}
-	p.current = one
-	server := &http.Server{Handler: http.HandlerFunc(one.serve)}
+	r := &replica{endpoint: p, id: fmt.Sprintf("%s-%s-%d", p.service, strings.ReplaceAll(p.address, ":", "."), p.incarnations), server: listener, ctx: lifetime, cancel: cancel, leaving: make(chan struct{})}
+	p.current = r
+	server := &http.Server{Handler: http.HandlerFunc(r.serve)}
 	go server.Serve(listener)
 	context.AfterFunc(lifetime, func() { server.Close() })
-	go one.announce()
+	go r.announce()
 }
 
 // crash ends the replica without deregistering it.
@@ -130,18 +130,18 @@
 // leave announces that the replica leaves, lets it serve for a while and ends it. With
 // deregisterFirst it deregisters at once instead of announcing it by heartbeat first.
 func (p *endpoint) leave(ctx context.Context, deregisterFirst bool) {
-	one := p.current
-	if one == nil {
+	r := p.current
+	if r == nil {
 		return
 	}
 	if !deregisterFirst {
-		close(one.leaving)
+		close(r.leaving)
 	} else {
-		one.deregister()
+		r.deregister()
 	}
 	pause(ctx, drainTimeout+time.Duration(rand.IntN(1000))*time.Millisecond)
 	if !deregisterFirst {
-		one.deregister()
+		r.deregister()
 	}
 	p.crash()
 }
