--- a/rehearsalkit/fleet/scenarios.go
+++ b/rehearsalkit/fleet/scenarios.go
@@ -58,7 +58,7 @@
 		logf(f, "freeze %s", m.Name)
 		f.SignalHost(m, syscall.SIGSTOP)
 		pause(ctx, 4*time.Second, 4*time.Second)
-		logf(f, "wake %s", m.Name)
+		logf(f, "resume %s", m.Name)
 		f.SignalHost(m, syscall.SIGCONT)
 	}
 }
@@ -90,7 +90,7 @@
 		}
 		if cut {
 			pause(ctx, length, length)
-			logf(f, "mended: %s", what)
+			logf(f, "restored: %s", what)
 		}
 	}
 }
@@ -249,7 +249,7 @@
 	logf(f, "%s alone is frozen, as by a disk that stalls", m.Name)
 	f.Signal(m, syscall.SIGSTOP)
 	pause(ctx, length/3, length/3)
-	logf(f, "%s goes on", m.Name)
+	logf(f, "%s is resumed", m.Name)
 	f.Signal(m, syscall.SIGCONT)
 }
 
--- a/rehearsalkit/soak/operator.go
+++ b/rehearsalkit/soak/operator.go
@@ -63,8 +63,8 @@
 	return t.applyText(ctx, desk, tableUpdate{Base: base, Number: number, Valid: true}, tableText(number))
 }
 
-func (t *tableOperator) applyText(ctx context.Context, desk *process, o tableUpdate, body []byte) int {
-	return t.send(ctx, http.MethodPut, desk, o, body)
+func (t *tableOperator) applyText(ctx context.Context, desk *process, u tableUpdate, body []byte) int {
+	return t.send(ctx, http.MethodPut, desk, u, body)
 }
 
 // amend sends only the difference between the tables with the numbers base and number.
@@ -78,17 +78,17 @@
 }
 
 // send sends a table update and records its answer.
-func (t *tableOperator) send(ctx context.Context, method string, desk *process, o tableUpdate, body []byte) int {
+func (t *tableOperator) send(ctx context.Context, method string, desk *process, u tableUpdate, body []byte) int {
 	f := t.fleet
-	o.Began = f.now()
-	o.Status, _ = t.call(ctx, method, desk, "/v1/table?base="+strconv.FormatUint(o.Base, 10), body)
-	o.Ended = f.now()
-	f.update(func(r *record) { r.TableUpdates = append(r.TableUpdates, o) })
-	if o.Status == http.StatusOK {
-		t.known = max(t.known, o.Number)
+	u.Began = f.now()
+	u.Status, _ = t.call(ctx, method, desk, "/v1/table?base="+strconv.FormatUint(u.Base, 10), body)
+	u.Ended = f.now()
+	f.update(func(r *record) { r.TableUpdates = append(r.TableUpdates, u) })
+	if u.Status == http.StatusOK {
+		t.known = max(t.known, u.Number)
 	}
-	t.number = max(t.number, o.Number)
-	return o.Status
+	t.number = max(t.number, u.Number)
+	return u.Status
 }
 
 func (t *tableOperator) call(ctx context.Context, method string, desk *process, path string, body []byte) (int, []byte) {
@@ -119,8 +119,8 @@
 	if status != http.StatusOK || json.Unmarshal(got, &read) != nil {
 		return false
 	}
-	one := tableRead{Desk: desk.name, Began: began, Ended: f.now(), Number: read.Number}
-	f.update(func(r *record) { r.TableReads = append(r.TableReads, one) })
+	seen := tableRead{Desk: desk.name, Began: began, Ended: f.now(), Number: read.Number}
+	f.update(func(r *record) { r.TableReads = append(r.TableReads, seen) })
 	t.known = max(t.known, read.Number)
 	if !bytes.Equal(compact(got), compact(tableText(read.Number))) {
 		f.recordBreach(RuleTables, "table %d, read at %s, is not what was applied", read.Number, desk.name)
@@ -151,10 +151,10 @@
 		case 1:
 			t.applyText(ctx, desk, tableUpdate{Base: t.known, Number: next}, []byte(fmt.Sprintf(`{"number":%d,"routes":[{"host":"h"}]}`, next)))
 		case 2:
-			// The answer may be lost; the same update is retried at the other desk.
-			lost, cancel := context.WithTimeout(ctx, time.Duration(rand.IntN(20))*time.Millisecond)
+			// The answer may be lost; the same update is retried at a random desk.
+			short, cancel := context.WithTimeout(ctx, time.Duration(rand.IntN(20))*time.Millisecond)
 			base := t.known
-			t.apply(lost, desk, base, next)
+			t.apply(short, desk, base, next)
 			cancel()
 			t.apply(ctx, other, base, next)
 		case 3:
@@ -162,9 +162,9 @@
 		case 4:
 			t.send(ctx, http.MethodPatch, desk, tableUpdate{Base: t.known, Number: next}, fmt.Appendf(nil, `{"number":%d,"remove":{"services":[%q]}}`, next, serviceModel))
 		case 5:
-			lost, cancel := context.WithTimeout(ctx, time.Duration(rand.IntN(20))*time.Millisecond)
+			short, cancel := context.WithTimeout(ctx, time.Duration(rand.IntN(20))*time.Millisecond)
 			base := t.known
-			t.amend(lost, desk, base, next)
+			t.amend(short, desk, base, next)
 			cancel()
 			t.amend(ctx, other, base, next)
 		case 6:
--- a/rehearsalkit/soak/record.go
+++ b/rehearsalkit/soak/record.go
@@ -25,9 +25,10 @@
 	Previous string
 	Program  string
 	Budget   int64
-	// Misbehaving requesters break the protocol: only the runs of their requests are checked.
+	// Misbehaving marks requests that break the protocol: they need not be served or answered
+	// in time.
 	Misbehaving bool
-	// Repeats tells that the attempt id is used more than once.
+	// Repeats marks requests whose attempt id is used more than once.
 	Repeats bool
 
 	Began time.Duration
@@ -38,7 +39,7 @@
 type result struct {
 	// Ended is negative until the request has ended.
 	Ended time.Duration
-	// Status is the status of the answer, 0 if there was none. Whole tells that the answer
+	// Status is the status of the answer, 0 if there was none. Whole reports whether the answer
 	// is complete.
 	Status int
 	Whole  bool
@@ -104,53 +105,53 @@
 }
 
 func newRecorder(ctx context.Context) *recorder {
-	j := &recorder{updates: make(chan func(r *record), 256), ctx: ctx, start: time.Now()}
+	c := &recorder{updates: make(chan func(r *record), 256), ctx: ctx, start: time.Now()}
 	go func() {
 		var all record
 		for {
 			select {
-			case update := <-j.updates:
+			case update := <-c.updates:
 				update(&all)
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	return j
+	return c
 }
 
-func (j *recorder) now() time.Duration { return time.Since(j.start) }
+func (c *recorder) now() time.Duration { return time.Since(c.start) }
 
 // update changes the record, and returns when that is done or the run has ended.
-func (j *recorder) update(change func(r *record)) {
+func (c *recorder) update(change func(r *record)) {
 	done := make(chan struct{})
 	select {
-	case j.updates <- func(r *record) { change(r); close(done) }:
-	case <-j.ctx.Done():
+	case c.updates <- func(r *record) { change(r); close(done) }:
+	case <-c.ctx.Done():
 		return
 	}
 	select {
 	case <-done:
-	case <-j.ctx.Done():
+	case <-c.ctx.Done():
 	}
 }
 
 // recordBreach records a breach.
-func (j *recorder) recordBreach(rule, format string, args ...any) {
-	j.update(func(r *record) {
+func (c *recorder) recordBreach(rule, format string, args ...any) {
+	c.update(func(r *record) {
 		r.Breaches = append(r.Breaches, Breach{Rule: rule, Text: fmt.Sprintf(format, args...)})
 	})
 }
 
 // snapshot returns a copy of the record, with runs in order of time.
-func (j *recorder) snapshot() record {
+func (c *recorder) snapshot() record {
 	var all record
-	j.update(func(r *record) {
+	c.update(func(r *record) {
 		all = *r
 		all.Requests = nil
 		for _, q := range r.Requests {
-			one := *q
-			all.Requests = append(all.Requests, &one)
+			copied := *q
+			all.Requests = append(all.Requests, &copied)
 		}
 		all.Runs = append([]run(nil), r.Runs...)
 	})
--- a/rehearsalkit/soak/resources.go
+++ b/rehearsalkit/soak/resources.go
@@ -54,8 +54,8 @@
 	all := map[*process]resources{}
 	for _, p := range f.processes {
 		f.waitUntil(ctx, 5*time.Second, func() bool {
-			l, ok := f.resources(p)
-			all[p] = l
+			held, ok := f.resources(p)
+			all[p] = held
 			return ok
 		})
 	}
@@ -78,12 +78,12 @@
 		var last resources
 		answered := false
 		met := f.waitUntil(ctx, releaseTimeout, func() bool {
-			l, ok := f.resources(p)
+			held, ok := f.resources(p)
 			if !ok {
 				return false
 			}
-			last, answered = l, true
-			return l.live == 0 && l.goroutines <= base[p].goroutines+spareGoroutines && l.files <= base[p].files+spareFiles
+			last, answered = held, true
+			return held.live == 0 && held.goroutines <= base[p].goroutines+spareGoroutines && held.files <= base[p].files+spareFiles
 		})
 		switch {
 		case !answered:
