--- a/rehearsalkit/soak/client.go
+++ b/rehearsalkit/soak/client.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Tenants of the rehearsed table. Two of them use the same ids for their attempts.
+// Tenants of the routing table. The first two use the same attempt ids.
 const (
 	tenantFirst   = "first"
 	tenantSecond  = "second"
@@ -21,37 +21,38 @@
 	limitedBurst  = 20
 )
 
-// deadline is what requesters give a request.
+// deadline is the deadline that requesters send with each request.
 const deadline = 2500 * time.Millisecond
 
-// held is how long after its deadline a request may still be without an answer.
-const held = 1500 * time.Millisecond
+// answerGrace is how long after its deadline a request may still be unanswered.
+const answerGrace = 1500 * time.Millisecond
 
 func keyOf(tenant string) string { return "key of " + tenant }
 
-// host is what requests name.
+// host is the Host header of all requests.
 const host = "soak.example"
 
-// connection is a requester's connection to a node, which may be kept.
+// connection is a requester's connection to a node.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
 	node   *process
 }
 
+// dialNode connects to a node, directly or through its relay, each half of the time.
 func dialNode(node *process) (*connection, error) {
 	port := clientPort
 	if rand.IntN(2) == 0 {
 		port = relayedClientPort
 	}
-	c, err := net.DialTimeout("tcp", node.at(port), time.Second)
+	c, err := net.DialTimeout("tcp", node.address(port), time.Second)
 	if err != nil {
 		return nil, err
 	}
 	return &connection{Conn: c, reader: bufio.NewReader(c), node: node}, nil
 }
 
-// head is a request's head. More headers may follow it.
+// head formats the request line and headers, with more header lines at the end.
 func (q *request) head(key string, more ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nSaffronfall-Attempt: %s\r\nSaffronfall-Key: %s\r\nSaffronfall-Deadline-Ms: %d\r\n", q.Method, q.Path, host, q.Attempt, key, deadline.Milliseconds())
@@ -70,61 +71,63 @@
 	return b.String() + "\r\n"
 }
 
-// begin notes a request before anything of it is sent.
-func (f *Fleet) begin(q *request, node *process) {
+// recordStart records a request. It must be called before any byte of it is sent.
+func (f *Fleet) recordStart(q *request, node *process) {
 	q.Node, q.Began, q.Ended = node.name, f.now(), -1
-	f.note(func(r *record) { r.Requests = append(r.Requests, q) })
+	f.update(func(r *record) { r.Requests = append(r.Requests, q) })
 }
 
-// end notes what became of it.
-func (f *Fleet) end(q *request, status int, whole bool, answer string) {
+// recordEnd records the result of a request.
+func (f *Fleet) recordEnd(q *request, status int, whole bool, answer string) {
 	at := f.now()
-	f.note(func(*record) { q.Ended, q.Status, q.Whole, q.Answer = at, status, whole, answer })
+	f.update(func(*record) { q.Ended, q.Status, q.Whole, q.Answer = at, status, whole, answer })
 }
 
-// ask makes a request over a connection and waits for its answer. It reports whether
-// the connection can be used again.
+// ask sends a request over a connection and waits for its answer. It reports whether
+// the connection can be reused.
 func (f *Fleet) ask(c *connection, q *request) bool {
-	f.begin(q, c.node)
-	c.SetDeadline(time.Now().Add(deadline + held + time.Second))
+	f.recordStart(q, c.node)
+	c.SetDeadline(time.Now().Add(deadline + answerGrace + time.Second))
 	if _, err := io.WriteString(c, q.head(keyOf(q.Tenant))+q.Body); err != nil {
-		f.end(q, 0, false, "")
+		f.recordEnd(q, 0, false, "")
 		return false
 	}
 	return f.answer(c, q)
 }
 
+// answer reads the answer to a request, checks that it belongs to it, and records it.
+// It reports whether the connection can be reused.
 func (f *Fleet) answer(c *connection, q *request) bool {
 	got, err := http.ReadResponse(c.reader, &http.Request{Method: q.Method})
 	if err != nil {
-		f.end(q, 0, false, "")
+		f.recordEnd(q, 0, false, "")
 		return false
 	}
 	body, err := io.ReadAll(got.Body)
 	if seal := got.Header.Get("Saffronfall-Seal"); err == nil && got.StatusCode == http.StatusOK && seal != "seal-"+q.Attempt {
-		f.found(RuleAnswers, "attempt %s at %s got a success sealed %q", q.Attempt, q.Node, seal)
+		f.recordBreach(RuleAnswers, "attempt %s at %s got a success with seal %q", q.Attempt, q.Node, seal)
 	}
 	if id := got.Header.Get("Saffronfall-Attempt"); id != "" && id != q.Attempt {
-		f.found(RuleAnswers, "attempt %s at %s got the answer to %s", q.Attempt, q.Node, id)
+		f.recordBreach(RuleAnswers, "attempt %s at %s got the answer to %s", q.Attempt, q.Node, id)
 	}
-	f.end(q, got.StatusCode, err == nil, string(body))
+	f.recordEnd(q, got.StatusCode, err == nil, string(body))
 	return err == nil && !got.Close
 }
 
-// anyNode is a node by chance, as requesters are spread by hash.
+// anyNode returns a random node.
 func (f *Fleet) anyNode() *process {
-	nodes := f.of(roleNode)
+	nodes := f.withRole(roleNode)
 	return nodes[rand.IntN(len(nodes))]
 }
 
-// requester is one stand-in requester, which may keep its connection.
+// requester is one simulated client. With keepAlive it reuses its connection.
 type requester struct {
-	fleet  *Fleet
-	tenant string
-	name   string
-	count  int
-	keeps  bool
-	kept   *connection
+	fleet     *Fleet
+	tenant    string
+	name      string
+	count     int
+	keepAlive bool
+	idle      *connection
 }
 
 func (r *requester) attempt() string {
@@ -132,29 +135,29 @@
 	return fmt.Sprintf("%s-%d", r.name, r.count)
 }
 
-// send sends one request, over a kept connection where there is one.
+// send sends one request, over the idle connection if there is one.
 func (r *requester) send(q *request) *request {
-	c := r.kept
-	r.kept = nil
+	c := r.idle
+	r.idle = nil
 	if c == nil {
 		var err error
 		if c, err = dialNode(r.fleet.anyNode()); err != nil {
 			return q
 		}
 	}
-	if r.fleet.ask(c, q) && r.keeps {
-		r.kept = c
+	if r.fleet.ask(c, q) && r.keepAlive {
+		r.idle = c
 		return q
 	}
 	c.Close()
 	return q
 }
 
-// closes lets go of a kept connection.
-func (r *requester) closes() {
-	if r.kept != nil {
-		r.kept.Close()
-		r.kept = nil
+// close closes the idle connection.
+func (r *requester) close() {
+	if r.idle != nil {
+		r.idle.Close()
+		r.idle = nil
 	}
 }
 
@@ -162,12 +165,12 @@
 	return &request{Attempt: r.attempt(), Kind: kind, Tenant: r.tenant, Method: method, Path: "/" + kind + "/x", Body: body}
 }
 
-// live lets one requester make requests of a kind until the context ends.
-func (r *requester) live(ctx context.Context, one func(ctx context.Context), between time.Duration) {
-	defer r.closes()
+// run calls step until the context ends, with random pauses shorter than maxPause.
+func (r *requester) run(ctx context.Context, step func(ctx context.Context), maxPause time.Duration) {
+	defer r.close()
 	for ctx.Err() == nil {
-		one(ctx)
-		pause(ctx, time.Duration(rand.Int64N(int64(between))))
+		step(ctx)
+		pause(ctx, time.Duration(rand.Int64N(int64(maxPause))))
 	}
 }
 
@@ -177,7 +180,7 @@
 	r.send(r.request(kindOnce, http.MethodPost, "notice of "+r.name+strings.Repeat("-", rand.IntN(2000))))
 }
 
-// program runs turns until its budget is spent, some side by side.
+// program runs the turns of one program until its token budget is spent.
 func (r *requester) program(ctx context.Context) {
 	program := "p-" + r.attempt()
 	budget := int64(turnTokens*3 + 20)
@@ -190,21 +193,21 @@
 	}
 }
 
-// conversation runs turns that go on from one another.
+// conversation runs turns, each of which continues the last one that succeeded.
 func (r *requester) conversation(ctx context.Context) {
 	previous, before := "", ""
 	for turns := 0; turns < 6 && ctx.Err() == nil; turns++ {
 		q := r.request(kindKept, http.MethodPost, fmt.Sprintf("turn %d of %s;", turns, r.tenant))
 		q.Previous, q.Before = previous, before
 		if r.send(q); q.Whole && q.Status == http.StatusOK {
-			previous, before = q.Attempt, before+q.Body+spoken(q.Answer)
+			previous, before = q.Attempt, before+q.Body+eventText(q.Answer)
 		}
 		pause(ctx, 50*time.Millisecond)
 	}
 }
 
-// spoken is what a stream said: the data of its events, each followed by a line feed.
-func spoken(stream string) string {
+// eventText returns the data of a stream's events, each followed by a line feed.
+func eventText(stream string) string {
 	var text strings.Builder
 	for _, line := range strings.Split(stream, "\n") {
 		if data, ok := strings.CutPrefix(line, "data: "); ok {
@@ -214,43 +217,43 @@
 	return text.String()
 }
 
-// populate lets requesters, operators and rude requesters live. It returns how to end
-// them, and what tells that they have ended.
-func (f *Fleet) populate(parent context.Context) (end context.CancelFunc, ended <-chan struct{}) {
+// startClients starts requesters, misbehaving requesters and an operator. It returns a
+// function that stops them and a channel that is closed once all have returned.
+func (f *Fleet) startClients(parent context.Context) (stop context.CancelFunc, stopped <-chan struct{}) {
 	ctx, cancel := context.WithCancel(parent)
 	done, count := make(chan struct{}), 0
-	begin := func(live func()) {
+	start := func(run func()) {
 		count++
 		go func() {
-			live()
+			run()
 			done <- struct{}{}
 		}()
 	}
 	for i := range 2 {
 		for _, tenant := range []string{tenantFirst, tenantSecond} {
-			// Requesters of two tenants name their attempts alike.
+			// Both tenants use the same attempt ids.
 			named := func(kind string) *requester {
-				return &requester{fleet: f, tenant: tenant, name: fmt.Sprintf("%s%d", kind, i), keeps: i == 0}
+				return &requester{fleet: f, tenant: tenant, name: fmt.Sprintf("%s%d", kind, i), keepAlive: i == 0}
 			}
 			alerts, notices, programs, conversations := named("a"), named("o"), named("c"), named("k")
-			begin(func() { alerts.live(ctx, alerts.alert, 60*time.Millisecond) })
-			begin(func() { notices.live(ctx, notices.once, 60*time.Millisecond) })
-			begin(func() { programs.live(ctx, programs.program, 100*time.Millisecond) })
-			begin(func() { conversations.live(ctx, conversations.conversation, 100*time.Millisecond) })
+			start(func() { alerts.run(ctx, alerts.alert, 60*time.Millisecond) })
+			start(func() { notices.run(ctx, notices.once, 60*time.Millisecond) })
+			start(func() { programs.run(ctx, programs.program, 100*time.Millisecond) })
+			start(func() { conversations.run(ctx, conversations.conversation, 100*time.Millisecond) })
 		}
 	}
 	for i := range 3 {
-		flood := &requester{fleet: f, tenant: tenantLimited, name: fmt.Sprint("l", i), keeps: true}
-		begin(func() { flood.live(ctx, flood.alert, 20*time.Millisecond) })
+		flood := &requester{fleet: f, tenant: tenantLimited, name: fmt.Sprint("l", i), keepAlive: true}
+		start(func() { flood.run(ctx, flood.alert, 20*time.Millisecond) })
 	}
-	begin(func() { f.beRude(ctx) })
-	begin(func() { f.table.operate(ctx) })
-	over := make(chan struct{})
+	start(func() { f.runMisbehaving(ctx) })
+	start(func() { f.operator.operate(ctx) })
+	allStopped := make(chan struct{})
 	go func() {
 		for range count {
 			<-done
 		}
-		close(over)
+		close(allStopped)
 	}()
-	return cancel, over
+	return cancel, allStopped
 }
--- a/rehearsalkit/soak/fleet.go
+++ b/rehearsalkit/soak/fleet.go
@@ -1,9 +1,11 @@
-// Package soak runs the roles that serve on the platform (cores, desks and relaying
-// nodes) as real processes over real sockets, under seeded random troubles that
-// overlap: kills, freezes, ends, reloads, cuts, delays, resets, lost disks, racing
-// tables, and replicas and requesters that misbehave. Invariants are strict in the
-// processes. What requesters, replicas and operators saw is held against the rules
-// when the run has ended. Start reading at Run.
+// Package soak runs cores, desks (the control front) and relaying nodes as real processes
+// over real sockets, and injects seeded random faults that overlap: kills, freezes,
+// shutdowns, reloads, network cuts, delays, connection resets, disk faults and losses,
+// concurrent table updates, and misbehaving replicas and requesters. The processes run
+// with strict invariants. After the run, the record of what requesters, replicas and
+// operators saw is checked against the rules in judge.go. The seed determines
+// the faults and the pauses between them; requesters and replicas draw from the global
+// random source. Start reading at Run.
 package soak
 
 import (
@@ -20,57 +22,57 @@
 	"saffronfall/rehearsalkit/links"
 )
 
-// Bounds of the rehearsed fleet, by which its settings are made and it is judged.
+// Time bounds and limits, used for the fleet's settings and for the checks.
 const (
-	beat        = 300 * time.Millisecond
-	graceTime   = 1800 * time.Millisecond
-	applyTime   = 2 * time.Second
-	drainBound  = 2 * time.Second
-	contactTime = 3 * time.Second
-	rateWindow  = 5 * time.Second
-	rateSlack   = 2
-	keepTime    = time.Minute
-	// routeTimeout is the longest that a request is held.
+	heartbeatInterval = 300 * time.Millisecond
+	gracePeriod       = 1800 * time.Millisecond
+	applyTimeout      = 2 * time.Second
+	drainTimeout      = 2 * time.Second
+	contactTimeout    = 3 * time.Second
+	rateWindow        = 5 * time.Second
+	rateSlack         = 2
+	historyRetention  = time.Minute
+	// routeTimeout is the timeout of every route.
 	routeTimeout = 3 * time.Second
 )
 
-// Options are what a run is made of.
+// Options configures a run.
 type Options struct {
 	Binary, Folder string
-	// DiskBinary runs cores on disks that can fail; without it no disk fails.
+	// DiskBinary runs cores on fault-injecting disks. If empty, there are no disk faults.
 	DiskBinary string
 	Seed       uint64
-	// Calm is how long requesters live before troubles begin, Length how long
-	// troubles come, Settle how long they live after the last one is over.
+	// Calm is how long requesters run before the first fault, Length how long faults
+	// are injected, Settle how long requesters run after the last fault.
 	Calm, Length, Settle time.Duration
-	// Troubles is how many come in a second, at the mean.
-	Troubles float64
-	Logf     func(format string, args ...any)
+	// FaultRate is the mean number of faults a second.
+	FaultRate float64
+	Logf      func(format string, args ...any)
 }
 
 // Fleet is a running fleet with its requesters, replicas and operators.
 type Fleet struct {
 	Options
-	*journal
+	*recorder
 	random    *rand.Rand
 	links     *links.Links
 	processes []*process
 	replicas  *replicas
-	table     *tables
+	operator  *tableOperator
 	client    *http.Client
-	// busy lets one trouble at a time have a process.
+	// busy holds a lock for each process, so that it has one fault of its own at a time.
 	busy map[*process]chan struct{}
-	// diskLost lets one disk be lost at a time.
+	// diskLost is the lock that allows one lost disk at a time.
 	diskLost chan struct{}
 }
 
-// Breach is one rule that was seen broken.
+// Breach is one observed violation of a rule.
 type Breach struct{ Rule, Text string }
 
 func (b Breach) String() string { return b.Rule + ": " + b.Text }
 
-// host is the IP number of one machine of a run. Runs side by side have networks of
-// their own.
+// host returns the loopback address of a machine. Seeds that run in parallel use
+// different networks.
 func (o Options) host(kind, number int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 64+o.Seed%128, kind, number)
 }
@@ -82,9 +84,9 @@
 )
 
 func newFleet(ctx context.Context, o Options) (*Fleet, error) {
-	f := &Fleet{Options: o, journal: newJournal(ctx), random: rand.New(rand.NewPCG(o.Seed, 21)), links: links.New(ctx), busy: map[*process]chan struct{}{},
+	f := &Fleet{Options: o, recorder: newRecorder(ctx), random: rand.New(rand.NewPCG(o.Seed, 21)), links: links.New(ctx), busy: map[*process]chan struct{}{},
 		diskLost: make(chan struct{}, 1), client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
-	f.replicas, f.table = newReplicas(f), &tables{fleet: f}
+	f.replicas, f.operator = newReplicas(f), &tableOperator{fleet: f}
 	for i, name := range []string{"core1", "core2", "core3", "desk1", "desk2", "node1", "node2", "node3"} {
 		p := &process{fleet: f, name: name, role: map[string]string{"core": roleCore, "desk": roleDesk, "node": roleNode}[name[:4]], ip: o.host(hostFleet, i+1), folder: filepath.Join(o.Folder, name)}
 		f.processes = append(f.processes, p)
@@ -92,12 +94,12 @@
 	}
 	for i, p := range f.processes {
 		p.settings = f.settingsOf(p, fmt.Sprintf("zone%d", i%3+1))
-		if err := f.links.Relay(ctx, p.at(relayedPort), p.at(peerPort)); err != nil {
+		if err := f.links.Relay(ctx, p.address(relayedPort), p.address(peerPort)); err != nil {
 			return nil, err
 		}
 	}
-	for _, p := range f.of(roleNode) {
-		if err := f.links.Relay(ctx, p.at(relayedClientPort), p.at(clientPort)); err != nil {
+	for _, p := range f.withRole(roleNode) {
+		if err := f.links.Relay(ctx, p.address(relayedClientPort), p.address(clientPort)); err != nil {
 			return nil, err
 		}
 	}
@@ -106,13 +108,13 @@
 
 func (f *Fleet) settingsOf(p *process, zone string) map[string]any {
 	var seeds []string
-	for _, desk := range f.of(roleDesk) {
-		seeds = append(seeds, desk.at(relayedPort))
+	for _, desk := range f.withRole(roleDesk) {
+		seeds = append(seeds, desk.address(relayedPort))
 	}
 	s := map[string]any{"id": p.name, "zone": zone, "seeds": seeds, "fleet_secret": fleetSecret, "operator_key": operatorKey, "replica_key": replicaKey,
-		"peer_listen": p.at(peerPort), "peer_advertise": p.at(relayedPort), "operator_listen": p.at(operatorPort), "metrics_listen": p.at(metricsPort),
-		"owner_term_ms": contactTime.Milliseconds() / 6, "member_term_ms": contactTime.Milliseconds() / 2, "pull_ms": 150, "retry_ms": 125, "core_gone_ms": 2200,
-		"grace_ms": graceTime.Milliseconds(), "beat_ms": beat.Milliseconds(), "follow_ms": beat.Milliseconds() / 2, "order_ms": 3000, "rate_window_ms": rateWindow.Milliseconds(),
+		"peer_listen": p.address(peerPort), "peer_advertise": p.address(relayedPort), "operator_listen": p.address(operatorPort), "metrics_listen": p.address(metricsPort),
+		"owner_term_ms": contactTimeout.Milliseconds() / 6, "member_term_ms": contactTimeout.Milliseconds() / 2, "pull_ms": 150, "retry_ms": 125, "core_gone_ms": 2200,
+		"grace_ms": gracePeriod.Milliseconds(), "beat_ms": heartbeatInterval.Milliseconds(), "follow_ms": heartbeatInterval.Milliseconds() / 2, "order_ms": 3000, "rate_window_ms": rateWindow.Milliseconds(),
 		"rate_overshoot": 0.1, "rate_slack": rateSlack, "dial_ms": 300, "not_ready_ms": 700, "cold_start": true, "strict_invariants": true}
 	switch p.role {
 	case roleCore:
@@ -120,13 +122,13 @@
 	case roleDesk:
 		s["folder"], s["founds"] = p.dataFolder(), p.name == "desk1"
 	default:
-		s["requester_listen"], s["ready_listen"] = p.at(clientPort), p.at(readyPort)
+		s["requester_listen"], s["ready_listen"] = p.address(clientPort), p.address(readyPort)
 	}
 	return s
 }
 
-// of lists the processes of a role.
-func (f *Fleet) of(role string) (list []*process) {
+// withRole returns the processes of a role.
+func (f *Fleet) withRole(role string) (list []*process) {
 	for _, p := range f.processes {
 		if p.role == role {
 			list = append(list, p)
@@ -135,8 +137,9 @@
 	return list
 }
 
-// up starts everything and puts a first table in force.
-func (f *Fleet) up(ctx context.Context) error {
+// start starts all processes and replicas, applies the first table, and waits until all
+// nodes are ready.
+func (f *Fleet) start(ctx context.Context) error {
 	for _, p := range f.processes {
 		if err := p.writeSettings(nil); err != nil {
 			return err
@@ -147,16 +150,16 @@
 	}
 	f.replicas.fill(ctx)
 	const within = 20 * time.Second
-	if !f.until(ctx, within, func() bool { return f.table.hand(ctx, f.of(roleDesk)[0], 0, 1) == http.StatusOK }) {
+	if !f.waitUntil(ctx, within, func() bool { return f.operator.apply(ctx, f.withRole(roleDesk)[0], 0, 1) == http.StatusOK }) {
 		return errors.Newf("no first table within %v", within)
 	}
-	for _, p := range f.of(roleNode) {
-		if !f.until(ctx, within, func() bool { return f.ready(p) }) {
+	for _, p := range f.withRole(roleNode) {
+		if !f.waitUntil(ctx, within, func() bool { return f.ready(p) }) {
 			return errors.Newf("%s is not ready within %v", p.name, within)
 		}
 	}
 	for _, p := range f.processes {
-		// Only the very first start founds.
+		// Only the first start of the fleet may found it.
 		p.settings["cold_start"], p.settings["founds"] = false, false
 		if p.role != roleDesk {
 			delete(p.settings, "founds")
@@ -168,7 +171,9 @@
 	return nil
 }
 
-func (f *Fleet) until(ctx context.Context, within time.Duration, met func() bool) bool {
+// waitUntil polls until met returns true. It returns false after within, or when the
+// context ends.
+func (f *Fleet) waitUntil(ctx context.Context, within time.Duration, met func() bool) bool {
 	for end := f.now() + within; f.now() < end && ctx.Err() == nil; pause(ctx, 50*time.Millisecond) {
 		if met() {
 			return true
@@ -178,7 +183,7 @@
 }
 
 func (f *Fleet) ready(p *process) bool {
-	answer, err := f.client.Get("http://" + p.at(readyPort) + "/")
+	answer, err := f.client.Get("http://" + p.address(readyPort) + "/")
 	if err != nil {
 		return false
 	}
@@ -186,7 +191,7 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// stop ends all processes, in good order where they still listen.
+// stop kills all processes.
 func (f *Fleet) stop() {
 	for _, p := range f.processes {
 		p.signal(syscall.SIGCONT)
@@ -194,28 +199,28 @@
 	}
 }
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
 	Seed     uint64
 	Breaches []Breach
-	Troubles []trouble
-	// Served and Asked count requests by kind.
+	Faults   []fault
+	// Served and Asked count the requests of well-behaved requesters by kind.
 	Served, Asked map[string]int
-	// Runs counts what replicas ran.
+	// Runs counts the requests that replicas ran.
 	Runs int
 }
 
-// neverUp reports a fleet that did not come up, with what its processes logged.
-func (f *Fleet) neverUp(cause error) Report {
+// startFailure reports a fleet that did not start, with the faults found in its logs.
+func (f *Fleet) startFailure(cause error) Report {
 	for _, p := range f.processes {
-		p.check()
+		p.checkExit()
 		p.readLog()
 	}
-	all := f.copied()
-	return Report{Seed: f.Seed, Breaches: append(all.Found, breach(RuleServed, "the fleet did not come up: %v", cause))}
+	all := f.snapshot()
+	return Report{Seed: f.Seed, Breaches: append(all.Breaches, breach(RuleServed, "the fleet did not come up: %v", cause))}
 }
 
-// Run runs one seed.
+// Run runs one seed. A fleet that does not start is reported as a breach, not as an error.
 func Run(parent context.Context, o Options) (Report, error) {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
@@ -224,22 +229,22 @@
 		return Report{}, err
 	}
 	defer f.stop()
-	if err := f.up(ctx); err != nil {
-		return f.neverUp(err), nil
+	if err := f.start(ctx); err != nil {
+		return f.startFailure(err), nil
 	}
-	base := f.levels(ctx)
-	living, ended := f.populate(ctx)
+	base := f.allResources(ctx)
+	stopClients, ended := f.startClients(ctx)
 	pause(ctx, o.Calm)
-	f.upheave(ctx)
+	f.injectFaults(ctx)
 	f.settle(ctx)
-	f.lastLook(ctx)
-	living()
+	f.readFinalTables(ctx)
+	stopClients()
 	<-ended
-	f.back(ctx, base)
-	all := f.copied()
-	report := Report{Seed: o.Seed, Breaches: all.judge(), Troubles: all.Troubles, Served: map[string]int{}, Asked: map[string]int{}, Runs: len(all.Runs)}
+	f.checkReleased(ctx, base)
+	all := f.snapshot()
+	report := Report{Seed: o.Seed, Breaches: all.judge(), Faults: all.Faults, Served: map[string]int{}, Asked: map[string]int{}, Runs: len(all.Runs)}
 	for _, q := range all.Requests {
-		if !q.Rude {
+		if !q.Misbehaving {
 			report.Asked[q.Kind]++
 			if q.Whole && q.Status < 300 {
 				report.Served[q.Kind]++
--- a/rehearsalkit/soak/judge.go
+++ b/rehearsalkit/soak/judge.go
@@ -9,38 +9,38 @@
 	"time"
 )
 
-// Names of the rules that a run is judged by.
+// Rules that a run is checked against, by the names that reports print.
 const (
-	RuleOnce     = "runs at most once"
-	RulePromised = "refused is never run"
-	RuleAnswers  = "answers are the replica's whole"
-	RuleUnasked  = "only what was asked runs, unchanged"
-	RuleBudget   = "budget"
-	RuleSpent    = "refused for its budget only when it cannot fit"
-	RuleKept     = "kept turns are found"
-	RuleChain    = "replicas get the chain of former turns"
-	RuleRate     = "rate"
-	RuleTables   = "acknowledged tables stay"
-	RuleRace     = "one table on one base"
-	RuleLeaving  = "leaving replicas are left alone"
-	RuleHeld     = "no request is held beyond its time"
-	RuleServed   = "served once the troubles are over"
-	RuleBack     = "nothing is held when requesters are gone"
-	RuleEnds     = "no process ends by itself, and all end when told"
-	RuleChecked  = "invariants hold in the code"
+	RuleOnce          = "runs at most once"
+	RuleNotRun        = "refused is never run"
+	RuleAnswers       = "answers are the replica's whole"
+	RuleRequested     = "only what was asked runs, unchanged"
+	RuleBudget        = "budget"
+	RuleBudgetRefusal = "refused for its budget only when it cannot fit"
+	RuleHistory       = "kept turns are found"
+	RuleChain         = "replicas get the chain of former turns"
+	RuleRate          = "rate"
+	RuleTables        = "acknowledged tables stay"
+	RuleRace          = "one table on one base"
+	RuleLeaving       = "leaving replicas are left alone"
+	RuleDeadline      = "no request is held beyond its time"
+	RuleServed        = "served once the troubles are over"
+	RuleReleased      = "nothing is held when requesters are gone"
+	RuleExit          = "no process ends by itself, and all end when told"
+	RuleInvariants    = "invariants hold in the code"
 )
 
-// name names a request: two tenants may use the same id.
-func name(tenant, attempt string) string { return tenant + "/" + attempt }
+// requestKey identifies a request: attempt ids are unique within a tenant only.
+func requestKey(tenant, attempt string) string { return tenant + "/" + attempt }
 
-// judge holds the record against the rules.
+// judge checks the record against all rules and returns the breaches.
 func (r *record) judge() []Breach {
 	runs := map[string][]run{}
-	for _, one := range r.Runs {
-		runs[name(one.Tenant, one.Attempt)] = append(runs[name(one.Tenant, one.Attempt)], one)
+	for _, ran := range r.Runs {
+		runs[requestKey(ran.Tenant, ran.Attempt)] = append(runs[requestKey(ran.Tenant, ran.Attempt)], ran)
 	}
-	list := r.Found
-	for _, rule := range []func(runs map[string][]run) []Breach{r.judgeRuns, r.judgeAnswers, r.judgeUnasked, r.judgeBudgets, r.judgeKept, r.judgeRate, r.judgeTables, r.judgeLeaving, r.judgeHeld, r.judgeServed} {
+	list := r.Breaches
+	for _, rule := range []func(runs map[string][]run) []Breach{r.judgeRuns, r.judgeAnswers, r.judgeRequested, r.judgeBudgets, r.judgeHistory, r.judgeRate, r.judgeTables, r.judgeLeaving, r.judgeDeadlines, r.judgeServed} {
 		list = append(list, rule(runs)...)
 	}
 	return list
@@ -50,44 +50,46 @@
 	return Breach{Rule: rule, Text: fmt.Sprintf(format, args...)}
 }
 
-// promises are the statuses that promise that a request has not run and never will.
-var promises = map[int]bool{http.StatusPaymentRequired: true, http.StatusUnauthorized: true, http.StatusNotFound: true, http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true, http.StatusRequestTimeout: true}
+// notRunStatuses are the statuses that guarantee that a request has not run and never
+// will.
+var notRunStatuses = map[int]bool{http.StatusPaymentRequired: true, http.StatusUnauthorized: true, http.StatusNotFound: true, http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true, http.StatusRequestTimeout: true}
 
-// judgeRuns looks for requests that ran too often, or after they were refused.
+// judgeRuns finds once-only requests that ran twice, and requests that ran although they
+// were refused.
 func (r *record) judgeRuns(runs map[string][]run) (list []Breach) {
 	for _, q := range r.Requests {
-		ran := runs[name(q.Tenant, q.Attempt)]
+		ran := runs[requestKey(q.Tenant, q.Attempt)]
 		if q.Repeats {
 			continue
 		}
 		if (q.Kind == kindOnce || q.Kind == kindKept) && len(ran) > 1 {
 			list = append(list, breach(RuleOnce, "%s at %s ran %d times: %+v", q.Attempt, q.Node, len(ran), ran))
 		}
-		if promises[q.Status] && len(ran) > 0 {
-			list = append(list, breach(RulePromised, "%s of %s at %s was answered %d at %v and ran at %v", q.Attempt, q.Tenant, q.Node, q.Status, q.Ended, ran[0].At))
+		if notRunStatuses[q.Status] && len(ran) > 0 {
+			list = append(list, breach(RuleNotRun, "%s of %s at %s was answered %d at %v and ran at %v", q.Attempt, q.Tenant, q.Node, q.Status, q.Ended, ran[0].At))
 		}
 	}
 	return list
 }
 
-// judgeAnswers looks for successes that no replica gave so.
+// judgeAnswers finds successful answers that differ from what a replica sent.
 func (r *record) judgeAnswers(runs map[string][]run) (list []Breach) {
 	for _, q := range r.Requests {
 		if !q.Whole || q.Status != http.StatusOK {
 			continue
 		}
 		given := false
-		for _, one := range runs[name(q.Tenant, q.Attempt)] {
-			given = given || one.Gave == q.Answer
+		for _, ran := range runs[requestKey(q.Tenant, q.Attempt)] {
+			given = given || ran.Gave == q.Answer
 		}
-		// A stream that was taken up elsewhere is joined of two runs of the same text.
+		// A stream that was resumed at another replica joins the output of two runs.
 		if q.Kind == kindChat && !given {
-			for _, one := range runs[name(q.Tenant, q.Attempt)] {
-				given = given || strings.HasSuffix(q.Answer, one.Gave) && q.Answer == wholeStream(q.Attempt)
+			for _, ran := range runs[requestKey(q.Tenant, q.Attempt)] {
+				given = given || strings.HasSuffix(q.Answer, ran.Gave) && q.Answer == wholeStream(q.Attempt)
 			}
 		}
 		if !given {
-			list = append(list, breach(RuleAnswers, "%s of %s at %s got an answer that no replica gave: %.200q", q.Attempt, q.Tenant, q.Node, q.Answer))
+			list = append(list, breach(RuleAnswers, "%s of %s at %s got an answer that no replica sent: %.200q", q.Attempt, q.Tenant, q.Node, q.Answer))
 		}
 	}
 	return list
@@ -101,194 +103,198 @@
 	return text.String()
 }
 
-// judgeUnasked looks for runs that nobody asked for, or not so.
-func (r *record) judgeUnasked(map[string][]run) (list []Breach) {
-	asked := map[string]*request{}
+// judgeRequested finds runs without a request, or with another method, path, service or
+// body.
+func (r *record) judgeRequested(map[string][]run) (list []Breach) {
+	requested := map[string]*request{}
 	for _, q := range r.Requests {
-		asked[name(q.Tenant, q.Attempt)] = q
+		requested[requestKey(q.Tenant, q.Attempt)] = q
 	}
 	services := map[string]string{kindAlert: serviceApp, kindOnce: serviceApp, kindChat: serviceModel, kindKept: serviceModel}
-	for _, one := range r.Runs {
-		q := asked[name(one.Tenant, one.Attempt)]
+	for _, ran := range r.Runs {
+		q := requested[requestKey(ran.Tenant, ran.Attempt)]
 		switch {
 		case q == nil:
-			list = append(list, breach(RuleUnasked, "%s of tenant %q ran at %s and was never asked for", one.Attempt, one.Tenant, one.Replica))
-		case q.Method != one.Method || q.Path != one.Path || services[q.Kind] != one.Service:
-			list = append(list, breach(RuleUnasked, "%s ran as %s %s at %s", q.Attempt, one.Method, one.Path, one.Service))
-		case one.Got != q.Before+q.Body && one.Got != unread:
-			rule := RuleUnasked
+			list = append(list, breach(RuleRequested, "%s of tenant %q ran at %s and was never requested", ran.Attempt, ran.Tenant, ran.Replica))
+		case q.Method != ran.Method || q.Path != ran.Path || services[q.Kind] != ran.Service:
+			list = append(list, breach(RuleRequested, "%s ran as %s %s at %s", q.Attempt, ran.Method, ran.Path, ran.Service))
+		case ran.Got != q.Before+q.Body && ran.Got != unread:
+			rule := RuleRequested
 			if q.Kind == kindKept {
 				rule = RuleChain
 			}
-			list = append(list, breach(rule, "%s of %s ran with %.300q, wanted %.300q", q.Attempt, q.Tenant, one.Got, q.Before+q.Body))
+			list = append(list, breach(rule, "%s of %s ran with %.300q, wanted %.300q", q.Attempt, q.Tenant, ran.Got, q.Before+q.Body))
 		}
 	}
 	return list
 }
 
-// judgeBudgets sums up what programs got, and looks for turns refused without need.
+// judgeBudgets finds programs that got more tokens than their budgets allow, and turns
+// that were refused although the budget sufficed.
 func (r *record) judgeBudgets(map[string][]run) (list []Breach) {
-	type books struct{ got, budget, most int64 }
-	programs := map[string]*books{}
+	type spending struct{ got, budget, most int64 }
+	programs := map[string]*spending{}
 	sort.SliceStable(r.Requests, func(i, k int) bool { return r.Requests[i].Began < r.Requests[k].Began })
 	for _, q := range r.Requests {
 		if q.Program == "" {
 			continue
 		}
-		b := programs[name(q.Tenant, q.Program)]
+		b := programs[requestKey(q.Tenant, q.Program)]
 		if b == nil {
-			b = &books{budget: q.Budget}
-			programs[name(q.Tenant, q.Program)] = b
+			b = &spending{budget: q.Budget}
+			programs[requestKey(q.Tenant, q.Program)] = b
 		}
 		if q.Status == http.StatusPaymentRequired && b.most+turnTokens <= b.budget {
-			list = append(list, breach(RuleSpent, "%s was refused though program %s had been asked for %d of its %d at the most", q.Attempt, q.Program, b.most, b.budget))
+			list = append(list, breach(RuleBudgetRefusal, "%s was refused although program %s had requested at most %d of its %d tokens", q.Attempt, q.Program, b.most, b.budget))
 		}
 		b.most += turnTokens
 		b.got += tokensPerEvent * int64(strings.Count(q.Answer, "data: "))
 	}
 	for program, b := range programs {
 		if b.got > b.budget+turnTokens {
-			list = append(list, breach(RuleBudget, "program %s got %d tokens; its budget is %d and a turn's most %d", program, b.got, b.budget, turnTokens))
+			list = append(list, breach(RuleBudget, "program %s got %d tokens; its budget is %d and the limit of a turn %d", program, b.got, b.budget, turnTokens))
 		}
 	}
 	return list
 }
 
-// judgeKept looks for kept turns that were said not to be there.
-func (r *record) judgeKept(map[string][]run) (list []Breach) {
-	whole := map[string]time.Duration{}
+// judgeHistory finds turns answered 404 although the turn that they continue was complete
+// and within its retention time.
+func (r *record) judgeHistory(map[string][]run) (list []Breach) {
+	completed := map[string]time.Duration{}
 	for _, q := range r.Requests {
 		if q.Kind == kindKept && q.Whole && q.Status == http.StatusOK {
-			whole[name(q.Tenant, q.Attempt)] = q.Ended
+			completed[requestKey(q.Tenant, q.Attempt)] = q.Ended
 		}
 	}
 	for _, q := range r.Requests {
-		ended, ok := whole[name(q.Tenant, q.Previous)]
-		if q.Status == http.StatusNotFound && q.Previous != "" && ok && q.Began < ended+keepTime {
-			list = append(list, breach(RuleKept, "%s of %s at %s got 404 at %v; %s had come whole at %v", q.Attempt, q.Tenant, q.Node, q.Ended, q.Previous, ended))
+		ended, ok := completed[requestKey(q.Tenant, q.Previous)]
+		if q.Status == http.StatusNotFound && q.Previous != "" && ok && q.Began < ended+historyRetention {
+			list = append(list, breach(RuleHistory, "%s of %s at %s got 404 at %v; %s was complete at %v", q.Attempt, q.Tenant, q.Node, q.Ended, q.Previous, ended))
 		}
 	}
 	return list
 }
 
-// judgeRate slides a window over what ran of the tenant with a limit.
+// judgeRate checks the runs of the rate-limited tenant in a sliding window.
 func (r *record) judgeRate(map[string][]run) []Breach {
 	most := int((limitedRate*rateWindow.Seconds()+limitedBurst)*1.1) + rateSlack
 	var window []time.Duration
-	for _, one := range r.Runs {
-		if one.Tenant != tenantLimited {
+	for _, ran := range r.Runs {
+		if ran.Tenant != tenantLimited {
 			continue
 		}
-		window = append(window, one.At)
-		for window[0] <= one.At-rateWindow {
+		window = append(window, ran.At)
+		for window[0] <= ran.At-rateWindow {
 			window = window[1:]
 		}
 		if len(window) > most {
-			return []Breach{breach(RuleRate, "%d requests of tenant %s ran in the %v up to %v; the limit is %d", len(window), tenantLimited, rateWindow, one.At, most)}
+			return []Breach{breach(RuleRate, "%d requests of tenant %s ran in the %v up to %v; the limit is %d", len(window), tenantLimited, rateWindow, ran.At, most)}
 		}
 	}
 	return nil
 }
 
-// judgeTables looks for acknowledged tables that are gone, hidden, or contradict one
-// another.
+// judgeTables finds acknowledged tables that are invalid, conflict on one base, or are
+// not read back.
 func (r *record) judgeTables(map[string][]run) (list []Breach) {
-	taken := map[uint64]uint64{}
-	for _, o := range r.Orders {
+	acknowledged := map[uint64]uint64{}
+	for _, o := range r.TableUpdates {
 		if o.Status != http.StatusOK {
 			continue
 		}
 		if !o.Valid {
 			list = append(list, breach(RuleRace, "the invalid table %d was acknowledged", o.Number))
 		}
-		if other, ok := taken[o.Base]; ok && other != o.Number {
+		if other, ok := acknowledged[o.Base]; ok && other != o.Number {
 			list = append(list, breach(RuleRace, "tables %d and %d were both acknowledged on %d", other, o.Number, o.Base))
 		}
-		taken[o.Base] = o.Number
+		acknowledged[o.Base] = o.Number
 	}
-	for _, read := range r.Readings {
-		for _, o := range r.Orders {
-			if o.Status == http.StatusOK && o.Ended+applyTime < read.Began && read.Number < o.Number {
-				list = append(list, breach(RuleTables, "%s told table %d at %v; %d was acknowledged at %v", read.Desk, read.Number, read.Ended, o.Number, o.Ended))
+	for _, read := range r.TableReads {
+		for _, o := range r.TableUpdates {
+			if o.Status == http.StatusOK && o.Ended+applyTimeout < read.Began && read.Number < o.Number {
+				list = append(list, breach(RuleTables, "%s returned table %d at %v; table %d was acknowledged at %v", read.Desk, read.Number, read.Ended, o.Number, o.Ended))
 			}
 		}
 	}
 	return list
 }
 
-// judgeLeaving looks for requests that reach a replica long after it was acknowledged
-// that it leaves, at times when nothing was in trouble.
+// judgeLeaving finds requests that reached a replica more than drainTimeout after a desk
+// acknowledged that it leaves, while there was no fault.
 func (r *record) judgeLeaving(map[string][]run) (list []Breach) {
-	left := map[string]time.Duration{}
-	for _, w := range r.Words {
-		left[w.Replica] = w.At
+	departures := map[string]time.Duration{}
+	for _, w := range r.Departures {
+		departures[w.Replica] = w.At
 	}
 	nodes := map[string]string{}
 	for _, q := range r.Requests {
-		nodes[name(q.Tenant, q.Attempt)] = q.Node
+		nodes[requestKey(q.Tenant, q.Attempt)] = q.Node
 	}
-	for _, one := range r.Runs {
-		at, ok := left[one.Replica]
-		if ok && one.At > at+drainBound && r.calm(at, one.At) {
-			list = append(list, breach(RuleLeaving, "%s ran at %s by %s at %v; a desk had acknowledged at %v that it leaves", one.Attempt, one.Replica, nodes[name(one.Tenant, one.Attempt)], one.At, at))
+	for _, ran := range r.Runs {
+		at, ok := departures[ran.Replica]
+		if ok && ran.At > at+drainTimeout && r.faultFree(at, ran.At) {
+			list = append(list, breach(RuleLeaving, "%s ran at %s by %s at %v; a desk had acknowledged at %v that it leaves", ran.Attempt, ran.Replica, nodes[requestKey(ran.Tenant, ran.Attempt)], ran.At, at))
 		}
 	}
 	return list
 }
 
-// calm reports whether no process and no link was in trouble in a time, nor for
-// contactTime before it.
-func (r *record) calm(from, to time.Duration) bool {
-	for _, t := range r.Troubles {
-		if !strings.HasPrefix(t.Kind, "replica") && t.From < to && from < t.To+contactTime {
+// faultFree reports whether no process or link had a fault in a time span or within
+// contactTimeout before it.
+func (r *record) faultFree(from, to time.Duration) bool {
+	for _, t := range r.Faults {
+		if !strings.HasPrefix(t.Kind, "replica") && t.From < to && from < t.To+contactTimeout {
 			return false
 		}
 	}
 	return true
 }
 
-// judgeHeld looks for requests that got no end though nothing befell their node.
-func (r *record) judgeHeld(map[string][]run) (list []Breach) {
+// judgeDeadlines finds requests that were not ended in time although their node had no
+// fault.
+func (r *record) judgeDeadlines(map[string][]run) (list []Breach) {
 	for _, q := range r.Requests {
-		if q.Rude || q.Ended < 0 || q.Ended-q.Began < deadline+held || r.befell(q.Node, q.Began-time.Second, q.Ended) {
+		if q.Misbehaving || q.Ended < 0 || q.Ended-q.Began < deadline+answerGrace || r.affected(q.Node, q.Began-time.Second, q.Ended) {
 			continue
 		}
-		list = append(list, breach(RuleHeld, "%s of kind %s at %s was asked for at %v and ended at %v with %d", q.Attempt, q.Kind, q.Node, q.Began, q.Ended, q.Status))
+		list = append(list, breach(RuleDeadline, "%s of kind %s at %s was sent at %v and ended at %v with %d", q.Attempt, q.Kind, q.Node, q.Began, q.Ended, q.Status))
 	}
 	return list
 }
 
-// befell reports whether a process was in trouble in a time.
-func (r *record) befell(who string, from, to time.Duration) bool {
-	for _, t := range r.Troubles {
-		if slices.Contains(strings.Fields(t.Whom), who) && t.From < to && from < t.To+time.Second {
+// affected reports whether a process had a fault in a time span.
+func (r *record) affected(process string, from, to time.Duration) bool {
+	for _, t := range r.Faults {
+		if slices.Contains(strings.Fields(t.Target), process) && t.From < to && from < t.To+time.Second {
 			return true
 		}
 	}
 	return false
 }
 
-// servedShare is the least share of requests that is to be served once all is well,
-// as replicas go on misbehaving.
+// servedShare is the least share of requests that must be served after the faults.
+// Replicas go on misbehaving, so it is below 1.
 const servedShare = 0.5
 
-// judgeServed looks at what was asked for once the troubles were over.
+// judgeServed checks that enough requests were served after the last fault.
 func (r *record) judgeServed(map[string][]run) (list []Breach) {
-	var over time.Duration
-	for _, t := range r.Troubles {
-		over = max(over, t.To)
+	var lastFault time.Duration
+	for _, t := range r.Faults {
+		lastFault = max(lastFault, t.To)
 	}
-	asked, served := map[string]int{}, map[string]int{}
+	requested, served := map[string]int{}, map[string]int{}
 	for _, q := range r.Requests {
-		if q.Rude || q.Tenant == tenantLimited || q.Began < over+contactTime || q.Ended < 0 || q.Status == http.StatusPaymentRequired {
+		if q.Misbehaving || q.Tenant == tenantLimited || q.Began < lastFault+contactTimeout || q.Ended < 0 || q.Status == http.StatusPaymentRequired {
 			continue
 		}
-		asked[q.Kind]++
+		requested[q.Kind]++
 		if q.Whole && q.Status < 300 {
 			served[q.Kind]++
 		}
 	}
-	for kind, count := range asked {
+	for kind, count := range requested {
 		if count >= 20 && float64(served[kind]) < servedShare*float64(count) {
 			list = append(list, breach(RuleServed, "%d of %d requests of kind %s were served", served[kind], count, kind))
 		}
--- a/rehearsalkit/soak/operator.go
+++ b/rehearsalkit/soak/operator.go
@@ -15,37 +15,39 @@
 	"saffronfall/rule/route"
 )
 
-// tables hands routing tables over, as operators do. One goroutine works it, besides
-// the first table.
-type tables struct {
+// tableOperator applies routing tables, as an operator does. It is used by one goroutine
+// at a time.
+type tableOperator struct {
 	fleet *Fleet
-	// known is the newest table that was acknowledged to, or read by, the operators.
+	// known is the newest table that was acknowledged or read. number is the highest
+	// table number used.
 	known  uint64
 	number uint64
 }
 
-// one is a route of the soak's tables.
-func one(kind, mode, service string, tries int64) route.Route {
+// newRoute returns a route of the soak's tables, named after the kind of requests.
+func newRoute(kind, mode, service string, tries int64) route.Route {
 	return route.Route{Name: kind, Host: host, Prefix: "/" + kind + "/", Mode: mode, TimeoutMS: float64(routeTimeout.Milliseconds()), MaxAttempts: tries, KeepSeconds: 60,
 		Targets: []route.Target{{Service: service, Weight: 1}}}
 }
 
-func markName(number uint64) string { return fmt.Sprint("mark-", number) }
+func routeName(number uint64) string { return fmt.Sprint("mark-", number) }
 
-// markRoute is the route that only the table of a number has.
-func markRoute(number uint64) route.Route {
-	return one(markName(number), route.Repeatable, serviceApp, 2)
+// numberedRoute returns the route that only the table with this number has.
+func numberedRoute(number uint64) route.Route {
+	return newRoute(routeName(number), route.Repeatable, serviceApp, 2)
 }
 
-// text is the table of a number. Each has a route of its own.
-func text(number uint64) []byte {
+// tableText encodes the table with a number. Every table has one route of its own, so that
+// no two are equal.
+func tableText(number uint64) []byte {
 	tenant := func(name string, rate, burst float64) route.Tenant {
 		return route.Tenant{Name: name, Keys: []string{configuration.KeyDigest(keyOf(name))}, Rate: rate, Burst: burst}
 	}
-	chat, kept := one(kindChat, route.Stream, serviceModel, 2), one(kindKept, route.Stream, serviceModel, 2)
-	chat.Resumable, kept.KeepHistory, kept.KeepSeconds = true, true, keepTime.Seconds()
+	chat, kept := newRoute(kindChat, route.Stream, serviceModel, 2), newRoute(kindKept, route.Stream, serviceModel, 2)
+	chat.Resumable, kept.KeepHistory, kept.KeepSeconds = true, true, historyRetention.Seconds()
 	t := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20},
-		Routes:   []route.Route{one(kindAlert, route.Repeatable, serviceApp, 2), one(kindOnce, route.Once, serviceApp, 3), chat, kept, markRoute(number)},
+		Routes:   []route.Route{newRoute(kindAlert, route.Repeatable, serviceApp, 2), newRoute(kindOnce, route.Once, serviceApp, 3), chat, kept, numberedRoute(number)},
 		Services: []route.Service{{Name: serviceModel, Connections: 100, TokensPerEvent: tokensPerEvent, Slots: 8}, {Name: serviceApp, Connections: 100, TokensPerEvent: 1, Slots: 8}},
 		Tenants:  []route.Tenant{tenant(tenantFirst, 0, 0), tenant(tenantSecond, 0, 0), tenant(tenantLimited, limitedRate, limitedBurst)}}
 	raw, err := json.Marshal(t)
@@ -55,41 +57,42 @@
 	return raw
 }
 
-// hand hands a table over at a desk and tells its answer, zero for none.
-func (t *tables) hand(ctx context.Context, desk *process, base, number uint64) int {
-	return t.handText(ctx, desk, order{Base: base, Number: number, Valid: true}, text(number))
+// apply sends a whole table to a desk and returns the status of the answer, or 0 if there
+// was none.
+func (t *tableOperator) apply(ctx context.Context, desk *process, base, number uint64) int {
+	return t.applyText(ctx, desk, tableUpdate{Base: base, Number: number, Valid: true}, tableText(number))
 }
 
-func (t *tables) handText(ctx context.Context, desk *process, o order, body []byte) int {
-	return t.send(ctx, http.MethodPut, desk, o, body)
+func (t *tableOperator) applyText(ctx context.Context, desk *process, u tableUpdate, body []byte) int {
+	return t.send(ctx, http.MethodPut, desk, u, body)
 }
 
-// amend hands over only what differs between the tables of two numbers.
-func (t *tables) amend(ctx context.Context, desk *process, base, number uint64) int {
-	a := route.Amendment{Number: number, Set: route.SetItems{Routes: []route.Route{markRoute(number)}}, Remove: route.RemovedNames{Routes: []string{markName(base)}}}
+// amend sends only the difference between the tables with the numbers base and number.
+func (t *tableOperator) amend(ctx context.Context, desk *process, base, number uint64) int {
+	a := route.Amendment{Number: number, Set: route.SetItems{Routes: []route.Route{numberedRoute(number)}}, Remove: route.RemovedNames{Routes: []string{routeName(base)}}}
 	body, err := json.Marshal(a)
 	if err != nil {
 		panic(err)
 	}
-	return t.send(ctx, http.MethodPatch, desk, order{Base: base, Number: number, Valid: true}, body)
+	return t.send(ctx, http.MethodPatch, desk, tableUpdate{Base: base, Number: number, Valid: true}, body)
 }
 
-// send sends an order and notes how it was answered.
-func (t *tables) send(ctx context.Context, method string, desk *process, o order, body []byte) int {
+// send sends a table update and records its answer.
+func (t *tableOperator) send(ctx context.Context, method string, desk *process, u tableUpdate, body []byte) int {
 	f := t.fleet
-	o.Began = f.now()
-	o.Status, _ = t.call(ctx, method, desk, "/v1/table?base="+strconv.FormatUint(o.Base, 10), body)
-	o.Ended = f.now()
-	f.note(func(r *record) { r.Orders = append(r.Orders, o) })
-	if o.Status == http.StatusOK {
-		t.known = max(t.known, o.Number)
+	u.Began = f.now()
+	u.Status, _ = t.call(ctx, method, desk, "/v1/table?base="+strconv.FormatUint(u.Base, 10), body)
+	u.Ended = f.now()
+	f.update(func(r *record) { r.TableUpdates = append(r.TableUpdates, u) })
+	if u.Status == http.StatusOK {
+		t.known = max(t.known, u.Number)
 	}
-	t.number = max(t.number, o.Number)
-	return o.Status
+	t.number = max(t.number, u.Number)
+	return u.Status
 }
 
-func (t *tables) call(ctx context.Context, method string, desk *process, path string, body []byte) (int, []byte) {
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+desk.at(operatorPort)+path, bytes.NewReader(body))
+func (t *tableOperator) call(ctx context.Context, method string, desk *process, path string, body []byte) (int, []byte) {
+	q, err := http.NewRequestWithContext(ctx, method, "http://"+desk.address(operatorPort)+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
@@ -106,8 +109,9 @@
 	return answer.StatusCode, got
 }
 
-// read reads the table in force at a desk.
-func (t *tables) read(ctx context.Context, desk *process) bool {
+// read reads the active table at a desk and checks that it is what was applied. It reports
+// whether the desk answered.
+func (t *tableOperator) read(ctx context.Context, desk *process) bool {
 	f := t.fleet
 	began := f.now()
 	status, got := t.call(ctx, http.MethodGet, desk, "/v1/table", nil)
@@ -115,16 +119,16 @@
 	if status != http.StatusOK || json.Unmarshal(got, &read) != nil {
 		return false
 	}
-	one := reading{Desk: desk.name, Began: began, Ended: f.now(), Number: read.Number}
-	f.note(func(r *record) { r.Readings = append(r.Readings, one) })
+	seen := tableRead{Desk: desk.name, Began: began, Ended: f.now(), Number: read.Number}
+	f.update(func(r *record) { r.TableReads = append(r.TableReads, seen) })
 	t.known = max(t.known, read.Number)
-	if !bytes.Equal(compact(got), compact(text(read.Number))) {
-		f.found(RuleTables, "table %d, read at %s, is not what was handed over", read.Number, desk.name)
+	if !bytes.Equal(compact(got), compact(tableText(read.Number))) {
+		f.recordBreach(RuleTables, "table %d, read at %s, is not what was applied", read.Number, desk.name)
 	}
 	return true
 }
 
-// compact is a table as it is parsed, so that texts can be compared.
+// compact returns the canonical encoding of a table, for comparison.
 func compact(raw []byte) []byte {
 	parsed, faults := route.Parse(raw)
 	if faults != nil {
@@ -133,10 +137,10 @@
 	return parsed.JSONWithoutSource()
 }
 
-// operate changes tables until the context ends: mostly in order, some by two
-// operators at once, some invalid, some with their answers lost.
-func (t *tables) operate(ctx context.Context) {
-	desks := t.fleet.of(roleDesk)
+// operate applies tables until the context ends: mostly one after the other, some
+// concurrently on one base, some invalid, some retried after a lost answer.
+func (t *tableOperator) operate(ctx context.Context) {
+	desks := t.fleet.withRole(roleDesk)
 	for ctx.Err() == nil {
 		pause(ctx, time.Duration(300+rand.IntN(900))*time.Millisecond)
 		desk, other := desks[rand.IntN(len(desks))], desks[rand.IntN(len(desks))]
@@ -145,22 +149,22 @@
 		case 0:
 			t.race(ctx, desk, other, next)
 		case 1:
-			t.handText(ctx, desk, order{Base: t.known, Number: next}, []byte(fmt.Sprintf(`{"number":%d,"routes":[{"host":"h"}]}`, next)))
+			t.applyText(ctx, desk, tableUpdate{Base: t.known, Number: next}, []byte(fmt.Sprintf(`{"number":%d,"routes":[{"host":"h"}]}`, next)))
 		case 2:
-			// The answer is lost; the same is sent again elsewhere.
-			lost, cancel := context.WithTimeout(ctx, time.Duration(rand.IntN(20))*time.Millisecond)
+			// The answer may be lost; the same update is retried at a random desk.
+			short, cancel := context.WithTimeout(ctx, time.Duration(rand.IntN(20))*time.Millisecond)
 			base := t.known
-			t.hand(lost, desk, base, next)
+			t.apply(short, desk, base, next)
 			cancel()
-			t.hand(ctx, other, base, next)
+			t.apply(ctx, other, base, next)
 		case 3:
 			t.read(ctx, desk)
 		case 4:
-			t.send(ctx, http.MethodPatch, desk, order{Base: t.known, Number: next}, fmt.Appendf(nil, `{"number":%d,"remove":{"services":[%q]}}`, next, serviceModel))
+			t.send(ctx, http.MethodPatch, desk, tableUpdate{Base: t.known, Number: next}, fmt.Appendf(nil, `{"number":%d,"remove":{"services":[%q]}}`, next, serviceModel))
 		case 5:
-			lost, cancel := context.WithTimeout(ctx, time.Duration(rand.IntN(20))*time.Millisecond)
+			short, cancel := context.WithTimeout(ctx, time.Duration(rand.IntN(20))*time.Millisecond)
 			base := t.known
-			t.amend(lost, desk, base, next)
+			t.amend(short, desk, base, next)
 			cancel()
 			t.amend(ctx, other, base, next)
 		case 6:
@@ -168,22 +172,22 @@
 				t.read(ctx, other)
 			}
 		default:
-			if t.hand(ctx, desk, t.known, next) == http.StatusConflict {
+			if t.apply(ctx, desk, t.known, next) == http.StatusConflict {
 				t.read(ctx, other)
 			}
 		}
 	}
 }
 
-// race hands two tables over on one base at the same time.
-func (t *tables) race(ctx context.Context, desk, other *process, next uint64) {
+// race applies two tables on one base concurrently.
+func (t *tableOperator) race(ctx context.Context, desk, other *process, next uint64) {
 	base, first, second := t.known, *t, *t
 	done := make(chan struct{})
 	go func() {
-		first.hand(ctx, desk, base, next)
+		first.apply(ctx, desk, base, next)
 		close(done)
 	}()
-	second.hand(ctx, other, base, next+1)
+	second.apply(ctx, other, base, next+1)
 	<-done
 	t.known, t.number = max(first.known, second.known), max(first.number, second.number)
 }
--- a/rehearsalkit/soak/record.go
+++ b/rehearsalkit/soak/record.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Kinds of requests, which are also the first parts of their paths.
+// Kinds of requests, which are also the first segments of their paths.
 const (
 	kindAlert = "alert"
 	kindOnce  = "once"
@@ -15,29 +15,32 @@
 	kindKept  = "kept"
 )
 
-// request is one try of a stand-in requester.
+// request is one request of a simulated client.
 type request struct {
 	Attempt, Kind, Tenant, Node string
 	Method, Path, Body          string
-	// Before is what a replica is to get before the body.
+	// Before is the history that a replica must receive before the body.
 	Before string
-	// Previous names the kept turn that it goes on from.
+	// Previous is the attempt id of the turn that it continues.
 	Previous string
 	Program  string
 	Budget   int64
-	// Rude requesters break the protocol: only what replicas ran of theirs counts.
-	Rude bool
-	// Repeats says that the attempt's id is used more than once.
+	// Misbehaving marks requests that break the protocol: they need not be served or answered
+	// in time.
+	Misbehaving bool
+	// Repeats marks requests whose attempt id is used more than once.
 	Repeats bool
 
 	Began time.Duration
-	end
+	result
 }
 
-// end is what became of a request.
-type end struct {
+// result is the result of a request.
+type result struct {
+	// Ended is negative until the request has ended.
 	Ended time.Duration
-	// Status is the answer's; zero: none came. Whole says that it came whole.
+	// Status is the status of the answer, 0 if there was none. Whole reports whether the answer
+	// is complete.
 	Status int
 	Whole  bool
 	Answer string
@@ -47,106 +50,108 @@
 type run struct {
 	At                                                   time.Duration
 	Replica, Service, Attempt, Tenant, Method, Path, Got string
-	// Gave is the whole answer that the replica meant to give.
+	// Gave is the complete answer that the replica intended to send.
 	Gave string
 }
 
-// order is a routing table that an operator handed over.
-type order struct {
+// tableUpdate is an update of the routing table by an operator.
+type tableUpdate struct {
 	Base, Number uint64
 	Began, Ended time.Duration
 	Status       int
 	Valid        bool
 }
 
-// reading is a table that was read back.
-type reading struct {
+// tableRead is the number of the table that a desk returned.
+type tableRead struct {
 	Desk         string
 	Began, Ended time.Duration
 	Number       uint64
 }
 
-// word is that a replica leaves, acknowledged by a desk.
-type word struct {
+// departure is the time when a desk acknowledged that a replica leaves.
+type departure struct {
 	Replica string
 	At      time.Duration
 }
 
-// trouble is what befell something, for a time.
-type trouble struct {
-	Kind, Whom string
-	From, To   time.Duration
+// fault is one injected fault. Target names what it affected, separated by spaces.
+type fault struct {
+	Kind, Target string
+	From, To     time.Duration
 }
 
-func (t trouble) String() string {
-	return fmt.Sprintf("%6.2fs to %6.2fs %s %s", t.From.Seconds(), t.To.Seconds(), t.Kind, t.Whom)
+func (t fault) String() string {
+	return fmt.Sprintf("%6.2fs to %6.2fs %s %s", t.From.Seconds(), t.To.Seconds(), t.Kind, t.Target)
 }
 
-// record is all that requesters, replicas and operators saw.
+// record is everything that requesters, replicas and operators saw.
 type record struct {
-	Requests []*request
-	Runs     []run
-	Orders   []order
-	Readings []reading
-	Words    []word
-	Troubles []trouble
-	// Found are breaches that were seen while the run went on.
-	Found []Breach
+	Requests     []*request
+	Runs         []run
+	TableUpdates []tableUpdate
+	TableReads   []tableRead
+	Departures   []departure
+	Faults       []fault
+	// Breaches are breaches that were detected during the run.
+	Breaches []Breach
 }
 
-// journal owns the record while a run goes on.
-type journal struct {
-	notes chan func(r *record)
-	ctx   context.Context
-	start time.Time
+// recorder owns the record during a run: one goroutine applies all updates.
+type recorder struct {
+	updates chan func(r *record)
+	ctx     context.Context
+	start   time.Time
 }
 
-func newJournal(ctx context.Context) *journal {
-	j := &journal{notes: make(chan func(r *record), 256), ctx: ctx, start: time.Now()}
+func newRecorder(ctx context.Context) *recorder {
+	c := &recorder{updates: make(chan func(r *record), 256), ctx: ctx, start: time.Now()}
 	go func() {
 		var all record
 		for {
 			select {
-			case note := <-j.notes:
-				note(&all)
+			case update := <-c.updates:
+				update(&all)
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	return j
+	return c
 }
 
-func (j *journal) now() time.Duration { return time.Since(j.start) }
+func (c *recorder) now() time.Duration { return time.Since(c.start) }
 
-// note changes the record, and returns when that is done.
-func (j *journal) note(what func(r *record)) {
+// update changes the record, and returns when that is done or the run has ended.
+func (c *recorder) update(change func(r *record)) {
 	done := make(chan struct{})
 	select {
-	case j.notes <- func(r *record) { what(r); close(done) }:
-	case <-j.ctx.Done():
+	case c.updates <- func(r *record) { change(r); close(done) }:
+	case <-c.ctx.Done():
 		return
 	}
 	select {
 	case <-done:
-	case <-j.ctx.Done():
+	case <-c.ctx.Done():
 	}
 }
 
-// found notes a breach.
-func (j *journal) found(rule, format string, args ...any) {
-	j.note(func(r *record) { r.Found = append(r.Found, Breach{Rule: rule, Text: fmt.Sprintf(format, args...)}) })
+// recordBreach records a breach.
+func (c *recorder) recordBreach(rule, format string, args ...any) {
+	c.update(func(r *record) {
+		r.Breaches = append(r.Breaches, Breach{Rule: rule, Text: fmt.Sprintf(format, args...)})
+	})
 }
 
-// copied is the record as it stands.
-func (j *journal) copied() record {
+// snapshot returns a copy of the record, with runs in order of time.
+func (c *recorder) snapshot() record {
 	var all record
-	j.note(func(r *record) {
+	c.update(func(r *record) {
 		all = *r
 		all.Requests = nil
 		for _, q := range r.Requests {
-			one := *q
-			all.Requests = append(all.Requests, &one)
+			copied := *q
+			all.Requests = append(all.Requests, &copied)
 		}
 		all.Runs = append([]run(nil), r.Runs...)
 	})
