--- a/rehearsalkit/modelcheck/action.go
+++ b/rehearsalkit/modelcheck/action.go
@@ -32,9 +32,9 @@
 	Skew = "skew"
 	// Propose hands an order to an owner, Regroup a change of members; Leave makes
 	// an owner hand over.
-	Propose = "propose"
-	Regroup = "regroup"
-	Leave   = "leave"
+	Propose       = "propose"
+	ChangeMembers = "regroup"
+	Leave         = "leave"
 	// BeginRead lets a read arrive and the clock be looked at; AnswerRead runs it.
 	BeginRead  = "begin read"
 	AnswerRead = "answer read"
@@ -44,7 +44,7 @@
 // kind, and by its place among those of the same in flight.
 type Action struct {
 	Kind    string `json:"kind"`
-	Seat    string `json:"seat,omitempty"`
+	Member  string `json:"seat,omitempty"`
 	From    string `json:"from,omitempty"`
 	Message string `json:"message,omitempty"`
 	// Count is a message's place, an order's or change's number, or how many
@@ -57,11 +57,11 @@
 	case Advance:
 		return a.Kind
 	case Deliver, Exchange, Duplicate:
-		return fmt.Sprintf("%s %s %s>%s #%d", a.Kind, a.Message, a.From, a.Seat, a.Count)
-	case Propose, Regroup, Reboot, Crash:
-		return fmt.Sprintf("%s %s #%d", a.Kind, a.Seat, a.Count)
+		return fmt.Sprintf("%s %s %s>%s #%d", a.Kind, a.Message, a.From, a.Member, a.Count)
+	case Propose, ChangeMembers, Reboot, Crash:
+		return fmt.Sprintf("%s %s #%d", a.Kind, a.Member, a.Count)
 	}
-	return a.Kind + " " + a.Seat
+	return a.Kind + " " + a.Member
 }
 
 // ErrImpossible says that an action can't be taken in a state.
@@ -69,26 +69,26 @@
 
 // Apply is the state after an action.
 func (w *World) Apply(a Action) (*World, error) {
-	next := w.next()
+	next := w.successor()
 	if a.Kind == Advance {
 		next.now += quantum
-		next.spent.Advances++
-		next.judge()
+		next.usage.Advances++
+		next.checkState()
 		return next, nil
 	}
-	i := w.find(a.Seat)
-	if w.processes[i].lost || (w.frozen(a.Seat) && a.Kind != AnswerRead) {
+	i := w.indexOf(a.Member)
+	if w.processes[i].lost || (w.frozen(a.Member) && a.Kind != AnswerRead) {
 		return nil, errors.Wrap(ErrImpossible, a.String())
 	}
 	down := w.processes[i].machine == nil
 	if down != (a.Kind == Restart) && a.Kind != Lose {
 		return nil, errors.Wrap(ErrImpossible, a.String())
 	}
-	p := next.touch(a.Seat)
+	p := next.mutableProcess(a.Member)
 	if err := next.act(p, a); err != nil {
 		return nil, err
 	}
-	next.judge()
+	next.checkState()
 	return next, nil
 }
 
@@ -96,29 +96,29 @@
 	now := w.now + p.skew
 	switch a.Kind {
 	case Tick:
-		w.take(p, p.machine.Tick(now))
+		w.perform(p, p.machine.Tick(now))
 	case Deliver, Exchange, Duplicate:
-		return w.carry(p, a)
+		return w.deliver(p, a)
 	case Sync:
 		w.sync(p)
 	case Reboot, Crash, Restart, Lose:
 		return w.fail(p, a)
 	case Skew:
 		p.skew += quantum
-		w.spent.Skews++
+		w.usage.Skews++
 	case Propose:
-		w.take(p, p.machine.Propose(now, w.orderTicket(a.Count), w.scenario.Orders[a.Count]))
-	case Regroup:
+		w.perform(p, p.machine.Propose(now, w.orderRequestID(a.Count), w.scenario.Orders[a.Count]))
+	case ChangeMembers:
 		change := w.scenario.Changes[a.Count]
-		w.spent.Changes++
-		w.take(p, p.machine.ChangeMembers(now, uint64(changeTicket+a.Count), change.Add, change.Remove))
+		w.usage.Changes++
+		w.perform(p, p.machine.ChangeMembers(now, uint64(changeRequestID+a.Count), change.Add, change.Remove))
 	case Leave:
-		w.spent.Leaves++
-		w.take(p, p.machine.ReleaseLeadership(now))
+		w.usage.Leaves++
+		w.perform(p, p.machine.ReleaseLeadership(now))
 	case BeginRead:
-		w.reading = reading{Seat: p.seat, Sampled: now, Latest: w.book.latest}
+		w.reading = reading{Member: p.member, Sampled: now, Latest: w.history.latest}
 	case AnswerRead:
-		if !w.frozen(p.seat) {
+		if !w.frozen(p.member) {
 			return errors.Wrap(ErrImpossible, a.String())
 		}
 		w.answerRead(p)
@@ -135,27 +135,27 @@
 	}
 	switch a.Kind {
 	case Reboot:
-		w.spent.Reboots++
+		w.usage.Reboots++
 		p.crash(a.Count)
 		p.start(w.now)
 	case Crash:
-		w.spent.Crashes++
+		w.usage.Crashes++
 		p.crash(a.Count)
 	case Restart:
 		p.start(w.now)
 	case Lose:
-		w.spent.Losses++
-		p.machine, p.pending, p.held, p.lost = nil, nil, nil, true
-		w.forget(p.seat)
+		w.usage.Losses++
+		p.machine, p.pending, p.awaitingSync, p.lost = nil, nil, nil, true
+		w.dropMessagesTo(p.member)
 	}
 	return nil
 }
 
 // forget removes the messages for a process that is gone for good.
-func (w *World) forget(seat string) {
+func (w *World) dropMessagesTo(member string) {
 	kept := w.network[:0]
 	for _, f := range w.network {
-		if f.packet.To != seat {
+		if f.packet.To != member {
 			kept = append(kept, f)
 		}
 	}
@@ -163,32 +163,32 @@
 }
 
 // carry moves one message.
-func (w *World) carry(p *process, a Action) error {
-	at := w.locate(a)
+func (w *World) deliver(p *process, a Action) error {
+	at := w.findMessage(a)
 	if at < 0 {
 		return errors.Wrap(ErrImpossible, a.String())
 	}
-	one := w.network[at].packet
+	msg := w.network[at].packet
 	if a.Kind == Duplicate {
-		w.spent.Duplicates++
+		w.usage.Duplicates++
 	} else {
 		w.network = append(w.network[:at:at], w.network[at+1:]...)
 	}
 	before := len(w.network)
-	w.take(p, p.machine.Receive(w.now+p.skew, one.From, one.Body))
+	w.perform(p, p.machine.Receive(w.now+p.skew, msg.From, msg.Body))
 	if a.Kind == Exchange {
-		return w.bringAnswers(p.seat, one.From, before)
+		return w.deliverAnswers(p.member, msg.From, before)
 	}
 	for _, f := range w.network[before:] {
-		if f.packet.To == one.From {
-			w.spent.Delays++
-			return w.allowed(a, w.spent.Delays <= w.scenario.Bounds.Delays)
+		if f.packet.To == msg.From {
+			w.usage.Delays++
+			return w.checkPossible(a, w.usage.Delays <= w.scenario.Bounds.Delays)
 		}
 	}
 	return nil
 }
 
-func (w *World) allowed(a Action, yes bool) error {
+func (w *World) checkPossible(a Action, yes bool) error {
 	if !yes {
 		return errors.Wrap(ErrImpossible, a.String())
 	}
@@ -196,11 +196,11 @@
 }
 
 // bringAnswers delivers what a process has just sent back to another.
-func (w *World) bringAnswers(from, to string, before int) error {
-	if other := w.processes[w.find(to)]; other.machine == nil || w.frozen(to) {
+func (w *World) deliverAnswers(from, to string, before int) error {
+	if other := w.processes[w.indexOf(to)]; other.machine == nil || w.frozen(to) {
 		return errors.Wrap(ErrImpossible, "nobody takes the answer")
 	}
-	sent := append([]flying(nil), w.network[before:]...)
+	sent := append([]inFlight(nil), w.network[before:]...)
 	w.network = w.network[:before:before]
 	var answers []packet
 	for _, f := range sent {
@@ -213,18 +213,18 @@
 	if len(answers) == 0 {
 		return errors.Wrap(ErrImpossible, "there is no answer")
 	}
-	other := w.touch(to)
+	other := w.mutableProcess(to)
 	for _, answer := range answers {
-		w.take(other, other.machine.Receive(w.now+other.skew, from, answer.Body))
+		w.perform(other, other.machine.Receive(w.now+other.skew, from, answer.Body))
 	}
 	return nil
 }
 
 // locate is the place of an action's message in flight, or below zero.
-func (w *World) locate(a Action) int {
+func (w *World) findMessage(a Action) int {
 	count := 0
 	for i, f := range w.network {
-		if f.packet.From == a.From && f.packet.To == a.Seat && f.packet.kind() == a.Message {
+		if f.packet.From == a.From && f.packet.To == a.Member && f.packet.kind() == a.Message {
 			if count == a.Count {
 				return i
 			}
@@ -236,22 +236,22 @@
 
 // idle reports whether a message's delivery has changed nothing: all that can
 // follow then can follow from the state before it, where the message is lost.
-func (w *World) idle(before *World, a Action) bool {
-	if a.Message == "" || len(w.network) > len(before.network) || w.book != before.book || w.broken != nil {
+func (w *World) hasNoEffect(before *World, a Action) bool {
+	if a.Message == "" || len(w.network) > len(before.network) || w.history != before.history || w.broken != nil {
 		return false
 	}
-	launched := map[digest]int{}
+	inFlightBefore := map[digest]int{}
 	for _, f := range before.network {
-		launched[f.digests[0]]++
+		inFlightBefore[f.digests[0]]++
 	}
 	for _, f := range w.network {
-		if launched[f.digests[0]]--; launched[f.digests[0]] < 0 {
+		if inFlightBefore[f.digests[0]]--; inFlightBefore[f.digests[0]] < 0 {
 			return false
 		}
 	}
 	for i, p := range w.processes {
 		former := before.processes[i]
-		if p != former && p.digestUnder(w.scenario.renamings, 0) != former.digestUnder(w.scenario.renamings, 0) {
+		if p != former && p.digestFor(w.scenario.renamings, 0) != former.digestFor(w.scenario.renamings, 0) {
 			return false
 		}
 	}
@@ -266,16 +266,16 @@
 		switch {
 		case p.lost:
 		case p.machine == nil:
-			list = append(list, Action{Kind: Restart, Seat: p.seat})
-		case w.frozen(p.seat):
-			list = append(list, Action{Kind: AnswerRead, Seat: p.seat})
+			list = append(list, Action{Kind: Restart, Member: p.member})
+		case w.frozen(p.member):
+			list = append(list, Action{Kind: AnswerRead, Member: p.member})
 		default:
-			list = append(list, Action{Kind: Tick, Seat: p.seat})
-			list = append(list, w.faults(p)...)
-			list = append(list, w.requests(p)...)
+			list = append(list, Action{Kind: Tick, Member: p.member})
+			list = append(list, w.faultActions(p)...)
+			list = append(list, w.requestActions(p)...)
 		}
 	}
-	if w.spent.Advances < bounds.Advances {
+	if w.usage.Advances < bounds.Advances {
 		list = append(list, Action{Kind: Advance})
 	}
 	return list
@@ -286,15 +286,15 @@
 	counts := map[Action]int{}
 	seen := map[digest]bool{}
 	for _, f := range w.network {
-		name := Action{Seat: f.packet.To, From: f.packet.From, Message: f.packet.kind()}
+		name := Action{Member: f.packet.To, From: f.packet.From, Message: f.packet.kind()}
 		a := name
 		a.Count = counts[name]
 		counts[name]++
-		if receiver := w.processes[w.find(a.Seat)]; seen[f.digests[0]] || receiver.machine == nil || w.frozen(a.Seat) {
+		if receiver := w.processes[w.indexOf(a.Member)]; seen[f.digests[0]] || receiver.machine == nil || w.frozen(a.Member) {
 			continue
 		}
 		seen[f.digests[0]] = true
-		for _, kind := range w.carrying() {
+		for _, kind := range w.deliveryKinds() {
 			a.Kind = kind
 			list = append(list, a)
 		}
@@ -303,74 +303,74 @@
 }
 
 // carrying are the ways in which messages may be moved in a state.
-func (w *World) carrying() []string {
+func (w *World) deliveryKinds() []string {
 	bounds := &w.scenario.Bounds
 	kinds := []string{Exchange, Deliver}
-	if w.spent.Duplicates < bounds.Duplicates {
+	if w.usage.Duplicates < bounds.Duplicates {
 		kinds = append(kinds, Duplicate)
 	}
 	return kinds
 }
 
-func (w *World) faults(p *process) []Action {
+func (w *World) faultActions(p *process) []Action {
 	var list []Action
 	bounds := &w.scenario.Bounds
 	if len(p.pending) > 0 {
-		list = append(list, Action{Kind: Sync, Seat: p.seat})
+		list = append(list, Action{Kind: Sync, Member: p.member})
 	}
 	for kept := 0; kept <= len(p.pending); kept++ {
-		if w.spent.Reboots < bounds.Reboots {
-			list = append(list, Action{Kind: Reboot, Seat: p.seat, Count: kept})
+		if w.usage.Reboots < bounds.Reboots {
+			list = append(list, Action{Kind: Reboot, Member: p.member, Count: kept})
 		}
-		if w.spent.Crashes < bounds.Crashes {
-			list = append(list, Action{Kind: Crash, Seat: p.seat, Count: kept})
+		if w.usage.Crashes < bounds.Crashes {
+			list = append(list, Action{Kind: Crash, Member: p.member, Count: kept})
 		}
 	}
-	if w.spent.Losses < bounds.Losses && w.tolerated(p.seat) {
-		list = append(list, Action{Kind: Lose, Seat: p.seat})
+	if w.usage.Losses < bounds.Losses && w.canLose(p.member) {
+		list = append(list, Action{Kind: Lose, Member: p.member})
 	}
-	if w.spent.Skews < bounds.Skews && p.skew == 0 && p.machine.Group().Epoch > 0 {
-		list = append(list, Action{Kind: Skew, Seat: p.seat})
+	if w.usage.Skews < bounds.Skews && p.skew == 0 && p.machine.Group().Epoch > 0 {
+		list = append(list, Action{Kind: Skew, Member: p.member})
 	}
 	return list
 }
 
-func (w *World) requests(p *process) []Action {
-	if !p.owns(w.now) {
+func (w *World) requestActions(p *process) []Action {
+	if !p.leads(w.now) {
 		return nil
 	}
 	var list []Action
 	bounds := &w.scenario.Bounds
 	for i := range w.scenario.Orders {
 		// Orders alike but for their values come in one sequence.
-		if w.spent.Attempts[i] < bounds.Attempts && (i == 0 || w.spent.Attempts[i-1] > 0) {
-			list = append(list, Action{Kind: Propose, Seat: p.seat, Count: i})
+		if w.usage.Attempts[i] < bounds.Attempts && (i == 0 || w.usage.Attempts[i-1] > 0) {
+			list = append(list, Action{Kind: Propose, Member: p.member, Count: i})
 		}
 	}
-	if w.spent.Changes < len(w.scenario.Changes) {
-		list = append(list, Action{Kind: Regroup, Seat: p.seat, Count: w.spent.Changes})
+	if w.usage.Changes < len(w.scenario.Changes) {
+		list = append(list, Action{Kind: ChangeMembers, Member: p.member, Count: w.usage.Changes})
 	}
-	if w.spent.Leaves < bounds.Leaves {
-		list = append(list, Action{Kind: Leave, Seat: p.seat})
+	if w.usage.Leaves < bounds.Leaves {
+		list = append(list, Action{Kind: Leave, Member: p.member})
 	}
-	if bounds.Reads && w.reading.Seat == "" {
-		list = append(list, Action{Kind: BeginRead, Seat: p.seat})
+	if bounds.Reads && w.reading.Member == "" {
+		list = append(list, Action{Kind: BeginRead, Member: p.member})
 	}
 	return list
 }
 
 // tolerated reports whether a loss is one that the groups promise to outlive:
 // all groups that may still decide keep a majority.
-func (w *World) tolerated(seat string) bool {
+func (w *World) canLose(member string) bool {
 	alive := map[string]bool{}
 	for _, p := range w.processes {
-		alive[p.seat] = !p.lost && p.seat != seat
+		alive[p.member] = !p.lost && p.member != member
 	}
-	if !isQuorum(w.book.group, alive) {
+	if !isQuorum(w.history.group, alive) {
 		return false
 	}
 	for _, p := range w.processes {
-		if g := p.disk.Group; !w.book.group.Before(g) || g.Epoch == 0 {
+		if g := p.disk.Group; !w.history.group.Before(g) || g.Epoch == 0 {
 			continue
 		} else if !isQuorum(g, alive) {
 			return false
--- a/rehearsalkit/modelcheck/clone.go
+++ b/rehearsalkit/modelcheck/clone.go
@@ -25,7 +25,7 @@
 		}
 		fresh := reflect.New(v.Type().Elem())
 		fresh.Elem().Set(v.Elem())
-		if sharing(v.Type().Elem()) {
+		if needsDeepCopy(v.Type().Elem()) {
 			copyShared(fresh.Elem())
 		}
 		return fresh
@@ -35,7 +35,7 @@
 		}
 		fresh := reflect.MakeSlice(v.Type(), v.Len(), v.Len())
 		reflect.Copy(fresh, v)
-		if sharing(v.Type().Elem()) {
+		if needsDeepCopy(v.Type().Elem()) {
 			for i := range fresh.Len() {
 				copyShared(fresh.Index(i))
 			}
@@ -46,7 +46,7 @@
 	case reflect.Struct:
 		fresh := reflect.New(v.Type()).Elem()
 		fresh.Set(v)
-		if sharing(v.Type()) {
+		if needsDeepCopy(v.Type()) {
 			copyShared(fresh)
 		}
 		return fresh
@@ -59,7 +59,7 @@
 		return v
 	}
 	fresh := reflect.MakeMapWithSize(v.Type(), v.Len())
-	deep := sharing(v.Type().Elem())
+	deep := needsDeepCopy(v.Type().Elem())
 	for walk := v.MapRange(); walk.Next(); {
 		value := walk.Value()
 		if deep {
@@ -77,33 +77,33 @@
 		v.Set(deepCopy(v))
 		return
 	}
-	for _, i := range sharingFields(v.Type()) {
+	for _, i := range deepFields(v.Type()) {
 		field := v.Field(i)
 		copyShared(reflect.NewAt(field.Type(), unsafe.Pointer(field.UnsafeAddr())).Elem())
 	}
 }
 
-var fieldsOfTypes sync.Map
+var deepFieldsByType sync.Map
 
 // sharingFields are the places of the fields of a struct that assigning it
 // would leave shared.
-func sharingFields(t reflect.Type) []int {
-	if known, ok := fieldsOfTypes.Load(t); ok {
+func deepFields(t reflect.Type) []int {
+	if known, ok := deepFieldsByType.Load(t); ok {
 		return known.([]int)
 	}
 	var fields []int
 	for i := range t.NumField() {
-		if sharing(t.Field(i).Type) {
+		if needsDeepCopy(t.Field(i).Type) {
 			fields = append(fields, i)
 		}
 	}
-	fieldsOfTypes.Store(t, fields)
+	deepFieldsByType.Store(t, fields)
 	return fields
 }
 
 // sharing reports whether assigning a value of a type leaves two values that
 // share what a machine may change.
-func sharing(t reflect.Type) bool {
+func needsDeepCopy(t reflect.Type) bool {
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Map:
 		return true
@@ -111,7 +111,7 @@
 		// Values of entries are never changed in place.
 		return t.Elem().Kind() != reflect.Uint8
 	case reflect.Struct:
-		return len(sharingFields(t)) > 0
+		return len(deepFields(t)) > 0
 	}
 	return false
 }
--- a/rehearsalkit/modelcheck/command.go
+++ b/rehearsalkit/modelcheck/command.go
@@ -35,7 +35,7 @@
 	switch {
 	case c.List:
 		for _, s := range Scenarios() {
-			fmt.Printf("%-10s %s (depth %d)\n", s.Name, s.About, s.Depth)
+			fmt.Printf("%-10s %s (depth %d)\n", s.Name, s.Description, s.Depth)
 		}
 		return nil
 	case c.Replay != "":
@@ -48,7 +48,7 @@
 			continue
 		}
 		found = true
-		s.Bounds.more(c.Faults)
+		s.Bounds.addFaults(c.Faults)
 		trace := c.check(s)
 		if trace == nil {
 			continue
@@ -109,12 +109,12 @@
 	switch {
 	case r.Found != nil:
 		text.WriteString("; broken")
-	case r.Cut == "":
+	case r.StoppedBy == "":
 		text.WriteString("; all states within the bounds")
-	case r.Cut == timeoutCut:
+	case r.StoppedBy == timeoutLimit:
 		fmt.Fprintf(&text, " not complete; cut off by timeout with %d states in the frontier", r.Frontier)
 	default:
-		fmt.Fprintf(&text, "; cut off by %s with %d states in the frontier", r.Cut, r.Frontier)
+		fmt.Fprintf(&text, "; cut off by %s with %d states in the frontier", r.StoppedBy, r.Frontier)
 	}
 	return text.String()
 }
@@ -144,7 +144,7 @@
 }
 
 // more adds to the bounds of each kind of fault.
-func (b *Bounds) more(faults int) {
+func (b *Bounds) addFaults(faults int) {
 	for _, bound := range []*int{&b.Reboots, &b.Crashes, &b.Losses, &b.Duplicates, &b.Skews, &b.Delays} {
 		*bound += faults
 	}
--- a/rehearsalkit/modelcheck/encode.go
+++ b/rehearsalkit/modelcheck/encode.go
@@ -29,7 +29,7 @@
 
 // unencoded are the types of fields that are no part of a machine's state:
 // counters, settings, and the output of the step before.
-var unencoded = map[reflect.Type]bool{
+var excludedTypes = map[reflect.Type]bool{
 	reflect.TypeFor[partition.Counters](): true,
 	reflect.TypeFor[partition.Params]():   true,
 	reflect.TypeFor[*partition.Output]():  true,
@@ -109,14 +109,14 @@
 	case reflect.Pointer:
 		e.pointer(v)
 	case reflect.Interface:
-		e.dynamic(v)
+		e.interfaceValue(v)
 	case reflect.Slice, reflect.Array:
-		e.list(v)
+		e.sequence(v)
 	case reflect.Map:
-		e.table(v)
+		e.mapValue(v)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if field := v.Field(i); !unencoded[field.Type()] {
+			if field := v.Field(i); !excludedTypes[field.Type()] {
 				e.encode(field)
 			}
 		}
@@ -135,7 +135,7 @@
 	e.encode(v.Elem())
 }
 
-func (e *encoder) dynamic(v reflect.Value) {
+func (e *encoder) interfaceValue(v reflect.Value) {
 	if v.IsNil() {
 		e.number(0)
 		return
@@ -144,10 +144,10 @@
 	e.encode(v.Elem())
 }
 
-func (e *encoder) list(v reflect.Value) {
+func (e *encoder) sequence(v reflect.Value) {
 	e.number(uint64(v.Len()))
 	if v.Type().Elem().Kind() == reflect.String {
-		e.seats(v)
+		e.names(v)
 		return
 	}
 	for i := range v.Len() {
@@ -157,7 +157,7 @@
 
 // seats writes a list of seats. Under a renaming the order does not count, or
 // no two states that differ by names would meet.
-func (e *encoder) seats(v reflect.Value) {
+func (e *encoder) names(v reflect.Value) {
 	names := make([]string, v.Len())
 	for i := range names {
 		names[i] = e.name(v.Index(i).String())
@@ -170,16 +170,16 @@
 	}
 }
 
-type tableRow struct {
+type mapEntry struct {
 	key   string
 	value reflect.Value
 }
 
-func (e *encoder) table(v reflect.Value) {
-	rows := make([]tableRow, 0, v.Len())
+func (e *encoder) mapValue(v reflect.Value) {
+	rows := make([]mapEntry, 0, v.Len())
 	for walk := v.MapRange(); walk.Next(); {
 		key := walk.Key()
-		row := tableRow{value: walk.Value()}
+		row := mapEntry{value: walk.Value()}
 		if key.Kind() == reflect.String {
 			row.key = e.name(key.String())
 		} else {
--- a/rehearsalkit/modelcheck/explore.go
+++ b/rehearsalkit/modelcheck/explore.go
@@ -32,8 +32,8 @@
 	Progress
 	// Cut says which limit ended it while states were left in the frontier; it is
 	// empty where all states within the bounds were visited.
-	Cut   string
-	Found *Trace
+	StoppedBy string
+	Found     *Trace
 }
 
 // node is a visited state's place in the tree of shortest traces.
@@ -53,10 +53,10 @@
 }
 
 // shards is over how many locks the set of visited states is spread.
-const shards = 64
+const shardCount = 64
 
 type visited struct {
-	parts [shards]struct {
+	shards [shardCount]struct {
 		lock sync.Mutex
 		set  map[digest]struct{}
 	}
@@ -64,21 +64,21 @@
 
 // add reports whether a state is new.
 func (v *visited) add(d digest) bool {
-	part := &v.parts[d[0]%shards]
-	part.lock.Lock()
-	defer part.lock.Unlock()
-	if _, ok := part.set[d]; ok {
+	shard := &v.shards[d[0]%shardCount]
+	shard.lock.Lock()
+	defer shard.lock.Unlock()
+	if _, ok := shard.set[d]; ok {
 		return false
 	}
-	if part.set == nil {
-		part.set = map[digest]struct{}{}
+	if shard.set == nil {
+		shard.set = map[digest]struct{}{}
 	}
-	part.set[d] = struct{}{}
+	shard.set[d] = struct{}{}
 	return true
 }
 
 // layer is what one worker makes of its share of a frontier.
-type layer struct {
+type expansion struct {
 	next        []*node
 	transitions int64
 	found       []*node
@@ -103,11 +103,11 @@
 	}
 	for {
 		report.Frontier, report.Elapsed = len(frontier), time.Since(began)
-		report.Cut = limits.cut(&report)
+		report.StoppedBy = limits.reached(&report)
 		if limits.Progress != nil {
 			limits.Progress(report.Progress)
 		}
-		if report.Frontier == 0 || report.Cut != "" {
+		if report.Frontier == 0 || report.StoppedBy != "" {
 			return report
 		}
 		merged := expandAll(frontier, seen, limits, began)
@@ -115,7 +115,7 @@
 		report.Transitions += merged.transitions
 		report.Distinct += len(merged.next) + len(merged.found)
 		if len(merged.found) > 0 {
-			report.Found = newTrace(scenario, least(merged.found))
+			report.Found = newTrace(scenario, firstByTrace(merged.found))
 			report.Elapsed = time.Since(began)
 			return report
 		}
@@ -126,31 +126,31 @@
 // Limits that may cut an exploration off. At the timeout the last depth is not
 // complete.
 const (
-	depthCut   = "depth"
-	statesCut  = "states"
-	timeoutCut = "timeout"
+	depthLimit   = "depth"
+	statesLimit  = "states"
+	timeoutLimit = "timeout"
 )
 
 // cut names the limit that an exploration has come to.
-func (l *Limits) cut(report *Report) string {
+func (l *Limits) reached(report *Report) string {
 	switch {
 	case report.Frontier == 0:
 		return ""
 	case report.Depth >= l.Depth:
-		return depthCut
+		return depthLimit
 	case l.States > 0 && report.Distinct >= l.States:
-		return statesCut
+		return statesLimit
 	case l.Timeout > 0 && report.Elapsed >= l.Timeout:
-		return timeoutCut
+		return timeoutLimit
 	}
 	return ""
 }
 
 // expandAll takes every action in every state of a frontier. After the timeout
 // the rest of the frontier is left.
-func expandAll(frontier []*node, seen *visited, limits Limits, began time.Time) layer {
+func expandAll(frontier []*node, seen *visited, limits Limits, began time.Time) expansion {
 	workers := max(1, limits.Workers)
-	layers := make([]layer, workers)
+	expansions := make([]expansion, workers)
 	var group sync.WaitGroup
 	var lock sync.Mutex
 	taken := 0
@@ -163,20 +163,20 @@
 		taken++
 		return frontier[taken-1]
 	}
-	for i := range layers {
+	for i := range expansions {
 		group.Go(func() {
 			for n := take(); n != nil; n = take() {
 				if limits.Timeout > 0 && time.Since(began) >= limits.Timeout {
-					layers[i].next = append(layers[i].next, n)
+					expansions[i].next = append(expansions[i].next, n)
 					continue
 				}
-				layers[i].expand(n, seen)
+				expansions[i].expand(n, seen)
 			}
 		})
 	}
 	group.Wait()
-	var merged layer
-	for _, l := range layers {
+	var merged expansion
+	for _, l := range expansions {
 		merged.next = append(merged.next, l.next...)
 		merged.found = append(merged.found, l.found...)
 		merged.transitions += l.transitions
@@ -184,20 +184,20 @@
 	return merged
 }
 
-func (l *layer) expand(n *node, seen *visited) {
+func (l *expansion) expand(n *node, seen *visited) {
 	for _, action := range n.world.Actions() {
 		next, err := n.world.Apply(action)
 		if err != nil {
 			continue
 		}
 		l.transitions++
-		if next.idle(n.world, action) {
+		if next.hasNoEffect(n.world, action) {
 			continue
 		}
 		if next.broken == nil && !seen.add(next.fingerprint()) {
 			continue
 		}
-		next.judgeDisks()
+		next.checkDisks()
 		fresh := &node{parent: n, action: action, world: next}
 		if next.broken != nil {
 			l.found = append(l.found, fresh)
@@ -210,7 +210,7 @@
 
 // least is the violation whose trace comes first, so that the same run names
 // the same one.
-func least(found []*node) *node {
+func firstByTrace(found []*node) *node {
 	return slices.MinFunc(found, func(a, b *node) int {
 		return slices.CompareFunc(a.trace(), b.trace(), func(x, y Action) int {
 			switch xs, ys := x.String(), y.String(); {
--- a/rehearsalkit/modelcheck/book.go
+++ b/rehearsalkit/modelcheck/history.go
@@ -9,7 +9,7 @@
 
 // book is what the world outside has seen: the values under their numbers, the
 // orders refused, and the groups committed. It is replaced, never changed.
-type book struct {
+type history struct {
 	// values has each number that was acknowledged or readable, and its value.
 	values map[uint64]string
 	latest uint64
@@ -34,17 +34,17 @@
 
 // Properties that are checked in every state.
 const (
-	OneValue    = "one value under a number for good"
-	Durable     = "what was acknowledged outlives a tolerated loss"
-	Fresh       = "no read older than an acknowledged write"
-	Intersect   = "quorums of consecutive groups intersect"
-	OneLease    = "one holder of a lease at any instant"
-	RefusedGone = "no order both refused and in force"
-	ChangeDone  = "a change reported done is agreed by the new group"
+	OneValue         = "one value under a number for good"
+	Durable          = "what was acknowledged outlives a tolerated loss"
+	FreshRead        = "no read older than an acknowledged write"
+	QuorumsIntersect = "quorums of consecutive groups intersect"
+	OneLease         = "one holder of a lease at any instant"
+	RefusedAbsent    = "no order both refused and in force"
+	ChangeDone       = "a change reported done is agreed by the new group"
 )
 
 // see notes a value that was acknowledged or could be read.
-func (b *book) see(number uint64, value string, how string) (*book, *Violation) {
+func (b *history) recordValue(number uint64, value string, how string) (*history, *Violation) {
 	if number == 0 {
 		return b, nil
 	}
@@ -53,7 +53,7 @@
 	case ok && known != value:
 		return b, violation(OneValue, "number %d was %q and is %q, %s", number, known, value, how)
 	case b.refused[value]:
-		return b, violation(RefusedGone, "%q under %d was refused and is in force, %s", value, number, how)
+		return b, violation(RefusedAbsent, "%q under %d was refused and is in force, %s", value, number, how)
 	case ok:
 		return b, nil
 	}
@@ -65,9 +65,9 @@
 }
 
 // refuse notes an order that was refused.
-func (b *book) refuse(order Order) (*book, *Violation) {
+func (b *history) recordRefusal(order Order) (*history, *Violation) {
 	if b.values[order.Number] == order.Value {
-		return b, violation(RefusedGone, "%q under %d is in force and was refused", order.Value, order.Number)
+		return b, violation(RefusedAbsent, "%q under %d is in force and was refused", order.Value, order.Number)
 	}
 	fresh := *b
 	fresh.refused = maps.Clone(b.refused)
@@ -76,12 +76,12 @@
 }
 
 // commit notes a group that an owner has reported as agreed.
-func (b *book) commit(group partition.Group) (*book, *Violation) {
+func (b *history) recordGroup(group partition.Group) (*history, *Violation) {
 	if !b.group.Before(group) {
 		return b, nil
 	}
 	if b.group.Epoch > 0 && !quorumsIntersect(b.group, group) {
-		return b, violation(Intersect, "group %v, %v was followed by %v, %v", b.group.Members, b.group.Former, group.Members, group.Former)
+		return b, violation(QuorumsIntersect, "group %v, %v was followed by %v, %v", b.group.Members, b.group.Former, group.Members, group.Former)
 	}
 	fresh := *b
 	fresh.group = group
@@ -90,15 +90,15 @@
 
 // quorumsIntersect tries all quorums of two groups.
 func quorumsIntersect(a, b partition.Group) bool {
-	seats := a.All()
-	for _, seat := range b.All() {
-		if !a.Has(seat) {
-			seats = append(seats, seat)
+	memberNames := a.All()
+	for _, member := range b.All() {
+		if !a.Has(member) {
+			memberNames = append(memberNames, member)
 		}
 	}
-	all := 1<<len(seats) - 1
+	all := 1<<len(memberNames) - 1
 	for chosen := range all + 1 {
-		if isQuorum(a, members(seats, chosen)) && isQuorum(b, members(seats, all&^chosen)) {
+		if isQuorum(a, subset(memberNames, chosen)) && isQuorum(b, subset(memberNames, all&^chosen)) {
 			return false
 		}
 	}
@@ -106,11 +106,11 @@
 }
 
 // members are the seats chosen by the bits of a number.
-func members(seats []string, chosen int) map[string]bool {
+func subset(memberNames []string, chosen int) map[string]bool {
 	set := map[string]bool{}
-	for i, seat := range seats {
+	for i, member := range memberNames {
 		if chosen&(1<<i) != 0 {
-			set[seat] = true
+			set[member] = true
 		}
 	}
 	return set
@@ -122,12 +122,12 @@
 	return isMajority(group.Members, set) && (len(group.Former) == 0 || isMajority(group.Former, set))
 }
 
-func isMajority(seats []string, set map[string]bool) bool {
+func isMajority(memberNames []string, set map[string]bool) bool {
 	count := 0
-	for _, seat := range seats {
-		if set[seat] {
+	for _, member := range memberNames {
+		if set[member] {
 			count++
 		}
 	}
-	return count > len(seats)/2
+	return count > len(memberNames)/2
 }
--- a/rehearsalkit/modelcheck/modelcheck_test.go
+++ b/rehearsalkit/modelcheck/modelcheck_test.go
@@ -11,7 +11,7 @@
 
 // smallDepths bound the exploration of each scenario in a test run. The command
 // goes as deep as it is told.
-var smallDepths = map[string]int{
+var testDepths = map[string]int{
 	"orders": 6, "again": 6, "replace": 7, "leave": 6, "catchup": 6, "read": 7, "cut": 7, "renewal": 7,
 	"orders5": 4, "again5": 4, "replace5": 5, "leave5": 4, "catchup5": 4, "read5": 5, "cut5": 5, "renewal5": 5, "restart5": 5,
 	"promise5": 4, "power5": 4, "unsynced5": 8, "leftover5": 4, "refusal5": 4,
@@ -21,7 +21,7 @@
 func TestScenariosHold(t *testing.T) {
 	for _, s := range Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
-			depth, ok := smallDepths[s.Name]
+			depth, ok := testDepths[s.Name]
 			if !ok {
 				t.Fatal("no depth for a test run")
 			}
@@ -60,10 +60,10 @@
 // stale when its process froze in between. The judge must see the difference.
 func TestPlaceOfLastLeaseCheck(t *testing.T) {
 	actions := []Action{
-		{Kind: BeginRead, Seat: "c"}, {Kind: Advance}, {Kind: Advance}, {Kind: Tick, Seat: "a"},
-		{Kind: Exchange, Message: "Stand", From: "a", Seat: "b"}, {Kind: Exchange, Message: "Stand", From: "a", Seat: "b"},
-		{Kind: Exchange, Message: "Write", From: "a", Seat: "b"}, {Kind: Propose, Seat: "a", Count: 1},
-		{Kind: Exchange, Message: "Write", From: "a", Seat: "b"}, {Kind: AnswerRead, Seat: "c"},
+		{Kind: BeginRead, Member: "c"}, {Kind: Advance}, {Kind: Advance}, {Kind: Tick, Member: "a"},
+		{Kind: Exchange, Message: "Stand", From: "a", Member: "b"}, {Kind: Exchange, Message: "Stand", From: "a", Member: "b"},
+		{Kind: Exchange, Message: "Write", From: "a", Member: "b"}, {Kind: Propose, Member: "a", Count: 1},
+		{Kind: Exchange, Message: "Write", From: "a", Member: "b"}, {Kind: AnswerRead, Member: "c"},
 	}
 	for _, late := range []bool{false, true} {
 		s, _ := Find("read")
@@ -79,7 +79,7 @@
 		switch {
 		case !late && w.broken != nil:
 			t.Error(w.broken)
-		case late && (w.broken == nil || w.broken.Property != Fresh):
+		case late && (w.broken == nil || w.broken.Property != FreshRead):
 			t.Errorf("a read judged by its end: %v", w.broken)
 		}
 	}
@@ -98,7 +98,7 @@
 			if digestOf(nil, fresh) != digestOf(nil, p.machine) {
 				t.Fatal("a clone differs from its source")
 			}
-			wantApart(t, reflect.ValueOf(p.machine).Elem(), reflect.ValueOf(fresh).Elem(), "machine")
+			requireDistinct(t, reflect.ValueOf(p.machine).Elem(), reflect.ValueOf(fresh).Elem(), "machine")
 		}
 		list := w.Actions()
 		next, err := w.Apply(list[len(list)/2])
@@ -113,7 +113,7 @@
 }
 
 // wantApart looks for maps, slices and pointers that two values share.
-func wantApart(t *testing.T, a, b reflect.Value, path string) {
+func requireDistinct(t *testing.T, a, b reflect.Value, path string) {
 	t.Helper()
 	switch a.Kind() {
 	case reflect.Map, reflect.Pointer:
@@ -126,12 +126,12 @@
 		}
 	case reflect.Struct:
 		for i := range a.NumField() {
-			wantApart(t, a.Field(i), b.Field(i), path+"."+a.Type().Field(i).Name)
+			requireDistinct(t, a.Field(i), b.Field(i), path+"."+a.Type().Field(i).Name)
 		}
 		return
 	}
-	if a.Kind() == reflect.Pointer && !a.IsNil() && !unencoded[a.Type()] {
-		wantApart(t, a.Elem(), b.Elem(), path)
+	if a.Kind() == reflect.Pointer && !a.IsNil() && !excludedTypes[a.Type()] {
+		requireDistinct(t, a.Elem(), b.Elem(), path)
 	}
 }
 
@@ -169,17 +169,17 @@
 // States that differ by the names of members that are alike count as one.
 func TestAlikeMembersAreOneState(t *testing.T) {
 	s, _ := Find("orders")
-	s.Alike, s.setup = []string{"b", "c"}, func(*World) {}
+	s.Interchangeable, s.setup = []string{"b", "c"}, func(*World) {}
 	w := s.Start()
 	var prints []digest
-	for _, seat := range []string{"b", "c"} {
-		next, err := w.Apply(Action{Kind: Crash, Seat: seat})
+	for _, member := range []string{"b", "c"} {
+		next, err := w.Apply(Action{Kind: Crash, Member: member})
 		if err != nil {
 			t.Fatal(err)
 		}
 		prints = append(prints, next.fingerprint())
 	}
-	owner, err := w.Apply(Action{Kind: Crash, Seat: "a"})
+	owner, err := w.Apply(Action{Kind: Crash, Member: "a"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,34 +189,34 @@
 }
 
 func TestQuorumsIntersect(t *testing.T) {
-	trio := partition.Group{Members: []string{"a", "b", "c"}}
-	joint := partition.Group{Members: []string{"a", "b", "d"}, Former: trio.Members}
+	threeMembers := partition.Group{Members: []string{"a", "b", "c"}}
+	joint := partition.Group{Members: []string{"a", "b", "d"}, Former: threeMembers.Members}
 	final := partition.Group{Members: joint.Members}
-	if !quorumsIntersect(trio, joint) || !quorumsIntersect(joint, final) || quorumsIntersect(trio, final) {
+	if !quorumsIntersect(threeMembers, joint) || !quorumsIntersect(joint, final) || quorumsIntersect(threeMembers, final) {
 		t.Error("quorums are counted wrong")
 	}
 }
 
 func TestBookSeesBrokenRules(t *testing.T) {
-	empty := &book{values: map[uint64]string{}, refused: map[string]bool{}}
-	one, broken := empty.see(1, "x", "")
+	empty := &history{values: map[uint64]string{}, refused: map[string]bool{}}
+	one, broken := empty.recordValue(1, "x", "")
 	if broken != nil || one.latest != 1 || empty.latest != 0 {
 		t.Fatal("a first value", broken)
 	}
-	if _, broken := one.see(1, "y", ""); broken == nil || broken.Property != OneValue {
+	if _, broken := one.recordValue(1, "y", ""); broken == nil || broken.Property != OneValue {
 		t.Error("a second value under a number:", broken)
 	}
-	if _, broken := one.refuse(Order{Number: 1, Value: "x"}); broken == nil || broken.Property != RefusedGone {
+	if _, broken := one.recordRefusal(Order{Number: 1, Value: "x"}); broken == nil || broken.Property != RefusedAbsent {
 		t.Error("refused and in force:", broken)
 	}
-	refused, _ := one.refuse(Order{Number: 2, Value: "y"})
-	if _, broken := refused.see(2, "y", ""); broken == nil || broken.Property != RefusedGone {
+	refused, _ := one.recordRefusal(Order{Number: 2, Value: "y"})
+	if _, broken := refused.recordValue(2, "y", ""); broken == nil || broken.Property != RefusedAbsent {
 		t.Error("in force after it was refused:", broken)
 	}
 }
 
 func TestTraceSurvivesItsFile(t *testing.T) {
-	trace := &Trace{Scenario: "orders", Violation: Violation{Property: Fresh, Detail: "d"}, Actions: []Action{{Kind: Advance}, {Kind: Tick, Seat: "a"}}}
+	trace := &Trace{Scenario: "orders", Violation: Violation{Property: FreshRead, Detail: "d"}, Actions: []Action{{Kind: Advance}, {Kind: Tick, Member: "a"}}}
 	path := filepath.Join(t.TempDir(), "trace.json")
 	if err := trace.Save(path); err != nil {
 		t.Fatal(err)
@@ -236,8 +236,8 @@
 		"depth": {Depth: 2}, "states": {Depth: 20, States: 500}, "timeout": {Depth: 40, Timeout: 50 * time.Millisecond},
 	} {
 		s, _ := Find("orders")
-		if r := Explore(s, limits); r.Cut != want || r.Frontier == 0 {
-			t.Errorf("%s: cut off by %q with %d in the frontier", want, r.Cut, r.Frontier)
+		if r := Explore(s, limits); r.StoppedBy != want || r.Frontier == 0 {
+			t.Errorf("%s: cut off by %q with %d in the frontier", want, r.StoppedBy, r.Frontier)
 		}
 	}
 }
@@ -252,7 +252,7 @@
 	s, _ = Find("read")
 	s.LateReads = true
 	r := Walk(s, Walks{Count: 20000, First: 1, Length: 30, Workers: 4})
-	if r.Found == nil || r.Found.Violation.Property != Fresh || len(r.Found.Actions) > 15 {
+	if r.Found == nil || r.Found.Violation.Property != FreshRead || len(r.Found.Actions) > 15 {
 		t.Errorf("%d walks: %v", r.Walks, r.Found)
 	}
 	t.Logf("%d walks, %v: %v", r.Walks, r.Elapsed, r.Found)
@@ -265,8 +265,8 @@
 		s, _ := Find(name)
 		w := s.Start()
 		for _, a := range []Action{
-			{Kind: Advance}, {Kind: Advance}, {Kind: Tick, Seat: "a"},
-			{Kind: Exchange, Message: "Stand", From: "a", Seat: "b"}, {Kind: Exchange, Message: "Stand", From: "a", Seat: "b"},
+			{Kind: Advance}, {Kind: Advance}, {Kind: Tick, Member: "a"},
+			{Kind: Exchange, Message: "Stand", From: "a", Member: "b"}, {Kind: Exchange, Message: "Stand", From: "a", Member: "b"},
 		} {
 			next, err := w.Apply(a)
 			if err != nil {
@@ -276,11 +276,11 @@
 		}
 		for _, kind := range []string{"Stand", "Write"} {
 			// Where copies differ, their entries are asked for once more.
-			if next, err := w.Apply(Action{Kind: Exchange, Message: kind, From: "a", Seat: "b"}); err == nil {
+			if next, err := w.Apply(Action{Kind: Exchange, Message: kind, From: "a", Member: "b"}); err == nil {
 				w = next
 			}
 		}
-		if !w.processes[w.find("a")].owns(w.now) {
+		if !w.processes[w.indexOf("a")].leads(w.now) {
 			t.Errorf("%s: %v", name, w)
 		}
 	}
--- a/rehearsalkit/modelcheck/process.go
+++ b/rehearsalkit/modelcheck/process.go
@@ -9,7 +9,7 @@
 
 // process is one replica: its machine, its disk, and what waits for the disk.
 type process struct {
-	seat string
+	member string
 	// machine is nil while the process is down.
 	machine *partition.Machine
 	// skew is by how much its clock has run fast.
@@ -18,7 +18,7 @@
 	disk    partition.State
 	pending []partition.Record
 	// held are synced messages that wait for the records before them.
-	held []packet
+	awaitingSync []packet
 	// slow: syncs of its disk are steps of their own, else they are done at once.
 	slow bool
 	// lost: it is gone for good, and its disk with it.
@@ -29,9 +29,9 @@
 	// What follows from the rest, once it was asked for: digests under each
 	// renaming and of the disk, and what a read would return without and with
 	// a lease.
-	digests  []digest
-	stored   *digest
-	readable [2]*recovery
+	digests      []digest
+	storedDigest *digest
+	readable     [2]*recovery
 }
 
 // clone copies a process, its machine included.
@@ -41,17 +41,17 @@
 		fresh.machine = cloneMachine(p.machine)
 	}
 	fresh.pending = append([]partition.Record(nil), p.pending...)
-	fresh.held = append([]packet(nil), p.held...)
+	fresh.awaitingSync = append([]packet(nil), p.awaitingSync...)
 	fresh.digests, fresh.readable = nil, [2]*recovery{}
 	return &fresh
 }
 
 // store brings the disk up to some records.
-func (p *process) store(records []partition.Record) {
+func (p *process) writeDisk(records []partition.Record) {
 	if len(records) == 0 {
 		return
 	}
-	p.disk.Entries, p.stored = maps.Clone(p.disk.Entries), nil
+	p.disk.Entries, p.storedDigest = maps.Clone(p.disk.Entries), nil
 	for _, record := range records {
 		p.disk.Apply(record)
 	}
@@ -59,19 +59,19 @@
 
 // start begins a new life of the process with what its disk holds.
 func (p *process) start(now time.Duration) {
-	p.machine = newMachine(p.seat, p.disk, now+p.skew)
+	p.machine = newMachine(p.member, p.disk, now+p.skew)
 	p.agreed = partition.Group{}
 }
 
 // crash ends the process. Of the records that were not synced the first kept
 // ones are on the disk all the same.
 func (p *process) crash(kept int) {
-	p.store(p.pending[:kept])
-	p.machine, p.pending, p.held = nil, nil, nil
+	p.writeDisk(p.pending[:kept])
+	p.machine, p.pending, p.awaitingSync = nil, nil, nil
 }
 
 // owns reports whether the process owns the part at a true time.
-func (p *process) owns(now time.Duration) bool {
+func (p *process) leads(now time.Duration) bool {
 	if p.machine == nil {
 		return false
 	}
@@ -80,11 +80,11 @@
 }
 
 // digestUnder is the digest of the process under one of the renamings.
-func (p *process) digestUnder(renamings []map[string]string, n int) digest {
+func (p *process) digestFor(renamings []map[string]string, n int) digest {
 	if p.digests == nil {
 		digests := make([]digest, len(renamings))
 		for i, renaming := range renamings {
-			digests[i] = digestOf(renaming, p.seat, p.machine, p.skew, p.disk, p.pending, p.held, p.lost)
+			digests[i] = digestOf(renaming, p.member, p.machine, p.skew, p.disk, p.pending, p.awaitingSync, p.lost)
 		}
 		p.digests = digests
 	}
@@ -94,19 +94,19 @@
 // Timing of the checked machines, in quanta of true time: a lease lasts two, a
 // replica keeps its word for three, and renewals go out once in a quantum.
 const (
-	quantum   = 50 * time.Millisecond
-	ownerTerm = 2 * quantum
-	drift     = 0.5
-	renewals  = 2
-	noSweeps  = 1 << 20
+	quantum        = 50 * time.Millisecond
+	leaseDuration  = 2 * quantum
+	drift          = 0.5
+	renewals       = 2
+	leasesPerSweep = 1 << 20
 )
 
 // newMachine makes the shipped machine, with a copy that is its own.
-func newMachine(seat string, disk partition.State, now time.Duration) *partition.Machine {
+func newMachine(member string, disk partition.State, now time.Duration) *partition.Machine {
 	disk.Entries = maps.Clone(disk.Entries)
 	return partition.New(partition.Options{
-		Params: partition.Params{LeaseDuration: ownerTerm, Drift: drift, RenewalsPerLease: renewals, LeasesPerSweep: noSweeps},
-		Member: seat,
+		Params: partition.Params{LeaseDuration: leaseDuration, Drift: drift, RenewalsPerLease: renewals, LeasesPerSweep: leasesPerSweep},
+		Member: member,
 		Rules:  registerRules{},
 		State:  disk,
 		Now:    now,
--- a/rehearsalkit/modelcheck/properties.go
+++ b/rehearsalkit/modelcheck/properties.go
@@ -13,51 +13,51 @@
 
 // judge looks for a broken property in a state that was just reached. What
 // depends on the disks alone is left to judgeDisks.
-func (w *World) judge() {
+func (w *World) checkState() {
 	var holders []string
 	for _, p := range w.processes {
-		if p.owns(w.now) {
-			holders = append(holders, p.seat)
+		if p.leads(w.now) {
+			holders = append(holders, p.member)
 		}
 	}
 	if len(holders) > 1 {
-		w.breaks(violation(OneLease, "%s hold it at %v", strings.Join(holders, " and "), w.now))
+		w.recordViolation(violation(OneLease, "%s hold it at %v", strings.Join(holders, " and "), w.now))
 	}
 	for _, p := range w.processes {
-		if p.machine != nil && !w.frozen(p.seat) {
-			w.read(p)
+		if p.machine != nil && !w.frozen(p.member) {
+			w.checkReadAt(p)
 		}
 	}
 }
 
 // read judges what a read at a process would return now, if it would at once.
 // Whether the lease still holds is asked by the machine, not here.
-func (w *World) read(p *process) {
+func (w *World) checkReadAt(p *process) {
 	if _, serving := p.machine.CommittedVersion(); !serving {
 		return
 	}
 	known := &p.readable[0]
-	if p.owns(w.now) {
+	if p.leads(w.now) {
 		known = &p.readable[1]
 	}
 	if *known == nil {
-		r := served(cloneMachine(p.machine), w.now+p.skew)
+		r := immediateRead(cloneMachine(p.machine), w.now+p.skew)
 		*known = &r
 	}
-	if (*known).owned {
-		w.judgeRead((*known).value, "read at "+p.seat)
+	if (*known).leading {
+		w.checkRead((*known).value, "read at "+p.member)
 	}
 }
 
-func (w *World) judgeRead(value Register, how string) {
-	if value.Number < w.book.latest {
-		w.breaks(violation(Fresh, "%d was acknowledged and %d is %s", w.book.latest, value.Number, how))
+func (w *World) checkRead(value Register, how string) {
+	if value.Number < w.history.latest {
+		w.recordViolation(violation(FreshRead, "%d was acknowledged and %d is %s", w.history.latest, value.Number, how))
 		return
 	}
 	for _, past := range value.Past {
 		var broken *Violation
-		w.book, broken = w.book.see(past.Number, past.Value, how)
-		w.breaks(broken)
+		w.history, broken = w.history.recordValue(past.Number, past.Value, how)
+		w.recordViolation(broken)
 	}
 }
 
@@ -65,75 +65,75 @@
 // and froze then.
 func (w *World) answerRead(p *process) {
 	w.reading.Asked = true
-	w.take(p, p.machine.Propose(w.reading.Sampled, readTicket, readRegister{}))
+	w.perform(p, p.machine.Propose(w.reading.Sampled, readRequestID, readRegister{}))
 }
 
 // readAnswered judges a read that ends. What counts is what was acknowledged
 // before it came.
-func (w *World) readAnswered(p *process, r partition.Result) {
+func (w *World) checkAnsweredRead(p *process, r partition.Result) {
 	latest := w.reading.Latest
 	if w.scenario.LateReads {
-		latest = w.book.latest
+		latest = w.history.latest
 	}
 	w.reading = reading{}
 	if value, ok := r.Body.(Register); ok && value.Number < latest {
-		w.breaks(violation(Fresh, "%d was acknowledged before the read came to %s, which says %d", latest, p.seat, value.Number))
+		w.recordViolation(violation(FreshRead, "%d was acknowledged before the read came to %s, which says %d", latest, p.member, value.Number))
 	}
 }
 
 // recovery is what a set of processes has when all others are gone.
 type recovery struct {
-	owned bool
-	value Register
+	leading bool
+	value   Register
 }
 
 // recoveries remembers recoveries by the disks that they start from: many
 // states share their disks.
-type recoveries struct {
+type recoveryCache struct {
 	lock  sync.Mutex
 	known map[digest]recovery
 }
 
 // judgeDisks restarts every set of two or three processes from its synced disks,
 // with all others gone, and judges what the owner that they elect would serve.
-func (w *World) judgeDisks() {
+func (w *World) checkDisks() {
 	alive := make([]string, 0, len(w.processes))
 	for _, p := range w.processes {
 		if !p.lost {
-			alive = append(alive, p.seat)
+			alive = append(alive, p.member)
 		}
 	}
 	for chosen := range 1 << len(alive) {
-		set := members(alive, chosen)
+		set := subset(alive, chosen)
 		if len(set) < 2 || len(set) > 3 {
 			continue
 		}
 		r := w.recovery(set)
-		if !r.owned {
+		if !r.leading {
 			continue
 		}
-		how := fmt.Sprintf("what %v have after a restart without the others", listed(alive, set))
-		w.judgeRecovery(r.value, how)
+		how := fmt.Sprintf("what %v have after a restart without the others", chosenMembers(alive, set))
+		w.checkRecovery(r.value, how)
 	}
 }
 
-func (w *World) judgeRecovery(value Register, how string) {
-	if value.Number < w.book.latest {
-		w.breaks(violation(Durable, "%d was acknowledged and %d is %s", w.book.latest, value.Number, how))
+func (w *World) checkRecovery(value Register, how string) {
+	if value.Number < w.history.latest {
+		w.recordViolation(violation(Durable, "%d was acknowledged and %d is %s", w.history.latest, value.Number, how))
 	}
-	recovered := w.book
+	recovered := w.history
 	for _, past := range value.Past {
 		var broken *Violation
-		recovered, broken = recovered.see(past.Number, past.Value, how)
-		w.breaks(broken)
+		recovered, broken = recovered.recordValue(past.Number, past.Value, how)
+		w.recordViolation(broken)
 	}
 }
 
-func listed(alive []string, set map[string]bool) []string {
+func chosenMembers(alive []string, set map[string]bool) []string {
 	var list []string
-	for _, seat := range alive {
-		if set[seat] {
-			list = append(list, seat)
+	for _, member := range alive {
+		if set[member] {
+			list = append(list, member)
 		}
 	}
 	return list
@@ -142,11 +142,11 @@
 func (w *World) recovery(set map[string]bool) recovery {
 	var key digest
 	for _, p := range w.processes {
-		if set[p.seat] {
+		if set[p.member] {
 			key = key.plus(p.diskDigest())
 		}
 	}
-	known := &w.scenario.recoveries
+	known := &w.scenario.recoveryCache
 	known.lock.Lock()
 	r, ok := known.known[key]
 	known.lock.Unlock()
@@ -155,8 +155,8 @@
 	}
 	disks := map[string]partition.State{}
 	for _, p := range w.processes {
-		if set[p.seat] {
-			disks[p.seat] = p.disk
+		if set[p.member] {
+			disks[p.member] = p.disk
 		}
 	}
 	r = recoverFrom(disks)
@@ -167,11 +167,11 @@
 }
 
 func (p *process) diskDigest() digest {
-	if p.stored == nil {
-		d := digestOf(nil, p.seat, p.disk)
-		p.stored = &d
+	if p.storedDigest == nil {
+		d := digestOf(nil, p.member, p.disk)
+		p.storedDigest = &d
 	}
-	return *p.stored
+	return *p.storedDigest
 }
 
 // recoverySteps is how many quanta a recovery may take: long enough for all
@@ -183,21 +183,21 @@
 func recoverFrom(disks map[string]partition.State) recovery {
 	scenario := Scenario{Members: []string{}, renamings: []map[string]string{nil}}
 	w := newWorld(&scenario)
-	for _, seat := range ordered.Keys(disks) {
-		p := &process{seat: seat, disk: disks[seat]}
+	for _, member := range ordered.Keys(disks) {
+		p := &process{member: member, disk: disks[member]}
 		p.disk.Entries = maps.Clone(p.disk.Entries)
 		p.start(0)
 		w.processes = append(w.processes, p)
-		w.touched[len(w.processes)-1] = true
+		w.copied[len(w.processes)-1] = true
 	}
 	for range recoverySteps {
 		w.now += quantum
 		for _, p := range w.processes {
-			w.take(p, p.machine.Tick(w.now))
-			w.settle()
+			w.perform(p, p.machine.Tick(w.now))
+			w.deliverAll()
 		}
 		for _, p := range w.processes {
-			if r := served(p.machine, w.now); r.owned {
+			if r := immediateRead(p.machine, w.now); r.leading {
 				return r
 			}
 		}
@@ -207,25 +207,25 @@
 
 // served is what a read at a machine returns, where it answers at once: it owns
 // the part and nothing is on its way to be agreed.
-func served(m *partition.Machine, now time.Duration) recovery {
-	for _, r := range m.Propose(now, readTicket, readRegister{}).Results {
-		if value, ok := r.Body.(Register); ok && r.RequestID == readTicket {
-			return recovery{owned: true, value: value}
+func immediateRead(m *partition.Machine, now time.Duration) recovery {
+	for _, r := range m.Propose(now, readRequestID, readRegister{}).Results {
+		if value, ok := r.Body.(Register); ok && r.RequestID == readRequestID {
+			return recovery{leading: true, value: value}
 		}
 	}
 	return recovery{}
 }
 
 // settle delivers all messages in the order in which they were sent.
-func (w *World) settle() {
+func (w *World) deliverAll() {
 	for len(w.network) > 0 {
-		one := w.network[0].packet
+		msg := w.network[0].packet
 		w.network = w.network[1:]
-		if p := w.touch(one.To); p.machine != nil {
-			w.take(p, p.machine.Receive(w.now+p.skew, one.From, one.Body))
+		if p := w.mutableProcess(msg.To); p.machine != nil {
+			w.perform(p, p.machine.Receive(w.now+p.skew, msg.From, msg.Body))
 		}
 	}
 }
 
 // pass lets quanta go by.
-func (w *World) pass(quanta int) { w.now += time.Duration(quanta) * quantum }
+func (w *World) advance(quanta int) { w.now += time.Duration(quanta) * quantum }
--- a/rehearsalkit/modelcheck/register.go
+++ b/rehearsalkit/modelcheck/register.go
@@ -31,7 +31,7 @@
 type readRegister struct{}
 
 // Ordered answers an order: it is in force, or another one came first.
-type Ordered struct {
+type OrderResult struct {
 	OK     bool
 	Number uint64
 }
@@ -50,14 +50,14 @@
 		return old
 	}
 	if raw, ok := tx.Get(orderPrefix + order.Value); ok && decode[Order](raw) == order {
-		return Ordered{OK: true, Number: order.Number}
+		return OrderResult{OK: true, Number: order.Number}
 	}
 	if old.Number != order.Base || order.Number <= old.Number {
-		return Ordered{Number: old.Number}
+		return OrderResult{Number: old.Number}
 	}
 	tx.Put(registerKey, message.Marshal(Register{Number: order.Number, Value: order.Value}))
 	tx.Put(orderPrefix+order.Value, message.Marshal(order))
-	return Ordered{OK: true, Number: order.Number}
+	return OrderResult{OK: true, Number: order.Number}
 }
 
 func currentRegister(tx *partition.Tx) Register {
--- a/rehearsalkit/modelcheck/scenario.go
+++ b/rehearsalkit/modelcheck/scenario.go
@@ -18,57 +18,57 @@
 
 // Scenario is a start and the bounds of what may come after it.
 type Scenario struct {
-	Name, About     string
-	Members, Spares []string
-	Orders          []Order
-	Changes         []Change
-	Bounds          Bounds
+	Name, Description string
+	Members, Spares   []string
+	Orders            []Order
+	Changes           []Change
+	Bounds            Bounds
 	// SlowDisks are the members whose syncs are steps of their own.
 	SlowDisks []string
 	// LateReads judges a read as if it had come when it was answered; only tests
 	// of the checker set it.
 	LateReads bool
 	// Alike are the members that may be exchanged by name.
-	Alike []string
-	Depth int
+	Interchangeable []string
+	Depth           int
 
 	// companions take part in every settling of the setup.
-	companions []string
-	setup      func(*World)
-	renamings  []map[string]string
-	recoveries recoveries
+	setupFollowers []string
+	setup          func(*World)
+	renamings      []map[string]string
+	recoveryCache  recoveryCache
 }
 
 // Start is the scenario's first state.
 func (s *Scenario) Start() *World {
-	s.renamings = renamings(s.Alike)
-	s.recoveries.known = map[digest]recovery{}
+	s.renamings = renamings(s.Interchangeable)
+	s.recoveryCache.known = map[digest]recovery{}
 	w := newWorld(s)
 	for i := range w.processes {
-		w.touched[i] = true
+		w.copied[i] = true
 	}
 	s.setup(w)
-	w.touched, w.spent = map[int]bool{}, spent{Attempts: w.spent.Attempts}
+	w.copied, w.usage = map[int]bool{}, usage{Attempts: w.usage.Attempts}
 	for _, p := range w.processes {
 		p.digests = nil
-		p.slow = p.slow || slices.Contains(s.SlowDisks, p.seat)
+		p.slow = p.slow || slices.Contains(s.SlowDisks, p.member)
 	}
-	w.judge()
-	w.judgeDisks()
+	w.checkState()
+	w.checkDisks()
 	return w
 }
 
 // renamings are all ways to exchange some seats' names. The first one changes
 // nothing, and is nil where there is no other.
-func renamings(alike []string) []map[string]string {
-	if len(alike) < 2 {
+func renamings(interchangeable []string) []map[string]string {
+	if len(interchangeable) < 2 {
 		return []map[string]string{nil}
 	}
 	var all []map[string]string
-	permute(slices.Clone(alike), 0, func(names []string) {
+	permute(slices.Clone(interchangeable), 0, func(names []string) {
 		renaming := map[string]string{}
-		for i, seat := range alike {
-			renaming[seat] = names[i]
+		for i, member := range interchangeable {
+			renaming[member] = names[i]
 		}
 		all = append(all, renaming)
 	})
@@ -89,50 +89,50 @@
 
 // elect makes a seat the owner, with the votes of the given others alone: what
 // is sent to anybody else is lost.
-func (w *World) elect(seat string, voters ...string) {
+func (w *World) elect(member string, voters ...string) {
 	for range recoverySteps {
-		p := w.touch(seat)
-		if p.owns(w.now) {
+		p := w.mutableProcess(member)
+		if p.leads(w.now) {
 			return
 		}
-		w.pass(1)
-		w.take(p, p.machine.Tick(w.now))
-		w.settleAmong(append(voters, seat)...)
+		w.advance(1)
+		w.perform(p, p.machine.Tick(w.now))
+		w.deliverAmong(append(voters, member)...)
 	}
-	panic("modelcheck: " + seat + " did not come to own the part")
+	panic("modelcheck: " + member + " did not come to own the part")
 }
 
 // settleAmong delivers messages among some seats and loses all others.
-func (w *World) settleAmong(seats ...string) {
-	seats = append(slices.Clone(seats), w.scenario.companions...)
+func (w *World) deliverAmong(memberNames ...string) {
+	memberNames = append(slices.Clone(memberNames), w.scenario.setupFollowers...)
 	for len(w.network) > 0 {
-		one := w.network[0].packet
+		msg := w.network[0].packet
 		w.network = w.network[1:]
-		if p := w.touch(one.To); slices.Contains(seats, one.To) && slices.Contains(seats, one.From) && p.machine != nil {
-			w.take(p, p.machine.Receive(w.now+p.skew, one.From, one.Body))
+		if p := w.mutableProcess(msg.To); slices.Contains(memberNames, msg.To) && slices.Contains(memberNames, msg.From) && p.machine != nil {
+			w.perform(p, p.machine.Receive(w.now+p.skew, msg.From, msg.Body))
 		}
 	}
 }
 
 // propose hands an order to an owner in a setup; its messages stay in flight.
-func (w *World) propose(seat string, n int) {
-	p := w.touch(seat)
-	w.take(p, p.machine.Propose(w.now, w.orderTicket(n), w.scenario.Orders[n]))
+func (w *World) propose(member string, n int) {
+	p := w.mutableProcess(member)
+	w.perform(p, p.machine.Propose(w.now, w.orderRequestID(n), w.scenario.Orders[n]))
 }
 
 // order hands an order to an owner in a setup, and some others take it.
-func (w *World) order(seat string, n int, takers ...string) {
-	w.propose(seat, n)
-	w.settleAmong(append(takers, seat)...)
+func (w *World) commitOrder(member string, n int, takers ...string) {
+	w.propose(member, n)
+	w.deliverAmong(append(takers, member)...)
 }
 
 // bring delivers the first message of a kind on its way between two seats.
-func (w *World) bring(from, to, kind string) {
+func (w *World) deliverFirst(from, to, kind string) {
 	for i, f := range w.network {
 		if f.packet.From == from && f.packet.To == to && f.packet.kind() == kind {
 			w.network = append(w.network[:i:i], w.network[i+1:]...)
-			p := w.touch(to)
-			w.take(p, p.machine.Receive(w.now+p.skew, from, f.packet.Body))
+			p := w.mutableProcess(to)
+			w.perform(p, p.machine.Receive(w.now+p.skew, from, f.packet.Body))
 			return
 		}
 	}
@@ -140,7 +140,7 @@
 }
 
 // tick lets a process look at its clock in a setup; its messages stay in flight.
-func (w *World) tick(seat string) {
-	p := w.touch(seat)
-	w.take(p, p.machine.Tick(w.now+p.skew))
+func (w *World) tick(member string) {
+	p := w.mutableProcess(member)
+	w.perform(p, p.machine.Tick(w.now+p.skew))
 }
--- a/rehearsalkit/modelcheck/scenarios.go
+++ b/rehearsalkit/modelcheck/scenarios.go
@@ -1,7 +1,7 @@
 package modelcheck
 
 // trio is the group of most scenarios; the fourth is a spare.
-var trio = []string{"a", "b", "c"}
+var threeMembers = []string{"a", "b", "c"}
 
 const spare = "d"
 
@@ -9,20 +9,20 @@
 
 // nearSuccession has an owner whose lease ends after one more quantum, and a
 // member that may stand after two.
-func nearSuccession(w *World) {
+func nearLeaseEnd(w *World) {
 	w.elect("c", "a", "b")
-	w.pass(1)
+	w.advance(1)
 }
 
 // settled is an owner with one order that all have taken.
-func settled(w *World) {
+func withAcceptedOrder(w *World) {
 	electedByAll(w)
-	w.order("a", 0, "b", "c", spare)
+	w.commitOrder("a", 0, "b", "c", spare)
 }
 
 // Scenarios are all that the checker knows.
 func Scenarios() []*Scenario {
-	return withFives([]*Scenario{
+	return addFiveMemberScenarios([]*Scenario{
 		ordersScenario(),
 		againScenario(),
 		replaceScenario(),
@@ -54,60 +54,60 @@
 // ordersScenario: two leaders and two orders based on one version.
 func ordersScenario() *Scenario {
 	return &Scenario{
-		Name:    "orders",
-		About:   "two leaders and two orders based on one version",
-		Members: trio,
-		Orders:  []Order{{0, 1, "x"}, {0, 1, "y"}},
-		Bounds:  Bounds{Delays: 1, Advances: 3, Reboots: 2, Attempts: 1},
-		Alike:   []string{"a", "b"},
-		Depth:   9,
-		setup:   nearSuccession,
+		Name:            "orders",
+		Description:     "two leaders and two orders based on one version",
+		Members:         threeMembers,
+		Orders:          []Order{{0, 1, "x"}, {0, 1, "y"}},
+		Bounds:          Bounds{Delays: 1, Advances: 3, Reboots: 2, Attempts: 1},
+		Interchangeable: []string{"a", "b"},
+		Depth:           9,
+		setup:           nearLeaseEnd,
 	}
 }
 
 // againScenario: an order sent again through another member after its answer was lost.
 func againScenario() *Scenario {
 	return &Scenario{
-		Name:    "again",
-		About:   "an order sent again through another member after its answer was lost",
-		Members: trio,
-		Orders:  []Order{{0, 1, "x"}, {0, 1, "y"}},
-		Bounds:  Bounds{Delays: 1, Advances: 3, Crashes: 1, Duplicates: 1, Attempts: 2},
-		Alike:   []string{"a", "b"},
-		Depth:   9,
-		setup:   nearSuccession,
+		Name:            "again",
+		Description:     "an order sent again through another member after its answer was lost",
+		Members:         threeMembers,
+		Orders:          []Order{{0, 1, "x"}, {0, 1, "y"}},
+		Bounds:          Bounds{Delays: 1, Advances: 3, Crashes: 1, Duplicates: 1, Attempts: 2},
+		Interchangeable: []string{"a", "b"},
+		Depth:           9,
+		setup:           nearLeaseEnd,
 	}
 }
 
 // replaceScenario: replacement of a member, then a second loss, at every step of it.
 func replaceScenario() *Scenario {
 	return &Scenario{
-		Name:    "replace",
-		About:   "replacement of a member, then a second loss, at every step of it",
-		Members: trio,
-		Spares:  []string{spare},
-		Orders:  []Order{{0, 1, "x"}, {1, 2, "y"}},
-		Changes: []Change{{Add: spare, Remove: "c"}},
-		Bounds:  Bounds{Delays: 1, Advances: 1, Losses: 2, Attempts: 1},
-		Depth:   9,
-		setup:   settled,
+		Name:        "replace",
+		Description: "replacement of a member, then a second loss, at every step of it",
+		Members:     threeMembers,
+		Spares:      []string{spare},
+		Orders:      []Order{{0, 1, "x"}, {1, 2, "y"}},
+		Changes:     []Change{{Add: spare, Remove: "c"}},
+		Bounds:      Bounds{Delays: 1, Advances: 1, Losses: 2, Attempts: 1},
+		Depth:       9,
+		setup:       withAcceptedOrder,
 	}
 }
 
 // leaveScenario: a member that leaves while holding the only complete copy besides the owner's, at every step.
 func leaveScenario() *Scenario {
 	return &Scenario{
-		Name:    "leave",
-		About:   "a member that leaves while holding the only complete copy besides the owner's, at every step",
-		Members: trio,
-		Spares:  []string{spare},
-		Orders:  []Order{{0, 1, "x"}, {1, 2, "y"}},
-		Changes: []Change{{Add: spare, Remove: "a"}},
-		Bounds:  Bounds{Delays: 1, Advances: 1, Losses: 1, Leaves: 1, Attempts: 1},
-		Depth:   9,
+		Name:        "leave",
+		Description: "a member that leaves while holding the only complete copy besides the owner's, at every step",
+		Members:     threeMembers,
+		Spares:      []string{spare},
+		Orders:      []Order{{0, 1, "x"}, {1, 2, "y"}},
+		Changes:     []Change{{Add: spare, Remove: "a"}},
+		Bounds:      Bounds{Delays: 1, Advances: 1, Losses: 1, Leaves: 1, Attempts: 1},
+		Depth:       9,
 		setup: func(w *World) {
 			electedByAll(w)
-			w.order("a", 0, "b")
+			w.commitOrder("a", 0, "b")
 		},
 	}
 }
@@ -115,16 +115,16 @@
 // catchupScenario: a member that missed orders restarts, catches up while orders come, and leads.
 func catchupScenario() *Scenario {
 	return &Scenario{
-		Name:    "catchup",
-		About:   "a member that missed orders restarts, catches up while orders come, and leads",
-		Members: trio,
-		Orders:  []Order{{0, 1, "x"}, {1, 2, "y"}},
-		Bounds:  Bounds{Delays: 1, Advances: 3, Reboots: 1, Crashes: 1, Attempts: 1},
-		Depth:   9,
+		Name:        "catchup",
+		Description: "a member that missed orders restarts, catches up while orders come, and leads",
+		Members:     threeMembers,
+		Orders:      []Order{{0, 1, "x"}, {1, 2, "y"}},
+		Bounds:      Bounds{Delays: 1, Advances: 3, Reboots: 1, Crashes: 1, Attempts: 1},
+		Depth:       9,
 		setup: func(w *World) {
 			w.elect("c", "a", "b")
-			w.order("c", 0, "b")
-			w.pass(1)
+			w.commitOrder("c", 0, "b")
+			w.advance(1)
 		},
 	}
 }
@@ -132,16 +132,16 @@
 // readScenario: a lease read against a successor's write, with clocks that drift.
 func readScenario() *Scenario {
 	return &Scenario{
-		Name:    "read",
-		About:   "a lease read against a successor's write, with clocks that drift",
-		Members: trio,
-		Orders:  []Order{{0, 1, "x"}, {1, 2, "y"}},
-		Bounds:  Bounds{Advances: 3, Skews: 2, Attempts: 1, Reads: true},
-		Depth:   9,
+		Name:        "read",
+		Description: "a lease read against a successor's write, with clocks that drift",
+		Members:     threeMembers,
+		Orders:      []Order{{0, 1, "x"}, {1, 2, "y"}},
+		Bounds:      Bounds{Advances: 3, Skews: 2, Attempts: 1, Reads: true},
+		Depth:       9,
 		setup: func(w *World) {
 			w.elect("c", "a", "b")
-			w.order("c", 0, "a", "b")
-			w.pass(1)
+			w.commitOrder("c", 0, "a", "b")
+			w.advance(1)
 		},
 	}
 }
@@ -149,21 +149,21 @@
 // cutScenario: a member that the owner's renewals do not reach wants to own the part.
 func cutScenario() *Scenario {
 	return &Scenario{
-		Name:    "cut",
-		About:   "a member that the owner's renewals do not reach wants to own the part",
-		Members: trio,
-		Orders:  []Order{{0, 1, "x"}, {1, 2, "y"}},
-		Bounds:  Bounds{Advances: 2, Reboots: 1, Attempts: 1},
-		Depth:   8,
+		Name:        "cut",
+		Description: "a member that the owner's renewals do not reach wants to own the part",
+		Members:     threeMembers,
+		Orders:      []Order{{0, 1, "x"}, {1, 2, "y"}},
+		Bounds:      Bounds{Advances: 2, Reboots: 1, Attempts: 1},
+		Depth:       8,
 		setup: func(w *World) {
 			w.elect("c", "a", "b")
-			w.order("c", 0, "a", "b")
+			w.commitOrder("c", 0, "a", "b")
 			for range 2 {
-				w.pass(1)
+				w.advance(1)
 				w.tick("c")
-				w.settleAmong("c", "b")
+				w.deliverAmong("c", "b")
 			}
-			w.pass(1)
+			w.advance(1)
 		},
 	}
 }
@@ -171,20 +171,20 @@
 // renewalScenario: the owner's renewals are answered, and the answers come late.
 func renewalScenario() *Scenario {
 	return &Scenario{
-		Name:    "renewal",
-		About:   "the owner's renewals are answered, and the answers come late",
-		Members: trio,
-		Orders:  []Order{{0, 1, "x"}},
-		Bounds:  Bounds{Advances: 2, Delays: 1},
-		Depth:   9,
+		Name:        "renewal",
+		Description: "the owner's renewals are answered, and the answers come late",
+		Members:     threeMembers,
+		Orders:      []Order{{0, 1, "x"}},
+		Bounds:      Bounds{Advances: 2, Delays: 1},
+		Depth:       9,
 		setup: func(w *World) {
 			w.elect("c", "a", "b")
-			w.order("c", 0, "a", "b")
-			w.pass(1)
+			w.commitOrder("c", 0, "a", "b")
+			w.advance(1)
 			w.tick("c")
-			w.bring("c", "a", "Renew")
-			w.bring("c", "b", "Renew")
-			w.pass(2)
+			w.deliverFirst("c", "a", "Renew")
+			w.deliverFirst("c", "b", "Renew")
+			w.advance(2)
 		},
 	}
 }
@@ -192,15 +192,15 @@
 // restartScenario: members that renewed the owner's lease restart.
 func restartScenario() *Scenario {
 	return &Scenario{
-		Name:    "restart",
-		About:   "members that renewed the owner's lease restart",
-		Members: trio,
-		Orders:  []Order{{0, 1, "x"}},
-		Bounds:  Bounds{Advances: 2, Reboots: 2},
-		Depth:   9,
+		Name:        "restart",
+		Description: "members that renewed the owner's lease restart",
+		Members:     threeMembers,
+		Orders:      []Order{{0, 1, "x"}},
+		Bounds:      Bounds{Advances: 2, Reboots: 2},
+		Depth:       9,
 		setup: func(w *World) {
 			w.elect("c", "a", "b")
-			w.order("c", 0, "a", "b")
+			w.commitOrder("c", 0, "a", "b")
 		},
 	}
 }
@@ -208,19 +208,19 @@
 // promiseScenario: a candidate is promised its term while the owner's write is on its way, and power is lost.
 func promiseScenario() *Scenario {
 	return &Scenario{
-		Name:      "promise",
-		About:     "a candidate is promised its term while the owner's write is on its way, and power is lost",
-		Members:   trio,
-		Orders:    []Order{{0, 1, "x"}, {1, 2, "y"}},
-		Bounds:    Bounds{Reboots: 1, Delays: 1},
-		SlowDisks: []string{"a", "b"},
-		Depth:     11,
+		Name:        "promise",
+		Description: "a candidate is promised its term while the owner's write is on its way, and power is lost",
+		Members:     threeMembers,
+		Orders:      []Order{{0, 1, "x"}, {1, 2, "y"}},
+		Bounds:      Bounds{Reboots: 1, Delays: 1},
+		SlowDisks:   []string{"a", "b"},
+		Depth:       11,
 		setup: func(w *World) {
 			w.elect("c", "a", "b")
-			w.order("c", 0, "a", "b")
+			w.commitOrder("c", 0, "a", "b")
 			w.propose("c", 1)
-			w.forget("a")
-			w.pass(3)
+			w.dropMessagesTo("a")
+			w.advance(3)
 			w.tick("a")
 		},
 	}
@@ -229,45 +229,45 @@
 // powerScenario: power is lost while records are not synced.
 func powerScenario() *Scenario {
 	return &Scenario{
-		Name:      "power",
-		About:     "power is lost while records are not synced",
-		Members:   trio,
-		Orders:    []Order{{0, 1, "x"}, {0, 1, "y"}},
-		Bounds:    Bounds{Delays: 1, Advances: 3, Reboots: 2, Attempts: 1},
-		SlowDisks: trio,
-		Alike:     []string{"b", "c"},
-		Depth:     8,
-		setup:     electedByAll,
+		Name:            "power",
+		Description:     "power is lost while records are not synced",
+		Members:         threeMembers,
+		Orders:          []Order{{0, 1, "x"}, {0, 1, "y"}},
+		Bounds:          Bounds{Delays: 1, Advances: 3, Reboots: 2, Attempts: 1},
+		SlowDisks:       threeMembers,
+		Interchangeable: []string{"b", "c"},
+		Depth:           8,
+		setup:           electedByAll,
 	}
 }
 
 // candidateScenario: a candidate renews the owner's lease while it asks, and restarts.
 func candidateScenario() *Scenario {
 	return &Scenario{
-		Name:    "candidate",
-		About:   "a candidate renews the owner's lease while it asks, and restarts",
-		Members: trio,
-		Orders:  []Order{{0, 1, "x"}, {1, 2, "y"}},
-		Bounds:  Bounds{Delays: 1, Advances: 1, Reboots: 1},
-		Depth:   8,
+		Name:        "candidate",
+		Description: "a candidate renews the owner's lease while it asks, and restarts",
+		Members:     threeMembers,
+		Orders:      []Order{{0, 1, "x"}, {1, 2, "y"}},
+		Bounds:      Bounds{Delays: 1, Advances: 1, Reboots: 1},
+		Depth:       8,
 		setup: func(w *World) {
 			w.elect("c", "a", "b")
-			w.order("c", 0, "a", "b")
+			w.commitOrder("c", 0, "a", "b")
 			// Renewals reach b; then they are on their way to a alone.
-			w.pass(1)
+			w.advance(1)
 			w.tick("c")
-			w.settleAmong("c", "b")
-			w.pass(1)
+			w.deliverAmong("c", "b")
+			w.advance(1)
 			w.tick("c")
-			w.forget("b")
-			w.pass(1)
+			w.dropMessagesTo("b")
+			w.advance(1)
 			w.tick("a")
 			// While a asks b, the renewal reaches a, and so does the next one.
-			w.bring("c", "a", "Renew")
-			w.bring("a", "c", "Renewed")
+			w.deliverFirst("c", "a", "Renew")
+			w.deliverFirst("a", "c", "Renewed")
 			w.tick("c")
-			w.bring("c", "a", "Renew")
-			w.bring("a", "c", "Renewed")
+			w.deliverFirst("c", "a", "Renew")
+			w.deliverFirst("a", "c", "Renewed")
 		},
 	}
 }
@@ -275,28 +275,28 @@
 // unsyncedScenario: a member that missed the owner's first write takes it late, renews, and loses power.
 func unsyncedScenario() *Scenario {
 	return &Scenario{
-		Name:      "unsynced",
-		About:     "a member that missed the owner's first write takes it late, renews, and loses power",
-		Members:   trio,
-		Orders:    []Order{{0, 1, "x"}, {1, 2, "y"}},
-		Bounds:    Bounds{Advances: 1, Reboots: 1},
-		SlowDisks: []string{"a"},
-		Depth:     12,
+		Name:        "unsynced",
+		Description: "a member that missed the owner's first write takes it late, renews, and loses power",
+		Members:     threeMembers,
+		Orders:      []Order{{0, 1, "x"}, {1, 2, "y"}},
+		Bounds:      Bounds{Advances: 1, Reboots: 1},
+		SlowDisks:   []string{"a"},
+		Depth:       12,
 		setup: func(w *World) {
 			w.elect("a", "b", "c")
-			w.order("a", 0, "b", "c")
-			w.pass(4)
+			w.commitOrder("a", 0, "b", "c")
+			w.advance(4)
 			w.elect("c", "b")
-			w.pass(1)
-			w.touch("a").slow = true
+			w.advance(1)
+			w.mutableProcess("a").slow = true
 			// The renewal tells the owner that a has missed its first write, a
 			// takes that, and the next renewals find it not synced.
 			w.tick("c")
-			w.settleAmong("a", "b", "c")
+			w.deliverAmong("a", "b", "c")
 			for range 2 {
-				w.pass(1)
+				w.advance(1)
 				w.tick("c")
-				w.settleAmong("a", "c")
+				w.deliverAmong("a", "c")
 			}
 		},
 	}
@@ -305,37 +305,37 @@
 // leftoverScenario: an order that only its owner took is left over when another owner serves.
 func leftoverScenario() *Scenario {
 	return &Scenario{
-		Name:    "leftover",
-		About:   "an order that only its owner took is left over when another owner serves",
-		Members: trio,
-		Orders:  []Order{{0, 1, "x"}, {0, 1, "y"}},
-		Bounds:  Bounds{Advances: 1, Reboots: 1, Attempts: 2, Delays: 1},
-		Depth:   8,
-		setup:   leftOver,
+		Name:        "leftover",
+		Description: "an order that only its owner took is left over when another owner serves",
+		Members:     threeMembers,
+		Orders:      []Order{{0, 1, "x"}, {0, 1, "y"}},
+		Bounds:      Bounds{Advances: 1, Reboots: 1, Attempts: 2, Delays: 1},
+		Depth:       8,
+		setup:       withLeftoverOrder,
 	}
 }
 
 // refusalScenario: an order that only its owner took is refused by the next owner, under another number.
 func refusalScenario() *Scenario {
 	return &Scenario{
-		Name:    "refusal",
-		About:   "an order that only its owner took is refused by the next owner",
-		Members: trio,
-		Orders:  []Order{{0, 1, "x"}, {0, 2, "y"}},
-		Bounds:  Bounds{Delays: 1, Advances: 1, Reboots: 1, Attempts: 2},
-		Depth:   7,
-		setup:   leftOver,
+		Name:        "refusal",
+		Description: "an order that only its owner took is refused by the next owner",
+		Members:     threeMembers,
+		Orders:      []Order{{0, 1, "x"}, {0, 2, "y"}},
+		Bounds:      Bounds{Delays: 1, Advances: 1, Reboots: 1, Attempts: 2},
+		Depth:       7,
+		setup:       withLeftoverOrder,
 	}
 }
 
 // leftOver has an order in its former owner's copy alone, and the write of it
 // still in flight, while another owner serves.
-func leftOver(w *World) {
+func withLeftoverOrder(w *World) {
 	electedByAll(w)
 	w.propose("a", 0)
 	late := w.network
 	w.network = nil
-	w.pass(4)
+	w.advance(4)
 	w.elect("b", "c")
 	w.network = late
 }
--- a/rehearsalkit/modelcheck/trace.go
+++ b/rehearsalkit/modelcheck/trace.go
@@ -68,7 +68,7 @@
 		if err != nil {
 			return nil, err
 		}
-		next.judgeDisks()
+		next.checkDisks()
 		if tell != nil {
 			tell(action, next)
 		}
--- a/rehearsalkit/modelcheck/walk.go
+++ b/rehearsalkit/modelcheck/walk.go
@@ -80,7 +80,7 @@
 			return taken, nil
 		}
 		taken = append(taken, action)
-		next.judgeDisks()
+		next.checkDisks()
 		if next.broken != nil {
 			return taken, next.broken
 		}
@@ -95,7 +95,7 @@
 	list := w.Actions()
 	random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	for _, action := range list {
-		if next, err := w.Apply(action); err == nil && !next.idle(w, action) {
+		if next, err := w.Apply(action); err == nil && !next.hasNoEffect(w, action) {
 			return next, action
 		}
 	}
@@ -129,7 +129,7 @@
 		if err != nil {
 			continue
 		}
-		next.judgeDisks()
+		next.checkDisks()
 		taken = append(taken, action)
 		if next.broken != nil {
 			return next.broken, taken
