--- a/rehearsalkit/modelcheck/action.go
+++ b/rehearsalkit/modelcheck/action.go
@@ -1,3 +1,10 @@
+// Package modelcheck explores the reachable states of a group of partition machines
+// (rule/partition) and checks safety properties in each of them. It runs the shipped
+// state machine; only the network, the disks, the clocks and the clients are
+// modelled. Applying an action to a World never changes that world, so that states
+// can be shared between traces and workers. Start reading at World (one state),
+// Action (one step), Scenario (initial state and bounds) and Explore (breadth-first
+// search).
 package modelcheck
 
 import (
@@ -8,47 +15,49 @@
 
 // Kinds of actions.
 const (
-	// Advance lets a quantum of true time pass for all.
+	// Advance advances true time by one quantum for all processes.
 	Advance = "advance"
-	// Tick lets a process look at its clock.
+	// Tick calls a machine's periodic step with its clock's current time.
 	Tick = "tick"
-	// Deliver brings a message, whose answer stays in flight; Exchange also brings
+	// Deliver delivers a message and leaves its answer in flight. Exchange also delivers
 	// the answer.
 	Deliver  = "deliver"
 	Exchange = "exchange"
-	// Duplicate brings a message that stays in flight. No action drops one: a
-	// message that is never delivered is lost.
+	// Duplicate delivers a message and keeps it in flight. No action drops a message:
+	// one that is never delivered is lost.
 	Duplicate = "duplicate"
-	// Sync ends a sync of a process's disk.
+	// Sync completes a sync of a process's disk.
 	Sync = "sync"
-	// Reboot ends a process and begins its next life, Crash only ends it, Restart
-	// begins a life; Count unsynced records are kept.
+	// Reboot ends a process and starts its next incarnation, Crash only ends it, and
+	// Restart starts an incarnation. Count unsynced records survive on the disk.
 	Reboot  = "reboot"
 	Crash   = "crash"
 	Restart = "restart"
-	// Lose takes a process away for good, with its disk.
+	// Lose removes a process permanently, together with its disk.
 	Lose = "lose"
-	// Skew makes a clock run fast by the whole drift of a lease.
+	// Skew advances one clock by one quantum, which is the whole drift allowed for a
+	// lease.
 	Skew = "skew"
-	// Propose hands an order to an owner, Regroup a change of members; Leave makes
-	// an owner hand over.
+	// Propose proposes an order to a leader, ChangeMembers a change of members, and
+	// Leave makes a leader transfer its leadership.
 	Propose       = "propose"
 	ChangeMembers = "regroup"
 	Leave         = "leave"
-	// BeginRead lets a read arrive and the clock be looked at; AnswerRead runs it.
+	// BeginRead samples the clock for a read and freezes the process. AnswerRead
+	// executes the read.
 	BeginRead  = "begin read"
 	AnswerRead = "answer read"
 )
 
-// Action is one step of a world. A message is named by its sender, receiver and
-// kind, and by its place among those of the same in flight.
+// Action is one step from a state to the next. A message is identified by sender,
+// receiver, kind, and its index among the messages in flight with the same three.
 type Action struct {
 	Kind    string `json:"kind"`
 	Member  string `json:"seat,omitempty"`
 	From    string `json:"from,omitempty"`
 	Message string `json:"message,omitempty"`
-	// Count is a message's place, an order's or change's number, or how many
-	// unsynced records are kept.
+	// Count is the index of a message, order or change, or the number of unsynced
+	// records that survive.
 	Count int `json:"count,omitempty"`
 }
 
@@ -64,10 +73,10 @@
 	return a.Kind + " " + a.Member
 }
 
-// ErrImpossible says that an action can't be taken in a state.
+// ErrImpossible reports that an action is not possible in a state.
 var ErrImpossible = errors.New("not possible in this state")
 
-// Apply is the state after an action.
+// Apply returns the state after an action, or ErrImpossible. It leaves w unchanged.
 func (w *World) Apply(a Action) (*World, error) {
 	next := w.successor()
 	if a.Kind == Advance {
@@ -128,7 +137,7 @@
 	return nil
 }
 
-// fail ends or begins a process.
+// fail ends, starts or loses a process.
 func (w *World) fail(p *process, a Action) error {
 	if a.Count > len(p.pending) {
 		return errors.Wrap(ErrImpossible, a.String())
@@ -151,7 +160,7 @@
 	return nil
 }
 
-// forget removes the messages for a process that is gone for good.
+// dropMessagesTo removes the messages in flight to a member.
 func (w *World) dropMessagesTo(member string) {
 	kept := w.network[:0]
 	for _, f := range w.network {
@@ -162,7 +171,7 @@
 	w.network = kept
 }
 
-// carry moves one message.
+// deliver delivers one message, and with Exchange also its answers.
 func (w *World) deliver(p *process, a Action) error {
 	at := w.findMessage(a)
 	if at < 0 {
@@ -195,7 +204,8 @@
 	return nil
 }
 
-// bringAnswers delivers what a process has just sent back to another.
+// deliverAnswers delivers what a process has just sent to another one: the messages
+// in flight from index before on.
 func (w *World) deliverAnswers(from, to string, before int) error {
 	if other := w.processes[w.indexOf(to)]; other.machine == nil || w.frozen(to) {
 		return errors.Wrap(ErrImpossible, "nobody takes the answer")
@@ -220,7 +230,7 @@
 	return nil
 }
 
-// locate is the place of an action's message in flight, or below zero.
+// findMessage returns the index of an action's message in flight, or -1.
 func (w *World) findMessage(a Action) int {
 	count := 0
 	for i, f := range w.network {
@@ -234,8 +244,9 @@
 	return -1
 }
 
-// idle reports whether a message's delivery has changed nothing: all that can
-// follow then can follow from the state before it, where the message is lost.
+// hasNoEffect reports whether delivering a message changed nothing but the network.
+// Every successor of such a state is also one of the state before it, in which the
+// message is lost, so the state need not be explored.
 func (w *World) hasNoEffect(before *World, a Action) bool {
 	if a.Message == "" || len(w.network) > len(before.network) || w.history != before.history || w.broken != nil {
 		return false
@@ -258,7 +269,8 @@
 	return true
 }
 
-// Actions are all that the bounds allow in a state.
+// Actions returns the actions within the scenario's bounds. Apply may still refuse
+// some of them with ErrImpossible.
 func (w *World) Actions() []Action {
 	list := w.messageActions()
 	bounds := &w.scenario.Bounds
@@ -302,7 +314,7 @@
 	return list
 }
 
-// carrying are the ways in which messages may be moved in a state.
+// deliveryKinds returns the kinds of delivery that the bounds still allow.
 func (w *World) deliveryKinds() []string {
 	bounds := &w.scenario.Bounds
 	kinds := []string{Exchange, Deliver}
@@ -342,7 +354,8 @@
 	var list []Action
 	bounds := &w.scenario.Bounds
 	for i := range w.scenario.Orders {
-		// Orders alike but for their values come in one sequence.
+		// Orders are interchangeable up to their values, so they are proposed first in one
+		// order only.
 		if w.usage.Attempts[i] < bounds.Attempts && (i == 0 || w.usage.Attempts[i-1] > 0) {
 			list = append(list, Action{Kind: Propose, Member: p.member, Count: i})
 		}
@@ -359,8 +372,8 @@
 	return list
 }
 
-// tolerated reports whether a loss is one that the groups promise to outlive:
-// all groups that may still decide keep a majority.
+// canLose reports whether the groups must tolerate the loss of a member: each group
+// that may still decide keeps a majority.
 func (w *World) canLose(member string) bool {
 	alive := map[string]bool{}
 	for _, p := range w.processes {
--- a/rehearsalkit/modelcheck/clone.go
+++ b/rehearsalkit/modelcheck/clone.go
@@ -8,15 +8,14 @@
 	"saffronfall/rule/partition"
 )
 
-// cloneMachine copies a machine with all its private state, so that both can go
-// on apart. Functions and interface values are shared: they hold nothing that
-// a machine changes in place.
+// cloneMachine copies a machine with all its unexported state. Functions and
+// interface values are shared: they hold nothing that a machine changes in place.
 func cloneMachine(m *partition.Machine) *partition.Machine {
 	return deepCopy(reflect.ValueOf(m)).Interface().(*partition.Machine)
 }
 
-// deepCopy copies a value. It must not come from an unexported field directly;
-// copyFields sees to that for the fields of structs.
+// deepCopy copies a value that was not obtained through an unexported field;
+// copyShared handles the fields of structs.
 func deepCopy(v reflect.Value) reflect.Value {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -70,8 +69,8 @@
 	return fresh
 }
 
-// copyShared gives a value that was copied by assignment its own maps, slices
-// and pointers. The value must be addressable.
+// copyShared gives a value that was copied by assignment its own maps, slices and
+// pointers. The value must be addressable.
 func copyShared(v reflect.Value) {
 	if v.Kind() != reflect.Struct {
 		v.Set(deepCopy(v))
@@ -85,8 +84,7 @@
 
 var deepFieldsByType sync.Map
 
-// sharingFields are the places of the fields of a struct that assigning it
-// would leave shared.
+// deepFields returns the indexes of the struct fields that assignment would share.
 func deepFields(t reflect.Type) []int {
 	if known, ok := deepFieldsByType.Load(t); ok {
 		return known.([]int)
@@ -101,14 +99,14 @@
 	return fields
 }
 
-// sharing reports whether assigning a value of a type leaves two values that
-// share what a machine may change.
+// needsDeepCopy reports whether assigning a value of the type shares state that a
+// machine may change.
 func needsDeepCopy(t reflect.Type) bool {
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Map:
 		return true
 	case reflect.Slice:
-		// Values of entries are never changed in place.
+		// Byte slices, such as the values of entries, are never changed in place.
 		return t.Elem().Kind() != reflect.Uint8
 	case reflect.Struct:
 		return len(deepFields(t)) > 0
--- a/rehearsalkit/modelcheck/command.go
+++ b/rehearsalkit/modelcheck/command.go
@@ -11,7 +11,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Command explores scenarios, or replays a trace.
+// Command is the command line of the model checker: it explores scenarios, walks
+// them randomly, or replays a trace.
 type Command struct {
 	Scenario string        `help:"Which scenario; all: one after the other." default:"all"`
 	Depth    int           `help:"How many actions a trace may have; 0: the scenario's own bound."`
@@ -26,11 +27,11 @@
 	List     bool          `help:"List the scenarios."`
 }
 
-// garbagePercent lets the heap grow further between collections than usual: the
-// frontier is large and lives long.
+// garbagePercent raises the heap growth between collections, since the frontier is
+// large and long-lived.
 const garbagePercent = 300
 
-// Run runs the command.
+// Run runs the command. It fails if a scenario is unknown or a property is violated.
 func (c *Command) Run() error {
 	switch {
 	case c.List:
@@ -68,11 +69,11 @@
 	return nil
 }
 
-// defaultWalk is how many actions a random walk takes where no depth is told.
+// defaultWalk is the number of actions of a random walk if no depth is given.
 const defaultWalk = 60
 
-// check explores a scenario, or walks in it, and returns the trace of what is
-// broken.
+// check explores a scenario, or walks it randomly, and returns the trace of a
+// violation or nil.
 func (c *Command) check(s *Scenario) *Trace {
 	if c.Walks == 0 {
 		report := Explore(s, Limits{Depth: c.Depth, States: c.States, Timeout: c.Timeout, Workers: c.Workers, Progress: printProgress})
@@ -102,7 +103,7 @@
 	fmt.Printf("  depth %d: %d distinct states, %d transitions, %d in the frontier, %v\n", p.Depth, p.Distinct, p.Transitions, p.Frontier, p.Elapsed.Round(time.Millisecond))
 }
 
-// String sums a report up in a line.
+// String summarizes the report in one line.
 func (r Report) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s: %d distinct states, %d transitions in %v, depth %d", r.Scenario, r.Distinct, r.Transitions, r.Elapsed.Round(time.Millisecond), r.Depth)
@@ -119,7 +120,7 @@
 	return text.String()
 }
 
-// replayFile replays a trace and prints each state on its way.
+// replayFile replays a trace and prints every state.
 func replayFile(path string) error {
 	trace, err := LoadTrace(path)
 	if err != nil {
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// more adds to the bounds of each kind of fault.
+// addFaults raises the bound of each kind of fault.
 func (b *Bounds) addFaults(faults int) {
 	for _, bound := range []*int{&b.Reboots, &b.Crashes, &b.Losses, &b.Duplicates, &b.Skews, &b.Delays} {
 		*bound += faults
--- a/rehearsalkit/modelcheck/encode.go
+++ b/rehearsalkit/modelcheck/encode.go
@@ -19,16 +19,16 @@
 // secondSeed makes the second half of a digest independent of the first.
 const secondSeed = 0x9e3779b97f4a7c15
 
-// plus adds digests; a sum of digests stands for a multiset.
+// plus adds two digests. The sum of the digests of its elements identifies a
+// multiset.
 func (d digest) plus(other digest) digest { return digest{d[0] + other[0], d[1] + other[1]} }
 
-// less orders digests.
 func (d digest) less(other digest) bool {
 	return d[0] < other[0] || (d[0] == other[0] && d[1] < other[1])
 }
 
-// unencoded are the types of fields that are no part of a machine's state:
-// counters, settings, and the output of the step before.
+// excludedTypes are the types of fields that are not part of a machine's state:
+// counters, parameters, rules, and the output of the last step.
 var excludedTypes = map[reflect.Type]bool{
 	reflect.TypeFor[partition.Counters](): true,
 	reflect.TypeFor[partition.Params]():   true,
@@ -38,9 +38,9 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// nextQuantum rounds a time up to the next at which a clock may be looked at. A
-// machine asks whether a time has come; which of those between two looks it is
-// makes no difference to it.
+// nextQuantum rounds a time up to the next quantum. Clocks are read only at
+// multiples of a quantum, and machines only ask whether a time has passed, so times
+// between the same two quanta are equivalent.
 func nextQuantum(n int64) int64 {
 	q := int64(quantum)
 	if rest := n % q; rest > 0 {
@@ -49,8 +49,8 @@
 	return n
 }
 
-// encoder writes values canonically: maps in the order of their keys, seats
-// under the names that a renaming gives them.
+// encoder writes a canonical encoding: maps are sorted by key, and members are
+// renamed.
 type encoder struct {
 	buffer []byte
 	rename map[string]string
@@ -155,8 +155,8 @@
 	}
 }
 
-// seats writes a list of seats. Under a renaming the order does not count, or
-// no two states that differ by names would meet.
+// names writes a list of members. Under a renaming the order is ignored, so that
+// states which differ only by a renaming get the same digest.
 func (e *encoder) names(v reflect.Value) {
 	names := make([]string, v.Len())
 	for i := range names {
--- a/rehearsalkit/modelcheck/explore.go
+++ b/rehearsalkit/modelcheck/explore.go
@@ -6,37 +6,38 @@
 	"time"
 )
 
-// Limits bound an exploration, whatever a scenario's bounds are.
+// Limits bound an exploration in addition to the scenario's own bounds.
 type Limits struct {
-	// Depth is how many actions a trace may have, States how many distinct states
-	// are visited, Timeout how long it may take. Zero: the scenario's depth, and
-	// no other limit.
+	// Depth is the maximum length of a trace, States the number of distinct states after
+	// which no further depth is started, and Timeout the maximum duration. A depth of
+	// zero means the scenario's, and zero elsewhere means no limit.
 	Depth   int
 	States  int
 	Timeout time.Duration
 	Workers int
-	// Progress is told of each depth; it may be nil.
+	// Progress is called before each depth; it may be nil.
 	Progress func(Progress)
 }
 
-// Progress is how far an exploration has come.
+// Progress counts what an exploration has done so far.
 type Progress struct {
 	Depth, Distinct, Frontier int
 	Transitions               int64
 	Elapsed                   time.Duration
 }
 
-// Report is what an exploration has come to.
+// Report is the result of an exploration.
 type Report struct {
 	Scenario string
 	Progress
-	// Cut says which limit ended it while states were left in the frontier; it is
-	// empty where all states within the bounds were visited.
+	// StoppedBy names the limit that was reached while the frontier was not empty. It is
+	// empty if all states within the bounds were visited, or if a violation ended the
+	// exploration.
 	StoppedBy string
 	Found     *Trace
 }
 
-// node is a visited state's place in the tree of shortest traces.
+// node is a visited state in the tree of shortest traces.
 type node struct {
 	parent *node
 	action Action
@@ -52,7 +53,7 @@
 	return list
 }
 
-// shards is over how many locks the set of visited states is spread.
+// shardCount is the number of locks over which the set of visited states is spread.
 const shardCount = 64
 
 type visited struct {
@@ -62,7 +63,7 @@
 	}
 }
 
-// add reports whether a state is new.
+// add adds a state and reports whether it is new.
 func (v *visited) add(d digest) bool {
 	shard := &v.shards[d[0]%shardCount]
 	shard.lock.Lock()
@@ -77,15 +78,15 @@
 	return true
 }
 
-// layer is what one worker makes of its share of a frontier.
+// expansion is the result of expanding some nodes of a frontier.
 type expansion struct {
 	next        []*node
 	transitions int64
 	found       []*node
 }
 
-// Explore visits all states of a scenario within its bounds, nearest first, and
-// ends at the depth of the first violation.
+// Explore visits the states of a scenario breadth first, within its bounds and the
+// limits, and stops at the depth of the first violation.
 func Explore(scenario *Scenario, limits Limits) Report {
 	began := time.Now()
 	if limits.Depth == 0 {
@@ -123,15 +124,14 @@
 	}
 }
 
-// Limits that may cut an exploration off. At the timeout the last depth is not
-// complete.
+// Values of Report.StoppedBy. After a timeout the last depth is incomplete.
 const (
 	depthLimit   = "depth"
 	statesLimit  = "states"
 	timeoutLimit = "timeout"
 )
 
-// cut names the limit that an exploration has come to.
+// reached names the limit that an exploration has reached, or returns "".
 func (l *Limits) reached(report *Report) string {
 	switch {
 	case report.Frontier == 0:
@@ -146,8 +146,8 @@
 	return ""
 }
 
-// expandAll takes every action in every state of a frontier. After the timeout
-// the rest of the frontier is left.
+// expandAll expands every node of a frontier in parallel. After the timeout the
+// remaining nodes are returned unexpanded.
 func expandAll(frontier []*node, seen *visited, limits Limits, began time.Time) expansion {
 	workers := max(1, limits.Workers)
 	expansions := make([]expansion, workers)
@@ -208,8 +208,8 @@
 	n.world = nil
 }
 
-// least is the violation whose trace comes first, so that the same run names
-// the same one.
+// firstByTrace selects the violation with the least trace, so that the result does
+// not depend on scheduling.
 func firstByTrace(found []*node) *node {
 	return slices.MinFunc(found, func(a, b *node) int {
 		return slices.CompareFunc(a.trace(), b.trace(), func(x, y Action) int {
--- a/rehearsalkit/modelcheck/fivemembers.go
+++ b/rehearsalkit/modelcheck/fivemembers.go
@@ -2,15 +2,16 @@
 
 import "slices"
 
-// In groups of five one more member follows whatever a scenario's setup brings about, and
-// another one has heard of nothing. So two of three are three of five, and three of three
-// are four of five.
+// In groups of five, the extra follower takes part in everything that a scenario's
+// setup does, and the isolated member receives nothing. So two of three members
+// become three of five, and three of three become four of five.
 const (
 	extraFollower  = "e"
 	isolatedMember = "f"
 )
 
-// five is a scenario with a group of five. One loss more is borne.
+// withFiveMembers returns the scenario with a group of five, which tolerates one
+// more loss.
 func (s *Scenario) withFiveMembers() *Scenario {
 	wide := &Scenario{
 		Name:           s.Name + "5",
@@ -31,11 +32,11 @@
 	return wide
 }
 
-// threeOnly are scenarios whose setups bring single messages that a group of five does not
-// send at that point.
+// threeMembersOnly names scenarios whose setups deliver single messages that a group
+// of five does not send at that point.
 var threeMembersOnly = []string{"candidate"}
 
-// withFives adds to scenarios the same ones with groups of five.
+// addFiveMemberScenarios appends the variants with groups of five.
 func addFiveMemberScenarios(scenarios []*Scenario) []*Scenario {
 	all := slices.Clone(scenarios)
 	for _, s := range scenarios {
--- a/rehearsalkit/modelcheck/history.go
+++ b/rehearsalkit/modelcheck/history.go
@@ -7,20 +7,21 @@
 	"saffronfall/rule/partition"
 )
 
-// book is what the world outside has seen: the values under their numbers, the
-// orders refused, and the groups committed. It is replaced, never changed.
+// history is what clients have observed: values by number, refused orders, and
+// committed groups. It is immutable: each record method returns a new one.
 type history struct {
-	// values has each number that was acknowledged or readable, and its value.
+	// values holds each number that was acknowledged or readable, with its value.
 	values map[uint64]string
 	latest uint64
-	// refused has the values of the orders that were refused.
+	// refused holds the values of refused orders.
 	refused map[string]bool
 	group   partition.Group
-	// changed is how many changes of members were reported done.
+	// changed counts the changes of members that were reported done.
 	changed int
 }
 
-// Violation is a property that was seen broken.
+// Violation is a property that was found violated, with the observation that shows
+// it.
 type Violation struct {
 	Property string `json:"property"`
 	Detail   string `json:"detail"`
@@ -43,7 +44,7 @@
 	ChangeDone       = "a change reported done is agreed by the new group"
 )
 
-// see notes a value that was acknowledged or could be read.
+// recordValue records a value that was acknowledged or could be read.
 func (b *history) recordValue(number uint64, value string, how string) (*history, *Violation) {
 	if number == 0 {
 		return b, nil
@@ -64,7 +65,7 @@
 	return &fresh, nil
 }
 
-// refuse notes an order that was refused.
+// recordRefusal records that an order was refused.
 func (b *history) recordRefusal(order Order) (*history, *Violation) {
 	if b.values[order.Number] == order.Value {
 		return b, violation(RefusedAbsent, "%q under %d is in force and was refused", order.Value, order.Number)
@@ -75,7 +76,7 @@
 	return &fresh, nil
 }
 
-// commit notes a group that an owner has reported as agreed.
+// recordGroup records a group that a leader reported as committed.
 func (b *history) recordGroup(group partition.Group) (*history, *Violation) {
 	if !b.group.Before(group) {
 		return b, nil
@@ -88,7 +89,8 @@
 	return &fresh, nil
 }
 
-// quorumsIntersect tries all quorums of two groups.
+// quorumsIntersect reports whether every quorum of one group shares a member with
+// every quorum of the other.
 func quorumsIntersect(a, b partition.Group) bool {
 	memberNames := a.All()
 	for _, member := range b.All() {
@@ -105,7 +107,7 @@
 	return true
 }
 
-// members are the seats chosen by the bits of a number.
+// subset returns the members selected by the bits of chosen.
 func subset(memberNames []string, chosen int) map[string]bool {
 	set := map[string]bool{}
 	for i, member := range memberNames {
@@ -116,8 +118,8 @@
 	return set
 }
 
-// isQuorum reports whether a set of seats may agree for a group: a majority of
-// it, and one of the former group while a change is under way.
+// isQuorum reports whether a set of members is a quorum of a group: a majority of
+// its members, and of the former members while a change is in progress.
 func isQuorum(group partition.Group, set map[string]bool) bool {
 	return isMajority(group.Members, set) && (len(group.Former) == 0 || isMajority(group.Former, set))
 }
--- a/rehearsalkit/modelcheck/modelcheck_test.go
+++ b/rehearsalkit/modelcheck/modelcheck_test.go
@@ -9,8 +9,7 @@
 	"saffronfall/rule/partition"
 )
 
-// smallDepths bound the exploration of each scenario in a test run. The command
-// goes as deep as it is told.
+// testDepths limits each scenario's exploration in a test run.
 var testDepths = map[string]int{
 	"orders": 6, "again": 6, "replace": 7, "leave": 6, "catchup": 6, "read": 7, "cut": 7, "renewal": 7,
 	"orders5": 4, "again5": 4, "replace5": 5, "leave5": 4, "catchup5": 4, "read5": 5, "cut5": 5, "renewal5": 5, "restart5": 5,
@@ -37,7 +36,7 @@
 	}
 }
 
-// Traces that once broke a property must not break one again.
+// Traces that once violated a property must not violate one again.
 func TestKeptTraces(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*.json")
 	if err != nil || len(paths) == 0 {
@@ -56,8 +55,8 @@
 	}
 }
 
-// A read that counts from when it was answered, and not from when it came, is
-// stale when its process froze in between. The judge must see the difference.
+// A read must be checked against the writes acknowledged before its arrival, not
+// before its answer: the process may have been frozen in between.
 func TestPlaceOfLastLeaseCheck(t *testing.T) {
 	actions := []Action{
 		{Kind: BeginRead, Member: "c"}, {Kind: Advance}, {Kind: Advance}, {Kind: Tick, Member: "a"},
@@ -85,7 +84,6 @@
 	}
 }
 
-// What a clone does must not show in its source, nor the other way round.
 func TestCloneSharesNothing(t *testing.T) {
 	s, _ := Find("replace")
 	w := s.Start()
@@ -112,7 +110,7 @@
 	}
 }
 
-// wantApart looks for maps, slices and pointers that two values share.
+// requireDistinct reports maps, slices and pointers that two values share.
 func requireDistinct(t *testing.T, a, b reflect.Value, path string) {
 	t.Helper()
 	switch a.Kind() {
@@ -135,7 +133,7 @@
 	}
 }
 
-// A step must leave the state that it starts from as it was.
+// Apply must not change the state it starts from.
 func TestApplyLeavesItsStart(t *testing.T) {
 	for _, s := range Scenarios() {
 		w := s.Start()
@@ -158,7 +156,7 @@
 	}
 }
 
-// freshFingerprint computes a fingerprint with nothing remembered.
+// freshFingerprint computes a fingerprint without cached digests.
 func freshFingerprint(w *World) digest {
 	for _, p := range w.processes {
 		p.digests = nil
@@ -166,7 +164,7 @@
 	return w.fingerprint()
 }
 
-// States that differ by the names of members that are alike count as one.
+// States that differ only by a permutation of interchangeable members count as one.
 func TestAlikeMembersAreOneState(t *testing.T) {
 	s, _ := Find("orders")
 	s.Interchangeable, s.setup = []string{"b", "c"}, func(*World) {}
@@ -230,7 +228,7 @@
 	}
 }
 
-// Limits must end an exploration and be told.
+// A limit that is reached must end the exploration and be reported.
 func TestLimitsAreTold(t *testing.T) {
 	for want, limits := range map[string]Limits{
 		"depth": {Depth: 2}, "states": {Depth: 20, States: 500}, "timeout": {Depth: 40, Timeout: 50 * time.Millisecond},
@@ -242,8 +240,8 @@
 	}
 }
 
-// A walk must find a violation that is there, and shorten its trace; the judge
-// of reads that is wrong on purpose gives one.
+// A walk must find an existing violation and shorten its trace. LateReads provides
+// the violation.
 func TestWalksFindAndShorten(t *testing.T) {
 	s, _ := Find("read")
 	if r := Walk(s, Walks{Count: 20, First: 1, Length: 30, Workers: 4}); r.Found != nil || r.Steps < 100 {
@@ -258,8 +256,7 @@
 	t.Logf("%d walks, %v: %v", r.Walks, r.Elapsed, r.Found)
 }
 
-// In these scenarios another owner must be within reach of a few steps, or they
-// are not about two owners.
+// A second leader must be reachable in a few steps in these scenarios.
 func TestSuccessorIsWithinReach(t *testing.T) {
 	for _, name := range []string{"orders", "again", "catchup", "read"} {
 		s, _ := Find(name)
@@ -275,7 +272,7 @@
 			w = next
 		}
 		for _, kind := range []string{"Stand", "Write"} {
-			// Where copies differ, their entries are asked for once more.
+			// Entries on which the replicas differ are requested once more.
 			if next, err := w.Apply(Action{Kind: Exchange, Message: kind, From: "a", Member: "b"}); err == nil {
 				w = next
 			}
--- a/rehearsalkit/modelcheck/process.go
+++ b/rehearsalkit/modelcheck/process.go
@@ -7,34 +7,36 @@
 	"saffronfall/rule/partition"
 )
 
-// process is one replica: its machine, its disk, and what waits for the disk.
+// process is one replica: its machine, its disk, and the work that waits for the
+// disk.
 type process struct {
 	member string
 	// machine is nil while the process is down.
 	machine *partition.Machine
-	// skew is by how much its clock has run fast.
+	// skew is how far its clock is ahead of true time.
 	skew time.Duration
-	// disk is what is synced; pending was issued and is not.
+	// disk is the synced state; pending are the records written and not synced yet.
 	disk    partition.State
 	pending []partition.Record
-	// held are synced messages that wait for the records before them.
+	// awaitingSync are messages to be sent once the records before them are synced.
 	awaitingSync []packet
-	// slow: syncs of its disk are steps of their own, else they are done at once.
+	// slow makes each sync of the disk an action of its own; otherwise syncs are
+	// immediate.
 	slow bool
-	// lost: it is gone for good, and its disk with it.
+	// lost reports that the process and its disk are gone permanently.
 	lost bool
-	// agreed is the group that the machine has last reported as agreed.
+	// agreed is the last group that the machine reported as committed.
 	agreed partition.Group
 
-	// What follows from the rest, once it was asked for: digests under each
-	// renaming and of the disk, and what a read would return without and with
-	// a lease.
+	// Caches, computed on demand: the digest under each renaming, the digest of the
+	// disk, and the result of a read without and with a lease.
 	digests      []digest
 	storedDigest *digest
 	readable     [2]*recovery
 }
 
-// clone copies a process, its machine included.
+// clone copies a process and its machine, without the caches that a step
+// invalidates.
 func (p *process) clone() *process {
 	fresh := *p
 	if p.machine != nil {
@@ -46,7 +48,7 @@
 	return &fresh
 }
 
-// store brings the disk up to some records.
+// writeDisk applies records to the disk, in a new map because states share disks.
 func (p *process) writeDisk(records []partition.Record) {
 	if len(records) == 0 {
 		return
@@ -57,20 +59,19 @@
 	}
 }
 
-// start begins a new life of the process with what its disk holds.
+// start begins a new incarnation from the disk.
 func (p *process) start(now time.Duration) {
 	p.machine = newMachine(p.member, p.disk, now+p.skew)
 	p.agreed = partition.Group{}
 }
 
-// crash ends the process. Of the records that were not synced the first kept
-// ones are on the disk all the same.
+// crash ends the process. The first kept unsynced records survive on the disk.
 func (p *process) crash(kept int) {
 	p.writeDisk(p.pending[:kept])
 	p.machine, p.pending, p.awaitingSync = nil, nil, nil
 }
 
-// owns reports whether the process owns the part at a true time.
+// leads reports whether the process leads the partition at a true time.
 func (p *process) leads(now time.Duration) bool {
 	if p.machine == nil {
 		return false
@@ -79,7 +80,7 @@
 	return ok
 }
 
-// digestUnder is the digest of the process under one of the renamings.
+// digestFor returns the digest of the process under the nth renaming.
 func (p *process) digestFor(renamings []map[string]string, n int) digest {
 	if p.digests == nil {
 		digests := make([]digest, len(renamings))
@@ -91,8 +92,9 @@
 	return p.digests[n]
 }
 
-// Timing of the checked machines, in quanta of true time: a lease lasts two, a
-// replica keeps its word for three, and renewals go out once in a quantum.
+// Timing of the checked machines in true time: a lease lasts two quanta, a follower
+// honours it for three, and it is renewed once per quantum. Sweeps are practically
+// disabled.
 const (
 	quantum        = 50 * time.Millisecond
 	leaseDuration  = 2 * quantum
@@ -101,7 +103,7 @@
 	leasesPerSweep = 1 << 20
 )
 
-// newMachine makes the shipped machine, with a copy that is its own.
+// newMachine creates a machine as shipped, with its own copy of the disk's entries.
 func newMachine(member string, disk partition.State, now time.Duration) *partition.Machine {
 	disk.Entries = maps.Clone(disk.Entries)
 	return partition.New(partition.Options{
--- a/rehearsalkit/modelcheck/properties.go
+++ b/rehearsalkit/modelcheck/properties.go
@@ -11,8 +11,8 @@
 	"saffronfall/rule/partition"
 )
 
-// judge looks for a broken property in a state that was just reached. What
-// depends on the disks alone is left to judgeDisks.
+// checkState checks the properties of the state just reached, except those that
+// depend on the disks alone (see checkDisks).
 func (w *World) checkState() {
 	var holders []string
 	for _, p := range w.processes {
@@ -30,8 +30,8 @@
 	}
 }
 
-// read judges what a read at a process would return now, if it would at once.
-// Whether the lease still holds is asked by the machine, not here.
+// checkReadAt checks the result of a read at a process, if it would be answered
+// immediately. Whether the lease is still valid is decided by the machine.
 func (w *World) checkReadAt(p *process) {
 	if _, serving := p.machine.CommittedVersion(); !serving {
 		return
@@ -61,15 +61,14 @@
 	}
 }
 
-// answerRead runs a read whose process looked at its clock when the read came,
-// and froze then.
+// answerRead executes a read with the clock sampled at its arrival.
 func (w *World) answerRead(p *process) {
 	w.reading.Asked = true
 	w.perform(p, p.machine.Propose(w.reading.Sampled, readRequestID, readRegister{}))
 }
 
-// readAnswered judges a read that ends. What counts is what was acknowledged
-// before it came.
+// checkAnsweredRead checks the result of a read against what was acknowledged before
+// the read arrived.
 func (w *World) checkAnsweredRead(p *process, r partition.Result) {
 	latest := w.reading.Latest
 	if w.scenario.LateReads {
@@ -81,21 +80,21 @@
 	}
 }
 
-// recovery is what a set of processes has when all others are gone.
+// recovery is the result of a read at a leader, if there is one.
 type recovery struct {
 	leading bool
 	value   Register
 }
 
-// recoveries remembers recoveries by the disks that they start from: many
-// states share their disks.
+// recoveryCache caches recoveries by the digest of the disks: many states share
+// their disks.
 type recoveryCache struct {
 	lock  sync.Mutex
 	known map[digest]recovery
 }
 
-// judgeDisks restarts every set of two or three processes from its synced disks,
-// with all others gone, and judges what the owner that they elect would serve.
+// checkDisks restarts every set of two or three processes from their synced disks,
+// without the others, and checks what the leader they elect would serve.
 func (w *World) checkDisks() {
 	alive := make([]string, 0, len(w.processes))
 	for _, p := range w.processes {
@@ -174,12 +173,12 @@
 	return *p.storedDigest
 }
 
-// recoverySteps is how many quanta a recovery may take: long enough for all
-// leases to end and for several rounds of candidates.
+// recoverySteps is the maximum number of quanta of a recovery: enough for all leases
+// to expire and for several elections.
 const recoverySteps = 24
 
-// recoverFrom runs the machines of some disks until one of them owns the part,
-// with every message delivered at once.
+// recoverFrom runs machines from the given disks, delivering every message at once,
+// until one of them leads the partition.
 func recoverFrom(disks map[string]partition.State) recovery {
 	scenario := Scenario{Members: []string{}, renamings: []map[string]string{nil}}
 	w := newWorld(&scenario)
@@ -205,8 +204,8 @@
 	return recovery{}
 }
 
-// served is what a read at a machine returns, where it answers at once: it owns
-// the part and nothing is on its way to be agreed.
+// immediateRead returns the result of a read that a machine answers immediately: it
+// leads the partition and no write is waiting for a quorum.
 func immediateRead(m *partition.Machine, now time.Duration) recovery {
 	for _, r := range m.Propose(now, readRequestID, readRegister{}).Results {
 		if value, ok := r.Body.(Register); ok && r.RequestID == readRequestID {
@@ -216,7 +215,7 @@
 	return recovery{}
 }
 
-// settle delivers all messages in the order in which they were sent.
+// deliverAll delivers all messages in the order in which they were sent.
 func (w *World) deliverAll() {
 	for len(w.network) > 0 {
 		msg := w.network[0].packet
@@ -227,5 +226,5 @@
 	}
 }
 
-// pass lets quanta go by.
+// advance advances true time.
 func (w *World) advance(quanta int) { w.now += time.Duration(quanta) * quantum }
--- a/rehearsalkit/modelcheck/register.go
+++ b/rehearsalkit/modelcheck/register.go
@@ -7,38 +7,39 @@
 	"saffronfall/rule/partition"
 )
 
-// Keys of entries: the number in force, and each order that came into force.
+// Keys of entries: the current value, and one per accepted order.
 const (
 	registerKey = "register"
 	orderPrefix = "order/"
 )
 
-// Order asks for a value under a number, based on the number in force. It is
-// what an operator's routing table is to the control state.
+// Order requests a value under a number, if the current number is Base. It stands
+// for an operator's routing table.
 type Order struct {
 	Base, Number uint64
 	Value        string
 }
 
-// Register is the value in force, with all orders that ever were.
+// Register is the current value together with all accepted orders.
 type Register struct {
 	Number uint64
 	Value  string
 	Past   []Order
 }
 
-// readRegister reads the value in force.
+// readRegister is the command that reads the register.
 type readRegister struct{}
 
-// Ordered answers an order: it is in force, or another one came first.
+// OrderResult answers an order: it is accepted, or refused because of another one.
+// Number is the current number.
 type OrderResult struct {
 	OK     bool
 	Number uint64
 }
 
-// registerRules decide orders the way the control state's rules decide which
-// routing table is in force. Past orders have entries of their own, so that one
-// that is left over in a copy is not hidden by the entry of a later one.
+// registerRules accept orders as the rules of the control state accept routing
+// tables. Each order has its own entry, so that one left over in a replica is not
+// hidden by the entry of a later one.
 type registerRules struct{}
 
 func (registerRules) Elected(time.Duration, *partition.Tx) {}
--- a/rehearsalkit/modelcheck/scenario.go
+++ b/rehearsalkit/modelcheck/scenario.go
@@ -2,44 +2,46 @@
 
 import "slices"
 
-// Change is a change of members: one comes, one goes.
+// Change is a change of members that adds one and removes one.
 type Change struct{ Add, Remove string }
 
-// Bounds are how often each thing may happen in a scenario, after its setup.
+// Bounds limit how often each kind of action may occur after the setup.
 type Bounds struct {
 	Advances, Reboots, Crashes, Losses, Duplicates, Skews, Leaves int
-	// Delays is how often an answer may stay in flight after what it answers.
+	// Delays limits how often an answer may stay in flight after its request was
+	// delivered.
 	Delays int
-	// Attempts is how often each order may be proposed.
+	// Attempts limits how often each order may be proposed.
 	Attempts int
-	// Reads: reads may be begun and answered in two steps.
+	// Reads allows reads whose arrival and execution are separate actions.
 	Reads bool
 }
 
-// Scenario is a start and the bounds of what may come after it.
+// Scenario is an initial state and the bounds of the actions that follow.
 type Scenario struct {
 	Name, Description string
 	Members, Spares   []string
 	Orders            []Order
 	Changes           []Change
 	Bounds            Bounds
-	// SlowDisks are the members whose syncs are steps of their own.
+	// SlowDisks are the members whose syncs are actions of their own.
 	SlowDisks []string
-	// LateReads judges a read as if it had come when it was answered; only tests
-	// of the checker set it.
+	// LateReads checks a read as if it had arrived when it was answered. This is wrong
+	// on purpose: only tests of the checker set it.
 	LateReads bool
-	// Alike are the members that may be exchanged by name.
+	// Interchangeable are the members whose names may be permuted without changing the
+	// scenario.
 	Interchangeable []string
 	Depth           int
 
-	// companions take part in every settling of the setup.
+	// setupFollowers receive all messages of the setup.
 	setupFollowers []string
 	setup          func(*World)
 	renamings      []map[string]string
 	recoveryCache  recoveryCache
 }
 
-// Start is the scenario's first state.
+// Start runs the setup and returns the scenario's initial state.
 func (s *Scenario) Start() *World {
 	s.renamings = renamings(s.Interchangeable)
 	s.recoveryCache.known = map[digest]recovery{}
@@ -58,8 +60,8 @@
 	return w
 }
 
-// renamings are all ways to exchange some seats' names. The first one changes
-// nothing, and is nil where there is no other.
+// renamings returns all permutations of the names. The first is the identity, and is
+// nil if it is the only one.
 func renamings(interchangeable []string) []map[string]string {
 	if len(interchangeable) < 2 {
 		return []map[string]string{nil}
@@ -87,8 +89,8 @@
 	}
 }
 
-// elect makes a seat the owner, with the votes of the given others alone: what
-// is sent to anybody else is lost.
+// elect makes a member the leader with the votes of the given members only. Messages
+// to others are lost.
 func (w *World) elect(member string, voters ...string) {
 	for range recoverySteps {
 		p := w.mutableProcess(member)
@@ -102,7 +104,7 @@
 	panic("modelcheck: " + member + " did not come to own the part")
 }
 
-// settleAmong delivers messages among some seats and loses all others.
+// deliverAmong delivers the messages between the given members and drops all others.
 func (w *World) deliverAmong(memberNames ...string) {
 	memberNames = append(slices.Clone(memberNames), w.scenario.setupFollowers...)
 	for len(w.network) > 0 {
@@ -114,19 +116,20 @@
 	}
 }
 
-// propose hands an order to an owner in a setup; its messages stay in flight.
+// propose proposes an order to a leader during setup and leaves its messages in
+// flight.
 func (w *World) propose(member string, n int) {
 	p := w.mutableProcess(member)
 	w.perform(p, p.machine.Propose(w.now, w.orderRequestID(n), w.scenario.Orders[n]))
 }
 
-// order hands an order to an owner in a setup, and some others take it.
+// commitOrder proposes an order during setup and lets the given members accept it.
 func (w *World) commitOrder(member string, n int, takers ...string) {
 	w.propose(member, n)
 	w.deliverAmong(append(takers, member)...)
 }
 
-// bring delivers the first message of a kind on its way between two seats.
+// deliverFirst delivers the first message of a kind in flight between two members.
 func (w *World) deliverFirst(from, to, kind string) {
 	for i, f := range w.network {
 		if f.packet.From == from && f.packet.To == to && f.packet.kind() == kind {
@@ -139,7 +142,7 @@
 	panic("modelcheck: no " + kind + " is on its way from " + from + " to " + to)
 }
 
-// tick lets a process look at its clock in a setup; its messages stay in flight.
+// tick ticks a machine during setup and leaves its messages in flight.
 func (w *World) tick(member string) {
 	p := w.mutableProcess(member)
 	w.perform(p, p.machine.Tick(w.now+p.skew))
--- a/rehearsalkit/modelcheck/scenarios.go
+++ b/rehearsalkit/modelcheck/scenarios.go
@@ -1,26 +1,26 @@
 package modelcheck
 
-// trio is the group of most scenarios; the fourth is a spare.
+// threeMembers is the group of most scenarios; spare is a process outside it.
 var threeMembers = []string{"a", "b", "c"}
 
 const spare = "d"
 
 func electedByAll(w *World) { w.elect("a", "b", "c") }
 
-// nearSuccession has an owner whose lease ends after one more quantum, and a
-// member that may stand after two.
+// nearLeaseEnd elects a leader whose lease expires after one more quantum. A
+// candidate may follow after two.
 func nearLeaseEnd(w *World) {
 	w.elect("c", "a", "b")
 	w.advance(1)
 }
 
-// settled is an owner with one order that all have taken.
+// withAcceptedOrder elects a leader and has one order accepted by all members.
 func withAcceptedOrder(w *World) {
 	electedByAll(w)
 	w.commitOrder("a", 0, "b", "c", spare)
 }
 
-// Scenarios are all that the checker knows.
+// Scenarios returns new instances of all scenarios.
 func Scenarios() []*Scenario {
 	return addFiveMemberScenarios([]*Scenario{
 		ordersScenario(),
@@ -41,7 +41,7 @@
 	})
 }
 
-// Find is the scenario of a name.
+// Find returns the scenario with a name.
 func Find(name string) (*Scenario, bool) {
 	for _, s := range Scenarios() {
 		if s.Name == name {
@@ -51,7 +51,7 @@
 	return nil, false
 }
 
-// ordersScenario: two leaders and two orders based on one version.
+// ordersScenario: two leaders receive two orders based on one version.
 func ordersScenario() *Scenario {
 	return &Scenario{
 		Name:            "orders",
@@ -65,7 +65,8 @@
 	}
 }
 
-// againScenario: an order sent again through another member after its answer was lost.
+// againScenario: an order is retried through another member after its answer was
+// lost.
 func againScenario() *Scenario {
 	return &Scenario{
 		Name:            "again",
@@ -79,7 +80,7 @@
 	}
 }
 
-// replaceScenario: replacement of a member, then a second loss, at every step of it.
+// replaceScenario: a member is replaced, and a second one is lost at any step.
 func replaceScenario() *Scenario {
 	return &Scenario{
 		Name:        "replace",
@@ -94,7 +95,8 @@
 	}
 }
 
-// leaveScenario: a member that leaves while holding the only complete copy besides the owner's, at every step.
+// leaveScenario: the leader leaves while one follower holds the only other complete
+// copy.
 func leaveScenario() *Scenario {
 	return &Scenario{
 		Name:        "leave",
@@ -112,7 +114,8 @@
 	}
 }
 
-// catchupScenario: a member that missed orders restarts, catches up while orders come, and leads.
+// catchupScenario: a member that missed orders restarts, catches up during new
+// orders, and leads.
 func catchupScenario() *Scenario {
 	return &Scenario{
 		Name:        "catchup",
@@ -129,7 +132,7 @@
 	}
 }
 
-// readScenario: a lease read against a successor's write, with clocks that drift.
+// readScenario: a lease read races with a successor's write while clocks drift.
 func readScenario() *Scenario {
 	return &Scenario{
 		Name:        "read",
@@ -146,7 +149,8 @@
 	}
 }
 
-// cutScenario: a member that the owner's renewals do not reach wants to own the part.
+// cutScenario: a member that does not receive the leader's renewals stands for
+// election.
 func cutScenario() *Scenario {
 	return &Scenario{
 		Name:        "cut",
@@ -168,7 +172,7 @@
 	}
 }
 
-// renewalScenario: the owner's renewals are answered, and the answers come late.
+// renewalScenario: the answers to the leader's renewals are delayed.
 func renewalScenario() *Scenario {
 	return &Scenario{
 		Name:        "renewal",
@@ -189,7 +193,7 @@
 	}
 }
 
-// restartScenario: members that renewed the owner's lease restart.
+// restartScenario: members that renewed the leader's lease restart.
 func restartScenario() *Scenario {
 	return &Scenario{
 		Name:        "restart",
@@ -205,7 +209,8 @@
 	}
 }
 
-// promiseScenario: a candidate is promised its term while the owner's write is on its way, and power is lost.
+// promiseScenario: a candidate gets promises while the leader's write is in flight,
+// and power fails.
 func promiseScenario() *Scenario {
 	return &Scenario{
 		Name:        "promise",
@@ -226,7 +231,7 @@
 	}
 }
 
-// powerScenario: power is lost while records are not synced.
+// powerScenario: power fails while records are not synced.
 func powerScenario() *Scenario {
 	return &Scenario{
 		Name:            "power",
@@ -241,7 +246,8 @@
 	}
 }
 
-// candidateScenario: a candidate renews the owner's lease while it asks, and restarts.
+// candidateScenario: a candidate renews the leader's lease during its own election,
+// and restarts.
 func candidateScenario() *Scenario {
 	return &Scenario{
 		Name:        "candidate",
@@ -272,7 +278,8 @@
 	}
 }
 
-// unsyncedScenario: a member that missed the owner's first write takes it late, renews, and loses power.
+// unsyncedScenario: a member that missed the leader's first write accepts it late,
+// renews the lease, and loses power.
 func unsyncedScenario() *Scenario {
 	return &Scenario{
 		Name:        "unsynced",
@@ -302,7 +309,8 @@
 	}
 }
 
-// leftoverScenario: an order that only its owner took is left over when another owner serves.
+// leftoverScenario: an order that only its leader accepted is left over when another
+// leader serves.
 func leftoverScenario() *Scenario {
 	return &Scenario{
 		Name:        "leftover",
@@ -315,7 +323,8 @@
 	}
 }
 
-// refusalScenario: an order that only its owner took is refused by the next owner, under another number.
+// refusalScenario: an order that only its leader accepted is refused by the next
+// leader.
 func refusalScenario() *Scenario {
 	return &Scenario{
 		Name:        "refusal",
@@ -328,8 +337,8 @@
 	}
 }
 
-// leftOver has an order in its former owner's copy alone, and the write of it
-// still in flight, while another owner serves.
+// withLeftoverOrder leaves an order in the former leader's replica only, with its
+// writes still in flight, while another leader serves.
 func withLeftoverOrder(w *World) {
 	electedByAll(w)
 	w.propose("a", 0)
--- a/rehearsalkit/modelcheck/trace.go
+++ b/rehearsalkit/modelcheck/trace.go
@@ -9,8 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Trace is a way from a scenario's start to a violation. It can be kept in a
-// file and replayed.
+// Trace is a sequence of actions from a scenario's initial state to a violation.
 type Trace struct {
 	Scenario  string    `json:"scenario"`
 	Violation Violation `json:"violation"`
@@ -25,7 +24,7 @@
 	return trace
 }
 
-// String prints a trace, one action a line.
+// String prints the violation and one action per line.
 func (t *Trace) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s\n  in scenario %s after %d actions:\n", &t.Violation, t.Scenario, len(t.Actions))
@@ -35,7 +34,7 @@
 	return text.String()
 }
 
-// Save writes a trace to a file.
+// Save writes the trace to a JSON file.
 func (t *Trace) Save(path string) error {
 	raw, err := json.MarshalIndent(t, "", "\t")
 	if err != nil {
@@ -44,7 +43,7 @@
 	return errors.Wrap(os.WriteFile(path, append(raw, '\n'), 0o644), "trace")
 }
 
-// LoadTrace reads a trace from a file.
+// LoadTrace reads a trace from a JSON file.
 func LoadTrace(path string) (*Trace, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -54,9 +53,9 @@
 	return &trace, errors.Wrapf(json.Unmarshal(raw, &trace), "trace %s", path)
 }
 
-// Replay takes a trace's actions and tells each state to a function that may be
-// nil. It returns what is broken at the end or on the way, and
-// ErrImpossible where the code no longer allows an action.
+// Replay applies the actions and passes each state to tell, which may be nil. It
+// returns the first violation, or ErrImpossible if the code no longer allows an
+// action.
 func (t *Trace) Replay(tell func(Action, *World)) (*Violation, error) {
 	scenario, ok := Find(t.Scenario)
 	if !ok {
--- a/rehearsalkit/modelcheck/walk.go
+++ b/rehearsalkit/modelcheck/walk.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Walks bound random walks, which go deeper than an exploration can.
+// Walks configures random walks, which reach greater depths than an exploration.
 type Walks struct {
-	// Count is how many walks are made, from the first seed on, Length how many
-	// actions each takes.
+	// Count is the number of walks, First the seed of the first one, and Length the
+	// number of actions of each.
 	Count   int
 	First   uint64
 	Length  int
@@ -18,21 +18,21 @@
 	Workers int
 }
 
-// WalkReport is what random walks have come to.
+// WalkReport is the result of random walks.
 type WalkReport struct {
 	Walks, Steps int
 	Elapsed      time.Duration
-	// Seed is that of the walk that found something.
+	// Seed is the seed of the walk that found a violation.
 	Seed  uint64
 	Found *Trace
 }
 
-// Walk takes random actions from a scenario's start, again and again, until a
-// property is broken or all walks are made. What it finds is shortened.
+// Walk makes random walks from the scenario's initial state until one violates a
+// property, or the count or timeout is reached. The trace it finds is shortened.
 func Walk(scenario *Scenario, walks Walks) WalkReport {
 	began := time.Now()
 	start := scenario.Start()
-	// All digests of the start are computed before workers share it.
+	// The digests of the initial state are cached before the workers share it.
 	start.fingerprint()
 	var report WalkReport
 	var lock sync.Mutex
@@ -69,7 +69,7 @@
 	return report
 }
 
-// walk takes one random walk.
+// walk makes one random walk.
 func walk(start *World, seed uint64, length int) ([]Action, *Violation) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	var taken []Action
@@ -90,7 +90,7 @@
 	return taken, nil
 }
 
-// randomStep takes one of the actions that are possible.
+// randomStep applies a random possible action, or returns nil if there is none.
 func (w *World) randomStep(random *rand.Rand) (*World, Action) {
 	list := w.Actions()
 	random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
@@ -102,8 +102,7 @@
 	return nil, Action{}
 }
 
-// shorten leaves out actions as long as the same property is broken without
-// them.
+// shorten removes actions while the same property is still violated without them.
 func (t *Trace) shorten(scenario *Scenario) {
 	for again := true; again; {
 		again = false
@@ -119,8 +118,8 @@
 	}
 }
 
-// replayPossible replays a trace without the actions that are not possible. It
-// returns what is broken and the actions taken until then.
+// replayPossible replays a trace and skips impossible actions. It returns the
+// violation and the actions applied up to it.
 func (t *Trace) replayPossible(scenario *Scenario) (*Violation, []Action) {
 	w := scenario.Start()
 	var taken []Action
--- a/rehearsalkit/modelcheck/world.go
+++ b/rehearsalkit/modelcheck/world.go
@@ -14,7 +14,8 @@
 	Body     any
 }
 
-// kind names the message of a packet in actions and traces.
+// kind names the message type in actions and traces. Some names differ from the
+// types because stored traces contain them.
 func (p packet) kind() string {
 	switch p.Body.(type) {
 	case partition.Prepare:
@@ -39,21 +40,21 @@
 	panic(fmt.Sprintf("modelcheck: message of unknown type %T", p.Body))
 }
 
-// flying is a packet in flight with its digests, which never change.
+// inFlight is a packet in flight with its digests under each renaming.
 type inFlight struct {
 	packet  packet
 	digests []digest
 }
 
-// spent is how much of a scenario's bounds a world has used.
+// usage counts how much of a scenario's bounds is used.
 type usage struct {
 	Advances, Reboots, Crashes, Losses, Duplicates, Skews, Leaves, Changes, Delays int
-	// Attempts has how often each order was proposed.
+	// Attempts counts the proposals of each order.
 	Attempts [4]int
 }
 
-// World is one state: all processes, the messages in flight, and what was seen
-// from outside. Successors share with it what did not change.
+// World is one state: the processes, the messages in flight, and what clients
+// observed. It shares unchanged parts with its successors.
 type World struct {
 	scenario  *Scenario
 	now       time.Duration
@@ -61,25 +62,26 @@
 	network   []inFlight
 	usage     usage
 	history   *history
-	// reading is the read that was begun and is not answered yet.
+	// reading is the read in progress.
 	reading reading
-	// broken is the first property that the step to this state broke.
+	// broken is the first property that the step to this state violated.
 	broken *Violation
 
-	// touched are the processes that the running step has copied already.
+	// copied marks the processes that the current step has already cloned.
 	copied map[int]bool
 }
 
-// reading is a read whose process froze after it looked at its clock.
+// reading is a read whose process was frozen after it sampled its clock.
 type reading struct {
 	Member  string
 	Sampled time.Duration
 	Latest  uint64
-	// Asked: the process runs again, and the read waits for what it rests on.
+	// Asked reports that the read was executed and its result is awaited; the process
+	// runs again.
 	Asked bool
 }
 
-// frozen reports whether a process stands still after a look at its clock.
+// frozen reports whether a process is suspended after sampling its clock for a read.
 func (w *World) frozen(member string) bool { return w.reading.Member == member && !w.reading.Asked }
 
 func newWorld(scenario *Scenario) *World {
@@ -98,7 +100,7 @@
 	return w
 }
 
-// next is a copy of the world for one more step.
+// successor copies the world for the next step.
 func (w *World) successor() *World {
 	fresh := *w
 	fresh.processes = append([]*process(nil), w.processes...)
@@ -116,7 +118,7 @@
 	panic("modelcheck: no process " + member)
 }
 
-// touch gives the running step its own copy of a process.
+// mutableProcess returns the current step's own copy of a process.
 func (w *World) mutableProcess(member string) *process {
 	i := w.indexOf(member)
 	if !w.copied[i] {
@@ -132,9 +134,9 @@
 	}
 }
 
-// take does what a machine's step wants done, in the order of the shipped
-// process: records, sends, returns. What a machine sends to itself it gets at
-// once.
+// perform carries out a machine's output in the order of the shipped process:
+// records, then messages, then results. A machine's messages to itself are delivered
+// at once.
 func (w *World) perform(p *process, out partition.Output) {
 	if len(out.Records) > 0 && p.slow {
 		p.pending = append(p.pending, out.Records...)
@@ -175,7 +177,7 @@
 	return f
 }
 
-// sync brings all that was issued to the disk and sends what waited for it.
+// sync syncs all pending records and sends the messages that waited for them.
 func (w *World) sync(p *process) {
 	awaitingSync := p.awaitingSync
 	p.writeDisk(p.pending)
@@ -189,21 +191,22 @@
 	}
 }
 
-// Tickets of returns: an order's number and attempt, or a change of members.
+// Request ids encode an order and its attempt, a change of members, or a read.
 const (
 	requestIDsPerOrder = 16
 	changeRequestID    = 1000
 	readRequestID      = 2000
 )
 
-// orderTicket is the ticket of one more attempt at an order.
+// orderRequestID returns the request id of the next attempt at an order and counts
+// the attempt.
 func (w *World) orderRequestID(n int) uint64 {
 	attempt := w.usage.Attempts[n]
 	w.usage.Attempts[n]++
 	return uint64(n*requestIDsPerOrder + attempt)
 }
 
-// answer notes a return as the one who asked sees it.
+// handleResult records a result as its client observes it.
 func (w *World) handleResult(p *process, r partition.Result) {
 	switch {
 	case r.RequestID >= readRequestID:
@@ -225,7 +228,7 @@
 	}
 }
 
-// changeDone judges a change of members that was reported as done.
+// checkChangeDone checks a change of members that was reported done.
 func (w *World) checkChangeDone(p *process, change Change) {
 	fresh := *w.history
 	fresh.changed++
@@ -243,7 +246,7 @@
 	}
 }
 
-// knowing are the seats whose disks have a group or a later one.
+// membersWithGroup returns the members whose disks hold the group or a later one.
 func (w *World) membersWithGroup(group partition.Group) map[string]bool {
 	set := map[string]bool{}
 	for _, p := range w.processes {
@@ -252,7 +255,8 @@
 	return set
 }
 
-// observe looks at a machine after its step: which group it has as agreed.
+// checkCommittedGroup checks the group that a machine considers committed after its
+// step.
 func (w *World) checkCommittedGroup(p *process) {
 	group, ok := p.machine.CommittedGroup()
 	if !ok || !p.agreed.Before(group) {
@@ -267,7 +271,8 @@
 	w.recordViolation(broken)
 }
 
-// fingerprint is the least digest of the state under all renamings.
+// fingerprint returns the smallest digest of the state under all renamings, so that
+// states which differ only by a renaming count as one.
 func (w *World) fingerprint() digest {
 	var smallest digest
 	for n, renaming := range w.scenario.renamings {
@@ -285,7 +290,7 @@
 	return smallest
 }
 
-// String tells a state in a few lines.
+// String describes the state in one line.
 func (w *World) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "at %v:", w.now)
