--- a/rehearsalkit/breaks/breaks.go
+++ b/rehearsalkit/breaks/breaks.go
@@ -1,5 +1,7 @@
-// Package breaks breaks the code on purpose, one line at a time in a scratch
-// copy, and wants the judge to name the rule that this breaks.
+// Package breaks holds deliberate faults (breaks): each replaces one piece of source in
+// a scratch copy of the tree, and the simulator, the model checker or the soak must
+// then report a violation. Every From text must occur exactly once in the sources.
+// Start reading at Break, CheckerBreak and SoakBreak.
 package breaks
 
 import (
@@ -14,43 +16,47 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Break is one line of the code made wrong.
+// Break is a fault that the simulator must report as a violation of one of its rules.
+// The strings From and To are the source text and its faulty replacement.
 type Break struct {
 	Rule     int
 	What     string
 	File     string
 	From, To string
-	// Test names directed tests where seeds would need too long to meet the
-	// situation; empty: seeds must find it.
+	// Test selects directed tests for faults that random seeds rarely meet. If it is
+	// empty, random seeds must find the fault.
 	Test string
 }
 
-// All are the breaks, at least one found by seeds for each rule.
+// All lists the breaks that the simulator must find, with at least one found by random
+// seeds for each rule.
 var All = []Break{
-	{Rule: 1, What: "a program's hard limit is not looked at", File: "rule/program/program.go", From: "if charged >= role.ProgramTokensHard {", To: "if false {"},
-	{Rule: 1, What: "what a lost owner had running is forgotten", File: "rule/program/program.go", From: "	r.Spent = r.Charged()\n	r.Running = nil", To: "	r.Running = nil", Test: "OwnerKilledInMidTurn"},
-	{Rule: 1, What: "turns go on alone beyond what was charged beforehand", File: "peer/node/mirror.go", From: " || prog.record.Charged() > min(prog.savedPrecharged, prog.dayPrecharged) {", To: " {", Test: "CoveredOutOfTouch"},
-	{Rule: 2, What: "shares that are out do not count", File: "rule/allowance/ledger.go", From: "left := max(0, limits[i]-outstanding-l.Windows[i].Sum(now))", To: "left := max(0, limits[i]-l.Windows[i].Sum(now))"},
-	{Rule: 3, What: "whoever asks may shoot", File: "peer/node/once.go", From: "case once.Claim == a.claim && once.State == core.OnceIntent:", To: "case once.State == core.OnceIntent:"},
-	{Rule: 3, What: "a lost answer frees the claim", File: "peer/node/once.go", From: "m.finishOnce(now, a, core.OnceUncertain, 0, nil", To: "m.finishOnce(now, a, core.OnceReleased, 0, nil"},
-	{Rule: 4, What: "an owner that fell silent is told as not run", File: "peer/node/forward.go", From: "	ran := verdict.MaybeExecuted\n", To: "	ran := verdict.NotExecuted\n"},
-	{Rule: 5, What: "an owner that can't be found out is told as unknown", File: "peer/node/request.go", From: `m.refuse(req, retryLater("the program's owner could not be found out in time"))`, To: `m.refuse(req, denied("unknown_program", "", 404))`},
-	{Rule: 6, What: "a successor does not ask the mirrors", File: "peer/node/request.go", From: "	m.recoverFromMirrors(now, prog)\n", To: "", Test: "OwnerLostOutOfTouch"},
-	{Rule: 6, What: "one mirror is enough for an owner", File: "peer/node/mirror.go", From: "if version := prog.acked[mirror.Address+\"/\"+mirror.Process]; i == 0 || version < oldest {", To: "if version := prog.acked[mirror.Address+\"/\"+mirror.Process]; i == 0 || version > oldest {", Test: "OneMirrorOutOfTouch"},
-	{Rule: 6, What: "a helper gets the root's history", File: "peer/node/turn.go", From: "append([]program.Turn{}, prog.turns[request.Conversation]...), Prompt", To: "append([]program.Turn{}, prog.turns[\"\"]...), Prompt"},
-	{Rule: 7, What: "new rate comes with a full bucket", File: "peer/node/share.go", From: "		rs.account.Granted = granted\n	}\n}", To: "		rs.account.Granted, rs.tokens = granted, float64(burst)\n	}\n}", Test: "TestCrowd"},
-	{Rule: 7, What: "a place in the rate is not used up", File: "peer/node/share.go", From: "	if len(rs.waiting) == 0 && rs.tokens >= 1 {\n		rs.tokens--\n", To: "	if len(rs.waiting) == 0 && rs.tokens >= 1 {\n"},
-	{Rule: 8, What: "a configuration counts as taken at once", File: "peer/core/rules_members.go", From: "answer.Done = len(answer.Lagging) == 0", To: "answer.Done = true"},
-	{Rule: 8, What: "a member below the floor is renewed", File: "peer/core/rules_members.go", From: "	if c.Version < floor {\n		return MembershipResult{Floor: floor}\n	}\n	r.renewedAt[key], r.memberVersions[key] = now, max(", To: "	r.renewedAt[key], r.memberVersions[key] = now, max(1<<40+"},
-	{Rule: 9, What: "a description that lost a race is written all the same", File: "peer/core/orders.go", From: "		return AcceptConfigurationResult{Version: current.Version}\n", To: "		write(tx, configurationKey, CurrentConfiguration{Version: current.Version + 1, Text: c.Text, Digest: c.Digest})\n		return AcceptConfigurationResult{Version: current.Version}\n"},
-	{Rule: 10, What: "a leaving is not looked at", File: "peer/node/announcement.go", From: "if !a.replica.Leaving && now", To: "if now"},
-	{Rule: 10, What: "an announcement grows no older on its way", File: "peer/node/announcement.go", From: "age := a.Age + now - b.Sent", To: "age := min(0, a.Age)", Test: "DyingNode"},
-	{Rule: 11, What: "gaps in a passed stream", File: "peer/node/forward.go", From: "if b.Number != f.nextNumber {", To: "if false {"},
-	{Rule: 12, What: "an active lockout is not looked at", File: "rule/program/user.go", From: "if clock < u.LockedUntil {", To: "if false {"},
-	{Rule: 12, What: "concurrency does not count", File: "rule/program/user.go", From: "if live >= role.ConcurrentSessions {", To: "if false {"},
+	{Rule: 1, What: "a program's hard limit is ignored", File: "rule/program/program.go", From: "if charged >= role.ProgramTokensHard {", To: "if false {"},
+	{Rule: 1, What: "the running turn of a lost owner is not charged", File: "rule/program/program.go", From: "	r.Spent = r.Charged()\n	r.Running = nil", To: "	r.Running = nil", Test: "OwnerKilledInMidTurn"},
+	{Rule: 1, What: "turns continue without contact beyond the tokens charged in advance", File: "peer/node/mirror.go", From: " || prog.record.Charged() > min(prog.savedPrecharged, prog.dayPrecharged) {", To: " {", Test: "CoveredOutOfTouch"},
+	{Rule: 2, What: "outstanding shares are not counted", File: "rule/allowance/ledger.go", From: "left := max(0, limits[i]-outstanding-l.Windows[i].Sum(now))", To: "left := max(0, limits[i]-l.Windows[i].Sum(now))"},
+	{Rule: 3, What: "any claim may execute", File: "peer/node/once.go", From: "case once.Claim == a.claim && once.State == core.OnceIntent:", To: "case once.State == core.OnceIntent:"},
+	{Rule: 3, What: "a lost answer releases the claim", File: "peer/node/once.go", From: "m.finishOnce(now, a, core.OnceUncertain, 0, nil", To: "m.finishOnce(now, a, core.OnceReleased, 0, nil"},
+	{Rule: 4, What: "a request to an owner that stopped answering is reported as not executed", File: "peer/node/forward.go", From: "	ran := verdict.MaybeExecuted\n", To: "	ran := verdict.NotExecuted\n"},
+	{Rule: 5, What: "a program whose owner cannot be determined is reported as unknown", File: "peer/node/request.go", From: `m.refuse(req, retryLater("the program's owner could not be found out in time"))`, To: `m.refuse(req, denied("unknown_program", "", 404))`},
+	{Rule: 6, What: "a successor does not recover from the mirrors", File: "peer/node/request.go", From: "	m.recoverFromMirrors(now, prog)\n", To: "", Test: "OwnerLostOutOfTouch"},
+	{Rule: 6, What: "the acknowledgement of one mirror is sufficient", File: "peer/node/mirror.go", From: "if version := prog.acked[mirror.Address+\"/\"+mirror.Process]; i == 0 || version < oldest {", To: "if version := prog.acked[mirror.Address+\"/\"+mirror.Process]; i == 0 || version > oldest {", Test: "OneMirrorOutOfTouch"},
+	{Rule: 6, What: "a helper's conversation gets the root conversation's history", File: "peer/node/turn.go", From: "append([]program.Turn{}, prog.turns[request.Conversation]...), Prompt", To: "append([]program.Turn{}, prog.turns[\"\"]...), Prompt"},
+	{Rule: 7, What: "a new rate starts with a full token bucket", File: "peer/node/share.go", From: "		rs.account.Granted = granted\n	}\n}", To: "		rs.account.Granted, rs.tokens = granted, float64(burst)\n	}\n}", Test: "TestCrowd"},
+	{Rule: 7, What: "a request does not consume a rate token", File: "peer/node/share.go", From: "	if len(rs.waiting) == 0 && rs.tokens >= 1 {\n		rs.tokens--\n", To: "	if len(rs.waiting) == 0 && rs.tokens >= 1 {\n"},
+	{Rule: 8, What: "a configuration counts as applied immediately", File: "peer/core/rules_members.go", From: "answer.Done = len(answer.Lagging) == 0", To: "answer.Done = true"},
+	{Rule: 8, What: "a member below the minimum version is renewed", File: "peer/core/rules_members.go", From: "	if c.Version < floor {\n		return MembershipResult{Floor: floor}\n	}\n	r.renewedAt[key], r.memberVersions[key] = now, max(", To: "	r.renewedAt[key], r.memberVersions[key] = now, max(1<<40+"},
+	{Rule: 9, What: "a configuration that lost a race is written anyway", File: "peer/core/orders.go", From: "		return AcceptConfigurationResult{Version: current.Version}\n", To: "		write(tx, configurationKey, CurrentConfiguration{Version: current.Version + 1, Text: c.Text, Digest: c.Digest})\n		return AcceptConfigurationResult{Version: current.Version}\n"},
+	{Rule: 10, What: "a departure is ignored", File: "peer/node/announcement.go", From: "if !a.replica.Leaving && now", To: "if now"},
+	{Rule: 10, What: "the age of an announcement does not include its transit time", File: "peer/node/announcement.go", From: "age := a.Age + now - b.Sent", To: "age := min(0, a.Age)", Test: "DyingNode"},
+	{Rule: 11, What: "gaps in a forwarded stream are accepted", File: "peer/node/forward.go", From: "if b.Number != f.nextNumber {", To: "if false {"},
+	{Rule: 12, What: "an active lockout is ignored", File: "rule/program/user.go", From: "if clock < u.LockedUntil {", To: "if false {"},
+	{Rule: 12, What: "the limit of concurrent sessions is ignored", File: "rule/program/user.go", From: "if live >= role.ConcurrentSessions {", To: "if false {"},
 }
 
-// Run applies one break to a copy of the tree and reports whether it was found.
+// Run applies the break to a copy of the tree at root and runs the simulator over at
+// most seeds seeds, or the directed test. It returns the line that reports the violation,
+// or an error if there is none.
 func (b Break) Run(root string, seeds int) (found string, err error) {
 	scratch, err := os.MkdirTemp("", "break-")
 	if err != nil {
@@ -66,7 +72,7 @@
 		return "", err
 	}
 	if n := strings.Count(string(text), b.From); n != 1 {
-		return "", errors.Newf("%s has the line to break %d times: %s", b.File, n, b.From)
+		return "", errors.Newf("%s contains the text to replace %d times, want 1: %s", b.File, n, b.From)
 	}
 	if err := os.WriteFile(path, []byte(strings.Replace(string(text), b.From, b.To, 1)), 0o644); err != nil {
 		return "", err
--- a/rehearsalkit/breaks/breaks_test.go
+++ b/rehearsalkit/breaks/breaks_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestEveryBreakFitsTheCode: the line that each break makes wrong stands in its
-// file exactly once. Whether it is found is for the command, which takes long.
+// The text that a break replaces must occur exactly once in its file. The breaks command
+// checks that each fault is found.
 func TestEveryBreakFitsTheCode(t *testing.T) {
 	for _, b := range All {
 		text, err := os.ReadFile(filepath.Join("..", "..", b.File))
@@ -17,7 +17,7 @@
 			continue
 		}
 		if n := strings.Count(string(text), b.From); n != 1 {
-			t.Errorf("%s: %s has its line %d times", b.What, b.File, n)
+			t.Errorf("%s: %s contains the text to replace %d times, want 1", b.What, b.File, n)
 		}
 	}
 }
--- a/rehearsalkit/breaks/checker.go
+++ b/rehearsalkit/breaks/checker.go
@@ -11,79 +11,80 @@
 	"github.com/cockroachdb/errors"
 )
 
-// CheckerBreak is a change of a part's state machine for the worse that the
-// model checker must find.
+// CheckerBreak is a fault in the state machine of a partition that the model checker
+// must find.
 type CheckerBreak struct {
 	What     string
 	From, To string
-	// Scenario and Depth are the bounds within which it must be found, Property is
-	// what it must be found by.
+	// Scenario and Depth bound the exploration that must find the fault, and Property is
+	// the property that it must violate.
 	Scenario string
 	Depth    int
 	Property string
 }
 
-// checkedFolder has the code that the model checker runs.
-const checkedFolder = "rule/partition"
+// checkedDir holds the code that the model checker runs.
+const checkedDir = "rule/partition"
 
-// Properties of the model checker, by their names in its reports.
+// Names of properties in the reports of the model checker.
 const (
 	oneValue   = "one value under a number for good"
 	durable    = "what was acknowledged outlives a tolerated loss"
-	fresh      = "no read older than an acknowledged write"
+	freshRead  = "no read older than an acknowledged write"
 	intersect  = "quorums of consecutive groups intersect"
 	oneLease   = "one holder of a lease at any instant"
 	refused    = "no order both refused and in force"
 	changeDone = "a change reported done is agreed by the new group"
 )
 
-// Checker are the breaks that the model checker must find.
+// Checker lists the breaks that the model checker must find.
 var Checker = []CheckerBreak{
-	{What: "the former group is not asked during a change", Scenario: "replace", Depth: 8, Property: intersect,
+	{What: "a change of members needs no quorum of the former group", Scenario: "replace", Depth: 8, Property: intersect,
 		From: "return majority(g.Members, accepted) && (len(g.Former) == 0 || majority(g.Former, accepted))", To: "return majority(g.Members, accepted)"},
-	{What: "a write of an older term is taken", Scenario: "leftover", Depth: 8, Property: fresh,
+	{What: "a write of an older term is accepted", Scenario: "leftover", Depth: 8, Property: freshRead,
 		From: "func (m *Machine) onWrite(now time.Duration, from string, msg Write) {\n\tif msg.Term.Less(m.state.Promised) {", To: "func (m *Machine) onWrite(now time.Duration, from string, msg Write) {\n\tif false {"},
 	{What: "a write is acknowledged before its sync", Scenario: "power", Depth: 8, Property: durable,
 		From: "WriteAck{Term: msg.Term, Seq: msg.Seq, CompleteSeq: m.completeSeq, SentAt: msg.SentAt}, true)", To: "WriteAck{Term: msg.Term, Seq: msg.Seq, CompleteSeq: m.completeSeq, SentAt: msg.SentAt}, false)"},
-	{What: "a promise leaves before its sync", Scenario: "promise", Depth: 11, Property: durable,
+	{What: "a promise is sent before its sync", Scenario: "promise", Depth: 11, Property: durable,
 		From: "m.send(from, promise, true)", To: "m.send(from, promise, false)"},
-	{What: "an owner answers without a look at its lease", Scenario: "read", Depth: 8, Property: fresh,
+	{What: "a leader answers without checking its lease", Scenario: "read", Depth: 8, Property: freshRead,
 		From: "if _, ok := m.LeadingTerm(now); !ok {\n\t\tm.out.Results = append(m.out.Results, Result{RequestID: requestID, NotLeader: true})\n\t\treturn *m.out\n\t}\n\tlead := m.leading\n\ttx :=",
 		To:   "if m.leading == nil || !m.leading.serving {\n\t\tm.out.Results = append(m.out.Results, Result{RequestID: requestID, NotLeader: true})\n\t\treturn *m.out\n\t}\n\tlead := m.leading\n\ttx :="},
-	{What: "a restarted seat does not wait out the lease it may have renewed", Scenario: "restart", Depth: 8, Property: oneLease,
+	{What: "a restarted member does not wait for the expiry of a lease it may have renewed", Scenario: "restart", Depth: 8, Property: oneLease,
 		From: "m.leaseUntil = o.Now + m.followerLease()", To: "m.leaseUntil = o.Now"},
-	{What: "a candidate binds itself though it renewed another's lease", Scenario: "candidate", Depth: 8, Property: oneLease,
+	{What: "a candidate promises itself although it renewed another member's lease", Scenario: "candidate", Depth: 8, Property: oneLease,
 		From: "case lead.preVote && now < m.leaseUntil && m.leaseTerm.Leader != m.member:", To: "case false:"},
-	{What: "a lease vote rests on a term in memory", Scenario: "unsynced", Depth: 12, Property: oneLease,
+	{What: "a lease is acknowledged with a term that is not synced", Scenario: "unsynced", Depth: 12, Property: oneLease,
 		From: "m.send(from, ack, m.durableTerm != msg.Term)", To: "m.send(from, ack, false)"},
-	{What: "a lease is counted longer by its holder", Scenario: "read", Depth: 8, Property: oneLease,
+	{What: "the leader counts its lease as twice its duration", Scenario: "read", Depth: 8, Property: oneLease,
 		From: "return ok && now < at+m.params.LeaseDuration\n", To: "return ok && now < at+2*m.params.LeaseDuration\n"},
-	{What: "drift is not allowed for", Scenario: "read", Depth: 8, Property: oneLease,
+	{What: "a follower does not allow for clock drift", Scenario: "read", Depth: 8, Property: oneLease,
 		From: "float64(m.params.LeaseDuration) * (1 + m.params.Drift)", To: "float64(m.params.LeaseDuration) * 1"},
-	{What: "a seat forgets whose lease it renewed", Scenario: "cut", Depth: 8, Property: oneLease,
+	{What: "a member ignores the lease it renewed", Scenario: "cut", Depth: 8, Property: oneLease,
 		From: "\tcase leaseHeld:\n", To: "\tcase leaseHeld && false:\n"},
-	{What: "a lease is counted from when the renewal was answered", Scenario: "renewal", Depth: 9, Property: oneLease,
+	{What: "a lease starts at the answer to the renewal instead of its request", Scenario: "renewal", Depth: 9, Property: oneLease,
 		From: "func (m *Machine) onLeaseAck(now time.Duration, from string, msg LeaseAck) {\n\tlead := m.leading\n", To: "func (m *Machine) onLeaseAck(now time.Duration, from string, msg LeaseAck) {\n\tlead := m.leading\n\tmsg.SentAt = now\n"},
-	{What: "what is left over from older owners is taken up", Scenario: "leftover", Depth: 8, Property: oneValue,
+	{What: "entries left over from older terms are adopted", Scenario: "leftover", Depth: 8, Property: oneValue,
 		From: "if e.Version.Term.Less(base) || allEqual && e.Deleted {", To: "if allEqual && e.Deleted {"},
-	{What: "of two promised entries the older one is taken", Scenario: "catchup", Depth: 8, Property: durable,
+	{What: "of two versions of an entry in promises the older one is used", Scenario: "catchup", Depth: 8, Property: durable,
 		From: "if old, ok := newest[e.Key]; !ok || old.Version.Less(e.Version) {", To: "if old, ok := newest[e.Key]; !ok || e.Version.Less(old.Version) {"},
-	{What: "a change is reported done before the new group has agreed", Scenario: "replace", Depth: 8, Property: changeDone,
+	{What: "a change is reported done before a quorum of the new group accepted it", Scenario: "replace", Depth: 8, Property: changeDone,
 		From: "\t\tc.step = stepFinal\n", To: "\t\tc.step = stepFinal\n\t\tm.out.Results = append(m.out.Results, Result{RequestID: c.requestID, Body: true})\n"},
-	{What: "a change goes without the joint group", Scenario: "replace", Depth: 8, Property: intersect,
+	{What: "a change of members skips the joint group", Scenario: "replace", Depth: 8, Property: intersect,
 		From: "Members: members, Former: lead.group.Members}}", To: "Members: members}}"},
-	{What: "a newcomer joins before it has caught up", Scenario: "leave", Depth: 8, Property: durable,
+	{What: "a new member joins before it has caught up", Scenario: "leave", Depth: 8, Property: durable,
 		From: "if c.adding != \"\" && lead.completeSeq[c.adding] < lead.committedSeq {", To: "if false {"},
-	{What: "a write without a majority is answered as done when its owner steps down", Scenario: "orders", Depth: 8, Property: durable,
+	{What: "a write without a majority is reported as done when its leader steps down", Scenario: "orders", Depth: 8, Property: durable,
 		From: "m.out.Results = append(m.out.Results, Result{RequestID: result.RequestID, Uncertain: true})", To: "m.out.Results = append(m.out.Results, result)"},
-	{What: "what is left over, though refused since, is taken up", Scenario: "refusal", Depth: 7, Property: refused,
+	{What: "entries left over, though refused since, are adopted", Scenario: "refusal", Depth: 7, Property: refused,
 		From: "if e.Version.Term.Less(base) || allEqual && e.Deleted {", To: "if allEqual && e.Deleted {"},
-	{What: "a write is answered before it is agreed", Scenario: "orders", Depth: 8, Property: durable,
+	{What: "a write is answered before a majority accepted it", Scenario: "orders", Depth: 8, Property: durable,
 		From: "case tx.wrote || len(lead.queuedEntries) > 0:\n\t\tlead.queuedResults = append(lead.queuedResults, result)", To: "case tx.wrote || len(lead.queuedEntries) > 0:\n\t\tm.out.Results = append(m.out.Results, result)"},
 }
 
-// Run applies a break to a copy of the tree and runs the model checker there. It
-// returns the checker's report of the violation and its trace.
+// Run applies the break to a copy of the tree at root and runs the model checker there.
+// It returns the violation and the summary of the exploration, or an error if the
+// expected property was not violated.
 func (b CheckerBreak) Run(root string) (found string, err error) {
 	scratch, err := os.MkdirTemp("", "break-")
 	if err != nil {
@@ -105,12 +106,12 @@
 	case line == "":
 		return "", errors.Newf("not found; the run ended with: %s", string(out[max(0, len(out)-400):]))
 	case !strings.HasPrefix(line, "BROKEN "+b.Property+":"):
-		return "", errors.Newf("found as something else: %s (%s)", line, report)
+		return "", errors.Newf("another property was violated: %s (%s)", line, report)
 	}
 	return line + " (" + report + ")", nil
 }
 
-// apply makes the break in a tree. The code to break must be there exactly once.
+// apply replaces the text in a tree.
 func (b CheckerBreak) apply(tree string) error {
 	path, text, err := b.locate(tree)
 	if err != nil {
@@ -119,9 +120,10 @@
 	return os.WriteFile(path, []byte(strings.Replace(text, b.From, b.To, 1)), 0o644)
 }
 
-// locate finds the one file that has the code to break.
+// locate returns the path and content of the file with the text to replace, which must
+// occur exactly once in the directory.
 func (b CheckerBreak) locate(tree string) (path, text string, err error) {
-	paths, err := filepath.Glob(filepath.Join(tree, checkedFolder, "*.go"))
+	paths, err := filepath.Glob(filepath.Join(tree, checkedDir, "*.go"))
 	if err != nil {
 		return "", "", err
 	}
@@ -140,7 +142,7 @@
 		}
 	}
 	if count != 1 {
-		return "", "", errors.Newf("%s has the code to break %d times: %s", checkedFolder, count, b.From)
+		return "", "", errors.Newf("%s contains the text to replace %d times, want 1: %s", checkedDir, count, b.From)
 	}
 	return path, text, nil
 }
--- a/rehearsalkit/breaks/checker_test.go
+++ b/rehearsalkit/breaks/checker_test.go
@@ -4,7 +4,7 @@
 
 const workspace = "../.."
 
-// Each break must still have exactly one place in the code.
+// The text that a break replaces must occur exactly once in the checked package.
 func TestCheckerBreaksFitTheCode(t *testing.T) {
 	for _, b := range Checker {
 		if _, _, err := b.locate(workspace); err != nil {
@@ -13,8 +13,7 @@
 	}
 }
 
-// The checker must find the break that no other test finds. The others are run
-// by the command.
+// No other test finds this fault. The breaks command runs the others.
 func TestCheckerFindsFormerGroupBreak(t *testing.T) {
 	found, err := Checker[0].Run(workspace)
 	if err != nil {
--- a/rehearsalkit/breaks/soak_test.go
+++ b/rehearsalkit/breaks/soak_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Each break must still have exactly one place in the code. The soak runs over them by
-// the command.
+// The text that a break replaces must occur exactly once in its file. The breaks command
+// runs the soak over each fault.
 func TestSoakBreaksFitTheCode(t *testing.T) {
 	for _, b := range Soak {
 		if _, _, err := b.locate(workspace); err != nil {
--- a/rehearsalkit/modelcheck/action.go
+++ b/rehearsalkit/modelcheck/action.go
@@ -132,7 +132,7 @@
 		}
 		w.answerRead(p)
 	default:
-		return errors.Newf("no action is called %q", a.Kind)
+		return errors.Newf("unknown kind of action %q", a.Kind)
 	}
 	return nil
 }
@@ -208,7 +208,7 @@
 // in flight from index before on.
 func (w *World) deliverAnswers(from, to string, before int) error {
 	if other := w.processes[w.indexOf(to)]; other.machine == nil || w.frozen(to) {
-		return errors.Wrap(ErrImpossible, "nobody takes the answer")
+		return errors.Wrap(ErrImpossible, "the sender cannot receive the answer")
 	}
 	sent := append([]inFlight(nil), w.network[before:]...)
 	w.network = w.network[:before:before]
@@ -221,7 +221,7 @@
 		}
 	}
 	if len(answers) == 0 {
-		return errors.Wrap(ErrImpossible, "there is no answer")
+		return errors.Wrap(ErrImpossible, "the message was not answered")
 	}
 	other := w.mutableProcess(to)
 	for _, answer := range answers {
--- a/rehearsalkit/modelcheck/clone.go
+++ b/rehearsalkit/modelcheck/clone.go
@@ -59,12 +59,12 @@
 	}
 	fresh := reflect.MakeMapWithSize(v.Type(), v.Len())
 	deep := needsDeepCopy(v.Type().Elem())
-	for walk := v.MapRange(); walk.Next(); {
-		value := walk.Value()
+	for iter := v.MapRange(); iter.Next(); {
+		value := iter.Value()
 		if deep {
 			value = deepCopy(value)
 		}
-		fresh.SetMapIndex(walk.Key(), value)
+		fresh.SetMapIndex(iter.Key(), value)
 	}
 	return fresh
 }
--- a/rehearsalkit/modelcheck/command.go
+++ b/rehearsalkit/modelcheck/command.go
@@ -14,16 +14,16 @@
 // Command is the command line of the model checker: it explores scenarios, walks
 // them randomly, or replays a trace.
 type Command struct {
-	Scenario string        `help:"Which scenario; all: one after the other." default:"all"`
-	Depth    int           `help:"How many actions a trace may have; 0: the scenario's own bound."`
-	States   int           `help:"How many distinct states are visited at most; 0: no limit."`
-	Faults   int           `help:"How many more of each kind of fault than the scenario has."`
-	Timeout  time.Duration `help:"How long each scenario may take; 0: no limit."`
-	Workers  int           `help:"How many states are expanded at once." default:"4"`
-	Walks    int           `help:"Make so many random walks instead of an exploration; depth is their length."`
-	First    uint64        `help:"First seed of random walks." default:"1"`
-	Save     string        `help:"A folder that traces of violations are written to." type:"path"`
-	Replay   string        `help:"Replay the trace in a file and explore nothing." type:"path"`
+	Scenario string        `help:"Scenario to check; all: every scenario in turn." default:"all"`
+	Depth    int           `help:"Maximum number of actions in a trace; 0: the scenario's own depth."`
+	States   int           `help:"Stop once this many distinct states were visited; 0: no limit."`
+	Faults   int           `help:"Number added to the scenario's bound of each kind of fault."`
+	Timeout  time.Duration `help:"Maximum duration of each scenario; 0: no limit."`
+	Workers  int           `help:"Number of states that are expanded in parallel." default:"4"`
+	Walks    int           `help:"Number of random walks to make instead of an exploration; depth is their length."`
+	First    uint64        `help:"Seed of the first random walk." default:"1"`
+	Save     string        `help:"Directory for traces of violations." type:"path"`
+	Replay   string        `help:"Replay the trace in this file instead of exploring." type:"path"`
 	List     bool          `help:"List the scenarios."`
 }
 
@@ -64,7 +64,7 @@
 	case !found:
 		return errors.Newf("no scenario %q", c.Scenario)
 	case broken > 0:
-		return errors.Newf("%d scenarios broken", broken)
+		return errors.Newf("%d scenarios violate a property", broken)
 	}
 	return nil
 }
@@ -94,7 +94,7 @@
 		return nil
 	}
 	if err := os.MkdirAll(c.Save, 0o755); err != nil {
-		return errors.Wrap(err, "folder for traces")
+		return errors.Wrap(err, "creating the directory for traces")
 	}
 	return trace.Save(filepath.Join(c.Save, trace.Scenario+".json"))
 }
--- a/rehearsalkit/modelcheck/encode.go
+++ b/rehearsalkit/modelcheck/encode.go
@@ -122,7 +122,7 @@
 		}
 	case reflect.Func:
 	default:
-		panic("modelcheck: no encoding for a " + v.Type().String())
+		panic("modelcheck: cannot encode type " + v.Type().String())
 	}
 }
 
@@ -176,21 +176,21 @@
 }
 
 func (e *encoder) mapValue(v reflect.Value) {
-	rows := make([]mapEntry, 0, v.Len())
-	for walk := v.MapRange(); walk.Next(); {
-		key := walk.Key()
-		row := mapEntry{value: walk.Value()}
+	entries := make([]mapEntry, 0, v.Len())
+	for iter := v.MapRange(); iter.Next(); {
+		key := iter.Key()
+		entry := mapEntry{value: iter.Value()}
 		if key.Kind() == reflect.String {
-			row.key = e.name(key.String())
+			entry.key = e.name(key.String())
 		} else {
-			row.key = string(binary.BigEndian.AppendUint64(nil, key.Uint()))
+			entry.key = string(binary.BigEndian.AppendUint64(nil, key.Uint()))
 		}
-		rows = append(rows, row)
+		entries = append(entries, entry)
 	}
-	sort.Slice(rows, func(i, j int) bool { return rows[i].key < rows[j].key })
-	e.number(uint64(len(rows)))
-	for _, row := range rows {
-		e.text(row.key)
-		e.encode(row.value)
+	sort.Slice(entries, func(i, j int) bool { return entries[i].key < entries[j].key })
+	e.number(uint64(len(entries)))
+	for _, entry := range entries {
+		e.text(entry.key)
+		e.encode(entry.value)
 	}
 }
--- a/rehearsalkit/modelcheck/explore.go
+++ b/rehearsalkit/modelcheck/explore.go
@@ -176,21 +176,21 @@
 	}
 	group.Wait()
 	var merged expansion
-	for _, l := range expansions {
-		merged.next = append(merged.next, l.next...)
-		merged.found = append(merged.found, l.found...)
-		merged.transitions += l.transitions
+	for _, e := range expansions {
+		merged.next = append(merged.next, e.next...)
+		merged.found = append(merged.found, e.found...)
+		merged.transitions += e.transitions
 	}
 	return merged
 }
 
-func (l *expansion) expand(n *node, seen *visited) {
+func (e *expansion) expand(n *node, seen *visited) {
 	for _, action := range n.world.Actions() {
 		next, err := n.world.Apply(action)
 		if err != nil {
 			continue
 		}
-		l.transitions++
+		e.transitions++
 		if next.hasNoEffect(n.world, action) {
 			continue
 		}
@@ -200,9 +200,9 @@
 		next.checkDisks()
 		fresh := &node{parent: n, action: action, world: next}
 		if next.broken != nil {
-			l.found = append(l.found, fresh)
+			e.found = append(e.found, fresh)
 		} else {
-			l.next = append(l.next, fresh)
+			e.next = append(e.next, fresh)
 		}
 	}
 	n.world = nil
--- a/rehearsalkit/modelcheck/history.go
+++ b/rehearsalkit/modelcheck/history.go
@@ -45,46 +45,46 @@
 )
 
 // recordValue records a value that was acknowledged or could be read.
-func (b *history) recordValue(number uint64, value string, how string) (*history, *Violation) {
+func (h *history) recordValue(number uint64, value, how string) (*history, *Violation) {
 	if number == 0 {
-		return b, nil
+		return h, nil
 	}
-	known, ok := b.values[number]
+	known, ok := h.values[number]
 	switch {
 	case ok && known != value:
-		return b, violation(OneValue, "number %d was %q and is %q, %s", number, known, value, how)
-	case b.refused[value]:
-		return b, violation(RefusedAbsent, "%q under %d was refused and is in force, %s", value, number, how)
+		return h, violation(OneValue, "number %d was %q and is %q, %s", number, known, value, how)
+	case h.refused[value]:
+		return h, violation(RefusedAbsent, "%q under %d was refused and is accepted, %s", value, number, how)
 	case ok:
-		return b, nil
+		return h, nil
 	}
-	fresh := *b
-	fresh.values = maps.Clone(b.values)
+	fresh := *h
+	fresh.values = maps.Clone(h.values)
 	fresh.values[number] = value
-	fresh.latest = max(b.latest, number)
+	fresh.latest = max(h.latest, number)
 	return &fresh, nil
 }
 
 // recordRefusal records that an order was refused.
-func (b *history) recordRefusal(order Order) (*history, *Violation) {
-	if b.values[order.Number] == order.Value {
-		return b, violation(RefusedAbsent, "%q under %d is in force and was refused", order.Value, order.Number)
+func (h *history) recordRefusal(order Order) (*history, *Violation) {
+	if h.values[order.Number] == order.Value {
+		return h, violation(RefusedAbsent, "%q under %d was accepted and is refused", order.Value, order.Number)
 	}
-	fresh := *b
-	fresh.refused = maps.Clone(b.refused)
+	fresh := *h
+	fresh.refused = maps.Clone(h.refused)
 	fresh.refused[order.Value] = true
 	return &fresh, nil
 }
 
 // recordGroup records a group that a leader reported as committed.
-func (b *history) recordGroup(group partition.Group) (*history, *Violation) {
-	if !b.group.Before(group) {
-		return b, nil
+func (h *history) recordGroup(group partition.Group) (*history, *Violation) {
+	if !h.group.Before(group) {
+		return h, nil
 	}
-	if b.group.Epoch > 0 && !quorumsIntersect(b.group, group) {
-		return b, violation(QuorumsIntersect, "group %v, %v was followed by %v, %v", b.group.Members, b.group.Former, group.Members, group.Former)
+	if h.group.Epoch > 0 && !quorumsIntersect(h.group, group) {
+		return h, violation(QuorumsIntersect, "group %v, %v was followed by %v, %v", h.group.Members, h.group.Former, group.Members, group.Former)
 	}
-	fresh := *b
+	fresh := *h
 	fresh.group = group
 	return &fresh, nil
 }
@@ -92,15 +92,15 @@
 // quorumsIntersect reports whether every quorum of one group shares a member with
 // every quorum of the other.
 func quorumsIntersect(a, b partition.Group) bool {
-	memberNames := a.All()
+	members := a.All()
 	for _, member := range b.All() {
 		if !a.Has(member) {
-			memberNames = append(memberNames, member)
+			members = append(members, member)
 		}
 	}
-	all := 1<<len(memberNames) - 1
+	all := 1<<len(members) - 1
 	for chosen := range all + 1 {
-		if isQuorum(a, subset(memberNames, chosen)) && isQuorum(b, subset(memberNames, all&^chosen)) {
+		if isQuorum(a, subset(members, chosen)) && isQuorum(b, subset(members, all&^chosen)) {
 			return false
 		}
 	}
@@ -108,9 +108,9 @@
 }
 
 // subset returns the members selected by the bits of chosen.
-func subset(memberNames []string, chosen int) map[string]bool {
+func subset(members []string, chosen int) map[string]bool {
 	set := map[string]bool{}
-	for i, member := range memberNames {
+	for i, member := range members {
 		if chosen&(1<<i) != 0 {
 			set[member] = true
 		}
@@ -124,12 +124,12 @@
 	return isMajority(group.Members, set) && (len(group.Former) == 0 || isMajority(group.Former, set))
 }
 
-func isMajority(memberNames []string, set map[string]bool) bool {
+func isMajority(members []string, set map[string]bool) bool {
 	count := 0
-	for _, member := range memberNames {
+	for _, member := range members {
 		if set[member] {
 			count++
 		}
 	}
-	return count > len(memberNames)/2
+	return count > len(members)/2
 }
--- a/rehearsalkit/modelcheck/modelcheck_test.go
+++ b/rehearsalkit/modelcheck/modelcheck_test.go
@@ -17,12 +17,12 @@
 	"restart": 7, "promise": 7, "power": 6, "candidate": 7, "unsynced": 11, "leftover": 5, "refusal": 5,
 }
 
-func TestScenariosHold(t *testing.T) {
+func TestScenariosHaveNoViolations(t *testing.T) {
 	for _, s := range Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
 			depth, ok := testDepths[s.Name]
 			if !ok {
-				t.Fatal("no depth for a test run")
+				t.Fatal("testDepths has no entry for this scenario")
 			}
 			report := Explore(s, Limits{Depth: depth, Workers: 4})
 			t.Log(report)
@@ -30,7 +30,7 @@
 				t.Error(report.Found)
 			}
 			if report.Distinct < 100 || report.Depth < depth {
-				t.Errorf("%d states to depth %d show nothing", report.Distinct, report.Depth)
+				t.Errorf("only %d states to depth %d were explored", report.Distinct, report.Depth)
 			}
 		})
 	}
@@ -40,7 +40,7 @@
 func TestKeptTraces(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*.json")
 	if err != nil || len(paths) == 0 {
-		t.Fatal("no traces", err)
+		t.Fatal("no stored traces in testdata:", err)
 	}
 	for _, path := range paths {
 		t.Run(filepath.Base(path), func(t *testing.T) {
@@ -57,7 +57,7 @@
 
 // A read must be checked against the writes acknowledged before its arrival, not
 // before its answer: the process may have been frozen in between.
-func TestPlaceOfLastLeaseCheck(t *testing.T) {
+func TestReadIsCheckedAgainstItsArrival(t *testing.T) {
 	actions := []Action{
 		{Kind: BeginRead, Member: "c"}, {Kind: Advance}, {Kind: Advance}, {Kind: Tick, Member: "a"},
 		{Kind: Exchange, Message: "Stand", From: "a", Member: "b"}, {Kind: Exchange, Message: "Stand", From: "a", Member: "b"},
@@ -79,12 +79,12 @@
 		case !late && w.broken != nil:
 			t.Error(w.broken)
 		case late && (w.broken == nil || w.broken.Property != FreshRead):
-			t.Errorf("a read judged by its end: %v", w.broken)
+			t.Errorf("read checked as if it arrived at its answer: violation %v, want FreshRead", w.broken)
 		}
 	}
 }
 
-func TestCloneSharesNothing(t *testing.T) {
+func TestCloneSharesNoState(t *testing.T) {
 	s, _ := Find("replace")
 	w := s.Start()
 	for range 40 {
@@ -94,7 +94,7 @@
 			}
 			fresh := cloneMachine(p.machine)
 			if digestOf(nil, fresh) != digestOf(nil, p.machine) {
-				t.Fatal("a clone differs from its source")
+				t.Fatal("clone and original have different digests")
 			}
 			requireDistinct(t, reflect.ValueOf(p.machine).Elem(), reflect.ValueOf(fresh).Elem(), "machine")
 		}
@@ -134,7 +134,7 @@
 }
 
 // Apply must not change the state it starts from.
-func TestApplyLeavesItsStart(t *testing.T) {
+func TestApplyLeavesInitialStateUnchanged(t *testing.T) {
 	for _, s := range Scenarios() {
 		w := s.Start()
 		for range 6 {
@@ -145,7 +145,7 @@
 					next = one
 				}
 				if freshFingerprint(w) != before {
-					t.Fatalf("%s: %v has changed the state before it", s.Name, a)
+					t.Fatalf("%s: %v changed the state it was applied to", s.Name, a)
 				}
 			}
 			if next == nil {
@@ -165,7 +165,7 @@
 }
 
 // States that differ only by a permutation of interchangeable members count as one.
-func TestAlikeMembersAreOneState(t *testing.T) {
+func TestInterchangeableMembersShareAFingerprint(t *testing.T) {
 	s, _ := Find("orders")
 	s.Interchangeable, s.setup = []string{"b", "c"}, func(*World) {}
 	w := s.Start()
@@ -177,12 +177,12 @@
 		}
 		prints = append(prints, next.fingerprint())
 	}
-	owner, err := w.Apply(Action{Kind: Crash, Member: "a"})
+	leader, err := w.Apply(Action{Kind: Crash, Member: "a"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if prints[0] != prints[1] || prints[0] == owner.fingerprint() {
-		t.Error("b and c are not alike, or a is")
+	if prints[0] != prints[1] || prints[0] == leader.fingerprint() {
+		t.Error("fingerprints do not treat b and c as interchangeable, or treat a so")
 	}
 }
 
@@ -191,29 +191,29 @@
 	joint := partition.Group{Members: []string{"a", "b", "d"}, Former: threeMembers.Members}
 	final := partition.Group{Members: joint.Members}
 	if !quorumsIntersect(threeMembers, joint) || !quorumsIntersect(joint, final) || quorumsIntersect(threeMembers, final) {
-		t.Error("quorums are counted wrong")
+		t.Error("quorumsIntersect gives a wrong result")
 	}
 }
 
-func TestBookSeesBrokenRules(t *testing.T) {
+func TestHistoryDetectsViolations(t *testing.T) {
 	empty := &history{values: map[uint64]string{}, refused: map[string]bool{}}
 	one, broken := empty.recordValue(1, "x", "")
 	if broken != nil || one.latest != 1 || empty.latest != 0 {
-		t.Fatal("a first value", broken)
+		t.Fatal("first value is not recorded:", broken)
 	}
 	if _, broken := one.recordValue(1, "y", ""); broken == nil || broken.Property != OneValue {
-		t.Error("a second value under a number:", broken)
+		t.Error("second value under one number:", broken)
 	}
 	if _, broken := one.recordRefusal(Order{Number: 1, Value: "x"}); broken == nil || broken.Property != RefusedAbsent {
-		t.Error("refused and in force:", broken)
+		t.Error("accepted order refused:", broken)
 	}
 	refused, _ := one.recordRefusal(Order{Number: 2, Value: "y"})
 	if _, broken := refused.recordValue(2, "y", ""); broken == nil || broken.Property != RefusedAbsent {
-		t.Error("in force after it was refused:", broken)
+		t.Error("refused order accepted:", broken)
 	}
 }
 
-func TestTraceSurvivesItsFile(t *testing.T) {
+func TestTraceSaveAndLoad(t *testing.T) {
 	trace := &Trace{Scenario: "orders", Violation: Violation{Property: FreshRead, Detail: "d"}, Actions: []Action{{Kind: Advance}, {Kind: Tick, Member: "a"}}}
 	path := filepath.Join(t.TempDir(), "trace.json")
 	if err := trace.Save(path); err != nil {
@@ -229,13 +229,13 @@
 }
 
 // A limit that is reached must end the exploration and be reported.
-func TestLimitsAreTold(t *testing.T) {
+func TestLimitsAreReported(t *testing.T) {
 	for want, limits := range map[string]Limits{
 		"depth": {Depth: 2}, "states": {Depth: 20, States: 500}, "timeout": {Depth: 40, Timeout: 50 * time.Millisecond},
 	} {
 		s, _ := Find("orders")
 		if r := Explore(s, limits); r.StoppedBy != want || r.Frontier == 0 {
-			t.Errorf("%s: cut off by %q with %d in the frontier", want, r.StoppedBy, r.Frontier)
+			t.Errorf("want limit %s: stopped by %q with %d states in the frontier", want, r.StoppedBy, r.Frontier)
 		}
 	}
 }
@@ -257,7 +257,7 @@
 }
 
 // A second leader must be reachable in a few steps in these scenarios.
-func TestSuccessorIsWithinReach(t *testing.T) {
+func TestSuccessorIsReachable(t *testing.T) {
 	for _, name := range []string{"orders", "again", "catchup", "read"} {
 		s, _ := Find(name)
 		w := s.Start()
--- a/rehearsalkit/modelcheck/process.go
+++ b/rehearsalkit/modelcheck/process.go
@@ -96,18 +96,18 @@
 // honours it for three, and it is renewed once per quantum. Sweeps are practically
 // disabled.
 const (
-	quantum        = 50 * time.Millisecond
-	leaseDuration  = 2 * quantum
-	drift          = 0.5
-	renewals       = 2
-	leasesPerSweep = 1 << 20
+	quantum          = 50 * time.Millisecond
+	leaseDuration    = 2 * quantum
+	drift            = 0.5
+	renewalsPerLease = 2
+	leasesPerSweep   = 1 << 20
 )
 
 // newMachine creates a machine as shipped, with its own copy of the disk's entries.
 func newMachine(member string, disk partition.State, now time.Duration) *partition.Machine {
 	disk.Entries = maps.Clone(disk.Entries)
 	return partition.New(partition.Options{
-		Params: partition.Params{LeaseDuration: leaseDuration, Drift: drift, RenewalsPerLease: renewals, LeasesPerSweep: leasesPerSweep},
+		Params: partition.Params{LeaseDuration: leaseDuration, Drift: drift, RenewalsPerLease: renewalsPerLease, LeasesPerSweep: leasesPerSweep},
 		Member: member,
 		Rules:  registerRules{},
 		State:  disk,
--- a/rehearsalkit/modelcheck/properties.go
+++ b/rehearsalkit/modelcheck/properties.go
@@ -21,7 +21,7 @@
 		}
 	}
 	if len(holders) > 1 {
-		w.recordViolation(violation(OneLease, "%s hold it at %v", strings.Join(holders, " and "), w.now))
+		w.recordViolation(violation(OneLease, "%s hold the lease at %v", strings.Join(holders, " and "), w.now))
 	}
 	for _, p := range w.processes {
 		if p.machine != nil && !w.frozen(p.member) {
@@ -76,7 +76,7 @@
 	}
 	w.reading = reading{}
 	if value, ok := r.Body.(Register); ok && value.Number < latest {
-		w.recordViolation(violation(FreshRead, "%d was acknowledged before the read came to %s, which says %d", latest, p.member, value.Number))
+		w.recordViolation(violation(FreshRead, "%d was acknowledged before the read came to %s, which returned %d", latest, p.member, value.Number))
 	}
 }
 
--- a/rehearsalkit/modelcheck/register.go
+++ b/rehearsalkit/modelcheck/register.go
@@ -76,7 +76,7 @@
 func decode[T any](raw []byte) T {
 	var value T
 	if err := message.Unmarshal(raw, &value); err != nil {
-		panic("modelcheck: an entry is damaged: " + err.Error())
+		panic("modelcheck: cannot decode an entry: " + err.Error())
 	}
 	return value
 }
--- a/rehearsalkit/modelcheck/scenario.go
+++ b/rehearsalkit/modelcheck/scenario.go
@@ -101,16 +101,16 @@
 		w.perform(p, p.machine.Tick(w.now))
 		w.deliverAmong(append(voters, member)...)
 	}
-	panic("modelcheck: " + member + " did not come to own the part")
+	panic("modelcheck: " + member + " was not elected")
 }
 
 // deliverAmong delivers the messages between the given members and drops all others.
-func (w *World) deliverAmong(memberNames ...string) {
-	memberNames = append(slices.Clone(memberNames), w.scenario.setupFollowers...)
+func (w *World) deliverAmong(members ...string) {
+	members = append(slices.Clone(members), w.scenario.setupFollowers...)
 	for len(w.network) > 0 {
 		msg := w.network[0].packet
 		w.network = w.network[1:]
-		if p := w.mutableProcess(msg.To); slices.Contains(memberNames, msg.To) && slices.Contains(memberNames, msg.From) && p.machine != nil {
+		if p := w.mutableProcess(msg.To); slices.Contains(members, msg.To) && slices.Contains(members, msg.From) && p.machine != nil {
 			w.perform(p, p.machine.Receive(w.now+p.skew, msg.From, msg.Body))
 		}
 	}
@@ -139,7 +139,7 @@
 			return
 		}
 	}
-	panic("modelcheck: no " + kind + " is on its way from " + from + " to " + to)
+	panic("modelcheck: no " + kind + " is in flight from " + from + " to " + to)
 }
 
 // tick ticks a machine during setup and leaves its messages in flight.
--- a/rehearsalkit/modelcheck/scenarios.go
+++ b/rehearsalkit/modelcheck/scenarios.go
@@ -100,7 +100,7 @@
 func leaveScenario() *Scenario {
 	return &Scenario{
 		Name:        "leave",
-		Description: "a member that leaves while holding the only complete copy besides the owner's, at every step",
+		Description: "a member that leaves while holding the only complete copy besides the leader's, at every step",
 		Members:     threeMembers,
 		Spares:      []string{spare},
 		Orders:      []Order{{0, 1, "x"}, {1, 2, "y"}},
@@ -154,7 +154,7 @@
 func cutScenario() *Scenario {
 	return &Scenario{
 		Name:        "cut",
-		Description: "a member that the owner's renewals do not reach wants to own the part",
+		Description: "a member that the leader's renewals do not reach stands for election",
 		Members:     threeMembers,
 		Orders:      []Order{{0, 1, "x"}, {1, 2, "y"}},
 		Bounds:      Bounds{Advances: 2, Reboots: 1, Attempts: 1},
@@ -176,7 +176,7 @@
 func renewalScenario() *Scenario {
 	return &Scenario{
 		Name:        "renewal",
-		Description: "the owner's renewals are answered, and the answers come late",
+		Description: "the leader's renewals are answered, and the answers come late",
 		Members:     threeMembers,
 		Orders:      []Order{{0, 1, "x"}},
 		Bounds:      Bounds{Advances: 2, Delays: 1},
@@ -197,7 +197,7 @@
 func restartScenario() *Scenario {
 	return &Scenario{
 		Name:        "restart",
-		Description: "members that renewed the owner's lease restart",
+		Description: "members that renewed the leader's lease restart",
 		Members:     threeMembers,
 		Orders:      []Order{{0, 1, "x"}},
 		Bounds:      Bounds{Advances: 2, Reboots: 2},
@@ -214,7 +214,7 @@
 func promiseScenario() *Scenario {
 	return &Scenario{
 		Name:        "promise",
-		Description: "a candidate is promised its term while the owner's write is on its way, and power is lost",
+		Description: "a candidate is promised its term while the leader's write is in flight, and power is lost",
 		Members:     threeMembers,
 		Orders:      []Order{{0, 1, "x"}, {1, 2, "y"}},
 		Bounds:      Bounds{Reboots: 1, Delays: 1},
@@ -251,7 +251,7 @@
 func candidateScenario() *Scenario {
 	return &Scenario{
 		Name:        "candidate",
-		Description: "a candidate renews the owner's lease while it asks, and restarts",
+		Description: "a candidate renews the leader's lease during its own election, and restarts",
 		Members:     threeMembers,
 		Orders:      []Order{{0, 1, "x"}, {1, 2, "y"}},
 		Bounds:      Bounds{Delays: 1, Advances: 1, Reboots: 1},
@@ -259,7 +259,7 @@
 		setup: func(w *World) {
 			w.elect("c", "a", "b")
 			w.commitOrder("c", 0, "a", "b")
-			// Renewals reach b; then they are on their way to a alone.
+			// Renewals reach b; then they are in flight to a alone.
 			w.advance(1)
 			w.tick("c")
 			w.deliverAmong("c", "b")
@@ -268,7 +268,7 @@
 			w.dropMessagesTo("b")
 			w.advance(1)
 			w.tick("a")
-			// While a asks b, the renewal reaches a, and so does the next one.
+			// During a's election, this renewal and the next one reach a.
 			w.deliverFirst("c", "a", "Renew")
 			w.deliverFirst("a", "c", "Renewed")
 			w.tick("c")
@@ -283,7 +283,7 @@
 func unsyncedScenario() *Scenario {
 	return &Scenario{
 		Name:        "unsynced",
-		Description: "a member that missed the owner's first write takes it late, renews, and loses power",
+		Description: "a member that missed the leader's first write accepts it late, renews, and loses power",
 		Members:     threeMembers,
 		Orders:      []Order{{0, 1, "x"}, {1, 2, "y"}},
 		Bounds:      Bounds{Advances: 1, Reboots: 1},
@@ -296,8 +296,8 @@
 			w.elect("c", "b")
 			w.advance(1)
 			w.mutableProcess("a").slow = true
-			// The renewal tells the owner that a has missed its first write, a
-			// takes that, and the next renewals find it not synced.
+			// The renewal shows the leader that a missed its first write. Then a
+			// accepts that write, which is not synced at the next renewals.
 			w.tick("c")
 			w.deliverAmong("a", "b", "c")
 			for range 2 {
@@ -314,7 +314,7 @@
 func leftoverScenario() *Scenario {
 	return &Scenario{
 		Name:        "leftover",
-		Description: "an order that only its owner took is left over when another owner serves",
+		Description: "an order that only its leader accepted is left over when another leader serves",
 		Members:     threeMembers,
 		Orders:      []Order{{0, 1, "x"}, {0, 1, "y"}},
 		Bounds:      Bounds{Advances: 1, Reboots: 1, Attempts: 2, Delays: 1},
@@ -328,7 +328,7 @@
 func refusalScenario() *Scenario {
 	return &Scenario{
 		Name:        "refusal",
-		Description: "an order that only its owner took is refused by the next owner",
+		Description: "an order that only its leader accepted is refused by the next leader",
 		Members:     threeMembers,
 		Orders:      []Order{{0, 1, "x"}, {0, 2, "y"}},
 		Bounds:      Bounds{Delays: 1, Advances: 1, Reboots: 1, Attempts: 2},
--- a/rehearsalkit/modelcheck/trace.go
+++ b/rehearsalkit/modelcheck/trace.go
@@ -38,25 +38,25 @@
 func (t *Trace) Save(path string) error {
 	raw, err := json.MarshalIndent(t, "", "\t")
 	if err != nil {
-		return errors.Wrap(err, "trace")
+		return errors.Wrap(err, "encoding a trace")
 	}
-	return errors.Wrap(os.WriteFile(path, append(raw, '\n'), 0o644), "trace")
+	return errors.Wrap(os.WriteFile(path, append(raw, '\n'), 0o644), "writing a trace")
 }
 
 // LoadTrace reads a trace from a JSON file.
 func LoadTrace(path string) (*Trace, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "trace")
+		return nil, errors.Wrap(err, "reading a trace")
 	}
 	var trace Trace
-	return &trace, errors.Wrapf(json.Unmarshal(raw, &trace), "trace %s", path)
+	return &trace, errors.Wrapf(json.Unmarshal(raw, &trace), "decoding trace %s", path)
 }
 
-// Replay applies the actions and passes each state to tell, which may be nil. It
+// Replay applies the actions and passes each state to visit, which may be nil. It
 // returns the first violation, or ErrImpossible if the code no longer allows an
 // action.
-func (t *Trace) Replay(tell func(Action, *World)) (*Violation, error) {
+func (t *Trace) Replay(visit func(Action, *World)) (*Violation, error) {
 	scenario, ok := Find(t.Scenario)
 	if !ok {
 		return nil, errors.Newf("no scenario %q", t.Scenario)
@@ -68,8 +68,8 @@
 			return nil, err
 		}
 		next.checkDisks()
-		if tell != nil {
-			tell(action, next)
+		if visit != nil {
+			visit(action, next)
 		}
 		if next.broken != nil {
 			return next.broken, nil
--- a/rehearsalkit/modelcheck/world.go
+++ b/rehearsalkit/modelcheck/world.go
@@ -242,7 +242,7 @@
 		final = final && member != change.Remove
 	}
 	if !final || !isMajority(group.Members, w.membersWithGroup(group)) {
-		w.recordViolation(violation(ChangeDone, "%s has reported %v done with the group %v, %v", p.member, change, group.Members, group.Former))
+		w.recordViolation(violation(ChangeDone, "%s reported %v done with members %v, former members %v", p.member, change, group.Members, group.Former))
 	}
 }
 
@@ -264,7 +264,7 @@
 	}
 	p.agreed = group
 	if !isQuorum(group, w.membersWithGroup(group)) {
-		w.recordViolation(violation(QuorumsIntersect, "%s has the group %v, %v as agreed without a quorum of it", p.member, group.Members, group.Former))
+		w.recordViolation(violation(QuorumsIntersect, "%s considers members %v, former members %v committed without a quorum", p.member, group.Members, group.Former))
 	}
 	var broken *Violation
 	w.history, broken = w.history.recordGroup(group)
@@ -302,7 +302,7 @@
 		case p.machine == nil:
 			state = "down"
 		case p.leads(w.now):
-			state = "owner"
+			state = "owner" // the printed label of a leader
 		}
 		stored := Register{}
 		if e, ok := p.disk.Entries[registerKey]; ok {
