--- a/peer/desk/handler.go
+++ b/peer/desk/handler.go
@@ -54,7 +54,7 @@
 func writeOrderResult(w http.ResponseWriter, result OrderResult, err error) {
 	switch {
 	case err != nil || result.Uncertain:
-		operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "the outcome is unknown; send the same request again to find out", Executed: "maybe"})
+		operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "hand the same order over again to find out", Executed: "maybe"})
 	case result.Faults != nil:
 		operator.WriteJSON(w, http.StatusBadRequest, result)
 	case result.RaceLost:
--- a/rehearsalkit/modelcheck/trace.go
+++ b/rehearsalkit/modelcheck/trace.go
@@ -9,8 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Trace is a way from a scenario's start to a violation. It can be kept in a
-// file and replayed.
+// Trace is a sequence of actions from a scenario's initial state to a violation.
 type Trace struct {
 	Scenario  string    `json:"scenario"`
 	Violation Violation `json:"violation"`
@@ -25,7 +24,7 @@
 	return trace
 }
 
-// String prints a trace, one action a line.
+// String prints the violation and one action per line.
 func (t *Trace) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s\n  in scenario %s after %d actions:\n", &t.Violation, t.Scenario, len(t.Actions))
@@ -35,29 +34,29 @@
 	return text.String()
 }
 
-// Save writes a trace to a file.
+// Save writes the trace to a JSON file.
 func (t *Trace) Save(path string) error {
 	raw, err := json.MarshalIndent(t, "", "\t")
 	if err != nil {
-		return errors.Wrap(err, "trace")
+		return errors.Wrap(err, "encoding a trace")
 	}
-	return errors.Wrap(os.WriteFile(path, append(raw, '\n'), 0o644), "trace")
+	return errors.Wrap(os.WriteFile(path, append(raw, '\n'), 0o644), "writing a trace")
 }
 
-// LoadTrace reads a trace from a file.
+// LoadTrace reads a trace from a JSON file.
 func LoadTrace(path string) (*Trace, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "trace")
+		return nil, errors.Wrap(err, "reading a trace")
 	}
 	var trace Trace
-	return &trace, errors.Wrapf(json.Unmarshal(raw, &trace), "trace %s", path)
+	return &trace, errors.Wrapf(json.Unmarshal(raw, &trace), "decoding trace %s", path)
 }
 
-// Replay takes a trace's actions and tells each state to a function that may be
-// nil. It returns what is broken at the end or on the way, and
-// ErrImpossible where the code no longer allows an action.
-func (t *Trace) Replay(tell func(Action, *World)) (*Violation, error) {
+// Replay applies the actions and passes each state to visit, which may be nil. It
+// returns the first violation, or ErrImpossible if the code no longer allows an
+// action.
+func (t *Trace) Replay(visit func(Action, *World)) (*Violation, error) {
 	scenario, ok := Find(t.Scenario)
 	if !ok {
 		return nil, errors.Newf("no scenario %q", t.Scenario)
@@ -68,9 +67,9 @@
 		if err != nil {
 			return nil, err
 		}
-		next.judgeDisks()
-		if tell != nil {
-			tell(action, next)
+		next.checkDisks()
+		if visit != nil {
+			visit(action, next)
 		}
 		if next.broken != nil {
 			return next.broken, nil
