--- a/rehearsalkit/main.go
+++ b/rehearsalkit/main.go
@@ -86,8 +86,8 @@
 	broken, whole, late := 0, int64(0), time.Duration(0)
 	situations := map[string]int{}
 	simulator.RunSeeds(first, c.Seeds, func(o simulator.Outcome) {
-		whole += o.Whole
-		late = max(late, o.LateTrip)
+		whole += o.CompletedTurns
+		late = max(late, o.MaxTripDelay)
 		for name, n := range o.Situations {
 			situations[name] += n
 		}
@@ -205,11 +205,11 @@
 	broken := 0
 	for _, term := range c.Terms {
 		t := simulator.MeasureTerm(term, c.Cuts, c.Seeds)
-		fmt.Printf("term %v: %d turns asked in cuts;", term, t.Asked)
+		fmt.Printf("term %v: %d turns asked in cuts;", term, t.Turns)
 		for _, cut := range c.Cuts {
 			fmt.Printf(" cut of %v: %.1f%% whole;", cut, 100*t.Served[cut])
 		}
-		fmt.Printf(" successor after %v; configuration with a node dead taken after %v\n", t.Successor.Round(10*time.Millisecond), t.Taken.Round(10*time.Millisecond))
+		fmt.Printf(" successor after %v; configuration with a node dead taken after %v\n", t.MaxFailover.Round(10*time.Millisecond), t.MaxConfigurationDelay.Round(10*time.Millisecond))
 		for _, b := range t.Breaches {
 			broken++
 			fmt.Println("BROKEN", b)
@@ -228,7 +228,7 @@
 
 func (c *crashCommand) Run() error {
 	points, runs, faults := 0, 0, 0
-	simulator.CrashPoints(c.Every, func(c simulator.Crash) {
+	simulator.CrashPoints(c.Every, func(c simulator.CrashResult) {
 		points, runs, faults = points+c.Points, runs+c.Runs, faults+len(c.Faults)
 		fmt.Println(c)
 	})
@@ -250,8 +250,8 @@
 		m := simulator.MeasureCrowd(seed)
 		broken += len(m.Breaches)
 		fmt.Printf("crowd, seed %d: alerts through in calm %d of %d (half %v, nine of ten %v), in the crowd %d of %d (half %v, nine of ten %v); turns whole %d of %d\n", seed,
-			m.Through[0], m.Alerts[0], m.Half[0].Round(time.Millisecond), m.NineOfTen[0].Round(time.Millisecond),
-			m.Through[1], m.Alerts[1], m.Half[1].Round(time.Millisecond), m.NineOfTen[1].Round(time.Millisecond), m.TurnsWhole, m.Turns)
+			m.Succeeded[0], m.Alerts[0], m.Median[0].Round(time.Millisecond), m.P90[0].Round(time.Millisecond),
+			m.Succeeded[1], m.Alerts[1], m.Median[1].Round(time.Millisecond), m.P90[1].Round(time.Millisecond), m.SucceededTurns, m.Turns)
 	}
 	for _, where := range []string{"all nodes", "one node", "moving"} {
 		fmt.Printf("quota used by one large tenant, %s:", where)
--- a/rehearsalkit/simulator/backend.go
+++ b/rehearsalkit/simulator/backend.go
@@ -10,16 +10,16 @@
 )
 
 type backend struct {
-	world   *World
-	service string
-	id      string
-	zone    string
-	alive   bool
-	leaving bool
-	running int64
-	serial  int
-	loses   float64
-	manner  string
+	world       *World
+	service     string
+	id          string
+	zone        string
+	alive       bool
+	leaving     bool
+	running     int64
+	serial      int
+	lossRate    float64
+	failureMode string
 	// mute replicas say nothing of themselves any more.
 	mute bool
 }
@@ -31,15 +31,15 @@
 // stamp that it gave. A node that does not answer is left for another.
 func (b *backend) announce() {
 	for i := 0; i < 2; i++ {
-		b.keepTelling(b.serial)
+		b.announceToAnyNode(b.serial)
 	}
 }
 
-func (b *backend) keepTelling(serial int) {
-	b.tell(b.world.anyNode(), serial, "")
+func (b *backend) announceToAnyNode(serial int) {
+	b.announceTo(b.world.anyNode(), serial, "")
 }
 
-func (b *backend) tell(p *proc, serial int, stamp string) {
+func (b *backend) announceTo(p *process, serial int, token string) {
 	w := b.world
 	if b.serial != serial || !b.alive || b.mute {
 		return
@@ -48,15 +48,15 @@
 	over := false
 	w.after(w.between(200*time.Microsecond, 3*time.Millisecond), func() {
 		p.do(func() {
-			if r.Leaving && !w.told(r.ID) {
+			if r.Leaving && !w.leavingRecorded(r.ID) {
 				// The first node has it, whatever becomes of that node.
 				w.Record.Leaving = append(w.Record.Leaving, judge.Leaving{At: w.now, Replica: r.ID})
 			}
-			heard := p.nodeM.Announce(p.now(), r, stamp)
+			accepted := p.nodeM.Announce(p.now(), r, token)
 			w.after(w.between(200*time.Microsecond, 3*time.Millisecond), func() {
 				if !over && p.alive {
 					over = true
-					w.after(heard.NextIn, func() { b.tell(p, serial, heard.Token) })
+					w.after(accepted.NextIn, func() { b.announceTo(p, serial, accepted.Token) })
 				}
 			})
 		})
@@ -64,12 +64,12 @@
 	w.after(300*time.Millisecond, func() {
 		if !over {
 			over = true
-			b.keepTelling(serial)
+			b.announceToAnyNode(serial)
 		}
 	})
 }
 
-func (w *World) told(replica string) bool {
+func (w *World) leavingRecorded(replica string) bool {
 	for _, l := range w.Record.Leaving {
 		if l.Replica == replica {
 			return true
@@ -98,36 +98,36 @@
 	})
 }
 
-type simShot struct {
+type simAttempt struct {
 	cancelled bool
 }
 
 // shoot carries a shot to a replica and its events back.
-func (w *World) shoot(p *proc, s node.StartAttempt) {
-	shot := &simShot{}
-	p.shots[s.Attempt] = shot
-	life := p.life
+func (w *World) startAttempt(p *process, s node.StartAttempt) {
+	attempt := &simAttempt{}
+	p.attempts[s.Attempt] = attempt
+	incarnation := p.incarnation
 	w.Counts["shots"]++
 	back := func(delay time.Duration, e node.AttemptEvent) {
 		e.Attempt = s.Attempt
 		w.after(delay, func() {
-			if p.life != life || shot.cancelled {
+			if p.incarnation != incarnation || attempt.cancelled {
 				return
 			}
 			p.do(func() {
-				if shot.cancelled {
+				if attempt.cancelled {
 					return
 				}
 				if e.Kind != node.EventChunk {
-					delete(p.shots, s.Attempt)
+					delete(p.attempts, s.Attempt)
 				}
-				p.takeNode(p.nodeM.HandleAttemptEvent(p.now(), e))
+				p.handleNodeOutput(p.nodeM.HandleAttemptEvent(p.now(), e))
 			})
 		})
 	}
 	w.after(w.between(200*time.Microsecond, 3*time.Millisecond), func() {
 		var target *backend
-		for _, b := range w.models {
+		for _, b := range w.backends {
 			if b.alive && b.address() == s.Address {
 				target = b
 			}
@@ -142,18 +142,18 @@
 
 // Manners in which a replica may fail beside losing an answer.
 const (
-	late    = "answers late"
-	twice   = "answers twice"
-	overrun = "gives more than asked for"
-	holds   = "holds streams open"
+	answersLate  = "answers late"
+	answersTwice = "answers twice"
+	exceedsLimit = "gives more than asked for"
+	holdsStreams = "holds streams open"
 )
 
-var manners = []string{late, twice, overrun, holds}
+var failureModes = []string{answersLate, answersTwice, exceedsLimit, holdsStreams}
 
 func (b *backend) serve(s node.StartAttempt, back func(delay time.Duration, e node.AttemptEvent)) {
 	w := b.world
 	seen := judge.Attempt{At: w.now, Service: b.service, Replica: b.name(), Tenant: s.Payload.Tenant, Program: s.Payload.Program, Conversation: s.Payload.Conversation}
-	lose := w.chance(b.loses)
+	lose := w.chance(b.lossRate)
 	serial := b.serial
 	b.running++
 	done := func(after time.Duration) {
@@ -164,7 +164,7 @@
 		})
 	}
 	if s.Kind != "model" {
-		seen.RequestID, seen.OnceKey, seen.Tool = markOf(s.Payload.Body), s.Payload.OnceKey, s.Kind == "tool"
+		seen.RequestID, seen.OnceKey, seen.Tool = requestIDOf(s.Payload.Body), s.Payload.OnceKey, s.Kind == "tool"
 		w.Record.Attempts = append(w.Record.Attempts, seen)
 		delay := w.between(2*time.Millisecond, 40*time.Millisecond)
 		done(delay)
@@ -179,7 +179,7 @@
 	for _, t := range s.Payload.History {
 		seen.History = append(seen.History, judge.Turn{Prompt: t.Prompt, Answer: t.Response})
 	}
-	if b.manner == late {
+	if b.failureMode == answersLate {
 		w.after(w.between(500*time.Millisecond, 3*time.Second), func() {
 			if b.serial == serial {
 				b.answer(s, seen, lose, done, back)
@@ -205,7 +205,7 @@
 			tokens = tokens/2 + 1
 		}
 		tokens = min(tokens, s.Payload.MaxTokens-seen.Tokens)
-		if b.manner == overrun {
+		if b.failureMode == exceedsLimit {
 			tokens, seen.OverLimit = s.Payload.MaxTokens, true
 		}
 		piece := fmt.Sprintf("[%s %s %d]", b.name(), s.Payload.Prompt, i)
@@ -221,17 +221,17 @@
 		back(delay, node.AttemptEvent{Kind: node.EventInterrupted})
 		return
 	}
-	if b.manner == holds {
+	if b.failureMode == holdsStreams {
 		return
 	}
 	back(delay, node.AttemptEvent{Kind: node.EventDone, Status: 200})
-	if b.manner == twice {
+	if b.failureMode == answersTwice {
 		back(delay+time.Millisecond, node.AttemptEvent{Kind: node.EventChunk, Text: "again", Tokens: 1})
 		back(delay+2*time.Millisecond, node.AttemptEvent{Kind: node.EventDone, Status: 200})
 	}
 }
 
-func markOf(body []byte) string {
+func requestIDOf(body []byte) string {
 	text := string(body)
 	a := strings.Index(text, `"mark":"`)
 	if a < 0 {
--- a/rehearsalkit/simulator/conformance_test.go
+++ b/rehearsalkit/simulator/conformance_test.go
@@ -16,7 +16,7 @@
 
 // design is a description whose figures are those of the design page, but for
 // what a case changes.
-func design(change func(role, tenant, services, breaker tree)) func(string) []byte {
+func describeWith(change func(role, tenant, services, breaker tree)) func(string) []byte {
 	return func(mark string) []byte {
 		role, tenant, breaker := tree{}, tree{"keys": []any{tree{"sha256": configuration.KeyDigest("key-t1"), "role": "viewer"}}}, tree{}
 		services := tree{"model": tree{"kind": "model"}, "search": tree{"kind": "tool"}, "alert": tree{"kind": "once", "urgent": true}}
@@ -29,18 +29,18 @@
 	}
 }
 
-func small(change func(role, tenant, services, breaker tree)) *World {
+func smallWorld(change func(role, tenant, services, breaker tree)) *World {
 	p := defaults(7)
 	p.Cores, p.Nodes, p.Users = 3, 3, 0
-	p.Describe = design(change)
-	return Calm(p)
+	p.Describe = describeWith(change)
+	return NewWithoutFaults(p)
 }
 
-func call(w *World, at int, id, arguments string) (judge.Request, node.Frame) {
+func callTool(w *World, at int, id, arguments string) (judge.Request, node.Frame) {
 	return w.Do(at, node.Request{Kind: node.KindTool, Key: "key-t1", Program: id, Service: "search", Arguments: []byte(arguments)})
 }
 
-func want(t *testing.T, what string, a judge.Request, code string) {
+func wantCode(t *testing.T, what string, a judge.Request, code string) {
 	t.Helper()
 	got := a.Code
 	if a.Outcome == judge.Whole {
@@ -56,7 +56,7 @@
 // TestOrderAtSessionStart puts a user in the way of every check at once, and
 // takes the checks away one by one: breaker; lockout and windows; concurrency;
 // day.
-func TestOrderAtSessionStart(t *testing.T) {
+func TestCheckOrderAtSessionStart(t *testing.T) {
 	for _, c := range []struct {
 		name                             string
 		breaker, locked, concurrent, day bool
@@ -70,7 +70,7 @@
 		{"breaker and day", true, false, false, true, "breaker_open"},
 		{"lockout and day", false, true, false, true, "locked_out"},
 	} {
-		w := small(func(role, tenant, services, breaker tree) {
+		w := smallWorld(func(role, tenant, services, breaker tree) {
 			role["sessions_per_minute"], role["concurrent_sessions"] = 4, 2
 			role["turn_tokens"] = 1000
 			if c.day {
@@ -84,7 +84,7 @@
 		})
 		_, first := open(w, 0, "u")
 		second, _ := open(w, 1, "u")
-		want(t, c.name+": second session", second, "")
+		wantCode(t, c.name+": second session", second, "")
 		head := program.EmptyHead
 		for i, code := 0, ""; i < 5 || (c.breaker && i < 9 && code != "breaker_open"); i++ {
 			a, last := turn(w, i%3, first.Text, head, 1000)
@@ -101,35 +101,35 @@
 				open(w, i%3, "u")
 			}
 		}
-		w.Pass(300 * time.Millisecond)
+		w.Advance(300 * time.Millisecond)
 		a, _ := open(w, 2, "u")
-		want(t, c.name, a, c.code)
+		wantCode(t, c.name, a, c.code)
 	}
 }
 
 // TestLockout: a minute violation sets one of 600 s for viewers, and whoever
 // is locked out is told what remains, at every node.
 func TestLockout(t *testing.T) {
-	w := small(func(role, tenant, services, breaker tree) { role["concurrent_sessions"] = 100 })
+	w := smallWorld(func(role, tenant, services, breaker tree) { role["concurrent_sessions"] = 100 })
 	for i := 0; i < 2; i++ {
 		a, _ := open(w, i, "u")
-		want(t, "within the minute", a, "")
+		wantCode(t, "within the minute", a, "")
 	}
 	a, last := open(w, 2, "u")
-	want(t, "third in a minute", a, "sessions_per_minute")
+	wantCode(t, "third in a minute", a, "sessions_per_minute")
 	if last.Verdict.RetryAfter != 600*time.Second {
 		t.Errorf("the violation says come back in %v, want 600s", last.Verdict.RetryAfter)
 	}
-	w.Pass(100 * time.Second)
+	w.Advance(100 * time.Second)
 	a, last = open(w, 0, "u")
-	want(t, "locked out", a, "locked_out")
+	wantCode(t, "locked out", a, "locked_out")
 	if left := last.Verdict.RetryAfter; left < 495*time.Second || left > 505*time.Second {
 		t.Errorf("after 100 s %v remain of 600 s", left)
 	}
 	a, _ = open(w, 1, "other")
-	want(t, "another user", a, "")
+	wantCode(t, "another user", a, "")
 	locked := 0
-	for n := range w.Params.Parts {
+	for n := range w.Params.Partitions {
 		w.Operate(w.cores[0], func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
 			return m.RunCommand(now, ticket, core.ReadLockedUsers{Partition: n}, time.Second)
 		}, func(body any) {
@@ -141,28 +141,28 @@
 			}
 		})
 	}
-	w.Pass(time.Second)
+	w.Advance(time.Second)
 	if locked != 1 {
 		t.Errorf("operators are told of %d lockouts", locked)
 	}
 	// Clocks may be slow by a twentieth.
-	w.Pass(532 * time.Second)
+	w.Advance(532 * time.Second)
 	a, _ = open(w, 1, "u")
-	want(t, "after the lockout", a, "")
+	wantCode(t, "after the lockout", a, "")
 }
 
 // TestWindows: 20 an hour for viewers, and come back when the oldest leaves.
 func TestWindows(t *testing.T) {
-	w := small(func(role, tenant, services, breaker tree) {
+	w := smallWorld(func(role, tenant, services, breaker tree) {
 		role["concurrent_sessions"], role["sessions_per_hour"] = 100, 4
 	})
 	for i := 0; i < 4; i++ {
 		a, _ := open(w, i%3, "u")
-		want(t, "within the hour", a, "")
-		w.Pass(40 * time.Second)
+		wantCode(t, "within the hour", a, "")
+		w.Advance(40 * time.Second)
 	}
 	a, last := open(w, 0, "u")
-	want(t, "fifth in an hour", a, "sessions_per_hour")
+	wantCode(t, "fifth in an hour", a, "sessions_per_hour")
 	if left := last.Verdict.RetryAfter; left < 3300*time.Second || left > 3500*time.Second {
 		t.Errorf("come back in %v", left)
 	}
@@ -171,12 +171,12 @@
 // TestProgramCaps: a reached cap stops the program's next turn, in the order
 // of the design; warnings come at 80 %.
 func TestProgramCaps(t *testing.T) {
-	w := small(nil)
+	w := smallWorld(nil)
 	_, p := open(w, 0, "steps")
 	head, warned := program.EmptyHead, 0
 	for i := 0; i < 10; i++ {
 		a, last := turn(w, i%3, p.Text, head, 10)
-		want(t, "a step", a, "")
+		wantCode(t, "a step", a, "")
 		head = last.Head
 		for _, one := range last.Verdict.Warnings {
 			if one.Scope == "steps" {
@@ -188,42 +188,42 @@
 		t.Errorf("%d warnings of steps before the cap; from 80%% on there are two", warned)
 	}
 	a, last := turn(w, 1, p.Text, head, 10)
-	want(t, "an eleventh step", a, "steps_reached")
+	wantCode(t, "an eleventh step", a, "steps_reached")
 	if last.Verdict.RetryAfter != 0 {
 		t.Errorf("a reached cap says come back in %v; it never heals", last.Verdict.RetryAfter)
 	}
 
 	_, p = open(w, 1, "same")
 	for i, arguments := range []string{`{"a":1,"b":[2]}`, ` { "b":[2], "a":1 }`} {
-		a, _ := call(w, i, p.Text, arguments)
-		want(t, "the same call", a, "")
+		a, _ := callTool(w, i, p.Text, arguments)
+		wantCode(t, "the same call", a, "")
 	}
-	a, _ = call(w, 2, p.Text, `{"b":[2],"a":1}`)
-	want(t, "the same call a third time", a, "loop")
+	a, _ = callTool(w, 2, p.Text, `{"b":[2],"a":1}`)
+	wantCode(t, "the same call a third time", a, "loop")
 	a, _ = turn(w, 2, p.Text, program.EmptyHead, 10)
-	want(t, "the turn after a loop", a, "loop")
+	wantCode(t, "the turn after a loop", a, "loop")
 
 	_, p = open(w, 1, "type")
 	for i := 0; i < 5; i++ {
-		a, _ := call(w, i%3, p.Text, `{"n":`+string(rune('0'+i))+`}`)
-		want(t, "a call", a, "")
+		a, _ := callTool(w, i%3, p.Text, `{"n":`+string(rune('0'+i))+`}`)
+		wantCode(t, "a call", a, "")
 	}
-	a, _ = call(w, 2, p.Text, `{"n":9}`)
-	want(t, "a sixth call of one tool", a, "tool_calls_per_type_reached")
+	a, _ = callTool(w, 2, p.Text, `{"n":9}`)
+	wantCode(t, "a sixth call of one tool", a, "tool_calls_per_type_reached")
 	a, _ = turn(w, 0, p.Text, program.EmptyHead, 10)
-	want(t, "the turn after", a, "tool_calls_per_type_reached")
+	wantCode(t, "the turn after", a, "tool_calls_per_type_reached")
 
 	_, p = open(w, 1, "time")
-	w.Pass(121 * time.Second)
+	w.Advance(121 * time.Second)
 	a, _ = turn(w, 0, p.Text, program.EmptyHead, 10)
-	want(t, "a turn after 120 s", a, "duration_reached")
+	wantCode(t, "a turn after 120 s", a, "duration_reached")
 }
 
 // TestScopes: a program warns from its soft limit on and stops at its hard
 // one; helpers charge their root; a user's day refuses new sessions only; a
 // tenant's day refuses turns.
 func TestScopes(t *testing.T) {
-	w := small(func(role, tenant, services, breaker tree) {
+	w := smallWorld(func(role, tenant, services, breaker tree) {
 		role["program_tokens_soft"], role["program_tokens_hard"], role["turn_tokens"] = 50, 100, 60
 		role["user_day_tokens_soft"], role["user_day_tokens_hard"] = 60, 90
 		role["sessions_per_minute"], role["concurrent_sessions"] = 10, 10
@@ -233,7 +233,7 @@
 	softly, stopped := false, false
 	for i := 0; i < 10 && !stopped; i++ {
 		line := []string{"", "helper"}[i%2]
-		a, last := w.Do(i%3, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Conversation: line, Service: "model", PreviousHead: heads[line], Prompt: w.mark("say"), MaxTokens: 30})
+		a, last := w.Do(i%3, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Conversation: line, Service: "model", PreviousHead: heads[line], Prompt: w.newID("say"), MaxTokens: 30})
 		stopped = a.Code == "program_tokens_spent"
 		heads[line] = last.Head
 		for _, one := range last.Verdict.Warnings {
@@ -244,11 +244,11 @@
 		t.Errorf("warned from the soft limit: %v, stopped at the hard one: %v", softly, stopped)
 	}
 	a, _ := open(w, 1, "u")
-	want(t, "a session of a spent user", a, "user_day_tokens_spent")
+	wantCode(t, "a session of a spent user", a, "user_day_tokens_spent")
 	a, _ = open(w, 1, "v")
-	want(t, "another user's session", a, "")
+	wantCode(t, "another user's session", a, "")
 
-	w = small(func(role, tenant, services, breaker tree) { tenant["day_tokens"] = 2500 })
+	w = smallWorld(func(role, tenant, services, breaker tree) { tenant["day_tokens"] = 2500 })
 	_, p = open(w, 0, "u")
 	head, refused := program.EmptyHead, false
 	for i := 0; i < 8 && !refused; i++ {
@@ -265,7 +265,7 @@
 // recovery window, then gates a few test sessions, and closes when they went
 // well.
 func TestBreaker(t *testing.T) {
-	w := small(func(role, tenant, services, breaker tree) {
+	w := smallWorld(func(role, tenant, services, breaker tree) {
 		breaker["minute_dollars"], breaker["recovery_seconds"], breaker["tests"] = 0.025, 90, 2
 		role["sessions_per_minute"], role["concurrent_sessions"] = 50, 50
 	})
@@ -280,38 +280,38 @@
 	if !tripped {
 		t.Fatal("the breaker did not trip")
 	}
-	w.Pass(400 * time.Millisecond)
+	w.Advance(400 * time.Millisecond)
 	for i := 0; i < 3; i++ {
 		a, last := open(w, i, "v")
-		want(t, "a session at an open breaker", a, "breaker_open")
+		wantCode(t, "a session at an open breaker", a, "breaker_open")
 		if left := last.Verdict.RetryAfter; left < 80*time.Second || left > 91*time.Second {
 			t.Errorf("node %d says come back in %v of 90 s", i, left)
 		}
 		a, _ = turn(w, i, p.Text, head, 10)
-		want(t, "a turn at an open breaker", a, "breaker_open")
+		wantCode(t, "a turn at an open breaker", a, "breaker_open")
 	}
-	w.Pass(95 * time.Second)
+	w.Advance(95 * time.Second)
 	var tests []string
 	for i := 0; i < 4; i++ {
 		a, last := open(w, i%3, "w")
 		if a.Outcome == judge.Whole {
 			tests = append(tests, last.Text)
 		} else {
-			want(t, "beyond the tests", a, "breaker_half_open")
+			wantCode(t, "beyond the tests", a, "breaker_half_open")
 		}
 	}
 	if len(tests) != 2 {
 		t.Fatalf("%d test sessions; 2 are allowed", len(tests))
 	}
 	a, _ := turn(w, 0, p.Text, head, 10)
-	want(t, "an old session while half-open", a, "breaker_half_open")
+	wantCode(t, "an old session while half-open", a, "breaker_half_open")
 	for _, id := range tests {
 		a, _ := turn(w, 0, id, program.EmptyHead, 10)
-		want(t, "a test's turn", a, "")
+		wantCode(t, "a test's turn", a, "")
 	}
-	w.Pass(500 * time.Millisecond)
+	w.Advance(500 * time.Millisecond)
 	a, _ = open(w, 2, "x")
-	want(t, "after the tests", a, "")
+	wantCode(t, "after the tests", a, "")
 }
 
 // TestCooldown: each error doubles a tool's rest, up to an hour.
--- a/rehearsalkit/simulator/crash.go
+++ b/rehearsalkit/simulator/crash.go
@@ -16,54 +16,56 @@
 // operation is one thing that a fleet does, during which processes are lost.
 type operation struct {
 	name  string
-	begin func(w *World, s *scene)
+	begin func(w *World, s *scenario)
 	// again asks for the same thing once more, at another node.
-	again func(w *World, s *scene, at int)
+	retry func(w *World, s *scenario, at int)
 	// shares tells whether grants of shares are part of it.
 	shares bool
 }
 
 // scene is what was there before the operation.
-type scene struct {
+type scenario struct {
 	id, head string
 	mark     string
 }
 
-func (s *scene) turnOf(line, before string) node.Request {
+func (s *scenario) turnRequest(line, before string) node.Request {
 	return node.Request{Kind: node.KindTurn, Key: "key-t1", Program: s.id, Conversation: line, Service: "model", PreviousHead: before, Prompt: s.mark, MaxTokens: 300, Timeout: 4 * time.Second}
 }
 
-func (s *scene) once() node.Request {
+func (s *scenario) onceRequest() node.Request {
 	return node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: "crash", Arguments: []byte(`{"mark":"crash"}`), Timeout: 3 * time.Second}
 }
 
-func drop(judge.Request, node.Frame) {}
+func ignoreResponse(judge.Request, node.Frame) {}
 
-func askAgain(q func(s *scene) node.Request) func(w *World, s *scene, at int) {
-	return func(w *World, s *scene, at int) { w.Do(at, q(s)) }
+func retryRequest(q func(s *scenario) node.Request) func(w *World, s *scenario, at int) {
+	return func(w *World, s *scenario, at int) { w.Do(at, q(s)) }
 }
 
 var operations = []operation{
-	{name: "turn", begin: func(w *World, s *scene) { w.ask(w.nodes[1], s.turnOf("", s.head), drop) }},
-	{name: "turn of a helper", begin: func(w *World, s *scene) { w.ask(w.nodes[1], s.turnOf("helper", program.EmptyHead), drop) }},
-	{name: "tool call", begin: func(w *World, s *scene) {
-		w.ask(w.nodes[1], node.Request{Kind: node.KindTool, Key: "key-t1", Program: s.id, Service: "search", Arguments: []byte(`{"mark":"crash-tool"}`), Timeout: 3 * time.Second}, drop)
+	{name: "turn", begin: func(w *World, s *scenario) { w.submit(w.nodes[1], s.turnRequest("", s.head), ignoreResponse) }},
+	{name: "turn of a helper", begin: func(w *World, s *scenario) {
+		w.submit(w.nodes[1], s.turnRequest("helper", program.EmptyHead), ignoreResponse)
 	}},
-	{name: "once-only action", begin: func(w *World, s *scene) { w.ask(w.nodes[1], s.once(), drop) }, again: askAgain((*scene).once)},
-	{name: "session start", begin: func(w *World, s *scene) {
-		w.ask(w.nodes[1], node.Request{Kind: node.KindOpen, Key: "key-t1", User: "v", Timeout: 3 * time.Second}, drop)
+	{name: "tool call", begin: func(w *World, s *scenario) {
+		w.submit(w.nodes[1], node.Request{Kind: node.KindTool, Key: "key-t1", Program: s.id, Service: "search", Arguments: []byte(`{"mark":"crash-tool"}`), Timeout: 3 * time.Second}, ignoreResponse)
 	}},
-	{name: "grant of shares", shares: true, begin: func(w *World, s *scene) {
+	{name: "once-only action", begin: func(w *World, s *scenario) { w.submit(w.nodes[1], s.onceRequest(), ignoreResponse) }, retry: retryRequest((*scenario).onceRequest)},
+	{name: "session start", begin: func(w *World, s *scenario) {
+		w.submit(w.nodes[1], node.Request{Kind: node.KindOpen, Key: "key-t1", User: "v", Timeout: 3 * time.Second}, ignoreResponse)
+	}},
+	{name: "grant of shares", shares: true, begin: func(w *World, s *scenario) {
 		w.nodes[2].kill()
 		w.nodes[2].boot()
 	}},
-	{name: "handover", begin: func(w *World, s *scene) {
+	{name: "handover", begin: func(w *World, s *scenario) {
 		n := w.nodes[0]
-		n.takeNode(n.nodeM.Drain(n.now()))
-		w.after(100*time.Millisecond, func() { n.drained(n.life, w.now+3*time.Second) })
+		n.handleNodeOutput(n.nodeM.Drain(n.now()))
+		w.after(100*time.Millisecond, func() { n.awaitDrain(n.incarnation, w.now+3*time.Second) })
 	}},
-	{name: "configuration", begin: func(w *World, s *scene) { w.hand(w.cores[0], w.version, "probe-crash", func(bool) {}) }},
-	{name: "change of a group", begin: func(w *World, s *scene) {
+	{name: "configuration", begin: func(w *World, s *scenario) { w.applyConfiguration(w.cores[0], w.version, "probe-crash", func(bool) {}) }},
+	{name: "change of a group", begin: func(w *World, s *scenario) {
 		w.Operate(w.cores[0], func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
 			return m.ChangeCore(now, ticket, core.KindRetire, "core4", "", 6*time.Second)
 		}, func(any) {})
@@ -72,20 +74,20 @@
 
 // Faults of one process at a crash point.
 var crashFaults = []struct {
-	name string
-	harm func(w *World, p *proc)
+	name   string
+	inject func(w *World, p *process)
 }{
-	{"killed", func(w *World, p *proc) { p.kill(); w.after(1500*time.Millisecond, p.boot) }},
-	{"frozen past its term", func(w *World, p *proc) { p.freeze(); w.after(2*w.Params.MemberTerm+time.Second, p.wake) }},
-	{"cut off", func(w *World, p *proc) { w.cutOff(p, 2*w.Params.MemberTerm) }},
-	{"powered off", func(w *World, p *proc) {
+	{"killed", func(w *World, p *process) { p.kill(); w.after(1500*time.Millisecond, p.boot) }},
+	{"frozen past its term", func(w *World, p *process) { p.freeze(); w.after(2*w.Params.MemberTerm+time.Second, p.wake) }},
+	{"cut off", func(w *World, p *process) { w.isolate(p, 2*w.Params.MemberTerm) }},
+	{"powered off", func(w *World, p *process) {
 		p.powerOff()
 		w.after(1500*time.Millisecond, p.boot)
 	}},
 }
 
 // kindOf names what a message is about; it is empty for what goes on anyway.
-func kindOf(body any, shares bool) string {
+func messageKind(body any, shares bool) string {
 	raw := []byte(nil)
 	switch b := body.(type) {
 	case core.Command:
@@ -126,43 +128,43 @@
 }()
 
 // stage lays out the world in which one operation is to happen.
-func stage() (*World, *scene) {
+func stage() (*World, *scenario) {
 	p := Defaults(3)
 	p.Cores, p.Nodes, p.Users, p.MemberTerm = 4, 4, 0, 2*time.Second
 	p.MinuteCost, p.DayTokens = 50, 100_000_000
-	w := Calm(p)
+	w := NewWithoutFaults(p)
 	w.limits()
-	s := &scene{}
+	s := &scenario{}
 	_, opened := open(w, 0, "u")
 	s.id = opened.Text
 	_, first := turn(w, 0, s.id, program.EmptyHead, 100)
 	s.head = first.Head
-	w.Pass(700 * time.Millisecond)
-	s.mark = w.mark("crash")
+	w.Advance(700 * time.Millisecond)
+	s.mark = w.newID("crash")
 	return w, s
 }
 
 // point is a moment at which processes are lost, and the two concerned.
 type point struct {
 	what string
-	who  []*proc
+	who  []*process
 }
 
 // each calls at every crash point of an operation, which is over after a time.
-func (w *World) each(o operation, s *scene, seen func(p point)) {
-	w.atMessage = func(from, to *proc, body any) {
-		if kind := kindOf(body, o.shares); kind != "" {
-			seen(point{what: kind + " " + from.id + ">" + to.id, who: []*proc{from, to}})
+func (w *World) visitCrashPoints(o operation, s *scenario, visit func(p point)) {
+	w.atMessage = func(from, to *process, body any) {
+		if kind := messageKind(body, o.shares); kind != "" {
+			visit(point{what: kind + " " + from.id + ">" + to.id, who: []*process{from, to}})
 		}
 	}
-	w.atSync = func(p *proc, what string) { seen(point{what: what + " " + p.id, who: []*proc{p}}) }
+	w.atSync = func(p *process, what string) { visit(point{what: what + " " + p.id, who: []*process{p}}) }
 	o.begin(w, s)
 	w.run(w.now + 1200*time.Millisecond)
 	w.atMessage, w.atSync = nil, nil
 }
 
 // Crash is what became of an operation's crash points.
-type Crash struct {
+type CrashResult struct {
 	Operation    string
 	Points, Runs int
 	Faults       []string
@@ -171,7 +173,7 @@
 // CrashPoints loses each process concerned at each crash point of each
 // operation, one run a point, process and kind of loss, then mends, asks again at
 // other nodes and judges. Of all runs it makes one in every so many.
-func CrashPoints(every int, tell func(c Crash)) {
+func CrashPoints(every int, report func(c CrashResult)) {
 	type job struct {
 		o           operation
 		point, who  int
@@ -179,10 +181,10 @@
 		description string
 	}
 	for _, o := range operations {
-		c := Crash{Operation: o.name}
+		c := CrashResult{Operation: o.name}
 		var jobs []job
 		w, s := stage()
-		w.each(o, s, func(p point) {
+		w.visitCrashPoints(o, s, func(p point) {
 			for i, who := range p.who {
 				for f := range crashFaults {
 					if who.disk == nil && crashFaults[f].name == "powered off" {
@@ -195,8 +197,8 @@
 		})
 		results := make(chan []string)
 		work := make(chan job)
-		const hands = 8
-		for i := 0; i < hands; i++ {
+		const workers = 8
+		for i := 0; i < workers; i++ {
 			go func() {
 				for j := range work {
 					var faults []string
@@ -221,35 +223,35 @@
 				c.Faults = append(c.Faults, <-results...)
 			}
 		}
-		tell(c)
+		report(c)
 	}
 }
 
 func crash(o operation, at, who, fault int) (faults []string) {
 	w, s := stage()
-	n, struck := 0, false
-	w.each(o, s, func(p point) {
-		if n == at && !struck {
-			struck = true
+	n, injected := 0, false
+	w.visitCrashPoints(o, s, func(p point) {
+		if n == at && !injected {
+			injected = true
 			victim := p.who[who]
 			// Not within the step that the victim is in.
-			w.after(0, func() { crashFaults[fault].harm(w, victim) })
+			w.after(0, func() { crashFaults[fault].inject(w, victim) })
 		}
 		n++
 	})
-	if !struck {
+	if !injected {
 		return []string{"the point was not reached again"}
 	}
 	w.run(w.now + 2*w.Params.MemberTerm + 2*time.Second)
-	if o.again != nil {
+	if o.retry != nil {
 		for i := range w.nodes {
-			o.again(w, s, i)
+			o.retry(w, s, i)
 		}
 	}
 	head := s.head
 	for i := range w.nodes {
 		served := false
-		for end := w.now + 6*time.Second; w.now < end && !served; w.Pass(100 * time.Millisecond) {
+		for end := w.now + 6*time.Second; w.now < end && !served; w.Advance(100 * time.Millisecond) {
 			a, p := turn(w, i, s.id, head, 50)
 			switch {
 			case a.Outcome == judge.Whole:
@@ -263,7 +265,7 @@
 		}
 	}
 	for _, n := range w.nodes {
-		w.look(n, true)
+		w.probeNode(n, true)
 	}
 	w.run(w.now + 1500*time.Millisecond)
 	w.Record.Nodes = nil
@@ -277,7 +279,7 @@
 }
 
 // String tells a crash test's outcome in a line and its faults.
-func (c Crash) String() string {
+func (c CrashResult) String() string {
 	lines := []string{fmt.Sprintf("%-18s %4d points, %5d runs, %d faults", c.Operation, c.Points, c.Runs, len(c.Faults))}
 	return strings.Join(append(lines, c.Faults...), "\n  ")
 }
--- a/rehearsalkit/simulator/failure_test.go
+++ b/rehearsalkit/simulator/failure_test.go
@@ -12,17 +12,17 @@
 )
 
 // begin starts an inquiry and lets only so much time pass.
-func begin(w *World, at int, q node.Request, d time.Duration) *judge.Request {
+func submitAndAdvance(w *World, at int, q node.Request, d time.Duration) *judge.Request {
 	got := &judge.Request{}
 	if q.Timeout == 0 {
 		q.Timeout = 8 * time.Second
 	}
-	w.ask(w.nodes[at], q, func(a judge.Request, _ node.Frame) { *got = a })
-	w.Pass(d)
+	w.submit(w.nodes[at], q, func(a judge.Request, _ node.Frame) { *got = a })
+	w.Advance(d)
 	return got
 }
 
-func shotsOf(w *World, mark string) (n int, last time.Duration) {
+func attemptsOf(w *World, mark string) (n int, last time.Duration) {
 	for _, s := range w.Record.Attempts {
 		if s.RequestID == mark || s.OnceKey == mark {
 			n++
@@ -32,52 +32,52 @@
 	return n, last
 }
 
-func noBreach(t *testing.T, w *World) {
+func expectNoBreaches(t *testing.T, w *World) {
 	t.Helper()
 	for _, b := range w.Record.Judge() {
 		t.Error(b)
 	}
 }
 
-func judged(w *World) *World {
+func withLimits(w *World) *World {
 	w.Record.Limits = judge.Limits{ProgramTokens: 50_000, TurnTokens: 1000, Retention: time.Hour, PropagationLimit: 2 * time.Second, Rate: map[string]float64{"t1": 50}, Burst: map[string]float64{"t1": 64}}
 	return w
 }
 
 // A node that froze between a reservation and its shot, and wakes when its
 // term is over, must not shoot: a successor may own the program by then.
-func TestWokenNodeShootsNothing(t *testing.T) {
+func TestFrozenNodeStartsNoAttempt(t *testing.T) {
 	for i := 0; i < 60; i++ {
 		delay := time.Duration(i%10+1) * 700 * time.Microsecond
 		// Old news would stop the shot as well; here the term alone must.
 		params := Defaults(uint64(i))
-		params.Cores, params.Nodes, params.Users, params.Describe, params.Newest = 3, 3, 0, design(nil), time.Hour
-		w := judged(Calm(params))
+		params.Cores, params.Nodes, params.Users, params.Describe, params.AnnouncementMaxAge = 3, 3, 0, describeWith(nil), time.Hour
+		w := withLimits(NewWithoutFaults(params))
 		_, p := open(w, 0, "u")
-		mark := w.mark("say")
-		begin(w, 0, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: program.EmptyHead, Prompt: mark}, delay)
+		mark := w.newID("say")
+		submitAndAdvance(w, 0, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: program.EmptyHead, Prompt: mark}, delay)
 		w.nodes[0].freeze()
-		w.Pass(5 * time.Second)
-		before, _ := shotsOf(w, mark)
+		w.Advance(5 * time.Second)
+		before, _ := attemptsOf(w, mark)
 		w.nodes[0].wake()
-		w.Pass(4 * time.Second)
-		if after, _ := shotsOf(w, mark); after != before {
+		w.Advance(4 * time.Second)
+		if after, _ := attemptsOf(w, mark); after != before {
 			t.Errorf("frozen %v after the inquiry: it shot when it woke", delay)
 		}
-		noBreach(t, w)
+		expectNoBreaches(t, w)
 	}
 }
 
 // An owner that dies in mid-turn leaves its reservation charged, and another
 // node goes on with the very same history within seconds.
 func TestOwnerKilledInMidTurn(t *testing.T) {
-	w := judged(small(nil))
+	w := withLimits(smallWorld(nil))
 	_, p := open(w, 0, "u")
 	a, first := turn(w, 1, p.Text, program.EmptyHead, 100)
-	want(t, "first turn", a, "")
-	mark := w.mark("say")
-	begin(w, 1, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: first.Head, Prompt: mark, MaxTokens: 700}, 40*time.Millisecond)
-	if n, _ := shotsOf(w, mark); n != 1 {
+	wantCode(t, "first turn", a, "")
+	mark := w.newID("say")
+	submitAndAdvance(w, 1, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: first.Head, Prompt: mark, MaxTokens: 700}, 40*time.Millisecond)
+	if n, _ := attemptsOf(w, mark); n != 1 {
 		t.Fatalf("%d shots before the kill", n)
 	}
 	w.nodes[0].kill()
@@ -89,7 +89,7 @@
 		}
 		if a.Outcome == judge.Whole {
 			a, look := w.Do(1, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text})
-			want(t, "look", a, "")
+			wantCode(t, "look", a, "")
 			var spent int64
 			fmt.Sscanf(string(look.Body[indexAfter(look.Body, `"tokens":`):]), "%d", &spent)
 			if least := first.Tokens + 700 + last.Tokens; spent != least {
@@ -100,12 +100,12 @@
 		if w.now > died+8*time.Second {
 			t.Fatalf("no takeover: %s %s", a.Outcome, a.Code)
 		}
-		w.Pass(100 * time.Millisecond)
+		w.Advance(100 * time.Millisecond)
 	}
 	if took := w.now - died; took > 5*time.Second {
 		t.Errorf("takeover took %v", took)
 	}
-	noBreach(t, w)
+	expectNoBreaches(t, w)
 }
 
 func indexAfter(body []byte, what string) int {
@@ -120,10 +120,10 @@
 // A node that is cut off from everybody goes on for at most its term, and then
 // refuses with a time to come back; nothing it says is "gone".
 func TestCutOffNode(t *testing.T) {
-	w := judged(small(nil))
+	w := withLimits(smallWorld(nil))
 	_, p := open(w, 0, "u")
-	w.cutOff(w.nodes[0], 20*time.Second)
-	w.Pass(3 * time.Second)
+	w.isolate(w.nodes[0], 20*time.Second)
+	w.Advance(3 * time.Second)
 	for i := 0; i < 3; i++ {
 		a, last := turn(w, 0, p.Text, program.EmptyHead, 100)
 		if a.Outcome != judge.Refused || a.Status != 503 || a.Ran != "no" || last.Verdict.RetryAfter <= 0 {
@@ -131,24 +131,24 @@
 		}
 	}
 	a, _ := turn(w, 1, p.Text, program.EmptyHead, 100)
-	want(t, "at another node", a, "")
-	noBreach(t, w)
+	wantCode(t, "at another node", a, "")
+	expectNoBreaches(t, w)
 }
 
 // A configuration counts as taken only when every member follows it or its
 // term is over, so a cut-off node never gates by an older one afterwards.
 func TestConfigurationAndCutOffNode(t *testing.T) {
-	w := judged(small(nil))
+	w := withLimits(smallWorld(nil))
 	w.Record.Limits.PropagationLimit = 0
-	w.keys[1] = "probe-first"
-	w.cutOff(w.nodes[2], 6*time.Second)
-	w.hand(w.cores[0], 1, "probe-second", func(bool) {})
+	w.versionKeys[1] = "probe-first"
+	w.isolate(w.nodes[2], 6*time.Second)
+	w.applyConfiguration(w.cores[0], 1, "probe-second", func(bool) {})
 	w.probe()
-	w.Pass(9 * time.Second)
+	w.Advance(9 * time.Second)
 	if w.version != 2 {
 		t.Fatalf("version %d was taken", w.version)
 	}
-	noBreach(t, w)
+	expectNoBreaches(t, w)
 	if len(w.Record.Probes) < 10 {
 		t.Error("too few looks")
 	}
@@ -157,11 +157,11 @@
 // Two operators race from the same version: one is taken, the other is refused
 // and never in force anywhere.
 func TestRacingOperators(t *testing.T) {
-	w := judged(small(nil))
+	w := withLimits(smallWorld(nil))
 	var taken, lost int
 	for i := 0; i < 3; i++ {
 		mark := fmt.Sprintf("probe-race-%d", i)
-		w.hand(w.cores[i], 1, mark, func(ok bool) {
+		w.applyConfiguration(w.cores[i], 1, mark, func(ok bool) {
 			if ok {
 				taken++
 			} else {
@@ -170,18 +170,18 @@
 		})
 	}
 	w.probe()
-	w.Pass(4 * time.Second)
+	w.Advance(4 * time.Second)
 	if taken != 1 || lost != 2 {
 		t.Errorf("%d taken, %d lost", taken, lost)
 	}
-	noBreach(t, w)
+	expectNoBreaches(t, w)
 }
 
 // A configuration that was taken is still in force when every core crashed
 // right after and came back.
 func TestCrashAfterTaken(t *testing.T) {
-	w := judged(small(nil))
-	w.hand(w.cores[0], 1, "probe-second", func(taken bool) {
+	w := withLimits(smallWorld(nil))
+	w.applyConfiguration(w.cores[0], 1, "probe-second", func(taken bool) {
 		if !taken {
 			t.Error("not taken")
 		}
@@ -192,32 +192,32 @@
 			n.kill()
 		}
 	})
-	w.Pass(3 * time.Second)
-	for _, p := range append(append([]*proc(nil), w.cores...), w.nodes...) {
+	w.Advance(3 * time.Second)
+	for _, p := range append(append([]*process(nil), w.cores...), w.nodes...) {
 		p.boot()
 	}
-	w.Pass(5 * time.Second)
+	w.Advance(5 * time.Second)
 	for i := range w.nodes {
 		a, _ := w.Do(i, node.Request{Kind: node.KindStatus, Key: "probe-second", Program: "none"})
-		want(t, "the newer version's key", a, "unknown_program")
+		wantCode(t, "the newer version's key", a, "unknown_program")
 		a, _ = w.Do(i, node.Request{Kind: node.KindStatus, Key: "probe-first", Program: "none"})
-		want(t, "the older version's key", a, "unknown_key")
+		wantCode(t, "the older version's key", a, "unknown_key")
 	}
 }
 
 // A key that is taken from a connected requester is refused at its next
 // inquiry, at every node.
 func TestRevokedKey(t *testing.T) {
-	w := judged(small(nil))
+	w := withLimits(smallWorld(nil))
 	_, p := open(w, 0, "u")
 	a, last := turn(w, 1, p.Text, program.EmptyHead, 100)
-	want(t, "before", a, "")
+	wantCode(t, "before", a, "")
 	w.Params.Describe = func(mark string) []byte {
 		return []byte(`{"roles":{"viewer":{}},"tenants":{"t1":{}},"services":{"model":{"kind":"model"}},"approval":{"newly_refused_ratio":1}}`)
 	}
 	ok := false
-	w.hand(w.cores[1], 1, "revoking", func(taken bool) { ok = taken })
-	w.Pass(3 * time.Second)
+	w.applyConfiguration(w.cores[1], 1, "revoking", func(taken bool) { ok = taken })
+	w.Advance(3 * time.Second)
 	if !ok {
 		t.Fatal("not taken")
 	}
@@ -232,32 +232,32 @@
 // Rehearsal refuses a description that would newly refuse too many of the
 // recent inquiries; it is never in force.
 func TestNotApproved(t *testing.T) {
-	w := judged(small(func(role, tenant, services, breaker tree) {
+	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) {
 		role["sessions_per_minute"], role["concurrent_sessions"] = 100, 100
 	}))
 	for i := 0; i < 30; i++ {
 		open(w, i%3, fmt.Sprint("u", i%2))
 	}
-	w.Params.Describe = design(func(role, tenant, services, breaker tree) { role["sessions_per_minute"] = 1 })
+	w.Params.Describe = describeWith(func(role, tenant, services, breaker tree) { role["sessions_per_minute"] = 1 })
 	var got core.ApplyResult
 	w.Operate(w.cores[0], func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
 		return m.ApplyConfiguration(now, ticket, core.ApplyRequest{BasedOn: 1, Text: w.Params.Describe("x"), Digest: "x", Timeout: 5 * time.Second})
 	}, func(body any) { got = body.(core.ApplyResult) })
-	w.Pass(3 * time.Second)
+	w.Advance(3 * time.Second)
 	if got.Code != "not_approved" || got.Rehearsal == nil || got.Rehearsal.NewlyRefused < 20 {
 		t.Errorf("%+v %+v", got, got.Rehearsal)
 	}
 	a, _ := w.Do(0, node.Request{Kind: node.KindStatus, Key: "x", Program: "none"})
-	want(t, "the refused version's key", a, "unknown_key")
+	wantCode(t, "the refused version's key", a, "unknown_key")
 }
 
 // A back end does the work and loses the answer: whoever asks again is told
 // that it may have run, for ever, and nothing sends it twice.
 func TestOnceAnswerLost(t *testing.T) {
-	w := judged(small(nil))
-	for _, b := range w.models {
+	w := withLimits(smallWorld(nil))
+	for _, b := range w.backends {
 		if b.service == "alert" {
-			b.loses = 1
+			b.lossRate = 1
 		}
 	}
 	q := node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: "k", Arguments: []byte(`{"mark":"k"}`)}
@@ -267,9 +267,9 @@
 	}
 	for i := 0; i < 6; i++ {
 		a, _ := w.Do(i%3, q)
-		want(t, "asked again", a, "may_have_run")
+		wantCode(t, "asked again", a, "may_have_run")
 	}
-	if n, _ := shotsOf(w, "k"); n != 1 {
+	if n, _ := attemptsOf(w, "k"); n != 1 {
 		t.Errorf("%d shots", n)
 	}
 }
@@ -277,32 +277,32 @@
 // The same once-key at two nodes at once runs once; both get its outcome in
 // the end. Another body under the key is refused.
 func TestOnceKeyAtTwoNodes(t *testing.T) {
-	w := judged(small(nil))
+	w := withLimits(smallWorld(nil))
 	q := node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: "k", Arguments: []byte(`{"mark":"k"}`)}
 	for i := range w.nodes {
-		begin(w, i, q, 0)
+		submitAndAdvance(w, i, q, 0)
 	}
-	w.Pass(time.Second)
+	w.Advance(time.Second)
 	for i := range w.nodes {
 		a, last := w.Do(i, q)
-		want(t, "the outcome", a, "")
+		wantCode(t, "the outcome", a, "")
 		if string(last.Body) != `{"done":"k"}` || last.FinishReason != "repeated" {
 			t.Errorf("node %d: %+v", i, last)
 		}
 	}
-	if n, _ := shotsOf(w, "k"); n != 1 {
+	if n, _ := attemptsOf(w, "k"); n != 1 {
 		t.Errorf("%d shots", n)
 	}
 	q.Arguments = []byte(`{"mark":"other"}`)
 	a, _ := w.Do(0, q)
-	want(t, "another body", a, "once_key_reused")
-	noBreach(t, w)
+	wantCode(t, "another body", a, "once_key_reused")
+	expectNoBreaches(t, w)
 }
 
 // A crowd at every node gets no more through than the tenant's quota, whoever
 // dies meanwhile, and alerts keep their reserved room.
 func TestCrowd(t *testing.T) {
-	w := judged(small(func(role, tenant, services, breaker tree) {
+	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) {
 		role["sessions_per_minute"], role["concurrent_sessions"], role["steps"], role["session_seconds"] = 1000, 1000, 1000, 600
 		tenant["inquiries_per_second"], tenant["burst"] = 20, 32
 	}))
@@ -312,16 +312,16 @@
 		_, p := open(w, i%3, fmt.Sprint("u", i))
 		ids = append(ids, p.Text)
 	}
-	w.Pass(2 * time.Second)
+	w.Advance(2 * time.Second)
 	heads := make([]string, len(ids))
 	for i := range heads {
 		heads[i] = program.EmptyHead
 	}
 	crowded, alerts, through := 0, 0, 0
-	for end := w.now + 10*time.Second; w.now < end; w.Pass(100 * time.Millisecond) {
+	for end := w.now + 10*time.Second; w.now < end; w.Advance(100 * time.Millisecond) {
 		for i := range ids {
 			if w.chance(0.4) {
-				w.ask(w.anyNode(), node.Request{Kind: node.KindTurn, Key: "key-t1", Program: ids[i], Service: "model", PreviousHead: heads[i], Prompt: w.mark("crowd"), MaxTokens: 5, Timeout: 2 * time.Second}, func(a judge.Request, last node.Frame) {
+				w.submit(w.anyNode(), node.Request{Kind: node.KindTurn, Key: "key-t1", Program: ids[i], Service: "model", PreviousHead: heads[i], Prompt: w.newID("crowd"), MaxTokens: 5, Timeout: 2 * time.Second}, func(a judge.Request, last node.Frame) {
 					crowded++
 					if a.Outcome == judge.Whole {
 						heads[i] = last.Head
@@ -332,8 +332,8 @@
 			}
 		}
 		if w.chance(0.3) {
-			mark := w.mark("alert")
-			w.ask(w.anyNode(), node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(fmt.Sprintf(`{"mark":%q}`, mark)), Timeout: 2 * time.Second}, func(a judge.Request, last node.Frame) {
+			mark := w.newID("alert")
+			w.submit(w.anyNode(), node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(fmt.Sprintf(`{"mark":%q}`, mark)), Timeout: 2 * time.Second}, func(a judge.Request, last node.Frame) {
 				if a.Outcome != judge.Silent && a.Outcome != judge.Broken {
 					alerts++
 				}
@@ -347,64 +347,64 @@
 			w.after(2*time.Second, w.nodes[1].boot)
 		}
 	}
-	w.Pass(3 * time.Second)
-	shots := len(w.Record.Attempts)
-	t.Logf("%d turns asked, %d shots in 10 s at a quota of 20/s and 32, %d of %d alerts through", crowded, shots, through, alerts)
-	if shots < 120 {
-		t.Errorf("only %d shots: the quota is not used", shots)
+	w.Advance(3 * time.Second)
+	attempts := len(w.Record.Attempts)
+	t.Logf("%d turns asked, %d shots in 10 s at a quota of 20/s and 32, %d of %d alerts through", crowded, attempts, through, alerts)
+	if attempts < 120 {
+		t.Errorf("only %d shots: the quota is not used", attempts)
 	}
 	if through*10 < alerts*8 {
 		t.Errorf("%d of %d alerts came through", through, alerts)
 	}
-	noBreach(t, w)
+	expectNoBreaches(t, w)
 }
 
 // Five cores lose one disk after another; each comes back with an empty folder
 // and no vote, is given its seats again, and nothing that was kept is lost.
 func TestEveryDiskLostInTurn(t *testing.T) {
 	p := Defaults(11)
-	p.Users, p.Describe = 0, design(nil)
-	w := judged(Calm(p))
+	p.Users, p.Describe = 0, describeWith(nil)
+	w := withLimits(NewWithoutFaults(p))
 	_, opened := open(w, 0, "u")
 	head := program.EmptyHead
 	for i, c := range w.cores {
 		a, last := turn(w, i%4, opened.Text, head, 10)
-		want(t, "a turn", a, "")
+		wantCode(t, "a turn", a, "")
 		head = last.Head
 		c.kill()
 		c.loseDisk()
-		w.Pass(time.Second)
+		w.Advance(time.Second)
 		c.boot()
-		w.Pass(100 * time.Millisecond)
+		w.Advance(100 * time.Millisecond)
 		if g := c.coreM.LeadingPartitions(c.now()); len(g) > 0 {
 			t.Errorf("%s owns parts %v right after it came back empty", c.id, g)
 		}
-		w.Pass(8 * time.Second)
-		if !w.seated() {
+		w.Advance(8 * time.Second)
+		if !w.membersCurrent() {
 			t.Fatalf("%s did not get its seats again", c.id)
 		}
 	}
 	a, _ := turn(w, 1, opened.Text, head, 10)
-	want(t, "after all", a, "")
-	noBreach(t, w)
+	wantCode(t, "after all", a, "")
+	expectNoBreaches(t, w)
 }
 
 // A kept conversation is never called gone while its parts come and go, and is
 // called gone, not unknown, once its time has passed.
 func TestKeptConversation(t *testing.T) {
 	params := Defaults(7)
-	params.Cores, params.Nodes, params.Users, params.Describe = 3, 3, 0, design(nil)
+	params.Cores, params.Nodes, params.Users, params.Describe = 3, 3, 0, describeWith(nil)
 	describe := params.Describe
 	params.Describe = func(mark string) []byte { return append([]byte(`{"keep_seconds":180,`), describe(mark)[1:]...) }
-	w := judged(Calm(params))
+	w := withLimits(NewWithoutFaults(params))
 	_, p := open(w, 0, "u")
 	for i := 0; i < 4; i++ {
 		w.cores[i%3].kill()
 		w.nodes[i%3].kill()
-		w.Pass(200 * time.Millisecond)
+		w.Advance(200 * time.Millisecond)
 		w.nodes[i%3].boot()
 		w.cores[i%3].boot()
-		for end := w.now + 12*time.Second; w.now < end; w.Pass(300 * time.Millisecond) {
+		for end := w.now + 12*time.Second; w.now < end; w.Advance(300 * time.Millisecond) {
 			a, last := w.Do(w.random.IntN(3), node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text, Timeout: time.Second})
 			if a.Status == 404 || a.Status == 410 {
 				t.Fatalf("called gone: %s", a.Code)
@@ -415,10 +415,10 @@
 		}
 	}
 	a, _ := w.Do(0, node.Request{Kind: node.KindStatus, Key: "probe-first", Program: p.Text})
-	want(t, "another tenant", a, "unknown_program")
-	w.Pass(4 * time.Minute)
+	wantCode(t, "another tenant", a, "unknown_program")
+	w.Advance(4 * time.Minute)
 	a, _ = w.Do(0, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text})
-	want(t, "after its keeping time", a, "gone")
+	wantCode(t, "after its keeping time", a, "gone")
 }
 
 // All cores lose power at the very moment in which a requester has its closing
@@ -426,16 +426,16 @@
 func TestPowerLostAfterConfirmation(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		params := Defaults(seed)
-		params.Cores, params.Nodes, params.Users, params.Describe = 3, 3, 0, design(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 })
-		params.Sync = 60 * time.Millisecond
-		w := judged(Calm(params))
+		params.Cores, params.Nodes, params.Users, params.Describe = 3, 3, 0, describeWith(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 })
+		params.MaxSync = 60 * time.Millisecond
+		w := withLimits(NewWithoutFaults(params))
 		_, p := open(w, 0, "u")
 		head := program.EmptyHead
 		for i := 0; i < 4; i++ {
-			say := w.mark("say")
+			say := w.newID("say")
 			var closing node.Frame
 			over := false
-			w.ask(w.nodes[i%3], node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: head, Prompt: say, MaxTokens: 50, Timeout: 5 * time.Second}, func(a judge.Request, last node.Frame) {
+			w.submit(w.nodes[i%3], node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: head, Prompt: say, MaxTokens: 50, Timeout: 5 * time.Second}, func(a judge.Request, last node.Frame) {
 				over, closing = true, last
 				for _, c := range w.cores {
 					c.kill()
@@ -445,7 +445,7 @@
 				}
 			})
 			for !over {
-				w.Pass(time.Millisecond)
+				w.Advance(time.Millisecond)
 			}
 			for _, c := range w.cores {
 				c.boot()
@@ -457,52 +457,52 @@
 				t.Fatalf("seed %d turn %d: %+v", seed, i, closing)
 			}
 			head = closing.Head
-			w.Pass(5 * time.Second)
+			w.Advance(5 * time.Second)
 			a, look := w.Do(0, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text})
-			want(t, "look", a, "")
+			wantCode(t, "look", a, "")
 			if at := indexAfter(look.Body, `"head":"`); string(look.Body[at:at+len(head)]) != head {
 				t.Errorf("seed %d: turn %d was confirmed and is lost", seed, i)
 			}
 		}
-		noBreach(t, w)
+		expectNoBreaches(t, w)
 	}
 }
 
 // A node that is cut from every core and reaches another node keeps its term,
 // learns news and serves, by way of that node.
-func TestCutFromCoresButNotFromNodes(t *testing.T) {
-	w := judged(small(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 }))
+func TestNodeIsolatedFromCoresOnly(t *testing.T) {
+	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 }))
 	_, p := open(w, 0, "u")
 	for _, c := range w.cores {
 		for _, pair := range [][2]string{{w.nodes[0].address, c.address}, {c.address, w.nodes[0].address}} {
-			w.cut[pair] = true
+			w.cutLinks[pair] = true
 		}
 	}
-	w.Pass(10 * time.Second)
+	w.Advance(10 * time.Second)
 	if w.nodes[0].nodeM.Counters.TermsLost > 0 || !w.nodes[0].nodeM.Ready(w.nodes[0].now()) {
 		t.Errorf("the term was lost %d times", w.nodes[0].nodeM.Counters.TermsLost)
 	}
 	head := program.EmptyHead
 	for i := 0; i < 3; i++ {
 		a, last := turn(w, 0, p.Text, head, 100)
-		want(t, "a turn by way of another node", a, "")
+		wantCode(t, "a turn by way of another node", a, "")
 		head = last.Head
 	}
 	ok := false
-	w.hand(w.cores[0], 1, "probe-second", func(taken bool) { ok = taken })
-	w.Pass(2 * time.Second)
+	w.applyConfiguration(w.cores[0], 1, "probe-second", func(taken bool) { ok = taken })
+	w.Advance(2 * time.Second)
 	if !ok || w.nodes[0].nodeM.ConfigurationVersion() != 2 {
 		t.Errorf("taken %v, version %d at the node", ok, w.nodes[0].nodeM.ConfigurationVersion())
 	}
-	noBreach(t, w)
+	expectNoBreaches(t, w)
 }
 
 // A node whose news of the members is old knows only an earlier life of a
 // program's owner. It must not take that for a proof that the owner's present
 // life has ended.
-func TestOldNewsOfALifeIsNoProof(t *testing.T) {
-	w := judged(small(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 }))
-	parts := w.Params.Parts
+func TestStaleIncarnationIsNoProof(t *testing.T) {
+	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 }))
+	parts := w.Params.Partitions
 	news := core.PartitionOf(parts, "member", "node1")
 	for _, c := range w.cores {
 		if len(c.coreM.LeadingPartitions(c.now())) == 0 {
@@ -513,24 +513,24 @@
 	for _, c := range w.cores {
 		for _, n := range c.coreM.LeadingPartitions(c.now()) {
 			if n == news {
-				w.cut[[2]string{c.address, w.nodes[2].address}] = true
+				w.cutLinks[[2]string{c.address, w.nodes[2].address}] = true
 			}
 		}
 	}
 	for _, n := range w.nodes[:2] {
-		w.cut[[2]string{n.address, w.nodes[2].address}] = true
+		w.cutLinks[[2]string{n.address, w.nodes[2].address}] = true
 	}
 	w.nodes[0].kill()
 	w.nodes[0].boot()
-	w.Pass(4 * time.Second)
+	w.Advance(4 * time.Second)
 	stolen := 0
 	for i := 0; i < 12; i++ {
 		_, p := open(w, 0, fmt.Sprint("u", i))
 		if p.Text == "" {
 			t.Fatalf("no program at the new life: %+v", p)
 		}
-		w.ask(w.nodes[2], node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text, Timeout: 300 * time.Millisecond}, func(a judge.Request, last node.Frame) {})
-		w.Pass(500 * time.Millisecond)
+		w.submit(w.nodes[2], node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text, Timeout: 300 * time.Millisecond}, func(a judge.Request, last node.Frame) {})
+		w.Advance(500 * time.Millisecond)
 	}
 	stolen = int(w.nodes[2].nodeM.Counters.Takeovers)
 	if stolen > 0 {
@@ -544,10 +544,10 @@
 	for seed := uint64(1); seed <= 5; seed++ {
 		params := Defaults(seed)
 		params.Cores, params.Nodes, params.Users = 3, 3, 0
-		params.Describe = design(func(role, tenant, services, breaker tree) {
+		params.Describe = describeWith(func(role, tenant, services, breaker tree) {
 			role["sessions_per_minute"], role["concurrent_sessions"], role["steps"], role["session_seconds"] = 1000, 1000, 1000, 600
 		})
-		w := judged(Calm(params))
+		w := withLimits(NewWithoutFaults(params))
 		codes, whole := map[string]int{}, 0
 		var live func(id, head string)
 		live = func(id, head string) {
@@ -558,7 +558,7 @@
 			if !at.nodeM.Ready(at.now()) {
 				at = w.nodes[1]
 			}
-			w.ask(at, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: head, Prompt: w.mark("say"), MaxTokens: 20, Timeout: 5 * time.Second}, func(a judge.Request, last node.Frame) {
+			w.submit(at, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: head, Prompt: w.newID("say"), MaxTokens: 20, Timeout: 5 * time.Second}, func(a judge.Request, last node.Frame) {
 				code := a.Code
 				if a.Outcome != judge.Refused {
 					code = a.Outcome
@@ -576,28 +576,28 @@
 			_, p := open(w, 0, fmt.Sprint("u", i))
 			live(p.Text, program.EmptyHead)
 		}
-		w.Pass(time.Second)
+		w.Advance(time.Second)
 		began := w.now
-		w.nodes[0].takeNode(w.nodes[0].nodeM.Drain(w.nodes[0].now()))
+		w.nodes[0].handleNodeOutput(w.nodes[0].nodeM.Drain(w.nodes[0].now()))
 		for !w.nodes[0].nodeM.Drained(w.nodes[0].now()) && w.now < began+6*time.Second {
-			w.Pass(10 * time.Millisecond)
+			w.Advance(10 * time.Millisecond)
 		}
 		took := w.now - began
 		w.nodes[0].kill()
-		w.Pass(16 * time.Second)
+		w.Advance(16 * time.Second)
 		t.Logf("seed %d: drained in %v: %v", seed, took, codes)
 		if took > 3*time.Second || codes["budget_passed"]+codes[judge.Broken]+codes[judge.Silent]+codes["owner_silent"] > 0 || whole < 100 {
 			t.Errorf("seed %d: drained in %v: %v", seed, took, codes)
 		}
-		noBreach(t, w)
+		expectNoBreaches(t, w)
 	}
 }
 
 // When all links between cores and nodes were cut for longer than a term, all
 // nodes serve their own programs again within two seconds of the mending: no
 // node waits for the term of its own former life.
-func TestBackAfterTheCoreWasCutOff(t *testing.T) {
-	w := judged(small(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 }))
+func TestRecoveryAfterCoresCutOff(t *testing.T) {
+	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 }))
 	var ids []string
 	for i := range w.nodes {
 		_, p := open(w, i, fmt.Sprint("u", i))
@@ -606,62 +606,62 @@
 	for _, cut := range []bool{true, false} {
 		for _, n := range w.nodes {
 			for _, c := range w.cores {
-				w.cut[[2]string{n.address, c.address}], w.cut[[2]string{c.address, n.address}] = cut, cut
+				w.cutLinks[[2]string{n.address, c.address}], w.cutLinks[[2]string{c.address, n.address}] = cut, cut
 			}
 		}
 		if cut {
-			w.Pass(3 * time.Second)
+			w.Advance(3 * time.Second)
 		}
 	}
 	mended := w.now
 	for i, id := range ids {
 		for {
-			a, last := w.Do(i, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.mark("say"), MaxTokens: 10, Timeout: time.Second})
+			a, last := w.Do(i, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.newID("say"), MaxTokens: 10, Timeout: time.Second})
 			if a.Outcome == judge.Whole {
 				break
 			}
 			if w.now > mended+5*time.Second {
 				t.Fatalf("node %d: %+v", i, a)
 			}
-			w.Pass(max(20*time.Millisecond, last.Verdict.RetryAfter/10))
+			w.Advance(max(20*time.Millisecond, last.Verdict.RetryAfter/10))
 		}
 	}
 	t.Logf("all served %v after the mending", w.now-mended)
 	if w.now > mended+2*time.Second {
 		t.Errorf("all served only %v after the mending", w.now-mended)
 	}
-	noBreach(t, w)
+	expectNoBreaches(t, w)
 }
 
 // An inquiry that was passed to an owner which died and came back at once ends
 // when the owner's life is known to have ended, not with its budget.
 func TestOwnerDiesAndComesBack(t *testing.T) {
-	w := judged(small(nil))
+	w := withLimits(smallWorld(nil))
 	_, p := open(w, 0, "u")
-	got := begin(w, 1, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.mark("say"), Timeout: 15 * time.Second}, 30*time.Millisecond)
+	got := submitAndAdvance(w, 1, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.newID("say"), Timeout: 15 * time.Second}, 30*time.Millisecond)
 	w.nodes[0].kill()
 	died := w.now
 	w.nodes[0].boot()
 	for got.Outcome == "" {
-		w.Pass(20 * time.Millisecond)
+		w.Advance(20 * time.Millisecond)
 	}
 	if took := w.now - died; took > 4*time.Second || got.Outcome == judge.Whole {
 		t.Errorf("it ended as %s after %v", got.Outcome, took)
 	}
-	noBreach(t, w)
+	expectNoBreaches(t, w)
 }
 
 // A replica whose shots break again and again is left out for a time, longer
 // each time, and tried again afterwards.
 func TestEjection(t *testing.T) {
-	w := judged(small(func(role, tenant, services, breaker tree) {
+	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) {
 		role["sessions_per_minute"], role["concurrent_sessions"], role["steps"], role["session_seconds"], role["program_tokens_hard"] = 1000, 1000, 1000, 600, 10_000_000
 	}))
-	bad := w.models[0]
-	bad.loses = 1
+	bad := w.backends[0]
+	bad.lossRate = 1
 	_, p := open(w, 0, "u")
 	head := program.EmptyHead
-	take := func(n int) (shots, broken int) {
+	take := func(n int) (attempts, broken int) {
 		from := len(w.Record.Attempts)
 		for i := 0; i < n; i++ {
 			a, last := turn(w, 0, p.Text, head, 5)
@@ -673,10 +673,10 @@
 		}
 		for _, s := range w.Record.Attempts[from:] {
 			if s.Replica == bad.name() {
-				shots++
+				attempts++
 			}
 		}
-		return shots, broken
+		return attempts, broken
 	}
 	first, broken := take(60)
 	if first < 3 || broken > 12 {
@@ -685,10 +685,10 @@
 	if at := w.nodes[0].nodeM; at.Counters.Interrupted > 12 {
 		t.Errorf("%d broken shots", at.Counters.Interrupted)
 	}
-	bad.loses = 0
-	w.Pass(20 * time.Second)
+	bad.lossRate = 0
+	w.Advance(20 * time.Second)
 	if again, _ := take(60); again == 0 {
 		t.Error("the replica is well again and is never tried")
 	}
-	noBreach(t, w)
+	expectNoBreaches(t, w)
 }
--- a/rehearsalkit/simulator/fault.go
+++ b/rehearsalkit/simulator/fault.go
@@ -8,11 +8,11 @@
 )
 
 // fault brings one fault about, and ends it later.
-func (w *World) fault() {
+func (w *World) injectFault() {
 	if w.now > w.Params.Length {
 		return
 	}
-	w.after(w.between(300*time.Millisecond, 2500*time.Millisecond), w.fault)
+	w.after(w.between(300*time.Millisecond, 2500*time.Millisecond), w.injectFault)
 	down := 0
 	for _, p := range w.cores {
 		if !p.alive || p.frozen {
@@ -55,67 +55,67 @@
 		}
 	case 4:
 		w.logf("cut off %s for %v", n.id, length)
-		w.cutOff(n, length)
+		w.isolate(n, length)
 	case 5:
 		w.logf("cut off %s for %v", c.id, length)
-		w.cutOff(c, length)
+		w.isolate(c, length)
 	case 6:
 		w.logf("cut %s from %s for %v", n.id, c.id, length)
-		w.link(n, c, length)
+		w.cutLink(n, c, length)
 	case 7:
 		w.logf("%s stalls for %v", c.id, length)
-		c.disk.stall = w.now + length
+		c.disk.stalledUntil = w.now + length
 	case 8:
-		b := w.models[w.random.IntN(len(w.models))]
+		b := w.backends[w.random.IntN(len(w.backends))]
 		if b.service != "search" {
 			b.replace()
 		}
 	case 9:
-		b := w.models[w.random.IntN(len(w.models))]
+		b := w.backends[w.random.IntN(len(w.backends))]
 		w.logf("replica %s loses answers", b.name())
-		b.loses = 0.5
-		w.after(length, func() { b.loses = 0 })
+		b.lossRate = 0.5
+		w.after(length, func() { b.lossRate = 0 })
 	case 17:
-		b := w.models[w.random.IntN(len(w.models))]
-		b.manner = manners[w.random.IntN(len(manners))]
-		w.logf("replica %s: %s", b.name(), b.manner)
-		w.Counts["replica "+b.manner]++
-		w.after(length, func() { b.manner = "" })
+		b := w.backends[w.random.IntN(len(w.backends))]
+		b.failureMode = failureModes[w.random.IntN(len(failureModes))]
+		w.logf("replica %s: %s", b.name(), b.failureMode)
+		w.Counts["replica "+b.failureMode]++
+		w.after(length, func() { b.failureMode = "" })
 	case 18:
 		w.logf("a crowd and a burst of alerts")
 		for i := 0; i < 40; i++ {
 			w.after(w.between(0, 500*time.Millisecond), func() {
-				mark := w.mark("burst")
-				w.ask(w.anyNode(), node.Request{Kind: node.KindAction, Key: "key-t1", User: "crowd", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Timeout: 2 * time.Second}, drop)
+				mark := w.newID("burst")
+				w.submit(w.anyNode(), node.Request{Kind: node.KindAction, Key: "key-t1", User: "crowd", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Timeout: 2 * time.Second}, ignoreResponse)
 			})
 			w.after(w.between(0, 500*time.Millisecond), func() {
-				w.ask(w.anyNode(), node.Request{Kind: node.KindOpen, Key: "key-t1", User: w.mark("crowd"), Timeout: 2 * time.Second}, drop)
+				w.submit(w.anyNode(), node.Request{Kind: node.KindOpen, Key: "key-t1", User: w.newID("crowd"), Timeout: 2 * time.Second}, ignoreResponse)
 			})
 		}
 	case 19:
-		if c.alive && down < 2 && !w.moved && c != w.cores[0] {
-			w.moved = true
+		if c.alive && down < 2 && !w.readdressed && c != w.cores[0] {
+			w.readdressed = true
 			w.Counts["cores re-addressed"]++
 			w.logf("%s goes to another address", c.id)
 			c.kill()
 			w.after(length, func() {
 				c.address = "10.0.3.1:7000"
-				w.procs[c.address] = c
+				w.processes[c.address] = c
 				c.boot()
 			})
 		}
 	case 20:
-		if down == 0 && w.spare != nil && w.seated() {
+		if down == 0 && w.spare != nil && w.membersCurrent() {
 			w.replaceCore(c)
 		}
 	case 21:
 		// With the cores out of reach, what only an owner and its mirrors hold is
 		// lost with them.
-		if !w.closed && len(w.cut) == 0 && w.now > w.cutUntil+2*time.Second {
-			w.closed = true
+		if !w.allKilled && len(w.cutLinks) == 0 && w.now > w.cutUntil+2*time.Second {
+			w.allKilled = true
 			w.logf("everything is killed")
 			w.Counts["closing faults"]++
-			for _, p := range append(append([]*proc(nil), w.cores...), w.nodes...) {
+			for _, p := range append(append([]*process(nil), w.cores...), w.nodes...) {
 				p.kill()
 				w.after(w.between(100*time.Millisecond, time.Second), p.boot)
 			}
@@ -134,20 +134,20 @@
 				most = one
 			}
 		}
-		w.takeDisk(most, down, length)
+		w.failDisk(most, down, length)
 	case 13:
 		if n.alive && !n.frozen {
 			w.logf("%s drains", n.id)
-			n.takeNode(n.nodeM.Drain(n.now()))
-			w.after(100*time.Millisecond, func() { n.drained(n.life, w.now+5*time.Second) })
+			n.handleNodeOutput(n.nodeM.Drain(n.now()))
+			w.after(100*time.Millisecond, func() { n.awaitDrain(n.incarnation, w.now+5*time.Second) })
 		}
 	case 14:
 		if c.alive && !c.frozen && down < 2 {
 			w.logf("%s hands its parts over", c.id)
 			c.coreM.Drain()
-			life := c.life
+			incarnation := c.incarnation
 			w.after(time.Second, func() {
-				if c.life == life {
+				if c.incarnation == incarnation {
 					c.kill()
 					w.after(length, c.boot)
 				}
@@ -156,22 +156,22 @@
 	case 15, 16:
 		w.logf("all cores cut from all nodes for %v", length)
 		w.Counts["cores cut off"]++
-		w.coreCut(length)
+		w.cutCoresFromNodes(length)
 	case 11, 12:
-		w.takeDisk(c, down, length)
+		w.failDisk(c, down, length)
 	case 10:
 		w.logf("split core zone %s", c.zone)
 		for _, other := range w.cores {
 			if other.zone != c.zone {
-				w.link(c, other, length)
+				w.cutLink(c, other, length)
 			}
 		}
 	}
 }
 
 // takeDisk lets a core lose its disk, if that is a loss which must be borne.
-func (w *World) takeDisk(c *proc, down int, length time.Duration) {
-	if c.alive && down == 0 && w.seated() {
+func (w *World) failDisk(c *process, down int, length time.Duration) {
+	if c.alive && down == 0 && w.membersCurrent() {
 		w.logf("%s loses its disk", c.id)
 		w.Counts["disks lost"]++
 		c.kill()
@@ -180,24 +180,24 @@
 	}
 }
 
-func (w *World) link(a, b *proc, length time.Duration) {
+func (w *World) cutLink(a, b *process, length time.Duration) {
 	pairs := [][2]string{{a.address, b.address}}
 	if w.chance(0.8) {
 		pairs = append(pairs, [2]string{b.address, a.address})
 	}
 	for _, pair := range pairs {
-		w.cut[pair] = true
+		w.cutLinks[pair] = true
 	}
 	w.after(length, func() {
 		for _, pair := range pairs {
-			delete(w.cut, pair)
+			delete(w.cutLinks, pair)
 		}
 	})
 }
 
 // replaceCore puts the spare core in the place of another one, for good. It
 // joins by itself.
-func (w *World) replaceCore(old *proc) {
+func (w *World) replaceCore(old *process) {
 	spare, by := w.spare, w.cores[0]
 	if by == old {
 		by = w.cores[1]
@@ -212,8 +212,8 @@
 }
 
 // retire asks for a core's retirement until it is done, or for so long.
-func (w *World) retire(old, by, spare *proc, until time.Duration) {
-	again := func() {
+func (w *World) retire(old, by, spare *process, until time.Duration) {
+	retry := func() {
 		if w.now < until {
 			w.retire(old, by, spare, until)
 		}
@@ -227,7 +227,7 @@
 		}
 		over = true
 		if changed, ok := body.(core.ChangeResult); !ok || !changed.Done {
-			w.after(500*time.Millisecond, again)
+			w.after(500*time.Millisecond, retry)
 			return
 		}
 		w.Counts["cores retired"]++
@@ -242,32 +242,32 @@
 	w.after(5*time.Second, func() {
 		if !over {
 			over = true
-			again()
+			retry()
 		}
 	})
 }
 
 // coreCut cuts all cores from all nodes.
-func (w *World) coreCut(length time.Duration) {
+func (w *World) cutCoresFromNodes(length time.Duration) {
 	w.cutUntil = max(w.cutUntil, w.now+length)
 	for _, c := range w.cores {
 		for _, n := range w.nodes {
-			w.link(c, n, length)
+			w.cutLink(c, n, length)
 		}
 	}
 }
 
-func (w *World) cutOff(p *proc, length time.Duration) {
-	for _, other := range w.procs {
+func (w *World) isolate(p *process, length time.Duration) {
+	for _, other := range w.processes {
 		if other != p {
-			w.cut[[2]string{p.address, other.address}] = true
-			w.cut[[2]string{other.address, p.address}] = true
+			w.cutLinks[[2]string{p.address, other.address}] = true
+			w.cutLinks[[2]string{other.address, p.address}] = true
 		}
 	}
 	w.after(length, func() {
-		for _, other := range w.procs {
-			delete(w.cut, [2]string{p.address, other.address})
-			delete(w.cut, [2]string{other.address, p.address})
+		for _, other := range w.processes {
+			delete(w.cutLinks, [2]string{p.address, other.address})
+			delete(w.cutLinks, [2]string{other.address, p.address})
 		}
 	})
 }
--- a/rehearsalkit/simulator/load_test.go
+++ b/rehearsalkit/simulator/load_test.go
@@ -11,27 +11,27 @@
 
 // With all places at replicas taken, a turn waits for one within its budget; a
 // waiting room that is too long is told at once, with a time that grows with it.
-func TestRoomAtReplicas(t *testing.T) {
+func TestWaitForReplicaCapacity(t *testing.T) {
 	p := defaults(7)
 	p.Cores, p.Nodes, p.Users, p.Replicas, p.Rate, p.Burst, p.MemberTerm, p.Zones = 3, 3, 0, 1, 500, 900, 2*time.Second, 3
-	p.Describe = design(func(role, tenant, services, breaker tree) {
+	p.Describe = describeWith(func(role, tenant, services, breaker tree) {
 		role["sessions_per_minute"], role["concurrent_sessions"] = 1000, 1000
 		tenant["inquiries_per_second"], tenant["burst"] = 500, 900
 		services["model"] = tree{"kind": "model", "shots_per_replica": 1}
 	})
-	w := judged(Calm(p))
+	w := withLimits(NewWithoutFaults(p))
 	w.Record.Limits.Rate["t1"], w.Record.Limits.Burst["t1"] = 500, 900
 	var ids []string
 	for i := 0; i < 24; i++ {
-		_, opened := open(w, 0, w.mark("u"))
+		_, opened := open(w, 0, w.newID("u"))
 		ids = append(ids, opened.Text)
 	}
-	w.Pass(time.Second)
+	w.Advance(time.Second)
 	whole, refused := 0, 0
 	var waits []time.Duration
 	began := w.now
 	for _, id := range ids {
-		w.ask(w.nodes[0], node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.mark("say"), MaxTokens: 20, Timeout: 4 * time.Second}, func(a judge.Request, last node.Frame) {
+		w.submit(w.nodes[0], node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.newID("say"), MaxTokens: 20, Timeout: 4 * time.Second}, func(a judge.Request, last node.Frame) {
 			switch {
 			case a.Outcome == judge.Whole:
 				whole++
@@ -41,7 +41,7 @@
 			}
 		})
 	}
-	w.Pass(4 * time.Second)
+	w.Advance(4 * time.Second)
 	if whole < 3 || refused < 8 || whole+refused != len(ids) {
 		t.Errorf("%d whole, %d refused of %d within %v", whole, refused, len(ids), w.now-began)
 	}
@@ -50,5 +50,5 @@
 			t.Errorf("told to come back in %v", wait)
 		}
 	}
-	noBreach(t, w)
+	expectNoBreaches(t, w)
 }
--- a/rehearsalkit/simulator/loads.go
+++ b/rehearsalkit/simulator/loads.go
@@ -9,48 +9,48 @@
 )
 
 // Crowded is what became of alerts in calm and under a crowd.
-type Crowded struct {
-	Alerts, Through   [2]int
-	Half, NineOfTen   [2]time.Duration
-	Turns, TurnsWhole int
-	Breaches          []judge.Breach
+type CrowdResult struct {
+	Alerts, Succeeded     [2]int
+	Median, P90           [2]time.Duration
+	Turns, SucceededTurns int
+	Breaches              []judge.Breach
 }
 
 // MeasureCrowd lets requesters live in calm, then ten times as many of one
 // tenant with a burst of alerts every second, and compares what alerts of that
 // tenant get.
-func MeasureCrowd(seed uint64) Crowded {
+func MeasureCrowd(seed uint64) CrowdResult {
 	p := defaults(seed)
-	p.Cores, p.Nodes, p.Zones, p.Replicas, p.Alerts, p.Users, p.Parts = 6, 13, 3, 11, 5, 12, 16
-	p.Faults, p.Operators, p.Loss, p.Rate, p.Burst, p.MemberTerm = false, 0, 0, 40, 64, 5*time.Second
-	w := Calm(p)
+	p.Cores, p.Nodes, p.Zones, p.Replicas, p.Alerts, p.Users, p.Partitions = 6, 13, 3, 11, 5, 12, 16
+	p.Faults, p.Operators, p.MessageLoss, p.Rate, p.Burst, p.MemberTerm = false, 0, 0, 40, 64, 5*time.Second
+	w := NewWithoutFaults(p)
 	w.limits()
 	w.Record.Nodes, w.Record.Limits.Users = nil, nil
 	const phase = 8 * time.Second
 	calm, crowd := w.now+3*time.Second, w.now+3*time.Second+phase
-	var c Crowded
-	var took [2][]time.Duration
-	told := func(at time.Duration, ok bool) {
+	var c CrowdResult
+	var latencies [2][]time.Duration
+	turnDone := func(at time.Duration, ok bool) {
 		if at >= crowd {
 			c.Turns++
 			if ok {
-				c.TurnsWhole++
+				c.SucceededTurns++
 			}
 		}
 	}
 	for i := 0; i < p.Users; i++ {
-		w.chat(i, crowd+phase, told)
+		w.chat(i, crowd+phase, turnDone)
 	}
 	for i := 0; i < 10*p.Users; i++ {
-		w.after(crowd-w.now+time.Duration(i)*5*time.Millisecond, func() { w.chat(0, crowd+phase, told) })
+		w.after(crowd-w.now+time.Duration(i)*5*time.Millisecond, func() { w.chat(0, crowd+phase, turnDone) })
 	}
 	alert := func(period int) {
-		mark := w.mark("alert")
+		mark := w.newID("alert")
 		c.Alerts[period]++
-		w.ask(w.anyNode(), node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Timeout: 2 * time.Second}, func(a judge.Request, _ node.Frame) {
+		w.submit(w.anyNode(), node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Timeout: 2 * time.Second}, func(a judge.Request, _ node.Frame) {
 			if a.Outcome == judge.Whole {
-				c.Through[period]++
-				took[period] = append(took[period], a.Ended-a.At)
+				c.Succeeded[period]++
+				latencies[period] = append(latencies[period], a.Ended-a.At)
 			}
 		})
 	}
@@ -61,10 +61,10 @@
 		}
 	}
 	w.run(crowd + phase + 4*time.Second)
-	for i := range took {
-		sort.Slice(took[i], func(a, b int) bool { return took[i][a] < took[i][b] })
-		if n := len(took[i]); n > 0 {
-			c.Half[i], c.NineOfTen[i] = took[i][n/2], took[i][n*9/10]
+	for i := range latencies {
+		sort.Slice(latencies[i], func(a, b int) bool { return latencies[i][a] < latencies[i][b] })
+		if n := len(latencies[i]); n > 0 {
+			c.Median[i], c.P90[i] = latencies[i][n/2], latencies[i][n*9/10]
 		}
 	}
 	c.Breaches = w.Record.Judge()
@@ -72,7 +72,7 @@
 }
 
 // Shared is how much of one large tenant's quota was used.
-type Shared struct {
+type ShareResult struct {
 	// Used is the part of the quota that reached replicas in steady state,
 	// Wanted how many times the quota was asked for.
 	Used, Wanted float64
@@ -82,17 +82,17 @@
 // MeasureShares lets one tenant ask for a good deal more than its quota, at all
 // nodes, at one node, or at one node after another, the other tenants a tenth of
 // it.
-func MeasureShares(seed uint64, where string) Shared {
+func MeasureShares(seed uint64, where string) ShareResult {
 	p := defaults(seed)
-	p.Nodes, p.Users, p.Faults, p.Operators, p.Loss, p.Rate, p.Burst, p.MemberTerm = 6, 0, false, 0, 0, 40, 64, 5*time.Second
-	w := Calm(p)
+	p.Nodes, p.Users, p.Faults, p.Operators, p.MessageLoss, p.Rate, p.Burst, p.MemberTerm = 6, 0, false, 0, 0, 40, 64, 5*time.Second
+	w := NewWithoutFaults(p)
 	w.limits()
 	w.Record.Nodes = nil
 	from, until := w.now+4*time.Second, w.now+16*time.Second
 	asked, moved := 0, 0
-	ask := func(key string, at *proc) {
-		mark := w.mark("load")
-		w.ask(at, node.Request{Kind: node.KindAction, Key: key, User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Timeout: 2 * time.Second}, drop)
+	ask := func(key string, at *process) {
+		mark := w.newID("load")
+		w.submit(at, node.Request{Kind: node.KindAction, Key: key, User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Timeout: 2 * time.Second}, ignoreResponse)
 	}
 	var load func()
 	load = func() {
@@ -120,12 +120,12 @@
 	move = func() { moved++; w.after(2*time.Second, move) }
 	w.after(2*time.Second, move)
 	w.run(until + 3*time.Second)
-	shots := 0
+	attempts := 0
 	for _, s := range w.Record.Attempts {
 		if s.Tenant == "t1" && s.At >= from && s.At < until {
-			shots++
+			attempts++
 		}
 	}
 	quota := p.Rate * (until - from).Seconds()
-	return Shared{Used: float64(shots) / quota, Wanted: float64(asked) / quota, Breaches: w.Record.Judge()}
+	return ShareResult{Used: float64(attempts) / quota, Wanted: float64(asked) / quota, Breaches: w.Record.Judge()}
 }
--- a/rehearsalkit/simulator/order_test.go
+++ b/rehearsalkit/simulator/order_test.go
@@ -9,38 +9,38 @@
 )
 
 // apply hands a description over at one core and waits for the outcome.
-func apply(w *World, at int, hand core.ApplyRequest) core.ApplyResult {
+func apply(w *World, at int, request core.ApplyRequest) core.ApplyResult {
 	var got core.ApplyResult
 	w.Operate(w.cores[at], func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-		return m.ApplyConfiguration(now, ticket, hand)
+		return m.ApplyConfiguration(now, ticket, request)
 	}, func(body any) { got = body.(core.ApplyResult) })
-	w.Pass(3 * time.Second)
+	w.Advance(3 * time.Second)
 	return got
 }
 
 // TestAcceptedDescriptionComesAgain: a description whose answer was lost is
 // acknowledged when it comes again through another core after many others, also
 // where rehearsal would refuse it by now; a different one on its base is not.
-func TestAcceptedDescriptionComesAgain(t *testing.T) {
-	w := judged(small(nil))
-	hand := func(version uint64, digest string) core.ApplyRequest {
+func TestRepeatedDescription(t *testing.T) {
+	w := withLimits(smallWorld(nil))
+	request := func(version uint64, digest string) core.ApplyRequest {
 		return core.ApplyRequest{BasedOn: version, Text: w.Params.Describe(digest), Digest: digest, Timeout: 5 * time.Second}
 	}
 	const descriptions = 20
 	for version := uint64(1); version <= descriptions; version++ {
-		if got := apply(w, 0, hand(version, fmt.Sprint("v", version))); !got.InForce || got.Version != version+1 {
+		if got := apply(w, 0, request(version, fmt.Sprint("v", version))); !got.InForce || got.Version != version+1 {
 			t.Fatalf("description %d: %+v", version, got)
 		}
 	}
 	for version := uint64(1); version <= descriptions; version += 6 {
-		if got := apply(w, 1, hand(version, fmt.Sprint("v", version))); !got.InForce || got.Version != version+1 {
+		if got := apply(w, 1, request(version, fmt.Sprint("v", version))); !got.InForce || got.Version != version+1 {
 			t.Errorf("description %d came again: %+v", version, got)
 		}
-		if got := apply(w, 2, hand(version, "another")); got.InForce || got.Code != "race_lost" {
+		if got := apply(w, 2, request(version, "another")); got.InForce || got.Code != "race_lost" {
 			t.Errorf("another one on %d: %+v", version, got)
 		}
 	}
-	if got := apply(w, 1, hand(descriptions+9, "ahead")); got.InForce || got.Code != "race_lost" {
+	if got := apply(w, 1, request(descriptions+9, "ahead")); got.InForce || got.Code != "race_lost" {
 		t.Errorf("one on a version that never was: %+v", got)
 	}
 }
--- a/rehearsalkit/simulator/process.go
+++ b/rehearsalkit/simulator/process.go
@@ -11,89 +11,89 @@
 	"saffronfall/rule/ordered"
 )
 
-type proc struct {
-	world   *World
-	id      string
-	zone    string
-	address string
-	life    int
+type process struct {
+	world       *World
+	id          string
+	zone        string
+	address     string
+	incarnation int
 	// runs counts how often the machine was switched on.
-	runs    int
-	alive   bool
-	frozen  bool
-	backlog []func()
-	rate    float64
-	started time.Duration
+	powerCycles int
+	alive       bool
+	frozen      bool
+	backlog     []func()
+	rate        float64
+	started     time.Duration
 
 	coreM *core.Machine
-	disk  *simDisk
+	disk  *simulatedDisk
 	syncs int
 
-	nodeM *node.Machine
-	shots map[uint64]*simShot
+	nodeM    *node.Machine
+	attempts map[uint64]*simAttempt
 }
 
-type simDisk struct {
-	stored  core.Stored
-	pending [][]core.Change
-	issued  uint64
-	synced  uint64
-	held    []simHeld
-	busy    bool
-	stall   time.Duration
-	calls   map[uint64]func(any)
-	next    uint64
+type simulatedDisk struct {
+	stored       core.Stored
+	pending      [][]core.Change
+	issued       uint64
+	synced       uint64
+	held         []heldSend
+	syncing      bool
+	stalledUntil time.Duration
+	calls        map[uint64]func(any)
+	lastTicket   uint64
 }
 
-type simHeld struct {
+type heldSend struct {
 	after uint64
 	send  core.Send
 }
 
-func (p *proc) now() time.Duration {
+func (p *process) now() time.Duration {
 	return time.Duration(float64(p.world.now-p.started) * p.rate)
 }
 
 // boot starts a process from what its disk holds.
-func (p *proc) boot() {
+func (p *process) boot() {
 	w := p.world
-	p.life++
+	p.incarnation++
 	p.alive, p.frozen, p.backlog, p.started = true, false, nil, w.now
-	if p.life > 1 {
+	if p.incarnation > 1 {
 		w.Record.Restarts = append(w.Record.Restarts, judge.Restart{At: w.now, Process: p.id})
 	}
 	p.rate = 1 + (w.random.Float64()-0.5)*0.08
 	if p.disk != nil {
-		p.disk.pending, p.disk.held, p.disk.busy, p.disk.issued, p.disk.synced = nil, nil, false, 0, 0
+		p.disk.pending, p.disk.held, p.disk.syncing, p.disk.issued, p.disk.synced = nil, nil, false, 0, 0
 		p.disk.calls = map[uint64]func(any){}
 		var image core.Stored
 		image.CopyFrom(p.disk.stored)
 		p.coreM = core.New(core.Options{Params: w.coreParams(), ID: p.id, Zone: p.zone, Address: p.address, Seeds: w.seeds(), Stored: image, Now: p.now(), Random: w.random.Float64})
-		p.tick(p.life, 15*time.Millisecond)
+		p.tick(p.incarnation, 15*time.Millisecond)
 		return
 	}
-	p.shots = map[uint64]*simShot{}
-	p.nodeM = node.New(node.Options{Params: w.nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.life), Zone: p.zone, Address: p.address, HTTP: p.address, Host: fmt.Sprint(p.address, " run ", p.runs), Seeds: w.seeds(), Now: p.now(), Random: w.random.Float64})
-	p.tick(p.life, 10*time.Millisecond)
+	p.attempts = map[uint64]*simAttempt{}
+	p.nodeM = node.New(node.Options{Params: w.nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Zone: p.zone, Address: p.address, HTTP: p.address, Host: fmt.Sprint(p.address, " run ", p.powerCycles), Seeds: w.seeds(), Now: p.now(), Random: w.random.Float64})
+	p.tick(p.incarnation, 10*time.Millisecond)
 }
 
-func (p *proc) tick(life int, every time.Duration) {
-	if p.life != life || !p.alive {
+func (p *process) tick(incarnation int, every time.Duration) {
+	if p.incarnation != incarnation || !p.alive {
 		return
 	}
 	p.do(func() {
 		if p.coreM != nil {
-			p.takeCore(p.coreM.Tick(p.now()))
-			p.coreM.SetStalled(p.disk.stall > p.world.now)
+			p.handleCoreOutput(p.coreM.Tick(p.now()))
+			p.coreM.SetStalled(p.disk.stalledUntil > p.world.now)
 		} else {
-			p.takeNode(p.nodeM.Tick(p.now()))
+			p.handleNodeOutput(p.nodeM.Tick(p.now()))
 		}
 	})
-	p.world.after(every, func() { p.tick(life, every) })
+	p.world.after(every, func() { p.tick(incarnation, every) })
 }
 
 // do runs a step now, or when a frozen process wakes.
-func (p *proc) do(step func()) {
+func (p *process) do(step func()) {
 	switch {
 	case !p.alive:
 	case p.frozen:
@@ -105,12 +105,12 @@
 	}
 }
 
-func (p *proc) kill() {
+func (p *process) kill() {
 	if !p.alive {
 		return
 	}
 	p.alive = false
-	p.life++
+	p.incarnation++
 	if p.disk != nil {
 		// What was under way to the disk may or may not have got there.
 		for _, batch := range p.disk.pending {
@@ -122,30 +122,30 @@
 			}
 		}
 	}
-	for _, ticket := range ordered.Keys(p.world.returns) {
-		if at := p.world.returns[ticket]; at.node == p {
-			delete(p.world.returns, ticket)
-			p.world.after(p.world.between(time.Millisecond, 3*time.Millisecond), func() { at.piece(node.Frame{Kind: node.FrameAbort}) })
+	for _, ticket := range ordered.Keys(p.world.pendingResponses) {
+		if at := p.world.pendingResponses[ticket]; at.node == p {
+			delete(p.world.pendingResponses, ticket)
+			p.world.after(p.world.between(time.Millisecond, 3*time.Millisecond), func() { at.deliver(node.Frame{Kind: node.FrameAbort}) })
 		}
 	}
 }
 
 // powerOff loses all that was not synced.
-func (p *proc) powerOff() {
+func (p *process) powerOff() {
 	if p.disk != nil {
 		p.disk.pending = nil
 	}
-	p.runs++
+	p.powerCycles++
 	p.kill()
 }
 
-func (p *proc) freeze() {
+func (p *process) freeze() {
 	if p.alive {
 		p.frozen = true
 	}
 }
 
-func (p *proc) wake() {
+func (p *process) wake() {
 	if !p.alive || !p.frozen {
 		return
 	}
@@ -158,11 +158,11 @@
 }
 
 // loseDisk empties a core's folder: what boots next is a new incarnation.
-func (p *proc) loseDisk() {
-	p.disk = &simDisk{stored: core.Stored{Incarnation: fmt.Sprintf("%s-%d", p.id, p.world.random.Uint32())}}
+func (p *process) loseDisk() {
+	p.disk = &simulatedDisk{stored: core.Stored{Incarnation: fmt.Sprintf("%s-%d", p.id, p.world.random.Uint32())}}
 }
 
-func (p *proc) takeCore(o core.Output) {
+func (p *process) handleCoreOutput(o core.Output) {
 	d := p.disk
 	if len(o.Changes) > 0 {
 		d.pending = append(d.pending, o.Changes)
@@ -170,7 +170,7 @@
 	}
 	for _, s := range o.Sends {
 		if s.Synced && d.issued > d.synced {
-			d.held = append(d.held, simHeld{after: d.issued, send: s})
+			d.held = append(d.held, heldSend{after: d.issued, send: s})
 			continue
 		}
 		p.sendCore(s)
@@ -184,15 +184,15 @@
 	p.sync()
 }
 
-func (p *proc) sendCore(s core.Send) {
+func (p *process) sendCore(s core.Send) {
 	if s.To == p.address {
-		p.takeCore(p.coreM.Receive(p.now(), p.address, reopen(s.Body)))
+		p.handleCoreOutput(p.coreM.Receive(p.now(), p.address, recode(s.Body)))
 		return
 	}
 	p.world.send(p, s.To, s.Body)
 }
 
-func reopen(body any) any {
+func recode(body any) any {
 	value, err := message.Open(message.Pack(body))
 	if err != nil {
 		panic(err)
@@ -200,16 +200,16 @@
 	return value
 }
 
-func (p *proc) sync() {
+func (p *process) sync() {
 	d := p.disk
-	if d.busy || len(d.pending) == 0 {
+	if d.syncing || len(d.pending) == 0 {
 		return
 	}
-	d.busy = true
-	count, upto, life := len(d.pending), d.issued, p.life
-	delay := p.world.between(p.world.Params.Sync/12, p.world.Params.Sync)
-	if d.stall > p.world.now {
-		delay += d.stall - p.world.now
+	d.syncing = true
+	count, upto, incarnation := len(d.pending), d.issued, p.incarnation
+	delay := p.world.between(p.world.Params.MaxSync/12, p.world.Params.MaxSync)
+	if d.stalledUntil > p.world.now {
+		delay += d.stalledUntil - p.world.now
 	}
 	p.world.Counts["syncs"]++
 	p.syncs++
@@ -217,17 +217,17 @@
 		p.world.atSync(p, "before a sync")
 	}
 	p.world.after(delay, func() {
-		if p.life != life {
+		if p.incarnation != incarnation {
 			return
 		}
 		p.do(func() {
 			for _, batch := range d.pending[:count] {
 				for _, c := range batch {
-					d.stored.Apply(reopenChange(c))
+					d.stored.Apply(recodeChange(c))
 				}
 			}
 			d.pending = d.pending[count:]
-			d.busy, d.synced = false, upto
+			d.syncing, d.synced = false, upto
 			if p.world.atSync != nil {
 				p.world.atSync(p, "after a sync")
 			}
@@ -245,7 +245,7 @@
 	})
 }
 
-func reopenChange(c core.Change) core.Change {
+func recodeChange(c core.Change) core.Change {
 	var fresh core.Change
 	if err := message.Unmarshal(message.Marshal(c), &fresh); err != nil {
 		panic(err)
@@ -253,33 +253,33 @@
 	return fresh
 }
 
-func (p *proc) takeNode(o node.Output) {
+func (p *process) handleNodeOutput(o node.Output) {
 	for _, s := range o.Sends {
 		if s.To == p.address {
-			p.takeNode(p.nodeM.Receive(p.now(), p.address, reopen(s.Body)))
+			p.handleNodeOutput(p.nodeM.Receive(p.now(), p.address, recode(s.Body)))
 			continue
 		}
 		p.world.send(p, s.To, s.Body)
 	}
 	for _, r := range o.Responses {
-		at, ok := p.world.returns[r.Ticket]
+		at, ok := p.world.pendingResponses[r.Ticket]
 		if !ok || at.node != p {
 			continue
 		}
 		if r.Frame.Last() {
-			delete(p.world.returns, r.Ticket)
+			delete(p.world.pendingResponses, r.Ticket)
 		}
-		piece := r.Frame
-		at.next = max(at.next, p.world.now+p.world.between(200*time.Microsecond, 2*time.Millisecond))
-		p.world.after(at.next-p.world.now, func() { at.piece(piece) })
+		frame := r.Frame
+		at.nextDelivery = max(at.nextDelivery, p.world.now+p.world.between(200*time.Microsecond, 2*time.Millisecond))
+		p.world.after(at.nextDelivery-p.world.now, func() { at.deliver(frame) })
 	}
 	for _, s := range o.Attempts {
-		p.world.shoot(p, s)
+		p.world.startAttempt(p, s)
 	}
-	for _, shot := range o.Cancels {
-		if s, ok := p.shots[shot]; ok {
+	for _, attempt := range o.Cancels {
+		if s, ok := p.attempts[attempt]; ok {
 			s.cancelled = true
-			delete(p.shots, shot)
+			delete(p.attempts, attempt)
 		}
 	}
 }
--- a/rehearsalkit/simulator/restart_test.go
+++ b/rehearsalkit/simulator/restart_test.go
@@ -24,16 +24,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := Defaults(1)
-			p.Cores, p.Nodes, p.Users, p.Describe = 3, 4, 0, design(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 })
-			w := judged(Calm(p))
+			p.Cores, p.Nodes, p.Users, p.Describe = 3, 4, 0, describeWith(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 })
+			w := withLimits(NewWithoutFaults(p))
 			heads := map[string]string{}
 			for i := 0; i < 6; i++ {
 				_, opened := open(w, i%4, fmt.Sprint("u", i))
 				a, p := turn(w, (i+1)%4, opened.Text, program.EmptyHead, 50)
-				want(t, "before", a, "")
+				wantCode(t, "before", a, "")
 				heads[opened.Text] = p.Head
 			}
-			w.Pass(500 * time.Millisecond)
+			w.Advance(500 * time.Millisecond)
 			for i := 0; i < c.nodes; i++ {
 				w.nodes[i].kill()
 				w.after(w.between(50*time.Millisecond, 600*time.Millisecond), w.nodes[i].boot)
@@ -43,21 +43,21 @@
 				w.after(w.between(50*time.Millisecond, 600*time.Millisecond), w.cores[i].boot)
 			}
 			if c.apart {
-				w.coreCut(6 * time.Second)
+				w.cutCoresFromNodes(6 * time.Second)
 			}
 			looks := 0
-			for end := w.now + 12*time.Second; w.now < end; w.Pass(150 * time.Millisecond) {
+			for end := w.now + 12*time.Second; w.now < end; w.Advance(150 * time.Millisecond) {
 				for id := range heads {
 					for _, n := range w.nodes {
 						looks++
-						w.ask(n, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: id, Timeout: 2 * time.Second}, drop)
+						w.submit(n, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: id, Timeout: 2 * time.Second}, ignoreResponse)
 					}
 				}
 			}
-			w.Pass(3 * time.Second)
+			w.Advance(3 * time.Second)
 			for id, head := range heads {
 				a, _ := turn(w, 3, id, head, 50)
-				want(t, "after", a, "")
+				wantCode(t, "after", a, "")
 			}
 			whole := 0
 			for _, a := range w.Record.Requests {
@@ -68,7 +68,7 @@
 			if looks < 1500 || whole < looks/10 {
 				t.Errorf("%d looks, %d whole", looks, whole)
 			}
-			noBreach(t, w)
+			expectNoBreaches(t, w)
 		})
 	}
 }
@@ -76,24 +76,24 @@
 // A node that was killed and started again on its machine is back at once, as
 // it has the address that its former life had. After the machine itself was off,
 // it waits until that life has surely ended.
-func TestBackOnItsMachine(t *testing.T) {
+func TestRestartOnSameMachine(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		harm        func(p *proc)
+		inject      func(p *process)
 		least, most time.Duration
 	}{
-		{"killed", (*proc).kill, 0, 2 * time.Second},
-		{"machine off", (*proc).powerOff, 6 * time.Second, 12 * time.Second},
+		{"killed", (*process).kill, 0, 2 * time.Second},
+		{"machine off", (*process).powerOff, 6 * time.Second, 12 * time.Second},
 	} {
 		p := Defaults(1)
-		p.Cores, p.Nodes, p.Users, p.Describe, p.MemberTerm = 3, 3, 0, design(nil), 8*time.Second
-		w := judged(Calm(p))
-		w.Pass(2 * time.Second)
+		p.Cores, p.Nodes, p.Users, p.Describe, p.MemberTerm = 3, 3, 0, describeWith(nil), 8*time.Second
+		w := withLimits(NewWithoutFaults(p))
+		w.Advance(2 * time.Second)
 		began := w.now
-		c.harm(w.nodes[0])
+		c.inject(w.nodes[0])
 		w.nodes[0].boot()
 		for w.now < began+c.most && !w.nodes[0].nodeM.Ready(w.nodes[0].now()) {
-			w.Pass(50 * time.Millisecond)
+			w.Advance(50 * time.Millisecond)
 		}
 		if took := w.now - began; took < c.least || took >= c.most {
 			t.Errorf("%s: back after %v", c.name, took)
--- a/rehearsalkit/simulator/run.go
+++ b/rehearsalkit/simulator/run.go
@@ -19,9 +19,9 @@
 
 // strictUser are the limits of the users of the last tenant, which are reached
 // often.
-var strictUser = judge.UserLimits{PerMinute: 4, Lockout: 3 * time.Second, Concurrent: 2, Session: 5 * time.Second, DayTokens: 8000}
+var strictLimits = judge.UserLimits{PerMinute: 4, Lockout: 3 * time.Second, Concurrent: 2, Session: 5 * time.Second, DayTokens: 8000}
 
-func strict(key string) bool { return key == fmt.Sprintf("key-t%d", tenants) }
+func isStrict(key string) bool { return key == fmt.Sprintf("key-t%d", tenants) }
 
 func digestOf(text []byte) string {
 	sum := sha256.Sum256(text)
@@ -37,25 +37,25 @@
 	role := map[string]any{"sessions_per_minute": 600, "sessions_per_hour": 6000, "sessions_per_day": 60000, "concurrent_sessions": 50,
 		"steps": 40, "program_tokens_soft": 3000, "program_tokens_hard": 6000, "turn_tokens": 1000, "tool_calls": 30, "tool_calls_per_type": 30,
 		"session_seconds": 600, "user_day_tokens_hard": 500_000}
-	narrow := map[string]any{"sessions_per_minute": strictUser.PerMinute, "sessions_per_hour": 6000, "sessions_per_day": 60000, "concurrent_sessions": strictUser.Concurrent,
-		"lockout_seconds": int64(strictUser.Lockout / time.Second), "steps": 4, "program_tokens_soft": 3000, "program_tokens_hard": 6000, "turn_tokens": 1000,
-		"session_seconds": int64(strictUser.Session / time.Second), "user_day_tokens_hard": strictUser.DayTokens, "user_day_tokens_soft": strictUser.DayTokens / 2}
+	strictRole := map[string]any{"sessions_per_minute": strictLimits.PerMinute, "sessions_per_hour": 6000, "sessions_per_day": 60000, "concurrent_sessions": strictLimits.Concurrent,
+		"lockout_seconds": int64(strictLimits.Lockout / time.Second), "steps": 4, "program_tokens_soft": 3000, "program_tokens_hard": 6000, "turn_tokens": 1000,
+		"session_seconds": int64(strictLimits.Session / time.Second), "user_day_tokens_hard": strictLimits.DayTokens, "user_day_tokens_soft": strictLimits.DayTokens / 2}
 	list := map[string]any{}
 	for i := 1; i <= tenants; i++ {
 		name := fmt.Sprintf("t%d", i)
 		role := "viewer"
-		if strict("key-" + name) {
+		if isStrict("key-" + name) {
 			role = "strict"
 		}
 		list[name] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest("key-" + name), "role": role}},
 			"inquiries_per_second": w.Params.Rate, "burst": w.Params.Burst}
 	}
-	if strings.HasSuffix(mark, revoking) {
+	if strings.HasSuffix(mark, revokingSuffix) {
 		list["t1"].(map[string]any)["keys"] = []any{}
 	}
 	list["t2"].(map[string]any)["day_tokens"] = w.Params.DayTokens
 	list["probe"] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest(mark), "role": "viewer"}}}
-	text, _ := json.Marshal(map[string]any{"roles": map[string]any{"viewer": role, "strict": narrow}, "tenants": list,
+	text, _ := json.Marshal(map[string]any{"roles": map[string]any{"viewer": role, "strict": strictRole}, "tenants": list,
 		"services": map[string]any{"model": map[string]any{"kind": "model"}, "alert": map[string]any{"kind": "once", "urgent": true, "past_breaker": true},
 			"search": map[string]any{"kind": "tool", "calls_per_minute": 1000}},
 		"breaker": map[string]any{"minute_dollars": w.Params.MinuteCost, "recovery_seconds": 5}, "approval": map[string]any{"newly_refused_ratio": 1}})
@@ -67,13 +67,13 @@
 	w := New(p)
 	w.Found()
 	w.limits()
-	w.after(time.Second, w.firstHand)
-	for _, b := range w.models {
+	w.after(time.Second, w.applyFirstConfiguration)
+	for _, b := range w.backends {
 		b.announce()
 	}
 	for i := 0; i < p.Users; i++ {
 		u := &user{world: w, name: fmt.Sprintf("u%d", i), key: fmt.Sprintf("key-t%d", i%tenants+1)}
-		w.after(w.between(2*time.Second, 4*time.Second), u.live)
+		w.after(w.between(2*time.Second, 4*time.Second), u.startSession)
 	}
 	for i := 0; i < p.Operators; i++ {
 		w.after(w.between(4*time.Second, 6*time.Second), w.operator)
@@ -81,11 +81,11 @@
 	w.after(3*time.Second, w.probe)
 	w.after(p.Length+p.Settle-1500*time.Millisecond, func() {
 		for _, n := range w.nodes {
-			w.look(n, true)
+			w.probeNode(n, true)
 		}
 	})
 	if p.Faults {
-		w.after(4*time.Second, w.fault)
+		w.after(4*time.Second, w.injectFault)
 	}
 	w.run(p.Length + p.Settle)
 	return w, w.Record.Judge()
@@ -95,7 +95,7 @@
 func (w *World) limits() {
 	p := w.Params
 	w.Record.Limits = judge.Limits{ProgramTokens: 6000, TurnTokens: 1000, Rate: map[string]float64{}, Burst: map[string]float64{}, Retention: time.Hour, PropagationLimit: 2 * time.Second,
-		DayTokens: map[string]int64{"t2": p.DayTokens}, Users: map[string]judge.UserLimits{fmt.Sprintf("t%d", tenants): strictUser},
+		DayTokens: map[string]int64{"t2": p.DayTokens}, Users: map[string]judge.UserLimits{fmt.Sprintf("t%d", tenants): strictLimits},
 		MinuteDollars: p.MinuteCost, Price: map[string]float64{"model": 10}, ClockDrift: 0.09}
 	for _, n := range w.nodes {
 		w.Record.Nodes = append(w.Record.Nodes, n.id)
@@ -106,26 +106,26 @@
 }
 
 // firstHand hands the first description over until it is taken.
-func (w *World) firstHand() {
+func (w *World) applyFirstConfiguration() {
 	at := w.cores[w.random.IntN(len(w.cores))]
 	if !at.alive || at.frozen {
-		w.after(100*time.Millisecond, w.firstHand)
+		w.after(100*time.Millisecond, w.applyFirstConfiguration)
 		return
 	}
-	w.hand(at, 0, "probe-first", func(taken bool) {
+	w.applyConfiguration(at, 0, "probe-first", func(taken bool) {
 		if !taken && w.version == 0 {
-			w.after(100*time.Millisecond, w.firstHand)
+			w.after(100*time.Millisecond, w.applyFirstConfiguration)
 		}
 	})
 }
 
-func (w *World) hand(at *proc, basedOn uint64, mark string, done func(taken bool)) {
+func (w *World) applyConfiguration(at *process, basedOn uint64, mark string, done func(taken bool)) {
 	text := w.describe(mark)
 	h := core.ApplyRequest{BasedOn: basedOn, Text: text, Digest: digestOf(text), Timeout: 8*time.Second + 2*w.Params.MemberTerm}
-	w.handed[mark] = basedOn + 1
+	w.pendingKeys[mark] = basedOn + 1
 	began := w.now
 	revoked := ""
-	if strings.HasSuffix(mark, revoking) {
+	if strings.HasSuffix(mark, revokingSuffix) {
 		revoked = "t1"
 	}
 	w.Record.Submissions = append(w.Record.Submissions, judge.Submission{At: began, BasedOn: basedOn})
@@ -137,18 +137,18 @@
 		w.Counts["configuration "+t.Code]++
 		w.version = max(w.version, t.Version)
 		if t.InForce {
-			w.keys[t.Version] = mark
+			w.versionKeys[t.Version] = mark
 			w.Record.Decisions = append(w.Record.Decisions, judge.Decision{At: w.now, Version: t.Version, ID: mark, RevokedTenant: revoked})
-			delete(w.handed, mark)
+			delete(w.pendingKeys, mark)
 		}
 		if t.Code == "race_lost" || t.Code == "not_approved" || t.Code == "faulty" {
-			w.keys[refusedBase+uint64(len(w.keys))] = mark
+			w.versionKeys[refusedBase+uint64(len(w.versionKeys))] = mark
 			w.Record.Decisions = append(w.Record.Decisions, judge.Decision{At: w.now, ID: mark, Refused: true})
-			delete(w.handed, mark)
+			delete(w.pendingKeys, mark)
 		}
 		if t.Code == "agreed_not_taken" {
-			w.keys[t.Version] = mark
-			delete(w.handed, mark)
+			w.versionKeys[t.Version] = mark
+			delete(w.pendingKeys, mark)
 		}
 		done(t.InForce)
 	})
@@ -157,7 +157,7 @@
 const refusedBase = 1 << 40
 
 // revoking ends the marks of descriptions in which the first tenant has no key.
-const revoking = "-revoking"
+const revokingSuffix = "-revoking"
 
 // operator hands over new descriptions, racing the other operators.
 func (w *World) operator() {
@@ -169,12 +169,12 @@
 		w.after(300*time.Millisecond, w.operator)
 		return
 	}
-	w.marks++
-	mark := fmt.Sprintf("probe-%d", w.marks)
+	w.lastID++
+	mark := fmt.Sprintf("probe-%d", w.lastID)
 	if w.chance(0.15) {
-		mark += revoking
+		mark += revokingSuffix
 	}
-	w.hand(at, w.version, mark, func(bool) {})
+	w.applyConfiguration(at, w.version, mark, func(bool) {})
 	w.after(w.between(time.Second, 4*time.Second), w.operator)
 }
 
@@ -184,13 +184,13 @@
 	if w.now > w.Params.Length+w.Params.Settle-3*time.Second {
 		return
 	}
-	w.look(w.anyNode(), false)
+	w.probeNode(w.anyNode(), false)
 	w.after(w.between(50*time.Millisecond, 250*time.Millisecond), w.probe)
 }
 
-func (w *World) look(p *proc, last bool) {
-	see := func(key string, version uint64) {
-		w.ask(p, node.Request{Kind: node.KindStatus, Key: key, Program: "none", Timeout: time.Second}, func(a judge.Request, _ node.Frame) {
+func (w *World) probeNode(p *process, last bool) {
+	probeKey := func(key string, version uint64) {
+		w.submit(p, node.Request{Kind: node.KindStatus, Key: key, Program: "none", Timeout: time.Second}, func(a judge.Request, _ node.Frame) {
 			if a.Code == "unknown_program" {
 				w.Record.Probes = append(w.Record.Probes, judge.Probe{At: a.At, Ended: a.Ended, Node: p.id, Version: version, Final: last})
 				if version >= refusedBase {
@@ -199,12 +199,12 @@
 			}
 		})
 	}
-	for _, v := range ordered.Keys(w.keys) {
-		see(w.keys[v], v)
+	for _, v := range ordered.Keys(w.versionKeys) {
+		probeKey(w.versionKeys[v], v)
 	}
 	// What became of some descriptions nobody was told, or not surely.
-	for _, mark := range ordered.Keys(w.handed) {
-		see(mark, w.handed[mark])
+	for _, mark := range ordered.Keys(w.pendingKeys) {
+		probeKey(mark, w.pendingKeys[mark])
 	}
 }
 
@@ -219,14 +219,14 @@
 
 // Calm founds a world without faults, with a first description in force and
 // back ends known, for tests that drive it step by step.
-func Calm(p Params) *World {
-	p.Faults, p.Loss = false, 0
+func NewWithoutFaults(p Params) *World {
+	p.Faults, p.MessageLoss = false, 0
 	w := New(p)
 	w.Found()
-	for _, b := range w.models {
+	for _, b := range w.backends {
 		b.announce()
 	}
-	w.after(time.Second, w.firstHand)
+	w.after(time.Second, w.applyFirstConfiguration)
 	w.run(4 * time.Second)
 	return w
 }
@@ -239,7 +239,7 @@
 	if q.Timeout == 0 {
 		q.Timeout = 3 * time.Second
 	}
-	w.ask(w.nodes[number], q, func(a judge.Request, p node.Frame) { got, last, over = a, p, true })
+	w.submit(w.nodes[number], q, func(a judge.Request, p node.Frame) { got, last, over = a, p, true })
 	for until := w.now + q.Timeout + time.Second; !over && w.now < until; {
 		w.run(w.now + 5*time.Millisecond)
 	}
@@ -247,11 +247,11 @@
 }
 
 // Pass lets time pass.
-func (w *World) Pass(d time.Duration) { w.run(w.now + d) }
+func (w *World) Advance(d time.Duration) { w.run(w.now + d) }
 
 // seated reports whether every seat of every group is a core as it is now: the
 // loss of one more disk is then one that must be borne.
-func (w *World) seated() bool {
+func (w *World) membersCurrent() bool {
 	current := map[string]bool{}
 	for _, p := range w.cores {
 		current[p.coreM.Self().MemberID()] = true
@@ -273,18 +273,18 @@
 
 // drained restarts a leaving node once it has nothing left, or once its grace
 // is over.
-func (p *proc) drained(life int, until time.Duration) {
+func (p *process) awaitDrain(incarnation int, until time.Duration) {
 	w := p.world
 	switch {
-	case p.life != life:
+	case p.incarnation != incarnation:
 		return
 	case p.nodeM.Drained(p.now()):
 		w.Counts["drained"]++
 	case w.now >= until && !p.frozen:
 		w.Counts["drains cut short"]++
-		p.takeNode(p.nodeM.Shutdown(p.now()))
+		p.handleNodeOutput(p.nodeM.Shutdown(p.now()))
 	default:
-		w.after(50*time.Millisecond, func() { p.drained(life, until) })
+		w.after(50*time.Millisecond, func() { p.awaitDrain(incarnation, until) })
 		return
 	}
 	p.kill()
@@ -296,5 +296,5 @@
 }
 
 func turn(w *World, at int, id, before string, tokens int64) (judge.Request, node.Frame) {
-	return w.Do(at, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: before, Prompt: w.mark("say"), MaxTokens: tokens})
+	return w.Do(at, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: before, Prompt: w.newID("say"), MaxTokens: tokens})
 }
--- a/rehearsalkit/simulator/seeds.go
+++ b/rehearsalkit/simulator/seeds.go
@@ -9,23 +9,23 @@
 
 // Outcome is what became of one seed.
 type Outcome struct {
-	Seed     uint64
-	Breaches []judge.Breach
-	Whole    int64
+	Seed           uint64
+	Breaches       []judge.Breach
+	CompletedTurns int64
 	// Situations counts how often what each rule is about came about.
-	Situations map[string]int
-	LateTrip   time.Duration
+	Situations   map[string]int
+	MaxTripDelay time.Duration
 }
 
 // RunSeeds runs seeds one after the other on each processor, and tells their
 // outcomes as they come.
-func RunSeeds(first uint64, count int, tell func(o Outcome)) {
+func RunSeeds(first uint64, count int, report func(o Outcome)) {
 	work, done := make(chan uint64), make(chan Outcome)
 	for i := 0; i < runtime.NumCPU(); i++ {
 		go func() {
 			for seed := range work {
 				w, breaches := Run(Defaults(seed))
-				done <- Outcome{Seed: seed, Breaches: breaches, Whole: w.Counts["asked turn whole"], Situations: w.Record.Situations(), LateTrip: w.Record.LateAfterTrip()}
+				done <- Outcome{Seed: seed, Breaches: breaches, CompletedTurns: w.Counts["asked turn whole"], Situations: w.Record.Situations(), MaxTripDelay: w.Record.LateAfterTrip()}
 			}
 		}()
 	}
@@ -36,6 +36,6 @@
 		close(work)
 	}()
 	for i := 0; i < count; i++ {
-		tell(<-done)
+		report(<-done)
 	}
 }
--- a/rehearsalkit/simulator/simulator_test.go
+++ b/rehearsalkit/simulator/simulator_test.go
@@ -19,15 +19,15 @@
 	var whole int64
 	situations := map[string]int{}
 	RunSeeds(*first, *seeds, func(o Outcome) {
-		whole += o.Whole
+		whole += o.CompletedTurns
 		for name, n := range o.Situations {
 			situations[name] += n
 		}
 		for _, b := range o.Breaches {
 			t.Errorf("seed %d: %s", o.Seed, b)
 		}
-		if o.Whole < 20 {
-			t.Errorf("seed %d: only %d whole turns; a run that serves nothing proves nothing", o.Seed, o.Whole)
+		if o.CompletedTurns < 20 {
+			t.Errorf("seed %d: only %d whole turns; a run that serves nothing proves nothing", o.Seed, o.CompletedTurns)
 		}
 	})
 	fmt.Printf("%d seeds, %d whole turns\n", *seeds, whole)
@@ -39,9 +39,9 @@
 	}
 }
 
-func TestCalm(t *testing.T) {
+func TestWithoutFaults(t *testing.T) {
 	p := Defaults(1)
-	p.Faults, p.Loss, p.Operators = false, 0, 1
+	p.Faults, p.MessageLoss, p.Operators = false, 0, 1
 	p.Logf = t.Logf
 	w, breaches := Run(p)
 	for _, line := range w.Summary() {
@@ -56,7 +56,7 @@
 }
 
 // TestOne runs the first seed and tells all.
-func TestOne(t *testing.T) {
+func TestSingleSeed(t *testing.T) {
 	if !testing.Verbose() {
 		t.Skip("only with -v")
 	}
@@ -72,7 +72,7 @@
 }
 
 // TestSame shows that a seed always gives the same run.
-func TestSame(t *testing.T) {
+func TestDeterministic(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		a, _ := Run(Defaults(seed))
 		b, _ := Run(Defaults(seed))
@@ -85,7 +85,7 @@
 // TestCrashPoints makes one in so many of the runs of rehearsalkit crash.
 func TestCrashPoints(t *testing.T) {
 	points, runs := 0, 0
-	CrashPoints(*every, func(c Crash) {
+	CrashPoints(*every, func(c CrashResult) {
 		points, runs = points+c.Points, runs+c.Runs
 		for _, f := range c.Faults {
 			t.Error(f)
--- a/rehearsalkit/simulator/terms.go
+++ b/rehearsalkit/simulator/terms.go
@@ -9,28 +9,28 @@
 )
 
 // Term is what one length of a member's term costs and gives.
-type Term struct {
+type TermResult struct {
 	Term time.Duration
 	// Served has, for each cut of all cores, the part of the turns asked
 	// meanwhile that came whole.
 	Served map[time.Duration]float64
 	// Asked is how many turns were asked in all cuts.
-	Asked int
+	Turns int
 	// Successor is how long a program waited that had lost its owner, Taken how
 	// long a configuration took with a node dead: the longest of all seeds.
-	Successor, Taken time.Duration
-	Breaches         []judge.Breach
+	MaxFailover, MaxConfigurationDelay time.Duration
+	Breaches                           []judge.Breach
 }
 
 // MeasureTerm runs cuts of all cores, a killed owner, and a configuration with a
 // dead node, for some seeds.
-func MeasureTerm(term time.Duration, cuts []time.Duration, seeds uint64) Term {
-	t := Term{Term: term, Served: map[time.Duration]float64{}}
+func MeasureTerm(term time.Duration, cuts []time.Duration, seeds uint64) TermResult {
+	t := TermResult{Term: term, Served: map[time.Duration]float64{}}
 	world := func(seed uint64) *World {
 		p := defaults(seed)
 		p.Nodes, p.Users, p.MemberTerm, p.Rate, p.Burst = 6, 18, term, 60, 96
-		p.Faults, p.Operators, p.Loss = false, 0, 0
-		w := Calm(p)
+		p.Faults, p.Operators, p.MessageLoss = false, 0, 0
+		w := NewWithoutFaults(p)
 		w.limits()
 		w.Record.Limits.Users, w.Record.Nodes = nil, nil
 		return w
@@ -54,32 +54,32 @@
 				}
 			})
 			w.run(from)
-			w.coreCut(cut)
+			w.cutCoresFromNodes(cut)
 			w.run(from + cut + term + 6*time.Second)
 			t.Breaches = append(t.Breaches, w.Record.Judge()...)
 		}
-		t.Asked += asked
+		t.Turns += asked
 		t.Served[cut] = float64(whole) / float64(max(1, asked))
 	}
 	for seed := uint64(1); seed <= seeds; seed++ {
 		w := world(seed)
 		_, opened := w.Do(0, node.Request{Kind: node.KindOpen, Key: "key-t1", User: "u"})
-		w.Pass(term)
+		w.Advance(term)
 		w.nodes[0].kill()
 		died := w.now
 		handed := w.now
-		w.hand(w.cores[0], w.version, "probe-dead", func(taken bool) {
+		w.applyConfiguration(w.cores[0], w.version, "probe-dead", func(taken bool) {
 			if taken {
-				t.Taken = max(t.Taken, w.now-handed)
+				t.MaxConfigurationDelay = max(t.MaxConfigurationDelay, w.now-handed)
 			}
 		})
 		for w.now < died+3*term+10*time.Second {
-			a, _ := w.Do(1, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: opened.Text, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.mark("say"), MaxTokens: 10})
+			a, _ := w.Do(1, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: opened.Text, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.newID("say"), MaxTokens: 10})
 			if a.Outcome == judge.Whole {
-				t.Successor = max(t.Successor, w.now-died)
+				t.MaxFailover = max(t.MaxFailover, w.now-died)
 				break
 			}
-			w.Pass(50 * time.Millisecond)
+			w.Advance(50 * time.Millisecond)
 		}
 		w.run(died + 3*term + 10*time.Second)
 	}
@@ -96,7 +96,7 @@
 		if w.now >= until {
 			return
 		}
-		w.ask(w.anyNode(), node.Request{Kind: node.KindOpen, Key: key, User: w.mark("u"), Timeout: 2 * time.Second}, func(a judge.Request, p node.Frame) {
+		w.submit(w.anyNode(), node.Request{Kind: node.KindOpen, Key: key, User: w.newID("u"), Timeout: 2 * time.Second}, func(a judge.Request, p node.Frame) {
 			if a.Outcome != judge.Whole {
 				w.after(200*time.Millisecond, open)
 				return
@@ -108,7 +108,7 @@
 		if w.now >= until {
 			return
 		}
-		w.ask(w.anyNode(), node.Request{Kind: node.KindTurn, Key: key, Program: id, Service: "model", PreviousHead: head, Prompt: w.mark("say"), MaxTokens: 100, Timeout: 2 * time.Second}, func(a judge.Request, p node.Frame) {
+		w.submit(w.anyNode(), node.Request{Kind: node.KindTurn, Key: key, Program: id, Service: "model", PreviousHead: head, Prompt: w.newID("say"), MaxTokens: 100, Timeout: 2 * time.Second}, func(a judge.Request, p node.Frame) {
 			done(a.At, a.Outcome == judge.Whole)
 			pause := w.between(500*time.Millisecond, 1500*time.Millisecond)
 			switch {
--- a/rehearsalkit/simulator/touch_test.go
+++ b/rehearsalkit/simulator/touch_test.go
@@ -14,22 +14,22 @@
 func traffic(w *World, length time.Duration, nodes ...int) (whole, asked int) {
 	for i, end := 0, w.now+length; w.now < end; i++ {
 		at := nodes[i%len(nodes)]
-		if _, p := open(w, at, w.mark("u")); p.Text != "" {
+		if _, p := open(w, at, w.newID("u")); p.Text != "" {
 			asked++
 			if a, _ := turn(w, at, p.Text, program.EmptyHead, 50); a.Outcome == judge.Whole {
 				whole++
 			}
 		}
-		w.Pass(20 * time.Millisecond)
+		w.Advance(20 * time.Millisecond)
 	}
 	return whole, asked
 }
 
 // The only node that heard of a replica's leaving dies at once. No other node
 // gives that replica work for longer than the rule allows.
-func TestLeavingHeardByADyingNode(t *testing.T) {
-	w := judged(small(nil))
-	leaver := w.models[0]
+func TestLeavingAnnouncedToDyingNode(t *testing.T) {
+	w := withLimits(smallWorld(nil))
+	leaver := w.backends[0]
 	leaver.mute = true
 	leaver.leaving = true
 	w.nodes[0].nodeM.Announce(w.nodes[0].now(), node.Replica{Service: leaver.service, ID: leaver.name(), Address: leaver.address(), Leaving: true}, "")
@@ -38,21 +38,21 @@
 	if whole, _ := traffic(w, 5*time.Second, 1, 2); whole < 20 {
 		t.Errorf("only %d turns", whole)
 	}
-	noBreach(t, w)
+	expectNoBreaches(t, w)
 }
 
 // A replica's ordinary word waits for a frozen node, and the replica leaves
 // meanwhile. The woken node does not take the old word for a new one.
-func TestOldWordAtAWokenNode(t *testing.T) {
-	w := judged(small(nil))
-	leaver, frozen := w.models[0], w.nodes[0]
-	stamp := frozen.nodeM.Announce(frozen.now(), node.Replica{Service: "model", ID: "other", Address: "other"}, "").Token
+func TestStaleAnnouncementAtResumedNode(t *testing.T) {
+	w := withLimits(smallWorld(nil))
+	leaver, frozen := w.backends[0], w.nodes[0]
+	token := frozen.nodeM.Announce(frozen.now(), node.Replica{Service: "model", ID: "other", Address: "other"}, "").Token
 	frozen.freeze()
-	leaver.tell(frozen, leaver.serial, stamp)
-	w.Pass(50 * time.Millisecond)
+	leaver.announceTo(frozen, leaver.serial, token)
+	w.Advance(50 * time.Millisecond)
 	leaver.leaving = true
 	leaver.announce()
-	w.Pass(4 * time.Second)
+	w.Advance(4 * time.Second)
 	leaver.mute = true
 	frozen.wake()
 	if whole, _ := traffic(w, 3*time.Second, 0); whole < 5 {
@@ -61,34 +61,34 @@
 	if len(w.Record.Leaving) != 1 {
 		t.Errorf("%+v", w.Record.Leaving)
 	}
-	noBreach(t, w)
+	expectNoBreaches(t, w)
 }
 
 // apart is a fleet whose nodes have long terms, with a program that has taken a
 // turn at the first node, and all cores cut off.
-func apart(t *testing.T, seed uint64, length time.Duration) (w *World, id, head string) {
+func isolatedFleet(t *testing.T, seed uint64, length time.Duration) (w *World, id, head string) {
 	t.Helper()
 	p := Defaults(seed)
-	p.Cores, p.Nodes, p.Users, p.Describe, p.MemberTerm = 3, 4, 0, design(func(role, tenant, services, breaker tree) {
+	p.Cores, p.Nodes, p.Users, p.Describe, p.MemberTerm = 3, 4, 0, describeWith(func(role, tenant, services, breaker tree) {
 		role["steps"], role["session_seconds"] = 1000, 600
 	}), 8*time.Second
-	w = judged(Calm(p))
+	w = withLimits(NewWithoutFaults(p))
 	_, opened := open(w, 0, "u")
 	a, first := turn(w, 0, opened.Text, program.EmptyHead, 100)
-	want(t, "in touch", a, "")
-	w.Pass(500 * time.Millisecond)
+	wantCode(t, "in touch", a, "")
+	w.Advance(500 * time.Millisecond)
 	for _, c := range w.cores {
 		for _, n := range w.nodes {
-			w.cut[[2]string{c.address, n.address}], w.cut[[2]string{n.address, c.address}] = true, true
+			w.cutLinks[[2]string{c.address, n.address}], w.cutLinks[[2]string{n.address, c.address}] = true, true
 		}
 	}
-	w.after(length, func() { clear(w.cut) })
+	w.after(length, func() { clear(w.cutLinks) })
 	return w, opened.Text, first.Head
 }
 
 // chat takes turns of one program at random nodes for a time, as its requester
 // would, and returns how many came whole.
-func chat(w *World, length time.Duration, id, head string, alive ...int) (whole, asked int, last string) {
+func takeTurns(w *World, length time.Duration, id, head string, alive ...int) (whole, asked int, last string) {
 	for end := w.now + length; w.now < end; {
 		asked++
 		a, p := turn(w, alive[w.random.IntN(len(alive))], id, head, 100)
@@ -99,7 +99,7 @@
 		case a.Code == "wrong_history":
 			head = p.Verdict.Head
 		}
-		w.Pass(50 * time.Millisecond)
+		w.Advance(50 * time.Millisecond)
 	}
 	return whole, asked, head
 }
@@ -107,56 +107,56 @@
 // Cut off from all cores, an owner goes on with its program within its term,
 // whichever node is asked; afterwards everything is there.
 func TestTurnsWithoutCores(t *testing.T) {
-	w, id, head := apart(t, 1, 5*time.Second)
-	whole, asked, head := chat(w, 5*time.Second, id, head, 0, 1, 2, 3)
+	w, id, head := isolatedFleet(t, 1, 5*time.Second)
+	whole, asked, head := takeTurns(w, 5*time.Second, id, head, 0, 1, 2, 3)
 	t.Logf("%d of %d turns whole", whole, asked)
 	if whole < 5 || whole < asked*8/10 {
 		t.Errorf("only %d of %d turns came whole", whole, asked)
 	}
-	w.Pass(3 * time.Second)
+	w.Advance(3 * time.Second)
 	a, _ := turn(w, 2, id, head, 100)
-	want(t, "back in touch", a, "")
-	noBreach(t, w)
+	wantCode(t, "back in touch", a, "")
+	expectNoBreaches(t, w)
 }
 
 // An owner that dies out of touch leaves turns that no core has. Its successor
 // takes them from a mirror, whoever else dies; until then it says when to come
 // back.
-func TestOwnerLostOutOfTouch(t *testing.T) {
+func TestOwnerLostWhileIsolated(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		harm func(w *World, mirrors []*proc)
+		name   string
+		inject func(w *World, mirrors []*process)
 	}{
-		{"killed", func(w *World, mirrors []*proc) { w.nodes[0].kill() }},
-		{"killed with a mirror", func(w *World, mirrors []*proc) { w.nodes[0].kill(); mirrors[0].kill() }},
-		{"killed with the other mirror, both back empty", func(w *World, mirrors []*proc) {
+		{"killed", func(w *World, mirrors []*process) { w.nodes[0].kill() }},
+		{"killed with a mirror", func(w *World, mirrors []*process) { w.nodes[0].kill(); mirrors[0].kill() }},
+		{"killed with the other mirror, both back empty", func(w *World, mirrors []*process) {
 			w.nodes[0].kill()
 			mirrors[1].kill()
 			w.after(time.Second, w.nodes[0].boot)
 			w.after(time.Second, mirrors[1].boot)
 		}},
-		{"frozen past its term", func(w *World, mirrors []*proc) {
+		{"frozen past its term", func(w *World, mirrors []*process) {
 			w.nodes[0].freeze()
 			w.after(14*time.Second, w.nodes[0].wake)
 		}},
-		{"cut off from everybody", func(w *World, mirrors []*proc) { w.cutOff(w.nodes[0], 14*time.Second) }},
-		{"killed, and a mirror frozen for long", func(w *World, mirrors []*proc) {
+		{"cut off from everybody", func(w *World, mirrors []*process) { w.isolate(w.nodes[0], 14*time.Second) }},
+		{"killed, and a mirror frozen for long", func(w *World, mirrors []*process) {
 			w.nodes[0].kill()
 			mirrors[0].freeze()
 			w.after(14*time.Second, mirrors[0].wake)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w, id, head := apart(t, 2, 4*time.Second)
-			whole, _, head := chat(w, 2*time.Second, id, head, 0)
+			w, id, head := isolatedFleet(t, 2, 4*time.Second)
+			whole, _, head := takeTurns(w, 2*time.Second, id, head, 0)
 			if whole < 3 {
 				t.Fatalf("only %d turns before", whole)
 			}
-			var mirrors, others []*proc
+			var mirrors, others []*process
 			for _, one := range w.nodes[0].nodeM.MirrorsOf("t1", id) {
-				mirrors = append(mirrors, w.procs[one])
+				mirrors = append(mirrors, w.processes[one])
 			}
-			c.harm(w, mirrors)
+			c.inject(w, mirrors)
 			var alive []int
 			for i, n := range w.nodes[1:] {
 				if n.alive && !n.frozen {
@@ -164,11 +164,11 @@
 					others = append(others, n)
 				}
 			}
-			whole, asked, _ := chat(w, 20*time.Second, id, head, alive...)
+			whole, asked, _ := takeTurns(w, 20*time.Second, id, head, alive...)
 			if whole < 20 {
 				t.Errorf("%d of %d turns came whole afterwards, at %d nodes", whole, asked, len(others))
 			}
-			noBreach(t, w)
+			expectNoBreaches(t, w)
 		})
 	}
 }
@@ -177,21 +177,21 @@
 // program is never called gone; its requester is told the head that is kept, and
 // what was charged beforehand counts as spent.
 func TestOwnerAndMirrorsLost(t *testing.T) {
-	w, id, head := apart(t, 3, 3*time.Second)
-	_, _, head = chat(w, 2*time.Second, id, head, 0)
+	w, id, head := isolatedFleet(t, 3, 3*time.Second)
+	_, _, head = takeTurns(w, 2*time.Second, id, head, 0)
 	for _, one := range w.nodes[0].nodeM.MirrorsOf("t1", id) {
-		w.procs[one].kill()
-		w.after(5*time.Second, w.procs[one].boot)
+		w.processes[one].kill()
+		w.after(5*time.Second, w.processes[one].boot)
 	}
 	w.nodes[0].kill()
 	w.after(5*time.Second, w.nodes[0].boot)
-	w.Pass(16 * time.Second)
+	w.Advance(16 * time.Second)
 	a, last := turn(w, 1, id, head, 100)
-	want(t, "the lost turn's head", a, "wrong_history")
+	wantCode(t, "the lost turn's head", a, "wrong_history")
 	a, _ = turn(w, 2, id, last.Verdict.Head, 100)
-	want(t, "the kept head", a, "")
+	wantCode(t, "the kept head", a, "")
 	a, look := w.Do(1, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: id})
-	want(t, "look", a, "")
+	wantCode(t, "look", a, "")
 	var tokens int64
 	if _, err := fmt.Sscanf(string(look.Body[indexAfter(look.Body, `"tokens":`):]), "%d", &tokens); err != nil || tokens < 2000 {
 		t.Errorf("%d tokens charged, %v; 2000 were beforehand", tokens, err)
@@ -200,12 +200,12 @@
 
 // Cut off, an owner takes no turn beyond what is charged beforehand, so that
 // whoever is lost, the program gets no more than its allowance and one turn.
-func TestCoveredOutOfTouch(t *testing.T) {
-	w, id, head := apart(t, 4, 7*time.Second)
+func TestPrechargedTurnsWhileIsolated(t *testing.T) {
+	w, id, head := isolatedFleet(t, 4, 7*time.Second)
 	w.Record.Limits.ProgramTokens, w.Record.Limits.TurnTokens = 2000, 1000
 	tokens, beyond := int64(0), 0
 	for range 12 {
-		a, p := w.Do(0, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: head, Prompt: w.mark("say")})
+		a, p := w.Do(0, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: head, Prompt: w.newID("say")})
 		tokens += a.Tokens
 		if a.Outcome == judge.Whole {
 			head = p.Head
@@ -216,27 +216,27 @@
 	if beyond == 0 || tokens == 0 {
 		t.Errorf("%d tokens, %d turns refused", tokens, beyond)
 	}
-	noBreach(t, w)
+	expectNoBreaches(t, w)
 }
 
 // A turn that only one mirror holds is not told to be whole: with owner and
 // that mirror gone it would be lost.
-func TestOneMirrorOutOfTouch(t *testing.T) {
-	w, id, head := apart(t, 5, 3*time.Second)
+func TestOneMirrorWhileIsolated(t *testing.T) {
+	w, id, head := isolatedFleet(t, 5, 3*time.Second)
 	mirrors := w.nodes[0].nodeM.MirrorsOf("t1", id)
-	w.cut[[2]string{w.nodes[0].address, mirrors[1]}] = true
+	w.cutLinks[[2]string{w.nodes[0].address, mirrors[1]}] = true
 	a, _ := turn(w, 0, id, head, 100)
 	if a.Outcome == judge.Whole {
 		t.Errorf("%+v", a)
 	}
 	w.nodes[0].kill()
-	w.procs[mirrors[0]].kill()
-	w.Pass(12 * time.Second)
+	w.processes[mirrors[0]].kill()
+	w.Advance(12 * time.Second)
 	for i, n := range w.nodes {
 		if n.alive {
-			chat(w, 12*time.Second, id, head, i)
+			takeTurns(w, 12*time.Second, id, head, i)
 			break
 		}
 	}
-	noBreach(t, w)
+	expectNoBreaches(t, w)
 }
--- a/rehearsalkit/simulator/world.go
+++ b/rehearsalkit/simulator/world.go
@@ -17,29 +17,29 @@
 
 // Params size a run.
 type Params struct {
-	Seed       uint64
-	Cores      int
-	Nodes      int
-	Zones      int
-	Replicas   int
-	Alerts     int
-	Users      int
-	Parts      int
-	Length     time.Duration
-	Settle     time.Duration
-	Faults     bool
-	Operators  int
-	Loss       float64
-	Describe   func(mark string) []byte
-	Rate       float64
-	Burst      int64
-	MinuteCost float64
-	DayTokens  int64
-	Newest     time.Duration
-	MemberTerm time.Duration
+	Seed               uint64
+	Cores              int
+	Nodes              int
+	Zones              int
+	Replicas           int
+	Alerts             int
+	Users              int
+	Partitions         int
+	Length             time.Duration
+	Settle             time.Duration
+	Faults             bool
+	Operators          int
+	MessageLoss        float64
+	Describe           func(mark string) []byte
+	Rate               float64
+	Burst              int64
+	MinuteCost         float64
+	DayTokens          int64
+	AnnouncementMaxAge time.Duration
+	MemberTerm         time.Duration
 	// Sync is the longest that a sync of a disk takes that does not stall.
-	Sync time.Duration
-	Logf func(format string, args ...any)
+	MaxSync time.Duration
+	Logf    func(format string, args ...any)
 }
 
 // Defaults are a small fleet under all faults. Every fourth seed has a breaker
@@ -60,17 +60,17 @@
 	switch seed % 20 {
 	case 7:
 		// The size of Aire Andino.
-		p.Cores, p.Nodes, p.Zones, p.Replicas, p.Alerts, p.Users, p.Parts = 6, 13, 3, 11, 5, 30, 16
+		p.Cores, p.Nodes, p.Zones, p.Replicas, p.Alerts, p.Users, p.Partitions = 6, 13, 3, 11, 5, 30, 16
 	case 17:
 		// The size of Blue Mahoe.
-		p.Cores, p.Nodes, p.Zones, p.Replicas, p.Alerts, p.Users, p.Parts = 8, 15, 4, 9, 4, 30, 16
+		p.Cores, p.Nodes, p.Zones, p.Replicas, p.Alerts, p.Users, p.Partitions = 8, 15, 4, 9, 4, 30, 16
 	}
 	return p
 }
 
 func defaults(seed uint64) Params {
-	return Params{Seed: seed, Cores: 5, Nodes: 4, Zones: 3, Replicas: 4, Alerts: 2, Users: 12, Parts: 6, Length: 24 * time.Second,
-		Settle: 8 * time.Second, Faults: true, Operators: 2, Loss: 0.005, Rate: 20, Burst: 16, MinuteCost: 50, DayTokens: 100_000_000, Newest: 1700 * time.Millisecond, MemberTerm: 2 * time.Second, Sync: 4 * time.Millisecond}
+	return Params{Seed: seed, Cores: 5, Nodes: 4, Zones: 3, Replicas: 4, Alerts: 2, Users: 12, Partitions: 6, Length: 24 * time.Second,
+		Settle: 8 * time.Second, Faults: true, Operators: 2, MessageLoss: 0.005, Rate: 20, Burst: 16, MinuteCost: 50, DayTokens: 100_000_000, AnnouncementMaxAge: 1700 * time.Millisecond, MemberTerm: 2 * time.Second, MaxSync: 4 * time.Millisecond}
 }
 
 // World is one run.
@@ -79,41 +79,41 @@
 	Record judge.Record
 	Counts map[string]int64
 
-	now    time.Duration
-	agenda agenda.Agenda
-	random *rand.Rand
-	procs  map[string]*proc
-	cores  []*proc
-	nodes  []*proc
-	spare  *proc
-	moved  bool
-	closed bool
+	now         time.Duration
+	agenda      agenda.Agenda
+	random      *rand.Rand
+	processes   map[string]*process
+	cores       []*process
+	nodes       []*process
+	spare       *process
+	readdressed bool
+	allKilled   bool
 	// cutUntil is until when cores may be out of nodes' reach.
-	cutUntil time.Duration
-	models   []*backend
-	cut      map[[2]string]bool
-	last     map[[2]string]time.Duration
-	tickets  uint64
-	returns  map[uint64]*waiting
-	marks    int
-	version  uint64
-	keys     map[uint64]string
-	handed   map[string]uint64
+	cutUntil         time.Duration
+	backends         []*backend
+	cutLinks         map[[2]string]bool
+	lastDelivery     map[[2]string]time.Duration
+	tickets          uint64
+	pendingResponses map[uint64]*pendingResponse
+	lastID           int
+	version          uint64
+	versionKeys      map[uint64]string
+	pendingKeys      map[string]uint64
 	// atMessage and atSync are told of crash points.
-	atMessage func(from, to *proc, body any)
-	atSync    func(p *proc, what string)
+	atMessage func(from, to *process, body any)
+	atSync    func(p *process, what string)
 }
 
-type waiting struct {
-	node  *proc
-	next  time.Duration
-	piece func(p node.Frame)
+type pendingResponse struct {
+	node         *process
+	nextDelivery time.Duration
+	deliver      func(frame node.Frame)
 }
 
 // New lays out a world.
 func New(p Params) *World {
-	w := &World{Params: p, random: rand.New(rand.NewPCG(p.Seed, 0x5affe0)), procs: map[string]*proc{}, cut: map[[2]string]bool{}, last: map[[2]string]time.Duration{},
-		returns: map[uint64]*waiting{}, Counts: map[string]int64{}, keys: map[uint64]string{}, handed: map[string]uint64{}}
+	w := &World{Params: p, random: rand.New(rand.NewPCG(p.Seed, 0x5affe0)), processes: map[string]*process{}, cutLinks: map[[2]string]bool{}, lastDelivery: map[[2]string]time.Duration{},
+		pendingResponses: map[uint64]*pendingResponse{}, Counts: map[string]int64{}, versionKeys: map[uint64]string{}, pendingKeys: map[string]uint64{}}
 	zone := func(i int) string { return fmt.Sprintf("zone-%d", i%p.Zones+1) }
 	for i := 0; i < p.Cores; i++ {
 		w.cores = append(w.cores, w.add(fmt.Sprintf("core%d", i+1), zone(i), fmt.Sprintf("10.0.0.%d:7000", i+1)))
@@ -122,20 +122,20 @@
 		w.nodes = append(w.nodes, w.add(fmt.Sprintf("node%d", i+1), zone(i), fmt.Sprintf("10.0.1.%d:7000", i+1)))
 	}
 	for i := 0; i < p.Replicas; i++ {
-		w.models = append(w.models, &backend{world: w, service: "model", id: fmt.Sprintf("m%d", i+1), zone: zone(i), alive: true})
+		w.backends = append(w.backends, &backend{world: w, service: "model", id: fmt.Sprintf("m%d", i+1), zone: zone(i), alive: true})
 	}
 	for i := 0; i < p.Alerts; i++ {
-		w.models = append(w.models, &backend{world: w, service: "alert", id: fmt.Sprintf("a%d", i+1), zone: zone(i), alive: true})
+		w.backends = append(w.backends, &backend{world: w, service: "alert", id: fmt.Sprintf("a%d", i+1), zone: zone(i), alive: true})
 	}
 	// A core that belongs to no fleet yet.
 	w.spare = w.add("core-spare", zone(0), "10.0.2.1:7000")
-	w.models = append(w.models, &backend{world: w, service: "search", id: "t1", zone: zone(0), alive: true})
+	w.backends = append(w.backends, &backend{world: w, service: "search", id: "t1", zone: zone(0), alive: true})
 	return w
 }
 
-func (w *World) add(id, zone, address string) *proc {
-	p := &proc{world: w, id: id, zone: zone, address: address}
-	w.procs[address] = p
+func (w *World) add(id, zone, address string) *process {
+	p := &process{world: w, id: id, zone: zone, address: address}
+	w.processes[address] = p
 	return p
 }
 
@@ -166,17 +166,17 @@
 }
 
 func (w *World) nodeParams() node.Params {
-	return node.Params{Core: w.coreParams(), QueueLimit: 64, MaxQueueWait: time.Second, AnnouncementMaxAge: w.Params.Newest, ReportInterval: 300 * time.Millisecond, UrgentRatio: 0.25, DefaultTimeout: 10 * time.Second}
+	return node.Params{Core: w.coreParams(), QueueLimit: 64, MaxQueueWait: time.Second, AnnouncementMaxAge: w.Params.AnnouncementMaxAge, ReportInterval: 300 * time.Millisecond, UrgentRatio: 0.25, DefaultTimeout: 10 * time.Second}
 }
 
 func (w *World) seeds() []string {
 	return []string{w.cores[0].address, w.cores[1].address, w.cores[2].address}
 }
 
-func (w *World) send(from *proc, to string, body any) {
+func (w *World) send(from *process, to string, body any) {
 	raw := message.Pack(body)
 	w.Counts["messages"]++
-	if w.cut[[2]string{from.address, to}] || w.chance(w.Params.Loss) {
+	if w.cutLinks[[2]string{from.address, to}] || w.chance(w.Params.MessageLoss) {
 		return
 	}
 	delay := w.between(200*time.Microsecond, 3*time.Millisecond)
@@ -185,10 +185,10 @@
 	}
 	// Streams keep their order.
 	pair := [2]string{from.address, to}
-	at := max(w.now+delay, w.last[pair])
-	w.last[pair] = at
+	at := max(w.now+delay, w.lastDelivery[pair])
+	w.lastDelivery[pair] = at
 	w.after(at-w.now, func() {
-		target := w.procs[to]
+		target := w.processes[to]
 		if target == nil || !target.alive {
 			return
 		}
@@ -198,9 +198,9 @@
 				panic(err)
 			}
 			if target.coreM != nil {
-				target.takeCore(target.coreM.Receive(target.now(), from.address, value))
+				target.handleCoreOutput(target.coreM.Receive(target.now(), from.address, value))
 			} else {
-				target.takeNode(target.nodeM.Receive(target.now(), from.address, value))
+				target.handleNodeOutput(target.nodeM.Receive(target.now(), from.address, value))
 			}
 			if w.atMessage != nil {
 				w.atMessage(from, target, value)
@@ -217,13 +217,13 @@
 		p.boot()
 		list = append(list, p.coreM.Self())
 	}
-	f := core.PlanFleet("simulated", w.Params.Parts, 3, list)
+	f := core.PlanFleet("simulated", w.Params.Partitions, 3, list)
 	for _, p := range w.cores {
 		out, ok := p.coreM.Found(p.now(), f)
 		if !ok {
 			panic("not founded")
 		}
-		p.takeCore(out)
+		p.handleCoreOutput(out)
 	}
 	for _, p := range w.nodes {
 		p.boot()
@@ -231,11 +231,11 @@
 }
 
 // Operate runs one operator's call at a core.
-func (w *World) Operate(at *proc, step func(m *core.Machine, now time.Duration, ticket uint64) core.Output, done func(body any)) {
+func (w *World) Operate(at *process, step func(m *core.Machine, now time.Duration, ticket uint64) core.Output, done func(body any)) {
 	at.do(func() {
 		d := at.disk
-		d.next++
-		d.calls[d.next] = done
-		at.takeCore(step(at.coreM, at.now(), d.next))
+		d.lastTicket++
+		d.calls[d.lastTicket] = done
+		at.handleCoreOutput(step(at.coreM, at.now(), d.lastTicket))
 	})
 }
