--- a/rehearsalkit/simulator/backend.go
+++ b/rehearsalkit/simulator/backend.go
@@ -9,6 +9,7 @@
 	"saffronfall/rehearsalkit/judge"
 )
 
+// backend is one simulated replica of a service.
 type backend struct {
 	world       *World
 	service     string
@@ -20,15 +21,15 @@
 	serial      int
 	lossRate    float64
 	failureMode string
-	// mute replicas say nothing of themselves any more.
+	// mute stops all announcements of the replica.
 	mute bool
 }
 
 func (b *backend) name() string    { return fmt.Sprintf("%s.%d", b.id, b.serial) }
 func (b *backend) address() string { return "replica:" + b.service + ":" + b.name() }
 
-// announce keeps a replica known: at two nodes, each again and again with the
-// stamp that it gave. A node that does not answer is left for another.
+// announce registers the replica at two nodes. Each registration is repeated with
+// the token that the node returned; if a node does not respond, another one is used.
 func (b *backend) announce() {
 	for i := 0; i < 2; i++ {
 		b.announceToAnyNode(b.serial)
@@ -49,7 +50,7 @@
 	w.after(w.between(200*time.Microsecond, 3*time.Millisecond), func() {
 		p.do(func() {
 			if r.Leaving && !w.leavingRecorded(r.ID) {
-				// The first node has it, whatever becomes of that node.
+				// The departure counts from the first announcement that a node received.
 				w.Record.Leaving = append(w.Record.Leaving, judge.Leaving{At: w.now, Replica: r.ID})
 			}
 			accepted := p.nodeM.Announce(p.now(), r, token)
@@ -78,8 +79,8 @@
 	return false
 }
 
-// replace lets a replica say that it leaves, and puts another in its place
-// once that has been heard for long enough.
+// replace announces that the replica leaves, stops it after a delay and starts
+// a replacement with a new serial.
 func (b *backend) replace() {
 	if !b.alive || b.leaving {
 		return
@@ -98,17 +99,19 @@
 	})
 }
 
+// simAttempt is an attempt that a node has in flight.
 type simAttempt struct {
 	cancelled bool
 }
 
-// shoot carries a shot to a replica and its events back.
+// startAttempt delivers an attempt to its replica and the resulting events back to
+// the node.
 func (w *World) startAttempt(p *process, s node.StartAttempt) {
 	attempt := &simAttempt{}
 	p.attempts[s.Attempt] = attempt
 	incarnation := p.incarnation
 	w.Counts["shots"]++
-	back := func(delay time.Duration, e node.AttemptEvent) {
+	deliver := func(delay time.Duration, e node.AttemptEvent) {
 		e.Attempt = s.Attempt
 		w.after(delay, func() {
 			if p.incarnation != incarnation || attempt.cancelled {
@@ -133,14 +136,14 @@
 			}
 		}
 		if target == nil {
-			back(time.Millisecond, node.AttemptEvent{Kind: node.EventNotRun})
+			deliver(time.Millisecond, node.AttemptEvent{Kind: node.EventNotRun})
 			return
 		}
-		target.serve(s, back)
+		target.serve(s, deliver)
 	})
 }
 
-// Manners in which a replica may fail beside losing an answer.
+// Failure modes of a replica besides lost answers. The texts are labels of counts.
 const (
 	answersLate  = "answers late"
 	answersTwice = "answers twice"
@@ -150,10 +153,11 @@
 
 var failureModes = []string{answersLate, answersTwice, exceedsLimit, holdsStreams}
 
-func (b *backend) serve(s node.StartAttempt, back func(delay time.Duration, e node.AttemptEvent)) {
+// serve executes an attempt at a replica and records it for the judge.
+func (b *backend) serve(s node.StartAttempt, deliver func(delay time.Duration, e node.AttemptEvent)) {
 	w := b.world
-	seen := judge.Attempt{At: w.now, Service: b.service, Replica: b.name(), Tenant: s.Payload.Tenant, Program: s.Payload.Program, Conversation: s.Payload.Conversation}
-	lose := w.chance(b.lossRate)
+	record := judge.Attempt{At: w.now, Service: b.service, Replica: b.name(), Tenant: s.Payload.Tenant, Program: s.Payload.Program, Conversation: s.Payload.Conversation}
+	lost := w.chance(b.lossRate)
 	serial := b.serial
 	b.running++
 	done := func(after time.Duration) {
@@ -164,73 +168,76 @@
 		})
 	}
 	if s.Kind != "model" {
-		seen.RequestID, seen.OnceKey, seen.Tool = requestIDOf(s.Payload.Body), s.Payload.OnceKey, s.Kind == "tool"
-		w.Record.Attempts = append(w.Record.Attempts, seen)
+		record.RequestID, record.OnceKey, record.Tool = requestIDOf(s.Payload.Body), s.Payload.OnceKey, s.Kind == "tool"
+		w.Record.Attempts = append(w.Record.Attempts, record)
 		delay := w.between(2*time.Millisecond, 40*time.Millisecond)
 		done(delay)
-		if lose {
-			back(delay, node.AttemptEvent{Kind: node.EventInterrupted})
+		if lost {
+			deliver(delay, node.AttemptEvent{Kind: node.EventInterrupted})
 			return
 		}
-		back(delay, node.AttemptEvent{Kind: node.EventDone, Status: 200, Body: []byte(fmt.Sprintf(`{"done":%q}`, seen.RequestID))})
+		deliver(delay, node.AttemptEvent{Kind: node.EventDone, Status: 200, Body: []byte(fmt.Sprintf(`{"done":%q}`, record.RequestID))})
 		return
 	}
-	seen.RequestID, seen.MaxTokens = s.Payload.Prompt, s.Payload.MaxTokens
+	record.RequestID, record.MaxTokens = s.Payload.Prompt, s.Payload.MaxTokens
 	for _, t := range s.Payload.History {
-		seen.History = append(seen.History, judge.Turn{Prompt: t.Prompt, Answer: t.Response})
+		record.History = append(record.History, judge.Turn{Prompt: t.Prompt, Answer: t.Response})
 	}
 	if b.failureMode == answersLate {
 		w.after(w.between(500*time.Millisecond, 3*time.Second), func() {
 			if b.serial == serial {
-				b.answer(s, seen, lose, done, back)
+				b.answer(s, record, lost, done, deliver)
 			}
 		})
 		return
 	}
-	b.answer(s, seen, lose, done, back)
+	b.answer(s, record, lost, done, deliver)
 }
 
-func (b *backend) answer(s node.StartAttempt, seen judge.Attempt, lose bool, done func(time.Duration), back func(delay time.Duration, e node.AttemptEvent)) {
+// answer streams the chunks of a model response, with the replica's faults.
+func (b *backend) answer(s node.StartAttempt, record judge.Attempt, lost bool, done func(time.Duration), deliver func(delay time.Duration, e node.AttemptEvent)) {
 	w := b.world
-	pieces := 2 + w.random.IntN(4)
+	chunks := 2 + w.random.IntN(4)
 	fail := -1
-	if lose {
-		fail = w.random.IntN(pieces + 1)
+	if lost {
+		fail = w.random.IntN(chunks + 1)
 	}
 	delay := w.between(2*time.Millisecond, 10*time.Millisecond)
 	var text strings.Builder
-	for i := 0; i < pieces && i != fail; i++ {
-		tokens := s.Payload.MaxTokens / int64(pieces)
+	for i := 0; i < chunks && i != fail; i++ {
+		tokens := s.Payload.MaxTokens / int64(chunks)
 		if w.chance(0.5) {
 			tokens = tokens/2 + 1
 		}
-		tokens = min(tokens, s.Payload.MaxTokens-seen.Tokens)
+		tokens = min(tokens, s.Payload.MaxTokens-record.Tokens)
 		if b.failureMode == exceedsLimit {
-			tokens, seen.OverLimit = s.Payload.MaxTokens, true
+			tokens, record.OverLimit = s.Payload.MaxTokens, true
 		}
-		piece := fmt.Sprintf("[%s %s %d]", b.name(), s.Payload.Prompt, i)
-		text.WriteString(piece)
-		seen.Tokens += tokens
-		back(delay, node.AttemptEvent{Kind: node.EventChunk, Text: piece, Tokens: tokens})
+		chunk := fmt.Sprintf("[%s %s %d]", b.name(), s.Payload.Prompt, i)
+		text.WriteString(chunk)
+		record.Tokens += tokens
+		deliver(delay, node.AttemptEvent{Kind: node.EventChunk, Text: chunk, Tokens: tokens})
 		delay += w.between(5*time.Millisecond, 80*time.Millisecond)
 	}
-	seen.Text = text.String()
-	w.Record.Attempts = append(w.Record.Attempts, seen)
+	record.Text = text.String()
+	w.Record.Attempts = append(w.Record.Attempts, record)
 	done(delay)
-	if lose {
-		back(delay, node.AttemptEvent{Kind: node.EventInterrupted})
+	if lost {
+		deliver(delay, node.AttemptEvent{Kind: node.EventInterrupted})
 		return
 	}
 	if b.failureMode == holdsStreams {
 		return
 	}
-	back(delay, node.AttemptEvent{Kind: node.EventDone, Status: 200})
+	deliver(delay, node.AttemptEvent{Kind: node.EventDone, Status: 200})
 	if b.failureMode == answersTwice {
-		back(delay+time.Millisecond, node.AttemptEvent{Kind: node.EventChunk, Text: "again", Tokens: 1})
-		back(delay+2*time.Millisecond, node.AttemptEvent{Kind: node.EventDone, Status: 200})
+		deliver(delay+time.Millisecond, node.AttemptEvent{Kind: node.EventChunk, Text: "again", Tokens: 1})
+		deliver(delay+2*time.Millisecond, node.AttemptEvent{Kind: node.EventDone, Status: 200})
 	}
 }
 
+// requestIDOf extracts the request ID from the body of a tool call or action, where
+// the key "mark" holds it.
 func requestIDOf(body []byte) string {
 	text := string(body)
 	a := strings.Index(text, `"mark":"`)
--- a/rehearsalkit/simulator/order_test.go
+++ b/rehearsalkit/simulator/configuration_test.go
@@ -8,7 +8,7 @@
 	"saffronfall/peer/core"
 )
 
-// apply hands a description over at one core and waits for the outcome.
+// apply submits a configuration to one core and waits for the outcome.
 func apply(w *World, at int, request core.ApplyRequest) core.ApplyResult {
 	var got core.ApplyResult
 	w.Operate(w.cores[at], func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
@@ -18,9 +18,9 @@
 	return got
 }
 
-// TestAcceptedDescriptionComesAgain: a description whose answer was lost is
-// acknowledged when it comes again through another core after many others, also
-// where rehearsal would refuse it by now; a different one on its base is not.
+// TestRepeatedDescription checks that a configuration in force is acknowledged when it is
+// submitted again through another core after many others, even where rehearsal would refuse
+// it by now, and that a different one on the same base is refused.
 func TestRepeatedDescription(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	request := func(version uint64, digest string) core.ApplyRequest {
@@ -34,13 +34,13 @@
 	}
 	for version := uint64(1); version <= descriptions; version += 6 {
 		if got := apply(w, 1, request(version, fmt.Sprint("v", version))); !got.InForce || got.Version != version+1 {
-			t.Errorf("description %d came again: %+v", version, got)
+			t.Errorf("repeated description %d: %+v", version, got)
 		}
 		if got := apply(w, 2, request(version, "another")); got.InForce || got.Code != "race_lost" {
-			t.Errorf("another one on %d: %+v", version, got)
+			t.Errorf("another description on version %d: %+v", version, got)
 		}
 	}
 	if got := apply(w, 1, request(descriptions+9, "ahead")); got.InForce || got.Code != "race_lost" {
-		t.Errorf("one on a version that never was: %+v", got)
+		t.Errorf("description on a version that does not exist: %+v", got)
 	}
 }
--- a/rehearsalkit/simulator/conformance_test.go
+++ b/rehearsalkit/simulator/conformance_test.go
@@ -14,16 +14,15 @@
 
 type tree = map[string]any
 
-// design is a description whose figures are those of the design page, but for
-// what a case changes.
+// describeWith returns a configuration with default limits, modified by change.
 func describeWith(change func(role, tenant, services, breaker tree)) func(string) []byte {
-	return func(mark string) []byte {
+	return func(key string) []byte {
 		role, tenant, breaker := tree{}, tree{"keys": []any{tree{"sha256": configuration.KeyDigest("key-t1"), "role": "viewer"}}}, tree{}
 		services := tree{"model": tree{"kind": "model"}, "search": tree{"kind": "tool"}, "alert": tree{"kind": "once", "urgent": true}}
 		if change != nil {
 			change(role, tenant, services, breaker)
 		}
-		text, _ := json.Marshal(tree{"roles": tree{"viewer": role}, "tenants": tree{"t1": tenant, "probe": tree{"keys": []any{tree{"sha256": configuration.KeyDigest(mark)}}}},
+		text, _ := json.Marshal(tree{"roles": tree{"viewer": role}, "tenants": tree{"t1": tenant, "probe": tree{"keys": []any{tree{"sha256": configuration.KeyDigest(key)}}}},
 			"services": services, "breaker": breaker})
 		return text
 	}
@@ -40,22 +39,21 @@
 	return w.Do(at, node.Request{Kind: node.KindTool, Key: "key-t1", Program: id, Service: "search", Arguments: []byte(arguments)})
 }
 
-func wantCode(t *testing.T, what string, a judge.Request, code string) {
+func wantCode(t *testing.T, what string, result judge.Request, code string) {
 	t.Helper()
-	got := a.Code
-	if a.Outcome == judge.Whole {
+	got := result.Code
+	if result.Outcome == judge.Whole {
 		got = ""
 	} else if got == "" {
-		got = a.Outcome
+		got = result.Outcome
 	}
 	if got != code {
 		t.Errorf("%s: got %q, want %q", what, got, code)
 	}
 }
 
-// TestOrderAtSessionStart puts a user in the way of every check at once, and
-// takes the checks away one by one: breaker; lockout and windows; concurrency;
-// day.
+// TestCheckOrderAtSessionStart violates every limit at once and lifts them one by one:
+// breaker, lockout and windows, concurrent sessions, daily allowance.
 func TestCheckOrderAtSessionStart(t *testing.T) {
 	for _, c := range []struct {
 		name                             string
@@ -74,11 +72,11 @@
 			role["sessions_per_minute"], role["concurrent_sessions"] = 4, 2
 			role["turn_tokens"] = 1000
 			if c.day {
-				// The first session may spend two turns beforehand.
+				// The first session may precharge two turns.
 				role["user_day_tokens_hard"], role["user_day_tokens_soft"] = 2100, 2000
 			}
 			if c.breaker {
-				// 1000 tokens cost 0.01 dollars; two turns' reservations pass.
+				// 1000 tokens cost 0.01 dollars, so the reservations of two turns pass.
 				breaker["minute_dollars"] = 0.025
 			}
 		})
@@ -87,8 +85,8 @@
 		wantCode(t, c.name+": second session", second, "")
 		head := program.EmptyHead
 		for i, code := 0, ""; i < 5 || (c.breaker && i < 9 && code != "breaker_open"); i++ {
-			a, last := turn(w, i%3, first.Text, head, 1000)
-			if code = a.Code; a.Outcome == judge.Whole {
+			result, last := turn(w, i%3, first.Text, head, 1000)
+			if code = result.Code; result.Outcome == judge.Whole {
 				head = last.Head
 			}
 		}
@@ -102,32 +100,32 @@
 			}
 		}
 		w.Advance(300 * time.Millisecond)
-		a, _ := open(w, 2, "u")
-		wantCode(t, c.name, a, c.code)
+		result, _ := open(w, 2, "u")
+		wantCode(t, c.name, result, c.code)
 	}
 }
 
-// TestLockout: a minute violation sets one of 600 s for viewers, and whoever
-// is locked out is told what remains, at every node.
+// TestLockout checks that a violation of the minute window locks viewers out for 600 s
+// and that every node reports the remaining time.
 func TestLockout(t *testing.T) {
 	w := smallWorld(func(role, tenant, services, breaker tree) { role["concurrent_sessions"] = 100 })
 	for i := 0; i < 2; i++ {
-		a, _ := open(w, i, "u")
-		wantCode(t, "within the minute", a, "")
+		result, _ := open(w, i, "u")
+		wantCode(t, "within the minute", result, "")
 	}
-	a, last := open(w, 2, "u")
-	wantCode(t, "third in a minute", a, "sessions_per_minute")
+	result, last := open(w, 2, "u")
+	wantCode(t, "third in a minute", result, "sessions_per_minute")
 	if last.Verdict.RetryAfter != 600*time.Second {
-		t.Errorf("the violation says come back in %v, want 600s", last.Verdict.RetryAfter)
+		t.Errorf("the violation has a retry time of %v, want 600s", last.Verdict.RetryAfter)
 	}
 	w.Advance(100 * time.Second)
-	a, last = open(w, 0, "u")
-	wantCode(t, "locked out", a, "locked_out")
+	result, last = open(w, 0, "u")
+	wantCode(t, "locked out", result, "locked_out")
 	if left := last.Verdict.RetryAfter; left < 495*time.Second || left > 505*time.Second {
 		t.Errorf("after 100 s %v remain of 600 s", left)
 	}
-	a, _ = open(w, 1, "other")
-	wantCode(t, "another user", a, "")
+	result, _ = open(w, 1, "other")
+	wantCode(t, "another user", result, "")
 	locked := 0
 	for n := range w.Params.Partitions {
 		w.Operate(w.cores[0], func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
@@ -143,40 +141,41 @@
 	}
 	w.Advance(time.Second)
 	if locked != 1 {
-		t.Errorf("operators are told of %d lockouts", locked)
+		t.Errorf("operators see %d lockouts", locked)
 	}
-	// Clocks may be slow by a twentieth.
+	// Clocks may be slow by 5 %.
 	w.Advance(532 * time.Second)
-	a, _ = open(w, 1, "u")
-	wantCode(t, "after the lockout", a, "")
+	result, _ = open(w, 1, "u")
+	wantCode(t, "after the lockout", result, "")
 }
 
-// TestWindows: 20 an hour for viewers, and come back when the oldest leaves.
+// TestWindows checks that the hour window refuses with the time at which its oldest
+// session leaves it.
 func TestWindows(t *testing.T) {
 	w := smallWorld(func(role, tenant, services, breaker tree) {
 		role["concurrent_sessions"], role["sessions_per_hour"] = 100, 4
 	})
 	for i := 0; i < 4; i++ {
-		a, _ := open(w, i%3, "u")
-		wantCode(t, "within the hour", a, "")
+		result, _ := open(w, i%3, "u")
+		wantCode(t, "within the hour", result, "")
 		w.Advance(40 * time.Second)
 	}
-	a, last := open(w, 0, "u")
-	wantCode(t, "fifth in an hour", a, "sessions_per_hour")
+	result, last := open(w, 0, "u")
+	wantCode(t, "fifth in an hour", result, "sessions_per_hour")
 	if left := last.Verdict.RetryAfter; left < 3300*time.Second || left > 3500*time.Second {
-		t.Errorf("come back in %v", left)
+		t.Errorf("retry time %v", left)
 	}
 }
 
-// TestProgramCaps: a reached cap stops the program's next turn, in the order
-// of the design; warnings come at 80 %.
+// TestProgramCaps checks that a reached cap stops the next turn of the program and that
+// warnings start at 80 %.
 func TestProgramCaps(t *testing.T) {
 	w := smallWorld(nil)
 	_, p := open(w, 0, "steps")
 	head, warned := program.EmptyHead, 0
 	for i := 0; i < 10; i++ {
-		a, last := turn(w, i%3, p.Text, head, 10)
-		wantCode(t, "a step", a, "")
+		result, last := turn(w, i%3, p.Text, head, 10)
+		wantCode(t, "a step", result, "")
 		head = last.Head
 		for _, one := range last.Verdict.Warnings {
 			if one.Scope == "steps" {
@@ -187,41 +186,41 @@
 	if warned != 2 {
 		t.Errorf("%d warnings of steps before the cap; from 80%% on there are two", warned)
 	}
-	a, last := turn(w, 1, p.Text, head, 10)
-	wantCode(t, "an eleventh step", a, "steps_reached")
+	result, last := turn(w, 1, p.Text, head, 10)
+	wantCode(t, "an eleventh step", result, "steps_reached")
 	if last.Verdict.RetryAfter != 0 {
-		t.Errorf("a reached cap says come back in %v; it never heals", last.Verdict.RetryAfter)
+		t.Errorf("a reached cap has a retry time of %v; it is permanent", last.Verdict.RetryAfter)
 	}
 
 	_, p = open(w, 1, "same")
 	for i, arguments := range []string{`{"a":1,"b":[2]}`, ` { "b":[2], "a":1 }`} {
-		a, _ := callTool(w, i, p.Text, arguments)
-		wantCode(t, "the same call", a, "")
+		result, _ := callTool(w, i, p.Text, arguments)
+		wantCode(t, "the same call", result, "")
 	}
-	a, _ = callTool(w, 2, p.Text, `{"b":[2],"a":1}`)
-	wantCode(t, "the same call a third time", a, "loop")
-	a, _ = turn(w, 2, p.Text, program.EmptyHead, 10)
-	wantCode(t, "the turn after a loop", a, "loop")
+	result, _ = callTool(w, 2, p.Text, `{"b":[2],"a":1}`)
+	wantCode(t, "the same call a third time", result, "loop")
+	result, _ = turn(w, 2, p.Text, program.EmptyHead, 10)
+	wantCode(t, "the turn after a loop", result, "loop")
 
 	_, p = open(w, 1, "type")
 	for i := 0; i < 5; i++ {
-		a, _ := callTool(w, i%3, p.Text, `{"n":`+string(rune('0'+i))+`}`)
-		wantCode(t, "a call", a, "")
+		result, _ := callTool(w, i%3, p.Text, `{"n":`+string(rune('0'+i))+`}`)
+		wantCode(t, "a call", result, "")
 	}
-	a, _ = callTool(w, 2, p.Text, `{"n":9}`)
-	wantCode(t, "a sixth call of one tool", a, "tool_calls_per_type_reached")
-	a, _ = turn(w, 0, p.Text, program.EmptyHead, 10)
-	wantCode(t, "the turn after", a, "tool_calls_per_type_reached")
+	result, _ = callTool(w, 2, p.Text, `{"n":9}`)
+	wantCode(t, "a sixth call of one tool", result, "tool_calls_per_type_reached")
+	result, _ = turn(w, 0, p.Text, program.EmptyHead, 10)
+	wantCode(t, "the turn after", result, "tool_calls_per_type_reached")
 
 	_, p = open(w, 1, "time")
 	w.Advance(121 * time.Second)
-	a, _ = turn(w, 0, p.Text, program.EmptyHead, 10)
-	wantCode(t, "a turn after 120 s", a, "duration_reached")
+	result, _ = turn(w, 0, p.Text, program.EmptyHead, 10)
+	wantCode(t, "a turn after 120 s", result, "duration_reached")
 }
 
-// TestScopes: a program warns from its soft limit on and stops at its hard
-// one; helpers charge their root; a user's day refuses new sessions only; a
-// tenant's day refuses turns.
+// TestScopes checks the soft and hard limits of programs, that helpers charge their root
+// program, that the daily allowance of a user refuses new sessions only and that of a
+// tenant refuses turns.
 func TestScopes(t *testing.T) {
 	w := smallWorld(func(role, tenant, services, breaker tree) {
 		role["program_tokens_soft"], role["program_tokens_hard"], role["turn_tokens"] = 50, 100, 60
@@ -230,30 +229,30 @@
 	})
 	_, p := open(w, 0, "u")
 	heads := map[string]string{"": program.EmptyHead, "helper": program.EmptyHead}
-	softly, stopped := false, false
+	warned, stopped := false, false
 	for i := 0; i < 10 && !stopped; i++ {
-		line := []string{"", "helper"}[i%2]
-		a, last := w.Do(i%3, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Conversation: line, Service: "model", PreviousHead: heads[line], Prompt: w.newID("say"), MaxTokens: 30})
-		stopped = a.Code == "program_tokens_spent"
-		heads[line] = last.Head
+		conversation := []string{"", "helper"}[i%2]
+		result, last := w.Do(i%3, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Conversation: conversation, Service: "model", PreviousHead: heads[conversation], Prompt: w.newID("say"), MaxTokens: 30})
+		stopped = result.Code == "program_tokens_spent"
+		heads[conversation] = last.Head
 		for _, one := range last.Verdict.Warnings {
-			softly = softly || one.Scope == "program_tokens"
+			warned = warned || one.Scope == "program_tokens"
 		}
 	}
-	if !softly || !stopped {
-		t.Errorf("warned from the soft limit: %v, stopped at the hard one: %v", softly, stopped)
+	if !warned || !stopped {
+		t.Errorf("warned from the soft limit: %v, stopped at the hard one: %v", warned, stopped)
 	}
-	a, _ := open(w, 1, "u")
-	wantCode(t, "a session of a spent user", a, "user_day_tokens_spent")
-	a, _ = open(w, 1, "v")
-	wantCode(t, "another user's session", a, "")
+	result, _ := open(w, 1, "u")
+	wantCode(t, "a session of a spent user", result, "user_day_tokens_spent")
+	result, _ = open(w, 1, "v")
+	wantCode(t, "another user's session", result, "")
 
 	w = smallWorld(func(role, tenant, services, breaker tree) { tenant["day_tokens"] = 2500 })
 	_, p = open(w, 0, "u")
 	head, refused := program.EmptyHead, false
 	for i := 0; i < 8 && !refused; i++ {
-		a, last := turn(w, 0, p.Text, head, 1000)
-		refused = a.Code == "tenant_day_tokens_spent"
+		result, last := turn(w, 0, p.Text, head, 1000)
+		refused = result.Code == "tenant_day_tokens_spent"
 		head = last.Head
 	}
 	if !refused {
@@ -261,9 +260,8 @@
 	}
 }
 
-// TestBreaker: it trips by spend, refuses everything with what remains of the
-// recovery window, then gates a few test sessions, and closes when they went
-// well.
+// TestBreaker checks that the breaker trips by spend, refuses with the rest of the recovery
+// window, then admits a few test sessions, and closes when they succeed.
 func TestBreaker(t *testing.T) {
 	w := smallWorld(func(role, tenant, services, breaker tree) {
 		breaker["minute_dollars"], breaker["recovery_seconds"], breaker["tests"] = 0.025, 90, 2
@@ -273,8 +271,8 @@
 	head := program.EmptyHead
 	tripped := false
 	for i := 0; i < 6 && !tripped; i++ {
-		a, last := turn(w, 0, p.Text, head, 1000)
-		tripped = a.Code == "breaker_open"
+		result, last := turn(w, 0, p.Text, head, 1000)
+		tripped = result.Code == "breaker_open"
 		head = last.Head
 	}
 	if !tripped {
@@ -282,39 +280,39 @@
 	}
 	w.Advance(400 * time.Millisecond)
 	for i := 0; i < 3; i++ {
-		a, last := open(w, i, "v")
-		wantCode(t, "a session at an open breaker", a, "breaker_open")
+		result, last := open(w, i, "v")
+		wantCode(t, "a session at an open breaker", result, "breaker_open")
 		if left := last.Verdict.RetryAfter; left < 80*time.Second || left > 91*time.Second {
-			t.Errorf("node %d says come back in %v of 90 s", i, left)
+			t.Errorf("node %d has a retry time of %v of 90 s", i, left)
 		}
-		a, _ = turn(w, i, p.Text, head, 10)
-		wantCode(t, "a turn at an open breaker", a, "breaker_open")
+		result, _ = turn(w, i, p.Text, head, 10)
+		wantCode(t, "a turn at an open breaker", result, "breaker_open")
 	}
 	w.Advance(95 * time.Second)
 	var tests []string
 	for i := 0; i < 4; i++ {
-		a, last := open(w, i%3, "w")
-		if a.Outcome == judge.Whole {
+		result, last := open(w, i%3, "w")
+		if result.Outcome == judge.Whole {
 			tests = append(tests, last.Text)
 		} else {
-			wantCode(t, "beyond the tests", a, "breaker_half_open")
+			wantCode(t, "beyond the tests", result, "breaker_half_open")
 		}
 	}
 	if len(tests) != 2 {
 		t.Fatalf("%d test sessions; 2 are allowed", len(tests))
 	}
-	a, _ := turn(w, 0, p.Text, head, 10)
-	wantCode(t, "an old session while half-open", a, "breaker_half_open")
+	result, _ := turn(w, 0, p.Text, head, 10)
+	wantCode(t, "an old session while half-open", result, "breaker_half_open")
 	for _, id := range tests {
-		a, _ := turn(w, 0, id, program.EmptyHead, 10)
-		wantCode(t, "a test's turn", a, "")
+		result, _ := turn(w, 0, id, program.EmptyHead, 10)
+		wantCode(t, "a test's turn", result, "")
 	}
 	w.Advance(500 * time.Millisecond)
-	a, _ = open(w, 2, "x")
-	wantCode(t, "after the tests", a, "")
+	result, _ = open(w, 2, "x")
+	wantCode(t, "after the tests", result, "")
 }
 
-// TestCooldown: each error doubles a tool's rest, up to an hour.
+// TestCooldown checks that each error doubles the cooldown of a tool, up to an hour.
 func TestCooldown(t *testing.T) {
 	var r program.Record
 	service := configuration.Service{CooldownSeconds: 10}
@@ -323,12 +321,12 @@
 		r.StartToolCall(clock, "x", "a")
 		r.FinishToolCall(clock, "x", false, service, time.Hour)
 		if got := r.Tools["x"].CooldownUntil - clock; got != rest*time.Second {
-			t.Errorf("error %d: rests %v, want %v s", i+1, got, int(rest))
+			t.Errorf("error %d: cooldown of %v, want %v s", i+1, got, int(rest))
 		}
 		clock += rest * time.Second
 	}
 	r.FinishToolCall(clock, "x", true, service, time.Hour)
 	if r.Tools["x"].CooldownUntil != 0 {
-		t.Error("a good call did not end the rest")
+		t.Error("a successful call did not end the cooldown")
 	}
 }
--- a/rehearsalkit/simulator/crash.go
+++ b/rehearsalkit/simulator/crash.go
@@ -13,34 +13,35 @@
 	"saffronfall/rule/program"
 )
 
-// operation is one thing that a fleet does, during which processes are lost.
+// operation is an action of the fleet during which processes are crashed.
 type operation struct {
 	name  string
 	begin func(w *World, s *scenario)
-	// again asks for the same thing once more, at another node.
+	// retry repeats the request at another node.
 	retry func(w *World, s *scenario, at int)
-	// shares tells whether grants of shares are part of it.
+	// shares tells whether messages about grants of shares belong to the operation.
 	shares bool
 }
 
-// scene is what was there before the operation.
+// scenario holds the program and the request ID that an operation uses.
 type scenario struct {
-	id, head string
-	mark     string
+	id, head  string
+	requestID string
 }
 
-func (s *scenario) turnRequest(line, before string) node.Request {
-	return node.Request{Kind: node.KindTurn, Key: "key-t1", Program: s.id, Conversation: line, Service: "model", PreviousHead: before, Prompt: s.mark, MaxTokens: 300, Timeout: 4 * time.Second}
+func (s *scenario) turnRequest(conversation, before string) node.Request {
+	return node.Request{Kind: node.KindTurn, Key: "key-t1", Program: s.id, Conversation: conversation, Service: "model", PreviousHead: before, Prompt: s.requestID, MaxTokens: 300, Timeout: 4 * time.Second}
 }
 
 func (s *scenario) onceRequest() node.Request {
 	return node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: "crash", Arguments: []byte(`{"mark":"crash"}`), Timeout: 3 * time.Second}
 }
 
+// ignoreResponse is the callback of requests whose outcome only the record needs.
 func ignoreResponse(judge.Request, node.Frame) {}
 
-func retryRequest(q func(s *scenario) node.Request) func(w *World, s *scenario, at int) {
-	return func(w *World, s *scenario, at int) { w.Do(at, q(s)) }
+func retryRequest(request func(s *scenario) node.Request) func(w *World, s *scenario, at int) {
+	return func(w *World, s *scenario, at int) { w.Do(at, request(s)) }
 }
 
 var operations = []operation{
@@ -86,7 +87,8 @@
 	}},
 }
 
-// kindOf names what a message is about; it is empty for what goes on anyway.
+// messageKind returns the registered name of a message, or "" for background traffic
+// that is not a crash point.
 func messageKind(body any, shares bool) string {
 	raw := []byte(nil)
 	switch b := body.(type) {
@@ -117,8 +119,7 @@
 	return name
 }
 
-// registeredNames has the names under which the types of messages are registered, without
-// their package.
+// registeredNames maps message types to their registered names without the package.
 var registeredNames = func() map[reflect.Type]string {
 	names := map[reflect.Type]string{}
 	for name, t := range message.Types() {
@@ -127,7 +128,7 @@
 	return names
 }()
 
-// stage lays out the world in which one operation is to happen.
+// stage builds the fleet and the program on which an operation runs.
 func stage() (*World, *scenario) {
 	p := Defaults(3)
 	p.Cores, p.Nodes, p.Users, p.MemberTerm = 4, 4, 0, 2*time.Second
@@ -140,17 +141,17 @@
 	_, first := turn(w, 0, s.id, program.EmptyHead, 100)
 	s.head = first.Head
 	w.Advance(700 * time.Millisecond)
-	s.mark = w.newID("crash")
+	s.requestID = w.newID("crash")
 	return w, s
 }
 
-// point is a moment at which processes are lost, and the two concerned.
+// point is a crash point: the moment of a message or a sync and the processes involved.
 type point struct {
 	what string
 	who  []*process
 }
 
-// each calls at every crash point of an operation, which is over after a time.
+// visitCrashPoints runs an operation and calls visit at each of its crash points.
 func (w *World) visitCrashPoints(o operation, s *scenario, visit func(p point)) {
 	w.atMessage = func(from, to *process, body any) {
 		if kind := messageKind(body, o.shares); kind != "" {
@@ -163,16 +164,16 @@
 	w.atMessage, w.atSync = nil, nil
 }
 
-// Crash is what became of an operation's crash points.
+// CrashResult is the outcome of all crash runs of one operation.
 type CrashResult struct {
 	Operation    string
 	Points, Runs int
 	Faults       []string
 }
 
-// CrashPoints loses each process concerned at each crash point of each
-// operation, one run a point, process and kind of loss, then mends, asks again at
-// other nodes and judges. Of all runs it makes one in every so many.
+// CrashPoints applies each crash fault to each involved process at each crash point
+// of each operation, one run for each combination. After each run it repairs the fleet,
+// retries at other nodes and judges the record. It executes one run in every `every`.
 func CrashPoints(every int, report func(c CrashResult)) {
 	type job struct {
 		o           operation
@@ -227,6 +228,7 @@
 	}
 }
 
+// crash applies one fault to one process at one crash point and returns the faults found.
 func crash(o operation, at, who, fault int) (faults []string) {
 	w, s := stage()
 	n, injected := 0, false
@@ -234,13 +236,13 @@
 		if n == at && !injected {
 			injected = true
 			victim := p.who[who]
-			// Not within the step that the victim is in.
+			// The fault must not interrupt the step that the process is executing.
 			w.after(0, func() { crashFaults[fault].inject(w, victim) })
 		}
 		n++
 	})
 	if !injected {
-		return []string{"the point was not reached again"}
+		return []string{"the crash point was not reached when the run was repeated"}
 	}
 	w.run(w.now + 2*w.Params.MemberTerm + 2*time.Second)
 	if o.retry != nil {
@@ -252,11 +254,11 @@
 	for i := range w.nodes {
 		served := false
 		for end := w.now + 6*time.Second; w.now < end && !served; w.Advance(100 * time.Millisecond) {
-			a, p := turn(w, i, s.id, head, 50)
+			result, p := turn(w, i, s.id, head, 50)
 			switch {
-			case a.Outcome == judge.Whole:
+			case result.Outcome == judge.Whole:
 				served, head = true, p.Head
-			case a.Code == "wrong_history":
+			case result.Code == "wrong_history":
 				head = p.Verdict.Head
 			}
 		}
@@ -278,7 +280,7 @@
 	return faults
 }
 
-// String tells a crash test's outcome in a line and its faults.
+// String returns a line of totals followed by the faults.
 func (c CrashResult) String() string {
 	lines := []string{fmt.Sprintf("%-18s %4d points, %5d runs, %d faults", c.Operation, c.Points, c.Runs, len(c.Faults))}
 	return strings.Join(append(lines, c.Faults...), "\n  ")
--- a/rehearsalkit/simulator/failure_test.go
+++ b/rehearsalkit/simulator/failure_test.go
@@ -11,20 +11,20 @@
 	"saffronfall/rule/program"
 )
 
-// begin starts an inquiry and lets only so much time pass.
-func submitAndAdvance(w *World, at int, q node.Request, d time.Duration) *judge.Request {
+// submitAndAdvance submits a request and advances the time by d only.
+func submitAndAdvance(w *World, at int, request node.Request, d time.Duration) *judge.Request {
 	got := &judge.Request{}
-	if q.Timeout == 0 {
-		q.Timeout = 8 * time.Second
+	if request.Timeout == 0 {
+		request.Timeout = 8 * time.Second
 	}
-	w.submit(w.nodes[at], q, func(a judge.Request, _ node.Frame) { *got = a })
+	w.submit(w.nodes[at], request, func(result judge.Request, _ node.Frame) { *got = result })
 	w.Advance(d)
 	return got
 }
 
-func attemptsOf(w *World, mark string) (n int, last time.Duration) {
+func attemptsOf(w *World, id string) (n int, last time.Duration) {
 	for _, s := range w.Record.Attempts {
-		if s.RequestID == mark || s.OnceKey == mark {
+		if s.RequestID == id || s.OnceKey == id {
 			n++
 			last = s.At
 		}
@@ -44,61 +44,61 @@
 	return w
 }
 
-// A node that froze between a reservation and its shot, and wakes when its
-// term is over, must not shoot: a successor may own the program by then.
+// A node that freezes between a reservation and its attempt, and resumes after its lease,
+// must not start the attempt, because a successor may own the program.
 func TestFrozenNodeStartsNoAttempt(t *testing.T) {
 	for i := 0; i < 60; i++ {
 		delay := time.Duration(i%10+1) * 700 * time.Microsecond
-		// Old news would stop the shot as well; here the term alone must.
+		// An expired announcement would prevent the attempt as well; only the lease must here.
 		params := Defaults(uint64(i))
 		params.Cores, params.Nodes, params.Users, params.Describe, params.AnnouncementMaxAge = 3, 3, 0, describeWith(nil), time.Hour
 		w := withLimits(NewWithoutFaults(params))
 		_, p := open(w, 0, "u")
-		mark := w.newID("say")
-		submitAndAdvance(w, 0, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: program.EmptyHead, Prompt: mark}, delay)
+		id := w.newID("say")
+		submitAndAdvance(w, 0, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: program.EmptyHead, Prompt: id}, delay)
 		w.nodes[0].freeze()
 		w.Advance(5 * time.Second)
-		before, _ := attemptsOf(w, mark)
+		before, _ := attemptsOf(w, id)
 		w.nodes[0].wake()
 		w.Advance(4 * time.Second)
-		if after, _ := attemptsOf(w, mark); after != before {
-			t.Errorf("frozen %v after the inquiry: it shot when it woke", delay)
+		if after, _ := attemptsOf(w, id); after != before {
+			t.Errorf("frozen %v after the request: it started the attempt when it resumed", delay)
 		}
 		expectNoBreaches(t, w)
 	}
 }
 
-// An owner that dies in mid-turn leaves its reservation charged, and another
-// node goes on with the very same history within seconds.
+// The reservation of an owner that dies during a turn stays charged, and another node
+// continues with the same history within seconds.
 func TestOwnerKilledInMidTurn(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	_, p := open(w, 0, "u")
-	a, first := turn(w, 1, p.Text, program.EmptyHead, 100)
-	wantCode(t, "first turn", a, "")
-	mark := w.newID("say")
-	submitAndAdvance(w, 1, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: first.Head, Prompt: mark, MaxTokens: 700}, 40*time.Millisecond)
-	if n, _ := attemptsOf(w, mark); n != 1 {
-		t.Fatalf("%d shots before the kill", n)
+	result, first := turn(w, 1, p.Text, program.EmptyHead, 100)
+	wantCode(t, "first turn", result, "")
+	id := w.newID("say")
+	submitAndAdvance(w, 1, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: first.Head, Prompt: id, MaxTokens: 700}, 40*time.Millisecond)
+	if n, _ := attemptsOf(w, id); n != 1 {
+		t.Fatalf("%d attempts before the kill", n)
 	}
 	w.nodes[0].kill()
 	died := w.now
 	for {
-		a, last := turn(w, 2, p.Text, first.Head, 100)
-		if a.Status == 404 || a.Status == 410 {
-			t.Fatalf("called gone: %s", a.Code)
+		result, last := turn(w, 2, p.Text, first.Head, 100)
+		if result.Status == 404 || result.Status == 410 {
+			t.Fatalf("reported as gone: %s", result.Code)
 		}
-		if a.Outcome == judge.Whole {
-			a, look := w.Do(1, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text})
-			wantCode(t, "look", a, "")
+		if result.Outcome == judge.Whole {
+			result, look := w.Do(1, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text})
+			wantCode(t, "look", result, "")
 			var spent int64
 			fmt.Sscanf(string(look.Body[indexAfter(look.Body, `"tokens":`):]), "%d", &spent)
-			if least := first.Tokens + 700 + last.Tokens; spent != least {
-				t.Errorf("%d tokens are charged; the lost turn's 700 make it %d", spent, least)
+			if expected := first.Tokens + 700 + last.Tokens; spent != expected {
+				t.Errorf("%d tokens are charged; the lost turn's 700 make it %d", spent, expected)
 			}
 			break
 		}
 		if w.now > died+8*time.Second {
-			t.Fatalf("no takeover: %s %s", a.Outcome, a.Code)
+			t.Fatalf("no takeover: %s %s", result.Outcome, result.Code)
 		}
 		w.Advance(100 * time.Millisecond)
 	}
@@ -117,26 +117,26 @@
 	return len(body)
 }
 
-// A node that is cut off from everybody goes on for at most its term, and then
-// refuses with a time to come back; nothing it says is "gone".
+// An isolated node serves for at most its lease, then refuses with a retry time and never
+// reports a program as gone.
 func TestCutOffNode(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	_, p := open(w, 0, "u")
 	w.isolate(w.nodes[0], 20*time.Second)
 	w.Advance(3 * time.Second)
 	for i := 0; i < 3; i++ {
-		a, last := turn(w, 0, p.Text, program.EmptyHead, 100)
-		if a.Outcome != judge.Refused || a.Status != 503 || a.Ran != "no" || last.Verdict.RetryAfter <= 0 {
-			t.Errorf("a cut-off node said %+v", a)
+		result, last := turn(w, 0, p.Text, program.EmptyHead, 100)
+		if result.Outcome != judge.Refused || result.Status != 503 || result.Ran != "no" || last.Verdict.RetryAfter <= 0 {
+			t.Errorf("an isolated node answered %+v", result)
 		}
 	}
-	a, _ := turn(w, 1, p.Text, program.EmptyHead, 100)
-	wantCode(t, "at another node", a, "")
+	result, _ := turn(w, 1, p.Text, program.EmptyHead, 100)
+	wantCode(t, "at another node", result, "")
 	expectNoBreaches(t, w)
 }
 
-// A configuration counts as taken only when every member follows it or its
-// term is over, so a cut-off node never gates by an older one afterwards.
+// A configuration is in force only when every member follows it or its lease is over, so
+// an isolated node never admits by an older one afterwards.
 func TestConfigurationAndCutOffNode(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	w.Record.Limits.PropagationLimit = 0
@@ -146,22 +146,22 @@
 	w.probe()
 	w.Advance(9 * time.Second)
 	if w.version != 2 {
-		t.Fatalf("version %d was taken", w.version)
+		t.Fatalf("version %d is in force", w.version)
 	}
 	expectNoBreaches(t, w)
 	if len(w.Record.Probes) < 10 {
-		t.Error("too few looks")
+		t.Error("too few probes")
 	}
 }
 
-// Two operators race from the same version: one is taken, the other is refused
-// and never in force anywhere.
+// Of operators that race from the same version one succeeds, and the configurations of
+// the others are never in force.
 func TestRacingOperators(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	var taken, lost int
 	for i := 0; i < 3; i++ {
-		mark := fmt.Sprintf("probe-race-%d", i)
-		w.applyConfiguration(w.cores[i], 1, mark, func(ok bool) {
+		id := fmt.Sprintf("probe-race-%d", i)
+		w.applyConfiguration(w.cores[i], 1, id, func(ok bool) {
 			if ok {
 				taken++
 			} else {
@@ -172,18 +172,17 @@
 	w.probe()
 	w.Advance(4 * time.Second)
 	if taken != 1 || lost != 2 {
-		t.Errorf("%d taken, %d lost", taken, lost)
+		t.Errorf("%d in force, %d refused", taken, lost)
 	}
 	expectNoBreaches(t, w)
 }
 
-// A configuration that was taken is still in force when every core crashed
-// right after and came back.
+// A configuration in force survives a crash of all processes right after its confirmation.
 func TestCrashAfterTaken(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	w.applyConfiguration(w.cores[0], 1, "probe-second", func(taken bool) {
 		if !taken {
-			t.Error("not taken")
+			t.Error("the configuration is not in force")
 		}
 		for _, c := range w.cores {
 			c.kill()
@@ -198,39 +197,38 @@
 	}
 	w.Advance(5 * time.Second)
 	for i := range w.nodes {
-		a, _ := w.Do(i, node.Request{Kind: node.KindStatus, Key: "probe-second", Program: "none"})
-		wantCode(t, "the newer version's key", a, "unknown_program")
-		a, _ = w.Do(i, node.Request{Kind: node.KindStatus, Key: "probe-first", Program: "none"})
-		wantCode(t, "the older version's key", a, "unknown_key")
+		result, _ := w.Do(i, node.Request{Kind: node.KindStatus, Key: "probe-second", Program: "none"})
+		wantCode(t, "the newer version's key", result, "unknown_program")
+		result, _ = w.Do(i, node.Request{Kind: node.KindStatus, Key: "probe-first", Program: "none"})
+		wantCode(t, "the older version's key", result, "unknown_key")
 	}
 }
 
-// A key that is taken from a connected requester is refused at its next
-// inquiry, at every node.
+// A revoked key is refused at the next request at every node.
 func TestRevokedKey(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	_, p := open(w, 0, "u")
-	a, last := turn(w, 1, p.Text, program.EmptyHead, 100)
-	wantCode(t, "before", a, "")
-	w.Params.Describe = func(mark string) []byte {
+	result, last := turn(w, 1, p.Text, program.EmptyHead, 100)
+	wantCode(t, "before", result, "")
+	w.Params.Describe = func(key string) []byte {
 		return []byte(`{"roles":{"viewer":{}},"tenants":{"t1":{}},"services":{"model":{"kind":"model"}},"approval":{"newly_refused_ratio":1}}`)
 	}
 	ok := false
 	w.applyConfiguration(w.cores[1], 1, "revoking", func(taken bool) { ok = taken })
 	w.Advance(3 * time.Second)
 	if !ok {
-		t.Fatal("not taken")
+		t.Fatal("the configuration is not in force")
 	}
 	for i := range w.nodes {
-		a, _ := turn(w, i, p.Text, last.Head, 100)
-		if a.Status != 401 || a.Ran != "no" {
-			t.Errorf("node %d: %+v", i, a)
+		result, _ := turn(w, i, p.Text, last.Head, 100)
+		if result.Status != 401 || result.Ran != "no" {
+			t.Errorf("node %d: %+v", i, result)
 		}
 	}
 }
 
-// Rehearsal refuses a description that would newly refuse too many of the
-// recent inquiries; it is never in force.
+// Rehearsal refuses a configuration that would newly refuse too many recent requests; it
+// is never in force.
 func TestNotApproved(t *testing.T) {
 	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) {
 		role["sessions_per_minute"], role["concurrent_sessions"] = 100, 100
@@ -247,12 +245,12 @@
 	if got.Code != "not_approved" || got.Rehearsal == nil || got.Rehearsal.NewlyRefused < 20 {
 		t.Errorf("%+v %+v", got, got.Rehearsal)
 	}
-	a, _ := w.Do(0, node.Request{Kind: node.KindStatus, Key: "x", Program: "none"})
-	wantCode(t, "the refused version's key", a, "unknown_key")
+	result, _ := w.Do(0, node.Request{Kind: node.KindStatus, Key: "x", Program: "none"})
+	wantCode(t, "the refused version's key", result, "unknown_key")
 }
 
-// A back end does the work and loses the answer: whoever asks again is told
-// that it may have run, for ever, and nothing sends it twice.
+// When the answer of a once-only action is lost, retries report that it may have run, and
+// no second attempt starts.
 func TestOnceAnswerLost(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	for _, b := range w.backends {
@@ -260,47 +258,47 @@
 			b.lossRate = 1
 		}
 	}
-	q := node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: "k", Arguments: []byte(`{"mark":"k"}`)}
-	a, _ := w.Do(0, q)
-	if a.Ran != "maybe" {
-		t.Errorf("the first said %+v", a)
+	request := node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: "k", Arguments: []byte(`{"mark":"k"}`)}
+	result, _ := w.Do(0, request)
+	if result.Ran != "maybe" {
+		t.Errorf("the first request got %+v", result)
 	}
 	for i := 0; i < 6; i++ {
-		a, _ := w.Do(i%3, q)
-		wantCode(t, "asked again", a, "may_have_run")
+		result, _ := w.Do(i%3, request)
+		wantCode(t, "retry", result, "may_have_run")
 	}
 	if n, _ := attemptsOf(w, "k"); n != 1 {
-		t.Errorf("%d shots", n)
+		t.Errorf("%d attempts", n)
 	}
 }
 
-// The same once-key at two nodes at once runs once; both get its outcome in
-// the end. Another body under the key is refused.
+// Two requests with one once-key run once and both get the outcome. Another body under
+// the key is refused.
 func TestOnceKeyAtTwoNodes(t *testing.T) {
 	w := withLimits(smallWorld(nil))
-	q := node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: "k", Arguments: []byte(`{"mark":"k"}`)}
+	request := node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: "k", Arguments: []byte(`{"mark":"k"}`)}
 	for i := range w.nodes {
-		submitAndAdvance(w, i, q, 0)
+		submitAndAdvance(w, i, request, 0)
 	}
 	w.Advance(time.Second)
 	for i := range w.nodes {
-		a, last := w.Do(i, q)
-		wantCode(t, "the outcome", a, "")
+		result, last := w.Do(i, request)
+		wantCode(t, "the outcome", result, "")
 		if string(last.Body) != `{"done":"k"}` || last.FinishReason != "repeated" {
 			t.Errorf("node %d: %+v", i, last)
 		}
 	}
 	if n, _ := attemptsOf(w, "k"); n != 1 {
-		t.Errorf("%d shots", n)
+		t.Errorf("%d attempts", n)
 	}
-	q.Arguments = []byte(`{"mark":"other"}`)
-	a, _ := w.Do(0, q)
-	wantCode(t, "another body", a, "once_key_reused")
+	request.Arguments = []byte(`{"mark":"other"}`)
+	result, _ := w.Do(0, request)
+	wantCode(t, "another body", result, "once_key_reused")
 	expectNoBreaches(t, w)
 }
 
-// A crowd at every node gets no more through than the tenant's quota, whoever
-// dies meanwhile, and alerts keep their reserved room.
+// Overload at every node stays within the quota of the tenant while a node crashes, and
+// alerts keep their reserved capacity.
 func TestCrowd(t *testing.T) {
 	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) {
 		role["sessions_per_minute"], role["concurrent_sessions"], role["steps"], role["session_seconds"] = 1000, 1000, 1000, 600
@@ -317,28 +315,28 @@
 	for i := range heads {
 		heads[i] = program.EmptyHead
 	}
-	crowded, alerts, through := 0, 0, 0
+	turns, alerts, succeeded := 0, 0, 0
 	for end := w.now + 10*time.Second; w.now < end; w.Advance(100 * time.Millisecond) {
 		for i := range ids {
 			if w.chance(0.4) {
-				w.submit(w.anyNode(), node.Request{Kind: node.KindTurn, Key: "key-t1", Program: ids[i], Service: "model", PreviousHead: heads[i], Prompt: w.newID("crowd"), MaxTokens: 5, Timeout: 2 * time.Second}, func(a judge.Request, last node.Frame) {
-					crowded++
-					if a.Outcome == judge.Whole {
+				w.submit(w.anyNode(), node.Request{Kind: node.KindTurn, Key: "key-t1", Program: ids[i], Service: "model", PreviousHead: heads[i], Prompt: w.newID("crowd"), MaxTokens: 5, Timeout: 2 * time.Second}, func(result judge.Request, last node.Frame) {
+					turns++
+					if result.Outcome == judge.Whole {
 						heads[i] = last.Head
-					} else if a.Code == "wrong_history" {
+					} else if result.Code == "wrong_history" {
 						heads[i] = last.Verdict.Head
 					}
 				})
 			}
 		}
 		if w.chance(0.3) {
-			mark := w.newID("alert")
-			w.submit(w.anyNode(), node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(fmt.Sprintf(`{"mark":%q}`, mark)), Timeout: 2 * time.Second}, func(a judge.Request, last node.Frame) {
-				if a.Outcome != judge.Silent && a.Outcome != judge.Broken {
+			id := w.newID("alert")
+			w.submit(w.anyNode(), node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: id, Arguments: []byte(fmt.Sprintf(`{"mark":%q}`, id)), Timeout: 2 * time.Second}, func(result judge.Request, last node.Frame) {
+				if result.Outcome != judge.Silent && result.Outcome != judge.Broken {
 					alerts++
 				}
-				if a.Outcome == judge.Whole {
-					through++
+				if result.Outcome == judge.Whole {
+					succeeded++
 				}
 			})
 		}
@@ -349,18 +347,18 @@
 	}
 	w.Advance(3 * time.Second)
 	attempts := len(w.Record.Attempts)
-	t.Logf("%d turns asked, %d shots in 10 s at a quota of 20/s and 32, %d of %d alerts through", crowded, attempts, through, alerts)
+	t.Logf("%d turns requested, %d attempts in 10 s at a quota of 20/s and 32, %d of %d alerts through", turns, attempts, succeeded, alerts)
 	if attempts < 120 {
-		t.Errorf("only %d shots: the quota is not used", attempts)
+		t.Errorf("only %d attempts: the quota is not used", attempts)
 	}
-	if through*10 < alerts*8 {
-		t.Errorf("%d of %d alerts came through", through, alerts)
+	if succeeded*10 < alerts*8 {
+		t.Errorf("%d of %d alerts succeeded", succeeded, alerts)
 	}
 	expectNoBreaches(t, w)
 }
 
-// Five cores lose one disk after another; each comes back with an empty folder
-// and no vote, is given its seats again, and nothing that was kept is lost.
+// Each of five cores loses its disk in turn, restarts without a vote, becomes a member
+// again, and no stored state is lost.
 func TestEveryDiskLostInTurn(t *testing.T) {
 	p := Defaults(11)
 	p.Users, p.Describe = 0, describeWith(nil)
@@ -368,8 +366,8 @@
 	_, opened := open(w, 0, "u")
 	head := program.EmptyHead
 	for i, c := range w.cores {
-		a, last := turn(w, i%4, opened.Text, head, 10)
-		wantCode(t, "a turn", a, "")
+		result, last := turn(w, i%4, opened.Text, head, 10)
+		wantCode(t, "a turn", result, "")
 		head = last.Head
 		c.kill()
 		c.loseDisk()
@@ -377,25 +375,25 @@
 		c.boot()
 		w.Advance(100 * time.Millisecond)
 		if g := c.coreM.LeadingPartitions(c.now()); len(g) > 0 {
-			t.Errorf("%s owns parts %v right after it came back empty", c.id, g)
+			t.Errorf("%s leads partitions %v right after it restarted with an empty disk", c.id, g)
 		}
 		w.Advance(8 * time.Second)
 		if !w.membersCurrent() {
-			t.Fatalf("%s did not get its seats again", c.id)
+			t.Fatalf("%s did not become a member again", c.id)
 		}
 	}
-	a, _ := turn(w, 1, opened.Text, head, 10)
-	wantCode(t, "after all", a, "")
+	result, _ := turn(w, 1, opened.Text, head, 10)
+	wantCode(t, "after all", result, "")
 	expectNoBreaches(t, w)
 }
 
-// A kept conversation is never called gone while its parts come and go, and is
-// called gone, not unknown, once its time has passed.
+// A kept conversation is never reported gone while processes restart, and is reported
+// gone, not unknown, after its retention.
 func TestKeptConversation(t *testing.T) {
 	params := Defaults(7)
 	params.Cores, params.Nodes, params.Users, params.Describe = 3, 3, 0, describeWith(nil)
 	describe := params.Describe
-	params.Describe = func(mark string) []byte { return append([]byte(`{"keep_seconds":180,`), describe(mark)[1:]...) }
+	params.Describe = func(key string) []byte { return append([]byte(`{"keep_seconds":180,`), describe(key)[1:]...) }
 	w := withLimits(NewWithoutFaults(params))
 	_, p := open(w, 0, "u")
 	for i := 0; i < 4; i++ {
@@ -405,24 +403,23 @@
 		w.nodes[i%3].boot()
 		w.cores[i%3].boot()
 		for end := w.now + 12*time.Second; w.now < end; w.Advance(300 * time.Millisecond) {
-			a, last := w.Do(w.random.IntN(3), node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text, Timeout: time.Second})
-			if a.Status == 404 || a.Status == 410 {
-				t.Fatalf("called gone: %s", a.Code)
+			result, last := w.Do(w.random.IntN(3), node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text, Timeout: time.Second})
+			if result.Status == 404 || result.Status == 410 {
+				t.Fatalf("reported as gone: %s", result.Code)
 			}
-			if a.Outcome == judge.Refused && last.Verdict.RetryAfter <= 0 {
-				t.Fatalf("no time to come back: %+v", a)
+			if result.Outcome == judge.Refused && last.Verdict.RetryAfter <= 0 {
+				t.Fatalf("no retry time: %+v", result)
 			}
 		}
 	}
-	a, _ := w.Do(0, node.Request{Kind: node.KindStatus, Key: "probe-first", Program: p.Text})
-	wantCode(t, "another tenant", a, "unknown_program")
+	result, _ := w.Do(0, node.Request{Kind: node.KindStatus, Key: "probe-first", Program: p.Text})
+	wantCode(t, "another tenant", result, "unknown_program")
 	w.Advance(4 * time.Minute)
-	a, _ = w.Do(0, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text})
-	wantCode(t, "after its keeping time", a, "gone")
+	result, _ = w.Do(0, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text})
+	wantCode(t, "after its retention", result, "gone")
 }
 
-// All cores lose power at the very moment in which a requester has its closing
-// record, or an alert's outcome: what was confirmed is still there.
+// A confirmed turn survives a crash of all processes at the moment of its confirmation.
 func TestPowerLostAfterConfirmation(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		params := Defaults(seed)
@@ -432,10 +429,10 @@
 		_, p := open(w, 0, "u")
 		head := program.EmptyHead
 		for i := 0; i < 4; i++ {
-			say := w.newID("say")
+			id := w.newID("say")
 			var closing node.Frame
 			over := false
-			w.submit(w.nodes[i%3], node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: head, Prompt: say, MaxTokens: 50, Timeout: 5 * time.Second}, func(a judge.Request, last node.Frame) {
+			w.submit(w.nodes[i%3], node.Request{Kind: node.KindTurn, Key: "key-t1", Program: p.Text, Service: "model", PreviousHead: head, Prompt: id, MaxTokens: 50, Timeout: 5 * time.Second}, func(result judge.Request, last node.Frame) {
 				over, closing = true, last
 				for _, c := range w.cores {
 					c.kill()
@@ -458,18 +455,18 @@
 			}
 			head = closing.Head
 			w.Advance(5 * time.Second)
-			a, look := w.Do(0, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text})
-			wantCode(t, "look", a, "")
+			result, look := w.Do(0, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text})
+			wantCode(t, "look", result, "")
 			if at := indexAfter(look.Body, `"head":"`); string(look.Body[at:at+len(head)]) != head {
-				t.Errorf("seed %d: turn %d was confirmed and is lost", seed, i)
+				t.Errorf("seed %d: confirmed turn %d is lost", seed, i)
 			}
 		}
 		expectNoBreaches(t, w)
 	}
 }
 
-// A node that is cut from every core and reaches another node keeps its term,
-// learns news and serves, by way of that node.
+// A node that reaches other nodes but no core keeps its lease, gets updates and serves
+// through another node.
 func TestNodeIsolatedFromCoresOnly(t *testing.T) {
 	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 }))
 	_, p := open(w, 0, "u")
@@ -480,39 +477,37 @@
 	}
 	w.Advance(10 * time.Second)
 	if w.nodes[0].nodeM.Counters.TermsLost > 0 || !w.nodes[0].nodeM.Ready(w.nodes[0].now()) {
-		t.Errorf("the term was lost %d times", w.nodes[0].nodeM.Counters.TermsLost)
+		t.Errorf("the lease was lost %d times", w.nodes[0].nodeM.Counters.TermsLost)
 	}
 	head := program.EmptyHead
 	for i := 0; i < 3; i++ {
-		a, last := turn(w, 0, p.Text, head, 100)
-		wantCode(t, "a turn by way of another node", a, "")
+		result, last := turn(w, 0, p.Text, head, 100)
+		wantCode(t, "a turn through another node", result, "")
 		head = last.Head
 	}
 	ok := false
 	w.applyConfiguration(w.cores[0], 1, "probe-second", func(taken bool) { ok = taken })
 	w.Advance(2 * time.Second)
 	if !ok || w.nodes[0].nodeM.ConfigurationVersion() != 2 {
-		t.Errorf("taken %v, version %d at the node", ok, w.nodes[0].nodeM.ConfigurationVersion())
+		t.Errorf("in force %v, version %d at the node", ok, w.nodes[0].nodeM.ConfigurationVersion())
 	}
 	expectNoBreaches(t, w)
 }
 
-// A node whose news of the members is old knows only an earlier life of a
-// program's owner. It must not take that for a proof that the owner's present
-// life has ended.
+// A node with an outdated snapshot of the members knows only an earlier incarnation of a
+// program's owner, which does not prove that the current one has ended.
 func TestStaleIncarnationIsNoProof(t *testing.T) {
 	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 }))
-	parts := w.Params.Partitions
-	news := core.PartitionOf(parts, "member", "node1")
+	memberPartition := core.PartitionOf(w.Params.Partitions, "member", "node1")
 	for _, c := range w.cores {
 		if len(c.coreM.LeadingPartitions(c.now())) == 0 {
-			t.Fatal("a core owns nothing")
+			t.Fatal("a core leads no partition")
 		}
 	}
-	// node3 hears nothing from the owner of node1's member part, nor from nodes.
+	// node3 receives nothing from the leader of node1's member partition, nor from nodes.
 	for _, c := range w.cores {
 		for _, n := range c.coreM.LeadingPartitions(c.now()) {
-			if n == news {
+			if n == memberPartition {
 				w.cutLinks[[2]string{c.address, w.nodes[2].address}] = true
 			}
 		}
@@ -523,23 +518,23 @@
 	w.nodes[0].kill()
 	w.nodes[0].boot()
 	w.Advance(4 * time.Second)
-	stolen := 0
+	takeovers := 0
 	for i := 0; i < 12; i++ {
 		_, p := open(w, 0, fmt.Sprint("u", i))
 		if p.Text == "" {
-			t.Fatalf("no program at the new life: %+v", p)
+			t.Fatalf("no program at the new incarnation: %+v", p)
 		}
-		w.submit(w.nodes[2], node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text, Timeout: 300 * time.Millisecond}, func(a judge.Request, last node.Frame) {})
+		w.submit(w.nodes[2], node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text, Timeout: 300 * time.Millisecond}, func(result judge.Request, last node.Frame) {})
 		w.Advance(500 * time.Millisecond)
 	}
-	stolen = int(w.nodes[2].nodeM.Counters.Takeovers)
-	if stolen > 0 {
-		t.Errorf("%d programs were taken from a node that lives", stolen)
+	takeovers = int(w.nodes[2].nodeM.Counters.Takeovers)
+	if takeovers > 0 {
+		t.Errorf("%d programs were taken over from a running node", takeovers)
 	}
 }
 
-// A node that drains under load hands over what it owns: nobody's stream
-// breaks, nobody's budget runs out, and it is gone in about a second.
+// A node that drains under load transfers its programs: no stream breaks, no request runs
+// out of time, and the drain completes in a few seconds.
 func TestDrainUnderLoad(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		params := Defaults(seed)
@@ -549,8 +544,8 @@
 		})
 		w := withLimits(NewWithoutFaults(params))
 		codes, whole := map[string]int{}, 0
-		var live func(id, head string)
-		live = func(id, head string) {
+		var takeTurn func(id, head string)
+		takeTurn = func(id, head string) {
 			if w.now > 14*time.Second {
 				return
 			}
@@ -558,23 +553,23 @@
 			if !at.nodeM.Ready(at.now()) {
 				at = w.nodes[1]
 			}
-			w.submit(at, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: head, Prompt: w.newID("say"), MaxTokens: 20, Timeout: 5 * time.Second}, func(a judge.Request, last node.Frame) {
-				code := a.Code
-				if a.Outcome != judge.Refused {
-					code = a.Outcome
+			w.submit(at, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: head, Prompt: w.newID("say"), MaxTokens: 20, Timeout: 5 * time.Second}, func(result judge.Request, last node.Frame) {
+				code := result.Code
+				if result.Outcome != judge.Refused {
+					code = result.Outcome
 				}
 				codes[code]++
 				next := head
-				if a.Outcome == judge.Whole {
+				if result.Outcome == judge.Whole {
 					whole++
 					next = last.Head
 				}
-				w.after(w.between(50*time.Millisecond, 200*time.Millisecond), func() { live(id, next) })
+				w.after(w.between(50*time.Millisecond, 200*time.Millisecond), func() { takeTurn(id, next) })
 			})
 		}
 		for i := 0; i < 9; i++ {
 			_, p := open(w, 0, fmt.Sprint("u", i))
-			live(p.Text, program.EmptyHead)
+			takeTurn(p.Text, program.EmptyHead)
 		}
 		w.Advance(time.Second)
 		began := w.now
@@ -593,9 +588,8 @@
 	}
 }
 
-// When all links between cores and nodes were cut for longer than a term, all
-// nodes serve their own programs again within two seconds of the mending: no
-// node waits for the term of its own former life.
+// After a disconnection of cores and nodes for longer than a lease, all nodes serve their
+// programs within two seconds; none waits for the lease of its earlier incarnation.
 func TestRecoveryAfterCoresCutOff(t *testing.T) {
 	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 }))
 	var ids []string
@@ -613,28 +607,28 @@
 			w.Advance(3 * time.Second)
 		}
 	}
-	mended := w.now
+	restored := w.now
 	for i, id := range ids {
 		for {
-			a, last := w.Do(i, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.newID("say"), MaxTokens: 10, Timeout: time.Second})
-			if a.Outcome == judge.Whole {
+			result, last := w.Do(i, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.newID("say"), MaxTokens: 10, Timeout: time.Second})
+			if result.Outcome == judge.Whole {
 				break
 			}
-			if w.now > mended+5*time.Second {
-				t.Fatalf("node %d: %+v", i, a)
+			if w.now > restored+5*time.Second {
+				t.Fatalf("node %d: %+v", i, result)
 			}
 			w.Advance(max(20*time.Millisecond, last.Verdict.RetryAfter/10))
 		}
 	}
-	t.Logf("all served %v after the mending", w.now-mended)
-	if w.now > mended+2*time.Second {
-		t.Errorf("all served only %v after the mending", w.now-mended)
+	t.Logf("all served %v after the links were restored", w.now-restored)
+	if w.now > restored+2*time.Second {
+		t.Errorf("all served only %v after the links were restored", w.now-restored)
 	}
 	expectNoBreaches(t, w)
 }
 
-// An inquiry that was passed to an owner which died and came back at once ends
-// when the owner's life is known to have ended, not with its budget.
+// A request forwarded to an owner that restarts ends when the old incarnation is known to
+// have ended, not with its time budget.
 func TestOwnerDiesAndComesBack(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	_, p := open(w, 0, "u")
@@ -646,13 +640,13 @@
 		w.Advance(20 * time.Millisecond)
 	}
 	if took := w.now - died; took > 4*time.Second || got.Outcome == judge.Whole {
-		t.Errorf("it ended as %s after %v", got.Outcome, took)
+		t.Errorf("the request ended as %s after %v", got.Outcome, took)
 	}
 	expectNoBreaches(t, w)
 }
 
-// A replica whose shots break again and again is left out for a time, longer
-// each time, and tried again afterwards.
+// A replica whose attempts fail repeatedly is ejected for increasing times and tried again
+// afterwards.
 func TestEjection(t *testing.T) {
 	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) {
 		role["sessions_per_minute"], role["concurrent_sessions"], role["steps"], role["session_seconds"], role["program_tokens_hard"] = 1000, 1000, 1000, 600, 10_000_000
@@ -664,8 +658,8 @@
 	take := func(n int) (attempts, broken int) {
 		from := len(w.Record.Attempts)
 		for i := 0; i < n; i++ {
-			a, last := turn(w, 0, p.Text, head, 5)
-			if a.Outcome == judge.Whole {
+			result, last := turn(w, 0, p.Text, head, 5)
+			if result.Outcome == judge.Whole {
 				head = last.Head
 			} else {
 				broken++
@@ -680,15 +674,15 @@
 	}
 	first, broken := take(60)
 	if first < 3 || broken > 12 {
-		t.Errorf("%d shots at the failing replica, %d broken turns of 60", first, broken)
+		t.Errorf("%d attempts at the failing replica, %d broken turns of 60", first, broken)
 	}
 	if at := w.nodes[0].nodeM; at.Counters.Interrupted > 12 {
-		t.Errorf("%d broken shots", at.Counters.Interrupted)
+		t.Errorf("%d interrupted attempts", at.Counters.Interrupted)
 	}
 	bad.lossRate = 0
 	w.Advance(20 * time.Second)
 	if again, _ := take(60); again == 0 {
-		t.Error("the replica is well again and is never tried")
+		t.Error("the recovered replica was not tried again")
 	}
 	expectNoBreaches(t, w)
 }
--- a/rehearsalkit/simulator/fault.go
+++ b/rehearsalkit/simulator/fault.go
@@ -7,7 +7,7 @@
 	"saffronfall/peer/node"
 )
 
-// fault brings one fault about, and ends it later.
+// injectFault causes one random fault, ends it later and schedules the next one.
 func (w *World) injectFault() {
 	if w.now > w.Params.Length {
 		return
@@ -63,7 +63,7 @@
 		w.logf("cut %s from %s for %v", n.id, c.id, length)
 		w.cutLink(n, c, length)
 	case 7:
-		w.logf("%s stalls for %v", c.id, length)
+		w.logf("the disk of %s stalls for %v", c.id, length)
 		c.disk.stalledUntil = w.now + length
 	case 8:
 		b := w.backends[w.random.IntN(len(w.backends))]
@@ -82,11 +82,11 @@
 		w.Counts["replica "+b.failureMode]++
 		w.after(length, func() { b.failureMode = "" })
 	case 18:
-		w.logf("a crowd and a burst of alerts")
+		w.logf("burst of session starts and alerts")
 		for i := 0; i < 40; i++ {
 			w.after(w.between(0, 500*time.Millisecond), func() {
-				mark := w.newID("burst")
-				w.submit(w.anyNode(), node.Request{Kind: node.KindAction, Key: "key-t1", User: "crowd", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Timeout: 2 * time.Second}, ignoreResponse)
+				id := w.newID("burst")
+				w.submit(w.anyNode(), node.Request{Kind: node.KindAction, Key: "key-t1", User: "crowd", Service: "alert", OnceKey: id, Arguments: []byte(`{"mark":"` + id + `"}`), Timeout: 2 * time.Second}, ignoreResponse)
 			})
 			w.after(w.between(0, 500*time.Millisecond), func() {
 				w.submit(w.anyNode(), node.Request{Kind: node.KindOpen, Key: "key-t1", User: w.newID("crowd"), Timeout: 2 * time.Second}, ignoreResponse)
@@ -96,7 +96,7 @@
 		if c.alive && down < 2 && !w.readdressed && c != w.cores[0] {
 			w.readdressed = true
 			w.Counts["cores re-addressed"]++
-			w.logf("%s goes to another address", c.id)
+			w.logf("%s restarts at another address", c.id)
 			c.kill()
 			w.after(length, func() {
 				c.address = "10.0.3.1:7000"
@@ -109,11 +109,11 @@
 			w.replaceCore(c)
 		}
 	case 21:
-		// With the cores out of reach, what only an owner and its mirrors hold is
-		// lost with them.
+		// State that only an owner and its mirrors hold is lost with them while the cores
+		// are unreachable, so this fault waits until the links are restored.
 		if !w.allKilled && len(w.cutLinks) == 0 && w.now > w.cutUntil+2*time.Second {
 			w.allKilled = true
-			w.logf("everything is killed")
+			w.logf("all processes are killed")
 			w.Counts["closing faults"]++
 			for _, p := range append(append([]*process(nil), w.cores...), w.nodes...) {
 				p.kill()
@@ -143,7 +143,7 @@
 		}
 	case 14:
 		if c.alive && !c.frozen && down < 2 {
-			w.logf("%s hands its parts over", c.id)
+			w.logf("%s transfers its partitions", c.id)
 			c.coreM.Drain()
 			incarnation := c.incarnation
 			w.after(time.Second, func() {
@@ -169,7 +169,7 @@
 	}
 }
 
-// takeDisk lets a core lose its disk, if that is a loss which must be borne.
+// failDisk makes a core lose its disk if the fleet must tolerate that loss.
 func (w *World) failDisk(c *process, down int, length time.Duration) {
 	if c.alive && down == 0 && w.membersCurrent() {
 		w.logf("%s loses its disk", c.id)
@@ -180,6 +180,7 @@
 	}
 }
 
+// cutLink disconnects two processes, in most cases in both directions.
 func (w *World) cutLink(a, b *process, length time.Duration) {
 	pairs := [][2]string{{a.address, b.address}}
 	if w.chance(0.8) {
@@ -195,8 +196,7 @@
 	})
 }
 
-// replaceCore puts the spare core in the place of another one, for good. It
-// joins by itself.
+// replaceCore replaces a core with the spare permanently. The spare joins by itself.
 func (w *World) replaceCore(old *process) {
 	spare, by := w.spare, w.cores[0]
 	if by == old {
@@ -211,7 +211,7 @@
 	w.after(500*time.Millisecond, func() { w.retire(old, by, spare, w.now+20*time.Second) })
 }
 
-// retire asks for a core's retirement until it is done, or for so long.
+// retire repeats the request to replace a core until it succeeds or the deadline passes.
 func (w *World) retire(old, by, spare *process, until time.Duration) {
 	retry := func() {
 		if w.now < until {
@@ -247,7 +247,7 @@
 	})
 }
 
-// coreCut cuts all cores from all nodes.
+// cutCoresFromNodes disconnects all cores from all nodes.
 func (w *World) cutCoresFromNodes(length time.Duration) {
 	w.cutUntil = max(w.cutUntil, w.now+length)
 	for _, c := range w.cores {
@@ -257,6 +257,7 @@
 	}
 }
 
+// isolate disconnects a process from all others.
 func (w *World) isolate(p *process, length time.Duration) {
 	for _, other := range w.processes {
 		if other != p {
--- a/rehearsalkit/simulator/load_test.go
+++ b/rehearsalkit/simulator/load_test.go
@@ -9,8 +9,8 @@
 	"saffronfall/rule/program"
 )
 
-// With all places at replicas taken, a turn waits for one within its budget; a
-// waiting room that is too long is told at once, with a time that grows with it.
+// With all slots of replicas taken, a turn waits within its time budget; a full queue is
+// refused at once, with a retry time that grows with the queue.
 func TestWaitForReplicaCapacity(t *testing.T) {
 	p := defaults(7)
 	p.Cores, p.Nodes, p.Users, p.Replicas, p.Rate, p.Burst, p.MemberTerm, p.Zones = 3, 3, 0, 1, 500, 900, 2*time.Second, 3
@@ -31,11 +31,11 @@
 	var waits []time.Duration
 	began := w.now
 	for _, id := range ids {
-		w.submit(w.nodes[0], node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.newID("say"), MaxTokens: 20, Timeout: 4 * time.Second}, func(a judge.Request, last node.Frame) {
+		w.submit(w.nodes[0], node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.newID("say"), MaxTokens: 20, Timeout: 4 * time.Second}, func(result judge.Request, last node.Frame) {
 			switch {
-			case a.Outcome == judge.Whole:
+			case result.Outcome == judge.Whole:
 				whole++
-			case a.Code == "no_replica":
+			case result.Code == "no_replica":
 				refused++
 				waits = append(waits, last.Verdict.RetryAfter)
 			}
@@ -47,7 +47,7 @@
 	}
 	for _, wait := range waits {
 		if wait <= 0 || wait > 10*time.Second {
-			t.Errorf("told to come back in %v", wait)
+			t.Errorf("retry time %v", wait)
 		}
 	}
 	expectNoBreaches(t, w)
--- a/rehearsalkit/simulator/loads.go
+++ b/rehearsalkit/simulator/loads.go
@@ -8,7 +8,7 @@
 	"saffronfall/rehearsalkit/judge"
 )
 
-// Crowded is what became of alerts in calm and under a crowd.
+// CrowdResult compares alerts under normal load (index 0) and under overload (index 1).
 type CrowdResult struct {
 	Alerts, Succeeded     [2]int
 	Median, P90           [2]time.Duration
@@ -16,9 +16,8 @@
 	Breaches              []judge.Breach
 }
 
-// MeasureCrowd lets requesters live in calm, then ten times as many of one
-// tenant with a burst of alerts every second, and compares what alerts of that
-// tenant get.
+// MeasureCrowd runs a normal load, then ten times as many requesters of one tenant
+// with a burst of alerts every second, and compares the alerts of that tenant.
 func MeasureCrowd(seed uint64) CrowdResult {
 	p := defaults(seed)
 	p.Cores, p.Nodes, p.Zones, p.Replicas, p.Alerts, p.Users, p.Partitions = 6, 13, 3, 11, 5, 12, 16
@@ -27,11 +26,11 @@
 	w.limits()
 	w.Record.Nodes, w.Record.Limits.Users = nil, nil
 	const phase = 8 * time.Second
-	calm, crowd := w.now+3*time.Second, w.now+3*time.Second+phase
+	calm, overload := w.now+3*time.Second, w.now+3*time.Second+phase
 	var c CrowdResult
 	var latencies [2][]time.Duration
 	turnDone := func(at time.Duration, ok bool) {
-		if at >= crowd {
+		if at >= overload {
 			c.Turns++
 			if ok {
 				c.SucceededTurns++
@@ -39,28 +38,28 @@
 		}
 	}
 	for i := 0; i < p.Users; i++ {
-		w.chat(i, crowd+phase, turnDone)
+		w.chat(i, overload+phase, turnDone)
 	}
 	for i := 0; i < 10*p.Users; i++ {
-		w.after(crowd-w.now+time.Duration(i)*5*time.Millisecond, func() { w.chat(0, crowd+phase, turnDone) })
+		w.after(overload-w.now+time.Duration(i)*5*time.Millisecond, func() { w.chat(0, overload+phase, turnDone) })
 	}
 	alert := func(period int) {
-		mark := w.newID("alert")
+		id := w.newID("alert")
 		c.Alerts[period]++
-		w.submit(w.anyNode(), node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Timeout: 2 * time.Second}, func(a judge.Request, _ node.Frame) {
-			if a.Outcome == judge.Whole {
+		w.submit(w.anyNode(), node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: id, Arguments: []byte(`{"mark":"` + id + `"}`), Timeout: 2 * time.Second}, func(result judge.Request, _ node.Frame) {
+			if result.Outcome == judge.Whole {
 				c.Succeeded[period]++
-				latencies[period] = append(latencies[period], a.Ended-a.At)
+				latencies[period] = append(latencies[period], result.Ended-result.At)
 			}
 		})
 	}
 	for s := time.Duration(0); s < phase; s += time.Second {
 		for i := 0; i < 6; i++ {
 			w.after(calm+s-w.now+w.between(0, 500*time.Millisecond), func() { alert(0) })
-			w.after(crowd+s-w.now+w.between(0, 500*time.Millisecond), func() { alert(1) })
+			w.after(overload+s-w.now+w.between(0, 500*time.Millisecond), func() { alert(1) })
 		}
 	}
-	w.run(crowd + phase + 4*time.Second)
+	w.run(overload + phase + 4*time.Second)
 	for i := range latencies {
 		sort.Slice(latencies[i], func(a, b int) bool { return latencies[i][a] < latencies[i][b] })
 		if n := len(latencies[i]); n > 0 {
@@ -71,17 +70,16 @@
 	return c
 }
 
-// Shared is how much of one large tenant's quota was used.
+// ShareResult tells how much of the quota of one large tenant was used.
 type ShareResult struct {
-	// Used is the part of the quota that reached replicas in steady state,
-	// Wanted how many times the quota was asked for.
+	// Used is the fraction of the quota that reached replicas in steady state, Wanted the
+	// requested load as a multiple of the quota.
 	Used, Wanted float64
 	Breaches     []judge.Breach
 }
 
-// MeasureShares lets one tenant ask for a good deal more than its quota, at all
-// nodes, at one node, or at one node after another, the other tenants a tenth of
-// it.
+// MeasureShares runs one tenant above its quota at "all nodes", at "one node" or at one
+// node after another ("moving"), with light load of another tenant.
 func MeasureShares(seed uint64, where string) ShareResult {
 	p := defaults(seed)
 	p.Nodes, p.Users, p.Faults, p.Operators, p.MessageLoss, p.Rate, p.Burst, p.MemberTerm = 6, 0, false, 0, 0, 40, 64, 5*time.Second
@@ -91,8 +89,8 @@
 	from, until := w.now+4*time.Second, w.now+16*time.Second
 	asked, moved := 0, 0
 	ask := func(key string, at *process) {
-		mark := w.newID("load")
-		w.submit(at, node.Request{Kind: node.KindAction, Key: key, User: "u", Service: "alert", OnceKey: mark, Arguments: []byte(`{"mark":"` + mark + `"}`), Timeout: 2 * time.Second}, ignoreResponse)
+		id := w.newID("load")
+		w.submit(at, node.Request{Kind: node.KindAction, Key: key, User: "u", Service: "alert", OnceKey: id, Arguments: []byte(`{"mark":"` + id + `"}`), Timeout: 2 * time.Second}, ignoreResponse)
 	}
 	var load func()
 	load = func() {
--- a/rehearsalkit/simulator/process.go
+++ b/rehearsalkit/simulator/process.go
@@ -11,13 +11,14 @@
 	"saffronfall/rule/ordered"
 )
 
+// process is one simulated core or node on its machine.
 type process struct {
 	world       *World
 	id          string
 	zone        string
 	address     string
 	incarnation int
-	// runs counts how often the machine was switched on.
+	// powerCycles counts how often the machine lost power.
 	powerCycles int
 	alive       bool
 	frozen      bool
@@ -33,6 +34,7 @@
 	attempts map[uint64]*simAttempt
 }
 
+// simulatedDisk is the stored state of a core, with writes and messages that await a sync.
 type simulatedDisk struct {
 	stored       core.Stored
 	pending      [][]core.Change
@@ -45,16 +47,18 @@
 	lastTicket   uint64
 }
 
+// heldSend is a message that may leave only after the sync with this number.
 type heldSend struct {
 	after uint64
 	send  core.Send
 }
 
+// now is the local time of the process, whose clock has a rate of its own.
 func (p *process) now() time.Duration {
 	return time.Duration(float64(p.world.now-p.started) * p.rate)
 }
 
-// boot starts a process from what its disk holds.
+// boot starts a new incarnation from the contents of the disk.
 func (p *process) boot() {
 	w := p.world
 	p.incarnation++
@@ -92,7 +96,7 @@
 	p.world.after(every, func() { p.tick(incarnation, every) })
 }
 
-// do runs a step now, or when a frozen process wakes.
+// do executes a step now, or when a frozen process resumes.
 func (p *process) do(step func()) {
 	switch {
 	case !p.alive:
@@ -112,7 +116,7 @@
 	p.alive = false
 	p.incarnation++
 	if p.disk != nil {
-		// What was under way to the disk may or may not have got there.
+		// Writes in progress may or may not have reached the disk.
 		for _, batch := range p.disk.pending {
 			if p.world.chance(0.5) {
 				break
@@ -130,7 +134,7 @@
 	}
 }
 
-// powerOff loses all that was not synced.
+// powerOff kills the process and loses all writes that were not synced.
 func (p *process) powerOff() {
 	if p.disk != nil {
 		p.disk.pending = nil
@@ -157,7 +161,7 @@
 	}
 }
 
-// loseDisk empties a core's folder: what boots next is a new incarnation.
+// loseDisk replaces the disk with an empty one that has a new storage incarnation.
 func (p *process) loseDisk() {
 	p.disk = &simulatedDisk{stored: core.Stored{Incarnation: fmt.Sprintf("%s-%d", p.id, p.world.random.Uint32())}}
 }
@@ -192,6 +196,7 @@
 	p.world.send(p, s.To, s.Body)
 }
 
+// recode encodes and decodes a message as the network would.
 func recode(body any) any {
 	value, err := message.Open(message.Pack(body))
 	if err != nil {
@@ -200,6 +205,7 @@
 	return value
 }
 
+// sync writes the pending changes and then releases the messages that depend on them.
 func (p *process) sync() {
 	d := p.disk
 	if d.syncing || len(d.pending) == 0 {
--- a/rehearsalkit/simulator/requester.go
+++ b/rehearsalkit/simulator/requester.go
@@ -10,12 +10,12 @@
 	"saffronfall/rule/program"
 )
 
-// ask sends one inquiry to a node and tells its outcome.
-func (w *World) submit(p *process, q node.Request, done func(a judge.Request, last node.Frame)) {
-	a := judge.Request{At: w.now, Kind: q.Kind, Node: p.id, Tenant: tenantOf(q.Key), User: q.User, Program: q.Program, Conversation: q.Conversation, ID: q.Prompt, Service: q.Service}
-	if q.Kind == node.KindAction || q.Kind == node.KindTool {
-		a.ID = requestIDOf(q.Arguments)
-		a.OnceKey = q.OnceKey
+// submit sends a request to a node and calls done with its outcome.
+func (w *World) submit(p *process, request node.Request, done func(result judge.Request, last node.Frame)) {
+	result := judge.Request{At: w.now, Kind: request.Kind, Node: p.id, Tenant: tenantOf(request.Key), User: request.User, Program: request.Program, Conversation: request.Conversation, ID: request.Prompt, Service: request.Service}
+	if request.Kind == node.KindAction || request.Kind == node.KindTool {
+		result.ID = requestIDOf(request.Arguments)
+		result.OnceKey = request.OnceKey
 	}
 	over := false
 	finish := func(last node.Frame) {
@@ -23,17 +23,17 @@
 			return
 		}
 		over = true
-		a.Ended = w.now
-		w.Record.Requests = append(w.Record.Requests, a)
-		w.Counts["asked "+a.Kind+" "+a.Outcome]++
-		if a.Outcome == judge.Refused {
-			w.Counts["refused "+a.Code]++
+		result.Ended = w.now
+		w.Record.Requests = append(w.Record.Requests, result)
+		w.Counts["asked "+result.Kind+" "+result.Outcome]++
+		if result.Outcome == judge.Refused {
+			w.Counts["refused "+result.Code]++
 		}
-		done(a, last)
+		done(result, last)
 	}
 	w.after(w.between(200*time.Microsecond, 2*time.Millisecond), func() {
 		if !p.alive {
-			a.Outcome = judge.Silent
+			result.Outcome = judge.Silent
 			finish(node.Frame{})
 			return
 		}
@@ -45,42 +45,42 @@
 			}
 			switch frame.Kind {
 			case node.FrameChunk:
-				a.Text += frame.Text
-				a.Tokens += frame.Tokens
+				result.Text += frame.Text
+				result.Tokens += frame.Tokens
 			case node.FrameClose:
-				// A requester need not count; the judge does.
-				a.Outcome = judge.Whole
+				// The judge verifies the number of tokens.
+				result.Outcome = judge.Whole
 				finish(frame)
 			case node.FrameAbort:
-				a.Outcome = judge.Broken
+				result.Outcome = judge.Broken
 				finish(frame)
 			case node.FrameVerdict:
-				a.Outcome, a.Code, a.Ran, a.Status = judge.Refused, frame.Verdict.Code, string(frame.Verdict.Ran), frame.Status
-				a.RetryAfter = frame.Verdict.RetryAfter
+				result.Outcome, result.Code, result.Ran, result.Status = judge.Refused, frame.Verdict.Code, string(frame.Verdict.Ran), frame.Status
+				result.RetryAfter = frame.Verdict.RetryAfter
 				finish(frame)
 			case node.FrameBody:
-				a.Outcome, a.Status = judge.Whole, frame.Status
-				if a.Program == "" {
-					a.Program = frame.Text
+				result.Outcome, result.Status = judge.Whole, frame.Status
+				if result.Program == "" {
+					result.Program = frame.Text
 				}
 				finish(frame)
 			}
 		}}
-		p.do(func() { p.handleNodeOutput(p.nodeM.Submit(p.now(), ticket, q)) })
+		p.do(func() { p.handleNodeOutput(p.nodeM.Submit(p.now(), ticket, request)) })
 		cancel := func() {
 			if over {
 				return
 			}
 			delete(w.pendingResponses, ticket)
 			p.do(func() { p.handleNodeOutput(p.nodeM.CancelRequest(p.now(), ticket)) })
-			a.Outcome = judge.Silent
+			result.Outcome = judge.Silent
 			finish(node.Frame{})
 		}
-		if w.Params.Faults && q.Kind == node.KindTurn && w.chance(0.02) {
+		if w.Params.Faults && request.Kind == node.KindTurn && w.chance(0.02) {
 			w.Counts["requesters gone"]++
 			w.after(w.between(5*time.Millisecond, 200*time.Millisecond), cancel)
 		}
-		w.after(q.Timeout+300*time.Millisecond, cancel)
+		w.after(request.Timeout+300*time.Millisecond, cancel)
 	})
 }
 
@@ -90,6 +90,7 @@
 	return tenant
 }
 
+// user is a simulated requester with one session at a time.
 type user struct {
 	world   *World
 	name    string
@@ -101,6 +102,7 @@
 
 func (w *World) anyNode() *process { return w.nodes[w.random.IntN(len(w.nodes))] }
 
+// newID returns a request ID that is unique in the run.
 func (w *World) newID(kind string) string {
 	w.lastID++
 	return fmt.Sprintf("%s-%d", kind, w.lastID)
@@ -110,24 +112,25 @@
 	u.world.after(u.world.between(least, most), next)
 }
 
-// live is a user's whole life: open, take turns at any node, call tools, send
-// alerts, close, and again.
+// startSession opens a session whose turns, tool calls and alerts go to random nodes;
+// a new session follows its end.
 func (u *user) startSession() {
 	w := u.world
 	if w.now > w.Params.Length {
 		return
 	}
 	u.heads, u.turns = map[string]string{"": program.EmptyHead}, 0
-	w.submit(w.anyNode(), node.Request{Kind: node.KindOpen, Key: u.key, User: u.name, Timeout: 3 * time.Second}, func(a judge.Request, last node.Frame) {
-		if a.Outcome != judge.Whole {
+	w.submit(w.anyNode(), node.Request{Kind: node.KindOpen, Key: u.key, User: u.name, Timeout: 3 * time.Second}, func(result judge.Request, last node.Frame) {
+		if result.Outcome != judge.Whole {
 			u.pause(300*time.Millisecond, 900*time.Millisecond, u.startSession)
 			return
 		}
-		u.program = a.Program
+		u.program = result.Program
 		u.nextStep()
 	})
 }
 
+// nextStep performs one random action of the session.
 func (u *user) nextStep() {
 	w := u.world
 	if w.now > w.Params.Length {
@@ -136,7 +139,7 @@
 	u.turns++
 	switch {
 	case u.turns > 1 && isStrict(u.key) && w.chance(0.1):
-		// Some begin anew without an end, and more often than they may.
+		// Some users start a new session without closing the old one, above their limits.
 		u.startSession()
 	case u.turns > 14 || w.chance(0.04):
 		w.submit(w.anyNode(), node.Request{Kind: node.KindClose, Key: u.key, Program: u.program, Timeout: 3 * time.Second}, func(judge.Request, node.Frame) {
@@ -163,19 +166,19 @@
 		u.heads[conversation] = program.EmptyHead
 	}
 	before, id := u.heads[conversation], w.newID("turn")
-	q := node.Request{Kind: node.KindTurn, Key: u.key, Program: u.program, Conversation: conversation, Service: "model", PreviousHead: before, Prompt: id, Timeout: w.between(800*time.Millisecond, 5*time.Second)}
-	w.submit(w.anyNode(), q, func(a judge.Request, last node.Frame) {
+	request := node.Request{Kind: node.KindTurn, Key: u.key, Program: u.program, Conversation: conversation, Service: "model", PreviousHead: before, Prompt: id, Timeout: w.between(800*time.Millisecond, 5*time.Second)}
+	w.submit(w.anyNode(), request, func(result judge.Request, last node.Frame) {
 		switch {
-		case a.Outcome == judge.Whole:
-			if want := program.NextHead(before, id, a.Text); want != last.Head {
+		case result.Outcome == judge.Whole:
+			if want := program.NextHead(before, id, result.Text); want != last.Head {
 				w.Record.Requests[len(w.Record.Requests)-1].Text += " (head does not follow)"
 			}
 			u.heads[conversation] = last.Head
-		case a.Outcome == judge.Refused && a.Code == "wrong_history":
+		case result.Outcome == judge.Refused && result.Code == "wrong_history":
 			u.heads[conversation] = last.Verdict.Head
-		case a.Outcome == judge.Refused && (a.Code == "program_tokens_spent" || a.Code == "steps_reached" || a.Code == "duration_reached" || a.Code == "unknown_program" || a.Code == "loop" || a.Code == "tool_calls_per_type_reached"):
+		case result.Outcome == judge.Refused && (result.Code == "program_tokens_spent" || result.Code == "steps_reached" || result.Code == "duration_reached" || result.Code == "unknown_program" || result.Code == "loop" || result.Code == "tool_calls_per_type_reached"):
 			u.turns = 100
-		case a.Outcome == judge.Refused && last.Verdict.RetryAfter > 0:
+		case result.Outcome == judge.Refused && last.Verdict.RetryAfter > 0:
 			u.pause(min(last.Verdict.RetryAfter, 2*time.Second), min(last.Verdict.RetryAfter, 2*time.Second)+50*time.Millisecond, u.nextStep)
 			return
 		}
@@ -185,24 +188,24 @@
 
 func (u *user) tool() {
 	w := u.world
-	mark := w.newID("tool")
-	raw, _ := json.Marshal(map[string]string{"mark": mark})
+	id := w.newID("tool")
+	raw, _ := json.Marshal(map[string]string{"mark": id})
 	w.submit(w.anyNode(), node.Request{Kind: node.KindTool, Key: u.key, Program: u.program, Service: "search", Arguments: raw, Timeout: 2 * time.Second}, func(judge.Request, node.Frame) { u.pauseThenContinue() })
 }
 
-// alert sends a once-only alert, often at two nodes at once, and asks again
-// while it is unsure.
+// alert sends a once-only alert, in half of the cases to two nodes at once, and retries
+// while the outcome is uncertain.
 func (u *user) alert() {
 	w := u.world
-	mark := w.newID("once")
-	raw, _ := json.Marshal(map[string]string{"mark": mark})
-	q := node.Request{Kind: node.KindAction, Key: u.key, User: u.name, Service: "alert", OnceKey: mark, Arguments: raw, Timeout: 2 * time.Second}
-	tries := 0
+	id := w.newID("once")
+	raw, _ := json.Marshal(map[string]string{"mark": id})
+	request := node.Request{Kind: node.KindAction, Key: u.key, User: u.name, Service: "alert", OnceKey: id, Arguments: raw, Timeout: 2 * time.Second}
+	attempts := 0
 	var try func(then func())
 	try = func(then func()) {
-		w.submit(w.anyNode(), q, func(a judge.Request, last node.Frame) {
-			tries++
-			if a.Outcome != judge.Whole && tries < 5 {
+		w.submit(w.anyNode(), request, func(result judge.Request, last node.Frame) {
+			attempts++
+			if result.Outcome != judge.Whole && attempts < 5 {
 				u.pause(50*time.Millisecond, 800*time.Millisecond, func() { try(then) })
 				return
 			}
--- a/rehearsalkit/simulator/restart_test.go
+++ b/rehearsalkit/simulator/restart_test.go
@@ -10,14 +10,14 @@
 	"saffronfall/rule/program"
 )
 
-// Kept conversations are asked for at every node all through the twelve seconds
-// after restarts, in touch and cut off from the cores meanwhile: never gone,
-// never unknown, and served again afterwards with their history.
+// Kept conversations are requested at every node for twelve seconds after restarts, with and
+// without connection to the cores. They are never reported gone or unknown, and continue
+// afterwards with their history.
 func TestKeptAfterRestarts(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		nodes, cores int
-		apart        bool
+		isolated     bool
 	}{
 		{"one node", 1, 0, false}, {"all nodes", 4, 0, false}, {"all cores", 0, 3, false}, {"everything", 4, 3, false},
 		{"one node, cut off", 1, 0, true}, {"all nodes, cut off", 4, 0, true}, {"all cores, cut off", 0, 3, true}, {"everything, cut off", 4, 3, true},
@@ -29,8 +29,8 @@
 			heads := map[string]string{}
 			for i := 0; i < 6; i++ {
 				_, opened := open(w, i%4, fmt.Sprint("u", i))
-				a, p := turn(w, (i+1)%4, opened.Text, program.EmptyHead, 50)
-				wantCode(t, "before", a, "")
+				result, p := turn(w, (i+1)%4, opened.Text, program.EmptyHead, 50)
+				wantCode(t, "before", result, "")
 				heads[opened.Text] = p.Head
 			}
 			w.Advance(500 * time.Millisecond)
@@ -42,45 +42,44 @@
 				w.cores[i].kill()
 				w.after(w.between(50*time.Millisecond, 600*time.Millisecond), w.cores[i].boot)
 			}
-			if c.apart {
+			if c.isolated {
 				w.cutCoresFromNodes(6 * time.Second)
 			}
-			looks := 0
+			requests := 0
 			for end := w.now + 12*time.Second; w.now < end; w.Advance(150 * time.Millisecond) {
 				for id := range heads {
 					for _, n := range w.nodes {
-						looks++
+						requests++
 						w.submit(n, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: id, Timeout: 2 * time.Second}, ignoreResponse)
 					}
 				}
 			}
 			w.Advance(3 * time.Second)
 			for id, head := range heads {
-				a, _ := turn(w, 3, id, head, 50)
-				wantCode(t, "after", a, "")
+				result, _ := turn(w, 3, id, head, 50)
+				wantCode(t, "after", result, "")
 			}
-			whole := 0
-			for _, a := range w.Record.Requests {
-				if a.Kind == node.KindStatus && a.Outcome == judge.Whole {
-					whole++
+			completed := 0
+			for _, result := range w.Record.Requests {
+				if result.Kind == node.KindStatus && result.Outcome == judge.Whole {
+					completed++
 				}
 			}
-			if looks < 1500 || whole < looks/10 {
-				t.Errorf("%d looks, %d whole", looks, whole)
+			if requests < 1500 || completed < requests/10 {
+				t.Errorf("%d requests, %d complete", requests, completed)
 			}
 			expectNoBreaches(t, w)
 		})
 	}
 }
 
-// A node that was killed and started again on its machine is back at once, as
-// it has the address that its former life had. After the machine itself was off,
-// it waits until that life has surely ended.
+// A node that restarts on the same running machine is ready at once, since its address is
+// unchanged. After a power loss it waits until the lease of the earlier incarnation is over.
 func TestRestartOnSameMachine(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		inject      func(p *process)
-		least, most time.Duration
+		name             string
+		inject           func(p *process)
+		earliest, latest time.Duration
 	}{
 		{"killed", (*process).kill, 0, 2 * time.Second},
 		{"machine off", (*process).powerOff, 6 * time.Second, 12 * time.Second},
@@ -92,10 +91,10 @@
 		began := w.now
 		c.inject(w.nodes[0])
 		w.nodes[0].boot()
-		for w.now < began+c.most && !w.nodes[0].nodeM.Ready(w.nodes[0].now()) {
+		for w.now < began+c.latest && !w.nodes[0].nodeM.Ready(w.nodes[0].now()) {
 			w.Advance(50 * time.Millisecond)
 		}
-		if took := w.now - began; took < c.least || took >= c.most {
+		if took := w.now - began; took < c.earliest || took >= c.latest {
 			t.Errorf("%s: back after %v", c.name, took)
 		}
 	}
--- a/rehearsalkit/simulator/run.go
+++ b/rehearsalkit/simulator/run.go
@@ -17,8 +17,8 @@
 
 const tenants = 3
 
-// strictUser are the limits of the users of the last tenant, which are reached
-// often.
+// strictLimits are the limits for users of the last tenant. They are low, so that runs
+// reach them often.
 var strictLimits = judge.UserLimits{PerMinute: 4, Lockout: 3 * time.Second, Concurrent: 2, Session: 5 * time.Second, DayTokens: 8000}
 
 func isStrict(key string) bool { return key == fmt.Sprintf("key-t%d", tenants) }
@@ -28,11 +28,11 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// describe is the description of one version: it holds a key of its own, so
-// that a probe can tell from outside which version is in force at a node.
-func (w *World) describe(mark string) []byte {
+// describe returns a configuration with its own key, by which a probe can detect which
+// version a node has in force.
+func (w *World) describe(key string) []byte {
 	if w.Params.Describe != nil {
-		return w.Params.Describe(mark)
+		return w.Params.Describe(key)
 	}
 	role := map[string]any{"sessions_per_minute": 600, "sessions_per_hour": 6000, "sessions_per_day": 60000, "concurrent_sessions": 50,
 		"steps": 40, "program_tokens_soft": 3000, "program_tokens_hard": 6000, "turn_tokens": 1000, "tool_calls": 30, "tool_calls_per_type": 30,
@@ -50,11 +50,11 @@
 		list[name] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest("key-" + name), "role": role}},
 			"inquiries_per_second": w.Params.Rate, "burst": w.Params.Burst}
 	}
-	if strings.HasSuffix(mark, revokingSuffix) {
+	if strings.HasSuffix(key, revokingSuffix) {
 		list["t1"].(map[string]any)["keys"] = []any{}
 	}
 	list["t2"].(map[string]any)["day_tokens"] = w.Params.DayTokens
-	list["probe"] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest(mark), "role": "viewer"}}}
+	list["probe"] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest(key), "role": "viewer"}}}
 	text, _ := json.Marshal(map[string]any{"roles": map[string]any{"viewer": role, "strict": strictRole}, "tenants": list,
 		"services": map[string]any{"model": map[string]any{"kind": "model"}, "alert": map[string]any{"kind": "once", "urgent": true, "past_breaker": true},
 			"search": map[string]any{"kind": "tool", "calls_per_minute": 1000}},
@@ -62,7 +62,8 @@
 	return text
 }
 
-// Run runs a whole world and returns the breaches.
+// Run simulates a whole run with its users, operators and faults, and returns the
+// world and the breaches.
 func Run(p Params) (*World, []judge.Breach) {
 	w := New(p)
 	w.Found()
@@ -91,7 +92,7 @@
 	return w, w.Record.Judge()
 }
 
-// limits tells the judge what the world's description allows.
+// limits sets the limits by which the judge checks the run.
 func (w *World) limits() {
 	p := w.Params
 	w.Record.Limits = judge.Limits{ProgramTokens: 6000, TurnTokens: 1000, Rate: map[string]float64{}, Burst: map[string]float64{}, Retention: time.Hour, PropagationLimit: 2 * time.Second,
@@ -105,7 +106,7 @@
 	}
 }
 
-// firstHand hands the first description over until it is taken.
+// applyFirstConfiguration retries the first configuration until it is in force.
 func (w *World) applyFirstConfiguration() {
 	at := w.cores[w.random.IntN(len(w.cores))]
 	if !at.alive || at.frozen {
@@ -119,47 +120,49 @@
 	})
 }
 
-func (w *World) applyConfiguration(at *process, basedOn uint64, mark string, done func(taken bool)) {
-	text := w.describe(mark)
-	h := core.ApplyRequest{BasedOn: basedOn, Text: text, Digest: digestOf(text), Timeout: 8*time.Second + 2*w.Params.MemberTerm}
-	w.pendingKeys[mark] = basedOn + 1
+// applyConfiguration submits a configuration to a core and records its outcome.
+func (w *World) applyConfiguration(at *process, basedOn uint64, key string, done func(taken bool)) {
+	text := w.describe(key)
+	request := core.ApplyRequest{BasedOn: basedOn, Text: text, Digest: digestOf(text), Timeout: 8*time.Second + 2*w.Params.MemberTerm}
+	w.pendingKeys[key] = basedOn + 1
 	began := w.now
 	revoked := ""
-	if strings.HasSuffix(mark, revokingSuffix) {
+	if strings.HasSuffix(key, revokingSuffix) {
 		revoked = "t1"
 	}
 	w.Record.Submissions = append(w.Record.Submissions, judge.Submission{At: began, BasedOn: basedOn})
 	w.Operate(at, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-		return m.ApplyConfiguration(now, ticket, h)
+		return m.ApplyConfiguration(now, ticket, request)
 	}, func(body any) {
-		t := body.(core.ApplyResult)
-		w.logf("configuration %s on %d: %+v", mark, basedOn, t.Code)
-		w.Counts["configuration "+t.Code]++
-		w.version = max(w.version, t.Version)
-		if t.InForce {
-			w.versionKeys[t.Version] = mark
-			w.Record.Decisions = append(w.Record.Decisions, judge.Decision{At: w.now, Version: t.Version, ID: mark, RevokedTenant: revoked})
-			delete(w.pendingKeys, mark)
+		result := body.(core.ApplyResult)
+		w.logf("configuration %s based on version %d: %+v", key, basedOn, result.Code)
+		w.Counts["configuration "+result.Code]++
+		w.version = max(w.version, result.Version)
+		if result.InForce {
+			w.versionKeys[result.Version] = key
+			w.Record.Decisions = append(w.Record.Decisions, judge.Decision{At: w.now, Version: result.Version, ID: key, RevokedTenant: revoked})
+			delete(w.pendingKeys, key)
 		}
-		if t.Code == "race_lost" || t.Code == "not_approved" || t.Code == "faulty" {
-			w.versionKeys[refusedBase+uint64(len(w.versionKeys))] = mark
-			w.Record.Decisions = append(w.Record.Decisions, judge.Decision{At: w.now, ID: mark, Refused: true})
-			delete(w.pendingKeys, mark)
+		if result.Code == "race_lost" || result.Code == "not_approved" || result.Code == "faulty" {
+			w.versionKeys[refusedBase+uint64(len(w.versionKeys))] = key
+			w.Record.Decisions = append(w.Record.Decisions, judge.Decision{At: w.now, ID: key, Refused: true})
+			delete(w.pendingKeys, key)
 		}
-		if t.Code == "agreed_not_taken" {
-			w.versionKeys[t.Version] = mark
-			delete(w.pendingKeys, mark)
+		if result.Code == "agreed_not_taken" {
+			w.versionKeys[result.Version] = key
+			delete(w.pendingKeys, key)
 		}
-		done(t.InForce)
+		done(result.InForce)
 	})
 }
 
+// refusedBase is added to numbers of refused configurations to tell them from versions.
 const refusedBase = 1 << 40
 
-// revoking ends the marks of descriptions in which the first tenant has no key.
+// revokingSuffix ends the keys of configurations in which the first tenant has no key.
 const revokingSuffix = "-revoking"
 
-// operator hands over new descriptions, racing the other operators.
+// operator applies new configurations concurrently with the other operators.
 func (w *World) operator() {
 	if w.now > w.Params.Length {
 		return
@@ -170,16 +173,15 @@
 		return
 	}
 	w.lastID++
-	mark := fmt.Sprintf("probe-%d", w.lastID)
+	key := fmt.Sprintf("probe-%d", w.lastID)
 	if w.chance(0.15) {
-		mark += revokingSuffix
+		key += revokingSuffix
 	}
-	w.applyConfiguration(at, w.version, mark, func(bool) {})
+	w.applyConfiguration(at, w.version, key, func(bool) {})
 	w.after(w.between(time.Second, 4*time.Second), w.operator)
 }
 
-// probe finds out from outside which version each node has in force, by which
-// version's own key it takes.
+// probe checks periodically which version a random node has in force.
 func (w *World) probe() {
 	if w.now > w.Params.Length+w.Params.Settle-3*time.Second {
 		return
@@ -188,11 +190,12 @@
 	w.after(w.between(50*time.Millisecond, 250*time.Millisecond), w.probe)
 }
 
+// probeNode checks by their keys which of the known versions a node has in force.
 func (w *World) probeNode(p *process, last bool) {
 	probeKey := func(key string, version uint64) {
-		w.submit(p, node.Request{Kind: node.KindStatus, Key: key, Program: "none", Timeout: time.Second}, func(a judge.Request, _ node.Frame) {
-			if a.Code == "unknown_program" {
-				w.Record.Probes = append(w.Record.Probes, judge.Probe{At: a.At, Ended: a.Ended, Node: p.id, Version: version, Final: last})
+		w.submit(p, node.Request{Kind: node.KindStatus, Key: key, Program: "none", Timeout: time.Second}, func(result judge.Request, _ node.Frame) {
+			if result.Code == "unknown_program" {
+				w.Record.Probes = append(w.Record.Probes, judge.Probe{At: result.At, Ended: result.Ended, Node: p.id, Version: version, Final: last})
 				if version >= refusedBase {
 					w.Record.Decisions = append(w.Record.Decisions, judge.Decision{Version: version, Refused: true})
 				}
@@ -202,13 +205,13 @@
 	for _, v := range ordered.Keys(w.versionKeys) {
 		probeKey(w.versionKeys[v], v)
 	}
-	// What became of some descriptions nobody was told, or not surely.
-	for _, mark := range ordered.Keys(w.pendingKeys) {
-		probeKey(mark, w.pendingKeys[mark])
+	// The outcome of pending configurations is not known yet.
+	for _, key := range ordered.Keys(w.pendingKeys) {
+		probeKey(key, w.pendingKeys[key])
 	}
 }
 
-// Summary lists what was counted, in order.
+// Summary returns all counts sorted by name.
 func (w *World) Summary() []string {
 	var lines []string
 	for _, name := range ordered.Keys(w.Counts) {
@@ -217,8 +220,8 @@
 	return lines
 }
 
-// Calm founds a world without faults, with a first description in force and
-// back ends known, for tests that drive it step by step.
+// NewWithoutFaults returns a running world without faults or message loss, with the first
+// configuration in force and all replicas announced, for tests that drive it step by step.
 func NewWithoutFaults(p Params) *World {
 	p.Faults, p.MessageLoss = false, 0
 	w := New(p)
@@ -231,26 +234,26 @@
 	return w
 }
 
-// Do makes one inquiry at a node and runs the world until its return.
-func (w *World) Do(number int, q node.Request) (judge.Request, node.Frame) {
+// Do submits a request to the node with this index and runs the world until its outcome.
+func (w *World) Do(number int, request node.Request) (judge.Request, node.Frame) {
 	var got judge.Request
 	var last node.Frame
 	over := false
-	if q.Timeout == 0 {
-		q.Timeout = 3 * time.Second
+	if request.Timeout == 0 {
+		request.Timeout = 3 * time.Second
 	}
-	w.submit(w.nodes[number], q, func(a judge.Request, p node.Frame) { got, last, over = a, p, true })
-	for until := w.now + q.Timeout + time.Second; !over && w.now < until; {
+	w.submit(w.nodes[number], request, func(result judge.Request, p node.Frame) { got, last, over = result, p, true })
+	for until := w.now + request.Timeout + time.Second; !over && w.now < until; {
 		w.run(w.now + 5*time.Millisecond)
 	}
 	return got, last
 }
 
-// Pass lets time pass.
+// Advance runs the world for a duration of simulated time.
 func (w *World) Advance(d time.Duration) { w.run(w.now + d) }
 
-// seated reports whether every seat of every group is a core as it is now: the
-// loss of one more disk is then one that must be borne.
+// membersCurrent reports whether every member of every group is a current core. Only then
+// must the fleet tolerate the loss of another disk.
 func (w *World) membersCurrent() bool {
 	current := map[string]bool{}
 	for _, p := range w.cores {
@@ -271,8 +274,7 @@
 	return true
 }
 
-// drained restarts a leaving node once it has nothing left, or once its grace
-// is over.
+// awaitDrain restarts a draining node when it has drained or at the deadline.
 func (p *process) awaitDrain(incarnation int, until time.Duration) {
 	w := p.world
 	switch {
@@ -291,10 +293,12 @@
 	w.after(w.between(100*time.Millisecond, time.Second), p.boot)
 }
 
+// open starts a session of the first tenant at a node.
 func open(w *World, at int, user string) (judge.Request, node.Frame) {
 	return w.Do(at, node.Request{Kind: node.KindOpen, Key: "key-t1", User: user})
 }
 
+// turn takes a turn of a program of the first tenant at a node.
 func turn(w *World, at int, id, before string, tokens int64) (judge.Request, node.Frame) {
 	return w.Do(at, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: before, Prompt: w.newID("say"), MaxTokens: tokens})
 }
--- a/rehearsalkit/simulator/seeds.go
+++ b/rehearsalkit/simulator/seeds.go
@@ -7,18 +7,21 @@
 	"saffronfall/rehearsalkit/judge"
 )
 
-// Outcome is what became of one seed.
+// Outcome is the result of one seed.
 type Outcome struct {
-	Seed           uint64
-	Breaches       []judge.Breach
+	Seed     uint64
+	Breaches []judge.Breach
+	// CompletedTurns counts the turns whose response arrived in full.
 	CompletedTurns int64
-	// Situations counts how often what each rule is about came about.
-	Situations   map[string]int
+	// Situations counts the occurrences of the situations that the rules are about.
+	Situations map[string]int
+	// MaxTripDelay is the longest time that a node still admitted after another node
+	// had reported a trip of the breaker.
 	MaxTripDelay time.Duration
 }
 
-// RunSeeds runs seeds one after the other on each processor, and tells their
-// outcomes as they come.
+// RunSeeds runs consecutive seeds in parallel, one for each processor, and reports each
+// outcome as it completes, in any order.
 func RunSeeds(first uint64, count int, report func(o Outcome)) {
 	work, done := make(chan uint64), make(chan Outcome)
 	for i := 0; i < runtime.NumCPU(); i++ {
--- a/rehearsalkit/simulator/simulator_test.go
+++ b/rehearsalkit/simulator/simulator_test.go
@@ -9,12 +9,12 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 200, "how many fixed seeds to run")
-	every = flag.Int("every", 60, "make one in so many runs of crash points")
+	seeds = flag.Int("seeds", 200, "number of consecutive seeds to run")
+	every = flag.Int("every", 60, "execute one of this many runs of crash points")
 	first = flag.Uint64("first", 1, "first seed")
 )
 
-// TestSeeds runs the fleet under all faults, one world a seed.
+// TestSeeds runs one world for each seed under all faults.
 func TestSeeds(t *testing.T) {
 	var whole int64
 	situations := map[string]int{}
@@ -27,14 +27,14 @@
 			t.Errorf("seed %d: %s", o.Seed, b)
 		}
 		if o.CompletedTurns < 20 {
-			t.Errorf("seed %d: only %d whole turns; a run that serves nothing proves nothing", o.Seed, o.CompletedTurns)
+			t.Errorf("seed %d: only %d complete turns, too few to test the rules", o.Seed, o.CompletedTurns)
 		}
 	})
 	fmt.Printf("%d seeds, %d whole turns\n", *seeds, whole)
 	for _, name := range ordered.Keys(situations) {
 		fmt.Printf("  %-36s %d\n", name, situations[name])
 		if situations[name] == 0 && *seeds >= 100 {
-			t.Errorf("%s: never came about, so its rule was not tried", name)
+			t.Errorf("%s: never occurred, so its rule was not tested", name)
 		}
 	}
 }
@@ -51,11 +51,11 @@
 		t.Error(b)
 	}
 	if w.Counts["asked turn whole"] < 100 {
-		t.Error("too few whole turns")
+		t.Error("too few complete turns")
 	}
 }
 
-// TestOne runs the first seed and tells all.
+// TestSingleSeed runs the first seed with a full log.
 func TestSingleSeed(t *testing.T) {
 	if !testing.Verbose() {
 		t.Skip("only with -v")
@@ -71,18 +71,18 @@
 	}
 }
 
-// TestSame shows that a seed always gives the same run.
+// TestDeterministic checks that a seed always gives the same run.
 func TestDeterministic(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
-		a, _ := Run(Defaults(seed))
-		b, _ := Run(Defaults(seed))
-		if x, y := fmt.Sprint(a.Summary(), a.Record), fmt.Sprint(b.Summary(), b.Record); x != y {
+		first, _ := Run(Defaults(seed))
+		second, _ := Run(Defaults(seed))
+		if x, y := fmt.Sprint(first.Summary(), first.Record), fmt.Sprint(second.Summary(), second.Record); x != y {
 			t.Errorf("seed %d gave two different runs", seed)
 		}
 	}
 }
 
-// TestCrashPoints makes one in so many of the runs of rehearsalkit crash.
+// TestCrashPoints executes a sample of the runs of the crash command.
 func TestCrashPoints(t *testing.T) {
 	points, runs := 0, 0
 	CrashPoints(*every, func(c CrashResult) {
--- a/rehearsalkit/simulator/terms.go
+++ b/rehearsalkit/simulator/terms.go
@@ -8,22 +8,22 @@
 	"saffronfall/rule/program"
 )
 
-// Term is what one length of a member's term costs and gives.
+// TermResult is the effect of one duration of member leases.
 type TermResult struct {
 	Term time.Duration
-	// Served has, for each cut of all cores, the part of the turns asked
-	// meanwhile that came whole.
+	// Served maps the duration of a disconnection of all cores to the fraction of turns
+	// submitted meanwhile that completed.
 	Served map[time.Duration]float64
-	// Asked is how many turns were asked in all cuts.
+	// Turns is the number of turns submitted in all disconnections.
 	Turns int
-	// Successor is how long a program waited that had lost its owner, Taken how
-	// long a configuration took with a node dead: the longest of all seeds.
+	// MaxFailover is the longest time until a program whose owner was killed was served
+	// again, MaxConfigurationDelay the longest time to apply a configuration with a node dead.
 	MaxFailover, MaxConfigurationDelay time.Duration
 	Breaches                           []judge.Breach
 }
 
-// MeasureTerm runs cuts of all cores, a killed owner, and a configuration with a
-// dead node, for some seeds.
+// MeasureTerm runs disconnections of all cores, a killed owner and a configuration with
+// a dead node, for the given number of seeds each.
 func MeasureTerm(term time.Duration, cuts []time.Duration, seeds uint64) TermResult {
 	t := TermResult{Term: term, Served: map[time.Duration]float64{}}
 	world := func(seed uint64) *World {
@@ -67,15 +67,15 @@
 		w.Advance(term)
 		w.nodes[0].kill()
 		died := w.now
-		handed := w.now
+		submitted := w.now
 		w.applyConfiguration(w.cores[0], w.version, "probe-dead", func(taken bool) {
 			if taken {
-				t.MaxConfigurationDelay = max(t.MaxConfigurationDelay, w.now-handed)
+				t.MaxConfigurationDelay = max(t.MaxConfigurationDelay, w.now-submitted)
 			}
 		})
 		for w.now < died+3*term+10*time.Second {
-			a, _ := w.Do(1, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: opened.Text, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.newID("say"), MaxTokens: 10})
-			if a.Outcome == judge.Whole {
+			result, _ := w.Do(1, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: opened.Text, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.newID("say"), MaxTokens: 10})
+			if result.Outcome == judge.Whole {
 				t.MaxFailover = max(t.MaxFailover, w.now-died)
 				break
 			}
@@ -86,8 +86,8 @@
 	return t
 }
 
-// chat is a requester who takes turns of one program after the other at any
-// node until a time, and tells of each turn.
+// chat simulates a requester that takes turns of one program after another at random
+// nodes until a time, and reports each turn.
 func (w *World) chat(number int, until time.Duration, done func(asked time.Duration, whole bool)) {
 	key := "key-t1"
 	var talk func(id, head string)
@@ -96,8 +96,8 @@
 		if w.now >= until {
 			return
 		}
-		w.submit(w.anyNode(), node.Request{Kind: node.KindOpen, Key: key, User: w.newID("u"), Timeout: 2 * time.Second}, func(a judge.Request, p node.Frame) {
-			if a.Outcome != judge.Whole {
+		w.submit(w.anyNode(), node.Request{Kind: node.KindOpen, Key: key, User: w.newID("u"), Timeout: 2 * time.Second}, func(result judge.Request, p node.Frame) {
+			if result.Outcome != judge.Whole {
 				w.after(200*time.Millisecond, open)
 				return
 			}
@@ -108,15 +108,15 @@
 		if w.now >= until {
 			return
 		}
-		w.submit(w.anyNode(), node.Request{Kind: node.KindTurn, Key: key, Program: id, Service: "model", PreviousHead: head, Prompt: w.newID("say"), MaxTokens: 100, Timeout: 2 * time.Second}, func(a judge.Request, p node.Frame) {
-			done(a.At, a.Outcome == judge.Whole)
+		w.submit(w.anyNode(), node.Request{Kind: node.KindTurn, Key: key, Program: id, Service: "model", PreviousHead: head, Prompt: w.newID("say"), MaxTokens: 100, Timeout: 2 * time.Second}, func(result judge.Request, p node.Frame) {
+			done(result.At, result.Outcome == judge.Whole)
 			pause := w.between(500*time.Millisecond, 1500*time.Millisecond)
 			switch {
-			case a.Outcome == judge.Whole:
+			case result.Outcome == judge.Whole:
 				head = p.Head
-			case a.Code == "wrong_history":
+			case result.Code == "wrong_history":
 				head = p.Verdict.Head
-			case a.Code == "steps_reached" || a.Code == "duration_reached" || a.Code == "program_tokens_spent":
+			case result.Code == "steps_reached" || result.Code == "duration_reached" || result.Code == "program_tokens_spent":
 				w.after(pause, open)
 				return
 			}
--- a/rehearsalkit/simulator/world.go
+++ b/rehearsalkit/simulator/world.go
@@ -1,5 +1,9 @@
-// Package simulator runs the fleet's own machines in simulated time, with
-// seeded faults, and judges the run by what requesters and back ends saw.
+// Package simulator runs the state machines of cores and nodes in simulated time under
+// seeded faults, and judges each run by what requesters and replicas observed.
+//
+// A run depends on its seed alone: all events pass through one agenda, and all random
+// numbers come from one generator. Start reading at World and Run; injectFault has the
+// faults, CrashPoints the crash tests.
 package simulator
 
 import (
@@ -15,7 +19,7 @@
 	"saffronfall/rule/partition"
 )
 
-// Params size a run.
+// Params are the size, the load and the faults of a run.
 type Params struct {
 	Seed               uint64
 	Cores              int
@@ -30,21 +34,21 @@
 	Faults             bool
 	Operators          int
 	MessageLoss        float64
-	Describe           func(mark string) []byte
+	Describe           func(key string) []byte
 	Rate               float64
 	Burst              int64
 	MinuteCost         float64
 	DayTokens          int64
 	AnnouncementMaxAge time.Duration
 	MemberTerm         time.Duration
-	// Sync is the longest that a sync of a disk takes that does not stall.
+	// MaxSync is the longest duration of a disk sync that does not stall.
 	MaxSync time.Duration
 	Logf    func(format string, args ...any)
 }
 
-// Defaults are a small fleet under all faults. Every fourth seed has a breaker
-// that trips, others a tenant whose day ends early, longer terms or low rates;
-// one in ten has the size of a deployment.
+// Defaults returns a small fleet under all faults. By the seed it also varies the cost
+// limit of the breaker, the daily allowance of a tenant, the member lease and the rates;
+// one seed in ten has the size of a deployment.
 func Defaults(seed uint64) Params {
 	p := defaults(seed)
 	switch seed % 4 {
@@ -68,12 +72,13 @@
 	return p
 }
 
+// defaults returns the small fleet without the variations by seed.
 func defaults(seed uint64) Params {
 	return Params{Seed: seed, Cores: 5, Nodes: 4, Zones: 3, Replicas: 4, Alerts: 2, Users: 12, Partitions: 6, Length: 24 * time.Second,
 		Settle: 8 * time.Second, Faults: true, Operators: 2, MessageLoss: 0.005, Rate: 20, Burst: 16, MinuteCost: 50, DayTokens: 100_000_000, AnnouncementMaxAge: 1700 * time.Millisecond, MemberTerm: 2 * time.Second, MaxSync: 4 * time.Millisecond}
 }
 
-// World is one run.
+// World is the state of one run. It is not safe for concurrent use.
 type World struct {
 	Params Params
 	Record judge.Record
@@ -88,7 +93,7 @@
 	spare       *process
 	readdressed bool
 	allKilled   bool
-	// cutUntil is until when cores may be out of nodes' reach.
+	// cutUntil is when the last fault ends that can disconnect cores from nodes.
 	cutUntil         time.Duration
 	backends         []*backend
 	cutLinks         map[[2]string]bool
@@ -99,18 +104,19 @@
 	version          uint64
 	versionKeys      map[uint64]string
 	pendingKeys      map[string]uint64
-	// atMessage and atSync are told of crash points.
+	// atMessage and atSync are called at crash points.
 	atMessage func(from, to *process, body any)
 	atSync    func(p *process, what string)
 }
 
+// pendingResponse receives the response frames of a request in order.
 type pendingResponse struct {
 	node         *process
 	nextDelivery time.Duration
 	deliver      func(frame node.Frame)
 }
 
-// New lays out a world.
+// New creates a world whose processes have not started.
 func New(p Params) *World {
 	w := &World{Params: p, random: rand.New(rand.NewPCG(p.Seed, 0x5affe0)), processes: map[string]*process{}, cutLinks: map[[2]string]bool{}, lastDelivery: map[[2]string]time.Duration{},
 		pendingResponses: map[uint64]*pendingResponse{}, Counts: map[string]int64{}, versionKeys: map[uint64]string{}, pendingKeys: map[string]uint64{}}
@@ -127,7 +133,7 @@
 	for i := 0; i < p.Alerts; i++ {
 		w.backends = append(w.backends, &backend{world: w, service: "alert", id: fmt.Sprintf("a%d", i+1), zone: zone(i), alive: true})
 	}
-	// A core that belongs to no fleet yet.
+	// The spare core belongs to no fleet yet.
 	w.spare = w.add("core-spare", zone(0), "10.0.2.1:7000")
 	w.backends = append(w.backends, &backend{world: w, service: "search", id: "t1", zone: zone(0), alive: true})
 	return w
@@ -139,7 +145,7 @@
 	return p
 }
 
-// Now is the simulated time.
+// Now returns the simulated time.
 func (w *World) Now() time.Duration { return w.now }
 
 func (w *World) after(d time.Duration, what func()) {
@@ -148,6 +154,7 @@
 
 func (w *World) run(until time.Duration) { w.agenda.Run(until, &w.now) }
 
+// between returns a random duration in [a, b].
 func (w *World) between(a, b time.Duration) time.Duration {
 	return a + time.Duration(w.random.Int64N(int64(b-a)+1))
 }
@@ -173,6 +180,7 @@
 	return []string{w.cores[0].address, w.cores[1].address, w.cores[2].address}
 }
 
+// send delivers a message after a random delay, unless the link is cut or the message lost.
 func (w *World) send(from *process, to string, body any) {
 	raw := message.Pack(body)
 	w.Counts["messages"]++
@@ -183,7 +191,7 @@
 	if w.chance(0.01) {
 		delay += w.between(0, 60*time.Millisecond)
 	}
-	// Streams keep their order.
+	// Messages between two processes keep their order.
 	pair := [2]string{from.address, to}
 	at := max(w.now+delay, w.lastDelivery[pair])
 	w.lastDelivery[pair] = at
@@ -209,7 +217,7 @@
 	})
 }
 
-// Found founds the fleet on all cores and boots every process.
+// Found creates the fleet on all cores and starts every process.
 func (w *World) Found() {
 	var list []core.Core
 	for _, p := range w.cores {
@@ -221,7 +229,7 @@
 	for _, p := range w.cores {
 		out, ok := p.coreM.Found(p.now(), f)
 		if !ok {
-			panic("not founded")
+			panic("a core refused to found the fleet")
 		}
 		p.handleCoreOutput(out)
 	}
@@ -230,7 +238,7 @@
 	}
 }
 
-// Operate runs one operator's call at a core.
+// Operate executes an operator's call at a core and passes its answer to done.
 func (w *World) Operate(at *process, step func(m *core.Machine, now time.Duration, ticket uint64) core.Output, done func(body any)) {
 	at.do(func() {
 		d := at.disk
