--- a/rehearsalkit/simulator/backend.go
+++ b/rehearsalkit/simulator/backend.go
@@ -11,14 +11,17 @@
 
 // backend is one simulated replica of a service.
 type backend struct {
-	world       *World
-	service     string
-	id          string
-	zone        string
-	alive       bool
-	leaving     bool
-	running     int64
-	serial      int
+	world   *World
+	service string
+	id      string
+	zone    string
+	alive   bool
+	leaving bool
+	// running is the number of attempts in progress.
+	running int64
+	// serial numbers the successive replicas of a backend.
+	serial int
+	// lossRate is the probability that an answer is lost.
 	lossRate    float64
 	failureMode string
 	// mute stops all announcements of the replica.
@@ -53,7 +56,7 @@
 				// The departure counts from the first announcement that a node received.
 				w.Record.Leaving = append(w.Record.Leaving, judge.Leaving{At: w.now, Replica: r.ID})
 			}
-			accepted := p.nodeM.Announce(p.now(), r, token)
+			accepted := p.nodeMachine.Announce(p.now(), r, token)
 			w.after(w.between(200*time.Microsecond, 3*time.Millisecond), func() {
 				if !over && p.alive {
 					over = true
@@ -124,7 +127,7 @@
 				if e.Kind != node.EventChunk {
 					delete(p.attempts, s.Attempt)
 				}
-				p.handleNodeOutput(p.nodeM.HandleAttemptEvent(p.now(), e))
+				p.handleNodeOutput(p.nodeMachine.HandleAttemptEvent(p.now(), e))
 			})
 		})
 	}
--- a/rehearsalkit/simulator/crash.go
+++ b/rehearsalkit/simulator/crash.go
@@ -62,7 +62,7 @@
 	}},
 	{name: "handover", begin: func(w *World, s *scenario) {
 		n := w.nodes[0]
-		n.handleNodeOutput(n.nodeM.Drain(n.now()))
+		n.handleNodeOutput(n.nodeMachine.Drain(n.now()))
 		w.after(100*time.Millisecond, func() { n.awaitDrain(n.incarnation, w.now+3*time.Second) })
 	}},
 	{name: "configuration", begin: func(w *World, s *scenario) { w.applyConfiguration(w.cores[0], w.version, "probe-crash", func(bool) {}) }},
@@ -79,8 +79,8 @@
 	inject func(w *World, p *process)
 }{
 	{"killed", func(w *World, p *process) { p.kill(); w.after(1500*time.Millisecond, p.boot) }},
-	{"frozen past its term", func(w *World, p *process) { p.freeze(); w.after(2*w.Params.MemberTerm+time.Second, p.wake) }},
-	{"cut off", func(w *World, p *process) { w.isolate(p, 2*w.Params.MemberTerm) }},
+	{"frozen past its term", func(w *World, p *process) { p.freeze(); w.after(2*w.Params.MemberLease+time.Second, p.resume) }},
+	{"cut off", func(w *World, p *process) { w.isolate(p, 2*w.Params.MemberLease) }},
 	{"powered off", func(w *World, p *process) {
 		p.powerOff()
 		w.after(1500*time.Millisecond, p.boot)
@@ -131,7 +131,7 @@
 // stage builds the fleet and the program on which an operation runs.
 func stage() (*World, *scenario) {
 	p := Defaults(3)
-	p.Cores, p.Nodes, p.Users, p.MemberTerm = 4, 4, 0, 2*time.Second
+	p.Cores, p.Nodes, p.Users, p.MemberLease = 4, 4, 0, 2*time.Second
 	p.MinuteCost, p.DayTokens = 50, 100_000_000
 	w := NewWithoutFaults(p)
 	w.limits()
@@ -147,18 +147,18 @@
 
 // point is a crash point: the moment of a message or a sync and the processes involved.
 type point struct {
-	what string
-	who  []*process
+	label     string
+	processes []*process
 }
 
 // visitCrashPoints runs an operation and calls visit at each of its crash points.
 func (w *World) visitCrashPoints(o operation, s *scenario, visit func(p point)) {
 	w.atMessage = func(from, to *process, body any) {
 		if kind := messageKind(body, o.shares); kind != "" {
-			visit(point{what: kind + " " + from.id + ">" + to.id, who: []*process{from, to}})
+			visit(point{label: kind + " " + from.id + ">" + to.id, processes: []*process{from, to}})
 		}
 	}
-	w.atSync = func(p *process, what string) { visit(point{what: what + " " + p.id, who: []*process{p}}) }
+	w.atSync = func(p *process, what string) { visit(point{label: what + " " + p.id, processes: []*process{p}}) }
 	o.begin(w, s)
 	w.run(w.now + 1200*time.Millisecond)
 	w.atMessage, w.atSync = nil, nil
@@ -176,22 +176,22 @@
 // retries at other nodes and judges the record. It executes one run in every `every`.
 func CrashPoints(every int, report func(c CrashResult)) {
 	type job struct {
-		o           operation
-		point, who  int
-		fault       int
-		description string
+		o              operation
+		point, process int
+		fault          int
+		description    string
 	}
 	for _, o := range operations {
 		c := CrashResult{Operation: o.name}
 		var jobs []job
 		w, s := stage()
 		w.visitCrashPoints(o, s, func(p point) {
-			for i, who := range p.who {
+			for i, process := range p.processes {
 				for f := range crashFaults {
-					if who.disk == nil && crashFaults[f].name == "powered off" {
+					if process.disk == nil && crashFaults[f].name == "powered off" {
 						continue
 					}
-					jobs = append(jobs, job{o: o, point: c.Points, who: i, fault: f, description: p.what + ", " + who.id + " " + crashFaults[f].name})
+					jobs = append(jobs, job{o: o, point: c.Points, process: i, fault: f, description: p.label + ", " + process.id + " " + crashFaults[f].name})
 				}
 			}
 			c.Points++
@@ -203,7 +203,7 @@
 			go func() {
 				for j := range work {
 					var faults []string
-					for _, f := range crash(j.o, j.point, j.who, j.fault) {
+					for _, f := range crash(j.o, j.point, j.process, j.fault) {
 						faults = append(faults, fmt.Sprintf("%s, point %d (%s): %s", j.o.name, j.point, j.description, f))
 					}
 					results <- faults
@@ -229,13 +229,13 @@
 }
 
 // crash applies one fault to one process at one crash point and returns the faults found.
-func crash(o operation, at, who, fault int) (faults []string) {
+func crash(o operation, at, process, fault int) (faults []string) {
 	w, s := stage()
 	n, injected := 0, false
 	w.visitCrashPoints(o, s, func(p point) {
 		if n == at && !injected {
 			injected = true
-			victim := p.who[who]
+			victim := p.processes[process]
 			// The fault must not interrupt the step that the process is executing.
 			w.after(0, func() { crashFaults[fault].inject(w, victim) })
 		}
@@ -244,7 +244,7 @@
 	if !injected {
 		return []string{"the crash point was not reached when the run was repeated"}
 	}
-	w.run(w.now + 2*w.Params.MemberTerm + 2*time.Second)
+	w.run(w.now + 2*w.Params.MemberLease + 2*time.Second)
 	if o.retry != nil {
 		for i := range w.nodes {
 			o.retry(w, s, i)
--- a/rehearsalkit/simulator/failure_test.go
+++ b/rehearsalkit/simulator/failure_test.go
@@ -59,7 +59,7 @@
 		w.nodes[0].freeze()
 		w.Advance(5 * time.Second)
 		before, _ := attemptsOf(w, id)
-		w.nodes[0].wake()
+		w.nodes[0].resume()
 		w.Advance(4 * time.Second)
 		if after, _ := attemptsOf(w, id); after != before {
 			t.Errorf("frozen %v after the request: it started the attempt when it resumed", delay)
@@ -374,7 +374,7 @@
 		w.Advance(time.Second)
 		c.boot()
 		w.Advance(100 * time.Millisecond)
-		if g := c.coreM.LeadingPartitions(c.now()); len(g) > 0 {
+		if g := c.coreMachine.LeadingPartitions(c.now()); len(g) > 0 {
 			t.Errorf("%s leads partitions %v right after it restarted with an empty disk", c.id, g)
 		}
 		w.Advance(8 * time.Second)
@@ -476,8 +476,8 @@
 		}
 	}
 	w.Advance(10 * time.Second)
-	if w.nodes[0].nodeM.Counters.TermsLost > 0 || !w.nodes[0].nodeM.Ready(w.nodes[0].now()) {
-		t.Errorf("the lease was lost %d times", w.nodes[0].nodeM.Counters.TermsLost)
+	if w.nodes[0].nodeMachine.Counters.TermsLost > 0 || !w.nodes[0].nodeMachine.Ready(w.nodes[0].now()) {
+		t.Errorf("the lease was lost %d times", w.nodes[0].nodeMachine.Counters.TermsLost)
 	}
 	head := program.EmptyHead
 	for i := 0; i < 3; i++ {
@@ -488,8 +488,8 @@
 	ok := false
 	w.applyConfiguration(w.cores[0], 1, "probe-second", func(taken bool) { ok = taken })
 	w.Advance(2 * time.Second)
-	if !ok || w.nodes[0].nodeM.ConfigurationVersion() != 2 {
-		t.Errorf("in force %v, version %d at the node", ok, w.nodes[0].nodeM.ConfigurationVersion())
+	if !ok || w.nodes[0].nodeMachine.ConfigurationVersion() != 2 {
+		t.Errorf("in force %v, version %d at the node", ok, w.nodes[0].nodeMachine.ConfigurationVersion())
 	}
 	expectNoBreaches(t, w)
 }
@@ -500,13 +500,13 @@
 	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 }))
 	memberPartition := core.PartitionOf(w.Params.Partitions, "member", "node1")
 	for _, c := range w.cores {
-		if len(c.coreM.LeadingPartitions(c.now())) == 0 {
+		if len(c.coreMachine.LeadingPartitions(c.now())) == 0 {
 			t.Fatal("a core leads no partition")
 		}
 	}
 	// node3 receives nothing from the leader of node1's member partition, nor from nodes.
 	for _, c := range w.cores {
-		for _, n := range c.coreM.LeadingPartitions(c.now()) {
+		for _, n := range c.coreMachine.LeadingPartitions(c.now()) {
 			if n == memberPartition {
 				w.cutLinks[[2]string{c.address, w.nodes[2].address}] = true
 			}
@@ -527,7 +527,7 @@
 		w.submit(w.nodes[2], node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text, Timeout: 300 * time.Millisecond}, func(result judge.Request, last node.Frame) {})
 		w.Advance(500 * time.Millisecond)
 	}
-	takeovers = int(w.nodes[2].nodeM.Counters.Takeovers)
+	takeovers = int(w.nodes[2].nodeMachine.Counters.Takeovers)
 	if takeovers > 0 {
 		t.Errorf("%d programs were taken over from a running node", takeovers)
 	}
@@ -550,7 +550,7 @@
 				return
 			}
 			at := w.nodes[w.random.IntN(3)]
-			if !at.nodeM.Ready(at.now()) {
+			if !at.nodeMachine.Ready(at.now()) {
 				at = w.nodes[1]
 			}
 			w.submit(at, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: head, Prompt: w.newID("say"), MaxTokens: 20, Timeout: 5 * time.Second}, func(result judge.Request, last node.Frame) {
@@ -573,8 +573,8 @@
 		}
 		w.Advance(time.Second)
 		began := w.now
-		w.nodes[0].handleNodeOutput(w.nodes[0].nodeM.Drain(w.nodes[0].now()))
-		for !w.nodes[0].nodeM.Drained(w.nodes[0].now()) && w.now < began+6*time.Second {
+		w.nodes[0].handleNodeOutput(w.nodes[0].nodeMachine.Drain(w.nodes[0].now()))
+		for !w.nodes[0].nodeMachine.Drained(w.nodes[0].now()) && w.now < began+6*time.Second {
 			w.Advance(10 * time.Millisecond)
 		}
 		took := w.now - began
@@ -676,7 +676,7 @@
 	if first < 3 || broken > 12 {
 		t.Errorf("%d attempts at the failing replica, %d broken turns of 60", first, broken)
 	}
-	if at := w.nodes[0].nodeM; at.Counters.Interrupted > 12 {
+	if at := w.nodes[0].nodeMachine; at.Counters.Interrupted > 12 {
 		t.Errorf("%d interrupted attempts", at.Counters.Interrupted)
 	}
 	bad.lossRate = 0
--- a/rehearsalkit/simulator/fault.go
+++ b/rehearsalkit/simulator/fault.go
@@ -9,7 +9,7 @@
 
 // injectFault causes one random fault, ends it later and schedules the next one.
 func (w *World) injectFault() {
-	if w.now > w.Params.Length {
+	if w.now > w.Params.LoadTime {
 		return
 	}
 	w.after(w.between(300*time.Millisecond, 2500*time.Millisecond), w.injectFault)
@@ -40,7 +40,7 @@
 	case 1:
 		w.logf("freeze %s for %v", n.id, length)
 		n.freeze()
-		w.after(length, n.wake)
+		w.after(length, n.resume)
 	case 2:
 		if c.alive && down < 2 {
 			w.logf("kill %s", c.id)
@@ -51,7 +51,7 @@
 		if down < 2 {
 			w.logf("freeze %s for %v", c.id, length)
 			c.freeze()
-			w.after(length, c.wake)
+			w.after(length, c.resume)
 		}
 	case 4:
 		w.logf("cut off %s for %v", n.id, length)
@@ -138,13 +138,13 @@
 	case 13:
 		if n.alive && !n.frozen {
 			w.logf("%s drains", n.id)
-			n.handleNodeOutput(n.nodeM.Drain(n.now()))
+			n.handleNodeOutput(n.nodeMachine.Drain(n.now()))
 			w.after(100*time.Millisecond, func() { n.awaitDrain(n.incarnation, w.now+5*time.Second) })
 		}
 	case 14:
 		if c.alive && !c.frozen && down < 2 {
 			w.logf("%s transfers its partitions", c.id)
-			c.coreM.Drain()
+			c.coreMachine.Drain()
 			incarnation := c.incarnation
 			w.after(time.Second, func() {
 				if c.incarnation == incarnation {
--- a/rehearsalkit/simulator/isolation_test.go
+++ b/rehearsalkit/simulator/isolation_test.go
@@ -32,7 +32,7 @@
 	departing := w.backends[0]
 	departing.mute = true
 	departing.leaving = true
-	w.nodes[0].nodeM.Announce(w.nodes[0].now(), node.Replica{Service: departing.service, ID: departing.name(), Address: departing.address(), Leaving: true}, "")
+	w.nodes[0].nodeMachine.Announce(w.nodes[0].now(), node.Replica{Service: departing.service, ID: departing.name(), Address: departing.address(), Leaving: true}, "")
 	w.Record.Leaving = append(w.Record.Leaving, judge.Leaving{At: w.now, Replica: departing.name()})
 	w.nodes[0].kill()
 	if completed, _ := traffic(w, 5*time.Second, 1, 2); completed < 20 {
@@ -46,7 +46,7 @@
 func TestStaleAnnouncementAtResumedNode(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	departing, frozen := w.backends[0], w.nodes[0]
-	token := frozen.nodeM.Announce(frozen.now(), node.Replica{Service: "model", ID: "other", Address: "other"}, "").Token
+	token := frozen.nodeMachine.Announce(frozen.now(), node.Replica{Service: "model", ID: "other", Address: "other"}, "").Token
 	frozen.freeze()
 	departing.announceTo(frozen, departing.serial, token)
 	w.Advance(50 * time.Millisecond)
@@ -54,7 +54,7 @@
 	departing.announce()
 	w.Advance(4 * time.Second)
 	departing.mute = true
-	frozen.wake()
+	frozen.resume()
 	if completed, _ := traffic(w, 3*time.Second, 0); completed < 5 {
 		t.Errorf("only %d turns", completed)
 	}
@@ -69,7 +69,7 @@
 func isolatedFleet(t *testing.T, seed uint64, length time.Duration) (w *World, id, head string) {
 	t.Helper()
 	p := Defaults(seed)
-	p.Cores, p.Nodes, p.Users, p.Describe, p.MemberTerm = 3, 4, 0, describeWith(func(role, tenant, services, breaker tree) {
+	p.Cores, p.Nodes, p.Users, p.Describe, p.MemberLease = 3, 4, 0, describeWith(func(role, tenant, services, breaker tree) {
 		role["steps"], role["session_seconds"] = 1000, 600
 	}), 8*time.Second
 	w = withLimits(NewWithoutFaults(p))
@@ -136,13 +136,13 @@
 		}},
 		{"frozen past its term", func(w *World, mirrors []*process) {
 			w.nodes[0].freeze()
-			w.after(14*time.Second, w.nodes[0].wake)
+			w.after(14*time.Second, w.nodes[0].resume)
 		}},
 		{"isolated", func(w *World, mirrors []*process) { w.isolate(w.nodes[0], 14*time.Second) }},
 		{"killed, and a mirror frozen past its term", func(w *World, mirrors []*process) {
 			w.nodes[0].kill()
 			mirrors[0].freeze()
-			w.after(14*time.Second, mirrors[0].wake)
+			w.after(14*time.Second, mirrors[0].resume)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -152,7 +152,7 @@
 				t.Fatalf("only %d turns before", completed)
 			}
 			var mirrors, others []*process
-			for _, one := range w.nodes[0].nodeM.MirrorsOf("t1", id) {
+			for _, one := range w.nodes[0].nodeMachine.MirrorsOf("t1", id) {
 				mirrors = append(mirrors, w.processes[one])
 			}
 			c.inject(w, mirrors)
@@ -178,7 +178,7 @@
 func TestOwnerAndMirrorsLost(t *testing.T) {
 	w, id, head := isolatedFleet(t, 3, 3*time.Second)
 	_, _, head = takeTurns(w, 2*time.Second, id, head, 0)
-	for _, one := range w.nodes[0].nodeM.MirrorsOf("t1", id) {
+	for _, one := range w.nodes[0].nodeMachine.MirrorsOf("t1", id) {
 		w.processes[one].kill()
 		w.after(5*time.Second, w.processes[one].boot)
 	}
@@ -222,7 +222,7 @@
 // that mirror.
 func TestOneMirrorWhileIsolated(t *testing.T) {
 	w, id, head := isolatedFleet(t, 5, 3*time.Second)
-	mirrors := w.nodes[0].nodeM.MirrorsOf("t1", id)
+	mirrors := w.nodes[0].nodeMachine.MirrorsOf("t1", id)
 	w.cutLinks[[2]string{w.nodes[0].address, mirrors[1]}] = true
 	result, _ := turn(w, 0, id, head, 100)
 	if result.Outcome == judge.Whole {
--- a/rehearsalkit/simulator/loads.go
+++ b/rehearsalkit/simulator/loads.go
@@ -10,6 +10,7 @@
 
 // CrowdResult compares alerts under normal load (index 0) and under overload (index 1).
 type CrowdResult struct {
+	// Median and P90 are latencies of successful alerts; the turns are those under overload.
 	Alerts, Succeeded     [2]int
 	Median, P90           [2]time.Duration
 	Turns, SucceededTurns int
@@ -21,7 +22,7 @@
 func MeasureCrowd(seed uint64) CrowdResult {
 	p := defaults(seed)
 	p.Cores, p.Nodes, p.Zones, p.Replicas, p.Alerts, p.Users, p.Partitions = 6, 13, 3, 11, 5, 12, 16
-	p.Faults, p.Operators, p.MessageLoss, p.Rate, p.Burst, p.MemberTerm = false, 0, 0, 40, 64, 5*time.Second
+	p.Faults, p.Operators, p.MessageLoss, p.Rate, p.Burst, p.MemberLease = false, 0, 0, 40, 64, 5*time.Second
 	w := NewWithoutFaults(p)
 	w.limits()
 	w.Record.Nodes, w.Record.Limits.Users = nil, nil
@@ -82,12 +83,12 @@
 // node after another ("moving"), with light load of another tenant.
 func MeasureShares(seed uint64, where string) ShareResult {
 	p := defaults(seed)
-	p.Nodes, p.Users, p.Faults, p.Operators, p.MessageLoss, p.Rate, p.Burst, p.MemberTerm = 6, 0, false, 0, 0, 40, 64, 5*time.Second
+	p.Nodes, p.Users, p.Faults, p.Operators, p.MessageLoss, p.Rate, p.Burst, p.MemberLease = 6, 0, false, 0, 0, 40, 64, 5*time.Second
 	w := NewWithoutFaults(p)
 	w.limits()
 	w.Record.Nodes = nil
 	from, until := w.now+4*time.Second, w.now+16*time.Second
-	asked, moved := 0, 0
+	asked, moves := 0, 0
 	ask := func(key string, at *process) {
 		id := w.newID("load")
 		w.submit(at, node.Request{Kind: node.KindAction, Key: key, User: "u", Service: "alert", OnceKey: id, Arguments: []byte(`{"mark":"` + id + `"}`), Timeout: 2 * time.Second}, ignoreResponse)
@@ -102,7 +103,7 @@
 		case "all nodes":
 			at = w.anyNode()
 		case "moving":
-			at = w.nodes[moved%len(w.nodes)]
+			at = w.nodes[moves%len(w.nodes)]
 		}
 		if w.now >= from {
 			asked++
@@ -115,7 +116,7 @@
 	}
 	load()
 	var move func()
-	move = func() { moved++; w.after(2*time.Second, move) }
+	move = func() { moves++; w.after(2*time.Second, move) }
 	w.after(2*time.Second, move)
 	w.run(until + 3*time.Second)
 	attempts := 0
--- a/rehearsalkit/simulator/process.go
+++ b/rehearsalkit/simulator/process.go
@@ -22,22 +22,26 @@
 	powerCycles int
 	alive       bool
 	frozen      bool
-	backlog     []func()
-	rate        float64
-	started     time.Duration
+	// backlog holds the steps that arrived while the process was frozen.
+	backlog []func()
+	// rate is the speed of the local clock relative to simulated time.
+	rate    float64
+	started time.Duration
 
-	coreM *core.Machine
-	disk  *simulatedDisk
-	syncs int
+	// coreMachine, disk and syncs belong to cores, nodeMachine and attempts to nodes.
+	coreMachine *core.Machine
+	disk        *simulatedDisk
+	syncs       int
 
-	nodeM    *node.Machine
-	attempts map[uint64]*simAttempt
+	nodeMachine *node.Machine
+	attempts    map[uint64]*simAttempt
 }
 
 // simulatedDisk is the stored state of a core, with writes and messages that await a sync.
 type simulatedDisk struct {
-	stored       core.Stored
-	pending      [][]core.Change
+	stored  core.Stored
+	pending [][]core.Change
+	// issued and synced number the batches of changes; calls are operators' calls by ticket.
 	issued       uint64
 	synced       uint64
 	held         []heldSend
@@ -72,12 +76,12 @@
 		p.disk.calls = map[uint64]func(any){}
 		var image core.Stored
 		image.CopyFrom(p.disk.stored)
-		p.coreM = core.New(core.Options{Params: w.coreParams(), ID: p.id, Zone: p.zone, Address: p.address, Seeds: w.seeds(), Stored: image, Now: p.now(), Random: w.random.Float64})
+		p.coreMachine = core.New(core.Options{Params: w.coreParams(), ID: p.id, Zone: p.zone, Address: p.address, Seeds: w.seeds(), Stored: image, Now: p.now(), Random: w.random.Float64})
 		p.tick(p.incarnation, 15*time.Millisecond)
 		return
 	}
 	p.attempts = map[uint64]*simAttempt{}
-	p.nodeM = node.New(node.Options{Params: w.nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Zone: p.zone, Address: p.address, HTTP: p.address, Host: fmt.Sprint(p.address, " run ", p.powerCycles), Seeds: w.seeds(), Now: p.now(), Random: w.random.Float64})
+	p.nodeMachine = node.New(node.Options{Params: w.nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Zone: p.zone, Address: p.address, HTTP: p.address, Host: fmt.Sprint(p.address, " run ", p.powerCycles), Seeds: w.seeds(), Now: p.now(), Random: w.random.Float64})
 	p.tick(p.incarnation, 10*time.Millisecond)
 }
 
@@ -86,11 +90,11 @@
 		return
 	}
 	p.do(func() {
-		if p.coreM != nil {
-			p.handleCoreOutput(p.coreM.Tick(p.now()))
-			p.coreM.SetStalled(p.disk.stalledUntil > p.world.now)
+		if p.coreMachine != nil {
+			p.handleCoreOutput(p.coreMachine.Tick(p.now()))
+			p.coreMachine.SetStalled(p.disk.stalledUntil > p.world.now)
 		} else {
-			p.handleNodeOutput(p.nodeM.Tick(p.now()))
+			p.handleNodeOutput(p.nodeMachine.Tick(p.now()))
 		}
 	})
 	p.world.after(every, func() { p.tick(incarnation, every) })
@@ -149,7 +153,7 @@
 	}
 }
 
-func (p *process) wake() {
+func (p *process) resume() {
 	if !p.alive || !p.frozen {
 		return
 	}
@@ -190,7 +194,7 @@
 
 func (p *process) sendCore(s core.Send) {
 	if s.To == p.address {
-		p.handleCoreOutput(p.coreM.Receive(p.now(), p.address, recode(s.Body)))
+		p.handleCoreOutput(p.coreMachine.Receive(p.now(), p.address, recode(s.Body)))
 		return
 	}
 	p.world.send(p, s.To, s.Body)
@@ -262,7 +266,7 @@
 func (p *process) handleNodeOutput(o node.Output) {
 	for _, s := range o.Sends {
 		if s.To == p.address {
-			p.handleNodeOutput(p.nodeM.Receive(p.now(), p.address, recode(s.Body)))
+			p.handleNodeOutput(p.nodeMachine.Receive(p.now(), p.address, recode(s.Body)))
 			continue
 		}
 		p.world.send(p, s.To, s.Body)
--- a/rehearsalkit/simulator/requester.go
+++ b/rehearsalkit/simulator/requester.go
@@ -66,13 +66,13 @@
 				finish(frame)
 			}
 		}}
-		p.do(func() { p.handleNodeOutput(p.nodeM.Submit(p.now(), ticket, request)) })
+		p.do(func() { p.handleNodeOutput(p.nodeMachine.Submit(p.now(), ticket, request)) })
 		cancel := func() {
 			if over {
 				return
 			}
 			delete(w.pendingResponses, ticket)
-			p.do(func() { p.handleNodeOutput(p.nodeM.CancelRequest(p.now(), ticket)) })
+			p.do(func() { p.handleNodeOutput(p.nodeMachine.CancelRequest(p.now(), ticket)) })
 			result.Outcome = judge.Silent
 			finish(node.Frame{})
 		}
@@ -108,15 +108,15 @@
 	return fmt.Sprintf("%s-%d", kind, w.lastID)
 }
 
-func (u *user) pause(least, most time.Duration, next func()) {
-	u.world.after(u.world.between(least, most), next)
+func (u *user) pause(shortest, longest time.Duration, next func()) {
+	u.world.after(u.world.between(shortest, longest), next)
 }
 
 // startSession opens a session whose turns, tool calls and alerts go to random nodes;
 // a new session follows its end.
 func (u *user) startSession() {
 	w := u.world
-	if w.now > w.Params.Length {
+	if w.now > w.Params.LoadTime {
 		return
 	}
 	u.heads, u.turns = map[string]string{"": program.EmptyHead}, 0
@@ -133,7 +133,7 @@
 // nextStep performs one random action of the session.
 func (u *user) nextStep() {
 	w := u.world
-	if w.now > w.Params.Length {
+	if w.now > w.Params.LoadTime {
 		return
 	}
 	u.turns++
--- a/rehearsalkit/simulator/restart_test.go
+++ b/rehearsalkit/simulator/restart_test.go
@@ -85,13 +85,13 @@
 		{"machine off", (*process).powerOff, 6 * time.Second, 12 * time.Second},
 	} {
 		p := Defaults(1)
-		p.Cores, p.Nodes, p.Users, p.Describe, p.MemberTerm = 3, 3, 0, describeWith(nil), 8*time.Second
+		p.Cores, p.Nodes, p.Users, p.Describe, p.MemberLease = 3, 3, 0, describeWith(nil), 8*time.Second
 		w := withLimits(NewWithoutFaults(p))
 		w.Advance(2 * time.Second)
 		began := w.now
 		c.inject(w.nodes[0])
 		w.nodes[0].boot()
-		for w.now < began+c.latest && !w.nodes[0].nodeM.Ready(w.nodes[0].now()) {
+		for w.now < began+c.latest && !w.nodes[0].nodeMachine.Ready(w.nodes[0].now()) {
 			w.Advance(50 * time.Millisecond)
 		}
 		if took := w.now - began; took < c.earliest || took >= c.latest {
--- a/rehearsalkit/simulator/run.go
+++ b/rehearsalkit/simulator/run.go
@@ -80,7 +80,7 @@
 		w.after(w.between(4*time.Second, 6*time.Second), w.operator)
 	}
 	w.after(3*time.Second, w.probe)
-	w.after(p.Length+p.Settle-1500*time.Millisecond, func() {
+	w.after(p.LoadTime+p.SettleTime-1500*time.Millisecond, func() {
 		for _, n := range w.nodes {
 			w.probeNode(n, true)
 		}
@@ -88,7 +88,7 @@
 	if p.Faults {
 		w.after(4*time.Second, w.injectFault)
 	}
-	w.run(p.Length + p.Settle)
+	w.run(p.LoadTime + p.SettleTime)
 	return w, w.Record.Judge()
 }
 
@@ -123,7 +123,7 @@
 // applyConfiguration submits a configuration to a core and records its outcome.
 func (w *World) applyConfiguration(at *process, basedOn uint64, key string, done func(taken bool)) {
 	text := w.describe(key)
-	request := core.ApplyRequest{BasedOn: basedOn, Text: text, Digest: digestOf(text), Timeout: 8*time.Second + 2*w.Params.MemberTerm}
+	request := core.ApplyRequest{BasedOn: basedOn, Text: text, Digest: digestOf(text), Timeout: 8*time.Second + 2*w.Params.MemberLease}
 	w.pendingKeys[key] = basedOn + 1
 	began := w.now
 	revoked := ""
@@ -164,11 +164,11 @@
 
 // operator applies new configurations concurrently with the other operators.
 func (w *World) operator() {
-	if w.now > w.Params.Length {
+	if w.now > w.Params.LoadTime {
 		return
 	}
 	at := w.cores[w.random.IntN(len(w.cores))]
-	if !at.alive || at.frozen || !at.coreM.Founded() {
+	if !at.alive || at.frozen || !at.coreMachine.Founded() {
 		w.after(300*time.Millisecond, w.operator)
 		return
 	}
@@ -183,7 +183,7 @@
 
 // probe checks periodically which version a random node has in force.
 func (w *World) probe() {
-	if w.now > w.Params.Length+w.Params.Settle-3*time.Second {
+	if w.now > w.Params.LoadTime+w.Params.SettleTime-3*time.Second {
 		return
 	}
 	w.probeNode(w.anyNode(), false)
@@ -257,13 +257,13 @@
 func (w *World) membersCurrent() bool {
 	current := map[string]bool{}
 	for _, p := range w.cores {
-		current[p.coreM.Self().MemberID()] = true
+		current[p.coreMachine.Self().MemberID()] = true
 	}
 	for _, p := range w.cores {
-		if !p.coreM.Founded() {
+		if !p.coreMachine.Founded() {
 			return false
 		}
-		for _, g := range p.coreM.Topology().Groups {
+		for _, g := range p.coreMachine.Topology().Groups {
 			for _, s := range g.All() {
 				if !current[s] {
 					return false
@@ -280,11 +280,11 @@
 	switch {
 	case p.incarnation != incarnation:
 		return
-	case p.nodeM.Drained(p.now()):
+	case p.nodeMachine.Drained(p.now()):
 		w.Counts["drained"]++
 	case w.now >= until && !p.frozen:
 		w.Counts["drains cut short"]++
-		p.handleNodeOutput(p.nodeM.Shutdown(p.now()))
+		p.handleNodeOutput(p.nodeMachine.Shutdown(p.now()))
 	default:
 		w.after(50*time.Millisecond, func() { p.awaitDrain(incarnation, until) })
 		return
--- a/rehearsalkit/simulator/terms.go
+++ b/rehearsalkit/simulator/terms.go
@@ -28,7 +28,7 @@
 	t := TermResult{Term: term, Served: map[time.Duration]float64{}}
 	world := func(seed uint64) *World {
 		p := defaults(seed)
-		p.Nodes, p.Users, p.MemberTerm, p.Rate, p.Burst = 6, 18, term, 60, 96
+		p.Nodes, p.Users, p.MemberLease, p.Rate, p.Burst = 6, 18, term, 60, 96
 		p.Faults, p.Operators, p.MessageLoss = false, 0, 0
 		w := NewWithoutFaults(p)
 		w.limits()
--- a/rehearsalkit/simulator/world.go
+++ b/rehearsalkit/simulator/world.go
@@ -21,26 +21,34 @@
 
 // Params are the size, the load and the faults of a run.
 type Params struct {
-	Seed               uint64
-	Cores              int
-	Nodes              int
-	Zones              int
-	Replicas           int
-	Alerts             int
-	Users              int
-	Partitions         int
-	Length             time.Duration
-	Settle             time.Duration
-	Faults             bool
-	Operators          int
-	MessageLoss        float64
-	Describe           func(key string) []byte
-	Rate               float64
-	Burst              int64
-	MinuteCost         float64
+	// Seed determines the whole run.
+	Seed  uint64
+	Cores int
+	Nodes int
+	Zones int
+	// Replicas are those of the model service, Alerts those of the alert service.
+	Replicas   int
+	Alerts     int
+	Users      int
+	Partitions int
+	// LoadTime is how long users, operators and faults are active; SettleTime follows it.
+	LoadTime   time.Duration
+	SettleTime time.Duration
+	Faults     bool
+	Operators  int
+	// MessageLoss is the probability that a message is lost.
+	MessageLoss float64
+	// Describe replaces the default configuration; key is the probe key of the version.
+	Describe func(key string) []byte
+	// Rate is the quota of each tenant in requests per second.
+	Rate  float64
+	Burst int64
+	// MinuteCost is the spend in dollars per minute that trips the breaker.
+	MinuteCost float64
+	// DayTokens is the daily allowance of tenant t2.
 	DayTokens          int64
 	AnnouncementMaxAge time.Duration
-	MemberTerm         time.Duration
+	MemberLease        time.Duration
 	// MaxSync is the longest duration of a disk sync that does not stall.
 	MaxSync time.Duration
 	Logf    func(format string, args ...any)
@@ -57,7 +65,7 @@
 	case 1:
 		p.DayTokens = 15_000
 	case 2:
-		p.MemberTerm, p.Settle = 5*time.Second, p.Settle+6*time.Second
+		p.MemberLease, p.SettleTime = 5*time.Second, p.SettleTime+6*time.Second
 	case 3:
 		p.Rate, p.Burst = 6, 8
 	}
@@ -74,36 +82,41 @@
 
 // defaults returns the small fleet without the variations by seed.
 func defaults(seed uint64) Params {
-	return Params{Seed: seed, Cores: 5, Nodes: 4, Zones: 3, Replicas: 4, Alerts: 2, Users: 12, Partitions: 6, Length: 24 * time.Second,
-		Settle: 8 * time.Second, Faults: true, Operators: 2, MessageLoss: 0.005, Rate: 20, Burst: 16, MinuteCost: 50, DayTokens: 100_000_000, AnnouncementMaxAge: 1700 * time.Millisecond, MemberTerm: 2 * time.Second, MaxSync: 4 * time.Millisecond}
+	return Params{Seed: seed, Cores: 5, Nodes: 4, Zones: 3, Replicas: 4, Alerts: 2, Users: 12, Partitions: 6, LoadTime: 24 * time.Second,
+		SettleTime: 8 * time.Second, Faults: true, Operators: 2, MessageLoss: 0.005, Rate: 20, Burst: 16, MinuteCost: 50, DayTokens: 100_000_000, AnnouncementMaxAge: 1700 * time.Millisecond, MemberLease: 2 * time.Second, MaxSync: 4 * time.Millisecond}
 }
 
 // World is the state of one run. It is not safe for concurrent use.
 type World struct {
 	Params Params
 	Record judge.Record
+	// Counts holds the number of events by label.
 	Counts map[string]int64
 
-	now         time.Duration
-	agenda      agenda.Agenda
-	random      *rand.Rand
-	processes   map[string]*process
-	cores       []*process
-	nodes       []*process
-	spare       *process
+	now       time.Duration
+	agenda    agenda.Agenda
+	random    *rand.Rand
+	processes map[string]*process
+	cores     []*process
+	nodes     []*process
+	spare     *process
+	// readdressed and allKilled mark faults that happen at most once in a run.
 	readdressed bool
 	allKilled   bool
 	// cutUntil is when the last fault ends that can disconnect cores from nodes.
-	cutUntil         time.Duration
-	backends         []*backend
+	cutUntil time.Duration
+	backends []*backend
+	// cutLinks and lastDelivery are keyed by the sender's and the receiver's address.
 	cutLinks         map[[2]string]bool
 	lastDelivery     map[[2]string]time.Duration
 	tickets          uint64
 	pendingResponses map[uint64]*pendingResponse
 	lastID           int
 	version          uint64
-	versionKeys      map[uint64]string
-	pendingKeys      map[string]uint64
+	// versionKeys are the probe keys of decided configurations, pendingKeys those of
+	// configurations without a known outcome, with the version that they would get.
+	versionKeys map[uint64]string
+	pendingKeys map[string]uint64
 	// atMessage and atSync are called at crash points.
 	atMessage func(from, to *process, body any)
 	atSync    func(p *process, what string)
@@ -168,7 +181,7 @@
 }
 
 func (w *World) coreParams() core.Params {
-	return core.Params{Partition: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeTransfer: 20}, MemberLease: w.Params.MemberTerm,
+	return core.Params{Partition: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeTransfer: 20}, MemberLease: w.Params.MemberLease,
 		AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}
 }
 
@@ -205,10 +218,10 @@
 			if err != nil {
 				panic(err)
 			}
-			if target.coreM != nil {
-				target.handleCoreOutput(target.coreM.Receive(target.now(), from.address, value))
+			if target.coreMachine != nil {
+				target.handleCoreOutput(target.coreMachine.Receive(target.now(), from.address, value))
 			} else {
-				target.handleNodeOutput(target.nodeM.Receive(target.now(), from.address, value))
+				target.handleNodeOutput(target.nodeMachine.Receive(target.now(), from.address, value))
 			}
 			if w.atMessage != nil {
 				w.atMessage(from, target, value)
@@ -223,11 +236,11 @@
 	for _, p := range w.cores {
 		p.loseDisk()
 		p.boot()
-		list = append(list, p.coreM.Self())
+		list = append(list, p.coreMachine.Self())
 	}
 	f := core.PlanFleet("simulated", w.Params.Partitions, 3, list)
 	for _, p := range w.cores {
-		out, ok := p.coreM.Found(p.now(), f)
+		out, ok := p.coreMachine.Found(p.now(), f)
 		if !ok {
 			panic("a core refused to found the fleet")
 		}
@@ -244,6 +257,6 @@
 		d := at.disk
 		d.lastTicket++
 		d.calls[d.lastTicket] = done
-		at.handleCoreOutput(step(at.coreM, at.now(), d.lastTicket))
+		at.handleCoreOutput(step(at.coreMachine, at.now(), d.lastTicket))
 	})
 }
