--- /dev/null
+++ b/rehearsalkit/simulator/configuration_test.go
@@ -0,0 +1,46 @@
+package simulator
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"saffronfall/peer/core"
+)
+
+// apply submits a configuration to one core and waits for the outcome.
+func apply(w *World, at int, request core.ApplyRequest) core.ApplyResult {
+	var got core.ApplyResult
+	w.Operate(w.cores[at], func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
+		return m.ApplyConfiguration(now, ticket, request)
+	}, func(body any) { got = body.(core.ApplyResult) })
+	w.Advance(3 * time.Second)
+	return got
+}
+
+// TestRepeatedDescription checks that a configuration in force is acknowledged when it is
+// submitted again through another core after many others, even where rehearsal would refuse
+// it by now, and that a different one on the same base is refused.
+func TestRepeatedDescription(t *testing.T) {
+	w := withLimits(smallWorld(nil))
+	request := func(version uint64, digest string) core.ApplyRequest {
+		return core.ApplyRequest{BasedOn: version, Text: w.Params.Describe(digest), Digest: digest, Timeout: 5 * time.Second}
+	}
+	const descriptions = 20
+	for version := uint64(1); version <= descriptions; version++ {
+		if got := apply(w, 0, request(version, fmt.Sprint("v", version))); !got.InForce || got.Version != version+1 {
+			t.Fatalf("description %d: %+v", version, got)
+		}
+	}
+	for version := uint64(1); version <= descriptions; version += 6 {
+		if got := apply(w, 1, request(version, fmt.Sprint("v", version))); !got.InForce || got.Version != version+1 {
+			t.Errorf("repeated description %d: %+v", version, got)
+		}
+		if got := apply(w, 2, request(version, "another")); got.InForce || got.Code != "race_lost" {
+			t.Errorf("another description on version %d: %+v", version, got)
+		}
+	}
+	if got := apply(w, 1, request(descriptions+9, "ahead")); got.InForce || got.Code != "race_lost" {
+		t.Errorf("description on a version that does not exist: %+v", got)
+	}
+}
--- a/rehearsalkit/simulator/crash.go
+++ b/rehearsalkit/simulator/crash.go
@@ -13,57 +13,60 @@
 	"saffronfall/rule/program"
 )
 
-// operation is one thing that a fleet does, during which processes are lost.
+// operation is an action of the fleet during which processes are crashed.
 type operation struct {
 	name  string
-	begin func(w *World, s *scene)
-	// again asks for the same thing once more, at another node.
-	again func(w *World, s *scene, at int)
-	// shares tells whether grants of shares are part of it.
+	begin func(w *World, s *scenario)
+	// retry repeats the request at another node.
+	retry func(w *World, s *scenario, at int)
+	// shares tells whether messages about grants of shares belong to the operation.
 	shares bool
 }
 
-// scene is what was there before the operation.
-type scene struct {
-	id, head string
-	mark     string
+// scenario holds the program and the request ID that an operation uses.
+type scenario struct {
+	id, head  string
+	requestID string
 }
 
-func (s *scene) turnOf(line, before string) node.Request {
-	return node.Request{Kind: node.KindTurn, Key: "key-t1", Program: s.id, Conversation: line, Service: "model", PreviousHead: before, Prompt: s.mark, MaxTokens: 300, Timeout: 4 * time.Second}
+func (s *scenario) turnRequest(conversation, before string) node.Request {
+	return node.Request{Kind: node.KindTurn, Key: "key-t1", Program: s.id, Conversation: conversation, Service: "model", PreviousHead: before, Prompt: s.requestID, MaxTokens: 300, Timeout: 4 * time.Second}
 }
 
-func (s *scene) once() node.Request {
+func (s *scenario) onceRequest() node.Request {
 	return node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: "crash", Arguments: []byte(`{"mark":"crash"}`), Timeout: 3 * time.Second}
 }
 
-func drop(judge.Request, node.Frame) {}
+// ignoreResponse is the callback of requests whose outcome only the record needs.
+func ignoreResponse(judge.Request, node.Frame) {}
 
-func askAgain(q func(s *scene) node.Request) func(w *World, s *scene, at int) {
-	return func(w *World, s *scene, at int) { w.Do(at, q(s)) }
+func retryRequest(request func(s *scenario) node.Request) func(w *World, s *scenario, at int) {
+	return func(w *World, s *scenario, at int) { w.Do(at, request(s)) }
 }
 
 var operations = []operation{
-	{name: "turn", begin: func(w *World, s *scene) { w.ask(w.nodes[1], s.turnOf("", s.head), drop) }},
-	{name: "turn of a helper", begin: func(w *World, s *scene) { w.ask(w.nodes[1], s.turnOf("helper", program.EmptyHead), drop) }},
-	{name: "tool call", begin: func(w *World, s *scene) {
-		w.ask(w.nodes[1], node.Request{Kind: node.KindTool, Key: "key-t1", Program: s.id, Service: "search", Arguments: []byte(`{"mark":"crash-tool"}`), Timeout: 3 * time.Second}, drop)
+	{name: "turn", begin: func(w *World, s *scenario) { w.submit(w.nodes[1], s.turnRequest("", s.head), ignoreResponse) }},
+	{name: "turn of a helper", begin: func(w *World, s *scenario) {
+		w.submit(w.nodes[1], s.turnRequest("helper", program.EmptyHead), ignoreResponse)
 	}},
-	{name: "once-only action", begin: func(w *World, s *scene) { w.ask(w.nodes[1], s.once(), drop) }, again: askAgain((*scene).once)},
-	{name: "session start", begin: func(w *World, s *scene) {
-		w.ask(w.nodes[1], node.Request{Kind: node.KindOpen, Key: "key-t1", User: "v", Timeout: 3 * time.Second}, drop)
+	{name: "tool call", begin: func(w *World, s *scenario) {
+		w.submit(w.nodes[1], node.Request{Kind: node.KindTool, Key: "key-t1", Program: s.id, Service: "search", Arguments: []byte(`{"mark":"crash-tool"}`), Timeout: 3 * time.Second}, ignoreResponse)
 	}},
-	{name: "grant of shares", shares: true, begin: func(w *World, s *scene) {
+	{name: "once-only action", begin: func(w *World, s *scenario) { w.submit(w.nodes[1], s.onceRequest(), ignoreResponse) }, retry: retryRequest((*scenario).onceRequest)},
+	{name: "session start", begin: func(w *World, s *scenario) {
+		w.submit(w.nodes[1], node.Request{Kind: node.KindOpen, Key: "key-t1", User: "v", Timeout: 3 * time.Second}, ignoreResponse)
+	}},
+	{name: "grant of shares", shares: true, begin: func(w *World, s *scenario) {
 		w.nodes[2].kill()
 		w.nodes[2].boot()
 	}},
-	{name: "handover", begin: func(w *World, s *scene) {
+	{name: "handover", begin: func(w *World, s *scenario) {
 		n := w.nodes[0]
-		n.takeNode(n.nodeM.Drain(n.now()))
-		w.after(100*time.Millisecond, func() { n.drained(n.life, w.now+3*time.Second) })
+		n.handleNodeOutput(n.nodeMachine.Drain(n.now()))
+		w.after(100*time.Millisecond, func() { n.awaitDrain(n.incarnation, w.now+3*time.Second) })
 	}},
-	{name: "configuration", begin: func(w *World, s *scene) { w.hand(w.cores[0], w.version, "probe-crash", func(bool) {}) }},
-	{name: "change of a group", begin: func(w *World, s *scene) {
+	{name: "configuration", begin: func(w *World, s *scenario) { w.applyConfiguration(w.cores[0], w.version, "probe-crash", func(bool) {}) }},
+	{name: "change of a group", begin: func(w *World, s *scenario) {
 		w.Operate(w.cores[0], func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
 			return m.ChangeCore(now, ticket, core.KindRetire, "core4", "", 6*time.Second)
 		}, func(any) {})
@@ -72,20 +75,21 @@
 
 // Faults of one process at a crash point.
 var crashFaults = []struct {
-	name string
-	harm func(w *World, p *proc)
+	name   string
+	inject func(w *World, p *process)
 }{
-	{"killed", func(w *World, p *proc) { p.kill(); w.after(1500*time.Millisecond, p.boot) }},
-	{"frozen past its term", func(w *World, p *proc) { p.freeze(); w.after(2*w.Params.MemberTerm+time.Second, p.wake) }},
-	{"cut off", func(w *World, p *proc) { w.cutOff(p, 2*w.Params.MemberTerm) }},
-	{"powered off", func(w *World, p *proc) {
+	{"killed", func(w *World, p *process) { p.kill(); w.after(1500*time.Millisecond, p.boot) }},
+	{"frozen past its term", func(w *World, p *process) { p.freeze(); w.after(2*w.Params.MemberLease+time.Second, p.resume) }},
+	{"cut off", func(w *World, p *process) { w.isolate(p, 2*w.Params.MemberLease) }},
+	{"powered off", func(w *World, p *process) {
 		p.powerOff()
 		w.after(1500*time.Millisecond, p.boot)
 	}},
 }
 
-// kindOf names what a message is about; it is empty for what goes on anyway.
-func kindOf(body any, shares bool) string {
+// messageKind returns the registered name of a message, or "" for background traffic
+// that is not a crash point.
+func messageKind(body any, shares bool) string {
 	raw := []byte(nil)
 	switch b := body.(type) {
 	case core.Command:
@@ -115,8 +119,7 @@
 	return name
 }
 
-// registeredNames has the names under which the types of messages are registered, without
-// their package.
+// registeredNames maps message types to their registered names without the package.
 var registeredNames = func() map[reflect.Type]string {
 	names := map[reflect.Type]string{}
 	for name, t := range message.Types() {
@@ -125,82 +128,82 @@
 	return names
 }()
 
-// stage lays out the world in which one operation is to happen.
-func stage() (*World, *scene) {
+// stage builds the fleet and the program on which an operation runs.
+func stage() (*World, *scenario) {
 	p := Defaults(3)
-	p.Cores, p.Nodes, p.Users, p.MemberTerm = 4, 4, 0, 2*time.Second
+	p.Cores, p.Nodes, p.Users, p.MemberLease = 4, 4, 0, 2*time.Second
 	p.MinuteCost, p.DayTokens = 50, 100_000_000
-	w := Calm(p)
+	w := NewWithoutFaults(p)
 	w.limits()
-	s := &scene{}
+	s := &scenario{}
 	_, opened := open(w, 0, "u")
 	s.id = opened.Text
 	_, first := turn(w, 0, s.id, program.EmptyHead, 100)
 	s.head = first.Head
-	w.Pass(700 * time.Millisecond)
-	s.mark = w.mark("crash")
+	w.Advance(700 * time.Millisecond)
+	s.requestID = w.newID("crash")
 	return w, s
 }
 
-// point is a moment at which processes are lost, and the two concerned.
+// point is a crash point: the moment of a message or a sync and the processes involved.
 type point struct {
-	what string
-	who  []*proc
+	label     string
+	processes []*process
 }
 
-// each calls at every crash point of an operation, which is over after a time.
-func (w *World) each(o operation, s *scene, seen func(p point)) {
-	w.atMessage = func(from, to *proc, body any) {
-		if kind := kindOf(body, o.shares); kind != "" {
-			seen(point{what: kind + " " + from.id + ">" + to.id, who: []*proc{from, to}})
+// visitCrashPoints runs an operation and calls visit at each of its crash points.
+func (w *World) visitCrashPoints(o operation, s *scenario, visit func(p point)) {
+	w.atMessage = func(from, to *process, body any) {
+		if kind := messageKind(body, o.shares); kind != "" {
+			visit(point{label: kind + " " + from.id + ">" + to.id, processes: []*process{from, to}})
 		}
 	}
-	w.atSync = func(p *proc, what string) { seen(point{what: what + " " + p.id, who: []*proc{p}}) }
+	w.atSync = func(p *process, what string) { visit(point{label: what + " " + p.id, processes: []*process{p}}) }
 	o.begin(w, s)
 	w.run(w.now + 1200*time.Millisecond)
 	w.atMessage, w.atSync = nil, nil
 }
 
-// Crash is what became of an operation's crash points.
-type Crash struct {
+// CrashResult is the outcome of all crash runs of one operation.
+type CrashResult struct {
 	Operation    string
 	Points, Runs int
 	Faults       []string
 }
 
-// CrashPoints loses each process concerned at each crash point of each
-// operation, one run a point, process and kind of loss, then mends, asks again at
-// other nodes and judges. Of all runs it makes one in every so many.
-func CrashPoints(every int, tell func(c Crash)) {
+// CrashPoints applies each crash fault to each involved process at each crash point
+// of each operation, one run for each combination. After each run it repairs the fleet,
+// retries at other nodes and judges the record. It executes one run in every `every`.
+func CrashPoints(every int, report func(c CrashResult)) {
 	type job struct {
-		o           operation
-		point, who  int
-		fault       int
-		description string
+		o              operation
+		point, process int
+		fault          int
+		description    string
 	}
 	for _, o := range operations {
-		c := Crash{Operation: o.name}
+		c := CrashResult{Operation: o.name}
 		var jobs []job
 		w, s := stage()
-		w.each(o, s, func(p point) {
-			for i, who := range p.who {
+		w.visitCrashPoints(o, s, func(p point) {
+			for i, process := range p.processes {
 				for f := range crashFaults {
-					if who.disk == nil && crashFaults[f].name == "powered off" {
+					if process.disk == nil && crashFaults[f].name == "powered off" {
 						continue
 					}
-					jobs = append(jobs, job{o: o, point: c.Points, who: i, fault: f, description: p.what + ", " + who.id + " " + crashFaults[f].name})
+					jobs = append(jobs, job{o: o, point: c.Points, process: i, fault: f, description: p.label + ", " + process.id + " " + crashFaults[f].name})
 				}
 			}
 			c.Points++
 		})
 		results := make(chan []string)
 		work := make(chan job)
-		const hands = 8
-		for i := 0; i < hands; i++ {
+		const workers = 8
+		for i := 0; i < workers; i++ {
 			go func() {
 				for j := range work {
 					var faults []string
-					for _, f := range crash(j.o, j.point, j.who, j.fault) {
+					for _, f := range crash(j.o, j.point, j.process, j.fault) {
 						faults = append(faults, fmt.Sprintf("%s, point %d (%s): %s", j.o.name, j.point, j.description, f))
 					}
 					results <- faults
@@ -221,40 +224,41 @@
 				c.Faults = append(c.Faults, <-results...)
 			}
 		}
-		tell(c)
+		report(c)
 	}
 }
 
-func crash(o operation, at, who, fault int) (faults []string) {
+// crash applies one fault to one process at one crash point and returns the faults found.
+func crash(o operation, at, process, fault int) (faults []string) {
 	w, s := stage()
-	n, struck := 0, false
-	w.each(o, s, func(p point) {
-		if n == at && !struck {
-			struck = true
-			victim := p.who[who]
-			// Not within the step that the victim is in.
-			w.after(0, func() { crashFaults[fault].harm(w, victim) })
+	n, injected := 0, false
+	w.visitCrashPoints(o, s, func(p point) {
+		if n == at && !injected {
+			injected = true
+			victim := p.processes[process]
+			// The fault must not interrupt the step that the process is executing.
+			w.after(0, func() { crashFaults[fault].inject(w, victim) })
 		}
 		n++
 	})
-	if !struck {
-		return []string{"the point was not reached again"}
+	if !injected {
+		return []string{"the crash point was not reached when the run was repeated"}
 	}
-	w.run(w.now + 2*w.Params.MemberTerm + 2*time.Second)
-	if o.again != nil {
+	w.run(w.now + 2*w.Params.MemberLease + 2*time.Second)
+	if o.retry != nil {
 		for i := range w.nodes {
-			o.again(w, s, i)
+			o.retry(w, s, i)
 		}
 	}
 	head := s.head
 	for i := range w.nodes {
 		served := false
-		for end := w.now + 6*time.Second; w.now < end && !served; w.Pass(100 * time.Millisecond) {
-			a, p := turn(w, i, s.id, head, 50)
+		for end := w.now + 6*time.Second; w.now < end && !served; w.Advance(100 * time.Millisecond) {
+			result, p := turn(w, i, s.id, head, 50)
 			switch {
-			case a.Outcome == judge.Whole:
+			case result.Outcome == judge.Whole:
 				served, head = true, p.Head
-			case a.Code == "wrong_history":
+			case result.Code == "wrong_history":
 				head = p.Verdict.Head
 			}
 		}
@@ -263,7 +267,7 @@
 		}
 	}
 	for _, n := range w.nodes {
-		w.look(n, true)
+		w.probeNode(n, true)
 	}
 	w.run(w.now + 1500*time.Millisecond)
 	w.Record.Nodes = nil
@@ -276,8 +280,8 @@
 	return faults
 }
 
-// String tells a crash test's outcome in a line and its faults.
-func (c Crash) String() string {
+// String returns a line of totals followed by the faults.
+func (c CrashResult) String() string {
 	lines := []string{fmt.Sprintf("%-18s %4d points, %5d runs, %d faults", c.Operation, c.Points, c.Runs, len(c.Faults))}
 	return strings.Join(append(lines, c.Faults...), "\n  ")
 }
--- a/rehearsalkit/simulator/simulator_test.go
+++ b/rehearsalkit/simulator/simulator_test.go
@@ -9,39 +9,39 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 200, "how many fixed seeds to run")
-	every = flag.Int("every", 60, "make one in so many runs of crash points")
+	seeds = flag.Int("seeds", 200, "number of consecutive seeds to run")
+	every = flag.Int("every", 60, "execute one of this many runs of crash points")
 	first = flag.Uint64("first", 1, "first seed")
 )
 
-// TestSeeds runs the fleet under all faults, one world a seed.
+// TestSeeds runs one world for each seed under all faults.
 func TestSeeds(t *testing.T) {
 	var whole int64
 	situations := map[string]int{}
 	RunSeeds(*first, *seeds, func(o Outcome) {
-		whole += o.Whole
+		whole += o.CompletedTurns
 		for name, n := range o.Situations {
 			situations[name] += n
 		}
 		for _, b := range o.Breaches {
 			t.Errorf("seed %d: %s", o.Seed, b)
 		}
-		if o.Whole < 20 {
-			t.Errorf("seed %d: only %d whole turns; a run that serves nothing proves nothing", o.Seed, o.Whole)
+		if o.CompletedTurns < 20 {
+			t.Errorf("seed %d: only %d complete turns, too few to test the rules", o.Seed, o.CompletedTurns)
 		}
 	})
 	fmt.Printf("%d seeds, %d whole turns\n", *seeds, whole)
 	for _, name := range ordered.Keys(situations) {
 		fmt.Printf("  %-36s %d\n", name, situations[name])
 		if situations[name] == 0 && *seeds >= 100 {
-			t.Errorf("%s: never came about, so its rule was not tried", name)
+			t.Errorf("%s: never occurred, so its rule was not tested", name)
 		}
 	}
 }
 
-func TestCalm(t *testing.T) {
+func TestWithoutFaults(t *testing.T) {
 	p := Defaults(1)
-	p.Faults, p.Loss, p.Operators = false, 0, 1
+	p.Faults, p.MessageLoss, p.Operators = false, 0, 1
 	p.Logf = t.Logf
 	w, breaches := Run(p)
 	for _, line := range w.Summary() {
@@ -51,12 +51,12 @@
 		t.Error(b)
 	}
 	if w.Counts["asked turn whole"] < 100 {
-		t.Error("too few whole turns")
+		t.Error("too few complete turns")
 	}
 }
 
-// TestOne runs the first seed and tells all.
-func TestOne(t *testing.T) {
+// TestSingleSeed runs the first seed with a full log.
+func TestSingleSeed(t *testing.T) {
 	if !testing.Verbose() {
 		t.Skip("only with -v")
 	}
@@ -71,21 +71,21 @@
 	}
 }
 
-// TestSame shows that a seed always gives the same run.
-func TestSame(t *testing.T) {
+// TestDeterministic checks that a seed always gives the same run.
+func TestDeterministic(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
-		a, _ := Run(Defaults(seed))
-		b, _ := Run(Defaults(seed))
-		if x, y := fmt.Sprint(a.Summary(), a.Record), fmt.Sprint(b.Summary(), b.Record); x != y {
+		first, _ := Run(Defaults(seed))
+		second, _ := Run(Defaults(seed))
+		if x, y := fmt.Sprint(first.Summary(), first.Record), fmt.Sprint(second.Summary(), second.Record); x != y {
 			t.Errorf("seed %d gave two different runs", seed)
 		}
 	}
 }
 
-// TestCrashPoints makes one in so many of the runs of rehearsalkit crash.
+// TestCrashPoints executes a sample of the runs of the crash command.
 func TestCrashPoints(t *testing.T) {
 	points, runs := 0, 0
-	CrashPoints(*every, func(c Crash) {
+	CrashPoints(*every, func(c CrashResult) {
 		points, runs = points+c.Points, runs+c.Runs
 		for _, f := range c.Faults {
 			t.Error(f)
--- a/rehearsalkit/simulator/world.go
+++ b/rehearsalkit/simulator/world.go
@@ -1,5 +1,9 @@
-// Package simulator runs the fleet's own machines in simulated time, with
-// seeded faults, and judges the run by what requesters and back ends saw.
+// Package simulator runs the state machines of cores and nodes in simulated time under
+// seeded faults, and judges each run by what requesters and replicas observed.
+//
+// A run depends on its seed alone: all events pass through one agenda, and all random
+// numbers come from one generator. Start reading at World and Run; injectFault has the
+// faults, CrashPoints the crash tests.
 package simulator
 
 import (
@@ -15,36 +19,44 @@
 	"saffronfall/rule/partition"
 )
 
-// Params size a run.
+// Params are the size, the load and the faults of a run.
 type Params struct {
-	Seed       uint64
-	Cores      int
-	Nodes      int
-	Zones      int
+	// Seed determines the whole run.
+	Seed  uint64
+	Cores int
+	Nodes int
+	Zones int
+	// Replicas are those of the model service, Alerts those of the alert service.
 	Replicas   int
 	Alerts     int
 	Users      int
-	Parts      int
-	Length     time.Duration
-	Settle     time.Duration
+	Partitions int
+	// LoadTime is how long users, operators and faults are active; SettleTime follows it.
+	LoadTime   time.Duration
+	SettleTime time.Duration
 	Faults     bool
 	Operators  int
-	Loss       float64
-	Describe   func(mark string) []byte
-	Rate       float64
-	Burst      int64
+	// MessageLoss is the probability that a message is lost.
+	MessageLoss float64
+	// Describe replaces the default configuration; key is the probe key of the version.
+	Describe func(key string) []byte
+	// Rate is the quota of each tenant in requests per second.
+	Rate  float64
+	Burst int64
+	// MinuteCost is the spend in dollars per minute that trips the breaker.
 	MinuteCost float64
-	DayTokens  int64
-	Newest     time.Duration
-	MemberTerm time.Duration
-	// Sync is the longest that a sync of a disk takes that does not stall.
-	Sync time.Duration
-	Logf func(format string, args ...any)
+	// DayTokens is the daily allowance of tenant t2.
+	DayTokens          int64
+	AnnouncementMaxAge time.Duration
+	MemberLease        time.Duration
+	// MaxSync is the longest duration of a disk sync that does not stall.
+	MaxSync time.Duration
+	Logf    func(format string, args ...any)
 }
 
-// Defaults are a small fleet under all faults. Every fourth seed has a breaker
-// that trips, others a tenant whose day ends early, longer terms or low rates;
-// one in ten has the size of a deployment.
+// Defaults returns a small fleet under all faults. By the seed it also varies the cost
+// limit of the breaker, the daily allowance of a tenant, the member lease and the rates;
+// one seed in ten has the size of a deployment.
 func Defaults(seed uint64) Params {
 	p := defaults(seed)
 	switch seed % 4 {
@@ -53,67 +65,74 @@
 	case 1:
 		p.DayTokens = 15_000
 	case 2:
-		p.MemberTerm, p.Settle = 5*time.Second, p.Settle+6*time.Second
+		p.MemberLease, p.SettleTime = 5*time.Second, p.SettleTime+6*time.Second
 	case 3:
 		p.Rate, p.Burst = 6, 8
 	}
 	switch seed % 20 {
 	case 7:
 		// The size of Aire Andino.
-		p.Cores, p.Nodes, p.Zones, p.Replicas, p.Alerts, p.Users, p.Parts = 6, 13, 3, 11, 5, 30, 16
+		p.Cores, p.Nodes, p.Zones, p.Replicas, p.Alerts, p.Users, p.Partitions = 6, 13, 3, 11, 5, 30, 16
 	case 17:
 		// The size of Blue Mahoe.
-		p.Cores, p.Nodes, p.Zones, p.Replicas, p.Alerts, p.Users, p.Parts = 8, 15, 4, 9, 4, 30, 16
+		p.Cores, p.Nodes, p.Zones, p.Replicas, p.Alerts, p.Users, p.Partitions = 8, 15, 4, 9, 4, 30, 16
 	}
 	return p
 }
 
+// defaults returns the small fleet without the variations by seed.
 func defaults(seed uint64) Params {
-	return Params{Seed: seed, Cores: 5, Nodes: 4, Zones: 3, Replicas: 4, Alerts: 2, Users: 12, Parts: 6, Length: 24 * time.Second,
-		Settle: 8 * time.Second, Faults: true, Operators: 2, Loss: 0.005, Rate: 20, Burst: 16, MinuteCost: 50, DayTokens: 100_000_000, Newest: 1700 * time.Millisecond, MemberTerm: 2 * time.Second, Sync: 4 * time.Millisecond}
+	return Params{Seed: seed, Cores: 5, Nodes: 4, Zones: 3, Replicas: 4, Alerts: 2, Users: 12, Partitions: 6, LoadTime: 24 * time.Second,
+		SettleTime: 8 * time.Second, Faults: true, Operators: 2, MessageLoss: 0.005, Rate: 20, Burst: 16, MinuteCost: 50, DayTokens: 100_000_000, AnnouncementMaxAge: 1700 * time.Millisecond, MemberLease: 2 * time.Second, MaxSync: 4 * time.Millisecond}
 }
 
-// World is one run.
+// World is the state of one run. It is not safe for concurrent use.
 type World struct {
 	Params Params
 	Record judge.Record
+	// Counts holds the number of events by label.
 	Counts map[string]int64
 
-	now    time.Duration
-	agenda agenda.Agenda
-	random *rand.Rand
-	procs  map[string]*proc
-	cores  []*proc
-	nodes  []*proc
-	spare  *proc
-	moved  bool
-	closed bool
-	// cutUntil is until when cores may be out of nodes' reach.
+	now       time.Duration
+	agenda    agenda.Agenda
+	random    *rand.Rand
+	processes map[string]*process
+	cores     []*process
+	nodes     []*process
+	spare     *process
+	// readdressed and allKilled mark faults that happen at most once in a run.
+	readdressed bool
+	allKilled   bool
+	// cutUntil is when the last fault ends that can disconnect cores from nodes.
 	cutUntil time.Duration
-	models   []*backend
-	cut      map[[2]string]bool
-	last     map[[2]string]time.Duration
-	tickets  uint64
-	returns  map[uint64]*waiting
-	marks    int
-	version  uint64
-	keys     map[uint64]string
-	handed   map[string]uint64
-	// atMessage and atSync are told of crash points.
-	atMessage func(from, to *proc, body any)
-	atSync    func(p *proc, what string)
-}
-
-type waiting struct {
-	node  *proc
-	next  time.Duration
-	piece func(p node.Frame)
-}
-
-// New lays out a world.
+	backends []*backend
+	// cutLinks and lastDelivery are keyed by the sender's and the receiver's address.
+	cutLinks         map[[2]string]bool
+	lastDelivery     map[[2]string]time.Duration
+	tickets          uint64
+	pendingResponses map[uint64]*pendingResponse
+	lastID           int
+	version          uint64
+	// versionKeys are the probe keys of decided configurations, pendingKeys those of
+	// configurations without a known outcome, with the version that they would get.
+	versionKeys map[uint64]string
+	pendingKeys map[string]uint64
+	// atMessage and atSync are called at crash points.
+	atMessage func(from, to *process, body any)
+	atSync    func(p *process, what string)
+}
+
+// pendingResponse receives the response frames of a request in order.
+type pendingResponse struct {
+	node         *process
+	nextDelivery time.Duration
+	deliver      func(frame node.Frame)
+}
+
+// New creates a world whose processes have not started.
 func New(p Params) *World {
-	w := &World{Params: p, random: rand.New(rand.NewPCG(p.Seed, 0x5affe0)), procs: map[string]*proc{}, cut: map[[2]string]bool{}, last: map[[2]string]time.Duration{},
-		returns: map[uint64]*waiting{}, Counts: map[string]int64{}, keys: map[uint64]string{}, handed: map[string]uint64{}}
+	w := &World{Params: p, random: rand.New(rand.NewPCG(p.Seed, 0x5affe0)), processes: map[string]*process{}, cutLinks: map[[2]string]bool{}, lastDelivery: map[[2]string]time.Duration{},
+		pendingResponses: map[uint64]*pendingResponse{}, Counts: map[string]int64{}, versionKeys: map[uint64]string{}, pendingKeys: map[string]uint64{}}
 	zone := func(i int) string { return fmt.Sprintf("zone-%d", i%p.Zones+1) }
 	for i := 0; i < p.Cores; i++ {
 		w.cores = append(w.cores, w.add(fmt.Sprintf("core%d", i+1), zone(i), fmt.Sprintf("10.0.0.%d:7000", i+1)))
@@ -122,24 +141,24 @@
 		w.nodes = append(w.nodes, w.add(fmt.Sprintf("node%d", i+1), zone(i), fmt.Sprintf("10.0.1.%d:7000", i+1)))
 	}
 	for i := 0; i < p.Replicas; i++ {
-		w.models = append(w.models, &backend{world: w, service: "model", id: fmt.Sprintf("m%d", i+1), zone: zone(i), alive: true})
+		w.backends = append(w.backends, &backend{world: w, service: "model", id: fmt.Sprintf("m%d", i+1), zone: zone(i), alive: true})
 	}
 	for i := 0; i < p.Alerts; i++ {
-		w.models = append(w.models, &backend{world: w, service: "alert", id: fmt.Sprintf("a%d", i+1), zone: zone(i), alive: true})
+		w.backends = append(w.backends, &backend{world: w, service: "alert", id: fmt.Sprintf("a%d", i+1), zone: zone(i), alive: true})
 	}
-	// A core that belongs to no fleet yet.
+	// The spare core belongs to no fleet yet.
 	w.spare = w.add("core-spare", zone(0), "10.0.2.1:7000")
-	w.models = append(w.models, &backend{world: w, service: "search", id: "t1", zone: zone(0), alive: true})
+	w.backends = append(w.backends, &backend{world: w, service: "search", id: "t1", zone: zone(0), alive: true})
 	return w
 }
 
-func (w *World) add(id, zone, address string) *proc {
-	p := &proc{world: w, id: id, zone: zone, address: address}
-	w.procs[address] = p
+func (w *World) add(id, zone, address string) *process {
+	p := &process{world: w, id: id, zone: zone, address: address}
+	w.processes[address] = p
 	return p
 }
 
-// Now is the simulated time.
+// Now returns the simulated time.
 func (w *World) Now() time.Duration { return w.now }
 
 func (w *World) after(d time.Duration, what func()) {
@@ -148,6 +167,7 @@
 
 func (w *World) run(until time.Duration) { w.agenda.Run(until, &w.now) }
 
+// between returns a random duration in [a, b].
 func (w *World) between(a, b time.Duration) time.Duration {
 	return a + time.Duration(w.random.Int64N(int64(b-a)+1))
 }
@@ -161,34 +181,35 @@
 }
 
 func (w *World) coreParams() core.Params {
-	return core.Params{Partition: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeTransfer: 20}, MemberLease: w.Params.MemberTerm,
+	return core.Params{Partition: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeTransfer: 20}, MemberLease: w.Params.MemberLease,
 		AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}
 }
 
 func (w *World) nodeParams() node.Params {
-	return node.Params{Core: w.coreParams(), QueueLimit: 64, MaxQueueWait: time.Second, AnnouncementMaxAge: w.Params.Newest, ReportInterval: 300 * time.Millisecond, UrgentRatio: 0.25, DefaultTimeout: 10 * time.Second}
+	return node.Params{Core: w.coreParams(), QueueLimit: 64, MaxQueueWait: time.Second, AnnouncementMaxAge: w.Params.AnnouncementMaxAge, ReportInterval: 300 * time.Millisecond, UrgentRatio: 0.25, DefaultTimeout: 10 * time.Second}
 }
 
 func (w *World) seeds() []string {
 	return []string{w.cores[0].address, w.cores[1].address, w.cores[2].address}
 }
 
-func (w *World) send(from *proc, to string, body any) {
+// send delivers a message after a random delay, unless the link is cut or the message lost.
+func (w *World) send(from *process, to string, body any) {
 	raw := message.Pack(body)
 	w.Counts["messages"]++
-	if w.cut[[2]string{from.address, to}] || w.chance(w.Params.Loss) {
+	if w.cutLinks[[2]string{from.address, to}] || w.chance(w.Params.MessageLoss) {
 		return
 	}
 	delay := w.between(200*time.Microsecond, 3*time.Millisecond)
 	if w.chance(0.01) {
 		delay += w.between(0, 60*time.Millisecond)
 	}
-	// Streams keep their order.
+	// Messages between two processes keep their order.
 	pair := [2]string{from.address, to}
-	at := max(w.now+delay, w.last[pair])
-	w.last[pair] = at
+	at := max(w.now+delay, w.lastDelivery[pair])
+	w.lastDelivery[pair] = at
 	w.after(at-w.now, func() {
-		target := w.procs[to]
+		target := w.processes[to]
 		if target == nil || !target.alive {
 			return
 		}
@@ -197,10 +218,10 @@
 			if err != nil {
 				panic(err)
 			}
-			if target.coreM != nil {
-				target.takeCore(target.coreM.Receive(target.now(), from.address, value))
+			if target.coreMachine != nil {
+				target.handleCoreOutput(target.coreMachine.Receive(target.now(), from.address, value))
 			} else {
-				target.takeNode(target.nodeM.Receive(target.now(), from.address, value))
+				target.handleNodeOutput(target.nodeMachine.Receive(target.now(), from.address, value))
 			}
 			if w.atMessage != nil {
 				w.atMessage(from, target, value)
@@ -209,33 +230,33 @@
 	})
 }
 
-// Found founds the fleet on all cores and boots every process.
+// Found creates the fleet on all cores and starts every process.
 func (w *World) Found() {
 	var list []core.Core
 	for _, p := range w.cores {
 		p.loseDisk()
 		p.boot()
-		list = append(list, p.coreM.Self())
+		list = append(list, p.coreMachine.Self())
 	}
-	f := core.PlanFleet("simulated", w.Params.Parts, 3, list)
+	f := core.PlanFleet("simulated", w.Params.Partitions, 3, list)
 	for _, p := range w.cores {
-		out, ok := p.coreM.Found(p.now(), f)
+		out, ok := p.coreMachine.Found(p.now(), f)
 		if !ok {
-			panic("not founded")
+			panic("a core refused to found the fleet")
 		}
-		p.takeCore(out)
+		p.handleCoreOutput(out)
 	}
 	for _, p := range w.nodes {
 		p.boot()
 	}
 }
 
-// Operate runs one operator's call at a core.
-func (w *World) Operate(at *proc, step func(m *core.Machine, now time.Duration, ticket uint64) core.Output, done func(body any)) {
+// Operate executes an operator's call at a core and passes its answer to done.
+func (w *World) Operate(at *process, step func(m *core.Machine, now time.Duration, ticket uint64) core.Output, done func(body any)) {
 	at.do(func() {
 		d := at.disk
-		d.next++
-		d.calls[d.next] = done
-		at.takeCore(step(at.coreM, at.now(), d.next))
+		d.lastTicket++
+		d.calls[d.lastTicket] = done
+		at.handleCoreOutput(step(at.coreMachine, at.now(), d.lastTicket))
 	})
 }
