--- a/peer/core/caller.go
+++ b/peer/core/caller.go
@@ -8,167 +8,182 @@
 	"saffronfall/rule/slab"
 )
 
-// Outcome is what became of a command. An unsure one may have been done.
+// Outcome is the result of a command. If Uncertain, it was not answered before the
+// deadline and may or may not have run. Sent reports whether it was sent at all.
 type Outcome struct {
-	Answer any
-	Unsure bool
-	Sent   bool
+	Answer    any
+	Uncertain bool
+	Sent      bool
 }
 
-// Caller gets commands to the owners of parts, over and over until their
-// budget has passed. Commands bear repeating.
+// Caller sends commands to the leaders of partitions and retries each until it is
+// answered or its deadline passes. Commands are idempotent. All functions but
+// Forwarders must be set.
 type Caller struct {
+	// Retry is the interval between the first attempts at a command.
 	Retry  time.Duration
 	Random func() float64
 	Send   func(to string, body any)
-	Anyone func() []string
-	// Others are members that may pass a command on when cores stay silent.
-	Others func() []string
-	Parts  func() int
-	hints  map[int]string
-	// leaders are who was last known to lead each partition. One that left a command
-	// without an answer for long is not known to.
+	// Cores returns the addresses of all cores.
+	Cores func() []string
+	// Forwarders returns the addresses of processes that can forward a command if
+	// the cores don't answer.
+	Forwarders func() []string
+	// Partitions returns the number of partitions, zero while it is not known.
+	Partitions func() int
+	// hints are the addresses that the next attempts go to, by partition.
+	hints map[int]string
+	// leaders are the addresses of the last known leaders, by partition. An entry is
+	// removed when all attempts at the fixed interval stayed unanswered.
 	leaders map[int]string
-	calls   slab.Slab[*call]
-	pending map[slab.Ticket]*call
-	salt    uint64
-	// Tries counts the attempts made.
-	Tries int64
-	// asked is when the first command went out since anybody was heard of;
-	// unanswered says that one did.
-	asked      time.Duration
-	unanswered bool
+	calls   slab.Slab[*pendingCall]
+	pending map[slab.Ticket]*pendingCall
+	// salt is a random number that makes message IDs differ from those of other
+	// incarnations.
+	salt uint64
+	// Attempts counts the attempts made.
+	Attempts int64
+	// unansweredSince is when the first command was sent since the last answer;
+	// unanswered is set if there is such a command.
+	unansweredSince time.Duration
+	unanswered      bool
 }
 
-// Silent is for how long commands have gone out with no word from any core.
-func (c *Caller) Silent(now time.Duration) time.Duration {
+// SilentFor returns how long commands have been sent without an answer from any
+// core.
+func (c *Caller) SilentFor(now time.Duration) time.Duration {
 	if !c.unanswered {
 		return 0
 	}
-	return now - c.asked
+	return now - c.unansweredSince
 }
 
-type call struct {
-	ticket  slab.Ticket
-	part    int
-	raw     []byte
-	until   time.Duration
-	again   time.Duration
-	tries   int
-	outcome func(now time.Duration, o Outcome)
+// pendingCall is a command without an outcome.
+type pendingCall struct {
+	ticket    slab.Ticket
+	partition int
+	raw       []byte
+	deadline  time.Duration
+	retryAt   time.Duration
+	attempts  int
+	outcome   func(now time.Duration, o Outcome)
 }
 
-// Call sends a command; its outcome comes exactly once.
+// Call sends a command and calls outcome exactly once, at the latest in the first
+// Tick after until.
 func (c *Caller) Call(now time.Duration, command any, until time.Duration, outcome func(now time.Duration, o Outcome)) {
-	if c.Parts() == 0 {
-		outcome(now, Outcome{Unsure: true})
+	if c.Partitions() == 0 {
+		outcome(now, Outcome{Uncertain: true})
 		return
 	}
-	k := &call{part: Target(c.Parts(), command), raw: message.Pack(command), until: until, outcome: outcome}
-	k.ticket = c.calls.Keep(k)
+	k := &pendingCall{partition: TargetPartition(c.Partitions(), command), raw: message.Pack(command), deadline: until, outcome: outcome}
+	k.ticket = c.calls.Put(k)
 	if c.pending == nil {
-		c.pending, c.hints = map[slab.Ticket]*call{}, map[int]string{}
+		c.pending, c.hints = map[slab.Ticket]*pendingCall{}, map[int]string{}
 	}
 	c.pending[k.ticket] = k
-	c.try(now, k)
+	c.attempt(now, k)
 }
 
 const (
-	// steadyTries is how often a command is tried at the pace of Retry: for longer
-	// than a request waits for it, and than a partition needs for another leader.
-	// After that, each try waits one Retry longer than the one before.
-	steadyTries = 20
-	// slowestRetries is how many retry periods lie between two tries at the most.
-	slowestRetries = 32
+	// fixedDelayAttempts is the number of attempts at intervals of Retry, enough to
+	// outlast an election. After them, each interval is one Retry longer than the last.
+	fixedDelayAttempts = 20
+	// maxDelayRetries is the longest interval between attempts, in units of Retry.
+	maxDelayRetries = 32
 )
 
-func (c *Caller) try(now time.Duration, k *call) {
-	to := c.hints[k.part]
+// attempt sends a command to the presumed leader, or to a random core or forwarder
+// if none is known, and schedules the next attempt.
+func (c *Caller) attempt(now time.Duration, k *pendingCall) {
+	to := c.hints[k.partition]
 	if to == "" {
-		all := c.Anyone()
-		if c.Others != nil && k.tries >= 2 && k.tries%2 == 0 {
-			if others := c.Others(); len(others) > 0 {
-				all = others
+		addresses := c.Cores()
+		if c.Forwarders != nil && k.attempts >= 2 && k.attempts%2 == 0 {
+			if forwarders := c.Forwarders(); len(forwarders) > 0 {
+				addresses = forwarders
 			}
 		}
-		if len(all) == 0 {
-			k.again = now + c.Retry
+		if len(addresses) == 0 {
+			k.retryAt = now + c.Retry
 			return
 		}
-		to = all[int(c.Random()*float64(len(all)))%len(all)]
+		to = addresses[int(c.Random()*float64(len(addresses)))%len(addresses)]
 	}
-	k.tries++
-	c.Tries++
+	k.attempts++
+	c.Attempts++
 	if !c.unanswered {
-		c.asked, c.unanswered = now, true
+		c.unansweredSince, c.unanswered = now, true
 	}
-	k.again = now + c.Retry*time.Duration(min(max(k.tries-steadyTries, 1), slowestRetries))
-	c.Send(to, Command{ID: c.Mark(k.ticket), Part: k.part, Raw: k.raw})
+	k.retryAt = now + c.Retry*time.Duration(min(max(k.attempts-fixedDelayAttempts, 1), maxDelayRetries))
+	c.Send(to, Command{ID: c.MessageID(k.ticket), Partition: k.partition, Raw: k.raw})
 }
 
-// Hint tells who owns a part.
-func (c *Caller) Hint(number int, address string) {
+// SetLeader records the address of a partition's leader.
+func (c *Caller) SetLeader(partition int, address string) {
 	if c.hints == nil {
-		c.pending, c.hints = map[slab.Ticket]*call{}, map[int]string{}
+		c.pending, c.hints = map[slab.Ticket]*pendingCall{}, map[int]string{}
 	}
-	c.hints[number] = address
-	c.wake(number, address)
+	c.hints[partition] = address
+	c.retryWaiting(partition, address)
 }
 
-// wake has what waited long for a partition tried at once, where it is known for the
-// first time that somebody leads it, or that somebody else does.
-func (c *Caller) wake(number int, leader string) {
+// retryWaiting makes commands that have backed off due at once if the partition's
+// leader was not known before, or is another one now.
+func (c *Caller) retryWaiting(partition int, leader string) {
 	if c.leaders == nil {
 		c.leaders = map[int]string{}
 	}
-	if c.leaders[number] == leader {
+	if c.leaders[partition] == leader {
 		return
 	}
-	c.leaders[number] = leader
+	c.leaders[partition] = leader
 	for _, k := range c.pending {
-		if k.part == number && k.tries > steadyTries {
-			k.again = 0
+		if k.partition == partition && k.attempts > fixedDelayAttempts {
+			k.retryAt = 0
 		}
 	}
 }
 
-// Mark turns a ticket into an id that no other life of this process gives out,
-// so that a return to an earlier life finds nothing here.
-func (c *Caller) Mark(t slab.Ticket) uint64 {
+// MessageID turns a ticket into an ID that other incarnations of this process don't
+// use, so that a result for an earlier one matches no ticket here.
+func (c *Caller) MessageID(t slab.Ticket) uint64 {
 	for c.salt == 0 {
 		c.salt = uint64(c.Random()*(1<<31))<<31 | uint64(c.Random()*(1<<31))
 	}
 	return uint64(t) ^ c.salt
 }
 
-// Unmark turns an id back into a ticket.
-func (c *Caller) Unmark(id uint64) slab.Ticket { return slab.Ticket(c.Mark(slab.Ticket(id))) }
+// Ticket returns the ticket that a message ID was made from.
+func (c *Caller) Ticket(id uint64) slab.Ticket { return slab.Ticket(c.MessageID(slab.Ticket(id))) }
 
-// HintOf is who is thought to own a part.
-func (c *Caller) HintOf(number int) string { return c.hints[number] }
+// Leader returns the address of a partition's presumed leader, or "".
+func (c *Caller) Leader(partition int) string { return c.hints[partition] }
 
-// Tick tries again what got no answer, and ends what has no budget left.
+// Tick retries commands that are due and ends those whose deadline has passed with
+// an uncertain outcome.
 func (c *Caller) Tick(now time.Duration) {
-	var due []*call
+	var due []*pendingCall
 	for _, t := range ordered.Keys(c.pending) {
-		if k := c.pending[t]; now >= k.until || now >= k.again {
+		if k := c.pending[t]; now >= k.deadline || now >= k.retryAt {
 			due = append(due, k)
 		}
 	}
 	for _, k := range due {
-		if now >= k.until {
-			c.end(now, k, Outcome{Unsure: true, Sent: k.tries > 0})
+		if now >= k.deadline {
+			c.finish(now, k, Outcome{Uncertain: true, Sent: k.attempts > 0})
 			continue
 		}
-		delete(c.hints, k.part)
-		if k.tries == steadyTries {
-			delete(c.leaders, k.part)
+		delete(c.hints, k.partition)
+		if k.attempts == fixedDelayAttempts {
+			delete(c.leaders, k.partition)
 		}
-		c.try(now, k)
+		c.attempt(now, k)
 	}
 }
 
-func (c *Caller) end(now time.Duration, k *call, o Outcome) {
+// finish removes a command and reports its outcome.
+func (c *Caller) finish(now time.Duration, k *pendingCall, o Outcome) {
 	if _, ok := c.calls.Take(k.ticket); !ok {
 		return
 	}
@@ -176,32 +191,32 @@
 	k.outcome(now, o)
 }
 
-// Receive takes an answer.
-func (c *Caller) Receive(now time.Duration, from string, r CommandReturn) {
+// Receive handles the answer of the core at an address.
+func (c *Caller) Receive(now time.Duration, from string, r CommandResult) {
 	c.unanswered = false
-	k, ok := c.calls.Look(c.Unmark(r.ID))
+	k, ok := c.calls.Get(c.Ticket(r.ID))
 	switch {
 	case !ok:
-	case r.Moved:
-		if r.Hint != "" && r.Hint != from && c.hints[k.part] != r.Hint {
-			c.hints[k.part] = r.Hint
-			c.try(now, k)
+	case r.NotLeader:
+		if r.LeaderHint != "" && r.LeaderHint != from && c.hints[k.partition] != r.LeaderHint {
+			c.hints[k.partition] = r.LeaderHint
+			c.attempt(now, k)
 			return
 		}
-		delete(c.hints, k.part)
-		k.again = now + c.Retry/4
-	case r.Unsure:
-		k.again = now + c.Retry/4
+		delete(c.hints, k.partition)
+		k.retryAt = now + c.Retry/4
+	case r.Uncertain:
+		k.retryAt = now + c.Retry/4
 	default:
 		answer, err := message.Open(r.Raw)
 		if err != nil {
 			return
 		}
-		c.hints[k.part] = from
-		c.end(now, k, Outcome{Answer: answer, Sent: true})
-		c.wake(k.part, from)
+		c.hints[k.partition] = from
+		c.finish(now, k, Outcome{Answer: answer, Sent: true})
+		c.retryWaiting(k.partition, from)
 	}
 }
 
-// Waiting is how many commands have no outcome yet.
-func (c *Caller) Waiting() int { return c.calls.Used() }
+// Pending returns the number of commands without an outcome.
+func (c *Caller) Pending() int { return c.calls.Len() }
--- a/peer/core/commands.go
+++ b/peer/core/commands.go
@@ -8,86 +8,93 @@
 	"saffronfall/rule/slab"
 )
 
-type origin struct {
-	from    string
-	id      uint64
-	part    int
-	handled func(now time.Duration, r partition.Result)
+// commandOrigin is the sender of a command: the address and ID to answer, or a function
+// that is called with the result.
+type commandOrigin struct {
+	from      string
+	id        uint64
+	partition int
+	onResult  func(now time.Duration, r partition.Result)
 }
 
-func (m *Machine) take(now time.Duration, n int, o partition.Output) {
+// handleOutput puts what a partition's machine returned into the core's output.
+func (m *Machine) handleOutput(now time.Duration, n int, o partition.Output) {
 	for i := range o.Records {
 		m.out.Changes = append(m.out.Changes, Change{Record: &o.Records[i]})
 	}
 	for _, s := range o.Sends {
-		body := PartMessage{Part: n, From: m.self.Seat(), To: s.To, Raw: message.Pack(s.Body)}
+		body := ReplicaMessage{Partition: n, From: m.self.MemberID(), To: s.To, Raw: message.Pack(s.Body)}
 		if address := m.addressOf(s.To); address != "" {
 			m.send(address, body, s.AfterSync)
 		}
 	}
 	for _, r := range o.Results {
-		at, ok := m.tickets.Take(slab.Ticket(r.RequestID))
+		origin, ok := m.tickets.Take(slab.Ticket(r.RequestID))
 		if !ok {
 			continue
 		}
-		if at.handled != nil {
-			at.handled(now, r)
+		if origin.onResult != nil {
+			origin.onResult(now, r)
 			continue
 		}
-		m.reply(n, at, r)
+		m.reply(n, origin, r)
 	}
 }
 
-func (m *Machine) reply(n int, at origin, r partition.Result) {
-	if at.from == "" {
+// reply sends a command's result to its sender.
+func (m *Machine) reply(n int, origin commandOrigin, r partition.Result) {
+	if origin.from == "" {
 		return
 	}
-	answer := CommandReturn{ID: at.id, Part: at.part, Unsure: r.Uncertain, Moved: r.NotLeader}
+	answer := CommandResult{ID: origin.id, Partition: origin.partition, Uncertain: r.Uncertain, NotLeader: r.NotLeader}
 	switch {
 	case r.NotLeader:
-		m.Counters.Moved++
-		answer.Hint = m.hint(n)
+		m.Counters.Redirected++
+		answer.LeaderHint = m.leaderAddress(n)
 	case r.Uncertain:
-		m.Counters.Unsure++
+		m.Counters.Uncertain++
 	default:
 		answer.Raw = message.Pack(r.Body)
 	}
-	m.send(at.from, answer, false)
+	m.send(origin.from, answer, false)
 }
 
-func (m *Machine) propose(now time.Duration, n int, command any, from origin) {
-	p := m.parts[n]
-	if c, ok := command.(ChangeSeat); ok && p != nil {
-		answer := from
-		from = origin{handled: func(now time.Duration, r partition.Result) {
+// propose runs a command in partition n, if this core leads it.
+func (m *Machine) propose(now time.Duration, n int, command any, origin commandOrigin) {
+	p := m.partitions[n]
+	if c, ok := command.(ChangeGroup); ok && p != nil {
+		client := origin
+		origin = commandOrigin{onResult: func(now time.Duration, r partition.Result) {
 			r.Body = Done{OK: r.Body == true}
-			m.reply(n, answer, r)
+			m.reply(n, client, r)
 		}}
-		m.take(now, n, p.ChangeMembers(now, uint64(m.tickets.Keep(from)), c.Add, c.Remove))
+		m.handleOutput(now, n, p.ChangeMembers(now, uint64(m.tickets.Put(origin)), c.Add, c.Remove))
 		return
 	}
-	if _, ok := command.(ReadSeats); ok && p != nil {
-		answer := from
-		from = origin{handled: func(now time.Duration, r partition.Result) {
+	if _, ok := command.(ReadGroup); ok && p != nil {
+		client := origin
+		origin = commandOrigin{onResult: func(now time.Duration, r partition.Result) {
 			g := p.Group()
-			if owned, ok := p.CommittedGroup(); ok {
-				g = owned
+			if committed, ok := p.CommittedGroup(); ok {
+				g = committed
 			}
-			r.Body = Seats{Seats: g.Members, Former: g.Former}
-			m.reply(n, answer, r)
+			r.Body = GroupMembers{Members: g.Members, Former: g.Former}
+			m.reply(n, client, r)
 		}}
 	}
-	ticket := m.tickets.Keep(from)
+	ticket := m.tickets.Put(origin)
 	if p == nil {
-		m.take(now, n, partition.Output{Results: []partition.Result{{RequestID: uint64(ticket), NotLeader: true}}})
+		m.handleOutput(now, n, partition.Output{Results: []partition.Result{{RequestID: uint64(ticket), NotLeader: true}}})
 		return
 	}
-	m.take(now, n, p.Propose(now, uint64(ticket), command))
+	m.handleOutput(now, n, p.Propose(now, uint64(ticket), command))
 }
 
-func (m *Machine) onPart(now time.Duration, b PartMessage) {
-	m.hear(now, b.From)
-	if b.To != m.self.Seat() || b.Part < 0 || b.Part >= m.founding.Parts {
+// onReplicaMessage passes a message to this core's replica of a partition. A snapshot
+// creates the replica.
+func (m *Machine) onReplicaMessage(now time.Duration, b ReplicaMessage) {
+	m.recordContact(now, b.From)
+	if b.To != m.self.MemberID() || b.Partition < 0 || b.Partition >= m.founding.Partitions {
 		return
 	}
 	body, err := message.Open(b.Raw)
@@ -95,29 +102,29 @@
 		m.Counters.BadMessages++
 		return
 	}
-	if m.stalled && wantsDisk(body) {
-		// Nothing may pile up before a disk that takes nothing. Whoever sent it
-		// sends it again, or a whole copy once the disk is back.
-		m.Counters.Stalled++
+	if m.stalled && requiresDisk(body) {
+		// Writes must not queue up for a stalled disk. The leader retries, or sends a
+		// snapshot once the disk works again.
+		m.Counters.RefusedWhileStalled++
 		return
 	}
-	p := m.parts[b.Part]
-	if _, write := body.(partition.Write); write && m.self.Retired && (p == nil || !p.Group().Has(m.self.Seat())) {
-		// A leader that has not heard of the retirement wants to hand a replica to
-		// this core, which may be taken away at any moment.
+	p := m.partitions[b.Partition]
+	if _, write := body.(partition.Write); write && m.self.Retired && (p == nil || !p.Group().Has(m.self.MemberID())) {
+		// The leader does not know yet that this core is retired. A retired core may
+		// be shut down at any time, so it joins no group.
 		return
 	}
 	if p == nil {
 		if w, ok := body.(partition.Write); !ok || !w.Snapshot {
 			return
 		}
-		p = m.seat(now, b.Part, partition.State{})
+		p = m.addReplica(now, b.Partition, partition.State{})
 	}
-	m.take(now, b.Part, p.Receive(now, b.From, body))
+	m.handleOutput(now, b.Partition, p.Receive(now, b.From, body))
 }
 
-// wantsDisk reports whether a message makes a replica write.
-func wantsDisk(body any) bool {
+// requiresDisk reports whether a message makes a replica write to disk.
+func requiresDisk(body any) bool {
 	switch b := body.(type) {
 	case partition.Write:
 		return true
@@ -127,38 +134,40 @@
 	return false
 }
 
-func (m *Machine) onPull(now time.Duration, from string, b Pull) {
-	if b.Want {
-		m.learn()
+// onPullUpdates sends the updates of the partitions that this core leads.
+func (m *Machine) onPullUpdates(now time.Duration, from string, b PullUpdates) {
+	if b.WantTopology {
+		m.refreshTopology()
 		m.send(from, m.Topology(), false)
 	}
-	for n := 0; n < m.founding.Parts; n++ {
-		p := m.parts[n]
+	for n := 0; n < m.founding.Partitions; n++ {
+		p := m.partitions[n]
 		if p == nil {
 			continue
 		}
 		if _, ok := p.LeadingTerm(now); !ok {
 			continue
 		}
-		upto, _ := p.CommittedVersion()
-		if n == ConfigurationPart && b.Fresh {
-			m.send(from, Fresh{Sent: b.Sent, Upto: upto}, false)
+		upTo, _ := p.CommittedVersion()
+		if n == ConfigurationPartition && b.WantFreshness {
+			m.send(from, Freshness{SentAt: b.SentAt, UpTo: upTo}, false)
 		}
 		after := b.Versions[n]
-		if !after.Less(upto) {
+		if !after.Less(upTo) {
 			continue
 		}
-		news := News{Part: n, After: after, Upto: upto}
-		if after.Term != upto.Term || after.Seq < p.PurgedSeq() {
-			after, news.Whole = partition.Version{}, true
+		update := Update{Partition: n, After: after, UpTo: upTo}
+		if after.Term != upTo.Term || after.Seq < p.PurgedSeq() {
+			after, update.Snapshot = partition.Version{}, true
 		}
-		news.Entries = p.Updates(after, NewsPrefixes)
-		m.send(from, news, false)
+		update.Entries = p.Updates(after, UpdatePrefixes)
+		m.send(from, update, false)
 	}
 }
 
-// Ask runs one command on behalf of an operator.
-func (m *Machine) Ask(now time.Duration, ticket uint64, command any, within time.Duration) Output {
+// RunCommand runs a command on behalf of an operator and answers the ticket with its
+// Outcome.
+func (m *Machine) RunCommand(now time.Duration, ticket uint64, command any, within time.Duration) Output {
 	m.out = &Output{}
 	m.caller.Call(now, command, now+within, func(now time.Duration, o Outcome) {
 		m.out.Answers = append(m.out.Answers, Answer{Ticket: ticket, Body: o})
@@ -166,6 +175,6 @@
 	return *m.out
 }
 
-func (m *Machine) answer(ticket uint64, body any) {
+func (m *Machine) answerOperator(ticket uint64, body any) {
 	m.out.Answers = append(m.out.Answers, Answer{Ticket: ticket, Body: body})
 }
--- a/peer/core/gossip_test.go
+++ b/peer/core/gossip_test.go
@@ -7,48 +7,47 @@
 	"saffronfall/rule/partition"
 )
 
-// TestTopologyIsToldWhereItDiffers: cores that know the same tell each other no
-// more than that they live; one that missed a change gets it within a few beats,
-// and is told no more once it has it.
-func TestTopologyIsToldWhereItDiffers(t *testing.T) {
+// TestTopologyIsSentOnlyWhereItDiffers: cores with equal topologies exchange only
+// heartbeats. A core that missed a change receives it within a few heartbeats.
+func TestTopologyIsSentOnlyWhereItDiffers(t *testing.T) {
 	f := newFleet(t, 3, 4)
-	f.pass(10 * time.Second)
+	f.advance(10 * time.Second)
 	before := f.kinds["core.Topology"]
-	f.pass(4 * time.Second)
-	if told := f.kinds["core.Topology"] - before; told > 2*len(f.boxes)*len(f.boxes) {
-		t.Errorf("%d topologies in 4 s of rest", told)
+	f.advance(4 * time.Second)
+	if sent := f.kinds["core.Topology"] - before; sent > 2*len(f.cores)*len(f.cores) {
+		t.Errorf("%d topologies sent in 4 s without changes", sent)
 	}
-	lagging := f.boxes[3].m
-	lagging.owners[1] = partition.Term{}
+	lagging := f.cores[3].m
+	lagging.terms[1] = partition.Term{}
 	lagging.groups[1] = partition.Group{}
 	delete(lagging.cores, "c1")
-	f.pass(3 * time.Second)
-	if lagging.Topology().Digest() != f.boxes[0].m.Topology().Digest() {
-		t.Error("a core that missed a change does not get it")
+	f.advance(3 * time.Second)
+	if lagging.Topology().Digest() != f.cores[0].m.Topology().Digest() {
+		t.Error("a core that missed a change did not receive it")
 	}
 }
 
-// TestDigestOfATopology tells apart what matters and nothing else.
-func TestDigestOfATopology(t *testing.T) {
-	make := func() Topology {
-		return Topology{Fleet: "f", Cores: map[string]Core{"a": {ID: "a", Incarnation: "1"}, "b": {ID: "b"}}, Owners: []partition.Term{{Round: 1, Leader: "a.1"}}, Groups: []partition.Group{{Epoch: 1, Members: []string{"a.1"}}}}
+// TestTopologyDigest: topologies have different digests if and only if they differ.
+func TestTopologyDigest(t *testing.T) {
+	newTopology := func() Topology {
+		return Topology{Fleet: "f", Cores: map[string]Core{"a": {ID: "a", Incarnation: "1"}, "b": {ID: "b"}}, Leaders: []partition.Term{{Round: 1, Leader: "a.1"}}, Groups: []partition.Group{{Epoch: 1, Members: []string{"a.1"}}}}
 	}
-	same := make()
-	same.Groups[0].Former = []string{}
-	if make().Digest() != same.Digest() {
-		t.Error("an empty list is told from none")
+	equal := newTopology()
+	equal.Groups[0].Former = []string{}
+	if newTopology().Digest() != equal.Digest() {
+		t.Error("an empty list and a nil list have different digests")
 	}
 	for name, change := range map[string]func(t *Topology){
 		"fleet":  func(t *Topology) { t.Fleet = "g" },
 		"core":   func(t *Topology) { t.Cores["b"] = Core{ID: "b", Retired: true} },
-		"owner":  func(t *Topology) { t.Owners[0].Round++ },
+		"owner":  func(t *Topology) { t.Leaders[0].Round++ },
 		"group":  func(t *Topology) { t.Groups[0].Members = []string{"a.2"} },
 		"former": func(t *Topology) { t.Groups[0].Former = []string{"b."} },
 	} {
-		other := make()
+		other := newTopology()
 		change(&other)
-		if other.Digest() == make().Digest() {
-			t.Errorf("%s: not told apart", name)
+		if other.Digest() == newTopology().Digest() {
+			t.Errorf("%s: the digest does not change with it", name)
 		}
 	}
 }
--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -12,33 +12,34 @@
 	"saffronfall/rule/slab"
 )
 
-// Send is a message for the process at an address. A synced one goes out when
-// all changes so far are on disk.
+// Send is a message for the process at an address. A synced message may be sent
+// only after all changes up to it are on disk.
 type Send struct {
 	To     string
 	Body   any
 	Synced bool
 }
 
-// Answer goes to an operator's waiting call.
+// Answer is the result of an operator's call, identified by the call's ticket.
 type Answer struct {
 	Ticket uint64
 	Body   any
 }
 
-// Output is what a step wants done: changes, then sends, then answers.
+// Output lists the effects of a step. The caller carries them out in this order: write
+// the changes, send the messages, return the answers.
 type Output struct {
 	Changes []Change
 	Sends   []Send
 	Answers []Answer
 }
 
-// Counters are what a core counts.
+// Counters are a core's event counts since it started.
 type Counters struct {
-	Messages, Commands, Moved, Unsure, Pulls, BadMessages, Returns, Stalled int64
+	Messages, Commands, Redirected, Uncertain, Pulls, BadMessages, Rejoins, RefusedWhileStalled int64
 }
 
-// Options make a machine.
+// Options configure a Machine.
 type Options struct {
 	Params   Params
 	ID, Zone string
@@ -48,177 +49,191 @@
 	Stored   Stored
 	Now      time.Duration
 	Random   func() float64
-	// Violated takes violated invariants; without it they panic.
+	// Violated receives violated invariants. If it is nil, a violation panics.
 	Violated invariant.Reporter
 }
 
-// Machine is one core.
+// Machine is the state machine of one core process. It does no I/O and has no
+// clock: the caller passes in messages and times and carries out each Output.
 type Machine struct {
 	Counters Counters
 
-	params   Params
-	self     Core
-	founding Founding
-	parts    map[int]*partition.Machine
-	cores    map[string]Core
-	owners   []partition.Term
-	groups   []partition.Group
-	caller   *Caller
-	tickets  slab.Slab[origin]
-	outlets
-	random   func() float64
-	sweepAt  time.Duration
-	leaving  bool
-	stalled  bool
-	later    Later
-	seeds    []string
-	lookAt   time.Duration
-	mending  bool
-	unknown  bool
-	gathered uint64
-	samples  map[string][]rehearsal.Sample
-	bornAt   time.Duration
-	tickedAt time.Duration
-	placed   [][]string
-	// placedFor and placedSilent are what the placement was made for.
-	placedFor    []Core
-	placedSilent map[string]bool
-	heard        map[string]heard
-	changed      bool
-	gossiping
-	// outlived says that the fleet knows a later incarnation of this core; refused
-	// is how many claims to its entry lost a race.
-	outlived bool
-	refused  uint64
-	movedAt  map[int]time.Duration
-	moveAt   time.Duration
+	params     Params
+	self       Core
+	founding   Founding
+	partitions map[int]*partition.Machine
+	cores      map[string]Core
+	terms      []partition.Term
+	groups     []partition.Group
+	caller     *Caller
+	tickets    slab.Slab[commandOrigin]
+	outputs
+	random     func() float64
+	sweepAt    time.Duration
+	draining   bool
+	stalled    bool
+	timers     Timers
+	seeds      []string
+	announceAt time.Duration
+	// registering is set while a command to register this core's entry is pending;
+	// unregistered is set while the fleet may have a different entry of this core.
+	registering  bool
+	unregistered bool
+	// sampleRound identifies the last collection of samples.
+	sampleRound uint64
+	samples     map[string][]rehearsal.Sample
+	// Silence of other cores counts from observedSince on. activeAt is when this core
+	// last ran.
+	observedSince time.Duration
+	activeAt      time.Duration
+	placement     [][]string
+	// placementCores and placementSilent are the inputs that placement was
+	// computed from.
+	placementCores  []Core
+	placementSilent map[string]bool
+	contacts        map[string]contact
+	topologyChanged bool
+	gossipState
+	// superseded is set when the fleet knows a later incarnation of this core.
+	// claimIncrement is added to the version of the next claim to this core's entry,
+	// because earlier claims lost a race.
+	superseded     bool
+	claimIncrement uint64
+	// nextChangeAt is the earliest time of a partition's next group change, set when
+	// a change has failed.
+	nextChangeAt map[int]time.Duration
+	rebalanceAt  time.Duration
 }
 
-// outlets are where a core's words go: what a step wants done, and violated
-// invariants.
-type outlets struct {
+// outputs are the destinations of a step's results and of invariant violations.
+type outputs struct {
 	out      *Output
 	violated invariant.Reporter
 }
 
-// New makes a core from what its disk holds.
+// New returns a machine in the state stored on the core's disk.
 func New(o Options) *Machine {
-	m := &Machine{params: o.Params, random: o.Random, outlets: outlets{violated: o.Violated}, seeds: o.Seeds, parts: map[int]*partition.Machine{}, cores: map[string]Core{},
+	m := &Machine{params: o.Params, random: o.Random, outputs: outputs{violated: o.Violated}, seeds: o.Seeds, partitions: map[int]*partition.Machine{}, cores: map[string]Core{},
 		self: Core{ID: o.ID, Incarnation: o.Stored.Incarnation, Zone: o.Zone, Peer: o.Address, Operator: o.Operator}}
-	m.caller = &Caller{Retry: o.Params.Retry, Random: o.Random,
-		Send:  func(to string, body any) { m.send(to, body, false) },
-		Parts: func() int { return m.founding.Parts },
-		Anyone: func() []string {
-			var all []string
+	m.caller = &Caller{Retry: o.Params.AttemptTimeout, Random: o.Random,
+		Send:       func(to string, body any) { m.send(to, body, false) },
+		Partitions: func() int { return m.founding.Partitions },
+		Cores: func() []string {
+			var addresses []string
 			for _, c := range m.cores {
 				if !c.Retired {
-					all = append(all, c.Peer)
+					addresses = append(addresses, c.Peer)
 				}
 			}
-			sort.Strings(all)
-			return all
+			sort.Strings(addresses)
+			return addresses
 		}}
-	if o.Stored.Founding.Parts > 0 {
-		m.begin(o.Now, o.Stored)
+	if o.Stored.Founding.Partitions > 0 {
+		m.start(o.Now, o.Stored)
 	}
 	return m
 }
 
-func (m *Machine) begin(now time.Duration, s Stored) {
+// start initializes the state of a core that belongs to a fleet.
+func (m *Machine) start(now time.Duration, s Stored) {
 	m.founding = s.Founding
-	m.owners, m.groups = make([]partition.Term, s.Founding.Parts), make([]partition.Group, s.Founding.Parts)
+	m.terms, m.groups = make([]partition.Term, s.Founding.Partitions), make([]partition.Group, s.Founding.Partitions)
 	for id, c := range s.Founding.Cores {
 		m.cores[id] = c
 	}
-	m.learnCoresOf(s.Copies[ConfigurationPart])
-	m.assert()
-	m.unknown = true
-	m.toldAt = map[string]time.Duration{}
-	m.heard, m.movedAt, m.bornAt, m.tickedAt = map[string]heard{}, map[int]time.Duration{}, now, now
-	for _, n := range ordered.Keys(s.Copies) {
-		m.seat(now, n, s.Copies[n])
+	m.mergeCoresOf(s.Replicas[ConfigurationPartition])
+	m.refreshSelf()
+	m.unregistered = true
+	m.topologySentAt = map[string]time.Duration{}
+	m.contacts, m.nextChangeAt, m.observedSince, m.activeAt = map[string]contact{}, map[int]time.Duration{}, now, now
+	for _, n := range ordered.Keys(s.Replicas) {
+		m.addReplica(now, n, s.Replicas[n])
 	}
 }
 
-func (m *Machine) seat(now time.Duration, n int, c partition.State) *partition.Machine {
-	m.parts[n] = partition.New(partition.Options{Params: m.params.Part, Member: m.self.Seat(), Partition: n, Rules: &rules{params: m.params, fleet: m.fleet, violated: m.violated}, State: c, Now: now,
+// addReplica starts this core's replica of partition n.
+func (m *Machine) addReplica(now time.Duration, n int, state partition.State) *partition.Machine {
+	m.partitions[n] = partition.New(partition.Options{Params: m.params.Partition, Member: m.self.MemberID(), Partition: n, Rules: &rules{params: m.params, fleet: m.fleet, violated: m.violated}, State: state, Now: now,
 		Random: m.random, Violated: m.violated})
-	return m.parts[n]
+	return m.partitions[n]
 }
 
+// send queues a message for the process at an address.
 func (m *Machine) send(to string, body any, synced bool) {
 	m.out.Sends = append(m.out.Sends, Send{To: to, Body: body, Synced: synced})
 }
 
 // Founded reports whether this core belongs to a fleet.
-func (m *Machine) Founded() bool { return m.founding.Parts > 0 }
+func (m *Machine) Founded() bool { return m.founding.Partitions > 0 }
 
-// Self is this core's own entry.
+// Self returns this core's own entry.
 func (m *Machine) Self() Core { return m.self }
 
-// Founding is what the fleet was founded with.
+// Founding returns the configuration that the fleet was founded with.
 func (m *Machine) Founding() Founding { return m.founding }
 
-// Tick lets time pass.
+// Tick runs what is due at now.
 func (m *Machine) Tick(now time.Duration) Output {
 	m.out = &Output{}
 	if !m.Founded() {
-		if now >= m.lookAt {
-			m.lookAt = now + max(50*time.Millisecond, m.params.MemberTerm/20)
-			m.greet()
+		if now >= m.announceAt {
+			m.announceAt = now + max(50*time.Millisecond, m.params.MemberLease/20)
+			m.announce()
 		}
 		return *m.out
 	}
-	m.notice(now)
-	for n := 0; n < m.founding.Parts; n++ {
-		p := m.parts[n]
+	m.detectPause(now)
+	for n := 0; n < m.founding.Partitions; n++ {
+		p := m.partitions[n]
 		if p == nil {
 			continue
 		}
-		if m.leaving || m.stalled {
-			m.take(now, n, p.ReleaseLeadership(now))
-			if _, owns := p.LeadingTerm(now); !owns {
+		if m.draining || m.stalled {
+			m.handleOutput(now, n, p.ReleaseLeadership(now))
+			if _, leads := p.LeadingTerm(now); !leads {
 				continue
 			}
 		}
-		m.take(now, n, p.Tick(now))
+		m.handleOutput(now, n, p.Tick(now))
 	}
 	if now >= m.gossipAt {
-		m.gossipAt = now + m.params.Pull
-		m.learn()
+		m.gossipAt = now + m.params.PullInterval
+		m.refreshTopology()
 		m.gossip(now)
 	}
-	if now >= m.moveAt {
-		m.moveAt = now + m.params.Part.LeaseDuration/4
-		m.place(now)
+	if now >= m.rebalanceAt {
+		m.rebalanceAt = now + m.params.Partition.LeaseDuration/4
+		m.rebalance(now)
 	}
 	if now >= m.sweepAt {
-		m.sweepAt = now + m.params.MemberTerm/4
-		for n := 0; n < m.founding.Parts; n++ {
-			if p := m.parts[n]; p != nil {
+		m.sweepAt = now + m.params.MemberLease/4
+		for n := 0; n < m.founding.Partitions; n++ {
+			if p := m.partitions[n]; p != nil {
 				if _, ok := p.LeadingTerm(now); ok {
-					m.propose(now, n, Sweep{}, origin{})
+					m.propose(now, n, Sweep{}, commandOrigin{})
 				}
 			}
 		}
 	}
-	if now >= m.lookAt {
-		m.lookAt = now + m.params.MemberTerm/4
-		m.greet()
-		m.mend(now)
+	if now >= m.announceAt {
+		m.announceAt = now + m.params.MemberLease/4
+		m.announce()
+		m.register(now)
 	}
 	m.caller.Tick(now)
-	m.later.Tick(now)
+	m.timers.Tick(now)
 	return *m.out
 }
 
-// Leave begins to hand all parts over; Owned says how many are left.
-func (m *Machine) Leave() { m.leaving = true }
+// Drain starts to transfer the leadership of all partitions to other cores.
+// LeadingPartitions lists those that remain.
+func (m *Machine) Drain() { m.draining = true }
 
-// Owned lists the parts that this core owns now.
-func (m *Machine) Owned(now time.Duration) []int {
+// LeadingPartitions lists the partitions that this core leads at now, in ascending
+// order.
+func (m *Machine) LeadingPartitions(now time.Duration) []int {
 	var list []int
-	for n, p := range m.parts {
+	for n, p := range m.partitions {
 		if _, ok := p.LeadingTerm(now); ok {
 			list = append(list, n)
 		}
@@ -227,10 +242,10 @@
 	return list
 }
 
-// PartCounters sums the counters of all parts.
-func (m *Machine) PartCounters() partition.Counters {
+// PartitionCounters returns the sums of the counters of all replicas.
+func (m *Machine) PartitionCounters() partition.Counters {
 	var sum partition.Counters
-	for _, p := range m.parts {
+	for _, p := range m.partitions {
 		c := p.Counters
 		sum.Elections += c.Elections
 		sum.Elected += c.Elected
@@ -243,53 +258,53 @@
 	return sum
 }
 
-// Part is one part's machine, for tests and status.
-func (m *Machine) Part(n int) *partition.Machine { return m.parts[n] }
+// Partition returns this core's replica of partition n, or nil if it has none.
+func (m *Machine) Partition(n int) *partition.Machine { return m.partitions[n] }
 
-// Receive takes a message from the process at an address.
+// Receive handles a message from the process at an address.
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
 	m.out = &Output{}
 	m.Counters.Messages++
 	if !m.Founded() {
 		switch b := body.(type) {
 		case Topology:
-			m.returnTo(now, b)
+			m.rejoin(now, b)
 		case FoundFleet:
 			if m.params.ColdStart {
-				m.found(now, b.Founding)
+				m.createFleet(now, b.Founding)
 			}
 		}
 		return *m.out
 	}
-	m.notice(now)
+	m.detectPause(now)
 	switch b := body.(type) {
-	case PartMessage:
-		m.onPart(now, b)
+	case ReplicaMessage:
+		m.onReplicaMessage(now, b)
 	case Command:
 		m.Counters.Commands++
 		command, err := message.Open(b.Raw)
-		if err != nil || b.Part < 0 || b.Part >= m.founding.Parts {
+		if err != nil || b.Partition < 0 || b.Partition >= m.founding.Partitions {
 			m.Counters.BadMessages++
 			return *m.out
 		}
-		m.propose(now, b.Part, command, origin{from: from, id: b.ID, part: b.Part})
-	case CommandReturn:
+		m.propose(now, b.Partition, command, commandOrigin{from: from, id: b.ID, partition: b.Partition})
+	case CommandResult:
 		m.caller.Receive(now, from, b)
-	case Pull:
+	case PullUpdates:
 		m.Counters.Pulls++
-		m.onPull(now, from, b)
+		m.onPullUpdates(now, from, b)
 	case Topology:
-		m.adopt(b)
-	case Present:
-		m.onPresent(now, from, b)
+		m.mergeTopology(b)
+	case AnnounceCore:
+		m.onAnnounceCore(now, from, b)
 	case Samples:
-		if b.ID == m.gathered && m.samples != nil {
+		if b.ID == m.sampleRound && m.samples != nil {
 			m.samples[from] = b.List
 		}
 	}
 	return *m.out
 }
 
-// Stall tells the machine whether its disk hangs. A core with a hanging disk
-// gives its parts to others and stands for none.
-func (m *Machine) Stall(stalled bool) { m.stalled = stalled }
+// SetStalled sets whether the core's disk is stalled. A core with a stalled
+// disk gives up leadership of its partitions and is not a candidate in elections.
+func (m *Machine) SetStalled(stalled bool) { m.stalled = stalled }
--- a/peer/core/retired_test.go
+++ b/peer/core/retired_test.go
@@ -8,56 +8,56 @@
 	"saffronfall/rule/partition"
 )
 
-// TestRetiredCoreTakesNoReplica: a leader that has not heard of a retirement can't
-// hand the retired core a partition, as it may be taken away at any moment; what
-// it still has, it keeps up until the group has changed.
+// TestRetiredCoreTakesNoReplica: a retired core refuses new replicas, which a leader
+// that does not know of the retirement may send, as the core may be shut down at any
+// time. It keeps its existing replicas up to date until their groups have changed.
 func TestRetiredCoreTakesNoReplica(t *testing.T) {
 	self, leader := Core{ID: "a", Incarnation: "1", Zone: "z", Peer: "a:1"}, Core{ID: "b", Incarnation: "1", Zone: "y", Peer: "b:1"}
-	m := New(Options{Params: newAlone(t).m.params, ID: self.ID, Zone: self.Zone, Address: self.Peer, Stored: Stored{Incarnation: self.Incarnation}, Random: func() float64 { return 0.5 }})
-	founding := Plan("f", 2, 1, []Core{self, leader})
-	founding.Groups = []partition.Group{{Epoch: 1, Members: []string{self.Seat(), leader.Seat()}}, {Epoch: 1, Members: []string{leader.Seat()}}}
+	m := New(Options{Params: newSingleCore(t).m.params, ID: self.ID, Zone: self.Zone, Address: self.Peer, Stored: Stored{Incarnation: self.Incarnation}, Random: func() float64 { return 0.5 }})
+	founding := PlanFleet("f", 2, 1, []Core{self, leader})
+	founding.Groups = []partition.Group{{Epoch: 1, Members: []string{self.MemberID(), leader.MemberID()}}, {Epoch: 1, Members: []string{leader.MemberID()}}}
 	if _, ok := m.Found(0, founding); !ok {
 		t.Fatal("not founded")
 	}
-	takes := func(n int, seq uint64) bool {
+	accepts := func(n int, seq uint64) bool {
 		group := founding.Groups[n]
-		group.Term = partition.Term{Round: 1, Leader: leader.Seat()}
+		group.Term = partition.Term{Round: 1, Leader: leader.MemberID()}
 		write := partition.Write{Term: group.Term, Seq: seq, Group: group, Snapshot: true}
-		o := m.Receive(time.Second, leader.Peer, PartMessage{Part: n, From: leader.Seat(), To: self.Seat(), Raw: message.Pack(write)})
+		o := m.Receive(time.Second, leader.Peer, ReplicaMessage{Partition: n, From: leader.MemberID(), To: self.MemberID(), Raw: message.Pack(write)})
 		return len(o.Changes) > 0
 	}
-	if !takes(0, 1) || !takes(1, 1) {
-		t.Fatal("a core that is not retired takes no replica")
+	if !accepts(0, 1) || !accepts(1, 1) {
+		t.Fatal("a core that is not retired refuses a replica")
 	}
 	retired := self
 	retired.Retired, retired.Version = true, 9
-	m.Receive(time.Second, leader.Peer, Topology{Fleet: "f", Cores: map[string]Core{self.ID: retired}, Owners: make([]partition.Term, 2), Groups: make([]partition.Group, 2)})
-	if takes(1, 2) {
-		t.Error("a retired core takes a replica of a group that it does not belong to")
+	m.Receive(time.Second, leader.Peer, Topology{Fleet: "f", Cores: map[string]Core{self.ID: retired}, Leaders: make([]partition.Term, 2), Groups: make([]partition.Group, 2)})
+	if accepts(1, 2) {
+		t.Error("a retired core accepted a replica of a group that it does not belong to")
 	}
-	if !takes(0, 2) {
-		t.Error("a retired core no longer keeps up the replica that it still has")
+	if !accepts(0, 2) {
+		t.Error("a retired core refused a write to its existing replica")
 	}
 }
 
-// TestRetiredCoresAreNotCalled: a retired core is told that others live for as long as it
-// keeps a replica, and no longer: its machine may be gone for good.
-func TestRetiredCoresAreNotCalled(t *testing.T) {
-	for _, keeps := range []bool{true, false} {
-		a := newAlone(t)
+// TestRetiredCoresGetNoHeartbeats: a retired core is sent heartbeats only as long as
+// it has a replica, since it may be permanently down.
+func TestRetiredCoresGetNoHeartbeats(t *testing.T) {
+	for _, hasReplica := range []bool{true, false} {
+		a := newSingleCore(t)
 		retired := Core{ID: "x", Incarnation: "1", Peer: "x:1", Version: 1, Retired: true}
-		a.m.learnCore(retired)
-		if keeps {
-			a.m.groups[1].Former = append(a.m.groups[1].Former, retired.Seat())
+		a.m.mergeCore(retired)
+		if hasReplica {
+			a.m.groups[1].Former = append(a.m.groups[1].Former, retired.MemberID())
 		}
-		called := false
+		contacted := false
 		for end := a.now + 10*time.Second; a.now < end; a.now += 50 * time.Millisecond {
 			for _, s := range a.m.Tick(a.now).Sends {
-				called = called || s.To == retired.Peer
+				contacted = contacted || s.To == retired.Peer
 			}
 		}
-		if called != keeps {
-			t.Errorf("keeps a replica %v, called %v", keeps, called)
+		if contacted != hasReplica {
+			t.Errorf("core with a replica: %v, sent messages: %v", hasReplica, contacted)
 		}
 	}
 }
--- a/peer/core/rules_members.go
+++ b/peer/core/rules_members.go
@@ -8,68 +8,84 @@
 	"saffronfall/rule/program"
 )
 
-func (r *rules) memberTerm() time.Duration {
-	return time.Duration(float64(r.params.MemberTerm) * (1 + r.params.Part.Drift))
+// maxPastIncarnations bounds Member.PastIncarnations.
+const maxPastIncarnations = 256
+
+// tombstoneRetention is how long a program is reported as expired after its deletion.
+const tombstoneRetention = 24 * time.Hour
+
+// memberLease is the lease by the leader's clock. It is longer than the member's by the
+// maximum clock drift, so that the member stops first.
+func (r *rules) memberLease() time.Duration {
+	return time.Duration(float64(r.params.MemberLease) * (1 + r.params.Partition.Drift))
 }
 
+// join grants the first lease of an incarnation. While another incarnation may still
+// hold a lease, the new one waits, unless the host proves that the process of the
+// earlier one has ended.
 func (r *rules) join(now time.Duration, tx *partition.Tx, c JoinMember) any {
 	key := memberPrefix + c.Member.ID
-	floor, _ := read[uint64](tx, floorKey)
+	floor, _ := read[uint64](tx, versionFloorKey)
 	m, ok := read[Member](tx, key)
 	switch {
 	case ok && m.HasEnded(c.Member.Incarnation):
-		return Termed{Ended: true, Floor: floor}
-	case ok && m.Incarnation != c.Member.Incarnation && !m.Ended && (m.Host == "" || m.Host != c.Member.Host || LifeOf(m.Incarnation) == LifeOf(c.Member.Incarnation)):
-		if wait := r.members[key] + r.memberTerm() - now; wait > 0 {
-			return Termed{Wait: wait, Floor: floor}
+		return MembershipResult{Ended: true, Floor: floor}
+	case ok && m.Incarnation != c.Member.Incarnation && !m.Ended && (m.Host == "" || m.Host != c.Member.Host || ProcessIncarnation(m.Incarnation) == ProcessIncarnation(c.Member.Incarnation)):
+		if wait := r.renewedAt[key] + r.memberLease() - now; wait > 0 {
+			return MembershipResult{Wait: wait, Floor: floor}
 		}
 	}
 	if c.Member.Version < floor {
-		return Termed{Floor: floor}
+		return MembershipResult{Floor: floor}
 	}
 	if !ok || m.Incarnation != c.Member.Incarnation {
-		fresh := c.Member
+		joined := c.Member
 		if ok {
-			fresh.Past = append(m.Past, m.Incarnation)
-			if n := len(fresh.Past); n > livesKept {
-				fresh.Past = fresh.Past[n-livesKept:]
+			joined.PastIncarnations = append(m.PastIncarnations, m.Incarnation)
+			if n := len(joined.PastIncarnations); n > maxPastIncarnations {
+				joined.PastIncarnations = joined.PastIncarnations[n-maxPastIncarnations:]
 			}
 		}
-		write(tx, key, fresh)
+		write(tx, key, joined)
 	}
-	r.members[key], r.versions[key] = now, c.Member.Version
-	return Termed{Granted: true, Floor: floor}
+	r.renewedAt[key], r.memberVersions[key] = now, c.Member.Version
+	return MembershipResult{Granted: true, Floor: floor}
 }
 
-// LifeOf is the process that an incarnation belongs to: its terms have one each.
-func LifeOf(incarnation string) string {
-	life, _, _ := strings.Cut(incarnation, "+")
-	return life
+// ProcessIncarnation returns the part of a member's incarnation that identifies its
+// process. A process gets a new incarnation each time its membership ends.
+func ProcessIncarnation(incarnation string) string {
+	process, _, _ := strings.Cut(incarnation, "+")
+	return process
 }
 
+// renew renews a lease, unless it has ended or the member follows a configuration
+// below the floor.
 func (r *rules) renew(now time.Duration, tx *partition.Tx, c RenewMember) any {
 	key := memberPrefix + c.ID
-	floor, _ := read[uint64](tx, floorKey)
+	floor, _ := read[uint64](tx, versionFloorKey)
 	m, ok := read[Member](tx, key)
 	if !ok || m.Incarnation != c.Incarnation || m.Ended {
-		return Termed{Ended: true, Floor: floor}
+		return MembershipResult{Ended: true, Floor: floor}
 	}
 	if c.Version < floor {
-		return Termed{Floor: floor}
+		return MembershipResult{Floor: floor}
 	}
-	r.members[key], r.versions[key] = now, max(c.Version, r.versions[key])
-	return Termed{Granted: true, Floor: floor}
+	r.renewedAt[key], r.memberVersions[key] = now, max(c.Version, r.memberVersions[key])
+	return MembershipResult{Granted: true, Floor: floor}
 }
 
-func (r *rules) setFloor(now time.Duration, tx *partition.Tx, c SetFloor) any {
-	floor, _ := read[uint64](tx, floorKey)
+// setVersionFloor raises the version floor and reports the members that are still
+// below it.
+func (r *rules) setVersionFloor(now time.Duration, tx *partition.Tx, c SetVersionFloor) any {
+	floor, _ := read[uint64](tx, versionFloorKey)
 	if floor < c.Version {
-		write(tx, floorKey, c.Version)
+		write(tx, versionFloorKey, c.Version)
 	}
-	var answer Floored
+	var answer VersionFloorResult
 	for _, key := range tx.Keys(memberPrefix) {
 		m, _ := read[Member](tx, key)
-		if !m.Ended && r.versions[key] < c.Version {
+		if !m.Ended && r.memberVersions[key] < c.Version {
 			answer.Lagging = append(answer.Lagging, m.ID)
 		}
 	}
@@ -77,38 +93,38 @@
 	return answer
 }
 
+// sweep ends expired memberships and deletes expired programs, their tombstones and
+// once-keys.
 func (r *rules) sweep(now time.Duration, tx *partition.Tx) {
 	for _, key := range tx.Keys(memberPrefix) {
 		m, _ := read[Member](tx, key)
-		if !m.Ended && now >= r.members[key]+r.memberTerm() {
+		if !m.Ended && now >= r.renewedAt[key]+r.memberLease() {
 			m.Ended = true
 			write(tx, key, m)
 		}
 	}
 	clock := tx.Clock()
 	for _, key := range tx.Keys(programPrefix) {
-		if countSlashes(key) != 2 {
-			continue
+		if strings.Count(key, "/") != 2 {
+			continue // the key of a turn
 		}
 		p, _ := read[program.Record](tx, key)
-		if clock >= p.Touched+p.Keep && len(p.Running) == 0 {
+		if clock >= p.LastActive+p.Retention && len(p.Running) == 0 {
 			for _, turn := range tx.Keys(key + "/") {
 				tx.Delete(turn)
 			}
 			tx.Delete(key)
-			write(tx, "past/"+key, clock)
+			write(tx, tombstonePrefix+key, clock)
 		}
 	}
-	for _, key := range tx.Keys("past/") {
-		if at, _ := read[time.Duration](tx, key); clock >= at+24*time.Hour {
+	for _, key := range tx.Keys(tombstonePrefix) {
+		if at, _ := read[time.Duration](tx, key); clock >= at+tombstoneRetention {
 			tx.Delete(key)
 		}
 	}
 	for _, key := range tx.Keys(oncePrefix) {
-		if o, _ := read[Once](tx, key); clock >= o.Until {
+		if o, _ := read[OnceRecord](tx, key); clock >= o.Until {
 			tx.Delete(key)
 		}
 	}
 }
-
-const livesKept = 256
--- a/peer/core/stall_test.go
+++ b/peer/core/stall_test.go
@@ -8,21 +8,21 @@
 	"saffronfall/rule/partition"
 )
 
-// TestNothingPilesUpBeforeAStalledDisk: a core whose disk is full or hangs takes
-// no writes and promises nothing, goes on prolonging a lease that it has promised
-// already, and takes writes again when the disk is back.
-func TestNothingPilesUpBeforeAStalledDisk(t *testing.T) {
+// TestStalledDiskRefusesWrites: a core whose disk is full or stalled accepts no
+// writes and makes no promises, so that no writes queue up. It continues to renew a
+// lease that it already granted, and accepts writes again once the disk works.
+func TestStalledDiskRefusesWrites(t *testing.T) {
 	self, other := Core{ID: "a", Incarnation: "1", Zone: "z", Peer: "a:1"}, Core{ID: "b", Incarnation: "1", Zone: "y", Peer: "b:1"}
 	third := Core{ID: "c", Incarnation: "1", Zone: "x", Peer: "c:1"}
-	p := newAlone(t).m.params
+	p := newSingleCore(t).m.params
 	m := New(Options{Params: p, ID: self.ID, Zone: self.Zone, Address: self.Peer, Stored: Stored{Incarnation: self.Incarnation}, Random: func() float64 { return 0.5 }})
-	if _, ok := m.Found(0, Plan("f", 1, 3, []Core{self, other, third})); !ok {
+	if _, ok := m.Found(0, PlanFleet("f", 1, 3, []Core{self, other, third})); !ok {
 		t.Fatal("not founded")
 	}
-	group := m.Part(0).Group()
-	group.Term = partition.Term{Round: 1, Leader: other.Seat()}
+	group := m.Partition(0).Group()
+	group.Term = partition.Term{Round: 1, Leader: other.MemberID()}
 	deliver := func(now time.Duration, body any) Output {
-		o := m.Receive(now, other.Peer, PartMessage{Part: 0, From: other.Seat(), To: self.Seat(), Raw: message.Pack(body)})
+		o := m.Receive(now, other.Peer, ReplicaMessage{Partition: 0, From: other.MemberID(), To: self.MemberID(), Raw: message.Pack(body)})
 		for _, s := range o.Sends {
 			if s.To == self.Peer && s.Synced {
 				m.Receive(now, self.Peer, s.Body)
@@ -34,23 +34,23 @@
 		return partition.Write{Term: group.Term, Seq: seq, PriorSeq: seq - 1, Group: group, Snapshot: seq == 1, Entries: []partition.Entry{{Key: "k", Value: []byte("v"), Version: partition.Version{Term: group.Term, Seq: seq}}}}
 	}
 	if o := deliver(0, write(1)); len(o.Changes) == 0 {
-		t.Fatal("the first write was not taken")
+		t.Fatal("the first write was not accepted")
 	}
-	m.Stall(true)
+	m.SetStalled(true)
 	for seq := uint64(2); seq < 100; seq++ {
 		if o := deliver(time.Second, write(seq)); len(o.Changes)+len(o.Sends) != 0 {
-			t.Fatalf("a write while the disk hangs: %+v", o)
+			t.Fatalf("a write was accepted while the disk is stalled: %+v", o)
 		}
 	}
-	later := partition.Term{Round: 2, Leader: third.Seat()}
+	later := partition.Term{Round: 2, Leader: third.MemberID()}
 	if o := deliver(time.Second, partition.Prepare{Term: later, Group: group, Released: group.Term}); len(o.Changes)+len(o.Sends) != 0 {
-		t.Fatalf("a promise while the disk hangs: %+v", o)
+		t.Fatalf("a promise was made while the disk is stalled: %+v", o)
 	}
 	if o := deliver(time.Second, partition.RenewLease{Term: group.Term, SentAt: time.Second}); len(o.Sends) == 0 {
-		t.Error("a lease that was promised on disk is not prolonged")
+		t.Error("a lease that was granted before the stall was not renewed")
 	}
-	m.Stall(false)
+	m.SetStalled(false)
 	if o := deliver(2*time.Second, write(2)); len(o.Changes) == 0 {
-		t.Error("a write after the disk is back was not taken")
+		t.Error("a write after the stall was not accepted")
 	}
 }
--- /dev/null
+++ b/peer/core/turns.go
@@ -0,0 +1,115 @@
+package core
+
+import (
+	"bytes"
+	"hash/maphash"
+	"net/url"
+	"slices"
+
+	"saffronfall/rule/partition"
+)
+
+// Absence is why a stored turn is not found. It is for operators only: a requester
+// gets the same answer in each case.
+type Absence string
+
+const (
+	// NotStored means that the partition has no trace of the turn.
+	NotStored Absence = ""
+	// Expired means that the turn's retention has ended.
+	Expired Absence = "expired"
+	// OtherTenant means that a turn of another tenant has this ID.
+	OtherTenant Absence = "foreign"
+)
+
+// recentKeysMax bounds recentKeys.
+const recentKeysMax = 4096
+
+// recentKeys is a set of the hashes of the last recentKeysMax keys that were added.
+type recentKeys struct {
+	seed   maphash.Seed
+	hashes map[uint64]bool
+	ring   []uint64
+	next   int
+}
+
+func newRecentKeys() *recentKeys {
+	return &recentKeys{seed: maphash.MakeSeed(), hashes: map[uint64]bool{}}
+}
+
+func (k *recentKeys) add(key string) {
+	hash := maphash.String(k.seed, key)
+	if k.hashes[hash] {
+		return
+	}
+	if len(k.ring) < recentKeysMax {
+		k.ring = append(k.ring, hash)
+	} else {
+		delete(k.hashes, k.ring[k.next])
+		k.ring[k.next] = hash
+		k.next = (k.next + 1) % recentKeysMax
+	}
+	k.hashes[hash] = true
+}
+
+func (k *recentKeys) has(key string) bool { return k.hashes[maphash.String(k.seed, key)] }
+
+// turnKeys returns the keys under which a turn may be stored. Requesters choose the
+// IDs of their attempts, so an ID is unique only within its tenant. The first tenant
+// that uses an ID has its turn under the ID alone, which is where a core of the
+// previous release, which may lead the partition during an upgrade, looks for it.
+// Other tenants' turns are under a prefix that no header can contain, the tenant's
+// name and the ID.
+func turnKeys(tenant, attempt string) [2]string {
+	return [2]string{turnPrefix + attempt, turnPrefix + "\x00" + url.PathEscape(tenant) + "/" + attempt}
+}
+
+// findTurn looks up a tenant's stored turn. If there is none, key is where to store
+// it.
+func findTurn(tx *partition.Tx, tenant, attempt string) (key string, t storedTurn, ok bool) {
+	free := ""
+	for _, key := range turnKeys(tenant, attempt) {
+		t, taken := read[storedTurn](tx, key)
+		switch {
+		case taken && t.Tenant == tenant:
+			return key, t, true
+		case !taken && free == "":
+			free = key
+		}
+	}
+	return free, storedTurn{}, false
+}
+
+// storeTurn stores a turn. A repeated command succeeds again; a different turn under
+// an ID that its tenant has used is refused.
+func (r *rules) storeTurn(tx *partition.Tx, c StoreTurn) any {
+	key, t, ok := findTurn(tx, c.Tenant, c.Attempt)
+	if ok {
+		return Done{OK: slices.Equal(t.Previous, c.Previous) && bytes.Equal(t.Input, c.Input) && bytes.Equal(t.Output, c.Output)}
+	}
+	t = storedTurn{Tenant: c.Tenant, Previous: c.Previous, Input: c.Input, Output: c.Output, Until: tx.Clock() + c.Retention}
+	write(tx, key, t)
+	r.expiries.add(key, t.Until)
+	return Done{OK: true}
+}
+
+// readTurn returns a stored turn, or why there is none.
+func (r *rules) readTurn(tx *partition.Tx, c ReadTurn) ReadTurnResult {
+	_, t, ok := findTurn(tx, c.Tenant, c.Attempt)
+	if !ok {
+		return ReadTurnResult{Absence: r.absenceReason(tx, c)}
+	}
+	return ReadTurnResult{Found: true, Previous: t.Previous, Input: t.Input, Output: t.Output, Remaining: t.Until - tx.Clock()}
+}
+
+// absenceReason returns why a turn is not stored, as far as this leader knows.
+func (r *rules) absenceReason(tx *partition.Tx, c ReadTurn) Absence {
+	keys := turnKeys(c.Tenant, c.Attempt)
+	if _, taken := read[storedTurn](tx, keys[0]); taken {
+		return OtherTenant
+	}
+	if r.expired.has(keys[0]) || r.expired.has(keys[1]) {
+		return Expired
+	}
+	return NotStored
+}
--- a/peer/desk/amend_test.go
+++ b/peer/desk/amend_test.go
@@ -10,15 +10,15 @@
 	"saffronfall/rule/route"
 )
 
-// scriptedCores answer a desk's commands by a function; nil is silence.
+// scriptedCores answers a desk's commands by a function; nil sends no answer.
 type scriptedCores struct {
 	desk     *Machine
 	answer   func(command any) any
 	commands []any
 }
 
-// carry answers commands until no more come, and returns what the desk answered.
-func (s *scriptedCores) carry(t *testing.T, now time.Duration, o Output) []Answer {
+// run answers commands until there are none left, and returns the desk's answers.
+func (s *scriptedCores) run(t *testing.T, now time.Duration, o Output) []Answer {
 	t.Helper()
 	answers := o.Answers
 	for _, c := range sentTo[core.Command](o, "c:1") {
@@ -28,8 +28,8 @@
 		}
 		s.commands = append(s.commands, command)
 		if body := s.answer(command); body != nil {
-			next := s.desk.Receive(now, "c:1", core.CommandReturn{ID: c.ID, Part: c.Part, Raw: message.Pack(body)})
-			answers = append(answers, s.carry(t, now, next)...)
+			next := s.desk.Receive(now, "c:1", core.CommandResult{ID: c.ID, Partition: c.Partition, Raw: message.Pack(body)})
+			answers = append(answers, s.run(t, now, next)...)
 		}
 	}
 	return answers
@@ -37,32 +37,32 @@
 
 func addService(base, number uint64) Amendment {
 	a := route.Amendment{Number: number, Set: route.SetItems{Services: []route.Service{{Name: "new", Connections: 1, TokensPerEvent: 1}}}}
-	return Amendment{Base: base, Number: number, Digest: "d", Join: JoinTable(a)}
+	return Amendment{Base: base, Number: number, Digest: "d", Apply: ApplyAmendment(a)}
 }
 
-// TestAmend: an amendment is joined to the table that the cores say is in force and
-// agreed whole; what came before it decides what one on another base is answered.
+// TestAmend checks that an amendment is applied to the current table of the cores and proposed as
+// a full table, and the answers to amendments whose base is not current.
 func TestAmend(t *testing.T) {
-	read := core.AgreedTable{Number: 4, Text: table(4), Digest: "four"}
+	read := core.CurrentTable{Number: 4, Text: table(4), Digest: "four"}
 	for _, c := range []struct {
 		name      string
 		amendment Amendment
 		agreed    any
 		found     any
-		want      Handed
-		// commands are how many went to the cores.
+		want      OrderResult
+		// commands is the number of commands sent to the cores.
 		commands int
 	}{
-		{name: "taken", amendment: addService(4, 5), agreed: core.TableAgreed{OK: true, Number: 5}, want: Handed{OK: true, Number: 5}, commands: 2},
-		{name: "race lost while joining", amendment: addService(4, 5), agreed: core.TableAgreed{Number: 6}, want: Handed{Race: true, Number: 6}, commands: 2},
-		{name: "taken before", amendment: addService(3, 4), found: core.TableAgreed{OK: true, Number: 4}, want: Handed{OK: true, Number: 4}, commands: 2},
-		{name: "race lost before", amendment: addService(3, 5), found: core.TableAgreed{Number: 4}, want: Handed{Race: true, Number: 4}, commands: 2},
-		{name: "on a base that is not there yet", amendment: addService(9, 10), found: core.TableAgreed{Number: 4}, want: Handed{Race: true, Number: 4}, commands: 2},
-		{name: "not above", amendment: addService(4, 4), want: Handed{Number: 4, Faults: configuration.Faults{{}}}, commands: 1},
-		{name: "no answer", amendment: addService(4, 5), want: Handed{Unsure: true}, commands: 2},
+		{name: "accepted", amendment: addService(4, 5), agreed: core.AcceptTableResult{OK: true, Number: 5}, want: OrderResult{Accepted: true, Number: 5}, commands: 2},
+		{name: "race lost during the proposal", amendment: addService(4, 5), agreed: core.AcceptTableResult{Number: 6}, want: OrderResult{RaceLost: true, Number: 6}, commands: 2},
+		{name: "accepted before", amendment: addService(3, 4), found: core.AcceptTableResult{OK: true, Number: 4}, want: OrderResult{Accepted: true, Number: 4}, commands: 2},
+		{name: "race lost before", amendment: addService(3, 5), found: core.AcceptTableResult{Number: 4}, want: OrderResult{RaceLost: true, Number: 4}, commands: 2},
+		{name: "on a base that does not exist yet", amendment: addService(9, 10), found: core.AcceptTableResult{Number: 4}, want: OrderResult{RaceLost: true, Number: 4}, commands: 2},
+		{name: "number not above the base", amendment: addService(4, 4), want: OrderResult{Number: 4, Faults: configuration.Faults{{}}}, commands: 1},
+		{name: "no answer", amendment: addService(4, 5), want: OrderResult{Uncertain: true}, commands: 2},
 	} {
 		m := newDesk(nil)
-		founded(m)
+		foundFleet(m)
 		cores := &scriptedCores{desk: m, answer: func(command any) any {
 			switch command.(type) {
 			case core.ReadTable:
@@ -72,39 +72,39 @@
 			}
 			return c.agreed
 		}}
-		answers := cores.carry(t, time.Millisecond, m.Amend(time.Millisecond, 7, c.amendment))
+		answers := cores.run(t, time.Millisecond, m.Amend(time.Millisecond, 7, c.amendment))
 		if len(answers) == 0 {
 			answers = m.Tick(5 * time.Second).Answers
 		}
 		if len(answers) != 1 || answers[0].Ticket != 7 {
 			t.Fatalf("%s: answers %+v", c.name, answers)
 		}
-		got := answers[0].Body.(Handed)
-		if got.OK != c.want.OK || got.Race != c.want.Race || got.Unsure != c.want.Unsure || got.Number != c.want.Number || (got.Faults == nil) != (c.want.Faults == nil) {
+		got := answers[0].Body.(OrderResult)
+		if got.Accepted != c.want.Accepted || got.RaceLost != c.want.RaceLost || got.Uncertain != c.want.Uncertain || got.Number != c.want.Number || (got.Faults == nil) != (c.want.Faults == nil) {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 		if len(cores.commands) != c.commands {
 			t.Errorf("%s: commands %+v", c.name, cores.commands)
 		}
-		if c.name == "taken" && m.Number() != 5 {
-			t.Errorf("the desk knows table %d", m.Number())
+		if c.name == "accepted" && m.TableNumber() != 5 {
+			t.Errorf("the desk knows table %d", m.TableNumber())
 		}
 	}
 }
 
-// TestPreviewChangesNothing: what an amendment would change is told, and not agreed.
+// TestPreviewChangesNothing checks that a preview reports the changes and proposes nothing.
 func TestPreviewChangesNothing(t *testing.T) {
 	m := newDesk(nil)
-	founded(m)
-	cores := &scriptedCores{desk: m, answer: func(any) any { return core.AgreedTable{Number: 4, Text: table(4), Digest: "four"} }}
+	foundFleet(m)
+	cores := &scriptedCores{desk: m, answer: func(any) any { return core.CurrentTable{Number: 4, Text: table(4), Digest: "four"} }}
 	a := addService(4, 5)
 	a.PreviewOnly = true
-	answers := cores.carry(t, time.Millisecond, m.Amend(time.Millisecond, 7, a))
+	answers := cores.run(t, time.Millisecond, m.Amend(time.Millisecond, 7, a))
 	if len(answers) != 1 || len(cores.commands) != 1 {
 		t.Fatalf("answers %+v, commands %+v", answers, cores.commands)
 	}
-	got := answers[0].Body.(Handed)
-	if got.OK || got.Preview == nil || len(got.Preview.Services.Added) != 1 || got.Preview.Services.Added[0] != "new" {
+	got := answers[0].Body.(OrderResult)
+	if got.Accepted || got.Preview == nil || len(got.Preview.Services.Added) != 1 || got.Preview.Services.Added[0] != "new" {
 		t.Fatalf("%+v", got)
 	}
 }
--- /dev/null
+++ b/peer/desk/currenttable.go
@@ -0,0 +1,114 @@
+package desk
+
+import (
+	"time"
+
+	"saffronfall/rule/route"
+)
+
+// maxDifferences is the number of tables that a subscriber may lag behind and still be
+// updated by differences.
+const maxDifferences = 16
+
+// currentTable is the newest accepted table that a desk knows; nil if it knows none.
+type currentTable struct {
+	parsed *route.Table
+	digest string
+	// text is the table as sent to subscribers, without the source that it was translated
+	// from, which only operators read. It is encoded on first use.
+	text []byte
+	// differences lead from earlier tables to this one, each based on the one before.
+	differences []route.Difference
+}
+
+func (t *currentTable) number() uint64 {
+	if t == nil {
+		return 0
+	}
+	return t.parsed.Number
+}
+
+func (t *currentTable) digestOrEmpty() string {
+	if t == nil {
+		return ""
+	}
+	return t.digest
+}
+
+func (t *currentTable) parsedOrNil() *route.Table {
+	if t == nil {
+		return nil
+	}
+	return t.parsed
+}
+
+func (t *currentTable) encoded() []byte {
+	if t.text == nil {
+		t.text = t.parsed.JSONWithoutSource()
+	}
+	return t.text
+}
+
+// differencesSince returns the differences that lead from the numbered table to this one; nil
+// if they are no longer stored.
+func (t *currentTable) differencesSince(number uint64) []route.Difference {
+	for i, d := range t.differences {
+		if d.BaseNumber == number {
+			return t.differences[i:]
+		}
+	}
+	return nil
+}
+
+// isSmaller reports whether differences have less than half as many items as the table.
+func (t *currentTable) isSmaller(differences []route.Difference) bool {
+	items := 0
+	for _, d := range differences {
+		items += d.Size()
+	}
+	return 2*items < len(t.parsed.Routes)+len(t.parsed.Services)+len(t.parsed.Tenants)
+}
+
+// differencesFor returns the differences that update a subscriber; nil if it needs the full
+// table.
+func (m *Machine) differencesFor(s *subscriber) []route.Difference {
+	if !s.acceptsDifferences || s.table == 0 {
+		return nil
+	}
+	differences := m.table.differencesSince(s.table)
+	if len(differences) == 0 || !m.table.isSmaller(differences) {
+		return nil
+	}
+	return differences
+}
+
+// installText parses and installs a table if it is newer than the known one. A table that was
+// already learned from an operator or a difference is not parsed again.
+func (m *Machine) installText(now time.Duration, number uint64, digest string, text []byte) {
+	if number <= m.table.number() {
+		return
+	}
+	parsed, faults := route.Parse(text)
+	if faults != nil {
+		m.Counters.BadMessages++
+		return
+	}
+	m.install(now, parsed, digest)
+}
+
+// install replaces the current table by a newer accepted one and notifies subscribers at once.
+func (m *Machine) install(now time.Duration, table *route.Table, digest string) {
+	if table.Number <= m.table.number() {
+		return
+	}
+	next := &currentTable{parsed: table, digest: digest}
+	if m.table != nil {
+		difference := route.Compare(m.table.parsed, m.table.digest, table, digest)
+		next.differences = append(append(next.differences, m.table.differences...), difference)
+		if extra := len(next.differences) - maxDifferences; extra > 0 {
+			next.differences = next.differences[extra:]
+		}
+	}
+	m.table = next
+	m.notifyAll(now)
+}
--- /dev/null
+++ b/peer/desk/disconnected_test.go
@@ -0,0 +1,187 @@
+package desk
+
+import (
+	"testing"
+	"time"
+
+	"saffronfall/peer/core"
+	"saffronfall/rule/message"
+	"saffronfall/rule/partition"
+)
+
+// connectedDesk returns a desk whose fleet has one core, with its configuration confirmed at the
+// given time.
+func connectedDesk(t *testing.T, now time.Duration) *Machine {
+	t.Helper()
+	m := newDesk(nil)
+	leader := partition.Term{Round: 1, Leader: "c1.x"}
+	m.Receive(now, "c1:1", core.Topology{Fleet: "f", GroupSize: 1, Cores: map[string]core.Core{"c1": {ID: "c1", Incarnation: "x", Peer: "c1:1", Version: 1}},
+		Leaders: []partition.Term{leader, leader}, Groups: []partition.Group{{Epoch: 1, Members: []string{"c1.x"}}, {Epoch: 1, Members: []string{"c1.x"}}}})
+	confirm(m, now)
+	return m
+}
+
+func confirm(m *Machine, now time.Duration) {
+	m.Receive(now, "c1:1", core.Update{Partition: core.ConfigurationPartition, UpTo: partition.Version{Term: partition.Term{Round: 1, Leader: "c1.x"}, Seq: 1}})
+	m.Receive(now, "c1:1", core.Freshness{SentAt: now, UpTo: partition.Version{Term: partition.Term{Round: 1, Leader: "c1.x"}, Seq: 1}})
+}
+
+// tickUntilAnswered ticks a desk that gets no messages until it answers a ticket, or for two
+// seconds. It returns the time that took and the answer.
+func tickUntilAnswered(m *Machine, start time.Duration, ticket uint64) (time.Duration, any) {
+	for now := start; now < start+2*time.Second; now += 5 * time.Millisecond {
+		for _, a := range m.Tick(now).Answers {
+			if a.Ticket == ticket {
+				return now - start, a.Body
+			}
+		}
+	}
+	return 2 * time.Second, nil
+}
+
+// TestDisconnectedDeskAnswersInTime checks that a desk without contact to a core answers each call
+// as uncertain within 250 ms.
+func TestDisconnectedDeskAnswersInTime(t *testing.T) {
+	const disconnectedAt = 10 * time.Second
+	calls := map[string]func(m *Machine, now time.Duration) Output{
+		"order":         func(m *Machine, now time.Duration) Output { return m.Apply(now, 1, 0, table(3), "d") },
+		"read":          func(m *Machine, now time.Duration) Output { return m.Read(now, 1) },
+		"retire":        func(m *Machine, now time.Duration) Output { return m.Retire(now, 1, "c1") },
+		"retire status": func(m *Machine, now time.Duration) Output { return m.RetirementStatus(now, 1, "c1") },
+	}
+	for name, call := range calls {
+		for _, after := range []time.Duration{0, time.Second, 20 * time.Second} {
+			m := connectedDesk(t, disconnectedAt)
+			now := disconnectedAt
+			for ; now < disconnectedAt+after; now += 5 * time.Millisecond {
+				m.Tick(now)
+			}
+			o := call(m, now)
+			if len(o.Answers) != 0 {
+				t.Fatalf("%s is answered without asking a core: %+v", name, o.Answers)
+			}
+			took, body := tickUntilAnswered(m, now, 1)
+			allowed := 250 * time.Millisecond
+			if after == 0 {
+				// The desk can't know yet that it is disconnected.
+				allowed += maxUnconfirmedPulls * m.params.Core.PullInterval
+			}
+			if took > allowed {
+				t.Errorf("%s, %v after the disconnection: answered after %v", name, after, took)
+			}
+			switch b := body.(type) {
+			case OrderResult:
+				if !b.Uncertain || b.Accepted || b.RaceLost || b.Faults != nil {
+					t.Errorf("%s: %+v", name, b)
+				}
+			case core.CurrentTable:
+				if b.Number != 0 {
+					t.Errorf("%s: an old table: %+v", name, b)
+				}
+			case RetirementStatus:
+				if !b.Uncertain {
+					t.Errorf("%s: %+v", name, b)
+				}
+			default:
+				t.Errorf("%s: %T", name, body)
+			}
+		}
+	}
+}
+
+// TestAnsweredOnce checks that a late answer of the cores to an expired call is not answered
+// again, but that its table is installed.
+func TestAnsweredOnce(t *testing.T) {
+	m := connectedDesk(t, 0)
+	o := m.Apply(5*time.Second, 1, 0, table(3), "d")
+	asked := sentTo[core.Command](o, "c1:1")
+	if len(asked) != 1 {
+		t.Fatalf("%d commands", len(asked))
+	}
+	if took, _ := tickUntilAnswered(m, 5*time.Second, 1); took > 250*time.Millisecond {
+		t.Fatalf("answered after %v", took)
+	}
+	late := m.Receive(5*time.Second+300*time.Millisecond, "c1:1", core.CommandResult{ID: asked[0].ID, Partition: asked[0].Partition, Raw: message.Pack(core.AcceptTableResult{OK: true, Number: 3})})
+	if len(late.Answers) != 0 {
+		t.Errorf("answered twice: %+v", late.Answers)
+	}
+	if m.TableNumber() != 3 {
+		t.Errorf("the agreed table is not installed: table %d", m.TableNumber())
+	}
+}
+
+// TestConnectedDeskWaits checks that no call expires while the cores confirm the table.
+func TestConnectedDeskWaits(t *testing.T) {
+	m := connectedDesk(t, 0)
+	m.Apply(0, 1, 0, table(3), "d")
+	for now := time.Duration(0); now < 900*time.Millisecond; now += 5 * time.Millisecond {
+		confirm(m, now)
+		if o := m.Tick(now); len(o.Answers) != 0 {
+			t.Fatalf("expired after %v although the cores are reachable", now)
+		}
+	}
+}
+
+// TestIsolatedDeskAcknowledgesNoHeartbeat checks when a desk counts as isolated, so that replicas
+// report to another desk that can pass their reports on.
+func TestIsolatedDeskAcknowledgesNoHeartbeat(t *testing.T) {
+	m := connectedDesk(t, 0)
+	nodes := []string{"n1:1", "n2:1", "n3:1"}
+	for _, n := range nodes {
+		m.Receive(0, n, Subscribe{Node: n})
+	}
+	if m.Isolated(0) {
+		t.Error("isolated at once")
+	}
+	if m.Isolated(20 * time.Second) {
+		t.Log("isolated after 20 s of silence")
+	} else {
+		t.Error("not isolated after 20 s of silence")
+	}
+	later := 20 * time.Second
+	for _, n := range nodes[:2] {
+		m.Receive(later, n, Subscribe{Node: n})
+	}
+	if m.Isolated(later) {
+		t.Error("isolated although it reaches most nodes")
+	}
+	later += 10 * time.Second
+	confirm(m, later)
+	if m.Isolated(later) {
+		t.Error("isolated although the cores answer")
+	}
+	if newDesk(nil).Isolated(time.Hour) {
+		t.Error("a desk that never had a node is isolated")
+	}
+}
+
+// TestRestartedDeskUsesSavedPeers checks that a restarted desk without reachable seeds asks the
+// saved cores and desks, restores no leader and no table, and passes the addresses on.
+func TestRestartedDeskUsesSavedPeers(t *testing.T) {
+	previous := connectedDesk(t, 0)
+	previous.Receive(0, "d3:1", Subscribe{Node: "d3", IsDesk: true})
+	var saved *Peers
+	for now := time.Duration(0); now < time.Second; now += 50 * time.Millisecond {
+		if o := previous.Tick(now); o.Peers != nil {
+			saved = o.Peers
+		}
+	}
+	if saved == nil {
+		t.Fatal("no addresses were saved")
+	}
+	if o := previous.Tick(2 * time.Second); o.Peers != nil {
+		t.Error("the same addresses are saved again")
+	}
+	m := newDesk(func(o *Options) { o.Incarnation, o.Seeds, o.KnownPeers = "l2", []string{"unreachable:1"}, saved })
+	o := m.Tick(0)
+	if len(sentTo[core.PullUpdates](o, "c1:1")) != 1 || len(sentTo[Subscribe](o, "d3:1")) != 1 {
+		t.Errorf("neither cores nor desks are asked: %+v", o.Sends)
+	}
+	if m.TableNumber() != 0 || m.Ready() || m.coresReachable(0) {
+		t.Error("a leader or a table was restored")
+	}
+	b := sentTo[Update](m.Receive(0, "n1:1", Subscribe{Node: "n1"}), "n1:1")
+	if len(b) != 1 || b[0].Topology == nil || len(b[0].Topology.Cores) != 1 || len(b[0].Desks) < 2 {
+		t.Errorf("a node is sent %+v", b)
+	}
+}
--- a/peer/desk/loads.go
+++ b/peer/desk/loads.go
@@ -10,42 +10,42 @@
 	"saffronfall/rule/placement"
 )
 
-// Messages by which nodes share what they know of replicas' load. Replicas are named by
-// their places in the desk's list, sorted by id without those that are gone, so both
-// sides must have the list of the same version; otherwise a message says nothing. A lost
-// one is made up for by the next.
+// Messages by which nodes share the load of replicas. Replicas are identified by their index
+// in ReplicaOrder, so sender and receiver must have the same version of the list; a message
+// of another version is ignored. A lost message is replaced by the next one.
 type (
-	// LoadReport is a node's word to a desk: what it has at replicas now, and how
-	// requests ended there since its last word.
+	// LoadReport is sent by a node to a desk: its outstanding requests at replicas, and the
+	// results of requests there since its last report.
 	LoadReport struct {
-		Life    string        `msgpack:"l"`
-		Version uint64        `msgpack:"v"`
-		List    []ReplicaLoad `msgpack:"r"`
+		Incarnation string        `msgpack:"l"`
+		Version     uint64        `msgpack:"v"`
+		Replicas    []ReplicaLoad `msgpack:"r"`
 	}
-	// ReplicaLoad is what one node has at one replica.
+	// ReplicaLoad is one node's load at one replica.
 	ReplicaLoad struct {
-		Place       uint16 `msgpack:"p"`
+		Index       uint16 `msgpack:"p"`
 		Outstanding uint16 `msgpack:"o"`
 		Served      uint16 `msgpack:"s"`
 		Failed      uint16 `msgpack:"f"`
-		// Busy is the time that Units of work took there.
+		// Busy is the total time that Units of work took.
 		Busy  time.Duration `msgpack:"b"`
 		Units uint16        `msgpack:"u"`
 	}
-	// Loads is a desk's word to a node: for each place, what all other nodes have there
-	// and how often requests fail there, in parts of 255.
+	// Loads is sent by a desk to a node. By replica index, it has the outstanding requests
+	// of all other nodes and the failure rates, scaled to 255.
 	Loads struct {
-		Life        string `msgpack:"l"`
-		Version     uint64 `msgpack:"v"`
-		Outstanding []byte `msgpack:"o"`
-		Failing     []byte `msgpack:"f"`
-		// Paces are the times that units of work take, in PaceUnits; zero: not known.
-		Paces []uint16 `msgpack:"a"`
+		Incarnation  string `msgpack:"l"`
+		Version      uint64 `msgpack:"v"`
+		Outstanding  []byte `msgpack:"o"`
+		FailureRates []byte `msgpack:"f"`
+		// UnitTimes are the times per unit of work in multiples of UnitTimeResolution; zero
+		// if unknown.
+		UnitTimes []uint16 `msgpack:"a"`
 	}
 )
 
-// PaceUnit is the unit in which paces are told.
-const PaceUnit = 100 * time.Microsecond
+// UnitTimeResolution is the unit of Loads.UnitTimes.
+const UnitTimeResolution = 100 * time.Microsecond
 
 func init() {
 	message.Register(map[string]any{
@@ -54,139 +54,140 @@
 	})
 }
 
-// loads is what a desk knows of replicas' load.
-type loads struct {
-	// places are the ids of the list of a version, in order.
-	places        []string
-	placesVersion uint64
-	nodes         map[string]nodeLoad
-	records       map[string]*replicaRecord
-	tellAt        time.Duration
-	// news is set when a node has said something since the last telling.
-	news bool
+// loadState is a desk's view of the load of replicas.
+type loadState struct {
+	// order is the ReplicaOrder of the list at orderVersion.
+	order        []string
+	orderVersion uint64
+	reports      map[string]nodeReport
+	histories    map[string]*replicaHistory
+	sendAt       time.Duration
+	// changed is set if a report arrived since Loads were last sent.
+	changed bool
 }
 
-// replicaRecord is how a replica has done lately, for all nodes.
-type replicaRecord struct {
+// replicaHistory has a replica's recent failure rate and speed, as seen by all nodes.
+type replicaHistory struct {
 	failures placement.FailureRate
-	pace     placement.UnitTime
+	unitTime placement.UnitTime
 }
 
-// nodeLoad is a node's last word.
-type nodeLoad struct {
-	at          time.Duration
+// nodeReport is the latest report of a node.
+type nodeReport struct {
+	receivedAt  time.Duration
 	outstanding map[string]uint16
 }
 
-// loadMemory is for how many telling periods a node's word holds: a node that has
-// something under way repeats itself well within.
-const loadMemory = 4
-
-// Places lists the ids by which loads name replicas: those of a list that are not gone.
-func Places[L any](list map[string]L, gone func(L) bool) []string {
-	var places []string
-	for _, id := range ordered.Keys(list) {
-		if !gone(list[id]) {
-			places = append(places, id)
+// reportRetention is the number of load intervals after which a report expires. A node with
+// outstanding requests reports more often.
+const reportRetention = 4
+
+// ReplicaOrder returns the sorted ids of the replicas that are not removed. Load messages
+// identify replicas by their index in it.
+func ReplicaOrder[L any](replicas map[string]L, isRemoved func(L) bool) []string {
+	var order []string
+	for _, id := range ordered.Keys(replicas) {
+		if !isRemoved(replicas[id]) {
+			order = append(order, id)
 		}
 	}
-	return places
+	return order
 }
 
-func (m *Machine) placesNow() []string {
-	if m.loads.placesVersion != m.version || m.loads.places == nil {
-		m.loads.places = Places(m.list, func(l *listed) bool { return l.Gone })
-		m.loads.placesVersion = m.version
+func (m *Machine) currentOrder() []string {
+	if m.loads.orderVersion != m.version || m.loads.order == nil {
+		m.loads.order = ReplicaOrder(m.replicas, func(entry *trackedReplica) bool { return entry.Removed })
+		m.loads.orderVersion = m.version
 	}
-	return m.loads.places
+	return m.loads.order
 }
 
-func (m *Machine) onLoadReport(now time.Duration, from string, b LoadReport) {
-	if b.Life != m.life || b.Version != m.version {
+func (m *Machine) onLoadReport(now time.Duration, from string, report LoadReport) {
+	if report.Incarnation != m.incarnation || report.Version != m.version {
 		return
 	}
-	places := m.placesNow()
-	if slices.ContainsFunc(b.List, func(one ReplicaLoad) bool { return int(one.Place) >= len(places) }) {
+	order := m.currentOrder()
+	if slices.ContainsFunc(report.Replicas, func(load ReplicaLoad) bool { return int(load.Index) >= len(order) }) {
 		m.Counters.BadMessages++
 		return
 	}
-	word := nodeLoad{at: now, outstanding: map[string]uint16{}}
-	for _, one := range b.List {
-		id := places[one.Place]
-		word.outstanding[id] = one.Outstanding
-		if one.Served > 0 || one.Failed > 0 || one.Units > 0 {
-			record := m.recordOf(id)
-			record.failures.Add(now, m.params.Beat, int64(one.Served), int64(one.Failed))
-			record.pace.Add(now, m.params.Beat, one.Busy, int64(one.Units))
+	received := nodeReport{receivedAt: now, outstanding: map[string]uint16{}}
+	for _, load := range report.Replicas {
+		id := order[load.Index]
+		received.outstanding[id] = load.Outstanding
+		if load.Served > 0 || load.Failed > 0 || load.Units > 0 {
+			history := m.historyOf(id)
+			history.failures.Add(now, m.params.HeartbeatInterval, int64(load.Served), int64(load.Failed))
+			history.unitTime.Add(now, m.params.HeartbeatInterval, load.Busy, int64(load.Units))
 		}
 	}
-	m.loads.nodes[from] = word
-	m.loads.news = true
+	m.loads.reports[from] = received
+	m.loads.changed = true
 }
 
-func (m *Machine) recordOf(id string) *replicaRecord {
-	r := m.loads.records[id]
-	if r == nil {
-		r = &replicaRecord{}
-		m.loads.records[id] = r
+func (m *Machine) historyOf(id string) *replicaHistory {
+	history := m.loads.histories[id]
+	if history == nil {
+		history = &replicaHistory{}
+		m.loads.histories[id] = history
 	}
-	return r
+	return history
 }
 
-// tellLoads tells the nodes that have something at replicas of the load there, if anything
-// was said since the last time. A node without requests needs no word.
-func (m *Machine) tellLoads(now time.Duration) {
-	if m.params.LoadPeriod <= 0 || now < m.loads.tellAt || !m.loads.news {
+// sendLoads sends Loads to the nodes with recent reports, if any report arrived since the
+// last time. A node without requests needs none.
+func (m *Machine) sendLoads(now time.Duration) {
+	if m.params.LoadInterval <= 0 || now < m.loads.sendAt || !m.loads.changed {
 		return
 	}
-	m.loads.tellAt, m.loads.news = now+m.params.LoadPeriod, false
-	for address, word := range m.loads.nodes {
-		if now > word.at+loadMemory*m.params.LoadPeriod {
-			delete(m.loads.nodes, address)
+	m.loads.sendAt, m.loads.changed = now+m.params.LoadInterval, false
+	for address, report := range m.loads.reports {
+		if now > report.receivedAt+reportRetention*m.params.LoadInterval {
+			delete(m.loads.reports, address)
 		}
 	}
-	places := m.placesNow()
-	total := m.totals(places)
-	said := m.loadsOf(now, places)
-	for _, address := range ordered.Keys(m.loads.nodes) {
-		own := m.loads.nodes[address].outstanding
-		others := make([]byte, len(places))
-		for i, id := range places {
-			others[i] = byte(min(total[i]-int(own[id]), math.MaxUint8))
+	order := m.currentOrder()
+	total := m.totalOutstanding(order)
+	summary := m.loadSummary(now, order)
+	for _, address := range ordered.Keys(m.loads.reports) {
+		reported := m.loads.reports[address].outstanding
+		others := make([]byte, len(order))
+		for i, id := range order {
+			others[i] = byte(min(total[i]-int(reported[id]), math.MaxUint8))
 		}
-		said.Outstanding = others
-		m.send(address, said)
+		summary.Outstanding = others
+		m.addSend(address, summary)
 	}
 }
 
-// totals adds up what all nodes have at each place.
-func (m *Machine) totals(places []string) []int {
-	outstanding := make([]int, len(places))
-	for i, id := range places {
-		for _, word := range m.loads.nodes {
-			outstanding[i] += int(word.outstanding[id])
+// totalOutstanding sums the outstanding requests of all nodes per replica.
+func (m *Machine) totalOutstanding(order []string) []int {
+	outstanding := make([]int, len(order))
+	for i, id := range order {
+		for _, report := range m.loads.reports {
+			outstanding[i] += int(report.outstanding[id])
 		}
 	}
 	return outstanding
 }
 
-// loadsOf is what is told to all nodes alike: how replicas have done lately.
-func (m *Machine) loadsOf(now time.Duration, places []string) Loads {
-	said := Loads{Life: m.life, Version: m.version, Failing: make([]byte, len(places)), Paces: make([]uint16, len(places))}
-	for i, id := range places {
-		if r := m.loads.records[id]; r != nil {
-			said.Failing[i] = byte(r.failures.At(now, m.params.Beat) * math.MaxUint8)
-			said.Paces[i] = uint16(min(r.pace.At(now, m.params.Beat)/PaceUnit, math.MaxUint16))
+// loadSummary returns the part of Loads that is the same for all nodes.
+func (m *Machine) loadSummary(now time.Duration, order []string) Loads {
+	summary := Loads{Incarnation: m.incarnation, Version: m.version, FailureRates: make([]byte, len(order)), UnitTimes: make([]uint16, len(order))}
+	for i, id := range order {
+		if history := m.loads.histories[id]; history != nil {
+			summary.FailureRates[i] = byte(history.failures.At(now, m.params.HeartbeatInterval) * math.MaxUint8)
+			summary.UnitTimes[i] = uint16(min(history.unitTime.At(now, m.params.HeartbeatInterval)/UnitTimeResolution, math.MaxUint16))
 		}
 	}
-	return said
+	return summary
 }
 
-// forgetRecords forgets replicas that are no longer listed.
-func (m *Machine) forgetRecords() {
-	for id := range m.loads.records {
-		if _, known := m.list[id]; !known {
-			delete(m.loads.records, id)
+// dropUnlistedHistories drops the histories of replicas that are no longer listed.
+func (m *Machine) dropUnlistedHistories() {
+	for id := range m.loads.histories {
+		if _, known := m.replicas[id]; !known {
+			delete(m.loads.histories, id)
 		}
 	}
 }
--- a/peer/desk/machine_test.go
+++ b/peer/desk/machine_test.go
@@ -12,18 +12,18 @@
 	"saffronfall/rule/route"
 )
 
-const beat = time.Second
+const heartbeat = time.Second
 
 func newDesk(change func(o *Options)) *Machine {
-	o := Options{ID: "d1", Life: "l1", Address: "d1:1", Seeds: []string{"d1:1", "d2:1"}, Random: func() float64 { return 0.5 },
-		Params: Params{Core: core.Params{MemberTerm: time.Second, Retry: 100 * time.Millisecond, Pull: 100 * time.Millisecond}, Beat: beat, Seats: 3, PartsPerCore: 2, Within: time.Second}}
+	o := Options{ID: "d1", Incarnation: "l1", Address: "d1:1", Seeds: []string{"d1:1", "d2:1"}, Random: func() float64 { return 0.5 },
+		Params: Params{Core: core.Params{MemberLease: time.Second, AttemptTimeout: 100 * time.Millisecond, PullInterval: 100 * time.Millisecond}, HeartbeatInterval: heartbeat, GroupSize: 3, PartitionsPerCore: 2, OperationTimeout: time.Second}}
 	if change != nil {
 		change(&o)
 	}
 	return New(o)
 }
 
-// sentTo lists what was sent to an address.
+// sentTo returns the messages of type T that were sent to an address.
 func sentTo[T any](o Output, to string) []T {
 	var list []T
 	for _, s := range o.Sends {
@@ -35,121 +35,124 @@
 }
 
 func replica(call int64, leaving bool) Replica {
-	return Replica{ID: "r1", Service: "app", Address: "r1:1", Slots: 4, Call: call, Leaving: leaving}
+	return Replica{ID: "r1", Service: "app", Address: "r1:1", Slots: 4, Sequence: call, Leaving: leaving}
 }
 
-// TestNewsIsToldAtOnce to every node that follows, and told again until it says
-// that it has it.
-func TestNewsIsToldAtOnce(t *testing.T) {
+// TestChangeIsSentAtOnce checks that a change is sent to every subscribed node at once, and again
+// if a renewal shows that it was lost.
+func TestChangeIsSentAtOnce(t *testing.T) {
 	m := newDesk(nil)
-	first := sentTo[Bulletin](m.Receive(0, "n1:1", Follow{Node: "n1"}), "n1:1")
+	first := sentTo[Update](m.Receive(0, "n1:1", Subscribe{Node: "n1"}), "n1:1")
 	if len(first) != 1 {
-		t.Fatalf("%d bulletins for a follower", len(first))
+		t.Fatalf("%d updates for a new subscriber", len(first))
 	}
-	o := m.Beat(time.Millisecond, 0, replica(1, false))
-	if b := sentTo[Bulletin](o, "n1:1"); len(b) != 1 || len(b[0].List) != 1 || len(o.Changes) != 1 {
-		t.Fatalf("%+v, changes %+v", b, o.Changes)
+	o := m.Heartbeat(time.Millisecond, 0, replica(1, false))
+	if b := sentTo[Update](o, "n1:1"); len(b) != 1 || len(b[0].Replicas) != 1 || len(o.ChangedReplicas) != 1 {
+		t.Fatalf("%+v, changes %+v", b, o.ChangedReplicas)
 	}
-	if o := m.Beat(2*time.Millisecond, 0, replica(2, false)); len(o.Sends)+len(o.Changes) != 0 {
-		t.Fatalf("a beat that says nothing new is told: %+v", o)
+	if o := m.Heartbeat(2*time.Millisecond, 0, replica(2, false)); len(o.Sends)+len(o.ChangedReplicas) != 0 {
+		t.Fatalf("a heartbeat without a change is sent: %+v", o)
 	}
-	if b := sentTo[Bulletin](m.Beat(3*time.Millisecond, 0, replica(3, true)), "n1:1"); len(b) != 1 || !b[0].List[0].Replica.Leaving {
+	if b := sentTo[Update](m.Heartbeat(3*time.Millisecond, 0, replica(3, true)), "n1:1"); len(b) != 1 || !b[0].Replicas[0].Replica.Leaving {
 		t.Fatalf("leaving: %+v", b)
 	}
-	// The bulletins were lost: the node says what it has.
-	if b := sentTo[Bulletin](m.Receive(4*time.Millisecond, "n1:1", Follow{Node: "n1", Life: first[0].Life, Version: first[0].Version}), "n1:1"); len(b) != 1 || len(b[0].List) != 1 {
+	// The updates were lost, and the node reports the version that it has.
+	if b := sentTo[Update](m.Receive(4*time.Millisecond, "n1:1", Subscribe{Node: "n1", Incarnation: first[0].Incarnation, Version: first[0].Version}), "n1:1"); len(b) != 1 || len(b[0].Replicas) != 1 {
 		t.Fatalf("after a loss: %+v", b)
 	}
 }
 
-// TestLeavingIsNeverTakenBack, not by a late call, and whoever left stays gone.
-func TestLeavingIsNeverTakenBack(t *testing.T) {
+// TestDepartureIsFinal checks that no later or delayed heartbeat reverts a departure, and that a
+// replica that left stays removed.
+func TestDepartureIsFinal(t *testing.T) {
 	m := newDesk(nil)
-	m.Beat(0, 0, replica(5, true))
-	m.Beat(1, 0, replica(4, false))
-	m.Beat(2, 0, replica(6, false))
+	m.Heartbeat(0, 0, replica(5, true))
+	m.Heartbeat(1, 0, replica(4, false))
+	m.Heartbeat(2, 0, replica(6, false))
 	if l := m.List(); !l[0].Replica.Leaving {
 		t.Fatalf("%+v", l)
 	}
 	m.Leave(3, 0, "r1")
-	m.Beat(4, 0, replica(7, false))
-	if l := m.List(); !l[0].Gone || !l[0].Final {
+	m.Heartbeat(4, 0, replica(7, false))
+	if l := m.List(); !l[0].Removed || !l[0].Final {
 		t.Fatalf("%+v", l)
 	}
 }
 
-// TestSilentReplicaIsTakenOffAndComesBack with a newer call.
-func TestSilentReplicaIsTakenOffAndComesBack(t *testing.T) {
+// TestSilentReplicaExpiresAndReturns checks that a silent replica expires, and that only a newer
+// heartbeat brings it back.
+func TestSilentReplicaExpiresAndReturns(t *testing.T) {
 	m := newDesk(nil)
-	m.Beat(0, 0, replica(1, false))
-	m.Tick(3 * beat)
-	if m.List()[0].Gone {
-		t.Fatal("gone after three beats")
+	m.Heartbeat(0, 0, replica(1, false))
+	m.Tick(3 * heartbeat)
+	if m.List()[0].Removed {
+		t.Fatal("gone after three heartbeat intervals")
 	}
-	m.Tick(5 * beat)
-	if l := m.List()[0]; !l.Gone || l.Final {
-		t.Fatalf("after five beats: %+v", l)
+	m.Tick(5 * heartbeat)
+	if l := m.List()[0]; !l.Removed || l.Final {
+		t.Fatalf("after five heartbeat intervals: %+v", l)
 	}
-	m.Beat(6*beat, 0, replica(1, false))
-	if !m.List()[0].Gone {
-		t.Fatal("an old call brought it back")
+	m.Heartbeat(6*heartbeat, 0, replica(1, false))
+	if !m.List()[0].Removed {
+		t.Fatal("an old heartbeat brought it back")
 	}
-	m.Beat(6*beat, 0, replica(2, false))
-	if m.List()[0].Gone {
-		t.Fatal("it does not come back")
+	m.Heartbeat(6*heartbeat, 0, replica(2, false))
+	if m.List()[0].Removed {
+		t.Fatal("a newer heartbeat does not bring it back")
 	}
 }
 
-// TestKeptListIsBelievedForTwoBeats after a restart.
-func TestKeptListIsBelievedForTwoBeats(t *testing.T) {
-	m := newDesk(func(o *Options) { o.Known, o.Now = []Listed{{Replica: replica(1, false)}}, 100*beat })
-	m.Tick(101 * beat)
-	if m.List()[0].Gone {
-		t.Fatal("not believed for a beat")
+// TestRestoredReplicaExpiresAfterTwoHeartbeats checks how long a list from before a restart is
+// used without new heartbeats.
+func TestRestoredReplicaExpiresAfterTwoHeartbeats(t *testing.T) {
+	m := newDesk(func(o *Options) { o.KnownReplicas, o.Now = []ReplicaEntry{{Replica: replica(1, false)}}, 100*heartbeat })
+	m.Tick(101 * heartbeat)
+	if m.List()[0].Removed {
+		t.Fatal("gone after one heartbeat interval")
 	}
-	m.Tick(103 * beat)
-	if !m.List()[0].Gone {
-		t.Fatal("believed for three beats")
+	m.Tick(103 * heartbeat)
+	if !m.List()[0].Removed {
+		t.Fatal("not gone after three heartbeat intervals")
 	}
 }
 
-// TestFounding: once all that came have been there for a beat, with as many cores
-// as a group has seats, at one desk only, and the same however often it is sent.
+// TestFounding checks that one desk founds the fleet, once there are enough cores for a group and
+// no new one appeared for a heartbeat interval, and that retries send the same founding.
 func TestFounding(t *testing.T) {
 	present := func(m *Machine, now time.Duration, ids ...string) {
 		for _, id := range ids {
-			m.Receive(now, id+":1", core.Present{Core: core.Core{ID: id, Incarnation: "i", Zone: id, Peer: id + ":1"}, Cold: true})
+			m.Receive(now, id+":1", core.AnnounceCore{Core: core.Core{ID: id, Incarnation: "i", Zone: id, Peer: id + ":1"}, MayFound: true})
 		}
 	}
-	m := newDesk(func(o *Options) { o.Founds = true })
+	m := newDesk(func(o *Options) { o.FoundsFleet = true })
 	present(m, 0, "a", "b")
-	if o := m.Tick(5 * beat); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
+	if o := m.Tick(5 * heartbeat); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
 		t.Fatal("founded with two of three")
 	}
-	present(m, 5*beat, "c")
-	if o := m.Tick(5*beat + beat/2); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
-		t.Fatal("founded before others had time to come")
+	present(m, 5*heartbeat, "c")
+	if o := m.Tick(5*heartbeat + heartbeat/2); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
+		t.Fatal("founded before other cores had time to announce themselves")
 	}
-	first := sentTo[core.FoundFleet](m.Tick(6*beat+beat/2), "a:1")
-	present(m, 7*beat, "d")
-	again := sentTo[core.FoundFleet](m.Tick(9*beat), "a:1")
+	first := sentTo[core.FoundFleet](m.Tick(6*heartbeat+heartbeat/2), "a:1")
+	present(m, 7*heartbeat, "d")
+	again := sentTo[core.FoundFleet](m.Tick(9*heartbeat), "a:1")
 	if len(first) != 1 || len(again) != 1 || !reflect.DeepEqual(first[0], again[0]) {
-		t.Fatalf("%d and %d foundings, or other ones", len(first), len(again))
+		t.Fatalf("%d and %d foundings, or different ones", len(first), len(again))
 	}
-	if f := first[0].Founding; f.Parts != 7 || len(f.Cores) != 3 || len(f.Groups[0].Members) != 3 {
+	if f := first[0].Founding; f.Partitions != 7 || len(f.Cores) != 3 || len(f.Groups[0].Members) != 3 {
 		t.Fatalf("%+v", f)
 	}
 	other := newDesk(nil)
 	present(other, 0, "a", "b", "c")
-	for now := time.Duration(0); now < 10*beat; now += beat / 4 {
+	for now := time.Duration(0); now < 10*heartbeat; now += heartbeat / 4 {
 		if o := other.Tick(now); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
-			t.Fatal("a desk that may not founds")
+			t.Fatal("a desk founds a fleet without permission")
 		}
 	}
 }
 
-func founded(m *Machine) core.Topology {
-	t := core.Topology{Fleet: "f", Size: 1, Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1", Version: 1}}, Owners: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}}, Groups: make([]partition.Group, 2)}
+func foundFleet(m *Machine) core.Topology {
+	t := core.Topology{Fleet: "f", GroupSize: 1, Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1", Version: 1}}, Leaders: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}}, Groups: make([]partition.Group, 2)}
 	m.Receive(0, "c:1", t)
 	return t
 }
@@ -159,28 +162,28 @@
 	return text
 }
 
-// TestApply: faulty tables are not agreed on; what the cores say is the answer;
-// a taken one is told to followers in the same step.
+// TestApply checks that faulty tables are not proposed, that the cores' decision is the answer,
+// and that an accepted table is sent to subscribers in the same step.
 func TestApply(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		text   []byte
 		answer any
-		want   Handed
-		told   bool
+		want   OrderResult
+		sent   bool
 	}{
-		{"faulty", []byte(`{"number":1,"routes":[{"host":"h","prefix":"nowhere","mode":"once","timeout_ms":1}]}`), nil, Handed{}, false},
-		{"taken", table(3), core.TableAgreed{OK: true, Number: 3}, Handed{OK: true, Number: 3}, true},
-		{"another in force", table(3), core.TableAgreed{Number: 2}, Handed{Race: true, Number: 2}, false},
-		{"no answer", table(3), nil, Handed{Unsure: true}, false},
+		{"faulty", []byte(`{"number":1,"routes":[{"host":"h","prefix":"nowhere","mode":"once","timeout_ms":1}]}`), nil, OrderResult{}, false},
+		{"taken", table(3), core.AcceptTableResult{OK: true, Number: 3}, OrderResult{Accepted: true, Number: 3}, true},
+		{"another current table", table(3), core.AcceptTableResult{Number: 2}, OrderResult{RaceLost: true, Number: 2}, false},
+		{"no answer", table(3), nil, OrderResult{Uncertain: true}, false},
 	} {
 		m := newDesk(nil)
-		founded(m)
-		m.Receive(0, "n1:1", Follow{Node: "n1"})
+		foundFleet(m)
+		m.Receive(0, "n1:1", Subscribe{Node: "n1"})
 		o := m.Apply(time.Millisecond, 7, 1, c.text, "digest")
 		commands := sentTo[core.Command](o, "c:1")
 		if c.name == "faulty" {
-			if len(commands) != 0 || len(o.Answers) != 1 || o.Answers[0].Body.(Handed).Faults == nil {
+			if len(commands) != 0 || len(o.Answers) != 1 || o.Answers[0].Body.(OrderResult).Faults == nil {
 				t.Errorf("%s: %+v", c.name, o)
 			}
 			continue
@@ -189,103 +192,103 @@
 			t.Fatalf("%s: %+v", c.name, o)
 		}
 		if c.answer != nil {
-			o = m.Receive(2*time.Millisecond, "c:1", core.CommandReturn{ID: commands[0].ID, Part: commands[0].Part, Raw: message.Pack(c.answer)})
+			o = m.Receive(2*time.Millisecond, "c:1", core.CommandResult{ID: commands[0].ID, Partition: commands[0].Partition, Raw: message.Pack(c.answer)})
 		} else {
 			o = m.Tick(2 * time.Second)
 		}
 		if len(o.Answers) != 1 {
 			t.Fatalf("%s: %+v", c.name, o)
 		}
-		got := o.Answers[0].Body.(Handed)
-		if got.OK != c.want.OK || got.Race != c.want.Race || got.Unsure != c.want.Unsure || got.Number != c.want.Number {
+		got := o.Answers[0].Body.(OrderResult)
+		if got.Accepted != c.want.Accepted || got.RaceLost != c.want.RaceLost || got.Uncertain != c.want.Uncertain || got.Number != c.want.Number {
 			t.Errorf("%s: %+v", c.name, got)
 		}
-		if b := sentTo[Bulletin](o, "n1:1"); (len(b) == 1 && len(b[0].Table) > 0) != c.told {
-			t.Errorf("%s: told %+v", c.name, b)
+		if b := sentTo[Update](o, "n1:1"); (len(b) == 1 && len(b[0].Table) > 0) != c.sent {
+			t.Errorf("%s: sent %+v", c.name, b)
 		}
 	}
 }
 
-// TestEmptiedOnlyWhenEveryPartSaysSo: one part with a seat, new or former, or one
-// without an answer, and the core is not done.
-func TestEmptiedOnlyWhenEveryPartSaysSo(t *testing.T) {
+// TestRetirementNeedsEveryPartition checks that a core's retirement is not done while it is a
+// member of some group, old or new, or while a partition does not answer.
+func TestRetirementNeedsEveryPartition(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		seats []core.Seats
-		done  bool
+		name    string
+		members []core.GroupMembers
+		done    bool
 	}{
-		{"no seat", []core.Seats{{Seats: []string{"a.1"}}, {Seats: []string{"b.1"}}}, true},
-		{"a seat", []core.Seats{{Seats: []string{"a.1"}}, {Seats: []string{"c.1"}}}, false},
-		{"a former seat", []core.Seats{{Seats: []string{"a.1"}}, {Seats: []string{"a.1"}, Former: []string{"c.1"}}}, false},
-		{"one part silent", []core.Seats{{Seats: []string{"a.1"}}}, false},
+		{"no member", []core.GroupMembers{{Members: []string{"a.1"}}, {Members: []string{"b.1"}}}, true},
+		{"a member", []core.GroupMembers{{Members: []string{"a.1"}}, {Members: []string{"c.1"}}}, false},
+		{"a former member", []core.GroupMembers{{Members: []string{"a.1"}}, {Members: []string{"a.1"}, Former: []string{"c.1"}}}, false},
+		{"one partition silent", []core.GroupMembers{{Members: []string{"a.1"}}}, false},
 	} {
 		m := newDesk(nil)
-		topology := founded(m)
+		topology := foundFleet(m)
 		retired := topology.Cores["c"]
 		retired.Retired, retired.Version = true, 2
-		m.Receive(0, "x:1", core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": retired, "x": {ID: "x", Incarnation: "1", Peer: "x:1", Version: 1}}, Owners: []partition.Term{{Round: 2, Leader: "x.1"}, {Round: 2, Leader: "x.1"}}})
-		o := m.Retired(time.Millisecond, 9, "c")
+		m.Receive(0, "x:1", core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": retired, "x": {ID: "x", Incarnation: "1", Peer: "x:1", Version: 1}}, Leaders: []partition.Term{{Round: 2, Leader: "x.1"}, {Round: 2, Leader: "x.1"}}})
+		o := m.RetirementStatus(time.Millisecond, 9, "c")
 		answers := o.Answers
 		for i, command := range sentTo[core.Command](o, "x:1") {
-			if i < len(c.seats) {
-				answers = append(answers, m.Receive(2*time.Millisecond, "x:1", core.CommandReturn{ID: command.ID, Part: command.Part, Raw: message.Pack(c.seats[i])}).Answers...)
+			if i < len(c.members) {
+				answers = append(answers, m.Receive(2*time.Millisecond, "x:1", core.CommandResult{ID: command.ID, Partition: command.Partition, Raw: message.Pack(c.members[i])}).Answers...)
 			}
 		}
 		if len(answers) == 0 {
 			answers = m.Tick(3 * time.Second).Answers
 		}
-		if len(answers) != 1 || answers[0].Body.(Emptied).Done != c.done {
+		if len(answers) != 1 || answers[0].Body.(RetirementStatus).Done != c.done {
 			t.Errorf("%s: %+v", c.name, answers)
 		}
 	}
 }
 
-// TestDesksTellEachOtherWhoLeaves: what one desk acknowledged outlives it. Each word
-// is told once, and again only to a desk that lost it.
-func TestDesksTellEachOtherWhoLeaves(t *testing.T) {
+// TestDesksReplicateDepartures checks that a departure acknowledged by one desk survives its loss,
+// and is sent to another desk only once unless that one lost it.
+func TestDesksReplicateDepartures(t *testing.T) {
 	for name, leave := range map[string]func(m *Machine) Output{
-		"leaving": func(m *Machine) Output { return m.Beat(time.Second, 0, replica(2, true)) },
+		"leaving": func(m *Machine) Output { return m.Heartbeat(time.Second, 0, replica(2, true)) },
 		"gone":    func(m *Machine) Output { return m.Leave(time.Second, 0, "r1") },
 	} {
-		first, second := newDesk(nil), newDesk(func(o *Options) { o.ID, o.Address, o.Life = "d2", "d2:1", "l2" })
-		follow := func(now time.Duration) Output {
-			first.followAt, second.followAt = now, now
-			for _, f := range sentTo[Follow](second.Tick(now), "d1:1") {
+		first, second := newDesk(nil), newDesk(func(o *Options) { o.ID, o.Address, o.Incarnation = "d2", "d2:1", "l2" })
+		subscribe := func(now time.Duration) Output {
+			first.subscribeAt, second.subscribeAt = now, now
+			for _, f := range sentTo[Subscribe](second.Tick(now), "d1:1") {
 				return first.Receive(now, "d2:1", f)
 			}
-			t.Fatalf("%s: the second desk does not follow the first", name)
+			t.Fatalf("%s: the second desk does not subscribe to the first", name)
 			return Output{}
 		}
-		// The second desk has heard of the replica, and a node follows it.
-		second.Beat(0, 0, replica(1, false))
-		second.Receive(0, "n1:1", Follow{Node: "n1"})
-		first.Beat(0, 0, replica(1, false))
-		for _, b := range sentTo[Bulletin](follow(0), "d2:1") {
-			if len(b.List) != 0 {
-				t.Fatalf("%s: a desk is told of replicas that stay: %+v", name, b.List)
+		// The second desk knows the replica, and a node subscribes to it.
+		second.Heartbeat(0, 0, replica(1, false))
+		second.Receive(0, "n1:1", Subscribe{Node: "n1"})
+		first.Heartbeat(0, 0, replica(1, false))
+		for _, b := range sentTo[Update](subscribe(0), "d2:1") {
+			if len(b.Replicas) != 0 {
+				t.Fatalf("%s: a desk is sent replicas that stay: %+v", name, b.Replicas)
 			}
 			second.Receive(0, "d1:1", b)
 		}
-		told := sentTo[Bulletin](leave(first), "d2:1")
-		if len(told) != 1 || len(told[0].List) != 1 {
-			t.Fatalf("%s: the other desk is told %+v", name, told)
+		sent := sentTo[Update](leave(first), "d2:1")
+		if len(sent) != 1 || len(sent[0].Replicas) != 1 {
+			t.Fatalf("%s: the other desk is sent %+v", name, sent)
 		}
-		o := second.Receive(time.Second, "d1:1", told[0])
-		if len(o.Changes) != 1 {
-			t.Errorf("%s: the other desk writes down %+v", name, o.Changes)
+		o := second.Receive(time.Second, "d1:1", sent[0])
+		if len(o.ChangedReplicas) != 1 {
+			t.Errorf("%s: the other desk saves %+v", name, o.ChangedReplicas)
 		}
-		passed := sentTo[Bulletin](o, "n1:1")
-		if len(passed) != 1 || len(passed[0].List) != 1 || !passed[0].List[0].Replica.Leaving && !passed[0].List[0].Final {
-			t.Errorf("%s: the other desk's node is told %+v", name, passed)
+		forwarded := sentTo[Update](o, "n1:1")
+		if len(forwarded) != 1 || len(forwarded[0].Replicas) != 1 || !forwarded[0].Replicas[0].Replica.Leaving && !forwarded[0].Replicas[0].Final {
+			t.Errorf("%s: the other desk's node is sent %+v", name, forwarded)
 		}
-		// A late word of the replica brings it back nowhere.
-		second.Beat(2*time.Second, 0, replica(1, false))
-		if l := second.list["r1"]; !l.Replica.Leaving && !l.Final {
-			t.Errorf("%s: the other desk has %+v after a late word", name, l.Listed)
+		// A late heartbeat does not bring the replica back.
+		second.Heartbeat(2*time.Second, 0, replica(1, false))
+		if l := second.replicas["r1"]; !l.Replica.Leaving && !l.Final {
+			t.Errorf("%s: the other desk has %+v after a late heartbeat", name, l.ReplicaEntry)
 		}
-		for _, b := range sentTo[Bulletin](follow(3*time.Second), "d2:1") {
-			if len(b.List) != 0 {
-				t.Errorf("%s: told again: %+v", name, b.List)
+		for _, b := range sentTo[Update](subscribe(3*time.Second), "d2:1") {
+			if len(b.Replicas) != 0 {
+				t.Errorf("%s: sent again: %+v", name, b.Replicas)
 			}
 		}
 	}
--- a/peer/desk/topology.go
+++ b/peer/desk/topology.go
@@ -12,75 +12,76 @@
 
 func (m *Machine) coreAddresses() []string { return CoreAddresses(m.topology) }
 
-// CoreAddresses lists where the cores of a topology are.
+// CoreAddresses returns the sorted peer addresses of the cores that are not retired.
 func CoreAddresses(t core.Topology) []string {
-	var list []string
+	var addresses []string
 	for _, c := range t.Cores {
-		if !c.Retired && c.Peer != "" && !slices.Contains(list, c.Peer) {
-			list = append(list, c.Peer)
+		if !c.Retired && c.Peer != "" && !slices.Contains(addresses, c.Peer) {
+			addresses = append(addresses, c.Peer)
 		}
 	}
-	sort.Strings(list)
-	return list
+	sort.Strings(addresses)
+	return addresses
 }
 
-// others are nodes and desks that may pass a command on when cores stay silent.
-func (m *Machine) others() []string {
-	var list []string
+// forwarders returns the nodes and desks that can forward a command if no core answers directly.
+func (m *Machine) forwarders() []string {
+	var addresses []string
 	for _, address := range ordered.Keys(m.subscribers) {
-		if m.listens(m.tickedAt, m.subscribers[address]) {
-			list = append(list, address)
+		if m.isSubscribed(m.tickedAt, m.subscribers[address]) {
+			addresses = append(addresses, address)
 		}
 	}
-	return list
+	return addresses
 }
 
-// onPresent notes a core that says it is there.
-func (m *Machine) onPresent(now time.Duration, from string, b core.Present) {
-	if len(m.topology.Owners) == 0 {
-		if _, ok := m.foundingCores[b.Core.ID]; !ok || m.foundingCores[b.Core.ID].Incarnation != b.Core.Incarnation {
+// onAnnounceCore records a core that announces itself, and exchanges topologies with it if they
+// differ.
+func (m *Machine) onAnnounceCore(now time.Duration, from string, announced core.AnnounceCore) {
+	if len(m.topology.Leaders) == 0 {
+		if _, ok := m.foundingCores[announced.Core.ID]; !ok || m.foundingCores[announced.Core.ID].Incarnation != announced.Core.Incarnation {
 			m.foundingCoresAt = now
 		}
-		if b.Cold {
-			m.foundingCores[b.Core.ID] = b.Core
+		if announced.MayFound {
+			m.foundingCores[announced.Core.ID] = announced.Core
 		}
 	}
-	if known, ok := m.topology.Cores[b.Core.ID]; !ok || known.Version < b.Core.Version || (known.Version == b.Core.Version && known.Incarnation != b.Core.Incarnation && len(m.topology.Owners) == 0) {
-		m.topology.Cores[b.Core.ID] = b.Core
+	if known, ok := m.topology.Cores[announced.Core.ID]; !ok || known.Version < announced.Core.Version || (known.Version == announced.Core.Version && known.Incarnation != announced.Core.Incarnation && len(m.topology.Leaders) == 0) {
+		m.topology.Cores[announced.Core.ID] = announced.Core
 		m.topologyVersion++
 	}
-	if b.Known != 0 && b.Known == m.topology.Digest() {
+	if announced.KnownDigest != 0 && announced.KnownDigest == m.topology.Digest() {
 		return
 	}
-	// They know different things: each tells the other.
-	m.send(from, m.topology)
-	m.send(from, core.Pull{Want: true})
+	// The two topologies differ, so each side sends its own.
+	m.addSend(from, m.topology)
+	m.addSend(from, core.PullUpdates{WantTopology: true})
 }
 
-// adopt takes over what is newer in another's topology.
-func (m *Machine) adopt(now time.Duration, t core.Topology) {
+// mergeTopology merges a received topology of the same fleet; the newer entries win.
+func (m *Machine) mergeTopology(now time.Duration, other core.Topology) {
 	changed := false
-	if len(m.topology.Owners) == 0 && len(t.Owners) > 0 {
+	if len(m.topology.Leaders) == 0 && len(other.Leaders) > 0 {
 		cores := m.topology.Cores
-		m.topology = core.Topology{Fleet: t.Fleet, Size: t.Size, Cores: cores, Owners: slices.Clone(t.Owners), Groups: slices.Clone(t.Groups)}
+		m.topology = core.Topology{Fleet: other.Fleet, GroupSize: other.GroupSize, Cores: cores, Leaders: slices.Clone(other.Leaders), Groups: slices.Clone(other.Groups)}
 		changed = true
 	}
-	if m.topology.Fleet != t.Fleet && t.Fleet != "" {
+	if m.topology.Fleet != other.Fleet && other.Fleet != "" {
 		return
 	}
-	for n := range t.Owners {
-		if n < len(m.topology.Owners) && m.topology.Owners[n].Less(t.Owners[n]) {
-			m.topology.Owners[n] = t.Owners[n]
+	for n := range other.Leaders {
+		if n < len(m.topology.Leaders) && m.topology.Leaders[n].Less(other.Leaders[n]) {
+			m.topology.Leaders[n] = other.Leaders[n]
 			changed = true
 		}
 	}
-	for n := range t.Groups {
-		if n < len(m.topology.Groups) && m.topology.Groups[n].Before(t.Groups[n]) {
-			m.topology.Groups[n] = t.Groups[n]
+	for n := range other.Groups {
+		if n < len(m.topology.Groups) && m.topology.Groups[n].Before(other.Groups[n]) {
+			m.topology.Groups[n] = other.Groups[n]
 			changed = true
 		}
 	}
-	for id, c := range t.Cores {
+	for id, c := range other.Cores {
 		if known, ok := m.topology.Cores[id]; !ok || known.Version < c.Version {
 			m.topology.Cores[id] = c
 			changed = true
@@ -88,39 +89,40 @@
 	}
 	if changed {
 		m.topologyVersion++
-		HintOwners(m.caller, m.topology)
-		m.tellAll(now)
+		HintLeaders(m.caller, m.topology)
+		m.notifyAll(now)
 	}
 }
 
-// HintOwners tells a caller who owns which part.
-func HintOwners(caller *core.Caller, t core.Topology) {
-	for n, owner := range t.Owners {
+// HintLeaders sets the leader addresses of a caller from a topology.
+func HintLeaders(caller *core.Caller, t core.Topology) {
+	for n, term := range t.Leaders {
 		for _, c := range t.Cores {
-			if c.Seat() == owner.Leader {
-				caller.Hint(n, c.Peer)
+			if c.MemberID() == term.Leader {
+				caller.SetLeader(n, c.Peer)
 			}
 		}
 	}
 }
 
-// found founds the fleet, once all cores that came have been there for a while.
-func (m *Machine) found(now time.Duration) {
-	settle := m.params.Beat
-	if !m.founds || len(m.topology.Owners) > 0 || len(m.foundingCores) < m.params.Seats || now < m.foundAt || now < m.foundingCoresAt+settle {
+// sendFounding founds the fleet once enough cores have announced themselves and no new one has
+// appeared for a heartbeat interval.
+func (m *Machine) sendFounding(now time.Duration) {
+	settleTime := m.params.HeartbeatInterval
+	if !m.foundsFleet || len(m.topology.Leaders) > 0 || len(m.foundingCores) < m.params.GroupSize || now < m.sendFoundingAt || now < m.foundingCoresAt+settleTime {
 		return
 	}
-	m.foundAt = now + settle/4
+	m.sendFoundingAt = now + settleTime/4
 	if m.founding == nil {
-		// It is planned once, so that it is the same whenever it is sent again.
+		// It is planned once, so that every retry sends the same founding.
 		var cores []core.Core
 		for _, id := range ordered.Keys(m.foundingCores) {
 			cores = append(cores, m.foundingCores[id])
 		}
-		founding := core.Plan(fmt.Sprintf("%s-%s", m.id, m.life), 1+m.params.PartsPerCore*len(cores), m.params.Seats, cores)
+		founding := core.PlanFleet(fmt.Sprintf("%s-%s", m.deskID, m.incarnation), 1+m.params.PartitionsPerCore*len(cores), m.params.GroupSize, cores)
 		m.founding = &founding
 	}
 	for _, id := range ordered.Keys(m.founding.Cores) {
-		m.send(m.founding.Cores[id].Peer, core.FoundFleet{Founding: *m.founding})
+		m.addSend(m.founding.Cores[id].Peer, core.FoundFleet{Founding: *m.founding})
 	}
 }
--- a/peer/node/mirror.go
+++ b/peer/node/mirror.go
@@ -13,33 +13,33 @@
 
 // Messages between an owner, its mirrors and its successor.
 type (
-	// Copy gives a mirror a program as its owner has it, with all turns that the
-	// cores have not taken yet.
-	Copy struct {
+	// CopyProgram sends a mirror the owner's state of a program, with all turns that the cores have
+	// not stored yet.
+	CopyProgram struct {
 		Record program.Record `msgpack:"r"`
 		Turns  []program.Turn `msgpack:"t"`
 	}
-	// Copied says that a life of a mirror holds that version.
-	Copied struct {
+	// CopyAck confirms that a mirror's process has a version of a program.
+	CopyAck struct {
 		Tenant  string `msgpack:"t"`
 		Program string `msgpack:"p"`
 		Fence   uint64 `msgpack:"f"`
 		Version uint64 `msgpack:"v"`
-		Life    string `msgpack:"l"`
+		Process string `msgpack:"l"`
 	}
-	// AskCopy asks a mirror for what it holds. From then on it holds nothing more
-	// for owners before the one that asks.
-	AskCopy struct {
+	// CopyQuery requests a mirror's copy. After it the mirror accepts no more copies from earlier
+	// owners.
+	CopyQuery struct {
 		Tenant  string `msgpack:"t"`
 		Program string `msgpack:"p"`
 		Fence   uint64 `msgpack:"f"`
 	}
-	// CopyHeld answers it.
-	CopyHeld struct {
+	// CopyAnswer answers a CopyQuery.
+	CopyAnswer struct {
 		Tenant  string         `msgpack:"t"`
 		Program string         `msgpack:"p"`
 		Fence   uint64         `msgpack:"f"`
-		Life    string         `msgpack:"l"`
+		Process string         `msgpack:"l"`
 		Found   bool           `msgpack:"o"`
 		Record  program.Record `msgpack:"r"`
 		Turns   []program.Turn `msgpack:"u"`
@@ -48,16 +48,16 @@
 
 func init() {
 	message.Register(map[string]any{
-		"node.Copy":     Copy{},
-		"node.Copied":   Copied{},
-		"node.AskCopy":  AskCopy{},
-		"node.CopyHeld": CopyHeld{},
+		"node.Copy":     CopyProgram{},
+		"node.Copied":   CopyAck{},
+		"node.AskCopy":  CopyQuery{},
+		"node.CopyHeld": CopyAnswer{},
 	})
 }
 
-// mirrored is what this node holds for an owner. It outlives this node's terms,
-// as it lasts as long as the process does.
-type mirrored struct {
+// mirrorCopy is the copy of a program that this node has as a mirror. It is in memory and survives
+// a new membership incarnation of the process.
+type mirrorCopy struct {
 	fence  uint64
 	found  bool
 	record program.Record
@@ -65,252 +65,260 @@
 	until  time.Duration
 }
 
-// mirrorsOfProgram is how many mirrors a program has. All must hold what the
-// cores don't, so that any one of them is enough for a successor.
-const mirrorsOfProgram = 2
+// mirrorsPerProgram is the number of mirrors of a program. A version that the cores lack counts as
+// durable only when all of them have it, so that a successor can recover it from any one.
+const mirrorsPerProgram = 2
 
-// cover makes a record ready to be written: what is charged beforehand never
-// shrinks while the program is open, and mirrors are living members. A record
-// that this changes is a new version, so that two of one version never differ
-// in it.
-func (m *Machine) cover(h *held) {
-	r := &h.record
+// prepareRecord makes a record ready to be saved: the total charged in advance never shrinks while
+// the program is open, and the mirrors are live members. If this changes the record, it becomes a
+// new version, so that two records of one version never differ in these fields.
+func (m *Machine) prepareRecord(prog *ownedProgram) {
+	r := &prog.record
 	role := m.description.Roles[r.Role]
-	covered, mirrors := max(r.Covered, program.Cover(role, r.Charged())), r.Mirrors
+	precharged, mirrors := max(r.Precharged, program.PrechargeTarget(role, r.Charged())), r.Mirrors
 	if r.Closed {
-		covered = 0
+		precharged = 0
 	}
-	if r.MirrorsFence != r.Fence || len(mirrors) != mirrorsOfProgram+1 || slices.ContainsFunc(m.without(mirrors), m.mirrorEnded) {
+	if r.MirrorsFence != r.Fence || len(mirrors) != mirrorsPerProgram+1 || slices.ContainsFunc(m.otherMirrors(mirrors), m.mirrorEnded) {
 		mirrors = m.chooseMirrors()
 	}
-	if covered != r.Covered || r.MirrorsFence != r.Fence || !slices.Equal(mirrors, r.Mirrors) {
-		r.Covered, r.Mirrors, r.MirrorsFence = covered, mirrors, r.Fence
+	if precharged != r.Precharged || r.MirrorsFence != r.Fence || !slices.Equal(mirrors, r.Mirrors) {
+		r.Precharged, r.Mirrors, r.MirrorsFence = precharged, mirrors, r.Fence
 		r.Version++
 	}
 }
 
-// without are a program's mirrors but for its owner, which is named among them,
-// since it still has what it did when its term has run out.
-func (m *Machine) without(mirrors []program.Mirror) []program.Mirror {
-	return slices.DeleteFunc(slices.Clone(mirrors), func(one program.Mirror) bool { return one.ID == m.params.ID })
+// otherMirrors returns a program's mirrors other than this node. The owner is listed among them
+// because it still has its changes after its lease has ended.
+func (m *Machine) otherMirrors(mirrors []program.Mirror) []program.Mirror {
+	return slices.DeleteFunc(slices.Clone(mirrors), func(mirror program.Mirror) bool { return mirror.ID == m.params.ID })
 }
 
-// mirrorEnded reports whether what a mirror held is surely lost or unreachable.
-func (m *Machine) mirrorEnded(one program.Mirror) bool {
-	o, ok := m.members[one.ID]
-	return !ok || core.LifeOf(o.Incarnation) != one.Life || o.Ended
+// mirrorEnded reports whether a mirror's copies are certainly lost or unreachable.
+func (m *Machine) mirrorEnded(mirror program.Mirror) bool {
+	o, ok := m.members[mirror.ID]
+	return !ok || core.ProcessIncarnation(o.Incarnation) != mirror.Process || o.Ended
 }
 
-// chooseMirrors picks members in other zones than this node's and each other's,
-// where there are any.
+// chooseMirrors picks members in zones other than this node's and each other's where possible, and
+// adds this node. It returns nil if there are too few members.
 func (m *Machine) chooseMirrors() []program.Mirror {
 	candidates := m.successors()
-	if len(candidates) < mirrorsOfProgram {
+	if len(candidates) < mirrorsPerProgram {
 		return nil
 	}
-	turn := int(m.random() * float64(len(candidates)))
+	first := int(m.random() * float64(len(candidates)))
 	var chosen []program.Mirror
 	zones := map[string]bool{m.params.Zone: true}
 	for _, strict := range []bool{true, false} {
 		for i := range candidates {
-			o := candidates[(i+turn)%len(candidates)]
+			o := candidates[(i+first)%len(candidates)]
 			taken := slices.ContainsFunc(chosen, func(c program.Mirror) bool { return c.ID == o.ID })
-			if len(chosen) == mirrorsOfProgram || taken || (strict && zones[o.Zone]) {
+			if len(chosen) == mirrorsPerProgram || taken || (strict && zones[o.Zone]) {
 				continue
 			}
 			zones[o.Zone] = true
-			chosen = append(chosen, program.Mirror{ID: o.ID, Life: core.LifeOf(o.Incarnation), Peer: o.Peer})
+			chosen = append(chosen, program.Mirror{ID: o.ID, Process: core.ProcessIncarnation(o.Incarnation), Address: o.Peer})
 		}
 	}
-	chosen = append(chosen, program.Mirror{ID: m.params.ID, Life: core.LifeOf(m.incarnation), Peer: m.params.Address})
+	chosen = append(chosen, program.Mirror{ID: m.params.ID, Process: core.ProcessIncarnation(m.incarnation), Address: m.params.Address})
 	sort.Slice(chosen, func(i, j int) bool { return chosen[i].ID < chosen[j].ID })
 	return chosen
 }
 
-// copyOut gives mirrors what the cores have not taken in time, if what is
-// durable there names these mirrors and covers what was charged since.
-func (m *Machine) copyOut(now time.Duration, h *held) {
-	if h.saved >= h.record.Version || h.lost || h.consulting != nil || now < h.unsavedAt+m.params.Core.Retry || now < h.copyAt ||
-		h.copied >= h.record.Version || !m.termed(now) {
+// copyToMirrors sends the mirrors what the cores have not stored in time, if the stored record
+// names these mirrors and covers everything charged since.
+func (m *Machine) copyToMirrors(now time.Duration, prog *ownedProgram) {
+	if prog.savedVersion >= prog.record.Version || prog.lost || prog.recovery != nil || now < prog.unsavedSince+m.params.Core.AttemptTimeout || now < prog.nextCopyAt ||
+		prog.mirroredVersion >= prog.record.Version || !m.hasLease(now) {
 		return
 	}
-	if len(h.named) != mirrorsOfProgram+1 || !slices.Equal(h.named, h.record.Mirrors) || h.record.Charged() > min(h.covered, h.dayCovered) {
+	if len(prog.savedMirrors) != mirrorsPerProgram+1 || !slices.Equal(prog.savedMirrors, prog.record.Mirrors) || prog.record.Charged() > min(prog.savedPrecharged, prog.dayPrecharged) {
 		return
 	}
-	h.copyAt = now + m.params.Core.Retry
-	c := Copy{Record: copyRecord(h.record), Turns: slices.Clone(h.unsaved)}
-	for _, one := range m.without(h.named) {
-		m.send(one.Peer, c)
+	prog.nextCopyAt = now + m.params.Core.AttemptTimeout
+	c := CopyProgram{Record: copyRecord(prog.record), Turns: slices.Clone(prog.unsavedTurns)}
+	for _, mirror := range m.otherMirrors(prog.savedMirrors) {
+		m.send(mirror.Address, c)
 	}
 }
 
-func (m *Machine) mirroredOf(tenant, id string) *mirrored {
+// mirrorCopyOf returns this node's mirror copy of a program, creating an empty one if there is
+// none.
+func (m *Machine) mirrorCopyOf(tenant, id string) *mirrorCopy {
 	key := tenant + "/" + id
 	if m.mirrors[key] == nil {
-		m.mirrors[key] = &mirrored{}
+		m.mirrors[key] = &mirrorCopy{}
 	}
 	return m.mirrors[key]
 }
 
-func (m *Machine) onCopy(now time.Duration, from string, b Copy) {
-	c := m.mirroredOf(b.Record.Tenant, b.Record.ID)
-	if b.Record.Fence < c.fence {
+// onCopy stores an owner's copy unless a newer owner's fence is known, and acknowledges it.
+func (m *Machine) onCopy(now time.Duration, from string, b CopyProgram) {
+	stored := m.mirrorCopyOf(b.Record.Tenant, b.Record.ID)
+	if b.Record.Fence < stored.fence {
 		return
 	}
-	if !c.found || b.Record.Fence > c.fence || b.Record.Version > c.record.Version {
-		c.fence, c.found, c.record, c.turns = b.Record.Fence, true, b.Record, b.Turns
+	if !stored.found || b.Record.Fence > stored.fence || b.Record.Version > stored.record.Version {
+		stored.fence, stored.found, stored.record, stored.turns = b.Record.Fence, true, b.Record, b.Turns
 	}
-	c.until = now + b.Record.Keep
-	m.send(from, Copied{Tenant: b.Record.Tenant, Program: b.Record.ID, Fence: b.Record.Fence, Version: b.Record.Version, Life: core.LifeOf(m.incarnation)})
+	stored.until = now + b.Record.Retention
+	m.send(from, CopyAck{Tenant: b.Record.Tenant, Program: b.Record.ID, Fence: b.Record.Fence, Version: b.Record.Version, Process: core.ProcessIncarnation(m.incarnation)})
 }
 
-// keepOwn keeps what this node did for a program that is no longer its own, for
-// whoever owns it next.
-func (m *Machine) keepOwn(now time.Duration, h *held) {
-	if h.consulting == nil && h.record.Version > h.saved {
-		m.onCopy(now, "", Copy{Record: copyRecord(h.record), Turns: slices.Clone(h.unsaved)})
+// keepUnsaved stores the unsaved changes of a program that this node no longer owns as a mirror
+// copy for its next owner.
+func (m *Machine) keepUnsaved(now time.Duration, prog *ownedProgram) {
+	if prog.recovery == nil && prog.record.Version > prog.savedVersion {
+		m.onCopy(now, "", CopyProgram{Record: copyRecord(prog.record), Turns: slices.Clone(prog.unsavedTurns)})
 	}
 }
 
-func (m *Machine) onCopied(now time.Duration, from string, b Copied) {
-	h := m.programs[b.Tenant+"/"+b.Program]
-	if h == nil || h.record.Fence != b.Fence || !m.termed(now) {
+// onCopyAck records that a mirror has a version. Once all mirrors have it, the saves that wait for
+// it are complete.
+func (m *Machine) onCopyAck(now time.Duration, from string, b CopyAck) {
+	prog := m.programs[b.Tenant+"/"+b.Program]
+	if prog == nil || prog.record.Fence != b.Fence || !m.hasLease(now) {
 		return
 	}
-	if h.acked == nil {
-		h.acked = map[string]uint64{}
+	if prog.acked == nil {
+		prog.acked = map[string]uint64{}
 	}
-	h.acked[from+"/"+b.Life] = max(b.Version, h.acked[from+"/"+b.Life])
-	least := uint64(0)
-	for i, one := range m.without(h.named) {
-		if at := h.acked[one.Peer+"/"+one.Life]; i == 0 || at < least {
-			least = at
+	prog.acked[from+"/"+b.Process] = max(b.Version, prog.acked[from+"/"+b.Process])
+	oldest := uint64(0)
+	for i, mirror := range m.otherMirrors(prog.savedMirrors) {
+		if version := prog.acked[mirror.Address+"/"+mirror.Process]; i == 0 || version < oldest {
+			oldest = version
 		}
 	}
-	if least > h.copied {
-		h.copied = least
+	if oldest > prog.mirroredVersion {
+		prog.mirroredVersion = oldest
 		m.Counters.Mirrored++
-		m.wakeSaves(now, h)
+		m.completeSaves(now, prog)
 	}
 }
 
-func (m *Machine) onAskCopy(now time.Duration, from string, b AskCopy) {
-	c := m.mirroredOf(b.Tenant, b.Program)
-	held := CopyHeld{Tenant: b.Tenant, Program: b.Program, Fence: b.Fence, Life: core.LifeOf(m.incarnation), Found: c.found}
-	if c.found {
-		held.Record, held.Turns = c.record, c.turns
-	}
-	// What comes from an owner before the one that asks is no longer taken.
-	c.fence = max(c.fence, b.Fence)
-	c.until = max(c.until, now+m.params.Core.MemberTerm*ejectionsKept)
-	m.send(from, held)
+// onCopyQuery answers with this node's mirror copy.
+func (m *Machine) onCopyQuery(now time.Duration, from string, b CopyQuery) {
+	stored := m.mirrorCopyOf(b.Tenant, b.Program)
+	answer := CopyAnswer{Tenant: b.Tenant, Program: b.Program, Fence: b.Fence, Process: core.ProcessIncarnation(m.incarnation), Found: stored.found}
+	if stored.found {
+		answer.Record, answer.Turns = stored.record, stored.turns
+	}
+	// Copies from owners before the querying one are no longer accepted.
+	stored.fence = max(stored.fence, b.Fence)
+	stored.until = max(stored.until, now+m.params.Core.MemberLease*healthRetentionLeases)
+	m.send(from, answer)
 }
 
-// consulting is a successor's asking of the former owner's mirrors.
-type consulting struct {
-	mirrors []program.Mirror
-	former  uint64
-	askAt   time.Duration
-	goneAt  map[string]time.Duration
-	waiting []*way
+// mirrorRecovery is a new owner's query of the former owner's mirrors.
+type mirrorRecovery struct {
+	mirrors     []program.Mirror
+	formerFence uint64
+	nextQueryAt time.Duration
+	endedAt     map[string]time.Duration
+	waiting     []*requestState
 }
 
-// mirrorTerms is after how many member terms a mirror whose term has ended
-// counts as lost with its machine.
-const mirrorTerms = 15
+// lostMirrorLeases is the time, in member leases, after which a mirror whose membership ended counts
+// as lost.
+const lostMirrorLeases = 15
 
-// consult asks the mirrors of the former owner before a successor does anything
-// for a program: turns may be there that the cores never got.
-func (m *Machine) consult(now time.Duration, h *held) {
-	r := h.record
-	if len(r.Mirrors) == 0 || r.MirrorsFence == r.Fence {
+// recoverFromMirrors queries the former owner's mirrors before a new owner serves a program, because
+// they may have turns that the cores never stored.
+func (m *Machine) recoverFromMirrors(now time.Duration, prog *ownedProgram) {
+	record := prog.record
+	if len(record.Mirrors) == 0 || record.MirrorsFence == record.Fence {
 		return
 	}
-	h.consulting = &consulting{mirrors: r.Mirrors, former: r.MirrorsFence, goneAt: map[string]time.Duration{}}
-	m.askMirrors(now, h)
+	prog.recovery = &mirrorRecovery{mirrors: record.Mirrors, formerFence: record.MirrorsFence, endedAt: map[string]time.Duration{}}
+	m.queryMirrors(now, prog)
 }
 
-func (m *Machine) askMirrors(now time.Duration, h *held) {
-	c := h.consulting
-	if c == nil || h.lost || now < c.askAt {
+// queryMirrors requests the mirrors' copies, and ends the recovery when all of them are lost.
+func (m *Machine) queryMirrors(now time.Duration, prog *ownedProgram) {
+	recovery := prog.recovery
+	if recovery == nil || prog.lost || now < recovery.nextQueryAt {
 		return
 	}
-	c.askAt = now + m.params.Core.Retry
+	recovery.nextQueryAt = now + m.params.Core.AttemptTimeout
 	lost := 0
-	for _, one := range c.mirrors {
-		if one.ID == m.params.ID && one.Life == core.LifeOf(m.incarnation) {
-			m.send(one.Peer, AskCopy{Tenant: h.record.Tenant, Program: h.record.ID, Fence: h.record.Fence})
+	for _, mirror := range recovery.mirrors {
+		if mirror.ID == m.params.ID && mirror.Process == core.ProcessIncarnation(m.incarnation) {
+			m.send(mirror.Address, CopyQuery{Tenant: prog.record.Tenant, Program: prog.record.ID, Fence: prog.record.Fence})
 			continue
 		}
-		if o, ok := m.members[one.ID]; ok && core.LifeOf(o.Incarnation) != one.Life {
-			// The process that held it is no more.
+		if o, ok := m.members[mirror.ID]; ok && core.ProcessIncarnation(o.Incarnation) != mirror.Process {
+			// The process that had the copy has ended.
 			lost++
 			continue
 		}
-		if m.mirrorEnded(one) {
-			if c.goneAt[one.ID] == 0 {
-				c.goneAt[one.ID] = now
+		if m.mirrorEnded(mirror) {
+			if recovery.endedAt[mirror.ID] == 0 {
+				recovery.endedAt[mirror.ID] = now
 			}
-			if now >= c.goneAt[one.ID]+mirrorTerms*m.params.Core.MemberTerm {
+			if now >= recovery.endedAt[mirror.ID]+lostMirrorLeases*m.params.Core.MemberLease {
 				lost++
 			}
 		}
-		m.send(one.Peer, AskCopy{Tenant: h.record.Tenant, Program: h.record.ID, Fence: h.record.Fence})
+		m.send(mirror.Address, CopyQuery{Tenant: prog.record.Tenant, Program: prog.record.ID, Fence: prog.record.Fence})
 	}
-	if lost == len(c.mirrors) {
-		// Owner and mirrors are gone. What was charged beforehand counts as spent.
+	if lost == len(recovery.mirrors) {
+		// Owner and mirrors are lost: everything charged in advance counts as spent.
 		m.Counters.MirrorsLost++
-		h.record.Spent = max(h.record.Spent, h.record.Covered)
-		m.consulted(now, h)
+		prog.record.Spent = max(prog.record.Spent, prog.record.Precharged)
+		m.finishRecovery(now, prog)
 	}
 }
 
-func (m *Machine) onCopyHeld(now time.Duration, b CopyHeld) {
-	h := m.programs[b.Tenant+"/"+b.Program]
-	if h == nil || h.consulting == nil || b.Fence != h.record.Fence {
+// onCopyAnswer adopts a mirror's copy if it is newer than the record from the cores.
+func (m *Machine) onCopyAnswer(now time.Duration, b CopyAnswer) {
+	prog := m.programs[b.Tenant+"/"+b.Program]
+	if prog == nil || prog.recovery == nil || b.Fence != prog.record.Fence {
 		return
 	}
-	c := h.consulting
-	if !slices.ContainsFunc(c.mirrors, func(one program.Mirror) bool { return one.Life == b.Life }) {
+	recovery := prog.recovery
+	if !slices.ContainsFunc(recovery.mirrors, func(mirror program.Mirror) bool { return mirror.Process == b.Process }) {
 		return
 	}
-	if b.Found && b.Record.Fence == c.former && b.Record.Version > h.record.Version {
+	if b.Found && b.Record.Fence == recovery.formerFence && b.Record.Version > prog.record.Version {
 		m.Counters.MirrorsUsed++
-		r := b.Record
-		r.Settle()
-		r.Fence, r.Node, r.Incarnation, r.Address = h.record.Fence, h.record.Node, h.record.Incarnation, h.record.Address
-		h.record = r
+		record := b.Record
+		record.ChargeRunning()
+		record.Fence, record.Node, record.Incarnation, record.Address = prog.record.Fence, prog.record.Node, prog.record.Incarnation, prog.record.Address
+		prog.record = record
 		for _, t := range b.Turns {
-			if t.Number == len(h.turns[t.Line]) {
-				h.turns[t.Line] = append(h.turns[t.Line], t)
-				h.unsaved = append(h.unsaved, t)
+			if t.Number == len(prog.turns[t.Conversation]) {
+				prog.turns[t.Conversation] = append(prog.turns[t.Conversation], t)
+				prog.unsavedTurns = append(prog.unsavedTurns, t)
 			}
 		}
 	}
-	m.consulted(now, h)
+	m.finishRecovery(now, prog)
 }
 
-func (m *Machine) consulted(now time.Duration, h *held) {
-	waiting := h.consulting.waiting
-	h.consulting = nil
-	m.resave(now, h)
-	for _, w := range waiting {
-		m.locate(now, w)
+// finishRecovery continues the requests that waited for the mirrors.
+func (m *Machine) finishRecovery(now time.Duration, prog *ownedProgram) {
+	waiting := prog.recovery.waiting
+	prog.recovery = nil
+	m.resave(now, prog)
+	for _, req := range waiting {
+		m.locate(now, req)
 	}
 }
 
-// await lets an inquiry wait for the mirrors' word, or tells it when to ask
-// again.
-func (m *Machine) await(now time.Duration, w *way, h *held) {
-	h.consulting.waiting = append(h.consulting.waiting, w)
-	m.later.Add(m.patient(now, w), func(now time.Duration) {
-		if !w.over && h.consulting != nil && slices.Contains(h.consulting.waiting, w) {
-			m.refuse(w, unsure("the former owner's mirrors can't be reached yet"))
+// awaitRecovery delays a request until the mirrors have answered, or refuses it at the step's
+// deadline.
+func (m *Machine) awaitRecovery(now time.Duration, req *requestState, prog *ownedProgram) {
+	prog.recovery.waiting = append(prog.recovery.waiting, req)
+	m.timers.Add(m.stepDeadline(now, req), func(now time.Duration) {
+		if !req.done && prog.recovery != nil && slices.Contains(prog.recovery.waiting, req) {
+			m.refuse(req, retryLater("the former owner's mirrors can't be reached yet"))
 		}
 	})
 }
 
-func (m *Machine) forgetMirrored(now time.Duration) {
+func (m *Machine) expireMirrorCopies(now time.Duration) {
 	for _, key := range ordered.Keys(m.mirrors) {
 		if now >= m.mirrors[key].until {
 			delete(m.mirrors, key)
@@ -318,8 +326,8 @@
 	}
 }
 
-// opener is the member whose present life opened a program, by the program's
-// name: it is asked first, so that no core is needed to find an owner.
+// opener returns the member whose current incarnation opened a program, as named in the program's
+// id. It is tried first, so that no core is needed to find the owner.
 func (m *Machine) opener(id string) (core.Member, bool) {
 	for _, name := range ordered.Keys(m.members) {
 		o := m.members[name]
@@ -331,11 +339,11 @@
 	return core.Member{}, false
 }
 
-// MirrorsOf lists the addresses of a program's mirrors, if this node owns it.
+// MirrorsOf lists the addresses of a program's mirrors if this node owns the program.
 func (m *Machine) MirrorsOf(tenant, id string) (list []string) {
-	if h := m.programs[tenant+"/"+id]; h != nil {
-		for _, one := range m.without(h.named) {
-			list = append(list, one.Peer)
+	if prog := m.programs[tenant+"/"+id]; prog != nil {
+		for _, mirror := range m.otherMirrors(prog.savedMirrors) {
+			list = append(list, mirror.Address)
 		}
 	}
 	return list
--- a/peer/node/share.go
+++ b/peer/node/share.go
@@ -10,111 +10,116 @@
 	"saffronfall/rule/configuration"
 )
 
-// share is this node's part of an allowance that is spent: tokens of a
-// tenant's day, or money.
+// share is this node's share of a consumable allowance: a tenant's tokens of the day, or the spend
+// budget.
 type share struct {
-	books    allowance.Books
-	reserved int64
-	pending  int64
-	reportAt time.Duration
-	changed  bool
-	others   []string
-	asking   bool
+	account   allowance.Account
+	reserved  int64
+	pending   int64
+	reportAt  time.Duration
+	changed   bool
+	others    []string
+	reporting bool
 }
 
-func (s *share) free() int64 { return s.books.Held() - s.reserved }
+func (s *share) free() int64 { return s.account.Held() - s.reserved }
 
 func (s *share) reserve(amount int64) { s.reserved += amount }
 
 func (s *share) settle(reserved, spent int64) {
 	s.reserved -= reserved
-	s.books.Spent += spent
+	s.account.Spent += spent
 	s.changed = true
 }
 
-// pace is this node's part of a tenant's rate: units, and a bucket that fills
-// by them. Units that are newly held come with nothing in the bucket.
-type pace struct {
-	books    allowance.Books
-	filled   float64
-	at       time.Duration
-	demand   int64
-	recent   int64
-	rolledAt time.Duration
-	target   int64
-	reportAt time.Duration
-	asking   bool
-	others   []string
-	waiting  []waiter
-	whole    int64
-	want     int64
+// rateShare is this node's share of a tenant's rate: a number of units, and a token bucket whose
+// size and rate are proportional to them. Newly granted units come with an empty bucket.
+type rateShare struct {
+	account        allowance.Account
+	tokens         float64
+	filledAt       time.Duration
+	demand         int64
+	recent         int64
+	demandAt       time.Duration
+	target         int64
+	reportAt       time.Duration
+	reporting      bool
+	others         []string
+	waiting        []rateWaiter
+	totalUnits     int64
+	reportedDemand int64
 }
 
-// What a node wants of a rate weighs by its recent demand, over a base that
-// keeps a share in advance at nodes where nobody asks.
+// demandWeight weighs a node's recent demand for a rate against core.IdleWeight, which keeps a
+// share in advance at nodes without demand.
 const demandWeight = 64
 
-type waiter struct {
+type rateWaiter struct {
 	until time.Duration
 	next  func(now time.Duration, ok bool, wait time.Duration)
 }
 
-func (p *pace) fill(now time.Duration, rate float64, burst int64) {
-	whole := wholeOf(burst)
-	if whole < p.whole {
-		// The allowance was cut: every holder gives back its part of the cut,
-		// so that what is held never comes to more than the new whole.
-		p.books.Returned += p.books.Held() - p.books.Held()*whole/p.whole
+// fill adds the tokens that have accrued since the last call.
+func (rs *rateShare) fill(now time.Duration, rate float64, burst int64) {
+	total := rateUnits(burst)
+	if total < rs.totalUnits {
+		// The allowance was reduced: every holder returns its part of the reduction,
+		// so that the shares held never exceed the new total.
+		rs.account.Returned += rs.account.Held() - rs.account.Held()*total/rs.totalUnits
 	}
-	p.whole = whole
-	held := float64(p.books.Held()) / float64(whole)
-	p.filled = min(held*float64(burst), p.filled+held*rate*(now-p.at).Seconds())
-	p.at = now
+	rs.totalUnits = total
+	held := float64(rs.account.Held()) / float64(total)
+	rs.tokens = min(held*float64(burst), rs.tokens+held*rate*(now-rs.filledAt).Seconds())
+	rs.filledAt = now
 }
 
-// gain takes newly granted units; what they would have filled before they
-// were held is not theirs.
-func (p *pace) gain(now time.Duration, granted int64, rate float64, burst int64) {
-	p.fill(now, rate, burst)
-	if granted > p.books.Granted {
-		p.books.Granted = granted
+// applyGrant records newly granted units. They fill the bucket only from now on.
+func (rs *rateShare) applyGrant(now time.Duration, granted int64, rate float64, burst int64) {
+	rs.fill(now, rate, burst)
+	if granted > rs.account.Granted {
+		rs.account.Granted = granted
 	}
 }
 
-func (p *pace) give(now time.Duration, units int64, rate float64, burst int64) {
-	p.fill(now, rate, burst)
-	p.books.Returned += units
-	p.fill(now, rate, burst)
+// returnUnits gives units back, with the part of the bucket beyond the remaining ones.
+func (rs *rateShare) returnUnits(now time.Duration, units int64, rate float64, burst int64) {
+	rs.fill(now, rate, burst)
+	rs.account.Returned += units
+	rs.fill(now, rate, burst)
 }
 
-// wholeOf is how many units a rate is divided into. A chunk of them is the
-// least that lets a bucket hold one inquiry.
-func wholeOf(burst int64) int64 { return burst * core.Chunk }
+// rateUnits returns the number of units that a rate is divided into. core.UnitsPerRequest
+// of them are the fewest whose bucket can hold one request.
+func rateUnits(burst int64) int64 { return burst * core.UnitsPerRequest }
 
-func (m *Machine) paceOf(tenant string, urgent bool) (*pace, float64, int64) {
+// rateShareOf returns this node's share of a tenant's ordinary or urgent rate, with that rate in
+// requests per second and its burst.
+func (m *Machine) rateShareOf(tenant string, urgent bool) (*rateShare, float64, int64) {
 	t := m.description.Tenants[tenant]
 	key, ratio := tenant+"/rate", 1-t.UrgentRatio
 	if urgent {
 		key, ratio = tenant+"/urgent", t.UrgentRatio
 	}
-	p := m.paces[key]
-	if p == nil {
-		p = &pace{at: m.now}
-		m.paces[key] = p
+	rs := m.rateShares[key]
+	if rs == nil {
+		rs = &rateShare{filledAt: m.now}
+		m.rateShares[key] = rs
 	}
-	return p, t.RequestsPerSecond * ratio, max(1, int64(float64(t.Burst)*ratio))
+	return rs, t.RequestsPerSecond * ratio, max(1, int64(float64(t.Burst)*ratio))
 }
 
-func (m *Machine) dayOf(tenant string) *share {
-	s := m.days[tenant]
+// dayShareOf returns this node's share of a tenant's tokens of the day.
+func (m *Machine) dayShareOf(tenant string) *share {
+	s := m.dayShares[tenant]
 	if s == nil {
 		s = &share{}
-		m.days[tenant] = s
+		m.dayShares[tenant] = s
 	}
 	return s
 }
 
-func (m *Machine) ended(holders []string) []string {
+// endedHolders returns those holders whose incarnation has ended.
+func (m *Machine) endedHolders(holders []string) []string {
 	var list []string
 	for _, h := range holders {
 		for i := len(h) - 1; i >= 0; i-- {
@@ -130,11 +135,12 @@
 	return list
 }
 
-func (m *Machine) holder() string { return m.params.ID + "/" + m.incarnation }
+// holderID names this node's current incarnation as a holder of shares.
+func (m *Machine) holderID() string { return m.params.ID + "/" + m.incarnation }
 
-// draw gets a share up to a need, then goes on; told says whether that is the
-// word of whoever divides the allowance, and not only its silence.
-func (m *Machine) draw(now time.Duration, s *share, need, chunk int64, until time.Duration, ask func(target int64) any, next func(now time.Duration, ok, told bool)) {
+// drawShare enlarges a share until need is free, then calls next. Its argument
+// answered is false if the cores did not answer in time.
+func (m *Machine) drawShare(now time.Duration, s *share, need, chunk int64, until time.Duration, command func(target int64) any, next func(now time.Duration, ok, answered bool)) {
 	if s.free() >= need {
 		next(now, true, true)
 		return
@@ -142,226 +148,230 @@
 	s.pending += need
 	target := s.reserved + s.pending + chunk
 	incarnation := m.incarnation
-	m.caller.Call(now, ask(target), until, func(now time.Duration, o core.Outcome) {
+	m.caller.Call(now, command(target), until, func(now time.Duration, o core.Outcome) {
 		if incarnation != m.incarnation {
 			next(now, false, false)
 			return
 		}
 		s.pending -= need
-		m.learnShare(now, s, o)
-		next(now, s.free() >= need, !o.Unsure)
+		m.applyShare(now, s, o)
+		next(now, s.free() >= need, !o.Uncertain)
 	})
 }
 
-func (m *Machine) learnShare(now time.Duration, s *share, o core.Outcome) {
-	r, ok := o.Answer.(core.Shared)
+// applyShare records the cores' answer to a draw or report of a share.
+func (m *Machine) applyShare(now time.Duration, s *share, o core.Outcome) {
+	r, ok := o.Answer.(core.DrawResult)
 	if !ok {
 		return
 	}
-	s.books.Granted = max(s.books.Granted, r.Granted)
-	s.others = r.Others
-	if s == m.money && r.Open {
-		m.openUntil = now + r.Left
+	s.account.Granted = max(s.account.Granted, r.Granted)
+	s.others = r.Holders
+	if s == m.spendShare && r.Open {
+		m.openUntil = now + r.Remaining
 	}
 }
 
-func (m *Machine) askDay(tenant string, s *share) func(target int64) any {
+func (m *Machine) dayShareCommand(tenant string, s *share) func(target int64) any {
 	return func(target int64) any {
-		return core.ShareTenant{Tenant: tenant, Kind: "day", Holder: m.holder(), Spent: s.books.Spent, Returned: s.books.Returned,
-			Target: target, Whole: m.description.Tenants[tenant].DayTokens, Chunk: 1, Ended: m.ended(s.others)}
+		return core.DrawAllowance{Tenant: tenant, Kind: "day", Holder: m.holderID(), Spent: s.account.Spent, Returned: s.account.Returned,
+			Target: target, Limit: m.description.Tenants[tenant].DayTokens, UnitsPerRequest: 1, Ended: m.endedHolders(s.others)}
 	}
 }
 
-func (m *Machine) askMoney(target int64) any {
-	return m.drawMoney(target, m.money.reserved+m.money.pending)
+func (m *Machine) spendShareCommand(target int64) any {
+	return m.breakerDraw(target, m.spendShare.reserved+m.spendShare.pending)
 }
 
-func (m *Machine) prefetchMoney(target int64) any { return m.drawMoney(target, 0) }
+// spendPrefetchCommand draws on the spend budget without an immediate need.
+func (m *Machine) spendPrefetchCommand(target int64) any { return m.breakerDraw(target, 0) }
 
-func (m *Machine) drawMoney(target, need int64) any {
-	return core.DrawBreaker{Holder: m.holder(), Spent: m.money.books.Spent, Returned: m.money.books.Returned, Target: target, Need: need,
-		Ended: m.ended(m.money.others), Description: m.limits()}
+func (m *Machine) breakerDraw(target, need int64) any {
+	return core.DrawBreaker{Holder: m.holderID(), Spent: m.spendShare.account.Spent, Returned: m.spendShare.account.Returned, Target: target, Need: need,
+		Ended: m.endedHolders(m.spendShare.others), Limits: m.breakerLimits()}
 }
 
-func (m *Machine) limits() core.BreakerLimits {
+func (m *Machine) breakerLimits() core.BreakerLimits {
 	p := m.description.BreakerParams()
-	return core.BreakerLimits{Minute: p.Minute, Hour: p.Hour, Day: p.Day, Recovery: p.Recovery, Tests: p.Probes}
+	return core.BreakerLimits{Minute: p.Minute, Hour: p.Hour, Day: p.Day, Recovery: p.Recovery, Probes: p.Probes}
 }
 
-func (m *Machine) report(now time.Duration) {
-	if m.description == nil || !m.termed(now) || m.givingBack || now < m.joinedAt+2*m.params.Core.Pull {
+// reportShares reports all shares that are due.
+func (m *Machine) reportShares(now time.Duration) {
+	if m.description == nil || !m.hasLease(now) || m.returningShares || now < m.joinedAt+2*m.params.Core.PullInterval {
 		return
 	}
 	for _, tenant := range m.tenants {
-		m.reportPaces(now, tenant)
-		s := m.dayOf(tenant)
-		m.reportShare(now, s, m.askDay(tenant, s), m.dayChunk(tenant))
+		m.reportRates(now, tenant)
+		s := m.dayShareOf(tenant)
+		m.reportShare(now, s, m.dayShareCommand(tenant, s), m.dayChunk(tenant))
 	}
-	m.reportShare(now, m.money, m.prefetchMoney, m.moneyChunk())
+	m.reportShare(now, m.spendShare, m.spendPrefetchCommand, m.spendChunk())
 }
 
+// dayChunk is the number of tokens that a node holds in advance.
 func (m *Machine) dayChunk(tenant string) int64 {
 	return max(1, m.description.Tenants[tenant].DayTokens/4096)
 }
 
-func (m *Machine) moneyChunk() int64 {
+// spendChunk is the number of micro-dollars that a node holds in advance.
+func (m *Machine) spendChunk() int64 {
 	return max(1, configuration.MicroDollars(m.description.Breaker.MinuteDollars)/512)
 }
 
-// reportShare tells what was spent, gives idle share back, and tops the share
-// up so that the next inquiry finds it here.
-func (m *Machine) reportShare(now time.Duration, s *share, ask func(target int64) any, chunk int64) {
-	open := s == m.money && (now < m.openUntil || m.breakerState != breaker.Closed)
+// reportShare reports what was spent, returns what is unused, and draws the chunk that is held in
+// advance.
+func (m *Machine) reportShare(now time.Duration, s *share, command func(target int64) any, chunk int64) {
+	open := s == m.spendShare && (now < m.openUntil || m.breakerState != breaker.Closed)
 	idle := s.free() < chunk && !s.changed && !open
-	if s.asking || now < s.reportAt || (idle && s.free() > 0) {
-		if now < s.reportAt+m.params.Core.MemberTerm || s.asking {
+	if s.reporting || now < s.reportAt || (idle && s.free() > 0) {
+		if now < s.reportAt+m.params.Core.MemberLease || s.reporting {
 			return
 		}
 	}
-	s.reportAt = now + m.params.Report
+	s.reportAt = now + m.params.ReportInterval
 	if spare := s.free() - chunk; spare > chunk {
-		s.books.Returned += spare
+		s.account.Returned += spare
 	}
 	target := s.reserved + s.pending + chunk
 	if open {
-		s.books.Returned += max(0, s.free())
+		s.account.Returned += max(0, s.free())
 		target = 0
 	}
-	s.changed, s.asking = false, true
+	s.changed, s.reporting = false, true
 	incarnation := m.incarnation
-	m.caller.Call(now, ask(target), now+m.params.Core.MemberTerm, func(now time.Duration, o core.Outcome) {
+	m.caller.Call(now, command(target), now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		if incarnation == m.incarnation {
-			s.asking = false
-			m.learnShare(now, s, o)
+			s.reporting = false
+			m.applyShare(now, s, o)
 		}
 	})
 }
 
-// askPace is a report of one of a tenant's rates, and what is wanted of it.
-func (m *Machine) askPace(tenant string, urgent bool, want int64) core.ShareTenant {
-	p, _, burst := m.paceOf(tenant, urgent)
+// rateReport builds a report of one of a tenant's rates with the demand for it.
+func (m *Machine) rateReport(tenant string, urgent bool, want int64) core.DrawAllowance {
+	rs, _, burst := m.rateShareOf(tenant, urgent)
 	kind := "rate"
 	if urgent {
 		kind = "urgent"
 	}
-	return core.ShareTenant{Tenant: tenant, Kind: kind, Holder: m.holder(), Returned: p.books.Returned, Target: want,
-		Whole: wholeOf(burst), Chunk: core.Chunk, Members: int64(len(m.others()) + 1), Ended: m.ended(p.others)}
+	return core.DrawAllowance{Tenant: tenant, Kind: kind, Holder: m.holderID(), Returned: rs.account.Returned, Target: want,
+		Limit: rateUnits(burst), UnitsPerRequest: core.UnitsPerRequest, Members: int64(len(m.others()) + 1), Ended: m.endedHolders(rs.others)}
 }
 
-// paceDue reports whether one of a tenant's rates is to be reported, and notes
-// what is wanted of it.
-func (m *Machine) paceDue(now time.Duration, tenant string, urgent bool) bool {
-	p, rate, burst := m.paceOf(tenant, urgent)
-	p.fill(now, rate, burst)
-	m.release(now, p, rate, burst)
-	held := p.books.Held()
-	if p.asking || now < p.reportAt {
+// rateReportDue reports whether one of a tenant's rates is due for a report, and if so updates its
+// demand.
+func (m *Machine) rateReportDue(now time.Duration, tenant string, urgent bool) bool {
+	rs, rate, burst := m.rateShareOf(tenant, urgent)
+	rs.fill(now, rate, burst)
+	m.releaseWaiters(now, rs, rate, burst)
+	held := rs.account.Held()
+	if rs.reporting || now < rs.reportAt {
 		return false
 	}
-	if now >= p.rolledAt+m.params.Report {
-		// A report that follows on the last one says nothing of the demand.
-		p.recent, p.demand, p.rolledAt = (p.recent+p.demand*demandWeight)/2, 0, now
+	if now >= rs.demandAt+m.params.ReportInterval {
+		// A report right after the last one has too short an interval to measure demand.
+		rs.recent, rs.demand, rs.demandAt = (rs.recent+rs.demand*demandWeight)/2, 0, now
 	}
-	want := core.IdleWeight + p.recent
-	steady := want-p.want <= p.want/4 && p.want-want <= p.want/4
-	if held > 0 && held == p.target && steady && now < p.reportAt+m.params.Report && p.reportAt > 0 {
+	want := core.IdleWeight + rs.recent
+	steady := want-rs.reportedDemand <= rs.reportedDemand/4 && rs.reportedDemand-want <= rs.reportedDemand/4
+	if held > 0 && held == rs.target && steady && now < rs.reportAt+m.params.ReportInterval && rs.reportAt > 0 {
 		return false
 	}
-	p.want, p.reportAt, p.asking = want, now+m.params.Report, true
+	rs.reportedDemand, rs.reportAt, rs.reporting = want, now+m.params.ReportInterval, true
 	return true
 }
 
-// reportPaces reports a tenant's rates, those that are due in one command.
-func (m *Machine) reportPaces(now time.Duration, tenant string) {
+// reportRates reports the rates of a tenant that are due, in one command.
+func (m *Machine) reportRates(now time.Duration, tenant string) {
 	var due []bool
-	var ask core.ShareRates
+	var report core.DrawAllowances
 	for _, urgent := range []bool{false, true} {
-		if m.paceDue(now, tenant, urgent) {
-			p, _, _ := m.paceOf(tenant, urgent)
+		if m.rateReportDue(now, tenant, urgent) {
+			rs, _, _ := m.rateShareOf(tenant, urgent)
 			due = append(due, urgent)
-			ask.Rates = append(ask.Rates, m.askPace(tenant, urgent, p.want))
+			report.Draws = append(report.Draws, m.rateReport(tenant, urgent, rs.reportedDemand))
 		}
 	}
 	if len(due) == 0 {
 		return
 	}
 	incarnation := m.incarnation
-	m.caller.Call(now, ask, now+m.params.Core.MemberTerm, func(now time.Duration, o core.Outcome) {
+	m.caller.Call(now, report, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		if incarnation != m.incarnation {
 			return
 		}
-		r, _ := o.Answer.(core.SharedRates)
+		r, _ := o.Answer.(core.DrawResults)
 		for i, urgent := range due {
-			p, rate, burst := m.paceOf(tenant, urgent)
-			p.asking = false
-			if i >= len(r.Rates) {
+			rs, rate, burst := m.rateShareOf(tenant, urgent)
+			rs.reporting = false
+			if i >= len(r.Results) {
 				continue
 			}
-			told := r.Rates[i]
-			p.gain(now, told.Granted, rate, burst)
-			p.others, p.target = told.Others, told.Target
-			if over := p.books.Held() - told.Target; over > 0 {
-				p.give(now, over, rate, burst)
-				p.reportAt = now
+			answer := r.Results[i]
+			rs.applyGrant(now, answer.Granted, rate, burst)
+			rs.others, rs.target = answer.Holders, answer.Target
+			if over := rs.account.Held() - answer.Target; over > 0 {
+				rs.returnUnits(now, over, rate, burst)
+				rs.reportAt = now
 			}
 		}
 	})
 }
 
-// release lets waiting shots go as the bucket fills.
-func (m *Machine) release(now time.Duration, p *pace, rate float64, burst int64) {
-	for len(p.waiting) > 0 {
-		w := p.waiting[0]
-		if now < w.until && p.filled < 1 {
+// releaseWaiters admits waiting attempts as the bucket fills.
+func (m *Machine) releaseWaiters(now time.Duration, rs *rateShare, rate float64, burst int64) {
+	for len(rs.waiting) > 0 {
+		w := rs.waiting[0]
+		if now < w.until && rs.tokens < 1 {
 			return
 		}
-		p.waiting = p.waiting[1:]
-		m.buffered--
-		ok := now < w.until && p.filled >= 1
+		rs.waiting = rs.waiting[1:]
+		m.queued--
+		ok := now < w.until && rs.tokens >= 1
 		if ok {
-			p.filled--
+			rs.tokens--
 		}
-		w.next(now, ok, m.rateWait(p, rate, burst))
+		w.next(now, ok, m.rateWait(rs, rate, burst))
 	}
 }
 
-// rateWait is how long it takes until the rate's bucket has a place for one
-// more.
-func (m *Machine) rateWait(p *pace, rate float64, burst int64) time.Duration {
-	speed := float64(p.books.Held()) / float64(wholeOf(burst)) * rate
+// rateWait returns how long it takes until the bucket admits one more request.
+func (m *Machine) rateWait(rs *rateShare, rate float64, burst int64) time.Duration {
+	speed := float64(rs.account.Held()) / float64(rateUnits(burst)) * rate
 	if speed <= 0 {
-		return 2 * m.params.Report
+		return 2 * m.params.ReportInterval
 	}
-	return max(m.params.Core.Pull, time.Duration((float64(len(p.waiting)+1)-p.filled)/speed*float64(time.Second)))
+	return max(m.params.Core.PullInterval, time.Duration((float64(len(rs.waiting)+1)-rs.tokens)/speed*float64(time.Second)))
 }
 
-// pass takes one inquiry's place in a tenant's rate, now or after a short wait.
-func (m *Machine) pass(now time.Duration, tenant string, urgent bool, until time.Duration, next func(now time.Duration, ok bool, wait time.Duration)) {
-	p, rate, burst := m.paceOf(tenant, urgent)
-	p.demand++
-	p.fill(now, rate, burst)
-	if len(p.waiting) == 0 && p.filled >= 1 {
-		p.filled--
+// takeRate takes a token of a tenant's rate for one request, now or after a short wait.
+func (m *Machine) takeRate(now time.Duration, tenant string, urgent bool, until time.Duration, next func(now time.Duration, ok bool, wait time.Duration)) {
+	rs, rate, burst := m.rateShareOf(tenant, urgent)
+	rs.demand++
+	rs.fill(now, rate, burst)
+	if len(rs.waiting) == 0 && rs.tokens >= 1 {
+		rs.tokens--
 		next(now, true, 0)
 		return
 	}
 	if urgent {
-		// What is urgent may also take of the rate that is nobody's reserve.
-		common, rate, burst := m.paceOf(tenant, false)
-		common.demand++
-		if common.fill(now, rate, burst); common.filled >= 1 {
-			common.filled--
+		// Urgent requests may also use the ordinary rate.
+		ordinary, rate, burst := m.rateShareOf(tenant, false)
+		ordinary.demand++
+		if ordinary.fill(now, rate, burst); ordinary.tokens >= 1 {
+			ordinary.tokens--
 			next(now, true, 0)
 			return
 		}
 	}
 	if !urgent {
-		until = min(until, now+m.params.Patience)
+		until = min(until, now+m.params.MaxQueueWait)
 	}
-	if wait := m.rateWait(p, rate, burst); m.buffered >= m.roomFor(urgent) || now+wait > until {
+	if wait := m.rateWait(rs, rate, burst); m.queued >= m.queueLimitFor(urgent) || now+wait > until {
 		next(now, false, wait)
 		return
 	}
-	m.buffered++
-	p.waiting = append(p.waiting, waiter{until: until, next: next})
+	m.queued++
+	rs.waiting = append(rs.waiting, rateWaiter{until: until, next: next})
 }
--- a/peer/relay/history.go
+++ b/peer/relay/history.go
@@ -7,41 +7,41 @@
 	"saffronfall/rule/invariant"
 )
 
-// fetch reads the turns that a turn goes on from: its former one tells the
-// names of all before it, which are then read side by side.
-func (m *Machine) fetch(now time.Duration, w *way) {
-	tenant := m.tenantName(w)
-	if t := m.cache.get(now, tenant, w.ask.Previous); t != nil {
+// fetchHistory reads the turns before a turn. The last of them lists the IDs of all others,
+// which are then read concurrently.
+func (m *Machine) fetchHistory(now time.Duration, req *activeRequest) {
+	tenant := m.tenantName(req)
+	if t := m.cache.get(now, tenant, req.spec.Previous); t != nil {
 		m.Counters.CacheHits++
-		w.former = t
+		req.previous = t
 		return
 	}
 	m.Counters.CacheMisses++
-	w.fetching = true
-	m.read(now, w, w.ask.Previous, func(now time.Duration, last core.KeptTurn) {
-		turns := make([]*turn, len(last.Before)+1)
-		fill := func(now time.Duration, i int, attempt string, k core.KeptTurn) {
-			turns[i] = &turn{attempt: attempt, tenant: tenant, input: k.Input, output: k.Output, until: now + k.Left}
+	req.fetching = true
+	m.readTurn(now, req, req.spec.Previous, func(now time.Duration, last core.ReadTurnResult) {
+		turns := make([]*turn, len(last.Previous)+1)
+		fill := func(now time.Duration, i int, attempt string, k core.ReadTurnResult) {
+			turns[i] = &turn{attempt: attempt, tenant: tenant, input: k.Input, output: k.Output, storedUntil: now + k.Remaining}
 		}
-		fill(now, len(last.Before), w.ask.Previous, last)
-		waiting := len(last.Before)
+		fill(now, len(last.Previous), req.spec.Previous, last)
+		waiting := len(last.Previous)
 		link := func(now time.Duration) {
 			for i := 1; i < len(turns); i++ {
-				turns[i].former = turns[i-1]
+				turns[i].previous = turns[i-1]
 			}
 			for _, t := range turns {
 				m.cache.put(t)
 			}
-			w.fetching, w.former = false, turns[len(turns)-1]
-			m.proceed(now, w)
+			req.fetching, req.previous = false, turns[len(turns)-1]
+			m.sendWhenReady(now, req)
 		}
 		if waiting == 0 {
 			link(now)
 			return
 		}
-		for i, attempt := range last.Before {
-			m.read(now, w, attempt, func(now time.Duration, k core.KeptTurn) {
-				fill(now, i, attempt, k)
+		for i, attempt := range last.Previous {
+			m.readTurn(now, req, attempt, func(now time.Duration, result core.ReadTurnResult) {
+				fill(now, i, attempt, result)
 				if waiting--; waiting == 0 {
 					link(now)
 				}
@@ -50,66 +50,67 @@
 	})
 }
 
-func (m *Machine) read(now time.Duration, w *way, attempt string, next func(now time.Duration, k core.KeptTurn)) {
-	m.caller.Call(now, core.ReadTurn{Tenant: m.tenantName(w), Attempt: attempt}, w.patience, func(now time.Duration, o core.Outcome) {
-		k, ok := o.Answer.(core.KeptTurn)
+// readTurn reads one turn from the cores for a request, which is refused if that fails.
+func (m *Machine) readTurn(now time.Duration, req *activeRequest, attempt string, next func(now time.Duration, result core.ReadTurnResult)) {
+	m.caller.Call(now, core.ReadTurn{Tenant: m.tenantName(req), Attempt: attempt}, req.admissionDeadline, func(now time.Duration, o core.Outcome) {
+		result, ok := o.Answer.(core.ReadTurnResult)
 		switch {
-		case w.ended:
+		case req.completed:
 		case !ok:
-			m.unsure(now, w, CauseHistoryUnsure)
-		case !k.Found:
-			m.turnNotFound(now, w, attempt, k.Absence)
+			m.refuseUnlessCompleted(now, req, CauseHistoryUnavailable)
+		case !result.Found:
+			m.turnNotFound(now, req, attempt, result.Absence)
 		default:
-			next(now, k)
+			next(now, result)
 		}
 	})
 }
 
-// turnNotFound ends a request whose former turn, or one before that, the cores do not
-// have. What came whole at this node must still be there: it is missed, not unknown.
-func (m *Machine) turnNotFound(now time.Duration, w *way, attempt string, absence core.Absence) {
-	owed, kept := m.keptHere.until(turnName{tenant: m.tenantName(w), attempt: w.ask.Previous})
+// turnNotFound refuses a request if a turn before it is not at the cores. If this node
+// stored that turn and its retention has not ended, the turn is lost, not unknown.
+func (m *Machine) turnNotFound(now time.Duration, req *activeRequest, attempt string, absence core.Absence) {
+	until, stored := m.recentTurns.deadline(turnName{tenant: m.tenantName(req), attempt: req.spec.Previous})
 	switch {
-	case kept && now < owed:
-		m.violated.Violated(invariant.TurnKeptUntilDeadline, "turn %s, before %s, is not found %v before its time is over", attempt, w.ask.Attempt, owed-now)
-		m.refuse(now, w, CauseHistoryMissing)
-	case kept || absence == core.Expired:
-		m.refuse(now, w, CauseHistoryExpired)
-	case absence == core.Foreign:
-		m.refuse(now, w, CauseHistoryForeign)
+	case stored && now < until:
+		m.violated.Violated(invariant.TurnKeptUntilDeadline, "turn %s, before %s, is not found %v before its retention ends", attempt, req.spec.Attempt, until-now)
+		m.refuse(now, req, CauseHistoryMissing)
+	case stored || absence == core.Expired:
+		m.refuse(now, req, CauseHistoryExpired)
+	case absence == core.OtherTenant:
+		m.refuse(now, req, CauseHistoryForeign)
 	default:
-		m.refuse(now, w, CauseHistoryUnknown)
+		m.refuse(now, req, CauseHistoryUnknown)
 	}
 }
 
-// keptTurnsMost is how many turns that came whole at this node it remembers.
-const keptTurnsMost = 4096
+// maxRecentTurns limits the turns that recentTurns holds.
+const maxRecentTurns = 4096
 
-// keptTurns remembers until when the last turns that came whole at this node are owed to
-// their requesters, together with those before them.
-type keptTurns struct {
-	owed map[turnName]time.Duration
-	ring []turnName
-	next int
+// recentTurns holds the retention deadlines of the last turns stored by this node; each
+// applies to all turns before it too. The oldest entry is replaced first.
+type recentTurns struct {
+	deadlines map[turnName]time.Duration
+	order     []turnName
+	oldest    int
 }
 
-func (k *keptTurns) add(name turnName, until time.Duration) {
-	if k.owed == nil {
-		k.owed = map[turnName]time.Duration{}
+func (rt *recentTurns) add(name turnName, until time.Duration) {
+	if rt.deadlines == nil {
+		rt.deadlines = map[turnName]time.Duration{}
 	}
-	if _, known := k.owed[name]; !known {
-		if len(k.ring) < keptTurnsMost {
-			k.ring = append(k.ring, name)
+	if _, known := rt.deadlines[name]; !known {
+		if len(rt.order) < maxRecentTurns {
+			rt.order = append(rt.order, name)
 		} else {
-			delete(k.owed, k.ring[k.next])
-			k.ring[k.next] = name
-			k.next = (k.next + 1) % keptTurnsMost
+			delete(rt.deadlines, rt.order[rt.oldest])
+			rt.order[rt.oldest] = name
+			rt.oldest = (rt.oldest + 1) % maxRecentTurns
 		}
 	}
-	k.owed[name] = until
+	rt.deadlines[name] = until
 }
 
-func (k *keptTurns) until(name turnName) (time.Duration, bool) {
-	until, known := k.owed[name]
+func (rt *recentTurns) deadline(name turnName) (time.Duration, bool) {
+	until, known := rt.deadlines[name]
 	return until, known
 }
--- a/peer/relay/loads.go
+++ b/peer/relay/loads.go
@@ -9,87 +9,89 @@
 	"saffronfall/rule/placement"
 )
 
-// sharing is how a node tells desks what it has at replicas, and hears what others have.
-// Each desk adds up what all nodes have at the replicas that announce themselves there.
-type sharing struct {
-	shareAt time.Duration
-	// loadSeenAt is when services' admission last saw the load.
-	loadSeenAt time.Duration
-	loadsHeard int64
+// loadSharing is the state of load reports: a node reports its outstanding requests to each
+// desk, and each desk reports the sums over all nodes for the replicas that it lists.
+type loadSharing struct {
+	reportAt time.Duration
+	// loadObservedAt is when the admission controllers last saw the load.
+	loadObservedAt time.Duration
+	loadUpdates    int64
 }
 
-// shareMemory is for how many periods a desk's word of load holds. Once desks are silent
-// a node goes by its own sendings.
-const shareMemory = 6
+// loadValidityPeriods is for how many report intervals a desk's load report is valid.
+// Without a valid report, a node estimates loads from its own attempts.
+const loadValidityPeriods = 6
 
-// places lists the replicas by which loads name a board's: those that the desk's present
-// life has told of. What an earlier life told is kept for a while, and has no place.
-func (b *board) places() []string {
-	if b.placesVersion != b.version || b.placesOf == nil {
-		b.placesOf = desk.Places(b.list, func(p posted) bool { return p.Gone || p.until > 0 })
-		b.placesVersion = b.version
+// loadIndex lists the replicas in the order in which load reports refer to them: those
+// listed by the desk's current incarnation. Listings of an earlier incarnation stay valid
+// for a while but are not indexed.
+func (view *deskView) loadIndex() []string {
+	if view.indexedVersion != view.version || view.indexedIDs == nil {
+		view.indexedIDs = desk.ReplicaOrder(view.replicas, func(p listing) bool { return p.Removed || p.expiresAt > 0 })
+		view.indexedVersion = view.version
 	}
-	return b.placesOf
+	return view.indexedIDs
 }
 
-// tellLoads tells each desk what this node has at its replicas. Nothing is said while
-// nothing is under way and nothing has ended.
-func (m *Machine) tellLoads(now time.Duration) {
-	if m.params.LoadPeriod <= 0 || now < m.shareAt {
+// reportLoads reports to each desk this node's requests at its replicas. After an empty
+// report, no further one is sent until there is something to report.
+func (m *Machine) reportLoads(now time.Duration) {
+	if m.params.LoadReportInterval <= 0 || now < m.reportAt {
 		return
 	}
-	m.shareAt = now + m.params.LoadPeriod
-	for _, address := range ordered.Keys(m.boards) {
-		b := m.boards[address]
-		if !b.speaks(now, m.params.Beat) {
+	m.reportAt = now + m.params.LoadReportInterval
+	for _, address := range ordered.Keys(m.desks) {
+		view := m.desks[address]
+		if !view.alive(now, m.params.HeartbeatInterval) {
 			continue
 		}
-		report := desk.LoadReport{Life: b.life, Version: b.version, List: m.loadsAt(b)}
-		if len(report.List) == 0 && !b.toldLoad {
+		report := desk.LoadReport{Incarnation: view.incarnation, Version: view.version, Replicas: m.loadsFor(view)}
+		if len(report.Replicas) == 0 && !view.reportedLoad {
 			continue
 		}
-		b.toldLoad = len(report.List) > 0
+		view.reportedLoad = len(report.Replicas) > 0
 		m.send(address, report)
 	}
 }
 
-// loadsAt lists what this node has at a board's replicas.
-func (m *Machine) loadsAt(b *board) (list []desk.ReplicaLoad) {
-	for place, id := range b.places() {
+// loadsFor lists this node's requests at the replicas of a desk.
+func (m *Machine) loadsFor(view *deskView) (list []desk.ReplicaLoad) {
+	for index, id := range view.loadIndex() {
 		r := m.replicas[id]
 		if r == nil {
 			continue
 		}
-		ended := r.estimate.TakeOutcomes()
-		if r.estimate.Outstanding == 0 && ended == (placement.Outcomes{}) {
+		outcomes := r.estimate.TakeOutcomes()
+		if r.estimate.Outstanding == 0 && outcomes == (placement.Outcomes{}) {
 			continue
 		}
-		list = append(list, desk.ReplicaLoad{Place: uint16(place), Outstanding: small(r.estimate.Outstanding), Served: small(ended.Served), Failed: small(ended.Failed),
-			Busy: ended.Busy, Units: small(ended.Units)})
+		list = append(list, desk.ReplicaLoad{Index: uint16(index), Outstanding: clampUint16(r.estimate.Outstanding), Served: clampUint16(outcomes.Served), Failed: clampUint16(outcomes.Failed),
+			Busy: outcomes.Busy, Units: clampUint16(outcomes.Units)})
 	}
 	return list
 }
 
-func small(n int64) uint16 { return uint16(min(max(n, 0), math.MaxUint16)) }
+// clampUint16 limits n to the range of a uint16.
+func clampUint16(n int64) uint16 { return uint16(min(max(n, 0), math.MaxUint16)) }
 
-// onLoads takes a desk's word of load.
-func (m *Machine) onLoads(now time.Duration, from string, l desk.Loads) {
-	b := m.boards[from]
-	if b == nil || b.life != l.Life || b.version != l.Version {
+// handleLoads applies a desk's load report.
+func (m *Machine) handleLoads(now time.Duration, from string, l desk.Loads) {
+	view := m.desks[from]
+	if view == nil || view.incarnation != l.Incarnation || view.version != l.Version {
 		return
 	}
-	places := b.places()
-	if len(l.Outstanding) != len(places) || len(l.Failing) != len(places) || len(l.Paces) != len(places) {
+	ids := view.loadIndex()
+	if len(l.Outstanding) != len(ids) || len(l.FailureRates) != len(ids) || len(l.UnitTimes) != len(ids) {
 		m.Counters.BadMessages++
 		return
 	}
-	m.loadsHeard++
-	until := now + shareMemory*m.params.LoadPeriod
-	for i, id := range places {
+	m.loadUpdates++
+	until := now + loadValidityPeriods*m.params.LoadReportInterval
+	for i, id := range ids {
 		if r := m.replicas[id]; r != nil {
-			r.estimate.SetShared(int64(l.Outstanding[i]), float64(l.Failing[i])/math.MaxUint8, until)
-			if l.Paces[i] > 0 {
-				r.estimate.SetUnitTime(time.Duration(l.Paces[i]) * desk.PaceUnit)
+			r.estimate.SetShared(int64(l.Outstanding[i]), float64(l.FailureRates[i])/math.MaxUint8, until)
+			if l.UnitTimes[i] > 0 {
+				r.estimate.SetUnitTime(time.Duration(l.UnitTimes[i]) * desk.UnitTimeResolution)
 			}
 		}
 	}
--- /dev/null
+++ b/peer/relay/replicas.go
@@ -0,0 +1,265 @@
+package relay
+
+import (
+	"time"
+
+	"saffronfall/peer/desk"
+	"saffronfall/rule/admission"
+	"saffronfall/rule/ordered"
+	"saffronfall/rule/placement"
+)
+
+// deskView is what this node has received from one desk.
+type deskView struct {
+	incarnation string
+	version     uint64
+	// lastUpdateAt is when the last update was received from the desk, or when another desk
+	// first named it.
+	lastUpdateAt time.Duration
+	replicas     map[string]listing
+	// indexedIDs is the cached result of loadIndex as of indexedVersion.
+	indexedIDs     []string
+	indexedVersion uint64
+	// reportedLoad: the last load report to the desk was not empty.
+	reportedLoad bool
+}
+
+// alive reports whether the desk has sent an update recently.
+func (view *deskView) alive(now, interval time.Duration) bool {
+	return view.incarnation != "" && now < view.lastUpdateAt+lostHeartbeats*interval
+}
+
+// listing is a replica as a desk lists it.
+type listing struct {
+	desk.ReplicaEntry
+	// expiresAt is when the listing is dropped; zero means when the desk withdraws it.
+	expiresAt time.Duration
+}
+
+// replicaRecord is one replica: its announcement, and the estimate of its load and health.
+type replicaRecord struct {
+	listed   desk.Replica
+	estimate *placement.Replica
+}
+
+// selection is what a node knows of services and replicas, and the policy of choosing among
+// them.
+type selection struct {
+	services map[string]*service
+	replicas map[string]*replicaRecord
+	policy   *placement.Policy
+	// mergeAt is when the desks' listings are merged next.
+	mergeAt time.Duration
+}
+
+// service is what a node knows of the replicas of a service.
+type service struct {
+	replicas    []*placement.Replica
+	serviceTime placement.ServiceTime
+	admission   admission.Controller
+	// referenceUnitTime is the time per unit of work of the service's fast replicas.
+	referenceUnitTime time.Duration
+}
+
+// departedReplicas are replicas that announced that they leave, with the time at which
+// that was last reported. A replica never returns under its ID, so later listings of it are
+// ignored.
+type departedReplicas map[string]time.Duration
+
+func (d departedReplicas) add(now time.Duration, id string) { d[id] = now }
+
+func (d departedReplicas) has(id string) bool {
+	_, ok := d[id]
+	return ok
+}
+
+// departedHeartbeats is for how many heartbeat intervals a node remembers a departed
+// replica. It exceeds the time for which desks list the replica.
+const departedHeartbeats = 100
+
+// expire drops the replicas that were last listed as leaving before a time.
+func (d departedReplicas) expire(before time.Duration) {
+	for id, reportedAt := range d {
+		if reportedAt < before {
+			delete(d, id)
+		}
+	}
+}
+
+// mergeListings merges the desks' listings into one set of replicas. The most recent
+// heartbeat of a replica counts. A departure counts from any desk and permanently, even if
+// that desk falls silent or is forgotten.
+func (m *Machine) mergeListings(now time.Duration) {
+	best := map[string]desk.ReplicaEntry{}
+	anyAlive := false
+	for _, view := range m.desks {
+		anyAlive = anyAlive || view.alive(now, m.params.HeartbeatInterval)
+	}
+	for _, address := range ordered.Keys(m.desks) {
+		view := m.desks[address]
+		if anyAlive && now > view.lastUpdateAt+lostHeartbeats*m.params.HeartbeatInterval {
+			continue
+		}
+		m.recordDepartures(now, view)
+		for id, p := range view.replicas {
+			if p.expiresAt > 0 && now >= p.expiresAt {
+				delete(view.replicas, id)
+				continue
+			}
+			old, ok := best[id]
+			// A desk that has not heard from the replica for long doesn't overrule one
+			// that has.
+			if !ok || old.Removed && !p.Removed || old.Removed == p.Removed && old.Replica.Sequence < p.Replica.Sequence {
+				best[id] = p.ReplicaEntry
+			}
+		}
+	}
+	m.updateReplicas(best)
+	m.mergeAt = now + m.params.HeartbeatInterval/2
+}
+
+// recordDepartures records the replicas that a desk lists as leaving, and renews them for
+// as long as it does.
+func (m *Machine) recordDepartures(now time.Duration, view *deskView) {
+	for id, p := range view.replicas {
+		if p.Replica.Leaving || p.Final {
+			m.departed.add(now, id)
+		}
+	}
+}
+
+// lostHeartbeats is after how many heartbeat intervals of silence a desk's listings are
+// outdated.
+const lostHeartbeats = 4
+
+// updateReplicas sets the replicas that can be chosen, and forgets those that are no longer
+// listed and have none of this node's requests.
+func (m *Machine) updateReplicas(listed map[string]desk.ReplicaEntry) {
+	for _, s := range m.services {
+		s.replicas = s.replicas[:0]
+	}
+	listedIDs := map[string]bool{}
+	for _, id := range ordered.Keys(listed) {
+		l := listed[id]
+		if l.Removed || m.departed.has(id) {
+			continue
+		}
+		listedIDs[id] = true
+		r := m.replicas[id]
+		if r == nil {
+			r = &replicaRecord{estimate: placement.NewReplica()}
+			m.replicas[id] = r
+		}
+		r.listed = l.Replica
+		r.estimate.ID, r.estimate.Zone, r.estimate.Slots, r.estimate.Warming = id, l.Replica.Zone, l.Replica.Slots, l.Replica.WarmupRemaining > 0
+		s := m.serviceOf(l.Replica.Service)
+		s.replicas = append(s.replicas, r.estimate)
+	}
+	for id, r := range m.replicas {
+		if !listedIDs[id] && r.estimate.Outstanding == 0 {
+			delete(m.replicas, id)
+		}
+	}
+}
+
+// serviceOf returns what is known of a service, created if it is new.
+func (m *Machine) serviceOf(name string) *service {
+	s := m.services[name]
+	if s == nil {
+		s = &service{}
+		m.services[name] = s
+	}
+	return s
+}
+
+const (
+	// unrestrictedResends is how many replicas may reject a request before it is sent only
+	// to replicas with a known free slot.
+	unrestrictedResends = 3
+	// maxResends limits how many replicas may reject one request.
+	maxResends = 16
+
+	// Limits of a service for which the table gives none.
+	unlimitedConnections = 1 << 30
+	unlimitedCacheTokens = 1 << 40
+)
+
+// choose picks the replica for the next attempt of a request, or nil if none can take it.
+func (m *Machine) choose(now time.Duration, req *activeRequest) *replicaRecord {
+	if now >= m.mergeAt {
+		m.mergeListings(now)
+	}
+	s := m.serviceOf(req.service)
+	connections := int64(unlimitedConnections)
+	if config, ok := req.table.Service(req.service); ok {
+		connections = max(2, config.Connections/int64(max(m.nodes, 1)+1))
+	}
+	allowed := func(r *placement.Replica) bool {
+		return !req.tried[r.ID] && r.Outstanding < connections
+	}
+	request := placement.Request{Prompt: req.spec.Prompt, Repeatable: req.route.Retryable(), Remaining: req.deadline - now, ServiceTime: s.serviceTime.Mean(), ReferenceUnitTime: s.referenceUnitTime, Rejected: req.notRun > 0}
+	if req.route.CacheAffinity {
+		request.Affinity = req.spec.Affinity
+	}
+	chosen := m.policy.Choose(now, request, s.replicas, allowed)
+	if chosen == nil {
+		return nil
+	}
+	if req.notRun >= unrestrictedResends && (req.notRun >= maxResends || !m.policy.HasRoom(now, chosen)) {
+		return nil
+	}
+	return m.replicas[chosen.ID]
+}
+
+// recordSent records that a request is sent to a replica, and the prompt that the replica
+// will have cached.
+func (m *Machine) recordSent(now time.Duration, req *activeRequest, r *replicaRecord) {
+	cacheTokens := int64(unlimitedCacheTokens)
+	if config, ok := req.table.Service(req.service); ok && config.CacheTokens > 0 {
+		cacheTokens = config.CacheTokens * 3 / 4
+	}
+	req.sentAt, req.sentWithRoom = now, m.policy.HasRoom(now, r.estimate)
+	r.estimate.RecordSent(now, req.spec.Prompt, cacheTokens)
+}
+
+// recordOutcome updates the estimate of a replica with the outcome of an attempt.
+func (m *Machine) recordOutcome(now time.Duration, req *activeRequest, o Outcome) {
+	s := m.serviceOf(req.service)
+	result := resultOf(o)
+	if result == placement.Served {
+		m.recordServiceTime(now, req, s, o)
+	}
+	req.replica.estimate.RecordResult(now, result, o.Load, m.params.HeartbeatInterval, s.serviceTime.Mean())
+}
+
+// recordServiceTime records how fast a replica served a request. Only event streams show
+// the speed of a replica, as the amount of work of other requests is unknown.
+func (m *Machine) recordServiceTime(now time.Duration, req *activeRequest, s *service, o Outcome) {
+	took, r := now-req.sentAt, req.replica.estimate
+	if o.Events > 1 {
+		r.RecordWork(o.StreamDuration, o.Events-1)
+	}
+	if req.sentWithRoom {
+		s.serviceTime.Add(time.Duration(float64(took) / r.Slowness(s.referenceUnitTime)))
+	}
+}
+
+// statusServerFault is the lowest status code that reports a fault of the replica itself.
+const statusServerFault = 500
+
+// resultOf returns what an outcome says about the health of the replica.
+func resultOf(o Outcome) placement.Result {
+	switch {
+	case o.AddressReused:
+		return placement.Moved
+	case o.Unreachable:
+		return placement.Failed
+	case o.Kind == OutcomeNotRun:
+		return placement.Rejected
+	case o.Kind == OutcomeInterrupted && o.RequesterDisconnected:
+		return placement.Canceled
+	case o.Kind == OutcomeInterrupted, o.Failed && o.Status >= statusServerFault:
+		return placement.Failed
+	}
+	return placement.Served
+}
--- /dev/null
+++ b/peer/relay/request.go
@@ -0,0 +1,467 @@
+package relay
+
+import (
+	"time"
+
+	"saffronfall/peer/core"
+	"saffronfall/rule/invariant"
+	"saffronfall/rule/route"
+)
+
+// States of a request.
+const (
+	stateAdmitting = "admitting"
+	stateSent      = "sent"
+	// stateStoring: the turn is being stored.
+	stateStoring = "ending"
+)
+
+// activeRequest is a request in progress at this node.
+type activeRequest struct {
+	ticket uint64
+	spec   Request
+	// table is the one in force when the request was admitted; it applies until the request
+	// ends.
+	table             *route.Table
+	route             *route.Route
+	tenant            *route.Tenant
+	service           string
+	state             string
+	arrived           time.Duration
+	deadline          time.Duration
+	admissionDeadline time.Duration
+	attemptState
+	replica    *replicaRecord
+	replicaID  string
+	queueTime  time.Duration
+	events     int64
+	started    bool
+	mayHaveRun bool
+	completed  bool
+	// outstanding: the request was sent to a replica, and its outcome is unknown.
+	outstanding bool
+
+	rateCharge
+	// readyToSend: the request needs only a unit of its tenant's rate to be sent.
+	readyToSend bool
+
+	budgetState
+	fetching bool
+	previous *turn
+	// overdueReported: the violation of its deadline has been reported.
+	overdueReported bool
+}
+
+// attemptState holds a request's attempts at replicas.
+type attemptState struct {
+	tried map[string]bool
+	// attempts counts the replicas tried, notRun those that certainly did not run the
+	// request.
+	attempts, notRun int64
+	// unreachable counts those of notRun that could not be connected to, or whose address
+	// another replica had.
+	unreachable int64
+	sentAt      time.Duration
+	// sentWithRoom: the replica had a free slot, as far as was known.
+	sentWithRoom bool
+}
+
+// budgetState is a turn's reservation in its program's budget.
+type budgetState struct {
+	reserving     bool
+	reserved      bool
+	budgetRefused bool
+	// reservationID names the reservation; it is made by this node, as requesters may
+	// repeat their IDs.
+	reservationID string
+}
+
+// HandleRequest starts a request. The ticket is the caller's unique number for it, under
+// which this and later calls return its steps.
+func (m *Machine) HandleRequest(now time.Duration, ticket uint64, r Request) Output {
+	m.out = &Output{}
+	m.Counters.Requests++
+	req := &activeRequest{ticket: ticket, spec: r, state: stateAdmitting, arrived: now, attemptState: attemptState{tried: map[string]bool{}}}
+	m.active[ticket] = req
+	if m.table == nil {
+		// A node that has just started waits for its first table.
+		req.admissionDeadline = now + m.params.HeartbeatInterval
+		if r.Remaining != 0 {
+			req.admissionDeadline = min(req.admissionDeadline, now+max(r.Remaining/2, 0))
+		}
+		m.awaitingTable = append(m.awaitingTable, req)
+		return *m.out
+	}
+	m.validate(now, req)
+	return *m.out
+}
+
+// validate checks a request against the table in force and continues with its admission.
+func (m *Machine) validate(now time.Duration, req *activeRequest) {
+	r := req.spec
+	req.table = m.table
+	limits := m.table.Limits
+	switch {
+	case r.HeadBytes > limits.HeaderBytes:
+		m.refuse(now, req, CauseHeadTooLarge)
+		return
+	case r.BodyBytes > limits.BodyBytes:
+		m.refuse(now, req, CauseBodyTooLarge)
+		return
+	}
+	var ok bool
+	if req.route, ok = m.table.Match(r.Host, r.Path); !ok {
+		m.refuseUnknown(now, req, CauseUnknownRoute)
+		return
+	}
+	if m.table.KeyRequired && r.HasKey {
+		req.tenant, _ = m.table.TenantByKey(r.Key)
+	}
+	if m.table.KeyRequired && req.tenant == nil && !req.route.Public {
+		m.refuseUnknown(now, req, CauseUnknownKey)
+		return
+	}
+	remaining := time.Duration(req.route.TimeoutMS * float64(time.Millisecond))
+	if r.Remaining != 0 {
+		remaining = min(remaining, r.Remaining)
+	}
+	remaining -= now - req.arrived
+	if remaining <= 0 {
+		m.refuse(now, req, CauseDeadline)
+		return
+	}
+	if len(m.active) > m.params.MaxRequests {
+		m.refuse(now, req, CauseNodeFull)
+		return
+	}
+	req.deadline = now + remaining
+	req.admissionDeadline = now + remaining/2
+	req.service = req.route.PickService(m.random())
+	if m.refuseOverload(now, req) {
+		return
+	}
+	m.admitRate(now, req)
+}
+
+// rateGranted continues with a request that its tenant's rate allows: its budget is
+// reserved and its history read, concurrently.
+func (m *Machine) rateGranted(now time.Duration, req *activeRequest) {
+	if req.route.Mode == route.Stream {
+		m.Counters.Turns++
+		if req.spec.Program != "" && req.spec.TokenBudget > 0 {
+			m.reserveBudget(now, req)
+		}
+		if req.route.KeepHistory && req.spec.Previous != "" {
+			m.fetchHistory(now, req)
+		}
+	}
+	if req.needsCores() && !req.completed && m.coresUnreachable(now) {
+		m.refuseCoresUnreachable(now, req)
+		return
+	}
+	m.sendWhenReady(now, req)
+}
+
+func (m *Machine) tenantName(req *activeRequest) string {
+	if req.tenant == nil {
+		return ""
+	}
+	return req.tenant.Name
+}
+
+// sendWhenReady sends a request unless it still waits for its budget or its history.
+func (m *Machine) sendWhenReady(now time.Duration, req *activeRequest) {
+	if req.completed || req.state != stateAdmitting || req.reserving || req.fetching || req.budgetRefused {
+		return
+	}
+	m.dispatch(now, req)
+}
+
+// attemptsUsed returns how many of the attempts allowed by its route a request has used.
+// With ResendUnrun, attempts that certainly did not run are not counted. Otherwise only
+// those that reached no replica are not counted, up to a limit.
+func (m *Machine) attemptsUsed(req *activeRequest) int64 {
+	if m.params.ResendUnrun {
+		return req.attempts - req.notRun
+	}
+	if req.unreachable > 4*req.route.MaxAttempts+4 {
+		return req.route.MaxAttempts
+	}
+	return req.attempts - req.unreachable
+}
+
+// dispatch sends a request to the next replica, or ends it.
+func (m *Machine) dispatch(now time.Duration, req *activeRequest) {
+	switch {
+	case now >= req.deadline:
+		m.refuse(now, req, CauseDeadline)
+		return
+	case m.attemptsUsed(req) >= req.route.MaxAttempts:
+		m.refuse(now, req, CauseAttemptsExhausted)
+		return
+	}
+	if !m.chargeBeforeSend(now, req) {
+		return
+	}
+	chosen := m.choose(now, req)
+	if chosen == nil && req.state == stateAdmitting && len(m.serviceOf(req.service).replicas) == 0 && now < req.admissionDeadline {
+		// No desk has listed a replica of the service yet.
+		m.awaitingReplicas = append(m.awaitingReplicas, req)
+		return
+	}
+	if chosen == nil {
+		m.refuse(now, req, CauseNoReplica)
+		return
+	}
+	req.tried[chosen.listed.ID] = true
+	req.attempts++
+	if req.replicaID == "" {
+		req.queueTime = now - req.arrived
+	}
+	req.replica, req.replicaID, req.state, req.outstanding = chosen, chosen.listed.ID, stateSent, true
+	m.checkSend(req)
+	m.recordSent(now, req, chosen)
+	m.Counters.Sent++
+	step := Step{Kind: StepSend, Replica: chosen.listed, Service: req.service, Tenant: m.tenantName(req), Urgency: req.urgency(), ReturnOutput: req.route.KeepHistory && req.route.Mode == route.Stream,
+		Stream: req.route.Mode == route.Stream, Resumable: req.route.Retryable() && req.route.Mode == route.Stream, Timeout: req.deadline - now}
+	if req.previous != nil {
+		step.History = req.previous.history()
+	}
+	m.emit(req, step)
+}
+
+func (m *Machine) emit(req *activeRequest, s Step) {
+	m.out.Steps = append(m.out.Steps, TicketStep{Ticket: req.ticket, Step: s})
+}
+
+// HandleOutcome takes the outcome of an attempt at a replica.
+func (m *Machine) HandleOutcome(now time.Duration, ticket uint64, o Outcome) Output {
+	m.out = &Output{}
+	req, ok := m.active[ticket]
+	if !ok {
+		return *m.out
+	}
+	if req.state != stateSent {
+		if o.RequesterDisconnected {
+			m.abortCanceled(now, req)
+		}
+		return *m.out
+	}
+	m.recordOutcome(now, req, o)
+	req.outstanding = false
+	req.events += o.Events
+	req.started = req.started || o.Started
+	if o.NewConnection {
+		m.Counters.NewConnections++
+	}
+	if o.Kind != OutcomeNotRun {
+		req.mayHaveRun, req.covered = true, false
+	}
+	if o.RequesterDisconnected {
+		m.abortCanceled(now, req)
+		return *m.out
+	}
+	switch o.Kind {
+	case OutcomeComplete:
+		m.Counters.Completed++
+		m.complete(now, req, o)
+	case OutcomeNotRun:
+		m.Counters.NotRun++
+		req.notRun++
+		if o.Unreachable || o.AddressReused {
+			req.unreachable++
+		}
+		m.Counters.Resent++
+		if req.started {
+			m.retryOrAbort(now, req)
+			return *m.out
+		}
+		m.dispatch(now, req)
+	default:
+		m.Counters.Interrupted++
+		m.retryOrAbort(now, req)
+	}
+	return *m.out
+}
+
+// retryOrAbort sends a request that may have run to another replica if its route allows it
+// to run again, and aborts it otherwise.
+func (m *Machine) retryOrAbort(now time.Duration, req *activeRequest) {
+	canRetry := req.route.Retryable() && m.attemptsUsed(req) < req.route.MaxAttempts && now < req.deadline
+	if req.started && req.route.Mode != route.Stream {
+		canRetry = false
+	}
+	if canRetry && req.charged && req.rate != nil {
+		// It may have run, so another attempt counts as another request of the tenant.
+		if req.rate.leaseID == req.chargedLeaseID && req.rate.available(now) > 0 {
+			m.charge(now, req)
+		} else {
+			canRetry = false
+		}
+	}
+	if canRetry {
+		m.Counters.Resumed++
+		m.dispatch(now, req)
+		return
+	}
+	m.abort(now, req, CauseReplicaInterrupted)
+}
+
+// complete ends a request whose response is complete. A turn of a conversation is stored
+// durably before its end is delivered.
+func (m *Machine) complete(now time.Duration, req *activeRequest, o Outcome) {
+	switch {
+	case o.Failed:
+		m.finish(now, req, CauseReplicaError, Step{Kind: StepDeliver, Status: o.Status})
+		return
+	case !req.route.KeepHistory || req.route.Mode != route.Stream:
+		m.finish(now, req, CauseServed, Step{Kind: StepDeliver})
+		return
+	}
+	req.state = stateStoring
+	retention := 2 * m.turnRetention(req)
+	waiting, failed := 1, false
+	stored := &turn{attempt: req.spec.Attempt, tenant: m.tenantName(req), previous: req.previous, input: req.spec.Input, output: o.Output, storedUntil: now + retention}
+	done := func(at time.Duration, o core.Outcome) {
+		d, ok := o.Answer.(core.Done)
+		failed = failed || !ok || !d.OK
+		if waiting--; waiting > 0 {
+			return
+		}
+		if failed {
+			m.abort(at, req, CauseTurnNotStored)
+			return
+		}
+		m.cache.put(stored)
+		m.recentTurns.add(stored.name(), now+m.turnRetention(req))
+		m.finish(at, req, CauseServed, Step{Kind: StepDeliver})
+	}
+	c := core.StoreTurn{Tenant: stored.tenant, Attempt: stored.attempt, Input: stored.input, Output: stored.output, Retention: retention}
+	if req.previous != nil {
+		c.Previous = req.previous.attemptIDs()
+	}
+	// Turns before this one must be stored as long as this one, so those that would
+	// expire earlier get a longer retention.
+	var old []*turn
+	for t := req.previous; t != nil; t = t.previous {
+		if t.storedUntil < now+retention*5/8 {
+			old = append(old, t)
+		}
+	}
+	waiting += len(old)
+	m.settle(now, req, m.tokenCount(req))
+	m.caller.Call(now, c, max(req.deadline, now+m.params.Core.MemberLease), done)
+	for _, t := range old {
+		m.caller.Call(now, core.ExtendTurn{Tenant: t.tenant, Attempt: t.attempt, Retention: retention}, max(req.deadline, now+m.params.Core.MemberLease), func(when time.Duration, o core.Outcome) {
+			if d, ok := o.Answer.(core.Done); ok && d.OK {
+				t.storedUntil = max(t.storedUntil, now+retention)
+			}
+			done(when, o)
+		})
+	}
+}
+
+// turnRetention returns how long a turn is guaranteed to be kept. It is stored for twice
+// that time, so that the retention of the turns before it can be extended before they
+// expire.
+func (m *Machine) turnRetention(req *activeRequest) time.Duration {
+	return time.Duration(req.route.KeepSeconds * float64(time.Second))
+}
+
+// tokenCount returns the output of a request so far in tokens.
+func (m *Machine) tokenCount(req *activeRequest) int64 {
+	perEvent := int64(1)
+	if s, ok := req.table.Service(req.service); ok {
+		perEvent = s.TokensPerEvent
+	}
+	return req.events * perEvent
+}
+
+// refuse ends a request that has not run. A request that may have run is aborted instead.
+func (m *Machine) refuse(now time.Duration, req *activeRequest, cause Cause) {
+	m.refuseWithRetry(now, req, cause, 0)
+}
+
+// refuseWithRetry is like refuse with a given time after which to retry; zero selects that
+// of the cause.
+func (m *Machine) refuseWithRetry(now time.Duration, req *activeRequest, cause Cause, retry time.Duration) {
+	if req.mayHaveRun {
+		m.abort(now, req, cause)
+		return
+	}
+	a := requesterResponses[cause]
+	if retry == 0 {
+		retry = time.Duration(a.retryFactor * float64(m.params.Core.AttemptTimeout))
+	}
+	m.finish(now, req, cause, Step{Kind: StepRefuse, Status: a.status, Check: a.check, Reason: a.reason, RetryAfter: retry})
+}
+
+// abort ends a request that may have run.
+func (m *Machine) abort(now time.Duration, req *activeRequest, cause Cause) {
+	a := requesterResponses[cause]
+	s := Step{Kind: StepAbort, Status: a.status, Check: a.check, Reason: a.reason}
+	if s.Status != statusClientClosedRequest {
+		s.Status = requesterResponses[CauseReplicaInterrupted].status
+	}
+	m.finish(now, req, cause, s)
+}
+
+// finish ends a request once: it returns or settles what the request held and emits its
+// last step.
+func (m *Machine) finish(now time.Duration, req *activeRequest, cause Cause, s Step) {
+	if req.completed {
+		return
+	}
+	req.completed = true
+	if _, active := m.active[req.ticket]; !active {
+		m.violated.Violated(invariant.EndedOnce, "attempt %s completes with cause %s but is not in progress", req.spec.Attempt, cause)
+	}
+	if s.Kind == StepRefuse && (req.mayHaveRun || req.outstanding) {
+		m.violated.Violated(invariant.RefusedNeverRan, "attempt %s is refused with cause %s; may have run %v, outstanding at a replica %v", req.spec.Attempt, cause, req.mayHaveRun, req.outstanding)
+	}
+	delete(m.active, req.ticket)
+	if !req.mayHaveRun {
+		m.refund(req)
+	}
+	m.settle(now, req, m.tokensUsed(req))
+	m.recordCompletion(now, req, cause, s)
+	m.emit(req, s)
+}
+
+// checkSend checks the invariants of a request that is about to be sent to a replica.
+func (m *Machine) checkSend(req *activeRequest) {
+	switch {
+	case req.mayHaveRun && !req.route.Retryable():
+		m.violated.Violated(invariant.RunsOnce, "attempt %s on route %s may have run and is sent to %s", req.spec.Attempt, req.route.Name, req.replicaID)
+	case m.attemptsUsed(req) > req.route.MaxAttempts:
+		m.violated.Violated(invariant.AttemptsWithinRoute, "attempt %s is sent to replica number %d; route %s allows %d", req.spec.Attempt, req.attempts, req.route.Name, req.route.MaxAttempts)
+	case req.rate != nil && !req.covered:
+		m.violated.Violated(invariant.GrantedBeforeSent, "attempt %s of tenant %s is sent to %s without a unit of the tenant's rate", req.spec.Attempt, req.tenant.Name, req.replicaID)
+	case req.route.Mode == route.Stream && req.spec.Program != "" && req.spec.TokenBudget > 0 && !req.reserved:
+		m.violated.Violated(invariant.ReservedBeforeSent, "attempt %s of program %s is sent to %s without a budget reservation", req.spec.Attempt, req.spec.Program, req.replicaID)
+	case m.departed.has(req.replicaID):
+		m.violated.Violated(invariant.LeavingNeverChosen, "attempt %s is sent to %s, which is leaving", req.spec.Attempt, req.replicaID)
+	}
+}
+
+// tokensUsed is like tokenCount, for a request that may have no service yet.
+func (m *Machine) tokensUsed(req *activeRequest) int64 {
+	if req.events == 0 {
+		return 0
+	}
+	return m.tokenCount(req)
+}
+
+// Cancel ends a request whose requester has disconnected. While a replica has the
+// request, HandleOutcome reports it instead.
+func (m *Machine) Cancel(now time.Duration, ticket uint64) Output {
+	m.out = &Output{}
+	if req, ok := m.active[ticket]; ok && req.state != stateSent {
+		m.abortCanceled(now, req)
+	}
+	return *m.out
+}
+
+func (m *Machine) abortCanceled(now time.Duration, req *activeRequest) {
+	m.abort(now, req, CauseRequesterDisconnected)
+}
