--- a/peer/requester/handler.go
+++ b/peer/requester/handler.go
@@ -1,7 +1,7 @@
 // Package requester is the HTTP API of a node: JSON requests that open, continue and close
 // programs and call tools and actions.
 //
-// Every verdict says whether the request ran; a request refused here did not run. A
+// Every verdict reports whether the request ran; a request refused here did not run. A
 // streamed turn is complete only if it ends with a closing record. Start reading at
 // Handler.
 package requester
@@ -23,18 +23,19 @@
 	"saffronfall/rule/verdict"
 )
 
-// Backend is the node that requests are handed to.
+// Backend is the node that runs the requests.
 type Backend interface {
-	// Submit hands over a request. Its answer arrives in pieces on the channel; ending the
+	// Submit starts a request. Its response arrives in frames on the channel; ending the
 	// context cancels the request. The result is false if the node's buffer is full.
-	Submit(ctx context.Context, q node.Inquiry) (<-chan node.Piece, bool)
+	Submit(ctx context.Context, q node.Request) (<-chan node.Frame, bool)
 	// Ready reports whether the node accepts requests.
 	Ready(ctx context.Context) bool
 	// Counters returns the node's counters, to be encoded as JSON.
 	Counters(ctx context.Context) (any, error)
 }
 
-// body is a request's body. Each path uses some of the fields.
+// body is the body of a request. Each path uses some of the fields: Before is the head that a
+// turn follows, Say its prompt, and Helper names its conversation.
 type body struct {
 	User      string          `json:"user"`
 	Service   string          `json:"service"`
@@ -65,25 +66,25 @@
 // Handler returns the handler of a node's API. Bodies may have at most maxBody bytes.
 func Handler(backend Backend, maxBody int64) http.Handler {
 	mux := http.NewServeMux()
-	handle := func(pattern string, fill func(q *node.Inquiry, b body, r *http.Request) string) {
+	handle := func(pattern string, fill func(q *node.Request, b body, r *http.Request) string) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) { serve(w, r, backend, maxBody, fill) })
 	}
-	handle("POST /v1/programs", func(q *node.Inquiry, b body, r *http.Request) string {
-		q.Kind, q.User = node.Open, b.User
+	handle("POST /v1/programs", func(q *node.Request, b body, r *http.Request) string {
+		q.Kind, q.User = node.KindOpen, b.User
 		if !configuration.ValidName(b.User) {
 			return "user must be a name"
 		}
 		return ""
 	})
-	handle("POST /v1/programs/{program}/turns", func(q *node.Inquiry, b body, r *http.Request) string {
-		q.Kind, q.Program, q.Line, q.Service = node.Turn, r.PathValue("program"), b.Helper, b.Service
-		q.Before, q.Say, q.MaxTokens = b.Before, b.Say, b.MaxTokens
+	handle("POST /v1/programs/{program}/turns", func(q *node.Request, b body, r *http.Request) string {
+		q.Kind, q.Program, q.Conversation, q.Service = node.KindTurn, r.PathValue("program"), b.Helper, b.Service
+		q.PreviousHead, q.Prompt, q.MaxTokens = b.Before, b.Say, b.MaxTokens
 		for _, t := range b.History {
-			q.History = append(q.History, program.Turn{Say: t.Say, Got: t.Got})
+			q.History = append(q.History, program.Turn{Prompt: t.Say, Response: t.Got})
 		}
 		switch {
 		case b.Before == "":
-			return "before must name the head that this turn follows; the first turn follows \"" + program.Start + "\""
+			return "before must name the head that this turn follows; the first turn follows \"" + program.EmptyHead + "\""
 		case b.Say == "":
 			return "say must not be empty"
 		case b.MaxTokens < 0:
@@ -93,15 +94,15 @@
 		}
 		return ""
 	})
-	handle("POST /v1/programs/{program}/tools/{service}", func(q *node.Inquiry, b body, r *http.Request) string {
-		q.Kind, q.Program, q.Service, q.Line, q.Arguments = node.Tool, r.PathValue("program"), r.PathValue("service"), b.Helper, b.Arguments
+	handle("POST /v1/programs/{program}/tools/{service}", func(q *node.Request, b body, r *http.Request) string {
+		q.Kind, q.Program, q.Service, q.Conversation, q.Arguments = node.KindTool, r.PathValue("program"), r.PathValue("service"), b.Helper, b.Arguments
 		if len(b.Arguments) == 0 {
 			return "arguments are missing"
 		}
 		return ""
 	})
-	handle("POST /v1/actions/{service}", func(q *node.Inquiry, b body, r *http.Request) string {
-		q.Kind, q.Service, q.User, q.OnceKey, q.Arguments = node.Action, r.PathValue("service"), b.User, b.OnceKey, b.Body
+	handle("POST /v1/actions/{service}", func(q *node.Request, b body, r *http.Request) string {
+		q.Kind, q.Service, q.User, q.OnceKey, q.Arguments = node.KindAction, r.PathValue("service"), b.User, b.OnceKey, b.Body
 		switch {
 		case b.OnceKey == "" || len(b.OnceKey) > 256:
 			return "once_key must have 1 to 256 bytes"
@@ -110,12 +111,12 @@
 		}
 		return ""
 	})
-	handle("GET /v1/programs/{program}", func(q *node.Inquiry, b body, r *http.Request) string {
-		q.Kind, q.Program, q.Line = node.Look, r.PathValue("program"), r.URL.Query().Get("helper")
+	handle("GET /v1/programs/{program}", func(q *node.Request, b body, r *http.Request) string {
+		q.Kind, q.Program, q.Conversation = node.KindStatus, r.PathValue("program"), r.URL.Query().Get("helper")
 		return ""
 	})
-	handle("DELETE /v1/programs/{program}", func(q *node.Inquiry, b body, r *http.Request) string {
-		q.Kind, q.Program = node.Close, r.PathValue("program")
+	handle("DELETE /v1/programs/{program}", func(q *node.Request, b body, r *http.Request) string {
+		q.Kind, q.Program = node.KindClose, r.PathValue("program")
 		return ""
 	})
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, r *http.Request) {
@@ -168,7 +169,7 @@
 
 // serve decodes a request, lets fill complete it, submits it and writes the answer. fill
 // returns what is malformed, or an empty string.
-func serve(w http.ResponseWriter, r *http.Request, backend Backend, maxBody int64, fill func(q *node.Inquiry, b body, r *http.Request) string) {
+func serve(w http.ResponseWriter, r *http.Request, backend Backend, maxBody int64, fill func(q *node.Request, b body, r *http.Request) string) {
 	var b body
 	if r.Method == "POST" {
 		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
@@ -189,7 +190,7 @@
 			return
 		}
 	}
-	q := node.Inquiry{Budget: time.Duration(b.BudgetMS) * time.Millisecond}
+	q := node.Request{Timeout: time.Duration(b.BudgetMS) * time.Millisecond}
 	if b.BudgetMS < 0 {
 		writeVerdict(w, verdict.Refused(verdict.Refusal{Check: "budget", Code: "budget_passed", Reason: "the inquiry's budget has passed"}), 504)
 		return
@@ -204,57 +205,57 @@
 		refuse(w, "malformed", problem, 400)
 		return
 	}
-	pieces, ok := backend.Submit(r.Context(), q)
+	frames, ok := backend.Submit(r.Context(), q)
 	if !ok {
 		writeVerdict(w, verdict.RetryLater("buffer", "this node's buffer is full", time.Second), 503)
 		return
 	}
-	writePieces(w, pieces)
+	writeFrames(w, frames)
 }
 
-// writePieces writes the pieces of an answer as they arrive. It aborts the connection of a
-// stream that breaks off, so that the stream never looks complete.
-func writePieces(w http.ResponseWriter, pieces <-chan node.Piece) {
+// writeFrames writes the frames of a response as they arrive. It aborts the connection of an
+// interrupted stream, so that the stream never looks complete.
+func writeFrames(w http.ResponseWriter, frames <-chan node.Frame) {
 	flusher, _ := w.(http.Flusher)
 	encoder := json.NewEncoder(w)
 	encoder.SetEscapeHTML(false)
-	for p := range pieces {
-		switch p.Kind {
-		case node.PieceVerdict:
-			writeVerdict(w, p.Verdict, p.Status)
+	for frame := range frames {
+		switch frame.Kind {
+		case node.FrameVerdict:
+			writeVerdict(w, frame.Verdict, frame.Status)
 			return
-		case node.PieceBody:
-			if p.Body == nil {
-				writeJSON(w, p.Status, struct {
+		case node.FrameBody:
+			if frame.Body == nil {
+				writeJSON(w, frame.Status, struct {
 					Answer
 					Head string `json:"head"`
-				}{Answer{Verdict: p.Verdict, Program: p.Text}, p.Head})
+				}{Answer{Verdict: frame.Verdict, Program: frame.Text}, frame.Head})
 				return
 			}
 			w.Header().Set("Content-Type", "application/json")
-			if p.End == "repeated" {
+			if frame.FinishReason == "repeated" {
 				w.Header().Set("Saffronfall-Repeated", "true")
 			}
 			w.Header().Set("Saffronfall-Ran", string(verdict.Executed))
-			if len(p.Verdict.Warnings) > 0 {
-				raw, _ := json.Marshal(p.Verdict.Warnings)
+			if len(frame.Verdict.Warnings) > 0 {
+				raw, _ := json.Marshal(frame.Verdict.Warnings)
 				w.Header().Set("Saffronfall-Warnings", string(raw))
 			}
-			w.WriteHeader(p.Status)
-			w.Write(p.Body)
+			w.WriteHeader(frame.Status)
+			w.Write(frame.Body)
 			return
-		case node.PieceOpen:
+		case node.FrameOpen:
 			w.Header().Set("Content-Type", "application/x-ndjson")
 			w.WriteHeader(200)
 			flusher.Flush()
-		case node.PieceChunk:
-			encoder.Encode(map[string]any{"text": p.Text, "tokens": p.Tokens})
+		case node.FrameChunk:
+			encoder.Encode(map[string]any{"text": frame.Text, "tokens": frame.Tokens})
 			flusher.Flush()
-		case node.PieceClose:
-			encoder.Encode(map[string]any{"closing": true, "status": p.End, "tokens": p.Tokens, "head": p.Head,
-				"verdict": p.Verdict.Kind, "warnings": p.Verdict.Warnings, "ran": verdict.Executed})
+		case node.FrameClose:
+			encoder.Encode(map[string]any{"closing": true, "status": frame.FinishReason, "tokens": frame.Tokens, "head": frame.Head,
+				"verdict": frame.Verdict.Kind, "warnings": frame.Verdict.Warnings, "ran": verdict.Executed})
 			return
-		case node.PieceBreak:
+		case node.FrameAbort:
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/rehearsalkit/judge/judge.go
+++ b/rehearsalkit/judge/judge.go
@@ -1,5 +1,6 @@
-// Package judge holds a run against the twelve rules, by what requesters and
-// back ends saw and by nothing that the fleet says of itself.
+// Package judge checks a recorded run against the twelve rules that the product keeps. It
+// relies only on what requesters and back ends observed, never on what the fleet reports
+// about itself. Record describes the observations; start reading at Record.Judge.
 package judge
 
 import (
@@ -12,224 +13,229 @@
 	"saffronfall/rule/ordered"
 )
 
-// Outcomes that a requester sees.
+// Outcomes of a request, as its requester saw them.
 const (
-	Whole   = "whole"
-	Broken  = "broken"
+	// Whole is a complete answer.
+	Whole = "whole"
+	// Broken is an answer whose stream ended early.
+	Broken = "broken"
+	// Refused is an error response.
 	Refused = "refused"
-	Silent  = "silent"
+	// Silent is no answer at all.
+	Silent = "silent"
 )
 
-// Judge lists the breaches of a run.
+// Judge returns the breaches found in a run.
 func (r *Record) Judge() []Breach {
 	var all []Breach
-	for _, check := range []func() []Breach{r.spending, r.notRun, r.once, r.gone, r.histories, r.quotas, r.configurations, r.leaving, r.whole,
-		r.allowances, r.tripped, r.starts} {
+	for _, check := range []func() []Breach{r.programTokens, r.notRun, r.once, r.retention, r.histories, r.quotas, r.configurations, r.leaving, r.completeAnswers,
+		r.tokenLimits, r.breakerTrips, r.sessionStarts} {
 		all = append(all, check()...)
 	}
 	return all
 }
 
 func breach(rule int, format string, args ...any) Breach {
-	return Breach{Rule: rule, What: fmt.Sprintf(format, args...)}
+	return Breach{Rule: rule, Detail: fmt.Sprintf(format, args...)}
 }
 
-// spending is rule 1, from both ends: what requesters got and what replicas
-// made.
-func (r *Record) spending() (list []Breach) {
-	made, got := map[string]int64{}, map[string]int64{}
-	for _, s := range r.Shots {
-		if s.Program != "" && !s.Tool {
-			// What a replica makes beyond what it was asked for is cut off.
-			made[s.Program] += min(s.Tokens, s.Most)
-			if s.Tokens > s.Most && !s.Overran {
-				list = append(list, breach(1, "replica made %d tokens of %d for %s", s.Tokens, s.Most, s.Mark))
+// programTokens checks rule 1, the token budget of a program, against what requesters
+// received and against what replicas produced.
+func (r *Record) programTokens() (list []Breach) {
+	produced, received := map[string]int64{}, map[string]int64{}
+	for _, attempt := range r.Attempts {
+		if attempt.Program != "" && !attempt.Tool {
+			// Tokens beyond the attempt's limit are cut off by the node.
+			produced[attempt.Program] += min(attempt.Tokens, attempt.MaxTokens)
+			if attempt.Tokens > attempt.MaxTokens && !attempt.OverLimit {
+				list = append(list, breach(1, "replica produced %d tokens for %s; the limit is %d", attempt.Tokens, attempt.RequestID, attempt.MaxTokens))
 			}
 		}
 	}
-	for _, a := range r.Asked {
-		if a.Kind == "turn" {
-			got[a.Program] += a.Tokens
+	for _, request := range r.Requests {
+		if request.Kind == "turn" {
+			received[request.Program] += request.Tokens
 		}
 	}
-	most := r.Limits.ProgramTokens + r.Limits.TurnTokens
-	for _, side := range []map[string]int64{made, got} {
+	limit := r.Limits.ProgramTokens + r.Limits.TurnTokens
+	for _, side := range []map[string]int64{produced, received} {
 		for _, p := range ordered.Keys(side) {
-			if side[p] > most {
-				list = append(list, breach(1, "program %s got %d tokens; at most %d", p, side[p], most))
+			if side[p] > limit {
+				list = append(list, breach(1, "program %s used %d tokens; the limit is %d", p, side[p], limit))
 			}
 		}
 	}
 	return list
 }
 
-// notRun is rules 2 and 4: what was refused as not run never reached a back
-// end, before or after.
+// notRun checks rules 2 and 4: a request refused as not run never reaches a back end,
+// before or after the refusal.
 func (r *Record) notRun() (list []Breach) {
 	reached := map[string]bool{}
-	for _, s := range r.Shots {
-		reached[s.Mark] = true
+	for _, attempt := range r.Attempts {
+		reached[attempt.RequestID] = true
 	}
-	for _, a := range r.Asked {
-		if a.Outcome == Refused && a.Ran == "no" && a.Mark != "" && a.Once == "" && reached[a.Mark] {
+	for _, request := range r.Requests {
+		if request.Outcome == Refused && request.Ran == "no" && request.ID != "" && request.OnceKey == "" && reached[request.ID] {
 			rule := 4
-			if a.Code == "breaker_open" || a.Code == "program_tokens_spent" || a.Code == "tenant_day_tokens_spent" {
+			if request.Code == "breaker_open" || request.Code == "program_tokens_spent" || request.Code == "tenant_day_tokens_spent" {
 				rule = 2
 			}
-			list = append(list, breach(rule, "%s was refused (%s, not run) and ran", a.Mark, a.Code))
+			list = append(list, breach(rule, "%s was refused as not run (%s), but it ran", request.ID, request.Code))
 		}
-		if a.Outcome == Whole && (a.Kind == "turn" || a.Kind == "tool") && !reached[a.Mark] {
-			list = append(list, breach(11, "%s came whole and never reached a back end", a.Mark))
+		if request.Outcome == Whole && (request.Kind == "turn" || request.Kind == "tool") && !reached[request.ID] {
+			list = append(list, breach(11, "%s was answered completely, but never reached a back end", request.ID))
 		}
 	}
 	return list
 }
 
-// once is rule 3, and rule 4 for once-keys: a key all of whose inquiries were
-// refused as not run never ran.
+// once checks rule 3, that an idempotency key (once-key) runs at most once, and rule 4 for
+// such keys: a key all of whose requests were refused as not run never ran.
 func (r *Record) once() (list []Breach) {
 	ran := map[string]int{}
-	for _, s := range r.Shots {
-		if s.Once != "" {
-			ran[s.Once]++
-			if ran[s.Once] == 2 {
-				list = append(list, breach(3, "once-key %s ran twice", s.Once))
+	for _, attempt := range r.Attempts {
+		if attempt.OnceKey != "" {
+			ran[attempt.OnceKey]++
+			if ran[attempt.OnceKey] == 2 {
+				list = append(list, breach(3, "once-key %s ran twice", attempt.OnceKey))
 			}
 		}
 	}
-	all, not := map[string]int{}, map[string]int{}
-	for _, a := range r.Asked {
-		if a.Once == "" {
+	total, refused := map[string]int{}, map[string]int{}
+	for _, request := range r.Requests {
+		if request.OnceKey == "" {
 			continue
 		}
-		all[a.Once]++
-		if a.Outcome == Refused && a.Ran == "no" {
-			not[a.Once]++
+		total[request.OnceKey]++
+		if request.Outcome == Refused && request.Ran == "no" {
+			refused[request.OnceKey]++
 		}
-		if a.Outcome == Whole && ran[a.Once] == 0 {
-			list = append(list, breach(11, "once-key %s was answered and never ran", a.Once))
+		if request.Outcome == Whole && ran[request.OnceKey] == 0 {
+			list = append(list, breach(11, "once-key %s was answered, but never ran", request.OnceKey))
 		}
 	}
-	for _, k := range ordered.Keys(all) {
-		if all[k] == not[k] && ran[k] > 0 {
-			list = append(list, breach(4, "once-key %s was only refused as not run, and ran", k))
+	for _, k := range ordered.Keys(total) {
+		if total[k] == refused[k] && ran[k] > 0 {
+			list = append(list, breach(4, "once-key %s was always refused as not run, but it ran", k))
 		}
 	}
 	return list
 }
 
-// gone is rule 5.
-func (r *Record) gone() (list []Breach) {
+// retention checks rule 5: a program is not reported as gone or unknown before its
+// retention time after its last successful request has passed.
+func (r *Record) retention() (list []Breach) {
 	last := map[string]time.Duration{}
-	for _, a := range r.Asked {
-		if a.Program == "" {
+	for _, request := range r.Requests {
+		if request.Program == "" {
 			continue
 		}
-		if a.Outcome == Whole {
-			last[a.Program] = max(last[a.Program], a.At)
+		if request.Outcome == Whole {
+			last[request.Program] = max(last[request.Program], request.At)
 		}
 	}
-	for _, a := range r.Asked {
-		if (a.Status == 410 || a.Status == 404) && a.Program != "" {
-			if at, ok := last[a.Program]; ok && at < a.Ended && a.Ended < at+r.Limits.Keep {
-				list = append(list, breach(5, "program %s was called gone (%d %s) %v after its last whole turn", a.Program, a.Status, a.Code, a.Ended-at))
+	for _, request := range r.Requests {
+		if (request.Status == 410 || request.Status == 404) && request.Program != "" {
+			if at, ok := last[request.Program]; ok && at < request.Ended && request.Ended < at+r.Limits.Retention {
+				list = append(list, breach(5, "program %s was reported gone (%d %s) %v after its last complete answer", request.Program, request.Status, request.Code, request.Ended-at))
 			}
 		}
 	}
 	return list
 }
 
-// histories is rule 6: each history that a replica got has turns of that very
-// conversation, each once and in order. One that came whole is just what its
-// requester got; one that broke is what a replica gave, and its requester got
-// the beginning of it. No turn that its requester saw whole before is lacking,
-// and what was history once stays so.
+// histories checks rule 6: every history sent to a replica holds turns of its own
+// conversation only, each once and in order. A complete turn has exactly the text that its
+// requester received; the text of a broken turn comes from a replica and begins with what
+// the requester received. No turn that was complete before is missing, and every history
+// extends the previous one of its conversation.
 func (r *Record) histories() (list []Breach) {
-	type line struct{ program, line string }
-	said := map[string]Asked{}
-	whole := map[line][]Asked{}
-	for _, a := range r.Asked {
-		if a.Kind != "turn" {
+	type conversation struct{ program, name string }
+	requests := map[string]Request{}
+	whole := map[conversation][]Request{}
+	for _, request := range r.Requests {
+		if request.Kind != "turn" {
 			continue
 		}
-		said[a.Mark] = a
-		if a.Outcome == Whole {
-			whole[line{a.Program, a.Line}] = append(whole[line{a.Program, a.Line}], a)
+		requests[request.ID] = request
+		if request.Outcome == Whole {
+			whole[conversation{request.Program, request.Conversation}] = append(whole[conversation{request.Program, request.Conversation}], request)
 		}
 	}
-	made := map[string][]Shot{}
-	lines := map[line][]Shot{}
-	for _, s := range r.Shots {
-		made[s.Mark] = append(made[s.Mark], s)
-		if s.Program != "" && !s.Tool {
-			lines[line{s.Program, s.Line}] = append(lines[line{s.Program, s.Line}], s)
+	produced := map[string][]Attempt{}
+	byConversation := map[conversation][]Attempt{}
+	for _, attempt := range r.Attempts {
+		produced[attempt.RequestID] = append(produced[attempt.RequestID], attempt)
+		if attempt.Program != "" && !attempt.Tool {
+			byConversation[conversation{attempt.Program, attempt.Conversation}] = append(byConversation[conversation{attempt.Program, attempt.Conversation}], attempt)
 		}
 	}
-	for _, s := range r.Shots {
-		if s.Program == "" || s.Tool {
+	for _, attempt := range r.Attempts {
+		if attempt.Program == "" || attempt.Tool {
 			continue
 		}
-		own := said[s.Mark]
-		if own.Tenant != s.Tenant || own.Program != s.Program || own.Line != s.Line {
-			list = append(list, breach(6, "%s of %s/%s reached a replica as %s/%s", s.Mark, own.Tenant, own.Program, s.Tenant, s.Program))
+		own := requests[attempt.RequestID]
+		if own.Tenant != attempt.Tenant || own.Program != attempt.Program || own.Conversation != attempt.Conversation {
+			list = append(list, breach(6, "%s of %s/%s reached a replica as a request of %s/%s", attempt.RequestID, own.Tenant, own.Program, attempt.Tenant, attempt.Program))
 		}
 		in := map[string]bool{}
 		before := time.Duration(-1)
-		for _, t := range s.History {
-			a := said[t.Say]
+		for _, t := range attempt.History {
+			request := requests[t.Prompt]
 			switch {
-			case in[t.Say]:
-				list = append(list, breach(6, "history of %s has the turn %s twice", s.Mark, t.Say))
-			case a.Program != s.Program || a.Line != s.Line:
-				list = append(list, breach(6, "history of %s has a turn of %s", s.Mark, a.Program))
-			case a.At < before:
-				list = append(list, breach(6, "history of %s has the turn %s out of order", s.Mark, t.Say))
-			case a.Outcome == Whole && t.Got != a.Text:
-				list = append(list, breach(6, "history of %s has %q for the turn %s, whose requester got %q", s.Mark, t.Got, t.Say, a.Text))
-			case !relayed(t.Got, a.Text, made[t.Say]):
-				list = append(list, breach(6, "history of %s has an answer for %s that no replica gave", s.Mark, t.Say))
+			case in[t.Prompt]:
+				list = append(list, breach(6, "history of %s contains the turn %s twice", attempt.RequestID, t.Prompt))
+			case request.Program != attempt.Program || request.Conversation != attempt.Conversation:
+				list = append(list, breach(6, "history of %s contains a turn of another conversation, of program %s", attempt.RequestID, request.Program))
+			case request.At < before:
+				list = append(list, breach(6, "history of %s contains the turn %s out of order", attempt.RequestID, t.Prompt))
+			case request.Outcome == Whole && t.Answer != request.Text:
+				list = append(list, breach(6, "history of %s contains %q for the turn %s, whose requester received %q", attempt.RequestID, t.Answer, t.Prompt, request.Text))
+			case !relayed(t.Answer, request.Text, produced[t.Prompt]):
+				list = append(list, breach(6, "history of %s contains an answer for %s that no replica produced", attempt.RequestID, t.Prompt))
 			}
-			in[t.Say], before = true, a.At
+			in[t.Prompt], before = true, request.At
 		}
-		for _, a := range whole[line{s.Program, s.Line}] {
-			if a.Ended < own.At && !in[a.Mark] {
-				list = append(list, breach(6, "history of %s lacks the whole turn %s", s.Mark, a.Mark))
+		for _, request := range whole[conversation{attempt.Program, attempt.Conversation}] {
+			if request.Ended < own.At && !in[request.ID] {
+				list = append(list, breach(6, "history of %s lacks the complete turn %s", attempt.RequestID, request.ID))
 			}
 		}
 	}
-	for _, shots := range lines {
-		sort.SliceStable(shots, func(i, j int) bool { return shots[i].At < shots[j].At })
-		for i := 1; i < len(shots); i++ {
-			if !begins(shots[i].History, shots[i-1].History) {
-				list = append(list, breach(6, "history of %s does not go on from that of %s", shots[i].Mark, shots[i-1].Mark))
+	for _, attempts := range byConversation {
+		sort.SliceStable(attempts, func(i, j int) bool { return attempts[i].At < attempts[j].At })
+		for i := 1; i < len(attempts); i++ {
+			if !hasPrefix(attempts[i].History, attempts[i-1].History) {
+				list = append(list, breach(6, "history of %s does not extend that of %s", attempts[i].RequestID, attempts[i-1].RequestID))
 			}
 		}
 	}
-	sort.SliceStable(list, func(i, j int) bool { return list[i].What < list[j].What })
+	sort.SliceStable(list, func(i, j int) bool { return list[i].Detail < list[j].Detail })
 	return list
 }
 
-// relayed reports whether a turn is what one replica gave: all of it, or as
-// much as its inquiry had room for.
-func relayed(turn, got string, made []Shot) bool {
-	for _, s := range made {
-		if strings.HasPrefix(turn, got) && (s.Text == turn || s.Overran && strings.HasPrefix(s.Text, turn)) {
+// relayed reports whether a turn of a history begins with what the requester received and
+// is what one replica produced, cut off at the attempt's token limit where it exceeded it.
+func relayed(turn, received string, produced []Attempt) bool {
+	for _, attempt := range produced {
+		if strings.HasPrefix(turn, received) && (attempt.Text == turn || attempt.OverLimit && strings.HasPrefix(attempt.Text, turn)) {
 			return true
 		}
 	}
 	return false
 }
 
-func begins(history, with []Turn) bool {
+// hasPrefix reports whether a history begins with another one.
+func hasPrefix(history, with []Turn) bool {
 	return len(history) >= len(with) && slices.Equal(history[:len(with)], with)
 }
 
-// quotas is rule 7: in every window, no more shots of a tenant than its rate
-// and burst allow.
+// quotas checks rule 7: a tenant's attempts stay within its rate and burst in every window.
 func (r *Record) quotas() (list []Breach) {
 	times := map[string][]time.Duration{}
-	for _, s := range r.Shots {
-		times[s.Tenant] = append(times[s.Tenant], s.At)
+	for _, attempt := range r.Attempts {
+		times[attempt.Tenant] = append(times[attempt.Tenant], attempt.At)
 	}
 	for _, tenant := range ordered.Keys(times) {
 		rate, ok := r.Limits.Rate[tenant]
@@ -238,13 +244,13 @@
 		}
 		at := times[tenant]
 		sort.Slice(at, func(i, j int) bool { return at[i] < at[j] })
-		// level is the most that a bucket of this rate would be overdrawn.
+		// level is the content of a leaky bucket that drains at the tenant's rate.
 		level, before := 0.0, time.Duration(0)
 		for _, t := range at {
 			level = max(0, level-rate*(t-before).Seconds()) + 1
 			before = t
 			if level > r.Limits.Burst[tenant]+1 {
-				list = append(list, breach(7, "tenant %s: %.1f shots above rate %.1f at %v; burst is %.0f", tenant, level, rate, t, r.Limits.Burst[tenant]))
+				list = append(list, breach(7, "tenant %s: %.1f attempts above the rate of %.1f a second at %v; the burst is %.0f", tenant, level, rate, t, r.Limits.Burst[tenant]))
 				break
 			}
 		}
@@ -252,16 +258,18 @@
 	return list
 }
 
-// configurations is rules 8 and 9.
+// configurations checks rule 8, that nodes apply an accepted configuration in time and
+// never return to an older one, and rule 9, that a refused one is never in force and that
+// all nodes end with the last accepted one.
 func (r *Record) configurations() (list []Breach) {
-	taken := map[uint64]bool{}
+	accepted := map[uint64]bool{}
 	refused := map[uint64]bool{}
 	last := uint64(0)
-	for _, t := range r.Taken {
+	for _, t := range r.Decisions {
 		if t.Refused {
 			refused[t.Version] = true
 		} else {
-			taken[t.Version] = true
+			accepted[t.Version] = true
 			last = max(last, t.Version)
 		}
 	}
@@ -272,54 +280,54 @@
 	for _, p := range probes {
 		for _, older := range byNode[p.Node] {
 			if older.Ended < p.At && older.Version > p.Version {
-				list = append(list, breach(8, "node %s slid back from version %d to %d", p.Node, older.Version, p.Version))
+				list = append(list, breach(8, "node %s went back from version %d to %d", p.Node, older.Version, p.Version))
 				break
 			}
 		}
 		byNode[p.Node] = append(byNode[p.Node], p)
-		for _, t := range r.Taken {
-			if !t.Refused && p.Version < t.Version && p.At > t.At+r.Limits.Late {
-				list = append(list, breach(8, "node %s was at version %d %v after %d was taken", p.Node, p.Version, p.At-t.At, t.Version))
+		for _, t := range r.Decisions {
+			if !t.Refused && p.Version < t.Version && p.At > t.At+r.Limits.PropagationLimit {
+				list = append(list, breach(8, "node %s was at version %d %v after version %d was accepted", p.Node, p.Version, p.At-t.At, t.Version))
 			}
 		}
-		if refused[p.Version] && !taken[p.Version] {
-			list = append(list, breach(9, "node %s has refused description %d in force", p.Node, p.Version))
+		if refused[p.Version] && !accepted[p.Version] {
+			list = append(list, breach(9, "node %s has the refused configuration %d in force", p.Node, p.Version))
 		}
-		if p.Last {
+		if p.Final {
 			final[p.Node] = max(final[p.Node], p.Version)
 		}
 	}
-	for _, t := range r.Taken {
-		if t.Revoked == "" {
+	for _, t := range r.Decisions {
+		if t.RevokedTenant == "" {
 			continue
 		}
 		until := time.Duration(1 << 62)
-		for _, h := range r.Handed {
+		for _, h := range r.Submissions {
 			if h.BasedOn >= t.Version {
 				until = min(until, h.At)
 			}
 		}
-		for _, s := range r.Shots {
-			if s.Tenant == t.Revoked && s.At > t.At+r.Limits.Late && s.At < until {
-				list = append(list, breach(8, "%s of %s ran %v after its keys were revoked", s.Mark, s.Tenant, s.At-t.At))
+		for _, attempt := range r.Attempts {
+			if attempt.Tenant == t.RevokedTenant && attempt.At > t.At+r.Limits.PropagationLimit && attempt.At < until {
+				list = append(list, breach(8, "%s of %s ran %v after its keys were revoked", attempt.RequestID, attempt.Tenant, attempt.At-t.At))
 				break
 			}
 		}
 	}
 	for _, node := range r.Nodes {
 		if final[node] < last {
-			list = append(list, breach(9, "node %s has version %d in force in the end, and %d was taken", node, final[node], last))
+			list = append(list, breach(9, "node %s ends with version %d in force, but version %d was accepted", node, final[node], last))
 		}
 	}
 	return list
 }
 
-// leaving is rule 10.
+// leaving checks rule 10: a replica gets no work after it announced that it leaves.
 func (r *Record) leaving() (list []Breach) {
 	for _, l := range r.Leaving {
-		for _, s := range r.Shots {
-			if s.Replica == l.Replica && s.At > l.At+r.Limits.Late {
-				list = append(list, breach(10, "replica %s got work %v after it said that it leaves", s.Replica, s.At-l.At))
+		for _, attempt := range r.Attempts {
+			if attempt.Replica == l.Replica && attempt.At > l.At+r.Limits.PropagationLimit {
+				list = append(list, breach(10, "replica %s got work %v after it announced that it leaves", attempt.Replica, attempt.At-l.At))
 				break
 			}
 		}
@@ -327,36 +335,37 @@
 	return list
 }
 
-// whole is rule 11: what came whole is exactly what one replica gave for it.
-func (r *Record) whole() (list []Breach) {
+// completeAnswers checks rule 11: a complete answer is exactly what one replica produced,
+// or the beginning of an answer that exceeded its token limit.
+func (r *Record) completeAnswers() (list []Breach) {
 	type answer struct {
 		text   string
 		tokens int64
 	}
-	made, overran := map[string]map[answer]bool{}, map[string]string{}
-	for _, s := range r.Shots {
-		if made[s.Mark] == nil {
-			made[s.Mark] = map[answer]bool{}
+	produced, overLimit := map[string]map[answer]bool{}, map[string]string{}
+	for _, attempt := range r.Attempts {
+		if produced[attempt.RequestID] == nil {
+			produced[attempt.RequestID] = map[answer]bool{}
 		}
-		if s.Overran {
-			overran[s.Mark] = s.Text
+		if attempt.OverLimit {
+			overLimit[attempt.RequestID] = attempt.Text
 		}
-		made[s.Mark][answer{s.Text, s.Tokens}] = true
+		produced[attempt.RequestID][answer{attempt.Text, attempt.Tokens}] = true
 	}
-	for _, a := range r.Asked {
-		if a.Kind == "turn" && a.Outcome == Whole && !made[a.Mark][answer{a.Text, a.Tokens}] && (overran[a.Mark] == "" || !strings.HasPrefix(overran[a.Mark], a.Text)) {
-			list = append(list, breach(11, "%s came whole with %q (%d tokens), which no replica gave", a.Mark, a.Text, a.Tokens))
+	for _, request := range r.Requests {
+		if request.Kind == "turn" && request.Outcome == Whole && !produced[request.ID][answer{request.Text, request.Tokens}] && (overLimit[request.ID] == "" || !strings.HasPrefix(overLimit[request.ID], request.Text)) {
+			list = append(list, breach(11, "%s was answered completely with %q (%d tokens), which no replica produced", request.ID, request.Text, request.Tokens))
 		}
 	}
 	return list
 }
 
-// Gap is the longest time in which no turn came whole.
-func (r *Record) Gap() time.Duration {
+// LongestGap returns the longest time between the ends of two complete turns.
+func (r *Record) LongestGap() time.Duration {
 	var ends []time.Duration
-	for _, a := range r.Asked {
-		if a.Kind == "turn" && a.Outcome == Whole {
-			ends = append(ends, a.Ended)
+	for _, request := range r.Requests {
+		if request.Kind == "turn" && request.Outcome == Whole {
+			ends = append(ends, request.Ended)
 		}
 	}
 	sort.Slice(ends, func(i, j int) bool { return ends[i] < ends[j] })
@@ -367,26 +376,27 @@
 	return gap
 }
 
-// Outages lists, for every conversation that was hindered, how long it took
-// from its first turn that did not come whole to its next one that did.
+// Outages returns, in ascending order, how long interrupted conversations took from the
+// first turn that was not complete to the end of the next complete one. Conflicts and quota
+// refusals (409 and 429) don't count as interruptions.
 func (r *Record) Outages() []time.Duration {
-	turns := map[string][]Asked{}
-	for _, a := range r.Asked {
-		if a.Kind == "turn" {
-			turns[a.Program+"/"+a.Line] = append(turns[a.Program+"/"+a.Line], a)
+	turns := map[string][]Request{}
+	for _, request := range r.Requests {
+		if request.Kind == "turn" {
+			turns[request.Program+"/"+request.Conversation] = append(turns[request.Program+"/"+request.Conversation], request)
 		}
 	}
 	var list []time.Duration
 	for _, key := range ordered.Keys(turns) {
 		sort.SliceStable(turns[key], func(i, j int) bool { return turns[key][i].At < turns[key][j].At })
 		since := time.Duration(-1)
-		for _, a := range turns[key] {
+		for _, request := range turns[key] {
 			switch {
-			case a.Outcome == Whole && since >= 0:
-				list = append(list, a.Ended-since)
+			case request.Outcome == Whole && since >= 0:
+				list = append(list, request.Ended-since)
 				since = -1
-			case a.Outcome != Whole && since < 0 && a.Status != 409 && a.Status != 429:
-				since = a.At
+			case request.Outcome != Whole && since < 0 && request.Status != 409 && request.Status != 429:
+				since = request.At
 			}
 		}
 	}
--- a/rehearsalkit/modelcheck/clone.go
+++ b/rehearsalkit/modelcheck/clone.go
@@ -8,15 +8,14 @@
 	"saffronfall/rule/partition"
 )
 
-// cloneMachine copies a machine with all its private state, so that both can go
-// on apart. Functions and interface values are shared: they hold nothing that
-// a machine changes in place.
+// cloneMachine copies a machine with all its unexported state. Functions and
+// interface values are shared: they hold nothing that a machine changes in place.
 func cloneMachine(m *partition.Machine) *partition.Machine {
 	return deepCopy(reflect.ValueOf(m)).Interface().(*partition.Machine)
 }
 
-// deepCopy copies a value. It must not come from an unexported field directly;
-// copyFields sees to that for the fields of structs.
+// deepCopy copies a value that was not obtained through an unexported field;
+// copyShared handles the fields of structs.
 func deepCopy(v reflect.Value) reflect.Value {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -25,7 +24,7 @@
 		}
 		fresh := reflect.New(v.Type().Elem())
 		fresh.Elem().Set(v.Elem())
-		if sharing(v.Type().Elem()) {
+		if needsDeepCopy(v.Type().Elem()) {
 			copyShared(fresh.Elem())
 		}
 		return fresh
@@ -35,7 +34,7 @@
 		}
 		fresh := reflect.MakeSlice(v.Type(), v.Len(), v.Len())
 		reflect.Copy(fresh, v)
-		if sharing(v.Type().Elem()) {
+		if needsDeepCopy(v.Type().Elem()) {
 			for i := range fresh.Len() {
 				copyShared(fresh.Index(i))
 			}
@@ -46,7 +45,7 @@
 	case reflect.Struct:
 		fresh := reflect.New(v.Type()).Elem()
 		fresh.Set(v)
-		if sharing(v.Type()) {
+		if needsDeepCopy(v.Type()) {
 			copyShared(fresh)
 		}
 		return fresh
@@ -59,59 +58,58 @@
 		return v
 	}
 	fresh := reflect.MakeMapWithSize(v.Type(), v.Len())
-	deep := sharing(v.Type().Elem())
-	for walk := v.MapRange(); walk.Next(); {
-		value := walk.Value()
+	deep := needsDeepCopy(v.Type().Elem())
+	for iter := v.MapRange(); iter.Next(); {
+		value := iter.Value()
 		if deep {
 			value = deepCopy(value)
 		}
-		fresh.SetMapIndex(walk.Key(), value)
+		fresh.SetMapIndex(iter.Key(), value)
 	}
 	return fresh
 }
 
-// copyShared gives a value that was copied by assignment its own maps, slices
-// and pointers. The value must be addressable.
+// copyShared gives a value that was copied by assignment its own maps, slices and
+// pointers. The value must be addressable.
 func copyShared(v reflect.Value) {
 	if v.Kind() != reflect.Struct {
 		v.Set(deepCopy(v))
 		return
 	}
-	for _, i := range sharingFields(v.Type()) {
+	for _, i := range deepFields(v.Type()) {
 		field := v.Field(i)
 		copyShared(reflect.NewAt(field.Type(), unsafe.Pointer(field.UnsafeAddr())).Elem())
 	}
 }
 
-var fieldsOfTypes sync.Map
+var deepFieldsByType sync.Map
 
-// sharingFields are the places of the fields of a struct that assigning it
-// would leave shared.
-func sharingFields(t reflect.Type) []int {
-	if known, ok := fieldsOfTypes.Load(t); ok {
+// deepFields returns the indexes of the struct fields that assignment would share.
+func deepFields(t reflect.Type) []int {
+	if known, ok := deepFieldsByType.Load(t); ok {
 		return known.([]int)
 	}
 	var fields []int
 	for i := range t.NumField() {
-		if sharing(t.Field(i).Type) {
+		if needsDeepCopy(t.Field(i).Type) {
 			fields = append(fields, i)
 		}
 	}
-	fieldsOfTypes.Store(t, fields)
+	deepFieldsByType.Store(t, fields)
 	return fields
 }
 
-// sharing reports whether assigning a value of a type leaves two values that
-// share what a machine may change.
-func sharing(t reflect.Type) bool {
+// needsDeepCopy reports whether assigning a value of the type shares state that a
+// machine may change.
+func needsDeepCopy(t reflect.Type) bool {
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Map:
 		return true
 	case reflect.Slice:
-		// Values of entries are never changed in place.
+		// Byte slices, such as the values of entries, are never changed in place.
 		return t.Elem().Kind() != reflect.Uint8
 	case reflect.Struct:
-		return len(sharingFields(t)) > 0
+		return len(deepFields(t)) > 0
 	}
 	return false
 }
--- a/rehearsalkit/modelcheck/command.go
+++ b/rehearsalkit/modelcheck/command.go
@@ -11,31 +11,32 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Command explores scenarios, or replays a trace.
+// Command is the command line of the model checker: it explores scenarios, walks
+// them randomly, or replays a trace.
 type Command struct {
-	Scenario string        `help:"Which scenario; all: one after the other." default:"all"`
-	Depth    int           `help:"How many actions a trace may have; 0: the scenario's own bound."`
-	States   int           `help:"How many distinct states are visited at most; 0: no limit."`
-	Faults   int           `help:"How many more of each kind of fault than the scenario has."`
-	Timeout  time.Duration `help:"How long each scenario may take; 0: no limit."`
-	Workers  int           `help:"How many states are expanded at once." default:"4"`
-	Walks    int           `help:"Make so many random walks instead of an exploration; depth is their length."`
-	First    uint64        `help:"First seed of random walks." default:"1"`
-	Save     string        `help:"A folder that traces of violations are written to." type:"path"`
-	Replay   string        `help:"Replay the trace in a file and explore nothing." type:"path"`
+	Scenario string        `help:"Scenario to check; all: every scenario in turn." default:"all"`
+	Depth    int           `help:"Maximum number of actions in a trace; 0: the scenario's own depth."`
+	States   int           `help:"Stop once this many distinct states were visited; 0: no limit."`
+	Faults   int           `help:"Number added to the scenario's bound of each kind of fault."`
+	Timeout  time.Duration `help:"Maximum duration of each scenario; 0: no limit."`
+	Workers  int           `help:"Number of states that are expanded in parallel." default:"4"`
+	Walks    int           `help:"Number of random walks to make instead of an exploration; depth is their length."`
+	First    uint64        `help:"Seed of the first random walk." default:"1"`
+	Save     string        `help:"Directory for traces of violations." type:"path"`
+	Replay   string        `help:"Replay the trace in this file instead of exploring." type:"path"`
 	List     bool          `help:"List the scenarios."`
 }
 
-// garbagePercent lets the heap grow further between collections than usual: the
-// frontier is large and lives long.
+// garbagePercent raises the heap growth between collections, since the frontier is
+// large and long-lived.
 const garbagePercent = 300
 
-// Run runs the command.
+// Run runs the command. It fails if a scenario is unknown or a property is violated.
 func (c *Command) Run() error {
 	switch {
 	case c.List:
 		for _, s := range Scenarios() {
-			fmt.Printf("%-10s %s (depth %d)\n", s.Name, s.About, s.Depth)
+			fmt.Printf("%-10s %s (depth %d)\n", s.Name, s.Description, s.Depth)
 		}
 		return nil
 	case c.Replay != "":
@@ -48,7 +49,7 @@
 			continue
 		}
 		found = true
-		s.Bounds.more(c.Faults)
+		s.Bounds.addFaults(c.Faults)
 		trace := c.check(s)
 		if trace == nil {
 			continue
@@ -63,16 +64,16 @@
 	case !found:
 		return errors.Newf("no scenario %q", c.Scenario)
 	case broken > 0:
-		return errors.Newf("%d scenarios broken", broken)
+		return errors.Newf("%d scenarios violate a property", broken)
 	}
 	return nil
 }
 
-// defaultWalk is how many actions a random walk takes where no depth is told.
+// defaultWalk is the number of actions of a random walk if no depth is given.
 const defaultWalk = 60
 
-// check explores a scenario, or walks in it, and returns the trace of what is
-// broken.
+// check explores a scenario, or walks it randomly, and returns the trace of a
+// violation or nil.
 func (c *Command) check(s *Scenario) *Trace {
 	if c.Walks == 0 {
 		report := Explore(s, Limits{Depth: c.Depth, States: c.States, Timeout: c.Timeout, Workers: c.Workers, Progress: printProgress})
@@ -93,7 +94,7 @@
 		return nil
 	}
 	if err := os.MkdirAll(c.Save, 0o755); err != nil {
-		return errors.Wrap(err, "folder for traces")
+		return errors.Wrap(err, "creating the directory for traces")
 	}
 	return trace.Save(filepath.Join(c.Save, trace.Scenario+".json"))
 }
@@ -102,24 +103,24 @@
 	fmt.Printf("  depth %d: %d distinct states, %d transitions, %d in the frontier, %v\n", p.Depth, p.Distinct, p.Transitions, p.Frontier, p.Elapsed.Round(time.Millisecond))
 }
 
-// String sums a report up in a line.
+// String summarizes the report in one line.
 func (r Report) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s: %d distinct states, %d transitions in %v, depth %d", r.Scenario, r.Distinct, r.Transitions, r.Elapsed.Round(time.Millisecond), r.Depth)
 	switch {
 	case r.Found != nil:
 		text.WriteString("; broken")
-	case r.Cut == "":
+	case r.StoppedBy == "":
 		text.WriteString("; all states within the bounds")
-	case r.Cut == timeoutCut:
+	case r.StoppedBy == timeoutLimit:
 		fmt.Fprintf(&text, " not complete; cut off by timeout with %d states in the frontier", r.Frontier)
 	default:
-		fmt.Fprintf(&text, "; cut off by %s with %d states in the frontier", r.Cut, r.Frontier)
+		fmt.Fprintf(&text, "; cut off by %s with %d states in the frontier", r.StoppedBy, r.Frontier)
 	}
 	return text.String()
 }
 
-// replayFile replays a trace and prints each state on its way.
+// replayFile replays a trace and prints every state.
 func replayFile(path string) error {
 	trace, err := LoadTrace(path)
 	if err != nil {
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// more adds to the bounds of each kind of fault.
-func (b *Bounds) more(faults int) {
+// addFaults raises the bound of each kind of fault.
+func (b *Bounds) addFaults(faults int) {
 	for _, bound := range []*int{&b.Reboots, &b.Crashes, &b.Losses, &b.Duplicates, &b.Skews, &b.Delays} {
 		*bound += faults
 	}
--- a/rehearsalkit/modelcheck/encode.go
+++ b/rehearsalkit/modelcheck/encode.go
@@ -19,17 +19,17 @@
 // secondSeed makes the second half of a digest independent of the first.
 const secondSeed = 0x9e3779b97f4a7c15
 
-// plus adds digests; a sum of digests stands for a multiset.
+// plus adds two digests. The sum of the digests of its elements identifies a
+// multiset.
 func (d digest) plus(other digest) digest { return digest{d[0] + other[0], d[1] + other[1]} }
 
-// less orders digests.
 func (d digest) less(other digest) bool {
 	return d[0] < other[0] || (d[0] == other[0] && d[1] < other[1])
 }
 
-// unencoded are the types of fields that are no part of a machine's state:
-// counters, settings, and the output of the step before.
-var unencoded = map[reflect.Type]bool{
+// excludedTypes are the types of fields that are not part of a machine's state:
+// counters, parameters, rules, and the output of the last step.
+var excludedTypes = map[reflect.Type]bool{
 	reflect.TypeFor[partition.Counters](): true,
 	reflect.TypeFor[partition.Params]():   true,
 	reflect.TypeFor[*partition.Output]():  true,
@@ -38,9 +38,9 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// nextQuantum rounds a time up to the next at which a clock may be looked at. A
-// machine asks whether a time has come; which of those between two looks it is
-// makes no difference to it.
+// nextQuantum rounds a time up to the next quantum. Clocks are read only at
+// multiples of a quantum, and machines only ask whether a time has passed, so times
+// between the same two quanta are equivalent.
 func nextQuantum(n int64) int64 {
 	q := int64(quantum)
 	if rest := n % q; rest > 0 {
@@ -49,8 +49,8 @@
 	return n
 }
 
-// encoder writes values canonically: maps in the order of their keys, seats
-// under the names that a renaming gives them.
+// encoder writes a canonical encoding: maps are sorted by key, and members are
+// renamed.
 type encoder struct {
 	buffer []byte
 	rename map[string]string
@@ -109,20 +109,20 @@
 	case reflect.Pointer:
 		e.pointer(v)
 	case reflect.Interface:
-		e.dynamic(v)
+		e.interfaceValue(v)
 	case reflect.Slice, reflect.Array:
-		e.list(v)
+		e.sequence(v)
 	case reflect.Map:
-		e.table(v)
+		e.mapValue(v)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if field := v.Field(i); !unencoded[field.Type()] {
+			if field := v.Field(i); !excludedTypes[field.Type()] {
 				e.encode(field)
 			}
 		}
 	case reflect.Func:
 	default:
-		panic("modelcheck: no encoding for a " + v.Type().String())
+		panic("modelcheck: cannot encode type " + v.Type().String())
 	}
 }
 
@@ -135,7 +135,7 @@
 	e.encode(v.Elem())
 }
 
-func (e *encoder) dynamic(v reflect.Value) {
+func (e *encoder) interfaceValue(v reflect.Value) {
 	if v.IsNil() {
 		e.number(0)
 		return
@@ -144,10 +144,10 @@
 	e.encode(v.Elem())
 }
 
-func (e *encoder) list(v reflect.Value) {
+func (e *encoder) sequence(v reflect.Value) {
 	e.number(uint64(v.Len()))
 	if v.Type().Elem().Kind() == reflect.String {
-		e.seats(v)
+		e.names(v)
 		return
 	}
 	for i := range v.Len() {
@@ -155,9 +155,9 @@
 	}
 }
 
-// seats writes a list of seats. Under a renaming the order does not count, or
-// no two states that differ by names would meet.
-func (e *encoder) seats(v reflect.Value) {
+// names writes a list of members. Under a renaming the order is ignored, so that
+// states which differ only by a renaming get the same digest.
+func (e *encoder) names(v reflect.Value) {
 	names := make([]string, v.Len())
 	for i := range names {
 		names[i] = e.name(v.Index(i).String())
@@ -170,27 +170,27 @@
 	}
 }
 
-type tableRow struct {
+type mapEntry struct {
 	key   string
 	value reflect.Value
 }
 
-func (e *encoder) table(v reflect.Value) {
-	rows := make([]tableRow, 0, v.Len())
-	for walk := v.MapRange(); walk.Next(); {
-		key := walk.Key()
-		row := tableRow{value: walk.Value()}
+func (e *encoder) mapValue(v reflect.Value) {
+	entries := make([]mapEntry, 0, v.Len())
+	for iter := v.MapRange(); iter.Next(); {
+		key := iter.Key()
+		entry := mapEntry{value: iter.Value()}
 		if key.Kind() == reflect.String {
-			row.key = e.name(key.String())
+			entry.key = e.name(key.String())
 		} else {
-			row.key = string(binary.BigEndian.AppendUint64(nil, key.Uint()))
+			entry.key = string(binary.BigEndian.AppendUint64(nil, key.Uint()))
 		}
-		rows = append(rows, row)
+		entries = append(entries, entry)
 	}
-	sort.Slice(rows, func(i, j int) bool { return rows[i].key < rows[j].key })
-	e.number(uint64(len(rows)))
-	for _, row := range rows {
-		e.text(row.key)
-		e.encode(row.value)
+	sort.Slice(entries, func(i, j int) bool { return entries[i].key < entries[j].key })
+	e.number(uint64(len(entries)))
+	for _, entry := range entries {
+		e.text(entry.key)
+		e.encode(entry.value)
 	}
 }
--- a/rehearsalkit/modelcheck/explore.go
+++ b/rehearsalkit/modelcheck/explore.go
@@ -6,37 +6,38 @@
 	"time"
 )
 
-// Limits bound an exploration, whatever a scenario's bounds are.
+// Limits bound an exploration in addition to the scenario's own bounds.
 type Limits struct {
-	// Depth is how many actions a trace may have, States how many distinct states
-	// are visited, Timeout how long it may take. Zero: the scenario's depth, and
-	// no other limit.
+	// Depth is the maximum length of a trace, States the number of distinct states after
+	// which no further depth is started, and Timeout the maximum duration. A depth of
+	// zero means the scenario's, and zero elsewhere means no limit.
 	Depth   int
 	States  int
 	Timeout time.Duration
 	Workers int
-	// Progress is told of each depth; it may be nil.
+	// Progress is called before each depth; it may be nil.
 	Progress func(Progress)
 }
 
-// Progress is how far an exploration has come.
+// Progress counts what an exploration has done so far.
 type Progress struct {
 	Depth, Distinct, Frontier int
 	Transitions               int64
 	Elapsed                   time.Duration
 }
 
-// Report is what an exploration has come to.
+// Report is the result of an exploration.
 type Report struct {
 	Scenario string
 	Progress
-	// Cut says which limit ended it while states were left in the frontier; it is
-	// empty where all states within the bounds were visited.
-	Cut   string
-	Found *Trace
+	// StoppedBy names the limit that was reached while the frontier was not empty. It is
+	// empty if all states within the bounds were visited, or if a violation ended the
+	// exploration.
+	StoppedBy string
+	Found     *Trace
 }
 
-// node is a visited state's place in the tree of shortest traces.
+// node is a visited state in the tree of shortest traces.
 type node struct {
 	parent *node
 	action Action
@@ -52,40 +53,40 @@
 	return list
 }
 
-// shards is over how many locks the set of visited states is spread.
-const shards = 64
+// shardCount is the number of locks over which the set of visited states is spread.
+const shardCount = 64
 
 type visited struct {
-	parts [shards]struct {
+	shards [shardCount]struct {
 		lock sync.Mutex
 		set  map[digest]struct{}
 	}
 }
 
-// add reports whether a state is new.
+// add adds a state and reports whether it is new.
 func (v *visited) add(d digest) bool {
-	part := &v.parts[d[0]%shards]
-	part.lock.Lock()
-	defer part.lock.Unlock()
-	if _, ok := part.set[d]; ok {
+	shard := &v.shards[d[0]%shardCount]
+	shard.lock.Lock()
+	defer shard.lock.Unlock()
+	if _, ok := shard.set[d]; ok {
 		return false
 	}
-	if part.set == nil {
-		part.set = map[digest]struct{}{}
+	if shard.set == nil {
+		shard.set = map[digest]struct{}{}
 	}
-	part.set[d] = struct{}{}
+	shard.set[d] = struct{}{}
 	return true
 }
 
-// layer is what one worker makes of its share of a frontier.
-type layer struct {
+// expansion is the result of expanding some nodes of a frontier.
+type expansion struct {
 	next        []*node
 	transitions int64
 	found       []*node
 }
 
-// Explore visits all states of a scenario within its bounds, nearest first, and
-// ends at the depth of the first violation.
+// Explore visits the states of a scenario breadth first, within its bounds and the
+// limits, and stops at the depth of the first violation.
 func Explore(scenario *Scenario, limits Limits) Report {
 	began := time.Now()
 	if limits.Depth == 0 {
@@ -103,11 +104,11 @@
 	}
 	for {
 		report.Frontier, report.Elapsed = len(frontier), time.Since(began)
-		report.Cut = limits.cut(&report)
+		report.StoppedBy = limits.reached(&report)
 		if limits.Progress != nil {
 			limits.Progress(report.Progress)
 		}
-		if report.Frontier == 0 || report.Cut != "" {
+		if report.Frontier == 0 || report.StoppedBy != "" {
 			return report
 		}
 		merged := expandAll(frontier, seen, limits, began)
@@ -115,7 +116,7 @@
 		report.Transitions += merged.transitions
 		report.Distinct += len(merged.next) + len(merged.found)
 		if len(merged.found) > 0 {
-			report.Found = newTrace(scenario, least(merged.found))
+			report.Found = newTrace(scenario, firstByTrace(merged.found))
 			report.Elapsed = time.Since(began)
 			return report
 		}
@@ -123,34 +124,33 @@
 	}
 }
 
-// Limits that may cut an exploration off. At the timeout the last depth is not
-// complete.
+// Values of Report.StoppedBy. After a timeout the last depth is incomplete.
 const (
-	depthCut   = "depth"
-	statesCut  = "states"
-	timeoutCut = "timeout"
+	depthLimit   = "depth"
+	statesLimit  = "states"
+	timeoutLimit = "timeout"
 )
 
-// cut names the limit that an exploration has come to.
-func (l *Limits) cut(report *Report) string {
+// reached names the limit that an exploration has reached, or returns "".
+func (l *Limits) reached(report *Report) string {
 	switch {
 	case report.Frontier == 0:
 		return ""
 	case report.Depth >= l.Depth:
-		return depthCut
+		return depthLimit
 	case l.States > 0 && report.Distinct >= l.States:
-		return statesCut
+		return statesLimit
 	case l.Timeout > 0 && report.Elapsed >= l.Timeout:
-		return timeoutCut
+		return timeoutLimit
 	}
 	return ""
 }
 
-// expandAll takes every action in every state of a frontier. After the timeout
-// the rest of the frontier is left.
-func expandAll(frontier []*node, seen *visited, limits Limits, began time.Time) layer {
+// expandAll expands every node of a frontier in parallel. After the timeout the
+// remaining nodes are returned unexpanded.
+func expandAll(frontier []*node, seen *visited, limits Limits, began time.Time) expansion {
 	workers := max(1, limits.Workers)
-	layers := make([]layer, workers)
+	expansions := make([]expansion, workers)
 	var group sync.WaitGroup
 	var lock sync.Mutex
 	taken := 0
@@ -163,54 +163,54 @@
 		taken++
 		return frontier[taken-1]
 	}
-	for i := range layers {
+	for i := range expansions {
 		group.Go(func() {
 			for n := take(); n != nil; n = take() {
 				if limits.Timeout > 0 && time.Since(began) >= limits.Timeout {
-					layers[i].next = append(layers[i].next, n)
+					expansions[i].next = append(expansions[i].next, n)
 					continue
 				}
-				layers[i].expand(n, seen)
+				expansions[i].expand(n, seen)
 			}
 		})
 	}
 	group.Wait()
-	var merged layer
-	for _, l := range layers {
-		merged.next = append(merged.next, l.next...)
-		merged.found = append(merged.found, l.found...)
-		merged.transitions += l.transitions
+	var merged expansion
+	for _, e := range expansions {
+		merged.next = append(merged.next, e.next...)
+		merged.found = append(merged.found, e.found...)
+		merged.transitions += e.transitions
 	}
 	return merged
 }
 
-func (l *layer) expand(n *node, seen *visited) {
+func (e *expansion) expand(n *node, seen *visited) {
 	for _, action := range n.world.Actions() {
 		next, err := n.world.Apply(action)
 		if err != nil {
 			continue
 		}
-		l.transitions++
-		if next.idle(n.world, action) {
+		e.transitions++
+		if next.hasNoEffect(n.world, action) {
 			continue
 		}
 		if next.broken == nil && !seen.add(next.fingerprint()) {
 			continue
 		}
-		next.judgeDisks()
+		next.checkDisks()
 		fresh := &node{parent: n, action: action, world: next}
 		if next.broken != nil {
-			l.found = append(l.found, fresh)
+			e.found = append(e.found, fresh)
 		} else {
-			l.next = append(l.next, fresh)
+			e.next = append(e.next, fresh)
 		}
 	}
 	n.world = nil
 }
 
-// least is the violation whose trace comes first, so that the same run names
-// the same one.
-func least(found []*node) *node {
+// firstByTrace selects the violation with the least trace, so that the result does
+// not depend on scheduling.
+func firstByTrace(found []*node) *node {
 	return slices.MinFunc(found, func(a, b *node) int {
 		return slices.CompareFunc(a.trace(), b.trace(), func(x, y Action) int {
 			switch xs, ys := x.String(), y.String(); {
--- a/rehearsalkit/modelcheck/modelcheck_test.go
+++ b/rehearsalkit/modelcheck/modelcheck_test.go
@@ -9,21 +9,20 @@
 	"saffronfall/rule/partition"
 )
 
-// smallDepths bound the exploration of each scenario in a test run. The command
-// goes as deep as it is told.
-var smallDepths = map[string]int{
+// testDepths limits each scenario's exploration in a test run.
+var testDepths = map[string]int{
 	"orders": 6, "again": 6, "replace": 7, "leave": 6, "catchup": 6, "read": 7, "cut": 7, "renewal": 7,
 	"orders5": 4, "again5": 4, "replace5": 5, "leave5": 4, "catchup5": 4, "read5": 5, "cut5": 5, "renewal5": 5, "restart5": 5,
 	"promise5": 4, "power5": 4, "unsynced5": 8, "leftover5": 4, "refusal5": 4,
 	"restart": 7, "promise": 7, "power": 6, "candidate": 7, "unsynced": 11, "leftover": 5, "refusal": 5,
 }
 
-func TestScenariosHold(t *testing.T) {
+func TestScenariosHaveNoViolations(t *testing.T) {
 	for _, s := range Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
-			depth, ok := smallDepths[s.Name]
+			depth, ok := testDepths[s.Name]
 			if !ok {
-				t.Fatal("no depth for a test run")
+				t.Fatal("testDepths has no entry for this scenario")
 			}
 			report := Explore(s, Limits{Depth: depth, Workers: 4})
 			t.Log(report)
@@ -31,17 +30,17 @@
 				t.Error(report.Found)
 			}
 			if report.Distinct < 100 || report.Depth < depth {
-				t.Errorf("%d states to depth %d show nothing", report.Distinct, report.Depth)
+				t.Errorf("only %d states to depth %d were explored", report.Distinct, report.Depth)
 			}
 		})
 	}
 }
 
-// Traces that once broke a property must not break one again.
+// Traces that once violated a property must not violate one again.
 func TestKeptTraces(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*.json")
 	if err != nil || len(paths) == 0 {
-		t.Fatal("no traces", err)
+		t.Fatal("no stored traces in testdata:", err)
 	}
 	for _, path := range paths {
 		t.Run(filepath.Base(path), func(t *testing.T) {
@@ -56,14 +55,14 @@
 	}
 }
 
-// A read that counts from when it was answered, and not from when it came, is
-// stale when its process froze in between. The judge must see the difference.
-func TestPlaceOfLastLeaseCheck(t *testing.T) {
+// A read must be checked against the writes acknowledged before its arrival, not
+// before its answer: the process may have been frozen in between.
+func TestReadIsCheckedAgainstItsArrival(t *testing.T) {
 	actions := []Action{
-		{Kind: BeginRead, Seat: "c"}, {Kind: Advance}, {Kind: Advance}, {Kind: Tick, Seat: "a"},
-		{Kind: Exchange, Message: "Stand", From: "a", Seat: "b"}, {Kind: Exchange, Message: "Stand", From: "a", Seat: "b"},
-		{Kind: Exchange, Message: "Write", From: "a", Seat: "b"}, {Kind: Propose, Seat: "a", Count: 1},
-		{Kind: Exchange, Message: "Write", From: "a", Seat: "b"}, {Kind: AnswerRead, Seat: "c"},
+		{Kind: BeginRead, Member: "c"}, {Kind: Advance}, {Kind: Advance}, {Kind: Tick, Member: "a"},
+		{Kind: Exchange, Message: "Stand", From: "a", Member: "b"}, {Kind: Exchange, Message: "Stand", From: "a", Member: "b"},
+		{Kind: Exchange, Message: "Write", From: "a", Member: "b"}, {Kind: Propose, Member: "a", Count: 1},
+		{Kind: Exchange, Message: "Write", From: "a", Member: "b"}, {Kind: AnswerRead, Member: "c"},
 	}
 	for _, late := range []bool{false, true} {
 		s, _ := Find("read")
@@ -79,14 +78,13 @@
 		switch {
 		case !late && w.broken != nil:
 			t.Error(w.broken)
-		case late && (w.broken == nil || w.broken.Property != Fresh):
-			t.Errorf("a read judged by its end: %v", w.broken)
+		case late && (w.broken == nil || w.broken.Property != FreshRead):
+			t.Errorf("read checked as if it arrived at its answer: violation %v, want FreshRead", w.broken)
 		}
 	}
 }
 
-// What a clone does must not show in its source, nor the other way round.
-func TestCloneSharesNothing(t *testing.T) {
+func TestCloneSharesNoState(t *testing.T) {
 	s, _ := Find("replace")
 	w := s.Start()
 	for range 40 {
@@ -96,9 +94,9 @@
 			}
 			fresh := cloneMachine(p.machine)
 			if digestOf(nil, fresh) != digestOf(nil, p.machine) {
-				t.Fatal("a clone differs from its source")
+				t.Fatal("clone and original have different digests")
 			}
-			wantApart(t, reflect.ValueOf(p.machine).Elem(), reflect.ValueOf(fresh).Elem(), "machine")
+			requireDistinct(t, reflect.ValueOf(p.machine).Elem(), reflect.ValueOf(fresh).Elem(), "machine")
 		}
 		list := w.Actions()
 		next, err := w.Apply(list[len(list)/2])
@@ -112,8 +110,8 @@
 	}
 }
 
-// wantApart looks for maps, slices and pointers that two values share.
-func wantApart(t *testing.T, a, b reflect.Value, path string) {
+// requireDistinct reports maps, slices and pointers that two values share.
+func requireDistinct(t *testing.T, a, b reflect.Value, path string) {
 	t.Helper()
 	switch a.Kind() {
 	case reflect.Map, reflect.Pointer:
@@ -126,17 +124,17 @@
 		}
 	case reflect.Struct:
 		for i := range a.NumField() {
-			wantApart(t, a.Field(i), b.Field(i), path+"."+a.Type().Field(i).Name)
+			requireDistinct(t, a.Field(i), b.Field(i), path+"."+a.Type().Field(i).Name)
 		}
 		return
 	}
-	if a.Kind() == reflect.Pointer && !a.IsNil() && !unencoded[a.Type()] {
-		wantApart(t, a.Elem(), b.Elem(), path)
+	if a.Kind() == reflect.Pointer && !a.IsNil() && !excludedTypes[a.Type()] {
+		requireDistinct(t, a.Elem(), b.Elem(), path)
 	}
 }
 
-// A step must leave the state that it starts from as it was.
-func TestApplyLeavesItsStart(t *testing.T) {
+// Apply must not change the state it starts from.
+func TestApplyLeavesInitialStateUnchanged(t *testing.T) {
 	for _, s := range Scenarios() {
 		w := s.Start()
 		for range 6 {
@@ -147,7 +145,7 @@
 					next = one
 				}
 				if freshFingerprint(w) != before {
-					t.Fatalf("%s: %v has changed the state before it", s.Name, a)
+					t.Fatalf("%s: %v changed the state it was applied to", s.Name, a)
 				}
 			}
 			if next == nil {
@@ -158,7 +156,7 @@
 	}
 }
 
-// freshFingerprint computes a fingerprint with nothing remembered.
+// freshFingerprint computes a fingerprint without cached digests.
 func freshFingerprint(w *World) digest {
 	for _, p := range w.processes {
 		p.digests = nil
@@ -166,57 +164,57 @@
 	return w.fingerprint()
 }
 
-// States that differ by the names of members that are alike count as one.
-func TestAlikeMembersAreOneState(t *testing.T) {
+// States that differ only by a permutation of interchangeable members count as one.
+func TestInterchangeableMembersShareAFingerprint(t *testing.T) {
 	s, _ := Find("orders")
-	s.Alike, s.setup = []string{"b", "c"}, func(*World) {}
+	s.Interchangeable, s.setup = []string{"b", "c"}, func(*World) {}
 	w := s.Start()
 	var prints []digest
-	for _, seat := range []string{"b", "c"} {
-		next, err := w.Apply(Action{Kind: Crash, Seat: seat})
+	for _, member := range []string{"b", "c"} {
+		next, err := w.Apply(Action{Kind: Crash, Member: member})
 		if err != nil {
 			t.Fatal(err)
 		}
 		prints = append(prints, next.fingerprint())
 	}
-	owner, err := w.Apply(Action{Kind: Crash, Seat: "a"})
+	leader, err := w.Apply(Action{Kind: Crash, Member: "a"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if prints[0] != prints[1] || prints[0] == owner.fingerprint() {
-		t.Error("b and c are not alike, or a is")
+	if prints[0] != prints[1] || prints[0] == leader.fingerprint() {
+		t.Error("fingerprints do not treat b and c as interchangeable, or treat a so")
 	}
 }
 
 func TestQuorumsIntersect(t *testing.T) {
-	trio := partition.Group{Members: []string{"a", "b", "c"}}
-	joint := partition.Group{Members: []string{"a", "b", "d"}, Former: trio.Members}
+	threeMembers := partition.Group{Members: []string{"a", "b", "c"}}
+	joint := partition.Group{Members: []string{"a", "b", "d"}, Former: threeMembers.Members}
 	final := partition.Group{Members: joint.Members}
-	if !quorumsIntersect(trio, joint) || !quorumsIntersect(joint, final) || quorumsIntersect(trio, final) {
-		t.Error("quorums are counted wrong")
+	if !quorumsIntersect(threeMembers, joint) || !quorumsIntersect(joint, final) || quorumsIntersect(threeMembers, final) {
+		t.Error("quorumsIntersect gives a wrong result")
 	}
 }
 
-func TestBookSeesBrokenRules(t *testing.T) {
-	empty := &book{values: map[uint64]string{}, refused: map[string]bool{}}
-	one, broken := empty.see(1, "x", "")
+func TestHistoryDetectsViolations(t *testing.T) {
+	empty := &history{values: map[uint64]string{}, refused: map[string]bool{}}
+	one, broken := empty.recordValue(1, "x", "")
 	if broken != nil || one.latest != 1 || empty.latest != 0 {
-		t.Fatal("a first value", broken)
+		t.Fatal("first value is not recorded:", broken)
 	}
-	if _, broken := one.see(1, "y", ""); broken == nil || broken.Property != OneValue {
-		t.Error("a second value under a number:", broken)
+	if _, broken := one.recordValue(1, "y", ""); broken == nil || broken.Property != OneValue {
+		t.Error("second value under one number:", broken)
 	}
-	if _, broken := one.refuse(Order{Number: 1, Value: "x"}); broken == nil || broken.Property != RefusedGone {
-		t.Error("refused and in force:", broken)
+	if _, broken := one.recordRefusal(Order{Number: 1, Value: "x"}); broken == nil || broken.Property != RefusedAbsent {
+		t.Error("accepted order refused:", broken)
 	}
-	refused, _ := one.refuse(Order{Number: 2, Value: "y"})
-	if _, broken := refused.see(2, "y", ""); broken == nil || broken.Property != RefusedGone {
-		t.Error("in force after it was refused:", broken)
+	refused, _ := one.recordRefusal(Order{Number: 2, Value: "y"})
+	if _, broken := refused.recordValue(2, "y", ""); broken == nil || broken.Property != RefusedAbsent {
+		t.Error("refused order accepted:", broken)
 	}
 }
 
-func TestTraceSurvivesItsFile(t *testing.T) {
-	trace := &Trace{Scenario: "orders", Violation: Violation{Property: Fresh, Detail: "d"}, Actions: []Action{{Kind: Advance}, {Kind: Tick, Seat: "a"}}}
+func TestTraceSaveAndLoad(t *testing.T) {
+	trace := &Trace{Scenario: "orders", Violation: Violation{Property: FreshRead, Detail: "d"}, Actions: []Action{{Kind: Advance}, {Kind: Tick, Member: "a"}}}
 	path := filepath.Join(t.TempDir(), "trace.json")
 	if err := trace.Save(path); err != nil {
 		t.Fatal(err)
@@ -230,20 +228,20 @@
 	}
 }
 
-// Limits must end an exploration and be told.
-func TestLimitsAreTold(t *testing.T) {
+// A limit that is reached must end the exploration and be reported.
+func TestLimitsAreReported(t *testing.T) {
 	for want, limits := range map[string]Limits{
 		"depth": {Depth: 2}, "states": {Depth: 20, States: 500}, "timeout": {Depth: 40, Timeout: 50 * time.Millisecond},
 	} {
 		s, _ := Find("orders")
-		if r := Explore(s, limits); r.Cut != want || r.Frontier == 0 {
-			t.Errorf("%s: cut off by %q with %d in the frontier", want, r.Cut, r.Frontier)
+		if r := Explore(s, limits); r.StoppedBy != want || r.Frontier == 0 {
+			t.Errorf("want limit %s: stopped by %q with %d states in the frontier", want, r.StoppedBy, r.Frontier)
 		}
 	}
 }
 
-// A walk must find a violation that is there, and shorten its trace; the judge
-// of reads that is wrong on purpose gives one.
+// A walk must find an existing violation and shorten its trace. LateReads provides
+// the violation.
 func TestWalksFindAndShorten(t *testing.T) {
 	s, _ := Find("read")
 	if r := Walk(s, Walks{Count: 20, First: 1, Length: 30, Workers: 4}); r.Found != nil || r.Steps < 100 {
@@ -252,21 +250,20 @@
 	s, _ = Find("read")
 	s.LateReads = true
 	r := Walk(s, Walks{Count: 20000, First: 1, Length: 30, Workers: 4})
-	if r.Found == nil || r.Found.Violation.Property != Fresh || len(r.Found.Actions) > 15 {
+	if r.Found == nil || r.Found.Violation.Property != FreshRead || len(r.Found.Actions) > 15 {
 		t.Errorf("%d walks: %v", r.Walks, r.Found)
 	}
 	t.Logf("%d walks, %v: %v", r.Walks, r.Elapsed, r.Found)
 }
 
-// In these scenarios another owner must be within reach of a few steps, or they
-// are not about two owners.
-func TestSuccessorIsWithinReach(t *testing.T) {
+// A second leader must be reachable in a few steps in these scenarios.
+func TestSuccessorIsReachable(t *testing.T) {
 	for _, name := range []string{"orders", "again", "catchup", "read"} {
 		s, _ := Find(name)
 		w := s.Start()
 		for _, a := range []Action{
-			{Kind: Advance}, {Kind: Advance}, {Kind: Tick, Seat: "a"},
-			{Kind: Exchange, Message: "Stand", From: "a", Seat: "b"}, {Kind: Exchange, Message: "Stand", From: "a", Seat: "b"},
+			{Kind: Advance}, {Kind: Advance}, {Kind: Tick, Member: "a"},
+			{Kind: Exchange, Message: "Stand", From: "a", Member: "b"}, {Kind: Exchange, Message: "Stand", From: "a", Member: "b"},
 		} {
 			next, err := w.Apply(a)
 			if err != nil {
@@ -275,12 +272,12 @@
 			w = next
 		}
 		for _, kind := range []string{"Stand", "Write"} {
-			// Where copies differ, their entries are asked for once more.
-			if next, err := w.Apply(Action{Kind: Exchange, Message: kind, From: "a", Seat: "b"}); err == nil {
+			// Entries on which the replicas differ are requested once more.
+			if next, err := w.Apply(Action{Kind: Exchange, Message: kind, From: "a", Member: "b"}); err == nil {
 				w = next
 			}
 		}
-		if !w.processes[w.find("a")].owns(w.now) {
+		if !w.processes[w.indexOf("a")].leads(w.now) {
 			t.Errorf("%s: %v", name, w)
 		}
 	}
--- a/rehearsalkit/simulator/run.go
+++ b/rehearsalkit/simulator/run.go
@@ -17,86 +17,87 @@
 
 const tenants = 3
 
-// strictUser are the limits of the users of the last tenant, which are reached
-// often.
-var strictUser = judge.UserLimits{PerMinute: 4, Lockout: 3 * time.Second, Concurrent: 2, Session: 5 * time.Second, DayTokens: 8000}
+// strictLimits are the limits for users of the last tenant. They are low, so that runs
+// reach them often.
+var strictLimits = judge.UserLimits{PerMinute: 4, Lockout: 3 * time.Second, Concurrent: 2, Session: 5 * time.Second, DayTokens: 8000}
 
-func strict(key string) bool { return key == fmt.Sprintf("key-t%d", tenants) }
+func isStrict(key string) bool { return key == fmt.Sprintf("key-t%d", tenants) }
 
 func digestOf(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
 
-// describe is the description of one version: it holds a key of its own, so
-// that a probe can tell from outside which version is in force at a node.
-func (w *World) describe(mark string) []byte {
+// describe returns a configuration with its own key, by which a probe can detect which
+// version a node has in force.
+func (w *World) describe(key string) []byte {
 	if w.Params.Describe != nil {
-		return w.Params.Describe(mark)
+		return w.Params.Describe(key)
 	}
 	role := map[string]any{"sessions_per_minute": 600, "sessions_per_hour": 6000, "sessions_per_day": 60000, "concurrent_sessions": 50,
 		"steps": 40, "program_tokens_soft": 3000, "program_tokens_hard": 6000, "turn_tokens": 1000, "tool_calls": 30, "tool_calls_per_type": 30,
 		"session_seconds": 600, "user_day_tokens_hard": 500_000}
-	narrow := map[string]any{"sessions_per_minute": strictUser.PerMinute, "sessions_per_hour": 6000, "sessions_per_day": 60000, "concurrent_sessions": strictUser.Concurrent,
-		"lockout_seconds": int64(strictUser.Lockout / time.Second), "steps": 4, "program_tokens_soft": 3000, "program_tokens_hard": 6000, "turn_tokens": 1000,
-		"session_seconds": int64(strictUser.Session / time.Second), "user_day_tokens_hard": strictUser.DayTokens, "user_day_tokens_soft": strictUser.DayTokens / 2}
+	strictRole := map[string]any{"sessions_per_minute": strictLimits.PerMinute, "sessions_per_hour": 6000, "sessions_per_day": 60000, "concurrent_sessions": strictLimits.Concurrent,
+		"lockout_seconds": int64(strictLimits.Lockout / time.Second), "steps": 4, "program_tokens_soft": 3000, "program_tokens_hard": 6000, "turn_tokens": 1000,
+		"session_seconds": int64(strictLimits.Session / time.Second), "user_day_tokens_hard": strictLimits.DayTokens, "user_day_tokens_soft": strictLimits.DayTokens / 2}
 	list := map[string]any{}
 	for i := 1; i <= tenants; i++ {
 		name := fmt.Sprintf("t%d", i)
 		role := "viewer"
-		if strict("key-" + name) {
+		if isStrict("key-" + name) {
 			role = "strict"
 		}
 		list[name] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest("key-" + name), "role": role}},
 			"inquiries_per_second": w.Params.Rate, "burst": w.Params.Burst}
 	}
-	if strings.HasSuffix(mark, revoking) {
+	if strings.HasSuffix(key, revokingSuffix) {
 		list["t1"].(map[string]any)["keys"] = []any{}
 	}
 	list["t2"].(map[string]any)["day_tokens"] = w.Params.DayTokens
-	list["probe"] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest(mark), "role": "viewer"}}}
-	text, _ := json.Marshal(map[string]any{"roles": map[string]any{"viewer": role, "strict": narrow}, "tenants": list,
+	list["probe"] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest(key), "role": "viewer"}}}
+	text, _ := json.Marshal(map[string]any{"roles": map[string]any{"viewer": role, "strict": strictRole}, "tenants": list,
 		"services": map[string]any{"model": map[string]any{"kind": "model"}, "alert": map[string]any{"kind": "once", "urgent": true, "past_breaker": true},
 			"search": map[string]any{"kind": "tool", "calls_per_minute": 1000}},
 		"breaker": map[string]any{"minute_dollars": w.Params.MinuteCost, "recovery_seconds": 5}, "approval": map[string]any{"newly_refused_ratio": 1}})
 	return text
 }
 
-// Run runs a whole world and returns the breaches.
+// Run simulates a whole run with its users, operators and faults, and returns the
+// world and the breaches.
 func Run(p Params) (*World, []judge.Breach) {
 	w := New(p)
 	w.Found()
 	w.limits()
-	w.after(time.Second, w.firstHand)
-	for _, b := range w.models {
+	w.after(time.Second, w.applyFirstConfiguration)
+	for _, b := range w.backends {
 		b.announce()
 	}
 	for i := 0; i < p.Users; i++ {
 		u := &user{world: w, name: fmt.Sprintf("u%d", i), key: fmt.Sprintf("key-t%d", i%tenants+1)}
-		w.after(w.between(2*time.Second, 4*time.Second), u.live)
+		w.after(w.between(2*time.Second, 4*time.Second), u.startSession)
 	}
 	for i := 0; i < p.Operators; i++ {
 		w.after(w.between(4*time.Second, 6*time.Second), w.operator)
 	}
 	w.after(3*time.Second, w.probe)
-	w.after(p.Length+p.Settle-1500*time.Millisecond, func() {
+	w.after(p.LoadTime+p.SettleTime-1500*time.Millisecond, func() {
 		for _, n := range w.nodes {
-			w.look(n, true)
+			w.probeNode(n, true)
 		}
 	})
 	if p.Faults {
-		w.after(4*time.Second, w.fault)
+		w.after(4*time.Second, w.injectFault)
 	}
-	w.run(p.Length + p.Settle)
+	w.run(p.LoadTime + p.SettleTime)
 	return w, w.Record.Judge()
 }
 
-// limits tells the judge what the world's description allows.
+// limits sets the limits by which the judge checks the run.
 func (w *World) limits() {
 	p := w.Params
-	w.Record.Limits = judge.Limits{ProgramTokens: 6000, TurnTokens: 1000, Rate: map[string]float64{}, Burst: map[string]float64{}, Keep: time.Hour, Late: 2 * time.Second,
-		DayTokens: map[string]int64{"t2": p.DayTokens}, Users: map[string]judge.UserLimits{fmt.Sprintf("t%d", tenants): strictUser},
-		MinuteDollars: p.MinuteCost, Price: map[string]float64{"model": 10}, Drift: 0.09}
+	w.Record.Limits = judge.Limits{ProgramTokens: 6000, TurnTokens: 1000, Rate: map[string]float64{}, Burst: map[string]float64{}, Retention: time.Hour, PropagationLimit: 2 * time.Second,
+		DayTokens: map[string]int64{"t2": p.DayTokens}, Users: map[string]judge.UserLimits{fmt.Sprintf("t%d", tenants): strictLimits},
+		MinuteDollars: p.MinuteCost, Price: map[string]float64{"model": 10}, ClockDrift: 0.09}
 	for _, n := range w.nodes {
 		w.Record.Nodes = append(w.Record.Nodes, n.id)
 	}
@@ -105,108 +106,112 @@
 	}
 }
 
-// firstHand hands the first description over until it is taken.
-func (w *World) firstHand() {
+// applyFirstConfiguration retries the first configuration until it is in force.
+func (w *World) applyFirstConfiguration() {
 	at := w.cores[w.random.IntN(len(w.cores))]
 	if !at.alive || at.frozen {
-		w.after(100*time.Millisecond, w.firstHand)
+		w.after(100*time.Millisecond, w.applyFirstConfiguration)
 		return
 	}
-	w.hand(at, 0, "probe-first", func(taken bool) {
+	w.applyConfiguration(at, 0, "probe-first", func(taken bool) {
 		if !taken && w.version == 0 {
-			w.after(100*time.Millisecond, w.firstHand)
+			w.after(100*time.Millisecond, w.applyFirstConfiguration)
 		}
 	})
 }
 
-func (w *World) hand(at *proc, basedOn uint64, mark string, done func(taken bool)) {
-	text := w.describe(mark)
-	h := core.Hand{BasedOn: basedOn, Text: text, Digest: digestOf(text), Within: 8*time.Second + 2*w.Params.MemberTerm}
-	w.handed[mark] = basedOn + 1
+// applyConfiguration submits a configuration to a core and records its outcome.
+func (w *World) applyConfiguration(at *process, basedOn uint64, key string, done func(taken bool)) {
+	text := w.describe(key)
+	request := core.ApplyRequest{BasedOn: basedOn, Text: text, Digest: digestOf(text), Timeout: 8*time.Second + 2*w.Params.MemberLease}
+	w.pendingKeys[key] = basedOn + 1
 	began := w.now
 	revoked := ""
-	if strings.HasSuffix(mark, revoking) {
+	if strings.HasSuffix(key, revokingSuffix) {
 		revoked = "t1"
 	}
-	w.Record.Handed = append(w.Record.Handed, judge.Handed{At: began, BasedOn: basedOn})
-	w.Operate(at, func(m *core.Machine, now time.Duration, ticket uint64) core.Output { return m.Apply(now, ticket, h) }, func(body any) {
-		t := body.(core.Taking)
-		w.logf("configuration %s on %d: %+v", mark, basedOn, t.Code)
-		w.Counts["configuration "+t.Code]++
-		w.version = max(w.version, t.Version)
-		if t.Taken {
-			w.keys[t.Version] = mark
-			w.Record.Taken = append(w.Record.Taken, judge.Taken{At: w.now, Version: t.Version, Mark: mark, Revoked: revoked})
-			delete(w.handed, mark)
+	w.Record.Submissions = append(w.Record.Submissions, judge.Submission{At: began, BasedOn: basedOn})
+	w.Operate(at, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
+		return m.ApplyConfiguration(now, ticket, request)
+	}, func(body any) {
+		result := body.(core.ApplyResult)
+		w.logf("configuration %s based on version %d: %+v", key, basedOn, result.Code)
+		w.Counts["configuration "+result.Code]++
+		w.version = max(w.version, result.Version)
+		if result.InForce {
+			w.versionKeys[result.Version] = key
+			w.Record.Decisions = append(w.Record.Decisions, judge.Decision{At: w.now, Version: result.Version, ID: key, RevokedTenant: revoked})
+			delete(w.pendingKeys, key)
 		}
-		if t.Code == "race_lost" || t.Code == "not_approved" || t.Code == "faulty" {
-			w.keys[refusedBase+uint64(len(w.keys))] = mark
-			w.Record.Taken = append(w.Record.Taken, judge.Taken{At: w.now, Mark: mark, Refused: true})
-			delete(w.handed, mark)
+		if result.Code == "race_lost" || result.Code == "not_approved" || result.Code == "faulty" {
+			w.versionKeys[refusedBase+uint64(len(w.versionKeys))] = key
+			w.Record.Decisions = append(w.Record.Decisions, judge.Decision{At: w.now, ID: key, Refused: true})
+			delete(w.pendingKeys, key)
 		}
-		if t.Code == "agreed_not_taken" {
-			w.keys[t.Version] = mark
-			delete(w.handed, mark)
+		if result.Code == "agreed_not_taken" {
+			w.versionKeys[result.Version] = key
+			delete(w.pendingKeys, key)
 		}
-		done(t.Taken)
+		done(result.InForce)
 	})
 }
 
+// refusedBase is added to numbers of refused configurations to tell them from versions.
 const refusedBase = 1 << 40
 
-// revoking ends the marks of descriptions in which the first tenant has no key.
-const revoking = "-revoking"
+// revokingSuffix ends the keys of configurations in which the first tenant has no key.
+const revokingSuffix = "-revoking"
 
-// operator hands over new descriptions, racing the other operators.
+// operator applies new configurations concurrently with the other operators.
 func (w *World) operator() {
-	if w.now > w.Params.Length {
+	if w.now > w.Params.LoadTime {
 		return
 	}
 	at := w.cores[w.random.IntN(len(w.cores))]
-	if !at.alive || at.frozen || !at.coreM.Founded() {
+	if !at.alive || at.frozen || !at.coreMachine.Founded() {
 		w.after(300*time.Millisecond, w.operator)
 		return
 	}
-	w.marks++
-	mark := fmt.Sprintf("probe-%d", w.marks)
+	w.lastID++
+	key := fmt.Sprintf("probe-%d", w.lastID)
 	if w.chance(0.15) {
-		mark += revoking
+		key += revokingSuffix
 	}
-	w.hand(at, w.version, mark, func(bool) {})
+	w.applyConfiguration(at, w.version, key, func(bool) {})
 	w.after(w.between(time.Second, 4*time.Second), w.operator)
 }
 
-// probe finds out from outside which version each node has in force, by which
-// version's own key it takes.
+// probe checks periodically which version a random node has in force.
 func (w *World) probe() {
-	if w.now > w.Params.Length+w.Params.Settle-3*time.Second {
+	if w.now > w.Params.LoadTime+w.Params.SettleTime-3*time.Second {
 		return
 	}
-	w.look(w.anyNode(), false)
+	w.probeNode(w.anyNode(), false)
 	w.after(w.between(50*time.Millisecond, 250*time.Millisecond), w.probe)
 }
 
-func (w *World) look(p *proc, last bool) {
-	see := func(key string, version uint64) {
-		w.ask(p, node.Inquiry{Kind: node.Look, Key: key, Program: "none", Budget: time.Second}, func(a judge.Asked, _ node.Piece) {
-			if a.Code == "unknown_program" {
-				w.Record.Probes = append(w.Record.Probes, judge.Probe{At: a.At, Ended: a.Ended, Node: p.id, Version: version, Last: last})
+// probeNode checks by their keys which of the known versions a node has in force.
+func (w *World) probeNode(p *process, last bool) {
+	probeKey := func(key string, version uint64) {
+		w.submit(p, node.Request{Kind: node.KindStatus, Key: key, Program: "none", Timeout: time.Second}, func(result judge.Request, _ node.Frame) {
+			if result.Code == "unknown_program" {
+				w.Record.Probes = append(w.Record.Probes, judge.Probe{At: result.At, Ended: result.Ended, Node: p.id, Version: version, Final: last})
 				if version >= refusedBase {
-					w.Record.Taken = append(w.Record.Taken, judge.Taken{Version: version, Refused: true})
+					w.Record.Decisions = append(w.Record.Decisions, judge.Decision{Version: version, Refused: true})
 				}
 			}
 		})
 	}
-	for _, v := range ordered.Keys(w.keys) {
-		see(w.keys[v], v)
+	for _, v := range ordered.Keys(w.versionKeys) {
+		probeKey(w.versionKeys[v], v)
 	}
-	// What became of some descriptions nobody was told, or not surely.
-	for _, mark := range ordered.Keys(w.handed) {
-		see(mark, w.handed[mark])
+	// The outcome of pending configurations is not known yet.
+	for _, key := range ordered.Keys(w.pendingKeys) {
+		probeKey(key, w.pendingKeys[key])
 	}
 }
 
-// Summary lists what was counted, in order.
+// Summary returns all counts sorted by name.
 func (w *World) Summary() []string {
 	var lines []string
 	for _, name := range ordered.Keys(w.Counts) {
@@ -215,50 +220,50 @@
 	return lines
 }
 
-// Calm founds a world without faults, with a first description in force and
-// back ends known, for tests that drive it step by step.
-func Calm(p Params) *World {
-	p.Faults, p.Loss = false, 0
+// NewWithoutFaults returns a running world without faults or message loss, with the first
+// configuration in force and all replicas announced, for tests that drive it step by step.
+func NewWithoutFaults(p Params) *World {
+	p.Faults, p.MessageLoss = false, 0
 	w := New(p)
 	w.Found()
-	for _, b := range w.models {
+	for _, b := range w.backends {
 		b.announce()
 	}
-	w.after(time.Second, w.firstHand)
+	w.after(time.Second, w.applyFirstConfiguration)
 	w.run(4 * time.Second)
 	return w
 }
 
-// Do makes one inquiry at a node and runs the world until its return.
-func (w *World) Do(number int, q node.Inquiry) (judge.Asked, node.Piece) {
-	var got judge.Asked
-	var last node.Piece
+// Do submits a request to the node with this index and runs the world until its outcome.
+func (w *World) Do(number int, request node.Request) (judge.Request, node.Frame) {
+	var got judge.Request
+	var last node.Frame
 	over := false
-	if q.Budget == 0 {
-		q.Budget = 3 * time.Second
+	if request.Timeout == 0 {
+		request.Timeout = 3 * time.Second
 	}
-	w.ask(w.nodes[number], q, func(a judge.Asked, p node.Piece) { got, last, over = a, p, true })
-	for until := w.now + q.Budget + time.Second; !over && w.now < until; {
+	w.submit(w.nodes[number], request, func(result judge.Request, p node.Frame) { got, last, over = result, p, true })
+	for until := w.now + request.Timeout + time.Second; !over && w.now < until; {
 		w.run(w.now + 5*time.Millisecond)
 	}
 	return got, last
 }
 
-// Pass lets time pass.
-func (w *World) Pass(d time.Duration) { w.run(w.now + d) }
+// Advance runs the world for a duration of simulated time.
+func (w *World) Advance(d time.Duration) { w.run(w.now + d) }
 
-// seated reports whether every seat of every group is a core as it is now: the
-// loss of one more disk is then one that must be borne.
-func (w *World) seated() bool {
+// membersCurrent reports whether every member of every group is a current core. Only then
+// must the fleet tolerate the loss of another disk.
+func (w *World) membersCurrent() bool {
 	current := map[string]bool{}
 	for _, p := range w.cores {
-		current[p.coreM.Self().Seat()] = true
+		current[p.coreMachine.Self().MemberID()] = true
 	}
 	for _, p := range w.cores {
-		if !p.coreM.Founded() {
+		if !p.coreMachine.Founded() {
 			return false
 		}
-		for _, g := range p.coreM.Topology().Groups {
+		for _, g := range p.coreMachine.Topology().Groups {
 			for _, s := range g.All() {
 				if !current[s] {
 					return false
@@ -269,30 +274,31 @@
 	return true
 }
 
-// drained restarts a leaving node once it has nothing left, or once its grace
-// is over.
-func (p *proc) drained(life int, until time.Duration) {
+// awaitDrain restarts a draining node when it has drained or at the deadline.
+func (p *process) awaitDrain(incarnation int, until time.Duration) {
 	w := p.world
 	switch {
-	case p.life != life:
+	case p.incarnation != incarnation:
 		return
-	case p.nodeM.Left(p.now()):
+	case p.nodeMachine.Drained(p.now()):
 		w.Counts["drained"]++
 	case w.now >= until && !p.frozen:
 		w.Counts["drains cut short"]++
-		p.takeNode(p.nodeM.Quit(p.now()))
+		p.handleNodeOutput(p.nodeMachine.Shutdown(p.now()))
 	default:
-		w.after(50*time.Millisecond, func() { p.drained(life, until) })
+		w.after(50*time.Millisecond, func() { p.awaitDrain(incarnation, until) })
 		return
 	}
 	p.kill()
 	w.after(w.between(100*time.Millisecond, time.Second), p.boot)
 }
 
-func open(w *World, at int, user string) (judge.Asked, node.Piece) {
-	return w.Do(at, node.Inquiry{Kind: node.Open, Key: "key-t1", User: user})
+// open starts a session of the first tenant at a node.
+func open(w *World, at int, user string) (judge.Request, node.Frame) {
+	return w.Do(at, node.Request{Kind: node.KindOpen, Key: "key-t1", User: user})
 }
 
-func turn(w *World, at int, id, before string, tokens int64) (judge.Asked, node.Piece) {
-	return w.Do(at, node.Inquiry{Kind: node.Turn, Key: "key-t1", Program: id, Service: "model", Before: before, Say: w.mark("say"), MaxTokens: tokens})
+// turn takes a turn of a program of the first tenant at a node.
+func turn(w *World, at int, id, before string, tokens int64) (judge.Request, node.Frame) {
+	return w.Do(at, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: before, Prompt: w.newID("say"), MaxTokens: tokens})
 }
--- a/rehearsalkit/simulator/seeds.go
+++ b/rehearsalkit/simulator/seeds.go
@@ -7,25 +7,28 @@
 	"saffronfall/rehearsalkit/judge"
 )
 
-// Outcome is what became of one seed.
+// Outcome is the result of one seed.
 type Outcome struct {
 	Seed     uint64
 	Breaches []judge.Breach
-	Whole    int64
-	// Situations counts how often what each rule is about came about.
+	// CompletedTurns counts the turns whose response arrived in full.
+	CompletedTurns int64
+	// Situations counts the occurrences of the situations that the rules are about.
 	Situations map[string]int
-	LateTrip   time.Duration
+	// MaxTripDelay is the longest time that a node still admitted after another node
+	// had reported a trip of the breaker.
+	MaxTripDelay time.Duration
 }
 
-// RunSeeds runs seeds one after the other on each processor, and tells their
-// outcomes as they come.
-func RunSeeds(first uint64, count int, tell func(o Outcome)) {
+// RunSeeds runs consecutive seeds in parallel, one for each processor, and reports each
+// outcome as it completes, in any order.
+func RunSeeds(first uint64, count int, report func(o Outcome)) {
 	work, done := make(chan uint64), make(chan Outcome)
 	for i := 0; i < runtime.NumCPU(); i++ {
 		go func() {
 			for seed := range work {
 				w, breaches := Run(Defaults(seed))
-				done <- Outcome{Seed: seed, Breaches: breaches, Whole: w.Counts["asked turn whole"], Situations: w.Record.Situations(), LateTrip: w.Record.LateAfterTrip()}
+				done <- Outcome{Seed: seed, Breaches: breaches, CompletedTurns: w.Counts["asked turn whole"], Situations: w.Record.Situations(), MaxTripDelay: w.Record.LateAfterTrip()}
 			}
 		}()
 	}
@@ -36,6 +39,6 @@
 		close(work)
 	}()
 	for i := 0; i < count; i++ {
-		tell(<-done)
+		report(<-done)
 	}
 }
--- a/rehearsalkit/soak/trouble.go
+++ b/rehearsalkit/soak/faults.go
@@ -8,16 +8,18 @@
 	"time"
 )
 
-// upheaval is one kind of trouble. It brings it about, waits and takes it back.
-type upheaval struct {
+// faultKind is one kind of fault.
+type faultKind struct {
 	name string
-	// weight is how often it comes, among the others.
+	// weight is its relative frequency.
 	weight int
-	befall func(f *Fleet, ctx context.Context, random *rand.Rand) (whom string)
+	// inject causes the fault, waits and repairs it. It returns what was affected, or "" if
+	// the fault was skipped.
+	inject func(f *Fleet, ctx context.Context, random *rand.Rand) (targets string)
 }
 
-// upheavals are all kinds.
-var upheavals = []upheaval{
+// processFaults are faults of processes, of the links between them, and of replicas.
+var processFaults = []faultKind{
 	{"kill", 4, onProcess(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
 		p.kill()
 		pause(ctx, between(random, 0, 1500*time.Millisecond))
@@ -36,7 +38,7 @@
 	})},
 	{"end", 4, onProcess(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
 		p.signal(syscall.SIGTERM)
-		p.wait()
+		p.waitExit()
 		p.start()
 	})},
 	{"end twice, with a reload", 2, onProcess(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
@@ -45,7 +47,7 @@
 			pause(ctx, between(random, 0, 400*time.Millisecond))
 			p.signal(s)
 		}
-		p.wait()
+		p.waitExit()
 		p.start()
 	})},
 	{"end while it starts", 2, onProcess(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
@@ -53,7 +55,7 @@
 		p.start()
 		pause(ctx, between(random, 0, 120*time.Millisecond))
 		p.signal(syscall.SIGTERM)
-		p.wait()
+		p.waitExit()
 		p.start()
 	})},
 	{"reload while it starts", 2, onProcess(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
@@ -93,16 +95,16 @@
 		f.links.Reset(ctx, p.ip)
 	})},
 	{"replica leaves", 3, func(f *Fleet, ctx context.Context, random *rand.Rand) string {
-		return f.replicas.befall(random, func(p *place) {
+		return f.replicas.withEndpoint(random, func(p *endpoint) {
 			p.leave(ctx, random.IntN(3) == 0)
-			p.begin(ctx)
+			p.start(ctx)
 		})
 	}},
 	{"replica crashes", 2, func(f *Fleet, ctx context.Context, random *rand.Rand) string {
-		return f.replicas.befall(random, func(p *place) {
+		return f.replicas.withEndpoint(random, func(p *endpoint) {
 			p.crash()
 			pause(ctx, between(random, 0, 2*time.Second))
-			p.begin(ctx)
+			p.start(ctx)
 		})
 	}},
 }
@@ -111,22 +113,22 @@
 	return low + time.Duration(random.Int64N(int64(high-low)))
 }
 
-// onProcess makes a trouble of what befalls one process that has no other trouble of
-// its own just now.
-func onProcess(what func(f *Fleet, ctx context.Context, random *rand.Rand, p *process)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
+// onProcess makes a fault of one random process. It is skipped if the process has another
+// fault.
+func onProcess(action func(f *Fleet, ctx context.Context, random *rand.Rand, p *process)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	return func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 		p := f.processes[random.IntN(len(f.processes))]
-		if !f.take(p) {
+		if !f.acquire(p) {
 			return ""
 		}
-		defer f.give(p)
-		p.check()
-		what(f, ctx, random, p)
+		defer f.release(p)
+		p.checkExit()
+		action(f, ctx, random, p)
 		return p.name
 	}
 }
 
-func (f *Fleet) take(p *process) bool {
+func (f *Fleet) acquire(p *process) bool {
 	select {
 	case f.busy[p] <- struct{}{}:
 		return true
@@ -135,20 +137,20 @@
 	}
 }
 
-func (f *Fleet) give(p *process) { <-f.busy[p] }
+func (f *Fleet) release(p *process) { <-f.busy[p] }
 
-// loseDisk ends a core and empties its folder. One disk at a time may be lost, until
-// the fleet has had time to make up for it.
+// loseDisk kills a core, empties its folder and starts it again. The next disk may be lost
+// only after the fleet has had time to recover.
 func loseDisk(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	select {
 	case f.diskLost <- struct{}{}:
 	default:
 		return ""
 	}
-	const madeUp = 8 * time.Second
-	cores := f.of(roleCore)
+	const recoveryTime = 8 * time.Second
+	cores := f.withRole(roleCore)
 	p := cores[random.IntN(len(cores))]
-	if !f.take(p) {
+	if !f.acquire(p) {
 		<-f.diskLost
 		return ""
 	}
@@ -156,15 +158,15 @@
 	os.RemoveAll(p.dataFolder())
 	pause(ctx, between(random, 0, time.Second))
 	p.start()
-	f.give(p)
+	f.release(p)
 	go func() {
-		pause(ctx, madeUp)
+		pause(ctx, recoveryTime)
 		<-f.diskLost
 	}()
 	return p.name
 }
 
-// cutFrom cuts, or mends, the links between a process and others.
+// cutFrom cuts or restores the links between a process and others.
 func (f *Fleet) cutFrom(ctx context.Context, p *process, others []*process, cut bool) {
 	for _, o := range others {
 		if o != p {
@@ -182,15 +184,15 @@
 	}
 }
 
-// oneWayCut lets a process hear, and not be heard, or the other way round.
+// oneWayCut cuts all links of a process in one direction.
 func oneWayCut(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	p := f.processes[random.IntN(len(f.processes))]
-	speaks := random.IntN(2) == 0
+	outgoing := random.IntN(2) == 0
 	set := func(cut bool) {
 		for _, o := range f.processes {
 			switch {
 			case o == p:
-			case speaks:
+			case outgoing:
 				f.links.CutOneWay(ctx, p.ip, o.ip, cut)
 			default:
 				f.links.CutOneWay(ctx, o.ip, p.ip, cut)
@@ -203,10 +205,10 @@
 	return p.name
 }
 
-// halves cuts the cores and desks into two sides; nodes reach both.
+// halves partitions the cores and desks into two sides; nodes reach both.
 func halves(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	var one, rest []*process
-	for _, p := range append(f.of(roleCore), f.of(roleDesk)...) {
+	for _, p := range append(f.withRole(roleCore), f.withRole(roleDesk)...) {
 		if random.IntN(2) == 0 {
 			one = append(one, p)
 		} else {
@@ -224,71 +226,72 @@
 	return "cores and desks"
 }
 
-// befall brings something about at a place that has no other trouble.
-func (r *replicas) befall(random *rand.Rand, what func(p *place)) string {
-	p := r.places[random.IntN(len(r.places))]
+// withEndpoint calls action for a random endpoint. It is skipped if the endpoint has another
+// fault.
+func (r *replicas) withEndpoint(random *rand.Rand, action func(p *endpoint)) string {
+	p := r.endpoints[random.IntN(len(r.endpoints))]
 	select {
 	case p.busy <- struct{}{}:
 	default:
 		return ""
 	}
-	what(p)
+	action(p)
 	<-p.busy
 	return p.address
 }
 
-// kinds are the troubles that may come.
-func (f *Fleet) kinds() []upheaval {
-	kinds := append(append([]upheaval(nil), upheavals...), linkUpheavals...)
+// kinds returns the kinds of faults of this run.
+func (f *Fleet) kinds() []faultKind {
+	kinds := append(append([]faultKind(nil), processFaults...), linkFaults...)
 	if f.DiskBinary != "" {
-		kinds = append(kinds, diskUpheavals...)
+		kinds = append(kinds, diskFaults...)
 	}
 	return kinds
 }
 
-// upheave lets troubles come for a time, overlapping as they may, and returns when
-// all are over.
-func (f *Fleet) upheave(ctx context.Context) {
-	all, kinds := 0, f.kinds()
-	for _, u := range kinds {
-		all += u.weight
+// injectFaults starts random faults for Length, which may overlap, and returns when all
+// are over.
+func (f *Fleet) injectFaults(ctx context.Context) {
+	totalWeight, kinds := 0, f.kinds()
+	for _, kind := range kinds {
+		totalWeight += kind.weight
 	}
 	done, begun := make(chan struct{}, 1<<12), 0
 	for end := f.now() + f.Length; f.now() < end && ctx.Err() == nil; {
-		at, chosen := f.random.IntN(all), kinds[0]
-		for _, u := range kinds {
-			if chosen = u; at < u.weight {
+		at, chosen := f.random.IntN(totalWeight), kinds[0]
+		for _, kind := range kinds {
+			if chosen = kind; at < kind.weight {
 				break
 			}
-			at -= u.weight
+			at -= kind.weight
 		}
 		random := rand.New(rand.NewPCG(f.random.Uint64(), f.random.Uint64()))
 		begun++
 		go func() {
-			f.bring(ctx, chosen, random)
+			f.injectFault(ctx, chosen, random)
 			done <- struct{}{}
 		}()
-		pause(ctx, time.Duration(f.random.ExpFloat64()/f.Troubles*float64(time.Second)))
+		pause(ctx, time.Duration(f.random.ExpFloat64()/f.FaultRate*float64(time.Second)))
 	}
 	for range begun {
 		<-done
 	}
 	for _, p := range f.processes {
-		p.check()
+		p.checkExit()
 	}
 }
 
-// settle lets requesters live on after the troubles. Once nothing of them is left, one
-// replica of each service leaves in good order: in calm times nothing may reach it
-// beyond the bound.
+// settle lets requesters run after the faults. Once the fleet has recovered, one replica
+// of each service leaves in an orderly way: without faults, no request may reach it after
+// drainTimeout.
 func (f *Fleet) settle(ctx context.Context) {
-	pause(ctx, contactTime+time.Second)
+	pause(ctx, contactTimeout+time.Second)
 	done := make(chan struct{})
-	leaving := []*place{f.replicas.places[0], f.replicas.places[len(f.replicas.places)-1]}
+	leaving := []*endpoint{f.replicas.endpoints[0], f.replicas.endpoints[len(f.replicas.endpoints)-1]}
 	for i, p := range leaving {
 		go func() {
 			p.leave(ctx, i == 0)
-			p.begin(ctx)
+			p.start(ctx)
 			done <- struct{}{}
 		}()
 	}
@@ -298,14 +301,14 @@
 	pause(ctx, f.Settle)
 }
 
-// bring brings one trouble about and notes it.
-func (f *Fleet) bring(ctx context.Context, u upheaval, random *rand.Rand) {
-	t := trouble{Kind: u.name, From: f.now()}
-	if t.Whom = u.befall(f, ctx, random); t.Whom == "" {
+// injectFault injects one fault and records it.
+func (f *Fleet) injectFault(ctx context.Context, kind faultKind, random *rand.Rand) {
+	t := fault{Kind: kind.name, From: f.now()}
+	if t.Target = kind.inject(f, ctx, random); t.Target == "" {
 		return
 	}
 	t.To = f.now()
-	f.note(func(r *record) { r.Troubles = append(r.Troubles, t) })
+	f.update(func(r *record) { r.Faults = append(r.Faults, t) })
 	if f.Logf != nil {
 		f.Logf("seed %d: %s", f.Seed, t)
 	}
--- a/rehearsalkit/soak/replica.go
+++ b/rehearsalkit/soak/replica.go
@@ -15,14 +15,14 @@
 	"time"
 )
 
-// Services of the rehearsed table.
+// Services of the routing table.
 const (
 	serviceModel = "model"
 	serviceApp   = "app"
 )
 
-// eventsOfTurn is how many events a whole stream has, tokensPerEvent how many tokens
-// each counts.
+// eventsOfTurn is the number of events of a complete stream, tokensPerEvent the tokens
+// that each counts.
 const (
 	eventsOfTurn   = 5
 	tokensPerEvent = 10
@@ -30,33 +30,32 @@
 	turnTokens     = eventsOfTurn * tokensPerEvent
 )
 
-// replicas are all stand-in replicas, by places. A place has one replica after the
-// other at one address.
+// replicas are all simulated replicas, by endpoint.
 type replicas struct {
-	fleet  *Fleet
-	places []*place
+	fleet     *Fleet
+	endpoints []*endpoint
 }
 
-// place is an address that replicas come and go at.
-type place struct {
+// endpoint is an address that has one replica after the other.
+type endpoint struct {
 	fleet            *Fleet
 	service, address string
-	// behind is where its replicas listen: the address itself, or one behind a relay.
-	behind  string
-	lives   int
-	current *replica
-	// busy lets one trouble at a time have the place.
+	// listenAddress is where its replicas listen: the address itself, or behind a relay.
+	listenAddress string
+	incarnations  int
+	current       *replica
+	// busy is the lock that allows one fault at a time.
 	busy chan struct{}
 }
 
-// replica is one life of a replica.
+// replica is one replica, from its start to its end.
 type replica struct {
-	place  *place
-	id     string
-	server net.Listener
-	cancel context.CancelFunc
-	ctx    context.Context
-	// leaving is closed when it begins to say that it leaves.
+	endpoint *endpoint
+	id       string
+	server   net.Listener
+	cancel   context.CancelFunc
+	ctx      context.Context
+	// leaving is closed when its heartbeats start to announce that it leaves.
 	leaving chan struct{}
 }
 
@@ -67,24 +66,24 @@
 		if i >= 3 {
 			service = serviceApp
 		}
-		p := &place{fleet: f, service: service, address: f.host(hostReplica, i+1) + ":7900", busy: make(chan struct{}, 1)}
-		p.behind = p.address
+		p := &endpoint{fleet: f, service: service, address: f.host(hostReplica, i+1) + ":7900", busy: make(chan struct{}, 1)}
+		p.listenAddress = p.address
 		if i%2 == 0 {
-			// Those that are not behind a relay refuse connections while they are down.
-			p.behind = f.host(hostReplica, i+1) + ":7910"
+			// Endpoints without a relay refuse connections while they have no replica.
+			p.listenAddress = f.host(hostReplica, i+1) + ":7910"
 		}
-		r.places = append(r.places, p)
+		r.endpoints = append(r.endpoints, p)
 	}
 	return r
 }
 
-// relay puts relays before the places that are behind one.
+// relay starts the relays.
 func (r *replicas) relay(ctx context.Context) error {
-	for _, p := range r.places {
-		if p.behind == p.address {
+	for _, p := range r.endpoints {
+		if p.listenAddress == p.address {
 			continue
 		}
-		if err := r.fleet.links.Relay(ctx, p.address, p.behind); err != nil {
+		if err := r.fleet.links.Relay(ctx, p.address, p.listenAddress); err != nil {
 			return err
 		}
 	}
@@ -92,17 +91,17 @@
 }
 
 func (r *replicas) fill(ctx context.Context) {
-	for _, p := range r.places {
-		p.begin(ctx)
+	for _, p := range r.endpoints {
+		p.start(ctx)
 	}
 }
 
-// begin begins a new life at a place.
-func (p *place) begin(ctx context.Context) {
+// start starts a new replica at the endpoint.
+func (p *endpoint) start(ctx context.Context) {
 	var listener net.Listener
 	for range 100 {
 		var err error
-		if listener, err = net.Listen("tcp", p.behind); err == nil {
+		if listener, err = net.Listen("tcp", p.listenAddress); err == nil {
 			break
 		}
 		pause(ctx, 20*time.Millisecond)
@@ -110,48 +109,48 @@
 	if listener == nil {
 		return
 	}
-	p.lives++
-	life, cancel := context.WithCancel(ctx)
-	one := &replica{place: p, id: fmt.Sprintf("%s-%s-%d", p.service, strings.ReplaceAll(p.address, ":", "."), p.lives), server: listener, ctx: life, cancel: cancel, leaving: make(chan struct{})}
-	p.current = one
-	server := &http.Server{Handler: http.HandlerFunc(one.serve)}
+	p.incarnations++
+	lifetime, cancel := context.WithCancel(ctx)
+	r := &replica{endpoint: p, id: fmt.Sprintf("%s-%s-%d", p.service, strings.ReplaceAll(p.address, ":", "."), p.incarnations), server: listener, ctx: lifetime, cancel: cancel, leaving: make(chan struct{})}
+	p.current = r
+	server := &http.Server{Handler: http.HandlerFunc(r.serve)}
 	go server.Serve(listener)
-	context.AfterFunc(life, func() { server.Close() })
-	go one.announce()
+	context.AfterFunc(lifetime, func() { server.Close() })
+	go r.announce()
 }
 
-// crash ends a life without a word.
-func (p *place) crash() {
+// crash ends the replica without deregistering it.
+func (p *endpoint) crash() {
 	if p.current != nil {
 		p.current.cancel()
 		p.current = nil
 	}
 }
 
-// leave says that a replica leaves, serves on for a while and ends it. Some say it
-// by their last word only.
-func (p *place) leave(ctx context.Context, lastWordFirst bool) {
-	one := p.current
-	if one == nil {
+// leave announces that the replica leaves, lets it serve for a while and ends it. With
+// deregisterFirst it deregisters at once instead of announcing it by heartbeat first.
+func (p *endpoint) leave(ctx context.Context, deregisterFirst bool) {
+	r := p.current
+	if r == nil {
 		return
 	}
-	if !lastWordFirst {
-		close(one.leaving)
+	if !deregisterFirst {
+		close(r.leaving)
 	} else {
-		one.lastWord()
+		r.deregister()
 	}
-	pause(ctx, drainBound+time.Duration(rand.IntN(1000))*time.Millisecond)
-	if !lastWordFirst {
-		one.lastWord()
+	pause(ctx, drainTimeout+time.Duration(rand.IntN(1000))*time.Millisecond)
+	if !deregisterFirst {
+		r.deregister()
 	}
 	p.crash()
 }
 
-// announce says all the time that the replica is there, at one desk or another.
+// announce sends heartbeats to a desk, and changes to the next desk after a failure.
 func (r *replica) announce() {
-	ticker := time.NewTicker(beat)
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
-	desks := r.place.fleet.of(roleDesk)
+	desks := r.endpoint.fleet.withRole(roleDesk)
 	at := rand.IntN(len(desks))
 	for call := 1; ; call++ {
 		leaving := false
@@ -160,10 +159,10 @@
 			leaving = true
 		default:
 		}
-		body, _ := json.Marshal(map[string]any{"service": r.place.service, "address": r.place.address, "zone": "zone1", "slots": 8, "leaving": leaving, "call": call})
-		if r.tell(http.MethodPut, desks[at], body) {
+		body, _ := json.Marshal(map[string]any{"service": r.endpoint.service, "address": r.endpoint.address, "zone": "zone1", "slots": 8, "leaving": leaving, "call": call})
+		if r.call(http.MethodPut, desks[at], body) {
 			if leaving {
-				r.place.fleet.left(r.id)
+				r.endpoint.fleet.recordDeparture(r.id)
 			}
 		} else {
 			at = (at + 1) % len(desks)
@@ -174,46 +173,47 @@
 			if !leaving {
 				continue
 			}
-			pause(r.ctx, beat)
+			pause(r.ctx, heartbeatInterval)
 		case <-r.ctx.Done():
 			return
 		}
 	}
 }
 
-// lastWord says that the replica goes, until a desk has heard it.
-func (r *replica) lastWord() {
-	for _, desk := range r.place.fleet.of(roleDesk) {
-		if r.tell(http.MethodDelete, desk, nil) {
-			r.place.fleet.left(r.id)
+// deregister tells the desks in turn that the replica is gone, until one acknowledges it.
+func (r *replica) deregister() {
+	for _, desk := range r.endpoint.fleet.withRole(roleDesk) {
+		if r.call(http.MethodDelete, desk, nil) {
+			r.endpoint.fleet.recordDeparture(r.id)
 			return
 		}
 	}
 }
 
-// left notes that a desk acknowledged that a replica leaves.
-func (f *Fleet) left(id string) {
+// recordDeparture records the first acknowledgement that a replica leaves.
+func (f *Fleet) recordDeparture(id string) {
 	at := f.now()
-	f.note(func(r *record) {
-		for _, w := range r.Words {
+	f.update(func(r *record) {
+		for _, w := range r.Departures {
 			if w.Replica == id {
 				return
 			}
 		}
-		r.Words = append(r.Words, word{Replica: id, At: at})
+		r.Departures = append(r.Departures, departure{Replica: id, At: at})
 	})
 }
 
-// tell says something to a desk, and reports whether it was acknowledged in time.
-func (r *replica) tell(method string, desk *process, body []byte) bool {
+// call sends a heartbeat or a deregistration to a desk, and reports whether it was
+// acknowledged within a second.
+func (r *replica) call(method string, desk *process, body []byte) bool {
 	ctx, cancel := context.WithTimeout(r.ctx, time.Second)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+desk.at(operatorPort)+"/v1/replicas/"+r.id, bytes.NewReader(body))
+	q, err := http.NewRequestWithContext(ctx, method, "http://"+desk.address(operatorPort)+"/v1/replicas/"+r.id, bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
 	q.Header.Set("Authorization", "Bearer "+replicaKey)
-	answer, err := r.place.fleet.client.Do(q)
+	answer, err := r.endpoint.fleet.client.Do(q)
 	if err != nil {
 		return false
 	}
@@ -222,43 +222,43 @@
 	return err == nil && answer.StatusCode == http.StatusOK
 }
 
-// manner is how a replica treats one request.
-type manner int
+// behavior is how a replica handles one request.
+type behavior int
 
-// Manners of replicas.
+// Behaviors of replicas.
 const (
-	mannerGood manner = iota
-	// mannerFull promises that it did not run.
-	mannerFull
-	// mannerFails answers 500 after it ran.
-	mannerFails
-	// mannerSwallows runs and ends the connection without an answer.
-	mannerSwallows
-	// mannerResets does so by a reset.
-	mannerResets
-	// mannerHalf breaks off in the middle of its answer.
-	mannerHalf
-	// mannerSurplus sends bytes after its whole answer.
-	mannerSurplus
-	// mannerSurplusLater sends another answer where the next request's is due.
-	mannerSurplusLater
-	// mannerSilent never answers.
-	mannerSilent
-	// mannerNonsense sends bytes that are no answer.
-	mannerNonsense
-	// mannerEarly answers before it has read the body.
-	mannerEarly
-	// mannerLate answers after a pause.
-	mannerLate
-	mannersOdd
+	behaviorGood behavior = iota
+	// behaviorFull answers that the request has not run.
+	behaviorFull
+	// behaviorFails answers 500 after the run.
+	behaviorFails
+	// behaviorSwallows closes the connection without an answer after the run.
+	behaviorSwallows
+	// behaviorResets resets the connection after the run.
+	behaviorResets
+	// behaviorHalf closes the connection within the answer.
+	behaviorHalf
+	// behaviorSurplus sends more bytes right after the complete answer.
+	behaviorSurplus
+	// behaviorSurplusLater sends an unrelated answer to the next request on the connection.
+	behaviorSurplusLater
+	// behaviorSilent never answers.
+	behaviorSilent
+	// behaviorNonsense sends bytes that are not an HTTP response.
+	behaviorNonsense
+	// behaviorEarly answers without reading the body.
+	behaviorEarly
+	// behaviorLate answers after a delay.
+	behaviorLate
+	behaviorCount
 )
 
-// pick is good mostly, and else one of the others.
-func pick() manner {
+// pickBehavior returns a random behavior, mostly behaviorGood.
+func pickBehavior() behavior {
 	if rand.Float64() < 0.82 {
-		return mannerGood
+		return behaviorGood
 	}
-	return manner(1 + rand.IntN(int(mannersOdd)-1))
+	return behavior(1 + rand.IntN(int(behaviorCount)-1))
 }
 
 func (r *replica) serve(w http.ResponseWriter, q *http.Request) {
@@ -268,36 +268,36 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	how := pick()
-	if how == mannerFull {
+	how := pickBehavior()
+	if how == behaviorFull {
 		w.Header().Set("Saffronfall-Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	var got []byte
-	if how != mannerEarly {
+	if how != behaviorEarly {
 		var err error
 		if got, err = io.ReadAll(q.Body); err != nil {
 			return
 		}
 	}
-	f := r.place.fleet
+	f := r.endpoint.fleet
 	stream := strings.HasPrefix(q.URL.Path, "/"+kindChat+"/") || strings.HasPrefix(q.URL.Path, "/"+kindKept+"/")
-	one := run{At: f.now(), Replica: r.id, Service: r.place.service, Attempt: attempt, Tenant: q.Header.Get("Saffronfall-Tenant"), Method: q.Method, Path: q.URL.Path, Got: string(got), Gave: r.answer(q, stream)}
-	if how == mannerEarly {
+	one := run{At: f.now(), Replica: r.id, Service: r.endpoint.service, Attempt: attempt, Tenant: q.Header.Get("Saffronfall-Tenant"), Method: q.Method, Path: q.URL.Path, Got: string(got), Gave: r.answer(q, stream)}
+	if how == behaviorEarly {
 		one.Got = unread
 	}
-	f.note(func(r *record) { r.Runs = append(r.Runs, one) })
+	f.update(func(r *record) { r.Runs = append(r.Runs, one) })
 	pause(q.Context(), time.Duration(5+rand.IntN(30))*time.Millisecond)
-	if how == mannerLate {
+	if how == behaviorLate {
 		pause(q.Context(), time.Duration(rand.IntN(2500))*time.Millisecond)
 	}
 	w.Header().Set("Saffronfall-Seal", "seal-"+attempt)
 	w.Header().Set("Saffronfall-Load", "1,0,8")
 	switch how {
-	case mannerGood, mannerLate, mannerEarly:
-		r.give(w, one, stream)
-	case mannerFails:
+	case behaviorGood, behaviorLate, behaviorEarly:
+		r.writeAnswer(w, one, stream)
+	case behaviorFails:
 		w.WriteHeader(http.StatusInternalServerError)
 		io.WriteString(w, "failed "+attempt)
 	default:
@@ -305,14 +305,14 @@
 	}
 }
 
-// unread stands for a body that a replica answered before.
+// unread is recorded in place of a body that the replica did not read.
 const unread = "(not read)"
 
-// pathLarge is asked for by who takes nothing of it: its streams are larger than what
-// sockets hold.
+// pathLarge is the path of streams that are larger than socket buffers, for requesters
+// that do not read them.
 const pathLarge = "/" + kindChat + "/large"
 
-// answer is the whole of what a replica answers to a request.
+// answer returns the complete answer to a request.
 func (r *replica) answer(q *http.Request, stream bool) string {
 	attempt := q.Header.Get("Saffronfall-Attempt")
 	if !stream {
@@ -333,8 +333,8 @@
 	return text.String()
 }
 
-// give answers in good order: a stream event by event.
-func (r *replica) give(w http.ResponseWriter, one run, stream bool) {
+// writeAnswer writes a correct answer. A stream is written event by event.
+func (r *replica) writeAnswer(w http.ResponseWriter, one run, stream bool) {
 	if !stream {
 		io.WriteString(w, one.Gave)
 		return
@@ -349,8 +349,8 @@
 	}
 }
 
-// misbehave answers by hand, and mostly badly.
-func (r *replica) misbehave(w http.ResponseWriter, q *http.Request, one run, how manner, stream bool) {
+// misbehave takes over the connection and answers as the behavior demands.
+func (r *replica) misbehave(w http.ResponseWriter, q *http.Request, one run, how behavior, stream bool) {
 	head := "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: " + one.Attempt + "\r\nSaffronfall-Seal: seal-" + one.Attempt + "\r\n"
 	length := fmt.Sprintf("Content-Length: %d\r\n\r\n", len(one.Gave))
 	hijacker, ok := w.(http.Hijacker)
@@ -362,42 +362,42 @@
 		return
 	}
 	defer c.Close()
-	say := func(text string) {
+	write := func(text string) {
 		c.SetWriteDeadline(time.Now().Add(time.Second))
 		io.WriteString(c, text)
 	}
 	switch how {
-	case mannerSwallows:
-		// Nothing is said, and the connection ends.
-	case mannerResets:
+	case behaviorSwallows:
+		// The deferred Close ends the connection.
+	case behaviorResets:
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
-	case mannerHalf:
+	case behaviorHalf:
 		cut := rand.IntN(len(one.Gave))
-		say(head + length + one.Gave[:cut])
-	case mannerSurplus:
-		say(head + length + one.Gave + surplusAnswer)
-		r.linger(c, buffer.Reader, 300*time.Millisecond)
-	case mannerSurplusLater:
-		say(head + length + one.Gave)
-		if r.linger(c, buffer.Reader, time.Second) {
-			say(surplusAnswer)
-			r.linger(c, buffer.Reader, 300*time.Millisecond)
+		write(head + length + one.Gave[:cut])
+	case behaviorSurplus:
+		write(head + length + one.Gave + surplusAnswer)
+		r.waitForByte(c, buffer.Reader, 300*time.Millisecond)
+	case behaviorSurplusLater:
+		write(head + length + one.Gave)
+		if r.waitForByte(c, buffer.Reader, time.Second) {
+			write(surplusAnswer)
+			r.waitForByte(c, buffer.Reader, 300*time.Millisecond)
 		}
-	case mannerSilent:
-		r.linger(c, buffer.Reader, 10*time.Second)
-	case mannerNonsense:
-		say("no answer at all\r\n\r\n")
+	case behaviorSilent:
+		r.waitForByte(c, buffer.Reader, 10*time.Second)
+	case behaviorNonsense:
+		write("no answer at all\r\n\r\n")
 	}
 }
 
 // surplusAnswer is an answer that belongs to no request.
 const surplusAnswer = "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: other\r\nSaffronfall-Seal: s\r\nContent-Length: 7\r\n\r\nsurplus"
 
-// linger keeps a connection until its other end closes it, or for a time. It reports
-// whether more was said on it.
-func (r *replica) linger(c net.Conn, reader *bufio.Reader, within time.Duration) bool {
+// waitForByte keeps a connection open until the peer sends a byte or closes it, or for a
+// time. It reports whether a byte came.
+func (r *replica) waitForByte(c net.Conn, reader *bufio.Reader, within time.Duration) bool {
 	stop := context.AfterFunc(r.ctx, func() { c.Close() })
 	defer stop()
 	c.SetReadDeadline(time.Now().Add(within))
--- a/rule/allowance/ledger.go
+++ b/rule/allowance/ledger.go
@@ -6,144 +6,145 @@
 	"saffronfall/rule/ordered"
 )
 
-// Books are the cumulative counts of one holder of shares. They only grow, so
-// repeated, late and reordered copies do no harm.
-type Books struct {
+// Account holds the cumulative counts of one holder of shares. They only grow, so repeated, late
+// and reordered reports do no harm.
+type Account struct {
 	Granted  int64 `msgpack:"g"`
 	Spent    int64 `msgpack:"s"`
 	Returned int64 `msgpack:"r"`
 }
 
-// Held is what the holder may still spend.
-func (b Books) Held() int64 { return b.Granted - b.Spent - b.Returned }
+// Held returns the amount that the holder may still spend.
+func (a Account) Held() int64 { return a.Granted - a.Spent - a.Returned }
 
-// Ledger divides an allowance into shares. What is out counts as used until it
-// was returned, or was reported spent and has left every window.
+// Ledger divides an allowance into shares. A granted amount counts as used until it is returned,
+// or until it was reported spent and has left every window. Holders and Demands have the holders'
+// names as keys.
 type Ledger struct {
-	Windows []Window         `msgpack:"w"`
-	Holders map[string]Books `msgpack:"h"`
-	Wants   map[string]int64 `msgpack:"t"`
+	Windows []Window           `msgpack:"w"`
+	Holders map[string]Account `msgpack:"h"`
+	Demands map[string]int64   `msgpack:"t"`
 }
 
-// Out is the sum of the shares that are held.
-func (l *Ledger) Out() int64 {
-	var out int64
-	for _, b := range l.Holders {
-		out += b.Held()
+// Outstanding returns the sum of the shares that are held.
+func (l *Ledger) Outstanding() int64 {
+	var outstanding int64
+	for _, account := range l.Holders {
+		outstanding += account.Held()
 	}
-	return out
+	return outstanding
 }
 
-// Report takes a holder's cumulative counts. A holder with counts and no books
-// has ended before.
+// Report records a holder's cumulative counts. It returns false, and changes nothing, for a holder
+// whose account was closed.
 func (l *Ledger) Report(now time.Duration, holder string, spent, returned int64) bool {
 	if l.Holders == nil {
-		l.Holders = map[string]Books{}
+		l.Holders = map[string]Account{}
 	}
-	b, known := l.Holders[holder]
+	account, known := l.Holders[holder]
 	if !known && (spent > 0 || returned > 0) {
-		// Nobody spends or returns before a grant: this holder's books were
-		// closed, and what was in them is counted already.
+		// A holder can't spend or return before a grant, so this account was closed
+		// and its counts are already included.
 		return false
 	}
-	if spent > b.Spent {
+	if spent > account.Spent {
 		for i := range l.Windows {
-			l.Windows[i].Add(now, spent-b.Spent)
+			l.Windows[i].Add(now, spent-account.Spent)
 		}
-		b.Spent = spent
+		account.Spent = spent
 	}
-	if returned > b.Returned {
-		b.Returned = returned
+	if returned > account.Returned {
+		account.Returned = returned
 	}
-	l.Holders[holder] = b
+	l.Holders[holder] = account
 	return true
 }
 
-// Room is how much may still be granted under the limits, one for each window.
-// With no windows the single limit is one on the shares that are out.
-func (l *Ledger) Room(now time.Duration, limits []int64) int64 {
-	out := l.Out()
+// Available returns how much may still be granted under the limits, one for each window. Without
+// windows, the single limit bounds the outstanding shares.
+func (l *Ledger) Available(now time.Duration, limits []int64) int64 {
+	outstanding := l.Outstanding()
 	if len(l.Windows) == 0 {
-		return max(0, limits[0]-out)
+		return max(0, limits[0]-outstanding)
 	}
-	room := int64(-1)
+	available := int64(-1)
 	for i := range l.Windows {
-		left := max(0, limits[i]-out-l.Windows[i].Sum(now))
-		if room < 0 || left < room {
-			room = left
+		left := max(0, limits[i]-outstanding-l.Windows[i].Sum(now))
+		if available < 0 || left < available {
+			available = left
 		}
 	}
-	return room
+	return available
 }
 
-// Draw raises what a holder has to a target, as far as there is room, and
-// returns what the holder was granted in all.
-func (l *Ledger) Draw(now time.Duration, holder string, target int64, limits []int64) int64 {
+// Grant raises the holder's share towards target as far as the limits allow, and returns the
+// cumulative amount granted to the holder.
+func (l *Ledger) Grant(now time.Duration, holder string, target int64, limits []int64) int64 {
 	if l.Holders == nil {
-		l.Holders = map[string]Books{}
+		l.Holders = map[string]Account{}
 	}
-	b := l.Holders[holder]
-	if lack := target - b.Held(); lack > 0 {
-		b.Granted += min(lack, l.Room(now, limits))
-		l.Holders[holder] = b
+	account := l.Holders[holder]
+	if shortfall := target - account.Held(); shortfall > 0 {
+		account.Granted += min(shortfall, l.Available(now, limits))
+		l.Holders[holder] = account
 	}
-	return b.Granted
+	return account.Granted
 }
 
-// End closes the books of a holder that surely spends no more. What it held
-// counts as spent where there are windows.
-func (l *Ledger) End(now time.Duration, holder string) bool {
-	b, ok := l.Holders[holder]
+// CloseAccount closes the account of a holder that can no longer spend, and reports whether there
+// was one. Where there are windows, its unspent share counts as spent.
+func (l *Ledger) CloseAccount(now time.Duration, holder string) bool {
+	account, ok := l.Holders[holder]
 	if !ok {
 		return false
 	}
 	for i := range l.Windows {
-		l.Windows[i].Add(now, b.Held())
+		l.Windows[i].Add(now, account.Held())
 	}
 	delete(l.Holders, holder)
-	delete(l.Wants, holder)
+	delete(l.Demands, holder)
 	return true
 }
 
-// Division says how a whole is divided among holders by what they want.
+// Division describes how a total is divided among holders in proportion to their demands.
 type Division struct {
-	// Whole is in the units that are divided.
-	Whole int64
-	// Holders is how many there may be; those that have not asked yet are kept
-	// room for, as if each wanted Idle.
-	Holders int64
-	Idle    int64
+	// Total is the number of units to divide.
+	Total int64
+	// Holders is the expected number of holders. Those that have not reported a
+	// demand yet count as if each had IdleDemand.
+	Holders    int64
+	IdleDemand int64
 }
 
-// Want notes what a holder would like to hold and returns what it should hold.
-// While there are enough units, each holder that wants anything has one.
-func (l *Ledger) Want(holder string, want int64, d Division) int64 {
-	if l.Wants == nil {
-		l.Wants = map[string]int64{}
-	}
-	if want > 0 {
-		l.Wants[holder] = want
+// SetDemand records a holder's demand and returns the share that it should hold. While there are
+// enough units, each holder with a demand has at least one.
+func (l *Ledger) SetDemand(holder string, demand int64, d Division) int64 {
+	if l.Demands == nil {
+		l.Demands = map[string]int64{}
+	}
+	if demand > 0 {
+		l.Demands[holder] = demand
 	} else {
-		delete(l.Wants, holder)
+		delete(l.Demands, holder)
 	}
-	if want <= 0 || d.Whole <= 0 {
+	if demand <= 0 || d.Total <= 0 {
 		return 0
 	}
 	var sum int64
-	for _, w := range l.Wants {
-		sum += w
+	for _, d := range l.Demands {
+		sum += d
 	}
-	count := int64(len(l.Wants))
+	count := int64(len(l.Demands))
 	if missing := d.Holders - count; missing > 0 {
-		count, sum = d.Holders, sum+missing*d.Idle
+		count, sum = d.Holders, sum+missing*d.IdleDemand
 	}
-	if count >= d.Whole {
-		for i, name := range ordered.Keys(l.Wants) {
-			if name == holder && int64(i) < d.Whole {
+	if count >= d.Total {
+		for i, name := range ordered.Keys(l.Demands) {
+			if name == holder && int64(i) < d.Total {
 				return 1
 			}
 		}
 		return 0
 	}
-	return 1 + (d.Whole-count)*want/sum
+	return 1 + (d.Total-count)*demand/sum
 }
--- a/saffronfall/params/params.go
+++ b/saffronfall/params/params.go
@@ -188,15 +188,15 @@
 
 // Core returns the parameters of the control plane.
 func (p Params) Core() core.Params {
-	return core.Params{Part: partition.Params{LeaseDuration: ms(p.LeaderTermMS), Drift: p.Drift, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeHome: 20},
-		MemberTerm: ms(p.MemberTermMS),
-		Retry:      ms(p.RetryMS), Pull: ms(p.PullMS), Gone: ms(p.CoreLossTimeoutMS), OrderKeep: time.Duration(p.CommandRetentionHours) * time.Hour, ColdStart: p.ColdStart}
+	return core.Params{Partition: partition.Params{LeaseDuration: ms(p.LeaderTermMS), Drift: p.Drift, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeTransfer: 20},
+		MemberLease:    ms(p.MemberTermMS),
+		AttemptTimeout: ms(p.RetryMS), PullInterval: ms(p.PullMS), SilenceTimeout: ms(p.CoreLossTimeoutMS), OrderRetention: time.Duration(p.CommandRetentionHours) * time.Hour, ColdStart: p.ColdStart}
 }
 
 // Node returns the parameters of a data plane node.
 func (p Params) Node() node.Params {
-	return node.Params{Core: p.Core(), Buffer: int(p.BufferSize), Patience: ms(p.MaxRateWaitMS), Newest: ms(p.MaxHeartbeatAgeMS), Report: 2 * ms(p.PullMS),
-		UrgentRatio: p.UrgentRatio, Budget: ms(p.BudgetMS)}
+	return node.Params{Core: p.Core(), QueueLimit: int(p.BufferSize), MaxQueueWait: ms(p.MaxRateWaitMS), AnnouncementMaxAge: ms(p.MaxHeartbeatAgeMS), ReportInterval: 2 * ms(p.PullMS),
+		UrgentRatio: p.UrgentRatio, DefaultTimeout: ms(p.BudgetMS)}
 }
 
 // Grace returns the longest duration of a drain.
--- a/saffronfall/params/relay.go
+++ b/saffronfall/params/relay.go
@@ -101,16 +101,16 @@
 
 // Desk returns the parameters of a desk.
 func (p Params) Desk() desk.Params {
-	return desk.Params{Core: p.Core(), Beat: ms(p.HeartbeatMS), Seats: int(p.GroupSize), PartsPerCore: int(p.PartitionsPerCore), LoadPeriod: ms(p.LoadShareMS), Within: ms(p.CommandTimeoutMS)}
+	return desk.Params{Core: p.Core(), HeartbeatInterval: ms(p.HeartbeatMS), GroupSize: int(p.GroupSize), PartitionsPerCore: int(p.PartitionsPerCore), LoadInterval: ms(p.LoadShareMS), OperationTimeout: ms(p.CommandTimeoutMS)}
 }
 
 // policy returns the placement policy, given the period of replicas' heartbeats.
 func (p Placement) policy(heartbeat time.Duration) placement.Settings {
-	return placement.Settings{SampleSize: int(p.ComparedReplicas), HomeReplicas: p.ConversationHomes, UnitTimes: p.WeighSpeeds, PromptCache: p.WeighPrefixes, LocalZone: p.WeighZones, FailureRates: p.WeighFailures, PromptTokensPerMilli: p.PromptTokensPerMS, HeartbeatInterval: heartbeat}
+	return placement.Settings{SampleSize: int(p.ComparedReplicas), HomeReplicas: p.ConversationHomes, UnitTimes: p.WeighSpeeds, PromptCache: p.WeighPrefixes, LocalZone: p.WeighZones, FailureRates: p.WeighFailures, PromptTokensPerMillisecond: p.PromptTokensPerMS, HeartbeatInterval: heartbeat}
 }
 
 // RelayNode returns the parameters of a relaying node.
 func (p Params) RelayNode() relay.Params {
-	return relay.Params{Core: p.Core(), Beat: ms(p.HeartbeatMS), Follow: ms(p.PollMS), Window: ms(p.RateWindowMS), Overshoot: p.RateOvershoot, Slack: p.RateSlack,
-		Placement: p.Placement.policy(ms(p.HeartbeatMS)), LoadPeriod: ms(p.LoadShareMS), ResendUnrun: p.RetryUnexecuted, ShedOverload: p.ShedOverload, Buffer: int(p.MaxRequests), Cache: p.CacheBytes, BookKeep: ms(p.LedgerRetentionMS)}
+	return relay.Params{Core: p.Core(), HeartbeatInterval: ms(p.HeartbeatMS), UpdateInterval: ms(p.PollMS), RateWindow: ms(p.RateWindowMS), RateOvershoot: p.RateOvershoot, RateSlack: p.RateSlack,
+		Placement: p.Placement.policy(ms(p.HeartbeatMS)), LoadReportInterval: ms(p.LoadShareMS), ResendUnrun: p.RetryUnexecuted, ShedOverload: p.ShedOverload, MaxRequests: int(p.MaxRequests), CacheBytes: p.CacheBytes, BudgetRetention: ms(p.LedgerRetentionMS)}
 }
--- a/saffronfall/schema_test.go
+++ b/saffronfall/schema_test.go
@@ -14,27 +14,27 @@
 	"saffronfall/saffronfall/params"
 )
 
-// TestRegisteredSchema: this program links every role, so it has every message that
-// processes send to each other.
+// TestRegisteredSchema checks the encoding of all messages between processes. This program
+// links every role, and therefore has all of them.
 func TestRegisteredSchema(t *testing.T) {
 	schematest.Check(t, "registered_schema", schematest.Registered())
 }
 
-// TestJSONSchema: bodies of HTTP calls, settings, descriptions and tables.
+// TestJSONSchema checks the encoding of HTTP bodies, settings, configurations and tables.
 func TestJSONSchema(t *testing.T) {
 	schematest.Check(t, "json_schema", []schematest.Entry{
-		schematest.JSON[core.Changed]("answer to a change of cores"),
+		schematest.JSON[core.ChangeResult]("answer to a change of cores"),
 		schematest.JSON[core.Founding]("founding"),
-		schematest.JSON[core.Taking]("answer to a description handed over"),
+		schematest.JSON[core.ApplyResult]("answer to a description handed over"),
 		schematest.JSON[core.Topology]("topology"),
-		schematest.JSON[desk.Emptied]("state of retiring a core"),
-		schematest.JSON[desk.Handed]("answer to a table handed over"),
+		schematest.JSON[desk.RetirementStatus]("state of retiring a core"),
+		schematest.JSON[desk.OrderResult]("answer to a table handed over"),
 		schematest.JSON[desk.Replica]("replica as a desk hears it"),
-		schematest.JSON[operator.Fault]("refusal of an operator's call"),
-		schematest.JSON[operator.Refused]("refusal as the caller reads it"),
-		schematest.JSON[operator.Handed]("description handed over"),
+		schematest.JSON[operator.ErrorResponse]("refusal of an operator's call"),
+		schematest.JSON[operator.ResponseError]("refusal as the caller reads it"),
+		schematest.JSON[operator.ConfigurationRequest]("description handed over"),
 		schematest.JSON[operator.Identity]("identity of a core"),
-		schematest.JSON[operator.Life]("change of cores"),
+		schematest.JSON[operator.CoreChange]("change of cores"),
 		schematest.JSON[operator.Status]("status of the fleet"),
 		schematest.JSON[replica.Announcement]("announcement of a replica to a node"),
 		schematest.JSON[replica.AnnouncementReply]("answer to an announcement"),
