--- a/rule/admission/admission_test.go
+++ b/rule/admission/admission_test.go
@@ -32,7 +32,6 @@
 	urgent    bool
 }
 
-// service simulates a service in fixed steps.
 type service struct {
 	random     *rand.Rand
 	controller *Controller
@@ -87,9 +86,8 @@
 	}
 }
 
-// simulate starts programs at the given multiple of the capacity in each second. It returns
-// the goodput: the programs of each second that met their deadline, as a fraction of the
-// capacity.
+// simulate starts programs at the given multiples of the capacity, one for each second. It
+// returns the goodput of each second as a fraction of the capacity.
 func simulate(seed uint64, controlled bool, offered []float64) []float64 {
 	s := &service{random: rand.New(rand.NewPCG(seed, 1)), onTime: map[int]int{}}
 	if controlled {
@@ -135,16 +133,14 @@
 	return offered
 }
 
-// TestGoodputUnderOverload checks that the controller keeps at least 0.75 of the best goodput
-// during an overload and recovers within two seconds after it. The run without a controller
-// confirms that the load does overload the service.
+// TestGoodputUnderOverload also runs without a controller, to confirm that the load is an overload.
 func TestGoodputUnderOverload(t *testing.T) {
 	best := mean(simulate(1, false, loadProfile(0.8, 10, 0.8, 10, 0))[4:18])
 	for _, load := range []float64{1.3, 2} {
 		for seed := range uint64(20) {
 			offered := loadProfile(0.7, 6, load, 16, 8)
 			controlled, uncontrolled := simulate(seed, true, offered), simulate(seed, false, offered)
-			// The first two seconds of the overload are left to the controller to react.
+			// The controller has two seconds to react.
 			if got := mean(controlled[8:22]); got < 0.75*best {
 				t.Errorf("seed %d, load %.1f: goodput %.2f, best %.2f", seed, load, got, best)
 			}
@@ -158,7 +154,6 @@
 	}
 }
 
-// TestGoodputWithoutOverload checks that the controller costs no goodput below the capacity.
 func TestGoodputWithoutOverload(t *testing.T) {
 	for seed := range uint64(20) {
 		offered := loadProfile(0.75, 10, 0.8, 10, 0)
@@ -168,8 +163,7 @@
 	}
 }
 
-// TestRefusalOrder checks the order in which classes are refused, that exempt requests never
-// are, and that part of each class is admitted at any level.
+// TestRefusalOrder also guards against refusing exempt requests or a whole class.
 func TestRefusalOrder(t *testing.T) {
 	var c Controller
 	for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
--- a/rule/allowance/allowance_test.go
+++ b/rule/allowance/allowance_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// TestWindowNeverUndercounts checks that a window never holds less than an exact one, and eventually
-// forgets everything.
+// TestWindowNeverUndercounts also checks that amounts leave the window.
 func TestWindowNeverUndercounts(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	w := Window{Width: time.Minute}
@@ -43,7 +42,7 @@
 	}
 }
 
-// TestWaitTime checks that there is room after the returned wait, and not much sooner.
+// TestWaitTime checks for room after the wait, and not much sooner.
 func TestWaitTime(t *testing.T) {
 	w := Window{Width: time.Hour}
 	for i := 0; i < 4; i++ {
@@ -80,8 +79,7 @@
 	}
 }
 
-// TestDivision checks that shares never exceed the total, that every holder with a demand gets one
-// while there are enough, and that units are kept for holders that have not reported yet.
+// TestDivision guards against shares above the total, and holders left without a share.
 func TestDivision(t *testing.T) {
 	for _, c := range []struct {
 		wants   []int64
--- a/rule/allowance/ledger.go
+++ b/rule/allowance/ledger.go
@@ -6,8 +6,8 @@
 	"saffronfall/rule/ordered"
 )
 
-// Account holds the cumulative counts of one holder of shares. They only grow, so repeated, late
-// and reordered reports do no harm.
+// Account holds the cumulative counts of one holder. They only grow, so repeated, late and
+// reordered reports do no harm.
 type Account struct {
 	Granted  int64 `msgpack:"g"`
 	Spent    int64 `msgpack:"s"`
@@ -18,8 +18,7 @@
 func (a Account) Held() int64 { return a.Granted - a.Spent - a.Returned }
 
 // Ledger divides an allowance into shares. A granted amount counts as used until it is returned,
-// or until it was reported spent and has left every window. Holders and Demands have the holders'
-// names as keys.
+// or was reported spent and has left every window. The keys of its maps are names of holders.
 type Ledger struct {
 	Windows []Window           `msgpack:"w"`
 	Holders map[string]Account `msgpack:"h"`
@@ -35,16 +34,15 @@
 	return outstanding
 }
 
-// Report records a holder's cumulative counts. It returns false, and changes nothing, for a holder
-// whose account was closed.
+// Report records a holder's cumulative counts. For a closed account it returns false and changes
+// nothing.
 func (l *Ledger) Report(now time.Duration, holder string, spent, returned int64) bool {
 	if l.Holders == nil {
 		l.Holders = map[string]Account{}
 	}
 	account, known := l.Holders[holder]
 	if !known && (spent > 0 || returned > 0) {
-		// A holder can't spend or return before a grant, so this account was closed
-		// and its counts are already included.
+		// The counts of a closed account are already included.
 		return false
 	}
 	if spent > account.Spent {
@@ -61,7 +59,7 @@
 }
 
 // Available returns how much may still be granted under the limits, one for each window. Without
-// windows, the single limit bounds the outstanding shares.
+// windows, the first limit bounds the outstanding shares.
 func (l *Ledger) Available(now time.Duration, limits []int64) int64 {
 	outstanding := l.Outstanding()
 	if len(l.Windows) == 0 {
@@ -77,8 +75,8 @@
 	return available
 }
 
-// Grant raises the holder's share towards target as far as the limits allow, and returns the
-// cumulative amount granted to the holder.
+// Grant raises the holder's share towards target within the limits, and returns the cumulative
+// amount granted.
 func (l *Ledger) Grant(now time.Duration, holder string, target int64, limits []int64) int64 {
 	if l.Holders == nil {
 		l.Holders = map[string]Account{}
@@ -92,7 +90,7 @@
 }
 
 // CloseAccount closes the account of a holder that can no longer spend, and reports whether there
-// was one. Where there are windows, its unspent share counts as spent.
+// was one. The unspent share counts as spent in every window.
 func (l *Ledger) CloseAccount(now time.Duration, holder string) bool {
 	account, ok := l.Holders[holder]
 	if !ok {
@@ -106,18 +104,16 @@
 	return true
 }
 
-// Division describes how a total is divided among holders in proportion to their demands.
+// Division describes how to divide a total in proportion to demands.
 type Division struct {
-	// Total is the number of units to divide.
 	Total int64
-	// Holders is the expected number of holders. Those that have not reported a
-	// demand yet count as if each had IdleDemand.
+	// Holders is the expected number. Those without a reported demand count with IdleDemand.
 	Holders    int64
 	IdleDemand int64
 }
 
-// SetDemand records a holder's demand and returns the share that it should hold. While there are
-// enough units, each holder with a demand has at least one.
+// SetDemand records a holder's demand and returns the share that it should hold. Each holder with
+// a demand gets at least one unit while there are enough.
 func (l *Ledger) SetDemand(holder string, demand int64, d Division) int64 {
 	if l.Demands == nil {
 		l.Demands = map[string]int64{}
--- a/rule/allowance/window.go
+++ b/rule/allowance/window.go
@@ -1,26 +1,24 @@
-// Package allowance tracks the use of an allowance. A Window is a sliding window that may count an
-// amount longer than its width but never shorter. A Ledger divides an allowance into shares that
-// holders spend without asking again. Start reading at Ledger.
+// Package allowance divides an allowance into shares that holders spend without asking again. Its
+// sliding windows may count use for longer than their width, but never for less. Start reading at
+// Ledger.
 package allowance
 
 import "time"
 
-// Slot is one time slice of a window. Its amount counts until its latest addition has left the
-// window.
+// Slot is one time slice of a window. Its amount counts until Last has left the window.
 type Slot struct {
 	Last   time.Duration `msgpack:"l"`
 	First  time.Duration `msgpack:"f"`
 	Amount int64         `msgpack:"a"`
 }
 
-// Window is a sliding window over amounts, kept in slots. Its sum is never below that of an exact
-// window.
+// Window is a sliding window over amounts. Its sum is never below that of an exact window.
 type Window struct {
 	Width time.Duration `msgpack:"w"`
 	Slots []Slot        `msgpack:"s"`
 }
 
-// SlotsPerWindow is the number of slots into which a window's width is divided.
+// SlotsPerWindow is the number of slots per width of a window.
 const SlotsPerWindow = 60
 
 // Sum returns the amount in the window at now.
@@ -49,8 +47,7 @@
 	w.Slots = append(w.Slots, Slot{First: now, Last: now, Amount: amount})
 }
 
-// WaitTime returns how long it takes until amount fits under limit if nothing else is added; zero
-// means that it fits now.
+// WaitTime returns the time until amount fits under limit if nothing else is added.
 func (w *Window) WaitTime(now time.Duration, amount, limit int64) time.Duration {
 	over := w.Sum(now) + amount - limit
 	if over <= 0 {
--- a/rule/breaker/breaker.go
+++ b/rule/breaker/breaker.go
@@ -1,9 +1,8 @@
 // Package breaker implements the system-wide circuit breaker on spend.
 //
-// Holders draw shares of the spend limits per minute, hour and day and spend them without asking
-// again. A need that does not fit into every limit opens the breaker. After the recovery time it is half-open and admits a
-// few probe sessions: if all of them succeed it closes, and if one fails it opens again.
-// Start reading at Breaker.Draw.
+// Holders draw shares of the spend limits per minute, hour and day. A need that does not fit into
+// every limit opens the breaker. After the recovery time it is half-open and admits a few probe
+// sessions: it closes if all succeed and opens again if one fails. Start reading at Breaker.Draw.
 package breaker
 
 import (
@@ -22,8 +21,7 @@
 	HalfOpen State = "half-open"
 )
 
-// Params holds the spend limits, in millionths of a dollar, the recovery time and the number
-// of probes.
+// Params holds the settings. The spend limits are in millionths of a dollar.
 type Params struct {
 	Minute, Hour, Day int64
 	Recovery          time.Duration
@@ -32,17 +30,16 @@
 
 func (p Params) limits() []int64 { return []int64{p.Minute, p.Hour, p.Day} }
 
-// Probe is one session that is admitted while the breaker is half-open. Probes are numbered
-// from 1 by their position.
+// Probe is a session admitted by a half-open breaker. Its number is its position, from 1.
 type Probe struct {
 	Program   string        `msgpack:"p"`
 	IssuedAt  time.Duration `msgpack:"g"`
 	Succeeded bool          `msgpack:"d"`
 }
 
-// Breaker is the durable state of the breaker. Since is when it entered its state, Trips how often
-// it has opened because of a limit, and Reason the limit that last opened it. All times are on the
-// clock of its partition, which is never ahead of real time.
+// Breaker is the durable state of the breaker. Since is when it entered its state, Trips counts
+// openings by a limit, and Reason is the last such limit. All times are on the clock of its
+// partition, which is never ahead of real time.
 type Breaker struct {
 	State  State            `msgpack:"s"`
 	Since  time.Duration    `msgpack:"i"`
@@ -58,8 +55,8 @@
 		{Width: time.Minute}, {Width: time.Hour}, {Width: 24 * time.Hour}}}}
 }
 
-// Advance makes an open breaker half-open once the recovery time has passed, and drops probes
-// that got no result within the recovery time. It reports whether anything changed.
+// Advance makes an open breaker half-open after the recovery time, and drops probes that got no
+// result within that time. It reports whether anything changed.
 func (b *Breaker) Advance(now time.Duration, p Params) bool {
 	changed := false
 	if b.State == Open && now >= b.Since+p.Recovery {
@@ -79,7 +76,7 @@
 	return changed
 }
 
-// RecoveryLeft returns the remaining recovery time of an open breaker, else 0.
+// RecoveryLeft returns the remaining recovery time of an open breaker, or 0.
 func (b *Breaker) RecoveryLeft(now time.Duration, p Params) time.Duration {
 	if b.State != Open {
 		return 0
@@ -87,9 +84,8 @@
 	return max(0, b.Since+p.Recovery-now)
 }
 
-// Draw raises a holder's share towards the target as far as the limits permit, and returns the
-// total granted to the holder. Amounts are in millionths of a dollar. If the need does not fit,
-// the breaker opens. What the target exceeds the need by is only prefetched and never opens it.
+// Draw raises a holder's share towards the target, and returns the total granted to the holder,
+// in millionths of a dollar. The breaker opens if the need, not the target, exceeds a limit.
 func (b *Breaker) Draw(now time.Duration, holder string, target, need int64, p Params) int64 {
 	b.Advance(now, p)
 	if b.State == Open {
@@ -103,7 +99,6 @@
 	return b.Ledger.Grant(now, holder, target, p.limits())
 }
 
-// trip opens the breaker and records the first limit that the shortfall exceeds.
 func (b *Breaker) trip(now time.Duration, shortfall int64, p Params) {
 	b.State, b.Since, b.Probes = Open, now, nil
 	b.Trips++
@@ -116,8 +111,8 @@
 	}
 }
 
-// IssueProbe returns the number of the probe of a session that starts while the breaker is
-// half-open. It returns 0 if the breaker is in another state or every probe is in use.
+// IssueProbe returns the number of a session's probe. It returns 0 if the breaker is not
+// half-open or every probe is in use.
 func (b *Breaker) IssueProbe(now time.Duration, program string, p Params) int {
 	b.Advance(now, p)
 	if b.State != HalfOpen {
@@ -135,8 +130,7 @@
 	return len(b.Probes)
 }
 
-// RecordResult records the result of a probe's turn. The breaker closes once every probe has
-// succeeded, and opens again if one fails.
+// RecordResult records the result of a probe's turn, which may close or open the breaker.
 func (b *Breaker) RecordResult(now time.Duration, program string, success bool, p Params) {
 	if b.State != HalfOpen {
 		return
--- a/rule/breaker/breaker_test.go
+++ b/rule/breaker/breaker_test.go
@@ -9,8 +9,7 @@
 	return Params{Minute: 50, Hour: 500, Day: 2000, Recovery: 300 * time.Second, Probes: 2}
 }
 
-// TestExceededLimitOpens checks that a need beyond any of the three limits opens the breaker, and that a
-// prefetched share does not.
+// TestExceededLimitOpens also checks that a prefetched share does not open the breaker.
 func TestExceededLimitOpens(t *testing.T) {
 	b := New()
 	if got := b.Draw(0, "idle", 60, 0, params()); got != 50 || b.State != Closed {
@@ -43,8 +42,6 @@
 	}
 }
 
-// TestStateTransitions checks the states: open for the recovery time, then half-open with numbered
-// probes; a failed probe opens it again, and enough successful ones close it.
 func TestStateTransitions(t *testing.T) {
 	b := New()
 	b.Draw(0, "n", 51, 51, params())
--- a/rule/ordered/ordered.go
+++ b/rule/ordered/ordered.go
@@ -1,5 +1,4 @@
-// Package ordered iterates over maps in the order of their keys, so that deterministic state
-// machines do not depend on Go's random iteration order.
+// Package ordered sorts the keys of maps, for deterministic iteration.
 package ordered
 
 import (
--- a/rule/placement/home.go
+++ b/rule/placement/home.go
@@ -5,16 +5,13 @@
 	"math"
 )
 
-// homes are the home replica of a conversation and the next candidate by rendezvous hashing
-// (Thaler and Ravishankar 1998). All nodes compute the same homes without coordination, so the turns of
-// a conversation reach the replica that has cached its earlier turns, whichever node they
-// come through. Replicas in the node's zone rank above others.
+// homes are the two best replicas by rendezvous hashing (Thaler and Ravishankar 1998). Nodes in a
+// zone agree on them without coordination, so all turns of a conversation share a prompt cache.
 type homes struct {
 	first, second           *Replica
 	firstScore, secondScore score
 }
 
-// score orders replicas for one conversation.
 type score struct {
 	local bool
 	rank  float64
@@ -27,18 +24,21 @@
 	return s.rank > other.rank
 }
 
-// homesOf returns the homes of a request, or nil replicas if it has no key for one.
+// homesOf returns nil replicas if the request has no home key.
 func (p *Policy) homesOf(request Request, replicas []*Replica, allowed func(*Replica) bool) (h homes) {
 	key, ok := request.homeKey()
 	if !ok || !p.Settings.HomeReplicas {
 		return h
 	}
-	// With an affinity key the zone is ignored: requests with one key come from all zones,
-	// and a replica that has served the key saves more than a cross-zone hop costs.
+	// Requests with one affinity key come from all zones, and a cache hit saves more than a
+	// cross-zone hop costs.
 	preferLocal := p.Settings.LocalZone && !request.hasAffinity()
 	for _, r := range replicas {
 		if allowed(r) {
-			h.add(r, score{local: preferLocal && r.Zone == p.Zone, rank: rank(mix(key^r.hash()), p.slowness(request, r))})
+			h.add(r, score{
+				local: preferLocal && r.Zone == p.Zone,
+				rank:  rank(mix(key^r.hash()), p.slowness(request, r)),
+			})
 		}
 	}
 	return h
@@ -54,8 +54,8 @@
 	}
 }
 
-// rank is the score of weighted rendezvous hashing: a slow replica is the home of fewer
-// conversations. Slowness is rounded, so that small changes of the estimate move no homes.
+// rank weights rendezvous hashing by speed. Slowness is rounded, so that small changes of the
+// estimate move few homes.
 func rank(hash uint64, slowness float64) float64 {
 	const steps = 4
 	slowness = math.Round(slowness*steps) / steps
@@ -64,10 +64,9 @@
 	return -weight / math.Log(uniform)
 }
 
-// hasAffinity reports whether the home of a request is chosen by its affinity key.
+// hasAffinity reports whether the affinity key selects the home; a prompt takes precedence.
 func (r Request) hasAffinity() bool { return r.Affinity != 0 && len(r.Prompt) == 0 }
 
-// homeKey returns the hash key that selects the home of a request, if it has one.
 func (r Request) homeKey() (uint64, bool) {
 	if r.hasAffinity() {
 		return r.Affinity, true
@@ -75,8 +74,7 @@
 	return conversationKey(r.Prompt)
 }
 
-// conversationKey returns the ID of a prompt's second segment, which identifies the
-// conversation. The first segment is shared by many conversations.
+// conversationKey returns the ID of the second segment; many conversations share the first.
 func conversationKey(prompt []PromptSegment) (uint64, bool) {
 	if len(prompt) < 2 {
 		return 0, false
@@ -84,11 +82,10 @@
 	return prompt[1].ID, true
 }
 
-// continuesConversation reports whether a prompt contains earlier turns of its conversation:
-// more than the shared segment and the first one of its own.
+// continuesConversation reports whether a prompt contains earlier turns of its conversation.
 func continuesConversation(prompt []PromptSegment) bool { return len(prompt) > 2 }
 
-// hash returns the nonzero hash of the replica's ID, computed once.
+// hash returns the hash of the ID. It is nonzero; zero means not yet computed.
 func (r *Replica) hash() uint64 {
 	if r.idHash == 0 {
 		h := fnv.New64a()
--- a/rule/placement/placement_test.go
+++ b/rule/placement/placement_test.go
@@ -43,8 +43,6 @@
 	return Request{Prompt: prompt, Repeatable: repeatable, Remaining: 3 * time.Second, ServiceTime: serviceTime}
 }
 
-// TestNodesAgreeOnConversationHome checks that nodes without common state choose the same
-// local replica for a conversation, and that conversations use all local replicas.
 func TestNodesAgreeOnConversationHome(t *testing.T) {
 	chosen := map[string]int{}
 	for conversation := uint64(1); conversation <= 200; conversation++ {
@@ -63,8 +61,7 @@
 	}
 }
 
-// TestNodesAgreeOnAffinityHome checks that nodes in different zones choose the same replica
-// for an affinity key, that keys use all replicas, and that a full home is avoided.
+// TestNodesAgreeOnAffinityHome guards against homes that depend on the node's zone.
 func TestNodesAgreeOnAffinityHome(t *testing.T) {
 	chosen := map[string]int{}
 	for key := uint64(1); key <= 300; key++ {
@@ -88,8 +85,6 @@
 	}
 }
 
-// TestFullHomeIsAvoided checks that a conversation uses another replica with a free slot
-// while its home is full, and returns afterwards.
 func TestFullHomeIsAvoided(t *testing.T) {
 	list := replicas(48)
 	p := policy(1, settings())
@@ -105,8 +100,6 @@
 	}
 }
 
-// TestSharedLoadExpires checks that load reported by other nodes is ignored once it is no
-// longer valid.
 func TestSharedLoadExpires(t *testing.T) {
 	r := replicas(1)[0]
 	r.SetShared(5, 0.5, time.Second)
@@ -118,9 +111,7 @@
 	}
 }
 
-// TestFailingReplicaIsAvoidedUntilRecovery checks that failing replicas get few requests, that
-// they get their share again after they recover, and that some replica is chosen even if
-// all are failing.
+// TestFailingReplicaIsAvoidedUntilRecovery also checks that a replica is chosen if all are failing.
 func TestFailingReplicaIsAvoidedUntilRecovery(t *testing.T) {
 	list := replicas(12)
 	p := policy(1, settings())
@@ -157,9 +148,8 @@
 	}
 }
 
-// TestRejectingReplicaIsAvoided checks that a replica that rejects requests although it has
-// free slots, and so looks idle, does not attract all requests. A rejection by a full
-// replica is no failure.
+// TestRejectingReplicaIsAvoided guards against a replica that rejects requests, and so looks idle,
+// attracting all of them. A rejection by a full replica is no failure.
 func TestRejectingReplicaIsAvoided(t *testing.T) {
 	list := replicas(9)
 	p := policy(1, settings())
@@ -187,8 +177,7 @@
 	}
 }
 
-// TestStaleLoadDoesNotHerd checks that many nodes with the same stale loads do not all choose
-// the replica that was the least loaded.
+// TestStaleLoadDoesNotHerd guards against all nodes choosing the replica that was least loaded.
 func TestStaleLoadDoesNotHerd(t *testing.T) {
 	const nodes, count = 100, 48
 	sent := map[string]int{}
@@ -209,8 +198,7 @@
 	}
 }
 
-// TestChooseUnderAllSettings checks that Choose returns only allowed replicas under each
-// combination of settings, and nil if none is allowed.
+// TestChooseUnderAllSettings guards against choosing a replica that is not allowed.
 func TestChooseUnderAllSettings(t *testing.T) {
 	for choice := range 32 {
 		s := Settings{SampleSize: choice % 2 * 2, HomeReplicas: choice&2 > 0, PromptCache: choice&4 > 0, LocalZone: choice&8 > 0, FailureRates: choice&16 > 0, PromptTokensPerMillisecond: 80, HeartbeatInterval: heartbeat}
@@ -227,8 +215,7 @@
 	}
 }
 
-// TestPromptCacheEviction checks that the least recently used segments are evicted, and that
-// a segment is a hit only if all before it are.
+// TestPromptCacheEviction also checks that a segment is a hit only if all before it are.
 func TestPromptCacheEviction(t *testing.T) {
 	c := newPromptCache()
 	for i := range 50 {
--- a/rule/placement/promptcache.go
+++ b/rule/placement/promptcache.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// promptCache is a node's model of the prompt segments that a replica has cached: those
-// that the node sent there, with least-recently-used eviction.
+// promptCache models the least-recently-used cache of a replica. It knows only the segments that
+// this node sent there.
 type promptCache struct {
 	segments map[uint64]cachedSegment
 	tokens   int64
@@ -18,8 +18,7 @@
 	return promptCache{segments: map[uint64]cachedSegment{}}
 }
 
-// add records the use of a prompt's segments and evicts others beyond the capacity, which
-// is in tokens.
+// add records the use of a prompt. The capacity is in tokens.
 func (c *promptCache) add(now time.Duration, prompt []PromptSegment, capacity int64) {
 	for _, s := range prompt {
 		if _, cached := c.segments[s.ID]; !cached {
@@ -44,8 +43,7 @@
 	delete(c.segments, oldest)
 }
 
-// missing returns the number of tokens of a prompt that are not cached. A segment is a cache
-// hit only if all segments before it are.
+// missing counts the tokens that are not cached. A segment is a hit only if all before it are.
 func (c *promptCache) missing(prompt []PromptSegment) int64 {
 	var missing int64
 	cached := true
--- a/rule/placement/queue.go
+++ b/rule/placement/queue.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// QueuePerSlot estimates the number of requests at a service's replicas beyond their slots,
-// per slot. A negative value is the fraction of slots that are free. The slots of a slow
-// replica count for less, in proportion to its slowness.
+// QueuePerSlot estimates the queued requests of a service per slot. A negative value is the
+// fraction of free slots. A slot counts for less in proportion to its replica's slowness.
 func (p *Policy) QueuePerSlot(now, referenceUnitTime time.Duration, replicas []*Replica) float64 {
 	request := Request{ReferenceUnitTime: referenceUnitTime}
 	running, slots := 0.0, 0.0
--- a/rule/placement/replica.go
+++ b/rule/placement/replica.go
@@ -1,15 +1,13 @@
 // Package placement chooses the replica that serves a request.
 //
-// A Replica is one node's view of a replica: the requests that the node sent there, the
-// load that other nodes reported, its recent failures and the prompt segments that it has
-// cached. A Policy compares replicas by the estimated completion time of a request. The
-// package reads no clock and has no source of randomness; the caller passes in both. Start
-// reading at Policy.Choose.
+// A Replica is one node's view of a replica: its load, failures and cached prompt segments. A
+// Policy compares replicas by the estimated cost of a request. The package reads no clock and
+// has no source of randomness; the caller passes in both. Start reading at Policy.Choose.
 package placement
 
 import "time"
 
-// PromptSegment is a piece of a prompt that a replica may have cached.
+// PromptSegment is the unit in which replicas cache prompts.
 type PromptSegment struct {
 	ID     uint64
 	Tokens int64
@@ -20,7 +18,7 @@
 	Running, Waiting, Slots int64
 }
 
-// Result is the outcome of one attempt at a replica.
+// Result is the result of one attempt at a replica.
 type Result int
 
 // Results of attempts.
@@ -31,55 +29,52 @@
 	Rejected
 	// Moved means that the address now belongs to another replica.
 	Moved
-	// Failed means that the replica could not be reached, closed the connection early or
-	// returned a server error.
+	// Failed means an unreachable replica, a connection closed early or a server error.
 	Failed
 	// Canceled means that the requester disconnected. It says nothing about the replica.
 	Canceled
 )
 
-// Replica is a node's view of one replica. Slots is the number of requests that it runs at a time.
-// Warming means that it has just started.
+// Replica is a node's view of one replica. Slots is the number of requests that it runs at a
+// time. Warming means that it has just started.
 type Replica struct {
 	ID      string
 	Zone    string
 	Slots   int64
 	Warming bool
 
-	// Outstanding is the number of this node's requests in flight at the replica.
+	// Outstanding is the number of this node's requests in flight.
 	Outstanding int64
 	report      receivedReport
 	shared      sharedLoad
 	failures    FailureRate
-	// movedUntil is until when the replica's address is assumed to belong to another one.
+	// Until movedUntil the address is assumed to belong to another replica.
 	movedUntil time.Duration
-	// fullUntil is until when the replica counts as full after it rejected a request.
+	// Until fullUntil the replica counts as full.
 	fullUntil time.Duration
 	cache     promptCache
 	idHash    uint64
 	// unitTime is aggregated over all nodes; zero if unknown.
 	unitTime time.Duration
 	lastUse  lastUse
-	// unreported are the outcomes since the last call of TakeOutcomes.
+	// unreported are the outcomes since the last TakeOutcomes.
 	unreported Outcomes
 }
 
-// lastUse is when a request last ended at a replica; its connection may still be open.
 type lastUse struct {
 	at    time.Duration
 	known bool
 }
 
-// receivedReport is the last load report of a replica.
 type receivedReport struct {
 	load LoadReport
 	at   time.Duration
-	// sentSince is the number of requests that this node has sent after the report.
+	// sentSince counts this node's requests after the report.
 	sentSince int64
 	known     bool
 }
 
-// sharedLoad is the load and failure rate of a replica that other nodes reported.
+// sharedLoad is what other nodes reported of a replica.
 type sharedLoad struct {
 	outstanding int64
 	failureRate float64
@@ -99,16 +94,15 @@
 	return &Replica{cache: newPromptCache()}
 }
 
-// RecordSent records that this node sent a request to the replica, which then caches the
-// segments of its prompt. The capacity of the cache is in tokens.
+// RecordSent records that this node sent a request with the given prompt. The capacity of the
+// replica's cache is in tokens.
 func (r *Replica) RecordSent(now time.Duration, prompt []PromptSegment, cacheCapacity int64) {
 	r.Outstanding++
 	r.report.sentSince++
 	r.cache.add(now, prompt, cacheCapacity)
 }
 
-// RecordResult records the result of an attempt. The load is the report that came with the
-// answer, or nil. A full replica that rejects a request counts as full for one service time.
+// RecordResult records the result of an attempt. The load came with the answer; it may be nil.
 func (r *Replica) RecordResult(now time.Duration, result Result, load *LoadReport, heartbeat, serviceTime time.Duration) {
 	r.Outstanding--
 	r.lastUse = lastUse{at: now, known: true}
@@ -132,8 +126,8 @@
 	}
 }
 
-// recordRejection records a rejection by a replica that has free slots as a failure:
-// otherwise such a replica would look idle and attract all requests.
+// recordRejection counts a rejection despite free slots as a failure: otherwise the replica would
+// look idle and attract all requests.
 func (r *Replica) recordRejection(now, heartbeat, serviceTime time.Duration) {
 	if r.Running(now, 0) >= r.slots() {
 		r.fullUntil = now + serviceTime
@@ -143,13 +137,13 @@
 	r.unreported.Failed++
 }
 
-// SetShared sets the number of other nodes' outstanding requests at the replica and its
-// failure rate over all nodes. Both are ignored from validUntil on.
+// SetShared sets the outstanding requests of other nodes and the failure rate over all nodes.
+// Both are ignored from validUntil on.
 func (r *Replica) SetShared(outstanding int64, failureRate float64, validUntil time.Duration) {
 	r.shared = sharedLoad{outstanding: outstanding, failureRate: failureRate, validUntil: validUntil}
 }
 
-// RecordWork records that the replica took the given time for units of work.
+// RecordWork records the time that the replica took for units of work.
 func (r *Replica) RecordWork(busy time.Duration, units int64) {
 	r.unreported.Busy += busy
 	r.unreported.Units += units
@@ -164,9 +158,8 @@
 
 func (r *Replica) slots() int64 { return max(1, r.Slots) }
 
-// Running estimates the number of requests at the replica. It adds this node's outstanding
-// requests to those reported by other nodes. A load report by the replica that is not older
-// than reportValidity, plus what this node has sent since, is a lower bound.
+// Running estimates the number of requests of all nodes at the replica. Its own report, if not
+// older than reportValidity, plus the requests sent since is a lower bound.
 func (r *Replica) Running(now, reportValidity time.Duration) int64 {
 	running := r.Outstanding
 	if now < r.shared.validUntil {
@@ -178,8 +171,8 @@
 	return running
 }
 
-// FailureRate estimates the fraction of requests that the replica fails, from 0 to 1: the
-// higher of this node's estimate and the shared one.
+// FailureRate estimates the fraction of failing requests, from 0 to 1. It is the higher of this
+// node's estimate and the shared one.
 func (r *Replica) FailureRate(now, timeConstant time.Duration) float64 {
 	rate := r.failures.At(now, timeConstant)
 	if now < r.shared.validUntil {
--- a/rule/placement/sample.go
+++ b/rule/placement/sample.go
@@ -1,14 +1,12 @@
 package placement
 
-// sampler draws a random sample of a list of replicas, from the node's zone and from other
-// zones separately, in one pass and without copying the list.
+// sampler samples the node's zone and other zones in one pass over a list, without copying it.
 type sampler struct {
 	policy        *Policy
 	local, remote selection
 }
 
-// selection is the state of selection sampling: the number of items still wanted and the
-// number of items not yet visited.
+// selection counts the items still wanted and not yet visited by selection sampling.
 type selection struct {
 	wanted, left int
 }
@@ -32,8 +30,7 @@
 	return &s.remote
 }
 
-// sampled reports whether the next allowed replica of the list is in the sample. It must be
-// called once for each allowed replica.
+// sampled must be called exactly once for each allowed replica.
 func (s *sampler) sampled(r *Replica) bool {
 	sel := s.selectionOf(r)
 	taken := s.policy.Random()*float64(sel.left) < float64(sel.wanted)
--- a/rule/placement/servicetime.go
+++ b/rule/placement/servicetime.go
@@ -2,17 +2,15 @@
 
 import "time"
 
-// ServiceTime is a moving average of the time that requests of a service take at a replica
-// with a free slot. Its zero value has no samples.
+// ServiceTime averages the durations of a service's requests at replicas with a free slot. Its
+// zero value has no samples.
 type ServiceTime struct {
 	mean time.Duration
 }
 
 const (
-	// defaultServiceTime is the mean while there are no samples.
 	defaultServiceTime = 100 * time.Millisecond
-	// serviceTimeWeight is the weight of a new sample in the mean.
-	serviceTimeWeight = 1.0 / 16
+	serviceTimeWeight  = 1.0 / 16
 )
 
 // Add records the duration of one request.
@@ -24,7 +22,7 @@
 	s.mean += time.Duration(float64(duration-s.mean) * serviceTimeWeight)
 }
 
-// Mean returns the moving average.
+// Mean returns the moving average, or a default without samples.
 func (s *ServiceTime) Mean() time.Duration {
 	if s.mean == 0 {
 		return defaultServiceTime
--- a/rule/rate/ledger.go
+++ b/rule/rate/ledger.go
@@ -1,10 +1,9 @@
 // Package rate enforces a tenant's rate limit over all nodes.
 //
-// A Ledger grants nodes leases on requests ahead of their use, so that nodes admit requests
-// locally. Its main invariant is that no window ever contains more requests than the limit
-// allows, although nodes crash, messages are lost, delayed and repeated, and the ledger is
-// restored from its DurableState by a new leader. Requests that a node may have spent without
-// reporting them therefore count as spent at the latest possible time. Start reading at
+// A Ledger grants nodes leases on requests, so that nodes admit requests locally. Its main
+// invariant is that no window ever contains more requests than the limit allows, despite
+// crashes, new leaders, and lost, delayed or repeated messages. Requests that a node may have
+// spent without a report count as spent at the latest possible time. Start reading at
 // Ledger.Draw.
 package rate
 
@@ -16,9 +15,8 @@
 	Max    int64         `msgpack:"m"`
 }
 
-// DurableState is the part of a ledger that is written to stable storage. Outstanding
-// includes the requests that may be granted before the next write. A restored ledger cannot
-// tell which of them were granted or spent, so it counts all of them as outstanding.
+// DurableState is the part of a ledger in stable storage. Outstanding includes requests that may
+// be granted before the next write.
 type DurableState struct {
 	Version     uint64   `msgpack:"v"`
 	Limit       Limit    `msgpack:"l"`
@@ -26,8 +24,8 @@
 	Spent       []Bucket `msgpack:"s"`
 }
 
-// Lease is what one incarnation of a node has drawn. Its counts never decrease, so
-// processing a draw twice has no effect.
+// Lease is what one incarnation of a node has drawn. Its counts never decrease, so a repeated
+// draw has no effect.
 type Lease struct {
 	Granted, Spent, Returned int64
 	ExpiresAt                time.Duration
@@ -43,27 +41,25 @@
 	Count    int64         `msgpack:"Count"`
 }
 
-// Ledger accounts for the requests of one tenant. Outstanding requests count as spent now.
-// Those of an expired lease count as spent when it expired.
+// Ledger accounts for the requests of one tenant. Outstanding requests count as spent now, those
+// of an expired lease as spent when it expired.
 type Ledger struct {
 	DurableState
-	// Leases are the leases by holder, Buckets the requests spent, ordered by End.
+	// Leases has the holders as keys. Buckets are ordered by End.
 	Leases  map[string]Lease
 	Buckets []Bucket
-	// Exceeded reports that the last grant exceeded the limit, which is a violated
-	// invariant.
+	// Exceeded means that the last grant exceeded the limit.
 	Exceeded bool
 	// reserved is the number of requests that may be granted before the next write.
 	reserved int64
 	// pool is the number of requests that may be outstanding under leases from before the
-	// ledger was restored, less those whose holders have reported since. All of these
-	// leases have expired at poolExpiresAt.
+	// restore whose holders have not reported since. These leases expire by poolExpiresAt.
 	pool          int64
 	poolExpiresAt time.Duration
 }
 
 // Restore returns a ledger with the given durable state. Outstanding requests may have been
-// granted up to now, and so may be spent for one lease duration.
+// granted just now, so they may be spent for one lease duration.
 func Restore(now time.Duration, s DurableState, leaseDuration time.Duration) *Ledger {
 	return &Ledger{DurableState: s, Leases: map[string]Lease{}, Buckets: append([]Bucket(nil), s.Spent...), pool: s.Outstanding, poolExpiresAt: now + leaseDuration}
 }
@@ -71,25 +67,23 @@
 // DrawRequest is a holder's report of its lease and its request for more.
 type DrawRequest struct {
 	Holder string `msgpack:"h"`
-	// Granted is the total that the holder knows to have been granted, Spent the total
-	// that it has spent, and Returned the total that it has returned unused.
+	// Granted, Spent and Returned are totals known to the holder; Returned were not used.
 	Granted  int64 `msgpack:"g"`
 	Spent    int64 `msgpack:"s"`
 	Returned int64 `msgpack:"r"`
-	// Recent are the ages of the most recently spent requests, oldest first.
+	// Recent lists the latest spent requests, oldest first.
 	Recent []RecentSpend `msgpack:"e"`
-	// Want is the number of requests that the holder wants to have outstanding. Prefetch
-	// of them are for requests that have not arrived yet.
+	// Want is the wanted number of outstanding requests. Prefetch of them have not arrived yet.
 	Want     int64 `msgpack:"w"`
 	Prefetch int64 `msgpack:"b"`
-	// Version is the version of the configuration that contains Limit.
+	// Version is of the configuration that contains Limit.
 	Version uint64 `msgpack:"v"`
 	Limit   Limit  `msgpack:"l"`
-	// LeaseDuration is how long the lease may be used after this request was sent.
+	// LeaseDuration counts from the sending of this request.
 	LeaseDuration time.Duration `msgpack:"t"`
 }
 
-// need returns the number of requests that are waiting at the holder.
+// need returns the number of requests waiting at the holder.
 func (d DrawRequest) need() int64 { return d.Want - d.Prefetch }
 
 // RecentSpend is a number of spent requests and their minimum age.
@@ -100,32 +94,28 @@
 
 // DrawResponse is the answer to a DrawRequest.
 type DrawResponse struct {
-	// Granted is the total that was ever granted to the holder.
+	// Granted is the total ever granted to the holder.
 	Granted int64 `msgpack:"g"`
-	// RetryAfter is the delay after which more may be granted. It is zero if the holder's
-	// need is met.
+	// RetryAfter is zero if the need is met.
 	RetryAfter time.Duration `msgpack:"r"`
-	// Expired means that the holder's lease has expired and its outstanding requests count
-	// as spent. The holder must continue under a new name.
+	// Expired means that the lease has expired and its outstanding requests count as spent. The
+	// holder must continue under a new name.
 	Expired bool `msgpack:"x"`
-	// Scarce means that the holder should not prefetch, as others need the requests.
+	// Scarce means that the holder should not prefetch.
 	Scarce bool `msgpack:"t"`
 }
 
 const (
-	// blocksPerWindow is the number of blocks in which a window's limit is reserved in the
-	// durable state. One write covers the grants of a block.
+	// One write covers the grants of a block, which is a fraction of the limit.
 	blocksPerWindow = 8
-	// prefetchFraction is the fraction of the limit up to which holders are granted more
-	// than they need. Beyond it, prefetched requests would be refused to other holders.
+	// prefetchFraction is of the limit; the rest is kept for holders with waiting requests.
 	prefetchFraction = 0.6
-	// bucketsPerWindow is the number of buckets that a window is divided into.
 	bucketsPerWindow = 20
 )
 
-// Draw processes a request at the ledger's time. It reports whether the durable state has
-// changed; the answer must then not be sent before the state is written. The lease ends
-// earlier at the holder than here, as the holder counts from sending the request.
+// Draw processes a request at the ledger's time. If the durable state has changed, it must be
+// written before the answer is sent. The lease ends earlier at the holder than here, as the
+// holder counts from the sending of the request.
 func (l *Ledger) Draw(now time.Duration, d DrawRequest) (answer DrawResponse, changed bool) {
 	if l.Leases == nil {
 		l.Leases = map[string]Lease{}
@@ -137,8 +127,7 @@
 	l.expire(now)
 	lease, known := l.Leases[d.Holder]
 	if !known && d.Granted > 0 {
-		// The lease may be from before the ledger was restored. Its outstanding requests
-		// move from the pool to the lease, which leaves the sum unchanged.
+		// The lease may be from before the restore: its outstanding requests are in the pool.
 		outstanding := d.Granted - d.Spent - d.Returned
 		if outstanding < 0 || outstanding > l.pool || now >= l.poolExpiresAt {
 			return DrawResponse{Expired: true}, changed
@@ -180,8 +169,7 @@
 	return answer, changed
 }
 
-// grantable returns the number of requests to grant: what the holder needs while the window
-// has room, and what it wants to prefetch while less than prefetchLimit is used.
+// grantable returns the number to grant. Only prefetching is subject to prefetchLimit.
 func (l *Ledger) grantable(d DrawRequest, lease Lease) int64 {
 	room := l.Limit.Max - l.used()
 	needed := min(max(d.need()-lease.outstanding(), 0), max(room, 0))
@@ -189,11 +177,9 @@
 	return needed + max(prefetched, 0)
 }
 
-// prefetchLimit returns the number of used requests up to which prefetching is granted.
 func (l *Ledger) prefetchLimit() int64 { return int64(prefetchFraction * float64(l.Limit.Max)) }
 
-// recordSpent adds count requests at the ages given by recent. It starts with the newest, as
-// an earlier report may have contained the older ones.
+// recordSpent starts with the newest, as an earlier report may have contained the older ones.
 func (l *Ledger) recordSpent(now time.Duration, recent []RecentSpend, count int64) {
 	for i := len(recent) - 1; i >= 0 && count > 0; i-- {
 		if n := min(count, recent[i].Count); n > 0 {
@@ -206,7 +192,6 @@
 	}
 }
 
-// addToBucket adds count requests to the bucket that contains the given time.
 func (l *Ledger) addToBucket(at time.Duration, count int64) {
 	width := max(1, l.Limit.Window/bucketsPerWindow)
 	end := (at/width + 1) * width
@@ -223,8 +208,8 @@
 	l.Buckets[i] = Bucket{End: end, Count: count}
 }
 
-// expire removes expired leases and the buckets that have left the window. What was
-// outstanding under an expired lease may have been spent until the lease expired.
+// expire removes expired leases and the buckets that have left the window. Requests of an
+// expired lease may have been spent until its end.
 func (l *Ledger) expire(now time.Duration) {
 	var expired []Bucket
 	for holder, lease := range l.Leases {
@@ -254,8 +239,7 @@
 	}
 }
 
-// used returns the number of requests that count towards the limit: spent within the
-// window, outstanding, or in the pool.
+// used returns the number of requests that count towards the limit.
 func (l *Ledger) used() int64 {
 	sum := l.pool
 	for _, b := range l.Buckets {
@@ -267,8 +251,8 @@
 	return sum
 }
 
-// nextRelease returns the delay until the oldest bucket leaves the window, but at least the
-// width of a bucket.
+// nextRelease returns the delay until the oldest bucket leaves the window, or a bucket's width if
+// that is longer.
 func (l *Ledger) nextRelease(now time.Duration) time.Duration {
 	if len(l.Buckets) == 0 {
 		return l.Limit.Window / bucketsPerWindow
--- a/rule/rate/ledger_test.go
+++ b/rule/rate/ledger_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// holder behaves as a node does: it spends only what it was granted, and only until its
-// lease ends, counted from when its last answered draw was sent.
+// holder spends only what it was granted, and only until its lease ends, counted from the sending
+// of its last answered draw.
 type holder struct {
 	name                     string
 	incarnation              int
@@ -20,10 +20,8 @@
 
 func (h *holder) outstanding() int64 { return h.granted - h.spent - h.returned }
 
-// restart replaces the holder by a new incarnation without a lease.
 func (h *holder) restart() { *h = holder{name: h.name, incarnation: h.incarnation + 1} }
 
-// pendingDraw is a draw on its way to the ledger.
 type pendingDraw struct {
 	arrivesAt   time.Duration
 	holder      int
@@ -32,7 +30,6 @@
 	draw        DrawRequest
 }
 
-// pendingAnswer is an answer on its way to a holder.
 type pendingAnswer struct {
 	arrivesAt   time.Duration
 	holder      int
@@ -41,8 +38,8 @@
 	answer      DrawResponse
 }
 
-// TestNoWindowExceedsLimit counts what holders spend in each window while the network loses,
-// delays and repeats messages, holders crash and the ledger is restored.
+// TestNoWindowExceedsLimit runs with lost, delayed and repeated messages, crashes of holders and
+// restores of the ledger.
 func TestNoWindowExceedsLimit(t *testing.T) {
 	const window, leaseDuration, step = 5 * time.Second, 2500 * time.Millisecond, 10 * time.Millisecond
 	for seed := uint64(0); seed < 40; seed++ {
@@ -137,8 +134,7 @@
 	}
 }
 
-// TestNoPrefetchWhenScarce checks that prefetching is granted only below its limit, and needed
-// requests while the window has room.
+// TestNoPrefetchWhenScarce guards against prefetching that takes the room of needed requests.
 func TestNoPrefetchWhenScarce(t *testing.T) {
 	l := Restore(0, DurableState{}, time.Second)
 	limit := Limit{Window: 5 * time.Second, Max: 100}
@@ -196,8 +192,7 @@
 	}
 }
 
-// TestExpiredLeaseIsNotRenewed checks that a holder cannot continue a lease whose outstanding
-// requests already count as spent.
+// TestExpiredLeaseIsNotRenewed guards against using requests that already count as spent.
 func TestExpiredLeaseIsNotRenewed(t *testing.T) {
 	l := Restore(0, DurableState{}, time.Second)
 	limit := Limit{Window: 5 * time.Second, Max: 100}
@@ -208,7 +203,6 @@
 	}
 }
 
-// TestDurableStateChangesRarely checks that most draws need no write.
 func TestDurableStateChangesRarely(t *testing.T) {
 	l := Restore(0, DurableState{}, time.Second)
 	d := DrawRequest{Holder: "a", Limit: Limit{Window: 5 * time.Second, Max: 80}, LeaseDuration: time.Second}
@@ -227,9 +221,8 @@
 	}
 }
 
-// TestRestoredLedgerCountsSpentRequests checks that a restored ledger counts little more than
-// was spent, so that a tenant within its limit is not refused, and that a holder can continue
-// its lease.
+// TestRestoredLedgerCountsSpentRequests guards against refusing a tenant within its limit after a
+// restore, and against ending the leases of live holders.
 func TestRestoredLedgerCountsSpentRequests(t *testing.T) {
 	const window, leaseDuration = 5 * time.Second, 2500 * time.Millisecond
 	limit := Limit{Window: window, Max: 100}
--- a/rule/route/amendment.go
+++ b/rule/route/amendment.go
@@ -7,11 +7,10 @@
 	"saffronfall/rule/configuration"
 )
 
-// Amendment is a partial change of a table by an operator: it replaces, adds and removes
-// items by name and leaves the rest unchanged. It is declarative: a set item replaces the
-// whole item of its name or is added, and removing an item that does not exist is no error.
+// Amendment is an operator's partial change of a table. A set item replaces the whole item of
+// its name or is added; removing an item that does not exist is no error.
 type Amendment struct {
-	// Number is the number of the resulting table.
+	// Number is that of the resulting table.
 	Number uint64       `json:"number"`
 	Set    SetItems     `json:"set"`
 	Remove RemovedNames `json:"remove"`
@@ -31,8 +30,7 @@
 	Tenants  []string `json:"tenants"`
 }
 
-// AmendmentSettings lists the settings of an amendment. Those of items are the settings of
-// the table's items with the prefix "set.".
+// AmendmentSettings lists the settings of an amendment; those of items have the prefix "set.".
 var AmendmentSettings = amendmentSettings()
 
 func amendmentSettings() []configuration.Setting {
@@ -54,8 +52,8 @@
 	return settings
 }
 
-// ParseAmendment decodes an amendment from JSON and makes the checks that do not depend on the
-// table that it changes. It returns every fault.
+// ParseAmendment decodes JSON and makes the checks that need no table. It returns all faults of
+// single settings or, if there are none, of names.
 func ParseAmendment(text []byte) (Amendment, configuration.Faults) {
 	var a Amendment
 	if faults := configuration.Read(text, AmendmentSettings, &a); faults != nil {
@@ -73,7 +71,6 @@
 
 func routeName(r Route) string { return r.Name }
 
-// conflictingNames reports names that are empty, set twice, or both set and removed.
 func conflictingNames[T any](list string, set []T, removed []string, name func(T) string) (faults configuration.Faults) {
 	isSet := map[string]bool{}
 	for i, item := range set {
@@ -88,24 +85,39 @@
 	}
 	for i, item := range removed {
 		if item == "" {
-			faults = append(faults, configuration.Fault{Path: "remove." + list + "[" + strconv.Itoa(i) + "]", Value: item, Allowed: "the name that the item is known by"})
+			faults = append(faults, configuration.Fault{
+				Path:    "remove." + list + "[" + strconv.Itoa(i) + "]",
+				Value:   item,
+				Allowed: "the name that the item is known by",
+			})
 		}
 		if isSet[item] {
-			faults = append(faults, configuration.Fault{Path: "remove." + list + "[" + strconv.Itoa(i) + "]", Value: item, Allowed: "a name that is not set by the same amendment"})
+			faults = append(faults, configuration.Fault{
+				Path:    "remove." + list + "[" + strconv.Itoa(i) + "]",
+				Value:   item,
+				Allowed: "a name that is not set by the same amendment",
+			})
 		}
 	}
 	return faults
 }
 
-// Apply returns the table that results from applying the amendment to the current table,
-// which is not modified. It returns every fault of the amendment and of the result.
+// Apply returns the amended table, or every fault. It does not modify the current table.
 func (a Amendment) Apply(current *Table) (*Table, configuration.Faults) {
 	var faults configuration.Faults
 	if a.Number <= current.Number {
-		faults = append(faults, configuration.Fault{Path: "number", Value: a.Number, Allowed: "above the one in force, " + strconv.FormatUint(current.Number, 10)})
+		faults = append(faults, configuration.Fault{
+			Path:    "number",
+			Value:   a.Number,
+			Allowed: "above the one in force, " + strconv.FormatUint(current.Number, 10),
+		})
 	}
 	if current.Source != "" {
-		faults = append(faults, configuration.Fault{Path: "$", Value: "a table that was translated from another text", Allowed: "an amendment of that text"})
+		faults = append(faults, configuration.Fault{
+			Path:    "$",
+			Value:   "a table that was translated from another text",
+			Allowed: "an amendment of that text",
+		})
 	}
 	faults = append(faults, duplicateNames("routes", current.Routes, a.Set.Routes, a.Remove.Routes, routeName)...)
 	next := &Table{Number: a.Number, KeyRequired: current.KeyRequired, Limits: current.Limits}
@@ -120,8 +132,7 @@
 	return next, nil
 }
 
-// duplicateNames reports names used by the amendment that several items of the current
-// table share, as they do not identify one item.
+// duplicateNames reports names of the amendment that several current items share.
 func duplicateNames[T any](list string, current, set []T, removed []string, name func(T) string) (faults configuration.Faults) {
 	count := map[string]int{}
 	for _, item := range current {
@@ -139,7 +150,7 @@
 	return faults
 }
 
-// ChangedNames lists the names of the items of one kind that differ between two tables.
+// ChangedNames lists the changed items of one kind.
 type ChangedNames struct {
 	Added    []string `json:"added,omitempty"`
 	Replaced []string `json:"replaced,omitempty"`
@@ -153,7 +164,7 @@
 	Tenants  ChangedNames `json:"tenants"`
 }
 
-// NewPreview returns the differences between two tables for display to an operator.
+// NewPreview returns the differences between two tables.
 func NewPreview(current, next *Table) Preview {
 	return Preview{
 		Routes:   changedNames(current.Routes, next.Routes, routeName),
--- a/rule/route/amendment_test.go
+++ b/rule/route/amendment_test.go
@@ -22,7 +22,6 @@
 	return table
 }
 
-// TestAmendment checks that named items are replaced, added and removed and the rest stays.
 func TestAmendment(t *testing.T) {
 	current := parsed(t, amended)
 	a, faults := ParseAmendment([]byte(`{"number":9,"set":{"routes":[{"name":"chat","host":"a","prefix":"/talk/","mode":"stream","timeout_ms":200,"targets":[{"service":"new"}]},
@@ -59,7 +58,6 @@
 	}
 }
 
-// TestAmendmentFaults checks that every fault is reported and no table is returned.
 func TestAmendmentFaults(t *testing.T) {
 	route := func(name, prefix, service string) string {
 		return fmt.Sprintf(`{"name":%q,"host":"a","prefix":%q,"mode":"once","timeout_ms":100,"targets":[{"service":%q}]}`, name, prefix, service)
@@ -100,8 +98,7 @@
 	}
 }
 
-// TestAmendmentRefusesAmbiguousNames checks that a name shared by two routes cannot be amended,
-// nor a table that was translated from another text.
+// TestAmendmentRefusesAmbiguousNames also covers tables that were translated from another text.
 func TestAmendmentRefusesAmbiguousNames(t *testing.T) {
 	current := parsed(t, strings.Replace(amended, `"name":"old"`, `"name":"chat"`, 1))
 	if _, faults := (Amendment{Number: 4, Remove: RemovedNames{Routes: []string{"chat"}}}).Apply(current); len(faults) == 0 {
@@ -113,8 +110,7 @@
 	}
 }
 
-// FuzzAmendment checks that an amendment is either refused or results in a valid table that
-// contains the requested changes, and never modifies the current table.
+// FuzzAmendment guards against invalid results and changes of the current table.
 func FuzzAmendment(f *testing.F) {
 	f.Add([]byte(`{"number":9,"set":{"services":[{"name":"new"}]},"remove":{"routes":["old"],"services":["llm"]}}`))
 	f.Add([]byte(`{"number":4,"set":{"routes":[{"name":"chat","host":"a","prefix":"/old/","mode":"once","timeout_ms":100,"targets":[{"service":"app"}]}]},"remove":{"routes":["old"]}}`))
--- a/rule/route/difference.go
+++ b/rule/route/difference.go
@@ -7,8 +7,7 @@
 	"strings"
 )
 
-// Difference holds the changes from one table to a later one. A node that has the base
-// table, identified by number and digest, is sent the difference instead of the complete table.
+// Difference holds the changes from a base table to a later one.
 type Difference struct {
 	BaseNumber uint64 `msgpack:"b"`
 	BaseDigest string `msgpack:"c"`
@@ -25,13 +24,13 @@
 	Limits          Limits     `msgpack:"l"`
 }
 
-// RouteKey identifies a route within a table. The host is in lower case.
+// RouteKey identifies a route in a table. The host is in lower case.
 type RouteKey struct {
 	Host   string `msgpack:"h"`
 	Prefix string `msgpack:"p"`
 }
 
-// Key returns the key of the route. Hosts are case-insensitive.
+// Key returns the key of the route.
 func (r Route) Key() RouteKey {
 	return RouteKey{Host: strings.ToLower(r.Host), Prefix: r.Prefix}
 }
@@ -39,19 +38,24 @@
 func serviceName(s Service) string { return s.Name }
 func tenantName(t Tenant) string   { return t.Name }
 
-// Compare returns the difference between two tables with the given digests. The order of
-// routes, services and tenants is not significant and not preserved; the source text is
-// left out.
+// Compare returns the difference between two tables with the given digests. It omits the source
+// text and the order of items, which has no meaning.
 func Compare(base *Table, baseDigest string, next *Table, digest string) Difference {
-	d := Difference{BaseNumber: base.Number, BaseDigest: baseDigest, Number: next.Number, Digest: digest, KeyRequired: next.KeyRequired, Limits: next.Limits}
+	d := Difference{
+		BaseNumber:  base.Number,
+		BaseDigest:  baseDigest,
+		Number:      next.Number,
+		Digest:      digest,
+		KeyRequired: next.KeyRequired,
+		Limits:      next.Limits,
+	}
 	d.Routes, d.RemovedRoutes = diff(base.Routes, next.Routes, Route.Key)
 	d.Services, d.RemovedServices = diff(base.Services, next.Services, serviceName)
 	d.Tenants, d.RemovedTenants = diff(base.Tenants, next.Tenants, tenantName)
 	return d
 }
 
-// diff returns the items of next that base lacks or has with other content, and the keys of
-// the items that only base has.
+// diff returns the new and changed items, and the keys of the removed ones.
 func diff[T any, K comparable](base, next []T, key func(T) K) (set []T, removed []K) {
 	before := make(map[K]T, len(base))
 	for _, item := range base {
@@ -90,9 +94,8 @@
 	return len(d.Routes) + len(d.RemovedRoutes) + len(d.Services) + len(d.RemovedServices) + len(d.Tenants) + len(d.RemovedTenants)
 }
 
-// Apply returns the table that results from applying the difference to its base, which is
-// not modified. It returns false if base is not the table that the difference was made for,
-// or if the result is invalid.
+// Apply returns the changed table without modifying base. It returns false if base is another
+// table or the result is invalid.
 func (d Difference) Apply(base *Table, baseDigest string) (*Table, bool) {
 	if base == nil || base.Number != d.BaseNumber || baseDigest != d.BaseDigest || d.Number <= d.BaseNumber {
 		return nil, false
@@ -108,7 +111,7 @@
 	return next, true
 }
 
-// merge returns base without the removed items and with those of set replaced or appended.
+// merge replaces or appends the items of set and omits the removed ones.
 func merge[T any, K comparable](base, set []T, removed []K, key func(T) K) []T {
 	changed := make(map[K]T, len(set))
 	for _, item := range set {
--- a/rule/route/difference_test.go
+++ b/rule/route/difference_test.go
@@ -62,8 +62,7 @@
 	return plain
 }
 
-// TestDifferenceRoundTrip checks that an encoded and decoded difference produces the
-// same table as parsing its JSON does, with the same lookups.
+// TestDifferenceRoundTrip guards against tables that differ from the parsed ones.
 func TestDifferenceRoundTrip(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for round := range 400 {
@@ -110,7 +109,6 @@
 	return string(text)
 }
 
-// TestDifferenceOmitsUnchangedItems checks that unchanged items are left out.
 func TestDifferenceOmitsUnchangedItems(t *testing.T) {
 	base := randomTable(t, 1, rand.New(rand.NewPCG(3, 4)))
 	text, _ := json.Marshal(base)
@@ -124,8 +122,7 @@
 	}
 }
 
-// TestDifferenceRefusesOtherBase checks that a difference is refused on a base with another
-// number or digest, without a base, and if its result is older or invalid.
+// TestDifferenceRefusesOtherBase also covers results that are older or invalid.
 func TestDifferenceRefusesOtherBase(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	base, next := randomTable(t, 3, random), randomTable(t, 5, random)
@@ -156,7 +153,6 @@
 	}
 }
 
-// BenchmarkApply and BenchmarkParse compare the two ways for a node to get a changed table.
 func BenchmarkApply(b *testing.B) {
 	base, next := benchTables(b)
 	d := Compare(base, "a", next, "b")
@@ -195,8 +191,7 @@
 	return base, parse(table)
 }
 
-// TestJSONWithoutSource checks that the JSON parses to the same table without its source
-// text, also if lists were left out.
+// TestJSONWithoutSource also covers tables whose lists were left out.
 func TestJSONWithoutSource(t *testing.T) {
 	parsed, faults := Parse([]byte(`{"number":3,"source":"the operator's","routes":[],"services":[]}`))
 	if faults != nil {
--- a/rule/route/table.go
+++ b/rule/route/table.go
@@ -1,10 +1,8 @@
-// Package route holds the routing table of the relay nodes. A table maps hosts and path
-// prefixes to services, and lists the tenants, their keys and their limits.
+// Package route holds the routing table of the relay nodes. A table maps hosts and path prefixes
+// to services, and lists the tenants, their keys and their limits.
 //
-// A Table is immutable once it is parsed or built from another one, and every such table
-// has passed the same validation. Tables are replaced completely (Parse), by an operator's
-// partial change (Amendment), or by the difference that is sent to a node which already has
-// an earlier table (Difference). Start reading at Table and Parse.
+// Every Table is validated and then immutable. It comes from Parse, or from an earlier table by an
+// Amendment or a Difference. Start reading at Table and Parse.
 package route
 
 import (
@@ -20,14 +18,13 @@
 const (
 	// Repeatable requests are idempotent and may be executed more than once.
 	Repeatable = "repeatable"
-	// Once requests are executed at most once for each attempt of the client.
+	// Once requests are executed at most once per attempt of the requester.
 	Once = "once"
-	// Stream requests are answered with a stream of events. They are executed at most
-	// once unless the route is resumable.
+	// Stream requests are answered with events. They run at most once unless resumable.
 	Stream = "stream"
 )
 
-// Target is a service that a route sends requests to, with its relative weight.
+// Target is a service of a route, with its relative weight.
 type Target struct {
 	Service string  `json:"service" msgpack:"Service"`
 	Weight  float64 `json:"weight" msgpack:"Weight"`
@@ -40,49 +37,48 @@
 	Prefix    string `json:"prefix" msgpack:"Prefix"`
 	Mode      string `json:"mode" msgpack:"Mode"`
 	Resumable bool   `json:"resumable" msgpack:"Resumable"`
-	// KeepHistory stores conversation histories; requests contain only new messages.
+	// KeepHistory stores conversations; requests contain only new messages.
 	KeepHistory     bool    `json:"kept" msgpack:"Kept"`
 	KeepSeconds     float64 `json:"keep_seconds" msgpack:"KeepSeconds"`
 	TimeoutMS       float64 `json:"timeout_ms" msgpack:"TimeoutMS"`
 	LatencyTargetMS float64 `json:"aim_ms" msgpack:"AimMS"`
 	MaxEventGapMS   float64 `json:"gap_ms" msgpack:"GapMS"`
-	// Urgency is the priority of requests; 0 is the most urgent.
+	// Urgency 0 is the most urgent.
 	Urgency int64 `json:"urgency" msgpack:"Urgency"`
-	// MaxAttempts is the greatest number of replicas that one request is sent to.
+	// MaxAttempts bounds the replicas that one request is sent to.
 	MaxAttempts int64 `json:"tries" msgpack:"Tries"`
 	// Public requests need no key.
 	Public bool `json:"open" msgpack:"Open"`
-	// CacheAffinity prefers replicas that recently served a request with the same affinity key.
+	// CacheAffinity prefers replicas that recently served the same key.
 	CacheAffinity bool     `json:"pinned" msgpack:"Pinned"`
 	Targets       []Target `json:"targets" msgpack:"Targets"`
 }
 
-// Retryable reports whether a request of this route may be executed more than once.
+// Retryable reports whether a request may be executed more than once.
 func (r Route) Retryable() bool {
 	return r.Mode == Repeatable || (r.Mode == Stream && r.Resumable)
 }
 
-// Service describes the replicas of one service.
+// Service describes a service and its replicas.
 type Service struct {
 	Name string `json:"name" msgpack:"Name"`
-	// Connections is the number of connections that a replica accepts from all nodes.
+	// Connections bounds those that a replica accepts from all nodes.
 	Connections    int64 `json:"connections" msgpack:"Connections"`
 	TokensPerEvent int64 `json:"tokens_per_event" msgpack:"TokensPerEvent"`
-	// Slots is the number of concurrent requests of a replica; 0 means as it announces.
-	Slots int64 `json:"slots" msgpack:"Slots"`
-	// CacheTokens is the size of a replica's prompt cache.
+	// Slots are the concurrent requests of a replica; 0 means as it announces.
+	Slots       int64 `json:"slots" msgpack:"Slots"`
 	CacheTokens int64 `json:"cache_tokens" msgpack:"CacheTokens"`
 }
 
 // Tenant is a customer with its keys and request limits.
 type Tenant struct {
 	Name string `json:"name" msgpack:"Name"`
-	// Keys are the SHA-256 digests of the tenant's keys, in hex.
+	// Keys are SHA-256 digests in hex.
 	Keys []string `json:"keys" msgpack:"Keys"`
 	// Rate is in requests per second over all nodes; 0 means no limit.
 	Rate  float64 `json:"rate" msgpack:"Rate"`
 	Burst float64 `json:"burst" msgpack:"Burst"`
-	// Urgency overrides the urgency of the route, if set.
+	// Urgency, if not nil, overrides the route's.
 	Urgency *int64 `json:"urgency,omitempty" msgpack:"Urgency"`
 }
 
@@ -92,17 +88,16 @@
 	BodyBytes   int64 `json:"body_bytes" msgpack:"BodyBytes"`
 }
 
-// Table is one version of the routing table. Later versions have higher numbers.
+// Table is one version of the routing table. Numbers grow with each version.
 type Table struct {
 	Number   uint64    `json:"number"`
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"services"`
 	Tenants  []Tenant  `json:"tenants"`
-	// KeyRequired refuses requests without a tenant's key, except on public routes.
+	// KeyRequired applies except on public routes.
 	KeyRequired bool   `json:"keyed"`
 	Limits      Limits `json:"limits"`
-	// Source is the operator's text that the table was translated from, or empty. It is
-	// returned unchanged.
+	// Source is the text that the table was translated from, or empty.
 	Source string `json:"source,omitempty"`
 
 	byHost   map[string][]*Route
@@ -121,23 +116,60 @@
 	{Path: "routes.[].name", Type: "text", Default: "", Help: "name of the route"},
 	{Path: "routes.[].host", Type: "text", Required: true, Help: "host of the requests"},
 	{Path: "routes.[].prefix", Type: "text", Required: true, Check: checkPrefix, Help: "path prefix; begins and ends with a slash"},
-	{Path: "routes.[].mode", Type: "text", Required: true, Allowed: []string{Repeatable, Once, Stream}, Help: "how often a request may be executed"},
+	{
+		Path:     "routes.[].mode",
+		Type:     "text",
+		Required: true,
+		Allowed:  []string{Repeatable, Once, Stream},
+		Help:     "how often a request may be executed",
+	},
 	{Path: "routes.[].resumable", Type: "bool", Default: false, Help: "whether a stream may be resumed at another replica"},
-	{Path: "routes.[].kept", Type: "bool", Default: false, Help: "whether conversation histories are stored; requests then contain only new messages"},
-	{Path: "routes.[].keep_seconds", Type: "number", Default: 60.0, Min: 0, Max: 30 * 86400, Help: "how long a stored turn is kept after the end of its answer"},
+	{
+		Path:    "routes.[].kept",
+		Type:    "bool",
+		Default: false,
+		Help:    "whether conversation histories are stored; requests then contain only new messages",
+	},
+	{
+		Path:    "routes.[].keep_seconds",
+		Type:    "number",
+		Default: 60.0,
+		Min:     0,
+		Max:     30 * 86400,
+		Help:    "how long a stored turn is kept after the end of its answer",
+	},
 	{Path: "routes.[].timeout_ms", Type: "number", Required: true, Min: 1, Max: 86400000, Help: "deadline of a request"},
 	{Path: "routes.[].aim_ms", Type: "number", Default: 1000.0, Min: 0, Max: 86400000, Help: "latency objective of an answer"},
 	{Path: "routes.[].gap_ms", Type: "number", Default: 0.0, Min: 0, Max: 86400000, Help: "longest acceptable gap between events"},
 	{Path: "routes.[].urgency", Type: "int", Default: 5, Min: 0, Max: 9, Help: "0 is the most urgent"},
 	{Path: "routes.[].tries", Type: "int", Default: 1, Min: 1, Max: 100, Help: "greatest number of replicas that one request is sent to"},
 	{Path: "routes.[].open", Type: "bool", Default: false, Help: "whether requests need no key"},
-	{Path: "routes.[].pinned", Type: "bool", Default: false, Help: "whether to prefer replicas that recently served a request for the same item (cache affinity)"},
+	{
+		Path:    "routes.[].pinned",
+		Type:    "bool",
+		Default: false,
+		Help:    "whether to prefer replicas that recently served a request for the same item (cache affinity)",
+	},
 	{Path: "routes.[].targets.[].service", Type: "text", Required: true, Help: "service that requests are sent to"},
 	{Path: "routes.[].targets.[].weight", Type: "number", Default: 1.0, Min: 0, Max: maxNumber, Help: "weight among the route's services"},
 	{Path: "services.[].name", Type: "text", Required: true, Help: "name of the service"},
-	{Path: "services.[].connections", Type: "int", Default: 64, Min: 1, Max: maxNumber, Help: "connections that a replica accepts from all nodes"},
+	{
+		Path:    "services.[].connections",
+		Type:    "int",
+		Default: 64,
+		Min:     1,
+		Max:     maxNumber,
+		Help:    "connections that a replica accepts from all nodes",
+	},
 	{Path: "services.[].tokens_per_event", Type: "int", Default: 1, Min: 1, Max: maxNumber, Help: "tokens in each event"},
-	{Path: "services.[].slots", Type: "int", Default: 0, Min: 0, Max: maxNumber, Help: "concurrent requests of a replica; 0: as the replica announces"},
+	{
+		Path:    "services.[].slots",
+		Type:    "int",
+		Default: 0,
+		Min:     0,
+		Max:     maxNumber,
+		Help:    "concurrent requests of a replica; 0: as the replica announces",
+	},
 	{Path: "services.[].cache_tokens", Type: "int", Default: 0, Min: 0, Max: maxNumber, Help: "size of a replica's prompt cache, in tokens"},
 	{Path: "tenants.[].name", Type: "text", Required: true, Help: "name of the tenant"},
 	{Path: "tenants.[].keys", Type: "texts", Default: []any{}, Check: checkDigests, Help: "SHA-256 of each key, in hex"},
@@ -167,8 +199,8 @@
 	return ""
 }
 
-// Parse decodes a table from JSON and validates it. It returns the faults of all single
-// settings or, if there are none, all faults between settings.
+// Parse decodes and validates a table in JSON. It returns all faults of single settings or, if
+// there are none, between settings.
 func Parse(text []byte) (*Table, configuration.Faults) {
 	t := &Table{}
 	if faults := configuration.Read(text, Settings, t); faults != nil {
@@ -181,8 +213,6 @@
 	return t, nil
 }
 
-// validate checks the constraints between settings: unique names, prefixes and keys, known
-// services and positive weights.
 func (t *Table) validate() configuration.Faults {
 	var faults configuration.Faults
 	report := func(path string, value any, allowed string) {
@@ -232,7 +262,7 @@
 	return faults
 }
 
-// index builds the lookup maps. Routes of a host are ordered by descending prefix length.
+// index orders the routes of a host by descending prefix length.
 func (t *Table) index() {
 	t.byHost, t.byKey, t.services = map[string][]*Route{}, map[string]*Tenant{}, map[string]*Service{}
 	for i := range t.Routes {
@@ -252,8 +282,7 @@
 	}
 }
 
-// Match returns the route with the longest matching prefix. A host with a port that no
-// route names is looked up without it.
+// Match returns the route with the longest matching prefix. It ignores a port that no route names.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	host = strings.ToLower(host)
 	list, ok := t.byHost[host]
@@ -282,8 +311,8 @@
 	return s, ok
 }
 
-// PickService chooses one of the route's services by weight. The fraction, from 0 to 1,
-// selects a point of the total weight. It returns an empty string if no weight is positive.
+// PickService chooses a service by weight, given a fraction from 0 to 1. It returns an empty
+// string if no weight is positive.
 func (r Route) PickService(fraction float64) string {
 	var sum float64
 	for _, target := range r.Targets {
--- a/rule/route/table_test.go
+++ b/rule/route/table_test.go
@@ -77,8 +77,7 @@
 	}
 }
 
-// FuzzParse checks that an accepted table finds each of its routes, picks only services with
-// a positive weight, knows the tenant of each key, and is unchanged by a round trip through
+// FuzzParse guards against accepted tables with wrong lookups, or changes in a round trip through
 // JSON.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(example))
@@ -147,7 +146,6 @@
 	})
 }
 
-// TestKeyDigestsIgnoreCase checks that the hex digits of a digest are case-insensitive.
 func TestKeyDigestsIgnoreCase(t *testing.T) {
 	table, faults := Parse([]byte(strings.Replace(example, digest, strings.ToUpper(digest), 1)))
 	if faults != nil {
--- a/rule/slab/slab.go
+++ b/rule/slab/slab.go
@@ -1,14 +1,12 @@
-// Package slab stores values, such as the state of pending requests, in reusable slots. A
-// ticket identifies a slot and its generation, so that the ticket of a removed value is never
-// valid for the next value in its slot. Start reading at Slab.
+// Package slab stores values in reusable slots. The ticket of a removed value is not valid for the
+// next value in its slot. Start reading at Slab.
 package slab
 
-// Ticket identifies a stored value: the upper 32 bits are the generation of its slot, the lower
-// 32 bits the index. Zero is never a valid ticket.
+// Ticket holds the generation of a slot in the upper 32 bits and its index in the lower ones. Zero
+// is never valid.
 type Ticket uint64
 
-// Slab stores values of one type. Its zero value is ready for use. It is not safe for concurrent
-// use.
+// Slab stores values of one type. Its zero value is empty. It is not safe for concurrent use.
 type Slab[T any] struct {
 	slots []slot[T]
 	free  []uint32
@@ -21,7 +19,7 @@
 	value      T
 }
 
-// Put stores a value and returns its ticket, which is never zero.
+// Put stores a value and returns its ticket.
 func (s *Slab[T]) Put(value T) Ticket {
 	var index uint32
 	if n := len(s.free); n > 0 {
@@ -35,7 +33,7 @@
 	return Ticket(uint64(s.slots[index].generation)<<32 | uint64(index))
 }
 
-// Get returns the value of a ticket, and false if the ticket is no longer valid.
+// Get returns the value of a ticket, and false if it is not valid.
 func (s *Slab[T]) Get(t Ticket) (T, bool) {
 	var none T
 	index, generation := uint32(t), uint32(t>>32)
@@ -45,7 +43,7 @@
 	return s.slots[index].value, true
 }
 
-// Take removes and returns the value of a ticket, and false if the ticket is no longer valid.
+// Take removes and returns the value of a ticket, and false if it is not valid.
 func (s *Slab[T]) Take(t Ticket) (T, bool) {
 	value, ok := s.Get(t)
 	if !ok {
--- a/rule/slab/slab_test.go
+++ b/rule/slab/slab_test.go
@@ -2,7 +2,6 @@
 
 import "testing"
 
-// TestStaleTicket checks that a ticket of a reused slot finds nothing.
 func TestStaleTicket(t *testing.T) {
 	var s Slab[string]
 	first := s.Put("a")
--- a/rule/verdict/verdict.go
+++ b/rule/verdict/verdict.go
@@ -1,6 +1,5 @@
-// Package verdict defines the result of every decision about a request: whether it is
-// allowed, allowed with warnings or refused, by which check, and whether the requested work
-// may have been executed. Start reading at Verdict.
+// Package verdict defines the result of every decision about a request: whether and by which
+// check it is refused, and whether the work may have been executed. Start reading at Verdict.
 package verdict
 
 import (
@@ -11,8 +10,8 @@
 // Execution says whether the work of a request was executed.
 type Execution string
 
-// States of execution. NotExecuted is a guarantee: the work has not been executed and never
-// will be for this request. MaybeExecuted is the answer whenever that cannot be known.
+// States of execution. NotExecuted guarantees that the request was not and will never be
+// executed; MaybeExecuted applies if that cannot be known.
 const (
 	NotExecuted   Execution = "no"
 	MaybeExecuted Execution = "maybe"
@@ -22,7 +21,7 @@
 // Kind is the outcome of a decision.
 type Kind string
 
-// Kinds of verdicts. The outer name of Allow is "gate".
+// Kinds of verdicts.
 const (
 	Allow  Kind = "gate"
 	Warn   Kind = "warn"
@@ -36,8 +35,8 @@
 	Limit int64  `json:"of" msgpack:"o"`
 }
 
-// Verdict is the decision of a check or of a chain of checks. Status is an HTTP status;
-// Head is the hash of the conversation's history (see package program), or empty.
+// Verdict is the decision of one or more checks. Status is an HTTP status, and Head the hash of
+// the conversation's history, or empty.
 type Verdict struct {
 	Kind       Kind          `json:"verdict" msgpack:"k"`
 	Check      string        `json:"check,omitempty" msgpack:"c"`
@@ -84,8 +83,8 @@
 		Ran: r.Ran, Status: r.Status, RetryAfter: r.RetryAfter, Head: r.Head}
 }
 
-// RetryLater returns a temporary refusal with status 503: the work was not executed, and the
-// client may retry after the given time.
+// RetryLater returns a refusal with status 503 and no execution. The requester may retry after
+// the given time.
 func RetryLater(check, reason string, after time.Duration) Verdict {
 	return Refused(Refusal{Check: check, Code: "come_back", Reason: reason, Status: 503, RetryAfter: after})
 }
