--- a/rehearsalkit/breaks/soak.go
+++ b/rehearsalkit/breaks/soak.go
@@ -51,7 +51,7 @@
 	{What: "nodes forget departures together with the desk that reported them", File: "peer/relay/replicas.go", Seeds: 6, Elsewhere: "TestLeavingIsRememberedAfterDeskIsSilent; desks exchange departures, so the soak does not see it",
 		From: "if l.Removed || m.departed.has(id) {", To: "if l.Removed || l.Replica.Leaving || l.Final {"},
 	{What: "a quota's block is granted again after a takeover", File: "rule/rate/ledger.go", Seeds: 4,
-		From: "pool: s.Outstanding, poolExpiresAt", To: "pool: 0, poolExpiresAt"},
+		From: "pool:          state.Outstanding,", To: "pool:          0,"},
 	{What: "a stream is resumed at the wrong event", File: "peer/front/handler.go", Seeds: 2,
 		From: "			x.lastEventID = e.id\n", To: "			x.lastEventID = \"1\"\n"},
 	{What: "an answer's id is not checked", File: "peer/replica/pool.go", Seeds: 2,
--- a/rule/admission/admission.go
+++ b/rule/admission/admission.go
@@ -46,12 +46,12 @@
 	observedAt time.Duration
 }
 
-// Observe updates the level with the queued requests per slot. A negative queue is the fraction
+// Observe updates the level with the queued requests per slot. A negative value is the fraction
 // of free slots.
-func (c *Controller) Observe(now time.Duration, queue float64) {
+func (c *Controller) Observe(now time.Duration, queuePerSlot float64) {
 	elapsed := min(now-c.observedAt, maxInterval).Seconds()
 	c.observedAt = now
-	excess := queue - TargetQueue
+	excess := queuePerSlot - TargetQueue
 	if excess > 0 {
 		c.level += riseRate * excess * elapsed
 	} else {
--- a/rule/admission/admission_test.go
+++ b/rule/admission/admission_test.go
@@ -10,15 +10,17 @@
 
 // Parameters of the simulated service, which runs turns in FIFO order without priorities.
 const (
-	slots     = 60
-	turnTime  = 250 * time.Millisecond
-	pauseTime = 150 * time.Millisecond
-	turns     = 5
-	step      = 10 * time.Millisecond
+	slots      = 60
+	turnTime   = 250 * time.Millisecond
+	pauseTime  = 150 * time.Millisecond
+	retryDelay = 400 * time.Millisecond
+	maxRetries = 2
+	turns      = 5
+	step       = 10 * time.Millisecond
 	// deadline is counted from the start of a program, which takes 1.85 s without queueing.
 	deadline = 2800 * time.Millisecond
 	// capacity is the number of programs that the slots can serve per second.
-	capacity = float64(slots) / (turns * 0.25)
+	capacity = slots * float64(time.Second) / (turns * float64(turnTime))
 )
 
 type program struct {
@@ -54,7 +56,6 @@
 	return Exempt
 }
 
-// advance simulates one step. A refused turn is retried at most twice, after a fixed delay.
 func (s *service) advance(now time.Duration) {
 	for _, p := range s.programs {
 		switch {
@@ -67,8 +68,8 @@
 		case p.endsAt == 0 && !p.queued && p.turn < turns && now >= p.readyAt:
 			if s.controller != nil && !s.controller.Admits(s.classOf(now, p), p.id) {
 				p.refusals++
-				p.readyAt = now + 400*time.Millisecond
-				if p.refusals > 2 {
+				p.readyAt = now + retryDelay
+				if p.refusals > maxRetries {
 					p.turn = turns + 1
 				}
 				continue
--- a/rule/allowance/allowance_test.go
+++ b/rule/allowance/allowance_test.go
@@ -10,17 +10,17 @@
 func TestWindowNeverUndercounts(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	w := Window{Width: time.Minute}
-	type one struct {
+	type addition struct {
 		at     time.Duration
 		amount int64
 	}
-	var all []one
+	var all []addition
 	now := time.Duration(0)
 	for i := 0; i < 5000; i++ {
 		now += time.Duration(random.Int64N(int64(time.Second)))
 		amount := random.Int64N(10)
 		w.Add(now, amount)
-		all = append(all, one{now, amount})
+		all = append(all, addition{now, amount})
 		var exact, slack int64
 		for _, a := range all {
 			if a.at+w.Width > now {
@@ -82,25 +82,25 @@
 // TestDivision guards against shares above the total, and holders left without a share.
 func TestDivision(t *testing.T) {
 	for _, c := range []struct {
-		wants   []int64
+		demands []int64
 		holders int64
 		total   int64
 	}{{[]int64{1}, 1, 10}, {[]int64{32, 32, 320}, 3, 48}, {[]int64{32}, 13, 48}, {[]int64{5, 5, 5, 5, 5}, 5, 3}, {[]int64{1000, 1}, 2, 2}} {
 		var l Ledger
 		names := []string{"a", "b", "c", "d", "e"}
 		d := Division{Total: c.total, Holders: c.holders, IdleDemand: 32}
-		for i, w := range c.wants {
-			l.SetDemand(names[i], w, d)
+		for i, demand := range c.demands {
+			l.SetDemand(names[i], demand, d)
 		}
 		var sum, none int64
-		for i, w := range c.wants {
-			got := l.SetDemand(names[i], w, d)
+		for i, demand := range c.demands {
+			got := l.SetDemand(names[i], demand, d)
 			sum += got
 			if got == 0 {
 				none++
 			}
 		}
-		if sum > c.total || (none > 0 && int64(len(c.wants)) <= c.total) {
+		if sum > c.total || (none > 0 && int64(len(c.demands)) <= c.total) {
 			t.Errorf("%+v: %d granted in total, %d holders without a share", c, sum, none)
 		}
 	}
--- a/rule/allowance/ledger.go
+++ b/rule/allowance/ledger.go
@@ -114,7 +114,7 @@
 
 // SetDemand records a holder's demand and returns the share that it should hold. Each holder with
 // a demand gets at least one unit while there are enough.
-func (l *Ledger) SetDemand(holder string, demand int64, d Division) int64 {
+func (l *Ledger) SetDemand(holder string, demand int64, division Division) int64 {
 	if l.Demands == nil {
 		l.Demands = map[string]int64{}
 	}
@@ -123,24 +123,24 @@
 	} else {
 		delete(l.Demands, holder)
 	}
-	if demand <= 0 || d.Total <= 0 {
+	if demand <= 0 || division.Total <= 0 {
 		return 0
 	}
 	var sum int64
-	for _, d := range l.Demands {
-		sum += d
+	for _, holderDemand := range l.Demands {
+		sum += holderDemand
 	}
 	count := int64(len(l.Demands))
-	if missing := d.Holders - count; missing > 0 {
-		count, sum = d.Holders, sum+missing*d.IdleDemand
+	if missing := division.Holders - count; missing > 0 {
+		count, sum = division.Holders, sum+missing*division.IdleDemand
 	}
-	if count >= d.Total {
+	if count >= division.Total {
 		for i, name := range ordered.Keys(l.Demands) {
-			if name == holder && int64(i) < d.Total {
+			if name == holder && int64(i) < division.Total {
 				return 1
 			}
 		}
 		return 0
 	}
-	return 1 + (d.Total-count)*demand/sum
+	return 1 + (division.Total-count)*demand/sum
 }
--- a/rule/breaker/breaker.go
+++ b/rule/breaker/breaker.go
@@ -57,15 +57,15 @@
 
 // Advance makes an open breaker half-open after the recovery time, and drops probes that got no
 // result within that time. It reports whether anything changed.
-func (b *Breaker) Advance(now time.Duration, p Params) bool {
+func (b *Breaker) Advance(now time.Duration, params Params) bool {
 	changed := false
-	if b.State == Open && now >= b.Since+p.Recovery {
+	if b.State == Open && now >= b.Since+params.Recovery {
 		b.State, b.Since, b.Probes, changed = HalfOpen, now, nil, true
 	}
 	if b.State == HalfOpen {
 		kept := b.Probes[:0:0]
 		for _, probe := range b.Probes {
-			if probe.Succeeded || now < probe.IssuedAt+p.Recovery {
+			if probe.Succeeded || now < probe.IssuedAt+params.Recovery {
 				kept = append(kept, probe)
 			}
 		}
@@ -77,34 +77,34 @@
 }
 
 // RecoveryLeft returns the remaining recovery time of an open breaker, or 0.
-func (b *Breaker) RecoveryLeft(now time.Duration, p Params) time.Duration {
+func (b *Breaker) RecoveryLeft(now time.Duration, params Params) time.Duration {
 	if b.State != Open {
 		return 0
 	}
-	return max(0, b.Since+p.Recovery-now)
+	return max(0, b.Since+params.Recovery-now)
 }
 
 // Draw raises a holder's share towards the target, and returns the total granted to the holder,
 // in millionths of a dollar. The breaker opens if the need, not the target, exceeds a limit.
-func (b *Breaker) Draw(now time.Duration, holder string, target, need int64, p Params) int64 {
-	b.Advance(now, p)
+func (b *Breaker) Draw(now time.Duration, holder string, target, need int64, params Params) int64 {
+	b.Advance(now, params)
 	if b.State == Open {
 		return b.Ledger.Holders[holder].Granted
 	}
 	shortfall := need - b.Ledger.Holders[holder].Held()
-	if shortfall > 0 && b.Ledger.Available(now, p.limits()) < shortfall {
-		b.trip(now, shortfall, p)
+	if shortfall > 0 && b.Ledger.Available(now, params.limits()) < shortfall {
+		b.trip(now, shortfall, params)
 		return b.Ledger.Holders[holder].Granted
 	}
-	return b.Ledger.Grant(now, holder, target, p.limits())
+	return b.Ledger.Grant(now, holder, target, params.limits())
 }
 
-func (b *Breaker) trip(now time.Duration, shortfall int64, p Params) {
+func (b *Breaker) trip(now time.Duration, shortfall int64, params Params) {
 	b.State, b.Since, b.Probes = Open, now, nil
 	b.Trips++
 	outstanding := b.Ledger.Outstanding()
 	for i, name := range []string{"minute", "hour", "day"} {
-		if outstanding+b.Ledger.Windows[i].Sum(now)+shortfall > p.limits()[i] {
+		if outstanding+b.Ledger.Windows[i].Sum(now)+shortfall > params.limits()[i] {
 			b.Reason = "spend of the " + name
 			return
 		}
@@ -113,8 +113,8 @@
 
 // IssueProbe returns the number of a session's probe. It returns 0 if the breaker is not
 // half-open or every probe is in use.
-func (b *Breaker) IssueProbe(now time.Duration, program string, p Params) int {
-	b.Advance(now, p)
+func (b *Breaker) IssueProbe(now time.Duration, program string, params Params) int {
+	b.Advance(now, params)
 	if b.State != HalfOpen {
 		return 0
 	}
@@ -123,7 +123,7 @@
 			return i + 1
 		}
 	}
-	if len(b.Probes) >= p.Probes {
+	if len(b.Probes) >= params.Probes {
 		return 0
 	}
 	b.Probes = append(b.Probes, Probe{Program: program, IssuedAt: now})
@@ -131,7 +131,7 @@
 }
 
 // RecordResult records the result of a probe's turn, which may close or open the breaker.
-func (b *Breaker) RecordResult(now time.Duration, program string, success bool, p Params) {
+func (b *Breaker) RecordResult(now time.Duration, program string, success bool, params Params) {
 	if b.State != HalfOpen {
 		return
 	}
@@ -148,7 +148,7 @@
 			succeeded++
 		}
 	}
-	if succeeded >= p.Probes {
+	if succeeded >= params.Probes {
 		b.State, b.Since, b.Probes, b.Reason = Closed, now, nil, ""
 	}
 }
--- a/rule/breaker/breaker_test.go
+++ b/rule/breaker/breaker_test.go
@@ -17,15 +17,15 @@
 	}
 	b.Ledger.Report(0, "idle", 0, 50)
 	for _, c := range []struct {
-		name  string
-		every time.Duration
-		need  int64
+		name     string
+		interval time.Duration
+		need     int64
 	}{{"spend of the minute", time.Second, 10}, {"spend of the hour", time.Minute, 45}, {"spend of the day", 10 * time.Minute, 45}} {
 		b := New()
 		var now time.Duration
 		var spent int64
 		for i := 0; i < 1000 && b.State == Closed; i++ {
-			now += c.every
+			now += c.interval
 			if b.Draw(now, "n", c.need, c.need, params()); b.State == Closed {
 				spent += c.need
 				b.Ledger.Report(now, "n", spent, 0)
@@ -52,8 +52,8 @@
 		t.Error("a probe was issued before the recovery time had passed")
 	}
 	at := 301 * time.Second
-	if a, again, c, d := b.IssueProbe(at, "p", params()), b.IssueProbe(at, "p", params()), b.IssueProbe(at, "q", params()), b.IssueProbe(at, "r", params()); a != 1 || again != 1 || c != 2 || d != 0 {
-		t.Errorf("probes %d %d %d %d", a, again, c, d)
+	if first, again, second, third := b.IssueProbe(at, "p", params()), b.IssueProbe(at, "p", params()), b.IssueProbe(at, "q", params()), b.IssueProbe(at, "r", params()); first != 1 || again != 1 || second != 2 || third != 0 {
+		t.Errorf("probes %d %d %d %d", first, again, second, third)
 	}
 	b.RecordResult(at, "p", true, params())
 	b.RecordResult(at, "q", false, params())
--- a/rule/placement/sample.go
+++ b/rule/placement/sample.go
@@ -12,8 +12,8 @@
 }
 
 // newSampler returns a sampler of wanted local replicas and half as many remote ones.
-func newSampler(p *Policy, wanted int, replicas []*Replica, allowed func(*Replica) bool) *sampler {
-	s := &sampler{policy: p}
+func newSampler(policy *Policy, wanted int, replicas []*Replica, allowed func(*Replica) bool) *sampler {
+	s := &sampler{policy: policy}
 	for _, r := range replicas {
 		if allowed(r) {
 			s.selectionOf(r).left++
--- a/rule/rate/ledger.go
+++ b/rule/rate/ledger.go
@@ -60,8 +60,14 @@
 
 // Restore returns a ledger with the given durable state. Outstanding requests may have been
 // granted just now, so they may be spent for one lease duration.
-func Restore(now time.Duration, s DurableState, leaseDuration time.Duration) *Ledger {
-	return &Ledger{DurableState: s, Leases: map[string]Lease{}, Buckets: append([]Bucket(nil), s.Spent...), pool: s.Outstanding, poolExpiresAt: now + leaseDuration}
+func Restore(now time.Duration, state DurableState, leaseDuration time.Duration) *Ledger {
+	return &Ledger{
+		DurableState:  state,
+		Leases:        map[string]Lease{},
+		Buckets:       append([]Bucket(nil), state.Spent...),
+		pool:          state.Outstanding,
+		poolExpiresAt: now + leaseDuration,
+	}
 }
 
 // DrawRequest is a holder's report of its lease and its request for more.
@@ -106,9 +112,9 @@
 }
 
 const (
-	// One write covers the grants of a block, which is a fraction of the limit.
+	// blocksPerWindow divides a limit into blocks. One write covers the grants of a block.
 	blocksPerWindow = 8
-	// prefetchFraction is of the limit; the rest is kept for holders with waiting requests.
+	// Prefetching may use prefetchFraction of the limit; the rest is kept for waiting requests.
 	prefetchFraction = 0.6
 	bucketsPerWindow = 20
 )
@@ -116,37 +122,37 @@
 // Draw processes a request at the ledger's time. If the durable state has changed, it must be
 // written before the answer is sent. The lease ends earlier at the holder than here, as the
 // holder counts from the sending of the request.
-func (l *Ledger) Draw(now time.Duration, d DrawRequest) (answer DrawResponse, changed bool) {
+func (l *Ledger) Draw(now time.Duration, request DrawRequest) (answer DrawResponse, changed bool) {
 	if l.Leases == nil {
 		l.Leases = map[string]Lease{}
 	}
-	if d.Version > l.Version || l.Limit.Window == 0 {
-		changed = l.Limit != d.Limit
-		l.Version, l.Limit = d.Version, d.Limit
+	if request.Version > l.Version || l.Limit.Window == 0 {
+		changed = l.Limit != request.Limit
+		l.Version, l.Limit = request.Version, request.Limit
 	}
 	l.expire(now)
-	lease, known := l.Leases[d.Holder]
-	if !known && d.Granted > 0 {
+	lease, known := l.Leases[request.Holder]
+	if !known && request.Granted > 0 {
 		// The lease may be from before the restore: its outstanding requests are in the pool.
-		outstanding := d.Granted - d.Spent - d.Returned
+		outstanding := request.Granted - request.Spent - request.Returned
 		if outstanding < 0 || outstanding > l.pool || now >= l.poolExpiresAt {
 			return DrawResponse{Expired: true}, changed
 		}
 		l.pool -= outstanding
-		lease = Lease{Granted: d.Granted, Spent: d.Spent, Returned: d.Returned}
+		lease = Lease{Granted: request.Granted, Spent: request.Spent, Returned: request.Returned}
 	}
-	if spent := min(d.Spent-lease.Spent, lease.outstanding()); spent > 0 {
+	if spent := min(request.Spent-lease.Spent, lease.outstanding()); spent > 0 {
 		lease.Spent += spent
-		l.recordSpent(now, d.Recent, spent)
+		l.recordSpent(now, request.Recent, spent)
 	}
-	if returned := min(d.Returned-lease.Returned, lease.outstanding()); returned > 0 {
+	if returned := min(request.Returned-lease.Returned, lease.outstanding()); returned > 0 {
 		lease.Returned += returned
 	}
-	lease.ExpiresAt = now + d.LeaseDuration
-	l.Leases[d.Holder] = lease
-	if granted := l.grantable(d, lease); granted > 0 {
+	lease.ExpiresAt = now + request.LeaseDuration
+	l.Leases[request.Holder] = lease
+	if granted := l.grantable(request, lease); granted > 0 {
 		lease.Granted += granted
-		l.Leases[d.Holder] = lease
+		l.Leases[request.Holder] = lease
 		l.Exceeded = l.used() > l.Limit.Max
 		if l.reserved -= granted; l.reserved < 0 {
 			l.reserved = max(l.Limit.Max/blocksPerWindow, 1)
@@ -163,17 +169,17 @@
 		}
 	}
 	answer.Granted, answer.Scarce = lease.Granted, l.used() >= l.prefetchLimit()
-	if lease.outstanding() < d.need() {
+	if lease.outstanding() < request.need() {
 		answer.RetryAfter = l.nextRelease(now)
 	}
 	return answer, changed
 }
 
 // grantable returns the number to grant. Only prefetching is subject to prefetchLimit.
-func (l *Ledger) grantable(d DrawRequest, lease Lease) int64 {
+func (l *Ledger) grantable(request DrawRequest, lease Lease) int64 {
 	room := l.Limit.Max - l.used()
-	needed := min(max(d.need()-lease.outstanding(), 0), max(room, 0))
-	prefetched := min(d.Want-lease.outstanding()-needed, l.prefetchLimit()-l.used()-needed)
+	needed := min(max(request.need()-lease.outstanding(), 0), max(room, 0))
+	prefetched := min(request.Want-lease.outstanding()-needed, l.prefetchLimit()-l.used()-needed)
 	return needed + max(prefetched, 0)
 }
 
--- a/rule/route/amendment.go
+++ b/rule/route/amendment.go
@@ -55,18 +55,18 @@
 // ParseAmendment decodes JSON and makes the checks that need no table. It returns all faults of
 // single settings or, if there are none, of names.
 func ParseAmendment(text []byte) (Amendment, configuration.Faults) {
-	var a Amendment
-	if faults := configuration.Read(text, AmendmentSettings, &a); faults != nil {
+	var amendment Amendment
+	if faults := configuration.Read(text, AmendmentSettings, &amendment); faults != nil {
 		return Amendment{}, faults
 	}
 	var faults configuration.Faults
-	faults = append(faults, conflictingNames("routes", a.Set.Routes, a.Remove.Routes, routeName)...)
-	faults = append(faults, conflictingNames("services", a.Set.Services, a.Remove.Services, serviceName)...)
-	faults = append(faults, conflictingNames("tenants", a.Set.Tenants, a.Remove.Tenants, tenantName)...)
+	faults = append(faults, conflictingNames("routes", amendment.Set.Routes, amendment.Remove.Routes, routeName)...)
+	faults = append(faults, conflictingNames("services", amendment.Set.Services, amendment.Remove.Services, serviceName)...)
+	faults = append(faults, conflictingNames("tenants", amendment.Set.Tenants, amendment.Remove.Tenants, tenantName)...)
 	if len(faults) > 0 {
 		return Amendment{}, faults
 	}
-	return a, nil
+	return amendment, nil
 }
 
 func routeName(r Route) string { return r.Name }
--- a/rule/route/difference.go
+++ b/rule/route/difference.go
@@ -41,7 +41,7 @@
 // Compare returns the difference between two tables with the given digests. It omits the source
 // text and the order of items, which has no meaning.
 func Compare(base *Table, baseDigest string, next *Table, digest string) Difference {
-	d := Difference{
+	difference := Difference{
 		BaseNumber:  base.Number,
 		BaseDigest:  baseDigest,
 		Number:      next.Number,
@@ -49,10 +49,10 @@
 		KeyRequired: next.KeyRequired,
 		Limits:      next.Limits,
 	}
-	d.Routes, d.RemovedRoutes = diff(base.Routes, next.Routes, Route.Key)
-	d.Services, d.RemovedServices = diff(base.Services, next.Services, serviceName)
-	d.Tenants, d.RemovedTenants = diff(base.Tenants, next.Tenants, tenantName)
-	return d
+	difference.Routes, difference.RemovedRoutes = diff(base.Routes, next.Routes, Route.Key)
+	difference.Services, difference.RemovedServices = diff(base.Services, next.Services, serviceName)
+	difference.Tenants, difference.RemovedTenants = diff(base.Tenants, next.Tenants, tenantName)
+	return difference
 }
 
 // diff returns the new and changed items, and the keys of the removed ones.
--- a/rule/route/table.go
+++ b/rule/route/table.go
@@ -105,8 +105,13 @@
 	services map[string]*Service
 }
 
-// maxNumber is the greatest value of settings that need no specific limit.
-const maxNumber = 1e9
+const (
+	// maxNumber is the greatest value of settings that need no specific limit.
+	maxNumber      = 1e9
+	maxKeepSeconds = 30 * 24 * 60 * 60
+	// maxTimeMS is one day.
+	maxTimeMS = 24 * 60 * 60 * 1000
+)
 
 // Settings lists the settings of a routing table.
 var Settings = []configuration.Setting{
@@ -135,12 +140,12 @@
 		Type:    "number",
 		Default: 60.0,
 		Min:     0,
-		Max:     30 * 86400,
+		Max:     maxKeepSeconds,
 		Help:    "how long a stored turn is kept after the end of its answer",
 	},
-	{Path: "routes.[].timeout_ms", Type: "number", Required: true, Min: 1, Max: 86400000, Help: "deadline of a request"},
-	{Path: "routes.[].aim_ms", Type: "number", Default: 1000.0, Min: 0, Max: 86400000, Help: "latency objective of an answer"},
-	{Path: "routes.[].gap_ms", Type: "number", Default: 0.0, Min: 0, Max: 86400000, Help: "longest acceptable gap between events"},
+	{Path: "routes.[].timeout_ms", Type: "number", Required: true, Min: 1, Max: maxTimeMS, Help: "deadline of a request"},
+	{Path: "routes.[].aim_ms", Type: "number", Default: 1000.0, Min: 0, Max: maxTimeMS, Help: "latency objective of an answer"},
+	{Path: "routes.[].gap_ms", Type: "number", Default: 0.0, Min: 0, Max: maxTimeMS, Help: "longest acceptable gap between events"},
 	{Path: "routes.[].urgency", Type: "int", Default: 5, Min: 0, Max: 9, Help: "0 is the most urgent"},
 	{Path: "routes.[].tries", Type: "int", Default: 1, Min: 1, Max: 100, Help: "greatest number of replicas that one request is sent to"},
 	{Path: "routes.[].open", Type: "bool", Default: false, Help: "whether requests need no key"},
--- a/rule/slab/slab.go
+++ b/rule/slab/slab.go
@@ -34,9 +34,9 @@
 }
 
 // Get returns the value of a ticket, and false if it is not valid.
-func (s *Slab[T]) Get(t Ticket) (T, bool) {
+func (s *Slab[T]) Get(ticket Ticket) (T, bool) {
 	var none T
-	index, generation := uint32(t), uint32(t>>32)
+	index, generation := uint32(ticket), uint32(ticket>>32)
 	if int(index) >= len(s.slots) || !s.slots[index].used || s.slots[index].generation != generation {
 		return none, false
 	}
@@ -44,13 +44,13 @@
 }
 
 // Take removes and returns the value of a ticket, and false if it is not valid.
-func (s *Slab[T]) Take(t Ticket) (T, bool) {
-	value, ok := s.Get(t)
+func (s *Slab[T]) Take(ticket Ticket) (T, bool) {
+	value, ok := s.Get(ticket)
 	if !ok {
 		return value, false
 	}
 	var none T
-	index := uint32(t)
+	index := uint32(ticket)
 	s.slots[index].value, s.slots[index].used = none, false
 	s.slots[index].generation++
 	if s.slots[index].generation == 0 {
