--- a/rule/breaker/breaker_test.go
+++ b/rule/breaker/breaker_test.go
@@ -9,8 +9,7 @@
 	return Params{Minute: 50, Hour: 500, Day: 2000, Recovery: 300 * time.Second, Probes: 2}
 }
 
-// TestExceededLimitOpens checks that a need beyond any of the three limits opens the breaker, and that a
-// prefetched share does not.
+// TestExceededLimitOpens also checks that a prefetched share does not open the breaker.
 func TestExceededLimitOpens(t *testing.T) {
 	b := New()
 	if got := b.Draw(0, "idle", 60, 0, params()); got != 50 || b.State != Closed {
@@ -18,15 +17,15 @@
 	}
 	b.Ledger.Report(0, "idle", 0, 50)
 	for _, c := range []struct {
-		name  string
-		every time.Duration
-		need  int64
+		name     string
+		interval time.Duration
+		need     int64
 	}{{"spend of the minute", time.Second, 10}, {"spend of the hour", time.Minute, 45}, {"spend of the day", 10 * time.Minute, 45}} {
 		b := New()
 		var now time.Duration
 		var spent int64
 		for i := 0; i < 1000 && b.State == Closed; i++ {
-			now += c.every
+			now += c.interval
 			if b.Draw(now, "n", c.need, c.need, params()); b.State == Closed {
 				spent += c.need
 				b.Ledger.Report(now, "n", spent, 0)
@@ -43,8 +42,6 @@
 	}
 }
 
-// TestStateTransitions checks the states: open for the recovery time, then half-open with numbered
-// probes; a failed probe opens it again, and enough successful ones close it.
 func TestStateTransitions(t *testing.T) {
 	b := New()
 	b.Draw(0, "n", 51, 51, params())
@@ -55,8 +52,8 @@
 		t.Error("a probe was issued before the recovery time had passed")
 	}
 	at := 301 * time.Second
-	if a, again, c, d := b.IssueProbe(at, "p", params()), b.IssueProbe(at, "p", params()), b.IssueProbe(at, "q", params()), b.IssueProbe(at, "r", params()); a != 1 || again != 1 || c != 2 || d != 0 {
-		t.Errorf("probes %d %d %d %d", a, again, c, d)
+	if first, again, second, third := b.IssueProbe(at, "p", params()), b.IssueProbe(at, "p", params()), b.IssueProbe(at, "q", params()), b.IssueProbe(at, "r", params()); first != 1 || again != 1 || second != 2 || third != 0 {
+		t.Errorf("probes %d %d %d %d", first, again, second, third)
 	}
 	b.RecordResult(at, "p", true, params())
 	b.RecordResult(at, "q", false, params())
--- a/rule/rate/ledger.go
+++ b/rule/rate/ledger.go
@@ -1,10 +1,9 @@
 // Package rate enforces a tenant's rate limit over all nodes.
 //
-// A Ledger grants nodes leases on requests ahead of their use, so that nodes admit requests
-// locally. Its main invariant is that no window ever contains more requests than the limit
-// allows, although nodes crash, messages are lost, delayed and repeated, and the ledger is
-// restored from its DurableState by a new leader. Requests that a node may have spent without
-// reporting them therefore count as spent at the latest possible time. Start reading at
+// A Ledger grants nodes leases on requests, so that nodes admit requests locally. Its main
+// invariant is that no window ever contains more requests than the limit allows, despite
+// crashes, new leaders, and lost, delayed or repeated messages. Requests that a node may have
+// spent without a report count as spent at the latest possible time. Start reading at
 // Ledger.Draw.
 package rate
 
@@ -16,9 +15,8 @@
 	Max    int64         `msgpack:"m"`
 }
 
-// DurableState is the part of a ledger that is written to stable storage. Outstanding
-// includes the requests that may be granted before the next write. A restored ledger cannot
-// tell which of them were granted or spent, so it counts all of them as outstanding.
+// DurableState is the part of a ledger in stable storage. Outstanding includes requests that may
+// be granted before the next write.
 type DurableState struct {
 	Version     uint64   `msgpack:"v"`
 	Limit       Limit    `msgpack:"l"`
@@ -26,8 +24,8 @@
 	Spent       []Bucket `msgpack:"s"`
 }
 
-// Lease is what one incarnation of a node has drawn. Its counts never decrease, so
-// processing a draw twice has no effect.
+// Lease is what one incarnation of a node has drawn. Its counts never decrease, so a repeated
+// draw has no effect.
 type Lease struct {
 	Granted, Spent, Returned int64
 	ExpiresAt                time.Duration
@@ -43,53 +41,55 @@
 	Count    int64         `msgpack:"Count"`
 }
 
-// Ledger accounts for the requests of one tenant. Outstanding requests count as spent now.
-// Those of an expired lease count as spent when it expired.
+// Ledger accounts for the requests of one tenant. Outstanding requests count as spent now, those
+// of an expired lease as spent when it expired.
 type Ledger struct {
 	DurableState
-	// Leases are the leases by holder, Buckets the requests spent, ordered by End.
+	// Leases has the holders as keys. Buckets are ordered by End.
 	Leases  map[string]Lease
 	Buckets []Bucket
-	// Exceeded reports that the last grant exceeded the limit, which is a violated
-	// invariant.
+	// Exceeded means that the last grant exceeded the limit.
 	Exceeded bool
 	// reserved is the number of requests that may be granted before the next write.
 	reserved int64
 	// pool is the number of requests that may be outstanding under leases from before the
-	// ledger was restored, less those whose holders have reported since. All of these
-	// leases have expired at poolExpiresAt.
+	// restore whose holders have not reported since. These leases expire by poolExpiresAt.
 	pool          int64
 	poolExpiresAt time.Duration
 }
 
 // Restore returns a ledger with the given durable state. Outstanding requests may have been
-// granted up to now, and so may be spent for one lease duration.
-func Restore(now time.Duration, s DurableState, leaseDuration time.Duration) *Ledger {
-	return &Ledger{DurableState: s, Leases: map[string]Lease{}, Buckets: append([]Bucket(nil), s.Spent...), pool: s.Outstanding, poolExpiresAt: now + leaseDuration}
+// granted just now, so they may be spent for one lease duration.
+func Restore(now time.Duration, state DurableState, leaseDuration time.Duration) *Ledger {
+	return &Ledger{
+		DurableState:  state,
+		Leases:        map[string]Lease{},
+		Buckets:       append([]Bucket(nil), state.Spent...),
+		pool:          state.Outstanding,
+		poolExpiresAt: now + leaseDuration,
+	}
 }
 
 // DrawRequest is a holder's report of its lease and its request for more.
 type DrawRequest struct {
 	Holder string `msgpack:"h"`
-	// Granted is the total that the holder knows to have been granted, Spent the total
-	// that it has spent, and Returned the total that it has returned unused.
+	// Granted, Spent and Returned are totals known to the holder; Returned were not used.
 	Granted  int64 `msgpack:"g"`
 	Spent    int64 `msgpack:"s"`
 	Returned int64 `msgpack:"r"`
-	// Recent are the ages of the most recently spent requests, oldest first.
+	// Recent lists the latest spent requests, oldest first.
 	Recent []RecentSpend `msgpack:"e"`
-	// Want is the number of requests that the holder wants to have outstanding. Prefetch
-	// of them are for requests that have not arrived yet.
+	// Want is the wanted number of outstanding requests. Prefetch of them have not arrived yet.
 	Want     int64 `msgpack:"w"`
 	Prefetch int64 `msgpack:"b"`
-	// Version is the version of the configuration that contains Limit.
+	// Version is of the configuration that contains Limit.
 	Version uint64 `msgpack:"v"`
 	Limit   Limit  `msgpack:"l"`
-	// LeaseDuration is how long the lease may be used after this request was sent.
+	// LeaseDuration counts from the sending of this request.
 	LeaseDuration time.Duration `msgpack:"t"`
 }
 
-// need returns the number of requests that are waiting at the holder.
+// need returns the number of requests waiting at the holder.
 func (d DrawRequest) need() int64 { return d.Want - d.Prefetch }
 
 // RecentSpend is a number of spent requests and their minimum age.
@@ -100,64 +100,59 @@
 
 // DrawResponse is the answer to a DrawRequest.
 type DrawResponse struct {
-	// Granted is the total that was ever granted to the holder.
+	// Granted is the total ever granted to the holder.
 	Granted int64 `msgpack:"g"`
-	// RetryAfter is the delay after which more may be granted. It is zero if the holder's
-	// need is met.
+	// RetryAfter is zero if the need is met.
 	RetryAfter time.Duration `msgpack:"r"`
-	// Expired means that the holder's lease has expired and its outstanding requests count
-	// as spent. The holder must continue under a new name.
+	// Expired means that the lease has expired and its outstanding requests count as spent. The
+	// holder must continue under a new name.
 	Expired bool `msgpack:"x"`
-	// Scarce means that the holder should not prefetch, as others need the requests.
+	// Scarce means that the holder should not prefetch.
 	Scarce bool `msgpack:"t"`
 }
 
 const (
-	// blocksPerWindow is the number of blocks in which a window's limit is reserved in the
-	// durable state. One write covers the grants of a block.
+	// blocksPerWindow divides a limit into blocks. One write covers the grants of a block.
 	blocksPerWindow = 8
-	// prefetchFraction is the fraction of the limit up to which holders are granted more
-	// than they need. Beyond it, prefetched requests would be refused to other holders.
+	// Prefetching may use prefetchFraction of the limit; the rest is kept for waiting requests.
 	prefetchFraction = 0.6
-	// bucketsPerWindow is the number of buckets that a window is divided into.
 	bucketsPerWindow = 20
 )
 
-// Draw processes a request at the ledger's time. It reports whether the durable state has
-// changed; the answer must then not be sent before the state is written. The lease ends
-// earlier at the holder than here, as the holder counts from sending the request.
-func (l *Ledger) Draw(now time.Duration, d DrawRequest) (answer DrawResponse, changed bool) {
+// Draw processes a request at the ledger's time. If the durable state has changed, it must be
+// written before the answer is sent. The lease ends earlier at the holder than here, as the
+// holder counts from the sending of the request.
+func (l *Ledger) Draw(now time.Duration, request DrawRequest) (answer DrawResponse, changed bool) {
 	if l.Leases == nil {
 		l.Leases = map[string]Lease{}
 	}
-	if d.Version > l.Version || l.Limit.Window == 0 {
-		changed = l.Limit != d.Limit
-		l.Version, l.Limit = d.Version, d.Limit
+	if request.Version > l.Version || l.Limit.Window == 0 {
+		changed = l.Limit != request.Limit
+		l.Version, l.Limit = request.Version, request.Limit
 	}
 	l.expire(now)
-	lease, known := l.Leases[d.Holder]
-	if !known && d.Granted > 0 {
-		// The lease may be from before the ledger was restored. Its outstanding requests
-		// move from the pool to the lease, which leaves the sum unchanged.
-		outstanding := d.Granted - d.Spent - d.Returned
+	lease, known := l.Leases[request.Holder]
+	if !known && request.Granted > 0 {
+		// The lease may be from before the restore: its outstanding requests are in the pool.
+		outstanding := request.Granted - request.Spent - request.Returned
 		if outstanding < 0 || outstanding > l.pool || now >= l.poolExpiresAt {
 			return DrawResponse{Expired: true}, changed
 		}
 		l.pool -= outstanding
-		lease = Lease{Granted: d.Granted, Spent: d.Spent, Returned: d.Returned}
+		lease = Lease{Granted: request.Granted, Spent: request.Spent, Returned: request.Returned}
 	}
-	if spent := min(d.Spent-lease.Spent, lease.outstanding()); spent > 0 {
+	if spent := min(request.Spent-lease.Spent, lease.outstanding()); spent > 0 {
 		lease.Spent += spent
-		l.recordSpent(now, d.Recent, spent)
+		l.recordSpent(now, request.Recent, spent)
 	}
-	if returned := min(d.Returned-lease.Returned, lease.outstanding()); returned > 0 {
+	if returned := min(request.Returned-lease.Returned, lease.outstanding()); returned > 0 {
 		lease.Returned += returned
 	}
-	lease.ExpiresAt = now + d.LeaseDuration
-	l.Leases[d.Holder] = lease
-	if granted := l.grantable(d, lease); granted > 0 {
+	lease.ExpiresAt = now + request.LeaseDuration
+	l.Leases[request.Holder] = lease
+	if granted := l.grantable(request, lease); granted > 0 {
 		lease.Granted += granted
-		l.Leases[d.Holder] = lease
+		l.Leases[request.Holder] = lease
 		l.Exceeded = l.used() > l.Limit.Max
 		if l.reserved -= granted; l.reserved < 0 {
 			l.reserved = max(l.Limit.Max/blocksPerWindow, 1)
@@ -174,26 +169,23 @@
 		}
 	}
 	answer.Granted, answer.Scarce = lease.Granted, l.used() >= l.prefetchLimit()
-	if lease.outstanding() < d.need() {
+	if lease.outstanding() < request.need() {
 		answer.RetryAfter = l.nextRelease(now)
 	}
 	return answer, changed
 }
 
-// grantable returns the number of requests to grant: what the holder needs while the window
-// has room, and what it wants to prefetch while less than prefetchLimit is used.
-func (l *Ledger) grantable(d DrawRequest, lease Lease) int64 {
+// grantable returns the number to grant. Only prefetching is subject to prefetchLimit.
+func (l *Ledger) grantable(request DrawRequest, lease Lease) int64 {
 	room := l.Limit.Max - l.used()
-	needed := min(max(d.need()-lease.outstanding(), 0), max(room, 0))
-	prefetched := min(d.Want-lease.outstanding()-needed, l.prefetchLimit()-l.used()-needed)
+	needed := min(max(request.need()-lease.outstanding(), 0), max(room, 0))
+	prefetched := min(request.Want-lease.outstanding()-needed, l.prefetchLimit()-l.used()-needed)
 	return needed + max(prefetched, 0)
 }
 
-// prefetchLimit returns the number of used requests up to which prefetching is granted.
 func (l *Ledger) prefetchLimit() int64 { return int64(prefetchFraction * float64(l.Limit.Max)) }
 
-// recordSpent adds count requests at the ages given by recent. It starts with the newest, as
-// an earlier report may have contained the older ones.
+// recordSpent starts with the newest, as an earlier report may have contained the older ones.
 func (l *Ledger) recordSpent(now time.Duration, recent []RecentSpend, count int64) {
 	for i := len(recent) - 1; i >= 0 && count > 0; i-- {
 		if n := min(count, recent[i].Count); n > 0 {
@@ -206,7 +198,6 @@
 	}
 }
 
-// addToBucket adds count requests to the bucket that contains the given time.
 func (l *Ledger) addToBucket(at time.Duration, count int64) {
 	width := max(1, l.Limit.Window/bucketsPerWindow)
 	end := (at/width + 1) * width
@@ -223,8 +214,8 @@
 	l.Buckets[i] = Bucket{End: end, Count: count}
 }
 
-// expire removes expired leases and the buckets that have left the window. What was
-// outstanding under an expired lease may have been spent until the lease expired.
+// expire removes expired leases and the buckets that have left the window. Requests of an
+// expired lease may have been spent until its end.
 func (l *Ledger) expire(now time.Duration) {
 	var expired []Bucket
 	for holder, lease := range l.Leases {
@@ -254,8 +245,7 @@
 	}
 }
 
-// used returns the number of requests that count towards the limit: spent within the
-// window, outstanding, or in the pool.
+// used returns the number of requests that count towards the limit.
 func (l *Ledger) used() int64 {
 	sum := l.pool
 	for _, b := range l.Buckets {
@@ -267,8 +257,8 @@
 	return sum
 }
 
-// nextRelease returns the delay until the oldest bucket leaves the window, but at least the
-// width of a bucket.
+// nextRelease returns the delay until the oldest bucket leaves the window, or a bucket's width if
+// that is longer.
 func (l *Ledger) nextRelease(now time.Duration) time.Duration {
 	if len(l.Buckets) == 0 {
 		return l.Limit.Window / bucketsPerWindow
