--- a/rule/configuration/settings.go
+++ b/rule/configuration/settings.go
@@ -1,8 +1,7 @@
 // Package configuration decodes and validates configuration from JSON.
 //
-// A list of Settings describes the schema: the path, type, default and checks of each
-// setting. Read applies it to any target. Description is the configuration of quotas, roles,
-// tenants and services that is built on it. Validation reports every fault at once, and a
+// A list of Settings is the schema that Read applies to any target; Description is the configuration
+// of quotas, roles, tenants and services. Validation reports every fault at once, and a
 // configuration with a fault is never used in part. Start reading at Read and Description.
 package configuration
 
@@ -16,9 +15,9 @@
 	"strings"
 )
 
-// Setting describes one setting. Its path consists of keys separated by dots, where a star
-// stands for any name and [] for every element of a list. Type is int, number, bool, text or
-// texts. Check returns what is allowed if a value is invalid, else an empty string.
+// Setting describes one setting. Path has keys separated by dots; a star stands for any name and []
+// for every element of a list. Type is int, number, bool, text or texts. Check returns what is
+// allowed if a value is invalid, else an empty string.
 type Setting struct {
 	Path     string
 	Type     string
@@ -54,8 +53,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Read checks a JSON text against settings, fills in defaults, and decodes the result into
-// the target, which must be a pointer.
+// Read checks a JSON text against settings, fills in defaults and decodes it into target, which must
+// be a pointer.
 func Read(text []byte, settings []Setting, target any) Faults {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
@@ -84,13 +83,12 @@
 	return nil
 }
 
-// node is a node of the tree of settings; setting is nil unless it is a leaf.
+// node is a node of the tree of settings. Only leaves have a setting.
 type node struct {
 	setting  *Setting
 	children map[string]*node
 }
 
-// buildTree arranges settings by the keys of their paths.
 func buildTree(settings []Setting) *node {
 	root := &node{children: map[string]*node{}}
 	for i := range settings {
@@ -106,8 +104,8 @@
 	return root
 }
 
-// Check validates a decoded JSON object against settings and fills in defaults, in place. It
-// returns the faults ordered by path. Numbers may be of type json.Number.
+// Check validates a decoded JSON object and fills in defaults, in place. It returns the faults by
+// path. Numbers may be of type json.Number.
 func Check(root map[string]any, settings []Setting) (map[string]any, Faults) {
 	var faults Faults
 	out := checkNode("", root, buildTree(settings), &faults)
@@ -115,8 +113,6 @@
 	return out.(map[string]any), faults
 }
 
-// checkNode validates a value at a path and everything below it, and returns the value with
-// defaults filled in.
 func checkNode(path string, value any, at *node, faults *Faults) any {
 	if list := at.children["[]"]; list != nil {
 		items, ok := value.([]any)
@@ -142,12 +138,20 @@
 		if next == nil {
 			next = at.children["*"]
 			if next != nil && !ValidName(key) {
-				*faults = append(*faults, Fault{Path: joinPath(path, key), Value: key, Allowed: "a name of 1 to 64 letters, digits, '-', '_' or '.'"})
+				*faults = append(*faults, Fault{
+					Path:    joinPath(path, key),
+					Value:   key,
+					Allowed: "a name of 1 to 64 letters, digits, '-', '_' or '.'",
+				})
 				continue
 			}
 		}
 		if next == nil {
-			*faults = append(*faults, Fault{Path: joinPath(path, key), Value: child, Allowed: "no such setting; known here: " + strings.Join(childNames(at), ", ")})
+			*faults = append(*faults, Fault{
+				Path:    joinPath(path, key),
+				Value:   child,
+				Allowed: "no such setting; known here: " + strings.Join(childNames(at), ", "),
+			})
 			continue
 		}
 		tree[key] = checkNode(joinPath(path, key), child, next, faults)
@@ -177,8 +181,7 @@
 	return names
 }
 
-// ValidName reports whether a text is a valid name of a role, tenant, service or the like: 1
-// to 64 letters, digits, '-', '_' or '.'.
+// ValidName reports whether a text consists of 1 to 64 letters, digits, '-', '_' or '.'.
 func ValidName(s string) bool {
 	if s == "" || len(s) > 64 {
 		return false
@@ -198,7 +201,6 @@
 	return path + "." + key
 }
 
-// checkValue validates a value that has no settings below it.
 func checkValue(path string, value any, setting *Setting, faults *Faults) any {
 	reject := func() any {
 		*faults = append(*faults, Fault{Path: path, Value: value, Allowed: allowed(setting)})
@@ -260,7 +262,6 @@
 	return 0, false
 }
 
-// allowed describes the valid values of a setting.
 func allowed(setting *Setting) string {
 	switch {
 	case len(setting.Allowed) > 0:
@@ -277,7 +278,7 @@
 	return "a text"
 }
 
-// Flatten returns the values of a JSON text by path, or nothing if it is invalid.
+// Flatten returns the values of a JSON text by path. The map is empty if the text is invalid.
 func Flatten(text []byte) map[string]string {
 	var tree any
 	out := map[string]string{}
--- a/rule/message/message.go
+++ b/rule/message/message.go
@@ -1,11 +1,8 @@
-// Package message encodes the messages between processes, and the values that they store, as
-// msgpack.
+// Package message encodes messages between processes and stored values as msgpack.
 //
-// A message is the outer name of its type followed by its value. Outer names of types are
-// given to Register, outer names of fields are their msgpack and json tags. Both are fixed, as
-// they occur in stored data and in the messages of other builds during a rolling upgrade. Go
-// types and fields can be renamed freely as long as their outer names stay. The schema tests
-// (package schematest) fail if an outer name or an encoding changes. Start reading at Register,
+// A message is the outer name of its type, given to Register, followed by its value. Outer names of
+// fields are their tags. Outer names never change: they occur in stored data and in the messages of
+// other builds during a rolling upgrade. Package schematest tests this. Start reading at Register,
 // Pack and Open.
 package message
 
@@ -19,18 +16,16 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrUnknown is returned for a message of a type that this build does not know. Another build
-// may send one during a rolling upgrade.
+// ErrUnknown is returned for a message of a type that this build does not know.
 var ErrUnknown = errors.New("unknown type")
 
-// types maps outer names to registered types, names maps types to outer names.
 var (
 	types = map[string]reflect.Type{}
 	names = map[reflect.Type]string{}
 )
 
-// Register registers the types of the given values under their outer names. It is called
-// during package initialisation, and panics if a name or a type is registered twice.
+// Register registers the types of the given values under their outer names. It must be called during
+// package initialisation only, and panics if a name or a type is registered twice.
 func Register(values map[string]any) {
 	for name, v := range values {
 		t := reflect.TypeOf(v)
@@ -47,8 +42,8 @@
 // Types returns every registered type by its outer name.
 func Types() map[string]reflect.Type { return maps.Clone(types) }
 
-// Pack encodes the outer name of a value's type, followed by the value. It panics for a type
-// that is not registered.
+// Pack encodes the outer name of a value's type and the value. It panics if the type is not
+// registered.
 func Pack(value any) []byte {
 	name, ok := names[reflect.TypeOf(value)]
 	if !ok {
@@ -65,8 +60,8 @@
 	return buffer.Bytes()
 }
 
-// Open decodes what Pack encoded. It returns ErrUnknown for a name that is not registered.
-// The msgpack library may panic on malformed input; that is returned as an error too.
+// Open decodes what Pack encoded. It returns ErrUnknown for a name that is not registered, and an
+// error where the msgpack library panics on malformed input.
 func Open(raw []byte) (body any, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/rule/message/message_test.go
+++ b/rule/message/message_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// sample is a message with all kinds of fields that messages between processes have.
+// sample has all kinds of fields that messages have.
 type sample struct {
 	Name    string
 	Count   uint64
@@ -53,7 +53,6 @@
 	}
 }
 
-// TestTruncatedMessagesAreRefused checks that a message truncated at any byte is refused.
 func TestTruncatedMessagesAreRefused(t *testing.T) {
 	raw := Pack(full())
 	for cut := range len(raw) {
@@ -73,8 +72,7 @@
 	}
 }
 
-// FuzzOpen checks that malformed input is refused, and that a decoded message can be encoded
-// and decoded again and keeps its encoded size.
+// Guards against panics on malformed input, and messages that change when encoded again.
 func FuzzOpen(f *testing.F) {
 	f.Add(Pack(full()))
 	f.Add(Pack(sample{}))
@@ -98,7 +96,6 @@
 	})
 }
 
-// TestRegisterRefusesDuplicates checks that neither a name nor a type is registered twice.
 func TestRegisterRefusesDuplicates(t *testing.T) {
 	for _, values := range []map[string]any{{"message.sample": struct{ Other int }{}}, {"message.other": sample{}}} {
 		func() {
--- a/rule/message/schematest/describe.go
+++ b/rule/message/schematest/describe.go
@@ -11,18 +11,17 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Describe returns the outer structure of a type under an encoding: encoded field names, their
-// order, options, kinds and element types. Go names of types and fields do not appear unless
-// the encoder writes them. A recursive type is described once, and by a reference to the
-// enclosing level below that.
+// Describe returns the encoded field names of a type with their order, options, kinds and element
+// types. Go names do not appear unless the encoder writes them. Within itself, a recursive type is
+// a reference to the enclosing level.
 func Describe(t reflect.Type, encoding Encoding) string {
 	d := describer{encoding: encoding}
 	d.describe(t, 0)
 	return d.text.String()
 }
 
-// Untagged returns the encoded fields of a type and of the types that it contains that have no
-// tag with an outer name. Renaming such a field would change the format.
+// Untagged returns the encoded fields, nested ones included, that have no tag with an outer name.
+// Renaming such a field would change the format.
 func Untagged(t reflect.Type, encoding Encoding) []string {
 	d := describer{encoding: encoding}
 	d.describe(t, 0)
@@ -32,13 +31,11 @@
 type describer struct {
 	encoding Encoding
 	text     strings.Builder
-	// untagged holds the encoded fields whose outer name is their Go name.
 	untagged []string
 	// open holds the structs being described, outermost first.
 	open []reflect.Type
 }
 
-// field is one encoded field of a struct.
 type field struct {
 	name    string
 	tagged  bool
@@ -56,7 +53,6 @@
 	}
 )
 
-// hasCustomEncoding reports whether a type implements its own encoding.
 func hasCustomEncoding(t reflect.Type, encoding Encoding) bool {
 	for _, interfaceType := range customEncoders[encoding] {
 		if t.Implements(interfaceType) || reflect.PointerTo(t).Implements(interfaceType) {
@@ -186,8 +182,8 @@
 	return list, asArray
 }
 
-// jsonFields lists the fields of a struct by the rules of encoding/json. Of several fields
-// with the same name the least nested one is encoded.
+// jsonFields lists the fields of a struct by the rules of encoding/json: of several fields with the
+// same name the least nested one is encoded.
 func jsonFields(t reflect.Type) []field {
 	var all []field
 	collectJSON(t, 0, &all)
--- a/rule/message/schematest/fill.go
+++ b/rule/message/schematest/fill.go
@@ -6,10 +6,8 @@
 	"time"
 )
 
-// Fill returns a value of a type with every exported field set, the same one in every run. No
-// number is zero and no text empty. Slices have two elements. Maps have one entry, as msgpack
-// encodes the entries of a map in no fixed order. A recursive type is left at its zero value
-// on the second level. Empty interfaces hold a text.
+// Fill returns a value with every exported field set, the same in every run. Maps have one entry,
+// as msgpack encodes map entries in no fixed order. A recursive type is zero on the second level.
 func Fill(t reflect.Type) reflect.Value {
 	value := reflect.New(t).Elem()
 	(&filler{open: map[reflect.Type]bool{}}).fill(value)
--- a/rule/message/schematest/schematest.go
+++ b/rule/message/schematest/schematest.go
@@ -1,12 +1,9 @@
-// Package schematest tests that the outer format of encoded types is unchanged: messages
-// between processes, stored values, and JSON exchanged with clients.
+// Package schematest tests that the outer format of encoded types is unchanged: messages between
+// processes, stored values, and JSON exchanged with requesters.
 //
-// A test lists the types of a package with Registered, Msgpack and JSON, and passes them to
-// Check, which compares them with a golden file. The golden file holds, for each type, a
-// description of its outer fields (Describe), the encoding of a value with every field set
-// (Fill) and the encoding of the zero value. None of these depends on a Go identifier that
-// is not itself written out, so a golden file changes only if the format does. A change
-// of one breaks compatibility with stored data and with processes of other builds.
+// A test lists types with Registered, Msgpack and JSON. Check compares their outer fields and two
+// encoded values of each with a golden file. A golden file changes only if the format does, which
+// breaks compatibility with stored data and with processes of other builds.
 package schematest
 
 import (
@@ -67,8 +64,7 @@
 		}}
 }
 
-// Registered returns an entry for every type that is registered with message.Register in
-// this process, ordered by outer name.
+// Registered returns an entry for every type registered with message.Register, by outer name.
 func Registered() []Entry {
 	var entries []Entry
 	for name, t := range message.Types() {
@@ -80,9 +76,9 @@
 	return entries
 }
 
-// Check compares entries with testdata/NAME.golden, or writes that file if the flag
-// -update-schema is set. It fails for a changed, missing or additional entry, for an encoded
-// field without a tag, and if a decoded value encodes differently.
+// Check compares entries with testdata/NAME.golden, or writes that file if the flag -update-schema
+// is set. It fails for a changed, missing or additional entry, an encoded field without a tag, or a
+// decoded value that encodes differently.
 func Check(t *testing.T, name string, entries []Entry) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -146,8 +142,7 @@
 	return Describe(e.Type, e.Encoding) + "\nfilled: " + e.encoded(t, full) + "\nzero: " + e.encoded(t, zero) + "\n"
 }
 
-// maxHexBytes is the greatest length in bytes of an encoding that is written out in full; a longer
-// one is written as its digest.
+// Encodings longer than maxHexBytes are written as their digests.
 const maxHexBytes = 300
 
 func (e Entry) encoded(t *testing.T, value reflect.Value) string {
--- a/rule/partition/benchmark_test.go
+++ b/rule/partition/benchmark_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkTick measures a leader's tick when nothing is due, with 3 MB of entries.
+// BenchmarkTick measures a tick when nothing is due.
 func BenchmarkTick(b *testing.B) {
 	o, t := largeReplica(b)
 	b.ResetTimer()
@@ -15,7 +15,6 @@
 	}
 }
 
-// BenchmarkSweep measures a comparison of digests, at the leader and at a follower.
 func BenchmarkSweep(b *testing.B) {
 	o, t := largeReplica(b)
 	b.ResetTimer()
@@ -29,7 +28,7 @@
 	}
 }
 
-// largeReplica returns the leader of a group of one with 3 MB of entries, and the time.
+// largeReplica returns the leader of a group of one with 3 MB of entries.
 func largeReplica(b *testing.B) (*Machine, time.Duration) {
 	c := newCluster(&testing.T{}, []string{"a"}, "a")
 	c.advance(300 * time.Millisecond)
--- a/rule/partition/command.go
+++ b/rule/partition/command.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Rules define the commands of a partition. They run at the leader only; the entries that
-// they write are what is replicated.
+// Rules define the commands of a partition. They run at the leader only; what is replicated are the
+// entries that they write.
 type Rules interface {
-	// Elected is called once when this member begins to serve as the leader of a term.
+	// Elected is called once in a term, when this member begins to serve as its leader.
 	Elected(now time.Duration, tx *Tx)
 	// Apply runs one command and returns its result.
 	Apply(now time.Duration, tx *Tx, command any) any
@@ -21,8 +21,8 @@
 	wrote bool
 }
 
-// Clock returns the partition's clock, which each leader continues from its predecessor. It may
-// lag behind real time but is never ahead, so periods measured by it are never too short.
+// Clock returns the partition's clock, which each leader continues from its predecessor. It may lag
+// behind real time but is never ahead, so periods measured by it are never too short.
 func (t *Tx) Clock() time.Duration { return t.m.clock(t.now) }
 
 // Get returns the value of an entry, and whether it exists.
--- a/rule/partition/digest.go
+++ b/rule/partition/digest.go
@@ -6,14 +6,12 @@
 	"github.com/dchest/siphash"
 )
 
-// DigestKey is the secret key of a term's digests. The candidate generates it at random and sends
-// it to the members. States with the same digest are treated as equal, and tenants control the
-// contents of entries, so it must not be possible to construct two different states with the
-// same digest without the key.
+// DigestKey is the secret random key of a term's digests. States with the same digest are treated
+// as equal, and tenants control the contents of entries. Without the key they can't construct two
+// states with the same digest.
 type DigestKey [2]uint64
 
-// table returns the digest of a table: the sum of its entries' digests, so that it can be
-// updated for one changed entry alone.
+// table returns the sum of the entries' digests, so that one changed entry updates it alone.
 func (k DigestKey) table(table map[string]Entry) uint64 {
 	var sum uint64
 	for _, e := range table {
@@ -38,7 +36,6 @@
 	return siphash.Hash(k[0], k[1], text)
 }
 
-// setDigestKey changes the key, and the digest of the stored entries with it.
 func (m *Machine) setDigestKey(k DigestKey) {
 	if m.digestKey == k {
 		return
@@ -47,7 +44,6 @@
 	m.digest = k.table(m.state.Entries)
 }
 
-// newDigestKey returns a random key.
 func (m *Machine) newDigestKey() DigestKey {
 	half := func() uint64 { return uint64(m.random()*(1<<32))<<32 | uint64(m.random()*(1<<32)) }
 	return DigestKey{half(), half()}
--- a/rule/partition/durable_test.go
+++ b/rule/partition/durable_test.go
@@ -5,17 +5,20 @@
 	"time"
 )
 
-// replicaUnderTest returns replica b of a group of three, a leader's term, and the group.
 func replicaUnderTest(t *testing.T) (*Machine, Term, Group) {
 	t.Helper()
 	group := Group{Epoch: 1, Members: []string{"a", "b", "c"}}
-	m := New(Options{Params: Params{LeaseDuration: 100 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 4}, Member: "b", Rules: registers{}, State: State{Group: group},
-		Random: func() float64 { return 0.5 }})
+	m := New(Options{
+		Params: Params{LeaseDuration: 100 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 4},
+		Member: "b",
+		Rules:  registers{},
+		State:  State{Group: group},
+		Random: func() float64 { return 0.5 },
+	})
 	return m, Term{Round: 1, Leader: "a"}, group
 }
 
-// immediateLeaseAck returns the time in a LeaseAck that an output sends to the leader without
-// waiting for the disk.
+// immediateLeaseAck returns the time in a LeaseAck that doesn't wait for the disk.
 func immediateLeaseAck(o Output) (sent time.Duration, renewed bool) {
 	for _, s := range o.Sends {
 		if r, ok := s.Body.(LeaseAck); ok && s.To == "a" && !s.AfterSync {
@@ -25,8 +28,8 @@
 	return 0, false
 }
 
-// TestLeaseAckWaitsForDisk guards against a replica that renews a lease while the leader's term
-// is in its memory only: it could lose power, forget the term and promise another leader.
+// Guards against a replica that renews a lease, forgets its term in a power loss and promises
+// another leader.
 func TestLeaseAckWaitsForDisk(t *testing.T) {
 	m, term, group := replicaUnderTest(t)
 	group.Term = term
@@ -47,8 +50,7 @@
 	}
 }
 
-// TestLateWriteDoesNotRestoreDeletedEntry delivers a delayed write after its entry was deleted
-// and the tombstone purged.
+// Guards against a delayed write that arrives after the entry's tombstone was purged.
 func TestLateWriteDoesNotRestoreDeletedEntry(t *testing.T) {
 	for _, snapshot := range []bool{false, true} {
 		c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
@@ -98,8 +100,7 @@
 	}
 }
 
-// TestEachTermHasItsDigestKey checks that digests depend on a new secret key in each
-// term. Tenants control the contents of entries and could construct collisions otherwise.
+// Guards against digests whose collisions a tenant could construct.
 func TestEachTermHasItsDigestKey(t *testing.T) {
 	entry := func(key, value string) Entry {
 		return Entry{Key: key, Value: []byte(value), Version: Version{Term: Term{Round: 1, Leader: "a"}, Seq: 1}}
--- a/rule/partition/election.go
+++ b/rule/partition/election.go
@@ -5,56 +5,73 @@
 	"time"
 )
 
-// successor returns the most up-to-date other member of the group, on a tie the one that
-// acknowledged a message last.
+// successor returns the most up-to-date other member, or an empty string if there is none.
 func (m *Machine) successor() string {
 	lead, best := m.leading, ""
 	for _, member := range lead.group.Members {
-		if member != m.member && (best == "" || lead.completeSeq[member] > lead.completeSeq[best] || (lead.completeSeq[member] == lead.completeSeq[best] && lead.ackedAt[member] > lead.ackedAt[best])) {
+		if member != m.member && (best == "" || lead.completeSeq[member] > lead.completeSeq[best] ||
+			(lead.completeSeq[member] == lead.completeSeq[best] && lead.ackedAt[member] > lead.ackedAt[best])) {
 			best = member
 		}
 	}
 	return best
 }
 
-// transferLeadership has a member start an election at once, and steps down.
 func (m *Machine) transferLeadership(now time.Duration, member string) {
 	m.send(member, TransferLeadership{Term: m.leading.term}, false)
 	m.stepDown(now)
 	m.electionAt = now + 2*m.params.LeaseDuration
 }
 
-// startElection makes this member the candidate of a new term. A released term is that of
-// a leader that no longer serves, so the end of its lease isn't awaited and no pre-vote held.
+// startElection makes this member a candidate. If it is given a released term, whose leader no
+// longer serves, it holds no pre-vote.
 func (m *Machine) startElection(now time.Duration, released Term) {
 	m.Counters.Elections++
 	round := max(m.state.Promised.Round, m.leaseTerm.Round, m.highestRound) + 1
 	m.leading = &leadership{
-		term: Term{Round: round, Leader: m.member}, released: released, preVote: released == Term{}, digestKey: m.newDigestKey(), phaseStartedAt: now, group: m.state.Group,
-		promises: map[string]Promise{}, rejected: map[string]bool{}, promisedDigests: map[string]uint64{},
-		superseded: map[string]Entry{}, ackedAt: map[string]time.Duration{}, completeSeq: map[string]uint64{}, snapshotSentAt: map[string]time.Duration{}, needsSnapshot: map[string]bool{},
+		term:            Term{Round: round, Leader: m.member},
+		released:        released,
+		preVote:         released == Term{},
+		digestKey:       m.newDigestKey(),
+		phaseStartedAt:  now,
+		group:           m.state.Group,
+		promises:        map[string]Promise{},
+		rejected:        map[string]bool{},
+		promisedDigests: map[string]uint64{},
+		superseded:      map[string]Entry{},
+		ackedAt:         map[string]time.Duration{},
+		completeSeq:     map[string]uint64{},
+		snapshotSentAt:  map[string]time.Duration{},
+		needsSnapshot:   map[string]bool{},
 	}
 	m.sendPrepare(now)
 }
 
-// sendPrepare sends Prepare to the members that have not promised yet.
 func (m *Machine) sendPrepare(now time.Duration) {
 	lead := m.leading
 	lead.preparedAt = now
 	if !lead.preVote && m.state.Promised != lead.term {
-		// The candidate's own promise is on disk before any other is asked for, so that
-		// it can't be a candidate for the same term again after a restart.
+		// The candidate's own promise is on disk before it asks for others. Otherwise it could
+		// be a candidate for the same term again after a restart.
 		m.record(Record{Promised: lead.term})
 	}
 	for _, member := range lead.group.All() {
 		if _, ok := lead.promises[member]; !ok {
-			m.send(member, Prepare{PreVote: lead.preVote, DigestOnly: !lead.needEntries, DigestKey: lead.digestKey, Term: lead.term, Group: lead.group, Released: lead.released, SentAt: now}, !lead.preVote)
+			m.send(member, Prepare{
+				PreVote:    lead.preVote,
+				DigestOnly: !lead.needEntries,
+				DigestKey:  lead.digestKey,
+				Term:       lead.term,
+				Group:      lead.group,
+				Released:   lead.released,
+				SentAt:     now,
+			}, !lead.preVote)
 		}
 	}
 }
 
-// stepDown ends a candidacy or leadership. The outcome of commands that wait is unknown: a
-// later leader may find their writes on some member and commit them.
+// stepDown ends a candidacy or leadership. The outcome of waiting commands is uncertain: a later
+// leader may find their writes on some member and commit them.
 func (m *Machine) stepDown(now time.Duration) {
 	if lead := m.leading; lead != nil {
 		if lead.pending != nil {
@@ -68,15 +85,14 @@
 		m.out.Results = append(m.out.Results, Result{RequestID: m.change.requestID, Uncertain: true})
 	}
 	if m.leading != nil && m.leaseTerm == m.leading.term {
-		// No leader serves under this term from now on.
 		m.leaseUntil = now
 	}
 	m.leading, m.change = nil, nil
 	m.electionAt = now + m.electionTimeout() + m.params.LeaseDuration/10
 }
 
-// ReleaseLeadership makes the leader transfer its leadership to the most up-to-date other
-// member. It does nothing while a write is pending.
+// ReleaseLeadership transfers the leadership to the most up-to-date other member. It does nothing
+// while a write is pending.
 func (m *Machine) ReleaseLeadership(now time.Duration) Output {
 	m.out = &Output{}
 	lead := m.leading
@@ -89,15 +105,14 @@
 	return *m.out
 }
 
-// isJoining reports whether this member belongs to a group that is newer than the one it
-// knows. The leader that added it may have failed before its write arrived here, and the other
-// members may be no majority without this one.
+// isJoining reports whether this member belongs to a group that it doesn't know yet. The leader
+// that added it may have failed, and the others may be no majority without it.
 func (m *Machine) isJoining(group Group) bool {
 	return m.state.Group.Before(group) && group.Has(m.member)
 }
 
-// onPrepare answers a candidate. A pre-vote records nothing. A promise is sent once it is on
-// disk. It counts as a lease, so that no other election interrupts the new leader's takeover.
+// onPrepare sends a promise once it is on disk. A promise counts as a lease, so that no other
+// election interrupts the takeover.
 func (m *Machine) onPrepare(now time.Duration, from string, msg Prepare) {
 	reject := Reject{Term: msg.Term, Promised: m.state.Promised, Group: m.state.Group}
 	leaseHeld := now < m.leaseUntil && m.leaseTerm != msg.Released && m.leaseTerm.Leader != msg.Term.Leader
@@ -107,7 +122,7 @@
 	case msg.Group.Before(m.state.Group):
 		m.send(from, reject, false)
 	case leaseHeld:
-		// This member's own candidacy may end at any time, so the candidate need not wait for it.
+		// A candidate need not wait for another candidacy, which may end at any time.
 		if m.leading == nil || m.leading.serving {
 			reject.LeaseRemaining = m.leaseUntil - now
 		}
@@ -125,7 +140,15 @@
 		}
 		m.extendLease(now, msg.Term)
 		m.setDigestKey(msg.DigestKey)
-		promise := Promise{Term: msg.Term, Base: m.state.Base, Group: m.state.Group, Clock: m.state.Clock, SentAt: msg.SentAt, DigestOnly: msg.DigestOnly, Digest: m.digest}
+		promise := Promise{
+			Term:       msg.Term,
+			Base:       m.state.Base,
+			Group:      m.state.Group,
+			Clock:      m.state.Clock,
+			SentAt:     msg.SentAt,
+			DigestOnly: msg.DigestOnly,
+			Digest:     m.digest,
+		}
 		if !msg.DigestOnly {
 			promise.Entries = m.sortedEntries()
 		}
@@ -133,7 +156,6 @@
 	}
 }
 
-// sortedEntries returns the stored entries in the order of their keys.
 func (m *Machine) sortedEntries() []Entry {
 	list := make([]Entry, 0, len(m.state.Entries))
 	for _, e := range m.state.Entries {
@@ -143,8 +165,8 @@
 	return list
 }
 
-// onPromise counts a promise. With a quorum of pre-votes the candidate asks for binding
-// promises, with a quorum of those it takes over.
+// onPromise asks for binding promises after a quorum of pre-votes, and takes over after a quorum of
+// those.
 func (m *Machine) onPromise(now time.Duration, from string, msg Promise) {
 	lead := m.leading
 	if lead == nil || msg.Term != lead.term || msg.PreVote != lead.preVote {
@@ -163,9 +185,8 @@
 	switch {
 	case !lead.group.hasQuorum(lead.promised):
 	case lead.preVote && now < m.leaseUntil && m.leaseTerm.Leader != m.member:
-		// The candidate has renewed another leader's lease since it asked. It must not
-		// promise its own term while that lease lasts: after a restart it would treat
-		// the lease as its own and not wait for its end.
+		// The candidate has renewed another leader's lease since it asked. If it promised its
+		// own term now, it would not wait for the end of that lease after a restart.
 		m.stepDown(now)
 	case lead.preVote:
 		m.restartPhase(now, false)
@@ -177,8 +198,7 @@
 	}
 }
 
-// recordPromise adds a promise. If its sender knows a newer group, the candidate continues
-// with that group.
+// recordPromise adds a promise, and continues with its group if that is newer.
 func (m *Machine) recordPromise(now time.Duration, from string, msg Promise) {
 	lead := m.leading
 	lead.promises[from] = msg
@@ -192,8 +212,7 @@
 	}
 }
 
-// restartPhase asks all members again: for binding promises after a pre-vote, or for their
-// entries if digests differ.
+// restartPhase asks for binding promises after a pre-vote, or for entries if digests differ.
 func (m *Machine) restartPhase(now time.Duration, needEntries bool) {
 	lead := m.leading
 	if !needEntries {
@@ -209,7 +228,6 @@
 	return ok
 }
 
-// anyDigestOnly reports whether a promise came with a digest instead of entries.
 func (lead *leadership) anyDigestOnly() bool {
 	for _, p := range lead.promises {
 		if p.DigestOnly {
@@ -219,7 +237,7 @@
 	return false
 }
 
-// digestsMatch reports whether all members that promised have the same entries as this one.
+// digestsMatch reports whether all promises have the digest of this member's entries.
 func (m *Machine) digestsMatch() bool {
 	for _, p := range m.leading.promises {
 		if !p.DigestOnly || p.Digest != m.digest {
@@ -229,8 +247,8 @@
 	return true
 }
 
-// assumeLeadership builds the table of the new term from the promised entries of a quorum,
-// and sends it as the leader's first write. The leader serves once that write is committed.
+// assumeLeadership sends the merged promises of a quorum as the leader's first write. The leader
+// serves once that write is committed.
 func (m *Machine) assumeLeadership(now time.Duration) {
 	lead := m.leading
 	allEqual := m.digestsMatch()
@@ -248,7 +266,15 @@
 	}
 	lead.seq = 1
 	lead.group.Term = lead.term
-	first := Write{Term: lead.term, Seq: 1, Group: lead.group, Clock: lead.clockBase, Entries: lead.queuedEntries, Snapshot: true, SentAt: now}
+	first := Write{
+		Term:     lead.term,
+		Seq:      1,
+		Group:    lead.group,
+		Clock:    lead.clockBase,
+		Entries:  lead.queuedEntries,
+		Snapshot: true,
+		SentAt:   now,
+	}
 	if allEqual {
 		first.Digest, first.Rebase = m.digest, true
 	}
@@ -260,10 +286,9 @@
 	}
 }
 
-// mergePromises returns the newest promised value of each entry. It skips values older than
-// the newest base term: a leader of that term wrote the complete table, so such a value is
-// either in its snapshot or was never committed. If all members have equal entries, the
-// tombstones are not needed.
+// mergePromises returns the newest promised value of each entry. It skips values older than the
+// newest base term, whose leader wrote the complete table: such a value is in its snapshot or was
+// never committed. Equal members need no tombstones.
 func (lead *leadership) mergePromises(allEqual bool) map[string]Entry {
 	var base Term
 	for _, p := range lead.promises {
@@ -285,8 +310,7 @@
 	return newest
 }
 
-// rebaseTable gives all entries of a new leader's table a version of its term, and queues
-// them for writing.
+// rebaseTable gives all entries a version of the new term, and queues them for writing.
 func (m *Machine) rebaseTable() {
 	lead := m.leading
 	lead.digest = 0
@@ -304,9 +328,8 @@
 	}
 }
 
-// sendInitialWrite sends the leader's first write, which completes a member's state. If the
-// member's digest shows that it has all entries, the write contains none and rebases them. If
-// its digest isn't known yet although the write could rebase, nothing is sent.
+// sendInitialWrite sends the leader's first write, as a rebase without entries if the member's
+// digest matches. While the digest that a rebase depends on is unknown, it sends nothing.
 func (m *Machine) sendInitialWrite(now time.Duration, member string) {
 	lead := m.leading
 	w := lead.pending.write
@@ -319,8 +342,7 @@
 	m.send(member, w, false)
 }
 
-// onReject handles a rejection of a candidate or leader. A candidate steps down once the members
-// that have not rejected it are no quorum.
+// onReject makes a candidate step down once the members that have not rejected it are no quorum.
 func (m *Machine) onReject(now time.Duration, from string, msg Reject) {
 	lead := m.leading
 	if m.state.Group.Before(msg.Group) {
@@ -331,8 +353,7 @@
 	}
 	m.highestRound = max(m.highestRound, msg.Promised.Round)
 	if lead.serving {
-		// The member has promised a later term to a candidate that was not elected. The
-		// leader starts an election for a still later term without waiting.
+		// The member has promised a later term to a candidate that was not elected.
 		if lead.term.Less(msg.Promised) {
 			m.stepDown(now)
 			m.startElection(now, msg.Term)
--- a/rule/partition/group.go
+++ b/rule/partition/group.go
@@ -1,7 +1,7 @@
 package partition
 
-// Term is a ballot number. It has the candidate's member name as the tie-breaker, so that no
-// two candidates ever share a term.
+// Term is a ballot number. The candidate's member name is part of it, so that no two candidates
+// share a term.
 type Term struct {
 	Round  uint64 `msgpack:"r" json:"Round"`
 	Leader string `msgpack:"o" json:"Owner"`
@@ -15,8 +15,7 @@
 	return t.Leader < o.Leader
 }
 
-// Version orders the values of a register: by the term of the write, then by its sequence
-// number in that term.
+// Version orders the values of a register by term, then by sequence number in the term.
 type Version struct {
 	Term Term   `msgpack:"t"`
 	Seq  uint64 `msgpack:"s"`
@@ -38,10 +37,9 @@
 	Version Version `msgpack:"s"`
 }
 
-// Group is the configuration of a partition: its members in order, the first one being the
-// preferred leader. A member is named by a core's id and the incarnation of its data
-// directory, so a core that lost its disk is no member. During a membership change the group
-// is joint: a majority of the Former members must agree as well.
+// Group has a partition's members in order; the first is the preferred leader. A member's name
+// includes the incarnation of its data directory, so a core that lost its disk is no member. The
+// group is joint if Former is not empty: a majority of both lists must agree.
 type Group struct {
 	Term    Term     `msgpack:"t" json:"Term"`
 	Epoch   uint64   `msgpack:"e" json:"Epoch"`
@@ -57,7 +55,7 @@
 	return g.Epoch < o.Epoch
 }
 
-// Has reports whether a member belongs to the group or, during a change, to the former one.
+// Has reports whether a member is a current or former one.
 func (g Group) Has(member string) bool {
 	return contains(g.Members, member) || contains(g.Former, member)
 }
@@ -73,8 +71,6 @@
 	return all
 }
 
-// hasQuorum reports whether the members that accepted are a majority of the group and, if it
-// is joint, of the former one.
 func (g Group) hasQuorum(accepted func(member string) bool) bool {
 	return majority(g.Members, accepted) && (len(g.Former) == 0 || majority(g.Former, accepted))
 }
--- a/rule/partition/joining_test.go
+++ b/rule/partition/joining_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// TestJoiningMemberThatMissedItsGroup restarts all members during a change that replaces the
-// leader while another member is down. The new member doesn't know the joint group yet; it must
-// promise all the same, as there is no majority of the new members without it.
+// Guards against a change that gets stuck as the new member, needed for a majority, doesn't know the
+// joint group.
 func TestJoiningMemberThatMissedItsGroup(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(500 * time.Millisecond)
@@ -43,8 +42,7 @@
 	}
 }
 
-// TestRemovedMemberPromisesNothing checks that a removed member doesn't answer a candidate of
-// an older group.
+// Guards against an election by a quorum of an older group.
 func TestRemovedMemberPromisesNothing(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(500 * time.Millisecond)
--- a/rule/partition/lease.go
+++ b/rule/partition/lease.go
@@ -4,21 +4,18 @@
 	"time"
 )
 
-// followerLease returns how long a follower counts a lease: longer than the leader does by
-// the bound on clock drift.
+// followerLease is longer than the leader's own count by the bound on clock drift.
 func (m *Machine) followerLease() time.Duration {
 	return time.Duration(float64(m.params.LeaseDuration) * (1 + m.params.Drift))
 }
 
-// The election timeout, as fractions of a lease: for each position in the group, and the
-// largest random part.
+// Parts of the election timeout, as fractions of a lease.
 const (
 	electionTimeoutPerRank = 0.25
 	electionTimeoutJitter  = 0.15
 )
 
-// electionTimeout returns how long a member waits after the end of a lease before it starts an
-// election. It depends on the member's position and a random number, so that members rarely
+// electionTimeout depends on the member's position and a random number, so that members rarely
 // start elections at the same time.
 func (m *Machine) electionTimeout() time.Duration {
 	rank := 0
@@ -27,11 +24,12 @@
 			rank = i
 		}
 	}
-	return time.Duration(float64(m.params.LeaseDuration) * (float64(rank)*electionTimeoutPerRank + m.random()*electionTimeoutJitter))
+	return time.Duration(float64(m.params.LeaseDuration) *
+		(float64(rank)*electionTimeoutPerRank + m.random()*electionTimeoutJitter))
 }
 
-// LeadingTerm returns the term in which this member serves as the leader. It reports false if
-// it doesn't, or if its lease has expired.
+// LeadingTerm returns the term in which this member serves as the leader, or false if it doesn't
+// serve or its lease has expired.
 func (m *Machine) LeadingTerm(now time.Duration) (Term, bool) {
 	if m.leading == nil || !m.leading.serving || !m.hasLease(now) {
 		return Term{}, false
@@ -39,7 +37,6 @@
 	return m.leading.term, true
 }
 
-// hasLease reports whether a quorum renews the leader's lease.
 func (m *Machine) hasLease(now time.Duration) bool {
 	lead := m.leading
 	return lead.group.hasQuorum(func(member string) bool {
@@ -48,15 +45,13 @@
 	})
 }
 
-// extendLease restarts the lease of a term's leader at now.
 func (m *Machine) extendLease(now time.Duration, term Term) {
 	m.leaseTerm, m.leaseUntil = term, now+m.followerLease()
 	m.electionAt = m.leaseUntil + m.electionTimeout()
 }
 
-// onRenewLease renews the lease of a leader whose term this member has promised. For a later
-// term, which it hasn't promised yet, it answers without renewing: the time in that answer is
-// one lease duration ago.
+// onRenewLease doesn't renew the lease of a later term than the promised one: the time in its
+// answer is then a lease duration ago.
 func (m *Machine) onRenewLease(now time.Duration, from string, msg RenewLease) {
 	if msg.Term.Less(m.state.Promised) {
 		m.send(from, Reject{Term: msg.Term, Promised: m.state.Promised, Group: m.state.Group}, false)
@@ -76,13 +71,11 @@
 		m.setDigestKey(msg.DigestKey)
 		ack.Diverged = m.digest|1 != msg.Digest
 	}
-	// The answer waits until the term is known to be on disk. Otherwise this replica could
-	// forget the term in a power loss and promise another leader while this lease holds.
+	// If the term were not on disk, this replica could forget it in a power loss and promise
+	// another leader while this lease holds.
 	m.send(from, ack, m.durableTerm != msg.Term)
 }
 
-// onLeaseAck counts a renewal, and sends a snapshot to a member that lacks committed writes or
-// has diverged.
 func (m *Machine) onLeaseAck(now time.Duration, from string, msg LeaseAck) {
 	lead := m.leading
 	if lead == nil || msg.Term != lead.term {
@@ -91,7 +84,9 @@
 	lead.ackedAt[from] = max(lead.ackedAt[from], msg.SentAt)
 	lead.completeSeq[from] = max(lead.completeSeq[from], msg.CompleteSeq)
 	m.recordNewMemberAck(now, from)
-	if lead.serving && (msg.CompleteSeq < lead.committedSeq || msg.Diverged) && (lead.pending == nil || msg.CompleteSeq < lead.pending.write.PriorSeq) && contains(m.recipients(), from) {
+	if lead.serving && (msg.CompleteSeq < lead.committedSeq || msg.Diverged) &&
+		(lead.pending == nil || msg.CompleteSeq < lead.pending.write.PriorSeq) &&
+		contains(m.recipients(), from) {
 		m.scheduleSnapshot(now, from)
 	}
 	m.advanceChange(now)
--- a/rule/partition/lease_test.go
+++ b/rule/partition/lease_test.go
@@ -7,13 +7,11 @@
 
 var leaseParams = Params{LeaseDuration: 100 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 4}
 
-// leaseReplica returns replica a with the given state.
 func leaseReplica(state State, now time.Duration) *Machine {
 	return New(Options{Params: leaseParams, Member: "a", Rules: registers{}, State: state, Now: now, Random: func() float64 { return 0 }})
 }
 
-// TestCandidateKeepsRenewedLease checks that a candidate that renews a leader's lease during its
-// pre-vote, and then restarts, waits for the end of that lease.
+// Guards against a candidate that renews a lease during its pre-vote and ignores it after a restart.
 func TestCandidateKeepsRenewedLease(t *testing.T) {
 	leader := Term{Round: 1, Leader: "c"}
 	group := Group{Term: leader, Epoch: 1, Members: []string{"a", "b", "c"}}
@@ -48,8 +46,7 @@
 	}
 }
 
-// TestLeaseAckWaitsForPromise checks that a lease is not renewed before the promise of its term
-// is on disk: after a power loss the member would not know of the lease.
+// Guards against a member that forgets a renewed lease in a power loss.
 func TestLeaseAckWaitsForPromise(t *testing.T) {
 	former, leader := Term{Round: 1, Leader: "a"}, Term{Round: 2, Leader: "c"}
 	group := Group{Term: former, Epoch: 1, Members: []string{"a", "b", "c"}}
--- a/rule/partition/machine.go
+++ b/rule/partition/machine.go
@@ -18,30 +18,25 @@
 	state     State
 	random    func() float64
 	effects
-	// completeSeq is the sequence number up to which this replica has every write of
-	// completeTerm.
+	// completeSeq is up to where this replica has every write of completeTerm.
 	completeSeq  uint64
 	completeTerm Term
-	// leaseTerm is the last term whose lease this replica renewed, which may hold until
-	// leaseUntil.
+	// leaseTerm is the last term whose lease this replica renewed. It may hold until leaseUntil.
 	leaseTerm  Term
 	leaseUntil time.Duration
-	// electionAt is when the election timeout ends.
-	electionAt time.Duration
+	electionAt time.Duration // the end of the election timeout
 	// highestRound is the highest round seen in a rejection.
 	highestRound uint64
 	// leading is set while this member is the candidate or leader of a term.
 	leading *leadership
-	// change is the leader's membership change in progress.
-	change *memberChange
+	change  *memberChange // nil if none is in progress
 	// digest is that of the stored entries under digestKey.
 	digest    uint64
 	digestKey DigestKey
-	// durableTerm is the newest term that this replica's disk is known to hold.
+	// durableTerm is the newest term known to be on disk.
 	durableTerm Term
 }
 
-// effects holds the output of the current call, and the reporter of violated invariants.
 type effects struct {
 	out      *Output
 	violated invariant.Reporter
@@ -49,33 +44,27 @@
 
 // leadership is the state of a candidate or leader in one term.
 type leadership struct {
-	term Term
-	// released is a term whose leader no longer serves; see Prepare.
-	released Term
-	preVote  bool
-	// digestKey is the key of the term's digests.
-	digestKey      DigestKey
-	rejected       map[string]bool
-	promises       map[string]Promise
-	phaseStartedAt time.Duration
-	preparedAt     time.Duration
-	// needEntries is set when the digests of a quorum differ, so that the candidate needs
-	// the entries themselves.
-	needEntries     bool
+	term            Term
+	released        Term // see Prepare
+	preVote         bool
+	digestKey       DigestKey
+	rejected        map[string]bool
+	promises        map[string]Promise
+	phaseStartedAt  time.Duration
+	preparedAt      time.Duration
+	needEntries     bool // set when the digests of a quorum differ
 	promisedDigests map[string]uint64
 	serving         bool
 	group           Group
 	committedGroup  Group
 	table           map[string]Entry
-	// superseded has the committed values of entries whose newest value, in the table, is
-	// not committed yet.
+	// superseded has the committed values of entries whose newest value is not committed.
 	superseded   map[string]Entry
 	digest       uint64
 	seq          uint64
 	committedSeq uint64
 	purgedSeq    uint64
-	// pending is the write that waits for a quorum. Queued entries, purges and groups are in
-	// the next write.
+	// pending waits for a quorum; what is queued is in the next write.
 	pending       *pendingWrite
 	queuedEntries []Entry
 	queuedPurges  []Entry
@@ -95,27 +84,34 @@
 
 // Options configure a Machine.
 type Options struct {
-	Params Params
-	// Member is the identity of this replica in its group.
-	Member    string
+	Params    Params
+	Member    string // the name of this replica in its group
 	Partition int
 	Rules     Rules
-	// State is the state on the member's disk; its zero value is that of a new member.
+	// State is the state on disk; its zero value is that of a new member.
 	State State
 	Now   time.Duration
 	// Random returns numbers in [0, 1).
 	Random func() float64
-	// Violated reports violated invariants; if it is nil they panic.
+	// Violated reports violated invariants. If it is nil, they panic.
 	Violated invariant.Reporter
 }
 
-// New returns a Machine that continues from the state on its disk. As it may have renewed
-// a leader's lease just before it stopped, it first waits for the duration of a lease.
+// New returns a Machine that continues from the state on its disk. It first waits for the duration
+// of a lease, as it may have renewed one just before it stopped.
 func New(o Options) *Machine {
 	if o.State.Entries == nil {
 		o.State.Entries = map[string]Entry{}
 	}
-	m := &Machine{params: o.Params, member: o.Member, partition: o.Partition, rules: o.Rules, state: o.State, random: o.Random, effects: effects{violated: o.Violated}}
+	m := &Machine{
+		params:    o.Params,
+		member:    o.Member,
+		partition: o.Partition,
+		rules:     o.Rules,
+		state:     o.State,
+		random:    o.Random,
+		effects:   effects{violated: o.Violated},
+	}
 	m.digest = m.digestKey.table(o.State.Entries)
 	m.durableTerm = o.State.Promised
 	m.leaseTerm = o.State.Promised
@@ -131,7 +127,6 @@
 	return m
 }
 
-// clock returns the partition's clock at the leader.
 func (m *Machine) clock(now time.Duration) time.Duration {
 	return m.leading.clockBase + now - m.leading.clockBaseAt
 }
@@ -145,8 +140,8 @@
 // CurrentTerm returns the last term whose lease this replica renewed.
 func (m *Machine) CurrentTerm() Term { return m.leaseTerm }
 
-// CommittedVersion returns the version up to which entries are committed. It reports
-// false if this member doesn't serve as the leader.
+// CommittedVersion returns the version up to which entries are committed, or false if this member
+// doesn't serve as the leader.
 func (m *Machine) CommittedVersion() (Version, bool) {
 	if m.leading == nil || !m.leading.serving {
 		return Version{}, false
@@ -158,11 +153,12 @@
 	m.out.Sends = append(m.out.Sends, Send{To: to, Body: body, AfterSync: afterSync})
 }
 
-// record applies a change to the state and has it synced to disk.
 func (m *Machine) record(r Record) {
 	r.Partition = m.partition
 	if r.Promised != (Term{}) && r.Promised.Less(m.state.Promised) {
-		m.violated.Violated(invariant.PromisedTermNeverLower, "replica %s of partition %d promised %+v and would record %+v", m.member, m.partition, m.state.Promised, r.Promised)
+		m.violated.Violated(invariant.PromisedTermNeverLower,
+			"replica %s of partition %d promised %+v and would record %+v",
+			m.member, m.partition, m.state.Promised, r.Promised)
 	}
 	m.out.Records = append(m.out.Records, r)
 	if m.state.Promised.Less(r.Promised) {
@@ -188,8 +184,7 @@
 	}
 }
 
-// Tick runs the work that is due: a leader renews its lease and compares digests in a sweep,
-// another member starts an election once its election timeout has passed.
+// Tick runs the work that is due, such as lease renewals and elections.
 func (m *Machine) Tick(now time.Duration) Output {
 	m.out = &Output{}
 	lead := m.leading
@@ -201,7 +196,6 @@
 	case !lead.serving && now > lead.phaseStartedAt+m.params.LeaseDuration:
 		m.stepDown(now)
 	case !lead.serving && lead.table == nil && now > lead.preparedAt+m.params.LeaseDuration/10:
-		// The messages may have been lost, or their receivers may have been down.
 		m.sendPrepare(now)
 	case !lead.serving && lead.pending != nil && now > lead.pending.sentAt+m.params.LeaseDuration/4:
 		lead.pending.sentAt = now
@@ -218,8 +212,6 @@
 	return *m.out
 }
 
-// tickLeader runs the due work of a serving leader: lease renewals, sweeps, retransmissions,
-// membership changes, and the transfer of leadership to the preferred member.
 func (m *Machine) tickLeader(now time.Duration) {
 	lead := m.leading
 	if now >= lead.nextRenewal {
@@ -234,7 +226,8 @@
 		}
 		for _, member := range m.recipients() {
 			// An acknowledged write has renewed the lease already.
-			if at, ok := lead.ackedAt[member]; renew.Digest == 0 && ok && now < at+interval && lead.completeSeq[member] >= lead.committedSeq {
+			if at, ok := lead.ackedAt[member]; renew.Digest == 0 && ok && now < at+interval &&
+				lead.completeSeq[member] >= lead.committedSeq {
 				continue
 			}
 			m.send(member, renew, false)
@@ -250,7 +243,8 @@
 			}
 		}
 	}
-	if c := m.change; c != nil && (now > c.lastAckAt+maxSilentLeases*m.params.LeaseDuration || now > c.startedAt+maxChangeLeases*m.params.LeaseDuration) {
+	if c := m.change; c != nil && (now > c.lastAckAt+maxSilentLeases*m.params.LeaseDuration ||
+		now > c.startedAt+maxChangeLeases*m.params.LeaseDuration) {
 		m.abortChange(now)
 	}
 	m.advanceChange(now)
@@ -265,7 +259,8 @@
 		if best := m.successor(); best != "" {
 			m.transferLeadership(now, best)
 		}
-	case m.params.LeasesBeforeTransfer > 0 && preferred != m.member && now > lead.servingSince+m.params.LeaseDuration*time.Duration(m.params.LeasesBeforeTransfer):
+	case m.params.LeasesBeforeTransfer > 0 && preferred != m.member &&
+		now > lead.servingSince+m.params.LeaseDuration*time.Duration(m.params.LeasesBeforeTransfer):
 		lead.servingSince = now
 		if lead.completeSeq[preferred] >= lead.committedSeq && now < lead.ackedAt[preferred]+m.params.LeaseDuration/2 {
 			m.transferLeadership(now, preferred)
@@ -273,7 +268,7 @@
 	}
 }
 
-// Receive handles a message of another member, or one that the machine sent to itself.
+// Receive handles a message of another member or of the machine itself.
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
 	m.out = &Output{}
 	switch b := body.(type) {
--- a/rule/partition/machine_test.go
+++ b/rule/partition/machine_test.go
@@ -27,8 +27,7 @@
 	return nil
 }
 
-// cluster runs the replicas of a group with a simulated clock and network, in which a test
-// decides what is lost.
+// cluster runs the replicas of a group with a simulated clock and network.
 type cluster struct {
 	t        *testing.T
 	now      time.Duration
@@ -46,23 +45,34 @@
 }
 
 func newCluster(t *testing.T, group []string, all ...string) *cluster {
-	c := &cluster{t: t, replicas: map[string]*Machine{}, results: map[uint64]Result{}, drop: func(string, string, any) bool { return false }, order: all}
+	c := &cluster{
+		t:        t,
+		replicas: map[string]*Machine{},
+		results:  map[uint64]Result{},
+		drop:     func(string, string, any) bool { return false },
+		order:    all,
+	}
 	for i, s := range all {
 		state := State{}
 		if contains(group, s) {
 			state.Group = Group{Epoch: 1, Members: group}
 		}
-		c.replicas[s] = New(Options{Params: Params{LeaseDuration: 100 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 4}, Member: s, Rules: registers{}, State: state,
-			Random: func() float64 { return float64(i) / float64(len(all)) }})
+		c.replicas[s] = New(Options{
+			Params: Params{LeaseDuration: 100 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 4},
+			Member: s,
+			Rules:  registers{},
+			State:  state,
+			Random: func() float64 { return float64(i) / float64(len(all)) },
+		})
 	}
 	return c
 }
 
 func (c *cluster) collect(from string, o Output) {
 	for _, s := range o.Sends {
-		// A candidate's own promise must be on its disk before it asks for others, or
-		// it could lead under the same term again after a restart.
-		if prepare, ok := s.Body.(Prepare); ok && !prepare.PreVote && s.To != from && (!s.AfterSync || c.replicas[from].state.Promised != prepare.Term) {
+		// Otherwise the candidate could lead under the same term again after a restart.
+		if prepare, ok := s.Body.(Prepare); ok && !prepare.PreVote && s.To != from &&
+			(!s.AfterSync || c.replicas[from].state.Promised != prepare.Term) {
 			c.t.Errorf("%s is a candidate for %v without a durable promise of its own", from, prepare.Term)
 		}
 		c.network = append(c.network, packet{from, s.To, s.Body})
@@ -141,8 +151,7 @@
 	}
 }
 
-// TestUncommittedWriteIsNotRestored checks that a write which only one member has, and which was
-// never committed, isn't restored after a later leader has served without it.
+// Guards against a write of one member that returns after a later leader has served without it.
 func TestUncommittedWriteIsNotRestored(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
@@ -157,7 +166,6 @@
 	c.advance(500 * time.Millisecond)
 	second := c.leader()
 	c.wantValue("uncommitted", "")
-	// The member with the uncommitted write returns, and the leader without it stops.
 	c.replicas[first] = New(Options{Params: old.params, Member: first, Rules: registers{}, State: old.state, Now: c.now, Random: func() float64 { return 0 }})
 	c.drop = func(from, to string, body any) bool { return to == first }
 	c.replicas[second] = nil
@@ -173,7 +181,7 @@
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "b2")
 	c.advance(300 * time.Millisecond)
 	c.propose(c.leader(), put{"k", "v"})
-	// b lost its disk and is back as b2, which is no member; c is down.
+	// b2 is b after the loss of its disk, so it is no member.
 	c.replicas["b"], c.replicas["c"] = nil, nil
 	o := c.replicas["b2"].Receive(c.now, "a", Prepare{Term: Term{Round: 99, Leader: "a"}, Group: Group{Epoch: 1, Members: []string{"a", "b", "c"}}})
 	if len(o.Sends) > 0 || len(o.Records) > 0 {
@@ -200,8 +208,7 @@
 	}
 }
 
-// TestWriteOfOldTermRejected checks that a write of a former leader is rejected, even if no other
-// leader has written its entry.
+// Guards against a former leader's write of an entry that no later leader has written.
 func TestWriteOfOldTermRejected(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
@@ -210,7 +217,12 @@
 	c.replicas[first] = nil
 	c.advance(500 * time.Millisecond)
 	second := c.leader()
-	o := c.replicas[second].Receive(c.now, first, Write{Term: old, Seq: 9, Group: c.replicas[second].state.Group, Entries: []Entry{{Key: "late", Value: []byte("x"), Version: Version{Term: old, Seq: 9}}}})
+	o := c.replicas[second].Receive(c.now, first, Write{
+		Term:    old,
+		Seq:     9,
+		Group:   c.replicas[second].state.Group,
+		Entries: []Entry{{Key: "late", Value: []byte("x"), Version: Version{Term: old, Seq: 9}}},
+	})
 	if _, rejected := o.Sends[0].Body.(Reject); !rejected || len(o.Records) > 0 {
 		t.Errorf("applied: %+v", o)
 	}
@@ -260,7 +272,6 @@
 			t.Errorf("the new member lacks %d", i)
 		}
 	}
-	// The new member counts towards the majority once another one is down.
 	c.replicas[c.leader()] = nil
 	c.advance(600 * time.Millisecond)
 	if c.leader() == "" {
--- a/rule/partition/membership.go
+++ b/rule/partition/membership.go
@@ -4,21 +4,17 @@
 	"time"
 )
 
-// memberChange is a membership change that the leader runs.
 type memberChange struct {
 	requestID uint64
-	// group is the joint group.
-	group  Group
-	adding string
-	step   int
-	// startedAt is when the change began, lastAckAt when the member to be added last
-	// acknowledged a message, initially startedAt.
+	group     Group // the joint group
+	adding    string
+	step      int
+	// lastAckAt is when the member to be added last acknowledged a message, initially startedAt.
 	startedAt, lastAckAt time.Duration
-	// heldSince is when the last pause of writes, for that member to catch up, began.
+	// heldSince is when writes were last held back for that member to catch up.
 	heldSince time.Duration
 }
 
-// Steps of a membership change.
 const (
 	stepCatchUp = iota // the member to be added receives a snapshot and writes
 	stepJoint          // the joint group is proposed
@@ -26,19 +22,18 @@
 )
 
 const (
-	// A change that is still catching up is aborted after maxSilentLeases leases without an
-	// acknowledgement of the member to be added, and after maxChangeLeases leases in any case.
+	// A change in stepCatchUp is aborted after maxSilentLeases leases without an acknowledgement
+	// of the member to be added, and after maxChangeLeases leases in any case.
 	maxSilentLeases = 8
 	maxChangeLeases = 30
-	// catchUpWrites is the greatest number of writes that a new member may lack for the
-	// leader to hold back its next write until the member has caught up.
+	// The leader holds back its next write for a new member that lacks at most catchUpWrites.
 	catchUpWrites = 8
 )
 
-// ChangeMembers asks the leader to change its group by one member to add and one to remove,
-// either of which may be empty. An added member takes the position of the removed one. The
-// Result's body is true once the group is as requested, at once if the member to remove is no
-// member. It is false if the change was aborted or another one is in progress.
+// ChangeMembers adds one member and removes one; either may be empty. An added member takes the
+// position of the removed one. The Result's body is true once the group is as requested, at once
+// if the member to remove is no member. It is false if the change was aborted or another one is in
+// progress.
 func (m *Machine) ChangeMembers(now time.Duration, requestID uint64, add, remove string) Output {
 	m.out = &Output{}
 	lead := m.leading
@@ -79,8 +74,8 @@
 	return *m.out
 }
 
-// ChangeInProgress reports whether a change is in progress. While the change can still be aborted,
-// it also returns the member to be added.
+// ChangeInProgress reports whether a membership change is in progress. While the change can still
+// be aborted, it also returns the member to be added.
 func (m *Machine) ChangeInProgress() (adding string, changing bool) {
 	switch {
 	case m.change == nil:
@@ -91,8 +86,8 @@
 	return m.change.adding, true
 }
 
-// CommittedGroup returns the last committed group. It reports false if this member doesn't
-// serve as the leader.
+// CommittedGroup returns the last committed group, or false if this member doesn't serve as the
+// leader.
 func (m *Machine) CommittedGroup() (Group, bool) {
 	if m.leading == nil || !m.leading.serving {
 		return Group{}, false
@@ -100,7 +95,7 @@
 	return m.leading.committedGroup, true
 }
 
-// AbortChange aborts a membership change whose joint group was not proposed yet.
+// AbortChange aborts a membership change unless its joint group was proposed.
 func (m *Machine) AbortChange(now time.Duration) Output {
 	m.out = &Output{}
 	m.abortChange(now)
@@ -116,12 +111,13 @@
 	m.flush(now)
 }
 
-// ReorderMembers changes the order of the group's members, the first of which is the preferred
-// leader. It does nothing if the members differ or if a write or change is in progress.
+// ReorderMembers changes the order of the group's members. It does nothing if the members differ or
+// if a write or change is in progress.
 func (m *Machine) ReorderMembers(now time.Duration, members []string) Output {
 	m.out = &Output{}
 	lead := m.leading
-	if _, ok := m.LeadingTerm(now); !ok || m.change != nil || lead.pending != nil || lead.queuedGroup != nil || len(lead.group.Former) > 0 || !sameMembers(members, lead.group.Members) {
+	if _, ok := m.LeadingTerm(now); !ok || m.change != nil || lead.pending != nil ||
+		lead.queuedGroup != nil || len(lead.group.Former) > 0 || !sameMembers(members, lead.group.Members) {
 		return *m.out
 	}
 	lead.queuedGroup = &Group{Term: lead.term, Epoch: lead.group.Epoch + 1, Members: append([]string(nil), members...)}
@@ -141,8 +137,6 @@
 	return true
 }
 
-// advanceChange takes the next step of a membership change once no write is pending: it waits
-// for the new member to catch up, then commits the joint group, then the final one.
 func (m *Machine) advanceChange(now time.Duration) {
 	c, lead := m.change, m.leading
 	if c == nil || lead == nil || lead.pending != nil {
@@ -178,13 +172,13 @@
 	}
 }
 
-// writesHeld reports whether writes are held back for the member to be added.
 func (m *Machine) writesHeld(now time.Duration) bool {
 	c, lead := m.change, m.leading
-	return c != nil && c.step == stepCatchUp && c.adding != "" && c.heldSince > 0 && now < c.heldSince+m.params.LeaseDuration/8 && lead.completeSeq[c.adding] < lead.committedSeq
+	return c != nil && c.step == stepCatchUp && c.adding != "" &&
+		c.heldSince > 0 && now < c.heldSince+m.params.LeaseDuration/8 &&
+		lead.completeSeq[c.adding] < lead.committedSeq
 }
 
-// recordNewMemberAck records an acknowledgement if it is from the member to be added.
 func (m *Machine) recordNewMemberAck(now time.Duration, from string) {
 	if m.change != nil && m.change.adding == from {
 		m.change.lastAckAt = now
--- a/rule/partition/membership_test.go
+++ b/rule/partition/membership_test.go
@@ -6,7 +6,6 @@
 	"time"
 )
 
-// follower returns a running member that isn't the leader.
 func (c *cluster) follower(except ...string) string {
 	for _, s := range c.order {
 		if c.replicas[s] != nil && s != c.leader() && !contains(except, s) && c.replicas[c.leader()].state.Group.Has(s) {
@@ -23,7 +22,6 @@
 	return c.nextID
 }
 
-// mustChange makes a membership change that must succeed.
 func (c *cluster) mustChange(add, remove string) {
 	c.t.Helper()
 	requestID := c.change(add, remove)
@@ -33,8 +31,7 @@
 	}
 }
 
-// TestReturningMemberDoesNotRestoreDeletedEntry removes a member and adds it again under the same
-// leader, with an entry deleted meanwhile.
+// Guards against a member that is removed and added again and has missed a deletion.
 func TestReturningMemberDoesNotRestoreDeletedEntry(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(300 * time.Millisecond)
@@ -74,7 +71,6 @@
 	}
 	c.mustChange("e", removed)
 	c.wantValue("k", "v")
-	// A change that is aborted by its requester ends at once.
 	requestID = c.change("d", "e")
 	c.collect(c.leader(), c.replicas[c.leader()].AbortChange(c.now))
 	if r, ok := c.results[requestID]; !ok || r.Body != false {
@@ -84,8 +80,7 @@
 	c.wantValue("k", "v")
 }
 
-// TestJointGroupWithDeadNewMemberServes stops the new member while the group is joint. Both
-// majorities remain, so the leader completes the change and can make another one.
+// Guards against a change that gets stuck although both majorities remain.
 func TestJointGroupWithDeadNewMemberServes(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d", "e")
 	c.advance(300 * time.Millisecond)
@@ -130,8 +125,7 @@
 	c.wantValue("k", "v")
 }
 
-// TestNewMemberWithHigherPromise checks that a member which has promised a higher term elsewhere
-// can still be added.
+// Guards against a new member that can't be added because it has promised a higher term.
 func TestNewMemberWithHigherPromise(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(300 * time.Millisecond)
@@ -149,7 +143,7 @@
 	t.Errorf("%+v", c.replicas[c.leader()].Group())
 }
 
-// TestChangeUnderLoad checks that continuous writes don't keep a slow new member from joining.
+// Guards against continuous writes that keep a slow new member from joining.
 func TestChangeUnderLoad(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(300 * time.Millisecond)
@@ -194,8 +188,6 @@
 	t.Error("the new member was never added")
 }
 
-// TestRemovedLeaderTransfersLeadership checks that a leader transfers its leadership once it is
-// removed from its group.
 func TestRemovedLeaderTransfersLeadership(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(300 * time.Millisecond)
@@ -212,8 +204,7 @@
 	}
 }
 
-// TestMemberOrder checks that a change keeps the positions of the other members, that it can be
-// repeated without effect, and that the order can be changed by itself.
+// Guards against a change that moves other members or that has an effect when repeated.
 func TestMemberOrder(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d")
 	c.advance(300 * time.Millisecond)
@@ -229,7 +220,7 @@
 	}
 }
 
-// TestWritesRenewLease checks that members which acknowledge writes get no separate renewals.
+// Guards against separate renewals to members that acknowledge writes.
 func TestWritesRenewLease(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
@@ -245,7 +236,7 @@
 		c.propose(leader, put{"k", fmt.Sprint(i)})
 		c.advance(5 * time.Millisecond)
 	}
-	// Only sweeps send renewals: one to each of three members every four leases.
+	// Sweeps send renewals: one to each of three members every four leases.
 	if renewals > 3*4 {
 		t.Errorf("%d renewals in ten leases full of writes", renewals)
 	}
@@ -254,7 +245,6 @@
 	}
 }
 
-// TestSweepRepairsDivergedReplica checks that a sweep finds and repairs a replica that differs.
 func TestSweepRepairsDivergedReplica(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
@@ -279,8 +269,7 @@
 	}
 }
 
-// TestSimultaneousCandidates checks that members which start elections at the same time, again
-// and again, elect a leader.
+// Guards against members that start elections at the same time and elect no leader.
 func TestSimultaneousCandidates(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	for i := 0; i < 100; i++ {
@@ -304,8 +293,7 @@
 	t.Error("no leader")
 }
 
-// TestSnapshotWhileWritesQueued checks that a snapshot that is due while writes are queued doesn't
-// differ from what is written.
+// Guards against a snapshot that differs from the writes up to its sequence number.
 func TestSnapshotWhileWritesQueued(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
@@ -322,8 +310,7 @@
 	}
 	c.propose(leader, put{"x", "1"})
 	c.propose(leader, put{"k", "1"})
-	// The member that lags reports that it has nothing, while one write is pending and
-	// another is queued.
+	// One write is pending and another is queued.
 	term, _ := c.replicas[leader].LeadingTerm(c.now)
 	c.replicas[behind].completeSeq = 0
 	c.collect(leader, c.replicas[leader].Receive(c.now, behind, LeaseAck{Term: term, SentAt: c.now}))
@@ -342,9 +329,7 @@
 	c.wantValue("x", "1")
 }
 
-// TestInheritedChangeFinishesFirst checks that a leader elected in the middle of a change finishes
-// it before it begins another: no write names the member of the second change until the group
-// without former members is committed.
+// Guards against a new leader that begins a change before it has finished an inherited one.
 func TestInheritedChangeFinishesFirst(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "d", "e")
 	c.advance(300 * time.Millisecond)
--- a/rule/partition/messages.go
+++ b/rule/partition/messages.go
@@ -2,25 +2,23 @@
 
 import "time"
 
-// Messages between the members of a group. SentAt is a time of the clock of the candidate or
-// leader. An answer returns it, so that a lease counts from before its renewal was sent.
+// Messages between the members of a group. SentAt is a time of the candidate's or leader's clock.
+// An answer returns it, so that a lease counts from the sending of its renewal.
 type (
-	// Prepare asks for the promise of a term. A pre-vote is not binding. It prevents a member
-	// that was cut off from the network from deposing a serving leader.
+	// Prepare asks for the promise of a term. A pre-vote is not binding; it prevents a member
+	// that was partitioned from deposing a serving leader.
 	Prepare struct {
 		PreVote bool `msgpack:"a"`
 		// DigestOnly asks for the digest of the entries instead of the entries.
-		DigestOnly bool `msgpack:"l"`
-		// DigestKey is the key of the term's digests.
-		DigestKey DigestKey `msgpack:"k"`
-		Term      Term      `msgpack:"t"`
-		Group     Group     `msgpack:"g"`
-		// Released is a term whose leader no longer serves, so that its lease is ignored: a
-		// leader that transferred its leadership to the candidate, or the candidate itself.
+		DigestOnly bool      `msgpack:"l"`
+		DigestKey  DigestKey `msgpack:"k"`
+		Term       Term      `msgpack:"t"`
+		Group      Group     `msgpack:"g"`
+		// Released is a term whose leader no longer serves, so that its lease is ignored.
 		Released Term          `msgpack:"r"`
 		SentAt   time.Duration `msgpack:"s"`
 	}
-	// Promise answers Prepare, with the state of the member or its digest.
+	// Promise answers Prepare with the state of the member or its digest.
 	Promise struct {
 		PreVote bool `msgpack:"a"`
 		// DigestOnly means that Digest is set and Entries is empty.
@@ -33,8 +31,8 @@
 		Entries    []Entry       `msgpack:"e"`
 		SentAt     time.Duration `msgpack:"s"`
 	}
-	// Reject rejects a message of a term, because of a higher promise, a newer group or the
-	// lease of another leader. It also informs removed members of the new group.
+	// Reject rejects a message because of a higher promise, a newer group or the lease of
+	// another leader. It also informs removed members of the new group.
 	Reject struct {
 		Term     Term  `msgpack:"t"`
 		Promised Term  `msgpack:"p"`
@@ -50,13 +48,12 @@
 		Digest uint64 `msgpack:"u"`
 		Term   Term   `msgpack:"t"`
 		Seq    uint64 `msgpack:"q"`
-		// PriorSeq is up to where a member must be complete to be complete with this write.
+		// PriorSeq is how far a member must be complete to become complete with this write.
 		PriorSeq uint64        `msgpack:"p"`
 		Group    Group         `msgpack:"g"`
 		Clock    time.Duration `msgpack:"c"`
 		Entries  []Entry       `msgpack:"e"`
-		// Purged has the tombstones to remove.
-		Purged   []Entry       `msgpack:"d"`
+		Purged   []Entry       `msgpack:"d"` // tombstones to remove
 		Snapshot bool          `msgpack:"w"`
 		SentAt   time.Duration `msgpack:"s"`
 	}
@@ -67,8 +64,7 @@
 		// CompleteSeq is up to where the member has all writes of the term.
 		CompleteSeq uint64        `msgpack:"w"`
 		SentAt      time.Duration `msgpack:"s"`
-		// DigestMismatch means that the member didn't apply a rebase because it has other
-		// entries.
+		// DigestMismatch means that a rebase wasn't applied, as the member has other entries.
 		DigestMismatch bool `msgpack:"l"`
 	}
 	// RenewLease renews the leader's lease.
@@ -76,7 +72,7 @@
 		Term   Term          `msgpack:"t"`
 		Clock  time.Duration `msgpack:"c"`
 		SentAt time.Duration `msgpack:"s"`
-		// Digest is set in a sweep; it is that of all entries up to Seq.
+		// Digest is that of all entries up to Seq in a sweep, otherwise zero.
 		Digest    uint64    `msgpack:"d"`
 		DigestKey DigestKey `msgpack:"k"`
 		Seq       uint64    `msgpack:"q"`
@@ -89,13 +85,13 @@
 		// Diverged means that the member's entries differ from the digest of a sweep.
 		Diverged bool `msgpack:"x"`
 	}
-	// TermDurable is a message of a replica to itself, delivered once its promise of the
-	// term is on disk. From then on it may renew the lease of that term's leader at once.
+	// TermDurable is a message of a replica to itself, delivered once its promise of the term is
+	// on disk.
 	TermDurable struct {
 		Term Term `msgpack:"t"`
 	}
-	// TransferLeadership makes the receiver start an election without waiting for the end
-	// of the sender's lease, which the sender has released.
+	// TransferLeadership makes the receiver start an election at once, as the sender has
+	// released its lease.
 	TransferLeadership struct {
 		Term Term `msgpack:"t"`
 	}
--- a/rule/partition/rebase_test.go
+++ b/rule/partition/rebase_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// countEntries counts the entries in messages between replicas from now on.
+// countEntries counts the entries in messages from now on.
 func (c *cluster) countEntries(count *int) {
 	lost := c.drop
 	c.drop = func(from, to string, body any) bool {
@@ -22,8 +22,7 @@
 	}
 }
 
-// TestTakeoverOfEqualReplicasSendsNoEntries checks that a new leader whose entries equal those of
-// a majority takes over by digests alone, and loses nothing that was committed.
+// Guards against a takeover by digests that sends entries or loses a committed one.
 func TestTakeoverOfEqualReplicasSendsNoEntries(t *testing.T) {
 	group := []string{"a", "b", "c"}
 	c := newCluster(t, group, group...)
@@ -49,7 +48,7 @@
 	c.wantValue("k49", "v")
 	c.wantValue("k7", "")
 	c.propose(c.leader(), put{"k50", "v"})
-	// All replicas are complete in the new term: another takeover keeps everything.
+	// Another takeover shows that all replicas are complete in the new term.
 	c.advance(300 * time.Millisecond)
 	c.replicas[former] = nil
 	c.collect(c.leader(), c.replicas[c.leader()].ReleaseLeadership(c.now))
@@ -58,8 +57,7 @@
 	c.wantValue("k7", "")
 }
 
-// TestTakeoverOfUnequalReplicas lets one member lack a write that a majority has. The write must
-// reach every member, whichever member becomes the leader.
+// Guards against the loss of a write that only a majority has, whichever member leads next.
 func TestTakeoverOfUnequalReplicas(t *testing.T) {
 	group := []string{"a", "b", "c"}
 	for _, lacking := range group {
@@ -94,8 +92,7 @@
 	}
 }
 
-// TestRebaseReachesLateMember checks that a member that promises late, with equal or with other
-// entries, becomes complete.
+// Guards against a member that promises late and never becomes complete.
 func TestRebaseReachesLateMember(t *testing.T) {
 	group := []string{"a", "b", "c"}
 	for _, other := range []bool{false, true} {
--- a/rule/partition/replication.go
+++ b/rule/partition/replication.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// pendingWrite is a leader's write that waits for a quorum, with the results that depend on it.
+// pendingWrite is a write that waits for a quorum, with the results that depend on it.
 type pendingWrite struct {
 	seq     uint64
 	write   Write
@@ -15,8 +15,8 @@
 	group   *Group
 }
 
-// Propose runs a command at the leader. Its Result is in this output or a later one, once all
-// writes that the command has read or made are committed.
+// Propose runs a command at the leader. Its Result is in this or a later output, once all writes
+// that the command has read or made are committed.
 func (m *Machine) Propose(now time.Duration, requestID uint64, command any) Output {
 	m.out = &Output{}
 	if _, ok := m.LeadingTerm(now); !ok {
@@ -38,11 +38,11 @@
 	return *m.out
 }
 
-// flush sends the queued entries, purges and group as the next write, unless one is pending or
-// writes are held back for a new member.
+// flush sends what is queued as the next write, unless one is pending or writes are held back.
 func (m *Machine) flush(now time.Duration) {
 	lead := m.leading
-	if lead.pending != nil || m.writesHeld(now) || (len(lead.queuedEntries) == 0 && lead.queuedGroup == nil && len(lead.queuedPurges) == 0) {
+	if lead.pending != nil || m.writesHeld(now) ||
+		(len(lead.queuedEntries) == 0 && lead.queuedGroup == nil && len(lead.queuedPurges) == 0) {
 		return
 	}
 	latest := map[string]Entry{}
@@ -59,8 +59,23 @@
 	if lead.queuedGroup != nil {
 		lead.group = *lead.queuedGroup
 	}
-	lead.pending = &pendingWrite{seq: lead.seq, acked: map[string]bool{}, results: lead.queuedResults, sentAt: now, group: lead.queuedGroup,
-		write: Write{Term: lead.term, Seq: lead.seq, PriorSeq: prior, Group: lead.group, Clock: m.clock(now), Entries: entries, Purged: lead.queuedPurges, SentAt: now}}
+	lead.pending = &pendingWrite{
+		seq:     lead.seq,
+		acked:   map[string]bool{},
+		results: lead.queuedResults,
+		sentAt:  now,
+		group:   lead.queuedGroup,
+		write: Write{
+			Term:     lead.term,
+			Seq:      lead.seq,
+			PriorSeq: prior,
+			Group:    lead.group,
+			Clock:    m.clock(now),
+			Entries:  entries,
+			Purged:   lead.queuedPurges,
+			SentAt:   now,
+		},
+	}
 	lead.queuedEntries, lead.queuedResults, lead.queuedGroup, lead.queuedPurges = nil, nil, nil, nil
 	m.Counters.Writes++
 	m.Counters.Entries += int64(len(entries))
@@ -72,8 +87,7 @@
 	m.sendSnapshots(now)
 }
 
-// recipients returns the members that receive writes: those of the group and the one to be
-// added.
+// recipients returns the members of the group and the one to be added.
 func (m *Machine) recipients() []string {
 	all := m.leading.group.All()
 	if m.change != nil && m.change.adding != "" && !contains(all, m.change.adding) {
@@ -82,8 +96,8 @@
 	return all
 }
 
-// purgeTombstones queues the removal of committed tombstones, provided that all members have
-// all committed writes.
+// purgeTombstones queues the removal of committed tombstones. A member that lacks a committed write
+// could restore the deleted entry later, so all members must be complete.
 func (m *Machine) purgeTombstones() {
 	lead := m.leading
 	for _, member := range lead.group.All() {
@@ -102,7 +116,6 @@
 	sort.Slice(lead.queuedPurges, func(i, j int) bool { return lead.queuedPurges[i].Key < lead.queuedPurges[j].Key })
 }
 
-// onWrite stores a leader's write and acknowledges it once it is on disk.
 func (m *Machine) onWrite(now time.Duration, from string, msg Write) {
 	if msg.Term.Less(m.state.Promised) {
 		m.send(from, Reject{Term: msg.Term, Promised: m.state.Promised, Group: m.state.Group}, false)
@@ -114,8 +127,8 @@
 	if m.completeTerm != msg.Term {
 		m.completeTerm, m.completeSeq = msg.Term, 0
 	}
-	// A write that was applied before must not be applied again: it would restore entries
-	// that were deleted since and whose tombstones are purged.
+	// A repeated write would restore entries that were deleted since and whose tombstones are
+	// purged.
 	duplicate := m.completeSeq >= msg.Seq && (msg.Rebase || !msg.Snapshot) || m.completeSeq > msg.Seq
 	if msg.Rebase && !duplicate && m.digest != msg.Digest {
 		m.send(from, WriteAck{Term: msg.Term, SentAt: msg.SentAt, DigestMismatch: true}, false)
@@ -123,7 +136,16 @@
 	}
 	group := msg.Group
 	if !duplicate {
-		m.record(Record{Promised: msg.Term, Group: &group, Clock: msg.Clock, Entries: msg.Entries, Purged: msg.Purged, Snapshot: msg.Snapshot, Rebase: msg.Rebase, UpTo: msg.Seq})
+		m.record(Record{
+			Promised: msg.Term,
+			Group:    &group,
+			Clock:    msg.Clock,
+			Entries:  msg.Entries,
+			Purged:   msg.Purged,
+			Snapshot: msg.Snapshot,
+			Rebase:   msg.Rebase,
+			UpTo:     msg.Seq,
+		})
 	}
 	m.extendLease(now, msg.Term)
 	if msg.Snapshot || msg.Rebase || m.completeSeq >= msg.PriorSeq {
@@ -132,7 +154,6 @@
 	m.send(from, WriteAck{Term: msg.Term, Seq: msg.Seq, CompleteSeq: m.completeSeq, SentAt: msg.SentAt}, true)
 }
 
-// onWriteAck counts an acknowledgement, and commits the pending write once it has a quorum.
 func (m *Machine) onWriteAck(now time.Duration, from string, msg WriteAck) {
 	lead := m.leading
 	if lead == nil || msg.Term != lead.term {
@@ -143,8 +164,8 @@
 	m.recordNewMemberAck(now, from)
 	pending := lead.pending
 	if msg.DigestMismatch && pending != nil && pending.write.Rebase {
-		// The member's entries have changed since its promise, so it needs the snapshot.
-		// Any other digest than the write's makes retransmissions send it too.
+		// The member's entries have changed since its promise, so it needs the snapshot. A
+		// digest other than the write's makes retransmissions send it too.
 		lead.promisedDigests[from] = pending.write.Digest + 1
 		w := pending.write
 		w.Rebase, w.SentAt = false, now
@@ -172,7 +193,7 @@
 	m.flush(now)
 }
 
-// scheduleSnapshot marks a member for a snapshot, unless it was sent one recently.
+// scheduleSnapshot does nothing if the member was sent a snapshot recently.
 func (m *Machine) scheduleSnapshot(now time.Duration, to string) {
 	lead := m.leading
 	if at, ok := lead.snapshotSentAt[to]; ok && now < at+2*m.params.LeaseDuration {
@@ -182,14 +203,23 @@
 	m.sendSnapshots(now)
 }
 
-// sendSnapshots sends the complete table to the members marked for it. It waits until nothing
-// is queued, so that a snapshot holds exactly the writes up to its sequence number.
+// sendSnapshots waits until nothing is queued, so that a snapshot holds exactly the writes up to
+// its sequence number.
 func (m *Machine) sendSnapshots(now time.Duration) {
 	lead := m.leading
-	if len(lead.needsSnapshot) == 0 || len(lead.queuedEntries) > 0 || len(lead.queuedPurges) > 0 || lead.queuedGroup != nil {
+	if len(lead.needsSnapshot) == 0 || len(lead.queuedEntries) > 0 ||
+		len(lead.queuedPurges) > 0 || lead.queuedGroup != nil {
 		return
 	}
-	w := Write{Term: lead.term, Seq: lead.seq, Group: lead.group, Clock: m.clock(now), Snapshot: true, SentAt: now, Entries: make([]Entry, 0, len(lead.table))}
+	w := Write{
+		Term:     lead.term,
+		Seq:      lead.seq,
+		Group:    lead.group,
+		Clock:    m.clock(now),
+		Snapshot: true,
+		SentAt:   now,
+		Entries:  make([]Entry, 0, len(lead.table)),
+	}
 	for _, e := range lead.table {
 		w.Entries = append(w.Entries, e)
 	}
--- a/rule/partition/restart_test.go
+++ b/rule/partition/restart_test.go
@@ -5,14 +5,12 @@
 	"time"
 )
 
-// restart replaces a replica by a new one with the state on its disk.
 func (c *cluster) restart(member string) {
 	old := c.replicas[member]
 	c.replicas[member] = New(Options{Params: old.params, Member: member, Rules: registers{}, State: old.state, Now: c.now, Random: func() float64 { return 0.5 }})
 }
 
-// TestFormerLeaderResumesAtOnce checks that a restarted leader, whose own lease ended with its
-// process, serves again as soon as a majority is back.
+// Guards against a restarted leader that waits for its own lease.
 func TestFormerLeaderResumesAtOnce(t *testing.T) {
 	group := []string{"a", "b", "c"}
 	for _, late := range []time.Duration{0, 30 * time.Millisecond, 70 * time.Millisecond} {
@@ -51,8 +49,7 @@
 	}
 }
 
-// TestFollowerWaitsForLease checks that a restarted member that has promised another leader waits
-// as long as that leader's lease may hold.
+// Guards against a restarted member that ignores the lease of a leader whose term it has promised.
 func TestFollowerWaitsForLease(t *testing.T) {
 	group := []string{"a", "b", "c"}
 	c := newCluster(t, group, group...)
--- a/rule/partition/state.go
+++ b/rule/partition/state.go
@@ -6,13 +6,11 @@
 type State struct {
 	// Base is the last term whose leader wrote this state completely. Entries of lower
 	// terms are left over from writes that were not committed.
-	Base Term `msgpack:"b"`
-	// Promised is the highest promised term.
-	Promised Term  `msgpack:"p"`
-	Group    Group `msgpack:"g"`
-	// Clock is the highest known value of the partition's clock.
-	Clock   time.Duration    `msgpack:"c"`
-	Entries map[string]Entry `msgpack:"e"`
+	Base     Term             `msgpack:"b"`
+	Promised Term             `msgpack:"p"` // the highest promised term
+	Group    Group            `msgpack:"g"`
+	Clock    time.Duration    `msgpack:"c"` // the highest known value of the partition's clock
+	Entries  map[string]Entry `msgpack:"e"`
 }
 
 // Record is a change of a State, to be synced to disk. Zero fields change nothing.
@@ -22,14 +20,12 @@
 	Group     *Group        `msgpack:"g"`
 	Clock     time.Duration `msgpack:"c"`
 	Entries   []Entry       `msgpack:"e"`
-	// Purged has the tombstones to remove.
-	Purged []Entry `msgpack:"d"`
+	Purged    []Entry       `msgpack:"d"` // tombstones to remove
 	// Snapshot means that Entries are all entries up to the promised term and UpTo.
 	Snapshot bool `msgpack:"w"`
 	// UpTo is the sequence number of a snapshot or rebase in the promised term.
 	UpTo uint64 `msgpack:"u"`
-	// Rebase gives all stored entries the version of the promised term and UpTo, and
-	// removes tombstones.
+	// Rebase gives all entries the version of the promised term and UpTo, and removes tombstones.
 	Rebase bool `msgpack:"x"`
 }
 
--- a/rule/partition/types.go
+++ b/rule/partition/types.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// Params are the timing parameters of a partition, relative to the duration of a lease.
+// Params are the timing parameters of a partition.
 type Params struct {
 	// LeaseDuration is how long a leader may serve after it sent a message that a majority
 	// acknowledged.
 	LeaseDuration time.Duration
-	// Drift is the bound on clock drift: followers wait longer by this fraction.
+	// Drift is the bound on clock drift, as a fraction.
 	Drift float64
-	// RenewalsPerLease is how many renewals a leader sends in the duration of a lease.
+	// RenewalsPerLease is the number of renewals that a leader sends in a lease.
 	RenewalsPerLease int
-	// LeasesPerSweep is the interval, in leases, at which the leader compares the digests
-	// of all replicas.
+	// LeasesPerSweep is the interval, in leases, of digest comparisons.
 	LeasesPerSweep int
 	// LeasesBeforeTransfer is the number of leases after which a leader transfers its
-	// leadership to the first member of the group, the preferred leader. Zero means never.
+	// leadership to the preferred leader. Zero means never.
 	LeasesBeforeTransfer int
 }
 
@@ -37,16 +36,15 @@
 	NotLeader bool
 }
 
-// Output is what the caller must do after a call of a Machine: sync Records to disk, send Sends,
-// and return Results to their requesters.
+// Output is what the caller of a Machine must sync to disk, send, and return to requesters.
 type Output struct {
 	Records []Record
 	Sends   []Send
 	Results []Result
 }
 
-// Counters count events of a replica. Elections are those that it started, Elected those that
-// it won. Entries is the number of entries in its Writes as the leader.
+// Counters count events of a replica. Elections are those that it started, Elected those that it
+// won. Entries are those in its Writes as the leader.
 type Counters struct {
 	Elections, Elected, Writes, Entries, SnapshotsSent, Sweeps, TombstonesPurged int64
 }
--- a/rule/partition/updates.go
+++ b/rule/partition/updates.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Updates returns the committed entries, tombstones included, that have one of the prefixes
-// and are newer than a version. It must be called at a serving leader only.
+// Updates returns the committed entries, tombstones included, that have one of the prefixes and are
+// newer than a version. It must be called at a serving leader only.
 func (m *Machine) Updates(after Version, prefixes []string) []Entry {
 	var updates []Entry
 	lead := m.leading
@@ -27,16 +27,14 @@
 	return updates
 }
 
-// keepCommitted keeps the committed value of an entry that is about to be overwritten, until
-// the new value is committed itself.
+// keepCommitted keeps the committed value of an entry that is about to be overwritten.
 func (lead *leadership) keepCommitted(key string) {
 	if old, ok := lead.table[key]; ok && old.Version.Seq <= lead.committedSeq {
 		lead.superseded[key] = old
 	}
 }
 
-// markCommitted records that the entries of a write are committed. If an entry has a newer
-// value that is not, its committed value is kept for Updates.
+// markCommitted keeps the committed value of an entry whose newest value is not committed.
 func (lead *leadership) markCommitted(entries []Entry) {
 	for _, e := range entries {
 		if lead.table[e.Key].Version == e.Version {
--- a/rule/partition/updates_test.go
+++ b/rule/partition/updates_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// TestUpdatesWhileWritePending checks that updates contain the committed value of an entry while
-// a newer value is not committed yet: a subscriber asks only for versions after those it got.
+// Guards against updates that omit a committed value: a subscriber would not ask for it again.
 func TestUpdatesWhileWritePending(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
@@ -51,8 +50,7 @@
 	}
 }
 
-// TestUpdatesBetweenTwoWrites checks that the value of a write that was just committed is in the
-// updates while the next, queued write of the same entry is pending.
+// Guards against updates without a committed value whose entry was written again while queued.
 func TestUpdatesBetweenTwoWrites(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c")
 	c.advance(300 * time.Millisecond)
--- a/rule/program/program.go
+++ b/rule/program/program.go
@@ -1,9 +1,9 @@
 // Package program holds the rules of a program: a root conversation and its helper conversations,
 // with their limits, token budget and hash-chained history.
 //
-// A program is run by one node, its owner, under a fencing token that grows with each change of
-// owner. A turn is charged its full reservation unless it finished or certainly did not run. Start
-// reading at Record; User holds the limits across a user's programs.
+// One node, the owner, runs a program under a fencing token that grows with each change of owner. A
+// turn is charged its full reservation unless it finished or certainly did not run. Start reading
+// at Record, and at User for the limits across programs.
 package program
 
 import (
@@ -19,8 +19,7 @@
 	"saffronfall/rule/verdict"
 )
 
-// Conversation is the state of one conversation of a program: that of the root or of a helper.
-// Head is the hash of its history.
+// Conversation is the state of a root or helper conversation. Head is the hash of its history.
 type Conversation struct {
 	Head  string `msgpack:"h"`
 	Turns int    `msgpack:"t"`
@@ -32,7 +31,7 @@
 	Tokens       int64  `msgpack:"t"`
 }
 
-// ToolUsage counts the calls of one tool. Identical counts calls by the digest of their arguments.
+// ToolUsage counts the calls of one tool; Identical is by the digest of their arguments.
 type ToolUsage struct {
 	Calls         int64            `msgpack:"c"`
 	Identical     map[string]int64 `msgpack:"s"`
@@ -43,11 +42,11 @@
 	CooldownUntil time.Duration    `msgpack:"u"`
 }
 
-// Record is a program's durable state. Only the owner under the current Fence, the fencing token,
-// changes it. Node, Incarnation and Address are those of the owner. Times are on the clock of the
-// program's partition. Steps counts turns, Bytes is the size of the history, and Spent the output
-// of ended turns in tokens. ProbeNumber is the number of the breaker's probe that the program is,
-// or zero; ProbeSucceeded means that it has reported a successful turn.
+// Record is a program's durable state, which only the owner under the current fencing token, Fence,
+// changes. Node, Incarnation and Address are the owner's. Times are on the partition's clock. Steps
+// counts turns, Bytes is the size of the history, Spent the output of ended turns in tokens.
+// ProbeNumber is zero unless the program is a probe of the breaker; ProbeSucceeded means that it
+// has reported a successful turn.
 type Record struct {
 	ID             string                  `msgpack:"i"`
 	Tenant         string                  `msgpack:"t"`
@@ -71,16 +70,16 @@
 	Running        map[string]Reservation  `msgpack:"q"`
 	ToolCalls      int64                   `msgpack:"k"`
 	Tools          map[string]ToolUsage    `msgpack:"w"`
-	// Precharged is the total, in tokens, up to which the owner may run turns while it
-	// can't reach the cores, the processes that store records. It is charged in advance.
-	// Mirrors then store those turns; they were chosen under MirrorsFence.
+	// Precharged is the total, in tokens, up to which the owner may run turns while it can't
+	// reach the cores, which store records. It is charged in advance. Mirrors, chosen under
+	// MirrorsFence, then store those turns.
 	Precharged   int64    `msgpack:"g"`
 	Mirrors      []Mirror `msgpack:"m"`
 	MirrorsFence uint64   `msgpack:"j"`
 }
 
-// Mirror identifies a process of a node that stores copies of turns for a program's owner. Process
-// is the process's incarnation, without the count of its membership terms.
+// Mirror is a node process that stores copies of turns for a program's owner. Process is its
+// incarnation without the count of its membership terms.
 type Mirror struct {
 	ID      string `msgpack:"i"`
 	Process string `msgpack:"l"`
@@ -99,8 +98,7 @@
 // EmptyHead is the head of a conversation without turns.
 const EmptyHead = "start"
 
-// NextHead returns the head of a conversation after a turn: a hash of the previous head, the prompt
-// and the response.
+// NextHead returns a conversation's head after a turn.
 func NextHead(head, prompt, response string) string {
 	h := sha256.New()
 	for _, text := range []string{head, prompt, response} {
@@ -119,14 +117,14 @@
 	return sum
 }
 
-// Charged returns the tokens that count as spent: output and running reservations.
+// Charged returns the tokens spent by ended turns and reserved by running ones.
 func (r *Record) Charged() int64 { return r.Spent + r.Reserved() }
 
-// prechargedTurns is the number of maximum-size turns that are charged in advance.
+// prechargedTurns is in turns of maximum size.
 const prechargedTurns = 2
 
-// PrechargeTarget returns the total, in tokens, up to which a program should be charged in advance
-// if the given number of tokens is already charged.
+// PrechargeTarget returns the total, in tokens, up to which a program with the given charge should
+// be charged in advance.
 func PrechargeTarget(role configuration.Role, charged int64) int64 {
 	return min(role.ProgramTokensHard, charged+prechargedTurns*role.TurnTokens)
 }
@@ -149,8 +147,8 @@
 	return false
 }
 
-// ChargeRunning charges all running reservations in full. It is used after the owner that ran the
-// turns has failed, as they may have produced their maximum output.
+// ChargeRunning charges all running reservations in full after their owner has failed, as the turns
+// may have produced their maximum output.
 func (r *Record) ChargeRunning() {
 	r.Spent = r.Charged()
 	r.Running = nil
@@ -171,9 +169,9 @@
 	return warnings
 }
 
-// CheckTurnLimits checks a program's limits before a turn, in this order: closed, steps, duration,
-// all tool calls, calls per tool, identical calls, history size. Use of at least ratio of a limit
-// adds a warning.
+// CheckTurnLimits checks a program before a turn, in this order: closed, steps, duration, all tool
+// calls, calls per tool, identical calls, history size. Use of at least ratio of a limit adds a
+// warning.
 func (r *Record) CheckTurnLimits(clock time.Duration, role configuration.Role, ratio float64) verdict.Verdict {
 	var warnings []verdict.Warning
 	age := clock - r.OpenedAt
@@ -215,7 +213,8 @@
 		return refuse("program_tokens", "program_tokens_spent", "the program's allowance is spent", 429, 0)
 	}
 	if charged >= role.ProgramTokensSoft {
-		return verdict.Allowed(verdict.NotExecuted, []verdict.Warning{{Scope: "program_tokens", Used: charged, Limit: role.ProgramTokensHard}})
+		return verdict.Allowed(verdict.NotExecuted,
+			[]verdict.Warning{{Scope: "program_tokens", Used: charged, Limit: role.ProgramTokensHard}})
 	}
 	return verdict.Allowed(verdict.NotExecuted, nil)
 }
@@ -251,7 +250,13 @@
 	delete(r.Running, turn)
 	r.Spent += tokens
 	conversation := r.Conversation(reservation.Conversation)
-	t := Turn{Conversation: reservation.Conversation, Number: conversation.Turns, Prompt: prompt, Response: response, Head: NextHead(conversation.Head, prompt, response)}
+	t := Turn{
+		Conversation: reservation.Conversation,
+		Number:       conversation.Turns,
+		Prompt:       prompt,
+		Response:     response,
+		Head:         NextHead(conversation.Head, prompt, response),
+	}
 	if r.Conversations == nil {
 		r.Conversations = map[string]Conversation{}
 	}
@@ -260,8 +265,8 @@
 	return t
 }
 
-// ArgumentsDigest returns a digest of a tool call's JSON arguments in canonical form: sorted keys,
-// no spaces, numbers as written.
+// ArgumentsDigest returns a digest of JSON arguments with sorted keys, no spaces and numbers as
+// written.
 func ArgumentsDigest(raw []byte) (string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -278,8 +283,10 @@
 }
 
 // CheckToolCall checks a tool call, in this order: closed, duration, all calls, calls per tool,
-// identical calls, cooldown, per-tool rates, concurrency.
-func (r *Record) CheckToolCall(clock time.Duration, name, arguments string, role configuration.Role, service configuration.Service, ratio float64) verdict.Verdict {
+// identical calls, cooldown, rates, concurrency.
+func (r *Record) CheckToolCall(clock time.Duration, name, arguments string, role configuration.Role,
+	service configuration.Service, ratio float64,
+) verdict.Verdict {
 	usage := r.Tools[name]
 	switch {
 	case r.Closed:
@@ -339,9 +346,10 @@
 	r.Tools[name] = usage
 }
 
-// FinishToolCall records the outcome of a tool call. Each consecutive error doubles the cooldown,
-// up to maxCooldown.
-func (r *Record) FinishToolCall(clock time.Duration, name string, succeeded bool, service configuration.Service, maxCooldown time.Duration) {
+// FinishToolCall ends a tool call. Each consecutive error doubles the cooldown, up to maxCooldown.
+func (r *Record) FinishToolCall(clock time.Duration, name string, succeeded bool,
+	service configuration.Service, maxCooldown time.Duration,
+) {
 	usage := r.Tools[name]
 	usage.Running = max(0, usage.Running-1)
 	if succeeded {
--- a/rule/program/program_test.go
+++ b/rule/program/program_test.go
@@ -8,11 +8,20 @@
 )
 
 func viewer() configuration.Role {
-	return configuration.Role{Steps: 10, SessionSeconds: 120, ToolCalls: 20, ToolCallsPerType: 5, IdenticalToolCalls: 2, HistoryBytes: 1000, TurnTokens: 100, ProgramTokensSoft: 500, ProgramTokensHard: 1000}
+	return configuration.Role{
+		Steps:              10,
+		SessionSeconds:     120,
+		ToolCalls:          20,
+		ToolCallsPerType:   5,
+		IdenticalToolCalls: 2,
+		HistoryBytes:       1000,
+		TurnTokens:         100,
+		ProgramTokensSoft:  500,
+		ProgramTokensHard:  1000,
+	}
 }
 
-// TestToolCheckOrder violates every check of a tool call at once and clears the violations one by one,
-// in the order of the checks.
+// Guards against another order of checks: the violations are cleared one by one.
 func TestToolCheckOrder(t *testing.T) {
 	service := configuration.Service{CallsPerMinute: 3, CallsPerHour: 100, ConcurrentCalls: 1, CooldownSeconds: 10}
 	role := viewer()
@@ -65,8 +74,7 @@
 	}
 }
 
-// TestTurnLimitOrder violates every limit of a turn at once and clears the violations one by one, in
-// the order of the checks.
+// Guards against another order of checks: the violations are cleared one by one.
 func TestTurnLimitOrder(t *testing.T) {
 	role := viewer()
 	r := Record{Closed: true, Steps: 10, ToolCalls: 20, Bytes: 1000, Tools: map[string]ToolUsage{"x": {Calls: 5, Identical: map[string]int64{"a": 2}}}}
@@ -90,7 +98,7 @@
 	}
 }
 
-// TestBudgetExceededByOneTurnAtMost checks that concurrent turns exceed the hard limit by one turn at most.
+// Guards against concurrent turns that exceed the hard limit by more than one turn.
 func TestBudgetExceededByOneTurnAtMost(t *testing.T) {
 	role := viewer()
 	var r Record
@@ -117,8 +125,7 @@
 	}
 }
 
-// TestArgumentsDigest checks that the digest ignores the formatting of JSON and keeps numbers as
-// written.
+// Guards against digests that depend on the formatting of JSON or round numbers.
 func TestArgumentsDigest(t *testing.T) {
 	one, _ := ArgumentsDigest([]byte(`{"b":[1,2],"a":{"y":1,"x":"é"}}`))
 	for text, same := range map[string]bool{
--- a/rule/program/user.go
+++ b/rule/program/user.go
@@ -8,25 +8,22 @@
 	"saffronfall/rule/verdict"
 )
 
-// Session is a program that counts towards a user's limits. Charged is its usage in tokens.
+// Session is a program that counts towards a user's limits. Charged is in tokens.
 type Session struct {
 	ExpiresAt time.Duration `msgpack:"u"`
 	Charged   int64         `msgpack:"c"`
 	Closed    bool          `msgpack:"d"`
-	// Precharged is the total, in tokens, that the program may spend before its
-	// next report.
+	// Precharged is the total, in tokens, that the program may spend before its next report.
 	Precharged int64 `msgpack:"v"`
 }
 
-// OpenResult is the result of a recent attempt to open a session, kept so that a repeated message
-// gets the same answer.
+// OpenResult is the result of an attempt to open a session, kept to answer a repeated message.
 type OpenResult struct {
 	Program string          `msgpack:"p"`
 	Verdict verdict.Verdict `msgpack:"v"`
 }
 
-// User is a user's durable state: session windows, lockout, sessions and the tokens of the last
-// day.
+// User is a user's durable state. Minute, Hour and Day count session starts.
 type User struct {
 	Minute      allowance.Window   `msgpack:"m"`
 	Hour        allowance.Window   `msgpack:"h"`
@@ -43,12 +40,10 @@
 		Day: allowance.Window{Width: 24 * time.Hour}, Tokens: allowance.Window{Width: 24 * time.Hour}}
 }
 
-// maxRecentOpens is the number of open results that are kept per user.
 const maxRecentOpens = 8
 
-// OpenSession checks a session start: lockout and the three windows in one pass, then concurrency,
-// then the day's tokens. A start that passed the windows counts in them even if a later check
-// refuses it.
+// OpenSession checks lockout, the three windows, concurrency and the day's tokens, in this order. A
+// start that passed the windows counts in them even if a later check refuses it.
 func (u *User) OpenSession(clock time.Duration, program string, role configuration.Role, ratio float64) verdict.Verdict {
 	for _, o := range u.RecentOpens {
 		if o.Program == program {
@@ -108,7 +103,10 @@
 	if u.Sessions == nil {
 		u.Sessions = map[string]Session{}
 	}
-	u.Sessions[program] = Session{ExpiresAt: clock + time.Duration(role.SessionSeconds)*time.Second, Precharged: PrechargeTarget(role, 0)}
+	u.Sessions[program] = Session{
+		ExpiresAt:  clock + time.Duration(role.SessionSeconds)*time.Second,
+		Precharged: PrechargeTarget(role, 0),
+	}
 	var warnings []verdict.Warning
 	if spent >= role.UserDayTokensSoft {
 		warnings = append(warnings, verdict.Warning{Scope: "user_day_tokens", Used: spent, Limit: role.UserDayTokensHard})
@@ -119,8 +117,7 @@
 	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
 
-// dayTokens returns the tokens charged in the last day, plus those that open sessions may spend
-// before their next reports.
+// dayTokens includes the tokens that open sessions may spend before their next reports.
 func (u *User) dayTokens(clock time.Duration) int64 {
 	spent := u.Tokens.Sum(clock)
 	for _, s := range u.Sessions {
@@ -131,9 +128,8 @@
 	return spent
 }
 
-// ChargeSession raises the totals, in tokens, that a program was charged and was charged in advance.
-// It returns the tokens charged to the user in the last day. Lower totals than before change
-// nothing, so that a repeated or delayed report has no effect.
+// ChargeSession raises a program's totals, in tokens, and returns the tokens charged to the user in
+// the last day. Lower totals change nothing, so a repeated or delayed report has no effect.
 func (u *User) ChargeSession(clock time.Duration, program string, charged, precharged int64) int64 {
 	s := u.Sessions[program]
 	if charged > s.Charged || precharged > s.Precharged {
