--- a/rule/configuration/description.go
+++ b/rule/configuration/description.go
@@ -234,8 +234,10 @@
 	}
 }
 
+const microDollarsPerDollar = 1e6
+
 // MicroDollars converts dollars to millionths of a dollar, rounded to the nearest.
-func MicroDollars(dollars float64) int64 { return int64(dollars*1e6 + 0.5) }
+func MicroDollars(dollars float64) int64 { return int64(dollars*microDollarsPerDollar + 0.5) }
 
 // Price returns the price of tokens in millionths of a dollar, rounded up.
 func (s Service) Price(tokens int64) int64 {
--- a/rule/configuration/settings.go
+++ b/rule/configuration/settings.go
@@ -92,14 +92,14 @@
 func buildTree(settings []Setting) *node {
 	root := &node{children: map[string]*node{}}
 	for i := range settings {
-		at := root
-		for _, step := range strings.Split(settings[i].Path, ".") {
-			if at.children[step] == nil {
-				at.children[step] = &node{children: map[string]*node{}}
+		current := root
+		for _, key := range strings.Split(settings[i].Path, ".") {
+			if current.children[key] == nil {
+				current.children[key] = &node{children: map[string]*node{}}
 			}
-			at = at.children[step]
+			current = current.children[key]
 		}
-		at.setting = &settings[i]
+		current.setting = &settings[i]
 	}
 	return root
 }
@@ -113,8 +113,8 @@
 	return out.(map[string]any), faults
 }
 
-func checkNode(path string, value any, at *node, faults *Faults) any {
-	if list := at.children["[]"]; list != nil {
+func checkNode(path string, value any, schema *node, faults *Faults) any {
+	if list := schema.children["[]"]; list != nil {
 		items, ok := value.([]any)
 		if !ok {
 			*faults = append(*faults, Fault{Path: path, Value: value, Allowed: "a list"})
@@ -125,18 +125,18 @@
 		}
 		return items
 	}
-	if len(at.children) == 0 {
-		return checkValue(path, value, at.setting, faults)
+	if len(schema.children) == 0 {
+		return checkValue(path, value, schema.setting, faults)
 	}
-	tree, ok := value.(map[string]any)
+	object, ok := value.(map[string]any)
 	if !ok {
 		*faults = append(*faults, Fault{Path: path, Value: value, Allowed: "an object"})
 		return value
 	}
-	for key, child := range tree {
-		next := at.children[key]
+	for key, child := range object {
+		next := schema.children[key]
 		if next == nil {
-			next = at.children["*"]
+			next = schema.children["*"]
 			if next != nil && !ValidName(key) {
 				*faults = append(*faults, Fault{
 					Path:    joinPath(path, key),
@@ -150,40 +150,42 @@
 			*faults = append(*faults, Fault{
 				Path:    joinPath(path, key),
 				Value:   child,
-				Allowed: "no such setting; known here: " + strings.Join(childNames(at), ", "),
+				Allowed: "no such setting; known here: " + strings.Join(childNames(schema), ", "),
 			})
 			continue
 		}
-		tree[key] = checkNode(joinPath(path, key), child, next, faults)
+		object[key] = checkNode(joinPath(path, key), child, next, faults)
 	}
-	for key, next := range at.children {
-		if _, present := tree[key]; present || key == "*" {
+	for key, next := range schema.children {
+		if _, present := object[key]; present || key == "*" {
 			continue
 		}
 		switch {
 		case next.setting != nil && next.setting.Required:
 			*faults = append(*faults, Fault{Path: joinPath(path, key), Value: "nothing", Allowed: allowed(next.setting)})
 		case next.setting != nil && next.setting.Default != nil:
-			tree[key] = next.setting.Default
+			object[key] = next.setting.Default
 		case next.setting == nil && len(next.children) > 0 && next.children["[]"] == nil:
-			tree[key] = checkNode(joinPath(path, key), map[string]any{}, next, faults)
+			object[key] = checkNode(joinPath(path, key), map[string]any{}, next, faults)
 		}
 	}
-	return tree
+	return object
 }
 
-func childNames(at *node) []string {
+func childNames(schema *node) []string {
 	var names []string
-	for key := range at.children {
+	for key := range schema.children {
 		names = append(names, key)
 	}
 	sort.Strings(names)
 	return names
 }
 
+const maxNameLength = 64
+
 // ValidName reports whether a text consists of 1 to 64 letters, digits, '-', '_' or '.'.
 func ValidName(s string) bool {
-	if s == "" || len(s) > 64 {
+	if s == "" || len(s) > maxNameLength {
 		return false
 	}
 	for _, r := range s {
@@ -208,7 +210,7 @@
 	}
 	switch setting.Type {
 	case "int", "number":
-		number, ok := number(value)
+		number, ok := toFloat(value)
 		if !ok || number < setting.Min || number > setting.Max || (setting.Type == "int" && number != math.Trunc(number)) {
 			return reject()
 		}
@@ -223,8 +225,8 @@
 		}
 		if len(setting.Allowed) > 0 {
 			found := false
-			for _, a := range setting.Allowed {
-				found = found || a == text
+			for _, allowedText := range setting.Allowed {
+				found = found || allowedText == text
 			}
 			if !found {
 				return reject()
@@ -249,7 +251,7 @@
 	return value
 }
 
-func number(value any) (float64, bool) {
+func toFloat(value any) (float64, bool) {
 	switch n := value.(type) {
 	case json.Number:
 		f, err := n.Float64()
--- a/rule/message/message.go
+++ b/rule/message/message.go
@@ -27,12 +27,12 @@
 // Register registers the types of the given values under their outer names. It must be called during
 // package initialisation only, and panics if a name or a type is registered twice.
 func Register(values map[string]any) {
-	for name, v := range values {
-		t := reflect.TypeOf(v)
+	for name, value := range values {
+		t := reflect.TypeOf(value)
 		if types[name] != nil {
 			panic("message: two types are registered as " + name)
 		}
-		if other, twice := names[t]; twice {
+		if other, registered := names[t]; registered {
 			panic("message: " + t.String() + " is registered as " + name + " and as " + other)
 		}
 		types[name], names[t] = t, name
--- a/rule/message/message_test.go
+++ b/rule/message/message_test.go
@@ -34,14 +34,14 @@
 	})
 }
 
-func full() sample {
+func filledSample() sample {
 	one := inner{ID: "one", Parts: []string{"a", ""}}
 	return sample{Name: "n", Count: 1 << 63, Signed: -5, Share: 0.25, Flag: true, Raw: []byte{0, 255}, Wait: time.Second, Inner: &one,
 		Listed: []inner{one, {}}, ByName: map[string]inner{"k": one}, ByIndex: map[int]uint64{3: 4}}
 }
 
 func TestPackOpenRoundTrip(t *testing.T) {
-	for _, value := range []any{sample{}, full(), inner{ID: "x"}} {
+	for _, value := range []any{sample{}, filledSample(), inner{ID: "x"}} {
 		raw := Pack(value)
 		opened, err := Open(raw)
 		if err != nil {
@@ -54,7 +54,7 @@
 }
 
 func TestTruncatedMessagesAreRefused(t *testing.T) {
-	raw := Pack(full())
+	raw := Pack(filledSample())
 	for cut := range len(raw) {
 		if body, err := Open(raw[:cut]); err == nil {
 			t.Errorf("the first %d bytes of %d were decoded as %+v", cut, len(raw), body)
@@ -74,7 +74,7 @@
 
 // Guards against panics on malformed input, and messages that change when encoded again.
 func FuzzOpen(f *testing.F) {
-	f.Add(Pack(full()))
+	f.Add(Pack(filledSample()))
 	f.Add(Pack(sample{}))
 	f.Add(Pack(inner{ID: "x", Parts: []string{"y"}}))
 	f.Add(append(Marshal("message.sample"), 0xdf, 0xff, 0xff, 0xff, 0xff))
--- a/rule/partition/digest.go
+++ b/rule/partition/digest.go
@@ -25,26 +25,26 @@
 	if e.Deleted || e.Version == (Version{}) {
 		return 0
 	}
-	text := make([]byte, 0, 32+len(e.Key)+len(e.Version.Term.Leader)+len(e.Value))
-	text = binary.LittleEndian.AppendUint64(text, e.Version.Seq)
-	text = binary.LittleEndian.AppendUint64(text, e.Version.Term.Round)
-	text = binary.LittleEndian.AppendUint64(text, uint64(len(e.Key)))
-	text = binary.LittleEndian.AppendUint64(text, uint64(len(e.Version.Term.Leader)))
-	text = append(text, e.Key...)
-	text = append(text, e.Version.Term.Leader...)
-	text = append(text, e.Value...)
-	return siphash.Hash(k[0], k[1], text)
+	encoded := make([]byte, 0, 32+len(e.Key)+len(e.Version.Term.Leader)+len(e.Value))
+	encoded = binary.LittleEndian.AppendUint64(encoded, e.Version.Seq)
+	encoded = binary.LittleEndian.AppendUint64(encoded, e.Version.Term.Round)
+	encoded = binary.LittleEndian.AppendUint64(encoded, uint64(len(e.Key)))
+	encoded = binary.LittleEndian.AppendUint64(encoded, uint64(len(e.Version.Term.Leader)))
+	encoded = append(encoded, e.Key...)
+	encoded = append(encoded, e.Version.Term.Leader...)
+	encoded = append(encoded, e.Value...)
+	return siphash.Hash(k[0], k[1], encoded)
 }
 
-func (m *Machine) setDigestKey(k DigestKey) {
-	if m.digestKey == k {
+func (m *Machine) setDigestKey(key DigestKey) {
+	if m.digestKey == key {
 		return
 	}
-	m.digestKey = k
-	m.digest = k.table(m.state.Entries)
+	m.digestKey = key
+	m.digest = key.table(m.state.Entries)
 }
 
 func (m *Machine) newDigestKey() DigestKey {
-	half := func() uint64 { return uint64(m.random()*(1<<32))<<32 | uint64(m.random()*(1<<32)) }
-	return DigestKey{half(), half()}
+	randomWord := func() uint64 { return uint64(m.random()*(1<<32))<<32 | uint64(m.random()*(1<<32)) }
+	return DigestKey{randomWord(), randomWord()}
 }
--- a/rule/partition/election.go
+++ b/rule/partition/election.go
@@ -5,6 +5,12 @@
 	"time"
 )
 
+// After a transfer of its leadership, a member starts no election for electionLeases leases.
+const electionLeases = 2
+
+// stepDownDelayDivisor divides the lease duration that is added to the timeout after a step down.
+const stepDownDelayDivisor = 10
+
 // successor returns the most up-to-date other member, or an empty string if there is none.
 func (m *Machine) successor() string {
 	lead, best := m.leading, ""
@@ -20,7 +26,7 @@
 func (m *Machine) transferLeadership(now time.Duration, member string) {
 	m.send(member, TransferLeadership{Term: m.leading.term}, false)
 	m.stepDown(now)
-	m.electionAt = now + 2*m.params.LeaseDuration
+	m.electionAt = now + electionLeases*m.params.LeaseDuration
 }
 
 // startElection makes this member a candidate. If it is given a released term, whose leader no
@@ -88,7 +94,7 @@
 		m.leaseUntil = now
 	}
 	m.leading, m.change = nil, nil
-	m.electionAt = now + m.electionTimeout() + m.params.LeaseDuration/10
+	m.electionAt = now + m.electionTimeout() + m.params.LeaseDuration/stepDownDelayDivisor
 }
 
 // ReleaseLeadership transfers the leadership to the most up-to-date other member. It does nothing
@@ -332,14 +338,14 @@
 // digest matches. While the digest that a rebase depends on is unknown, it sends nothing.
 func (m *Machine) sendInitialWrite(now time.Duration, member string) {
 	lead := m.leading
-	w := lead.pending.write
-	w.SentAt = now
-	if digest, ok := lead.promisedDigests[member]; w.Rebase && !ok {
+	initial := lead.pending.write
+	initial.SentAt = now
+	if digest, ok := lead.promisedDigests[member]; initial.Rebase && !ok {
 		return
-	} else if w.Rebase = w.Rebase && digest == w.Digest; w.Rebase {
-		w.Entries, w.Snapshot = nil, false
+	} else if initial.Rebase = initial.Rebase && digest == initial.Digest; initial.Rebase {
+		initial.Entries, initial.Snapshot = nil, false
 	}
-	m.send(member, w, false)
+	m.send(member, initial, false)
 }
 
 // onReject makes a candidate step down once the members that have not rejected it are no quorum.
--- a/rule/partition/group.go
+++ b/rule/partition/group.go
@@ -76,13 +76,13 @@
 }
 
 func majority(members []string, accepted func(string) bool) bool {
-	n := 0
+	count := 0
 	for _, member := range members {
 		if accepted(member) {
-			n++
+			count++
 		}
 	}
-	return n > len(members)/2
+	return count > len(members)/2
 }
 
 func contains(list []string, s string) bool {
--- a/rule/partition/machine.go
+++ b/rule/partition/machine.go
@@ -6,6 +6,13 @@
 	"saffronfall/rule/invariant"
 )
 
+// Periods as divisors of the lease duration.
+const (
+	prepareRetryDivisor = 10
+	writeRetryDivisor   = 4
+	recentAckDivisor    = 2 // leadership is transferred only to a member with a recent acknowledgement
+)
+
 // Machine is one member's replica of a partition. It stores a State, promises terms to
 // candidates, and may become the leader. It isn't safe for concurrent use.
 type Machine struct {
@@ -195,9 +202,9 @@
 		}
 	case !lead.serving && now > lead.phaseStartedAt+m.params.LeaseDuration:
 		m.stepDown(now)
-	case !lead.serving && lead.table == nil && now > lead.preparedAt+m.params.LeaseDuration/10:
+	case !lead.serving && lead.table == nil && now > lead.preparedAt+m.params.LeaseDuration/prepareRetryDivisor:
 		m.sendPrepare(now)
-	case !lead.serving && lead.pending != nil && now > lead.pending.sentAt+m.params.LeaseDuration/4:
+	case !lead.serving && lead.pending != nil && now > lead.pending.sentAt+m.params.LeaseDuration/writeRetryDivisor:
 		lead.pending.sentAt = now
 		for _, member := range lead.group.All() {
 			if !lead.pending.acked[member] {
@@ -233,7 +240,7 @@
 			m.send(member, renew, false)
 		}
 	}
-	if lead.pending != nil && now > lead.pending.sentAt+m.params.LeaseDuration/4 {
+	if lead.pending != nil && now > lead.pending.sentAt+m.params.LeaseDuration/writeRetryDivisor {
 		lead.pending.sentAt = now
 		for _, member := range m.recipients() {
 			if !lead.pending.acked[member] {
@@ -262,7 +269,8 @@
 	case m.params.LeasesBeforeTransfer > 0 && preferred != m.member &&
 		now > lead.servingSince+m.params.LeaseDuration*time.Duration(m.params.LeasesBeforeTransfer):
 		lead.servingSince = now
-		if lead.completeSeq[preferred] >= lead.committedSeq && now < lead.ackedAt[preferred]+m.params.LeaseDuration/2 {
+		if lead.completeSeq[preferred] >= lead.committedSeq &&
+			now < lead.ackedAt[preferred]+m.params.LeaseDuration/recentAckDivisor {
 			m.transferLeadership(now, preferred)
 		}
 	}
--- a/rule/partition/membership.go
+++ b/rule/partition/membership.go
@@ -28,6 +28,9 @@
 	maxChangeLeases = 30
 	// The leader holds back its next write for a new member that lacks at most catchUpWrites.
 	catchUpWrites = 8
+	// The interval and duration of holding back writes, as divisors of the lease duration.
+	holdIntervalDivisor = 4
+	holdDurationDivisor = 8
 )
 
 // ChangeMembers adds one member and removes one; either may be empty. An added member takes the
@@ -145,7 +148,8 @@
 	switch c.step {
 	case stepCatchUp:
 		if c.adding != "" && lead.completeSeq[c.adding] < lead.committedSeq {
-			if lead.completeSeq[c.adding]+catchUpWrites >= lead.committedSeq && now >= c.heldSince+m.params.LeaseDuration/4 {
+			if lead.completeSeq[c.adding]+catchUpWrites >= lead.committedSeq &&
+				now >= c.heldSince+m.params.LeaseDuration/holdIntervalDivisor {
 				c.heldSince = now
 			}
 			return
@@ -175,7 +179,7 @@
 func (m *Machine) writesHeld(now time.Duration) bool {
 	c, lead := m.change, m.leading
 	return c != nil && c.step == stepCatchUp && c.adding != "" &&
-		c.heldSince > 0 && now < c.heldSince+m.params.LeaseDuration/8 &&
+		c.heldSince > 0 && now < c.heldSince+m.params.LeaseDuration/holdDurationDivisor &&
 		lead.completeSeq[c.adding] < lead.committedSeq
 }
 
--- a/rule/partition/replication.go
+++ b/rule/partition/replication.go
@@ -167,9 +167,9 @@
 		// The member's entries have changed since its promise, so it needs the snapshot. A
 		// digest other than the write's makes retransmissions send it too.
 		lead.promisedDigests[from] = pending.write.Digest + 1
-		w := pending.write
-		w.Rebase, w.SentAt = false, now
-		m.send(from, w, false)
+		snapshot := pending.write
+		snapshot.Rebase, snapshot.SentAt = false, now
+		m.send(from, snapshot, false)
 	}
 	if pending == nil || pending.seq != msg.Seq {
 		m.advanceChange(now)
@@ -193,10 +193,13 @@
 	m.flush(now)
 }
 
+// snapshotLeases is the least number of leases between two snapshots to a member.
+const snapshotLeases = 2
+
 // scheduleSnapshot does nothing if the member was sent a snapshot recently.
 func (m *Machine) scheduleSnapshot(now time.Duration, to string) {
 	lead := m.leading
-	if at, ok := lead.snapshotSentAt[to]; ok && now < at+2*m.params.LeaseDuration {
+	if sentAt, ok := lead.snapshotSentAt[to]; ok && now < sentAt+snapshotLeases*m.params.LeaseDuration {
 		return
 	}
 	lead.needsSnapshot[to] = true
@@ -211,7 +214,7 @@
 		len(lead.queuedPurges) > 0 || lead.queuedGroup != nil {
 		return
 	}
-	w := Write{
+	snapshot := Write{
 		Term:     lead.term,
 		Seq:      lead.seq,
 		Group:    lead.group,
@@ -221,14 +224,14 @@
 		Entries:  make([]Entry, 0, len(lead.table)),
 	}
 	for _, e := range lead.table {
-		w.Entries = append(w.Entries, e)
+		snapshot.Entries = append(snapshot.Entries, e)
 	}
-	sort.Slice(w.Entries, func(i, j int) bool { return w.Entries[i].Key < w.Entries[j].Key })
+	sort.Slice(snapshot.Entries, func(i, j int) bool { return snapshot.Entries[i].Key < snapshot.Entries[j].Key })
 	for _, member := range m.recipients() {
 		if lead.needsSnapshot[member] {
 			m.Counters.SnapshotsSent++
 			lead.snapshotSentAt[member] = now
-			m.send(member, w, false)
+			m.send(member, snapshot, false)
 		}
 	}
 	clear(lead.needsSnapshot)
--- a/rule/partition/state.go
+++ b/rule/partition/state.go
@@ -69,9 +69,9 @@
 			}
 		}
 	}
-	for _, d := range r.Purged {
-		if old, ok := s.Entries[d.Key]; ok && old.Deleted && old.Version == d.Version {
-			delete(s.Entries, d.Key)
+	for _, purged := range r.Purged {
+		if old, ok := s.Entries[purged.Key]; ok && old.Deleted && old.Version == purged.Version {
+			delete(s.Entries, purged.Key)
 		}
 	}
 }
--- a/rule/program/program.go
+++ b/rule/program/program.go
@@ -98,6 +98,12 @@
 // EmptyHead is the head of a conversation without turns.
 const EmptyHead = "start"
 
+// Lengths of truncated SHA-256 digests.
+const (
+	headBytes            = 16
+	argumentsDigestBytes = 8
+)
+
 // NextHead returns a conversation's head after a turn.
 func NextHead(head, prompt, response string) string {
 	h := sha256.New()
@@ -105,7 +111,7 @@
 		sum := sha256.Sum256([]byte(text))
 		h.Write(sum[:])
 	}
-	return hex.EncodeToString(h.Sum(nil)[:16])
+	return hex.EncodeToString(h.Sum(nil)[:headBytes])
 }
 
 // Reserved returns the sum of the running reservations, in tokens.
@@ -162,17 +168,17 @@
 	return verdict.Refused(verdict.Refusal{Check: check, Code: code, Reason: reason, Status: status, RetryAfter: after})
 }
 
-func appendWarning(warnings []verdict.Warning, scope string, used, limit int64, ratio float64) []verdict.Warning {
-	if limit > 0 && float64(used) >= ratio*float64(limit) {
+func appendWarning(warnings []verdict.Warning, scope string, used, limit int64, warnRatio float64) []verdict.Warning {
+	if limit > 0 && float64(used) >= warnRatio*float64(limit) {
 		warnings = append(warnings, verdict.Warning{Scope: scope, Used: used, Limit: limit})
 	}
 	return warnings
 }
 
 // CheckTurnLimits checks a program before a turn, in this order: closed, steps, duration, all tool
-// calls, calls per tool, identical calls, history size. Use of at least ratio of a limit adds a
-// warning.
-func (r *Record) CheckTurnLimits(clock time.Duration, role configuration.Role, ratio float64) verdict.Verdict {
+// calls, calls per tool, identical calls, history size. Use of at least warnRatio of a limit adds
+// a warning.
+func (r *Record) CheckTurnLimits(clock time.Duration, role configuration.Role, warnRatio float64) verdict.Verdict {
 	var warnings []verdict.Warning
 	age := clock - r.OpenedAt
 	switch {
@@ -190,19 +196,19 @@
 		if usage.Calls >= role.ToolCallsPerType {
 			return refuse("tool_calls_per_type", "tool_calls_per_type_reached", "the program has made all its calls of "+name, 429, 0)
 		}
-		for _, n := range usage.Identical {
-			if n >= role.IdenticalToolCalls {
+		for _, calls := range usage.Identical {
+			if calls >= role.IdenticalToolCalls {
 				return refuse("identical_tool_calls", "loop", "the program repeated a call of "+name, 429, 0)
 			}
 		}
-		warnings = appendWarning(warnings, "tool_calls_per_type/"+name, usage.Calls, role.ToolCallsPerType, ratio)
+		warnings = appendWarning(warnings, "tool_calls_per_type/"+name, usage.Calls, role.ToolCallsPerType, warnRatio)
 	}
 	if r.Bytes >= role.HistoryBytes {
 		return refuse("history_bytes", "history_full", "the program's history is full", 429, 0)
 	}
-	warnings = appendWarning(warnings, "steps", r.Steps, role.Steps, ratio)
-	warnings = appendWarning(warnings, "tool_calls", r.ToolCalls, role.ToolCalls, ratio)
-	warnings = appendWarning(warnings, "duration", int64(age/time.Second), role.SessionSeconds, ratio)
+	warnings = appendWarning(warnings, "steps", r.Steps, role.Steps, warnRatio)
+	warnings = appendWarning(warnings, "tool_calls", r.ToolCalls, role.ToolCalls, warnRatio)
+	warnings = appendWarning(warnings, "duration", int64(age/time.Second), role.SessionSeconds, warnRatio)
 	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
 
@@ -279,13 +285,15 @@
 		return "", err
 	}
 	sum := sha256.Sum256(canonical)
-	return hex.EncodeToString(sum[:8]), nil
+	return hex.EncodeToString(sum[:argumentsDigestBytes]), nil
 }
 
+const toolBusyRetryAfter = time.Second
+
 // CheckToolCall checks a tool call, in this order: closed, duration, all calls, calls per tool,
 // identical calls, cooldown, rates, concurrency.
 func (r *Record) CheckToolCall(clock time.Duration, name, arguments string, role configuration.Role,
-	service configuration.Service, ratio float64,
+	service configuration.Service, warnRatio float64,
 ) verdict.Verdict {
 	usage := r.Tools[name]
 	switch {
@@ -309,11 +317,11 @@
 		return refuse("tool_rate", "tool_rate_reached", "calls of "+name+" in an hour", 429, wait)
 	}
 	if usage.Running >= service.ConcurrentCalls {
-		return refuse("tool_concurrency", "tool_busy", "calls of "+name+" at once", 429, time.Second)
+		return refuse("tool_concurrency", "tool_busy", "calls of "+name+" at once", 429, toolBusyRetryAfter)
 	}
 	var warnings []verdict.Warning
-	warnings = appendWarning(warnings, "tool_calls", r.ToolCalls+1, role.ToolCalls, ratio)
-	warnings = appendWarning(warnings, "tool_calls_per_type/"+name, usage.Calls+1, role.ToolCallsPerType, ratio)
+	warnings = appendWarning(warnings, "tool_calls", r.ToolCalls+1, role.ToolCalls, warnRatio)
+	warnings = appendWarning(warnings, "tool_calls_per_type/"+name, usage.Calls+1, role.ToolCallsPerType, warnRatio)
 	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
 
--- a/rule/program/user.go
+++ b/rule/program/user.go
@@ -34,23 +34,25 @@
 	RecentOpens []OpenResult       `msgpack:"r"`
 }
 
+const day = 24 * time.Hour
+
 // NewUser returns the state of a user without any activity.
 func NewUser() User {
 	return User{Minute: allowance.Window{Width: time.Minute}, Hour: allowance.Window{Width: time.Hour},
-		Day: allowance.Window{Width: 24 * time.Hour}, Tokens: allowance.Window{Width: 24 * time.Hour}}
+		Day: allowance.Window{Width: day}, Tokens: allowance.Window{Width: day}}
 }
 
 const maxRecentOpens = 8
 
 // OpenSession checks lockout, the three windows, concurrency and the day's tokens, in this order. A
 // start that passed the windows counts in them even if a later check refuses it.
-func (u *User) OpenSession(clock time.Duration, program string, role configuration.Role, ratio float64) verdict.Verdict {
-	for _, o := range u.RecentOpens {
-		if o.Program == program {
-			return o.Verdict
+func (u *User) OpenSession(clock time.Duration, program string, role configuration.Role, warnRatio float64) verdict.Verdict {
+	for _, open := range u.RecentOpens {
+		if open.Program == program {
+			return open.Verdict
 		}
 	}
-	v := u.checkSession(clock, program, role, ratio)
+	v := u.checkSession(clock, program, role, warnRatio)
 	u.RecentOpens = append(u.RecentOpens, OpenResult{Program: program, Verdict: v})
 	if n := len(u.RecentOpens); n > maxRecentOpens {
 		u.RecentOpens = append([]OpenResult(nil), u.RecentOpens[n-maxRecentOpens:]...)
@@ -58,7 +60,7 @@
 	return v
 }
 
-func (u *User) checkSession(clock time.Duration, program string, role configuration.Role, ratio float64) verdict.Verdict {
+func (u *User) checkSession(clock time.Duration, program string, role configuration.Role, warnRatio float64) verdict.Verdict {
 	if clock < u.LockedUntil {
 		return refuse("lockout", "locked_out", "the user is locked out", 429, u.LockedUntil-clock)
 	}
@@ -86,7 +88,7 @@
 	soonest := time.Duration(role.SessionSeconds) * time.Second
 	for id, s := range u.Sessions {
 		switch {
-		case clock >= s.ExpiresAt+24*time.Hour:
+		case clock >= s.ExpiresAt+day:
 			delete(u.Sessions, id)
 		case !s.Closed && clock < s.ExpiresAt:
 			live++
@@ -112,7 +114,7 @@
 		warnings = append(warnings, verdict.Warning{Scope: "user_day_tokens", Used: spent, Limit: role.UserDayTokensHard})
 	}
 	for _, w := range windows {
-		warnings = appendWarning(warnings, "sessions_per_"+w.name, w.window.Sum(clock), w.limit, ratio)
+		warnings = appendWarning(warnings, "sessions_per_"+w.name, w.window.Sum(clock), w.limit, warnRatio)
 	}
 	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
