--- a/rule/configuration/settings.go
+++ b/rule/configuration/settings.go
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// node is a node of the tree of settings. Only leaves have a setting.
+// node is part of the tree of settings. Only leaves have a setting.
 type node struct {
 	setting  *Setting
 	children map[string]*node
--- a/rule/message/schematest/describe.go
+++ b/rule/message/schematest/describe.go
@@ -139,7 +139,7 @@
 	return msgpackFields(t)
 }
 
-// msgpackFields lists the fields of a struct by the rules of vmihailenco/msgpack/v5.
+// msgpackFields follows the rules of vmihailenco/msgpack/v5.
 func msgpackFields(t reflect.Type) (list []field, asArray bool) {
 	named := map[string]bool{}
 	for i := range t.NumField() {
@@ -182,8 +182,8 @@
 	return list, asArray
 }
 
-// jsonFields lists the fields of a struct by the rules of encoding/json: of several fields with the
-// same name the least nested one is encoded.
+// jsonFields follows the rules of encoding/json: of fields with the same name the least nested one
+// is encoded.
 func jsonFields(t reflect.Type) []field {
 	var all []field
 	collectJSON(t, 0, &all)
--- a/rule/partition/election.go
+++ b/rule/partition/election.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// After a transfer of its leadership, a member starts no election for electionLeases leases.
+// After a transfer of its leadership, a member waits electionLeases leases for the election.
 const electionLeases = 2
 
 // stepDownDelayDivisor divides the lease duration that is added to the timeout after a step down.
@@ -204,7 +204,6 @@
 	}
 }
 
-// recordPromise adds a promise, and continues with its group if that is newer.
 func (m *Machine) recordPromise(now time.Duration, from string, msg Promise) {
 	lead := m.leading
 	lead.promises[from] = msg
@@ -243,7 +242,6 @@
 	return false
 }
 
-// digestsMatch reports whether all promises have the digest of this member's entries.
 func (m *Machine) digestsMatch() bool {
 	for _, p := range m.leading.promises {
 		if !p.DigestOnly || p.Digest != m.digest {
@@ -316,7 +314,6 @@
 	return newest
 }
 
-// rebaseTable gives all entries a version of the new term, and queues them for writing.
 func (m *Machine) rebaseTable() {
 	lead := m.leading
 	lead.digest = 0
--- a/rule/partition/lease.go
+++ b/rule/partition/lease.go
@@ -9,7 +9,7 @@
 	return time.Duration(float64(m.params.LeaseDuration) * (1 + m.params.Drift))
 }
 
-// Parts of the election timeout, as fractions of a lease.
+// Parts of the election timeout, in leases.
 const (
 	electionTimeoutPerRank = 0.25
 	electionTimeoutJitter  = 0.15
--- a/rule/partition/machine.go
+++ b/rule/partition/machine.go
@@ -29,19 +29,16 @@
 	completeSeq  uint64
 	completeTerm Term
 	// leaseTerm is the last term whose lease this replica renewed. It may hold until leaseUntil.
-	leaseTerm  Term
-	leaseUntil time.Duration
-	electionAt time.Duration // the end of the election timeout
-	// highestRound is the highest round seen in a rejection.
-	highestRound uint64
+	leaseTerm    Term
+	leaseUntil   time.Duration
+	electionAt   time.Duration // the end of the election timeout
+	highestRound uint64        // of all rejections
 	// leading is set while this member is the candidate or leader of a term.
-	leading *leadership
-	change  *memberChange // nil if none is in progress
-	// digest is that of the stored entries under digestKey.
-	digest    uint64
-	digestKey DigestKey
-	// durableTerm is the newest term known to be on disk.
-	durableTerm Term
+	leading     *leadership
+	change      *memberChange // nil if none is in progress
+	digest      uint64        // of the stored entries
+	digestKey   DigestKey
+	durableTerm Term // the newest one known to be on disk
 }
 
 type effects struct {
--- a/rule/partition/membership.go
+++ b/rule/partition/membership.go
@@ -34,9 +34,8 @@
 )
 
 // ChangeMembers adds one member and removes one; either may be empty. An added member takes the
-// position of the removed one. The Result's body is true once the group is as requested, at once
-// if the member to remove is no member. It is false if the change was aborted or another one is in
-// progress.
+// position of the removed one. The Result's body is true once the group is as requested or if there
+// is no such member to remove, false if the change was aborted or another one is in progress.
 func (m *Machine) ChangeMembers(now time.Duration, requestID uint64, add, remove string) Output {
 	m.out = &Output{}
 	lead := m.leading
--- a/rule/partition/messages.go
+++ b/rule/partition/messages.go
@@ -9,7 +9,7 @@
 	// that was partitioned from deposing a serving leader.
 	Prepare struct {
 		PreVote bool `msgpack:"a"`
-		// DigestOnly asks for the digest of the entries instead of the entries.
+		// DigestOnly asks for a digest instead of the entries.
 		DigestOnly bool      `msgpack:"l"`
 		DigestKey  DigestKey `msgpack:"k"`
 		Term       Term      `msgpack:"t"`
@@ -34,10 +34,9 @@
 	// Reject rejects a message because of a higher promise, a newer group or the lease of
 	// another leader. It also informs removed members of the new group.
 	Reject struct {
-		Term     Term  `msgpack:"t"`
-		Promised Term  `msgpack:"p"`
-		Group    Group `msgpack:"g"`
-		// LeaseRemaining is the time until that lease ends.
+		Term           Term          `msgpack:"t"`
+		Promised       Term          `msgpack:"p"`
+		Group          Group         `msgpack:"g"`
 		LeaseRemaining time.Duration `msgpack:"w"`
 	}
 	// Write replicates entries, or a snapshot of all entries, and renews the lease.
@@ -82,7 +81,7 @@
 		Term        Term          `msgpack:"t"`
 		CompleteSeq uint64        `msgpack:"w"`
 		SentAt      time.Duration `msgpack:"s"`
-		// Diverged means that the member's entries differ from the digest of a sweep.
+		// Diverged means that the member's entries don't match the digest of a sweep.
 		Diverged bool `msgpack:"x"`
 	}
 	// TermDurable is a message of a replica to itself, delivered once its promise of the term is
--- a/rule/partition/replication.go
+++ b/rule/partition/replication.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// pendingWrite is a write that waits for a quorum, with the results that depend on it.
+// pendingWrite waits for a quorum, with the results that depend on it.
 type pendingWrite struct {
 	seq     uint64
 	write   Write
@@ -38,7 +38,7 @@
 	return *m.out
 }
 
-// flush sends what is queued as the next write, unless one is pending or writes are held back.
+// flush sends what is queued as one write.
 func (m *Machine) flush(now time.Duration) {
 	lead := m.leading
 	if lead.pending != nil || m.writesHeld(now) ||
@@ -87,7 +87,7 @@
 	m.sendSnapshots(now)
 }
 
-// recipients returns the members of the group and the one to be added.
+// recipients includes the member to be added.
 func (m *Machine) recipients() []string {
 	all := m.leading.group.All()
 	if m.change != nil && m.change.adding != "" && !contains(all, m.change.adding) {
--- a/rule/partition/state.go
+++ b/rule/partition/state.go
@@ -4,8 +4,8 @@
 
 // State is what one member stores of a partition on its disk.
 type State struct {
-	// Base is the last term whose leader wrote this state completely. Entries of lower
-	// terms are left over from writes that were not committed.
+	// Base is the last term whose leader wrote this state completely. Entries of lower terms are
+	// left over from uncommitted writes.
 	Base     Term             `msgpack:"b"`
 	Promised Term             `msgpack:"p"` // the highest promised term
 	Group    Group            `msgpack:"g"`
--- a/rule/partition/types.go
+++ b/rule/partition/types.go
@@ -4,8 +4,7 @@
 
 // Params are the timing parameters of a partition.
 type Params struct {
-	// LeaseDuration is how long a leader may serve after it sent a message that a majority
-	// acknowledged.
+	// LeaseDuration counts from when the leader sent a message that a majority acknowledged.
 	LeaseDuration time.Duration
 	// Drift is the bound on clock drift, as a fraction.
 	Drift float64
@@ -13,8 +12,8 @@
 	RenewalsPerLease int
 	// LeasesPerSweep is the interval, in leases, of digest comparisons.
 	LeasesPerSweep int
-	// LeasesBeforeTransfer is the number of leases after which a leader transfers its
-	// leadership to the preferred leader. Zero means never.
+	// LeasesBeforeTransfer is how many leases a leader serves before it transfers its leadership
+	// to the preferred leader. Zero means that it never does.
 	LeasesBeforeTransfer int
 }
 
--- a/rule/program/program.go
+++ b/rule/program/program.go
@@ -126,7 +126,7 @@
 // Charged returns the tokens spent by ended turns and reserved by running ones.
 func (r *Record) Charged() int64 { return r.Spent + r.Reserved() }
 
-// prechargedTurns is in turns of maximum size.
+// prechargedTurns counts turns of maximum size.
 const prechargedTurns = 2
 
 // PrechargeTarget returns the total, in tokens, up to which a program with the given charge should
