--- a/rule/message/message_test.go
+++ b/rule/message/message_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// sample is a message with all kinds of fields that messages between processes have.
+// sample has all kinds of fields that messages have.
 type sample struct {
 	Name    string
 	Count   uint64
@@ -34,14 +34,14 @@
 	})
 }
 
-func full() sample {
+func filledSample() sample {
 	one := inner{ID: "one", Parts: []string{"a", ""}}
 	return sample{Name: "n", Count: 1 << 63, Signed: -5, Share: 0.25, Flag: true, Raw: []byte{0, 255}, Wait: time.Second, Inner: &one,
 		Listed: []inner{one, {}}, ByName: map[string]inner{"k": one}, ByIndex: map[int]uint64{3: 4}}
 }
 
 func TestPackOpenRoundTrip(t *testing.T) {
-	for _, value := range []any{sample{}, full(), inner{ID: "x"}} {
+	for _, value := range []any{sample{}, filledSample(), inner{ID: "x"}} {
 		raw := Pack(value)
 		opened, err := Open(raw)
 		if err != nil {
@@ -53,9 +53,8 @@
 	}
 }
 
-// TestTruncatedMessagesAreRefused checks that a message truncated at any byte is refused.
 func TestTruncatedMessagesAreRefused(t *testing.T) {
-	raw := Pack(full())
+	raw := Pack(filledSample())
 	for cut := range len(raw) {
 		if body, err := Open(raw[:cut]); err == nil {
 			t.Errorf("the first %d bytes of %d were decoded as %+v", cut, len(raw), body)
@@ -73,10 +72,9 @@
 	}
 }
 
-// FuzzOpen checks that malformed input is refused, and that a decoded message can be encoded
-// and decoded again and keeps its encoded size.
+// Guards against panics on malformed input, and messages that change when encoded again.
 func FuzzOpen(f *testing.F) {
-	f.Add(Pack(full()))
+	f.Add(Pack(filledSample()))
 	f.Add(Pack(sample{}))
 	f.Add(Pack(inner{ID: "x", Parts: []string{"y"}}))
 	f.Add(append(Marshal("message.sample"), 0xdf, 0xff, 0xff, 0xff, 0xff))
@@ -98,7 +96,6 @@
 	})
 }
 
-// TestRegisterRefusesDuplicates checks that neither a name nor a type is registered twice.
 func TestRegisterRefusesDuplicates(t *testing.T) {
 	for _, values := range []map[string]any{{"message.sample": struct{ Other int }{}}, {"message.other": sample{}}} {
 		func() {
--- a/rule/partition/digest.go
+++ b/rule/partition/digest.go
@@ -6,14 +6,12 @@
 	"github.com/dchest/siphash"
 )
 
-// DigestKey is the secret key of a term's digests. The candidate generates it at random and sends
-// it to the members. States with the same digest are treated as equal, and tenants control the
-// contents of entries, so it must not be possible to construct two different states with the
-// same digest without the key.
+// DigestKey is the secret random key of a term's digests. States with the same digest are treated
+// as equal, and tenants control the contents of entries. Without the key they can't construct two
+// states with the same digest.
 type DigestKey [2]uint64
 
-// table returns the digest of a table: the sum of its entries' digests, so that it can be
-// updated for one changed entry alone.
+// table returns the sum of the entries' digests, so that one changed entry updates it alone.
 func (k DigestKey) table(table map[string]Entry) uint64 {
 	var sum uint64
 	for _, e := range table {
@@ -27,28 +25,26 @@
 	if e.Deleted || e.Version == (Version{}) {
 		return 0
 	}
-	text := make([]byte, 0, 32+len(e.Key)+len(e.Version.Term.Leader)+len(e.Value))
-	text = binary.LittleEndian.AppendUint64(text, e.Version.Seq)
-	text = binary.LittleEndian.AppendUint64(text, e.Version.Term.Round)
-	text = binary.LittleEndian.AppendUint64(text, uint64(len(e.Key)))
-	text = binary.LittleEndian.AppendUint64(text, uint64(len(e.Version.Term.Leader)))
-	text = append(text, e.Key...)
-	text = append(text, e.Version.Term.Leader...)
-	text = append(text, e.Value...)
-	return siphash.Hash(k[0], k[1], text)
+	encoded := make([]byte, 0, 32+len(e.Key)+len(e.Version.Term.Leader)+len(e.Value))
+	encoded = binary.LittleEndian.AppendUint64(encoded, e.Version.Seq)
+	encoded = binary.LittleEndian.AppendUint64(encoded, e.Version.Term.Round)
+	encoded = binary.LittleEndian.AppendUint64(encoded, uint64(len(e.Key)))
+	encoded = binary.LittleEndian.AppendUint64(encoded, uint64(len(e.Version.Term.Leader)))
+	encoded = append(encoded, e.Key...)
+	encoded = append(encoded, e.Version.Term.Leader...)
+	encoded = append(encoded, e.Value...)
+	return siphash.Hash(k[0], k[1], encoded)
 }
 
-// setDigestKey changes the key, and the digest of the stored entries with it.
-func (m *Machine) setDigestKey(k DigestKey) {
-	if m.digestKey == k {
+func (m *Machine) setDigestKey(key DigestKey) {
+	if m.digestKey == key {
 		return
 	}
-	m.digestKey = k
-	m.digest = k.table(m.state.Entries)
+	m.digestKey = key
+	m.digest = key.table(m.state.Entries)
 }
 
-// newDigestKey returns a random key.
 func (m *Machine) newDigestKey() DigestKey {
-	half := func() uint64 { return uint64(m.random()*(1<<32))<<32 | uint64(m.random()*(1<<32)) }
-	return DigestKey{half(), half()}
+	randomWord := func() uint64 { return uint64(m.random()*(1<<32))<<32 | uint64(m.random()*(1<<32)) }
+	return DigestKey{randomWord(), randomWord()}
 }
--- a/rule/program/program.go
+++ b/rule/program/program.go
@@ -1,9 +1,9 @@
 // Package program holds the rules of a program: a root conversation and its helper conversations,
 // with their limits, token budget and hash-chained history.
 //
-// A program is run by one node, its owner, under a fencing token that grows with each change of
-// owner. A turn is charged its full reservation unless it finished or certainly did not run. Start
-// reading at Record; User holds the limits across a user's programs.
+// One node, the owner, runs a program under a fencing token that grows with each change of owner. A
+// turn is charged its full reservation unless it finished or certainly did not run. Start reading
+// at Record, and at User for the limits across programs.
 package program
 
 import (
@@ -19,8 +19,7 @@
 	"saffronfall/rule/verdict"
 )
 
-// Conversation is the state of one conversation of a program: that of the root or of a helper.
-// Head is the hash of its history.
+// Conversation is the state of a root or helper conversation. Head is the hash of its history.
 type Conversation struct {
 	Head  string `msgpack:"h"`
 	Turns int    `msgpack:"t"`
@@ -32,7 +31,7 @@
 	Tokens       int64  `msgpack:"t"`
 }
 
-// ToolUsage counts the calls of one tool. Identical counts calls by the digest of their arguments.
+// ToolUsage counts the calls of one tool; Identical is by the digest of their arguments.
 type ToolUsage struct {
 	Calls         int64            `msgpack:"c"`
 	Identical     map[string]int64 `msgpack:"s"`
@@ -43,11 +42,11 @@
 	CooldownUntil time.Duration    `msgpack:"u"`
 }
 
-// Record is a program's durable state. Only the owner under the current Fence, the fencing token,
-// changes it. Node, Incarnation and Address are those of the owner. Times are on the clock of the
-// program's partition. Steps counts turns, Bytes is the size of the history, and Spent the output
-// of ended turns in tokens. ProbeNumber is the number of the breaker's probe that the program is,
-// or zero; ProbeSucceeded means that it has reported a successful turn.
+// Record is a program's durable state, which only the owner under the current fencing token, Fence,
+// changes. Node, Incarnation and Address are the owner's. Times are on the partition's clock. Steps
+// counts turns, Bytes is the size of the history, Spent the output of ended turns in tokens.
+// ProbeNumber is zero unless the program is a probe of the breaker; ProbeSucceeded means that it
+// has reported a successful turn.
 type Record struct {
 	ID             string                  `msgpack:"i"`
 	Tenant         string                  `msgpack:"t"`
@@ -71,16 +70,16 @@
 	Running        map[string]Reservation  `msgpack:"q"`
 	ToolCalls      int64                   `msgpack:"k"`
 	Tools          map[string]ToolUsage    `msgpack:"w"`
-	// Precharged is the total, in tokens, up to which the owner may run turns while it
-	// can't reach the cores, the processes that store records. It is charged in advance.
-	// Mirrors then store those turns; they were chosen under MirrorsFence.
+	// Precharged is the total, in tokens, up to which the owner may run turns while it can't
+	// reach the cores, which store records. It is charged in advance. Mirrors, chosen under
+	// MirrorsFence, then store those turns.
 	Precharged   int64    `msgpack:"g"`
 	Mirrors      []Mirror `msgpack:"m"`
 	MirrorsFence uint64   `msgpack:"j"`
 }
 
-// Mirror identifies a process of a node that stores copies of turns for a program's owner. Process
-// is the process's incarnation, without the count of its membership terms.
+// Mirror is a node process that stores copies of turns for a program's owner. Process is its
+// incarnation without the count of its membership terms.
 type Mirror struct {
 	ID      string `msgpack:"i"`
 	Process string `msgpack:"l"`
@@ -99,15 +98,20 @@
 // EmptyHead is the head of a conversation without turns.
 const EmptyHead = "start"
 
-// NextHead returns the head of a conversation after a turn: a hash of the previous head, the prompt
-// and the response.
+// Lengths of truncated SHA-256 digests.
+const (
+	headBytes            = 16
+	argumentsDigestBytes = 8
+)
+
+// NextHead returns a conversation's head after a turn.
 func NextHead(head, prompt, response string) string {
 	h := sha256.New()
 	for _, text := range []string{head, prompt, response} {
 		sum := sha256.Sum256([]byte(text))
 		h.Write(sum[:])
 	}
-	return hex.EncodeToString(h.Sum(nil)[:16])
+	return hex.EncodeToString(h.Sum(nil)[:headBytes])
 }
 
 // Reserved returns the sum of the running reservations, in tokens.
@@ -119,14 +123,14 @@
 	return sum
 }
 
-// Charged returns the tokens that count as spent: output and running reservations.
+// Charged returns the tokens spent by ended turns and reserved by running ones.
 func (r *Record) Charged() int64 { return r.Spent + r.Reserved() }
 
-// prechargedTurns is the number of maximum-size turns that are charged in advance.
+// prechargedTurns counts turns of maximum size.
 const prechargedTurns = 2
 
-// PrechargeTarget returns the total, in tokens, up to which a program should be charged in advance
-// if the given number of tokens is already charged.
+// PrechargeTarget returns the total, in tokens, up to which a program with the given charge should
+// be charged in advance.
 func PrechargeTarget(role configuration.Role, charged int64) int64 {
 	return min(role.ProgramTokensHard, charged+prechargedTurns*role.TurnTokens)
 }
@@ -149,8 +153,8 @@
 	return false
 }
 
-// ChargeRunning charges all running reservations in full. It is used after the owner that ran the
-// turns has failed, as they may have produced their maximum output.
+// ChargeRunning charges all running reservations in full after their owner has failed, as the turns
+// may have produced their maximum output.
 func (r *Record) ChargeRunning() {
 	r.Spent = r.Charged()
 	r.Running = nil
@@ -164,17 +168,17 @@
 	return verdict.Refused(verdict.Refusal{Check: check, Code: code, Reason: reason, Status: status, RetryAfter: after})
 }
 
-func appendWarning(warnings []verdict.Warning, scope string, used, limit int64, ratio float64) []verdict.Warning {
-	if limit > 0 && float64(used) >= ratio*float64(limit) {
+func appendWarning(warnings []verdict.Warning, scope string, used, limit int64, warnRatio float64) []verdict.Warning {
+	if limit > 0 && float64(used) >= warnRatio*float64(limit) {
 		warnings = append(warnings, verdict.Warning{Scope: scope, Used: used, Limit: limit})
 	}
 	return warnings
 }
 
-// CheckTurnLimits checks a program's limits before a turn, in this order: closed, steps, duration,
-// all tool calls, calls per tool, identical calls, history size. Use of at least ratio of a limit
-// adds a warning.
-func (r *Record) CheckTurnLimits(clock time.Duration, role configuration.Role, ratio float64) verdict.Verdict {
+// CheckTurnLimits checks a program before a turn, in this order: closed, steps, duration, all tool
+// calls, calls per tool, identical calls, history size. Use of at least warnRatio of a limit adds
+// a warning.
+func (r *Record) CheckTurnLimits(clock time.Duration, role configuration.Role, warnRatio float64) verdict.Verdict {
 	var warnings []verdict.Warning
 	age := clock - r.OpenedAt
 	switch {
@@ -192,19 +196,19 @@
 		if usage.Calls >= role.ToolCallsPerType {
 			return refuse("tool_calls_per_type", "tool_calls_per_type_reached", "the program has made all its calls of "+name, 429, 0)
 		}
-		for _, n := range usage.Identical {
-			if n >= role.IdenticalToolCalls {
+		for _, calls := range usage.Identical {
+			if calls >= role.IdenticalToolCalls {
 				return refuse("identical_tool_calls", "loop", "the program repeated a call of "+name, 429, 0)
 			}
 		}
-		warnings = appendWarning(warnings, "tool_calls_per_type/"+name, usage.Calls, role.ToolCallsPerType, ratio)
+		warnings = appendWarning(warnings, "tool_calls_per_type/"+name, usage.Calls, role.ToolCallsPerType, warnRatio)
 	}
 	if r.Bytes >= role.HistoryBytes {
 		return refuse("history_bytes", "history_full", "the program's history is full", 429, 0)
 	}
-	warnings = appendWarning(warnings, "steps", r.Steps, role.Steps, ratio)
-	warnings = appendWarning(warnings, "tool_calls", r.ToolCalls, role.ToolCalls, ratio)
-	warnings = appendWarning(warnings, "duration", int64(age/time.Second), role.SessionSeconds, ratio)
+	warnings = appendWarning(warnings, "steps", r.Steps, role.Steps, warnRatio)
+	warnings = appendWarning(warnings, "tool_calls", r.ToolCalls, role.ToolCalls, warnRatio)
+	warnings = appendWarning(warnings, "duration", int64(age/time.Second), role.SessionSeconds, warnRatio)
 	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
 
@@ -215,7 +219,8 @@
 		return refuse("program_tokens", "program_tokens_spent", "the program's allowance is spent", 429, 0)
 	}
 	if charged >= role.ProgramTokensSoft {
-		return verdict.Allowed(verdict.NotExecuted, []verdict.Warning{{Scope: "program_tokens", Used: charged, Limit: role.ProgramTokensHard}})
+		return verdict.Allowed(verdict.NotExecuted,
+			[]verdict.Warning{{Scope: "program_tokens", Used: charged, Limit: role.ProgramTokensHard}})
 	}
 	return verdict.Allowed(verdict.NotExecuted, nil)
 }
@@ -251,7 +256,13 @@
 	delete(r.Running, turn)
 	r.Spent += tokens
 	conversation := r.Conversation(reservation.Conversation)
-	t := Turn{Conversation: reservation.Conversation, Number: conversation.Turns, Prompt: prompt, Response: response, Head: NextHead(conversation.Head, prompt, response)}
+	t := Turn{
+		Conversation: reservation.Conversation,
+		Number:       conversation.Turns,
+		Prompt:       prompt,
+		Response:     response,
+		Head:         NextHead(conversation.Head, prompt, response),
+	}
 	if r.Conversations == nil {
 		r.Conversations = map[string]Conversation{}
 	}
@@ -260,8 +271,8 @@
 	return t
 }
 
-// ArgumentsDigest returns a digest of a tool call's JSON arguments in canonical form: sorted keys,
-// no spaces, numbers as written.
+// ArgumentsDigest returns a digest of JSON arguments with sorted keys, no spaces and numbers as
+// written.
 func ArgumentsDigest(raw []byte) (string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -274,12 +285,16 @@
 		return "", err
 	}
 	sum := sha256.Sum256(canonical)
-	return hex.EncodeToString(sum[:8]), nil
+	return hex.EncodeToString(sum[:argumentsDigestBytes]), nil
 }
 
+const toolBusyRetryAfter = time.Second
+
 // CheckToolCall checks a tool call, in this order: closed, duration, all calls, calls per tool,
-// identical calls, cooldown, per-tool rates, concurrency.
-func (r *Record) CheckToolCall(clock time.Duration, name, arguments string, role configuration.Role, service configuration.Service, ratio float64) verdict.Verdict {
+// identical calls, cooldown, rates, concurrency.
+func (r *Record) CheckToolCall(clock time.Duration, name, arguments string, role configuration.Role,
+	service configuration.Service, warnRatio float64,
+) verdict.Verdict {
 	usage := r.Tools[name]
 	switch {
 	case r.Closed:
@@ -302,11 +317,11 @@
 		return refuse("tool_rate", "tool_rate_reached", "calls of "+name+" in an hour", 429, wait)
 	}
 	if usage.Running >= service.ConcurrentCalls {
-		return refuse("tool_concurrency", "tool_busy", "calls of "+name+" at once", 429, time.Second)
+		return refuse("tool_concurrency", "tool_busy", "calls of "+name+" at once", 429, toolBusyRetryAfter)
 	}
 	var warnings []verdict.Warning
-	warnings = appendWarning(warnings, "tool_calls", r.ToolCalls+1, role.ToolCalls, ratio)
-	warnings = appendWarning(warnings, "tool_calls_per_type/"+name, usage.Calls+1, role.ToolCallsPerType, ratio)
+	warnings = appendWarning(warnings, "tool_calls", r.ToolCalls+1, role.ToolCalls, warnRatio)
+	warnings = appendWarning(warnings, "tool_calls_per_type/"+name, usage.Calls+1, role.ToolCallsPerType, warnRatio)
 	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
 
@@ -339,9 +354,10 @@
 	r.Tools[name] = usage
 }
 
-// FinishToolCall records the outcome of a tool call. Each consecutive error doubles the cooldown,
-// up to maxCooldown.
-func (r *Record) FinishToolCall(clock time.Duration, name string, succeeded bool, service configuration.Service, maxCooldown time.Duration) {
+// FinishToolCall ends a tool call. Each consecutive error doubles the cooldown, up to maxCooldown.
+func (r *Record) FinishToolCall(clock time.Duration, name string, succeeded bool,
+	service configuration.Service, maxCooldown time.Duration,
+) {
 	usage := r.Tools[name]
 	usage.Running = max(0, usage.Running-1)
 	if succeeded {
--- a/rule/program/user.go
+++ b/rule/program/user.go
@@ -8,25 +8,22 @@
 	"saffronfall/rule/verdict"
 )
 
-// Session is a program that counts towards a user's limits. Charged is its usage in tokens.
+// Session is a program that counts towards a user's limits. Charged is in tokens.
 type Session struct {
 	ExpiresAt time.Duration `msgpack:"u"`
 	Charged   int64         `msgpack:"c"`
 	Closed    bool          `msgpack:"d"`
-	// Precharged is the total, in tokens, that the program may spend before its
-	// next report.
+	// Precharged is the total, in tokens, that the program may spend before its next report.
 	Precharged int64 `msgpack:"v"`
 }
 
-// OpenResult is the result of a recent attempt to open a session, kept so that a repeated message
-// gets the same answer.
+// OpenResult is the result of an attempt to open a session, kept to answer a repeated message.
 type OpenResult struct {
 	Program string          `msgpack:"p"`
 	Verdict verdict.Verdict `msgpack:"v"`
 }
 
-// User is a user's durable state: session windows, lockout, sessions and the tokens of the last
-// day.
+// User is a user's durable state. Minute, Hour and Day count session starts.
 type User struct {
 	Minute      allowance.Window   `msgpack:"m"`
 	Hour        allowance.Window   `msgpack:"h"`
@@ -37,25 +34,25 @@
 	RecentOpens []OpenResult       `msgpack:"r"`
 }
 
+const day = 24 * time.Hour
+
 // NewUser returns the state of a user without any activity.
 func NewUser() User {
 	return User{Minute: allowance.Window{Width: time.Minute}, Hour: allowance.Window{Width: time.Hour},
-		Day: allowance.Window{Width: 24 * time.Hour}, Tokens: allowance.Window{Width: 24 * time.Hour}}
+		Day: allowance.Window{Width: day}, Tokens: allowance.Window{Width: day}}
 }
 
-// maxRecentOpens is the number of open results that are kept per user.
 const maxRecentOpens = 8
 
-// OpenSession checks a session start: lockout and the three windows in one pass, then concurrency,
-// then the day's tokens. A start that passed the windows counts in them even if a later check
-// refuses it.
-func (u *User) OpenSession(clock time.Duration, program string, role configuration.Role, ratio float64) verdict.Verdict {
-	for _, o := range u.RecentOpens {
-		if o.Program == program {
-			return o.Verdict
+// OpenSession checks lockout, the three windows, concurrency and the day's tokens, in this order. A
+// start that passed the windows counts in them even if a later check refuses it.
+func (u *User) OpenSession(clock time.Duration, program string, role configuration.Role, warnRatio float64) verdict.Verdict {
+	for _, open := range u.RecentOpens {
+		if open.Program == program {
+			return open.Verdict
 		}
 	}
-	v := u.checkSession(clock, program, role, ratio)
+	v := u.checkSession(clock, program, role, warnRatio)
 	u.RecentOpens = append(u.RecentOpens, OpenResult{Program: program, Verdict: v})
 	if n := len(u.RecentOpens); n > maxRecentOpens {
 		u.RecentOpens = append([]OpenResult(nil), u.RecentOpens[n-maxRecentOpens:]...)
@@ -63,7 +60,7 @@
 	return v
 }
 
-func (u *User) checkSession(clock time.Duration, program string, role configuration.Role, ratio float64) verdict.Verdict {
+func (u *User) checkSession(clock time.Duration, program string, role configuration.Role, warnRatio float64) verdict.Verdict {
 	if clock < u.LockedUntil {
 		return refuse("lockout", "locked_out", "the user is locked out", 429, u.LockedUntil-clock)
 	}
@@ -91,7 +88,7 @@
 	soonest := time.Duration(role.SessionSeconds) * time.Second
 	for id, s := range u.Sessions {
 		switch {
-		case clock >= s.ExpiresAt+24*time.Hour:
+		case clock >= s.ExpiresAt+day:
 			delete(u.Sessions, id)
 		case !s.Closed && clock < s.ExpiresAt:
 			live++
@@ -108,19 +105,21 @@
 	if u.Sessions == nil {
 		u.Sessions = map[string]Session{}
 	}
-	u.Sessions[program] = Session{ExpiresAt: clock + time.Duration(role.SessionSeconds)*time.Second, Precharged: PrechargeTarget(role, 0)}
+	u.Sessions[program] = Session{
+		ExpiresAt:  clock + time.Duration(role.SessionSeconds)*time.Second,
+		Precharged: PrechargeTarget(role, 0),
+	}
 	var warnings []verdict.Warning
 	if spent >= role.UserDayTokensSoft {
 		warnings = append(warnings, verdict.Warning{Scope: "user_day_tokens", Used: spent, Limit: role.UserDayTokensHard})
 	}
 	for _, w := range windows {
-		warnings = appendWarning(warnings, "sessions_per_"+w.name, w.window.Sum(clock), w.limit, ratio)
+		warnings = appendWarning(warnings, "sessions_per_"+w.name, w.window.Sum(clock), w.limit, warnRatio)
 	}
 	return verdict.Allowed(verdict.NotExecuted, warnings)
 }
 
-// dayTokens returns the tokens charged in the last day, plus those that open sessions may spend
-// before their next reports.
+// dayTokens includes the tokens that open sessions may spend before their next reports.
 func (u *User) dayTokens(clock time.Duration) int64 {
 	spent := u.Tokens.Sum(clock)
 	for _, s := range u.Sessions {
@@ -131,9 +130,8 @@
 	return spent
 }
 
-// ChargeSession raises the totals, in tokens, that a program was charged and was charged in advance.
-// It returns the tokens charged to the user in the last day. Lower totals than before change
-// nothing, so that a repeated or delayed report has no effect.
+// ChargeSession raises a program's totals, in tokens, and returns the tokens charged to the user in
+// the last day. Lower totals change nothing, so a repeated or delayed report has no effect.
 func (u *User) ChargeSession(clock time.Duration, program string, charged, precharged int64) int64 {
 	s := u.Sessions[program]
 	if charged > s.Charged || precharged > s.Precharged {
