--- a/rule/partition/election.go
+++ b/rule/partition/election.go
@@ -91,6 +91,7 @@
 		m.out.Results = append(m.out.Results, Result{RequestID: m.change.requestID, Uncertain: true})
 	}
 	if m.leading != nil && m.leaseTerm == m.leading.term {
+		// No leader serves under this term from now on.
 		m.leaseUntil = now
 	}
 	m.leading, m.change = nil, nil
@@ -292,7 +293,7 @@
 
 // mergePromises returns the newest promised value of each entry. It skips values older than the
 // newest base term, whose leader wrote the complete table: such a value is in its snapshot or was
-// never committed. Equal members need no tombstones.
+// never committed. If all members have equal entries, it drops the tombstones.
 func (lead *leadership) mergePromises(allEqual bool) map[string]Entry {
 	var base Term
 	for _, p := range lead.promises {
@@ -314,6 +315,7 @@
 	return newest
 }
 
+// rebaseTable gives all entries of the new table a version of the leader's term and queues them.
 func (m *Machine) rebaseTable() {
 	lead := m.leading
 	lead.digest = 0
--- a/rule/partition/lease.go
+++ b/rule/partition/lease.go
@@ -4,19 +4,22 @@
 	"time"
 )
 
-// followerLease is longer than the leader's own count by the bound on clock drift.
+// followerLease returns how long a follower counts a lease: longer than the leader does, by the
+// bound on clock drift.
 func (m *Machine) followerLease() time.Duration {
 	return time.Duration(float64(m.params.LeaseDuration) * (1 + m.params.Drift))
 }
 
-// Parts of the election timeout, in leases.
+// Parts of the election timeout, in leases: for each position in the group, and the largest random
+// part.
 const (
 	electionTimeoutPerRank = 0.25
 	electionTimeoutJitter  = 0.15
 )
 
-// electionTimeout depends on the member's position and a random number, so that members rarely
-// start elections at the same time.
+// electionTimeout returns how long a member waits after the end of a lease before it starts an
+// election. It depends on the member's position and a random number, so that members rarely start
+// elections at the same time.
 func (m *Machine) electionTimeout() time.Duration {
 	rank := 0
 	for i, member := range m.state.Group.Members {
@@ -50,8 +53,8 @@
 	m.electionAt = m.leaseUntil + m.electionTimeout()
 }
 
-// onRenewLease doesn't renew the lease of a later term than the promised one: the time in its
-// answer is then a lease duration ago.
+// onRenewLease renews the lease of the promised term only. Its answer to a later term has a time one
+// lease duration ago, so that it doesn't count as a renewal.
 func (m *Machine) onRenewLease(now time.Duration, from string, msg RenewLease) {
 	if msg.Term.Less(m.state.Promised) {
 		m.send(from, Reject{Term: msg.Term, Promised: m.state.Promised, Group: m.state.Group}, false)
@@ -71,8 +74,8 @@
 		m.setDigestKey(msg.DigestKey)
 		ack.Diverged = m.digest|1 != msg.Digest
 	}
-	// If the term were not on disk, this replica could forget it in a power loss and promise
-	// another leader while this lease holds.
+	// The answer waits until the term is known to be on disk. Otherwise this replica could forget
+	// the term in a power loss and promise another leader while this lease holds.
 	m.send(from, ack, m.durableTerm != msg.Term)
 }
 
--- a/rule/partition/machine.go
+++ b/rule/partition/machine.go
@@ -25,7 +25,7 @@
 	state     State
 	random    func() float64
 	effects
-	// completeSeq is up to where this replica has every write of completeTerm.
+	// completeSeq is the sequence number up to which this replica has every write of completeTerm.
 	completeSeq  uint64
 	completeTerm Term
 	// leaseTerm is the last term whose lease this replica renewed. It may hold until leaseUntil.
@@ -68,7 +68,7 @@
 	seq          uint64
 	committedSeq uint64
 	purgedSeq    uint64
-	// pending waits for a quorum; what is queued is in the next write.
+	// pending is the write that waits for a quorum; what is queued is in the next one.
 	pending       *pendingWrite
 	queuedEntries []Entry
 	queuedPurges  []Entry
@@ -200,6 +200,7 @@
 	case !lead.serving && now > lead.phaseStartedAt+m.params.LeaseDuration:
 		m.stepDown(now)
 	case !lead.serving && lead.table == nil && now > lead.preparedAt+m.params.LeaseDuration/prepareRetryDivisor:
+		// The messages may have been lost, or their receivers may have been down.
 		m.sendPrepare(now)
 	case !lead.serving && lead.pending != nil && now > lead.pending.sentAt+m.params.LeaseDuration/writeRetryDivisor:
 		lead.pending.sentAt = now
--- a/rule/partition/machine_test.go
+++ b/rule/partition/machine_test.go
@@ -181,7 +181,7 @@
 	c := newCluster(t, []string{"a", "b", "c"}, "a", "b", "c", "b2")
 	c.advance(300 * time.Millisecond)
 	c.propose(c.leader(), put{"k", "v"})
-	// b2 is b after the loss of its disk, so it is no member.
+	// b2 is b after the loss of its disk, so it is no member; c is down.
 	c.replicas["b"], c.replicas["c"] = nil, nil
 	o := c.replicas["b2"].Receive(c.now, "a", Prepare{Term: Term{Round: 99, Leader: "a"}, Group: Group{Epoch: 1, Members: []string{"a", "b", "c"}}})
 	if len(o.Sends) > 0 || len(o.Records) > 0 {
--- a/rule/partition/membership_test.go
+++ b/rule/partition/membership_test.go
@@ -236,7 +236,7 @@
 		c.propose(leader, put{"k", fmt.Sprint(i)})
 		c.advance(5 * time.Millisecond)
 	}
-	// Sweeps send renewals: one to each of three members every four leases.
+	// Only sweeps send renewals: one to each of three members every four leases.
 	if renewals > 3*4 {
 		t.Errorf("%d renewals in ten leases full of writes", renewals)
 	}
--- a/rule/partition/messages.go
+++ b/rule/partition/messages.go
@@ -14,7 +14,8 @@
 		DigestKey  DigestKey `msgpack:"k"`
 		Term       Term      `msgpack:"t"`
 		Group      Group     `msgpack:"g"`
-		// Released is a term whose leader no longer serves, so that its lease is ignored.
+		// Released is a term whose leader no longer serves, so that its lease is ignored. That
+		// leader transferred its leadership to the candidate or is the candidate itself.
 		Released Term          `msgpack:"r"`
 		SentAt   time.Duration `msgpack:"s"`
 	}
@@ -85,7 +86,7 @@
 		Diverged bool `msgpack:"x"`
 	}
 	// TermDurable is a message of a replica to itself, delivered once its promise of the term is
-	// on disk.
+	// on disk. From then on it may renew the lease of that term's leader at once.
 	TermDurable struct {
 		Term Term `msgpack:"t"`
 	}
--- a/rule/partition/replication.go
+++ b/rule/partition/replication.go
@@ -87,7 +87,7 @@
 	m.sendSnapshots(now)
 }
 
-// recipients includes the member to be added.
+// recipients returns the members that receive writes, including the one to be added.
 func (m *Machine) recipients() []string {
 	all := m.leading.group.All()
 	if m.change != nil && m.change.adding != "" && !contains(all, m.change.adding) {
@@ -116,6 +116,7 @@
 	sort.Slice(lead.queuedPurges, func(i, j int) bool { return lead.queuedPurges[i].Key < lead.queuedPurges[j].Key })
 }
 
+// onWrite stores a leader's write and acknowledges it once it is on disk.
 func (m *Machine) onWrite(now time.Duration, from string, msg Write) {
 	if msg.Term.Less(m.state.Promised) {
 		m.send(from, Reject{Term: msg.Term, Promised: m.state.Promised, Group: m.state.Group}, false)
@@ -127,8 +128,8 @@
 	if m.completeTerm != msg.Term {
 		m.completeTerm, m.completeSeq = msg.Term, 0
 	}
-	// A repeated write would restore entries that were deleted since and whose tombstones are
-	// purged.
+	// A duplicate must not be applied: it would restore entries that were deleted since and whose
+	// tombstones are purged.
 	duplicate := m.completeSeq >= msg.Seq && (msg.Rebase || !msg.Snapshot) || m.completeSeq > msg.Seq
 	if msg.Rebase && !duplicate && m.digest != msg.Digest {
 		m.send(from, WriteAck{Term: msg.Term, SentAt: msg.SentAt, DigestMismatch: true}, false)
--- a/rule/partition/types.go
+++ b/rule/partition/types.go
@@ -4,13 +4,15 @@
 
 // Params are the timing parameters of a partition.
 type Params struct {
-	// LeaseDuration counts from when the leader sent a message that a majority acknowledged.
+	// LeaseDuration is how long a leader may serve after it sent a message that a majority
+	// acknowledged.
 	LeaseDuration time.Duration
-	// Drift is the bound on clock drift, as a fraction.
+	// Drift is the bound on clock drift: followers wait longer by this fraction.
 	Drift float64
 	// RenewalsPerLease is the number of renewals that a leader sends in a lease.
 	RenewalsPerLease int
-	// LeasesPerSweep is the interval, in leases, of digest comparisons.
+	// LeasesPerSweep is the interval, in leases, at which the leader compares the digests of all
+	// replicas.
 	LeasesPerSweep int
 	// LeasesBeforeTransfer is how many leases a leader serves before it transfers its leadership
 	// to the preferred leader. Zero means that it never does.
@@ -35,7 +37,8 @@
 	NotLeader bool
 }
 
-// Output is what the caller of a Machine must sync to disk, send, and return to requesters.
+// Output is what the caller of a Machine must do: sync Records to disk, send Sends, and return
+// Results to their requesters.
 type Output struct {
 	Records []Record
 	Sends   []Send
--- a/rule/partition/updates.go
+++ b/rule/partition/updates.go
@@ -27,14 +27,16 @@
 	return updates
 }
 
-// keepCommitted keeps the committed value of an entry that is about to be overwritten.
+// keepCommitted keeps the committed value of an entry that is about to be overwritten, until the new
+// value is committed.
 func (lead *leadership) keepCommitted(key string) {
 	if old, ok := lead.table[key]; ok && old.Version.Seq <= lead.committedSeq {
 		lead.superseded[key] = old
 	}
 }
 
-// markCommitted keeps the committed value of an entry whose newest value is not committed.
+// markCommitted records that a write is committed. If an entry has a newer, uncommitted value, the
+// one of the write is kept for Updates.
 func (lead *leadership) markCommitted(entries []Entry) {
 	for _, e := range entries {
 		if lead.table[e.Key].Version == e.Version {
