--- a/rule/placement/failurerate.go
+++ b/rule/placement/failurerate.go
@@ -13,7 +13,8 @@
 )
 
 // FailureRate estimates the fraction of requests that fail. The weight of an observation
-// decays exponentially. Its zero value has no observations.
+// decays exponentially, as replicas fail and recover within seconds. Its zero value has no
+// observations.
 type FailureRate struct {
 	succeeded, failed float64
 	updatedAt         time.Duration
--- a/rule/placement/home.go
+++ b/rule/placement/home.go
@@ -6,7 +6,8 @@
 )
 
 // homes are the two best replicas by rendezvous hashing (Thaler and Ravishankar 1998). Nodes in a
-// zone agree on them without coordination, so all turns of a conversation share a prompt cache.
+// zone agree on them without coordination, so the turns of a conversation reach the replica that has
+// cached the earlier ones, whichever node they come through.
 type homes struct {
 	first, second           *Replica
 	firstScore, secondScore score
@@ -54,8 +55,8 @@
 	}
 }
 
-// rank weights rendezvous hashing by speed. Slowness is rounded, so that small changes of the
-// estimate move few homes.
+// rank weights rendezvous hashing by speed: a slow replica is the home of fewer conversations.
+// Slowness is rounded, so that small changes of the estimate move few homes.
 func rank(hash uint64, slowness float64) float64 {
 	const steps = 4
 	slowness = math.Round(slowness*steps) / steps
--- a/rule/placement/policy.go
+++ b/rule/placement/policy.go
@@ -21,15 +21,16 @@
 // Request describes a request to a Policy.
 type Request struct {
 	Prompt []PromptSegment
-	// Affinity is a key, or zero. A replica that recently served the same key is faster.
+	// Affinity is the affinity key of the request, or zero. A replica that recently served a request
+	// with the same key is faster.
 	Affinity uint64
 	// Repeatable requests may run more than once.
 	Repeatable bool
 	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
-	// ServiceTime is the mean over the service's requests.
+	// ServiceTime is the mean time that the service's requests take at a replica.
 	ServiceTime time.Duration
-	// ReferenceUnitTime is the result of the function ReferenceUnitTime.
+	// ReferenceUnitTime is the unit time to which those of replicas are compared.
 	ReferenceUnitTime time.Duration
 	// Rejected means that a replica has rejected the request. All others are then compared.
 	Rejected bool
@@ -45,15 +46,18 @@
 
 // Costs in the comparison of replicas. Fractions are of the service time.
 const (
-	// contentionFraction applies when all slots are in use, and in proportion otherwise.
+	// contentionFraction is the slowdown of a request at a replica whose slots are all in use; it is
+	// in proportion if fewer are.
 	contentionFraction = 0.15
-	// remoteZoneCost covers latency and traffic.
+	// remoteZoneCost covers the latency and the traffic cost of a hop to another zone.
 	remoteZoneCost = 5 * time.Millisecond
 	warmingCost    = 5 * time.Millisecond
-	// connectionCost applies after idleHeartbeats heartbeat intervals without a request.
+	// connectionCost covers a new connection. One is assumed to be needed after idleHeartbeats
+	// heartbeat intervals without a request.
 	connectionCost = 2 * time.Millisecond
 	idleHeartbeats = 4
-	// affinityGain allows for the case that no recent request had the affinity key.
+	// affinityGain is the expected saving at the home of an affinity key. It is less than a recent
+	// request with the key saves, as there may have been none.
 	affinityGain = 0.2
 	// tieBreak bounds the random cost that spreads requests over equal replicas.
 	tieBreak = 3 * time.Millisecond
@@ -111,7 +115,8 @@
 	return cached
 }
 
-// cost estimates the additional time compared to an idle, fast replica.
+// cost estimates the additional time compared to an idle, fast replica, with other costs expressed
+// as times.
 func (p *Policy) cost(now time.Duration, request Request, r *Replica, isHome bool) time.Duration {
 	running, slots := r.Running(now, p.reportValidity()), r.slots()
 	slowness := p.slowness(request, r)
@@ -160,7 +165,7 @@
 func (p *Policy) promptCost(request Request, r *Replica, isHome bool, running int64) time.Duration {
 	missing := r.cache.missing(request.Prompt)
 	if isHome && continuesConversation(request.Prompt) {
-		// Other nodes send the earlier turns to the home too.
+		// Other nodes send the earlier turns to the home too; assume that they are cached.
 		missing = min(missing, request.Prompt[len(request.Prompt)-1].Tokens)
 	}
 	return time.Duration(float64(missing) / p.Settings.PromptTokensPerMillisecond *
--- a/rule/placement/replica.go
+++ b/rule/placement/replica.go
@@ -48,9 +48,9 @@
 	report      receivedReport
 	shared      sharedLoad
 	failures    FailureRate
-	// Until movedUntil the address is assumed to belong to another replica.
+	// Until movedUntil the replica's address is assumed to belong to another replica.
 	movedUntil time.Duration
-	// Until fullUntil the replica counts as full.
+	// Until fullUntil the replica counts as full, as it has rejected a request.
 	fullUntil time.Duration
 	cache     promptCache
 	idHash    uint64
@@ -102,7 +102,8 @@
 	r.cache.add(now, prompt, cacheCapacity)
 }
 
-// RecordResult records the result of an attempt. The load came with the answer; it may be nil.
+// RecordResult records the result of an attempt. The load is the report that came with the answer,
+// or nil.
 func (r *Replica) RecordResult(now time.Duration, result Result, load *LoadReport, heartbeat, serviceTime time.Duration) {
 	r.Outstanding--
 	r.lastUse = lastUse{at: now, known: true}
@@ -127,7 +128,7 @@
 }
 
 // recordRejection counts a rejection despite free slots as a failure: otherwise the replica would
-// look idle and attract all requests.
+// look idle and attract all requests. A full replica counts as full for one service time.
 func (r *Replica) recordRejection(now, heartbeat, serviceTime time.Duration) {
 	if r.Running(now, 0) >= r.slots() {
 		r.fullUntil = now + serviceTime
--- a/rule/placement/sample.go
+++ b/rule/placement/sample.go
@@ -6,7 +6,8 @@
 	local, remote selection
 }
 
-// selection counts the items still wanted and not yet visited by selection sampling.
+// selection is the state of selection sampling: how many items are still wanted, and how many are
+// not yet visited.
 type selection struct {
 	wanted, left int
 }
