--- a/rule/admission/admission.go
+++ b/rule/admission/admission.go
@@ -2,9 +2,9 @@
 //
 // An overload sustains itself once replicas work on late requests and their retries (Bronson
 // and others, Metastable Failures in Distributed Systems, HotOS 2021). A Controller refuses
-// more requests while the queue of a service exceeds a target. It never refuses a turn of an
-// admitted program that can still meet its deadline. The controllers of all nodes agree without
-// coordination, as they observe the same load. Start reading at Controller.
+// more requests while the queue of a service exceeds a target, and fewer otherwise. It never
+// refuses a turn of an admitted program that can still meet its deadline. The controllers of all
+// nodes agree without coordination, as they observe the same load. Start reading at Controller.
 package admission
 
 import (
@@ -30,7 +30,8 @@
 const (
 	// TargetQueue is the number of queued requests per slot above which refusals increase.
 	TargetQueue = 0.15
-	// riseRate and fallRate change the level, per second and per queued request per slot.
+	// riseRate and fallRate are the changes of the level above and below TargetQueue, per second
+	// and per queued request per slot.
 	riseRate, fallRate = 0.8, 2.0
 	// maxLevel lets the level fall soon after a long overload.
 	maxLevel = 2.0
--- a/rule/allowance/ledger.go
+++ b/rule/allowance/ledger.go
@@ -42,7 +42,8 @@
 	}
 	account, known := l.Holders[holder]
 	if !known && (spent > 0 || returned > 0) {
-		// The counts of a closed account are already included.
+		// A holder can't spend or return before a grant, so this account was closed and its
+		// counts are already included.
 		return false
 	}
 	if spent > account.Spent {
--- a/rule/allowance/window.go
+++ b/rule/allowance/window.go
@@ -47,7 +47,8 @@
 	w.Slots = append(w.Slots, Slot{First: now, Last: now, Amount: amount})
 }
 
-// WaitTime returns the time until amount fits under limit if nothing else is added.
+// WaitTime returns the time until amount fits under limit if nothing else is added. Zero means that
+// it fits now.
 func (w *Window) WaitTime(now time.Duration, amount, limit int64) time.Duration {
 	over := w.Sum(now) + amount - limit
 	if over <= 0 {
--- a/rule/breaker/breaker.go
+++ b/rule/breaker/breaker.go
@@ -85,7 +85,8 @@
 }
 
 // Draw raises a holder's share towards the target, and returns the total granted to the holder,
-// in millionths of a dollar. The breaker opens if the need, not the target, exceeds a limit.
+// in millionths of a dollar. The breaker opens if the need exceeds a limit. What the target adds is
+// only prefetched and never opens it.
 func (b *Breaker) Draw(now time.Duration, holder string, target, need int64, params Params) int64 {
 	b.Advance(now, params)
 	if b.State == Open {
--- a/rule/message/message.go
+++ b/rule/message/message.go
@@ -16,7 +16,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrUnknown is returned for a message of a type that this build does not know.
+// ErrUnknown is returned for a message of a type that this build does not know. Another build may
+// send one during a rolling upgrade.
 var ErrUnknown = errors.New("unknown type")
 
 var (
--- a/rule/ordered/ordered.go
+++ b/rule/ordered/ordered.go
@@ -1,4 +1,5 @@
-// Package ordered sorts the keys of maps, for deterministic iteration.
+// Package ordered sorts the keys of maps, so that deterministic state machines do not depend on Go's
+// random iteration order.
 package ordered
 
 import (
--- a/rule/rate/ledger.go
+++ b/rule/rate/ledger.go
@@ -16,7 +16,8 @@
 }
 
 // DurableState is the part of a ledger in stable storage. Outstanding includes requests that may
-// be granted before the next write.
+// be granted before the next write. A restored ledger can't tell which of them were granted or
+// spent, so it counts all of them as outstanding.
 type DurableState struct {
 	Version     uint64   `msgpack:"v"`
 	Limit       Limit    `msgpack:"l"`
@@ -48,7 +49,7 @@
 	// Leases has the holders as keys. Buckets are ordered by End.
 	Leases  map[string]Lease
 	Buckets []Bucket
-	// Exceeded means that the last grant exceeded the limit.
+	// Exceeded means that the last grant exceeded the limit, which violates an invariant.
 	Exceeded bool
 	// reserved is the number of requests that may be granted before the next write.
 	reserved int64
@@ -79,13 +80,14 @@
 	Returned int64 `msgpack:"r"`
 	// Recent lists the latest spent requests, oldest first.
 	Recent []RecentSpend `msgpack:"e"`
-	// Want is the wanted number of outstanding requests. Prefetch of them have not arrived yet.
+	// Want is the wanted number of outstanding requests. Prefetch of them are for requests that
+	// have not arrived yet.
 	Want     int64 `msgpack:"w"`
 	Prefetch int64 `msgpack:"b"`
-	// Version is of the configuration that contains Limit.
+	// Version is the version of the configuration that contains Limit.
 	Version uint64 `msgpack:"v"`
 	Limit   Limit  `msgpack:"l"`
-	// LeaseDuration counts from the sending of this request.
+	// LeaseDuration is how long the lease may be used after this request was sent.
 	LeaseDuration time.Duration `msgpack:"t"`
 }
 
@@ -102,12 +104,12 @@
 type DrawResponse struct {
 	// Granted is the total ever granted to the holder.
 	Granted int64 `msgpack:"g"`
-	// RetryAfter is zero if the need is met.
+	// RetryAfter is the delay after which more may be granted, or zero if the need is met.
 	RetryAfter time.Duration `msgpack:"r"`
 	// Expired means that the lease has expired and its outstanding requests count as spent. The
 	// holder must continue under a new name.
 	Expired bool `msgpack:"x"`
-	// Scarce means that the holder should not prefetch.
+	// Scarce means that the holder should not prefetch, as others need the requests.
 	Scarce bool `msgpack:"t"`
 }
 
@@ -133,7 +135,8 @@
 	l.expire(now)
 	lease, known := l.Leases[request.Holder]
 	if !known && request.Granted > 0 {
-		// The lease may be from before the restore: its outstanding requests are in the pool.
+		// The lease may be from before the restore. Its outstanding requests then move from the
+		// pool to the lease, so that none is counted twice.
 		outstanding := request.Granted - request.Spent - request.Returned
 		if outstanding < 0 || outstanding > l.pool || now >= l.poolExpiresAt {
 			return DrawResponse{Expired: true}, changed
--- a/rule/route/amendment.go
+++ b/rule/route/amendment.go
@@ -132,7 +132,8 @@
 	return next, nil
 }
 
-// duplicateNames reports names of the amendment that several current items share.
+// duplicateNames reports names of the amendment that several current items share, as they do not
+// identify one item.
 func duplicateNames[T any](list string, current, set []T, removed []string, name func(T) string) (faults configuration.Faults) {
 	count := map[string]int{}
 	for _, item := range current {
--- a/rule/route/difference.go
+++ b/rule/route/difference.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// Difference holds the changes from a base table to a later one.
+// Difference holds the changes from a base table to a later one. It is sent, instead of the complete
+// table, to a node that has the base, which number and digest identify.
 type Difference struct {
 	BaseNumber uint64 `msgpack:"b"`
 	BaseDigest string `msgpack:"c"`
--- a/rule/route/table.go
+++ b/rule/route/table.go
@@ -49,7 +49,7 @@
 	MaxAttempts int64 `json:"tries" msgpack:"Tries"`
 	// Public requests need no key.
 	Public bool `json:"open" msgpack:"Open"`
-	// CacheAffinity prefers replicas that recently served the same key.
+	// CacheAffinity prefers replicas that recently served a request with the same affinity key.
 	CacheAffinity bool     `json:"pinned" msgpack:"Pinned"`
 	Targets       []Target `json:"targets" msgpack:"Targets"`
 }
@@ -62,7 +62,7 @@
 // Service describes a service and its replicas.
 type Service struct {
 	Name string `json:"name" msgpack:"Name"`
-	// Connections bounds those that a replica accepts from all nodes.
+	// Connections bounds the connections that a replica accepts from all nodes.
 	Connections    int64 `json:"connections" msgpack:"Connections"`
 	TokensPerEvent int64 `json:"tokens_per_event" msgpack:"TokensPerEvent"`
 	// Slots are the concurrent requests of a replica; 0 means as it announces.
@@ -94,10 +94,10 @@
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"services"`
 	Tenants  []Tenant  `json:"tenants"`
-	// KeyRequired applies except on public routes.
+	// KeyRequired refuses requests without a tenant's key, except on public routes.
 	KeyRequired bool   `json:"keyed"`
 	Limits      Limits `json:"limits"`
-	// Source is the text that the table was translated from, or empty.
+	// Source is the operator's text that the table was translated from, or empty.
 	Source string `json:"source,omitempty"`
 
 	byHost   map[string][]*Route
--- a/rule/slab/slab.go
+++ b/rule/slab/slab.go
@@ -6,7 +6,8 @@
 // is never valid.
 type Ticket uint64
 
-// Slab stores values of one type. Its zero value is empty. It is not safe for concurrent use.
+// Slab stores values of one type. Its zero value is ready for use. It is not safe for concurrent
+// use.
 type Slab[T any] struct {
 	slots []slot[T]
 	free  []uint32
