--- a/peer/core/doc.go
+++ b/peer/core/doc.go
@@ -2,7 +2,7 @@
 // partitions, each of which is replicated to a group of cores and led by one of them
 // for a term (rule/partition has the consensus protocol).
 //
-// Nodes, desks and operators change the state by commands, which a Caller sends to the
+// Nodes, registries and operators change the state by commands, which a Caller sends to the
 // leader of the command's partition (TargetPartition). The leader runs a command by the
 // rules of this package (rules.Apply) and answers once the resulting entries are
 // durable on a majority. Nodes learn of changed entries by pulling updates.
--- a/peer/core/membership.go
+++ b/peer/core/membership.go
@@ -237,7 +237,7 @@
 	}
 }
 
-// RegisterCore adds a new core's entry to the fleet's registry, before it is given
+// RegisterCore adds a new core's entry to the fleet's list of cores, before it is given
 // replicas. The answer is a Done.
 func (m *Machine) RegisterCore(now time.Duration, ticket uint64, c Core, within time.Duration) Output {
 	m.out = &Output{}
--- a/peer/core/messages_relay.go
+++ b/peer/core/messages_relay.go
@@ -8,7 +8,7 @@
 	"saffronfall/rule/rate"
 )
 
-// Commands of nodes that relay requests, and of desks, with their results. Every
+// Commands of nodes that relay requests, and of registries, with their results. Every
 // command may be retried safely.
 type (
 	// ReserveTurn reserves the most tokens that a turn may produce from its program's
--- a/peer/core/orders.go
+++ b/peer/core/orders.go
@@ -9,7 +9,7 @@
 )
 
 // An order is an operator's request to put a routing table or a configuration in force.
-// An operator that got no answer sends the same order again, to any core or desk, possibly
+// An operator that got no answer sends the same order again, to any core or registry, possibly
 // after hundreds of others. Each accepted order therefore has a record of its own, by
 // which a repeated order is acknowledged. The records are entries beside the
 // configuration, so that an order rewrites none of the earlier ones.
--- a/peer/core/rules_relay.go
+++ b/peer/core/rules_relay.go
@@ -12,7 +12,7 @@
 // settledBookRetention is how long a book is stored that only has a settlement.
 const settledBookRetention = time.Minute
 
-// applyRelay runs the commands of nodes that relay requests, and of desks.
+// applyRelay runs the commands of nodes that relay requests, and of registries.
 func (r *rules) applyRelay(tx *partition.Tx, command any) any {
 	switch c := command.(type) {
 	case ReserveTurn:
--- a/peer/front/handler_test.go
+++ b/peer/front/handler_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"saffronfall/peer/clock"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/peer/relay"
 	"saffronfall/peer/replica"
 )
@@ -63,7 +63,7 @@
 	return r.next()
 }
 
-var sendStep = relay.Step{Kind: relay.StepSend, Replica: desk.Replica{ID: "i-1"}, Tenant: "tenant", Timeout: testTimeout}
+var sendStep = relay.Step{Kind: relay.StepSend, Replica: registry.Replica{ID: "i-1"}, Tenant: "tenant", Timeout: testTimeout}
 
 func streamStep(stored bool) relay.Step {
 	s := sendStep
--- a/peer/desk/amend.go
+++ b/peer/registry/amend.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"time"
@@ -8,7 +8,7 @@
 	"saffronfall/rule/route"
 )
 
-// Amendment is an operator's order that changes named items of the current table. The desk
+// Amendment is an operator's order that changes named items of the current table. The registry
 // applies it to that table and proposes the resulting full table, so it is as atomic,
 // durable and idempotent as a full table.
 type Amendment struct {
--- a/peer/desk/amend_test.go
+++ b/peer/registry/amend_test.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"testing"
@@ -10,14 +10,14 @@
 	"saffronfall/rule/route"
 )
 
-// scriptedCores answers a desk's commands by a function; nil sends no answer.
+// scriptedCores answers a registry's commands by a function; nil sends no answer.
 type scriptedCores struct {
-	desk     *Machine
+	registry *Machine
 	answer   func(command any) any
 	commands []any
 }
 
-// run answers commands until there are none left, and returns the desk's answers.
+// run answers commands until there are none left, and returns the registry's answers.
 func (s *scriptedCores) run(t *testing.T, now time.Duration, o Output) []Answer {
 	t.Helper()
 	answers := o.Answers
@@ -28,7 +28,7 @@
 		}
 		s.commands = append(s.commands, command)
 		if body := s.answer(command); body != nil {
-			next := s.desk.Receive(now, "c:1", core.CommandResult{ID: c.ID, Partition: c.Partition, Raw: message.Pack(body)})
+			next := s.registry.Receive(now, "c:1", core.CommandResult{ID: c.ID, Partition: c.Partition, Raw: message.Pack(body)})
 			answers = append(answers, s.run(t, now, next)...)
 		}
 	}
@@ -61,9 +61,9 @@
 		{name: "number not above the base", amendment: addService(4, 4), want: OrderResult{Number: 4, Faults: configuration.Faults{{}}}, commands: 1},
 		{name: "no answer", amendment: addService(4, 5), want: OrderResult{Uncertain: true}, commands: 2},
 	} {
-		m := newDesk(nil)
+		m := newRegistry(nil)
 		foundFleet(m)
-		cores := &scriptedCores{desk: m, answer: func(command any) any {
+		cores := &scriptedCores{registry: m, answer: func(command any) any {
 			switch command.(type) {
 			case core.ReadTable:
 				return read
@@ -87,16 +87,16 @@
 			t.Errorf("%s: commands %+v", c.name, cores.commands)
 		}
 		if c.name == "accepted" && m.TableNumber() != 5 {
-			t.Errorf("the desk knows table %d", m.TableNumber())
+			t.Errorf("the registry knows table %d", m.TableNumber())
 		}
 	}
 }
 
 // TestPreviewChangesNothing checks that a preview reports the changes and proposes nothing.
 func TestPreviewChangesNothing(t *testing.T) {
-	m := newDesk(nil)
+	m := newRegistry(nil)
 	foundFleet(m)
-	cores := &scriptedCores{desk: m, answer: func(any) any { return core.CurrentTable{Number: 4, Text: table(4), Digest: "four"} }}
+	cores := &scriptedCores{registry: m, answer: func(any) any { return core.CurrentTable{Number: 4, Text: table(4), Digest: "four"} }}
 	a := addService(4, 5)
 	a.PreviewOnly = true
 	answers := cores.run(t, time.Millisecond, m.Amend(time.Millisecond, 7, a))
--- a/peer/desk/currenttable.go
+++ b/peer/registry/currenttable.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"time"
@@ -10,7 +10,7 @@
 // updated by differences.
 const maxDifferences = 16
 
-// currentTable is the newest accepted table that a desk knows; nil if it knows none.
+// currentTable is the newest accepted table that a registry knows; nil if it knows none.
 type currentTable struct {
 	parsed *route.Table
 	digest string
--- a/peer/desk/currenttable_test.go
+++ b/peer/registry/currenttable_test.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"fmt"
@@ -24,7 +24,7 @@
 	return fmt.Appendf(nil, `{"number":%d,"source":"what the operator sent","routes":[%s],"services":[{"name":"s"}]}`, number, routes[:len(routes)-1])
 }
 
-// deliverTable sends a desk the cores' snapshot of the current table.
+// deliverTable sends a registry the cores' snapshot of the current table.
 func deliverTable(m *Machine, now time.Duration, number uint64) Output {
 	value := message.Marshal(core.CurrentTable{Number: number, Text: largeTable(number), Digest: fmt.Sprint("digest ", number)})
 	at := partition.Version{Term: partition.Term{Round: 1, Leader: "c.1"}, Seq: number}
@@ -34,7 +34,7 @@
 // TestSubscribersGetDifferences checks that a subscriber with a recent table gets differences, any
 // other one the full table, and none of them the table's source.
 func TestSubscribersGetDifferences(t *testing.T) {
-	m := newDesk(nil)
+	m := newRegistry(nil)
 	foundFleet(m)
 	deliverTable(m, 0, 2)
 	onlyUpdate := func(o Output, to string) Update {
@@ -82,7 +82,7 @@
 // TestKnownTableIsNotParsedAgain checks that a snapshot of a table that is already known is not
 // parsed.
 func TestKnownTableIsNotParsedAgain(t *testing.T) {
-	m := newDesk(nil)
+	m := newRegistry(nil)
 	foundFleet(m)
 	deliverTable(m, 0, 2)
 	again := message.Marshal(core.CurrentTable{Number: 2, Text: []byte("not a table"), Digest: "digest 2"})
--- a/peer/desk/departure.go
+++ b/peer/registry/departure.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"time"
@@ -7,11 +7,11 @@
 )
 
 // Acknowledgment answers a replica's heartbeat or Leave call. If it is not Accepted, the report
-// may be lost with this desk, and the replica should send it to another one.
+// may be lost with this registry, and the replica should send it to another one.
 type Acknowledgment struct{ Accepted bool }
 
 // departureHeartbeats bounds, in heartbeat intervals, how long a departing replica waits until
-// its departure is known outside this desk.
+// its departure is known outside this registry.
 const departureHeartbeats = 0.6
 
 // DepartureTimeout bounds the time to acknowledge a replica's departure.
@@ -20,10 +20,10 @@
 }
 
 // departure is a reported departure that is not acknowledged yet, because it could be lost
-// with this desk.
+// with this registry.
 type departure struct {
 	ticket uint64
-	// version is the first version of the desk's list that includes the departure.
+	// version is the first version of the registry's list that includes the departure.
 	version   uint64
 	startedAt time.Duration
 }
@@ -63,11 +63,11 @@
 	m.departures = remaining
 }
 
-// isReplicated reports whether a version of this desk's list survives the loss of this desk.
-// It does if as many other desks have it as may be lost at once, or, if no other desk is
-// active, if all active nodes have it.
+// isReplicated reports whether a version of this registry's list survives the loss of this
+// registry. It does if as many other registries have it as may be lost at once, or, if no other
+// registry is active, if all active nodes have it.
 func (m *Machine) isReplicated(now time.Duration, version uint64) bool {
-	desks, confirmed, nodeMissing := 0, 0, false
+	registries, confirmed, nodeMissing := 0, 0, false
 	for _, address := range ordered.Keys(m.subscribers) {
 		s := m.subscribers[address]
 		if !s.isActive(now, m.params.HeartbeatInterval) {
@@ -75,18 +75,18 @@
 		}
 		hasVersion := s.confirmedVersion >= version
 		switch {
-		case s.isDesk && hasVersion:
-			desks, confirmed = desks+1, confirmed+1
-		case s.isDesk:
-			desks++
+		case s.isRegistry && hasVersion:
+			registries, confirmed = registries+1, confirmed+1
+		case s.isRegistry:
+			registries++
 		default:
 			nodeMissing = nodeMissing || !hasVersion
 		}
 	}
-	if desks == 0 {
+	if registries == 0 {
 		return !nodeMissing
 	}
-	return confirmed >= min(desks, m.toleratedLosses())
+	return confirmed >= min(registries, m.toleratedLosses())
 }
 
 // toleratedLosses returns the number f of machines that may be lost at once, at least 1: groups
--- a/peer/desk/departure_test.go
+++ b/peer/registry/departure_test.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"testing"
@@ -16,11 +16,11 @@
 }
 
 // TestDepartureIsAcknowledgedOnceReplicated checks that a departure is acknowledged when enough
-// others have it, and is otherwise rejected in time to report it to another desk.
+// others have it, and is otherwise rejected in time to report it to another registry.
 func TestDepartureIsAcknowledgedOnceReplicated(t *testing.T) {
 	const ticket = 7
-	desk := func(version uint64) Subscribe {
-		return Subscribe{Node: "d2", Incarnation: "l1", Version: version, IsDesk: true}
+	registry := func(version uint64) Subscribe {
+		return Subscribe{Node: "d2", Incarnation: "l1", Version: version, IsRegistry: true}
 	}
 	node := func(version uint64) Subscribe { return Subscribe{Node: "n1", Incarnation: "l1", Version: version} }
 	for _, c := range []struct {
@@ -31,18 +31,18 @@
 		leaving       bool
 		atOnce, then  bool
 	}{
-		{name: "a heartbeat without a departure", before: map[string]Subscribe{"d2:1": desk(0)}, atOnce: true},
+		{name: "a heartbeat without a departure", before: map[string]Subscribe{"d2:1": registry(0)}, atOnce: true},
 		{name: "no other process", leaving: true, atOnce: true},
-		{name: "another desk has it", leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "n1:1": node(1)}, after: map[string]Subscribe{"d2:1": desk(2)}, then: true},
-		{name: "only nodes have it while another desk is active", leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "n1:1": node(1)}, after: map[string]Subscribe{"n1:1": node(2)}},
-		{name: "the other desk has an earlier version", leaving: true, before: map[string]Subscribe{"d2:1": desk(1)}, after: map[string]Subscribe{"d2:1": desk(1)}},
-		{name: "the other desk has another incarnation's version", leaving: true, before: map[string]Subscribe{"d2:1": desk(1)}, after: map[string]Subscribe{"d2:1": {Node: "d2", Incarnation: "l0", Version: 99, IsDesk: true}}},
+		{name: "another desk has it", leaving: true, before: map[string]Subscribe{"d2:1": registry(1), "n1:1": node(1)}, after: map[string]Subscribe{"d2:1": registry(2)}, then: true},
+		{name: "only nodes have it while another desk is active", leaving: true, before: map[string]Subscribe{"d2:1": registry(1), "n1:1": node(1)}, after: map[string]Subscribe{"n1:1": node(2)}},
+		{name: "the other desk has an earlier version", leaving: true, before: map[string]Subscribe{"d2:1": registry(1)}, after: map[string]Subscribe{"d2:1": registry(1)}},
+		{name: "the other desk has another incarnation's version", leaving: true, before: map[string]Subscribe{"d2:1": registry(1)}, after: map[string]Subscribe{"d2:1": {Node: "d2", Incarnation: "l0", Version: 99, IsRegistry: true}}},
 		{name: "all nodes have it and no other desk is active", leaving: true, before: map[string]Subscribe{"n1:1": node(1), "n2:1": node(1)}, after: map[string]Subscribe{"n1:1": node(2), "n2:1": node(2)}, then: true},
 		{name: "one node lacks it and no other desk is active", leaving: true, before: map[string]Subscribe{"n1:1": node(1), "n2:1": node(1)}, after: map[string]Subscribe{"n1:1": node(2)}},
-		{name: "two losses are tolerated and one other desk has it", groupSize: 5, leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "d3:1": desk(1)}, after: map[string]Subscribe{"d2:1": desk(2)}},
-		{name: "two losses are tolerated and two other desks have it", groupSize: 5, leaving: true, before: map[string]Subscribe{"d2:1": desk(1), "d3:1": desk(1)}, after: map[string]Subscribe{"d2:1": desk(2), "d3:1": desk(2)}, then: true},
+		{name: "two losses are tolerated and one other desk has it", groupSize: 5, leaving: true, before: map[string]Subscribe{"d2:1": registry(1), "d3:1": registry(1)}, after: map[string]Subscribe{"d2:1": registry(2)}},
+		{name: "two losses are tolerated and two other desks have it", groupSize: 5, leaving: true, before: map[string]Subscribe{"d2:1": registry(1), "d3:1": registry(1)}, after: map[string]Subscribe{"d2:1": registry(2), "d3:1": registry(2)}, then: true},
 	} {
-		m := connectedDesk(t, 0)
+		m := connectedRegistry(t, 0)
 		m.params.GroupSize = max(c.groupSize, 3)
 		m.Heartbeat(0, 0, replica(1, false))
 		for from, f := range c.before {
@@ -65,11 +65,11 @@
 	}
 }
 
-// TestDeskConfirmsDepartureAtOnce checks that a desk confirms a received departure at once, because
-// the replica waits for that.
-func TestDeskConfirmsDepartureAtOnce(t *testing.T) {
-	first, second := newDesk(nil), newDesk(func(o *Options) { o.ID, o.Address, o.Incarnation = "d2", "d2:1", "l2" })
-	first.Receive(0, "d2:1", Subscribe{Node: "d2", IsDesk: true})
+// TestRegistryConfirmsDepartureAtOnce checks that a registry confirms a received departure at once,
+// because the replica waits for that.
+func TestRegistryConfirmsDepartureAtOnce(t *testing.T) {
+	first, second := newRegistry(nil), newRegistry(func(o *Options) { o.ID, o.Address, o.Incarnation = "d2", "d2:1", "l2" })
+	first.Receive(0, "d2:1", Subscribe{Node: "d2", IsRegistry: true})
 	for _, b := range sentTo[Update](first.Heartbeat(time.Millisecond, 1, replica(1, true)), "d2:1") {
 		for _, f := range sentTo[Subscribe](second.Receive(2*time.Millisecond, "d1:1", b), "d1:1") {
 			if got := acknowledgments(first.Receive(3*time.Millisecond, "d2:1", f), 1); len(got) == 1 && got[0].Accepted {
@@ -77,17 +77,17 @@
 			}
 		}
 	}
-	t.Error("not acknowledged by the immediate messages of the desks")
+	t.Error("not acknowledged by the immediate messages of the registries")
 }
 
-// TestNodesConfirmDepartureToLoneDesk checks that nodes are asked to confirm at once if, and only
-// if, no other desk is active.
-func TestNodesConfirmDepartureToLoneDesk(t *testing.T) {
+// TestNodesConfirmDepartureToLoneRegistry checks that nodes are asked to confirm at once if, and
+// only if, no other registry is active.
+func TestNodesConfirmDepartureToLoneRegistry(t *testing.T) {
 	for _, alone := range []bool{true, false} {
-		m := newDesk(nil)
+		m := newRegistry(nil)
 		m.Receive(0, "n1:1", Subscribe{Node: "n1"})
 		if !alone {
-			m.Receive(0, "d2:1", Subscribe{Node: "d2", IsDesk: true})
+			m.Receive(0, "d2:1", Subscribe{Node: "d2", IsRegistry: true})
 		}
 		if b := sentTo[Update](m.Heartbeat(1, 0, replica(1, false)), "n1:1"); len(b) != 1 || b[0].RenewNow {
 			t.Errorf("alone %v: a new replica: %+v", alone, b)
@@ -98,9 +98,10 @@
 	}
 }
 
-// TestDisconnectedDeskRejectsDepartureEarly checks that a disconnected desk rejects an unconfirmed
-// departure as soon as any other call, and a connected one gives others time to confirm.
-func TestDisconnectedDeskRejectsDepartureEarly(t *testing.T) {
+// TestDisconnectedRegistryRejectsDepartureEarly checks that a disconnected registry rejects an
+// unconfirmed departure as soon as any other call, and a connected one gives others time to
+// confirm.
+func TestDisconnectedRegistryRejectsDepartureEarly(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		inTouch bool
@@ -110,10 +111,10 @@
 		{"connected", true, heartbeat / 2, heartbeat * 3 / 4},
 		{"disconnected", false, 0, heartbeat / 5},
 	} {
-		m := connectedDesk(t, 0)
+		m := connectedRegistry(t, 0)
 		start := time.Second
 		m.Tick(start)
-		m.Receive(start, "d2:1", Subscribe{Node: "d2", Incarnation: "l1", Version: 0, IsDesk: true})
+		m.Receive(start, "d2:1", Subscribe{Node: "d2", Incarnation: "l1", Version: 0, IsRegistry: true})
 		if c.inTouch {
 			confirm(m, start)
 		}
--- a/peer/desk/disconnected_test.go
+++ b/peer/registry/disconnected_test.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"testing"
@@ -9,11 +9,11 @@
 	"saffronfall/rule/partition"
 )
 
-// connectedDesk returns a desk whose fleet has one core, with its configuration confirmed at the
-// given time.
-func connectedDesk(t *testing.T, now time.Duration) *Machine {
+// connectedRegistry returns a registry whose fleet has one core, with its configuration confirmed
+// at the given time.
+func connectedRegistry(t *testing.T, now time.Duration) *Machine {
 	t.Helper()
-	m := newDesk(nil)
+	m := newRegistry(nil)
 	leader := partition.Term{Round: 1, Leader: "c1.x"}
 	m.Receive(now, "c1:1", core.Topology{Fleet: "f", GroupSize: 1, Cores: map[string]core.Core{"c1": {ID: "c1", Incarnation: "x", Peer: "c1:1", Version: 1}},
 		Leaders: []partition.Term{leader, leader}, Groups: []partition.Group{{Epoch: 1, Members: []string{"c1.x"}}, {Epoch: 1, Members: []string{"c1.x"}}}})
@@ -26,7 +26,7 @@
 	m.Receive(now, "c1:1", core.Freshness{SentAt: now, UpTo: partition.Version{Term: partition.Term{Round: 1, Leader: "c1.x"}, Seq: 1}})
 }
 
-// tickUntilAnswered ticks a desk that gets no messages until it answers a ticket, or for two
+// tickUntilAnswered ticks a registry that gets no messages until it answers a ticket, or for two
 // seconds. It returns the time that took and the answer.
 func tickUntilAnswered(m *Machine, start time.Duration, ticket uint64) (time.Duration, any) {
 	for now := start; now < start+2*time.Second; now += 5 * time.Millisecond {
@@ -39,9 +39,9 @@
 	return 2 * time.Second, nil
 }
 
-// TestDisconnectedDeskAnswersInTime checks that a desk without contact to a core answers each call
-// as uncertain within 250 ms.
-func TestDisconnectedDeskAnswersInTime(t *testing.T) {
+// TestDisconnectedRegistryAnswersInTime checks that a registry without contact to a core answers
+// each call as uncertain within 250 ms.
+func TestDisconnectedRegistryAnswersInTime(t *testing.T) {
 	const disconnectedAt = 10 * time.Second
 	calls := map[string]func(m *Machine, now time.Duration) Output{
 		"order":         func(m *Machine, now time.Duration) Output { return m.Apply(now, 1, 0, table(3), "d") },
@@ -51,7 +51,7 @@
 	}
 	for name, call := range calls {
 		for _, after := range []time.Duration{0, time.Second, 20 * time.Second} {
-			m := connectedDesk(t, disconnectedAt)
+			m := connectedRegistry(t, disconnectedAt)
 			now := disconnectedAt
 			for ; now < disconnectedAt+after; now += 5 * time.Millisecond {
 				m.Tick(now)
@@ -63,7 +63,7 @@
 			took, body := tickUntilAnswered(m, now, 1)
 			allowed := 250 * time.Millisecond
 			if after == 0 {
-				// The desk can't know yet that it is disconnected.
+				// The registry can't know yet that it is disconnected.
 				allowed += maxUnconfirmedPulls * m.params.Core.PullInterval
 			}
 			if took > allowed {
@@ -92,7 +92,7 @@
 // TestAnsweredOnce checks that a late answer of the cores to an expired call is not answered
 // again, but that its table is installed.
 func TestAnsweredOnce(t *testing.T) {
-	m := connectedDesk(t, 0)
+	m := connectedRegistry(t, 0)
 	o := m.Apply(5*time.Second, 1, 0, table(3), "d")
 	asked := sentTo[core.Command](o, "c1:1")
 	if len(asked) != 1 {
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestConnectedDeskWaits checks that no call expires while the cores confirm the table.
-func TestConnectedDeskWaits(t *testing.T) {
-	m := connectedDesk(t, 0)
+// TestConnectedRegistryWaits checks that no call expires while the cores confirm the table.
+func TestConnectedRegistryWaits(t *testing.T) {
+	m := connectedRegistry(t, 0)
 	m.Apply(0, 1, 0, table(3), "d")
 	for now := time.Duration(0); now < 900*time.Millisecond; now += 5 * time.Millisecond {
 		confirm(m, now)
@@ -122,10 +122,10 @@
 	}
 }
 
-// TestIsolatedDeskAcknowledgesNoHeartbeat checks when a desk counts as isolated, so that replicas
-// report to another desk that can pass their reports on.
-func TestIsolatedDeskAcknowledgesNoHeartbeat(t *testing.T) {
-	m := connectedDesk(t, 0)
+// TestIsolatedRegistryAcknowledgesNoHeartbeat checks when a registry counts as isolated, so that
+// replicas report to another registry that can pass their reports on.
+func TestIsolatedRegistryAcknowledgesNoHeartbeat(t *testing.T) {
+	m := connectedRegistry(t, 0)
 	nodes := []string{"n1:1", "n2:1", "n3:1"}
 	for _, n := range nodes {
 		m.Receive(0, n, Subscribe{Node: n})
@@ -150,16 +150,16 @@
 	if m.Isolated(later) {
 		t.Error("isolated although the cores answer")
 	}
-	if newDesk(nil).Isolated(time.Hour) {
-		t.Error("a desk that never had a node is isolated")
+	if newRegistry(nil).Isolated(time.Hour) {
+		t.Error("a registry that never had a node is isolated")
 	}
 }
 
-// TestRestartedDeskUsesSavedPeers checks that a restarted desk without reachable seeds asks the
-// saved cores and desks, restores no leader and no table, and passes the addresses on.
-func TestRestartedDeskUsesSavedPeers(t *testing.T) {
-	previous := connectedDesk(t, 0)
-	previous.Receive(0, "d3:1", Subscribe{Node: "d3", IsDesk: true})
+// TestRestartedRegistryUsesSavedPeers checks that a restarted registry without reachable seeds asks
+// the saved cores and registries, restores no leader and no table, and passes the addresses on.
+func TestRestartedRegistryUsesSavedPeers(t *testing.T) {
+	previous := connectedRegistry(t, 0)
+	previous.Receive(0, "d3:1", Subscribe{Node: "d3", IsRegistry: true})
 	var saved *Peers
 	for now := time.Duration(0); now < time.Second; now += 50 * time.Millisecond {
 		if o := previous.Tick(now); o.Peers != nil {
@@ -172,16 +172,16 @@
 	if o := previous.Tick(2 * time.Second); o.Peers != nil {
 		t.Error("the same addresses are saved again")
 	}
-	m := newDesk(func(o *Options) { o.Incarnation, o.Seeds, o.KnownPeers = "l2", []string{"unreachable:1"}, saved })
+	m := newRegistry(func(o *Options) { o.Incarnation, o.Seeds, o.KnownPeers = "l2", []string{"unreachable:1"}, saved })
 	o := m.Tick(0)
 	if len(sentTo[core.PullUpdates](o, "c1:1")) != 1 || len(sentTo[Subscribe](o, "d3:1")) != 1 {
-		t.Errorf("neither cores nor desks are asked: %+v", o.Sends)
+		t.Errorf("neither cores nor registries are asked: %+v", o.Sends)
 	}
 	if m.TableNumber() != 0 || m.Ready() || m.coresReachable(0) {
 		t.Error("a leader or a table was restored")
 	}
 	b := sentTo[Update](m.Receive(0, "n1:1", Subscribe{Node: "n1"}), "n1:1")
-	if len(b) != 1 || b[0].Topology == nil || len(b[0].Topology.Cores) != 1 || len(b[0].Desks) < 2 {
+	if len(b) != 1 || b[0].Topology == nil || len(b[0].Topology.Cores) != 1 || len(b[0].Registries) < 2 {
 		t.Errorf("a node is sent %+v", b)
 	}
 }
--- a/peer/desk/handler.go
+++ b/peer/registry/handler.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"saffronfall/rule/route"
 )
 
-// API is the interface of a desk to replicas and operators. After an error of Heartbeat or
-// Leave the replica should report to another desk.
+// API is the interface of a registry to replicas and operators. After an error of Heartbeat or
+// Leave the replica should report to another registry.
 type API interface {
 	Heartbeat(ctx context.Context, r Replica) error
 	Leave(ctx context.Context, id string) error
@@ -80,7 +80,7 @@
 	writeOrderResult(w, result, err)
 }
 
-// Handler returns a function that makes the HTTP handler of a desk's API. Calls need the
+// Handler returns a function that makes the HTTP handler of a registry's API. Calls need the
 // operator or the replica key; maxBody bounds an order in bytes.
 func Handler(operatorKey, replicaKey string, maxBody int64) func(api API) http.Handler {
 	return func(api API) http.Handler {
--- a/peer/desk/loads.go
+++ b/peer/registry/loads.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"math"
@@ -14,7 +14,7 @@
 // in ReplicaOrder, so sender and receiver must have the same version of the list; a message
 // of another version is ignored. A lost message is replaced by the next one.
 type (
-	// LoadReport is sent by a node to a desk: its outstanding requests at replicas, and the
+	// LoadReport is sent by a node to a registry: its outstanding requests at replicas, and the
 	// results of requests there since its last report.
 	LoadReport struct {
 		Incarnation string        `msgpack:"l"`
@@ -31,7 +31,7 @@
 		Busy  time.Duration `msgpack:"b"`
 		Units uint16        `msgpack:"u"`
 	}
-	// Loads is sent by a desk to a node. By replica index, it has the outstanding requests
+	// Loads is sent by a registry to a node. By replica index, it has the outstanding requests
 	// of all other nodes and the failure rates, scaled to 255.
 	Loads struct {
 		Incarnation  string `msgpack:"l"`
@@ -54,7 +54,7 @@
 	})
 }
 
-// loadState is a desk's view of the load of replicas.
+// loadState is a registry's view of the load of replicas.
 type loadState struct {
 	// order is the ReplicaOrder of the list at orderVersion.
 	order        []string
--- a/peer/desk/loads_test.go
+++ b/peer/registry/loads_test.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"testing"
@@ -8,7 +8,7 @@
 // TestBadLoadReportChangesNothing checks that a report with an index out of range is rejected
 // completely.
 func TestBadLoadReportChangesNothing(t *testing.T) {
-	m := newDesk(func(o *Options) { o.Params.LoadInterval = 100 * time.Millisecond })
+	m := newRegistry(func(o *Options) { o.Params.LoadInterval = 100 * time.Millisecond })
 	m.Heartbeat(0, 0, replica(1, false))
 	good := ReplicaLoad{Index: 0, Outstanding: 3, Served: 5}
 	m.Receive(1, "n1:1", LoadReport{Incarnation: m.incarnation, Version: m.version, Replicas: []ReplicaLoad{good, {Index: 1}}})
--- a/peer/desk/machine.go
+++ b/peer/registry/machine.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"time"
@@ -15,9 +15,9 @@
 	Incarnation string
 	Address     string
 	Seeds       []string
-	// FoundsFleet is set at the one desk that may found a new fleet.
+	// FoundsFleet is set at the one registry that may found a new fleet.
 	FoundsFleet bool
-	// KnownReplicas is the list that an earlier incarnation of this desk saved. It serves
+	// KnownReplicas is the list that an earlier incarnation of this registry saved. It serves
 	// nodes until the next heartbeats arrive; entries without one soon expire.
 	KnownReplicas []ReplicaEntry
 	// KnownPeers are the addresses that it saved; nil if there are none.
@@ -26,24 +26,24 @@
 	Random     func() float64
 }
 
-// Machine is the state machine of one desk. It is not safe for concurrent use.
+// Machine is the state machine of one registry. It is not safe for concurrent use.
 type Machine struct {
 	Counters Counters
 
-	params              Params
-	deskID, incarnation string
-	address             string
-	seeds               []string
-	foundsFleet         bool
-	random              func() float64
-	out                 *Output
-	caller              *core.Caller
-	version             uint64
-	replicas            map[string]*trackedReplica
-	subscribers         map[string]*subscriber
-	desks               map[string]time.Duration
-	// deskCursors are the versions received from other desks, by address.
-	deskCursors     map[string]deskCursor
+	params                  Params
+	registryID, incarnation string
+	address                 string
+	seeds                   []string
+	foundsFleet             bool
+	random                  func() float64
+	out                     *Output
+	caller                  *core.Caller
+	version                 uint64
+	replicas                map[string]*trackedReplica
+	subscribers             map[string]*subscriber
+	registries              map[string]time.Duration
+	// registryCursors are the versions received from other registries, by address.
+	registryCursors map[string]registryCursor
 	topology        core.Topology
 	topologyVersion uint64
 	foundingCores   map[string]core.Core
@@ -65,10 +65,10 @@
 	saved savedPeers
 }
 
-// New returns a desk without subscriptions to other desks.
+// New returns a registry without subscriptions to other registries.
 func New(o Options) *Machine {
-	m := &Machine{params: o.Params, deskID: o.ID, incarnation: o.Incarnation, address: o.Address, seeds: o.Seeds, foundsFleet: o.FoundsFleet, random: o.Random,
-		deskCursors: map[string]deskCursor{}, replicas: map[string]*trackedReplica{}, subscribers: map[string]*subscriber{}, reachability: reachability{pending: map[uint64]pendingCall{}}, desks: map[string]time.Duration{o.Address: o.Now},
+	m := &Machine{params: o.Params, registryID: o.ID, incarnation: o.Incarnation, address: o.Address, seeds: o.Seeds, foundsFleet: o.FoundsFleet, random: o.Random,
+		registryCursors: map[string]registryCursor{}, replicas: map[string]*trackedReplica{}, subscribers: map[string]*subscriber{}, reachability: reachability{pending: map[uint64]pendingCall{}}, registries: map[string]time.Duration{o.Address: o.Now},
 		loads: loadState{reports: map[string]nodeReport{}, histories: map[string]*replicaHistory{}}, foundingCores: map[string]core.Core{}, startedAt: o.Now, lastConfirmed: -1}
 	m.topology.Cores = map[string]core.Core{}
 	for _, l := range o.KnownReplicas {
@@ -136,9 +136,9 @@
 	m.sendLoads(now)
 	if now >= m.subscribeAt {
 		m.subscribeAt = now + subscribePulls*m.params.Core.PullInterval
-		targets := ordered.Keys(m.desks)
+		targets := ordered.Keys(m.registries)
 		for _, seed := range m.seeds {
-			if _, ok := m.desks[seed]; !ok {
+			if _, ok := m.registries[seed]; !ok {
 				targets = append(targets, seed)
 			}
 		}
@@ -167,16 +167,16 @@
 	// removedRetention is the time since the last heartbeat for which a removed replica
 	// stays listed.
 	removedRetention = 20 * missedHeartbeats
-	// deskRetention is the time for which a silent desk is remembered.
-	deskRetention = 10 * missedHeartbeats
+	// registryRetention is the time for which a silent registry is remembered.
+	registryRetention = 10 * missedHeartbeats
 )
 
-// subscribePulls is the number of pull intervals after which subscriptions to other desks are
+// subscribePulls is the number of pull intervals after which subscriptions to other registries are
 // renewed.
 const subscribePulls = 2
 
 // expireReplicas marks silent replicas as removed, and drops expired entries, subscribers and
-// desks.
+// registries.
 func (m *Machine) expireReplicas(now time.Duration) {
 	for _, id := range ordered.Keys(m.replicas) {
 		entry := m.replicas[id]
@@ -193,24 +193,25 @@
 			delete(m.subscribers, address)
 		}
 	}
-	for address, lastSeen := range m.desks {
-		if address != m.address && now > lastSeen+deskRetention*m.params.HeartbeatInterval {
-			delete(m.desks, address)
-			delete(m.deskCursors, address)
+	for address, lastSeen := range m.registries {
+		if address != m.address && now > lastSeen+registryRetention*m.params.HeartbeatInterval {
+			delete(m.registries, address)
+			delete(m.registryCursors, address)
 		}
 	}
 }
 
-// TableNumber returns the number of the newest accepted table that this desk knows; zero if none.
+// TableNumber returns the number of the newest accepted table that this registry knows; zero if
+// none.
 func (m *Machine) TableNumber() uint64 { return m.table.number() }
 
-// Ready reports whether this desk knows the leaders of a founded fleet.
+// Ready reports whether this registry knows the leaders of a founded fleet.
 func (m *Machine) Ready() bool { return len(m.topology.Leaders) > 0 }
 
-// Status returns the desk's counters and sizes by metric name. Of the names, "beats" counts
+// Status returns the registry's counters and sizes by metric name. Of the names, "beats" counts
 // heartbeats, "bulletins" updates sent, and "followers" is the number of subscribers.
 func (m *Machine) Status(now time.Duration) map[string]int64 {
 	return map[string]int64{"messages": m.Counters.Messages, "beats": m.Counters.Heartbeats, "bulletins": m.Counters.Updates, "changes": m.Counters.Changes,
 		"tables_applied": m.Counters.TablesApplied, "tables_refused": m.Counters.TablesRefused, "bad_messages": m.Counters.BadMessages,
-		"replicas": int64(len(m.replicas)), "followers": int64(len(m.subscribers)), "desks": int64(len(m.desks)), "table": int64(m.table.number()), "cores": int64(len(m.topology.Cores))}
+		"replicas": int64(len(m.replicas)), "followers": int64(len(m.subscribers)), "desks": int64(len(m.registries)), "table": int64(m.table.number()), "cores": int64(len(m.topology.Cores))}
 }
--- a/peer/desk/machine_test.go
+++ b/peer/registry/machine_test.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"encoding/json"
@@ -14,7 +14,7 @@
 
 const heartbeat = time.Second
 
-func newDesk(change func(o *Options)) *Machine {
+func newRegistry(change func(o *Options)) *Machine {
 	o := Options{ID: "d1", Incarnation: "l1", Address: "d1:1", Seeds: []string{"d1:1", "d2:1"}, Random: func() float64 { return 0.5 },
 		Params: Params{Core: core.Params{MemberLease: time.Second, AttemptTimeout: 100 * time.Millisecond, PullInterval: 100 * time.Millisecond}, HeartbeatInterval: heartbeat, GroupSize: 3, PartitionsPerCore: 2, OperationTimeout: time.Second}}
 	if change != nil {
@@ -41,7 +41,7 @@
 // TestChangeIsSentAtOnce checks that a change is sent to every subscribed node at once, and again
 // if a renewal shows that it was lost.
 func TestChangeIsSentAtOnce(t *testing.T) {
-	m := newDesk(nil)
+	m := newRegistry(nil)
 	first := sentTo[Update](m.Receive(0, "n1:1", Subscribe{Node: "n1"}), "n1:1")
 	if len(first) != 1 {
 		t.Fatalf("%d updates for a new subscriber", len(first))
@@ -65,7 +65,7 @@
 // TestDepartureIsFinal checks that no later or delayed heartbeat reverts a departure, and that a
 // replica that left stays removed.
 func TestDepartureIsFinal(t *testing.T) {
-	m := newDesk(nil)
+	m := newRegistry(nil)
 	m.Heartbeat(0, 0, replica(5, true))
 	m.Heartbeat(1, 0, replica(4, false))
 	m.Heartbeat(2, 0, replica(6, false))
@@ -82,7 +82,7 @@
 // TestSilentReplicaExpiresAndReturns checks that a silent replica expires, and that only a newer
 // heartbeat brings it back.
 func TestSilentReplicaExpiresAndReturns(t *testing.T) {
-	m := newDesk(nil)
+	m := newRegistry(nil)
 	m.Heartbeat(0, 0, replica(1, false))
 	m.Tick(3 * heartbeat)
 	if m.List()[0].Removed {
@@ -105,7 +105,7 @@
 // TestRestoredReplicaExpiresAfterTwoHeartbeats checks how long a list from before a restart is
 // used without new heartbeats.
 func TestRestoredReplicaExpiresAfterTwoHeartbeats(t *testing.T) {
-	m := newDesk(func(o *Options) { o.KnownReplicas, o.Now = []ReplicaEntry{{Replica: replica(1, false)}}, 100*heartbeat })
+	m := newRegistry(func(o *Options) { o.KnownReplicas, o.Now = []ReplicaEntry{{Replica: replica(1, false)}}, 100*heartbeat })
 	m.Tick(101 * heartbeat)
 	if m.List()[0].Removed {
 		t.Fatal("gone after one heartbeat interval")
@@ -116,15 +116,15 @@
 	}
 }
 
-// TestFounding checks that one desk founds the fleet, once there are enough cores for a group and
-// no new one appeared for a heartbeat interval, and that retries send the same founding.
+// TestFounding checks that one registry founds the fleet, once there are enough cores for a group
+// and no new one appeared for a heartbeat interval, and that retries send the same founding.
 func TestFounding(t *testing.T) {
 	present := func(m *Machine, now time.Duration, ids ...string) {
 		for _, id := range ids {
 			m.Receive(now, id+":1", core.AnnounceCore{Core: core.Core{ID: id, Incarnation: "i", Zone: id, Peer: id + ":1"}, MayFound: true})
 		}
 	}
-	m := newDesk(func(o *Options) { o.FoundsFleet = true })
+	m := newRegistry(func(o *Options) { o.FoundsFleet = true })
 	present(m, 0, "a", "b")
 	if o := m.Tick(5 * heartbeat); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
 		t.Fatal("founded with two of three")
@@ -142,11 +142,11 @@
 	if f := first[0].Founding; f.Partitions != 7 || len(f.Cores) != 3 || len(f.Groups[0].Members) != 3 {
 		t.Fatalf("%+v", f)
 	}
-	other := newDesk(nil)
+	other := newRegistry(nil)
 	present(other, 0, "a", "b", "c")
 	for now := time.Duration(0); now < 10*heartbeat; now += heartbeat / 4 {
 		if o := other.Tick(now); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
-			t.Fatal("a desk founds a fleet without permission")
+			t.Fatal("a registry founds a fleet without permission")
 		}
 	}
 }
@@ -177,7 +177,7 @@
 		{"another current table", table(3), core.AcceptTableResult{Number: 2}, OrderResult{RaceLost: true, Number: 2}, false},
 		{"no answer", table(3), nil, OrderResult{Uncertain: true}, false},
 	} {
-		m := newDesk(nil)
+		m := newRegistry(nil)
 		foundFleet(m)
 		m.Receive(0, "n1:1", Subscribe{Node: "n1"})
 		o := m.Apply(time.Millisecond, 7, 1, c.text, "digest")
@@ -222,7 +222,7 @@
 		{"a former member", []core.GroupMembers{{Members: []string{"a.1"}}, {Members: []string{"a.1"}, Former: []string{"c.1"}}}, false},
 		{"one partition silent", []core.GroupMembers{{Members: []string{"a.1"}}}, false},
 	} {
-		m := newDesk(nil)
+		m := newRegistry(nil)
 		topology := foundFleet(m)
 		retired := topology.Cores["c"]
 		retired.Retired, retired.Version = true, 2
@@ -243,48 +243,48 @@
 	}
 }
 
-// TestDesksReplicateDepartures checks that a departure acknowledged by one desk survives its loss,
-// and is sent to another desk only once unless that one lost it.
-func TestDesksReplicateDepartures(t *testing.T) {
+// TestRegistriesReplicateDepartures checks that a departure acknowledged by one registry survives
+// its loss, and is sent to another registry only once unless that one lost it.
+func TestRegistriesReplicateDepartures(t *testing.T) {
 	for name, leave := range map[string]func(m *Machine) Output{
 		"leaving": func(m *Machine) Output { return m.Heartbeat(time.Second, 0, replica(2, true)) },
 		"gone":    func(m *Machine) Output { return m.Leave(time.Second, 0, "r1") },
 	} {
-		first, second := newDesk(nil), newDesk(func(o *Options) { o.ID, o.Address, o.Incarnation = "d2", "d2:1", "l2" })
+		first, second := newRegistry(nil), newRegistry(func(o *Options) { o.ID, o.Address, o.Incarnation = "d2", "d2:1", "l2" })
 		subscribe := func(now time.Duration) Output {
 			first.subscribeAt, second.subscribeAt = now, now
 			for _, f := range sentTo[Subscribe](second.Tick(now), "d1:1") {
 				return first.Receive(now, "d2:1", f)
 			}
-			t.Fatalf("%s: the second desk does not subscribe to the first", name)
+			t.Fatalf("%s: the second registry does not subscribe to the first", name)
 			return Output{}
 		}
-		// The second desk knows the replica, and a node subscribes to it.
+		// The second registry knows the replica, and a node subscribes to it.
 		second.Heartbeat(0, 0, replica(1, false))
 		second.Receive(0, "n1:1", Subscribe{Node: "n1"})
 		first.Heartbeat(0, 0, replica(1, false))
 		for _, b := range sentTo[Update](subscribe(0), "d2:1") {
 			if len(b.Replicas) != 0 {
-				t.Fatalf("%s: a desk is sent replicas that stay: %+v", name, b.Replicas)
+				t.Fatalf("%s: a registry is sent replicas that stay: %+v", name, b.Replicas)
 			}
 			second.Receive(0, "d1:1", b)
 		}
 		sent := sentTo[Update](leave(first), "d2:1")
 		if len(sent) != 1 || len(sent[0].Replicas) != 1 {
-			t.Fatalf("%s: the other desk is sent %+v", name, sent)
+			t.Fatalf("%s: the other registry is sent %+v", name, sent)
 		}
 		o := second.Receive(time.Second, "d1:1", sent[0])
 		if len(o.ChangedReplicas) != 1 {
-			t.Errorf("%s: the other desk saves %+v", name, o.ChangedReplicas)
+			t.Errorf("%s: the other registry saves %+v", name, o.ChangedReplicas)
 		}
 		forwarded := sentTo[Update](o, "n1:1")
 		if len(forwarded) != 1 || len(forwarded[0].Replicas) != 1 || !forwarded[0].Replicas[0].Replica.Leaving && !forwarded[0].Replicas[0].Final {
-			t.Errorf("%s: the other desk's node is sent %+v", name, forwarded)
+			t.Errorf("%s: the other registry's node is sent %+v", name, forwarded)
 		}
 		// A late heartbeat does not bring the replica back.
 		second.Heartbeat(2*time.Second, 0, replica(1, false))
 		if l := second.replicas["r1"]; !l.Replica.Leaving && !l.Final {
-			t.Errorf("%s: the other desk has %+v after a late heartbeat", name, l.ReplicaEntry)
+			t.Errorf("%s: the other registry has %+v after a late heartbeat", name, l.ReplicaEntry)
 		}
 		for _, b := range sentTo[Update](subscribe(3*time.Second), "d2:1") {
 			if len(b.Replicas) != 0 {
--- a/peer/desk/peers.go
+++ b/peer/registry/peers.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"reflect"
@@ -7,18 +7,18 @@
 	"saffronfall/rule/ordered"
 )
 
-// Peers are the addresses that a desk saves, so that it can rejoin its fleet after a restart
+// Peers are the addresses that a registry saves, so that it can rejoin its fleet after a restart
 // even if none of its configured seeds is reachable.
 type Peers struct {
-	Fleet string               `msgpack:"f"`
-	Size  int                  `msgpack:"s"`
-	Cores map[string]core.Core `msgpack:"c"`
-	Desks []string             `msgpack:"d"`
+	Fleet      string               `msgpack:"f"`
+	Size       int                  `msgpack:"s"`
+	Cores      map[string]core.Core `msgpack:"c"`
+	Registries []string             `msgpack:"d"`
 }
 
-// Peers returns the addresses that this desk knows.
+// Peers returns the addresses that this registry knows.
 func (m *Machine) Peers() Peers {
-	peers := Peers{Fleet: m.topology.Fleet, Size: m.topology.GroupSize, Cores: make(map[string]core.Core, len(m.topology.Cores)), Desks: ordered.Keys(m.desks)}
+	peers := Peers{Fleet: m.topology.Fleet, Size: m.topology.GroupSize, Cores: make(map[string]core.Core, len(m.topology.Cores)), Registries: ordered.Keys(m.registries)}
 	for id, c := range m.topology.Cores {
 		peers.Cores[id] = c
 	}
@@ -38,9 +38,9 @@
 	for id, c := range peers.Cores {
 		m.topology.Cores[id] = c
 	}
-	for _, address := range peers.Desks {
-		if _, ok := m.desks[address]; !ok {
-			m.desks[address] = m.startedAt
+	for _, address := range peers.Registries {
+		if _, ok := m.registries[address]; !ok {
+			m.registries[address] = m.startedAt
 		}
 	}
 	m.saved.peers = peers
--- a/peer/desk/reachability.go
+++ b/peer/registry/reachability.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"time"
@@ -8,20 +8,20 @@
 
 const (
 	// maxUnconfirmedPulls is the number of pull intervals without a confirmation after which
-	// a desk considers itself disconnected from the cores.
+	// a registry considers itself disconnected from the cores.
 	maxUnconfirmedPulls = 3
 	// disconnectedCallPulls is the number of pull intervals that a call may wait while the
-	// desk is disconnected.
+	// registry is disconnected.
 	disconnectedCallPulls = 1
 	// nodeRetention is the number of heartbeat intervals for which a silent node still counts
-	// as one that the desk should reach.
+	// as one that the registry should reach.
 	nodeRetention = 40
 	// probeHeartbeats is the number of heartbeat intervals in which nodes must confirm a probe.
 	// Nodes renew twice per interval, so a single lost message causes no failure.
 	probeHeartbeats = 2
 )
 
-// reachability tracks which processes the desk can reach, and the calls that depend on it.
+// reachability tracks which processes the registry can reach, and the calls that depend on it.
 type reachability struct {
 	// pending has the calls that wait for the cores, by ticket.
 	pending map[uint64]pendingCall
@@ -30,7 +30,7 @@
 	probe      reachabilityProbe
 }
 
-// reachabilityProbe checks whether nodes receive the messages of a disconnected desk: it
+// reachabilityProbe checks whether nodes receive the messages of a disconnected registry: it
 // increments its version, and nodes report the version that they have when they renew.
 type reachabilityProbe struct {
 	nextAt time.Duration
@@ -39,7 +39,7 @@
 	version, previous uint64
 }
 
-// probeReachability sends a probe every probeHeartbeats while the desk is disconnected.
+// probeReachability sends a probe every probeHeartbeats while the registry is disconnected.
 func (m *Machine) probeReachability(now time.Duration) {
 	switch {
 	case m.coresReachable(now):
@@ -76,9 +76,9 @@
 	return m.lastConfirmed >= 0 && now-m.lastConfirmed < maxUnconfirmedPulls*m.params.Core.PullInterval
 }
 
-// expireCalls answers calls as uncertain while the desk is disconnected from the cores. Their
+// expireCalls answers calls as uncertain while the registry is disconnected from the cores. Their
 // commands are retried until they time out. That is safe because they are idempotent, and the
-// operator, who learns that the outcome is unknown, can repeat the call at another desk.
+// operator, who learns that the outcome is unknown, can repeat the call at another registry.
 func (m *Machine) expireCalls(now time.Duration) {
 	if m.coresReachable(now) {
 		return
@@ -91,15 +91,15 @@
 	}
 }
 
-// Isolated reports whether a desk reaches neither the cores nor at least half of its nodes.
-// Replicas should then report to another desk, since this one can't pass their reports on.
+// Isolated reports whether a registry reaches neither the cores nor at least half of its nodes.
+// Replicas should then report to another registry, since this one can't pass their reports on.
 func (m *Machine) Isolated(now time.Duration) bool {
 	if m.coresReachable(now) {
 		return false
 	}
 	known, reached := 0, 0
 	for _, s := range m.subscribers {
-		if s.isDesk {
+		if s.isRegistry {
 			continue
 		}
 		known++
--- a/peer/desk/reachability_test.go
+++ b/peer/registry/reachability_test.go
@@ -1,15 +1,15 @@
-package desk
+package registry
 
 import (
 	"testing"
 	"time"
 )
 
-// TestUnreachableDeskIsIsolated checks a desk that receives messages of its nodes, but not of the
-// cores: it is isolated if the nodes' reported versions show that its own messages are lost.
-func TestUnreachableDeskIsIsolated(t *testing.T) {
+// TestUnreachableRegistryIsIsolated checks a registry that receives messages of its nodes, but not
+// of the cores: it is isolated if the nodes' reported versions show that its own messages are lost.
+func TestUnreachableRegistryIsIsolated(t *testing.T) {
 	for _, delivered := range []bool{false, true} {
-		m := connectedDesk(t, 0)
+		m := connectedRegistry(t, 0)
 		nodes := map[string]uint64{"n1:1": 0, "n2:1": 0, "n3:1": 0}
 		isolated := time.Duration(0)
 		for now := time.Duration(0); now < 20*time.Second; now += 50 * time.Millisecond {
--- a/peer/desk/replicas.go
+++ b/peer/registry/replicas.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"time"
@@ -68,7 +68,7 @@
 // under its id.
 func (r *trackedReplica) isDeparting() bool { return r.Replica.Leaving || r.Final }
 
-// applyDeparture records a departure that was reported to another desk.
+// applyDeparture records a departure that was reported to another registry.
 func (m *Machine) applyDeparture(now time.Duration, reported ReplicaEntry) {
 	entry, known := m.replicas[reported.Replica.ID]
 	switch {
--- a/peer/desk/retirement.go
+++ b/peer/registry/retirement.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"slices"
--- a/peer/desk/subscribers.go
+++ b/peer/registry/subscribers.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"time"
@@ -6,8 +6,8 @@
 	"saffronfall/rule/ordered"
 )
 
-// subscriber is a node or another desk. version, table and topologyVersion include what was sent
-// to it but not confirmed yet.
+// subscriber is a node or another registry. version, table and topologyVersion include what was
+// sent to it but not confirmed yet.
 type subscriber struct {
 	incarnation        string
 	version            uint64
@@ -15,7 +15,7 @@
 	acceptsDifferences bool
 	topologyVersion    uint64
 	lastSeen           time.Duration
-	isDesk             bool
+	isRegistry         bool
 	// confirmedVersion is the version of this incarnation's list that it confirmed.
 	confirmedVersion uint64
 }
@@ -48,7 +48,7 @@
 		update.Since = 0
 	}
 	for _, id := range ordered.Keys(m.replicas) {
-		if entry := m.replicas[id]; entry.Version > update.Since && (!s.isDesk || entry.isDeparting()) {
+		if entry := m.replicas[id]; entry.Version > update.Since && (!s.isRegistry || entry.isDeparting()) {
 			update.Replicas = append(update.Replicas, entry.ReplicaEntry)
 			update.RenewNow = update.RenewNow || entry.isDeparting()
 		}
@@ -62,22 +62,22 @@
 	if s.topologyVersion != m.topologyVersion {
 		t := m.topology
 		update.Topology = &t
-		update.Desks = ordered.Keys(m.desks)
+		update.Registries = ordered.Keys(m.registries)
 	}
 	if !always && len(update.Replicas) == 0 && update.Table == nil && update.Differences == nil && update.Topology == nil {
 		return
 	}
-	update.RenewNow = update.RenewNow && !s.isDesk && m.activeDesks(now) == 0
+	update.RenewNow = update.RenewNow && !s.isRegistry && m.activeRegistries(now) == 0
 	s.incarnation, s.version, s.table, s.topologyVersion = m.incarnation, m.version, max(s.table, m.table.number()), m.topologyVersion
 	m.Counters.Updates++
 	m.addSend(to, update)
 }
 
-// activeDesks counts the other desks that renewed within the last heartbeat interval.
-func (m *Machine) activeDesks(now time.Duration) int {
+// activeRegistries counts the other registries that renewed within the last heartbeat interval.
+func (m *Machine) activeRegistries(now time.Duration) int {
 	n := 0
 	for _, s := range m.subscribers {
-		if s.isDesk && s.isActive(now, m.params.HeartbeatInterval) {
+		if s.isRegistry && s.isActive(now, m.params.HeartbeatInterval) {
 			n++
 		}
 	}
@@ -88,7 +88,7 @@
 func (m *Machine) nodeCount(now time.Duration) int {
 	n := 0
 	for _, s := range m.subscribers {
-		if !s.isDesk && m.isSubscribed(now, s) {
+		if !s.isRegistry && m.isSubscribed(now, s) {
 			n++
 		}
 	}
@@ -102,14 +102,14 @@
 		s = &subscriber{}
 		m.subscribers[from] = s
 	}
-	s.lastSeen, s.isDesk = now, request.IsDesk
+	s.lastSeen, s.isRegistry = now, request.IsRegistry
 	s.incarnation, s.version, s.table, s.acceptsDifferences = request.Incarnation, request.Version, request.Table, request.AcceptsDifferences
 	s.confirmedVersion = request.Version
 	if request.Incarnation != m.incarnation {
 		s.topologyVersion, s.confirmedVersion = 0, 0
 	}
-	if request.IsDesk {
-		m.learnDesk(now, from)
+	if request.IsRegistry {
+		m.learnRegistry(now, from)
 	}
 	if request.Table > m.table.number() {
 		// The subscriber has a newer table, so the cores are asked for it at once.
@@ -119,18 +119,18 @@
 	m.answerDepartures(now)
 }
 
-// deskCursor is the version up to which another desk's updates were received.
-type deskCursor struct {
+// registryCursor is the version up to which another registry's updates were received.
+type registryCursor struct {
 	incarnation string
 	version     uint64
 }
 
-// applyDepartures records the departures that another desk reports, so that those it has
+// applyDepartures records the departures that another registry reports, so that those it has
 // acknowledged survive its loss.
 func (m *Machine) applyDepartures(now time.Duration, from string, update Update) {
-	cursor := m.deskCursors[from]
+	cursor := m.registryCursors[from]
 	if cursor.incarnation != update.Incarnation {
-		cursor = deskCursor{incarnation: update.Incarnation}
+		cursor = registryCursor{incarnation: update.Incarnation}
 	}
 	if update.Since <= cursor.version {
 		for _, entry := range update.Replicas {
@@ -138,37 +138,37 @@
 		}
 		cursor.version = max(cursor.version, update.Version)
 	}
-	m.deskCursors[from] = cursor
+	m.registryCursors[from] = cursor
 	if len(update.Replicas) > 0 {
-		// A replica waits for the confirmation that this desk has its departure.
+		// A replica waits for the confirmation that this registry has its departure.
 		m.subscribeTo(from)
 	}
 }
 
-// subscribeTo subscribes to another desk, and confirms the version received from it.
+// subscribeTo subscribes to another registry, and confirms the version received from it.
 func (m *Machine) subscribeTo(to string) {
-	cursor := m.deskCursors[to]
-	m.addSend(to, Subscribe{Node: m.deskID, Table: m.table.number(), AcceptsDifferences: true, IsDesk: true, Incarnation: cursor.incarnation, Version: cursor.version})
+	cursor := m.registryCursors[to]
+	m.addSend(to, Subscribe{Node: m.registryID, Table: m.table.number(), AcceptsDifferences: true, IsRegistry: true, Incarnation: cursor.incarnation, Version: cursor.version})
 }
 
-// learnDesk records the address of a desk that sent a message or was reported by another.
-func (m *Machine) learnDesk(now time.Duration, address string) {
-	if _, ok := m.desks[address]; !ok {
+// learnRegistry records the address of a registry that sent a message or was reported by another.
+func (m *Machine) learnRegistry(now time.Duration, address string) {
+	if _, ok := m.registries[address]; !ok {
 		m.topologyVersion++
 	}
-	m.desks[address] = now
+	m.registries[address] = now
 }
 
-// onUpdate merges an update of another desk: departures, topology, addresses and table.
+// onUpdate merges an update of another registry: departures, topology, addresses and table.
 func (m *Machine) onUpdate(now time.Duration, from string, update Update) {
-	m.learnDesk(now, from)
+	m.learnRegistry(now, from)
 	m.applyDepartures(now, from, update)
 	if update.Topology != nil {
 		m.mergeTopology(now, *update.Topology)
 	}
-	for _, address := range update.Desks {
-		if _, ok := m.desks[address]; !ok {
-			m.learnDesk(now, address)
+	for _, address := range update.Registries {
+		if _, ok := m.registries[address]; !ok {
+			m.learnRegistry(now, address)
 			m.subscribeAt = now
 		}
 	}
--- a/peer/desk/table.go
+++ b/peer/registry/table.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"time"
@@ -11,7 +11,7 @@
 	"saffronfall/rule/route"
 )
 
-// updateConfirmation records the time up to which this desk has the current table for certain.
+// updateConfirmation records the time up to which this registry has the current table for certain.
 func (m *Machine) updateConfirmation(now time.Duration) {
 	if m.lastFresh.UpTo == (partition.Version{}) || m.pulledUpTo.Less(m.lastFresh.UpTo) {
 		return
@@ -117,7 +117,7 @@
 	})
 }
 
-// Read reads the current table from the cores, never from this desk's copy. The ticket is
+// Read reads the current table from the cores, never from this registry's copy. The ticket is
 // answered with a core.CurrentTable; its number is zero if the cores did not answer.
 func (m *Machine) Read(now time.Duration, ticket uint64) Output {
 	m.out = &Output{}
--- a/peer/desk/topology.go
+++ b/peer/registry/topology.go
@@ -1,4 +1,4 @@
-package desk
+package registry
 
 import (
 	"fmt"
@@ -24,7 +24,8 @@
 	return addresses
 }
 
-// forwarders returns the nodes and desks that can forward a command if no core answers directly.
+// forwarders returns the nodes and registries that can forward a command if no core answers
+// directly.
 func (m *Machine) forwarders() []string {
 	var addresses []string
 	for _, address := range ordered.Keys(m.subscribers) {
@@ -119,7 +120,7 @@
 		for _, id := range ordered.Keys(m.foundingCores) {
 			cores = append(cores, m.foundingCores[id])
 		}
-		founding := core.PlanFleet(fmt.Sprintf("%s-%s", m.deskID, m.incarnation), 1+m.params.PartitionsPerCore*len(cores), m.params.GroupSize, cores)
+		founding := core.PlanFleet(fmt.Sprintf("%s-%s", m.registryID, m.incarnation), 1+m.params.PartitionsPerCore*len(cores), m.params.GroupSize, cores)
 		m.founding = &founding
 	}
 	for _, id := range ordered.Keys(m.founding.Cores) {
--- a/peer/desk/types.go
+++ b/peer/registry/types.go
@@ -1,13 +1,14 @@
-// Package desk is the state machine of the control front (role "desk"). Replicas send it
-// heartbeats, operators submit routing tables and amendments, and nodes and other desks
-// subscribe to it for updates of the replica list, the table and the topology.
+// Package registry is the state machine of one of the fleet's registries, a role that operators
+// know as "desk" (its name in settings, metrics and stored data). Replicas send it heartbeats,
+// operators submit routing tables and amendments, and nodes and other registries subscribe to it
+// for updates of the replica list, the table and the topology.
 //
 // A Machine does no I/O and reads no clock: Receive, Tick and the API methods take the
 // current time and return an Output that the process carries out. Durable state belongs to
-// the cores. A desk saves only its replica list and peer addresses, to use after a restart. A
+// the cores. A registry saves only its replica list and peer addresses, to use after a restart. A
 // replica's departure is acknowledged once other processes know it, so that it survives the
-// loss of this desk. Start reading at Machine.Receive and Machine.Tick.
-package desk
+// loss of this registry. Start reading at Machine.Receive and Machine.Tick.
+package registry
 
 import (
 	"time"
@@ -31,7 +32,7 @@
 	Sequence int64 `msgpack:"q" json:"call"`
 }
 
-// ReplicaEntry is a replica in a desk's list. A Removed replica gets no requests; its entry
+// ReplicaEntry is a replica in a registry's list. A Removed replica gets no requests; its entry
 // stays listed for a while so that all nodes learn of the removal.
 type ReplicaEntry struct {
 	Replica Replica `msgpack:"r"`
@@ -42,21 +43,21 @@
 	Version uint64 `msgpack:"v"`
 }
 
-// Messages between nodes and desks.
+// Messages between nodes and registries.
 type (
-	// Subscribe requests the changes since a version from a desk, and subscribes the sender
+	// Subscribe requests the changes since a version from a registry, and subscribes the sender
 	// to later ones. The subscription expires unless it is renewed.
 	Subscribe struct {
 		Node string `msgpack:"n"`
-		// Incarnation is the desk's incarnation that Version belongs to.
+		// Incarnation is the registry's incarnation that Version belongs to.
 		Incarnation string `msgpack:"l"`
 		Version     uint64 `msgpack:"v"`
 		// Table is the number of the subscriber's newest table; zero requests a full table.
 		// AcceptsDifferences is set if it can apply differences.
 		Table              uint64 `msgpack:"t"`
 		AcceptsDifferences bool   `msgpack:"p"`
-		// IsDesk is set if the subscriber is a desk.
-		IsDesk bool `msgpack:"d"`
+		// IsRegistry is set if the subscriber is a registry.
+		IsRegistry bool `msgpack:"d"`
 	}
 	// Update carries the changes after version Since to a subscriber.
 	Update struct {
@@ -73,12 +74,13 @@
 		// ConfirmationAge is the time since the cores confirmed that no newer table exists;
 		// negative if they never did.
 		ConfirmationAge time.Duration `msgpack:"c"`
-		// NodeCount is the number of subscribed nodes. Desks are the addresses of all desks.
-		NodeCount int            `msgpack:"o"`
-		Desks     []string       `msgpack:"d"`
-		Topology  *core.Topology `msgpack:"y"`
+		// NodeCount is the number of subscribed nodes. Registries are the addresses of all
+		// registries.
+		NodeCount  int            `msgpack:"o"`
+		Registries []string       `msgpack:"d"`
+		Topology   *core.Topology `msgpack:"y"`
 		// RenewNow tells a node to renew its subscription at once, because a departing replica
-		// waits until its departure is known outside this desk.
+		// waits until its departure is known outside this registry.
 		RenewNow bool `msgpack:"k,omitempty"`
 	}
 )
@@ -91,7 +93,7 @@
 	})
 }
 
-// Params are a desk's timing and sizes; other timing is derived from them.
+// Params are a registry's timing and sizes; other timing is derived from them.
 type Params struct {
 	Core core.Params
 	// HeartbeatInterval is the time between two heartbeats of a replica.
@@ -119,7 +121,7 @@
 	Body   any
 }
 
-// Output lists the effects of a step. If the desk has a disk, ChangedReplicas and Peers (if
+// Output lists the effects of a step. If the registry has a disk, ChangedReplicas and Peers (if
 // not nil) are written first; then messages are sent, then calls are answered.
 type Output struct {
 	ChangedReplicas []ReplicaEntry
@@ -128,7 +130,7 @@
 	Answers         []Answer
 }
 
-// Counters are a desk's event counts since it started.
+// Counters are a registry's event counts since it started.
 type Counters struct {
 	Messages, Heartbeats, Updates, Changes, TablesApplied, TablesRefused, BadMessages int64
 }
--- a/peer/relay/loads.go
+++ b/peer/relay/loads.go
@@ -4,13 +4,13 @@
 	"math"
 	"time"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/ordered"
 	"saffronfall/rule/placement"
 )
 
 // loadSharing is the state of load reports: a node reports its outstanding requests to each
-// desk, and each desk reports the sums over all nodes for the replicas that it lists.
+// registry, and each registry reports the sums over all nodes for the replicas that it lists.
 type loadSharing struct {
 	reportAt time.Duration
 	// loadObservedAt is when the admission controllers last saw the load.
@@ -18,34 +18,34 @@
 	loadUpdates    int64
 }
 
-// loadValidityPeriods is for how many report intervals a desk's load report is valid.
+// loadValidityPeriods is for how many report intervals a registry's load report is valid.
 // Without a valid report, a node estimates loads from its own attempts.
 const loadValidityPeriods = 6
 
 // loadIndex lists the replicas in the order in which load reports refer to them: those
-// listed by the desk's current incarnation. Listings of an earlier incarnation stay valid
+// listed by the registry's current incarnation. Listings of an earlier incarnation stay valid
 // for a while but are not indexed.
-func (view *deskView) loadIndex() []string {
+func (view *registryView) loadIndex() []string {
 	if view.indexedVersion != view.version || view.indexedIDs == nil {
-		view.indexedIDs = desk.ReplicaOrder(view.replicas, func(p listing) bool { return p.Removed || p.expiresAt > 0 })
+		view.indexedIDs = registry.ReplicaOrder(view.replicas, func(p listing) bool { return p.Removed || p.expiresAt > 0 })
 		view.indexedVersion = view.version
 	}
 	return view.indexedIDs
 }
 
-// reportLoads reports to each desk this node's requests at its replicas. After an empty
+// reportLoads reports to each registry this node's requests at its replicas. After an empty
 // report, no further one is sent until there is something to report.
 func (m *Machine) reportLoads(now time.Duration) {
 	if m.params.LoadReportInterval <= 0 || now < m.reportAt {
 		return
 	}
 	m.reportAt = now + m.params.LoadReportInterval
-	for _, address := range ordered.Keys(m.desks) {
-		view := m.desks[address]
+	for _, address := range ordered.Keys(m.registries) {
+		view := m.registries[address]
 		if !view.alive(now, m.params.HeartbeatInterval) {
 			continue
 		}
-		report := desk.LoadReport{Incarnation: view.incarnation, Version: view.version, Replicas: m.loadsFor(view)}
+		report := registry.LoadReport{Incarnation: view.incarnation, Version: view.version, Replicas: m.loadsFor(view)}
 		if len(report.Replicas) == 0 && !view.reportedLoad {
 			continue
 		}
@@ -54,8 +54,8 @@
 	}
 }
 
-// loadsFor lists this node's requests at the replicas of a desk.
-func (m *Machine) loadsFor(view *deskView) (list []desk.ReplicaLoad) {
+// loadsFor lists this node's requests at the replicas of a registry.
+func (m *Machine) loadsFor(view *registryView) (list []registry.ReplicaLoad) {
 	for index, id := range view.loadIndex() {
 		r := m.replicas[id]
 		if r == nil {
@@ -65,7 +65,7 @@
 		if r.estimate.Outstanding == 0 && outcomes == (placement.Outcomes{}) {
 			continue
 		}
-		list = append(list, desk.ReplicaLoad{Index: uint16(index), Outstanding: clampUint16(r.estimate.Outstanding), Served: clampUint16(outcomes.Served), Failed: clampUint16(outcomes.Failed),
+		list = append(list, registry.ReplicaLoad{Index: uint16(index), Outstanding: clampUint16(r.estimate.Outstanding), Served: clampUint16(outcomes.Served), Failed: clampUint16(outcomes.Failed),
 			Busy: outcomes.Busy, Units: clampUint16(outcomes.Units)})
 	}
 	return list
@@ -74,9 +74,9 @@
 // clampUint16 limits n to the range of a uint16.
 func clampUint16(n int64) uint16 { return uint16(min(max(n, 0), math.MaxUint16)) }
 
-// handleLoads applies a desk's load report.
-func (m *Machine) handleLoads(now time.Duration, from string, l desk.Loads) {
-	view := m.desks[from]
+// handleLoads applies a registry's load report.
+func (m *Machine) handleLoads(now time.Duration, from string, l registry.Loads) {
+	view := m.registries[from]
 	if view == nil || view.incarnation != l.Incarnation || view.version != l.Version {
 		return
 	}
@@ -91,7 +91,7 @@
 		if r := m.replicas[id]; r != nil {
 			r.estimate.SetShared(int64(l.Outstanding[i]), float64(l.FailureRates[i])/math.MaxUint8, until)
 			if l.UnitTimes[i] > 0 {
-				r.estimate.SetUnitTime(time.Duration(l.UnitTimes[i]) * desk.UnitTimeResolution)
+				r.estimate.SetUnitTime(time.Duration(l.UnitTimes[i]) * registry.UnitTimeResolution)
 			}
 		}
 	}
--- a/peer/relay/loads_test.go
+++ b/peer/relay/loads_test.go
@@ -4,28 +4,28 @@
 	"testing"
 	"time"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 )
 
-// TestLoadIndexUsesCurrentDeskIncarnation: after the restart of a desk, replicas listed
+// TestLoadIndexUsesCurrentRegistryIncarnation: after the restart of a registry, replicas listed
 // only by its earlier incarnation stay listed for a while but have no index in load reports,
 // even if both incarnations have the same version.
-func TestLoadIndexUsesCurrentDeskIncarnation(t *testing.T) {
+func TestLoadIndexUsesCurrentRegistryIncarnation(t *testing.T) {
 	h := newHarness(t)
 	h.node.params.LoadReportInterval = 100 * time.Millisecond
-	tell := func(incarnation string, list []desk.ReplicaEntry) {
-		h.apply(h.node.Receive(h.now, "d1:1", desk.Update{Incarnation: incarnation, Version: 7, Replicas: list, NodeCount: 1}))
+	tell := func(incarnation string, list []registry.ReplicaEntry) {
+		h.apply(h.node.Receive(h.now, "d1:1", registry.Update{Incarnation: incarnation, Version: 7, Replicas: list, NodeCount: 1}))
 	}
 	tell("first", listings("app", "a1", "a2", "a3"))
-	if got := h.node.desks["d1:1"].loadIndex(); len(got) != 3 {
+	if got := h.node.registries["d1:1"].loadIndex(); len(got) != 3 {
 		t.Fatalf("index %v", got)
 	}
 	tell("second", listings("app", "a1", "a3"))
-	if got := h.node.desks["d1:1"].loadIndex(); len(got) != 2 || got[0] != "a1" || got[1] != "a3" {
+	if got := h.node.registries["d1:1"].loadIndex(); len(got) != 2 || got[0] != "a1" || got[1] != "a3" {
 		t.Errorf("after a restart: index %v", got)
 	}
 	h.node.mergeListings(h.now)
-	h.apply(h.node.Receive(h.now, "d1:1", desk.Loads{Incarnation: "second", Version: 7, Outstanding: []byte{2, 9}, FailureRates: []byte{0, 0}, UnitTimes: []uint16{0, 0}}))
+	h.apply(h.node.Receive(h.now, "d1:1", registry.Loads{Incarnation: "second", Version: 7, Outstanding: []byte{2, 9}, FailureRates: []byte{0, 0}, UnitTimes: []uint16{0, 0}}))
 	if h.node.loadUpdates != 1 || h.node.Counters.BadMessages != 0 {
 		t.Errorf("%d load reports applied, %d bad messages", h.node.loadUpdates, h.node.Counters.BadMessages)
 	}
--- a/peer/relay/machine.go
+++ b/peer/relay/machine.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/invariant"
 	"saffronfall/rule/ordered"
 	"saffronfall/rule/placement"
@@ -21,7 +21,7 @@
 	Incarnation string
 	Zone        string
 	Address     string
-	// Seeds are the addresses of desks that are always asked for updates.
+	// Seeds are the addresses of registries that are always asked for updates.
 	Seeds []string
 	Now   time.Duration
 	// Random returns numbers in [0, 1).
@@ -45,7 +45,7 @@
 	topology        core.Topology
 	started         time.Duration
 
-	deskState
+	registryState
 	tableState
 	auditState
 
@@ -76,27 +76,27 @@
 	reservations uint64
 }
 
-// deskState is what a node knows of the desks, and from them of other nodes.
-type deskState struct {
-	deskAddresses     []string
-	desks             map[string]*deskView
+// registryState is what a node knows of the registries, and from them of other nodes.
+type registryState struct {
+	registryAddresses []string
+	registries        map[string]*registryView
 	nodes             int
 	nextUpdateRequest time.Duration
-	// departed are the replicas that announced that they leave, at any desk.
+	// departed are the replicas that announced that they leave, at any registry.
 	departed departedReplicas
 }
 
 // New returns the machine of a node that knows no table and no replicas yet.
 func New(o Options) *Machine {
 	m := &Machine{params: o.Params, id: o.ID, incarnation: o.Incarnation, zone: o.Zone, address: o.Address, seeds: o.Seeds, random: o.Random, started: o.Now,
-		deskState: deskState{desks: map[string]*deskView{}, departed: departedReplicas{}}, tableState: tableState{tenants: map[string]*route.Tenant{}},
+		registryState: registryState{registries: map[string]*registryView{}, departed: departedReplicas{}}, tableState: tableState{tenants: map[string]*route.Tenant{}},
 		auditState: auditState{violated: o.Violated, byCause: map[Cause]int64{}, lastTick: o.Now},
 		selection:  selection{services: map[string]*service{}, replicas: map[string]*replicaRecord{}, policy: &placement.Policy{Settings: o.Params.Placement, Zone: o.Zone, Random: o.Random}},
 		rateState:  rateState{rates: map[string]*tenantRate{}}, cache: newTurnCache(o.Params.CacheBytes), active: map[uint64]*activeRequest{}}
 	m.caller = &core.Caller{Retry: o.Params.Core.AttemptTimeout, Random: o.Random,
 		Send:       func(to string, body any) { m.send(to, body) },
 		Partitions: func() int { return len(m.topology.Leaders) },
-		Cores:      func() []string { return desk.CoreAddresses(m.topology) }}
+		Cores:      func() []string { return registry.CoreAddresses(m.topology) }}
 	return m
 }
 
@@ -116,10 +116,10 @@
 			m.drawAt = now + m.params.RateWindow/drawChecksPerWindow
 			m.drawRates(now)
 		}
-	case desk.Update:
+	case registry.Update:
 		m.Counters.Updates++
 		m.handleUpdate(now, from, b)
-	case desk.Loads:
+	case registry.Loads:
 		m.handleLoads(now, from, b)
 	default:
 		m.Counters.BadMessages++
@@ -127,21 +127,21 @@
 	return *m.out
 }
 
-// handleUpdate takes the replicas, routing table and topology of a desk's update. A first
-// table is put in force once a desk has confirmed it as the newest, or two heartbeat
+// handleUpdate takes the replicas, routing table and topology of a registry's update. A first
+// table is put in force once a registry has confirmed it as the newest, or two heartbeat
 // intervals after the start.
-func (m *Machine) handleUpdate(now time.Duration, from string, b desk.Update) {
-	view := m.desks[from]
+func (m *Machine) handleUpdate(now time.Duration, from string, b registry.Update) {
+	view := m.registries[from]
 	if view == nil {
-		view = &deskView{replicas: map[string]listing{}}
-		m.desks[from] = view
+		view = &registryView{replicas: map[string]listing{}}
+		m.registries[from] = view
 	}
-	if !slices.Contains(m.deskAddresses, from) {
-		m.deskAddresses = append(m.deskAddresses, from)
+	if !slices.Contains(m.registryAddresses, from) {
+		m.registryAddresses = append(m.registryAddresses, from)
 	}
 	view.lastUpdateAt = now
 	if view.incarnation != b.Incarnation {
-		// The desk has restarted. Its earlier listings stay valid until replicas had
+		// The registry has restarted. Its earlier listings stay valid until replicas had
 		// time to announce themselves again.
 		for id, p := range view.replicas {
 			p.expiresAt = now + lostHeartbeats*m.params.HeartbeatInterval
@@ -169,9 +169,9 @@
 	}
 	if b.Topology != nil {
 		m.mergeTopology(*b.Topology)
-		for _, address := range b.Desks {
-			if !slices.Contains(m.deskAddresses, address) {
-				m.deskAddresses = append(m.deskAddresses, address)
+		for _, address := range b.Registries {
+			if !slices.Contains(m.registryAddresses, address) {
+				m.registryAddresses = append(m.registryAddresses, address)
 				m.nextUpdateRequest = now
 			}
 		}
@@ -200,28 +200,28 @@
 	}
 }
 
-// dropSilentDesks forgets desks that have been silent for long while another one is alive,
-// as desks may be replaced at new addresses. A desk that returns is named in the updates of
-// other desks, and seeds are always asked.
-func (m *Machine) dropSilentDesks(now time.Duration) {
+// dropSilentRegistries forgets registries that have been silent for long while another one is
+// alive, as registries may be replaced at new addresses. A registry that returns is named in the
+// updates of other registries, and seeds are always asked.
+func (m *Machine) dropSilentRegistries(now time.Duration) {
 	anyAlive := false
-	for _, view := range m.desks {
+	for _, view := range m.registries {
 		anyAlive = anyAlive || view.alive(now, m.params.HeartbeatInterval)
 	}
 	if !anyAlive {
 		return
 	}
-	m.deskAddresses = slices.DeleteFunc(m.deskAddresses, func(address string) bool {
-		view := m.desks[address]
+	m.registryAddresses = slices.DeleteFunc(m.registryAddresses, func(address string) bool {
+		view := m.registries[address]
 		if view == nil {
-			// Named by another desk; it has sent no update yet.
-			view = &deskView{replicas: map[string]listing{}, lastUpdateAt: now}
-			m.desks[address] = view
+			// Named by another registry; it has sent no update yet.
+			view = &registryView{replicas: map[string]listing{}, lastUpdateAt: now}
+			m.registries[address] = view
 		}
 		if now <= view.lastUpdateAt+departedHeartbeats*m.params.HeartbeatInterval {
 			return false
 		}
-		delete(m.desks, address)
+		delete(m.registries, address)
 		return true
 	})
 }
@@ -245,17 +245,17 @@
 			m.topology.Cores[id] = c
 		}
 	}
-	desk.HintLeaders(m.caller, m.topology)
+	registry.HintLeaders(m.caller, m.topology)
 }
 
-// requestUpdate asks a desk for updates after the version last received from it, and
+// requestUpdate asks a registry for updates after the version last received from it, and
 // thereby acknowledges that version.
 func (m *Machine) requestUpdate(to string) {
-	subscription := desk.Subscribe{Node: m.id, AcceptsDifferences: true}
+	subscription := registry.Subscribe{Node: m.id, AcceptsDifferences: true}
 	if m.pending != nil && !m.needsFullTable {
 		subscription.Table = m.pending.Number
 	}
-	if view := m.desks[to]; view != nil {
+	if view := m.registries[to]; view != nil {
 		subscription.Incarnation, subscription.Version = view.incarnation, view.version
 	}
 	m.send(to, subscription)
@@ -272,8 +272,8 @@
 	m.observeLoad(now)
 	if now >= m.nextUpdateRequest {
 		m.nextUpdateRequest = now + m.params.UpdateInterval
-		m.dropSilentDesks(now)
-		targets := append([]string(nil), m.deskAddresses...)
+		m.dropSilentRegistries(now)
+		targets := append([]string(nil), m.registryAddresses...)
 		for _, seed := range m.seeds {
 			if !slices.Contains(targets, seed) {
 				targets = append(targets, seed)
@@ -324,5 +324,5 @@
 
 // Describe summarizes for logs the state on which readiness depends.
 func (m *Machine) Describe(now time.Duration) string {
-	return fmt.Sprintf("table %d, %d desks, %d cores", m.TableNumber(), len(m.desks), len(m.topology.Cores))
+	return fmt.Sprintf("table %d, %d desks, %d cores", m.TableNumber(), len(m.registries), len(m.topology.Cores))
 }
--- a/peer/relay/machine_test.go
+++ b/peer/relay/machine_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/book"
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/message"
@@ -19,7 +19,7 @@
 	"saffronfall/rule/route"
 )
 
-// harness runs one node with one desk, and cores that answer at once unless coresSilent is
+// harness runs one node with one registry, and cores that answer at once unless coresSilent is
 // set.
 type harness struct {
 	t              *testing.T
@@ -134,18 +134,18 @@
 	return nil
 }
 
-// update delivers an update of a desk.
-func (h *harness) update(from string, list []desk.ReplicaEntry, number uint64, text []byte) {
+// update delivers an update of a registry.
+func (h *harness) update(from string, list []registry.ReplicaEntry, number uint64, text []byte) {
 	h.version++
 	topology := core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1"}}, Leaders: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}},
 		Groups: make([]partition.Group, 2)}
-	h.apply(h.node.Receive(h.now, from, desk.Update{Incarnation: "l", Version: h.version, Replicas: list, TableNumber: number, Table: text, NodeCount: 1, Topology: &topology}))
+	h.apply(h.node.Receive(h.now, from, registry.Update{Incarnation: "l", Version: h.version, Replicas: list, TableNumber: number, Table: text, NodeCount: 1, Topology: &topology}))
 }
 
-func listings(service string, ids ...string) []desk.ReplicaEntry {
-	var list []desk.ReplicaEntry
+func listings(service string, ids ...string) []registry.ReplicaEntry {
+	var list []registry.ReplicaEntry
 	for i, id := range ids {
-		list = append(list, desk.ReplicaEntry{Replica: desk.Replica{ID: id, Service: service, Address: id + ":1", Zone: "a", Slots: 4, Sequence: int64(i + 1)}, Version: 1})
+		list = append(list, registry.ReplicaEntry{Replica: registry.Replica{ID: id, Service: service, Address: id + ":1", Zone: "a", Slots: 4, Sequence: int64(i + 1)}, Version: 1})
 	}
 	return list
 }
@@ -218,13 +218,13 @@
 	}
 }
 
-// TestReplicaListedByOneDeskStaysKnown: a replica that moved to another desk and back is
-// not hidden by the desk that lost it.
-func TestReplicaListedByOneDeskStaysKnown(t *testing.T) {
+// TestReplicaListedByOneRegistryStaysKnown: a replica that moved to another registry and back is
+// not hidden by the registry that lost it.
+func TestReplicaListedByOneRegistryStaysKnown(t *testing.T) {
 	h := newHarness(t)
 	h.start()
-	at := func(call int64, gone bool) []desk.ReplicaEntry {
-		return []desk.ReplicaEntry{{Replica: desk.Replica{ID: "r", Service: "app", Address: "r:1", Zone: "a", Slots: 4, Sequence: call}, Removed: gone, Version: 9}}
+	at := func(call int64, gone bool) []registry.ReplicaEntry {
+		return []registry.ReplicaEntry{{Replica: registry.Replica{ID: "r", Service: "app", Address: "r:1", Zone: "a", Slots: 4, Sequence: call}, Removed: gone, Version: 9}}
 	}
 	h.update("d2:1", at(11, false), 1, nil)
 	h.update("d1:1", at(12, false), 1, nil)
@@ -235,7 +235,7 @@
 		found = found || s.ID == "r"
 	}
 	if !found {
-		t.Fatal("a replica that sends heartbeats to the second desk is not known")
+		t.Fatal("a replica that sends heartbeats to the second registry is not known")
 	}
 	final := at(12, true)
 	final[0].Final = true
@@ -423,7 +423,7 @@
 	h.expect(ticket, StepDeliver, 0)
 }
 
-// TestLeavingReplicaReceivesNoRequests: a replica is not chosen once a desk lists it as
+// TestLeavingReplicaReceivesNoRequests: a replica is not chosen once a registry lists it as
 // leaving.
 func TestLeavingReplicaReceivesNoRequests(t *testing.T) {
 	h := newHarness(t)
@@ -442,14 +442,14 @@
 	}
 }
 
-// TestNewIncarnationWaitsForConfirmedTable: a node that starts uses no table before a desk
+// TestNewIncarnationWaitsForConfirmedTable: a node that starts uses no table before a registry
 // has confirmed it as the newest, and never returns to an older one.
 func TestNewIncarnationWaitsForConfirmedTable(t *testing.T) {
 	h := newHarness(t)
 	h.node.params.HeartbeatInterval = time.Hour
 	tell := func(number uint64, text []byte, confirmed time.Duration) {
 		h.version++
-		h.apply(h.node.Receive(h.now, "d1:1", desk.Update{Incarnation: "l", Version: h.version, TableNumber: number, Table: text, ConfirmationAge: confirmed, NodeCount: 1}))
+		h.apply(h.node.Receive(h.now, "d1:1", registry.Update{Incarnation: "l", Version: h.version, TableNumber: number, Table: text, ConfirmationAge: confirmed, NodeCount: 1}))
 	}
 	tell(3, tableJSON(3, nil), -1)
 	if h.node.Ready(h.now) || h.node.TableNumber() != 0 {
--- a/peer/relay/overload.go
+++ b/peer/relay/overload.go
@@ -10,7 +10,7 @@
 )
 
 // observeLoad updates the reference speed of each service and the load that its admission
-// controller sees. Both need the desks' reports of other nodes' requests.
+// controller sees. Both need the registries' reports of other nodes' requests.
 func (m *Machine) observeLoad(now time.Duration) {
 	if m.params.LoadReportInterval <= 0 || now < m.loadObservedAt+m.params.LoadReportInterval {
 		return
--- a/peer/relay/overload_test.go
+++ b/peer/relay/overload_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/placement"
 	"saffronfall/rule/route"
 )
@@ -24,18 +24,18 @@
 	return h
 }
 
-// reportLoad makes the desk report for a time how many requests other nodes have at each
+// reportLoad makes the registry report for a time how many requests other nodes have at each
 // replica.
 func (h *harness) reportLoad(outstanding byte, period time.Duration) {
 	for end := h.now + period; h.now < end; h.advance(50 * time.Millisecond) {
-		view := h.node.desks["d1:1"]
+		view := h.node.registries["d1:1"]
 		view.lastUpdateAt = h.now
 		n := len(view.loadIndex())
 		load := make([]byte, n)
 		for i := range load {
 			load[i] = outstanding
 		}
-		h.apply(h.node.Receive(h.now, "d1:1", desk.Loads{Incarnation: view.incarnation, Version: view.version, Outstanding: load, FailureRates: make([]byte, n), UnitTimes: make([]uint16, n)}))
+		h.apply(h.node.Receive(h.now, "d1:1", registry.Loads{Incarnation: view.incarnation, Version: view.version, Outstanding: load, FailureRates: make([]byte, n), UnitTimes: make([]uint16, n)}))
 	}
 }
 
--- a/peer/relay/deskconfirm_test.go
+++ b/peer/relay/registryconfirm_test.go
@@ -3,20 +3,20 @@
 import (
 	"testing"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 )
 
-// TestNodeConfirmsLeavingReplica: a node confirms to a desk that asks for it at once which
+// TestNodeConfirmsLeavingReplica: a node confirms to a registry that asks for it at once which
 // version it has, which includes the leaving replica.
 func TestNodeConfirmsLeavingReplica(t *testing.T) {
 	h := newHarness(t)
 	h.version++
-	leaving := desk.ReplicaEntry{Replica: desk.Replica{ID: "r1", Service: "app", Leaving: true}, Version: h.version}
+	leaving := registry.ReplicaEntry{Replica: registry.Replica{ID: "r1", Service: "app", Leaving: true}, Version: h.version}
 	for _, confirm := range []bool{false, true} {
-		o := h.node.Receive(h.now, "d1:1", desk.Update{Incarnation: "l", Version: h.version, Replicas: []desk.ReplicaEntry{leaving}, NodeCount: 1, RenewNow: confirm})
+		o := h.node.Receive(h.now, "d1:1", registry.Update{Incarnation: "l", Version: h.version, Replicas: []registry.ReplicaEntry{leaving}, NodeCount: 1, RenewNow: confirm})
 		confirmed := false
 		for _, s := range o.Sends {
-			f, ok := s.Body.(desk.Subscribe)
+			f, ok := s.Body.(registry.Subscribe)
 			confirmed = confirmed || ok && s.To == "d1:1" && f.Incarnation == "l" && f.Version == h.version
 		}
 		if confirmed != confirm {
--- a/peer/relay/replicas.go
+++ b/peer/relay/replicas.go
@@ -3,42 +3,42 @@
 import (
 	"time"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/admission"
 	"saffronfall/rule/ordered"
 	"saffronfall/rule/placement"
 )
 
-// deskView is what this node has received from one desk.
-type deskView struct {
+// registryView is what this node has received from one registry.
+type registryView struct {
 	incarnation string
 	version     uint64
-	// lastUpdateAt is when the last update was received from the desk, or when another desk
+	// lastUpdateAt is when the last update was received from the registry, or when another registry
 	// first named it.
 	lastUpdateAt time.Duration
 	replicas     map[string]listing
 	// indexedIDs is the cached result of loadIndex as of indexedVersion.
 	indexedIDs     []string
 	indexedVersion uint64
-	// reportedLoad: the last load report to the desk was not empty.
+	// reportedLoad: the last load report to the registry was not empty.
 	reportedLoad bool
 }
 
-// alive reports whether the desk has sent an update recently.
-func (view *deskView) alive(now, interval time.Duration) bool {
+// alive reports whether the registry has sent an update recently.
+func (view *registryView) alive(now, interval time.Duration) bool {
 	return view.incarnation != "" && now < view.lastUpdateAt+lostHeartbeats*interval
 }
 
-// listing is a replica as a desk lists it.
+// listing is a replica as a registry lists it.
 type listing struct {
-	desk.ReplicaEntry
-	// expiresAt is when the listing is dropped; zero means when the desk withdraws it.
+	registry.ReplicaEntry
+	// expiresAt is when the listing is dropped; zero means when the registry withdraws it.
 	expiresAt time.Duration
 }
 
 // replicaRecord is one replica: its announcement, and the estimate of its load and health.
 type replicaRecord struct {
-	listed   desk.Replica
+	listed   registry.Replica
 	estimate *placement.Replica
 }
 
@@ -48,7 +48,7 @@
 	services map[string]*service
 	replicas map[string]*replicaRecord
 	policy   *placement.Policy
-	// mergeAt is when the desks' listings are merged next.
+	// mergeAt is when the registries' listings are merged next.
 	mergeAt time.Duration
 }
 
@@ -74,7 +74,7 @@
 }
 
 // departedHeartbeats is for how many heartbeat intervals a node remembers a departed
-// replica. It exceeds the time for which desks list the replica.
+// replica. It exceeds the time for which registries list the replica.
 const departedHeartbeats = 100
 
 // expire drops the replicas that were last listed as leaving before a time.
@@ -86,17 +86,17 @@
 	}
 }
 
-// mergeListings merges the desks' listings into one set of replicas. The most recent
-// heartbeat of a replica counts. A departure counts from any desk and permanently, even if
-// that desk falls silent or is forgotten.
+// mergeListings merges the registries' listings into one set of replicas. The most recent
+// heartbeat of a replica counts. A departure counts from any registry and permanently, even if
+// that registry falls silent or is forgotten.
 func (m *Machine) mergeListings(now time.Duration) {
-	best := map[string]desk.ReplicaEntry{}
+	best := map[string]registry.ReplicaEntry{}
 	anyAlive := false
-	for _, view := range m.desks {
+	for _, view := range m.registries {
 		anyAlive = anyAlive || view.alive(now, m.params.HeartbeatInterval)
 	}
-	for _, address := range ordered.Keys(m.desks) {
-		view := m.desks[address]
+	for _, address := range ordered.Keys(m.registries) {
+		view := m.registries[address]
 		if anyAlive && now > view.lastUpdateAt+lostHeartbeats*m.params.HeartbeatInterval {
 			continue
 		}
@@ -107,7 +107,7 @@
 				continue
 			}
 			old, ok := best[id]
-			// A desk that has not heard from the replica for long doesn't overrule one
+			// A registry that has not heard from the replica for long doesn't overrule one
 			// that has.
 			if !ok || old.Removed && !p.Removed || old.Removed == p.Removed && old.Replica.Sequence < p.Replica.Sequence {
 				best[id] = p.ReplicaEntry
@@ -118,9 +118,9 @@
 	m.mergeAt = now + m.params.HeartbeatInterval/2
 }
 
-// recordDepartures records the replicas that a desk lists as leaving, and renews them for
+// recordDepartures records the replicas that a registry lists as leaving, and renews them for
 // as long as it does.
-func (m *Machine) recordDepartures(now time.Duration, view *deskView) {
+func (m *Machine) recordDepartures(now time.Duration, view *registryView) {
 	for id, p := range view.replicas {
 		if p.Replica.Leaving || p.Final {
 			m.departed.add(now, id)
@@ -128,13 +128,13 @@
 	}
 }
 
-// lostHeartbeats is after how many heartbeat intervals of silence a desk's listings are
+// lostHeartbeats is after how many heartbeat intervals of silence a registry's listings are
 // outdated.
 const lostHeartbeats = 4
 
 // updateReplicas sets the replicas that can be chosen, and forgets those that are no longer
 // listed and have none of this node's requests.
-func (m *Machine) updateReplicas(listed map[string]desk.ReplicaEntry) {
+func (m *Machine) updateReplicas(listed map[string]registry.ReplicaEntry) {
 	for _, s := range m.services {
 		s.replicas = s.replicas[:0]
 	}
--- a/peer/relay/replicas_test.go
+++ b/peer/relay/replicas_test.go
@@ -4,15 +4,15 @@
 	"testing"
 	"time"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 )
 
-// TestLeavingIsRememberedAfterDeskIsSilent: a replica that one desk listed as leaving is
-// not chosen after that desk falls silent, even if another desk lists it as present.
-func TestLeavingIsRememberedAfterDeskIsSilent(t *testing.T) {
-	for name, last := range map[string]func(l *desk.ReplicaEntry){
-		"leaving": func(l *desk.ReplicaEntry) { l.Replica.Leaving, l.Replica.Sequence = true, 2 },
-		"gone":    func(l *desk.ReplicaEntry) { l.Removed, l.Final = true, true },
+// TestLeavingIsRememberedAfterRegistryIsSilent: a replica that one registry listed as leaving is
+// not chosen after that registry falls silent, even if another registry lists it as present.
+func TestLeavingIsRememberedAfterRegistryIsSilent(t *testing.T) {
+	for name, last := range map[string]func(l *registry.ReplicaEntry){
+		"leaving": func(l *registry.ReplicaEntry) { l.Replica.Leaving, l.Replica.Sequence = true, 2 },
+		"gone":    func(l *registry.ReplicaEntry) { l.Removed, l.Final = true, true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestLeavingIsRememberedWhileListed: a departure is remembered while a desk lists it, as a
+// TestLeavingIsRememberedWhileListed: a departure is remembered while a registry lists it, as a
 // replica may take long to leave, and is forgotten some time after that.
 func TestLeavingIsRememberedWhileListed(t *testing.T) {
 	h := newHarness(t)
@@ -47,23 +47,23 @@
 	if s := h.lastStep(h.request(newRequest("/again/x", func(r *Request) { r.Remaining = 200 * time.Millisecond }))); s.Kind == StepSend {
 		t.Fatalf("sent to %s, which is leaving", s.Replica.ID)
 	}
-	// No desk lists the replica any more.
-	delete(h.node.desks["d1:1"].replicas, "a1")
+	// No registry lists the replica any more.
+	delete(h.node.registries["d1:1"].replicas, "a1")
 	h.advance((departedHeartbeats + 1) * h.node.params.HeartbeatInterval)
 	if len(h.node.departed) != 0 {
 		t.Fatalf("departures still remembered: %v", h.node.departed)
 	}
 }
 
-// TestNodeDropsSilentDesks: a desk that has been silent for long while another is alive is
+// TestNodeDropsSilentRegistries: a registry that has been silent for long while another is alive is
 // no longer asked for updates, unless it is a seed. While none is alive, none is dropped.
-func TestNodeDropsSilentDesks(t *testing.T) {
+func TestNodeDropsSilentRegistries(t *testing.T) {
 	h := newHarness(t)
 	h.update("d1:1", listings("app", "a1"), 1, tableJSON(1, nil))
 	h.update("d2:1", nil, 1, nil)
 	asked := func(address string) bool {
 		for _, s := range h.node.Tick(h.now + h.node.params.UpdateInterval).Sends {
-			if _, follows := s.Body.(desk.Subscribe); follows && s.To == address {
+			if _, follows := s.Body.(registry.Subscribe); follows && s.To == address {
 				return true
 			}
 		}
@@ -71,14 +71,14 @@
 	}
 	h.advance(2 * departedHeartbeats * h.node.params.HeartbeatInterval)
 	if !asked("d2:1") {
-		t.Fatal("dropped while no desk is alive")
+		t.Fatal("dropped while no registry is alive")
 	}
 	for range 2 * departedHeartbeats {
 		h.advance(h.node.params.HeartbeatInterval)
 		h.update("d1:1", nil, 1, nil)
 	}
-	if asked("d2:1") || h.node.desks["d2:1"] != nil {
-		t.Fatal("a silent desk is still asked for updates")
+	if asked("d2:1") || h.node.registries["d2:1"] != nil {
+		t.Fatal("a silent registry is still asked for updates")
 	}
 	h.update("d3:1", nil, 1, nil)
 	for range 2 * departedHeartbeats {
@@ -90,13 +90,13 @@
 	}
 }
 
-// TestNamedDeskHidesNoReplicas: a desk that was named but has sent no update does not count
+// TestNamedRegistryHidesNoReplicas: a registry that was named but has sent no update does not count
 // as alive, so the listings of the silent one stay valid.
-func TestNamedDeskHidesNoReplicas(t *testing.T) {
+func TestNamedRegistryHidesNoReplicas(t *testing.T) {
 	h := newHarness(t)
 	h.update("d1:1", listings("app", "a1"), 1, tableJSON(1, nil))
 	h.advance((lostHeartbeats - 1) * h.node.params.HeartbeatInterval)
-	h.node.deskAddresses = append(h.node.deskAddresses, "d9:1")
+	h.node.registryAddresses = append(h.node.registryAddresses, "d9:1")
 	h.advance(2 * h.node.params.HeartbeatInterval)
 	h.expect(h.request(newRequest("/once/x", nil)), StepSend, 0)
 }
--- a/peer/relay/request.go
+++ b/peer/relay/request.go
@@ -205,7 +205,7 @@
 	}
 	chosen := m.choose(now, req)
 	if chosen == nil && req.state == stateAdmitting && len(m.serviceOf(req.service).replicas) == 0 && now < req.admissionDeadline {
-		// No desk has listed a replica of the service yet.
+		// No registry has listed a replica of the service yet.
 		m.awaitingReplicas = append(m.awaitingReplicas, req)
 		return
 	}
--- a/peer/relay/stale_table_test.go
+++ b/peer/relay/stale_table_test.go
@@ -4,14 +4,14 @@
 	"testing"
 	"time"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/route"
 )
 
-// confirm delivers a desk's confirmation that a table was the newest some time ago.
+// confirm delivers a registry's confirmation that a table was the newest some time ago.
 func (h *harness) confirm(number uint64, ago time.Duration) {
 	h.version++
-	h.apply(h.node.Receive(h.now, "d1:1", desk.Update{Incarnation: "l", Version: h.version, TableNumber: number, ConfirmationAge: ago, NodeCount: 1}))
+	h.apply(h.node.Receive(h.now, "d1:1", registry.Update{Incarnation: "l", Version: h.version, TableNumber: number, ConfirmationAge: ago, NodeCount: 1}))
 }
 
 // unknownRequests are requests with a route or a key that the table lacks, by the status
@@ -45,9 +45,9 @@
 	h.expect(known, StepSend, 0)
 
 	h.confirm(1, -1)
-	answers("a desk without a confirmation", true)
+	answers("a registry without a confirmation", true)
 	h.confirm(1, time.Minute)
-	answers("a desk with an old confirmation", true)
+	answers("a registry with an old confirmation", true)
 	h.confirm(2, 0)
 	answers("a newer table exists", true)
 	h.confirm(0, 0)
@@ -57,7 +57,7 @@
 
 	h.advance(staleHeartbeats*h.node.params.HeartbeatInterval + 20*time.Millisecond)
 	h.version++
-	h.apply(h.node.Receive(h.now, "d1:1", desk.Update{Incarnation: "l", Version: h.version, TableNumber: 2, NodeCount: 1,
+	h.apply(h.node.Receive(h.now, "d1:1", registry.Update{Incarnation: "l", Version: h.version, TableNumber: 2, NodeCount: 1,
 		Table: tableJSON(2, func(t *route.Table) { t.Routes[0].TimeoutMS = 3500 })}))
 	answers("a newer table was received", false)
 }
--- a/peer/relay/table.go
+++ b/peer/relay/table.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/invariant"
 	"saffronfall/rule/route"
 )
@@ -20,7 +20,7 @@
 	// confirmedAt is the last time at which the table in force was known to be the newest.
 	confirmedAt time.Duration
 	tenants     map[string]*route.Tenant
-	// noTableConfirmed is set once a desk has confirmed that there is no table yet.
+	// noTableConfirmed is set once a registry has confirmed that there is no table yet.
 	noTableConfirmed bool
 }
 
@@ -36,14 +36,14 @@
 
 // updateTable makes a newer table pending, which an update contains as text or as
 // differences to the pending one.
-func (m *Machine) updateTable(now time.Duration, b desk.Update) {
+func (m *Machine) updateTable(now time.Duration, b registry.Update) {
 	if b.Table != nil {
 		m.needsFullTable = false
 		m.parseTable(b)
 	}
 	for _, difference := range b.Differences {
 		if m.pending == nil || difference.BaseNumber != m.pending.Number {
-			// The desk assumed another base table. The next subscription states which
+			// The registry assumed another base table. The next subscription states which
 			// table this node has.
 			continue
 		}
@@ -57,9 +57,9 @@
 	}
 }
 
-// parseTable makes the table in an update pending if it is newer. Every desk sends the
+// parseTable makes the table in an update pending if it is newer. Every registry sends the
 // table to a new node; it is parsed once.
-func (m *Machine) parseTable(b desk.Update) {
+func (m *Machine) parseTable(b registry.Update) {
 	if m.pending != nil && b.TableNumber <= m.pending.Number {
 		return
 	}
--- a/peer/relay/table_test.go
+++ b/peer/relay/table_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/route"
 )
 
@@ -18,16 +18,16 @@
 	return parsed
 }
 
-// lastSubscribe returns the request for updates that the node sends to a desk.
-func lastSubscribe(t *testing.T, o Output) desk.Subscribe {
+// lastSubscribe returns the request for updates that the node sends to a registry.
+func lastSubscribe(t *testing.T, o Output) registry.Subscribe {
 	t.Helper()
 	for _, s := range o.Sends {
-		if f, ok := s.Body.(desk.Subscribe); ok {
+		if f, ok := s.Body.(registry.Subscribe); ok {
 			return f
 		}
 	}
 	t.Fatal("no request for updates was sent")
-	return desk.Subscribe{}
+	return registry.Subscribe{}
 }
 
 // TestNodeAppliesTableDifferences: differences are applied in order. Those to another base
@@ -39,7 +39,7 @@
 	step := func(from, to uint64) route.Difference {
 		return route.Compare(tableOf(t, from), digests[from], tableOf(t, to), digests[to])
 	}
-	tell := func(b desk.Update) {
+	tell := func(b registry.Update) {
 		h.version++
 		b.Incarnation, b.Version, b.ConfirmationAge, b.NodeCount = "l", h.version, time.Millisecond, 1
 		h.apply(h.node.Receive(h.now, "d1:1", b))
@@ -50,16 +50,16 @@
 			t.Fatalf("table %d is in force, want %d", h.node.TableNumber(), number)
 		}
 	}
-	tell(desk.Update{TableNumber: 3, TableDigest: "three", Table: tableJSON(3, nil)})
+	tell(registry.Update{TableNumber: 3, TableDigest: "three", Table: tableJSON(3, nil)})
 	want(3)
-	tell(desk.Update{TableNumber: 6, TableDigest: "six", Differences: []route.Difference{step(3, 5), step(5, 6)}})
+	tell(registry.Update{TableNumber: 6, TableDigest: "six", Differences: []route.Difference{step(3, 5), step(5, 6)}})
 	want(6)
-	// The same differences from another desk, and from one that is behind.
-	tell(desk.Update{TableNumber: 6, TableDigest: "six", Differences: []route.Difference{step(3, 5), step(5, 6)}})
-	tell(desk.Update{TableNumber: 5, TableDigest: "five", Differences: []route.Difference{step(3, 5)}})
+	// The same differences from another registry, and from one that is behind.
+	tell(registry.Update{TableNumber: 6, TableDigest: "six", Differences: []route.Difference{step(3, 5), step(5, 6)}})
+	tell(registry.Update{TableNumber: 5, TableDigest: "five", Differences: []route.Difference{step(3, 5)}})
 	want(6)
 	// A difference to a table that this node does not have.
-	tell(desk.Update{TableNumber: 9, TableDigest: "nine", Differences: []route.Difference{step(5, 9)}})
+	tell(registry.Update{TableNumber: 9, TableDigest: "nine", Differences: []route.Difference{step(5, 9)}})
 	want(6)
 	h.now += time.Second
 	if f := lastSubscribe(t, h.node.Tick(h.now)); f.Table != 6 || !f.AcceptsDifferences {
@@ -68,12 +68,12 @@
 	// The base has the same number but other content.
 	other := step(6, 9)
 	other.BaseDigest = "another six"
-	tell(desk.Update{TableNumber: 9, TableDigest: "nine", Differences: []route.Difference{other}})
+	tell(registry.Update{TableNumber: 9, TableDigest: "nine", Differences: []route.Difference{other}})
 	want(6)
 	if f := lastSubscribe(t, h.node.Tick(h.now)); f.Table != 0 {
 		t.Fatalf("request for updates %+v", f)
 	}
-	tell(desk.Update{TableNumber: 9, TableDigest: "nine", Table: tableJSON(9, nil)})
+	tell(registry.Update{TableNumber: 9, TableDigest: "nine", Table: tableJSON(9, nil)})
 	want(9)
 	if h.node.Counters.BadDifferences != 1 {
 		t.Errorf("%d bad differences counted", h.node.Counters.BadDifferences)
--- a/peer/relay/types.go
+++ b/peer/relay/types.go
@@ -3,8 +3,8 @@
 // budgets, reads and stores the history of conversations, chooses replicas, retries, and
 // distinguishes requests that certainly did not run from those that may have run.
 //
-// A node learns routing tables and replicas from the desks, which are the registry of the
-// fleet. Rates, budgets and histories are durable at the cores.
+// A node learns routing tables and replicas from the fleet's registries. Rates, budgets and
+// histories are durable at the cores.
 //
 // Its main invariants: a request that may have run is never refused, and is sent again only
 // on a route that allows it; a request is sent only after its tenant's rate was charged and
@@ -19,7 +19,7 @@
 	"time"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/placement"
 )
 
@@ -91,7 +91,7 @@
 	Reason     string
 	RetryAfter time.Duration
 	// Replica is where StepSend sends the request.
-	Replica desk.Replica
+	Replica registry.Replica
 	Service string
 	Tenant  string
 	Urgency int64
@@ -170,7 +170,7 @@
 	Core core.Params
 	// HeartbeatInterval is the time between two heartbeats of a replica.
 	HeartbeatInterval time.Duration
-	// UpdateInterval is the time between two requests for updates to each desk.
+	// UpdateInterval is the time between two requests for updates to each registry.
 	UpdateInterval time.Duration
 	// RateWindow is the sliding window of tenants' rates. A window may exceed its
 	// limit by the fraction RateOvershoot and by RateSlack requests.
@@ -180,7 +180,7 @@
 	// Placement selects the criteria by which replicas are chosen.
 	Placement placement.Settings
 	// LoadReportInterval is the time between two reports of the requests outstanding
-	// at replicas, from nodes to desks and back; zero disables the reports.
+	// at replicas, from nodes to registries and back; zero disables the reports.
 	LoadReportInterval time.Duration
 	// ResendUnrun excludes attempts that certainly did not run from the route's limit
 	// of attempts.
--- a/rehearsalkit/breaks/soak.go
+++ b/rehearsalkit/breaks/soak.go
@@ -21,8 +21,8 @@
 	Elsewhere string
 }
 
-// Soak lists breaks of the data path and of the messages between nodes, desks (the
-// registry role) and cores.
+// Soak lists breaks of the data path and of the messages between nodes, registries and
+// cores.
 var Soak = []SoakBreak{
 	{What: "a request that may have been executed is retried", File: "peer/relay/request.go", Seeds: 2,
 		From: "canRetry := req.route.Retryable() && m.attemptsUsed(req)", To: "canRetry := m.attemptsUsed(req)"},
@@ -36,11 +36,11 @@
 		From: "req.state != stateAdmitting || req.reserving ||", To: "req.state != stateAdmitting ||"},
 	{What: "an older table replaces a newer one", File: "peer/relay/table.go", Seeds: 1, Elsewhere: "two checks cover each other; TestNodeAppliesTableDifferences finds the removal of both",
 		From: "if m.pending != nil && b.TableNumber <= m.pending.Number {", To: "if m.pending != nil && b.TableNumber == m.pending.Number {"},
-	{What: "a departure is not sent to others", File: "peer/desk/replicas.go", Seeds: 3,
+	{What: "a departure is not sent to others", File: "peer/registry/replicas.go", Seeds: 3,
 		From: "previous.Leaving != reported.Leaving || ", To: ""},
-	{What: "a change of replicas is not sent immediately", File: "peer/desk/replicas.go", Seeds: 1, Elsewhere: "TestChangeIsSentAtOnce; nodes poll within the bound, and departures are acknowledged after another desk has polled, so the soak does not see it",
+	{What: "a change of replicas is not sent immediately", File: "peer/registry/replicas.go", Seeds: 1, Elsewhere: "TestChangeIsSentAtOnce; nodes poll within the bound, and departures are acknowledged after another desk has polled, so the soak does not see it",
 		From: "	m.notifyAll(now)\n", To: ""},
-	{What: "a departure is acknowledged before it is replicated", File: "peer/desk/departure.go", Seeds: 1, Elsewhere: "TestAcknowledgedLeaveSurvivesDeskLoss; the soak's desks keep departures on their disks",
+	{What: "a departure is acknowledged before it is replicated", File: "peer/registry/departure.go", Seeds: 1, Elsewhere: "TestAcknowledgedLeaveSurvivesRegistryLoss; the soak's desks keep departures on their disks",
 		From: "case m.isReplicated(now, d.version):", To: "case true:"},
 	{What: "a torn frame is accepted as complete", File: "peer/disk/log.go", Seeds: 4,
 		From: "	if f.checksum(offset, raw[:8], body) != binary.LittleEndian.Uint64(raw[8:]) {\n		return nil, 0\n	}\n", To: ""},
@@ -48,7 +48,7 @@
 		From: "	if err := file.Sync(); err != nil {\n		return errors.Wrap(err, \"syncing a state file\")\n	}\n	return s.files.SyncDir(s.path)", To: "	return s.files.SyncDir(s.path)"},
 	{What: "a frame is acknowledged before it is synced", File: "peer/disk/disk.go", Seeds: 2,
 		From: "	return errors.Wrap(s.log.Sync(), \"syncing the log\")\n}\n\n// undoWrite", To: "	return nil\n}\n\n// undoWrite"},
-	{What: "nodes forget departures together with the desk that reported them", File: "peer/relay/replicas.go", Seeds: 6, Elsewhere: "TestLeavingIsRememberedAfterDeskIsSilent; desks exchange departures, so the soak does not see it",
+	{What: "nodes forget departures together with the desk that reported them", File: "peer/relay/replicas.go", Seeds: 6, Elsewhere: "TestLeavingIsRememberedAfterRegistryIsSilent; desks exchange departures, so the soak does not see it",
 		From: "if l.Removed || m.departed.has(id) {", To: "if l.Removed || l.Replica.Leaving || l.Final {"},
 	{What: "a quota's block is granted again after a takeover", File: "rule/rate/ledger.go", Seeds: 4,
 		From: "pool: s.Outstanding, poolExpiresAt", To: "pool: 0, poolExpiresAt"},
@@ -68,7 +68,7 @@
 		From: "	req.reservationID = m.incarnation + \"-\" + strconv.FormatUint(m.reservations, 36)\n", To: "	req.reservationID = req.spec.Attempt + strconv.Itoa(0)\n"},
 	{What: "two tables with the same base are both accepted", File: "peer/core/orders.go", Seeds: 3,
 		From: "if current.Number != c.Base || c.Number <= current.Number {", To: "if c.Number <= current.Number {"},
-	{What: "an amendment is applied to a table other than its base", File: "peer/desk/amend.go", Seeds: 1, Elsewhere: "TestAmend; the cores refuse it too, so the soak sees only a lost race",
+	{What: "an amendment is applied to a table other than its base", File: "peer/registry/amend.go", Seeds: 1, Elsewhere: "TestAmend; the cores refuse it too, so the soak sees only a lost race",
 		From: "case current.Number != a.Base:", To: "case false:"},
 	{What: "a replica that sheds load attracts all calls", File: "rule/placement/replica.go", Seeds: 1, Elsewhere: "TestRejectingReplicaIsAvoided; the soak's replicas do not shed while they have room",
 		From: "	r.failures.Add(now, heartbeat, 0, 1)\n	r.unreported.Failed++\n}", To: "}"},
--- a/rehearsalkit/capacity/capacity_test.go
+++ b/rehearsalkit/capacity/capacity_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-var small = Point{Nodes: 3, Desks: 2, Cores: 3, Zones: 3, Regions: 1, Replicas: 4, Models: 2, Tenants: 4, Programs: 10, Rate: 20, Turns: 3, TurnBytes: 400, Changes: 3600}
+var small = Point{Nodes: 3, Registries: 2, Cores: 3, Zones: 3, Regions: 1, Replicas: 4, Models: 2, Tenants: 4, Programs: 10, Rate: 20, Turns: 3, TurnBytes: 400, Changes: 3600}
 
 var short = Span{Warm: time.Second, Measured: 3 * time.Second}
 
@@ -157,7 +157,7 @@
 func TestSweepIsWrittenAndPlotted(t *testing.T) {
 	axis := Axis{"nodes", []int{2, 3, 4, 5}, func(p *Point, n int) { p.Nodes = n }}
 	runs := 0
-	// Nodes with requests also report load to the desks, so there are hardly any.
+	// Nodes with requests also report load to the registries, so there are hardly any.
 	idle := small
 	idle.Rate, idle.Programs = 1, 1
 	samples, err := Sweep(axis, idle, 3, 1, short, 1<<30, func(int, int) { runs++ })
@@ -167,13 +167,13 @@
 	slopes := Slopes(samples)
 	good := false
 	for _, s := range slopes {
-		// A node polls each desk twice a second.
+		// A node polls each registry twice a second.
 		if s.Role == "desk" && s.Measure == "messages received/s" {
 			good = s.Verdict == Good && s.Slope > 1.5 && s.Slope < 2.5
 		}
 	}
 	if !good {
-		t.Error("a desk does not receive two more messages a second for each added node")
+		t.Error("a registry does not receive two more messages a second for each added node")
 	}
 	var raw bytes.Buffer
 	if err := WriteSamples(&raw, samples); err != nil || strings.Count(raw.String(), "\n") != len(samples)+1 {
--- a/rehearsalkit/capacity/load.go
+++ b/rehearsalkit/capacity/load.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/peer/relay"
 	"saffronfall/rule/placement"
 )
@@ -17,12 +17,12 @@
 	call, running        int64
 }
 
-// heartbeat sends a replica's heartbeat to a desk that is alive, and schedules the next one.
+// heartbeat sends a replica's heartbeat to a registry that is alive, and schedules the next one.
 func (w *world) heartbeat(r *replica) {
 	r.call++
-	d := w.desks[r.zone%len(w.desks)]
+	d := w.registries[r.zone%len(w.registries)]
 	if !d.alive {
-		for _, other := range w.desks {
+		for _, other := range w.registries {
 			if other.alive {
 				d = other
 				break
@@ -30,7 +30,7 @@
 		}
 	}
 	if d.alive {
-		report := desk.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: fmt.Sprintf("zone-%d", r.zone), Slots: 16, Sequence: r.call}
+		report := registry.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: fmt.Sprintf("zone-%d", r.zone), Slots: 16, Sequence: r.call}
 		raw, err := json.Marshal(report)
 		if err != nil {
 			panic(err)
@@ -38,7 +38,7 @@
 		d.meter.Received++
 		d.meter.ReceivedBytes += int64(len(raw))
 		d.meter.countKind("received heartbeat", len(raw))
-		d.handleDeskOutput(timed(d, func() desk.Output { return d.desk.Heartbeat(w.now, 0, report) }))
+		d.handleRegistryOutput(timed(d, func() registry.Output { return d.registry.Heartbeat(w.now, 0, report) }))
 	}
 	w.after(w.between(heartbeatInterval*9/10, heartbeatInterval*11/10), func() { w.heartbeat(r) })
 }
--- a/rehearsalkit/capacity/measure.go
+++ b/rehearsalkit/capacity/measure.go
@@ -18,13 +18,13 @@
 // Failures of a run. They start after a third of the measured time and last a fifth of it.
 // Wipe is a core that loses its disk, Split a network partition between regions.
 const (
-	None  = "none"
-	Core  = "core"
-	Wipe  = "wipe"
-	Node  = "node"
-	Desk  = "desk"
-	Zone  = "zone"
-	Split = "split"
+	None     = "none"
+	Core     = "core"
+	Wipe     = "wipe"
+	Node     = "node"
+	Registry = "desk"
+	Zone     = "zone"
+	Split    = "split"
 )
 
 // Span is the length of a run in simulated time. The measurement is preceded by Warm and by
@@ -47,7 +47,7 @@
 	if err := p.check(); err != nil {
 		return nil, err
 	}
-	if !slices.Contains([]string{None, Core, Wipe, Node, Desk, Zone, Split}, failure) {
+	if !slices.Contains([]string{None, Core, Wipe, Node, Registry, Zone, Split}, failure) {
 		return nil, errors.Newf("no failure %q", failure)
 	}
 	runtime.LockOSThread()
@@ -79,7 +79,7 @@
 		}
 		w.after(every/2, next)
 	}
-	for _, list := range [][]*process{w.cores, w.desks, w.nodes} {
+	for _, list := range [][]*process{w.cores, w.registries, w.nodes} {
 		for _, x := range list {
 			x.meter = meter{kinds: map[string]*kind{}}
 		}
@@ -100,8 +100,8 @@
 			return false
 		}
 	}
-	for _, d := range w.desks {
-		if d.desk == nil || !d.desk.Ready() {
+	for _, d := range w.registries {
+		if d.registry == nil || !d.registry.Ready() {
 			return false
 		}
 	}
@@ -116,10 +116,10 @@
 		affected = w.cores[1:2]
 	case Node:
 		affected = w.nodes[:1]
-	case Desk:
-		affected = w.desks[1:2]
+	case Registry:
+		affected = w.registries[1:2]
 	case Zone:
-		for _, list := range [][]*process{w.cores, w.desks, w.nodes} {
+		for _, list := range [][]*process{w.cores, w.registries, w.nodes} {
 			for _, x := range list {
 				if x.zone == 1%w.point.Zones {
 					affected = append(affected, x)
@@ -153,7 +153,7 @@
 	roles := []struct {
 		name string
 		list []*process
-	}{{"node", w.nodes}, {"desk", w.desks}, {"core", w.cores}}
+	}{{"node", w.nodes}, {"desk", w.registries}, {"core", w.cores}}
 	for _, role := range roles {
 		var sum meter
 		kinds := map[string]kind{}
@@ -214,7 +214,7 @@
 	last := heapNow()
 	for _, role := range roles {
 		for _, x := range role.list {
-			x.node, x.desk, x.core = nil, nil, nil
+			x.node, x.registry, x.core = nil, nil, nil
 			if role.name != "core" {
 				x.calls = nil
 			}
--- a/rehearsalkit/capacity/point.go
+++ b/rehearsalkit/capacity/point.go
@@ -1,5 +1,5 @@
 // Package capacity measures the resource use of the control plane at a given size: it runs
-// the state machines of nodes, desks and cores in one process on a simulated clock, with
+// the state machines of nodes, registries and cores in one process on a simulated clock, with
 // simulated replicas and requesters. Every message between processes is encoded and decoded
 // as on the wire. Start reading at Measure; Sweep repeats it along an axis.
 package capacity
@@ -14,15 +14,15 @@
 
 // Point is one size of a deployment.
 type Point struct {
-	Nodes    int `help:"Relaying nodes." default:"16"`
-	Desks    int `help:"Desks." default:"3"`
-	Cores    int `help:"Cores." default:"3"`
-	Zones    int `help:"Zones." default:"3"`
-	Regions  int `help:"Regions that the zones are in." default:"1"`
-	Replicas int `help:"Replicas." default:"32"`
-	Models   int `help:"Models that replicas serve." default:"4"`
-	Tenants  int `help:"Tenants, spread unevenly." default:"16"`
-	Programs int `help:"Programs under way; each takes one turn at a time." default:"100"`
+	Nodes      int `help:"Relaying nodes." default:"16"`
+	Registries int `name:"desks" help:"Desks." default:"3"`
+	Cores      int `help:"Cores." default:"3"`
+	Zones      int `help:"Zones." default:"3"`
+	Regions    int `help:"Regions that the zones are in." default:"1"`
+	Replicas   int `help:"Replicas." default:"32"`
+	Models     int `help:"Models that replicas serve." default:"4"`
+	Tenants    int `help:"Tenants, spread unevenly." default:"16"`
+	Programs   int `help:"Programs under way; each takes one turn at a time." default:"100"`
 	// Rate is turns a second; there are no other requests.
 	Rate int `help:"Turns a second." default:"200"`
 	// Turns is the number of turns of a program.
@@ -34,7 +34,7 @@
 }
 
 // Base is the default point that sweeps start from.
-var Base = Point{Nodes: 16, Desks: 3, Cores: 3, Zones: 3, Regions: 1, Replicas: 32, Models: 4, Tenants: 16, Programs: 100, Rate: 200, Turns: 4, TurnBytes: 2000}
+var Base = Point{Nodes: 16, Registries: 3, Cores: 3, Zones: 3, Regions: 1, Replicas: 32, Models: 4, Tenants: 16, Programs: 100, Rate: 200, Turns: 4, TurnBytes: 2000}
 
 // Axis is one parameter of a point that is swept.
 type Axis struct {
@@ -46,7 +46,7 @@
 // Axes are all axes. One is swept at a time.
 var Axes = []Axis{
 	{"nodes", []int{8, 16, 32, 64, 128}, func(p *Point, n int) { p.Nodes = n }},
-	{"desks", []int{2, 3, 4, 6}, func(p *Point, n int) { p.Desks = n }},
+	{"desks", []int{2, 3, 4, 6}, func(p *Point, n int) { p.Registries = n }},
 	{"cores", []int{3, 4, 5, 6, 9}, func(p *Point, n int) { p.Cores = n }},
 	{"replicas", []int{32, 64, 128, 256}, func(p *Point, n int) { p.Replicas = n }},
 	{"tenants", []int{8, 16, 32, 64, 128}, func(p *Point, n int) { p.Tenants = n }},
@@ -59,7 +59,7 @@
 
 // check returns an error if a size is out of range.
 func (p Point) check() error {
-	for _, n := range []int{p.Nodes, p.Desks, p.Replicas, p.Tenants, p.Programs, p.Rate, p.Turns, p.TurnBytes, p.Zones, p.Regions} {
+	for _, n := range []int{p.Nodes, p.Registries, p.Replicas, p.Tenants, p.Programs, p.Rate, p.Turns, p.TurnBytes, p.Zones, p.Regions} {
 		if n < 1 {
 			return errors.New("every size but the changes must be at least 1")
 		}
@@ -76,10 +76,10 @@
 // Memory returns an upper estimate of the heap of a run, in bytes. Stored turns count
 // twice, as programs that have ended are retained for a while.
 func (p Point) Memory() int64 {
-	node := 200_000 + int64(p.Replicas)*(int64(p.Desks)*600+3000) + int64(p.Tenants)*2200 + min(nodeCache, int64(p.Rate)*int64(p.TurnBytes)*60/int64(p.Nodes))
-	desk := 200_000 + int64(p.Replicas)*600 + int64(p.Nodes)*400 + int64(p.Tenants)*1500
+	node := 200_000 + int64(p.Replicas)*(int64(p.Registries)*600+3000) + int64(p.Tenants)*2200 + min(nodeCache, int64(p.Rate)*int64(p.TurnBytes)*60/int64(p.Nodes))
+	registry := 200_000 + int64(p.Replicas)*600 + int64(p.Nodes)*400 + int64(p.Tenants)*1500
 	kept := int64(p.Programs) * int64(p.Turns) * (int64(p.TurnBytes) + 40*int64(p.Turns) + 800) * 2 * groupSize
-	return 64_000_000 + 2*(int64(p.Nodes)*node+int64(p.Desks)*desk+kept)
+	return 64_000_000 + 2*(int64(p.Nodes)*node+int64(p.Registries)*registry+kept)
 }
 
 // AvailableMemory returns how many bytes a run may use: half of the machine's memory.
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/peer/relay"
 	"saffronfall/rehearsalkit/agenda"
 	"saffronfall/rule/configuration"
@@ -41,8 +41,8 @@
 		PullInterval: contactTimeout / 20, SilenceTimeout: 2200 * time.Millisecond, ColdStart: true}
 }
 
-func deskParams() desk.Params {
-	return desk.Params{Core: coreParams(), HeartbeatInterval: heartbeatInterval, GroupSize: groupSize, PartitionsPerCore: 2, OperationTimeout: 3 * time.Second}
+func registryParams() registry.Params {
+	return registry.Params{Core: coreParams(), HeartbeatInterval: heartbeatInterval, GroupSize: groupSize, PartitionsPerCore: 2, OperationTimeout: 3 * time.Second}
 }
 
 func nodeParams() relay.Params {
@@ -78,7 +78,7 @@
 	k.bytes += int64(bytes)
 }
 
-// process is one simulated core, desk or node; only the fields of its role are set.
+// process is one simulated core, registry or node; only the fields of its role are set.
 type process struct {
 	world       *world
 	id          string
@@ -96,8 +96,8 @@
 	deferred []deferred
 	busy     bool
 
-	desk  *desk.Machine
-	calls map[uint64]func(body any)
+	registry *registry.Machine
+	calls    map[uint64]func(body any)
 
 	node     *relay.Machine
 	requests map[uint64]*turn
@@ -112,23 +112,23 @@
 
 // world is a simulated deployment. It is used by one goroutine.
 type world struct {
-	point     Point
-	now       time.Duration
-	agenda    agenda.Agenda
-	random    *rand.Rand
-	cores     []*process
-	desks     []*process
-	nodes     []*process
-	processes map[string]*process
-	replicas  []*replica
-	programs  []*program
-	services  map[string]*replica
-	shares    []float64
-	tickets   uint64
-	attempts  int
-	split     bool
-	counts    map[string]int64
-	table     uint64
+	point      Point
+	now        time.Duration
+	agenda     agenda.Agenda
+	random     *rand.Rand
+	cores      []*process
+	registries []*process
+	nodes      []*process
+	processes  map[string]*process
+	replicas   []*replica
+	programs   []*program
+	services   map[string]*replica
+	shares     []float64
+	tickets    uint64
+	attempts   int
+	split      bool
+	counts     map[string]int64
+	table      uint64
 	// appliedAt is when each table was first applied, lag the longest time until a node
 	// used one.
 	appliedAt map[uint64]time.Duration
@@ -142,8 +142,8 @@
 		c.stored = core.Stored{Incarnation: fmt.Sprintf("%s-%d", c.id, w.random.Uint32())}
 		w.cores = append(w.cores, c)
 	}
-	for i := 0; i < p.Desks; i++ {
-		w.desks = append(w.desks, w.add("desk", 0, i))
+	for i := 0; i < p.Registries; i++ {
+		w.registries = append(w.registries, w.add("desk", 0, i))
 	}
 	for i := 0; i < p.Nodes; i++ {
 		w.nodes = append(w.nodes, w.add("node", 1, i))
@@ -159,7 +159,7 @@
 	for i := 0; i < p.Tenants; i++ {
 		w.shares = append(w.shares, 1/math.Sqrt(float64(i+1))/sum)
 	}
-	for _, list := range [][]*process{w.cores, w.desks, w.nodes} {
+	for _, list := range [][]*process{w.cores, w.registries, w.nodes} {
 		for _, x := range list {
 			w.after(w.between(0, 50*time.Millisecond), x.boot)
 		}
@@ -204,7 +204,7 @@
 
 func (w *world) seeds() []string {
 	var list []string
-	for _, d := range w.desks {
+	for _, d := range w.registries {
 		if len(list) < 3 {
 			list = append(list, d.address)
 		}
@@ -231,7 +231,7 @@
 		every = coreParams().Partition.LeaseDuration / 20
 	case "desk":
 		p.calls = map[uint64]func(any){}
-		p.desk = desk.New(desk.Options{Params: deskParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Address: p.address, Seeds: w.seeds(), FoundsFleet: p == w.desks[0] && p.incarnation == 1, Now: w.now, Random: w.random.Float64})
+		p.registry = registry.New(registry.Options{Params: registryParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Address: p.address, Seeds: w.seeds(), FoundsFleet: p == w.registries[0] && p.incarnation == 1, Now: w.now, Random: w.random.Float64})
 	default:
 		p.requests = map[uint64]*turn{}
 		p.node = relay.New(relay.Options{Params: nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Zone: zone, Address: p.address, Seeds: w.seeds(), Now: w.now, Random: w.random.Float64})
@@ -247,8 +247,8 @@
 	switch {
 	case p.core != nil:
 		p.handleCoreOutput(timed(p, func() core.Output { return p.core.Tick(w.now) }))
-	case p.desk != nil:
-		p.handleDeskOutput(timed(p, func() desk.Output { return p.desk.Tick(w.now) }))
+	case p.registry != nil:
+		p.handleRegistryOutput(timed(p, func() registry.Output { return p.registry.Tick(w.now) }))
 	default:
 		p.handleNodeOutput(timed(p, func() relay.Output { return p.node.Tick(w.now) }))
 	}
@@ -309,7 +309,8 @@
 
 // kindOf names the type of a message and the type that it carries.
 func kindOf(body any) string {
-	name := strings.TrimPrefix(fmt.Sprintf("%T", body), "core.")
+	// Messages of package registry are reported under the role's name.
+	name := strings.Replace(strings.TrimPrefix(fmt.Sprintf("%T", body), "core."), "registry.", "desk.", 1)
 	var raw []byte
 	switch b := body.(type) {
 	case core.Command:
@@ -318,7 +319,7 @@
 		raw = b.Raw
 	case core.ReplicaMessage:
 		raw = b.Raw
-	case desk.Update:
+	case registry.Update:
 		switch {
 		case b.Table != nil:
 			return name + " with table"
@@ -348,8 +349,8 @@
 	switch {
 	case p.core != nil:
 		p.handleCoreOutput(timed(p, func() core.Output { return p.core.Receive(w.now, from, value) }))
-	case p.desk != nil:
-		p.handleDeskOutput(timed(p, func() desk.Output { return p.desk.Receive(w.now, from, value) }))
+	case p.registry != nil:
+		p.handleRegistryOutput(timed(p, func() registry.Output { return p.registry.Receive(w.now, from, value) }))
 	default:
 		p.handleNodeOutput(timed(p, func() relay.Output { return p.node.Receive(w.now, from, value) }))
 	}
@@ -418,7 +419,7 @@
 	})
 }
 
-func (p *process) handleDeskOutput(o desk.Output) {
+func (p *process) handleRegistryOutput(o registry.Output) {
 	for _, s := range o.Sends {
 		p.send(s.To, s.Body)
 	}
@@ -469,9 +470,9 @@
 	return whole
 }
 
-// applyTable applies a new table at a random desk and passes the result to then.
+// applyTable applies a new table at a random registry and passes the result to then.
 func (w *world) applyTable(then func(ok bool)) {
-	d := w.desks[w.random.IntN(len(w.desks))]
+	d := w.registries[w.random.IntN(len(w.registries))]
 	if !d.alive {
 		then(false)
 		return
@@ -483,11 +484,11 @@
 		w.appliedAt[number] = w.now
 	}
 	d.calls[w.tickets] = func(body any) {
-		h := body.(desk.OrderResult)
+		h := body.(registry.OrderResult)
 		if h.Accepted {
 			w.table = number
 		}
 		then(h.Accepted)
 	}
-	d.handleDeskOutput(timed(d, func() desk.Output { return d.desk.Apply(w.now, w.tickets, w.table, text, fmt.Sprint(number)) }))
+	d.handleRegistryOutput(timed(d, func() registry.Output { return d.registry.Apply(w.now, w.tickets, w.table, text, fmt.Sprint(number)) }))
 }
--- a/rehearsalkit/relaysim/answers.go
+++ b/rehearsalkit/relaysim/answers.go
@@ -9,7 +9,7 @@
 	"saffronfall/rule/ordered"
 )
 
-// Kinds of calls to a desk. The values are printed as table headings.
+// Kinds of calls to a registry. The values are printed as table headings.
 const (
 	callHeartbeat = "heartbeat"
 	callLeave     = "leave"
@@ -24,11 +24,11 @@
 
 var callKinds = []string{callHeartbeat, callLeave, callOrder, callResend, callRead, callRetire, callStatus, callPull, callFirstPull}
 
-// deskCall is one call that reached a running desk. It is pending while ended is
+// registryCall is one call that reached a running registry. It is pending while ended is
 // negative.
-type deskCall struct {
+type registryCall struct {
 	kind        string
-	desk        *process
+	registry    *process
 	incarnation int
 	started     time.Duration
 	ended       time.Duration
@@ -37,9 +37,9 @@
 	conclusive bool
 }
 
-// interrupted reports whether the desk stopped before the call ended.
-func (c *deskCall) interrupted() bool {
-	return c.ended < 0 && (c.desk.incarnation != c.incarnation || !c.desk.alive)
+// interrupted reports whether the registry stopped before the call ended.
+func (c *registryCall) interrupted() bool {
+	return c.ended < 0 && (c.registry.incarnation != c.incarnation || !c.registry.alive)
 }
 
 // answerCell counts the answers to calls of one kind that started in the same second.
@@ -57,7 +57,7 @@
 // answerTable holds the answers to calls by group, second and kind.
 type answerTable map[answerKey]answerCell
 
-func (t answerTable) add(group string, second int, c *deskCall) {
+func (t answerTable) add(group string, second int, c *registryCall) {
 	key := answerKey{group: group, second: second, kind: c.kind}
 	cell := t[key]
 	if c.conclusive {
--- a/rehearsalkit/relaysim/client.go
+++ b/rehearsalkit/relaysim/client.go
@@ -7,7 +7,7 @@
 	"saffronfall/rule/message"
 )
 
-// client sends commands directly to the cores, as nodes and desks do. Faults never
+// client sends commands directly to the cores, as nodes and registries do. Faults never
 // affect it.
 type client struct {
 	process    *process
--- a/rehearsalkit/relaysim/fault.go
+++ b/rehearsalkit/relaysim/fault.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/ordered"
 )
 
@@ -71,8 +71,8 @@
 	}
 	s := w.anyStore()
 	p := s.core
-	if s.desk != nil && w.chance(0.4) {
-		p = s.desk
+	if s.registry != nil && w.chance(0.4) {
+		p = s.registry
 	}
 	w.noLossUntil = w.now + length + catchUpTime
 	switch w.random.IntN(12) {
@@ -165,7 +165,7 @@
 	s.removed = true
 	w.noLossUntil = w.now + 2*catchUpTime
 	w.after(w.between(200*time.Millisecond, 1500*time.Millisecond), func() {
-		added := w.addStore(s.desk != nil)
+		added := w.addStore(s.registry != nil)
 		for _, p := range added.processes() {
 			p.foundsFleet = false
 			if !w.closing {
@@ -196,10 +196,10 @@
 	}
 	retry := func() { w.after(300*time.Millisecond, func() { w.retireStore(s, until) }) }
 	finished := false
-	w.callDesk(w.anyDesk(), func(d Desk, now time.Duration, ticket uint64) desk.Output {
+	w.callRegistry(w.anyRegistry(), func(d Registry, now time.Duration, ticket uint64) registry.Output {
 		return d.Retire(now, ticket, s.core.id)
 	}, func(body any) {
-		e, ok := body.(desk.RetirementStatus)
+		e, ok := body.(registry.RetirementStatus)
 		if finished {
 			return
 		}
@@ -231,10 +231,10 @@
 			w.after(300*time.Millisecond, func() { w.awaitRetired(s, until) })
 		}
 	}
-	w.callDesk(w.anyDesk(), func(d Desk, now time.Duration, ticket uint64) desk.Output {
+	w.callRegistry(w.anyRegistry(), func(d Registry, now time.Duration, ticket uint64) registry.Output {
 		return d.RetirementStatus(now, ticket, s.core.id)
 	}, func(body any) {
-		e, _ := body.(desk.RetirementStatus)
+		e, _ := body.(registry.RetirementStatus)
 		if finished {
 			return
 		}
--- a/rehearsalkit/relaysim/health.go
+++ b/rehearsalkit/relaysim/health.go
@@ -6,39 +6,39 @@
 	"time"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/ordered"
 	"saffronfall/rule/partition"
 )
 
-// health observes the updates from desks to nodes and determines whether the fleet is
+// health observes the updates from registries to nodes and determines whether the fleet is
 // healthy.
 type health struct {
 	world   *World
 	history *orderHistory
-	// lastUpdates holds the last update from each desk to a node.
+	// lastUpdates holds the last update from each registry to a node.
 	lastUpdates map[string]lastUpdate
-	// pendingPulls holds the nodes' pulls that wait for a desk's answer.
-	pendingPulls map[[2]string]*deskCall
+	// pendingPulls holds the nodes' pulls that wait for a registry's answer.
+	pendingPulls map[[2]string]*registryCall
 }
 
 type lastUpdate struct {
 	at     time.Duration
-	update desk.Update
+	update registry.Update
 }
 
-// clockSlack allows for clock drift in the confirmation age that a desk reports.
+// clockSlack allows for clock drift in the confirmation age that a registry reports.
 const clockSlack = 50 * time.Millisecond
 
 func (w *World) watchHealth(b *orderHistory) *health {
-	h := &health{world: w, history: b, lastUpdates: map[string]lastUpdate{}, pendingPulls: map[[2]string]*deskCall{}}
+	h := &health{world: w, history: b, lastUpdates: map[string]lastUpdate{}, pendingPulls: map[[2]string]*registryCall{}}
 	w.observers.sent, w.observers.delivered = h.sent, h.delivered
 	return h
 }
 
 func (h *health) delivered(from string, to *process, body any) {
-	subscribe, ok := body.(desk.Subscribe)
-	if !ok || !to.isDesk || subscribe.IsDesk {
+	subscribe, ok := body.(registry.Subscribe)
+	if !ok || !to.isRegistry || subscribe.IsRegistry {
 		return
 	}
 	kind := callPull
@@ -48,11 +48,11 @@
 	h.pendingPulls[[2]string{to.address, from}] = h.history.beginCall(kind, to)
 }
 
-// sent checks that the confirmation age in a desk's update is true, given the tables
+// sent checks that the confirmation age in a registry's update is true, given the tables
 // acknowledged before.
 func (h *health) sent(from *process, to string, body any) {
-	update, ok := body.(desk.Update)
-	if !ok || !from.isDesk {
+	update, ok := body.(registry.Update)
+	if !ok || !from.isRegistry {
 		return
 	}
 	fresh := update.ConfirmationAge >= 0 && update.ConfirmationAge < contactTimeout
@@ -84,11 +84,11 @@
 		return missing
 	}
 	for _, s := range w.presentStores() {
-		if s.desk == nil {
+		if s.registry == nil {
 			continue
 		}
-		if reported := h.lastUpdates[s.desk.id]; !s.desk.alive || w.now-reported.at > heartbeatInterval || reported.update.ConfirmationAge < 0 || reported.update.ConfirmationAge > heartbeatInterval {
-			return s.desk.id + " has no confirmed table"
+		if reported := h.lastUpdates[s.registry.id]; !s.registry.alive || w.now-reported.at > heartbeatInterval || reported.update.ConfirmationAge < 0 || reported.update.ConfirmationAge > heartbeatInterval {
+			return s.registry.id + " has no confirmed table"
 		}
 	}
 	for _, n := range w.nodes {
@@ -109,7 +109,7 @@
 		}
 		leader := s.core.core.Partition(n)
 		group, _ := leader.CommittedGroup()
-		if len(group.Members) != w.deskParams().GroupSize || len(group.Former) > 0 {
+		if len(group.Members) != w.registryParams().GroupSize || len(group.Former) > 0 {
 			return fmt.Sprintf("part %d has the group %v, formerly %v", n, group.Members, group.Former)
 		}
 		for _, member := range group.Members {
@@ -165,7 +165,7 @@
 			return "the fleet does not know " + s.core.id
 		}
 	}
-	for n, wanted := range core.Place(w.partitions(), w.deskParams().GroupSize, cores, silent) {
+	for n, wanted := range core.Place(w.partitions(), w.registryParams().GroupSize, cores, silent) {
 		s := w.leaderOf(n)
 		if s == nil {
 			return fmt.Sprintf("part %d has no owner", n)
--- a/rehearsalkit/relaysim/judge_orders.go
+++ b/rehearsalkit/relaysim/judge_orders.go
@@ -11,7 +11,7 @@
 	RuleRefusedByRace      = "only what lost its race is refused"
 	RuleNewestTable        = "no older table is told as the newest"
 	RuleCallBound          = "calls at a live desk end in time"
-	RuleIsolatedDesk       = "a desk that nobody hears takes no heartbeat"
+	RuleIsolatedRegistry   = "a desk that nobody hears takes no heartbeat"
 	RuleRetirement         = "no retirement is done before copies stand elsewhere"
 	RuleGroupSize          = "groups get their size again in time"
 	RuleLeaderCurrent      = "who was away leads only once it has what is agreed"
@@ -57,7 +57,7 @@
 	texts := map[uint64][]byte{}
 	for _, read := range append(b.reads, inForce) {
 		if known, ok := texts[read.number]; ok && !bytes.Equal(known, read.text) {
-			b.findings.breach(RuleNewestTable, "table %d was read back with two texts, the second time at %s, %v", read.number, read.desk, read.ended)
+			b.findings.breach(RuleNewestTable, "table %d was read back with two texts, the second time at %s, %v", read.number, read.registry, read.ended)
 		}
 		texts[read.number] = read.text
 	}
@@ -85,22 +85,22 @@
 	return false
 }
 
-// judgeCalls checks that every call to a running desk ended in time.
+// judgeCalls checks that every call to a running registry ended in time.
 func (b *orderHistory) judgeCalls() {
 	for _, c := range b.calls {
 		bound := answerBound
 		switch c.kind {
 		case callOrder, callResend, callRead, callRetire, callStatus:
-			bound += b.world.deskParams().OperationTimeout
+			bound += b.world.registryParams().OperationTimeout
 		case callLeave:
-			bound += b.world.deskParams().DepartureTimeout()
+			bound += b.world.registryParams().DepartureTimeout()
 		}
 		took := c.ended - c.started
 		if c.ended < 0 {
 			took = b.world.now - c.started
 		}
 		if !c.interrupted() && took > bound {
-			b.findings.breach(RuleCallBound, "%s at %s, begun at %v, took %v", c.kind, c.desk.id, c.started, took)
+			b.findings.breach(RuleCallBound, "%s at %s, begun at %v, took %v", c.kind, c.registry.id, c.started, took)
 		}
 	}
 }
--- a/rehearsalkit/relaysim/leaveloss_test.go
+++ b/rehearsalkit/relaysim/leaveloss_test.go
@@ -4,27 +4,27 @@
 	"testing"
 	"time"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 )
 
-// earlyAckDesk acknowledges that a replica leaves before any other process can know it.
-type earlyAckDesk struct{ Desk }
+// earlyAckRegistry acknowledges that a replica leaves before any other process can know it.
+type earlyAckRegistry struct{ Registry }
 
-func (d earlyAckDesk) Heartbeat(now time.Duration, ticket uint64, r desk.Replica) desk.Output {
-	o := d.Desk.Heartbeat(now, 0, r)
-	o.Answers = append(o.Answers, desk.Answer{Ticket: ticket, Body: desk.Acknowledgment{Accepted: true}})
+func (d earlyAckRegistry) Heartbeat(now time.Duration, ticket uint64, r registry.Replica) registry.Output {
+	o := d.Registry.Heartbeat(now, 0, r)
+	o.Answers = append(o.Answers, registry.Answer{Ticket: ticket, Body: registry.Acknowledgment{Accepted: true}})
 	return o
 }
 
-// loseAckingDesk has a desk fail right after it was told that a replica leaves, with
+// loseAckingRegistry has a registry fail right after it was told that a replica leaves, with
 // all that it had sent, and counts the requests that reach the replica too long after
 // an acknowledgement. The bound holds even though the acknowledging machine is
 // disrupted.
-func loseAckingDesk(seed uint64, wrap func(d Desk) Desk) (acknowledged, late int) {
+func loseAckingRegistry(seed uint64, wrap func(d Registry) Registry) (acknowledged, late int) {
 	p := Defaults(seed)
 	p.Faults, p.Operators, p.Closing = false, 0, ""
 	p.Callers = 30
-	p.WrapDesk = wrap
+	p.WrapRegistry = wrap
 	w := New(p)
 	w.startFleet(w.applyFirstTable)
 	w.runUntil(startupTime)
@@ -33,13 +33,13 @@
 	w.runUntil(w.now + 2*time.Second)
 	address := w.now % 4
 	leaving := w.replicas[[]string{"10.0.3.6:8080", "10.0.3.7:8080", "10.0.3.8:8080", "10.0.3.9:8080"}[(seed+uint64(address))%4]]
-	ackingDesk := w.anyDesk()
-	leaving.currentDesk = ackingDesk
-	w.blocked = func(from, to string) bool { return from == ackingDesk.address && w.processes[to] != nil }
+	ackingRegistry := w.anyRegistry()
+	leaving.currentRegistry = ackingRegistry
+	w.blocked = func(from, to string) bool { return from == ackingRegistry.address && w.processes[to] != nil }
 	leaving.leave(func() {})
 	w.after(w.between(3*time.Millisecond, 40*time.Millisecond), func() {
 		for _, s := range w.stores {
-			if s.desk == ackingDesk {
+			if s.registry == ackingRegistry {
 				w.losePower(s, true, time.Minute)
 			}
 		}
@@ -60,13 +60,13 @@
 	return acknowledged, late
 }
 
-// TestAcknowledgedLeaveSurvivesDeskLoss checks that an acknowledged leave takes effect
-// although the acknowledging desk fails at that moment.
-func TestAcknowledgedLeaveSurvivesDeskLoss(t *testing.T) {
+// TestAcknowledgedLeaveSurvivesRegistryLoss checks that an acknowledged leave takes effect
+// although the acknowledging registry fails at that moment.
+func TestAcknowledgedLeaveSurvivesRegistryLoss(t *testing.T) {
 	const seeds = 12
 	acknowledged := 0
 	for seed := uint64(1); seed <= seeds; seed++ {
-		n, late := loseAckingDesk(seed, nil)
+		n, late := loseAckingRegistry(seed, nil)
 		acknowledged += n
 		if late > 0 {
 			t.Errorf("seed %d: %d requests reached a replica too long after its leave was acknowledged", seed, late)
@@ -77,10 +77,10 @@
 	}
 	found := 0
 	for seed := uint64(1); seed <= seeds && found == 0; seed++ {
-		_, late := loseAckingDesk(seed, func(d Desk) Desk { return earlyAckDesk{d} })
+		_, late := loseAckingRegistry(seed, func(d Registry) Registry { return earlyAckRegistry{d} })
 		found += late
 	}
 	if found == 0 {
-		t.Error("a desk that acknowledges too early was not detected")
+		t.Error("a registry that acknowledges too early was not detected")
 	}
 }
--- a/rehearsalkit/relaysim/longcut.go
+++ b/rehearsalkit/relaysim/longcut.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 )
 
 // Modes of cutting a machine off.
@@ -24,7 +24,7 @@
 
 func longcutParams(seed uint64) Params {
 	p := Defaults(seed)
-	p.Cores, p.Desks, p.Nodes = 3+int(seed/5%2), 3, 2
+	p.Cores, p.Registries, p.Nodes = 3+int(seed/5%2), 3, 2
 	p.Faults, p.Closing = false, ""
 	p.Loss = 0.002
 	return p
@@ -88,9 +88,9 @@
 		w.after(w.between(0, time.Second), o.run)
 	}
 	for _, s := range w.stores {
-		if s.desk != nil {
+		if s.registry != nil {
 			for _, kind := range []string{callHeartbeat, callLeave, callResend, callRead, callRetire, callStatus} {
-				w.after(w.between(0, time.Second), func() { l.callRepeatedly(kind, s.desk) })
+				w.after(w.between(0, time.Second), func() { l.callRepeatedly(kind, s.registry) })
 			}
 		}
 	}
@@ -100,7 +100,7 @@
 // recentOrders is how many of the newest orders are candidates for sending again.
 const recentOrders = 10
 
-// callRepeatedly makes calls of one kind to a desk until the scenario stops.
+// callRepeatedly makes calls of one kind to a registry until the scenario stops.
 func (l *longcut) callRepeatedly(kind string, at *process) {
 	w := l.world
 	if l.stopped {
@@ -108,7 +108,7 @@
 	}
 	w.after(w.between(500*time.Millisecond, 1100*time.Millisecond), func() { l.callRepeatedly(kind, at) })
 	ignore := func(body any) {}
-	known := func(body any) bool { e, ok := body.(desk.RetirementStatus); return ok && !e.Uncertain }
+	known := func(body any) bool { e, ok := body.(registry.RetirementStatus); return ok && !e.Uncertain }
 	switch kind {
 	case callHeartbeat, callLeave:
 		l.announce(kind, at)
@@ -117,14 +117,18 @@
 	case callRead:
 		l.history.read(at, func(t core.CurrentTable, ok bool) {})
 	case callRetire:
-		l.history.call(kind, at, func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.Retire(now, ticket, "nobody") }, known, ignore)
+		l.history.call(kind, at, func(d Registry, now time.Duration, ticket uint64) registry.Output {
+			return d.Retire(now, ticket, "nobody")
+		}, known, ignore)
 	case callStatus:
 		id := w.anyStore().core.id
-		l.history.call(kind, at, func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.RetirementStatus(now, ticket, id) }, known, ignore)
+		l.history.call(kind, at, func(d Registry, now time.Duration, ticket uint64) registry.Output {
+			return d.RetirementStatus(now, ticket, id)
+		}, known, ignore)
 	}
 }
 
-// announce sends a replica's heartbeat or leave. A desk acknowledges neither if it
+// announce sends a replica's heartbeat or leave. A registry acknowledges neither if it
 // could not pass it on.
 func (l *longcut) announce(kind string, at *process) {
 	w := l.world
@@ -132,11 +136,11 @@
 	w.after(w.delay(), func() {
 		at.do(func() {
 			c := l.history.beginCall(kind, at)
-			step := func(ticket uint64) desk.Output { return at.desk.Leave(at.now(), ticket, w.uniqueID("left")) }
+			step := func(ticket uint64) registry.Output { return at.registry.Leave(at.now(), ticket, w.uniqueID("left")) }
 			if kind == callHeartbeat {
 				w.lastID++
-				announcement := desk.Replica{ID: id, Service: "idle", Address: "10.0.4.1:1", Sequence: int64(w.lastID)}
-				step = func(ticket uint64) desk.Output { return at.desk.Heartbeat(at.now(), ticket, announcement) }
+				announcement := registry.Replica{ID: id, Service: "idle", Address: "10.0.4.1:1", Sequence: int64(w.lastID)}
+				step = func(ticket uint64) registry.Output { return at.registry.Heartbeat(at.now(), ticket, announcement) }
 			}
 			at.announce(step, func(accepted bool) { l.history.endCall(c, accepted) })
 		})
@@ -146,7 +150,7 @@
 // cut cuts a machine off, heals the cut and waits until the fleet has recovered.
 func (l *longcut) cut(target *process) {
 	w, f := l.world, l.findings
-	group := fmt.Sprintf("%s, %s", map[bool]string{true: "desk", false: "core"}[target.isDesk], l.mode)
+	group := fmt.Sprintf("%s, %s", map[bool]string{true: "desk", false: "core"}[target.isRegistry], l.mode)
 	w.logf("%s cut off: %s", target.id, l.mode)
 	w.Counts["cuts: "+group]++
 	started, first, acked := w.now, len(l.history.calls), len(l.history.acked)
@@ -174,12 +178,12 @@
 	w.Counts["orders acknowledged in cuts: "+group] += int64(len(l.history.acked) - acked)
 }
 
-// tabulate records the calls during a cut by second and kind: those to the desk that
-// was cut off or, for a core, those to all desks.
+// tabulate records the calls during a cut by second and kind: those to the registry that
+// was cut off or, for a core, those to all registries.
 func (l *longcut) tabulate(group string, target *process, started time.Duration, first int) {
 	for _, c := range l.history.calls[first:] {
-		l.judgeIsolatedDesk(target, started, c)
-		if c.ended < 0 || target.isDesk && c.desk != target {
+		l.judgeIsolatedRegistry(target, started, c)
+		if c.ended < 0 || target.isRegistry && c.registry != target {
 			continue
 		}
 		l.findings.Answers.add(group, int((c.started-started)/time.Second), c)
@@ -190,26 +194,26 @@
 }
 
 const (
-	// detectsCoresAfter is the time within which a desk must notice that it reaches no
+	// detectsCoresAfter is the time within which a registry must notice that it reaches no
 	// core.
 	detectsCoresAfter = time.Second
-	// detectsNodesAfter is the time within which a desk must notice that no node reaches
+	// detectsNodesAfter is the time within which a registry must notice that no node reaches
 	// it.
 	detectsNodesAfter = 5 * time.Second
 )
 
-// judgeIsolatedDesk checks that a desk that reaches no core answers promptly, and that
+// judgeIsolatedRegistry checks that a registry that reaches no core answers promptly, and that
 // one without contact to nodes accepts no announcements of replicas.
-func (l *longcut) judgeIsolatedDesk(target *process, started time.Duration, c *deskCall) {
+func (l *longcut) judgeIsolatedRegistry(target *process, started time.Duration, c *registryCall) {
 	since := c.started - started
-	if c.desk != target || l.mode == cutPeers || since < detectsCoresAfter || since > cutLength-answerBound || c.interrupted() {
+	if c.registry != target || l.mode == cutPeers || since < detectsCoresAfter || since > cutLength-answerBound || c.interrupted() {
 		return
 	}
 	if took := c.ended - c.started; c.ended < 0 || took > answerBound {
-		l.findings.breach(RuleCallBound, "%s at %s, which had been cut off (%s) for %v, took %v", c.kind, c.desk.id, l.mode, since, took)
+		l.findings.breach(RuleCallBound, "%s at %s, which had been cut off (%s) for %v, took %v", c.kind, c.registry.id, l.mode, since, took)
 	}
 	if c.conclusive && since > detectsNodesAfter && (c.kind == callHeartbeat || c.kind == callLeave) {
-		l.findings.breach(RuleIsolatedDesk, "%s was acknowledged by %s, which had been cut off (%s) for %v", c.kind, c.desk.id, l.mode, since)
+		l.findings.breach(RuleIsolatedRegistry, "%s was acknowledged by %s, which had been cut off (%s) for %v", c.kind, c.registry.id, l.mode, since)
 	}
 }
 
@@ -218,17 +222,17 @@
 	w := l.world
 	mine := map[string]bool{target.address: true}
 	if l.mode == cutRestart && target.disk != nil {
-		// Restarted machines would find the fleet through the desk beside the core.
+		// Restarted machines would find the fleet through the registry beside the core.
 		for _, s := range w.stores {
-			if s.core == target && s.desk != nil {
-				mine[s.desk.address] = true
+			if s.core == target && s.registry != nil {
+				mine[s.registry.address] = true
 			}
 		}
 	}
 	inFleet := func(address string) bool { return w.processes[address] != nil }
 	sameKind := func(address string) bool {
 		p := w.processes[address]
-		return p != nil && p.isDesk == target.isDesk && (p.disk != nil) == (target.disk != nil)
+		return p != nil && p.isRegistry == target.isRegistry && (p.disk != nil) == (target.disk != nil)
 	}
 	return func(from, to string) bool {
 		if mine[from] == mine[to] || !inFleet(from) || !inFleet(to) {
@@ -251,7 +255,7 @@
 func (l *longcut) injectDuringCut(target *process) {
 	w := l.world
 	seeds := w.seeds()
-	if target.isDesk {
+	if target.isRegistry {
 		seeds = []string{target.address}
 	}
 	w.after(5*time.Second, func() { l.newNode(seeds) })
@@ -260,10 +264,10 @@
 	}
 	var others []*process
 	for _, s := range w.stores {
-		if s.core == target && s.desk != nil {
-			seeds = []string{s.desk.address}
+		if s.core == target && s.registry != nil {
+			seeds = []string{s.registry.address}
 		}
-		if s.core != target && s.desk != target && len(others) == 0 {
+		if s.core != target && s.registry != target && len(others) == 0 {
 			others = s.processes()
 		}
 	}
--- a/rehearsalkit/relaysim/longcut_test.go
+++ b/rehearsalkit/relaysim/longcut_test.go
@@ -5,11 +5,11 @@
 	"time"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/message"
 )
 
-// TestLongCut cuts off one core and one desk twice each, in every mode. The kit's
+// TestLongCut cuts off one core and one registry twice each, in every mode. The kit's
 // command runs all machines.
 func TestLongCut(t *testing.T) {
 	for seed := uint64(1); seed <= uint64(len(cutModes)); seed++ {
@@ -17,7 +17,7 @@
 			t.Parallel()
 			l := newLongcut(New(longcutParams(seed)))
 			chosen := l.world.stores[seed%3]
-			f := l.play([]*process{chosen.core, chosen.core, chosen.desk, chosen.desk})
+			f := l.play([]*process{chosen.core, chosen.core, chosen.registry, chosen.registry})
 			for _, b := range f.Breaches {
 				t.Errorf("seed %d: %s", seed, b)
 			}
@@ -64,9 +64,9 @@
 	}{
 		{"desks refuse some accepted orders", RuleAcceptedNotRefused, func(p *Params) {
 			some := everyNth(5)
-			forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
+			forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
 				if h.Accepted && h.Number > 1 && some() {
-					return desk.OrderResult{RaceLost: true}
+					return registry.OrderResult{RaceLost: true}
 				}
 				return h
 			})(p)
@@ -79,23 +79,23 @@
 			}
 			return c, true
 		})},
-		{"desks acknowledge orders with unknown outcome", RuleDurable, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
+		{"desks acknowledge orders with unknown outcome", RuleDurable, forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
 			h.Accepted, h.Uncertain = h.Accepted || h.Uncertain, false
 			return h
 		})},
-		{"desks acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
+		{"desks acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
 			h.Accepted, h.RaceLost = h.Accepted || h.RaceLost, false
 			return h
 		})},
-		{"desks always report a fresh confirmation", RuleNewestTable, alterMessages(func(from, to string, b desk.Update) (desk.Update, bool) {
+		{"desks always report a fresh confirmation", RuleNewestTable, alterMessages(func(from, to string, b registry.Update) (registry.Update, bool) {
 			b.ConfirmationAge = min(b.ConfirmationAge, 0)
 			return b, true
 		})},
 		{"desks leave inconclusive calls unanswered", RuleCallBound, func(p *Params) {
-			p.WrapDesk = func(d Desk) Desk { return &unansweringDesk{d} }
+			p.WrapRegistry = func(d Registry) Registry { return &unansweringRegistry{d} }
 		}},
-		{"desks acknowledge heartbeats that they cannot pass on", RuleIsolatedDesk, func(p *Params) {
-			p.WrapDesk = func(d Desk) Desk { return earlyAckDesk{d} }
+		{"desks acknowledge heartbeats that they cannot pass on", RuleIsolatedRegistry, func(p *Params) {
+			p.WrapRegistry = func(d Registry) Registry { return earlyAckRegistry{d} }
 		}},
 		{"a desk receives no more freshness messages", RuleFleetRecovery, func(p *Params) {
 			received := 0
@@ -120,13 +120,13 @@
 	}
 }
 
-// unansweringDesk is a desk that drops its inconclusive answers.
-type unansweringDesk struct{ Desk }
+// unansweringRegistry is a registry that drops its inconclusive answers.
+type unansweringRegistry struct{ Registry }
 
-func (m *unansweringDesk) out(o desk.Output) desk.Output {
-	var kept []desk.Answer
+func (m *unansweringRegistry) out(o registry.Output) registry.Output {
+	var kept []registry.Answer
 	for _, a := range o.Answers {
-		if h, ok := a.Body.(desk.OrderResult); !ok || !h.Uncertain {
+		if h, ok := a.Body.(registry.OrderResult); !ok || !h.Uncertain {
 			kept = append(kept, a)
 		}
 	}
@@ -134,4 +134,6 @@
 	return o
 }
 
-func (m *unansweringDesk) Tick(now time.Duration) desk.Output { return m.out(m.Desk.Tick(now)) }
+func (m *unansweringRegistry) Tick(now time.Duration) registry.Output {
+	return m.out(m.Registry.Tick(now))
+}
--- a/rehearsalkit/relaysim/manychanges.go
+++ b/rehearsalkit/relaysim/manychanges.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/message"
 )
 
@@ -41,7 +41,7 @@
 
 func manyChangesParams(seed uint64) Params {
 	p := Defaults(seed)
-	p.Cores, p.Desks, p.Nodes = 3, 3, 3
+	p.Cores, p.Registries, p.Nodes = 3, 3, 3
 	p.Faults, p.Closing = false, ""
 	return p
 }
@@ -70,9 +70,9 @@
 // sizes are the sizes of the largest machine of each kind after a number of changes.
 // All but changes and entries are in bytes.
 type sizes struct {
-	changes                            int
-	log, state, entries                int64
-	coreMemory, deskMemory, nodeMemory int64
+	changes                                int
+	log, state, entries                    int64
+	coreMemory, registryMemory, nodeMemory int64
 }
 
 func playManyChanges(w *World) *Findings {
@@ -121,7 +121,7 @@
 	if m.stopped {
 		return
 	}
-	m.history.read(w.liveDesk(), func(t core.CurrentTable, ok bool) {
+	m.history.read(w.liveRegistry(), func(t core.CurrentTable, ok bool) {
 		if !ok {
 			w.after(50*time.Millisecond, m.applyNext)
 			return
@@ -131,7 +131,7 @@
 }
 
 func (m *manyChanges) applyUntilAnswered(o *order) {
-	m.history.send(o, m.world.liveDesk(), func(h desk.OrderResult) {
+	m.history.send(o, m.world.liveRegistry(), func(h registry.OrderResult) {
 		if h.Uncertain {
 			m.applyUntilAnswered(o)
 			return
@@ -143,10 +143,10 @@
 	})
 }
 
-// liveDesk returns a random running desk.
-func (w *World) liveDesk() *process {
+// liveRegistry returns a random running registry.
+func (w *World) liveRegistry() *process {
 	for {
-		if at := w.anyDesk(); at.alive {
+		if at := w.anyRegistry(); at.alive {
 			return at
 		}
 	}
@@ -288,8 +288,8 @@
 		switch {
 		case p.disk != nil:
 			now.coreMemory = max(now.coreMemory, footprint(p.core))
-		case p.isDesk:
-			now.deskMemory = max(now.deskMemory, footprint(p.desk))
+		case p.isRegistry:
+			now.registryMemory = max(now.registryMemory, footprint(p.registry))
 		case p.node != nil:
 			now.nodeMemory = max(now.nodeMemory, footprint(p.node))
 		}
@@ -304,7 +304,7 @@
 	f.Lines = append(f.Lines, "", fmt.Sprintf("seed %d, %s", f.Seed, m.diskState), "",
 		"| changes | longest log, bytes | state, bytes | entries | core memory | desk memory | node memory |", "|---|---|---|---|---|---|---|")
 	for _, s := range m.samples {
-		f.Lines = append(f.Lines, fmt.Sprintf("| %d | %d | %d | %d | %d | %d | %d |", s.changes, s.log, s.state, s.entries, s.coreMemory, s.deskMemory, s.nodeMemory))
+		f.Lines = append(f.Lines, fmt.Sprintf("| %d | %d | %d | %d | %d | %d | %d |", s.changes, s.log, s.state, s.entries, s.coreMemory, s.registryMemory, s.nodeMemory))
 	}
 	for i, s := range m.samples {
 		if i == 0 {
@@ -318,7 +318,7 @@
 		}{
 			{"the state", s.state, first.state, stateGrowth},
 			{"a core's memory", s.coreMemory, first.coreMemory, memoryGrowth},
-			{"a desk's memory", s.deskMemory, first.deskMemory, memoryGrowth},
+			{"a desk's memory", s.registryMemory, first.registryMemory, memoryGrowth},
 			{"a node's memory", s.nodeMemory, first.nodeMemory, memoryGrowth},
 		}
 		for _, b := range bounds {
--- a/rehearsalkit/relaysim/manychanges_test.go
+++ b/rehearsalkit/relaysim/manychanges_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/message"
 )
 
@@ -29,27 +29,27 @@
 	}
 }
 
-// storingDesk is a desk that stores an additional turn at the cores with each order.
-type storingDesk struct {
-	Desk
+// storingRegistry is a registry that stores an additional turn at the cores with each order.
+type storingRegistry struct {
+	Registry
 	stored int
 }
 
-func (h *storingDesk) Apply(now time.Duration, ticket uint64, base uint64, text []byte, digest string) desk.Output {
-	o := h.Desk.Apply(now, ticket, base, text, digest)
+func (h *storingRegistry) Apply(now time.Duration, ticket uint64, base uint64, text []byte, digest string) registry.Output {
+	o := h.Registry.Apply(now, ticket, base, text, digest)
 	h.stored++
 	command := core.StoreTurn{Tenant: "t", Attempt: fmt.Sprint(&h, h.stored), Input: text, Retention: time.Hour}
 	for n := 1; n <= 3; n++ {
-		o.Sends = append(o.Sends, desk.Send{To: fmt.Sprintf("10.0.0.%d:2", n), Body: core.Command{ID: uint64(h.stored), Partition: core.TargetPartition(7, command), Raw: message.Pack(command)}})
+		o.Sends = append(o.Sends, registry.Send{To: fmt.Sprintf("10.0.0.%d:2", n), Body: core.Command{ID: uint64(h.stored), Partition: core.TargetPartition(7, command), Raw: message.Pack(command)}})
 	}
 	return o
 }
 
-// overstatingDesk is a desk that reads back higher table numbers than exist.
-type overstatingDesk struct{ Desk }
+// overstatingRegistry is a registry that reads back higher table numbers than exist.
+type overstatingRegistry struct{ Registry }
 
-func (b *overstatingDesk) Receive(now time.Duration, from string, body any) desk.Output {
-	o := b.Desk.Receive(now, from, body)
+func (b *overstatingRegistry) Receive(now time.Duration, from string, body any) registry.Output {
+	o := b.Registry.Receive(now, from, body)
 	for i, a := range o.Answers {
 		if t, ok := a.Body.(core.CurrentTable); ok && t.Number > 0 {
 			t.Number++
@@ -67,10 +67,10 @@
 		inject     func(p *Params)
 	}{
 		{"cores store more with each order", RuleGrowth, func(p *Params) {
-			p.WrapDesk = func(d Desk) Desk { return &storingDesk{Desk: d} }
+			p.WrapRegistry = func(d Registry) Registry { return &storingRegistry{Registry: d} }
 		}},
 		{"desks report newer tables than the leader has", RuleLeaderCurrent, func(p *Params) {
-			p.WrapDesk = func(d Desk) Desk { return &overstatingDesk{d} }
+			p.WrapRegistry = func(d Registry) Registry { return &overstatingRegistry{d} }
 		}},
 		{"a returning machine is sent far too much", RuleCatchUpBytes, alterMessages(func(from, to string, b core.Topology) (core.Topology, bool) {
 			if to == "core1" {
--- a/rehearsalkit/relaysim/operator.go
+++ b/rehearsalkit/relaysim/operator.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/route"
 )
@@ -96,7 +96,7 @@
 	return t
 }
 
-// applyTable sends a table to random desks until the answer is conclusive or the time
+// applyTable sends a table to random registries until the answer is conclusive or the time
 // is over.
 func (w *World) applyTable(t *Table, until time.Duration, done func()) {
 	if t.SentAt == 0 {
@@ -116,11 +116,11 @@
 		}
 		w.after(w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.applyTable(t, until, done) })
 	}
-	at := w.anyDesk()
-	w.callDesk(at, func(d Desk, now time.Duration, ticket uint64) desk.Output {
-		return d.Apply(now, ticket, t.Base, t.Text, desk.Digest(t.Text))
+	at := w.anyRegistry()
+	w.callRegistry(at, func(d Registry, now time.Duration, ticket uint64) registry.Output {
+		return d.Apply(now, ticket, t.Base, t.Text, registry.Digest(t.Text))
 	}, func(body any) {
-		h, _ := body.(desk.OrderResult)
+		h, _ := body.(registry.OrderResult)
 		if finished {
 			if h.Accepted && !t.Acked {
 				// A late acknowledgement still counts.
@@ -149,7 +149,7 @@
 	w.after(time.Second, retry)
 }
 
-// readTable reads the table in force, trying other desks until the time is over.
+// readTable reads the table in force, trying other registries until the time is over.
 func (w *World) readTable(until time.Duration, done func(from time.Duration, t core.CurrentTable)) {
 	finished, from := false, w.now
 	retry := func() {
@@ -158,7 +158,7 @@
 			w.readTable(until, done)
 		}
 	}
-	w.callDesk(w.anyDesk(), func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.Read(now, ticket) }, func(body any) {
+	w.callRegistry(w.anyRegistry(), func(d Registry, now time.Duration, ticket uint64) registry.Output { return d.Read(now, ticket) }, func(body any) {
 		if t, ok := body.(core.CurrentTable); ok && !finished && t.Number > 0 {
 			finished = true
 			w.Counts["tables read"]++
--- a/rehearsalkit/relaysim/orders.go
+++ b/rehearsalkit/relaysim/orders.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/route"
 )
 
@@ -21,7 +21,7 @@
 // tableRead is one successful read of the table in force.
 type tableRead struct {
 	started, ended time.Duration
-	desk           string
+	registry       string
 	number         uint64
 	text           []byte
 }
@@ -31,7 +31,7 @@
 type orderHistory struct {
 	world    *World
 	findings *Findings
-	// answerLoss is the fraction of answers to orders that are lost between desk and
+	// answerLoss is the fraction of answers to orders that are lost between registry and
 	// operator.
 	answerLoss float64
 	// answerTimeout is how long an operator waits for an answer.
@@ -42,13 +42,13 @@
 	orders  []*order
 	acked   []*order
 	reads   []tableRead
-	calls   []*deskCall
+	calls   []*registryCall
 	// newestSeen is the highest table number acknowledged or read back.
 	newestSeen uint64
 }
 
 // answerTimeout is the default time that callers wait for an answer. It is longer than
-// a desk's own timeout.
+// a registry's own timeout.
 const answerTimeout = 5 * time.Second
 
 func newOrderHistory(w *World, f *Findings) *orderHistory {
@@ -73,30 +73,30 @@
 	}
 }
 
-// apply sends an order to a desk.
-func (o *order) apply(d Desk, now time.Duration, ticket uint64) desk.Output {
+// apply sends an order to a registry.
+func (o *order) apply(d Registry, now time.Duration, ticket uint64) registry.Output {
 	if o.amendment == nil {
-		return d.Apply(now, ticket, o.Base, o.Text, desk.Digest(o.Text))
+		return d.Apply(now, ticket, o.Base, o.Text, registry.Digest(o.Text))
 	}
-	return d.Amend(now, ticket, desk.Amendment{Base: o.Base, Number: o.Number, Digest: desk.AmendmentDigest(o.Text), Apply: desk.ApplyAmendment(*o.amendment)})
+	return d.Amend(now, ticket, registry.Amendment{Base: o.Base, Number: o.Number, Digest: registry.AmendmentDigest(o.Text), Apply: registry.ApplyAmendment(*o.amendment)})
 }
 
-// beginCall records a call that has just reached a desk.
-func (b *orderHistory) beginCall(kind string, at *process) *deskCall {
-	c := &deskCall{kind: kind, desk: at, incarnation: at.incarnation, started: b.world.now, ended: -1}
+// beginCall records a call that has just reached a registry.
+func (b *orderHistory) beginCall(kind string, at *process) *registryCall {
+	c := &registryCall{kind: kind, registry: at, incarnation: at.incarnation, started: b.world.now, ended: -1}
 	b.calls = append(b.calls, c)
 	return c
 }
 
-func (b *orderHistory) endCall(c *deskCall, conclusive bool) {
+func (b *orderHistory) endCall(c *registryCall, conclusive bool) {
 	if c.ended < 0 {
 		c.ended, c.conclusive = b.world.now, conclusive
 	}
 }
 
-// call calls a desk. If the answer is lost, done is called with nil after the answer
+// call calls a registry. If the answer is lost, done is called with nil after the answer
 // timeout.
-func (b *orderHistory) call(kind string, at *process, step func(d Desk, now time.Duration, ticket uint64) desk.Output, conclusive func(body any) bool, done func(body any)) {
+func (b *orderHistory) call(kind string, at *process, step func(d Registry, now time.Duration, ticket uint64) registry.Output, conclusive func(body any) bool, done func(body any)) {
 	w := b.world
 	finished := false
 	finish := func(body any) {
@@ -116,26 +116,26 @@
 					w.after(w.delay(), func() { finish(body) })
 				}
 			}
-			at.applyDeskOutput(step(at.desk, at.now(), at.lastTicket))
+			at.applyRegistryOutput(step(at.registry, at.now(), at.lastTicket))
 		})
 	})
 	w.after(b.answerTimeout, func() { finish(nil) })
 }
 
-// send sends an order to a desk once and records the answer.
-func (b *orderHistory) send(o *order, at *process, done func(h desk.OrderResult)) {
+// send sends an order to a registry once and records the answer.
+func (b *orderHistory) send(o *order, at *process, done func(h registry.OrderResult)) {
 	kind := callResend
 	if o.SentAt == 0 {
 		kind, o.SentAt = callOrder, b.world.now
 		b.orders = append(b.orders, o)
 		b.world.Record.Tables = append(b.world.Record.Tables, o.Table)
 	}
-	step := func(d Desk, now time.Duration, ticket uint64) desk.Output {
+	step := func(d Registry, now time.Duration, ticket uint64) registry.Output {
 		return o.apply(d, now, ticket)
 	}
-	conclusive := func(body any) bool { h, ok := body.(desk.OrderResult); return ok && !h.Uncertain }
+	conclusive := func(body any) bool { h, ok := body.(registry.OrderResult); return ok && !h.Uncertain }
 	b.call(kind, at, step, conclusive, func(body any) {
-		h, ok := body.(desk.OrderResult)
+		h, ok := body.(registry.OrderResult)
 		if !ok {
 			h.Uncertain = true
 		}
@@ -146,7 +146,7 @@
 
 // recordAnswer checks an answer against the earlier ones to the same order and records
 // it.
-func (b *orderHistory) recordAnswer(o *order, at *process, h desk.OrderResult) {
+func (b *orderHistory) recordAnswer(o *order, at *process, h registry.OrderResult) {
 	w := b.world
 	if o.Acked {
 		b.resends.add(len(b.acked)-o.ackedIndex, h)
@@ -179,11 +179,11 @@
 	}
 }
 
-// sendUntilAnswered sends an order to random desks until the answer is conclusive or
+// sendUntilAnswered sends an order to random registries until the answer is conclusive or
 // the time is over.
 func (b *orderHistory) sendUntilAnswered(o *order, until time.Duration, done func()) {
 	w := b.world
-	b.send(o, w.anyDesk(), func(h desk.OrderResult) {
+	b.send(o, w.anyRegistry(), func(h registry.OrderResult) {
 		switch {
 		case !h.Uncertain || o.Acked:
 			done()
@@ -196,11 +196,11 @@
 	})
 }
 
-// read reads the table in force at a desk once.
+// read reads the table in force at a registry once.
 func (b *orderHistory) read(at *process, done func(t core.CurrentTable, ok bool)) {
 	w := b.world
 	started, newest := w.now, b.newestSeen
-	step := func(d Desk, now time.Duration, ticket uint64) desk.Output { return d.Read(now, ticket) }
+	step := func(d Registry, now time.Duration, ticket uint64) registry.Output { return d.Read(now, ticket) }
 	conclusive := func(body any) bool { t, ok := body.(core.CurrentTable); return ok && t.Number > 0 }
 	b.call(callRead, at, step, conclusive, func(body any) {
 		t, _ := body.(core.CurrentTable)
@@ -212,7 +212,7 @@
 			b.findings.breach(RuleNewestTable, "%s read back table %d, from %v to %v, and %d had been told before", at.id, t.Number, started, w.now, newest)
 		}
 		b.newestSeen = max(b.newestSeen, t.Number)
-		b.reads = append(b.reads, tableRead{started: started, ended: w.now, desk: at.id, number: t.Number, text: t.Text})
+		b.reads = append(b.reads, tableRead{started: started, ended: w.now, registry: at.id, number: t.Number, text: t.Text})
 		done(t, true)
 	})
 }
@@ -242,7 +242,7 @@
 	if r.stopped() {
 		return
 	}
-	b.read(w.anyDesk(), func(t core.CurrentTable, ok bool) {
+	b.read(w.anyRegistry(), func(t core.CurrentTable, ok bool) {
 		if !ok {
 			next()
 			return
@@ -268,7 +268,7 @@
 	})
 }
 
-// resend sends an acknowledged order to a desk again, unchanged. If memory is positive,
+// resend sends an acknowledged order to a registry again, unchanged. If memory is positive,
 // it is one of the last memory orders.
 func (b *orderHistory) resend(at *process, memory int) {
 	from := 0
@@ -279,5 +279,5 @@
 		return
 	}
 	o := b.acked[from+b.world.random.IntN(len(b.acked)-from)]
-	b.send(o, at, func(h desk.OrderResult) {})
+	b.send(o, at, func(h registry.OrderResult) {})
 }
--- a/rehearsalkit/relaysim/orderstorm.go
+++ b/rehearsalkit/relaysim/orderstorm.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 )
 
 // Bounds of the scenario orders.
@@ -24,7 +24,7 @@
 
 func ordersParams(seed uint64) Params {
 	p := Defaults(seed)
-	p.Cores, p.Desks, p.Nodes = 3+int(seed%3), 3, 1
+	p.Cores, p.Registries, p.Nodes = 3+int(seed%3), 3, 1
 	p.Faults, p.Closing = false, ""
 	return p
 }
@@ -88,7 +88,7 @@
 	if w.chance(0.3) {
 		memory = recentOrders
 	}
-	s.history.resend(w.anyDesk(), memory)
+	s.history.resend(w.anyRegistry(), memory)
 	w.after(w.between(50*time.Millisecond, 200*time.Millisecond), s.resendAny)
 }
 
@@ -106,7 +106,7 @@
 }
 
 func (s *orderStorm) sendUntilAnswered(o *order, done func()) {
-	s.history.send(o, s.world.anyDesk(), func(h desk.OrderResult) {
+	s.history.send(o, s.world.anyRegistry(), func(h registry.OrderResult) {
 		if h.Uncertain {
 			s.sendUntilAnswered(o, done)
 			return
--- a/rehearsalkit/relaysim/params.go
+++ b/rehearsalkit/relaysim/params.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/peer/relay"
 	"saffronfall/rule/partition"
 	"saffronfall/rule/placement"
@@ -19,11 +19,11 @@
 
 // Params configure a run.
 type Params struct {
-	Seed  uint64
-	Cores int
-	Desks int
-	Nodes int
-	Zones int
+	Seed       uint64
+	Cores      int
+	Registries int
+	Nodes      int
+	Zones      int
 	// GroupSize is the number of members of a partition's group; below three means three.
 	GroupSize int
 	// FaultPeriod is how long faults are injected after the start.
@@ -41,17 +41,17 @@
 	// Callers call tools, and Flooders exceed their tenant's rate limit.
 	Conversations, Runaways, Callers, Flooders int
 	Operators                                  int
-	// WrapNode, WrapDesk and Alter let tests break the system on purpose.
-	WrapNode func(n Node) Node
-	WrapDesk func(d Desk) Desk
-	Alter    func(from, to string, body any) (any, bool)
-	Logf     func(format string, args ...any)
+	// WrapNode, WrapRegistry and Alter let tests break the system on purpose.
+	WrapNode     func(n Node) Node
+	WrapRegistry func(d Registry) Registry
+	Alter        func(from, to string, body any) (any, bool)
+	Logf         func(format string, args ...any)
 }
 
 // Defaults are the parameters of a small fleet under all faults. Some seeds lose more
 // messages, and some have tighter rate tolerances.
 func Defaults(seed uint64) Params {
-	p := Params{Seed: seed, Cores: 3 + int(seed%2), Desks: 2 + int(seed/2%2), Nodes: 4 + int(seed/4%3), Zones: 3, FaultPeriod: 20 * time.Second, Faults: true, Loss: 0.002, Overshoot: 0.1, Slack: 4,
+	p := Params{Seed: seed, Cores: 3 + int(seed%2), Registries: 2 + int(seed/2%2), Nodes: 4 + int(seed/4%3), Zones: 3, FaultPeriod: 20 * time.Second, Faults: true, Loss: 0.002, Overshoot: 0.1, Slack: 4,
 		Conversations: 8, Runaways: 2, Callers: 3, Flooders: 3, Operators: 2}
 	if seed%5 == 4 {
 		p.Loss = 0.02
@@ -79,8 +79,8 @@
 		AttemptTimeout: contactTimeout / 24, PullInterval: contactTimeout / 20, SilenceTimeout: catchUpTime / 2, ColdStart: true}
 }
 
-func (w *World) deskParams() desk.Params {
-	return desk.Params{Core: coreParams(), HeartbeatInterval: heartbeatInterval, GroupSize: max(3, w.Params.GroupSize), PartitionsPerCore: 2, LoadInterval: heartbeatInterval / 12, OperationTimeout: 3 * time.Second}
+func (w *World) registryParams() registry.Params {
+	return registry.Params{Core: coreParams(), HeartbeatInterval: heartbeatInterval, GroupSize: max(3, w.Params.GroupSize), PartitionsPerCore: 2, LoadInterval: heartbeatInterval / 12, OperationTimeout: 3 * time.Second}
 }
 
 func (w *World) nodeParams() relay.Params {
--- a/rehearsalkit/relaysim/process.go
+++ b/rehearsalkit/relaysim/process.go
@@ -5,14 +5,14 @@
 	"time"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/peer/relay"
 	"saffronfall/rule/invariant"
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
 )
 
-// process is one process of the fleet: a core, a desk or a node, or a client outside of
+// process is one process of the fleet: a core, a registry or a node, or a client outside of
 // it.
 type process struct {
 	world   *World
@@ -24,7 +24,7 @@
 
 	processState
 	coreProcess
-	deskProcess
+	registryProcess
 	nodeProcess
 	client *client
 }
@@ -46,11 +46,11 @@
 	disk *disk
 }
 
-// deskProcess is the state of a process that is a desk.
-type deskProcess struct {
-	isDesk        bool
-	desk          Desk
-	knownReplicas map[string]desk.ReplicaEntry
+// registryProcess is the state of a process that is a registry.
+type registryProcess struct {
+	isRegistry    bool
+	registry      Registry
+	knownReplicas map[string]registry.ReplicaEntry
 	pendingCalls  map[uint64]func(body any)
 	lastTicket    uint64
 	foundsFleet   bool
@@ -95,15 +95,15 @@
 		image.CopyFrom(p.disk.stored)
 		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: p.zone, Address: p.address, Seeds: p.seedList(), Stored: image, Now: p.now(), Random: w.random.Float64, Violated: w.recordViolation})
 		p.tick(p.incarnation, coreParams().Partition.LeaseDuration/40)
-	case p.isDesk:
-		var known []desk.ReplicaEntry
+	case p.isRegistry:
+		var known []registry.ReplicaEntry
 		for _, id := range ordered.Keys(p.knownReplicas) {
 			known = append(known, p.knownReplicas[id])
 		}
 		p.pendingCalls = map[uint64]func(any){}
-		p.desk = desk.New(desk.Options{Params: w.deskParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Address: p.address, Seeds: p.seedList(), FoundsFleet: p.foundsFleet, KnownReplicas: known, Now: p.now(), Random: w.random.Float64})
-		if w.Params.WrapDesk != nil {
-			p.desk = w.Params.WrapDesk(p.desk)
+		p.registry = registry.New(registry.Options{Params: w.registryParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Address: p.address, Seeds: p.seedList(), FoundsFleet: p.foundsFleet, KnownReplicas: known, Now: p.now(), Random: w.random.Float64})
+		if w.Params.WrapRegistry != nil {
+			p.registry = w.Params.WrapRegistry(p.registry)
 		}
 		p.tick(p.incarnation, coreParams().PullInterval/3)
 	case p.client != nil:
@@ -125,8 +125,8 @@
 		switch {
 		case p.disk != nil:
 			p.applyCoreOutput(p.core.Tick(p.now()))
-		case p.isDesk:
-			p.applyDeskOutput(p.desk.Tick(p.now()))
+		case p.isRegistry:
+			p.applyRegistryOutput(p.registry.Tick(p.now()))
 		case p.client != nil:
 			p.client.tick(p.now())
 		default:
@@ -199,8 +199,8 @@
 	if p.disk != nil {
 		p.disk = p.world.emptyDisk(p.id)
 	}
-	if p.isDesk {
-		p.knownReplicas = map[string]desk.ReplicaEntry{}
+	if p.isRegistry {
+		p.knownReplicas = map[string]registry.ReplicaEntry{}
 	}
 }
 
@@ -217,8 +217,8 @@
 	switch {
 	case p.disk != nil:
 		p.applyCoreOutput(p.core.Receive(p.now(), from, value))
-	case p.isDesk:
-		p.applyDeskOutput(p.desk.Receive(p.now(), from, value))
+	case p.isRegistry:
+		p.applyRegistryOutput(p.registry.Receive(p.now(), from, value))
 	case p.client != nil:
 		p.client.receive(p.now(), from, value)
 	default:
@@ -226,20 +226,20 @@
 	}
 }
 
-// announce passes an announcement of a replica to a desk and reports whether it was
-// accepted, that is, known beyond this desk.
-func (p *process) announce(step func(ticket uint64) desk.Output, then func(accepted bool)) {
+// announce passes an announcement of a replica to a registry and reports whether it was
+// accepted, that is, known beyond this registry.
+func (p *process) announce(step func(ticket uint64) registry.Output, then func(accepted bool)) {
 	p.lastTicket++
 	p.pendingCalls[p.lastTicket] = func(body any) {
-		h, _ := body.(desk.Acknowledgment)
+		h, _ := body.(registry.Acknowledgment)
 		then(h.Accepted)
 	}
-	p.applyDeskOutput(step(p.lastTicket))
+	p.applyRegistryOutput(step(p.lastTicket))
 }
 
-// applyDeskOutput carries out a desk's output. Changes of its list of replicas are
+// applyRegistryOutput carries out a registry's output. Changes of its list of replicas are
 // stored before any message or answer leaves.
-func (p *process) applyDeskOutput(o desk.Output) {
+func (p *process) applyRegistryOutput(o registry.Output) {
 	for _, l := range o.ChangedReplicas {
 		p.knownReplicas[l.Replica.ID] = l
 	}
--- a/rehearsalkit/relaysim/record.go
+++ b/rehearsalkit/relaysim/record.go
@@ -112,7 +112,7 @@
 	Repeatable bool
 }
 
-// ReadBack is the table that a desk returned to a read that began at From and ended at
+// ReadBack is the table that a registry returned to a read that began at From and ended at
 // At.
 type ReadBack struct {
 	From, At time.Duration
--- a/rehearsalkit/relaysim/relaysim_test.go
+++ b/rehearsalkit/relaysim/relaysim_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/peer/relay"
 	"saffronfall/rule/message"
 	"saffronfall/rule/rate"
@@ -98,34 +98,34 @@
 
 func (b *faultyNode) Tick(now time.Duration) relay.Output { return b.out(b.Node.Tick(now)) }
 
-// forgingDesk is a desk that forges its answers to orders.
-type forgingDesk struct {
-	Desk
-	forge func(h desk.OrderResult) desk.OrderResult
+// forgingRegistry is a registry that forges its answers to orders.
+type forgingRegistry struct {
+	Registry
+	forge func(h registry.OrderResult) registry.OrderResult
 }
 
-func (f *forgingDesk) out(o desk.Output) desk.Output {
+func (f *forgingRegistry) out(o registry.Output) registry.Output {
 	for i, a := range o.Answers {
-		if h, ok := a.Body.(desk.OrderResult); ok {
+		if h, ok := a.Body.(registry.OrderResult); ok {
 			o.Answers[i].Body = f.forge(h)
 		}
 	}
 	return o
 }
 
-func (f *forgingDesk) Receive(now time.Duration, from string, body any) desk.Output {
-	return f.out(f.Desk.Receive(now, from, body))
+func (f *forgingRegistry) Receive(now time.Duration, from string, body any) registry.Output {
+	return f.out(f.Registry.Receive(now, from, body))
 }
 
-func (f *forgingDesk) Tick(now time.Duration) desk.Output { return f.out(f.Desk.Tick(now)) }
+func (f *forgingRegistry) Tick(now time.Duration) registry.Output { return f.out(f.Registry.Tick(now)) }
 
-func (f *forgingDesk) Apply(now time.Duration, ticket uint64, base uint64, text []byte, digest string) desk.Output {
-	return f.out(f.Desk.Apply(now, ticket, base, text, digest))
+func (f *forgingRegistry) Apply(now time.Duration, ticket uint64, base uint64, text []byte, digest string) registry.Output {
+	return f.out(f.Registry.Apply(now, ticket, base, text, digest))
 }
 
-func forgeOrderResults(forge func(h desk.OrderResult) desk.OrderResult) func(p *Params) {
+func forgeOrderResults(forge func(h registry.OrderResult) registry.OrderResult) func(p *Params) {
 	return func(p *Params) {
-		p.WrapDesk = func(d Desk) Desk { return &forgingDesk{Desk: d, forge: forge} }
+		p.WrapRegistry = func(d Registry) Registry { return &forgingRegistry{Registry: d, forge: forge} }
 	}
 }
 
@@ -233,7 +233,7 @@
 		})},
 		{"a node gets no table after the first", RuleTableLag, func(p *Params) {
 			p.Alter = func(from, to string, body any) (any, bool) {
-				if b, ok := body.(desk.Update); ok && to == "node1" && b.TableNumber > 1 {
+				if b, ok := body.(registry.Update); ok && to == "node1" && b.TableNumber > 1 {
 					b.Table = nil
 					return b, true
 				}
@@ -249,17 +249,17 @@
 				return a
 			}}
 		})},
-		{"desks acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
+		{"desks acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
 			h.Accepted, h.RaceLost = h.Accepted || h.RaceLost, false
 			return h
 		})},
-		{"desks acknowledge invalid tables", RuleTableRace, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
+		{"desks acknowledge invalid tables", RuleTableRace, forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
 			h.Accepted, h.Faults = h.Accepted || h.Faults != nil, nil
 			return h
 		})},
-		{"desks refuse committed tables", RuleDurable, forgeOrderResults(func(h desk.OrderResult) desk.OrderResult {
+		{"desks refuse committed tables", RuleDurable, forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
 			if h.Accepted && h.Number > 1 {
-				return desk.OrderResult{RaceLost: true}
+				return registry.OrderResult{RaceLost: true}
 			}
 			return h
 		})},
@@ -269,8 +269,8 @@
 			// one of them to choose the leaving replica.
 			p.Callers, p.Conversations = 20, 20
 			p.Alter = func(from, to string, body any) (any, bool) {
-				if b, ok := body.(desk.Update); ok {
-					list := append([]desk.ReplicaEntry(nil), b.Replicas...)
+				if b, ok := body.(registry.Update); ok {
+					list := append([]registry.ReplicaEntry(nil), b.Replicas...)
 					for i := range list {
 						list[i].Replica.Leaving = false
 					}
--- a/rehearsalkit/relaysim/replica.go
+++ b/rehearsalkit/relaysim/replica.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/peer/relay"
 	"saffronfall/rule/ordered"
 )
@@ -28,19 +28,19 @@
 
 // replica is one incarnation of a simulated replica.
 type replica struct {
-	world       *World
-	id          string
-	service     string
-	address     string
-	zone        string
-	alive       bool
-	leaving     bool
-	sequence    int64
-	slots       int
-	running     int
-	queue       []*job
-	jobs        []*job
-	currentDesk *process
+	world           *World
+	id              string
+	service         string
+	address         string
+	zone            string
+	alive           bool
+	leaving         bool
+	sequence        int64
+	slots           int
+	running         int
+	queue           []*job
+	jobs            []*job
+	currentRegistry *process
 }
 
 // job is one request at a replica.
@@ -71,23 +71,23 @@
 	}
 }
 
-// heartbeat announces the replica to a desk, and to another one if it is not
+// heartbeat announces the replica to a registry, and to another one if it is not
 // acknowledged within a second.
 func (r *replica) heartbeat(acknowledged func()) {
 	w := r.world
-	if r.currentDesk == nil {
-		r.currentDesk = w.anyDesk()
+	if r.currentRegistry == nil {
+		r.currentRegistry = w.anyRegistry()
 	}
-	to, done := r.currentDesk, false
+	to, done := r.currentRegistry, false
 	r.sequence++
-	announcement := desk.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: r.zone, Slots: int64(r.slots), Leaving: r.leaving, Sequence: r.sequence}
+	announcement := registry.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: r.zone, Slots: int64(r.slots), Leaving: r.leaving, Sequence: r.sequence}
 	w.after(w.delay(), func() {
 		if w.isCut(r.address, to.address) {
 			return
 		}
 		to.do(func() {
 			incarnation := to.incarnation
-			to.announce(func(ticket uint64) desk.Output { return to.desk.Heartbeat(to.now(), ticket, announcement) }, func(accepted bool) {
+			to.announce(func(ticket uint64) registry.Output { return to.registry.Heartbeat(to.now(), ticket, announcement) }, func(accepted bool) {
 				if !accepted {
 					return
 				}
@@ -105,7 +105,7 @@
 	})
 	w.after(time.Second, func() {
 		if !done && r.alive {
-			done, r.currentDesk = true, nil
+			done, r.currentRegistry = true, nil
 			r.heartbeat(acknowledged)
 		}
 	})
@@ -119,8 +119,8 @@
 	w.Counts["replicas left in order"]++
 	end := func() {
 		if r.alive {
-			to := w.anyDesk()
-			to.do(func() { to.applyDeskOutput(to.desk.Leave(to.now(), 0, r.id)) })
+			to := w.anyRegistry()
+			to.do(func() { to.applyRegistryOutput(to.registry.Leave(to.now(), 0, r.id)) })
 			w.after(w.between(50*time.Millisecond, 300*time.Millisecond), func() { r.stop(then) })
 		}
 	}
--- a/rehearsalkit/relaysim/resends.go
+++ b/rehearsalkit/relaysim/resends.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 )
 
 // resendTable counts the answers to acknowledged orders that were sent again, by the
@@ -15,7 +15,7 @@
 // resendBuckets are the upper bounds of the rows of a resendTable.
 var resendBuckets = []int{8, 16, 64, 256, 1 << 30}
 
-func (t resendTable) add(changes int, h desk.OrderResult) {
+func (t resendTable) add(changes int, h registry.OrderResult) {
 	step := 0
 	for changes > resendBuckets[step] {
 		step++
--- a/rehearsalkit/relaysim/scenario.go
+++ b/rehearsalkit/relaysim/scenario.go
@@ -32,7 +32,7 @@
 	Seed     uint64
 	Breaches []Breach
 	Counts   map[string]int64
-	// Answers holds the answers to calls at desks by second.
+	// Answers holds the answers to calls at registries by second.
 	Answers answerTable
 	// Durations are measured durations by their printed label.
 	Durations map[string][]time.Duration
--- a/rehearsalkit/relaysim/secondloss.go
+++ b/rehearsalkit/relaysim/secondloss.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 )
 
 // Membership changes during which a loss is injected.
@@ -81,7 +81,7 @@
 	lossAway = 700 * time.Millisecond
 	// changeLongest is the time after which an unfinished change is given up.
 	changeLongest = 12 * time.Second
-	// lossAnswerTimeout is short because desks lose power too.
+	// lossAnswerTimeout is short because registries lose power too.
 	lossAnswerTimeout = time.Second
 	// lossStride is the distance between the points at which one seed injects losses.
 	lossStride = 40
@@ -89,7 +89,7 @@
 
 func secondLossParams(seed uint64) Params {
 	p := Defaults(seed)
-	p.Desks, p.Nodes = 2, 0
+	p.Registries, p.Nodes = 2, 0
 	p.Faults, p.Closing = false, ""
 	return p
 }
@@ -207,29 +207,29 @@
 // requestRetirement requests the retirement until it is accepted, and then waits until
 // it is done.
 func (r *lossRun) requestRetirement() {
-	step := func(d Desk, now time.Duration, ticket uint64) desk.Output {
+	step := func(d Registry, now time.Duration, ticket uint64) registry.Output {
 		return d.Retire(now, ticket, r.leaving.core.id)
 	}
-	r.callUntil(callRetire, step, r.requestRetirement, func(e desk.RetirementStatus) bool { return e.Known && e.EnoughCores }, r.awaitRetirement)
+	r.callUntil(callRetire, step, r.requestRetirement, func(e registry.RetirementStatus) bool { return e.Known && e.EnoughCores }, r.awaitRetirement)
 }
 
 func (r *lossRun) awaitRetirement() {
-	step := func(d Desk, now time.Duration, ticket uint64) desk.Output {
+	step := func(d Registry, now time.Duration, ticket uint64) registry.Output {
 		return d.RetirementStatus(now, ticket, r.leaving.core.id)
 	}
-	r.callUntil(callStatus, step, r.awaitRetirement, func(e desk.RetirementStatus) bool { return e.Done }, r.retired)
+	r.callUntil(callStatus, step, r.awaitRetirement, func(e registry.RetirementStatus) bool { return e.Done }, r.retired)
 }
 
-func (r *lossRun) callUntil(kind string, step func(d Desk, now time.Duration, ticket uint64) desk.Output, retry func(), satisfied func(e desk.RetirementStatus) bool, next func()) {
+func (r *lossRun) callUntil(kind string, step func(d Registry, now time.Duration, ticket uint64) registry.Output, retry func(), satisfied func(e registry.RetirementStatus) bool, next func()) {
 	w := r.world
-	at := w.anyDesk()
+	at := w.anyRegistry()
 	if !at.alive {
 		w.after(50*time.Millisecond, retry)
 		return
 	}
-	known := func(body any) bool { e, ok := body.(desk.RetirementStatus); return ok && !e.Uncertain }
+	known := func(body any) bool { e, ok := body.(registry.RetirementStatus); return ok && !e.Uncertain }
 	r.history.call(kind, at, step, known, func(body any) {
-		e, ok := body.(desk.RetirementStatus)
+		e, ok := body.(registry.RetirementStatus)
 		switch {
 		case r.doneAt > 0:
 		case ok && !e.Uncertain && satisfied(e):
@@ -240,7 +240,7 @@
 	})
 }
 
-// retired is called when a desk reports the retirement as done. It checks that
+// retired is called when a registry reports the retirement as done. It checks that
 // acknowledged data is held elsewhere and removes the machine at once.
 func (r *lossRun) retired() {
 	w := r.world
--- a/rehearsalkit/relaysim/secondloss_test.go
+++ b/rehearsalkit/relaysim/secondloss_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/message"
 )
 
@@ -23,28 +23,28 @@
 	}
 }
 
-// forgingStatusDesk is a desk that forges the status of retirements.
-type forgingStatusDesk struct {
-	Desk
-	forge func(e desk.RetirementStatus) desk.RetirementStatus
+// forgingStatusRegistry is a registry that forges the status of retirements.
+type forgingStatusRegistry struct {
+	Registry
+	forge func(e registry.RetirementStatus) registry.RetirementStatus
 }
 
-func (s *forgingStatusDesk) RetirementStatus(now time.Duration, ticket uint64, id string) desk.Output {
-	o := s.Desk.RetirementStatus(now, ticket, id)
+func (s *forgingStatusRegistry) RetirementStatus(now time.Duration, ticket uint64, id string) registry.Output {
+	o := s.Registry.RetirementStatus(now, ticket, id)
 	return s.out(o)
 }
 
-func (s *forgingStatusDesk) out(o desk.Output) desk.Output {
+func (s *forgingStatusRegistry) out(o registry.Output) registry.Output {
 	for i, a := range o.Answers {
-		if e, ok := a.Body.(desk.RetirementStatus); ok {
+		if e, ok := a.Body.(registry.RetirementStatus); ok {
 			o.Answers[i].Body = s.forge(e)
 		}
 	}
 	return o
 }
 
-func (s *forgingStatusDesk) Receive(now time.Duration, from string, body any) desk.Output {
-	return s.out(s.Desk.Receive(now, from, body))
+func (s *forgingStatusRegistry) Receive(now time.Duration, from string, body any) registry.Output {
+	return s.out(s.Registry.Receive(now, from, body))
 }
 
 // TestSecondLossBreaks breaks the fleet on purpose and checks that the judge reports
@@ -55,8 +55,8 @@
 		inject                   func(p *Params)
 	}{
 		{"retirements are reported done at once", RuleRetirement, changePlanned, lossPower, func(p *Params) {
-			p.WrapDesk = func(d Desk) Desk {
-				return &forgingStatusDesk{Desk: d, forge: func(e desk.RetirementStatus) desk.RetirementStatus { e.Done = true; return e }}
+			p.WrapRegistry = func(d Registry) Registry {
+				return &forgingStatusRegistry{Registry: d, forge: func(e registry.RetirementStatus) registry.RetirementStatus { e.Done = true; return e }}
 			}
 		}},
 		{"a new core is sent no replica messages", RuleGroupSize, changeReplacement, lossPower, alterMessages(func(from, to string, b core.ReplicaMessage) (core.ReplicaMessage, bool) {
--- a/rehearsalkit/relaysim/start.go
+++ b/rehearsalkit/relaysim/start.go
@@ -18,7 +18,7 @@
 	var last *tableRead
 	var retry func()
 	retry = func() {
-		b.read(w.anyDesk(), func(t core.CurrentTable, ok bool) {
+		b.read(w.anyRegistry(), func(t core.CurrentTable, ok bool) {
 			if ok && last == nil {
 				last = &tableRead{started: w.now, ended: w.now, number: t.Number, text: t.Text}
 				w.Record.FinalReads = append(w.Record.FinalReads, ReadBack{At: w.now, Number: t.Number, Text: t.Text})
--- a/rehearsalkit/relaysim/world.go
+++ b/rehearsalkit/relaysim/world.go
@@ -1,5 +1,5 @@
 // Package relaysim simulates the relay tier in virtual time. It runs the production
-// state machines of nodes, desks and cores with simulated requesters, replicas,
+// state machines of nodes, registries and cores with simulated requesters, replicas,
 // operators, network and disks, injects seeded faults, and judges each run by what
 // requesters, replicas and operators saw.
 //
@@ -14,7 +14,7 @@
 	"slices"
 	"time"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/peer/relay"
 	"saffronfall/rehearsalkit/agenda"
 	"saffronfall/rule/ordered"
@@ -30,17 +30,17 @@
 	Ready(now time.Duration) bool
 }
 
-// Desk is the state machine of a desk, as the simulator drives it.
-type Desk interface {
-	Heartbeat(now time.Duration, ticket uint64, r desk.Replica) desk.Output
-	Leave(now time.Duration, ticket uint64, id string) desk.Output
-	Receive(now time.Duration, from string, body any) desk.Output
-	Tick(now time.Duration) desk.Output
-	Apply(now time.Duration, ticket uint64, base uint64, text []byte, digest string) desk.Output
-	Amend(now time.Duration, ticket uint64, a desk.Amendment) desk.Output
-	Read(now time.Duration, ticket uint64) desk.Output
-	Retire(now time.Duration, ticket uint64, id string) desk.Output
-	RetirementStatus(now time.Duration, ticket uint64, id string) desk.Output
+// Registry is the state machine of a registry, as the simulator drives it.
+type Registry interface {
+	Heartbeat(now time.Duration, ticket uint64, r registry.Replica) registry.Output
+	Leave(now time.Duration, ticket uint64, id string) registry.Output
+	Receive(now time.Duration, from string, body any) registry.Output
+	Tick(now time.Duration) registry.Output
+	Apply(now time.Duration, ticket uint64, base uint64, text []byte, digest string) registry.Output
+	Amend(now time.Duration, ticket uint64, a registry.Amendment) registry.Output
+	Read(now time.Duration, ticket uint64) registry.Output
+	Retire(now time.Duration, ticket uint64, id string) registry.Output
+	RetirementStatus(now time.Duration, ticket uint64, id string) registry.Output
 }
 
 // World is the state of one run.
@@ -84,10 +84,10 @@
 	storeChanged bool
 }
 
-// store is a machine with a disk: a core and usually a desk.
+// store is a machine with a disk: a core and usually a registry.
 type store struct {
-	core, desk *process
-	removed    bool
+	core, registry *process
+	removed        bool
 }
 
 // New creates a world with its processes not yet started.
@@ -100,7 +100,7 @@
 		fleet:    fleet{processes: map[string]*process{}, replicas: map[string]*replica{}},
 	}
 	for i := 0; i < p.Cores; i++ {
-		w.addStore(i < p.Desks)
+		w.addStore(i < p.Registries)
 	}
 	for i := 0; i < p.Nodes; i++ {
 		n := w.add(fmt.Sprintf("node%d", i+1), i, fmt.Sprintf("10.0.1.%d:1", i+1))
@@ -113,13 +113,13 @@
 	return w
 }
 
-func (w *World) addStore(withDesk bool) *store {
+func (w *World) addStore(withRegistry bool) *store {
 	n := len(w.stores) + 1
 	s := &store{core: w.add(fmt.Sprintf("core%d", n), n, fmt.Sprintf("10.0.0.%d:2", n))}
 	s.core.disk = w.emptyDisk(s.core.id)
-	if withDesk {
-		s.desk = w.add(fmt.Sprintf("desk%d", n), n, fmt.Sprintf("10.0.0.%d:0", n))
-		s.desk.isDesk, s.desk.knownReplicas, s.desk.foundsFleet = true, map[string]desk.ReplicaEntry{}, n == 1
+	if withRegistry {
+		s.registry = w.add(fmt.Sprintf("desk%d", n), n, fmt.Sprintf("10.0.0.%d:0", n))
+		s.registry.isRegistry, s.registry.knownReplicas, s.registry.foundsFleet = true, map[string]registry.ReplicaEntry{}, n == 1
 	}
 	w.stores = append(w.stores, s)
 	return s
@@ -132,10 +132,10 @@
 }
 
 func (s *store) processes() []*process {
-	if s.desk == nil {
+	if s.registry == nil {
 		return []*process{s.core}
 	}
-	return []*process{s.core, s.desk}
+	return []*process{s.core, s.registry}
 }
 
 // Now is the simulated time since the start of the run.
@@ -169,29 +169,29 @@
 func (w *World) seeds() []string {
 	var list []string
 	for _, s := range w.stores {
-		if s.desk != nil && !s.removed && len(list) < 3 {
-			list = append(list, s.desk.address)
+		if s.registry != nil && !s.removed && len(list) < 3 {
+			list = append(list, s.registry.address)
 		}
 	}
 	return list
 }
 
-// callDesk makes a call to a desk. The answer may never arrive.
-func (w *World) callDesk(at *process, step func(d Desk, now time.Duration, ticket uint64) desk.Output, done func(body any)) {
+// callRegistry makes a call to a registry. The answer may never arrive.
+func (w *World) callRegistry(at *process, step func(d Registry, now time.Duration, ticket uint64) registry.Output, done func(body any)) {
 	w.after(w.delay(), func() {
 		at.do(func() {
 			at.lastTicket++
 			at.pendingCalls[at.lastTicket] = func(body any) { w.after(w.delay(), func() { done(body) }) }
-			at.applyDeskOutput(step(at.desk, at.now(), at.lastTicket))
+			at.applyRegistryOutput(step(at.registry, at.now(), at.lastTicket))
 		})
 	})
 }
 
-func (w *World) anyDesk() *process {
+func (w *World) anyRegistry() *process {
 	var list []*process
 	for _, s := range w.stores {
-		if s.desk != nil && !s.removed {
-			list = append(list, s.desk)
+		if s.registry != nil && !s.removed {
+			list = append(list, s.registry)
 		}
 	}
 	return list[w.random.IntN(len(list))]
--- a/rehearsalkit/soak/faults.go
+++ b/rehearsalkit/soak/faults.go
@@ -205,10 +205,10 @@
 	return p.name
 }
 
-// halves partitions the cores and desks into two sides; nodes reach both.
+// halves partitions the cores and registries into two sides; nodes reach both.
 func halves(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	var one, rest []*process
-	for _, p := range append(f.withRole(roleCore), f.withRole(roleDesk)...) {
+	for _, p := range append(f.withRole(roleCore), f.withRole(roleRegistry)...) {
 		if random.IntN(2) == 0 {
 			one = append(one, p)
 		} else {
