--- a/rehearsalkit/soak/fleet.go
+++ b/rehearsalkit/soak/fleet.go
@@ -1,4 +1,4 @@
-// Package soak runs cores, desks (the control front) and relaying nodes as real processes
+// Package soak runs cores, registries and relaying nodes as real processes
 // over real sockets, and injects seeded random faults that overlap: kills, freezes,
 // shutdowns, reloads, network cuts, delays, connection resets, disk faults and losses,
 // concurrent table updates, and misbehaving replicas and requesters. The processes run
@@ -88,7 +88,7 @@
 		diskLost: make(chan struct{}, 1), client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	f.replicas, f.operator = newReplicas(f), &tableOperator{fleet: f}
 	for i, name := range []string{"core1", "core2", "core3", "desk1", "desk2", "node1", "node2", "node3"} {
-		p := &process{fleet: f, name: name, role: map[string]string{"core": roleCore, "desk": roleDesk, "node": roleNode}[name[:4]], ip: o.host(hostFleet, i+1), folder: filepath.Join(o.Folder, name)}
+		p := &process{fleet: f, name: name, role: map[string]string{"core": roleCore, "desk": roleRegistry, "node": roleNode}[name[:4]], ip: o.host(hostFleet, i+1), folder: filepath.Join(o.Folder, name)}
 		f.processes = append(f.processes, p)
 		f.busy[p] = make(chan struct{}, 1)
 	}
@@ -108,8 +108,8 @@
 
 func (f *Fleet) settingsOf(p *process, zone string) map[string]any {
 	var seeds []string
-	for _, desk := range f.withRole(roleDesk) {
-		seeds = append(seeds, desk.address(relayedPort))
+	for _, registry := range f.withRole(roleRegistry) {
+		seeds = append(seeds, registry.address(relayedPort))
 	}
 	s := map[string]any{"id": p.name, "zone": zone, "seeds": seeds, "fleet_secret": fleetSecret, "operator_key": operatorKey, "replica_key": replicaKey,
 		"peer_listen": p.address(peerPort), "peer_advertise": p.address(relayedPort), "operator_listen": p.address(operatorPort), "metrics_listen": p.address(metricsPort),
@@ -119,7 +119,7 @@
 	switch p.role {
 	case roleCore:
 		s["folder"] = p.dataFolder()
-	case roleDesk:
+	case roleRegistry:
 		s["folder"], s["founds"] = p.dataFolder(), p.name == "desk1"
 	default:
 		s["requester_listen"], s["ready_listen"] = p.address(clientPort), p.address(readyPort)
@@ -150,7 +150,7 @@
 	}
 	f.replicas.fill(ctx)
 	const within = 20 * time.Second
-	if !f.waitUntil(ctx, within, func() bool { return f.operator.apply(ctx, f.withRole(roleDesk)[0], 0, 1) == http.StatusOK }) {
+	if !f.waitUntil(ctx, within, func() bool { return f.operator.apply(ctx, f.withRole(roleRegistry)[0], 0, 1) == http.StatusOK }) {
 		return errors.Newf("no first table within %v", within)
 	}
 	for _, p := range f.withRole(roleNode) {
@@ -161,7 +161,7 @@
 	for _, p := range f.processes {
 		// Only the first start of the fleet may found it.
 		p.settings["cold_start"], p.settings["founds"] = false, false
-		if p.role != roleDesk {
+		if p.role != roleRegistry {
 			delete(p.settings, "founds")
 		}
 		if err := p.writeSettings(nil); err != nil {
--- a/rehearsalkit/soak/judge.go
+++ b/rehearsalkit/soak/judge.go
@@ -214,14 +214,14 @@
 	for _, read := range r.TableReads {
 		for _, o := range r.TableUpdates {
 			if o.Status == http.StatusOK && o.Ended+applyTimeout < read.Began && read.Number < o.Number {
-				list = append(list, breach(RuleTables, "%s returned table %d at %v; table %d was acknowledged at %v", read.Desk, read.Number, read.Ended, o.Number, o.Ended))
+				list = append(list, breach(RuleTables, "%s returned table %d at %v; table %d was acknowledged at %v", read.Registry, read.Number, read.Ended, o.Number, o.Ended))
 			}
 		}
 	}
 	return list
 }
 
-// judgeLeaving finds requests that reached a replica more than drainTimeout after a desk
+// judgeLeaving finds requests that reached a replica more than drainTimeout after a registry
 // acknowledged that it leaves, while there was no fault.
 func (r *record) judgeLeaving(map[string][]run) (list []Breach) {
 	departures := map[string]time.Duration{}
--- a/rehearsalkit/soak/operator.go
+++ b/rehearsalkit/soak/operator.go
@@ -57,31 +57,31 @@
 	return raw
 }
 
-// apply sends a whole table to a desk and returns the status of the answer, or 0 if there
+// apply sends a whole table to a registry and returns the status of the answer, or 0 if there
 // was none.
-func (t *tableOperator) apply(ctx context.Context, desk *process, base, number uint64) int {
-	return t.applyText(ctx, desk, tableUpdate{Base: base, Number: number, Valid: true}, tableText(number))
+func (t *tableOperator) apply(ctx context.Context, registry *process, base, number uint64) int {
+	return t.applyText(ctx, registry, tableUpdate{Base: base, Number: number, Valid: true}, tableText(number))
 }
 
-func (t *tableOperator) applyText(ctx context.Context, desk *process, u tableUpdate, body []byte) int {
-	return t.send(ctx, http.MethodPut, desk, u, body)
+func (t *tableOperator) applyText(ctx context.Context, registry *process, u tableUpdate, body []byte) int {
+	return t.send(ctx, http.MethodPut, registry, u, body)
 }
 
 // amend sends only the difference between the tables with the numbers base and number.
-func (t *tableOperator) amend(ctx context.Context, desk *process, base, number uint64) int {
+func (t *tableOperator) amend(ctx context.Context, registry *process, base, number uint64) int {
 	a := route.Amendment{Number: number, Set: route.SetItems{Routes: []route.Route{numberedRoute(number)}}, Remove: route.RemovedNames{Routes: []string{routeName(base)}}}
 	body, err := json.Marshal(a)
 	if err != nil {
 		panic(err)
 	}
-	return t.send(ctx, http.MethodPatch, desk, tableUpdate{Base: base, Number: number, Valid: true}, body)
+	return t.send(ctx, http.MethodPatch, registry, tableUpdate{Base: base, Number: number, Valid: true}, body)
 }
 
 // send sends a table update and records its answer.
-func (t *tableOperator) send(ctx context.Context, method string, desk *process, u tableUpdate, body []byte) int {
+func (t *tableOperator) send(ctx context.Context, method string, registry *process, u tableUpdate, body []byte) int {
 	f := t.fleet
 	u.Began = f.now()
-	u.Status, _ = t.call(ctx, method, desk, "/v1/table?base="+strconv.FormatUint(u.Base, 10), body)
+	u.Status, _ = t.call(ctx, method, registry, "/v1/table?base="+strconv.FormatUint(u.Base, 10), body)
 	u.Ended = f.now()
 	f.update(func(r *record) { r.TableUpdates = append(r.TableUpdates, u) })
 	if u.Status == http.StatusOK {
@@ -91,8 +91,8 @@
 	return u.Status
 }
 
-func (t *tableOperator) call(ctx context.Context, method string, desk *process, path string, body []byte) (int, []byte) {
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+desk.address(operatorPort)+path, bytes.NewReader(body))
+func (t *tableOperator) call(ctx context.Context, method string, registry *process, path string, body []byte) (int, []byte) {
+	q, err := http.NewRequestWithContext(ctx, method, "http://"+registry.address(operatorPort)+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
@@ -109,21 +109,21 @@
 	return answer.StatusCode, got
 }
 
-// read reads the active table at a desk and checks that it is what was applied. It reports
-// whether the desk answered.
-func (t *tableOperator) read(ctx context.Context, desk *process) bool {
+// read reads the active table at a registry and checks that it is what was applied. It reports
+// whether the registry answered.
+func (t *tableOperator) read(ctx context.Context, registry *process) bool {
 	f := t.fleet
 	began := f.now()
-	status, got := t.call(ctx, http.MethodGet, desk, "/v1/table", nil)
+	status, got := t.call(ctx, http.MethodGet, registry, "/v1/table", nil)
 	var read route.Table
 	if status != http.StatusOK || json.Unmarshal(got, &read) != nil {
 		return false
 	}
-	seen := tableRead{Desk: desk.name, Began: began, Ended: f.now(), Number: read.Number}
+	seen := tableRead{Registry: registry.name, Began: began, Ended: f.now(), Number: read.Number}
 	f.update(func(r *record) { r.TableReads = append(r.TableReads, seen) })
 	t.known = max(t.known, read.Number)
 	if !bytes.Equal(compact(got), compact(tableText(read.Number))) {
-		f.recordBreach(RuleTables, "table %d, read at %s, is not what was applied", read.Number, desk.name)
+		f.recordBreach(RuleTables, "table %d, read at %s, is not what was applied", read.Number, registry.name)
 	}
 	return true
 }
@@ -140,39 +140,39 @@
 // operate applies tables until the context ends: mostly one after the other, some
 // concurrently on one base, some invalid, some retried after a lost answer.
 func (t *tableOperator) operate(ctx context.Context) {
-	desks := t.fleet.withRole(roleDesk)
+	registries := t.fleet.withRole(roleRegistry)
 	for ctx.Err() == nil {
 		pause(ctx, time.Duration(300+rand.IntN(900))*time.Millisecond)
-		desk, other := desks[rand.IntN(len(desks))], desks[rand.IntN(len(desks))]
+		registry, other := registries[rand.IntN(len(registries))], registries[rand.IntN(len(registries))]
 		next := t.number + 1 + uint64(rand.IntN(3))
 		switch rand.IntN(9) {
 		case 0:
-			t.race(ctx, desk, other, next)
+			t.race(ctx, registry, other, next)
 		case 1:
-			t.applyText(ctx, desk, tableUpdate{Base: t.known, Number: next}, []byte(fmt.Sprintf(`{"number":%d,"routes":[{"host":"h"}]}`, next)))
+			t.applyText(ctx, registry, tableUpdate{Base: t.known, Number: next}, []byte(fmt.Sprintf(`{"number":%d,"routes":[{"host":"h"}]}`, next)))
 		case 2:
-			// The answer may be lost; the same update is retried at a random desk.
+			// The answer may be lost; the same update is retried at a random registry.
 			short, cancel := context.WithTimeout(ctx, time.Duration(rand.IntN(20))*time.Millisecond)
 			base := t.known
-			t.apply(short, desk, base, next)
+			t.apply(short, registry, base, next)
 			cancel()
 			t.apply(ctx, other, base, next)
 		case 3:
-			t.read(ctx, desk)
+			t.read(ctx, registry)
 		case 4:
-			t.send(ctx, http.MethodPatch, desk, tableUpdate{Base: t.known, Number: next}, fmt.Appendf(nil, `{"number":%d,"remove":{"services":[%q]}}`, next, serviceModel))
+			t.send(ctx, http.MethodPatch, registry, tableUpdate{Base: t.known, Number: next}, fmt.Appendf(nil, `{"number":%d,"remove":{"services":[%q]}}`, next, serviceModel))
 		case 5:
 			short, cancel := context.WithTimeout(ctx, time.Duration(rand.IntN(20))*time.Millisecond)
 			base := t.known
-			t.amend(short, desk, base, next)
+			t.amend(short, registry, base, next)
 			cancel()
 			t.amend(ctx, other, base, next)
 		case 6:
-			if t.amend(ctx, desk, t.known, next) == http.StatusConflict {
+			if t.amend(ctx, registry, t.known, next) == http.StatusConflict {
 				t.read(ctx, other)
 			}
 		default:
-			if t.apply(ctx, desk, t.known, next) == http.StatusConflict {
+			if t.apply(ctx, registry, t.known, next) == http.StatusConflict {
 				t.read(ctx, other)
 			}
 		}
@@ -180,11 +180,11 @@
 }
 
 // race applies two tables on one base concurrently.
-func (t *tableOperator) race(ctx context.Context, desk, other *process, next uint64) {
+func (t *tableOperator) race(ctx context.Context, registry, other *process, next uint64) {
 	base, first, second := t.known, *t, *t
 	done := make(chan struct{})
 	go func() {
-		first.apply(ctx, desk, base, next)
+		first.apply(ctx, registry, base, next)
 		close(done)
 	}()
 	second.apply(ctx, other, base, next+1)
--- a/rehearsalkit/soak/process.go
+++ b/rehearsalkit/soak/process.go
@@ -16,9 +16,9 @@
 
 // Roles of processes.
 const (
-	roleCore = "core"
-	roleDesk = "desk"
-	roleNode = "relay"
+	roleCore     = "core"
+	roleRegistry = "desk"
+	roleNode     = "relay"
 )
 
 // Ports of every machine. Processes advertise relayedPort to their peers; some requesters
--- a/rehearsalkit/soak/record.go
+++ b/rehearsalkit/soak/record.go
@@ -62,14 +62,14 @@
 	Valid        bool
 }
 
-// tableRead is the number of the table that a desk returned.
+// tableRead is the number of the table that a registry returned.
 type tableRead struct {
-	Desk         string
+	Registry     string
 	Began, Ended time.Duration
 	Number       uint64
 }
 
-// departure is the time when a desk acknowledged that a replica leaves.
+// departure is the time when a registry acknowledged that a replica leaves.
 type departure struct {
 	Replica string
 	At      time.Duration
--- a/rehearsalkit/soak/replica.go
+++ b/rehearsalkit/soak/replica.go
@@ -146,12 +146,12 @@
 	p.crash()
 }
 
-// announce sends heartbeats to a desk, and changes to the next desk after a failure.
+// announce sends heartbeats to a registry, and changes to the next registry after a failure.
 func (r *replica) announce() {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
-	desks := r.endpoint.fleet.withRole(roleDesk)
-	at := rand.IntN(len(desks))
+	registries := r.endpoint.fleet.withRole(roleRegistry)
+	at := rand.IntN(len(registries))
 	for call := 1; ; call++ {
 		leaving := false
 		select {
@@ -160,12 +160,12 @@
 		default:
 		}
 		body, _ := json.Marshal(map[string]any{"service": r.endpoint.service, "address": r.endpoint.address, "zone": "zone1", "slots": 8, "leaving": leaving, "call": call})
-		if r.call(http.MethodPut, desks[at], body) {
+		if r.call(http.MethodPut, registries[at], body) {
 			if leaving {
 				r.endpoint.fleet.recordDeparture(r.id)
 			}
 		} else {
-			at = (at + 1) % len(desks)
+			at = (at + 1) % len(registries)
 		}
 		select {
 		case <-ticker.C:
@@ -180,10 +180,10 @@
 	}
 }
 
-// deregister tells the desks in turn that the replica is gone, until one acknowledges it.
+// deregister tells the registries in turn that the replica is gone, until one acknowledges it.
 func (r *replica) deregister() {
-	for _, desk := range r.endpoint.fleet.withRole(roleDesk) {
-		if r.call(http.MethodDelete, desk, nil) {
+	for _, registry := range r.endpoint.fleet.withRole(roleRegistry) {
+		if r.call(http.MethodDelete, registry, nil) {
 			r.endpoint.fleet.recordDeparture(r.id)
 			return
 		}
@@ -203,12 +203,12 @@
 	})
 }
 
-// call sends a heartbeat or a deregistration to a desk, and reports whether it was
+// call sends a heartbeat or a deregistration to a registry, and reports whether it was
 // acknowledged within a second.
-func (r *replica) call(method string, desk *process, body []byte) bool {
+func (r *replica) call(method string, registry *process, body []byte) bool {
 	ctx, cancel := context.WithTimeout(r.ctx, time.Second)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+desk.address(operatorPort)+"/v1/replicas/"+r.id, bytes.NewReader(body))
+	q, err := http.NewRequestWithContext(ctx, method, "http://"+registry.address(operatorPort)+"/v1/replicas/"+r.id, bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
--- a/rehearsalkit/soak/resources.go
+++ b/rehearsalkit/soak/resources.go
@@ -98,12 +98,12 @@
 	}
 }
 
-// readFinalTables reads the table at every desk, retrying until it is answered.
+// readFinalTables reads the table at every registry, retrying until it is answered.
 func (f *Fleet) readFinalTables(ctx context.Context) {
-	for _, desk := range f.withRole(roleDesk) {
+	for _, registry := range f.withRole(roleRegistry) {
 		reader := &tableOperator{fleet: f}
-		if !f.waitUntil(ctx, contactTimeout+2*time.Second, func() bool { return reader.read(ctx, desk) }) {
-			f.recordBreach(RuleTables, "%s returns no table at the end", desk.name)
+		if !f.waitUntil(ctx, contactTimeout+2*time.Second, func() bool { return reader.read(ctx, registry) }) {
+			f.recordBreach(RuleTables, "%s returns no table at the end", registry.name)
 		}
 	}
 }
--- a/saffronfall/amend.go
+++ b/saffronfall/amend.go
@@ -11,8 +11,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"saffronfall/peer/desk"
 	"saffronfall/peer/operator"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/route"
 )
 
@@ -39,13 +39,14 @@
 	if c.Preview {
 		path += "&preview=true"
 	}
-	var result desk.OrderResult
+	var result registry.OrderResult
 	status, raw, err := c.do(http.MethodPatch, path, json.RawMessage(text), &result)
 	if err != nil {
 		return err
 	}
 	if status == http.StatusBadRequest || status == http.StatusConflict {
-		// A response that does not come from a desk cannot be decoded, and is reported as it is.
+		// A response that does not come from a registry cannot be decoded, and is reported as it
+		// is.
 		err = json.Unmarshal(raw, &result)
 	}
 	switch {
--- a/saffronfall/amend_test.go
+++ b/saffronfall/amend_test.go
@@ -12,13 +12,13 @@
 	"testing"
 	"time"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/route"
 )
 
-// runAmendment runs apply --amend against a desk that answers a PATCH with status and result.
-func runAmendment(t *testing.T, preview bool, status int, result desk.OrderResult) (printed, query, body string, err error) {
+// runAmendment runs apply --amend against a registry that answers a PATCH with status and result.
+func runAmendment(t *testing.T, preview bool, status int, result registry.OrderResult) (printed, query, body string, err error) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
@@ -44,21 +44,21 @@
 // TestApplyAmendment checks that an amendment is sent unchanged, based on the current table,
 // and that each outcome is reported.
 func TestApplyAmendment(t *testing.T) {
-	printed, query, body, err := runAmendment(t, false, http.StatusOK, desk.OrderResult{Accepted: true, Number: 9})
+	printed, query, body, err := runAmendment(t, false, http.StatusOK, registry.OrderResult{Accepted: true, Number: 9})
 	if err != nil || printed != "table 9 taken\n" || query != "base=7" || !strings.Contains(body, `"old"`) {
 		t.Errorf("applied: %q, %q, %q, %v", printed, query, body, err)
 	}
-	printed, query, _, err = runAmendment(t, true, http.StatusOK, desk.OrderResult{Number: 7, Preview: &route.Preview{Routes: route.ChangedNames{Removed: []string{"old"}}}})
+	printed, query, _, err = runAmendment(t, true, http.StatusOK, registry.OrderResult{Number: 7, Preview: &route.Preview{Routes: route.ChangedNames{Removed: []string{"old"}}}})
 	if err != nil || printed != "on table 7:\n  routes removed: old\n" || query != "base=7&preview=true" {
 		t.Errorf("preview: %q, %q, %v", printed, query, err)
 	}
-	if _, _, _, err = runAmendment(t, false, http.StatusConflict, desk.OrderResult{RaceLost: true, Number: 8}); err == nil || !strings.Contains(err.Error(), "table 8 is in force") {
+	if _, _, _, err = runAmendment(t, false, http.StatusConflict, registry.OrderResult{RaceLost: true, Number: 8}); err == nil || !strings.Contains(err.Error(), "table 8 is in force") {
 		t.Errorf("race: %v", err)
 	}
-	if _, _, _, err = runAmendment(t, false, http.StatusBadRequest, desk.OrderResult{Faults: configuration.Faults{{Path: "routes[0].targets.service", Value: "x", Allowed: "a service of this table"}}}); err == nil || !strings.Contains(err.Error(), "routes[0].targets.service: x") {
+	if _, _, _, err = runAmendment(t, false, http.StatusBadRequest, registry.OrderResult{Faults: configuration.Faults{{Path: "routes[0].targets.service", Value: "x", Allowed: "a service of this table"}}}); err == nil || !strings.Contains(err.Error(), "routes[0].targets.service: x") {
 		t.Errorf("faults: %v", err)
 	}
-	if _, _, _, err = runAmendment(t, false, http.StatusServiceUnavailable, desk.OrderResult{}); err == nil {
+	if _, _, _, err = runAmendment(t, false, http.StatusServiceUnavailable, registry.OrderResult{}); err == nil {
 		t.Error("an unknown outcome is reported as applied")
 	}
 }
--- a/saffronfall/main.go
+++ b/saffronfall/main.go
@@ -1,6 +1,6 @@
-// Command saffronfall runs the roles of a fleet (core, node, desk and relay) and the commands
-// by which operators found, configure and inspect one. The commands are listed in the
-// variable commands; exitCode maps their errors to exit codes for scripts.
+// Command saffronfall runs the roles of a fleet (core, node, relay and "desk", the registry)
+// and the commands by which operators found, configure and inspect one. The commands are
+// listed in the variable commands; exitCode maps their errors to exit codes for scripts.
 package main
 
 import (
@@ -17,15 +17,15 @@
 	"github.com/go-logr/logr"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
 	"saffronfall/peer/operator"
+	"saffronfall/peer/registry"
 	"saffronfall/peer/replica"
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/ordered"
 	"saffronfall/saffronfall/coreprocess"
-	"saffronfall/saffronfall/deskprocess"
 	"saffronfall/saffronfall/nodeprocess"
 	"saffronfall/saffronfall/params"
+	"saffronfall/saffronfall/registryprocess"
 	"saffronfall/saffronfall/relayprocess"
 	"saffronfall/saffronfall/role"
 )
@@ -35,11 +35,11 @@
 	Settings string `arg:"" type:"path" help:"Settings file (JSON)."`
 }
 
-type deskCommand struct{ settingsFile }
+type registryCommand struct{ settingsFile }
 
-func (c *deskCommand) Run() error {
+func (c *registryCommand) Run() error {
 	return role.Start(c.Settings, func(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger) error {
-		return deskprocess.Run(ctx, p, updates, log, desk.Handler(p.OperatorKey, p.ReplicaKey, p.MaxRequestBytes))
+		return registryprocess.Run(ctx, p, updates, log, registry.Handler(p.OperatorKey, p.ReplicaKey, p.MaxRequestBytes))
 	})
 }
 
@@ -373,7 +373,7 @@
 var commands struct {
 	Core     coreCommand     `cmd:"" help:"Run a core, the control plane."`
 	Node     nodeCommand     `cmd:"" help:"Run a node, the data plane."`
-	Desk     deskCommand     `cmd:"" help:"Run a desk, where replicas register and operators apply routing tables."`
+	Registry registryCommand `cmd:"" name:"desk" help:"Run a desk, where replicas register and operators apply routing tables."`
 	Relay    relayCommand    `cmd:"" help:"Run a node that relays requests by the routing table."`
 	Found    foundCommand    `cmd:"" help:"Found a fleet of new cores."`
 	Check    checkCommand    `cmd:"" help:"Check a configuration or settings."`
--- a/saffronfall/params/relay.go
+++ b/saffronfall/params/relay.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/peer/relay"
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/placement"
 )
 
-// Relay holds the settings of desks, which register replicas, and of relaying nodes.
+// Relay holds the settings of registries and of relaying nodes.
 type Relay struct {
 	Commands
 	HeartbeatMS   int64   `json:"beat_ms"`
@@ -99,9 +99,9 @@
 	)
 }
 
-// Desk returns the parameters of a desk.
-func (p Params) Desk() desk.Params {
-	return desk.Params{Core: p.Core(), HeartbeatInterval: ms(p.HeartbeatMS), GroupSize: int(p.GroupSize), PartitionsPerCore: int(p.PartitionsPerCore), LoadInterval: ms(p.LoadShareMS), OperationTimeout: ms(p.CommandTimeoutMS)}
+// Registry returns the parameters of a registry.
+func (p Params) Registry() registry.Params {
+	return registry.Params{Core: p.Core(), HeartbeatInterval: ms(p.HeartbeatMS), GroupSize: int(p.GroupSize), PartitionsPerCore: int(p.PartitionsPerCore), LoadInterval: ms(p.LoadShareMS), OperationTimeout: ms(p.CommandTimeoutMS)}
 }
 
 // policy returns the placement policy, given the period of replicas' heartbeats.
--- a/saffronfall/deskprocess/process.go
+++ b/saffronfall/registryprocess/process.go
@@ -1,11 +1,12 @@
-// Package deskprocess runs the role of a desk, where replicas register and operators apply
-// routing tables.
+// Package registryprocess runs the role of a registry, where replicas register and operators apply
+// routing tables. Operators know this role as "desk" (its name in settings, metrics and stored
+// data).
 //
-// All decisions are made by the state machine of peer/desk; this package connects it to
+// All decisions are made by the state machine of peer/registry; this package connects it to
 // sockets, clocks and a data directory. One goroutine, process.run, calls the machine and
 // owns all mutable state. The stored list of replicas and peers only speeds up a restart: a
-// desk also works without it. Start reading at Run, process.run and process.store.
-package deskprocess
+// registry also works without it. Start reading at Run, process.run and process.store.
+package registryprocess
 
 import (
 	"context"
@@ -21,8 +22,8 @@
 
 	"saffronfall/peer/clock"
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
 	"saffronfall/peer/disk"
+	"saffronfall/peer/registry"
 	"saffronfall/peer/stream"
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
@@ -30,15 +31,15 @@
 	"saffronfall/saffronfall/telemetry"
 )
 
-// process is a running desk.
+// process is a running registry.
 type process struct {
 	params  params.Params
 	updates <-chan params.Params
 	log     logr.Logger
-	machine *desk.Machine
+	machine *registry.Machine
 	streams *stream.Transport
 	start   time.Duration
-	calls   chan func(now time.Duration) desk.Output
+	calls   chan func(now time.Duration) registry.Output
 	// ctx ends with the run method.
 	ctx         context.Context
 	answers     map[uint64]chan any
@@ -51,17 +52,17 @@
 	dataDir *disk.Store
 }
 
-// record is a stored state of a desk, or the changes to one. Records of a former version
+// record is a stored state of a registry, or the changes to one. Records of a former version
 // are a bare list of replicas.
 type record struct {
-	Replicas []desk.ReplicaEntry `msgpack:"l"`
-	Peers    *desk.Peers         `msgpack:"p"`
+	Replicas []registry.ReplicaEntry `msgpack:"l"`
+	Peers    *registry.Peers         `msgpack:"p"`
 }
 
 // storedState is the state that the records of a data directory add up to.
 type storedState struct {
-	replicas map[string]desk.ReplicaEntry
-	peers    *desk.Peers
+	replicas map[string]registry.ReplicaEntry
+	peers    *registry.Peers
 }
 
 // apply applies an encoded record. One that cannot be decoded is ignored.
@@ -79,8 +80,8 @@
 }
 
 // open opens the data directory and returns the replicas and peers stored there. A damaged
-// directory is set aside. If none can be used, the desk runs without one.
-func open(path string, log logr.Logger) (*disk.Store, []desk.ReplicaEntry, *desk.Peers) {
+// directory is set aside. If none can be used, the registry runs without one.
+func open(path string, log logr.Logger) (*disk.Store, []registry.ReplicaEntry, *registry.Peers) {
 	dataDir, found, err := disk.Open(path)
 	if errors.Is(err, disk.ErrDamaged) {
 		if err = disk.SetAside(path); err == nil {
@@ -94,13 +95,13 @@
 		log.Info("data directory cannot be used; replicas and peers are not stored", "reason", err.Error())
 		return nil, nil, nil
 	}
-	state := storedState{replicas: map[string]desk.ReplicaEntry{}}
+	state := storedState{replicas: map[string]registry.ReplicaEntry{}}
 	for _, encoded := range append([][]byte{found.State}, found.Records...) {
 		if encoded != nil {
 			state.apply(encoded)
 		}
 	}
-	var replicas []desk.ReplicaEntry
+	var replicas []registry.ReplicaEntry
 	for _, id := range ordered.Keys(state.replicas) {
 		replicas = append(replicas, state.replicas[id])
 	}
@@ -114,9 +115,9 @@
 )
 
 // store stores changes before any message about them is sent. Changes that find the disk
-// full are dropped, because a desk also works without them; after any other error nothing
+// full are dropped, because a registry also works without them; after any other error nothing
 // more is stored.
-func (s *process) store(changes []desk.ReplicaEntry, peers *desk.Peers) {
+func (s *process) store(changes []registry.ReplicaEntry, peers *registry.Peers) {
 	if s.dataDir == nil || len(changes) == 0 && peers == nil {
 		return
 	}
@@ -139,7 +140,7 @@
 // Run runs the role until ctx ends. Settings received on updates replace p. The handler that
 // newHandler returns serves the calls of replicas and operators. The error is that of a
 // listener which failed, or nil.
-func Run(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger, newHandler func(api desk.API) http.Handler) error {
+func Run(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger, newHandler func(api registry.API) http.Handler) error {
 	raw := make([]byte, 6)
 	if _, err := crypto.Read(raw); err != nil {
 		return err
@@ -150,14 +151,14 @@
 		return err
 	}
 	runCtx, cancel := context.WithCancel(context.Background())
-	s := &process{params: p, updates: updates, log: log, streams: streams, start: clock.Now(), ctx: runCtx, calls: make(chan func(time.Duration) desk.Output, 64), answers: map[uint64]chan any{}}
-	var replicas []desk.ReplicaEntry
-	var peers *desk.Peers
+	s := &process{params: p, updates: updates, log: log, streams: streams, start: clock.Now(), ctx: runCtx, calls: make(chan func(time.Duration) registry.Output, 64), answers: map[uint64]chan any{}}
+	var replicas []registry.ReplicaEntry
+	var peers *registry.Peers
 	if p.DataDir != "" {
 		s.dataDir, replicas, peers = open(p.DataDir, log)
 	}
-	s.machine = desk.New(desk.Options{Params: p.Desk(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Address: p.PeerAdvertise, Seeds: p.Seeds, FoundsFleet: p.Bootstrap, KnownReplicas: replicas, KnownPeers: peers, Now: s.now(), Random: rand.Float64})
-	log.Info("desk started", "id", p.ID, "founds", p.Bootstrap)
+	s.machine = registry.New(registry.Options{Params: p.Registry(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Address: p.PeerAdvertise, Seeds: p.Seeds, FoundsFleet: p.Bootstrap, KnownReplicas: replicas, KnownPeers: peers, Now: s.now(), Random: rand.Float64})
+	log.Info("registry started", "id", p.ID, "founds", p.Bootstrap)
 	var group run.Group
 	group.Add(func() error { return s.run() }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
@@ -180,7 +181,7 @@
 		case <-runCtx.Done():
 			return nil
 		}
-		log.Info("desk is shutting down")
+		log.Info("registry is shutting down")
 		shutdownCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		server.Shutdown(shutdownCtx)
@@ -218,7 +219,7 @@
 
 // apply carries out what the machine has decided: it stores changes, then sends messages and
 // passes on answers.
-func (s *process) apply(o desk.Output) {
+func (s *process) apply(o registry.Output) {
 	s.store(o.ChangedReplicas, o.Peers)
 	for _, send := range o.Sends {
 		s.sent++
@@ -235,11 +236,11 @@
 }
 
 // call calls step on the goroutine of run and waits for the machine's answer to the ticket.
-func call[T any](ctx context.Context, s *process, step func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output) (T, error) {
+func call[T any](ctx context.Context, s *process, step func(m *registry.Machine, now time.Duration, ticket uint64) registry.Output) (T, error) {
 	var none T
 	answer := make(chan any, 1)
 	select {
-	case s.calls <- func(now time.Duration) desk.Output {
+	case s.calls <- func(now time.Duration) registry.Output {
 		s.lastTicket++
 		s.answers[s.lastTicket] = answer
 		return step(s.machine, now, s.lastTicket)
@@ -259,12 +260,12 @@
 	}
 }
 
-// errIsolated means that this desk may be unable to pass on what a replica reported, so that
-// the replica should report to another desk.
+// errIsolated means that this registry may be unable to pass on what a replica reported, so that
+// the replica should report to another registry.
 var errIsolated = errors.New("this desk can't pass it on now; tell another")
 
 // acknowledged returns errIsolated for a report that was not accepted, else err.
-func acknowledged(ack desk.Acknowledgment, err error) error {
+func acknowledged(ack registry.Acknowledgment, err error) error {
 	if err == nil && !ack.Accepted {
 		return errIsolated
 	}
@@ -272,46 +273,50 @@
 }
 
 // Heartbeat records the state that a replica reports.
-func (s *process) Heartbeat(ctx context.Context, r desk.Replica) error {
-	return acknowledged(call[desk.Acknowledgment](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
+func (s *process) Heartbeat(ctx context.Context, r registry.Replica) error {
+	return acknowledged(call[registry.Acknowledgment](ctx, s, func(m *registry.Machine, now time.Duration, ticket uint64) registry.Output {
 		return m.Heartbeat(now, ticket, r)
 	}))
 }
 
 // Leave removes a replica from the list.
 func (s *process) Leave(ctx context.Context, id string) error {
-	return acknowledged(call[desk.Acknowledgment](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
+	return acknowledged(call[registry.Acknowledgment](ctx, s, func(m *registry.Machine, now time.Duration, ticket uint64) registry.Output {
 		return m.Leave(now, ticket, id)
 	}))
 }
 
 // Apply replaces the routing table numbered base by the one in text.
-func (s *process) Apply(ctx context.Context, base uint64, text []byte, digest string) (desk.OrderResult, error) {
-	return call[desk.OrderResult](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
+func (s *process) Apply(ctx context.Context, base uint64, text []byte, digest string) (registry.OrderResult, error) {
+	return call[registry.OrderResult](ctx, s, func(m *registry.Machine, now time.Duration, ticket uint64) registry.Output {
 		return m.Apply(now, ticket, base, text, digest)
 	})
 }
 
 // Amend applies an amendment to the current routing table.
-func (s *process) Amend(ctx context.Context, a desk.Amendment) (desk.OrderResult, error) {
-	return call[desk.OrderResult](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
+func (s *process) Amend(ctx context.Context, a registry.Amendment) (registry.OrderResult, error) {
+	return call[registry.OrderResult](ctx, s, func(m *registry.Machine, now time.Duration, ticket uint64) registry.Output {
 		return m.Amend(now, ticket, a)
 	})
 }
 
 // Read returns the current routing table.
 func (s *process) Read(ctx context.Context) (core.CurrentTable, error) {
-	return call[core.CurrentTable](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output { return m.Read(now, ticket) })
+	return call[core.CurrentTable](ctx, s, func(m *registry.Machine, now time.Duration, ticket uint64) registry.Output {
+		return m.Read(now, ticket)
+	})
 }
 
 // Retire starts to retire a core.
-func (s *process) Retire(ctx context.Context, id string) (desk.RetirementStatus, error) {
-	return call[desk.RetirementStatus](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output { return m.Retire(now, ticket, id) })
+func (s *process) Retire(ctx context.Context, id string) (registry.RetirementStatus, error) {
+	return call[registry.RetirementStatus](ctx, s, func(m *registry.Machine, now time.Duration, ticket uint64) registry.Output {
+		return m.Retire(now, ticket, id)
+	})
 }
 
 // RetirementStatus returns the progress of retiring a core.
-func (s *process) RetirementStatus(ctx context.Context, id string) (desk.RetirementStatus, error) {
-	return call[desk.RetirementStatus](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
+func (s *process) RetirementStatus(ctx context.Context, id string) (registry.RetirementStatus, error) {
+	return call[registry.RetirementStatus](ctx, s, func(m *registry.Machine, now time.Duration, ticket uint64) registry.Output {
 		return m.RetirementStatus(now, ticket, id)
 	})
 }
@@ -324,9 +329,9 @@
 
 // Counters returns the counters of this process.
 func (s *process) Counters(ctx context.Context) (map[string]int64, error) {
-	return call[map[string]int64](ctx, s, func(m *desk.Machine, now time.Duration, ticket uint64) desk.Output {
+	return call[map[string]int64](ctx, s, func(m *registry.Machine, now time.Duration, ticket uint64) registry.Output {
 		counts := m.Status(now)
 		counts["messages_sent"], counts["messages_dropped"], counts["bad_streams"] = s.sent, s.dropped, s.badStreams
-		return desk.Output{Answers: []desk.Answer{{Ticket: ticket, Body: counts}}}
+		return registry.Output{Answers: []registry.Answer{{Ticket: ticket, Body: counts}}}
 	})
 }
--- a/saffronfall/deskprocess/process_test.go
+++ b/saffronfall/registryprocess/process_test.go
@@ -1,4 +1,4 @@
-package deskprocess
+package registryprocess
 
 import (
 	"os"
@@ -8,12 +8,12 @@
 	"github.com/go-logr/logr"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
+	"saffronfall/peer/registry"
 	"saffronfall/rule/message"
 )
 
-func entry(id string, leaving bool) desk.ReplicaEntry {
-	return desk.ReplicaEntry{Replica: desk.Replica{ID: id, Service: "app", Address: id + ":1", Leaving: leaving}}
+func entry(id string, leaving bool) registry.ReplicaEntry {
+	return registry.ReplicaEntry{Replica: registry.Replica{ID: id, Service: "app", Address: id + ":1", Leaving: leaving}}
 }
 
 // TestReplicasAreStored checks that the latest entry of each replica survives restarts, also
@@ -25,8 +25,8 @@
 		t.Fatalf("%v, %+v", dataDir, replicas)
 	}
 	s := &process{dataDir: dataDir, log: logr.Discard()}
-	s.store([]desk.ReplicaEntry{entry("a", false), entry("b", false)}, nil)
-	s.store([]desk.ReplicaEntry{entry("b", true)}, nil)
+	s.store([]registry.ReplicaEntry{entry("a", false), entry("b", false)}, nil)
+	s.store([]registry.ReplicaEntry{entry("b", true)}, nil)
 	s.store(nil, nil)
 	dataDir.Close()
 	dataDir, replicas, _ = open(path, logr.Discard())
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	s.dataDir = dataDir
-	s.store([]desk.ReplicaEntry{entry("c", false)}, nil)
+	s.store([]registry.ReplicaEntry{entry("c", false)}, nil)
 	dataDir.Close()
 	dataDir, replicas, _ = open(path, logr.Discard())
 	if len(replicas) != 3 {
@@ -65,20 +65,20 @@
 	}
 }
 
-// TestFailingDirectoryIsAbandoned checks that a desk continues without storing after the data
+// TestFailingDirectoryIsAbandoned checks that a registry continues without storing after the data
 // directory failed.
 func TestFailingDirectoryIsAbandoned(t *testing.T) {
 	dataDir, _, _ := open(t.TempDir(), logr.Discard())
 	s := &process{dataDir: dataDir, log: logr.Discard()}
 	dataDir.Close()
-	s.store([]desk.ReplicaEntry{entry("a", false)}, nil)
+	s.store([]registry.ReplicaEntry{entry("a", false)}, nil)
 	if s.dataDir != nil {
 		t.Fatal("a data directory that failed is still used")
 	}
-	s.store([]desk.ReplicaEntry{entry("b", false)}, nil)
+	s.store([]registry.ReplicaEntry{entry("b", false)}, nil)
 }
 
-// TestPeersAreStored checks that a restarted desk has the addresses of its fleet, also from a
+// TestPeersAreStored checks that a restarted registry has the addresses of its fleet, also from a
 // data directory with a record of a former version, which has the list of replicas alone.
 func TestPeersAreStored(t *testing.T) {
 	path := t.TempDir()
@@ -86,15 +86,15 @@
 	if peers != nil {
 		t.Fatalf("a new data directory holds peers: %+v", peers)
 	}
-	if err := dataDir.Append(message.Marshal([]desk.ReplicaEntry{entry("a", false)})); err != nil {
+	if err := dataDir.Append(message.Marshal([]registry.ReplicaEntry{entry("a", false)})); err != nil {
 		t.Fatal(err)
 	}
 	s := &process{dataDir: dataDir, log: logr.Discard()}
-	s.store(nil, &desk.Peers{Fleet: "f", Desks: []string{"d1:1"}})
-	s.store([]desk.ReplicaEntry{entry("b", false)}, &desk.Peers{Fleet: "f", Desks: []string{"d1:1", "d2:1"}, Cores: map[string]core.Core{"c": {ID: "c", Peer: "c:1"}}})
+	s.store(nil, &registry.Peers{Fleet: "f", Registries: []string{"d1:1"}})
+	s.store([]registry.ReplicaEntry{entry("b", false)}, &registry.Peers{Fleet: "f", Registries: []string{"d1:1", "d2:1"}, Cores: map[string]core.Core{"c": {ID: "c", Peer: "c:1"}}})
 	dataDir.Close()
 	dataDir, replicas, peers := open(path, logr.Discard())
-	if len(replicas) != 2 || peers == nil || len(peers.Desks) != 2 || peers.Cores["c"].Peer != "c:1" {
+	if len(replicas) != 2 || peers == nil || len(peers.Registries) != 2 || peers.Cores["c"].Peer != "c:1" {
 		t.Fatalf("%+v %+v", replicas, peers)
 	}
 	dataDir.Close()
--- a/saffronfall/schema_test.go
+++ b/saffronfall/schema_test.go
@@ -4,8 +4,8 @@
 	"testing"
 
 	"saffronfall/peer/core"
-	"saffronfall/peer/desk"
 	"saffronfall/peer/operator"
+	"saffronfall/peer/registry"
 	"saffronfall/peer/replica"
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/message/schematest"
@@ -27,9 +27,9 @@
 		schematest.JSON[core.Founding]("founding"),
 		schematest.JSON[core.ApplyResult]("answer to a description handed over"),
 		schematest.JSON[core.Topology]("topology"),
-		schematest.JSON[desk.RetirementStatus]("state of retiring a core"),
-		schematest.JSON[desk.OrderResult]("answer to a table handed over"),
-		schematest.JSON[desk.Replica]("replica as a desk hears it"),
+		schematest.JSON[registry.RetirementStatus]("state of retiring a core"),
+		schematest.JSON[registry.OrderResult]("answer to a table handed over"),
+		schematest.JSON[registry.Replica]("replica as a desk hears it"),
 		schematest.JSON[operator.ErrorResponse]("refusal of an operator's call"),
 		schematest.JSON[operator.ResponseError]("refusal as the caller reads it"),
 		schematest.JSON[operator.ConfigurationRequest]("description handed over"),
