--- a/peer/core/expiry.go
+++ b/peer/core/expiry.go
@@ -45,8 +45,8 @@
 			r.expiries.add(key, t.Until)
 		}
 	}
-	for _, key := range tx.Keys(bookPrefix) {
-		if b, ok := read[storedBook](tx, key); ok {
+	for _, key := range tx.Keys(accountPrefix) {
+		if b, ok := read[storedAccount](tx, key); ok {
 			r.expiries.add(key, b.Until)
 		}
 	}
@@ -62,7 +62,7 @@
 	clock := tx.Clock()
 	for _, e := range r.expiries.due(clock) {
 		var until time.Duration
-		if b, ok := readWithPrefix[storedBook](tx, e.key, bookPrefix); ok {
+		if b, ok := readWithPrefix[storedAccount](tx, e.key, accountPrefix); ok {
 			until = b.Until
 		} else if t, ok := readWithPrefix[storedTurn](tx, e.key, turnPrefix); ok {
 			until = t.Until
--- a/peer/core/identity_test.go
+++ b/peer/core/identity_test.go
@@ -11,7 +11,7 @@
 func TestTenantsIDsAreIndependent(t *testing.T) {
 	t.Run("turns of tenants", testSameIDOfTwoTenants)
 	t.Run("turns under one id", testSecondTurnUnderOneID)
-	t.Run("books of tenants", testBudgetsOfTwoTenants)
+	t.Run("accounts of tenants", testBudgetsOfTwoTenants)
 }
 
 // testSameIDOfTwoTenants: two tenants use the same ID for a turn of their own.
--- a/peer/core/messages_relay.go
+++ b/peer/core/messages_relay.go
@@ -4,7 +4,7 @@
 	"strings"
 	"time"
 
-	"saffronfall/rule/book"
+	"saffronfall/rule/account"
 	"saffronfall/rule/rate"
 )
 
@@ -129,10 +129,10 @@
 		Output   []byte        `msgpack:"o"`
 		Until    time.Duration `msgpack:"u"`
 	}
-	// storedBook is the entry of a program's budget and reservations.
-	storedBook struct {
-		Book  book.Account  `msgpack:"b"`
-		Until time.Duration `msgpack:"u"`
+	// storedAccount is the entry of a program's budget and reservations.
+	storedAccount struct {
+		Account account.Account `msgpack:"b"`
+		Until   time.Duration   `msgpack:"u"`
 	}
 )
 
@@ -141,9 +141,9 @@
 
 // Key prefixes of entries about turns and rates.
 const (
-	bookPrefix = "book/"
-	turnPrefix = "kept/"
-	ratePrefix = "rate/"
+	accountPrefix = "book/"
+	turnPrefix    = "kept/"
+	ratePrefix    = "rate/"
 )
 
 // IsCoreKey reports whether an entry is a core's.
--- a/peer/core/rules_relay.go
+++ b/peer/core/rules_relay.go
@@ -9,8 +9,8 @@
 	"saffronfall/rule/rate"
 )
 
-// settledBookRetention is how long a book is stored that only has a settlement.
-const settledBookRetention = time.Minute
+// settledAccountRetention is how long an account is stored that only has a settlement.
+const settledAccountRetention = time.Minute
 
 // applyRelay runs the commands of nodes that relay requests, and of desks.
 func (r *rules) applyRelay(tx *partition.Tx, command any) any {
@@ -18,15 +18,15 @@
 	case ReserveTurn:
 		return r.reserveTurn(tx, c)
 	case SettleTurn:
-		key := bookKey(c.Tenant, c.Program)
-		b, ok := read[storedBook](tx, key)
+		key := accountKey(c.Tenant, c.Program)
+		b, ok := read[storedAccount](tx, key)
 		if !ok {
 			// A delayed reservation may arrive after its settlement and must then
 			// reserve nothing.
-			b.Until = tx.Clock() + settledBookRetention
+			b.Until = tx.Clock() + settledAccountRetention
 			r.expiries.add(key, b.Until)
 		}
-		if b.Book.Settle(c.Attempt, c.Tokens) {
+		if b.Account.Settle(c.Attempt, c.Tokens) {
 			write(tx, key, b)
 		}
 		return Done{OK: true}
@@ -81,25 +81,25 @@
 	return answer
 }
 
-// bookKey returns the key of a program's reservations. The tenant's name is escaped,
+// accountKey returns the key of a program's reservations. The tenant's name is escaped,
 // so that no two pairs of tenant and program share a key.
-func bookKey(tenant, program string) string {
-	return bookPrefix + url.PathEscape(tenant) + "/" + program
+func accountKey(tenant, program string) string {
+	return accountPrefix + url.PathEscape(tenant) + "/" + program
 }
 
 // reserveTurn reserves tokens of a program's budget.
 func (r *rules) reserveTurn(tx *partition.Tx, c ReserveTurn) any {
-	key := bookKey(c.Tenant, c.Program)
-	b, ok := read[storedBook](tx, key)
-	if !b.Book.Reserve(c.Attempt, c.MaxTokens, c.Budget) {
-		return ReserveTurnResult{Charged: b.Book.Charged + b.Book.Outstanding()}
+	key := accountKey(c.Tenant, c.Program)
+	b, ok := read[storedAccount](tx, key)
+	if !b.Account.Reserve(c.Attempt, c.MaxTokens, c.Budget) {
+		return ReserveTurnResult{Charged: b.Account.Charged + b.Account.Outstanding()}
 	}
 	until := tx.Clock() + c.Retention
 	if !ok {
 		r.expiries.add(key, until)
 	}
 	b.Until = max(b.Until, until)
-	b.Book.LastUsed = tx.Clock()
+	b.Account.LastUsed = tx.Clock()
 	write(tx, key, b)
-	return ReserveTurnResult{OK: true, Charged: b.Book.Charged}
+	return ReserveTurnResult{OK: true, Charged: b.Account.Charged}
 }
--- a/peer/core/rules_relay_test.go
+++ b/peer/core/rules_relay_test.go
@@ -64,7 +64,7 @@
 }
 
 // TestProgramReservations checks a program's budget with concurrent, repeated and late
-// reservations, and that its book expires.
+// reservations, and that its account expires.
 func TestProgramReservations(t *testing.T) {
 	a := newSingleCore(t)
 	reserve := func(attempt string, most int64) bool {
@@ -92,7 +92,7 @@
 	}
 	a.advance(2 * time.Minute)
 	if !reserve("d", 100) {
-		t.Fatal("the book did not expire")
+		t.Fatal("the account did not expire")
 	}
 }
 
--- a/peer/core/schema_test.go
+++ b/peer/core/schema_test.go
@@ -27,7 +27,7 @@
 		schematest.Msgpack[program.Turn]("turn of a program"),
 		schematest.Msgpack[rate.DurableState]("rate"),
 		schematest.Msgpack[storedTurn]("kept turn"),
-		schematest.Msgpack[storedBook]("kept book"),
+		schematest.Msgpack[storedAccount]("kept book"),
 		schematest.Msgpack[acceptedOrder]("accepted order"),
 		schematest.Msgpack[uint64]("floor of versions"),
 		schematest.Msgpack[time.Duration]("time of a past member"),
--- a/peer/relay/machine_test.go
+++ b/peer/relay/machine_test.go
@@ -9,7 +9,7 @@
 
 	"saffronfall/peer/core"
 	"saffronfall/peer/desk"
-	"saffronfall/rule/book"
+	"saffronfall/rule/account"
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
@@ -26,7 +26,7 @@
 	now            time.Duration
 	node           *Machine
 	steps          map[uint64][]Step
-	books          map[string]*book.Account
+	accounts       map[string]*account.Account
 	storedTurns    map[string]core.StoreTurn
 	ledgers        map[string]*rate.Ledger
 	coresSilent    bool
@@ -42,7 +42,7 @@
 
 func newHarness(t *testing.T) *harness {
 	random := rand.New(rand.NewPCG(1, 1))
-	h := &harness{t: t, steps: map[uint64][]Step{}, books: map[string]*book.Account{}, storedTurns: map[string]core.StoreTurn{}, ledgers: map[string]*rate.Ledger{}, deadlines: map[uint64]time.Duration{}}
+	h := &harness{t: t, steps: map[uint64][]Step{}, accounts: map[string]*account.Account{}, storedTurns: map[string]core.StoreTurn{}, ledgers: map[string]*rate.Ledger{}, deadlines: map[uint64]time.Duration{}}
 	h.node = New(Options{ID: "n1", Incarnation: "x", Zone: "a", Address: "n1:1", Seeds: []string{"d1:1"}, Random: random.Float64,
 		Params: Params{Core: core.Params{MemberLease: time.Second, AttemptTimeout: 100 * time.Millisecond, PullInterval: 100 * time.Millisecond}, HeartbeatInterval: time.Second, UpdateInterval: 500 * time.Millisecond,
 			RateWindow: 5 * time.Second, Placement: placement.Settings{PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMillisecond: 80, HeartbeatInterval: time.Second}, MaxRequests: 100, CacheBytes: 1 << 20, BudgetRetention: time.Minute}})
@@ -97,17 +97,17 @@
 func (h *harness) answer(command any) any {
 	switch c := command.(type) {
 	case core.ReserveTurn:
-		b := h.books[c.Program]
+		b := h.accounts[c.Program]
 		if b == nil {
-			b = &book.Account{}
-			h.books[c.Program] = b
+			b = &account.Account{}
+			h.accounts[c.Program] = b
 		}
 		return core.ReserveTurnResult{OK: b.Reserve(c.Attempt, c.MaxTokens, c.Budget)}
 	case core.SettleTurn:
-		if h.books[c.Program] == nil {
-			h.books[c.Program] = &book.Account{}
+		if h.accounts[c.Program] == nil {
+			h.accounts[c.Program] = &account.Account{}
 		}
-		h.books[c.Program].Settle(c.Attempt, c.Tokens)
+		h.accounts[c.Program].Settle(c.Attempt, c.Tokens)
 		return core.Done{OK: true}
 	case core.StoreTurn:
 		h.storedTurns[c.Attempt] = c
@@ -213,7 +213,7 @@
 	}))
 	h.outcome(ticket, Outcome{Kind: OutcomeComplete, Events: 4, Started: true})
 	h.expect(ticket, StepDeliver, 0)
-	if got := h.books["p"].Charged; got != 40 {
+	if got := h.accounts["p"].Charged; got != 40 {
 		t.Fatalf("charged %d for 4 events of 10 tokens", got)
 	}
 }
@@ -288,7 +288,7 @@
 	if h.lastStep(ticket).RetryAfter <= 0 {
 		t.Fatal("the refusal has no time to retry after")
 	}
-	if h.books["p"] != nil {
+	if h.accounts["p"] != nil {
 		t.Fatal("a turn refused for the rate has a budget reservation")
 	}
 	h.advance(6 * time.Second)
@@ -308,7 +308,7 @@
 		}
 		h.expect(ticket, StepRefuse, 503)
 	}
-	if b := h.books["p"]; b.Charged != 0 || len(b.Running) != 0 {
+	if b := h.accounts["p"]; b.Charged != 0 || len(b.Running) != 0 {
 		t.Fatalf("budget after the refusals: %+v", b)
 	}
 	if spent := h.node.rates["t1"].spent; spent != 0 {
@@ -373,7 +373,7 @@
 		answer()
 	}
 	h.advance(2 * time.Second)
-	if b := h.books["p"]; b == nil || b.Outstanding() != 0 || b.Charged != 0 {
+	if b := h.accounts["p"]; b == nil || b.Outstanding() != 0 || b.Charged != 0 {
 		t.Fatalf("budget after the refusals: %+v", b)
 	}
 }
--- a/rule/book/book.go
+++ b/rule/account/account.go
@@ -1,27 +1,26 @@
-// Package book accounts for the output tokens of one program across all nodes: what its ended
-// turns used and what running turns have reserved. A reservation is refused if both together
-// would exceed the budget. Start reading at Account.Reserve and Account.Settle.
-package book
+// Package account tracks the output tokens of one program across all nodes: those that ended
+// turns used and those that running turns have reserved. Both together stay within the budget.
+// Start reading at Account.Reserve and Account.Settle.
+package account
 
 import (
 	"hash/fnv"
 	"time"
 )
 
-// Account is the durable account of one program, in tokens. Charged is the usage of settled
-// turns. Running holds the reservations of turns by attempt; a lost turn keeps its
-// reservation.
+// Account is the stored state of one program, in tokens. Charged is the usage of settled
+// turns. Running holds reservations by attempt; a lost turn keeps its reservation.
 type Account struct {
 	Charged int64            `msgpack:"c"`
 	Running map[string]int64 `msgpack:"r,omitempty"`
-	// Ended holds hashes of the most recently settled attempts, so that a delayed duplicate
-	// of a reservation is recognised and reserves nothing.
+	// Ended holds hashes of recently settled attempts, so that a delayed duplicate of a
+	// reservation reserves nothing.
 	Ended []uint32 `msgpack:"e,omitempty"`
-	// LastUsed is when the account was last used; the caller sets it.
+	// LastUsed is set by the caller.
 	LastUsed time.Duration `msgpack:"t"`
 }
 
-// maxEnded is the number of settled attempts that are remembered.
+// maxEnded bounds Account.Ended.
 const maxEnded = 32
 
 func attemptHash(attempt string) uint32 {
@@ -39,8 +38,8 @@
 	return sum
 }
 
-// Reserve reserves the greatest output of a turn, and returns false if it exceeds the budget.
-// It is idempotent: a repeated call for an attempt reserves nothing more.
+// Reserve reserves the greatest output of a turn, and returns false if that would exceed the
+// budget. It is idempotent for an attempt.
 func (a *Account) Reserve(attempt string, maxTokens, budget int64) bool {
 	if _, ok := a.Running[attempt]; ok {
 		return true
@@ -61,8 +60,8 @@
 	return true
 }
 
-// Settle replaces the reservation of an attempt by its actual usage. An attempt that has no
-// reservation yet can no longer get one. It reports whether anything changed.
+// Settle replaces the reservation of an attempt by its actual usage, and reports whether
+// anything changed. A later reservation of the attempt reserves nothing.
 func (a *Account) Settle(attempt string, tokens int64) bool {
 	for _, e := range a.Ended {
 		if e == attemptHash(attempt) {
--- a/rule/book/book_test.go
+++ b/rule/account/account_test.go
@@ -1,4 +1,4 @@
-package book
+package account
 
 import (
 	"fmt"
