--- a/rehearsalkit/capacity/measure.go
+++ b/rehearsalkit/capacity/measure.go
@@ -10,7 +10,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"saffronfall/rehearsalkit/agenda"
+	"saffronfall/rehearsalkit/eventqueue"
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
 )
@@ -207,7 +207,7 @@
 	}
 	add("node", "cache bytes", float64(cache)/float64(len(w.nodes)), false)
 	// The heap of a role is the memory that is freed when its processes are dropped.
-	w.agenda, w.programs = agenda.Agenda{}, nil
+	w.events, w.programs = eventqueue.Queue{}, nil
 	for _, n := range w.nodes {
 		n.requests = nil
 	}
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -13,7 +13,7 @@
 	"saffronfall/peer/core"
 	"saffronfall/peer/desk"
 	"saffronfall/peer/relay"
-	"saffronfall/rehearsalkit/agenda"
+	"saffronfall/rehearsalkit/eventqueue"
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
@@ -114,7 +114,7 @@
 type world struct {
 	point     Point
 	now       time.Duration
-	agenda    agenda.Agenda
+	events    eventqueue.Queue
 	random    *rand.Rand
 	cores     []*process
 	desks     []*process
@@ -178,10 +178,10 @@
 }
 
 func (w *world) after(d time.Duration, what func()) {
-	w.agenda.Add(w.now+d, what)
+	w.events.Add(w.now+d, what)
 }
 
-func (w *world) run(until time.Duration) { w.agenda.Run(until, &w.now) }
+func (w *world) run(until time.Duration) { w.events.Run(until, &w.now) }
 
 func (w *world) between(a, b time.Duration) time.Duration {
 	return a + time.Duration(w.random.Int64N(int64(b-a)+1))
--- a/rehearsalkit/agenda/agenda.go
+++ b/rehearsalkit/eventqueue/eventqueue.go
@@ -1,14 +1,14 @@
-// Package agenda is the event queue of the simulators. It runs events in the order of their
+// Package eventqueue is the event queue of the simulators. Events run in the order of their
 // simulated times, and events of one time in the order in which they were added.
-package agenda
+package eventqueue
 
 import (
 	"container/heap"
 	"time"
 )
 
-// Agenda is a queue of events. The zero value is empty and ready to use.
-type Agenda struct {
+// Queue is a queue of events. The zero value is ready to use.
+type Queue struct {
 	events events
 	seq    uint64
 }
@@ -39,16 +39,16 @@
 }
 
 // Add schedules a function for a simulated time.
-func (a *Agenda) Add(at time.Duration, run func()) {
-	a.seq++
-	heap.Push(&a.events, event{at: at, seq: a.seq, run: run})
+func (q *Queue) Add(at time.Duration, run func()) {
+	q.seq++
+	heap.Push(&q.events, event{at: at, seq: q.seq, run: run})
 }
 
-// Run runs the events that are due up to a time, with now set to the time of each, and
-// leaves now at that time.
-func (a *Agenda) Run(until time.Duration, now *time.Duration) {
-	for len(a.events) > 0 && a.events[0].at <= until {
-		e := heap.Pop(&a.events).(event)
+// Run runs the events that are due until a time. It sets now to the time of each event, and
+// to until at the end.
+func (q *Queue) Run(until time.Duration, now *time.Duration) {
+	for len(q.events) > 0 && q.events[0].at <= until {
+		e := heap.Pop(&q.events).(event)
 		*now = e.at
 		e.run()
 	}
--- a/rehearsalkit/relaysim/world.go
+++ b/rehearsalkit/relaysim/world.go
@@ -16,7 +16,7 @@
 
 	"saffronfall/peer/desk"
 	"saffronfall/peer/relay"
-	"saffronfall/rehearsalkit/agenda"
+	"saffronfall/rehearsalkit/eventqueue"
 	"saffronfall/rule/ordered"
 )
 
@@ -61,7 +61,7 @@
 // schedule is the simulated clock and the seeded random generator.
 type schedule struct {
 	now    time.Duration
-	agenda agenda.Agenda
+	events eventqueue.Queue
 	random *rand.Rand
 }
 
@@ -142,10 +142,10 @@
 func (w *World) Now() time.Duration { return w.now }
 
 func (w *World) after(d time.Duration, f func()) {
-	w.agenda.Add(w.now+d, f)
+	w.events.Add(w.now+d, f)
 }
 
-func (w *World) runUntil(until time.Duration) { w.agenda.Run(until, &w.now) }
+func (w *World) runUntil(until time.Duration) { w.events.Run(until, &w.now) }
 
 func (w *World) between(a, b time.Duration) time.Duration {
 	return a + time.Duration(w.random.Int64N(int64(b-a)+1))
--- a/rehearsalkit/simulator/world.go
+++ b/rehearsalkit/simulator/world.go
@@ -1,7 +1,7 @@
 // Package simulator runs the state machines of cores and nodes in simulated time under
 // seeded faults, and judges each run by what requesters and replicas observed.
 //
-// A run depends on its seed alone: all events pass through one agenda, and all random
+// A run depends on its seed alone: all events pass through one queue, and all random
 // numbers come from one generator. Start reading at World and Run; injectFault has the
 // faults, CrashPoints the crash tests.
 package simulator
@@ -13,7 +13,7 @@
 
 	"saffronfall/peer/core"
 	"saffronfall/peer/node"
-	"saffronfall/rehearsalkit/agenda"
+	"saffronfall/rehearsalkit/eventqueue"
 	"saffronfall/rehearsalkit/judge"
 	"saffronfall/rule/message"
 	"saffronfall/rule/partition"
@@ -94,7 +94,7 @@
 	Counts map[string]int64
 
 	now       time.Duration
-	agenda    agenda.Agenda
+	events    eventqueue.Queue
 	random    *rand.Rand
 	processes map[string]*process
 	cores     []*process
@@ -162,10 +162,10 @@
 func (w *World) Now() time.Duration { return w.now }
 
 func (w *World) after(d time.Duration, what func()) {
-	w.agenda.Add(w.now+d, what)
+	w.events.Add(w.now+d, what)
 }
 
-func (w *World) run(until time.Duration) { w.agenda.Run(until, &w.now) }
+func (w *World) run(until time.Duration) { w.events.Run(until, &w.now) }
 
 // between returns a random duration in [a, b].
 func (w *World) between(a, b time.Duration) time.Duration {
