--- a/peer/core/configuration.go
+++ b/peer/core/configuration.go
@@ -7,18 +7,18 @@
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
-	"saffronfall/rule/rehearsal"
+	"saffronfall/rule/replay"
 )
 
 // ApplyResult is the outcome of an ApplyRequest. InForce means that every member follows
 // the configuration.
 type ApplyResult struct {
-	Version   uint64               `json:"version"`
-	InForce   bool                 `json:"taken"`
-	Code      string               `json:"code,omitempty"`
-	Reason    string               `json:"reason,omitempty"`
-	Faults    configuration.Faults `json:"faults,omitempty"`
-	Rehearsal *rehearsal.Result    `json:"figures,omitempty"`
+	Version uint64               `json:"version"`
+	InForce bool                 `json:"taken"`
+	Code    string               `json:"code,omitempty"`
+	Reason  string               `json:"reason,omitempty"`
+	Faults  configuration.Faults `json:"faults,omitempty"`
+	Replay  *replay.Result       `json:"figures,omitempty"`
 }
 
 // ApplyRequest is a configuration that an operator submits.
@@ -28,11 +28,11 @@
 	// Digest is the digest of the text. It identifies repetitions of this request.
 	Digest  string
 	Timeout time.Duration
-	// PlanOnly rehearses the configuration and changes nothing.
+	// PlanOnly replays recent requests under the configuration and changes nothing.
 	PlanOnly bool
 }
 
-// ApplyConfiguration checks a configuration, rehearses it on recent requests, compares
+// ApplyConfiguration checks a configuration, replays recent requests under it, compares
 // the result with its approval limits, commits it, and waits until each member follows
 // it or its membership has ended.
 func (m *Machine) ApplyConfiguration(now time.Duration, ticket uint64, request ApplyRequest) Output {
@@ -60,22 +60,22 @@
 		case request.PlanOnly:
 		case current.Version > request.BasedOn:
 			// It lost a race or is a repetition. It can no longer be newly accepted, so
-			// it needs no rehearsal.
+			// it needs no replay.
 			m.acceptConfiguration(now, ticket, until, request, nil)
 			return
 		case current.Version < request.BasedOn:
 			m.answerOperator(ticket, raceLost(current.Version))
 			return
 		}
-		m.collectSamples(now, until, func(now time.Duration, samples []rehearsal.Sample) {
-			rehearsed := rehearsal.Run(before, after, samples)
+		m.collectSamples(now, until, func(now time.Duration, samples []replay.Sample) {
+			replayed := replay.Run(before, after, samples)
 			switch {
 			case request.PlanOnly:
-				m.answerOperator(ticket, ApplyResult{Version: current.Version, Code: "planned", Rehearsal: &rehearsed})
-			case !rehearsed.Approved:
-				m.answerOperator(ticket, ApplyResult{Version: current.Version, Code: "not_approved", Reason: "rehearsal newly refused more than the description's approval limit", Rehearsal: &rehearsed})
+				m.answerOperator(ticket, ApplyResult{Version: current.Version, Code: "planned", Replay: &replayed})
+			case !replayed.Approved:
+				m.answerOperator(ticket, ApplyResult{Version: current.Version, Code: "not_approved", Reason: "rehearsal newly refused more than the description's approval limit", Replay: &replayed})
 			default:
-				m.acceptConfiguration(now, ticket, until, request, &rehearsed)
+				m.acceptConfiguration(now, ticket, until, request, &replayed)
 			}
 		})
 	})
@@ -88,7 +88,7 @@
 }
 
 // acceptConfiguration commits the configuration and then waits for the members.
-func (m *Machine) acceptConfiguration(now time.Duration, ticket uint64, until time.Duration, request ApplyRequest, rehearsed *rehearsal.Result) {
+func (m *Machine) acceptConfiguration(now time.Duration, ticket uint64, until time.Duration, request ApplyRequest, replayed *replay.Result) {
 	m.caller.Call(now, AcceptConfiguration{BasedOn: request.BasedOn, Text: request.Text, Digest: request.Digest}, until, func(now time.Duration, o Outcome) {
 		accepted, ok := o.Answer.(AcceptConfigurationResult)
 		switch {
@@ -97,14 +97,14 @@
 		case !accepted.Accepted:
 			m.answerOperator(ticket, raceLost(accepted.Version))
 		default:
-			m.raiseVersionFloor(now, ApplyResult{Version: accepted.Version, Rehearsal: rehearsed}, ticket, until, map[int]bool{})
+			m.raiseVersionFloor(now, ApplyResult{Version: accepted.Version, Replay: replayed}, ticket, until, map[int]bool{})
 		}
 	})
 }
 
 // collectSamples reads the recent requests of all members. Members that do not
 // answer in a quarter of a member lease are left out.
-func (m *Machine) collectSamples(now, until time.Duration, next func(now time.Duration, samples []rehearsal.Sample)) {
+func (m *Machine) collectSamples(now, until time.Duration, next func(now time.Duration, samples []replay.Sample)) {
 	waiting := m.founding.Partitions
 	members := map[string]Member{}
 	for n := 0; n < m.founding.Partitions; n++ {
@@ -122,7 +122,7 @@
 			}
 			m.sampleRound++
 			id := m.sampleRound
-			m.samples = map[string][]rehearsal.Sample{}
+			m.samples = map[string][]replay.Sample{}
 			for _, name := range ordered.Keys(members) {
 				m.send(members[name].Peer, ReadSamples{ID: id}, false)
 			}
@@ -132,9 +132,9 @@
 }
 
 // awaitSamples calls next with the samples when all members have answered, or at until.
-func (m *Machine) awaitSamples(now, until time.Duration, id uint64, want int, next func(now time.Duration, samples []rehearsal.Sample)) {
+func (m *Machine) awaitSamples(now, until time.Duration, id uint64, want int, next func(now time.Duration, samples []replay.Sample)) {
 	if id != m.sampleRound || len(m.samples) >= want || now >= until {
-		var all []rehearsal.Sample
+		var all []replay.Sample
 		for _, name := range ordered.Keys(m.samples) {
 			all = append(all, m.samples[name]...)
 		}
--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -8,7 +8,7 @@
 	"saffronfall/rule/message"
 	"saffronfall/rule/ordered"
 	"saffronfall/rule/partition"
-	"saffronfall/rule/rehearsal"
+	"saffronfall/rule/replay"
 	"saffronfall/rule/slab"
 )
 
@@ -81,7 +81,7 @@
 	unregistered bool
 	// sampleRound identifies the last collection of samples.
 	sampleRound uint64
-	samples     map[string][]rehearsal.Sample
+	samples     map[string][]replay.Sample
 	// Silence of other cores counts from observedSince on. activeAt is when this core
 	// last ran.
 	observedSince time.Duration
--- a/peer/core/messages.go
+++ b/peer/core/messages.go
@@ -236,7 +236,7 @@
 		Entries []partition.Entry `msgpack:"Entries"`
 	}
 
-	// AcceptConfiguration puts a checked and rehearsed configuration in force.
+	// AcceptConfiguration puts a configuration in force after its checks and its replay.
 	AcceptConfiguration struct {
 		BasedOn uint64 `msgpack:"BasedOn"`
 		Text    []byte `msgpack:"Text"`
--- a/peer/core/messages_samples.go
+++ b/peer/core/messages_samples.go
@@ -1,18 +1,18 @@
 package core
 
 import (
-	"saffronfall/rule/rehearsal"
+	"saffronfall/rule/replay"
 )
 
-// Messages that collect recent requests for rehearsals.
+// Messages that collect recent requests for replays.
 type (
-	// ReadSamples requests a node's recent requests for a rehearsal.
+	// ReadSamples requests a node's recent requests for a replay.
 	ReadSamples struct {
 		ID uint64 `msgpack:"ID"`
 	}
 	// Samples answers ReadSamples.
 	Samples struct {
-		ID   uint64             `msgpack:"ID"`
-		List []rehearsal.Sample `msgpack:"List"`
+		ID   uint64          `msgpack:"ID"`
+		List []replay.Sample `msgpack:"List"`
 	}
 )
--- a/peer/node/machine.go
+++ b/peer/node/machine.go
@@ -9,7 +9,7 @@
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/partition"
 	"saffronfall/rule/program"
-	"saffronfall/rule/rehearsal"
+	"saffronfall/rule/replay"
 	"saffronfall/rule/slab"
 	"saffronfall/rule/verdict"
 )
@@ -101,7 +101,7 @@
 	relayOrder   []slab.Ticket
 	timers       core.Timers
 	nextID       uint64
-	samples      []rehearsal.Sample
+	samples      []replay.Sample
 	nextSample   int
 }
 
@@ -255,7 +255,7 @@
 	case CopyAnswer:
 		m.onCopyAnswer(now, b)
 	case core.ReadSamples:
-		list := append([]rehearsal.Sample(nil), m.samples...)
+		list := append([]replay.Sample(nil), m.samples...)
 		for i := range list {
 			list[i].Age = now - list[i].Age
 		}
@@ -266,8 +266,8 @@
 	return *m.out
 }
 
-// recordSample stores a recent request for rehearsals of configuration changes.
-func (m *Machine) recordSample(s rehearsal.Sample) {
+// recordSample stores a recent request for replays under changed configurations.
+func (m *Machine) recordSample(s replay.Sample) {
 	const maxSamples = 256
 	s.Age = m.now
 	if len(m.samples) < maxSamples {
--- a/peer/node/once.go
+++ b/peer/node/once.go
@@ -8,7 +8,7 @@
 
 	"saffronfall/peer/core"
 	"saffronfall/rule/program"
-	"saffronfall/rule/rehearsal"
+	"saffronfall/rule/replay"
 	"saffronfall/rule/verdict"
 )
 
@@ -86,7 +86,7 @@
 			return
 		}
 		m.countAdmitted(nil)
-		m.recordSample(rehearsal.Sample{KeyDigest: req.keySum, Tenant: req.tenant, User: req.request.User, Role: req.role, Kind: KindAction, Service: req.request.Service})
+		m.recordSample(replay.Sample{KeyDigest: req.keySum, Tenant: req.tenant, User: req.request.User, Role: req.role, Kind: KindAction, Service: req.request.Service})
 		m.finish(req, Frame{Kind: FrameBody, Status: e.Status, Body: e.Body, Verdict: verdict.Allowed(verdict.Executed, nil)})
 	})
 }
--- a/peer/node/opening.go
+++ b/peer/node/opening.go
@@ -7,7 +7,7 @@
 	"saffronfall/peer/core"
 	"saffronfall/rule/breaker"
 	"saffronfall/rule/program"
-	"saffronfall/rule/rehearsal"
+	"saffronfall/rule/replay"
 	"saffronfall/rule/verdict"
 )
 
@@ -82,7 +82,7 @@
 			}
 			m.adoptProgram(now, answer).dayPrecharged = precharged
 			m.countAdmitted(warnings)
-			m.recordSample(rehearsal.Sample{KeyDigest: req.keySum, Tenant: req.tenant, Program: id, User: req.request.User, Role: req.role, Kind: KindOpen})
+			m.recordSample(replay.Sample{KeyDigest: req.keySum, Tenant: req.tenant, Program: id, User: req.request.User, Role: req.role, Kind: KindOpen})
 			m.finish(req, Frame{Kind: FrameBody, Status: 201, Head: program.EmptyHead, Verdict: verdict.Allowed(verdict.Executed, warnings), Text: id})
 		})
 	})
--- a/peer/node/request.go
+++ b/peer/node/request.go
@@ -8,7 +8,7 @@
 	"saffronfall/rule/breaker"
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/program"
-	"saffronfall/rule/rehearsal"
+	"saffronfall/rule/replay"
 	"saffronfall/rule/slab"
 	"saffronfall/rule/verdict"
 )
@@ -112,7 +112,7 @@
 	if m.now >= req.deadline && v.Status == 503 {
 		v = deadlineExceeded(v.Ran)
 	}
-	m.recordSample(rehearsal.Sample{KeyDigest: req.keySum, Tenant: req.tenant, User: req.request.User, Role: req.role, Kind: req.request.Kind, Service: req.request.Service, Refused: true})
+	m.recordSample(replay.Sample{KeyDigest: req.keySum, Tenant: req.tenant, User: req.request.User, Role: req.role, Kind: req.request.Kind, Service: req.request.Service, Refused: true})
 	m.finish(req, Frame{Kind: FrameVerdict, Status: v.Status, Verdict: v})
 }
 
--- a/peer/node/tool.go
+++ b/peer/node/tool.go
@@ -6,7 +6,7 @@
 
 	"saffronfall/rule/breaker"
 	"saffronfall/rule/program"
-	"saffronfall/rule/rehearsal"
+	"saffronfall/rule/replay"
 	"saffronfall/rule/verdict"
 )
 
@@ -67,7 +67,7 @@
 			return
 		}
 		m.countAdmitted(a.warnings)
-		m.recordSample(rehearsal.Sample{KeyDigest: req.keySum, Tenant: req.tenant, User: prog.record.User, Role: prog.record.Role, Kind: KindTool, Service: req.request.Service})
+		m.recordSample(replay.Sample{KeyDigest: req.keySum, Tenant: req.tenant, User: prog.record.User, Role: prog.record.Role, Kind: KindTool, Service: req.request.Service})
 		m.finish(req, Frame{Kind: FrameBody, Status: e.Status, Body: e.Body, Verdict: verdict.Allowed(verdict.Executed, a.warnings)})
 	})
 }
--- a/peer/node/turn.go
+++ b/peer/node/turn.go
@@ -9,7 +9,7 @@
 	"saffronfall/peer/core"
 	"saffronfall/rule/breaker"
 	"saffronfall/rule/program"
-	"saffronfall/rule/rehearsal"
+	"saffronfall/rule/replay"
 	"saffronfall/rule/slab"
 	"saffronfall/rule/verdict"
 )
@@ -62,7 +62,7 @@
 			request := req.request
 			request.User = prog.record.User
 			m.closeSession(now, &requestState{tenant: req.tenant, request: request}, prog.record.ID, prog.record.Charged())
-			m.recordSample(rehearsal.Sample{KeyDigest: req.keySum, Tenant: req.tenant, Program: prog.record.ID, User: prog.record.User, Role: prog.record.Role, Kind: KindClose})
+			m.recordSample(replay.Sample{KeyDigest: req.keySum, Tenant: req.tenant, Program: prog.record.ID, User: prog.record.User, Role: prog.record.Role, Kind: KindClose})
 			m.finish(req, Frame{Kind: FrameBody, Status: 200, Body: []byte(`{"closed":true}`)})
 		})
 	}
@@ -424,7 +424,7 @@
 		}
 		m.Counters.Completed++
 		m.countAdmitted(a.warnings)
-		m.recordSample(rehearsal.Sample{KeyDigest: req.keySum, Tenant: req.tenant, Program: prog.record.ID, User: prog.record.User, Role: prog.record.Role, Kind: KindTurn, Service: req.request.Service, Tokens: a.relayedTokens, Steps: prog.record.Steps, Charged: prog.record.Charged()})
+		m.recordSample(replay.Sample{KeyDigest: req.keySum, Tenant: req.tenant, Program: prog.record.ID, User: prog.record.User, Role: prog.record.Role, Kind: KindTurn, Service: req.request.Service, Tokens: a.relayedTokens, Steps: prog.record.Steps, Charged: prog.record.Charged()})
 		finishReason := "complete"
 		if e.Text != "" {
 			finishReason = e.Text
--- a/rehearsalkit/simulator/configuration_test.go
+++ b/rehearsalkit/simulator/configuration_test.go
@@ -19,7 +19,7 @@
 }
 
 // TestRepeatedDescription checks that a configuration in force is acknowledged when it is
-// submitted again through another core after many others, even where rehearsal would refuse
+// submitted again through another core after many others, even where a replay would refuse
 // it by now, and that a different one on the same base is refused.
 func TestRepeatedDescription(t *testing.T) {
 	w := withLimits(smallWorld(nil))
--- a/rehearsalkit/simulator/failure_test.go
+++ b/rehearsalkit/simulator/failure_test.go
@@ -227,7 +227,7 @@
 	}
 }
 
-// Rehearsal refuses a configuration that would newly refuse too many recent requests; it
+// The replay refuses a configuration that would newly refuse too many recent requests; it
 // is never in force.
 func TestNotApproved(t *testing.T) {
 	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) {
@@ -242,8 +242,8 @@
 		return m.ApplyConfiguration(now, ticket, core.ApplyRequest{BasedOn: 1, Text: w.Params.Describe("x"), Digest: "x", Timeout: 5 * time.Second})
 	}, func(body any) { got = body.(core.ApplyResult) })
 	w.Advance(3 * time.Second)
-	if got.Code != "not_approved" || got.Rehearsal == nil || got.Rehearsal.NewlyRefused < 20 {
-		t.Errorf("%+v %+v", got, got.Rehearsal)
+	if got.Code != "not_approved" || got.Replay == nil || got.Replay.NewlyRefused < 20 {
+		t.Errorf("%+v %+v", got, got.Replay)
 	}
 	result, _ := w.Do(0, node.Request{Kind: node.KindStatus, Key: "x", Program: "none"})
 	wantCode(t, "the refused version's key", result, "unknown_key")
--- a/rehearsalkit/sizes/larger_test.go
+++ b/rehearsalkit/sizes/larger_test.go
@@ -20,7 +20,7 @@
 	"function rehearsalkit/simulator/fault.go World.injectFault":               160,
 	"function rehearsalkit/simulator/requester.go World.submit":                72,
 	"function rehearsalkit/simulator/terms.go MeasureTerm":                     61,
-	"function rule/rehearsal/rehearsal.go replay.check":                        75,
+	"function rule/replay/replay.go state.check":                               75,
 	"function saffronfall/main.go statusCommand.Run":                           61,
 	"function saffronfall/nodeprocess/process.go process.run":                  63,
 	"struct peer/core/machine.go Machine":                                      34,
--- a/rule/configuration/description.go
+++ b/rule/configuration/description.go
@@ -60,7 +60,7 @@
 	AttemptsPerReplica      int64   `json:"shots_per_replica"`
 }
 
-// Approval holds the thresholds of rehearsal, which replays recorded requests against a new
+// Approval holds the thresholds of a replay, which runs recorded requests against a new
 // description. With fewer than MinRequests of them a description is not refused.
 type Approval struct {
 	NewlyRefusedRatio float64 `json:"newly_refused_ratio"`
--- a/rule/rehearsal/rehearsal.go
+++ b/rule/replay/replay.go
@@ -1,9 +1,9 @@
-// Package rehearsal replays recent requests under two configurations and counts those that
+// Package replay replays recent requests under two configurations and counts those that
 // only the newer one would refuse.
 //
-// A replay evaluates the same checks as nodes do, in the same order, from the sampled
-// requests alone; it has no side effects. Start reading at Run.
-package rehearsal
+// A replay applies the checks of nodes in their order to sampled requests. Start reading at
+// Run.
+package replay
 
 import (
 	"fmt"
@@ -16,9 +16,8 @@
 	"saffronfall/rule/program"
 )
 
-// Sample is one recent request. KeyDigest is the digest of its key. Steps and Charged are the
-// totals of its program including this request, Tokens is its own charge. Age is the time since
-// it was made.
+// Sample is one recent request. Steps and Charged are the totals of its program including
+// this request, Tokens is its own charge. Age is the time since it was made.
 type Sample struct {
 	Tenant    string        `msgpack:"t" json:"tenant"`
 	Program   string        `msgpack:"p" json:"program"`
@@ -34,7 +33,7 @@
 	Age       time.Duration `msgpack:"a" json:"age"`
 }
 
-// Result is the outcome of a rehearsal. Its JSON names say "inquiries" for requests and
+// Result is the outcome of a replay. Its JSON names say "inquiries" for requests and
 // "moves" for changes.
 type Result struct {
 	Requests          int64            `json:"inquiries"`
@@ -53,8 +52,8 @@
 	Changes []string `json:"moves"`
 }
 
-// replay is the state of one replay under a configuration.
-type replay struct {
+// state is the state of one replay under a configuration.
+type state struct {
 	d *configuration.Description
 	// users has keys of the form "tenant/user". The keys of buckets and dayTokens are names
 	// of tenants.
@@ -63,11 +62,11 @@
 	dayTokens map[string]int64
 }
 
-func newReplay(d *configuration.Description) *replay {
-	return &replay{d: d, users: map[string]*program.User{}, buckets: map[string]*bucket{}, dayTokens: map[string]int64{}}
+func newState(d *configuration.Description) *state {
+	return &state{d: d, users: map[string]*program.User{}, buckets: map[string]*bucket{}, dayTokens: map[string]int64{}}
 }
 
-// bucket is a token bucket for a tenant's request rate.
+// bucket is a token bucket for a tenant's requests.
 type bucket struct {
 	tokens float64
 	at     time.Duration
@@ -79,8 +78,8 @@
 	list := append([]Sample(nil), samples...)
 	sort.SliceStable(list, func(i, j int) bool { return list[i].Age > list[j].Age })
 	result := Result{ByCheck: map[string]int64{}, ByTenant: map[string]int64{}, AllowedRatio: after.Approval.NewlyRefusedRatio, MinRequests: after.Approval.MinRequests}
-	replayBefore := newReplay(before)
-	replayAfter := newReplay(after)
+	stateBefore := newState(before)
+	stateAfter := newState(after)
 	var start time.Duration
 	if len(list) > 0 {
 		start = list[0].Age
@@ -90,9 +89,9 @@
 		id := fmt.Sprint(i)
 		oldCheck := "unknown"
 		if before != nil {
-			oldCheck = replayBefore.check(s, at, id)
+			oldCheck = stateBefore.check(s, at, id)
 		}
-		newCheck := replayAfter.check(s, at, id)
+		newCheck := stateAfter.check(s, at, id)
 		result.Requests++
 		if oldCheck != "" {
 			result.RefusedBefore++
@@ -116,8 +115,8 @@
 
 // check returns the first check that refuses a sample, or an empty string. at is the time
 // since the first sample; id identifies a sample that has no program.
-func (r *replay) check(s Sample, at time.Duration, id string) string {
-	t, ok := r.d.Tenants[s.Tenant]
+func (st *state) check(s Sample, at time.Duration, id string) string {
+	t, ok := st.d.Tenants[s.Tenant]
 	if !ok {
 		return "tenant"
 	}
@@ -130,28 +129,28 @@
 			return "key"
 		}
 	}
-	role, ok := r.d.Roles[s.Role]
+	role, ok := st.d.Roles[s.Role]
 	if !ok {
 		return "role"
 	}
 	if s.Kind != "open" && s.Service != "" {
-		if _, ok := r.d.Services[s.Service]; !ok {
+		if _, ok := st.d.Services[s.Service]; !ok {
 			return "service"
 		}
 	}
 	name := s.Tenant + "/" + s.User
-	u := r.users[name]
+	u := st.users[name]
 	if u == nil {
 		fresh := program.NewUser()
 		u = &fresh
-		r.users[name] = u
+		st.users[name] = u
 	}
 	if s.Program != "" {
 		id = s.Program
 	}
 	switch s.Kind {
 	case "open":
-		v := u.OpenSession(at, id, role, r.d.WarnRatio)
+		v := u.OpenSession(at, id, role, st.d.WarnRatio)
 		if s.Program == "" {
 			// The sampled request was refused, so it left no session open.
 			u.CloseSession(id)
@@ -159,7 +158,7 @@
 		switch {
 		case v.Refused():
 			return v.Check
-		case r.dayTokens[s.Tenant] >= t.DayTokens:
+		case st.dayTokens[s.Tenant] >= t.DayTokens:
 			return "tenant_day"
 		}
 		return ""
@@ -172,16 +171,16 @@
 			return "steps"
 		case s.Charged-s.Tokens >= role.ProgramTokensHard:
 			return "program_tokens"
-		case r.dayTokens[s.Tenant]+s.Tokens > t.DayTokens:
+		case st.dayTokens[s.Tenant]+s.Tokens > t.DayTokens:
 			return "tenant_day"
 		}
 		u.ChargeSession(at, id, s.Charged, 0)
-		r.dayTokens[s.Tenant] += s.Tokens
+		st.dayTokens[s.Tenant] += s.Tokens
 	}
-	b := r.buckets[s.Tenant]
+	b := st.buckets[s.Tenant]
 	if b == nil {
 		b = &bucket{tokens: float64(t.Burst), at: at}
-		r.buckets[s.Tenant] = b
+		st.buckets[s.Tenant] = b
 	}
 	b.tokens = min(float64(t.Burst), b.tokens+t.RequestsPerSecond*(at-b.at).Seconds())
 	b.at = at
--- a/rule/rehearsal/rehearsal_test.go
+++ b/rule/replay/replay_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package replay
 
 import (
 	"testing"
@@ -9,8 +9,7 @@
 	"saffronfall/rule/configuration"
 )
 
-// TestResultText checks the text for a change that removes a key, restricts a role and lowers a rate,
-// with samples that each of the three refuses.
+// TestResultText covers a removed key, a restricted role and a lowered rate.
 func TestResultText(t *testing.T) {
 	parse := func(text string) *configuration.Description {
 		d, faults := configuration.Parse([]byte(text))
@@ -35,8 +34,8 @@
 	goldie.New(t).Assert(t, "plan", []byte(Run(before, after, samples).Text(7)))
 }
 
-// TestReplayAppliesNodeChecks checks that a replay counts sessions and the daily tokens of users and
-// tenants and the tokens of programs as nodes do, and returns the first check that refuses.
+// TestReplayAppliesNodeChecks checks that a replay counts sessions and tokens as nodes do, and
+// returns the first check that refuses.
 func TestReplayAppliesNodeChecks(t *testing.T) {
 	key := configuration.KeyDigest("clerk")
 	for _, c := range []struct{ role, tenant, want string }{
@@ -58,10 +57,10 @@
 		}
 		recent := []Sample{s("open", "a", 0, 0, 9), s("turn", "a", 1, 100, 8), s("turn", "a", 2, 200, 7), s("open", "b", 0, 0, 6), s("close", "a", 0, 0, 5), s("close", "b", 0, 0, 4), s("open", "c", 0, 0, 3)}
 		result := Run(nil, d, recent)
-		replay := newReplay(d)
+		st := newState(d)
 		got := ""
 		for i, sample := range recent {
-			if check := replay.check(sample, time.Duration(i)*time.Second, "x"); check != "" && got == "" {
+			if check := st.check(sample, time.Duration(i)*time.Second, "x"); check != "" && got == "" {
 				got = check
 			}
 		}
--- a/saffronfall/main.go
+++ b/saffronfall/main.go
@@ -257,7 +257,7 @@
 		fmt.Println(strings.TrimSpace(string(raw)))
 		return nil
 	}
-	fmt.Print(result.Rehearsal.Text(result.Version))
+	fmt.Print(result.Replay.Text(result.Version))
 	return nil
 }
 
--- a/saffronfall/schema_test.go
+++ b/saffronfall/schema_test.go
@@ -9,7 +9,7 @@
 	"saffronfall/peer/replica"
 	"saffronfall/rule/configuration"
 	"saffronfall/rule/message/schematest"
-	"saffronfall/rule/rehearsal"
+	"saffronfall/rule/replay"
 	"saffronfall/rule/route"
 	"saffronfall/saffronfall/params"
 )
@@ -40,7 +40,7 @@
 		schematest.JSON[replica.AnnouncementReply]("answer to an announcement"),
 		schematest.JSON[configuration.Description]("description"),
 		schematest.JSON[configuration.Faults]("faults of a text"),
-		schematest.JSON[rehearsal.Result]("effect of a description"),
+		schematest.JSON[replay.Result]("effect of a description"),
 		schematest.JSON[route.Table]("routing table"),
 		schematest.JSON[route.Amendment]("amendment of a routing table"),
 		schematest.JSON[route.Preview]("preview of an amendment"),
