--- a/peer/clock/clock.go
+++ b/peer/clock/clock.go
@@ -1,6 +1,5 @@
 // Package clock provides the only clock that decisions use. It is monotonic, cannot be
-// set, and continues while the machine is suspended. A test checks that other packages
-// read the time only through this one.
+// set, and continues while the machine is suspended.
 package clock
 
 import (
@@ -18,10 +17,9 @@
 	return time.Duration(at.Nano())
 }
 
-// Deadline returns the wall clock time after a duration, with a monotonic reading. It is
-// only for read and write deadlines of the standard library.
+// Deadline returns the time after a duration, only for I/O deadlines of the standard library.
 func Deadline(after time.Duration) time.Time { return time.Now().Add(after) }
 
-// TimeOfDay returns the wall clock time in UTC, for log entries that people read.
-// Decisions must not depend on it: it may be set, and it differs between machines.
+// TimeOfDay returns the wall clock time in UTC, for log entries. Decisions must not depend
+// on it: it may be set, and it differs between machines.
 func TimeOfDay() time.Time { return time.Now().UTC() }
--- a/peer/clock/clock_test.go
+++ b/peer/clock/clock_test.go
@@ -10,8 +10,7 @@
 	"testing"
 )
 
-// TestOnlyClock checks that no deployed code reads the time except through this package,
-// so that no decision depends on a clock that may be set or may stop.
+// TestOnlyClock guards against decisions by a clock that may be set or may stop.
 func TestOnlyClock(t *testing.T) {
 	reads := map[string]bool{"Now": true, "Since": true, "Until": true, "ClockGettime": true, "Gettimeofday": true}
 	files := 0
--- a/peer/disk/bench_test.go
+++ b/peer/disk/bench_test.go
@@ -5,7 +5,6 @@
 	"testing"
 )
 
-// BenchmarkChecksum measures the checksum of a record by its size.
 func BenchmarkChecksum(b *testing.B) {
 	for _, size := range []int{200, 4 << 10, 64 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/peer/disk/checksum.go
+++ b/peer/disk/checksum.go
@@ -9,15 +9,13 @@
 )
 
 // checksumKey is the random key of a file's checksums (SipHash, Aumasson and Bernstein
-// 2012). Tenants choose part of the stored bytes, and any subset of the blocks of the
-// last write may survive a power failure. With unkeyed checksums a tenant could choose
-// bytes that look like a log record, or whose loss leaves the checksum unchanged.
+// 2012). Any subset of the blocks of the last write may survive a power failure. With
+// unkeyed checksums a tenant could store bytes that look like a log record, or whose
+// loss leaves the checksum unchanged.
 type checksumKey [2]uint64
 
-// checksumKeySize is the size of an encoded key in bytes.
-const checksumKeySize = 16
+const checksumKeySize = 16 // bytes
 
-// newChecksumKey generates a random key.
 func newChecksumKey() (checksumKey, error) {
 	raw := make([]byte, checksumKeySize)
 	if _, err := rand.Read(raw); err != nil {
@@ -35,8 +33,7 @@
 	return binary.LittleEndian.AppendUint64(raw, k[1])
 }
 
-// checksum returns the checksum of a header and a body. The header's length is
-// included, so that different kinds of headers cannot be confused.
+// checksum includes the header's length, so that kinds of headers cannot be confused.
 func (k checksumKey) checksum(header, body []byte) uint64 {
 	h := siphash.New(k.appendTo(make([]byte, 0, checksumKeySize)))
 	h.Write([]byte{byte(len(header))})
@@ -45,5 +42,5 @@
 	return h.Sum64()
 }
 
-// checksumShort returns the checksum of a short text without allocating.
+// checksumShort does not allocate.
 func (k checksumKey) checksumShort(text []byte) uint64 { return siphash.Hash(k[0], k[1], text) }
--- a/peer/disk/checksum_test.go
+++ b/peer/disk/checksum_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// neutralBlock returns a non-zero block that leaves a CRC unchanged, found by linear
-// dependence of the CRCs of its single bits.
+// neutralBlock returns a non-zero block that leaves a CRC unchanged, by linear dependence of
+// the CRCs of its single bits.
 func neutralBlock(t *testing.T, size int) []byte {
 	t.Helper()
 	table := crc32.MakeTable(crc32.Castagnoli)
@@ -94,8 +94,7 @@
 	}
 }
 
-// TestFormatOne checks that a directory in the first format is read and appended to,
-// and rewritten in the current format by Replace.
+// TestFormatOne checks that the first format is read and appended to until Replace.
 func TestFormatOne(t *testing.T) {
 	path := t.TempDir()
 	table := crc32.MakeTable(crc32.Castagnoli)
@@ -132,8 +131,8 @@
 	}
 }
 
-// TestDamagedKey guards against mistaking a log whose key is damaged for one with an
-// interrupted write: no record can be verified without the key.
+// TestDamagedKey guards against taking a damaged key for an interrupted write: without the
+// key, no record can be verified.
 func TestDamagedKey(t *testing.T) {
 	for at := len(logMagic); at < logHeaderSize; at++ {
 		path := newStore(t)
--- a/peer/disk/disk.go
+++ b/peer/disk/disk.go
@@ -1,11 +1,9 @@
-// Package disk stores one state durably in a directory: two slots, which are
-// overwritten alternately, and a log of the records appended since the newer slot was
-// written.
+// Package disk stores one state durably in a directory: two slots, overwritten
+// alternately, and a log of the records appended since the newer slot was written.
 //
-// A slot or log counts only if its checksum matches. A write is acknowledged only
-// after it has been synced, so a power failure can lose or tear only unacknowledged
-// writes. Any other damage is reported as ErrDamaged. Start reading at OpenIn,
-// Store.Append and Store.Replace.
+// A write is acknowledged only after it has been synced, so a power failure can lose or
+// tear only unacknowledged writes. Any other damage is reported as ErrDamaged. Start
+// reading at OpenIn, Store.Append and Store.Replace.
 package disk
 
 import (
@@ -23,13 +21,12 @@
 // must be treated as lost.
 var ErrDamaged = errors.New("the stored state is damaged")
 
-// ErrUnknownFormat reports a file that this program did not write, or that a newer
-// version of it wrote. The directory is left unchanged.
+// ErrUnknownFormat reports a file of another program or a newer version. The directory
+// is left unchanged.
 var ErrUnknownFormat = errors.New("the directory holds files of another program or of a newer version")
 
-// ErrFull reports that the disk had no space and that the stored contents are
-// unchanged; the operation may be retried. A failed sync is never reported as ErrFull,
-// because what it left on the disk is unknown.
+// ErrFull reports that the disk had no space and the stored contents are unchanged; the
+// operation may be retried. A failed sync is never ErrFull: what it left is unknown.
 var ErrFull = errors.New("no space left on the disk; nothing was written")
 
 // Store is an open directory. It is not safe for concurrent use.
@@ -38,10 +35,8 @@
 	path       string
 	generation uint64
 	log        File
-	// format encodes and checks the records of the current log, whose length in bytes is
-	// size.
-	format recordFormat
-	size   int64
+	format     recordFormat
+	size       int64 // of the current log, in bytes
 	// Syncs counts the file syncs made.
 	Syncs int64
 }
@@ -51,8 +46,7 @@
 	Empty   bool
 	State   []byte
 	Records [][]byte
-	// TruncatedBytes is the length of the incomplete write removed from the end of the
-	// log.
+	// TruncatedBytes is the length of the incomplete write removed from the log's end.
 	TruncatedBytes int64
 }
 
@@ -83,15 +77,14 @@
 	}
 	contents := Contents{State: slots[newest].body}
 	if logs[newest].generation < s.generation {
-		// The process stopped after the slot was written and before its log was installed.
+		// A crash came between writing the slot and installing its log.
 		return s, contents, s.startLog(newest)
 	}
 	err = s.replayLog(newest, logs[newest], &contents)
 	return s, contents, err
 }
 
-// replayLog reads the records of a log, truncates an incomplete write at its end and
-// positions the log for appending.
+// replayLog reads a log, truncates an incomplete write at its end and opens it to append.
 func (s *Store) replayLog(i int, l logFile, contents *Contents) error {
 	s.format, s.size = l.format, int64(l.headerSize)
 	rest := l.raw[l.headerSize:]
@@ -180,8 +173,8 @@
 	if err != nil {
 		return err
 	}
-	// Once the new slot is written it is the current one, so the steps after it must
-	// not need disk space. The new log is therefore prepared first.
+	// Once written, the new slot is current, so later steps must not need disk space:
+	// the new log is prepared first.
 	if err := s.writeSynced(s.name("slot", i), appendSlot(key, s.generation, state)); err != nil {
 		return err
 	}
@@ -204,9 +197,8 @@
 	return s.files.SyncDir(s.path)
 }
 
-// removePartial frees the space of a file that could not be written completely. Such a
-// file is never read: an incomplete slot does not match its checksum, and a log is
-// installed by a rename.
+// removePartial frees the space of an incomplete file. Such a file is never read: a slot's
+// checksum would not match, and a log is installed by a rename.
 func (s *Store) removePartial(name string, cause error) error {
 	if !isFull(cause) {
 		return errors.Wrap(cause, "writing a state file")
@@ -217,7 +209,6 @@
 	return errors.Mark(errors.Wrap(cause, "writing a state file"), ErrFull)
 }
 
-// startLog creates the log of the current generation.
 func (s *Store) startLog(i int) error {
 	format, err := s.prepareLog(i)
 	if err != nil {
@@ -235,8 +226,8 @@
 	return recordFormat{key: &key}, s.writeSynced(s.name("fresh", i), logHeader(key, s.generation))
 }
 
-// installLog renames a prepared log to its final name. Because a log appears complete,
-// a damaged header is never the result of an interrupted write.
+// installLog renames a prepared log to its final name. A log appears complete, so an
+// interrupted write never leaves a damaged header.
 func (s *Store) installLog(i int, format recordFormat) error {
 	if err := s.files.Rename(s.name("fresh", i), s.name("log", i)); err != nil {
 		return errors.Wrap(err, "installing the new log")
@@ -255,8 +246,8 @@
 	return nil
 }
 
-// SetAside moves the files of a damaged store into a new subdirectory, so that the
-// directory opens as empty.
+// SetAside moves a damaged store's files into a new subdirectory; the directory then
+// opens as empty.
 func SetAside(path string) error {
 	for i := 0; ; i++ {
 		target := filepath.Join(path, fmt.Sprintf("lost-%d", i))
--- a/peer/disk/disk_test.go
+++ b/peer/disk/disk_test.go
@@ -41,7 +41,6 @@
 	must(t, os.WriteFile(full, how(raw), 0o600))
 }
 
-// TestReopen checks that records and states survive reopening.
 func TestReopen(t *testing.T) {
 	path := newStore(t)
 	s, contents, err := Open(path)
@@ -59,8 +58,8 @@
 	}
 }
 
-// TestDamage distinguishes interrupted writes, which lose only unacknowledged records,
-// from damage.
+// TestDamage guards against confusing damage with an interrupted write, which loses only
+// unacknowledged records.
 func TestDamage(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -115,8 +114,6 @@
 	}
 }
 
-// TestCrashBetweenSlotAndLog opens a directory whose newer slot is complete but has no
-// log yet.
 func TestCrashBetweenSlotAndLog(t *testing.T) {
 	path := newStore(t)
 	log, err := os.ReadFile(filepath.Join(path, "log-1"))
--- a/peer/disk/format1.go
+++ b/peer/disk/format1.go
@@ -5,12 +5,11 @@
 	"hash/crc32"
 )
 
-// castagnoli is the table for the unkeyed checksums (CRC-32C) of the first format.
-// Directories in this format are still read, and their logs are appended to until the
-// next call of Replace.
+// castagnoli is for the unkeyed checksums (CRC-32C) of the first format, which is still
+// read; its logs are appended to until the next Replace.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Sizes of headers of the first format, in bytes.
+// Sizes in bytes.
 const (
 	slotHeaderSizeV1   = len(slotMagicV1) + 16
 	logHeaderSizeV1    = len(logMagicV1) + 8
@@ -45,7 +44,8 @@
 		return nil, 0
 	}
 	length := binary.LittleEndian.Uint32(raw)
-	if crc32.Checksum(raw[:4], castagnoli) != binary.LittleEndian.Uint32(raw[4:]) || uint64(len(raw)) < recordHeaderSizeV1+uint64(length) {
+	if crc32.Checksum(raw[:4], castagnoli) != binary.LittleEndian.Uint32(raw[4:]) ||
+		uint64(len(raw)) < recordHeaderSizeV1+uint64(length) {
 		return nil, 0
 	}
 	body := raw[recordHeaderSizeV1 : recordHeaderSizeV1+length]
--- a/peer/disk/full_test.go
+++ b/peer/disk/full_test.go
@@ -10,8 +10,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// smallDisk is a file system with limited space, in bytes, and optionally failing
-// syncs.
+// smallDisk is a file system with limited space, in bytes, and optionally failing syncs.
 type smallDisk struct {
 	systemFiles
 	space   int64
@@ -74,13 +73,12 @@
 	return f.File.Truncate(size)
 }
 
-// Sync only returns the configured error, without syncing.
+// Sync does not sync.
 func (f *smallFile) Sync() error { return f.disk.syncErr }
 
 func (d *smallDisk) SyncDir(string) error { return d.syncErr }
 
-// checkContents opens a copy of a directory, as after a crash, and checks what it
-// holds.
+// checkContents checks a copy of a directory, as after a crash.
 func checkContents(t *testing.T, path, slot string, records ...string) {
 	t.Helper()
 	copied := t.TempDir()
@@ -95,8 +93,8 @@
 	}
 }
 
-// TestFullAtEachByte exhausts the space at every byte. The store must keep its
-// contents, return ErrFull, and work again once there is space.
+// TestFullAtEachByte checks that the store keeps its contents, returns ErrFull, and works again
+// once there is space.
 func TestFullAtEachByte(t *testing.T) {
 	for space := int64(0); space < 220; space++ {
 		path := t.TempDir()
@@ -134,8 +132,7 @@
 	}
 }
 
-// TestFailedSyncIsNotFull checks that a failed sync is not reported as retryable, even
-// if its cause was a full disk.
+// TestFailedSyncIsNotFull guards against a retry after a failed sync.
 func TestFailedSyncIsNotFull(t *testing.T) {
 	for _, fault := range []error{syscall.EIO, syscall.ENOSPC} {
 		disk := &smallDisk{space: 1 << 20}
--- a/peer/disk/log.go
+++ b/peer/disk/log.go
@@ -7,24 +7,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Magic numbers of the current log format and of the first one, which is read and
-// appended to until the next call of Replace.
 const (
 	logMagic   = "SFLOG002"
 	logMagicV1 = "SFLOG001"
 )
 
-// logHeaderSize is in bytes and covers the magic number, generation, key and checksum.
+// logHeaderSize covers the magic number, generation, key and checksum, in bytes.
 const logHeaderSize = len(logMagic) + 8 + checksumKeySize + 8
 
-// logHeader encodes the header of a log.
 func logHeader(key checksumKey, generation uint64) []byte {
 	raw := binary.LittleEndian.AppendUint64([]byte(logMagic), generation)
 	raw = key.appendTo(raw)
 	return binary.LittleEndian.AppendUint64(raw, key.checksum(raw, nil))
 }
 
-// logFile is a log as read from disk.
 type logFile struct {
 	raw        []byte
 	generation uint64
@@ -32,17 +28,13 @@
 	format     recordFormat
 }
 
-// logFiles holds both logs of a directory.
 type logFiles [2]logFile
 
-// present reports whether at least one log exists.
 func (l logFiles) present() bool { return l[0].raw != nil || l[1].raw != nil }
 
-// generation returns the generation of the newer log.
 func (l logFiles) generation() uint64 { return max(l[0].generation, l[1].generation) }
 
-// readLogs reads both logs. A damaged header is an error, because a log is installed
-// complete.
+// readLogs reads both logs. A damaged header is an error: a log is installed complete.
 func (s *Store) readLogs(recognized bool) (logs logFiles, err error) {
 	for i := range logs {
 		raw, err := s.files.ReadFile(s.name("log", i))
@@ -63,7 +55,6 @@
 	return logs, nil
 }
 
-// readLogHeader decodes a log header of either format and reports whether it is valid.
 func readLogHeader(raw []byte) (logFile, bool) {
 	l := logFile{raw: raw}
 	switch {
@@ -83,16 +74,14 @@
 	return l, true
 }
 
-// recordFormat encodes and decodes log records. A record has a header with its length,
-// a checksum of the length and a checksum of the whole record. The separate length
-// checksum allows a search for records at any offset. Both checksums cover the
-// record's offset in the log. A nil key selects the first format.
+// recordFormat encodes and decodes log records. The separate checksum of the length allows
+// a search for records at any offset. Both checksums cover the record's offset in the log.
+// A nil key selects the first format.
 type recordFormat struct{ key *checksumKey }
 
-// recordHeaderSize is in bytes and covers the length, its checksum and the record's checksum.
+// recordHeaderSize covers the length, its checksum and the record's checksum, in bytes.
 const recordHeaderSize = 4 + 4 + 8
 
-// append appends to raw the record with the given body, for an offset in the log.
 func (f recordFormat) append(raw []byte, offset int64, body []byte) []byte {
 	if f.key == nil {
 		return appendRecordV1(raw, body)
@@ -103,8 +92,8 @@
 	return append(append(raw, header...), body...)
 }
 
-// read decodes the record that raw begins with, which has the given offset in the log.
-// It returns the body and the encoded length, or zero if there is no valid record.
+// read returns the body and the encoded length of the record that raw, at an offset of the
+// log, begins with. The length is zero if there is no valid record.
 func (f recordFormat) read(raw []byte, offset int64) ([]byte, int) {
 	if f.key == nil {
 		return readRecordV1(raw)
@@ -113,7 +102,8 @@
 		return nil, 0
 	}
 	length := uint64(binary.LittleEndian.Uint32(raw))
-	if f.lengthChecksum(offset, raw[:4]) != binary.LittleEndian.Uint32(raw[4:]) || uint64(len(raw)) < recordHeaderSize+length {
+	if f.lengthChecksum(offset, raw[:4]) != binary.LittleEndian.Uint32(raw[4:]) ||
+		uint64(len(raw)) < recordHeaderSize+length {
 		return nil, 0
 	}
 	end := recordHeaderSize + int(length)
@@ -124,8 +114,6 @@
 	return body, end
 }
 
-// containsRecord reports whether raw, which begins at the given offset in the log,
-// contains a valid record.
 func (f recordFormat) containsRecord(raw []byte, offset int64) bool {
 	for i := range raw {
 		if _, n := f.read(raw[i:], offset+int64(i)); n > 0 {
@@ -135,13 +123,11 @@
 	return false
 }
 
-// lengthChecksum returns the checksum of a record's length at an offset.
 func (f recordFormat) lengthChecksum(offset int64, length []byte) uint32 {
 	text := binary.LittleEndian.AppendUint64(make([]byte, 0, 8+4), uint64(offset))
 	return uint32(f.key.checksumShort(append(text, length[:4]...)))
 }
 
-// checksum returns the checksum of a whole record at an offset.
 func (f recordFormat) checksum(offset int64, header, body []byte) uint64 {
 	text := binary.LittleEndian.AppendUint64(make([]byte, 0, 8+8), uint64(offset))
 	return f.key.checksum(append(text, header[:8]...), body)
--- a/peer/disk/open_test.go
+++ b/peer/disk/open_test.go
@@ -7,8 +7,7 @@
 	"testing"
 )
 
-// FuzzOpen opens directories with arbitrary file contents. A rejected slot must be
-// left unchanged.
+// FuzzOpen opens arbitrary file contents. A rejected slot must be left unchanged.
 func FuzzOpen(f *testing.F) {
 	f.Add([]byte(slotMagic+"\x01\x00\x00\x00\x00\x00\x00\x00"), []byte(logMagic+"\x01\x00\x00\x00\x00\x00\x00\x00"))
 	f.Add([]byte(slotMagicV1+"\x01\x00\x00\x00\x00\x00\x00\x00"), []byte(logMagicV1+"\x01\x00\x00\x00\x00\x00\x00\x00"))
@@ -30,8 +29,7 @@
 	})
 }
 
-// TestForeign checks that files of another program or a newer version are rejected and
-// left unchanged.
+// TestForeign guards against changing files of another program or a newer version.
 func TestForeign(t *testing.T) {
 	for _, c := range []struct{ name, file, text string }{
 		{"newer slot", "slot-0", "SFSLOT03 and what follows"}, {"newer log", "log-1", "SFLOG003 and what follows"},
--- a/peer/disk/slot.go
+++ b/peer/disk/slot.go
@@ -8,27 +8,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Magic numbers of the current slot format and of the first one, which is still read.
 const (
 	slotMagic   = "SFSLOT02"
 	slotMagicV1 = "SFSLOT01"
 )
 
-// slotHeaderSize is in bytes and covers the magic number, generation, key, length and checksum.
+// slotHeaderSize covers the magic number, generation, key, length and checksum, in bytes.
 const slotHeaderSize = len(slotMagic) + 8 + checksumKeySize + 8 + 8
 
-// slotFile is a slot as read from disk. An invalid slot has a zero generation and no
-// body.
+// slotFile is a slot as read from disk. If invalid, it has generation zero and a nil body.
 type slotFile struct {
 	raw        []byte
 	generation uint64
 	body       []byte
 }
 
-// slotFiles holds both slots of a directory.
 type slotFiles [2]slotFile
 
-// newest returns the index of the slot with the higher generation.
 func (s slotFiles) newest() int {
 	if s[1].generation > s[0].generation {
 		return 1
@@ -36,8 +32,7 @@
 	return 0
 }
 
-// recognized reports whether a slot is valid, which shows that this program wrote the
-// directory.
+// recognized reports whether a valid slot shows that this program wrote the directory.
 func (s slotFiles) recognized() bool { return s[0].generation+s[1].generation > 0 }
 
 func (s *Store) readSlots() (slots slotFiles, err error) {
@@ -59,10 +54,9 @@
 	return slots, nil
 }
 
-// checkMagic checks the magic number of a file that is long enough to have one. An
-// unknown version number belongs to a newer version. Any other mismatch is damage, which
-// the caller detects, if the directory is recognized as this program's, and a file of
-// another program otherwise.
+// checkMagic returns ErrUnknownFormat for a file of a newer version or another program. In
+// a recognized directory, any mismatch besides the version is damage, which the caller
+// detects.
 func checkMagic(name string, raw []byte, recognized bool, magics ...string) error {
 	size := len(magics[0])
 	if len(raw) < size || bytes.Count(raw[:size], []byte{0}) == size {
@@ -79,7 +73,6 @@
 	return errors.Wrapf(ErrUnknownFormat, "%s begins with %q, want %q", name, raw[:size], magics[0])
 }
 
-// appendSlot encodes a slot.
 func appendSlot(key checksumKey, generation uint64, state []byte) []byte {
 	raw := make([]byte, 0, slotHeaderSize+len(state))
 	raw = append(raw, slotMagic...)
@@ -90,7 +83,6 @@
 	return append(raw, state...)
 }
 
-// readSlot decodes a slot of either format.
 func readSlot(raw []byte) slotFile {
 	if len(raw) >= len(slotMagicV1) && string(raw[:len(slotMagicV1)]) == slotMagicV1 {
 		return readSlotV1(raw)
--- a/peer/registry/amend.go
+++ b/peer/registry/amend.go
@@ -9,23 +9,20 @@
 )
 
 // Amendment is an operator's order that changes named items of the current table. The registry
-// applies it to that table and proposes the resulting full table, so it is as atomic,
-// durable and idempotent as a full table.
+// proposes the resulting full table, so it is as atomic, durable and idempotent as one.
 type Amendment struct {
-	// Base is the number of the table that it is based on, Number that of the result.
+	// Base is the number of the table that it changes, Number that of the result.
 	Base, Number uint64
 	// Digest identifies the order among all orders on its base.
 	Digest string
-	// Apply returns the text of the resulting table. The current text is empty if there is
-	// no table yet.
+	// Apply returns the resulting table. The current text is empty if there is no table yet.
 	Apply func(current []byte) ([]byte, configuration.Faults)
-	// PreviewOnly requests a preview of the changes without proposing the table.
+	// PreviewOnly requests a preview without proposing the table.
 	PreviewOnly bool
 }
 
-// Amend applies an amendment to the current table and proposes the result to the cores. It
-// reads that table from the cores, because a proposal based on an older copy would be
-// rejected. The ticket is answered with an OrderResult.
+// Amend proposes the amended table to the cores. It reads the current table from them, because a
+// proposal based on an older copy would be rejected. The ticket is answered with an OrderResult.
 func (m *Machine) Amend(now time.Duration, ticket uint64, a Amendment) Output {
 	m.out = &Output{}
 	deadline := now + m.params.OperationTimeout
@@ -47,8 +44,8 @@
 	return *m.out
 }
 
-// findOrder answers an amendment whose base is not the current table: either it was accepted
-// earlier, or another order on that base was.
+// findOrder answers an amendment whose base is not the current table: it or another order on
+// that base was accepted earlier.
 func (m *Machine) findOrder(now time.Duration, ticket uint64, a Amendment, deadline time.Duration) {
 	m.caller.Call(now, core.FindOrder{Base: a.Base, Number: a.Number, Digest: a.Digest}, deadline, func(_ time.Duration, o core.Outcome) {
 		found, ok := o.Answer.(core.AcceptTableResult)
@@ -63,7 +60,6 @@
 	})
 }
 
-// proposeAmendment applies and checks an amendment, and proposes the resulting table.
 func (m *Machine) proposeAmendment(now time.Duration, ticket uint64, a Amendment, current core.CurrentTable, deadline time.Duration) {
 	text, faults := a.Apply(current.Text)
 	var next *route.Table
--- a/peer/registry/amend_test.go
+++ b/peer/registry/amend_test.go
@@ -17,7 +17,7 @@
 	commands []any
 }
 
-// run answers commands until there are none left, and returns the registry's answers.
+// run answers all commands and returns the registry's answers.
 func (s *scriptedCores) run(t *testing.T, now time.Duration, o Output) []Answer {
 	t.Helper()
 	answers := o.Answers
@@ -40,8 +40,7 @@
 	return Amendment{Base: base, Number: number, Digest: "d", Apply: ApplyAmendment(a)}
 }
 
-// TestAmend checks that an amendment is applied to the current table of the cores and proposed as
-// a full table, and the answers to amendments whose base is not current.
+// TestAmend guards against amending a table other than the cores' current one.
 func TestAmend(t *testing.T) {
 	read := core.CurrentTable{Number: 4, Text: table(4), Digest: "four"}
 	for _, c := range []struct {
@@ -50,7 +49,7 @@
 		agreed    any
 		found     any
 		want      OrderResult
-		// commands is the number of commands sent to the cores.
+		// commands counts those sent to the cores.
 		commands int
 	}{
 		{name: "accepted", amendment: addService(4, 5), agreed: core.AcceptTableResult{OK: true, Number: 5}, want: OrderResult{Accepted: true, Number: 5}, commands: 2},
@@ -92,7 +91,6 @@
 	}
 }
 
-// TestPreviewChangesNothing checks that a preview reports the changes and proposes nothing.
 func TestPreviewChangesNothing(t *testing.T) {
 	m := newRegistry(nil)
 	foundFleet(m)
--- a/peer/registry/currenttable.go
+++ b/peer/registry/currenttable.go
@@ -6,18 +6,16 @@
 	"saffronfall/rule/route"
 )
 
-// maxDifferences is the number of tables that a subscriber may lag behind and still be
-// updated by differences.
+// maxDifferences bounds how many tables behind a subscriber can be updated by differences.
 const maxDifferences = 16
 
 // currentTable is the newest accepted table that a registry knows; nil if it knows none.
 type currentTable struct {
 	parsed *route.Table
 	digest string
-	// text is the table as sent to subscribers, without the source that it was translated
-	// from, which only operators read. It is encoded on first use.
+	// text is sent to subscribers, without the table's source. It is encoded on first use.
 	text []byte
-	// differences lead from earlier tables to this one, each based on the one before.
+	// differences lead to this table, each based on the one before.
 	differences []route.Difference
 }
 
@@ -49,8 +47,7 @@
 	return t.text
 }
 
-// differencesSince returns the differences that lead from the numbered table to this one; nil
-// if they are no longer stored.
+// differencesSince returns nil if the differences from that table are no longer stored.
 func (t *currentTable) differencesSince(number uint64) []route.Difference {
 	for i, d := range t.differences {
 		if d.BaseNumber == number {
@@ -69,8 +66,7 @@
 	return 2*items < len(t.parsed.Routes)+len(t.parsed.Services)+len(t.parsed.Tenants)
 }
 
-// differencesFor returns the differences that update a subscriber; nil if it needs the full
-// table.
+// differencesFor returns nil if the subscriber needs the full table.
 func (m *Machine) differencesFor(s *subscriber) []route.Difference {
 	if !s.acceptsDifferences || s.table == 0 {
 		return nil
@@ -82,8 +78,7 @@
 	return differences
 }
 
-// installText parses and installs a table if it is newer than the known one. A table that was
-// already learned from an operator or a difference is not parsed again.
+// installText installs a table if it is newer; a table that is already known is not parsed.
 func (m *Machine) installText(now time.Duration, number uint64, digest string, text []byte) {
 	if number <= m.table.number() {
 		return
@@ -96,7 +91,7 @@
 	m.install(now, parsed, digest)
 }
 
-// install replaces the current table by a newer accepted one and notifies subscribers at once.
+// install replaces the current table by an accepted one if that is newer.
 func (m *Machine) install(now time.Duration, table *route.Table, digest string) {
 	if table.Number <= m.table.number() {
 		return
--- a/peer/registry/currenttable_test.go
+++ b/peer/registry/currenttable_test.go
@@ -11,7 +11,7 @@
 	"saffronfall/rule/route"
 )
 
-// largeTable returns a table with many routes, one of which depends on the number.
+// largeTable returns a table with one route that depends on the number, among many others.
 func largeTable(number uint64) []byte {
 	routes := ""
 	for i := range 50 {
@@ -24,15 +24,14 @@
 	return fmt.Appendf(nil, `{"number":%d,"source":"what the operator sent","routes":[%s],"services":[{"name":"s"}]}`, number, routes[:len(routes)-1])
 }
 
-// deliverTable sends a registry the cores' snapshot of the current table.
 func deliverTable(m *Machine, now time.Duration, number uint64) Output {
 	value := message.Marshal(core.CurrentTable{Number: number, Text: largeTable(number), Digest: fmt.Sprint("digest ", number)})
 	at := partition.Version{Term: partition.Term{Round: 1, Leader: "c.1"}, Seq: number}
 	return m.Receive(now, "c:1", core.Update{Partition: core.ConfigurationPartition, UpTo: at, Entries: []partition.Entry{{Key: core.TableKey, Value: value, Version: at}}})
 }
 
-// TestSubscribersGetDifferences checks that a subscriber with a recent table gets differences, any
-// other one the full table, and none of them the table's source.
+// TestSubscribersGetDifferences checks that only subscribers with a recent table get differences,
+// and none the table's source.
 func TestSubscribersGetDifferences(t *testing.T) {
 	m := newRegistry(nil)
 	foundFleet(m)
@@ -79,8 +78,6 @@
 	}
 }
 
-// TestKnownTableIsNotParsedAgain checks that a snapshot of a table that is already known is not
-// parsed.
 func TestKnownTableIsNotParsedAgain(t *testing.T) {
 	m := newRegistry(nil)
 	foundFleet(m)
--- a/peer/registry/departure.go
+++ b/peer/registry/departure.go
@@ -6,12 +6,11 @@
 	"saffronfall/rule/ordered"
 )
 
-// Acknowledgment answers a replica's heartbeat or Leave call. If it is not Accepted, the report
-// may be lost with this registry, and the replica should send it to another one.
+// Acknowledgment answers a replica's heartbeat or Leave call. A report that is not Accepted may
+// be lost with this registry, and the replica should send it to another one.
 type Acknowledgment struct{ Accepted bool }
 
-// departureHeartbeats bounds, in heartbeat intervals, how long a departing replica waits until
-// its departure is known outside this registry.
+// departureHeartbeats is DepartureTimeout in heartbeat intervals.
 const departureHeartbeats = 0.6
 
 // DepartureTimeout bounds the time to acknowledge a replica's departure.
@@ -19,17 +18,16 @@
 	return time.Duration(departureHeartbeats * float64(p.HeartbeatInterval))
 }
 
-// departure is a reported departure that is not acknowledged yet, because it could be lost
-// with this registry.
+// departure is not acknowledged yet, because it could be lost with this registry.
 type departure struct {
 	ticket uint64
-	// version is the first version of the registry's list that includes the departure.
+	// version is the first version of the list that includes the departure.
 	version   uint64
 	startedAt time.Duration
 }
 
-// acknowledge answers a replica's report. Only a departure must be replicated first: all other
-// state is repeated by the next heartbeat.
+// acknowledge answers a replica's report. Only a departure must be replicated first: the next
+// heartbeat repeats all other state.
 func (m *Machine) acknowledge(now time.Duration, ticket uint64, entry *trackedReplica) {
 	if ticket == 0 {
 		return
@@ -42,8 +40,7 @@
 	m.answerDepartures(now)
 }
 
-// answerDepartures acknowledges the departures that other processes have confirmed, and
-// rejects those that were not confirmed in time.
+// answerDepartures acknowledges replicated departures, and rejects those that time out.
 func (m *Machine) answerDepartures(now time.Duration) {
 	timeout := m.params.DepartureTimeout()
 	if !m.coresReachable(now) {
@@ -63,9 +60,8 @@
 	m.departures = remaining
 }
 
-// isReplicated reports whether a version of this registry's list survives the loss of this
-// registry. It does if as many other registries have it as may be lost at once, or, if no other
-// registry is active, if all active nodes have it.
+// isReplicated reports whether a version of the list survives the loss of this registry. As many
+// other registries must have it as may be lost at once; if none is active, all active nodes.
 func (m *Machine) isReplicated(now time.Duration, version uint64) bool {
 	registries, confirmed, nodeMissing := 0, 0, false
 	for _, address := range ordered.Keys(m.subscribers) {
@@ -89,6 +85,5 @@
 	return confirmed >= min(registries, m.toleratedLosses())
 }
 
-// toleratedLosses returns the number f of machines that may be lost at once, at least 1: groups
-// have 2f+1 members.
+// toleratedLosses returns how many machines f may be lost at once: groups have 2f+1 members.
 func (m *Machine) toleratedLosses() int { return max((m.params.GroupSize-1)/2, 1) }
--- a/peer/registry/departure_test.go
+++ b/peer/registry/departure_test.go
@@ -5,7 +5,6 @@
 	"time"
 )
 
-// acknowledgments returns the answers to a ticket.
 func acknowledgments(o Output, ticket uint64) (list []Acknowledgment) {
 	for _, a := range o.Answers {
 		if h, ok := a.Body.(Acknowledgment); ok && a.Ticket == ticket {
@@ -15,8 +14,8 @@
 	return list
 }
 
-// TestDepartureIsAcknowledgedOnceReplicated checks that a departure is acknowledged when enough
-// others have it, and is otherwise rejected in time to report it to another registry.
+// TestDepartureIsAcknowledgedOnceReplicated also checks that other departures are rejected in time
+// to report them to another registry.
 func TestDepartureIsAcknowledgedOnceReplicated(t *testing.T) {
 	const ticket = 7
 	registry := func(version uint64) Subscribe {
@@ -65,8 +64,7 @@
 	}
 }
 
-// TestRegistryConfirmsDepartureAtOnce checks that a registry confirms a received departure at once,
-// because the replica waits for that.
+// TestRegistryConfirmsDepartureAtOnce guards against a delay while the replica waits.
 func TestRegistryConfirmsDepartureAtOnce(t *testing.T) {
 	first, second := newRegistry(nil), newRegistry(func(o *Options) { o.ID, o.Address, o.Incarnation = "d2", "d2:1", "l2" })
 	first.Receive(0, "d2:1", Subscribe{Node: "d2", IsRegistry: true})
@@ -80,8 +78,8 @@
 	t.Error("not acknowledged by the immediate messages of the registries")
 }
 
-// TestNodesConfirmDepartureToLoneRegistry checks that nodes are asked to confirm at once if, and
-// only if, no other registry is active.
+// TestNodesConfirmDepartureToLoneRegistry checks that nodes are asked to confirm at once only if
+// no other registry is active.
 func TestNodesConfirmDepartureToLoneRegistry(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		m := newRegistry(nil)
@@ -98,9 +96,8 @@
 	}
 }
 
-// TestDisconnectedRegistryRejectsDepartureEarly checks that a disconnected registry rejects an
-// unconfirmed departure as soon as any other call, and a connected one gives others time to
-// confirm.
+// TestDisconnectedRegistryRejectsDepartureEarly checks that only a connected registry gives others
+// time to confirm a departure.
 func TestDisconnectedRegistryRejectsDepartureEarly(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/peer/registry/disconnected_test.go
+++ b/peer/registry/disconnected_test.go
@@ -9,8 +9,7 @@
 	"saffronfall/rule/partition"
 )
 
-// connectedRegistry returns a registry whose fleet has one core, with its configuration confirmed
-// at the given time.
+// connectedRegistry returns a registry with one core, which confirmed the table at the given time.
 func connectedRegistry(t *testing.T, now time.Duration) *Machine {
 	t.Helper()
 	m := newRegistry(nil)
@@ -26,8 +25,8 @@
 	m.Receive(now, "c1:1", core.Freshness{SentAt: now, UpTo: partition.Version{Term: partition.Term{Round: 1, Leader: "c1.x"}, Seq: 1}})
 }
 
-// tickUntilAnswered ticks a registry that gets no messages until it answers a ticket, or for two
-// seconds. It returns the time that took and the answer.
+// tickUntilAnswered ticks a registry until it answers a ticket, or for two seconds. It returns the
+// time that took and the answer.
 func tickUntilAnswered(m *Machine, start time.Duration, ticket uint64) (time.Duration, any) {
 	for now := start; now < start+2*time.Second; now += 5 * time.Millisecond {
 		for _, a := range m.Tick(now).Answers {
@@ -39,8 +38,7 @@
 	return 2 * time.Second, nil
 }
 
-// TestDisconnectedRegistryAnswersInTime checks that a registry without contact to a core answers
-// each call as uncertain within 250 ms.
+// TestDisconnectedRegistryAnswersInTime checks that each call is answered as uncertain in 250 ms.
 func TestDisconnectedRegistryAnswersInTime(t *testing.T) {
 	const disconnectedAt = 10 * time.Second
 	calls := map[string]func(m *Machine, now time.Duration) Output{
@@ -89,8 +87,8 @@
 	}
 }
 
-// TestAnsweredOnce checks that a late answer of the cores to an expired call is not answered
-// again, but that its table is installed.
+// TestAnsweredOnce guards against a second answer to an expired call, and against the loss of its
+// table.
 func TestAnsweredOnce(t *testing.T) {
 	m := connectedRegistry(t, 0)
 	o := m.Apply(5*time.Second, 1, 0, table(3), "d")
@@ -110,7 +108,6 @@
 	}
 }
 
-// TestConnectedRegistryWaits checks that no call expires while the cores confirm the table.
 func TestConnectedRegistryWaits(t *testing.T) {
 	m := connectedRegistry(t, 0)
 	m.Apply(0, 1, 0, table(3), "d")
@@ -122,8 +119,8 @@
 	}
 }
 
-// TestIsolatedRegistryAcknowledgesNoHeartbeat checks when a registry counts as isolated, so that
-// replicas report to another registry that can pass their reports on.
+// TestIsolatedRegistryAcknowledgesNoHeartbeat guards against replicas that stay with a registry
+// that can't pass their reports on.
 func TestIsolatedRegistryAcknowledgesNoHeartbeat(t *testing.T) {
 	m := connectedRegistry(t, 0)
 	nodes := []string{"n1:1", "n2:1", "n3:1"}
@@ -155,8 +152,8 @@
 	}
 }
 
-// TestRestartedRegistryUsesSavedPeers checks that a restarted registry without reachable seeds asks
-// the saved cores and registries, restores no leader and no table, and passes the addresses on.
+// TestRestartedRegistryUsesSavedPeers checks a restart without reachable seeds. Neither leaders
+// nor the table may be restored.
 func TestRestartedRegistryUsesSavedPeers(t *testing.T) {
 	previous := connectedRegistry(t, 0)
 	previous.Receive(0, "d3:1", Subscribe{Node: "d3", IsRegistry: true})
--- a/peer/registry/handler.go
+++ b/peer/registry/handler.go
@@ -14,8 +14,8 @@
 	"saffronfall/rule/route"
 )
 
-// API is the interface of a registry to replicas and operators. After an error of Heartbeat or
-// Leave the replica should report to another registry.
+// API serves replicas and operators. After an error of Heartbeat or Leave, the replica should
+// report to another registry.
 type API interface {
 	Heartbeat(ctx context.Context, r Replica) error
 	Leave(ctx context.Context, id string) error
@@ -38,23 +38,29 @@
 	return Digest(append([]byte("amendment\n"), text...))
 }
 
-// readOrder reads an operator's order and the number of its base table. It writes the error
-// response itself if that fails.
+// readOrder reads an operator's order and its base. If that fails, it writes the response.
 func readOrder(w http.ResponseWriter, r *http.Request, maxBody int64, kind string) (base uint64, body []byte, ok bool) {
 	base, err := strconv.ParseUint(r.URL.Query().Get("base"), 10, 64)
 	body, bodyErr := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil || bodyErr != nil {
-		operator.WriteJSON(w, http.StatusBadRequest, operator.ErrorResponse{Code: "malformed", Reason: "base must be the number of the table in force, and the body a whole " + kind, Executed: "no"})
+		operator.WriteJSON(w, http.StatusBadRequest, operator.ErrorResponse{
+			Code:     "malformed",
+			Reason:   "base must be the number of the table in force, and the body a whole " + kind,
+			Executed: "no",
+		})
 		return 0, nil, false
 	}
 	return base, body, true
 }
 
-// writeOrderResult writes the response to an operator's order.
 func writeOrderResult(w http.ResponseWriter, result OrderResult, err error) {
 	switch {
 	case err != nil || result.Uncertain:
-		operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "hand the same order over again to find out", Executed: "maybe"})
+		operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{
+			Code:     "unsure",
+			Reason:   "hand the same order over again to find out",
+			Executed: "maybe",
+		})
 	case result.Faults != nil:
 		operator.WriteJSON(w, http.StatusBadRequest, result)
 	case result.RaceLost:
@@ -64,7 +70,6 @@
 	}
 }
 
-// handleAmendment submits an amendment in the product's own format.
 func handleAmendment(api API, w http.ResponseWriter, r *http.Request, maxBody int64) {
 	base, text, ok := readOrder(w, r, maxBody, "amendment")
 	if !ok {
@@ -76,7 +81,13 @@
 		return
 	}
 	previewOnly := r.URL.Query().Get("preview") == "true"
-	result, err := api.Amend(r.Context(), Amendment{Base: base, Number: amendment.Number, Digest: AmendmentDigest(text), Apply: ApplyAmendment(amendment), PreviewOnly: previewOnly})
+	result, err := api.Amend(r.Context(), Amendment{
+		Base:        base,
+		Number:      amendment.Number,
+		Digest:      AmendmentDigest(text),
+		Apply:       ApplyAmendment(amendment),
+		PreviewOnly: previewOnly,
+	})
 	writeOrderResult(w, result, err)
 }
 
@@ -100,7 +111,8 @@
 		guarded.HandleFunc("GET /v1/table", func(w http.ResponseWriter, r *http.Request) {
 			table, err := api.Read(r.Context())
 			if err != nil || table.Number == 0 {
-				operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "no table is known", Executed: "no"})
+				operator.WriteJSON(w, http.StatusServiceUnavailable,
+					operator.ErrorResponse{Code: "unsure", Reason: "no table is known", Executed: "no"})
 				return
 			}
 			w.Header().Set("Content-Type", "application/json")
@@ -111,9 +123,11 @@
 				status, err := call(r.Context(), r.PathValue("id"))
 				switch {
 				case err != nil || status.Uncertain:
-					operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: "the cores did not answer", Executed: "maybe"})
+					operator.WriteJSON(w, http.StatusServiceUnavailable,
+						operator.ErrorResponse{Code: "unsure", Reason: "the cores did not answer", Executed: "maybe"})
 				case !status.Known:
-					operator.WriteJSON(w, http.StatusNotFound, operator.ErrorResponse{Code: "unknown_core", Reason: "no core has this name", Executed: "no"})
+					operator.WriteJSON(w, http.StatusNotFound,
+						operator.ErrorResponse{Code: "unknown_core", Reason: "no core has this name", Executed: "no"})
 				default:
 					operator.WriteJSON(w, http.StatusOK, status)
 				}
@@ -136,23 +150,25 @@
 // maxReplicaBytes bounds the body of a heartbeat.
 const maxReplicaBytes = 64 << 10
 
-// replicaHandler returns the HTTP handler of the calls of replicas.
 func replicaHandler(api API) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /v1/replicas/{id}", func(w http.ResponseWriter, r *http.Request) {
 		var replica Replica
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxReplicaBytes)).Decode(&replica); err != nil || replica.Service == "" || replica.Address == "" {
-			operator.WriteJSON(w, http.StatusBadRequest, operator.ErrorResponse{Code: "malformed", Reason: "a replica with its service and address", Executed: "no"})
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxReplicaBytes)).Decode(&replica); err != nil ||
+			replica.Service == "" || replica.Address == "" {
+			operator.WriteJSON(w, http.StatusBadRequest,
+				operator.ErrorResponse{Code: "malformed", Reason: "a replica with its service and address", Executed: "no"})
 			return
 		}
 		replica.ID = r.PathValue("id")
 		writeAck(w, api.Heartbeat(r.Context(), replica))
 	})
-	mux.HandleFunc("DELETE /v1/replicas/{id}", func(w http.ResponseWriter, r *http.Request) { writeAck(w, api.Leave(r.Context(), r.PathValue("id"))) })
+	mux.HandleFunc("DELETE /v1/replicas/{id}",
+		func(w http.ResponseWriter, r *http.Request) { writeAck(w, api.Leave(r.Context(), r.PathValue("id"))) })
 	return mux
 }
 
-// writeAck writes the response to a replica's report; "heard" means that it was accepted.
+// writeAck answers a replica's report; "heard" means accepted.
 func writeAck(w http.ResponseWriter, err error) {
 	if err != nil {
 		operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
--- a/peer/registry/loads.go
+++ b/peer/registry/loads.go
@@ -10,12 +10,12 @@
 	"saffronfall/rule/placement"
 )
 
-// Messages by which nodes share the load of replicas. Replicas are identified by their index
-// in ReplicaOrder, so sender and receiver must have the same version of the list; a message
-// of another version is ignored. A lost message is replaced by the next one.
+// Messages about the load of replicas. Replicas are identified by their index in ReplicaOrder,
+// so sender and receiver must have the same version of the list; a message of another version
+// is ignored. A lost message is replaced by the next one.
 type (
-	// LoadReport is sent by a node to a registry: its outstanding requests at replicas, and the
-	// results of requests there since its last report.
+	// LoadReport is a node's outstanding requests at replicas, and the results of requests
+	// there since its last report.
 	LoadReport struct {
 		Incarnation string        `msgpack:"l"`
 		Version     uint64        `msgpack:"v"`
@@ -31,15 +31,14 @@
 		Busy  time.Duration `msgpack:"b"`
 		Units uint16        `msgpack:"u"`
 	}
-	// Loads is sent by a registry to a node. By replica index, it has the outstanding requests
-	// of all other nodes and the failure rates, scaled to 255.
+	// Loads tells a node, by replica index, the outstanding requests of all other nodes and
+	// the failure rates, scaled to 255.
 	Loads struct {
 		Incarnation  string `msgpack:"l"`
 		Version      uint64 `msgpack:"v"`
 		Outstanding  []byte `msgpack:"o"`
 		FailureRates []byte `msgpack:"f"`
-		// UnitTimes are the times per unit of work in multiples of UnitTimeResolution; zero
-		// if unknown.
+		// UnitTimes are times per unit of work in UnitTimeResolution; zero if unknown.
 		UnitTimes []uint16 `msgpack:"a"`
 	}
 )
@@ -54,9 +53,8 @@
 	})
 }
 
-// loadState is a registry's view of the load of replicas.
 type loadState struct {
-	// order is the ReplicaOrder of the list at orderVersion.
+	// order is the ReplicaOrder at orderVersion.
 	order        []string
 	orderVersion uint64
 	reports      map[string]nodeReport
@@ -66,24 +64,22 @@
 	changed bool
 }
 
-// replicaHistory has a replica's recent failure rate and speed, as seen by all nodes.
+// replicaHistory combines the reports of all nodes about a replica.
 type replicaHistory struct {
 	failures placement.FailureRate
 	unitTime placement.UnitTime
 }
 
-// nodeReport is the latest report of a node.
 type nodeReport struct {
 	receivedAt  time.Duration
 	outstanding map[string]uint16
 }
 
-// reportRetention is the number of load intervals after which a report expires. A node with
-// outstanding requests reports more often.
+// reportRetention is the lifetime of a report in load intervals. A node with outstanding
+// requests reports more often.
 const reportRetention = 4
 
-// ReplicaOrder returns the sorted ids of the replicas that are not removed. Load messages
-// identify replicas by their index in it.
+// ReplicaOrder returns the sorted ids of the replicas that are not removed.
 func ReplicaOrder[L any](replicas map[string]L, isRemoved func(L) bool) []string {
 	var order []string
 	for _, id := range ordered.Keys(replicas) {
@@ -134,8 +130,7 @@
 	return history
 }
 
-// sendLoads sends Loads to the nodes with recent reports, if any report arrived since the
-// last time. A node without requests needs none.
+// sendLoads sends Loads to the nodes with recent reports; a node without requests needs none.
 func (m *Machine) sendLoads(now time.Duration) {
 	if m.params.LoadInterval <= 0 || now < m.loads.sendAt || !m.loads.changed {
 		return
@@ -160,7 +155,6 @@
 	}
 }
 
-// totalOutstanding sums the outstanding requests of all nodes per replica.
 func (m *Machine) totalOutstanding(order []string) []int {
 	outstanding := make([]int, len(order))
 	for i, id := range order {
@@ -173,7 +167,12 @@
 
 // loadSummary returns the part of Loads that is the same for all nodes.
 func (m *Machine) loadSummary(now time.Duration, order []string) Loads {
-	summary := Loads{Incarnation: m.incarnation, Version: m.version, FailureRates: make([]byte, len(order)), UnitTimes: make([]uint16, len(order))}
+	summary := Loads{
+		Incarnation:  m.incarnation,
+		Version:      m.version,
+		FailureRates: make([]byte, len(order)),
+		UnitTimes:    make([]uint16, len(order)),
+	}
 	for i, id := range order {
 		if history := m.loads.histories[id]; history != nil {
 			summary.FailureRates[i] = byte(history.failures.At(now, m.params.HeartbeatInterval) * math.MaxUint8)
@@ -183,7 +182,6 @@
 	return summary
 }
 
-// dropUnlistedHistories drops the histories of replicas that are no longer listed.
 func (m *Machine) dropUnlistedHistories() {
 	for id := range m.loads.histories {
 		if _, known := m.replicas[id]; !known {
--- a/peer/registry/loads_test.go
+++ b/peer/registry/loads_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// TestBadLoadReportChangesNothing checks that a report with an index out of range is rejected
-// completely.
+// TestBadLoadReportChangesNothing guards against a partly applied report.
 func TestBadLoadReportChangesNothing(t *testing.T) {
 	m := newRegistry(func(o *Options) { o.Params.LoadInterval = 100 * time.Millisecond })
 	m.Heartbeat(0, 0, replica(1, false))
--- a/peer/registry/machine.go
+++ b/peer/registry/machine.go
@@ -18,7 +18,7 @@
 	// FoundsFleet is set at the one registry that may found a new fleet.
 	FoundsFleet bool
 	// KnownReplicas is the list that an earlier incarnation of this registry saved. It serves
-	// nodes until the next heartbeats arrive; entries without one soon expire.
+	// nodes after a restart; entries without a new heartbeat soon expire.
 	KnownReplicas []ReplicaEntry
 	// KnownPeers are the addresses that it saved; nil if there are none.
 	KnownPeers *Peers
@@ -42,34 +42,47 @@
 	replicas                map[string]*trackedReplica
 	subscribers             map[string]*subscriber
 	registries              map[string]time.Duration
-	// registryCursors are the versions received from other registries, by address.
-	registryCursors map[string]registryCursor
-	topology        core.Topology
-	topologyVersion uint64
-	foundingCores   map[string]core.Core
-	foundingCoresAt time.Duration
-	startedAt       time.Duration
-	table           *currentTable
-	pulledUpTo      partition.Version
-	lastConfirmed   time.Duration
-	lastFresh       core.Freshness
-	pullAt          time.Duration
-	subscribeAt     time.Duration
-	expireAt        time.Duration
-	sendFoundingAt  time.Duration
-	founding        *core.Founding
+	registryCursors         map[string]registryCursor // by address
+	topology                core.Topology
+	topologyVersion         uint64
+	foundingCores           map[string]core.Core
+	foundingCoresAt         time.Duration
+	startedAt               time.Duration
+	table                   *currentTable
+	pulledUpTo              partition.Version
+	lastConfirmed           time.Duration // negative before the first confirmation
+	lastFresh               core.Freshness
+	pullAt                  time.Duration
+	subscribeAt             time.Duration
+	expireAt                time.Duration
+	sendFoundingAt          time.Duration
+	founding                *core.Founding
 	reachability
 	loads    loadState
 	tickedAt time.Duration
-	// saved are the peers that were last written to disk.
-	saved savedPeers
+	saved    savedPeers
 }
 
 // New returns a registry without subscriptions to other registries.
 func New(o Options) *Machine {
-	m := &Machine{params: o.Params, registryID: o.ID, incarnation: o.Incarnation, address: o.Address, seeds: o.Seeds, foundsFleet: o.FoundsFleet, random: o.Random,
-		registryCursors: map[string]registryCursor{}, replicas: map[string]*trackedReplica{}, subscribers: map[string]*subscriber{}, reachability: reachability{pending: map[uint64]pendingCall{}}, registries: map[string]time.Duration{o.Address: o.Now},
-		loads: loadState{reports: map[string]nodeReport{}, histories: map[string]*replicaHistory{}}, foundingCores: map[string]core.Core{}, startedAt: o.Now, lastConfirmed: -1}
+	m := &Machine{
+		params:          o.Params,
+		registryID:      o.ID,
+		incarnation:     o.Incarnation,
+		address:         o.Address,
+		seeds:           o.Seeds,
+		foundsFleet:     o.FoundsFleet,
+		random:          o.Random,
+		registryCursors: map[string]registryCursor{},
+		replicas:        map[string]*trackedReplica{},
+		subscribers:     map[string]*subscriber{},
+		reachability:    reachability{pending: map[uint64]pendingCall{}},
+		registries:      map[string]time.Duration{o.Address: o.Now},
+		loads:           loadState{reports: map[string]nodeReport{}, histories: map[string]*replicaHistory{}},
+		foundingCores:   map[string]core.Core{},
+		startedAt:       o.Now,
+		lastConfirmed:   -1,
+	}
 	m.topology.Cores = map[string]core.Core{}
 	for _, l := range o.KnownReplicas {
 		m.version++
@@ -79,11 +92,14 @@
 	if o.KnownPeers != nil {
 		m.restorePeers(*o.KnownPeers)
 	}
-	m.caller = &core.Caller{Retry: o.Params.Core.AttemptTimeout, Random: o.Random,
+	m.caller = &core.Caller{
+		Retry:      o.Params.Core.AttemptTimeout,
+		Random:     o.Random,
 		Send:       func(to string, body any) { m.addSend(to, body) },
 		Partitions: func() int { return len(m.topology.Leaders) },
 		Cores:      m.coreAddresses,
-		Forwarders: m.forwarders}
+		Forwarders: m.forwarders,
+	}
 	return m
 }
 
@@ -164,19 +180,16 @@
 const (
 	// missedHeartbeats is the time without a heartbeat after which a replica is removed.
 	missedHeartbeats = 4
-	// removedRetention is the time since the last heartbeat for which a removed replica
-	// stays listed.
+	// removedRetention is how long a removed replica stays listed after its last heartbeat.
 	removedRetention = 20 * missedHeartbeats
-	// registryRetention is the time for which a silent registry is remembered.
+	// registryRetention is how long a silent registry is remembered.
 	registryRetention = 10 * missedHeartbeats
 )
 
-// subscribePulls is the number of pull intervals after which subscriptions to other registries are
-// renewed.
+// subscribePulls is the renewal time of subscriptions to other registries, in pull intervals.
 const subscribePulls = 2
 
-// expireReplicas marks silent replicas as removed, and drops expired entries, subscribers and
-// registries.
+// expireReplicas removes silent replicas, and drops expired entries, subscribers and registries.
 func (m *Machine) expireReplicas(now time.Duration) {
 	for _, id := range ordered.Keys(m.replicas) {
 		entry := m.replicas[id]
@@ -201,17 +214,27 @@
 	}
 }
 
-// TableNumber returns the number of the newest accepted table that this registry knows; zero if
-// none.
+// TableNumber returns the number of the newest known accepted table; zero if there is none.
 func (m *Machine) TableNumber() uint64 { return m.table.number() }
 
 // Ready reports whether this registry knows the leaders of a founded fleet.
 func (m *Machine) Ready() bool { return len(m.topology.Leaders) > 0 }
 
-// Status returns the registry's counters and sizes by metric name. Of the names, "beats" counts
-// heartbeats, "bulletins" updates sent, and "followers" is the number of subscribers.
+// Status returns counters and sizes by metric name: "beats" are heartbeats, "bulletins" updates
+// sent, "followers" subscribers.
 func (m *Machine) Status(now time.Duration) map[string]int64 {
-	return map[string]int64{"messages": m.Counters.Messages, "beats": m.Counters.Heartbeats, "bulletins": m.Counters.Updates, "changes": m.Counters.Changes,
-		"tables_applied": m.Counters.TablesApplied, "tables_refused": m.Counters.TablesRefused, "bad_messages": m.Counters.BadMessages,
-		"replicas": int64(len(m.replicas)), "followers": int64(len(m.subscribers)), "desks": int64(len(m.registries)), "table": int64(m.table.number()), "cores": int64(len(m.topology.Cores))}
+	return map[string]int64{
+		"messages":       m.Counters.Messages,
+		"beats":          m.Counters.Heartbeats,
+		"bulletins":      m.Counters.Updates,
+		"changes":        m.Counters.Changes,
+		"tables_applied": m.Counters.TablesApplied,
+		"tables_refused": m.Counters.TablesRefused,
+		"bad_messages":   m.Counters.BadMessages,
+		"replicas":       int64(len(m.replicas)),
+		"followers":      int64(len(m.subscribers)),
+		"desks":          int64(len(m.registries)),
+		"table":          int64(m.table.number()),
+		"cores":          int64(len(m.topology.Cores)),
+	}
 }
--- a/peer/registry/machine_test.go
+++ b/peer/registry/machine_test.go
@@ -38,8 +38,7 @@
 	return Replica{ID: "r1", Service: "app", Address: "r1:1", Slots: 4, Sequence: call, Leaving: leaving}
 }
 
-// TestChangeIsSentAtOnce checks that a change is sent to every subscribed node at once, and again
-// if a renewal shows that it was lost.
+// TestChangeIsSentAtOnce also checks that a change is sent again if a renewal shows its loss.
 func TestChangeIsSentAtOnce(t *testing.T) {
 	m := newRegistry(nil)
 	first := sentTo[Update](m.Receive(0, "n1:1", Subscribe{Node: "n1"}), "n1:1")
@@ -62,8 +61,7 @@
 	}
 }
 
-// TestDepartureIsFinal checks that no later or delayed heartbeat reverts a departure, and that a
-// replica that left stays removed.
+// TestDepartureIsFinal guards against a later or delayed heartbeat that reverts a departure.
 func TestDepartureIsFinal(t *testing.T) {
 	m := newRegistry(nil)
 	m.Heartbeat(0, 0, replica(5, true))
@@ -79,8 +77,7 @@
 	}
 }
 
-// TestSilentReplicaExpiresAndReturns checks that a silent replica expires, and that only a newer
-// heartbeat brings it back.
+// TestSilentReplicaExpiresAndReturns checks that only a newer heartbeat brings a replica back.
 func TestSilentReplicaExpiresAndReturns(t *testing.T) {
 	m := newRegistry(nil)
 	m.Heartbeat(0, 0, replica(1, false))
@@ -102,8 +99,6 @@
 	}
 }
 
-// TestRestoredReplicaExpiresAfterTwoHeartbeats checks how long a list from before a restart is
-// used without new heartbeats.
 func TestRestoredReplicaExpiresAfterTwoHeartbeats(t *testing.T) {
 	m := newRegistry(func(o *Options) { o.KnownReplicas, o.Now = []ReplicaEntry{{Replica: replica(1, false)}}, 100*heartbeat })
 	m.Tick(101 * heartbeat)
@@ -116,8 +111,8 @@
 	}
 }
 
-// TestFounding checks that one registry founds the fleet, once there are enough cores for a group
-// and no new one appeared for a heartbeat interval, and that retries send the same founding.
+// TestFounding guards against founding too early, by several registries, or differently in a
+// retry.
 func TestFounding(t *testing.T) {
 	present := func(m *Machine, now time.Duration, ids ...string) {
 		for _, id := range ids {
@@ -162,8 +157,8 @@
 	return text
 }
 
-// TestApply checks that faulty tables are not proposed, that the cores' decision is the answer,
-// and that an accepted table is sent to subscribers in the same step.
+// TestApply checks that only valid tables are proposed, and that an accepted one is sent to
+// subscribers in the same step.
 func TestApply(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -209,8 +204,8 @@
 	}
 }
 
-// TestRetirementNeedsEveryPartition checks that a core's retirement is not done while it is a
-// member of some group, old or new, or while a partition does not answer.
+// TestRetirementNeedsEveryPartition checks that a retirement is not done while the core is in some
+// group, old or new, or while a partition does not answer.
 func TestRetirementNeedsEveryPartition(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -243,8 +238,8 @@
 	}
 }
 
-// TestRegistriesReplicateDepartures checks that a departure acknowledged by one registry survives
-// its loss, and is sent to another registry only once unless that one lost it.
+// TestRegistriesReplicateDepartures guards against the loss of a departure with the registry that
+// acknowledged it, and against sending it twice needlessly.
 func TestRegistriesReplicateDepartures(t *testing.T) {
 	for name, leave := range map[string]func(m *Machine) Output{
 		"leaving": func(m *Machine) Output { return m.Heartbeat(time.Second, 0, replica(2, true)) },
--- a/peer/registry/peers.go
+++ b/peer/registry/peers.go
@@ -8,7 +8,7 @@
 )
 
 // Peers are the addresses that a registry saves, so that it can rejoin its fleet after a restart
-// even if none of its configured seeds is reachable.
+// even if no configured seed is reachable.
 type Peers struct {
 	Fleet      string               `msgpack:"f"`
 	Size       int                  `msgpack:"s"`
@@ -18,21 +18,25 @@
 
 // Peers returns the addresses that this registry knows.
 func (m *Machine) Peers() Peers {
-	peers := Peers{Fleet: m.topology.Fleet, Size: m.topology.GroupSize, Cores: make(map[string]core.Core, len(m.topology.Cores)), Registries: ordered.Keys(m.registries)}
+	peers := Peers{
+		Fleet:      m.topology.Fleet,
+		Size:       m.topology.GroupSize,
+		Cores:      make(map[string]core.Core, len(m.topology.Cores)),
+		Registries: ordered.Keys(m.registries),
+	}
 	for id, c := range m.topology.Cores {
 		peers.Cores[id] = c
 	}
 	return peers
 }
 
-// savedPeers are the peers last written to disk and the topology version they were taken at.
+// savedPeers are the last ones written to disk, with their topology version.
 type savedPeers struct {
 	peers   Peers
 	version uint64
 }
 
-// restorePeers restores the addresses that an earlier incarnation saved. Leaders and the current
-// table are not restored but learned from these peers.
+// restorePeers restores saved addresses. Leaders and the current table are learned from them.
 func (m *Machine) restorePeers(peers Peers) {
 	m.topology.Fleet, m.topology.GroupSize = peers.Fleet, peers.Size
 	for id, c := range peers.Cores {
@@ -47,7 +51,6 @@
 	m.topologyVersion++
 }
 
-// savePeers has the addresses written to disk if they have changed.
 func (m *Machine) savePeers() {
 	if m.saved.version == m.topologyVersion || len(m.topology.Leaders) == 0 {
 		return
--- a/peer/registry/reachability.go
+++ b/peer/registry/reachability.go
@@ -7,39 +7,34 @@
 )
 
 const (
-	// maxUnconfirmedPulls is the number of pull intervals without a confirmation after which
-	// a registry considers itself disconnected from the cores.
+	// maxUnconfirmedPulls is in pull intervals: a registry without a confirmation for so long
+	// considers itself disconnected from the cores.
 	maxUnconfirmedPulls = 3
-	// disconnectedCallPulls is the number of pull intervals that a call may wait while the
-	// registry is disconnected.
+	// disconnectedCallPulls bounds a call of a disconnected registry, in pull intervals.
 	disconnectedCallPulls = 1
-	// nodeRetention is the number of heartbeat intervals for which a silent node still counts
-	// as one that the registry should reach.
+	// nodeRetention is in heartbeat intervals: a node silent for less counts as one that the
+	// registry should reach.
 	nodeRetention = 40
-	// probeHeartbeats is the number of heartbeat intervals in which nodes must confirm a probe.
-	// Nodes renew twice per interval, so a single lost message causes no failure.
+	// probeHeartbeats bounds the confirmation of a probe, in heartbeat intervals. Nodes renew
+	// twice per interval, so a single lost message causes no failure.
 	probeHeartbeats = 2
 )
 
 // reachability tracks which processes the registry can reach, and the calls that depend on it.
 type reachability struct {
-	// pending has the calls that wait for the cores, by ticket.
-	pending map[uint64]pendingCall
-	// departures are not acknowledged yet.
+	pending    map[uint64]pendingCall // by ticket
 	departures []departure
 	probe      reachabilityProbe
 }
 
 // reachabilityProbe checks whether nodes receive the messages of a disconnected registry: it
-// increments its version, and nodes report the version that they have when they renew.
+// increments its version, which nodes report when they renew.
 type reachabilityProbe struct {
 	nextAt time.Duration
-	// version is that of the latest probe. previous is that of the one before, which
-	// every reachable node has confirmed by now.
+	// previous is the version of the probe before, which every reachable node has confirmed.
 	version, previous uint64
 }
 
-// probeReachability sends a probe every probeHeartbeats while the registry is disconnected.
 func (m *Machine) probeReachability(now time.Duration) {
 	switch {
 	case m.coresReachable(now):
@@ -52,12 +47,10 @@
 
 // pendingCall is an operator's call that waits for the cores.
 type pendingCall struct {
-	startedAt time.Duration
-	// timeoutAnswer answers the call if the cores are unreachable.
+	startedAt     time.Duration
 	timeoutAnswer any
 }
 
-// addPending records a call that was sent to the cores.
 func (m *Machine) addPending(now time.Duration, ticket uint64, timeoutAnswer any) {
 	m.pending[ticket] = pendingCall{startedAt: now, timeoutAnswer: timeoutAnswer}
 }
@@ -77,8 +70,8 @@
 }
 
 // expireCalls answers calls as uncertain while the registry is disconnected from the cores. Their
-// commands are retried until they time out. That is safe because they are idempotent, and the
-// operator, who learns that the outcome is unknown, can repeat the call at another registry.
+// commands are still retried until they time out, which is safe because they are idempotent. The
+// operator can repeat the call at another registry.
 func (m *Machine) expireCalls(now time.Duration) {
 	if m.coresReachable(now) {
 		return
@@ -92,7 +85,7 @@
 }
 
 // Isolated reports whether a registry reaches neither the cores nor at least half of its nodes.
-// Replicas should then report to another registry, since this one can't pass their reports on.
+// Replicas should then report elsewhere, because it can't pass their reports on.
 func (m *Machine) Isolated(now time.Duration) bool {
 	if m.coresReachable(now) {
 		return false
--- a/peer/registry/reachability_test.go
+++ b/peer/registry/reachability_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestUnreachableRegistryIsIsolated checks a registry that receives messages of its nodes, but not
-// of the cores: it is isolated if the nodes' reported versions show that its own messages are lost.
+// TestUnreachableRegistryIsIsolated checks a registry that receives messages of its nodes while its
+// own messages to them are lost.
 func TestUnreachableRegistryIsIsolated(t *testing.T) {
 	for _, delivered := range []bool{false, true} {
 		m := connectedRegistry(t, 0)
--- a/peer/registry/replicas.go
+++ b/peer/registry/replicas.go
@@ -6,14 +6,13 @@
 	"saffronfall/rule/ordered"
 )
 
-// trackedReplica is a list entry and the time of its last report.
 type trackedReplica struct {
 	ReplicaEntry
 	lastSeen time.Duration
 }
 
-// Heartbeat records the state that a replica reports and notifies subscribers of a change at
-// once. The ticket is answered with an Acknowledgment; ticket zero gets no answer.
+// Heartbeat records the state that a replica reports and sends a change to subscribers at once.
+// The ticket is answered with an Acknowledgment; ticket zero gets no answer.
 func (m *Machine) Heartbeat(now time.Duration, ticket uint64, r Replica) Output {
 	m.out = &Output{}
 	m.Counters.Heartbeats++
@@ -21,7 +20,6 @@
 	return *m.out
 }
 
-// applyHeartbeat updates the list from a heartbeat, unless a later one was received.
 func (m *Machine) applyHeartbeat(now time.Duration, reported Replica) *trackedReplica {
 	entry, ok := m.replicas[reported.ID]
 	if ok && reported.Sequence < entry.Replica.Sequence {
@@ -39,7 +37,9 @@
 	if previous.Leaving {
 		reported.Leaving = true
 	}
-	changed := !ok || entry.Removed || previous.Leaving != reported.Leaving || previous.Address != reported.Address || previous.Service != reported.Service || previous.Slots != reported.Slots
+	changed := !ok || entry.Removed ||
+		previous.Leaving != reported.Leaving || previous.Address != reported.Address ||
+		previous.Service != reported.Service || previous.Slots != reported.Slots
 	entry.Replica, entry.Removed = reported, false
 	if changed {
 		m.recordChange(now, entry)
@@ -64,11 +64,9 @@
 	return *m.out
 }
 
-// isDeparting reports whether a replica said that it is leaving or has left. It never returns
-// under its id.
+// isDeparting reports whether a replica is leaving or has left; it never returns under its id.
 func (r *trackedReplica) isDeparting() bool { return r.Replica.Leaving || r.Final }
 
-// applyDeparture records a departure that was reported to another registry.
 func (m *Machine) applyDeparture(now time.Duration, reported ReplicaEntry) {
 	entry, known := m.replicas[reported.Replica.ID]
 	switch {
@@ -86,7 +84,6 @@
 	m.recordChange(now, entry)
 }
 
-// recordChange gives a changed entry the next version, has it saved and notifies subscribers.
 func (m *Machine) recordChange(now time.Duration, entry *trackedReplica) {
 	m.Counters.Changes++
 	m.version++
--- a/peer/registry/retirement.go
+++ b/peer/registry/retirement.go
@@ -9,7 +9,7 @@
 
 // RetirementStatus reports how far the retirement of a core is.
 type RetirementStatus struct {
-	// Uncertain is set if the cores gave no answer.
+	// Uncertain is set if the cores did not answer.
 	Uncertain bool `json:"unsure"`
 	// Known is set if a core has this id, EnoughCores if enough other cores remain.
 	Known       bool `json:"known"`
--- a/peer/registry/subscribers.go
+++ b/peer/registry/subscribers.go
@@ -20,15 +20,12 @@
 	confirmedVersion uint64
 }
 
-// isSubscribed reports whether a subscription has not expired.
 func (m *Machine) isSubscribed(now time.Duration, s *subscriber) bool {
 	return now <= s.lastSeen+missedHeartbeats*m.params.HeartbeatInterval
 }
 
-// isActive reports whether a subscriber renewed within the last heartbeat interval.
 func (s *subscriber) isActive(now, interval time.Duration) bool { return now <= s.lastSeen+interval }
 
-// notifyAll sends all subscribers what they lack.
 func (m *Machine) notifyAll(now time.Duration) {
 	for _, address := range ordered.Keys(m.subscribers) {
 		if s := m.subscribers[address]; m.isSubscribed(now, s) {
@@ -38,9 +35,17 @@
 }
 
 // sendUpdate sends a subscriber what it lacks; with always, even if that is nothing. The update
-// counts as received until a renewal of the subscription reports an older version.
+// counts as received until a renewal reports an older version.
 func (m *Machine) sendUpdate(now time.Duration, to string, s *subscriber, always bool) {
-	update := Update{Incarnation: m.incarnation, Since: s.version, Version: m.version, TableNumber: m.table.number(), TableDigest: m.table.digestOrEmpty(), ConfirmationAge: -1, NodeCount: m.nodeCount(now)}
+	update := Update{
+		Incarnation:     m.incarnation,
+		Since:           s.version,
+		Version:         m.version,
+		TableNumber:     m.table.number(),
+		TableDigest:     m.table.digestOrEmpty(),
+		ConfirmationAge: -1,
+		NodeCount:       m.nodeCount(now),
+	}
 	if m.lastConfirmed >= 0 {
 		update.ConfirmationAge = now - m.lastConfirmed
 	}
@@ -73,7 +78,6 @@
 	m.addSend(to, update)
 }
 
-// activeRegistries counts the other registries that renewed within the last heartbeat interval.
 func (m *Machine) activeRegistries(now time.Duration) int {
 	n := 0
 	for _, s := range m.subscribers {
@@ -84,7 +88,6 @@
 	return n
 }
 
-// nodeCount counts the subscribed nodes.
 func (m *Machine) nodeCount(now time.Duration) int {
 	n := 0
 	for _, s := range m.subscribers {
@@ -95,7 +98,6 @@
 	return n
 }
 
-// onSubscribe records or renews a subscription and answers with an Update.
 func (m *Machine) onSubscribe(now time.Duration, from string, request Subscribe) {
 	s := m.subscribers[from]
 	if s == nil {
@@ -112,21 +114,20 @@
 		m.learnRegistry(now, from)
 	}
 	if request.Table > m.table.number() {
-		// The subscriber has a newer table, so the cores are asked for it at once.
-		m.pullAt = now
+		m.pullAt = now // asks the cores for the newer table at once
 	}
 	m.sendUpdate(now, from, s, true)
 	m.answerDepartures(now)
 }
 
-// registryCursor is the version up to which another registry's updates were received.
+// registryCursor is the version received from another registry.
 type registryCursor struct {
 	incarnation string
 	version     uint64
 }
 
-// applyDepartures records the departures that another registry reports, so that those it has
-// acknowledged survive its loss.
+// applyDepartures records another registry's departures, so that those it has acknowledged
+// survive its loss.
 func (m *Machine) applyDepartures(now time.Duration, from string, update Update) {
 	cursor := m.registryCursors[from]
 	if cursor.incarnation != update.Incarnation {
@@ -145,13 +146,19 @@
 	}
 }
 
-// subscribeTo subscribes to another registry, and confirms the version received from it.
+// subscribeTo also confirms the version received from the other registry.
 func (m *Machine) subscribeTo(to string) {
 	cursor := m.registryCursors[to]
-	m.addSend(to, Subscribe{Node: m.registryID, Table: m.table.number(), AcceptsDifferences: true, IsRegistry: true, Incarnation: cursor.incarnation, Version: cursor.version})
+	m.addSend(to, Subscribe{
+		Node:               m.registryID,
+		Table:              m.table.number(),
+		AcceptsDifferences: true,
+		IsRegistry:         true,
+		Incarnation:        cursor.incarnation,
+		Version:            cursor.version,
+	})
 }
 
-// learnRegistry records the address of a registry that sent a message or was reported by another.
 func (m *Machine) learnRegistry(now time.Duration, address string) {
 	if _, ok := m.registries[address]; !ok {
 		m.topologyVersion++
@@ -159,7 +166,7 @@
 	m.registries[address] = now
 }
 
-// onUpdate merges an update of another registry: departures, topology, addresses and table.
+// onUpdate merges an update of another registry.
 func (m *Machine) onUpdate(now time.Duration, from string, update Update) {
 	m.learnRegistry(now, from)
 	m.applyDepartures(now, from, update)
--- a/peer/registry/table.go
+++ b/peer/registry/table.go
@@ -11,7 +11,7 @@
 	"saffronfall/rule/route"
 )
 
-// updateConfirmation records the time up to which this registry has the current table for certain.
+// updateConfirmation records until when this registry's table was certainly the current one.
 func (m *Machine) updateConfirmation(now time.Duration) {
 	if m.lastFresh.UpTo == (partition.Version{}) || m.pulledUpTo.Less(m.lastFresh.UpTo) {
 		return
@@ -25,10 +25,11 @@
 	}
 }
 
-// onTableSnapshot handles an update of the configuration partition: its table and cores. An
-// update that is no snapshot must continue at the version that was already pulled.
+// onTableSnapshot handles an update of the configuration partition. An update that is no
+// snapshot must continue at the version already pulled.
 func (m *Machine) onTableSnapshot(now time.Duration, snapshot core.Update) {
-	if snapshot.Partition != core.ConfigurationPartition || !m.pulledUpTo.Less(snapshot.UpTo) || (!snapshot.Snapshot && m.pulledUpTo.Less(snapshot.After)) {
+	if snapshot.Partition != core.ConfigurationPartition || !m.pulledUpTo.Less(snapshot.UpTo) ||
+		(!snapshot.Snapshot && m.pulledUpTo.Less(snapshot.After)) {
 		return
 	}
 	m.pulledUpTo = snapshot.UpTo
@@ -57,7 +58,12 @@
 // pull requests changes of the configuration partition from its leader while that answers,
 // otherwise from all cores.
 func (m *Machine) pull(now time.Duration) {
-	request := core.PullUpdates{Versions: map[int]partition.Version{core.ConfigurationPartition: m.pulledUpTo}, WantFreshness: true, SentAt: now, WantTopology: len(m.topology.Leaders) == 0 || m.random() < topologyShare}
+	request := core.PullUpdates{
+		Versions:      map[int]partition.Version{core.ConfigurationPartition: m.pulledUpTo},
+		WantFreshness: true,
+		SentAt:        now,
+		WantTopology:  len(m.topology.Leaders) == 0 || m.random() < topologyShare,
+	}
 	if to := m.caller.Leader(core.ConfigurationPartition); to != "" && m.coresReachable(now) {
 		m.addSend(to, request)
 		return
@@ -70,21 +76,20 @@
 
 // OrderResult is the result of an operator's table or amendment.
 type OrderResult struct {
-	// Accepted is set if the table is in force and durable. Uncertain is set if the outcome
-	// is unknown; repeating the same order is safe.
+	// Accepted is set if the table is in force and durable, Uncertain if the outcome is
+	// unknown; repeating the same order is safe.
 	Accepted  bool `json:"taken"`
 	Uncertain bool `json:"unsure"`
-	// RaceLost is set if the order's base is not the current table. Number is that of the
-	// current table.
+	// RaceLost is set if the order's base is not the current table, which has this Number.
 	RaceLost bool                 `json:"race_lost"`
 	Number   uint64               `json:"number"`
 	Faults   configuration.Faults `json:"faults,omitempty"`
-	// Preview lists the changes of an amendment with PreviewOnly.
+	// Preview is set for an amendment with PreviewOnly.
 	Preview *route.Preview `json:"preview,omitempty"`
 }
 
-// Apply checks a table and proposes it to the cores as the successor of table base. The ticket
-// is answered with an OrderResult.
+// Apply proposes a valid table to the cores as the successor of table base. The ticket is
+// answered with an OrderResult.
 func (m *Machine) Apply(now time.Duration, ticket uint64, base uint64, text []byte, digest string) Output {
 	m.out = &Output{}
 	parsed, faults := route.Parse(text)
@@ -94,11 +99,11 @@
 		return *m.out
 	}
 	m.addPending(now, ticket, OrderResult{Uncertain: true})
-	m.proposeTable(now, ticket, core.AcceptTable{Base: base, Number: parsed.Number, Text: text, Digest: digest}, parsed, now+m.params.OperationTimeout)
+	m.proposeTable(now, ticket, core.AcceptTable{Base: base, Number: parsed.Number, Text: text, Digest: digest},
+		parsed, now+m.params.OperationTimeout)
 	return *m.out
 }
 
-// proposeTable proposes a checked table to the cores and answers the call.
 func (m *Machine) proposeTable(now time.Duration, ticket uint64, c core.AcceptTable, parsed *route.Table, deadline time.Duration) {
 	m.caller.Call(now, c, deadline, func(now time.Duration, o core.Outcome) {
 		accepted, ok := o.Answer.(core.AcceptTableResult)
@@ -110,7 +115,11 @@
 			m.install(now, parsed, c.Digest)
 			m.resolve(ticket, OrderResult{Accepted: true, Number: accepted.Number})
 		case parsed.Number <= accepted.Number && c.Base == accepted.Number:
-			m.resolve(ticket, OrderResult{Number: accepted.Number, Faults: configuration.Faults{{Path: "number", Value: parsed.Number, Allowed: "a number above that of the current table"}}})
+			m.resolve(ticket, OrderResult{Number: accepted.Number, Faults: configuration.Faults{{
+				Path:    "number",
+				Value:   parsed.Number,
+				Allowed: "a number above that of the current table",
+			}}})
 		default:
 			m.resolve(ticket, OrderResult{RaceLost: true, Number: accepted.Number})
 		}
--- a/peer/registry/topology.go
+++ b/peer/registry/topology.go
@@ -24,8 +24,7 @@
 	return addresses
 }
 
-// forwarders returns the nodes and registries that can forward a command if no core answers
-// directly.
+// forwarders can forward a command if no core answers directly.
 func (m *Machine) forwarders() []string {
 	var addresses []string
 	for _, address := range ordered.Keys(m.subscribers) {
@@ -36,8 +35,6 @@
 	return addresses
 }
 
-// onAnnounceCore records a core that announces itself, and exchanges topologies with it if they
-// differ.
 func (m *Machine) onAnnounceCore(now time.Duration, from string, announced core.AnnounceCore) {
 	if len(m.topology.Leaders) == 0 {
 		if _, ok := m.foundingCores[announced.Core.ID]; !ok || m.foundingCores[announced.Core.ID].Incarnation != announced.Core.Incarnation {
@@ -47,7 +44,9 @@
 			m.foundingCores[announced.Core.ID] = announced.Core
 		}
 	}
-	if known, ok := m.topology.Cores[announced.Core.ID]; !ok || known.Version < announced.Core.Version || (known.Version == announced.Core.Version && known.Incarnation != announced.Core.Incarnation && len(m.topology.Leaders) == 0) {
+	if known, ok := m.topology.Cores[announced.Core.ID]; !ok || known.Version < announced.Core.Version ||
+		(known.Version == announced.Core.Version && known.Incarnation != announced.Core.Incarnation &&
+			len(m.topology.Leaders) == 0) {
 		m.topology.Cores[announced.Core.ID] = announced.Core
 		m.topologyVersion++
 	}
@@ -59,12 +58,18 @@
 	m.addSend(from, core.PullUpdates{WantTopology: true})
 }
 
-// mergeTopology merges a received topology of the same fleet; the newer entries win.
+// mergeTopology merges a topology of the same fleet; newer entries win.
 func (m *Machine) mergeTopology(now time.Duration, other core.Topology) {
 	changed := false
 	if len(m.topology.Leaders) == 0 && len(other.Leaders) > 0 {
 		cores := m.topology.Cores
-		m.topology = core.Topology{Fleet: other.Fleet, GroupSize: other.GroupSize, Cores: cores, Leaders: slices.Clone(other.Leaders), Groups: slices.Clone(other.Groups)}
+		m.topology = core.Topology{
+			Fleet:     other.Fleet,
+			GroupSize: other.GroupSize,
+			Cores:     cores,
+			Leaders:   slices.Clone(other.Leaders),
+			Groups:    slices.Clone(other.Groups),
+		}
 		changed = true
 	}
 	if m.topology.Fleet != other.Fleet && other.Fleet != "" {
@@ -110,7 +115,8 @@
 // appeared for a heartbeat interval.
 func (m *Machine) sendFounding(now time.Duration) {
 	settleTime := m.params.HeartbeatInterval
-	if !m.foundsFleet || len(m.topology.Leaders) > 0 || len(m.foundingCores) < m.params.GroupSize || now < m.sendFoundingAt || now < m.foundingCoresAt+settleTime {
+	if !m.foundsFleet || len(m.topology.Leaders) > 0 || len(m.foundingCores) < m.params.GroupSize ||
+		now < m.sendFoundingAt || now < m.foundingCoresAt+settleTime {
 		return
 	}
 	m.sendFoundingAt = now + settleTime/4
@@ -120,7 +126,12 @@
 		for _, id := range ordered.Keys(m.foundingCores) {
 			cores = append(cores, m.foundingCores[id])
 		}
-		founding := core.PlanFleet(fmt.Sprintf("%s-%s", m.registryID, m.incarnation), 1+m.params.PartitionsPerCore*len(cores), m.params.GroupSize, cores)
+		founding := core.PlanFleet(
+			fmt.Sprintf("%s-%s", m.registryID, m.incarnation),
+			1+m.params.PartitionsPerCore*len(cores),
+			m.params.GroupSize,
+			cores,
+		)
 		m.founding = &founding
 	}
 	for _, id := range ordered.Keys(m.founding.Cores) {
--- a/peer/registry/types.go
+++ b/peer/registry/types.go
@@ -1,13 +1,12 @@
-// Package registry is the state machine of one of the fleet's registries, a role that operators
-// know as "desk" (its name in settings, metrics and stored data). Replicas send it heartbeats,
-// operators submit routing tables and amendments, and nodes and other registries subscribe to it
-// for updates of the replica list, the table and the topology.
+// Package registry is the state machine of a registry, known as "desk" in settings, metrics and
+// stored data. Replicas send it heartbeats, operators submit routing tables and amendments, and
+// nodes and other registries subscribe to its updates.
 //
-// A Machine does no I/O and reads no clock: Receive, Tick and the API methods take the
-// current time and return an Output that the process carries out. Durable state belongs to
-// the cores. A registry saves only its replica list and peer addresses, to use after a restart. A
-// replica's departure is acknowledged once other processes know it, so that it survives the
-// loss of this registry. Start reading at Machine.Receive and Machine.Tick.
+// A Machine does no I/O and reads no clock; each step returns an Output that the process
+// carries out. Durable state belongs to the cores: a registry saves, for its restart, only its
+// replica list and peer addresses. It acknowledges a replica's departure once other processes
+// know it, so that it survives the loss of this registry. Start reading at Machine.Receive and
+// Machine.Tick.
 package registry
 
 import (
@@ -28,25 +27,24 @@
 	Leaving bool   `msgpack:"g" json:"leaving"`
 	// WarmupRemaining is how much longer the replica is slow after its start.
 	WarmupRemaining time.Duration `msgpack:"c" json:"cold"`
-	// Sequence numbers the replica's heartbeats; an older one never replaces a newer one.
+	// Sequence numbers the heartbeats; an older one never replaces a newer one.
 	Sequence int64 `msgpack:"q" json:"call"`
 }
 
-// ReplicaEntry is a replica in a registry's list. A Removed replica gets no requests; its entry
+// ReplicaEntry is a replica in a registry's list. A Removed one gets no requests; its entry
 // stays listed for a while so that all nodes learn of the removal.
 type ReplicaEntry struct {
 	Replica Replica `msgpack:"r"`
 	Removed bool    `msgpack:"x"`
-	// Final is set if the replica itself reported that it has left. It never returns under
-	// this id.
+	// Final is set if the replica reported that it left. It never returns under this id.
 	Final   bool   `msgpack:"f"`
 	Version uint64 `msgpack:"v"`
 }
 
 // Messages between nodes and registries.
 type (
-	// Subscribe requests the changes since a version from a registry, and subscribes the sender
-	// to later ones. The subscription expires unless it is renewed.
+	// Subscribe requests the changes since a version, and subscribes the sender to later ones.
+	// The subscription expires unless it is renewed.
 	Subscribe struct {
 		Node string `msgpack:"n"`
 		// Incarnation is the registry's incarnation that Version belongs to.
@@ -56,8 +54,7 @@
 		// AcceptsDifferences is set if it can apply differences.
 		Table              uint64 `msgpack:"t"`
 		AcceptsDifferences bool   `msgpack:"p"`
-		// IsRegistry is set if the subscriber is a registry.
-		IsRegistry bool `msgpack:"d"`
+		IsRegistry         bool   `msgpack:"d"`
 	}
 	// Update carries the changes after version Since to a subscriber.
 	Update struct {
@@ -66,7 +63,7 @@
 		Version     uint64         `msgpack:"v"`
 		Replicas    []ReplicaEntry `msgpack:"r"`
 		// TableNumber and TableDigest identify the newest accepted table. A subscriber that
-		// lacks it gets either Differences, each based on the one before, or the full Table.
+		// lacks it gets Differences, each based on the one before, or the full Table.
 		TableNumber uint64             `msgpack:"n"`
 		TableDigest string             `msgpack:"h"`
 		Differences []route.Difference `msgpack:"p"`
@@ -74,9 +71,9 @@
 		// ConfirmationAge is the time since the cores confirmed that no newer table exists;
 		// negative if they never did.
 		ConfirmationAge time.Duration `msgpack:"c"`
-		// NodeCount is the number of subscribed nodes. Registries are the addresses of all
-		// registries.
-		NodeCount  int            `msgpack:"o"`
+		// NodeCount counts the subscribed nodes.
+		NodeCount int `msgpack:"o"`
+		// Registries are addresses.
 		Registries []string       `msgpack:"d"`
 		Topology   *core.Topology `msgpack:"y"`
 		// RenewNow tells a node to renew its subscription at once, because a departing replica
@@ -85,7 +82,7 @@
 	}
 )
 
-// The registered names are part of the wire format and differ from the Go names.
+// The registered names are part of the wire format.
 func init() {
 	message.Register(map[string]any{
 		"desk.Follow":   Subscribe{},
@@ -95,15 +92,13 @@
 
 // Params are a registry's timing and sizes; other timing is derived from them.
 type Params struct {
-	Core core.Params
-	// HeartbeatInterval is the time between two heartbeats of a replica.
+	Core              core.Params
 	HeartbeatInterval time.Duration
 	// GroupSize is the number of members of a consensus group.
 	GroupSize int
-	// PartitionsPerCore is the number of partitions that a new fleet gets for each of its
-	// cores, besides the configuration partition.
+	// PartitionsPerCore is for a new fleet, besides its configuration partition.
 	PartitionsPerCore int
-	// LoadInterval is the time between two Loads messages to a node; zero disables them.
+	// LoadInterval is the time between Loads messages to a node; zero disables them.
 	LoadInterval time.Duration
 	// OperationTimeout bounds an operator's call.
 	OperationTimeout time.Duration
@@ -121,8 +116,8 @@
 	Body   any
 }
 
-// Output lists the effects of a step. If the registry has a disk, ChangedReplicas and Peers (if
-// not nil) are written first; then messages are sent, then calls are answered.
+// Output lists the effects of a step, in this order: ChangedReplicas and Peers (if not nil) are
+// written to the disk, if any; then messages are sent; then calls are answered.
 type Output struct {
 	ChangedReplicas []ReplicaEntry
 	Peers           *Peers
--- a/peer/socket/socket.go
+++ b/peer/socket/socket.go
@@ -8,9 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout returns a control function for net.Dialer that sets TCP_USER_TIMEOUT. The
-// kernel then closes a connection whose sent data is not acknowledged within the
-// timeout, as during a network partition.
+// UserTimeout returns a control function for net.Dialer that sets TCP_USER_TIMEOUT: the
+// kernel closes a connection whose sent data is not acknowledged within the timeout.
 func UserTimeout(timeout time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(network, address string, c syscall.RawConn) error {
 		var optionErr error
--- a/peer/stream/stream.go
+++ b/peer/stream/stream.go
@@ -1,10 +1,9 @@
 // Package stream carries messages between the processes of a fleet over TCP, as
 // length-prefixed msgpack.
 //
-// A stream is one-way: each process dials one stream to every member that it sends to.
-// The dialing side authenticates with the fleet's secret and states its address and
-// protocol version. Messages on a stream keep their order, but may be lost. Start reading
-// at Transport.Send and Transport.Run.
+// A stream is one-way: a process dials one to every member that it sends to. The dialing
+// side authenticates with the fleet's secret. Messages on a stream keep their order, but
+// may be lost. Start reading at Transport.Send and Transport.Run.
 package stream
 
 import (
@@ -28,20 +27,16 @@
 
 // Params configure a Transport.
 type Params struct {
-	// Listen is the address that this process listens on; Advertise is the address
-	// that others dial.
+	// Listen is the address that this process listens on, Advertise the one that others dial.
 	Listen, Advertise string
 	// Secret is the fleet's shared secret.
 	Secret string
-	// QueueSize is how many messages may wait for one member, and how many received
-	// messages may wait in In.
-	QueueSize int
-	// MaxMessageBytes is the largest size of a message.
+	// QueueSize bounds the messages that wait for one member, and those in In.
+	QueueSize       int
 	MaxMessageBytes int
 	// Timeout limits a write and a handshake; a dial may take a third of it.
 	Timeout time.Duration
-	// IdleTimeout is how long a stream stays open without a message. Zero means one
-	// minute.
+	// IdleTimeout closes a stream without messages. Zero means one minute.
 	IdleTimeout time.Duration
 }
 
@@ -51,21 +46,18 @@
 	Body any
 }
 
-// Counters are increments of the transport's counters, sent over a channel as they
-// occur.
+// Counters are increments of the transport's counters.
 type Counters struct {
 	// BadStreams counts streams closed for a failed handshake or an invalid message.
 	BadStreams int64
-	// UnknownTypes counts messages of types that this version does not have.
-	// VersionMismatches counts peers of an incompatible version, with their address
-	// and version.
+	// UnknownTypes counts messages of types that this version does not have,
+	// VersionMismatches peers of an incompatible version.
 	UnknownTypes, VersionMismatches int64
 	PeerAddress                     string
 	PeerVersion                     byte
 }
 
-// Transport is a process's end of all its streams. Send must be called by one
-// goroutine only; received messages are read from In.
+// Transport is a process's end of all its streams. Only one goroutine may call Send.
 type Transport struct {
 	In     chan Incoming
 	Counts chan Counters
@@ -78,7 +70,6 @@
 	cancel        context.CancelFunc
 }
 
-// outbound is the sending side of a stream to one member.
 type outbound struct {
 	messages chan []byte
 	lastUsed time.Duration
@@ -96,7 +87,15 @@
 		return nil, errors.Wrap(err, "listening for streams")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Transport{In: make(chan Incoming, p.QueueSize), Counts: make(chan Counters, 64), params: p, listener: listener, outbound: map[string]*outbound{}, ctx: ctx, cancel: cancel}, nil
+	return &Transport{
+		In:       make(chan Incoming, p.QueueSize),
+		Counts:   make(chan Counters, 64),
+		params:   p,
+		listener: listener,
+		outbound: map[string]*outbound{},
+		ctx:      ctx,
+		cancel:   cancel,
+	}, nil
 }
 
 // Run accepts streams until Close.
@@ -126,9 +125,8 @@
 	}
 }
 
-// Send encodes a message and queues it for a member. It never blocks: it returns false
-// and drops the message if the queue is full or the message is too large. A queued
-// message may still be lost.
+// Send queues a message for a member. It never blocks: it returns false and drops the
+// message if that is too large or the queue is full. A queued message may still be lost.
 func (t *Transport) Send(to string, body any) bool {
 	now := clock.Now()
 	t.closeIdle(now)
@@ -151,8 +149,8 @@
 	}
 }
 
-// closeIdle closes the streams that carried no message for the idle timeout. Machines
-// are replaced, mostly at new addresses, so unused streams would accumulate.
+// closeIdle closes idle streams. Machines are replaced, mostly at new addresses, so unused
+// streams would accumulate.
 func (t *Transport) closeIdle(now time.Duration) {
 	if now < t.nextIdleCheck {
 		return
@@ -166,8 +164,7 @@
 	}
 }
 
-// writeLoop writes the queued messages to a member, dialing it when needed. While the
-// member cannot be reached, messages are dropped.
+// writeLoop writes queued messages to a member, and drops them while it is unreachable.
 func (t *Transport) writeLoop(to string, out chan []byte) {
 	var c net.Conn
 	var frames []byte
@@ -188,7 +185,7 @@
 		}
 		if c == nil {
 			if clock.Now()-dialedAt < t.params.Timeout/10 {
-				// Too soon after the last dial: the message is dropped.
+				// Too soon after the last dial.
 				continue
 			}
 			dialedAt = clock.Now()
@@ -196,7 +193,6 @@
 				continue
 			}
 		}
-		// Messages that are already queued go out in the same write.
 		frames = append(binary.LittleEndian.AppendUint32(frames[:0], uint32(len(raw))), raw...)
 		for more := true; more && len(frames) < batchBytes; {
 			select {
@@ -222,23 +218,21 @@
 	}
 }
 
-// batchBytes is the size in bytes from which no more messages are added to a write.
+// batchBytes is the size from which no more messages are added to a write.
 const batchBytes = 32 << 10
 
-// Sizes in the handshake, in bytes. The dialing side responds to the nonce with a MAC,
-// its version, the length of its address and the address.
+// Sizes in bytes. The dialing side responds to the nonce with a MAC, its version, the
+// length of its address and the address.
 const (
 	nonceSize = 32
 	macSize   = sha256.Size
 	helloSize = macSize + 2
 )
 
-// dial opens a stream to a member and performs the handshake. It returns nil on
-// failure.
+// dial opens a stream to a member. It returns nil on failure.
 func (t *Transport) dial(to string) net.Conn {
-	// The user timeout closes a stream whose bytes are not acknowledged, so that it is
-	// dialed again; it would otherwise stay silent long after a network partition has
-	// healed. The dial timeout is short, so that a dial to an unreachable machine does
+	// Without the user timeout, a stream would stay silent long after a network partition
+	// has healed. The dial timeout is short, so that a dial to an unreachable machine does
 	// not block long after the machine is back.
 	dialer := net.Dialer{Timeout: t.params.Timeout / 3, KeepAlive: -1, Control: socket.UserTimeout(t.params.Timeout)}
 	if host, _, err := net.SplitHostPort(t.params.Advertise); err == nil {
@@ -271,7 +265,6 @@
 	return c
 }
 
-// handshakeMAC returns the MAC of a nonce and an address under the fleet's secret.
 func (t *Transport) handshakeMAC(nonce []byte, address string) []byte {
 	mac := hmac.New(sha256.New, []byte(t.params.Secret))
 	mac.Write(nonce)
@@ -279,7 +272,6 @@
 	return mac.Sum(nil)
 }
 
-// serve receives the messages of one stream.
 func (t *Transport) serve(c net.Conn) {
 	defer c.Close()
 	stop := context.AfterFunc(t.ctx, func() { c.Close() })
@@ -306,8 +298,7 @@
 		}
 		body, err := message.Open(raw)
 		if errors.Is(err, message.ErrUnknown) {
-			// A member of the next version may send message types that this version
-			// does not have.
+			// A member of the next version may send types that this one does not have.
 			t.count(Counters{UnknownTypes: 1})
 			continue
 		}
@@ -323,8 +314,7 @@
 	}
 }
 
-// handshake authenticates the dialing side of a stream and returns its advertised
-// address.
+// handshake authenticates the dialing side and returns its advertised address.
 func (t *Transport) handshake(c net.Conn) (string, error) {
 	nonce := make([]byte, nonceSize)
 	if _, err := rand.Read(nonce); err != nil {
@@ -353,9 +343,9 @@
 	return string(address), nil
 }
 
-// Version is the protocol version, a decimal number of one byte. A version is compatible
-// with the previous and the next one, so that a fleet can be upgraded process by process.
-// Builds that test an upgrade override it.
+// Version is the protocol version, a decimal number of one byte. It is compatible with the
+// previous and the next one, so that a fleet can be upgraded process by process. Builds
+// that test an upgrade override it.
 var Version = "2"
 
 func version() byte {
--- a/peer/stream/stream_test.go
+++ b/peer/stream/stream_test.go
@@ -59,8 +59,7 @@
 	return append(binary.LittleEndian.AppendUint32(nil, uint32(len(raw))), raw...)
 }
 
-// TestBadPeers checks that invalid input closes and counts its stream and affects no
-// other.
+// TestBadPeers checks that invalid input closes its stream and affects no other.
 func TestBadPeers(t *testing.T) {
 	to := listen(t, "a secret of some length")
 	good := listen(t, "a secret of some length")
@@ -104,8 +103,7 @@
 	}
 }
 
-// TestVersions checks that unknown message types of a compatible version are skipped,
-// and that an incompatible version is rejected and reported.
+// TestVersions checks that unknown message types are skipped only from a compatible version.
 func TestVersions(t *testing.T) {
 	to := listen(t, "a secret of some length")
 	c := connect(t, to, to.params.Secret)
