--- a/peer/disk/checksum.go
+++ b/peer/disk/checksum.go
@@ -35,12 +35,12 @@
 
 // checksum includes the header's length, so that kinds of headers cannot be confused.
 func (k checksumKey) checksum(header, body []byte) uint64 {
-	h := siphash.New(k.appendTo(make([]byte, 0, checksumKeySize)))
-	h.Write([]byte{byte(len(header))})
-	h.Write(header)
-	h.Write(body)
-	return h.Sum64()
+	hash := siphash.New(k.appendTo(make([]byte, 0, checksumKeySize)))
+	hash.Write([]byte{byte(len(header))})
+	hash.Write(header)
+	hash.Write(body)
+	return hash.Sum64()
 }
 
 // checksumShort does not allocate.
-func (k checksumKey) checksumShort(text []byte) uint64 { return siphash.Hash(k[0], k[1], text) }
+func (k checksumKey) checksumShort(input []byte) uint64 { return siphash.Hash(k[0], k[1], input) }
--- a/peer/disk/checksum_test.go
+++ b/peer/disk/checksum_test.go
@@ -23,7 +23,7 @@
 		before := s.Size()
 		must(t, s.Append(append(make([]byte, 600), embedded...)))
 		must(t, s.Close())
-		change(t, path, "log-1", func(raw []byte) []byte {
+		rewriteFile(t, path, "log-1", func(raw []byte) []byte {
 			clear(raw[before : before+512])
 			return raw
 		})
@@ -83,8 +83,8 @@
 	must(t, s.Close())
 	// Simulates a power failure before the log of the new state was installed.
 	must(t, systemFiles{}.Remove(filepath.Join(path, "log-0")))
-	change(t, path, "log-1", func([]byte) []byte { return log })
-	change(t, path, "slot-0", func(raw []byte) []byte {
+	rewriteFile(t, path, "log-1", func([]byte) []byte { return log })
+	rewriteFile(t, path, "slot-0", func(raw []byte) []byte {
 		clear(raw[len(raw)-2*block : len(raw)-block])
 		return raw
 	})
@@ -136,7 +136,7 @@
 func TestDamagedKey(t *testing.T) {
 	for at := len(logMagic); at < logHeaderSize; at++ {
 		path := newStore(t)
-		change(t, path, "log-1", func(raw []byte) []byte { raw[at] ^= 1; return raw })
+		rewriteFile(t, path, "log-1", func(raw []byte) []byte { raw[at] ^= 1; return raw })
 		if _, _, err := Open(path); !errors.Is(err, ErrDamaged) {
 			t.Errorf("byte %d of the header: %v", at, err)
 		}
--- a/peer/disk/disk.go
+++ b/peer/disk/disk.go
@@ -85,9 +85,9 @@
 }
 
 // replayLog reads a log, truncates an incomplete write at its end and opens it to append.
-func (s *Store) replayLog(i int, l logFile, contents *Contents) error {
-	s.format, s.size = l.format, int64(l.headerSize)
-	rest := l.raw[l.headerSize:]
+func (s *Store) replayLog(i int, stored logFile, contents *Contents) error {
+	s.format, s.size = stored.format, int64(stored.headerSize)
+	rest := stored.raw[stored.headerSize:]
 	for len(rest) > 0 {
 		record, n := s.format.read(rest, s.size)
 		if n == 0 {
--- a/peer/disk/disk_test.go
+++ b/peer/disk/disk_test.go
@@ -32,13 +32,13 @@
 	}
 }
 
-// change rewrites a file with the result of how.
-func change(t *testing.T, path, name string, how func(raw []byte) []byte) {
+// rewriteFile replaces a file's contents by the result of modify.
+func rewriteFile(t *testing.T, path, name string, modify func(raw []byte) []byte) {
 	t.Helper()
 	full := filepath.Join(path, name)
 	raw, err := os.ReadFile(full)
 	must(t, err)
-	must(t, os.WriteFile(full, how(raw), 0o600))
+	must(t, os.WriteFile(full, modify(raw), 0o600))
 }
 
 func TestReopen(t *testing.T) {
@@ -69,26 +69,26 @@
 		records int
 	}{
 		{"torn tail", func(t *testing.T, path string) {
-			change(t, path, "log-1", func(raw []byte) []byte { return raw[:len(raw)-3] })
+			rewriteFile(t, path, "log-1", func(raw []byte) []byte { return raw[:len(raw)-3] })
 		}, false, false, 2},
 		{"torn header of the last record", func(t *testing.T, path string) {
-			change(t, path, "log-1", func(raw []byte) []byte { return raw[:len(raw)-14] })
+			rewriteFile(t, path, "log-1", func(raw []byte) []byte { return raw[:len(raw)-14] })
 		}, false, false, 2},
 		{"zeros at the end", func(t *testing.T, path string) {
-			change(t, path, "log-1", func(raw []byte) []byte { return append(raw, make([]byte, 100)...) })
+			rewriteFile(t, path, "log-1", func(raw []byte) []byte { return append(raw, make([]byte, 100)...) })
 		}, false, false, 3},
 		{"damage in the middle of the log", func(t *testing.T, path string) {
-			change(t, path, "log-1", func(raw []byte) []byte { raw[30] ^= 1; return raw })
+			rewriteFile(t, path, "log-1", func(raw []byte) []byte { raw[30] ^= 1; return raw })
 		}, true, false, 0},
 		{"damage in a record's length", func(t *testing.T, path string) {
-			change(t, path, "log-1", func(raw []byte) []byte { raw[17] ^= 0x40; return raw })
+			rewriteFile(t, path, "log-1", func(raw []byte) []byte { raw[17] ^= 0x40; return raw })
 		}, true, false, 0},
 		{"damaged slot", func(t *testing.T, path string) {
-			change(t, path, "slot-1", func(raw []byte) []byte { raw[len(raw)-1] ^= 1; return raw })
+			rewriteFile(t, path, "slot-1", func(raw []byte) []byte { raw[len(raw)-1] ^= 1; return raw })
 		}, true, false, 0},
 		{"missing slot", func(t *testing.T, path string) { must(t, os.Remove(filepath.Join(path, "slot-1"))) }, true, false, 0},
 		{"damaged log header", func(t *testing.T, path string) {
-			change(t, path, "log-1", func(raw []byte) []byte { raw[2] ^= 1; return raw })
+			rewriteFile(t, path, "log-1", func(raw []byte) []byte { raw[2] ^= 1; return raw })
 		}, true, false, 0},
 		{"torn slot of the next generation", func(t *testing.T, path string) {
 			must(t, os.WriteFile(filepath.Join(path, "slot-0"), []byte("SFSLOT01 half"), 0o600))
--- a/peer/disk/full_test.go
+++ b/peer/disk/full_test.go
@@ -73,7 +73,7 @@
 	return f.File.Truncate(size)
 }
 
-// Sync does not sync.
+// Sync returns the configured error without syncing.
 func (f *smallFile) Sync() error { return f.disk.syncErr }
 
 func (d *smallDisk) SyncDir(string) error { return d.syncErr }
--- a/peer/disk/log.go
+++ b/peer/disk/log.go
@@ -56,22 +56,22 @@
 }
 
 func readLogHeader(raw []byte) (logFile, bool) {
-	l := logFile{raw: raw}
+	log := logFile{raw: raw}
 	switch {
 	case len(raw) >= logHeaderSize && string(raw[:len(logMagic)]) == logMagic:
 		key := decodeChecksumKey(raw[len(logMagic)+8:])
 		checksumOffset := logHeaderSize - 8
 		if key.checksum(raw[:checksumOffset], nil) != binary.LittleEndian.Uint64(raw[checksumOffset:]) {
-			return l, false
+			return log, false
 		}
-		l.headerSize, l.format = logHeaderSize, recordFormat{key: &key}
+		log.headerSize, log.format = logHeaderSize, recordFormat{key: &key}
 	case len(raw) >= logHeaderSizeV1 && string(raw[:len(logMagicV1)]) == logMagicV1:
-		l.headerSize = logHeaderSizeV1
+		log.headerSize = logHeaderSizeV1
 	default:
-		return l, false
+		return log, false
 	}
-	l.generation = binary.LittleEndian.Uint64(raw[len(logMagic):])
-	return l, true
+	log.generation = binary.LittleEndian.Uint64(raw[len(logMagic):])
+	return log, true
 }
 
 // recordFormat encodes and decodes log records. The separate checksum of the length allows
@@ -124,11 +124,11 @@
 }
 
 func (f recordFormat) lengthChecksum(offset int64, length []byte) uint32 {
-	text := binary.LittleEndian.AppendUint64(make([]byte, 0, 8+4), uint64(offset))
-	return uint32(f.key.checksumShort(append(text, length[:4]...)))
+	input := binary.LittleEndian.AppendUint64(make([]byte, 0, 8+4), uint64(offset))
+	return uint32(f.key.checksumShort(append(input, length[:4]...)))
 }
 
 func (f recordFormat) checksum(offset int64, header, body []byte) uint64 {
-	text := binary.LittleEndian.AppendUint64(make([]byte, 0, 8+8), uint64(offset))
-	return f.key.checksum(append(text, header[:8]...), body)
+	input := binary.LittleEndian.AppendUint64(make([]byte, 0, 8+8), uint64(offset))
+	return f.key.checksum(append(input, header[:8]...), body)
 }
--- a/peer/disk/slot.go
+++ b/peer/disk/slot.go
@@ -67,7 +67,7 @@
 			return nil
 		}
 	}
-	if family := magics[0][:size-2]; string(raw[:len(family)]) != family && recognized {
+	if formatPrefix := magics[0][:size-2]; string(raw[:len(formatPrefix)]) != formatPrefix && recognized {
 		return nil
 	}
 	return errors.Wrapf(ErrUnknownFormat, "%s begins with %q, want %q", name, raw[:size], magics[0])
--- a/peer/registry/amend.go
+++ b/peer/registry/amend.go
@@ -23,22 +23,22 @@
 
 // Amend proposes the amended table to the cores. It reads the current table from them, because a
 // proposal based on an older copy would be rejected. The ticket is answered with an OrderResult.
-func (m *Machine) Amend(now time.Duration, ticket uint64, a Amendment) Output {
+func (m *Machine) Amend(now time.Duration, ticket uint64, amendment Amendment) Output {
 	m.out = &Output{}
 	deadline := now + m.params.OperationTimeout
 	m.addPending(now, ticket, OrderResult{Uncertain: true})
-	m.caller.Call(now, core.ReadTable{}, deadline, func(now time.Duration, o core.Outcome) {
-		current, ok := o.Answer.(core.CurrentTable)
+	m.caller.Call(now, core.ReadTable{}, deadline, func(now time.Duration, outcome core.Outcome) {
+		current, ok := outcome.Answer.(core.CurrentTable)
 		if _, isPending := m.pending[ticket]; !isPending {
 			return
 		}
 		switch {
 		case !ok:
 			m.resolve(ticket, OrderResult{Uncertain: true})
-		case current.Number != a.Base:
-			m.findOrder(now, ticket, a, deadline)
+		case current.Number != amendment.Base:
+			m.findOrder(now, ticket, amendment, deadline)
 		default:
-			m.proposeAmendment(now, ticket, a, current, deadline)
+			m.proposeAmendment(now, ticket, amendment, current, deadline)
 		}
 	})
 	return *m.out
@@ -46,9 +46,10 @@
 
 // findOrder answers an amendment whose base is not the current table: it or another order on
 // that base was accepted earlier.
-func (m *Machine) findOrder(now time.Duration, ticket uint64, a Amendment, deadline time.Duration) {
-	m.caller.Call(now, core.FindOrder{Base: a.Base, Number: a.Number, Digest: a.Digest}, deadline, func(_ time.Duration, o core.Outcome) {
-		found, ok := o.Answer.(core.AcceptTableResult)
+func (m *Machine) findOrder(now time.Duration, ticket uint64, amendment Amendment, deadline time.Duration) {
+	command := core.FindOrder{Base: amendment.Base, Number: amendment.Number, Digest: amendment.Digest}
+	m.caller.Call(now, command, deadline, func(_ time.Duration, outcome core.Outcome) {
+		found, ok := outcome.Answer.(core.AcceptTableResult)
 		switch {
 		case !ok:
 			m.resolve(ticket, OrderResult{Uncertain: true})
@@ -60,8 +61,10 @@
 	})
 }
 
-func (m *Machine) proposeAmendment(now time.Duration, ticket uint64, a Amendment, current core.CurrentTable, deadline time.Duration) {
-	text, faults := a.Apply(current.Text)
+func (m *Machine) proposeAmendment(
+	now time.Duration, ticket uint64, amendment Amendment, current core.CurrentTable, deadline time.Duration,
+) {
+	text, faults := amendment.Apply(current.Text)
 	var next *route.Table
 	if faults == nil {
 		next, faults = route.Parse(text)
@@ -70,10 +73,11 @@
 	case faults != nil:
 		m.Counters.TablesRefused++
 		m.resolve(ticket, OrderResult{Number: current.Number, Faults: faults})
-	case a.PreviewOnly:
+	case amendment.PreviewOnly:
 		m.resolve(ticket, OrderResult{Number: current.Number, Preview: previewOf(current.Text, next)})
 	default:
-		m.proposeTable(now, ticket, core.AcceptTable{Base: a.Base, Number: next.Number, Text: text, Digest: a.Digest}, next, deadline)
+		command := core.AcceptTable{Base: amendment.Base, Number: next.Number, Text: text, Digest: amendment.Digest}
+		m.proposeTable(now, ticket, command, next, deadline)
 	}
 }
 
@@ -87,13 +91,13 @@
 }
 
 // ApplyAmendment returns the Apply function for an amendment in the product's own format.
-func ApplyAmendment(a route.Amendment) func(current []byte) ([]byte, configuration.Faults) {
+func ApplyAmendment(amendment route.Amendment) func(current []byte) ([]byte, configuration.Faults) {
 	return func(text []byte) ([]byte, configuration.Faults) {
 		current, faults := route.Parse(text)
 		if faults != nil {
 			return nil, configuration.Faults{{Path: "$", Value: "no table is in force", Allowed: "an amendment of a table that is in force"}}
 		}
-		next, faults := a.Apply(current)
+		next, faults := amendment.Apply(current)
 		if faults != nil {
 			return nil, faults
 		}
--- a/peer/registry/currenttable.go
+++ b/peer/registry/currenttable.go
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// isSmaller reports whether differences have less than half as many items as the table.
-func (t *currentTable) isSmaller(differences []route.Difference) bool {
+// areSmall reports whether differences have less than half as many items as the table.
+func (t *currentTable) areSmall(differences []route.Difference) bool {
 	items := 0
 	for _, d := range differences {
 		items += d.Size()
@@ -67,12 +67,12 @@
 }
 
 // differencesFor returns nil if the subscriber needs the full table.
-func (m *Machine) differencesFor(s *subscriber) []route.Difference {
-	if !s.acceptsDifferences || s.table == 0 {
+func (m *Machine) differencesFor(sub *subscriber) []route.Difference {
+	if !sub.acceptsDifferences || sub.table == 0 {
 		return nil
 	}
-	differences := m.table.differencesSince(s.table)
-	if len(differences) == 0 || !m.table.isSmaller(differences) {
+	differences := m.table.differencesSince(sub.table)
+	if len(differences) == 0 || !m.table.areSmall(differences) {
 		return nil
 	}
 	return differences
--- a/peer/registry/handler.go
+++ b/peer/registry/handler.go
@@ -96,10 +96,10 @@
 func Handler(operatorKey, replicaKey string, maxBody int64) func(api API) http.Handler {
 	return func(api API) http.Handler {
 		mux := http.NewServeMux()
-		guarded := http.NewServeMux()
+		operatorMux := http.NewServeMux()
 		mux.Handle("/v1/replicas/", operator.RequireKey(replicaKey, replicaHandler(api)))
-		mux.Handle("/", operator.RequireKey(operatorKey, guarded))
-		guarded.HandleFunc("PUT /v1/table", func(w http.ResponseWriter, r *http.Request) {
+		mux.Handle("/", operator.RequireKey(operatorKey, operatorMux))
+		operatorMux.HandleFunc("PUT /v1/table", func(w http.ResponseWriter, r *http.Request) {
 			base, text, ok := readOrder(w, r, maxBody, "table")
 			if !ok {
 				return
@@ -107,8 +107,8 @@
 			result, err := api.Apply(r.Context(), base, text, Digest(text))
 			writeOrderResult(w, result, err)
 		})
-		guarded.HandleFunc("PATCH /v1/table", func(w http.ResponseWriter, r *http.Request) { handleAmendment(api, w, r, maxBody) })
-		guarded.HandleFunc("GET /v1/table", func(w http.ResponseWriter, r *http.Request) {
+		operatorMux.HandleFunc("PATCH /v1/table", func(w http.ResponseWriter, r *http.Request) { handleAmendment(api, w, r, maxBody) })
+		operatorMux.HandleFunc("GET /v1/table", func(w http.ResponseWriter, r *http.Request) {
 			table, err := api.Read(r.Context())
 			if err != nil || table.Number == 0 {
 				operator.WriteJSON(w, http.StatusServiceUnavailable,
@@ -118,7 +118,7 @@
 			w.Header().Set("Content-Type", "application/json")
 			w.Write(table.Text)
 		})
-		retirement := func(call func(ctx context.Context, id string) (RetirementStatus, error)) http.HandlerFunc {
+		retirementHandler := func(call func(ctx context.Context, id string) (RetirementStatus, error)) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) {
 				status, err := call(r.Context(), r.PathValue("id"))
 				switch {
@@ -133,9 +133,9 @@
 				}
 			}
 		}
-		guarded.HandleFunc("POST /v1/cores/{id}/retire", retirement(api.Retire))
-		guarded.HandleFunc("GET /v1/cores/{id}/retire", retirement(api.RetirementStatus))
-		guarded.HandleFunc("GET /counters", func(w http.ResponseWriter, r *http.Request) {
+		operatorMux.HandleFunc("POST /v1/cores/{id}/retire", retirementHandler(api.Retire))
+		operatorMux.HandleFunc("GET /v1/cores/{id}/retire", retirementHandler(api.RetirementStatus))
+		operatorMux.HandleFunc("GET /counters", func(w http.ResponseWriter, r *http.Request) {
 			counts, err := api.Counters(r.Context())
 			if err != nil {
 				operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
--- a/peer/registry/machine.go
+++ b/peer/registry/machine.go
@@ -46,12 +46,12 @@
 	topology                core.Topology
 	topologyVersion         uint64
 	foundingCores           map[string]core.Core
-	foundingCoresAt         time.Duration
+	foundingCoresChangedAt  time.Duration
 	startedAt               time.Duration
 	table                   *currentTable
 	pulledUpTo              partition.Version
 	lastConfirmed           time.Duration // negative before the first confirmation
-	lastFresh               core.Freshness
+	lastFreshness           core.Freshness
 	pullAt                  time.Duration
 	subscribeAt             time.Duration
 	expireAt                time.Duration
@@ -84,10 +84,13 @@
 		lastConfirmed:   -1,
 	}
 	m.topology.Cores = map[string]core.Core{}
-	for _, l := range o.KnownReplicas {
+	for _, entry := range o.KnownReplicas {
 		m.version++
-		l.Version = m.version
-		m.replicas[l.Replica.ID] = &trackedReplica{ReplicaEntry: l, lastSeen: o.Now - (missedHeartbeats-2)*o.Params.HeartbeatInterval}
+		entry.Version = m.version
+		m.replicas[entry.Replica.ID] = &trackedReplica{
+			ReplicaEntry: entry,
+			lastSeen:     o.Now - (missedHeartbeats-restoredRetention)*o.Params.HeartbeatInterval,
+		}
 	}
 	if o.KnownPeers != nil {
 		m.restorePeers(*o.KnownPeers)
@@ -117,24 +120,24 @@
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
 	m.out = &Output{}
 	m.Counters.Messages++
-	switch b := body.(type) {
+	switch message := body.(type) {
 	case Subscribe:
-		m.onSubscribe(now, from, b)
+		m.onSubscribe(now, from, message)
 	case Update:
-		m.onUpdate(now, from, b)
+		m.onUpdate(now, from, message)
 	case LoadReport:
-		m.onLoadReport(now, from, b)
+		m.onLoadReport(now, from, message)
 	case core.AnnounceCore:
-		m.onAnnounceCore(now, from, b)
+		m.onAnnounceCore(now, from, message)
 	case core.Topology:
-		m.mergeTopology(now, b)
+		m.mergeTopology(now, message)
 	case core.Update:
-		m.onTableSnapshot(now, b)
+		m.onTableSnapshot(now, message)
 	case core.Freshness:
-		m.lastFresh = b
+		m.lastFreshness = message
 		m.updateConfirmation(now)
 	case core.CommandResult:
-		m.caller.Receive(now, from, b)
+		m.caller.Receive(now, from, message)
 	default:
 		m.Counters.BadMessages++
 	}
@@ -167,7 +170,7 @@
 		m.pull(now)
 	}
 	if now >= m.expireAt {
-		m.expireAt = now + m.params.HeartbeatInterval/4
+		m.expireAt = now + m.params.HeartbeatInterval/expiriesPerHeartbeat
 		m.expireReplicas(now)
 		m.dropUnlistedHistories()
 	}
@@ -180,12 +183,17 @@
 const (
 	// missedHeartbeats is the time without a heartbeat after which a replica is removed.
 	missedHeartbeats = 4
+	// restoredRetention is how long a restored replica stays listed without a heartbeat.
+	restoredRetention = 2
 	// removedRetention is how long a removed replica stays listed after its last heartbeat.
 	removedRetention = 20 * missedHeartbeats
 	// registryRetention is how long a silent registry is remembered.
 	registryRetention = 10 * missedHeartbeats
 )
 
+// expiriesPerHeartbeat is how often expired entries are looked for in a heartbeat interval.
+const expiriesPerHeartbeat = 4
+
 // subscribePulls is the renewal time of subscriptions to other registries, in pull intervals.
 const subscribePulls = 2
 
--- a/peer/registry/machine_test.go
+++ b/peer/registry/machine_test.go
@@ -15,8 +15,16 @@
 const heartbeat = time.Second
 
 func newRegistry(change func(o *Options)) *Machine {
-	o := Options{ID: "d1", Incarnation: "l1", Address: "d1:1", Seeds: []string{"d1:1", "d2:1"}, Random: func() float64 { return 0.5 },
-		Params: Params{Core: core.Params{MemberLease: time.Second, AttemptTimeout: 100 * time.Millisecond, PullInterval: 100 * time.Millisecond}, HeartbeatInterval: heartbeat, GroupSize: 3, PartitionsPerCore: 2, OperationTimeout: time.Second}}
+	o := Options{
+		ID: "d1", Incarnation: "l1", Address: "d1:1", Seeds: []string{"d1:1", "d2:1"}, Random: func() float64 { return 0.5 },
+		Params: Params{
+			Core:              core.Params{MemberLease: time.Second, AttemptTimeout: 100 * time.Millisecond, PullInterval: 100 * time.Millisecond},
+			HeartbeatInterval: heartbeat,
+			GroupSize:         3,
+			PartitionsPerCore: 2,
+			OperationTimeout:  time.Second,
+		},
+	}
 	if change != nil {
 		change(&o)
 	}
@@ -147,13 +155,25 @@
 }
 
 func foundFleet(m *Machine) core.Topology {
-	t := core.Topology{Fleet: "f", GroupSize: 1, Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1", Version: 1}}, Leaders: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}}, Groups: make([]partition.Group, 2)}
-	m.Receive(0, "c:1", t)
-	return t
+	topology := core.Topology{
+		Fleet:     "f",
+		GroupSize: 1,
+		Cores:     map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1", Version: 1}},
+		Leaders:   []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}},
+		Groups:    make([]partition.Group, 2),
+	}
+	m.Receive(0, "c:1", topology)
+	return topology
 }
 
 func table(number uint64) []byte {
-	text, _ := json.Marshal(route.Table{Number: number, Limits: route.Limits{HeaderBytes: 1000, BodyBytes: 1000}, Routes: []route.Route{}, Services: []route.Service{}, Tenants: []route.Tenant{}})
+	text, _ := json.Marshal(route.Table{
+		Number:   number,
+		Limits:   route.Limits{HeaderBytes: 1000, BodyBytes: 1000},
+		Routes:   []route.Route{},
+		Services: []route.Service{},
+		Tenants:  []route.Tenant{},
+	})
 	return text
 }
 
@@ -221,7 +241,11 @@
 		topology := foundFleet(m)
 		retired := topology.Cores["c"]
 		retired.Retired, retired.Version = true, 2
-		m.Receive(0, "x:1", core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": retired, "x": {ID: "x", Incarnation: "1", Peer: "x:1", Version: 1}}, Leaders: []partition.Term{{Round: 2, Leader: "x.1"}, {Round: 2, Leader: "x.1"}}})
+		m.Receive(0, "x:1", core.Topology{
+			Fleet:   "f",
+			Cores:   map[string]core.Core{"c": retired, "x": {ID: "x", Incarnation: "1", Peer: "x:1", Version: 1}},
+			Leaders: []partition.Term{{Round: 2, Leader: "x.1"}, {Round: 2, Leader: "x.1"}},
+		})
 		o := m.RetirementStatus(time.Millisecond, 9, "c")
 		answers := o.Answers
 		for i, command := range sentTo[core.Command](o, "x:1") {
--- a/peer/registry/retirement.go
+++ b/peer/registry/retirement.go
@@ -23,8 +23,8 @@
 func (m *Machine) Retire(now time.Duration, ticket uint64, id string) Output {
 	m.out = &Output{}
 	m.addPending(now, ticket, RetirementStatus{Uncertain: true})
-	m.caller.Call(now, core.RetireCore{ID: id}, now+m.params.OperationTimeout, func(now time.Duration, o core.Outcome) {
-		retiring, ok := o.Answer.(core.RetireCoreResult)
+	m.caller.Call(now, core.RetireCore{ID: id}, now+m.params.OperationTimeout, func(now time.Duration, outcome core.Outcome) {
+		retiring, ok := outcome.Answer.(core.RetireCoreResult)
 		m.resolve(ticket, RetirementStatus{Uncertain: !ok, Known: retiring.Found, EnoughCores: retiring.EnoughRemain})
 	})
 	return *m.out
@@ -41,8 +41,8 @@
 	}
 	m.addPending(now, ticket, RetirementStatus{Uncertain: true})
 	for n := range m.topology.Leaders {
-		m.caller.Call(now, core.ReadGroup{Partition: n}, now+m.params.OperationTimeout, func(now time.Duration, o core.Outcome) {
-			members, ok := o.Answer.(core.GroupMembers)
+		m.caller.Call(now, core.ReadGroup{Partition: n}, now+m.params.OperationTimeout, func(now time.Duration, outcome core.Outcome) {
+			members, ok := outcome.Answer.(core.GroupMembers)
 			uncertain = uncertain || !ok
 			for _, member := range append(slices.Clone(members.Members), members.Former...) {
 				hasMember = hasMember || core.CoreID(member) == id
--- a/peer/registry/subscribers.go
+++ b/peer/registry/subscribers.go
@@ -20,8 +20,8 @@
 	confirmedVersion uint64
 }
 
-func (m *Machine) isSubscribed(now time.Duration, s *subscriber) bool {
-	return now <= s.lastSeen+missedHeartbeats*m.params.HeartbeatInterval
+func (m *Machine) isSubscribed(now time.Duration, sub *subscriber) bool {
+	return now <= sub.lastSeen+missedHeartbeats*m.params.HeartbeatInterval
 }
 
 func (s *subscriber) isActive(now, interval time.Duration) bool { return now <= s.lastSeen+interval }
@@ -36,10 +36,10 @@
 
 // sendUpdate sends a subscriber what it lacks; with always, even if that is nothing. The update
 // counts as received until a renewal reports an older version.
-func (m *Machine) sendUpdate(now time.Duration, to string, s *subscriber, always bool) {
+func (m *Machine) sendUpdate(now time.Duration, to string, sub *subscriber, always bool) {
 	update := Update{
 		Incarnation:     m.incarnation,
-		Since:           s.version,
+		Since:           sub.version,
 		Version:         m.version,
 		TableNumber:     m.table.number(),
 		TableDigest:     m.table.digestOrEmpty(),
@@ -49,31 +49,32 @@
 	if m.lastConfirmed >= 0 {
 		update.ConfirmationAge = now - m.lastConfirmed
 	}
-	if s.incarnation != m.incarnation {
+	if sub.incarnation != m.incarnation {
 		update.Since = 0
 	}
 	for _, id := range ordered.Keys(m.replicas) {
-		if entry := m.replicas[id]; entry.Version > update.Since && (!s.isRegistry || entry.isDeparting()) {
+		if entry := m.replicas[id]; entry.Version > update.Since && (!sub.isRegistry || entry.isDeparting()) {
 			update.Replicas = append(update.Replicas, entry.ReplicaEntry)
 			update.RenewNow = update.RenewNow || entry.isDeparting()
 		}
 	}
-	if s.table < m.table.number() {
-		update.Differences = m.differencesFor(s)
+	if sub.table < m.table.number() {
+		update.Differences = m.differencesFor(sub)
 		if update.Differences == nil {
 			update.Table = m.table.encoded()
 		}
 	}
-	if s.topologyVersion != m.topologyVersion {
-		t := m.topology
-		update.Topology = &t
+	if sub.topologyVersion != m.topologyVersion {
+		topology := m.topology
+		update.Topology = &topology
 		update.Registries = ordered.Keys(m.registries)
 	}
 	if !always && len(update.Replicas) == 0 && update.Table == nil && update.Differences == nil && update.Topology == nil {
 		return
 	}
-	update.RenewNow = update.RenewNow && !s.isRegistry && m.activeRegistries(now) == 0
-	s.incarnation, s.version, s.table, s.topologyVersion = m.incarnation, m.version, max(s.table, m.table.number()), m.topologyVersion
+	update.RenewNow = update.RenewNow && !sub.isRegistry && m.activeRegistries(now) == 0
+	sub.incarnation, sub.version, sub.table, sub.topologyVersion =
+		m.incarnation, m.version, max(sub.table, m.table.number()), m.topologyVersion
 	m.Counters.Updates++
 	m.addSend(to, update)
 }
@@ -99,16 +100,17 @@
 }
 
 func (m *Machine) onSubscribe(now time.Duration, from string, request Subscribe) {
-	s := m.subscribers[from]
-	if s == nil {
-		s = &subscriber{}
-		m.subscribers[from] = s
-	}
-	s.lastSeen, s.isRegistry = now, request.IsRegistry
-	s.incarnation, s.version, s.table, s.acceptsDifferences = request.Incarnation, request.Version, request.Table, request.AcceptsDifferences
-	s.confirmedVersion = request.Version
+	sub := m.subscribers[from]
+	if sub == nil {
+		sub = &subscriber{}
+		m.subscribers[from] = sub
+	}
+	sub.lastSeen, sub.isRegistry = now, request.IsRegistry
+	sub.incarnation, sub.version, sub.table, sub.acceptsDifferences =
+		request.Incarnation, request.Version, request.Table, request.AcceptsDifferences
+	sub.confirmedVersion = request.Version
 	if request.Incarnation != m.incarnation {
-		s.topologyVersion, s.confirmedVersion = 0, 0
+		sub.topologyVersion, sub.confirmedVersion = 0, 0
 	}
 	if request.IsRegistry {
 		m.learnRegistry(now, from)
@@ -116,7 +118,7 @@
 	if request.Table > m.table.number() {
 		m.pullAt = now // asks the cores for the newer table at once
 	}
-	m.sendUpdate(now, from, s, true)
+	m.sendUpdate(now, from, sub, true)
 	m.answerDepartures(now)
 }
 
--- a/peer/registry/table.go
+++ b/peer/registry/table.go
@@ -13,11 +13,11 @@
 
 // updateConfirmation records until when this registry's table was certainly the current one.
 func (m *Machine) updateConfirmation(now time.Duration) {
-	if m.lastFresh.UpTo == (partition.Version{}) || m.pulledUpTo.Less(m.lastFresh.UpTo) {
+	if m.lastFreshness.UpTo == (partition.Version{}) || m.pulledUpTo.Less(m.lastFreshness.UpTo) {
 		return
 	}
 	isFirst := m.lastConfirmed < 0
-	m.lastConfirmed = max(m.lastConfirmed, m.lastFresh.SentAt-m.lastFresh.Age)
+	m.lastConfirmed = max(m.lastConfirmed, m.lastFreshness.SentAt-m.lastFreshness.Age)
 	if isFirst {
 		for _, address := range ordered.Keys(m.subscribers) {
 			m.sendUpdate(now, address, m.subscribers[address], true)
@@ -33,22 +33,22 @@
 		return
 	}
 	m.pulledUpTo = snapshot.UpTo
-	t := core.Topology{Fleet: m.topology.Fleet, Cores: map[string]core.Core{}}
-	for _, e := range snapshot.Entries {
+	topology := core.Topology{Fleet: m.topology.Fleet, Cores: map[string]core.Core{}}
+	for _, entry := range snapshot.Entries {
 		switch {
-		case e.Key == core.TableKey:
+		case entry.Key == core.TableKey:
 			var current core.CurrentTable
-			if message.Unmarshal(e.Value, &current) == nil {
+			if message.Unmarshal(entry.Value, &current) == nil {
 				m.installText(now, current.Number, current.Digest, current.Text)
 			}
-		case core.IsCoreKey(e.Key) && !e.Deleted:
+		case core.IsCoreKey(entry.Key) && !entry.Deleted:
 			var c core.Core
-			if message.Unmarshal(e.Value, &c) == nil {
-				t.Cores[c.ID] = c
+			if message.Unmarshal(entry.Value, &c) == nil {
+				topology.Cores[c.ID] = c
 			}
 		}
 	}
-	m.mergeTopology(now, t)
+	m.mergeTopology(now, topology)
 	m.updateConfirmation(now)
 }
 
@@ -104,17 +104,17 @@
 	return *m.out
 }
 
-func (m *Machine) proposeTable(now time.Duration, ticket uint64, c core.AcceptTable, parsed *route.Table, deadline time.Duration) {
-	m.caller.Call(now, c, deadline, func(now time.Duration, o core.Outcome) {
-		accepted, ok := o.Answer.(core.AcceptTableResult)
+func (m *Machine) proposeTable(now time.Duration, ticket uint64, command core.AcceptTable, parsed *route.Table, deadline time.Duration) {
+	m.caller.Call(now, command, deadline, func(now time.Duration, outcome core.Outcome) {
+		accepted, ok := outcome.Answer.(core.AcceptTableResult)
 		switch {
 		case !ok:
 			m.resolve(ticket, OrderResult{Uncertain: true})
 		case accepted.OK:
 			m.Counters.TablesApplied++
-			m.install(now, parsed, c.Digest)
+			m.install(now, parsed, command.Digest)
 			m.resolve(ticket, OrderResult{Accepted: true, Number: accepted.Number})
-		case parsed.Number <= accepted.Number && c.Base == accepted.Number:
+		case parsed.Number <= accepted.Number && command.Base == accepted.Number:
 			m.resolve(ticket, OrderResult{Number: accepted.Number, Faults: configuration.Faults{{
 				Path:    "number",
 				Value:   parsed.Number,
@@ -131,9 +131,9 @@
 func (m *Machine) Read(now time.Duration, ticket uint64) Output {
 	m.out = &Output{}
 	m.addPending(now, ticket, core.CurrentTable{})
-	m.caller.Call(now, core.ReadTable{}, now+m.params.OperationTimeout, func(now time.Duration, o core.Outcome) {
-		t, _ := o.Answer.(core.CurrentTable)
-		m.resolve(ticket, t)
+	m.caller.Call(now, core.ReadTable{}, now+m.params.OperationTimeout, func(now time.Duration, outcome core.Outcome) {
+		table, _ := outcome.Answer.(core.CurrentTable)
+		m.resolve(ticket, table)
 	})
 	return *m.out
 }
--- a/peer/registry/topology.go
+++ b/peer/registry/topology.go
@@ -13,9 +13,9 @@
 func (m *Machine) coreAddresses() []string { return CoreAddresses(m.topology) }
 
 // CoreAddresses returns the sorted peer addresses of the cores that are not retired.
-func CoreAddresses(t core.Topology) []string {
+func CoreAddresses(topology core.Topology) []string {
 	var addresses []string
-	for _, c := range t.Cores {
+	for _, c := range topology.Cores {
 		if !c.Retired && c.Peer != "" && !slices.Contains(addresses, c.Peer) {
 			addresses = append(addresses, c.Peer)
 		}
@@ -38,7 +38,7 @@
 func (m *Machine) onAnnounceCore(now time.Duration, from string, announced core.AnnounceCore) {
 	if len(m.topology.Leaders) == 0 {
 		if _, ok := m.foundingCores[announced.Core.ID]; !ok || m.foundingCores[announced.Core.ID].Incarnation != announced.Core.Incarnation {
-			m.foundingCoresAt = now
+			m.foundingCoresChangedAt = now
 		}
 		if announced.MayFound {
 			m.foundingCores[announced.Core.ID] = announced.Core
@@ -101,9 +101,9 @@
 }
 
 // HintLeaders sets the leader addresses of a caller from a topology.
-func HintLeaders(caller *core.Caller, t core.Topology) {
-	for n, term := range t.Leaders {
-		for _, c := range t.Cores {
+func HintLeaders(caller *core.Caller, topology core.Topology) {
+	for n, term := range topology.Leaders {
+		for _, c := range topology.Cores {
 			if c.MemberID() == term.Leader {
 				caller.SetLeader(n, c.Peer)
 			}
@@ -111,15 +111,18 @@
 	}
 }
 
+// foundingRetriesPerSettleTime is how often a founding is sent per settle time.
+const foundingRetriesPerSettleTime = 4
+
 // sendFounding founds the fleet once enough cores have announced themselves and no new one has
 // appeared for a heartbeat interval.
 func (m *Machine) sendFounding(now time.Duration) {
 	settleTime := m.params.HeartbeatInterval
 	if !m.foundsFleet || len(m.topology.Leaders) > 0 || len(m.foundingCores) < m.params.GroupSize ||
-		now < m.sendFoundingAt || now < m.foundingCoresAt+settleTime {
+		now < m.sendFoundingAt || now < m.foundingCoresChangedAt+settleTime {
 		return
 	}
-	m.sendFoundingAt = now + settleTime/4
+	m.sendFoundingAt = now + settleTime/foundingRetriesPerSettleTime
 	if m.founding == nil {
 		// It is planned once, so that every retry sends the same founding.
 		var cores []core.Core
--- a/peer/stream/stream.go
+++ b/peer/stream/stream.go
@@ -75,7 +75,17 @@
 	lastUsed time.Duration
 }
 
-const defaultIdleTimeout = time.Minute
+const (
+	defaultIdleTimeout = time.Minute
+	// A dial may take Timeout/dialTimeoutDivisor; dials start at least
+	// Timeout/redialPauseDivisor apart.
+	dialTimeoutDivisor = 3
+	redialPauseDivisor = 10
+	// idleChecksPerTimeout is how often idle streams are looked for per IdleTimeout.
+	idleChecksPerTimeout = 2
+	countsQueueSize      = 64
+	readBufferBytes      = 16 << 10
+)
 
 // Listen opens the listening socket. Run then accepts streams.
 func Listen(p Params) (*Transport, error) {
@@ -89,7 +99,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Transport{
 		In:       make(chan Incoming, p.QueueSize),
-		Counts:   make(chan Counters, 64),
+		Counts:   make(chan Counters, countsQueueSize),
 		params:   p,
 		listener: listener,
 		outbound: map[string]*outbound{},
@@ -101,14 +111,14 @@
 // Run accepts streams until Close.
 func (t *Transport) Run() error {
 	for {
-		c, err := t.listener.Accept()
+		conn, err := t.listener.Accept()
 		if err != nil {
 			if t.ctx.Err() != nil {
 				return nil
 			}
 			return errors.Wrap(err, "accepting a stream")
 		}
-		go t.serve(c)
+		go t.serve(conn)
 	}
 }
 
@@ -155,7 +165,7 @@
 	if now < t.nextIdleCheck {
 		return
 	}
-	t.nextIdleCheck = now + t.params.IdleTimeout/2
+	t.nextIdleCheck = now + t.params.IdleTimeout/idleChecksPerTimeout
 	for address, out := range t.outbound {
 		if now > out.lastUsed+t.params.IdleTimeout {
 			close(out.messages)
@@ -165,38 +175,38 @@
 }
 
 // writeLoop writes queued messages to a member, and drops them while it is unreachable.
-func (t *Transport) writeLoop(to string, out chan []byte) {
-	var c net.Conn
+func (t *Transport) writeLoop(to string, messages chan []byte) {
+	var conn net.Conn
 	var frames []byte
 	dialedAt := -t.params.Timeout
 	for {
 		var raw []byte
 		open := false
 		select {
-		case raw, open = <-out:
+		case raw, open = <-messages:
 		case <-t.ctx.Done():
 		}
 		if !open {
 			// The transport is closed, or the stream is idle.
-			if c != nil {
-				c.Close()
+			if conn != nil {
+				conn.Close()
 			}
 			return
 		}
-		if c == nil {
-			if clock.Now()-dialedAt < t.params.Timeout/10 {
+		if conn == nil {
+			if clock.Now()-dialedAt < t.params.Timeout/redialPauseDivisor {
 				// Too soon after the last dial.
 				continue
 			}
 			dialedAt = clock.Now()
-			if c = t.dial(to); c == nil {
+			if conn = t.dial(to); conn == nil {
 				continue
 			}
 		}
 		frames = append(binary.LittleEndian.AppendUint32(frames[:0], uint32(len(raw))), raw...)
 		for more := true; more && len(frames) < batchBytes; {
 			select {
-			case raw, open = <-out:
+			case raw, open = <-messages:
 				if !open {
 					more = false
 					break
@@ -206,14 +216,14 @@
 				more = false
 			}
 		}
-		c.SetWriteDeadline(clock.Deadline(t.params.Timeout))
-		_, err := c.Write(frames)
+		conn.SetWriteDeadline(clock.Deadline(t.params.Timeout))
+		_, err := conn.Write(frames)
 		if cap(frames) > 4*batchBytes {
 			frames = nil
 		}
 		if err != nil {
-			c.Close()
-			c = nil
+			conn.Close()
+			conn = nil
 		}
 	}
 }
@@ -234,35 +244,39 @@
 	// Without the user timeout, a stream would stay silent long after a network partition
 	// has healed. The dial timeout is short, so that a dial to an unreachable machine does
 	// not block long after the machine is back.
-	dialer := net.Dialer{Timeout: t.params.Timeout / 3, KeepAlive: -1, Control: socket.UserTimeout(t.params.Timeout)}
+	dialer := net.Dialer{
+		Timeout:   t.params.Timeout / dialTimeoutDivisor,
+		KeepAlive: -1,
+		Control:   socket.UserTimeout(t.params.Timeout),
+	}
 	if host, _, err := net.SplitHostPort(t.params.Advertise); err == nil {
 		if ip := net.ParseIP(host); ip != nil && !ip.IsUnspecified() {
 			dialer.LocalAddr = &net.TCPAddr{IP: ip}
 		}
 	}
-	c, err := dialer.DialContext(t.ctx, "tcp", to)
+	conn, err := dialer.DialContext(t.ctx, "tcp", to)
 	if err != nil {
 		return nil
 	}
-	c.SetDeadline(clock.Deadline(t.params.Timeout))
+	conn.SetDeadline(clock.Deadline(t.params.Timeout))
 	nonce := make([]byte, nonceSize)
-	if _, err := io.ReadFull(c, nonce); err != nil {
-		c.Close()
+	if _, err := io.ReadFull(conn, nonce); err != nil {
+		conn.Close()
 		return nil
 	}
 	hello := append(t.handshakeMAC(nonce, t.params.Advertise), version(), byte(len(t.params.Advertise)))
-	if _, err := c.Write(append(hello, t.params.Advertise...)); err != nil {
-		c.Close()
+	if _, err := conn.Write(append(hello, t.params.Advertise...)); err != nil {
+		conn.Close()
 		return nil
 	}
-	c.SetDeadline(time.Time{})
+	conn.SetDeadline(time.Time{})
 	// The peer never sends on this stream, so a read returns when the stream ends.
 	buffer := make([]byte, 1)
 	go func() {
-		c.Read(buffer)
-		c.Close()
+		conn.Read(buffer)
+		conn.Close()
 	}()
-	return c
+	return conn
 }
 
 func (t *Transport) handshakeMAC(nonce []byte, address string) []byte {
@@ -272,22 +286,22 @@
 	return mac.Sum(nil)
 }
 
-func (t *Transport) serve(c net.Conn) {
-	defer c.Close()
-	stop := context.AfterFunc(t.ctx, func() { c.Close() })
+func (t *Transport) serve(conn net.Conn) {
+	defer conn.Close()
+	stop := context.AfterFunc(t.ctx, func() { conn.Close() })
 	defer stop()
-	from, err := t.handshake(c)
+	from, err := t.handshake(conn)
 	if err != nil {
 		t.count(Counters{BadStreams: 1})
 		return
 	}
-	head := make([]byte, 4)
-	reader := bufio.NewReaderSize(c, 16<<10)
+	lengthPrefix := make([]byte, 4)
+	reader := bufio.NewReaderSize(conn, readBufferBytes)
 	for {
-		if _, err := io.ReadFull(reader, head); err != nil {
+		if _, err := io.ReadFull(reader, lengthPrefix); err != nil {
 			return
 		}
-		size := binary.LittleEndian.Uint32(head)
+		size := binary.LittleEndian.Uint32(lengthPrefix)
 		if size > uint32(t.params.MaxMessageBytes) {
 			t.count(Counters{BadStreams: 1})
 			return
@@ -315,21 +329,21 @@
 }
 
 // handshake authenticates the dialing side and returns its advertised address.
-func (t *Transport) handshake(c net.Conn) (string, error) {
+func (t *Transport) handshake(conn net.Conn) (string, error) {
 	nonce := make([]byte, nonceSize)
 	if _, err := rand.Read(nonce); err != nil {
 		return "", err
 	}
-	c.SetDeadline(clock.Deadline(t.params.Timeout))
-	if _, err := c.Write(nonce); err != nil {
+	conn.SetDeadline(clock.Deadline(t.params.Timeout))
+	if _, err := conn.Write(nonce); err != nil {
 		return "", err
 	}
 	hello := make([]byte, helloSize)
-	if _, err := io.ReadFull(c, hello); err != nil {
+	if _, err := io.ReadFull(conn, hello); err != nil {
 		return "", err
 	}
 	address := make([]byte, hello[macSize+1])
-	if _, err := io.ReadFull(c, address); err != nil {
+	if _, err := io.ReadFull(conn, address); err != nil {
 		return "", err
 	}
 	if !hmac.Equal(hello[:macSize], t.handshakeMAC(nonce, string(address))) {
@@ -339,7 +353,7 @@
 		t.count(Counters{VersionMismatches: 1, PeerAddress: string(address), PeerVersion: peerVersion})
 		return "", errors.Newf("version %d of %s is not compatible with version %d", peerVersion, address, version())
 	}
-	c.SetDeadline(time.Time{})
+	conn.SetDeadline(time.Time{})
 	return string(address), nil
 }
 
--- a/rehearsalkit/breaks/soak.go
+++ b/rehearsalkit/breaks/soak.go
@@ -69,7 +69,7 @@
 	{What: "two tables with the same base are both accepted", File: "peer/core/orders.go", Seeds: 3,
 		From: "if current.Number != c.Base || c.Number <= current.Number {", To: "if c.Number <= current.Number {"},
 	{What: "an amendment is applied to a table other than its base", File: "peer/registry/amend.go", Seeds: 1, Elsewhere: "TestAmend; the cores refuse it too, so the soak sees only a lost race",
-		From: "case current.Number != a.Base:", To: "case false:"},
+		From: "case current.Number != amendment.Base:", To: "case false:"},
 	{What: "a replica that sheds load attracts all calls", File: "rule/placement/replica.go", Seeds: 1, Elsewhere: "TestRejectingReplicaIsAvoided; the soak's replicas do not shed while they have room",
 		From: "	r.failures.Add(now, heartbeat, 0, 1)\n	r.unreported.Failed++\n}", To: "}"},
 	{What: "a replica's failures are never forgotten", File: "rule/placement/failurerate.go", Seeds: 1, Elsewhere: "TestFailingReplicaIsAvoidedUntilRecovery",
