--- a/peer/disk/checksum_test.go
+++ b/peer/disk/checksum_test.go
@@ -23,7 +23,7 @@
 		before := s.Size()
 		must(t, s.Append(append(make([]byte, 600), embedded...)))
 		must(t, s.Close())
-		change(t, path, "log-1", func(raw []byte) []byte {
+		rewriteFile(t, path, "log-1", func(raw []byte) []byte {
 			clear(raw[before : before+512])
 			return raw
 		})
@@ -34,8 +34,8 @@
 	}
 }
 
-// neutralBlock returns a non-zero block that leaves a CRC unchanged, found by linear
-// dependence of the CRCs of its single bits.
+// neutralBlock returns a non-zero block that leaves a CRC unchanged, by linear dependence of
+// the CRCs of its single bits.
 func neutralBlock(t *testing.T, size int) []byte {
 	t.Helper()
 	table := crc32.MakeTable(crc32.Castagnoli)
@@ -83,8 +83,8 @@
 	must(t, s.Close())
 	// Simulates a power failure before the log of the new state was installed.
 	must(t, systemFiles{}.Remove(filepath.Join(path, "log-0")))
-	change(t, path, "log-1", func([]byte) []byte { return log })
-	change(t, path, "slot-0", func(raw []byte) []byte {
+	rewriteFile(t, path, "log-1", func([]byte) []byte { return log })
+	rewriteFile(t, path, "slot-0", func(raw []byte) []byte {
 		clear(raw[len(raw)-2*block : len(raw)-block])
 		return raw
 	})
@@ -94,8 +94,7 @@
 	}
 }
 
-// TestFormatOne checks that a directory in the first format is read and appended to,
-// and rewritten in the current format by Replace.
+// TestFormatOne checks that the first format is read and appended to until Replace.
 func TestFormatOne(t *testing.T) {
 	path := t.TempDir()
 	table := crc32.MakeTable(crc32.Castagnoli)
@@ -132,12 +131,12 @@
 	}
 }
 
-// TestDamagedKey guards against mistaking a log whose key is damaged for one with an
-// interrupted write: no record can be verified without the key.
+// TestDamagedKey guards against taking a damaged key for an interrupted write: without the
+// key, no record can be verified.
 func TestDamagedKey(t *testing.T) {
 	for at := len(logMagic); at < logHeaderSize; at++ {
 		path := newStore(t)
-		change(t, path, "log-1", func(raw []byte) []byte { raw[at] ^= 1; return raw })
+		rewriteFile(t, path, "log-1", func(raw []byte) []byte { raw[at] ^= 1; return raw })
 		if _, _, err := Open(path); !errors.Is(err, ErrDamaged) {
 			t.Errorf("byte %d of the header: %v", at, err)
 		}
--- a/peer/registry/machine_test.go
+++ b/peer/registry/machine_test.go
@@ -15,8 +15,16 @@
 const heartbeat = time.Second
 
 func newRegistry(change func(o *Options)) *Machine {
-	o := Options{ID: "d1", Incarnation: "l1", Address: "d1:1", Seeds: []string{"d1:1", "d2:1"}, Random: func() float64 { return 0.5 },
-		Params: Params{Core: core.Params{MemberLease: time.Second, AttemptTimeout: 100 * time.Millisecond, PullInterval: 100 * time.Millisecond}, HeartbeatInterval: heartbeat, GroupSize: 3, PartitionsPerCore: 2, OperationTimeout: time.Second}}
+	o := Options{
+		ID: "d1", Incarnation: "l1", Address: "d1:1", Seeds: []string{"d1:1", "d2:1"}, Random: func() float64 { return 0.5 },
+		Params: Params{
+			Core:              core.Params{MemberLease: time.Second, AttemptTimeout: 100 * time.Millisecond, PullInterval: 100 * time.Millisecond},
+			HeartbeatInterval: heartbeat,
+			GroupSize:         3,
+			PartitionsPerCore: 2,
+			OperationTimeout:  time.Second,
+		},
+	}
 	if change != nil {
 		change(&o)
 	}
@@ -38,8 +46,7 @@
 	return Replica{ID: "r1", Service: "app", Address: "r1:1", Slots: 4, Sequence: call, Leaving: leaving}
 }
 
-// TestChangeIsSentAtOnce checks that a change is sent to every subscribed node at once, and again
-// if a renewal shows that it was lost.
+// TestChangeIsSentAtOnce also checks that a change is sent again if a renewal shows its loss.
 func TestChangeIsSentAtOnce(t *testing.T) {
 	m := newRegistry(nil)
 	first := sentTo[Update](m.Receive(0, "n1:1", Subscribe{Node: "n1"}), "n1:1")
@@ -62,8 +69,7 @@
 	}
 }
 
-// TestDepartureIsFinal checks that no later or delayed heartbeat reverts a departure, and that a
-// replica that left stays removed.
+// TestDepartureIsFinal guards against a later or delayed heartbeat that reverts a departure.
 func TestDepartureIsFinal(t *testing.T) {
 	m := newRegistry(nil)
 	m.Heartbeat(0, 0, replica(5, true))
@@ -79,8 +85,7 @@
 	}
 }
 
-// TestSilentReplicaExpiresAndReturns checks that a silent replica expires, and that only a newer
-// heartbeat brings it back.
+// TestSilentReplicaExpiresAndReturns checks that only a newer heartbeat brings a replica back.
 func TestSilentReplicaExpiresAndReturns(t *testing.T) {
 	m := newRegistry(nil)
 	m.Heartbeat(0, 0, replica(1, false))
@@ -102,8 +107,6 @@
 	}
 }
 
-// TestRestoredReplicaExpiresAfterTwoHeartbeats checks how long a list from before a restart is
-// used without new heartbeats.
 func TestRestoredReplicaExpiresAfterTwoHeartbeats(t *testing.T) {
 	m := newRegistry(func(o *Options) { o.KnownReplicas, o.Now = []ReplicaEntry{{Replica: replica(1, false)}}, 100*heartbeat })
 	m.Tick(101 * heartbeat)
@@ -116,8 +119,8 @@
 	}
 }
 
-// TestFounding checks that one registry founds the fleet, once there are enough cores for a group
-// and no new one appeared for a heartbeat interval, and that retries send the same founding.
+// TestFounding guards against founding too early, by several registries, or differently in a
+// retry.
 func TestFounding(t *testing.T) {
 	present := func(m *Machine, now time.Duration, ids ...string) {
 		for _, id := range ids {
@@ -152,18 +155,30 @@
 }
 
 func foundFleet(m *Machine) core.Topology {
-	t := core.Topology{Fleet: "f", GroupSize: 1, Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1", Version: 1}}, Leaders: []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}}, Groups: make([]partition.Group, 2)}
-	m.Receive(0, "c:1", t)
-	return t
+	topology := core.Topology{
+		Fleet:     "f",
+		GroupSize: 1,
+		Cores:     map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "c:1", Version: 1}},
+		Leaders:   []partition.Term{{Round: 1, Leader: "c.1"}, {Round: 1, Leader: "c.1"}},
+		Groups:    make([]partition.Group, 2),
+	}
+	m.Receive(0, "c:1", topology)
+	return topology
 }
 
 func table(number uint64) []byte {
-	text, _ := json.Marshal(route.Table{Number: number, Limits: route.Limits{HeaderBytes: 1000, BodyBytes: 1000}, Routes: []route.Route{}, Services: []route.Service{}, Tenants: []route.Tenant{}})
+	text, _ := json.Marshal(route.Table{
+		Number:   number,
+		Limits:   route.Limits{HeaderBytes: 1000, BodyBytes: 1000},
+		Routes:   []route.Route{},
+		Services: []route.Service{},
+		Tenants:  []route.Tenant{},
+	})
 	return text
 }
 
-// TestApply checks that faulty tables are not proposed, that the cores' decision is the answer,
-// and that an accepted table is sent to subscribers in the same step.
+// TestApply checks that only valid tables are proposed, and that an accepted one is sent to
+// subscribers in the same step.
 func TestApply(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -209,8 +224,8 @@
 	}
 }
 
-// TestRetirementNeedsEveryPartition checks that a core's retirement is not done while it is a
-// member of some group, old or new, or while a partition does not answer.
+// TestRetirementNeedsEveryPartition checks that a retirement is not done while the core is in some
+// group, old or new, or while a partition does not answer.
 func TestRetirementNeedsEveryPartition(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -226,7 +241,11 @@
 		topology := foundFleet(m)
 		retired := topology.Cores["c"]
 		retired.Retired, retired.Version = true, 2
-		m.Receive(0, "x:1", core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": retired, "x": {ID: "x", Incarnation: "1", Peer: "x:1", Version: 1}}, Leaders: []partition.Term{{Round: 2, Leader: "x.1"}, {Round: 2, Leader: "x.1"}}})
+		m.Receive(0, "x:1", core.Topology{
+			Fleet:   "f",
+			Cores:   map[string]core.Core{"c": retired, "x": {ID: "x", Incarnation: "1", Peer: "x:1", Version: 1}},
+			Leaders: []partition.Term{{Round: 2, Leader: "x.1"}, {Round: 2, Leader: "x.1"}},
+		})
 		o := m.RetirementStatus(time.Millisecond, 9, "c")
 		answers := o.Answers
 		for i, command := range sentTo[core.Command](o, "x:1") {
@@ -243,8 +262,8 @@
 	}
 }
 
-// TestRegistriesReplicateDepartures checks that a departure acknowledged by one registry survives
-// its loss, and is sent to another registry only once unless that one lost it.
+// TestRegistriesReplicateDepartures guards against the loss of a departure with the registry that
+// acknowledged it, and against sending it twice needlessly.
 func TestRegistriesReplicateDepartures(t *testing.T) {
 	for name, leave := range map[string]func(m *Machine) Output{
 		"leaving": func(m *Machine) Output { return m.Heartbeat(time.Second, 0, replica(2, true)) },
--- a/peer/registry/table.go
+++ b/peer/registry/table.go
@@ -11,13 +11,13 @@
 	"saffronfall/rule/route"
 )
 
-// updateConfirmation records the time up to which this registry has the current table for certain.
+// updateConfirmation records until when this registry's table was certainly the current one.
 func (m *Machine) updateConfirmation(now time.Duration) {
-	if m.lastFresh.UpTo == (partition.Version{}) || m.pulledUpTo.Less(m.lastFresh.UpTo) {
+	if m.lastFreshness.UpTo == (partition.Version{}) || m.pulledUpTo.Less(m.lastFreshness.UpTo) {
 		return
 	}
 	isFirst := m.lastConfirmed < 0
-	m.lastConfirmed = max(m.lastConfirmed, m.lastFresh.SentAt-m.lastFresh.Age)
+	m.lastConfirmed = max(m.lastConfirmed, m.lastFreshness.SentAt-m.lastFreshness.Age)
 	if isFirst {
 		for _, address := range ordered.Keys(m.subscribers) {
 			m.sendUpdate(now, address, m.subscribers[address], true)
@@ -25,29 +25,30 @@
 	}
 }
 
-// onTableSnapshot handles an update of the configuration partition: its table and cores. An
-// update that is no snapshot must continue at the version that was already pulled.
+// onTableSnapshot handles an update of the configuration partition. An update that is no
+// snapshot must continue at the version already pulled.
 func (m *Machine) onTableSnapshot(now time.Duration, snapshot core.Update) {
-	if snapshot.Partition != core.ConfigurationPartition || !m.pulledUpTo.Less(snapshot.UpTo) || (!snapshot.Snapshot && m.pulledUpTo.Less(snapshot.After)) {
+	if snapshot.Partition != core.ConfigurationPartition || !m.pulledUpTo.Less(snapshot.UpTo) ||
+		(!snapshot.Snapshot && m.pulledUpTo.Less(snapshot.After)) {
 		return
 	}
 	m.pulledUpTo = snapshot.UpTo
-	t := core.Topology{Fleet: m.topology.Fleet, Cores: map[string]core.Core{}}
-	for _, e := range snapshot.Entries {
+	topology := core.Topology{Fleet: m.topology.Fleet, Cores: map[string]core.Core{}}
+	for _, entry := range snapshot.Entries {
 		switch {
-		case e.Key == core.TableKey:
+		case entry.Key == core.TableKey:
 			var current core.CurrentTable
-			if message.Unmarshal(e.Value, &current) == nil {
+			if message.Unmarshal(entry.Value, &current) == nil {
 				m.installText(now, current.Number, current.Digest, current.Text)
 			}
-		case core.IsCoreKey(e.Key) && !e.Deleted:
+		case core.IsCoreKey(entry.Key) && !entry.Deleted:
 			var c core.Core
-			if message.Unmarshal(e.Value, &c) == nil {
-				t.Cores[c.ID] = c
+			if message.Unmarshal(entry.Value, &c) == nil {
+				topology.Cores[c.ID] = c
 			}
 		}
 	}
-	m.mergeTopology(now, t)
+	m.mergeTopology(now, topology)
 	m.updateConfirmation(now)
 }
 
@@ -57,7 +58,12 @@
 // pull requests changes of the configuration partition from its leader while that answers,
 // otherwise from all cores.
 func (m *Machine) pull(now time.Duration) {
-	request := core.PullUpdates{Versions: map[int]partition.Version{core.ConfigurationPartition: m.pulledUpTo}, WantFreshness: true, SentAt: now, WantTopology: len(m.topology.Leaders) == 0 || m.random() < topologyShare}
+	request := core.PullUpdates{
+		Versions:      map[int]partition.Version{core.ConfigurationPartition: m.pulledUpTo},
+		WantFreshness: true,
+		SentAt:        now,
+		WantTopology:  len(m.topology.Leaders) == 0 || m.random() < topologyShare,
+	}
 	if to := m.caller.Leader(core.ConfigurationPartition); to != "" && m.coresReachable(now) {
 		m.addSend(to, request)
 		return
@@ -70,21 +76,20 @@
 
 // OrderResult is the result of an operator's table or amendment.
 type OrderResult struct {
-	// Accepted is set if the table is in force and durable. Uncertain is set if the outcome
-	// is unknown; repeating the same order is safe.
+	// Accepted is set if the table is in force and durable, Uncertain if the outcome is
+	// unknown; repeating the same order is safe.
 	Accepted  bool `json:"taken"`
 	Uncertain bool `json:"unsure"`
-	// RaceLost is set if the order's base is not the current table. Number is that of the
-	// current table.
+	// RaceLost is set if the order's base is not the current table, which has this Number.
 	RaceLost bool                 `json:"race_lost"`
 	Number   uint64               `json:"number"`
 	Faults   configuration.Faults `json:"faults,omitempty"`
-	// Preview lists the changes of an amendment with PreviewOnly.
+	// Preview is set for an amendment with PreviewOnly.
 	Preview *route.Preview `json:"preview,omitempty"`
 }
 
-// Apply checks a table and proposes it to the cores as the successor of table base. The ticket
-// is answered with an OrderResult.
+// Apply proposes a valid table to the cores as the successor of table base. The ticket is
+// answered with an OrderResult.
 func (m *Machine) Apply(now time.Duration, ticket uint64, base uint64, text []byte, digest string) Output {
 	m.out = &Output{}
 	parsed, faults := route.Parse(text)
@@ -94,23 +99,27 @@
 		return *m.out
 	}
 	m.addPending(now, ticket, OrderResult{Uncertain: true})
-	m.proposeTable(now, ticket, core.AcceptTable{Base: base, Number: parsed.Number, Text: text, Digest: digest}, parsed, now+m.params.OperationTimeout)
+	m.proposeTable(now, ticket, core.AcceptTable{Base: base, Number: parsed.Number, Text: text, Digest: digest},
+		parsed, now+m.params.OperationTimeout)
 	return *m.out
 }
 
-// proposeTable proposes a checked table to the cores and answers the call.
-func (m *Machine) proposeTable(now time.Duration, ticket uint64, c core.AcceptTable, parsed *route.Table, deadline time.Duration) {
-	m.caller.Call(now, c, deadline, func(now time.Duration, o core.Outcome) {
-		accepted, ok := o.Answer.(core.AcceptTableResult)
+func (m *Machine) proposeTable(now time.Duration, ticket uint64, command core.AcceptTable, parsed *route.Table, deadline time.Duration) {
+	m.caller.Call(now, command, deadline, func(now time.Duration, outcome core.Outcome) {
+		accepted, ok := outcome.Answer.(core.AcceptTableResult)
 		switch {
 		case !ok:
 			m.resolve(ticket, OrderResult{Uncertain: true})
 		case accepted.OK:
 			m.Counters.TablesApplied++
-			m.install(now, parsed, c.Digest)
+			m.install(now, parsed, command.Digest)
 			m.resolve(ticket, OrderResult{Accepted: true, Number: accepted.Number})
-		case parsed.Number <= accepted.Number && c.Base == accepted.Number:
-			m.resolve(ticket, OrderResult{Number: accepted.Number, Faults: configuration.Faults{{Path: "number", Value: parsed.Number, Allowed: "a number above that of the current table"}}})
+		case parsed.Number <= accepted.Number && command.Base == accepted.Number:
+			m.resolve(ticket, OrderResult{Number: accepted.Number, Faults: configuration.Faults{{
+				Path:    "number",
+				Value:   parsed.Number,
+				Allowed: "a number above that of the current table",
+			}}})
 		default:
 			m.resolve(ticket, OrderResult{RaceLost: true, Number: accepted.Number})
 		}
@@ -122,9 +131,9 @@
 func (m *Machine) Read(now time.Duration, ticket uint64) Output {
 	m.out = &Output{}
 	m.addPending(now, ticket, core.CurrentTable{})
-	m.caller.Call(now, core.ReadTable{}, now+m.params.OperationTimeout, func(now time.Duration, o core.Outcome) {
-		t, _ := o.Answer.(core.CurrentTable)
-		m.resolve(ticket, t)
+	m.caller.Call(now, core.ReadTable{}, now+m.params.OperationTimeout, func(now time.Duration, outcome core.Outcome) {
+		table, _ := outcome.Answer.(core.CurrentTable)
+		m.resolve(ticket, table)
 	})
 	return *m.out
 }
