--- a/peer/front/handler.go
+++ b/peer/front/handler.go
@@ -1,10 +1,9 @@
-// Package front is the HTTP server of a relay node. It reads requests, asks a Dispatcher
-// for each next step, sends attempts to replicas and returns their responses.
+// Package front is the HTTP server of a relay node. It reads requests, asks a Dispatcher for each
+// step, sends attempts to replicas and returns their responses.
 //
-// A response that is not streamed is forwarded only if it arrived complete; a stream is
-// forwarded in whole events, and an interrupted one never looks complete to the
-// requester. Memory, connections and time that requesters can hold are limited (see
-// intake and Serve). Start reading at handler.ServeHTTP.
+// A buffered response is forwarded only if it arrived complete. A stream is forwarded in whole
+// events, and an interrupted one never looks complete to the requester. Memory, connections and
+// time that requesters can hold are limited. Start reading at handler.ServeHTTP.
 package front
 
 import (
@@ -28,39 +27,36 @@
 
 // Dispatcher decides what happens to requests: admission, replica choice and retries.
 type Dispatcher interface {
-	// Dispatch hands over a request and waits for its first step. The pool is that
-	// of the replica if the step is relay.StepSend. The result is false if the node stops
-	// before that.
+	// Dispatch submits a request and waits for its first step. The pool is that of the replica
+	// for relay.StepSend. The bool is false if the node stops first.
 	Dispatch(ctx context.Context, spec relay.Request) (DispatchedRequest, relay.Step, *replica.Pool, bool)
 }
 
 // DispatchedRequest is a request that a Dispatcher has accepted.
 type DispatchedRequest interface {
-	// Next reports the outcome of the last attempt and waits for the next step. Its
-	// results are those of Dispatch.
+	// Next reports the last attempt's outcome and waits for the next step, like Dispatch.
 	Next(o relay.Outcome) (relay.Step, *replica.Pool, bool)
 }
 
 // Options configure a handler.
 type Options struct {
 	Dispatcher Dispatcher
-	// Headers are the header names that requesters and replicas use.
-	Headers replica.Headers
-	// MaxBody is the largest body that is accepted from requesters and replicas, in bytes.
+	Headers    replica.Headers
+	// MaxBody limits the bodies from requesters and replicas, in bytes.
 	MaxBody int64
-	// Draining is closed when the node drains. Responses then close their connections.
+	// Draining is closed when the node drains; responses then close their connections.
 	Draining <-chan struct{}
-	// BodyTimeout limits how long a requester may take to send a body, in addition to the
-	// request's deadline. IntakeBytes limits the memory for the bodies of all open
-	// requests. Zero selects the defaults.
+	// BodyTimeout limits how long a body may take to arrive, in addition to the request's
+	// deadline. IntakeBytes limits the memory for the bodies of open requests. Zero selects the
+	// defaults.
 	BodyTimeout time.Duration
 	IntakeBytes int64
-	// HashKey is the fleet's secret key for hashing names that requesters choose.
+	// HashKey is the fleet's secret key for hashing requester-chosen names.
 	HashKey [2]uint64
-	// OnRejected, if set, is called for requests that were malformed or did not arrive
-	// complete, on the request's goroutine.
+	// OnRejected, if set, is called on the request's goroutine for malformed or incomplete
+	// requests.
 	OnRejected func(e relay.Completion)
-	// Violated is called for violated invariants; if it is nil, they panic.
+	// Violated reports violated invariants; if it is nil, they panic.
 	Violated invariant.Reporter
 }
 
@@ -80,22 +76,19 @@
 // exchange is one request and its response.
 type exchange struct {
 	*handler
-	w          http.ResponseWriter
-	r          *http.Request
-	controller *http.ResponseController
-	body       []byte
-	spec       relay.Request
-	dispatched DispatchedRequest
-	// started is set once the response's head has been written.
-	started bool
-	// lastEventID is the id of the last event that was forwarded.
+	w           http.ResponseWriter
+	r           *http.Request
+	controller  *http.ResponseController
+	body        []byte
+	spec        relay.Request
+	dispatched  DispatchedRequest
+	started     bool
 	lastEventID string
-	// output is the data of a stored turn's events.
-	output []byte
+	output      []byte
 }
 
-// ServeHTTP reads a request and follows the dispatcher's steps until it is answered. An
-// response that has begun and cannot be completed is aborted with its connection.
+// ServeHTTP follows the dispatcher's steps until the request is answered. A response that has
+// begun and cannot be completed is aborted with its connection.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-h.Draining:
@@ -106,7 +99,7 @@
 		}
 	}
 	x := &exchange{handler: h, w: w, r: r, controller: http.NewResponseController(w)}
-	// net/http flushes the connection's buffer after the handler has returned.
+	// net/http flushes the response after the handler returns.
 	defer x.setWriteTimeout(responseTimeout)
 	arrived := clock.Now()
 	spec, fault := h.parseHead(r)
@@ -148,7 +141,6 @@
 	panic(http.ErrAbortHandler)
 }
 
-// receiveBody reads the body within BodyTimeout and the request's deadline.
 func (x *exchange) receiveBody(b *body) error {
 	timeout := x.BodyTimeout
 	if x.spec.Remaining > 0 {
@@ -159,14 +151,14 @@
 	if err := b.read(x.r, x.MaxBody); err != nil {
 		return err
 	}
-	// From here on, net/http reads only to detect that the requester disconnects.
+	// From here on, net/http reads only to detect a disconnect.
 	x.setReadTimeout(0)
 	return nil
 }
 
-// discardBody makes the response close the connection of a request whose body is not
-// wanted. The server still reads from it for a limited time: closing a connection with
-// unread data would reset it, and the requester could lose the response.
+// discardBody makes the response close the connection if there is a body. The server still reads
+// for a limited time: closing with unread data would reset the connection, and the requester
+// could lose the response.
 func (x *exchange) discardBody() {
 	if x.r.ContentLength == 0 {
 		return
@@ -175,7 +167,6 @@
 	x.setReadTimeout(min(x.BodyTimeout, discardTimeout))
 }
 
-// rejectBody answers a request whose body could not be read.
 func (x *exchange) rejectBody(err error) {
 	x.discardBody()
 	switch {
@@ -190,10 +181,9 @@
 	}
 }
 
-// intakeRetryAfter is the Retry-After of requests refused for want of body memory.
+// intakeRetryAfter is the Retry-After when the intake is full.
 const intakeRetryAfter = 500 * time.Millisecond
 
-// reject answers a request that is malformed or incomplete, and reports it.
 func (x *exchange) reject(cause relay.Cause, s relay.Step) {
 	if x.OnRejected != nil {
 		x.OnRejected(relay.Completion{Cause: cause, Attempt: x.spec.Attempt, Program: x.spec.Program, Status: s.Status})
@@ -201,7 +191,7 @@
 	x.refuse(s)
 }
 
-// refuse writes the node's own response to a request that no replica answered.
+// refuse writes the node's own response.
 func (x *exchange) refuse(s relay.Step) {
 	x.setWriteTimeout(responseTimeout)
 	body, _ := json.Marshal(map[string]string{"error": s.Reason, "check": s.Check})
@@ -218,12 +208,21 @@
 	x.w.Write(body)
 }
 
-// hopByHop are the headers that concern one connection only, and Content-Length, which
-// is set anew.
-var hopByHop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
-	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true}
+// hopByHop are the headers of one connection, and Content-Length, which is set anew.
+var hopByHop = map[string]bool{
+	"Connection":          true,
+	"Keep-Alive":          true,
+	"Proxy-Connection":    true,
+	"Proxy-Authenticate":  true,
+	"Proxy-Authorization": true,
+	"Te":                  true,
+	"Trailer":             true,
+	"Transfer-Encoding":   true,
+	"Upgrade":             true,
+	"Content-Length":      true,
+}
 
-// endToEnd copies headers without the hop-by-hop ones and those named by skip.
+// endToEnd copies headers except the hop-by-hop ones and those named by skip.
 func endToEnd(from http.Header, skip ...string) http.Header {
 	to := make(http.Header, len(from))
 	for name, values := range from {
@@ -242,17 +241,23 @@
 	return to
 }
 
-// send makes one attempt at a replica, reports its outcome and returns the next step.
 func (x *exchange) send(s relay.Step, pool *replica.Pool) (relay.Step, *replica.Pool, bool) {
 	if s.Timeout <= 0 {
-		// The timeout expired before the attempt was started.
+		// The timeout expired before the attempt started.
 		return x.dispatched.Next(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true})
 	}
 	x.setWriteTimeout(s.Timeout)
 	n := x.Headers
-	q := replica.Request{Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Attempt: x.spec.Attempt, Timeout: s.Timeout, HasBody: x.r.ContentLength != 0 || x.r.Method == http.MethodPost,
-		Header: endToEnd(x.r.Header, n.Attempt, n.Key, n.Tenant, n.Target, n.Deadline, n.Urgency, "Expect"), Body: append(append([][]byte(nil), s.History...), x.body)}
-	q.NodeHeaders = append(q.NodeHeaders, [2]string{n.Attempt, x.spec.Attempt}, [2]string{n.Target, s.Replica.ID}, [2]string{n.Deadline, strconv.FormatInt(max(1, s.Timeout.Milliseconds()), 10)})
+	q := replica.Request{
+		Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Attempt: x.spec.Attempt, Timeout: s.Timeout,
+		HasBody: x.r.ContentLength != 0 || x.r.Method == http.MethodPost,
+		Header:  endToEnd(x.r.Header, n.Attempt, n.Key, n.Tenant, n.Target, n.Deadline, n.Urgency, "Expect"),
+		Body:    append(append([][]byte(nil), s.History...), x.body),
+	}
+	q.NodeHeaders = append(q.NodeHeaders,
+		[2]string{n.Attempt, x.spec.Attempt},
+		[2]string{n.Target, s.Replica.ID},
+		[2]string{n.Deadline, strconv.FormatInt(max(1, s.Timeout.Milliseconds()), 10)})
 	if s.Tenant != "" {
 		q.NodeHeaders = append(q.NodeHeaders, [2]string{n.Tenant, s.Tenant})
 	}
@@ -267,7 +272,8 @@
 	disconnected := x.r.Context().Err() != nil
 	switch {
 	case notSent:
-		return x.dispatched.Next(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true, RequesterDisconnected: disconnected, NewConnection: true})
+		return x.dispatched.Next(relay.Outcome{
+			Kind: relay.OutcomeNotRun, Unreachable: true, RequesterDisconnected: disconnected, NewConnection: true})
 	case err != nil:
 		return x.dispatched.Next(relay.Outcome{Kind: relay.OutcomeInterrupted, RequesterDisconnected: disconnected})
 	}
@@ -290,11 +296,11 @@
 	return x.dispatched.Next(o)
 }
 
-// maxNotRunBody is how many bytes are read of a response that says that the request did
-// not run. A connection with a longer one is not reused.
+// maxNotRunBody is how many bytes of a not-run response are read. A connection with more is not
+// reused.
 const maxNotRunBody = 64 << 10
 
-// parseLoad reads a replica's load header, "running,waiting,slots". It is nil if malformed.
+// parseLoad reads a load header, "running,waiting,slots". It returns nil if malformed.
 func parseLoad(text string) *relay.Load {
 	fields := strings.Split(text, ",")
 	if len(fields) != 3 {
@@ -311,7 +317,6 @@
 	return &relay.Load{Running: counts[0], Waiting: counts[1], Slots: counts[2]}
 }
 
-// copyHead copies the headers of a replica's response.
 func (x *exchange) copyHead(r *replica.Response) {
 	if id := r.Header.Get(x.Headers.Attempt); id != "" && id != x.spec.Attempt {
 		x.Violated.Violated(invariant.AnswerMatches, "the answer to attempt %s is passed on as that to attempt %s", id, x.spec.Attempt)
@@ -328,7 +333,7 @@
 
 var errResponseTooLarge = errors.New("the replica's answer is larger than the largest allowed body")
 
-// relayBuffered forwards a response that is not streamed, if it arrived complete.
+// relayBuffered forwards a response only if it arrived complete.
 func (x *exchange) relayBuffered(r *replica.Response, o relay.Outcome) (relay.Step, *replica.Pool, bool) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, x.MaxBody+1))
 	if int64(len(body)) > x.MaxBody {
@@ -357,8 +362,7 @@
 	return step, pool, ok
 }
 
-// relayStream forwards a stream event by event. An event that did not arrive complete is
-// not forwarded.
+// relayStream forwards a stream event by event, without an incomplete last event.
 func (x *exchange) relayStream(r *replica.Response, s relay.Step, o relay.Outcome) relay.Outcome {
 	reader := bufio.NewReaderSize(r.Body, 4096)
 	var e event
@@ -410,7 +414,7 @@
 		}
 		lineStart = len(e.raw)
 		if err == io.EOF {
-			// The end of a complete stream ends its last event even without a blank line.
+			// A complete stream may end its last event without a blank line.
 			if (len(e.raw) > 0 || !x.started) && !forward() {
 				return end(relay.OutcomeInterrupted, false)
 			}
@@ -420,14 +424,12 @@
 	}
 }
 
-// event is one server-sent event, as far as it has been read.
 type event struct {
 	raw, data []byte
 	id        string
 	hasData   bool
 }
 
-// parseLine adds one line to an event and reports whether it is blank.
 func (e *event) parseLine(line []byte) bool {
 	line = bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 	name, value, _ := bytes.Cut(line, []byte(":"))
@@ -444,8 +446,7 @@
 	return len(line) == 0
 }
 
-// writeEvent writes and flushes one event, after the head if it is the first. It reports
-// whether that succeeded.
+// writeEvent writes and flushes an event, after the head if it is the first.
 func (x *exchange) writeEvent(r *replica.Response, event []byte) bool {
 	if !x.started {
 		x.copyHead(r)
--- a/peer/front/handler_test.go
+++ b/peer/front/handler_test.go
@@ -23,7 +23,7 @@
 
 const testTimeout = 10 * time.Second
 
-// scriptedDispatcher returns a fixed list of steps; attempts use its pools in turn.
+// scriptedDispatcher returns fixed steps; attempts use its pools in turn.
 type scriptedDispatcher struct {
 	t          *testing.T
 	steps      []relay.Step
@@ -76,14 +76,13 @@
 	breakStep = relay.Step{Kind: relay.StepAbort, Status: 502, Check: "replica", Reason: "it may have run"}
 )
 
-// capturedRequest is a request as a replica received it.
 type capturedRequest struct {
 	head    string
 	request *http.Request
 	body    []byte
 }
 
-// rawReplica answers one request per connection by a function that writes to it.
+// rawReplica answers one request per connection.
 type rawReplica struct {
 	address  string
 	received chan capturedRequest
@@ -128,7 +127,6 @@
 	return newReplica(t, func(c net.Conn, h capturedRequest) { io.WriteString(c, raw) })
 }
 
-// node is a handler on a real server.
 type node struct {
 	*scriptedDispatcher
 	server *httptest.Server
@@ -146,7 +144,6 @@
 	return &node{scriptedDispatcher: s, server: server}
 }
 
-// client is a raw connection to a node.
 type client struct {
 	t *testing.T
 	net.Conn
@@ -182,8 +179,6 @@
 
 const okHead = "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal: s\r\n"
 
-// TestResponsesUnchanged: status, body and end-to-end headers of a replica's response reach the
-// requester unchanged.
 func TestResponsesUnchanged(t *testing.T) {
 	body := "\x00\xff\r\nbody"
 	length := fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
@@ -239,8 +234,7 @@
 	}
 }
 
-// TestRequestsUnchanged: method, path, query and body reach the replica byte for byte; the
-// key does not, and the tenant is set by the node.
+// The key must not reach the replica; the tenant comes from the node only.
 func TestRequestsUnchanged(t *testing.T) {
 	long := strings.Repeat("x", 100<<10)
 	for _, c := range []struct{ name, method, uri, headers, body, want string }{
@@ -286,21 +280,34 @@
 			if strings.Contains(h.head, "secret") {
 				t.Errorf("the key was forwarded: %s", h.head)
 			}
-			for name, want := range map[string]string{"Saffronfall-Tenant": "tenant", "Saffronfall-Replica": "i-1", "Saffronfall-Attempt": "a1", "Saffronfall-Program": "p", "Saffronfall-Session": "s", "Last-Event-Id": "12",
-				"X-Own": "1,2", "Te": "", "Keep-Alive": "", "Expect": "", "Saffronfall-Key": "", "Saffronfall-Deadline-Ms": "10000", "Saffronfall-Urgency": ""} {
+			for name, want := range map[string]string{
+				"Saffronfall-Tenant":      "tenant",
+				"Saffronfall-Replica":     "i-1",
+				"Saffronfall-Attempt":     "a1",
+				"Saffronfall-Program":     "p",
+				"Saffronfall-Session":     "s",
+				"Last-Event-Id":           "12",
+				"X-Own":                   "1,2",
+				"Te":                      "",
+				"Keep-Alive":              "",
+				"Expect":                  "",
+				"Saffronfall-Key":         "",
+				"Saffronfall-Deadline-Ms": "10000",
+				"Saffronfall-Urgency":     "",
+			} {
 				if value := strings.Join(h.request.Header.Values(name), ","); value != want {
 					t.Errorf("%s: %q, want %q", name, value, want)
 				}
 			}
 			path, _, _ := strings.Cut(c.uri, "?")
-			if a := <-n.dispatched; a.Path != path || a.Host != "some.example:80" || a.Key != "secret" || !a.HasKey || a.Remaining != 5*time.Second || string(a.Input) != c.want || a.BodyBytes != int64(len(c.want)) {
+			if a := <-n.dispatched; a.Path != path || a.Host != "some.example:80" || a.Key != "secret" || !a.HasKey ||
+				a.Remaining != 5*time.Second || string(a.Input) != c.want || a.BodyBytes != int64(len(c.want)) {
 				t.Errorf("dispatched %+v", a)
 			}
 		})
 	}
 }
 
-// TestTenantOnlyFromNode: a tenant header from the requester is never forwarded.
 func TestTenantOnlyFromNode(t *testing.T) {
 	open := sendStep
 	open.Tenant = ""
@@ -314,7 +321,6 @@
 	}
 }
 
-// TestHistoryPrecedesInput: the history of stored turns precedes the new input.
 func TestHistoryPrecedesInput(t *testing.T) {
 	s := streamStep(true)
 	s.History = [][]byte{[]byte("in1"), []byte("out1\n"), []byte("in2"), []byte("out2\nout3\n")}
@@ -331,8 +337,7 @@
 	}
 }
 
-// TestInvalidResponsesAreNotForwarded: an incomplete, unsealed or foreign response never reaches
-// the requester as a complete one.
+// An incomplete, unsealed or foreign response must never look complete to the requester.
 func TestInvalidResponsesAreNotForwarded(t *testing.T) {
 	for _, c := range []struct{ name, response, kind string }{
 		{"success without seal", "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nContent-Length: 2\r\n\r\nok", relay.OutcomeInterrupted},
@@ -371,8 +376,7 @@
 	}
 }
 
-// TestLongNotRunResponse: a connection whose not-run response was not read to its end is not
-// reused, so that the next request gets its own response.
+// TestLongNotRunResponse guards against reusing a connection with an unread response.
 func TestLongNotRunResponse(t *testing.T) {
 	more, connections := make(chan struct{}), make(chan int, 4)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -419,7 +423,7 @@
 	}
 }
 
-// readEvents reads count events and checks that no more were flushed.
+// readEvents checks that exactly count events were flushed.
 func readEvents(q *client, r *http.Response, count int) string {
 	q.t.Helper()
 	var text strings.Builder
@@ -444,7 +448,7 @@
 
 const streamHead = okHead + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// TestEventByEvent: the requester gets each event before the replica sends the next.
+// The requester must get each event before the replica sends the next.
 func TestEventByEvent(t *testing.T) {
 	had := make(chan struct{})
 	r := newReplica(t, func(c net.Conn, h capturedRequest) {
@@ -476,8 +480,7 @@
 	}
 }
 
-// TestStoredOutput: a stored turn's output is the data of each event, followed by a line feed,
-// for any segmentation; the requester gets the bytes unchanged.
+// A stored turn's output is the data of each event and a line feed, for any segmentation.
 func TestStoredOutput(t *testing.T) {
 	for _, c := range []struct {
 		name, text, output string
@@ -530,8 +533,7 @@
 	}
 }
 
-// TestAbortedStream: a stream that the replica interrupts never looks complete, and no
-// partial event is forwarded.
+// An interrupted stream must never look complete or contain a partial event.
 func TestAbortedStream(t *testing.T) {
 	for _, c := range []struct{ name, response, want string }{
 		{"between events", streamHead + chunk("id: 1\ndata: a\n\n"), "id: 1\ndata: a\n\n"},
@@ -563,7 +565,7 @@
 	}
 }
 
-// TestFailedStoreAbortsStream: a complete turn that could not be stored does not look complete.
+// A complete turn that could not be stored must not look complete.
 func TestFailedStoreAbortsStream(t *testing.T) {
 	n := newNode(t, []relay.Step{streamStep(true), breakStep}, newStaticReplica(t, streamHead+chunk("data: a\n\n")+"0\r\n\r\n"))
 	q := n.dial(t)
@@ -573,8 +575,7 @@
 	}
 }
 
-// TestResumedStream: a stream resumed at another replica keeps its first head and has no gap
-// or repetition, even if the first replica stopped within an event.
+// A stream resumed at another replica must have no gap or repetition.
 func TestResumedStream(t *testing.T) {
 	for _, own := range []string{"", "Last-Event-Id: 2\r\n"} {
 		first := newStaticReplica(t, streamHead+chunk("id: 3\ndata: a\n\n")+chunk("id: 4\r\ndata: b\r\n\r\nid: 5\ndata: h"))
@@ -603,8 +604,7 @@
 	}
 }
 
-// TestResumedBeforeFirstEvent: a stream interrupted before its first event has the head of
-// the replica that resumed it.
+// The head must come from the replica that resumed the stream.
 func TestResumedBeforeFirstEvent(t *testing.T) {
 	first := newStaticReplica(t, streamHead+chunk("id: 1\nda"))
 	second := newStaticReplica(t, strings.Replace(streamHead, "Seal: s", "Seal: t", 1)+chunk("id: 1\ndata: a\n\n")+"0\r\n\r\n")
@@ -620,7 +620,7 @@
 	}
 }
 
-// TestFailedResume: a response that does not resume a stream is not appended to it.
+// A response that does not resume a stream must not be appended to it.
 func TestFailedResume(t *testing.T) {
 	for _, response := range []string{"HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nContent-Length: 4\r\n\r\noops", "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nContent-Length: 10\r\n\r\ndata: a\n\n ", "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n"} {
 		n := newNode(t, []relay.Step{streamStep(false), streamStep(false), breakStep}, newStaticReplica(t, streamHead+chunk("id: 1\ndata: a\n\n")), newStaticReplica(t, response))
@@ -635,7 +635,7 @@
 	}
 }
 
-// TestMalformedRequests: malformed requests are refused before they are dispatched.
+// Malformed requests must not be dispatched.
 func TestMalformedRequests(t *testing.T) {
 	n := newNode(t, []relay.Step{{Kind: relay.StepRefuse, Status: 418}})
 	for _, c := range []struct {
@@ -679,8 +679,7 @@
 	}
 }
 
-// TestDeadlines: a passed deadline is distinct from a missing one, and a huge one does not
-// overflow into a passed one.
+// A passed deadline differs from a missing one; a huge one must not overflow into a passed one.
 func TestDeadlines(t *testing.T) {
 	h := &handler{Options: Options{Headers: replica.DefaultHeaders}}
 	for text, check := range map[string]func(left time.Duration) bool{
@@ -704,8 +703,8 @@
 	}
 }
 
-// TestBodyLimits: a body that is too large gets 413, without being read if its length says
-// so, and an incomplete one is not dispatched.
+// A body that is too large gets 413, unread if its length says so; an incomplete one is not
+// dispatched.
 func TestBodyLimits(t *testing.T) {
 	n := newNode(t, []relay.Step{{Kind: relay.StepRefuse, Status: 418}})
 	for _, raw := range []string{
@@ -739,7 +738,6 @@
 	}
 }
 
-// TestRefusals: a refusal has its check, the attempt's id, and Retry-After if a time is known.
 func TestRefusals(t *testing.T) {
 	for after, want := range map[time.Duration]string{0: "", 250 * time.Millisecond: "0.250", 3 * time.Second: "3.000"} {
 		for _, status := range []int{401, 402, 404, 429, 503} {
@@ -760,8 +758,6 @@
 	}
 }
 
-// TestNextReplicaAfterNotRun: after a replica that was not reached or did not run the
-// request, the next one is tried.
 func TestNextReplicaAfterNotRun(t *testing.T) {
 	unreachable := &rawReplica{address: "127.0.0.1:1"}
 	full := newStaticReplica(t, "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Not-Run: 1\r\nSaffronfall-Load: 8,2,8\r\nContent-Length: 0\r\n\r\n")
@@ -781,8 +777,7 @@
 	}
 }
 
-// TestRequesterDisconnects: when the requester disconnects, before the response or within a
-// stream, the replica's connection is closed and the outcome does not blame the replica.
+// A disconnect must close the replica's connection and not count as the replica's failure.
 func TestRequesterDisconnects(t *testing.T) {
 	for _, begun := range []string{"", streamHead + chunk("id: 1\ndata: a\n\n")} {
 		ended := make(chan error, 1)
@@ -808,14 +803,12 @@
 	}
 }
 
-// failingWriter fails every write.
 type failingWriter struct{ http.ResponseWriter }
 
 func (failingWriter) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 func (failingWriter) Flush()                    {}
 
-// TestWriteToRequesterFails: a failed write counts as a disconnected requester, not as a
-// failure of the replica.
+// A failed write must not count as the replica's failure.
 func TestWriteToRequesterFails(t *testing.T) {
 	n := newNode(t, []relay.Step{streamStep(true), breakStep}, newStaticReplica(t, streamHead+chunk("id: 1\ndata: a\n\n")))
 	func() {
@@ -829,7 +822,6 @@
 	}
 }
 
-// TestDrainingClosesConnections: while the node drains, each response closes its connection.
 func TestDrainingClosesConnections(t *testing.T) {
 	closing := make(chan struct{})
 	s := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, dispatched: make(chan relay.Request, 4), outcomes: make(chan relay.Outcome, 4)}
@@ -851,8 +843,7 @@
 	}
 }
 
-// FuzzRead: for any header values, a request is either malformed or has all numbers within
-// their bounds.
+// A request must be malformed or have all numbers within their bounds.
 func FuzzRead(f *testing.F) {
 	f.Add("a1", "4000", "2304", "1840,288", "5c1e07a2:800,91bd3f06:410")
 	f.Add("", "NaN", "-1", ",", ":")
@@ -872,7 +863,9 @@
 		if fault != "" {
 			return
 		}
-		if a.Attempt != attempt || a.Attempt == "" || a.TokenBudget < 0 || a.MaxTokens < 0 || a.Remaining > time.Duration(math.MaxInt64/4) || a.Remaining < -time.Second || (a.Remaining == 0) != (deadline == "") || (a.TokenBudget == 0) != (budget == "") {
+		if a.Attempt != attempt || a.Attempt == "" || a.TokenBudget < 0 || a.MaxTokens < 0 ||
+			a.Remaining > time.Duration(math.MaxInt64/4) || a.Remaining < -time.Second ||
+			(a.Remaining == 0) != (deadline == "") || (a.TokenBudget == 0) != (budget == "") {
 			t.Fatalf("%+v", a)
 		}
 		for _, piece := range a.Prompt {
--- a/peer/front/head.go
+++ b/peer/front/head.go
@@ -13,15 +13,16 @@
 	"saffronfall/rule/placement"
 )
 
-// maxDeadlineMS caps deadlines and horizons, in milliseconds (one day).
+// maxDeadlineMS caps deadlines and horizons (one day).
 const maxDeadlineMS = 86400000
 
-// parseHead reads a request's head. The second result says what is malformed; it is
-// empty for a valid head.
+// parseHead reads a request's head. The string says what is malformed, or is empty.
 func (h *handler) parseHead(r *http.Request) (relay.Request, string) {
 	n := h.Headers
-	a := relay.Request{Host: r.Host, Path: r.URL.Path, Attempt: r.Header.Get(n.Attempt), Program: r.Header.Get(n.Program), Session: r.Header.Get(n.Session),
-		Previous: r.Header.Get(n.Previous), Key: r.Header.Get(n.Key)}
+	a := relay.Request{
+		Host: r.Host, Path: r.URL.Path, Attempt: r.Header.Get(n.Attempt), Program: r.Header.Get(n.Program),
+		Session: r.Header.Get(n.Session), Previous: r.Header.Get(n.Previous), Key: r.Header.Get(n.Key),
+	}
 	_, a.HasKey = r.Header[http.CanonicalHeaderKey(n.Key)]
 	if i := strings.IndexByte(r.RequestURI, '?'); i >= 0 {
 		a.Path = r.RequestURI[:i]
@@ -43,7 +44,7 @@
 			return a, n.Deadline + " is not a number"
 		}
 		a.Remaining = time.Duration(min(max(ms, -1), maxDeadlineMS) * float64(time.Millisecond))
-		// Zero means that the request has no deadline.
+		// Zero means no deadline.
 		if a.Remaining == 0 {
 			a.Remaining = -1
 		}
@@ -54,7 +55,7 @@
 		if err != nil || budget < 0 {
 			return a, n.Budget + " is not a count"
 		}
-		// Zero means that the request has no budget, so a spent one counts as 1.
+		// Zero means no budget, so a spent one counts as 1.
 		a.TokenBudget = max(budget, 1)
 	}
 	if text := r.Header.Get(n.Tokens); text != "" {
@@ -70,14 +71,13 @@
 	}
 	a.Prompt = h.parsePrompt(r.Header.Get(n.Prompt))
 	if key := r.Header.Get(n.Affinity); key != "" {
-		// The lowest bit keeps the hash apart from zero, which means no affinity.
+		// The lowest bit is set because zero means no affinity.
 		a.Affinity = h.hash(key) | 1
 	}
 	return a, ""
 }
 
-// parsePrompt reads the parts of a prompt. They are placement hints, so malformed ones
-// are ignored.
+// parsePrompt ignores malformed parts, since they are only placement hints.
 func (h *handler) parsePrompt(text string) (parts []placement.PromptSegment) {
 	if text == "" {
 		return nil
@@ -93,14 +93,13 @@
 	return parts
 }
 
-// hash hashes a name chosen by a requester with the fleet's secret key. All nodes agree
-// on the hashes, and no tenant can choose names that collide at one replica.
+// hash uses the fleet's secret key, so that all nodes agree and no tenant can choose names that
+// collide at one replica.
 func (h *handler) hash(name string) uint64 {
 	return siphash.Hash(h.HashKey[0], h.HashKey[1], []byte(name))
 }
 
-// parseHorizon reads how much time a program has left. It only affects the order of
-// service, so a malformed value counts as none.
+// parseHorizon ignores a malformed value, since it only affects the order of service.
 func parseHorizon(text string) relay.Horizon {
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(ms) {
--- a/peer/front/head_test.go
+++ b/peer/front/head_test.go
@@ -7,8 +7,7 @@
 	"saffronfall/peer/replica"
 )
 
-// TestHashesAreKeyed: hashes of names that requesters choose agree on all nodes of a fleet
-// and cannot be computed without its key.
+// Hashes must agree on all nodes of a fleet and must not be computable without its key.
 func TestHashesAreKeyed(t *testing.T) {
 	read := func(key [2]uint64, name string) (affinity uint64, part uint64) {
 		h := &handler{Options: Options{Headers: replica.DefaultHeaders, HashKey: key}}
--- a/peer/front/intake.go
+++ b/peer/front/intake.go
@@ -14,14 +14,12 @@
 )
 
 const (
-	// defaultBodyTimeout and defaultIntakeBytes apply where Options set no limit.
 	defaultBodyTimeout = 30 * time.Second
 	defaultIntakeBytes = 64 << 20
 	// responseTimeout is how long a requester may take to read a buffered response.
 	responseTimeout = 10 * time.Second
-	// discardTimeout limits how long an unwanted body is read.
-	discardTimeout = 2 * time.Second
-	// bodyChunk is the unit, in bytes, in which memory for a large body is reserved.
+	discardTimeout  = 2 * time.Second
+	// bodyChunk is the unit of reservations for large bodies, in bytes.
 	bodyChunk = 64 << 10
 )
 
@@ -30,8 +28,8 @@
 	errIntakeFull   = errors.New("the bodies of requests under way fill the room for them")
 )
 
-// intake limits the total memory of the bodies of all open requests. Memory is reserved
-// for received bytes, never for the announced length of a large body.
+// intake limits the total memory of the bodies of open requests. Memory is reserved for received
+// bytes, never for the announced length of a large body.
 type intake struct{ bytes *semaphore.Weighted }
 
 func newIntake(size int64) *intake {
@@ -41,20 +39,17 @@
 	return &intake{bytes: semaphore.NewWeighted(size)}
 }
 
-// body is a request's body with the memory reserved for it.
 type body struct {
 	intake   *intake
 	raw      []byte
 	reserved int64
 }
 
-// release returns the reserved memory to the intake.
 func (b *body) release() {
 	b.intake.bytes.Release(b.reserved)
 	b.reserved = 0
 }
 
-// reserve adds size bytes to the reservation, or fails with errIntakeFull.
 func (b *body) reserve(size int64) error {
 	if !b.intake.bytes.TryAcquire(size) {
 		return errIntakeFull
@@ -63,7 +58,7 @@
 	return nil
 }
 
-// read reads the whole body, which may have at most limit bytes.
+// read reads a body of at most limit bytes.
 func (b *body) read(r *http.Request, limit int64) error {
 	switch size := r.ContentLength; {
 	case size > limit:
@@ -103,7 +98,6 @@
 	}
 }
 
-// timedOut reports whether err comes from an expired connection deadline.
 func timedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
 // setReadTimeout limits how long the requester may take to send; zero removes the limit.
@@ -112,12 +106,11 @@
 	if timeout > 0 {
 		at = clock.Deadline(timeout)
 	}
-	// A response writer without a connection, as in tests, supports no deadlines.
+	// A response writer without a connection supports no deadlines.
 	_ = x.controller.SetReadDeadline(at)
 }
 
-// setWriteTimeout limits how long the requester may take to read what is written from
-// now on.
+// setWriteTimeout limits how long the requester may take to read later writes.
 func (x *exchange) setWriteTimeout(timeout time.Duration) {
 	_ = x.controller.SetWriteDeadline(clock.Deadline(max(timeout, time.Millisecond)))
 }
--- a/peer/front/interruption_test.go
+++ b/peer/front/interruption_test.go
@@ -19,8 +19,8 @@
 	"saffronfall/peer/replica"
 )
 
-// outcomeDispatcher chooses steps by outcomes, as a relay does for requests that may run
-// only once: one that did not run goes to the next replica, one that may have run ends.
+// outcomeDispatcher allows one run: a request that did not run goes to the next replica, and one
+// that may have run ends.
 type outcomeDispatcher struct {
 	pools      []*replica.Pool
 	first      relay.Step
@@ -50,7 +50,6 @@
 	return breakStep, nil, true
 }
 
-// newDispatcherNode serves a handler with an outcomeDispatcher over the replicas' addresses.
 func newDispatcherNode(t *testing.T, first relay.Step, addresses ...string) (*node, *outcomeDispatcher) {
 	t.Helper()
 	dispatcher := &outcomeDispatcher{first: first}
@@ -76,9 +75,8 @@
 	failedAnswer  = "HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Seal: s\r\nContent-Length: 4\r\n\r\noops"
 )
 
-// TestReplicaDisconnectsAtEveryByte: a request that may run only once is sent to the next
-// replica only if the first one said that it did not run, and the requester sees a complete
-// response only if the replica's arrived to its last byte.
+// A request may go to the next replica only if the first says that it did not run it, and must
+// look complete only if the replica's response was.
 func TestReplicaDisconnectsAtEveryByte(t *testing.T) {
 	for name, c := range map[string]struct {
 		step     relay.Step
@@ -104,7 +102,7 @@
 	}
 }
 
-// interruptedResult is the result of a request whose replica disconnected.
+// interruptedResult describes a request whose replica disconnected.
 type interruptedResult struct {
 	status   int
 	body     string
@@ -140,7 +138,6 @@
 	}
 }
 
-// interruptResponse sends a request to a replica that writes some bytes and disconnects.
 func interruptResponse(t *testing.T, step relay.Step, written string, reset bool) interruptedResult {
 	t.Helper()
 	first := newReplica(t, func(c net.Conn, h capturedRequest) {
@@ -165,13 +162,12 @@
 	return b
 }
 
-// requestWithID is a request with the given attempt id, which is also its body.
+// requestWithID returns a request whose body is its attempt id.
 func requestWithID(id string) string {
 	return fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id)
 }
 
-// newEchoReplica answers requests with their bodies, any number on a connection, and
-// returns its address.
+// newEchoReplica answers requests with their bodies and returns its address.
 func newEchoReplica(t *testing.T, received chan<- string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -210,8 +206,7 @@
 	}
 }
 
-// TestPipelinedRequests: each of several pipelined requests runs once and gets its own
-// response, in order.
+// Each pipelined request must run once and get its own response, in order.
 func TestPipelinedRequests(t *testing.T) {
 	received := make(chan string, 64)
 	n, dispatcher := newDispatcherNode(t, sendStep, newEchoReplica(t, received))
@@ -237,8 +232,7 @@
 	}
 }
 
-// TestRequesterDisconnectsAtEveryByte: no replica gets a part of a request that the
-// requester interrupts, and the request before it on the connection runs once.
+// No replica may get a part of a request, and the request before it must run once.
 func TestRequesterDisconnectsAtEveryByte(t *testing.T) {
 	received := make(chan string, 4096)
 	n, _ := newDispatcherNode(t, sendStep, newEchoReplica(t, received))
@@ -271,8 +265,7 @@
 	}
 }
 
-// TestRequestSmuggling: a request with conflicting or malformed lengths does not let the
-// bytes after it run as another request.
+// Bytes after a request with conflicting or malformed lengths must not run as another request.
 func TestRequestSmuggling(t *testing.T) {
 	hidden := requestWithID("hidden")
 	for name, raw := range map[string]string{
@@ -298,15 +291,12 @@
 	}
 }
 
-// readBriefly returns a reader whose reads fail after a short time.
 func readBriefly(q *client) io.Reader {
 	q.SetReadDeadline(clock.Deadline(200 * time.Millisecond))
 	return q.reader
 }
 
-// TestConnectionReuseUnderLoad: while requesters reuse and close their connections and
-// share few connections to a replica, no response goes to another request and no request
-// runs twice.
+// No response may go to another request, and no request may run twice.
 func TestConnectionReuseUnderLoad(t *testing.T) {
 	const requesters, each = 16, 40
 	received := make(chan string, requesters*each*2)
@@ -332,8 +322,7 @@
 	}
 }
 
-// useConnections sends requests one after the other. Every fifth closes its connection
-// without reading the response.
+// useConnections closes the connection of every fifth request without reading the response.
 func useConnections(t *testing.T, n *node, requester, each int) {
 	q := n.dial(t)
 	for i := range each {
@@ -360,8 +349,8 @@
 	}
 }
 
-// FuzzStream: whatever bytes a replica sends for a stream, the requester gets a prefix of
-// whole lines, and a complete response only if the replica's was complete.
+// The requester must get a prefix of whole lines, and a complete response only if the replica's
+// was complete.
 func FuzzStream(f *testing.F) {
 	for _, seed := range []string{streamAnswer, streamHead, lengthAnswer, chunkedAnswer, notRunAnswer, failedAnswer, streamAnswer[:len(streamAnswer)-4], streamHead + "5\r\ndata:\r\n0\r\n\r\n",
 		strings.Replace(streamAnswer, "a1", "other", 1) + streamAnswer, streamHead + chunk("id: 1\r\rdata: x\n\n") + "0\r\n\r\n", streamAnswer + streamAnswer, "\x00"} {
@@ -385,14 +374,12 @@
 	})
 }
 
-// interruptStream sends a request for a stream to a replica that writes raw bytes.
 func interruptStream(t *testing.T, raw []byte) interruptedResult {
 	t.Helper()
 	return interruptResponse(t, streamStep(false), string(raw), false)
 }
 
-// readAsClient reads the response to the request from a replica's bytes, as any HTTP client
-// would.
+// readAsClient reads a response as any HTTP client would.
 func readAsClient(raw []byte) (body string, complete bool) {
 	reader := bufio.NewReader(strings.NewReader(string(raw)))
 	for {
--- a/peer/front/limits_test.go
+++ b/peer/front/limits_test.go
@@ -15,8 +15,8 @@
 	"saffronfall/peer/replica"
 )
 
-// TestSlowRequesters: a requester that stops reading or sending holds no replica slot, no
-// open request, and no memory beyond what it has sent.
+// A stalled requester must hold no replica slot, no open request, and no memory beyond what it
+// has sent.
 func TestSlowRequesters(t *testing.T) {
 	t.Run("reads nothing of a stream", readsNoStream)
 	t.Run("sends half a body", sendsPartialBody)
@@ -25,7 +25,7 @@
 	t.Run("sends half a body and goes on waiting", waitsAfterPartialBody)
 }
 
-// readsNoStream: the replica's connection and the request end with the attempt's time limit.
+// The replica's connection and the request must end with the attempt's time limit.
 func readsNoStream(t *testing.T) {
 	event := "data: " + strings.Repeat("x", 32<<10) + "\n\n"
 	ended := make(chan error, 1)
@@ -51,7 +51,7 @@
 	}
 }
 
-// sendsPartialBody: the requester gets 408 once its deadline has passed.
+// The requester must get 408 once its deadline has passed.
 func sendsPartialBody(t *testing.T) {
 	n := newNode(t, nil)
 	q := n.dial(t)
@@ -63,16 +63,20 @@
 	}
 }
 
-// newNodeWithBodyTimeout is a node with the given BodyTimeout.
 func newNodeWithBodyTimeout(t *testing.T, bodyTime time.Duration) *node {
 	dispatcher := &scriptedDispatcher{t: t, dispatched: make(chan relay.Request, 16), outcomes: make(chan relay.Outcome, 16)}
-	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Headers: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{}), BodyTimeout: bodyTime}))
+	server := httptest.NewServer(Handler(Options{
+		Dispatcher:  dispatcher,
+		Headers:     replica.DefaultHeaders,
+		MaxBody:     1 << 20,
+		Draining:    make(chan struct{}),
+		BodyTimeout: bodyTime,
+	}))
 	t.Cleanup(server.Close)
 	return &node{scriptedDispatcher: dispatcher, server: server}
 }
 
-// malformedWithPartialBody: a request refused for its head does not hold its connection
-// while its body stalls.
+// A request refused for its head must not hold its connection while its body stalls.
 func malformedWithPartialBody(t *testing.T) {
 	for _, head := range []string{
 		"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\nhalf",
@@ -89,7 +93,7 @@
 	}
 }
 
-// waitsAfterPartialBody: a requester that got 408 does not hold its connection.
+// A requester that got 408 must not hold its connection.
 func waitsAfterPartialBody(t *testing.T) {
 	n := newNodeWithBodyTimeout(t, 200*time.Millisecond)
 	q := n.dial(t)
@@ -101,7 +105,6 @@
 	checkCloses(t, q, "a late body")
 }
 
-// checkCloses fails the test if the node does not close the connection.
 func checkCloses(t *testing.T, q *client, what string) {
 	t.Helper()
 	if _, err := io.Copy(io.Discard, q.reader); err != nil && strings.Contains(err.Error(), "timeout") {
@@ -109,7 +112,7 @@
 	}
 }
 
-// announcesBodies: memory is reserved for received bytes, not for announced lengths.
+// Memory must not be reserved for announced lengths.
 func announcesBodies(t *testing.T) {
 	const requesters, announced = 200, 1 << 20
 	n := newNode(t, nil)
@@ -134,17 +137,29 @@
 	return int64(m.HeapAlloc)
 }
 
-// TestIntakeLimit: a request whose body exceeds the shared intake is refused with
-// Retry-After, and ended requests free their share.
+// A body beyond the shared intake must be refused; ended requests must free their share.
 func TestIntakeLimit(t *testing.T) {
 	release := make(chan struct{})
 	r := newReplica(t, func(c net.Conn, h capturedRequest) {
 		<-release
 		io.WriteString(c, strings.Replace(lengthAnswer, "a1", h.request.Header.Get("Saffronfall-Attempt"), 1))
 	})
-	dispatcher := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, dispatched: make(chan relay.Request, 16), outcomes: make(chan relay.Outcome, 16), pools: []*replica.Pool{replica.NewPool(r.address, 4, time.Second)}}
+	dispatcher := &scriptedDispatcher{
+		t:          t,
+		steps:      []relay.Step{sendStep, passStep},
+		dispatched: make(chan relay.Request, 16),
+		outcomes:   make(chan relay.Outcome, 16),
+		pools:      []*replica.Pool{replica.NewPool(r.address, 4, time.Second)},
+	}
 	rejected := make(chan relay.Completion, 16)
-	server := httptest.NewServer(Handler(Options{Dispatcher: dispatcher, Headers: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: make(chan struct{}), IntakeBytes: 3 * bodyChunk, OnRejected: func(e relay.Completion) { rejected <- e }}))
+	server := httptest.NewServer(Handler(Options{
+		Dispatcher:  dispatcher,
+		Headers:     replica.DefaultHeaders,
+		MaxBody:     1 << 20,
+		Draining:    make(chan struct{}),
+		IntakeBytes: 3 * bodyChunk,
+		OnRejected:  func(e relay.Completion) { rejected <- e },
+	}))
 	t.Cleanup(server.Close)
 	n := &node{scriptedDispatcher: dispatcher, server: server}
 	post := func(attempt string, size int) *client {
@@ -172,8 +187,7 @@
 	}
 }
 
-// TestExpiredAttemptIsNotSent: an attempt whose time limit passed before it started, as
-// after a paused process, reaches no replica.
+// An attempt may expire before it starts, for example in a paused process.
 func TestExpiredAttemptIsNotSent(t *testing.T) {
 	r := newStaticReplica(t, lengthAnswer)
 	late := sendStep
--- a/peer/front/listener.go
+++ b/peer/front/listener.go
@@ -11,16 +11,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Serve listens on the server's address and serves it, as
-// http.Server.ListenAndServe does, with two differences.
+// Serve listens on the server's address and serves it with at most maxConnections open, so that
+// requesters cannot exhaust the descriptors needed for replicas and cores. Others wait in the
+// listener's queue.
 //
-// It detects request heads with both Content-Length and Transfer-Encoding, so that the handler
-// can close their connection after the response (RFC 9112, section 6.1). net/http drops
-// the length and keeps the connection, which would allow request smuggling.
-//
-// It keeps at most maxConnections open at a time, so that requesters cannot exhaust the
-// descriptors that the node needs for replicas and cores. Further connections wait in
-// the listener's queue.
+// It detects heads with both Content-Length and Transfer-Encoding, so that the handler can close
+// their connections after the response (RFC 9112, section 6.1). net/http drops the length
+// and keeps them, which would allow request smuggling.
 func Serve(server *http.Server, maxConnections int) error {
 	listener, err := net.Listen("tcp", server.Addr)
 	if err != nil {
@@ -35,7 +32,6 @@
 	return server.Serve(&limitedListener{Listener: listener, slots: make(chan struct{}, maxConnections), closed: make(chan struct{})})
 }
 
-// limitedListener limits open connections and scans the heads that they carry.
 type limitedListener struct {
 	net.Listener
 	// slots has one entry for each open connection.
@@ -68,13 +64,12 @@
 	return l.Listener.Close()
 }
 
-// connection is a requester's connection.
 type connection struct {
 	*net.TCPConn
 	slots   <-chan struct{}
 	closed  atomic.Bool
 	scanner headScanner
-	// ambiguous is set once a head has had both Content-Length and Transfer-Encoding.
+	// ambiguous is set once a head had both Content-Length and Transfer-Encoding.
 	ambiguous atomic.Bool
 }
 
@@ -101,18 +96,16 @@
 	return context.WithValue(ctx, connectionKey{}, c)
 }
 
-// ambiguousLength reports whether a head on the request's connection has had both
-// Content-Length and Transfer-Encoding.
+// ambiguousLength reports whether any head on the request's connection was ambiguous.
 func ambiguousLength(r *http.Request) bool {
 	c, ok := r.Context().Value(connectionKey{}).(*connection)
 	return ok && c.ambiguous.Load()
 }
 
-// headScanner looks for Content-Length and Transfer-Encoding within consecutive
-// non-blank lines. It does not tell heads from bodies: a body that looks like such a
-// head only costs its requester the connection.
+// headScanner looks for both length headers within consecutive non-blank lines. A body that looks
+// like a head with both only costs its requester the connection.
 type headScanner struct {
-	// line is the beginning of the current, unfinished line.
+	// line is the start of the unfinished line.
 	line             []byte
 	length, encoding bool
 }
@@ -123,7 +116,7 @@
 	maxHeaderPrefix = len(encodingHeader)
 )
 
-// scan takes the next bytes and reports whether one head has both headers.
+// scan reports whether a head has both headers.
 func (s *headScanner) scan(raw []byte) bool {
 	both := false
 	for len(raw) > 0 {
@@ -145,11 +138,10 @@
 	return both
 }
 
-// endLine evaluates the finished line; a blank one ends the head.
 func (s *headScanner) endLine() {
 	line := string(bytes.TrimRight(s.line, "\r"))
 	switch {
-	case line == "":
+	case line == "": // the end of the head
 		s.length, s.encoding = false, false
 	case hasHeaderName(line, lengthHeader):
 		s.length = true
--- a/peer/front/listener_test.go
+++ b/peer/front/listener_test.go
@@ -13,7 +13,6 @@
 	"saffronfall/peer/replica"
 )
 
-// newLimitedNode is a node that serves requesters with ServeOn.
 func newLimitedNode(t *testing.T, address string) *node {
 	t.Helper()
 	n, dispatcher := newDispatcherNode(t, sendStep, address)
@@ -29,8 +28,8 @@
 	return n
 }
 
-// TestLengthWithChunkedEncoding: after a request with both Content-Length and
-// Transfer-Encoding, nothing else on its connection runs, for any segmentation.
+// Nothing may run after a request with both Content-Length and Transfer-Encoding, for any
+// segmentation.
 func TestLengthWithChunkedEncoding(t *testing.T) {
 	hidden := requestWithID("hidden")
 	length := fmt.Sprintf("Content-Length: %d\r\n", len("0\r\n\r\n"+hidden))
@@ -64,8 +63,7 @@
 	}
 }
 
-// TestValidRequestsKeepConnection: requests with a length and chunked requests share a
-// connection.
+// Requests with a length and chunked requests may share a connection.
 func TestValidRequestsKeepConnection(t *testing.T) {
 	received := make(chan string, 64)
 	q := newLimitedNode(t, newEchoReplica(t, received)).dial(t)
@@ -110,8 +108,7 @@
 	}
 }
 
-// TestConnectionLimit: idle connections hold no more descriptors than the limit, and
-// further ones wait until one is closed.
+// Connections above the limit must wait until another is closed.
 func TestConnectionLimit(t *testing.T) {
 	const most = 4
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/peer/operator/client.go
+++ b/peer/operator/client.go
@@ -14,7 +14,7 @@
 	"saffronfall/rule/partition"
 )
 
-// Client calls the HTTP API of processes with the operator key. If HTTP is nil, it uses
+// Client calls the HTTP API of processes with the operator key. A nil HTTP selects
 // http.DefaultClient.
 type Client struct {
 	Key  string
@@ -31,8 +31,7 @@
 // Error returns the code and the reason.
 func (r *ResponseError) Error() string { return r.Code + ": " + r.Reason }
 
-// NewResponseError returns the ResponseError of a response body; its code is "malformed" if the
-// body has none.
+// NewResponseError decodes an error response body. The code is "malformed" if the body has none.
 func NewResponseError(status int, raw []byte) error {
 	r := &ResponseError{Status: status}
 	if json.Unmarshal(raw, r) != nil || r.Code == "" {
@@ -41,11 +40,11 @@
 	return r
 }
 
-// ErrUnreachable marks errors of calls to which an address gave no response.
+// ErrUnreachable marks errors of calls that got no response.
 var ErrUnreachable = errors.New("no response from this address")
 
-// Do makes one call and decodes a successful response into target, if that is not nil. It
-// returns the status and the raw body. A status of 400 or above is not an error.
+// Do makes one call and decodes a successful response into target, unless it is nil. It returns
+// the status and raw body. A status of 400 or above is not an error.
 func (c Client) Do(ctx context.Context, method, address, path string, body, target any) (int, []byte, error) {
 	var reader io.Reader
 	if body != nil {
@@ -82,8 +81,8 @@
 	return response.StatusCode, raw, nil
 }
 
-// Found founds a fleet on the cores at the given addresses. All of them must answer, and none
-// may belong to a fleet yet, unless an interrupted founding of the same cores is resumed.
+// Found founds a fleet on the cores at the addresses. All must answer, and none may belong to a
+// fleet, unless an interrupted founding of the same cores is resumed.
 func (c Client) Found(ctx context.Context, fleet string, addresses []string, partitions, size int) (core.Founding, error) {
 	var cores []core.Core
 	var existing *core.Founding
@@ -128,8 +127,8 @@
 	return founding, nil
 }
 
-// AddCore adds the core at address newCore, whose data folder is empty, to the fleet of the core
-// at address member.
+// AddCore adds the core at newCore, whose data folder is empty, to the fleet of the core at
+// member.
 func (c Client) AddCore(ctx context.Context, member, newCore string) (core.ChangeResult, error) {
 	var changed core.ChangeResult
 	var identity Identity
@@ -156,7 +155,7 @@
 	return c.Change(ctx, member, CoreChange{Kind: core.KindAdd, ID: identity.Core.ID, New: &identity.Core})
 }
 
-// Change requests a change of cores, and repeats the request until it is done or fails.
+// Change requests a change of cores repeatedly until it is done or fails.
 func (c Client) Change(ctx context.Context, member string, change CoreChange) (core.ChangeResult, error) {
 	for {
 		var changed core.ChangeResult
@@ -172,8 +171,8 @@
 	}
 }
 
-// Plan returns what a change of cores would move, without making it. If newCore is not empty,
-// it is the address of the core to add or to replace another.
+// Plan returns what a change of cores would move, without making it. newCore is the address of
+// the core to add or to replace with, or empty.
 func (c Client) Plan(ctx context.Context, member string, change CoreChange, newCore string) (core.ChangeResult, error) {
 	var t core.Topology
 	if status, raw, err := c.Do(ctx, "GET", member, "/v1/topology", nil, &t); err != nil {
@@ -197,11 +196,10 @@
 	return plan, nil
 }
 
-// countersTimeout bounds the request for the counters of one node.
 const countersTimeout = 2 * time.Second
 
-// NodeCounters reads the counters of all members that have not ended, by member id. Members
-// that don't answer in time are left out.
+// NodeCounters reads the counters of members that have not ended, by member id. Members that
+// don't answer in time are omitted.
 func (c Client) NodeCounters(ctx context.Context, members []core.Member) map[string]map[string]any {
 	type result struct {
 		id     string
--- a/peer/operator/handler.go
+++ b/peer/operator/handler.go
@@ -1,7 +1,6 @@
-// Package operator has the HTTP API that a core offers to operators, and the client that the
-// command line uses. All calls need the operator key. The field "ran" of an error response is
-// "no" or "maybe": whether the request was executed, so that clients know when a retry is needed.
-// Start reading at Handler and Client.
+// Package operator has the HTTP API that a core offers to operators, and its Go client. All calls
+// need the operator key. An error response says whether the request was executed ("ran": "no" or
+// "maybe"), so that callers know when a retry is needed. Start reading at Handler and Client.
 package operator
 
 import (
@@ -22,35 +21,34 @@
 	"saffronfall/rule/partition"
 )
 
-// memberPrefix begins the stored keys of members.
 const memberPrefix = "member/"
 
 const (
 	defaultApplyTimeout  = 15 * time.Second
 	defaultChangeTimeout = 30 * time.Second
-	// readTimeout bounds each read of a partition.
-	readTimeout = time.Second
-	// maxBodyBytes bounds the body of a request.
+	// readTimeout applies to each read of a partition.
+	readTimeout  = time.Second
 	maxBodyBytes = 16 << 20
 )
 
-// Process runs steps of a core's state machine. Call waits for the answer to the step's ticket,
-// Inspect returns the result of a read-only function. Both fail when ctx ends.
+// Process runs functions on a core's state machine. Call and Inspect fail when ctx ends.
 type Process interface {
+	// Call runs a step and waits for the answer to its ticket.
 	Call(ctx context.Context, step func(m *core.Machine, now time.Duration, ticket uint64) core.Output) (any, error)
+	// Inspect returns the result of a read-only function.
 	Inspect(ctx context.Context, read func(m *core.Machine, now time.Duration) any) (any, error)
+	// Counters returns the process's counters by name.
 	Counters(ctx context.Context) (map[string]int64, error)
 }
 
-// Identity identifies a core and the fleet that it was founded with.
+// Identity is a core and the fleet that it was founded with.
 type Identity struct {
 	Core     core.Core     `json:"core"`
 	Founded  bool          `json:"founded"`
 	Founding core.Founding `json:"founding"`
 }
 
-// PartitionStatus is one partition as a core sees it. In its JSON form, part is the partition,
-// owner the leader, and seats are the members.
+// PartitionStatus is one partition as a core sees it.
 type PartitionStatus struct {
 	Partition int      `json:"part"`
 	Leader    string   `json:"owner"`
@@ -71,7 +69,7 @@
 	MissingPartitions    []int             `json:"parts_without_answer"`
 }
 
-// ConfigurationRequest is a request to apply a configuration, or only to plan it. BudgetMS bounds it in
+// ConfigurationRequest asks to apply a configuration, or only to plan it. BudgetMS bounds it in
 // milliseconds; zero selects a default.
 type ConfigurationRequest struct {
 	BasedOn     uint64          `json:"based_on"`
@@ -87,8 +85,7 @@
 	Executed string `json:"ran"`
 }
 
-// RequireKey passes on requests with the bearer key and rejects all others. An empty key rejects
-// every request.
+// RequireKey rejects requests without the bearer key. An empty key rejects every request.
 func RequireKey(key string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		header := r.Header.Get("Authorization")
@@ -202,19 +199,33 @@
 		timeout = defaultApplyTimeout
 	}
 	body, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-		return m.ApplyConfiguration(now, ticket, core.ApplyRequest{BasedOn: request.BasedOn, Text: request.Description, Digest: hex.EncodeToString(sum[:]), Timeout: timeout, PlanOnly: request.PlanOnly})
+		return m.ApplyConfiguration(now, ticket, core.ApplyRequest{
+			BasedOn:  request.BasedOn,
+			Text:     request.Description,
+			Digest:   hex.EncodeToString(sum[:]),
+			Timeout:  timeout,
+			PlanOnly: request.PlanOnly,
+		})
 	})
 	if err != nil {
 		WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
 		return
 	}
 	result := body.(core.ApplyResult)
-	status := map[string]int{"": http.StatusOK, "planned": http.StatusOK, "agreed_not_taken": http.StatusAccepted, "faulty": http.StatusBadRequest, "race_lost": http.StatusConflict, "not_approved": http.StatusUnprocessableEntity, "unsure": http.StatusServiceUnavailable}[result.Code]
+	status := map[string]int{
+		"":                 http.StatusOK,
+		"planned":          http.StatusOK,
+		"agreed_not_taken": http.StatusAccepted,
+		"faulty":           http.StatusBadRequest,
+		"race_lost":        http.StatusConflict,
+		"not_approved":     http.StatusUnprocessableEntity,
+		"unsure":           http.StatusServiceUnavailable,
+	}[result.Code]
 	WriteJSON(w, status, result)
 }
 
-// CoreChange is an operator's request to add, retire or replace a core. BudgetMS bounds it in
-// milliseconds; zero selects a default.
+// CoreChange asks to add, retire or replace a core. BudgetMS bounds it in milliseconds; zero
+// selects a default.
 type CoreChange struct {
 	Kind     string     `json:"kind"`
 	ID       string     `json:"id"`
@@ -237,7 +248,11 @@
 			return m.RegisterCore(now, ticket, *c.New, timeout)
 		})
 		if done, ok := body.(core.Done); err != nil || !ok || !done.OK {
-			WriteJSON(w, http.StatusConflict, ErrorResponse{Code: "not_introduced", Reason: "the core could not be made known; another core may have its name", Executed: "maybe"})
+			WriteJSON(w, http.StatusConflict, ErrorResponse{
+				Code:     "not_introduced",
+				Reason:   "the core could not be made known; another core may have its name",
+				Executed: "maybe",
+			})
 			return
 		}
 	}
@@ -249,7 +264,12 @@
 		return
 	}
 	changed := body.(core.ChangeResult)
-	status := map[string]int{"": http.StatusOK, "unknown_core": http.StatusNotFound, "no_room": http.StatusConflict, "not_finished": http.StatusAccepted}[changed.Code]
+	status := map[string]int{
+		"":             http.StatusOK,
+		"unknown_core": http.StatusNotFound,
+		"no_room":      http.StatusConflict,
+		"not_finished": http.StatusAccepted,
+	}[changed.Code]
 	WriteJSON(w, status, changed)
 }
 
@@ -299,7 +319,7 @@
 	return c, nil
 }
 
-// GatherStatus reads the status from every partition. Partitions that don't answer are listed as
+// GatherStatus reads the status from all partitions. Those that don't answer are listed as
 // missing.
 func GatherStatus(ctx context.Context, p Process) (Status, error) {
 	var s Status
@@ -313,7 +333,13 @@
 		s.Cores = append(s.Cores, topology.Cores[id])
 	}
 	for index := range topology.Leaders {
-		s.Partitions = append(s.Partitions, PartitionStatus{Partition: index, Leader: topology.Leaders[index].Leader, Term: topology.Leaders[index].Round, Epoch: topology.Groups[index].Epoch, Members: topology.Groups[index].Members})
+		s.Partitions = append(s.Partitions, PartitionStatus{
+			Partition: index,
+			Leader:    topology.Leaders[index].Leader,
+			Term:      topology.Leaders[index].Round,
+			Epoch:     topology.Groups[index].Epoch,
+			Members:   topology.Groups[index].Members,
+		})
 		missing := false
 		for _, prefix := range []string{memberPrefix, "breaker", "configuration"} {
 			result, ok, err := readEntries(ctx, p, index, prefix)
--- a/peer/replica/announce.go
+++ b/peer/replica/announce.go
@@ -11,25 +11,27 @@
 	"saffronfall/rule/configuration"
 )
 
-// Announcement is a replica's registration at a node, which the replica renews. Token is
-// the token from the last reply of the same node, or empty.
+// Announcement is a replica's registration at a node. Token is from the last reply of the same
+// node, or empty.
 type Announcement struct {
 	node.Replica
 	Token string `json:"stamp"`
 }
 
-// AnnouncementReply answers an announcement. If it was accepted, the replica announces
-// itself again to the same node after NextMS milliseconds. Otherwise it repeats the
-// announcement at once with Token.
+// AnnouncementReply answers an announcement. If it was accepted, the replica renews it at the
+// same node after NextMS milliseconds. Otherwise it repeats it at once with Token.
 type AnnouncementReply struct {
 	Accepted bool   `json:"counted"`
 	Token    string `json:"stamp"`
 	NextMS   int64  `json:"again_ms"`
 }
 
-// AnnouncementHandler returns a handler that authenticates announcements by the bearer
-// key, validates them and calls announce. If key is empty, all requests are rejected.
-func AnnouncementHandler(key string, announce func(ctx context.Context, r node.Replica, token string) (node.AnnounceReply, error)) http.Handler {
+// AnnouncementHandler authenticates announcements by the bearer key, validates them and calls
+// announce. An empty key rejects all requests.
+func AnnouncementHandler(
+	key string,
+	announce func(ctx context.Context, r node.Replica, token string) (node.AnnounceReply, error),
+) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		refuse := func(status int, code, reason string) {
--- a/peer/replica/faults_test.go
+++ b/peer/replica/faults_test.go
@@ -14,9 +14,8 @@
 	"time"
 )
 
-// TestCutAtEveryByte ends a response after each of its bytes, by a close or a reset.
-// Only a complete response may count as complete, the request must be sent once, and
-// the next request must use a new connection.
+// TestCutAtEveryByte guards against taking a truncated response as complete, sending a request
+// twice, and reusing the connection.
 func TestCutAtEveryByte(t *testing.T) {
 	responses := map[string]struct {
 		raw, end string
@@ -49,9 +48,8 @@
 	}
 }
 
-// endOfTruncated sends a request whose response is truncated and another one after it,
-// and returns the end of the first. The attempt IDs have two bytes like the
-// placeholder ID, so that a cut falls on the same byte of the response as sent.
+// endOfTruncated returns how the request with the truncated response ended. The attempt IDs have
+// two bytes like the placeholder ID, so that a cut falls on the same byte.
 func endOfTruncated(t *testing.T, first scriptedResponse) string {
 	t.Helper()
 	s := newFakeReplica(t, []scriptedResponse{first, {raw: okResponse}})
@@ -75,8 +73,7 @@
 	return end
 }
 
-// faultyReplica answers each request with a body that names it, with random faults:
-// duplicate, late, stale, truncated or missing responses and extra bytes.
+// faultyReplica answers each request with a body that names it, and with random faults.
 type faultyReplica struct {
 	listener net.Listener
 	lock     sync.Mutex
@@ -105,7 +102,6 @@
 	return f
 }
 
-// draw counts a run of a request and draws the kind of its response.
 func (f *faultyReplica) draw(id string, kinds int) int {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -113,15 +109,14 @@
 	return f.random.IntN(kinds)
 }
 
-// faultyConnection is a connection of a faultyReplica. Nothing is written after a
-// truncated response, because a reader could not tell those bytes from the rest of it.
+// faultyConnection writes nothing after a truncated response, because a reader could not tell
+// those bytes from the rest of it.
 type faultyConnection struct {
 	net.Conn
 	lock  sync.Mutex
 	ended bool
 }
 
-// write writes a response unless an earlier one was truncated.
 func (c *faultyConnection) write(raw string) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -130,7 +125,6 @@
 	}
 }
 
-// writeTruncated writes a truncated response, after which nothing is written.
 func (c *faultyConnection) writeTruncated(raw string) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -158,8 +152,7 @@
 	}
 }
 
-// respond sends one of ten kinds of response and reports whether the connection stays
-// open.
+// respond reports whether the connection stays open.
 func (f *faultyReplica) respond(c *faultyConnection, id string, fault int) bool {
 	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nSaffronfall-Attempt: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id)
 	chunked := fmt.Sprintf("HTTP/1.1 200 OK\r\nSaffronfall-Attempt: %s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", id, len(id), id)
@@ -191,8 +184,7 @@
 	return true
 }
 
-// TestConnectionsReusedUnderLoad sends many requests over few connections to a faulty
-// replica. Each must get its own response or none and run once.
+// Each request must get its own response or none, and run once.
 func TestConnectionsReusedUnderLoad(t *testing.T) {
 	const clients, each = 24, 60
 	f := newFaultyReplica(t, 7)
@@ -237,8 +229,6 @@
 	}
 }
 
-// TestStaleResponseIsNeverAccepted sends the response to an earlier request at several
-// moments of the next one.
 func TestStaleResponseIsNeverAccepted(t *testing.T) {
 	late := strings.ReplaceAll(okResponse, "ID", "i0")
 	for name, script := range map[string][]scriptedResponse{
@@ -260,9 +250,8 @@
 	}
 }
 
-// TestLeftOverBytesEndAConnection guards against reusing a connection with unread
-// bytes. It tests both checks separately: at the end of a response and when the
-// connection is taken from the pool.
+// TestLeftOverBytesEndAConnection guards against reusing a connection with unread bytes, both at
+// the end of a response and in the pool.
 func TestLeftOverBytesEndAConnection(t *testing.T) {
 	leftOver := func() *conn {
 		near, far := net.Pipe()
--- a/peer/replica/pool.go
+++ b/peer/replica/pool.go
@@ -1,11 +1,9 @@
-// Package replica is the HTTP client for replicas, the back ends that run requests, and
-// the HTTP handler that registers them.
+// Package replica is the HTTP client for replicas, the back ends that run requests, and the HTTP
+// handler that registers them. Pool reuses connections to one replica; Sender opens a connection
+// for each attempt.
 //
-// Pool reuses connections to one replica for requests that a node relays. Sender sends
-// each attempt over a connection of its own. AnnouncementHandler receives the
-// announcements of replicas. This package never sends a request twice: the caller decides
-// on a retry by whether the attempt may have run. Start reading at
-// Pool.Do.
+// This package never sends a request twice: the caller decides on a retry by whether the attempt
+// may have run. Start reading at Pool.Do.
 package replica
 
 import (
@@ -26,28 +24,46 @@
 	"saffronfall/peer/socket"
 )
 
-// Headers are the names of the headers between requesters, nodes and replicas. A replica
-// sets Seal on each successful response; one without it counts as interrupted. It sets
-// NotRun if it did not run the request. Target is the ID of the replica that a request is
-// for.
+// Headers are the header names between requesters, nodes and replicas. A replica sets NotRun if
+// it did not run the request. A successful response without Seal counts as interrupted. Target is
+// the ID of the intended replica.
 type Headers struct {
 	Attempt, Deadline, LastEvent, Target, Load, NotRun, Seal, Tenant, Key, Urgency, Affinity string
 	ProgramHeaders
 }
 
-// ProgramHeaders are the names of the headers of a program's turns and calls. Horizon
-// carries the milliseconds left until the program should be done.
+// ProgramHeaders are the header names of a program's turns and calls. Horizon carries the
+// milliseconds left until the program should be done.
 type ProgramHeaders struct {
 	Tokens, Prompt, Program, Session, Budget, Previous, Horizon string
 }
 
 // DefaultHeaders are the header names of this product.
-var DefaultHeaders = Headers{Attempt: "Saffronfall-Attempt", Deadline: "Saffronfall-Deadline-Ms", LastEvent: "Last-Event-Id", Target: "Saffronfall-Replica",
-	Load: "Saffronfall-Load", NotRun: "Saffronfall-Not-Run", Seal: "Saffronfall-Seal", Tenant: "Saffronfall-Tenant", Key: "Saffronfall-Key", Urgency: "Saffronfall-Urgency", Affinity: "Saffronfall-Affinity",
-	ProgramHeaders: ProgramHeaders{Tokens: "Saffronfall-Tokens", Prompt: "Saffronfall-Prompt", Program: "Saffronfall-Program", Session: "Saffronfall-Session", Budget: "Saffronfall-Budget", Previous: "Saffronfall-Previous", Horizon: "Saffronfall-Horizon-Ms"}}
+var DefaultHeaders = Headers{
+	Attempt:   "Saffronfall-Attempt",
+	Deadline:  "Saffronfall-Deadline-Ms",
+	LastEvent: "Last-Event-Id",
+	Target:    "Saffronfall-Replica",
+	Load:      "Saffronfall-Load",
+	NotRun:    "Saffronfall-Not-Run",
+	Seal:      "Saffronfall-Seal",
+	Tenant:    "Saffronfall-Tenant",
+	Key:       "Saffronfall-Key",
+	Urgency:   "Saffronfall-Urgency",
+	Affinity:  "Saffronfall-Affinity",
+	ProgramHeaders: ProgramHeaders{
+		Tokens:   "Saffronfall-Tokens",
+		Prompt:   "Saffronfall-Prompt",
+		Program:  "Saffronfall-Program",
+		Session:  "Saffronfall-Session",
+		Budget:   "Saffronfall-Budget",
+		Previous: "Saffronfall-Previous",
+		Horizon:  "Saffronfall-Horizon-Ms",
+	},
+}
 
-// Pool keeps idle connections to one replica. All requests of the node share them; a
-// connection carries one request at a time. It is safe for concurrent use.
+// Pool keeps idle connections to one replica, each for one request at a time. It is safe for
+// concurrent use.
 type Pool struct {
 	address string
 	dialer  *net.Dialer
@@ -58,26 +74,24 @@
 	net.Conn
 	reader    *bufio.Reader
 	idleUntil time.Duration
-	// headBytesLeft is how many bytes may still be read before the end of the response
-	// head.
+	// headBytesLeft limits what may still be read of the response head.
 	headBytesLeft int
 }
 
-// Limits on what precedes the body of a response: the total size of its heads, the number
-// of heads including informational (1xx) ones, and the number of responses to earlier
-// requests.
+// Limits on what precedes a response body: bytes of heads, heads including informational (1xx)
+// ones, and responses to earlier requests.
 const (
 	maxHeadBytes      = 256 << 10
 	maxHeads          = 8
 	maxStaleResponses = 2
 )
 
-// maxCombinedWrite is the size in bytes up to which head and body are copied into one write.
+// maxCombinedWrite is the size in bytes up to which head and body share one write.
 const maxCombinedWrite = 64 << 10
 
 var errResponseHead = errors.New("the response head exceeds its bounds")
 
-// Read reads from the connection, up to the limit on the response head.
+// Read reads within the limit on the response head.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.headBytesLeft <= 0 {
 		return 0, errResponseHead
@@ -87,11 +101,14 @@
 	return n, err
 }
 
-// NewPool returns a pool for a replica's address that keeps at most the given number of
-// idle connections. Data that is not acknowledged within twice dialTimeout ends a
-// connection.
+// NewPool returns a pool that keeps at most idle connections. Data that is not acknowledged
+// within twice dialTimeout ends a connection.
 func NewPool(address string, idle int, dialTimeout time.Duration) *Pool {
-	return &Pool{address: address, idle: make(chan *conn, idle), dialer: &net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: socket.UserTimeout(2 * dialTimeout)}}
+	return &Pool{
+		address: address,
+		idle:    make(chan *conn, idle),
+		dialer:  &net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: socket.UserTimeout(2 * dialTimeout)},
+	}
 }
 
 // Close closes the idle connections.
@@ -106,10 +123,9 @@
 	}
 }
 
-// errUnreachable means that no connection was established, so nothing was sent.
+// errUnreachable means that no connection was made, so nothing was sent.
 var errUnreachable = errors.New("the replica could not be reached")
 
-// acquire returns an idle connection or dials a new one.
 func (p *Pool) acquire(ctx context.Context) (c *conn, dialed bool, err error) {
 	for {
 		select {
@@ -131,8 +147,8 @@
 	}
 }
 
-// stillIdle reports whether a connection is open and has received nothing since its
-// last response. Bytes on an idle connection belong to no request.
+// stillIdle reports whether a connection is open and has received nothing since its last
+// response. Bytes on an idle connection belong to no request.
 func stillIdle(c *conn) bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -151,8 +167,6 @@
 	return err == nil && idle
 }
 
-// release keeps a connection for reuse until the given time, or closes it if the pool
-// is full.
 func (p *Pool) release(c *conn, until time.Duration) {
 	c.idleUntil = until
 	c.SetDeadline(time.Time{})
@@ -167,8 +181,7 @@
 type Request struct {
 	Method, URI string
 	Host        string
-	// Header is passed on from the requester. NodeHeaders are the names and values
-	// that the node adds.
+	// Header comes from the requester. NodeHeaders are the names and values that the node adds.
 	Header      http.Header
 	NodeHeaders [][2]string
 	Body        [][]byte
@@ -180,26 +193,22 @@
 // Response is a replica's response. The caller reads its body and then calls Done.
 type Response struct {
 	*http.Response
-	// NotRun means that the replica states that it did not run the request.
-	// Misdirected means that it did so because another replica now has the address
-	// (status 421).
+	// NotRun means that the replica states that it did not run the request; Misdirected, that
+	// another replica now has its address (status 421).
 	NotRun, Misdirected bool
-	// NewConnection means that a connection was dialed for the request.
-	NewConnection bool
+	NewConnection       bool
 
 	pool *Pool
 	conn *conn
-	// detach stops the request context from closing the connection. It reports whether
-	// it did so in time.
-	detach func() bool
-	// noReuse means that the connection must be closed after the response.
+	// detach stops the request context from closing the connection. It reports whether it did so
+	// in time.
+	detach  func() bool
 	noReuse bool
 	done    bool
 }
 
-// Do sends a request and reads the head of its response. If notSent is true, nothing
-// was sent; after any other error the request may have run. Do never sends a request
-// twice.
+// Do sends a request once and reads the head of its response. If notSent is true, nothing was
+// sent; after any other error the request may have run.
 func (p *Pool) Do(ctx context.Context, headers Headers, q Request) (r *Response, notSent bool, err error) {
 	c, dialed, err := p.acquire(ctx)
 	if err != nil {
@@ -247,7 +256,7 @@
 		if id == "" || id == q.Attempt {
 			break
 		}
-		// The response to an earlier request arrived in place of this one.
+		// This is the response to an earlier request.
 		r.noReuse = true
 		if stale++; stale > maxStaleResponses {
 			return fail(errors.New("too many responses to earlier requests"))
@@ -282,12 +291,11 @@
 	r.pool.release(r.conn, clock.Now()+idleTime(r.Header.Get("Keep-Alive")))
 }
 
-// Delimited reports whether the response itself says where its body ends, by a length
-// or by chunks.
+// Delimited reports whether the response itself says where its body ends.
 func (r *Response) Delimited() bool { return r.ContentLength >= 0 || len(r.TransferEncoding) > 0 }
 
-// idleTime returns how long an idle connection may be reused. This is less than the
-// replica's Keep-Alive timeout, so that the replica does not close it first.
+// idleTime is less than the replica's Keep-Alive timeout, so that the replica does not close an
+// idle connection first.
 func idleTime(header string) time.Duration {
 	for _, field := range strings.Split(header, ",") {
 		if value, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout="); ok {
@@ -299,7 +307,6 @@
 	return time.Minute
 }
 
-// head encodes the request line and the headers, up to the blank line.
 func (q *Request) head() []byte {
 	b := make([]byte, 0, 1024)
 	b = append(b, q.Method...)
--- a/peer/replica/pool_test.go
+++ b/peer/replica/pool_test.go
@@ -17,8 +17,8 @@
 	"saffronfall/peer/clock"
 )
 
-// scriptedResponse is what a fakeReplica does with one request: it sends raw, in which
-// ID stands for the attempt ID, and then keeps, closes or resets the connection.
+// scriptedResponse is the raw response to one request, in which ID stands for the attempt ID, and
+// what happens to the connection then.
 type scriptedResponse struct {
 	raw  string
 	then string
@@ -37,7 +37,6 @@
 	body       []byte
 }
 
-// fakeReplica speaks raw TCP and responds by a script.
 type fakeReplica struct {
 	listener net.Listener
 	requests chan receivedRequest
@@ -112,10 +111,19 @@
 func (s *fakeReplica) pool() *Pool { return NewPool(s.listener.Addr().String(), 4, 2*time.Second) }
 
 func newRequest(id string, timeout time.Duration) Request {
-	return Request{Method: "POST", URI: "/a", Host: "h", Header: http.Header{DefaultHeaders.Attempt: {id}}, Body: [][]byte{[]byte("body")}, Attempt: id, Timeout: timeout, HasBody: true}
+	return Request{
+		Method:  "POST",
+		URI:     "/a",
+		Host:    "h",
+		Header:  http.Header{DefaultHeaders.Attempt: {id}},
+		Body:    [][]byte{[]byte("body")},
+		Attempt: id,
+		Timeout: timeout,
+		HasBody: true,
+	}
 }
 
-// sendRequest sends a request as a node does and describes how it ended.
+// sendRequest describes how a request ended.
 func sendRequest(p *Pool, q Request) string {
 	r, notSent, err := p.Do(context.Background(), DefaultHeaders, q)
 	switch {
@@ -139,8 +147,7 @@
 	return string(body)
 }
 
-// waitIdleClosed waits until the idle connection, if any, has received bytes or was
-// closed.
+// waitIdleClosed waits until the idle connection, if any, got bytes or was closed.
 func waitIdleClosed(t *testing.T, p *Pool) {
 	t.Helper()
 	deadline := time.After(5 * time.Second)
@@ -173,8 +180,8 @@
 	notRunResponse = "HTTP/1.1 503 Service Unavailable\r\nSaffronfall-Attempt: ID\r\nSaffronfall-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// TestResponses sends three requests in sequence for each kind of response. None may
-// be sent twice, and a connection must be reused exactly when its response allows it.
+// No request may be sent twice, and a connection must be reused exactly when its response allows
+// it.
 func TestResponses(t *testing.T) {
 	one := []scriptedResponse{{raw: okResponse}, {raw: okResponse}, {raw: okResponse}}
 	with := func(first scriptedResponse) []scriptedResponse { return append([]scriptedResponse{first}, one[1:]...) }
@@ -186,8 +193,7 @@
 		ends   string
 		// connections lists the connection that served each request.
 		connections string
-		// unread means that the idle connection receives something after the first
-		// request.
+		// unread means that the idle connection gets bytes after the first request.
 		unread bool
 	}{
 		{"complete", one, "ok ok ok", "1 1 1", false},
@@ -278,8 +284,7 @@
 	}
 }
 
-// TestStaleResponseOnIdleConnection checks that a response that arrives on an idle
-// connection is discarded with the connection.
+// A response on an idle connection must be discarded with the connection.
 func TestStaleResponseOnIdleConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -327,8 +332,7 @@
 	}
 }
 
-// TestIdleTime checks that an idle connection is used for less time than its replica's
-// Keep-Alive timeout.
+// An idle connection must be used for less time than the Keep-Alive timeout.
 func TestIdleTime(t *testing.T) {
 	for header, most := range map[string]time.Duration{"timeout=1": time.Second, "max=9, timeout=1": time.Second, "timeout=20": 20 * time.Second, "timeout=0": 1, "timeout=x": 61 * time.Second, "": 61 * time.Second} {
 		s := newFakeReplica(t, []scriptedResponse{{raw: strings.Replace(okResponse, "Content-L", "Keep-Alive: "+header+"\r\nContent-L", 1)}, {raw: okResponse}, {raw: okResponse}})
@@ -349,7 +353,7 @@
 	}
 }
 
-// TestNotSent checks that only a request that was never sent is reported as not sent.
+// Only a request that was never sent may be reported as not sent.
 func TestNotSent(t *testing.T) {
 	p := NewPool("127.0.0.1:1", 4, time.Second)
 	if end := sendRequest(p, newRequest("a", time.Second)); end != "not sent" {
@@ -374,8 +378,6 @@
 	}
 }
 
-// TestCancelClosesConnection cancels a request before and during its response. The
-// replica must see its connection end.
 func TestCancelClosesConnection(t *testing.T) {
 	for _, begun := range []string{"", "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n"} {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -426,7 +428,6 @@
 	}
 }
 
-// TestLargeBodies checks that a body arrives unchanged, in one write or several.
 func TestLargeBodies(t *testing.T) {
 	for _, size := range []int{0, 1, 64 << 10, 64<<10 + 1, 3 << 20} {
 		s := newFakeReplica(t, []scriptedResponse{{raw: okResponse}, {raw: okResponse}})
@@ -448,9 +449,8 @@
 	}
 }
 
-// FuzzAnswer sends arbitrary bytes as a response. The request must end, an accepted
-// response must name the attempt or state that it was not run, and a connection with
-// unread bytes must not be reused.
+// The request must end, an accepted response must name the attempt or say that it was not run,
+// and a connection with unread bytes must not be reused.
 func FuzzAnswer(f *testing.F) {
 	for _, seed := range []string{okResponse, okChunked, notRunResponse, staleResponse + okResponse, staleChunked + okResponse, okResponse + staleResponse, "HTTP/1.1 100 Continue\r\n\r\n" + okResponse,
 		"HTTP/1.1 421 Misdirected Request\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\nok", "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: ID\r\nContent-Length: -1\r\n\r\n", "\x00", ""} {
--- a/peer/replica/sender.go
+++ b/peer/replica/sender.go
@@ -29,7 +29,6 @@
 	}}
 }
 
-// streamLine is one line of a streamed turn.
 type streamLine struct {
 	Text   string `json:"text"`
 	Tokens int64  `json:"tokens"`
@@ -37,9 +36,8 @@
 	Total  int64  `json:"total"`
 }
 
-// Send makes one attempt and reports its events. The last event is node.EventDone,
-// node.EventNotRun if the replica certainly did not run the attempt, or
-// node.EventInterrupted if it may have run.
+// Send makes one attempt. Its last event is node.EventDone, node.EventNotRun if the attempt
+// certainly did not run, or node.EventInterrupted if it may have run.
 func (s *Sender) Send(ctx context.Context, attempt node.StartAttempt, report func(e node.AttemptEvent)) {
 	ctx, cancel := context.WithTimeout(ctx, attempt.Timeout)
 	defer cancel()
@@ -92,8 +90,7 @@
 	}
 }
 
-// readStream reports the lines of a turn. A turn is complete only if its last line states
-// the correct total of tokens.
+// readStream counts a turn as complete only if its last line states the correct token total.
 func (s *Sender) readStream(attempt uint64, body io.Reader, report func(e node.AttemptEvent)) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 4096), int(s.maxBytes))
--- a/peer/replica/sender_test.go
+++ b/peer/replica/sender_test.go
@@ -13,7 +13,6 @@
 	"saffronfall/peer/node"
 )
 
-// TestSend checks the events of each kind of response.
 func TestSend(t *testing.T) {
 	abort := func(w http.ResponseWriter) { w.(http.Flusher).Flush(); panic(http.ErrAbortHandler) }
 	for _, c := range []struct {
@@ -44,7 +43,13 @@
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { calls++; c.respond(w) }))
 		var events []node.AttemptEvent
 		s := NewSender(&net.Dialer{}, 1<<16)
-		s.Send(context.Background(), node.StartAttempt{Attempt: 1, Kind: c.kind, Address: server.Listener.Addr().String(), Timeout: 5 * time.Second, Payload: node.Payload{Body: []byte("{}")}}, func(e node.AttemptEvent) { events = append(events, e) })
+		s.Send(context.Background(), node.StartAttempt{
+			Attempt: 1,
+			Kind:    c.kind,
+			Address: server.Listener.Addr().String(),
+			Timeout: 5 * time.Second,
+			Payload: node.Payload{Body: []byte("{}")},
+		}, func(e node.AttemptEvent) { events = append(events, e) })
 		server.Close()
 		if n := len(events); n != c.chunks+1 || events[n-1].Kind != c.last {
 			t.Errorf("%s: %+v", c.name, events)
@@ -54,13 +59,15 @@
 		}
 	}
 	var events []node.AttemptEvent
-	NewSender(&net.Dialer{}, 1<<16).Send(context.Background(), node.StartAttempt{Kind: "once", Address: "127.0.0.1:1", Timeout: time.Second}, func(e node.AttemptEvent) { events = append(events, e) })
+	NewSender(&net.Dialer{}, 1<<16).Send(
+		context.Background(),
+		node.StartAttempt{Kind: "once", Address: "127.0.0.1:1", Timeout: time.Second},
+		func(e node.AttemptEvent) { events = append(events, e) })
 	if len(events) != 1 || events[0].Kind != node.EventNotRun {
 		t.Errorf("unreachable address: %+v", events)
 	}
 }
 
-// TestAnnouncements checks which announcements are accepted.
 func TestAnnouncements(t *testing.T) {
 	var announceErr error
 	handler := AnnouncementHandler("key", func(context.Context, node.Replica, string) (node.AnnounceReply, error) {
