--- a/peer/front/handler.go
+++ b/peer/front/handler.go
@@ -184,27 +184,27 @@
 // intakeRetryAfter is the Retry-After when the intake is full.
 const intakeRetryAfter = 500 * time.Millisecond
 
-func (x *exchange) reject(cause relay.Cause, s relay.Step) {
+func (x *exchange) reject(cause relay.Cause, step relay.Step) {
 	if x.OnRejected != nil {
-		x.OnRejected(relay.Completion{Cause: cause, Attempt: x.spec.Attempt, Program: x.spec.Program, Status: s.Status})
+		x.OnRejected(relay.Completion{Cause: cause, Attempt: x.spec.Attempt, Program: x.spec.Program, Status: step.Status})
 	}
-	x.refuse(s)
+	x.refuse(step)
 }
 
 // refuse writes the node's own response.
-func (x *exchange) refuse(s relay.Step) {
+func (x *exchange) refuse(step relay.Step) {
 	x.setWriteTimeout(responseTimeout)
-	body, _ := json.Marshal(map[string]string{"error": s.Reason, "check": s.Check})
+	body, _ := json.Marshal(map[string]string{"error": step.Reason, "check": step.Check})
 	header := x.w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	if x.spec.Attempt != "" {
 		header.Set(x.Headers.Attempt, x.spec.Attempt)
 	}
-	if s.RetryAfter > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(s.RetryAfter.Seconds(), 'f', 3, 64))
+	if step.RetryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(step.RetryAfter.Seconds(), 'f', 3, 64))
 	}
-	x.w.WriteHeader(s.Status)
+	x.w.WriteHeader(step.Status)
 	x.w.Write(body)
 }
 
@@ -241,34 +241,34 @@
 	return to
 }
 
-func (x *exchange) send(s relay.Step, pool *replica.Pool) (relay.Step, *replica.Pool, bool) {
-	if s.Timeout <= 0 {
+func (x *exchange) send(step relay.Step, pool *replica.Pool) (relay.Step, *replica.Pool, bool) {
+	if step.Timeout <= 0 {
 		// The timeout expired before the attempt started.
 		return x.dispatched.Next(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true})
 	}
-	x.setWriteTimeout(s.Timeout)
-	n := x.Headers
-	q := replica.Request{
-		Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Attempt: x.spec.Attempt, Timeout: s.Timeout,
+	x.setWriteTimeout(step.Timeout)
+	names := x.Headers
+	request := replica.Request{
+		Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Attempt: x.spec.Attempt, Timeout: step.Timeout,
 		HasBody: x.r.ContentLength != 0 || x.r.Method == http.MethodPost,
-		Header:  endToEnd(x.r.Header, n.Attempt, n.Key, n.Tenant, n.Target, n.Deadline, n.Urgency, "Expect"),
-		Body:    append(append([][]byte(nil), s.History...), x.body),
+		Header:  endToEnd(x.r.Header, names.Attempt, names.Key, names.Tenant, names.Target, names.Deadline, names.Urgency, "Expect"),
+		Body:    append(append([][]byte(nil), step.History...), x.body),
 	}
-	q.NodeHeaders = append(q.NodeHeaders,
-		[2]string{n.Attempt, x.spec.Attempt},
-		[2]string{n.Target, s.Replica.ID},
-		[2]string{n.Deadline, strconv.FormatInt(max(1, s.Timeout.Milliseconds()), 10)})
-	if s.Tenant != "" {
-		q.NodeHeaders = append(q.NodeHeaders, [2]string{n.Tenant, s.Tenant})
+	request.NodeHeaders = append(request.NodeHeaders,
+		[2]string{names.Attempt, x.spec.Attempt},
+		[2]string{names.Target, step.Replica.ID},
+		[2]string{names.Deadline, strconv.FormatInt(max(1, step.Timeout.Milliseconds()), 10)})
+	if step.Tenant != "" {
+		request.NodeHeaders = append(request.NodeHeaders, [2]string{names.Tenant, step.Tenant})
 	}
-	if n.Urgency != "" && s.Stream {
-		q.NodeHeaders = append(q.NodeHeaders, [2]string{n.Urgency, strconv.FormatInt(s.Urgency, 10)})
+	if names.Urgency != "" && step.Stream {
+		request.NodeHeaders = append(request.NodeHeaders, [2]string{names.Urgency, strconv.FormatInt(step.Urgency, 10)})
 	}
 	if x.lastEventID != "" {
-		delete(q.Header, http.CanonicalHeaderKey(n.LastEvent))
-		q.NodeHeaders = append(q.NodeHeaders, [2]string{n.LastEvent, x.lastEventID})
+		delete(request.Header, http.CanonicalHeaderKey(names.LastEvent))
+		request.NodeHeaders = append(request.NodeHeaders, [2]string{names.LastEvent, x.lastEventID})
 	}
-	r, notSent, err := pool.Do(x.r.Context(), n, q)
+	response, notSent, err := pool.Do(x.r.Context(), names, request)
 	disconnected := x.r.Context().Err() != nil
 	switch {
 	case notSent:
@@ -277,29 +277,31 @@
 	case err != nil:
 		return x.dispatched.Next(relay.Outcome{Kind: relay.OutcomeInterrupted, RequesterDisconnected: disconnected})
 	}
-	o := relay.Outcome{Load: parseLoad(r.Header.Get(n.Load)), NewConnection: r.NewConnection}
-	ok := r.StatusCode >= 200 && r.StatusCode < 300
+	outcome := relay.Outcome{Load: parseLoad(response.Header.Get(names.Load)), NewConnection: response.NewConnection}
+	ok := response.StatusCode >= 200 && response.StatusCode < 300
 	switch {
-	case r.NotRun:
-		size, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxNotRunBody))
-		r.Done(err == nil && size < maxNotRunBody)
-		o.Kind, o.AddressReused = relay.OutcomeNotRun, r.Misdirected
-	case ok && (r.Header.Get(n.Seal) == "" || !r.Delimited()):
-		r.Done(false)
-		o.Kind = relay.OutcomeInterrupted
-	case ok && s.Stream:
-		o = x.relayStream(r, s, o)
+	case response.NotRun:
+		size, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxNotRunBody))
+		response.Done(err == nil && size < maxNotRunBody)
+		outcome.Kind, outcome.AddressReused = relay.OutcomeNotRun, response.Misdirected
+	case ok && (response.Header.Get(names.Seal) == "" || !response.Delimited()):
+		response.Done(false)
+		outcome.Kind = relay.OutcomeInterrupted
+	case ok && step.Stream:
+		outcome = x.relayStream(response, step, outcome)
 	default:
-		return x.relayBuffered(r, o)
+		return x.relayBuffered(response, outcome)
 	}
-	o.RequesterDisconnected = o.RequesterDisconnected || x.r.Context().Err() != nil
-	return x.dispatched.Next(o)
+	outcome.RequesterDisconnected = outcome.RequesterDisconnected || x.r.Context().Err() != nil
+	return x.dispatched.Next(outcome)
 }
 
 // maxNotRunBody is how many bytes of a not-run response are read. A connection with more is not
 // reused.
 const maxNotRunBody = 64 << 10
 
+const streamBufferBytes = 4096
+
 // parseLoad reads a load header, "running,waiting,slots". It returns nil if malformed.
 func parseLoad(text string) *relay.Load {
 	fields := strings.Split(text, ",")
@@ -317,12 +319,12 @@
 	return &relay.Load{Running: counts[0], Waiting: counts[1], Slots: counts[2]}
 }
 
-func (x *exchange) copyHead(r *replica.Response) {
-	if id := r.Header.Get(x.Headers.Attempt); id != "" && id != x.spec.Attempt {
+func (x *exchange) copyHead(response *replica.Response) {
+	if id := response.Header.Get(x.Headers.Attempt); id != "" && id != x.spec.Attempt {
 		x.Violated.Violated(invariant.AnswerMatches, "the answer to attempt %s is passed on as that to attempt %s", id, x.spec.Attempt)
 	}
 	header := x.w.Header()
-	for name, values := range endToEnd(r.Header) {
+	for name, values := range endToEnd(response.Header) {
 		header[name] = values
 	}
 	if _, ok := header["Content-Type"]; !ok {
@@ -334,28 +336,28 @@
 var errResponseTooLarge = errors.New("the replica's answer is larger than the largest allowed body")
 
 // relayBuffered forwards a response only if it arrived complete.
-func (x *exchange) relayBuffered(r *replica.Response, o relay.Outcome) (relay.Step, *replica.Pool, bool) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, x.MaxBody+1))
+func (x *exchange) relayBuffered(response *replica.Response, outcome relay.Outcome) (relay.Step, *replica.Pool, bool) {
+	body, err := io.ReadAll(io.LimitReader(response.Body, x.MaxBody+1))
 	if int64(len(body)) > x.MaxBody {
 		err = errResponseTooLarge
 	}
-	r.Done(err == nil)
-	o.RequesterDisconnected = x.r.Context().Err() != nil
-	if err != nil || x.started || !r.Delimited() {
-		o.Kind = relay.OutcomeInterrupted
-		return x.dispatched.Next(o)
+	response.Done(err == nil)
+	outcome.RequesterDisconnected = x.r.Context().Err() != nil
+	if err != nil || x.started || !response.Delimited() {
+		outcome.Kind = relay.OutcomeInterrupted
+		return x.dispatched.Next(outcome)
 	}
-	o.Kind, o.Failed, o.Status = relay.OutcomeComplete, r.StatusCode >= 300, r.StatusCode
-	step, pool, ok := x.dispatched.Next(o)
+	outcome.Kind, outcome.Failed, outcome.Status = relay.OutcomeComplete, response.StatusCode >= 300, response.StatusCode
+	step, pool, ok := x.dispatched.Next(outcome)
 	if ok && step.Kind == relay.StepDeliver {
 		x.setWriteTimeout(responseTimeout)
-		x.copyHead(r)
+		x.copyHead(response)
 		size := int64(len(body))
 		if x.r.Method == http.MethodHead {
-			size = r.ContentLength
+			size = response.ContentLength
 		}
 		x.w.Header().Set("Content-Length", strconv.FormatInt(size, 10))
-		x.w.WriteHeader(r.StatusCode)
+		x.w.WriteHeader(response.StatusCode)
 		x.w.Write(body)
 		x.started = true
 	}
@@ -363,31 +365,31 @@
 }
 
 // relayStream forwards a stream event by event, without an incomplete last event.
-func (x *exchange) relayStream(r *replica.Response, s relay.Step, o relay.Outcome) relay.Outcome {
-	reader := bufio.NewReaderSize(r.Body, 4096)
+func (x *exchange) relayStream(response *replica.Response, step relay.Step, outcome relay.Outcome) relay.Outcome {
+	reader := bufio.NewReaderSize(response.Body, streamBufferBytes)
 	var e event
 	lineStart := 0
 	var firstAt time.Duration
 	end := func(kind string, complete bool) relay.Outcome {
-		r.Done(complete)
-		if o.Events > 0 {
-			o.StreamDuration = clock.Now() - firstAt
+		response.Done(complete)
+		if outcome.Events > 0 {
+			outcome.StreamDuration = clock.Now() - firstAt
 		}
-		o.Kind = kind
-		return o
+		outcome.Kind = kind
+		return outcome
 	}
 	forward := func() bool {
-		if !x.writeEvent(r, e.raw) {
-			o.RequesterDisconnected = true
+		if !x.writeEvent(response, e.raw) {
+			outcome.RequesterDisconnected = true
 			return false
 		}
 		if e.hasData {
-			if o.Events == 0 {
+			if outcome.Events == 0 {
 				firstAt = clock.Now()
 			}
-			o.Events++
-			o.Started = true
-			if s.ReturnOutput {
+			outcome.Events++
+			outcome.Started = true
+			if step.ReturnOutput {
 				x.output = append(append(x.output, e.data...), '\n')
 			}
 		}
@@ -418,7 +420,7 @@
 			if (len(e.raw) > 0 || !x.started) && !forward() {
 				return end(relay.OutcomeInterrupted, false)
 			}
-			o.Started, o.Output = x.started, x.output
+			outcome.Started, outcome.Output = x.started, x.output
 			return end(relay.OutcomeComplete, true)
 		}
 	}
@@ -447,10 +449,10 @@
 }
 
 // writeEvent writes and flushes an event, after the head if it is the first.
-func (x *exchange) writeEvent(r *replica.Response, event []byte) bool {
+func (x *exchange) writeEvent(response *replica.Response, event []byte) bool {
 	if !x.started {
-		x.copyHead(r)
-		x.w.WriteHeader(r.StatusCode)
+		x.copyHead(response)
+		x.w.WriteHeader(response.StatusCode)
 		x.started = true
 	}
 	if _, err := x.w.Write(event); err != nil {
--- a/peer/front/handler_test.go
+++ b/peer/front/handler_test.go
@@ -144,29 +144,29 @@
 	return &node{scriptedDispatcher: s, server: server}
 }
 
-type client struct {
+type requesterConn struct {
 	t *testing.T
 	net.Conn
 	reader *bufio.Reader
 }
 
-func (n *node) dial(t *testing.T) *client {
+func (n *node) dial(t *testing.T) *requesterConn {
 	c, err := net.Dial("tcp", n.server.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(clock.Deadline(testTimeout))
-	return &client{t: t, Conn: c, reader: bufio.NewReader(c)}
+	return &requesterConn{t: t, Conn: c, reader: bufio.NewReader(c)}
 }
 
-func (c *client) write(raw string) {
+func (c *requesterConn) write(raw string) {
 	if _, err := io.WriteString(c, raw); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-func (c *client) read(method string) *http.Response {
+func (c *requesterConn) read(method string) *http.Response {
 	c.t.Helper()
 	r, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
@@ -424,7 +424,7 @@
 }
 
 // readEvents checks that exactly count events were flushed.
-func readEvents(q *client, r *http.Response, count int) string {
+func readEvents(q *requesterConn, r *http.Response, count int) string {
 	q.t.Helper()
 	var text strings.Builder
 	reader := bufio.NewReader(r.Body)
--- a/peer/front/head.go
+++ b/peer/front/head.go
@@ -14,67 +14,73 @@
 )
 
 // maxDeadlineMS caps deadlines and horizons (one day).
-const maxDeadlineMS = 86400000
+const maxDeadlineMS = 24 * 60 * 60 * 1000
+
+// Bytes of a head's lines besides the method and URI, or the header's name and value.
+const (
+	requestLineOverhead = len("  HTTP/1.1\r\n")
+	headerLineOverhead  = len(": \r\n")
+)
 
 // parseHead reads a request's head. The string says what is malformed, or is empty.
 func (h *handler) parseHead(r *http.Request) (relay.Request, string) {
-	n := h.Headers
-	a := relay.Request{
-		Host: r.Host, Path: r.URL.Path, Attempt: r.Header.Get(n.Attempt), Program: r.Header.Get(n.Program),
-		Session: r.Header.Get(n.Session), Previous: r.Header.Get(n.Previous), Key: r.Header.Get(n.Key),
+	names := h.Headers
+	request := relay.Request{
+		Host: r.Host, Path: r.URL.Path, Attempt: r.Header.Get(names.Attempt), Program: r.Header.Get(names.Program),
+		Session: r.Header.Get(names.Session), Previous: r.Header.Get(names.Previous), Key: r.Header.Get(names.Key),
 	}
-	_, a.HasKey = r.Header[http.CanonicalHeaderKey(n.Key)]
+	_, request.HasKey = r.Header[http.CanonicalHeaderKey(names.Key)]
 	if i := strings.IndexByte(r.RequestURI, '?'); i >= 0 {
-		a.Path = r.RequestURI[:i]
+		request.Path = r.RequestURI[:i]
 	} else if r.RequestURI != "" {
-		a.Path = r.RequestURI
+		request.Path = r.RequestURI
 	}
-	if a.Attempt == "" {
-		return a, n.Attempt + " is missing"
+	if request.Attempt == "" {
+		return request, names.Attempt + " is missing"
 	}
-	a.HeadBytes = int64(len(r.Method) + len(r.RequestURI) + 12)
+	request.HeadBytes = int64(len(r.Method) + len(r.RequestURI) + requestLineOverhead)
 	for name, values := range r.Header {
 		for _, value := range values {
-			a.HeadBytes += int64(len(name) + len(value) + 4)
+			request.HeadBytes += int64(len(name) + len(value) + headerLineOverhead)
 		}
 	}
-	if text := r.Header.Get(n.Deadline); text != "" {
+	if text := r.Header.Get(names.Deadline); text != "" {
 		ms, err := strconv.ParseFloat(text, 64)
 		if err != nil || math.IsNaN(ms) || math.IsInf(ms, 0) {
-			return a, n.Deadline + " is not a number"
+			return request, names.Deadline + " is not a number"
 		}
-		a.Remaining = time.Duration(min(max(ms, -1), maxDeadlineMS) * float64(time.Millisecond))
+		request.Remaining = time.Duration(min(max(ms, -1), maxDeadlineMS) * float64(time.Millisecond))
 		// Zero means no deadline.
-		if a.Remaining == 0 {
-			a.Remaining = -1
+		if request.Remaining == 0 {
+			request.Remaining = -1
 		}
 	}
-	a.Horizon = parseHorizon(r.Header.Get(n.Horizon))
-	if text := r.Header.Get(n.Budget); text != "" {
+	request.Horizon = parseHorizon(r.Header.Get(names.Horizon))
+	if text := r.Header.Get(names.Budget); text != "" {
 		budget, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || budget < 0 {
-			return a, n.Budget + " is not a count"
+			return request, names.Budget + " is not a count"
 		}
 		// Zero means no budget, so a spent one counts as 1.
-		a.TokenBudget = max(budget, 1)
+		request.TokenBudget = max(budget, 1)
 	}
-	if text := r.Header.Get(n.Tokens); text != "" {
+	if text := r.Header.Get(names.Tokens); text != "" {
 		prompt, most, _ := strings.Cut(text, ",")
 		if read, err := strconv.ParseInt(strings.TrimSpace(prompt), 10, 64); err != nil || read < 0 {
-			return a, n.Tokens + " is not two counts"
+			return request, names.Tokens + " is not two counts"
 		}
 		count, err := strconv.ParseInt(strings.TrimSpace(most), 10, 64)
 		if err != nil || count < 0 {
-			return a, n.Tokens + " is not two counts"
+			return request, names.Tokens + " is not two counts"
 		}
-		a.MaxTokens = count
+		request.MaxTokens = count
 	}
-	a.Prompt = h.parsePrompt(r.Header.Get(n.Prompt))
-	if key := r.Header.Get(n.Affinity); key != "" {
+	request.Prompt = h.parsePrompt(r.Header.Get(names.Prompt))
+	if key := r.Header.Get(names.Affinity); key != "" {
 		// The lowest bit is set because zero means no affinity.
-		a.Affinity = h.hash(key) | 1
+		request.Affinity = h.hash(key) | 1
 	}
-	return a, ""
+	return request, ""
 }
 
 // parsePrompt ignores malformed parts, since they are only placement hints.
--- a/peer/front/interruption_test.go
+++ b/peer/front/interruption_test.go
@@ -291,7 +291,7 @@
 	}
 }
 
-func readBriefly(q *client) io.Reader {
+func readBriefly(q *requesterConn) io.Reader {
 	q.SetReadDeadline(clock.Deadline(200 * time.Millisecond))
 	return q.reader
 }
--- a/peer/front/limits_test.go
+++ b/peer/front/limits_test.go
@@ -63,14 +63,14 @@
 	}
 }
 
-func newNodeWithBodyTimeout(t *testing.T, bodyTime time.Duration) *node {
+func newNodeWithBodyTimeout(t *testing.T, bodyTimeout time.Duration) *node {
 	dispatcher := &scriptedDispatcher{t: t, dispatched: make(chan relay.Request, 16), outcomes: make(chan relay.Outcome, 16)}
 	server := httptest.NewServer(Handler(Options{
 		Dispatcher:  dispatcher,
 		Headers:     replica.DefaultHeaders,
 		MaxBody:     1 << 20,
 		Draining:    make(chan struct{}),
-		BodyTimeout: bodyTime,
+		BodyTimeout: bodyTimeout,
 	}))
 	t.Cleanup(server.Close)
 	return &node{scriptedDispatcher: dispatcher, server: server}
@@ -105,7 +105,7 @@
 	checkCloses(t, q, "a late body")
 }
 
-func checkCloses(t *testing.T, q *client, what string) {
+func checkCloses(t *testing.T, q *requesterConn, what string) {
 	t.Helper()
 	if _, err := io.Copy(io.Discard, q.reader); err != nil && strings.Contains(err.Error(), "timeout") {
 		t.Errorf("%s: the connection was not closed", what)
@@ -162,7 +162,7 @@
 	}))
 	t.Cleanup(server.Close)
 	n := &node{scriptedDispatcher: dispatcher, server: server}
-	post := func(attempt string, size int) *client {
+	post := func(attempt string, size int) *requesterConn {
 		q := n.dial(t)
 		q.write(fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: %s\r\nContent-Length: %d\r\n\r\n%s", attempt, size, strings.Repeat("b", size)))
 		return q
--- a/peer/operator/client.go
+++ b/peer/operator/client.go
@@ -83,7 +83,7 @@
 
 // Found founds a fleet on the cores at the addresses. All must answer, and none may belong to a
 // fleet, unless an interrupted founding of the same cores is resumed.
-func (c Client) Found(ctx context.Context, fleet string, addresses []string, partitions, size int) (core.Founding, error) {
+func (c Client) Found(ctx context.Context, fleet string, addresses []string, partitions, groupSize int) (core.Founding, error) {
 	var cores []core.Core
 	var existing *core.Founding
 	addressOf := map[string]string{}
@@ -106,22 +106,23 @@
 			existing = &founding
 		}
 	}
-	founding := core.PlanFleet(fleet, partitions, size, cores)
+	founding := core.PlanFleet(fleet, partitions, groupSize, cores)
 	if existing != nil {
-		for _, one := range cores {
-			if named, ok := existing.Cores[one.ID]; !ok || named.Incarnation != one.Incarnation || len(existing.Cores) != len(cores) {
-				return core.Founding{}, errors.Newf("core %s belongs to a fleet that was founded with other cores", one.ID)
+		for _, candidate := range cores {
+			if existingCore, ok := existing.Cores[candidate.ID]; !ok ||
+				existingCore.Incarnation != candidate.Incarnation || len(existing.Cores) != len(cores) {
+				return core.Founding{}, errors.Newf("core %s belongs to a fleet that was founded with other cores", candidate.ID)
 			}
 		}
 		founding = *existing
 	}
-	for _, one := range cores {
-		status, raw, err := c.Do(ctx, "POST", addressOf[one.ID], "/v1/found", founding, nil)
+	for _, candidate := range cores {
+		status, raw, err := c.Do(ctx, "POST", addressOf[candidate.ID], "/v1/found", founding, nil)
 		if err != nil {
-			return founding, errors.Wrapf(err, "core %s; run found again with the same cores to resume", one.ID)
+			return founding, errors.Wrapf(err, "core %s; run found again with the same cores to resume", candidate.ID)
 		}
 		if status != http.StatusOK {
-			return founding, errors.Wrapf(NewResponseError(status, raw), "core %s", one.ID)
+			return founding, errors.Wrapf(NewResponseError(status, raw), "core %s", candidate.ID)
 		}
 	}
 	return founding, nil
@@ -137,16 +138,21 @@
 	} else if status != http.StatusOK {
 		return changed, errors.Wrapf(NewResponseError(status, raw), "core at %s", newCore)
 	}
-	var t core.Topology
-	if status, raw, err := c.Do(ctx, "GET", member, "/v1/topology", nil, &t); err != nil {
+	var topology core.Topology
+	if status, raw, err := c.Do(ctx, "GET", member, "/v1/topology", nil, &topology); err != nil {
 		return changed, err
 	} else if status != http.StatusOK {
 		return changed, errors.Wrapf(NewResponseError(status, raw), "core at %s", member)
 	}
 	if !identity.Founded {
-		f := core.Founding{Fleet: t.Fleet, Partitions: len(t.Groups), Cores: t.Cores, Groups: make([]partition.Group, len(t.Groups))}
-		f.Cores[identity.Core.ID] = identity.Core
-		if status, raw, err := c.Do(ctx, "POST", newCore, "/v1/found", f, nil); err != nil {
+		founding := core.Founding{
+			Fleet:      topology.Fleet,
+			Partitions: len(topology.Groups),
+			Cores:      topology.Cores,
+			Groups:     make([]partition.Group, len(topology.Groups)),
+		}
+		founding.Cores[identity.Core.ID] = identity.Core
+		if status, raw, err := c.Do(ctx, "POST", newCore, "/v1/found", founding, nil); err != nil {
 			return changed, err
 		} else if status != http.StatusOK {
 			return changed, errors.Wrapf(NewResponseError(status, raw), "core at %s", newCore)
@@ -174,8 +180,8 @@
 // Plan returns what a change of cores would move, without making it. newCore is the address of
 // the core to add or to replace with, or empty.
 func (c Client) Plan(ctx context.Context, member string, change CoreChange, newCore string) (core.ChangeResult, error) {
-	var t core.Topology
-	if status, raw, err := c.Do(ctx, "GET", member, "/v1/topology", nil, &t); err != nil {
+	var topology core.Topology
+	if status, raw, err := c.Do(ctx, "GET", member, "/v1/topology", nil, &topology); err != nil {
 		return core.ChangeResult{}, err
 	} else if status != http.StatusOK {
 		return core.ChangeResult{}, NewResponseError(status, raw)
@@ -187,9 +193,9 @@
 		} else if status != http.StatusOK {
 			return core.ChangeResult{}, errors.Wrapf(NewResponseError(status, raw), "core at %s", newCore)
 		}
-		change.ID, t.Cores[identity.Core.ID] = identity.Core.ID, identity.Core
+		change.ID, topology.Cores[identity.Core.ID] = identity.Core.ID, identity.Core
 	}
-	plan := core.PlanChange(t.Cores, nil, t.Groups, t.GroupSize, change.Kind, change.ID, change.By)
+	plan := core.PlanChange(topology.Cores, nil, topology.Groups, topology.GroupSize, change.Kind, change.ID, change.By)
 	if plan.Code != "" {
 		return plan, &ResponseError{Code: plan.Code, Reason: plan.Reason}
 	}
--- a/peer/operator/handler.go
+++ b/peer/operator/handler.go
@@ -131,7 +131,7 @@
 		if !readBody(w, r, &f) {
 			return
 		}
-		body, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
+		answer, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
 			out, ok := m.Found(now, f)
 			out.Answers = append(out.Answers, core.Answer{Ticket: ticket, Body: ok})
 			return out
@@ -139,7 +139,7 @@
 		switch {
 		case err != nil:
 			WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
-		case body == true:
+		case answer == true:
 			WriteJSON(w, http.StatusOK, map[string]bool{"founded": true})
 		default:
 			WriteJSON(w, http.StatusConflict, ErrorResponse{Code: "not_founded", Reason: "this core belongs to another fleet, or the founding does not name its incarnation", Executed: "no"})
@@ -198,7 +198,7 @@
 	if timeout <= 0 {
 		timeout = defaultApplyTimeout
 	}
-	body, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
+	answer, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
 		return m.ApplyConfiguration(now, ticket, core.ApplyRequest{
 			BasedOn:  request.BasedOn,
 			Text:     request.Description,
@@ -211,7 +211,7 @@
 		WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
 		return
 	}
-	result := body.(core.ApplyResult)
+	result := answer.(core.ApplyResult)
 	status := map[string]int{
 		"":                 http.StatusOK,
 		"planned":          http.StatusOK,
@@ -224,8 +224,8 @@
 	WriteJSON(w, status, result)
 }
 
-// CoreChange asks to add, retire or replace a core. BudgetMS bounds it in milliseconds; zero
-// selects a default.
+// CoreChange asks to add, retire or replace a core; By is the id of the replacement. BudgetMS
+// bounds it in milliseconds; zero selects a default.
 type CoreChange struct {
 	Kind     string     `json:"kind"`
 	ID       string     `json:"id"`
@@ -244,10 +244,10 @@
 		return
 	}
 	if c.New != nil {
-		body, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
+		answer, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
 			return m.RegisterCore(now, ticket, *c.New, timeout)
 		})
-		if done, ok := body.(core.Done); err != nil || !ok || !done.OK {
+		if done, ok := answer.(core.Done); err != nil || !ok || !done.OK {
 			WriteJSON(w, http.StatusConflict, ErrorResponse{
 				Code:     "not_introduced",
 				Reason:   "the core could not be made known; another core may have its name",
@@ -256,14 +256,14 @@
 			return
 		}
 	}
-	body, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
+	answer, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
 		return m.ChangeCore(now, ticket, c.Kind, c.ID, c.By, timeout)
 	})
 	if err != nil {
 		WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "maybe"})
 		return
 	}
-	changed := body.(core.ChangeResult)
+	changed := answer.(core.ChangeResult)
 	status := map[string]int{
 		"":             http.StatusOK,
 		"unknown_core": http.StatusNotFound,
@@ -295,13 +295,13 @@
 }
 
 func readEntries(ctx context.Context, p Process, index int, prefix string) ([]partition.Entry, bool, error) {
-	body, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
+	answer, err := p.Call(ctx, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
 		return m.RunCommand(now, ticket, core.ReadEntries{Partition: index, Prefix: prefix}, readTimeout)
 	})
 	if err != nil {
 		return nil, false, err
 	}
-	result, ok := body.(core.Outcome).Answer.(core.Entries)
+	result, ok := answer.(core.Outcome).Answer.(core.Entries)
 	return result.Entries, ok, nil
 }
 
@@ -323,11 +323,11 @@
 // missing.
 func GatherStatus(ctx context.Context, p Process) (Status, error) {
 	var s Status
-	body, err := p.Inspect(ctx, func(m *core.Machine, now time.Duration) any { return m.Topology() })
+	answer, err := p.Inspect(ctx, func(m *core.Machine, now time.Duration) any { return m.Topology() })
 	if err != nil {
 		return s, err
 	}
-	topology := body.(core.Topology)
+	topology := answer.(core.Topology)
 	s.Fleet = topology.Fleet
 	for _, id := range ordered.Keys(topology.Cores) {
 		s.Cores = append(s.Cores, topology.Cores[id])
--- a/peer/replica/announce.go
+++ b/peer/replica/announce.go
@@ -11,6 +11,8 @@
 	"saffronfall/rule/configuration"
 )
 
+const maxAnnouncementBytes = 64 << 10
+
 // Announcement is a replica's registration at a node. Token is from the last reply of the same
 // node, or empty.
 type Announcement struct {
@@ -43,7 +45,7 @@
 			return
 		}
 		var announcement Announcement
-		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, 1<<16))
+		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(&announcement); err != nil {
 			refuse(400, "malformed", err.Error())
--- a/peer/replica/faults_test.go
+++ b/peer/replica/faults_test.go
@@ -186,18 +186,18 @@
 
 // Each request must get its own response or none, and run once.
 func TestConnectionsReusedUnderLoad(t *testing.T) {
-	const clients, each = 24, 60
+	const requesters, each = 24, 60
 	f := newFaultyReplica(t, 7)
 	p := NewPool(f.listener.Addr().String(), 4, 2*time.Second)
 	var answered, broken int64
 	var lock sync.Mutex
-	var clientsDone sync.WaitGroup
-	for client := range clients {
-		clientsDone.Add(1)
+	var requestersDone sync.WaitGroup
+	for requester := range requesters {
+		requestersDone.Add(1)
 		go func() {
-			defer clientsDone.Done()
+			defer requestersDone.Done()
 			for i := range each {
-				id := fmt.Sprintf("request-%02d-%02d", client, i)
+				id := fmt.Sprintf("request-%02d-%02d", requester, i)
 				end := sendRequest(p, newRequest(id, 5*time.Second))
 				lock.Lock()
 				switch end {
@@ -212,11 +212,11 @@
 			}
 		}()
 	}
-	clientsDone.Wait()
+	requestersDone.Wait()
 	p.Close()
 	f.listener.Close()
 	f.open.Wait()
-	if answered < clients*each/2 || broken == 0 {
+	if answered < requesters*each/2 || broken == 0 {
 		t.Errorf("%d answered, %d broken: the replica did not produce the intended faults", answered, broken)
 	}
 	for id, runs := range f.runs {
@@ -224,8 +224,8 @@
 			t.Errorf("%s ran %d times", id, runs)
 		}
 	}
-	if len(f.runs) != clients*each {
-		t.Errorf("%d of %d requests arrived", len(f.runs), clients*each)
+	if len(f.runs) != requesters*each {
+		t.Errorf("%d of %d requests arrived", len(f.runs), requesters*each)
 	}
 }
 
--- a/peer/replica/pool.go
+++ b/peer/replica/pool.go
@@ -89,6 +89,11 @@
 // maxCombinedWrite is the size in bytes up to which head and body share one write.
 const maxCombinedWrite = 64 << 10
 
+const readBufferBytes = 4096
+
+// defaultIdleTime applies if a replica sends no valid Keep-Alive timeout.
+const defaultIdleTime = time.Minute
+
 var errResponseHead = errors.New("the response head exceeds its bounds")
 
 // Read reads within the limit on the response head.
@@ -101,12 +106,12 @@
 	return n, err
 }
 
-// NewPool returns a pool that keeps at most idle connections. Data that is not acknowledged
-// within twice dialTimeout ends a connection.
-func NewPool(address string, idle int, dialTimeout time.Duration) *Pool {
+// NewPool returns a pool that keeps at most maxIdle idle connections. Data that is not
+// acknowledged within twice dialTimeout ends a connection.
+func NewPool(address string, maxIdle int, dialTimeout time.Duration) *Pool {
 	return &Pool{
 		address: address,
-		idle:    make(chan *conn, idle),
+		idle:    make(chan *conn, maxIdle),
 		dialer:  &net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: socket.UserTimeout(2 * dialTimeout)},
 	}
 }
@@ -142,7 +147,7 @@
 			return nil, true, errors.WithSecondaryError(errUnreachable, err)
 		}
 		c := &conn{Conn: raw}
-		c.reader = bufio.NewReaderSize(c, 4096)
+		c.reader = bufio.NewReaderSize(c, readBufferBytes)
 		return c, true, nil
 	}
 }
@@ -304,7 +309,7 @@
 			}
 		}
 	}
-	return time.Minute
+	return defaultIdleTime
 }
 
 func (q *Request) head() []byte {
--- a/peer/replica/sender.go
+++ b/peer/replica/sender.go
@@ -29,6 +29,9 @@
 	}}
 }
 
+// initialLineBytes is the buffer for stream lines; it grows up to the limit of the Sender.
+const initialLineBytes = 4096
+
 type streamLine struct {
 	Text   string `json:"text"`
 	Tokens int64  `json:"tokens"`
@@ -93,22 +96,22 @@
 // readStream counts a turn as complete only if its last line states the correct token total.
 func (s *Sender) readStream(attempt uint64, body io.Reader, report func(e node.AttemptEvent)) {
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(make([]byte, 4096), int(s.maxBytes))
+	scanner.Buffer(make([]byte, initialLineBytes), int(s.maxBytes))
 	var total int64
 	for scanner.Scan() {
-		var l streamLine
-		if err := json.Unmarshal(scanner.Bytes(), &l); err != nil || l.Tokens < 0 {
+		var line streamLine
+		if err := json.Unmarshal(scanner.Bytes(), &line); err != nil || line.Tokens < 0 {
 			break
 		}
-		if l.Done {
-			if l.Total != total {
+		if line.Done {
+			if line.Total != total {
 				break
 			}
 			report(node.AttemptEvent{Attempt: attempt, Kind: node.EventDone, Status: 200})
 			return
 		}
-		total += l.Tokens
-		report(node.AttemptEvent{Attempt: attempt, Kind: node.EventChunk, Text: l.Text, Tokens: l.Tokens})
+		total += line.Tokens
+		report(node.AttemptEvent{Attempt: attempt, Kind: node.EventChunk, Text: line.Text, Tokens: line.Tokens})
 	}
 	report(node.AttemptEvent{Attempt: attempt, Kind: node.EventInterrupted})
 }
