--- a/peer/front/handler.go
+++ b/peer/front/handler.go
@@ -73,7 +73,6 @@
 	intake *intake
 }
 
-// exchange is one request and its response.
 type exchange struct {
 	*handler
 	w           http.ResponseWriter
@@ -181,7 +180,6 @@
 	}
 }
 
-// intakeRetryAfter is the Retry-After when the intake is full.
 const intakeRetryAfter = 500 * time.Millisecond
 
 func (x *exchange) reject(cause relay.Cause, step relay.Step) {
@@ -191,7 +189,6 @@
 	x.refuse(step)
 }
 
-// refuse writes the node's own response.
 func (x *exchange) refuse(step relay.Step) {
 	x.setWriteTimeout(responseTimeout)
 	body, _ := json.Marshal(map[string]string{"error": step.Reason, "check": step.Check})
--- a/peer/replica/sender.go
+++ b/peer/replica/sender.go
@@ -29,7 +29,7 @@
 	}}
 }
 
-// initialLineBytes is the buffer for stream lines; it grows up to the limit of the Sender.
+// initialLineBytes is the first buffer for stream lines; it grows up to Sender.maxBytes.
 const initialLineBytes = 4096
 
 type streamLine struct {
