--- a/peer/operator/client.go
+++ b/peer/operator/client.go
@@ -14,7 +14,7 @@
 	"saffronfall/rule/partition"
 )
 
-// Client calls the HTTP API of processes with the operator key. If HTTP is nil, it uses
+// Client calls the HTTP API of processes with the operator key. A nil HTTP selects
 // http.DefaultClient.
 type Client struct {
 	Key  string
@@ -31,8 +31,7 @@
 // Error returns the code and the reason.
 func (r *ResponseError) Error() string { return r.Code + ": " + r.Reason }
 
-// NewResponseError returns the ResponseError of a response body; its code is "malformed" if the
-// body has none.
+// NewResponseError decodes an error response body. The code is "malformed" if the body has none.
 func NewResponseError(status int, raw []byte) error {
 	r := &ResponseError{Status: status}
 	if json.Unmarshal(raw, r) != nil || r.Code == "" {
@@ -41,11 +40,11 @@
 	return r
 }
 
-// ErrUnreachable marks errors of calls to which an address gave no response.
+// ErrUnreachable marks errors of calls that got no response.
 var ErrUnreachable = errors.New("no response from this address")
 
-// Do makes one call and decodes a successful response into target, if that is not nil. It
-// returns the status and the raw body. A status of 400 or above is not an error.
+// Do makes one call and decodes a successful response into target, unless it is nil. It returns
+// the status and raw body. A status of 400 or above is not an error.
 func (c Client) Do(ctx context.Context, method, address, path string, body, target any) (int, []byte, error) {
 	var reader io.Reader
 	if body != nil {
@@ -82,9 +81,9 @@
 	return response.StatusCode, raw, nil
 }
 
-// Found founds a fleet on the cores at the given addresses. All of them must answer, and none
-// may belong to a fleet yet, unless an interrupted founding of the same cores is resumed.
-func (c Client) Found(ctx context.Context, fleet string, addresses []string, partitions, size int) (core.Founding, error) {
+// Found founds a fleet on the cores at the addresses. All must answer, and none may belong to a
+// fleet, unless an interrupted founding of the same cores is resumed.
+func (c Client) Found(ctx context.Context, fleet string, addresses []string, partitions, groupSize int) (core.Founding, error) {
 	var cores []core.Core
 	var existing *core.Founding
 	addressOf := map[string]string{}
@@ -107,29 +106,30 @@
 			existing = &founding
 		}
 	}
-	founding := core.PlanFleet(fleet, partitions, size, cores)
+	founding := core.PlanFleet(fleet, partitions, groupSize, cores)
 	if existing != nil {
-		for _, one := range cores {
-			if named, ok := existing.Cores[one.ID]; !ok || named.Incarnation != one.Incarnation || len(existing.Cores) != len(cores) {
-				return core.Founding{}, errors.Newf("core %s belongs to a fleet that was founded with other cores", one.ID)
+		for _, candidate := range cores {
+			if existingCore, ok := existing.Cores[candidate.ID]; !ok ||
+				existingCore.Incarnation != candidate.Incarnation || len(existing.Cores) != len(cores) {
+				return core.Founding{}, errors.Newf("core %s belongs to a fleet that was founded with other cores", candidate.ID)
 			}
 		}
 		founding = *existing
 	}
-	for _, one := range cores {
-		status, raw, err := c.Do(ctx, "POST", addressOf[one.ID], "/v1/found", founding, nil)
+	for _, candidate := range cores {
+		status, raw, err := c.Do(ctx, "POST", addressOf[candidate.ID], "/v1/found", founding, nil)
 		if err != nil {
-			return founding, errors.Wrapf(err, "core %s; run found again with the same cores to resume", one.ID)
+			return founding, errors.Wrapf(err, "core %s; run found again with the same cores to resume", candidate.ID)
 		}
 		if status != http.StatusOK {
-			return founding, errors.Wrapf(NewResponseError(status, raw), "core %s", one.ID)
+			return founding, errors.Wrapf(NewResponseError(status, raw), "core %s", candidate.ID)
 		}
 	}
 	return founding, nil
 }
 
-// AddCore adds the core at address newCore, whose data folder is empty, to the fleet of the core
-// at address member.
+// AddCore adds the core at newCore, whose data folder is empty, to the fleet of the core at
+// member.
 func (c Client) AddCore(ctx context.Context, member, newCore string) (core.ChangeResult, error) {
 	var changed core.ChangeResult
 	var identity Identity
@@ -138,16 +138,21 @@
 	} else if status != http.StatusOK {
 		return changed, errors.Wrapf(NewResponseError(status, raw), "core at %s", newCore)
 	}
-	var t core.Topology
-	if status, raw, err := c.Do(ctx, "GET", member, "/v1/topology", nil, &t); err != nil {
+	var topology core.Topology
+	if status, raw, err := c.Do(ctx, "GET", member, "/v1/topology", nil, &topology); err != nil {
 		return changed, err
 	} else if status != http.StatusOK {
 		return changed, errors.Wrapf(NewResponseError(status, raw), "core at %s", member)
 	}
 	if !identity.Founded {
-		f := core.Founding{Fleet: t.Fleet, Partitions: len(t.Groups), Cores: t.Cores, Groups: make([]partition.Group, len(t.Groups))}
-		f.Cores[identity.Core.ID] = identity.Core
-		if status, raw, err := c.Do(ctx, "POST", newCore, "/v1/found", f, nil); err != nil {
+		founding := core.Founding{
+			Fleet:      topology.Fleet,
+			Partitions: len(topology.Groups),
+			Cores:      topology.Cores,
+			Groups:     make([]partition.Group, len(topology.Groups)),
+		}
+		founding.Cores[identity.Core.ID] = identity.Core
+		if status, raw, err := c.Do(ctx, "POST", newCore, "/v1/found", founding, nil); err != nil {
 			return changed, err
 		} else if status != http.StatusOK {
 			return changed, errors.Wrapf(NewResponseError(status, raw), "core at %s", newCore)
@@ -156,7 +161,7 @@
 	return c.Change(ctx, member, CoreChange{Kind: core.KindAdd, ID: identity.Core.ID, New: &identity.Core})
 }
 
-// Change requests a change of cores, and repeats the request until it is done or fails.
+// Change requests a change of cores repeatedly until it is done or fails.
 func (c Client) Change(ctx context.Context, member string, change CoreChange) (core.ChangeResult, error) {
 	for {
 		var changed core.ChangeResult
@@ -172,11 +177,11 @@
 	}
 }
 
-// Plan returns what a change of cores would move, without making it. If newCore is not empty,
-// it is the address of the core to add or to replace another.
+// Plan returns what a change of cores would move, without making it. newCore is the address of
+// the core to add or to replace with, or empty.
 func (c Client) Plan(ctx context.Context, member string, change CoreChange, newCore string) (core.ChangeResult, error) {
-	var t core.Topology
-	if status, raw, err := c.Do(ctx, "GET", member, "/v1/topology", nil, &t); err != nil {
+	var topology core.Topology
+	if status, raw, err := c.Do(ctx, "GET", member, "/v1/topology", nil, &topology); err != nil {
 		return core.ChangeResult{}, err
 	} else if status != http.StatusOK {
 		return core.ChangeResult{}, NewResponseError(status, raw)
@@ -188,20 +193,19 @@
 		} else if status != http.StatusOK {
 			return core.ChangeResult{}, errors.Wrapf(NewResponseError(status, raw), "core at %s", newCore)
 		}
-		change.ID, t.Cores[identity.Core.ID] = identity.Core.ID, identity.Core
+		change.ID, topology.Cores[identity.Core.ID] = identity.Core.ID, identity.Core
 	}
-	plan := core.PlanChange(t.Cores, nil, t.Groups, t.GroupSize, change.Kind, change.ID, change.By)
+	plan := core.PlanChange(topology.Cores, nil, topology.Groups, topology.GroupSize, change.Kind, change.ID, change.By)
 	if plan.Code != "" {
 		return plan, &ResponseError{Code: plan.Code, Reason: plan.Reason}
 	}
 	return plan, nil
 }
 
-// countersTimeout bounds the request for the counters of one node.
 const countersTimeout = 2 * time.Second
 
-// NodeCounters reads the counters of all members that have not ended, by member id. Members
-// that don't answer in time are left out.
+// NodeCounters reads the counters of members that have not ended, by member id. Members that
+// don't answer in time are omitted.
 func (c Client) NodeCounters(ctx context.Context, members []core.Member) map[string]map[string]any {
 	type result struct {
 		id     string
--- a/peer/replica/sender.go
+++ b/peer/replica/sender.go
@@ -29,7 +29,9 @@
 	}}
 }
 
-// streamLine is one line of a streamed turn.
+// initialLineBytes is the first buffer for stream lines; it grows up to Sender.maxBytes.
+const initialLineBytes = 4096
+
 type streamLine struct {
 	Text   string `json:"text"`
 	Tokens int64  `json:"tokens"`
@@ -37,9 +39,8 @@
 	Total  int64  `json:"total"`
 }
 
-// Send makes one attempt and reports its events. The last event is node.EventDone,
-// node.EventNotRun if the replica certainly did not run the attempt, or
-// node.EventInterrupted if it may have run.
+// Send makes one attempt. Its last event is node.EventDone, node.EventNotRun if the attempt
+// certainly did not run, or node.EventInterrupted if it may have run.
 func (s *Sender) Send(ctx context.Context, attempt node.StartAttempt, report func(e node.AttemptEvent)) {
 	ctx, cancel := context.WithTimeout(ctx, attempt.Timeout)
 	defer cancel()
@@ -92,26 +93,25 @@
 	}
 }
 
-// readStream reports the lines of a turn. A turn is complete only if its last line states
-// the correct total of tokens.
+// readStream counts a turn as complete only if its last line states the correct token total.
 func (s *Sender) readStream(attempt uint64, body io.Reader, report func(e node.AttemptEvent)) {
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(make([]byte, 4096), int(s.maxBytes))
+	scanner.Buffer(make([]byte, initialLineBytes), int(s.maxBytes))
 	var total int64
 	for scanner.Scan() {
-		var l streamLine
-		if err := json.Unmarshal(scanner.Bytes(), &l); err != nil || l.Tokens < 0 {
+		var line streamLine
+		if err := json.Unmarshal(scanner.Bytes(), &line); err != nil || line.Tokens < 0 {
 			break
 		}
-		if l.Done {
-			if l.Total != total {
+		if line.Done {
+			if line.Total != total {
 				break
 			}
 			report(node.AttemptEvent{Attempt: attempt, Kind: node.EventDone, Status: 200})
 			return
 		}
-		total += l.Tokens
-		report(node.AttemptEvent{Attempt: attempt, Kind: node.EventChunk, Text: l.Text, Tokens: l.Tokens})
+		total += line.Tokens
+		report(node.AttemptEvent{Attempt: attempt, Kind: node.EventChunk, Text: line.Text, Tokens: line.Tokens})
 	}
 	report(node.AttemptEvent{Attempt: attempt, Kind: node.EventInterrupted})
 }
