--- a/peer/core/caller.go
+++ b/peer/core/caller.go
@@ -8,7 +8,7 @@
 	"saffronfall/rule/slab"
 )
 
-// Outcome is the result of a command. If Uncertain, it was not answered before the
+// Outcome is the result of a command. If Uncertain, the command was not answered before its
 // deadline and may or may not have run. Sent reports whether it was sent at all.
 type Outcome struct {
 	Answer    any
@@ -16,41 +16,34 @@
 	Sent      bool
 }
 
-// Caller sends commands to the leaders of partitions and retries each until it is
-// answered or its deadline passes. Commands are idempotent. All functions but
-// Forwarders must be set.
+// Caller sends idempotent commands to the leaders of partitions and retries each until it is
+// answered or its deadline passes. All functions but Forwarders must be set.
 type Caller struct {
 	// Retry is the interval between the first attempts at a command.
 	Retry  time.Duration
 	Random func() float64
 	Send   func(to string, body any)
-	// Cores returns the addresses of all cores.
-	Cores func() []string
-	// Forwarders returns the addresses of processes that can forward a command if
-	// the cores don't answer.
+	Cores  func() []string
+	// Forwarders returns processes that can forward a command if the cores don't answer.
 	Forwarders func() []string
-	// Partitions returns the number of partitions, zero while it is not known.
+	// Partitions returns zero while the number is not known.
 	Partitions func() int
-	// hints are the addresses that the next attempts go to, by partition.
+	// hints are the addresses for the next attempts, by partition.
 	hints map[int]string
-	// leaders are the addresses of the last known leaders, by partition. An entry is
-	// removed when all attempts at the fixed interval stayed unanswered.
+	// leaders are the last known leaders, by partition. An entry is removed when all attempts at
+	// the fixed interval stayed unanswered.
 	leaders map[int]string
 	calls   slab.Slab[*pendingCall]
 	pending map[slab.Ticket]*pendingCall
-	// salt is a random number that makes message IDs differ from those of other
-	// incarnations.
-	salt uint64
-	// Attempts counts the attempts made.
+	// salt makes message IDs differ from those of other incarnations.
+	salt     uint64
 	Attempts int64
-	// unansweredSince is when the first command was sent since the last answer;
-	// unanswered is set if there is such a command.
+	// unansweredSince is when the first command was sent since the last answer, if unanswered.
 	unansweredSince time.Duration
 	unanswered      bool
 }
 
-// SilentFor returns how long commands have been sent without an answer from any
-// core.
+// SilentFor returns how long commands have been sent without an answer from any core.
 func (c *Caller) SilentFor(now time.Duration) time.Duration {
 	if !c.unanswered {
 		return 0
@@ -58,7 +51,6 @@
 	return now - c.unansweredSince
 }
 
-// pendingCall is a command without an outcome.
 type pendingCall struct {
 	ticket    slab.Ticket
 	partition int
@@ -69,8 +61,7 @@
 	outcome   func(now time.Duration, o Outcome)
 }
 
-// Call sends a command and calls outcome exactly once, at the latest in the first
-// Tick after until.
+// Call sends a command and calls outcome exactly once, at the latest in the first Tick after until.
 func (c *Caller) Call(now time.Duration, command any, until time.Duration, outcome func(now time.Duration, o Outcome)) {
 	if c.Partitions() == 0 {
 		outcome(now, Outcome{Uncertain: true})
@@ -86,15 +77,14 @@
 }
 
 const (
-	// fixedDelayAttempts is the number of attempts at intervals of Retry, enough to
-	// outlast an election. After them, each interval is one Retry longer than the last.
+	// fixedDelayAttempts is the number of attempts at intervals of Retry, enough to outlast an
+	// election. Each later interval is one Retry longer than the last.
 	fixedDelayAttempts = 20
-	// maxDelayRetries is the longest interval between attempts, in units of Retry.
+	// maxDelayRetries is the longest interval, in units of Retry.
 	maxDelayRetries = 32
 )
 
-// attempt sends a command to the presumed leader, or to a random core or forwarder
-// if none is known, and schedules the next attempt.
+// attempt sends a command to the presumed leader, or else to a random core or forwarder.
 func (c *Caller) attempt(now time.Duration, k *pendingCall) {
 	to := c.hints[k.partition]
 	if to == "" {
@@ -128,8 +118,7 @@
 	c.retryWaiting(partition, address)
 }
 
-// retryWaiting makes commands that have backed off due at once if the partition's
-// leader was not known before, or is another one now.
+// retryWaiting makes commands that have backed off due at once if the partition's leader is new.
 func (c *Caller) retryWaiting(partition int, leader string) {
 	if c.leaders == nil {
 		c.leaders = map[int]string{}
@@ -145,8 +134,8 @@
 	}
 }
 
-// MessageID turns a ticket into an ID that other incarnations of this process don't
-// use, so that a result for an earlier one matches no ticket here.
+// MessageID turns a ticket into an ID that no other incarnation of this process uses. A result for
+// an earlier incarnation then matches no ticket here.
 func (c *Caller) MessageID(t slab.Ticket) uint64 {
 	for c.salt == 0 {
 		c.salt = uint64(c.Random()*(1<<31))<<31 | uint64(c.Random()*(1<<31))
@@ -154,14 +143,13 @@
 	return uint64(t) ^ c.salt
 }
 
-// Ticket returns the ticket that a message ID was made from.
+// Ticket is the inverse of MessageID.
 func (c *Caller) Ticket(id uint64) slab.Ticket { return slab.Ticket(c.MessageID(slab.Ticket(id))) }
 
 // Leader returns the address of a partition's presumed leader, or "".
 func (c *Caller) Leader(partition int) string { return c.hints[partition] }
 
-// Tick retries commands that are due and ends those whose deadline has passed with
-// an uncertain outcome.
+// Tick retries commands that are due. Those past their deadline end with an uncertain outcome.
 func (c *Caller) Tick(now time.Duration) {
 	var due []*pendingCall
 	for _, t := range ordered.Keys(c.pending) {
@@ -182,7 +170,6 @@
 	}
 }
 
-// finish removes a command and reports its outcome.
 func (c *Caller) finish(now time.Duration, k *pendingCall, o Outcome) {
 	if _, ok := c.calls.Take(k.ticket); !ok {
 		return
@@ -191,7 +178,7 @@
 	k.outcome(now, o)
 }
 
-// Receive handles the answer of the core at an address.
+// Receive handles a core's answer.
 func (c *Caller) Receive(now time.Duration, from string, r CommandResult) {
 	c.unanswered = false
 	k, ok := c.calls.Get(c.Ticket(r.ID))
--- a/peer/core/caller_test.go
+++ b/peer/core/caller_test.go
@@ -14,9 +14,8 @@
 		Send: func(to string, body any) { *sent = append(*sent, body.(Command)) }}
 }
 
-// TestResultForEarlierIncarnationIsIgnored: a process restarted at the same address
-// may receive results for commands of its earlier incarnation. They must not be taken for
-// answers to its own commands.
+// A restarted process must not take results for commands of its earlier incarnation for answers to
+// its own.
 func TestResultForEarlierIncarnationIsIgnored(t *testing.T) {
 	var before, after []Command
 	first, second := newCaller(1, &before), newCaller(2, &after)
@@ -39,9 +38,7 @@
 	}
 }
 
-// TestUnansweredCommandsBackOff: commands that stay unanswered back off, so that
-// they don't overload a partition without a majority. The first attempts come at a
-// fixed rate, and a new leader gets all waiting commands at once.
+// Commands that stay unanswered must not overload a partition without a majority.
 func TestUnansweredCommandsBackOff(t *testing.T) {
 	var sent []Command
 	c := newCaller(1, &sent)
--- a/peer/core/commands.go
+++ b/peer/core/commands.go
@@ -8,8 +8,7 @@
 	"saffronfall/rule/slab"
 )
 
-// commandOrigin is the sender of a command: the address and ID to answer, or a function
-// that is called with the result.
+// commandOrigin is the address and ID to answer, or a function that is called with the result.
 type commandOrigin struct {
 	from      string
 	id        uint64
@@ -17,7 +16,6 @@
 	onResult  func(now time.Duration, r partition.Result)
 }
 
-// handleOutput puts what a partition's machine returned into the core's output.
 func (m *Machine) handleOutput(now time.Duration, n int, o partition.Output) {
 	for i := range o.Records {
 		m.out.Changes = append(m.out.Changes, Change{Record: &o.Records[i]})
@@ -41,7 +39,6 @@
 	}
 }
 
-// reply sends a command's result to its sender.
 func (m *Machine) reply(n int, origin commandOrigin, r partition.Result) {
 	if origin.from == "" {
 		return
@@ -59,7 +56,6 @@
 	m.send(origin.from, answer, false)
 }
 
-// propose runs a command in partition n, if this core leads it.
 func (m *Machine) propose(now time.Duration, n int, command any, origin commandOrigin) {
 	p := m.partitions[n]
 	if c, ok := command.(ChangeGroup); ok && p != nil {
@@ -90,8 +86,7 @@
 	m.handleOutput(now, n, p.Propose(now, uint64(ticket), command))
 }
 
-// onReplicaMessage passes a message to this core's replica of a partition. A snapshot
-// creates the replica.
+// onReplicaMessage passes a message to this core's replica. A snapshot creates the replica.
 func (m *Machine) onReplicaMessage(now time.Duration, b ReplicaMessage) {
 	m.recordContact(now, b.From)
 	if b.To != m.self.MemberID() || b.Partition < 0 || b.Partition >= m.founding.Partitions {
@@ -103,15 +98,15 @@
 		return
 	}
 	if m.stalled && requiresDisk(body) {
-		// Writes must not queue up for a stalled disk. The leader retries, or sends a
-		// snapshot once the disk works again.
+		// Writes must not queue up for a stalled disk. The leader retries, or sends a snapshot
+		// later.
 		m.Counters.RefusedWhileStalled++
 		return
 	}
 	p := m.partitions[b.Partition]
 	if _, write := body.(partition.Write); write && m.self.Retired && (p == nil || !p.Group().Has(m.self.MemberID())) {
-		// The leader does not know yet that this core is retired. A retired core may
-		// be shut down at any time, so it joins no group.
+		// The leader does not know yet that this core is retired. A retired core may be shut down
+		// at any time, so it joins no group.
 		return
 	}
 	if p == nil {
@@ -123,7 +118,6 @@
 	m.handleOutput(now, b.Partition, p.Receive(now, b.From, body))
 }
 
-// requiresDisk reports whether a message makes a replica write to disk.
 func requiresDisk(body any) bool {
 	switch b := body.(type) {
 	case partition.Write:
@@ -134,7 +128,6 @@
 	return false
 }
 
-// onPullUpdates sends the updates of the partitions that this core leads.
 func (m *Machine) onPullUpdates(now time.Duration, from string, b PullUpdates) {
 	if b.WantTopology {
 		m.refreshTopology()
@@ -165,8 +158,7 @@
 	}
 }
 
-// RunCommand runs a command on behalf of an operator and answers the ticket with its
-// Outcome.
+// RunCommand runs an operator's command and answers the ticket with its Outcome.
 func (m *Machine) RunCommand(now time.Duration, ticket uint64, command any, within time.Duration) Output {
 	m.out = &Output{}
 	m.caller.Call(now, command, now+within, func(now time.Duration, o Outcome) {
--- a/peer/core/configuration.go
+++ b/peer/core/configuration.go
@@ -10,8 +10,8 @@
 	"saffronfall/rule/replay"
 )
 
-// ApplyResult is the outcome of an ApplyRequest. InForce means that every member follows
-// the configuration.
+// ApplyResult is the outcome of an ApplyRequest. InForce means that every member follows the
+// configuration.
 type ApplyResult struct {
 	Version uint64               `json:"version"`
 	InForce bool                 `json:"taken"`
@@ -25,16 +25,15 @@
 type ApplyRequest struct {
 	BasedOn uint64
 	Text    []byte
-	// Digest is the digest of the text. It identifies repetitions of this request.
+	// Digest is the text's digest. It identifies repetitions of this request.
 	Digest  string
 	Timeout time.Duration
 	// PlanOnly replays recent requests under the configuration and changes nothing.
 	PlanOnly bool
 }
 
-// ApplyConfiguration checks a configuration, replays recent requests under it, compares
-// the result with its approval limits, commits it, and waits until each member follows
-// it or its membership has ended.
+// ApplyConfiguration checks a configuration, replays recent requests under it, and commits it if it
+// is approved. It then waits until each member follows it or its membership has ended.
 func (m *Machine) ApplyConfiguration(now time.Duration, ticket uint64, request ApplyRequest) Output {
 	m.out = &Output{}
 	until := now + request.Timeout
@@ -59,8 +58,7 @@
 		switch {
 		case request.PlanOnly:
 		case current.Version > request.BasedOn:
-			// It lost a race or is a repetition. It can no longer be newly accepted, so
-			// it needs no replay.
+			// It lost a race or is a repetition. It can't be newly accepted, so it needs no replay.
 			m.acceptConfiguration(now, ticket, until, request, nil)
 			return
 		case current.Version < request.BasedOn:
@@ -73,7 +71,12 @@
 			case request.PlanOnly:
 				m.answerOperator(ticket, ApplyResult{Version: current.Version, Code: "planned", Replay: &replayed})
 			case !replayed.Approved:
-				m.answerOperator(ticket, ApplyResult{Version: current.Version, Code: "not_approved", Reason: "rehearsal newly refused more than the description's approval limit", Replay: &replayed})
+				m.answerOperator(ticket, ApplyResult{
+					Version: current.Version,
+					Code:    "not_approved",
+					Reason:  "rehearsal newly refused more than the description's approval limit",
+					Replay:  &replayed,
+				})
 			default:
 				m.acceptConfiguration(now, ticket, until, request, &replayed)
 			}
@@ -82,18 +85,29 @@
 	return *m.out
 }
 
-// raceLost returns the result of a request that another configuration was accepted before.
 func raceLost(version uint64) ApplyResult {
-	return ApplyResult{Version: version, Code: "race_lost", Reason: "another configuration came first; version " + strconv.FormatUint(version, 10) + " is in force"}
+	return ApplyResult{
+		Version: version,
+		Code:    "race_lost",
+		Reason:  "another configuration came first; version " + strconv.FormatUint(version, 10) + " is in force",
+	}
 }
 
-// acceptConfiguration commits the configuration and then waits for the members.
-func (m *Machine) acceptConfiguration(now time.Duration, ticket uint64, until time.Duration, request ApplyRequest, replayed *replay.Result) {
-	m.caller.Call(now, AcceptConfiguration{BasedOn: request.BasedOn, Text: request.Text, Digest: request.Digest}, until, func(now time.Duration, o Outcome) {
+func (m *Machine) acceptConfiguration(
+	now time.Duration, ticket uint64, until time.Duration, request ApplyRequest, replayed *replay.Result,
+) {
+	m.caller.Call(now, AcceptConfiguration{
+		BasedOn: request.BasedOn,
+		Text:    request.Text,
+		Digest:  request.Digest,
+	}, until, func(now time.Duration, o Outcome) {
 		accepted, ok := o.Answer.(AcceptConfigurationResult)
 		switch {
 		case !ok:
-			m.answerOperator(ticket, ApplyResult{Code: "unsure", Reason: "the configuration's part gave no answer in time; hand the same text over again to find out"})
+			m.answerOperator(ticket, ApplyResult{
+				Code:   "unsure",
+				Reason: "the configuration's part gave no answer in time; hand the same text over again to find out",
+			})
 		case !accepted.Accepted:
 			m.answerOperator(ticket, raceLost(accepted.Version))
 		default:
@@ -102,13 +116,16 @@
 	})
 }
 
-// collectSamples reads the recent requests of all members. Members that do not
-// answer in a quarter of a member lease are left out.
+// collectSamples reads the recent requests of all members that answer in a quarter of a member
+// lease.
 func (m *Machine) collectSamples(now, until time.Duration, next func(now time.Duration, samples []replay.Sample)) {
 	waiting := m.founding.Partitions
 	members := map[string]Member{}
 	for n := 0; n < m.founding.Partitions; n++ {
-		m.caller.Call(now, ReadEntries{Partition: n, Prefix: memberPrefix}, min(until, now+m.params.MemberLease), func(now time.Duration, o Outcome) {
+		m.caller.Call(now, ReadEntries{
+			Partition: n,
+			Prefix:    memberPrefix,
+		}, min(until, now+m.params.MemberLease), func(now time.Duration, o Outcome) {
 			list, _ := o.Answer.(Entries)
 			for _, e := range list.Entries {
 				var member Member
@@ -131,7 +148,6 @@
 	}
 }
 
-// awaitSamples calls next with the samples when all members have answered, or at until.
 func (m *Machine) awaitSamples(now, until time.Duration, id uint64, want int, next func(now time.Duration, samples []replay.Sample)) {
 	if id != m.sampleRound || len(m.samples) >= want || now >= until {
 		var all []replay.Sample
@@ -144,8 +160,8 @@
 	m.timers.Add(now+m.params.PullInterval/4, func(now time.Duration) { m.awaitSamples(now, until, id, want, next) })
 }
 
-// raiseVersionFloor raises the version floor of each partition until no member lags
-// behind, and answers the ticket then or at the deadline.
+// raiseVersionFloor raises the version floor of each partition until no member lags behind, or
+// until the deadline.
 func (m *Machine) raiseVersionFloor(now time.Duration, result ApplyResult, ticket uint64, until time.Duration, done map[int]bool) {
 	version := result.Version
 	waiting := 0
--- a/peer/core/expiry.go
+++ b/peer/core/expiry.go
@@ -8,15 +8,14 @@
 	"saffronfall/rule/rate"
 )
 
-// expiry is the planned deletion of an entry at a time of the partition's clock. The
-// entry's own time is read again then, as it may have been extended.
+// expiry is the planned deletion of an entry. The entry's own time is read again then, because it
+// may have been extended.
 type expiry struct {
 	key   string
 	until time.Duration
 }
 
-// expiryQueue holds expiries in buckets of expiryBucket, so that a sweep looks only at
-// what is due.
+// expiryQueue holds expiries in buckets of expiryBucket, so that a sweep reads only those due.
 type expiryQueue map[time.Duration][]expiry
 
 const expiryBucket = 15 * time.Second
@@ -37,7 +36,6 @@
 	return list
 }
 
-// loadExpiries fills the queue from the stored entries after an election.
 func (r *rules) loadExpiries(tx *partition.Tx) {
 	r.expiries, r.ledgers, r.expired = expiryQueue{}, map[string]*rate.Ledger{}, newRecentKeys()
 	for _, key := range tx.Keys(turnPrefix) {
@@ -57,7 +55,6 @@
 	}
 }
 
-// sweepExpired deletes the entries that have expired.
 func (r *rules) sweepExpired(tx *partition.Tx) {
 	clock := tx.Clock()
 	for _, e := range r.expiries.due(clock) {
@@ -80,7 +77,6 @@
 	}
 }
 
-// readWithPrefix reads an entry if its key has the prefix.
 func readWithPrefix[T any](tx *partition.Tx, key, prefix string) (T, bool) {
 	var none T
 	if !strings.HasPrefix(key, prefix) {
--- a/peer/core/founding.go
+++ b/peer/core/founding.go
@@ -7,7 +7,7 @@
 	"saffronfall/rule/partition"
 )
 
-// Founding is the initial configuration of a fleet. Each core keeps it on disk.
+// Founding is the initial configuration of a fleet, stored by each core.
 type Founding struct {
 	Fleet      string          `msgpack:"f" json:"fleet"`
 	Partitions int             `msgpack:"p" json:"parts"`
@@ -18,8 +18,7 @@
 	Size int `msgpack:"s" json:"size"`
 }
 
-// PlanFleet returns the founding of a new fleet with its partitions placed on the
-// given cores, in groups of the given size.
+// PlanFleet returns the founding of a new fleet with its partitions placed on the given cores.
 func PlanFleet(fleet string, partitions, size int, cores []Core) Founding {
 	f := Founding{Fleet: fleet, Partitions: partitions, Cores: map[string]Core{}, Size: size}
 	for _, c := range cores {
@@ -31,8 +30,8 @@
 	return f
 }
 
-// Found makes this core a founding core of a new fleet and reports whether it
-// belongs to that fleet. A core that already belongs to another fleet is left unchanged.
+// Found makes this core a founding core of a new fleet and reports whether it belongs to that
+// fleet. A core of another fleet is left unchanged.
 func (m *Machine) Found(now time.Duration, f Founding) (Output, bool) {
 	m.out = &Output{}
 	if m.Founded() {
@@ -41,8 +40,8 @@
 	return *m.out, m.createFleet(now, f)
 }
 
-// createFleet joins the fleet of f and passes f on to the other founding cores. It
-// reports whether f is valid and names this incarnation.
+// createFleet joins the fleet of f and passes f on to the other founding cores. It reports whether
+// f is valid and names this incarnation.
 func (m *Machine) createFleet(now time.Duration, f Founding) bool {
 	if own, ok := f.Cores[m.self.ID]; !ok || own.Incarnation != m.self.Incarnation || f.Partitions < 1 || len(f.Groups) != f.Partitions {
 		return false
@@ -56,12 +55,10 @@
 	return true
 }
 
-// announcement returns this core's heartbeat.
 func (m *Machine) announcement() AnnounceCore {
 	return AnnounceCore{Core: m.self, MayFound: m.params.ColdStart, Fleet: m.founding.Fleet, KnownDigest: m.digest}
 }
 
-// announce sends this core's heartbeat to the seed addresses.
 func (m *Machine) announce() {
 	if m.superseded {
 		return
@@ -73,8 +70,7 @@
 	}
 }
 
-// onAnnounceCore handles the heartbeat of a core of the same fleet, or of one without a
-// fleet, which is sent the topology.
+// onAnnounceCore handles the heartbeat of a core of the same fleet, or of one without a fleet.
 func (m *Machine) onAnnounceCore(now time.Duration, from string, b AnnounceCore) {
 	switch b.Fleet {
 	case m.founding.Fleet:
@@ -84,7 +80,8 @@
 	case "":
 		m.refreshTopology()
 		m.send(from, m.Topology(), false)
-		if founder, ok := m.founding.Cores[b.Core.ID]; ok && b.MayFound && founder.Incarnation == b.Core.Incarnation && m.founding.Groups[0].Epoch > 0 {
+		if founder, ok := m.founding.Cores[b.Core.ID]; ok && b.MayFound &&
+			founder.Incarnation == b.Core.Incarnation && m.founding.Groups[0].Epoch > 0 {
 			m.send(from, FoundFleet{Founding: m.founding}, false)
 		}
 	}
--- a/peer/core/gossip_test.go
+++ b/peer/core/gossip_test.go
@@ -7,8 +7,7 @@
 	"saffronfall/rule/partition"
 )
 
-// TestTopologyIsSentOnlyWhereItDiffers: cores with equal topologies exchange only
-// heartbeats. A core that missed a change receives it within a few heartbeats.
+// A core that missed a change receives it within a few heartbeats.
 func TestTopologyIsSentOnlyWhereItDiffers(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	f.advance(10 * time.Second)
@@ -27,7 +26,6 @@
 	}
 }
 
-// TestTopologyDigest: topologies have different digests if and only if they differ.
 func TestTopologyDigest(t *testing.T) {
 	newTopology := func() Topology {
 		return Topology{Fleet: "f", Cores: map[string]Core{"a": {ID: "a", Incarnation: "1"}, "b": {ID: "b"}}, Leaders: []partition.Term{{Round: 1, Leader: "a.1"}}, Groups: []partition.Group{{Epoch: 1, Members: []string{"a.1"}}}}
--- a/peer/core/identity_test.go
+++ b/peer/core/identity_test.go
@@ -5,16 +5,14 @@
 	"time"
 )
 
-// TestTenantsIDsAreIndependent: requesters choose the IDs of their attempts and
-// programs. Reuse of an ID, by the same or by another tenant, must not change what
-// was acknowledged.
+// Requesters choose the IDs of attempts and programs. Reuse of an ID, by the same or by another
+// tenant, must not change what was acknowledged.
 func TestTenantsIDsAreIndependent(t *testing.T) {
 	t.Run("turns of tenants", testSameIDOfTwoTenants)
 	t.Run("turns under one id", testSecondTurnUnderOneID)
 	t.Run("accounts of tenants", testBudgetsOfTwoTenants)
 }
 
-// testSameIDOfTwoTenants: two tenants use the same ID for a turn of their own.
 func testSameIDOfTwoTenants(t *testing.T) {
 	a := newSingleCore(t)
 	store := func(tenant, output string) bool {
@@ -34,8 +32,7 @@
 	}
 }
 
-// testSecondTurnUnderOneID: a turn that differs from the one stored under its ID must
-// not be acknowledged as stored, while a repetition of the same command is.
+// A turn that differs from the one stored under its ID must not be acknowledged as stored.
 func testSecondTurnUnderOneID(t *testing.T) {
 	a := newSingleCore(t)
 	command := StoreTurn{Tenant: "t", Attempt: "x", Previous: []string{"w"}, Input: []byte("in"), Output: []byte("out"), Retention: time.Minute}
@@ -57,8 +54,7 @@
 	}
 }
 
-// testBudgetsOfTwoTenants: names of tenants and programs may contain the separator of
-// stored keys.
+// Names of tenants and programs may contain the separator of stored keys.
 func testBudgetsOfTwoTenants(t *testing.T) {
 	a := newSingleCore(t)
 	reserve := func(tenant, program string) bool {
@@ -69,8 +65,8 @@
 	}
 }
 
-// TestFormerVersionFindsTurns: during an upgrade a core of the former version may
-// lead a partition. It looks for a turn under the key of its attempt alone.
+// During an upgrade a core of the former version may lead. It looks for a turn under the key of its
+// attempt alone.
 func TestFormerVersionFindsTurns(t *testing.T) {
 	a := newSingleCore(t)
 	command := StoreTurn{Tenant: "t", Attempt: "x", Output: []byte("out"), Retention: time.Minute}
@@ -81,8 +77,7 @@
 	}
 }
 
-// TestIDResemblingAnotherTenantsKey: an ID that equals another tenant's name and ID
-// joined does not overwrite that tenant's turn.
+// An ID that equals another tenant's name and ID joined must not overwrite that tenant's turn.
 func TestIDResemblingAnotherTenantsKey(t *testing.T) {
 	a := newSingleCore(t)
 	store := func(tenant, attempt string) bool {
--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -12,22 +12,22 @@
 	"saffronfall/rule/slab"
 )
 
-// Send is a message for the process at an address. A synced message may be sent
-// only after all changes up to it are on disk.
+// Send is a message to an address. A Synced one may be sent only after all changes up to it are on
+// disk, because it may acknowledge them.
 type Send struct {
 	To     string
 	Body   any
 	Synced bool
 }
 
-// Answer is the result of an operator's call, identified by the call's ticket.
+// Answer is the result of the operator's call with the ticket.
 type Answer struct {
 	Ticket uint64
 	Body   any
 }
 
-// Output lists the effects of a step. The caller carries them out in this order: write
-// the changes, send the messages, return the answers.
+// Output lists the effects of a step. The caller must write the changes, then send the messages,
+// then return the answers.
 type Output struct {
 	Changes []Change
 	Sends   []Send
@@ -49,12 +49,12 @@
 	Stored   Stored
 	Now      time.Duration
 	Random   func() float64
-	// Violated receives violated invariants. If it is nil, a violation panics.
+	// Violated receives violated invariants. If nil, a violation panics.
 	Violated invariant.Reporter
 }
 
-// Machine is the state machine of one core process. It does no I/O and has no
-// clock: the caller passes in messages and times and carries out each Output.
+// Machine is the state machine of one core process. It does no I/O and has no clock: the caller
+// passes in messages and times and carries out each Output.
 type Machine struct {
 	Counters Counters
 
@@ -75,46 +75,47 @@
 	timers     Timers
 	seeds      []string
 	announceAt time.Duration
-	// registering is set while a command to register this core's entry is pending;
-	// unregistered is set while the fleet may have a different entry of this core.
+	// registering is set while a command to register this core's entry is pending; unregistered is
+	// set while the fleet may have a different entry of this core.
 	registering  bool
 	unregistered bool
-	// sampleRound identifies the last collection of samples.
-	sampleRound uint64
-	samples     map[string][]replay.Sample
-	// Silence of other cores counts from observedSince on. activeAt is when this core
-	// last ran.
+	sampleRound  uint64
+	samples      map[string][]replay.Sample
+	// Silence of other cores counts from observedSince on. activeAt is when this core last ran.
 	observedSince time.Duration
 	activeAt      time.Duration
 	placement     [][]string
-	// placementCores and placementSilent are the inputs that placement was
-	// computed from.
+	// placementCores and placementSilent are the inputs of placement.
 	placementCores  []Core
 	placementSilent map[string]bool
 	contacts        map[string]contact
 	topologyChanged bool
 	gossipState
-	// superseded is set when the fleet knows a later incarnation of this core.
-	// claimIncrement is added to the version of the next claim to this core's entry,
-	// because earlier claims lost a race.
+	// superseded is set when the fleet knows a later incarnation of this core. claimIncrement is
+	// added to the version of the next claim to its entry, because earlier claims lost a race.
 	superseded     bool
 	claimIncrement uint64
-	// nextChangeAt is the earliest time of a partition's next group change, set when
-	// a change has failed.
+	// nextChangeAt is a partition's earliest next group change after a failed one.
 	nextChangeAt map[int]time.Duration
 	rebalanceAt  time.Duration
 }
 
-// outputs are the destinations of a step's results and of invariant violations.
 type outputs struct {
 	out      *Output
 	violated invariant.Reporter
 }
 
-// New returns a machine in the state stored on the core's disk.
+// New returns a machine in the state stored on disk.
 func New(o Options) *Machine {
-	m := &Machine{params: o.Params, random: o.Random, outputs: outputs{violated: o.Violated}, seeds: o.Seeds, partitions: map[int]*partition.Machine{}, cores: map[string]Core{},
-		self: Core{ID: o.ID, Incarnation: o.Stored.Incarnation, Zone: o.Zone, Peer: o.Address, Operator: o.Operator}}
+	m := &Machine{
+		params:     o.Params,
+		random:     o.Random,
+		outputs:    outputs{violated: o.Violated},
+		seeds:      o.Seeds,
+		partitions: map[int]*partition.Machine{},
+		cores:      map[string]Core{},
+		self:       Core{ID: o.ID, Incarnation: o.Stored.Incarnation, Zone: o.Zone, Peer: o.Address, Operator: o.Operator},
+	}
 	m.caller = &Caller{Retry: o.Params.AttemptTimeout, Random: o.Random,
 		Send:       func(to string, body any) { m.send(to, body, false) },
 		Partitions: func() int { return m.founding.Partitions },
@@ -134,7 +135,6 @@
 	return m
 }
 
-// start initializes the state of a core that belongs to a fleet.
 func (m *Machine) start(now time.Duration, s Stored) {
 	m.founding = s.Founding
 	m.terms, m.groups = make([]partition.Term, s.Founding.Partitions), make([]partition.Group, s.Founding.Partitions)
@@ -151,14 +151,20 @@
 	}
 }
 
-// addReplica starts this core's replica of partition n.
 func (m *Machine) addReplica(now time.Duration, n int, state partition.State) *partition.Machine {
-	m.partitions[n] = partition.New(partition.Options{Params: m.params.Partition, Member: m.self.MemberID(), Partition: n, Rules: &rules{params: m.params, fleet: m.fleet, violated: m.violated}, State: state, Now: now,
-		Random: m.random, Violated: m.violated})
+	m.partitions[n] = partition.New(partition.Options{
+		Params:    m.params.Partition,
+		Member:    m.self.MemberID(),
+		Partition: n,
+		Rules:     &rules{params: m.params, fleet: m.fleet, violated: m.violated},
+		State:     state,
+		Now:       now,
+		Random:    m.random,
+		Violated:  m.violated,
+	})
 	return m.partitions[n]
 }
 
-// send queues a message for the process at an address.
 func (m *Machine) send(to string, body any, synced bool) {
 	m.out.Sends = append(m.out.Sends, Send{To: to, Body: body, Synced: synced})
 }
@@ -166,10 +172,10 @@
 // Founded reports whether this core belongs to a fleet.
 func (m *Machine) Founded() bool { return m.founding.Partitions > 0 }
 
-// Self returns this core's own entry.
+// Self returns this core's entry.
 func (m *Machine) Self() Core { return m.self }
 
-// Founding returns the configuration that the fleet was founded with.
+// Founding returns the fleet's initial configuration.
 func (m *Machine) Founding() Founding { return m.founding }
 
 // Tick runs what is due at now.
@@ -225,12 +231,10 @@
 	return *m.out
 }
 
-// Drain starts to transfer the leadership of all partitions to other cores.
-// LeadingPartitions lists those that remain.
+// Drain starts to transfer leadership of all partitions. LeadingPartitions lists those that remain.
 func (m *Machine) Drain() { m.draining = true }
 
-// LeadingPartitions lists the partitions that this core leads at now, in ascending
-// order.
+// LeadingPartitions lists the partitions that this core leads, in ascending order.
 func (m *Machine) LeadingPartitions(now time.Duration) []int {
 	var list []int
 	for n, p := range m.partitions {
@@ -242,7 +246,7 @@
 	return list
 }
 
-// PartitionCounters returns the sums of the counters of all replicas.
+// PartitionCounters returns the sums over all replicas.
 func (m *Machine) PartitionCounters() partition.Counters {
 	var sum partition.Counters
 	for _, p := range m.partitions {
@@ -261,7 +265,7 @@
 // Partition returns this core's replica of partition n, or nil if it has none.
 func (m *Machine) Partition(n int) *partition.Machine { return m.partitions[n] }
 
-// Receive handles a message from the process at an address.
+// Receive handles a message from an address.
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
 	m.out = &Output{}
 	m.Counters.Messages++
@@ -305,6 +309,6 @@
 	return *m.out
 }
 
-// SetStalled sets whether the core's disk is stalled. A core with a stalled
-// disk gives up leadership of its partitions and is not a candidate in elections.
+// SetStalled sets whether the disk is stalled. A stalled core gives up leadership and is not a
+// candidate in elections.
 func (m *Machine) SetStalled(stalled bool) { m.stalled = stalled }
--- a/peer/core/membership.go
+++ b/peer/core/membership.go
@@ -9,8 +9,7 @@
 	"saffronfall/rule/partition"
 )
 
-// Move is one change of a partition's group: a member to add, one to remove, or
-// both.
+// Move is one change of a partition's group. An empty Add or Remove means none.
 type Move struct {
 	Partition int    `json:"part"`
 	Add       string `json:"add,omitempty"`
@@ -24,8 +23,8 @@
 	KindReplace = "replace"
 )
 
-// ChangeResult is the outcome of a change to the fleet's cores. Code and Reason
-// are empty if it succeeded.
+// ChangeResult is the outcome of a change to the fleet's cores. Code and Reason are empty if it
+// succeeded.
 type ChangeResult struct {
 	Done      bool   `json:"done"`
 	Moves     []Move `json:"moves"`
@@ -34,11 +33,9 @@
 	Reason    string `json:"reason,omitempty"`
 }
 
-// rejoin makes a core with an empty directory join the fleet that sent its
-// topology, whether or not the fleet knows the core's ID. The core has no vote
-// until it is added to groups. It waits for FoundFleet instead if it is a member of a
-// group already, or if that is unknown because the topology lacks a group. A retired
-// core does not join.
+// rejoin makes a core with an empty directory join the fleet, without a vote until it is added to
+// groups. If it is a member of a group already, or may be because the topology lacks a group, it
+// waits for FoundFleet. A retired core does not join.
 func (m *Machine) rejoin(now time.Duration, t Topology) {
 	known, ok := t.Cores[m.self.ID]
 	if len(t.Groups) == 0 || known.Retired {
@@ -49,7 +46,13 @@
 			return
 		}
 	}
-	f := Founding{Fleet: t.Fleet, Partitions: len(t.Groups), Cores: maps.Clone(t.Cores), Groups: make([]partition.Group, len(t.Groups)), Size: t.GroupSize}
+	f := Founding{
+		Fleet:      t.Fleet,
+		Partitions: len(t.Groups),
+		Cores:      maps.Clone(t.Cores),
+		Groups:     make([]partition.Group, len(t.Groups)),
+		Size:       t.GroupSize,
+	}
 	if f.Cores == nil {
 		f.Cores = map[string]Core{}
 	}
@@ -63,7 +66,7 @@
 	m.announceToAll()
 }
 
-// Join makes this core, which has no vote in any group yet, belong to a fleet.
+// Join makes this core, which must have no vote in any group yet, belong to a fleet.
 func (m *Machine) Join(now time.Duration, f Founding) {
 	m.out.Changes = append(m.out.Changes, Change{Founding: &f})
 	s := Stored{Incarnation: m.self.Incarnation}
@@ -71,8 +74,7 @@
 	m.start(now, s)
 }
 
-// register corrects the fleet's entry of this core. The partitions' leaders then
-// replace an earlier incarnation in their groups by this one.
+// register corrects the fleet's entry of this core. Leaders then replace an earlier incarnation.
 func (m *Machine) register(now time.Duration) {
 	if m.registering || m.self.Retired || m.draining || m.stalled || !m.unregistered || m.superseded {
 		return
@@ -104,7 +106,6 @@
 	})
 }
 
-// announceToAll sends this core's entry to all other cores at once.
 func (m *Machine) announceToAll() {
 	for _, id := range ordered.Keys(m.cores) {
 		if c := m.cores[id]; id != m.self.ID {
@@ -113,9 +114,8 @@
 	}
 }
 
-// PlanChange returns the moves that a change to the fleet's cores needs, or the
-// reason why it is impossible. Silent cores are assigned replicas only where too
-// few others remain.
+// PlanChange returns the moves that a change to the fleet's cores needs, or the reason why it is
+// impossible. Silent cores are assigned replicas only where too few others remain.
 func PlanChange(cores map[string]Core, silent map[string]bool, groups []partition.Group, size int, kind, id, by string) ChangeResult {
 	changed, ok := cores[id]
 	if !ok {
@@ -144,13 +144,12 @@
 	return ChangeResult{Moves: moves}
 }
 
-// tooFewCores is the reason for refusing to retire a core.
 func tooFewCores(id string) string {
 	return "without " + id + " some group would have fewer seats; add a core first"
 }
 
-// membershipMoves returns the moves that turn a group into the wanted one, each
-// member to add paired with one to remove as long as there are both.
+// membershipMoves returns the moves that turn a group into the wanted one, pairing members to add
+// with members to remove.
 func membershipMoves(n int, group, wanted []string) []Move {
 	var moves []Move
 	for _, member := range wanted {
@@ -172,9 +171,8 @@
 	return moves
 }
 
-// ChangeCore carries out one change to the fleet's cores. KindAdd waits until a new
-// core has its replicas; KindRetire and KindReplace retire a core and wait until
-// it has none. The answer is a ChangeResult.
+// ChangeCore carries out one change to the fleet's cores and answers with a ChangeResult. KindAdd
+// waits until a new core has its replicas, the other kinds until the retired core has none.
 func (m *Machine) ChangeCore(now time.Duration, ticket uint64, kind, id, by string, within time.Duration) Output {
 	m.out = &Output{}
 	m.refreshTopology()
@@ -210,9 +208,11 @@
 	return *m.out
 }
 
-// awaitGroups reads the groups from the partitions' leaders until all of them
-// satisfy settled, or until the deadline, and then answers the ticket.
-func (m *Machine) awaitGroups(now time.Duration, ticket uint64, until time.Duration, plan ChangeResult, settled func(n int, members []string) bool) {
+// awaitGroups reads the groups from the leaders until all satisfy settled or the deadline passes.
+func (m *Machine) awaitGroups(
+	now time.Duration, ticket uint64, until time.Duration, plan ChangeResult,
+	settled func(n int, members []string) bool,
+) {
 	waiting, settledCount := m.founding.Partitions, 0
 	for n := 0; n < m.founding.Partitions; n++ {
 		m.caller.Call(now, ReadGroup{Partition: n}, until, func(now time.Duration, o Outcome) {
@@ -237,8 +237,7 @@
 	}
 }
 
-// RegisterCore adds a new core's entry to the fleet's list of cores, before it is given
-// replicas. The answer is a Done.
+// RegisterCore adds a new core's entry before it is given replicas. The answer is a Done.
 func (m *Machine) RegisterCore(now time.Duration, ticket uint64, c Core, within time.Duration) Output {
 	m.out = &Output{}
 	if old, ok := m.cores[c.ID]; ok && old.Incarnation != c.Incarnation && !old.Retired {
--- a/peer/core/membership_test.go
+++ b/peer/core/membership_test.go
@@ -17,7 +17,6 @@
 	testStep       = 5 * time.Millisecond
 )
 
-// testCore is one process of the fleet: its machine and the contents of its disk.
 type testCore struct {
 	id, zone, address string
 	m                 *Machine
@@ -41,7 +40,6 @@
 	raw      []byte
 }
 
-// fleet runs cores under a simulated clock, network and disk.
 type fleet struct {
 	t            *testing.T
 	now          time.Duration
@@ -62,7 +60,6 @@
 	retired string
 }
 
-// newFleet founds a fleet, stores some claims and waits until it has settled.
 func newFleet(t *testing.T, size, cores int) *fleet {
 	f := &fleet{t: t, size: size, random: rand.New(rand.NewPCG(7, uint64(cores))), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
 		params: Params{Partition: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeTransfer: 20}, MemberLease: 2 * time.Second,
@@ -83,7 +80,6 @@
 	return f
 }
 
-// tolerateSilence raises the time until silent cores lose their replicas.
 func (f *fleet) tolerateSilence() {
 	f.params.SilenceTimeout = time.Minute
 	for _, core := range f.cores {
@@ -121,7 +117,6 @@
 // kill stops a core; changes that were not synced are lost.
 func (f *fleet) kill(core *testCore) { core.m, core.pending = nil, nil }
 
-// losePermanently kills a core that never restarts.
 func (f *fleet) losePermanently(core *testCore) {
 	f.kill(core)
 	core.lost = true
@@ -228,7 +223,7 @@
 	f.checkLosses()
 }
 
-// resume resumes a frozen core and delivers the messages that arrived meanwhile.
+// resume also delivers the messages that arrived meanwhile.
 func (f *fleet) resume(core *testCore) {
 	core.frozen = false
 	backlog := core.inbox
@@ -265,7 +260,6 @@
 	}
 }
 
-// leader returns the leader of a partition and the partition's committed group.
 func (f *fleet) leader(n int) (*testCore, partition.Group, bool) {
 	for _, core := range f.cores {
 		if core.m == nil || core.frozen || core.m.Partition(n) == nil {
@@ -279,7 +273,6 @@
 	return nil, partition.Group{}, false
 }
 
-// call runs a command through the first running core and returns its answer.
 func (f *fleet) call(command any) any {
 	f.t.Helper()
 	f.lastTicket++
@@ -300,7 +293,6 @@
 	return nil
 }
 
-// claim stores the claim with number i.
 func (f *fleet) claim(i int) {
 	f.t.Helper()
 	key, claim := fmt.Sprint("k", i), fmt.Sprint("first ", i)
@@ -310,7 +302,6 @@
 	f.claims[key] = claim
 }
 
-// checkClaims checks that every acknowledged claim is still stored.
 func (f *fleet) checkClaims() {
 	f.t.Helper()
 	for key, claim := range f.claims {
@@ -320,7 +311,7 @@
 	}
 }
 
-// unsettled returns the reason why the fleet has not reached its desired state, or "".
+// unsettled returns why the fleet has not reached its desired state, or "".
 func (f *fleet) unsettled() string {
 	replicas := map[string]int{}
 	var active []Core
@@ -373,7 +364,6 @@
 	return ""
 }
 
-// awaitSettled waits until every group is complete and the replicas are balanced.
 func (f *fleet) awaitSettled(when string, within time.Duration) time.Duration {
 	f.t.Helper()
 	began, reason := f.now, ""
@@ -388,7 +378,7 @@
 	return 0
 }
 
-// epochSum returns the sum of the groups' epochs, which grows with each group change.
+// epochSum grows with each group change.
 func (f *fleet) epochSum() (n int) {
 	for i := 0; i < testPartitions; i++ {
 		if _, g, ok := f.leader(i); ok {
@@ -398,8 +388,6 @@
 	return n
 }
 
-// TestEmptiedCoreRejoins: cores that lost their disks join the fleet and their groups
-// again.
 func TestEmptiedCoreRejoins(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		f := newFleet(t, size, size+2)
@@ -414,7 +402,6 @@
 		}
 		f.awaitSettled(fmt.Sprintf("groups of %d", size), settleTime)
 		f.checkClaims()
-		// The next loss may come right after.
 		next := f.cores[4]
 		f.kill(next)
 		f.wipe(next)
@@ -424,8 +411,6 @@
 	}
 }
 
-// TestCoreIsReplacedAtAnotherAddress: the replicas of a lost core move to a new one,
-// under another ID or the same.
 func TestCoreIsReplacedAtAnotherAddress(t *testing.T) {
 	for _, name := range []string{"another name", "the same name"} {
 		f := newFleet(t, 3, 5)
@@ -448,8 +433,7 @@
 	}
 }
 
-// TestSmallestFleetReplacesCores: in the smallest fleet a new core is the only one that
-// can take over the replicas of a lost one.
+// In the smallest fleet only a new core can take over the replicas of a lost one.
 func TestSmallestFleetReplacesCores(t *testing.T) {
 	f := newFleet(t, 3, 3)
 	for i := 0; i < 3; i++ {
@@ -460,7 +444,6 @@
 	}
 }
 
-// TestAddedCoreGetsItsShare: replicas are rebalanced onto an added core, and then stay.
 func TestAddedCoreGetsItsShare(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	f.start(f.addCore("fresh"))
@@ -473,8 +456,7 @@
 	}
 }
 
-// TestRetiredWhileAnotherIsEmptied: retirement succeeds while another core restores
-// its replicas, but not below the group size.
+// Retirement must succeed while another core restores its replicas, but not below the group size.
 func TestRetiredWhileAnotherIsEmptied(t *testing.T) {
 	f := newFleet(t, 3, 5)
 	if r := f.call(RetireCore{ID: "nobody"}); r != (RetireCoreResult{}) {
@@ -502,7 +484,6 @@
 		t.Errorf("retiring one core too many: %+v", r)
 	}
 	f.retired = "c1"
-	// A retired core gets no replicas again, not even with an empty directory.
 	f.kill(f.cores[0])
 	f.wipe(f.cores[0])
 	f.start(f.cores[0])
@@ -514,8 +495,6 @@
 	}
 }
 
-// TestRetiredWhileDown: a core that is retired while it is down stays retired after a
-// restart.
 func TestRetiredWhileDown(t *testing.T) {
 	f := newFleet(t, 3, 5)
 	f.tolerateSilence()
@@ -541,8 +520,7 @@
 	f.checkClaims()
 }
 
-// TestRetiredWhileAnotherIsSilent: a retired core's replicas move to other cores while
-// another core is unreachable, and that core keeps its own.
+// The silent core must keep its replicas.
 func TestRetiredWhileAnotherIsSilent(t *testing.T) {
 	f := newFleet(t, 3, 6)
 	f.tolerateSilence()
@@ -567,8 +545,7 @@
 	f.checkClaims()
 }
 
-// TestDegradedGroupsAreNotRebalanced: a new core does not replace a healthy member of a
-// group while another member of it is unreachable.
+// A new core must not replace a healthy member of a group while another member is unreachable.
 func TestDegradedGroupsAreNotRebalanced(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	f.tolerateSilence()
@@ -594,8 +571,6 @@
 	f.checkClaims()
 }
 
-// TestFlappingCoreGetsNoReplicas: a core that repeatedly stops and resumes gets no
-// replicas until it runs steadily.
 func TestFlappingCoreGetsNoReplicas(t *testing.T) {
 	f := newFleet(t, 3, 5)
 	core := f.cores[1]
@@ -617,8 +592,7 @@
 	f.checkClaims()
 }
 
-// TestAllCoresFrozenTogether: after a pause of all cores none counts the others as
-// silent.
+// After a pause of all cores none may count the others as silent.
 func TestAllCoresFrozenTogether(t *testing.T) {
 	f := newFleet(t, 3, 6)
 	f.advance(12 * time.Second)
@@ -639,7 +613,6 @@
 	f.checkClaims()
 }
 
-// TestHomesAreBalanced: in a settled fleet each partition's home is the planned one.
 func TestHomesAreBalanced(t *testing.T) {
 	f := newFleet(t, 3, 5)
 	f.losePermanently(f.cores[1])
@@ -659,8 +632,7 @@
 	}
 }
 
-// TestOperatorRetires: a retirement by an operator is reported as done only when the
-// core has no replicas left.
+// A retirement is done only when the core has no replicas left.
 func TestOperatorRetires(t *testing.T) {
 	f := newFleet(t, 3, 5)
 	f.lastTicket++
@@ -681,8 +653,7 @@
 	f.checkClaims()
 }
 
-// TestFullRestartWithOneEmptyDisk: a restart of the whole fleet with one disk lost
-// loses no entry.
+// No entry may be lost.
 func TestFullRestartWithOneEmptyDisk(t *testing.T) {
 	for _, cores := range []int{3, 5} {
 		f := newFleet(t, 3, cores)
@@ -700,8 +671,7 @@
 	}
 }
 
-// adding returns a leader that is adding the core to its partition's group, and the
-// partition, or nil.
+// adding returns a leader that is adding the core to a group, and the partition, or nil.
 func (f *fleet) adding(id string) (leader *testCore, n int) {
 	for n := 0; n < testPartitions; n++ {
 		if core, _, ok := f.leader(n); ok {
@@ -713,8 +683,6 @@
 	return nil, 0
 }
 
-// inJointGroup returns a leader whose partition is in a joint group, and the partition,
-// or nil.
 func (f *fleet) inJointGroup() (leader *testCore, n int) {
 	for n := 0; n < testPartitions; n++ {
 		if core, g, ok := f.leader(n); ok && len(g.Former) > 0 {
@@ -733,8 +701,7 @@
 	}
 }
 
-// TestJoiningCoreFailsDuringChange: a new member that fails in any stage of its
-// addition blocks no group.
+// A new member that fails in any stage of its addition must not block a group.
 func TestJoiningCoreFailsDuringChange(t *testing.T) {
 	stages := map[string]func(f *fleet) bool{
 		"during the snapshot transfer": func(f *fleet) bool { joining, _ := f.adding("fresh"); return joining != nil },
@@ -746,7 +713,6 @@
 		f.start(joining)
 		f.waitUntil(name, func() bool { return stages[name](f) })
 		f.losePermanently(joining)
-		// Its replicas move to other cores once it counts as silent.
 		f.awaitSettled(name+", core lost", f.params.SilenceTimeout+settleTime)
 		f.checkClaims()
 		f.start(f.addCore("next"))
@@ -766,8 +732,7 @@
 	}
 }
 
-// TestUnreachableJoiningCoreIsAbandoned: a new member that the leader can't reach must
-// not block other changes of the group.
+// A new member that the leader can't reach must not block other changes of the group.
 func TestUnreachableJoiningCoreIsAbandoned(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	core := f.addCore("fresh")
@@ -783,8 +748,6 @@
 	f.checkClaims()
 }
 
-// TestLeaderFailsDuringChange: a group change survives the failure of the leader that
-// makes it.
 func TestLeaderFailsDuringChange(t *testing.T) {
 	for _, stage := range []string{"during the snapshot transfer", "in a joint group"} {
 		f := newFleet(t, 3, 5)
@@ -820,8 +783,6 @@
 	}
 }
 
-// TestFrozenCoreResumes: a core that was paused until it lost its replicas is
-// integrated again, and a short pause changes no group.
 func TestFrozenCoreResumes(t *testing.T) {
 	f := newFleet(t, 3, 5)
 	core := f.cores[1]
@@ -838,7 +799,6 @@
 	if after := f.epochSum(); after != before {
 		t.Errorf("%d group changes after the fleet settled", after-before)
 	}
-	// A short freeze changes no group.
 	core.frozen = true
 	f.advance(f.params.SilenceTimeout / 2)
 	f.resume(core)
@@ -849,8 +809,6 @@
 	f.checkClaims()
 }
 
-// TestSilentCoreKeepsReplicasWithoutSubstitute: a silent core keeps its replicas if no
-// other core can take them.
 func TestSilentCoreKeepsReplicasWithoutSubstitute(t *testing.T) {
 	f := newFleet(t, 3, 3)
 	before := f.epochSum()
@@ -864,7 +822,6 @@
 	f.checkClaims()
 }
 
-// TestCoreRestartsAtAnotherAddress: the fleet learns a restarted core's new address.
 func TestCoreRestartsAtAnotherAddress(t *testing.T) {
 	f := newFleet(t, 3, 3)
 	f.kill(f.cores[2])
@@ -877,8 +834,7 @@
 	f.checkClaims()
 }
 
-// TestSupersededCoreIsIgnored: an earlier incarnation that still runs does not displace
-// its successor.
+// An earlier incarnation that still runs must not displace its successor.
 func TestSupersededCoreIsIgnored(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	old := f.cores[3]
@@ -910,8 +866,7 @@
 	f.checkClaims()
 }
 
-// TestRetiredCoresStayRetired: retired cores and superseded incarnations are not
-// revived by later entries.
+// Later entries must not revive retired cores and superseded incarnations.
 func TestRetiredCoresStayRetired(t *testing.T) {
 	a := newSingleCore(t)
 	x := Core{ID: "x", Incarnation: "1", Version: 1}
@@ -946,8 +901,7 @@
 	}
 }
 
-// TestColdStart: cores without a fleet announce themselves and accept only a founding
-// that names them.
+// Cores without a fleet must accept only a founding that names them.
 func TestColdStart(t *testing.T) {
 	f := &fleet{t: t, size: 3, random: rand.New(rand.NewPCG(1, 1)), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
 		params: Params{Partition: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40}, MemberLease: 2 * time.Second, AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}}
@@ -971,7 +925,7 @@
 			t.Errorf("%s joined a fleet whose founding does not name it", core.id)
 		}
 	}
-	// One of three misses the founding message and gets it in answer to its announcement.
+	// One core misses the founding message and gets it in answer to its announcement.
 	f.drop = func(from, to string, body any) bool { _, ok := body.(FoundFleet); return ok && to == "a2" }
 	f.handle(f.cores[0], f.cores[0].m.Receive(f.now, "desk", FoundFleet{Founding: plan}))
 	f.advance(500 * time.Millisecond)
@@ -984,7 +938,6 @@
 	}
 }
 
-// TestGossipAtRest: in a settled fleet the topology is sent rarely.
 func TestGossipAtRest(t *testing.T) {
 	f := newFleet(t, 3, 5)
 	f.advance(3 * time.Second)
@@ -996,8 +949,7 @@
 	t.Log(f.kinds)
 }
 
-// TestPlace: placements are balanced over zones and cores, independent of the order of
-// the cores, and stable when a core is added.
+// Placements must not depend on the order of the cores and must change little when one is added.
 func TestPlace(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	for round := 0; round < 200; round++ {
@@ -1042,7 +994,6 @@
 				}
 			}
 		}
-		// An additional, a silent and a retired core.
 		more := Place(partitions, size, append(slices.Clone(cores), Core{ID: "new", Incarnation: "1", Zone: "z0"}), nil)
 		moved := 0
 		for n := range groups {
--- a/peer/core/messages.go
+++ b/peer/core/messages.go
@@ -17,8 +17,7 @@
 	JoinMember struct {
 		Member Member `msgpack:"Member"`
 	}
-	// RenewMember renews a member's lease. Version is the configuration that the
-	// member follows.
+	// RenewMember renews a member's lease. Version is the configuration that the member follows.
 	RenewMember struct {
 		ID          string `msgpack:"ID"`
 		Incarnation string `msgpack:"Incarnation"`
@@ -30,9 +29,9 @@
 		ID          string `msgpack:"ID"`
 		Incarnation string `msgpack:"Incarnation"`
 	}
-	// MembershipResult answers JoinMember, RenewMember and LeaveMember. Floor is the
-	// lowest configuration version that a member must follow to get a lease. Wait, if
-	// positive, is how long the previous incarnation's lease may still last.
+	// MembershipResult answers JoinMember, RenewMember and LeaveMember. Floor is the lowest
+	// configuration version that gets a lease. Wait, if positive, is how long the previous
+	// incarnation's lease may still last.
 	MembershipResult struct {
 		Granted bool          `msgpack:"Granted"`
 		Ended   bool          `msgpack:"Ended"`
@@ -53,8 +52,8 @@
 		Tenant  string `msgpack:"Tenant"`
 		User    string `msgpack:"User"`
 		Program string `msgpack:"Program"`
-		// Charged is spent or reserved by running turns; Covered may be spent without
-		// a further command.
+		// Charged is spent or reserved by running turns; Covered may be spent without a further
+		// command.
 		Charged int64 `msgpack:"Charged"`
 		Covered int64 `msgpack:"Covered"`
 		Closed  bool  `msgpack:"Closed"`
@@ -68,9 +67,8 @@
 	OpenProgram struct {
 		Record program.Record `msgpack:"Record"`
 	}
-	// ClaimProgram makes a node the owner of a program, given proof that the
-	// incarnation of the former owner has ended (EndedNode, EndedIncarnation). Without
-	// proof it only reads the record.
+	// ClaimProgram makes a node the owner of a program, given proof that the former owner's
+	// incarnation has ended (EndedNode, EndedIncarnation). Without proof it only reads the record.
 	ClaimProgram struct {
 		Tenant           string `msgpack:"Tenant"`
 		ID               string `msgpack:"ID"`
@@ -94,10 +92,9 @@
 		Incarnation string `msgpack:"Incarnation"`
 		Address     string `msgpack:"Address"`
 	}
-	// ProgramResult answers OpenProgram, ClaimProgram, SaveProgram and
-	// HandOverProgram. Fenced means that the program has another owner by now, Expired
-	// that the record was deleted after its retention, and Clock is the partition's
-	// clock.
+	// ProgramResult answers the commands on programs. Fenced means that the program has another
+	// owner by now, Expired that the record was deleted after its retention. Clock is the
+	// partition's clock.
 	ProgramResult struct {
 		Found   bool           `msgpack:"Found"`
 		Owned   bool           `msgpack:"Owned"`
@@ -109,10 +106,9 @@
 		Version uint64         `msgpack:"Version"`
 	}
 
-	// DrawAllowance reports what a holder spent and returned of a tenant's allowance
-	// and draws up to Target. Kind is "day" for the daily tokens or names a rate.
-	// Ended lists holders whose incarnation has ended. A rate is drawn in multiples of
-	// UnitsPerRequest.
+	// DrawAllowance reports what a holder spent and returned of a tenant's allowance and draws up
+	// to Target. Kind is "day" for the daily tokens or names a rate, drawn in multiples of
+	// UnitsPerRequest. Ended lists holders whose incarnation has ended.
 	DrawAllowance struct {
 		Tenant          string   `msgpack:"Tenant"`
 		Kind            string   `msgpack:"Kind"`
@@ -144,9 +140,8 @@
 		Ended  []string      `msgpack:"Ended"`
 		Limits BreakerLimits `msgpack:"Description"`
 	}
-	// DrawResult answers DrawAllowance and DrawBreaker. Granted is the holder's total;
-	// it is zero if the holder has ended. Holders names all holders. Open and Remaining
-	// report whether the breaker is open and for how long.
+	// DrawResult answers DrawAllowance and DrawBreaker. Granted is the holder's total, zero if the
+	// holder has ended. Remaining is how long the breaker stays open, if Open.
 	DrawResult struct {
 		Granted   int64         `msgpack:"Granted"`
 		Target    int64         `msgpack:"Target"`
@@ -154,8 +149,7 @@
 		Open      bool          `msgpack:"Open"`
 		Holders   []string      `msgpack:"Others"`
 	}
-	// BreakerLimits are the breaker's thresholds in the configuration that the caller
-	// follows.
+	// BreakerLimits are the breaker's thresholds in the configuration that the caller follows.
 	BreakerLimits struct {
 		Minute   int64         `msgpack:"Minute"`
 		Hour     int64         `msgpack:"Hour"`
@@ -163,12 +157,12 @@
 		Recovery time.Duration `msgpack:"Recovery"`
 		Probes   int           `msgpack:"Tests"`
 	}
-	// AdmitProbe requests the admission of a probe by a half-open breaker.
+	// AdmitProbe asks a half-open breaker to admit a probe.
 	AdmitProbe struct {
 		Program string        `msgpack:"Program"`
 		Limits  BreakerLimits `msgpack:"Limits"`
 	}
-	// ReportProbe reports whether a probe succeeded.
+	// ReportProbe reports a probe's result.
 	ReportProbe struct {
 		Program   string        `msgpack:"Program"`
 		Succeeded bool          `msgpack:"Good"`
@@ -181,8 +175,7 @@
 		Remaining time.Duration `msgpack:"Left"`
 	}
 
-	// ClaimOnce stores the intent to run a once-only action, before it runs. An
-	// earlier claim under the key wins.
+	// ClaimOnce stores the intent to run a once-only action, before it runs. An earlier claim wins.
 	ClaimOnce struct {
 		Tenant    string        `msgpack:"Tenant"`
 		Service   string        `msgpack:"Service"`
@@ -191,8 +184,7 @@
 		Digest    string        `msgpack:"Digest"`
 		Retention time.Duration `msgpack:"Keep"`
 	}
-	// EndOnce stores the outcome of a claim, or releases one that certainly did not
-	// run.
+	// EndOnce stores the outcome of a claim, or releases one that certainly did not run.
 	EndOnce struct {
 		Tenant  string `msgpack:"Tenant"`
 		Service string `msgpack:"Service"`
@@ -202,7 +194,7 @@
 		Status  int    `msgpack:"Status"`
 		Body    []byte `msgpack:"Body"`
 	}
-	// OnceRecord answers ClaimOnce and EndOnce, and is the stored entry of a once-key.
+	// OnceRecord answers ClaimOnce and EndOnce, and is the stored entry.
 	OnceRecord struct {
 		Claim  string        `msgpack:"c"`
 		Digest string        `msgpack:"d"`
@@ -212,8 +204,8 @@
 		Until  time.Duration `msgpack:"u"`
 	}
 
-	// ReadLockedUsers lists the users of a partition that are locked out, in the order
-	// in which the lockouts end, at most maxLockedUsers.
+	// ReadLockedUsers lists the users that are locked out, earliest end first, at most
+	// maxLockedUsers.
 	ReadLockedUsers struct {
 		Partition int `msgpack:"Part"`
 	}
@@ -221,7 +213,7 @@
 	LockedUsers struct {
 		Users []LockedUser `msgpack:"Users"`
 	}
-	// LockedUser is a user that is locked out, and for how much longer.
+	// LockedUser is a user that is locked out for the Remaining time.
 	LockedUser struct {
 		Name      string        `json:"user" msgpack:"Name"`
 		Remaining time.Duration `json:"left" msgpack:"Left"`
@@ -236,31 +228,30 @@
 		Entries []partition.Entry `msgpack:"Entries"`
 	}
 
-	// AcceptConfiguration puts a configuration in force after its checks and its replay.
+	// AcceptConfiguration puts a checked and replayed configuration in force.
 	AcceptConfiguration struct {
 		BasedOn uint64 `msgpack:"BasedOn"`
 		Text    []byte `msgpack:"Text"`
 		Digest  string `msgpack:"Digest"`
 	}
-	// AcceptConfigurationResult answers AcceptConfiguration. Version is the one in
-	// force if the configuration was refused.
+	// AcceptConfigurationResult answers AcceptConfiguration. If refused, Version is the one in
+	// force.
 	AcceptConfigurationResult struct {
 		Accepted bool   `msgpack:"Agreed"`
 		Version  uint64 `msgpack:"Version"`
 	}
-	// SetVersionFloor raises the configuration version that a partition's members must
-	// follow to get a lease.
+	// SetVersionFloor raises the configuration version that members must follow to get a lease.
 	SetVersionFloor struct {
 		Partition int    `msgpack:"Part"`
 		Version   uint64 `msgpack:"Version"`
 	}
-	// VersionFloorResult answers SetVersionFloor. Done means that no member of the
-	// partition with a lease lags behind.
+	// VersionFloorResult answers SetVersionFloor. Done means that no member with a lease lags
+	// behind.
 	VersionFloorResult struct {
 		Done    bool     `msgpack:"Done"`
 		Lagging []string `msgpack:"Lagging"`
 	}
-	// Sweep deletes expired entries and ends expired memberships of a partition.
+	// Sweep deletes expired entries and ends expired memberships.
 	Sweep struct{}
 	// Done answers commands that have no other result.
 	Done struct {
@@ -286,15 +277,15 @@
 	Version     uint64 `msgpack:"v" json:"version"`
 	Ended       bool   `msgpack:"e" json:"ended"`
 	Leaving     bool   `msgpack:"l" json:"leaving"`
-	// Host is a resource that only one process at a time can hold. A later process with
-	// the same Host proves that the earlier one has ended.
+	// Host is a resource that only one process at a time can hold. A later process with the same
+	// Host proves that the earlier one has ended.
 	Host string `msgpack:"o" json:"-"`
-	// PastIncarnations have all ended. Any other incarnation but the current one is not
-	// known to have ended, because this copy of the entry may be older.
+	// PastIncarnations have all ended. An incarnation that is neither listed nor current is not
+	// known to have ended: this copy of the entry may be outdated.
 	PastIncarnations []string `msgpack:"a" json:"-"`
 }
 
-// HasEnded reports whether an incarnation of the member is known to have ended.
+// HasEnded reports whether an incarnation is known to have ended.
 func (m Member) HasEnded(incarnation string) bool {
 	if m.Incarnation == incarnation {
 		return m.Ended
@@ -302,7 +293,7 @@
 	return slices.Contains(m.PastIncarnations, incarnation)
 }
 
-// Holder identifies the member's incarnation as a holder of allowances.
+// Holder identifies the incarnation as a holder of allowances.
 func (m Member) Holder() string { return m.ID + "/" + m.Incarnation }
 
 // CurrentConfiguration is the stored entry of the configuration in force.
@@ -310,18 +301,17 @@
 	Version uint64 `msgpack:"v"`
 	Text    []byte `msgpack:"t"`
 	Digest  string `msgpack:"d"`
-	// Past lists accepted configurations as earlier releases stored them. It is read
-	// but no longer written.
+	// Past is read from entries of earlier releases but no longer written.
 	Past []PastConfiguration `msgpack:"p"`
 }
 
-// PastConfiguration is a configuration that was accepted.
+// PastConfiguration is an accepted configuration.
 type PastConfiguration struct {
 	Version uint64 `msgpack:"v"`
 	Digest  string `msgpack:"d"`
 }
 
-// Core is the stored entry of one core of the fleet.
+// Core is the stored entry of one core.
 type Core struct {
 	ID          string `msgpack:"i" json:"id"`
 	Incarnation string `msgpack:"n" json:"incarnation"`
@@ -333,28 +323,26 @@
 	Version uint64 `msgpack:"v" json:"version"`
 }
 
-// MemberID identifies the core's incarnation as a member of groups.
+// MemberID identifies the incarnation as a member of groups.
 func (c Core) MemberID() string { return c.ID + "." + c.Incarnation }
 
 // Messages between processes.
 type (
-	// ReplicaMessage carries a packed message of rule/partition between members of a
-	// partition's group.
+	// ReplicaMessage carries a packed message of rule/partition between members of a group.
 	ReplicaMessage struct {
 		Partition int    `msgpack:"Part"`
 		From      string `msgpack:"From"`
 		To        string `msgpack:"To"`
 		Raw       []byte `msgpack:"Raw"`
 	}
-	// Command is the request to a partition's leader to run the packed command Raw.
+	// Command requests a partition's leader to run the packed command Raw.
 	Command struct {
 		ID        uint64 `msgpack:"ID"`
 		Partition int    `msgpack:"Part"`
 		Raw       []byte `msgpack:"Raw"`
 	}
-	// CommandResult answers Command. If Uncertain, the command may or may not take
-	// effect. If NotLeader, it has none here, and LeaderHint is the address of the
-	// leader, if known.
+	// CommandResult answers Command. If Uncertain, the command may or may not take effect. If
+	// NotLeader, it has no effect here, and LeaderHint is the leader's address, if known.
 	CommandResult struct {
 		ID         uint64 `msgpack:"ID"`
 		Partition  int    `msgpack:"Part"`
@@ -363,27 +351,26 @@
 		NotLeader  bool   `msgpack:"Moved"`
 		LeaderHint string `msgpack:"Hint"`
 	}
-	// PullUpdates requests from a core all entries that changed after the given versions in
-	// the partitions that it leads.
+	// PullUpdates requests the entries that changed after Versions in the partitions that a core
+	// leads.
 	PullUpdates struct {
 		Versions     map[int]partition.Version `msgpack:"Versions"`
 		Member       string                    `msgpack:"Member"`
 		WantTopology bool                      `msgpack:"Want"`
-		// WantFreshness requests a Freshness from the leader of the configuration
-		// partition.
+		// WantFreshness requests a Freshness from the configuration partition's leader.
 		WantFreshness bool          `msgpack:"Fresh"`
 		SentAt        time.Duration `msgpack:"Sent"`
 	}
-	// Freshness is the version that the configuration partition has committed, as of
-	// SentAt minus Age; SentAt is when the pull was sent, by the puller's clock. A node
-	// with this version has missed no configuration.
+	// Freshness is the version that the configuration partition has committed, as of SentAt minus
+	// Age. SentAt is when the pull was sent, by the puller's clock. A node with this version has
+	// missed no configuration.
 	Freshness struct {
 		SentAt time.Duration     `msgpack:"Sent"`
 		Age    time.Duration     `msgpack:"Age"`
 		UpTo   partition.Version `msgpack:"Upto"`
 	}
-	// Update answers PullUpdates for one partition. A Snapshot has all entries and
-	// replaces what the node knew of the partition.
+	// Update answers PullUpdates for one partition. A Snapshot has all entries and replaces what
+	// the node knew.
 	Update struct {
 		Partition int               `msgpack:"Part"`
 		After     partition.Version `msgpack:"After"`
@@ -391,15 +378,13 @@
 		Snapshot  bool              `msgpack:"Whole"`
 		Entries   []partition.Entry `msgpack:"Entries"`
 	}
-	// Topology describes the cores of a fleet and the group and leader of each
-	// partition.
+	// Topology describes the cores of a fleet and each partition's group and leader.
 	Topology struct {
-		Fleet   string            `msgpack:"Fleet" json:"Fleet"`
-		Cores   map[string]Core   `msgpack:"Cores" json:"Cores"`
-		Groups  []partition.Group `msgpack:"Groups" json:"Groups"`
-		Leaders []partition.Term  `msgpack:"Owners" json:"Owners"`
-		// GroupSize is how many members a group should have.
-		GroupSize int `msgpack:"Size" json:"Size"`
+		Fleet     string            `msgpack:"Fleet" json:"Fleet"`
+		Cores     map[string]Core   `msgpack:"Cores" json:"Cores"`
+		Groups    []partition.Group `msgpack:"Groups" json:"Groups"`
+		Leaders   []partition.Term  `msgpack:"Owners" json:"Owners"`
+		GroupSize int               `msgpack:"Size" json:"Size"`
 	}
 )
 
@@ -422,11 +407,11 @@
 	oncePrefix        = "once/"
 )
 
-// UpdatePrefixes are the key prefixes of the entries that nodes pull.
+// UpdatePrefixes are the key prefixes of entries that nodes pull.
 var UpdatePrefixes = []string{configurationKey, breakerSummaryKey, memberPrefix, corePrefix, TableKey}
 
-// PartitionOf returns the partition of a key with the given segments: the
-// configuration has its own, other keys are distributed by hash.
+// PartitionOf returns the partition of a key: the configuration has its own, other keys are
+// distributed by hash.
 func PartitionOf(partitions int, segments ...string) int {
 	if segments[0] == configurationKey || partitions < 2 {
 		return ConfigurationPartition
@@ -436,7 +421,7 @@
 	return 1 + int(h.Sum64()%uint64(partitions-1))
 }
 
-// TargetPartition returns the partition that a command is for.
+// TargetPartition returns the partition of a command.
 func TargetPartition(partitions int, command any) int {
 	switch c := command.(type) {
 	case JoinMember:
--- a/peer/core/messages_relay.go
+++ b/peer/core/messages_relay.go
@@ -8,13 +8,11 @@
 	"saffronfall/rule/rate"
 )
 
-// Commands of nodes that relay requests, and of registries, with their results. Every
-// command may be retried safely.
+// Commands of relays and registries, with their results. Every command may be retried safely.
 type (
-	// ReserveTurn reserves the most tokens that a turn may produce from its program's
-	// budget. Attempt is the node's unique ID of this reservation, not the requester's
-	// ID of the attempt: a repeated command must find its reservation, and two turns
-	// must not have the same one.
+	// ReserveTurn reserves the most tokens that a turn may produce from its program's budget.
+	// Attempt is the node's unique ID of this reservation, not the requester's ID of the attempt: a
+	// repeated command must find its reservation, and two turns must not share one.
 	ReserveTurn struct {
 		Tenant    string        `msgpack:"t"`
 		Program   string        `msgpack:"p"`
@@ -35,7 +33,7 @@
 		Attempt string `msgpack:"a"`
 		Tokens  int64  `msgpack:"n"`
 	}
-	// StoreTurn stores a turn with the IDs of the turns before it, oldest first.
+	// StoreTurn stores a turn. Previous are the IDs of the turns before it, oldest first.
 	StoreTurn struct {
 		Tenant    string        `msgpack:"t"`
 		Attempt   string        `msgpack:"a"`
@@ -49,11 +47,10 @@
 		Tenant  string `msgpack:"t"`
 		Attempt string `msgpack:"a"`
 	}
-	// ReadTurnResult answers ReadTurn. A turn that is not Found is certainly not
-	// stored: the answer reflects what a majority has committed.
+	// ReadTurnResult answers ReadTurn. A turn that is not Found is certainly not stored: the answer
+	// reflects what a majority has committed.
 	ReadTurnResult struct {
-		Found bool `msgpack:"f"`
-		// Absence is why the turn is not found.
+		Found    bool     `msgpack:"f"`
 		Absence  Absence  `msgpack:"w,omitempty"`
 		Previous []string `msgpack:"b"`
 		Input    []byte   `msgpack:"i"`
@@ -61,15 +58,13 @@
 		// Remaining is how much longer the turn is stored.
 		Remaining time.Duration `msgpack:"l"`
 	}
-	// ExtendTurn extends the retention of a stored turn when a turn that continues it
-	// was stored.
+	// ExtendTurn extends the retention of a turn when one that continues it was stored.
 	ExtendTurn struct {
 		Tenant    string        `msgpack:"t"`
 		Attempt   string        `msgpack:"a"`
 		Retention time.Duration `msgpack:"k"`
 	}
-	// DrawRates draws from the rates of several tenants whose ledgers are in one
-	// partition.
+	// DrawRates draws from the rates of tenants whose ledgers are in one partition.
 	DrawRates struct {
 		Partition int          `msgpack:"p"`
 		Draws     []TenantDraw `msgpack:"d"`
@@ -83,22 +78,21 @@
 	DrawRatesResult struct {
 		Responses []rate.DrawResponse `msgpack:"d"`
 	}
-	// AcceptTable puts a checked routing table in force if it builds on the current
-	// one.
+	// AcceptTable puts a checked routing table in force if it builds on the current one.
 	AcceptTable struct {
 		Base   uint64 `msgpack:"b"`
 		Number uint64 `msgpack:"n"`
 		Text   []byte `msgpack:"t"`
 		Digest string `msgpack:"d"`
 	}
-	// AcceptTableResult answers AcceptTable. Number is the accepted table's, or else
-	// that of the table in force.
+	// AcceptTableResult answers AcceptTable. Number is the accepted table's, or else that of the
+	// table in force.
 	AcceptTableResult struct {
 		OK     bool   `msgpack:"o"`
 		Number uint64 `msgpack:"n"`
 	}
-	// FindOrder looks up whether the order for a routing table was accepted. It is
-	// read-only and has the same result as AcceptTable.
+	// FindOrder reads whether an order for a table was accepted. Its result is an
+	// AcceptTableResult.
 	FindOrder struct {
 		Base   uint64 `msgpack:"b"`
 		Number uint64 `msgpack:"n"`
@@ -106,22 +100,21 @@
 	}
 	// ReadTable reads the routing table in force.
 	ReadTable struct{}
-	// CurrentTable answers ReadTable, and is the stored entry. Past lists accepted
-	// tables as earlier releases stored them; it is read but no longer written.
+	// CurrentTable answers ReadTable, and is the stored entry. Past is read from entries of earlier
+	// releases but no longer written.
 	CurrentTable struct {
 		Number uint64      `msgpack:"n"`
 		Text   []byte      `msgpack:"t"`
 		Digest string      `msgpack:"d"`
 		Past   []PastTable `msgpack:"p"`
 	}
-	// PastTable is a table that was accepted, and the one it was based on.
+	// PastTable is an accepted table. Base is the one that it was based on.
 	PastTable struct {
 		Base   uint64 `msgpack:"b"`
 		Number uint64 `msgpack:"n"`
 		Digest string `msgpack:"d"`
 	}
 
-	// storedTurn is the entry of a stored turn.
 	storedTurn struct {
 		Tenant   string        `msgpack:"t"`
 		Previous []string      `msgpack:"b"`
@@ -129,7 +122,7 @@
 		Output   []byte        `msgpack:"o"`
 		Until    time.Duration `msgpack:"u"`
 	}
-	// storedAccount is the entry of a program's budget and reservations.
+	// storedAccount has a program's budget and reservations.
 	storedAccount struct {
 		Account account.Account `msgpack:"b"`
 		Until   time.Duration   `msgpack:"u"`
@@ -139,7 +132,6 @@
 // TableKey is the key of the routing table in force.
 const TableKey = "table"
 
-// Key prefixes of entries about turns and rates.
 const (
 	accountPrefix = "book/"
 	turnPrefix    = "kept/"
@@ -149,7 +141,7 @@
 // IsCoreKey reports whether an entry is a core's.
 func IsCoreKey(key string) bool { return strings.HasPrefix(key, corePrefix) }
 
-// CoreID returns the ID of the core of a group member.
+// CoreID returns the ID of a group member's core.
 func CoreID(memberID string) string {
 	if i := strings.LastIndexByte(memberID, '.'); i >= 0 {
 		return memberID[:i]
--- a/peer/core/messages_samples.go
+++ b/peer/core/messages_samples.go
@@ -4,7 +4,6 @@
 	"saffronfall/rule/replay"
 )
 
-// Messages that collect recent requests for replays.
 type (
 	// ReadSamples requests a node's recent requests for a replay.
 	ReadSamples struct {
--- a/peer/core/orders.go
+++ b/peer/core/orders.go
@@ -8,24 +8,21 @@
 	"saffronfall/rule/partition"
 )
 
-// An order is an operator's request to put a routing table or a configuration in force.
-// An operator that got no answer sends the same order again, to any core or registry, possibly
-// after hundreds of others. Each accepted order therefore has a record of its own, by
-// which a repeated order is acknowledged. The records are entries beside the
-// configuration, so that an order rewrites none of the earlier ones.
+// An order is an operator's request to put a routing table or a configuration in force. An operator
+// that got no answer repeats it, to any core or registry, possibly after hundreds of others. Each
+// accepted order therefore has a record by which a repetition is acknowledged. Records are separate
+// entries, so that an order rewrites none of the earlier ones.
 
 const (
 	acceptedPrefix = "accepted/"
-	// Kinds of orders. Their numbers are independent of each other.
+	// Kinds of orders, which are numbered independently.
 	tableOrder         = "table/"
 	configurationOrder = "description/"
 )
 
-// defaultOrderRetention is how long an accepted order is recognized, by the clock of
-// the configuration partition.
+// defaultOrderRetention is by the clock of the configuration partition.
 const defaultOrderRetention = 24 * time.Hour
 
-// orderID identifies an order.
 type orderID struct {
 	kind   string
 	base   uint64
@@ -37,8 +34,7 @@
 	return acceptedPrefix + o.kind + strconv.FormatUint(o.number, 10)
 }
 
-// acceptedOrder is the record of an order that was accepted. Numbers only rise, so
-// there is at most one record under a number.
+// acceptedOrder is the record of an accepted order. Numbers only rise, so each has at most one.
 type acceptedOrder struct {
 	Base   uint64        `msgpack:"b"`
 	Digest string        `msgpack:"d"`
@@ -52,14 +48,12 @@
 	return defaultOrderRetention
 }
 
-// wasAccepted reports whether an order has a record, or is in the list that an earlier
-// release stored.
+// wasAccepted reports whether an order has a record, or is in the list of an earlier release.
 func wasAccepted(tx *partition.Tx, order orderID, past []orderID) bool {
 	record, ok := read[acceptedOrder](tx, order.key())
 	return ok && record.Base == order.base && record.Digest == order.digest || slices.Contains(past, order)
 }
 
-// recordAccepted stores records of accepted orders.
 func (r *rules) recordAccepted(tx *partition.Tx, orders ...orderID) {
 	until := tx.Clock() + r.params.orderRetention()
 	for _, order := range orders {
@@ -68,7 +62,6 @@
 	}
 }
 
-// acceptTable puts a routing table in force if it builds on the current one.
 func (r *rules) acceptTable(tx *partition.Tx, c AcceptTable) any {
 	order := orderID{kind: tableOrder, base: c.Base, number: c.Number, digest: c.Digest}
 	current, _ := read[CurrentTable](tx, TableKey)
@@ -84,8 +77,6 @@
 	return AcceptTableResult{OK: true, Number: c.Number}
 }
 
-// findOrder reports whether an order for a routing table was accepted, and which table
-// is in force.
 func findOrder(tx *partition.Tx, c FindOrder) AcceptTableResult {
 	current, _ := read[CurrentTable](tx, TableKey)
 	order := orderID{kind: tableOrder, base: c.Base, number: c.Number, digest: c.Digest}
--- a/peer/core/orders_test.go
+++ b/peer/core/orders_test.go
@@ -9,13 +9,11 @@
 	"saffronfall/rule/partition"
 )
 
-// numberedTable is an order for a routing table whose text depends on its number.
 func numberedTable(base, number uint64) AcceptTable {
 	return AcceptTable{Base: base, Number: number, Text: fmt.Appendf(nil, `{"number":%d}`, number), Digest: fmt.Sprint("digest of ", number)}
 }
 
-// TestRepeatedTableOrder checks that an accepted order is acknowledged when it is
-// repeated after hundreds of others, and that another order under its number is refused.
+// An operator may repeat an accepted order after hundreds of others.
 func TestRepeatedTableOrder(t *testing.T) {
 	a := newSingleCore(t)
 	const orders = 400
@@ -52,7 +50,6 @@
 	}
 }
 
-// TestRepeatedConfigurationOrder checks the same for configurations.
 func TestRepeatedConfigurationOrder(t *testing.T) {
 	a := newSingleCore(t)
 	const orders = 200
@@ -69,8 +66,6 @@
 	}
 }
 
-// TestOrderRecordsExpire checks that records of orders are deleted after their retention,
-// and that the table's entry does not grow with them.
 func TestOrderRecordsExpire(t *testing.T) {
 	const retention = 10 * time.Minute
 	a := newSingleCore(t, func(p *Params) { p.OrderRetention = retention })
@@ -105,8 +100,8 @@
 	}
 }
 
-// TestOrdersOfEarlierRelease checks that orders in the list that an earlier release stored
-// in the table's entry are acknowledged, before and after the next order replaces it.
+// Orders in the list that an earlier release stored in the table's entry must still be
+// acknowledged.
 func TestOrdersOfEarlierRelease(t *testing.T) {
 	founder := newSingleCore(t)
 	founding := founder.m.Founding()
--- a/peer/core/placement.go
+++ b/peer/core/placement.go
@@ -11,11 +11,10 @@
 	"saffronfall/rule/partition"
 )
 
-// Place returns the members that each partition's group should have. Groups are
-// spread over zones and cores as evenly as possible, and so are the homes, the
-// first members. The result depends only on the set of cores, and changes little
-// when a core is added or removed (rendezvous hashing, followed by balancing).
-// Retired cores get no replicas, and silent ones only if there are too few others.
+// Place returns the members that each partition's group should have. Groups and homes (first
+// members) are spread over zones and cores as evenly as possible. The result depends only on the
+// set of cores, and changes little when one is added or removed (rendezvous hashing, then
+// balancing). Retired cores get no replicas, and silent ones only if there are too few others.
 func Place(partitions, size int, cores []Core, silent map[string]bool) [][]string {
 	var present, absent []Core
 	for _, c := range cores {
@@ -34,7 +33,7 @@
 	return assignHomes(groups)
 }
 
-// weight is the rendezvous weight of a core for partition n.
+// weight is a core's rendezvous weight for partition n.
 func weight(kind string, n int, id string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(kind + "/" + strconv.Itoa(n) + "/" + id))
@@ -45,9 +44,8 @@
 	return x ^ x>>31
 }
 
-// assignMembers adds count members to each group. It first assigns them by zone and
-// weight, then moves single members from loaded to less loaded cores while that
-// keeps the zones as balanced as they are.
+// assignMembers adds count members to each group by zone and weight. It then moves members to less
+// loaded cores while that keeps the zones as balanced.
 func assignMembers(partitions, count int, cores []Core, groupsBefore [][]string) [][]string {
 	groups := make([][]string, partitions)
 	zoneCounts := make([]map[string]int, partitions)
@@ -128,8 +126,7 @@
 	return groups
 }
 
-// assignHomes puts each partition's home, the member that should lead it, first in
-// its group.
+// assignHomes puts each partition's home, the member that should lead it, first in its group.
 func assignHomes(groups [][]string) [][]string {
 	homeCounts := map[string]int{}
 	home := make([]string, len(groups))
@@ -166,7 +163,6 @@
 	return groups
 }
 
-// silenceTimeout is the time without a message after which a core counts as silent.
 func (m *Machine) silenceTimeout() time.Duration {
 	if m.params.SilenceTimeout > 0 {
 		return m.params.SilenceTimeout
@@ -174,22 +170,18 @@
 	return 3 * m.params.MemberLease
 }
 
-// heartbeatInterval is the time between a core's heartbeats.
 func (m *Machine) heartbeatInterval() time.Duration {
 	return min(m.params.MemberLease/4, m.silenceTimeout()/8)
 }
 
-// recoveryTime is how long messages from a silent core must arrive again until it
-// no longer counts as silent.
+// recoveryTime is how long a silent core must be heard again before it no longer counts as silent.
 func (m *Machine) recoveryTime() time.Duration {
 	return min(m.params.MemberLease, m.silenceTimeout()) / 4
 }
 
-// contact is when the last message of a core arrived, and when the first one
-// after its last silence did.
+// contact has the times of a core's last message, and of the first one after its last silence.
 type contact struct{ last, recoveredAt time.Duration }
 
-// recordContact notes that a message of a member arrived.
 func (m *Machine) recordContact(now time.Duration, member string) {
 	c, ok := m.contacts[member]
 	if ok && now-max(c.last, m.observedSince) >= m.silenceTimeout() {
@@ -199,8 +191,8 @@
 	m.contacts[member] = c
 }
 
-// detectPause restarts the observation of other cores' silence if this core itself
-// did not run for a while, because it received no messages in that time.
+// detectPause restarts the observation of silence after a pause of this core, because it received
+// no messages in that time.
 func (m *Machine) detectPause(now time.Duration) {
 	if now-m.activeAt > m.silenceTimeout()/4 {
 		m.observedSince = now
@@ -208,8 +200,8 @@
 	m.activeAt = now
 }
 
-// silent reports whether a member counts as silent: no message arrived for the
-// silence timeout, or it has not yet recovered from such a silence.
+// silent reports whether no message of a member arrived for the silence timeout, or the member has
+// not yet recovered from such a silence.
 func (m *Machine) silent(now time.Duration, member string) bool {
 	if member == m.self.MemberID() {
 		return false
@@ -218,7 +210,6 @@
 	return now-max(c.last, m.observedSince) >= m.silenceTimeout() || (c.recoveredAt > 0 && c.last-c.recoveredAt < m.recoveryTime())
 }
 
-// silentCores returns the IDs of the cores that count as silent.
 func (m *Machine) silentCores(now time.Duration) map[string]bool {
 	silent := map[string]bool{}
 	for id, c := range m.cores {
@@ -229,8 +220,6 @@
 	return silent
 }
 
-// hasRecentContact reports whether a message from a member arrived within the last three
-// heartbeat intervals.
 func (m *Machine) hasRecentContact(now time.Duration, member string) bool {
 	c, ok := m.contacts[member]
 	return member == m.self.MemberID() || (ok && now-c.last < 3*m.heartbeatInterval())
@@ -245,8 +234,6 @@
 	memberStays
 )
 
-// removalUrgency returns whether and how urgently a member should be removed from
-// a group.
 func (m *Machine) removalUrgency(now time.Duration, member string, wanted []string) int {
 	c, ok := m.cores[CoreID(member)]
 	switch {
@@ -262,8 +249,7 @@
 	return memberStays
 }
 
-// desiredGroups returns the groups that the partitions should have according to
-// the cores that this one knows.
+// desiredGroups returns the groups that the partitions should have.
 func (m *Machine) desiredGroups(now time.Duration) [][]string {
 	var cores []Core
 	silent := m.silentCores(now)
@@ -276,8 +262,7 @@
 	return m.placement
 }
 
-// rebalance moves the groups of the partitions that this core leads towards the
-// desired ones, one member at a time for each group.
+// rebalance moves the groups that this core leads towards the desired ones, one change at a time.
 func (m *Machine) rebalance(now time.Duration) {
 	for n := 0; n < m.founding.Partitions; n++ {
 		p := m.partitions[n]
@@ -314,8 +299,7 @@
 	}
 }
 
-// nextChange returns the next member to add to a group and the one to remove. Empty
-// strings mean none.
+// nextChange returns the next member to add and the one to remove; "" means none.
 func (m *Machine) nextChange(now time.Duration, group, wanted []string) (add, remove string) {
 	urgency := memberStays
 	healthy := true
--- a/peer/core/registered.go
+++ b/peer/core/registered.go
@@ -6,10 +6,9 @@
 	"saffronfall/rule/verdict"
 )
 
-// The registered names are part of the protocol and of stored data; they stay when a
-// Go type is renamed.
+// The registered names are part of the protocol and of stored data; they stay when a Go type is
+// renamed.
 
-// Messages about members, programs, the configuration and entries.
 func init() {
 	message.Register(map[string]any{
 		"core.AskSamples":         ReadSamples{},
@@ -56,7 +55,6 @@
 	})
 }
 
-// Messages about turns, rates and routing tables.
 func init() {
 	message.Register(map[string]any{
 		"core.ReserveTurn":  ReserveTurn{},
@@ -76,7 +74,6 @@
 	})
 }
 
-// Messages about cores and the groups of partitions.
 func init() {
 	message.Register(map[string]any{
 		"core.PutCore":    PutCore{},
@@ -91,7 +88,6 @@
 	})
 }
 
-// Messages of rule packages that cores send.
 func init() {
 	message.Register(map[string]any{
 		"verdict.Verdict":  verdict.Verdict{},
--- a/peer/core/retired_test.go
+++ b/peer/core/retired_test.go
@@ -8,9 +8,8 @@
 	"saffronfall/rule/partition"
 )
 
-// TestRetiredCoreTakesNoReplica: a retired core refuses new replicas, which a leader
-// that does not know of the retirement may send, as the core may be shut down at any
-// time. It keeps its existing replicas up to date until their groups have changed.
+// A leader that does not know of the retirement may send replicas to a core that may be shut down
+// at any time. Existing replicas stay up to date until their groups have changed.
 func TestRetiredCoreTakesNoReplica(t *testing.T) {
 	self, leader := Core{ID: "a", Incarnation: "1", Zone: "z", Peer: "a:1"}, Core{ID: "b", Incarnation: "1", Zone: "y", Peer: "b:1"}
 	m := New(Options{Params: newSingleCore(t).m.params, ID: self.ID, Zone: self.Zone, Address: self.Peer, Stored: Stored{Incarnation: self.Incarnation}, Random: func() float64 { return 0.5 }})
@@ -40,8 +39,7 @@
 	}
 }
 
-// TestRetiredCoresGetNoHeartbeats: a retired core is sent heartbeats only as long as
-// it has a replica, since it may be permanently down.
+// A retired core without a replica may be permanently down.
 func TestRetiredCoresGetNoHeartbeats(t *testing.T) {
 	for _, hasReplica := range []bool{true, false} {
 		a := newSingleCore(t)
--- a/peer/core/rules.go
+++ b/peer/core/rules.go
@@ -11,11 +11,11 @@
 	"saffronfall/rule/rate"
 )
 
-// UnitsPerRequest is the number of units of a tenant's rate that one request uses.
+// UnitsPerRequest is how many units of a tenant's rate one request uses.
 const UnitsPerRequest = 16
 
-// IdleWeight is the demand, in requests, that a node without requests of a tenant counts
-// with, so that it holds a share of the rate in advance.
+// IdleWeight is the demand, in requests, of a node without requests of a tenant. It makes the node
+// hold a share of the rate in advance.
 const IdleWeight = 32
 
 // Params set the control plane's timing; other durations are ratios of these.
@@ -23,42 +23,38 @@
 	Partition partition.Params
 	// MemberLease is how long a membership lasts without a renewal.
 	MemberLease time.Duration
-	// AttemptTimeout is the time without an answer after which a command is retried.
+	// AttemptTimeout is when an unanswered command is retried.
 	AttemptTimeout time.Duration
-	// PullInterval is how often updates are pulled.
-	PullInterval time.Duration
-	// SilenceTimeout is how long a core may be silent before other cores replace it in its
-	// groups; zero means three member leases.
+	PullInterval   time.Duration
+	// SilenceTimeout is when other cores replace a silent core; zero means three member leases.
 	SilenceTimeout time.Duration
 	// ColdStart allows a core with an empty data folder to found a fleet.
 	ColdStart bool
-	// OrderRetention is how long the record of an accepted order is kept; zero means
-	// defaultOrderRetention.
+	// OrderRetention is how long accepted orders are recorded; zero means defaultOrderRetention.
 	OrderRetention time.Duration
 }
 
-// rules runs the commands of one partition on its leader. Fields other than params
-// are the leader's volatile state: they start empty when it is elected.
+// rules runs the commands of one partition on its leader. Fields other than params, fleet and
+// violated are volatile state of the leader and start empty when it is elected.
 type rules struct {
 	params Params
-	// fleet returns the known cores, in a map that the caller may change, and the minimum
-	// number of cores that are not retired.
+	// fleet returns the known cores, in a map that the caller may change, and the minimum number of
+	// cores that are not retired.
 	fleet func() (map[string]Core, int)
-	// renewedAt is when each member's lease was last renewed, by the leader's clock;
-	// memberVersions is the configuration version that it followed then.
+	// renewedAt is when each member's lease was last renewed, by the leader's clock; memberVersions
+	// is the configuration version that it followed then.
 	renewedAt      map[string]time.Duration
 	memberVersions map[string]uint64
-	// electedAt is when this leader took the partition over.
-	electedAt time.Duration
-	violated  invariant.Reporter
-	expiries  expiryQueue
-	ledgers   map[string]*rate.Ledger
-	// expired holds the keys of entries that this leader deleted on expiry.
+	electedAt      time.Duration
+	violated       invariant.Reporter
+	expiries       expiryQueue
+	ledgers        map[string]*rate.Ledger
+	// expired has the keys that this leader deleted on expiry.
 	expired *recentKeys
 }
 
-// Elected resets the volatile state. All leases count from now, because an earlier leader
-// may have renewed them until its term ended.
+// Elected resets the volatile state. All leases count from now, because an earlier leader may have
+// renewed them until its term ended.
 func (r *rules) Elected(now time.Duration, tx *partition.Tx) {
 	r.renewedAt, r.memberVersions = map[string]time.Duration{}, map[string]uint64{}
 	r.electedAt = now
@@ -68,7 +64,7 @@
 	r.loadExpiries(tx)
 }
 
-// read decodes the entry under a key. It panics if the entry is corrupt.
+// read panics if the entry is corrupt.
 func read[T any](tx *partition.Tx, key string) (T, bool) {
 	var value T
 	raw, ok := tx.Get(key)
--- a/peer/core/rules_breaker.go
+++ b/peer/core/rules_breaker.go
@@ -13,8 +13,7 @@
 	return breaker.Params{Minute: b.Minute, Hour: b.Hour, Day: b.Day, Recovery: b.Recovery, Probes: b.Probes}
 }
 
-// loadBreaker returns two independent copies of the stored breaker: one to change, and
-// one for saveBreaker to compare with.
+// loadBreaker returns two independent copies of the breaker: one to change, one to compare with.
 func (r *rules) loadBreaker(tx *partition.Tx) (b, before breaker.Breaker) {
 	b, ok := read[breaker.Breaker](tx, breakerStateKey)
 	if !ok {
@@ -24,8 +23,7 @@
 	return b, before
 }
 
-// saveBreaker stores a changed breaker, and its summary if the state or the number of
-// trips changed.
+// saveBreaker stores a changed breaker, and its summary if the state or trip count changed.
 func (r *rules) saveBreaker(tx *partition.Tx, b, before breaker.Breaker) {
 	if !reflect.DeepEqual(b, before) {
 		write(tx, breakerStateKey, b)
@@ -37,8 +35,8 @@
 	}
 }
 
-// BreakerSummary is the part of the breaker's state that nodes pull. Since and Clock
-// are on the partition's clock.
+// BreakerSummary is the part of the breaker's state that nodes pull. Since and Clock are on the
+// partition's clock.
 type BreakerSummary struct {
 	State  string        `msgpack:"s"`
 	Trips  int64         `msgpack:"t"`
@@ -60,5 +58,10 @@
 	b.Advance(clock, params)
 	granted := b.Draw(clock, c.Holder, c.Target, c.Need, params)
 	r.saveBreaker(tx, b, before)
-	return DrawResult{Granted: granted, Open: b.State == breaker.Open, Remaining: b.RecoveryLeft(clock, params), Holders: ordered.Keys(b.Ledger.Holders)}
+	return DrawResult{
+		Granted:   granted,
+		Open:      b.State == breaker.Open,
+		Remaining: b.RecoveryLeft(clock, params),
+		Holders:   ordered.Keys(b.Ledger.Holders),
+	}
 }
--- a/peer/core/rules_cores.go
+++ b/peer/core/rules_cores.go
@@ -4,9 +4,8 @@
 	"saffronfall/rule/partition"
 )
 
-// putCore writes a core's entry if its version is newer. The incarnation that it replaces
-// is recorded as superseded and rejected from then on, as is any change that would undo
-// a retirement.
+// putCore writes a core's entry if its version is newer. From then on it rejects the replaced
+// incarnation, and any change that would undo a retirement.
 func putCore(tx *partition.Tx, c PutCore) any {
 	old, ok := read[Core](tx, corePrefix+c.Core.ID)
 	_, superseded := tx.Get(supersededPrefix + c.Core.MemberID())
@@ -25,7 +24,6 @@
 	return Done{OK: true}
 }
 
-// retireCore marks a core as retired if enough others remain.
 func (r *rules) retireCore(tx *partition.Tx, c RetireCore) any {
 	cores, enough := r.fleet()
 	for _, key := range tx.Keys(corePrefix) {
--- a/peer/core/rules_members.go
+++ b/peer/core/rules_members.go
@@ -8,21 +8,18 @@
 	"saffronfall/rule/program"
 )
 
-// maxPastIncarnations bounds Member.PastIncarnations.
 const maxPastIncarnations = 256
 
-// tombstoneRetention is how long a program is reported as expired after its deletion.
 const tombstoneRetention = 24 * time.Hour
 
-// memberLease is the lease by the leader's clock. It is longer than the member's by the
-// maximum clock drift, so that the member stops first.
+// memberLease is longer than the member's own lease by the maximum clock drift, so that the member
+// stops first.
 func (r *rules) memberLease() time.Duration {
 	return time.Duration(float64(r.params.MemberLease) * (1 + r.params.Partition.Drift))
 }
 
-// join grants the first lease of an incarnation. While another incarnation may still
-// hold a lease, the new one waits, unless the host proves that the process of the
-// earlier one has ended.
+// join grants an incarnation's first lease. It waits while another incarnation may hold one, unless
+// the host proves that the earlier process has ended.
 func (r *rules) join(now time.Duration, tx *partition.Tx, c JoinMember) any {
 	key := memberPrefix + c.Member.ID
 	floor, _ := read[uint64](tx, versionFloorKey)
@@ -30,7 +27,9 @@
 	switch {
 	case ok && m.HasEnded(c.Member.Incarnation):
 		return MembershipResult{Ended: true, Floor: floor}
-	case ok && m.Incarnation != c.Member.Incarnation && !m.Ended && (m.Host == "" || m.Host != c.Member.Host || ProcessIncarnation(m.Incarnation) == ProcessIncarnation(c.Member.Incarnation)):
+	case ok && m.Incarnation != c.Member.Incarnation && !m.Ended &&
+		(m.Host == "" || m.Host != c.Member.Host ||
+			ProcessIncarnation(m.Incarnation) == ProcessIncarnation(c.Member.Incarnation)):
 		if wait := r.renewedAt[key] + r.memberLease() - now; wait > 0 {
 			return MembershipResult{Wait: wait, Floor: floor}
 		}
@@ -52,15 +51,14 @@
 	return MembershipResult{Granted: true, Floor: floor}
 }
 
-// ProcessIncarnation returns the part of a member's incarnation that identifies its
-// process. A process gets a new incarnation each time its membership ends.
+// ProcessIncarnation returns the part of an incarnation that identifies the process. A process gets
+// a new incarnation each time its membership ends.
 func ProcessIncarnation(incarnation string) string {
 	process, _, _ := strings.Cut(incarnation, "+")
 	return process
 }
 
-// renew renews a lease, unless it has ended or the member follows a configuration
-// below the floor.
+// renew refuses leases that ended and members that follow a configuration below the floor.
 func (r *rules) renew(now time.Duration, tx *partition.Tx, c RenewMember) any {
 	key := memberPrefix + c.ID
 	floor, _ := read[uint64](tx, versionFloorKey)
@@ -75,8 +73,6 @@
 	return MembershipResult{Granted: true, Floor: floor}
 }
 
-// setVersionFloor raises the version floor and reports the members that are still
-// below it.
 func (r *rules) setVersionFloor(now time.Duration, tx *partition.Tx, c SetVersionFloor) any {
 	floor, _ := read[uint64](tx, versionFloorKey)
 	if floor < c.Version {
@@ -93,8 +89,7 @@
 	return answer
 }
 
-// sweep ends expired memberships and deletes expired programs, their tombstones and
-// once-keys.
+// sweep ends expired memberships and deletes expired programs, tombstones and once-keys.
 func (r *rules) sweep(now time.Duration, tx *partition.Tx) {
 	for _, key := range tx.Keys(memberPrefix) {
 		m, _ := read[Member](tx, key)
--- a/peer/core/rules_once.go
+++ b/peer/core/rules_once.go
@@ -15,7 +15,7 @@
 	return o
 }
 
-// endOnce ends the given claim, if it is the stored one and has no outcome yet.
+// endOnce ends a claim if it is the stored one and has no outcome yet.
 func (r *rules) endOnce(tx *partition.Tx, c EndOnce) any {
 	key := oncePrefix + c.Tenant + "/" + c.Service + "/" + c.Key
 	o, ok := read[OnceRecord](tx, key)
--- a/peer/core/rules_programs.go
+++ b/peer/core/rules_programs.go
@@ -13,10 +13,9 @@
 	"saffronfall/rule/program"
 )
 
-// maxLockedUsers bounds LockedUsers for one partition.
+// maxLockedUsers is per partition.
 const maxLockedUsers = 100
 
-// readLockedUsers lists the users that are locked out.
 func readLockedUsers(tx *partition.Tx) LockedUsers {
 	var list LockedUsers
 	for _, key := range tx.Keys(userPrefix) {
@@ -29,7 +28,6 @@
 	return list
 }
 
-// openProgram creates a program's record unless it exists.
 func (r *rules) openProgram(tx *partition.Tx, c OpenProgram) any {
 	key := programPrefix + c.Record.Tenant + "/" + c.Record.ID
 	if p, ok := read[program.Record](tx, key); ok {
@@ -41,8 +39,8 @@
 	return ProgramResult{Found: true, Owned: true, Record: p, Clock: tx.Clock()}
 }
 
-// claimProgram makes a node the owner of a program if the former owner has ended. It
-// raises the fence, so that late writes of the former owner are rejected.
+// claimProgram makes a node the owner of a program if the former owner has ended. It raises the
+// fence, so that late writes of the former owner are rejected.
 func (r *rules) claimProgram(tx *partition.Tx, c ClaimProgram) any {
 	key := programPrefix + c.Tenant + "/" + c.ID
 	p, ok := read[program.Record](tx, key)
@@ -71,8 +69,7 @@
 	return answer
 }
 
-// saveProgram stores a record from the program's owner, unless a later version is
-// stored.
+// saveProgram stores the owner's record, unless a later version is stored.
 func (r *rules) saveProgram(tx *partition.Tx, c SaveProgram) any {
 	key := programPrefix + c.Record.Tenant + "/" + c.Record.ID
 	p, ok := read[program.Record](tx, key)
@@ -91,7 +88,6 @@
 	return ProgramResult{Found: true, Version: p.Version}
 }
 
-// drawAllowance draws from a tenant's daily tokens or from one of its rates.
 func (r *rules) drawAllowance(tx *partition.Tx, c DrawAllowance) any {
 	key := allowancePrefix + c.Tenant + "/" + c.Kind
 	l, ok := read[allowance.Ledger](tx, key)
--- a/peer/core/rules_relay.go
+++ b/peer/core/rules_relay.go
@@ -9,10 +9,9 @@
 	"saffronfall/rule/rate"
 )
 
-// settledAccountRetention is how long an account is stored that only has a settlement.
+// settledAccountRetention is how long an account with only a settlement is stored.
 const settledAccountRetention = time.Minute
 
-// applyRelay runs the commands of nodes that relay requests, and of registries.
 func (r *rules) applyRelay(tx *partition.Tx, command any) any {
 	switch c := command.(type) {
 	case ReserveTurn:
@@ -21,8 +20,7 @@
 		key := accountKey(c.Tenant, c.Program)
 		b, ok := read[storedAccount](tx, key)
 		if !ok {
-			// A delayed reservation may arrive after its settlement and must then
-			// reserve nothing.
+			// A delayed reservation may arrive after its settlement and must then reserve nothing.
 			b.Until = tx.Clock() + settledAccountRetention
 			r.expiries.add(key, b.Until)
 		}
@@ -57,8 +55,7 @@
 	return Done{OK: true}
 }
 
-// drawRates draws from the ledgers of rates. They are in memory; only the state that the
-// next leader needs is stored.
+// drawRates draws from the ledgers in memory; only what the next leader needs is stored.
 func (r *rules) drawRates(tx *partition.Tx, c DrawRates) any {
 	var answer DrawRatesResult
 	for _, d := range c.Draws {
@@ -71,7 +68,8 @@
 		}
 		drawn, changed := l.Draw(tx.Clock(), d.Request)
 		if l.Exceeded {
-			r.violated.Violated(invariant.GrantedWithinLimit, "tenant %s: more than %d in %v is granted or spent", d.Tenant, l.Limit.Max, l.Limit.Window)
+			r.violated.Violated(invariant.GrantedWithinLimit,
+				"tenant %s: more than %d in %v is granted or spent", d.Tenant, l.Limit.Max, l.Limit.Window)
 		}
 		answer.Responses = append(answer.Responses, drawn)
 		if changed {
@@ -81,13 +79,11 @@
 	return answer
 }
 
-// accountKey returns the key of a program's reservations. The tenant's name is escaped,
-// so that no two pairs of tenant and program share a key.
+// accountKey escapes the tenant's name, so that no two pairs of tenant and program share a key.
 func accountKey(tenant, program string) string {
 	return accountPrefix + url.PathEscape(tenant) + "/" + program
 }
 
-// reserveTurn reserves tokens of a program's budget.
 func (r *rules) reserveTurn(tx *partition.Tx, c ReserveTurn) any {
 	key := accountKey(c.Tenant, c.Program)
 	b, ok := read[storedAccount](tx, key)
--- a/peer/core/rules_relay_test.go
+++ b/peer/core/rules_relay_test.go
@@ -9,15 +9,12 @@
 	"saffronfall/rule/rate"
 )
 
-// TestStoredTurnExpires checks that a stored turn is found by its own tenant only, until
-// its retention, possibly extended, ends, and is deleted then.
 func TestStoredTurnExpires(t *testing.T) {
 	a := newSingleCore(t)
 	retention := 20 * time.Second
 	for i := 0; i < 20; i++ {
 		a.run(StoreTurn{Tenant: "t", Attempt: fmt.Sprint("k", i), Previous: []string{"x"}, Input: []byte("in"), Output: []byte("out"), Retention: retention})
 	}
-	// A different turn under the same ID does not replace the first.
 	a.run(StoreTurn{Tenant: "t", Attempt: "k0", Input: []byte("other"), Retention: retention})
 	found := func(tenant, attempt string) ReadTurnResult {
 		return a.run(ReadTurn{Tenant: tenant, Attempt: attempt}).(ReadTurnResult)
@@ -63,8 +60,7 @@
 	}
 }
 
-// TestProgramReservations checks a program's budget with concurrent, repeated and late
-// reservations, and that its account expires.
+// Repeated and late reservations must not change a program's budget.
 func TestProgramReservations(t *testing.T) {
 	a := newSingleCore(t)
 	reserve := func(attempt string, most int64) bool {
@@ -96,8 +92,7 @@
 	}
 }
 
-// TestRateAfterLeaderChange checks that a new leader counts what was granted before, lets
-// holders go on with their grants, and never grants beyond the window.
+// A new leader must count what was granted before, so that grants never exceed the window's limit.
 func TestRateAfterLeaderChange(t *testing.T) {
 	a := newSingleCore(t)
 	n := RatePartition(4, "t")
--- a/peer/core/rules_test.go
+++ b/peer/core/rules_test.go
@@ -12,7 +12,6 @@
 	"saffronfall/rule/program"
 )
 
-// singleCore is a fleet of one core, to run single commands.
 type singleCore struct {
 	t       *testing.T
 	m       *Machine
@@ -73,8 +72,8 @@
 	return answer
 }
 
-// TestFence checks that a program changes its owner only with proof that the former one
-// has ended, and that later writes of the former owner are rejected.
+// An owner changes only with proof that the former one has ended. Later writes of the former owner
+// must be rejected.
 func TestFence(t *testing.T) {
 	a := newSingleCore(t)
 	open := a.run(OpenProgram{Record: program.Record{Tenant: "t", ID: "p", Node: "n1", Incarnation: "1"}}).(ProgramResult)
@@ -107,8 +106,7 @@
 	}
 }
 
-// TestMemberLease checks that a membership is not renewed after it ended or with an old
-// configuration, and that a new incarnation waits for the lease of the previous one.
+// A new incarnation must wait for the lease of the previous one.
 func TestMemberLease(t *testing.T) {
 	a := newSingleCore(t)
 	member := Member{ID: "n", Incarnation: "1", Version: 1}
@@ -139,8 +137,7 @@
 	}
 }
 
-// TestAllowanceNeverExceedsLimit draws, spends, returns and ends holders at random, with
-// repeated and delayed commands, and checks the sum of all grants.
+// Repeated and delayed commands must not raise the sum of all grants above the limit.
 func TestAllowanceNeverExceedsLimit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for round := 0; round < 20; round++ {
@@ -202,8 +199,7 @@
 	}
 }
 
-// TestOnceStates checks that the first claim of a once-key wins, that its outcome is stored,
-// and that only a claim that certainly did not run is released.
+// Only a claim that certainly did not run may be released.
 func TestOnceStates(t *testing.T) {
 	a := newSingleCore(t)
 	claim := func(id string) OnceRecord {
@@ -233,8 +229,7 @@
 	}
 }
 
-// TestPlacement checks that groups span zones, that first members are spread evenly, and
-// that a core that joins or retires moves no more members than necessary.
+// A core that joins or retires must move no more members than necessary.
 func TestPlacement(t *testing.T) {
 	var cores []Core
 	for i := 0; i < 8; i++ {
--- a/peer/core/stall_test.go
+++ b/peer/core/stall_test.go
@@ -8,9 +8,8 @@
 	"saffronfall/rule/partition"
 )
 
-// TestStalledDiskRefusesWrites: a core whose disk is full or stalled accepts no
-// writes and makes no promises, so that no writes queue up. It continues to renew a
-// lease that it already granted, and accepts writes again once the disk works.
+// Writes must not queue up for a full or stalled disk. A lease that was already granted is still
+// renewed.
 func TestStalledDiskRefusesWrites(t *testing.T) {
 	self, other := Core{ID: "a", Incarnation: "1", Zone: "z", Peer: "a:1"}, Core{ID: "b", Incarnation: "1", Zone: "y", Peer: "b:1"}
 	third := Core{ID: "c", Incarnation: "1", Zone: "x", Peer: "c:1"}
--- a/peer/core/timers.go
+++ b/peer/core/timers.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// Timers holds functions that run at the first tick at or after a given time, in the
-// order in which they were added.
+// Timers holds functions that run in order of addition at the first tick at or after their time.
 type Timers struct{ timers []timer }
 
 type timer struct {
--- a/peer/core/topology.go
+++ b/peer/core/topology.go
@@ -12,11 +12,11 @@
 	"saffronfall/rule/partition"
 )
 
-// refreshSelf updates this core's entry if its address or incarnation changed while
-// it was down, and marks a changed entry as unregistered.
+// refreshSelf updates this core's entry if its address or incarnation changed while it was down.
 func (m *Machine) refreshSelf() {
 	registered, ok := m.cores[m.self.ID]
-	if founded := m.founding.Cores[m.self.ID]; ok && registered.Incarnation != m.self.Incarnation && founded.Incarnation == m.self.Incarnation {
+	if founded := m.founding.Cores[m.self.ID]; ok &&
+		registered.Incarnation != m.self.Incarnation && founded.Incarnation == m.self.Incarnation {
 		m.self.Version = founded.Version
 		m.unregistered = true
 		return
@@ -32,15 +32,13 @@
 	m.unregistered = true
 }
 
-// mergeStoredCores merges the core entries of this core's replica of the
-// configuration partition, if it has one.
+// mergeStoredCores merges the core entries of the configuration partition, if replicated here.
 func (m *Machine) mergeStoredCores() {
 	if p := m.partitions[ConfigurationPartition]; p != nil {
 		m.mergeCoresOf(p.State())
 	}
 }
 
-// mergeCoresOf merges the core entries of the configuration partition's state.
 func (m *Machine) mergeCoresOf(state partition.State) {
 	for key, e := range state.Entries {
 		if len(key) > len(corePrefix) && key[:len(corePrefix)] == corePrefix && !e.Deleted {
@@ -52,8 +50,7 @@
 	}
 }
 
-// mergeCore merges a received entry of a core: the higher version wins, and a core
-// that was retired stays retired.
+// mergeCore merges a received entry: the higher version wins, and a retired core stays retired.
 func (m *Machine) mergeCore(c Core) {
 	old, ok := m.cores[c.ID]
 	c.Retired = c.Retired || old.Retired
@@ -72,8 +69,8 @@
 	case c.Incarnation != m.self.Incarnation:
 		// Only the configuration partition knows which incarnation is the later one.
 		if c.Version >= m.self.Version {
-			// Of two entries with the same version, other cores keep the one received
-			// first, so the next claim needs a higher version.
+			// Of two entries with the same version, other cores keep the one received first, so the
+			// next claim needs a higher version.
 			m.unregistered = true
 			m.claimIncrement = max(m.claimIncrement, c.Version+1-m.self.Version)
 		}
@@ -95,8 +92,7 @@
 	}
 }
 
-// groupSize returns the number of members that a group should have. Without a
-// configured size it is that of the largest group.
+// groupSize is the size of the largest group if none is configured.
 func (m *Machine) groupSize() int {
 	size := m.founding.Size
 	if size == 0 {
@@ -107,12 +103,11 @@
 	return size
 }
 
-// fleet returns the known cores and the group size.
+// fleet returns a copy of the known cores, and the group size.
 func (m *Machine) fleet() (map[string]Core, int) {
 	return maps.Clone(m.cores), m.groupSize()
 }
 
-// refreshTopology updates the known cores, terms and groups from this core's replicas.
 func (m *Machine) refreshTopology() {
 	m.mergeStoredCores()
 	for n, p := range m.partitions {
@@ -127,21 +122,18 @@
 	}
 }
 
-// gossipState is when a core next sends heartbeats and its topology to the others.
 type gossipState struct {
 	gossipAt, heartbeatAt, topologyAt time.Duration
-	// digest is the digest of the topology at the last heartbeat. topologySentAt is
-	// when the topology was last sent, by the address of the core that had reported
-	// another digest.
+	// digest is the topology's at the last heartbeat. topologySentAt is when the topology was last
+	// sent to an address that had reported another digest.
 	digest         uint64
 	topologySentAt map[string]time.Duration
 }
 
-// topologyGossipLeases is the interval, in member leases, at which an unchanged topology
-// is sent. A core whose heartbeat has another digest is sent it sooner.
+// topologyGossipLeases is the interval, in member leases, at which an unchanged topology is sent.
 const topologyGossipLeases = 8
 
-// Digest returns a hash of the topology. Size is not part of it.
+// Digest returns a hash of the topology without GroupSize.
 func (t Topology) Digest() uint64 {
 	var input digestInput
 	input.addStrings(t.Fleet)
@@ -166,8 +158,8 @@
 	return h.Sum64()
 }
 
-// digestInput is the unambiguous encoding of a topology that Digest hashes: strings
-// are quoted, numbers separated by spaces, and lists preceded by their lengths.
+// digestInput is an unambiguous encoding: strings are quoted, numbers separated by spaces, and
+// lists preceded by their lengths.
 type digestInput []byte
 
 func (d *digestInput) addStrings(values ...string) {
@@ -182,8 +174,8 @@
 	}
 }
 
-// sendTopologyIfDifferent sends this core's topology to a core that reports another
-// digest. The other core does the same, so that both end with the merged topology.
+// sendTopologyIfDifferent sends the topology to a core that reports another digest. The other core
+// does the same, so that both end with the merged topology.
 func (m *Machine) sendTopologyIfDifferent(now time.Duration, to string, theirs uint64) {
 	if theirs == 0 || m.digest == 0 || theirs == m.digest || now < m.topologySentAt[to]+m.params.MemberLease/4 {
 		return
@@ -193,8 +185,7 @@
 	m.send(to, m.Topology(), false)
 }
 
-// gossip sends heartbeats to the other cores, together with the topology if it has
-// changed or is due again.
+// gossip sends heartbeats, and the topology if it has changed or is due again.
 func (m *Machine) gossip(now time.Duration) {
 	sendTopology := m.topologyChanged || now >= m.topologyAt
 	if m.superseded || (!sendTopology && now < m.heartbeatAt) {
@@ -218,22 +209,26 @@
 	}
 }
 
-// hasReplica reports whether a core keeps a replica of any partition.
 func (m *Machine) hasReplica(c Core) bool {
 	return slices.ContainsFunc(m.groups, func(g partition.Group) bool { return g.Has(c.MemberID()) })
 }
 
-// Topology returns a copy of what this core knows of the fleet's cores, groups and
-// leaders' terms.
+// Topology returns a copy of the topology that this core knows.
 func (m *Machine) Topology() Topology {
-	t := Topology{Fleet: m.founding.Fleet, GroupSize: m.groupSize(), Cores: map[string]Core{}, Leaders: append([]partition.Term(nil), m.terms...), Groups: append([]partition.Group(nil), m.groups...)}
+	t := Topology{
+		Fleet:     m.founding.Fleet,
+		GroupSize: m.groupSize(),
+		Cores:     map[string]Core{},
+		Leaders:   append([]partition.Term(nil), m.terms...),
+		Groups:    append([]partition.Group(nil), m.groups...),
+	}
 	for id, c := range m.cores {
 		t.Cores[id] = c
 	}
 	return t
 }
 
-// addressOf returns the address of a member, or "" if it is not known.
+// addressOf returns a member's address, or "" if it is not known.
 func (m *Machine) addressOf(member string) string {
 	if member == m.self.MemberID() {
 		return m.self.Peer
@@ -246,8 +241,7 @@
 	return ""
 }
 
-// leaderAddress returns the address of the last known leader of partition n, or ""
-// if none is known or it is this core.
+// leaderAddress returns the last known leader's address, or "" if none is known or it is this core.
 func (m *Machine) leaderAddress(n int) string {
 	term := m.terms[n]
 	if p := m.partitions[n]; p != nil && term.Less(p.CurrentTerm()) {
@@ -260,8 +254,8 @@
 	return address
 }
 
-// mergeTopology merges a received topology of the same fleet: for each term, group
-// and core the later one wins.
+// mergeTopology merges a topology of the same fleet: for each term, group and core the later one
+// wins.
 func (m *Machine) mergeTopology(t Topology) {
 	if m.founding.Fleet != t.Fleet || len(t.Leaders) != len(m.terms) || len(t.Groups) != len(m.groups) {
 		return
--- a/peer/core/turns.go
+++ b/peer/core/turns.go
@@ -9,8 +9,8 @@
 	"saffronfall/rule/partition"
 )
 
-// Absence is why a stored turn is not found. It is for operators only: a requester
-// gets the same answer in each case.
+// Absence is why a stored turn is not found. It is for operators only: a requester gets the same
+// answer in each case.
 type Absence string
 
 const (
@@ -22,10 +22,9 @@
 	OtherTenant Absence = "foreign"
 )
 
-// recentKeysMax bounds recentKeys.
 const recentKeysMax = 4096
 
-// recentKeys is a set of the hashes of the last recentKeysMax keys that were added.
+// recentKeys is a set of the hashes of the last recentKeysMax added keys.
 type recentKeys struct {
 	seed   maphash.Seed
 	hashes map[uint64]bool
@@ -54,18 +53,15 @@
 
 func (k *recentKeys) has(key string) bool { return k.hashes[maphash.String(k.seed, key)] }
 
-// turnKeys returns the keys under which a turn may be stored. Requesters choose the
-// IDs of their attempts, so an ID is unique only within its tenant. The first tenant
-// that uses an ID has its turn under the ID alone, which is where a core of the
-// previous release, which may lead the partition during an upgrade, looks for it.
-// Other tenants' turns are under a prefix that no header can contain, the tenant's
-// name and the ID.
+// turnKeys returns the keys under which a turn may be stored. Requesters choose the IDs, so an ID
+// is unique only within its tenant. The first tenant's turn is under the ID alone, where a core of
+// the previous release looks for it, which may lead during an upgrade. Others are under a prefix
+// that no header can contain, the tenant's name and the ID.
 func turnKeys(tenant, attempt string) [2]string {
 	return [2]string{turnPrefix + attempt, turnPrefix + "\x00" + url.PathEscape(tenant) + "/" + attempt}
 }
 
-// findTurn looks up a tenant's stored turn. If there is none, key is where to store
-// it.
+// findTurn looks up a tenant's stored turn. If there is none, key is where to store it.
 func findTurn(tx *partition.Tx, tenant, attempt string) (key string, t storedTurn, ok bool) {
 	free := ""
 	for _, key := range turnKeys(tenant, attempt) {
@@ -80,8 +76,8 @@
 	return free, storedTurn{}, false
 }
 
-// storeTurn stores a turn. A repeated command succeeds again; a different turn under
-// an ID that its tenant has used is refused.
+// storeTurn stores a turn. A repeated command succeeds again; a different turn under an ID that its
+// tenant has used is refused.
 func (r *rules) storeTurn(tx *partition.Tx, c StoreTurn) any {
 	key, t, ok := findTurn(tx, c.Tenant, c.Attempt)
 	if ok {
@@ -93,7 +89,6 @@
 	return Done{OK: true}
 }
 
-// readTurn returns a stored turn, or why there is none.
 func (r *rules) readTurn(tx *partition.Tx, c ReadTurn) ReadTurnResult {
 	_, t, ok := findTurn(tx, c.Tenant, c.Attempt)
 	if !ok {
@@ -102,7 +97,6 @@
 	return ReadTurnResult{Found: true, Previous: t.Previous, Input: t.Input, Output: t.Output, Remaining: t.Until - tx.Clock()}
 }
 
-// absenceReason returns why a turn is not stored, as far as this leader knows.
 func (r *rules) absenceReason(tx *partition.Tx, c ReadTurn) Absence {
 	keys := turnKeys(c.Tenant, c.Attempt)
 	if _, taken := read[storedTurn](tx, keys[0]); taken {
