--- a/peer/core/caller.go
+++ b/peer/core/caller.go
@@ -30,8 +30,8 @@
 	Partitions func() int
 	// hints are the addresses for the next attempts, by partition.
 	hints map[int]string
-	// leaders are the last known leaders, by partition. An entry is removed when all attempts at
-	// the fixed interval stayed unanswered.
+	// leaders are the last known ones, removed when all attempts at the fixed interval stayed
+	// unanswered.
 	leaders map[int]string
 	calls   slab.Slab[*pendingCall]
 	pending map[slab.Ticket]*pendingCall
@@ -67,13 +67,13 @@
 		outcome(now, Outcome{Uncertain: true})
 		return
 	}
-	k := &pendingCall{partition: TargetPartition(c.Partitions(), command), raw: message.Pack(command), deadline: until, outcome: outcome}
-	k.ticket = c.calls.Put(k)
+	pending := &pendingCall{partition: TargetPartition(c.Partitions(), command), raw: message.Pack(command), deadline: until, outcome: outcome}
+	pending.ticket = c.calls.Put(pending)
 	if c.pending == nil {
 		c.pending, c.hints = map[slab.Ticket]*pendingCall{}, map[int]string{}
 	}
-	c.pending[k.ticket] = k
-	c.attempt(now, k)
+	c.pending[pending.ticket] = pending
+	c.attempt(now, pending)
 }
 
 const (
@@ -82,31 +82,33 @@
 	fixedDelayAttempts = 20
 	// maxDelayRetries is the longest interval, in units of Retry.
 	maxDelayRetries = 32
+	// rejectedDelayDivisor shortens the interval after an answer without a result.
+	rejectedDelayDivisor = 4
 )
 
 // attempt sends a command to the presumed leader, or else to a random core or forwarder.
-func (c *Caller) attempt(now time.Duration, k *pendingCall) {
-	to := c.hints[k.partition]
+func (c *Caller) attempt(now time.Duration, call *pendingCall) {
+	to := c.hints[call.partition]
 	if to == "" {
 		addresses := c.Cores()
-		if c.Forwarders != nil && k.attempts >= 2 && k.attempts%2 == 0 {
+		if c.Forwarders != nil && call.attempts >= 2 && call.attempts%2 == 0 {
 			if forwarders := c.Forwarders(); len(forwarders) > 0 {
 				addresses = forwarders
 			}
 		}
 		if len(addresses) == 0 {
-			k.retryAt = now + c.Retry
+			call.retryAt = now + c.Retry
 			return
 		}
 		to = addresses[int(c.Random()*float64(len(addresses)))%len(addresses)]
 	}
-	k.attempts++
+	call.attempts++
 	c.Attempts++
 	if !c.unanswered {
 		c.unansweredSince, c.unanswered = now, true
 	}
-	k.retryAt = now + c.Retry*time.Duration(min(max(k.attempts-fixedDelayAttempts, 1), maxDelayRetries))
-	c.Send(to, Command{ID: c.MessageID(k.ticket), Partition: k.partition, Raw: k.raw})
+	call.retryAt = now + c.Retry*time.Duration(min(max(call.attempts-fixedDelayAttempts, 1), maxDelayRetries))
+	c.Send(to, Command{ID: c.MessageID(call.ticket), Partition: call.partition, Raw: call.raw})
 }
 
 // SetLeader records the address of a partition's leader.
@@ -157,51 +159,51 @@
 			due = append(due, k)
 		}
 	}
-	for _, k := range due {
-		if now >= k.deadline {
-			c.finish(now, k, Outcome{Uncertain: true, Sent: k.attempts > 0})
+	for _, call := range due {
+		if now >= call.deadline {
+			c.finish(now, call, Outcome{Uncertain: true, Sent: call.attempts > 0})
 			continue
 		}
-		delete(c.hints, k.partition)
-		if k.attempts == fixedDelayAttempts {
-			delete(c.leaders, k.partition)
+		delete(c.hints, call.partition)
+		if call.attempts == fixedDelayAttempts {
+			delete(c.leaders, call.partition)
 		}
-		c.attempt(now, k)
+		c.attempt(now, call)
 	}
 }
 
-func (c *Caller) finish(now time.Duration, k *pendingCall, o Outcome) {
-	if _, ok := c.calls.Take(k.ticket); !ok {
+func (c *Caller) finish(now time.Duration, call *pendingCall, result Outcome) {
+	if _, ok := c.calls.Take(call.ticket); !ok {
 		return
 	}
-	delete(c.pending, k.ticket)
-	k.outcome(now, o)
+	delete(c.pending, call.ticket)
+	call.outcome(now, result)
 }
 
 // Receive handles a core's answer.
-func (c *Caller) Receive(now time.Duration, from string, r CommandResult) {
+func (c *Caller) Receive(now time.Duration, from string, result CommandResult) {
 	c.unanswered = false
-	k, ok := c.calls.Get(c.Ticket(r.ID))
+	call, ok := c.calls.Get(c.Ticket(result.ID))
 	switch {
 	case !ok:
-	case r.NotLeader:
-		if r.LeaderHint != "" && r.LeaderHint != from && c.hints[k.partition] != r.LeaderHint {
-			c.hints[k.partition] = r.LeaderHint
-			c.attempt(now, k)
+	case result.NotLeader:
+		if result.LeaderHint != "" && result.LeaderHint != from && c.hints[call.partition] != result.LeaderHint {
+			c.hints[call.partition] = result.LeaderHint
+			c.attempt(now, call)
 			return
 		}
-		delete(c.hints, k.partition)
-		k.retryAt = now + c.Retry/4
-	case r.Uncertain:
-		k.retryAt = now + c.Retry/4
+		delete(c.hints, call.partition)
+		call.retryAt = now + c.Retry/rejectedDelayDivisor
+	case result.Uncertain:
+		call.retryAt = now + c.Retry/rejectedDelayDivisor
 	default:
-		answer, err := message.Open(r.Raw)
+		answer, err := message.Open(result.Raw)
 		if err != nil {
 			return
 		}
-		c.hints[k.partition] = from
-		c.finish(now, k, Outcome{Answer: answer, Sent: true})
-		c.retryWaiting(k.partition, from)
+		c.hints[call.partition] = from
+		c.finish(now, call, Outcome{Answer: answer, Sent: true})
+		c.retryWaiting(call.partition, from)
 	}
 }
 
--- a/peer/core/commands.go
+++ b/peer/core/commands.go
@@ -16,83 +16,83 @@
 	onResult  func(now time.Duration, r partition.Result)
 }
 
-func (m *Machine) handleOutput(now time.Duration, n int, o partition.Output) {
-	for i := range o.Records {
-		m.out.Changes = append(m.out.Changes, Change{Record: &o.Records[i]})
+func (m *Machine) handleOutput(now time.Duration, n int, output partition.Output) {
+	for i := range output.Records {
+		m.out.Changes = append(m.out.Changes, Change{Record: &output.Records[i]})
 	}
-	for _, s := range o.Sends {
+	for _, s := range output.Sends {
 		body := ReplicaMessage{Partition: n, From: m.self.MemberID(), To: s.To, Raw: message.Pack(s.Body)}
 		if address := m.addressOf(s.To); address != "" {
 			m.send(address, body, s.AfterSync)
 		}
 	}
-	for _, r := range o.Results {
-		origin, ok := m.tickets.Take(slab.Ticket(r.RequestID))
+	for _, result := range output.Results {
+		origin, ok := m.tickets.Take(slab.Ticket(result.RequestID))
 		if !ok {
 			continue
 		}
 		if origin.onResult != nil {
-			origin.onResult(now, r)
+			origin.onResult(now, result)
 			continue
 		}
-		m.reply(n, origin, r)
+		m.reply(n, origin, result)
 	}
 }
 
-func (m *Machine) reply(n int, origin commandOrigin, r partition.Result) {
+func (m *Machine) reply(n int, origin commandOrigin, result partition.Result) {
 	if origin.from == "" {
 		return
 	}
-	answer := CommandResult{ID: origin.id, Partition: origin.partition, Uncertain: r.Uncertain, NotLeader: r.NotLeader}
+	answer := CommandResult{ID: origin.id, Partition: origin.partition, Uncertain: result.Uncertain, NotLeader: result.NotLeader}
 	switch {
-	case r.NotLeader:
+	case result.NotLeader:
 		m.Counters.Redirected++
 		answer.LeaderHint = m.leaderAddress(n)
-	case r.Uncertain:
+	case result.Uncertain:
 		m.Counters.Uncertain++
 	default:
-		answer.Raw = message.Pack(r.Body)
+		answer.Raw = message.Pack(result.Body)
 	}
 	m.send(origin.from, answer, false)
 }
 
 func (m *Machine) propose(now time.Duration, n int, command any, origin commandOrigin) {
-	p := m.partitions[n]
-	if c, ok := command.(ChangeGroup); ok && p != nil {
-		client := origin
+	replica := m.partitions[n]
+	if change, ok := command.(ChangeGroup); ok && replica != nil {
+		sender := origin
 		origin = commandOrigin{onResult: func(now time.Duration, r partition.Result) {
 			r.Body = Done{OK: r.Body == true}
-			m.reply(n, client, r)
+			m.reply(n, sender, r)
 		}}
-		m.handleOutput(now, n, p.ChangeMembers(now, uint64(m.tickets.Put(origin)), c.Add, c.Remove))
+		m.handleOutput(now, n, replica.ChangeMembers(now, uint64(m.tickets.Put(origin)), change.Add, change.Remove))
 		return
 	}
-	if _, ok := command.(ReadGroup); ok && p != nil {
-		client := origin
+	if _, ok := command.(ReadGroup); ok && replica != nil {
+		sender := origin
 		origin = commandOrigin{onResult: func(now time.Duration, r partition.Result) {
-			g := p.Group()
-			if committed, ok := p.CommittedGroup(); ok {
+			g := replica.Group()
+			if committed, ok := replica.CommittedGroup(); ok {
 				g = committed
 			}
 			r.Body = GroupMembers{Members: g.Members, Former: g.Former}
-			m.reply(n, client, r)
+			m.reply(n, sender, r)
 		}}
 	}
 	ticket := m.tickets.Put(origin)
-	if p == nil {
+	if replica == nil {
 		m.handleOutput(now, n, partition.Output{Results: []partition.Result{{RequestID: uint64(ticket), NotLeader: true}}})
 		return
 	}
-	m.handleOutput(now, n, p.Propose(now, uint64(ticket), command))
+	m.handleOutput(now, n, replica.Propose(now, uint64(ticket), command))
 }
 
 // onReplicaMessage passes a message to this core's replica. A snapshot creates the replica.
-func (m *Machine) onReplicaMessage(now time.Duration, b ReplicaMessage) {
-	m.recordContact(now, b.From)
-	if b.To != m.self.MemberID() || b.Partition < 0 || b.Partition >= m.founding.Partitions {
+func (m *Machine) onReplicaMessage(now time.Duration, msg ReplicaMessage) {
+	m.recordContact(now, msg.From)
+	if msg.To != m.self.MemberID() || msg.Partition < 0 || msg.Partition >= m.founding.Partitions {
 		return
 	}
-	body, err := message.Open(b.Raw)
+	body, err := message.Open(msg.Raw)
 	if err != nil {
 		m.Counters.BadMessages++
 		return
@@ -103,19 +103,19 @@
 		m.Counters.RefusedWhileStalled++
 		return
 	}
-	p := m.partitions[b.Partition]
-	if _, write := body.(partition.Write); write && m.self.Retired && (p == nil || !p.Group().Has(m.self.MemberID())) {
+	replica := m.partitions[msg.Partition]
+	if _, write := body.(partition.Write); write && m.self.Retired && (replica == nil || !replica.Group().Has(m.self.MemberID())) {
 		// The leader does not know yet that this core is retired. A retired core may be shut down
 		// at any time, so it joins no group.
 		return
 	}
-	if p == nil {
+	if replica == nil {
 		if w, ok := body.(partition.Write); !ok || !w.Snapshot {
 			return
 		}
-		p = m.addReplica(now, b.Partition, partition.State{})
+		replica = m.addReplica(now, msg.Partition, partition.State{})
 	}
-	m.handleOutput(now, b.Partition, p.Receive(now, b.From, body))
+	m.handleOutput(now, msg.Partition, replica.Receive(now, msg.From, body))
 }
 
 func requiresDisk(body any) bool {
@@ -128,32 +128,32 @@
 	return false
 }
 
-func (m *Machine) onPullUpdates(now time.Duration, from string, b PullUpdates) {
-	if b.WantTopology {
+func (m *Machine) onPullUpdates(now time.Duration, from string, pull PullUpdates) {
+	if pull.WantTopology {
 		m.refreshTopology()
 		m.send(from, m.Topology(), false)
 	}
 	for n := 0; n < m.founding.Partitions; n++ {
-		p := m.partitions[n]
-		if p == nil {
+		replica := m.partitions[n]
+		if replica == nil {
 			continue
 		}
-		if _, ok := p.LeadingTerm(now); !ok {
+		if _, ok := replica.LeadingTerm(now); !ok {
 			continue
 		}
-		upTo, _ := p.CommittedVersion()
-		if n == ConfigurationPartition && b.WantFreshness {
-			m.send(from, Freshness{SentAt: b.SentAt, UpTo: upTo}, false)
+		upTo, _ := replica.CommittedVersion()
+		if n == ConfigurationPartition && pull.WantFreshness {
+			m.send(from, Freshness{SentAt: pull.SentAt, UpTo: upTo}, false)
 		}
-		after := b.Versions[n]
+		after := pull.Versions[n]
 		if !after.Less(upTo) {
 			continue
 		}
 		update := Update{Partition: n, After: after, UpTo: upTo}
-		if after.Term != upTo.Term || after.Seq < p.PurgedSeq() {
+		if after.Term != upTo.Term || after.Seq < replica.PurgedSeq() {
 			after, update.Snapshot = partition.Version{}, true
 		}
-		update.Entries = p.Updates(after, UpdatePrefixes)
+		update.Entries = replica.Updates(after, UpdatePrefixes)
 		m.send(from, update, false)
 	}
 }
--- a/peer/core/configuration.go
+++ b/peer/core/configuration.go
@@ -116,8 +116,13 @@
 	})
 }
 
-// collectSamples reads the recent requests of all members that answer in a quarter of a member
-// lease.
+const (
+	// sampleTimeoutDivisor divides a member lease.
+	sampleTimeoutDivisor = 4
+	pollsPerPullInterval = 4
+)
+
+// collectSamples leaves out members that do not answer in time.
 func (m *Machine) collectSamples(now, until time.Duration, next func(now time.Duration, samples []replay.Sample)) {
 	waiting := m.founding.Partitions
 	members := map[string]Member{}
@@ -143,7 +148,7 @@
 			for _, name := range ordered.Keys(members) {
 				m.send(members[name].Peer, ReadSamples{ID: id}, false)
 			}
-			m.awaitSamples(now, now+m.params.MemberLease/4, id, len(members), next)
+			m.awaitSamples(now, now+m.params.MemberLease/sampleTimeoutDivisor, id, len(members), next)
 		})
 	}
 }
@@ -157,11 +162,10 @@
 		next(now, all)
 		return
 	}
-	m.timers.Add(now+m.params.PullInterval/4, func(now time.Duration) { m.awaitSamples(now, until, id, want, next) })
+	m.timers.Add(now+m.params.PullInterval/pollsPerPullInterval, func(now time.Duration) { m.awaitSamples(now, until, id, want, next) })
 }
 
-// raiseVersionFloor raises the version floor of each partition until no member lags behind, or
-// until the deadline.
+// raiseVersionFloor repeats until no member lags behind, or until the deadline.
 func (m *Machine) raiseVersionFloor(now time.Duration, result ApplyResult, ticket uint64, until time.Duration, done map[int]bool) {
 	version := result.Version
 	waiting := 0
@@ -192,7 +196,9 @@
 			waiting--
 			if waiting == 0 && !scheduled {
 				scheduled = true
-				m.timers.Add(now+m.params.PullInterval/4, func(now time.Duration) { m.raiseVersionFloor(now, result, ticket, until, done) })
+				m.timers.Add(now+m.params.PullInterval/pollsPerPullInterval, func(now time.Duration) {
+					m.raiseVersionFloor(now, result, ticket, until, done)
+				})
 			}
 		})
 	}
--- a/peer/core/expiry.go
+++ b/peer/core/expiry.go
@@ -15,7 +15,7 @@
 	until time.Duration
 }
 
-// expiryQueue holds expiries in buckets of expiryBucket, so that a sweep reads only those due.
+// expiryQueue has buckets of expiryBucket, so that a sweep reads only what is due.
 type expiryQueue map[time.Duration][]expiry
 
 const expiryBucket = 15 * time.Second
@@ -57,23 +57,23 @@
 
 func (r *rules) sweepExpired(tx *partition.Tx) {
 	clock := tx.Clock()
-	for _, e := range r.expiries.due(clock) {
+	for _, planned := range r.expiries.due(clock) {
 		var until time.Duration
-		if b, ok := readWithPrefix[storedAccount](tx, e.key, accountPrefix); ok {
+		if b, ok := readWithPrefix[storedAccount](tx, planned.key, accountPrefix); ok {
 			until = b.Until
-		} else if t, ok := readWithPrefix[storedTurn](tx, e.key, turnPrefix); ok {
+		} else if t, ok := readWithPrefix[storedTurn](tx, planned.key, turnPrefix); ok {
 			until = t.Until
-		} else if o, ok := readWithPrefix[acceptedOrder](tx, e.key, acceptedPrefix); ok {
+		} else if o, ok := readWithPrefix[acceptedOrder](tx, planned.key, acceptedPrefix); ok {
 			until = o.Until
 		} else {
 			continue
 		}
 		if clock < until {
-			r.expiries.add(e.key, until)
+			r.expiries.add(planned.key, until)
 			continue
 		}
-		tx.Delete(e.key)
-		r.expired.add(e.key)
+		tx.Delete(planned.key)
+		r.expired.add(planned.key)
 	}
 }
 
--- a/peer/core/founding.go
+++ b/peer/core/founding.go
@@ -20,36 +20,37 @@
 
 // PlanFleet returns the founding of a new fleet with its partitions placed on the given cores.
 func PlanFleet(fleet string, partitions, size int, cores []Core) Founding {
-	f := Founding{Fleet: fleet, Partitions: partitions, Cores: map[string]Core{}, Size: size}
+	founding := Founding{Fleet: fleet, Partitions: partitions, Cores: map[string]Core{}, Size: size}
 	for _, c := range cores {
-		f.Cores[c.ID] = c
+		founding.Cores[c.ID] = c
 	}
 	for _, members := range Place(partitions, size, cores, nil) {
-		f.Groups = append(f.Groups, partition.Group{Epoch: 1, Members: members})
+		founding.Groups = append(founding.Groups, partition.Group{Epoch: 1, Members: members})
 	}
-	return f
+	return founding
 }
 
 // Found makes this core a founding core of a new fleet and reports whether it belongs to that
 // fleet. A core of another fleet is left unchanged.
-func (m *Machine) Found(now time.Duration, f Founding) (Output, bool) {
+func (m *Machine) Found(now time.Duration, founding Founding) (Output, bool) {
 	m.out = &Output{}
 	if m.Founded() {
-		return *m.out, m.founding.Fleet == f.Fleet
+		return *m.out, m.founding.Fleet == founding.Fleet
 	}
-	return *m.out, m.createFleet(now, f)
+	return *m.out, m.createFleet(now, founding)
 }
 
-// createFleet joins the fleet of f and passes f on to the other founding cores. It reports whether
-// f is valid and names this incarnation.
-func (m *Machine) createFleet(now time.Duration, f Founding) bool {
-	if own, ok := f.Cores[m.self.ID]; !ok || own.Incarnation != m.self.Incarnation || f.Partitions < 1 || len(f.Groups) != f.Partitions {
+// createFleet joins a fleet and passes its founding on. It reports whether the founding is valid
+// and names this incarnation.
+func (m *Machine) createFleet(now time.Duration, founding Founding) bool {
+	if own, ok := founding.Cores[m.self.ID]; !ok || own.Incarnation != m.self.Incarnation ||
+		founding.Partitions < 1 || len(founding.Groups) != founding.Partitions {
 		return false
 	}
-	m.Join(now, f)
-	for _, id := range ordered.Keys(f.Cores) {
+	m.Join(now, founding)
+	for _, id := range ordered.Keys(founding.Cores) {
 		if id != m.self.ID {
-			m.send(f.Cores[id].Peer, FoundFleet{Founding: f}, false)
+			m.send(founding.Cores[id].Peer, FoundFleet{Founding: founding}, false)
 		}
 	}
 	return true
@@ -70,18 +71,17 @@
 	}
 }
 
-// onAnnounceCore handles the heartbeat of a core of the same fleet, or of one without a fleet.
-func (m *Machine) onAnnounceCore(now time.Duration, from string, b AnnounceCore) {
-	switch b.Fleet {
+func (m *Machine) onAnnounceCore(now time.Duration, from string, announcement AnnounceCore) {
+	switch announcement.Fleet {
 	case m.founding.Fleet:
-		m.mergeCore(b.Core)
-		m.recordContact(now, b.Core.MemberID())
-		m.sendTopologyIfDifferent(now, from, b.KnownDigest)
+		m.mergeCore(announcement.Core)
+		m.recordContact(now, announcement.Core.MemberID())
+		m.sendTopologyIfDifferent(now, from, announcement.KnownDigest)
 	case "":
 		m.refreshTopology()
 		m.send(from, m.Topology(), false)
-		if founder, ok := m.founding.Cores[b.Core.ID]; ok && b.MayFound &&
-			founder.Incarnation == b.Core.Incarnation && m.founding.Groups[0].Epoch > 0 {
+		if founder, ok := m.founding.Cores[announcement.Core.ID]; ok && announcement.MayFound &&
+			founder.Incarnation == announcement.Core.Incarnation && m.founding.Groups[0].Epoch > 0 {
 			m.send(from, FoundFleet{Founding: m.founding}, false)
 		}
 	}
--- a/peer/core/gossip_test.go
+++ b/peer/core/gossip_test.go
@@ -9,19 +9,19 @@
 
 // A core that missed a change receives it within a few heartbeats.
 func TestTopologyIsSentOnlyWhereItDiffers(t *testing.T) {
-	f := newFleet(t, 3, 4)
-	f.advance(10 * time.Second)
-	before := f.kinds["core.Topology"]
-	f.advance(4 * time.Second)
-	if sent := f.kinds["core.Topology"] - before; sent > 2*len(f.cores)*len(f.cores) {
+	testFleet := newFleet(t, 3, 4)
+	testFleet.advance(10 * time.Second)
+	before := testFleet.kinds["core.Topology"]
+	testFleet.advance(4 * time.Second)
+	if sent := testFleet.kinds["core.Topology"] - before; sent > 2*len(testFleet.cores)*len(testFleet.cores) {
 		t.Errorf("%d topologies sent in 4 s without changes", sent)
 	}
-	lagging := f.cores[3].m
+	lagging := testFleet.cores[3].m
 	lagging.terms[1] = partition.Term{}
 	lagging.groups[1] = partition.Group{}
 	delete(lagging.cores, "c1")
-	f.advance(3 * time.Second)
-	if lagging.Topology().Digest() != f.cores[0].m.Topology().Digest() {
+	testFleet.advance(3 * time.Second)
+	if lagging.Topology().Digest() != testFleet.cores[0].m.Topology().Digest() {
 		t.Error("a core that missed a change did not receive it")
 	}
 }
--- a/peer/core/identity_test.go
+++ b/peer/core/identity_test.go
@@ -14,30 +14,30 @@
 }
 
 func testSameIDOfTwoTenants(t *testing.T) {
-	a := newSingleCore(t)
+	single := newSingleCore(t)
 	store := func(tenant, output string) bool {
-		return a.run(StoreTurn{Tenant: tenant, Attempt: "same", Input: []byte("in"), Output: []byte(output), Retention: time.Minute}).(Done).OK
+		return single.run(StoreTurn{Tenant: tenant, Attempt: "same", Input: []byte("in"), Output: []byte(output), Retention: time.Minute}).(Done).OK
 	}
 	if !store("first", "of the first") || !store("second", "of the second") {
 		t.Fatal("a turn was not kept")
 	}
 	for tenant, want := range map[string]string{"first": "of the first", "second": "of the second"} {
-		k := a.run(ReadTurn{Tenant: tenant, Attempt: "same"}).(ReadTurnResult)
+		k := single.run(ReadTurn{Tenant: tenant, Attempt: "same"}).(ReadTurnResult)
 		if !k.Found || string(k.Output) != want {
 			t.Errorf("tenant %s, whose turn was acknowledged as kept, reads found=%v %q", tenant, k.Found, k.Output)
 		}
 	}
-	if d := a.run(ExtendTurn{Tenant: "second", Attempt: "same", Retention: time.Hour}).(Done); !d.OK {
+	if d := single.run(ExtendTurn{Tenant: "second", Attempt: "same", Retention: time.Hour}).(Done); !d.OK {
 		t.Error("the second tenant's turn can't be prolonged")
 	}
 }
 
 // A turn that differs from the one stored under its ID must not be acknowledged as stored.
 func testSecondTurnUnderOneID(t *testing.T) {
-	a := newSingleCore(t)
+	single := newSingleCore(t)
 	command := StoreTurn{Tenant: "t", Attempt: "x", Previous: []string{"w"}, Input: []byte("in"), Output: []byte("out"), Retention: time.Minute}
 	for range 2 {
-		if !a.run(command).(Done).OK {
+		if !single.run(command).(Done).OK {
 			t.Fatal("a turn, or its repetition, was not kept")
 		}
 	}
@@ -48,7 +48,7 @@
 	} {
 		other := command
 		change(&other)
-		if a.run(other).(Done).OK {
+		if single.run(other).(Done).OK {
 			t.Errorf("another %s under the same id was acknowledged as kept", name)
 		}
 	}
@@ -79,12 +79,12 @@
 
 // An ID that equals another tenant's name and ID joined must not overwrite that tenant's turn.
 func TestIDResemblingAnotherTenantsKey(t *testing.T) {
-	a := newSingleCore(t)
+	single := newSingleCore(t)
 	store := func(tenant, attempt string) bool {
-		return a.run(StoreTurn{Tenant: tenant, Attempt: attempt, Output: []byte(tenant), Retention: time.Minute}).(Done).OK
+		return single.run(StoreTurn{Tenant: tenant, Attempt: attempt, Output: []byte(tenant), Retention: time.Minute}).(Done).OK
 	}
 	found := func(tenant, attempt string) bool {
-		k := a.run(ReadTurn{Tenant: tenant, Attempt: attempt}).(ReadTurnResult)
+		k := single.run(ReadTurn{Tenant: tenant, Attempt: attempt}).(ReadTurnResult)
 		return k.Found && string(k.Output) == tenant
 	}
 	for _, one := range [][2]string{{"c", "x"}, {"b", "a/x"}, {"a", "x"}} {
--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -75,8 +75,8 @@
 	timers     Timers
 	seeds      []string
 	announceAt time.Duration
-	// registering is set while a command to register this core's entry is pending; unregistered is
-	// set while the fleet may have a different entry of this core.
+	// registering is set while a registration of this core is pending; unregistered is set while
+	// the fleet may have a different entry of this core.
 	registering  bool
 	unregistered bool
 	sampleRound  uint64
@@ -91,8 +91,8 @@
 	contacts        map[string]contact
 	topologyChanged bool
 	gossipState
-	// superseded is set when the fleet knows a later incarnation of this core. claimIncrement is
-	// added to the version of the next claim to its entry, because earlier claims lost a race.
+	// superseded is set when the fleet knows a later incarnation of this core. claimIncrement
+	// raises the version of the next claim to its entry, because earlier claims lost a race.
 	superseded     bool
 	claimIncrement uint64
 	// nextChangeAt is a partition's earliest next group change after a failed one.
@@ -106,22 +106,28 @@
 }
 
 // New returns a machine in the state stored on disk.
-func New(o Options) *Machine {
-	m := &Machine{
-		params:     o.Params,
-		random:     o.Random,
-		outputs:    outputs{violated: o.Violated},
-		seeds:      o.Seeds,
+func New(options Options) *Machine {
+	machine := &Machine{
+		params:     options.Params,
+		random:     options.Random,
+		outputs:    outputs{violated: options.Violated},
+		seeds:      options.Seeds,
 		partitions: map[int]*partition.Machine{},
 		cores:      map[string]Core{},
-		self:       Core{ID: o.ID, Incarnation: o.Stored.Incarnation, Zone: o.Zone, Peer: o.Address, Operator: o.Operator},
+		self: Core{
+			ID:          options.ID,
+			Incarnation: options.Stored.Incarnation,
+			Zone:        options.Zone,
+			Peer:        options.Address,
+			Operator:    options.Operator,
+		},
 	}
-	m.caller = &Caller{Retry: o.Params.AttemptTimeout, Random: o.Random,
-		Send:       func(to string, body any) { m.send(to, body, false) },
-		Partitions: func() int { return m.founding.Partitions },
+	machine.caller = &Caller{Retry: options.Params.AttemptTimeout, Random: options.Random,
+		Send:       func(to string, body any) { machine.send(to, body, false) },
+		Partitions: func() int { return machine.founding.Partitions },
 		Cores: func() []string {
 			var addresses []string
-			for _, c := range m.cores {
+			for _, c := range machine.cores {
 				if !c.Retired {
 					addresses = append(addresses, c.Peer)
 				}
@@ -129,25 +135,25 @@
 			sort.Strings(addresses)
 			return addresses
 		}}
-	if o.Stored.Founding.Partitions > 0 {
-		m.start(o.Now, o.Stored)
+	if options.Stored.Founding.Partitions > 0 {
+		machine.start(options.Now, options.Stored)
 	}
-	return m
+	return machine
 }
 
-func (m *Machine) start(now time.Duration, s Stored) {
-	m.founding = s.Founding
-	m.terms, m.groups = make([]partition.Term, s.Founding.Partitions), make([]partition.Group, s.Founding.Partitions)
-	for id, c := range s.Founding.Cores {
+func (m *Machine) start(now time.Duration, stored Stored) {
+	m.founding = stored.Founding
+	m.terms, m.groups = make([]partition.Term, stored.Founding.Partitions), make([]partition.Group, stored.Founding.Partitions)
+	for id, c := range stored.Founding.Cores {
 		m.cores[id] = c
 	}
-	m.mergeCoresOf(s.Replicas[ConfigurationPartition])
+	m.mergeCoresOf(stored.Replicas[ConfigurationPartition])
 	m.refreshSelf()
 	m.unregistered = true
 	m.topologySentAt = map[string]time.Duration{}
 	m.contacts, m.nextChangeAt, m.observedSince, m.activeAt = map[string]contact{}, map[int]time.Duration{}, now, now
-	for _, n := range ordered.Keys(s.Replicas) {
-		m.addReplica(now, n, s.Replicas[n])
+	for _, n := range ordered.Keys(stored.Replicas) {
+		m.addReplica(now, n, stored.Replicas[n])
 	}
 }
 
@@ -178,29 +184,39 @@
 // Founding returns the fleet's initial configuration.
 func (m *Machine) Founding() Founding { return m.founding }
 
+const (
+	// The interval of announcements of a core without a fleet.
+	joinAnnouncementsPerLease = 20
+	minJoinAnnounceInterval   = 50 * time.Millisecond
+	// Per member lease; rebalances are per partition lease.
+	announcementsPerLease = 4
+	sweepsPerLease        = 4
+	rebalancesPerLease    = 4
+)
+
 // Tick runs what is due at now.
 func (m *Machine) Tick(now time.Duration) Output {
 	m.out = &Output{}
 	if !m.Founded() {
 		if now >= m.announceAt {
-			m.announceAt = now + max(50*time.Millisecond, m.params.MemberLease/20)
+			m.announceAt = now + max(minJoinAnnounceInterval, m.params.MemberLease/joinAnnouncementsPerLease)
 			m.announce()
 		}
 		return *m.out
 	}
 	m.detectPause(now)
 	for n := 0; n < m.founding.Partitions; n++ {
-		p := m.partitions[n]
-		if p == nil {
+		replica := m.partitions[n]
+		if replica == nil {
 			continue
 		}
 		if m.draining || m.stalled {
-			m.handleOutput(now, n, p.ReleaseLeadership(now))
-			if _, leads := p.LeadingTerm(now); !leads {
+			m.handleOutput(now, n, replica.ReleaseLeadership(now))
+			if _, leads := replica.LeadingTerm(now); !leads {
 				continue
 			}
 		}
-		m.handleOutput(now, n, p.Tick(now))
+		m.handleOutput(now, n, replica.Tick(now))
 	}
 	if now >= m.gossipAt {
 		m.gossipAt = now + m.params.PullInterval
@@ -208,11 +224,11 @@
 		m.gossip(now)
 	}
 	if now >= m.rebalanceAt {
-		m.rebalanceAt = now + m.params.Partition.LeaseDuration/4
+		m.rebalanceAt = now + m.params.Partition.LeaseDuration/rebalancesPerLease
 		m.rebalance(now)
 	}
 	if now >= m.sweepAt {
-		m.sweepAt = now + m.params.MemberLease/4
+		m.sweepAt = now + m.params.MemberLease/sweepsPerLease
 		for n := 0; n < m.founding.Partitions; n++ {
 			if p := m.partitions[n]; p != nil {
 				if _, ok := p.LeadingTerm(now); ok {
@@ -222,7 +238,7 @@
 		}
 	}
 	if now >= m.announceAt {
-		m.announceAt = now + m.params.MemberLease/4
+		m.announceAt = now + m.params.MemberLease/announcementsPerLease
 		m.announce()
 		m.register(now)
 	}
@@ -250,14 +266,14 @@
 func (m *Machine) PartitionCounters() partition.Counters {
 	var sum partition.Counters
 	for _, p := range m.partitions {
-		c := p.Counters
-		sum.Elections += c.Elections
-		sum.Elected += c.Elected
-		sum.Writes += c.Writes
-		sum.Entries += c.Entries
-		sum.SnapshotsSent += c.SnapshotsSent
-		sum.Sweeps += c.Sweeps
-		sum.TombstonesPurged += c.TombstonesPurged
+		counters := p.Counters
+		sum.Elections += counters.Elections
+		sum.Elected += counters.Elected
+		sum.Writes += counters.Writes
+		sum.Entries += counters.Entries
+		sum.SnapshotsSent += counters.SnapshotsSent
+		sum.Sweeps += counters.Sweeps
+		sum.TombstonesPurged += counters.TombstonesPurged
 	}
 	return sum
 }
@@ -281,34 +297,34 @@
 		return *m.out
 	}
 	m.detectPause(now)
-	switch b := body.(type) {
+	switch msg := body.(type) {
 	case ReplicaMessage:
-		m.onReplicaMessage(now, b)
+		m.onReplicaMessage(now, msg)
 	case Command:
 		m.Counters.Commands++
-		command, err := message.Open(b.Raw)
-		if err != nil || b.Partition < 0 || b.Partition >= m.founding.Partitions {
+		command, err := message.Open(msg.Raw)
+		if err != nil || msg.Partition < 0 || msg.Partition >= m.founding.Partitions {
 			m.Counters.BadMessages++
 			return *m.out
 		}
-		m.propose(now, b.Partition, command, commandOrigin{from: from, id: b.ID, partition: b.Partition})
+		m.propose(now, msg.Partition, command, commandOrigin{from: from, id: msg.ID, partition: msg.Partition})
 	case CommandResult:
-		m.caller.Receive(now, from, b)
+		m.caller.Receive(now, from, msg)
 	case PullUpdates:
 		m.Counters.Pulls++
-		m.onPullUpdates(now, from, b)
+		m.onPullUpdates(now, from, msg)
 	case Topology:
-		m.mergeTopology(b)
+		m.mergeTopology(msg)
 	case AnnounceCore:
-		m.onAnnounceCore(now, from, b)
+		m.onAnnounceCore(now, from, msg)
 	case Samples:
-		if b.ID == m.sampleRound && m.samples != nil {
-			m.samples[from] = b.List
+		if msg.ID == m.sampleRound && m.samples != nil {
+			m.samples[from] = msg.List
 		}
 	}
 	return *m.out
 }
 
-// SetStalled sets whether the disk is stalled. A stalled core gives up leadership and is not a
-// candidate in elections.
+// SetStalled sets whether the disk is stalled. A stalled core gives up leadership and is not
+// elected.
 func (m *Machine) SetStalled(stalled bool) { m.stalled = stalled }
--- a/peer/core/membership.go
+++ b/peer/core/membership.go
@@ -34,35 +34,35 @@
 }
 
 // rejoin makes a core with an empty directory join the fleet, without a vote until it is added to
-// groups. If it is a member of a group already, or may be because the topology lacks a group, it
-// waits for FoundFleet. A retired core does not join.
-func (m *Machine) rejoin(now time.Duration, t Topology) {
-	known, ok := t.Cores[m.self.ID]
-	if len(t.Groups) == 0 || known.Retired {
+// groups. A core waits for FoundFleet if it is a member of a group, or may be because the topology
+// lacks a group. A retired core does not join.
+func (m *Machine) rejoin(now time.Duration, topology Topology) {
+	known, ok := topology.Cores[m.self.ID]
+	if len(topology.Groups) == 0 || known.Retired {
 		return
 	}
-	for _, g := range t.Groups {
+	for _, g := range topology.Groups {
 		if g.Epoch == 0 || g.Has(m.self.MemberID()) {
 			return
 		}
 	}
-	f := Founding{
-		Fleet:      t.Fleet,
-		Partitions: len(t.Groups),
-		Cores:      maps.Clone(t.Cores),
-		Groups:     make([]partition.Group, len(t.Groups)),
-		Size:       t.GroupSize,
+	founding := Founding{
+		Fleet:      topology.Fleet,
+		Partitions: len(topology.Groups),
+		Cores:      maps.Clone(topology.Cores),
+		Groups:     make([]partition.Group, len(topology.Groups)),
+		Size:       topology.GroupSize,
 	}
-	if f.Cores == nil {
-		f.Cores = map[string]Core{}
+	if founding.Cores == nil {
+		founding.Cores = map[string]Core{}
 	}
 	m.self.Version = known.Version + 1
-	f.Cores[m.self.ID] = m.self
+	founding.Cores[m.self.ID] = m.self
 	if ok {
 		m.Counters.Rejoins++
 	}
-	m.Join(now, f)
-	m.mergeTopology(t)
+	m.Join(now, founding)
+	m.mergeTopology(topology)
 	m.announceToAll()
 }
 
@@ -74,6 +74,9 @@
 	m.start(now, s)
 }
 
+// registerTimeoutLeases is the timeout of a registration in member leases.
+const registerTimeoutLeases = 10
+
 // register corrects the fleet's entry of this core. Leaders then replace an earlier incarnation.
 func (m *Machine) register(now time.Duration) {
 	if m.registering || m.self.Retired || m.draining || m.stalled || !m.unregistered || m.superseded {
@@ -85,15 +88,15 @@
 		claim.Version = max(claim.Version, known.Version+1)
 	}
 	claim.Version += m.claimIncrement
-	m.caller.Call(now, PutCore{Core: claim}, now+10*m.params.MemberLease, func(now time.Duration, o Outcome) {
+	m.caller.Call(now, PutCore{Core: claim}, now+registerTimeoutLeases*m.params.MemberLease, func(now time.Duration, o Outcome) {
 		m.registering = false
-		switch a := o.Answer.(type) {
+		switch answer := o.Answer.(type) {
 		case PutCoreRejected:
-			m.superseded = a.Core.Incarnation != m.self.Incarnation
-			m.mergeCore(a.Core)
+			m.superseded = answer.Core.Incarnation != m.self.Incarnation
+			m.mergeCore(answer.Core)
 		case Done:
 			switch {
-			case !a.OK:
+			case !answer.OK:
 				m.claimIncrement++
 			case m.self == before:
 				m.unregistered, m.claimIncrement = false, 0
@@ -148,8 +151,7 @@
 	return "without " + id + " some group would have fewer seats; add a core first"
 }
 
-// membershipMoves returns the moves that turn a group into the wanted one, pairing members to add
-// with members to remove.
+// membershipMoves pairs members to add with members to remove.
 func membershipMoves(n int, group, wanted []string) []Move {
 	var moves []Move
 	for _, member := range wanted {
@@ -208,7 +210,7 @@
 	return *m.out
 }
 
-// awaitGroups reads the groups from the leaders until all satisfy settled or the deadline passes.
+// awaitGroups polls the groups' leaders until all satisfy settled or the deadline passes.
 func (m *Machine) awaitGroups(
 	now time.Duration, ticket uint64, until time.Duration, plan ChangeResult,
 	settled func(n int, members []string) bool,
@@ -238,18 +240,18 @@
 }
 
 // RegisterCore adds a new core's entry before it is given replicas. The answer is a Done.
-func (m *Machine) RegisterCore(now time.Duration, ticket uint64, c Core, within time.Duration) Output {
+func (m *Machine) RegisterCore(now time.Duration, ticket uint64, core Core, within time.Duration) Output {
 	m.out = &Output{}
-	if old, ok := m.cores[c.ID]; ok && old.Incarnation != c.Incarnation && !old.Retired {
+	if old, ok := m.cores[core.ID]; ok && old.Incarnation != core.Incarnation && !old.Retired {
 		m.answerOperator(ticket, Done{})
 		return *m.out
 	} else if ok {
-		c.Version = old.Version + 1
+		core.Version = old.Version + 1
 	}
-	m.caller.Call(now, PutCore{Core: c}, now+within, func(now time.Duration, o Outcome) {
+	m.caller.Call(now, PutCore{Core: core}, now+within, func(now time.Duration, o Outcome) {
 		d, _ := o.Answer.(Done)
 		if d.OK {
-			m.mergeCore(c)
+			m.mergeCore(core)
 		}
 		m.answerOperator(ticket, d)
 	})
--- a/peer/core/membership_test.go
+++ b/peer/core/membership_test.go
@@ -61,23 +61,23 @@
 }
 
 func newFleet(t *testing.T, size, cores int) *fleet {
-	f := &fleet{t: t, size: size, random: rand.New(rand.NewPCG(7, uint64(cores))), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
+	testFleet := &fleet{t: t, size: size, random: rand.New(rand.NewPCG(7, uint64(cores))), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
 		params: Params{Partition: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeTransfer: 20}, MemberLease: 2 * time.Second,
 			AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond, SilenceTimeout: 2 * time.Second, ColdStart: true}}
 	var founders []Core
 	for i := 0; i < cores; i++ {
-		added := f.addCore(fmt.Sprintf("c%d", i+1))
-		f.start(added)
+		added := testFleet.addCore(fmt.Sprintf("c%d", i+1))
+		testFleet.start(added)
 		founders = append(founders, added.m.Self())
 	}
-	first := f.cores[0]
-	f.handle(first, first.m.Receive(f.now, "desk", FoundFleet{Founding: PlanFleet("f", testPartitions, size, founders)}))
-	f.advance(2 * time.Second)
+	first := testFleet.cores[0]
+	testFleet.handle(first, first.m.Receive(testFleet.now, "desk", FoundFleet{Founding: PlanFleet("f", testPartitions, size, founders)}))
+	testFleet.advance(2 * time.Second)
 	for i := 0; i < 150; i++ {
-		f.claim(i)
+		testFleet.claim(i)
 	}
-	f.awaitSettled("after the founding", settleTime)
-	return f
+	testFleet.awaitSettled("after the founding", settleTime)
+	return testFleet
 }
 
 func (f *fleet) tolerateSilence() {
@@ -390,243 +390,243 @@
 
 func TestEmptiedCoreRejoins(t *testing.T) {
 	for _, size := range []int{3, 5} {
-		f := newFleet(t, size, size+2)
-		f.tolerateSilence()
-		for _, core := range f.cores[1 : 1+size/2] {
-			f.kill(core)
-			f.wipe(core)
+		testFleet := newFleet(t, size, size+2)
+		testFleet.tolerateSilence()
+		for _, core := range testFleet.cores[1 : 1+size/2] {
+			testFleet.kill(core)
+			testFleet.wipe(core)
 		}
-		f.advance(300 * time.Millisecond)
-		for _, core := range f.cores[1 : 1+size/2] {
-			f.start(core)
+		testFleet.advance(300 * time.Millisecond)
+		for _, core := range testFleet.cores[1 : 1+size/2] {
+			testFleet.start(core)
 		}
-		f.awaitSettled(fmt.Sprintf("groups of %d", size), settleTime)
-		f.checkClaims()
-		next := f.cores[4]
-		f.kill(next)
-		f.wipe(next)
-		f.start(next)
-		f.awaitSettled("the next loss", settleTime)
-		f.checkClaims()
+		testFleet.awaitSettled(fmt.Sprintf("groups of %d", size), settleTime)
+		testFleet.checkClaims()
+		next := testFleet.cores[4]
+		testFleet.kill(next)
+		testFleet.wipe(next)
+		testFleet.start(next)
+		testFleet.awaitSettled("the next loss", settleTime)
+		testFleet.checkClaims()
 	}
 }
 
 func TestCoreIsReplacedAtAnotherAddress(t *testing.T) {
 	for _, name := range []string{"another name", "the same name"} {
-		f := newFleet(t, 3, 5)
-		old := f.cores[1]
-		f.losePermanently(old)
-		f.advance(300 * time.Millisecond)
+		testFleet := newFleet(t, 3, 5)
+		old := testFleet.cores[1]
+		testFleet.losePermanently(old)
+		testFleet.advance(300 * time.Millisecond)
 		id := "fresh"
 		if name == "the same name" {
 			id = old.id
 		}
-		core := f.addCore(id)
+		core := testFleet.addCore(id)
 		core.cold = false
-		f.start(core)
-		f.awaitSettled(name, settleTime)
-		f.checkClaims()
-		f.losePermanently(f.cores[2])
-		f.start(f.addCore("next"))
-		f.awaitSettled("the next loss", settleTime)
-		f.checkClaims()
+		testFleet.start(core)
+		testFleet.awaitSettled(name, settleTime)
+		testFleet.checkClaims()
+		testFleet.losePermanently(testFleet.cores[2])
+		testFleet.start(testFleet.addCore("next"))
+		testFleet.awaitSettled("the next loss", settleTime)
+		testFleet.checkClaims()
 	}
 }
 
 // In the smallest fleet only a new core can take over the replicas of a lost one.
 func TestSmallestFleetReplacesCores(t *testing.T) {
-	f := newFleet(t, 3, 3)
+	testFleet := newFleet(t, 3, 3)
 	for i := 0; i < 3; i++ {
-		f.losePermanently(f.cores[i])
-		f.start(f.addCore(fmt.Sprint("fresh", i)))
-		f.awaitSettled("a new core", settleTime)
-		f.checkClaims()
+		testFleet.losePermanently(testFleet.cores[i])
+		testFleet.start(testFleet.addCore(fmt.Sprint("fresh", i)))
+		testFleet.awaitSettled("a new core", settleTime)
+		testFleet.checkClaims()
 	}
 }
 
 func TestAddedCoreGetsItsShare(t *testing.T) {
-	f := newFleet(t, 3, 4)
-	f.start(f.addCore("fresh"))
-	f.awaitSettled("a fifth core", settleTime)
-	f.checkClaims()
-	before := f.epochSum()
-	f.advance(10 * time.Second)
-	if after := f.epochSum(); after != before {
+	testFleet := newFleet(t, 3, 4)
+	testFleet.start(testFleet.addCore("fresh"))
+	testFleet.awaitSettled("a fifth core", settleTime)
+	testFleet.checkClaims()
+	before := testFleet.epochSum()
+	testFleet.advance(10 * time.Second)
+	if after := testFleet.epochSum(); after != before {
 		t.Errorf("%d group changes in a settled fleet", after-before)
 	}
 }
 
 // Retirement must succeed while another core restores its replicas, but not below the group size.
 func TestRetiredWhileAnotherIsEmptied(t *testing.T) {
-	f := newFleet(t, 3, 5)
-	if r := f.call(RetireCore{ID: "nobody"}); r != (RetireCoreResult{}) {
+	testFleet := newFleet(t, 3, 5)
+	if r := testFleet.call(RetireCore{ID: "nobody"}); r != (RetireCoreResult{}) {
 		t.Errorf("retiring an unknown core: %+v", r)
 	}
-	if r := f.call(RetireCore{ID: "c1"}); r != (RetireCoreResult{Found: true, EnoughRemain: true, Done: true}) {
+	if r := testFleet.call(RetireCore{ID: "c1"}); r != (RetireCoreResult{Found: true, EnoughRemain: true, Done: true}) {
 		t.Errorf("retiring: %+v", r)
 	}
-	core := f.cores[2]
-	f.kill(core)
-	f.wipe(core)
-	f.start(core)
-	f.awaitSettled("one core retired, one wiped", settleTime)
-	f.checkClaims()
+	core := testFleet.cores[2]
+	testFleet.kill(core)
+	testFleet.wipe(core)
+	testFleet.start(core)
+	testFleet.awaitSettled("one core retired, one wiped", settleTime)
+	testFleet.checkClaims()
 	for n := 0; n < testPartitions; n++ {
-		group, ok := f.call(ReadGroup{Partition: n}).(GroupMembers)
+		group, ok := testFleet.call(ReadGroup{Partition: n}).(GroupMembers)
 		if !ok || len(group.Members) != 3 || len(group.Former) != 0 || slices.ContainsFunc(group.Members, func(member string) bool { return CoreID(member) == "c1" }) {
 			t.Errorf("partition %d: %+v", n, group)
 		}
 	}
-	if r := f.call(RetireCore{ID: "c2"}); r != (RetireCoreResult{Found: true, EnoughRemain: true, Done: true}) {
+	if r := testFleet.call(RetireCore{ID: "c2"}); r != (RetireCoreResult{Found: true, EnoughRemain: true, Done: true}) {
 		t.Errorf("retiring a second core: %+v", r)
 	}
-	if r := f.call(RetireCore{ID: "c4"}); r != (RetireCoreResult{Found: true}) {
+	if r := testFleet.call(RetireCore{ID: "c4"}); r != (RetireCoreResult{Found: true}) {
 		t.Errorf("retiring one core too many: %+v", r)
 	}
-	f.retired = "c1"
-	f.kill(f.cores[0])
-	f.wipe(f.cores[0])
-	f.start(f.cores[0])
-	f.advance(3 * time.Second)
-	f.awaitSettled("after the retired core restarted", settleTime)
-	f.checkClaims()
-	if f.cores[0].m.Founded() {
+	testFleet.retired = "c1"
+	testFleet.kill(testFleet.cores[0])
+	testFleet.wipe(testFleet.cores[0])
+	testFleet.start(testFleet.cores[0])
+	testFleet.advance(3 * time.Second)
+	testFleet.awaitSettled("after the retired core restarted", settleTime)
+	testFleet.checkClaims()
+	if testFleet.cores[0].m.Founded() {
 		t.Error("a retired core rejoined the fleet")
 	}
 }
 
 func TestRetiredWhileDown(t *testing.T) {
-	f := newFleet(t, 3, 5)
-	f.tolerateSilence()
-	core := f.cores[1]
-	f.kill(core)
-	f.advance(300 * time.Millisecond)
-	if r := f.call(RetireCore{ID: core.id}).(RetireCoreResult); !r.Done {
+	testFleet := newFleet(t, 3, 5)
+	testFleet.tolerateSilence()
+	core := testFleet.cores[1]
+	testFleet.kill(core)
+	testFleet.advance(300 * time.Millisecond)
+	if r := testFleet.call(RetireCore{ID: core.id}).(RetireCoreResult); !r.Done {
 		t.Errorf("%+v", r)
 	}
-	f.awaitSettled("retired while down", settleTime)
+	testFleet.awaitSettled("retired while down", settleTime)
 	core.address = "elsewhere"
-	f.start(core)
-	f.advance(8 * time.Second)
+	testFleet.start(core)
+	testFleet.advance(8 * time.Second)
 	if !core.m.Self().Retired {
 		t.Error("the core does not know that it is retired")
 	}
-	for _, other := range f.cores {
+	for _, other := range testFleet.cores {
 		if !other.m.Topology().Cores[core.id].Retired {
 			t.Errorf("%s does not know that the core is retired", other.id)
 		}
 	}
-	f.awaitSettled("back", settleTime)
-	f.checkClaims()
+	testFleet.awaitSettled("back", settleTime)
+	testFleet.checkClaims()
 }
 
 // The silent core must keep its replicas.
 func TestRetiredWhileAnotherIsSilent(t *testing.T) {
-	f := newFleet(t, 3, 6)
-	f.tolerateSilence()
-	f.kill(f.cores[1])
-	f.advance(2 * time.Second)
-	silent := f.cores[1].id + "." + f.cores[1].stored.Incarnation
+	testFleet := newFleet(t, 3, 6)
+	testFleet.tolerateSilence()
+	testFleet.kill(testFleet.cores[1])
+	testFleet.advance(2 * time.Second)
+	silent := testFleet.cores[1].id + "." + testFleet.cores[1].stored.Incarnation
 	before := map[int]bool{}
 	for n := 0; n < testPartitions; n++ {
-		_, g, _ := f.leader(n)
+		_, g, _ := testFleet.leader(n)
 		before[n] = g.Has(silent)
 	}
-	if r := f.call(RetireCore{ID: "c1"}).(RetireCoreResult); !r.Done {
+	if r := testFleet.call(RetireCore{ID: "c1"}).(RetireCoreResult); !r.Done {
 		t.Errorf("%+v", r)
 	}
-	f.advance(settleTime)
+	testFleet.advance(settleTime)
 	for n := 0; n < testPartitions; n++ {
-		_, g, _ := f.leader(n)
-		if g.Has(f.cores[0].m.Self().MemberID()) || (before[n] && !g.Has(silent)) {
+		_, g, _ := testFleet.leader(n)
+		if g.Has(testFleet.cores[0].m.Self().MemberID()) || (before[n] && !g.Has(silent)) {
 			t.Errorf("partition %d: %+v", n, g)
 		}
 	}
-	f.checkClaims()
+	testFleet.checkClaims()
 }
 
 // A new core must not replace a healthy member of a group while another member is unreachable.
 func TestDegradedGroupsAreNotRebalanced(t *testing.T) {
-	f := newFleet(t, 3, 4)
-	f.tolerateSilence()
-	f.kill(f.cores[1])
-	f.advance(2 * time.Second)
-	silent := f.cores[1].id + "." + f.cores[1].stored.Incarnation
+	testFleet := newFleet(t, 3, 4)
+	testFleet.tolerateSilence()
+	testFleet.kill(testFleet.cores[1])
+	testFleet.advance(2 * time.Second)
+	silent := testFleet.cores[1].id + "." + testFleet.cores[1].stored.Incarnation
 	before := map[int][]string{}
 	for n := 0; n < testPartitions; n++ {
-		if _, g, _ := f.leader(n); g.Has(silent) {
+		if _, g, _ := testFleet.leader(n); g.Has(silent) {
 			before[n] = g.Members
 		}
 	}
-	f.start(f.addCore("fresh"))
-	f.advance(settleTime)
+	testFleet.start(testFleet.addCore("fresh"))
+	testFleet.advance(settleTime)
 	for n, members := range before {
-		if _, g, _ := f.leader(n); len(membershipMoves(n, g.All(), members)) > 0 {
+		if _, g, _ := testFleet.leader(n); len(membershipMoves(n, g.All(), members)) > 0 {
 			t.Errorf("partition %d: %+v, was %v", n, g, members)
 		}
 	}
-	f.checkClaims()
-	f.start(f.cores[1])
-	f.awaitSettled("all cores running", settleTime)
-	f.checkClaims()
+	testFleet.checkClaims()
+	testFleet.start(testFleet.cores[1])
+	testFleet.awaitSettled("all cores running", settleTime)
+	testFleet.checkClaims()
 }
 
 func TestFlappingCoreGetsNoReplicas(t *testing.T) {
-	f := newFleet(t, 3, 5)
-	core := f.cores[1]
+	testFleet := newFleet(t, 3, 5)
+	core := testFleet.cores[1]
 	core.frozen = true
-	f.advance(f.params.SilenceTimeout + 3*time.Second)
-	f.awaitSettled("without it", settleTime)
-	before := f.epochSum()
+	testFleet.advance(testFleet.params.SilenceTimeout + 3*time.Second)
+	testFleet.awaitSettled("without it", settleTime)
+	before := testFleet.epochSum()
 	for i := 0; i < 4; i++ {
-		f.resume(core)
-		f.advance(300 * time.Millisecond)
+		testFleet.resume(core)
+		testFleet.advance(300 * time.Millisecond)
 		core.frozen = true
-		f.advance(f.params.SilenceTimeout + 500*time.Millisecond)
+		testFleet.advance(testFleet.params.SilenceTimeout + 500*time.Millisecond)
 	}
-	if after := f.epochSum(); after != before {
+	if after := testFleet.epochSum(); after != before {
 		t.Errorf("%d group changes", after-before)
 	}
-	f.resume(core)
-	f.awaitSettled("running steadily", settleTime)
-	f.checkClaims()
+	testFleet.resume(core)
+	testFleet.awaitSettled("running steadily", settleTime)
+	testFleet.checkClaims()
 }
 
 // After a pause of all cores none may count the others as silent.
 func TestAllCoresFrozenTogether(t *testing.T) {
-	f := newFleet(t, 3, 6)
-	f.advance(12 * time.Second)
-	before := f.epochSum()
-	f.drop = func(from, to string, body any) bool { return true }
-	for _, core := range f.cores {
+	testFleet := newFleet(t, 3, 6)
+	testFleet.advance(12 * time.Second)
+	before := testFleet.epochSum()
+	testFleet.drop = func(from, to string, body any) bool { return true }
+	for _, core := range testFleet.cores {
 		core.frozen = true
 	}
-	f.advance(3 * f.params.SilenceTimeout)
-	f.drop = nil
-	for _, core := range f.cores {
-		f.resume(core)
+	testFleet.advance(3 * testFleet.params.SilenceTimeout)
+	testFleet.drop = nil
+	for _, core := range testFleet.cores {
+		testFleet.resume(core)
 	}
-	f.advance(8 * time.Second)
-	if after := f.epochSum(); after != before {
+	testFleet.advance(8 * time.Second)
+	if after := testFleet.epochSum(); after != before {
 		t.Errorf("%d group changes", after-before)
 	}
-	f.checkClaims()
+	testFleet.checkClaims()
 }
 
 func TestHomesAreBalanced(t *testing.T) {
-	f := newFleet(t, 3, 5)
-	f.losePermanently(f.cores[1])
-	f.start(f.addCore("fresh"))
-	f.awaitSettled("replaced", settleTime)
-	f.advance(2 * time.Second)
+	testFleet := newFleet(t, 3, 5)
+	testFleet.losePermanently(testFleet.cores[1])
+	testFleet.start(testFleet.addCore("fresh"))
+	testFleet.awaitSettled("replaced", settleTime)
+	testFleet.advance(2 * time.Second)
 	var running []Core
-	for _, core := range f.cores {
+	for _, core := range testFleet.cores {
 		if core.m != nil {
 			running = append(running, core.m.Self())
 		}
 	}
 	for n, wanted := range Place(testPartitions, 3, running, nil) {
-		if _, g, _ := f.leader(n); g.Members[0] != wanted[0] {
+		if _, g, _ := testFleet.leader(n); g.Members[0] != wanted[0] {
 			t.Errorf("partition %d: %v, planned %v", n, g.Members, wanted)
 		}
 	}
@@ -634,40 +634,40 @@
 
 // A retirement is done only when the core has no replicas left.
 func TestOperatorRetires(t *testing.T) {
-	f := newFleet(t, 3, 5)
-	f.lastTicket++
-	ticket := f.lastTicket
-	f.handle(f.cores[0], f.cores[0].m.ChangeCore(f.now, ticket, KindRetire, "c1", "", 8*time.Second))
-	for f.answers[ticket] == nil {
-		f.step()
-	}
-	if c := f.answers[ticket].(ChangeResult); !c.Done || len(c.Moves) == 0 {
+	testFleet := newFleet(t, 3, 5)
+	testFleet.lastTicket++
+	ticket := testFleet.lastTicket
+	testFleet.handle(testFleet.cores[0], testFleet.cores[0].m.ChangeCore(testFleet.now, ticket, KindRetire, "c1", "", 8*time.Second))
+	for testFleet.answers[ticket] == nil {
+		testFleet.step()
+	}
+	if c := testFleet.answers[ticket].(ChangeResult); !c.Done || len(c.Moves) == 0 {
 		t.Errorf("%+v", c)
 	}
 	for n := 0; n < testPartitions; n++ {
-		if _, g, ok := f.leader(n); ok && g.Has(f.cores[0].m.Self().MemberID()) {
+		if _, g, ok := testFleet.leader(n); ok && g.Has(testFleet.cores[0].m.Self().MemberID()) {
 			t.Errorf("partition %d: %+v", n, g)
 		}
 	}
-	f.awaitSettled("retired", settleTime)
-	f.checkClaims()
+	testFleet.awaitSettled("retired", settleTime)
+	testFleet.checkClaims()
 }
 
 // No entry may be lost.
 func TestFullRestartWithOneEmptyDisk(t *testing.T) {
 	for _, cores := range []int{3, 5} {
-		f := newFleet(t, 3, cores)
-		f.tolerateSilence()
-		for _, core := range f.cores {
-			f.kill(core)
+		testFleet := newFleet(t, 3, cores)
+		testFleet.tolerateSilence()
+		for _, core := range testFleet.cores {
+			testFleet.kill(core)
 		}
-		f.wipe(f.cores[0])
-		f.advance(300 * time.Millisecond)
-		for _, core := range f.cores {
-			f.start(core)
+		testFleet.wipe(testFleet.cores[0])
+		testFleet.advance(300 * time.Millisecond)
+		for _, core := range testFleet.cores {
+			testFleet.start(core)
 		}
-		f.awaitSettled("restarted", settleTime)
-		f.checkClaims()
+		testFleet.awaitSettled("restarted", settleTime)
+		testFleet.checkClaims()
 	}
 }
 
@@ -708,167 +708,167 @@
 		"in a joint group":             func(f *fleet) bool { joining, _ := f.inJointGroup(); return joining != nil },
 	}
 	for _, name := range []string{"during the snapshot transfer", "in a joint group"} {
-		f := newFleet(t, 3, 5)
-		joining := f.addCore("fresh")
-		f.start(joining)
-		f.waitUntil(name, func() bool { return stages[name](f) })
-		f.losePermanently(joining)
-		f.awaitSettled(name+", core lost", f.params.SilenceTimeout+settleTime)
-		f.checkClaims()
-		f.start(f.addCore("next"))
-		f.awaitSettled(name+", another core added", settleTime)
-		f.checkClaims()
-
-		f = newFleet(t, 3, 5)
-		joining = f.addCore("fresh")
-		f.start(joining)
-		f.waitUntil(name, func() bool { return stages[name](f) })
-		f.kill(joining)
-		f.wipe(joining)
-		f.advance(100 * time.Millisecond)
-		f.start(joining)
-		f.awaitSettled(name+", core restarted with an empty disk", settleTime)
-		f.checkClaims()
+		testFleet := newFleet(t, 3, 5)
+		joining := testFleet.addCore("fresh")
+		testFleet.start(joining)
+		testFleet.waitUntil(name, func() bool { return stages[name](testFleet) })
+		testFleet.losePermanently(joining)
+		testFleet.awaitSettled(name+", core lost", testFleet.params.SilenceTimeout+settleTime)
+		testFleet.checkClaims()
+		testFleet.start(testFleet.addCore("next"))
+		testFleet.awaitSettled(name+", another core added", settleTime)
+		testFleet.checkClaims()
+
+		testFleet = newFleet(t, 3, 5)
+		joining = testFleet.addCore("fresh")
+		testFleet.start(joining)
+		testFleet.waitUntil(name, func() bool { return stages[name](testFleet) })
+		testFleet.kill(joining)
+		testFleet.wipe(joining)
+		testFleet.advance(100 * time.Millisecond)
+		testFleet.start(joining)
+		testFleet.awaitSettled(name+", core restarted with an empty disk", settleTime)
+		testFleet.checkClaims()
 	}
 }
 
 // A new member that the leader can't reach must not block other changes of the group.
 func TestUnreachableJoiningCoreIsAbandoned(t *testing.T) {
-	f := newFleet(t, 3, 4)
-	core := f.addCore("fresh")
-	f.drop = func(from, to string, body any) bool {
+	testFleet := newFleet(t, 3, 4)
+	core := testFleet.addCore("fresh")
+	testFleet.drop = func(from, to string, body any) bool {
 		_, p := body.(ReplicaMessage)
 		return p && (from == core.address || to == core.address)
 	}
-	f.start(core)
-	f.advance(8 * time.Second)
-	f.checkClaims()
-	f.drop = nil
-	f.awaitSettled("reachable again", 2*settleTime)
-	f.checkClaims()
+	testFleet.start(core)
+	testFleet.advance(8 * time.Second)
+	testFleet.checkClaims()
+	testFleet.drop = nil
+	testFleet.awaitSettled("reachable again", 2*settleTime)
+	testFleet.checkClaims()
 }
 
 func TestLeaderFailsDuringChange(t *testing.T) {
 	for _, stage := range []string{"during the snapshot transfer", "in a joint group"} {
-		f := newFleet(t, 3, 5)
-		joining := f.addCore("fresh")
-		f.start(joining)
+		testFleet := newFleet(t, 3, 5)
+		joining := testFleet.addCore("fresh")
+		testFleet.start(joining)
 		var leader *testCore
-		f.waitUntil(stage, func() bool {
-			if leader, _ = f.inJointGroup(); stage != "in a joint group" {
-				leader, _ = f.adding("fresh")
+		testFleet.waitUntil(stage, func() bool {
+			if leader, _ = testFleet.inJointGroup(); stage != "in a joint group" {
+				leader, _ = testFleet.adding("fresh")
 			}
 			return leader != nil && leader != joining
 		})
-		f.kill(leader)
-		f.advance(time.Second)
-		f.start(leader)
-		f.awaitSettled(stage+", leader restarted", settleTime)
-		f.checkClaims()
-
-		f = newFleet(t, 3, 5)
-		joining = f.addCore("fresh")
-		f.start(joining)
-		f.waitUntil(stage, func() bool {
-			if leader, _ = f.inJointGroup(); stage != "in a joint group" {
-				leader, _ = f.adding("fresh")
+		testFleet.kill(leader)
+		testFleet.advance(time.Second)
+		testFleet.start(leader)
+		testFleet.awaitSettled(stage+", leader restarted", settleTime)
+		testFleet.checkClaims()
+
+		testFleet = newFleet(t, 3, 5)
+		joining = testFleet.addCore("fresh")
+		testFleet.start(joining)
+		testFleet.waitUntil(stage, func() bool {
+			if leader, _ = testFleet.inJointGroup(); stage != "in a joint group" {
+				leader, _ = testFleet.adding("fresh")
 			}
 			return leader != nil && leader != joining
 		})
-		f.kill(leader)
-		f.wipe(leader)
-		f.start(leader)
-		f.awaitSettled(stage+", leader restarted with an empty disk", settleTime)
-		f.checkClaims()
+		testFleet.kill(leader)
+		testFleet.wipe(leader)
+		testFleet.start(leader)
+		testFleet.awaitSettled(stage+", leader restarted with an empty disk", settleTime)
+		testFleet.checkClaims()
 	}
 }
 
 func TestFrozenCoreResumes(t *testing.T) {
-	f := newFleet(t, 3, 5)
-	core := f.cores[1]
+	testFleet := newFleet(t, 3, 5)
+	core := testFleet.cores[1]
 	core.frozen = true
-	f.advance(f.params.SilenceTimeout + f.params.SilenceTimeout/2)
-	f.awaitSettled("without the frozen core", settleTime)
-	f.checkClaims()
-	f.resume(core)
-	f.awaitSettled("with the resumed core", settleTime)
-	f.checkClaims()
-	f.advance(time.Second)
-	before := f.epochSum()
-	f.advance(8 * time.Second)
-	if after := f.epochSum(); after != before {
+	testFleet.advance(testFleet.params.SilenceTimeout + testFleet.params.SilenceTimeout/2)
+	testFleet.awaitSettled("without the frozen core", settleTime)
+	testFleet.checkClaims()
+	testFleet.resume(core)
+	testFleet.awaitSettled("with the resumed core", settleTime)
+	testFleet.checkClaims()
+	testFleet.advance(time.Second)
+	before := testFleet.epochSum()
+	testFleet.advance(8 * time.Second)
+	if after := testFleet.epochSum(); after != before {
 		t.Errorf("%d group changes after the fleet settled", after-before)
 	}
 	core.frozen = true
-	f.advance(f.params.SilenceTimeout / 2)
-	f.resume(core)
-	f.advance(3 * time.Second)
-	if after := f.epochSum(); after != before {
+	testFleet.advance(testFleet.params.SilenceTimeout / 2)
+	testFleet.resume(core)
+	testFleet.advance(3 * time.Second)
+	if after := testFleet.epochSum(); after != before {
 		t.Errorf("%d group changes because of a short freeze", after-before)
 	}
-	f.checkClaims()
+	testFleet.checkClaims()
 }
 
 func TestSilentCoreKeepsReplicasWithoutSubstitute(t *testing.T) {
-	f := newFleet(t, 3, 3)
-	before := f.epochSum()
-	f.kill(f.cores[2])
-	f.advance(3 * f.params.SilenceTimeout)
-	if after := f.epochSum(); after != before {
+	testFleet := newFleet(t, 3, 3)
+	before := testFleet.epochSum()
+	testFleet.kill(testFleet.cores[2])
+	testFleet.advance(3 * testFleet.params.SilenceTimeout)
+	if after := testFleet.epochSum(); after != before {
 		t.Errorf("%d group changes", after-before)
 	}
-	f.start(f.cores[2])
-	f.awaitSettled("restarted with its disk", settleTime)
-	f.checkClaims()
+	testFleet.start(testFleet.cores[2])
+	testFleet.awaitSettled("restarted with its disk", settleTime)
+	testFleet.checkClaims()
 }
 
 func TestCoreRestartsAtAnotherAddress(t *testing.T) {
-	f := newFleet(t, 3, 3)
-	f.kill(f.cores[2])
-	f.cores[2].address = "elsewhere"
-	f.advance(300 * time.Millisecond)
-	f.start(f.cores[2])
-	f.awaitSettled("elsewhere", settleTime)
-	f.losePermanently(f.cores[0])
-	f.advance(2 * time.Second)
-	f.checkClaims()
+	testFleet := newFleet(t, 3, 3)
+	testFleet.kill(testFleet.cores[2])
+	testFleet.cores[2].address = "elsewhere"
+	testFleet.advance(300 * time.Millisecond)
+	testFleet.start(testFleet.cores[2])
+	testFleet.awaitSettled("elsewhere", settleTime)
+	testFleet.losePermanently(testFleet.cores[0])
+	testFleet.advance(2 * time.Second)
+	testFleet.checkClaims()
 }
 
 // An earlier incarnation that still runs must not displace its successor.
 func TestSupersededCoreIsIgnored(t *testing.T) {
-	f := newFleet(t, 3, 4)
-	old := f.cores[3]
+	testFleet := newFleet(t, 3, 4)
+	old := testFleet.cores[3]
 	old.frozen = true
-	core := f.addCore(old.id)
-	f.start(core)
-	f.awaitSettled("superseded", settleTime)
-	f.resume(old)
-	f.advance(4 * time.Second)
+	core := testFleet.addCore(old.id)
+	testFleet.start(core)
+	testFleet.awaitSettled("superseded", settleTime)
+	testFleet.resume(old)
+	testFleet.advance(4 * time.Second)
 	old.frozen = true
-	f.awaitSettled("the former incarnation resumed", settleTime)
-	f.kill(old)
+	testFleet.awaitSettled("the former incarnation resumed", settleTime)
+	testFleet.kill(old)
 	old.address = "elsewhere"
-	f.start(old)
-	for end := f.now + 6*time.Second; f.now < end; f.step() {
-		for _, other := range f.cores {
+	testFleet.start(old)
+	for end := testFleet.now + 6*time.Second; testFleet.now < end; testFleet.step() {
+		for _, other := range testFleet.cores {
 			if got := other.m.Topology().Cores[old.id]; other != old && got.Incarnation != core.stored.Incarnation {
-				t.Fatalf("%v: %s takes %v for the current incarnation", f.now, other.id, got)
+				t.Fatalf("%v: %s takes %v for the current incarnation", testFleet.now, other.id, got)
 			}
 		}
 	}
 	old.frozen = true
-	f.awaitSettled("the former incarnation restarted", settleTime)
+	testFleet.awaitSettled("the former incarnation restarted", settleTime)
 	for n := 0; n < testPartitions; n++ {
-		if _, g, ok := f.leader(n); ok && g.Has(old.m.Self().MemberID()) {
+		if _, g, ok := testFleet.leader(n); ok && g.Has(old.m.Self().MemberID()) {
 			t.Errorf("partition %d: %+v", n, g)
 		}
 	}
-	f.checkClaims()
+	testFleet.checkClaims()
 }
 
 // Later entries must not revive retired cores and superseded incarnations.
 func TestRetiredCoresStayRetired(t *testing.T) {
-	a := newSingleCore(t)
+	single := newSingleCore(t)
 	x := Core{ID: "x", Incarnation: "1", Version: 1}
 	for _, step := range []struct {
 		command, want any
@@ -885,53 +885,53 @@
 		{PutCore{Core: Core{ID: "x", Incarnation: "2", Version: 9}}, PutCoreRejected{Core: Core{ID: "x", Incarnation: "2", Version: 3, Retired: true}}},
 		{PutCore{Core: Core{ID: "x", Incarnation: "3", Version: 9}}, PutCoreRejected{Core: Core{ID: "x", Incarnation: "2", Version: 3, Retired: true}}},
 	} {
-		if got := a.run(step.command); got != step.want {
+		if got := single.run(step.command); got != step.want {
 			t.Errorf("%+v: %+v", step.command, got)
 		}
 	}
-	a.m.mergeCore(Core{ID: "z", Incarnation: "1", Version: 2, Retired: true})
-	a.m.mergeCore(Core{ID: "z", Incarnation: "1", Version: 3})
-	if !a.m.Topology().Cores["z"].Retired {
+	single.m.mergeCore(Core{ID: "z", Incarnation: "1", Version: 2, Retired: true})
+	single.m.mergeCore(Core{ID: "z", Incarnation: "1", Version: 3})
+	if !single.m.Topology().Cores["z"].Retired {
 		t.Error("a later entry revived a retired core")
 	}
-	a.m.mergeCore(Core{ID: "w", Incarnation: "1", Version: 3})
-	a.m.mergeCore(Core{ID: "w", Incarnation: "1", Version: 2, Retired: true})
-	if !a.m.Topology().Cores["w"].Retired {
+	single.m.mergeCore(Core{ID: "w", Incarnation: "1", Version: 3})
+	single.m.mergeCore(Core{ID: "w", Incarnation: "1", Version: 2, Retired: true})
+	if !single.m.Topology().Cores["w"].Retired {
 		t.Error("a retirement with a lower version was lost")
 	}
 }
 
 // Cores without a fleet must accept only a founding that names them.
 func TestColdStart(t *testing.T) {
-	f := &fleet{t: t, size: 3, random: rand.New(rand.NewPCG(1, 1)), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
+	testFleet := &fleet{t: t, size: 3, random: rand.New(rand.NewPCG(1, 1)), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
 		params: Params{Partition: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40}, MemberLease: 2 * time.Second, AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}}
 	var founders []Core
 	for i := 0; i < 4; i++ {
-		core := f.addCore(fmt.Sprintf("c%d", i+1))
+		core := testFleet.addCore(fmt.Sprintf("c%d", i+1))
 		core.cold = i != 3
-		f.start(core)
+		testFleet.start(core)
 		founders = append(founders, core.m.Self())
 	}
-	f.advance(time.Second)
-	if f.kinds["core.AnnounceCore"] < 20 {
-		t.Errorf("cores without a fleet sent %d announcements in a second", f.kinds["core.AnnounceCore"])
+	testFleet.advance(time.Second)
+	if testFleet.kinds["core.AnnounceCore"] < 20 {
+		t.Errorf("cores without a fleet sent %d announcements in a second", testFleet.kinds["core.AnnounceCore"])
 	}
 	plan := PlanFleet("f", testPartitions, 3, founders[:3])
-	for _, core := range []*testCore{f.cores[3], f.cores[0]} {
+	for _, core := range []*testCore{testFleet.cores[3], testFleet.cores[0]} {
 		other := plan
 		other.Cores = map[string]Core{"c1": {ID: "c1", Incarnation: "of old"}, "c4": founders[3]}
-		f.handle(core, core.m.Receive(f.now, "desk", FoundFleet{Founding: other}))
+		testFleet.handle(core, core.m.Receive(testFleet.now, "desk", FoundFleet{Founding: other}))
 		if core.m.Founded() {
 			t.Errorf("%s joined a fleet whose founding does not name it", core.id)
 		}
 	}
 	// One core misses the founding message and gets it in answer to its announcement.
-	f.drop = func(from, to string, body any) bool { _, ok := body.(FoundFleet); return ok && to == "a2" }
-	f.handle(f.cores[0], f.cores[0].m.Receive(f.now, "desk", FoundFleet{Founding: plan}))
-	f.advance(500 * time.Millisecond)
-	f.drop = nil
-	f.awaitSettled("founded and joined by a fourth core", settleTime)
-	for _, core := range f.cores {
+	testFleet.drop = func(from, to string, body any) bool { _, ok := body.(FoundFleet); return ok && to == "a2" }
+	testFleet.handle(testFleet.cores[0], testFleet.cores[0].m.Receive(testFleet.now, "desk", FoundFleet{Founding: plan}))
+	testFleet.advance(500 * time.Millisecond)
+	testFleet.drop = nil
+	testFleet.awaitSettled("founded and joined by a fourth core", settleTime)
+	for _, core := range testFleet.cores {
 		if got := core.m.Topology().GroupSize; got != 3 {
 			t.Errorf("%s: groups of %d", core.id, got)
 		}
@@ -939,14 +939,14 @@
 }
 
 func TestGossipAtRest(t *testing.T) {
-	f := newFleet(t, 3, 5)
-	f.advance(3 * time.Second)
-	clear(f.kinds)
-	f.advance(10 * time.Second)
-	if got, most := f.kinds["core.Topology"], 5*4*(20+2); got > most {
+	testFleet := newFleet(t, 3, 5)
+	testFleet.advance(3 * time.Second)
+	clear(testFleet.kinds)
+	testFleet.advance(10 * time.Second)
+	if got, most := testFleet.kinds["core.Topology"], 5*4*(20+2); got > most {
 		t.Errorf("%d topologies sent in ten seconds, want at most %d", got, most)
 	}
-	t.Log(f.kinds)
+	t.Log(testFleet.kinds)
 }
 
 // Placements must not depend on the order of the cores and must change little when one is added.
--- a/peer/core/messages.go
+++ b/peer/core/messages.go
@@ -410,7 +410,7 @@
 // UpdatePrefixes are the key prefixes of entries that nodes pull.
 var UpdatePrefixes = []string{configurationKey, breakerSummaryKey, memberPrefix, corePrefix, TableKey}
 
-// PartitionOf returns the partition of a key: the configuration has its own, other keys are
+// PartitionOf returns the partition of a key. The configuration has its own; other keys are
 // distributed by hash.
 func PartitionOf(partitions int, segments ...string) int {
 	if segments[0] == configurationKey || partitions < 2 {
--- a/peer/core/messages_samples.go
+++ b/peer/core/messages_samples.go
@@ -5,7 +5,7 @@
 )
 
 type (
-	// ReadSamples requests a node's recent requests for a replay.
+	// ReadSamples requests a node's recent requests.
 	ReadSamples struct {
 		ID uint64 `msgpack:"ID"`
 	}
--- a/peer/core/orders.go
+++ b/peer/core/orders.go
@@ -10,8 +10,8 @@
 
 // An order is an operator's request to put a routing table or a configuration in force. An operator
 // that got no answer repeats it, to any core or registry, possibly after hundreds of others. Each
-// accepted order therefore has a record by which a repetition is acknowledged. Records are separate
-// entries, so that an order rewrites none of the earlier ones.
+// accepted order has a record by which a repetition is acknowledged. Records are separate entries,
+// so that an order rewrites no earlier ones.
 
 const (
 	acceptedPrefix = "accepted/"
@@ -62,19 +62,19 @@
 	}
 }
 
-func (r *rules) acceptTable(tx *partition.Tx, c AcceptTable) any {
-	order := orderID{kind: tableOrder, base: c.Base, number: c.Number, digest: c.Digest}
+func (r *rules) acceptTable(tx *partition.Tx, command AcceptTable) any {
+	order := orderID{kind: tableOrder, base: command.Base, number: command.Number, digest: command.Digest}
 	current, _ := read[CurrentTable](tx, TableKey)
 	past := current.past()
 	if wasAccepted(tx, order, past) {
-		return AcceptTableResult{OK: true, Number: c.Number}
+		return AcceptTableResult{OK: true, Number: command.Number}
 	}
-	if current.Number != c.Base || c.Number <= current.Number {
+	if current.Number != command.Base || command.Number <= current.Number {
 		return AcceptTableResult{Number: current.Number}
 	}
 	r.recordAccepted(tx, append(past, order)...)
-	write(tx, TableKey, CurrentTable{Number: c.Number, Text: c.Text, Digest: c.Digest})
-	return AcceptTableResult{OK: true, Number: c.Number}
+	write(tx, TableKey, CurrentTable{Number: command.Number, Text: command.Text, Digest: command.Digest})
+	return AcceptTableResult{OK: true, Number: command.Number}
 }
 
 func findOrder(tx *partition.Tx, c FindOrder) AcceptTableResult {
@@ -95,18 +95,18 @@
 }
 
 // acceptConfiguration puts a configuration in force if it builds on the current one.
-func (r *rules) acceptConfiguration(tx *partition.Tx, c AcceptConfiguration) any {
-	order := orderID{kind: configurationOrder, base: c.BasedOn, number: c.BasedOn + 1, digest: c.Digest}
+func (r *rules) acceptConfiguration(tx *partition.Tx, command AcceptConfiguration) any {
+	order := orderID{kind: configurationOrder, base: command.BasedOn, number: command.BasedOn + 1, digest: command.Digest}
 	current, _ := read[CurrentConfiguration](tx, configurationKey)
 	past := current.past()
 	if wasAccepted(tx, order, past) {
 		return AcceptConfigurationResult{Accepted: true, Version: order.number}
 	}
-	if current.Version != c.BasedOn {
+	if current.Version != command.BasedOn {
 		return AcceptConfigurationResult{Version: current.Version}
 	}
 	r.recordAccepted(tx, append(past, order)...)
-	write(tx, configurationKey, CurrentConfiguration{Version: order.number, Text: c.Text, Digest: c.Digest})
+	write(tx, configurationKey, CurrentConfiguration{Version: order.number, Text: command.Text, Digest: command.Digest})
 	return AcceptConfigurationResult{Accepted: true, Version: order.number}
 }
 
--- a/peer/core/placement.go
+++ b/peer/core/placement.go
@@ -11,10 +11,10 @@
 	"saffronfall/rule/partition"
 )
 
-// Place returns the members that each partition's group should have. Groups and homes (first
-// members) are spread over zones and cores as evenly as possible. The result depends only on the
-// set of cores, and changes little when one is added or removed (rendezvous hashing, then
-// balancing). Retired cores get no replicas, and silent ones only if there are too few others.
+// Place returns the members that each partition's group should have, spread evenly over zones and
+// cores, as are homes (first members). The result depends only on the set of cores, and changes
+// little when one is added or removed (rendezvous hashing, then balancing). Retired cores get no
+// replicas, and silent ones only if there are too few others.
 func Place(partitions, size int, cores []Core, silent map[string]bool) [][]string {
 	var present, absent []Core
 	for _, c := range cores {
@@ -44,8 +44,8 @@
 	return x ^ x>>31
 }
 
-// assignMembers adds count members to each group by zone and weight. It then moves members to less
-// loaded cores while that keeps the zones as balanced.
+// assignMembers adds members by zone and weight, then moves them to less loaded cores while that
+// keeps the zones as balanced.
 func assignMembers(partitions, count int, cores []Core, groupsBefore [][]string) [][]string {
 	groups := make([][]string, partitions)
 	zoneCounts := make([]map[string]int, partitions)
@@ -163,20 +163,34 @@
 	return groups
 }
 
+const (
+	// defaultSilenceLeases is the default silence timeout in member leases.
+	defaultSilenceLeases = 3
+	// A core sends at least this many heartbeats.
+	heartbeatsPerLease          = 4
+	heartbeatsPerSilenceTimeout = 8
+	// recentHeartbeats is in heartbeat intervals.
+	recentHeartbeats = 3
+	// recoveryDivisor divides the silence timeout, or the member lease if shorter.
+	recoveryDivisor = 4
+	// pauseDivisor divides the silence timeout; longer pauses are detected.
+	pauseDivisor = 4
+)
+
 func (m *Machine) silenceTimeout() time.Duration {
 	if m.params.SilenceTimeout > 0 {
 		return m.params.SilenceTimeout
 	}
-	return 3 * m.params.MemberLease
+	return defaultSilenceLeases * m.params.MemberLease
 }
 
 func (m *Machine) heartbeatInterval() time.Duration {
-	return min(m.params.MemberLease/4, m.silenceTimeout()/8)
+	return min(m.params.MemberLease/heartbeatsPerLease, m.silenceTimeout()/heartbeatsPerSilenceTimeout)
 }
 
 // recoveryTime is how long a silent core must be heard again before it no longer counts as silent.
 func (m *Machine) recoveryTime() time.Duration {
-	return min(m.params.MemberLease, m.silenceTimeout()) / 4
+	return min(m.params.MemberLease, m.silenceTimeout()) / recoveryDivisor
 }
 
 // contact has the times of a core's last message, and of the first one after its last silence.
@@ -191,17 +205,16 @@
 	m.contacts[member] = c
 }
 
-// detectPause restarts the observation of silence after a pause of this core, because it received
-// no messages in that time.
+// detectPause restarts the observation of silence after a pause of this core, which received no
+// messages in that time.
 func (m *Machine) detectPause(now time.Duration) {
-	if now-m.activeAt > m.silenceTimeout()/4 {
+	if now-m.activeAt > m.silenceTimeout()/pauseDivisor {
 		m.observedSince = now
 	}
 	m.activeAt = now
 }
 
-// silent reports whether no message of a member arrived for the silence timeout, or the member has
-// not yet recovered from such a silence.
+// silent also reports a member that has not yet recovered from a silence.
 func (m *Machine) silent(now time.Duration, member string) bool {
 	if member == m.self.MemberID() {
 		return false
@@ -222,7 +235,7 @@
 
 func (m *Machine) hasRecentContact(now time.Duration, member string) bool {
 	c, ok := m.contacts[member]
-	return member == m.self.MemberID() || (ok && now-c.last < 3*m.heartbeatInterval())
+	return member == m.self.MemberID() || (ok && now-c.last < recentHeartbeats*m.heartbeatInterval())
 }
 
 // Reasons for removing a member from a group, the most urgent first.
@@ -265,23 +278,23 @@
 // rebalance moves the groups that this core leads towards the desired ones, one change at a time.
 func (m *Machine) rebalance(now time.Duration) {
 	for n := 0; n < m.founding.Partitions; n++ {
-		p := m.partitions[n]
-		if p == nil {
+		replica := m.partitions[n]
+		if replica == nil {
 			continue
 		}
-		if _, ok := p.LeadingTerm(now); !ok {
+		if _, ok := replica.LeadingTerm(now); !ok {
 			continue
 		}
-		if adding, changing := p.ChangeInProgress(); changing {
+		if adding, changing := replica.ChangeInProgress(); changing {
 			if adding != "" && (!m.hasRecentContact(now, adding) || m.removalUrgency(now, adding, nil) < memberSilent) {
-				m.handleOutput(now, n, p.AbortChange(now))
+				m.handleOutput(now, n, replica.AbortChange(now))
 			}
 			continue
 		}
 		if now < m.nextChangeAt[n] || m.draining || m.stalled {
 			continue
 		}
-		committed, _ := p.CommittedGroup()
+		committed, _ := replica.CommittedGroup()
 		group, wanted := committed.Members, m.desiredGroups(now)[n]
 		add, remove := m.nextChange(now, group, wanted)
 		switch {
@@ -291,10 +304,10 @@
 					m.nextChangeAt[n] = now + m.params.Partition.LeaseDuration
 				}
 			}})
-			m.handleOutput(now, n, p.ChangeMembers(now, uint64(ticket), add, remove))
+			m.handleOutput(now, n, replica.ChangeMembers(now, uint64(ticket), add, remove))
 		case len(wanted) > 0 && wanted[0] != group[0] && slices.Contains(group, wanted[0]) && m.hasRecentContact(now, wanted[0]):
 			i := slices.Index(group, wanted[0])
-			m.handleOutput(now, n, p.ReorderMembers(now, append([]string{wanted[0]}, slices.Delete(slices.Clone(group), i, i+1)...)))
+			m.handleOutput(now, n, replica.ReorderMembers(now, append([]string{wanted[0]}, slices.Delete(slices.Clone(group), i, i+1)...)))
 		}
 	}
 }
--- a/peer/core/rules.go
+++ b/peer/core/rules.go
@@ -14,8 +14,8 @@
 // UnitsPerRequest is how many units of a tenant's rate one request uses.
 const UnitsPerRequest = 16
 
-// IdleWeight is the demand, in requests, of a node without requests of a tenant. It makes the node
-// hold a share of the rate in advance.
+// IdleWeight is the demand, in requests, of a node without requests of a tenant, so that it holds a
+// share of the rate in advance.
 const IdleWeight = 32
 
 // Params set the control plane's timing; other durations are ratios of these.
@@ -42,7 +42,7 @@
 	// cores that are not retired.
 	fleet func() (map[string]Core, int)
 	// renewedAt is when each member's lease was last renewed, by the leader's clock; memberVersions
-	// is the configuration version that it followed then.
+	// is the version that it followed then.
 	renewedAt      map[string]time.Duration
 	memberVersions map[string]uint64
 	electedAt      time.Duration
@@ -96,24 +96,24 @@
 		return MembershipResult{Ended: true}
 	case OpenUser:
 		key := userPrefix + c.Tenant + "/" + c.User
-		u, ok := read[program.User](tx, key)
+		user, ok := read[program.User](tx, key)
 		if !ok {
-			u = program.NewUser()
+			user = program.NewUser()
 		}
-		v := u.OpenSession(tx.Clock(), c.Program, c.Role, c.WarnRatio)
-		write(tx, key, u)
+		v := user.OpenSession(tx.Clock(), c.Program, c.Role, c.WarnRatio)
+		write(tx, key, user)
 		return v
 	case ChargeUser:
 		key := userPrefix + c.Tenant + "/" + c.User
-		u, ok := read[program.User](tx, key)
+		user, ok := read[program.User](tx, key)
 		if !ok {
-			u = program.NewUser()
+			user = program.NewUser()
 		}
-		tokens := u.ChargeSession(tx.Clock(), c.Program, c.Charged, c.Covered)
+		tokens := user.ChargeSession(tx.Clock(), c.Program, c.Charged, c.Covered)
 		if c.Closed {
-			u.CloseSession(c.Program)
+			user.CloseSession(c.Program)
 		}
-		write(tx, key, u)
+		write(tx, key, user)
 		return ChargeUserResult{Tokens: tokens}
 	case OpenProgram:
 		return r.openProgram(tx, c)
@@ -123,23 +123,23 @@
 		return r.saveProgram(tx, c)
 	case HandOverProgram:
 		key := programPrefix + c.Tenant + "/" + c.ID
-		p, ok := read[program.Record](tx, key)
-		if !ok || p.Fence != c.Fence {
+		record, ok := read[program.Record](tx, key)
+		if !ok || record.Fence != c.Fence {
 			return ProgramResult{Found: ok, Fenced: true}
 		}
-		p.Fence++
-		p.Node, p.Incarnation, p.Address = c.Node, c.Incarnation, c.Address
-		p.ChargeRunning()
+		record.Fence++
+		record.Node, record.Incarnation, record.Address = c.Node, c.Incarnation, c.Address
+		record.ChargeRunning()
 		// The owner saved all changes before the handover, so no mirror is needed.
-		p.Precharged, p.Mirrors, p.MirrorsFence = 0, nil, 0
-		write(tx, key, p)
+		record.Precharged, record.Mirrors, record.MirrorsFence = 0, nil, 0
+		write(tx, key, record)
 		return ProgramResult{Found: true}
 	case DrawAllowance:
 		return r.drawAllowance(tx, c)
 	case DrawAllowances:
 		var all DrawResults
-		for _, one := range c.Draws {
-			all.Results = append(all.Results, r.drawAllowance(tx, one).(DrawResult))
+		for _, draw := range c.Draws {
+			all.Results = append(all.Results, r.drawAllowance(tx, draw).(DrawResult))
 		}
 		return all
 	case DrawBreaker:
--- a/peer/core/rules_breaker.go
+++ b/peer/core/rules_breaker.go
@@ -14,22 +14,27 @@
 }
 
 // loadBreaker returns two independent copies of the breaker: one to change, one to compare with.
-func (r *rules) loadBreaker(tx *partition.Tx) (b, before breaker.Breaker) {
-	b, ok := read[breaker.Breaker](tx, breakerStateKey)
+func (r *rules) loadBreaker(tx *partition.Tx) (current, before breaker.Breaker) {
+	current, ok := read[breaker.Breaker](tx, breakerStateKey)
 	if !ok {
-		b = breaker.New()
+		current = breaker.New()
 	}
 	before, _ = read[breaker.Breaker](tx, breakerStateKey)
-	return b, before
+	return current, before
 }
 
-// saveBreaker stores a changed breaker, and its summary if the state or trip count changed.
-func (r *rules) saveBreaker(tx *partition.Tx, b, before breaker.Breaker) {
-	if !reflect.DeepEqual(b, before) {
-		write(tx, breakerStateKey, b)
+func (r *rules) saveBreaker(tx *partition.Tx, current, before breaker.Breaker) {
+	if !reflect.DeepEqual(current, before) {
+		write(tx, breakerStateKey, current)
 	}
 	old, _ := read[BreakerSummary](tx, breakerSummaryKey)
-	summary := BreakerSummary{State: string(b.State), Trips: b.Trips, Since: b.Since, Reason: b.Reason, Clock: tx.Clock()}
+	summary := BreakerSummary{
+		State:  string(current.State),
+		Trips:  current.Trips,
+		Since:  current.Since,
+		Reason: current.Reason,
+		Clock:  tx.Clock(),
+	}
 	if old.State != summary.State || old.Trips != summary.Trips {
 		write(tx, breakerSummaryKey, summary)
 	}
@@ -45,23 +50,23 @@
 	Reason string        `msgpack:"r"`
 }
 
-func (r *rules) drawBreaker(tx *partition.Tx, c DrawBreaker) any {
-	b, before := r.loadBreaker(tx)
+func (r *rules) drawBreaker(tx *partition.Tx, command DrawBreaker) any {
+	current, before := r.loadBreaker(tx)
 	clock := tx.Clock()
-	for _, holder := range c.Ended {
-		b.Ledger.CloseAccount(clock, holder)
+	for _, holder := range command.Ended {
+		current.Ledger.CloseAccount(clock, holder)
 	}
-	if !b.Ledger.Report(clock, c.Holder, c.Spent, c.Returned) {
+	if !current.Ledger.Report(clock, command.Holder, command.Spent, command.Returned) {
 		return DrawResult{}
 	}
-	params := c.Limits.params()
-	b.Advance(clock, params)
-	granted := b.Draw(clock, c.Holder, c.Target, c.Need, params)
-	r.saveBreaker(tx, b, before)
+	params := command.Limits.params()
+	current.Advance(clock, params)
+	granted := current.Draw(clock, command.Holder, command.Target, command.Need, params)
+	r.saveBreaker(tx, current, before)
 	return DrawResult{
 		Granted:   granted,
-		Open:      b.State == breaker.Open,
-		Remaining: b.RecoveryLeft(clock, params),
-		Holders:   ordered.Keys(b.Ledger.Holders),
+		Open:      current.State == breaker.Open,
+		Remaining: current.RecoveryLeft(clock, params),
+		Holders:   ordered.Keys(current.Ledger.Holders),
 	}
 }
--- a/peer/core/rules_cores.go
+++ b/peer/core/rules_cores.go
@@ -4,37 +4,37 @@
 	"saffronfall/rule/partition"
 )
 
-// putCore writes a core's entry if its version is newer. From then on it rejects the replaced
-// incarnation, and any change that would undo a retirement.
-func putCore(tx *partition.Tx, c PutCore) any {
-	old, ok := read[Core](tx, corePrefix+c.Core.ID)
-	_, superseded := tx.Get(supersededPrefix + c.Core.MemberID())
+// putCore writes a newer entry. From then on it rejects the replaced incarnation, and any change
+// that would undo a retirement.
+func putCore(tx *partition.Tx, command PutCore) any {
+	old, ok := read[Core](tx, corePrefix+command.Core.ID)
+	_, superseded := tx.Get(supersededPrefix + command.Core.MemberID())
 	switch {
-	case superseded, ok && old.Retired && !c.Core.Retired:
+	case superseded, ok && old.Retired && !command.Core.Retired:
 		return PutCoreRejected{Core: old}
-	case ok && old == c.Core:
+	case ok && old == command.Core:
 		return Done{OK: true}
-	case ok && old.Version >= c.Core.Version:
+	case ok && old.Version >= command.Core.Version:
 		return Done{}
 	}
-	if ok && old.Incarnation != c.Core.Incarnation {
+	if ok && old.Incarnation != command.Core.Incarnation {
 		write(tx, supersededPrefix+old.MemberID(), true)
 	}
-	write(tx, corePrefix+c.Core.ID, c.Core)
+	write(tx, corePrefix+command.Core.ID, command.Core)
 	return Done{OK: true}
 }
 
-func (r *rules) retireCore(tx *partition.Tx, c RetireCore) any {
+func (r *rules) retireCore(tx *partition.Tx, command RetireCore) any {
 	cores, enough := r.fleet()
 	for _, key := range tx.Keys(corePrefix) {
 		if core, _ := read[Core](tx, key); cores[core.ID].Version <= core.Version {
 			cores[core.ID] = core
 		}
 	}
-	core, ok := cores[c.ID]
+	core, ok := cores[command.ID]
 	remaining := 0
 	for _, other := range cores {
-		if !other.Retired && other.ID != c.ID {
+		if !other.Retired && other.ID != command.ID {
 			remaining++
 		}
 	}
@@ -47,7 +47,7 @@
 	default:
 		core.Retired = true
 		core.Version++
-		write(tx, corePrefix+c.ID, core)
+		write(tx, corePrefix+command.ID, core)
 	}
 	return RetireCoreResult{Found: true, EnoughRemain: true, Done: true}
 }
--- a/peer/core/rules_members.go
+++ b/peer/core/rules_members.go
@@ -18,36 +18,36 @@
 	return time.Duration(float64(r.params.MemberLease) * (1 + r.params.Partition.Drift))
 }
 
-// join grants an incarnation's first lease. It waits while another incarnation may hold one, unless
-// the host proves that the earlier process has ended.
-func (r *rules) join(now time.Duration, tx *partition.Tx, c JoinMember) any {
-	key := memberPrefix + c.Member.ID
+// join makes an incarnation wait while another may hold a lease, unless the host proves that the
+// earlier process has ended.
+func (r *rules) join(now time.Duration, tx *partition.Tx, command JoinMember) any {
+	key := memberPrefix + command.Member.ID
 	floor, _ := read[uint64](tx, versionFloorKey)
-	m, ok := read[Member](tx, key)
+	member, ok := read[Member](tx, key)
 	switch {
-	case ok && m.HasEnded(c.Member.Incarnation):
+	case ok && member.HasEnded(command.Member.Incarnation):
 		return MembershipResult{Ended: true, Floor: floor}
-	case ok && m.Incarnation != c.Member.Incarnation && !m.Ended &&
-		(m.Host == "" || m.Host != c.Member.Host ||
-			ProcessIncarnation(m.Incarnation) == ProcessIncarnation(c.Member.Incarnation)):
+	case ok && member.Incarnation != command.Member.Incarnation && !member.Ended &&
+		(member.Host == "" || member.Host != command.Member.Host ||
+			ProcessIncarnation(member.Incarnation) == ProcessIncarnation(command.Member.Incarnation)):
 		if wait := r.renewedAt[key] + r.memberLease() - now; wait > 0 {
 			return MembershipResult{Wait: wait, Floor: floor}
 		}
 	}
-	if c.Member.Version < floor {
+	if command.Member.Version < floor {
 		return MembershipResult{Floor: floor}
 	}
-	if !ok || m.Incarnation != c.Member.Incarnation {
-		joined := c.Member
+	if !ok || member.Incarnation != command.Member.Incarnation {
+		joined := command.Member
 		if ok {
-			joined.PastIncarnations = append(m.PastIncarnations, m.Incarnation)
+			joined.PastIncarnations = append(member.PastIncarnations, member.Incarnation)
 			if n := len(joined.PastIncarnations); n > maxPastIncarnations {
 				joined.PastIncarnations = joined.PastIncarnations[n-maxPastIncarnations:]
 			}
 		}
 		write(tx, key, joined)
 	}
-	r.renewedAt[key], r.memberVersions[key] = now, c.Member.Version
+	r.renewedAt[key], r.memberVersions[key] = now, command.Member.Version
 	return MembershipResult{Granted: true, Floor: floor}
 }
 
@@ -59,29 +59,29 @@
 }
 
 // renew refuses leases that ended and members that follow a configuration below the floor.
-func (r *rules) renew(now time.Duration, tx *partition.Tx, c RenewMember) any {
-	key := memberPrefix + c.ID
+func (r *rules) renew(now time.Duration, tx *partition.Tx, command RenewMember) any {
+	key := memberPrefix + command.ID
 	floor, _ := read[uint64](tx, versionFloorKey)
 	m, ok := read[Member](tx, key)
-	if !ok || m.Incarnation != c.Incarnation || m.Ended {
+	if !ok || m.Incarnation != command.Incarnation || m.Ended {
 		return MembershipResult{Ended: true, Floor: floor}
 	}
-	if c.Version < floor {
+	if command.Version < floor {
 		return MembershipResult{Floor: floor}
 	}
-	r.renewedAt[key], r.memberVersions[key] = now, max(c.Version, r.memberVersions[key])
+	r.renewedAt[key], r.memberVersions[key] = now, max(command.Version, r.memberVersions[key])
 	return MembershipResult{Granted: true, Floor: floor}
 }
 
-func (r *rules) setVersionFloor(now time.Duration, tx *partition.Tx, c SetVersionFloor) any {
+func (r *rules) setVersionFloor(now time.Duration, tx *partition.Tx, command SetVersionFloor) any {
 	floor, _ := read[uint64](tx, versionFloorKey)
-	if floor < c.Version {
-		write(tx, versionFloorKey, c.Version)
+	if floor < command.Version {
+		write(tx, versionFloorKey, command.Version)
 	}
 	var answer VersionFloorResult
 	for _, key := range tx.Keys(memberPrefix) {
 		m, _ := read[Member](tx, key)
-		if !m.Ended && r.memberVersions[key] < c.Version {
+		if !m.Ended && r.memberVersions[key] < command.Version {
 			answer.Lagging = append(answer.Lagging, m.ID)
 		}
 	}
--- a/peer/core/rules_once.go
+++ b/peer/core/rules_once.go
@@ -4,29 +4,29 @@
 	"saffronfall/rule/partition"
 )
 
-// claimOnce stores a claim unless the key has one, and returns the stored claim.
+// claimOnce returns the stored claim, which is an earlier one if there is any.
 func (r *rules) claimOnce(tx *partition.Tx, c ClaimOnce) any {
 	key := oncePrefix + c.Tenant + "/" + c.Service + "/" + c.Key
-	o, ok := read[OnceRecord](tx, key)
+	record, ok := read[OnceRecord](tx, key)
 	if !ok {
-		o = OnceRecord{Claim: c.Claim, Digest: c.Digest, State: OnceIntent, Until: tx.Clock() + c.Retention}
-		write(tx, key, o)
+		record = OnceRecord{Claim: c.Claim, Digest: c.Digest, State: OnceIntent, Until: tx.Clock() + c.Retention}
+		write(tx, key, record)
 	}
-	return o
+	return record
 }
 
 // endOnce ends a claim if it is the stored one and has no outcome yet.
-func (r *rules) endOnce(tx *partition.Tx, c EndOnce) any {
-	key := oncePrefix + c.Tenant + "/" + c.Service + "/" + c.Key
-	o, ok := read[OnceRecord](tx, key)
-	if !ok || o.Claim != c.Claim || o.State != OnceIntent {
-		return o
+func (r *rules) endOnce(tx *partition.Tx, command EndOnce) any {
+	key := oncePrefix + command.Tenant + "/" + command.Service + "/" + command.Key
+	record, ok := read[OnceRecord](tx, key)
+	if !ok || record.Claim != command.Claim || record.State != OnceIntent {
+		return record
 	}
-	if c.State == OnceReleased {
+	if command.State == OnceReleased {
 		tx.Delete(key)
 		return OnceRecord{State: OnceReleased}
 	}
-	o.State, o.Status, o.Body = c.State, c.Status, c.Body
-	write(tx, key, o)
-	return o
+	record.State, record.Status, record.Body = command.State, command.Status, command.Body
+	write(tx, key, record)
+	return record
 }
--- a/peer/core/rules_programs.go
+++ b/peer/core/rules_programs.go
@@ -13,7 +13,6 @@
 	"saffronfall/rule/program"
 )
 
-// maxLockedUsers is per partition.
 const maxLockedUsers = 100
 
 func readLockedUsers(tx *partition.Tx) LockedUsers {
@@ -28,38 +27,42 @@
 	return list
 }
 
-func (r *rules) openProgram(tx *partition.Tx, c OpenProgram) any {
-	key := programPrefix + c.Record.Tenant + "/" + c.Record.ID
+func (r *rules) openProgram(tx *partition.Tx, command OpenProgram) any {
+	key := programPrefix + command.Record.Tenant + "/" + command.Record.ID
 	if p, ok := read[program.Record](tx, key); ok {
-		return ProgramResult{Found: true, Owned: p.Node == c.Record.Node && p.Incarnation == c.Record.Incarnation, Record: p, Clock: tx.Clock()}
+		return ProgramResult{
+			Found:  true,
+			Owned:  p.Node == command.Record.Node && p.Incarnation == command.Record.Incarnation,
+			Record: p,
+			Clock:  tx.Clock(),
+		}
 	}
-	p := c.Record
+	p := command.Record
 	p.Fence, p.OpenedAt, p.LastActive = 1, tx.Clock(), tx.Clock()
 	write(tx, key, p)
 	return ProgramResult{Found: true, Owned: true, Record: p, Clock: tx.Clock()}
 }
 
-// claimProgram makes a node the owner of a program if the former owner has ended. It raises the
-// fence, so that late writes of the former owner are rejected.
-func (r *rules) claimProgram(tx *partition.Tx, c ClaimProgram) any {
-	key := programPrefix + c.Tenant + "/" + c.ID
-	p, ok := read[program.Record](tx, key)
+// claimProgram raises the fence, so that late writes of the former owner are rejected.
+func (r *rules) claimProgram(tx *partition.Tx, command ClaimProgram) any {
+	key := programPrefix + command.Tenant + "/" + command.ID
+	record, ok := read[program.Record](tx, key)
 	if !ok {
 		_, expired := tx.Get(tombstonePrefix + key)
 		return ProgramResult{Expired: expired}
 	}
 	answer := ProgramResult{Found: true, Clock: tx.Clock()}
 	switch {
-	case p.Node == c.Node && p.Incarnation == c.Incarnation:
+	case record.Node == command.Node && record.Incarnation == command.Incarnation:
 		answer.Owned = true
-	case p.Node == c.EndedNode && p.Incarnation == c.EndedIncarnation:
-		p.Fence++
-		p.Node, p.Incarnation, p.Address = c.Node, c.Incarnation, c.Address
-		p.ChargeRunning()
-		write(tx, key, p)
+	case record.Node == command.EndedNode && record.Incarnation == command.EndedIncarnation:
+		record.Fence++
+		record.Node, record.Incarnation, record.Address = command.Node, command.Incarnation, command.Address
+		record.ChargeRunning()
+		write(tx, key, record)
 		answer.Owned = true
 	}
-	answer.Record = p
+	answer.Record = record
 	if answer.Owned {
 		for _, turn := range tx.Keys(key + "/") {
 			t, _ := read[program.Turn](tx, turn)
@@ -70,46 +73,51 @@
 }
 
 // saveProgram stores the owner's record, unless a later version is stored.
-func (r *rules) saveProgram(tx *partition.Tx, c SaveProgram) any {
-	key := programPrefix + c.Record.Tenant + "/" + c.Record.ID
-	p, ok := read[program.Record](tx, key)
-	if !ok || p.Fence != c.Record.Fence || p.Incarnation != c.Record.Incarnation {
+func (r *rules) saveProgram(tx *partition.Tx, command SaveProgram) any {
+	key := programPrefix + command.Record.Tenant + "/" + command.Record.ID
+	record, ok := read[program.Record](tx, key)
+	if !ok || record.Fence != command.Record.Fence || record.Incarnation != command.Record.Incarnation {
 		return ProgramResult{Found: ok, Fenced: true}
 	}
-	if c.Record.Version <= p.Version {
-		return ProgramResult{Found: true, Version: c.Record.Version}
+	if command.Record.Version <= record.Version {
+		return ProgramResult{Found: true, Version: command.Record.Version}
 	}
-	p = c.Record
-	p.LastActive = tx.Clock()
-	write(tx, key, p)
-	for _, t := range c.Turns {
+	record = command.Record
+	record.LastActive = tx.Clock()
+	write(tx, key, record)
+	for _, t := range command.Turns {
 		write(tx, fmt.Sprintf("%s/turn/%s/%06d", key, t.Conversation, t.Number), t)
 	}
-	return ProgramResult{Found: true, Version: p.Version}
+	return ProgramResult{Found: true, Version: record.Version}
 }
 
-func (r *rules) drawAllowance(tx *partition.Tx, c DrawAllowance) any {
-	key := allowancePrefix + c.Tenant + "/" + c.Kind
-	l, ok := read[allowance.Ledger](tx, key)
-	if !ok && c.Kind == "day" {
-		l = allowance.Ledger{Windows: []allowance.Window{{Width: 24 * time.Hour}}}
+const (
+	dailyAllowance = "day"
+	dailyWindow    = 24 * time.Hour
+)
+
+func (r *rules) drawAllowance(tx *partition.Tx, command DrawAllowance) any {
+	key := allowancePrefix + command.Tenant + "/" + command.Kind
+	ledger, ok := read[allowance.Ledger](tx, key)
+	if !ok && command.Kind == dailyAllowance {
+		ledger = allowance.Ledger{Windows: []allowance.Window{{Width: dailyWindow}}}
 	}
 	before, _ := read[allowance.Ledger](tx, key)
 	clock := tx.Clock()
-	for _, holder := range c.Ended {
-		l.CloseAccount(clock, holder)
+	for _, holder := range command.Ended {
+		ledger.CloseAccount(clock, holder)
 	}
-	if !l.Report(clock, c.Holder, c.Spent, c.Returned) {
+	if !ledger.Report(clock, command.Holder, command.Spent, command.Returned) {
 		return DrawResult{}
 	}
-	target := c.Target
-	if c.Kind != "day" {
-		d := allowance.Division{Total: c.Limit / c.UnitsPerRequest, Holders: c.Members, IdleDemand: IdleWeight}
-		target = l.SetDemand(c.Holder, c.Target, d) * c.UnitsPerRequest
+	target := command.Target
+	if command.Kind != dailyAllowance {
+		d := allowance.Division{Total: command.Limit / command.UnitsPerRequest, Holders: command.Members, IdleDemand: IdleWeight}
+		target = ledger.SetDemand(command.Holder, command.Target, d) * command.UnitsPerRequest
 	}
-	granted := l.Grant(clock, c.Holder, target, []int64{c.Limit})
-	if !reflect.DeepEqual(l, before) {
-		write(tx, key, l)
+	granted := ledger.Grant(clock, command.Holder, target, []int64{command.Limit})
+	if !reflect.DeepEqual(ledger, before) {
+		write(tx, key, ledger)
 	}
-	return DrawResult{Granted: granted, Target: target, Holders: ordered.Keys(l.Holders)}
+	return DrawResult{Granted: granted, Target: target, Holders: ordered.Keys(ledger.Holders)}
 }
--- a/peer/core/rules_relay.go
+++ b/peer/core/rules_relay.go
@@ -18,14 +18,14 @@
 		return r.reserveTurn(tx, c)
 	case SettleTurn:
 		key := accountKey(c.Tenant, c.Program)
-		b, ok := read[storedAccount](tx, key)
+		stored, ok := read[storedAccount](tx, key)
 		if !ok {
 			// A delayed reservation may arrive after its settlement and must then reserve nothing.
-			b.Until = tx.Clock() + settledAccountRetention
-			r.expiries.add(key, b.Until)
+			stored.Until = tx.Clock() + settledAccountRetention
+			r.expiries.add(key, stored.Until)
 		}
-		if b.Account.Settle(c.Attempt, c.Tokens) {
-			write(tx, key, b)
+		if stored.Account.Settle(c.Attempt, c.Tokens) {
+			write(tx, key, stored)
 		}
 		return Done{OK: true}
 	case StoreTurn:
@@ -33,13 +33,13 @@
 	case ReadTurn:
 		return r.readTurn(tx, c)
 	case ExtendTurn:
-		key, t, ok := findTurn(tx, c.Tenant, c.Attempt)
+		key, turn, ok := findTurn(tx, c.Tenant, c.Attempt)
 		if !ok {
 			return Done{}
 		}
-		if until := tx.Clock() + c.Retention; until > t.Until {
-			t.Until = until
-			write(tx, key, t)
+		if until := tx.Clock() + c.Retention; until > turn.Until {
+			turn.Until = until
+			write(tx, key, turn)
 		}
 		return Done{OK: true}
 	case DrawRates:
@@ -58,22 +58,22 @@
 // drawRates draws from the ledgers in memory; only what the next leader needs is stored.
 func (r *rules) drawRates(tx *partition.Tx, c DrawRates) any {
 	var answer DrawRatesResult
-	for _, d := range c.Draws {
-		key := ratePrefix + d.Tenant
-		l := r.ledgers[key]
-		if l == nil {
+	for _, draw := range c.Draws {
+		key := ratePrefix + draw.Tenant
+		ledger := r.ledgers[key]
+		if ledger == nil {
 			stored, _ := read[rate.DurableState](tx, key)
-			l = rate.Restore(tx.Clock(), stored, d.Request.LeaseDuration)
-			r.ledgers[key] = l
+			ledger = rate.Restore(tx.Clock(), stored, draw.Request.LeaseDuration)
+			r.ledgers[key] = ledger
 		}
-		drawn, changed := l.Draw(tx.Clock(), d.Request)
-		if l.Exceeded {
+		drawn, changed := ledger.Draw(tx.Clock(), draw.Request)
+		if ledger.Exceeded {
 			r.violated.Violated(invariant.GrantedWithinLimit,
-				"tenant %s: more than %d in %v is granted or spent", d.Tenant, l.Limit.Max, l.Limit.Window)
+				"tenant %s: more than %d in %v is granted or spent", draw.Tenant, ledger.Limit.Max, ledger.Limit.Window)
 		}
 		answer.Responses = append(answer.Responses, drawn)
 		if changed {
-			write(tx, key, l.DurableState)
+			write(tx, key, ledger.DurableState)
 		}
 	}
 	return answer
@@ -84,18 +84,18 @@
 	return accountPrefix + url.PathEscape(tenant) + "/" + program
 }
 
-func (r *rules) reserveTurn(tx *partition.Tx, c ReserveTurn) any {
-	key := accountKey(c.Tenant, c.Program)
-	b, ok := read[storedAccount](tx, key)
-	if !b.Account.Reserve(c.Attempt, c.MaxTokens, c.Budget) {
-		return ReserveTurnResult{Charged: b.Account.Charged + b.Account.Outstanding()}
+func (r *rules) reserveTurn(tx *partition.Tx, command ReserveTurn) any {
+	key := accountKey(command.Tenant, command.Program)
+	stored, ok := read[storedAccount](tx, key)
+	if !stored.Account.Reserve(command.Attempt, command.MaxTokens, command.Budget) {
+		return ReserveTurnResult{Charged: stored.Account.Charged + stored.Account.Outstanding()}
 	}
-	until := tx.Clock() + c.Retention
+	until := tx.Clock() + command.Retention
 	if !ok {
 		r.expiries.add(key, until)
 	}
-	b.Until = max(b.Until, until)
-	b.Account.LastUsed = tx.Clock()
-	write(tx, key, b)
-	return ReserveTurnResult{OK: true, Charged: b.Account.Charged}
+	stored.Until = max(stored.Until, until)
+	stored.Account.LastUsed = tx.Clock()
+	write(tx, key, stored)
+	return ReserveTurnResult{OK: true, Charged: stored.Account.Charged}
 }
--- a/peer/core/rules_test.go
+++ b/peer/core/rules_test.go
@@ -26,15 +26,15 @@
 	for _, change := range changes {
 		change(&p)
 	}
-	a := &singleCore{t: t, results: map[uint64]CommandResult{}}
-	a.m = New(Options{Params: p, ID: "c", Address: "c", Stored: Stored{Incarnation: "1"}, Random: func() float64 { return 0.5 }})
-	out, ok := a.m.Found(0, PlanFleet("f", 4, 1, []Core{a.m.Self()}))
+	single := &singleCore{t: t, results: map[uint64]CommandResult{}}
+	single.m = New(Options{Params: p, ID: "c", Address: "c", Stored: Stored{Incarnation: "1"}, Random: func() float64 { return 0.5 }})
+	out, ok := single.m.Found(0, PlanFleet("f", 4, 1, []Core{single.m.Self()}))
 	if !ok {
 		t.Fatal("fleet not founded")
 	}
-	a.handle(out)
-	a.advance(time.Second)
-	return a
+	single.handle(out)
+	single.advance(time.Second)
+	return single
 }
 
 func (a *singleCore) handle(o Output) {
@@ -75,64 +75,64 @@
 // An owner changes only with proof that the former one has ended. Later writes of the former owner
 // must be rejected.
 func TestFence(t *testing.T) {
-	a := newSingleCore(t)
-	open := a.run(OpenProgram{Record: program.Record{Tenant: "t", ID: "p", Node: "n1", Incarnation: "1"}}).(ProgramResult)
+	single := newSingleCore(t)
+	open := single.run(OpenProgram{Record: program.Record{Tenant: "t", ID: "p", Node: "n1", Incarnation: "1"}}).(ProgramResult)
 	old := open.Record
-	if p := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1"}).(ProgramResult); p.Owned {
+	if p := single.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1"}).(ProgramResult); p.Owned {
 		t.Error("claimed without proof")
 	}
-	if p := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1", EndedNode: "n1", EndedIncarnation: "0"}).(ProgramResult); p.Owned {
+	if p := single.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1", EndedNode: "n1", EndedIncarnation: "0"}).(ProgramResult); p.Owned {
 		t.Error("claimed with proof about another incarnation")
 	}
 	old.Running = map[string]program.Reservation{"x": {Tokens: 70}}
 	old.Version = 1
-	a.run(SaveProgram{Record: old})
-	claimed := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1", EndedNode: "n1", EndedIncarnation: "1"}).(ProgramResult)
+	single.run(SaveProgram{Record: old})
+	claimed := single.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1", EndedNode: "n1", EndedIncarnation: "1"}).(ProgramResult)
 	if !claimed.Owned || claimed.Record.Fence != 2 || claimed.Record.Spent != 70 || len(claimed.Record.Running) != 0 {
 		t.Errorf("%+v", claimed)
 	}
 	old.Version = 99
-	if p := a.run(SaveProgram{Record: old}).(ProgramResult); !p.Fenced {
+	if p := single.run(SaveProgram{Record: old}).(ProgramResult); !p.Fenced {
 		t.Error("a save of the former owner was accepted")
 	}
-	if p := a.run(HandOverProgram{Tenant: "t", ID: "p", Fence: 1, Node: "n3"}).(ProgramResult); !p.Fenced {
+	if p := single.run(HandOverProgram{Tenant: "t", ID: "p", Fence: 1, Node: "n3"}).(ProgramResult); !p.Fenced {
 		t.Error("the former owner handed the program over")
 	}
-	if p := a.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n1", Incarnation: "1"}).(ProgramResult); p.Owned || p.Record.Node != "n2" {
+	if p := single.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n1", Incarnation: "1"}).(ProgramResult); p.Owned || p.Record.Node != "n2" {
 		t.Error("the former owner owns the program again")
 	}
-	if p := a.run(ClaimProgram{Tenant: "other", ID: "p", Node: "n2", Incarnation: "1"}).(ProgramResult); p.Found {
+	if p := single.run(ClaimProgram{Tenant: "other", ID: "p", Node: "n2", Incarnation: "1"}).(ProgramResult); p.Found {
 		t.Error("program found under another tenant")
 	}
 }
 
 // A new incarnation must wait for the lease of the previous one.
 func TestMemberLease(t *testing.T) {
-	a := newSingleCore(t)
+	single := newSingleCore(t)
 	member := Member{ID: "n", Incarnation: "1", Version: 1}
-	if r := a.run(JoinMember{Member: member}).(MembershipResult); !r.Granted {
+	if r := single.run(JoinMember{Member: member}).(MembershipResult); !r.Granted {
 		t.Fatalf("%+v", r)
 	}
 	fresh := Member{ID: "n", Incarnation: "2", Version: 1}
-	if r := a.run(JoinMember{Member: fresh}).(MembershipResult); r.Granted || r.Wait <= 0 {
+	if r := single.run(JoinMember{Member: fresh}).(MembershipResult); r.Granted || r.Wait <= 0 {
 		t.Errorf("second incarnation during the first one's lease: %+v", r)
 	}
 	n := PartitionOf(4, "member", "n")
-	if f := a.run(SetVersionFloor{Partition: n, Version: 2}).(VersionFloorResult); f.Done || len(f.Lagging) != 1 {
+	if f := single.run(SetVersionFloor{Partition: n, Version: 2}).(VersionFloorResult); f.Done || len(f.Lagging) != 1 {
 		t.Errorf("floor: %+v", f)
 	}
-	if r := a.run(RenewMember{ID: "n", Incarnation: "1", Version: 1}).(MembershipResult); r.Granted {
+	if r := single.run(RenewMember{ID: "n", Incarnation: "1", Version: 1}).(MembershipResult); r.Granted {
 		t.Error("renewed with an old configuration")
 	}
-	a.advance(3 * time.Second)
-	if f := a.run(SetVersionFloor{Partition: n, Version: 2}).(VersionFloorResult); !f.Done {
+	single.advance(3 * time.Second)
+	if f := single.run(SetVersionFloor{Partition: n, Version: 2}).(VersionFloorResult); !f.Done {
 		t.Errorf("floor after the lease: %+v", f)
 	}
-	if r := a.run(RenewMember{ID: "n", Incarnation: "1", Version: 2}).(MembershipResult); r.Granted || !r.Ended {
+	if r := single.run(RenewMember{ID: "n", Incarnation: "1", Version: 2}).(MembershipResult); r.Granted || !r.Ended {
 		t.Errorf("an ended membership was renewed: %+v", r)
 	}
 	fresh.Version = 2
-	if r := a.run(JoinMember{Member: fresh}).(MembershipResult); !r.Granted {
+	if r := single.run(JoinMember{Member: fresh}).(MembershipResult); !r.Granted {
 		t.Errorf("new incarnation after the lease of the previous one: %+v", r)
 	}
 }
@@ -141,7 +141,7 @@
 func TestAllowanceNeverExceedsLimit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for round := 0; round < 20; round++ {
-		a := newSingleCore(t)
+		single := newSingleCore(t)
 		type holder struct{ granted, spent, returned int64 }
 		holders := map[string]*holder{}
 		var ended int64
@@ -171,20 +171,20 @@
 					}
 				}
 				c.Holder, c.Spent, c.Returned = "next/9", 0, 0
-				a.run(c)
-				holders["next/9"] = &holder{granted: a.run(DrawAllowance{Tenant: "t", Kind: "day", Holder: "next/9", Limit: limit}).(DrawResult).Granted}
+				single.run(c)
+				holders["next/9"] = &holder{granted: single.run(DrawAllowance{Tenant: "t", Kind: "day", Holder: "next/9", Limit: limit}).(DrawResult).Granted}
 			} else {
 				delayed = append(delayed, c)
-				r := a.run(c).(DrawResult)
+				r := single.run(c).(DrawResult)
 				h.granted = max(h.granted, r.Granted)
 				if random.IntN(3) == 0 {
 					// A delayed command may come from a holder that has ended.
 					again := delayed[random.IntN(len(delayed))]
-					granted := a.run(again).(DrawResult).Granted
+					granted := single.run(again).(DrawResult).Granted
 					if one := holders[again.Holder]; one != nil {
 						one.granted = max(one.granted, granted)
 					} else {
-						a.run(DrawAllowance{Tenant: "t", Kind: "day", Holder: name, Spent: h.spent, Returned: h.returned, Limit: limit, Ended: []string{again.Holder}})
+						single.run(DrawAllowance{Tenant: "t", Kind: "day", Holder: name, Spent: h.spent, Returned: h.returned, Limit: limit, Ended: []string{again.Holder}})
 					}
 				}
 			}
@@ -201,12 +201,12 @@
 
 // Only a claim that certainly did not run may be released.
 func TestOnceStates(t *testing.T) {
-	a := newSingleCore(t)
+	single := newSingleCore(t)
 	claim := func(id string) OnceRecord {
-		return a.run(ClaimOnce{Tenant: "t", Service: "s", Key: "k", Claim: id, Digest: "d", Retention: time.Hour}).(OnceRecord)
+		return single.run(ClaimOnce{Tenant: "t", Service: "s", Key: "k", Claim: id, Digest: "d", Retention: time.Hour}).(OnceRecord)
 	}
 	end := func(id, state string) OnceRecord {
-		return a.run(EndOnce{Tenant: "t", Service: "s", Key: "k", Claim: id, State: state, Body: []byte("{}")}).(OnceRecord)
+		return single.run(EndOnce{Tenant: "t", Service: "s", Key: "k", Claim: id, State: state, Body: []byte("{}")}).(OnceRecord)
 	}
 	if o := claim("a"); o.Claim != "a" {
 		t.Errorf("%+v", o)
@@ -235,10 +235,10 @@
 	for i := 0; i < 8; i++ {
 		cores = append(cores, Core{ID: fmt.Sprint("c", i), Incarnation: "1", Zone: fmt.Sprint("z", i%4)})
 	}
-	f := PlanFleet("f", 16, 3, cores)
+	founding := PlanFleet("f", 16, 3, cores)
 	firsts, places := map[string]int{}, map[string]int{}
-	for n, g := range f.Groups {
-		if zoneCount(f.Cores, g.Members) != 3 {
+	for n, g := range founding.Groups {
+		if zoneCount(founding.Cores, g.Members) != 3 {
 			t.Errorf("partition %d: %v", n, g.Members)
 		}
 		firsts[g.Members[0]]++
@@ -255,9 +255,9 @@
 		}
 	}
 	fresh := Core{ID: "new", Incarnation: "1", Zone: "z0"}
-	f.Cores["new"] = fresh
+	founding.Cores["new"] = fresh
 	added := 0
-	for _, m := range PlanChange(f.Cores, nil, f.Groups, 3, KindAdd, "new", "").Moves {
+	for _, m := range PlanChange(founding.Cores, nil, founding.Groups, 3, KindAdd, "new", "").Moves {
 		if CoreID(m.Add) == "new" {
 			added++
 		}
@@ -265,15 +265,15 @@
 	if added < 5 || added > 6 {
 		t.Errorf("a ninth core gets %d of 48 places", added)
 	}
-	delete(f.Cores, "new")
+	delete(founding.Cores, "new")
 	after := slices.Clone(cores)
 	after[0].Retired = true
 	removed := 0
 	for n, places := range Place(16, 3, after, nil) {
-		if zoneCount(f.Cores, places) != 3 {
+		if zoneCount(founding.Cores, places) != 3 {
 			t.Errorf("partition %d loses a zone", n)
 		}
-		for _, move := range membershipMoves(n, f.Groups[n].Members, places) {
+		for _, move := range membershipMoves(n, founding.Groups[n].Members, places) {
 			if CoreID(move.Remove) == cores[0].ID {
 				removed++
 			}
--- a/peer/core/stored.go
+++ b/peer/core/stored.go
@@ -18,13 +18,13 @@
 }
 
 // Apply applies a change.
-func (s *Stored) Apply(c Change) {
+func (s *Stored) Apply(change Change) {
 	if s.Replicas == nil {
 		s.Replicas = map[int]partition.State{}
 	}
-	if c.Founding != nil {
-		s.Founding = *c.Founding
-		for n, g := range c.Founding.Groups {
+	if change.Founding != nil {
+		s.Founding = *change.Founding
+		for n, g := range change.Founding.Groups {
 			p := s.Replicas[n]
 			if p.Group.Epoch == 0 {
 				p.Group = g
@@ -32,22 +32,22 @@
 			s.Replicas[n] = p
 		}
 	}
-	if c.Record != nil {
-		p := s.Replicas[c.Record.Partition]
-		p.Apply(*c.Record)
-		s.Replicas[c.Record.Partition] = p
+	if change.Record != nil {
+		p := s.Replicas[change.Record.Partition]
+		p.Apply(*change.Record)
+		s.Replicas[change.Record.Partition] = p
 	}
 }
 
 // CopyFrom makes s a copy of o that shares no entries map with it.
 func (s *Stored) CopyFrom(o Stored) {
 	s.Incarnation, s.Founding, s.Replicas = o.Incarnation, o.Founding, map[int]partition.State{}
-	for n, c := range o.Replicas {
-		entries := make(map[string]partition.Entry, len(c.Entries))
-		for k, e := range c.Entries {
+	for n, state := range o.Replicas {
+		entries := make(map[string]partition.Entry, len(state.Entries))
+		for k, e := range state.Entries {
 			entries[k] = e
 		}
-		c.Entries = entries
-		s.Replicas[n] = c
+		state.Entries = entries
+		s.Replicas[n] = state
 	}
 }
--- a/peer/core/timers.go
+++ b/peer/core/timers.go
@@ -19,11 +19,11 @@
 func (t *Timers) Tick(now time.Duration) {
 	due := t.timers
 	t.timers = nil
-	for _, one := range due {
-		if now >= one.at {
-			one.run(now)
+	for _, candidate := range due {
+		if now >= candidate.at {
+			candidate.run(now)
 		} else {
-			t.timers = append(t.timers, one)
+			t.timers = append(t.timers, candidate)
 		}
 	}
 }
--- a/peer/core/topology.go
+++ b/peer/core/topology.go
@@ -12,7 +12,7 @@
 	"saffronfall/rule/partition"
 )
 
-// refreshSelf updates this core's entry if its address or incarnation changed while it was down.
+// refreshSelf handles a change of address or incarnation while the core was down.
 func (m *Machine) refreshSelf() {
 	registered, ok := m.cores[m.self.ID]
 	if founded := m.founding.Cores[m.self.ID]; ok &&
@@ -32,7 +32,6 @@
 	m.unregistered = true
 }
 
-// mergeStoredCores merges the core entries of the configuration partition, if replicated here.
 func (m *Machine) mergeStoredCores() {
 	if p := m.partitions[ConfigurationPartition]; p != nil {
 		m.mergeCoresOf(p.State())
@@ -51,42 +50,42 @@
 }
 
 // mergeCore merges a received entry: the higher version wins, and a retired core stays retired.
-func (m *Machine) mergeCore(c Core) {
-	old, ok := m.cores[c.ID]
-	c.Retired = c.Retired || old.Retired
+func (m *Machine) mergeCore(received Core) {
+	old, ok := m.cores[received.ID]
+	received.Retired = received.Retired || old.Retired
 	switch {
-	case !ok || old.Version < c.Version:
-		m.cores[c.ID] = c
+	case !ok || old.Version < received.Version:
+		m.cores[received.ID] = received
 		m.topologyChanged = true
-	case c.Retired && !old.Retired:
+	case received.Retired && !old.Retired:
 		old.Retired = true
-		m.cores[c.ID] = old
+		m.cores[received.ID] = old
 		m.topologyChanged = true
 	}
 	switch {
-	case c.ID != m.self.ID:
+	case received.ID != m.self.ID:
 		return
-	case c.Incarnation != m.self.Incarnation:
+	case received.Incarnation != m.self.Incarnation:
 		// Only the configuration partition knows which incarnation is the later one.
-		if c.Version >= m.self.Version {
+		if received.Version >= m.self.Version {
 			// Of two entries with the same version, other cores keep the one received first, so the
 			// next claim needs a higher version.
 			m.unregistered = true
-			m.claimIncrement = max(m.claimIncrement, c.Version+1-m.self.Version)
+			m.claimIncrement = max(m.claimIncrement, received.Version+1-m.self.Version)
 		}
 		return
 	}
-	m.self.Retired = c.Retired
-	if c.Version < m.self.Version {
+	m.self.Retired = received.Retired
+	if received.Version < m.self.Version {
 		m.cores[m.self.ID] = m.self
 		return
 	}
-	if updated := m.self; updated.Version != c.Version {
-		if updated.Version = c.Version; updated == c {
-			m.self = c
+	if updated := m.self; updated.Version != received.Version {
+		if updated.Version = received.Version; updated == received {
+			m.self = received
 			return
 		}
-		m.self.Version = c.Version + 1
+		m.self.Version = received.Version + 1
 		m.cores[m.self.ID] = m.self
 		m.unregistered = true
 	}
@@ -110,22 +109,22 @@
 
 func (m *Machine) refreshTopology() {
 	m.mergeStoredCores()
-	for n, p := range m.partitions {
-		if term := p.CurrentTerm(); m.terms[n].Less(term) {
+	for n, replica := range m.partitions {
+		if term := replica.CurrentTerm(); m.terms[n].Less(term) {
 			m.terms[n] = term
 			m.topologyChanged = true
 		}
-		if m.groups[n].Before(p.Group()) || m.groups[n].Epoch == 0 {
-			m.topologyChanged = m.topologyChanged || p.Group().Epoch > 0
-			m.groups[n] = p.Group()
+		if m.groups[n].Before(replica.Group()) || m.groups[n].Epoch == 0 {
+			m.topologyChanged = m.topologyChanged || replica.Group().Epoch > 0
+			m.groups[n] = replica.Group()
 		}
 	}
 }
 
 type gossipState struct {
 	gossipAt, heartbeatAt, topologyAt time.Duration
-	// digest is the topology's at the last heartbeat. topologySentAt is when the topology was last
-	// sent to an address that had reported another digest.
+	// digest is the topology's at the last heartbeat. topologySentAt is by the address of a core
+	// that had reported another digest.
 	digest         uint64
 	topologySentAt map[string]time.Duration
 }
@@ -133,6 +132,9 @@
 // topologyGossipLeases is the interval, in member leases, at which an unchanged topology is sent.
 const topologyGossipLeases = 8
 
+// topologyRepliesPerLease bounds replies to one core, per member lease.
+const topologyRepliesPerLease = 4
+
 // Digest returns a hash of the topology without GroupSize.
 func (t Topology) Digest() uint64 {
 	var input digestInput
@@ -158,8 +160,8 @@
 	return h.Sum64()
 }
 
-// digestInput is an unambiguous encoding: strings are quoted, numbers separated by spaces, and
-// lists preceded by their lengths.
+// digestInput is unambiguous: strings are quoted, numbers separated by spaces, and lists preceded
+// by their lengths.
 type digestInput []byte
 
 func (d *digestInput) addStrings(values ...string) {
@@ -174,10 +176,9 @@
 	}
 }
 
-// sendTopologyIfDifferent sends the topology to a core that reports another digest. The other core
-// does the same, so that both end with the merged topology.
+// sendTopologyIfDifferent is called on both cores, so that both end with the merged topology.
 func (m *Machine) sendTopologyIfDifferent(now time.Duration, to string, theirs uint64) {
-	if theirs == 0 || m.digest == 0 || theirs == m.digest || now < m.topologySentAt[to]+m.params.MemberLease/4 {
+	if theirs == 0 || m.digest == 0 || theirs == m.digest || now < m.topologySentAt[to]+m.params.MemberLease/topologyRepliesPerLease {
 		return
 	}
 	m.topologySentAt[to] = now
@@ -185,7 +186,6 @@
 	m.send(to, m.Topology(), false)
 }
 
-// gossip sends heartbeats, and the topology if it has changed or is due again.
 func (m *Machine) gossip(now time.Duration) {
 	sendTopology := m.topologyChanged || now >= m.topologyAt
 	if m.superseded || (!sendTopology && now < m.heartbeatAt) {
@@ -215,7 +215,7 @@
 
 // Topology returns a copy of the topology that this core knows.
 func (m *Machine) Topology() Topology {
-	t := Topology{
+	topology := Topology{
 		Fleet:     m.founding.Fleet,
 		GroupSize: m.groupSize(),
 		Cores:     map[string]Core{},
@@ -223,9 +223,9 @@
 		Groups:    append([]partition.Group(nil), m.groups...),
 	}
 	for id, c := range m.cores {
-		t.Cores[id] = c
+		topology.Cores[id] = c
 	}
-	return t
+	return topology
 }
 
 // addressOf returns a member's address, or "" if it is not known.
@@ -256,19 +256,19 @@
 
 // mergeTopology merges a topology of the same fleet: for each term, group and core the later one
 // wins.
-func (m *Machine) mergeTopology(t Topology) {
-	if m.founding.Fleet != t.Fleet || len(t.Leaders) != len(m.terms) || len(t.Groups) != len(m.groups) {
+func (m *Machine) mergeTopology(received Topology) {
+	if m.founding.Fleet != received.Fleet || len(received.Leaders) != len(m.terms) || len(received.Groups) != len(m.groups) {
 		return
 	}
-	for n := range t.Leaders {
-		if m.terms[n].Less(t.Leaders[n]) {
-			m.terms[n] = t.Leaders[n]
+	for n := range received.Leaders {
+		if m.terms[n].Less(received.Leaders[n]) {
+			m.terms[n] = received.Leaders[n]
 		}
-		if m.groups[n].Before(t.Groups[n]) {
-			m.groups[n] = t.Groups[n]
+		if m.groups[n].Before(received.Groups[n]) {
+			m.groups[n] = received.Groups[n]
 		}
 	}
-	for _, c := range t.Cores {
+	for _, c := range received.Cores {
 		m.mergeCore(c)
 	}
 }
--- a/peer/core/turns.go
+++ b/peer/core/turns.go
@@ -24,7 +24,7 @@
 
 const recentKeysMax = 4096
 
-// recentKeys is a set of the hashes of the last recentKeysMax added keys.
+// recentKeys has the hashes of the last recentKeysMax added keys.
 type recentKeys struct {
 	seed   maphash.Seed
 	hashes map[uint64]bool
@@ -54,9 +54,9 @@
 func (k *recentKeys) has(key string) bool { return k.hashes[maphash.String(k.seed, key)] }
 
 // turnKeys returns the keys under which a turn may be stored. Requesters choose the IDs, so an ID
-// is unique only within its tenant. The first tenant's turn is under the ID alone, where a core of
-// the previous release looks for it, which may lead during an upgrade. Others are under a prefix
-// that no header can contain, the tenant's name and the ID.
+// is unique only within its tenant. The first tenant's turn is under the ID alone, because a core
+// of the previous release may lead during an upgrade and looks there. No header can contain the
+// prefix of the other tenants' keys.
 func turnKeys(tenant, attempt string) [2]string {
 	return [2]string{turnPrefix + attempt, turnPrefix + "\x00" + url.PathEscape(tenant) + "/" + attempt}
 }
@@ -76,16 +76,23 @@
 	return free, storedTurn{}, false
 }
 
-// storeTurn stores a turn. A repeated command succeeds again; a different turn under an ID that its
-// tenant has used is refused.
-func (r *rules) storeTurn(tx *partition.Tx, c StoreTurn) any {
-	key, t, ok := findTurn(tx, c.Tenant, c.Attempt)
+// storeTurn acknowledges a repeated command, but not a different turn under an ID that its tenant
+// has used.
+func (r *rules) storeTurn(tx *partition.Tx, command StoreTurn) any {
+	key, turn, ok := findTurn(tx, command.Tenant, command.Attempt)
 	if ok {
-		return Done{OK: slices.Equal(t.Previous, c.Previous) && bytes.Equal(t.Input, c.Input) && bytes.Equal(t.Output, c.Output)}
+		return Done{OK: slices.Equal(turn.Previous, command.Previous) &&
+			bytes.Equal(turn.Input, command.Input) && bytes.Equal(turn.Output, command.Output)}
 	}
-	t = storedTurn{Tenant: c.Tenant, Previous: c.Previous, Input: c.Input, Output: c.Output, Until: tx.Clock() + c.Retention}
-	write(tx, key, t)
-	r.expiries.add(key, t.Until)
+	turn = storedTurn{
+		Tenant:   command.Tenant,
+		Previous: command.Previous,
+		Input:    command.Input,
+		Output:   command.Output,
+		Until:    tx.Clock() + command.Retention,
+	}
+	write(tx, key, turn)
+	r.expiries.add(key, turn.Until)
 	return Done{OK: true}
 }
 
--- a/rehearsalkit/breaks/soak.go
+++ b/rehearsalkit/breaks/soak.go
@@ -67,7 +67,7 @@
 	{What: "a reservation uses the client's id", File: "peer/relay/budget.go", Seeds: 3,
 		From: "	req.reservationID = m.incarnation + \"-\" + strconv.FormatUint(m.reservations, 36)\n", To: "	req.reservationID = req.spec.Attempt + strconv.Itoa(0)\n"},
 	{What: "two tables with the same base are both accepted", File: "peer/core/orders.go", Seeds: 3,
-		From: "if current.Number != c.Base || c.Number <= current.Number {", To: "if c.Number <= current.Number {"},
+		From: "if current.Number != command.Base || command.Number <= current.Number {", To: "if command.Number <= current.Number {"},
 	{What: "an amendment is applied to a table other than its base", File: "peer/registry/amend.go", Seeds: 1, Elsewhere: "TestAmend; the cores refuse it too, so the soak sees only a lost race",
 		From: "case current.Number != a.Base:", To: "case false:"},
 	{What: "a replica that sheds load attracts all calls", File: "rule/placement/replica.go", Seeds: 1, Elsewhere: "TestRejectingReplicaIsAvoided; the soak's replicas do not shed while they have room",
