--- a/peer/core/caller.go
+++ b/peer/core/caller.go
@@ -8,7 +8,7 @@
 	"saffronfall/rule/slab"
 )
 
-// Outcome is the result of a command. If Uncertain, it was not answered before the
+// Outcome is the result of a command. If Uncertain, the command was not answered before its
 // deadline and may or may not have run. Sent reports whether it was sent at all.
 type Outcome struct {
 	Answer    any
@@ -16,41 +16,34 @@
 	Sent      bool
 }
 
-// Caller sends commands to the leaders of partitions and retries each until it is
-// answered or its deadline passes. Commands are idempotent. All functions but
-// Forwarders must be set.
+// Caller sends idempotent commands to the leaders of partitions and retries each until it is
+// answered or its deadline passes. All functions but Forwarders must be set.
 type Caller struct {
 	// Retry is the interval between the first attempts at a command.
 	Retry  time.Duration
 	Random func() float64
 	Send   func(to string, body any)
-	// Cores returns the addresses of all cores.
-	Cores func() []string
-	// Forwarders returns the addresses of processes that can forward a command if
-	// the cores don't answer.
+	Cores  func() []string
+	// Forwarders returns processes that can forward a command if the cores don't answer.
 	Forwarders func() []string
-	// Partitions returns the number of partitions, zero while it is not known.
+	// Partitions returns zero while the number is not known.
 	Partitions func() int
-	// hints are the addresses that the next attempts go to, by partition.
+	// hints are the addresses for the next attempts, by partition.
 	hints map[int]string
-	// leaders are the addresses of the last known leaders, by partition. An entry is
-	// removed when all attempts at the fixed interval stayed unanswered.
+	// leaders are the last known ones, removed when all attempts at the fixed interval stayed
+	// unanswered.
 	leaders map[int]string
 	calls   slab.Slab[*pendingCall]
 	pending map[slab.Ticket]*pendingCall
-	// salt is a random number that makes message IDs differ from those of other
-	// incarnations.
-	salt uint64
-	// Attempts counts the attempts made.
+	// salt makes message IDs differ from those of other incarnations.
+	salt     uint64
 	Attempts int64
-	// unansweredSince is when the first command was sent since the last answer;
-	// unanswered is set if there is such a command.
+	// unansweredSince is when the first command was sent since the last answer, if unanswered.
 	unansweredSince time.Duration
 	unanswered      bool
 }
 
-// SilentFor returns how long commands have been sent without an answer from any
-// core.
+// SilentFor returns how long commands have been sent without an answer from any core.
 func (c *Caller) SilentFor(now time.Duration) time.Duration {
 	if !c.unanswered {
 		return 0
@@ -58,7 +51,6 @@
 	return now - c.unansweredSince
 }
 
-// pendingCall is a command without an outcome.
 type pendingCall struct {
 	ticket    slab.Ticket
 	partition int
@@ -69,54 +61,54 @@
 	outcome   func(now time.Duration, o Outcome)
 }
 
-// Call sends a command and calls outcome exactly once, at the latest in the first
-// Tick after until.
+// Call sends a command and calls outcome exactly once, at the latest in the first Tick after until.
 func (c *Caller) Call(now time.Duration, command any, until time.Duration, outcome func(now time.Duration, o Outcome)) {
 	if c.Partitions() == 0 {
 		outcome(now, Outcome{Uncertain: true})
 		return
 	}
-	k := &pendingCall{partition: TargetPartition(c.Partitions(), command), raw: message.Pack(command), deadline: until, outcome: outcome}
-	k.ticket = c.calls.Put(k)
+	pending := &pendingCall{partition: TargetPartition(c.Partitions(), command), raw: message.Pack(command), deadline: until, outcome: outcome}
+	pending.ticket = c.calls.Put(pending)
 	if c.pending == nil {
 		c.pending, c.hints = map[slab.Ticket]*pendingCall{}, map[int]string{}
 	}
-	c.pending[k.ticket] = k
-	c.attempt(now, k)
+	c.pending[pending.ticket] = pending
+	c.attempt(now, pending)
 }
 
 const (
-	// fixedDelayAttempts is the number of attempts at intervals of Retry, enough to
-	// outlast an election. After them, each interval is one Retry longer than the last.
+	// fixedDelayAttempts is the number of attempts at intervals of Retry, enough to outlast an
+	// election. Each later interval is one Retry longer than the last.
 	fixedDelayAttempts = 20
-	// maxDelayRetries is the longest interval between attempts, in units of Retry.
+	// maxDelayRetries is the longest interval, in units of Retry.
 	maxDelayRetries = 32
+	// rejectedDelayDivisor shortens the interval after an answer without a result.
+	rejectedDelayDivisor = 4
 )
 
-// attempt sends a command to the presumed leader, or to a random core or forwarder
-// if none is known, and schedules the next attempt.
-func (c *Caller) attempt(now time.Duration, k *pendingCall) {
-	to := c.hints[k.partition]
+// attempt sends a command to the presumed leader, or else to a random core or forwarder.
+func (c *Caller) attempt(now time.Duration, call *pendingCall) {
+	to := c.hints[call.partition]
 	if to == "" {
 		addresses := c.Cores()
-		if c.Forwarders != nil && k.attempts >= 2 && k.attempts%2 == 0 {
+		if c.Forwarders != nil && call.attempts >= 2 && call.attempts%2 == 0 {
 			if forwarders := c.Forwarders(); len(forwarders) > 0 {
 				addresses = forwarders
 			}
 		}
 		if len(addresses) == 0 {
-			k.retryAt = now + c.Retry
+			call.retryAt = now + c.Retry
 			return
 		}
 		to = addresses[int(c.Random()*float64(len(addresses)))%len(addresses)]
 	}
-	k.attempts++
+	call.attempts++
 	c.Attempts++
 	if !c.unanswered {
 		c.unansweredSince, c.unanswered = now, true
 	}
-	k.retryAt = now + c.Retry*time.Duration(min(max(k.attempts-fixedDelayAttempts, 1), maxDelayRetries))
-	c.Send(to, Command{ID: c.MessageID(k.ticket), Partition: k.partition, Raw: k.raw})
+	call.retryAt = now + c.Retry*time.Duration(min(max(call.attempts-fixedDelayAttempts, 1), maxDelayRetries))
+	c.Send(to, Command{ID: c.MessageID(call.ticket), Partition: call.partition, Raw: call.raw})
 }
 
 // SetLeader records the address of a partition's leader.
@@ -128,8 +120,7 @@
 	c.retryWaiting(partition, address)
 }
 
-// retryWaiting makes commands that have backed off due at once if the partition's
-// leader was not known before, or is another one now.
+// retryWaiting makes commands that have backed off due at once if the partition's leader is new.
 func (c *Caller) retryWaiting(partition int, leader string) {
 	if c.leaders == nil {
 		c.leaders = map[int]string{}
@@ -145,8 +136,8 @@
 	}
 }
 
-// MessageID turns a ticket into an ID that other incarnations of this process don't
-// use, so that a result for an earlier one matches no ticket here.
+// MessageID turns a ticket into an ID that no other incarnation of this process uses. A result for
+// an earlier incarnation then matches no ticket here.
 func (c *Caller) MessageID(t slab.Ticket) uint64 {
 	for c.salt == 0 {
 		c.salt = uint64(c.Random()*(1<<31))<<31 | uint64(c.Random()*(1<<31))
@@ -154,14 +145,13 @@
 	return uint64(t) ^ c.salt
 }
 
-// Ticket returns the ticket that a message ID was made from.
+// Ticket is the inverse of MessageID.
 func (c *Caller) Ticket(id uint64) slab.Ticket { return slab.Ticket(c.MessageID(slab.Ticket(id))) }
 
 // Leader returns the address of a partition's presumed leader, or "".
 func (c *Caller) Leader(partition int) string { return c.hints[partition] }
 
-// Tick retries commands that are due and ends those whose deadline has passed with
-// an uncertain outcome.
+// Tick retries commands that are due. Those past their deadline end with an uncertain outcome.
 func (c *Caller) Tick(now time.Duration) {
 	var due []*pendingCall
 	for _, t := range ordered.Keys(c.pending) {
@@ -169,52 +159,51 @@
 			due = append(due, k)
 		}
 	}
-	for _, k := range due {
-		if now >= k.deadline {
-			c.finish(now, k, Outcome{Uncertain: true, Sent: k.attempts > 0})
+	for _, call := range due {
+		if now >= call.deadline {
+			c.finish(now, call, Outcome{Uncertain: true, Sent: call.attempts > 0})
 			continue
 		}
-		delete(c.hints, k.partition)
-		if k.attempts == fixedDelayAttempts {
-			delete(c.leaders, k.partition)
+		delete(c.hints, call.partition)
+		if call.attempts == fixedDelayAttempts {
+			delete(c.leaders, call.partition)
 		}
-		c.attempt(now, k)
+		c.attempt(now, call)
 	}
 }
 
-// finish removes a command and reports its outcome.
-func (c *Caller) finish(now time.Duration, k *pendingCall, o Outcome) {
-	if _, ok := c.calls.Take(k.ticket); !ok {
+func (c *Caller) finish(now time.Duration, call *pendingCall, result Outcome) {
+	if _, ok := c.calls.Take(call.ticket); !ok {
 		return
 	}
-	delete(c.pending, k.ticket)
-	k.outcome(now, o)
+	delete(c.pending, call.ticket)
+	call.outcome(now, result)
 }
 
-// Receive handles the answer of the core at an address.
-func (c *Caller) Receive(now time.Duration, from string, r CommandResult) {
+// Receive handles a core's answer.
+func (c *Caller) Receive(now time.Duration, from string, result CommandResult) {
 	c.unanswered = false
-	k, ok := c.calls.Get(c.Ticket(r.ID))
+	call, ok := c.calls.Get(c.Ticket(result.ID))
 	switch {
 	case !ok:
-	case r.NotLeader:
-		if r.LeaderHint != "" && r.LeaderHint != from && c.hints[k.partition] != r.LeaderHint {
-			c.hints[k.partition] = r.LeaderHint
-			c.attempt(now, k)
+	case result.NotLeader:
+		if result.LeaderHint != "" && result.LeaderHint != from && c.hints[call.partition] != result.LeaderHint {
+			c.hints[call.partition] = result.LeaderHint
+			c.attempt(now, call)
 			return
 		}
-		delete(c.hints, k.partition)
-		k.retryAt = now + c.Retry/4
-	case r.Uncertain:
-		k.retryAt = now + c.Retry/4
+		delete(c.hints, call.partition)
+		call.retryAt = now + c.Retry/rejectedDelayDivisor
+	case result.Uncertain:
+		call.retryAt = now + c.Retry/rejectedDelayDivisor
 	default:
-		answer, err := message.Open(r.Raw)
+		answer, err := message.Open(result.Raw)
 		if err != nil {
 			return
 		}
-		c.hints[k.partition] = from
-		c.finish(now, k, Outcome{Answer: answer, Sent: true})
-		c.retryWaiting(k.partition, from)
+		c.hints[call.partition] = from
+		c.finish(now, call, Outcome{Answer: answer, Sent: true})
+		c.retryWaiting(call.partition, from)
 	}
 }
 
--- a/peer/core/expiry.go
+++ b/peer/core/expiry.go
@@ -8,15 +8,14 @@
 	"saffronfall/rule/rate"
 )
 
-// expiry is the planned deletion of an entry at a time of the partition's clock. The
-// entry's own time is read again then, as it may have been extended.
+// expiry is the planned deletion of an entry. The entry's own time is read again then, because it
+// may have been extended.
 type expiry struct {
 	key   string
 	until time.Duration
 }
 
-// expiryQueue holds expiries in buckets of expiryBucket, so that a sweep looks only at
-// what is due.
+// expiryQueue has buckets of expiryBucket, so that a sweep reads only what is due.
 type expiryQueue map[time.Duration][]expiry
 
 const expiryBucket = 15 * time.Second
@@ -37,7 +36,6 @@
 	return list
 }
 
-// loadExpiries fills the queue from the stored entries after an election.
 func (r *rules) loadExpiries(tx *partition.Tx) {
 	r.expiries, r.ledgers, r.expired = expiryQueue{}, map[string]*rate.Ledger{}, newRecentKeys()
 	for _, key := range tx.Keys(turnPrefix) {
@@ -57,30 +55,28 @@
 	}
 }
 
-// sweepExpired deletes the entries that have expired.
 func (r *rules) sweepExpired(tx *partition.Tx) {
 	clock := tx.Clock()
-	for _, e := range r.expiries.due(clock) {
+	for _, planned := range r.expiries.due(clock) {
 		var until time.Duration
-		if b, ok := readWithPrefix[storedAccount](tx, e.key, accountPrefix); ok {
+		if b, ok := readWithPrefix[storedAccount](tx, planned.key, accountPrefix); ok {
 			until = b.Until
-		} else if t, ok := readWithPrefix[storedTurn](tx, e.key, turnPrefix); ok {
+		} else if t, ok := readWithPrefix[storedTurn](tx, planned.key, turnPrefix); ok {
 			until = t.Until
-		} else if o, ok := readWithPrefix[acceptedOrder](tx, e.key, acceptedPrefix); ok {
+		} else if o, ok := readWithPrefix[acceptedOrder](tx, planned.key, acceptedPrefix); ok {
 			until = o.Until
 		} else {
 			continue
 		}
 		if clock < until {
-			r.expiries.add(e.key, until)
+			r.expiries.add(planned.key, until)
 			continue
 		}
-		tx.Delete(e.key)
-		r.expired.add(e.key)
+		tx.Delete(planned.key)
+		r.expired.add(planned.key)
 	}
 }
 
-// readWithPrefix reads an entry if its key has the prefix.
 func readWithPrefix[T any](tx *partition.Tx, key, prefix string) (T, bool) {
 	var none T
 	if !strings.HasPrefix(key, prefix) {
--- a/peer/core/identity_test.go
+++ b/peer/core/identity_test.go
@@ -5,42 +5,39 @@
 	"time"
 )
 
-// TestTenantsIDsAreIndependent: requesters choose the IDs of their attempts and
-// programs. Reuse of an ID, by the same or by another tenant, must not change what
-// was acknowledged.
+// Requesters choose the IDs of attempts and programs. Reuse of an ID, by the same or by another
+// tenant, must not change what was acknowledged.
 func TestTenantsIDsAreIndependent(t *testing.T) {
 	t.Run("turns of tenants", testSameIDOfTwoTenants)
 	t.Run("turns under one id", testSecondTurnUnderOneID)
 	t.Run("accounts of tenants", testBudgetsOfTwoTenants)
 }
 
-// testSameIDOfTwoTenants: two tenants use the same ID for a turn of their own.
 func testSameIDOfTwoTenants(t *testing.T) {
-	a := newSingleCore(t)
+	single := newSingleCore(t)
 	store := func(tenant, output string) bool {
-		return a.run(StoreTurn{Tenant: tenant, Attempt: "same", Input: []byte("in"), Output: []byte(output), Retention: time.Minute}).(Done).OK
+		return single.run(StoreTurn{Tenant: tenant, Attempt: "same", Input: []byte("in"), Output: []byte(output), Retention: time.Minute}).(Done).OK
 	}
 	if !store("first", "of the first") || !store("second", "of the second") {
 		t.Fatal("a turn was not kept")
 	}
 	for tenant, want := range map[string]string{"first": "of the first", "second": "of the second"} {
-		k := a.run(ReadTurn{Tenant: tenant, Attempt: "same"}).(ReadTurnResult)
+		k := single.run(ReadTurn{Tenant: tenant, Attempt: "same"}).(ReadTurnResult)
 		if !k.Found || string(k.Output) != want {
 			t.Errorf("tenant %s, whose turn was acknowledged as kept, reads found=%v %q", tenant, k.Found, k.Output)
 		}
 	}
-	if d := a.run(ExtendTurn{Tenant: "second", Attempt: "same", Retention: time.Hour}).(Done); !d.OK {
+	if d := single.run(ExtendTurn{Tenant: "second", Attempt: "same", Retention: time.Hour}).(Done); !d.OK {
 		t.Error("the second tenant's turn can't be prolonged")
 	}
 }
 
-// testSecondTurnUnderOneID: a turn that differs from the one stored under its ID must
-// not be acknowledged as stored, while a repetition of the same command is.
+// A turn that differs from the one stored under its ID must not be acknowledged as stored.
 func testSecondTurnUnderOneID(t *testing.T) {
-	a := newSingleCore(t)
+	single := newSingleCore(t)
 	command := StoreTurn{Tenant: "t", Attempt: "x", Previous: []string{"w"}, Input: []byte("in"), Output: []byte("out"), Retention: time.Minute}
 	for range 2 {
-		if !a.run(command).(Done).OK {
+		if !single.run(command).(Done).OK {
 			t.Fatal("a turn, or its repetition, was not kept")
 		}
 	}
@@ -51,14 +48,13 @@
 	} {
 		other := command
 		change(&other)
-		if a.run(other).(Done).OK {
+		if single.run(other).(Done).OK {
 			t.Errorf("another %s under the same id was acknowledged as kept", name)
 		}
 	}
 }
 
-// testBudgetsOfTwoTenants: names of tenants and programs may contain the separator of
-// stored keys.
+// Names of tenants and programs may contain the separator of stored keys.
 func testBudgetsOfTwoTenants(t *testing.T) {
 	a := newSingleCore(t)
 	reserve := func(tenant, program string) bool {
@@ -69,8 +65,8 @@
 	}
 }
 
-// TestFormerVersionFindsTurns: during an upgrade a core of the former version may
-// lead a partition. It looks for a turn under the key of its attempt alone.
+// During an upgrade a core of the former version may lead. It looks for a turn under the key of its
+// attempt alone.
 func TestFormerVersionFindsTurns(t *testing.T) {
 	a := newSingleCore(t)
 	command := StoreTurn{Tenant: "t", Attempt: "x", Output: []byte("out"), Retention: time.Minute}
@@ -81,15 +77,14 @@
 	}
 }
 
-// TestIDResemblingAnotherTenantsKey: an ID that equals another tenant's name and ID
-// joined does not overwrite that tenant's turn.
+// An ID that equals another tenant's name and ID joined must not overwrite that tenant's turn.
 func TestIDResemblingAnotherTenantsKey(t *testing.T) {
-	a := newSingleCore(t)
+	single := newSingleCore(t)
 	store := func(tenant, attempt string) bool {
-		return a.run(StoreTurn{Tenant: tenant, Attempt: attempt, Output: []byte(tenant), Retention: time.Minute}).(Done).OK
+		return single.run(StoreTurn{Tenant: tenant, Attempt: attempt, Output: []byte(tenant), Retention: time.Minute}).(Done).OK
 	}
 	found := func(tenant, attempt string) bool {
-		k := a.run(ReadTurn{Tenant: tenant, Attempt: attempt}).(ReadTurnResult)
+		k := single.run(ReadTurn{Tenant: tenant, Attempt: attempt}).(ReadTurnResult)
 		return k.Found && string(k.Output) == tenant
 	}
 	for _, one := range [][2]string{{"c", "x"}, {"b", "a/x"}, {"a", "x"}} {
--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -12,22 +12,22 @@
 	"saffronfall/rule/slab"
 )
 
-// Send is a message for the process at an address. A synced message may be sent
-// only after all changes up to it are on disk.
+// Send is a message to an address. A Synced one may be sent only after all changes up to it are on
+// disk, because it may acknowledge them.
 type Send struct {
 	To     string
 	Body   any
 	Synced bool
 }
 
-// Answer is the result of an operator's call, identified by the call's ticket.
+// Answer is the result of the operator's call with the ticket.
 type Answer struct {
 	Ticket uint64
 	Body   any
 }
 
-// Output lists the effects of a step. The caller carries them out in this order: write
-// the changes, send the messages, return the answers.
+// Output lists the effects of a step. The caller must write the changes, then send the messages,
+// then return the answers.
 type Output struct {
 	Changes []Change
 	Sends   []Send
@@ -49,12 +49,12 @@
 	Stored   Stored
 	Now      time.Duration
 	Random   func() float64
-	// Violated receives violated invariants. If it is nil, a violation panics.
+	// Violated receives violated invariants. If nil, a violation panics.
 	Violated invariant.Reporter
 }
 
-// Machine is the state machine of one core process. It does no I/O and has no
-// clock: the caller passes in messages and times and carries out each Output.
+// Machine is the state machine of one core process. It does no I/O and has no clock: the caller
+// passes in messages and times and carries out each Output.
 type Machine struct {
 	Counters Counters
 
@@ -75,52 +75,59 @@
 	timers     Timers
 	seeds      []string
 	announceAt time.Duration
-	// registering is set while a command to register this core's entry is pending;
-	// unregistered is set while the fleet may have a different entry of this core.
+	// registering is set while a registration of this core is pending; unregistered is set while
+	// the fleet may have a different entry of this core.
 	registering  bool
 	unregistered bool
-	// sampleRound identifies the last collection of samples.
-	sampleRound uint64
-	samples     map[string][]replay.Sample
-	// Silence of other cores counts from observedSince on. activeAt is when this core
-	// last ran.
+	sampleRound  uint64
+	samples      map[string][]replay.Sample
+	// Silence of other cores counts from observedSince on. activeAt is when this core last ran.
 	observedSince time.Duration
 	activeAt      time.Duration
 	placement     [][]string
-	// placementCores and placementSilent are the inputs that placement was
-	// computed from.
+	// placementCores and placementSilent are the inputs of placement.
 	placementCores  []Core
 	placementSilent map[string]bool
 	contacts        map[string]contact
 	topologyChanged bool
 	gossipState
-	// superseded is set when the fleet knows a later incarnation of this core.
-	// claimIncrement is added to the version of the next claim to this core's entry,
-	// because earlier claims lost a race.
+	// superseded is set when the fleet knows a later incarnation of this core. claimIncrement
+	// raises the version of the next claim to its entry, because earlier claims lost a race.
 	superseded     bool
 	claimIncrement uint64
-	// nextChangeAt is the earliest time of a partition's next group change, set when
-	// a change has failed.
+	// nextChangeAt is a partition's earliest next group change after a failed one.
 	nextChangeAt map[int]time.Duration
 	rebalanceAt  time.Duration
 }
 
-// outputs are the destinations of a step's results and of invariant violations.
 type outputs struct {
 	out      *Output
 	violated invariant.Reporter
 }
 
-// New returns a machine in the state stored on the core's disk.
-func New(o Options) *Machine {
-	m := &Machine{params: o.Params, random: o.Random, outputs: outputs{violated: o.Violated}, seeds: o.Seeds, partitions: map[int]*partition.Machine{}, cores: map[string]Core{},
-		self: Core{ID: o.ID, Incarnation: o.Stored.Incarnation, Zone: o.Zone, Peer: o.Address, Operator: o.Operator}}
-	m.caller = &Caller{Retry: o.Params.AttemptTimeout, Random: o.Random,
-		Send:       func(to string, body any) { m.send(to, body, false) },
-		Partitions: func() int { return m.founding.Partitions },
+// New returns a machine in the state stored on disk.
+func New(options Options) *Machine {
+	machine := &Machine{
+		params:     options.Params,
+		random:     options.Random,
+		outputs:    outputs{violated: options.Violated},
+		seeds:      options.Seeds,
+		partitions: map[int]*partition.Machine{},
+		cores:      map[string]Core{},
+		self: Core{
+			ID:          options.ID,
+			Incarnation: options.Stored.Incarnation,
+			Zone:        options.Zone,
+			Peer:        options.Address,
+			Operator:    options.Operator,
+		},
+	}
+	machine.caller = &Caller{Retry: options.Params.AttemptTimeout, Random: options.Random,
+		Send:       func(to string, body any) { machine.send(to, body, false) },
+		Partitions: func() int { return machine.founding.Partitions },
 		Cores: func() []string {
 			var addresses []string
-			for _, c := range m.cores {
+			for _, c := range machine.cores {
 				if !c.Retired {
 					addresses = append(addresses, c.Peer)
 				}
@@ -128,37 +135,42 @@
 			sort.Strings(addresses)
 			return addresses
 		}}
-	if o.Stored.Founding.Partitions > 0 {
-		m.start(o.Now, o.Stored)
+	if options.Stored.Founding.Partitions > 0 {
+		machine.start(options.Now, options.Stored)
 	}
-	return m
+	return machine
 }
 
-// start initializes the state of a core that belongs to a fleet.
-func (m *Machine) start(now time.Duration, s Stored) {
-	m.founding = s.Founding
-	m.terms, m.groups = make([]partition.Term, s.Founding.Partitions), make([]partition.Group, s.Founding.Partitions)
-	for id, c := range s.Founding.Cores {
+func (m *Machine) start(now time.Duration, stored Stored) {
+	m.founding = stored.Founding
+	m.terms, m.groups = make([]partition.Term, stored.Founding.Partitions), make([]partition.Group, stored.Founding.Partitions)
+	for id, c := range stored.Founding.Cores {
 		m.cores[id] = c
 	}
-	m.mergeCoresOf(s.Replicas[ConfigurationPartition])
+	m.mergeCoresOf(stored.Replicas[ConfigurationPartition])
 	m.refreshSelf()
 	m.unregistered = true
 	m.topologySentAt = map[string]time.Duration{}
 	m.contacts, m.nextChangeAt, m.observedSince, m.activeAt = map[string]contact{}, map[int]time.Duration{}, now, now
-	for _, n := range ordered.Keys(s.Replicas) {
-		m.addReplica(now, n, s.Replicas[n])
+	for _, n := range ordered.Keys(stored.Replicas) {
+		m.addReplica(now, n, stored.Replicas[n])
 	}
 }
 
-// addReplica starts this core's replica of partition n.
 func (m *Machine) addReplica(now time.Duration, n int, state partition.State) *partition.Machine {
-	m.partitions[n] = partition.New(partition.Options{Params: m.params.Partition, Member: m.self.MemberID(), Partition: n, Rules: &rules{params: m.params, fleet: m.fleet, violated: m.violated}, State: state, Now: now,
-		Random: m.random, Violated: m.violated})
+	m.partitions[n] = partition.New(partition.Options{
+		Params:    m.params.Partition,
+		Member:    m.self.MemberID(),
+		Partition: n,
+		Rules:     &rules{params: m.params, fleet: m.fleet, violated: m.violated},
+		State:     state,
+		Now:       now,
+		Random:    m.random,
+		Violated:  m.violated,
+	})
 	return m.partitions[n]
 }
 
-// send queues a message for the process at an address.
 func (m *Machine) send(to string, body any, synced bool) {
 	m.out.Sends = append(m.out.Sends, Send{To: to, Body: body, Synced: synced})
 }
@@ -166,35 +178,45 @@
 // Founded reports whether this core belongs to a fleet.
 func (m *Machine) Founded() bool { return m.founding.Partitions > 0 }
 
-// Self returns this core's own entry.
+// Self returns this core's entry.
 func (m *Machine) Self() Core { return m.self }
 
-// Founding returns the configuration that the fleet was founded with.
+// Founding returns the fleet's initial configuration.
 func (m *Machine) Founding() Founding { return m.founding }
 
+const (
+	// The interval of announcements of a core without a fleet.
+	joinAnnouncementsPerLease = 20
+	minJoinAnnounceInterval   = 50 * time.Millisecond
+	// Per member lease; rebalances are per partition lease.
+	announcementsPerLease = 4
+	sweepsPerLease        = 4
+	rebalancesPerLease    = 4
+)
+
 // Tick runs what is due at now.
 func (m *Machine) Tick(now time.Duration) Output {
 	m.out = &Output{}
 	if !m.Founded() {
 		if now >= m.announceAt {
-			m.announceAt = now + max(50*time.Millisecond, m.params.MemberLease/20)
+			m.announceAt = now + max(minJoinAnnounceInterval, m.params.MemberLease/joinAnnouncementsPerLease)
 			m.announce()
 		}
 		return *m.out
 	}
 	m.detectPause(now)
 	for n := 0; n < m.founding.Partitions; n++ {
-		p := m.partitions[n]
-		if p == nil {
+		replica := m.partitions[n]
+		if replica == nil {
 			continue
 		}
 		if m.draining || m.stalled {
-			m.handleOutput(now, n, p.ReleaseLeadership(now))
-			if _, leads := p.LeadingTerm(now); !leads {
+			m.handleOutput(now, n, replica.ReleaseLeadership(now))
+			if _, leads := replica.LeadingTerm(now); !leads {
 				continue
 			}
 		}
-		m.handleOutput(now, n, p.Tick(now))
+		m.handleOutput(now, n, replica.Tick(now))
 	}
 	if now >= m.gossipAt {
 		m.gossipAt = now + m.params.PullInterval
@@ -202,11 +224,11 @@
 		m.gossip(now)
 	}
 	if now >= m.rebalanceAt {
-		m.rebalanceAt = now + m.params.Partition.LeaseDuration/4
+		m.rebalanceAt = now + m.params.Partition.LeaseDuration/rebalancesPerLease
 		m.rebalance(now)
 	}
 	if now >= m.sweepAt {
-		m.sweepAt = now + m.params.MemberLease/4
+		m.sweepAt = now + m.params.MemberLease/sweepsPerLease
 		for n := 0; n < m.founding.Partitions; n++ {
 			if p := m.partitions[n]; p != nil {
 				if _, ok := p.LeadingTerm(now); ok {
@@ -216,7 +238,7 @@
 		}
 	}
 	if now >= m.announceAt {
-		m.announceAt = now + m.params.MemberLease/4
+		m.announceAt = now + m.params.MemberLease/announcementsPerLease
 		m.announce()
 		m.register(now)
 	}
@@ -225,12 +247,10 @@
 	return *m.out
 }
 
-// Drain starts to transfer the leadership of all partitions to other cores.
-// LeadingPartitions lists those that remain.
+// Drain starts to transfer leadership of all partitions. LeadingPartitions lists those that remain.
 func (m *Machine) Drain() { m.draining = true }
 
-// LeadingPartitions lists the partitions that this core leads at now, in ascending
-// order.
+// LeadingPartitions lists the partitions that this core leads, in ascending order.
 func (m *Machine) LeadingPartitions(now time.Duration) []int {
 	var list []int
 	for n, p := range m.partitions {
@@ -242,18 +262,18 @@
 	return list
 }
 
-// PartitionCounters returns the sums of the counters of all replicas.
+// PartitionCounters returns the sums over all replicas.
 func (m *Machine) PartitionCounters() partition.Counters {
 	var sum partition.Counters
 	for _, p := range m.partitions {
-		c := p.Counters
-		sum.Elections += c.Elections
-		sum.Elected += c.Elected
-		sum.Writes += c.Writes
-		sum.Entries += c.Entries
-		sum.SnapshotsSent += c.SnapshotsSent
-		sum.Sweeps += c.Sweeps
-		sum.TombstonesPurged += c.TombstonesPurged
+		counters := p.Counters
+		sum.Elections += counters.Elections
+		sum.Elected += counters.Elected
+		sum.Writes += counters.Writes
+		sum.Entries += counters.Entries
+		sum.SnapshotsSent += counters.SnapshotsSent
+		sum.Sweeps += counters.Sweeps
+		sum.TombstonesPurged += counters.TombstonesPurged
 	}
 	return sum
 }
@@ -261,7 +281,7 @@
 // Partition returns this core's replica of partition n, or nil if it has none.
 func (m *Machine) Partition(n int) *partition.Machine { return m.partitions[n] }
 
-// Receive handles a message from the process at an address.
+// Receive handles a message from an address.
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
 	m.out = &Output{}
 	m.Counters.Messages++
@@ -277,34 +297,34 @@
 		return *m.out
 	}
 	m.detectPause(now)
-	switch b := body.(type) {
+	switch msg := body.(type) {
 	case ReplicaMessage:
-		m.onReplicaMessage(now, b)
+		m.onReplicaMessage(now, msg)
 	case Command:
 		m.Counters.Commands++
-		command, err := message.Open(b.Raw)
-		if err != nil || b.Partition < 0 || b.Partition >= m.founding.Partitions {
+		command, err := message.Open(msg.Raw)
+		if err != nil || msg.Partition < 0 || msg.Partition >= m.founding.Partitions {
 			m.Counters.BadMessages++
 			return *m.out
 		}
-		m.propose(now, b.Partition, command, commandOrigin{from: from, id: b.ID, partition: b.Partition})
+		m.propose(now, msg.Partition, command, commandOrigin{from: from, id: msg.ID, partition: msg.Partition})
 	case CommandResult:
-		m.caller.Receive(now, from, b)
+		m.caller.Receive(now, from, msg)
 	case PullUpdates:
 		m.Counters.Pulls++
-		m.onPullUpdates(now, from, b)
+		m.onPullUpdates(now, from, msg)
 	case Topology:
-		m.mergeTopology(b)
+		m.mergeTopology(msg)
 	case AnnounceCore:
-		m.onAnnounceCore(now, from, b)
+		m.onAnnounceCore(now, from, msg)
 	case Samples:
-		if b.ID == m.sampleRound && m.samples != nil {
-			m.samples[from] = b.List
+		if msg.ID == m.sampleRound && m.samples != nil {
+			m.samples[from] = msg.List
 		}
 	}
 	return *m.out
 }
 
-// SetStalled sets whether the core's disk is stalled. A core with a stalled
-// disk gives up leadership of its partitions and is not a candidate in elections.
+// SetStalled sets whether the disk is stalled. A stalled core gives up leadership and is not
+// elected.
 func (m *Machine) SetStalled(stalled bool) { m.stalled = stalled }
--- a/peer/core/membership.go
+++ b/peer/core/membership.go
@@ -9,8 +9,7 @@
 	"saffronfall/rule/partition"
 )
 
-// Move is one change of a partition's group: a member to add, one to remove, or
-// both.
+// Move is one change of a partition's group. An empty Add or Remove means none.
 type Move struct {
 	Partition int    `json:"part"`
 	Add       string `json:"add,omitempty"`
@@ -24,8 +23,8 @@
 	KindReplace = "replace"
 )
 
-// ChangeResult is the outcome of a change to the fleet's cores. Code and Reason
-// are empty if it succeeded.
+// ChangeResult is the outcome of a change to the fleet's cores. Code and Reason are empty if it
+// succeeded.
 type ChangeResult struct {
 	Done      bool   `json:"done"`
 	Moves     []Move `json:"moves"`
@@ -34,36 +33,40 @@
 	Reason    string `json:"reason,omitempty"`
 }
 
-// rejoin makes a core with an empty directory join the fleet that sent its
-// topology, whether or not the fleet knows the core's ID. The core has no vote
-// until it is added to groups. It waits for FoundFleet instead if it is a member of a
-// group already, or if that is unknown because the topology lacks a group. A retired
-// core does not join.
-func (m *Machine) rejoin(now time.Duration, t Topology) {
-	known, ok := t.Cores[m.self.ID]
-	if len(t.Groups) == 0 || known.Retired {
+// rejoin makes a core with an empty directory join the fleet, without a vote until it is added to
+// groups. A core waits for FoundFleet if it is a member of a group, or may be because the topology
+// lacks a group. A retired core does not join.
+func (m *Machine) rejoin(now time.Duration, topology Topology) {
+	known, ok := topology.Cores[m.self.ID]
+	if len(topology.Groups) == 0 || known.Retired {
 		return
 	}
-	for _, g := range t.Groups {
+	for _, g := range topology.Groups {
 		if g.Epoch == 0 || g.Has(m.self.MemberID()) {
 			return
 		}
 	}
-	f := Founding{Fleet: t.Fleet, Partitions: len(t.Groups), Cores: maps.Clone(t.Cores), Groups: make([]partition.Group, len(t.Groups)), Size: t.GroupSize}
-	if f.Cores == nil {
-		f.Cores = map[string]Core{}
+	founding := Founding{
+		Fleet:      topology.Fleet,
+		Partitions: len(topology.Groups),
+		Cores:      maps.Clone(topology.Cores),
+		Groups:     make([]partition.Group, len(topology.Groups)),
+		Size:       topology.GroupSize,
+	}
+	if founding.Cores == nil {
+		founding.Cores = map[string]Core{}
 	}
 	m.self.Version = known.Version + 1
-	f.Cores[m.self.ID] = m.self
+	founding.Cores[m.self.ID] = m.self
 	if ok {
 		m.Counters.Rejoins++
 	}
-	m.Join(now, f)
-	m.mergeTopology(t)
+	m.Join(now, founding)
+	m.mergeTopology(topology)
 	m.announceToAll()
 }
 
-// Join makes this core, which has no vote in any group yet, belong to a fleet.
+// Join makes this core, which must have no vote in any group yet, belong to a fleet.
 func (m *Machine) Join(now time.Duration, f Founding) {
 	m.out.Changes = append(m.out.Changes, Change{Founding: &f})
 	s := Stored{Incarnation: m.self.Incarnation}
@@ -71,8 +74,10 @@
 	m.start(now, s)
 }
 
-// register corrects the fleet's entry of this core. The partitions' leaders then
-// replace an earlier incarnation in their groups by this one.
+// registerTimeoutLeases is the timeout of a registration in member leases.
+const registerTimeoutLeases = 10
+
+// register corrects the fleet's entry of this core. Leaders then replace an earlier incarnation.
 func (m *Machine) register(now time.Duration) {
 	if m.registering || m.self.Retired || m.draining || m.stalled || !m.unregistered || m.superseded {
 		return
@@ -83,15 +88,15 @@
 		claim.Version = max(claim.Version, known.Version+1)
 	}
 	claim.Version += m.claimIncrement
-	m.caller.Call(now, PutCore{Core: claim}, now+10*m.params.MemberLease, func(now time.Duration, o Outcome) {
+	m.caller.Call(now, PutCore{Core: claim}, now+registerTimeoutLeases*m.params.MemberLease, func(now time.Duration, o Outcome) {
 		m.registering = false
-		switch a := o.Answer.(type) {
+		switch answer := o.Answer.(type) {
 		case PutCoreRejected:
-			m.superseded = a.Core.Incarnation != m.self.Incarnation
-			m.mergeCore(a.Core)
+			m.superseded = answer.Core.Incarnation != m.self.Incarnation
+			m.mergeCore(answer.Core)
 		case Done:
 			switch {
-			case !a.OK:
+			case !answer.OK:
 				m.claimIncrement++
 			case m.self == before:
 				m.unregistered, m.claimIncrement = false, 0
@@ -104,7 +109,6 @@
 	})
 }
 
-// announceToAll sends this core's entry to all other cores at once.
 func (m *Machine) announceToAll() {
 	for _, id := range ordered.Keys(m.cores) {
 		if c := m.cores[id]; id != m.self.ID {
@@ -113,9 +117,8 @@
 	}
 }
 
-// PlanChange returns the moves that a change to the fleet's cores needs, or the
-// reason why it is impossible. Silent cores are assigned replicas only where too
-// few others remain.
+// PlanChange returns the moves that a change to the fleet's cores needs, or the reason why it is
+// impossible. Silent cores are assigned replicas only where too few others remain.
 func PlanChange(cores map[string]Core, silent map[string]bool, groups []partition.Group, size int, kind, id, by string) ChangeResult {
 	changed, ok := cores[id]
 	if !ok {
@@ -144,13 +147,11 @@
 	return ChangeResult{Moves: moves}
 }
 
-// tooFewCores is the reason for refusing to retire a core.
 func tooFewCores(id string) string {
 	return "without " + id + " some group would have fewer seats; add a core first"
 }
 
-// membershipMoves returns the moves that turn a group into the wanted one, each
-// member to add paired with one to remove as long as there are both.
+// membershipMoves pairs members to add with members to remove.
 func membershipMoves(n int, group, wanted []string) []Move {
 	var moves []Move
 	for _, member := range wanted {
@@ -172,9 +173,8 @@
 	return moves
 }
 
-// ChangeCore carries out one change to the fleet's cores. KindAdd waits until a new
-// core has its replicas; KindRetire and KindReplace retire a core and wait until
-// it has none. The answer is a ChangeResult.
+// ChangeCore carries out one change to the fleet's cores and answers with a ChangeResult. KindAdd
+// waits until a new core has its replicas, the other kinds until the retired core has none.
 func (m *Machine) ChangeCore(now time.Duration, ticket uint64, kind, id, by string, within time.Duration) Output {
 	m.out = &Output{}
 	m.refreshTopology()
@@ -210,9 +210,11 @@
 	return *m.out
 }
 
-// awaitGroups reads the groups from the partitions' leaders until all of them
-// satisfy settled, or until the deadline, and then answers the ticket.
-func (m *Machine) awaitGroups(now time.Duration, ticket uint64, until time.Duration, plan ChangeResult, settled func(n int, members []string) bool) {
+// awaitGroups polls the groups' leaders until all satisfy settled or the deadline passes.
+func (m *Machine) awaitGroups(
+	now time.Duration, ticket uint64, until time.Duration, plan ChangeResult,
+	settled func(n int, members []string) bool,
+) {
 	waiting, settledCount := m.founding.Partitions, 0
 	for n := 0; n < m.founding.Partitions; n++ {
 		m.caller.Call(now, ReadGroup{Partition: n}, until, func(now time.Duration, o Outcome) {
@@ -237,20 +239,19 @@
 	}
 }
 
-// RegisterCore adds a new core's entry to the fleet's list of cores, before it is given
-// replicas. The answer is a Done.
-func (m *Machine) RegisterCore(now time.Duration, ticket uint64, c Core, within time.Duration) Output {
+// RegisterCore adds a new core's entry before it is given replicas. The answer is a Done.
+func (m *Machine) RegisterCore(now time.Duration, ticket uint64, core Core, within time.Duration) Output {
 	m.out = &Output{}
-	if old, ok := m.cores[c.ID]; ok && old.Incarnation != c.Incarnation && !old.Retired {
+	if old, ok := m.cores[core.ID]; ok && old.Incarnation != core.Incarnation && !old.Retired {
 		m.answerOperator(ticket, Done{})
 		return *m.out
 	} else if ok {
-		c.Version = old.Version + 1
+		core.Version = old.Version + 1
 	}
-	m.caller.Call(now, PutCore{Core: c}, now+within, func(now time.Duration, o Outcome) {
+	m.caller.Call(now, PutCore{Core: core}, now+within, func(now time.Duration, o Outcome) {
 		d, _ := o.Answer.(Done)
 		if d.OK {
-			m.mergeCore(c)
+			m.mergeCore(core)
 		}
 		m.answerOperator(ticket, d)
 	})
--- a/peer/core/messages_samples.go
+++ b/peer/core/messages_samples.go
@@ -4,9 +4,8 @@
 	"saffronfall/rule/replay"
 )
 
-// Messages that collect recent requests for replays.
 type (
-	// ReadSamples requests a node's recent requests for a replay.
+	// ReadSamples requests a node's recent requests.
 	ReadSamples struct {
 		ID uint64 `msgpack:"ID"`
 	}
--- a/peer/core/orders.go
+++ b/peer/core/orders.go
@@ -8,24 +8,21 @@
 	"saffronfall/rule/partition"
 )
 
-// An order is an operator's request to put a routing table or a configuration in force.
-// An operator that got no answer sends the same order again, to any core or registry, possibly
-// after hundreds of others. Each accepted order therefore has a record of its own, by
-// which a repeated order is acknowledged. The records are entries beside the
-// configuration, so that an order rewrites none of the earlier ones.
+// An order is an operator's request to put a routing table or a configuration in force. An operator
+// that got no answer repeats it, to any core or registry, possibly after hundreds of others. Each
+// accepted order has a record by which a repetition is acknowledged. Records are separate entries,
+// so that an order rewrites no earlier ones.
 
 const (
 	acceptedPrefix = "accepted/"
-	// Kinds of orders. Their numbers are independent of each other.
+	// Kinds of orders, which are numbered independently.
 	tableOrder         = "table/"
 	configurationOrder = "description/"
 )
 
-// defaultOrderRetention is how long an accepted order is recognized, by the clock of
-// the configuration partition.
+// defaultOrderRetention is by the clock of the configuration partition.
 const defaultOrderRetention = 24 * time.Hour
 
-// orderID identifies an order.
 type orderID struct {
 	kind   string
 	base   uint64
@@ -37,8 +34,7 @@
 	return acceptedPrefix + o.kind + strconv.FormatUint(o.number, 10)
 }
 
-// acceptedOrder is the record of an order that was accepted. Numbers only rise, so
-// there is at most one record under a number.
+// acceptedOrder is the record of an accepted order. Numbers only rise, so each has at most one.
 type acceptedOrder struct {
 	Base   uint64        `msgpack:"b"`
 	Digest string        `msgpack:"d"`
@@ -52,14 +48,12 @@
 	return defaultOrderRetention
 }
 
-// wasAccepted reports whether an order has a record, or is in the list that an earlier
-// release stored.
+// wasAccepted reports whether an order has a record, or is in the list of an earlier release.
 func wasAccepted(tx *partition.Tx, order orderID, past []orderID) bool {
 	record, ok := read[acceptedOrder](tx, order.key())
 	return ok && record.Base == order.base && record.Digest == order.digest || slices.Contains(past, order)
 }
 
-// recordAccepted stores records of accepted orders.
 func (r *rules) recordAccepted(tx *partition.Tx, orders ...orderID) {
 	until := tx.Clock() + r.params.orderRetention()
 	for _, order := range orders {
@@ -68,24 +62,21 @@
 	}
 }
 
-// acceptTable puts a routing table in force if it builds on the current one.
-func (r *rules) acceptTable(tx *partition.Tx, c AcceptTable) any {
-	order := orderID{kind: tableOrder, base: c.Base, number: c.Number, digest: c.Digest}
+func (r *rules) acceptTable(tx *partition.Tx, command AcceptTable) any {
+	order := orderID{kind: tableOrder, base: command.Base, number: command.Number, digest: command.Digest}
 	current, _ := read[CurrentTable](tx, TableKey)
 	past := current.past()
 	if wasAccepted(tx, order, past) {
-		return AcceptTableResult{OK: true, Number: c.Number}
+		return AcceptTableResult{OK: true, Number: command.Number}
 	}
-	if current.Number != c.Base || c.Number <= current.Number {
+	if current.Number != command.Base || command.Number <= current.Number {
 		return AcceptTableResult{Number: current.Number}
 	}
 	r.recordAccepted(tx, append(past, order)...)
-	write(tx, TableKey, CurrentTable{Number: c.Number, Text: c.Text, Digest: c.Digest})
-	return AcceptTableResult{OK: true, Number: c.Number}
+	write(tx, TableKey, CurrentTable{Number: command.Number, Text: command.Text, Digest: command.Digest})
+	return AcceptTableResult{OK: true, Number: command.Number}
 }
 
-// findOrder reports whether an order for a routing table was accepted, and which table
-// is in force.
 func findOrder(tx *partition.Tx, c FindOrder) AcceptTableResult {
 	current, _ := read[CurrentTable](tx, TableKey)
 	order := orderID{kind: tableOrder, base: c.Base, number: c.Number, digest: c.Digest}
@@ -104,18 +95,18 @@
 }
 
 // acceptConfiguration puts a configuration in force if it builds on the current one.
-func (r *rules) acceptConfiguration(tx *partition.Tx, c AcceptConfiguration) any {
-	order := orderID{kind: configurationOrder, base: c.BasedOn, number: c.BasedOn + 1, digest: c.Digest}
+func (r *rules) acceptConfiguration(tx *partition.Tx, command AcceptConfiguration) any {
+	order := orderID{kind: configurationOrder, base: command.BasedOn, number: command.BasedOn + 1, digest: command.Digest}
 	current, _ := read[CurrentConfiguration](tx, configurationKey)
 	past := current.past()
 	if wasAccepted(tx, order, past) {
 		return AcceptConfigurationResult{Accepted: true, Version: order.number}
 	}
-	if current.Version != c.BasedOn {
+	if current.Version != command.BasedOn {
 		return AcceptConfigurationResult{Version: current.Version}
 	}
 	r.recordAccepted(tx, append(past, order)...)
-	write(tx, configurationKey, CurrentConfiguration{Version: order.number, Text: c.Text, Digest: c.Digest})
+	write(tx, configurationKey, CurrentConfiguration{Version: order.number, Text: command.Text, Digest: command.Digest})
 	return AcceptConfigurationResult{Accepted: true, Version: order.number}
 }
 
--- a/peer/core/placement.go
+++ b/peer/core/placement.go
@@ -11,11 +11,10 @@
 	"saffronfall/rule/partition"
 )
 
-// Place returns the members that each partition's group should have. Groups are
-// spread over zones and cores as evenly as possible, and so are the homes, the
-// first members. The result depends only on the set of cores, and changes little
-// when a core is added or removed (rendezvous hashing, followed by balancing).
-// Retired cores get no replicas, and silent ones only if there are too few others.
+// Place returns the members that each partition's group should have, spread evenly over zones and
+// cores, as are homes (first members). The result depends only on the set of cores, and changes
+// little when one is added or removed (rendezvous hashing, then balancing). Retired cores get no
+// replicas, and silent ones only if there are too few others.
 func Place(partitions, size int, cores []Core, silent map[string]bool) [][]string {
 	var present, absent []Core
 	for _, c := range cores {
@@ -34,7 +33,7 @@
 	return assignHomes(groups)
 }
 
-// weight is the rendezvous weight of a core for partition n.
+// weight is a core's rendezvous weight for partition n.
 func weight(kind string, n int, id string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(kind + "/" + strconv.Itoa(n) + "/" + id))
@@ -45,9 +44,8 @@
 	return x ^ x>>31
 }
 
-// assignMembers adds count members to each group. It first assigns them by zone and
-// weight, then moves single members from loaded to less loaded cores while that
-// keeps the zones as balanced as they are.
+// assignMembers adds members by zone and weight, then moves them to less loaded cores while that
+// keeps the zones as balanced.
 func assignMembers(partitions, count int, cores []Core, groupsBefore [][]string) [][]string {
 	groups := make([][]string, partitions)
 	zoneCounts := make([]map[string]int, partitions)
@@ -128,8 +126,7 @@
 	return groups
 }
 
-// assignHomes puts each partition's home, the member that should lead it, first in
-// its group.
+// assignHomes puts each partition's home, the member that should lead it, first in its group.
 func assignHomes(groups [][]string) [][]string {
 	homeCounts := map[string]int{}
 	home := make([]string, len(groups))
@@ -166,30 +163,39 @@
 	return groups
 }
 
-// silenceTimeout is the time without a message after which a core counts as silent.
+const (
+	// defaultSilenceLeases is the default silence timeout in member leases.
+	defaultSilenceLeases = 3
+	// A core sends at least this many heartbeats.
+	heartbeatsPerLease          = 4
+	heartbeatsPerSilenceTimeout = 8
+	// recentHeartbeats is in heartbeat intervals.
+	recentHeartbeats = 3
+	// recoveryDivisor divides the silence timeout, or the member lease if shorter.
+	recoveryDivisor = 4
+	// pauseDivisor divides the silence timeout; longer pauses are detected.
+	pauseDivisor = 4
+)
+
 func (m *Machine) silenceTimeout() time.Duration {
 	if m.params.SilenceTimeout > 0 {
 		return m.params.SilenceTimeout
 	}
-	return 3 * m.params.MemberLease
+	return defaultSilenceLeases * m.params.MemberLease
 }
 
-// heartbeatInterval is the time between a core's heartbeats.
 func (m *Machine) heartbeatInterval() time.Duration {
-	return min(m.params.MemberLease/4, m.silenceTimeout()/8)
+	return min(m.params.MemberLease/heartbeatsPerLease, m.silenceTimeout()/heartbeatsPerSilenceTimeout)
 }
 
-// recoveryTime is how long messages from a silent core must arrive again until it
-// no longer counts as silent.
+// recoveryTime is how long a silent core must be heard again before it no longer counts as silent.
 func (m *Machine) recoveryTime() time.Duration {
-	return min(m.params.MemberLease, m.silenceTimeout()) / 4
+	return min(m.params.MemberLease, m.silenceTimeout()) / recoveryDivisor
 }
 
-// contact is when the last message of a core arrived, and when the first one
-// after its last silence did.
+// contact has the times of a core's last message, and of the first one after its last silence.
 type contact struct{ last, recoveredAt time.Duration }
 
-// recordContact notes that a message of a member arrived.
 func (m *Machine) recordContact(now time.Duration, member string) {
 	c, ok := m.contacts[member]
 	if ok && now-max(c.last, m.observedSince) >= m.silenceTimeout() {
@@ -199,17 +205,16 @@
 	m.contacts[member] = c
 }
 
-// detectPause restarts the observation of other cores' silence if this core itself
-// did not run for a while, because it received no messages in that time.
+// detectPause restarts the observation of silence after a pause of this core, which received no
+// messages in that time.
 func (m *Machine) detectPause(now time.Duration) {
-	if now-m.activeAt > m.silenceTimeout()/4 {
+	if now-m.activeAt > m.silenceTimeout()/pauseDivisor {
 		m.observedSince = now
 	}
 	m.activeAt = now
 }
 
-// silent reports whether a member counts as silent: no message arrived for the
-// silence timeout, or it has not yet recovered from such a silence.
+// silent also reports a member that has not yet recovered from a silence.
 func (m *Machine) silent(now time.Duration, member string) bool {
 	if member == m.self.MemberID() {
 		return false
@@ -218,7 +223,6 @@
 	return now-max(c.last, m.observedSince) >= m.silenceTimeout() || (c.recoveredAt > 0 && c.last-c.recoveredAt < m.recoveryTime())
 }
 
-// silentCores returns the IDs of the cores that count as silent.
 func (m *Machine) silentCores(now time.Duration) map[string]bool {
 	silent := map[string]bool{}
 	for id, c := range m.cores {
@@ -229,11 +233,9 @@
 	return silent
 }
 
-// hasRecentContact reports whether a message from a member arrived within the last three
-// heartbeat intervals.
 func (m *Machine) hasRecentContact(now time.Duration, member string) bool {
 	c, ok := m.contacts[member]
-	return member == m.self.MemberID() || (ok && now-c.last < 3*m.heartbeatInterval())
+	return member == m.self.MemberID() || (ok && now-c.last < recentHeartbeats*m.heartbeatInterval())
 }
 
 // Reasons for removing a member from a group, the most urgent first.
@@ -245,8 +247,6 @@
 	memberStays
 )
 
-// removalUrgency returns whether and how urgently a member should be removed from
-// a group.
 func (m *Machine) removalUrgency(now time.Duration, member string, wanted []string) int {
 	c, ok := m.cores[CoreID(member)]
 	switch {
@@ -262,8 +262,7 @@
 	return memberStays
 }
 
-// desiredGroups returns the groups that the partitions should have according to
-// the cores that this one knows.
+// desiredGroups returns the groups that the partitions should have.
 func (m *Machine) desiredGroups(now time.Duration) [][]string {
 	var cores []Core
 	silent := m.silentCores(now)
@@ -276,27 +275,26 @@
 	return m.placement
 }
 
-// rebalance moves the groups of the partitions that this core leads towards the
-// desired ones, one member at a time for each group.
+// rebalance moves the groups that this core leads towards the desired ones, one change at a time.
 func (m *Machine) rebalance(now time.Duration) {
 	for n := 0; n < m.founding.Partitions; n++ {
-		p := m.partitions[n]
-		if p == nil {
+		replica := m.partitions[n]
+		if replica == nil {
 			continue
 		}
-		if _, ok := p.LeadingTerm(now); !ok {
+		if _, ok := replica.LeadingTerm(now); !ok {
 			continue
 		}
-		if adding, changing := p.ChangeInProgress(); changing {
+		if adding, changing := replica.ChangeInProgress(); changing {
 			if adding != "" && (!m.hasRecentContact(now, adding) || m.removalUrgency(now, adding, nil) < memberSilent) {
-				m.handleOutput(now, n, p.AbortChange(now))
+				m.handleOutput(now, n, replica.AbortChange(now))
 			}
 			continue
 		}
 		if now < m.nextChangeAt[n] || m.draining || m.stalled {
 			continue
 		}
-		committed, _ := p.CommittedGroup()
+		committed, _ := replica.CommittedGroup()
 		group, wanted := committed.Members, m.desiredGroups(now)[n]
 		add, remove := m.nextChange(now, group, wanted)
 		switch {
@@ -306,16 +304,15 @@
 					m.nextChangeAt[n] = now + m.params.Partition.LeaseDuration
 				}
 			}})
-			m.handleOutput(now, n, p.ChangeMembers(now, uint64(ticket), add, remove))
+			m.handleOutput(now, n, replica.ChangeMembers(now, uint64(ticket), add, remove))
 		case len(wanted) > 0 && wanted[0] != group[0] && slices.Contains(group, wanted[0]) && m.hasRecentContact(now, wanted[0]):
 			i := slices.Index(group, wanted[0])
-			m.handleOutput(now, n, p.ReorderMembers(now, append([]string{wanted[0]}, slices.Delete(slices.Clone(group), i, i+1)...)))
+			m.handleOutput(now, n, replica.ReorderMembers(now, append([]string{wanted[0]}, slices.Delete(slices.Clone(group), i, i+1)...)))
 		}
 	}
 }
 
-// nextChange returns the next member to add to a group and the one to remove. Empty
-// strings mean none.
+// nextChange returns the next member to add and the one to remove; "" means none.
 func (m *Machine) nextChange(now time.Duration, group, wanted []string) (add, remove string) {
 	urgency := memberStays
 	healthy := true
--- a/peer/core/timers.go
+++ b/peer/core/timers.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// Timers holds functions that run at the first tick at or after a given time, in the
-// order in which they were added.
+// Timers holds functions that run in order of addition at the first tick at or after their time.
 type Timers struct{ timers []timer }
 
 type timer struct {
@@ -20,11 +19,11 @@
 func (t *Timers) Tick(now time.Duration) {
 	due := t.timers
 	t.timers = nil
-	for _, one := range due {
-		if now >= one.at {
-			one.run(now)
+	for _, candidate := range due {
+		if now >= candidate.at {
+			candidate.run(now)
 		} else {
-			t.timers = append(t.timers, one)
+			t.timers = append(t.timers, candidate)
 		}
 	}
 }
