--- a/saffronfall/amend.go
+++ b/saffronfall/amend.go
@@ -16,13 +16,11 @@
 	"saffronfall/rule/route"
 )
 
-// amendOptions are the flags of apply for amending a routing table.
 type amendOptions struct {
 	Amend   bool `help:"The file is an amendment of the current routing table, and --core is the operator address of a desk."`
 	Preview bool `help:"With --amend: print what would change, and change nothing."`
 }
 
-// runAmend applies an amendment, or prints what it would change.
 func (c *applyCommand) runAmend(out io.Writer) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -45,8 +43,7 @@
 		return err
 	}
 	if status == http.StatusBadRequest || status == http.StatusConflict {
-		// A response that does not come from a registry cannot be decoded, and is reported as it
-		// is.
+		// If this fails, the response is not a registry's and is reported as it is.
 		err = json.Unmarshal(raw, &result)
 	}
 	switch {
@@ -81,7 +78,6 @@
 	return current.Number, errors.Wrap(err, "reading the current table")
 }
 
-// printPreview prints what an amendment would change.
 func printPreview(out io.Writer, base uint64, p route.Preview) {
 	fmt.Fprintf(out, "on table %d:\n", base)
 	kinds := []struct {
--- a/saffronfall/amend_test.go
+++ b/saffronfall/amend_test.go
@@ -36,13 +36,17 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	c := applyCommand{clientOptions: clientOptions{Core: strings.TrimPrefix(server.URL, "http://"), Key: "key", Timeout: 5 * time.Second}, amendOptions: amendOptions{Amend: true, Preview: preview}, File: file, BasedOn: -1}
+	c := applyCommand{
+		clientOptions: clientOptions{Core: strings.TrimPrefix(server.URL, "http://"), Key: "key", Timeout: 5 * time.Second},
+		amendOptions:  amendOptions{Amend: true, Preview: preview},
+		File:          file,
+		BasedOn:       -1,
+	}
 	err = c.runAmend(&out)
 	return out.String(), query, body, err
 }
 
-// TestApplyAmendment checks that an amendment is sent unchanged, based on the current table,
-// and that each outcome is reported.
+// TestApplyAmendment checks that an amendment is sent unchanged, based on the current table.
 func TestApplyAmendment(t *testing.T) {
 	printed, query, body, err := runAmendment(t, false, http.StatusOK, registry.OrderResult{Accepted: true, Number: 9})
 	if err != nil || printed != "table 9 taken\n" || query != "base=7" || !strings.Contains(body, `"old"`) {
--- a/saffronfall/coreprocess/process.go
+++ b/saffronfall/coreprocess/process.go
@@ -1,10 +1,9 @@
 // Package coreprocess runs the role of a core, which stores partitions of the fleet's state.
 //
-// All decisions are made by the state machine of peer/core; this package connects it to
-// sockets, clocks and the disk. One goroutine, process.run, calls the machine and owns all
-// mutable state; another, writer.run, writes to the disk. Messages that depend on changes
-// are held back until the changes are synced. Start reading at RunOn, process.run and
-// process.apply.
+// It connects the state machine of peer/core to sockets, clocks and the disk. One goroutine,
+// process.run, calls the machine and owns all mutable state; another, writer.run, writes to the
+// disk. Messages that depend on changes are held back until the changes are synced. Start reading
+// at RunOn, process.run and process.apply.
 package coreprocess
 
 import (
@@ -31,24 +30,21 @@
 	"saffronfall/saffronfall/telemetry"
 )
 
-// writeResult is the result of writing a batch.
 type writeResult struct {
 	// upTo is that of the batch.
 	upTo     uint64
 	duration time.Duration
 	err      error
-	// full means that the disk was full and that the writer retries the batch.
+	// full means that the disk was full and the writer retries the batch.
 	full bool
 }
 
-// batch holds the changes to write. Its upTo is the number of the last output of the machine
-// that they belong to.
+// batch holds changes to write, up to the machine's output with the number upTo.
 type batch struct {
 	upTo    uint64
 	changes []core.Change
 }
 
-// process is a running core.
 type process struct {
 	params  params.Params
 	updates <-chan params.Params
@@ -64,10 +60,10 @@
 	written       chan writeResult
 
 	violations *invariant.Counter
-	// changes holds the changes that are not handed to the writer yet.
+	// changes are not handed to the writer yet.
 	changes []core.Change
-	// Outputs with changes are numbered from 1. issued is the number of the machine's last
-	// one, synced that of the last one on the disk.
+	// Outputs with changes are numbered from 1. issued is the last one of the machine, synced the
+	// last one on the disk.
 	issued     uint64
 	synced     uint64
 	writing    bool
@@ -82,17 +78,16 @@
 	stalled  bool
 }
 
-// messages counts messages to and from other processes of the fleet.
 type messages struct{ sent, dropped, received, badStreams int64 }
 
-// heldSend is a message to send once the changes up to a number are synced.
+// heldSend is a message to send once the outputs up to after are synced.
 type heldSend struct {
 	after uint64
 	send  core.Send
 }
 
-// Run runs the role until ctx ends, then hands its partitions over. Settings received on
-// updates replace p. The error is that of the disk or of a listener which failed, or nil.
+// Run runs the role until ctx ends, then hands its partitions over. Settings received on updates
+// replace p. The error is nil or that of the disk or of a listener.
 func Run(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger) error {
 	return RunOn(ctx, disk.System, p, updates, log)
 }
@@ -111,12 +106,18 @@
 	if err != nil {
 		return err
 	}
-	s := &process{params: p, violations: telemetry.NewViolationCounts(p.StrictInvariants, log), updates: updates, otherVersions: map[string]byte{}, log: log, streams: streams, start: clock.Now(), calls: make(chan func(time.Duration) core.Output, 64),
-		drain: make(chan struct{}, 1), writes: make(chan batch, 1), written: make(chan writeResult, 1), answers: map[uint64]chan any{}}
+	s := &process{
+		params: p, violations: telemetry.NewViolationCounts(p.StrictInvariants, log), updates: updates,
+		otherVersions: map[string]byte{}, log: log, streams: streams, start: clock.Now(),
+		calls: make(chan func(time.Duration) core.Output, 64), drain: make(chan struct{}, 1),
+		writes: make(chan batch, 1), written: make(chan writeResult, 1), answers: map[uint64]chan any{},
+	}
 	var image core.Stored
 	image.CopyFrom(stored)
-	s.machine = core.New(core.Options{Params: p.Core(), ID: p.ID, Zone: p.Zone, Address: p.PeerAdvertise, Operator: p.OperatorAdvertise, Seeds: p.Seeds,
-		Stored: stored, Now: s.now(), Random: rand.Float64, Violated: s.violations.Report})
+	s.machine = core.New(core.Options{
+		Params: p.Core(), ID: p.ID, Zone: p.Zone, Address: p.PeerAdvertise, Operator: p.OperatorAdvertise,
+		Seeds: p.Seeds, Stored: stored, Now: s.now(), Random: rand.Float64, Violated: s.violations.Report,
+	})
 	log.Info("core started", "id", p.ID, "incarnation", stored.Incarnation, "founded", s.machine.Founded())
 
 	var group run.Group
@@ -126,7 +127,13 @@
 	diskWriter := writer{store: store, image: image, batches: s.writes, results: s.written, retryInterval: p.Core().Partition.LeaseDuration}
 	group.Add(func() error { return diskWriter.run(runCtx) }, func(error) { cancel() })
 	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "core", Snapshot: s.snapshot}, log)
-	server := &http.Server{Addr: p.OperatorListen, Handler: operator.Handler(s, p.OperatorKey, s.drain), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: callTimeout, IdleTimeout: callTimeout}
+	server := &http.Server{
+		Addr:              p.OperatorListen,
+		Handler:           operator.Handler(s, p.OperatorKey, s.drain),
+		ReadHeaderTimeout: 5 * time.Second,
+		ReadTimeout:       callTimeout,
+		IdleTimeout:       callTimeout,
+	}
 	group.Add(func() error {
 		if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 			return errors.Wrap(err, "operator address")
@@ -136,14 +143,13 @@
 	return group.Run()
 }
 
-// callTimeout bounds how long reading an operator's request may take.
+// callTimeout bounds the reading of an operator's request.
 const callTimeout = time.Minute
 
 const maxMessageBytes = 64 << 20
 
-// load opens the data directory and returns the state stored there. An empty directory gets
-// a new incarnation. A damaged one is set aside, and the core starts as a new one: without a
-// vote, because it has lost what it promised.
+// load opens the data directory and gives an empty one a new incarnation. If it is damaged, it is
+// set aside, and the core starts without a vote, because it has lost what it promised.
 func load(files disk.FileSystem, path string, log logr.Logger) (*disk.Store, core.Stored, error) {
 	store, found, err := disk.OpenIn(files, path)
 	if errors.Is(err, disk.ErrDamaged) {
@@ -180,20 +186,24 @@
 	return store, stored, nil
 }
 
-// logVersionMismatch logs, once for each member and version, that a member's protocol
-// version is incompatible with this process.
+// logVersionMismatch logs once for each member and version.
 func (s *process) logVersionMismatch(c stream.Counters) {
 	if s.otherVersions[c.PeerAddress] != c.PeerVersion {
 		s.otherVersions[c.PeerAddress] = c.PeerVersion
-		s.log.Info("refused a member of an incompatible version; upgrade a fleet one version at a time", "member", c.PeerAddress, "its version", c.PeerVersion, "own version", stream.Version)
+		s.log.Info(
+			"refused a member of an incompatible version; upgrade a fleet one version at a time",
+			"member", c.PeerAddress,
+			"its version", c.PeerVersion,
+			"own version", stream.Version,
+		)
 	}
 }
 
 func (s *process) now() time.Duration { return clock.Now() - s.start }
 
-// run is the event loop. No other goroutine calls the machine. It starts to hand partitions
-// over when ctx ends, and returns once none is led here, the grace period is over or runCtx
-// ends. A drain by an operator has the same effect as the end of ctx.
+// run is the event loop. No other goroutine calls the machine. When ctx ends or an operator drains
+// the core, run hands its partitions over, and returns once none is led here or the grace period is
+// over. The end of runCtx ends it at once.
 func (s *process) run(ctx, runCtx context.Context) error {
 	runtime.LockOSThread()
 	ticker := time.NewTicker(s.params.Core().Partition.LeaseDuration / 20)
@@ -249,15 +259,14 @@
 	}
 }
 
-// startDrain starts to hand partitions over and returns when the grace period ends.
+// startDrain returns the end of the grace period.
 func (s *process) startDrain() time.Duration {
 	s.machine.Drain()
 	s.log.Info("core is draining", "partitions", len(s.machine.LeadingPartitions(s.now())))
 	return s.now() + s.params.Grace()
 }
 
-// monitor tells the machine whether the disk stalls, and logs changes of that and of the
-// number of partitions led here.
+// monitor tells the machine whether the disk stalls, and logs changes of that and of leadership.
 func (s *process) monitor() {
 	stalled := s.writing && s.now()-s.writeStart > s.params.Core().Partition.LeaseDuration
 	if stalled != s.stalled {
@@ -271,8 +280,8 @@
 	}
 }
 
-// apply carries out what the machine has decided. A message that depends on changes is sent
-// only once they are synced: otherwise a power failure could undo what it says.
+// apply carries out the machine's output. A message that depends on changes is sent only once they
+// are synced: otherwise a power failure could undo what it says.
 func (s *process) apply(o core.Output) {
 	if len(o.Changes) > 0 {
 		s.changes = append(s.changes, o.Changes...)
@@ -293,11 +302,14 @@
 	}
 }
 
-// sendSynced sends a message that depends on the changes up to a number. It reports a
-// violated invariant if they are not synced.
+// sendSynced reports a violated invariant if the message depends on unsynced changes.
 func (s *process) sendSynced(send core.Send, upTo uint64) {
 	if send.Synced && upTo > s.synced {
-		invariant.Reporter(s.violations.Report).Violated(invariant.AcknowledgedAfterSync, "%T to %s depends on change %d; changes up to %d are synced", send.Body, send.To, upTo, s.synced)
+		invariant.Reporter(s.violations.Report).Violated(
+			invariant.AcknowledgedAfterSync,
+			"%T to %s depends on change %d; changes up to %d are synced", send.Body, send.To, upTo,
+			s.synced,
+		)
 	}
 	s.send(send)
 }
@@ -313,7 +325,6 @@
 	}
 }
 
-// sendHeld sends the held messages whose changes are synced.
 func (s *process) sendHeld() {
 	held := s.held
 	s.held = nil
@@ -326,7 +337,7 @@
 	}
 }
 
-// writeChanges hands the collected changes to the writer, unless it is busy.
+// writeChanges does nothing while the writer is busy.
 func (s *process) writeChanges() {
 	if s.writing || len(s.changes) == 0 {
 		return
@@ -364,7 +375,6 @@
 	})
 }
 
-// snapshot returns the current counters and violated invariants.
 func (s *process) snapshot(ctx context.Context) (snapshot telemetry.Snapshot, err error) {
 	if snapshot.Values, err = s.Counters(ctx); err != nil {
 		return snapshot, err
@@ -378,11 +388,31 @@
 func (s *process) Counters(ctx context.Context) (map[string]int64, error) {
 	body, err := s.Inspect(ctx, func(m *core.Machine, now time.Duration) any {
 		p := m.PartitionCounters()
-		return map[string]int64{"messages": m.Counters.Messages, "commands": m.Counters.Commands, "commands_moved": m.Counters.Redirected,
-			"commands_unsure": m.Counters.Uncertain, "pulls": m.Counters.Pulls, "refused_while_stalled": m.Counters.RefusedWhileStalled, "returns_with_empty_folder": m.Counters.Rejoins, "bad_messages": m.Counters.BadMessages,
-			"stands": p.Elections, "seated": p.Elected, "writes": p.Writes, "entries_written": p.Entries, "copies_mended": p.SnapshotsSent,
-			"sweeps": p.Sweeps, "marks_dropped": p.TombstonesPurged, "parts_owned": int64(len(m.LeadingPartitions(now))), "sent": s.sent, "dropped": s.dropped,
-			"received": s.received, "bad_streams": s.badStreams, "syncs": s.syncs, "sync_micros": s.syncTime.Microseconds(), "disk_stalled": boolGauge(s.stalled)}
+		return map[string]int64{
+			"messages":                  m.Counters.Messages,
+			"commands":                  m.Counters.Commands,
+			"commands_moved":            m.Counters.Redirected,
+			"commands_unsure":           m.Counters.Uncertain,
+			"pulls":                     m.Counters.Pulls,
+			"refused_while_stalled":     m.Counters.RefusedWhileStalled,
+			"returns_with_empty_folder": m.Counters.Rejoins,
+			"bad_messages":              m.Counters.BadMessages,
+			"stands":                    p.Elections,
+			"seated":                    p.Elected,
+			"writes":                    p.Writes,
+			"entries_written":           p.Entries,
+			"copies_mended":             p.SnapshotsSent,
+			"sweeps":                    p.Sweeps,
+			"marks_dropped":             p.TombstonesPurged,
+			"parts_owned":               int64(len(m.LeadingPartitions(now))),
+			"sent":                      s.sent,
+			"dropped":                   s.dropped,
+			"received":                  s.received,
+			"bad_streams":               s.badStreams,
+			"syncs":                     s.syncs,
+			"sync_micros":               s.syncTime.Microseconds(),
+			"disk_stalled":              boolGauge(s.stalled),
+		}
 	})
 	if err != nil {
 		return nil, err
@@ -390,7 +420,6 @@
 	return body.(map[string]int64), nil
 }
 
-// boolGauge returns 1 for true and 0 for false.
 func boolGauge(b bool) int64 {
 	if b {
 		return 1
--- a/saffronfall/coreprocess/process_test.go
+++ b/saffronfall/coreprocess/process_test.go
@@ -20,8 +20,7 @@
 
 const operatorKey = "operators of a test"
 
-// TestReloadsWhileWriting applies settings while the core writes to its disk. Under the race
-// detector it fails if the two share data.
+// TestReloadsWhileWriting lets the race detector find data shared by the core and its writer.
 func TestReloadsWhileWriting(t *testing.T) {
 	text := fmt.Sprintf(`{"id":"c","seeds":[],"fleet_secret":"a secret of some length","folder":%q,"peer_listen":%q,"operator_listen":%q,"operator_key":%q,"strict_invariants":true,"grace_ms":0}`,
 		t.TempDir(), ownAddress(7100), ownAddress(7101), operatorKey)
--- a/saffronfall/coreprocess/writer.go
+++ b/saffronfall/coreprocess/writer.go
@@ -12,26 +12,23 @@
 	"saffronfall/rule/message"
 )
 
-// writer writes batches of changes to the disk. It has its own copy of the stored state, so
-// that it can write a slot without the machine, and shares only the two channels with the
-// event loop.
+// writer writes batches of changes to the disk. It shares only its two channels with the event
+// loop, and keeps its own copy of the stored state for new slots.
 type writer struct {
 	store   *disk.Store
 	image   core.Stored
 	batches <-chan batch
 	results chan<- writeResult
-	// retryInterval is the time between retries while the disk is full.
+	// retryInterval applies while the disk is full.
 	retryInterval time.Duration
 }
 
 const (
 	minSlotSize = int64(1 << 20)
-	// logSlots is the size of the log, in sizes of the last slot, at which a new slot is
-	// written and the log begins anew.
+	// logSlots is the size of the log, in sizes of the last slot, at which a new slot replaces it.
 	logSlots = 4
 )
 
-// run writes batches until ctx ends.
 func (w *writer) run(ctx context.Context) error {
 	defer w.store.Close()
 	slotSize := minSlotSize
@@ -58,7 +55,6 @@
 	}
 }
 
-// report hands a result to the event loop, unless ctx ends first.
 func (w *writer) report(ctx context.Context, result writeResult) {
 	select {
 	case w.results <- result:
@@ -66,9 +62,9 @@
 	}
 }
 
-// appendRetrying appends a record to the log and retries while the disk is full. Meanwhile
-// the machine considers the disk stalled: it hands over the partitions that it leads, starts
-// no elections, and acknowledges nothing that depends on the batch.
+// appendRetrying retries while the disk is full. Meanwhile the machine considers the disk stalled:
+// it hands its partitions over, starts no elections, and acknowledges nothing that depends on the
+// batch.
 func (w *writer) appendRetrying(ctx context.Context, record []byte) error {
 	err := w.store.Append(record)
 	if errors.Is(err, disk.ErrFull) {
--- a/saffronfall/main.go
+++ b/saffronfall/main.go
@@ -30,7 +30,6 @@
 	"saffronfall/saffronfall/role"
 )
 
-// settingsFile is the argument of the commands that run a role.
 type settingsFile struct {
 	Settings string `arg:"" type:"path" help:"Settings file (JSON)."`
 }
@@ -86,14 +85,12 @@
 	return c.change(operator.CoreChange{Kind: core.KindReplace, ID: c.ID, By: c.By}, "")
 }
 
-// changeOptions are the flags of the commands that change the set of cores.
 type changeOptions struct {
 	clientOptions
 	Plan bool `help:"Show which group memberships would move; change nothing."`
 }
 
-// change makes or plans a change and prints the moves. The address newCore is empty except
-// for a core to add.
+// change makes or plans a change and prints the moves. newCore is empty except to add a core.
 func (c changeOptions) change(change operator.CoreChange, newCore string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
@@ -130,15 +127,14 @@
 
 func (c *nodeCommand) Run() error { return role.Start(c.Settings, nodeprocess.Run) }
 
-// clientOptions are the flags of the commands that call a process of the fleet.
+// clientOptions are the flags of the commands that call a process.
 type clientOptions struct {
 	Core    string        `help:"Operator address of any core, by IP number." placeholder:"IP:PORT" env:"SAFFRONFALL_CORE"`
 	Key     string        `help:"Operator key." env:"SAFFRONFALL_OPERATOR_KEY"`
 	Timeout time.Duration `name:"within" help:"Timeout of the call." default:"20s"`
 }
 
-// do sends a request and decodes the response into target. It returns the status and the
-// undecoded body.
+// do sends a request, decodes the response into target, and returns its status and raw body.
 func (c clientOptions) do(method, path string, body, target any) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
@@ -196,7 +192,7 @@
 	BasedOn int64  `help:"Version that the configuration or amendment is based on; -1: the current one." default:"-1"`
 }
 
-// submit checks the file and sends it to a core, to apply it or only to plan it.
+// submit checks the file before it sends it to a core.
 func (c *applyCommand) submit(planOnly bool) (int, []byte, core.ApplyResult, error) {
 	var result core.ApplyResult
 	text, err := os.ReadFile(c.File)
@@ -399,7 +395,6 @@
 	os.Exit(exitCode(err))
 }
 
-// exitCode returns the exit code for a failed command.
 func exitCode(err error) int {
 	var faults configuration.Faults
 	var refusal *operator.ResponseError
@@ -407,7 +402,17 @@
 	case errors.As(err, &faults):
 		return 2
 	case errors.As(err, &refusal):
-		return max(1, map[string]int{"faulty": 2, "unsure": 3, "agreed_not_taken": 3, "not_finished": 3, "unknown_key": 4, "race_lost": 5, "not_approved": 6, "unknown_core": 7, "no_room": 8}[refusal.Code])
+		return max(1, map[string]int{
+			"faulty":           2,
+			"unsure":           3,
+			"agreed_not_taken": 3,
+			"not_finished":     3,
+			"unknown_key":      4,
+			"race_lost":        5,
+			"not_approved":     6,
+			"unknown_core":     7,
+			"no_room":          8,
+		}[refusal.Code])
 	case errors.Is(err, operator.ErrUnreachable):
 		return 9
 	}
--- a/saffronfall/main_test.go
+++ b/saffronfall/main_test.go
@@ -24,8 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// TestReloadWhileStarting checks that SIGHUP before the settings have been read does not end
-// the process. The settings file is a named pipe, which blocks the process while it reads.
+// TestReloadWhileStarting guards against a SIGHUP that ends the process before the settings are
+// read. The settings file is a named pipe, which blocks that read.
 func TestReloadWhileStarting(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "settings.json")
@@ -80,7 +80,6 @@
 		}
 		return err == nil
 	})
-	// The reload reads the file again.
 	if pipe, err = os.OpenFile(path, os.O_WRONLY, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +104,6 @@
 	}
 }
 
-// until waits until a condition is met, at most ten seconds.
 func until(t *testing.T, condition string, met func() bool) {
 	t.Helper()
 	tick, deadline := time.NewTicker(20*time.Millisecond), time.After(10*time.Second)
@@ -119,8 +117,8 @@
 	}
 }
 
-// ownAddress returns an address that no other test process uses: a loopback IP derived from
-// the process ID, with a port below the ephemeral ones.
+// ownAddress returns an address that no other test process uses, with a port below the ephemeral
+// ones.
 func ownAddress(port int) string {
 	return fmt.Sprintf("127.7.%d.%d:%d", os.Getpid()>>8&0xff, os.Getpid()&0xff, port)
 }
--- a/saffronfall/nodeprocess/process.go
+++ b/saffronfall/nodeprocess/process.go
@@ -1,8 +1,8 @@
 // Package nodeprocess runs the role of a node that serves turns and tool calls of programs.
 //
-// All decisions are made by the state machine of peer/node; this package connects it to
-// sockets, clocks and replicas. One goroutine, process.run, calls the machine and owns all
-// mutable state; the others reach it over channels. Start reading at Run and process.run.
+// It connects the state machine of peer/node to sockets, clocks and replicas. One goroutine,
+// process.run, calls the machine and owns all mutable state; the others reach it over channels.
+// Start reading at Run and process.run.
 package nodeprocess
 
 import (
@@ -30,7 +30,6 @@
 	"saffronfall/saffronfall/params"
 )
 
-// request is a request on its way to process.run.
 type request struct {
 	spec   node.Request
 	frames chan node.Frame
@@ -39,13 +38,11 @@
 }
 
 const (
-	// framesPerRequest is how many frames of an answer a requester may fall behind before
-	// its request is cancelled.
+	// framesPerRequest is how far a requester may fall behind before its request is cancelled.
 	framesPerRequest = 256
 	maxMessageBytes  = 64 << 20
 )
 
-// process is a running node.
 type process struct {
 	params  params.Params
 	updates <-chan params.Params
@@ -64,9 +61,8 @@
 	ctx   context.Context
 	drain chan struct{}
 
-	// pending has the frames channel of each request in flight, by ticket.
-	pending map[uint64]chan node.Frame
-	// attempts has the cancel function of each attempt in flight.
+	// pending is keyed by ticket.
+	pending        map[uint64]chan node.Frame
 	attempts       map[uint64]context.CancelFunc
 	lastTicket     uint64
 	sent           int64
@@ -79,8 +75,8 @@
 	breaker        string
 }
 
-// Run runs the role until ctx ends, then drains it. Settings received on updates replace
-// p. The error is that of a listener which failed, or nil.
+// Run runs the role until ctx ends, then drains it. Settings received on updates replace p. The
+// error is nil or that of a listener.
 func Run(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger) error {
 	raw := make([]byte, 6)
 	if _, err := crypto.Read(raw); err != nil {
@@ -92,12 +88,20 @@
 		return err
 	}
 	runCtx, cancel := context.WithCancel(context.Background())
-	s := &process{params: p, updates: updates, otherVersions: map[string]byte{}, log: log, streams: streams, start: clock.Now(), ctx: runCtx, drain: make(chan struct{}, 1), breaker: "closed", requests: make(chan request, p.BufferSize), cancelled: make(chan uint64, p.BufferSize),
-		events: make(chan node.AttemptEvent, p.BufferSize), calls: make(chan func(time.Duration) node.Output, 64),
-		pending: map[uint64]chan node.Frame{}, attempts: map[uint64]context.CancelFunc{},
-		sender: replica.NewSender(&net.Dialer{Timeout: p.Node().AnnouncementMaxAge}, p.MaxRequestBytes*16)}
-	s.machine = node.New(node.Options{Params: p.Node(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Zone: p.Zone, Address: p.PeerAdvertise,
-		HTTP: p.RequesterAdvertise, Host: hostIdentity(p.PeerListen), Seeds: p.Seeds, Now: s.now(), Random: rand.Float64})
+	s := &process{
+		params: p, updates: updates, otherVersions: map[string]byte{}, log: log, streams: streams,
+		start: clock.Now(), ctx: runCtx, drain: make(chan struct{}, 1), breaker: "closed",
+		requests: make(chan request, p.BufferSize), cancelled: make(chan uint64, p.BufferSize),
+		events: make(chan node.AttemptEvent, p.BufferSize),
+		calls:  make(chan func(time.Duration) node.Output, 64), pending: map[uint64]chan node.Frame{},
+		attempts: map[uint64]context.CancelFunc{},
+		sender:   replica.NewSender(&net.Dialer{Timeout: p.Node().AnnouncementMaxAge}, p.MaxRequestBytes*16),
+	}
+	s.machine = node.New(node.Options{
+		Params: p.Node(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Zone: p.Zone,
+		Address: p.PeerAdvertise, HTTP: p.RequesterAdvertise, Host: hostIdentity(p.PeerListen), Seeds: p.Seeds,
+		Now: s.now(), Random: rand.Float64,
+	})
 	log.Info("node started", "id", p.ID, "incarnation", s.machine.Incarnation())
 
 	var group run.Group
@@ -125,9 +129,8 @@
 	return group.Run()
 }
 
-// hostIdentity identifies a listen address together with the boot and the network
-// namespace of the host. While this process listens there, no other process of the same
-// boot and namespace can. It is empty if the boot or the namespace is unknown.
+// hostIdentity identifies a listen address, where only one process at a time can listen, within a
+// boot and a network namespace. It is empty if one of them is unknown.
 func hostIdentity(listen string) string {
 	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -140,19 +143,23 @@
 	return strings.TrimSpace(string(boot)) + " " + network + " " + listen
 }
 
-// logVersionMismatch logs, once for each member and version, that a member's protocol
-// version is incompatible with this process.
+// logVersionMismatch logs once for each member and version.
 func (s *process) logVersionMismatch(c stream.Counters) {
 	if s.otherVersions[c.PeerAddress] != c.PeerVersion {
 		s.otherVersions[c.PeerAddress] = c.PeerVersion
-		s.log.Info("refused a member of an incompatible version; upgrade a fleet one version at a time", "member", c.PeerAddress, "its version", c.PeerVersion, "own version", stream.Version)
+		s.log.Info(
+			"refused a member of an incompatible version; upgrade a fleet one version at a time",
+			"member", c.PeerAddress,
+			"its version", c.PeerVersion,
+			"own version", stream.Version,
+		)
 	}
 }
 
 func (s *process) now() time.Duration { return clock.Now() - s.start }
 
-// run is the event loop. No other goroutine calls the machine. It drains the node when ctx ends
-// or an operator asks for it, and returns once the node is drained or the grace period is over.
+// run is the event loop. No other goroutine calls the machine. When ctx ends or an operator asks
+// for it, run drains the node, and returns once that is done or the grace period is over.
 func (s *process) run(ctx context.Context) error {
 	runtime.LockOSThread()
 	ticker := time.NewTicker(s.params.Core().PullInterval / 15)
@@ -217,14 +224,13 @@
 	}
 }
 
-// startDrain starts to drain the node and returns when the grace period ends.
+// startDrain returns the end of the grace period.
 func (s *process) startDrain() time.Duration {
 	s.log.Info("node is draining")
 	s.apply(s.machine.Drain(s.now()))
 	return s.now() + s.params.Grace()
 }
 
-// logChanges logs changes of the breaker, the configuration and readiness.
 func (s *process) logChanges() {
 	if state := s.machine.BreakerState(); state != s.breaker {
 		s.breaker = state
@@ -240,7 +246,7 @@
 	}
 }
 
-// watchRequester cancels the request with a ticket when its requester is gone.
+// watchRequester cancels a request when its requester is gone.
 func (s *process) watchRequester(ticket uint64, gone <-chan struct{}) {
 	select {
 	case <-gone:
@@ -253,8 +259,6 @@
 	}
 }
 
-// apply carries out what the machine has decided: it sends messages, passes on frames of
-// answers, and starts and cancels attempts.
 func (s *process) apply(o node.Output) {
 	for _, send := range o.Sends {
 		if send.To == s.params.PeerAdvertise {
@@ -314,12 +318,11 @@
 	}
 }
 
-// announce records the announcement of a replica.
 func (s *process) announce(ctx context.Context, r node.Replica, token string) (node.AnnounceReply, error) {
 	return inspect(ctx, s, func(now time.Duration) node.AnnounceReply { return s.machine.Announce(now, r, token) })
 }
 
-// inspect calls read on the goroutine of run and returns its result.
+// inspect calls read on the goroutine of run.
 func inspect[T any](ctx context.Context, s *process, read func(now time.Duration) T) (T, error) {
 	result := make(chan T, 1)
 	var none T
@@ -351,7 +354,8 @@
 func (s *process) Counters(ctx context.Context) (any, error) {
 	return inspect(ctx, s, func(now time.Duration) map[string]any {
 		counts := s.machine.Status(now)
-		counts["sent"], counts["dropped"], counts["received"], counts["bad_streams"], counts["slow_requesters"] = s.sent, s.dropped, s.received, s.badStreams, s.slowRequesters
+		counts["sent"], counts["dropped"], counts["received"], counts["bad_streams"], counts["slow_requesters"] =
+			s.sent, s.dropped, s.received, s.badStreams, s.slowRequesters
 		return counts
 	})
 }
@@ -362,7 +366,11 @@
 	mux.HandleFunc("GET /counters", func(w http.ResponseWriter, r *http.Request) {
 		counts, err := s.Counters(r.Context())
 		if err != nil {
-			operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{Code: "unsure", Reason: err.Error(), Executed: "no"})
+			operator.WriteJSON(w, http.StatusServiceUnavailable, operator.ErrorResponse{
+				Code:     "unsure",
+				Reason:   err.Error(),
+				Executed: "no",
+			})
 			return
 		}
 		operator.WriteJSON(w, http.StatusOK, counts)
--- a/saffronfall/params/params.go
+++ b/saffronfall/params/params.go
@@ -1,7 +1,6 @@
-// Package params holds the settings of a process. Rows is the table of all settings;
-// Read checks a settings file against it and reports every fault at once. Params converts
-// the settings to the parameters of each role, and Reload decides which settings may
-// change while a process runs.
+// Package params holds the settings of a process. Read checks a settings file against Rows, the
+// table of all settings, and reports every fault at once. Params converts the settings to the
+// parameters of each role. Reload decides which may change while a process runs.
 package params
 
 import (
@@ -17,8 +16,7 @@
 	"saffronfall/rule/partition"
 )
 
-// Params holds the settings of a process. Rows documents each setting under the name in
-// its field's tag.
+// Params holds the settings of a process, documented in Rows under the names in the tags.
 type Params struct {
 	ID          string   `json:"id"`
 	Zone        string   `json:"zone"`
@@ -55,12 +53,19 @@
 	Relay
 }
 
-// live names the settings that can change without a restart.
-var live = map[string]bool{"newest_ms": true, "patience_ms": true, "budget_ms": true, "grace_ms": true, "buffer": true, "urgent_ratio": true, "log_verbosity": true}
+// live settings can change without a restart.
+var live = map[string]bool{
+	"newest_ms":     true,
+	"patience_ms":   true,
+	"budget_ms":     true,
+	"grace_ms":      true,
+	"buffer":        true,
+	"urgent_ratio":  true,
+	"log_verbosity": true,
+}
 
-// Reload compares a new settings text with the running settings. It returns the settings
-// to run with from now on, the names of the changed settings that were applied, and the
-// names of those that need a restart. An invalid text returns running and an error.
+// Reload returns the settings to run with after a new settings text, the names of the applied
+// changes, and of those that need a restart. An invalid text returns running and an error.
 func Reload(running Params, text []byte) (next Params, applied, restart []string, err error) {
 	fresh, err := Read(text)
 	if err != nil {
@@ -81,7 +86,8 @@
 		}
 	}
 	next = running
-	next.MaxHeartbeatAgeMS, next.MaxRateWaitMS, next.BudgetMS, next.GraceMS = fresh.MaxHeartbeatAgeMS, fresh.MaxRateWaitMS, fresh.BudgetMS, fresh.GraceMS
+	next.MaxHeartbeatAgeMS, next.MaxRateWaitMS, next.BudgetMS, next.GraceMS =
+		fresh.MaxHeartbeatAgeMS, fresh.MaxRateWaitMS, fresh.BudgetMS, fresh.GraceMS
 	next.BufferSize, next.UrgentRatio, next.Verbosity = fresh.BufferSize, fresh.UrgentRatio, fresh.Verbosity
 	return next, applied, restart, nil
 }
@@ -160,14 +166,18 @@
 	return ""
 }
 
-// Read parses and checks a settings text. The error is a configuration.Faults that lists
-// every fault. Empty advertised addresses are set to the listen addresses.
+// Read parses and checks a settings text. The error is a configuration.Faults with every fault.
+// Empty advertised addresses are set to the listen addresses.
 func Read(text []byte) (Params, error) {
 	var p Params
 	if faults := configuration.Read(text, Rows, &p); len(faults) > 0 {
 		return p, faults
 	}
-	for _, pair := range []struct{ to, from *string }{{&p.PeerAdvertise, &p.PeerListen}, {&p.OperatorAdvertise, &p.OperatorListen}, {&p.RequesterAdvertise, &p.RequesterListen}} {
+	for _, pair := range []struct{ to, from *string }{
+		{&p.PeerAdvertise, &p.PeerListen},
+		{&p.OperatorAdvertise, &p.OperatorListen},
+		{&p.RequesterAdvertise, &p.RequesterListen},
+	} {
 		if *pair.to == "" {
 			*pair.to = *pair.from
 		}
@@ -188,15 +198,34 @@
 
 // Core returns the parameters of the control plane.
 func (p Params) Core() core.Params {
-	return core.Params{Partition: partition.Params{LeaseDuration: ms(p.LeaderTermMS), Drift: p.Drift, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeTransfer: 20},
+	return core.Params{
+		Partition: partition.Params{
+			LeaseDuration:        ms(p.LeaderTermMS),
+			Drift:                p.Drift,
+			RenewalsPerLease:     5,
+			LeasesPerSweep:       40,
+			LeasesBeforeTransfer: 20,
+		},
 		MemberLease:    ms(p.MemberTermMS),
-		AttemptTimeout: ms(p.RetryMS), PullInterval: ms(p.PullMS), SilenceTimeout: ms(p.CoreLossTimeoutMS), OrderRetention: time.Duration(p.CommandRetentionHours) * time.Hour, ColdStart: p.ColdStart}
+		AttemptTimeout: ms(p.RetryMS),
+		PullInterval:   ms(p.PullMS),
+		SilenceTimeout: ms(p.CoreLossTimeoutMS),
+		OrderRetention: time.Duration(p.CommandRetentionHours) * time.Hour,
+		ColdStart:      p.ColdStart,
+	}
 }
 
 // Node returns the parameters of a data plane node.
 func (p Params) Node() node.Params {
-	return node.Params{Core: p.Core(), QueueLimit: int(p.BufferSize), MaxQueueWait: ms(p.MaxRateWaitMS), AnnouncementMaxAge: ms(p.MaxHeartbeatAgeMS), ReportInterval: 2 * ms(p.PullMS),
-		UrgentRatio: p.UrgentRatio, DefaultTimeout: ms(p.BudgetMS)}
+	return node.Params{
+		Core:               p.Core(),
+		QueueLimit:         int(p.BufferSize),
+		MaxQueueWait:       ms(p.MaxRateWaitMS),
+		AnnouncementMaxAge: ms(p.MaxHeartbeatAgeMS),
+		ReportInterval:     2 * ms(p.PullMS),
+		UrgentRatio:        p.UrgentRatio,
+		DefaultTimeout:     ms(p.BudgetMS),
+	}
 }
 
 // Grace returns the longest duration of a drain.
--- a/saffronfall/params/params_test.go
+++ b/saffronfall/params/params_test.go
@@ -9,7 +9,6 @@
 	"saffronfall/rule/configuration"
 )
 
-// TestExamples checks that all files under examples/ are valid.
 func TestExamples(t *testing.T) {
 	settings, _ := filepath.Glob("../../examples/first-steps/*[0-9].json")
 	if len(settings) != 6 {
@@ -31,8 +30,6 @@
 	}
 }
 
-// TestFaultsAllAtOnce checks that every fault is reported with its path, value and what
-// is allowed.
 func TestFaultsAllAtOnce(t *testing.T) {
 	_, err := Read([]byte(`{"id":"a b","seeds":["localhost:1"],"peer_listen":"x","pull_ms":"soon","drift":7,"colour":"red"}`))
 	if err == nil {
@@ -45,7 +42,6 @@
 	}
 }
 
-// TestDescriptionFaults checks the faults of descriptions likewise.
 func TestDescriptionFaults(t *testing.T) {
 	_, faults := configuration.Parse([]byte(`{"roles":{"viewer":{"steps":0,"program_tokens_soft":9,"nonsense":1}},"tenants":{"t":{"keys":[{"sha256":"12"}],"burst":0.5}},
 		"services":{"m":{"kind":"magic"},"s":{}},"breaker":{"tests":0}}`))
@@ -54,7 +50,17 @@
 		all = append(all, f.String())
 	}
 	text := strings.Join(all, "\n")
-	for _, want := range []string{"roles.viewer.steps: 0", "roles.viewer.nonsense", "tenants.t.keys[0].sha256: 12", "64 hexadecimal digits", "tenants.t.burst: 0.5", "services.m.kind: magic", "one of model, tool, once", "services.s.kind: nothing", "breaker.tests: 0"} {
+	for _, want := range []string{
+		"roles.viewer.steps: 0",
+		"roles.viewer.nonsense",
+		"tenants.t.keys[0].sha256: 12",
+		"64 hexadecimal digits",
+		"tenants.t.burst: 0.5",
+		"services.m.kind: magic",
+		"one of model, tool, once",
+		"services.s.kind: nothing",
+		"breaker.tests: 0",
+	} {
 		if !strings.Contains(text, want) {
 			t.Errorf("%q is missing in:\n%s", want, text)
 		}
@@ -66,8 +72,6 @@
 	}
 }
 
-// TestReload checks that live settings are applied, that others are reported as needing
-// a restart, and that an invalid text changes nothing.
 func TestReload(t *testing.T) {
 	text := func(more string) []byte {
 		return []byte(`{"id":"n","fleet_secret":"a secret of some length","seeds":[]` + more + `}`)
--- a/saffronfall/params/relay.go
+++ b/saffronfall/params/relay.go
@@ -101,16 +101,44 @@
 
 // Registry returns the parameters of a registry.
 func (p Params) Registry() registry.Params {
-	return registry.Params{Core: p.Core(), HeartbeatInterval: ms(p.HeartbeatMS), GroupSize: int(p.GroupSize), PartitionsPerCore: int(p.PartitionsPerCore), LoadInterval: ms(p.LoadShareMS), OperationTimeout: ms(p.CommandTimeoutMS)}
+	return registry.Params{
+		Core:              p.Core(),
+		HeartbeatInterval: ms(p.HeartbeatMS),
+		GroupSize:         int(p.GroupSize),
+		PartitionsPerCore: int(p.PartitionsPerCore),
+		LoadInterval:      ms(p.LoadShareMS),
+		OperationTimeout:  ms(p.CommandTimeoutMS),
+	}
 }
 
-// policy returns the placement policy, given the period of replicas' heartbeats.
 func (p Placement) policy(heartbeat time.Duration) placement.Settings {
-	return placement.Settings{SampleSize: int(p.ComparedReplicas), HomeReplicas: p.ConversationHomes, UnitTimes: p.WeighSpeeds, PromptCache: p.WeighPrefixes, LocalZone: p.WeighZones, FailureRates: p.WeighFailures, PromptTokensPerMillisecond: p.PromptTokensPerMS, HeartbeatInterval: heartbeat}
+	return placement.Settings{
+		SampleSize:                 int(p.ComparedReplicas),
+		HomeReplicas:               p.ConversationHomes,
+		UnitTimes:                  p.WeighSpeeds,
+		PromptCache:                p.WeighPrefixes,
+		LocalZone:                  p.WeighZones,
+		FailureRates:               p.WeighFailures,
+		PromptTokensPerMillisecond: p.PromptTokensPerMS,
+		HeartbeatInterval:          heartbeat,
+	}
 }
 
 // RelayNode returns the parameters of a relaying node.
 func (p Params) RelayNode() relay.Params {
-	return relay.Params{Core: p.Core(), HeartbeatInterval: ms(p.HeartbeatMS), UpdateInterval: ms(p.PollMS), RateWindow: ms(p.RateWindowMS), RateOvershoot: p.RateOvershoot, RateSlack: p.RateSlack,
-		Placement: p.Placement.policy(ms(p.HeartbeatMS)), LoadReportInterval: ms(p.LoadShareMS), ResendUnrun: p.RetryUnexecuted, ShedOverload: p.ShedOverload, MaxRequests: int(p.MaxRequests), CacheBytes: p.CacheBytes, BudgetRetention: ms(p.LedgerRetentionMS)}
+	return relay.Params{
+		Core:               p.Core(),
+		HeartbeatInterval:  ms(p.HeartbeatMS),
+		UpdateInterval:     ms(p.PollMS),
+		RateWindow:         ms(p.RateWindowMS),
+		RateOvershoot:      p.RateOvershoot,
+		RateSlack:          p.RateSlack,
+		Placement:          p.Placement.policy(ms(p.HeartbeatMS)),
+		LoadReportInterval: ms(p.LoadShareMS),
+		ResendUnrun:        p.RetryUnexecuted,
+		ShedOverload:       p.ShedOverload,
+		MaxRequests:        int(p.MaxRequests),
+		CacheBytes:         p.CacheBytes,
+		BudgetRetention:    ms(p.LedgerRetentionMS),
+	}
 }
--- a/saffronfall/registryprocess/process.go
+++ b/saffronfall/registryprocess/process.go
@@ -1,11 +1,10 @@
 // Package registryprocess runs the role of a registry, where replicas register and operators apply
-// routing tables. Operators know this role as "desk" (its name in settings, metrics and stored
-// data).
+// routing tables. Operators know it as "desk" (in settings, metrics and stored data).
 //
-// All decisions are made by the state machine of peer/registry; this package connects it to
-// sockets, clocks and a data directory. One goroutine, process.run, calls the machine and
-// owns all mutable state. The stored list of replicas and peers only speeds up a restart: a
-// registry also works without it. Start reading at Run, process.run and process.store.
+// It connects the state machine of peer/registry to sockets, clocks and a data directory. One
+// goroutine, process.run, calls the machine and owns all mutable state. The stored replicas and
+// peers only speed up a restart: a registry also works without them. Start reading at Run,
+// process.run and process.store.
 package registryprocess
 
 import (
@@ -31,7 +30,6 @@
 	"saffronfall/saffronfall/telemetry"
 )
 
-// process is a running registry.
 type process struct {
 	params  params.Params
 	updates <-chan params.Params
@@ -52,20 +50,19 @@
 	dataDir *disk.Store
 }
 
-// record is a stored state of a registry, or the changes to one. Records of a former version
-// are a bare list of replicas.
+// record is a stored state of a registry, or the changes to one. Records of a former version are a
+// bare list of replicas.
 type record struct {
 	Replicas []registry.ReplicaEntry `msgpack:"l"`
 	Peers    *registry.Peers         `msgpack:"p"`
 }
 
-// storedState is the state that the records of a data directory add up to.
 type storedState struct {
 	replicas map[string]registry.ReplicaEntry
 	peers    *registry.Peers
 }
 
-// apply applies an encoded record. One that cannot be decoded is ignored.
+// apply ignores a record that cannot be decoded.
 func (s *storedState) apply(encoded []byte) {
 	var r record
 	if message.Unmarshal(encoded, &r.Replicas) != nil && message.Unmarshal(encoded, &r) != nil {
@@ -79,8 +76,8 @@
 	}
 }
 
-// open opens the data directory and returns the replicas and peers stored there. A damaged
-// directory is set aside. If none can be used, the registry runs without one.
+// open opens the data directory and sets a damaged one aside. If none can be used, the registry
+// runs without one.
 func open(path string, log logr.Logger) (*disk.Store, []registry.ReplicaEntry, *registry.Peers) {
 	dataDir, found, err := disk.Open(path)
 	if errors.Is(err, disk.ErrDamaged) {
@@ -109,14 +106,14 @@
 }
 
 const (
-	// maxLogBytes is the size of the log at which the whole state is written as a new slot.
+	// maxLogBytes is the size of the log at which a new slot replaces it.
 	maxLogBytes     = 256 << 10
 	maxMessageBytes = 64 << 20
 )
 
-// store stores changes before any message about them is sent. Changes that find the disk
-// full are dropped, because a registry also works without them; after any other error nothing
-// more is stored.
+// store stores changes before any message about them is sent. Changes that find the disk full are
+// dropped, because a registry also works without them; after any other error
+// nothing more is stored.
 func (s *process) store(changes []registry.ReplicaEntry, peers *registry.Peers) {
 	if s.dataDir == nil || len(changes) == 0 && peers == nil {
 		return
@@ -133,14 +130,15 @@
 	}
 }
 
-// callTimeout bounds how long reading a request may take, and likewise writing the response
-// after the time that the cores have for it.
+// callTimeout bounds reading a request, and answering it, which includes waiting for the cores.
 const callTimeout = time.Minute
 
-// Run runs the role until ctx ends. Settings received on updates replace p. The handler that
-// newHandler returns serves the calls of replicas and operators. The error is that of a
-// listener which failed, or nil.
-func Run(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger, newHandler func(api registry.API) http.Handler) error {
+// Run runs the role until ctx ends. Settings received on updates replace p. The handler of
+// newHandler serves replicas and operators. The error is nil or that of a listener.
+func Run(
+	ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger,
+	newHandler func(api registry.API) http.Handler,
+) error {
 	raw := make([]byte, 6)
 	if _, err := crypto.Read(raw); err != nil {
 		return err
@@ -151,19 +149,23 @@
 		return err
 	}
 	runCtx, cancel := context.WithCancel(context.Background())
-	s := &process{params: p, updates: updates, log: log, streams: streams, start: clock.Now(), ctx: runCtx, calls: make(chan func(time.Duration) registry.Output, 64), answers: map[uint64]chan any{}}
+	s := &process{params: p, updates: updates, log: log, streams: streams, start: clock.Now(), ctx: runCtx,
+		calls: make(chan func(time.Duration) registry.Output, 64), answers: map[uint64]chan any{}}
 	var replicas []registry.ReplicaEntry
 	var peers *registry.Peers
 	if p.DataDir != "" {
 		s.dataDir, replicas, peers = open(p.DataDir, log)
 	}
-	s.machine = registry.New(registry.Options{Params: p.Registry(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Address: p.PeerAdvertise, Seeds: p.Seeds, FoundsFleet: p.Bootstrap, KnownReplicas: replicas, KnownPeers: peers, Now: s.now(), Random: rand.Float64})
+	s.machine = registry.New(registry.Options{Params: p.Registry(), ID: p.ID, Incarnation: hex.EncodeToString(raw),
+		Address: p.PeerAdvertise, Seeds: p.Seeds, FoundsFleet: p.Bootstrap, KnownReplicas: replicas, KnownPeers: peers,
+		Now: s.now(), Random: rand.Float64})
 	log.Info("registry started", "id", p.ID, "founds", p.Bootstrap)
 	var group run.Group
 	group.Add(func() error { return s.run() }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
 	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "desk", Snapshot: s.snapshot}, log)
-	server := &http.Server{Addr: p.OperatorListen, Handler: newHandler(s), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: callTimeout, WriteTimeout: callTimeout, IdleTimeout: time.Minute}
+	server := &http.Server{Addr: p.OperatorListen, Handler: newHandler(s), ReadHeaderTimeout: 5 * time.Second,
+		ReadTimeout: callTimeout, WriteTimeout: callTimeout, IdleTimeout: time.Minute}
 	ended := make(chan struct{})
 	group.Add(func() error {
 		if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
@@ -217,8 +219,7 @@
 	}
 }
 
-// apply carries out what the machine has decided: it stores changes, then sends messages and
-// passes on answers.
+// apply stores changes before it sends messages and answers.
 func (s *process) apply(o registry.Output) {
 	s.store(o.ChangedReplicas, o.Peers)
 	for _, send := range o.Sends {
@@ -236,7 +237,10 @@
 }
 
 // call calls step on the goroutine of run and waits for the machine's answer to the ticket.
-func call[T any](ctx context.Context, s *process, step func(m *registry.Machine, now time.Duration, ticket uint64) registry.Output) (T, error) {
+func call[T any](
+	ctx context.Context, s *process,
+	step func(m *registry.Machine, now time.Duration, ticket uint64) registry.Output,
+) (T, error) {
 	var none T
 	answer := make(chan any, 1)
 	select {
@@ -260,11 +264,10 @@
 	}
 }
 
-// errIsolated means that this registry may be unable to pass on what a replica reported, so that
-// the replica should report to another registry.
+// errIsolated means that this registry may be unable to pass a report on. The replica should report
+// to another one.
 var errIsolated = errors.New("this desk can't pass it on now; tell another")
 
-// acknowledged returns errIsolated for a report that was not accepted, else err.
 func acknowledged(ack registry.Acknowledgment, err error) error {
 	if err == nil && !ack.Accepted {
 		return errIsolated
@@ -293,7 +296,7 @@
 	})
 }
 
-// Amend applies an amendment to the current routing table.
+// Amend amends the current routing table.
 func (s *process) Amend(ctx context.Context, a registry.Amendment) (registry.OrderResult, error) {
 	return call[registry.OrderResult](ctx, s, func(m *registry.Machine, now time.Duration, ticket uint64) registry.Output {
 		return m.Amend(now, ticket, a)
@@ -321,7 +324,6 @@
 	})
 }
 
-// snapshot returns the current counters.
 func (s *process) snapshot(ctx context.Context) (telemetry.Snapshot, error) {
 	values, err := s.Counters(ctx)
 	return telemetry.Snapshot{Values: values}, err
--- a/saffronfall/registryprocess/process_test.go
+++ b/saffronfall/registryprocess/process_test.go
@@ -16,8 +16,7 @@
 	return registry.ReplicaEntry{Replica: registry.Replica{ID: id, Service: "app", Address: id + ":1", Leaving: leaving}}
 }
 
-// TestReplicasAreStored checks that the latest entry of each replica survives restarts, also
-// after a new slot was written, and that a damaged data directory is set aside.
+// TestReplicasAreStored also checks that a damaged data directory is set aside.
 func TestReplicasAreStored(t *testing.T) {
 	path := t.TempDir()
 	dataDir, replicas, _ := open(path, logr.Discard())
@@ -65,8 +64,6 @@
 	}
 }
 
-// TestFailingDirectoryIsAbandoned checks that a registry continues without storing after the data
-// directory failed.
 func TestFailingDirectoryIsAbandoned(t *testing.T) {
 	dataDir, _, _ := open(t.TempDir(), logr.Discard())
 	s := &process{dataDir: dataDir, log: logr.Discard()}
@@ -78,8 +75,7 @@
 	s.store([]registry.ReplicaEntry{entry("b", false)}, nil)
 }
 
-// TestPeersAreStored checks that a restarted registry has the addresses of its fleet, also from a
-// data directory with a record of a former version, which has the list of replicas alone.
+// TestPeersAreStored also reads a record of a former version, the list of replicas alone.
 func TestPeersAreStored(t *testing.T) {
 	path := t.TempDir()
 	dataDir, _, peers := open(path, logr.Discard())
--- a/saffronfall/relayprocess/observe.go
+++ b/saffronfall/relayprocess/observe.go
@@ -15,7 +15,7 @@
 	"saffronfall/peer/relay"
 )
 
-// failure is the record of a request that was not served, as operators read it.
+// failure is the record of a request that was not served, for operators.
 type failure struct {
 	Time    time.Time   `json:"time"`
 	Cause   relay.Cause `json:"cause"`
@@ -37,7 +37,6 @@
 	Incarnation string `json:"life"`
 }
 
-// delivery describes the attempts of a request at replicas.
 type delivery struct {
 	// Replica is the one of the last attempt.
 	Replica    string `json:"replica,omitempty"`
@@ -46,19 +45,16 @@
 }
 
 const (
-	// logInterval is the least time between two log lines of the same cause. The next
-	// line has the number of failures that were not logged.
+	// logInterval is the least time between two log lines of the same cause.
 	logInterval = time.Second
-	// maxRoutes bounds the number of routes with metrics of their own, because new tables
-	// keep adding routes while a process runs. Others are counted under otherRoute.
+	// maxRoutes bounds the routes with metrics of their own, because new tables keep adding routes.
+	// Others are counted under otherRoute.
 	maxRoutes  = 500
 	otherRoute = "other"
 )
 
-// observer records completed requests: a histogram for each route, a counter for each
-// route and cause, and for failures a rate-limited log line and an entry in a ring of
-// recent failures. Only the goroutine of process.run may call it; its set of metrics may
-// be read concurrently.
+// observer records completed requests in metrics, and failures also in the log and in a ring. Only
+// the goroutine of process.run may call it; its set of metrics may be read concurrently.
 type observer struct {
 	set         *metrics.Set
 	log         logr.Logger
@@ -70,8 +66,7 @@
 	recent    []failure
 	next      int
 	maxRecent int
-	// loggedAt is when a failure of a cause was last logged, and unlogged the number of
-	// those since then that were not.
+	// loggedAt is when a failure of a cause was last logged; unlogged counts those since then.
 	loggedAt map[relay.Cause]time.Duration
 	unlogged map[relay.Cause]int64
 }
@@ -82,23 +77,46 @@
 }
 
 func newObserver(secret, incarnation string, maxRecent int, log logr.Logger) *observer {
-	return &observer{set: metrics.NewSet(), log: log, secret: []byte(secret), incarnation: incarnation, maxRecent: maxRecent, durations: map[string]*metrics.PrometheusHistogram{},
-		counts: map[routeCause]*metrics.Counter{}, loggedAt: map[relay.Cause]time.Duration{}, unlogged: map[relay.Cause]int64{}}
+	return &observer{
+		set:         metrics.NewSet(),
+		log:         log,
+		secret:      []byte(secret),
+		incarnation: incarnation,
+		maxRecent:   maxRecent,
+		durations:   map[string]*metrics.PrometheusHistogram{},
+		counts:      map[routeCause]*metrics.Counter{},
+		loggedAt:    map[relay.Cause]time.Duration{},
+		unlogged:    map[relay.Cause]int64{},
+	}
 }
 
-// completed records a request that has ended.
 func (o *observer) completed(now time.Duration, c relay.Completion) {
 	route := o.count(c)
 	o.durations[route].Update(c.Duration.Seconds())
 	if !c.Failed() {
 		return
 	}
-	f := failure{Time: clock.TimeOfDay(), Cause: c.Cause, Status: c.Status, Attempt: c.Attempt, Program: c.Program, Previous: c.Previous, Route: c.Route, Tenant: o.digest(c.Tenant), delivery: delivery{Replica: c.Replica, Attempts: c.ReplicasTried, MayHaveRun: c.MayHaveRun}, Table: c.Table, WaitedMS: c.QueueTime.Milliseconds(), TookMS: c.Duration.Milliseconds(), CoresSilentMS: c.CoresSilent.Milliseconds(), Incarnation: o.incarnation}
+	f := failure{
+		Time:          clock.TimeOfDay(),
+		Cause:         c.Cause,
+		Status:        c.Status,
+		Attempt:       c.Attempt,
+		Program:       c.Program,
+		Previous:      c.Previous,
+		Route:         c.Route,
+		Tenant:        o.digest(c.Tenant),
+		delivery:      delivery{Replica: c.Replica, Attempts: c.ReplicasTried, MayHaveRun: c.MayHaveRun},
+		Table:         c.Table,
+		WaitedMS:      c.QueueTime.Milliseconds(),
+		TookMS:        c.Duration.Milliseconds(),
+		CoresSilentMS: c.CoresSilent.Milliseconds(),
+		Incarnation:   o.incarnation,
+	}
 	o.remember(f)
 	o.logFailure(now, f)
 }
 
-// count counts a request and returns the route that it is counted under.
+// count returns the route that a request is counted under.
 func (o *observer) count(c relay.Completion) string {
 	route := c.Route
 	if o.durations[route] == nil && len(o.durations) >= maxRoutes {
@@ -115,7 +133,6 @@
 	return route
 }
 
-// remember adds a failure to the ring of recent ones.
 func (o *observer) remember(f failure) {
 	switch {
 	case o.maxRecent == 0:
@@ -134,20 +151,34 @@
 	return append(list, o.recent[:o.next]...)
 }
 
-// logFailure logs a failure, unless one of the same cause was logged within logInterval.
 func (o *observer) logFailure(now time.Duration, f failure) {
 	if at, ok := o.loggedAt[f.Cause]; ok && now < at+logInterval {
 		o.unlogged[f.Cause]++
 		return
 	}
-	o.log.Info("request not served", "cause", f.Cause, "status", f.Status, "attempt", f.Attempt, "program", f.Program, "previous", f.Previous, "route", f.Route, "tenant_digest", f.Tenant, "replica", f.Replica,
-		"sendings", f.Attempts, "may_have_run", f.MayHaveRun, "table", f.Table, "waited_ms", f.WaitedMS, "took_ms", f.TookMS, "cores_silent_ms", f.CoresSilentMS, "life", f.Incarnation,
-		"more_of_this_cause", o.unlogged[f.Cause])
+	o.log.Info(
+		"request not served",
+		"cause", f.Cause,
+		"status", f.Status,
+		"attempt", f.Attempt,
+		"program", f.Program,
+		"previous", f.Previous,
+		"route", f.Route,
+		"tenant_digest", f.Tenant,
+		"replica", f.Replica,
+		"sendings", f.Attempts,
+		"may_have_run", f.MayHaveRun,
+		"table", f.Table,
+		"waited_ms", f.WaitedMS,
+		"took_ms", f.TookMS,
+		"cores_silent_ms", f.CoresSilentMS,
+		"life", f.Incarnation,
+		"more_of_this_cause", o.unlogged[f.Cause],
+	)
 	o.loggedAt[f.Cause], o.unlogged[f.Cause] = now, 0
 }
 
-// digest returns a keyed digest of a tenant's name. Without the fleet's secret the name
-// cannot be found by hashing candidates.
+// digest is keyed: without the fleet's secret a name cannot be found by hashing candidates.
 func (o *observer) digest(tenant string) string {
 	if tenant == "" {
 		return ""
@@ -157,8 +188,8 @@
 	return hex.EncodeToString(mac.Sum(nil)[:8])
 }
 
-// hashKey returns the key for hashing values that requesters choose. It is derived from the
-// fleet's secret, so all nodes compute the same hashes and requesters cannot predict them.
+// hashKey returns the key for hashing values that requesters choose. All nodes compute the same
+// hashes, and requesters cannot predict them without the fleet's secret.
 func hashKey(secret string) [2]uint64 {
 	mac := hmac.New(sha256.New, []byte(secret))
 	mac.Write([]byte("placement"))
--- a/saffronfall/relayprocess/observe_test.go
+++ b/saffronfall/relayprocess/observe_test.go
@@ -12,14 +12,20 @@
 	"saffronfall/peer/relay"
 )
 
-// TestFailuresAreRecorded checks that requests are counted by route and cause, that the
-// most recent failures are retained, and that log lines are limited to one per cause and
-// second, with the number of those left out.
+// TestFailuresAreRecorded also checks that log lines are limited to one per cause and second.
 func TestFailuresAreRecorded(t *testing.T) {
 	var lines []string
 	o := newObserver("a secret", "incarnation1", 4, funcr.New(func(_, args string) { lines = append(lines, args) }, funcr.Options{}))
 	for i := range 10 {
-		o.completed(time.Duration(i)*300*time.Millisecond, relay.Completion{Cause: relay.CauseNoReplica, Attempt: fmt.Sprint("a", i), Route: "chat", Tenant: "clinic", Status: 503, Table: 7, Duration: time.Second})
+		o.completed(time.Duration(i)*300*time.Millisecond, relay.Completion{
+			Cause:    relay.CauseNoReplica,
+			Attempt:  fmt.Sprint("a", i),
+			Route:    "chat",
+			Tenant:   "clinic",
+			Status:   503,
+			Table:    7,
+			Duration: time.Second,
+		})
 	}
 	o.completed(0, relay.Completion{Cause: relay.CauseServed, Route: "chat", Duration: 20 * time.Millisecond})
 	if len(lines) != 3 || !strings.Contains(lines[1], `"more_of_this_cause"=3`) || !strings.Contains(lines[1], `"cause"="no_replica"`) || !strings.Contains(lines[1], `"table"=7`) {
@@ -37,15 +43,18 @@
 	}
 	var text bytes.Buffer
 	o.set.WritePrometheus(&text)
-	for _, want := range []string{`saffronfall_requests_total{route="chat",cause="no_replica"} 10`, `saffronfall_requests_total{route="chat",cause="served"} 1`, `saffronfall_request_seconds_count{route="chat"} 11`} {
+	for _, want := range []string{
+		`saffronfall_requests_total{route="chat",cause="no_replica"} 10`,
+		`saffronfall_requests_total{route="chat",cause="served"} 1`,
+		`saffronfall_request_seconds_count{route="chat"} 11`,
+	} {
 		if !strings.Contains(text.String(), want) {
 			t.Errorf("%s is missing in\n%s", want, text.String())
 		}
 	}
 }
 
-// TestRoutesAreBounded checks that a process whose tables keep adding routes does not add
-// metrics without limit.
+// TestRoutesAreBounded guards against metrics that grow without limit with new tables.
 func TestRoutesAreBounded(t *testing.T) {
 	o := newObserver("a secret", "incarnation1", 4, funcr.New(func(_, _ string) {}, funcr.Options{}))
 	for i := range 3 * maxRoutes {
@@ -56,8 +65,7 @@
 	}
 }
 
-// TestRemainingTime checks that reading a body and waiting for the event loop count against
-// a request's deadline.
+// Reading a body and waiting for the event loop count against a request's deadline.
 func TestRemainingTime(t *testing.T) {
 	received := 10 * time.Second
 	for _, c := range []struct{ left, passed, want time.Duration }{
@@ -69,8 +77,7 @@
 	}
 }
 
-// BenchmarkCompleted measures recording a request that was served, and one that failed and
-// is not logged.
+// BenchmarkCompleted records a served request, and a failed one that is not logged.
 func BenchmarkCompleted(b *testing.B) {
 	for _, cause := range []relay.Cause{relay.CauseServed, relay.CauseNoReplica} {
 		b.Run(string(cause), func(b *testing.B) {
--- a/saffronfall/relayprocess/process.go
+++ b/saffronfall/relayprocess/process.go
@@ -1,9 +1,8 @@
 // Package relayprocess runs the role of a node that relays requests by a routing table.
 //
-// All decisions are made by the state machine of peer/relay; this package connects it to
-// sockets, clocks and replicas. One goroutine, process.run, calls the machine and owns all
-// mutable state. Each request has a goroutine of its own, which hands its events to
-// process.run over channels. Start reading at Run and process.run.
+// It connects the state machine of peer/relay to sockets, clocks and replicas. One goroutine,
+// process.run, calls the machine and owns all mutable state. Each request has a goroutine of its
+// own, which hands its events to process.run over channels. Start reading at Run and process.run.
 package relayprocess
 
 import (
@@ -29,15 +28,14 @@
 	"saffronfall/saffronfall/telemetry"
 )
 
-// nextStep is a step on its way to its request's goroutine.
 type nextStep struct {
 	step relay.Step
-	// pool connects to the replica of a StepSend; nil for other steps.
+	// pool is nil unless the step is a StepSend.
 	pool      *replica.Pool
 	createdAt time.Duration
 }
 
-// receive returns the step with its timeout reduced by the time since it was created.
+// receive reduces the step's timeout by the time since it was created.
 func (n nextStep) receive() (relay.Step, *replica.Pool, bool) {
 	if n.step.Kind == relay.StepSend {
 		n.step.Timeout -= clock.Now() - n.createdAt
@@ -45,9 +43,8 @@
 	return n.step, n.pool, true
 }
 
-// remaining returns the time left to a request's deadline, less the time spent since its
-// head was received: on reading its body and on waiting for process.run. It returns -1 if
-// the deadline has passed.
+// remaining returns the time left to a request's deadline, or -1 if it has passed. Reading its body
+// and waiting for process.run count against the deadline.
 func remaining(r relay.Request, now time.Duration) time.Duration {
 	if r.Remaining <= 0 {
 		return r.Remaining
@@ -58,13 +55,11 @@
 	return -1
 }
 
-// attemptOutcome is the outcome of an attempt of the request with a ticket.
 type attemptOutcome struct {
 	ticket  uint64
 	outcome relay.Outcome
 }
 
-// process is a running relay node.
 type process struct {
 	params    params.Params
 	updates   <-chan params.Params
@@ -90,10 +85,8 @@
 	ready       bool
 }
 
-// messages counts messages to and from other processes of the fleet.
 type messages struct{ sent, dropped, badStreams int64 }
 
-// pool is a connection pool to one replica.
 type pool struct {
 	*replica.Pool
 	address string
@@ -103,13 +96,13 @@
 const (
 	maxMessageBytes       = 64 << 20
 	connectionsPerReplica = 32
-	// poolIdleTimeout is after how long without an attempt a pool is closed.
+	// poolIdleTimeout is how long a pool is kept after its last attempt.
 	poolIdleTimeout = time.Minute
 )
 
-// Run runs the role until ctx ends, then drains it. Settings received on updates replace
-// p. Names are the HTTP headers exchanged with requesters and replicas. The error is that
-// of a listener which failed, or nil.
+// Run runs the role until ctx ends, then drains it. Settings received on updates replace p. Names
+// are the HTTP headers exchanged with requesters and replicas. The error is nil or that of a
+// listener.
 func Run(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger, names replica.Headers) error {
 	raw := make([]byte, 6)
 	if _, err := crypto.Read(raw); err != nil {
@@ -121,27 +114,39 @@
 		return err
 	}
 	runCtx, cancel := context.WithCancel(context.Background())
-	s := &process{params: p, updates: updates, log: log, streams: streams, start: clock.Now(), ctx: runCtx, closing: make(chan struct{}),
-		requests: make(chan *request, 64), outcomes: make(chan attemptOutcome, 64), cancelled: make(chan uint64, 64), calls: make(chan func(time.Duration), 16),
-		pending: map[uint64]*request{}, pools: map[string]*pool{}}
+	s := &process{params: p, updates: updates, log: log, streams: streams, start: clock.Now(), ctx: runCtx,
+		closing: make(chan struct{}), requests: make(chan *request, 64), outcomes: make(chan attemptOutcome, 64),
+		cancelled: make(chan uint64, 64), calls: make(chan func(time.Duration), 16), pending: map[uint64]*request{},
+		pools: map[string]*pool{}}
 	s.violations = telemetry.NewViolationCounts(p.StrictInvariants, log)
 	s.observer = newObserver(p.FleetSecret, hex.EncodeToString(raw), int(p.MaxFailures), log)
-	s.machine = relay.New(relay.Options{Params: p.RelayNode(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Zone: p.Zone, Address: p.PeerAdvertise, Seeds: p.Seeds, Now: s.now(), Random: rand.Float64, Violated: s.violations.Report})
+	s.machine = relay.New(relay.Options{Params: p.RelayNode(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Zone: p.Zone,
+		Address: p.PeerAdvertise, Seeds: p.Seeds, Now: s.now(), Random: rand.Float64, Violated: s.violations.Report})
 	log.Info("relay started", "id", p.ID)
 
 	var group run.Group
 	group.Add(func() error { return s.run() }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
 	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "node", Snapshot: s.snapshot, Set: s.observer.set}, log)
-	handler := front.Handler(front.Options{Dispatcher: s, Headers: names, HashKey: hashKey(p.FleetSecret), MaxBody: p.MaxRequestBytes, Draining: s.closing,
-		BodyTimeout: time.Duration(p.BodyTimeoutMS) * time.Millisecond, IntakeBytes: p.IntakeBytes, OnRejected: s.rejected, Violated: s.violated})
-	server := &http.Server{Addr: p.RequesterListen, Handler: handler, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 1 << 20}
+	handler := front.Handler(front.Options{Dispatcher: s, Headers: names, HashKey: hashKey(p.FleetSecret),
+		MaxBody: p.MaxRequestBytes, Draining: s.closing, BodyTimeout: time.Duration(p.BodyTimeoutMS) * time.Millisecond,
+		IntakeBytes: p.IntakeBytes, OnRejected: s.rejected, Violated: s.violated})
+	server := &http.Server{Addr: p.RequesterListen, Handler: handler, ReadHeaderTimeout: 10 * time.Second,
+		IdleTimeout: time.Minute, MaxHeaderBytes: 1 << 20}
 	serve(&group, server, func(server *http.Server) error { return front.Serve(server, int(p.MaxConnections)) }, "requester address")
 	if p.ReadyListen != "" {
-		serve(&group, &http.Server{Addr: p.ReadyListen, Handler: http.HandlerFunc(s.serveReadiness), ReadHeaderTimeout: 5 * time.Second}, (*http.Server).ListenAndServe, "readiness address")
+		serve(&group, &http.Server{
+			Addr:              p.ReadyListen,
+			Handler:           http.HandlerFunc(s.serveReadiness),
+			ReadHeaderTimeout: 5 * time.Second,
+		}, (*http.Server).ListenAndServe, "readiness address")
 	}
 	if p.OperatorListen != "" && p.OperatorKey != "" {
-		serve(&group, &http.Server{Addr: p.OperatorListen, Handler: operator.RequireKey(p.OperatorKey, s.operatorHandler()), ReadHeaderTimeout: 5 * time.Second}, (*http.Server).ListenAndServe, "operator address")
+		serve(&group, &http.Server{
+			Addr:              p.OperatorListen,
+			Handler:           operator.RequireKey(p.OperatorKey, s.operatorHandler()),
+			ReadHeaderTimeout: 5 * time.Second,
+		}, (*http.Server).ListenAndServe, "operator address")
 	}
 	group.Add(func() error {
 		select {
@@ -155,7 +160,7 @@
 	return group.Run()
 }
 
-// serve adds a server to the group. Its name is part of the error if it fails.
+// serve adds a server to the group. Its name becomes part of its error.
 func serve(group *run.Group, server *http.Server, listen func(*http.Server) error, name string) {
 	ended := make(chan struct{})
 	group.Add(func() error {
@@ -170,8 +175,8 @@
 	})
 }
 
-// drain reports this node as not ready, keeps accepting requests until load balancers
-// have noticed, and then waits for requests in flight, at most for the grace period.
+// drain reports this node as not ready, keeps accepting requests until load balancers have noticed,
+// and waits for those in flight, at most for the grace period.
 func (s *process) drain(server *http.Server) {
 	s.log.Info("relay leaves")
 	var p params.Params
@@ -227,7 +232,6 @@
 	}
 }
 
-// logChanges logs a change of the routing table or of this node's readiness.
 func (s *process) logChanges(now time.Duration) {
 	if number := s.machine.TableNumber(); number != s.tableNumber {
 		s.tableNumber = number
@@ -248,8 +252,6 @@
 	}
 }
 
-// apply carries out what the machine has decided: it sends messages, records completed
-// requests and passes steps to the goroutines of their requests.
 func (s *process) apply(o relay.Output) {
 	for _, send := range o.Sends {
 		s.sent++
@@ -276,7 +278,6 @@
 	}
 }
 
-// poolTo returns the connection pool to the replica of a step.
 func (s *process) poolTo(step relay.Step) *replica.Pool {
 	p := s.pools[step.Replica.ID]
 	if p != nil && p.address != step.Replica.Address {
@@ -284,15 +285,18 @@
 		p = nil
 	}
 	if p == nil {
-		p = &pool{Pool: replica.NewPool(step.Replica.Address, connectionsPerReplica, time.Duration(s.params.DialTimeoutMS)*time.Millisecond), address: step.Replica.Address}
+		p = &pool{
+			Pool:    replica.NewPool(step.Replica.Address, connectionsPerReplica, time.Duration(s.params.DialTimeoutMS)*time.Millisecond),
+			address: step.Replica.Address,
+		}
 		s.pools[step.Replica.ID] = p
 	}
 	p.usedAt = s.now()
 	return p.Pool
 }
 
-// request is a request in flight. Its methods are called by its own goroutine; ticket and
-// spec belong to process.run once the request is handed over.
+// request is a request in flight. Its methods are called by its own goroutine; ticket and spec
+// belong to process.run once the request is handed over.
 type request struct {
 	process *process
 	ctx     context.Context
@@ -301,8 +305,7 @@
 	steps   chan nextStep
 }
 
-// Dispatch hands a request to the machine and waits for its first step. It returns false
-// if the process ends first.
+// Dispatch returns a request's first step. It returns false if the process ends first.
 func (s *process) Dispatch(ctx context.Context, spec relay.Request) (front.DispatchedRequest, relay.Step, *replica.Pool, bool) {
 	r := &request{process: s, ctx: ctx, spec: spec, steps: make(chan nextStep, 2)}
 	select {
@@ -314,8 +317,7 @@
 	return r, step, pool, ok
 }
 
-// wait returns the next step. If the requester is gone, it cancels the request and returns
-// the step that follows.
+// wait returns the next step. If the requester is gone, it cancels the request first.
 func (r *request) wait() (relay.Step, *replica.Pool, bool) {
 	select {
 	case next := <-r.steps:
@@ -339,7 +341,7 @@
 	}
 }
 
-// assignedTicket returns the ticket by way of process.run, which assigns it.
+// assignedTicket asks process.run, which assigns the ticket.
 func (r *request) assignedTicket() uint64 {
 	result := make(chan uint64, 1)
 	select {
@@ -355,7 +357,7 @@
 	}
 }
 
-// violated reports a violated invariant from a request's goroutine.
+// violated and rejected are called by requests' goroutines.
 func (s *process) violated(v invariant.Violation) {
 	select {
 	case s.calls <- func(time.Duration) { s.violations.Report(v) }:
@@ -363,7 +365,6 @@
 	}
 }
 
-// rejected records a request that was rejected before it was received completely.
 func (s *process) rejected(c relay.Completion) {
 	select {
 	case s.calls <- func(now time.Duration) { s.observer.completed(now, c) }:
@@ -371,8 +372,7 @@
 	}
 }
 
-// Next reports the outcome of an attempt and waits for the next step. It returns false if
-// the process ends first.
+// Next reports an attempt's outcome and returns the next step, or false if the process ends first.
 func (r *request) Next(o relay.Outcome) (relay.Step, *replica.Pool, bool) {
 	select {
 	case r.process.outcomes <- attemptOutcome{ticket: r.ticket, outcome: o}:
@@ -401,7 +401,6 @@
 	}
 }
 
-// serveReadiness answers 200 if requests should be sent here, else 503.
 func (s *process) serveReadiness(w http.ResponseWriter, r *http.Request) {
 	ready := false
 	ctx, cancel := context.WithTimeout(r.Context(), time.Second)
@@ -426,10 +425,13 @@
 	return mux
 }
 
-// snapshot returns the current counters and the recent failures.
 func (s *process) snapshot(ctx context.Context) (snapshot telemetry.Snapshot, err error) {
 	err = s.inspect(ctx, func(now time.Duration) {
-		snapshot = telemetry.Snapshot{Values: s.machine.Status(now), Violations: telemetry.ViolationCounts(s.violations), Failures: s.observer.failures()}
+		snapshot = telemetry.Snapshot{
+			Values:     s.machine.Status(now),
+			Violations: telemetry.ViolationCounts(s.violations),
+			Failures:   s.observer.failures(),
+		}
 		snapshot.Values["messages_sent"], snapshot.Values["messages_dropped"], snapshot.Values["bad_streams"] = s.sent, s.dropped, s.badStreams
 	})
 	return snapshot, err
--- a/saffronfall/reload/reload.go
+++ b/saffronfall/reload/reload.go
@@ -1,6 +1,5 @@
-// Package reload reloads the settings of a running process on SIGHUP. Listen must be
-// called before the settings are first read; Reloader.Run then applies the settings that
-// may change without a restart.
+// Package reload reloads the settings of a running process on SIGHUP. Listen must be called before
+// the settings are first read; Reloader.Run then applies those that may change without a restart.
 package reload
 
 import (
@@ -17,9 +16,9 @@
 // Requests delivers pending reload requests. Several pending requests count as one.
 type Requests <-chan os.Signal
 
-// Listen starts to handle SIGHUP. Call it before the settings are first read: until
-// then SIGHUP ends the process, and a signal that arrives during the first read may
-// announce a change that this read missed.
+// Listen starts to handle SIGHUP. Call it before the settings are first read: until then SIGHUP
+// ends the process, and one that arrives during the read may announce a change that the read
+// missed.
 func Listen() Requests {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -37,8 +36,7 @@
 	Log      logr.Logger
 }
 
-// Run reloads the settings on each request until the context ends. Invalid settings are
-// logged and change nothing.
+// Run reloads the settings on each request until ctx ends. Invalid settings change nothing.
 func (r Reloader) Run(ctx context.Context, requests Requests, running params.Params) {
 	for {
 		select {
--- a/saffronfall/role/role.go
+++ b/saffronfall/role/role.go
@@ -1,6 +1,4 @@
-// Package role runs one role of a fleet as a process: it reads the settings file, sets up
-// logging, handles signals and reloads the settings. The role itself is passed in as a
-// Run function.
+// Package role runs one role of a fleet as a process, with its settings file, logging and signals.
 package role
 
 import (
@@ -16,11 +14,11 @@
 	"saffronfall/saffronfall/reload"
 )
 
-// Run runs a role until the context ends. Reloaded settings arrive on updates.
+// Run runs a role until ctx ends. Reloaded settings arrive on updates.
 type Run func(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger) error
 
-// Start runs a role with the settings file at path until SIGTERM or SIGINT. It returns
-// the error of reading the settings or of the role.
+// Start runs a role with the settings file at path until SIGTERM or SIGINT. It returns the
+// error of reading the settings or of the role.
 func Start(path string, run Run) error {
 	reloads := reload.Listen()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -40,5 +38,4 @@
 	return run(ctx, p, updates, logger)
 }
 
-// logLevel returns the minimum level to log. A higher verbosity lowers it.
 func logLevel(p params.Params) slog.Level { return slog.LevelInfo - slog.Level(p.Verbosity) }
--- a/saffronfall/telemetry/telemetry.go
+++ b/saffronfall/telemetry/telemetry.go
@@ -1,6 +1,6 @@
-// Package telemetry serves a process's metrics in the Prometheus text format and its
-// recent failed requests as JSON. Handler serves them; Serve runs the handler beside a
-// role's other servers. A failure of this server never ends the process.
+// Package telemetry serves a process's metrics in the Prometheus text format and its recent failed
+// requests as JSON. Handler serves them; Serve runs the handler beside a role's other servers. A
+// failure of this server never ends the process.
 package telemetry
 
 import (
@@ -26,8 +26,8 @@
 	Values map[string]int64
 	// Violations counts violations by invariant.
 	Violations map[invariant.Name]int64
-	// Failures lists the recent failed requests, oldest first, as a value that encodes
-	// as JSON; nil for roles that serve no requests.
+	// Failures are the recent failed requests, oldest first, as JSON; nil for roles that serve
+	// none.
 	Failures any
 }
 
@@ -41,7 +41,6 @@
 	Set *metrics.Set
 }
 
-// snapshotTimeout bounds how long a process may take to provide a snapshot.
 const snapshotTimeout = 2 * time.Second
 
 // Handler serves /metrics and /failures for a source.
@@ -62,7 +61,7 @@
 	return mux
 }
 
-// snapshot takes a snapshot, or answers the request with 503 and returns false.
+// snapshot answers the request with 503 if it returns false.
 func (s Source) snapshot(w http.ResponseWriter, r *http.Request) (Snapshot, bool) {
 	ctx, cancel := context.WithTimeout(r.Context(), snapshotTimeout)
 	defer cancel()
@@ -74,7 +73,7 @@
 	return snapshot, true
 }
 
-// write writes the metrics, sorted by name, in the Prometheus text format.
+// write writes the metrics, sorted by name.
 func (s Source) write(w io.Writer, snapshot Snapshot) {
 	for _, name := range ordered.Keys(snapshot.Values) {
 		fmt.Fprintf(w, "saffronfall_%s_%s %d\n", s.Role, name, snapshot.Values[name])
@@ -91,9 +90,8 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// Serve adds a server of the source's Handler to the group. An empty address disables
-// it. If the address cannot be used, the error is logged and the process continues
-// without metrics.
+// Serve adds a server of the source's Handler to the group, unless the address is empty. If the
+// address cannot be used, the process continues without metrics.
 func Serve(group *run.Group, listen string, s Source, log logr.Logger) {
 	if listen == "" {
 		return
@@ -112,8 +110,8 @@
 	})
 }
 
-// NewViolationCounts returns the counters of violated invariants. The first violation of
-// each invariant is logged; if strict is set, it panics instead.
+// NewViolationCounts returns the counters of violated invariants. The first violation of each is
+// logged; if strict is set, it panics instead.
 func NewViolationCounts(strict bool, log logr.Logger) *invariant.Counter {
 	return &invariant.Counter{OnFirst: func(v invariant.Violation) {
 		if strict {
