--- a/saffronfall/coreprocess/process.go
+++ b/saffronfall/coreprocess/process.go
@@ -48,16 +48,16 @@
 type process struct {
 	params  params.Params
 	updates <-chan params.Params
-	// otherVersions has the last refused protocol version of each member.
-	otherVersions map[string]byte
-	log           logr.Logger
-	machine       *core.Machine
-	streams       *stream.Transport
-	start         time.Duration
-	calls         chan func(now time.Duration) core.Output
-	drain         chan struct{}
-	writes        chan batch
-	written       chan writeResult
+	// refusedVersions has the last refused protocol version of each member.
+	refusedVersions map[string]byte
+	log             logr.Logger
+	machine         *core.Machine
+	streams         *stream.Transport
+	start           time.Duration
+	calls           chan func(now time.Duration) core.Output
+	drain           chan struct{}
+	writes          chan batch
+	written         chan writeResult
 
 	violations *invariant.Counter
 	// changes are not handed to the writer yet.
@@ -72,13 +72,13 @@
 	answers    map[uint64]chan any
 	lastTicket uint64
 	leading    int
-	messages
+	messageCounts
 	syncs    int64
 	syncTime time.Duration
 	stalled  bool
 }
 
-type messages struct{ sent, dropped, received, badStreams int64 }
+type messageCounts struct{ sent, dropped, received, badStreams int64 }
 
 // heldSend is a message to send once the outputs up to after are synced.
 type heldSend struct {
@@ -108,7 +108,7 @@
 	}
 	s := &process{
 		params: p, violations: telemetry.NewViolationCounts(p.StrictInvariants, log), updates: updates,
-		otherVersions: map[string]byte{}, log: log, streams: streams, start: clock.Now(),
+		refusedVersions: map[string]byte{}, log: log, streams: streams, start: clock.Now(),
 		calls: make(chan func(time.Duration) core.Output, 64), drain: make(chan struct{}, 1),
 		writes: make(chan batch, 1), written: make(chan writeResult, 1), answers: map[uint64]chan any{},
 	}
@@ -130,7 +130,7 @@
 	server := &http.Server{
 		Addr:              p.OperatorListen,
 		Handler:           operator.Handler(s, p.OperatorKey, s.drain),
-		ReadHeaderTimeout: 5 * time.Second,
+		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       callTimeout,
 		IdleTimeout:       callTimeout,
 	}
@@ -146,7 +146,13 @@
 // callTimeout bounds the reading of an operator's request.
 const callTimeout = time.Minute
 
-const maxMessageBytes = 64 << 20
+const (
+	maxMessageBytes   = 64 << 20
+	incarnationBytes  = 8
+	readHeaderTimeout = 5 * time.Second
+	// ticksPerLease is how often the machine is called during a leader's lease.
+	ticksPerLease = 20
+)
 
 // load opens the data directory and gives an empty one a new incarnation. If it is damaged, it is
 // set aside, and the core starts without a vote, because it has lost what it promised.
@@ -164,7 +170,7 @@
 	}
 	var stored core.Stored
 	if found.Empty {
-		raw := make([]byte, 8)
+		raw := make([]byte, incarnationBytes)
 		if _, err := crypto.Read(raw); err != nil {
 			return nil, core.Stored{}, err
 		}
@@ -188,8 +194,8 @@
 
 // logVersionMismatch logs once for each member and version.
 func (s *process) logVersionMismatch(c stream.Counters) {
-	if s.otherVersions[c.PeerAddress] != c.PeerVersion {
-		s.otherVersions[c.PeerAddress] = c.PeerVersion
+	if s.refusedVersions[c.PeerAddress] != c.PeerVersion {
+		s.refusedVersions[c.PeerAddress] = c.PeerVersion
 		s.log.Info(
 			"refused a member of an incompatible version; upgrade a fleet one version at a time",
 			"member", c.PeerAddress,
@@ -206,7 +212,7 @@
 // over. The end of runCtx ends it at once.
 func (s *process) run(ctx, runCtx context.Context) error {
 	runtime.LockOSThread()
-	ticker := time.NewTicker(s.params.Core().Partition.LeaseDuration / 20)
+	ticker := time.NewTicker(s.params.Core().Partition.LeaseDuration / ticksPerLease)
 	defer ticker.Stop()
 	var drainDeadline time.Duration
 	stop, drain := ctx.Done(), s.drain
--- a/saffronfall/coreprocess/writer.go
+++ b/saffronfall/coreprocess/writer.go
@@ -25,8 +25,8 @@
 
 const (
 	minSlotSize = int64(1 << 20)
-	// logSlots is the size of the log, in sizes of the last slot, at which a new slot replaces it.
-	logSlots = 4
+	// maxLogSlots is the size of the log, in sizes of the last slot, at which a new slot replaces it.
+	maxLogSlots = 4
 )
 
 func (w *writer) run(ctx context.Context) error {
@@ -40,7 +40,7 @@
 			for _, c := range b.changes {
 				w.image.Apply(c)
 			}
-			if err == nil && w.store.Size() > logSlots*slotSize {
+			if err == nil && w.store.Size() > maxLogSlots*slotSize {
 				state := message.Marshal(w.image)
 				slotSize = max(minSlotSize, int64(len(state)))
 				if err = w.store.Replace(state); errors.Is(err, disk.ErrFull) {
--- a/saffronfall/main.go
+++ b/saffronfall/main.go
@@ -58,7 +58,7 @@
 }
 
 type coreAdd struct {
-	changeOptions
+	coreChangeOptions
 	New string `arg:"" help:"Operator address of the new core."`
 }
 
@@ -67,7 +67,7 @@
 }
 
 type coreRetire struct {
-	changeOptions
+	coreChangeOptions
 	ID string `arg:"" help:"ID of the core."`
 }
 
@@ -76,7 +76,7 @@
 }
 
 type coreReplace struct {
-	changeOptions
+	coreChangeOptions
 	ID string `arg:"" help:"ID of the core to replace."`
 	By string `arg:"" help:"ID of the core that takes its place."`
 }
@@ -85,13 +85,13 @@
 	return c.change(operator.CoreChange{Kind: core.KindReplace, ID: c.ID, By: c.By}, "")
 }
 
-type changeOptions struct {
+type coreChangeOptions struct {
 	clientOptions
 	Plan bool `help:"Show which group memberships would move; change nothing."`
 }
 
 // change makes or plans a change and prints the moves. newCore is empty except to add a core.
-func (c changeOptions) change(change operator.CoreChange, newCore string) error {
+func (c coreChangeOptions) change(change operator.CoreChange, newCore string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
 	client := operator.Client{Key: c.Key}
@@ -152,11 +152,12 @@
 func (c *foundCommand) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	f, err := operator.Client{Key: c.Key}.Found(ctx, c.Fleet, c.Cores, c.Partitions, c.GroupSize)
+	founded, err := operator.Client{Key: c.Key}.Found(ctx, c.Fleet, c.Cores, c.Partitions, c.GroupSize)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("fleet %s founded: %d cores, %d partitions, groups of %d\n", f.Fleet, len(f.Cores), f.Partitions, len(f.Groups[0].Members))
+	fmt.Printf("fleet %s founded: %d cores, %d partitions, groups of %d\n",
+		founded.Fleet, len(founded.Cores), founded.Partitions, len(founded.Groups[0].Members))
 	return nil
 }
 
@@ -177,11 +178,12 @@
 	if err != nil {
 		return err
 	}
-	d, faults := configuration.Parse(text)
+	description, faults := configuration.Parse(text)
 	if len(faults) > 0 {
 		return faults
 	}
-	fmt.Printf("configuration is valid: %d tenants, %d roles, %d services\n", len(d.Tenants), len(d.Roles), len(d.Services))
+	fmt.Printf("configuration is valid: %d tenants, %d roles, %d services\n",
+		len(description.Tenants), len(description.Roles), len(description.Services))
 	return nil
 }
 
@@ -281,8 +283,8 @@
 }
 
 func (c *statusCommand) Run() error {
-	var s operator.Status
-	status, raw, err := c.do("GET", "/v1/status", nil, &s)
+	var fleet operator.Status
+	status, raw, err := c.do("GET", "/v1/status", nil, &fleet)
 	if err != nil {
 		return err
 	}
@@ -293,14 +295,14 @@
 		fmt.Println(strings.TrimSpace(string(raw)))
 		return nil
 	}
-	fmt.Printf("fleet %s, configuration %d, breaker %s\n", s.Fleet, s.ConfigurationVersion, s.Breaker)
+	fmt.Printf("fleet %s, configuration %d, breaker %s\n", fleet.Fleet, fleet.ConfigurationVersion, fleet.Breaker)
 	memberships := map[string]int{}
-	for _, p := range s.Partitions {
+	for _, p := range fleet.Partitions {
 		for _, member := range p.Members {
 			memberships[member]++
 		}
 	}
-	for _, c := range s.Cores {
+	for _, c := range fleet.Cores {
 		note := fmt.Sprintf("votes in %d partitions", memberships[c.MemberID()])
 		switch {
 		case c.Retired:
@@ -310,13 +312,13 @@
 		}
 		fmt.Printf("core    %-12s %-10s %s %s\n", c.ID, c.Zone, c.Peer, note)
 	}
-	for _, p := range s.Partitions {
+	for _, p := range fleet.Partitions {
 		fmt.Printf("part    %-3d owner %s term %d epoch %d seats %s\n", p.Partition, p.Leader, p.Term, p.Epoch, strings.Join(p.Members, " "))
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	nodes := operator.Client{Key: c.Key}.NodeCounters(ctx, s.Members)
-	for _, m := range s.Members {
+	nodes := operator.Client{Key: c.Key}.NodeCounters(ctx, fleet.Members)
+	for _, m := range fleet.Members {
 		counters, ok := nodes[m.ID]
 		switch {
 		case m.Ended:
@@ -326,25 +328,25 @@
 		default:
 			fmt.Printf("member  %-12s %-10s %s version=%v ready=%v term_left_ms=%v breaker=%v programs=%v running=%v\n", m.ID, m.Zone, m.HTTP,
 				counters["version"], counters["ready"], counters["term_left_ms"], counters["breaker"], counters["programs"], counters["running"])
-			printTree("share", counters["shares"])
+			printEntries("share", counters["shares"])
 		}
 	}
 	for _, id := range ordered.Keys(nodes) {
-		printTree("replica", nodes[id]["replicas"])
+		printEntries("replica", nodes[id]["replicas"])
 		break
 	}
-	for _, u := range s.LockedUsers {
+	for _, u := range fleet.LockedUsers {
 		fmt.Printf("locked out %s for %v more\n", u.Name, u.Remaining.Round(time.Second))
 	}
-	if len(s.MissingPartitions) > 0 {
-		fmt.Printf("no answer from partitions %v\n", s.MissingPartitions)
+	if len(fleet.MissingPartitions) > 0 {
+		fmt.Printf("no answer from partitions %v\n", fleet.MissingPartitions)
 	}
 	return nil
 }
 
-// printTree prints each entry of a JSON object on a line that starts with label.
-func printTree(label string, tree any) {
-	entries, _ := tree.(map[string]any)
+// printEntries prints each entry of a JSON object on a line that starts with label.
+func printEntries(label string, object any) {
+	entries, _ := object.(map[string]any)
 	for _, name := range ordered.Keys(entries) {
 		raw, _ := json.Marshal(entries[name])
 		fmt.Printf("  %-8s %-24s %s\n", label, name, raw)
@@ -357,7 +359,7 @@
 	for _, table := range []struct {
 		name     string
 		settings []configuration.Setting
-	}{{"a process", params.Rows}, {"a configuration", configuration.Settings}} {
+	}{{"a process", params.Settings}, {"a configuration", configuration.Settings}} {
 		fmt.Printf("Settings of %s:\n", table.name)
 		for _, s := range table.settings {
 			fmt.Printf("  %-44s %-7s default %-14v %s\n", s.Path, s.Type, s.Default, s.Help)
--- a/saffronfall/nodeprocess/process.go
+++ b/saffronfall/nodeprocess/process.go
@@ -41,22 +41,30 @@
 	// framesPerRequest is how far a requester may fall behind before its request is cancelled.
 	framesPerRequest = 256
 	maxMessageBytes  = 64 << 20
+	// maxResponseRatio bounds a replica's response, in sizes of the largest request.
+	maxResponseRatio  = 16
+	incarnationBytes  = 6
+	readHeaderTimeout = 5 * time.Second
+	shutdownTimeout   = time.Second
+	readinessTimeout  = time.Second
+	// ticksPerPull is how often the machine is called during a pull interval.
+	ticksPerPull = 15
 )
 
 type process struct {
 	params  params.Params
 	updates <-chan params.Params
-	// otherVersions has the last refused protocol version of each member.
-	otherVersions map[string]byte
-	log           logr.Logger
-	machine       *node.Machine
-	streams       *stream.Transport
-	sender        *replica.Sender
-	start         time.Duration
-	requests      chan request
-	cancelled     chan uint64
-	events        chan node.AttemptEvent
-	calls         chan func(now time.Duration) node.Output
+	// refusedVersions has the last refused protocol version of each member.
+	refusedVersions map[string]byte
+	log             logr.Logger
+	machine         *node.Machine
+	streams         *stream.Transport
+	sender          *replica.Sender
+	start           time.Duration
+	requests        chan request
+	cancelled       chan uint64
+	events          chan node.AttemptEvent
+	calls           chan func(now time.Duration) node.Output
 	// ctx ends with the run method.
 	ctx   context.Context
 	drain chan struct{}
@@ -78,7 +86,7 @@
 // Run runs the role until ctx ends, then drains it. Settings received on updates replace p. The
 // error is nil or that of a listener.
 func Run(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger) error {
-	raw := make([]byte, 6)
+	raw := make([]byte, incarnationBytes)
 	if _, err := crypto.Read(raw); err != nil {
 		return err
 	}
@@ -89,13 +97,13 @@
 	}
 	runCtx, cancel := context.WithCancel(context.Background())
 	s := &process{
-		params: p, updates: updates, otherVersions: map[string]byte{}, log: log, streams: streams,
+		params: p, updates: updates, refusedVersions: map[string]byte{}, log: log, streams: streams,
 		start: clock.Now(), ctx: runCtx, drain: make(chan struct{}, 1), breaker: "closed",
 		requests: make(chan request, p.BufferSize), cancelled: make(chan uint64, p.BufferSize),
 		events: make(chan node.AttemptEvent, p.BufferSize),
 		calls:  make(chan func(time.Duration) node.Output, 64), pending: map[uint64]chan node.Frame{},
 		attempts: map[uint64]context.CancelFunc{},
-		sender:   replica.NewSender(&net.Dialer{Timeout: p.Node().AnnouncementMaxAge}, p.MaxRequestBytes*16),
+		sender:   replica.NewSender(&net.Dialer{Timeout: p.Node().AnnouncementMaxAge}, p.MaxRequestBytes*maxResponseRatio),
 	}
 	s.machine = node.New(node.Options{
 		Params: p.Node(), ID: p.ID, Incarnation: hex.EncodeToString(raw), Zone: p.Zone,
@@ -111,14 +119,14 @@
 	mux.Handle("/", requester.Handler(s, p.MaxRequestBytes))
 	mux.Handle("POST /v1/replicas", replica.AnnouncementHandler(p.ReplicaKey, s.announce))
 	listen := func(address string, handler http.Handler, name string) {
-		server := &http.Server{Addr: address, Handler: handler, ReadHeaderTimeout: 5 * time.Second}
+		server := &http.Server{Addr: address, Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 		group.Add(func() error {
 			if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 				return errors.Wrap(err, name)
 			}
 			return nil
 		}, func(error) {
-			shutdownCtx, cancel := context.WithTimeout(context.Background(), time.Second)
+			shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 			defer cancel()
 			server.Shutdown(shutdownCtx)
 			server.Close()
@@ -145,8 +153,8 @@
 
 // logVersionMismatch logs once for each member and version.
 func (s *process) logVersionMismatch(c stream.Counters) {
-	if s.otherVersions[c.PeerAddress] != c.PeerVersion {
-		s.otherVersions[c.PeerAddress] = c.PeerVersion
+	if s.refusedVersions[c.PeerAddress] != c.PeerVersion {
+		s.refusedVersions[c.PeerAddress] = c.PeerVersion
 		s.log.Info(
 			"refused a member of an incompatible version; upgrade a fleet one version at a time",
 			"member", c.PeerAddress,
@@ -162,7 +170,7 @@
 // for it, run drains the node, and returns once that is done or the grace period is over.
 func (s *process) run(ctx context.Context) error {
 	runtime.LockOSThread()
-	ticker := time.NewTicker(s.params.Core().PullInterval / 15)
+	ticker := time.NewTicker(s.params.Core().PullInterval / ticksPerPull)
 	defer ticker.Stop()
 	stop, drain := ctx.Done(), s.drain
 	var drainDeadline time.Duration
@@ -344,7 +352,7 @@
 
 // Ready reports whether requesters should be sent here.
 func (s *process) Ready(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	ctx, cancel := context.WithTimeout(ctx, readinessTimeout)
 	defer cancel()
 	ready, err := inspect(ctx, s, func(now time.Duration) bool { return s.machine.Ready(now) })
 	return err == nil && ready
--- a/saffronfall/params/params.go
+++ b/saffronfall/params/params.go
@@ -1,4 +1,4 @@
-// Package params holds the settings of a process. Read checks a settings file against Rows, the
+// Package params holds the settings of a process. Read checks a settings file against Settings, the
 // table of all settings, and reports every fault at once. Params converts the settings to the
 // parameters of each role. Reload decides which may change while a process runs.
 package params
@@ -16,7 +16,7 @@
 	"saffronfall/rule/partition"
 )
 
-// Params holds the settings of a process, documented in Rows under the names in the tags.
+// Params holds the settings of a process, documented in Settings under the names in the tags.
 type Params struct {
 	ID          string   `json:"id"`
 	Zone        string   `json:"zone"`
@@ -53,8 +53,8 @@
 	Relay
 }
 
-// live settings can change without a restart.
-var live = map[string]bool{
+// reloadable names the settings that can change without a restart.
+var reloadable = map[string]bool{
 	"newest_ms":     true,
 	"patience_ms":   true,
 	"budget_ms":     true,
@@ -79,7 +79,7 @@
 	for _, name := range ordered.Keys(after) {
 		switch {
 		case before[name] == after[name]:
-		case live[name]:
+		case reloadable[name]:
 			applied = append(applied, name)
 		default:
 			restart = append(restart, name)
@@ -92,8 +92,8 @@
 	return next, applied, restart, nil
 }
 
-// Rows is the table of all settings of a process.
-var Rows = []configuration.Setting{
+// Settings is the table of all settings of a process.
+var Settings = []configuration.Setting{
 	{Path: "id", Type: "text", Required: true, Check: checkName, Help: "name of this process, unique in the fleet"},
 	{Path: "zone", Type: "text", Default: "zone-1", Check: checkName, Help: "zone of this machine"},
 	{Path: "folder", Type: "text", Default: "", Help: "data directory; required for cores"},
@@ -170,7 +170,7 @@
 // Empty advertised addresses are set to the listen addresses.
 func Read(text []byte) (Params, error) {
 	var p Params
-	if faults := configuration.Read(text, Rows, &p); len(faults) > 0 {
+	if faults := configuration.Read(text, Settings, &p); len(faults) > 0 {
 		return p, faults
 	}
 	for _, pair := range []struct{ to, from *string }{
--- a/saffronfall/params/relay.go
+++ b/saffronfall/params/relay.go
@@ -65,7 +65,7 @@
 }
 
 func init() {
-	Rows = append(Rows,
+	Settings = append(Settings,
 		configuration.Setting{Path: "beat_ms", Type: "int", Default: 1000, Min: 50, Max: 60000, Help: "period of replicas' heartbeats to desks"},
 		configuration.Setting{Path: "follow_ms", Type: "int", Default: 500, Min: 20, Max: 60000, Help: "period at which a node polls desks for missed updates; changes are also pushed at once"},
 		configuration.Setting{Path: "rate_window_ms", Type: "int", Default: 5000, Min: 100, Max: 3600000, Help: "window of tenants' rate limits"},
--- a/saffronfall/registryprocess/process.go
+++ b/saffronfall/registryprocess/process.go
@@ -107,8 +107,13 @@
 
 const (
 	// maxLogBytes is the size of the log at which a new slot replaces it.
-	maxLogBytes     = 256 << 10
-	maxMessageBytes = 64 << 20
+	maxLogBytes       = 256 << 10
+	maxMessageBytes   = 64 << 20
+	incarnationBytes  = 6
+	readHeaderTimeout = 5 * time.Second
+	shutdownTimeout   = time.Second
+	// ticksPerPull is how often the machine is called during a pull interval.
+	ticksPerPull = 3
 )
 
 // store stores changes before any message about them is sent. Changes that find the disk full are
@@ -139,7 +144,7 @@
 	ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger,
 	newHandler func(api registry.API) http.Handler,
 ) error {
-	raw := make([]byte, 6)
+	raw := make([]byte, incarnationBytes)
 	if _, err := crypto.Read(raw); err != nil {
 		return err
 	}
@@ -164,7 +169,7 @@
 	group.Add(func() error { return s.run() }, func(error) { cancel() })
 	group.Add(streams.Run, func(error) { streams.Close() })
 	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "desk", Snapshot: s.snapshot}, log)
-	server := &http.Server{Addr: p.OperatorListen, Handler: newHandler(s), ReadHeaderTimeout: 5 * time.Second,
+	server := &http.Server{Addr: p.OperatorListen, Handler: newHandler(s), ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout: callTimeout, WriteTimeout: callTimeout, IdleTimeout: time.Minute}
 	ended := make(chan struct{})
 	group.Add(func() error {
@@ -184,7 +189,7 @@
 			return nil
 		}
 		log.Info("registry is shutting down")
-		shutdownCtx, cancel := context.WithTimeout(context.Background(), time.Second)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		server.Shutdown(shutdownCtx)
 		return nil
@@ -196,7 +201,7 @@
 
 // run is the event loop. No other goroutine calls the machine.
 func (s *process) run() error {
-	ticker := time.NewTicker(s.params.Core().PullInterval / 3)
+	ticker := time.NewTicker(s.params.Core().PullInterval / ticksPerPull)
 	defer ticker.Stop()
 	for {
 		select {
--- a/saffronfall/relayprocess/observe.go
+++ b/saffronfall/relayprocess/observe.go
@@ -51,6 +51,8 @@
 	// Others are counted under otherRoute.
 	maxRoutes  = 500
 	otherRoute = "other"
+
+	tenantDigestBytes = 8
 )
 
 // observer records completed requests in metrics, and failures also in the log and in a ring. Only
@@ -185,7 +187,7 @@
 	}
 	mac := hmac.New(sha256.New, o.secret)
 	mac.Write([]byte(tenant))
-	return hex.EncodeToString(mac.Sum(nil)[:8])
+	return hex.EncodeToString(mac.Sum(nil)[:tenantDigestBytes])
 }
 
 // hashKey returns the key for hashing values that requesters choose. All nodes compute the same
--- a/saffronfall/relayprocess/process.go
+++ b/saffronfall/relayprocess/process.go
@@ -71,21 +71,21 @@
 	outcomes  chan attemptOutcome
 	cancelled chan uint64
 	calls     chan func(now time.Duration)
-	closing   chan struct{}
+	draining  chan struct{}
 	// ctx ends with the run method.
 	ctx context.Context
 
 	pending    map[uint64]*request
 	pools      map[string]*pool
 	lastTicket uint64
-	messages
+	messageCounts
 	observer    *observer
 	violations  *invariant.Counter
 	tableNumber uint64
 	ready       bool
 }
 
-type messages struct{ sent, dropped, badStreams int64 }
+type messageCounts struct{ sent, dropped, badStreams int64 }
 
 type pool struct {
 	*replica.Pool
@@ -94,8 +94,15 @@
 }
 
 const (
-	maxMessageBytes       = 64 << 20
-	connectionsPerReplica = 32
+	maxMessageBytes        = 64 << 20
+	connectionsPerReplica  = 32
+	incarnationBytes       = 6
+	maxHeaderBytes         = 1 << 20
+	requesterHeaderTimeout = 10 * time.Second
+	readHeaderTimeout      = 5 * time.Second
+	readinessTimeout       = time.Second
+	// ticksPerPull is how often the machine is called during a pull interval.
+	ticksPerPull = 3
 	// poolIdleTimeout is how long a pool is kept after its last attempt.
 	poolIdleTimeout = time.Minute
 )
@@ -104,7 +111,7 @@
 // are the HTTP headers exchanged with requesters and replicas. The error is nil or that of a
 // listener.
 func Run(ctx context.Context, p params.Params, updates <-chan params.Params, log logr.Logger, names replica.Headers) error {
-	raw := make([]byte, 6)
+	raw := make([]byte, incarnationBytes)
 	if _, err := crypto.Read(raw); err != nil {
 		return err
 	}
@@ -115,7 +122,7 @@
 	}
 	runCtx, cancel := context.WithCancel(context.Background())
 	s := &process{params: p, updates: updates, log: log, streams: streams, start: clock.Now(), ctx: runCtx,
-		closing: make(chan struct{}), requests: make(chan *request, 64), outcomes: make(chan attemptOutcome, 64),
+		draining: make(chan struct{}), requests: make(chan *request, 64), outcomes: make(chan attemptOutcome, 64),
 		cancelled: make(chan uint64, 64), calls: make(chan func(time.Duration), 16), pending: map[uint64]*request{},
 		pools: map[string]*pool{}}
 	s.violations = telemetry.NewViolationCounts(p.StrictInvariants, log)
@@ -129,23 +136,23 @@
 	group.Add(streams.Run, func(error) { streams.Close() })
 	telemetry.Serve(&group, p.MetricsListen, telemetry.Source{Role: "node", Snapshot: s.snapshot, Set: s.observer.set}, log)
 	handler := front.Handler(front.Options{Dispatcher: s, Headers: names, HashKey: hashKey(p.FleetSecret),
-		MaxBody: p.MaxRequestBytes, Draining: s.closing, BodyTimeout: time.Duration(p.BodyTimeoutMS) * time.Millisecond,
+		MaxBody: p.MaxRequestBytes, Draining: s.draining, BodyTimeout: time.Duration(p.BodyTimeoutMS) * time.Millisecond,
 		IntakeBytes: p.IntakeBytes, OnRejected: s.rejected, Violated: s.violated})
-	server := &http.Server{Addr: p.RequesterListen, Handler: handler, ReadHeaderTimeout: 10 * time.Second,
-		IdleTimeout: time.Minute, MaxHeaderBytes: 1 << 20}
+	server := &http.Server{Addr: p.RequesterListen, Handler: handler, ReadHeaderTimeout: requesterHeaderTimeout,
+		IdleTimeout: time.Minute, MaxHeaderBytes: maxHeaderBytes}
 	serve(&group, server, func(server *http.Server) error { return front.Serve(server, int(p.MaxConnections)) }, "requester address")
 	if p.ReadyListen != "" {
 		serve(&group, &http.Server{
 			Addr:              p.ReadyListen,
 			Handler:           http.HandlerFunc(s.serveReadiness),
-			ReadHeaderTimeout: 5 * time.Second,
+			ReadHeaderTimeout: readHeaderTimeout,
 		}, (*http.Server).ListenAndServe, "readiness address")
 	}
 	if p.OperatorListen != "" && p.OperatorKey != "" {
 		serve(&group, &http.Server{
 			Addr:              p.OperatorListen,
 			Handler:           operator.RequireKey(p.OperatorKey, s.operatorHandler()),
-			ReadHeaderTimeout: 5 * time.Second,
+			ReadHeaderTimeout: readHeaderTimeout,
 		}, (*http.Server).ListenAndServe, "operator address")
 	}
 	group.Add(func() error {
@@ -178,7 +185,7 @@
 // drain reports this node as not ready, keeps accepting requests until load balancers have noticed,
 // and waits for those in flight, at most for the grace period.
 func (s *process) drain(server *http.Server) {
-	s.log.Info("relay leaves")
+	s.log.Info("relay is draining")
 	var p params.Params
 	if s.inspect(s.ctx, func(time.Duration) {
 		s.machine.Drain()
@@ -187,7 +194,7 @@
 		// run has returned, and all requests ended with it.
 		return
 	}
-	close(s.closing)
+	close(s.draining)
 	wait := time.NewTimer(time.Duration(p.NotReadyDelayMS) * time.Millisecond)
 	<-wait.C
 	graceCtx, cancel := context.WithTimeout(context.Background(), p.Grace())
@@ -200,7 +207,7 @@
 
 // run is the event loop. No other goroutine calls the machine.
 func (s *process) run() error {
-	ticker := time.NewTicker(s.params.Core().PullInterval / 3)
+	ticker := time.NewTicker(s.params.Core().PullInterval / ticksPerPull)
 	defer ticker.Stop()
 	for {
 		select {
@@ -403,7 +410,7 @@
 
 func (s *process) serveReadiness(w http.ResponseWriter, r *http.Request) {
 	ready := false
-	ctx, cancel := context.WithTimeout(r.Context(), time.Second)
+	ctx, cancel := context.WithTimeout(r.Context(), readinessTimeout)
 	defer cancel()
 	if err := s.inspect(ctx, func(now time.Duration) { ready = s.machine.Ready(now) }); err != nil || !ready {
 		w.WriteHeader(http.StatusServiceUnavailable)
