--- a/peer/relay/budget.go
+++ b/peer/relay/budget.go
@@ -12,7 +12,7 @@
 	req.reserving = true
 	m.reservations++
 	req.reservationID = m.incarnation + "-" + strconv.FormatUint(m.reservations, 36)
-	c := core.ReserveTurn{
+	command := core.ReserveTurn{
 		Tenant:    m.tenantName(req),
 		Program:   req.spec.Program,
 		Attempt:   req.reservationID,
@@ -20,15 +20,15 @@
 		Budget:    req.spec.TokenBudget,
 		Retention: m.params.BudgetRetention,
 	}
-	m.caller.Call(now, c, req.admissionDeadline, func(now time.Duration, o core.Outcome) {
+	m.caller.Call(now, command, req.admissionDeadline, func(now time.Duration, o core.Outcome) {
 		req.reserving = false
-		r, ok := o.Answer.(core.ReserveTurnResult)
+		result, ok := o.Answer.(core.ReserveTurnResult)
 		switch {
 		case !ok:
 			// The reservation may have been made, so it is settled when the request ends.
 			req.reserved = true
 			m.refuseUnlessCompleted(now, req, CauseBudgetUnavailable)
-		case !r.OK:
+		case !result.OK:
 			req.budgetRefused = true
 			if !req.completed {
 				m.refuse(now, req, CauseBudget)
@@ -61,6 +61,6 @@
 	}
 	req.reserved = false
 	m.Counters.Settlements++
-	c := core.SettleTurn{Tenant: m.tenantName(req), Program: req.spec.Program, Attempt: req.reservationID, Tokens: tokens}
-	m.caller.Call(now, c, now+m.params.BudgetRetention, func(time.Duration, core.Outcome) {})
+	command := core.SettleTurn{Tenant: m.tenantName(req), Program: req.spec.Program, Attempt: req.reservationID, Tokens: tokens}
+	m.caller.Call(now, command, now+m.params.BudgetRetention, func(time.Duration, core.Outcome) {})
 }
--- a/peer/relay/completion.go
+++ b/peer/relay/completion.go
@@ -56,8 +56,8 @@
 	retryFactor float64
 }
 
-// statusClientClosedRequest is recorded, but not sent, when the requester disconnected.
-const statusClientClosedRequest = 499
+// statusRequesterDisconnected is recorded, but not sent, when the requester disconnected.
+const statusRequesterDisconnected = 499
 
 var requesterResponses = map[Cause]requesterResponse{
 	CauseHeadTooLarge:   {status: 431, check: "limits", reason: "the head is larger than allowed"},
@@ -84,7 +84,7 @@
 	CauseNoReplica:             {status: 503, check: "replicas", reason: "no replica can take it now", retryFactor: 1},
 	CauseReplicaInterrupted:    {status: 502, check: "replica", reason: "the replica broke off; it may have run"},
 	CauseTurnNotStored:         {status: 502, check: "history", reason: "it ran, and could not be kept"},
-	CauseRequesterDisconnected: {status: statusClientClosedRequest, check: "requester", reason: "the requester went away"},
+	CauseRequesterDisconnected: {status: statusRequesterDisconnected, check: "requester", reason: "the requester went away"},
 }
 
 // ClientErrorCauses lists the causes that are answered with status codes 400 to 499.
@@ -122,7 +122,7 @@
 }
 
 // Failed reports whether the requester did not get a successful response.
-func (e Completion) Failed() bool { return e.Cause != CauseServed }
+func (c Completion) Failed() bool { return c.Cause != CauseServed }
 
 type auditState struct {
 	violated invariant.Reporter
@@ -134,10 +134,10 @@
 	auditAt, lastTick, overdueCheckAt time.Duration
 }
 
-func (m *Machine) recordCompletion(now time.Duration, req *activeRequest, cause Cause, s Step) {
+func (m *Machine) recordCompletion(now time.Duration, req *activeRequest, cause Cause, lastStep Step) {
 	m.byCause[cause]++
 	m.completed++
-	e := Completion{
+	completion := Completion{
 		Cause:         cause,
 		Attempt:       req.spec.Attempt,
 		Program:       req.spec.Program,
@@ -146,18 +146,18 @@
 		Replica:       req.replicaID,
 		ReplicasTried: req.attempts,
 		MayHaveRun:    req.mayHaveRun,
-		Status:        s.Status,
+		Status:        lastStep.Status,
 		QueueTime:     req.queueTime,
 		Duration:      now - req.arrived,
 		CoresSilent:   m.caller.SilentFor(now),
 	}
 	if req.route != nil {
-		e.Route = req.route.Name
+		completion.Route = req.route.Name
 	}
 	if req.table != nil {
-		e.Table = req.table.Number
+		completion.Table = req.table.Number
 	}
-	m.out.Completions = append(m.out.Completions, e)
+	m.out.Completions = append(m.out.Completions, completion)
 }
 
 const (
--- a/peer/relay/history.go
+++ b/peer/relay/history.go
@@ -19,8 +19,14 @@
 	req.fetching = true
 	m.readTurn(now, req, req.spec.Previous, func(now time.Duration, last core.ReadTurnResult) {
 		turns := make([]*turn, len(last.Previous)+1)
-		fill := func(now time.Duration, i int, attempt string, k core.ReadTurnResult) {
-			turns[i] = &turn{attempt: attempt, tenant: tenant, input: k.Input, output: k.Output, storedUntil: now + k.Remaining}
+		fill := func(now time.Duration, i int, attempt string, result core.ReadTurnResult) {
+			turns[i] = &turn{
+				attempt:     attempt,
+				tenant:      tenant,
+				input:       result.Input,
+				output:      result.Output,
+				storedUntil: now + result.Remaining,
+			}
 		}
 		fill(now, len(last.Previous), req.spec.Previous, last)
 		waiting := len(last.Previous)
--- a/peer/relay/loads.go
+++ b/peer/relay/loads.go
@@ -76,13 +76,13 @@
 func clampUint16(n int64) uint16 { return uint16(min(max(n, 0), math.MaxUint16)) }
 
 // handleLoads ignores reports for another version of the listings, whose order may differ.
-func (m *Machine) handleLoads(now time.Duration, from string, l registry.Loads) {
+func (m *Machine) handleLoads(now time.Duration, from string, loads registry.Loads) {
 	view := m.registries[from]
-	if view == nil || view.incarnation != l.Incarnation || view.version != l.Version {
+	if view == nil || view.incarnation != loads.Incarnation || view.version != loads.Version {
 		return
 	}
 	ids := view.loadIndex()
-	if len(l.Outstanding) != len(ids) || len(l.FailureRates) != len(ids) || len(l.UnitTimes) != len(ids) {
+	if len(loads.Outstanding) != len(ids) || len(loads.FailureRates) != len(ids) || len(loads.UnitTimes) != len(ids) {
 		m.Counters.BadMessages++
 		return
 	}
@@ -90,9 +90,9 @@
 	until := now + loadValidityPeriods*m.params.LoadReportInterval
 	for i, id := range ids {
 		if r := m.replicas[id]; r != nil {
-			r.estimate.SetShared(int64(l.Outstanding[i]), float64(l.FailureRates[i])/math.MaxUint8, until)
-			if l.UnitTimes[i] > 0 {
-				r.estimate.SetUnitTime(time.Duration(l.UnitTimes[i]) * registry.UnitTimeResolution)
+			r.estimate.SetShared(int64(loads.Outstanding[i]), float64(loads.FailureRates[i])/math.MaxUint8, until)
+			if loads.UnitTimes[i] > 0 {
+				r.estimate.SetUnitTime(time.Duration(loads.UnitTimes[i]) * registry.UnitTimeResolution)
 			}
 		}
 	}
--- a/peer/relay/machine.go
+++ b/peer/relay/machine.go
@@ -125,27 +125,30 @@
 // Receive handles a message from the process at an address.
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
 	m.out = &Output{}
-	switch b := body.(type) {
+	switch message := body.(type) {
 	case core.CommandResult:
-		m.caller.Receive(now, from, b)
+		m.caller.Receive(now, from, message)
 		if now >= m.drawAt {
 			m.drawAt = now + m.params.RateWindow/drawChecksPerWindow
 			m.drawRates(now)
 		}
 	case registry.Update:
 		m.Counters.Updates++
-		m.handleUpdate(now, from, b)
+		m.handleUpdate(now, from, message)
 	case registry.Loads:
-		m.handleLoads(now, from, b)
+		m.handleLoads(now, from, message)
 	default:
 		m.Counters.BadMessages++
 	}
 	return *m.out
 }
 
-// handleUpdate puts a first table in force once a registry has confirmed it as the newest, or two
-// heartbeat intervals after the start.
-func (m *Machine) handleUpdate(now time.Duration, from string, b registry.Update) {
+// firstTableHeartbeats is after how many heartbeat intervals a first table needs no confirmation.
+const firstTableHeartbeats = 2
+
+// handleUpdate puts a first table in force once a registry has confirmed it as the newest, or
+// firstTableHeartbeats after the start.
+func (m *Machine) handleUpdate(now time.Duration, from string, update registry.Update) {
 	view := m.registries[from]
 	if view == nil {
 		view = &registryView{replicas: map[string]listing{}}
@@ -155,53 +158,53 @@
 		m.registryAddresses = append(m.registryAddresses, from)
 	}
 	view.lastUpdateAt = now
-	if view.incarnation != b.Incarnation {
+	if view.incarnation != update.Incarnation {
 		// The registry has restarted. Its earlier listings stay valid until replicas had time to
 		// announce themselves again.
-		for id, p := range view.replicas {
-			p.expiresAt = now + lostHeartbeats*m.params.HeartbeatInterval
-			view.replicas[id] = p
+		for id, entry := range view.replicas {
+			entry.expiresAt = now + lostHeartbeats*m.params.HeartbeatInterval
+			view.replicas[id] = entry
 		}
-		view.incarnation, view.version, view.indexedIDs = b.Incarnation, 0, nil
+		view.incarnation, view.version, view.indexedIDs = update.Incarnation, 0, nil
 	}
-	if b.Since <= view.version {
-		for _, l := range b.Replicas {
-			if l.Replica.Leaving || l.Final {
-				m.departed.add(now, l.Replica.ID)
+	if update.Since <= view.version {
+		for _, listed := range update.Replicas {
+			if listed.Replica.Leaving || listed.Final {
+				m.departed.add(now, listed.Replica.ID)
 			}
-			view.replicas[l.Replica.ID] = listing{ReplicaEntry: l}
+			view.replicas[listed.Replica.ID] = listing{ReplicaEntry: listed}
 		}
-		view.version = max(view.version, b.Version)
+		view.version = max(view.version, update.Version)
 	}
-	if b.RenewNow {
+	if update.RenewNow {
 		m.requestUpdate(from)
 	}
-	m.nodes = max(b.NodeCount, 1)
-	if len(b.Replicas) > 0 {
+	m.nodes = max(update.NodeCount, 1)
+	if len(update.Replicas) > 0 {
 		// The listings are merged when the next replica is chosen.
 		m.mergeAt = now
 		m.resumeAwaitingReplicas(now)
 	}
-	if b.Topology != nil {
-		m.mergeTopology(*b.Topology)
-		for _, address := range b.Registries {
+	if update.Topology != nil {
+		m.mergeTopology(*update.Topology)
+		for _, address := range update.Registries {
 			if !slices.Contains(m.registryAddresses, address) {
 				m.registryAddresses = append(m.registryAddresses, address)
 				m.nextUpdateRequest = now
 			}
 		}
 	}
-	m.updateTable(now, b)
-	fresh := b.ConfirmationAge >= 0 && b.ConfirmationAge < m.params.HeartbeatInterval
-	if fresh && b.TableNumber == 0 {
+	m.updateTable(now, update)
+	fresh := update.ConfirmationAge >= 0 && update.ConfirmationAge < m.params.HeartbeatInterval
+	if fresh && update.TableNumber == 0 {
 		m.noTableConfirmed = true
 	}
 	if m.pending != nil && (m.table == nil || m.table.Number < m.pending.Number) &&
-		(m.table != nil || fresh && b.TableNumber <= m.pending.Number || now > m.started+2*m.params.HeartbeatInterval) {
+		(m.table != nil || fresh && update.TableNumber <= m.pending.Number || now > m.started+firstTableHeartbeats*m.params.HeartbeatInterval) {
 		m.installTable(now)
 	}
-	if m.table != nil && b.TableNumber == m.table.Number && b.ConfirmationAge >= 0 {
-		m.confirmedAt = max(m.confirmedAt, now-b.ConfirmationAge)
+	if m.table != nil && update.TableNumber == m.table.Number && update.ConfirmationAge >= 0 {
+		m.confirmedAt = max(m.confirmedAt, now-update.ConfirmationAge)
 	}
 }
 
@@ -241,26 +244,26 @@
 }
 
 // mergeTopology takes newer terms and core addresses, unless they are of another fleet.
-func (m *Machine) mergeTopology(t core.Topology) {
+func (m *Machine) mergeTopology(received core.Topology) {
 	if len(m.topology.Leaders) == 0 || m.topology.Fleet == "" {
 		m.topology = core.Topology{
-			Fleet:   t.Fleet,
+			Fleet:   received.Fleet,
 			Cores:   map[string]core.Core{},
-			Leaders: slices.Clone(t.Leaders),
-			Groups:  slices.Clone(t.Groups),
+			Leaders: slices.Clone(received.Leaders),
+			Groups:  slices.Clone(received.Groups),
 		}
 	}
-	if t.Fleet != m.topology.Fleet {
+	if received.Fleet != m.topology.Fleet {
 		return
 	}
-	for n := range t.Leaders {
-		if n < len(m.topology.Leaders) && m.topology.Leaders[n].Less(t.Leaders[n]) {
-			m.topology.Leaders[n] = t.Leaders[n]
+	for n := range received.Leaders {
+		if n < len(m.topology.Leaders) && m.topology.Leaders[n].Less(received.Leaders[n]) {
+			m.topology.Leaders[n] = received.Leaders[n]
 		}
 	}
-	for id, c := range t.Cores {
-		if old, ok := m.topology.Cores[id]; !ok || old.Version <= c.Version {
-			m.topology.Cores[id] = c
+	for id, candidate := range received.Cores {
+		if old, ok := m.topology.Cores[id]; !ok || old.Version <= candidate.Version {
+			m.topology.Cores[id] = candidate
 		}
 	}
 	registry.HintLeaders(m.caller, m.topology)
@@ -324,29 +327,29 @@
 // interrupted responses, "bulletins" and "loads_heard" received updates and load reports, and
 // "live" requests in progress.
 func (m *Machine) Status(now time.Duration) map[string]int64 {
-	c := m.Counters
+	counters := m.Counters
 	replicas := 0
 	for _, s := range m.services {
 		replicas += len(s.replicas)
 	}
 	status := map[string]int64{
-		"requests":         c.Requests,
-		"sent":             c.Sent,
-		"whole":            c.Completed,
-		"broken":           c.Interrupted,
-		"not_run":          c.NotRun,
-		"resent":           c.Resent,
-		"resumed":          c.Resumed,
-		"turns":            c.Turns,
-		"cache_hits":       c.CacheHits,
-		"cache_misses":     c.CacheMisses,
-		"draws":            c.Draws,
-		"drawn":            c.DrawsAnswered,
-		"bulletins":        c.Updates,
-		"bad_messages":     c.BadMessages,
-		"bad_differences":  c.BadDifferences,
-		"new_connections":  c.NewConnections,
-		"settles":          c.Settlements,
+		"requests":         counters.Requests,
+		"sent":             counters.Sent,
+		"whole":            counters.Completed,
+		"broken":           counters.Interrupted,
+		"not_run":          counters.NotRun,
+		"resent":           counters.Resent,
+		"resumed":          counters.Resumed,
+		"turns":            counters.Turns,
+		"cache_hits":       counters.CacheHits,
+		"cache_misses":     counters.CacheMisses,
+		"draws":            counters.Draws,
+		"drawn":            counters.DrawsAnswered,
+		"bulletins":        counters.Updates,
+		"bad_messages":     counters.BadMessages,
+		"bad_differences":  counters.BadDifferences,
+		"new_connections":  counters.NewConnections,
+		"settles":          counters.Settlements,
 		"loads_heard":      m.loadUpdates,
 		"live":             int64(len(m.active)),
 		"replicas":         int64(replicas),
--- a/peer/relay/rate.go
+++ b/peer/relay/rate.go
@@ -108,20 +108,36 @@
 	return tr.granted - tr.spent - tr.returned - tr.reserved
 }
 
-// overshootShare is the fraction of the allowed overshoot that the ledger's limit includes. The
+// overshootFraction is the fraction of the allowed overshoot that the ledger's limit includes. The
 // rest covers the delay between a spend and the arrival at the replica.
-const overshootShare = 0.85
+const overshootFraction = 0.85
 
-const leasesPerWindow = 2
+const (
+	leasesPerWindow     = 2
+	drawChecksPerWindow = 50
+	drawsPerLease       = 12
+	// A request waits for a unit at most these parts of its time and of the window.
+	waitDeadlineDivisor = 4
+	waitWindowDivisor   = 5
+	retryWindowDivisor  = 10
+	// Spends are reported when they are older than this part of a lease.
+	reportLeaseDivisor = 4
+	// Units are renewed in this last part of their lease.
+	renewLeaseDivisor = 3
+)
 
-const drawChecksPerWindow = 50
+const (
+	maxSpareUnits = 2
+	// limitPerSpareUnit is the limit of a window per node and spare unit.
+	limitPerSpareUnit = 10
+)
 
 const (
 	// demandInterval is the minimum time between updates of a demand.
 	demandInterval         = 200 * time.Millisecond
 	demandAveragingSeconds = 0.6
-	// prefetchLeaseShare is the fraction of a lease whose demand is drawn in advance.
-	prefetchLeaseShare = 0.6
+	// prefetchLeaseFraction is the fraction of a lease whose demand is drawn in advance.
+	prefetchLeaseFraction = 0.6
 )
 
 func (m *Machine) leaseDuration() time.Duration { return m.params.RateWindow / leasesPerWindow }
@@ -162,7 +178,7 @@
 }
 
 func (m *Machine) rateWaitUntil(now time.Duration, req *activeRequest) time.Duration {
-	return now + min((req.deadline-now)/4, m.params.RateWindow/5)
+	return now + min((req.deadline-now)/waitDeadlineDivisor, m.params.RateWindow/waitWindowDivisor)
 }
 
 func (m *Machine) refuseRate(now time.Duration, req *activeRequest, retry time.Duration) {
@@ -207,7 +223,7 @@
 		return true
 	}
 	req.readyToSend, req.waitUntil = true, m.rateWaitUntil(now, req)
-	req.state, req.admissionDeadline = stateAdmitting, now+(req.deadline-now)/2
+	req.state, req.admissionDeadline = stateAdmitting, now+(req.deadline-now)/admissionTimeDivisor
 	tr.lastUsed = now
 	tr.waiting = append(tr.waiting, req)
 	tr.drawWanted = true
@@ -247,14 +263,14 @@
 	if tr.scarce {
 		return int64(len(tr.waiting))
 	}
-	spare := min(2, limit.Max/(10*int64(max(m.nodes, 1))))
-	return int64(len(tr.waiting)) + int64(tr.demand*m.leaseDuration().Seconds()*prefetchLeaseShare+0.5) + spare
+	spare := min(maxSpareUnits, limit.Max/(limitPerSpareUnit*int64(max(m.nodes, 1))))
+	return int64(len(tr.waiting)) + int64(tr.demand*m.leaseDuration().Seconds()*prefetchLeaseFraction+0.5) + spare
 }
 
 // limitOf returns the limit of a tenant's window, including overshoot.
 func (m *Machine) limitOf(t *route.Tenant) rate.Limit {
-	allowed := (t.Rate*m.params.RateWindow.Seconds()+t.Burst)*(1+m.params.RateOvershoot*overshootShare) +
-		float64(m.params.RateSlack)*overshootShare
+	allowed := (t.Rate*m.params.RateWindow.Seconds()+t.Burst)*(1+m.params.RateOvershoot*overshootFraction) +
+		float64(m.params.RateSlack)*overshootFraction
 	return rate.Limit{Window: m.params.RateWindow, Max: int64(allowed)}
 }
 
@@ -288,7 +304,7 @@
 		limit := m.limitOf(tenant)
 		want := m.targetUnits(tr, limit)
 		excess := tr.available(now) - 2*want
-		due := tr.drawWanted && now >= tr.retryAt || now >= tr.nextDraw && (tr.available(now)*2 < want || excess > 0 || tr.spent > tr.acknowledged && now > tr.recent[0].at+m.leaseDuration()/4 || tr.available(now) > 0 && now > tr.expiresAt-m.leaseDuration()/3)
+		due := tr.drawWanted && now >= tr.retryAt || now >= tr.nextDraw && (tr.available(now)*2 < want || excess > 0 || tr.spent > tr.acknowledged && now > tr.recent[0].at+m.leaseDuration()/reportLeaseDivisor || tr.available(now) > 0 && now > tr.expiresAt-m.leaseDuration()/renewLeaseDivisor)
 		if !due {
 			continue
 		}
@@ -296,28 +312,28 @@
 			tr.returned += excess
 		}
 		tr.drawing, tr.drawWanted = true, false
-		tr.nextDraw = now + m.leaseDuration()/12
-		d := rate.DrawRequest{Holder: m.incarnation + "+" + strconv.Itoa(tr.leaseID), Granted: tr.granted, Spent: tr.spent, Returned: tr.returned,
-			Want: want + tr.reserved, Prefetch: want - int64(len(tr.waiting)),
+		tr.nextDraw = now + m.leaseDuration()/drawsPerLease
+		request := rate.DrawRequest{Holder: m.incarnation + "+" + strconv.Itoa(tr.leaseID), Granted: tr.granted, Spent: tr.spent,
+			Returned: tr.returned, Want: want + tr.reserved, Prefetch: want - int64(len(tr.waiting)),
 			Version: m.table.Number, Limit: limit, LeaseDuration: m.leaseDuration()}
 		for _, r := range tr.recent {
-			d.Recent = append(d.Recent, rate.RecentSpend{Age: now - r.at, Count: r.count})
+			request.Recent = append(request.Recent, rate.RecentSpend{Age: now - r.at, Count: r.count})
 		}
 		tr.reported = tr.spent
-		n := core.RatePartition(len(m.topology.Leaders), name)
-		if batches[n] == nil {
-			batches[n] = &core.DrawRates{Partition: n}
+		partition := core.RatePartition(len(m.topology.Leaders), name)
+		if batches[partition] == nil {
+			batches[partition] = &core.DrawRates{Partition: partition}
 		}
-		batches[n].Draws = append(batches[n].Draws, core.TenantDraw{Tenant: name, Request: d})
-		drawing[n] = append(drawing[n], tr)
+		batches[partition].Draws = append(batches[partition].Draws, core.TenantDraw{Tenant: name, Request: request})
+		drawing[partition] = append(drawing[partition], tr)
 	}
-	for _, n := range ordered.Keys(batches) {
+	for _, partition := range ordered.Keys(batches) {
 		m.Counters.Draws++
-		rates, leaseIDs, reported := drawing[n], make([]int, len(drawing[n])), make([]int64, len(drawing[n]))
+		rates, leaseIDs, reported := drawing[partition], make([]int, len(drawing[partition])), make([]int64, len(drawing[partition]))
 		for i, tr := range rates {
 			leaseIDs[i], reported[i] = tr.leaseID, tr.reported
 		}
-		m.caller.Call(now, *batches[n], now+m.leaseDuration(), func(at time.Duration, o core.Outcome) {
+		m.caller.Call(now, *batches[partition], now+m.leaseDuration(), func(at time.Duration, o core.Outcome) {
 			drawn, ok := o.Answer.(core.DrawRatesResult)
 			for i, tr := range rates {
 				tr.drawing = false
@@ -348,11 +364,11 @@
 
 // applyDraw adds granted units, continues waiting requests, and refuses at once those that would
 // wait too long.
-func (m *Machine) applyDraw(now time.Duration, tr *tenantRate, d rate.DrawResponse, until time.Duration) {
+func (m *Machine) applyDraw(now time.Duration, tr *tenantRate, response rate.DrawResponse, until time.Duration) {
 	m.Counters.DrawsAnswered++
-	tr.granted = max(tr.granted, d.Granted)
+	tr.granted = max(tr.granted, response.Granted)
 	tr.expiresAt = max(tr.expiresAt, until)
-	tr.scarce = d.Scarce
+	tr.scarce = response.Scarce
 	for len(tr.waiting) > 0 && tr.available(now) > 0 {
 		req := tr.waiting[0]
 		tr.waiting = tr.waiting[1:]
@@ -367,23 +383,23 @@
 		}
 	}
 	tr.drawWanted = len(tr.waiting) > 0
-	if d.RetryAfter <= 0 {
+	if response.RetryAfter <= 0 {
 		// Further requests may have arrived since the draw was sent.
 		m.drawAt = now
 		return
 	}
 	if tr.available(now) == 0 {
 		// Retry early enough to get units that leave the window next.
-		tr.retryAt = now + min(d.RetryAfter, m.params.RateWindow/10)
+		tr.retryAt = now + min(response.RetryAfter, m.params.RateWindow/retryWindowDivisor)
 		m.drawAt = min(m.drawAt, tr.retryAt)
 	}
 	waiting := tr.waiting
 	tr.waiting = nil
 	for _, req := range waiting {
-		if now+d.RetryAfter < req.waitUntil {
+		if now+response.RetryAfter < req.waitUntil {
 			tr.waiting = append(tr.waiting, req)
 		} else if !req.completed {
-			m.refuseRate(now, req, d.RetryAfter)
+			m.refuseRate(now, req, response.RetryAfter)
 		}
 	}
 }
--- a/peer/relay/replicas.go
+++ b/peer/relay/replicas.go
@@ -92,27 +92,27 @@
 			continue
 		}
 		m.recordDepartures(now, view)
-		for id, p := range view.replicas {
-			if p.expiresAt > 0 && now >= p.expiresAt {
+		for id, entry := range view.replicas {
+			if entry.expiresAt > 0 && now >= entry.expiresAt {
 				delete(view.replicas, id)
 				continue
 			}
-			old, ok := best[id]
+			known, ok := best[id]
 			// A registry that has not heard from the replica for long doesn't overrule one
 			// that has.
-			if !ok || old.Removed && !p.Removed || old.Removed == p.Removed && old.Replica.Sequence < p.Replica.Sequence {
-				best[id] = p.ReplicaEntry
+			if !ok || known.Removed && !entry.Removed || known.Removed == entry.Removed && known.Replica.Sequence < entry.Replica.Sequence {
+				best[id] = entry.ReplicaEntry
 			}
 		}
 	}
 	m.updateReplicas(best)
-	m.mergeAt = now + m.params.HeartbeatInterval/2
+	m.mergeAt = now + m.params.HeartbeatInterval/mergesPerHeartbeat
 }
 
 // recordDepartures also renews departures for as long as the registry lists them.
 func (m *Machine) recordDepartures(now time.Duration, view *registryView) {
-	for id, p := range view.replicas {
-		if p.Replica.Leaving || p.Final {
+	for id, entry := range view.replicas {
+		if entry.Replica.Leaving || entry.Final {
 			m.departed.add(now, id)
 		}
 	}
@@ -129,8 +129,8 @@
 	}
 	listedIDs := map[string]bool{}
 	for _, id := range ordered.Keys(listed) {
-		l := listed[id]
-		if l.Removed || m.departed.has(id) {
+		entry := listed[id]
+		if entry.Removed || m.departed.has(id) {
 			continue
 		}
 		listedIDs[id] = true
@@ -139,9 +139,10 @@
 			r = &replicaRecord{estimate: placement.NewReplica()}
 			m.replicas[id] = r
 		}
-		r.listed = l.Replica
-		r.estimate.ID, r.estimate.Zone, r.estimate.Slots, r.estimate.Warming = id, l.Replica.Zone, l.Replica.Slots, l.Replica.WarmupRemaining > 0
-		s := m.serviceOf(l.Replica.Service)
+		r.listed = entry.Replica
+		r.estimate.ID, r.estimate.Zone = id, entry.Replica.Zone
+		r.estimate.Slots, r.estimate.Warming = entry.Replica.Slots, entry.Replica.WarmupRemaining > 0
+		s := m.serviceOf(entry.Replica.Service)
 		s.replicas = append(s.replicas, r.estimate)
 	}
 	for id, r := range m.replicas {
@@ -170,6 +171,10 @@
 	// Limits of a service for which the table gives none.
 	unlimitedConnections = 1 << 30
 	unlimitedCacheTokens = 1 << 40
+
+	// usableCacheQuarters is how many quarters of a replica's cache are assumed to hold prompts.
+	usableCacheQuarters = 3
+	mergesPerHeartbeat  = 2
 )
 
 // choose returns nil if no replica can take the next attempt.
@@ -210,27 +215,27 @@
 func (m *Machine) recordSent(now time.Duration, req *activeRequest, r *replicaRecord) {
 	cacheTokens := int64(unlimitedCacheTokens)
 	if config, ok := req.table.Service(req.service); ok && config.CacheTokens > 0 {
-		cacheTokens = config.CacheTokens * 3 / 4
+		cacheTokens = config.CacheTokens * usableCacheQuarters / 4
 	}
 	req.sentAt, req.sentWithRoom = now, m.policy.HasRoom(now, r.estimate)
 	r.estimate.RecordSent(now, req.spec.Prompt, cacheTokens)
 }
 
-func (m *Machine) recordOutcome(now time.Duration, req *activeRequest, o Outcome) {
+func (m *Machine) recordOutcome(now time.Duration, req *activeRequest, outcome Outcome) {
 	s := m.serviceOf(req.service)
-	result := resultOf(o)
+	result := resultOf(outcome)
 	if result == placement.Served {
-		m.recordServiceTime(now, req, s, o)
+		m.recordServiceTime(now, req, s, outcome)
 	}
-	req.replica.estimate.RecordResult(now, result, o.Load, m.params.HeartbeatInterval, s.serviceTime.Mean())
+	req.replica.estimate.RecordResult(now, result, outcome.Load, m.params.HeartbeatInterval, s.serviceTime.Mean())
 }
 
 // recordServiceTime records how fast a replica served a request. Its speed shows only in event
 // streams, as the amount of work of other requests is unknown.
-func (m *Machine) recordServiceTime(now time.Duration, req *activeRequest, s *service, o Outcome) {
+func (m *Machine) recordServiceTime(now time.Duration, req *activeRequest, s *service, outcome Outcome) {
 	took, r := now-req.sentAt, req.replica.estimate
-	if o.Events > 1 {
-		r.RecordWork(o.StreamDuration, o.Events-1)
+	if outcome.Events > 1 {
+		r.RecordWork(outcome.StreamDuration, outcome.Events-1)
 	}
 	if req.sentWithRoom {
 		s.serviceTime.Add(time.Duration(float64(took) / r.Slowness(s.referenceUnitTime)))
@@ -241,17 +246,17 @@
 const statusServerFault = 500
 
 // resultOf returns what an outcome says about the health of the replica.
-func resultOf(o Outcome) placement.Result {
+func resultOf(outcome Outcome) placement.Result {
 	switch {
-	case o.AddressReused:
+	case outcome.AddressReused:
 		return placement.Moved
-	case o.Unreachable:
+	case outcome.Unreachable:
 		return placement.Failed
-	case o.Kind == OutcomeNotRun:
+	case outcome.Kind == OutcomeNotRun:
 		return placement.Rejected
-	case o.Kind == OutcomeInterrupted && o.RequesterDisconnected:
+	case outcome.Kind == OutcomeInterrupted && outcome.RequesterDisconnected:
 		return placement.Canceled
-	case o.Kind == OutcomeInterrupted, o.Failed && o.Status >= statusServerFault:
+	case outcome.Kind == OutcomeInterrupted, outcome.Failed && outcome.Status >= statusServerFault:
 		return placement.Failed
 	}
 	return placement.Served
--- a/peer/relay/request.go
+++ b/peer/relay/request.go
@@ -14,6 +14,9 @@
 	stateStoring   = "ending"
 )
 
+// admissionTimeDivisor divides a request's remaining time into the part that admission may take.
+const admissionTimeDivisor = 2
+
 type activeRequest struct {
 	ticket uint64
 	spec   Request
@@ -69,15 +72,21 @@
 
 // HandleRequest starts a request. Its steps are returned under the ticket, the caller's unique
 // number for it.
-func (m *Machine) HandleRequest(now time.Duration, ticket uint64, r Request) Output {
+func (m *Machine) HandleRequest(now time.Duration, ticket uint64, request Request) Output {
 	m.out = &Output{}
 	m.Counters.Requests++
-	req := &activeRequest{ticket: ticket, spec: r, state: stateAdmitting, arrived: now, attemptState: attemptState{tried: map[string]bool{}}}
+	req := &activeRequest{
+		ticket:       ticket,
+		spec:         request,
+		state:        stateAdmitting,
+		arrived:      now,
+		attemptState: attemptState{tried: map[string]bool{}},
+	}
 	m.active[ticket] = req
 	if m.table == nil {
 		req.admissionDeadline = now + m.params.HeartbeatInterval
-		if r.Remaining != 0 {
-			req.admissionDeadline = min(req.admissionDeadline, now+max(r.Remaining/2, 0))
+		if request.Remaining != 0 {
+			req.admissionDeadline = min(req.admissionDeadline, now+max(request.Remaining/admissionTimeDivisor, 0))
 		}
 		m.awaitingTable = append(m.awaitingTable, req)
 		return *m.out
@@ -88,32 +97,32 @@
 
 // validate checks a request against the table in force and continues its admission.
 func (m *Machine) validate(now time.Duration, req *activeRequest) {
-	r := req.spec
+	spec := req.spec
 	req.table = m.table
 	limits := m.table.Limits
 	switch {
-	case r.HeadBytes > limits.HeaderBytes:
+	case spec.HeadBytes > limits.HeaderBytes:
 		m.refuse(now, req, CauseHeadTooLarge)
 		return
-	case r.BodyBytes > limits.BodyBytes:
+	case spec.BodyBytes > limits.BodyBytes:
 		m.refuse(now, req, CauseBodyTooLarge)
 		return
 	}
 	var ok bool
-	if req.route, ok = m.table.Match(r.Host, r.Path); !ok {
+	if req.route, ok = m.table.Match(spec.Host, spec.Path); !ok {
 		m.refuseUnknown(now, req, CauseUnknownRoute)
 		return
 	}
-	if m.table.KeyRequired && r.HasKey {
-		req.tenant, _ = m.table.TenantByKey(r.Key)
+	if m.table.KeyRequired && spec.HasKey {
+		req.tenant, _ = m.table.TenantByKey(spec.Key)
 	}
 	if m.table.KeyRequired && req.tenant == nil && !req.route.Public {
 		m.refuseUnknown(now, req, CauseUnknownKey)
 		return
 	}
 	remaining := time.Duration(req.route.TimeoutMS * float64(time.Millisecond))
-	if r.Remaining != 0 {
-		remaining = min(remaining, r.Remaining)
+	if spec.Remaining != 0 {
+		remaining = min(remaining, spec.Remaining)
 	}
 	remaining -= now - req.arrived
 	if remaining <= 0 {
@@ -125,7 +134,7 @@
 		return
 	}
 	req.deadline = now + remaining
-	req.admissionDeadline = now + remaining/2
+	req.admissionDeadline = now + remaining/admissionTimeDivisor
 	req.service = req.route.PickService(m.random())
 	if m.refuseOverload(now, req) {
 		return
@@ -232,40 +241,40 @@
 }
 
 // HandleOutcome takes the outcome of an attempt at a replica.
-func (m *Machine) HandleOutcome(now time.Duration, ticket uint64, o Outcome) Output {
+func (m *Machine) HandleOutcome(now time.Duration, ticket uint64, outcome Outcome) Output {
 	m.out = &Output{}
 	req, ok := m.active[ticket]
 	if !ok {
 		return *m.out
 	}
 	if req.state != stateSent {
-		if o.RequesterDisconnected {
+		if outcome.RequesterDisconnected {
 			m.abortCanceled(now, req)
 		}
 		return *m.out
 	}
-	m.recordOutcome(now, req, o)
+	m.recordOutcome(now, req, outcome)
 	req.outstanding = false
-	req.events += o.Events
-	req.started = req.started || o.Started
-	if o.NewConnection {
+	req.events += outcome.Events
+	req.started = req.started || outcome.Started
+	if outcome.NewConnection {
 		m.Counters.NewConnections++
 	}
-	if o.Kind != OutcomeNotRun {
+	if outcome.Kind != OutcomeNotRun {
 		req.mayHaveRun, req.covered = true, false
 	}
-	if o.RequesterDisconnected {
+	if outcome.RequesterDisconnected {
 		m.abortCanceled(now, req)
 		return *m.out
 	}
-	switch o.Kind {
+	switch outcome.Kind {
 	case OutcomeComplete:
 		m.Counters.Completed++
-		m.complete(now, req, o)
+		m.complete(now, req, outcome)
 	case OutcomeNotRun:
 		m.Counters.NotRun++
 		req.notRun++
-		if o.Unreachable || o.AddressReused {
+		if outcome.Unreachable || outcome.AddressReused {
 			req.unreachable++
 		}
 		m.Counters.Resent++
@@ -315,7 +324,7 @@
 		return
 	}
 	req.state = stateStoring
-	retention := 2 * m.turnRetention(req)
+	retention := storedRetentions * m.turnRetention(req)
 	waiting, failed := 1, false
 	stored := &turn{
 		attempt:     req.spec.Attempt,
@@ -339,21 +348,21 @@
 		m.recentTurns.add(stored.name(), now+m.turnRetention(req))
 		m.finish(at, req, CauseServed, Step{Kind: StepDeliver})
 	}
-	c := core.StoreTurn{Tenant: stored.tenant, Attempt: stored.attempt, Input: stored.input, Output: stored.output, Retention: retention}
+	command := core.StoreTurn{Tenant: stored.tenant, Attempt: stored.attempt, Input: stored.input, Output: stored.output, Retention: retention}
 	if req.previous != nil {
-		c.Previous = req.previous.attemptIDs()
+		command.Previous = req.previous.attemptIDs()
 	}
 	// Earlier turns must be stored as long as this one, so those that would expire before it
 	// get a longer retention.
 	var old []*turn
 	for t := req.previous; t != nil; t = t.previous {
-		if t.storedUntil < now+retention*5/8 {
+		if t.storedUntil < now+retention*extendBelowEighths/8 {
 			old = append(old, t)
 		}
 	}
 	waiting += len(old)
 	m.settle(now, req, m.tokenCount(req))
-	m.caller.Call(now, c, max(req.deadline, now+m.params.Core.MemberLease), done)
+	m.caller.Call(now, command, max(req.deadline, now+m.params.Core.MemberLease), done)
 	for _, t := range old {
 		m.caller.Call(now, core.ExtendTurn{Tenant: t.tenant, Attempt: t.attempt, Retention: retention},
 			max(req.deadline, now+m.params.Core.MemberLease), func(when time.Duration, o core.Outcome) {
@@ -365,8 +374,15 @@
 	}
 }
 
-// turnRetention returns how long a turn is guaranteed to be kept. It is stored for twice that time,
-// so that later turns can extend its retention before it expires.
+const (
+	// storedRetentions is for how many times its guaranteed retention a turn is stored, so that
+	// later turns can extend it before it expires.
+	storedRetentions = 2
+	// extendBelowEighths: earlier turns that expire within so many eighths of it are extended.
+	extendBelowEighths = 5
+)
+
+// turnRetention returns how long a turn is guaranteed to be kept.
 func (m *Machine) turnRetention(req *activeRequest) time.Duration {
 	return time.Duration(req.route.KeepSeconds * float64(time.Second))
 }
@@ -391,25 +407,31 @@
 		m.abort(now, req, cause)
 		return
 	}
-	a := requesterResponses[cause]
+	response := requesterResponses[cause]
 	if retry == 0 {
-		retry = time.Duration(a.retryFactor * float64(m.params.Core.AttemptTimeout))
-	}
-	m.finish(now, req, cause, Step{Kind: StepRefuse, Status: a.status, Check: a.check, Reason: a.reason, RetryAfter: retry})
+		retry = time.Duration(response.retryFactor * float64(m.params.Core.AttemptTimeout))
+	}
+	m.finish(now, req, cause, Step{
+		Kind:       StepRefuse,
+		Status:     response.status,
+		Check:      response.check,
+		Reason:     response.reason,
+		RetryAfter: retry,
+	})
 }
 
 // abort ends a request that may have run.
 func (m *Machine) abort(now time.Duration, req *activeRequest, cause Cause) {
-	a := requesterResponses[cause]
-	s := Step{Kind: StepAbort, Status: a.status, Check: a.check, Reason: a.reason}
-	if s.Status != statusClientClosedRequest {
-		s.Status = requesterResponses[CauseReplicaInterrupted].status
+	response := requesterResponses[cause]
+	step := Step{Kind: StepAbort, Status: response.status, Check: response.check, Reason: response.reason}
+	if step.Status != statusRequesterDisconnected {
+		step.Status = requesterResponses[CauseReplicaInterrupted].status
 	}
-	m.finish(now, req, cause, s)
+	m.finish(now, req, cause, step)
 }
 
 // finish ends a request once, and returns or settles what it held.
-func (m *Machine) finish(now time.Duration, req *activeRequest, cause Cause, s Step) {
+func (m *Machine) finish(now time.Duration, req *activeRequest, cause Cause, lastStep Step) {
 	if req.completed {
 		return
 	}
@@ -417,7 +439,7 @@
 	if _, active := m.active[req.ticket]; !active {
 		m.violated.Violated(invariant.EndedOnce, "attempt %s completes with cause %s but is not in progress", req.spec.Attempt, cause)
 	}
-	if s.Kind == StepRefuse && (req.mayHaveRun || req.outstanding) {
+	if lastStep.Kind == StepRefuse && (req.mayHaveRun || req.outstanding) {
 		m.violated.Violated(invariant.RefusedNeverRan, "attempt %s is refused with cause %s; may have run %v, outstanding at a replica %v",
 			req.spec.Attempt, cause, req.mayHaveRun, req.outstanding)
 	}
@@ -426,8 +448,8 @@
 		m.refund(req)
 	}
 	m.settle(now, req, m.tokensUsed(req))
-	m.recordCompletion(now, req, cause, s)
-	m.emit(req, s)
+	m.recordCompletion(now, req, cause, lastStep)
+	m.emit(req, lastStep)
 }
 
 func (m *Machine) checkSend(req *activeRequest) {
--- a/peer/relay/table.go
+++ b/peer/relay/table.go
@@ -32,12 +32,12 @@
 }
 
 // updateTable makes a newer table pending, from its text or from differences to the pending one.
-func (m *Machine) updateTable(now time.Duration, b registry.Update) {
-	if b.Table != nil {
+func (m *Machine) updateTable(now time.Duration, update registry.Update) {
+	if update.Table != nil {
 		m.needsFullTable = false
-		m.parseTable(b)
+		m.parseTable(update)
 	}
-	for _, difference := range b.Differences {
+	for _, difference := range update.Differences {
 		if m.pending == nil || difference.BaseNumber != m.pending.Number {
 			// The registry assumed another base. The next subscription states which table this node
 			// has.
@@ -54,12 +54,12 @@
 }
 
 // parseTable parses a newer table once, as every registry sends it to a new node.
-func (m *Machine) parseTable(b registry.Update) {
-	if m.pending != nil && b.TableNumber <= m.pending.Number {
+func (m *Machine) parseTable(update registry.Update) {
+	if m.pending != nil && update.TableNumber <= m.pending.Number {
 		return
 	}
-	if t, faults := route.Parse(b.Table); faults == nil {
-		m.pending, m.digest = t, b.TableDigest
+	if parsed, faults := route.Parse(update.Table); faults == nil {
+		m.pending, m.digest = parsed, update.TableDigest
 	}
 }
 
