--- a/peer/relay/budget.go
+++ b/peer/relay/budget.go
@@ -7,7 +7,6 @@
 	"saffronfall/peer/core"
 )
 
-// reserveBudget reserves the maximum output of a turn in its program's budget.
 func (m *Machine) reserveBudget(now time.Duration, req *activeRequest) {
 	req.reserving = true
 	m.reservations++
--- a/peer/relay/completion.go
+++ b/peer/relay/completion.go
@@ -48,7 +48,6 @@
 	CauseIntakeFull     Cause = "intake_full"
 )
 
-// requesterResponse is the node's own response for a cause.
 type requesterResponse struct {
 	status        int
 	check, reason string
@@ -164,7 +163,7 @@
 	// overdueGrace is how long a request may be in progress after its deadline, in addition to two
 	// member leases: storing its turn may take at least one lease.
 	overdueGrace = 2 * time.Second
-	// stalledTick is the time between ticks after which the process counts as suspended.
+	// stalledTick is the time between ticks that counts as a suspension of the process.
 	stalledTick = 500 * time.Millisecond
 )
 
--- a/peer/relay/cores.go
+++ b/peer/relay/cores.go
@@ -15,8 +15,7 @@
 	// need the cores. It exceeds the recovery time after all cores were down: then no node reaches
 	// them, and waiting is better than trying another.
 	unreachableRetries = 20
-	// probeRetries is the number of retry periods between two probes.
-	probeRetries = 2
+	probeRetries       = 2
 )
 
 func (m *Machine) coresUnreachable(now time.Duration) bool {
@@ -56,8 +55,7 @@
 	m.caller.Call(now, core.ReadGroup{Partition: core.ConfigurationPartition}, now+wait, func(time.Duration, core.Outcome) {})
 }
 
-// refuseCoresUnreachable refuses a request that has not been sent. A reservation in progress may
-// still be made, so it is settled too.
+// refuseCoresUnreachable also settles a reservation in progress, which may still be made.
 func (m *Machine) refuseCoresUnreachable(now time.Duration, req *activeRequest) {
 	req.reserved = req.reserved || req.reserving
 	m.refuse(now, req, CauseCoresUnreachable)
--- a/peer/relay/loads.go
+++ b/peer/relay/loads.go
@@ -9,7 +9,6 @@
 	"saffronfall/rule/placement"
 )
 
-// loadSharing is the state of load reports to and from registries.
 type loadSharing struct {
 	reportAt time.Duration
 	// loadObservedAt is when the admission controllers last saw the load.
--- a/peer/relay/machine.go
+++ b/peer/relay/machine.go
@@ -59,18 +59,13 @@
 	// awaitingTable waits for the first routing table, awaitingReplicas for the first replica of
 	// the requests' service.
 	awaitingTable, awaitingReplicas []*activeRequest
-	// probeAt is the time of the next probe of unresponsive cores.
-	probeAt time.Duration
+	probeAt                         time.Duration
 }
 
-// rateState holds leased units of tenants' rates.
 type rateState struct {
-	rates map[string]*tenantRate
-	// lastLeaseID is the latest of all tenants' leases.
-	lastLeaseID int
-	// drawAt is when all tenants are checked next for units to draw.
-	drawAt time.Duration
-	// reservations counts the budget reservations of this incarnation.
+	rates        map[string]*tenantRate
+	lastLeaseID  int
+	drawAt       time.Duration
 	reservations uint64
 }
 
--- a/peer/relay/overload.go
+++ b/peer/relay/overload.go
@@ -58,7 +58,6 @@
 	return admission.FirstTurn
 }
 
-// moreUrgentThanOthers reports whether the table has a less urgent streaming route.
 func (m *Machine) moreUrgentThanOthers(req *activeRequest) bool {
 	urgency := req.urgency()
 	for i := range req.table.Routes {
--- a/peer/relay/rate.go
+++ b/peer/relay/rate.go
@@ -66,7 +66,6 @@
 	count int64
 }
 
-// spendResolution is the interval in which spends are counted together.
 const spendResolution = 100 * time.Millisecond
 
 func (tr *tenantRate) spend(now time.Duration) {
@@ -80,7 +79,6 @@
 	tr.recent = append(tr.recent, spendRecord{at: now + spendResolution, count: 1})
 }
 
-// acknowledge drops spends that the partition has recorded.
 func (tr *tenantRate) acknowledge(reported int64) {
 	tr.acknowledged = max(tr.acknowledged, reported)
 	open := tr.spent - tr.acknowledged
@@ -133,7 +131,6 @@
 )
 
 const (
-	// demandInterval is the minimum time between updates of a demand.
 	demandInterval         = 200 * time.Millisecond
 	demandAveragingSeconds = 0.6
 	// prefetchLeaseFraction is the fraction of a lease whose demand is drawn in advance.
@@ -152,7 +149,6 @@
 	return tr
 }
 
-// admitRate reserves a unit for a request, or queues the request until a draw is answered.
 func (m *Machine) admitRate(now time.Duration, req *activeRequest) {
 	if req.tenant == nil || req.tenant.Rate <= 0 && req.tenant.Burst <= 0 {
 		m.rateGranted(now, req)
--- a/peer/relay/replicas.go
+++ b/peer/relay/replicas.go
@@ -26,14 +26,12 @@
 	return view.incarnation != "" && now < view.lastUpdateAt+lostHeartbeats*interval
 }
 
-// listing is a replica as a registry lists it.
 type listing struct {
 	registry.ReplicaEntry
 	// expiresAt is when the listing is dropped; zero means when the registry withdraws it.
 	expiresAt time.Duration
 }
 
-// replicaRecord is a replica's announcement and the estimate of its load and health.
 type replicaRecord struct {
 	listed   registry.Replica
 	estimate *placement.Replica
@@ -43,8 +41,7 @@
 	services map[string]*service
 	replicas map[string]*replicaRecord
 	policy   *placement.Policy
-	// mergeAt is when the registries' listings are merged next.
-	mergeAt time.Duration
+	mergeAt  time.Duration
 }
 
 type service struct {
@@ -165,8 +162,7 @@
 	// unrestrictedResends is how many replicas may reject a request before it is sent only to
 	// replicas with a known free slot.
 	unrestrictedResends = 3
-	// maxResends limits how many replicas may reject one request.
-	maxResends = 16
+	maxResends          = 16
 
 	// Limits of a service for which the table gives none.
 	unlimitedConnections = 1 << 30
@@ -245,7 +241,6 @@
 // statusServerFault is the lowest status code that reports a fault of the replica itself.
 const statusServerFault = 500
 
-// resultOf returns what an outcome says about the health of the replica.
 func resultOf(outcome Outcome) placement.Result {
 	switch {
 	case outcome.AddressReused:
--- a/peer/relay/request.go
+++ b/peer/relay/request.go
@@ -37,7 +37,7 @@
 	started    bool
 	mayHaveRun bool
 	completed  bool
-	// outstanding: the request is at a replica and its outcome is unknown.
+	// outstanding: sent to a replica, with an unknown outcome.
 	outstanding bool
 
 	rateCharge
@@ -378,7 +378,7 @@
 	// storedRetentions is for how many times its guaranteed retention a turn is stored, so that
 	// later turns can extend it before it expires.
 	storedRetentions = 2
-	// extendBelowEighths: earlier turns that expire within so many eighths of it are extended.
+	// extendBelowEighths: earlier turns with fewer eighths of the retention left are extended.
 	extendBelowEighths = 5
 )
 
@@ -387,7 +387,6 @@
 	return time.Duration(req.route.KeepSeconds * float64(time.Second))
 }
 
-// tokenCount returns the output of a request so far in tokens.
 func (m *Machine) tokenCount(req *activeRequest) int64 {
 	perEvent := int64(1)
 	if s, ok := req.table.Service(req.service); ok {
--- a/peer/relay/table.go
+++ b/peer/relay/table.go
@@ -63,7 +63,6 @@
 	}
 }
 
-// installTable puts the pending table in force and admits waiting requests.
 func (m *Machine) installTable(now time.Duration) {
 	if m.table != nil && m.pending.Number < m.table.Number {
 		m.violated.Violated(invariant.TableNeverOlder, "table %d would replace the newer table %d", m.pending.Number, m.table.Number)
--- a/peer/relay/types.go
+++ b/peer/relay/types.go
@@ -92,8 +92,7 @@
 	ReturnOutput bool
 	// Stream: the response is an event stream. Resumable: another replica may continue it.
 	Stream, Resumable bool
-	// Timeout limits the attempt.
-	Timeout time.Duration
+	Timeout           time.Duration
 }
 
 // TicketStep is the next step of the request with the given ticket.
@@ -168,8 +167,7 @@
 	ResendUnrun bool
 	// ShedOverload refuses late or new turns of programs while the replicas are overloaded.
 	ShedOverload bool
-	// MaxRequests limits the requests in progress.
-	MaxRequests int
+	MaxRequests  int
 	// CacheBytes limits the cache of stored turns.
 	CacheBytes int64
 	// BudgetRetention is how long a program's budget is stored after its last turn.
