--- a/peer/relay/machine.go
+++ b/peer/relay/machine.go
@@ -52,47 +52,58 @@
 	selection
 	loadSharing
 	rateState
-	cache *turnCache
-	// recentTurns are the last turns that this node stored.
+	cache       *turnCache
 	recentTurns recentTurns
 	active      map[uint64]*activeRequest
 	draining    bool
-	// awaitingTable are requests that wait for the first routing table,
-	// awaitingReplicas those that wait for the first replica of their service.
+	// awaitingTable waits for the first routing table, awaitingReplicas for the first replica of
+	// the requests' service.
 	awaitingTable, awaitingReplicas []*activeRequest
-	// probeAt is when unresponsive cores are probed next.
-	probeAt time.Duration
+	probeAt                         time.Duration
 }
 
-// rateState is a node's leased units of tenants' rates, and the sequence numbers of leases
-// and budget reservations.
 type rateState struct {
-	rates map[string]*tenantRate
-	// lastLeaseID is the number of the latest lease of any tenant's units.
-	lastLeaseID int
-	// drawAt is when all tenants are checked next for units to draw.
-	drawAt time.Duration
-	// reservations counts the budget reservations of this incarnation.
+	rates        map[string]*tenantRate
+	lastLeaseID  int
+	drawAt       time.Duration
 	reservations uint64
 }
 
-// registryState is what a node knows of the registries, and from them of other nodes.
 type registryState struct {
 	registryAddresses []string
 	registries        map[string]*registryView
 	nodes             int
 	nextUpdateRequest time.Duration
-	// departed are the replicas that announced that they leave, at any registry.
-	departed departedReplicas
+	departed          departedReplicas
 }
 
 // New returns the machine of a node that knows no table and no replicas yet.
 func New(o Options) *Machine {
-	m := &Machine{params: o.Params, id: o.ID, incarnation: o.Incarnation, zone: o.Zone, address: o.Address, seeds: o.Seeds, random: o.Random, started: o.Now,
-		registryState: registryState{registries: map[string]*registryView{}, departed: departedReplicas{}}, tableState: tableState{tenants: map[string]*route.Tenant{}},
-		auditState: auditState{violated: o.Violated, byCause: map[Cause]int64{}, lastTick: o.Now},
-		selection:  selection{services: map[string]*service{}, replicas: map[string]*replicaRecord{}, policy: &placement.Policy{Settings: o.Params.Placement, Zone: o.Zone, Random: o.Random}},
-		rateState:  rateState{rates: map[string]*tenantRate{}}, cache: newTurnCache(o.Params.CacheBytes), active: map[uint64]*activeRequest{}}
+	m := &Machine{
+		params:        o.Params,
+		id:            o.ID,
+		incarnation:   o.Incarnation,
+		zone:          o.Zone,
+		address:       o.Address,
+		seeds:         o.Seeds,
+		random:        o.Random,
+		started:       o.Now,
+		registryState: registryState{registries: map[string]*registryView{}, departed: departedReplicas{}},
+		tableState:    tableState{tenants: map[string]*route.Tenant{}},
+		auditState:    auditState{violated: o.Violated, byCause: map[Cause]int64{}, lastTick: o.Now},
+		selection: selection{
+			services: map[string]*service{},
+			replicas: map[string]*replicaRecord{},
+			policy: &placement.Policy{
+				Settings: o.Params.Placement,
+				Zone:     o.Zone,
+				Random:   o.Random,
+			},
+		},
+		rateState: rateState{rates: map[string]*tenantRate{}},
+		cache:     newTurnCache(o.Params.CacheBytes),
+		active:    map[uint64]*activeRequest{},
+	}
 	m.caller = &core.Caller{Retry: o.Params.Core.AttemptTimeout, Random: o.Random,
 		Send:       func(to string, body any) { m.send(to, body) },
 		Partitions: func() int { return len(m.topology.Leaders) },
@@ -109,28 +120,30 @@
 // Receive handles a message from the process at an address.
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
 	m.out = &Output{}
-	switch b := body.(type) {
+	switch message := body.(type) {
 	case core.CommandResult:
-		m.caller.Receive(now, from, b)
+		m.caller.Receive(now, from, message)
 		if now >= m.drawAt {
 			m.drawAt = now + m.params.RateWindow/drawChecksPerWindow
 			m.drawRates(now)
 		}
 	case registry.Update:
 		m.Counters.Updates++
-		m.handleUpdate(now, from, b)
+		m.handleUpdate(now, from, message)
 	case registry.Loads:
-		m.handleLoads(now, from, b)
+		m.handleLoads(now, from, message)
 	default:
 		m.Counters.BadMessages++
 	}
 	return *m.out
 }
 
-// handleUpdate takes the replicas, routing table and topology of a registry's update. A first
-// table is put in force once a registry has confirmed it as the newest, or two heartbeat
-// intervals after the start.
-func (m *Machine) handleUpdate(now time.Duration, from string, b registry.Update) {
+// firstTableHeartbeats is after how many heartbeat intervals a first table needs no confirmation.
+const firstTableHeartbeats = 2
+
+// handleUpdate puts a first table in force once a registry has confirmed it as the newest, or
+// firstTableHeartbeats after the start.
+func (m *Machine) handleUpdate(now time.Duration, from string, update registry.Update) {
 	view := m.registries[from]
 	if view == nil {
 		view = &registryView{replicas: map[string]listing{}}
@@ -140,56 +153,56 @@
 		m.registryAddresses = append(m.registryAddresses, from)
 	}
 	view.lastUpdateAt = now
-	if view.incarnation != b.Incarnation {
-		// The registry has restarted. Its earlier listings stay valid until replicas had
-		// time to announce themselves again.
-		for id, p := range view.replicas {
-			p.expiresAt = now + lostHeartbeats*m.params.HeartbeatInterval
-			view.replicas[id] = p
+	if view.incarnation != update.Incarnation {
+		// The registry has restarted. Its earlier listings stay valid until replicas had time to
+		// announce themselves again.
+		for id, entry := range view.replicas {
+			entry.expiresAt = now + lostHeartbeats*m.params.HeartbeatInterval
+			view.replicas[id] = entry
 		}
-		view.incarnation, view.version, view.indexedIDs = b.Incarnation, 0, nil
+		view.incarnation, view.version, view.indexedIDs = update.Incarnation, 0, nil
 	}
-	if b.Since <= view.version {
-		for _, l := range b.Replicas {
-			if l.Replica.Leaving || l.Final {
-				m.departed.add(now, l.Replica.ID)
+	if update.Since <= view.version {
+		for _, listed := range update.Replicas {
+			if listed.Replica.Leaving || listed.Final {
+				m.departed.add(now, listed.Replica.ID)
 			}
-			view.replicas[l.Replica.ID] = listing{ReplicaEntry: l}
+			view.replicas[listed.Replica.ID] = listing{ReplicaEntry: listed}
 		}
-		view.version = max(view.version, b.Version)
+		view.version = max(view.version, update.Version)
 	}
-	if b.RenewNow {
+	if update.RenewNow {
 		m.requestUpdate(from)
 	}
-	m.nodes = max(b.NodeCount, 1)
-	if len(b.Replicas) > 0 {
+	m.nodes = max(update.NodeCount, 1)
+	if len(update.Replicas) > 0 {
 		// The listings are merged when the next replica is chosen.
 		m.mergeAt = now
 		m.resumeAwaitingReplicas(now)
 	}
-	if b.Topology != nil {
-		m.mergeTopology(*b.Topology)
-		for _, address := range b.Registries {
+	if update.Topology != nil {
+		m.mergeTopology(*update.Topology)
+		for _, address := range update.Registries {
 			if !slices.Contains(m.registryAddresses, address) {
 				m.registryAddresses = append(m.registryAddresses, address)
 				m.nextUpdateRequest = now
 			}
 		}
 	}
-	m.updateTable(now, b)
-	fresh := b.ConfirmationAge >= 0 && b.ConfirmationAge < m.params.HeartbeatInterval
-	if fresh && b.TableNumber == 0 {
+	m.updateTable(now, update)
+	fresh := update.ConfirmationAge >= 0 && update.ConfirmationAge < m.params.HeartbeatInterval
+	if fresh && update.TableNumber == 0 {
 		m.noTableConfirmed = true
 	}
-	if m.pending != nil && (m.table == nil || m.table.Number < m.pending.Number) && (m.table != nil || fresh && b.TableNumber <= m.pending.Number || now > m.started+2*m.params.HeartbeatInterval) {
+	if m.pending != nil && (m.table == nil || m.table.Number < m.pending.Number) &&
+		(m.table != nil || fresh && update.TableNumber <= m.pending.Number || now > m.started+firstTableHeartbeats*m.params.HeartbeatInterval) {
 		m.installTable(now)
 	}
-	if m.table != nil && b.TableNumber == m.table.Number && b.ConfirmationAge >= 0 {
-		m.confirmedAt = max(m.confirmedAt, now-b.ConfirmationAge)
+	if m.table != nil && update.TableNumber == m.table.Number && update.ConfirmationAge >= 0 {
+		m.confirmedAt = max(m.confirmedAt, now-update.ConfirmationAge)
 	}
 }
 
-// resumeAwaitingReplicas continues the requests that wait for a first replica.
 func (m *Machine) resumeAwaitingReplicas(now time.Duration) {
 	waiting := m.awaitingReplicas
 	m.awaitingReplicas = nil
@@ -200,9 +213,8 @@
 	}
 }
 
-// dropSilentRegistries forgets registries that have been silent for long while another one is
-// alive, as registries may be replaced at new addresses. A registry that returns is named in the
-// updates of other registries, and seeds are always asked.
+// dropSilentRegistries forgets registries that were silent for long while another is alive, as they
+// may have been replaced at new addresses. If one returns, other registries name it.
 func (m *Machine) dropSilentRegistries(now time.Duration) {
 	anyAlive := false
 	for _, view := range m.registries {
@@ -226,30 +238,33 @@
 	})
 }
 
-// mergeTopology takes the newer terms and core addresses of a topology, unless it is of
-// another fleet.
-func (m *Machine) mergeTopology(t core.Topology) {
+// mergeTopology takes newer terms and core addresses, unless they are of another fleet.
+func (m *Machine) mergeTopology(received core.Topology) {
 	if len(m.topology.Leaders) == 0 || m.topology.Fleet == "" {
-		m.topology = core.Topology{Fleet: t.Fleet, Cores: map[string]core.Core{}, Leaders: slices.Clone(t.Leaders), Groups: slices.Clone(t.Groups)}
+		m.topology = core.Topology{
+			Fleet:   received.Fleet,
+			Cores:   map[string]core.Core{},
+			Leaders: slices.Clone(received.Leaders),
+			Groups:  slices.Clone(received.Groups),
+		}
 	}
-	if t.Fleet != m.topology.Fleet {
+	if received.Fleet != m.topology.Fleet {
 		return
 	}
-	for n := range t.Leaders {
-		if n < len(m.topology.Leaders) && m.topology.Leaders[n].Less(t.Leaders[n]) {
-			m.topology.Leaders[n] = t.Leaders[n]
+	for n := range received.Leaders {
+		if n < len(m.topology.Leaders) && m.topology.Leaders[n].Less(received.Leaders[n]) {
+			m.topology.Leaders[n] = received.Leaders[n]
 		}
 	}
-	for id, c := range t.Cores {
-		if old, ok := m.topology.Cores[id]; !ok || old.Version <= c.Version {
-			m.topology.Cores[id] = c
+	for id, candidate := range received.Cores {
+		if old, ok := m.topology.Cores[id]; !ok || old.Version <= candidate.Version {
+			m.topology.Cores[id] = candidate
 		}
 	}
 	registry.HintLeaders(m.caller, m.topology)
 }
 
-// requestUpdate asks a registry for updates after the version last received from it, and
-// thereby acknowledges that version.
+// requestUpdate also acknowledges the version last received from the registry.
 func (m *Machine) requestUpdate(to string) {
 	subscription := registry.Subscribe{Node: m.id, AcceptsDifferences: true}
 	if m.pending != nil && !m.needsFullTable {
@@ -303,19 +318,42 @@
 // Drain makes the node report that it is not ready. Requests in progress continue.
 func (m *Machine) Drain() { m.draining = true }
 
-// Status returns the counters and gauges of this node by metric name. In those names,
-// "whole" and "broken" count complete and interrupted responses, "bulletins" and
-// "loads_heard" received updates and load reports, and "live" requests in progress.
+// Status returns counters and gauges by metric name. There, "whole" and "broken" count complete and
+// interrupted responses, "bulletins" and "loads_heard" received updates and load reports, and
+// "live" requests in progress.
 func (m *Machine) Status(now time.Duration) map[string]int64 {
-	c := m.Counters
+	counters := m.Counters
 	replicas := 0
 	for _, s := range m.services {
 		replicas += len(s.replicas)
 	}
-	status := map[string]int64{"requests": c.Requests, "sent": c.Sent, "whole": c.Completed, "broken": c.Interrupted, "not_run": c.NotRun, "resent": c.Resent, "resumed": c.Resumed,
-		"turns": c.Turns, "cache_hits": c.CacheHits, "cache_misses": c.CacheMisses, "draws": c.Draws, "drawn": c.DrawsAnswered, "bulletins": c.Updates, "bad_messages": c.BadMessages, "bad_differences": c.BadDifferences,
-		"new_connections": c.NewConnections, "settles": c.Settlements, "loads_heard": m.loadUpdates,
-		"live": int64(len(m.active)), "replicas": int64(replicas), "table": int64(m.TableNumber()), "tenants_held": int64(len(m.rates)), "cache_bytes": m.cache.bytes, "commands_waiting": int64(m.caller.Pending()), "command_tries": m.caller.Attempts}
+	status := map[string]int64{
+		"requests":         counters.Requests,
+		"sent":             counters.Sent,
+		"whole":            counters.Completed,
+		"broken":           counters.Interrupted,
+		"not_run":          counters.NotRun,
+		"resent":           counters.Resent,
+		"resumed":          counters.Resumed,
+		"turns":            counters.Turns,
+		"cache_hits":       counters.CacheHits,
+		"cache_misses":     counters.CacheMisses,
+		"draws":            counters.Draws,
+		"drawn":            counters.DrawsAnswered,
+		"bulletins":        counters.Updates,
+		"bad_messages":     counters.BadMessages,
+		"bad_differences":  counters.BadDifferences,
+		"new_connections":  counters.NewConnections,
+		"settles":          counters.Settlements,
+		"loads_heard":      m.loadUpdates,
+		"live":             int64(len(m.active)),
+		"replicas":         int64(replicas),
+		"table":            int64(m.TableNumber()),
+		"tenants_held":     int64(len(m.rates)),
+		"cache_bytes":      m.cache.bytes,
+		"commands_waiting": int64(m.caller.Pending()),
+		"command_tries":    m.caller.Attempts,
+	}
 	for cause, count := range m.byCause {
 		status["ended_"+string(cause)] = count
 	}
