--- a/rehearsalkit/fleet/backend.go
+++ b/rehearsalkit/fleet/backend.go
@@ -29,7 +29,7 @@
 	lossRate float64
 }
 
-// Backend runs a single back end, without a fleet, until the context ends.
+// Backend runs one back end without a fleet until the context ends.
 func Backend(ctx context.Context, service, id, zone, address string, nodes []string, key string) error {
 	f := &Fleet{start: time.Now(), updates: make(chan func(*judge.Record)), ctx: ctx}
 	for _, node := range nodes {
@@ -61,8 +61,8 @@
 	}
 }
 
-// announce registers the replica at a node and renews the registration with the version
-// that the node returned. After a failure it changes to another node.
+// announce registers the replica and renews the registration with the version that the node
+// returned. After a failure it changes to a random node.
 func (b *backend) announce(leaving <-chan struct{}) {
 	for b.ctx.Err() == nil {
 		at, version := b.fleet.anyNode(), ""
@@ -88,7 +88,7 @@
 	}
 }
 
-// nilIf returns nil, which is never ready in a select, if already is true, and what otherwise.
+// nilIf returns what or, if already is true, nil, which is never ready in a select.
 func nilIf(already bool, what <-chan struct{}) <-chan struct{} {
 	if already {
 		return nil
@@ -97,7 +97,10 @@
 }
 
 func (b *backend) sendAnnouncement(at *Process, version string, isLeaving bool) (answer replica.AnnouncementReply, ok bool) {
-	body, _ := json.Marshal(replica.Announcement{Replica: node.Replica{Service: b.service, ID: b.id, Address: b.address, Zone: b.zone, Leaving: isLeaving}, Token: version})
+	body, _ := json.Marshal(replica.Announcement{
+		Replica: node.Replica{Service: b.service, ID: b.id, Address: b.address, Zone: b.zone, Leaving: isLeaving},
+		Token:   version,
+	})
 	ctx, cancel := context.WithTimeout(b.ctx, 400*time.Millisecond)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, "POST", "http://"+at.requester+"/v1/replicas", bytes.NewReader(body))
@@ -140,7 +143,17 @@
 		w.WriteHeader(400)
 		return
 	}
-	seen := judge.Attempt{At: b.fleet.now(), Service: b.service, Replica: b.id, Tenant: p.Tenant, Program: p.Program, Conversation: p.Conversation, RequestID: p.Input, History: p.History, MaxTokens: p.MaxTokens}
+	seen := judge.Attempt{
+		At:           b.fleet.now(),
+		Service:      b.service,
+		Replica:      b.id,
+		Tenant:       p.Tenant,
+		Program:      p.Program,
+		Conversation: p.Conversation,
+		RequestID:    p.Input,
+		History:      p.History,
+		MaxTokens:    p.MaxTokens,
+	}
 	var text strings.Builder
 	pieces := 3 + rand.IntN(4)
 	lost := -1
@@ -182,8 +195,16 @@
 		RequestID string `json:"Mark"`
 	}
 	json.NewDecoder(r.Body).Decode(&p)
-	seen := judge.Attempt{At: b.fleet.now(), Service: b.service, Replica: b.id, Tenant: r.Header.Get("Saffronfall-Tenant"), Program: r.Header.Get("Saffronfall-Program"),
-		RequestID: p.RequestID, OnceKey: r.Header.Get("Once-Key"), Tool: r.Header.Get("Once-Key") == ""}
+	seen := judge.Attempt{
+		At:        b.fleet.now(),
+		Service:   b.service,
+		Replica:   b.id,
+		Tenant:    r.Header.Get("Saffronfall-Tenant"),
+		Program:   r.Header.Get("Saffronfall-Program"),
+		RequestID: p.RequestID,
+		OnceKey:   r.Header.Get("Once-Key"),
+		Tool:      r.Header.Get("Once-Key") == "",
+	}
 	b.fleet.update(func(r *judge.Record) { r.Attempts = append(r.Attempts, seen) })
 	time.Sleep(time.Duration(2+rand.IntN(20)) * time.Millisecond)
 	if rand.Float64() < b.lossRate {
--- a/rehearsalkit/fleet/fleet.go
+++ b/rehearsalkit/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet runs a small deployment of cores and nodes as processes on one machine,
-// with simulated requesters and back ends and relayed links that can be cut. Every request
-// and attempt is recorded, and Finish checks the record against the rules of package
-// judge. Start reading at New, StartAll and RunRequesters; scenarios.go holds the failures.
+// Package fleet runs cores and nodes as processes on one machine, with simulated requesters
+// and back ends and with links that can be cut. It records every request and attempt, and
+// Finish checks them against the rules of package judge. Start reading at New, StartAll and
+// RunRequesters; scenarios.go holds the failures.
 package fleet
 
 import (
@@ -40,42 +40,52 @@
 	Zones        int
 	Models       int
 	OnceReplicas int
-	// OnceServices are the names of the once-only services. OnceReplicas is the number of
-	// replicas of each.
+	// OnceServices are the once-only services, each with OnceReplicas replicas.
 	OnceServices []string
 	Tenants      int
 	Users        int
-	// LongSessions is the number of sessions that last for the whole run.
+	// LongSessions counts the sessions that last for the whole run.
 	LongSessions int
 	Partitions   int
 	Rate         float64
 	Burst        int64
 	Binary       string
-	// Next is the program that scenario rollout upgrades to.
+	// Next is the binary that the rollout scenario upgrades to.
 	Next     string
 	Folder   string
 	Settings map[string]any
 }
 
-// Layouts are the predefined fleets by name. Every host runs a node, and the first hosts
-// a core too; a failure of a host affects both.
+// Layouts are the predefined fleets by name. Every host runs a node and the first ones also a
+// core, which fails together with the node.
 var Layouts = map[string]Layout{
-	"small": {Name: "small", Cores: 3, Nodes: 3, Zones: 3, Models: 3, OnceReplicas: 1, OnceServices: []string{"alert"}, Tenants: 3, Users: 12, LongSessions: 1, Partitions: 8, Rate: 40, Burst: 64},
-	"aire":  {Name: "aire", Cores: 6, Nodes: 13, Zones: 3, Models: 11, OnceReplicas: 5, OnceServices: []string{"alert"}, Tenants: 8, Users: 60, LongSessions: 10, Partitions: 16, Rate: 60, Burst: 96},
-	"mahoe": {Name: "mahoe", Cores: 8, Nodes: 15, Zones: 4, Models: 9, OnceReplicas: 4, OnceServices: []string{"alert", "renewal", "receipt", "notice"}, Tenants: 8, Users: 50, LongSessions: 5, Partitions: 16, Rate: 60, Burst: 96},
+	"small": {
+		Name: "small", Cores: 3, Nodes: 3, Zones: 3, Models: 3, OnceReplicas: 1,
+		OnceServices: []string{"alert"}, Tenants: 3, Users: 12, LongSessions: 1, Partitions: 8, Rate: 40,
+		Burst: 64,
+	},
+	"aire": {
+		Name: "aire", Cores: 6, Nodes: 13, Zones: 3, Models: 11, OnceReplicas: 5,
+		OnceServices: []string{"alert"}, Tenants: 8, Users: 60, LongSessions: 10, Partitions: 16, Rate: 60,
+		Burst: 96,
+	},
+	"mahoe": {
+		Name: "mahoe", Cores: 8, Nodes: 15, Zones: 4, Models: 9, OnceReplicas: 4,
+		OnceServices: []string{"alert", "renewal", "receipt", "notice"}, Tenants: 8, Users: 50,
+		LongSessions: 5, Partitions: 16, Rate: 60, Burst: 96,
+	},
 }
 
 // Process is one process of the fleet.
 type Process struct {
 	Name, Zone, Role string
-	// host is the number of the host that the process runs on.
-	host         int
-	ip, settings string
-	requester    string
-	operator     string
-	folder       string
-	command      *exec.Cmd
-	ended        chan struct{}
+	host             int
+	ip, settings     string
+	requester        string
+	operator         string
+	folder           string
+	command          *exec.Cmd
+	ended            chan struct{}
 }
 
 // Fleet is a running fleet.
@@ -91,8 +101,8 @@
 	record   *judge.Record
 	ctx      context.Context
 	seeds    []string
-	// probeVersions maps the probe key of each description that was applied to its
-	// version. Like record, it is accessed by update functions only.
+	// probeVersions maps probe keys of applied descriptions to their versions. Like record,
+	// it is accessed by update functions only.
 	probeVersions map[string]uint64
 }
 
@@ -110,12 +120,14 @@
 
 func (f *Fleet) anyNode() *Process { return f.nodes[rand.IntN(len(f.nodes))] }
 
-// New creates a fleet, writes its settings files and starts the relays of its links. It
-// starts no process.
+// New creates a fleet with its settings files and the relays of its links. It starts no
+// process.
 func New(ctx context.Context, l Layout) (*Fleet, error) {
-	f := &Fleet{Layout: l, links: links.New(ctx), start: time.Now(), updates: make(chan func(*judge.Record), 64), ctx: ctx, record: &judge.Record{}, probeVersions: map[string]uint64{},
+	f := &Fleet{Layout: l, links: links.New(ctx), start: time.Now(), updates: make(chan func(*judge.Record), 64), ctx: ctx,
+		record: &judge.Record{}, probeVersions: map[string]uint64{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}}
-	f.record.Limits = judge.Limits{ProgramTokens: 50_000, TurnTokens: 1000, Retention: time.Hour, PropagationLimit: 2 * time.Second, Rate: map[string]float64{}, Burst: map[string]float64{},
+	f.record.Limits = judge.Limits{ProgramTokens: 50_000, TurnTokens: 1000, Retention: time.Hour, PropagationLimit: 2 * time.Second,
+		Rate: map[string]float64{}, Burst: map[string]float64{},
 		MinuteDollars: 50, Price: map[string]float64{"model": 10}, ClockDrift: 0.03, Users: map[string]judge.UserLimits{}}
 	go func() {
 		for {
@@ -150,30 +162,44 @@
 		}
 	}
 	for i := 0; i < l.Models; i++ {
-		f.backends = append(f.backends, &backend{fleet: f, key: replicaKey, service: "model", id: fmt.Sprintf("model%d", i+1), zone: fmt.Sprintf("zone-%d", i%l.Zones+1), address: fmt.Sprintf("127.0.9.%d:7900", i+1)})
+		f.backends = append(f.backends, &backend{fleet: f, key: replicaKey, service: "model", id: fmt.Sprintf("model%d", i+1),
+			zone: fmt.Sprintf("zone-%d", i%l.Zones+1), address: fmt.Sprintf("127.0.9.%d:7900", i+1)})
 	}
 	for n, service := range l.OnceServices {
 		for i := 0; i < l.OnceReplicas; i++ {
-			f.backends = append(f.backends, &backend{fleet: f, key: replicaKey, service: service, id: fmt.Sprintf("%s%d", service, i+1), zone: fmt.Sprintf("zone-%d", i%l.Zones+1), address: fmt.Sprintf("127.0.9.%d:7900", 100+20*n+i)})
+			f.backends = append(f.backends, &backend{fleet: f, key: replicaKey, service: service, id: fmt.Sprintf("%s%d", service, i+1),
+				zone: fmt.Sprintf("zone-%d", i%l.Zones+1), address: fmt.Sprintf("127.0.9.%d:7900", 100+20*n+i)})
 		}
 	}
-	f.backends = append(f.backends, &backend{fleet: f, key: replicaKey, service: "search", id: "search1", zone: "zone-1", address: "127.0.9.200:7900"})
+	f.backends = append(f.backends, &backend{fleet: f, key: replicaKey, service: "search", id: "search1",
+		zone: "zone-1", address: "127.0.9.200:7900"})
 	for i := 1; i <= l.Tenants; i++ {
 		name := fmt.Sprintf("t%d", i)
 		f.record.Limits.Rate[name], f.record.Limits.Burst[name] = l.Rate, float64(l.Burst)
-		f.record.Limits.Users[name] = judge.UserLimits{PerMinute: 600, Lockout: 300 * time.Second, Concurrent: 20, Session: 600 * time.Second, DayTokens: 500_000}
+		f.record.Limits.Users[name] = judge.UserLimits{PerMinute: 600, Lockout: 300 * time.Second,
+			Concurrent: 20, Session: 600 * time.Second, DayTokens: 500_000}
 	}
 	return f, nil
 }
 
 func ipOf(i int) string { return fmt.Sprintf("127.0.%d.%d", 1+i/200, 1+i%200) }
 
-// newProcess creates a process with its address, settings file and relay.
 func (f *Fleet) newProcess(name, role, zone string, number int) (*Process, error) {
 	m := &Process{Name: name, Role: role, Zone: zone, ip: ipOf(number)}
 	m.requester, m.operator, m.folder = m.ip+":7002", m.ip+":7001", filepath.Join(f.Layout.Folder, m.Name, "data")
-	settings := map[string]any{"id": m.Name, "zone": m.Zone, "folder": m.folder, "seeds": f.seeds, "fleet_secret": fleetSecret, "operator_key": operatorKey,
-		"replica_key": replicaKey, "peer_listen": m.ip + ":7100", "peer_advertise": m.ip + ":7000", "operator_listen": m.operator, "requester_listen": m.requester}
+	settings := map[string]any{
+		"id":               m.Name,
+		"zone":             m.Zone,
+		"folder":           m.folder,
+		"seeds":            f.seeds,
+		"fleet_secret":     fleetSecret,
+		"operator_key":     operatorKey,
+		"replica_key":      replicaKey,
+		"peer_listen":      m.ip + ":7100",
+		"peer_advertise":   m.ip + ":7000",
+		"operator_listen":  m.operator,
+		"requester_listen": m.requester,
+	}
 	for k, v := range f.Layout.Settings {
 		settings[k] = v
 	}
@@ -188,7 +214,7 @@
 	return m, errors.Wrap(f.links.Relay(f.ctx, m.ip+":7000", m.ip+":7100"), "relay")
 }
 
-// Start starts a process. A start after the first one is recorded as a restart.
+// Start starts a process, and records a restart unless it is the first start.
 func (f *Fleet) Start(m *Process) error {
 	out, err := os.OpenFile(filepath.Join(f.Layout.Folder, m.Name, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -219,7 +245,6 @@
 	}
 }
 
-// sameHost returns all processes on the host of a process.
 func (f *Fleet) sameHost(m *Process) (list []*Process) {
 	for _, o := range f.processes() {
 		if o.host == m.host {
@@ -266,17 +291,23 @@
 	}
 }
 
-// Caller returns an operator's client of the fleet.
+// Caller returns the operator's client.
 func (f *Fleet) Caller() operator.Client { return operator.Client{Key: operatorKey} }
 
-// Description encodes a configuration for the layout. It accepts probeKey as a key, so that
-// nodes that have applied it can be recognised by a request.
+// Description encodes a configuration for the layout. Only nodes that have applied it accept
+// probeKey as a key.
 func (f *Fleet) Description(probeKey string) []byte {
 	tenants := map[string]any{}
 	for i := 1; i <= f.Layout.Tenants; i++ {
 		name := fmt.Sprintf("t%d", i)
-		tenants[name] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest("key-" + name), "role": "analyst"}, map[string]any{"sha256": configuration.KeyDigest("long-" + name), "role": "keeper"}},
-			"inquiries_per_second": f.Layout.Rate, "burst": f.Layout.Burst}
+		tenants[name] = map[string]any{
+			"keys": []any{
+				map[string]any{"sha256": configuration.KeyDigest("key-" + name), "role": "analyst"},
+				map[string]any{"sha256": configuration.KeyDigest("long-" + name), "role": "keeper"},
+			},
+			"inquiries_per_second": f.Layout.Rate,
+			"burst":                f.Layout.Burst,
+		}
 	}
 	tenants["probe"] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest(probeKey), "role": "viewer"}}}
 	services := map[string]any{"model": map[string]any{"kind": "model"}, "search": map[string]any{"kind": "tool", "calls_per_minute": 100}}
@@ -285,17 +316,40 @@
 		services[name] = map[string]any{"kind": "once", "urgent": i == 0, "past_breaker": i == 0}
 	}
 	text, _ := json.Marshal(map[string]any{
-		"roles": map[string]any{"viewer": map[string]any{}, "keeper": map[string]any{"sessions_per_minute": 600, "sessions_per_hour": 6000, "sessions_per_day": 60000, "steps": 10_000, "tool_calls": 1000,
-			"tool_calls_per_type": 1000, "identical_tool_calls": 1000, "session_seconds": 7200}, "analyst": map[string]any{"sessions_per_minute": 600, "sessions_per_hour": 6000, "sessions_per_day": 60000,
-			"concurrent_sessions": 20, "steps": 25, "tool_calls": 50, "tool_calls_per_type": 30, "identical_tool_calls": 3, "session_seconds": 600, "lockout_seconds": 300}},
+		"roles": map[string]any{
+			"viewer": map[string]any{},
+			"keeper": map[string]any{
+				"sessions_per_minute":  600,
+				"sessions_per_hour":    6000,
+				"sessions_per_day":     60000,
+				"steps":                10_000,
+				"tool_calls":           1000,
+				"tool_calls_per_type":  1000,
+				"identical_tool_calls": 1000,
+				"session_seconds":      7200,
+			},
+			"analyst": map[string]any{
+				"sessions_per_minute":  600,
+				"sessions_per_hour":    6000,
+				"sessions_per_day":     60000,
+				"concurrent_sessions":  20,
+				"steps":                25,
+				"tool_calls":           50,
+				"tool_calls_per_type":  30,
+				"identical_tool_calls": 3,
+				"session_seconds":      600,
+				"lockout_seconds":      300,
+			},
+		},
 		"tenants":  tenants,
 		"services": services,
-		"approval": map[string]any{"newly_refused_ratio": 0.5}})
+		"approval": map[string]any{"newly_refused_ratio": 0.5},
+	})
 	return text
 }
 
-// StartAll starts all processes, founds the fleet, applies a first configuration, starts
-// the back ends and waits until all nodes are ready.
+// StartAll starts all processes and back ends, founds the fleet with a first configuration,
+// and waits until all nodes are ready.
 func (f *Fleet) StartAll(ctx context.Context) error {
 	for _, m := range f.processes() {
 		if err := f.Start(m); err != nil {
@@ -350,7 +404,11 @@
 // Apply applies a description at a core and records the result.
 func (f *Fleet) Apply(ctx context.Context, at *Process, basedOn uint64, probeKey string) (core.ApplyResult, int, error) {
 	var result core.ApplyResult
-	status, raw, err := f.Caller().Do(ctx, "POST", at.operator, "/v1/configuration", operator.ConfigurationRequest{BasedOn: basedOn, Description: f.Description(probeKey), BudgetMS: 8000}, nil)
+	status, raw, err := f.Caller().Do(ctx, "POST", at.operator, "/v1/configuration", operator.ConfigurationRequest{
+		BasedOn:     basedOn,
+		Description: f.Description(probeKey),
+		BudgetMS:    8000,
+	}, nil)
 	if err == nil {
 		err = json.Unmarshal(raw, &result)
 	}
@@ -358,7 +416,7 @@
 	return result, status, err
 }
 
-// RunRequesters runs the simulated requesters for a time and waits until they end.
+// RunRequesters runs the simulated requesters for length and waits until they end.
 func (f *Fleet) RunRequesters(ctx context.Context, length time.Duration) {
 	runCtx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
@@ -388,8 +446,8 @@
 	}
 }
 
-// Finish waits until the nodes have the last configuration and returns the record and its
-// breaches.
+// Finish waits, for a bounded time, until the nodes have the last configuration, and returns
+// the record and its breaches.
 func (f *Fleet) Finish(ctx context.Context) (*judge.Record, []judge.Breach) {
 	f.probeFinal(ctx)
 	var copied judge.Record
--- a/rehearsalkit/fleet/probe.go
+++ b/rehearsalkit/fleet/probe.go
@@ -9,11 +9,9 @@
 	"saffronfall/rule/ordered"
 )
 
-// refusedBase is the lowest number given to refused descriptions, which have no version.
+// refusedBase is the lowest number of refused descriptions, which have no version.
 const refusedBase = 1 << 40
 
-// recordApplied records the result of applying a description, for the judge and for probes
-// of the nodes.
 func (f *Fleet) recordApplied(probeKey string, base uint64, result core.ApplyResult) {
 	f.update(func(r *judge.Record) {
 		f.probeVersions[probeKey] = base + 1
@@ -27,8 +25,7 @@
 	})
 }
 
-// probeNode tests which probe keys a node accepts, records the versions that they belong
-// to, and returns the newest one.
+// probeNode records the versions whose probe keys a node accepts, and returns the newest.
 func (f *Fleet) probeNode(ctx context.Context, m *Process, last bool) (newest uint64) {
 	probeVersions := map[string]uint64{}
 	f.update(func(*judge.Record) {
@@ -37,7 +34,14 @@
 		}
 	})
 	for _, probeKey := range ordered.Keys(probeVersions) {
-		a, _ := f.send(ctx, m, requestSpec{method: "GET", path: "/v1/programs/none", key: probeKey, kind: "look", body: map[string]any{}, timeout: time.Second})
+		a, _ := f.send(ctx, m, requestSpec{
+			method:  "GET",
+			path:    "/v1/programs/none",
+			key:     probeKey,
+			kind:    "look",
+			body:    map[string]any{},
+			timeout: time.Second,
+		})
 		if a.Code == "unknown_program" {
 			newest = max(newest, probeVersions[probeKey])
 			f.update(func(r *judge.Record) {
@@ -48,7 +52,6 @@
 	return newest
 }
 
-// probe probes random nodes until the context ends.
 func (f *Fleet) probe(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.probeNode(ctx, f.anyNode(), false)
@@ -56,8 +59,8 @@
 	}
 }
 
-// probeFinal waits until every node has the last accepted version, or until the timeout
-// ends, and records the version that is active then.
+// probeFinal waits until every node has the last accepted version, or until the timeout, and
+// records the versions in force then.
 func (f *Fleet) probeFinal(ctx context.Context) {
 	const timeout = 12 * time.Second
 	accepted := uint64(0)
--- a/rehearsalkit/fleet/requester.go
+++ b/rehearsalkit/fleet/requester.go
@@ -28,18 +28,20 @@
 	RetryAfterMS float64 `json:"retry_after_ms"`
 }
 
-// requestSpec describes one request.
 type requestSpec struct {
 	method, path, key, kind, user, program, conversation, requestID, onceKey, service string
 	body                                                                              map[string]any
 	timeout                                                                           time.Duration
 }
 
-// send sends one request over HTTP and records its outcome.
 func (f *Fleet) send(ctx context.Context, at *Process, q requestSpec) (judge.Request, reply) {
-	a := judge.Request{At: f.now(), Kind: q.kind, Node: at.Name, Tenant: tenantOf(q.key), User: q.user, Program: q.program, Conversation: q.conversation, ID: q.requestID, OnceKey: q.onceKey, Service: q.service, Outcome: judge.Silent}
+	a := judge.Request{
+		At: f.now(), Kind: q.kind, Node: at.Name, Tenant: tenantOf(q.key), User: q.user,
+		Program: q.program, Conversation: q.conversation, ID: q.requestID, OnceKey: q.onceKey,
+		Service: q.service, Outcome: judge.Silent,
+	}
 	var last reply
-	// A request in progress when the run ends is completed.
+	// A request in progress at the end of the run is completed.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), q.timeout+500*time.Millisecond)
 	defer cancel()
 	q.body["budget_ms"] = q.timeout.Milliseconds()
@@ -100,12 +102,19 @@
 	}
 }
 
-// runUser is one simulated user: it opens programs, takes turns at random nodes, calls
-// tools and sends actions.
+// runUser is one simulated user, who opens programs one after the other.
 func (f *Fleet) runUser(ctx context.Context, name, tenant string) {
 	key := "key-" + tenant
 	for serial := 0; ctx.Err() == nil; serial++ {
-		a, opened := f.send(ctx, f.anyNode(), requestSpec{method: "POST", path: "/v1/programs", key: key, kind: "open", user: name, body: map[string]any{"user": name}, timeout: 3 * time.Second})
+		a, opened := f.send(ctx, f.anyNode(), requestSpec{
+			method:  "POST",
+			path:    "/v1/programs",
+			key:     key,
+			kind:    "open",
+			user:    name,
+			body:    map[string]any{"user": name},
+			timeout: 3 * time.Second,
+		})
 		if a.Outcome != judge.Whole {
 			pause(ctx, 200*time.Millisecond, time.Second)
 			continue
@@ -118,8 +127,17 @@
 			case dice < 0.15:
 				f.sendAction(ctx, key, name, "alert-"+requestID)
 			case dice < 0.25:
-				f.send(ctx, f.anyNode(), requestSpec{method: "POST", path: "/v1/programs/" + opened.Program + "/tools/search", key: key, kind: "tool", program: opened.Program, requestID: "tool-" + requestID, service: "search",
-					body: map[string]any{"arguments": map[string]string{"mark": "tool-" + requestID}}, timeout: 3 * time.Second})
+				f.send(ctx, f.anyNode(), requestSpec{
+					method:    "POST",
+					path:      "/v1/programs/" + opened.Program + "/tools/search",
+					key:       key,
+					kind:      "tool",
+					program:   opened.Program,
+					requestID: "tool-" + requestID,
+					service:   "search",
+					body:      map[string]any{"arguments": map[string]string{"mark": "tool-" + requestID}},
+					timeout:   3 * time.Second,
+				})
 			default:
 				over := false
 				if head, over = f.turn(ctx, key, opened.Program, head, requestID); over {
@@ -127,15 +145,31 @@
 				}
 			}
 		}
-		f.send(ctx, f.anyNode(), requestSpec{method: "DELETE", path: "/v1/programs/" + opened.Program, key: key, kind: "close", program: opened.Program, body: map[string]any{}, timeout: 3 * time.Second})
+		f.send(ctx, f.anyNode(), requestSpec{
+			method:  "DELETE",
+			path:    "/v1/programs/" + opened.Program,
+			key:     key,
+			kind:    "close",
+			program: opened.Program,
+			body:    map[string]any{},
+			timeout: 3 * time.Second,
+		})
 	}
 }
 
-// turn takes one turn. It returns the head of the history for the next turn, and whether
-// the program has ended.
+// turn returns the head of the history for the next turn, and whether the program has ended.
 func (f *Fleet) turn(ctx context.Context, key, id, head, requestID string) (next string, over bool) {
-	a, last := f.send(ctx, f.anyNode(), requestSpec{method: "POST", path: "/v1/programs/" + id + "/turns", key: key, kind: "turn", program: id, requestID: requestID, service: "model",
-		body: map[string]any{"service": "model", "before": head, "say": requestID}, timeout: 5 * time.Second})
+	a, last := f.send(ctx, f.anyNode(), requestSpec{
+		method:    "POST",
+		path:      "/v1/programs/" + id + "/turns",
+		key:       key,
+		kind:      "turn",
+		program:   id,
+		requestID: requestID,
+		service:   "model",
+		body:      map[string]any{"service": "model", "before": head, "say": requestID},
+		timeout:   5 * time.Second,
+	})
 	switch {
 	case a.Outcome == judge.Whole, a.Code == "wrong_history":
 		return last.Head, false
@@ -147,12 +181,18 @@
 	return head, false
 }
 
-// runLongSession runs one program until the context ends, with a tool call before every
-// fifth turn.
 func (f *Fleet) runLongSession(ctx context.Context, name, tenant string) {
 	key, id := "long-"+tenant, ""
 	for id == "" && ctx.Err() == nil {
-		if _, opened := f.send(ctx, f.anyNode(), requestSpec{method: "POST", path: "/v1/programs", key: key, kind: "open", user: name, body: map[string]any{"user": name}, timeout: 3 * time.Second}); opened.Program != "" {
+		if _, opened := f.send(ctx, f.anyNode(), requestSpec{
+			method:  "POST",
+			path:    "/v1/programs",
+			key:     key,
+			kind:    "open",
+			user:    name,
+			body:    map[string]any{"user": name},
+			timeout: 3 * time.Second,
+		}); opened.Program != "" {
 			id = opened.Program
 		} else {
 			pause(ctx, 200*time.Millisecond, time.Second)
@@ -162,8 +202,17 @@
 	for turn := 0; ctx.Err() == nil; turn++ {
 		requestID := fmt.Sprintf("%s-%d", name, turn)
 		if turn%5 == 4 {
-			f.send(ctx, f.anyNode(), requestSpec{method: "POST", path: "/v1/programs/" + id + "/tools/search", key: key, kind: "tool", program: id, requestID: "tool-" + requestID, service: "search",
-				body: map[string]any{"arguments": map[string]string{"mark": "tool-" + requestID}}, timeout: 3 * time.Second})
+			f.send(ctx, f.anyNode(), requestSpec{
+				method:    "POST",
+				path:      "/v1/programs/" + id + "/tools/search",
+				key:       key,
+				kind:      "tool",
+				program:   id,
+				requestID: "tool-" + requestID,
+				service:   "search",
+				body:      map[string]any{"arguments": map[string]string{"mark": "tool-" + requestID}},
+				timeout:   3 * time.Second,
+			})
 		}
 		over := false
 		if head, over = f.turn(ctx, key, id, head, requestID); over {
@@ -173,12 +222,20 @@
 	}
 }
 
-// sendAction sends a once-only action and retries it; some are also sent twice
-// concurrently.
+// sendAction sends a once-only action with retries, and some also twice concurrently.
 func (f *Fleet) sendAction(ctx context.Context, key, name, requestID string) {
 	service := f.Layout.OnceServices[rand.IntN(len(f.Layout.OnceServices))]
-	q := requestSpec{method: "POST", path: "/v1/actions/" + service, key: key, kind: "action", requestID: requestID, onceKey: requestID, service: service, timeout: 2 * time.Second,
-		body: map[string]any{"user": name, "once_key": requestID, "body": map[string]string{"mark": requestID}}}
+	q := requestSpec{
+		method:    "POST",
+		path:      "/v1/actions/" + service,
+		key:       key,
+		kind:      "action",
+		requestID: requestID,
+		onceKey:   requestID,
+		service:   service,
+		timeout:   2 * time.Second,
+		body:      map[string]any{"user": name, "once_key": requestID, "body": map[string]string{"mark": requestID}},
+	}
 	if rand.Float64() < 0.3 {
 		duplicate := q
 		duplicate.body = map[string]any{"user": name, "once_key": requestID, "body": map[string]string{"mark": requestID}}
--- a/rehearsalkit/fleet/scenarios.go
+++ b/rehearsalkit/fleet/scenarios.go
@@ -39,7 +39,6 @@
 	fmt.Printf("%7.2fs "+format+"\n", append([]any{f.now().Seconds()}, args...)...)
 }
 
-// kills kills a host of a core and one of a node, and starts them again.
 func kills(ctx context.Context, f *Fleet, length time.Duration) {
 	for _, m := range []*Process{f.cores[rand.IntN(len(f.cores))], f.nodes[rand.IntN(len(f.nodes))]} {
 		pause(ctx, length/5, length/5)
@@ -51,7 +50,7 @@
 	}
 }
 
-// freeze stops a host of a node and one of a core by SIGSTOP for four seconds each.
+// freeze stops a host of a node and one of a core by SIGSTOP for a time.
 func freeze(ctx context.Context, f *Fleet, length time.Duration) {
 	for _, m := range []*Process{f.nodes[rand.IntN(len(f.nodes))], f.cores[rand.IntN(len(f.cores))]} {
 		pause(ctx, length/6, length/6)
@@ -63,7 +62,6 @@
 	}
 }
 
-// cut cuts a host off from all others.
 func cut(ctx context.Context, f *Fleet, length time.Duration) {
 	for _, m := range []*Process{f.nodes[rand.IntN(len(f.nodes))], f.cores[rand.IntN(len(f.cores))]} {
 		pause(ctx, length/6, length/6)
@@ -79,7 +77,6 @@
 	return slices.DeleteFunc(slices.Clone(list), func(m *Process) bool { return slices.Contains(these, m) })
 }
 
-// cutBetween cuts all links between two sides for a time.
 func (f *Fleet) cutBetween(ctx context.Context, what string, a, b []*Process, length time.Duration) {
 	logf(f, "%s", what)
 	for _, cut := range []bool{true, false} {
@@ -95,7 +92,7 @@
 	}
 }
 
-// diskLost kills the host of a core and starts it again with an empty folder.
+// diskLost restarts the host of a core with an empty folder.
 func diskLost(ctx context.Context, f *Fleet, length time.Duration) {
 	m := f.cores[rand.IntN(len(f.cores))]
 	pause(ctx, length/4, length/4)
@@ -106,7 +103,7 @@
 	f.StartHost(m)
 }
 
-// sides splits processes into those of the first core's zone and the others.
+// sides splits processes into the first core's zone and the rest.
 func (f *Fleet) sides(machines []*Process) (one, rest []*Process) {
 	for _, m := range machines {
 		if m.Zone == f.cores[0].Zone {
@@ -125,13 +122,11 @@
 	f.cutBetween(ctx, "the core is split", one, rest, length/4)
 }
 
-// coreCut cuts all cores from all nodes.
 func coreCut(ctx context.Context, f *Fleet, length time.Duration) {
 	pause(ctx, length/4, length/4)
 	f.cutBetween(ctx, "the core is cut off", f.cores, f.nodes, length/5)
 }
 
-// zone cuts off all processes of a zone.
 func zone(ctx context.Context, f *Fleet, length time.Duration) {
 	pause(ctx, length/4, length/4)
 	one, rest := f.sides(f.processes())
@@ -156,7 +151,6 @@
 	}
 }
 
-// drain ends a node and a core by SIGTERM and starts them again.
 func drain(ctx context.Context, f *Fleet, length time.Duration) {
 	for _, m := range []*Process{f.nodes[rand.IntN(len(f.nodes))], f.cores[rand.IntN(len(f.cores))]} {
 		pause(ctx, length/6, length/6)
@@ -169,7 +163,6 @@
 	}
 }
 
-// changeMembers adds a new core and retires another one.
 func changeMembers(ctx context.Context, f *Fleet, length time.Duration) {
 	pause(ctx, length/5, length/5)
 	m, err := f.newProcess("core-new", "core", f.cores[0].Zone, 250)
@@ -192,7 +185,6 @@
 	}
 }
 
-// restartAll kills all processes at once and starts them again.
 func restartAll(ctx context.Context, f *Fleet, length time.Duration) {
 	pause(ctx, length/3, length/3)
 	logf(f, "everything is killed")
@@ -207,7 +199,6 @@
 	}
 }
 
-// replace replaces half of the back ends, one after the other.
 func replace(ctx context.Context, f *Fleet, length time.Duration) {
 	replaced := make(chan struct{})
 	some := len(f.backends) / 2
@@ -229,7 +220,7 @@
 	}
 }
 
-// rollout restarts the processes one by one with the next program.
+// rollout restarts the processes one by one with the next binary.
 func rollout(ctx context.Context, f *Fleet, length time.Duration) {
 	all := f.processes()
 	f.Layout.Binary = f.Layout.Next
@@ -253,7 +244,6 @@
 	f.Signal(m, syscall.SIGCONT)
 }
 
-// readdress restarts a core at another address.
 func readdress(ctx context.Context, f *Fleet, length time.Duration) {
 	pause(ctx, length/5, length/5)
 	old := f.cores[len(f.cores)-1]
@@ -269,7 +259,7 @@
 	f.Start(m)
 }
 
-// operators applies two descriptions on the same base concurrently, again and again.
+// operators repeatedly applies two descriptions on the same base concurrently.
 func operators(ctx context.Context, f *Fleet, length time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
@@ -304,14 +294,13 @@
 	}
 }
 
-// loseDisk kills the processes on a core's host and empties the core's folder.
+// loseDisk kills the core's host and empties the core's folder.
 func (f *Fleet) loseDisk(m *Process) {
 	f.KillHost(m)
 	os.RemoveAll(m.folder)
 	os.MkdirAll(m.folder, 0o755)
 }
 
-// all runs operators beside kills, freeze and cut.
 func all(ctx context.Context, f *Fleet, length time.Duration) {
 	go operators(ctx, f, length)
 	kills(ctx, f, length/2)
--- a/rehearsalkit/fleet/work.go
+++ b/rehearsalkit/fleet/work.go
@@ -11,7 +11,7 @@
 	Commands, Syncs, Writes, Messages int64
 }
 
-// Work reads the counters of all cores. Cores that do not answer are left out.
+// Work reads the counters of all cores, without those that do not answer.
 func (f *Fleet) Work(ctx context.Context) Work {
 	w := Work{At: f.now()}
 	for _, m := range f.cores {
@@ -27,7 +27,8 @@
 	return w
 }
 
-// Idle waits for length without requesters and returns the work of the cores per second.
+// Idle waits for length and returns the work of the cores per second, or zero if length is
+// less than a second.
 func (f *Fleet) Idle(ctx context.Context, length time.Duration) Work {
 	before := f.Work(ctx)
 	pause(ctx, length, length)
--- a/rehearsalkit/judge/judge.go
+++ b/rehearsalkit/judge/judge.go
@@ -1,6 +1,6 @@
-// Package judge checks a recorded run against the twelve rules that the product keeps. It
-// relies only on what requesters and back ends observed, never on what the fleet reports
-// about itself. Record describes the observations; start reading at Record.Judge.
+// Package judge checks a recorded run against the product's twelve rules. It uses only what
+// requesters and back ends observed, never what the fleet reports about itself. Start
+// reading at Record.Judge.
 package judge
 
 import (
@@ -28,8 +28,10 @@
 // Judge returns the breaches found in a run.
 func (r *Record) Judge() []Breach {
 	var all []Breach
-	for _, check := range []func() []Breach{r.programTokens, r.notRun, r.once, r.retention, r.histories, r.quotas, r.configurations, r.leaving, r.completeAnswers,
-		r.tokenLimits, r.breakerTrips, r.sessionStarts} {
+	for _, check := range []func() []Breach{
+		r.programTokens, r.notRun, r.once, r.retention, r.histories, r.quotas, r.configurations, r.leaving,
+		r.completeAnswers, r.tokenLimits, r.breakerTrips, r.sessionStarts,
+	} {
 		all = append(all, check()...)
 	}
 	return all
@@ -39,8 +41,7 @@
 	return Breach{Rule: rule, Detail: fmt.Sprintf(format, args...)}
 }
 
-// programTokens checks rule 1, the token budget of a program, against what requesters
-// received and against what replicas produced.
+// programTokens checks rule 1, a program's token budget, on received and on produced tokens.
 func (r *Record) programTokens() (list []Breach) {
 	produced, received := map[string]int64{}, map[string]int64{}
 	for _, attempt := range r.Attempts {
@@ -48,7 +49,8 @@
 			// Tokens beyond the attempt's limit are cut off by the node.
 			produced[attempt.Program] += min(attempt.Tokens, attempt.MaxTokens)
 			if attempt.Tokens > attempt.MaxTokens && !attempt.OverLimit {
-				list = append(list, breach(1, "replica produced %d tokens for %s; the limit is %d", attempt.Tokens, attempt.RequestID, attempt.MaxTokens))
+				list = append(list, breach(1, "replica produced %d tokens for %s; the limit is %d",
+					attempt.Tokens, attempt.RequestID, attempt.MaxTokens))
 			}
 		}
 	}
@@ -68,8 +70,7 @@
 	return list
 }
 
-// notRun checks rules 2 and 4: a request refused as not run never reaches a back end,
-// before or after the refusal.
+// notRun checks rules 2 and 4: a request refused as not run never reaches a back end.
 func (r *Record) notRun() (list []Breach) {
 	reached := map[string]bool{}
 	for _, attempt := range r.Attempts {
@@ -90,8 +91,8 @@
 	return list
 }
 
-// once checks rule 3, that an idempotency key (once-key) runs at most once, and rule 4 for
-// such keys: a key all of whose requests were refused as not run never ran.
+// once checks rule 3, that a once-key (idempotency key) runs at most once, and rule 4 for
+// once-keys: if all requests of a key were refused as not run, it never ran.
 func (r *Record) once() (list []Breach) {
 	ran := map[string]int{}
 	for _, attempt := range r.Attempts {
@@ -123,8 +124,8 @@
 	return list
 }
 
-// retention checks rule 5: a program is not reported as gone or unknown before its
-// retention time after its last successful request has passed.
+// retention checks rule 5: no program is reported as gone or unknown within its retention
+// time after its last successful request.
 func (r *Record) retention() (list []Breach) {
 	last := map[string]time.Duration{}
 	for _, request := range r.Requests {
@@ -138,18 +139,18 @@
 	for _, request := range r.Requests {
 		if (request.Status == 410 || request.Status == 404) && request.Program != "" {
 			if at, ok := last[request.Program]; ok && at < request.Ended && request.Ended < at+r.Limits.Retention {
-				list = append(list, breach(5, "program %s was reported gone (%d %s) %v after its last complete answer", request.Program, request.Status, request.Code, request.Ended-at))
+				list = append(list, breach(5, "program %s was reported gone (%d %s) %v after its last complete answer",
+					request.Program, request.Status, request.Code, request.Ended-at))
 			}
 		}
 	}
 	return list
 }
 
-// histories checks rule 6: every history sent to a replica holds turns of its own
-// conversation only, each once and in order. A complete turn has exactly the text that its
-// requester received; the text of a broken turn comes from a replica and begins with what
-// the requester received. No turn that was complete before is missing, and every history
-// extends the previous one of its conversation.
+// histories checks rule 6: a history sent to a replica extends the previous one of its
+// conversation. It holds all complete turns of this conversation and none of another one, each
+// once and in order. A complete turn has exactly the text that its requester received; a
+// broken one comes from a replica and begins with that text.
 func (r *Record) histories() (list []Breach) {
 	type conversation struct{ program, name string }
 	requests := map[string]Request{}
@@ -215,8 +216,8 @@
 	return list
 }
 
-// relayed reports whether a turn of a history begins with what the requester received and
-// is what one replica produced, cut off at the attempt's token limit where it exceeded it.
+// relayed reports whether a turn begins with what the requester received and is what one
+// replica produced, possibly cut off at the attempt's token limit.
 func relayed(turn, received string, produced []Attempt) bool {
 	for _, attempt := range produced {
 		if strings.HasPrefix(turn, received) && (attempt.Text == turn || attempt.OverLimit && strings.HasPrefix(attempt.Text, turn)) {
@@ -226,12 +227,11 @@
 	return false
 }
 
-// hasPrefix reports whether a history begins with another one.
 func hasPrefix(history, with []Turn) bool {
 	return len(history) >= len(with) && slices.Equal(history[:len(with)], with)
 }
 
-// quotas checks rule 7: a tenant's attempts stay within its rate and burst in every window.
+// quotas checks rule 7: a tenant's attempts stay within its rate and burst.
 func (r *Record) quotas() (list []Breach) {
 	times := map[string][]time.Duration{}
 	for _, attempt := range r.Attempts {
@@ -250,7 +250,8 @@
 			level = max(0, level-rate*(t-before).Seconds()) + 1
 			before = t
 			if level > r.Limits.Burst[tenant]+1 {
-				list = append(list, breach(7, "tenant %s: %.1f attempts above the rate of %.1f a second at %v; the burst is %.0f", tenant, level, rate, t, r.Limits.Burst[tenant]))
+				list = append(list, breach(7, "tenant %s: %.1f attempts above the rate of %.1f a second at %v; the burst is %.0f",
+					tenant, level, rate, t, r.Limits.Burst[tenant]))
 				break
 			}
 		}
@@ -258,9 +259,8 @@
 	return list
 }
 
-// configurations checks rule 8, that nodes apply an accepted configuration in time and
-// never return to an older one, and rule 9, that a refused one is never in force and that
-// all nodes end with the last accepted one.
+// configurations checks rule 8, that nodes apply accepted configurations in time and never
+// go back, and rule 9, that refused ones are never in force and the last accepted one stays.
 func (r *Record) configurations() (list []Breach) {
 	accepted := map[uint64]bool{}
 	refused := map[uint64]bool{}
@@ -353,8 +353,10 @@
 		produced[attempt.RequestID][answer{attempt.Text, attempt.Tokens}] = true
 	}
 	for _, request := range r.Requests {
-		if request.Kind == "turn" && request.Outcome == Whole && !produced[request.ID][answer{request.Text, request.Tokens}] && (overLimit[request.ID] == "" || !strings.HasPrefix(overLimit[request.ID], request.Text)) {
-			list = append(list, breach(11, "%s was answered completely with %q (%d tokens), which no replica produced", request.ID, request.Text, request.Tokens))
+		if request.Kind == "turn" && request.Outcome == Whole && !produced[request.ID][answer{request.Text, request.Tokens}] &&
+			(overLimit[request.ID] == "" || !strings.HasPrefix(overLimit[request.ID], request.Text)) {
+			list = append(list, breach(11, "%s was answered completely with %q (%d tokens), which no replica produced",
+				request.ID, request.Text, request.Tokens))
 		}
 	}
 	return list
@@ -376,9 +378,9 @@
 	return gap
 }
 
-// Outages returns, in ascending order, how long interrupted conversations took from the
-// first turn that was not complete to the end of the next complete one. Conflicts and quota
-// refusals (409 and 429) don't count as interruptions.
+// Outages returns, in ascending order, the times from the first incomplete turn of a
+// conversation to the end of its next complete one. Conflicts and quota refusals (409 and
+// 429) don't count as interruptions.
 func (r *Record) Outages() []time.Duration {
 	turns := map[string][]Request{}
 	for _, request := range r.Requests {
--- a/rehearsalkit/judge/judge_test.go
+++ b/rehearsalkit/judge/judge_test.go
@@ -6,12 +6,22 @@
 	"time"
 )
 
-// validRecord returns a record that breaks no rule.
 func validRecord() *Record {
 	s := time.Second
 	return &Record{
-		Limits: Limits{ProgramTokens: 100, TurnTokens: 10, Rate: map[string]float64{"t": 1}, Burst: map[string]float64{"t": 2}, Retention: time.Hour, PropagationLimit: 2 * s,
-			DayTokens: map[string]int64{"t": 1000}, Users: map[string]UserLimits{"t": {PerMinute: 9, Lockout: 10 * s, Concurrent: 9, Session: time.Minute, DayTokens: 10}}, MinuteDollars: 1, Price: map[string]float64{"model": 15}, ClockDrift: 0.02},
+		Limits: Limits{
+			ProgramTokens:    100,
+			TurnTokens:       10,
+			Rate:             map[string]float64{"t": 1},
+			Burst:            map[string]float64{"t": 2},
+			Retention:        time.Hour,
+			PropagationLimit: 2 * s,
+			DayTokens:        map[string]int64{"t": 1000},
+			Users:            map[string]UserLimits{"t": {PerMinute: 9, Lockout: 10 * s, Concurrent: 9, Session: time.Minute, DayTokens: 10}},
+			MinuteDollars:    1,
+			Price:            map[string]float64{"model": 15},
+			ClockDrift:       0.02,
+		},
 		Attempts: []Attempt{
 			{At: 1 * s, Service: "model", Replica: "m1", Tenant: "t", Program: "p", RequestID: "a", Text: "A", Tokens: 5, MaxTokens: 10},
 			{At: 3 * s, Service: "model", Replica: "m1", Tenant: "t", Program: "p", RequestID: "b", Text: "B", Tokens: 5, MaxTokens: 10, History: []Turn{{"a", "A"}}},
@@ -34,8 +44,7 @@
 	}
 }
 
-// TestJudge changes a valid record so that it breaks one rule, and checks that this rule is
-// reported.
+// Each corruption of a valid record must be reported under its rule.
 func TestJudge(t *testing.T) {
 	if b := validRecord().Judge(); len(b) > 0 {
 		t.Fatalf("a valid record has breaches: %v", b)
--- a/rehearsalkit/judge/limits.go
+++ b/rehearsalkit/judge/limits.go
@@ -7,10 +7,9 @@
 	"saffronfall/rule/ordered"
 )
 
-// tokenLimits checks rule 2 from the tokens that back ends produced: no tenant exceeds its
-// daily tokens, no minute exceeds the breaker's threshold, and no attempt runs for a
-// program after a requester was told that the program's tokens are spent. The limits hold
-// exactly because every turn reserves its tokens before it runs.
+// tokenLimits checks rule 2 on produced tokens: the limits of a tenant's day and of the
+// breaker's minute, and that no attempt runs after its program's tokens were reported spent.
+// The limits hold exactly because every turn reserves its tokens before it runs.
 func (r *Record) tokenLimits() (list []Breach) {
 	day := map[string]int64{}
 	type spend struct {
@@ -20,7 +19,10 @@
 	var spends []spend
 	for _, attempt := range r.Attempts {
 		day[attempt.Tenant] += min(attempt.Tokens, max(attempt.MaxTokens, 0))
-		spends = append(spends, spend{attempt.At, float64(min(attempt.Tokens, max(attempt.MaxTokens, 0))) * r.Limits.Price[attempt.Service] / 1e6})
+		spends = append(
+			spends,
+			spend{attempt.At, float64(min(attempt.Tokens, max(attempt.MaxTokens, 0))) * r.Limits.Price[attempt.Service] / 1e6},
+		)
 	}
 	for _, tenant := range ordered.Keys(r.Limits.DayTokens) {
 		if limit := r.Limits.DayTokens[tenant]; day[tenant] > limit {
@@ -57,7 +59,6 @@
 	return list
 }
 
-// requestsByID indexes the requests that have an ID.
 func (r *Record) requestsByID() map[string]Request {
 	requests := map[string]Request{}
 	for _, request := range r.Requests {
@@ -68,8 +69,8 @@
 	return requests
 }
 
-// tripIntervals lists the intervals in which the breaker was reported open: from the first
-// such answer to the end that it announced.
+// tripIntervals lists when the breaker was open: from the first such answer of a trip to the
+// end that it announced.
 func (r *Record) tripIntervals() (list [][2]time.Duration) {
 	var refusals []Request
 	for _, request := range r.Requests {
@@ -88,8 +89,8 @@
 	return list
 }
 
-// breakerTrips checks rule 2 for the breaker: no attempt that costs tokens starts on any
-// node during a trip, less PropagationLimit at both ends.
+// breakerTrips checks rule 2: no attempt that costs tokens starts on any node during a trip,
+// less PropagationLimit at both ends.
 func (r *Record) breakerTrips() (list []Breach) {
 	for _, t := range r.tripIntervals() {
 		for _, attempt := range r.Attempts {
@@ -115,9 +116,9 @@
 	return late
 }
 
-// sessionStarts checks rule 12: during a lockout every node refuses the user's session
-// starts with the remaining time of the lockout or because of a check that comes earlier,
-// and no session is admitted beyond the limits per minute, of concurrency or of daily tokens.
+// sessionStarts checks rule 12: no session is admitted during a lockout or beyond the limits
+// per minute, of concurrency or of daily tokens. During a lockout a refusal announces its
+// remaining time, unless an earlier check refuses.
 func (r *Record) sessionStarts() (list []Breach) {
 	type user struct{ tenant, user string }
 	starts := map[user][]Request{}
@@ -166,10 +167,10 @@
 				if request.Code == "sessions_per_minute" && inLockout {
 					list = append(list, breach(12, "%s was refused for sessions per minute during a lockout", name))
 				}
-				// The wait is counted by a clock that may run fast, and starts after the
-				// request was sent.
+				// The wait starts after the request was sent, on a clock that may run fast.
 				if inLockout && request.Ended+request.RetryAfter < lockedUntil {
-					list = append(list, breach(12, "%s was told to wait %v during a lockout that lasts %v longer", name, request.RetryAfter, lockedUntil-request.Ended))
+					list = append(list, breach(12, "%s was told to wait %v during a lockout that lasts %v longer",
+						name, request.RetryAfter, lockedUntil-request.Ended))
 				}
 				if until := request.At + shortest(request.RetryAfter); until > lockedUntil {
 					if lockedUntil < request.At {
@@ -219,12 +220,15 @@
 	return list
 }
 
-// Situations counts how often the run reached the situation that each rule is about. A
-// rule whose situation was never reached was not exercised.
+// Situations counts how often the run reached the situation of each rule. A rule with a
+// count of 0 was not exercised.
 func (r *Record) Situations() map[string]int {
-	counts := map[string]int{"1 allowances of programs reached": 0, "2 breaker open": 0, "2 breaker half-open": 0, "2 tenants' days spent": 0, "3 once answers lost": 0,
-		"4 refused as not run": 0, "5 asked within 12 s of a restart": 0, "6 shots with a history": 0, "7 quota reached": 0, "8 configurations taken": 0,
-		"9 configurations refused": 0, "10 replicas leaving": 0, "11 broken streams": 0, "12 lockouts": 0, "12 concurrency reached": 0, "12 users' days spent": 0}
+	counts := map[string]int{
+		"1 allowances of programs reached": 0, "2 breaker open": 0, "2 breaker half-open": 0, "2 tenants' days spent": 0,
+		"3 once answers lost": 0, "4 refused as not run": 0, "5 asked within 12 s of a restart": 0, "6 shots with a history": 0,
+		"7 quota reached": 0, "8 configurations taken": 0, "9 configurations refused": 0, "10 replicas leaving": 0,
+		"11 broken streams": 0, "12 lockouts": 0, "12 concurrency reached": 0, "12 users' days spent": 0,
+	}
 	for _, request := range r.Requests {
 		switch request.Code {
 		case "program_tokens_spent":
--- a/rehearsalkit/judge/record.go
+++ b/rehearsalkit/judge/record.go
@@ -32,10 +32,9 @@
 	Answer string `json:"Got"`
 }
 
-// Request is what a requester sent and received. Times count from the start of the run. ID is
-// the text by which attempts and histories refer to it. Outcome is one of the constants of
-// this package; Code, Status and Ran come from the response, where Ran says whether the
-// request ran: "no" or "maybe".
+// Request is what a requester sent and received. Times count from the start of the run.
+// Attempts and histories refer to its ID. Outcome is one of this package's constants. Ran is
+// the response's statement on whether the request ran: "no" or "maybe".
 type Request struct {
 	At, Ended    time.Duration
 	Kind         string
@@ -56,7 +55,7 @@
 	Service      string
 }
 
-// Limits are the limits that the rules check against, per tenant or overall.
+// Limits are the limits that the rules check against. Maps are by tenant unless noted.
 type Limits struct {
 	ProgramTokens int64
 	TurnTokens    int64
@@ -68,8 +67,8 @@
 	// DayTokens is the daily limit of each tenant, Users the limits of its users.
 	DayTokens map[string]int64
 	Users     map[string]UserLimits
-	// MinuteDollars is the breaker's first threshold, Price the price in dollars of a
-	// million tokens of each service.
+	// MinuteDollars is the breaker's first threshold, Price each service's price in dollars
+	// of a million tokens.
 	MinuteDollars float64
 	Price         map[string]float64
 	// ClockDrift is the largest relative difference between the rates of two clocks.
@@ -85,15 +84,14 @@
 	DayTokens  int64
 }
 
-// Leaving is a replica that announced that it leaves, and when the first node received it.
+// Leaving records when a node first received a replica's announcement that it leaves.
 type Leaving struct {
 	At      time.Duration
 	Replica string
 }
 
-// Probe observes the configuration that is in force at a node, across its restarts: the
-// version whose own key the node accepted between At and Ended. Final probes are made some
-// time after all faults have ended.
+// Probe is the version in force at a node, across its restarts: the node accepted this
+// version's own key between At and Ended. Final probes follow some time after all faults.
 type Probe struct {
 	At, Ended time.Duration
 	Node      string
--- a/rehearsalkit/refusals/refusals.go
+++ b/rehearsalkit/refusals/refusals.go
@@ -1,6 +1,6 @@
-// Package refusals counts the client errors (status 400 to 499) in node logs by status,
-// cause and route, and tells whether the cause alone shows that the answer was correct. Start
-// reading at Refusals.Read.
+// Package refusals counts the refusals (status 400 to 499) in node logs by status, cause and
+// route, and tells which causes alone show that the answer was correct. Start reading at
+// Refusals.Read.
 package refusals
 
 import (
@@ -15,10 +15,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// logMessage is the log message of a request that was not served.
 const logMessage = "request not served"
 
-// line is a log line with this message.
+// line is a log line with the message logMessage.
 type line struct {
 	Message string `json:"msg"`
 	Node    string `json:"id"`
@@ -48,12 +47,11 @@
 // Refusals holds the counts of refusals by kind.
 type Refusals map[Kind]Count
 
-// maxLineBytes is the length of the longest log line that can be read.
 const maxLineBytes = 1 << 20
 
-// Read adds the refusals of a log. Lines may have a prefix before their JSON, as in a log
-// that several processes share. Suppressed refusals count for the route of the line that
-// reports their number. It returns an error if the log can't be read or a line is too long.
+// Read adds the refusals of a log, whose lines may have a prefix before their JSON. Suppressed
+// refusals count for the route of the line that reports their number. Read fails if the log
+// can't be read or a line is longer than maxLineBytes.
 func (r Refusals) Read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
@@ -72,7 +70,6 @@
 	return errors.Wrap(scanner.Err(), "log")
 }
 
-// add counts a line if its status is a client error.
 func (r Refusals) add(l line) {
 	if l.Status < 400 || l.Status > 499 {
 		return
@@ -88,13 +85,12 @@
 
 // Assessment is what a cause alone shows about a refusal.
 type Assessment struct {
-	// Justified means that the answer is correct whatever else happened. Otherwise Check
-	// says what must be verified.
+	// Justified means that the answer is correct. Otherwise Check says what to verify.
 	Justified bool
 	Check     string
 }
 
-// assessments lists the causes of client errors.
+// assessments are by cause.
 var assessments = map[string]Assessment{
 	"malformed":       {Justified: true},
 	"body_incomplete": {Justified: true},
@@ -111,7 +107,7 @@
 	"history_expired": {Check: "that the turn's time was over"},
 }
 
-// Assess returns the assessment of a cause. An unknown cause has to be checked.
+// Assess returns the assessment of a cause. An unknown cause is not justified.
 func Assess(cause string) Assessment {
 	if assessment, known := assessments[cause]; known {
 		return assessment
@@ -119,7 +115,7 @@
 	return Assessment{Check: "a cause that this command does not know"}
 }
 
-// Print writes a table of the counts by status and cause, the most frequent route first.
+// Print writes a table by status and cause, with the most frequent route first.
 func (r Refusals) Print(out io.Writer) error {
 	var kinds []Kind
 	for kind := range r {
--- a/rehearsalkit/refusals/refusals_test.go
+++ b/rehearsalkit/refusals/refusals_test.go
@@ -17,7 +17,7 @@
 {"msg":"request not served","status":404
 `
 
-// TestRead counts logged and suppressed refusals, and ignores all other lines.
+// Suppressed refusals must count, and lines with other messages must not.
 func TestRead(t *testing.T) {
 	r := Refusals{}
 	if err := r.Read(strings.NewReader(log)); err != nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestEveryCauseIsRead: each cause that nodes answer with 400 to 499 has its reading.
+// A cause that nodes answer with 400 to 499 must not lack an assessment.
 func TestEveryCauseIsRead(t *testing.T) {
 	for _, cause := range relay.ClientErrorCauses() {
 		if _, known := assessments[string(cause)]; !known {
--- a/rehearsalkit/soak/client.go
+++ b/rehearsalkit/soak/client.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Tenants of the routing table. The first two use the same attempt ids.
+// Tenants of the routing table. Rate is in requests a second.
 const (
 	tenantFirst   = "first"
 	tenantSecond  = "second"
@@ -21,7 +21,7 @@
 	limitedBurst  = 20
 )
 
-// deadline is the deadline that requesters send with each request.
+// deadline is sent with each request.
 const deadline = 2500 * time.Millisecond
 
 // answerGrace is how long after its deadline a request may still be unanswered.
@@ -29,17 +29,14 @@
 
 func keyOf(tenant string) string { return "key of " + tenant }
 
-// host is the Host header of all requests.
 const host = "soak.example"
 
-// connection is a requester's connection to a node.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
 	node   *process
 }
 
-// dialNode connects to a node, directly or through its relay, each half of the time.
 func dialNode(node *process) (*connection, error) {
 	port := clientPort
 	if rand.IntN(2) == 0 {
@@ -52,10 +49,11 @@
 	return &connection{Conn: c, reader: bufio.NewReader(c), node: node}, nil
 }
 
-// head formats the request line and headers, with more header lines at the end.
+// head formats the request line and the headers, with more at the end.
 func (q *request) head(key string, more ...string) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nSaffronfall-Attempt: %s\r\nSaffronfall-Key: %s\r\nSaffronfall-Deadline-Ms: %d\r\n", q.Method, q.Path, host, q.Attempt, key, deadline.Milliseconds())
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nSaffronfall-Attempt: %s\r\nSaffronfall-Key: %s\r\nSaffronfall-Deadline-Ms: %d\r\n",
+		q.Method, q.Path, host, q.Attempt, key, deadline.Milliseconds())
 	if q.Program != "" {
 		fmt.Fprintf(&b, "Saffronfall-Program: %s\r\nSaffronfall-Budget: %d\r\nSaffronfall-Tokens: 10,%d\r\n", q.Program, q.Budget, turnTokens)
 	}
@@ -77,14 +75,12 @@
 	f.update(func(r *record) { r.Requests = append(r.Requests, q) })
 }
 
-// recordEnd records the result of a request.
 func (f *Fleet) recordEnd(q *request, status int, whole bool, answer string) {
 	at := f.now()
 	f.update(func(*record) { q.Ended, q.Status, q.Whole, q.Answer = at, status, whole, answer })
 }
 
-// ask sends a request over a connection and waits for its answer. It reports whether
-// the connection can be reused.
+// ask reports whether the connection can be reused.
 func (f *Fleet) ask(c *connection, q *request) bool {
 	f.recordStart(q, c.node)
 	c.SetDeadline(time.Now().Add(deadline + answerGrace + time.Second))
@@ -95,8 +91,8 @@
 	return f.answer(c, q)
 }
 
-// answer reads the answer to a request, checks that it belongs to it, and records it.
-// It reports whether the connection can be reused.
+// answer reads, checks and records the answer to a request. It reports whether the connection
+// can be reused.
 func (f *Fleet) answer(c *connection, q *request) bool {
 	got, err := http.ReadResponse(c.reader, &http.Request{Method: q.Method})
 	if err != nil {
@@ -114,13 +110,12 @@
 	return err == nil && !got.Close
 }
 
-// anyNode returns a random node.
 func (f *Fleet) anyNode() *process {
 	nodes := f.withRole(roleNode)
 	return nodes[rand.IntN(len(nodes))]
 }
 
-// requester is one simulated client. With keepAlive it reuses its connection.
+// requester is one simulated requester. With keepAlive it reuses its connection.
 type requester struct {
 	fleet     *Fleet
 	tenant    string
@@ -135,7 +130,6 @@
 	return fmt.Sprintf("%s-%d", r.name, r.count)
 }
 
-// send sends one request, over the idle connection if there is one.
 func (r *requester) send(q *request) *request {
 	c := r.idle
 	r.idle = nil
@@ -153,7 +147,6 @@
 	return q
 }
 
-// close closes the idle connection.
 func (r *requester) close() {
 	if r.idle != nil {
 		r.idle.Close()
@@ -180,7 +173,7 @@
 	r.send(r.request(kindOnce, http.MethodPost, "notice of "+r.name+strings.Repeat("-", rand.IntN(2000))))
 }
 
-// program runs the turns of one program until its token budget is spent.
+// program runs turns of one program, at most until its token budget is spent.
 func (r *requester) program(ctx context.Context) {
 	program := "p-" + r.attempt()
 	budget := int64(turnTokens*3 + 20)
@@ -193,7 +186,7 @@
 	}
 }
 
-// conversation runs turns, each of which continues the last one that succeeded.
+// conversation runs turns that each continue the last one that succeeded.
 func (r *requester) conversation(ctx context.Context) {
 	previous, before := "", ""
 	for turns := 0; turns < 6 && ctx.Err() == nil; turns++ {
@@ -206,7 +199,7 @@
 	}
 }
 
-// eventText returns the data of a stream's events, each followed by a line feed.
+// eventText returns the data of a stream's events as lines.
 func eventText(stream string) string {
 	var text strings.Builder
 	for _, line := range strings.Split(stream, "\n") {
@@ -217,8 +210,8 @@
 	return text.String()
 }
 
-// startClients starts requesters, misbehaving requesters and an operator. It returns a
-// function that stops them and a channel that is closed once all have returned.
+// startClients starts requesters and an operator. It returns a function that stops them and a
+// channel that is closed once all have returned.
 func (f *Fleet) startClients(parent context.Context) (stop context.CancelFunc, stopped <-chan struct{}) {
 	ctx, cancel := context.WithCancel(parent)
 	done, count := make(chan struct{}), 0
@@ -231,7 +224,7 @@
 	}
 	for i := range 2 {
 		for _, tenant := range []string{tenantFirst, tenantSecond} {
-			// Both tenants use the same attempt ids.
+			// The tenants share attempt ids, which are unique within a tenant only.
 			named := func(kind string) *requester {
 				return &requester{fleet: f, tenant: tenant, name: fmt.Sprintf("%s%d", kind, i), keepAlive: i == 0}
 			}
--- a/rehearsalkit/soak/command.go
+++ b/rehearsalkit/soak/command.go
@@ -30,7 +30,6 @@
 	Stop      bool          `help:"Stop at the first seed with a breach."`
 }
 
-// outcome is the report of a seed, or the error that prevented it.
 type outcome struct {
 	report Report
 	folder string
@@ -42,8 +41,8 @@
 	if err := errors.CombineErrors(setup.CheckProgram(c.Binary), setup.EnsureFolder(c.Folder)); err != nil {
 		return err
 	}
-	// Child processes inherit ignored signals: a SIGHUP sent before a process has
-	// installed its handler must not end it.
+	// Child processes inherit this: a SIGHUP before a process has installed its handler must
+	// not end it.
 	signal.Ignore(syscall.SIGHUP)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -86,10 +85,9 @@
 	return nil
 }
 
-// noDisks is the value of Disks that turns disk faults off.
 const noDisks = "none"
 
-// diskBinary returns the program that runs cores on fault-injecting disks, or "".
+// diskBinary returns "" if there are no disk faults.
 func (c *Command) diskBinary() string {
 	switch c.Disks {
 	case noDisks:
@@ -103,13 +101,22 @@
 	return c.Disks
 }
 
-// runSeed runs a seed. Its folder is kept only if there were breaches.
+// runSeed keeps the folder of a seed only if there were breaches.
 func (c *Command) runSeed(ctx context.Context, seed uint64) outcome {
 	folder := filepath.Join(c.Folder, fmt.Sprint("seed", seed))
 	if err := os.RemoveAll(folder); err != nil {
 		return outcome{err: errors.Wrap(err, "folder")}
 	}
-	o := Options{Binary: c.Binary, DiskBinary: c.diskBinary(), Folder: folder, Seed: seed, Calm: c.Calm, Length: c.For, Settle: c.Settle, FaultRate: c.FaultRate}
+	o := Options{
+		Binary:     c.Binary,
+		DiskBinary: c.diskBinary(),
+		Folder:     folder,
+		Seed:       seed,
+		Calm:       c.Calm,
+		Length:     c.For,
+		Settle:     c.Settle,
+		FaultRate:  c.FaultRate,
+	}
 	if c.Verbose {
 		o.Logf = func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
 	}
@@ -120,11 +127,9 @@
 	return outcome{report: report, folder: folder, err: err}
 }
 
-// maxPrinted bounds how many breaches of a seed are printed.
 const maxPrinted = 12
 
-// printOutcome prints the outcome of a seed and writes its report file if there were
-// breaches. It reports whether there were any.
+// printOutcome reports whether there were breaches, and then also writes a report file.
 func (c *Command) printOutcome(o outcome) bool {
 	r := o.report
 	fmt.Printf("seed %d: %d troubles, served %v of %v, %d breaches\n", r.Seed, len(r.Faults), r.Served, r.Asked, len(r.Breaches))
--- a/rehearsalkit/soak/disk_link_faults.go
+++ b/rehearsalkit/soak/disk_link_faults.go
@@ -43,8 +43,10 @@
 	}},
 }
 
-// onCore makes a fault of one random core. It is skipped if the core has another fault.
-func onCore(action func(f *Fleet, ctx context.Context, random *rand.Rand, p *process)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
+// onCore makes a fault of a random core, skipped if the core has another fault.
+func onCore(
+	action func(f *Fleet, ctx context.Context, random *rand.Rand, p *process),
+) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	return func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 		cores := f.withRole(roleCore)
 		p := cores[random.IntN(len(cores))]
@@ -58,12 +60,10 @@
 	}
 }
 
-// acquireTimeout is how long a fault of several processes waits for faults of single ones
-// to end.
+// acquireTimeout is how long a fault of several processes waits for other faults to end.
 const acquireTimeout = 4 * time.Second
 
-// cutPower cuts the power of several processes at once, and starts them one by one in
-// random order.
+// cutPower cuts the power of several processes at once and restarts them in random order.
 func (f *Fleet) cutPower(ctx context.Context, random *rand.Rand, targets []*process) string {
 	targets = slices.Clone(targets)
 	waiting, cancel := context.WithTimeout(ctx, acquireTimeout)
@@ -105,12 +105,11 @@
 	}
 }
 
-// setDiskFaults replaces the active faults of a core's disk.
 func (p *process) setDiskFaults(ctx context.Context, query string) {
 	p.control(ctx, http.MethodPut, "/faults?"+query)
 }
 
-// control calls the control endpoint of a core's disk, and reports whether it answered.
+// control reports whether the control endpoint of a core's disk answered.
 func (p *process) control(ctx context.Context, method, path string) bool {
 	within, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -126,18 +125,16 @@
 	return true
 }
 
-// losePower ends a process as a loss of power does: a core's disk keeps what was synced,
-// and a random part of the rest.
+// losePower ends a process as a loss of power does: a core's disk keeps what was synced and
+// a random part of the rest.
 func (p *process) losePower() {
 	if p.command != nil && p.role == roleCore {
-		// The core ends without an answer. A core that does not listen yet has no unsynced
-		// data.
+		// There is no answer. A core that does not listen yet has no unsynced data.
 		p.control(context.Background(), http.MethodPost, "/power")
 	}
 	p.kill()
 }
 
-// linkFaults are faults of the links between requesters, nodes and replicas.
 var linkFaults = []faultKind{
 	{"requesters cut off", 2, onNodeLink(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
 		f.links.Cut(ctx, outside, p.ip, true)
@@ -166,11 +163,12 @@
 	})},
 }
 
-// outside is the source address of requesters' and nodes' connections, as the relays see it.
+// outside is the source address at the relays of connections by requesters and nodes.
 const outside = "127.0.0.1"
 
-// onNodeLink makes a fault of the link between requesters and one random node.
-func onNodeLink(action func(f *Fleet, ctx context.Context, random *rand.Rand, p *process)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
+func onNodeLink(
+	action func(f *Fleet, ctx context.Context, random *rand.Rand, p *process),
+) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	return func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 		p := f.anyNode()
 		action(f, ctx, random, p)
@@ -178,9 +176,9 @@
 	}
 }
 
-// onReplicaLink makes a fault of the link between nodes and one random replica that is
-// behind a relay.
-func onReplicaLink(action func(f *Fleet, ctx context.Context, random *rand.Rand, ip string)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
+func onReplicaLink(
+	action func(f *Fleet, ctx context.Context, random *rand.Rand, ip string),
+) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	return func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 		var relayed []*endpoint
 		for _, p := range f.replicas.endpoints {
--- a/rehearsalkit/soak/faults.go
+++ b/rehearsalkit/soak/faults.go
@@ -8,17 +8,16 @@
 	"time"
 )
 
-// faultKind is one kind of fault.
 type faultKind struct {
 	name string
-	// weight is its relative frequency.
+	// weight is the relative frequency.
 	weight int
-	// inject causes the fault, waits and repairs it. It returns what was affected, or "" if
-	// the fault was skipped.
+	// inject causes and repairs the fault. It returns what was affected, or "" if the fault
+	// was skipped.
 	inject func(f *Fleet, ctx context.Context, random *rand.Rand) (targets string)
 }
 
-// processFaults are faults of processes, of the links between them, and of replicas.
+// processFaults also holds the faults of links between processes and of replicas.
 var processFaults = []faultKind{
 	{"kill", 4, onProcess(func(f *Fleet, ctx context.Context, random *rand.Rand, p *process) {
 		p.kill()
@@ -113,9 +112,10 @@
 	return low + time.Duration(random.Int64N(int64(high-low)))
 }
 
-// onProcess makes a fault of one random process. It is skipped if the process has another
-// fault.
-func onProcess(action func(f *Fleet, ctx context.Context, random *rand.Rand, p *process)) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
+// onProcess makes a fault of a random process, skipped if the process has another fault.
+func onProcess(
+	action func(f *Fleet, ctx context.Context, random *rand.Rand, p *process),
+) func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	return func(f *Fleet, ctx context.Context, random *rand.Rand) string {
 		p := f.processes[random.IntN(len(f.processes))]
 		if !f.acquire(p) {
@@ -139,8 +139,8 @@
 
 func (f *Fleet) release(p *process) { <-f.busy[p] }
 
-// loseDisk kills a core, empties its folder and starts it again. The next disk may be lost
-// only after the fleet has had time to recover.
+// loseDisk restarts a core with an empty folder. The next disk may be lost only after the
+// fleet has had time to recover.
 func loseDisk(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	select {
 	case f.diskLost <- struct{}{}:
@@ -166,7 +166,6 @@
 	return p.name
 }
 
-// cutFrom cuts or restores the links between a process and others.
 func (f *Fleet) cutFrom(ctx context.Context, p *process, others []*process, cut bool) {
 	for _, o := range others {
 		if o != p {
@@ -184,7 +183,6 @@
 	}
 }
 
-// oneWayCut cuts all links of a process in one direction.
 func oneWayCut(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	p := f.processes[random.IntN(len(f.processes))]
 	outgoing := random.IntN(2) == 0
@@ -205,7 +203,7 @@
 	return p.name
 }
 
-// halves partitions the cores and registries into two sides; nodes reach both.
+// halves partitions the cores and registries; nodes reach both sides.
 func halves(f *Fleet, ctx context.Context, random *rand.Rand) string {
 	var one, rest []*process
 	for _, p := range append(f.withRole(roleCore), f.withRole(roleRegistry)...) {
@@ -226,8 +224,7 @@
 	return "cores and desks"
 }
 
-// withEndpoint calls action for a random endpoint. It is skipped if the endpoint has another
-// fault.
+// withEndpoint calls action for a random endpoint, unless that has another fault.
 func (r *replicas) withEndpoint(random *rand.Rand, action func(p *endpoint)) string {
 	p := r.endpoints[random.IntN(len(r.endpoints))]
 	select {
@@ -240,7 +237,6 @@
 	return p.address
 }
 
-// kinds returns the kinds of faults of this run.
 func (f *Fleet) kinds() []faultKind {
 	kinds := append(append([]faultKind(nil), processFaults...), linkFaults...)
 	if f.DiskBinary != "" {
@@ -249,8 +245,7 @@
 	return kinds
 }
 
-// injectFaults starts random faults for Length, which may overlap, and returns when all
-// are over.
+// injectFaults starts random faults for Length, and returns when all are over.
 func (f *Fleet) injectFaults(ctx context.Context) {
 	totalWeight, kinds := 0, f.kinds()
 	for _, kind := range kinds {
@@ -281,9 +276,8 @@
 	}
 }
 
-// settle lets requesters run after the faults. Once the fleet has recovered, one replica
-// of each service leaves in an orderly way: without faults, no request may reach it after
-// drainTimeout.
+// settle lets requesters run after the faults. One replica of each service leaves once the
+// fleet has recovered: without faults, no request may reach it after drainTimeout.
 func (f *Fleet) settle(ctx context.Context) {
 	pause(ctx, contactTimeout+time.Second)
 	done := make(chan struct{})
@@ -301,7 +295,6 @@
 	pause(ctx, f.Settle)
 }
 
-// injectFault injects one fault and records it.
 func (f *Fleet) injectFault(ctx context.Context, kind faultKind, random *rand.Rand) {
 	t := fault{Kind: kind.name, From: f.now()}
 	if t.Target = kind.inject(f, ctx, random); t.Target == "" {
--- a/rehearsalkit/soak/fleet.go
+++ b/rehearsalkit/soak/fleet.go
@@ -1,11 +1,8 @@
-// Package soak runs cores, registries and relaying nodes as real processes
-// over real sockets, and injects seeded random faults that overlap: kills, freezes,
-// shutdowns, reloads, network cuts, delays, connection resets, disk faults and losses,
-// concurrent table updates, and misbehaving replicas and requesters. The processes run
-// with strict invariants. After the run, the record of what requesters, replicas and
-// operators saw is checked against the rules in judge.go. The seed determines
-// the faults and the pauses between them; requesters and replicas draw from the global
-// random source. Start reading at Run.
+// Package soak runs cores, registries and relaying nodes as processes with strict invariants,
+// and injects random, overlapping faults of processes, links, disks, replicas and requesters.
+// The rules in judge.go check the record of what requesters, replicas and operators saw. The
+// seed determines the faults and the pauses between them; requesters and replicas draw from
+// the global random source. Start reading at Run.
 package soak
 
 import (
@@ -22,7 +19,7 @@
 	"saffronfall/rehearsalkit/links"
 )
 
-// Time bounds and limits, used for the fleet's settings and for the checks.
+// Time bounds and limits, for the fleet's settings and for the checks.
 const (
 	heartbeatInterval = 300 * time.Millisecond
 	gracePeriod       = 1800 * time.Millisecond
@@ -32,18 +29,17 @@
 	rateWindow        = 5 * time.Second
 	rateSlack         = 2
 	historyRetention  = time.Minute
-	// routeTimeout is the timeout of every route.
-	routeTimeout = 3 * time.Second
+	routeTimeout      = 3 * time.Second
 )
 
 // Options configures a run.
 type Options struct {
 	Binary, Folder string
-	// DiskBinary runs cores on fault-injecting disks. If empty, there are no disk faults.
+	// DiskBinary runs cores on fault-injecting disks, or is empty for no disk faults.
 	DiskBinary string
 	Seed       uint64
-	// Calm is how long requesters run before the first fault, Length how long faults
-	// are injected, Settle how long requesters run after the last fault.
+	// Requesters run for Calm before the first fault, faults are injected for Length, and
+	// requesters run for Settle after the last fault.
 	Calm, Length, Settle time.Duration
 	// FaultRate is the mean number of faults a second.
 	FaultRate float64
@@ -60,9 +56,9 @@
 	replicas  *replicas
 	operator  *tableOperator
 	client    *http.Client
-	// busy holds a lock for each process, so that it has one fault of its own at a time.
+	// busy holds a lock for each process, which has one fault of its own at a time.
 	busy map[*process]chan struct{}
-	// diskLost is the lock that allows one lost disk at a time.
+	// diskLost is a lock: one disk may be lost at a time.
 	diskLost chan struct{}
 }
 
@@ -71,24 +67,35 @@
 
 func (b Breach) String() string { return b.Rule + ": " + b.Text }
 
-// host returns the loopback address of a machine. Seeds that run in parallel use
-// different networks.
+// host returns a loopback address. Seeds that run in parallel use different networks.
 func (o Options) host(kind, number int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 64+o.Seed%128, kind, number)
 }
 
-// Kinds of hosts.
 const (
 	hostFleet   = 1
 	hostReplica = 9
 )
 
 func newFleet(ctx context.Context, o Options) (*Fleet, error) {
-	f := &Fleet{Options: o, recorder: newRecorder(ctx), random: rand.New(rand.NewPCG(o.Seed, 21)), links: links.New(ctx), busy: map[*process]chan struct{}{},
-		diskLost: make(chan struct{}, 1), client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
+	f := &Fleet{
+		Options:  o,
+		recorder: newRecorder(ctx),
+		random:   rand.New(rand.NewPCG(o.Seed, 21)),
+		links:    links.New(ctx),
+		busy:     map[*process]chan struct{}{},
+		diskLost: make(chan struct{}, 1),
+		client:   &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
+	}
 	f.replicas, f.operator = newReplicas(f), &tableOperator{fleet: f}
 	for i, name := range []string{"core1", "core2", "core3", "desk1", "desk2", "node1", "node2", "node3"} {
-		p := &process{fleet: f, name: name, role: map[string]string{"core": roleCore, "desk": roleRegistry, "node": roleNode}[name[:4]], ip: o.host(hostFleet, i+1), folder: filepath.Join(o.Folder, name)}
+		p := &process{
+			fleet:  f,
+			name:   name,
+			role:   map[string]string{"core": roleCore, "desk": roleRegistry, "node": roleNode}[name[:4]],
+			ip:     o.host(hostFleet, i+1),
+			folder: filepath.Join(o.Folder, name),
+		}
 		f.processes = append(f.processes, p)
 		f.busy[p] = make(chan struct{}, 1)
 	}
@@ -111,11 +118,34 @@
 	for _, registry := range f.withRole(roleRegistry) {
 		seeds = append(seeds, registry.address(relayedPort))
 	}
-	s := map[string]any{"id": p.name, "zone": zone, "seeds": seeds, "fleet_secret": fleetSecret, "operator_key": operatorKey, "replica_key": replicaKey,
-		"peer_listen": p.address(peerPort), "peer_advertise": p.address(relayedPort), "operator_listen": p.address(operatorPort), "metrics_listen": p.address(metricsPort),
-		"owner_term_ms": contactTimeout.Milliseconds() / 6, "member_term_ms": contactTimeout.Milliseconds() / 2, "pull_ms": 150, "retry_ms": 125, "core_gone_ms": 2200,
-		"grace_ms": gracePeriod.Milliseconds(), "beat_ms": heartbeatInterval.Milliseconds(), "follow_ms": heartbeatInterval.Milliseconds() / 2, "order_ms": 3000, "rate_window_ms": rateWindow.Milliseconds(),
-		"rate_overshoot": 0.1, "rate_slack": rateSlack, "dial_ms": 300, "not_ready_ms": 700, "cold_start": true, "strict_invariants": true}
+	s := map[string]any{
+		"id":                p.name,
+		"zone":              zone,
+		"seeds":             seeds,
+		"fleet_secret":      fleetSecret,
+		"operator_key":      operatorKey,
+		"replica_key":       replicaKey,
+		"peer_listen":       p.address(peerPort),
+		"peer_advertise":    p.address(relayedPort),
+		"operator_listen":   p.address(operatorPort),
+		"metrics_listen":    p.address(metricsPort),
+		"owner_term_ms":     contactTimeout.Milliseconds() / 6,
+		"member_term_ms":    contactTimeout.Milliseconds() / 2,
+		"pull_ms":           150,
+		"retry_ms":          125,
+		"core_gone_ms":      2200,
+		"grace_ms":          gracePeriod.Milliseconds(),
+		"beat_ms":           heartbeatInterval.Milliseconds(),
+		"follow_ms":         heartbeatInterval.Milliseconds() / 2,
+		"order_ms":          3000,
+		"rate_window_ms":    rateWindow.Milliseconds(),
+		"rate_overshoot":    0.1,
+		"rate_slack":        rateSlack,
+		"dial_ms":           300,
+		"not_ready_ms":      700,
+		"cold_start":        true,
+		"strict_invariants": true,
+	}
 	switch p.role {
 	case roleCore:
 		s["folder"] = p.dataFolder()
@@ -127,7 +157,6 @@
 	return s
 }
 
-// withRole returns the processes of a role.
 func (f *Fleet) withRole(role string) (list []*process) {
 	for _, p := range f.processes {
 		if p.role == role {
@@ -137,8 +166,7 @@
 	return list
 }
 
-// start starts all processes and replicas, applies the first table, and waits until all
-// nodes are ready.
+// start starts the fleet with a first table and waits until all nodes are ready.
 func (f *Fleet) start(ctx context.Context) error {
 	for _, p := range f.processes {
 		if err := p.writeSettings(nil); err != nil {
@@ -159,7 +187,7 @@
 		}
 	}
 	for _, p := range f.processes {
-		// Only the first start of the fleet may found it.
+		// Only the first start may found the fleet.
 		p.settings["cold_start"], p.settings["founds"] = false, false
 		if p.role != roleRegistry {
 			delete(p.settings, "founds")
@@ -171,8 +199,7 @@
 	return nil
 }
 
-// waitUntil polls until met returns true. It returns false after within, or when the
-// context ends.
+// waitUntil polls met. It returns false after within or when the context ends.
 func (f *Fleet) waitUntil(ctx context.Context, within time.Duration, met func() bool) bool {
 	for end := f.now() + within; f.now() < end && ctx.Err() == nil; pause(ctx, 50*time.Millisecond) {
 		if met() {
@@ -191,7 +218,6 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// stop kills all processes.
 func (f *Fleet) stop() {
 	for _, p := range f.processes {
 		p.signal(syscall.SIGCONT)
@@ -210,7 +236,7 @@
 	Runs int
 }
 
-// startFailure reports a fleet that did not start, with the faults found in its logs.
+// startFailure reports the cause and the faults found in the logs.
 func (f *Fleet) startFailure(cause error) Report {
 	for _, p := range f.processes {
 		p.checkExit()
@@ -242,7 +268,14 @@
 	<-ended
 	f.checkReleased(ctx, base)
 	all := f.snapshot()
-	report := Report{Seed: o.Seed, Breaches: all.judge(), Faults: all.Faults, Served: map[string]int{}, Asked: map[string]int{}, Runs: len(all.Runs)}
+	report := Report{
+		Seed:     o.Seed,
+		Breaches: all.judge(),
+		Faults:   all.Faults,
+		Served:   map[string]int{},
+		Asked:    map[string]int{},
+		Runs:     len(all.Runs),
+	}
 	for _, q := range all.Requests {
 		if !q.Misbehaving {
 			report.Asked[q.Kind]++
--- a/rehearsalkit/soak/judge.go
+++ b/rehearsalkit/soak/judge.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Rules that a run is checked against, by the names that reports print.
+// Names of the rules in reports.
 const (
 	RuleOnce          = "runs at most once"
 	RuleNotRun        = "refused is never run"
@@ -33,14 +33,16 @@
 // requestKey identifies a request: attempt ids are unique within a tenant only.
 func requestKey(tenant, attempt string) string { return tenant + "/" + attempt }
 
-// judge checks the record against all rules and returns the breaches.
 func (r *record) judge() []Breach {
 	runs := map[string][]run{}
 	for _, ran := range r.Runs {
 		runs[requestKey(ran.Tenant, ran.Attempt)] = append(runs[requestKey(ran.Tenant, ran.Attempt)], ran)
 	}
 	list := r.Breaches
-	for _, rule := range []func(runs map[string][]run) []Breach{r.judgeRuns, r.judgeAnswers, r.judgeRequested, r.judgeBudgets, r.judgeHistory, r.judgeRate, r.judgeTables, r.judgeLeaving, r.judgeDeadlines, r.judgeServed} {
+	for _, rule := range []func(runs map[string][]run) []Breach{
+		r.judgeRuns, r.judgeAnswers, r.judgeRequested, r.judgeBudgets, r.judgeHistory, r.judgeRate,
+		r.judgeTables, r.judgeLeaving, r.judgeDeadlines, r.judgeServed,
+	} {
 		list = append(list, rule(runs)...)
 	}
 	return list
@@ -50,12 +52,17 @@
 	return Breach{Rule: rule, Text: fmt.Sprintf(format, args...)}
 }
 
-// notRunStatuses are the statuses that guarantee that a request has not run and never
-// will.
-var notRunStatuses = map[int]bool{http.StatusPaymentRequired: true, http.StatusUnauthorized: true, http.StatusNotFound: true, http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true, http.StatusRequestTimeout: true}
+// notRunStatuses guarantee that a request has not run and never will.
+var notRunStatuses = map[int]bool{
+	http.StatusPaymentRequired:    true,
+	http.StatusUnauthorized:       true,
+	http.StatusNotFound:           true,
+	http.StatusTooManyRequests:    true,
+	http.StatusServiceUnavailable: true,
+	http.StatusRequestTimeout:     true,
+}
 
-// judgeRuns finds once-only requests that ran twice, and requests that ran although they
-// were refused.
+// judgeRuns finds once-only requests that ran twice and refused requests that ran.
 func (r *record) judgeRuns(runs map[string][]run) (list []Breach) {
 	for _, q := range r.Requests {
 		ran := runs[requestKey(q.Tenant, q.Attempt)]
@@ -66,7 +73,8 @@
 			list = append(list, breach(RuleOnce, "%s at %s ran %d times: %+v", q.Attempt, q.Node, len(ran), ran))
 		}
 		if notRunStatuses[q.Status] && len(ran) > 0 {
-			list = append(list, breach(RuleNotRun, "%s of %s at %s was answered %d at %v and ran at %v", q.Attempt, q.Tenant, q.Node, q.Status, q.Ended, ran[0].At))
+			list = append(list, breach(RuleNotRun, "%s of %s at %s was answered %d at %v and ran at %v",
+				q.Attempt, q.Tenant, q.Node, q.Status, q.Ended, ran[0].At))
 		}
 	}
 	return list
@@ -89,7 +97,8 @@
 			}
 		}
 		if !given {
-			list = append(list, breach(RuleAnswers, "%s of %s at %s got an answer that no replica sent: %.200q", q.Attempt, q.Tenant, q.Node, q.Answer))
+			list = append(list, breach(RuleAnswers, "%s of %s at %s got an answer that no replica sent: %.200q",
+				q.Attempt, q.Tenant, q.Node, q.Answer))
 		}
 	}
 	return list
@@ -103,8 +112,7 @@
 	return text.String()
 }
 
-// judgeRequested finds runs without a request, or with another method, path, service or
-// body.
+// judgeRequested finds runs that do not equal a request.
 func (r *record) judgeRequested(map[string][]run) (list []Breach) {
 	requested := map[string]*request{}
 	for _, q := range r.Requests {
@@ -129,8 +137,7 @@
 	return list
 }
 
-// judgeBudgets finds programs that got more tokens than their budgets allow, and turns
-// that were refused although the budget sufficed.
+// judgeBudgets finds exceeded budgets, and turns refused although the budget sufficed.
 func (r *record) judgeBudgets(map[string][]run) (list []Breach) {
 	type spending struct{ got, budget, most int64 }
 	programs := map[string]*spending{}
@@ -145,21 +152,23 @@
 			programs[requestKey(q.Tenant, q.Program)] = b
 		}
 		if q.Status == http.StatusPaymentRequired && b.most+turnTokens <= b.budget {
-			list = append(list, breach(RuleBudgetRefusal, "%s was refused although program %s had requested at most %d of its %d tokens", q.Attempt, q.Program, b.most, b.budget))
+			list = append(list, breach(RuleBudgetRefusal, "%s was refused although program %s had requested at most %d of its %d tokens",
+				q.Attempt, q.Program, b.most, b.budget))
 		}
 		b.most += turnTokens
 		b.got += tokensPerEvent * int64(strings.Count(q.Answer, "data: "))
 	}
 	for program, b := range programs {
 		if b.got > b.budget+turnTokens {
-			list = append(list, breach(RuleBudget, "program %s got %d tokens; its budget is %d and the limit of a turn %d", program, b.got, b.budget, turnTokens))
+			list = append(list, breach(RuleBudget, "program %s got %d tokens; its budget is %d and the limit of a turn %d",
+				program, b.got, b.budget, turnTokens))
 		}
 	}
 	return list
 }
 
 // judgeHistory finds turns answered 404 although the turn that they continue was complete
-// and within its retention time.
+// and retained.
 func (r *record) judgeHistory(map[string][]run) (list []Breach) {
 	completed := map[string]time.Duration{}
 	for _, q := range r.Requests {
@@ -170,13 +179,14 @@
 	for _, q := range r.Requests {
 		ended, ok := completed[requestKey(q.Tenant, q.Previous)]
 		if q.Status == http.StatusNotFound && q.Previous != "" && ok && q.Began < ended+historyRetention {
-			list = append(list, breach(RuleHistory, "%s of %s at %s got 404 at %v; %s was complete at %v", q.Attempt, q.Tenant, q.Node, q.Ended, q.Previous, ended))
+			list = append(list, breach(RuleHistory, "%s of %s at %s got 404 at %v; %s was complete at %v",
+				q.Attempt, q.Tenant, q.Node, q.Ended, q.Previous, ended))
 		}
 	}
 	return list
 }
 
-// judgeRate checks the runs of the rate-limited tenant in a sliding window.
+// judgeRate checks the rate-limited tenant in a sliding window.
 func (r *record) judgeRate(map[string][]run) []Breach {
 	most := int((limitedRate*rateWindow.Seconds()+limitedBurst)*1.1) + rateSlack
 	var window []time.Duration
@@ -189,14 +199,14 @@
 			window = window[1:]
 		}
 		if len(window) > most {
-			return []Breach{breach(RuleRate, "%d requests of tenant %s ran in the %v up to %v; the limit is %d", len(window), tenantLimited, rateWindow, ran.At, most)}
+			return []Breach{breach(RuleRate, "%d requests of tenant %s ran in the %v up to %v; the limit is %d",
+				len(window), tenantLimited, rateWindow, ran.At, most)}
 		}
 	}
 	return nil
 }
 
-// judgeTables finds acknowledged tables that are invalid, conflict on one base, or are
-// not read back.
+// judgeTables finds acknowledged tables that are invalid, share a base or are not read back.
 func (r *record) judgeTables(map[string][]run) (list []Breach) {
 	acknowledged := map[uint64]uint64{}
 	for _, o := range r.TableUpdates {
@@ -214,7 +224,8 @@
 	for _, read := range r.TableReads {
 		for _, o := range r.TableUpdates {
 			if o.Status == http.StatusOK && o.Ended+applyTimeout < read.Began && read.Number < o.Number {
-				list = append(list, breach(RuleTables, "%s returned table %d at %v; table %d was acknowledged at %v", read.Registry, read.Number, read.Ended, o.Number, o.Ended))
+				list = append(list, breach(RuleTables, "%s returned table %d at %v; table %d was acknowledged at %v",
+					read.Registry, read.Number, read.Ended, o.Number, o.Ended))
 			}
 		}
 	}
@@ -222,7 +233,7 @@
 }
 
 // judgeLeaving finds requests that reached a replica more than drainTimeout after a registry
-// acknowledged that it leaves, while there was no fault.
+// acknowledged its departure, if there was no fault.
 func (r *record) judgeLeaving(map[string][]run) (list []Breach) {
 	departures := map[string]time.Duration{}
 	for _, w := range r.Departures {
@@ -235,14 +246,14 @@
 	for _, ran := range r.Runs {
 		at, ok := departures[ran.Replica]
 		if ok && ran.At > at+drainTimeout && r.faultFree(at, ran.At) {
-			list = append(list, breach(RuleLeaving, "%s ran at %s by %s at %v; a desk had acknowledged at %v that it leaves", ran.Attempt, ran.Replica, nodes[requestKey(ran.Tenant, ran.Attempt)], ran.At, at))
+			list = append(list, breach(RuleLeaving, "%s ran at %s by %s at %v; a desk had acknowledged at %v that it leaves",
+				ran.Attempt, ran.Replica, nodes[requestKey(ran.Tenant, ran.Attempt)], ran.At, at))
 		}
 	}
 	return list
 }
 
-// faultFree reports whether no process or link had a fault in a time span or within
-// contactTimeout before it.
+// faultFree ignores faults of replicas. Others count until contactTimeout after their end.
 func (r *record) faultFree(from, to time.Duration) bool {
 	for _, t := range r.Faults {
 		if !strings.HasPrefix(t.Kind, "replica") && t.From < to && from < t.To+contactTimeout {
@@ -252,19 +263,19 @@
 	return true
 }
 
-// judgeDeadlines finds requests that were not ended in time although their node had no
-// fault.
+// judgeDeadlines finds requests that ended late although their node had no fault.
 func (r *record) judgeDeadlines(map[string][]run) (list []Breach) {
 	for _, q := range r.Requests {
 		if q.Misbehaving || q.Ended < 0 || q.Ended-q.Began < deadline+answerGrace || r.affected(q.Node, q.Began-time.Second, q.Ended) {
 			continue
 		}
-		list = append(list, breach(RuleDeadline, "%s of kind %s at %s was sent at %v and ended at %v with %d", q.Attempt, q.Kind, q.Node, q.Began, q.Ended, q.Status))
+		list = append(list, breach(RuleDeadline, "%s of kind %s at %s was sent at %v and ended at %v with %d",
+			q.Attempt, q.Kind, q.Node, q.Began, q.Ended, q.Status))
 	}
 	return list
 }
 
-// affected reports whether a process had a fault in a time span.
+// affected counts a fault of the process until a second after its end.
 func (r *record) affected(process string, from, to time.Duration) bool {
 	for _, t := range r.Faults {
 		if slices.Contains(strings.Fields(t.Target), process) && t.From < to && from < t.To+time.Second {
@@ -274,11 +285,10 @@
 	return false
 }
 
-// servedShare is the least share of requests that must be served after the faults.
-// Replicas go on misbehaving, so it is below 1.
+// servedShare is the least share of requests to be served after the faults. It is below 1
+// because replicas still misbehave.
 const servedShare = 0.5
 
-// judgeServed checks that enough requests were served after the last fault.
 func (r *record) judgeServed(map[string][]run) (list []Breach) {
 	var lastFault time.Duration
 	for _, t := range r.Faults {
@@ -286,7 +296,8 @@
 	}
 	requested, served := map[string]int{}, map[string]int{}
 	for _, q := range r.Requests {
-		if q.Misbehaving || q.Tenant == tenantLimited || q.Began < lastFault+contactTimeout || q.Ended < 0 || q.Status == http.StatusPaymentRequired {
+		if q.Misbehaving || q.Tenant == tenantLimited || q.Began < lastFault+contactTimeout ||
+			q.Ended < 0 || q.Status == http.StatusPaymentRequired {
 			continue
 		}
 		requested[q.Kind]++
--- a/rehearsalkit/soak/misbehaving.go
+++ b/rehearsalkit/soak/misbehaving.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// misbehavior is one way in which a requester breaks the protocol or holds a connection.
+// misbehavior breaks the protocol or holds a connection.
 type misbehavior func(f *Fleet, ctx context.Context, name string)
 
-// misbehaviors are all kinds of misbehavior.
-var misbehaviors = []misbehavior{halfBody, readsNothing, closesEarly, dripsHead, pipelines, repeatsAttempt, wrongKey, hugeHead, announcesMuch}
+var misbehaviors = []misbehavior{
+	halfBody, readsNothing, closesEarly, dripsHead, pipelines, repeatsAttempt,
+	wrongKey, hugeHead, announcesMuch,
+}
 
-// misbehavingAtOnce is the largest number of concurrent misbehaving requesters.
 const misbehavingAtOnce = 6
 
-// runMisbehaving starts misbehaving requesters until the context ends, and waits for them.
 func (f *Fleet) runMisbehaving(ctx context.Context) {
 	slots, started := make(chan struct{}, misbehavingAtOnce), 0
 	done := make(chan struct{}, 1<<16)
@@ -39,7 +39,6 @@
 	}
 }
 
-// openMisbehaving records a misbehaving request and opens a connection for it.
 func (f *Fleet) openMisbehaving(kind, method, name, body string) (*request, *connection) {
 	return f.open(misbehavingRequest(kind, method, name, body))
 }
@@ -48,8 +47,7 @@
 	return &request{Attempt: name, Kind: kind, Tenant: tenantFirst, Method: method, Path: "/" + kind + "/x", Body: body, Misbehaving: true}
 }
 
-// open opens a connection and records the request. It returns nil for both if the
-// connection fails.
+// open opens a connection and records the request, or returns nil for both if that fails.
 func (f *Fleet) open(q *request) (*request, *connection) {
 	c, err := dialNode(f.anyNode())
 	if err != nil {
@@ -59,11 +57,9 @@
 	return q, c
 }
 
-// holdTime is how long a misbehaving requester keeps its connection open. It is longer
-// than any request may last.
+// holdTime is longer than any request may last.
 const holdTime = 12 * time.Second
 
-// hold keeps a connection open without reading, and closes it after holdTime.
 func hold(ctx context.Context, c net.Conn) {
 	pause(ctx, holdTime)
 	c.Close()
@@ -85,7 +81,6 @@
 	}
 }
 
-// readsNothing requests a large stream and reads none of it.
 func readsNothing(f *Fleet, ctx context.Context, name string) {
 	large := misbehavingRequest(kindChat, http.MethodPost, name, "much")
 	large.Path = pathLarge
@@ -117,7 +112,6 @@
 	}
 }
 
-// dripsHead sends the request head byte by byte.
 func dripsHead(f *Fleet, ctx context.Context, name string) {
 	q, c := f.openMisbehaving(kindAlert, http.MethodGet, name, "")
 	if c == nil {
@@ -132,14 +126,21 @@
 	}
 }
 
-// pipelines sends two requests without waiting for the first answer.
 func pipelines(f *Fleet, ctx context.Context, name string) {
 	first, c := f.openMisbehaving(kindAlert, http.MethodGet, name+"a", "")
 	if c == nil {
 		return
 	}
 	defer c.Close()
-	second := &request{Attempt: name + "b", Kind: kindOnce, Tenant: tenantFirst, Method: http.MethodPost, Path: "/" + kindOnce + "/x", Body: "second", Misbehaving: true}
+	second := &request{
+		Attempt:     name + "b",
+		Kind:        kindOnce,
+		Tenant:      tenantFirst,
+		Method:      http.MethodPost,
+		Path:        "/" + kindOnce + "/x",
+		Body:        "second",
+		Misbehaving: true,
+	}
 	f.recordStart(second, c.node)
 	c.SetDeadline(time.Now().Add(deadline + answerGrace))
 	io.WriteString(c, first.head(keyOf(tenantFirst))+second.head(keyOf(tenantFirst))+second.Body)
@@ -155,13 +156,23 @@
 		if err != nil || ctx.Err() != nil {
 			return
 		}
-		q := &request{Attempt: name, Kind: kindChat, Tenant: tenantFirst, Method: http.MethodPost, Path: "/" + kindChat + "/x", Body: "again", Program: "p-" + name, Budget: 2*turnTokens + 5, Misbehaving: true, Repeats: true}
+		q := &request{
+			Attempt:     name,
+			Kind:        kindChat,
+			Tenant:      tenantFirst,
+			Method:      http.MethodPost,
+			Path:        "/" + kindChat + "/x",
+			Body:        "again",
+			Program:     "p-" + name,
+			Budget:      2*turnTokens + 5,
+			Misbehaving: true,
+			Repeats:     true,
+		}
 		f.ask(c, q)
 		c.Close()
 	}
 }
 
-// wrongKey sends a request with an unknown key.
 func wrongKey(f *Fleet, ctx context.Context, name string) {
 	stranger := misbehavingRequest(kindOnce, http.MethodPost, name, "with a wrong key")
 	stranger.Tenant = ""
--- a/rehearsalkit/soak/operator.go
+++ b/rehearsalkit/soak/operator.go
@@ -15,31 +15,35 @@
 	"saffronfall/rule/route"
 )
 
-// tableOperator applies routing tables, as an operator does. It is used by one goroutine
-// at a time.
+// tableOperator applies routing tables. It is used by one goroutine at a time.
 type tableOperator struct {
 	fleet *Fleet
-	// known is the newest table that was acknowledged or read. number is the highest
-	// table number used.
+	// known is the newest table acknowledged or read, number the highest number used.
 	known  uint64
 	number uint64
 }
 
-// newRoute returns a route of the soak's tables, named after the kind of requests.
 func newRoute(kind, mode, service string, tries int64) route.Route {
-	return route.Route{Name: kind, Host: host, Prefix: "/" + kind + "/", Mode: mode, TimeoutMS: float64(routeTimeout.Milliseconds()), MaxAttempts: tries, KeepSeconds: 60,
-		Targets: []route.Target{{Service: service, Weight: 1}}}
+	return route.Route{
+		Name:        kind,
+		Host:        host,
+		Prefix:      "/" + kind + "/",
+		Mode:        mode,
+		TimeoutMS:   float64(routeTimeout.Milliseconds()),
+		MaxAttempts: tries,
+		KeepSeconds: 60,
+		Targets:     []route.Target{{Service: service, Weight: 1}},
+	}
 }
 
 func routeName(number uint64) string { return fmt.Sprint("mark-", number) }
 
-// numberedRoute returns the route that only the table with this number has.
+// numberedRoute is the route that only the table with this number has.
 func numberedRoute(number uint64) route.Route {
 	return newRoute(routeName(number), route.Repeatable, serviceApp, 2)
 }
 
-// tableText encodes the table with a number. Every table has one route of its own, so that
-// no two are equal.
+// tableText encodes the table with a number. No two are equal, since each has its own route.
 func tableText(number uint64) []byte {
 	tenant := func(name string, rate, burst float64) route.Tenant {
 		return route.Tenant{Name: name, Keys: []string{configuration.KeyDigest(keyOf(name))}, Rate: rate, Burst: burst}
@@ -47,9 +51,18 @@
 	chat, kept := newRoute(kindChat, route.Stream, serviceModel, 2), newRoute(kindKept, route.Stream, serviceModel, 2)
 	chat.Resumable, kept.KeepHistory, kept.KeepSeconds = true, true, historyRetention.Seconds()
 	t := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20},
-		Routes:   []route.Route{newRoute(kindAlert, route.Repeatable, serviceApp, 2), newRoute(kindOnce, route.Once, serviceApp, 3), chat, kept, numberedRoute(number)},
-		Services: []route.Service{{Name: serviceModel, Connections: 100, TokensPerEvent: tokensPerEvent, Slots: 8}, {Name: serviceApp, Connections: 100, TokensPerEvent: 1, Slots: 8}},
-		Tenants:  []route.Tenant{tenant(tenantFirst, 0, 0), tenant(tenantSecond, 0, 0), tenant(tenantLimited, limitedRate, limitedBurst)}}
+		Routes: []route.Route{
+			newRoute(kindAlert, route.Repeatable, serviceApp, 2),
+			newRoute(kindOnce, route.Once, serviceApp, 3),
+			chat,
+			kept,
+			numberedRoute(number),
+		},
+		Services: []route.Service{
+			{Name: serviceModel, Connections: 100, TokensPerEvent: tokensPerEvent, Slots: 8},
+			{Name: serviceApp, Connections: 100, TokensPerEvent: 1, Slots: 8},
+		},
+		Tenants: []route.Tenant{tenant(tenantFirst, 0, 0), tenant(tenantSecond, 0, 0), tenant(tenantLimited, limitedRate, limitedBurst)}}
 	raw, err := json.Marshal(t)
 	if err != nil {
 		panic(err)
@@ -57,8 +70,7 @@
 	return raw
 }
 
-// apply sends a whole table to a registry and returns the status of the answer, or 0 if there
-// was none.
+// apply sends a whole table and returns the status of the answer, or 0 if there was none.
 func (t *tableOperator) apply(ctx context.Context, registry *process, base, number uint64) int {
 	return t.applyText(ctx, registry, tableUpdate{Base: base, Number: number, Valid: true}, tableText(number))
 }
@@ -69,7 +81,11 @@
 
 // amend sends only the difference between the tables with the numbers base and number.
 func (t *tableOperator) amend(ctx context.Context, registry *process, base, number uint64) int {
-	a := route.Amendment{Number: number, Set: route.SetItems{Routes: []route.Route{numberedRoute(number)}}, Remove: route.RemovedNames{Routes: []string{routeName(base)}}}
+	a := route.Amendment{
+		Number: number,
+		Set:    route.SetItems{Routes: []route.Route{numberedRoute(number)}},
+		Remove: route.RemovedNames{Routes: []string{routeName(base)}},
+	}
 	body, err := json.Marshal(a)
 	if err != nil {
 		panic(err)
@@ -77,7 +93,6 @@
 	return t.send(ctx, http.MethodPatch, registry, tableUpdate{Base: base, Number: number, Valid: true}, body)
 }
 
-// send sends a table update and records its answer.
 func (t *tableOperator) send(ctx context.Context, method string, registry *process, u tableUpdate, body []byte) int {
 	f := t.fleet
 	u.Began = f.now()
@@ -109,8 +124,8 @@
 	return answer.StatusCode, got
 }
 
-// read reads the active table at a registry and checks that it is what was applied. It reports
-// whether the registry answered.
+// read checks that the active table is what was applied. It reports whether the registry
+// answered.
 func (t *tableOperator) read(ctx context.Context, registry *process) bool {
 	f := t.fleet
 	began := f.now()
@@ -128,7 +143,7 @@
 	return true
 }
 
-// compact returns the canonical encoding of a table, for comparison.
+// compact returns the canonical encoding of a valid table.
 func compact(raw []byte) []byte {
 	parsed, faults := route.Parse(raw)
 	if faults != nil {
@@ -137,8 +152,8 @@
 	return parsed.JSONWithoutSource()
 }
 
-// operate applies tables until the context ends: mostly one after the other, some
-// concurrently on one base, some invalid, some retried after a lost answer.
+// operate applies tables until the context ends: some concurrently on one base, some invalid,
+// some retried after a lost answer.
 func (t *tableOperator) operate(ctx context.Context) {
 	registries := t.fleet.withRole(roleRegistry)
 	for ctx.Err() == nil {
@@ -151,7 +166,7 @@
 		case 1:
 			t.applyText(ctx, registry, tableUpdate{Base: t.known, Number: next}, []byte(fmt.Sprintf(`{"number":%d,"routes":[{"host":"h"}]}`, next)))
 		case 2:
-			// The answer may be lost; the same update is retried at a random registry.
+			// The answer may be lost; the same update is then retried.
 			short, cancel := context.WithTimeout(ctx, time.Duration(rand.IntN(20))*time.Millisecond)
 			base := t.known
 			t.apply(short, registry, base, next)
@@ -160,7 +175,8 @@
 		case 3:
 			t.read(ctx, registry)
 		case 4:
-			t.send(ctx, http.MethodPatch, registry, tableUpdate{Base: t.known, Number: next}, fmt.Appendf(nil, `{"number":%d,"remove":{"services":[%q]}}`, next, serviceModel))
+			t.send(ctx, http.MethodPatch, registry, tableUpdate{Base: t.known, Number: next},
+				fmt.Appendf(nil, `{"number":%d,"remove":{"services":[%q]}}`, next, serviceModel))
 		case 5:
 			short, cancel := context.WithTimeout(ctx, time.Duration(rand.IntN(20))*time.Millisecond)
 			base := t.known
@@ -179,7 +195,6 @@
 	}
 }
 
-// race applies two tables on one base concurrently.
 func (t *tableOperator) race(ctx context.Context, registry, other *process, next uint64) {
 	base, first, second := t.known, *t, *t
 	done := make(chan struct{})
--- a/rehearsalkit/soak/process.go
+++ b/rehearsalkit/soak/process.go
@@ -14,7 +14,6 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Roles of processes.
 const (
 	roleCore     = "core"
 	roleRegistry = "desk"
@@ -40,7 +39,7 @@
 	replicaKey  = "rehearsal-replica"
 )
 
-// process is one process of the fleet, across its incarnations.
+// process lasts across its incarnations.
 type process struct {
 	fleet      *Fleet
 	name, role string
@@ -48,7 +47,7 @@
 	settings   map[string]any
 	command    *exec.Cmd
 	ended      chan error
-	// startedAt is when the current incarnation started.
+	// startedAt is the start of the current incarnation.
 	startedAt time.Duration
 	frozen    bool
 	// incarnations counts the incarnations of a core on a fault-injecting disk.
@@ -63,8 +62,7 @@
 
 func (p *process) logPath() string { return filepath.Join(p.folder, "log") }
 
-// writeSettings replaces the settings file atomically, with the process's settings or, if
-// text is not nil, with text.
+// writeSettings atomically replaces the settings file by text or, if nil, by p.settings.
 func (p *process) writeSettings(text []byte) error {
 	if text == nil {
 		var err error
@@ -108,13 +106,14 @@
 	return nil
 }
 
-// newCommand returns the command of the next incarnation: the shipped program or, for a
-// core with DiskBinary, the same role on a fault-injecting disk.
+// newCommand returns the command of the next incarnation. With DiskBinary, cores run on
+// fault-injecting disks.
 func (p *process) newCommand() *exec.Cmd {
 	o := p.fleet.Options
 	if p.role == roleCore && o.DiskBinary != "" {
 		p.incarnations++
-		return exec.Command(o.DiskBinary, "faulty-core", p.settingsPath(), "--control", p.address(diskPort), "--seed", fmt.Sprint(o.Seed*1000+p.incarnations))
+		return exec.Command(o.DiskBinary, "faulty-core", p.settingsPath(),
+			"--control", p.address(diskPort), "--seed", fmt.Sprint(o.Seed*1000+p.incarnations))
 	}
 	return exec.Command(o.Binary, p.role, p.settingsPath())
 }
@@ -132,10 +131,10 @@
 	}
 }
 
-// exitTimeout is how long a process may take to end after SIGTERM, beyond its grace period.
+// exitTimeout is how long a process may take to end after SIGTERM and its grace period.
 const exitTimeout = 6 * time.Second
 
-// waitExit waits for the end of a process after SIGTERM, and kills it after the timeout.
+// waitExit waits for the end after SIGTERM, and kills the process after the timeout.
 func (p *process) waitExit() {
 	if p.command == nil {
 		return
@@ -155,8 +154,8 @@
 	p.command = nil
 }
 
-// exitedBySIGTERM reports whether the signal itself ended a process, as happens before it
-// has installed its handler.
+// exitedBySIGTERM reports whether the signal itself ended a process, which had not yet
+// installed its handler.
 func exitedBySIGTERM(err error) bool {
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) {
@@ -175,7 +174,7 @@
 	p.command = nil
 }
 
-// checkExit records a breach if the process has ended by itself, and starts it again.
+// checkExit records a breach if the process has ended by itself, and restarts it.
 func (p *process) checkExit() {
 	if p.command == nil {
 		return
@@ -189,7 +188,6 @@
 	}
 }
 
-// tail returns the end of a log.
 func tail(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -199,10 +197,9 @@
 	return string(text[max(0, len(text)-most):])
 }
 
-// faultSigns are texts that must not appear in a log.
+// faultSigns must not appear in a log.
 var faultSigns = []string{"DATA RACE", "panic:", "fatal error:", "an invariant was violated"}
 
-// readLog records a breach for each fault sign in the log.
 func (p *process) readLog() {
 	text, err := os.ReadFile(p.logPath())
 	if err != nil {
@@ -216,7 +213,6 @@
 	}
 }
 
-// pause waits for length or until the context ends.
 func pause(ctx context.Context, length time.Duration) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
--- a/rehearsalkit/soak/record.go
+++ b/rehearsalkit/soak/record.go
@@ -15,32 +15,28 @@
 	kindKept  = "kept"
 )
 
-// request is one request of a simulated client.
 type request struct {
 	Attempt, Kind, Tenant, Node string
 	Method, Path, Body          string
 	// Before is the history that a replica must receive before the body.
 	Before string
-	// Previous is the attempt id of the turn that it continues.
+	// Previous is the attempt id of the turn that this one continues.
 	Previous string
 	Program  string
 	Budget   int64
-	// Misbehaving marks requests that break the protocol: they need not be served or answered
-	// in time.
+	// Misbehaving requests need not be served or answered in time.
 	Misbehaving bool
-	// Repeats marks requests whose attempt id is used more than once.
+	// Repeats marks an attempt id that is used more than once.
 	Repeats bool
 
 	Began time.Duration
 	result
 }
 
-// result is the result of a request.
 type result struct {
 	// Ended is negative until the request has ended.
 	Ended time.Duration
-	// Status is the status of the answer, 0 if there was none. Whole reports whether the answer
-	// is complete.
+	// Status is 0 if there was no answer. Whole marks a complete one.
 	Status int
 	Whole  bool
 	Answer string
@@ -54,7 +50,6 @@
 	Gave string
 }
 
-// tableUpdate is an update of the routing table by an operator.
 type tableUpdate struct {
 	Base, Number uint64
 	Began, Ended time.Duration
@@ -69,13 +64,13 @@
 	Number       uint64
 }
 
-// departure is the time when a registry acknowledged that a replica leaves.
+// departure is when a registry first acknowledged that a replica leaves.
 type departure struct {
 	Replica string
 	At      time.Duration
 }
 
-// fault is one injected fault. Target names what it affected, separated by spaces.
+// fault is an injected fault. Target names what it affected, separated by spaces.
 type fault struct {
 	Kind, Target string
 	From, To     time.Duration
@@ -85,7 +80,6 @@
 	return fmt.Sprintf("%6.2fs to %6.2fs %s %s", t.From.Seconds(), t.To.Seconds(), t.Kind, t.Target)
 }
 
-// record is everything that requesters, replicas and operators saw.
 type record struct {
 	Requests     []*request
 	Runs         []run
@@ -93,11 +87,11 @@
 	TableReads   []tableRead
 	Departures   []departure
 	Faults       []fault
-	// Breaches are breaches that were detected during the run.
+	// Breaches were detected during the run.
 	Breaches []Breach
 }
 
-// recorder owns the record during a run: one goroutine applies all updates.
+// recorder owns the record: one goroutine applies all updates.
 type recorder struct {
 	updates chan func(r *record)
 	ctx     context.Context
@@ -122,7 +116,7 @@
 
 func (c *recorder) now() time.Duration { return time.Since(c.start) }
 
-// update changes the record, and returns when that is done or the run has ended.
+// update returns when the record is changed or the run has ended.
 func (c *recorder) update(change func(r *record)) {
 	done := make(chan struct{})
 	select {
@@ -136,7 +130,6 @@
 	}
 }
 
-// recordBreach records a breach.
 func (c *recorder) recordBreach(rule, format string, args ...any) {
 	c.update(func(r *record) {
 		r.Breaches = append(r.Breaches, Breach{Rule: rule, Text: fmt.Sprintf(format, args...)})
--- a/rehearsalkit/soak/replica.go
+++ b/rehearsalkit/soak/replica.go
@@ -15,14 +15,12 @@
 	"time"
 )
 
-// Services of the routing table.
 const (
 	serviceModel = "model"
 	serviceApp   = "app"
 )
 
-// eventsOfTurn is the number of events of a complete stream, tokensPerEvent the tokens
-// that each counts.
+// eventsOfTurn and eventsOfLarge are the events of complete streams.
 const (
 	eventsOfTurn   = 5
 	tokensPerEvent = 10
@@ -30,7 +28,6 @@
 	turnTokens     = eventsOfTurn * tokensPerEvent
 )
 
-// replicas are all simulated replicas, by endpoint.
 type replicas struct {
 	fleet     *Fleet
 	endpoints []*endpoint
@@ -40,22 +37,21 @@
 type endpoint struct {
 	fleet            *Fleet
 	service, address string
-	// listenAddress is where its replicas listen: the address itself, or behind a relay.
+	// listenAddress differs from address if there is a relay.
 	listenAddress string
 	incarnations  int
 	current       *replica
-	// busy is the lock that allows one fault at a time.
+	// busy is a lock: one fault at a time.
 	busy chan struct{}
 }
 
-// replica is one replica, from its start to its end.
 type replica struct {
 	endpoint *endpoint
 	id       string
 	server   net.Listener
 	cancel   context.CancelFunc
 	ctx      context.Context
-	// leaving is closed when its heartbeats start to announce that it leaves.
+	// leaving is closed when heartbeats start to announce that the replica leaves.
 	leaving chan struct{}
 }
 
@@ -77,7 +73,6 @@
 	return r
 }
 
-// relay starts the relays.
 func (r *replicas) relay(ctx context.Context) error {
 	for _, p := range r.endpoints {
 		if p.listenAddress == p.address {
@@ -96,7 +91,6 @@
 	}
 }
 
-// start starts a new replica at the endpoint.
 func (p *endpoint) start(ctx context.Context) {
 	var listener net.Listener
 	for range 100 {
@@ -111,7 +105,14 @@
 	}
 	p.incarnations++
 	lifetime, cancel := context.WithCancel(ctx)
-	r := &replica{endpoint: p, id: fmt.Sprintf("%s-%s-%d", p.service, strings.ReplaceAll(p.address, ":", "."), p.incarnations), server: listener, ctx: lifetime, cancel: cancel, leaving: make(chan struct{})}
+	r := &replica{
+		endpoint: p,
+		id:       fmt.Sprintf("%s-%s-%d", p.service, strings.ReplaceAll(p.address, ":", "."), p.incarnations),
+		server:   listener,
+		ctx:      lifetime,
+		cancel:   cancel,
+		leaving:  make(chan struct{}),
+	}
 	p.current = r
 	server := &http.Server{Handler: http.HandlerFunc(r.serve)}
 	go server.Serve(listener)
@@ -127,8 +128,8 @@
 	}
 }
 
-// leave announces that the replica leaves, lets it serve for a while and ends it. With
-// deregisterFirst it deregisters at once instead of announcing it by heartbeat first.
+// leave announces that the replica leaves, by deregistration (deregisterFirst) or heartbeat,
+// lets it serve for a while and ends it.
 func (p *endpoint) leave(ctx context.Context, deregisterFirst bool) {
 	r := p.current
 	if r == nil {
@@ -146,7 +147,7 @@
 	p.crash()
 }
 
-// announce sends heartbeats to a registry, and changes to the next registry after a failure.
+// announce sends heartbeats, and changes to the next registry after a failure.
 func (r *replica) announce() {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -159,7 +160,14 @@
 			leaving = true
 		default:
 		}
-		body, _ := json.Marshal(map[string]any{"service": r.endpoint.service, "address": r.endpoint.address, "zone": "zone1", "slots": 8, "leaving": leaving, "call": call})
+		body, _ := json.Marshal(map[string]any{
+			"service": r.endpoint.service,
+			"address": r.endpoint.address,
+			"zone":    "zone1",
+			"slots":   8,
+			"leaving": leaving,
+			"call":    call,
+		})
 		if r.call(http.MethodPut, registries[at], body) {
 			if leaving {
 				r.endpoint.fleet.recordDeparture(r.id)
@@ -180,7 +188,7 @@
 	}
 }
 
-// deregister tells the registries in turn that the replica is gone, until one acknowledges it.
+// deregister tries the registries in turn until one acknowledges.
 func (r *replica) deregister() {
 	for _, registry := range r.endpoint.fleet.withRole(roleRegistry) {
 		if r.call(http.MethodDelete, registry, nil) {
@@ -190,7 +198,6 @@
 	}
 }
 
-// recordDeparture records the first acknowledgement that a replica leaves.
 func (f *Fleet) recordDeparture(id string) {
 	at := f.now()
 	f.update(func(r *record) {
@@ -203,8 +210,7 @@
 	})
 }
 
-// call sends a heartbeat or a deregistration to a registry, and reports whether it was
-// acknowledged within a second.
+// call sends a heartbeat or a deregistration and reports whether it was acknowledged.
 func (r *replica) call(method string, registry *process, body []byte) bool {
 	ctx, cancel := context.WithTimeout(r.ctx, time.Second)
 	defer cancel()
@@ -225,7 +231,6 @@
 // behavior is how a replica handles one request.
 type behavior int
 
-// Behaviors of replicas.
 const (
 	behaviorGood behavior = iota
 	// behaviorFull answers that the request has not run.
@@ -234,7 +239,6 @@
 	behaviorFails
 	// behaviorSwallows closes the connection without an answer after the run.
 	behaviorSwallows
-	// behaviorResets resets the connection after the run.
 	behaviorResets
 	// behaviorHalf closes the connection within the answer.
 	behaviorHalf
@@ -242,18 +246,15 @@
 	behaviorSurplus
 	// behaviorSurplusLater sends an unrelated answer to the next request on the connection.
 	behaviorSurplusLater
-	// behaviorSilent never answers.
 	behaviorSilent
 	// behaviorNonsense sends bytes that are not an HTTP response.
 	behaviorNonsense
 	// behaviorEarly answers without reading the body.
 	behaviorEarly
-	// behaviorLate answers after a delay.
 	behaviorLate
 	behaviorCount
 )
 
-// pickBehavior returns a random behavior, mostly behaviorGood.
 func pickBehavior() behavior {
 	if rand.Float64() < 0.82 {
 		return behaviorGood
@@ -283,7 +284,17 @@
 	}
 	f := r.endpoint.fleet
 	stream := strings.HasPrefix(q.URL.Path, "/"+kindChat+"/") || strings.HasPrefix(q.URL.Path, "/"+kindKept+"/")
-	one := run{At: f.now(), Replica: r.id, Service: r.endpoint.service, Attempt: attempt, Tenant: q.Header.Get("Saffronfall-Tenant"), Method: q.Method, Path: q.URL.Path, Got: string(got), Gave: r.answer(q, stream)}
+	one := run{
+		At:      f.now(),
+		Replica: r.id,
+		Service: r.endpoint.service,
+		Attempt: attempt,
+		Tenant:  q.Header.Get("Saffronfall-Tenant"),
+		Method:  q.Method,
+		Path:    q.URL.Path,
+		Got:     string(got),
+		Gave:    r.answer(q, stream),
+	}
 	if how == behaviorEarly {
 		one.Got = unread
 	}
@@ -305,14 +316,12 @@
 	}
 }
 
-// unread is recorded in place of a body that the replica did not read.
+// unread is recorded for a body that was not read.
 const unread = "(not read)"
 
-// pathLarge is the path of streams that are larger than socket buffers, for requesters
-// that do not read them.
+// pathLarge is the path of streams larger than socket buffers, which requesters do not read.
 const pathLarge = "/" + kindChat + "/large"
 
-// answer returns the complete answer to a request.
 func (r *replica) answer(q *http.Request, stream bool) string {
 	attempt := q.Header.Get("Saffronfall-Attempt")
 	if !stream {
@@ -349,7 +358,6 @@
 	}
 }
 
-// misbehave takes over the connection and answers as the behavior demands.
 func (r *replica) misbehave(w http.ResponseWriter, q *http.Request, one run, how behavior, stream bool) {
 	head := "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: " + one.Attempt + "\r\nSaffronfall-Seal: seal-" + one.Attempt + "\r\n"
 	length := fmt.Sprintf("Content-Length: %d\r\n\r\n", len(one.Gave))
@@ -395,8 +403,8 @@
 // surplusAnswer is an answer that belongs to no request.
 const surplusAnswer = "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: other\r\nSaffronfall-Seal: s\r\nContent-Length: 7\r\n\r\nsurplus"
 
-// waitForByte keeps a connection open until the peer sends a byte or closes it, or for a
-// time. It reports whether a byte came.
+// waitForByte waits until the peer sends a byte or closes the connection, or for within. It
+// reports whether a byte came.
 func (r *replica) waitForByte(c net.Conn, reader *bufio.Reader, within time.Duration) bool {
 	stop := context.AfterFunc(r.ctx, func() { c.Close() })
 	defer stop()
--- a/rehearsalkit/soak/resources.go
+++ b/rehearsalkit/soak/resources.go
@@ -9,12 +9,11 @@
 	"time"
 )
 
-// resources is what a process holds. It must be released when the requesters are gone.
+// resources are held by a process, and must be released when the requesters are gone.
 type resources struct {
 	goroutines, files, live, violations float64
 }
 
-// Names of the metrics that resources are read from.
 const (
 	goroutinesMetric = "go_goroutines"
 	filesMetric      = "process_open_fds"
@@ -22,7 +21,7 @@
 	violationsMetric = "saffronfall_invariant_violations"
 )
 
-// metrics reads the metrics of a process, and reports whether it answered.
+// metrics reports whether the process answered.
 func (f *Fleet) metrics(p *process) (map[string]float64, bool) {
 	answer, err := f.client.Get("http://" + p.address(metricsPort) + "/metrics")
 	if err != nil {
@@ -45,11 +44,15 @@
 
 func (f *Fleet) resources(p *process) (resources, bool) {
 	values, ok := f.metrics(p)
-	return resources{goroutines: values[goroutinesMetric], files: values[filesMetric], live: values[liveMetric], violations: values[violationsMetric]}, ok
+	return resources{
+		goroutines: values[goroutinesMetric],
+		files:      values[filesMetric],
+		live:       values[liveMetric],
+		violations: values[violationsMetric],
+	}, ok
 }
 
-// allResources reads the resources of all processes, as the baseline before requesters
-// start.
+// allResources reads the baseline before requesters start.
 func (f *Fleet) allResources(ctx context.Context) map[*process]resources {
 	all := map[*process]resources{}
 	for _, p := range f.processes {
@@ -62,16 +65,16 @@
 	return all
 }
 
-// Allowance above the baseline: streams between processes come and go, and idle
-// connections to replicas stay open.
+// Allowance above the baseline: streams between processes come and go, and idle connections
+// to replicas stay open.
 const (
 	spareGoroutines = 60
 	spareFiles      = 120
 	releaseTimeout  = 12 * time.Second
 )
 
-// checkReleased checks that all processes return to their baseline once the requesters
-// are gone, and that no invariant was violated and no fault logged.
+// checkReleased checks that all processes return to their baseline without requesters, and
+// that no invariant was violated and no fault logged.
 func (f *Fleet) checkReleased(ctx context.Context, base map[*process]resources) {
 	for _, p := range f.processes {
 		p.checkExit()
@@ -98,7 +101,6 @@
 	}
 }
 
-// readFinalTables reads the table at every registry, retrying until it is answered.
 func (f *Fleet) readFinalTables(ctx context.Context) {
 	for _, registry := range f.withRole(roleRegistry) {
 		reader := &tableOperator{fleet: f}
