--- a/rehearsalkit/fleet/backend.go
+++ b/rehearsalkit/fleet/backend.go
@@ -39,8 +39,8 @@
 	b.run(ctx)
 	for {
 		select {
-		case what := <-f.updates:
-			what(&judge.Record{})
+		case change := <-f.updates:
+			change(&judge.Record{})
 		case <-ctx.Done():
 			return nil
 		}
@@ -88,20 +88,22 @@
 	}
 }
 
-// nilIf returns what or, if already is true, nil, which is never ready in a select.
-func nilIf(already bool, what <-chan struct{}) <-chan struct{} {
+// nilIf returns channel or, if already is true, nil, which is never ready in a select.
+func nilIf(already bool, channel <-chan struct{}) <-chan struct{} {
 	if already {
 		return nil
 	}
-	return what
+	return channel
 }
 
+const announcementTimeout = 400 * time.Millisecond
+
 func (b *backend) sendAnnouncement(at *Process, version string, isLeaving bool) (answer replica.AnnouncementReply, ok bool) {
 	body, _ := json.Marshal(replica.Announcement{
 		Replica: node.Replica{Service: b.service, ID: b.id, Address: b.address, Zone: b.zone, Leaving: isLeaving},
 		Token:   version,
 	})
-	ctx, cancel := context.WithTimeout(b.ctx, 400*time.Millisecond)
+	ctx, cancel := context.WithTimeout(b.ctx, announcementTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, "POST", "http://"+at.requester+"/v1/replicas", bytes.NewReader(body))
 	if err != nil {
--- a/rehearsalkit/fleet/fleet.go
+++ b/rehearsalkit/fleet/fleet.go
@@ -108,11 +108,11 @@
 
 func (f *Fleet) now() time.Duration { return time.Since(f.start) }
 
-// update runs what on the goroutine that owns the record, and returns when it is done.
-func (f *Fleet) update(what func(r *judge.Record)) {
+// update runs change on the goroutine that owns the record, and returns when it is done.
+func (f *Fleet) update(change func(r *judge.Record)) {
 	done := make(chan struct{})
 	select {
-	case f.updates <- func(r *judge.Record) { what(r); close(done) }:
+	case f.updates <- func(r *judge.Record) { change(r); close(done) }:
 		<-done
 	case <-f.ctx.Done():
 	}
@@ -122,8 +122,8 @@
 
 // New creates a fleet with its settings files and the relays of its links. It starts no
 // process.
-func New(ctx context.Context, l Layout) (*Fleet, error) {
-	f := &Fleet{Layout: l, links: links.New(ctx), start: time.Now(), updates: make(chan func(*judge.Record), 64), ctx: ctx,
+func New(ctx context.Context, layout Layout) (*Fleet, error) {
+	f := &Fleet{Layout: layout, links: links.New(ctx), start: time.Now(), updates: make(chan func(*judge.Record), 64), ctx: ctx,
 		record: &judge.Record{}, probeVersions: map[string]uint64{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}}
 	f.record.Limits = judge.Limits{ProgramTokens: 50_000, TurnTokens: 1000, Retention: time.Hour, PropagationLimit: 2 * time.Second,
@@ -132,50 +132,50 @@
 	go func() {
 		for {
 			select {
-			case what := <-f.updates:
-				what(f.record)
+			case change := <-f.updates:
+				change(f.record)
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	for i := 0; i < min(3, l.Cores+l.Nodes); i++ {
+	for i := 0; i < min(3, layout.Cores+layout.Nodes); i++ {
 		f.seeds = append(f.seeds, ipOf(i)+":7000")
 	}
-	for i := 0; i < l.Cores+l.Nodes; i++ {
+	for i := 0; i < layout.Cores+layout.Nodes; i++ {
 		role, name, host := "core", fmt.Sprintf("core%d", i+1), i
-		if i >= l.Cores {
-			host = i - l.Cores
+		if i >= layout.Cores {
+			host = i - layout.Cores
 			role, name = "node", fmt.Sprintf("node%d", host+1)
 		}
-		m, err := f.newProcess(name, role, fmt.Sprintf("zone-%d", host%l.Zones+1), i)
+		process, err := f.newProcess(name, role, fmt.Sprintf("zone-%d", host%layout.Zones+1), i)
 		if err == nil {
-			m.host = host
+			process.host = host
 		}
 		if err != nil {
 			return nil, err
 		}
 		if role == "core" {
-			f.cores = append(f.cores, m)
+			f.cores = append(f.cores, process)
 		} else {
-			f.nodes = append(f.nodes, m)
+			f.nodes = append(f.nodes, process)
 		}
 	}
-	for i := 0; i < l.Models; i++ {
+	for i := 0; i < layout.Models; i++ {
 		f.backends = append(f.backends, &backend{fleet: f, key: replicaKey, service: "model", id: fmt.Sprintf("model%d", i+1),
-			zone: fmt.Sprintf("zone-%d", i%l.Zones+1), address: fmt.Sprintf("127.0.9.%d:7900", i+1)})
+			zone: fmt.Sprintf("zone-%d", i%layout.Zones+1), address: fmt.Sprintf("127.0.9.%d:7900", i+1)})
 	}
-	for n, service := range l.OnceServices {
-		for i := 0; i < l.OnceReplicas; i++ {
+	for n, service := range layout.OnceServices {
+		for i := 0; i < layout.OnceReplicas; i++ {
 			f.backends = append(f.backends, &backend{fleet: f, key: replicaKey, service: service, id: fmt.Sprintf("%s%d", service, i+1),
-				zone: fmt.Sprintf("zone-%d", i%l.Zones+1), address: fmt.Sprintf("127.0.9.%d:7900", 100+20*n+i)})
+				zone: fmt.Sprintf("zone-%d", i%layout.Zones+1), address: fmt.Sprintf("127.0.9.%d:7900", 100+20*n+i)})
 		}
 	}
 	f.backends = append(f.backends, &backend{fleet: f, key: replicaKey, service: "search", id: "search1",
 		zone: "zone-1", address: "127.0.9.200:7900"})
-	for i := 1; i <= l.Tenants; i++ {
+	for i := 1; i <= layout.Tenants; i++ {
 		name := fmt.Sprintf("t%d", i)
-		f.record.Limits.Rate[name], f.record.Limits.Burst[name] = l.Rate, float64(l.Burst)
+		f.record.Limits.Rate[name], f.record.Limits.Burst[name] = layout.Rate, float64(layout.Burst)
 		f.record.Limits.Users[name] = judge.UserLimits{PerMinute: 600, Lockout: 300 * time.Second,
 			Concurrent: 20, Session: 600 * time.Second, DayTokens: 500_000}
 	}
@@ -185,108 +185,111 @@
 func ipOf(i int) string { return fmt.Sprintf("127.0.%d.%d", 1+i/200, 1+i%200) }
 
 func (f *Fleet) newProcess(name, role, zone string, number int) (*Process, error) {
-	m := &Process{Name: name, Role: role, Zone: zone, ip: ipOf(number)}
-	m.requester, m.operator, m.folder = m.ip+":7002", m.ip+":7001", filepath.Join(f.Layout.Folder, m.Name, "data")
+	process := &Process{Name: name, Role: role, Zone: zone, ip: ipOf(number)}
+	process.requester, process.operator, process.folder = process.ip+":7002", process.ip+":7001",
+		filepath.Join(f.Layout.Folder, process.Name, "data")
 	settings := map[string]any{
-		"id":               m.Name,
-		"zone":             m.Zone,
-		"folder":           m.folder,
+		"id":               process.Name,
+		"zone":             process.Zone,
+		"folder":           process.folder,
 		"seeds":            f.seeds,
 		"fleet_secret":     fleetSecret,
 		"operator_key":     operatorKey,
 		"replica_key":      replicaKey,
-		"peer_listen":      m.ip + ":7100",
-		"peer_advertise":   m.ip + ":7000",
-		"operator_listen":  m.operator,
-		"requester_listen": m.requester,
+		"peer_listen":      process.ip + ":7100",
+		"peer_advertise":   process.ip + ":7000",
+		"operator_listen":  process.operator,
+		"requester_listen": process.requester,
 	}
 	for k, v := range f.Layout.Settings {
 		settings[k] = v
 	}
-	if err := os.MkdirAll(m.folder, 0o755); err != nil {
+	if err := os.MkdirAll(process.folder, 0o755); err != nil {
 		return nil, errors.Wrap(err, "folder")
 	}
 	text, _ := json.MarshalIndent(settings, "", "  ")
-	m.settings = filepath.Join(f.Layout.Folder, m.Name, "settings.json")
-	if err := os.WriteFile(m.settings, text, 0o600); err != nil {
+	process.settings = filepath.Join(f.Layout.Folder, process.Name, "settings.json")
+	if err := os.WriteFile(process.settings, text, 0o600); err != nil {
 		return nil, errors.Wrap(err, "settings")
 	}
-	return m, errors.Wrap(f.links.Relay(f.ctx, m.ip+":7000", m.ip+":7100"), "relay")
+	return process, errors.Wrap(f.links.Relay(f.ctx, process.ip+":7000", process.ip+":7100"), "relay")
 }
 
 // Start starts a process, and records a restart unless it is the first start.
-func (f *Fleet) Start(m *Process) error {
-	out, err := os.OpenFile(filepath.Join(f.Layout.Folder, m.Name, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+func (f *Fleet) Start(process *Process) error {
+	out, err := os.OpenFile(filepath.Join(f.Layout.Folder, process.Name, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return errors.Wrap(err, "log")
 	}
 	defer out.Close()
-	if m.command != nil {
-		f.update(func(r *judge.Record) { r.Restarts = append(r.Restarts, judge.Restart{At: f.now(), Process: m.Name}) })
-	}
-	m.command = exec.Command(f.Layout.Binary, m.Role, m.settings)
-	m.command.Stdout, m.command.Stderr = out, out
-	m.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := m.command.Start(); err != nil {
-		return errors.Wrap(err, m.Name)
-	}
-	m.ended = make(chan struct{})
+	if process.command != nil {
+		f.update(func(r *judge.Record) {
+			r.Restarts = append(r.Restarts, judge.Restart{At: f.now(), Process: process.Name})
+		})
+	}
+	process.command = exec.Command(f.Layout.Binary, process.Role, process.settings)
+	process.command.Stdout, process.command.Stderr = out, out
+	process.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := process.command.Start(); err != nil {
+		return errors.Wrap(err, process.Name)
+	}
+	process.ended = make(chan struct{})
 	go func(c *exec.Cmd, ended chan struct{}) {
 		c.Wait()
 		close(ended)
-	}(m.command, m.ended)
+	}(process.command, process.ended)
 	return nil
 }
 
 // Signal sends a signal to a process.
-func (f *Fleet) Signal(m *Process, s syscall.Signal) {
-	if m.command != nil && m.command.Process != nil {
-		m.command.Process.Signal(s)
+func (f *Fleet) Signal(process *Process, s syscall.Signal) {
+	if process.command != nil && process.command.Process != nil {
+		process.command.Process.Signal(s)
 	}
 }
 
-func (f *Fleet) sameHost(m *Process) (list []*Process) {
-	for _, o := range f.processes() {
-		if o.host == m.host {
-			list = append(list, o)
+func (f *Fleet) sameHost(process *Process) (list []*Process) {
+	for _, other := range f.processes() {
+		if other.host == process.host {
+			list = append(list, other)
 		}
 	}
 	return list
 }
 
 // KillHost kills all processes on the host of a process.
-func (f *Fleet) KillHost(m *Process) {
-	for _, o := range f.sameHost(m) {
-		f.Kill(o)
+func (f *Fleet) KillHost(process *Process) {
+	for _, other := range f.sameHost(process) {
+		f.Kill(other)
 	}
 }
 
 // StartHost starts all processes on the host of a process.
-func (f *Fleet) StartHost(m *Process) {
-	for _, o := range f.sameHost(m) {
-		f.Start(o)
+func (f *Fleet) StartHost(process *Process) {
+	for _, other := range f.sameHost(process) {
+		f.Start(other)
 	}
 }
 
 // SignalHost sends a signal to all processes on the host of a process.
-func (f *Fleet) SignalHost(m *Process, s syscall.Signal) {
-	for _, o := range f.sameHost(m) {
-		f.Signal(o, s)
+func (f *Fleet) SignalHost(process *Process, s syscall.Signal) {
+	for _, other := range f.sameHost(process) {
+		f.Signal(other, s)
 	}
 }
 
 // Kill kills a process and waits for its end.
-func (f *Fleet) Kill(m *Process) {
-	f.Signal(m, syscall.SIGKILL)
-	<-m.ended
+func (f *Fleet) Kill(process *Process) {
+	f.Signal(process, syscall.SIGKILL)
+	<-process.ended
 }
 
 // Stop kills all processes.
 func (f *Fleet) Stop() {
-	for _, m := range f.processes() {
-		if m.command != nil {
-			f.Signal(m, syscall.SIGCONT)
-			f.Kill(m)
+	for _, process := range f.processes() {
+		if process.command != nil {
+			f.Signal(process, syscall.SIGCONT)
+			f.Kill(process)
 		}
 	}
 }
@@ -351,14 +354,14 @@
 // StartAll starts all processes and back ends, founds the fleet with a first configuration,
 // and waits until all nodes are ready.
 func (f *Fleet) StartAll(ctx context.Context) error {
-	for _, m := range f.processes() {
-		if err := f.Start(m); err != nil {
+	for _, process := range f.processes() {
+		if err := f.Start(process); err != nil {
 			return err
 		}
 	}
 	var addresses []string
-	for _, m := range f.cores {
-		addresses = append(addresses, m.operator)
+	for _, process := range f.cores {
+		addresses = append(addresses, process.operator)
 	}
 	var err error
 	for attempt := 0; attempt < 50; attempt++ {
@@ -385,8 +388,8 @@
 	}
 	for attempt := 0; attempt < 200; attempt++ {
 		ready := 0
-		for _, m := range f.nodes {
-			if reply, err := f.client.Get("http://" + m.requester + "/ready"); err == nil {
+		for _, process := range f.nodes {
+			if reply, err := f.client.Get("http://" + process.requester + "/ready"); err == nil {
 				if reply.StatusCode == 200 {
 					ready++
 				}
@@ -461,9 +464,9 @@
 // Logs returns the logs of all processes.
 func (f *Fleet) Logs() string {
 	var all strings.Builder
-	for _, m := range f.processes() {
-		text, _ := os.ReadFile(filepath.Join(f.Layout.Folder, m.Name, "log"))
-		fmt.Fprintf(&all, "== %s\n%s", m.Name, text)
+	for _, process := range f.processes() {
+		text, _ := os.ReadFile(filepath.Join(f.Layout.Folder, process.Name, "log"))
+		fmt.Fprintf(&all, "== %s\n%s", process.Name, text)
 	}
 	return all.String()
 }
--- a/rehearsalkit/fleet/probe.go
+++ b/rehearsalkit/fleet/probe.go
@@ -26,7 +26,7 @@
 }
 
 // probeNode records the versions whose probe keys a node accepts, and returns the newest.
-func (f *Fleet) probeNode(ctx context.Context, m *Process, last bool) (newest uint64) {
+func (f *Fleet) probeNode(ctx context.Context, process *Process, last bool) (newest uint64) {
 	probeVersions := map[string]uint64{}
 	f.update(func(*judge.Record) {
 		for probeKey, version := range f.probeVersions {
@@ -34,7 +34,7 @@
 		}
 	})
 	for _, probeKey := range ordered.Keys(probeVersions) {
-		a, _ := f.send(ctx, m, requestSpec{
+		sent, _ := f.send(ctx, process, requestSpec{
 			method:  "GET",
 			path:    "/v1/programs/none",
 			key:     probeKey,
@@ -42,10 +42,16 @@
 			body:    map[string]any{},
 			timeout: time.Second,
 		})
-		if a.Code == "unknown_program" {
+		if sent.Code == "unknown_program" {
 			newest = max(newest, probeVersions[probeKey])
 			f.update(func(r *judge.Record) {
-				r.Probes = append(r.Probes, judge.Probe{At: a.At, Ended: a.Ended, Node: m.Name, Version: probeVersions[probeKey], Final: last})
+				r.Probes = append(r.Probes, judge.Probe{
+					At:      sent.At,
+					Ended:   sent.Ended,
+					Node:    process.Name,
+					Version: probeVersions[probeKey],
+					Final:   last,
+				})
 			})
 		}
 	}
@@ -70,15 +76,15 @@
 				accepted = max(accepted, t.Version)
 			}
 		}
-		for _, m := range f.nodes {
-			r.Nodes = append(r.Nodes, m.Name)
+		for _, process := range f.nodes {
+			r.Nodes = append(r.Nodes, process.Name)
 		}
 	})
 	until := f.now() + timeout
-	for _, m := range f.nodes {
-		for f.probeNode(ctx, m, f.now() >= until) < accepted && f.now() < until {
+	for _, process := range f.nodes {
+		for f.probeNode(ctx, process, f.now() >= until) < accepted && f.now() < until {
 			pause(ctx, 100*time.Millisecond, 100*time.Millisecond)
 		}
-		f.probeNode(ctx, m, true)
+		f.probeNode(ctx, process, true)
 	}
 }
--- a/rehearsalkit/fleet/requester.go
+++ b/rehearsalkit/fleet/requester.go
@@ -16,6 +16,23 @@
 	"saffronfall/rule/program"
 )
 
+// Shares of a user's steps that are actions or tool calls, and of actions that are sent twice.
+const (
+	actionShare    = 0.15
+	toolShare      = 0.1
+	duplicateShare = 0.3
+)
+
+const maxTurns = 12
+
+const (
+	requestTimeout = 3 * time.Second
+	turnTimeout    = 5 * time.Second
+	actionTimeout  = 2 * time.Second
+	// answerGrace is how long requesters wait beyond a request's timeout.
+	answerGrace = 500 * time.Millisecond
+)
+
 // reply is the part of a response that requesters use.
 type reply struct {
 	Text         string  `json:"text"`
@@ -34,25 +51,25 @@
 	timeout                                                                           time.Duration
 }
 
-func (f *Fleet) send(ctx context.Context, at *Process, q requestSpec) (judge.Request, reply) {
-	a := judge.Request{
-		At: f.now(), Kind: q.kind, Node: at.Name, Tenant: tenantOf(q.key), User: q.user,
-		Program: q.program, Conversation: q.conversation, ID: q.requestID, OnceKey: q.onceKey,
-		Service: q.service, Outcome: judge.Silent,
+func (f *Fleet) send(ctx context.Context, at *Process, spec requestSpec) (judge.Request, reply) {
+	sent := judge.Request{
+		At: f.now(), Kind: spec.kind, Node: at.Name, Tenant: tenantOf(spec.key), User: spec.user,
+		Program: spec.program, Conversation: spec.conversation, ID: spec.requestID, OnceKey: spec.onceKey,
+		Service: spec.service, Outcome: judge.Silent,
 	}
 	var last reply
 	// A request in progress at the end of the run is completed.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), q.timeout+500*time.Millisecond)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), spec.timeout+answerGrace)
 	defer cancel()
-	q.body["budget_ms"] = q.timeout.Milliseconds()
-	raw, _ := json.Marshal(q.body)
-	r, _ := http.NewRequestWithContext(ctx, q.method, "http://"+at.requester+q.path, bytes.NewReader(raw))
-	r.Header.Set("Authorization", "Bearer "+q.key)
+	spec.body["budget_ms"] = spec.timeout.Milliseconds()
+	raw, _ := json.Marshal(spec.body)
+	r, _ := http.NewRequestWithContext(ctx, spec.method, "http://"+at.requester+spec.path, bytes.NewReader(raw))
+	r.Header.Set("Authorization", "Bearer "+spec.key)
 	if answer, err := f.client.Do(r); err == nil {
-		a.Status = answer.StatusCode
+		sent.Status = answer.StatusCode
 		switch {
 		case answer.Header.Get("Content-Type") == "application/x-ndjson":
-			a.Outcome = judge.Broken
+			sent.Outcome = judge.Broken
 			scanner := bufio.NewScanner(answer.Body)
 			for scanner.Scan() {
 				var l reply
@@ -60,32 +77,32 @@
 					break
 				}
 				if l.Closing {
-					a.Outcome, last = judge.Whole, l
+					sent.Outcome, last = judge.Whole, l
 					break
 				}
-				a.Text += l.Text
-				a.Tokens += l.Tokens
+				sent.Text += l.Text
+				sent.Tokens += l.Tokens
 			}
 		default:
 			text, err := io.ReadAll(answer.Body)
 			if err != nil || json.Unmarshal(text, &last) != nil {
-				a.Outcome = judge.Broken
+				sent.Outcome = judge.Broken
 				break
 			}
-			a.Outcome = judge.Whole
+			sent.Outcome = judge.Whole
 			if answer.StatusCode >= 300 {
-				a.Outcome, a.Code, a.Ran = judge.Refused, last.Code, last.Ran
-				a.RetryAfter = time.Duration(last.RetryAfterMS) * time.Millisecond
+				sent.Outcome, sent.Code, sent.Ran = judge.Refused, last.Code, last.Ran
+				sent.RetryAfter = time.Duration(last.RetryAfterMS) * time.Millisecond
 			}
 		}
 		answer.Body.Close()
 	}
-	a.Ended = f.now()
-	if a.Program == "" {
-		a.Program = last.Program
+	sent.Ended = f.now()
+	if sent.Program == "" {
+		sent.Program = last.Program
 	}
-	f.update(func(r *judge.Record) { r.Requests = append(r.Requests, a) })
-	return a, last
+	f.update(func(r *judge.Record) { r.Requests = append(r.Requests, sent) })
+	return sent, last
 }
 
 func tenantOf(key string) string {
@@ -106,27 +123,27 @@
 func (f *Fleet) runUser(ctx context.Context, name, tenant string) {
 	key := "key-" + tenant
 	for serial := 0; ctx.Err() == nil; serial++ {
-		a, opened := f.send(ctx, f.anyNode(), requestSpec{
+		sent, opened := f.send(ctx, f.anyNode(), requestSpec{
 			method:  "POST",
 			path:    "/v1/programs",
 			key:     key,
 			kind:    "open",
 			user:    name,
 			body:    map[string]any{"user": name},
-			timeout: 3 * time.Second,
+			timeout: requestTimeout,
 		})
-		if a.Outcome != judge.Whole {
+		if sent.Outcome != judge.Whole {
 			pause(ctx, 200*time.Millisecond, time.Second)
 			continue
 		}
 		head := program.EmptyHead
-		for turn := 0; turn < 12 && ctx.Err() == nil; turn++ {
+		for turn := 0; turn < maxTurns && ctx.Err() == nil; turn++ {
 			pause(ctx, 20*time.Millisecond, 300*time.Millisecond)
 			requestID := fmt.Sprintf("%s-%d-%d", name, serial, turn)
-			switch dice := rand.Float64(); {
-			case dice < 0.15:
+			switch choice := rand.Float64(); {
+			case choice < actionShare:
 				f.sendAction(ctx, key, name, "alert-"+requestID)
-			case dice < 0.25:
+			case choice < actionShare+toolShare:
 				f.send(ctx, f.anyNode(), requestSpec{
 					method:    "POST",
 					path:      "/v1/programs/" + opened.Program + "/tools/search",
@@ -136,11 +153,11 @@
 					requestID: "tool-" + requestID,
 					service:   "search",
 					body:      map[string]any{"arguments": map[string]string{"mark": "tool-" + requestID}},
-					timeout:   3 * time.Second,
+					timeout:   requestTimeout,
 				})
 			default:
-				over := false
-				if head, over = f.turn(ctx, key, opened.Program, head, requestID); over {
+				ended := false
+				if head, ended = f.turn(ctx, key, opened.Program, head, requestID); ended {
 					turn = 100
 				}
 			}
@@ -152,14 +169,14 @@
 			kind:    "close",
 			program: opened.Program,
 			body:    map[string]any{},
-			timeout: 3 * time.Second,
+			timeout: requestTimeout,
 		})
 	}
 }
 
 // turn returns the head of the history for the next turn, and whether the program has ended.
-func (f *Fleet) turn(ctx context.Context, key, id, head, requestID string) (next string, over bool) {
-	a, last := f.send(ctx, f.anyNode(), requestSpec{
+func (f *Fleet) turn(ctx context.Context, key, id, head, requestID string) (next string, ended bool) {
+	sent, last := f.send(ctx, f.anyNode(), requestSpec{
 		method:    "POST",
 		path:      "/v1/programs/" + id + "/turns",
 		key:       key,
@@ -168,12 +185,13 @@
 		requestID: requestID,
 		service:   "model",
 		body:      map[string]any{"service": "model", "before": head, "say": requestID},
-		timeout:   5 * time.Second,
+		timeout:   turnTimeout,
 	})
 	switch {
-	case a.Outcome == judge.Whole, a.Code == "wrong_history":
+	case sent.Outcome == judge.Whole, sent.Code == "wrong_history":
 		return last.Head, false
-	case a.Code == "program_tokens_spent" || a.Code == "steps_reached" || a.Code == "duration_reached" || a.Status == 404 || a.Status == 410:
+	case sent.Code == "program_tokens_spent" || sent.Code == "steps_reached" || sent.Code == "duration_reached" ||
+		sent.Status == 404 || sent.Status == 410:
 		return head, true
 	case last.RetryAfterMS > 0:
 		pause(ctx, time.Duration(min(last.RetryAfterMS, 2000))*time.Millisecond, time.Duration(min(last.RetryAfterMS, 2000)+50)*time.Millisecond)
@@ -191,7 +209,7 @@
 			kind:    "open",
 			user:    name,
 			body:    map[string]any{"user": name},
-			timeout: 3 * time.Second,
+			timeout: requestTimeout,
 		}); opened.Program != "" {
 			id = opened.Program
 		} else {
@@ -211,21 +229,21 @@
 				requestID: "tool-" + requestID,
 				service:   "search",
 				body:      map[string]any{"arguments": map[string]string{"mark": "tool-" + requestID}},
-				timeout:   3 * time.Second,
+				timeout:   requestTimeout,
 			})
 		}
-		over := false
-		if head, over = f.turn(ctx, key, id, head, requestID); over {
+		ended := false
+		if head, ended = f.turn(ctx, key, id, head, requestID); ended {
 			return
 		}
 		pause(ctx, 100*time.Millisecond, 500*time.Millisecond)
 	}
 }
 
-// sendAction sends a once-only action with retries, and some also twice concurrently.
+// sendAction sends a once-only action with retries, some also twice concurrently.
 func (f *Fleet) sendAction(ctx context.Context, key, name, requestID string) {
 	service := f.Layout.OnceServices[rand.IntN(len(f.Layout.OnceServices))]
-	q := requestSpec{
+	spec := requestSpec{
 		method:    "POST",
 		path:      "/v1/actions/" + service,
 		key:       key,
@@ -233,16 +251,16 @@
 		requestID: requestID,
 		onceKey:   requestID,
 		service:   service,
-		timeout:   2 * time.Second,
+		timeout:   actionTimeout,
 		body:      map[string]any{"user": name, "once_key": requestID, "body": map[string]string{"mark": requestID}},
 	}
-	if rand.Float64() < 0.3 {
-		duplicate := q
+	if rand.Float64() < duplicateShare {
+		duplicate := spec
 		duplicate.body = map[string]any{"user": name, "once_key": requestID, "body": map[string]string{"mark": requestID}}
 		go f.send(ctx, f.anyNode(), duplicate)
 	}
 	for attempt := 0; attempt < 4 && ctx.Err() == nil; attempt++ {
-		if a, _ := f.send(ctx, f.anyNode(), q); a.Outcome == judge.Whole {
+		if sent, _ := f.send(ctx, f.anyNode(), spec); sent.Outcome == judge.Whole {
 			return
 		}
 		pause(ctx, 100*time.Millisecond, 900*time.Millisecond)
--- a/rehearsalkit/fleet/scenarios.go
+++ b/rehearsalkit/fleet/scenarios.go
@@ -40,32 +40,36 @@
 }
 
 func kills(ctx context.Context, f *Fleet, length time.Duration) {
-	for _, m := range []*Process{f.cores[rand.IntN(len(f.cores))], f.nodes[rand.IntN(len(f.nodes))]} {
+	for _, process := range []*Process{f.cores[rand.IntN(len(f.cores))], f.nodes[rand.IntN(len(f.nodes))]} {
 		pause(ctx, length/5, length/5)
-		logf(f, "kill %s", m.Name)
-		f.KillHost(m)
+		logf(f, "kill %s", process.Name)
+		f.KillHost(process)
 		pause(ctx, length/8, length/8)
-		logf(f, "start %s", m.Name)
-		f.StartHost(m)
+		logf(f, "start %s", process.Name)
+		f.StartHost(process)
 	}
 }
 
-// freeze stops a host of a node and one of a core by SIGSTOP for a time.
+const freezeTime = 4 * time.Second
+
+// freeze stops a host of a node and one of a core by SIGSTOP.
 func freeze(ctx context.Context, f *Fleet, length time.Duration) {
-	for _, m := range []*Process{f.nodes[rand.IntN(len(f.nodes))], f.cores[rand.IntN(len(f.cores))]} {
+	for _, process := range []*Process{f.nodes[rand.IntN(len(f.nodes))], f.cores[rand.IntN(len(f.cores))]} {
 		pause(ctx, length/6, length/6)
-		logf(f, "freeze %s", m.Name)
-		f.SignalHost(m, syscall.SIGSTOP)
-		pause(ctx, 4*time.Second, 4*time.Second)
-		logf(f, "resume %s", m.Name)
-		f.SignalHost(m, syscall.SIGCONT)
+		logf(f, "freeze %s", process.Name)
+		f.SignalHost(process, syscall.SIGSTOP)
+		pause(ctx, freezeTime, freezeTime)
+		logf(f, "resume %s", process.Name)
+		f.SignalHost(process, syscall.SIGCONT)
 	}
 }
 
+const cutTime = 3 * time.Second
+
 func cut(ctx context.Context, f *Fleet, length time.Duration) {
-	for _, m := range []*Process{f.nodes[rand.IntN(len(f.nodes))], f.cores[rand.IntN(len(f.cores))]} {
+	for _, process := range []*Process{f.nodes[rand.IntN(len(f.nodes))], f.cores[rand.IntN(len(f.cores))]} {
 		pause(ctx, length/6, length/6)
-		f.cutBetween(ctx, "cut off "+m.Name, f.sameHost(m), without(f.processes(), f.sameHost(m)), 3*time.Second)
+		f.cutBetween(ctx, "cut off "+process.Name, f.sameHost(process), without(f.processes(), f.sameHost(process)), cutTime)
 	}
 }
 
@@ -74,7 +78,7 @@
 }
 
 func without(list, these []*Process) []*Process {
-	return slices.DeleteFunc(slices.Clone(list), func(m *Process) bool { return slices.Contains(these, m) })
+	return slices.DeleteFunc(slices.Clone(list), func(process *Process) bool { return slices.Contains(these, process) })
 }
 
 func (f *Fleet) cutBetween(ctx context.Context, what string, a, b []*Process, length time.Duration) {
@@ -94,22 +98,22 @@
 
 // diskLost restarts the host of a core with an empty folder.
 func diskLost(ctx context.Context, f *Fleet, length time.Duration) {
-	m := f.cores[rand.IntN(len(f.cores))]
+	process := f.cores[rand.IntN(len(f.cores))]
 	pause(ctx, length/4, length/4)
-	logf(f, "%s loses its disk", m.Name)
-	f.loseDisk(m)
+	logf(f, "%s loses its disk", process.Name)
+	f.loseDisk(process)
 	pause(ctx, length/8, length/8)
-	logf(f, "start %s with an empty folder", m.Name)
-	f.StartHost(m)
+	logf(f, "start %s with an empty folder", process.Name)
+	f.StartHost(process)
 }
 
 // sides splits processes into the first core's zone and the rest.
-func (f *Fleet) sides(machines []*Process) (one, rest []*Process) {
-	for _, m := range machines {
-		if m.Zone == f.cores[0].Zone {
-			one = append(one, m)
+func (f *Fleet) sides(processes []*Process) (one, rest []*Process) {
+	for _, process := range processes {
+		if process.Zone == f.cores[0].Zone {
+			one = append(one, process)
 		} else {
-			rest = append(rest, m)
+			rest = append(rest, process)
 		}
 	}
 	return one, rest
@@ -133,49 +137,51 @@
 	f.cutBetween(ctx, "a zone is cut off", one, rest, length/4)
 }
 
-// crowd adds nine times as many requesters, all of one tenant.
+const crowdFactor = 9
+
+// crowd adds crowdFactor times as many requesters, all of one tenant.
 func crowd(ctx context.Context, f *Fleet, length time.Duration) {
 	pause(ctx, length/4, length/4)
-	logf(f, "a crowd of %d more requesters of one tenant", 9*f.Layout.Users)
+	logf(f, "a crowd of %d more requesters of one tenant", crowdFactor*f.Layout.Users)
 	crowded, cancel := context.WithTimeout(ctx, length/2)
 	defer cancel()
 	ended := make(chan struct{})
-	for i := 0; i < 9*f.Layout.Users; i++ {
+	for i := 0; i < crowdFactor*f.Layout.Users; i++ {
 		go func() {
 			f.runUser(crowded, fmt.Sprintf("crowd%d", i), "t1")
 			ended <- struct{}{}
 		}()
 	}
-	for i := 0; i < 9*f.Layout.Users; i++ {
+	for i := 0; i < crowdFactor*f.Layout.Users; i++ {
 		<-ended
 	}
 }
 
 func drain(ctx context.Context, f *Fleet, length time.Duration) {
-	for _, m := range []*Process{f.nodes[rand.IntN(len(f.nodes))], f.cores[rand.IntN(len(f.cores))]} {
+	for _, process := range []*Process{f.nodes[rand.IntN(len(f.nodes))], f.cores[rand.IntN(len(f.cores))]} {
 		pause(ctx, length/6, length/6)
 		began := f.now()
-		logf(f, "drain %s", m.Name)
-		f.Signal(m, syscall.SIGTERM)
-		<-m.ended
-		logf(f, "%s stopped after %v", m.Name, (f.now() - began).Round(time.Millisecond))
-		f.Start(m)
+		logf(f, "drain %s", process.Name)
+		f.Signal(process, syscall.SIGTERM)
+		<-process.ended
+		logf(f, "%s stopped after %v", process.Name, (f.now() - began).Round(time.Millisecond))
+		f.Start(process)
 	}
 }
 
 func changeMembers(ctx context.Context, f *Fleet, length time.Duration) {
 	pause(ctx, length/5, length/5)
-	m, err := f.newProcess("core-new", "core", f.cores[0].Zone, 250)
+	process, err := f.newProcess("core-new", "core", f.cores[0].Zone, 250)
 	if err != nil {
 		logf(f, "no new core: %v", err)
 		return
 	}
-	m.host = 250
-	f.Start(m)
+	process.host = 250
+	f.Start(process)
 	pause(ctx, 500*time.Millisecond, 500*time.Millisecond)
-	changed, err := f.Caller().AddCore(ctx, f.cores[0].operator, m.operator)
-	logf(f, "added %s: %d moves, %v", m.Name, changed.MovesMade, err)
-	f.cores = append(f.cores, m)
+	changed, err := f.Caller().AddCore(ctx, f.cores[0].operator, process.operator)
+	logf(f, "added %s: %d moves, %v", process.Name, changed.MovesMade, err)
+	f.cores = append(f.cores, process)
 	pause(ctx, length/5, length/5)
 	gone := f.cores[1]
 	changed, err = f.Caller().Change(ctx, f.cores[0].operator, operator.CoreChange{Kind: core.KindRetire, ID: gone.Name})
@@ -188,22 +194,22 @@
 func restartAll(ctx context.Context, f *Fleet, length time.Duration) {
 	pause(ctx, length/3, length/3)
 	logf(f, "everything is killed")
-	for _, m := range f.processes() {
-		f.Signal(m, syscall.SIGKILL)
+	for _, process := range f.processes() {
+		f.Signal(process, syscall.SIGKILL)
 	}
-	for _, m := range f.processes() {
-		<-m.ended
+	for _, process := range f.processes() {
+		<-process.ended
 	}
-	for _, m := range f.processes() {
-		f.Start(m)
+	for _, process := range f.processes() {
+		f.Start(process)
 	}
 }
 
 func replace(ctx context.Context, f *Fleet, length time.Duration) {
 	replaced := make(chan struct{})
-	some := len(f.backends) / 2
-	for _, b := range f.backends[:some] {
-		pause(ctx, length/time.Duration(2*some), length/time.Duration(2*some))
+	count := len(f.backends) / 2
+	for _, b := range f.backends[:count] {
+		pause(ctx, length/time.Duration(2*count), length/time.Duration(2*count))
 		go func() {
 			logf(f, "replica %s leaves", b.id)
 			close(b.leaving)
@@ -215,7 +221,7 @@
 			replaced <- struct{}{}
 		}()
 	}
-	for range some {
+	for range count {
 		<-replaced
 	}
 }
@@ -224,11 +230,11 @@
 func rollout(ctx context.Context, f *Fleet, length time.Duration) {
 	all := f.processes()
 	f.Layout.Binary = f.Layout.Next
-	for _, m := range all {
+	for _, process := range all {
 		pause(ctx, length/time.Duration(2*len(all)), length/time.Duration(2*len(all)))
-		f.Signal(m, syscall.SIGTERM)
-		<-m.ended
-		f.Start(m)
+		f.Signal(process, syscall.SIGTERM)
+		<-process.ended
+		f.Start(process)
 	}
 	logf(f, "%d processes run the next program", len(all))
 }
@@ -236,27 +242,27 @@
 // stalls freezes a core but not the node on its host, as a hanging disk would.
 func stalls(ctx context.Context, f *Fleet, length time.Duration) {
 	pause(ctx, length/5, length/5)
-	m := f.cores[rand.IntN(len(f.cores))]
-	logf(f, "%s alone is frozen, as by a disk that stalls", m.Name)
-	f.Signal(m, syscall.SIGSTOP)
+	process := f.cores[rand.IntN(len(f.cores))]
+	logf(f, "%s alone is frozen, as by a disk that stalls", process.Name)
+	f.Signal(process, syscall.SIGSTOP)
 	pause(ctx, length/3, length/3)
-	logf(f, "%s is resumed", m.Name)
-	f.Signal(m, syscall.SIGCONT)
+	logf(f, "%s is resumed", process.Name)
+	f.Signal(process, syscall.SIGCONT)
 }
 
 func readdress(ctx context.Context, f *Fleet, length time.Duration) {
 	pause(ctx, length/5, length/5)
 	old := f.cores[len(f.cores)-1]
 	f.Kill(old)
-	m, err := f.newProcess(old.Name, "core", old.Zone, 251)
+	process, err := f.newProcess(old.Name, "core", old.Zone, 251)
 	if err != nil {
 		logf(f, "no new address: %v", err)
 		return
 	}
-	m.host = old.host
-	logf(f, "%s comes back at %s", m.Name, m.ip)
-	f.cores[len(f.cores)-1] = m
-	f.Start(m)
+	process.host = old.host
+	logf(f, "%s comes back at %s", process.Name, process.ip)
+	f.cores[len(f.cores)-1] = process
+	f.Start(process)
 }
 
 // operators repeatedly applies two descriptions on the same base concurrently.
@@ -282,23 +288,23 @@
 			}()
 		}
 		for j := 0; j < 2; j++ {
-			o := <-done
+			applied := <-done
 			if ctx.Err() != nil {
 				return
 			}
-			logf(f, "configuration %s based on %d: taken=%v %s", o.probeKey, base, o.accepted, o.code)
-			if o.version > version {
-				version = o.version
+			logf(f, "configuration %s based on %d: taken=%v %s", applied.probeKey, base, applied.accepted, applied.code)
+			if applied.version > version {
+				version = applied.version
 			}
 		}
 	}
 }
 
 // loseDisk kills the core's host and empties the core's folder.
-func (f *Fleet) loseDisk(m *Process) {
-	f.KillHost(m)
-	os.RemoveAll(m.folder)
-	os.MkdirAll(m.folder, 0o755)
+func (f *Fleet) loseDisk(process *Process) {
+	f.KillHost(process)
+	os.RemoveAll(process.folder)
+	os.MkdirAll(process.folder, 0o755)
 }
 
 func all(ctx context.Context, f *Fleet, length time.Duration) {
--- a/rehearsalkit/fleet/work.go
+++ b/rehearsalkit/fleet/work.go
@@ -14,9 +14,9 @@
 // Work reads the counters of all cores, without those that do not answer.
 func (f *Fleet) Work(ctx context.Context) Work {
 	w := Work{At: f.now()}
-	for _, m := range f.cores {
+	for _, process := range f.cores {
 		var counts map[string]int64
-		if status, _, err := f.Caller().Do(ctx, "GET", m.operator, "/counters", nil, &counts); err != nil || status != 200 {
+		if status, _, err := f.Caller().Do(ctx, "GET", process.operator, "/counters", nil, &counts); err != nil || status != 200 {
 			continue
 		}
 		w.Commands += counts["commands"]
--- a/rehearsalkit/judge/judge.go
+++ b/rehearsalkit/judge/judge.go
@@ -182,21 +182,21 @@
 		}
 		in := map[string]bool{}
 		before := time.Duration(-1)
-		for _, t := range attempt.History {
-			request := requests[t.Prompt]
+		for _, turn := range attempt.History {
+			request := requests[turn.Prompt]
 			switch {
-			case in[t.Prompt]:
-				list = append(list, breach(6, "history of %s contains the turn %s twice", attempt.RequestID, t.Prompt))
+			case in[turn.Prompt]:
+				list = append(list, breach(6, "history of %s contains the turn %s twice", attempt.RequestID, turn.Prompt))
 			case request.Program != attempt.Program || request.Conversation != attempt.Conversation:
 				list = append(list, breach(6, "history of %s contains a turn of another conversation, of program %s", attempt.RequestID, request.Program))
 			case request.At < before:
-				list = append(list, breach(6, "history of %s contains the turn %s out of order", attempt.RequestID, t.Prompt))
-			case request.Outcome == Whole && t.Answer != request.Text:
-				list = append(list, breach(6, "history of %s contains %q for the turn %s, whose requester received %q", attempt.RequestID, t.Answer, t.Prompt, request.Text))
-			case !relayed(t.Answer, request.Text, produced[t.Prompt]):
-				list = append(list, breach(6, "history of %s contains an answer for %s that no replica produced", attempt.RequestID, t.Prompt))
+				list = append(list, breach(6, "history of %s contains the turn %s out of order", attempt.RequestID, turn.Prompt))
+			case request.Outcome == Whole && turn.Answer != request.Text:
+				list = append(list, breach(6, "history of %s contains %q for the turn %s, whose requester received %q", attempt.RequestID, turn.Answer, turn.Prompt, request.Text))
+			case !relayed(turn.Answer, request.Text, produced[turn.Prompt]):
+				list = append(list, breach(6, "history of %s contains an answer for %s that no replica produced", attempt.RequestID, turn.Prompt))
 			}
-			in[t.Prompt], before = true, request.At
+			in[turn.Prompt], before = true, request.At
 		}
 		for _, request := range whole[conversation{attempt.Program, attempt.Conversation}] {
 			if request.Ended < own.At && !in[request.ID] {
@@ -259,57 +259,59 @@
 	return list
 }
 
+const noEnd = time.Duration(1 << 62)
+
 // configurations checks rule 8, that nodes apply accepted configurations in time and never
 // go back, and rule 9, that refused ones are never in force and the last accepted one stays.
 func (r *Record) configurations() (list []Breach) {
-	accepted := map[uint64]bool{}
-	refused := map[uint64]bool{}
+	accepted, refused := map[uint64]bool{}, map[uint64]bool{}
 	last := uint64(0)
-	for _, t := range r.Decisions {
-		if t.Refused {
-			refused[t.Version] = true
+	for _, decision := range r.Decisions {
+		if decision.Refused {
+			refused[decision.Version] = true
 		} else {
-			accepted[t.Version] = true
-			last = max(last, t.Version)
+			accepted[decision.Version] = true
+			last = max(last, decision.Version)
 		}
 	}
 	probes := append([]Probe(nil), r.Probes...)
 	sort.SliceStable(probes, func(i, j int) bool { return probes[i].At < probes[j].At })
 	byNode := map[string][]Probe{}
 	final := map[string]uint64{}
-	for _, p := range probes {
-		for _, older := range byNode[p.Node] {
-			if older.Ended < p.At && older.Version > p.Version {
-				list = append(list, breach(8, "node %s went back from version %d to %d", p.Node, older.Version, p.Version))
+	for _, probe := range probes {
+		for _, older := range byNode[probe.Node] {
+			if older.Ended < probe.At && older.Version > probe.Version {
+				list = append(list, breach(8, "node %s went back from version %d to %d", probe.Node, older.Version, probe.Version))
 				break
 			}
 		}
-		byNode[p.Node] = append(byNode[p.Node], p)
-		for _, t := range r.Decisions {
-			if !t.Refused && p.Version < t.Version && p.At > t.At+r.Limits.PropagationLimit {
-				list = append(list, breach(8, "node %s was at version %d %v after version %d was accepted", p.Node, p.Version, p.At-t.At, t.Version))
+		byNode[probe.Node] = append(byNode[probe.Node], probe)
+		for _, decision := range r.Decisions {
+			if !decision.Refused && probe.Version < decision.Version && probe.At > decision.At+r.Limits.PropagationLimit {
+				list = append(list, breach(8, "node %s was at version %d %v after version %d was accepted",
+					probe.Node, probe.Version, probe.At-decision.At, decision.Version))
 			}
 		}
-		if refused[p.Version] && !accepted[p.Version] {
-			list = append(list, breach(9, "node %s has the refused configuration %d in force", p.Node, p.Version))
+		if refused[probe.Version] && !accepted[probe.Version] {
+			list = append(list, breach(9, "node %s has the refused configuration %d in force", probe.Node, probe.Version))
 		}
-		if p.Final {
-			final[p.Node] = max(final[p.Node], p.Version)
+		if probe.Final {
+			final[probe.Node] = max(final[probe.Node], probe.Version)
 		}
 	}
-	for _, t := range r.Decisions {
-		if t.RevokedTenant == "" {
+	for _, decision := range r.Decisions {
+		if decision.RevokedTenant == "" {
 			continue
 		}
-		until := time.Duration(1 << 62)
-		for _, h := range r.Submissions {
-			if h.BasedOn >= t.Version {
-				until = min(until, h.At)
+		until := noEnd
+		for _, submission := range r.Submissions {
+			if submission.BasedOn >= decision.Version {
+				until = min(until, submission.At)
 			}
 		}
 		for _, attempt := range r.Attempts {
-			if attempt.Tenant == t.RevokedTenant && attempt.At > t.At+r.Limits.PropagationLimit && attempt.At < until {
-				list = append(list, breach(8, "%s of %s ran %v after its keys were revoked", attempt.RequestID, attempt.Tenant, attempt.At-t.At))
+			if attempt.Tenant == decision.RevokedTenant && attempt.At > decision.At+r.Limits.PropagationLimit && attempt.At < until {
+				list = append(list, breach(8, "%s of %s ran %v after its keys were revoked", attempt.RequestID, attempt.Tenant, attempt.At-decision.At))
 				break
 			}
 		}
@@ -324,10 +326,10 @@
 
 // leaving checks rule 10: a replica gets no work after it announced that it leaves.
 func (r *Record) leaving() (list []Breach) {
-	for _, l := range r.Leaving {
+	for _, departure := range r.Leaving {
 		for _, attempt := range r.Attempts {
-			if attempt.Replica == l.Replica && attempt.At > l.At+r.Limits.PropagationLimit {
-				list = append(list, breach(10, "replica %s got work %v after it announced that it leaves", attempt.Replica, attempt.At-l.At))
+			if attempt.Replica == departure.Replica && attempt.At > departure.At+r.Limits.PropagationLimit {
+				list = append(list, breach(10, "replica %s got work %v after it announced that it leaves", attempt.Replica, attempt.At-departure.At))
 				break
 			}
 		}
--- a/rehearsalkit/judge/limits.go
+++ b/rehearsalkit/judge/limits.go
@@ -7,6 +7,13 @@
 	"saffronfall/rule/ordered"
 )
 
+const (
+	// tokensPerPrice is the number of tokens that a price is for.
+	tokensPerPrice = 1e6
+	// roundingDollars allows for rounding in sums of dollars.
+	roundingDollars = 1e-6
+)
+
 // tokenLimits checks rule 2 on produced tokens: the limits of a tenant's day and of the
 // breaker's minute, and that no attempt runs after its program's tokens were reported spent.
 // The limits hold exactly because every turn reserves its tokens before it runs.
@@ -21,7 +28,7 @@
 		day[attempt.Tenant] += min(attempt.Tokens, max(attempt.MaxTokens, 0))
 		spends = append(
 			spends,
-			spend{attempt.At, float64(min(attempt.Tokens, max(attempt.MaxTokens, 0))) * r.Limits.Price[attempt.Service] / 1e6},
+			spend{attempt.At, float64(min(attempt.Tokens, max(attempt.MaxTokens, 0))) * r.Limits.Price[attempt.Service] / tokensPerPrice},
 		)
 	}
 	for _, tenant := range ordered.Keys(r.Limits.DayTokens) {
@@ -37,7 +44,7 @@
 			sum -= spends[first].dollars
 			first++
 		}
-		if r.Limits.MinuteDollars > 0 && sum > r.Limits.MinuteDollars+1e-6 {
+		if r.Limits.MinuteDollars > 0 && sum > r.Limits.MinuteDollars+roundingDollars {
 			list = append(list, breach(2, "%.4f dollars were spent in one minute; the breaker's limit is %.4f", sum, r.Limits.MinuteDollars))
 			break
 		}
@@ -92,10 +99,10 @@
 // breakerTrips checks rule 2: no attempt that costs tokens starts on any node during a trip,
 // less PropagationLimit at both ends.
 func (r *Record) breakerTrips() (list []Breach) {
-	for _, t := range r.tripIntervals() {
+	for _, trip := range r.tripIntervals() {
 		for _, attempt := range r.Attempts {
-			if attempt.MaxTokens > 0 && attempt.At > t[0]+r.Limits.PropagationLimit && attempt.At < t[1]-r.Limits.PropagationLimit {
-				list = append(list, breach(2, "%s ran %v after the breaker was reported open", attempt.RequestID, attempt.At-t[0]))
+			if attempt.MaxTokens > 0 && attempt.At > trip[0]+r.Limits.PropagationLimit && attempt.At < trip[1]-r.Limits.PropagationLimit {
+				list = append(list, breach(2, "%s ran %v after the breaker was reported open", attempt.RequestID, attempt.At-trip[0]))
 				break
 			}
 		}
@@ -106,10 +113,10 @@
 // LateAfterTrip returns the longest time after the first report of a trip at which a node
 // still admitted an attempt that costs tokens.
 func (r *Record) LateAfterTrip() (late time.Duration) {
-	for _, t := range r.tripIntervals() {
+	for _, trip := range r.tripIntervals() {
 		for _, attempt := range r.Attempts {
-			if attempt.MaxTokens > 0 && attempt.At > t[0] && attempt.At < t[1]-r.Limits.PropagationLimit {
-				late = max(late, attempt.At-t[0])
+			if attempt.MaxTokens > 0 && attempt.At > trip[0] && attempt.At < trip[1]-r.Limits.PropagationLimit {
+				late = max(late, attempt.At-trip[0])
 			}
 		}
 	}
@@ -190,20 +197,20 @@
 				list = append(list, breach(12, "a session of %s was admitted during a lockout", name))
 			}
 			var minute, live, tokens int64
-			for _, b := range requests {
-				if b.Outcome != Whole || b.Ended > request.At {
+			for _, other := range requests {
+				if other.Outcome != Whole || other.Ended > request.At {
 					continue
 				}
-				if b.At > request.Ended-shortest(time.Minute) {
+				if other.At > request.Ended-shortest(time.Minute) {
 					minute++
 				}
-				if at, closed := closes[b.Program]; b.At > request.Ended-shortest(limits.Session) && (!closed || at > request.Ended) {
+				if at, closed := closes[other.Program]; other.At > request.Ended-shortest(limits.Session) && (!closed || at > request.Ended) {
 					live++
 				}
 			}
-			for _, b := range days[u] {
-				if b.Ended < request.At {
-					tokens += b.Tokens
+			for _, other := range days[u] {
+				if other.Ended < request.At {
+					tokens += other.Tokens
 				}
 			}
 			switch {
@@ -220,6 +227,8 @@
 	return list
 }
 
+const restartWindow = 12 * time.Second
+
 // Situations counts how often the run reached the situation of each rule. A rule with a
 // count of 0 was not exercised.
 func (r *Record) Situations() map[string]int {
@@ -259,7 +268,7 @@
 		}
 		if request.Kind == "turn" {
 			for _, restart := range r.Restarts {
-				if request.At >= restart.At && request.At < restart.At+12*time.Second {
+				if request.At >= restart.At && request.At < restart.At+restartWindow {
 					counts["5 asked within 12 s of a restart"]++
 					break
 				}
@@ -271,8 +280,8 @@
 			counts["6 shots with a history"]++
 		}
 	}
-	for _, t := range r.Decisions {
-		if t.Refused {
+	for _, decision := range r.Decisions {
+		if decision.Refused {
 			counts["9 configurations refused"]++
 		} else {
 			counts["8 configurations taken"]++
--- a/rehearsalkit/soak/command.go
+++ b/rehearsalkit/soak/command.go
@@ -107,7 +107,7 @@
 	if err := os.RemoveAll(folder); err != nil {
 		return outcome{err: errors.Wrap(err, "folder")}
 	}
-	o := Options{
+	options := Options{
 		Binary:     c.Binary,
 		DiskBinary: c.diskBinary(),
 		Folder:     folder,
@@ -118,9 +118,9 @@
 		FaultRate:  c.FaultRate,
 	}
 	if c.Verbose {
-		o.Logf = func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
+		options.Logf = func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
 	}
-	report, err := Run(ctx, o)
+	report, err := Run(ctx, options)
 	if err == nil && len(report.Breaches) == 0 {
 		err = errors.Wrap(os.RemoveAll(folder), "folder")
 	}
--- a/rehearsalkit/soak/disk_link_faults.go
+++ b/rehearsalkit/soak/disk_link_faults.go
@@ -109,11 +109,13 @@
 	p.control(ctx, http.MethodPut, "/faults?"+query)
 }
 
+const controlTimeout = time.Second
+
 // control reports whether the control endpoint of a core's disk answered.
 func (p *process) control(ctx context.Context, method, path string) bool {
-	within, cancel := context.WithTimeout(ctx, time.Second)
+	callCtx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(within, method, "http://"+p.address(diskPort)+path, nil)
+	r, err := http.NewRequestWithContext(callCtx, method, "http://"+p.address(diskPort)+path, nil)
 	if err != nil {
 		return false
 	}
--- a/rehearsalkit/soak/faults.go
+++ b/rehearsalkit/soak/faults.go
@@ -245,7 +245,7 @@
 	return kinds
 }
 
-// injectFaults starts random faults for Length, and returns when all are over.
+// injectFaults returns when all faults are over.
 func (f *Fleet) injectFaults(ctx context.Context) {
 	totalWeight, kinds := 0, f.kinds()
 	for _, kind := range kinds {
@@ -253,12 +253,12 @@
 	}
 	done, begun := make(chan struct{}, 1<<12), 0
 	for end := f.now() + f.Length; f.now() < end && ctx.Err() == nil; {
-		at, chosen := f.random.IntN(totalWeight), kinds[0]
+		draw, chosen := f.random.IntN(totalWeight), kinds[0]
 		for _, kind := range kinds {
-			if chosen = kind; at < kind.weight {
+			if chosen = kind; draw < kind.weight {
 				break
 			}
-			at -= kind.weight
+			draw -= kind.weight
 		}
 		random := rand.New(rand.NewPCG(f.random.Uint64(), f.random.Uint64()))
 		begun++
--- a/rehearsalkit/soak/fleet.go
+++ b/rehearsalkit/soak/fleet.go
@@ -19,15 +19,17 @@
 	"saffronfall/rehearsalkit/links"
 )
 
-// Time bounds and limits, for the fleet's settings and for the checks.
+// Used for the fleet's settings and for the checks.
 const (
 	heartbeatInterval = 300 * time.Millisecond
+	heartbeatTimeout  = time.Second
 	gracePeriod       = 1800 * time.Millisecond
 	applyTimeout      = 2 * time.Second
 	drainTimeout      = 2 * time.Second
 	contactTimeout    = 3 * time.Second
 	rateWindow        = 5 * time.Second
 	rateSlack         = 2
+	rateOvershoot     = 0.1
 	historyRetention  = time.Minute
 	routeTimeout      = 3 * time.Second
 )
@@ -77,11 +79,11 @@
 	hostReplica = 9
 )
 
-func newFleet(ctx context.Context, o Options) (*Fleet, error) {
+func newFleet(ctx context.Context, options Options) (*Fleet, error) {
 	f := &Fleet{
-		Options:  o,
+		Options:  options,
 		recorder: newRecorder(ctx),
-		random:   rand.New(rand.NewPCG(o.Seed, 21)),
+		random:   rand.New(rand.NewPCG(options.Seed, 21)),
 		links:    links.New(ctx),
 		busy:     map[*process]chan struct{}{},
 		diskLost: make(chan struct{}, 1),
@@ -93,8 +95,8 @@
 			fleet:  f,
 			name:   name,
 			role:   map[string]string{"core": roleCore, "desk": roleRegistry, "node": roleNode}[name[:4]],
-			ip:     o.host(hostFleet, i+1),
-			folder: filepath.Join(o.Folder, name),
+			ip:     options.host(hostFleet, i+1),
+			folder: filepath.Join(options.Folder, name),
 		}
 		f.processes = append(f.processes, p)
 		f.busy[p] = make(chan struct{}, 1)
@@ -106,7 +108,7 @@
 		}
 	}
 	for _, p := range f.withRole(roleNode) {
-		if err := f.links.Relay(ctx, p.address(relayedClientPort), p.address(clientPort)); err != nil {
+		if err := f.links.Relay(ctx, p.address(relayedRequesterPort), p.address(requesterPort)); err != nil {
 			return nil, err
 		}
 	}
@@ -118,7 +120,7 @@
 	for _, registry := range f.withRole(roleRegistry) {
 		seeds = append(seeds, registry.address(relayedPort))
 	}
-	s := map[string]any{
+	settings := map[string]any{
 		"id":                p.name,
 		"zone":              zone,
 		"seeds":             seeds,
@@ -139,7 +141,7 @@
 		"follow_ms":         heartbeatInterval.Milliseconds() / 2,
 		"order_ms":          3000,
 		"rate_window_ms":    rateWindow.Milliseconds(),
-		"rate_overshoot":    0.1,
+		"rate_overshoot":    rateOvershoot,
 		"rate_slack":        rateSlack,
 		"dial_ms":           300,
 		"not_ready_ms":      700,
@@ -148,13 +150,13 @@
 	}
 	switch p.role {
 	case roleCore:
-		s["folder"] = p.dataFolder()
+		settings["folder"] = p.dataFolder()
 	case roleRegistry:
-		s["folder"], s["founds"] = p.dataFolder(), p.name == "desk1"
+		settings["folder"], settings["founds"] = p.dataFolder(), p.name == "desk1"
 	default:
-		s["requester_listen"], s["ready_listen"] = p.address(clientPort), p.address(readyPort)
+		settings["requester_listen"], settings["ready_listen"] = p.address(requesterPort), p.address(readyPort)
 	}
-	return s
+	return settings
 }
 
 func (f *Fleet) withRole(role string) (list []*process) {
@@ -177,13 +179,13 @@
 		}
 	}
 	f.replicas.fill(ctx)
-	const within = 20 * time.Second
-	if !f.waitUntil(ctx, within, func() bool { return f.operator.apply(ctx, f.withRole(roleRegistry)[0], 0, 1) == http.StatusOK }) {
-		return errors.Newf("no first table within %v", within)
+	const startTimeout = 20 * time.Second
+	if !f.waitUntil(ctx, startTimeout, func() bool { return f.operator.apply(ctx, f.withRole(roleRegistry)[0], 0, 1) == http.StatusOK }) {
+		return errors.Newf("no first table within %v", startTimeout)
 	}
 	for _, p := range f.withRole(roleNode) {
-		if !f.waitUntil(ctx, within, func() bool { return f.ready(p) }) {
-			return errors.Newf("%s is not ready within %v", p.name, within)
+		if !f.waitUntil(ctx, startTimeout, func() bool { return f.ready(p) }) {
+			return errors.Newf("%s is not ready within %v", p.name, startTimeout)
 		}
 	}
 	for _, p := range f.processes {
@@ -199,9 +201,9 @@
 	return nil
 }
 
-// waitUntil polls met. It returns false after within or when the context ends.
-func (f *Fleet) waitUntil(ctx context.Context, within time.Duration, met func() bool) bool {
-	for end := f.now() + within; f.now() < end && ctx.Err() == nil; pause(ctx, 50*time.Millisecond) {
+// waitUntil polls met. It returns false after timeout or when the context ends.
+func (f *Fleet) waitUntil(ctx context.Context, timeout time.Duration, met func() bool) bool {
+	for end := f.now() + timeout; f.now() < end && ctx.Err() == nil; pause(ctx, 50*time.Millisecond) {
 		if met() {
 			return true
 		}
@@ -247,10 +249,10 @@
 }
 
 // Run runs one seed. A fleet that does not start is reported as a breach, not as an error.
-func Run(parent context.Context, o Options) (Report, error) {
+func Run(parent context.Context, options Options) (Report, error) {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
-	f, err := newFleet(ctx, o)
+	f, err := newFleet(ctx, options)
 	if err != nil {
 		return Report{}, err
 	}
@@ -259,28 +261,28 @@
 		return f.startFailure(err), nil
 	}
 	base := f.allResources(ctx)
-	stopClients, ended := f.startClients(ctx)
-	pause(ctx, o.Calm)
+	stopRequesters, ended := f.startRequesters(ctx)
+	pause(ctx, options.Calm)
 	f.injectFaults(ctx)
 	f.settle(ctx)
 	f.readFinalTables(ctx)
-	stopClients()
+	stopRequesters()
 	<-ended
 	f.checkReleased(ctx, base)
 	all := f.snapshot()
 	report := Report{
-		Seed:     o.Seed,
+		Seed:     options.Seed,
 		Breaches: all.judge(),
 		Faults:   all.Faults,
 		Served:   map[string]int{},
 		Asked:    map[string]int{},
 		Runs:     len(all.Runs),
 	}
-	for _, q := range all.Requests {
-		if !q.Misbehaving {
-			report.Asked[q.Kind]++
-			if q.Whole && q.Status < 300 {
-				report.Served[q.Kind]++
+	for _, req := range all.Requests {
+		if !req.Misbehaving {
+			report.Asked[req.Kind]++
+			if req.Whole && req.Status < 300 {
+				report.Served[req.Kind]++
 			}
 		}
 	}
--- a/rehearsalkit/soak/judge.go
+++ b/rehearsalkit/soak/judge.go
@@ -64,17 +64,17 @@
 
 // judgeRuns finds once-only requests that ran twice and refused requests that ran.
 func (r *record) judgeRuns(runs map[string][]run) (list []Breach) {
-	for _, q := range r.Requests {
-		ran := runs[requestKey(q.Tenant, q.Attempt)]
-		if q.Repeats {
+	for _, req := range r.Requests {
+		ran := runs[requestKey(req.Tenant, req.Attempt)]
+		if req.Repeats {
 			continue
 		}
-		if (q.Kind == kindOnce || q.Kind == kindKept) && len(ran) > 1 {
-			list = append(list, breach(RuleOnce, "%s at %s ran %d times: %+v", q.Attempt, q.Node, len(ran), ran))
+		if (req.Kind == kindOnce || req.Kind == kindKept) && len(ran) > 1 {
+			list = append(list, breach(RuleOnce, "%s at %s ran %d times: %+v", req.Attempt, req.Node, len(ran), ran))
 		}
-		if notRunStatuses[q.Status] && len(ran) > 0 {
+		if notRunStatuses[req.Status] && len(ran) > 0 {
 			list = append(list, breach(RuleNotRun, "%s of %s at %s was answered %d at %v and ran at %v",
-				q.Attempt, q.Tenant, q.Node, q.Status, q.Ended, ran[0].At))
+				req.Attempt, req.Tenant, req.Node, req.Status, req.Ended, ran[0].At))
 		}
 	}
 	return list
@@ -82,23 +82,23 @@
 
 // judgeAnswers finds successful answers that differ from what a replica sent.
 func (r *record) judgeAnswers(runs map[string][]run) (list []Breach) {
-	for _, q := range r.Requests {
-		if !q.Whole || q.Status != http.StatusOK {
+	for _, req := range r.Requests {
+		if !req.Whole || req.Status != http.StatusOK {
 			continue
 		}
 		given := false
-		for _, ran := range runs[requestKey(q.Tenant, q.Attempt)] {
-			given = given || ran.Gave == q.Answer
+		for _, ran := range runs[requestKey(req.Tenant, req.Attempt)] {
+			given = given || ran.Gave == req.Answer
 		}
 		// A stream that was resumed at another replica joins the output of two runs.
-		if q.Kind == kindChat && !given {
-			for _, ran := range runs[requestKey(q.Tenant, q.Attempt)] {
-				given = given || strings.HasSuffix(q.Answer, ran.Gave) && q.Answer == wholeStream(q.Attempt)
+		if req.Kind == kindChat && !given {
+			for _, ran := range runs[requestKey(req.Tenant, req.Attempt)] {
+				given = given || strings.HasSuffix(req.Answer, ran.Gave) && req.Answer == wholeStream(req.Attempt)
 			}
 		}
 		if !given {
 			list = append(list, breach(RuleAnswers, "%s of %s at %s got an answer that no replica sent: %.200q",
-				q.Attempt, q.Tenant, q.Node, q.Answer))
+				req.Attempt, req.Tenant, req.Node, req.Answer))
 		}
 	}
 	return list
@@ -115,23 +115,23 @@
 // judgeRequested finds runs that do not equal a request.
 func (r *record) judgeRequested(map[string][]run) (list []Breach) {
 	requested := map[string]*request{}
-	for _, q := range r.Requests {
-		requested[requestKey(q.Tenant, q.Attempt)] = q
+	for _, req := range r.Requests {
+		requested[requestKey(req.Tenant, req.Attempt)] = req
 	}
 	services := map[string]string{kindAlert: serviceApp, kindOnce: serviceApp, kindChat: serviceModel, kindKept: serviceModel}
 	for _, ran := range r.Runs {
-		q := requested[requestKey(ran.Tenant, ran.Attempt)]
+		req := requested[requestKey(ran.Tenant, ran.Attempt)]
 		switch {
-		case q == nil:
+		case req == nil:
 			list = append(list, breach(RuleRequested, "%s of tenant %q ran at %s and was never requested", ran.Attempt, ran.Tenant, ran.Replica))
-		case q.Method != ran.Method || q.Path != ran.Path || services[q.Kind] != ran.Service:
-			list = append(list, breach(RuleRequested, "%s ran as %s %s at %s", q.Attempt, ran.Method, ran.Path, ran.Service))
-		case ran.Got != q.Before+q.Body && ran.Got != unread:
+		case req.Method != ran.Method || req.Path != ran.Path || services[req.Kind] != ran.Service:
+			list = append(list, breach(RuleRequested, "%s ran as %s %s at %s", req.Attempt, ran.Method, ran.Path, ran.Service))
+		case ran.Got != req.Before+req.Body && ran.Got != unread:
 			rule := RuleRequested
-			if q.Kind == kindKept {
+			if req.Kind == kindKept {
 				rule = RuleChain
 			}
-			list = append(list, breach(rule, "%s of %s ran with %.300q, wanted %.300q", q.Attempt, q.Tenant, ran.Got, q.Before+q.Body))
+			list = append(list, breach(rule, "%s of %s ran with %.300q, wanted %.300q", req.Attempt, req.Tenant, ran.Got, req.Before+req.Body))
 		}
 	}
 	return list
@@ -139,29 +139,29 @@
 
 // judgeBudgets finds exceeded budgets, and turns refused although the budget sufficed.
 func (r *record) judgeBudgets(map[string][]run) (list []Breach) {
-	type spending struct{ got, budget, most int64 }
+	type spending struct{ received, budget, requested int64 }
 	programs := map[string]*spending{}
 	sort.SliceStable(r.Requests, func(i, k int) bool { return r.Requests[i].Began < r.Requests[k].Began })
-	for _, q := range r.Requests {
-		if q.Program == "" {
+	for _, req := range r.Requests {
+		if req.Program == "" {
 			continue
 		}
-		b := programs[requestKey(q.Tenant, q.Program)]
-		if b == nil {
-			b = &spending{budget: q.Budget}
-			programs[requestKey(q.Tenant, q.Program)] = b
+		usage := programs[requestKey(req.Tenant, req.Program)]
+		if usage == nil {
+			usage = &spending{budget: req.Budget}
+			programs[requestKey(req.Tenant, req.Program)] = usage
 		}
-		if q.Status == http.StatusPaymentRequired && b.most+turnTokens <= b.budget {
+		if req.Status == http.StatusPaymentRequired && usage.requested+turnTokens <= usage.budget {
 			list = append(list, breach(RuleBudgetRefusal, "%s was refused although program %s had requested at most %d of its %d tokens",
-				q.Attempt, q.Program, b.most, b.budget))
+				req.Attempt, req.Program, usage.requested, usage.budget))
 		}
-		b.most += turnTokens
-		b.got += tokensPerEvent * int64(strings.Count(q.Answer, "data: "))
+		usage.requested += turnTokens
+		usage.received += tokensPerEvent * int64(strings.Count(req.Answer, "data: "))
 	}
-	for program, b := range programs {
-		if b.got > b.budget+turnTokens {
+	for program, usage := range programs {
+		if usage.received > usage.budget+turnTokens {
 			list = append(list, breach(RuleBudget, "program %s got %d tokens; its budget is %d and the limit of a turn %d",
-				program, b.got, b.budget, turnTokens))
+				program, usage.received, usage.budget, turnTokens))
 		}
 	}
 	return list
@@ -171,16 +171,16 @@
 // and retained.
 func (r *record) judgeHistory(map[string][]run) (list []Breach) {
 	completed := map[string]time.Duration{}
-	for _, q := range r.Requests {
-		if q.Kind == kindKept && q.Whole && q.Status == http.StatusOK {
-			completed[requestKey(q.Tenant, q.Attempt)] = q.Ended
+	for _, req := range r.Requests {
+		if req.Kind == kindKept && req.Whole && req.Status == http.StatusOK {
+			completed[requestKey(req.Tenant, req.Attempt)] = req.Ended
 		}
 	}
-	for _, q := range r.Requests {
-		ended, ok := completed[requestKey(q.Tenant, q.Previous)]
-		if q.Status == http.StatusNotFound && q.Previous != "" && ok && q.Began < ended+historyRetention {
+	for _, req := range r.Requests {
+		ended, ok := completed[requestKey(req.Tenant, req.Previous)]
+		if req.Status == http.StatusNotFound && req.Previous != "" && ok && req.Began < ended+historyRetention {
 			list = append(list, breach(RuleHistory, "%s of %s at %s got 404 at %v; %s was complete at %v",
-				q.Attempt, q.Tenant, q.Node, q.Ended, q.Previous, ended))
+				req.Attempt, req.Tenant, req.Node, req.Ended, req.Previous, ended))
 		}
 	}
 	return list
@@ -188,7 +188,7 @@
 
 // judgeRate checks the rate-limited tenant in a sliding window.
 func (r *record) judgeRate(map[string][]run) []Breach {
-	most := int((limitedRate*rateWindow.Seconds()+limitedBurst)*1.1) + rateSlack
+	limit := int((limitedRate*rateWindow.Seconds()+limitedBurst)*(1+rateOvershoot)) + rateSlack
 	var window []time.Duration
 	for _, ran := range r.Runs {
 		if ran.Tenant != tenantLimited {
@@ -198,9 +198,9 @@
 		for window[0] <= ran.At-rateWindow {
 			window = window[1:]
 		}
-		if len(window) > most {
+		if len(window) > limit {
 			return []Breach{breach(RuleRate, "%d requests of tenant %s ran in the %v up to %v; the limit is %d",
-				len(window), tenantLimited, rateWindow, ran.At, most)}
+				len(window), tenantLimited, rateWindow, ran.At, limit)}
 		}
 	}
 	return nil
@@ -209,23 +209,23 @@
 // judgeTables finds acknowledged tables that are invalid, share a base or are not read back.
 func (r *record) judgeTables(map[string][]run) (list []Breach) {
 	acknowledged := map[uint64]uint64{}
-	for _, o := range r.TableUpdates {
-		if o.Status != http.StatusOK {
+	for _, update := range r.TableUpdates {
+		if update.Status != http.StatusOK {
 			continue
 		}
-		if !o.Valid {
-			list = append(list, breach(RuleRace, "the invalid table %d was acknowledged", o.Number))
+		if !update.Valid {
+			list = append(list, breach(RuleRace, "the invalid table %d was acknowledged", update.Number))
 		}
-		if other, ok := acknowledged[o.Base]; ok && other != o.Number {
-			list = append(list, breach(RuleRace, "tables %d and %d were both acknowledged on %d", other, o.Number, o.Base))
+		if other, ok := acknowledged[update.Base]; ok && other != update.Number {
+			list = append(list, breach(RuleRace, "tables %d and %d were both acknowledged on %d", other, update.Number, update.Base))
 		}
-		acknowledged[o.Base] = o.Number
+		acknowledged[update.Base] = update.Number
 	}
 	for _, read := range r.TableReads {
-		for _, o := range r.TableUpdates {
-			if o.Status == http.StatusOK && o.Ended+applyTimeout < read.Began && read.Number < o.Number {
+		for _, update := range r.TableUpdates {
+			if update.Status == http.StatusOK && update.Ended+applyTimeout < read.Began && read.Number < update.Number {
 				list = append(list, breach(RuleTables, "%s returned table %d at %v; table %d was acknowledged at %v",
-					read.Registry, read.Number, read.Ended, o.Number, o.Ended))
+					read.Registry, read.Number, read.Ended, update.Number, update.Ended))
 			}
 		}
 	}
@@ -240,8 +240,8 @@
 		departures[w.Replica] = w.At
 	}
 	nodes := map[string]string{}
-	for _, q := range r.Requests {
-		nodes[requestKey(q.Tenant, q.Attempt)] = q.Node
+	for _, req := range r.Requests {
+		nodes[requestKey(req.Tenant, req.Attempt)] = req.Node
 	}
 	for _, ran := range r.Runs {
 		at, ok := departures[ran.Replica]
@@ -265,12 +265,13 @@
 
 // judgeDeadlines finds requests that ended late although their node had no fault.
 func (r *record) judgeDeadlines(map[string][]run) (list []Breach) {
-	for _, q := range r.Requests {
-		if q.Misbehaving || q.Ended < 0 || q.Ended-q.Began < deadline+answerGrace || r.affected(q.Node, q.Began-time.Second, q.Ended) {
+	for _, req := range r.Requests {
+		if req.Misbehaving || req.Ended < 0 || req.Ended-req.Began < deadline+answerGrace ||
+			r.affected(req.Node, req.Began-time.Second, req.Ended) {
 			continue
 		}
 		list = append(list, breach(RuleDeadline, "%s of kind %s at %s was sent at %v and ended at %v with %d",
-			q.Attempt, q.Kind, q.Node, q.Began, q.Ended, q.Status))
+			req.Attempt, req.Kind, req.Node, req.Began, req.Ended, req.Status))
 	}
 	return list
 }
@@ -295,14 +296,14 @@
 		lastFault = max(lastFault, t.To)
 	}
 	requested, served := map[string]int{}, map[string]int{}
-	for _, q := range r.Requests {
-		if q.Misbehaving || q.Tenant == tenantLimited || q.Began < lastFault+contactTimeout ||
-			q.Ended < 0 || q.Status == http.StatusPaymentRequired {
+	for _, req := range r.Requests {
+		if req.Misbehaving || req.Tenant == tenantLimited || req.Began < lastFault+contactTimeout ||
+			req.Ended < 0 || req.Status == http.StatusPaymentRequired {
 			continue
 		}
-		requested[q.Kind]++
-		if q.Whole && q.Status < 300 {
-			served[q.Kind]++
+		requested[req.Kind]++
+		if req.Whole && req.Status < 300 {
+			served[req.Kind]++
 		}
 	}
 	for kind, count := range requested {
--- a/rehearsalkit/soak/misbehaving.go
+++ b/rehearsalkit/soak/misbehaving.go
@@ -48,13 +48,13 @@
 }
 
 // open opens a connection and records the request, or returns nil for both if that fails.
-func (f *Fleet) open(q *request) (*request, *connection) {
+func (f *Fleet) open(req *request) (*request, *connection) {
 	c, err := dialNode(f.anyNode())
 	if err != nil {
 		return nil, nil
 	}
-	f.recordStart(q, c.node)
-	return q, c
+	f.recordStart(req, c.node)
+	return req, c
 }
 
 // holdTime is longer than any request may last.
@@ -67,16 +67,16 @@
 
 // halfBody sends a part of its body and holds the connection.
 func halfBody(f *Fleet, ctx context.Context, name string) {
-	if q, c := f.openMisbehaving(kindOnce, http.MethodPost, name, strings.Repeat("b", 4000)); c != nil {
-		io.WriteString(c, q.head(keyOf(q.Tenant))+q.Body[:rand.IntN(len(q.Body))])
+	if req, c := f.openMisbehaving(kindOnce, http.MethodPost, name, strings.Repeat("b", 4000)); c != nil {
+		io.WriteString(c, req.head(keyOf(req.Tenant))+req.Body[:rand.IntN(len(req.Body))])
 		hold(ctx, c)
 	}
 }
 
 // announcesMuch announces a large body and sends none of it.
 func announcesMuch(f *Fleet, ctx context.Context, name string) {
-	if q, c := f.openMisbehaving(kindOnce, http.MethodPost, name, ""); c != nil {
-		io.WriteString(c, strings.Replace(q.head(keyOf(q.Tenant)), "Content-Length: 0", "Content-Length: 900000", 1))
+	if req, c := f.openMisbehaving(kindOnce, http.MethodPost, name, ""); c != nil {
+		io.WriteString(c, strings.Replace(req.head(keyOf(req.Tenant)), "Content-Length: 0", "Content-Length: 900000", 1))
 		hold(ctx, c)
 	}
 }
@@ -84,14 +84,14 @@
 func readsNothing(f *Fleet, ctx context.Context, name string) {
 	large := misbehavingRequest(kindChat, http.MethodPost, name, "much")
 	large.Path = pathLarge
-	q, c := f.open(large)
+	req, c := f.open(large)
 	if c == nil {
 		return
 	}
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.SetReadBuffer(4096)
 	}
-	io.WriteString(c, q.head(keyOf(q.Tenant))+q.Body)
+	io.WriteString(c, req.head(keyOf(req.Tenant))+req.Body)
 	hold(ctx, c)
 }
 
@@ -102,8 +102,8 @@
 	if kind == kindAlert {
 		method, body = http.MethodGet, ""
 	}
-	if q, c := f.openMisbehaving(kind, method, name, body); c != nil {
-		io.WriteString(c, q.head(keyOf(q.Tenant))+q.Body)
+	if req, c := f.openMisbehaving(kind, method, name, body); c != nil {
+		io.WriteString(c, req.head(keyOf(req.Tenant))+req.Body)
 		pause(ctx, time.Duration(rand.IntN(40))*time.Millisecond)
 		if t, ok := c.Conn.(*net.TCPConn); ok && rand.IntN(2) == 0 {
 			t.SetLinger(0)
@@ -113,13 +113,13 @@
 }
 
 func dripsHead(f *Fleet, ctx context.Context, name string) {
-	q, c := f.openMisbehaving(kindAlert, http.MethodGet, name, "")
+	req, c := f.openMisbehaving(kindAlert, http.MethodGet, name, "")
 	if c == nil {
 		return
 	}
 	defer c.Close()
-	for _, letter := range q.head(keyOf(q.Tenant)) {
-		if _, err := io.WriteString(c, string(letter)); err != nil || ctx.Err() != nil {
+	for _, character := range req.head(keyOf(req.Tenant)) {
+		if _, err := io.WriteString(c, string(character)); err != nil || ctx.Err() != nil {
 			return
 		}
 		pause(ctx, 15*time.Millisecond)
@@ -156,7 +156,7 @@
 		if err != nil || ctx.Err() != nil {
 			return
 		}
-		q := &request{
+		req := &request{
 			Attempt:     name,
 			Kind:        kindChat,
 			Tenant:      tenantFirst,
@@ -168,28 +168,28 @@
 			Misbehaving: true,
 			Repeats:     true,
 		}
-		f.ask(c, q)
+		f.ask(c, req)
 		c.Close()
 	}
 }
 
 func wrongKey(f *Fleet, ctx context.Context, name string) {
-	stranger := misbehavingRequest(kindOnce, http.MethodPost, name, "with a wrong key")
-	stranger.Tenant = ""
-	if q, c := f.open(stranger); c != nil {
+	unknown := misbehavingRequest(kindOnce, http.MethodPost, name, "with a wrong key")
+	unknown.Tenant = ""
+	if req, c := f.open(unknown); c != nil {
 		c.SetDeadline(time.Now().Add(deadline + answerGrace))
-		io.WriteString(c, q.head("no key of anybody")+q.Body)
-		f.answer(c, q)
+		io.WriteString(c, req.head("no key of anybody")+req.Body)
+		f.answer(c, req)
 		c.Close()
 	}
 }
 
 // hugeHead sends a request head above the limit.
 func hugeHead(f *Fleet, ctx context.Context, name string) {
-	if q, c := f.openMisbehaving(kindAlert, http.MethodGet, name, ""); c != nil {
+	if req, c := f.openMisbehaving(kindAlert, http.MethodGet, name, ""); c != nil {
 		c.SetDeadline(time.Now().Add(deadline + answerGrace))
-		io.WriteString(c, q.head(keyOf(q.Tenant), "Padding: "+strings.Repeat("p", 40<<10)))
-		f.answer(c, q)
+		io.WriteString(c, req.head(keyOf(req.Tenant), "Padding: "+strings.Repeat("p", 40<<10)))
+		f.answer(c, req)
 		c.Close()
 	}
 }
--- a/rehearsalkit/soak/operator.go
+++ b/rehearsalkit/soak/operator.go
@@ -50,7 +50,7 @@
 	}
 	chat, kept := newRoute(kindChat, route.Stream, serviceModel, 2), newRoute(kindKept, route.Stream, serviceModel, 2)
 	chat.Resumable, kept.KeepHistory, kept.KeepSeconds = true, true, historyRetention.Seconds()
-	t := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20},
+	table := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20},
 		Routes: []route.Route{
 			newRoute(kindAlert, route.Repeatable, serviceApp, 2),
 			newRoute(kindOnce, route.Once, serviceApp, 3),
@@ -63,7 +63,7 @@
 			{Name: serviceApp, Connections: 100, TokensPerEvent: 1, Slots: 8},
 		},
 		Tenants: []route.Tenant{tenant(tenantFirst, 0, 0), tenant(tenantSecond, 0, 0), tenant(tenantLimited, limitedRate, limitedBurst)}}
-	raw, err := json.Marshal(t)
+	raw, err := json.Marshal(table)
 	if err != nil {
 		panic(err)
 	}
@@ -81,12 +81,12 @@
 
 // amend sends only the difference between the tables with the numbers base and number.
 func (t *tableOperator) amend(ctx context.Context, registry *process, base, number uint64) int {
-	a := route.Amendment{
+	amendment := route.Amendment{
 		Number: number,
 		Set:    route.SetItems{Routes: []route.Route{numberedRoute(number)}},
 		Remove: route.RemovedNames{Routes: []string{routeName(base)}},
 	}
-	body, err := json.Marshal(a)
+	body, err := json.Marshal(amendment)
 	if err != nil {
 		panic(err)
 	}
@@ -107,12 +107,12 @@
 }
 
 func (t *tableOperator) call(ctx context.Context, method string, registry *process, path string, body []byte) (int, []byte) {
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+registry.address(operatorPort)+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+registry.address(operatorPort)+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
-	q.Header.Set("Authorization", "Bearer "+operatorKey)
-	answer, err := t.fleet.client.Do(q)
+	req.Header.Set("Authorization", "Bearer "+operatorKey)
+	answer, err := t.fleet.client.Do(req)
 	if err != nil {
 		return 0, nil
 	}
--- a/rehearsalkit/soak/process.go
+++ b/rehearsalkit/soak/process.go
@@ -21,16 +21,16 @@
 )
 
 // Ports of every machine. Processes advertise relayedPort to their peers; some requesters
-// connect to relayedClientPort.
+// connect to relayedRequesterPort.
 const (
-	relayedPort       = 7000
-	operatorPort      = 7001
-	clientPort        = 7002
-	readyPort         = 7003
-	metricsPort       = 7004
-	diskPort          = 7005
-	relayedClientPort = 7006
-	peerPort          = 7100
+	relayedPort          = 7000
+	operatorPort         = 7001
+	requesterPort        = 7002
+	readyPort            = 7003
+	metricsPort          = 7004
+	diskPort             = 7005
+	relayedRequesterPort = 7006
+	peerPort             = 7100
 )
 
 const (
@@ -73,11 +73,11 @@
 	if err := os.MkdirAll(p.folder, 0o755); err != nil {
 		return errors.Wrap(err, "folder")
 	}
-	fresh := p.settingsPath() + ".new"
-	if err := os.WriteFile(fresh, text, 0o600); err != nil {
+	newPath := p.settingsPath() + ".new"
+	if err := os.WriteFile(newPath, text, 0o600); err != nil {
 		return errors.Wrap(err, "settings")
 	}
-	return errors.Wrap(os.Rename(fresh, p.settingsPath()), "settings")
+	return errors.Wrap(os.Rename(newPath, p.settingsPath()), "settings")
 }
 
 // start starts a new incarnation, unless one is running.
@@ -193,8 +193,8 @@
 	if err != nil {
 		return err.Error()
 	}
-	const most = 1500
-	return string(text[max(0, len(text)-most):])
+	const maxBytes = 1500
+	return string(text[max(0, len(text)-maxBytes):])
 }
 
 // faultSigns must not appear in a log.
--- a/rehearsalkit/soak/record.go
+++ b/rehearsalkit/soak/record.go
@@ -142,8 +142,8 @@
 	c.update(func(r *record) {
 		all = *r
 		all.Requests = nil
-		for _, q := range r.Requests {
-			copied := *q
+		for _, req := range r.Requests {
+			copied := *req
 			all.Requests = append(all.Requests, &copied)
 		}
 		all.Runs = append([]run(nil), r.Runs...)
--- a/rehearsalkit/soak/replica.go
+++ b/rehearsalkit/soak/replica.go
@@ -212,14 +212,14 @@
 
 // call sends a heartbeat or a deregistration and reports whether it was acknowledged.
 func (r *replica) call(method string, registry *process, body []byte) bool {
-	ctx, cancel := context.WithTimeout(r.ctx, time.Second)
+	ctx, cancel := context.WithTimeout(r.ctx, heartbeatTimeout)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+registry.address(operatorPort)+"/v1/replicas/"+r.id, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+registry.address(operatorPort)+"/v1/replicas/"+r.id, bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
-	q.Header.Set("Authorization", "Bearer "+replicaKey)
-	answer, err := r.endpoint.fleet.client.Do(q)
+	req.Header.Set("Authorization", "Bearer "+replicaKey)
+	answer, err := r.endpoint.fleet.client.Do(req)
 	if err != nil {
 		return false
 	}
@@ -255,17 +255,19 @@
 	behaviorCount
 )
 
+const goodShare = 0.82
+
 func pickBehavior() behavior {
-	if rand.Float64() < 0.82 {
+	if rand.Float64() < goodShare {
 		return behaviorGood
 	}
 	return behavior(1 + rand.IntN(int(behaviorCount)-1))
 }
 
-func (r *replica) serve(w http.ResponseWriter, q *http.Request) {
-	attempt := q.Header.Get("Saffronfall-Attempt")
+func (r *replica) serve(w http.ResponseWriter, req *http.Request) {
+	attempt := req.Header.Get("Saffronfall-Attempt")
 	w.Header().Set("Saffronfall-Attempt", attempt)
-	if target := q.Header.Get("Saffronfall-Replica"); target != r.id || attempt == "" {
+	if target := req.Header.Get("Saffronfall-Replica"); target != r.id || attempt == "" {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -278,41 +280,41 @@
 	var got []byte
 	if how != behaviorEarly {
 		var err error
-		if got, err = io.ReadAll(q.Body); err != nil {
+		if got, err = io.ReadAll(req.Body); err != nil {
 			return
 		}
 	}
 	f := r.endpoint.fleet
-	stream := strings.HasPrefix(q.URL.Path, "/"+kindChat+"/") || strings.HasPrefix(q.URL.Path, "/"+kindKept+"/")
-	one := run{
+	stream := strings.HasPrefix(req.URL.Path, "/"+kindChat+"/") || strings.HasPrefix(req.URL.Path, "/"+kindKept+"/")
+	ran := run{
 		At:      f.now(),
 		Replica: r.id,
 		Service: r.endpoint.service,
 		Attempt: attempt,
-		Tenant:  q.Header.Get("Saffronfall-Tenant"),
-		Method:  q.Method,
-		Path:    q.URL.Path,
+		Tenant:  req.Header.Get("Saffronfall-Tenant"),
+		Method:  req.Method,
+		Path:    req.URL.Path,
 		Got:     string(got),
-		Gave:    r.answer(q, stream),
+		Gave:    r.answer(req, stream),
 	}
 	if how == behaviorEarly {
-		one.Got = unread
+		ran.Got = unread
 	}
-	f.update(func(r *record) { r.Runs = append(r.Runs, one) })
-	pause(q.Context(), time.Duration(5+rand.IntN(30))*time.Millisecond)
+	f.update(func(r *record) { r.Runs = append(r.Runs, ran) })
+	pause(req.Context(), time.Duration(5+rand.IntN(30))*time.Millisecond)
 	if how == behaviorLate {
-		pause(q.Context(), time.Duration(rand.IntN(2500))*time.Millisecond)
+		pause(req.Context(), time.Duration(rand.IntN(2500))*time.Millisecond)
 	}
 	w.Header().Set("Saffronfall-Seal", "seal-"+attempt)
 	w.Header().Set("Saffronfall-Load", "1,0,8")
 	switch how {
 	case behaviorGood, behaviorLate, behaviorEarly:
-		r.writeAnswer(w, one, stream)
+		r.writeAnswer(w, ran, stream)
 	case behaviorFails:
 		w.WriteHeader(http.StatusInternalServerError)
 		io.WriteString(w, "failed "+attempt)
 	default:
-		r.misbehave(w, q, one, how, stream)
+		r.misbehave(w, req, ran, how, stream)
 	}
 }
 
@@ -322,18 +324,18 @@
 // pathLarge is the path of streams larger than socket buffers, which requesters do not read.
 const pathLarge = "/" + kindChat + "/large"
 
-func (r *replica) answer(q *http.Request, stream bool) string {
-	attempt := q.Header.Get("Saffronfall-Attempt")
+func (r *replica) answer(req *http.Request, stream bool) string {
+	attempt := req.Header.Get("Saffronfall-Attempt")
 	if !stream {
 		return r.id + " ran " + attempt + strings.Repeat(".", 200)
 	}
 	first := 1
-	if last, err := strconv.Atoi(q.Header.Get("Last-Event-Id")); err == nil {
+	if last, err := strconv.Atoi(req.Header.Get("Last-Event-Id")); err == nil {
 		first = last + 1
 	}
 	var text strings.Builder
 	padding, events := "", eventsOfTurn
-	if q.URL.Path == pathLarge {
+	if req.URL.Path == pathLarge {
 		padding, events = strings.Repeat("+", 300<<10), eventsOfLarge
 	}
 	for i := first; i <= events; i++ {
@@ -343,13 +345,13 @@
 }
 
 // writeAnswer writes a correct answer. A stream is written event by event.
-func (r *replica) writeAnswer(w http.ResponseWriter, one run, stream bool) {
+func (r *replica) writeAnswer(w http.ResponseWriter, ran run, stream bool) {
 	if !stream {
-		io.WriteString(w, one.Gave)
+		io.WriteString(w, ran.Gave)
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
-	for _, event := range strings.SplitAfter(one.Gave, "\n\n") {
+	for _, event := range strings.SplitAfter(ran.Gave, "\n\n") {
 		io.WriteString(w, event)
 		if flusher, ok := w.(http.Flusher); ok {
 			flusher.Flush()
@@ -358,9 +360,9 @@
 	}
 }
 
-func (r *replica) misbehave(w http.ResponseWriter, q *http.Request, one run, how behavior, stream bool) {
-	head := "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: " + one.Attempt + "\r\nSaffronfall-Seal: seal-" + one.Attempt + "\r\n"
-	length := fmt.Sprintf("Content-Length: %d\r\n\r\n", len(one.Gave))
+func (r *replica) misbehave(w http.ResponseWriter, req *http.Request, ran run, how behavior, stream bool) {
+	head := "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: " + ran.Attempt + "\r\nSaffronfall-Seal: seal-" + ran.Attempt + "\r\n"
+	length := fmt.Sprintf("Content-Length: %d\r\n\r\n", len(ran.Gave))
 	hijacker, ok := w.(http.Hijacker)
 	if !ok {
 		return
@@ -382,13 +384,13 @@
 			t.SetLinger(0)
 		}
 	case behaviorHalf:
-		cut := rand.IntN(len(one.Gave))
-		write(head + length + one.Gave[:cut])
+		cut := rand.IntN(len(ran.Gave))
+		write(head + length + ran.Gave[:cut])
 	case behaviorSurplus:
-		write(head + length + one.Gave + surplusAnswer)
+		write(head + length + ran.Gave + surplusAnswer)
 		r.waitForByte(c, buffer.Reader, 300*time.Millisecond)
 	case behaviorSurplusLater:
-		write(head + length + one.Gave)
+		write(head + length + ran.Gave)
 		if r.waitForByte(c, buffer.Reader, time.Second) {
 			write(surplusAnswer)
 			r.waitForByte(c, buffer.Reader, 300*time.Millisecond)
@@ -403,12 +405,12 @@
 // surplusAnswer is an answer that belongs to no request.
 const surplusAnswer = "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: other\r\nSaffronfall-Seal: s\r\nContent-Length: 7\r\n\r\nsurplus"
 
-// waitForByte waits until the peer sends a byte or closes the connection, or for within. It
+// waitForByte waits until the peer sends a byte or closes the connection, or for timeout. It
 // reports whether a byte came.
-func (r *replica) waitForByte(c net.Conn, reader *bufio.Reader, within time.Duration) bool {
+func (r *replica) waitForByte(c net.Conn, reader *bufio.Reader, timeout time.Duration) bool {
 	stop := context.AfterFunc(r.ctx, func() { c.Close() })
 	defer stop()
-	c.SetReadDeadline(time.Now().Add(within))
+	c.SetReadDeadline(time.Now().Add(timeout))
 	_, err := reader.ReadByte()
 	return err == nil
 }
--- a/rehearsalkit/soak/client.go
+++ b/rehearsalkit/soak/requester.go
@@ -38,9 +38,9 @@
 }
 
 func dialNode(node *process) (*connection, error) {
-	port := clientPort
+	port := requesterPort
 	if rand.IntN(2) == 0 {
-		port = relayedClientPort
+		port = relayedRequesterPort
 	}
 	c, err := net.DialTimeout("tcp", node.address(port), time.Second)
 	if err != nil {
@@ -50,63 +50,63 @@
 }
 
 // head formats the request line and the headers, with more at the end.
-func (q *request) head(key string, more ...string) string {
+func (req *request) head(key string, more ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nSaffronfall-Attempt: %s\r\nSaffronfall-Key: %s\r\nSaffronfall-Deadline-Ms: %d\r\n",
-		q.Method, q.Path, host, q.Attempt, key, deadline.Milliseconds())
-	if q.Program != "" {
-		fmt.Fprintf(&b, "Saffronfall-Program: %s\r\nSaffronfall-Budget: %d\r\nSaffronfall-Tokens: 10,%d\r\n", q.Program, q.Budget, turnTokens)
+		req.Method, req.Path, host, req.Attempt, key, deadline.Milliseconds())
+	if req.Program != "" {
+		fmt.Fprintf(&b, "Saffronfall-Program: %s\r\nSaffronfall-Budget: %d\r\nSaffronfall-Tokens: 10,%d\r\n", req.Program, req.Budget, turnTokens)
 	}
-	if q.Previous != "" {
-		fmt.Fprintf(&b, "Saffronfall-Previous: %s\r\n", q.Previous)
+	if req.Previous != "" {
+		fmt.Fprintf(&b, "Saffronfall-Previous: %s\r\n", req.Previous)
 	}
 	for _, line := range more {
 		b.WriteString(line + "\r\n")
 	}
-	if q.Method == http.MethodPost {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(q.Body))
+	if req.Method == http.MethodPost {
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(req.Body))
 	}
 	return b.String() + "\r\n"
 }
 
 // recordStart records a request. It must be called before any byte of it is sent.
-func (f *Fleet) recordStart(q *request, node *process) {
-	q.Node, q.Began, q.Ended = node.name, f.now(), -1
-	f.update(func(r *record) { r.Requests = append(r.Requests, q) })
+func (f *Fleet) recordStart(req *request, node *process) {
+	req.Node, req.Began, req.Ended = node.name, f.now(), -1
+	f.update(func(r *record) { r.Requests = append(r.Requests, req) })
 }
 
-func (f *Fleet) recordEnd(q *request, status int, whole bool, answer string) {
+func (f *Fleet) recordEnd(req *request, status int, whole bool, answer string) {
 	at := f.now()
-	f.update(func(*record) { q.Ended, q.Status, q.Whole, q.Answer = at, status, whole, answer })
+	f.update(func(*record) { req.Ended, req.Status, req.Whole, req.Answer = at, status, whole, answer })
 }
 
 // ask reports whether the connection can be reused.
-func (f *Fleet) ask(c *connection, q *request) bool {
-	f.recordStart(q, c.node)
+func (f *Fleet) ask(c *connection, req *request) bool {
+	f.recordStart(req, c.node)
 	c.SetDeadline(time.Now().Add(deadline + answerGrace + time.Second))
-	if _, err := io.WriteString(c, q.head(keyOf(q.Tenant))+q.Body); err != nil {
-		f.recordEnd(q, 0, false, "")
+	if _, err := io.WriteString(c, req.head(keyOf(req.Tenant))+req.Body); err != nil {
+		f.recordEnd(req, 0, false, "")
 		return false
 	}
-	return f.answer(c, q)
+	return f.answer(c, req)
 }
 
 // answer reads, checks and records the answer to a request. It reports whether the connection
 // can be reused.
-func (f *Fleet) answer(c *connection, q *request) bool {
-	got, err := http.ReadResponse(c.reader, &http.Request{Method: q.Method})
+func (f *Fleet) answer(c *connection, req *request) bool {
+	got, err := http.ReadResponse(c.reader, &http.Request{Method: req.Method})
 	if err != nil {
-		f.recordEnd(q, 0, false, "")
+		f.recordEnd(req, 0, false, "")
 		return false
 	}
 	body, err := io.ReadAll(got.Body)
-	if seal := got.Header.Get("Saffronfall-Seal"); err == nil && got.StatusCode == http.StatusOK && seal != "seal-"+q.Attempt {
-		f.recordBreach(RuleAnswers, "attempt %s at %s got a success with seal %q", q.Attempt, q.Node, seal)
+	if seal := got.Header.Get("Saffronfall-Seal"); err == nil && got.StatusCode == http.StatusOK && seal != "seal-"+req.Attempt {
+		f.recordBreach(RuleAnswers, "attempt %s at %s got a success with seal %q", req.Attempt, req.Node, seal)
 	}
-	if id := got.Header.Get("Saffronfall-Attempt"); id != "" && id != q.Attempt {
-		f.recordBreach(RuleAnswers, "attempt %s at %s got the answer to %s", q.Attempt, q.Node, id)
+	if id := got.Header.Get("Saffronfall-Attempt"); id != "" && id != req.Attempt {
+		f.recordBreach(RuleAnswers, "attempt %s at %s got the answer to %s", req.Attempt, req.Node, id)
 	}
-	f.recordEnd(q, got.StatusCode, err == nil, string(body))
+	f.recordEnd(req, got.StatusCode, err == nil, string(body))
 	return err == nil && !got.Close
 }
 
@@ -130,21 +130,21 @@
 	return fmt.Sprintf("%s-%d", r.name, r.count)
 }
 
-func (r *requester) send(q *request) *request {
+func (r *requester) send(req *request) *request {
 	c := r.idle
 	r.idle = nil
 	if c == nil {
 		var err error
 		if c, err = dialNode(r.fleet.anyNode()); err != nil {
-			return q
+			return req
 		}
 	}
-	if r.fleet.ask(c, q) && r.keepAlive {
+	if r.fleet.ask(c, req) && r.keepAlive {
 		r.idle = c
-		return q
+		return req
 	}
 	c.Close()
-	return q
+	return req
 }
 
 func (r *requester) close() {
@@ -178,9 +178,9 @@
 	program := "p-" + r.attempt()
 	budget := int64(turnTokens*3 + 20)
 	for turns := 0; turns < 8 && ctx.Err() == nil; turns++ {
-		q := r.request(kindChat, http.MethodPost, "say more")
-		q.Program, q.Budget = program, budget
-		if r.send(q); q.Status == http.StatusPaymentRequired {
+		req := r.request(kindChat, http.MethodPost, "say more")
+		req.Program, req.Budget = program, budget
+		if r.send(req); req.Status == http.StatusPaymentRequired {
 			return
 		}
 	}
@@ -190,10 +190,10 @@
 func (r *requester) conversation(ctx context.Context) {
 	previous, before := "", ""
 	for turns := 0; turns < 6 && ctx.Err() == nil; turns++ {
-		q := r.request(kindKept, http.MethodPost, fmt.Sprintf("turn %d of %s;", turns, r.tenant))
-		q.Previous, q.Before = previous, before
-		if r.send(q); q.Whole && q.Status == http.StatusOK {
-			previous, before = q.Attempt, before+q.Body+eventText(q.Answer)
+		req := r.request(kindKept, http.MethodPost, fmt.Sprintf("turn %d of %s;", turns, r.tenant))
+		req.Previous, req.Before = previous, before
+		if r.send(req); req.Whole && req.Status == http.StatusOK {
+			previous, before = req.Attempt, before+req.Body+eventText(req.Answer)
 		}
 		pause(ctx, 50*time.Millisecond)
 	}
@@ -210,9 +210,9 @@
 	return text.String()
 }
 
-// startClients starts requesters and an operator. It returns a function that stops them and a
+// startRequesters also starts an operator. It returns a function that stops all of them and a
 // channel that is closed once all have returned.
-func (f *Fleet) startClients(parent context.Context) (stop context.CancelFunc, stopped <-chan struct{}) {
+func (f *Fleet) startRequesters(parent context.Context) (stop context.CancelFunc, stopped <-chan struct{}) {
 	ctx, cancel := context.WithCancel(parent)
 	done, count := make(chan struct{}), 0
 	start := func(run func()) {
--- a/rehearsalkit/soak/resources.go
+++ b/rehearsalkit/soak/resources.go
@@ -56,7 +56,7 @@
 func (f *Fleet) allResources(ctx context.Context) map[*process]resources {
 	all := map[*process]resources{}
 	for _, p := range f.processes {
-		f.waitUntil(ctx, 5*time.Second, func() bool {
+		f.waitUntil(ctx, baselineTimeout, func() bool {
 			held, ok := f.resources(p)
 			all[p] = held
 			return ok
@@ -71,6 +71,7 @@
 	spareGoroutines = 60
 	spareFiles      = 120
 	releaseTimeout  = 12 * time.Second
+	baselineTimeout = 5 * time.Second
 )
 
 // checkReleased checks that all processes return to their baseline without requesters, and
