--- a/rehearsalkit/soak/misbehaving.go
+++ b/rehearsalkit/soak/misbehaving.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// misbehavior is one way in which a requester breaks the protocol or holds a connection.
+// misbehavior breaks the protocol or holds a connection.
 type misbehavior func(f *Fleet, ctx context.Context, name string)
 
-// misbehaviors are all kinds of misbehavior.
-var misbehaviors = []misbehavior{halfBody, readsNothing, closesEarly, dripsHead, pipelines, repeatsAttempt, wrongKey, hugeHead, announcesMuch}
+var misbehaviors = []misbehavior{
+	halfBody, readsNothing, closesEarly, dripsHead, pipelines, repeatsAttempt,
+	wrongKey, hugeHead, announcesMuch,
+}
 
-// misbehavingAtOnce is the largest number of concurrent misbehaving requesters.
 const misbehavingAtOnce = 6
 
-// runMisbehaving starts misbehaving requesters until the context ends, and waits for them.
 func (f *Fleet) runMisbehaving(ctx context.Context) {
 	slots, started := make(chan struct{}, misbehavingAtOnce), 0
 	done := make(chan struct{}, 1<<16)
@@ -39,7 +39,6 @@
 	}
 }
 
-// openMisbehaving records a misbehaving request and opens a connection for it.
 func (f *Fleet) openMisbehaving(kind, method, name, body string) (*request, *connection) {
 	return f.open(misbehavingRequest(kind, method, name, body))
 }
@@ -48,22 +47,19 @@
 	return &request{Attempt: name, Kind: kind, Tenant: tenantFirst, Method: method, Path: "/" + kind + "/x", Body: body, Misbehaving: true}
 }
 
-// open opens a connection and records the request. It returns nil for both if the
-// connection fails.
-func (f *Fleet) open(q *request) (*request, *connection) {
+// open opens a connection and records the request, or returns nil for both if that fails.
+func (f *Fleet) open(req *request) (*request, *connection) {
 	c, err := dialNode(f.anyNode())
 	if err != nil {
 		return nil, nil
 	}
-	f.recordStart(q, c.node)
-	return q, c
+	f.recordStart(req, c.node)
+	return req, c
 }
 
-// holdTime is how long a misbehaving requester keeps its connection open. It is longer
-// than any request may last.
+// holdTime is longer than any request may last.
 const holdTime = 12 * time.Second
 
-// hold keeps a connection open without reading, and closes it after holdTime.
 func hold(ctx context.Context, c net.Conn) {
 	pause(ctx, holdTime)
 	c.Close()
@@ -71,32 +67,31 @@
 
 // halfBody sends a part of its body and holds the connection.
 func halfBody(f *Fleet, ctx context.Context, name string) {
-	if q, c := f.openMisbehaving(kindOnce, http.MethodPost, name, strings.Repeat("b", 4000)); c != nil {
-		io.WriteString(c, q.head(keyOf(q.Tenant))+q.Body[:rand.IntN(len(q.Body))])
+	if req, c := f.openMisbehaving(kindOnce, http.MethodPost, name, strings.Repeat("b", 4000)); c != nil {
+		io.WriteString(c, req.head(keyOf(req.Tenant))+req.Body[:rand.IntN(len(req.Body))])
 		hold(ctx, c)
 	}
 }
 
 // announcesMuch announces a large body and sends none of it.
 func announcesMuch(f *Fleet, ctx context.Context, name string) {
-	if q, c := f.openMisbehaving(kindOnce, http.MethodPost, name, ""); c != nil {
-		io.WriteString(c, strings.Replace(q.head(keyOf(q.Tenant)), "Content-Length: 0", "Content-Length: 900000", 1))
+	if req, c := f.openMisbehaving(kindOnce, http.MethodPost, name, ""); c != nil {
+		io.WriteString(c, strings.Replace(req.head(keyOf(req.Tenant)), "Content-Length: 0", "Content-Length: 900000", 1))
 		hold(ctx, c)
 	}
 }
 
-// readsNothing requests a large stream and reads none of it.
 func readsNothing(f *Fleet, ctx context.Context, name string) {
 	large := misbehavingRequest(kindChat, http.MethodPost, name, "much")
 	large.Path = pathLarge
-	q, c := f.open(large)
+	req, c := f.open(large)
 	if c == nil {
 		return
 	}
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.SetReadBuffer(4096)
 	}
-	io.WriteString(c, q.head(keyOf(q.Tenant))+q.Body)
+	io.WriteString(c, req.head(keyOf(req.Tenant))+req.Body)
 	hold(ctx, c)
 }
 
@@ -107,8 +102,8 @@
 	if kind == kindAlert {
 		method, body = http.MethodGet, ""
 	}
-	if q, c := f.openMisbehaving(kind, method, name, body); c != nil {
-		io.WriteString(c, q.head(keyOf(q.Tenant))+q.Body)
+	if req, c := f.openMisbehaving(kind, method, name, body); c != nil {
+		io.WriteString(c, req.head(keyOf(req.Tenant))+req.Body)
 		pause(ctx, time.Duration(rand.IntN(40))*time.Millisecond)
 		if t, ok := c.Conn.(*net.TCPConn); ok && rand.IntN(2) == 0 {
 			t.SetLinger(0)
@@ -117,29 +112,35 @@
 	}
 }
 
-// dripsHead sends the request head byte by byte.
 func dripsHead(f *Fleet, ctx context.Context, name string) {
-	q, c := f.openMisbehaving(kindAlert, http.MethodGet, name, "")
+	req, c := f.openMisbehaving(kindAlert, http.MethodGet, name, "")
 	if c == nil {
 		return
 	}
 	defer c.Close()
-	for _, letter := range q.head(keyOf(q.Tenant)) {
-		if _, err := io.WriteString(c, string(letter)); err != nil || ctx.Err() != nil {
+	for _, character := range req.head(keyOf(req.Tenant)) {
+		if _, err := io.WriteString(c, string(character)); err != nil || ctx.Err() != nil {
 			return
 		}
 		pause(ctx, 15*time.Millisecond)
 	}
 }
 
-// pipelines sends two requests without waiting for the first answer.
 func pipelines(f *Fleet, ctx context.Context, name string) {
 	first, c := f.openMisbehaving(kindAlert, http.MethodGet, name+"a", "")
 	if c == nil {
 		return
 	}
 	defer c.Close()
-	second := &request{Attempt: name + "b", Kind: kindOnce, Tenant: tenantFirst, Method: http.MethodPost, Path: "/" + kindOnce + "/x", Body: "second", Misbehaving: true}
+	second := &request{
+		Attempt:     name + "b",
+		Kind:        kindOnce,
+		Tenant:      tenantFirst,
+		Method:      http.MethodPost,
+		Path:        "/" + kindOnce + "/x",
+		Body:        "second",
+		Misbehaving: true,
+	}
 	f.recordStart(second, c.node)
 	c.SetDeadline(time.Now().Add(deadline + answerGrace))
 	io.WriteString(c, first.head(keyOf(tenantFirst))+second.head(keyOf(tenantFirst))+second.Body)
@@ -155,30 +156,40 @@
 		if err != nil || ctx.Err() != nil {
 			return
 		}
-		q := &request{Attempt: name, Kind: kindChat, Tenant: tenantFirst, Method: http.MethodPost, Path: "/" + kindChat + "/x", Body: "again", Program: "p-" + name, Budget: 2*turnTokens + 5, Misbehaving: true, Repeats: true}
-		f.ask(c, q)
+		req := &request{
+			Attempt:     name,
+			Kind:        kindChat,
+			Tenant:      tenantFirst,
+			Method:      http.MethodPost,
+			Path:        "/" + kindChat + "/x",
+			Body:        "again",
+			Program:     "p-" + name,
+			Budget:      2*turnTokens + 5,
+			Misbehaving: true,
+			Repeats:     true,
+		}
+		f.ask(c, req)
 		c.Close()
 	}
 }
 
-// wrongKey sends a request with an unknown key.
 func wrongKey(f *Fleet, ctx context.Context, name string) {
-	stranger := misbehavingRequest(kindOnce, http.MethodPost, name, "with a wrong key")
-	stranger.Tenant = ""
-	if q, c := f.open(stranger); c != nil {
+	unknown := misbehavingRequest(kindOnce, http.MethodPost, name, "with a wrong key")
+	unknown.Tenant = ""
+	if req, c := f.open(unknown); c != nil {
 		c.SetDeadline(time.Now().Add(deadline + answerGrace))
-		io.WriteString(c, q.head("no key of anybody")+q.Body)
-		f.answer(c, q)
+		io.WriteString(c, req.head("no key of anybody")+req.Body)
+		f.answer(c, req)
 		c.Close()
 	}
 }
 
 // hugeHead sends a request head above the limit.
 func hugeHead(f *Fleet, ctx context.Context, name string) {
-	if q, c := f.openMisbehaving(kindAlert, http.MethodGet, name, ""); c != nil {
+	if req, c := f.openMisbehaving(kindAlert, http.MethodGet, name, ""); c != nil {
 		c.SetDeadline(time.Now().Add(deadline + answerGrace))
-		io.WriteString(c, q.head(keyOf(q.Tenant), "Padding: "+strings.Repeat("p", 40<<10)))
-		f.answer(c, q)
+		io.WriteString(c, req.head(keyOf(req.Tenant), "Padding: "+strings.Repeat("p", 40<<10)))
+		f.answer(c, req)
 		c.Close()
 	}
 }
--- a/rehearsalkit/soak/client.go
+++ b/rehearsalkit/soak/requester.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Tenants of the routing table. The first two use the same attempt ids.
+// Tenants of the routing table. Rate is in requests a second.
 const (
 	tenantFirst   = "first"
 	tenantSecond  = "second"
@@ -21,7 +21,7 @@
 	limitedBurst  = 20
 )
 
-// deadline is the deadline that requesters send with each request.
+// deadline is sent with each request.
 const deadline = 2500 * time.Millisecond
 
 // answerGrace is how long after its deadline a request may still be unanswered.
@@ -29,21 +29,18 @@
 
 func keyOf(tenant string) string { return "key of " + tenant }
 
-// host is the Host header of all requests.
 const host = "soak.example"
 
-// connection is a requester's connection to a node.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
 	node   *process
 }
 
-// dialNode connects to a node, directly or through its relay, each half of the time.
 func dialNode(node *process) (*connection, error) {
-	port := clientPort
+	port := requesterPort
 	if rand.IntN(2) == 0 {
-		port = relayedClientPort
+		port = relayedRequesterPort
 	}
 	c, err := net.DialTimeout("tcp", node.address(port), time.Second)
 	if err != nil {
@@ -52,75 +49,73 @@
 	return &connection{Conn: c, reader: bufio.NewReader(c), node: node}, nil
 }
 
-// head formats the request line and headers, with more header lines at the end.
-func (q *request) head(key string, more ...string) string {
+// head formats the request line and the headers, with more at the end.
+func (req *request) head(key string, more ...string) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nSaffronfall-Attempt: %s\r\nSaffronfall-Key: %s\r\nSaffronfall-Deadline-Ms: %d\r\n", q.Method, q.Path, host, q.Attempt, key, deadline.Milliseconds())
-	if q.Program != "" {
-		fmt.Fprintf(&b, "Saffronfall-Program: %s\r\nSaffronfall-Budget: %d\r\nSaffronfall-Tokens: 10,%d\r\n", q.Program, q.Budget, turnTokens)
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nSaffronfall-Attempt: %s\r\nSaffronfall-Key: %s\r\nSaffronfall-Deadline-Ms: %d\r\n",
+		req.Method, req.Path, host, req.Attempt, key, deadline.Milliseconds())
+	if req.Program != "" {
+		fmt.Fprintf(&b, "Saffronfall-Program: %s\r\nSaffronfall-Budget: %d\r\nSaffronfall-Tokens: 10,%d\r\n", req.Program, req.Budget, turnTokens)
 	}
-	if q.Previous != "" {
-		fmt.Fprintf(&b, "Saffronfall-Previous: %s\r\n", q.Previous)
+	if req.Previous != "" {
+		fmt.Fprintf(&b, "Saffronfall-Previous: %s\r\n", req.Previous)
 	}
 	for _, line := range more {
 		b.WriteString(line + "\r\n")
 	}
-	if q.Method == http.MethodPost {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(q.Body))
+	if req.Method == http.MethodPost {
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(req.Body))
 	}
 	return b.String() + "\r\n"
 }
 
 // recordStart records a request. It must be called before any byte of it is sent.
-func (f *Fleet) recordStart(q *request, node *process) {
-	q.Node, q.Began, q.Ended = node.name, f.now(), -1
-	f.update(func(r *record) { r.Requests = append(r.Requests, q) })
+func (f *Fleet) recordStart(req *request, node *process) {
+	req.Node, req.Began, req.Ended = node.name, f.now(), -1
+	f.update(func(r *record) { r.Requests = append(r.Requests, req) })
 }
 
-// recordEnd records the result of a request.
-func (f *Fleet) recordEnd(q *request, status int, whole bool, answer string) {
+func (f *Fleet) recordEnd(req *request, status int, whole bool, answer string) {
 	at := f.now()
-	f.update(func(*record) { q.Ended, q.Status, q.Whole, q.Answer = at, status, whole, answer })
+	f.update(func(*record) { req.Ended, req.Status, req.Whole, req.Answer = at, status, whole, answer })
 }
 
-// ask sends a request over a connection and waits for its answer. It reports whether
-// the connection can be reused.
-func (f *Fleet) ask(c *connection, q *request) bool {
-	f.recordStart(q, c.node)
+// ask reports whether the connection can be reused.
+func (f *Fleet) ask(c *connection, req *request) bool {
+	f.recordStart(req, c.node)
 	c.SetDeadline(time.Now().Add(deadline + answerGrace + time.Second))
-	if _, err := io.WriteString(c, q.head(keyOf(q.Tenant))+q.Body); err != nil {
-		f.recordEnd(q, 0, false, "")
+	if _, err := io.WriteString(c, req.head(keyOf(req.Tenant))+req.Body); err != nil {
+		f.recordEnd(req, 0, false, "")
 		return false
 	}
-	return f.answer(c, q)
+	return f.answer(c, req)
 }
 
-// answer reads the answer to a request, checks that it belongs to it, and records it.
-// It reports whether the connection can be reused.
-func (f *Fleet) answer(c *connection, q *request) bool {
-	got, err := http.ReadResponse(c.reader, &http.Request{Method: q.Method})
+// answer reads, checks and records the answer to a request. It reports whether the connection
+// can be reused.
+func (f *Fleet) answer(c *connection, req *request) bool {
+	got, err := http.ReadResponse(c.reader, &http.Request{Method: req.Method})
 	if err != nil {
-		f.recordEnd(q, 0, false, "")
+		f.recordEnd(req, 0, false, "")
 		return false
 	}
 	body, err := io.ReadAll(got.Body)
-	if seal := got.Header.Get("Saffronfall-Seal"); err == nil && got.StatusCode == http.StatusOK && seal != "seal-"+q.Attempt {
-		f.recordBreach(RuleAnswers, "attempt %s at %s got a success with seal %q", q.Attempt, q.Node, seal)
+	if seal := got.Header.Get("Saffronfall-Seal"); err == nil && got.StatusCode == http.StatusOK && seal != "seal-"+req.Attempt {
+		f.recordBreach(RuleAnswers, "attempt %s at %s got a success with seal %q", req.Attempt, req.Node, seal)
 	}
-	if id := got.Header.Get("Saffronfall-Attempt"); id != "" && id != q.Attempt {
-		f.recordBreach(RuleAnswers, "attempt %s at %s got the answer to %s", q.Attempt, q.Node, id)
+	if id := got.Header.Get("Saffronfall-Attempt"); id != "" && id != req.Attempt {
+		f.recordBreach(RuleAnswers, "attempt %s at %s got the answer to %s", req.Attempt, req.Node, id)
 	}
-	f.recordEnd(q, got.StatusCode, err == nil, string(body))
+	f.recordEnd(req, got.StatusCode, err == nil, string(body))
 	return err == nil && !got.Close
 }
 
-// anyNode returns a random node.
 func (f *Fleet) anyNode() *process {
 	nodes := f.withRole(roleNode)
 	return nodes[rand.IntN(len(nodes))]
 }
 
-// requester is one simulated client. With keepAlive it reuses its connection.
+// requester is one simulated requester. With keepAlive it reuses its connection.
 type requester struct {
 	fleet     *Fleet
 	tenant    string
@@ -135,25 +130,23 @@
 	return fmt.Sprintf("%s-%d", r.name, r.count)
 }
 
-// send sends one request, over the idle connection if there is one.
-func (r *requester) send(q *request) *request {
+func (r *requester) send(req *request) *request {
 	c := r.idle
 	r.idle = nil
 	if c == nil {
 		var err error
 		if c, err = dialNode(r.fleet.anyNode()); err != nil {
-			return q
+			return req
 		}
 	}
-	if r.fleet.ask(c, q) && r.keepAlive {
+	if r.fleet.ask(c, req) && r.keepAlive {
 		r.idle = c
-		return q
+		return req
 	}
 	c.Close()
-	return q
+	return req
 }
 
-// close closes the idle connection.
 func (r *requester) close() {
 	if r.idle != nil {
 		r.idle.Close()
@@ -180,33 +173,33 @@
 	r.send(r.request(kindOnce, http.MethodPost, "notice of "+r.name+strings.Repeat("-", rand.IntN(2000))))
 }
 
-// program runs the turns of one program until its token budget is spent.
+// program runs turns of one program, at most until its token budget is spent.
 func (r *requester) program(ctx context.Context) {
 	program := "p-" + r.attempt()
 	budget := int64(turnTokens*3 + 20)
 	for turns := 0; turns < 8 && ctx.Err() == nil; turns++ {
-		q := r.request(kindChat, http.MethodPost, "say more")
-		q.Program, q.Budget = program, budget
-		if r.send(q); q.Status == http.StatusPaymentRequired {
+		req := r.request(kindChat, http.MethodPost, "say more")
+		req.Program, req.Budget = program, budget
+		if r.send(req); req.Status == http.StatusPaymentRequired {
 			return
 		}
 	}
 }
 
-// conversation runs turns, each of which continues the last one that succeeded.
+// conversation runs turns that each continue the last one that succeeded.
 func (r *requester) conversation(ctx context.Context) {
 	previous, before := "", ""
 	for turns := 0; turns < 6 && ctx.Err() == nil; turns++ {
-		q := r.request(kindKept, http.MethodPost, fmt.Sprintf("turn %d of %s;", turns, r.tenant))
-		q.Previous, q.Before = previous, before
-		if r.send(q); q.Whole && q.Status == http.StatusOK {
-			previous, before = q.Attempt, before+q.Body+eventText(q.Answer)
+		req := r.request(kindKept, http.MethodPost, fmt.Sprintf("turn %d of %s;", turns, r.tenant))
+		req.Previous, req.Before = previous, before
+		if r.send(req); req.Whole && req.Status == http.StatusOK {
+			previous, before = req.Attempt, before+req.Body+eventText(req.Answer)
 		}
 		pause(ctx, 50*time.Millisecond)
 	}
 }
 
-// eventText returns the data of a stream's events, each followed by a line feed.
+// eventText returns the data of a stream's events as lines.
 func eventText(stream string) string {
 	var text strings.Builder
 	for _, line := range strings.Split(stream, "\n") {
@@ -217,9 +210,9 @@
 	return text.String()
 }
 
-// startClients starts requesters, misbehaving requesters and an operator. It returns a
-// function that stops them and a channel that is closed once all have returned.
-func (f *Fleet) startClients(parent context.Context) (stop context.CancelFunc, stopped <-chan struct{}) {
+// startRequesters also starts an operator. It returns a function that stops all of them and a
+// channel that is closed once all have returned.
+func (f *Fleet) startRequesters(parent context.Context) (stop context.CancelFunc, stopped <-chan struct{}) {
 	ctx, cancel := context.WithCancel(parent)
 	done, count := make(chan struct{}), 0
 	start := func(run func()) {
@@ -231,7 +224,7 @@
 	}
 	for i := range 2 {
 		for _, tenant := range []string{tenantFirst, tenantSecond} {
-			// Both tenants use the same attempt ids.
+			// The tenants share attempt ids, which are unique within a tenant only.
 			named := func(kind string) *requester {
 				return &requester{fleet: f, tenant: tenant, name: fmt.Sprintf("%s%d", kind, i), keepAlive: i == 0}
 			}
