--- a/peer/node/announcement.go
+++ b/peer/node/announcement.go
@@ -22,17 +22,17 @@
 	Leaving bool   `msgpack:"g" json:"leaving"`
 }
 
-// AnnounceReply answers an announcement. An ordinary announcement without a token of this process
-// is not accepted, and should be repeated at once with the token from the reply. NextIn is the
-// delay until the next one.
+// AnnounceReply answers an announcement. An ordinary one without a token of this process is not
+// accepted, and should be repeated at once with the reply's token. NextIn is the delay until the
+// next one.
 type AnnounceReply struct {
 	Accepted bool
 	Token    string
 	NextIn   time.Duration
 }
 
-// Announcement is a replica's announcement as exchanged between nodes. Age is an upper bound of
-// the age of an ordinary announcement, and a lower bound of that of a leaving replica.
+// Announcement is a replica's announcement as exchanged between nodes. Age is an upper bound; for a
+// leaving replica it is a lower bound.
 type Announcement struct {
 	Replica Replica       `msgpack:"r"`
 	Age     time.Duration `msgpack:"a"`
@@ -51,21 +51,20 @@
 }
 
 // knownReplica is a replica's last announcement and the earliest time at which it may have been
-// made. That of a leaving replica is kept until every older announcement has expired on all nodes.
+// made. That of a leaving replica is kept until all older ones have expired on all nodes.
 type knownReplica struct {
 	replica Replica
 	since   time.Duration
 }
 
-// Announcement intervals and retention, relative to AnnouncementMaxAge.
+// Ratios to AnnouncementMaxAge.
 const (
 	announcementsPerMaxAge = 6
 	leavingMaxAges         = 3
 )
 
-// Announce handles a replica's announcement. Its age counts from when this node issued its token,
-// since it may have been delayed while this node was paused; that of a leaving replica counts from
-// now.
+// Announce handles a replica's announcement. Its age counts from the issue of its token, since it
+// may have been delayed while this node was paused. That of a leaving replica counts from now.
 func (m *Machine) Announce(now time.Duration, r Replica, token string) AnnounceReply {
 	reply := AnnounceReply{Accepted: r.Leaving, NextIn: m.params.AnnouncementMaxAge / announcementsPerMaxAge,
 		Token: fmt.Sprintf("%s.%d", m.processID(), now)}
@@ -83,7 +82,6 @@
 	return reply
 }
 
-// cutToken splits a token into the process that issued it and the time of issue.
 func cutToken(token string) (process, issued string, ok bool) {
 	i := strings.LastIndexByte(token, '.')
 	if i < 0 {
@@ -92,13 +90,13 @@
 	return token[:i], token[i+1:], true
 }
 
-// processID names this process; it stays the same across membership incarnations.
+// processID stays the same across membership incarnations.
 func (m *Machine) processID() string {
 	return m.params.ID + "/" + core.ProcessIncarnation(m.incarnation)
 }
 
-// recordReplica stores an announcement, unless a newer one is known. The first announcement of a
-// leaving replica is always stored.
+// recordReplica stores an announcement unless a newer one is known. The first one of a leaving
+// replica overrides all others.
 func (m *Machine) recordReplica(now time.Duration, r Replica, since time.Duration) {
 	known := m.replicas[r.Service]
 	if known == nil {
@@ -109,7 +107,6 @@
 	switch {
 	case r.Leaving && ok && previous.replica.Leaving:
 	case r.Leaving:
-		// It overrides every earlier announcement.
 		known[r.ID] = knownReplica{replica: r, since: now}
 	case !ok || since > previous.since:
 		known[r.ID] = knownReplica{replica: r, since: since}
@@ -143,8 +140,7 @@
 	}
 }
 
-// expireReplicas drops announcements that are too old to act on, and the health of replicas that
-// are no longer used.
+// expireReplicas also drops the health of replicas that are no longer used.
 func (m *Machine) expireReplicas(now time.Duration) {
 	for _, service := range ordered.Keys(m.replicas) {
 		for id, a := range m.replicas[service] {
@@ -168,12 +164,10 @@
 	}
 }
 
-// healthRetentionLeases is how long, in member leases, a replica's health is stored after its last
-// use.
+// healthRetentionLeases is how long, in member leases, an unused replica's health is kept.
 const healthRetentionLeases = 16
 
-// currentReplicas lists the replicas of a service whose announcements are recent enough for an
-// attempt, including those that can't be reached.
+// currentReplicas lists replicas with a recent announcement, including those that can't be reached.
 func (m *Machine) currentReplicas(now time.Duration, service string) []Replica {
 	var list []Replica
 	for _, a := range m.replicas[service] {
--- a/peer/node/drain.go
+++ b/peer/node/drain.go
@@ -7,8 +7,8 @@
 	"saffronfall/rule/ordered"
 )
 
-// Drain starts a graceful shutdown: the node is no longer ready, running requests complete,
-// programs are handed over to successors, shares are returned, and the membership ends last.
+// Drain starts a graceful shutdown. Running requests complete, programs are handed over, shares are
+// returned, and the membership ends last.
 func (m *Machine) Drain(now time.Duration) Output {
 	m.beginStep(now)
 	m.leaving = true
@@ -18,8 +18,8 @@
 // Drained reports whether draining is complete.
 func (m *Machine) Drained(now time.Duration) bool { return m.leaving && m.left }
 
-// Shutdown aborts what still runs when the drain's grace period is over, and ends the membership
-// so that successors need not wait for its lease to expire.
+// Shutdown aborts what still runs after the drain's grace period. It ends the membership so that
+// successors need not wait for the lease to expire.
 func (m *Machine) Shutdown(now time.Duration) Output {
 	m.beginStep(now)
 	m.leaving = true
@@ -34,7 +34,6 @@
 	return *m.out
 }
 
-// drain continues a drain that has begun.
 func (m *Machine) drain(now time.Duration) {
 	if !m.leaving || m.left {
 		return
@@ -48,7 +47,8 @@
 	successors := m.successors()
 	for _, key := range ordered.Keys(m.programs) {
 		prog := m.programs[key]
-		if len(successors) == 0 || prog.recovery != nil || len(prog.record.Running) > 0 || len(prog.waiters) > 0 || prog.savedVersion < prog.record.Version {
+		if len(successors) == 0 || prog.recovery != nil || len(prog.record.Running) > 0 ||
+			len(prog.waiters) > 0 || prog.savedVersion < prog.record.Version {
 			continue
 		}
 		to := successors[m.handedOver%len(successors)]
@@ -61,7 +61,6 @@
 	m.returnShares(now)
 }
 
-// successors lists the other members that can take over programs.
 func (m *Machine) successors() []core.Member {
 	var list []core.Member
 	for _, id := range ordered.Keys(m.members) {
@@ -72,15 +71,22 @@
 	return list
 }
 
-// handOver assigns a program to a successor. This node no longer serves the program afterwards,
-// even if the command is lost.
+// handOver assigns a program to a successor. This node no longer serves it, even if the command is
+// lost.
 func (m *Machine) handOver(now time.Duration, key string, prog *ownedProgram, to core.Member) {
 	prog.lost = true
 	delete(m.programs, key)
 	m.owners[key] = to
 	m.pendingHandovers++
 	m.Counters.HandedOver++
-	c := core.HandOverProgram{Tenant: prog.record.Tenant, ID: prog.record.ID, Fence: prog.record.Fence, Node: to.ID, Incarnation: to.Incarnation, Address: to.Peer}
+	c := core.HandOverProgram{
+		Tenant:      prog.record.Tenant,
+		ID:          prog.record.ID,
+		Fence:       prog.record.Fence,
+		Node:        to.ID,
+		Incarnation: to.Incarnation,
+		Address:     to.Peer,
+	}
 	m.caller.Call(now, c, now+m.params.Core.MemberLease, func(time.Duration, core.Outcome) { m.pendingHandovers-- })
 }
 
@@ -119,9 +125,12 @@
 }
 
 func (m *Machine) endMembership(now time.Duration) {
-	m.caller.Call(now, core.LeaveMember{ID: m.params.ID, Incarnation: m.incarnation}, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
-		// Until all other nodes have learned of it, some may still forward requests
-		// here; these are refused with notOwner.
+	m.caller.Call(now, core.LeaveMember{
+		ID:          m.params.ID,
+		Incarnation: m.incarnation,
+	}, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
+		// Other nodes may still forward requests until they learn of the end; notOwner refuses
+		// these.
 		m.timers.Add(now+3*m.params.Core.PullInterval, func(time.Duration) { m.left = true })
 	})
 }
--- a/peer/node/forward.go
+++ b/peer/node/forward.go
@@ -10,7 +10,6 @@
 	"saffronfall/rule/verdict"
 )
 
-// forwardState is a request that was forwarded to its program's owner.
 type forwardState struct {
 	req        *requestState
 	to         string
@@ -68,7 +67,7 @@
 	m.served[key].ticket = t
 }
 
-// onCancelForward cancels a forwarded request. A cancellation that arrives first prevents it.
+// onCancelForward prevents the request if it has not arrived yet.
 func (m *Machine) onCancelForward(now time.Duration, from string, b CancelForward) {
 	key := fmt.Sprintf("%s#%d", from, b.ID)
 	served, ok := m.served[key]
@@ -79,7 +78,6 @@
 	m.cancel(now, served.ticket)
 }
 
-// onForwardedFrame relays an owner's response frame to the client.
 func (m *Machine) onForwardedFrame(now time.Duration, from string, b ForwardedFrame) {
 	t := m.caller.Ticket(b.ID)
 	f, ok := m.forwards.Get(t)
@@ -107,7 +105,7 @@
 	delete(m.openForwards, t)
 	key := req.tenant + "/" + req.request.Program
 	if b.Frame.Kind == FrameVerdict && b.Frame.Verdict.Code == notOwner {
-		// The request did not run there. Look the owner up again and continue.
+		// The request did not run there, so it may be sent to another owner.
 		delete(m.owners, key)
 		if req.hops++; req.hops > maxHops || req.done {
 			m.refuse(req, retryLater("the program is changing hands"))
@@ -126,7 +124,7 @@
 const maxHops = 12
 
 // failForward ends a forwarded request whose owner stopped responding or whose frames have a gap.
-// A stream is aborted; any other request but a status or close is refused as possibly executed.
+// Except for a status or close, it may have been executed.
 func (m *Machine) failForward(now time.Duration, t slab.Ticket, f *forwardState) {
 	m.forwards.Take(t)
 	delete(m.openForwards, t)
@@ -140,14 +138,17 @@
 	if m.hasEnded(f.member.ID, f.member.Incarnation) {
 		wait = m.params.Core.PullInterval
 	}
-	v := verdict.Refused(verdict.Refusal{Check: "owner", Code: "owner_silent", Reason: "the program's owner gave no whole return", Status: 503, Ran: ran, RetryAfter: wait})
+	v := verdict.Refused(verdict.Refusal{
+		Check: "owner", Code: "owner_silent",
+		Reason: "the program's owner gave no whole return",
+		Status: 503, Ran: ran, RetryAfter: wait,
+	})
 	if now >= f.req.deadline {
 		v = deadlineExceeded(ran)
 	}
 	m.refuse(f.req, v)
 }
 
-// failForwardsTo fails the requests that were forwarded to an ended incarnation of a member.
 func (m *Machine) failForwardsTo(now time.Duration, o core.Member) {
 	for _, t := range m.openForwardTickets() {
 		f := m.openForwards[t]
--- a/peer/node/fuzz_test.go
+++ b/peer/node/fuzz_test.go
@@ -10,8 +10,7 @@
 	"saffronfall/rule/program"
 )
 
-// FuzzReceive sends arbitrary messages, complete, truncated or modified, to a node and a core,
-// which must not panic.
+// FuzzReceive guards against a panic of a node or a core on a malformed message.
 func FuzzReceive(f *testing.F) {
 	for _, body := range []any{core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c"}}, Groups: make([]partition.Group, 3), Leaders: make([]partition.Term, 3)},
 		core.Update{Partition: 1, UpTo: partition.Version{Seq: 1}, Snapshot: true, Entries: []partition.Entry{{Key: "member/n", Value: message.Marshal(core.Member{ID: "n"})}}},
--- a/peer/node/machine.go
+++ b/peer/node/machine.go
@@ -22,15 +22,14 @@
 	Zone        string
 	Address     string
 	HTTP        string
-	// Host names a resource that only one process at a time can hold, such as a bound
-	// address. It may be empty.
+	// Host names a resource that only one process at a time can hold, such as a bound address.
+	// It may be empty.
 	Host   string
 	Seeds  []string
 	Now    time.Duration
 	Random func() float64
 }
 
-// settings holds what a machine was configured with, apart from its state.
 type settings struct {
 	Params
 	ID, Zone, Address, HTTP, Host string
@@ -105,23 +104,20 @@
 	nextSample   int
 }
 
-// ownedProgram is a program that this node owns, with its turns by conversation. clockOffset plus
-// the node's time is the time of the program's partition.
+// ownedProgram is a program that this node owns, with its turns by conversation.
 type ownedProgram struct {
 	record       program.Record
 	turns        map[string][]program.Turn
-	clockOffset  time.Duration
+	clockOffset  time.Duration // the partition's time minus the node's
 	savedVersion uint64
 	unsavedTurns []program.Turn
 	saving       bool
-	// unsavedSince is the time of the oldest change that the cores have not stored.
-	// savedMirrors and savedPrecharged are from the record that they have stored;
-	// mirroredVersion is the version that all mirrors have.
+	// unsavedSince is the time of the oldest change that the cores have not stored, savedMirrors
+	// and savedPrecharged are from their record. mirroredVersion is what all mirrors have.
 	unsavedSince    time.Duration
 	savedMirrors    []program.Mirror
 	savedPrecharged int64
-	// dayPrecharged is the total, in tokens, that is charged to the user's day in
-	// advance.
+	// dayPrecharged is the total, in tokens, charged to the user's day in advance.
 	dayPrecharged   int64
 	mirroredVersion uint64
 	acked           map[string]uint64
@@ -134,18 +130,45 @@
 
 // New returns a machine that has not joined the fleet yet.
 func New(o Options) *Machine {
-	m := &Machine{params: settings{Params: o.Params, ID: o.ID, Zone: o.Zone, Address: o.Address, HTTP: o.HTTP, Host: o.Host, Seeds: o.Seeds},
-		random: o.Random, incarnation: o.Incarnation, endedIncarnations: map[string]bool{}, now: o.Now,
-		versions: map[int]partition.Version{}, freshAt: -1, startedAt: o.Now, entries: map[int]map[string]partition.Entry{},
-		members: map[string]core.Member{}, replicas: map[string]map[string]knownReplica{}, cores: map[string]core.Core{},
-		health: map[string]*replicaHealth{}, byTicket: map[uint64]slab.Ticket{}, liveAttempts: map[slab.Ticket]*attempt{},
-		openForwards: map[slab.Ticket]*forwardState{}, served: map[string]*servedRequest{}, mirrors: map[string]*mirrorCopy{}, queues: map[string]*replicaQueue{}, breakerState: breaker.Closed}
+	m := &Machine{
+		params: settings{
+			Params:  o.Params,
+			ID:      o.ID,
+			Zone:    o.Zone,
+			Address: o.Address,
+			HTTP:    o.HTTP,
+			Host:    o.Host,
+			Seeds:   o.Seeds,
+		},
+		random:            o.Random,
+		incarnation:       o.Incarnation,
+		endedIncarnations: map[string]bool{},
+		now:               o.Now,
+		versions:          map[int]partition.Version{},
+		freshAt:           -1,
+		startedAt:         o.Now,
+		entries:           map[int]map[string]partition.Entry{},
+		members:           map[string]core.Member{},
+		replicas:          map[string]map[string]knownReplica{},
+		cores:             map[string]core.Core{},
+		health:            map[string]*replicaHealth{},
+		byTicket:          map[uint64]slab.Ticket{},
+		liveAttempts:      map[slab.Ticket]*attempt{},
+		openForwards:      map[slab.Ticket]*forwardState{},
+		served:            map[string]*servedRequest{},
+		mirrors:           map[string]*mirrorCopy{},
+		queues:            map[string]*replicaQueue{},
+		breakerState:      breaker.Closed,
+	}
 	m.Counters.Refusals = map[string]int64{}
-	m.caller = &core.Caller{Retry: o.Params.Core.AttemptTimeout, Random: o.Random,
+	m.caller = &core.Caller{
+		Retry:      o.Params.Core.AttemptTimeout,
+		Random:     o.Random,
 		Send:       func(to string, body any) { m.send(to, body) },
 		Partitions: func() int { return len(m.topology.Leaders) },
 		Cores:      func() []string { return m.coreAddresses() },
-		Forwarders: func() []string { return m.others() }}
+		Forwarders: func() []string { return m.others() },
+	}
 	m.clearOwned()
 	return m
 }
@@ -177,7 +200,7 @@
 	m.now, m.out = now, &Output{}
 }
 
-// Ready reports whether this node should receive client requests.
+// Ready reports whether this node should receive requests.
 func (m *Machine) Ready(now time.Duration) bool {
 	if !m.hasLease(now) || m.leaving {
 		return false
@@ -197,10 +220,10 @@
 // BreakerState returns the spending breaker's state as this node knows it.
 func (m *Machine) BreakerState() string { return string(m.breakerState) }
 
-// Incarnation returns the name of this node's current membership incarnation.
+// Incarnation returns this node's current membership incarnation.
 func (m *Machine) Incarnation() string { return m.incarnation }
 
-// Tick advances the machine to now: it expires what is overdue and sends what is due.
+// Tick expires what is overdue and sends what is due.
 func (m *Machine) Tick(now time.Duration) Output {
 	m.beginStep(now)
 	m.pull(now)
@@ -266,7 +289,7 @@
 	return *m.out
 }
 
-// recordSample stores a recent request for replays under changed configurations.
+// recordSample keeps a request for replays under changed configurations.
 func (m *Machine) recordSample(s replay.Sample) {
 	const maxSamples = 256
 	s.Age = m.now
@@ -285,6 +308,7 @@
 // UpdateParams applies those bounds that may change while the node runs.
 func (m *Machine) UpdateParams(p Params) Output {
 	m.beginStep(m.now)
-	m.params.QueueLimit, m.params.MaxQueueWait, m.params.AnnouncementMaxAge, m.params.UrgentRatio, m.params.DefaultTimeout = p.QueueLimit, p.MaxQueueWait, p.AnnouncementMaxAge, p.UrgentRatio, p.DefaultTimeout
+	m.params.QueueLimit, m.params.MaxQueueWait, m.params.AnnouncementMaxAge, m.params.UrgentRatio, m.params.DefaultTimeout =
+		p.QueueLimit, p.MaxQueueWait, p.AnnouncementMaxAge, p.UrgentRatio, p.DefaultTimeout
 	return *m.out
 }
--- a/peer/node/machine_test.go
+++ b/peer/node/machine_test.go
@@ -10,8 +10,7 @@
 )
 
 // TestJoinNeedsFreshConfiguration guards against a restarted process joining with a configuration
-// older than the one that an earlier process of this node had. The leader of the configuration
-// partition must answer it first.
+// older than the one that an earlier process of this node had.
 func TestJoinNeedsFreshConfiguration(t *testing.T) {
 	m := New(Options{Params: Params{Core: core.Params{MemberLease: 2 * time.Second, AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}, AnnouncementMaxAge: time.Second},
 		ID: "n", Incarnation: "a", Address: "10.0.0.9:1", Random: func() float64 { return 0.5 }})
--- a/peer/node/membership.go
+++ b/peer/node/membership.go
@@ -10,14 +10,14 @@
 	"saffronfall/rule/slab"
 )
 
-// hasLease reports whether this node has a valid membership lease. It is checked again just before
-// each attempt, so that a node that was paused starts none after its lease.
+// hasLease is checked again just before each attempt, so that a node that was paused starts none
+// after its lease.
 func (m *Machine) hasLease(now time.Duration) bool {
 	return m.joined && now < m.leaseExpiresAt && m.description != nil
 }
 
-// renew joins the fleet or renews the membership lease. The lease counts from when the request was
-// sent, so it ends here before it ends at the cores.
+// renew joins the fleet or renews the lease. The lease counts from the sending of the request, so
+// it ends here before it ends at the cores.
 func (m *Machine) renew(now time.Duration) {
 	if m.joined && now >= m.leaseExpiresAt {
 		m.Counters.LeasesLost++
@@ -27,8 +27,8 @@
 		return
 	}
 	if m.freshAt < m.startedAt {
-		// Until the leader of the configuration partition has answered, this process may
-		// have an older configuration than an earlier process of this node had.
+		// The configuration may be older than the one of an earlier process of this node, until
+		// the leader of its partition has answered.
 		return
 	}
 	if !m.joined && len(m.formerIncarnations) > 0 {
@@ -66,12 +66,15 @@
 	})
 }
 
-// endFormerIncarnation reports the end of a former incarnation of this node to the cores before its
-// lease expires there. Its programs may then be taken over at once, also by this node.
+// endFormerIncarnation lets the programs of a former incarnation be taken over, also by this node,
+// before its lease expires.
 func (m *Machine) endFormerIncarnation(now time.Duration) {
 	m.renewing = true
 	former := m.formerIncarnations[0]
-	m.caller.Call(now, core.LeaveMember{ID: m.params.ID, Incarnation: former}, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
+	m.caller.Call(now, core.LeaveMember{
+		ID:          m.params.ID,
+		Incarnation: former,
+	}, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		m.renewing = false
 		if t, ok := o.Answer.(core.MembershipResult); ok && t.Ended {
 			m.endedIncarnations[former] = true
@@ -80,7 +83,7 @@
 	})
 }
 
-// reset begins a new incarnation: the programs, shares and attempts of the old one are dropped.
+// reset begins a new incarnation and drops the programs, shares and attempts of the old one.
 func (m *Machine) reset(now time.Duration) {
 	m.Counters.Resets++
 	m.formerCount++
@@ -120,7 +123,6 @@
 	return ordered.Keys(m.liveAttempts)
 }
 
-// hasEnded reports whether an incarnation of a node is known to have ended.
 func (m *Machine) hasEnded(id, incarnation string) bool {
 	if id == m.params.ID && m.endedIncarnations[incarnation] {
 		return true
--- a/peer/node/mirror.go
+++ b/peer/node/mirror.go
@@ -13,8 +13,7 @@
 
 // Messages between an owner, its mirrors and its successor.
 type (
-	// CopyProgram sends a mirror the owner's state of a program, with all turns that the cores have
-	// not stored yet.
+	// CopyProgram carries a program to a mirror, with all turns that the cores have not stored.
 	CopyProgram struct {
 		Record program.Record `msgpack:"r"`
 		Turns  []program.Turn `msgpack:"t"`
@@ -27,7 +26,7 @@
 		Version uint64 `msgpack:"v"`
 		Process string `msgpack:"l"`
 	}
-	// CopyQuery requests a mirror's copy. After it the mirror accepts no more copies from earlier
+	// CopyQuery requests a mirror's copy. The mirror then accepts no more copies from earlier
 	// owners.
 	CopyQuery struct {
 		Tenant  string `msgpack:"t"`
@@ -55,8 +54,7 @@
 	})
 }
 
-// mirrorCopy is the copy of a program that this node has as a mirror. It is in memory and survives
-// a new membership incarnation of the process.
+// mirrorCopy is in memory only, and survives a new membership incarnation of the process.
 type mirrorCopy struct {
 	fence  uint64
 	found  bool
@@ -65,13 +63,12 @@
 	until  time.Duration
 }
 
-// mirrorsPerProgram is the number of mirrors of a program. A version that the cores lack counts as
-// durable only when all of them have it, so that a successor can recover it from any one.
+// mirrorsPerProgram does not count the owner. A version that the cores lack is durable only when
+// all mirrors have it, so that a successor can recover it from any one.
 const mirrorsPerProgram = 2
 
-// prepareRecord makes a record ready to be saved: the total charged in advance never shrinks while
-// the program is open, and the mirrors are live members. If this changes the record, it becomes a
-// new version, so that two records of one version never differ in these fields.
+// prepareRecord sets the total charged in advance, which never shrinks while the program is open,
+// and live mirrors. A change is a new version, so that records of one version never differ in them.
 func (m *Machine) prepareRecord(prog *ownedProgram) {
 	r := &prog.record
 	role := m.description.Roles[r.Role]
@@ -88,20 +85,19 @@
 	}
 }
 
-// otherMirrors returns a program's mirrors other than this node. The owner is listed among them
-// because it still has its changes after its lease has ended.
+// otherMirrors leaves out the owner, which is listed because it still has its changes after its
+// lease has ended.
 func (m *Machine) otherMirrors(mirrors []program.Mirror) []program.Mirror {
 	return slices.DeleteFunc(slices.Clone(mirrors), func(mirror program.Mirror) bool { return mirror.ID == m.params.ID })
 }
 
-// mirrorEnded reports whether a mirror's copies are certainly lost or unreachable.
 func (m *Machine) mirrorEnded(mirror program.Mirror) bool {
 	o, ok := m.members[mirror.ID]
 	return !ok || core.ProcessIncarnation(o.Incarnation) != mirror.Process || o.Ended
 }
 
-// chooseMirrors picks members in zones other than this node's and each other's where possible, and
-// adds this node. It returns nil if there are too few members.
+// chooseMirrors picks members in different zones where possible, and adds this node. It returns nil
+// if there are too few members.
 func (m *Machine) chooseMirrors() []program.Mirror {
 	candidates := m.successors()
 	if len(candidates) < mirrorsPerProgram {
@@ -126,14 +122,16 @@
 	return chosen
 }
 
-// copyToMirrors sends the mirrors what the cores have not stored in time, if the stored record
-// names these mirrors and covers everything charged since.
+// copyToMirrors sends what the cores have not stored in time, provided that the stored record names
+// these mirrors and covers everything charged since.
 func (m *Machine) copyToMirrors(now time.Duration, prog *ownedProgram) {
-	if prog.savedVersion >= prog.record.Version || prog.lost || prog.recovery != nil || now < prog.unsavedSince+m.params.Core.AttemptTimeout || now < prog.nextCopyAt ||
+	if prog.savedVersion >= prog.record.Version || prog.lost || prog.recovery != nil ||
+		now < prog.unsavedSince+m.params.Core.AttemptTimeout || now < prog.nextCopyAt ||
 		prog.mirroredVersion >= prog.record.Version || !m.hasLease(now) {
 		return
 	}
-	if len(prog.savedMirrors) != mirrorsPerProgram+1 || !slices.Equal(prog.savedMirrors, prog.record.Mirrors) || prog.record.Charged() > min(prog.savedPrecharged, prog.dayPrecharged) {
+	if len(prog.savedMirrors) != mirrorsPerProgram+1 ||
+		!slices.Equal(prog.savedMirrors, prog.record.Mirrors) || prog.record.Charged() > min(prog.savedPrecharged, prog.dayPrecharged) {
 		return
 	}
 	prog.nextCopyAt = now + m.params.Core.AttemptTimeout
@@ -143,8 +141,6 @@
 	}
 }
 
-// mirrorCopyOf returns this node's mirror copy of a program, creating an empty one if there is
-// none.
 func (m *Machine) mirrorCopyOf(tenant, id string) *mirrorCopy {
 	key := tenant + "/" + id
 	if m.mirrors[key] == nil {
@@ -153,7 +149,7 @@
 	return m.mirrors[key]
 }
 
-// onCopy stores an owner's copy unless a newer owner's fence is known, and acknowledges it.
+// onCopy ignores a copy if a newer owner's fence is known.
 func (m *Machine) onCopy(now time.Duration, from string, b CopyProgram) {
 	stored := m.mirrorCopyOf(b.Record.Tenant, b.Record.ID)
 	if b.Record.Fence < stored.fence {
@@ -163,19 +159,23 @@
 		stored.fence, stored.found, stored.record, stored.turns = b.Record.Fence, true, b.Record, b.Turns
 	}
 	stored.until = now + b.Record.Retention
-	m.send(from, CopyAck{Tenant: b.Record.Tenant, Program: b.Record.ID, Fence: b.Record.Fence, Version: b.Record.Version, Process: core.ProcessIncarnation(m.incarnation)})
+	m.send(from, CopyAck{
+		Tenant:  b.Record.Tenant,
+		Program: b.Record.ID,
+		Fence:   b.Record.Fence,
+		Version: b.Record.Version,
+		Process: core.ProcessIncarnation(m.incarnation),
+	})
 }
 
-// keepUnsaved stores the unsaved changes of a program that this node no longer owns as a mirror
-// copy for its next owner.
+// keepUnsaved keeps a lost program's unsaved changes as a mirror copy for its next owner.
 func (m *Machine) keepUnsaved(now time.Duration, prog *ownedProgram) {
 	if prog.recovery == nil && prog.record.Version > prog.savedVersion {
 		m.onCopy(now, "", CopyProgram{Record: copyRecord(prog.record), Turns: slices.Clone(prog.unsavedTurns)})
 	}
 }
 
-// onCopyAck records that a mirror has a version. Once all mirrors have it, the saves that wait for
-// it are complete.
+// onCopyAck completes saves once all mirrors have their version.
 func (m *Machine) onCopyAck(now time.Duration, from string, b CopyAck) {
 	prog := m.programs[b.Tenant+"/"+b.Program]
 	if prog == nil || prog.record.Fence != b.Fence || !m.hasLease(now) {
@@ -198,20 +198,24 @@
 	}
 }
 
-// onCopyQuery answers with this node's mirror copy.
 func (m *Machine) onCopyQuery(now time.Duration, from string, b CopyQuery) {
 	stored := m.mirrorCopyOf(b.Tenant, b.Program)
-	answer := CopyAnswer{Tenant: b.Tenant, Program: b.Program, Fence: b.Fence, Process: core.ProcessIncarnation(m.incarnation), Found: stored.found}
+	answer := CopyAnswer{
+		Tenant:  b.Tenant,
+		Program: b.Program,
+		Fence:   b.Fence,
+		Process: core.ProcessIncarnation(m.incarnation),
+		Found:   stored.found,
+	}
 	if stored.found {
 		answer.Record, answer.Turns = stored.record, stored.turns
 	}
-	// Copies from owners before the querying one are no longer accepted.
+	// Later copies from earlier owners must not be accepted.
 	stored.fence = max(stored.fence, b.Fence)
 	stored.until = max(stored.until, now+m.params.Core.MemberLease*healthRetentionLeases)
 	m.send(from, answer)
 }
 
-// mirrorRecovery is a new owner's query of the former owner's mirrors.
 type mirrorRecovery struct {
 	mirrors     []program.Mirror
 	formerFence uint64
@@ -220,11 +224,10 @@
 	waiting     []*requestState
 }
 
-// lostMirrorLeases is the time, in member leases, after which a mirror whose membership ended counts
-// as lost.
+// lostMirrorLeases is the time, in member leases, after which a mirror that ended counts as lost.
 const lostMirrorLeases = 15
 
-// recoverFromMirrors queries the former owner's mirrors before a new owner serves a program, because
+// recoverFromMirrors queries the former owner's mirrors before this node serves a program, because
 // they may have turns that the cores never stored.
 func (m *Machine) recoverFromMirrors(now time.Duration, prog *ownedProgram) {
 	record := prog.record
@@ -235,7 +238,7 @@
 	m.queryMirrors(now, prog)
 }
 
-// queryMirrors requests the mirrors' copies, and ends the recovery when all of them are lost.
+// queryMirrors ends the recovery when all mirrors are lost.
 func (m *Machine) queryMirrors(now time.Duration, prog *ownedProgram) {
 	recovery := prog.recovery
 	if recovery == nil || prog.lost || now < recovery.nextQueryAt {
@@ -249,7 +252,6 @@
 			continue
 		}
 		if o, ok := m.members[mirror.ID]; ok && core.ProcessIncarnation(o.Incarnation) != mirror.Process {
-			// The process that had the copy has ended.
 			lost++
 			continue
 		}
@@ -264,7 +266,7 @@
 		m.send(mirror.Address, CopyQuery{Tenant: prog.record.Tenant, Program: prog.record.ID, Fence: prog.record.Fence})
 	}
 	if lost == len(recovery.mirrors) {
-		// Owner and mirrors are lost: everything charged in advance counts as spent.
+		// All that was charged in advance may have been spent.
 		m.Counters.MirrorsLost++
 		prog.record.Spent = max(prog.record.Spent, prog.record.Precharged)
 		m.finishRecovery(now, prog)
@@ -285,7 +287,8 @@
 		m.Counters.MirrorsUsed++
 		record := b.Record
 		record.ChargeRunning()
-		record.Fence, record.Node, record.Incarnation, record.Address = prog.record.Fence, prog.record.Node, prog.record.Incarnation, prog.record.Address
+		record.Fence, record.Node, record.Incarnation, record.Address =
+			prog.record.Fence, prog.record.Node, prog.record.Incarnation, prog.record.Address
 		prog.record = record
 		for _, t := range b.Turns {
 			if t.Number == len(prog.turns[t.Conversation]) {
@@ -297,7 +300,6 @@
 	m.finishRecovery(now, prog)
 }
 
-// finishRecovery continues the requests that waited for the mirrors.
 func (m *Machine) finishRecovery(now time.Duration, prog *ownedProgram) {
 	waiting := prog.recovery.waiting
 	prog.recovery = nil
@@ -307,8 +309,7 @@
 	}
 }
 
-// awaitRecovery delays a request until the mirrors have answered, or refuses it at the step's
-// deadline.
+// awaitRecovery refuses a request if the mirrors don't answer by the step's deadline.
 func (m *Machine) awaitRecovery(now time.Duration, req *requestState, prog *ownedProgram) {
 	prog.recovery.waiting = append(prog.recovery.waiting, req)
 	m.timers.Add(m.stepDeadline(now, req), func(now time.Duration) {
@@ -326,8 +327,8 @@
 	}
 }
 
-// opener returns the member whose current incarnation opened a program, as named in the program's
-// id. It is tried first, so that no core is needed to find the owner.
+// opener returns the member whose current incarnation opened a program, according to its id. It is
+// tried first, so that no core is needed to find the owner.
 func (m *Machine) opener(id string) (core.Member, bool) {
 	for _, name := range ordered.Keys(m.members) {
 		o := m.members[name]
@@ -339,7 +340,7 @@
 	return core.Member{}, false
 }
 
-// MirrorsOf lists the addresses of a program's mirrors if this node owns the program.
+// MirrorsOf lists the addresses of a program's other mirrors, or nil if this node doesn't own it.
 func (m *Machine) MirrorsOf(tenant, id string) (list []string) {
 	if prog := m.programs[tenant+"/"+id]; prog != nil {
 		for _, mirror := range m.otherMirrors(prog.savedMirrors) {
--- a/peer/node/opening.go
+++ b/peer/node/opening.go
@@ -11,14 +11,20 @@
 	"saffronfall/rule/verdict"
 )
 
-// openProgram starts a session. The breaker was checked before. The user's windows, lockout,
-// concurrency and day are checked at the user's partition in that order, then the tenant's day.
+// openProgram checks a half-open breaker, then the user's limits at the user's partition, then the
+// tenant's day. An open breaker was checked before.
 func (m *Machine) openProgram(now time.Duration, req *requestState) {
 	role := m.description.Roles[req.role]
 	m.nextID++
 	id := fmt.Sprintf("p-%s-%s-%d", m.params.ID, m.incarnation, m.nextID)
 	next := func(now time.Duration, test int) {
-		m.caller.Call(now, core.OpenUser{Tenant: req.tenant, User: req.request.User, Program: id, Role: role, WarnRatio: m.description.WarnRatio}, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
+		m.caller.Call(now, core.OpenUser{
+			Tenant:    req.tenant,
+			User:      req.request.User,
+			Program:   id,
+			Role:      role,
+			WarnRatio: m.description.WarnRatio,
+		}, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
 			v, ok := o.Answer.(verdict.Verdict)
 			switch {
 			case req.done:
@@ -37,7 +43,10 @@
 		next(now, 0)
 		return
 	}
-	m.caller.Call(now, core.AdmitProbe{Program: id, Limits: m.breakerLimits()}, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
+	m.caller.Call(now, core.AdmitProbe{
+		Program: id,
+		Limits:  m.breakerLimits(),
+	}, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
 		test, ok := o.Answer.(core.ProbeResult)
 		switch {
 		case req.done:
@@ -46,19 +55,27 @@
 		case test.State == string(breaker.Closed):
 			next(now, 0)
 		case test.Number == 0:
-			m.refuse(req, verdict.Refused(verdict.Refusal{Check: "breaker", Code: "breaker_half_open", Reason: "only a few test sessions are gated", Status: 503, RetryAfter: max(test.Remaining, time.Second)}))
+			m.refuse(req, verdict.Refused(verdict.Refusal{
+				Check: "breaker", Code: "breaker_half_open",
+				Reason: "only a few test sessions are gated",
+				Status: 503, RetryAfter: max(test.Remaining, time.Second),
+			}))
 		default:
 			next(now, test.Number)
 		}
 	})
 }
 
-// closeSession closes a user's session with its final charge.
 func (m *Machine) closeSession(now time.Duration, req *requestState, id string, charged int64) {
-	m.caller.Call(now, core.ChargeUser{Tenant: req.tenant, User: req.request.User, Program: id, Charged: charged, Closed: true}, now+10*m.params.Core.MemberLease, func(time.Duration, core.Outcome) {})
+	m.caller.Call(now, core.ChargeUser{
+		Tenant:  req.tenant,
+		User:    req.request.User,
+		Program: id,
+		Charged: charged,
+		Closed:  true,
+	}, now+10*m.params.Core.MemberLease, func(time.Duration, core.Outcome) {})
 }
 
-// openWithDayShare draws a share of the tenant's day, then creates the program.
 func (m *Machine) openWithDayShare(now time.Duration, req *requestState, id string, test int, warnings []verdict.Warning) {
 	s := m.dayShareOf(req.tenant)
 	m.drawShare(now, s, 1, m.dayChunk(req.tenant), m.stepDeadline(now, req), m.dayShareCommand(req.tenant, s), func(now time.Duration, ok, answered bool) {
@@ -67,8 +84,11 @@
 			m.refuse(req, m.dayShareRefusal(answered))
 			return
 		}
-		record := program.Record{Fence: 1, ID: id, Tenant: req.tenant, User: req.request.User, Role: req.role, Node: m.params.ID, Incarnation: m.incarnation, Address: m.params.Address, ProbeNumber: test,
-			Retention: time.Duration(m.description.KeepSeconds) * time.Second}
+		record := program.Record{
+			Fence: 1, ID: id, Tenant: req.tenant, User: req.request.User, Role: req.role,
+			Node: m.params.ID, Incarnation: m.incarnation, Address: m.params.Address,
+			ProbeNumber: test, Retention: time.Duration(m.description.KeepSeconds) * time.Second,
+		}
 		prog := ownedProgram{record: record}
 		precharged := program.PrechargeTarget(m.description.Roles[req.role], 0)
 		m.prepareRecord(&prog)
@@ -82,13 +102,25 @@
 			}
 			m.adoptProgram(now, answer).dayPrecharged = precharged
 			m.countAdmitted(warnings)
-			m.recordSample(replay.Sample{KeyDigest: req.keySum, Tenant: req.tenant, Program: id, User: req.request.User, Role: req.role, Kind: KindOpen})
-			m.finish(req, Frame{Kind: FrameBody, Status: 201, Head: program.EmptyHead, Verdict: verdict.Allowed(verdict.Executed, warnings), Text: id})
+			m.recordSample(replay.Sample{
+				KeyDigest: req.keySum,
+				Tenant:    req.tenant,
+				Program:   id,
+				User:      req.request.User,
+				Role:      req.role,
+				Kind:      KindOpen,
+			})
+			m.finish(req, Frame{
+				Kind:    FrameBody,
+				Status:  201,
+				Head:    program.EmptyHead,
+				Verdict: verdict.Allowed(verdict.Executed, warnings),
+				Text:    id,
+			})
 		})
 	})
 }
 
-// countAdmitted counts an admitted request and its warnings.
 func (m *Machine) countAdmitted(warnings []verdict.Warning) {
 	m.Counters.Admitted++
 	if len(warnings) > 0 {
@@ -100,5 +132,9 @@
 	if !answered {
 		return retryLater("no share of the tenant's day could be had in time")
 	}
-	return verdict.Refused(verdict.Refusal{Check: "tenant_day", Code: "tenant_day_tokens_spent", Reason: "the tenant's day is spent, or its shares are all held", Status: 429, RetryAfter: m.params.Core.MemberLease})
+	return verdict.Refused(verdict.Refusal{
+		Check: "tenant_day", Code: "tenant_day_tokens_spent",
+		Reason: "the tenant's day is spent, or its shares are all held",
+		Status: 429, RetryAfter: m.params.Core.MemberLease,
+	})
 }
--- a/peer/node/queue.go
+++ b/peer/node/queue.go
@@ -7,8 +7,8 @@
 	"saffronfall/rule/verdict"
 )
 
-// replicaQueue holds the attempts that wait for capacity at a service's replicas, in order of
-// arrival, and the moving average of their duration.
+// replicaQueue holds a service's attempts that wait for a replica, in order of arrival, and the
+// moving average of attempt durations.
 type replicaQueue struct {
 	waiting         []queuedAttempt
 	averageDuration time.Duration
@@ -19,7 +19,6 @@
 	until   time.Duration
 }
 
-// queueOf returns a service's queue, creating an empty one if there is none.
 func (m *Machine) queueOf(service string) *replicaQueue {
 	queue := m.queues[service]
 	if queue == nil {
@@ -29,8 +28,7 @@
 	return queue
 }
 
-// queueLimitFor returns the maximum number of queued requests; part of the queue is reserved for
-// urgent services.
+// queueLimitFor reserves part of the queue for urgent services.
 func (m *Machine) queueLimitFor(urgent bool) int {
 	if urgent {
 		return m.params.QueueLimit
@@ -48,12 +46,12 @@
 	return max(m.params.Core.PullInterval, queue.averageDuration*time.Duration(len(queue.waiting)+1)/time.Duration(capacity))
 }
 
-// enqueue queues an attempt until a replica has capacity. It returns false if the queue is full or
-// the expected wait is too long.
+// enqueue returns false if the queue is full or the expected wait is too long.
 func (m *Machine) enqueue(now time.Duration, a *attempt) bool {
 	service := a.req.request.Service
 	until := min(a.req.deadline, now+m.params.MaxQueueWait)
-	if m.queued >= m.queueLimitFor(m.description.Services[service].Urgent) || now+m.queueWait(now, service) > until || len(m.currentReplicas(now, service)) == 0 {
+	if m.queued >= m.queueLimitFor(m.description.Services[service].Urgent) ||
+		now+m.queueWait(now, service) > until || len(m.currentReplicas(now, service)) == 0 {
 		return false
 	}
 	m.queued++
@@ -62,7 +60,6 @@
 	return true
 }
 
-// drainQueues starts queued attempts as capacity becomes available, and cancels the expired ones.
 func (m *Machine) drainQueues(now time.Duration) {
 	for _, service := range ordered.Keys(m.queues) {
 		queue := m.queues[service]
@@ -86,5 +83,9 @@
 func (a *attempt) untriedReplica(id string) bool { return !a.triedReplicas[id] }
 
 func (m *Machine) noReplicaVerdict(now time.Duration, service string) verdict.Verdict {
-	return verdict.Refused(verdict.Refusal{Check: "replica", Code: "no_replica", Reason: "no replica of the service is present and has room", Status: 503, RetryAfter: m.queueWait(now, service)})
+	return verdict.Refused(verdict.Refusal{
+		Check: "replica", Code: "no_replica",
+		Reason: "no replica of the service is present and has room",
+		Status: 503, RetryAfter: m.queueWait(now, service),
+	})
 }
--- a/peer/node/relay.go
+++ b/peer/node/relay.go
@@ -24,7 +24,6 @@
 	m.send(to, b)
 }
 
-// relayResult forwards a core's result to the sender of the relayed command.
 func (m *Machine) relayResult(now time.Duration, b core.CommandResult) {
 	t := m.caller.Ticket(b.ID &^ relayedBit)
 	relayed, ok := m.relayed.Get(t)
@@ -45,10 +44,9 @@
 // relayedBit marks the ids of relayed commands.
 const relayedBit = 1 << 63
 
-// maxRelayRedirects bounds how often a relayed command is redirected to another leader.
+// maxRelayRedirects bounds the redirections of a command to another leader.
 const maxRelayRedirects = 3
 
-// relayedCommand is a command that was relayed for another process.
 type relayedCommand struct {
 	from      string
 	command   core.Command
--- a/peer/node/replicas.go
+++ b/peer/node/replicas.go
@@ -4,8 +4,7 @@
 	"time"
 )
 
-// replicaHealth is this node's own view of a replica: its attempts in progress, its consecutive
-// failures and until when it is ejected.
+// replicaHealth counts this node's attempts in progress and consecutive failures at a replica.
 type replicaHealth struct {
 	outstanding  int64
 	failures     int
@@ -13,8 +12,7 @@
 	lastUsed     time.Duration
 }
 
-// chooseReplica picks the less loaded of two random replicas, preferring this node's zone. It
-// skips those that are ejected, at capacity or not allowed.
+// chooseReplica picks the less loaded of two random replicas, preferably in this node's zone.
 func (m *Machine) chooseReplica(now time.Duration, service string, isAllowed func(id string) bool) (Replica, bool) {
 	var local, remote []Replica
 	limit := m.description.Services[service].AttemptsPerReplica
@@ -44,7 +42,6 @@
 	return a, true
 }
 
-// loadOf returns a replica's announced load plus this node's attempts in progress there.
 func (m *Machine) loadOf(r Replica) int64 {
 	load := r.Load
 	if h := m.health[r.Service+"/"+r.ID]; h != nil {
--- a/peer/node/request.go
+++ b/peer/node/request.go
@@ -13,7 +13,6 @@
 	"saffronfall/rule/verdict"
 )
 
-// requestState is a request in progress in this process.
 type requestState struct {
 	request     Request
 	tenant      string
@@ -32,18 +31,19 @@
 	ran         verdict.Execution
 }
 
-// Submit accepts a client's request. Its response frames carry the ticket.
+// Submit accepts a request from a requester. Its response frames carry the ticket.
 func (m *Machine) Submit(now time.Duration, ticket uint64, request Request) Output {
 	m.beginStep(now)
 	m.Counters.Requests++
-	t := m.beginRequest(now, request, false, func(frame Frame) { m.out.Responses = append(m.out.Responses, Response{Ticket: ticket, Frame: frame}) })
+	t := m.beginRequest(now, request, false,
+		func(frame Frame) { m.out.Responses = append(m.out.Responses, Response{Ticket: ticket, Frame: frame}) })
 	if _, ok := m.requests.Get(t); ok {
 		m.byTicket[ticket] = t
 	}
 	return *m.out
 }
 
-// CancelRequest ends a request whose client no longer waits.
+// CancelRequest ends a request whose requester no longer waits.
 func (m *Machine) CancelRequest(now time.Duration, ticket uint64) Output {
 	m.beginStep(now)
 	if t, ok := m.byTicket[ticket]; ok {
@@ -53,7 +53,7 @@
 	return *m.out
 }
 
-// cancel ends a request, cancels it at the node that it was forwarded to and stops its attempt.
+// cancel also cancels a request at the node that it was forwarded to.
 func (m *Machine) cancel(now time.Duration, t slab.Ticket) {
 	req, ok := m.requests.Get(t)
 	if !ok {
@@ -92,7 +92,7 @@
 	req.respond(frame)
 }
 
-// refuse ends a request with a verdict, or aborts the stream if one has begun.
+// refuse aborts the stream if one has begun.
 func (m *Machine) refuse(req *requestState, v verdict.Verdict) {
 	if req.done {
 		return
@@ -112,7 +112,15 @@
 	if m.now >= req.deadline && v.Status == 503 {
 		v = deadlineExceeded(v.Ran)
 	}
-	m.recordSample(replay.Sample{KeyDigest: req.keySum, Tenant: req.tenant, User: req.request.User, Role: req.role, Kind: req.request.Kind, Service: req.request.Service, Refused: true})
+	m.recordSample(replay.Sample{
+		KeyDigest: req.keySum,
+		Tenant:    req.tenant,
+		User:      req.request.User,
+		Role:      req.role,
+		Kind:      req.request.Kind,
+		Service:   req.request.Service,
+		Refused:   true,
+	})
 	m.finish(req, Frame{Kind: FrameVerdict, Status: v.Status, Verdict: v})
 }
 
@@ -121,11 +129,14 @@
 }
 
 func deadlineExceeded(ran verdict.Execution) verdict.Verdict {
-	return verdict.Refused(verdict.Refusal{Check: "budget", Code: "budget_passed", Reason: "the inquiry's budget has passed", Status: 504, Ran: ran})
+	return verdict.Refused(verdict.Refusal{
+		Check: "budget", Code: "budget_passed",
+		Reason: "the inquiry's budget has passed",
+		Status: 504, Ran: ran,
+	})
 }
 
-// dispatch authenticates a request, checks the node's lease and the breaker, and routes the request
-// by its kind.
+// dispatch authenticates a request, checks the lease and the breaker, and routes it by its kind.
 func (m *Machine) dispatch(now time.Duration, req *requestState) {
 	request := &req.request
 	if m.description == nil {
@@ -171,8 +182,11 @@
 
 func (m *Machine) breakerVerdict(now time.Duration) verdict.Verdict {
 	if now < m.openUntil || m.breakerState == breaker.Open {
-		return verdict.Refused(verdict.Refusal{Check: "breaker", Code: "breaker_open", Reason: "spending reached a threshold; everything is refused for a time",
-			Status: 503, RetryAfter: max(m.openUntil-now, m.params.ReportInterval)})
+		return verdict.Refused(verdict.Refusal{
+			Check: "breaker", Code: "breaker_open",
+			Reason: "spending reached a threshold; everything is refused for a time",
+			Status: 503, RetryAfter: max(m.openUntil-now, m.params.ReportInterval),
+		})
 	}
 	return verdict.Verdict{}
 }
@@ -207,11 +221,18 @@
 	m.claimProgram(now, req, core.ClaimProgram{})
 }
 
-// claimProgram reads a program's owner from the cores, and takes the program over if the owner's
-// membership has ended.
+// claimProgram finds a program's owner, and takes the program over if the owner's membership has
+// ended.
 func (m *Machine) claimProgram(now time.Duration, req *requestState, proof core.ClaimProgram) {
-	claim := core.ClaimProgram{Tenant: req.tenant, ID: req.request.Program, Node: m.params.ID, Incarnation: m.incarnation, Address: m.params.Address,
-		EndedNode: proof.EndedNode, EndedIncarnation: proof.EndedIncarnation}
+	claim := core.ClaimProgram{
+		Tenant:           req.tenant,
+		ID:               req.request.Program,
+		Node:             m.params.ID,
+		Incarnation:      m.incarnation,
+		Address:          m.params.Address,
+		EndedNode:        proof.EndedNode,
+		EndedIncarnation: proof.EndedIncarnation,
+	}
 	key := claim.Tenant + "/" + claim.ID
 	m.caller.Call(now, claim, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
 		answer, ok := o.Answer.(core.ProgramResult)
@@ -221,7 +242,11 @@
 		case !ok || claim.Incarnation != m.incarnation:
 			m.refuse(req, retryLater("the program's owner could not be found out in time"))
 		case answer.Expired:
-			m.refuse(req, verdict.Refused(verdict.Refusal{Check: "program", Code: "gone", Reason: "the program's keeping time has passed", Status: 410}))
+			m.refuse(req, verdict.Refused(verdict.Refusal{
+				Check: "program", Code: "gone",
+				Reason: "the program's keeping time has passed",
+				Status: 410,
+			}))
 		case !answer.Found:
 			m.refuse(req, denied("unknown_program", "no such program", 404))
 		case answer.Owned:
@@ -241,8 +266,7 @@
 	})
 }
 
-// stepDeadline returns the deadline of one step of a request: the request's own, but no later than
-// a step's timeout, so that a request fails early when the cores don't answer.
+// stepDeadline bounds one step of a request, so that it fails early when the cores don't answer.
 func (m *Machine) stepDeadline(now time.Duration, req *requestState) time.Duration {
 	return min(req.deadline, now+m.stepTimeout())
 }
@@ -254,7 +278,13 @@
 
 // adoptProgram installs a program that the cores assigned to this node.
 func (m *Machine) adoptProgram(now time.Duration, answer core.ProgramResult) *ownedProgram {
-	prog := &ownedProgram{record: copyRecord(answer.Record), turns: map[string][]program.Turn{}, clockOffset: answer.Clock - now, savedVersion: answer.Record.Version, lastUsed: now}
+	prog := &ownedProgram{
+		record:       copyRecord(answer.Record),
+		turns:        map[string][]program.Turn{},
+		clockOffset:  answer.Clock - now,
+		savedVersion: answer.Record.Version,
+		lastUsed:     now,
+	}
 	for _, t := range answer.Turns {
 		prog.turns[t.Conversation] = append(prog.turns[t.Conversation], t)
 	}
@@ -267,8 +297,7 @@
 	return prog
 }
 
-// expireRequests ends forwarded requests and attempts past their deadlines, and retransmits
-// forwards that were not accepted yet.
+// expireRequests also retransmits forwards that were not accepted yet.
 func (m *Machine) expireRequests(now time.Duration) {
 	for _, t := range m.openForwardTickets() {
 		f := m.openForwards[t]
--- a/peer/node/save.go
+++ b/peer/node/save.go
@@ -17,7 +17,7 @@
 }
 
 // save makes a program's record durable, then calls next. At most one save of a program is in
-// flight; each carries the newest record.
+// flight.
 func (m *Machine) save(now time.Duration, prog *ownedProgram, until time.Duration, next func(now time.Duration, ok bool)) {
 	m.markChanged(now, prog)
 	prog.waiters = append(prog.waiters, saveWaiter{version: prog.record.Version, until: until, next: next})
@@ -30,7 +30,6 @@
 	m.startSave(now, prog)
 }
 
-// markChanged gives a changed record its next version.
 func (m *Machine) markChanged(now time.Duration, prog *ownedProgram) {
 	if prog.savedVersion >= prog.record.Version {
 		prog.unsavedSince = now
@@ -38,8 +37,8 @@
 	prog.record.Version++
 }
 
-// startSave sends the newest record to the cores unless a save is in flight. If the cores fence it
-// off, this node has lost the program.
+// startSave sends the newest record unless a save is in flight. If the cores fence it off, this
+// node has lost the program.
 func (m *Machine) startSave(now time.Duration, prog *ownedProgram) {
 	if prog.lost {
 		m.failSaves(now, prog)
@@ -93,7 +92,7 @@
 	}
 }
 
-// copyRecord returns a deep copy of a record.
+// copyRecord returns a deep copy.
 func copyRecord(record program.Record) program.Record {
 	var c program.Record
 	if err := message.Unmarshal(message.Marshal(record), &c); err != nil {
@@ -102,7 +101,6 @@
 	return c
 }
 
-// failSaves calls all waiters with a failure, because their version is not durable.
 func (m *Machine) failSaves(now time.Duration, prog *ownedProgram) {
 	waiters := prog.waiters
 	prog.waiters = nil
--- a/peer/node/share.go
+++ b/peer/node/share.go
@@ -10,8 +10,7 @@
 	"saffronfall/rule/configuration"
 )
 
-// share is this node's share of a consumable allowance: a tenant's tokens of the day, or the spend
-// budget.
+// share is this node's share of a tenant's tokens of the day or of the spend budget.
 type share struct {
 	account   allowance.Account
 	reserved  int64
@@ -33,7 +32,7 @@
 }
 
 // rateShare is this node's share of a tenant's rate: a number of units, and a token bucket whose
-// size and rate are proportional to them. Newly granted units come with an empty bucket.
+// size and rate are proportional to them.
 type rateShare struct {
 	account        allowance.Account
 	tokens         float64
@@ -50,8 +49,7 @@
 	reportedDemand int64
 }
 
-// demandWeight weighs a node's recent demand for a rate against core.IdleWeight, which keeps a
-// share in advance at nodes without demand.
+// demandWeight weighs recent demand against core.IdleWeight, which keeps a share at idle nodes.
 const demandWeight = 64
 
 type rateWaiter struct {
@@ -59,12 +57,11 @@
 	next  func(now time.Duration, ok bool, wait time.Duration)
 }
 
-// fill adds the tokens that have accrued since the last call.
 func (rs *rateShare) fill(now time.Duration, rate float64, burst int64) {
 	total := rateUnits(burst)
 	if total < rs.totalUnits {
-		// The allowance was reduced: every holder returns its part of the reduction,
-		// so that the shares held never exceed the new total.
+		// Every holder returns its part of a reduction, so that the shares held never exceed the
+		// new total.
 		rs.account.Returned += rs.account.Held() - rs.account.Held()*total/rs.totalUnits
 	}
 	rs.totalUnits = total
@@ -73,7 +70,7 @@
 	rs.filledAt = now
 }
 
-// applyGrant records newly granted units. They fill the bucket only from now on.
+// applyGrant records newly granted units, which fill the bucket only from now on.
 func (rs *rateShare) applyGrant(now time.Duration, granted int64, rate float64, burst int64) {
 	rs.fill(now, rate, burst)
 	if granted > rs.account.Granted {
@@ -88,12 +85,11 @@
 	rs.fill(now, rate, burst)
 }
 
-// rateUnits returns the number of units that a rate is divided into. core.UnitsPerRequest
-// of them are the fewest whose bucket can hold one request.
+// rateUnits is the number of units of a rate. A bucket needs core.UnitsPerRequest of them to hold
+// one request.
 func rateUnits(burst int64) int64 { return burst * core.UnitsPerRequest }
 
-// rateShareOf returns this node's share of a tenant's ordinary or urgent rate, with that rate in
-// requests per second and its burst.
+// rateShareOf also returns the whole rate in requests per second, and its burst.
 func (m *Machine) rateShareOf(tenant string, urgent bool) (*rateShare, float64, int64) {
 	t := m.description.Tenants[tenant]
 	key, ratio := tenant+"/rate", 1-t.UrgentRatio
@@ -108,7 +104,6 @@
 	return rs, t.RequestsPerSecond * ratio, max(1, int64(float64(t.Burst)*ratio))
 }
 
-// dayShareOf returns this node's share of a tenant's tokens of the day.
 func (m *Machine) dayShareOf(tenant string) *share {
 	s := m.dayShares[tenant]
 	if s == nil {
@@ -118,7 +113,6 @@
 	return s
 }
 
-// endedHolders returns those holders whose incarnation has ended.
 func (m *Machine) endedHolders(holders []string) []string {
 	var list []string
 	for _, h := range holders {
@@ -135,12 +129,14 @@
 	return list
 }
 
-// holderID names this node's current incarnation as a holder of shares.
 func (m *Machine) holderID() string { return m.params.ID + "/" + m.incarnation }
 
-// drawShare enlarges a share until need is free, then calls next. Its argument
-// answered is false if the cores did not answer in time.
-func (m *Machine) drawShare(now time.Duration, s *share, need, chunk int64, until time.Duration, command func(target int64) any, next func(now time.Duration, ok, answered bool)) {
+// drawShare enlarges a share until need is free, then calls next. answered is false if the cores
+// did not answer in time.
+func (m *Machine) drawShare(
+	now time.Duration, s *share, need, chunk int64, until time.Duration,
+	command func(target int64) any, next func(now time.Duration, ok, answered bool),
+) {
 	if s.free() >= need {
 		next(now, true, true)
 		return
@@ -159,7 +155,6 @@
 	})
 }
 
-// applyShare records the cores' answer to a draw or report of a share.
 func (m *Machine) applyShare(now time.Duration, s *share, o core.Outcome) {
 	r, ok := o.Answer.(core.DrawResult)
 	if !ok {
@@ -187,8 +182,15 @@
 func (m *Machine) spendPrefetchCommand(target int64) any { return m.breakerDraw(target, 0) }
 
 func (m *Machine) breakerDraw(target, need int64) any {
-	return core.DrawBreaker{Holder: m.holderID(), Spent: m.spendShare.account.Spent, Returned: m.spendShare.account.Returned, Target: target, Need: need,
-		Ended: m.endedHolders(m.spendShare.others), Limits: m.breakerLimits()}
+	return core.DrawBreaker{
+		Holder:   m.holderID(),
+		Spent:    m.spendShare.account.Spent,
+		Returned: m.spendShare.account.Returned,
+		Target:   target,
+		Need:     need,
+		Ended:    m.endedHolders(m.spendShare.others),
+		Limits:   m.breakerLimits(),
+	}
 }
 
 func (m *Machine) breakerLimits() core.BreakerLimits {
@@ -196,7 +198,6 @@
 	return core.BreakerLimits{Minute: p.Minute, Hour: p.Hour, Day: p.Day, Recovery: p.Recovery, Probes: p.Probes}
 }
 
-// reportShares reports all shares that are due.
 func (m *Machine) reportShares(now time.Duration) {
 	if m.description == nil || !m.hasLease(now) || m.returningShares || now < m.joinedAt+2*m.params.Core.PullInterval {
 		return
@@ -219,8 +220,7 @@
 	return max(1, configuration.MicroDollars(m.description.Breaker.MinuteDollars)/512)
 }
 
-// reportShare reports what was spent, returns what is unused, and draws the chunk that is held in
-// advance.
+// reportShare reports what was spent, returns what is unused, and draws a chunk in advance.
 func (m *Machine) reportShare(now time.Duration, s *share, command func(target int64) any, chunk int64) {
 	open := s == m.spendShare && (now < m.openUntil || m.breakerState != breaker.Closed)
 	idle := s.free() < chunk && !s.changed && !open
@@ -248,7 +248,6 @@
 	})
 }
 
-// rateReport builds a report of one of a tenant's rates with the demand for it.
 func (m *Machine) rateReport(tenant string, urgent bool, want int64) core.DrawAllowance {
 	rs, _, burst := m.rateShareOf(tenant, urgent)
 	kind := "rate"
@@ -259,8 +258,7 @@
 		Limit: rateUnits(burst), UnitsPerRequest: core.UnitsPerRequest, Members: int64(len(m.others()) + 1), Ended: m.endedHolders(rs.others)}
 }
 
-// rateReportDue reports whether one of a tenant's rates is due for a report, and if so updates its
-// demand.
+// rateReportDue also updates the reported demand if a report is due.
 func (m *Machine) rateReportDue(now time.Duration, tenant string, urgent bool) bool {
 	rs, rate, burst := m.rateShareOf(tenant, urgent)
 	rs.fill(now, rate, burst)
@@ -270,7 +268,7 @@
 		return false
 	}
 	if now >= rs.demandAt+m.params.ReportInterval {
-		// A report right after the last one has too short an interval to measure demand.
+		// A shorter interval is too short to measure demand.
 		rs.recent, rs.demand, rs.demandAt = (rs.recent+rs.demand*demandWeight)/2, 0, now
 	}
 	want := core.IdleWeight + rs.recent
@@ -282,7 +280,6 @@
 	return true
 }
 
-// reportRates reports the rates of a tenant that are due, in one command.
 func (m *Machine) reportRates(now time.Duration, tenant string) {
 	var due []bool
 	var report core.DrawAllowances
@@ -319,7 +316,6 @@
 	})
 }
 
-// releaseWaiters admits waiting attempts as the bucket fills.
 func (m *Machine) releaseWaiters(now time.Duration, rs *rateShare, rate float64, burst int64) {
 	for len(rs.waiting) > 0 {
 		w := rs.waiting[0]
@@ -345,8 +341,11 @@
 	return max(m.params.Core.PullInterval, time.Duration((float64(len(rs.waiting)+1)-rs.tokens)/speed*float64(time.Second)))
 }
 
-// takeRate takes a token of a tenant's rate for one request, now or after a short wait.
-func (m *Machine) takeRate(now time.Duration, tenant string, urgent bool, until time.Duration, next func(now time.Duration, ok bool, wait time.Duration)) {
+// takeRate takes a token for one request, now or after a wait.
+func (m *Machine) takeRate(
+	now time.Duration, tenant string, urgent bool, until time.Duration,
+	next func(now time.Duration, ok bool, wait time.Duration),
+) {
 	rs, rate, burst := m.rateShareOf(tenant, urgent)
 	rs.demand++
 	rs.fill(now, rate, burst)
--- a/peer/node/status.go
+++ b/peer/node/status.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Status returns the node's counters and shares for operators. Its keys are part of the operator
-// interface; in them, inquiries are requests, shots attempts, news updates, and terms leases.
+// Status returns the node's counters and shares. Its keys are part of the operator interface, in
+// which requests are inquiries, attempts shots, updates news, and leases terms.
 func (m *Machine) Status(now time.Duration) map[string]any {
 	c := m.Counters
 	refusals := map[string]int64{}
@@ -22,13 +22,32 @@
 	replicas := map[string]any{}
 	for service := range m.replicas {
 		for id, a := range m.replicas[service] {
-			replicas[service+"/"+id] = map[string]any{"address": a.replica.Address, "zone": a.replica.Zone, "load": a.replica.Load, "leaving": a.replica.Leaving, "age_ms": (now - a.since).Milliseconds()}
+			replicas[service+"/"+id] = map[string]any{
+				"address": a.replica.Address,
+				"zone":    a.replica.Zone,
+				"load":    a.replica.Load,
+				"leaving": a.replica.Leaving,
+				"age_ms":  (now - a.since).Milliseconds(),
+			}
 		}
 	}
-	shares["money"] = map[string]int64{"held": m.spendShare.account.Held(), "reserved": m.spendShare.reserved, "spent": m.spendShare.account.Spent}
-	return map[string]any{"id": m.params.ID, "incarnation": m.incarnation, "version": m.configurationVersion, "ready": m.Ready(now), "breaker": m.breakerState,
-		"programs": len(m.programs), "running": m.running, "waiting": m.requests.Len(), "shares": shares, "replicas": replicas, "term_left_ms": max(0, m.leaseExpiresAt-now).Milliseconds(), "refusals": refusals,
-		"inquiries": c.Requests, "forwarded": c.Forwarded, "gated": c.Admitted, "warned": c.Warned, "refused": c.Refused, "shots": c.Attempts,
-		"not_run": c.NotRun, "broken": c.Interrupted, "whole": c.Completed, "takeovers": c.Takeovers, "joins": c.Joins, "terms_lost": c.LeasesLost,
-		"stale_news": c.StaleUpdates, "resets": c.Resets, "fenced": c.Fenced, "bad_messages": c.BadMessages, "saves": c.Saves, "handed": c.HandedOver, "passed_on": c.Relayed, "mirrored": c.Mirrored, "mirrors_used": c.MirrorsUsed, "mirrors_lost": c.MirrorsLost, "command_tries": m.caller.Attempts}
+	shares["money"] = map[string]int64{
+		"held":     m.spendShare.account.Held(),
+		"reserved": m.spendShare.reserved,
+		"spent":    m.spendShare.account.Spent,
+	}
+	return map[string]any{
+		"id": m.params.ID, "incarnation": m.incarnation, "version": m.configurationVersion,
+		"ready": m.Ready(now), "breaker": m.breakerState, "programs": len(m.programs),
+		"running": m.running, "waiting": m.requests.Len(), "shares": shares,
+		"replicas": replicas, "term_left_ms": max(0, m.leaseExpiresAt-now).Milliseconds(),
+		"refusals": refusals, "inquiries": c.Requests, "forwarded": c.Forwarded,
+		"gated": c.Admitted, "warned": c.Warned, "refused": c.Refused, "shots": c.Attempts,
+		"not_run": c.NotRun, "broken": c.Interrupted, "whole": c.Completed,
+		"takeovers": c.Takeovers, "joins": c.Joins, "terms_lost": c.LeasesLost,
+		"stale_news": c.StaleUpdates, "resets": c.Resets, "fenced": c.Fenced,
+		"bad_messages": c.BadMessages, "saves": c.Saves, "handed": c.HandedOver,
+		"passed_on": c.Relayed, "mirrored": c.Mirrored, "mirrors_used": c.MirrorsUsed,
+		"mirrors_lost": c.MirrorsLost, "command_tries": m.caller.Attempts,
+	}
 }
--- a/peer/node/tool.go
+++ b/peer/node/tool.go
@@ -10,7 +10,7 @@
 	"saffronfall/rule/verdict"
 )
 
-// startTool checks a tool call and starts its attempt once the call is durable.
+// startTool starts an attempt once the call is durable.
 func (m *Machine) startTool(now time.Duration, req *requestState, prog *ownedProgram) {
 	name := req.request.Service
 	service, known := m.description.Services[name]
@@ -35,7 +35,13 @@
 	}
 	m.nextID++
 	a := &attempt{req: req, prog: prog, fenced: true, triedReplicas: map[string]bool{}, argumentsDigest: arguments, warnings: v.Warnings}
-	a.payload = Payload{Attempt: fmt.Sprintf("%s-%s-%d", m.params.ID, m.incarnation, m.nextID), Tenant: req.tenant, Program: prog.record.ID, Conversation: req.request.Conversation, Body: req.request.Arguments}
+	a.payload = Payload{
+		Attempt:      fmt.Sprintf("%s-%s-%d", m.params.ID, m.incarnation, m.nextID),
+		Tenant:       req.tenant,
+		Program:      prog.record.ID,
+		Conversation: req.request.Conversation,
+		Body:         req.request.Arguments,
+	}
 	prog.record.StartToolCall(prog.clockOffset+now, name, arguments)
 	m.save(now, prog, m.stepDeadline(now, req), func(now time.Duration, ok bool) {
 		if !ok || req.done {
@@ -46,7 +52,7 @@
 	})
 }
 
-// finishTool records the outcome of a tool call, and delivers it only once it is durable.
+// finishTool delivers an outcome only once it is durable.
 func (m *Machine) finishTool(now time.Duration, a *attempt, e AttemptEvent) {
 	req, prog := a.req, a.prog
 	succeeded := e.Kind == EventDone && e.Status < 500
@@ -67,7 +73,14 @@
 			return
 		}
 		m.countAdmitted(a.warnings)
-		m.recordSample(replay.Sample{KeyDigest: req.keySum, Tenant: req.tenant, User: prog.record.User, Role: prog.record.Role, Kind: KindTool, Service: req.request.Service})
+		m.recordSample(replay.Sample{
+			KeyDigest: req.keySum,
+			Tenant:    req.tenant,
+			User:      prog.record.User,
+			Role:      prog.record.Role,
+			Kind:      KindTool,
+			Service:   req.request.Service,
+		})
 		m.finish(req, Frame{Kind: FrameBody, Status: e.Status, Body: e.Body, Verdict: verdict.Allowed(verdict.Executed, a.warnings)})
 	})
 }
--- a/peer/node/turn.go
+++ b/peer/node/turn.go
@@ -14,8 +14,8 @@
 	"saffronfall/rule/verdict"
 )
 
-// attempt is the execution of a request at a back end, with its reservations. It may be tried at
-// several replicas, but runs at most once.
+// attempt is the execution of a request. It may be tried at several replicas, but runs at most
+// once.
 type attempt struct {
 	req             *requestState
 	prog            *ownedProgram
@@ -36,7 +36,6 @@
 	spendShare      *share
 }
 
-// serve runs a request on the node that owns its program.
 func (m *Machine) serve(now time.Duration, req *requestState, prog *ownedProgram) {
 	prog.lastUsed = now
 	if prog.recovery != nil {
@@ -49,8 +48,13 @@
 	case KindTool:
 		m.startTool(now, req, prog)
 	case KindStatus:
-		body, _ := json.Marshal(map[string]any{"program": prog.record.ID, "user": prog.record.User, "role": prog.record.Role, "steps": prog.record.Steps,
-			"tokens": prog.record.Charged(), "head": prog.record.Conversation(req.request.Conversation).Head, "turns": append([]program.Turn{}, prog.turns[req.request.Conversation]...), "closed": prog.record.Closed, "owner": m.params.ID})
+		body, _ := json.Marshal(map[string]any{
+			"program": prog.record.ID, "user": prog.record.User, "role": prog.record.Role,
+			"steps": prog.record.Steps, "tokens": prog.record.Charged(),
+			"head":   prog.record.Conversation(req.request.Conversation).Head,
+			"turns":  append([]program.Turn{}, prog.turns[req.request.Conversation]...),
+			"closed": prog.record.Closed, "owner": m.params.ID,
+		})
 		m.finish(req, Frame{Kind: FrameBody, Status: 200, Body: body})
 	case KindClose:
 		prog.record.Closed = true
@@ -62,7 +66,10 @@
 			request := req.request
 			request.User = prog.record.User
 			m.closeSession(now, &requestState{tenant: req.tenant, request: request}, prog.record.ID, prog.record.Charged())
-			m.recordSample(replay.Sample{KeyDigest: req.keySum, Tenant: req.tenant, Program: prog.record.ID, User: prog.record.User, Role: prog.record.Role, Kind: KindClose})
+			m.recordSample(replay.Sample{
+				KeyDigest: req.keySum, Tenant: req.tenant, Program: prog.record.ID,
+				User: prog.record.User, Role: prog.record.Role, Kind: KindClose,
+			})
 			m.finish(req, Frame{Kind: FrameBody, Status: 200, Body: []byte(`{"closed":true}`)})
 		})
 	}
@@ -81,10 +88,18 @@
 		m.refuse(req, testSessionsOnly())
 		return
 	case prog.record.HasRunningTurn(request.Conversation):
-		m.refuse(req, verdict.Refused(verdict.Refusal{Check: "program", Code: "turn_running", Reason: "a turn of this conversation is running", Status: 409, RetryAfter: time.Second, Head: conversation.Head}))
+		m.refuse(req, verdict.Refused(verdict.Refusal{
+			Check: "program", Code: "turn_running",
+			Reason: "a turn of this conversation is running",
+			Status: 409, RetryAfter: time.Second, Head: conversation.Head,
+		}))
 		return
 	case request.PreviousHead != conversation.Head || !historyMatches(request.History, prog.turns[request.Conversation]):
-		m.refuse(req, verdict.Refused(verdict.Refusal{Check: "program", Code: "wrong_history", Reason: "what came before is not this conversation's history", Status: 409, Head: conversation.Head}))
+		m.refuse(req, verdict.Refused(verdict.Refusal{
+			Check: "program", Code: "wrong_history",
+			Reason: "what came before is not this conversation's history",
+			Status: 409, Head: conversation.Head,
+		}))
 		return
 	}
 	limits := prog.record.CheckTurnLimits(prog.clockOffset+now, role, m.description.WarnRatio)
@@ -97,7 +112,10 @@
 		m.refuse(req, budget)
 		return
 	}
-	a := &attempt{req: req, prog: prog, fenced: true, triedReplicas: map[string]bool{}, reservedTokens: role.TurnTokens, warnings: append(limits.Warnings, budget.Warnings...)}
+	a := &attempt{
+		req: req, prog: prog, fenced: true, triedReplicas: map[string]bool{},
+		reservedTokens: role.TurnTokens, warnings: append(limits.Warnings, budget.Warnings...),
+	}
 	if request.MaxTokens > 0 {
 		a.reservedTokens = min(a.reservedTokens, request.MaxTokens)
 	}
@@ -105,17 +123,24 @@
 	m.nextID++
 	a.turnID = fmt.Sprintf("%s-%s-%d", m.params.ID, m.incarnation, m.nextID)
 	prog.record.ReserveTurn(a.turnID, request.Conversation, a.reservedTokens)
-	a.payload = Payload{Attempt: a.turnID, Tenant: req.tenant, Program: prog.record.ID, Conversation: request.Conversation, Head: conversation.Head,
-		History: append([]program.Turn{}, prog.turns[request.Conversation]...), Prompt: request.Prompt, MaxTokens: a.reservedTokens}
+	a.payload = Payload{
+		Attempt: a.turnID, Tenant: req.tenant, Program: prog.record.ID,
+		Conversation: request.Conversation, Head: conversation.Head,
+		History: append([]program.Turn{}, prog.turns[request.Conversation]...), Prompt: request.Prompt,
+		MaxTokens: a.reservedTokens,
+	}
 	m.drawTurnShares(now, a)
 }
 
-// testSessionsOnly refuses a session that isn't a test session while the breaker is half open.
 func testSessionsOnly() verdict.Verdict {
-	return verdict.Refused(verdict.Refusal{Check: "breaker", Code: "breaker_half_open", Reason: "only test sessions are gated", Status: 503, RetryAfter: time.Second})
+	return verdict.Refused(verdict.Refusal{
+		Check: "breaker", Code: "breaker_half_open",
+		Reason: "only test sessions are gated",
+		Status: 503, RetryAfter: time.Second,
+	})
 }
 
-// historyMatches reports whether the history that a client sent, if any, is the stored one.
+// historyMatches accepts a request without history.
 func historyMatches(sent, stored []program.Turn) bool {
 	if len(sent) == 0 {
 		return true
@@ -131,36 +156,37 @@
 	return true
 }
 
-// drawTurnShares draws the shares of the tenant's day and of the spend budget that a turn needs,
-// then makes its reservation durable at the program's and the user's partitions.
+// drawTurnShares draws from the tenant's day and the spend budget, then makes the reservation
+// durable.
 func (m *Machine) drawTurnShares(now time.Duration, a *attempt) {
 	req, day := a.req, m.dayShareOf(a.req.tenant)
-	m.drawShare(now, day, a.reservedTokens, m.dayChunk(req.tenant), m.stepDeadline(now, req), m.dayShareCommand(req.tenant, day), func(now time.Duration, ok, answered bool) {
-		if !ok || req.done || a.prog.lost {
-			m.cancelTurn(now, a)
-			m.refuse(req, m.dayShareRefusal(answered))
-			return
-		}
-		day.reserve(a.reservedTokens)
-		m.drawShare(now, m.spendShare, a.reservedPrice, m.spendChunk(), m.stepDeadline(now, req), m.spendShareCommand, func(now time.Duration, ok, _ bool) {
+	m.drawShare(now, day, a.reservedTokens, m.dayChunk(req.tenant), m.stepDeadline(now, req),
+		m.dayShareCommand(req.tenant, day), func(now time.Duration, ok, answered bool) {
 			if !ok || req.done || a.prog.lost {
-				day.settle(a.reservedTokens, 0)
 				m.cancelTurn(now, a)
-				v := m.breakerVerdict(now)
-				if !v.Refused() {
-					v = retryLater("no share of the spend could be had in time")
-				}
-				m.refuse(req, v)
+				m.refuse(req, m.dayShareRefusal(answered))
 				return
 			}
-			m.spendShare.reserve(a.reservedPrice)
-			a.dayShare, a.spendShare = day, m.spendShare
-			m.persistReservation(now, a)
+			day.reserve(a.reservedTokens)
+			m.drawShare(now, m.spendShare, a.reservedPrice, m.spendChunk(), m.stepDeadline(now, req),
+				m.spendShareCommand, func(now time.Duration, ok, _ bool) {
+					if !ok || req.done || a.prog.lost {
+						day.settle(a.reservedTokens, 0)
+						m.cancelTurn(now, a)
+						v := m.breakerVerdict(now)
+						if !v.Refused() {
+							v = retryLater("no share of the spend could be had in time")
+						}
+						m.refuse(req, v)
+						return
+					}
+					m.spendShare.reserve(a.reservedPrice)
+					a.dayShare, a.spendShare = day, m.spendShare
+					m.persistReservation(now, a)
+				})
 		})
-	})
 }
 
-// cancelTurn reverts the reservation of a turn that did not run.
 func (m *Machine) cancelTurn(now time.Duration, a *attempt) {
 	if a.prog == nil || a.prog.lost {
 		return
@@ -169,7 +195,6 @@
 	m.resave(now, a.prog)
 }
 
-// refund returns what an attempt that did not run had reserved.
 func (m *Machine) refund(now time.Duration, a *attempt) {
 	if a.dayShare == nil {
 		return
@@ -178,7 +203,7 @@
 	m.cancelTurn(now, a)
 }
 
-// settle converts the reserved shares into spent ones. Later calls have no effect.
+// settle converts reserved shares into spent ones, once; later calls have no effect.
 func (a *attempt) settle(tokens, price int64) {
 	if a.dayShare != nil {
 		a.dayShare.settle(a.reservedTokens, tokens)
@@ -187,9 +212,9 @@
 	}
 }
 
-// persistReservation makes a turn's reservation durable: at the cores, with the user's day
-// charged, or, while the cores can't be reached, at all mirrors. In the second case the tokens
-// charged in advance cover the turn, and the user's day is charged later.
+// persistReservation makes a reservation durable at the cores, with the user's day charged, or at
+// all mirrors while the cores can't be reached. Tokens charged in advance cover the latter case,
+// and the user's day is charged later.
 func (m *Machine) persistReservation(now time.Duration, a *attempt) {
 	req, prog := a.req, a.prog
 	decided, saved, charged, version := false, false, false, uint64(0)
@@ -211,7 +236,13 @@
 		proceed(now, ok)
 	})
 	version = prog.record.Version
-	charge := core.ChargeUser{Tenant: req.tenant, User: prog.record.User, Program: prog.record.ID, Charged: prog.record.Charged(), Covered: prog.record.Precharged}
+	charge := core.ChargeUser{
+		Tenant:  req.tenant,
+		User:    prog.record.User,
+		Program: prog.record.ID,
+		Charged: prog.record.Charged(),
+		Covered: prog.record.Precharged,
+	}
 	m.caller.Call(now, charge, now+10*m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		day, ok := o.Answer.(core.ChargeUserResult)
 		role := m.description.Roles[prog.record.Role]
@@ -227,7 +258,6 @@
 	m.timers.Add(m.stepDeadline(now, req), func(now time.Duration) { proceed(now, charged && saved) })
 }
 
-// admitAttempt waits for the tenant's rate limit, then starts the attempt.
 func (m *Machine) admitAttempt(now time.Duration, a *attempt) {
 	m.takeRate(now, a.req.tenant, m.description.Services[a.req.request.Service].Urgent, a.req.deadline, func(now time.Duration, ok bool, wait time.Duration) {
 		if a.req.done {
@@ -235,15 +265,19 @@
 			return
 		}
 		if !ok {
-			m.cancelAttempt(now, a, verdict.Refused(verdict.Refusal{Check: "rate", Code: "too_many", Reason: "the tenant's inquiries come faster than its rate", Status: 429, RetryAfter: wait}))
+			m.cancelAttempt(now, a, verdict.Refused(verdict.Refusal{
+				Check: "rate", Code: "too_many",
+				Reason: "the tenant's inquiries come faster than its rate",
+				Status: 429, RetryAfter: wait,
+			}))
 			return
 		}
 		m.startAttempt(now, a)
 	})
 }
 
-// startAttempt checks the lease, the breaker, the key and the deadline, chooses a replica and
-// starts the attempt there, all in one step, so that no check is outdated when the attempt starts.
+// startAttempt makes all checks and starts the attempt in one step, so that no check is outdated
+// when it starts.
 func (m *Machine) startAttempt(now time.Duration, a *attempt) {
 	req, service := a.req, a.req.request.Service
 	if !m.hasLease(now) || (a.fenced && a.prog.lost) {
@@ -285,7 +319,8 @@
 		Replica: r.ID, Address: r.Address, Payload: a.payload, Timeout: req.deadline - now})
 }
 
-// cancelAttempt reverts the reservations of an attempt that did not run and refuses its request.
+// cancelAttempt reverts the reservations of an attempt that did not run. It refuses the request,
+// unless v is zero.
 func (m *Machine) cancelAttempt(now time.Duration, a *attempt, v verdict.Verdict) {
 	switch a.req.request.Kind {
 	case KindTurn:
@@ -333,7 +368,7 @@
 	return *m.out
 }
 
-// finishAttempt ends an attempt, or retries it at another replica if it did not run.
+// finishAttempt retries an attempt at another replica if it did not run.
 func (m *Machine) finishAttempt(now time.Duration, t slab.Ticket, e AttemptEvent) {
 	a, ok := m.attempts.Take(t)
 	if !ok {
@@ -373,17 +408,15 @@
 	}
 }
 
-// maxTriedReplicas bounds the replicas at which one attempt is tried.
 const maxTriedReplicas = 3
 
-// Outlier ejection: a replica with minEjectionFailures consecutive failures is ejected for one
-// AnnouncementMaxAge, and for one more with each further failure, up to maxEjectionAges.
+// A replica with minEjectionFailures consecutive failures is ejected for one AnnouncementMaxAge,
+// and for one more with each further failure, up to maxEjectionAges.
 const (
 	minEjectionFailures = 3
 	maxEjectionAges     = 8
 )
 
-// recordFailure ejects a replica for a growing time after repeated failures.
 func (m *Machine) recordFailure(now time.Duration, h *replicaHealth) {
 	h.failures++
 	if h.failures >= minEjectionFailures {
@@ -391,7 +424,7 @@
 	}
 }
 
-// finishTurn settles a turn, and delivers its end only after its result is durable.
+// finishTurn delivers the end of a turn only after its result is durable.
 func (m *Machine) finishTurn(now time.Duration, a *attempt, e AttemptEvent) {
 	req, prog := a.req, a.prog
 	succeeded := e.Kind == EventDone && e.Status < 300 && !req.done
@@ -402,7 +435,11 @@
 	a.settle(spent, min(a.reservedPrice, m.description.Services[req.request.Service].Price(spent)))
 	if prog.record.ProbeNumber > 0 && !prog.record.ProbeSucceeded && !prog.lost {
 		prog.record.ProbeSucceeded = succeeded
-		m.caller.Call(now, core.ReportProbe{Program: prog.record.ID, Succeeded: succeeded, Limits: m.breakerLimits()}, now+10*m.params.Core.MemberLease, func(time.Duration, core.Outcome) {})
+		m.caller.Call(now, core.ReportProbe{
+			Program:   prog.record.ID,
+			Succeeded: succeeded,
+			Limits:    m.breakerLimits(),
+		}, now+10*m.params.Core.MemberLease, func(time.Duration, core.Outcome) {})
 	}
 	if prog.lost {
 		m.abortRequest(now, req)
@@ -424,16 +461,23 @@
 		}
 		m.Counters.Completed++
 		m.countAdmitted(a.warnings)
-		m.recordSample(replay.Sample{KeyDigest: req.keySum, Tenant: req.tenant, Program: prog.record.ID, User: prog.record.User, Role: prog.record.Role, Kind: KindTurn, Service: req.request.Service, Tokens: a.relayedTokens, Steps: prog.record.Steps, Charged: prog.record.Charged()})
+		m.recordSample(replay.Sample{
+			KeyDigest: req.keySum, Tenant: req.tenant, Program: prog.record.ID,
+			User: prog.record.User, Role: prog.record.Role, Kind: KindTurn,
+			Service: req.request.Service, Tokens: a.relayedTokens, Steps: prog.record.Steps,
+			Charged: prog.record.Charged(),
+		})
 		finishReason := "complete"
 		if e.Text != "" {
 			finishReason = e.Text
 		}
-		m.finish(req, Frame{Kind: FrameClose, Status: 200, Tokens: a.relayedTokens, Head: t.Head, FinishReason: finishReason, Verdict: verdict.Allowed(verdict.Executed, a.warnings)})
+		m.finish(req, Frame{
+			Kind: FrameClose, Status: 200, Tokens: a.relayedTokens, Head: t.Head,
+			FinishReason: finishReason, Verdict: verdict.Allowed(verdict.Executed, a.warnings),
+		})
 	})
 }
 
-// abortRequest ends a request whose attempt has no complete outcome.
 func (m *Machine) abortRequest(now time.Duration, req *requestState) {
 	switch {
 	case req.done:
@@ -442,6 +486,10 @@
 	case now >= req.deadline:
 		m.refuse(req, deadlineExceeded(verdict.MaybeExecuted))
 	default:
-		m.refuse(req, verdict.Refused(verdict.Refusal{Check: "replica", Code: "answer_lost", Reason: "the replica's answer was lost; the turn may have run and is charged", Status: 502, Ran: verdict.MaybeExecuted}))
+		m.refuse(req, verdict.Refused(verdict.Refusal{
+			Check: "replica", Code: "answer_lost",
+			Reason: "the replica's answer was lost; the turn may have run and is charged",
+			Status: 502, Ran: verdict.MaybeExecuted,
+		}))
 	}
 }
--- a/peer/node/types.go
+++ b/peer/node/types.go
@@ -1,10 +1,9 @@
-// Package node implements the state machine of a data-plane node. A node owns programs while it
-// has a membership lease, spends shares of allowances that the cores grant, and runs requests as
-// attempts at replicas of back-end services. Two invariants hold throughout: no attempt starts
-// without a valid lease, and an attempt starts only after its reservation or intent is durable, at
-// the cores or at all mirrors of its program. Machine does no input or output of its own; each step
-// returns an Output. Start reading at Machine.Submit and dispatch for requests, and at Machine.Receive for
-// messages between processes.
+// Package node is the state machine of a data-plane node. A node owns programs while it has a
+// membership lease, spends shares of allowances, and runs requests as attempts at replicas.
+//
+// An attempt starts only under a valid lease, and only after its reservation or intent is durable
+// at the cores or at all mirrors of its program. Machine does no input or output; each step returns
+// an Output. Start reading at Machine.Submit for requests and Machine.Receive for messages.
 package node
 
 import (
@@ -26,7 +25,7 @@
 	KindStatus = "look"
 )
 
-// Request is a client's request. OnceKey is its idempotency key, PreviousHead the head that its
+// Request is what a requester sends. OnceKey is its idempotency key, PreviousHead the head that its
 // turn follows.
 type Request struct {
 	Kind         string         `msgpack:"k"`
@@ -55,8 +54,7 @@
 	FrameAbort    = "break"
 )
 
-// Frame is one part of a response. The last one has the kind FrameVerdict, FrameBody, FrameClose
-// or FrameAbort; a stream is complete only with FrameClose.
+// Frame is one part of a response. A stream is complete only with FrameClose.
 type Frame struct {
 	Kind         string          `msgpack:"k"`
 	Verdict      verdict.Verdict `msgpack:"v"`
@@ -80,7 +78,7 @@
 		ID      uint64  `msgpack:"i"`
 		Request Request `msgpack:"q"`
 	}
-	// CancelForward cancels a forwarded request whose client no longer waits.
+	// CancelForward cancels a forwarded request.
 	CancelForward struct {
 		ID uint64 `msgpack:"i"`
 	}
@@ -100,7 +98,7 @@
 	})
 }
 
-// Response is a frame for the client request with a ticket.
+// Response is a frame for the request with a ticket.
 type Response struct {
 	Ticket uint64
 	Frame  Frame
@@ -117,7 +115,7 @@
 	Timeout time.Duration
 }
 
-// Payload is the content of an attempt, as sent to a replica.
+// Payload is what is sent to a replica.
 type Payload struct {
 	Attempt      string         `json:"shot"`
 	Tenant       string         `json:"tenant"`
@@ -155,7 +153,7 @@
 	Body any
 }
 
-// Output lists the effects of a step, to be carried out by the caller.
+// Output lists the effects of a step, which the caller must carry out.
 type Output struct {
 	Sends     []Send
 	Responses []Response
@@ -163,7 +161,7 @@
 	Cancels   []uint64
 }
 
-// Params bounds a node's timing and queues. Other bounds are ratios of these.
+// Params bounds a node's timing and queues.
 type Params struct {
 	Core core.Params
 	// QueueLimit is the maximum number of requests that wait for an attempt.
@@ -172,8 +170,7 @@
 	MaxQueueWait time.Duration
 	// ReportInterval is the interval of share reports while shares change.
 	ReportInterval time.Duration
-	// AnnouncementMaxAge is the maximum age of a replica's announcement when an
-	// attempt at it starts.
+	// AnnouncementMaxAge is the maximum age of a replica's announcement when an attempt starts.
 	AnnouncementMaxAge time.Duration
 	// UrgentRatio is the fraction of the queue reserved for urgent services.
 	UrgentRatio float64
--- a/peer/node/update.go
+++ b/peer/node/update.go
@@ -13,7 +13,6 @@
 	"saffronfall/rule/partition"
 )
 
-// pull requests updates of state and announcements from the cores and two random members.
 func (m *Machine) pull(now time.Duration) {
 	if now < m.pullAt {
 		return
@@ -24,7 +23,13 @@
 		versions[n] = v
 	}
 	m.pulls++
-	request := core.PullUpdates{SentAt: now, Versions: versions, Member: m.params.ID, WantFreshness: m.freshAt < m.startedAt, WantTopology: m.pulls%8 == 1 || len(m.topology.Leaders) == 0}
+	request := core.PullUpdates{
+		SentAt:        now,
+		Versions:      versions,
+		Member:        m.params.ID,
+		WantFreshness: m.freshAt < m.startedAt,
+		WantTopology:  m.pulls%8 == 1 || len(m.topology.Leaders) == 0,
+	}
 	targets := m.coreAddresses()
 	if len(targets) == 0 {
 		targets = m.params.Seeds
@@ -32,8 +37,7 @@
 	for _, to := range targets {
 		m.send(to, request)
 	}
-	// Pulling from two random members each time spreads an announcement to all
-	// nodes well before it expires.
+	// Two random members each time spread an announcement to all nodes well before it expires.
 	others := m.others()
 	for i := 0; i < 2 && len(others) > 0; i++ {
 		chosen := int(m.random()*float64(len(others))) % len(others)
@@ -87,7 +91,6 @@
 	}
 }
 
-// onPullUpdates answers another member's pull with the state and announcements that it lacks.
 func (m *Machine) onPullUpdates(now time.Duration, from string, b core.PullUpdates) {
 	if b.WantTopology && m.topology.Fleet != "" {
 		m.send(from, m.topology)
@@ -132,7 +135,6 @@
 	}
 }
 
-// applyEntry applies one published entry: configuration, member, core or breaker.
 func (m *Machine) applyEntry(now time.Duration, e partition.Entry) {
 	kind, _, _ := strings.Cut(e.Key, "/")
 	switch kind {
--- a/peer/requester/handler.go
+++ b/peer/requester/handler.go
@@ -1,9 +1,8 @@
-// Package requester is the HTTP API of a node: JSON requests that open, continue and close
-// programs and call tools and actions.
+// Package requester is the HTTP API of a node: JSON requests that open, continue and close programs
+// and call tools and actions.
 //
-// Every verdict reports whether the request ran; a request refused here did not run. A
-// streamed turn is complete only if it ends with a closing record. Start reading at
-// Handler.
+// Every verdict reports whether the request ran; a request refused here did not run. A streamed
+// turn is complete only if it ends with a closing record. Start reading at Handler.
 package requester
 
 import (
@@ -25,8 +24,8 @@
 
 // Backend is the node that runs the requests.
 type Backend interface {
-	// Submit starts a request. Its response arrives in frames on the channel; ending the
-	// context cancels the request. The result is false if the node's buffer is full.
+	// Submit starts a request and returns its frames, or false if the node's buffer is full.
+	// Ending the context cancels the request.
 	Submit(ctx context.Context, q node.Request) (<-chan node.Frame, bool)
 	// Ready reports whether the node accepts requests.
 	Ready(ctx context.Context) bool
@@ -34,8 +33,8 @@
 	Counters(ctx context.Context) (any, error)
 }
 
-// body is the body of a request. Each path uses some of the fields: Before is the head that a
-// turn follows, Say its prompt, and Helper names its conversation.
+// body is the union of all paths' bodies. Before is the head that a turn follows, Say its prompt,
+// and Helper names its conversation.
 type body struct {
 	User      string          `json:"user"`
 	Service   string          `json:"service"`
@@ -50,7 +49,6 @@
 	BudgetMS  int64           `json:"budget_ms"`
 }
 
-// turn is an earlier turn of a program, as the requester has it.
 type turn struct {
 	Say string `json:"say"`
 	Got string `json:"got"`
@@ -142,7 +140,6 @@
 	return mux
 }
 
-// writeJSON writes value as an answer.
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -151,7 +148,6 @@
 	encoder.Encode(value)
 }
 
-// writeVerdict writes a verdict; Retry-After is rounded up to seconds.
 func writeVerdict(w http.ResponseWriter, v verdict.Verdict, status int) {
 	answer := Answer{Verdict: v}
 	if v.RetryAfter > 0 {
@@ -162,14 +158,17 @@
 	writeJSON(w, status, answer)
 }
 
-// refuse answers a request that was refused before it was submitted.
+// refuse answers a request that was not submitted.
 func refuse(w http.ResponseWriter, code, reason string, status int) {
 	writeVerdict(w, verdict.Refused(verdict.Refusal{Check: "inquiry", Code: code, Reason: reason}), status)
 }
 
-// serve decodes a request, lets fill complete it, submits it and writes the answer. fill
-// returns what is malformed, or an empty string.
-func serve(w http.ResponseWriter, r *http.Request, backend Backend, maxBody int64, fill func(q *node.Request, b body, r *http.Request) string) {
+// serve decodes, submits and answers a request. fill completes it, and returns what is malformed or
+// an empty string.
+func serve(
+	w http.ResponseWriter, r *http.Request, backend Backend, maxBody int64,
+	fill func(q *node.Request, b body, r *http.Request) string,
+) {
 	var b body
 	if r.Method == "POST" {
 		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
@@ -213,8 +212,7 @@
 	writeFrames(w, frames)
 }
 
-// writeFrames writes the frames of a response as they arrive. It aborts the connection of an
-// interrupted stream, so that the stream never looks complete.
+// writeFrames aborts the connection of an interrupted stream, so that it never looks complete.
 func writeFrames(w http.ResponseWriter, frames <-chan node.Frame) {
 	flusher, _ := w.(http.Flusher)
 	encoder := json.NewEncoder(w)
--- a/peer/requester/requester_test.go
+++ b/peer/requester/requester_test.go
@@ -34,7 +34,8 @@
 func (b *backend) Ready(context.Context) bool            { return true }
 func (b *backend) Counters(context.Context) (any, error) { return map[string]int{}, nil }
 
-// TestBadInput: each refusal has a stable code and a reason, and says that nothing ran.
+// TestBadInput guards against refusals without a stable code, a reason, or a report that nothing
+// ran.
 func TestBadInput(t *testing.T) {
 	for _, c := range []struct {
 		name, method, path, key, body string
@@ -77,7 +78,7 @@
 	return w
 }
 
-// TestStreams: a stream without a closing record is aborted and never looks complete.
+// TestStreams guards against a stream that looks complete without a closing record.
 func TestStreams(t *testing.T) {
 	chunk := node.Frame{Kind: node.FrameChunk, Text: "a", Tokens: 1}
 	for _, c := range []struct {
@@ -104,7 +105,7 @@
 	}
 }
 
-// TestRetryAfter: the header is rounded up to seconds, the body has milliseconds.
+// TestRetryAfter guards against a header that is rounded down.
 func TestRetryAfter(t *testing.T) {
 	b := &backend{frames: []node.Frame{{Kind: node.FrameVerdict, Status: 429, Verdict: verdict.Refused(verdict.Refusal{Check: "lockout", Code: "locked_out", RetryAfter: 1200 * time.Millisecond})}}}
 	w := request(b, "POST", "/v1/programs", "k", `{"user":"u","budget_ms":1500}`)
@@ -113,7 +114,6 @@
 	}
 }
 
-// TestReferenceNamesEveryCode: docs/http.md names every code in the sources.
 func TestReferenceNamesEveryCode(t *testing.T) {
 	page, err := os.ReadFile("../../docs/http.md")
 	if err != nil {
