--- a/peer/node/announcement.go
+++ b/peer/node/announcement.go
@@ -113,12 +113,12 @@
 	}
 }
 
-func (m *Machine) onAnnouncements(now time.Duration, b Announcements) {
-	if b.Sent > now {
+func (m *Machine) onAnnouncements(now time.Duration, announcements Announcements) {
+	if announcements.Sent > now {
 		return
 	}
-	for _, a := range b.List {
-		age := a.Age + now - b.Sent
+	for _, a := range announcements.List {
+		age := a.Age + now - announcements.Sent
 		switch {
 		case a.Age < 0:
 		case a.Replica.Leaving && a.Age < m.params.AnnouncementMaxAge*(leavingMaxAges-1), !a.Replica.Leaving && age < m.params.AnnouncementMaxAge:
--- a/peer/node/drain.go
+++ b/peer/node/drain.go
@@ -34,7 +34,7 @@
 	return *m.out
 }
 
-func (m *Machine) drain(now time.Duration) {
+func (m *Machine) continueDrain(now time.Duration) {
 	if !m.leaving || m.left {
 		return
 	}
@@ -64,8 +64,8 @@
 func (m *Machine) successors() []core.Member {
 	var list []core.Member
 	for _, id := range ordered.Keys(m.members) {
-		if o := m.members[id]; id != m.params.ID && !o.Ended && !o.Leaving {
-			list = append(list, o)
+		if member := m.members[id]; id != m.params.ID && !member.Ended && !member.Leaving {
+			list = append(list, member)
 		}
 	}
 	return list
@@ -79,7 +79,7 @@
 	m.owners[key] = to
 	m.pendingHandovers++
 	m.Counters.HandedOver++
-	c := core.HandOverProgram{
+	command := core.HandOverProgram{
 		Tenant:      prog.record.Tenant,
 		ID:          prog.record.ID,
 		Fence:       prog.record.Fence,
@@ -87,7 +87,7 @@
 		Incarnation: to.Incarnation,
 		Address:     to.Peer,
 	}
-	m.caller.Call(now, c, now+m.params.Core.MemberLease, func(time.Duration, core.Outcome) { m.pendingHandovers-- })
+	m.caller.Call(now, command, now+m.params.Core.MemberLease, func(time.Duration, core.Outcome) { m.pendingHandovers-- })
 }
 
 // returnShares returns all shares, then ends the membership.
@@ -125,10 +125,8 @@
 }
 
 func (m *Machine) endMembership(now time.Duration) {
-	m.caller.Call(now, core.LeaveMember{
-		ID:          m.params.ID,
-		Incarnation: m.incarnation,
-	}, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
+	command := core.LeaveMember{ID: m.params.ID, Incarnation: m.incarnation}
+	m.caller.Call(now, command, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		// Other nodes may still forward requests until they learn of the end; notOwner refuses
 		// these.
 		m.timers.Add(now+3*m.params.Core.PullInterval, func(time.Duration) { m.left = true })
--- a/peer/node/forward.go
+++ b/peer/node/forward.go
@@ -52,24 +52,24 @@
 }
 
 // onForward begins a forwarded request, once per sender and id.
-func (m *Machine) onForward(now time.Duration, from string, b ForwardRequest) {
-	key := fmt.Sprintf("%s#%d", from, b.ID)
+func (m *Machine) onForward(now time.Duration, from string, forwarded ForwardRequest) {
+	key := fmt.Sprintf("%s#%d", from, forwarded.ID)
 	if _, ok := m.served[key]; ok {
 		return
 	}
 	number := 0
-	m.served[key] = &servedRequest{until: now + b.Request.Timeout + m.params.Core.MemberLease}
-	m.send(from, ForwardedFrame{ID: b.ID, Number: number, Frame: Frame{Kind: FrameAccepted}})
-	t := m.beginRequest(now, b.Request, true, func(frame Frame) {
+	m.served[key] = &servedRequest{until: now + forwarded.Request.Timeout + m.params.Core.MemberLease}
+	m.send(from, ForwardedFrame{ID: forwarded.ID, Number: number, Frame: Frame{Kind: FrameAccepted}})
+	t := m.beginRequest(now, forwarded.Request, true, func(frame Frame) {
 		number++
-		m.send(from, ForwardedFrame{ID: b.ID, Number: number, Frame: frame})
+		m.send(from, ForwardedFrame{ID: forwarded.ID, Number: number, Frame: frame})
 	})
 	m.served[key].ticket = t
 }
 
 // onCancelForward prevents the request if it has not arrived yet.
-func (m *Machine) onCancelForward(now time.Duration, from string, b CancelForward) {
-	key := fmt.Sprintf("%s#%d", from, b.ID)
+func (m *Machine) onCancelForward(now time.Duration, from string, cancellation CancelForward) {
+	key := fmt.Sprintf("%s#%d", from, cancellation.ID)
 	served, ok := m.served[key]
 	if !ok {
 		m.served[key] = &servedRequest{until: now + m.params.DefaultTimeout + m.params.Core.MemberLease}
@@ -78,33 +78,33 @@
 	m.cancel(now, served.ticket)
 }
 
-func (m *Machine) onForwardedFrame(now time.Duration, from string, b ForwardedFrame) {
-	t := m.caller.Ticket(b.ID)
+func (m *Machine) onForwardedFrame(now time.Duration, from string, forwarded ForwardedFrame) {
+	t := m.caller.Ticket(forwarded.ID)
 	f, ok := m.forwards.Get(t)
 	if !ok || f.to != from {
 		return
 	}
 	f.accepted = true
-	if b.Frame.Kind == FrameAccepted {
+	if forwarded.Frame.Kind == FrameAccepted {
 		return
 	}
-	if b.Number != f.nextNumber {
+	if forwarded.Number != f.nextNumber {
 		m.failForward(now, t, f)
 		return
 	}
 	f.nextNumber++
 	req := f.req
-	if !b.Frame.Last() {
-		req.streaming = req.streaming || b.Frame.Kind == FrameOpen
+	if !forwarded.Frame.Last() {
+		req.streaming = req.streaming || forwarded.Frame.Kind == FrameOpen
 		if !req.done {
-			req.respond(b.Frame)
+			req.respond(forwarded.Frame)
 		}
 		return
 	}
 	m.forwards.Take(t)
 	delete(m.openForwards, t)
 	key := req.tenant + "/" + req.request.Program
-	if b.Frame.Kind == FrameVerdict && b.Frame.Verdict.Code == notOwner {
+	if forwarded.Frame.Kind == FrameVerdict && forwarded.Frame.Verdict.Code == notOwner {
 		// The request did not run there, so it may be sent to another owner.
 		delete(m.owners, key)
 		if req.hops++; req.hops > maxHops || req.done {
@@ -114,7 +114,7 @@
 		m.timers.Add(now+m.params.Core.PullInterval/4, func(now time.Duration) { m.locate(now, req) })
 		return
 	}
-	m.finish(req, b.Frame)
+	m.finish(req, forwarded.Frame)
 }
 
 // notOwner is a refusal code used between nodes only.
@@ -149,11 +149,11 @@
 	m.refuse(f.req, v)
 }
 
-func (m *Machine) failForwardsTo(now time.Duration, o core.Member) {
+func (m *Machine) failForwardsTo(now time.Duration, member core.Member) {
 	for _, t := range m.openForwardTickets() {
 		f := m.openForwards[t]
 		switch {
-		case f.member.ID != o.ID || !o.HasEnded(f.member.Incarnation):
+		case f.member.ID != member.ID || !member.HasEnded(f.member.Incarnation):
 		case f.accepted:
 			m.failForward(now, t, f)
 		default:
--- a/peer/node/machine.go
+++ b/peer/node/machine.go
@@ -56,7 +56,7 @@
 	startedAt time.Duration
 	entries   map[int]map[string]partition.Entry
 	pullAt    time.Duration
-	pulls     int
+	pullCount int
 
 	description          *configuration.Description
 	configurationVersion uint64
@@ -66,7 +66,7 @@
 	cores                map[string]core.Core
 	health               map[string]*replicaHealth
 	breakerState         breaker.State
-	openUntil            time.Duration
+	breakerOpenUntil     time.Duration
 
 	leaseExpiresAt time.Duration
 	joined         bool
@@ -129,24 +129,24 @@
 }
 
 // New returns a machine that has not joined the fleet yet.
-func New(o Options) *Machine {
+func New(options Options) *Machine {
 	m := &Machine{
 		params: settings{
-			Params:  o.Params,
-			ID:      o.ID,
-			Zone:    o.Zone,
-			Address: o.Address,
-			HTTP:    o.HTTP,
-			Host:    o.Host,
-			Seeds:   o.Seeds,
+			Params:  options.Params,
+			ID:      options.ID,
+			Zone:    options.Zone,
+			Address: options.Address,
+			HTTP:    options.HTTP,
+			Host:    options.Host,
+			Seeds:   options.Seeds,
 		},
-		random:            o.Random,
-		incarnation:       o.Incarnation,
+		random:            options.Random,
+		incarnation:       options.Incarnation,
 		endedIncarnations: map[string]bool{},
-		now:               o.Now,
+		now:               options.Now,
 		versions:          map[int]partition.Version{},
 		freshAt:           -1,
-		startedAt:         o.Now,
+		startedAt:         options.Now,
 		entries:           map[int]map[string]partition.Entry{},
 		members:           map[string]core.Member{},
 		replicas:          map[string]map[string]knownReplica{},
@@ -162,12 +162,12 @@
 	}
 	m.Counters.Refusals = map[string]int64{}
 	m.caller = &core.Caller{
-		Retry:      o.Params.Core.AttemptTimeout,
-		Random:     o.Random,
+		Retry:      options.Params.Core.AttemptTimeout,
+		Random:     options.Random,
 		Send:       func(to string, body any) { m.send(to, body) },
 		Partitions: func() int { return len(m.topology.Leaders) },
 		Cores:      func() []string { return m.coreAddresses() },
-		Forwarders: func() []string { return m.others() },
+		Forwarders: func() []string { return m.otherAddresses() },
 	}
 	m.clearOwned()
 	return m
@@ -237,52 +237,52 @@
 	m.tickPrograms(now)
 	m.timers.Tick(now)
 	m.expireRelayed(now)
-	m.drain(now)
+	m.continueDrain(now)
 	return *m.out
 }
 
 // Receive handles a message from the process at an address.
 func (m *Machine) Receive(now time.Duration, from string, body any) Output {
 	m.beginStep(now)
-	switch b := body.(type) {
+	switch msg := body.(type) {
 	case core.CommandResult:
-		if b.ID&relayedBit == 0 {
-			m.caller.Receive(now, from, b)
+		if msg.ID&relayedBit == 0 {
+			m.caller.Receive(now, from, msg)
 		} else {
-			m.relayResult(now, b)
+			m.relayResult(now, msg)
 		}
 	case core.Command:
-		m.relayCommand(now, from, b)
+		m.relayCommand(now, from, msg)
 	case core.Topology:
-		m.onTopology(b)
+		m.onTopology(msg)
 	case core.Update:
-		m.onUpdate(now, b)
+		m.onUpdate(now, msg)
 	case core.PullUpdates:
-		m.onPullUpdates(now, from, b)
+		m.onPullUpdates(now, from, msg)
 	case core.Freshness:
-		m.onFreshness(b)
+		m.onFreshness(msg)
 	case Announcements:
-		m.onAnnouncements(now, b)
+		m.onAnnouncements(now, msg)
 	case ForwardRequest:
-		m.onForward(now, from, b)
+		m.onForward(now, from, msg)
 	case CancelForward:
-		m.onCancelForward(now, from, b)
+		m.onCancelForward(now, from, msg)
 	case ForwardedFrame:
-		m.onForwardedFrame(now, from, b)
+		m.onForwardedFrame(now, from, msg)
 	case CopyProgram:
-		m.onCopy(now, from, b)
+		m.onCopy(now, from, msg)
 	case CopyAck:
-		m.onCopyAck(now, from, b)
+		m.onCopyAck(now, from, msg)
 	case CopyQuery:
-		m.onCopyQuery(now, from, b)
+		m.onCopyQuery(now, from, msg)
 	case CopyAnswer:
-		m.onCopyAnswer(now, b)
+		m.onCopyAnswer(now, msg)
 	case core.ReadSamples:
 		list := append([]replay.Sample(nil), m.samples...)
 		for i := range list {
 			list[i].Age = now - list[i].Age
 		}
-		m.send(from, core.Samples{ID: b.ID, List: list})
+		m.send(from, core.Samples{ID: msg.ID, List: list})
 	default:
 		m.Counters.BadMessages++
 	}
@@ -290,14 +290,14 @@
 }
 
 // recordSample keeps a request for replays under changed configurations.
-func (m *Machine) recordSample(s replay.Sample) {
+func (m *Machine) recordSample(sample replay.Sample) {
 	const maxSamples = 256
-	s.Age = m.now
+	sample.Age = m.now
 	if len(m.samples) < maxSamples {
-		m.samples = append(m.samples, s)
+		m.samples = append(m.samples, sample)
 		return
 	}
-	m.samples[m.nextSample%maxSamples] = s
+	m.samples[m.nextSample%maxSamples] = sample
 	m.nextSample++
 }
 
@@ -306,9 +306,9 @@
 }
 
 // UpdateParams applies those bounds that may change while the node runs.
-func (m *Machine) UpdateParams(p Params) Output {
+func (m *Machine) UpdateParams(params Params) Output {
 	m.beginStep(m.now)
 	m.params.QueueLimit, m.params.MaxQueueWait, m.params.AnnouncementMaxAge, m.params.UrgentRatio, m.params.DefaultTimeout =
-		p.QueueLimit, p.MaxQueueWait, p.AnnouncementMaxAge, p.UrgentRatio, p.DefaultTimeout
+		params.QueueLimit, params.MaxQueueWait, params.AnnouncementMaxAge, params.UrgentRatio, params.DefaultTimeout
 	return *m.out
 }
--- a/peer/node/machine_test.go
+++ b/peer/node/machine_test.go
@@ -12,8 +12,20 @@
 // TestJoinNeedsFreshConfiguration guards against a restarted process joining with a configuration
 // older than the one that an earlier process of this node had.
 func TestJoinNeedsFreshConfiguration(t *testing.T) {
-	m := New(Options{Params: Params{Core: core.Params{MemberLease: 2 * time.Second, AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}, AnnouncementMaxAge: time.Second},
-		ID: "n", Incarnation: "a", Address: "10.0.0.9:1", Random: func() float64 { return 0.5 }})
+	m := New(Options{
+		Params: Params{
+			Core: core.Params{
+				MemberLease:    2 * time.Second,
+				AttemptTimeout: 150 * time.Millisecond,
+				PullInterval:   150 * time.Millisecond,
+			},
+			AnnouncementMaxAge: time.Second,
+		},
+		ID:          "n",
+		Incarnation: "a",
+		Address:     "10.0.0.9:1",
+		Random:      func() float64 { return 0.5 },
+	})
 	joins := func(now time.Duration) (n int) {
 		for _, s := range m.Tick(now).Sends {
 			if c, ok := s.Body.(core.Command); ok {
@@ -26,7 +38,12 @@
 		}
 		return n
 	}
-	m.Receive(time.Second, "10.0.0.1:1", core.Topology{Fleet: "f", Cores: map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "10.0.0.1:1"}}, Groups: make([]partition.Group, 2), Leaders: make([]partition.Term, 2)})
+	m.Receive(time.Second, "10.0.0.1:1", core.Topology{
+		Fleet:   "f",
+		Cores:   map[string]core.Core{"c": {ID: "c", Incarnation: "1", Peer: "10.0.0.1:1"}},
+		Groups:  make([]partition.Group, 2),
+		Leaders: make([]partition.Term, 2),
+	})
 	at := partition.Version{Seq: 4}
 	m.Receive(time.Second, "10.0.0.2:1", core.Update{Partition: core.ConfigurationPartition, UpTo: at, Snapshot: true, Entries: []partition.Entry{{Key: "configuration",
 		Value: message.Marshal(core.CurrentConfiguration{Version: 1, Text: []byte(`{"roles":{"viewer":{}},"tenants":{"t":{}},"services":{"model":{"kind":"model"}}}`)})}}})
--- a/peer/node/membership.go
+++ b/peer/node/membership.go
@@ -16,6 +16,8 @@
 	return m.joined && now < m.leaseExpiresAt && m.description != nil
 }
 
+const renewalsPerLease = 6
+
 // renew joins the fleet or renews the lease. The lease counts from the sending of the request, so
 // it ends here before it ends at the cores.
 func (m *Machine) renew(now time.Duration) {
@@ -36,7 +38,7 @@
 		return
 	}
 	m.renewing = true
-	m.renewAt = now + m.params.Core.MemberLease/6
+	m.renewAt = now + m.params.Core.MemberLease/renewalsPerLease
 	sent, incarnation := now, m.incarnation
 	var command any = core.RenewMember{ID: m.params.ID, Incarnation: incarnation, Version: m.configurationVersion}
 	if !m.joined {
@@ -45,12 +47,12 @@
 	}
 	m.caller.Call(now, command, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		m.renewing = false
-		t, ok := o.Answer.(core.MembershipResult)
+		result, ok := o.Answer.(core.MembershipResult)
 		if !ok || incarnation != m.incarnation {
 			return
 		}
 		switch {
-		case t.Granted:
+		case result.Granted:
 			if !m.joined {
 				m.Counters.Joins++
 				m.joinedAt = now
@@ -58,10 +60,10 @@
 			if until := sent + m.params.Core.MemberLease; until > now {
 				m.joined, m.leaseExpiresAt = true, max(m.leaseExpiresAt, until)
 			}
-		case t.Ended:
+		case result.Ended:
 			m.reset(now)
-		case t.Wait > 0:
-			m.renewAt = now + min(t.Wait, m.params.Core.MemberLease)
+		case result.Wait > 0:
+			m.renewAt = now + min(result.Wait, m.params.Core.MemberLease)
 		}
 	})
 }
@@ -71,12 +73,10 @@
 func (m *Machine) endFormerIncarnation(now time.Duration) {
 	m.renewing = true
 	former := m.formerIncarnations[0]
-	m.caller.Call(now, core.LeaveMember{
-		ID:          m.params.ID,
-		Incarnation: former,
-	}, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
+	command := core.LeaveMember{ID: m.params.ID, Incarnation: former}
+	m.caller.Call(now, command, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		m.renewing = false
-		if t, ok := o.Answer.(core.MembershipResult); ok && t.Ended {
+		if result, ok := o.Answer.(core.MembershipResult); ok && result.Ended {
 			m.endedIncarnations[former] = true
 			m.formerIncarnations = slices.DeleteFunc(m.formerIncarnations, func(incarnation string) bool { return incarnation == former })
 		}
@@ -127,6 +127,6 @@
 	if id == m.params.ID && m.endedIncarnations[incarnation] {
 		return true
 	}
-	o, ok := m.members[id]
-	return ok && o.HasEnded(incarnation)
+	member, ok := m.members[id]
+	return ok && member.HasEnded(incarnation)
 }
--- a/peer/node/mirror.go
+++ b/peer/node/mirror.go
@@ -92,8 +92,8 @@
 }
 
 func (m *Machine) mirrorEnded(mirror program.Mirror) bool {
-	o, ok := m.members[mirror.ID]
-	return !ok || core.ProcessIncarnation(o.Incarnation) != mirror.Process || o.Ended
+	member, ok := m.members[mirror.ID]
+	return !ok || core.ProcessIncarnation(member.Incarnation) != mirror.Process || member.Ended
 }
 
 // chooseMirrors picks members in different zones where possible, and adds this node. It returns nil
@@ -108,13 +108,17 @@
 	zones := map[string]bool{m.params.Zone: true}
 	for _, strict := range []bool{true, false} {
 		for i := range candidates {
-			o := candidates[(i+first)%len(candidates)]
-			taken := slices.ContainsFunc(chosen, func(c program.Mirror) bool { return c.ID == o.ID })
-			if len(chosen) == mirrorsPerProgram || taken || (strict && zones[o.Zone]) {
+			candidate := candidates[(i+first)%len(candidates)]
+			taken := slices.ContainsFunc(chosen, func(c program.Mirror) bool { return c.ID == candidate.ID })
+			if len(chosen) == mirrorsPerProgram || taken || (strict && zones[candidate.Zone]) {
 				continue
 			}
-			zones[o.Zone] = true
-			chosen = append(chosen, program.Mirror{ID: o.ID, Process: core.ProcessIncarnation(o.Incarnation), Address: o.Peer})
+			zones[candidate.Zone] = true
+			chosen = append(chosen, program.Mirror{
+				ID:      candidate.ID,
+				Process: core.ProcessIncarnation(candidate.Incarnation),
+				Address: candidate.Peer,
+			})
 		}
 	}
 	chosen = append(chosen, program.Mirror{ID: m.params.ID, Process: core.ProcessIncarnation(m.incarnation), Address: m.params.Address})
@@ -135,9 +139,9 @@
 		return
 	}
 	prog.nextCopyAt = now + m.params.Core.AttemptTimeout
-	c := CopyProgram{Record: copyRecord(prog.record), Turns: slices.Clone(prog.unsavedTurns)}
+	copied := CopyProgram{Record: copyRecord(prog.record), Turns: slices.Clone(prog.unsavedTurns)}
 	for _, mirror := range m.otherMirrors(prog.savedMirrors) {
-		m.send(mirror.Address, c)
+		m.send(mirror.Address, copied)
 	}
 }
 
@@ -150,20 +154,20 @@
 }
 
 // onCopy ignores a copy if a newer owner's fence is known.
-func (m *Machine) onCopy(now time.Duration, from string, b CopyProgram) {
-	stored := m.mirrorCopyOf(b.Record.Tenant, b.Record.ID)
-	if b.Record.Fence < stored.fence {
+func (m *Machine) onCopy(now time.Duration, from string, copied CopyProgram) {
+	stored := m.mirrorCopyOf(copied.Record.Tenant, copied.Record.ID)
+	if copied.Record.Fence < stored.fence {
 		return
 	}
-	if !stored.found || b.Record.Fence > stored.fence || b.Record.Version > stored.record.Version {
-		stored.fence, stored.found, stored.record, stored.turns = b.Record.Fence, true, b.Record, b.Turns
+	if !stored.found || copied.Record.Fence > stored.fence || copied.Record.Version > stored.record.Version {
+		stored.fence, stored.found, stored.record, stored.turns = copied.Record.Fence, true, copied.Record, copied.Turns
 	}
-	stored.until = now + b.Record.Retention
+	stored.until = now + copied.Record.Retention
 	m.send(from, CopyAck{
-		Tenant:  b.Record.Tenant,
-		Program: b.Record.ID,
-		Fence:   b.Record.Fence,
-		Version: b.Record.Version,
+		Tenant:  copied.Record.Tenant,
+		Program: copied.Record.ID,
+		Fence:   copied.Record.Fence,
+		Version: copied.Record.Version,
 		Process: core.ProcessIncarnation(m.incarnation),
 	})
 }
@@ -176,15 +180,15 @@
 }
 
 // onCopyAck completes saves once all mirrors have their version.
-func (m *Machine) onCopyAck(now time.Duration, from string, b CopyAck) {
-	prog := m.programs[b.Tenant+"/"+b.Program]
-	if prog == nil || prog.record.Fence != b.Fence || !m.hasLease(now) {
+func (m *Machine) onCopyAck(now time.Duration, from string, ack CopyAck) {
+	prog := m.programs[ack.Tenant+"/"+ack.Program]
+	if prog == nil || prog.record.Fence != ack.Fence || !m.hasLease(now) {
 		return
 	}
 	if prog.acked == nil {
 		prog.acked = map[string]uint64{}
 	}
-	prog.acked[from+"/"+b.Process] = max(b.Version, prog.acked[from+"/"+b.Process])
+	prog.acked[from+"/"+ack.Process] = max(ack.Version, prog.acked[from+"/"+ack.Process])
 	oldest := uint64(0)
 	for i, mirror := range m.otherMirrors(prog.savedMirrors) {
 		if version := prog.acked[mirror.Address+"/"+mirror.Process]; i == 0 || version < oldest {
@@ -198,12 +202,12 @@
 	}
 }
 
-func (m *Machine) onCopyQuery(now time.Duration, from string, b CopyQuery) {
-	stored := m.mirrorCopyOf(b.Tenant, b.Program)
+func (m *Machine) onCopyQuery(now time.Duration, from string, query CopyQuery) {
+	stored := m.mirrorCopyOf(query.Tenant, query.Program)
 	answer := CopyAnswer{
-		Tenant:  b.Tenant,
-		Program: b.Program,
-		Fence:   b.Fence,
+		Tenant:  query.Tenant,
+		Program: query.Program,
+		Fence:   query.Fence,
 		Process: core.ProcessIncarnation(m.incarnation),
 		Found:   stored.found,
 	}
@@ -211,7 +215,7 @@
 		answer.Record, answer.Turns = stored.record, stored.turns
 	}
 	// Later copies from earlier owners must not be accepted.
-	stored.fence = max(stored.fence, b.Fence)
+	stored.fence = max(stored.fence, query.Fence)
 	stored.until = max(stored.until, now+m.params.Core.MemberLease*healthRetentionLeases)
 	m.send(from, answer)
 }
@@ -251,7 +255,7 @@
 			m.send(mirror.Address, CopyQuery{Tenant: prog.record.Tenant, Program: prog.record.ID, Fence: prog.record.Fence})
 			continue
 		}
-		if o, ok := m.members[mirror.ID]; ok && core.ProcessIncarnation(o.Incarnation) != mirror.Process {
+		if member, ok := m.members[mirror.ID]; ok && core.ProcessIncarnation(member.Incarnation) != mirror.Process {
 			lost++
 			continue
 		}
@@ -274,23 +278,23 @@
 }
 
 // onCopyAnswer adopts a mirror's copy if it is newer than the record from the cores.
-func (m *Machine) onCopyAnswer(now time.Duration, b CopyAnswer) {
-	prog := m.programs[b.Tenant+"/"+b.Program]
-	if prog == nil || prog.recovery == nil || b.Fence != prog.record.Fence {
+func (m *Machine) onCopyAnswer(now time.Duration, answer CopyAnswer) {
+	prog := m.programs[answer.Tenant+"/"+answer.Program]
+	if prog == nil || prog.recovery == nil || answer.Fence != prog.record.Fence {
 		return
 	}
 	recovery := prog.recovery
-	if !slices.ContainsFunc(recovery.mirrors, func(mirror program.Mirror) bool { return mirror.Process == b.Process }) {
+	if !slices.ContainsFunc(recovery.mirrors, func(mirror program.Mirror) bool { return mirror.Process == answer.Process }) {
 		return
 	}
-	if b.Found && b.Record.Fence == recovery.formerFence && b.Record.Version > prog.record.Version {
+	if answer.Found && answer.Record.Fence == recovery.formerFence && answer.Record.Version > prog.record.Version {
 		m.Counters.MirrorsUsed++
-		record := b.Record
+		record := answer.Record
 		record.ChargeRunning()
 		record.Fence, record.Node, record.Incarnation, record.Address =
 			prog.record.Fence, prog.record.Node, prog.record.Incarnation, prog.record.Address
 		prog.record = record
-		for _, t := range b.Turns {
+		for _, t := range answer.Turns {
 			if t.Number == len(prog.turns[t.Conversation]) {
 				prog.turns[t.Conversation] = append(prog.turns[t.Conversation], t)
 				prog.unsavedTurns = append(prog.unsavedTurns, t)
@@ -331,10 +335,10 @@
 // tried first, so that no core is needed to find the owner.
 func (m *Machine) opener(id string) (core.Member, bool) {
 	for _, name := range ordered.Keys(m.members) {
-		o := m.members[name]
-		prefix := "p-" + o.ID + "-" + o.Incarnation + "-"
-		if name != m.params.ID && !o.Ended && len(id) > len(prefix) && id[:len(prefix)] == prefix {
-			return o, true
+		member := m.members[name]
+		prefix := "p-" + member.ID + "-" + member.Incarnation + "-"
+		if name != m.params.ID && !member.Ended && len(id) > len(prefix) && id[:len(prefix)] == prefix {
+			return member, true
 		}
 	}
 	return core.Member{}, false
--- a/peer/node/once.go
+++ b/peer/node/once.go
@@ -12,9 +12,14 @@
 	"saffronfall/rule/verdict"
 )
 
+const (
+	onceKeyDigestBytes = 16
+	onceLeases         = 20 // member leases for which an outcome is retried
+)
+
 func onceKeyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
-	return hex.EncodeToString(sum[:16])
+	return hex.EncodeToString(sum[:onceKeyDigestBytes])
 }
 
 // startAction makes an action's intent durable before its only attempt. A repeated request gets the
@@ -87,7 +92,7 @@
 		Status:  status,
 		Body:    body,
 	}
-	m.caller.Call(now, command, now+20*m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
+	m.caller.Call(now, command, now+onceLeases*m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		_, ok := o.Answer.(core.OnceRecord)
 		next(now, ok)
 	})
@@ -108,7 +113,7 @@
 		}
 		m.countAdmitted(nil)
 		m.recordSample(replay.Sample{
-			KeyDigest: req.keySum,
+			KeyDigest: req.keyDigest,
 			Tenant:    req.tenant,
 			User:      req.request.User,
 			Role:      req.role,
--- a/peer/node/opening.go
+++ b/peer/node/opening.go
@@ -17,7 +17,7 @@
 	role := m.description.Roles[req.role]
 	m.nextID++
 	id := fmt.Sprintf("p-%s-%s-%d", m.params.ID, m.incarnation, m.nextID)
-	next := func(now time.Duration, test int) {
+	next := func(now time.Duration, probeNumber int) {
 		m.caller.Call(now, core.OpenUser{
 			Tenant:    req.tenant,
 			User:      req.request.User,
@@ -35,7 +35,7 @@
 			case v.Refused():
 				m.refuse(req, v)
 			default:
-				m.openWithDayShare(now, req, id, test, v.Warnings)
+				m.openWithDayShare(now, req, id, probeNumber, v.Warnings)
 			}
 		})
 	}
@@ -43,29 +43,30 @@
 		next(now, 0)
 		return
 	}
-	m.caller.Call(now, core.AdmitProbe{
-		Program: id,
-		Limits:  m.breakerLimits(),
-	}, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
-		test, ok := o.Answer.(core.ProbeResult)
+	command := core.AdmitProbe{Program: id, Limits: m.breakerLimits()}
+	m.caller.Call(now, command, m.stepDeadline(now, req), func(now time.Duration, o core.Outcome) {
+		probe, ok := o.Answer.(core.ProbeResult)
 		switch {
 		case req.done:
 		case !ok:
 			m.refuse(req, retryLater("the breaker could not be asked"))
-		case test.State == string(breaker.Closed):
+		case probe.State == string(breaker.Closed):
 			next(now, 0)
-		case test.Number == 0:
+		case probe.Number == 0:
 			m.refuse(req, verdict.Refused(verdict.Refusal{
 				Check: "breaker", Code: "breaker_half_open",
 				Reason: "only a few test sessions are gated",
-				Status: 503, RetryAfter: max(test.Remaining, time.Second),
+				Status: 503, RetryAfter: max(probe.Remaining, time.Second),
 			}))
 		default:
-			next(now, test.Number)
+			next(now, probe.Number)
 		}
 	})
 }
 
+// reportLeases bounds, in member leases, the retries of user charges and probe reports.
+const reportLeases = 10
+
 func (m *Machine) closeSession(now time.Duration, req *requestState, id string, charged int64) {
 	m.caller.Call(now, core.ChargeUser{
 		Tenant:  req.tenant,
@@ -73,12 +74,13 @@
 		Program: id,
 		Charged: charged,
 		Closed:  true,
-	}, now+10*m.params.Core.MemberLease, func(time.Duration, core.Outcome) {})
+	}, now+reportLeases*m.params.Core.MemberLease, func(time.Duration, core.Outcome) {})
 }
 
-func (m *Machine) openWithDayShare(now time.Duration, req *requestState, id string, test int, warnings []verdict.Warning) {
+func (m *Machine) openWithDayShare(now time.Duration, req *requestState, id string, probeNumber int, warnings []verdict.Warning) {
 	s := m.dayShareOf(req.tenant)
-	m.drawShare(now, s, 1, m.dayChunk(req.tenant), m.stepDeadline(now, req), m.dayShareCommand(req.tenant, s), func(now time.Duration, ok, answered bool) {
+	command := m.dayShareCommand(req.tenant, s)
+	m.drawShare(now, s, 1, m.dayChunk(req.tenant), m.stepDeadline(now, req), command, func(now time.Duration, ok, answered bool) {
 		if req.done || !ok {
 			m.closeSession(now, req, id, 0)
 			m.refuse(req, m.dayShareRefusal(answered))
@@ -87,7 +89,7 @@
 		record := program.Record{
 			Fence: 1, ID: id, Tenant: req.tenant, User: req.request.User, Role: req.role,
 			Node: m.params.ID, Incarnation: m.incarnation, Address: m.params.Address,
-			ProbeNumber: test, Retention: time.Duration(m.description.KeepSeconds) * time.Second,
+			ProbeNumber: probeNumber, Retention: time.Duration(m.description.KeepSeconds) * time.Second,
 		}
 		prog := ownedProgram{record: record}
 		precharged := program.PrechargeTarget(m.description.Roles[req.role], 0)
@@ -103,7 +105,7 @@
 			m.adoptProgram(now, answer).dayPrecharged = precharged
 			m.countAdmitted(warnings)
 			m.recordSample(replay.Sample{
-				KeyDigest: req.keySum,
+				KeyDigest: req.keyDigest,
 				Tenant:    req.tenant,
 				Program:   id,
 				User:      req.request.User,
--- a/peer/node/queue.go
+++ b/peer/node/queue.go
@@ -14,6 +14,9 @@
 	averageDuration time.Duration
 }
 
+// averageWeight makes a new duration one part in averageWeight of the average.
+const averageWeight = 8
+
 type queuedAttempt struct {
 	attempt *attempt
 	until   time.Duration
--- a/peer/node/relay.go
+++ b/peer/node/relay.go
@@ -7,38 +7,38 @@
 )
 
 // relayCommand forwards a command to a core for a process that can't reach the cores.
-func (m *Machine) relayCommand(now time.Duration, from string, b core.Command) {
-	to := m.caller.Leader(b.Partition)
+func (m *Machine) relayCommand(now time.Duration, from string, command core.Command) {
+	to := m.caller.Leader(command.Partition)
 	if all := m.coreAddresses(); to == "" && len(all) > 0 {
 		to = all[int(m.random()*float64(len(all)))%len(all)]
 	}
 	if to == "" || m.relayed.Len() >= m.params.QueueLimit || !m.hasLease(now) {
-		m.send(from, core.CommandResult{ID: b.ID, Partition: b.Partition, NotLeader: true})
+		m.send(from, core.CommandResult{ID: command.ID, Partition: command.Partition, NotLeader: true})
 		return
 	}
 	m.Counters.Relayed++
-	relayed := &relayedCommand{from: from, command: b, until: now + m.params.Core.MemberLease}
+	relayed := &relayedCommand{from: from, command: command, until: now + m.params.Core.MemberLease}
 	t := m.relayed.Put(relayed)
 	m.relayOrder = append(m.relayOrder, t)
-	b.ID = m.caller.MessageID(t) | relayedBit
-	m.send(to, b)
+	command.ID = m.caller.MessageID(t) | relayedBit
+	m.send(to, command)
 }
 
-func (m *Machine) relayResult(now time.Duration, b core.CommandResult) {
-	t := m.caller.Ticket(b.ID &^ relayedBit)
+func (m *Machine) relayResult(now time.Duration, result core.CommandResult) {
+	t := m.caller.Ticket(result.ID &^ relayedBit)
 	relayed, ok := m.relayed.Get(t)
 	if !ok {
 		return
 	}
-	if b.NotLeader && b.LeaderHint != "" && relayed.redirects < maxRelayRedirects {
+	if result.NotLeader && result.LeaderHint != "" && relayed.redirects < maxRelayRedirects {
 		relayed.redirects++
-		m.caller.SetLeader(b.Partition, b.LeaderHint)
-		m.send(b.LeaderHint, core.Command{ID: b.ID, Partition: b.Partition, Raw: relayed.command.Raw})
+		m.caller.SetLeader(result.Partition, result.LeaderHint)
+		m.send(result.LeaderHint, core.Command{ID: result.ID, Partition: result.Partition, Raw: relayed.command.Raw})
 		return
 	}
 	m.relayed.Take(t)
-	b.ID, b.LeaderHint = relayed.command.ID, ""
-	m.send(relayed.from, b)
+	result.ID, result.LeaderHint = relayed.command.ID, ""
+	m.send(relayed.from, result)
 }
 
 // relayedBit marks the ids of relayed commands.
--- a/peer/node/replicas.go
+++ b/peer/node/replicas.go
@@ -34,12 +34,12 @@
 	if len(list) == 0 {
 		return Replica{}, false
 	}
-	a := list[int(m.random()*float64(len(list)))%len(list)]
-	b := list[int(m.random()*float64(len(list)))%len(list)]
-	if m.loadOf(b) < m.loadOf(a) {
-		return b, true
+	first := list[int(m.random()*float64(len(list)))%len(list)]
+	second := list[int(m.random()*float64(len(list)))%len(list)]
+	if m.loadOf(second) < m.loadOf(first) {
+		return second, true
 	}
-	return a, true
+	return first, true
 }
 
 func (m *Machine) loadOf(r Replica) int64 {
--- a/peer/node/request.go
+++ b/peer/node/request.go
@@ -17,7 +17,7 @@
 	request     Request
 	tenant      string
 	role        string
-	keySum      string
+	keyDigest   string
 	deadline    time.Duration
 	respond     func(frame Frame)
 	done        bool
@@ -113,7 +113,7 @@
 		v = deadlineExceeded(v.Ran)
 	}
 	m.recordSample(replay.Sample{
-		KeyDigest: req.keySum,
+		KeyDigest: req.keyDigest,
 		Tenant:    req.tenant,
 		User:      req.request.User,
 		Role:      req.role,
@@ -148,7 +148,7 @@
 		m.refuse(req, denied("unknown_key", "the key is not known, or was revoked", 401))
 		return
 	}
-	req.tenant, req.role, req.keySum = tenant, role, configuration.KeyDigest(request.Key)
+	req.tenant, req.role, req.keyDigest = tenant, role, configuration.KeyDigest(request.Key)
 	if m.leaving && req.forwarded && !m.hasLease(now) {
 		m.refuse(req, denied(notOwner, "this node has left", 503))
 		return
@@ -181,11 +181,11 @@
 }
 
 func (m *Machine) breakerVerdict(now time.Duration) verdict.Verdict {
-	if now < m.openUntil || m.breakerState == breaker.Open {
+	if now < m.breakerOpenUntil || m.breakerState == breaker.Open {
 		return verdict.Refused(verdict.Refusal{
 			Check: "breaker", Code: "breaker_open",
 			Reason: "spending reached a threshold; everything is refused for a time",
-			Status: 503, RetryAfter: max(m.openUntil-now, m.params.ReportInterval),
+			Status: 503, RetryAfter: max(m.breakerOpenUntil-now, m.params.ReportInterval),
 		})
 	}
 	return verdict.Verdict{}
--- a/peer/node/share.go
+++ b/peer/node/share.go
@@ -12,13 +12,13 @@
 
 // share is this node's share of a tenant's tokens of the day or of the spend budget.
 type share struct {
-	account   allowance.Account
-	reserved  int64
-	pending   int64
-	reportAt  time.Duration
-	changed   bool
-	others    []string
-	reporting bool
+	account      allowance.Account
+	reserved     int64
+	pending      int64
+	reportAt     time.Duration
+	changed      bool
+	otherHolders []string
+	reporting    bool
 }
 
 func (s *share) free() int64 { return s.account.Held() - s.reserved }
@@ -38,12 +38,12 @@
 	tokens         float64
 	filledAt       time.Duration
 	demand         int64
-	recent         int64
+	recentDemand   int64
 	demandAt       time.Duration
 	target         int64
 	reportAt       time.Duration
 	reporting      bool
-	others         []string
+	otherHolders   []string
 	waiting        []rateWaiter
 	totalUnits     int64
 	reportedDemand int64
@@ -91,17 +91,17 @@
 
 // rateShareOf also returns the whole rate in requests per second, and its burst.
 func (m *Machine) rateShareOf(tenant string, urgent bool) (*rateShare, float64, int64) {
-	t := m.description.Tenants[tenant]
-	key, ratio := tenant+"/rate", 1-t.UrgentRatio
+	limits := m.description.Tenants[tenant]
+	key, ratio := tenant+"/rate", 1-limits.UrgentRatio
 	if urgent {
-		key, ratio = tenant+"/urgent", t.UrgentRatio
+		key, ratio = tenant+"/urgent", limits.UrgentRatio
 	}
 	rs := m.rateShares[key]
 	if rs == nil {
 		rs = &rateShare{filledAt: m.now}
 		m.rateShares[key] = rs
 	}
-	return rs, t.RequestsPerSecond * ratio, max(1, int64(float64(t.Burst)*ratio))
+	return rs, limits.RequestsPerSecond * ratio, max(1, int64(float64(limits.Burst)*ratio))
 }
 
 func (m *Machine) dayShareOf(tenant string) *share {
@@ -156,21 +156,21 @@
 }
 
 func (m *Machine) applyShare(now time.Duration, s *share, o core.Outcome) {
-	r, ok := o.Answer.(core.DrawResult)
+	result, ok := o.Answer.(core.DrawResult)
 	if !ok {
 		return
 	}
-	s.account.Granted = max(s.account.Granted, r.Granted)
-	s.others = r.Holders
-	if s == m.spendShare && r.Open {
-		m.openUntil = now + r.Remaining
+	s.account.Granted = max(s.account.Granted, result.Granted)
+	s.otherHolders = result.Holders
+	if s == m.spendShare && result.Open {
+		m.breakerOpenUntil = now + result.Remaining
 	}
 }
 
 func (m *Machine) dayShareCommand(tenant string, s *share) func(target int64) any {
 	return func(target int64) any {
 		return core.DrawAllowance{Tenant: tenant, Kind: "day", Holder: m.holderID(), Spent: s.account.Spent, Returned: s.account.Returned,
-			Target: target, Limit: m.description.Tenants[tenant].DayTokens, UnitsPerRequest: 1, Ended: m.endedHolders(s.others)}
+			Target: target, Limit: m.description.Tenants[tenant].DayTokens, UnitsPerRequest: 1, Ended: m.endedHolders(s.otherHolders)}
 	}
 }
 
@@ -188,7 +188,7 @@
 		Returned: m.spendShare.account.Returned,
 		Target:   target,
 		Need:     need,
-		Ended:    m.endedHolders(m.spendShare.others),
+		Ended:    m.endedHolders(m.spendShare.otherHolders),
 		Limits:   m.breakerLimits(),
 	}
 }
@@ -210,19 +210,25 @@
 	m.reportShare(now, m.spendShare, m.spendPrefetchCommand, m.spendChunk())
 }
 
+// Parts of an allowance, of which a node holds one in advance.
+const (
+	dayChunks   = 4096 // of a day
+	spendChunks = 512  // of a minute
+)
+
 // dayChunk is the number of tokens that a node holds in advance.
 func (m *Machine) dayChunk(tenant string) int64 {
-	return max(1, m.description.Tenants[tenant].DayTokens/4096)
+	return max(1, m.description.Tenants[tenant].DayTokens/dayChunks)
 }
 
 // spendChunk is the number of micro-dollars that a node holds in advance.
 func (m *Machine) spendChunk() int64 {
-	return max(1, configuration.MicroDollars(m.description.Breaker.MinuteDollars)/512)
+	return max(1, configuration.MicroDollars(m.description.Breaker.MinuteDollars)/spendChunks)
 }
 
 // reportShare reports what was spent, returns what is unused, and draws a chunk in advance.
 func (m *Machine) reportShare(now time.Duration, s *share, command func(target int64) any, chunk int64) {
-	open := s == m.spendShare && (now < m.openUntil || m.breakerState != breaker.Closed)
+	open := s == m.spendShare && (now < m.breakerOpenUntil || m.breakerState != breaker.Closed)
 	idle := s.free() < chunk && !s.changed && !open
 	if s.reporting || now < s.reportAt || (idle && s.free() > 0) {
 		if now < s.reportAt+m.params.Core.MemberLease || s.reporting {
@@ -254,8 +260,17 @@
 	if urgent {
 		kind = "urgent"
 	}
-	return core.DrawAllowance{Tenant: tenant, Kind: kind, Holder: m.holderID(), Returned: rs.account.Returned, Target: want,
-		Limit: rateUnits(burst), UnitsPerRequest: core.UnitsPerRequest, Members: int64(len(m.others()) + 1), Ended: m.endedHolders(rs.others)}
+	return core.DrawAllowance{
+		Tenant:          tenant,
+		Kind:            kind,
+		Holder:          m.holderID(),
+		Returned:        rs.account.Returned,
+		Target:          want,
+		Limit:           rateUnits(burst),
+		UnitsPerRequest: core.UnitsPerRequest,
+		Members:         int64(len(m.otherAddresses()) + 1),
+		Ended:           m.endedHolders(rs.otherHolders),
+	}
 }
 
 // rateReportDue also updates the reported demand if a report is due.
@@ -269,9 +284,9 @@
 	}
 	if now >= rs.demandAt+m.params.ReportInterval {
 		// A shorter interval is too short to measure demand.
-		rs.recent, rs.demand, rs.demandAt = (rs.recent+rs.demand*demandWeight)/2, 0, now
+		rs.recentDemand, rs.demand, rs.demandAt = (rs.recentDemand+rs.demand*demandWeight)/2, 0, now
 	}
-	want := core.IdleWeight + rs.recent
+	want := core.IdleWeight + rs.recentDemand
 	steady := want-rs.reportedDemand <= rs.reportedDemand/4 && rs.reportedDemand-want <= rs.reportedDemand/4
 	if held > 0 && held == rs.target && steady && now < rs.reportAt+m.params.ReportInterval && rs.reportAt > 0 {
 		return false
@@ -307,7 +322,7 @@
 			}
 			answer := r.Results[i]
 			rs.applyGrant(now, answer.Granted, rate, burst)
-			rs.others, rs.target = answer.Holders, answer.Target
+			rs.otherHolders, rs.target = answer.Holders, answer.Target
 			if over := rs.account.Held() - answer.Target; over > 0 {
 				rs.returnUnits(now, over, rate, burst)
 				rs.reportAt = now
--- a/peer/node/status.go
+++ b/peer/node/status.go
@@ -7,9 +7,9 @@
 // Status returns the node's counters and shares. Its keys are part of the operator interface, in
 // which requests are inquiries, attempts shots, updates news, and leases terms.
 func (m *Machine) Status(now time.Duration) map[string]any {
-	c := m.Counters
+	counters := m.Counters
 	refusals := map[string]int64{}
-	for code, n := range c.Refusals {
+	for code, n := range counters.Refusals {
 		refusals[code] = n
 	}
 	shares := map[string]any{}
@@ -41,13 +41,13 @@
 		"ready": m.Ready(now), "breaker": m.breakerState, "programs": len(m.programs),
 		"running": m.running, "waiting": m.requests.Len(), "shares": shares,
 		"replicas": replicas, "term_left_ms": max(0, m.leaseExpiresAt-now).Milliseconds(),
-		"refusals": refusals, "inquiries": c.Requests, "forwarded": c.Forwarded,
-		"gated": c.Admitted, "warned": c.Warned, "refused": c.Refused, "shots": c.Attempts,
-		"not_run": c.NotRun, "broken": c.Interrupted, "whole": c.Completed,
-		"takeovers": c.Takeovers, "joins": c.Joins, "terms_lost": c.LeasesLost,
-		"stale_news": c.StaleUpdates, "resets": c.Resets, "fenced": c.Fenced,
-		"bad_messages": c.BadMessages, "saves": c.Saves, "handed": c.HandedOver,
-		"passed_on": c.Relayed, "mirrored": c.Mirrored, "mirrors_used": c.MirrorsUsed,
-		"mirrors_lost": c.MirrorsLost, "command_tries": m.caller.Attempts,
+		"refusals": refusals, "inquiries": counters.Requests, "forwarded": counters.Forwarded,
+		"gated": counters.Admitted, "warned": counters.Warned, "refused": counters.Refused, "shots": counters.Attempts,
+		"not_run": counters.NotRun, "broken": counters.Interrupted, "whole": counters.Completed,
+		"takeovers": counters.Takeovers, "joins": counters.Joins, "terms_lost": counters.LeasesLost,
+		"stale_news": counters.StaleUpdates, "resets": counters.Resets, "fenced": counters.Fenced,
+		"bad_messages": counters.BadMessages, "saves": counters.Saves, "handed": counters.HandedOver,
+		"passed_on": counters.Relayed, "mirrored": counters.Mirrored, "mirrors_used": counters.MirrorsUsed,
+		"mirrors_lost": counters.MirrorsLost, "command_tries": m.caller.Attempts,
 	}
 }
--- a/peer/node/tool.go
+++ b/peer/node/tool.go
@@ -25,7 +25,7 @@
 		return
 	}
 	if m.breakerState == breaker.HalfOpen && prog.record.ProbeNumber == 0 {
-		m.refuse(req, testSessionsOnly())
+		m.refuse(req, probeSessionsOnly())
 		return
 	}
 	v := prog.record.CheckToolCall(prog.clockOffset+now, name, arguments, role, service, m.description.WarnRatio)
@@ -74,7 +74,7 @@
 		}
 		m.countAdmitted(a.warnings)
 		m.recordSample(replay.Sample{
-			KeyDigest: req.keySum,
+			KeyDigest: req.keyDigest,
 			Tenant:    req.tenant,
 			User:      prog.record.User,
 			Role:      prog.record.Role,
--- a/peer/node/turn.go
+++ b/peer/node/turn.go
@@ -67,7 +67,7 @@
 			request.User = prog.record.User
 			m.closeSession(now, &requestState{tenant: req.tenant, request: request}, prog.record.ID, prog.record.Charged())
 			m.recordSample(replay.Sample{
-				KeyDigest: req.keySum, Tenant: req.tenant, Program: prog.record.ID,
+				KeyDigest: req.keyDigest, Tenant: req.tenant, Program: prog.record.ID,
 				User: prog.record.User, Role: prog.record.Role, Kind: KindClose,
 			})
 			m.finish(req, Frame{Kind: FrameBody, Status: 200, Body: []byte(`{"closed":true}`)})
@@ -85,7 +85,7 @@
 		m.refuse(req, denied("unknown_service", "no such model service", 400))
 		return
 	case m.breakerState == breaker.HalfOpen && prog.record.ProbeNumber == 0:
-		m.refuse(req, testSessionsOnly())
+		m.refuse(req, probeSessionsOnly())
 		return
 	case prog.record.HasRunningTurn(request.Conversation):
 		m.refuse(req, verdict.Refused(verdict.Refusal{
@@ -132,7 +132,7 @@
 	m.drawTurnShares(now, a)
 }
 
-func testSessionsOnly() verdict.Verdict {
+func probeSessionsOnly() verdict.Verdict {
 	return verdict.Refused(verdict.Refusal{
 		Check: "breaker", Code: "breaker_half_open",
 		Reason: "only test sessions are gated",
@@ -243,7 +243,7 @@
 		Charged: prog.record.Charged(),
 		Covered: prog.record.Precharged,
 	}
-	m.caller.Call(now, charge, now+10*m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
+	m.caller.Call(now, charge, now+reportLeases*m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		day, ok := o.Answer.(core.ChargeUserResult)
 		role := m.description.Roles[prog.record.Role]
 		if ok && day.Tokens >= role.UserDayTokensSoft {
@@ -259,7 +259,8 @@
 }
 
 func (m *Machine) admitAttempt(now time.Duration, a *attempt) {
-	m.takeRate(now, a.req.tenant, m.description.Services[a.req.request.Service].Urgent, a.req.deadline, func(now time.Duration, ok bool, wait time.Duration) {
+	urgent := m.description.Services[a.req.request.Service].Urgent
+	m.takeRate(now, a.req.tenant, urgent, a.req.deadline, func(now time.Duration, ok bool, wait time.Duration) {
 		if a.req.done {
 			m.cancelAttempt(now, a, verdict.Verdict{})
 			return
@@ -298,7 +299,7 @@
 		m.cancelAttempt(now, a, deadlineExceeded(verdict.NotExecuted))
 		return
 	}
-	r, ok := m.chooseReplica(now, service, a.untriedReplica)
+	replica, ok := m.chooseReplica(now, service, a.untriedReplica)
 	if !ok {
 		if !m.enqueue(now, a) {
 			m.cancelAttempt(now, a, m.noReplicaVerdict(now, service))
@@ -306,17 +307,17 @@
 		return
 	}
 	a.startedAt = now
-	a.replica = r
-	a.triedReplicas[r.ID] = true
-	m.healthOf(r).outstanding++
-	t := m.attempts.Put(a)
-	m.liveAttempts[t] = a
-	req.attempt = t
+	a.replica = replica
+	a.triedReplicas[replica.ID] = true
+	m.healthOf(replica).outstanding++
+	ticket := m.attempts.Put(a)
+	m.liveAttempts[ticket] = a
+	req.attempt = ticket
 	req.ran = verdict.MaybeExecuted
 	m.running++
 	m.Counters.Attempts++
-	m.out.Attempts = append(m.out.Attempts, StartAttempt{Attempt: uint64(t), Service: service, Kind: m.description.Services[service].Kind,
-		Replica: r.ID, Address: r.Address, Payload: a.payload, Timeout: req.deadline - now})
+	m.out.Attempts = append(m.out.Attempts, StartAttempt{Attempt: uint64(ticket), Service: service, Kind: m.description.Services[service].Kind,
+		Replica: replica.ID, Address: replica.Address, Payload: a.payload, Timeout: req.deadline - now})
 }
 
 // cancelAttempt reverts the reservations of an attempt that did not run. It refuses the request,
@@ -342,13 +343,13 @@
 // HandleAttemptEvent processes an event of an attempt. Events of unknown attempts are ignored.
 func (m *Machine) HandleAttemptEvent(now time.Duration, e AttemptEvent) Output {
 	m.beginStep(now)
-	t := slab.Ticket(e.Attempt)
-	a, ok := m.attempts.Get(t)
+	ticket := slab.Ticket(e.Attempt)
+	a, ok := m.attempts.Get(ticket)
 	if !ok {
 		return *m.out
 	}
 	if e.Kind != EventChunk {
-		m.finishAttempt(now, t, e)
+		m.finishAttempt(now, ticket, e)
 		m.drainQueues(now)
 		return *m.out
 	}
@@ -359,7 +360,7 @@
 	}
 	if a.relayedTokens+e.Tokens > a.reservedTokens {
 		m.out.Cancels = append(m.out.Cancels, e.Attempt)
-		m.finishAttempt(now, t, AttemptEvent{Kind: EventDone, Status: 200, Text: "cut at the reservation"})
+		m.finishAttempt(now, ticket, AttemptEvent{Kind: EventDone, Status: 200, Text: "cut at the reservation"})
 		return *m.out
 	}
 	a.relayedTokens += e.Tokens
@@ -369,12 +370,12 @@
 }
 
 // finishAttempt retries an attempt at another replica if it did not run.
-func (m *Machine) finishAttempt(now time.Duration, t slab.Ticket, e AttemptEvent) {
-	a, ok := m.attempts.Take(t)
+func (m *Machine) finishAttempt(now time.Duration, ticket slab.Ticket, e AttemptEvent) {
+	a, ok := m.attempts.Take(ticket)
 	if !ok {
 		return
 	}
-	delete(m.liveAttempts, t)
+	delete(m.liveAttempts, ticket)
 	m.running--
 	h := m.healthOf(a.replica)
 	h.outstanding--
@@ -382,7 +383,7 @@
 	case EventDone:
 		h.failures = 0
 		queue := m.queueOf(a.req.request.Service)
-		queue.averageDuration = (7*queue.averageDuration + now - a.startedAt) / 8
+		queue.averageDuration = ((averageWeight-1)*queue.averageDuration + now - a.startedAt) / averageWeight
 	case EventNotRun:
 		m.Counters.NotRun++
 		m.recordFailure(now, h)
@@ -435,11 +436,8 @@
 	a.settle(spent, min(a.reservedPrice, m.description.Services[req.request.Service].Price(spent)))
 	if prog.record.ProbeNumber > 0 && !prog.record.ProbeSucceeded && !prog.lost {
 		prog.record.ProbeSucceeded = succeeded
-		m.caller.Call(now, core.ReportProbe{
-			Program:   prog.record.ID,
-			Succeeded: succeeded,
-			Limits:    m.breakerLimits(),
-		}, now+10*m.params.Core.MemberLease, func(time.Duration, core.Outcome) {})
+		report := core.ReportProbe{Program: prog.record.ID, Succeeded: succeeded, Limits: m.breakerLimits()}
+		m.caller.Call(now, report, now+reportLeases*m.params.Core.MemberLease, func(time.Duration, core.Outcome) {})
 	}
 	if prog.lost {
 		m.abortRequest(now, req)
@@ -451,9 +449,9 @@
 		m.abortRequest(now, req)
 		return
 	}
-	t := prog.record.FinishTurn(a.turnID, a.relayedTokens, req.request.Prompt, a.text.String())
-	prog.turns[t.Conversation] = append(prog.turns[t.Conversation], t)
-	prog.unsavedTurns = append(prog.unsavedTurns, t)
+	turn := prog.record.FinishTurn(a.turnID, a.relayedTokens, req.request.Prompt, a.text.String())
+	prog.turns[turn.Conversation] = append(prog.turns[turn.Conversation], turn)
+	prog.unsavedTurns = append(prog.unsavedTurns, turn)
 	m.save(now, prog, req.deadline, func(now time.Duration, ok bool) {
 		if !ok {
 			m.abortRequest(now, req)
@@ -462,7 +460,7 @@
 		m.Counters.Completed++
 		m.countAdmitted(a.warnings)
 		m.recordSample(replay.Sample{
-			KeyDigest: req.keySum, Tenant: req.tenant, Program: prog.record.ID,
+			KeyDigest: req.keyDigest, Tenant: req.tenant, Program: prog.record.ID,
 			User: prog.record.User, Role: prog.record.Role, Kind: KindTurn,
 			Service: req.request.Service, Tokens: a.relayedTokens, Steps: prog.record.Steps,
 			Charged: prog.record.Charged(),
@@ -472,7 +470,7 @@
 			finishReason = e.Text
 		}
 		m.finish(req, Frame{
-			Kind: FrameClose, Status: 200, Tokens: a.relayedTokens, Head: t.Head,
+			Kind: FrameClose, Status: 200, Tokens: a.relayedTokens, Head: turn.Head,
 			FinishReason: finishReason, Verdict: verdict.Allowed(verdict.Executed, a.warnings),
 		})
 	})
--- a/peer/node/update.go
+++ b/peer/node/update.go
@@ -13,6 +13,11 @@
 	"saffronfall/rule/partition"
 )
 
+const (
+	pullFanout       = 2 // members
+	pullsPerTopology = 8
+)
+
 func (m *Machine) pull(now time.Duration) {
 	if now < m.pullAt {
 		return
@@ -22,13 +27,13 @@
 	for n, v := range m.versions {
 		versions[n] = v
 	}
-	m.pulls++
+	m.pullCount++
 	request := core.PullUpdates{
 		SentAt:        now,
 		Versions:      versions,
 		Member:        m.params.ID,
 		WantFreshness: m.freshAt < m.startedAt,
-		WantTopology:  m.pulls%8 == 1 || len(m.topology.Leaders) == 0,
+		WantTopology:  m.pullCount%pullsPerTopology == 1 || len(m.topology.Leaders) == 0,
 	}
 	targets := m.coreAddresses()
 	if len(targets) == 0 {
@@ -38,15 +43,15 @@
 		m.send(to, request)
 	}
 	// Two random members each time spread an announcement to all nodes well before it expires.
-	others := m.others()
-	for i := 0; i < 2 && len(others) > 0; i++ {
+	others := m.otherAddresses()
+	for i := 0; i < pullFanout && len(others) > 0; i++ {
 		chosen := int(m.random()*float64(len(others))) % len(others)
 		m.send(others[chosen], request)
 		others = append(others[:chosen], others[chosen+1:]...)
 	}
 }
 
-func (m *Machine) others() []string {
+func (m *Machine) otherAddresses() []string {
 	var list []string
 	for id, o := range m.members {
 		if id != m.params.ID && !o.Ended {
@@ -58,19 +63,19 @@
 }
 
 // onTopology merges a topology of this node's fleet; the newest term of each partition wins.
-func (m *Machine) onTopology(t core.Topology) {
-	if m.topology.Fleet != "" && m.topology.Fleet != t.Fleet || len(t.Leaders) == 0 {
+func (m *Machine) onTopology(topology core.Topology) {
+	if m.topology.Fleet != "" && m.topology.Fleet != topology.Fleet || len(topology.Leaders) == 0 {
 		return
 	}
 	if m.topology.Fleet == "" {
-		m.topology = t
+		m.topology = topology
 	}
-	for n := range t.Leaders {
-		if n < len(m.topology.Leaders) && m.topology.Leaders[n].Less(t.Leaders[n]) {
-			m.topology.Leaders[n] = t.Leaders[n]
+	for n := range topology.Leaders {
+		if n < len(m.topology.Leaders) && m.topology.Leaders[n].Less(topology.Leaders[n]) {
+			m.topology.Leaders[n] = topology.Leaders[n]
 		}
 	}
-	for id, c := range t.Cores {
+	for id, c := range topology.Cores {
 		if _, agreed := m.cores[id]; !agreed {
 			m.topology.Cores[id] = c
 		}
@@ -85,18 +90,18 @@
 }
 
 // onFreshness records the time as of which this node has the current configuration.
-func (m *Machine) onFreshness(b core.Freshness) {
-	if !m.versions[core.ConfigurationPartition].Less(b.UpTo) {
-		m.freshAt = max(m.freshAt, b.SentAt-b.Age)
+func (m *Machine) onFreshness(freshness core.Freshness) {
+	if !m.versions[core.ConfigurationPartition].Less(freshness.UpTo) {
+		m.freshAt = max(m.freshAt, freshness.SentAt-freshness.Age)
 	}
 }
 
-func (m *Machine) onPullUpdates(now time.Duration, from string, b core.PullUpdates) {
-	if b.WantTopology && m.topology.Fleet != "" {
+func (m *Machine) onPullUpdates(now time.Duration, from string, request core.PullUpdates) {
+	if request.WantTopology && m.topology.Fleet != "" {
 		m.send(from, m.topology)
 	}
 	for _, n := range ordered.Keys(m.versions) {
-		after, upto := b.Versions[n], m.versions[n]
+		after, upto := request.Versions[n], m.versions[n]
 		if !after.Less(upto) {
 			continue
 		}
@@ -106,27 +111,27 @@
 		}
 		m.send(from, update)
 	}
-	m.sendAnnouncements(now, from, b.SentAt)
+	m.sendAnnouncements(now, from, request.SentAt)
 }
 
 // onUpdate applies an update of a partition's published entries, unless it is old or leaves a gap.
-func (m *Machine) onUpdate(now time.Duration, b core.Update) {
-	if !m.versions[b.Partition].Less(b.UpTo) || (!b.Snapshot && m.versions[b.Partition].Less(b.After)) {
+func (m *Machine) onUpdate(now time.Duration, update core.Update) {
+	if !m.versions[update.Partition].Less(update.UpTo) || (!update.Snapshot && m.versions[update.Partition].Less(update.After)) {
 		m.Counters.StaleUpdates++
 		return
 	}
-	if b.Snapshot || m.entries[b.Partition] == nil {
-		m.entries[b.Partition] = map[string]partition.Entry{}
+	if update.Snapshot || m.entries[update.Partition] == nil {
+		m.entries[update.Partition] = map[string]partition.Entry{}
 	}
-	for _, e := range b.Entries {
+	for _, e := range update.Entries {
 		if e.Deleted {
-			delete(m.entries[b.Partition], e.Key)
+			delete(m.entries[update.Partition], e.Key)
 		} else {
-			m.entries[b.Partition][e.Key] = e
+			m.entries[update.Partition][e.Key] = e
 		}
 	}
-	m.versions[b.Partition] = b.UpTo
-	m.applyPartition(now, b.Partition)
+	m.versions[update.Partition] = update.UpTo
+	m.applyPartition(now, update.Partition)
 }
 
 func (m *Machine) applyPartition(now time.Duration, n int) {
@@ -135,12 +140,12 @@
 	}
 }
 
-func (m *Machine) applyEntry(now time.Duration, e partition.Entry) {
-	kind, _, _ := strings.Cut(e.Key, "/")
+func (m *Machine) applyEntry(now time.Duration, entry partition.Entry) {
+	kind, _, _ := strings.Cut(entry.Key, "/")
 	switch kind {
 	case "configuration":
 		var c core.CurrentConfiguration
-		if message.Unmarshal(e.Value, &c) != nil || c.Version <= m.configurationVersion {
+		if message.Unmarshal(entry.Value, &c) != nil || c.Version <= m.configurationVersion {
 			return
 		}
 		d, faults := configuration.Parse(c.Text)
@@ -151,13 +156,13 @@
 		m.renewAt = now
 	case "member":
 		var o core.Member
-		if message.Unmarshal(e.Value, &o) == nil {
+		if message.Unmarshal(entry.Value, &o) == nil {
 			m.members[o.ID] = o
 			m.failForwardsTo(now, o)
 		}
 	case "core":
 		var c core.Core
-		if message.Unmarshal(e.Value, &c) == nil {
+		if message.Unmarshal(entry.Value, &c) == nil {
 			m.cores[c.ID] = c
 			if m.topology.Cores != nil {
 				m.topology.Cores[c.ID] = c
@@ -165,13 +170,13 @@
 		}
 	case "breaker":
 		var b core.BreakerSummary
-		if message.Unmarshal(e.Value, &b) == nil {
+		if message.Unmarshal(entry.Value, &b) == nil {
 			state := breaker.State(b.State)
 			if state == breaker.Open && m.breakerState != breaker.Open && m.description != nil {
-				m.openUntil = max(m.openUntil, now+m.description.BreakerParams().Recovery)
+				m.breakerOpenUntil = max(m.breakerOpenUntil, now+m.description.BreakerParams().Recovery)
 			}
 			if state != breaker.Open {
-				m.openUntil = 0
+				m.breakerOpenUntil = 0
 			}
 			m.breakerState = state
 		}
--- a/peer/requester/handler.go
+++ b/peer/requester/handler.go
@@ -26,7 +26,7 @@
 type Backend interface {
 	// Submit starts a request and returns its frames, or false if the node's buffer is full.
 	// Ending the context cancels the request.
-	Submit(ctx context.Context, q node.Request) (<-chan node.Frame, bool)
+	Submit(ctx context.Context, req node.Request) (<-chan node.Frame, bool)
 	// Ready reports whether the node accepts requests.
 	Ready(ctx context.Context) bool
 	// Counters returns the node's counters, to be encoded as JSON.
@@ -61,24 +61,26 @@
 	Program      string `json:"program,omitempty"`
 }
 
+const maxOnceKeyBytes = 256
+
 // Handler returns the handler of a node's API. Bodies may have at most maxBody bytes.
 func Handler(backend Backend, maxBody int64) http.Handler {
 	mux := http.NewServeMux()
-	handle := func(pattern string, fill func(q *node.Request, b body, r *http.Request) string) {
+	handle := func(pattern string, fill func(req *node.Request, b body, r *http.Request) string) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) { serve(w, r, backend, maxBody, fill) })
 	}
-	handle("POST /v1/programs", func(q *node.Request, b body, r *http.Request) string {
-		q.Kind, q.User = node.KindOpen, b.User
+	handle("POST /v1/programs", func(req *node.Request, b body, r *http.Request) string {
+		req.Kind, req.User = node.KindOpen, b.User
 		if !configuration.ValidName(b.User) {
 			return "user must be a name"
 		}
 		return ""
 	})
-	handle("POST /v1/programs/{program}/turns", func(q *node.Request, b body, r *http.Request) string {
-		q.Kind, q.Program, q.Conversation, q.Service = node.KindTurn, r.PathValue("program"), b.Helper, b.Service
-		q.PreviousHead, q.Prompt, q.MaxTokens = b.Before, b.Say, b.MaxTokens
+	handle("POST /v1/programs/{program}/turns", func(req *node.Request, b body, r *http.Request) string {
+		req.Kind, req.Program, req.Conversation, req.Service = node.KindTurn, r.PathValue("program"), b.Helper, b.Service
+		req.PreviousHead, req.Prompt, req.MaxTokens = b.Before, b.Say, b.MaxTokens
 		for _, t := range b.History {
-			q.History = append(q.History, program.Turn{Prompt: t.Say, Response: t.Got})
+			req.History = append(req.History, program.Turn{Prompt: t.Say, Response: t.Got})
 		}
 		switch {
 		case b.Before == "":
@@ -92,29 +94,29 @@
 		}
 		return ""
 	})
-	handle("POST /v1/programs/{program}/tools/{service}", func(q *node.Request, b body, r *http.Request) string {
-		q.Kind, q.Program, q.Service, q.Conversation, q.Arguments = node.KindTool, r.PathValue("program"), r.PathValue("service"), b.Helper, b.Arguments
+	handle("POST /v1/programs/{program}/tools/{service}", func(req *node.Request, b body, r *http.Request) string {
+		req.Kind, req.Program, req.Service, req.Conversation, req.Arguments = node.KindTool, r.PathValue("program"), r.PathValue("service"), b.Helper, b.Arguments
 		if len(b.Arguments) == 0 {
 			return "arguments are missing"
 		}
 		return ""
 	})
-	handle("POST /v1/actions/{service}", func(q *node.Request, b body, r *http.Request) string {
-		q.Kind, q.Service, q.User, q.OnceKey, q.Arguments = node.KindAction, r.PathValue("service"), b.User, b.OnceKey, b.Body
+	handle("POST /v1/actions/{service}", func(req *node.Request, b body, r *http.Request) string {
+		req.Kind, req.Service, req.User, req.OnceKey, req.Arguments = node.KindAction, r.PathValue("service"), b.User, b.OnceKey, b.Body
 		switch {
-		case b.OnceKey == "" || len(b.OnceKey) > 256:
+		case b.OnceKey == "" || len(b.OnceKey) > maxOnceKeyBytes:
 			return "once_key must have 1 to 256 bytes"
 		case len(b.Body) == 0:
 			return "body is missing"
 		}
 		return ""
 	})
-	handle("GET /v1/programs/{program}", func(q *node.Request, b body, r *http.Request) string {
-		q.Kind, q.Program, q.Conversation = node.KindStatus, r.PathValue("program"), r.URL.Query().Get("helper")
+	handle("GET /v1/programs/{program}", func(req *node.Request, b body, r *http.Request) string {
+		req.Kind, req.Program, req.Conversation = node.KindStatus, r.PathValue("program"), r.URL.Query().Get("helper")
 		return ""
 	})
-	handle("DELETE /v1/programs/{program}", func(q *node.Request, b body, r *http.Request) string {
-		q.Kind, q.Program = node.KindClose, r.PathValue("program")
+	handle("DELETE /v1/programs/{program}", func(req *node.Request, b body, r *http.Request) string {
+		req.Kind, req.Program = node.KindClose, r.PathValue("program")
 		return ""
 	})
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, r *http.Request) {
@@ -167,7 +169,7 @@
 // an empty string.
 func serve(
 	w http.ResponseWriter, r *http.Request, backend Backend, maxBody int64,
-	fill func(q *node.Request, b body, r *http.Request) string,
+	fill func(req *node.Request, b body, r *http.Request) string,
 ) {
 	var b body
 	if r.Method == "POST" {
@@ -189,7 +191,7 @@
 			return
 		}
 	}
-	q := node.Request{Timeout: time.Duration(b.BudgetMS) * time.Millisecond}
+	req := node.Request{Timeout: time.Duration(b.BudgetMS) * time.Millisecond}
 	if b.BudgetMS < 0 {
 		writeVerdict(w, verdict.Refused(verdict.Refusal{Check: "budget", Code: "budget_passed", Reason: "the inquiry's budget has passed"}), 504)
 		return
@@ -199,12 +201,12 @@
 		refuse(w, "unknown_key", "no key was shown", 401)
 		return
 	}
-	q.Key = key
-	if problem := fill(&q, b, r); problem != "" {
+	req.Key = key
+	if problem := fill(&req, b, r); problem != "" {
 		refuse(w, "malformed", problem, 400)
 		return
 	}
-	frames, ok := backend.Submit(r.Context(), q)
+	frames, ok := backend.Submit(r.Context(), req)
 	if !ok {
 		writeVerdict(w, verdict.RetryLater("buffer", "this node's buffer is full", time.Second), 503)
 		return
--- a/peer/requester/requester_test.go
+++ b/peer/requester/requester_test.go
@@ -22,8 +22,8 @@
 	submitted node.Request
 }
 
-func (b *backend) Submit(ctx context.Context, q node.Request) (<-chan node.Frame, bool) {
-	b.submitted = q
+func (b *backend) Submit(ctx context.Context, req node.Request) (<-chan node.Frame, bool) {
+	b.submitted = req
 	frames := make(chan node.Frame, len(b.frames))
 	for _, frame := range b.frames {
 		frames <- frame
--- a/rehearsalkit/breaks/breaks.go
+++ b/rehearsalkit/breaks/breaks.go
@@ -48,8 +48,8 @@
 	{Rule: 8, What: "a member below the minimum version is renewed", File: "peer/core/rules_members.go", From: "	if c.Version < floor {\n		return MembershipResult{Floor: floor}\n	}\n	r.renewedAt[key], r.memberVersions[key] = now, max(", To: "	r.renewedAt[key], r.memberVersions[key] = now, max(1<<40+"},
 	{Rule: 9, What: "a configuration that lost a race is written anyway", File: "peer/core/orders.go", From: "		return AcceptConfigurationResult{Version: current.Version}\n", To: "		write(tx, configurationKey, CurrentConfiguration{Version: current.Version + 1, Text: c.Text, Digest: c.Digest})\n		return AcceptConfigurationResult{Version: current.Version}\n"},
 	{Rule: 10, What: "a departure is ignored", File: "peer/node/announcement.go", From: "if !a.replica.Leaving && now", To: "if now"},
-	{Rule: 10, What: "the age of an announcement does not include its transit time", File: "peer/node/announcement.go", From: "age := a.Age + now - b.Sent", To: "age := min(0, a.Age)", Test: "DyingNode"},
-	{Rule: 11, What: "gaps in a forwarded stream are accepted", File: "peer/node/forward.go", From: "if b.Number != f.nextNumber {", To: "if false {"},
+	{Rule: 10, What: "the age of an announcement does not include its transit time", File: "peer/node/announcement.go", From: "age := a.Age + now - announcements.Sent", To: "age := min(0, a.Age)", Test: "DyingNode"},
+	{Rule: 11, What: "gaps in a forwarded stream are accepted", File: "peer/node/forward.go", From: "if forwarded.Number != f.nextNumber {", To: "if false {"},
 	{Rule: 12, What: "an active lockout is ignored", File: "rule/program/user.go", From: "if clock < u.LockedUntil {", To: "if false {"},
 	{Rule: 12, What: "the limit of concurrent sessions is ignored", File: "rule/program/user.go", From: "if live >= role.ConcurrentSessions {", To: "if false {"},
 }
