--- a/peer/node/membership.go
+++ b/peer/node/membership.go
@@ -10,14 +10,16 @@
 	"saffronfall/rule/slab"
 )
 
-// hasLease reports whether this node has a valid membership lease. It is checked again just before
-// each attempt, so that a node that was paused starts none after its lease.
+// hasLease is checked again just before each attempt, so that a node that was paused starts none
+// after its lease.
 func (m *Machine) hasLease(now time.Duration) bool {
 	return m.joined && now < m.leaseExpiresAt && m.description != nil
 }
 
-// renew joins the fleet or renews the membership lease. The lease counts from when the request was
-// sent, so it ends here before it ends at the cores.
+const renewalsPerLease = 6
+
+// renew joins the fleet or renews the lease. The lease counts from the sending of the request, so
+// it ends here before it ends at the cores.
 func (m *Machine) renew(now time.Duration) {
 	if m.joined && now >= m.leaseExpiresAt {
 		m.Counters.LeasesLost++
@@ -27,8 +29,8 @@
 		return
 	}
 	if m.freshAt < m.startedAt {
-		// Until the leader of the configuration partition has answered, this process may
-		// have an older configuration than an earlier process of this node had.
+		// The configuration may be older than the one of an earlier process of this node, until
+		// the leader of its partition has answered.
 		return
 	}
 	if !m.joined && len(m.formerIncarnations) > 0 {
@@ -36,7 +38,7 @@
 		return
 	}
 	m.renewing = true
-	m.renewAt = now + m.params.Core.MemberLease/6
+	m.renewAt = now + m.params.Core.MemberLease/renewalsPerLease
 	sent, incarnation := now, m.incarnation
 	var command any = core.RenewMember{ID: m.params.ID, Incarnation: incarnation, Version: m.configurationVersion}
 	if !m.joined {
@@ -45,12 +47,12 @@
 	}
 	m.caller.Call(now, command, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		m.renewing = false
-		t, ok := o.Answer.(core.MembershipResult)
+		result, ok := o.Answer.(core.MembershipResult)
 		if !ok || incarnation != m.incarnation {
 			return
 		}
 		switch {
-		case t.Granted:
+		case result.Granted:
 			if !m.joined {
 				m.Counters.Joins++
 				m.joinedAt = now
@@ -58,29 +60,30 @@
 			if until := sent + m.params.Core.MemberLease; until > now {
 				m.joined, m.leaseExpiresAt = true, max(m.leaseExpiresAt, until)
 			}
-		case t.Ended:
+		case result.Ended:
 			m.reset(now)
-		case t.Wait > 0:
-			m.renewAt = now + min(t.Wait, m.params.Core.MemberLease)
+		case result.Wait > 0:
+			m.renewAt = now + min(result.Wait, m.params.Core.MemberLease)
 		}
 	})
 }
 
-// endFormerIncarnation reports the end of a former incarnation of this node to the cores before its
-// lease expires there. Its programs may then be taken over at once, also by this node.
+// endFormerIncarnation lets the programs of a former incarnation be taken over, also by this node,
+// before its lease expires.
 func (m *Machine) endFormerIncarnation(now time.Duration) {
 	m.renewing = true
 	former := m.formerIncarnations[0]
-	m.caller.Call(now, core.LeaveMember{ID: m.params.ID, Incarnation: former}, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
+	command := core.LeaveMember{ID: m.params.ID, Incarnation: former}
+	m.caller.Call(now, command, now+m.params.Core.MemberLease, func(now time.Duration, o core.Outcome) {
 		m.renewing = false
-		if t, ok := o.Answer.(core.MembershipResult); ok && t.Ended {
+		if result, ok := o.Answer.(core.MembershipResult); ok && result.Ended {
 			m.endedIncarnations[former] = true
 			m.formerIncarnations = slices.DeleteFunc(m.formerIncarnations, func(incarnation string) bool { return incarnation == former })
 		}
 	})
 }
 
-// reset begins a new incarnation: the programs, shares and attempts of the old one are dropped.
+// reset begins a new incarnation and drops the programs, shares and attempts of the old one.
 func (m *Machine) reset(now time.Duration) {
 	m.Counters.Resets++
 	m.formerCount++
@@ -120,11 +123,10 @@
 	return ordered.Keys(m.liveAttempts)
 }
 
-// hasEnded reports whether an incarnation of a node is known to have ended.
 func (m *Machine) hasEnded(id, incarnation string) bool {
 	if id == m.params.ID && m.endedIncarnations[incarnation] {
 		return true
 	}
-	o, ok := m.members[id]
-	return ok && o.HasEnded(incarnation)
+	member, ok := m.members[id]
+	return ok && member.HasEnded(incarnation)
 }
--- a/peer/node/mirror.go
+++ b/peer/node/mirror.go
@@ -13,8 +13,7 @@
 
 // Messages between an owner, its mirrors and its successor.
 type (
-	// CopyProgram sends a mirror the owner's state of a program, with all turns that the cores have
-	// not stored yet.
+	// CopyProgram carries a program to a mirror, with all turns that the cores have not stored.
 	CopyProgram struct {
 		Record program.Record `msgpack:"r"`
 		Turns  []program.Turn `msgpack:"t"`
@@ -27,7 +26,7 @@
 		Version uint64 `msgpack:"v"`
 		Process string `msgpack:"l"`
 	}
-	// CopyQuery requests a mirror's copy. After it the mirror accepts no more copies from earlier
+	// CopyQuery requests a mirror's copy. The mirror then accepts no more copies from earlier
 	// owners.
 	CopyQuery struct {
 		Tenant  string `msgpack:"t"`
@@ -55,8 +54,7 @@
 	})
 }
 
-// mirrorCopy is the copy of a program that this node has as a mirror. It is in memory and survives
-// a new membership incarnation of the process.
+// mirrorCopy is in memory only, and survives a new membership incarnation of the process.
 type mirrorCopy struct {
 	fence  uint64
 	found  bool
@@ -65,13 +63,12 @@
 	until  time.Duration
 }
 
-// mirrorsPerProgram is the number of mirrors of a program. A version that the cores lack counts as
-// durable only when all of them have it, so that a successor can recover it from any one.
+// mirrorsPerProgram does not count the owner. A version that the cores lack is durable only when
+// all mirrors have it, so that a successor can recover it from any one.
 const mirrorsPerProgram = 2
 
-// prepareRecord makes a record ready to be saved: the total charged in advance never shrinks while
-// the program is open, and the mirrors are live members. If this changes the record, it becomes a
-// new version, so that two records of one version never differ in these fields.
+// prepareRecord sets the total charged in advance, which never shrinks while the program is open,
+// and live mirrors. A change is a new version, so that records of one version never differ in them.
 func (m *Machine) prepareRecord(prog *ownedProgram) {
 	r := &prog.record
 	role := m.description.Roles[r.Role]
@@ -88,20 +85,19 @@
 	}
 }
 
-// otherMirrors returns a program's mirrors other than this node. The owner is listed among them
-// because it still has its changes after its lease has ended.
+// otherMirrors leaves out the owner, which is listed because it still has its changes after its
+// lease has ended.
 func (m *Machine) otherMirrors(mirrors []program.Mirror) []program.Mirror {
 	return slices.DeleteFunc(slices.Clone(mirrors), func(mirror program.Mirror) bool { return mirror.ID == m.params.ID })
 }
 
-// mirrorEnded reports whether a mirror's copies are certainly lost or unreachable.
 func (m *Machine) mirrorEnded(mirror program.Mirror) bool {
-	o, ok := m.members[mirror.ID]
-	return !ok || core.ProcessIncarnation(o.Incarnation) != mirror.Process || o.Ended
+	member, ok := m.members[mirror.ID]
+	return !ok || core.ProcessIncarnation(member.Incarnation) != mirror.Process || member.Ended
 }
 
-// chooseMirrors picks members in zones other than this node's and each other's where possible, and
-// adds this node. It returns nil if there are too few members.
+// chooseMirrors picks members in different zones where possible, and adds this node. It returns nil
+// if there are too few members.
 func (m *Machine) chooseMirrors() []program.Mirror {
 	candidates := m.successors()
 	if len(candidates) < mirrorsPerProgram {
@@ -112,13 +108,17 @@
 	zones := map[string]bool{m.params.Zone: true}
 	for _, strict := range []bool{true, false} {
 		for i := range candidates {
-			o := candidates[(i+first)%len(candidates)]
-			taken := slices.ContainsFunc(chosen, func(c program.Mirror) bool { return c.ID == o.ID })
-			if len(chosen) == mirrorsPerProgram || taken || (strict && zones[o.Zone]) {
+			candidate := candidates[(i+first)%len(candidates)]
+			taken := slices.ContainsFunc(chosen, func(c program.Mirror) bool { return c.ID == candidate.ID })
+			if len(chosen) == mirrorsPerProgram || taken || (strict && zones[candidate.Zone]) {
 				continue
 			}
-			zones[o.Zone] = true
-			chosen = append(chosen, program.Mirror{ID: o.ID, Process: core.ProcessIncarnation(o.Incarnation), Address: o.Peer})
+			zones[candidate.Zone] = true
+			chosen = append(chosen, program.Mirror{
+				ID:      candidate.ID,
+				Process: core.ProcessIncarnation(candidate.Incarnation),
+				Address: candidate.Peer,
+			})
 		}
 	}
 	chosen = append(chosen, program.Mirror{ID: m.params.ID, Process: core.ProcessIncarnation(m.incarnation), Address: m.params.Address})
@@ -126,25 +126,25 @@
 	return chosen
 }
 
-// copyToMirrors sends the mirrors what the cores have not stored in time, if the stored record
-// names these mirrors and covers everything charged since.
+// copyToMirrors sends what the cores have not stored in time, provided that the stored record names
+// these mirrors and covers everything charged since.
 func (m *Machine) copyToMirrors(now time.Duration, prog *ownedProgram) {
-	if prog.savedVersion >= prog.record.Version || prog.lost || prog.recovery != nil || now < prog.unsavedSince+m.params.Core.AttemptTimeout || now < prog.nextCopyAt ||
+	if prog.savedVersion >= prog.record.Version || prog.lost || prog.recovery != nil ||
+		now < prog.unsavedSince+m.params.Core.AttemptTimeout || now < prog.nextCopyAt ||
 		prog.mirroredVersion >= prog.record.Version || !m.hasLease(now) {
 		return
 	}
-	if len(prog.savedMirrors) != mirrorsPerProgram+1 || !slices.Equal(prog.savedMirrors, prog.record.Mirrors) || prog.record.Charged() > min(prog.savedPrecharged, prog.dayPrecharged) {
+	if len(prog.savedMirrors) != mirrorsPerProgram+1 ||
+		!slices.Equal(prog.savedMirrors, prog.record.Mirrors) || prog.record.Charged() > min(prog.savedPrecharged, prog.dayPrecharged) {
 		return
 	}
 	prog.nextCopyAt = now + m.params.Core.AttemptTimeout
-	c := CopyProgram{Record: copyRecord(prog.record), Turns: slices.Clone(prog.unsavedTurns)}
+	copied := CopyProgram{Record: copyRecord(prog.record), Turns: slices.Clone(prog.unsavedTurns)}
 	for _, mirror := range m.otherMirrors(prog.savedMirrors) {
-		m.send(mirror.Address, c)
+		m.send(mirror.Address, copied)
 	}
 }
 
-// mirrorCopyOf returns this node's mirror copy of a program, creating an empty one if there is
-// none.
 func (m *Machine) mirrorCopyOf(tenant, id string) *mirrorCopy {
 	key := tenant + "/" + id
 	if m.mirrors[key] == nil {
@@ -153,38 +153,42 @@
 	return m.mirrors[key]
 }
 
-// onCopy stores an owner's copy unless a newer owner's fence is known, and acknowledges it.
-func (m *Machine) onCopy(now time.Duration, from string, b CopyProgram) {
-	stored := m.mirrorCopyOf(b.Record.Tenant, b.Record.ID)
-	if b.Record.Fence < stored.fence {
+// onCopy ignores a copy if a newer owner's fence is known.
+func (m *Machine) onCopy(now time.Duration, from string, copied CopyProgram) {
+	stored := m.mirrorCopyOf(copied.Record.Tenant, copied.Record.ID)
+	if copied.Record.Fence < stored.fence {
 		return
 	}
-	if !stored.found || b.Record.Fence > stored.fence || b.Record.Version > stored.record.Version {
-		stored.fence, stored.found, stored.record, stored.turns = b.Record.Fence, true, b.Record, b.Turns
+	if !stored.found || copied.Record.Fence > stored.fence || copied.Record.Version > stored.record.Version {
+		stored.fence, stored.found, stored.record, stored.turns = copied.Record.Fence, true, copied.Record, copied.Turns
 	}
-	stored.until = now + b.Record.Retention
-	m.send(from, CopyAck{Tenant: b.Record.Tenant, Program: b.Record.ID, Fence: b.Record.Fence, Version: b.Record.Version, Process: core.ProcessIncarnation(m.incarnation)})
+	stored.until = now + copied.Record.Retention
+	m.send(from, CopyAck{
+		Tenant:  copied.Record.Tenant,
+		Program: copied.Record.ID,
+		Fence:   copied.Record.Fence,
+		Version: copied.Record.Version,
+		Process: core.ProcessIncarnation(m.incarnation),
+	})
 }
 
-// keepUnsaved stores the unsaved changes of a program that this node no longer owns as a mirror
-// copy for its next owner.
+// keepUnsaved keeps a lost program's unsaved changes as a mirror copy for its next owner.
 func (m *Machine) keepUnsaved(now time.Duration, prog *ownedProgram) {
 	if prog.recovery == nil && prog.record.Version > prog.savedVersion {
 		m.onCopy(now, "", CopyProgram{Record: copyRecord(prog.record), Turns: slices.Clone(prog.unsavedTurns)})
 	}
 }
 
-// onCopyAck records that a mirror has a version. Once all mirrors have it, the saves that wait for
-// it are complete.
-func (m *Machine) onCopyAck(now time.Duration, from string, b CopyAck) {
-	prog := m.programs[b.Tenant+"/"+b.Program]
-	if prog == nil || prog.record.Fence != b.Fence || !m.hasLease(now) {
+// onCopyAck completes saves once all mirrors have their version.
+func (m *Machine) onCopyAck(now time.Duration, from string, ack CopyAck) {
+	prog := m.programs[ack.Tenant+"/"+ack.Program]
+	if prog == nil || prog.record.Fence != ack.Fence || !m.hasLease(now) {
 		return
 	}
 	if prog.acked == nil {
 		prog.acked = map[string]uint64{}
 	}
-	prog.acked[from+"/"+b.Process] = max(b.Version, prog.acked[from+"/"+b.Process])
+	prog.acked[from+"/"+ack.Process] = max(ack.Version, prog.acked[from+"/"+ack.Process])
 	oldest := uint64(0)
 	for i, mirror := range m.otherMirrors(prog.savedMirrors) {
 		if version := prog.acked[mirror.Address+"/"+mirror.Process]; i == 0 || version < oldest {
@@ -198,20 +202,24 @@
 	}
 }
 
-// onCopyQuery answers with this node's mirror copy.
-func (m *Machine) onCopyQuery(now time.Duration, from string, b CopyQuery) {
-	stored := m.mirrorCopyOf(b.Tenant, b.Program)
-	answer := CopyAnswer{Tenant: b.Tenant, Program: b.Program, Fence: b.Fence, Process: core.ProcessIncarnation(m.incarnation), Found: stored.found}
+func (m *Machine) onCopyQuery(now time.Duration, from string, query CopyQuery) {
+	stored := m.mirrorCopyOf(query.Tenant, query.Program)
+	answer := CopyAnswer{
+		Tenant:  query.Tenant,
+		Program: query.Program,
+		Fence:   query.Fence,
+		Process: core.ProcessIncarnation(m.incarnation),
+		Found:   stored.found,
+	}
 	if stored.found {
 		answer.Record, answer.Turns = stored.record, stored.turns
 	}
-	// Copies from owners before the querying one are no longer accepted.
-	stored.fence = max(stored.fence, b.Fence)
+	// Later copies from earlier owners must not be accepted.
+	stored.fence = max(stored.fence, query.Fence)
 	stored.until = max(stored.until, now+m.params.Core.MemberLease*healthRetentionLeases)
 	m.send(from, answer)
 }
 
-// mirrorRecovery is a new owner's query of the former owner's mirrors.
 type mirrorRecovery struct {
 	mirrors     []program.Mirror
 	formerFence uint64
@@ -220,11 +228,10 @@
 	waiting     []*requestState
 }
 
-// lostMirrorLeases is the time, in member leases, after which a mirror whose membership ended counts
-// as lost.
+// lostMirrorLeases is the time, in member leases, after which a mirror that ended counts as lost.
 const lostMirrorLeases = 15
 
-// recoverFromMirrors queries the former owner's mirrors before a new owner serves a program, because
+// recoverFromMirrors queries the former owner's mirrors before this node serves a program, because
 // they may have turns that the cores never stored.
 func (m *Machine) recoverFromMirrors(now time.Duration, prog *ownedProgram) {
 	record := prog.record
@@ -235,7 +242,7 @@
 	m.queryMirrors(now, prog)
 }
 
-// queryMirrors requests the mirrors' copies, and ends the recovery when all of them are lost.
+// queryMirrors ends the recovery when all mirrors are lost.
 func (m *Machine) queryMirrors(now time.Duration, prog *ownedProgram) {
 	recovery := prog.recovery
 	if recovery == nil || prog.lost || now < recovery.nextQueryAt {
@@ -248,8 +255,7 @@
 			m.send(mirror.Address, CopyQuery{Tenant: prog.record.Tenant, Program: prog.record.ID, Fence: prog.record.Fence})
 			continue
 		}
-		if o, ok := m.members[mirror.ID]; ok && core.ProcessIncarnation(o.Incarnation) != mirror.Process {
-			// The process that had the copy has ended.
+		if member, ok := m.members[mirror.ID]; ok && core.ProcessIncarnation(member.Incarnation) != mirror.Process {
 			lost++
 			continue
 		}
@@ -264,7 +270,7 @@
 		m.send(mirror.Address, CopyQuery{Tenant: prog.record.Tenant, Program: prog.record.ID, Fence: prog.record.Fence})
 	}
 	if lost == len(recovery.mirrors) {
-		// Owner and mirrors are lost: everything charged in advance counts as spent.
+		// All that was charged in advance may have been spent.
 		m.Counters.MirrorsLost++
 		prog.record.Spent = max(prog.record.Spent, prog.record.Precharged)
 		m.finishRecovery(now, prog)
@@ -272,22 +278,23 @@
 }
 
 // onCopyAnswer adopts a mirror's copy if it is newer than the record from the cores.
-func (m *Machine) onCopyAnswer(now time.Duration, b CopyAnswer) {
-	prog := m.programs[b.Tenant+"/"+b.Program]
-	if prog == nil || prog.recovery == nil || b.Fence != prog.record.Fence {
+func (m *Machine) onCopyAnswer(now time.Duration, answer CopyAnswer) {
+	prog := m.programs[answer.Tenant+"/"+answer.Program]
+	if prog == nil || prog.recovery == nil || answer.Fence != prog.record.Fence {
 		return
 	}
 	recovery := prog.recovery
-	if !slices.ContainsFunc(recovery.mirrors, func(mirror program.Mirror) bool { return mirror.Process == b.Process }) {
+	if !slices.ContainsFunc(recovery.mirrors, func(mirror program.Mirror) bool { return mirror.Process == answer.Process }) {
 		return
 	}
-	if b.Found && b.Record.Fence == recovery.formerFence && b.Record.Version > prog.record.Version {
+	if answer.Found && answer.Record.Fence == recovery.formerFence && answer.Record.Version > prog.record.Version {
 		m.Counters.MirrorsUsed++
-		record := b.Record
+		record := answer.Record
 		record.ChargeRunning()
-		record.Fence, record.Node, record.Incarnation, record.Address = prog.record.Fence, prog.record.Node, prog.record.Incarnation, prog.record.Address
+		record.Fence, record.Node, record.Incarnation, record.Address =
+			prog.record.Fence, prog.record.Node, prog.record.Incarnation, prog.record.Address
 		prog.record = record
-		for _, t := range b.Turns {
+		for _, t := range answer.Turns {
 			if t.Number == len(prog.turns[t.Conversation]) {
 				prog.turns[t.Conversation] = append(prog.turns[t.Conversation], t)
 				prog.unsavedTurns = append(prog.unsavedTurns, t)
@@ -297,7 +304,6 @@
 	m.finishRecovery(now, prog)
 }
 
-// finishRecovery continues the requests that waited for the mirrors.
 func (m *Machine) finishRecovery(now time.Duration, prog *ownedProgram) {
 	waiting := prog.recovery.waiting
 	prog.recovery = nil
@@ -307,8 +313,7 @@
 	}
 }
 
-// awaitRecovery delays a request until the mirrors have answered, or refuses it at the step's
-// deadline.
+// awaitRecovery refuses a request if the mirrors don't answer by the step's deadline.
 func (m *Machine) awaitRecovery(now time.Duration, req *requestState, prog *ownedProgram) {
 	prog.recovery.waiting = append(prog.recovery.waiting, req)
 	m.timers.Add(m.stepDeadline(now, req), func(now time.Duration) {
@@ -326,20 +331,20 @@
 	}
 }
 
-// opener returns the member whose current incarnation opened a program, as named in the program's
-// id. It is tried first, so that no core is needed to find the owner.
+// opener returns the member whose current incarnation opened a program, according to its id. It is
+// tried first, so that no core is needed to find the owner.
 func (m *Machine) opener(id string) (core.Member, bool) {
 	for _, name := range ordered.Keys(m.members) {
-		o := m.members[name]
-		prefix := "p-" + o.ID + "-" + o.Incarnation + "-"
-		if name != m.params.ID && !o.Ended && len(id) > len(prefix) && id[:len(prefix)] == prefix {
-			return o, true
+		member := m.members[name]
+		prefix := "p-" + member.ID + "-" + member.Incarnation + "-"
+		if name != m.params.ID && !member.Ended && len(id) > len(prefix) && id[:len(prefix)] == prefix {
+			return member, true
 		}
 	}
 	return core.Member{}, false
 }
 
-// MirrorsOf lists the addresses of a program's mirrors if this node owns the program.
+// MirrorsOf lists the addresses of a program's other mirrors, or nil if this node doesn't own it.
 func (m *Machine) MirrorsOf(tenant, id string) (list []string) {
 	if prog := m.programs[tenant+"/"+id]; prog != nil {
 		for _, mirror := range m.otherMirrors(prog.savedMirrors) {
--- a/peer/requester/handler.go
+++ b/peer/requester/handler.go
@@ -1,9 +1,8 @@
-// Package requester is the HTTP API of a node: JSON requests that open, continue and close
-// programs and call tools and actions.
+// Package requester is the HTTP API of a node: JSON requests that open, continue and close programs
+// and call tools and actions.
 //
-// Every verdict reports whether the request ran; a request refused here did not run. A
-// streamed turn is complete only if it ends with a closing record. Start reading at
-// Handler.
+// Every verdict reports whether the request ran; a request refused here did not run. A streamed
+// turn is complete only if it ends with a closing record. Start reading at Handler.
 package requester
 
 import (
@@ -25,17 +24,17 @@
 
 // Backend is the node that runs the requests.
 type Backend interface {
-	// Submit starts a request. Its response arrives in frames on the channel; ending the
-	// context cancels the request. The result is false if the node's buffer is full.
-	Submit(ctx context.Context, q node.Request) (<-chan node.Frame, bool)
+	// Submit starts a request and returns its frames, or false if the node's buffer is full.
+	// Ending the context cancels the request.
+	Submit(ctx context.Context, req node.Request) (<-chan node.Frame, bool)
 	// Ready reports whether the node accepts requests.
 	Ready(ctx context.Context) bool
 	// Counters returns the node's counters, to be encoded as JSON.
 	Counters(ctx context.Context) (any, error)
 }
 
-// body is the body of a request. Each path uses some of the fields: Before is the head that a
-// turn follows, Say its prompt, and Helper names its conversation.
+// body is the union of all paths' bodies. Before is the head that a turn follows, Say its prompt,
+// and Helper names its conversation.
 type body struct {
 	User      string          `json:"user"`
 	Service   string          `json:"service"`
@@ -50,7 +49,6 @@
 	BudgetMS  int64           `json:"budget_ms"`
 }
 
-// turn is an earlier turn of a program, as the requester has it.
 type turn struct {
 	Say string `json:"say"`
 	Got string `json:"got"`
@@ -63,24 +61,26 @@
 	Program      string `json:"program,omitempty"`
 }
 
+const maxOnceKeyBytes = 256
+
 // Handler returns the handler of a node's API. Bodies may have at most maxBody bytes.
 func Handler(backend Backend, maxBody int64) http.Handler {
 	mux := http.NewServeMux()
-	handle := func(pattern string, fill func(q *node.Request, b body, r *http.Request) string) {
+	handle := func(pattern string, fill func(req *node.Request, b body, r *http.Request) string) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) { serve(w, r, backend, maxBody, fill) })
 	}
-	handle("POST /v1/programs", func(q *node.Request, b body, r *http.Request) string {
-		q.Kind, q.User = node.KindOpen, b.User
+	handle("POST /v1/programs", func(req *node.Request, b body, r *http.Request) string {
+		req.Kind, req.User = node.KindOpen, b.User
 		if !configuration.ValidName(b.User) {
 			return "user must be a name"
 		}
 		return ""
 	})
-	handle("POST /v1/programs/{program}/turns", func(q *node.Request, b body, r *http.Request) string {
-		q.Kind, q.Program, q.Conversation, q.Service = node.KindTurn, r.PathValue("program"), b.Helper, b.Service
-		q.PreviousHead, q.Prompt, q.MaxTokens = b.Before, b.Say, b.MaxTokens
+	handle("POST /v1/programs/{program}/turns", func(req *node.Request, b body, r *http.Request) string {
+		req.Kind, req.Program, req.Conversation, req.Service = node.KindTurn, r.PathValue("program"), b.Helper, b.Service
+		req.PreviousHead, req.Prompt, req.MaxTokens = b.Before, b.Say, b.MaxTokens
 		for _, t := range b.History {
-			q.History = append(q.History, program.Turn{Prompt: t.Say, Response: t.Got})
+			req.History = append(req.History, program.Turn{Prompt: t.Say, Response: t.Got})
 		}
 		switch {
 		case b.Before == "":
@@ -94,29 +94,29 @@
 		}
 		return ""
 	})
-	handle("POST /v1/programs/{program}/tools/{service}", func(q *node.Request, b body, r *http.Request) string {
-		q.Kind, q.Program, q.Service, q.Conversation, q.Arguments = node.KindTool, r.PathValue("program"), r.PathValue("service"), b.Helper, b.Arguments
+	handle("POST /v1/programs/{program}/tools/{service}", func(req *node.Request, b body, r *http.Request) string {
+		req.Kind, req.Program, req.Service, req.Conversation, req.Arguments = node.KindTool, r.PathValue("program"), r.PathValue("service"), b.Helper, b.Arguments
 		if len(b.Arguments) == 0 {
 			return "arguments are missing"
 		}
 		return ""
 	})
-	handle("POST /v1/actions/{service}", func(q *node.Request, b body, r *http.Request) string {
-		q.Kind, q.Service, q.User, q.OnceKey, q.Arguments = node.KindAction, r.PathValue("service"), b.User, b.OnceKey, b.Body
+	handle("POST /v1/actions/{service}", func(req *node.Request, b body, r *http.Request) string {
+		req.Kind, req.Service, req.User, req.OnceKey, req.Arguments = node.KindAction, r.PathValue("service"), b.User, b.OnceKey, b.Body
 		switch {
-		case b.OnceKey == "" || len(b.OnceKey) > 256:
+		case b.OnceKey == "" || len(b.OnceKey) > maxOnceKeyBytes:
 			return "once_key must have 1 to 256 bytes"
 		case len(b.Body) == 0:
 			return "body is missing"
 		}
 		return ""
 	})
-	handle("GET /v1/programs/{program}", func(q *node.Request, b body, r *http.Request) string {
-		q.Kind, q.Program, q.Conversation = node.KindStatus, r.PathValue("program"), r.URL.Query().Get("helper")
+	handle("GET /v1/programs/{program}", func(req *node.Request, b body, r *http.Request) string {
+		req.Kind, req.Program, req.Conversation = node.KindStatus, r.PathValue("program"), r.URL.Query().Get("helper")
 		return ""
 	})
-	handle("DELETE /v1/programs/{program}", func(q *node.Request, b body, r *http.Request) string {
-		q.Kind, q.Program = node.KindClose, r.PathValue("program")
+	handle("DELETE /v1/programs/{program}", func(req *node.Request, b body, r *http.Request) string {
+		req.Kind, req.Program = node.KindClose, r.PathValue("program")
 		return ""
 	})
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, r *http.Request) {
@@ -142,7 +142,6 @@
 	return mux
 }
 
-// writeJSON writes value as an answer.
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -151,7 +150,6 @@
 	encoder.Encode(value)
 }
 
-// writeVerdict writes a verdict; Retry-After is rounded up to seconds.
 func writeVerdict(w http.ResponseWriter, v verdict.Verdict, status int) {
 	answer := Answer{Verdict: v}
 	if v.RetryAfter > 0 {
@@ -162,14 +160,17 @@
 	writeJSON(w, status, answer)
 }
 
-// refuse answers a request that was refused before it was submitted.
+// refuse answers a request that was not submitted.
 func refuse(w http.ResponseWriter, code, reason string, status int) {
 	writeVerdict(w, verdict.Refused(verdict.Refusal{Check: "inquiry", Code: code, Reason: reason}), status)
 }
 
-// serve decodes a request, lets fill complete it, submits it and writes the answer. fill
-// returns what is malformed, or an empty string.
-func serve(w http.ResponseWriter, r *http.Request, backend Backend, maxBody int64, fill func(q *node.Request, b body, r *http.Request) string) {
+// serve decodes, submits and answers a request. fill completes it, and returns what is malformed or
+// an empty string.
+func serve(
+	w http.ResponseWriter, r *http.Request, backend Backend, maxBody int64,
+	fill func(req *node.Request, b body, r *http.Request) string,
+) {
 	var b body
 	if r.Method == "POST" {
 		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
@@ -190,7 +191,7 @@
 			return
 		}
 	}
-	q := node.Request{Timeout: time.Duration(b.BudgetMS) * time.Millisecond}
+	req := node.Request{Timeout: time.Duration(b.BudgetMS) * time.Millisecond}
 	if b.BudgetMS < 0 {
 		writeVerdict(w, verdict.Refused(verdict.Refusal{Check: "budget", Code: "budget_passed", Reason: "the inquiry's budget has passed"}), 504)
 		return
@@ -200,12 +201,12 @@
 		refuse(w, "unknown_key", "no key was shown", 401)
 		return
 	}
-	q.Key = key
-	if problem := fill(&q, b, r); problem != "" {
+	req.Key = key
+	if problem := fill(&req, b, r); problem != "" {
 		refuse(w, "malformed", problem, 400)
 		return
 	}
-	frames, ok := backend.Submit(r.Context(), q)
+	frames, ok := backend.Submit(r.Context(), req)
 	if !ok {
 		writeVerdict(w, verdict.RetryLater("buffer", "this node's buffer is full", time.Second), 503)
 		return
@@ -213,8 +214,7 @@
 	writeFrames(w, frames)
 }
 
-// writeFrames writes the frames of a response as they arrive. It aborts the connection of an
-// interrupted stream, so that the stream never looks complete.
+// writeFrames aborts the connection of an interrupted stream, so that it never looks complete.
 func writeFrames(w http.ResponseWriter, frames <-chan node.Frame) {
 	flusher, _ := w.(http.Flusher)
 	encoder := json.NewEncoder(w)
