--- a/rehearsalkit/capacity/command.go
+++ b/rehearsalkit/capacity/command.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Command is the capacity command of rehearsalkit.
+// Command is the capacity subcommand.
 type Command struct {
 	Point   `embed:""`
 	Axis    []string      `help:"Sizes to sweep, one at a time: nodes, desks, cores, replicas, tenants, programs, rate, turns, turn_bytes, changes, or all; empty: measure the single point that the other flags describe."`
@@ -24,7 +24,7 @@
 	Plots   bool          `help:"Draw plots too."`
 }
 
-// Run measures a single point, or sweeps the chosen axes from it and writes the results.
+// Run measures a single point, or sweeps axes from it and writes the results.
 func (c *Command) Run() error {
 	runtime.GOMAXPROCS(min(2, runtime.GOMAXPROCS(0)))
 	room, err := AvailableMemory()
--- a/rehearsalkit/capacity/fit.go
+++ b/rehearsalkit/capacity/fit.go
@@ -23,15 +23,14 @@
 	Verdict  string
 }
 
-// Least numbers of sizes and of repeats of each for a reliable fit.
+// Least numbers of sizes and of runs of each for a reliable fit.
 const (
 	minSizes   = 4
 	minRepeats = 3
 )
 
-// FitLine fits a line by least squares. The fit is good if there are at least minSizes
-// sizes with minRepeats values each, the slope exceeds twice its standard error, and R
-// squared is at least 0.95.
+// FitLine fits a line by least squares. A good fit has at least minSizes sizes with minRepeats
+// values each, a slope above twice its standard error, and an R squared of at least 0.95.
 func FitLine(sizes, values []float64) Fit {
 	repeats := map[float64]int{}
 	for _, x := range sizes {
--- a/rehearsalkit/capacity/load.go
+++ b/rehearsalkit/capacity/load.go
@@ -10,14 +10,14 @@
 	"saffronfall/rule/placement"
 )
 
-// replica is a simulated replica: it sends heartbeats and answers requests after a delay.
+// replica is a simulated replica that answers requests after a delay.
 type replica struct {
 	id, service, address string
 	zone                 int
 	call, running        int64
 }
 
-// heartbeat sends a replica's heartbeat to a registry that is alive, and schedules the next one.
+// heartbeat sends a heartbeat to a live registry, and schedules the next one.
 func (w *world) heartbeat(r *replica) {
 	r.call++
 	d := w.registries[r.zone%len(w.registries)]
@@ -30,7 +30,14 @@
 		}
 	}
 	if d.alive {
-		report := registry.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: fmt.Sprintf("zone-%d", r.zone), Slots: 16, Sequence: r.call}
+		report := registry.Replica{
+			ID:       r.id,
+			Service:  r.service,
+			Address:  r.address,
+			Zone:     fmt.Sprintf("zone-%d", r.zone),
+			Slots:    16,
+			Sequence: r.call,
+		}
 		raw, err := json.Marshal(report)
 		if err != nil {
 			panic(err)
@@ -43,7 +50,7 @@
 	w.after(w.between(heartbeatInterval*9/10, heartbeatInterval*11/10), func() { w.heartbeat(r) })
 }
 
-// program is a simulated requester: it sends one turn after the other to random nodes.
+// program is a simulated requester that sends one turn after the other to random nodes.
 type program struct {
 	world    *world
 	tenant   int
@@ -54,7 +61,7 @@
 	tries    int
 }
 
-// startPrograms starts the programs, spread over the tenants by their shares.
+// startPrograms spreads the programs over the tenants by their shares.
 func (w *world) startPrograms() {
 	i := 0
 	for tenant, share := range w.shares {
@@ -96,16 +103,38 @@
 	w.attempts++
 	w.tickets++
 	n := w.nodes[w.random.IntN(len(w.nodes))]
-	t := &turn{program: p, node: n, incarnation: n.incarnation, ticket: w.tickets, attempt: fmt.Sprintf("attempt-%016d", w.attempts), at: w.now}
+	t := &turn{
+		program:     p,
+		node:        n,
+		incarnation: n.incarnation,
+		ticket:      w.tickets,
+		attempt:     fmt.Sprintf("attempt-%016d", w.attempts),
+		at:          w.now,
+	}
 	w.counts["asked"]++
 	if !n.alive {
 		t.end("unreached")
 		return
 	}
 	n.requests[t.ticket] = t
-	a := relay.Request{Host: "tier", Path: fmt.Sprintf("/model-%d/turn", p.model), Key: fmt.Sprintf("key-%d", p.tenant), HasKey: true, Attempt: t.attempt, Program: p.name, Previous: p.previous,
-		TokenBudget: 1 << 30, MaxTokens: 1000, Remaining: 4 * time.Second, Arrival: relay.Arrival{HeadBytes: 300, BodyBytes: int64(w.point.TurnBytes / 2)}, Input: w.bytes(w.point.TurnBytes / 2),
-		PlacementHints: relay.PlacementHints{Prompt: []placement.PromptSegment{{ID: uint64(p.tenant*8 + p.model), Tokens: 512}, {ID: uint64(1<<32 + w.attempts), Tokens: 600}}}}
+	a := relay.Request{
+		Host:        "tier",
+		Path:        fmt.Sprintf("/model-%d/turn", p.model),
+		Key:         fmt.Sprintf("key-%d", p.tenant),
+		HasKey:      true,
+		Attempt:     t.attempt,
+		Program:     p.name,
+		Previous:    p.previous,
+		TokenBudget: 1 << 30,
+		MaxTokens:   1000,
+		Remaining:   4 * time.Second,
+		Arrival:     relay.Arrival{HeadBytes: 300, BodyBytes: int64(w.point.TurnBytes / 2)},
+		Input:       w.bytes(w.point.TurnBytes / 2),
+		PlacementHints: relay.PlacementHints{Prompt: []placement.PromptSegment{
+			{ID: uint64(p.tenant*8 + p.model), Tokens: 512},
+			{ID: uint64(1<<32 + w.attempts), Tokens: 600},
+		}},
+	}
 	n.handleNodeOutput(timed(n, func() relay.Output { return n.node.HandleRequest(w.now, t.ticket, a) }))
 }
 
@@ -117,7 +146,6 @@
 	return raw
 }
 
-// step carries out a step that the node decided for the turn's request.
 func (t *turn) step(s relay.Step) {
 	w, n := t.program.world, t.node
 	switch s.Kind {
@@ -130,7 +158,13 @@
 		r.running++
 		w.after(w.between(service/2, service*3/2), func() {
 			r.running--
-			t.handleOutcome(relay.Outcome{Kind: relay.OutcomeComplete, Started: true, Events: 215, Output: w.bytes(w.point.TurnBytes - w.point.TurnBytes/2), Load: &relay.Load{Running: r.running, Slots: 16}})
+			t.handleOutcome(relay.Outcome{
+				Kind:    relay.OutcomeComplete,
+				Started: true,
+				Events:  215,
+				Output:  w.bytes(w.point.TurnBytes - w.point.TurnBytes/2),
+				Load:    &relay.Load{Running: r.running, Slots: 16},
+			})
 		})
 	case relay.StepDeliver:
 		delete(n.requests, t.ticket)
@@ -152,8 +186,8 @@
 	n.handleNodeOutput(timed(n, func() relay.Output { return n.node.HandleOutcome(n.world.now, t.ticket, o) }))
 }
 
-// end counts the outcome of a turn and schedules the program's next one. A turn that was
-// not served is retried; after too many tries or a lost history, a new program starts.
+// end schedules the program's next turn. A turn that was not served is retried; after too many
+// tries or a lost history, a new program starts.
 func (t *turn) end(outcome string) {
 	if t.ended {
 		return
--- a/rehearsalkit/capacity/measure.go
+++ b/rehearsalkit/capacity/measure.go
@@ -15,8 +15,8 @@
 	"saffronfall/rule/ordered"
 )
 
-// Failures of a run. They start after a third of the measured time and last a fifth of it.
-// Wipe is a core that loses its disk, Split a network partition between regions.
+// Failures of a run. They start after a third of the measured time and last a fifth of it. Wipe is
+// a core without its disk, Split a network partition between regions.
 const (
 	None     = "none"
 	Core     = "core"
@@ -27,8 +27,8 @@
 	Split    = "split"
 )
 
-// Span is the length of a run in simulated time. The measurement is preceded by Warm and by
-// the time of a complete program.
+// Span is the length of a run in simulated time. Warm and one complete program precede the
+// measurement.
 type Span struct {
 	Warm, Measured time.Duration
 }
@@ -41,8 +41,7 @@
 	Time bool
 }
 
-// Measure simulates one point and returns the figures of each role. Figures without Time
-// are the same for the same seed.
+// Measure returns the figures of each role at a point. Those without Time repeat for a seed.
 func Measure(p Point, seed uint64, span Span, failure string) ([]Figure, error) {
 	if err := p.check(); err != nil {
 		return nil, err
@@ -108,7 +107,6 @@
 	return true
 }
 
-// fail causes a failure for a time.
 func (w *world) fail(failure string, length time.Duration) {
 	var affected []*process
 	switch failure {
@@ -206,7 +204,7 @@
 		cache += n.node.Status(w.now)["cache_bytes"]
 	}
 	add("node", "cache bytes", float64(cache)/float64(len(w.nodes)), false)
-	// The heap of a role is the memory that is freed when its processes are dropped.
+	// The heap of a role is the memory freed when its processes are dropped.
 	w.events, w.programs = eventqueue.Queue{}, nil
 	for _, n := range w.nodes {
 		n.requests = nil
@@ -233,7 +231,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// Format formats the figures of a point as a table.
+// Format formats figures as a table.
 func Format(list []Figure) string {
 	var b strings.Builder
 	for _, f := range list {
--- a/rehearsalkit/capacity/point.go
+++ b/rehearsalkit/capacity/point.go
@@ -1,7 +1,6 @@
-// Package capacity measures the resource use of the control plane at a given size: it runs
-// the state machines of nodes, registries and cores in one process on a simulated clock, with
-// simulated replicas and requesters. Every message between processes is encoded and decoded
-// as on the wire. Start reading at Measure; Sweep repeats it along an axis.
+// Package capacity measures the resource use of the control plane at a given size. It runs nodes,
+// registries and cores in one process on a simulated clock, with simulated replicas and requesters.
+// Messages are encoded as on the wire. Start reading at Measure and Sweep.
 package capacity
 
 import (
@@ -23,18 +22,28 @@
 	Models     int `help:"Models that replicas serve." default:"4"`
 	Tenants    int `help:"Tenants, spread unevenly." default:"16"`
 	Programs   int `help:"Programs under way; each takes one turn at a time." default:"100"`
-	// Rate is turns a second; there are no other requests.
-	Rate int `help:"Turns a second." default:"200"`
-	// Turns is the number of turns of a program.
-	Turns int `help:"Turns of a program." default:"4"`
-	// TurnBytes is the size of the input and output of one turn together.
+	// There are no requests but turns.
+	Rate      int `help:"Turns a second." default:"200"`
+	Turns     int `help:"Turns of a program." default:"4"`
 	TurnBytes int `help:"Bytes of one turn's input and output." default:"2000"`
-	// Changes is configuration changes an hour.
-	Changes int `help:"Changes of the configuration an hour." default:"0"`
+	Changes   int `help:"Changes of the configuration an hour." default:"0"`
 }
 
 // Base is the default point that sweeps start from.
-var Base = Point{Nodes: 16, Registries: 3, Cores: 3, Zones: 3, Regions: 1, Replicas: 32, Models: 4, Tenants: 16, Programs: 100, Rate: 200, Turns: 4, TurnBytes: 2000}
+var Base = Point{
+	Nodes:      16,
+	Registries: 3,
+	Cores:      3,
+	Zones:      3,
+	Regions:    1,
+	Replicas:   32,
+	Models:     4,
+	Tenants:    16,
+	Programs:   100,
+	Rate:       200,
+	Turns:      4,
+	TurnBytes:  2000,
+}
 
 // Axis is one parameter of a point that is swept.
 type Axis struct {
@@ -43,7 +52,7 @@
 	Set   func(p *Point, size int)
 }
 
-// Axes are all axes. One is swept at a time.
+// Axes are swept one at a time.
 var Axes = []Axis{
 	{"nodes", []int{8, 16, 32, 64, 128}, func(p *Point, n int) { p.Nodes = n }},
 	{"desks", []int{2, 3, 4, 6}, func(p *Point, n int) { p.Registries = n }},
@@ -57,7 +66,6 @@
 	{"changes", []int{0, 600, 1200, 2400}, func(p *Point, n int) { p.Changes = n }},
 }
 
-// check returns an error if a size is out of range.
 func (p Point) check() error {
 	for _, n := range []int{p.Nodes, p.Registries, p.Replicas, p.Tenants, p.Programs, p.Rate, p.Turns, p.TurnBytes, p.Zones, p.Regions} {
 		if n < 1 {
@@ -73,16 +81,17 @@
 	return nil
 }
 
-// Memory returns an upper estimate of the heap of a run, in bytes. Stored turns count
-// twice, as programs that have ended are retained for a while.
+// Memory returns an upper estimate of the heap of a run, in bytes. Stored turns count twice, as
+// ended programs are retained for a while.
 func (p Point) Memory() int64 {
-	node := 200_000 + int64(p.Replicas)*(int64(p.Registries)*600+3000) + int64(p.Tenants)*2200 + min(nodeCache, int64(p.Rate)*int64(p.TurnBytes)*60/int64(p.Nodes))
+	node := 200_000 + int64(p.Replicas)*(int64(p.Registries)*600+3000) + int64(p.Tenants)*2200 +
+		min(nodeCache, int64(p.Rate)*int64(p.TurnBytes)*60/int64(p.Nodes))
 	registry := 200_000 + int64(p.Replicas)*600 + int64(p.Nodes)*400 + int64(p.Tenants)*1500
 	kept := int64(p.Programs) * int64(p.Turns) * (int64(p.TurnBytes) + 40*int64(p.Turns) + 800) * 2 * groupSize
 	return 64_000_000 + 2*(int64(p.Nodes)*node+int64(p.Registries)*registry+kept)
 }
 
-// AvailableMemory returns how many bytes a run may use: half of the machine's memory.
+// AvailableMemory returns half of the machine's memory, in bytes.
 func AvailableMemory() (int64, error) {
 	var info unix.Sysinfo_t
 	if err := unix.Sysinfo(&info); err != nil {
@@ -91,8 +100,8 @@
 	return int64(info.Totalram) * int64(info.Unit) / 2, nil
 }
 
-// Check returns an error if the point is invalid or needs more than room bytes. The error
-// names a smaller point that would fit.
+// Check fails if the point is invalid or needs more than room bytes. The error names a smaller
+// point that would fit.
 func (p Point) Check(room int64) error {
 	if err := p.check(); err != nil {
 		return err
@@ -105,10 +114,12 @@
 		q := p
 		q.Nodes, q.Programs = max(1, p.Nodes*part/100), max(1, p.Programs*part/100)
 		if q.Memory() <= room {
-			return errors.Newf("needs about %d MB and may take %d MB; %d nodes with %d programs would fit (about %d MB)", need>>20, room>>20, q.Nodes, q.Programs, q.Memory()>>20)
+			return errors.Newf("needs about %d MB and may take %d MB; %d nodes with %d programs would fit (about %d MB)",
+				need>>20, room>>20, q.Nodes, q.Programs, q.Memory()>>20)
 		}
 	}
-	return errors.Newf("needs about %d MB and may take %d MB; not even a hundredth of its nodes and programs fits, make turns or their bytes fewer", need>>20, room>>20)
+	return errors.Newf("needs about %d MB and may take %d MB; not even a hundredth of its nodes and programs fits, make turns or their bytes fewer",
+		need>>20, room>>20)
 }
 
 // thinkTime is the time between the starts of a program's turns.
--- a/rehearsalkit/capacity/sweep.go
+++ b/rehearsalkit/capacity/sweep.go
@@ -24,8 +24,8 @@
 	Figure
 }
 
-// Sweep measures every size of an axis with repeats seeds each, and calls each after every
-// run. It fails before the first run if a size needs more than room bytes.
+// Sweep measures every size with repeats seeds, and calls each after every run. It fails before the
+// first run if a size needs more than room bytes.
 func Sweep(a Axis, base Point, repeats int, seed uint64, span Span, room int64, each func(size, repeat int)) ([]Sample, error) {
 	for _, size := range a.Sizes {
 		p := base
@@ -106,13 +106,15 @@
 	w := csv.NewWriter(to)
 	rows := [][]string{{"axis", "role", "measure", "intercept", "slope", "standard error", "r squared", "verdict"}}
 	for _, s := range list {
-		rows = append(rows, []string{s.Axis, s.Role, s.Measure, number(s.Intercept), number(s.Slope), number(s.Error), number(s.RSquared), s.Verdict})
+		rows = append(rows, []string{
+			s.Axis, s.Role, s.Measure,
+			number(s.Intercept), number(s.Slope), number(s.Error), number(s.RSquared), s.Verdict,
+		})
 	}
 	return w.WriteAll(rows)
 }
 
-// Plot writes a plot of each fit into a folder, except for the measures of single kinds of
-// messages.
+// Plot writes a plot of each fit, except for single kinds of messages.
 func Plot(folder string, list []Slope) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return errors.Wrap(err, "plots")
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -22,7 +22,7 @@
 	"saffronfall/rule/route"
 )
 
-// Time bounds and sizes of the simulated deployment, in the ratios of platform/settings.go.
+// Times and sizes, in the ratios of platform/settings.go.
 const (
 	contactTimeout    = 3 * time.Second
 	heartbeatInterval = 1200 * time.Millisecond
@@ -30,15 +30,15 @@
 	rateWindow        = 5 * time.Second
 	groupSize         = 3
 	nodeCache         = 16 << 20
-	// retentionPerThink is the retention of a turn as a multiple of the think time: 60 s
-	// for turns that are 41 s apart.
+	// retentionPerThink is retention over think time: 60 s for turns 41 s apart.
 	retentionPerThink = 60.0 / 41
 	service           = 150 * time.Millisecond
 )
 
 func coreParams() core.Params {
-	return core.Params{Partition: partition.Params{LeaseDuration: contactTimeout / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeTransfer: 20}, MemberLease: contactTimeout / 2, AttemptTimeout: contactTimeout / 24,
-		PullInterval: contactTimeout / 20, SilenceTimeout: 2200 * time.Millisecond, ColdStart: true}
+	return core.Params{Partition: partition.Params{LeaseDuration: contactTimeout / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40,
+		LeasesBeforeTransfer: 20}, MemberLease: contactTimeout / 2, AttemptTimeout: contactTimeout / 24, PullInterval: contactTimeout / 20,
+		SilenceTimeout: 2200 * time.Millisecond, ColdStart: true}
 }
 
 func registryParams() registry.Params {
@@ -46,10 +46,13 @@
 }
 
 func nodeParams() relay.Params {
-	return relay.Params{Core: coreParams(), HeartbeatInterval: heartbeatInterval, UpdateInterval: updateInterval, RateWindow: rateWindow, RateOvershoot: 0.1, RateSlack: 4, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMillisecond: 80, HeartbeatInterval: heartbeatInterval}, LoadReportInterval: heartbeatInterval / 12, ResendUnrun: true, ShedOverload: true, MaxRequests: 2000, CacheBytes: nodeCache, BudgetRetention: 10 * time.Minute}
+	return relay.Params{Core: coreParams(), HeartbeatInterval: heartbeatInterval, UpdateInterval: updateInterval, RateWindow: rateWindow,
+		RateOvershoot: 0.1, RateSlack: 4, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true,
+			LocalZone: true, FailureRates: true, PromptTokensPerMillisecond: 80, HeartbeatInterval: heartbeatInterval},
+		LoadReportInterval: heartbeatInterval / 12, ResendUnrun: true, ShedOverload: true, MaxRequests: 2000, CacheBytes: nodeCache, BudgetRetention: 10 * time.Minute}
 }
 
-// cpu returns the CPU time of this thread, which other processes do not affect.
+// cpu returns this thread's CPU time, which other processes do not affect.
 func cpu() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
@@ -58,7 +61,6 @@
 	return time.Duration(t.Nano())
 }
 
-// meter counts the resource use of one process.
 type meter struct {
 	Sent, Received, SentBytes, ReceivedBytes int64
 	Syncs, Written                           int64
@@ -78,7 +80,7 @@
 	k.bytes += int64(bytes)
 }
 
-// process is one simulated core, registry or node; only the fields of its role are set.
+// process is a simulated core, registry or node; only the fields of its role are set.
 type process struct {
 	world       *world
 	id          string
@@ -110,7 +112,7 @@
 	send  core.Send
 }
 
-// world is a simulated deployment. It is used by one goroutine.
+// world is a simulated deployment, used by one goroutine.
 type world struct {
 	point      Point
 	now        time.Duration
@@ -129,8 +131,7 @@
 	split      bool
 	counts     map[string]int64
 	table      uint64
-	// appliedAt is when each table was first applied, lag the longest time until a node
-	// used one.
+	// appliedAt is each table's first application, lag the longest time until a node used one.
 	appliedAt map[uint64]time.Duration
 	lag       time.Duration
 }
@@ -189,7 +190,7 @@
 
 func (w *world) region(zone int) int { return zone * w.point.Regions / w.point.Zones }
 
-// delay returns the one-way network delay between two zones.
+// delay returns the one-way network delay.
 func (w *world) delay(a, b int) time.Duration {
 	switch {
 	case a == b:
@@ -212,7 +213,7 @@
 	return list
 }
 
-// boot starts a new incarnation. A core starts from what it has stored.
+// boot starts an incarnation. A core starts from what it has stored.
 func (p *process) boot() {
 	w := p.world
 	if p.alive {
@@ -227,14 +228,18 @@
 		p.pending, p.deferred, p.busy, p.issued, p.synced = nil, nil, false, 0, 0
 		var image core.Stored
 		image.CopyFrom(p.stored)
-		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: zone, Address: p.address, Seeds: w.seeds(), Stored: image, Now: w.now, Random: w.random.Float64})
+		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: zone, Address: p.address, Seeds: w.seeds(),
+			Stored: image, Now: w.now, Random: w.random.Float64})
 		every = coreParams().Partition.LeaseDuration / 20
 	case "desk":
 		p.calls = map[uint64]func(any){}
-		p.registry = registry.New(registry.Options{Params: registryParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Address: p.address, Seeds: w.seeds(), FoundsFleet: p == w.registries[0] && p.incarnation == 1, Now: w.now, Random: w.random.Float64})
+		p.registry = registry.New(registry.Options{Params: registryParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation),
+			Address: p.address, Seeds: w.seeds(), FoundsFleet: p == w.registries[0] && p.incarnation == 1,
+			Now: w.now, Random: w.random.Float64})
 	default:
 		p.requests = map[uint64]*turn{}
-		p.node = relay.New(relay.Options{Params: nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Zone: zone, Address: p.address, Seeds: w.seeds(), Now: w.now, Random: w.random.Float64})
+		p.node = relay.New(relay.Options{Params: nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation),
+			Zone: zone, Address: p.address, Seeds: w.seeds(), Now: w.now, Random: w.random.Float64})
 	}
 	p.tick(p.incarnation, every)
 }
@@ -267,7 +272,6 @@
 	}
 }
 
-// timed runs a step and adds its CPU time to the process's meter.
 func timed[T any](p *process, step func() T) T {
 	began := cpu()
 	out := step()
@@ -283,7 +287,7 @@
 	return raw
 }
 
-// frame is the size of a message's frame header on the wire, in bytes.
+// frame is the size of a frame header, in bytes.
 const frame = 4
 
 func (p *process) send(to string, body any) {
@@ -307,9 +311,9 @@
 	})
 }
 
-// kindOf names the type of a message and the type that it carries.
+// kindOf names the type of a message and of its content.
 func kindOf(body any) string {
-	// Messages of package registry are reported under the role's name.
+	// Registry messages are reported under the role's name.
 	name := strings.Replace(strings.TrimPrefix(fmt.Sprintf("%T", body), "core."), "registry.", "desk.", 1)
 	var raw []byte
 	switch b := body.(type) {
@@ -330,7 +334,7 @@
 		}
 	}
 	if len(raw) > 1 {
-		// The type name is a msgpack string of up to 31 bytes; the first byte holds its length.
+		// The type name is a msgpack string; the low five bits of its first byte are its length.
 		if n := int(raw[0] & 31); n < len(raw) {
 			return name + " " + strings.TrimPrefix(string(raw[1:1+n]), "core.")
 		}
@@ -380,8 +384,7 @@
 	p.send(s.To, s.Body)
 }
 
-// sync writes all pending changes in one frame. Sends that wait for them are released once
-// it is synced.
+// sync writes all pending changes in one frame, then releases the sends that wait for them.
 func (p *process) sync() {
 	if p.busy || len(p.pending) == 0 {
 		return
@@ -446,17 +449,18 @@
 	}
 }
 
-// tableText encodes a routing table of the point's size. Its source is about as long again.
+// tableText encodes a routing table, with a source about as long.
 func (w *world) tableText(number uint64) []byte {
 	t := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20}}
 	for i := 0; i < w.point.Models; i++ {
 		name := fmt.Sprintf("model-%d", i)
 		t.Services = append(t.Services, route.Service{Name: name, Connections: 100_000, TokensPerEvent: 1, Slots: 16, CacheTokens: 186629})
-		t.Routes = append(t.Routes, route.Route{Name: "chat-" + name, Host: "tier", Prefix: "/" + name + "/", Mode: route.Stream, KeepHistory: true, KeepSeconds: w.point.thinkTime().Seconds() * retentionPerThink, TimeoutMS: 4000,
-			MaxAttempts: 2, Targets: []route.Target{{Service: name, Weight: 1}}})
+		t.Routes = append(t.Routes, route.Route{Name: "chat-" + name, Host: "tier", Prefix: "/" + name + "/", Mode: route.Stream,
+			KeepHistory: true, KeepSeconds: w.point.thinkTime().Seconds() * retentionPerThink, TimeoutMS: 4000, MaxAttempts: 2, Targets: []route.Target{{Service: name, Weight: 1}}})
 	}
 	for i, share := range w.shares {
-		t.Tenants = append(t.Tenants, route.Tenant{Name: fmt.Sprintf("tenant-%d", i), Keys: []string{configuration.KeyDigest(fmt.Sprintf("key-%d", i))}, Rate: share*float64(w.point.Rate)*3 + 5, Burst: 10})
+		t.Tenants = append(t.Tenants, route.Tenant{Name: fmt.Sprintf("tenant-%d", i), Keys: []string{configuration.KeyDigest(fmt.Sprintf("key-%d", i))},
+			Rate: share*float64(w.point.Rate)*3 + 5, Burst: 10})
 	}
 	bare, err := json.Marshal(t)
 	if err != nil {
@@ -470,7 +474,6 @@
 	return whole
 }
 
-// applyTable applies a new table at a random registry and passes the result to then.
 func (w *world) applyTable(then func(ok bool)) {
 	d := w.registries[w.random.IntN(len(w.registries))]
 	if !d.alive {
--- a/rehearsalkit/days/command.go
+++ b/rehearsalkit/days/command.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Command is the subcommand that writes days. Its exported fields are its flags.
+// Command writes days. Its exported fields are its flags.
 type Command struct {
 	Seed    uint64   `help:"First seed; each day has the next one." default:"1"`
 	Count   int      `help:"How many days." default:"1"`
@@ -26,15 +26,14 @@
 	Out     string   `help:"Folder for the days." default:"days-out" type:"path"`
 }
 
-// Defaults that apply without flags and site file, and the theme that rotates through all.
+// Defaults without flags and site file, and the theme that rotates through all.
 const (
 	defaultLosses   = 1
 	defaultCatchUpS = 4.5
 	themeRotation   = "turn"
 )
 
-// Run writes the days and prints their paths. It returns an error if the flags are invalid or
-// a file can't be read or written.
+// Run writes the days and prints their paths. It fails on invalid flags and file errors.
 func (c *Command) Run() error {
 	options, err := c.options()
 	if err != nil {
@@ -57,7 +56,7 @@
 	return nil
 }
 
-// options combines the flags with the values of the site file. Flags take precedence.
+// options combines flags and site file. Flags take precedence.
 func (c *Command) options() (Options, error) {
 	options := Options{
 		Theme:      c.Theme,
@@ -88,7 +87,6 @@
 	return options, c.check(options)
 }
 
-// check returns an error if no day can be generated from the options.
 func (c *Command) check(options Options) error {
 	if _, known := themeNamed(c.Theme); !known && c.Theme != themeRotation {
 		return errors.Newf("unknown theme %q", c.Theme)
--- a/rehearsalkit/days/day.go
+++ b/rehearsalkit/days/day.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// Closing is the fault at the end of a day: its kind, the downtime in seconds and the variant.
+// Closing is the fault at the end of a day. DownS is in seconds, How is the variant.
 type Closing struct {
 	Kind  string
 	DownS float64
 	How   string
 }
 
-// Day is a generated day: the faults and planned work that the bench applies to a deployment.
+// Day is a schedule of faults and planned work that the bench applies to a deployment.
 type Day struct {
 	Name    string
 	Seed    uint64
@@ -23,7 +23,7 @@
 	Floor   float64
 	Entries []Entry
 	Closing *Closing
-	// Traffic lists the day's traffic as inline TOML; empty keeps the deployment's own.
+	// Traffic is inline TOML; empty keeps the deployment's own.
 	Traffic []string
 }
 
@@ -34,7 +34,8 @@
 	fmt.Fprintf(&text, "length_s = %s\none = 1.0\nzero = 0.6\nwall = 30.0\nlabels = []\n", decimal(d.LengthS))
 	fmt.Fprintf(&text, "goal = { floor = %s }\n", decimal(d.Floor))
 	if d.Closing != nil {
-		fmt.Fprintf(&text, "closing = { kind = %s, down_s = %s, how = %s }\n", strconv.Quote(d.Closing.Kind), decimal(d.Closing.DownS), strconv.Quote(d.Closing.How))
+		fmt.Fprintf(&text, "closing = { kind = %s, down_s = %s, how = %s }\n",
+			strconv.Quote(d.Closing.Kind), decimal(d.Closing.DownS), strconv.Quote(d.Closing.How))
 	}
 	writeList(&text, "plan", d.lines(true))
 	writeList(&text, "faults", d.lines(false))
@@ -44,7 +45,7 @@
 	return text.String()
 }
 
-// lines returns the planned entries of the day, or its faults, in the order of their times.
+// lines returns the planned entries, or the faults, by time.
 func (d Day) lines(planned bool) []string {
 	var lines []string
 	for _, entry := range d.Entries {
@@ -55,7 +56,6 @@
 	return lines
 }
 
-// writeList writes a TOML array with one element a line.
 func writeList(text *strings.Builder, name string, lines []string) {
 	fmt.Fprintf(text, "%s = [\n", name)
 	for _, line := range lines {
@@ -69,11 +69,11 @@
 	Theme   string
 	LengthS float64
 	Floor   float64
-	// MaxLosses is how many machines of a group may be lost at the same time.
+	// MaxLosses is how many machines of a group may be lost at once.
 	MaxLosses int
 	// CatchUpS is how long a machine still counts as lost after its return.
 	CatchUpS float64
-	// MeanPauseS is the mean time between the starts of two sequences of the theme.
+	// MeanPauseS is the mean time between the starts of two sequences.
 	MeanPauseS float64
 	Closing    string
 	Targets    targets
@@ -86,7 +86,6 @@
 	quietEndS   = 6.0
 )
 
-// closingVariants lists the variants of each closing fault.
 var closingVariants = map[string][]string{
 	"power_off_all":  {"all", "timed", "taken"},
 	"wipe_after_ack": {"", "all", "timed", "taken"},
@@ -124,14 +123,13 @@
 // randomStream separates these random numbers from those of other users of a seed.
 const randomStream = 0x646179
 
-// Values of the flag for the closing fault that name no single fault.
+// Closing flags that name no single fault.
 const (
 	closingRandom = "random"
 	closingNone   = "none"
 )
 
-// drawClosing draws the downtime and the variant of a closing fault, and its kind if that is
-// to be random.
+// drawClosing draws the downtime and the variant, and for closingRandom the kind.
 func drawClosing(random *rand.Rand, kind string) *Closing {
 	if kind == closingRandom {
 		kind = pick(random, []string{closingNone, "power_off_all", "wipe_after_ack", "kill_all"})
--- a/rehearsalkit/days/days_test.go
+++ b/rehearsalkit/days/days_test.go
@@ -9,12 +9,11 @@
 	"github.com/BurntSushi/toml"
 )
 
-// optionsFor returns options for a theme, with one loss at a time.
 func optionsFor(theme string) Options {
 	return Options{Theme: theme, LengthS: 60, Floor: 0.3, MaxLosses: 1, CatchUpS: 4.5, MeanPauseS: 2, Closing: closingRandom}
 }
 
-// TestSameSeedSameBytes checks that days depend on the seed and the options alone.
+// Days must depend on the seed and the options alone.
 func TestSameSeedSameBytes(t *testing.T) {
 	for _, theme := range Themes {
 		first, second := Generate(optionsFor(theme.Name), 7).Text(), Generate(optionsFor(theme.Name), 7).Text()
@@ -27,7 +26,6 @@
 	}
 }
 
-// TestEveryKindAndVariantIsDrawn guards against kinds and variants that no seed reaches.
 func TestEveryKindAndVariantIsDrawn(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(400) {
@@ -48,7 +46,6 @@
 	}
 }
 
-// TestThemesNameKnownKindsAndVariants guards against steps that name unknown kinds or fields.
 func TestThemesNameKnownKindsAndVariants(t *testing.T) {
 	for _, theme := range Themes {
 		steps := append([]Step{}, theme.Planned...)
@@ -83,8 +80,6 @@
 	return false
 }
 
-// TestConcurrentLossesStayWithinLimit counts the lost machines of a group at the start of each
-// loss.
 func TestConcurrentLossesStayWithinLimit(t *testing.T) {
 	for _, theme := range Themes {
 		for limit := 1; limit <= 2; limit++ {
@@ -117,7 +112,6 @@
 	return a.Kind.CausesLoss && b.Kind.CausesLoss && stores(a) == stores(b)
 }
 
-// TestDaysAreDense guards against days with few entries.
 func TestDaysAreDense(t *testing.T) {
 	for _, theme := range Themes {
 		entries := 0
@@ -133,7 +127,6 @@
 	}
 }
 
-// TestSecondLossFollowsRepairImmediately checks that the repair theme places a loss right after a repair.
 func TestSecondLossFollowsRepairImmediately(t *testing.T) {
 	closest := 1000.0
 	for seed := range uint64(50) {
@@ -154,7 +147,6 @@
 	}
 }
 
-// TestTextParsesAsTOML checks that the text of a day holds all of its entries.
 func TestTextParsesAsTOML(t *testing.T) {
 	for _, theme := range Themes {
 		options := optionsFor(theme.Name)
@@ -180,7 +172,6 @@
 	}
 }
 
-// TestSiteFileSetsTrafficAndTolerance checks the values that are read from a site file.
 func TestSiteFileSetsTrafficAndTolerance(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "site.toml")
@@ -210,7 +201,6 @@
 	}
 }
 
-// TestInvalidFlagsAreRejected checks that each invalid flag is an error.
 func TestInvalidFlagsAreRejected(t *testing.T) {
 	valid := Command{Theme: "cut", Length: 30, Pause: 2, Closing: closingNone}
 	for name, invalidate := range map[string]func(*Command){
--- a/rehearsalkit/days/draw.go
+++ b/rehearsalkit/days/draw.go
@@ -11,8 +11,7 @@
 	services, classes []string
 }
 
-// drawEntry draws an entry of a kind. Fields come from the ranges of the step where it has
-// them, and from those of the kind otherwise.
+// drawEntry draws fields from the step's ranges, or else from those of the kind.
 func drawEntry(random *rand.Rand, step Step, kind Kind, names targets) Entry {
 	entry := Entry{Kind: kind, Group: drawGroup(random, step, kind)}
 	for _, field := range kind.Fields {
@@ -34,8 +33,7 @@
 	return entry
 }
 
-// draw picks a target for a kind that takes one. An empty name leaves the choice to the
-// bench.
+// draw returns a target, or "" if the choice is left to the bench.
 func (t targets) draw(random *rand.Rand, kind Kind) string {
 	switch kind.Target {
 	case targetService:
@@ -46,7 +44,7 @@
 	return ""
 }
 
-// drawGroup returns the step's group if the kind allows it, or a random one of the kind's.
+// drawGroup prefers the step's group if the kind allows it.
 func drawGroup(random *rand.Rand, step Step, kind Kind) Group {
 	if step.Group != AnyGroup && slices.Contains(kind.Groups, step.Group) {
 		return step.Group
@@ -57,7 +55,6 @@
 	return kind.Groups[random.IntN(len(kind.Groups))]
 }
 
-// drawNumber draws a number uniformly from a field's range.
 func drawNumber(random *rand.Rand, field Field) float64 {
 	number := field.Min + random.Float64()*(field.Max-field.Min)
 	if field.Whole {
@@ -66,7 +63,7 @@
 	return rounded(number)
 }
 
-// rounded rounds a number to three decimal places.
+// rounded rounds to three decimal places.
 func rounded(number float64) float64 {
 	return math.Round(number*1000) / 1000
 }
--- a/rehearsalkit/days/entry.go
+++ b/rehearsalkit/days/entry.go
@@ -13,8 +13,7 @@
 	Text   string
 }
 
-// Entry is one fault or one piece of planned work of a day. AtS is its time in seconds from
-// the start of the day.
+// Entry is a fault or planned work. AtS is in seconds from the start of the day.
 type Entry struct {
 	AtS    float64
 	Kind   Kind
@@ -22,7 +21,6 @@
 	Values []Value
 }
 
-// number returns the value of a numeric field, and whether the entry has it.
 func (e Entry) number(name string) (float64, bool) {
 	for _, value := range e.Values {
 		if value.Name == name && value.Text == "" {
@@ -32,7 +30,7 @@
 	return 0, false
 }
 
-// text returns the value of a text field, or "" if the entry lacks it.
+// text returns "" if the entry lacks the field.
 func (e Entry) text(name string) string {
 	for _, value := range e.Values {
 		if value.Name == name {
@@ -42,13 +40,12 @@
 	return ""
 }
 
-// set sets the value of a numeric field.
 func (e *Entry) set(name string, number float64) {
 	e.Values = slices.DeleteFunc(e.Values, func(v Value) bool { return v.Name == name })
 	e.Values = append(e.Values, Value{Name: name, Number: number})
 }
 
-// lossDurationS returns how many seconds the entry keeps machines away, without catching up.
+// lossDurationS excludes the time to catch up.
 func (e Entry) lossDurationS() float64 {
 	length := e.Kind.DefaultLossS
 	if value, ok := e.number(fieldDuration); ok {
@@ -60,7 +57,6 @@
 	return length
 }
 
-// machinesLost returns how many machines the entry takes away at the same time.
 func (e Entry) machinesLost() int {
 	if !e.Kind.CausesLoss {
 		return 0
@@ -87,7 +83,7 @@
 	return "{ " + strings.Join(parts, ", ") + " }"
 }
 
-// decimal formats a number with at most three decimal places.
+// decimal keeps at most three decimal places.
 func decimal(number float64) string {
 	return strconv.FormatFloat(rounded(number), 'f', -1, 64)
 }
--- a/rehearsalkit/days/generator.go
+++ b/rehearsalkit/days/generator.go
@@ -4,7 +4,6 @@
 	"math/rand/v2"
 )
 
-// generator collects the entries of a day.
 type generator struct {
 	options  Options
 	random   *rand.Rand
@@ -22,15 +21,15 @@
 	return g.options.MeanPauseS * (0.4 + 1.2*g.random.Float64())
 }
 
-// addSequences fills the day with sequences of the theme. Each begins a pause after the start
-// of the previous one, so that long ones overlap.
+// addSequences begins each sequence a pause after the start of the previous one, so that long ones
+// overlap.
 func (g *generator) addSequences(theme Theme) {
 	for at := firstEntryS + g.pause(); at < g.endS(); at += g.pause() {
 		g.placeSequence(g.drawSequence(theme), at)
 	}
 }
 
-// drawSequence draws a sequence of the theme, or a single step of any kind if it has none.
+// drawSequence returns a single step of any kind if the theme has no sequences.
 func (g *generator) drawSequence(theme Theme) []Step {
 	if len(theme.Sequences) == 0 {
 		return []Step{{Kind: Kinds[g.random.IntN(len(Kinds))].Name}}
@@ -38,8 +37,7 @@
 	return theme.Sequences[g.random.IntN(len(theme.Sequences))]
 }
 
-// placeSequence adds the steps of a sequence, up to the first that would be past the day's
-// end.
+// placeSequence adds steps up to the first that would be past the day's end.
 func (g *generator) placeSequence(steps []Step, at float64) {
 	for _, step := range steps {
 		at += drawNumber(g.random, step.AfterS)
@@ -64,7 +62,7 @@
 	return false
 }
 
-// add draws a step's entry and adds it, if it still fits into the day.
+// add adds a step's entry if it fits into the day.
 func (g *generator) add(step Step, at float64) (Entry, bool) {
 	kind, known := kindNamed(step.Kind)
 	if !known {
@@ -82,7 +80,6 @@
 	return entry, true
 }
 
-// addPlanned adds the theme's planned work throughout the day.
 func (g *generator) addPlanned(theme Theme) {
 	if len(theme.Planned) == 0 {
 		return
@@ -92,7 +89,6 @@
 	}
 }
 
-// addChanges adds single changes of the configuration throughout the day.
 func (g *generator) addChanges(theme Theme) {
 	if theme.ChangesS.Max == 0 {
 		return
--- a/rehearsalkit/days/schedule.go
+++ b/rehearsalkit/days/schedule.go
@@ -1,7 +1,6 @@
 package days
 
-// lossSchedule records when machines are lost, and keeps the number of machines of a group
-// that are lost at the same time within maxMachines.
+// lossSchedule keeps the simultaneous losses of a group within maxMachines.
 type lossSchedule struct {
 	maxMachines int
 	catchUpS    float64
@@ -15,8 +14,7 @@
 	machines   int
 }
 
-// lossOf returns the interval in which an entry keeps machines away, including the time to
-// catch up.
+// lossOf includes the time to catch up.
 func (l *lossSchedule) lossOf(entry Entry) loss {
 	group := entry.Group
 	if group != Store {
@@ -28,8 +26,8 @@
 	return loss{group: group, fromS: entry.AtS, toS: entry.AtS + entry.lossDurationS() + l.catchUpS, machines: entry.machinesLost()}
 }
 
-// place delays an entry until its loss fits beside the others, and records the loss. The
-// number of its machines is reduced to maxMachines where it is larger.
+// place delays an entry until its loss fits, and records it. It reduces the entry's machines to
+// maxMachines.
 func (l *lossSchedule) place(entry Entry) Entry {
 	if entry.machinesLost() == 0 {
 		return entry
@@ -48,10 +46,10 @@
 	}
 }
 
-// lossGapS is the time in seconds between the end of a loss and the start of the next one.
+// lossGapS is the time in seconds between two successive losses.
 const lossGapS = 0.05
 
-// fits reports whether a loss fits, and otherwise when the first conflicting loss ends.
+// If a loss does not fit, until is the end of the first conflicting one.
 func (l *lossSchedule) fits(candidate loss) (until float64, fits bool) {
 	taken := candidate.machines
 	for _, other := range l.losses {
--- a/rehearsalkit/days/site.go
+++ b/rehearsalkit/days/site.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// site is the part of a deployment's site file that days need.
+// site is the part of a site file that days need.
 type site struct {
 	Traffic []map[string]any `toml:"traffic"`
 	Timing  struct {
@@ -21,7 +21,6 @@
 	} `toml:"tolerate"`
 }
 
-// readSite reads a site file.
 func readSite(path string) (site, error) {
 	var read site
 	if _, err := toml.DecodeFile(path, &read); err != nil {
@@ -30,7 +29,7 @@
 	return read, nil
 }
 
-// traffic returns the deployment's traffic as inline TOML, with its rates multiplied by load.
+// traffic returns the traffic as inline TOML, with its rates multiplied by load.
 func (s site) traffic(load float64) ([]string, error) {
 	var lines []string
 	for _, source := range s.Traffic {
@@ -48,7 +47,7 @@
 	return lines, nil
 }
 
-// inline returns a value as TOML on a single line, with sorted keys.
+// inline returns TOML on a single line, with sorted keys.
 func inline(value any) string {
 	switch typed := value.(type) {
 	case map[string]any:
--- a/rehearsalkit/faultdisk/core.go
+++ b/rehearsalkit/faultdisk/core.go
@@ -28,8 +28,7 @@
 // Run runs the core until it is told to end. It returns an error if the core can't start.
 func (c *Command) Run() error {
 	return role.Start(c.Settings, func(ctx context.Context, p params.Params, adopt <-chan params.Params, log logr.Logger) error {
-		// The disk has its own context, because the core still writes while it drains after
-		// ctx has ended.
+		// The disk outlives ctx, because the core still writes while it drains.
 		diskCtx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		d := New(diskCtx, c.Seed)
@@ -44,8 +43,8 @@
 	})
 }
 
-// controlHandler serves PUT /faults, with the parameters full, stalled and slow_ms, and
-// POST /power, which applies a loss of power and ends the process.
+// controlHandler serves PUT /faults (full, stalled, slow_ms) and POST /power, which applies a loss
+// of power and ends the process.
 func controlHandler(d *Disk) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, r *http.Request) {
@@ -54,7 +53,11 @@
 		if err != nil {
 			slow = 0
 		}
-		d.SetFaults(Faults{Full: q.Get("full") == "true", Stalled: q.Get("stalled") == "true", Slow: time.Duration(slow) * time.Millisecond})
+		d.SetFaults(Faults{
+			Full:    q.Get("full") == "true",
+			Stalled: q.Get("stalled") == "true",
+			Slow:    time.Duration(slow) * time.Millisecond,
+		})
 		w.WriteHeader(http.StatusNoContent)
 	})
 	mux.HandleFunc("POST /power", func(w http.ResponseWriter, r *http.Request) {
--- a/rehearsalkit/faultdisk/disk.go
+++ b/rehearsalkit/faultdisk/disk.go
@@ -1,8 +1,6 @@
-// Package faultdisk is a file system with injected faults: it keeps real files in real
-// folders, on a disk that can be full, slow or stalled, and can lose power. Synced data
-// survives a loss of power; later writes and later changes of names are kept, lost or torn at
-// random. A single goroutine owns the state of the disk, and all operations go through it.
-// Start reading at Disk.LosePower.
+// Package faultdisk is a file system of real files whose disk can be full, slow or stalled, and can
+// lose power. Synced data survives a loss of power; later writes and changes of names are kept,
+// lost or torn at random. One goroutine owns the state. Start reading at Disk.LosePower.
 package faultdisk
 
 import (
@@ -19,11 +17,11 @@
 	"saffronfall/peer/disk"
 )
 
-// Faults are the faults that are currently injected; the zero value is none.
+// Faults are the injected faults; the zero value is none.
 type Faults struct {
 	// Full makes writes end short with ENOSPC.
 	Full bool
-	// Stalled blocks operations until it is cleared. Slow is added to the duration of each.
+	// Stalled blocks operations. Slow is added to the duration of each.
 	Stalled bool
 	Slow    time.Duration
 }
@@ -31,7 +29,7 @@
 // Disk is a disk with injected faults. It implements the file system of peer/disk.
 type Disk struct {
 	ctx context.Context
-	// operations are executed one at a time by the goroutine that owns the state.
+	// operations run one at a time in the goroutine that owns the state.
 	operations chan func(s *state)
 }
 
@@ -39,14 +37,13 @@
 type state struct {
 	faults Faults
 	random *rand.Rand
-	// current maps the present names to files, durable the names that surely survive a loss
-	// of power.
+	// current maps present names to files, durable those that surely survive a loss of power.
 	current, durable map[string]*file
-	// nameChanges are the changes of names since their folder was synced, oldest first.
+	// nameChanges are the changes since their folder was synced, oldest first.
 	nameChanges []nameChange
 }
 
-// nameChange is a rename. Without from it creates the file, without to it removes it.
+// nameChange is a rename. Without from it is a creation, without to a removal.
 type nameChange struct {
 	from, to string
 	file     *file
@@ -65,7 +62,6 @@
 	truncate bool
 }
 
-// apply returns the content after the write.
 func (w write) apply(content []byte) []byte {
 	if w.truncate {
 		return resized(content, w.offset)
@@ -78,15 +74,15 @@
 	return content
 }
 
-// resized returns a copy of the content, cut off or extended by zeros.
+// resized returns a copy, cut off or extended by zeros.
 func resized(content []byte, size int64) []byte {
 	fresh := make([]byte, size)
 	copy(fresh, content)
 	return fresh
 }
 
-// New returns a disk without faults. Once the context has ended, its operations fail. The
-// seed determines what losses of power take.
+// New returns a disk without faults. Its operations fail once ctx has ended. The seed determines
+// what losses of power take.
 func New(ctx context.Context, seed uint64) *Disk {
 	d := &Disk{ctx: ctx, operations: make(chan func(s *state))}
 	s := &state{random: rand.New(rand.NewPCG(seed, 7)), current: map[string]*file{}, durable: map[string]*file{}}
@@ -103,7 +99,7 @@
 	return d
 }
 
-// do runs a function in the goroutine that owns the state, and waits for it.
+// do runs operation in the goroutine that owns the state, and waits for it.
 func (d *Disk) do(operation func(s *state) error) error {
 	done := make(chan error, 1)
 	select {
@@ -122,10 +118,9 @@
 	})
 }
 
-// stallPollInterval is how often an operation checks whether the disk is still stalled.
 const stallPollInterval = 5 * time.Millisecond
 
-// awaitReady waits while the disk is stalled, and for the delay of a slow disk.
+// awaitReady waits for the end of a stall, and for the delay of a slow disk.
 func (d *Disk) awaitReady() error {
 	for waited := false; ; {
 		var f Faults
@@ -152,7 +147,7 @@
 	}
 }
 
-// lookup returns the file of a name, and reads it from the real disk at its first use.
+// lookup reads a file from the real disk at its first use.
 func (s *state) lookup(name string) (*file, error) {
 	if f, ok := s.current[name]; ok {
 		return f, nil
@@ -203,7 +198,7 @@
 	return os.ReadFile(name)
 }
 
-// Rename renames a file. The change is durable after a sync of the folder.
+// Rename renames a file. A sync of the folder makes it durable.
 func (d *Disk) Rename(from, to string) error {
 	if err := d.awaitReady(); err != nil {
 		return err
@@ -226,7 +221,7 @@
 	})
 }
 
-// Remove removes a file. The change is durable after a sync of the folder.
+// Remove removes a file. A sync of the folder makes it durable.
 func (d *Disk) Remove(name string) error {
 	if err := d.awaitReady(); err != nil {
 		return err
@@ -264,7 +259,6 @@
 	})
 }
 
-// apply applies the change to a map of names.
 func (r nameChange) apply(names map[string]*file) {
 	if r.from != "" && names[r.from] == r.file {
 		delete(names, r.from)
@@ -291,9 +285,9 @@
 	s.nameChanges = kept
 }
 
-// LosePower replaces the real files by what a loss of power leaves of them, and then calls
-// end while no other operation can run. A process that uses the disk must exit in end. It
-// returns an error if the files can't be written.
+// LosePower replaces the real files by what a loss of power leaves, then calls end while no other
+// operation can run. A process that uses the disk must exit in end. It fails if files can't be
+// written.
 func (d *Disk) LosePower(end func()) error {
 	return d.do(func(s *state) error {
 		if err := s.losePower(); err != nil {
@@ -305,9 +299,9 @@
 }
 
 const (
-	// loseAllProbability is the probability that a loss of power takes every unsynced write.
+	// loseAllProbability is how likely all unsynced writes are lost together.
 	loseAllProbability = 0.3
-	// sectorSize is the unit, in bytes, in which a torn write is kept or lost.
+	// sectorSize is the unit, in bytes, of a torn write.
 	sectorSize = 512
 )
 
@@ -338,7 +332,7 @@
 	return nil
 }
 
-// applyRandomly keeps, loses or tears a write. A truncation is never torn.
+// A truncation is never torn.
 func (s *state) applyRandomly(content []byte, w write) []byte {
 	switch s.random.IntN(3) {
 	case 0:
@@ -368,8 +362,7 @@
 	appendOnly bool
 }
 
-// Write writes at the handle's offset. On a full disk it writes a random part of the data and
-// returns ENOSPC.
+// Write writes a random part on a full disk, and returns ENOSPC.
 func (h *handle) Write(raw []byte) (written int, err error) {
 	if err := h.disk.awaitReady(); err != nil {
 		return 0, err
--- a/rehearsalkit/faultdisk/disk_test.go
+++ b/rehearsalkit/faultdisk/disk_test.go
@@ -12,7 +12,6 @@
 	"saffronfall/peer/disk"
 )
 
-// openStore opens the product's store in a folder on a new disk.
 func openStore(t *testing.T, seed uint64, path string) (*Disk, *disk.Store, disk.Contents) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -25,8 +24,6 @@
 	return d, f, contents
 }
 
-// TestSyncedDataSurvivesPowerLoss: after a loss of power the product's store still holds
-// everything that it acknowledged, whatever became of later writes.
 func TestSyncedDataSurvivesPowerLoss(t *testing.T) {
 	tornTails := 0
 	for seed := uint64(0); seed < 150; seed++ {
@@ -56,7 +53,7 @@
 				}
 				acknowledged++
 			}
-			// Write one more frame without a sync.
+			// Leave one more frame unsynced.
 			handle, err := d.OpenFile(filepath.Join(path, fmt.Sprintf("log-%d", (run+1)%2)), os.O_RDWR|os.O_APPEND, 0o600)
 			if err != nil {
 				t.Fatal(err)
@@ -74,8 +71,6 @@
 	}
 }
 
-// TestPowerLossMayDropUnsyncedWrites: some losses of power drop an unsynced write, others
-// keep it.
 func TestPowerLossMayDropUnsyncedWrites(t *testing.T) {
 	sizes := map[int]int{}
 	for seed := uint64(0); seed < 100; seed++ {
@@ -103,7 +98,7 @@
 	}
 }
 
-// TestFullDisk: a write to a full disk fails, and earlier data stays.
+// A failed write must keep earlier data.
 func TestFullDisk(t *testing.T) {
 	path := t.TempDir()
 	d, f, _ := openStore(t, 1, path)
--- a/rehearsalkit/fleetcommand.go
+++ b/rehearsalkit/fleetcommand.go
@@ -15,7 +15,6 @@
 	"saffronfall/rehearsalkit/setup"
 )
 
-// fleetCommand is the fleet command.
 type fleetCommand struct {
 	Layout   string        `help:"Which fleet: small, aire or mahoe." default:"small"`
 	Binary   string        `help:"The saffronfall program." default:"bin/saffronfall" type:"path"`
@@ -28,8 +27,7 @@
 	Logs     bool          `help:"Print the processes' logs."`
 }
 
-// Run starts a fleet, runs requesters and a scenario on it, and checks what requesters and
-// back ends saw.
+// Run starts a fleet, runs a scenario on it, and checks what requesters and back ends saw.
 func (c *fleetCommand) Run() error {
 	layout, cleanUp, err := c.prepare()
 	if err != nil {
@@ -55,7 +53,8 @@
 	fmt.Printf("fleet up after %v: %d cores, %d nodes\n", time.Since(began).Round(time.Millisecond), layout.Cores, layout.Nodes)
 	if c.Work {
 		idle := f.Idle(ctx, 5*time.Second)
-		fmt.Printf("  idle, all cores, a second: %d commands, %d writes, %d syncs, %d messages\n", idle.Commands, idle.Writes, idle.Syncs, idle.Messages)
+		fmt.Printf("  idle, all cores, a second: %d commands, %d writes, %d syncs, %d messages\n",
+			idle.Commands, idle.Writes, idle.Syncs, idle.Messages)
 	}
 	before := f.Work(ctx)
 	done := make(chan struct{})
@@ -69,8 +68,9 @@
 	record, breaches := f.Finish(ctx)
 	printRecord(record)
 	if attempts := float64(len(record.Attempts)); c.Work && attempts > 0 {
-		fmt.Printf("  for each shot, all cores: %.1f commands, %.1f writes, %.1f syncs, %.1f messages\n", float64(after.Commands-before.Commands)/attempts,
-			float64(after.Writes-before.Writes)/attempts, float64(after.Syncs-before.Syncs)/attempts, float64(after.Messages-before.Messages)/attempts)
+		fmt.Printf("  for each shot, all cores: %.1f commands, %.1f writes, %.1f syncs, %.1f messages\n",
+			float64(after.Commands-before.Commands)/attempts, float64(after.Writes-before.Writes)/attempts,
+			float64(after.Syncs-before.Syncs)/attempts, float64(after.Messages-before.Messages)/attempts)
 	}
 	logs := f.Logs()
 	if c.Logs {
@@ -83,8 +83,8 @@
 	return verdict(record, breaches, logs)
 }
 
-// prepare returns the layout with its program and folder, and checks that both exist. The
-// caller must call cleanUp, which removes a temporary folder.
+// prepare checks that the program and the folder exist. The caller must call cleanUp, which
+// removes a temporary folder.
 func (c *fleetCommand) prepare() (layout fleet.Layout, cleanUp func(), err error) {
 	layout, ok := fleet.Layouts[c.Layout]
 	if !ok {
@@ -112,8 +112,7 @@
 	return layout, cleanUp, setup.EnsureFolder(layout.Folder)
 }
 
-// verdict prints the breaches. It fails if there are any, if a process logged a crash or a
-// data race, or if no turn was served.
+// verdict fails on a breach, a logged crash or data race, or if no turn was served.
 func verdict(record *judge.Record, breaches []judge.Breach, logs string) error {
 	for _, b := range breaches {
 		fmt.Println("BROKEN", b)
--- a/rehearsalkit/main.go
+++ b/rehearsalkit/main.go
@@ -1,6 +1,6 @@
-// Command rehearsalkit tests saffronfall under injected faults: with seeded simulators, with
-// fleets of real processes on one machine, with a model checker and with deliberate breaks of
-// the code. It is never deployed. Each field of commands is one subcommand.
+// Command rehearsalkit tests saffronfall with seeded simulators, fleets of real processes, a model
+// checker and deliberate breaks of the code. It is never deployed. Each field of commands is one
+// subcommand.
 package main
 
 import (
@@ -32,8 +32,7 @@
 	"saffronfall/rule/ordered"
 )
 
-// printRecord prints what requesters and back ends saw in a run, and which situations it
-// reached.
+// printRecord prints what requesters and back ends saw, and the situations that came about.
 func printRecord(r *judge.Record) {
 	counts := map[string]int{}
 	for _, a := range r.Requests {
@@ -61,7 +60,8 @@
 	}
 	fmt.Printf("  back ends saw  %-42s %d\n", "shots", len(r.Attempts))
 	if out := r.Outages(); len(out) > 0 {
-		fmt.Printf("  conversations hindered: %d; served again after: half %v, all %v\n", len(out), out[len(out)/2].Round(time.Millisecond), out[len(out)-1].Round(time.Millisecond))
+		fmt.Printf("  conversations hindered: %d; served again after: half %v, all %v\n",
+			len(out), out[len(out)/2].Round(time.Millisecond), out[len(out)-1].Round(time.Millisecond))
 	}
 	situations := r.Situations()
 	for _, name := range ordered.Keys(situations) {
@@ -70,7 +70,6 @@
 	fmt.Printf("  longest time with no whole return: %v\n", r.LongestGap().Round(time.Millisecond))
 }
 
-// simulateCommand runs the simulator over seeds.
 type simulateCommand struct {
 	Seeds int    `help:"How many seeds." default:"100"`
 	First uint64 `help:"First seed; 0: a random one, which is printed." default:"0"`
@@ -110,17 +109,14 @@
 	return nil
 }
 
-// relaysimCommand runs the simulator of the relaying tier over seeds.
 type relaysimCommand struct {
-	Seeds int    `help:"How many seeds." default:"100"`
-	First uint64 `help:"First seed; 0: a random one, which is printed." default:"0"`
-	Logs  bool   `help:"Print what happens in each run; for single seeds."`
-	// Scenario names a run with its own workload and faults.
+	Seeds    int    `help:"How many seeds." default:"100"`
+	First    uint64 `help:"First seed; 0: a random one, which is printed." default:"0"`
+	Logs     bool   `help:"Print what happens in each run; for single seeds."`
 	Scenario string `help:"A named scenario (docs/worst-days.md) instead of the seeded day."`
 	Workers  int    `help:"How many seeds of a scenario run in parallel." default:"4"`
 }
 
-// runScenario runs a named scenario over seeds.
 func (c *relaysimCommand) runScenario(first uint64, logf func(format string, args ...any)) error {
 	scenario, err := relaysim.ScenarioNamed(c.Scenario)
 	if err != nil {
@@ -149,7 +145,7 @@
 	return nil
 }
 
-// maxPrintedBreaches is how many breaches of one seed of a scenario are printed.
+// maxPrintedBreaches limits the printed breaches of one seed of a scenario.
 const maxPrintedBreaches = 12
 
 func (c *relaysimCommand) Run() error {
@@ -194,7 +190,6 @@
 	return nil
 }
 
-// termsCommand measures the effects of the lease duration of members.
 type termsCommand struct {
 	Terms []time.Duration `help:"Lease durations of members." default:"2s,5s,15s,40s"`
 	Cuts  []time.Duration `help:"How long all cores are disconnected." default:"1s,5s,30s"`
@@ -209,7 +204,8 @@
 		for _, cut := range c.Cuts {
 			fmt.Printf(" cut of %v: %.1f%% whole;", cut, 100*t.Served[cut])
 		}
-		fmt.Printf(" successor after %v; configuration with a node dead taken after %v\n", t.MaxFailover.Round(10*time.Millisecond), t.MaxConfigurationDelay.Round(10*time.Millisecond))
+		fmt.Printf(" successor after %v; configuration with a node dead taken after %v\n",
+			t.MaxFailover.Round(10*time.Millisecond), t.MaxConfigurationDelay.Round(10*time.Millisecond))
 		for _, b := range t.Breaches {
 			broken++
 			fmt.Println("BROKEN", b)
@@ -221,7 +217,6 @@
 	return nil
 }
 
-// crashCommand crashes processes at every point of every operation.
 type crashCommand struct {
 	Every int `help:"Execute only one in this many runs." default:"1"`
 }
@@ -239,7 +234,6 @@
 	return nil
 }
 
-// loadsCommand measures overload and the use of quotas.
 type loadsCommand struct {
 	Seeds uint64 `help:"Seeds for each setting." default:"5"`
 }
@@ -249,7 +243,8 @@
 	for seed := uint64(1); seed <= c.Seeds; seed++ {
 		m := simulator.MeasureCrowd(seed)
 		broken += len(m.Breaches)
-		fmt.Printf("crowd, seed %d: alerts through in calm %d of %d (half %v, nine of ten %v), in the crowd %d of %d (half %v, nine of ten %v); turns whole %d of %d\n", seed,
+		fmt.Printf("crowd, seed %d: alerts through in calm %d of %d (half %v, nine of ten %v), in the crowd %d of %d (half %v, nine of ten %v); turns whole %d of %d\n",
+			seed,
 			m.Succeeded[0], m.Alerts[0], m.Median[0].Round(time.Millisecond), m.P90[0].Round(time.Millisecond),
 			m.Succeeded[1], m.Alerts[1], m.Median[1].Round(time.Millisecond), m.P90[1].Round(time.Millisecond), m.SucceededTurns, m.Turns)
 	}
@@ -268,17 +263,14 @@
 	return nil
 }
 
-// breaksCommand checks that deliberate breaks of the code are found.
 type breaksCommand struct {
-	Seeds int    `help:"Maximum number of seeds that are tried to find a break." default:"80"`
-	Root  string `help:"Root of the workspace." default:"." type:"path"`
-	Rule  int    `help:"Only the breaks of this rule; 0: all." default:"0"`
-	// Checker selects the breaks that the model checker must find.
-	Checker bool `help:"The breaks that the model checker must find, instead of those of rules."`
-	// Soak selects the breaks that the soak must find, Jobs how many run in parallel.
-	Soak bool   `help:"The breaks that the soak of real processes must find."`
-	Jobs int    `help:"With --soak: how many breaks are tried in parallel." default:"3"`
-	Only string `help:"With --checker or --soak: only the breaks whose description contains this text."`
+	Seeds   int    `help:"Maximum number of seeds that are tried to find a break." default:"80"`
+	Root    string `help:"Root of the workspace." default:"." type:"path"`
+	Rule    int    `help:"Only the breaks of this rule; 0: all." default:"0"`
+	Checker bool   `help:"The breaks that the model checker must find, instead of those of rules."`
+	Soak    bool   `help:"The breaks that the soak of real processes must find."`
+	Jobs    int    `help:"With --soak: how many breaks are tried in parallel." default:"3"`
+	Only    string `help:"With --checker or --soak: only the breaks whose description contains this text."`
 }
 
 func (c *breaksCommand) runChecker() error {
@@ -301,7 +293,6 @@
 	return nil
 }
 
-// soakResult is the result of running the soak over one break.
 type soakResult struct {
 	target breaks.SoakBreak
 	found  string
@@ -370,7 +361,6 @@
 	return nil
 }
 
-// backendCommand runs one stand-in back end.
 type backendCommand struct {
 	Service string   `help:"Name of the service." default:"model"`
 	ID      string   `help:"Name of the replica." default:"stand-in"`
@@ -386,7 +376,6 @@
 	return fleet.Backend(ctx, c.Service, c.ID, c.Zone, c.Address, c.Node, c.Key)
 }
 
-// commands are the subcommands.
 var commands struct {
 	Backend    backendCommand     `cmd:"" help:"Run one stand-in back end."`
 	Fleet      fleetCommand       `cmd:"" help:"Run a fleet of processes with stand-in requesters and back ends, and check the rules."`
--- a/rehearsalkit/modelcheck/action.go
+++ b/rehearsalkit/modelcheck/action.go
@@ -1,10 +1,8 @@
 // Package modelcheck explores the reachable states of a group of partition machines
-// (rule/partition) and checks safety properties in each of them. It runs the shipped
-// state machine; only the network, the disks, the clocks and the clients are
-// modelled. Applying an action to a World never changes that world, so that states
-// can be shared between traces and workers. Start reading at World (one state),
-// Action (one step), Scenario (initial state and bounds) and Explore (breadth-first
-// search).
+// (rule/partition) and checks safety properties in each. The state machine is the shipped one; the
+// network, the disks, the clocks and the callers are modelled. Applying an action never changes its
+// World, so that traces and workers can share states. Start reading at World, Action, Scenario and
+// Explore.
 package modelcheck
 
 import (
@@ -15,49 +13,43 @@
 
 // Kinds of actions.
 const (
-	// Advance advances true time by one quantum for all processes.
+	// Advance advances true time by one quantum.
 	Advance = "advance"
-	// Tick calls a machine's periodic step with its clock's current time.
+	// Tick calls a machine's periodic step.
 	Tick = "tick"
-	// Deliver delivers a message and leaves its answer in flight. Exchange also delivers
-	// the answer.
+	// Deliver leaves the answer to a message in flight, Exchange delivers it too.
 	Deliver  = "deliver"
 	Exchange = "exchange"
-	// Duplicate delivers a message and keeps it in flight. No action drops a message:
-	// one that is never delivered is lost.
+	// Duplicate keeps the delivered message in flight. A message that is never delivered is lost.
 	Duplicate = "duplicate"
-	// Sync completes a sync of a process's disk.
+	// Sync completes a sync of a disk.
 	Sync = "sync"
-	// Reboot ends a process and starts its next incarnation, Crash only ends it, and
-	// Restart starts an incarnation. Count unsynced records survive on the disk.
+	// Reboot is Crash followed by Restart. Count unsynced records survive on the disk.
 	Reboot  = "reboot"
 	Crash   = "crash"
 	Restart = "restart"
-	// Lose removes a process permanently, together with its disk.
+	// Lose removes a process and its disk permanently.
 	Lose = "lose"
-	// Skew advances one clock by one quantum, which is the whole drift allowed for a
-	// lease.
+	// Skew advances one clock by one quantum, the whole drift allowed for a lease.
 	Skew = "skew"
-	// Propose proposes an order to a leader, ChangeMembers a change of members, and
-	// Leave makes a leader transfer its leadership.
+	// Propose proposes an order, ChangeMembers a change of members; both go to a leader. Leave
+	// makes it transfer its leadership.
 	Propose       = "propose"
 	ChangeMembers = "regroup"
 	Leave         = "leave"
-	// BeginRead samples the clock for a read and freezes the process. AnswerRead
-	// executes the read.
+	// BeginRead samples the clock and freezes the process. AnswerRead executes the read.
 	BeginRead  = "begin read"
 	AnswerRead = "answer read"
 )
 
-// Action is one step from a state to the next. A message is identified by sender,
-// receiver, kind, and its index among the messages in flight with the same three.
+// Action is one step. A message is identified by sender, receiver, kind, and its index among the
+// messages in flight with the same three.
 type Action struct {
 	Kind    string `json:"kind"`
 	Member  string `json:"seat,omitempty"`
 	From    string `json:"from,omitempty"`
 	Message string `json:"message,omitempty"`
-	// Count is the index of a message, order or change, or the number of unsynced
-	// records that survive.
+	// Count is the index of a message, order or change, or how many unsynced records survive.
 	Count int `json:"count,omitempty"`
 }
 
@@ -137,7 +129,6 @@
 	return nil
 }
 
-// fail ends, starts or loses a process.
 func (w *World) fail(p *process, a Action) error {
 	if a.Count > len(p.pending) {
 		return errors.Wrap(ErrImpossible, a.String())
@@ -160,7 +151,6 @@
 	return nil
 }
 
-// dropMessagesTo removes the messages in flight to a member.
 func (w *World) dropMessagesTo(member string) {
 	kept := w.network[:0]
 	for _, f := range w.network {
@@ -171,7 +161,6 @@
 	w.network = kept
 }
 
-// deliver delivers one message, and with Exchange also its answers.
 func (w *World) deliver(p *process, a Action) error {
 	at := w.findMessage(a)
 	if at < 0 {
@@ -204,8 +193,7 @@
 	return nil
 }
 
-// deliverAnswers delivers what a process has just sent to another one: the messages
-// in flight from index before on.
+// deliverAnswers delivers the messages between two processes, from index before on.
 func (w *World) deliverAnswers(from, to string, before int) error {
 	if other := w.processes[w.indexOf(to)]; other.machine == nil || w.frozen(to) {
 		return errors.Wrap(ErrImpossible, "the sender cannot receive the answer")
@@ -230,7 +218,7 @@
 	return nil
 }
 
-// findMessage returns the index of an action's message in flight, or -1.
+// findMessage returns -1 if the message is not in flight.
 func (w *World) findMessage(a Action) int {
 	count := 0
 	for i, f := range w.network {
@@ -244,9 +232,8 @@
 	return -1
 }
 
-// hasNoEffect reports whether delivering a message changed nothing but the network.
-// Every successor of such a state is also one of the state before it, in which the
-// message is lost, so the state need not be explored.
+// hasNoEffect reports whether a delivery changed only the network. Such a state need not be
+// explored: losing the message instead leads to the same successors.
 func (w *World) hasNoEffect(before *World, a Action) bool {
 	if a.Message == "" || len(w.network) > len(before.network) || w.history != before.history || w.broken != nil {
 		return false
@@ -269,8 +256,7 @@
 	return true
 }
 
-// Actions returns the actions within the scenario's bounds. Apply may still refuse
-// some of them with ErrImpossible.
+// Actions returns the actions within the bounds. Apply may still refuse some of them.
 func (w *World) Actions() []Action {
 	list := w.messageActions()
 	bounds := &w.scenario.Bounds
@@ -314,7 +300,6 @@
 	return list
 }
 
-// deliveryKinds returns the kinds of delivery that the bounds still allow.
 func (w *World) deliveryKinds() []string {
 	bounds := &w.scenario.Bounds
 	kinds := []string{Exchange, Deliver}
@@ -354,8 +339,7 @@
 	var list []Action
 	bounds := &w.scenario.Bounds
 	for i := range w.scenario.Orders {
-		// Orders are interchangeable up to their values, so they are proposed first in one
-		// order only.
+		// Orders differ only in their values, so they are first proposed in one order only.
 		if w.usage.Attempts[i] < bounds.Attempts && (i == 0 || w.usage.Attempts[i-1] > 0) {
 			list = append(list, Action{Kind: Propose, Member: p.member, Count: i})
 		}
@@ -372,8 +356,7 @@
 	return list
 }
 
-// canLose reports whether the groups must tolerate the loss of a member: each group
-// that may still decide keeps a majority.
+// canLose reports whether each group that may still decide keeps a majority.
 func (w *World) canLose(member string) bool {
 	alive := map[string]bool{}
 	for _, p := range w.processes {
--- a/rehearsalkit/modelcheck/clone.go
+++ b/rehearsalkit/modelcheck/clone.go
@@ -8,14 +8,13 @@
 	"saffronfall/rule/partition"
 )
 
-// cloneMachine copies a machine with all its unexported state. Functions and
-// interface values are shared: they hold nothing that a machine changes in place.
+// cloneMachine copies a machine with all unexported state. Functions and interface values are
+// shared, since a machine never changes them in place.
 func cloneMachine(m *partition.Machine) *partition.Machine {
 	return deepCopy(reflect.ValueOf(m)).Interface().(*partition.Machine)
 }
 
-// deepCopy copies a value that was not obtained through an unexported field;
-// copyShared handles the fields of structs.
+// deepCopy must not get a value obtained through an unexported field; see copyShared.
 func deepCopy(v reflect.Value) reflect.Value {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -69,8 +68,7 @@
 	return fresh
 }
 
-// copyShared gives a value that was copied by assignment its own maps, slices and
-// pointers. The value must be addressable.
+// copyShared gives an addressable shallow copy its own maps, slices and pointers.
 func copyShared(v reflect.Value) {
 	if v.Kind() != reflect.Struct {
 		v.Set(deepCopy(v))
@@ -99,14 +97,13 @@
 	return fields
 }
 
-// needsDeepCopy reports whether assigning a value of the type shares state that a
-// machine may change.
+// needsDeepCopy reports whether assignment shares state that a machine may change.
 func needsDeepCopy(t reflect.Type) bool {
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Map:
 		return true
 	case reflect.Slice:
-		// Byte slices, such as the values of entries, are never changed in place.
+		// Byte slices are never changed in place.
 		return t.Elem().Kind() != reflect.Uint8
 	case reflect.Struct:
 		return len(deepFields(t)) > 0
--- a/rehearsalkit/modelcheck/command.go
+++ b/rehearsalkit/modelcheck/command.go
@@ -11,8 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Command is the command line of the model checker: it explores scenarios, walks
-// them randomly, or replays a trace.
+// Command is the command line of the model checker.
 type Command struct {
 	Scenario string        `help:"Scenario to check; all: every scenario in turn." default:"all"`
 	Depth    int           `help:"Maximum number of actions in a trace; 0: the scenario's own depth."`
@@ -27,11 +26,10 @@
 	List     bool          `help:"List the scenarios."`
 }
 
-// garbagePercent raises the heap growth between collections, since the frontier is
-// large and long-lived.
+// garbagePercent raises the heap growth between collections: the frontier is large and long-lived.
 const garbagePercent = 300
 
-// Run runs the command. It fails if a scenario is unknown or a property is violated.
+// Run fails if a scenario is unknown or a property is violated.
 func (c *Command) Run() error {
 	switch {
 	case c.List:
@@ -69,11 +67,10 @@
 	return nil
 }
 
-// defaultWalk is the number of actions of a random walk if no depth is given.
+// defaultWalk is the number of actions of a random walk without a given depth.
 const defaultWalk = 60
 
-// check explores a scenario, or walks it randomly, and returns the trace of a
-// violation or nil.
+// check returns the trace of a violation, or nil.
 func (c *Command) check(s *Scenario) *Trace {
 	if c.Walks == 0 {
 		report := Explore(s, Limits{Depth: c.Depth, States: c.States, Timeout: c.Timeout, Workers: c.Workers, Progress: printProgress})
@@ -100,13 +97,15 @@
 }
 
 func printProgress(p Progress) {
-	fmt.Printf("  depth %d: %d distinct states, %d transitions, %d in the frontier, %v\n", p.Depth, p.Distinct, p.Transitions, p.Frontier, p.Elapsed.Round(time.Millisecond))
+	fmt.Printf("  depth %d: %d distinct states, %d transitions, %d in the frontier, %v\n",
+		p.Depth, p.Distinct, p.Transitions, p.Frontier, p.Elapsed.Round(time.Millisecond))
 }
 
 // String summarizes the report in one line.
 func (r Report) String() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s: %d distinct states, %d transitions in %v, depth %d", r.Scenario, r.Distinct, r.Transitions, r.Elapsed.Round(time.Millisecond), r.Depth)
+	fmt.Fprintf(&text, "%s: %d distinct states, %d transitions in %v, depth %d",
+		r.Scenario, r.Distinct, r.Transitions, r.Elapsed.Round(time.Millisecond), r.Depth)
 	switch {
 	case r.Found != nil:
 		text.WriteString("; broken")
@@ -120,7 +119,6 @@
 	return text.String()
 }
 
-// replayFile replays a trace and prints every state.
 func replayFile(path string) error {
 	trace, err := LoadTrace(path)
 	if err != nil {
@@ -144,7 +142,6 @@
 	return nil
 }
 
-// addFaults raises the bound of each kind of fault.
 func (b *Bounds) addFaults(faults int) {
 	for _, bound := range []*int{&b.Reboots, &b.Crashes, &b.Losses, &b.Duplicates, &b.Skews, &b.Delays} {
 		*bound += faults
--- a/rehearsalkit/modelcheck/encode.go
+++ b/rehearsalkit/modelcheck/encode.go
@@ -13,22 +13,20 @@
 	"saffronfall/rule/partition"
 )
 
-// digest is the 128-bit hash of an encoding.
+// digest is a 128-bit hash.
 type digest [2]uint64
 
-// secondSeed makes the second half of a digest independent of the first.
+// secondSeed makes the halves of a digest independent.
 const secondSeed = 0x9e3779b97f4a7c15
 
-// plus adds two digests. The sum of the digests of its elements identifies a
-// multiset.
+// plus adds digests. The sum over its elements identifies a multiset.
 func (d digest) plus(other digest) digest { return digest{d[0] + other[0], d[1] + other[1]} }
 
 func (d digest) less(other digest) bool {
 	return d[0] < other[0] || (d[0] == other[0] && d[1] < other[1])
 }
 
-// excludedTypes are the types of fields that are not part of a machine's state:
-// counters, parameters, rules, and the output of the last step.
+// excludedTypes are the types of fields that are not part of a machine's state.
 var excludedTypes = map[reflect.Type]bool{
 	reflect.TypeFor[partition.Counters](): true,
 	reflect.TypeFor[partition.Params]():   true,
@@ -38,9 +36,8 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// nextQuantum rounds a time up to the next quantum. Clocks are read only at
-// multiples of a quantum, and machines only ask whether a time has passed, so times
-// between the same two quanta are equivalent.
+// nextQuantum rounds a time up. Clocks are read only at multiples of a quantum, and machines only
+// ask whether a time has passed, so times between the same two quanta are equivalent.
 func nextQuantum(n int64) int64 {
 	q := int64(quantum)
 	if rest := n % q; rest > 0 {
@@ -49,8 +46,7 @@
 	return n
 }
 
-// encoder writes a canonical encoding: maps are sorted by key, and members are
-// renamed.
+// encoder writes a canonical encoding: map keys are sorted and members renamed.
 type encoder struct {
 	buffer []byte
 	rename map[string]string
@@ -155,8 +151,8 @@
 	}
 }
 
-// names writes a list of members. Under a renaming the order is ignored, so that
-// states which differ only by a renaming get the same digest.
+// names ignores the order of members under a renaming, so that states which differ only by a
+// renaming get the same digest.
 func (e *encoder) names(v reflect.Value) {
 	names := make([]string, v.Len())
 	for i := range names {
--- a/rehearsalkit/modelcheck/explore.go
+++ b/rehearsalkit/modelcheck/explore.go
@@ -8,9 +8,8 @@
 
 // Limits bound an exploration in addition to the scenario's own bounds.
 type Limits struct {
-	// Depth is the maximum length of a trace, States the number of distinct states after
-	// which no further depth is started, and Timeout the maximum duration. A depth of
-	// zero means the scenario's, and zero elsewhere means no limit.
+	// Depth bounds the length of a trace; 0: the scenario's depth. States is the number of distinct
+	// states after which no further depth starts. 0 in States or Timeout means no limit.
 	Depth   int
 	States  int
 	Timeout time.Duration
@@ -19,7 +18,7 @@
 	Progress func(Progress)
 }
 
-// Progress counts what an exploration has done so far.
+// Progress counts an exploration's work so far.
 type Progress struct {
 	Depth, Distinct, Frontier int
 	Transitions               int64
@@ -30,9 +29,8 @@
 type Report struct {
 	Scenario string
 	Progress
-	// StoppedBy names the limit that was reached while the frontier was not empty. It is
-	// empty if all states within the bounds were visited, or if a violation ended the
-	// exploration.
+	// StoppedBy names the limit reached with a frontier left. It is empty if all states were
+	// visited or a violation ended the exploration.
 	StoppedBy string
 	Found     *Trace
 }
@@ -53,7 +51,7 @@
 	return list
 }
 
-// shardCount is the number of locks over which the set of visited states is spread.
+// shardCount is the number of locks of the visited set.
 const shardCount = 64
 
 type visited struct {
@@ -63,7 +61,7 @@
 	}
 }
 
-// add adds a state and reports whether it is new.
+// add reports whether the state is new.
 func (v *visited) add(d digest) bool {
 	shard := &v.shards[d[0]%shardCount]
 	shard.lock.Lock()
@@ -78,15 +76,14 @@
 	return true
 }
 
-// expansion is the result of expanding some nodes of a frontier.
 type expansion struct {
 	next        []*node
 	transitions int64
 	found       []*node
 }
 
-// Explore visits the states of a scenario breadth first, within its bounds and the
-// limits, and stops at the depth of the first violation.
+// Explore visits the states of a scenario breadth first, and stops at the depth of the first
+// violation.
 func Explore(scenario *Scenario, limits Limits) Report {
 	began := time.Now()
 	if limits.Depth == 0 {
@@ -131,7 +128,7 @@
 	timeoutLimit = "timeout"
 )
 
-// reached names the limit that an exploration has reached, or returns "".
+// reached names the limit that was reached, or returns "".
 func (l *Limits) reached(report *Report) string {
 	switch {
 	case report.Frontier == 0:
@@ -146,8 +143,7 @@
 	return ""
 }
 
-// expandAll expands every node of a frontier in parallel. After the timeout the
-// remaining nodes are returned unexpanded.
+// expandAll expands a frontier in parallel. After the timeout the rest is returned unexpanded.
 func expandAll(frontier []*node, seen *visited, limits Limits, began time.Time) expansion {
 	workers := max(1, limits.Workers)
 	expansions := make([]expansion, workers)
@@ -208,8 +204,7 @@
 	n.world = nil
 }
 
-// firstByTrace selects the violation with the least trace, so that the result does
-// not depend on scheduling.
+// firstByTrace returns the violation with the least trace, whatever the scheduling.
 func firstByTrace(found []*node) *node {
 	return slices.MinFunc(found, func(a, b *node) int {
 		return slices.CompareFunc(a.trace(), b.trace(), func(x, y Action) int {
--- a/rehearsalkit/modelcheck/fivemembers.go
+++ b/rehearsalkit/modelcheck/fivemembers.go
@@ -2,16 +2,14 @@
 
 import "slices"
 
-// In groups of five, the extra follower takes part in everything that a scenario's
-// setup does, and the isolated member receives nothing. So two of three members
-// become three of five, and three of three become four of five.
+// In groups of five, extraFollower takes part in the whole setup and isolatedMember receives
+// nothing. So two of three members become three of five, and three of three become four of five.
 const (
 	extraFollower  = "e"
 	isolatedMember = "f"
 )
 
-// withFiveMembers returns the scenario with a group of five, which tolerates one
-// more loss.
+// withFiveMembers returns the scenario with a group of five, which tolerates one more loss.
 func (s *Scenario) withFiveMembers() *Scenario {
 	wide := &Scenario{
 		Name:           s.Name + "5",
@@ -32,11 +30,10 @@
 	return wide
 }
 
-// threeMembersOnly names scenarios whose setups deliver single messages that a group
-// of five does not send at that point.
+// threeMembersOnly names scenarios whose setups deliver single messages that a group of five does
+// not send.
 var threeMembersOnly = []string{"candidate"}
 
-// addFiveMemberScenarios appends the variants with groups of five.
 func addFiveMemberScenarios(scenarios []*Scenario) []*Scenario {
 	all := slices.Clone(scenarios)
 	for _, s := range scenarios {
--- a/rehearsalkit/modelcheck/history.go
+++ b/rehearsalkit/modelcheck/history.go
@@ -7,21 +7,19 @@
 	"saffronfall/rule/partition"
 )
 
-// history is what clients have observed: values by number, refused orders, and
-// committed groups. It is immutable: each record method returns a new one.
+// history is what callers have observed. It is immutable: each record method returns a new one.
 type history struct {
-	// values holds each number that was acknowledged or readable, with its value.
+	// values holds the value of each number that was acknowledged or readable.
 	values map[uint64]string
 	latest uint64
 	// refused holds the values of refused orders.
 	refused map[string]bool
 	group   partition.Group
-	// changed counts the changes of members that were reported done.
+	// changed counts the changes of members reported done.
 	changed int
 }
 
-// Violation is a property that was found violated, with the observation that shows
-// it.
+// Violation is a violated property with the observation that shows it.
 type Violation struct {
 	Property string `json:"property"`
 	Detail   string `json:"detail"`
@@ -44,7 +42,6 @@
 	ChangeDone       = "a change reported done is agreed by the new group"
 )
 
-// recordValue records a value that was acknowledged or could be read.
 func (h *history) recordValue(number uint64, value, how string) (*history, *Violation) {
 	if number == 0 {
 		return h, nil
@@ -65,7 +62,6 @@
 	return &fresh, nil
 }
 
-// recordRefusal records that an order was refused.
 func (h *history) recordRefusal(order Order) (*history, *Violation) {
 	if h.values[order.Number] == order.Value {
 		return h, violation(RefusedAbsent, "%q under %d was accepted and is refused", order.Value, order.Number)
@@ -82,15 +78,15 @@
 		return h, nil
 	}
 	if h.group.Epoch > 0 && !quorumsIntersect(h.group, group) {
-		return h, violation(QuorumsIntersect, "group %v, %v was followed by %v, %v", h.group.Members, h.group.Former, group.Members, group.Former)
+		return h, violation(QuorumsIntersect, "group %v, %v was followed by %v, %v",
+			h.group.Members, h.group.Former, group.Members, group.Former)
 	}
 	fresh := *h
 	fresh.group = group
 	return &fresh, nil
 }
 
-// quorumsIntersect reports whether every quorum of one group shares a member with
-// every quorum of the other.
+// quorumsIntersect reports whether each quorum of a shares a member with each quorum of b.
 func quorumsIntersect(a, b partition.Group) bool {
 	members := a.All()
 	for _, member := range b.All() {
@@ -107,7 +103,7 @@
 	return true
 }
 
-// subset returns the members selected by the bits of chosen.
+// subset returns the members whose bits are set in chosen.
 func subset(members []string, chosen int) map[string]bool {
 	set := map[string]bool{}
 	for i, member := range members {
@@ -118,8 +114,8 @@
 	return set
 }
 
-// isQuorum reports whether a set of members is a quorum of a group: a majority of
-// its members, and of the former members while a change is in progress.
+// isQuorum reports whether set holds a majority of the members, and also of the former members
+// during a change.
 func isQuorum(group partition.Group, set map[string]bool) bool {
 	return isMajority(group.Members, set) && (len(group.Former) == 0 || isMajority(group.Former, set))
 }
--- a/rehearsalkit/modelcheck/modelcheck_test.go
+++ b/rehearsalkit/modelcheck/modelcheck_test.go
@@ -55,8 +55,7 @@
 	}
 }
 
-// A read must be checked against the writes acknowledged before its arrival, not
-// before its answer: the process may have been frozen in between.
+// The process may have been frozen between a read's arrival and its answer.
 func TestReadIsCheckedAgainstItsArrival(t *testing.T) {
 	actions := []Action{
 		{Kind: BeginRead, Member: "c"}, {Kind: Advance}, {Kind: Advance}, {Kind: Tick, Member: "a"},
@@ -133,7 +132,6 @@
 	}
 }
 
-// Apply must not change the state it starts from.
 func TestApplyLeavesInitialStateUnchanged(t *testing.T) {
 	for _, s := range Scenarios() {
 		w := s.Start()
@@ -164,7 +162,6 @@
 	return w.fingerprint()
 }
 
-// States that differ only by a permutation of interchangeable members count as one.
 func TestInterchangeableMembersShareAFingerprint(t *testing.T) {
 	s, _ := Find("orders")
 	s.Interchangeable, s.setup = []string{"b", "c"}, func(*World) {}
@@ -228,7 +225,6 @@
 	}
 }
 
-// A limit that is reached must end the exploration and be reported.
 func TestLimitsAreReported(t *testing.T) {
 	for want, limits := range map[string]Limits{
 		"depth": {Depth: 2}, "states": {Depth: 20, States: 500}, "timeout": {Depth: 40, Timeout: 50 * time.Millisecond},
@@ -240,8 +236,7 @@
 	}
 }
 
-// A walk must find an existing violation and shorten its trace. LateReads provides
-// the violation.
+// LateReads provides the violation.
 func TestWalksFindAndShorten(t *testing.T) {
 	s, _ := Find("read")
 	if r := Walk(s, Walks{Count: 20, First: 1, Length: 30, Workers: 4}); r.Found != nil || r.Steps < 100 {
@@ -256,7 +251,7 @@
 	t.Logf("%d walks, %v: %v", r.Walks, r.Elapsed, r.Found)
 }
 
-// A second leader must be reachable in a few steps in these scenarios.
+// A second leader must be reachable in a few steps.
 func TestSuccessorIsReachable(t *testing.T) {
 	for _, name := range []string{"orders", "again", "catchup", "read"} {
 		s, _ := Find(name)
--- a/rehearsalkit/modelcheck/process.go
+++ b/rehearsalkit/modelcheck/process.go
@@ -7,36 +7,33 @@
 	"saffronfall/rule/partition"
 )
 
-// process is one replica: its machine, its disk, and the work that waits for the
-// disk.
+// process is one replica: its machine, its disk, and the work that waits for the disk.
 type process struct {
 	member string
 	// machine is nil while the process is down.
 	machine *partition.Machine
 	// skew is how far its clock is ahead of true time.
 	skew time.Duration
-	// disk is the synced state; pending are the records written and not synced yet.
+	// disk is the synced state; pending holds records that are not synced yet.
 	disk    partition.State
 	pending []partition.Record
-	// awaitingSync are messages to be sent once the records before them are synced.
+	// awaitingSync holds messages to send once the records before them are synced.
 	awaitingSync []packet
-	// slow makes each sync of the disk an action of its own; otherwise syncs are
-	// immediate.
+	// slow makes each sync an action of its own; otherwise syncs are immediate.
 	slow bool
-	// lost reports that the process and its disk are gone permanently.
+	// lost means that the process and its disk are gone permanently.
 	lost bool
 	// agreed is the last group that the machine reported as committed.
 	agreed partition.Group
 
-	// Caches, computed on demand: the digest under each renaming, the digest of the
-	// disk, and the result of a read without and with a lease.
+	// Caches: the digest under each renaming, the disk's digest, and a read without and with a
+	// lease.
 	digests      []digest
 	storedDigest *digest
 	readable     [2]*recovery
 }
 
-// clone copies a process and its machine, without the caches that a step
-// invalidates.
+// clone omits the caches that a step invalidates.
 func (p *process) clone() *process {
 	fresh := *p
 	if p.machine != nil {
@@ -48,7 +45,7 @@
 	return &fresh
 }
 
-// writeDisk applies records to the disk, in a new map because states share disks.
+// writeDisk uses a new map because states share disks.
 func (p *process) writeDisk(records []partition.Record) {
 	if len(records) == 0 {
 		return
@@ -59,19 +56,18 @@
 	}
 }
 
-// start begins a new incarnation from the disk.
+// start begins an incarnation from the disk.
 func (p *process) start(now time.Duration) {
 	p.machine = newMachine(p.member, p.disk, now+p.skew)
 	p.agreed = partition.Group{}
 }
 
-// crash ends the process. The first kept unsynced records survive on the disk.
+// crash ends the process. The first kept unsynced records survive.
 func (p *process) crash(kept int) {
 	p.writeDisk(p.pending[:kept])
 	p.machine, p.pending, p.awaitingSync = nil, nil, nil
 }
 
-// leads reports whether the process leads the partition at a true time.
 func (p *process) leads(now time.Duration) bool {
 	if p.machine == nil {
 		return false
@@ -80,7 +76,6 @@
 	return ok
 }
 
-// digestFor returns the digest of the process under the nth renaming.
 func (p *process) digestFor(renamings []map[string]string, n int) digest {
 	if p.digests == nil {
 		digests := make([]digest, len(renamings))
@@ -92,8 +87,7 @@
 	return p.digests[n]
 }
 
-// Timing of the checked machines in true time: a lease lasts two quanta, a follower
-// honours it for three, and it is renewed once per quantum. Sweeps are practically
+// Timing in true time. A follower honours a lease for three quanta. Sweeps are practically
 // disabled.
 const (
 	quantum          = 50 * time.Millisecond
@@ -103,11 +97,16 @@
 	leasesPerSweep   = 1 << 20
 )
 
-// newMachine creates a machine as shipped, with its own copy of the disk's entries.
+// newMachine gives a machine its own copy of the disk's entries.
 func newMachine(member string, disk partition.State, now time.Duration) *partition.Machine {
 	disk.Entries = maps.Clone(disk.Entries)
 	return partition.New(partition.Options{
-		Params: partition.Params{LeaseDuration: leaseDuration, Drift: drift, RenewalsPerLease: renewalsPerLease, LeasesPerSweep: leasesPerSweep},
+		Params: partition.Params{
+			LeaseDuration:    leaseDuration,
+			Drift:            drift,
+			RenewalsPerLease: renewalsPerLease,
+			LeasesPerSweep:   leasesPerSweep,
+		},
 		Member: member,
 		Rules:  registerRules{},
 		State:  disk,
--- a/rehearsalkit/modelcheck/properties.go
+++ b/rehearsalkit/modelcheck/properties.go
@@ -11,8 +11,7 @@
 	"saffronfall/rule/partition"
 )
 
-// checkState checks the properties of the state just reached, except those that
-// depend on the disks alone (see checkDisks).
+// checkState checks the properties of a state, except those of the disks alone (see checkDisks).
 func (w *World) checkState() {
 	var holders []string
 	for _, p := range w.processes {
@@ -30,8 +29,8 @@
 	}
 }
 
-// checkReadAt checks the result of a read at a process, if it would be answered
-// immediately. Whether the lease is still valid is decided by the machine.
+// checkReadAt checks a read that would be answered immediately. The machine decides whether its
+// lease is still valid.
 func (w *World) checkReadAt(p *process) {
 	if _, serving := p.machine.CommittedVersion(); !serving {
 		return
@@ -67,8 +66,7 @@
 	w.perform(p, p.machine.Propose(w.reading.Sampled, readRequestID, readRegister{}))
 }
 
-// checkAnsweredRead checks the result of a read against what was acknowledged before
-// the read arrived.
+// checkAnsweredRead checks a read against what was acknowledged before it arrived.
 func (w *World) checkAnsweredRead(p *process, r partition.Result) {
 	latest := w.reading.Latest
 	if w.scenario.LateReads {
@@ -76,7 +74,8 @@
 	}
 	w.reading = reading{}
 	if value, ok := r.Body.(Register); ok && value.Number < latest {
-		w.recordViolation(violation(FreshRead, "%d was acknowledged before the read came to %s, which returned %d", latest, p.member, value.Number))
+		w.recordViolation(violation(FreshRead, "%d was acknowledged before the read came to %s, which returned %d",
+			latest, p.member, value.Number))
 	}
 }
 
@@ -86,15 +85,14 @@
 	value   Register
 }
 
-// recoveryCache caches recoveries by the digest of the disks: many states share
-// their disks.
+// recoveryCache is keyed by the digest of the disks, which many states share.
 type recoveryCache struct {
 	lock  sync.Mutex
 	known map[digest]recovery
 }
 
-// checkDisks restarts every set of two or three processes from their synced disks,
-// without the others, and checks what the leader they elect would serve.
+// checkDisks restarts every two or three processes from their synced disks, without the others, and
+// checks what the leader they elect would serve.
 func (w *World) checkDisks() {
 	alive := make([]string, 0, len(w.processes))
 	for _, p := range w.processes {
@@ -173,12 +171,10 @@
 	return *p.storedDigest
 }
 
-// recoverySteps is the maximum number of quanta of a recovery: enough for all leases
-// to expire and for several elections.
+// recoverySteps bounds a recovery, in quanta: all leases expire, and several elections fit.
 const recoverySteps = 24
 
-// recoverFrom runs machines from the given disks, delivering every message at once,
-// until one of them leads the partition.
+// recoverFrom runs machines from the disks, with immediate delivery, until one leads.
 func recoverFrom(disks map[string]partition.State) recovery {
 	scenario := Scenario{Members: []string{}, renamings: []map[string]string{nil}}
 	w := newWorld(&scenario)
@@ -204,8 +200,7 @@
 	return recovery{}
 }
 
-// immediateRead returns the result of a read that a machine answers immediately: it
-// leads the partition and no write is waiting for a quorum.
+// immediateRead returns a read's result if the machine leads and no write waits for a quorum.
 func immediateRead(m *partition.Machine, now time.Duration) recovery {
 	for _, r := range m.Propose(now, readRequestID, readRegister{}).Results {
 		if value, ok := r.Body.(Register); ok && r.RequestID == readRequestID {
@@ -215,7 +210,6 @@
 	return recovery{}
 }
 
-// deliverAll delivers all messages in the order in which they were sent.
 func (w *World) deliverAll() {
 	for len(w.network) > 0 {
 		msg := w.network[0].packet
@@ -226,5 +220,4 @@
 	}
 }
 
-// advance advances true time.
 func (w *World) advance(quanta int) { w.now += time.Duration(quanta) * quantum }
--- a/rehearsalkit/modelcheck/register.go
+++ b/rehearsalkit/modelcheck/register.go
@@ -13,8 +13,7 @@
 	orderPrefix = "order/"
 )
 
-// Order requests a value under a number, if the current number is Base. It stands
-// for an operator's routing table.
+// Order sets a value under a number if the current number is Base, as a routing table does.
 type Order struct {
 	Base, Number uint64
 	Value        string
@@ -27,19 +26,16 @@
 	Past   []Order
 }
 
-// readRegister is the command that reads the register.
 type readRegister struct{}
 
-// OrderResult answers an order: it is accepted, or refused because of another one.
-// Number is the current number.
+// OrderResult tells whether an order was accepted, and the current number.
 type OrderResult struct {
 	OK     bool
 	Number uint64
 }
 
-// registerRules accept orders as the rules of the control state accept routing
-// tables. Each order has its own entry, so that one left over in a replica is not
-// hidden by the entry of a later one.
+// registerRules accept orders as the control state accepts routing tables. Each order has its own
+// entry, so that a later one does not hide one left over in a replica.
 type registerRules struct{}
 
 func (registerRules) Elected(time.Duration, *partition.Tx) {}
--- a/rehearsalkit/modelcheck/scenario.go
+++ b/rehearsalkit/modelcheck/scenario.go
@@ -2,16 +2,15 @@
 
 import "slices"
 
-// Change is a change of members that adds one and removes one.
+// Change adds one member and removes one.
 type Change struct{ Add, Remove string }
 
 // Bounds limit how often each kind of action may occur after the setup.
 type Bounds struct {
 	Advances, Reboots, Crashes, Losses, Duplicates, Skews, Leaves int
-	// Delays limits how often an answer may stay in flight after its request was
-	// delivered.
+	// Delays limits how often an answer stays in flight after its request was delivered.
 	Delays int
-	// Attempts limits how often each order may be proposed.
+	// Attempts limits the proposals of each order.
 	Attempts int
 	// Reads allows reads whose arrival and execution are separate actions.
 	Reads bool
@@ -26,11 +25,9 @@
 	Bounds            Bounds
 	// SlowDisks are the members whose syncs are actions of their own.
 	SlowDisks []string
-	// LateReads checks a read as if it had arrived when it was answered. This is wrong
-	// on purpose: only tests of the checker set it.
+	// LateReads checks reads as of their answers. This is wrong on purpose, for tests.
 	LateReads bool
-	// Interchangeable are the members whose names may be permuted without changing the
-	// scenario.
+	// Interchangeable members may be permuted without changing the scenario.
 	Interchangeable []string
 	Depth           int
 
@@ -60,8 +57,7 @@
 	return w
 }
 
-// renamings returns all permutations of the names. The first is the identity, and is
-// nil if it is the only one.
+// renamings returns all permutations, the identity first. A sole identity is nil.
 func renamings(interchangeable []string) []map[string]string {
 	if len(interchangeable) < 2 {
 		return []map[string]string{nil}
@@ -89,8 +85,7 @@
 	}
 }
 
-// elect makes a member the leader with the votes of the given members only. Messages
-// to others are lost.
+// elect makes a member the leader with the voters' votes. Messages to others are lost.
 func (w *World) elect(member string, voters ...string) {
 	for range recoverySteps {
 		p := w.mutableProcess(member)
@@ -116,20 +111,18 @@
 	}
 }
 
-// propose proposes an order to a leader during setup and leaves its messages in
-// flight.
+// propose leaves the messages of an order in flight.
 func (w *World) propose(member string, n int) {
 	p := w.mutableProcess(member)
 	w.perform(p, p.machine.Propose(w.now, w.orderRequestID(n), w.scenario.Orders[n]))
 }
 
-// commitOrder proposes an order during setup and lets the given members accept it.
+// commitOrder lets the given members accept an order.
 func (w *World) commitOrder(member string, n int, takers ...string) {
 	w.propose(member, n)
 	w.deliverAmong(append(takers, member)...)
 }
 
-// deliverFirst delivers the first message of a kind in flight between two members.
 func (w *World) deliverFirst(from, to, kind string) {
 	for i, f := range w.network {
 		if f.packet.From == from && f.packet.To == to && f.packet.kind() == kind {
@@ -142,7 +135,7 @@
 	panic("modelcheck: no " + kind + " is in flight from " + from + " to " + to)
 }
 
-// tick ticks a machine during setup and leaves its messages in flight.
+// tick leaves the messages of a tick in flight.
 func (w *World) tick(member string) {
 	p := w.mutableProcess(member)
 	w.perform(p, p.machine.Tick(w.now+p.skew))
--- a/rehearsalkit/modelcheck/scenarios.go
+++ b/rehearsalkit/modelcheck/scenarios.go
@@ -1,20 +1,18 @@
 package modelcheck
 
-// threeMembers is the group of most scenarios; spare is a process outside it.
+// threeMembers is the group of most scenarios; spare is outside it.
 var threeMembers = []string{"a", "b", "c"}
 
 const spare = "d"
 
 func electedByAll(w *World) { w.elect("a", "b", "c") }
 
-// nearLeaseEnd elects a leader whose lease expires after one more quantum. A
-// candidate may follow after two.
+// nearLeaseEnd leaves one quantum of the leader's lease. A candidate may follow after two.
 func nearLeaseEnd(w *World) {
 	w.elect("c", "a", "b")
 	w.advance(1)
 }
 
-// withAcceptedOrder elects a leader and has one order accepted by all members.
 func withAcceptedOrder(w *World) {
 	electedByAll(w)
 	w.commitOrder("a", 0, "b", "c", spare)
@@ -51,7 +49,6 @@
 	return nil, false
 }
 
-// ordersScenario: two leaders receive two orders based on one version.
 func ordersScenario() *Scenario {
 	return &Scenario{
 		Name:            "orders",
@@ -65,8 +62,6 @@
 	}
 }
 
-// againScenario: an order is retried through another member after its answer was
-// lost.
 func againScenario() *Scenario {
 	return &Scenario{
 		Name:            "again",
@@ -80,7 +75,6 @@
 	}
 }
 
-// replaceScenario: a member is replaced, and a second one is lost at any step.
 func replaceScenario() *Scenario {
 	return &Scenario{
 		Name:        "replace",
@@ -95,8 +89,6 @@
 	}
 }
 
-// leaveScenario: the leader leaves while one follower holds the only other complete
-// copy.
 func leaveScenario() *Scenario {
 	return &Scenario{
 		Name:        "leave",
@@ -114,8 +106,6 @@
 	}
 }
 
-// catchupScenario: a member that missed orders restarts, catches up during new
-// orders, and leads.
 func catchupScenario() *Scenario {
 	return &Scenario{
 		Name:        "catchup",
@@ -132,7 +122,6 @@
 	}
 }
 
-// readScenario: a lease read races with a successor's write while clocks drift.
 func readScenario() *Scenario {
 	return &Scenario{
 		Name:        "read",
@@ -149,8 +138,6 @@
 	}
 }
 
-// cutScenario: a member that does not receive the leader's renewals stands for
-// election.
 func cutScenario() *Scenario {
 	return &Scenario{
 		Name:        "cut",
@@ -172,7 +159,6 @@
 	}
 }
 
-// renewalScenario: the answers to the leader's renewals are delayed.
 func renewalScenario() *Scenario {
 	return &Scenario{
 		Name:        "renewal",
@@ -193,7 +179,6 @@
 	}
 }
 
-// restartScenario: members that renewed the leader's lease restart.
 func restartScenario() *Scenario {
 	return &Scenario{
 		Name:        "restart",
@@ -209,8 +194,6 @@
 	}
 }
 
-// promiseScenario: a candidate gets promises while the leader's write is in flight,
-// and power fails.
 func promiseScenario() *Scenario {
 	return &Scenario{
 		Name:        "promise",
@@ -231,7 +214,6 @@
 	}
 }
 
-// powerScenario: power fails while records are not synced.
 func powerScenario() *Scenario {
 	return &Scenario{
 		Name:            "power",
@@ -246,8 +228,6 @@
 	}
 }
 
-// candidateScenario: a candidate renews the leader's lease during its own election,
-// and restarts.
 func candidateScenario() *Scenario {
 	return &Scenario{
 		Name:        "candidate",
@@ -259,7 +239,7 @@
 		setup: func(w *World) {
 			w.elect("c", "a", "b")
 			w.commitOrder("c", 0, "a", "b")
-			// Renewals reach b; then they are in flight to a alone.
+			// Renewals reach b first; then they are in flight to a alone.
 			w.advance(1)
 			w.tick("c")
 			w.deliverAmong("c", "b")
@@ -278,8 +258,6 @@
 	}
 }
 
-// unsyncedScenario: a member that missed the leader's first write accepts it late,
-// renews the lease, and loses power.
 func unsyncedScenario() *Scenario {
 	return &Scenario{
 		Name:        "unsynced",
@@ -296,8 +274,8 @@
 			w.elect("c", "b")
 			w.advance(1)
 			w.mutableProcess("a").slow = true
-			// The renewal shows the leader that a missed its first write. Then a
-			// accepts that write, which is not synced at the next renewals.
+			// The renewal shows that a missed the first write. Then a accepts that write, which is
+			// not synced at the next renewals.
 			w.tick("c")
 			w.deliverAmong("a", "b", "c")
 			for range 2 {
@@ -309,8 +287,6 @@
 	}
 }
 
-// leftoverScenario: an order that only its leader accepted is left over when another
-// leader serves.
 func leftoverScenario() *Scenario {
 	return &Scenario{
 		Name:        "leftover",
@@ -323,8 +299,6 @@
 	}
 }
 
-// refusalScenario: an order that only its leader accepted is refused by the next
-// leader.
 func refusalScenario() *Scenario {
 	return &Scenario{
 		Name:        "refusal",
@@ -337,8 +311,7 @@
 	}
 }
 
-// withLeftoverOrder leaves an order in the former leader's replica only, with its
-// writes still in flight, while another leader serves.
+// withLeftoverOrder leaves an order in the former leader's replica only, with its writes in flight.
 func withLeftoverOrder(w *World) {
 	electedByAll(w)
 	w.propose("a", 0)
--- a/rehearsalkit/modelcheck/trace.go
+++ b/rehearsalkit/modelcheck/trace.go
@@ -53,9 +53,8 @@
 	return &trace, errors.Wrapf(json.Unmarshal(raw, &trace), "decoding trace %s", path)
 }
 
-// Replay applies the actions and passes each state to visit, which may be nil. It
-// returns the first violation, or ErrImpossible if the code no longer allows an
-// action.
+// Replay passes each state to visit, which may be nil. It returns the first violation, or
+// ErrImpossible if the code no longer allows an action.
 func (t *Trace) Replay(visit func(Action, *World)) (*Violation, error) {
 	scenario, ok := Find(t.Scenario)
 	if !ok {
--- a/rehearsalkit/modelcheck/walk.go
+++ b/rehearsalkit/modelcheck/walk.go
@@ -9,8 +9,7 @@
 
 // Walks configures random walks, which reach greater depths than an exploration.
 type Walks struct {
-	// Count is the number of walks, First the seed of the first one, and Length the
-	// number of actions of each.
+	// Count is the number of walks, First the first seed, Length the actions of each.
 	Count   int
 	First   uint64
 	Length  int
@@ -27,12 +26,12 @@
 	Found *Trace
 }
 
-// Walk makes random walks from the scenario's initial state until one violates a
-// property, or the count or timeout is reached. The trace it finds is shortened.
+// Walk makes random walks until one violates a property or a limit is reached. The trace it finds
+// is shortened.
 func Walk(scenario *Scenario, walks Walks) WalkReport {
 	began := time.Now()
 	start := scenario.Start()
-	// The digests of the initial state are cached before the workers share it.
+	// The initial state's digests are cached before the workers share it.
 	start.fingerprint()
 	var report WalkReport
 	var lock sync.Mutex
@@ -69,7 +68,6 @@
 	return report
 }
 
-// walk makes one random walk.
 func walk(start *World, seed uint64, length int) ([]Action, *Violation) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	var taken []Action
@@ -90,7 +88,7 @@
 	return taken, nil
 }
 
-// randomStep applies a random possible action, or returns nil if there is none.
+// randomStep returns nil if no action is possible.
 func (w *World) randomStep(random *rand.Rand) (*World, Action) {
 	list := w.Actions()
 	random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
@@ -102,7 +100,7 @@
 	return nil, Action{}
 }
 
-// shorten removes actions while the same property is still violated without them.
+// shorten removes actions while the same property stays violated.
 func (t *Trace) shorten(scenario *Scenario) {
 	for again := true; again; {
 		again = false
@@ -118,8 +116,7 @@
 	}
 }
 
-// replayPossible replays a trace and skips impossible actions. It returns the
-// violation and the actions applied up to it.
+// replayPossible skips impossible actions. It returns the actions applied up to a violation.
 func (t *Trace) replayPossible(scenario *Scenario) (*Violation, []Action) {
 	w := scenario.Start()
 	var taken []Action
--- a/rehearsalkit/modelcheck/world.go
+++ b/rehearsalkit/modelcheck/world.go
@@ -14,8 +14,7 @@
 	Body     any
 }
 
-// kind names the message type in actions and traces. Some names differ from the
-// types because stored traces contain them.
+// kind names the message type in actions and traces. Stored traces fix the names.
 func (p packet) kind() string {
 	switch p.Body.(type) {
 	case partition.Prepare:
@@ -40,7 +39,7 @@
 	panic(fmt.Sprintf("modelcheck: message of unknown type %T", p.Body))
 }
 
-// inFlight is a packet in flight with its digests under each renaming.
+// inFlight is a packet with its digests under each renaming.
 type inFlight struct {
 	packet  packet
 	digests []digest
@@ -53,8 +52,8 @@
 	Attempts [4]int
 }
 
-// World is one state: the processes, the messages in flight, and what clients
-// observed. It shares unchanged parts with its successors.
+// World is one state: processes, messages in flight, and what callers observed. It shares unchanged
+// parts with its successors.
 type World struct {
 	scenario  *Scenario
 	now       time.Duration
@@ -62,12 +61,11 @@
 	network   []inFlight
 	usage     usage
 	history   *history
-	// reading is the read in progress.
-	reading reading
+	reading   reading
 	// broken is the first property that the step to this state violated.
 	broken *Violation
 
-	// copied marks the processes that the current step has already cloned.
+	// copied marks the processes cloned in the current step.
 	copied map[int]bool
 }
 
@@ -76,12 +74,10 @@
 	Member  string
 	Sampled time.Duration
 	Latest  uint64
-	// Asked reports that the read was executed and its result is awaited; the process
-	// runs again.
+	// Asked reports that the read was executed and that the process runs again.
 	Asked bool
 }
 
-// frozen reports whether a process is suspended after sampling its clock for a read.
 func (w *World) frozen(member string) bool { return w.reading.Member == member && !w.reading.Asked }
 
 func newWorld(scenario *Scenario) *World {
@@ -100,7 +96,6 @@
 	return w
 }
 
-// successor copies the world for the next step.
 func (w *World) successor() *World {
 	fresh := *w
 	fresh.processes = append([]*process(nil), w.processes...)
@@ -134,9 +129,8 @@
 	}
 }
 
-// perform carries out a machine's output in the order of the shipped process:
-// records, then messages, then results. A machine's messages to itself are delivered
-// at once.
+// perform carries out output as the shipped process does: records, then messages, then results. A
+// machine's messages to itself are delivered at once.
 func (w *World) perform(p *process, out partition.Output) {
 	if len(out.Records) > 0 && p.slow {
 		p.pending = append(p.pending, out.Records...)
@@ -177,7 +171,7 @@
 	return f
 }
 
-// sync syncs all pending records and sends the messages that waited for them.
+// sync syncs all pending records, then sends the messages that waited for them.
 func (w *World) sync(p *process) {
 	awaitingSync := p.awaitingSync
 	p.writeDisk(p.pending)
@@ -198,15 +192,14 @@
 	readRequestID      = 2000
 )
 
-// orderRequestID returns the request id of the next attempt at an order and counts
-// the attempt.
+// orderRequestID counts an attempt at an order and returns its request id.
 func (w *World) orderRequestID(n int) uint64 {
 	attempt := w.usage.Attempts[n]
 	w.usage.Attempts[n]++
 	return uint64(n*requestIDsPerOrder + attempt)
 }
 
-// handleResult records a result as its client observes it.
+// handleResult records a result as its caller observes it.
 func (w *World) handleResult(p *process, r partition.Result) {
 	switch {
 	case r.RequestID >= readRequestID:
@@ -228,7 +221,6 @@
 	}
 }
 
-// checkChangeDone checks a change of members that was reported done.
 func (w *World) checkChangeDone(p *process, change Change) {
 	fresh := *w.history
 	fresh.changed++
@@ -242,7 +234,8 @@
 		final = final && member != change.Remove
 	}
 	if !final || !isMajority(group.Members, w.membersWithGroup(group)) {
-		w.recordViolation(violation(ChangeDone, "%s reported %v done with members %v, former members %v", p.member, change, group.Members, group.Former))
+		w.recordViolation(violation(ChangeDone, "%s reported %v done with members %v, former members %v",
+			p.member, change, group.Members, group.Former))
 	}
 }
 
@@ -255,8 +248,7 @@
 	return set
 }
 
-// checkCommittedGroup checks the group that a machine considers committed after its
-// step.
+// checkCommittedGroup checks the group that a machine considers committed.
 func (w *World) checkCommittedGroup(p *process) {
 	group, ok := p.machine.CommittedGroup()
 	if !ok || !p.agreed.Before(group) {
@@ -264,15 +256,16 @@
 	}
 	p.agreed = group
 	if !isQuorum(group, w.membersWithGroup(group)) {
-		w.recordViolation(violation(QuorumsIntersect, "%s considers members %v, former members %v committed without a quorum", p.member, group.Members, group.Former))
+		w.recordViolation(violation(QuorumsIntersect, "%s considers members %v, former members %v committed without a quorum",
+			p.member, group.Members, group.Former))
 	}
 	var broken *Violation
 	w.history, broken = w.history.recordGroup(group)
 	w.recordViolation(broken)
 }
 
-// fingerprint returns the smallest digest of the state under all renamings, so that
-// states which differ only by a renaming count as one.
+// fingerprint returns the smallest digest under all renamings, so that states which differ only by
+// a renaming count as one.
 func (w *World) fingerprint() digest {
 	var smallest digest
 	for n, renaming := range w.scenario.renamings {
@@ -308,7 +301,8 @@
 		if e, ok := p.disk.Entries[registerKey]; ok {
 			stored = decode[Register](e.Value)
 		}
-		fmt.Fprintf(&text, " %s %s promised %d.%s stored %d %q;", p.member, state, p.disk.Promised.Round, p.disk.Promised.Leader, stored.Number, stored.Value)
+		fmt.Fprintf(&text, " %s %s promised %d.%s stored %d %q;",
+			p.member, state, p.disk.Promised.Round, p.disk.Promised.Leader, stored.Number, stored.Value)
 	}
 	fmt.Fprintf(&text, " %d in flight", len(w.network))
 	return text.String()
--- a/rehearsalkit/worth/command.go
+++ b/rehearsalkit/worth/command.go
@@ -12,14 +12,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Command prints where played days lost worth, or compares the days of two builds in pairs.
+// Command shows where days lost worth, or compares two builds in pairs.
 type Command struct {
 	Reports []string `arg:"" type:"path" help:"Reports of played days."`
 	Against []string `type:"path" help:"Reports of another build's days with the same seeds in the same order; prints the paired differences."`
 }
 
-// Run prints the losses of each report, or the paired differences. It returns an error if a
-// report can't be read or has no counterpart.
+// Run fails if a report can't be read or has no counterpart.
 func (c *Command) Run() error {
 	reports, err := readAll(c.Reports)
 	if err != nil {
@@ -50,8 +49,7 @@
 	return reports, nil
 }
 
-// print writes the losses of a report, largest first, its windows with the faults and planned
-// work during each, and its classes of requests.
+// print writes the losses, largest first, then the windows and the classes of requests.
 func (r Report) print(out io.Writer) {
 	losses := r.Losses()
 	sort.SliceStable(losses, func(i, j int) bool { return losses[i].Worth > losses[j].Worth })
@@ -65,16 +63,18 @@
 		if i+1 < len(r.Windows) {
 			to = windowStart(r.Windows[i+1])
 		}
-		fmt.Fprintf(out, "| %v | %d | %d | %d | %d | %d | %.3f | %.0f | %s |\n", w.Name, w.Asked, w.InAim, w.Late, w.Refused, w.Failed, w.Worth, w.Median, strings.Join(r.EventsBetween(from, to), ", "))
+		fmt.Fprintf(out, "| %v | %d | %d | %d | %d | %d | %.3f | %.0f | %s |\n",
+			w.Name, w.Asked, w.InAim, w.Late, w.Refused, w.Failed, w.Worth, w.Median, strings.Join(r.EventsBetween(from, to), ", "))
 	}
 	fmt.Fprintln(out, "\n| kind | asked | in aim | late | refused | failed | worth | p50 ms |\n|---|---|---|---|---|---|---|---|")
 	for _, w := range r.Classes {
-		fmt.Fprintf(out, "| %v | %d | %d | %d | %d | %d | %.3f | %.0f |\n", w.Name, w.Asked, w.InAim, w.Late, w.Refused, w.Failed, w.Worth, w.Median)
+		fmt.Fprintf(out, "| %v | %d | %d | %d | %d | %d | %.3f | %.0f |\n",
+			w.Name, w.Asked, w.InAim, w.Late, w.Refused, w.Failed, w.Worth, w.Median)
 	}
 	fmt.Fprintln(out)
 }
 
-// windowStart returns the second at which a window begins, which is its name.
+// windowStart parses a window's name, the second at which it begins.
 func windowStart(w Window) float64 {
 	second, err := strconv.ParseFloat(fmt.Sprint(w.Name), 64)
 	if err != nil {
@@ -83,12 +83,10 @@
 	return second
 }
 
-// studentT95 lists the two-sided 95% quantiles of Student's t distribution by degrees of
-// freedom.
+// studentT95 lists two-sided 95% quantiles of Student's t by degrees of freedom.
 var studentT95 = []float64{0, 12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23}
 
-// compare prints the paired differences of two builds' days, with their mean and its 95%
-// confidence interval.
+// compare prints paired differences, with their mean and its 95% confidence interval.
 func compare(out io.Writer, before, after []Report) error {
 	if len(before) != len(after) {
 		return errors.Newf("%d reports can't be paired with %d", len(after), len(before))
@@ -105,8 +103,8 @@
 	return nil
 }
 
-// interval returns the mean of values and half the width of its 95% confidence interval,
-// which is infinite for a single value.
+// interval returns the mean and half of its 95% confidence interval, which is infinite for a single
+// value.
 func interval(values []float64) (mean, half float64) {
 	n := float64(len(values))
 	for _, v := range values {
--- a/rehearsalkit/worth/report.go
+++ b/rehearsalkit/worth/report.go
@@ -1,6 +1,5 @@
-// Package worth analyses the reports of played days. Worth is a day's score, at most 1. The
-// package splits the lost worth of a day by cause, and compares the days of two builds seed by
-// seed. Start reading at Report.Losses.
+// Package worth splits the lost worth of played days by cause, and compares the days of two builds
+// seed by seed. Worth is a day's score, at most 1. Start reading at Report.Losses.
 package worth
 
 import (
@@ -18,34 +17,34 @@
 	Windows    []Window    `json:"windows"`
 	Classes    []Window    `json:"classes"`
 	Events     []Event     `json:"events"`
-	// Outcomes counts the outcomes of clients' attempts.
+	// Outcomes counts the outcomes of requesters' attempts.
 	Outcomes map[string]int `json:"ends"`
 }
 
-// Component is one component of the score: its weight, and the share of worth earned in it.
+// Component is a part of the score, with the share of worth earned in it.
 type Component struct {
 	Name          string
 	Weight, Value float64
 }
 
-// UnmarshalJSON reads a component in the form of reports: a list of name, weight and value.
+// UnmarshalJSON reads a list of name, weight and value.
 func (p *Component) UnmarshalJSON(raw []byte) error {
 	return json.Unmarshal(raw, &[]any{&p.Name, &p.Weight, &p.Value})
 }
 
-// Price is a deduction from the score for the use of a resource.
+// Price is a deduction for the use of a resource.
 type Price struct {
 	Name         string
 	Amount, Cost float64
 }
 
-// UnmarshalJSON reads a price in the form of reports: a list of name, amount and cost.
+// UnmarshalJSON reads a list of name, amount and cost.
 func (p *Price) UnmarshalJSON(raw []byte) error {
 	return json.Unmarshal(raw, &[]any{&p.Name, &p.Amount, &p.Cost})
 }
 
-// Window counts the requests that began in an interval of the day, or that are of one class.
-// InAim is the number that met their latency target, Late those answered after it.
+// Window counts the requests that began in an interval, or that are of one class. InAim met their
+// latency target, Late were answered after it.
 type Window struct {
 	Name    any     `json:"name"`
 	Asked   int     `json:"n"`
@@ -57,14 +56,14 @@
 	Median  float64 `json:"p50_ms"`
 }
 
-// Event is a fault or a piece of planned work of the day, with its times in seconds.
+// Event is a fault or planned work, with its times in seconds.
 type Event struct {
 	From float64 `json:"at_s"`
 	To   float64 `json:"to_s"`
 	Kind string  `json:"kind"`
 }
 
-// Read reads the report of a day. It returns an error if the file is not such a report.
+// Read fails if the file is not the report of a day.
 func Read(path string) (Report, error) {
 	var r Report
 	text, err := os.ReadFile(path)
@@ -86,8 +85,8 @@
 	Worth float64
 }
 
-// Losses splits the difference between 1 and the day's worth by cause. The difference that
-// rounding in the report leaves is a loss of its own, so that the losses always add up.
+// Losses splits 1 minus the day's worth by cause. Rounding in the report is a loss of its own, so
+// that the losses always add up.
 func (r Report) Losses() []Loss {
 	var losses []Loss
 	rest := 1 - r.Worth
--- a/rehearsalkit/worth/worth_test.go
+++ b/rehearsalkit/worth/worth_test.go
@@ -27,7 +27,6 @@
 	return r
 }
 
-// TestLossesSumToTotal: the losses add up to all worth that a day lost.
 func TestLossesSumToTotal(t *testing.T) {
 	r := sampleReport(t, sample)
 	sum := 0.0
@@ -49,8 +48,6 @@
 	}
 }
 
-// TestComparePairs: differences are taken pair by pair; unequal numbers of reports are an
-// error.
 func TestComparePairs(t *testing.T) {
 	at := func(worth float64) Report { return Report{Worth: worth} }
 	var out bytes.Buffer
@@ -71,7 +68,6 @@
 	}
 }
 
-// TestReadRejectsOtherFiles: a missing file and one that is no report are errors.
 func TestReadRejectsOtherFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "other.json")
 	if err := os.WriteFile(path, []byte(`{}`), 0o600); err != nil {
