--- a/rehearsalkit/capacity/command.go
+++ b/rehearsalkit/capacity/command.go
@@ -27,13 +27,13 @@
 // Run measures a single point, or sweeps axes from it and writes the results.
 func (c *Command) Run() error {
 	runtime.GOMAXPROCS(min(2, runtime.GOMAXPROCS(0)))
-	room, err := AvailableMemory()
+	available, err := AvailableMemory()
 	if err != nil {
 		return err
 	}
 	span := Span{Warm: c.Warm, Measured: c.For}
 	if len(c.Axis) == 0 {
-		if err := c.Point.Check(room); err != nil {
+		if err := c.Point.Check(available); err != nil {
 			return err
 		}
 		figures, err := Measure(c.Point, c.Seed, span, c.Failure)
@@ -51,7 +51,7 @@
 		}
 		found++
 		began := time.Now()
-		list, err := Sweep(a, c.Point, c.Repeats, c.Seed, span, room, func(int, int) {})
+		list, err := Sweep(a, c.Point, c.Repeats, c.Seed, span, available, func(int, int) {})
 		if err != nil {
 			return err
 		}
--- a/rehearsalkit/capacity/fit.go
+++ b/rehearsalkit/capacity/fit.go
@@ -23,14 +23,16 @@
 	Verdict  string
 }
 
-// Least numbers of sizes and of runs of each for a reliable fit.
+// Lower limits of a reliable fit: sizes, runs of each, slope in standard errors, and R squared.
 const (
-	minSizes   = 4
-	minRepeats = 3
+	minSizes       = 4
+	minRepeats     = 3
+	minSlopeErrors = 2
+	minRSquared    = 0.95
 )
 
 // FitLine fits a line by least squares. A good fit has at least minSizes sizes with minRepeats
-// values each, a slope above twice its standard error, and an R squared of at least 0.95.
+// values each, a slope above minSlopeErrors standard errors, and at least minRSquared.
 func FitLine(sizes, values []float64) Fit {
 	repeats := map[float64]int{}
 	for _, x := range sizes {
@@ -51,8 +53,8 @@
 		residuals[i] = values[i] - f.Intercept - f.Slope*x
 		sum += residuals[i] * residuals[i]
 	}
-	free := float64(len(sizes) - 2)
-	f.Error = math.Sqrt(sum / free / (stat.Variance(sizes, nil) * float64(len(sizes)-1)))
+	degreesOfFreedom := float64(len(sizes) - 2)
+	f.Error = math.Sqrt(sum / degreesOfFreedom / (stat.Variance(sizes, nil) * float64(len(sizes)-1)))
 	f.RSquared = 1
 	if stat.Variance(values, nil) > 0 {
 		f.RSquared = stat.RSquared(sizes, values, nil, f.Intercept, f.Slope)
@@ -60,9 +62,9 @@
 	switch {
 	case !enough:
 		f.Verdict = TooFew
-	case math.Abs(f.Slope) <= 2*f.Error:
+	case math.Abs(f.Slope) <= minSlopeErrors*f.Error:
 		f.Verdict = WithinNoise
-	case f.RSquared < 0.95:
+	case f.RSquared < minRSquared:
 		f.Verdict = NotLinear
 	default:
 		f.Verdict = Good
--- a/rehearsalkit/capacity/load.go
+++ b/rehearsalkit/capacity/load.go
@@ -14,12 +14,12 @@
 type replica struct {
 	id, service, address string
 	zone                 int
-	call, running        int64
+	sequence, running    int64
 }
 
 // heartbeat sends a heartbeat to a live registry, and schedules the next one.
 func (w *world) heartbeat(r *replica) {
-	r.call++
+	r.sequence++
 	d := w.registries[r.zone%len(w.registries)]
 	if !d.alive {
 		for _, other := range w.registries {
@@ -35,8 +35,8 @@
 			Service:  r.service,
 			Address:  r.address,
 			Zone:     fmt.Sprintf("zone-%d", r.zone),
-			Slots:    16,
-			Sequence: r.call,
+			Slots:    replicaSlots,
+			Sequence: r.sequence,
 		}
 		raw, err := json.Marshal(report)
 		if err != nil {
@@ -151,19 +151,19 @@
 	switch s.Kind {
 	case relay.StepSend:
 		r := w.services[s.Replica.Address]
-		if w.cut(n.zone, r.zone) {
+		if w.disconnected(n.zone, r.zone) {
 			w.after(contactTimeout/10, func() { t.handleOutcome(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true}) })
 			return
 		}
 		r.running++
-		w.after(w.between(service/2, service*3/2), func() {
+		w.after(w.between(serviceTime/2, serviceTime*3/2), func() {
 			r.running--
 			t.handleOutcome(relay.Outcome{
 				Kind:    relay.OutcomeComplete,
 				Started: true,
 				Events:  215,
 				Output:  w.bytes(w.point.TurnBytes - w.point.TurnBytes/2),
-				Load:    &relay.Load{Running: r.running, Slots: 16},
+				Load:    &relay.Load{Running: r.running, Slots: replicaSlots},
 			})
 		})
 	case relay.StepDeliver:
@@ -186,6 +186,13 @@
 	n.handleNodeOutput(timed(n, func() relay.Output { return n.node.HandleOutcome(n.world.now, t.ticket, o) }))
 }
 
+// Delay and number of the tries of a turn that was not served.
+const (
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 300 * time.Millisecond
+	maxTries      = 20
+)
+
 // end schedules the program's next turn. A turn that was not served is retried; after too many
 // tries or a lost history, a new program starts.
 func (t *turn) end(outcome string) {
@@ -200,8 +207,8 @@
 		p.depth, p.previous, p.tries = p.depth+1, t.attempt, 0
 	} else {
 		p.tries++
-		w.after(w.between(100*time.Millisecond, 300*time.Millisecond), func() {
-			if p.tries > 20 || outcome == "refused 404 history" {
+		w.after(w.between(minRetryDelay, maxRetryDelay), func() {
+			if p.tries > maxTries || outcome == "refused 404 history" {
 				p.tries = 0
 				p.restart()
 			}
--- a/rehearsalkit/capacity/measure.go
+++ b/rehearsalkit/capacity/measure.go
@@ -70,13 +70,13 @@
 	w.startPrograms()
 	w.run(w.now + span.Warm + time.Duration(p.Turns)*p.thinkTime())
 	if p.Changes > 0 {
-		every := time.Hour / time.Duration(p.Changes)
+		interval := time.Hour / time.Duration(p.Changes)
 		var next func()
 		next = func() {
 			w.applyTable(func(bool) {})
-			w.after(every, next)
+			w.after(interval, next)
 		}
-		w.after(every/2, next)
+		w.after(interval/2, next)
 	}
 	for _, list := range [][]*process{w.cores, w.registries, w.nodes} {
 		for _, x := range list {
@@ -84,7 +84,7 @@
 		}
 	}
 	clear(w.counts)
-	w.lag = 0
+	w.maxTableLag = 0
 	began := w.now
 	if failure != None {
 		w.after(span.Measured/3, func() { w.fail(failure, span.Measured/5) })
@@ -147,7 +147,7 @@
 	for _, name := range ordered.Keys(w.counts) {
 		add("requester", name+"/s", float64(w.counts[name])/seconds, false)
 	}
-	add("requester", "change in force after ms", float64(w.lag.Milliseconds()), false)
+	add("requester", "change in force after ms", float64(w.maxTableLag.Milliseconds()), false)
 	roles := []struct {
 		name string
 		list []*process
@@ -155,8 +155,8 @@
 	for _, role := range roles {
 		var sum meter
 		kinds := map[string]kind{}
-		var most int64
-		var busiest time.Duration
+		var maxBytes int64
+		var maxCPU time.Duration
 		for _, x := range role.list {
 			m := x.meter
 			sum.Sent += m.Sent
@@ -167,8 +167,8 @@
 			sum.Written += m.Written
 			sum.Step += m.Step
 			sum.Pack += m.Pack
-			most = max(most, m.SentBytes+m.ReceivedBytes)
-			busiest = max(busiest, m.Step+m.Pack)
+			maxBytes = max(maxBytes, m.SentBytes+m.ReceivedBytes)
+			maxCPU = max(maxCPU, m.Step+m.Pack)
 			for name, k := range m.kinds {
 				all := kinds[name]
 				all.count += k.count
@@ -176,27 +176,27 @@
 				kinds[name] = all
 			}
 		}
-		each := 1 / seconds / float64(len(role.list))
-		add(role.name, "messages sent/s", float64(sum.Sent)*each, false)
-		add(role.name, "messages received/s", float64(sum.Received)*each, false)
-		add(role.name, "bytes sent/s", float64(sum.SentBytes)*each, false)
-		add(role.name, "bytes received/s", float64(sum.ReceivedBytes)*each, false)
-		add(role.name, "bytes of the busiest/s", float64(most)/seconds, false)
+		perProcess := 1 / seconds / float64(len(role.list))
+		add(role.name, "messages sent/s", float64(sum.Sent)*perProcess, false)
+		add(role.name, "messages received/s", float64(sum.Received)*perProcess, false)
+		add(role.name, "bytes sent/s", float64(sum.SentBytes)*perProcess, false)
+		add(role.name, "bytes received/s", float64(sum.ReceivedBytes)*perProcess, false)
+		add(role.name, "bytes of the busiest/s", float64(maxBytes)/seconds, false)
 		if role.name == "core" {
-			add(role.name, "syncs/s", float64(sum.Syncs)*each, false)
-			add(role.name, "bytes written/s", float64(sum.Written)*each, false)
+			add(role.name, "syncs/s", float64(sum.Syncs)*perProcess, false)
+			add(role.name, "bytes written/s", float64(sum.Written)*perProcess, false)
 			var stored int64
 			for _, c := range w.cores {
 				stored += int64(len(message.Marshal(c.stored)))
 			}
 			add(role.name, "bytes stored", float64(stored)/float64(len(w.cores)), false)
 		}
-		add(role.name, "step us/s", float64(sum.Step.Nanoseconds())/1e3*each, true)
-		add(role.name, "packing us/s", float64(sum.Pack.Nanoseconds())/1e3*each, true)
-		add(role.name, "processor of the busiest us/s", float64(busiest.Nanoseconds())/1e3/seconds, true)
+		add(role.name, "step us/s", float64(sum.Step.Nanoseconds())/1e3*perProcess, true)
+		add(role.name, "packing us/s", float64(sum.Pack.Nanoseconds())/1e3*perProcess, true)
+		add(role.name, "processor of the busiest us/s", float64(maxCPU.Nanoseconds())/1e3/seconds, true)
 		for _, name := range ordered.Keys(kinds) {
-			add(role.name, name+" n/s", float64(kinds[name].count)*each, false)
-			add(role.name, name+" bytes/s", float64(kinds[name].bytes)*each, false)
+			add(role.name, name+" n/s", float64(kinds[name].count)*perProcess, false)
+			add(role.name, name+" bytes/s", float64(kinds[name].bytes)*perProcess, false)
 		}
 	}
 	var cache int64
@@ -214,7 +214,7 @@
 		for _, x := range role.list {
 			x.node, x.registry, x.core = nil, nil, nil
 			if role.name != "core" {
-				x.calls = nil
+				x.pendingCalls = nil
 			}
 		}
 		now := heapNow()
--- a/rehearsalkit/capacity/point.go
+++ b/rehearsalkit/capacity/point.go
@@ -85,7 +85,7 @@
 // ended programs are retained for a while.
 func (p Point) Memory() int64 {
 	node := 200_000 + int64(p.Replicas)*(int64(p.Registries)*600+3000) + int64(p.Tenants)*2200 +
-		min(nodeCache, int64(p.Rate)*int64(p.TurnBytes)*60/int64(p.Nodes))
+		min(nodeCacheBytes, int64(p.Rate)*int64(p.TurnBytes)*60/int64(p.Nodes))
 	registry := 200_000 + int64(p.Replicas)*600 + int64(p.Nodes)*400 + int64(p.Tenants)*1500
 	kept := int64(p.Programs) * int64(p.Turns) * (int64(p.TurnBytes) + 40*int64(p.Turns) + 800) * 2 * groupSize
 	return 64_000_000 + 2*(int64(p.Nodes)*node+int64(p.Registries)*registry+kept)
@@ -100,26 +100,26 @@
 	return int64(info.Totalram) * int64(info.Unit) / 2, nil
 }
 
-// Check fails if the point is invalid or needs more than room bytes. The error names a smaller
+// Check fails if the point is invalid or needs more than available bytes. The error names a smaller
 // point that would fit.
-func (p Point) Check(room int64) error {
+func (p Point) Check(available int64) error {
 	if err := p.check(); err != nil {
 		return err
 	}
 	need := p.Memory()
-	if need <= room {
+	if need <= available {
 		return nil
 	}
 	for _, part := range slices.Backward([]int{1, 2, 5, 10, 20, 30, 40, 50, 60, 70, 80, 90}) {
 		q := p
 		q.Nodes, q.Programs = max(1, p.Nodes*part/100), max(1, p.Programs*part/100)
-		if q.Memory() <= room {
+		if q.Memory() <= available {
 			return errors.Newf("needs about %d MB and may take %d MB; %d nodes with %d programs would fit (about %d MB)",
-				need>>20, room>>20, q.Nodes, q.Programs, q.Memory()>>20)
+				need>>20, available>>20, q.Nodes, q.Programs, q.Memory()>>20)
 		}
 	}
 	return errors.Newf("needs about %d MB and may take %d MB; not even a hundredth of its nodes and programs fits, make turns or their bytes fewer",
-		need>>20, room>>20)
+		need>>20, available>>20)
 }
 
 // thinkTime is the time between the starts of a program's turns.
--- a/rehearsalkit/capacity/sweep.go
+++ b/rehearsalkit/capacity/sweep.go
@@ -25,12 +25,12 @@
 }
 
 // Sweep measures every size with repeats seeds, and calls each after every run. It fails before the
-// first run if a size needs more than room bytes.
-func Sweep(a Axis, base Point, repeats int, seed uint64, span Span, room int64, each func(size, repeat int)) ([]Sample, error) {
+// first run if a size needs more than available bytes.
+func Sweep(a Axis, base Point, repeats int, seed uint64, span Span, available int64, each func(size, repeat int)) ([]Sample, error) {
 	for _, size := range a.Sizes {
 		p := base
 		a.Set(&p, size)
-		if err := p.Check(room); err != nil {
+		if err := p.Check(available); err != nil {
 			return nil, errors.Wrapf(err, "%s=%d", a.Name, size)
 		}
 	}
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -29,10 +29,17 @@
 	updateInterval    = 500 * time.Millisecond
 	rateWindow        = 5 * time.Second
 	groupSize         = 3
-	nodeCache         = 16 << 20
+	nodeCacheBytes    = 16 << 20
 	// retentionPerThink is retention over think time: 60 s for turns 41 s apart.
 	retentionPerThink = 60.0 / 41
-	service           = 150 * time.Millisecond
+	serviceTime       = 150 * time.Millisecond
+	replicaSlots      = 16
+	syncDuration      = 700 * time.Microsecond
+	zoneDelay         = 200 * time.Microsecond
+	regionDelay       = 500 * time.Microsecond
+	interRegionDelay  = 12 * time.Millisecond
+	frameHeaderBytes  = 4
+	writeHeaderBytes  = 12
 )
 
 func coreParams() core.Params {
@@ -49,7 +56,7 @@
 	return relay.Params{Core: coreParams(), HeartbeatInterval: heartbeatInterval, UpdateInterval: updateInterval, RateWindow: rateWindow,
 		RateOvershoot: 0.1, RateSlack: 4, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true,
 			LocalZone: true, FailureRates: true, PromptTokensPerMillisecond: 80, HeartbeatInterval: heartbeatInterval},
-		LoadReportInterval: heartbeatInterval / 12, ResendUnrun: true, ShedOverload: true, MaxRequests: 2000, CacheBytes: nodeCache, BudgetRetention: 10 * time.Minute}
+		LoadReportInterval: heartbeatInterval / 12, ResendUnrun: true, ShedOverload: true, MaxRequests: 2000, CacheBytes: nodeCacheBytes, BudgetRetention: 10 * time.Minute}
 }
 
 // cpu returns this thread's CPU time, which other processes do not affect.
@@ -98,12 +105,12 @@
 	deferred []deferred
 	busy     bool
 
-	registry *registry.Machine
-	calls    map[uint64]func(body any)
+	registry     *registry.Machine
+	pendingCalls map[uint64]func(body any)
 
-	node     *relay.Machine
-	requests map[uint64]*turn
-	number   uint64
+	node        *relay.Machine
+	requests    map[uint64]*turn
+	tableNumber uint64
 }
 
 // deferred is a message that must not be sent before the write numbered after is synced.
@@ -131,9 +138,9 @@
 	split      bool
 	counts     map[string]int64
 	table      uint64
-	// appliedAt is each table's first application, lag the longest time until a node used one.
-	appliedAt map[uint64]time.Duration
-	lag       time.Duration
+	// appliedAt is each table's first application, maxTableLag the longest time to a node's use.
+	appliedAt   map[uint64]time.Duration
+	maxTableLag time.Duration
 }
 
 func newWorld(p Point, seed uint64) *world {
@@ -194,14 +201,14 @@
 func (w *world) delay(a, b int) time.Duration {
 	switch {
 	case a == b:
-		return 200 * time.Microsecond
+		return zoneDelay
 	case w.region(a) == w.region(b):
-		return 500 * time.Microsecond
+		return regionDelay
 	}
-	return 12 * time.Millisecond
+	return interRegionDelay
 }
 
-func (w *world) cut(a, b int) bool { return w.split && w.region(a) != w.region(b) }
+func (w *world) disconnected(a, b int) bool { return w.split && w.region(a) != w.region(b) }
 
 func (w *world) seeds() []string {
 	var list []string
@@ -222,7 +229,7 @@
 	p.incarnation++
 	p.alive = true
 	zone := fmt.Sprintf("zone-%d", p.zone)
-	every := coreParams().PullInterval / 3
+	interval := coreParams().PullInterval / 3
 	switch p.id[:4] {
 	case "core":
 		p.pending, p.deferred, p.busy, p.issued, p.synced = nil, nil, false, 0, 0
@@ -230,9 +237,9 @@
 		image.CopyFrom(p.stored)
 		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: zone, Address: p.address, Seeds: w.seeds(),
 			Stored: image, Now: w.now, Random: w.random.Float64})
-		every = coreParams().Partition.LeaseDuration / 20
+		interval = coreParams().Partition.LeaseDuration / 20
 	case "desk":
-		p.calls = map[uint64]func(any){}
+		p.pendingCalls = map[uint64]func(any){}
 		p.registry = registry.New(registry.Options{Params: registryParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation),
 			Address: p.address, Seeds: w.seeds(), FoundsFleet: p == w.registries[0] && p.incarnation == 1,
 			Now: w.now, Random: w.random.Float64})
@@ -241,10 +248,10 @@
 		p.node = relay.New(relay.Options{Params: nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation),
 			Zone: zone, Address: p.address, Seeds: w.seeds(), Now: w.now, Random: w.random.Float64})
 	}
-	p.tick(p.incarnation, every)
+	p.tick(p.incarnation, interval)
 }
 
-func (p *process) tick(incarnation int, every time.Duration) {
+func (p *process) tick(incarnation int, interval time.Duration) {
 	if p.incarnation != incarnation || !p.alive {
 		return
 	}
@@ -257,7 +264,7 @@
 	default:
 		p.handleNodeOutput(timed(p, func() relay.Output { return p.node.Tick(w.now) }))
 	}
-	w.after(every, func() { p.tick(incarnation, every) })
+	w.after(interval, func() { p.tick(incarnation, interval) })
 }
 
 func (p *process) kill() {
@@ -287,31 +294,27 @@
 	return raw
 }
 
-// frame is the size of a frame header, in bytes.
-const frame = 4
-
 func (p *process) send(to string, body any) {
 	w := p.world
 	raw := p.pack(body)
 	name := kindOf(body)
 	p.meter.Sent++
-	p.meter.SentBytes += int64(len(raw) + frame)
-	p.meter.countKind("sent "+name, len(raw)+frame)
+	p.meter.SentBytes += int64(len(raw) + frameHeaderBytes)
+	p.meter.countKind("sent "+name, len(raw)+frameHeaderBytes)
 	target := w.processes[to]
-	if target == nil || w.cut(p.zone, target.zone) {
+	if target == nil || w.disconnected(p.zone, target.zone) {
 		return
 	}
 	from := p.address
 	w.after(w.delay(p.zone, target.zone), func() {
 		if target.alive {
 			target.meter.Received++
-			target.meter.ReceivedBytes += int64(len(raw) + frame)
+			target.meter.ReceivedBytes += int64(len(raw) + frameHeaderBytes)
 			target.receive(from, raw)
 		}
 	})
 }
 
-// kindOf names the type of a message and of its content.
 func kindOf(body any) string {
 	// Registry messages are reported under the role's name.
 	name := strings.Replace(strings.TrimPrefix(fmt.Sprintf("%T", body), "core."), "registry.", "desk.", 1)
@@ -399,9 +402,9 @@
 	raw := message.Marshal(all)
 	p.meter.Pack += cpu() - began
 	p.meter.Syncs++
-	p.meter.Written += int64(len(raw) + 12)
+	p.meter.Written += int64(len(raw) + writeHeaderBytes)
 	lastSynced, incarnation := p.issued, p.incarnation
-	p.world.after(700*time.Microsecond, func() {
+	p.world.after(syncDuration, func() {
 		if p.incarnation != incarnation {
 			return
 		}
@@ -427,8 +430,8 @@
 		p.send(s.To, s.Body)
 	}
 	for _, a := range o.Answers {
-		if call, ok := p.calls[a.Ticket]; ok {
-			delete(p.calls, a.Ticket)
+		if call, ok := p.pendingCalls[a.Ticket]; ok {
+			delete(p.pendingCalls, a.Ticket)
 			call(a.Body)
 		}
 	}
@@ -443,9 +446,9 @@
 			t.step(r.Step)
 		}
 	}
-	if number := p.node.TableNumber(); number > p.number {
-		p.number = number
-		p.world.lag = max(p.world.lag, p.world.now-p.world.appliedAt[number])
+	if number := p.node.TableNumber(); number > p.tableNumber {
+		p.tableNumber = number
+		p.world.maxTableLag = max(p.world.maxTableLag, p.world.now-p.world.appliedAt[number])
 	}
 }
 
@@ -454,7 +457,7 @@
 	t := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20}}
 	for i := 0; i < w.point.Models; i++ {
 		name := fmt.Sprintf("model-%d", i)
-		t.Services = append(t.Services, route.Service{Name: name, Connections: 100_000, TokensPerEvent: 1, Slots: 16, CacheTokens: 186629})
+		t.Services = append(t.Services, route.Service{Name: name, Connections: 100_000, TokensPerEvent: 1, Slots: replicaSlots, CacheTokens: 186629})
 		t.Routes = append(t.Routes, route.Route{Name: "chat-" + name, Host: "tier", Prefix: "/" + name + "/", Mode: route.Stream,
 			KeepHistory: true, KeepSeconds: w.point.thinkTime().Seconds() * retentionPerThink, TimeoutMS: 4000, MaxAttempts: 2, Targets: []route.Target{{Service: name, Weight: 1}}})
 	}
@@ -486,7 +489,7 @@
 	if _, ok := w.appliedAt[number]; !ok {
 		w.appliedAt[number] = w.now
 	}
-	d.calls[w.tickets] = func(body any) {
+	d.pendingCalls[w.tickets] = func(body any) {
 		h := body.(registry.OrderResult)
 		if h.Accepted {
 			w.table = number
--- a/rehearsalkit/days/day.go
+++ b/rehearsalkit/days/day.go
@@ -129,6 +129,8 @@
 	closingNone   = "none"
 )
 
+const minClosingDownS = 0.5
+
 // drawClosing draws the downtime and the variant, and for closingRandom the kind.
 func drawClosing(random *rand.Rand, kind string) *Closing {
 	if kind == closingRandom {
@@ -137,5 +139,5 @@
 	if kind == closingNone {
 		return nil
 	}
-	return &Closing{Kind: kind, DownS: rounded(0.5 + random.Float64()), How: pick(random, closingVariants[kind])}
+	return &Closing{Kind: kind, DownS: rounded(minClosingDownS + random.Float64()), How: pick(random, closingVariants[kind])}
 }
--- a/rehearsalkit/days/generator.go
+++ b/rehearsalkit/days/generator.go
@@ -16,9 +16,14 @@
 	return max(firstEntryS, g.options.LengthS-quietEndS)
 }
 
-// pause draws a pause between 0.4 and 1.6 times the mean.
+// Pauses are drawn from a range above minPauseFactor times the mean.
+const (
+	minPauseFactor   = 0.4
+	pauseFactorRange = 1.2
+)
+
 func (g *generator) pause() float64 {
-	return g.options.MeanPauseS * (0.4 + 1.2*g.random.Float64())
+	return g.options.MeanPauseS * (minPauseFactor + pauseFactorRange*g.random.Float64())
 }
 
 // addSequences begins each sequence a pause after the start of the previous one, so that long ones
@@ -46,8 +51,8 @@
 			return
 		}
 		at = entry.AtS
-		if next := entry.lossDurationS() + g.options.CatchUpS; entry.Kind.CausesLoss && g.repairFollows(steps, step) {
-			at += next + lossGapS
+		if lossS := entry.lossDurationS() + g.options.CatchUpS; entry.Kind.CausesLoss && g.repairFollows(steps, step) {
+			at += lossS + lossGapS
 		}
 	}
 }
--- a/rehearsalkit/faultdisk/disk.go
+++ b/rehearsalkit/faultdisk/disk.go
@@ -81,11 +81,14 @@
 	return fresh
 }
 
+// randomStream is the second half of the seed of a disk's random numbers.
+const randomStream = 7
+
 // New returns a disk without faults. Its operations fail once ctx has ended. The seed determines
 // what losses of power take.
 func New(ctx context.Context, seed uint64) *Disk {
 	d := &Disk{ctx: ctx, operations: make(chan func(s *state))}
-	s := &state{random: rand.New(rand.NewPCG(seed, 7)), current: map[string]*file{}, durable: map[string]*file{}}
+	s := &state{random: rand.New(rand.NewPCG(seed, randomStream)), current: map[string]*file{}, durable: map[string]*file{}}
 	go func() {
 		for {
 			select {
@@ -173,7 +176,7 @@
 		if err != nil && !isNew {
 			return err
 		}
-		real, err := os.OpenFile(name, flag, mode)
+		osFile, err := os.OpenFile(name, flag, mode)
 		if err != nil {
 			return err
 		}
@@ -185,7 +188,7 @@
 		case flag&os.O_TRUNC != 0:
 			f.writes = append(f.writes, write{truncate: true})
 		}
-		opened = &handle{disk: d, name: name, file: f, real: real, appendOnly: flag&os.O_APPEND != 0}
+		opened = &handle{disk: d, name: name, file: f, osFile: osFile, appendOnly: flag&os.O_APPEND != 0}
 		return nil
 	})
 }
@@ -357,7 +360,7 @@
 	disk       *Disk
 	name       string
 	file       *file
-	real       *os.File
+	osFile     *os.File
 	offset     int64
 	appendOnly bool
 }
@@ -373,14 +376,14 @@
 			part = raw[:s.random.IntN(len(raw)+1)]
 		}
 		if h.appendOnly {
-			end, err := h.real.Seek(0, io.SeekEnd)
+			end, err := h.osFile.Seek(0, io.SeekEnd)
 			if err != nil {
 				return err
 			}
 			h.offset = end
 		}
 		var err error
-		if written, err = h.real.Write(part); err != nil {
+		if written, err = h.osFile.Write(part); err != nil {
 			return err
 		}
 		h.file.writes = append(h.file.writes, write{offset: h.offset, bytes: append([]byte(nil), part...)})
@@ -395,7 +398,7 @@
 
 // Seek sets the handle's offset.
 func (h *handle) Seek(offset int64, whence int) (int64, error) {
-	at, err := h.real.Seek(offset, whence)
+	at, err := h.osFile.Seek(offset, whence)
 	if err == nil {
 		h.offset = at
 	}
@@ -405,7 +408,7 @@
 // Truncate changes the size of the file.
 func (h *handle) Truncate(size int64) error {
 	return h.disk.do(func(*state) error {
-		if err := h.real.Truncate(size); err != nil {
+		if err := h.osFile.Truncate(size); err != nil {
 			return err
 		}
 		h.file.writes = append(h.file.writes, write{offset: size, truncate: true})
@@ -425,4 +428,4 @@
 }
 
 // Close closes the handle.
-func (h *handle) Close() error { return h.real.Close() }
+func (h *handle) Close() error { return h.osFile.Close() }
--- a/rehearsalkit/main.go
+++ b/rehearsalkit/main.go
@@ -59,9 +59,9 @@
 		fmt.Printf("  refusals a second: %-24s %v\n", code, byCode[code])
 	}
 	fmt.Printf("  back ends saw  %-42s %d\n", "shots", len(r.Attempts))
-	if out := r.Outages(); len(out) > 0 {
+	if outages := r.Outages(); len(outages) > 0 {
 		fmt.Printf("  conversations hindered: %d; served again after: half %v, all %v\n",
-			len(out), out[len(out)/2].Round(time.Millisecond), out[len(out)-1].Round(time.Millisecond))
+			len(outages), outages[len(outages)/2].Round(time.Millisecond), outages[len(outages)-1].Round(time.Millisecond))
 	}
 	situations := r.Situations()
 	for _, name := range ordered.Keys(situations) {
@@ -82,11 +82,11 @@
 		first = rand.Uint64N(1 << 40)
 	}
 	fmt.Printf("seeds %d to %d\n", first, first+uint64(c.Seeds)-1)
-	broken, whole, late := 0, int64(0), time.Duration(0)
+	broken, completedTurns, maxTripDelay := 0, int64(0), time.Duration(0)
 	situations := map[string]int{}
 	simulator.RunSeeds(first, c.Seeds, func(o simulator.Outcome) {
-		whole += o.CompletedTurns
-		late = max(late, o.MaxTripDelay)
+		completedTurns += o.CompletedTurns
+		maxTripDelay = max(maxTripDelay, o.MaxTripDelay)
 		for name, n := range o.Situations {
 			situations[name] += n
 		}
@@ -101,8 +101,8 @@
 	for _, name := range ordered.Keys(situations) {
 		fmt.Printf("  came about %-36s %d\n", name, situations[name])
 	}
-	fmt.Printf("  longest that a node still gated after another told of a trip: %v\n", late.Round(time.Millisecond))
-	fmt.Printf("%d seeds, %d whole turns, %d breaches\n", c.Seeds, whole, broken)
+	fmt.Printf("  longest that a node still gated after another told of a trip: %v\n", maxTripDelay.Round(time.Millisecond))
+	fmt.Printf("%d seeds, %d whole turns, %d breaches\n", c.Seeds, completedTurns, broken)
 	if broken > 0 {
 		return errors.Newf("%d breaches", broken)
 	}
@@ -123,7 +123,7 @@
 		return err
 	}
 	var merged relaysim.Merge
-	broken, bad := 0, 0
+	broken, brokenSeeds := 0, 0
 	scenario.PlaySeeds(first, c.Seeds, c.Workers, func(p *relaysim.Params) { p.Logf = logf }, func(f *relaysim.Findings) {
 		merged.Add(f)
 		for i, b := range f.Breaches {
@@ -132,13 +132,13 @@
 			}
 		}
 		if broken += len(f.Breaches); len(f.Breaches) > 0 {
-			bad++
+			brokenSeeds++
 		}
 	})
 	for _, line := range merged.Report() {
 		fmt.Println(line)
 	}
-	fmt.Printf("%s: %d seeds, %d breaches in %d seeds\n", c.Scenario, c.Seeds, broken, bad)
+	fmt.Printf("%s: %d seeds, %d breaches in %d seeds\n", c.Scenario, c.Seeds, broken, brokenSeeds)
 	if broken > 0 {
 		return errors.Newf("%d breaches", broken)
 	}
@@ -161,10 +161,10 @@
 	if c.Scenario != "" {
 		return c.runScenario(first, logf)
 	}
-	broken, bad, whole := 0, 0, int64(0)
+	broken, brokenSeeds, completedTurns := 0, 0, int64(0)
 	counts, rules := map[string]int64{}, map[string]int64{}
 	relaysim.RunSeeds(first, c.Seeds, logf, func(o relaysim.Outcome) {
-		whole += o.Counts["asked chat whole 200"]
+		completedTurns += o.Counts["asked chat whole 200"]
 		for name, n := range o.Counts {
 			counts[name] += n
 		}
@@ -174,7 +174,7 @@
 			fmt.Printf("BROKEN seed %d: %s\n", o.Seed, b)
 		}
 		if len(o.Breaches) > 0 {
-			bad++
+			brokenSeeds++
 		}
 	})
 	for _, name := range ordered.Keys(counts) {
@@ -183,7 +183,7 @@
 	for _, name := range ordered.Keys(rules) {
 		fmt.Printf("  broken: %-40s %d\n", name, rules[name])
 	}
-	fmt.Printf("%d seeds, %d whole turns, %d breaches in %d seeds\n", c.Seeds, whole, broken, bad)
+	fmt.Printf("%d seeds, %d whole turns, %d breaches in %d seeds\n", c.Seeds, completedTurns, broken, brokenSeeds)
 	if broken > 0 {
 		return errors.Newf("%d breaches", broken)
 	}
--- a/rehearsalkit/modelcheck/action.go
+++ b/rehearsalkit/modelcheck/action.go
@@ -235,7 +235,7 @@
 // hasNoEffect reports whether a delivery changed only the network. Such a state need not be
 // explored: losing the message instead leads to the same successors.
 func (w *World) hasNoEffect(before *World, a Action) bool {
-	if a.Message == "" || len(w.network) > len(before.network) || w.history != before.history || w.broken != nil {
+	if a.Message == "" || len(w.network) > len(before.network) || w.history != before.history || w.violated != nil {
 		return false
 	}
 	inFlightBefore := map[digest]int{}
--- a/rehearsalkit/modelcheck/command.go
+++ b/rehearsalkit/modelcheck/command.go
@@ -41,7 +41,7 @@
 		return replayFile(c.Replay)
 	}
 	debug.SetGCPercent(garbagePercent)
-	broken, found := 0, false
+	violating, found := 0, false
 	for _, s := range Scenarios() {
 		if c.Scenario != "all" && c.Scenario != s.Name {
 			continue
@@ -52,7 +52,7 @@
 		if trace == nil {
 			continue
 		}
-		broken++
+		violating++
 		fmt.Print("BROKEN ", trace)
 		if err := c.save(trace); err != nil {
 			return err
@@ -61,14 +61,14 @@
 	switch {
 	case !found:
 		return errors.Newf("no scenario %q", c.Scenario)
-	case broken > 0:
-		return errors.Newf("%d scenarios violate a property", broken)
+	case violating > 0:
+		return errors.Newf("%d scenarios violate a property", violating)
 	}
 	return nil
 }
 
-// defaultWalk is the number of actions of a random walk without a given depth.
-const defaultWalk = 60
+// defaultWalkActions is the number of actions of a random walk without a given depth.
+const defaultWalkActions = 60
 
 // check returns the trace of a violation, or nil.
 func (c *Command) check(s *Scenario) *Trace {
@@ -79,7 +79,7 @@
 	}
 	length := c.Depth
 	if length == 0 {
-		length = defaultWalk
+		length = defaultWalkActions
 	}
 	report := Walk(s, Walks{Count: c.Walks, First: c.First, Length: length, Timeout: c.Timeout, Workers: c.Workers})
 	fmt.Printf("%s: %d random walks, %d steps, %v\n", s.Name, report.Walks, report.Steps, report.Elapsed.Round(time.Millisecond))
@@ -125,7 +125,7 @@
 		return err
 	}
 	step := 0
-	broken, err := trace.Replay(func(a Action, w *World) {
+	violated, err := trace.Replay(func(a Action, w *World) {
 		step++
 		fmt.Printf("%3d %s\n      %s\n", step, a, w)
 	})
@@ -135,8 +135,8 @@
 		return nil
 	case err != nil:
 		return err
-	case broken != nil:
-		return errors.Newf("BROKEN %s", broken)
+	case violated != nil:
+		return errors.Newf("BROKEN %s", violated)
 	}
 	fmt.Println("nothing is broken")
 	return nil
--- a/rehearsalkit/modelcheck/explore.go
+++ b/rehearsalkit/modelcheck/explore.go
@@ -95,7 +95,7 @@
 	seen.add(start.fingerprint())
 	frontier := []*node{{world: start}}
 	report.Distinct = 1
-	if start.broken != nil {
+	if start.violated != nil {
 		report.Found = newTrace(scenario, frontier[0])
 		return report
 	}
@@ -190,12 +190,12 @@
 		if next.hasNoEffect(n.world, action) {
 			continue
 		}
-		if next.broken == nil && !seen.add(next.fingerprint()) {
+		if next.violated == nil && !seen.add(next.fingerprint()) {
 			continue
 		}
 		next.checkDisks()
 		fresh := &node{parent: n, action: action, world: next}
-		if next.broken != nil {
+		if next.violated != nil {
 			e.found = append(e.found, fresh)
 		} else {
 			e.next = append(e.next, fresh)
--- a/rehearsalkit/modelcheck/history.go
+++ b/rehearsalkit/modelcheck/history.go
@@ -42,16 +42,16 @@
 	ChangeDone       = "a change reported done is agreed by the new group"
 )
 
-func (h *history) recordValue(number uint64, value, how string) (*history, *Violation) {
+func (h *history) recordValue(number uint64, value, evidence string) (*history, *Violation) {
 	if number == 0 {
 		return h, nil
 	}
 	known, ok := h.values[number]
 	switch {
 	case ok && known != value:
-		return h, violation(OneValue, "number %d was %q and is %q, %s", number, known, value, how)
+		return h, violation(OneValue, "number %d was %q and is %q, %s", number, known, value, evidence)
 	case h.refused[value]:
-		return h, violation(RefusedAbsent, "%q under %d was refused and is accepted, %s", value, number, how)
+		return h, violation(RefusedAbsent, "%q under %d was refused and is accepted, %s", value, number, evidence)
 	case ok:
 		return h, nil
 	}
@@ -95,19 +95,19 @@
 		}
 	}
 	all := 1<<len(members) - 1
-	for chosen := range all + 1 {
-		if isQuorum(a, subset(members, chosen)) && isQuorum(b, subset(members, all&^chosen)) {
+	for mask := range all + 1 {
+		if isQuorum(a, subset(members, mask)) && isQuorum(b, subset(members, all&^mask)) {
 			return false
 		}
 	}
 	return true
 }
 
-// subset returns the members whose bits are set in chosen.
-func subset(members []string, chosen int) map[string]bool {
+// subset returns the members whose bits are set in mask.
+func subset(members []string, mask int) map[string]bool {
 	set := map[string]bool{}
 	for i, member := range members {
-		if chosen&(1<<i) != 0 {
+		if mask&(1<<i) != 0 {
 			set[member] = true
 		}
 	}
--- a/rehearsalkit/modelcheck/modelcheck_test.go
+++ b/rehearsalkit/modelcheck/modelcheck_test.go
@@ -48,8 +48,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if broken, _ := trace.Replay(nil); broken != nil {
-				t.Error(broken)
+			if violated, _ := trace.Replay(nil); violated != nil {
+				t.Error(violated)
 			}
 		})
 	}
@@ -75,10 +75,10 @@
 			w = next
 		}
 		switch {
-		case !late && w.broken != nil:
-			t.Error(w.broken)
-		case late && (w.broken == nil || w.broken.Property != FreshRead):
-			t.Errorf("read checked as if it arrived at its answer: violation %v, want FreshRead", w.broken)
+		case !late && w.violated != nil:
+			t.Error(w.violated)
+		case late && (w.violated == nil || w.violated.Property != FreshRead):
+			t.Errorf("read checked as if it arrived at its answer: violation %v, want FreshRead", w.violated)
 		}
 	}
 }
@@ -194,19 +194,19 @@
 
 func TestHistoryDetectsViolations(t *testing.T) {
 	empty := &history{values: map[uint64]string{}, refused: map[string]bool{}}
-	one, broken := empty.recordValue(1, "x", "")
-	if broken != nil || one.latest != 1 || empty.latest != 0 {
-		t.Fatal("first value is not recorded:", broken)
+	one, violated := empty.recordValue(1, "x", "")
+	if violated != nil || one.latest != 1 || empty.latest != 0 {
+		t.Fatal("first value is not recorded:", violated)
 	}
-	if _, broken := one.recordValue(1, "y", ""); broken == nil || broken.Property != OneValue {
-		t.Error("second value under one number:", broken)
+	if _, violated := one.recordValue(1, "y", ""); violated == nil || violated.Property != OneValue {
+		t.Error("second value under one number:", violated)
 	}
-	if _, broken := one.recordRefusal(Order{Number: 1, Value: "x"}); broken == nil || broken.Property != RefusedAbsent {
-		t.Error("accepted order refused:", broken)
+	if _, violated := one.recordRefusal(Order{Number: 1, Value: "x"}); violated == nil || violated.Property != RefusedAbsent {
+		t.Error("accepted order refused:", violated)
 	}
 	refused, _ := one.recordRefusal(Order{Number: 2, Value: "y"})
-	if _, broken := refused.recordValue(2, "y", ""); broken == nil || broken.Property != RefusedAbsent {
-		t.Error("refused order accepted:", broken)
+	if _, violated := refused.recordValue(2, "y", ""); violated == nil || violated.Property != RefusedAbsent {
+		t.Error("refused order accepted:", violated)
 	}
 }
 
@@ -220,8 +220,8 @@
 	if err != nil || !reflect.DeepEqual(back, trace) {
 		t.Errorf("%+v, %v", back, err)
 	}
-	if broken, err := back.Replay(nil); broken != nil || err != nil {
-		t.Error(broken, err)
+	if violated, err := back.Replay(nil); violated != nil || err != nil {
+		t.Error(violated, err)
 	}
 }
 
--- a/rehearsalkit/modelcheck/process.go
+++ b/rehearsalkit/modelcheck/process.go
@@ -23,8 +23,8 @@
 	slow bool
 	// lost means that the process and its disk are gone permanently.
 	lost bool
-	// agreed is the last group that the machine reported as committed.
-	agreed partition.Group
+	// committed is the last group that the machine reported as committed.
+	committed partition.Group
 
 	// Caches: the digest under each renaming, the disk's digest, and a read without and with a
 	// lease.
@@ -59,7 +59,7 @@
 // start begins an incarnation from the disk.
 func (p *process) start(now time.Duration) {
 	p.machine = newMachine(p.member, p.disk, now+p.skew)
-	p.agreed = partition.Group{}
+	p.committed = partition.Group{}
 }
 
 // crash ends the process. The first kept unsynced records survive.
--- a/rehearsalkit/modelcheck/properties.go
+++ b/rehearsalkit/modelcheck/properties.go
@@ -35,28 +35,28 @@
 	if _, serving := p.machine.CommittedVersion(); !serving {
 		return
 	}
-	known := &p.readable[0]
+	cache := &p.readable[0]
 	if p.leads(w.now) {
-		known = &p.readable[1]
+		cache = &p.readable[1]
 	}
-	if *known == nil {
+	if *cache == nil {
 		r := immediateRead(cloneMachine(p.machine), w.now+p.skew)
-		*known = &r
+		*cache = &r
 	}
-	if (*known).leading {
-		w.checkRead((*known).value, "read at "+p.member)
+	if (*cache).leading {
+		w.checkRead((*cache).value, "read at "+p.member)
 	}
 }
 
-func (w *World) checkRead(value Register, how string) {
+func (w *World) checkRead(value Register, evidence string) {
 	if value.Number < w.history.latest {
-		w.recordViolation(violation(FreshRead, "%d was acknowledged and %d is %s", w.history.latest, value.Number, how))
+		w.recordViolation(violation(FreshRead, "%d was acknowledged and %d is %s", w.history.latest, value.Number, evidence))
 		return
 	}
 	for _, past := range value.Past {
-		var broken *Violation
-		w.history, broken = w.history.recordValue(past.Number, past.Value, how)
-		w.recordViolation(broken)
+		var violated *Violation
+		w.history, violated = w.history.recordValue(past.Number, past.Value, evidence)
+		w.recordViolation(violated)
 	}
 }
 
@@ -87,8 +87,8 @@
 
 // recoveryCache is keyed by the digest of the disks, which many states share.
 type recoveryCache struct {
-	lock  sync.Mutex
-	known map[digest]recovery
+	lock       sync.Mutex
+	recoveries map[digest]recovery
 }
 
 // checkDisks restarts every two or three processes from their synced disks, without the others, and
@@ -100,8 +100,8 @@
 			alive = append(alive, p.member)
 		}
 	}
-	for chosen := range 1 << len(alive) {
-		set := subset(alive, chosen)
+	for mask := range 1 << len(alive) {
+		set := subset(alive, mask)
 		if len(set) < 2 || len(set) > 3 {
 			continue
 		}
@@ -109,20 +109,20 @@
 		if !r.leading {
 			continue
 		}
-		how := fmt.Sprintf("what %v have after a restart without the others", chosenMembers(alive, set))
-		w.checkRecovery(r.value, how)
+		evidence := fmt.Sprintf("what %v have after a restart without the others", chosenMembers(alive, set))
+		w.checkRecovery(r.value, evidence)
 	}
 }
 
-func (w *World) checkRecovery(value Register, how string) {
+func (w *World) checkRecovery(value Register, evidence string) {
 	if value.Number < w.history.latest {
-		w.recordViolation(violation(Durable, "%d was acknowledged and %d is %s", w.history.latest, value.Number, how))
+		w.recordViolation(violation(Durable, "%d was acknowledged and %d is %s", w.history.latest, value.Number, evidence))
 	}
 	recovered := w.history
 	for _, past := range value.Past {
-		var broken *Violation
-		recovered, broken = recovered.recordValue(past.Number, past.Value, how)
-		w.recordViolation(broken)
+		var violated *Violation
+		recovered, violated = recovered.recordValue(past.Number, past.Value, evidence)
+		w.recordViolation(violated)
 	}
 }
 
@@ -143,10 +143,10 @@
 			key = key.plus(p.diskDigest())
 		}
 	}
-	known := &w.scenario.recoveryCache
-	known.lock.Lock()
-	r, ok := known.known[key]
-	known.lock.Unlock()
+	cache := &w.scenario.recoveryCache
+	cache.lock.Lock()
+	r, ok := cache.recoveries[key]
+	cache.lock.Unlock()
 	if ok {
 		return r
 	}
@@ -157,9 +157,9 @@
 		}
 	}
 	r = recoverFrom(disks)
-	known.lock.Lock()
-	known.known[key] = r
-	known.lock.Unlock()
+	cache.lock.Lock()
+	cache.recoveries[key] = r
+	cache.lock.Unlock()
 	return r
 }
 
--- a/rehearsalkit/modelcheck/scenario.go
+++ b/rehearsalkit/modelcheck/scenario.go
@@ -41,7 +41,7 @@
 // Start runs the setup and returns the scenario's initial state.
 func (s *Scenario) Start() *World {
 	s.renamings = renamings(s.Interchangeable)
-	s.recoveryCache.known = map[digest]recovery{}
+	s.recoveryCache.recoveries = map[digest]recovery{}
 	w := newWorld(s)
 	for i := range w.processes {
 		w.copied[i] = true
@@ -118,9 +118,9 @@
 }
 
 // commitOrder lets the given members accept an order.
-func (w *World) commitOrder(member string, n int, takers ...string) {
+func (w *World) commitOrder(member string, n int, acceptors ...string) {
 	w.propose(member, n)
-	w.deliverAmong(append(takers, member)...)
+	w.deliverAmong(append(acceptors, member)...)
 }
 
 func (w *World) deliverFirst(from, to, kind string) {
--- a/rehearsalkit/modelcheck/trace.go
+++ b/rehearsalkit/modelcheck/trace.go
@@ -18,8 +18,8 @@
 
 func newTrace(scenario *Scenario, n *node) *Trace {
 	trace := &Trace{Scenario: scenario.Name, Actions: n.trace()}
-	if n.world.broken != nil {
-		trace.Violation = *n.world.broken
+	if n.world.violated != nil {
+		trace.Violation = *n.world.violated
 	}
 	return trace
 }
@@ -70,8 +70,8 @@
 		if visit != nil {
 			visit(action, next)
 		}
-		if next.broken != nil {
-			return next.broken, nil
+		if next.violated != nil {
+			return next.violated, nil
 		}
 		w = next
 	}
--- a/rehearsalkit/modelcheck/walk.go
+++ b/rehearsalkit/modelcheck/walk.go
@@ -35,11 +35,11 @@
 	start.fingerprint()
 	var report WalkReport
 	var lock sync.Mutex
-	take := func() (uint64, bool) {
+	nextSeed := func() (uint64, bool) {
 		lock.Lock()
 		defer lock.Unlock()
-		late := walks.Timeout > 0 && time.Since(began) >= walks.Timeout
-		if report.Walks == walks.Count || report.Found != nil || late {
+		timedOut := walks.Timeout > 0 && time.Since(began) >= walks.Timeout
+		if report.Walks == walks.Count || report.Found != nil || timedOut {
 			return 0, false
 		}
 		report.Walks++
@@ -48,13 +48,13 @@
 	var group sync.WaitGroup
 	for range max(1, walks.Workers) {
 		group.Go(func() {
-			for seed, ok := take(); ok; seed, ok = take() {
-				actions, broken := walk(start, seed, walks.Length)
+			for seed, ok := nextSeed(); ok; seed, ok = nextSeed() {
+				actions, violated := walk(start, seed, walks.Length)
 				lock.Lock()
 				report.Steps += len(actions)
-				if broken != nil && report.Found == nil {
+				if violated != nil && report.Found == nil {
 					report.Seed = seed
-					report.Found = &Trace{Scenario: scenario.Name, Violation: *broken, Actions: actions}
+					report.Found = &Trace{Scenario: scenario.Name, Violation: *violated, Actions: actions}
 				}
 				lock.Unlock()
 			}
@@ -79,8 +79,8 @@
 		}
 		taken = append(taken, action)
 		next.checkDisks()
-		if next.broken != nil {
-			return taken, next.broken
+		if next.violated != nil {
+			return taken, next.violated
 		}
 		next.fingerprint()
 		w = next
@@ -102,15 +102,15 @@
 
 // shorten removes actions while the same property stays violated.
 func (t *Trace) shorten(scenario *Scenario) {
-	for again := true; again; {
-		again = false
+	for shortened := true; shortened; {
+		shortened = false
 		for i := len(t.Actions) - 1; i >= 0; i-- {
 			shorter := Trace{Scenario: t.Scenario, Actions: slices.Delete(slices.Clone(t.Actions), i, i+1)}
-			broken, steps := shorter.replayPossible(scenario)
-			if broken == nil || broken.Property != t.Violation.Property {
+			violated, steps := shorter.replayPossible(scenario)
+			if violated == nil || violated.Property != t.Violation.Property {
 				continue
 			}
-			t.Actions, t.Violation, again = steps, *broken, true
+			t.Actions, t.Violation, shortened = steps, *violated, true
 			break
 		}
 	}
@@ -127,8 +127,8 @@
 		}
 		next.checkDisks()
 		taken = append(taken, action)
-		if next.broken != nil {
-			return next.broken, taken
+		if next.violated != nil {
+			return next.violated, taken
 		}
 		w = next
 	}
--- a/rehearsalkit/modelcheck/world.go
+++ b/rehearsalkit/modelcheck/world.go
@@ -62,8 +62,8 @@
 	usage     usage
 	history   *history
 	reading   reading
-	// broken is the first property that the step to this state violated.
-	broken *Violation
+	// violated is the first property that the step to this state violated.
+	violated *Violation
 
 	// copied marks the processes cloned in the current step.
 	copied map[int]bool
@@ -124,8 +124,8 @@
 }
 
 func (w *World) recordViolation(v *Violation) {
-	if w.broken == nil && v != nil {
-		w.broken = v
+	if w.violated == nil && v != nil {
+		w.violated = v
 	}
 }
 
@@ -211,13 +211,13 @@
 		}
 	default:
 		order := w.scenario.Orders[r.RequestID/requestIDsPerOrder]
-		var broken *Violation
+		var violated *Violation
 		if r.Body.(OrderResult).OK {
-			w.history, broken = w.history.recordValue(order.Number, order.Value, "acknowledged by "+p.member)
+			w.history, violated = w.history.recordValue(order.Number, order.Value, "acknowledged by "+p.member)
 		} else {
-			w.history, broken = w.history.recordRefusal(order)
+			w.history, violated = w.history.recordRefusal(order)
 		}
-		w.recordViolation(broken)
+		w.recordViolation(violated)
 	}
 }
 
@@ -226,8 +226,8 @@
 	fresh.changed++
 	w.history = &fresh
 	group := p.machine.Group()
-	if agreed, ok := p.machine.CommittedGroup(); ok {
-		group = agreed
+	if committed, ok := p.machine.CommittedGroup(); ok {
+		group = committed
 	}
 	final := len(group.Former) == 0
 	for _, member := range group.Members {
@@ -251,17 +251,17 @@
 // checkCommittedGroup checks the group that a machine considers committed.
 func (w *World) checkCommittedGroup(p *process) {
 	group, ok := p.machine.CommittedGroup()
-	if !ok || !p.agreed.Before(group) {
+	if !ok || !p.committed.Before(group) {
 		return
 	}
-	p.agreed = group
+	p.committed = group
 	if !isQuorum(group, w.membersWithGroup(group)) {
 		w.recordViolation(violation(QuorumsIntersect, "%s considers members %v, former members %v committed without a quorum",
 			p.member, group.Members, group.Former))
 	}
-	var broken *Violation
-	w.history, broken = w.history.recordGroup(group)
-	w.recordViolation(broken)
+	var violated *Violation
+	w.history, violated = w.history.recordGroup(group)
+	w.recordViolation(violated)
 }
 
 // fingerprint returns the smallest digest under all renamings, so that states which differ only by
--- a/rehearsalkit/worth/command.go
+++ b/rehearsalkit/worth/command.go
@@ -98,14 +98,14 @@
 		differences = append(differences, d)
 		fmt.Fprintf(out, "| %d | %.3f | %.3f | %+.3f |\n", i+1, before[i].Worth, after[i].Worth, d)
 	}
-	mean, half := interval(differences)
-	fmt.Fprintf(out, "\nmean difference %+.3f, 95%% interval %+.3f to %+.3f (%d pairs)\n", mean, mean-half, mean+half, len(differences))
+	mean, halfWidth := interval(differences)
+	fmt.Fprintf(out, "\nmean difference %+.3f, 95%% interval %+.3f to %+.3f (%d pairs)\n", mean, mean-halfWidth, mean+halfWidth, len(differences))
 	return nil
 }
 
-// interval returns the mean and half of its 95% confidence interval, which is infinite for a single
-// value.
-func interval(values []float64) (mean, half float64) {
+// interval returns the mean and half the width of its 95% confidence interval, which is infinite
+// for a single value.
+func interval(values []float64) (mean, halfWidth float64) {
 	n := float64(len(values))
 	for _, v := range values {
 		mean += v / n
