--- a/rehearsalkit/capacity/measure.go
+++ b/rehearsalkit/capacity/measure.go
@@ -15,8 +15,8 @@
 	"saffronfall/rule/ordered"
 )
 
-// Failures of a run. They start after a third of the measured time and last a fifth of it.
-// Wipe is a core that loses its disk, Split a network partition between regions.
+// Failures of a run. They start after a third of the measured time and last a fifth of it. Wipe is
+// a core without its disk, Split a network partition between regions.
 const (
 	None     = "none"
 	Core     = "core"
@@ -27,8 +27,8 @@
 	Split    = "split"
 )
 
-// Span is the length of a run in simulated time. The measurement is preceded by Warm and by
-// the time of a complete program.
+// Span is the length of a run in simulated time. Warm and one complete program precede the
+// measurement.
 type Span struct {
 	Warm, Measured time.Duration
 }
@@ -41,8 +41,7 @@
 	Time bool
 }
 
-// Measure simulates one point and returns the figures of each role. Figures without Time
-// are the same for the same seed.
+// Measure returns the figures of each role at a point. Those without Time repeat for a seed.
 func Measure(p Point, seed uint64, span Span, failure string) ([]Figure, error) {
 	if err := p.check(); err != nil {
 		return nil, err
@@ -71,13 +70,13 @@
 	w.startPrograms()
 	w.run(w.now + span.Warm + time.Duration(p.Turns)*p.thinkTime())
 	if p.Changes > 0 {
-		every := time.Hour / time.Duration(p.Changes)
+		interval := time.Hour / time.Duration(p.Changes)
 		var next func()
 		next = func() {
 			w.applyTable(func(bool) {})
-			w.after(every, next)
+			w.after(interval, next)
 		}
-		w.after(every/2, next)
+		w.after(interval/2, next)
 	}
 	for _, list := range [][]*process{w.cores, w.registries, w.nodes} {
 		for _, x := range list {
@@ -85,7 +84,7 @@
 		}
 	}
 	clear(w.counts)
-	w.lag = 0
+	w.maxTableLag = 0
 	began := w.now
 	if failure != None {
 		w.after(span.Measured/3, func() { w.fail(failure, span.Measured/5) })
@@ -108,7 +107,6 @@
 	return true
 }
 
-// fail causes a failure for a time.
 func (w *world) fail(failure string, length time.Duration) {
 	var affected []*process
 	switch failure {
@@ -149,7 +147,7 @@
 	for _, name := range ordered.Keys(w.counts) {
 		add("requester", name+"/s", float64(w.counts[name])/seconds, false)
 	}
-	add("requester", "change in force after ms", float64(w.lag.Milliseconds()), false)
+	add("requester", "change in force after ms", float64(w.maxTableLag.Milliseconds()), false)
 	roles := []struct {
 		name string
 		list []*process
@@ -157,8 +155,8 @@
 	for _, role := range roles {
 		var sum meter
 		kinds := map[string]kind{}
-		var most int64
-		var busiest time.Duration
+		var maxBytes int64
+		var maxCPU time.Duration
 		for _, x := range role.list {
 			m := x.meter
 			sum.Sent += m.Sent
@@ -169,8 +167,8 @@
 			sum.Written += m.Written
 			sum.Step += m.Step
 			sum.Pack += m.Pack
-			most = max(most, m.SentBytes+m.ReceivedBytes)
-			busiest = max(busiest, m.Step+m.Pack)
+			maxBytes = max(maxBytes, m.SentBytes+m.ReceivedBytes)
+			maxCPU = max(maxCPU, m.Step+m.Pack)
 			for name, k := range m.kinds {
 				all := kinds[name]
 				all.count += k.count
@@ -178,27 +176,27 @@
 				kinds[name] = all
 			}
 		}
-		each := 1 / seconds / float64(len(role.list))
-		add(role.name, "messages sent/s", float64(sum.Sent)*each, false)
-		add(role.name, "messages received/s", float64(sum.Received)*each, false)
-		add(role.name, "bytes sent/s", float64(sum.SentBytes)*each, false)
-		add(role.name, "bytes received/s", float64(sum.ReceivedBytes)*each, false)
-		add(role.name, "bytes of the busiest/s", float64(most)/seconds, false)
+		perProcess := 1 / seconds / float64(len(role.list))
+		add(role.name, "messages sent/s", float64(sum.Sent)*perProcess, false)
+		add(role.name, "messages received/s", float64(sum.Received)*perProcess, false)
+		add(role.name, "bytes sent/s", float64(sum.SentBytes)*perProcess, false)
+		add(role.name, "bytes received/s", float64(sum.ReceivedBytes)*perProcess, false)
+		add(role.name, "bytes of the busiest/s", float64(maxBytes)/seconds, false)
 		if role.name == "core" {
-			add(role.name, "syncs/s", float64(sum.Syncs)*each, false)
-			add(role.name, "bytes written/s", float64(sum.Written)*each, false)
+			add(role.name, "syncs/s", float64(sum.Syncs)*perProcess, false)
+			add(role.name, "bytes written/s", float64(sum.Written)*perProcess, false)
 			var stored int64
 			for _, c := range w.cores {
 				stored += int64(len(message.Marshal(c.stored)))
 			}
 			add(role.name, "bytes stored", float64(stored)/float64(len(w.cores)), false)
 		}
-		add(role.name, "step us/s", float64(sum.Step.Nanoseconds())/1e3*each, true)
-		add(role.name, "packing us/s", float64(sum.Pack.Nanoseconds())/1e3*each, true)
-		add(role.name, "processor of the busiest us/s", float64(busiest.Nanoseconds())/1e3/seconds, true)
+		add(role.name, "step us/s", float64(sum.Step.Nanoseconds())/1e3*perProcess, true)
+		add(role.name, "packing us/s", float64(sum.Pack.Nanoseconds())/1e3*perProcess, true)
+		add(role.name, "processor of the busiest us/s", float64(maxCPU.Nanoseconds())/1e3/seconds, true)
 		for _, name := range ordered.Keys(kinds) {
-			add(role.name, name+" n/s", float64(kinds[name].count)*each, false)
-			add(role.name, name+" bytes/s", float64(kinds[name].bytes)*each, false)
+			add(role.name, name+" n/s", float64(kinds[name].count)*perProcess, false)
+			add(role.name, name+" bytes/s", float64(kinds[name].bytes)*perProcess, false)
 		}
 	}
 	var cache int64
@@ -206,7 +204,7 @@
 		cache += n.node.Status(w.now)["cache_bytes"]
 	}
 	add("node", "cache bytes", float64(cache)/float64(len(w.nodes)), false)
-	// The heap of a role is the memory that is freed when its processes are dropped.
+	// The heap of a role is the memory freed when its processes are dropped.
 	w.events, w.programs = eventqueue.Queue{}, nil
 	for _, n := range w.nodes {
 		n.requests = nil
@@ -216,7 +214,7 @@
 		for _, x := range role.list {
 			x.node, x.registry, x.core = nil, nil, nil
 			if role.name != "core" {
-				x.calls = nil
+				x.pendingCalls = nil
 			}
 		}
 		now := heapNow()
@@ -233,7 +231,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// Format formats the figures of a point as a table.
+// Format formats figures as a table.
 func Format(list []Figure) string {
 	var b strings.Builder
 	for _, f := range list {
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -22,23 +22,30 @@
 	"saffronfall/rule/route"
 )
 
-// Time bounds and sizes of the simulated deployment, in the ratios of platform/settings.go.
+// Times and sizes, in the ratios of platform/settings.go.
 const (
 	contactTimeout    = 3 * time.Second
 	heartbeatInterval = 1200 * time.Millisecond
 	updateInterval    = 500 * time.Millisecond
 	rateWindow        = 5 * time.Second
 	groupSize         = 3
-	nodeCache         = 16 << 20
-	// retentionPerThink is the retention of a turn as a multiple of the think time: 60 s
-	// for turns that are 41 s apart.
+	nodeCacheBytes    = 16 << 20
+	// retentionPerThink is retention over think time: 60 s for turns 41 s apart.
 	retentionPerThink = 60.0 / 41
-	service           = 150 * time.Millisecond
+	serviceTime       = 150 * time.Millisecond
+	replicaSlots      = 16
+	syncDuration      = 700 * time.Microsecond
+	zoneDelay         = 200 * time.Microsecond
+	regionDelay       = 500 * time.Microsecond
+	interRegionDelay  = 12 * time.Millisecond
+	frameHeaderBytes  = 4
+	writeHeaderBytes  = 12
 )
 
 func coreParams() core.Params {
-	return core.Params{Partition: partition.Params{LeaseDuration: contactTimeout / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeTransfer: 20}, MemberLease: contactTimeout / 2, AttemptTimeout: contactTimeout / 24,
-		PullInterval: contactTimeout / 20, SilenceTimeout: 2200 * time.Millisecond, ColdStart: true}
+	return core.Params{Partition: partition.Params{LeaseDuration: contactTimeout / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40,
+		LeasesBeforeTransfer: 20}, MemberLease: contactTimeout / 2, AttemptTimeout: contactTimeout / 24, PullInterval: contactTimeout / 20,
+		SilenceTimeout: 2200 * time.Millisecond, ColdStart: true}
 }
 
 func registryParams() registry.Params {
@@ -46,10 +53,13 @@
 }
 
 func nodeParams() relay.Params {
-	return relay.Params{Core: coreParams(), HeartbeatInterval: heartbeatInterval, UpdateInterval: updateInterval, RateWindow: rateWindow, RateOvershoot: 0.1, RateSlack: 4, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMillisecond: 80, HeartbeatInterval: heartbeatInterval}, LoadReportInterval: heartbeatInterval / 12, ResendUnrun: true, ShedOverload: true, MaxRequests: 2000, CacheBytes: nodeCache, BudgetRetention: 10 * time.Minute}
+	return relay.Params{Core: coreParams(), HeartbeatInterval: heartbeatInterval, UpdateInterval: updateInterval, RateWindow: rateWindow,
+		RateOvershoot: 0.1, RateSlack: 4, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true,
+			LocalZone: true, FailureRates: true, PromptTokensPerMillisecond: 80, HeartbeatInterval: heartbeatInterval},
+		LoadReportInterval: heartbeatInterval / 12, ResendUnrun: true, ShedOverload: true, MaxRequests: 2000, CacheBytes: nodeCacheBytes, BudgetRetention: 10 * time.Minute}
 }
 
-// cpu returns the CPU time of this thread, which other processes do not affect.
+// cpu returns this thread's CPU time, which other processes do not affect.
 func cpu() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
@@ -58,7 +68,6 @@
 	return time.Duration(t.Nano())
 }
 
-// meter counts the resource use of one process.
 type meter struct {
 	Sent, Received, SentBytes, ReceivedBytes int64
 	Syncs, Written                           int64
@@ -78,7 +87,7 @@
 	k.bytes += int64(bytes)
 }
 
-// process is one simulated core, registry or node; only the fields of its role are set.
+// process is a simulated core, registry or node; only the fields of its role are set.
 type process struct {
 	world       *world
 	id          string
@@ -96,12 +105,12 @@
 	deferred []deferred
 	busy     bool
 
-	registry *registry.Machine
-	calls    map[uint64]func(body any)
+	registry     *registry.Machine
+	pendingCalls map[uint64]func(body any)
 
-	node     *relay.Machine
-	requests map[uint64]*turn
-	number   uint64
+	node        *relay.Machine
+	requests    map[uint64]*turn
+	tableNumber uint64
 }
 
 // deferred is a message that must not be sent before the write numbered after is synced.
@@ -110,7 +119,7 @@
 	send  core.Send
 }
 
-// world is a simulated deployment. It is used by one goroutine.
+// world is a simulated deployment, used by one goroutine.
 type world struct {
 	point      Point
 	now        time.Duration
@@ -129,10 +138,9 @@
 	split      bool
 	counts     map[string]int64
 	table      uint64
-	// appliedAt is when each table was first applied, lag the longest time until a node
-	// used one.
-	appliedAt map[uint64]time.Duration
-	lag       time.Duration
+	// appliedAt is each table's first application, maxTableLag the longest time to a node's use.
+	appliedAt   map[uint64]time.Duration
+	maxTableLag time.Duration
 }
 
 func newWorld(p Point, seed uint64) *world {
@@ -189,18 +197,18 @@
 
 func (w *world) region(zone int) int { return zone * w.point.Regions / w.point.Zones }
 
-// delay returns the one-way network delay between two zones.
+// delay returns the one-way network delay.
 func (w *world) delay(a, b int) time.Duration {
 	switch {
 	case a == b:
-		return 200 * time.Microsecond
+		return zoneDelay
 	case w.region(a) == w.region(b):
-		return 500 * time.Microsecond
+		return regionDelay
 	}
-	return 12 * time.Millisecond
+	return interRegionDelay
 }
 
-func (w *world) cut(a, b int) bool { return w.split && w.region(a) != w.region(b) }
+func (w *world) disconnected(a, b int) bool { return w.split && w.region(a) != w.region(b) }
 
 func (w *world) seeds() []string {
 	var list []string
@@ -212,7 +220,7 @@
 	return list
 }
 
-// boot starts a new incarnation. A core starts from what it has stored.
+// boot starts an incarnation. A core starts from what it has stored.
 func (p *process) boot() {
 	w := p.world
 	if p.alive {
@@ -221,25 +229,29 @@
 	p.incarnation++
 	p.alive = true
 	zone := fmt.Sprintf("zone-%d", p.zone)
-	every := coreParams().PullInterval / 3
+	interval := coreParams().PullInterval / 3
 	switch p.id[:4] {
 	case "core":
 		p.pending, p.deferred, p.busy, p.issued, p.synced = nil, nil, false, 0, 0
 		var image core.Stored
 		image.CopyFrom(p.stored)
-		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: zone, Address: p.address, Seeds: w.seeds(), Stored: image, Now: w.now, Random: w.random.Float64})
-		every = coreParams().Partition.LeaseDuration / 20
+		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: zone, Address: p.address, Seeds: w.seeds(),
+			Stored: image, Now: w.now, Random: w.random.Float64})
+		interval = coreParams().Partition.LeaseDuration / 20
 	case "desk":
-		p.calls = map[uint64]func(any){}
-		p.registry = registry.New(registry.Options{Params: registryParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Address: p.address, Seeds: w.seeds(), FoundsFleet: p == w.registries[0] && p.incarnation == 1, Now: w.now, Random: w.random.Float64})
+		p.pendingCalls = map[uint64]func(any){}
+		p.registry = registry.New(registry.Options{Params: registryParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation),
+			Address: p.address, Seeds: w.seeds(), FoundsFleet: p == w.registries[0] && p.incarnation == 1,
+			Now: w.now, Random: w.random.Float64})
 	default:
 		p.requests = map[uint64]*turn{}
-		p.node = relay.New(relay.Options{Params: nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Zone: zone, Address: p.address, Seeds: w.seeds(), Now: w.now, Random: w.random.Float64})
+		p.node = relay.New(relay.Options{Params: nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation),
+			Zone: zone, Address: p.address, Seeds: w.seeds(), Now: w.now, Random: w.random.Float64})
 	}
-	p.tick(p.incarnation, every)
+	p.tick(p.incarnation, interval)
 }
 
-func (p *process) tick(incarnation int, every time.Duration) {
+func (p *process) tick(incarnation int, interval time.Duration) {
 	if p.incarnation != incarnation || !p.alive {
 		return
 	}
@@ -252,7 +264,7 @@
 	default:
 		p.handleNodeOutput(timed(p, func() relay.Output { return p.node.Tick(w.now) }))
 	}
-	w.after(every, func() { p.tick(incarnation, every) })
+	w.after(interval, func() { p.tick(incarnation, interval) })
 }
 
 func (p *process) kill() {
@@ -267,7 +279,6 @@
 	}
 }
 
-// timed runs a step and adds its CPU time to the process's meter.
 func timed[T any](p *process, step func() T) T {
 	began := cpu()
 	out := step()
@@ -283,33 +294,29 @@
 	return raw
 }
 
-// frame is the size of a message's frame header on the wire, in bytes.
-const frame = 4
-
 func (p *process) send(to string, body any) {
 	w := p.world
 	raw := p.pack(body)
 	name := kindOf(body)
 	p.meter.Sent++
-	p.meter.SentBytes += int64(len(raw) + frame)
-	p.meter.countKind("sent "+name, len(raw)+frame)
+	p.meter.SentBytes += int64(len(raw) + frameHeaderBytes)
+	p.meter.countKind("sent "+name, len(raw)+frameHeaderBytes)
 	target := w.processes[to]
-	if target == nil || w.cut(p.zone, target.zone) {
+	if target == nil || w.disconnected(p.zone, target.zone) {
 		return
 	}
 	from := p.address
 	w.after(w.delay(p.zone, target.zone), func() {
 		if target.alive {
 			target.meter.Received++
-			target.meter.ReceivedBytes += int64(len(raw) + frame)
+			target.meter.ReceivedBytes += int64(len(raw) + frameHeaderBytes)
 			target.receive(from, raw)
 		}
 	})
 }
 
-// kindOf names the type of a message and the type that it carries.
 func kindOf(body any) string {
-	// Messages of package registry are reported under the role's name.
+	// Registry messages are reported under the role's name.
 	name := strings.Replace(strings.TrimPrefix(fmt.Sprintf("%T", body), "core."), "registry.", "desk.", 1)
 	var raw []byte
 	switch b := body.(type) {
@@ -330,7 +337,7 @@
 		}
 	}
 	if len(raw) > 1 {
-		// The type name is a msgpack string of up to 31 bytes; the first byte holds its length.
+		// The type name is a msgpack string; the low five bits of its first byte are its length.
 		if n := int(raw[0] & 31); n < len(raw) {
 			return name + " " + strings.TrimPrefix(string(raw[1:1+n]), "core.")
 		}
@@ -380,8 +387,7 @@
 	p.send(s.To, s.Body)
 }
 
-// sync writes all pending changes in one frame. Sends that wait for them are released once
-// it is synced.
+// sync writes all pending changes in one frame, then releases the sends that wait for them.
 func (p *process) sync() {
 	if p.busy || len(p.pending) == 0 {
 		return
@@ -396,9 +402,9 @@
 	raw := message.Marshal(all)
 	p.meter.Pack += cpu() - began
 	p.meter.Syncs++
-	p.meter.Written += int64(len(raw) + 12)
+	p.meter.Written += int64(len(raw) + writeHeaderBytes)
 	lastSynced, incarnation := p.issued, p.incarnation
-	p.world.after(700*time.Microsecond, func() {
+	p.world.after(syncDuration, func() {
 		if p.incarnation != incarnation {
 			return
 		}
@@ -424,8 +430,8 @@
 		p.send(s.To, s.Body)
 	}
 	for _, a := range o.Answers {
-		if call, ok := p.calls[a.Ticket]; ok {
-			delete(p.calls, a.Ticket)
+		if call, ok := p.pendingCalls[a.Ticket]; ok {
+			delete(p.pendingCalls, a.Ticket)
 			call(a.Body)
 		}
 	}
@@ -440,23 +446,24 @@
 			t.step(r.Step)
 		}
 	}
-	if number := p.node.TableNumber(); number > p.number {
-		p.number = number
-		p.world.lag = max(p.world.lag, p.world.now-p.world.appliedAt[number])
+	if number := p.node.TableNumber(); number > p.tableNumber {
+		p.tableNumber = number
+		p.world.maxTableLag = max(p.world.maxTableLag, p.world.now-p.world.appliedAt[number])
 	}
 }
 
-// tableText encodes a routing table of the point's size. Its source is about as long again.
+// tableText encodes a routing table, with a source about as long.
 func (w *world) tableText(number uint64) []byte {
 	t := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20}}
 	for i := 0; i < w.point.Models; i++ {
 		name := fmt.Sprintf("model-%d", i)
-		t.Services = append(t.Services, route.Service{Name: name, Connections: 100_000, TokensPerEvent: 1, Slots: 16, CacheTokens: 186629})
-		t.Routes = append(t.Routes, route.Route{Name: "chat-" + name, Host: "tier", Prefix: "/" + name + "/", Mode: route.Stream, KeepHistory: true, KeepSeconds: w.point.thinkTime().Seconds() * retentionPerThink, TimeoutMS: 4000,
-			MaxAttempts: 2, Targets: []route.Target{{Service: name, Weight: 1}}})
+		t.Services = append(t.Services, route.Service{Name: name, Connections: 100_000, TokensPerEvent: 1, Slots: replicaSlots, CacheTokens: 186629})
+		t.Routes = append(t.Routes, route.Route{Name: "chat-" + name, Host: "tier", Prefix: "/" + name + "/", Mode: route.Stream,
+			KeepHistory: true, KeepSeconds: w.point.thinkTime().Seconds() * retentionPerThink, TimeoutMS: 4000, MaxAttempts: 2, Targets: []route.Target{{Service: name, Weight: 1}}})
 	}
 	for i, share := range w.shares {
-		t.Tenants = append(t.Tenants, route.Tenant{Name: fmt.Sprintf("tenant-%d", i), Keys: []string{configuration.KeyDigest(fmt.Sprintf("key-%d", i))}, Rate: share*float64(w.point.Rate)*3 + 5, Burst: 10})
+		t.Tenants = append(t.Tenants, route.Tenant{Name: fmt.Sprintf("tenant-%d", i), Keys: []string{configuration.KeyDigest(fmt.Sprintf("key-%d", i))},
+			Rate: share*float64(w.point.Rate)*3 + 5, Burst: 10})
 	}
 	bare, err := json.Marshal(t)
 	if err != nil {
@@ -470,7 +477,6 @@
 	return whole
 }
 
-// applyTable applies a new table at a random registry and passes the result to then.
 func (w *world) applyTable(then func(ok bool)) {
 	d := w.registries[w.random.IntN(len(w.registries))]
 	if !d.alive {
@@ -483,7 +489,7 @@
 	if _, ok := w.appliedAt[number]; !ok {
 		w.appliedAt[number] = w.now
 	}
-	d.calls[w.tickets] = func(body any) {
+	d.pendingCalls[w.tickets] = func(body any) {
 		h := body.(registry.OrderResult)
 		if h.Accepted {
 			w.table = number
--- a/rehearsalkit/modelcheck/modelcheck_test.go
+++ b/rehearsalkit/modelcheck/modelcheck_test.go
@@ -48,15 +48,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if broken, _ := trace.Replay(nil); broken != nil {
-				t.Error(broken)
+			if violated, _ := trace.Replay(nil); violated != nil {
+				t.Error(violated)
 			}
 		})
 	}
 }
 
-// A read must be checked against the writes acknowledged before its arrival, not
-// before its answer: the process may have been frozen in between.
+// The process may have been frozen between a read's arrival and its answer.
 func TestReadIsCheckedAgainstItsArrival(t *testing.T) {
 	actions := []Action{
 		{Kind: BeginRead, Member: "c"}, {Kind: Advance}, {Kind: Advance}, {Kind: Tick, Member: "a"},
@@ -76,10 +75,10 @@
 			w = next
 		}
 		switch {
-		case !late && w.broken != nil:
-			t.Error(w.broken)
-		case late && (w.broken == nil || w.broken.Property != FreshRead):
-			t.Errorf("read checked as if it arrived at its answer: violation %v, want FreshRead", w.broken)
+		case !late && w.violated != nil:
+			t.Error(w.violated)
+		case late && (w.violated == nil || w.violated.Property != FreshRead):
+			t.Errorf("read checked as if it arrived at its answer: violation %v, want FreshRead", w.violated)
 		}
 	}
 }
@@ -133,7 +132,6 @@
 	}
 }
 
-// Apply must not change the state it starts from.
 func TestApplyLeavesInitialStateUnchanged(t *testing.T) {
 	for _, s := range Scenarios() {
 		w := s.Start()
@@ -164,7 +162,6 @@
 	return w.fingerprint()
 }
 
-// States that differ only by a permutation of interchangeable members count as one.
 func TestInterchangeableMembersShareAFingerprint(t *testing.T) {
 	s, _ := Find("orders")
 	s.Interchangeable, s.setup = []string{"b", "c"}, func(*World) {}
@@ -197,19 +194,19 @@
 
 func TestHistoryDetectsViolations(t *testing.T) {
 	empty := &history{values: map[uint64]string{}, refused: map[string]bool{}}
-	one, broken := empty.recordValue(1, "x", "")
-	if broken != nil || one.latest != 1 || empty.latest != 0 {
-		t.Fatal("first value is not recorded:", broken)
+	one, violated := empty.recordValue(1, "x", "")
+	if violated != nil || one.latest != 1 || empty.latest != 0 {
+		t.Fatal("first value is not recorded:", violated)
 	}
-	if _, broken := one.recordValue(1, "y", ""); broken == nil || broken.Property != OneValue {
-		t.Error("second value under one number:", broken)
+	if _, violated := one.recordValue(1, "y", ""); violated == nil || violated.Property != OneValue {
+		t.Error("second value under one number:", violated)
 	}
-	if _, broken := one.recordRefusal(Order{Number: 1, Value: "x"}); broken == nil || broken.Property != RefusedAbsent {
-		t.Error("accepted order refused:", broken)
+	if _, violated := one.recordRefusal(Order{Number: 1, Value: "x"}); violated == nil || violated.Property != RefusedAbsent {
+		t.Error("accepted order refused:", violated)
 	}
 	refused, _ := one.recordRefusal(Order{Number: 2, Value: "y"})
-	if _, broken := refused.recordValue(2, "y", ""); broken == nil || broken.Property != RefusedAbsent {
-		t.Error("refused order accepted:", broken)
+	if _, violated := refused.recordValue(2, "y", ""); violated == nil || violated.Property != RefusedAbsent {
+		t.Error("refused order accepted:", violated)
 	}
 }
 
@@ -223,12 +220,11 @@
 	if err != nil || !reflect.DeepEqual(back, trace) {
 		t.Errorf("%+v, %v", back, err)
 	}
-	if broken, err := back.Replay(nil); broken != nil || err != nil {
-		t.Error(broken, err)
+	if violated, err := back.Replay(nil); violated != nil || err != nil {
+		t.Error(violated, err)
 	}
 }
 
-// A limit that is reached must end the exploration and be reported.
 func TestLimitsAreReported(t *testing.T) {
 	for want, limits := range map[string]Limits{
 		"depth": {Depth: 2}, "states": {Depth: 20, States: 500}, "timeout": {Depth: 40, Timeout: 50 * time.Millisecond},
@@ -240,8 +236,7 @@
 	}
 }
 
-// A walk must find an existing violation and shorten its trace. LateReads provides
-// the violation.
+// LateReads provides the violation.
 func TestWalksFindAndShorten(t *testing.T) {
 	s, _ := Find("read")
 	if r := Walk(s, Walks{Count: 20, First: 1, Length: 30, Workers: 4}); r.Found != nil || r.Steps < 100 {
@@ -256,7 +251,7 @@
 	t.Logf("%d walks, %v: %v", r.Walks, r.Elapsed, r.Found)
 }
 
-// A second leader must be reachable in a few steps in these scenarios.
+// A second leader must be reachable in a few steps.
 func TestSuccessorIsReachable(t *testing.T) {
 	for _, name := range []string{"orders", "again", "catchup", "read"} {
 		s, _ := Find(name)
--- a/rehearsalkit/modelcheck/trace.go
+++ b/rehearsalkit/modelcheck/trace.go
@@ -18,8 +18,8 @@
 
 func newTrace(scenario *Scenario, n *node) *Trace {
 	trace := &Trace{Scenario: scenario.Name, Actions: n.trace()}
-	if n.world.broken != nil {
-		trace.Violation = *n.world.broken
+	if n.world.violated != nil {
+		trace.Violation = *n.world.violated
 	}
 	return trace
 }
@@ -53,9 +53,8 @@
 	return &trace, errors.Wrapf(json.Unmarshal(raw, &trace), "decoding trace %s", path)
 }
 
-// Replay applies the actions and passes each state to visit, which may be nil. It
-// returns the first violation, or ErrImpossible if the code no longer allows an
-// action.
+// Replay passes each state to visit, which may be nil. It returns the first violation, or
+// ErrImpossible if the code no longer allows an action.
 func (t *Trace) Replay(visit func(Action, *World)) (*Violation, error) {
 	scenario, ok := Find(t.Scenario)
 	if !ok {
@@ -71,8 +70,8 @@
 		if visit != nil {
 			visit(action, next)
 		}
-		if next.broken != nil {
-			return next.broken, nil
+		if next.violated != nil {
+			return next.violated, nil
 		}
 		w = next
 	}
--- a/rehearsalkit/modelcheck/walk.go
+++ b/rehearsalkit/modelcheck/walk.go
@@ -9,8 +9,7 @@
 
 // Walks configures random walks, which reach greater depths than an exploration.
 type Walks struct {
-	// Count is the number of walks, First the seed of the first one, and Length the
-	// number of actions of each.
+	// Count is the number of walks, First the first seed, Length the actions of each.
 	Count   int
 	First   uint64
 	Length  int
@@ -27,20 +26,20 @@
 	Found *Trace
 }
 
-// Walk makes random walks from the scenario's initial state until one violates a
-// property, or the count or timeout is reached. The trace it finds is shortened.
+// Walk makes random walks until one violates a property or a limit is reached. The trace it finds
+// is shortened.
 func Walk(scenario *Scenario, walks Walks) WalkReport {
 	began := time.Now()
 	start := scenario.Start()
-	// The digests of the initial state are cached before the workers share it.
+	// The initial state's digests are cached before the workers share it.
 	start.fingerprint()
 	var report WalkReport
 	var lock sync.Mutex
-	take := func() (uint64, bool) {
+	nextSeed := func() (uint64, bool) {
 		lock.Lock()
 		defer lock.Unlock()
-		late := walks.Timeout > 0 && time.Since(began) >= walks.Timeout
-		if report.Walks == walks.Count || report.Found != nil || late {
+		timedOut := walks.Timeout > 0 && time.Since(began) >= walks.Timeout
+		if report.Walks == walks.Count || report.Found != nil || timedOut {
 			return 0, false
 		}
 		report.Walks++
@@ -49,13 +48,13 @@
 	var group sync.WaitGroup
 	for range max(1, walks.Workers) {
 		group.Go(func() {
-			for seed, ok := take(); ok; seed, ok = take() {
-				actions, broken := walk(start, seed, walks.Length)
+			for seed, ok := nextSeed(); ok; seed, ok = nextSeed() {
+				actions, violated := walk(start, seed, walks.Length)
 				lock.Lock()
 				report.Steps += len(actions)
-				if broken != nil && report.Found == nil {
+				if violated != nil && report.Found == nil {
 					report.Seed = seed
-					report.Found = &Trace{Scenario: scenario.Name, Violation: *broken, Actions: actions}
+					report.Found = &Trace{Scenario: scenario.Name, Violation: *violated, Actions: actions}
 				}
 				lock.Unlock()
 			}
@@ -69,7 +68,6 @@
 	return report
 }
 
-// walk makes one random walk.
 func walk(start *World, seed uint64, length int) ([]Action, *Violation) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	var taken []Action
@@ -81,8 +79,8 @@
 		}
 		taken = append(taken, action)
 		next.checkDisks()
-		if next.broken != nil {
-			return taken, next.broken
+		if next.violated != nil {
+			return taken, next.violated
 		}
 		next.fingerprint()
 		w = next
@@ -90,7 +88,7 @@
 	return taken, nil
 }
 
-// randomStep applies a random possible action, or returns nil if there is none.
+// randomStep returns nil if no action is possible.
 func (w *World) randomStep(random *rand.Rand) (*World, Action) {
 	list := w.Actions()
 	random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
@@ -102,24 +100,23 @@
 	return nil, Action{}
 }
 
-// shorten removes actions while the same property is still violated without them.
+// shorten removes actions while the same property stays violated.
 func (t *Trace) shorten(scenario *Scenario) {
-	for again := true; again; {
-		again = false
+	for shortened := true; shortened; {
+		shortened = false
 		for i := len(t.Actions) - 1; i >= 0; i-- {
 			shorter := Trace{Scenario: t.Scenario, Actions: slices.Delete(slices.Clone(t.Actions), i, i+1)}
-			broken, steps := shorter.replayPossible(scenario)
-			if broken == nil || broken.Property != t.Violation.Property {
+			violated, steps := shorter.replayPossible(scenario)
+			if violated == nil || violated.Property != t.Violation.Property {
 				continue
 			}
-			t.Actions, t.Violation, again = steps, *broken, true
+			t.Actions, t.Violation, shortened = steps, *violated, true
 			break
 		}
 	}
 }
 
-// replayPossible replays a trace and skips impossible actions. It returns the
-// violation and the actions applied up to it.
+// replayPossible skips impossible actions. It returns the actions applied up to a violation.
 func (t *Trace) replayPossible(scenario *Scenario) (*Violation, []Action) {
 	w := scenario.Start()
 	var taken []Action
@@ -130,8 +127,8 @@
 		}
 		next.checkDisks()
 		taken = append(taken, action)
-		if next.broken != nil {
-			return next.broken, taken
+		if next.violated != nil {
+			return next.violated, taken
 		}
 		w = next
 	}
