--- a/peer/stream/stream.go
+++ b/peer/stream/stream.go
@@ -311,7 +311,7 @@
 			return
 		}
 		body, err := message.Open(raw)
-		if errors.Is(err, message.ErrUnknown) {
+		if errors.Is(err, message.ErrUnknownType) {
 			// A member of the next version may send types that this one does not have.
 			t.count(Counters{UnknownTypes: 1})
 			continue
--- a/rule/message/message.go
+++ b/rule/message/message.go
@@ -16,9 +16,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrUnknown is returned for a message of a type that this build does not know. Another build may
-// send one during a rolling upgrade.
-var ErrUnknown = errors.New("unknown type")
+// ErrUnknownType is returned for a type that this build does not know. Another build may send one
+// during a rolling upgrade.
+var ErrUnknownType = errors.New("unknown type")
 
 var (
 	types = map[string]reflect.Type{}
@@ -61,8 +61,8 @@
 	return buffer.Bytes()
 }
 
-// Open decodes what Pack encoded. It returns ErrUnknown for a name that is not registered, and an
-// error where the msgpack library panics on malformed input.
+// Open decodes what Pack encoded. It returns ErrUnknownType for an unregistered name, and an error
+// where the msgpack library panics on malformed input.
 func Open(raw []byte) (body any, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -76,7 +76,7 @@
 	}
 	t, ok := types[name]
 	if !ok {
-		return nil, errors.Wrapf(ErrUnknown, "%q", name)
+		return nil, errors.Wrapf(ErrUnknownType, "%q", name)
 	}
 	value := reflect.New(t)
 	if err := decoder.DecodeValue(value); err != nil {
--- a/rule/message/message_test.go
+++ b/rule/message/message_test.go
@@ -7,7 +7,6 @@
 	"time"
 )
 
-// sample has all kinds of fields that messages have.
 type sample struct {
 	Name    string
 	Count   uint64
@@ -62,12 +61,12 @@
 	}
 }
 
-func TestUnknownTypeIsErrUnknown(t *testing.T) {
+func TestUnknownTypeIsReported(t *testing.T) {
 	name := Marshal("message.newer")
-	if _, err := Open(append(name, Marshal(inner{})...)); !errors.Is(err, ErrUnknown) {
+	if _, err := Open(append(name, Marshal(inner{})...)); !errors.Is(err, ErrUnknownType) {
 		t.Errorf("unregistered type: %v", err)
 	}
-	if _, err := Open(Marshal(7)); err == nil || errors.Is(err, ErrUnknown) {
+	if _, err := Open(Marshal(7)); err == nil || errors.Is(err, ErrUnknownType) {
 		t.Errorf("message without a type name: %v", err)
 	}
 }
