--- a/rule/partition/benchmark_test.go
+++ b/rule/partition/benchmark_test.go
@@ -8,21 +8,21 @@
 
 // BenchmarkTick measures a tick when nothing is due.
 func BenchmarkTick(b *testing.B) {
-	o, t := largeReplica(b)
+	m, now := largeReplica(b)
 	b.ResetTimer()
 	for i := 0; i < b.N; i++ {
-		o.Tick(t)
+		m.Tick(now)
 	}
 }
 
 func BenchmarkSweep(b *testing.B) {
-	o, t := largeReplica(b)
+	m, now := largeReplica(b)
 	b.ResetTimer()
 	for i := 0; i < b.N; i++ {
-		o.leading.nextRenewal, o.leading.nextSweep = 0, 0
-		for _, s := range o.Tick(t).Sends {
+		m.leading.nextRenewal, m.leading.nextSweep = 0, 0
+		for _, s := range m.Tick(now).Sends {
 			if r, ok := s.Body.(RenewLease); ok {
-				o.Receive(t, "a", r)
+				m.Receive(now, "a", r)
 			}
 		}
 	}
--- a/rule/partition/durable_test.go
+++ b/rule/partition/durable_test.go
@@ -28,8 +28,7 @@
 	return 0, false
 }
 
-// Guards against a replica that renews a lease, forgets its term in a power loss and promises
-// another leader.
+// Guards against a replica that forgets the term of a renewed lease in a power loss.
 func TestLeaseAckWaitsForDisk(t *testing.T) {
 	m, term, group := replicaUnderTest(t)
 	group.Term = term
--- a/rule/partition/election.go
+++ b/rule/partition/election.go
@@ -55,7 +55,7 @@
 
 func (m *Machine) sendPrepare(now time.Duration) {
 	lead := m.leading
-	lead.preparedAt = now
+	lead.prepareSentAt = now
 	if !lead.preVote && m.state.Promised != lead.term {
 		// The candidate's own promise is on disk before it asks for others. Otherwise it could
 		// be a candidate for the same term again after a restart.
--- a/rule/partition/machine.go
+++ b/rule/partition/machine.go
@@ -32,7 +32,7 @@
 	leaseTerm    Term
 	leaseUntil   time.Duration
 	electionAt   time.Duration // the end of the election timeout
-	highestRound uint64        // of all rejections
+	highestRound uint64        // the highest promised round in a rejection
 	// leading is set while this member is the candidate or leader of a term.
 	leading     *leadership
 	change      *memberChange // nil if none is in progress
@@ -41,6 +41,7 @@
 	durableTerm Term // the newest one known to be on disk
 }
 
+// effects has the output of the current call.
 type effects struct {
 	out      *Output
 	violated invariant.Reporter
@@ -55,7 +56,7 @@
 	rejected        map[string]bool
 	promises        map[string]Promise
 	phaseStartedAt  time.Duration
-	preparedAt      time.Duration
+	prepareSentAt   time.Duration
 	needEntries     bool // set when the digests of a quorum differ
 	promisedDigests map[string]uint64
 	serving         bool
@@ -81,7 +82,7 @@
 	nextRenewal    time.Duration
 	nextSweep      time.Duration
 	servingSince   time.Duration
-	clockBase      time.Duration
+	clockBase      time.Duration // the partition's clock at clockBaseAt
 	clockBaseAt    time.Duration
 	queuedGroup    *Group
 }
@@ -199,7 +200,7 @@
 		}
 	case !lead.serving && now > lead.phaseStartedAt+m.params.LeaseDuration:
 		m.stepDown(now)
-	case !lead.serving && lead.table == nil && now > lead.preparedAt+m.params.LeaseDuration/prepareRetryDivisor:
+	case !lead.serving && lead.table == nil && now > lead.prepareSentAt+m.params.LeaseDuration/prepareRetryDivisor:
 		// The messages may have been lost, or their receivers may have been down.
 		m.sendPrepare(now)
 	case !lead.serving && lead.pending != nil && now > lead.pending.sentAt+m.params.LeaseDuration/writeRetryDivisor:
--- a/rule/partition/rebase_test.go
+++ b/rule/partition/rebase_test.go
@@ -95,7 +95,7 @@
 // Guards against a member that promises late and never becomes complete.
 func TestRebaseReachesLateMember(t *testing.T) {
 	group := []string{"a", "b", "c"}
-	for _, other := range []bool{false, true} {
+	for _, missesWrite := range []bool{false, true} {
 		c := newCluster(t, group, group...)
 		c.advance(500 * time.Millisecond)
 		former := c.leader()
@@ -106,7 +106,7 @@
 			late = "b"
 		}
 		c.drop = func(from, to string, body any) bool { return from == late || to == late }
-		if other {
+		if missesWrite {
 			c.propose(former, put{"k", "w"})
 		}
 		c.restart(former)
@@ -116,7 +116,7 @@
 		}
 		c.drop = func(string, string, any) bool { return false }
 		c.advance(time.Second)
-		want := map[bool]string{false: "v", true: "w"}[other]
+		want := map[bool]string{false: "v", true: "w"}[missesWrite]
 		if got := string(c.replicas[late].state.Entries["k"].Value); got != want {
 			t.Errorf("the late member has %q, want %q", got, want)
 		}
--- a/rule/partition/updates_test.go
+++ b/rule/partition/updates_test.go
@@ -11,13 +11,13 @@
 	c.advance(300 * time.Millisecond)
 	leader := c.replicas[c.leader()]
 	tableValue := func() string {
-		upto, _ := leader.CommittedVersion()
+		committed, _ := leader.CommittedVersion()
 		updates := leader.Updates(Version{}, []string{"table"})
 		if len(updates) == 0 {
 			return ""
 		}
-		if upto.Less(updates[0].Version) {
-			t.Errorf("updates up to %v have %+v", upto, updates[0])
+		if committed.Less(updates[0].Version) {
+			t.Errorf("updates up to %v have %+v", committed, updates[0])
 		}
 		return string(updates[0].Value)
 	}
--- a/rule/program/user.go
+++ b/rule/program/user.go
@@ -23,7 +23,8 @@
 	Verdict verdict.Verdict `msgpack:"v"`
 }
 
-// User is a user's durable state. Minute, Hour and Day count session starts.
+// User is a user's durable state. Minute, Hour and Day count session starts, Tokens the output of a
+// day.
 type User struct {
 	Minute      allowance.Window   `msgpack:"m"`
 	Hour        allowance.Window   `msgpack:"h"`
@@ -52,7 +53,7 @@
 			return open.Verdict
 		}
 	}
-	v := u.checkSession(clock, program, role, warnRatio)
+	v := u.startSession(clock, program, role, warnRatio)
 	u.RecentOpens = append(u.RecentOpens, OpenResult{Program: program, Verdict: v})
 	if n := len(u.RecentOpens); n > maxRecentOpens {
 		u.RecentOpens = append([]OpenResult(nil), u.RecentOpens[n-maxRecentOpens:]...)
@@ -60,7 +61,7 @@
 	return v
 }
 
-func (u *User) checkSession(clock time.Duration, program string, role configuration.Role, warnRatio float64) verdict.Verdict {
+func (u *User) startSession(clock time.Duration, program string, role configuration.Role, warnRatio float64) verdict.Verdict {
 	if clock < u.LockedUntil {
 		return refuse("lockout", "locked_out", "the user is locked out", 429, u.LockedUntil-clock)
 	}
--- a/rule/route/amendment.go
+++ b/rule/route/amendment.go
@@ -60,9 +60,9 @@
 		return Amendment{}, faults
 	}
 	var faults configuration.Faults
-	faults = append(faults, conflictingNames("routes", amendment.Set.Routes, amendment.Remove.Routes, routeName)...)
-	faults = append(faults, conflictingNames("services", amendment.Set.Services, amendment.Remove.Services, serviceName)...)
-	faults = append(faults, conflictingNames("tenants", amendment.Set.Tenants, amendment.Remove.Tenants, tenantName)...)
+	faults = append(faults, nameFaults("routes", amendment.Set.Routes, amendment.Remove.Routes, routeName)...)
+	faults = append(faults, nameFaults("services", amendment.Set.Services, amendment.Remove.Services, serviceName)...)
+	faults = append(faults, nameFaults("tenants", amendment.Set.Tenants, amendment.Remove.Tenants, tenantName)...)
 	if len(faults) > 0 {
 		return Amendment{}, faults
 	}
@@ -71,7 +71,7 @@
 
 func routeName(r Route) string { return r.Name }
 
-func conflictingNames[T any](list string, set []T, removed []string, name func(T) string) (faults configuration.Faults) {
+func nameFaults[T any](list string, set []T, removed []string, name func(T) string) (faults configuration.Faults) {
 	isSet := map[string]bool{}
 	for i, item := range set {
 		path := "set." + list + "[" + strconv.Itoa(i) + "].name"
@@ -119,7 +119,7 @@
 			Allowed: "an amendment of that text",
 		})
 	}
-	faults = append(faults, duplicateNames("routes", current.Routes, a.Set.Routes, a.Remove.Routes, routeName)...)
+	faults = append(faults, ambiguousNames("routes", current.Routes, a.Set.Routes, a.Remove.Routes, routeName)...)
 	next := &Table{Number: a.Number, KeyRequired: current.KeyRequired, Limits: current.Limits}
 	next.Routes = merge(current.Routes, a.Set.Routes, a.Remove.Routes, routeName)
 	next.Services = merge(current.Services, a.Set.Services, a.Remove.Services, serviceName)
@@ -132,9 +132,9 @@
 	return next, nil
 }
 
-// duplicateNames reports names of the amendment that several current items share, as they do not
+// ambiguousNames reports names of the amendment that several current items share, as they do not
 // identify one item.
-func duplicateNames[T any](list string, current, set []T, removed []string, name func(T) string) (faults configuration.Faults) {
+func ambiguousNames[T any](list string, current, set []T, removed []string, name func(T) string) (faults configuration.Faults) {
 	count := map[string]int{}
 	for _, item := range current {
 		count[name(item)]++
--- a/rule/route/amendment_test.go
+++ b/rule/route/amendment_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const amended = `{"number":3,"keyed":true,
+const currentText = `{"number":3,"keyed":true,
 "routes":[{"name":"chat","host":"a","prefix":"/chat/","mode":"stream","timeout_ms":100,"targets":[{"service":"llm"}]},
 {"name":"old","host":"a","prefix":"/old/","mode":"once","timeout_ms":100,"targets":[{"service":"app"}]}],
 "services":[{"name":"llm"},{"name":"app"}],
@@ -23,7 +23,7 @@
 }
 
 func TestAmendment(t *testing.T) {
-	current := parsed(t, amended)
+	current := parsed(t, currentText)
 	a, faults := ParseAmendment([]byte(`{"number":9,"set":{"routes":[{"name":"chat","host":"a","prefix":"/talk/","mode":"stream","timeout_ms":200,"targets":[{"service":"new"}]},
 {"name":"more","host":"a","prefix":"/more/","mode":"once","timeout_ms":100,"targets":[{"service":"app"}]}],"services":[{"name":"new"}]},
 "remove":{"routes":["old","never there"],"services":["llm"]}}`))
@@ -80,7 +80,7 @@
 		"unknown list":           {`{"number":4,"set":{"rooms":[]}}`, []string{"set.rooms"}},
 		"several faults at once": {`{"number":2,"set":{"routes":[` + route("a", "/old/", "nobody") + `]}}`, []string{"number", "routes[2].prefix", "routes[2].targets.service"}},
 	} {
-		current := parsed(t, amended)
+		current := parsed(t, currentText)
 		a, faults := ParseAmendment([]byte(c.text))
 		if faults == nil {
 			var next *Table
@@ -100,7 +100,7 @@
 
 // TestAmendmentRefusesAmbiguousNames also covers tables that were translated from another text.
 func TestAmendmentRefusesAmbiguousNames(t *testing.T) {
-	current := parsed(t, strings.Replace(amended, `"name":"old"`, `"name":"chat"`, 1))
+	current := parsed(t, strings.Replace(currentText, `"name":"old"`, `"name":"chat"`, 1))
 	if _, faults := (Amendment{Number: 4, Remove: RemovedNames{Routes: []string{"chat"}}}).Apply(current); len(faults) == 0 {
 		t.Error("one of two routes with the same name was removed")
 	}
@@ -122,7 +122,7 @@
 		if faults != nil {
 			return
 		}
-		current := parsed(t, amended)
+		current := parsed(t, currentText)
 		before := string(current.JSONWithoutSource())
 		next, faults := a.Apply(current)
 		if string(current.JSONWithoutSource()) != before {
