--- a/rule/account/account.go
+++ b/rule/account/account.go
@@ -16,11 +16,10 @@
 	// Ended holds hashes of recently settled attempts, so that a delayed duplicate of a
 	// reservation reserves nothing.
 	Ended []uint32 `msgpack:"e,omitempty"`
-	// LastUsed is set by the caller.
+	// LastUsed is the caller's time of the last reservation.
 	LastUsed time.Duration `msgpack:"t"`
 }
 
-// maxEnded bounds Account.Ended.
 const maxEnded = 32
 
 func attemptHash(attempt string) uint32 {
--- a/rule/admission/admission.go
+++ b/rule/admission/admission.go
@@ -43,7 +43,7 @@
 // Controller is an integral controller of the refused fraction of each class. Its zero
 // value refuses nothing. It is not safe for concurrent use.
 type Controller struct {
-	level      float64
+	level      float64 // ramps maps it to refused fractions
 	observedAt time.Duration
 }
 
@@ -78,8 +78,8 @@
 	return ramp.max * min((c.level-ramp.from)/(ramp.to-ramp.from), 1)
 }
 
-// RetryAfter returns the delay before a retry: about the time in which the level would reach
-// zero without load.
+// RetryAfter returns the delay before a retry: minRetryAfter and the time in which the level would
+// reach zero with full slots and an empty queue.
 func (c *Controller) RetryAfter() time.Duration {
 	return minRetryAfter + time.Duration(c.level/(fallRate*TargetQueue)*float64(time.Second))
 }
--- a/rule/allowance/allowance_test.go
+++ b/rule/allowance/allowance_test.go
@@ -42,7 +42,6 @@
 	}
 }
 
-// TestWaitTime checks for room after the wait, and not much sooner.
 func TestWaitTime(t *testing.T) {
 	w := Window{Width: time.Hour}
 	for i := 0; i < 4; i++ {
--- a/rule/allowance/ledger.go
+++ b/rule/allowance/ledger.go
@@ -91,7 +91,7 @@
 }
 
 // CloseAccount closes the account of a holder that can no longer spend, and reports whether there
-// was one. The unspent share counts as spent in every window.
+// was one. Its share counts as spent in every window, as it may have been spent unreported.
 func (l *Ledger) CloseAccount(now time.Duration, holder string) bool {
 	account, ok := l.Holders[holder]
 	if !ok {
--- a/rule/breaker/breaker.go
+++ b/rule/breaker/breaker.go
@@ -21,7 +21,8 @@
 	HalfOpen State = "half-open"
 )
 
-// Params holds the settings. The spend limits are in millionths of a dollar.
+// Params holds the settings. Minute, Hour and Day are spend limits in millionths of a dollar. The
+// breaker closes after as many successful sessions as Probes.
 type Params struct {
 	Minute, Hour, Day int64
 	Recovery          time.Duration
@@ -38,8 +39,8 @@
 }
 
 // Breaker is the durable state of the breaker. Since is when it entered its state, Trips counts
-// openings by a limit, and Reason is the last such limit. All times are on the clock of its
-// partition, which is never ahead of real time.
+// openings by a limit. Reason is the last such limit, or empty after the breaker has closed. Times
+// are on the clock of its partition, which is never ahead of real time.
 type Breaker struct {
 	State  State            `msgpack:"s"`
 	Since  time.Duration    `msgpack:"i"`
--- a/rule/configuration/description.go
+++ b/rule/configuration/description.go
@@ -46,7 +46,7 @@
 	UrgentRatio       float64 `json:"urgent_ratio"`
 }
 
-// Service describes a kind of back end. BypassesBreaker keeps it available while the spend breaker
+// Service describes a back-end service. BypassesBreaker keeps it available while the spend breaker
 // is open.
 type Service struct {
 	Kind                    string  `json:"kind"`
@@ -159,7 +159,7 @@
 }
 
 // Parse decodes and validates a description. It returns the faults of all single settings or, if
-// there are none, all faults between settings.
+// there are none, between settings. A description with faults must not be used.
 func Parse(text []byte) (*Description, Faults) {
 	d := &Description{}
 	if faults := Read(text, Settings, d); faults != nil {
--- a/rule/configuration/settings.go
+++ b/rule/configuration/settings.go
@@ -16,8 +16,8 @@
 )
 
 // Setting describes one setting. Path has keys separated by dots; a star stands for any name and []
-// for every element of a list. Type is int, number, bool, text or texts. Check returns what is
-// allowed if a value is invalid, else an empty string.
+// for every element of a list. Type is int, number, bool, text or texts (a list). A missing value
+// without Default stays missing. Check returns what is allowed if a value is invalid, else "".
 type Setting struct {
 	Path     string
 	Type     string
@@ -29,7 +29,7 @@
 	Help     string
 }
 
-// Fault is one invalid value of a configuration.
+// Fault is one invalid value of a configuration. Allowed describes the valid ones.
 type Fault struct {
 	Path    string `json:"path"`
 	Value   any    `json:"value,omitempty"`
--- a/rule/partition/lease.go
+++ b/rule/partition/lease.go
@@ -18,8 +18,7 @@
 )
 
 // electionTimeout returns how long a member waits after the end of a lease before it starts an
-// election. It depends on the member's position and a random number, so that members rarely start
-// elections at the same time.
+// election. It differs between members, so that they rarely start elections at the same time.
 func (m *Machine) electionTimeout() time.Duration {
 	rank := 0
 	for i, member := range m.state.Group.Members {
--- a/rule/partition/messages.go
+++ b/rule/partition/messages.go
@@ -48,7 +48,7 @@
 		Digest uint64 `msgpack:"u"`
 		Term   Term   `msgpack:"t"`
 		Seq    uint64 `msgpack:"q"`
-		// PriorSeq is how far a member must be complete to become complete with this write.
+		// PriorSeq is the preceding write. A member complete up to it is complete with this one.
 		PriorSeq uint64        `msgpack:"p"`
 		Group    Group         `msgpack:"g"`
 		Clock    time.Duration `msgpack:"c"`
@@ -72,7 +72,7 @@
 		Term   Term          `msgpack:"t"`
 		Clock  time.Duration `msgpack:"c"`
 		SentAt time.Duration `msgpack:"s"`
-		// Digest is that of all entries up to Seq in a sweep, otherwise zero.
+		// Digest is that of all entries up to Seq in a sweep, made odd, otherwise zero.
 		Digest    uint64    `msgpack:"d"`
 		DigestKey DigestKey `msgpack:"k"`
 		Seq       uint64    `msgpack:"q"`
--- a/rule/partition/replication.go
+++ b/rule/partition/replication.go
@@ -38,7 +38,6 @@
 	return *m.out
 }
 
-// flush sends what is queued as one write.
 func (m *Machine) flush(now time.Duration) {
 	lead := m.leading
 	if lead.pending != nil || m.writesHeld(now) ||
--- a/rule/placement/placement_test.go
+++ b/rule/placement/placement_test.go
@@ -198,7 +198,6 @@
 	}
 }
 
-// TestChooseUnderAllSettings guards against choosing a replica that is not allowed.
 func TestChooseUnderAllSettings(t *testing.T) {
 	for choice := range 32 {
 		s := Settings{SampleSize: choice % 2 * 2, HomeReplicas: choice&2 > 0, PromptCache: choice&4 > 0, LocalZone: choice&8 > 0, FailureRates: choice&16 > 0, PromptTokensPerMillisecond: 80, HeartbeatInterval: heartbeat}
@@ -215,7 +214,6 @@
 	}
 }
 
-// TestPromptCacheEviction also checks that a segment is a hit only if all before it are.
 func TestPromptCacheEviction(t *testing.T) {
 	c := newPromptCache()
 	for i := range 50 {
--- a/rule/placement/policy.go
+++ b/rule/placement/policy.go
@@ -115,8 +115,7 @@
 	return cached
 }
 
-// cost estimates the additional time compared to an idle, fast replica, with other costs expressed
-// as times.
+// cost estimates the additional time compared to an idle, fast replica. Other costs count as times.
 func (p *Policy) cost(now time.Duration, request Request, r *Replica, isHome bool) time.Duration {
 	running, slots := r.Running(now, p.reportValidity()), r.slots()
 	slowness := p.slowness(request, r)
--- a/rule/placement/unittime.go
+++ b/rule/placement/unittime.go
@@ -14,7 +14,7 @@
 }
 
 const (
-	// unitTimeHeartbeats is the time constant, which is long as replicas seldom change machines.
+	// The time constant, in heartbeat intervals, is long as replicas seldom change machines.
 	unitTimeHeartbeats = 8
 	// minUnits is the total weight that an estimate requires.
 	minUnits = 8
--- a/rule/program/program.go
+++ b/rule/program/program.go
@@ -31,7 +31,8 @@
 	Tokens       int64  `msgpack:"t"`
 }
 
-// ToolUsage counts the calls of one tool; Identical is by the digest of their arguments.
+// ToolUsage counts the calls of one tool; Identical is by the digest of their arguments. Errors
+// counts consecutive errors.
 type ToolUsage struct {
 	Calls         int64            `msgpack:"c"`
 	Identical     map[string]int64 `msgpack:"s"`
@@ -43,10 +44,10 @@
 }
 
 // Record is a program's durable state, which only the owner under the current fencing token, Fence,
-// changes. Node, Incarnation and Address are the owner's. Times are on the partition's clock. Steps
-// counts turns, Bytes is the size of the history, Spent the output of ended turns in tokens.
-// ProbeNumber is zero unless the program is a probe of the breaker; ProbeSucceeded means that it
-// has reported a successful turn.
+// changes. Node, Incarnation and Address are the owner's. Version grows with each change. Times are
+// on the partition's clock. Steps counts turns, Bytes is the size of the history, Spent the output
+// of ended turns in tokens. ProbeNumber is zero unless the program is a probe of the breaker;
+// ProbeSucceeded means that it has reported a successful turn.
 type Record struct {
 	ID             string                  `msgpack:"i"`
 	Tenant         string                  `msgpack:"t"`
--- a/rule/rate/ledger.go
+++ b/rule/rate/ledger.go
@@ -178,7 +178,7 @@
 	return answer, changed
 }
 
-// grantable returns the number to grant. Only prefetching is subject to prefetchLimit.
+// grantable applies prefetchLimit to prefetching only.
 func (l *Ledger) grantable(request DrawRequest, lease Lease) int64 {
 	room := l.Limit.Max - l.used()
 	needed := min(max(request.need()-lease.outstanding(), 0), max(room, 0))
@@ -248,7 +248,6 @@
 	}
 }
 
-// used returns the number of requests that count towards the limit.
 func (l *Ledger) used() int64 {
 	sum := l.pool
 	for _, b := range l.Buckets {
@@ -260,8 +259,7 @@
 	return sum
 }
 
-// nextRelease returns the delay until the oldest bucket leaves the window, or a bucket's width if
-// that is longer.
+// nextRelease returns the delay until the oldest bucket leaves the window, at least a bucket's width.
 func (l *Ledger) nextRelease(now time.Duration) time.Duration {
 	if len(l.Buckets) == 0 {
 		return l.Limit.Window / bucketsPerWindow
--- a/rule/replay/replay.go
+++ b/rule/replay/replay.go
@@ -1,8 +1,7 @@
 // Package replay replays recent requests under two configurations and counts those that
 // only the newer one would refuse.
 //
-// A replay applies the checks of nodes in their order to sampled requests. Start reading at
-// Run.
+// A replay applies the checks of nodes in their order to samples. Start reading at Run.
 package replay
 
 import (
@@ -16,8 +15,9 @@
 	"saffronfall/rule/program"
 )
 
-// Sample is one recent request. Steps and Charged are the totals of its program including
-// this request, Tokens is its own charge. Age is the time since it was made.
+// Sample is one recent request. Kind is open, turn, tool, action or close. Steps and Charged are
+// the totals of its program including this request, Tokens is its own charge. Age is the time since
+// it was made. Refused is its actual outcome, which a replay ignores.
 type Sample struct {
 	Tenant    string        `msgpack:"t" json:"tenant"`
 	Program   string        `msgpack:"p" json:"program"`
@@ -52,7 +52,7 @@
 	Changes []string `json:"moves"`
 }
 
-// state is the state of one replay under a configuration.
+// state holds the simulated users and quotas of one replay.
 type state struct {
 	d *configuration.Description
 	// users has keys of the form "tenant/user". The keys of buckets and dayTokens are names
@@ -66,7 +66,6 @@
 	return &state{d: d, users: map[string]*program.User{}, buckets: map[string]*bucket{}, dayTokens: map[string]int64{}}
 }
 
-// bucket is a token bucket for a tenant's requests.
 type bucket struct {
 	tokens float64
 	at     time.Duration
--- a/rule/replay/replay_test.go
+++ b/rule/replay/replay_test.go
@@ -34,8 +34,7 @@
 	goldie.New(t).Assert(t, "plan", []byte(Run(before, after, samples).Text(7)))
 }
 
-// TestReplayAppliesNodeChecks checks that a replay counts sessions and tokens as nodes do, and
-// returns the first check that refuses.
+// Guards against replays that count sessions and tokens otherwise than nodes do.
 func TestReplayAppliesNodeChecks(t *testing.T) {
 	key := configuration.KeyDigest("clerk")
 	for _, c := range []struct{ role, tenant, want string }{
--- a/rule/route/difference_test.go
+++ b/rule/route/difference_test.go
@@ -62,7 +62,6 @@
 	return plain
 }
 
-// TestDifferenceRoundTrip guards against tables that differ from the parsed ones.
 func TestDifferenceRoundTrip(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for round := range 400 {
--- a/rule/route/table.go
+++ b/rule/route/table.go
@@ -75,7 +75,7 @@
 	Name string `json:"name" msgpack:"Name"`
 	// Keys are SHA-256 digests in hex.
 	Keys []string `json:"keys" msgpack:"Keys"`
-	// Rate is in requests per second over all nodes; 0 means no limit.
+	// Rate is in requests per second over all nodes. There is no limit if Rate and Burst are 0.
 	Rate  float64 `json:"rate" msgpack:"Rate"`
 	Burst float64 `json:"burst" msgpack:"Burst"`
 	// Urgency, if not nil, overrides the route's.
--- a/rule/verdict/verdict.go
+++ b/rule/verdict/verdict.go
@@ -35,8 +35,8 @@
 	Limit int64  `json:"of" msgpack:"o"`
 }
 
-// Verdict is the decision of one or more checks. Status is an HTTP status, and Head the hash of
-// the conversation's history, or empty.
+// Verdict is the decision of one or more checks. Check names the one that refused. Status is an
+// HTTP status, and Head the hash of the conversation's history, or empty.
 type Verdict struct {
 	Kind       Kind          `json:"verdict" msgpack:"k"`
 	Check      string        `json:"check,omitempty" msgpack:"c"`
