--- a/rehearsalkit/relaysim/activerequest.go
+++ b/rehearsalkit/relaysim/activerequest.go
@@ -6,8 +6,7 @@
 	"saffronfall/peer/relay"
 )
 
-// activeRequest is one request at a node. It carries out the steps that the node's
-// state machine decides, like the real process.
+// activeRequest is one request at a node. It carries out the state machine's steps.
 type activeRequest struct {
 	node        *process
 	incarnation int
@@ -19,8 +18,7 @@
 	output   []byte
 	dispatch *dispatch
 	ended    bool
-	// requesterAt is when the last message to the requester arrives; it keeps them in
-	// order.
+	// requesterAt is when the last message to the requester arrives, to keep them in order.
 	requesterAt time.Duration
 }
 
@@ -36,8 +34,7 @@
 	waiting   []func()
 }
 
-// sendRequest sends one attempt of a request to a node. done is called once with the
-// outcome.
+// sendRequest sends one attempt to a node. done is called once with the outcome.
 func (w *World) sendRequest(n *process, r Request, done func(r *Request)) {
 	request := &r
 	request.At, request.Node, request.Ended = w.now, n.id, -1
@@ -58,8 +55,20 @@
 			at := &activeRequest{node: n, incarnation: incarnation, ticket: n.lastTicket, request: request, done: done}
 			n.requests[at.ticket] = at
 			remaining := request.Deadline - (w.now - request.At)
-			a := relay.Request{Host: host, Path: request.Path, Key: request.Key, HasKey: request.Key != "", Attempt: request.Attempt, Program: request.Program, Previous: request.Previous,
-				TokenBudget: request.Budget, MaxTokens: request.MaxTokens, Remaining: remaining, Arrival: relay.Arrival{HeadBytes: 300, BodyBytes: int64(len(request.Input))}, Input: []byte(request.Input)}
+			a := relay.Request{
+				Host:        host,
+				Path:        request.Path,
+				Key:         request.Key,
+				HasKey:      request.Key != "",
+				Attempt:     request.Attempt,
+				Program:     request.Program,
+				Previous:    request.Previous,
+				TokenBudget: request.Budget,
+				MaxTokens:   request.MaxTokens,
+				Remaining:   remaining,
+				Arrival:     relay.Arrival{HeadBytes: 300, BodyBytes: int64(len(request.Input))},
+				Input:       []byte(request.Input),
+			}
 			if remaining <= 0 {
 				a.Remaining = -1
 			}
@@ -70,7 +79,6 @@
 	w.after(request.Deadline+50*time.Millisecond, func() { w.endRequest(request, GaveUp, 0, done) })
 }
 
-// endRequest records the outcome of a request at its requester.
 func (w *World) endRequest(r *Request, outcome string, status int, done func(r *Request)) {
 	if r.Ended >= 0 {
 		return
@@ -88,14 +96,12 @@
 
 func (a *activeRequest) world() *World { return a.node.world }
 
-// toRequester delivers something to the requester, in order.
 func (a *activeRequest) toRequester(f func()) {
 	w := a.world()
 	a.requesterAt = max(a.requesterAt, w.now+w.delay())
 	w.after(a.requesterAt-w.now, f)
 }
 
-// applyStep carries out the next step that the node's state machine decided.
 func (a *activeRequest) applyStep(s relay.Step) {
 	if a.ended {
 		return
@@ -130,7 +136,7 @@
 	return Complete
 }
 
-// connectionLost ends a request whose node process has stopped: its connections close.
+// connectionLost ends a request whose node process has stopped.
 func (a *activeRequest) connectionLost() {
 	a.ended = true
 	w, r, done := a.world(), a.request, a.done
@@ -144,7 +150,6 @@
 	a.toRequester(func() { w.endRequest(r, Closed, 0, done) })
 }
 
-// requesterGone handles the end of the requester's wait.
 func (a *activeRequest) requesterGone() {
 	n := a.node
 	if a.ended || n.incarnation != a.incarnation {
@@ -159,14 +164,18 @@
 			if s.job != nil {
 				a.world().after(a.world().delay(), s.job.cancel)
 			}
-			n.applyNodeOutput(n.node.HandleOutcome(n.now(), a.ticket, relay.Outcome{Kind: relay.OutcomeInterrupted, RequesterDisconnected: true, Events: s.events, Started: a.events > 0}))
+			n.applyNodeOutput(n.node.HandleOutcome(n.now(), a.ticket, relay.Outcome{
+				Kind:                  relay.OutcomeInterrupted,
+				RequesterDisconnected: true,
+				Events:                s.events,
+				Started:               a.events > 0,
+			}))
 			return
 		}
 		n.applyNodeOutput(n.node.Cancel(n.now(), a.ticket))
 	})
 }
 
-// dialTimeout is the limit for connecting to a replica.
 const dialTimeout = contactTimeout / 10
 
 func (a *activeRequest) startDispatch(step relay.Step) {
@@ -203,8 +212,7 @@
 	})
 }
 
-// respond carries something from the replica to the node, in order. It is delayed while
-// the link is cut.
+// respond sends to the node, in order; a cut link delays it.
 func (s *dispatch) respond(f func()) {
 	w := s.request.world()
 	s.waiting = append(s.waiting, f)
@@ -212,7 +220,6 @@
 	w.after(s.respondAt-w.now, s.deliverNext)
 }
 
-// deliverNext delivers the next response unless the link is cut.
 func (s *dispatch) deliverNext() {
 	w := s.request.world()
 	if len(s.waiting) == 0 || s.done {
@@ -239,7 +246,6 @@
 	})
 }
 
-// relayEvent relays one event of a stream.
 func (s *dispatch) relayEvent(n, per int64) {
 	a := s.request
 	s.events++
@@ -255,7 +261,6 @@
 	})
 }
 
-// finish reports the outcome of a dispatch to the node's state machine.
 func (s *dispatch) finish(o relay.Outcome) {
 	a, n := s.request, s.request.node
 	s.done = true
--- a/rehearsalkit/relaysim/answers.go
+++ b/rehearsalkit/relaysim/answers.go
@@ -24,16 +24,14 @@
 
 var callKinds = []string{callHeartbeat, callLeave, callOrder, callResend, callRead, callRetire, callStatus, callPull, callFirstPull}
 
-// registryCall is one call that reached a running registry. It is pending while ended is
-// negative.
+// registryCall is one call that reached a running registry; pending while ended is negative.
 type registryCall struct {
 	kind        string
 	registry    *process
 	incarnation int
 	started     time.Duration
 	ended       time.Duration
-	// conclusive is set when the answer states the current state or the outcome of the
-	// order.
+	// conclusive means that the answer states the current state or the order's outcome.
 	conclusive bool
 }
 
@@ -42,7 +40,7 @@
 	return c.ended < 0 && (c.registry.incarnation != c.incarnation || !c.registry.alive)
 }
 
-// answerCell counts the answers to calls of one kind that started in the same second.
+// answerCell counts the answers to calls of one kind begun in the same second.
 type answerCell struct {
 	conclusive, inconclusive int
 	longest                  time.Duration
@@ -54,7 +52,6 @@
 	kind   string
 }
 
-// answerTable holds the answers to calls by group, second and kind.
 type answerTable map[answerKey]answerCell
 
 func (t answerTable) add(group string, second int, c *registryCall) {
@@ -79,8 +76,8 @@
 	}
 }
 
-// Lines formats the table as Markdown: for each kind and starting second, the numbers
-// of conclusive and inconclusive answers and the longest wait in milliseconds.
+// Lines formats the table as Markdown: conclusive/inconclusive answers and the longest wait in
+// milliseconds, for each kind and starting second.
 func (t answerTable) Lines() (lines []string) {
 	groups, seconds := map[string]bool{}, map[int]bool{}
 	for key := range t {
@@ -88,7 +85,9 @@
 		seconds[key.second] = true
 	}
 	for _, group := range ordered.Keys(groups) {
-		lines = append(lines, "", group, "", "| second | "+strings.Join(callKinds, " | ")+" |", "|---"+strings.Repeat("|---", len(callKinds))+"|")
+		lines = append(lines, "", group, "",
+			"| second | "+strings.Join(callKinds, " | ")+" |",
+			"|---"+strings.Repeat("|---", len(callKinds))+"|")
 		for _, second := range ordered.Keys(seconds) {
 			row := fmt.Sprintf("| %d |", second)
 			for _, kind := range callKinds {
@@ -105,9 +104,10 @@
 	return lines
 }
 
-// durationSummary formats the count, median and maximum of a list of durations.
 func durationSummary(what string, list []time.Duration) string {
 	sorted := slices.Clone(list)
 	slices.Sort(sorted)
-	return fmt.Sprintf("%-52s n %d, median %v, longest %v", what, len(sorted), sorted[len(sorted)/2].Round(time.Millisecond), sorted[len(sorted)-1].Round(time.Millisecond))
+	return fmt.Sprintf("%-52s n %d, median %v, longest %v", what, len(sorted),
+		sorted[len(sorted)/2].Round(time.Millisecond),
+		sorted[len(sorted)-1].Round(time.Millisecond))
 }
--- a/rehearsalkit/relaysim/client.go
+++ b/rehearsalkit/relaysim/client.go
@@ -7,8 +7,7 @@
 	"saffronfall/rule/message"
 )
 
-// client sends commands directly to the cores, as nodes and registries do. Faults never
-// affect it.
+// client sends commands directly to the cores. Faults never affect it.
 type client struct {
 	process    *process
 	caller     *core.Caller
@@ -31,7 +30,6 @@
 	return c
 }
 
-// coreAddresses lists the addresses of all cores of the fleet.
 func (w *World) coreAddresses() (list []string) {
 	for _, s := range w.presentStores() {
 		list = append(list, s.core.address)
@@ -39,7 +37,7 @@
 	return list
 }
 
-// call sends a command with retries until it is answered or the timeout expires.
+// call retries a command until it is answered or the timeout expires.
 func (c *client) call(command any, within time.Duration, done func(o core.Outcome)) {
 	now := c.process.now()
 	c.caller.Call(now, command, now+within, func(now time.Duration, o core.Outcome) { done(o) })
@@ -53,5 +51,5 @@
 	}
 }
 
-// encodedSize is the size of a message on the wire, in bytes.
+// encodedSize is the size on the wire, in bytes.
 func encodedSize(body any) int { return len(message.Pack(body)) }
--- a/rehearsalkit/relaysim/fault.go
+++ b/rehearsalkit/relaysim/fault.go
@@ -7,7 +7,7 @@
 	"saffronfall/rule/ordered"
 )
 
-// injectFault injects one random fault and schedules its end and the next fault.
+// injectFault injects one random fault and schedules the next.
 func (w *World) injectFault() {
 	if w.now > w.faultsUntil {
 		return
@@ -32,7 +32,6 @@
 	}
 }
 
-// outage disturbs a process and repairs it after the given time.
 func (w *World) outage(p *process, machine, what string, length time.Duration, inject, repair func()) {
 	if !p.alive || p.frozen {
 		return
@@ -63,8 +62,8 @@
 	return list[w.random.IntN(len(list))]
 }
 
-// injectStoreFault disturbs one store. Store faults never overlap, and each is followed
-// by time to catch up.
+// injectStoreFault disturbs one store. Store faults never overlap, and each is followed by time
+// to catch up.
 func (w *World) injectStoreFault(length time.Duration) {
 	if w.now < w.noLossUntil {
 		return
@@ -113,7 +112,6 @@
 	}
 }
 
-// losePower cuts the power of a store, and optionally erases its disk.
 func (w *World) losePower(s *store, wipe bool, length time.Duration) {
 	if !s.core.alive || s.core.frozen {
 		return
@@ -176,8 +174,7 @@
 	})
 }
 
-// addAndRetire adds a store and later retires another, which is removed once it is
-// empty.
+// addAndRetire adds a store and later retires another.
 func (w *World) addAndRetire(s *store) {
 	w.logf("a store is added; %s will be retired", s.core.id)
 	w.Counts["stores added"]++
@@ -257,7 +254,7 @@
 	w.after(1500*time.Millisecond, retry)
 }
 
-// cutBetween cuts the links between two groups of processes, in one or both directions.
+// cutBetween cuts the links between two groups in one or both directions.
 func (w *World) cutBetween(from, to []*process, length time.Duration, machine string) {
 	direction := w.random.IntN(4)
 	var pairs [][2]string
@@ -274,7 +271,7 @@
 	w.cutLinks(pairs, length, machine)
 }
 
-// isolate cuts the processes of one machine off from all others and from replicas.
+// isolate cuts processes off from all others and from replicas.
 func (w *World) isolate(from []*process, length time.Duration, machine string) {
 	mine := map[string]bool{}
 	for _, p := range from {
--- a/rehearsalkit/relaysim/footprint.go
+++ b/rehearsalkit/relaysim/footprint.go
@@ -2,8 +2,8 @@
 
 import "reflect"
 
-// footprint estimates how many bytes a value and everything that it references occupy.
-// Functions and what they capture are not counted.
+// footprint estimates the bytes of a value and all that it references, except for functions and
+// what they capture.
 func footprint(value any) int64 {
 	f := footprinter{seen: map[uintptr]bool{}}
 	return f.total(reflect.ValueOf(value))
@@ -11,8 +11,7 @@
 
 type footprinter struct{ seen map[uintptr]bool }
 
-// total is the size of a value that is not part of another one, with all that it
-// references.
+// total is the size of a value and all that it references.
 func (f *footprinter) total(v reflect.Value) int64 {
 	if !v.IsValid() {
 		return 0
@@ -20,7 +19,6 @@
 	return int64(v.Type().Size()) + f.referenced(v)
 }
 
-// firstVisit marks an address as visited and reports whether it was new.
 func (f *footprinter) firstVisit(at uintptr) bool {
 	visited := f.seen[at]
 	f.seen[at] = true
--- a/rehearsalkit/relaysim/health.go
+++ b/rehearsalkit/relaysim/health.go
@@ -11,14 +11,13 @@
 	"saffronfall/rule/partition"
 )
 
-// health observes the updates from registries to nodes and determines whether the fleet is
-// healthy.
+// health judges the fleet's health by the updates from registries to nodes.
 type health struct {
 	world   *World
 	history *orderHistory
-	// lastUpdates holds the last update from each registry to a node.
+	// lastUpdates holds the last update from each registry.
 	lastUpdates map[string]lastUpdate
-	// pendingPulls holds the nodes' pulls that wait for a registry's answer.
+	// pendingPulls holds unanswered pulls by registry and node address.
 	pendingPulls map[[2]string]*registryCall
 }
 
@@ -27,7 +26,7 @@
 	update registry.Update
 }
 
-// clockSlack allows for clock drift in the confirmation age that a registry reports.
+// clockSlack allows for clock drift in a registry's confirmation age.
 const clockSlack = 50 * time.Millisecond
 
 func (w *World) watchHealth(b *orderHistory) *health {
@@ -48,8 +47,7 @@
 	h.pendingPulls[[2]string{to.address, from}] = h.history.beginCall(kind, to)
 }
 
-// sent checks that the confirmation age in a registry's update is true, given the tables
-// acknowledged before.
+// sent checks the confirmation age in a registry's update against acknowledged tables.
 func (h *health) sent(from *process, to string, body any) {
 	update, ok := body.(registry.Update)
 	if !ok || !from.isRegistry {
@@ -69,7 +67,9 @@
 	for i := len(h.history.acked) - 1; i >= 0; i-- {
 		o := h.history.acked[i]
 		if o.Number > update.TableNumber && o.AckedAt < w.now-update.ConfirmationAge-clockSlack {
-			h.history.findings.breach(RuleNewestTable, "%s said at %v that table %d was the newest %v ago, and %d had been acknowledged at %v", from.id, w.now, update.TableNumber, update.ConfirmationAge, o.Number, o.AckedAt)
+			h.history.findings.breach(RuleNewestTable,
+				"%s said at %v that table %d was the newest %v ago, and %d had been acknowledged at %v",
+				from.id, w.now, update.TableNumber, update.ConfirmationAge, o.Number, o.AckedAt)
 		}
 		if o.AckedAt < w.now-10*catchUpTime {
 			return
@@ -77,7 +77,7 @@
 	}
 }
 
-// problem describes why the fleet is not healthy, or is empty.
+// problem describes why the fleet is not healthy; empty if it is.
 func (h *health) problem() string {
 	w := h.world
 	if missing := w.partitionProblem(); missing != "" {
@@ -87,7 +87,9 @@
 		if s.registry == nil {
 			continue
 		}
-		if reported := h.lastUpdates[s.registry.id]; !s.registry.alive || w.now-reported.at > heartbeatInterval || reported.update.ConfirmationAge < 0 || reported.update.ConfirmationAge > heartbeatInterval {
+		if reported := h.lastUpdates[s.registry.id]; !s.registry.alive ||
+			w.now-reported.at > heartbeatInterval ||
+			reported.update.ConfirmationAge < 0 || reported.update.ConfirmationAge > heartbeatInterval {
 			return s.registry.id + " has no confirmed table"
 		}
 	}
@@ -99,8 +101,8 @@
 	return ""
 }
 
-// partitionProblem describes a partition without a leader, without a full group or with
-// a member that lacks committed data, or is empty.
+// partitionProblem describes a partition without a leader or full group, or with a member that
+// lacks committed data; empty if there is none.
 func (w *World) partitionProblem() string {
 	for n := 0; n < w.partitions(); n++ {
 		s := w.leaderOf(n)
@@ -146,8 +148,8 @@
 	return ""
 }
 
-// placementProblem describes a partition whose group differs from the placement over
-// the present cores, or is empty.
+// placementProblem describes a partition whose group differs from the placement over the present
+// cores; empty if there is none.
 func (w *World) placementProblem() string {
 	leader := w.leaderOf(core.ConfigurationPartition)
 	if leader == nil {
@@ -181,7 +183,7 @@
 	return ""
 }
 
-// partitions is the number of partitions of the fleet, or zero before it is founded.
+// partitions is zero before the fleet is founded.
 func (w *World) partitions() int {
 	for _, s := range w.presentStores() {
 		if s.core.alive && s.core.core.Founded() {
@@ -191,7 +193,7 @@
 	return 0
 }
 
-// awaitHealthy polls until the fleet is healthy and then reports the time since from.
+// awaitHealthy calls done with the time since from once the fleet is healthy.
 func (h *health) awaitHealthy(from time.Duration, done func(took time.Duration)) {
 	w := h.world
 	if h.problem() == "" {
--- a/rehearsalkit/relaysim/judge.go
+++ b/rehearsalkit/relaysim/judge.go
@@ -30,7 +30,6 @@
 	RuleInvariant      = "invariants hold in the code"
 )
 
-// recordIndex is a record with indexes for checking.
 type recordIndex struct {
 	*Record
 	runs           map[string][]*Execution
@@ -39,19 +38,23 @@
 	tablesByNumber []*Table
 }
 
-// Judge checks the record against all rules and returns the breaches.
+// Judge returns the breaches of all rules.
 func (r *Record) Judge() []Breach {
 	b := r.index()
-	return checkAll(b.checkRuns, b.checkBudgets, b.checkBudgetRefusals, b.checkKeptTurns, b.checkHistories, b.checkAnswers, b.checkRates, b.checkTables, b.checkLinearizable, b.checkHandling, b.checkDraining, b.checkRecovery, b.checkFinalSteps, b.checkInvariants)
+	return checkAll(
+		b.checkRuns, b.checkBudgets, b.checkBudgetRefusals,
+		b.checkKeptTurns, b.checkHistories, b.checkAnswers, b.checkRates,
+		b.checkTables, b.checkLinearizable, b.checkHandling, b.checkDraining,
+		b.checkRecovery, b.checkFinalSteps, b.checkInvariants,
+	)
 }
 
-// JudgeTables checks only the rules on routing tables.
+// JudgeTables returns the breaches of the rules on routing tables.
 func (r *Record) JudgeTables() []Breach {
 	b := r.index()
 	return checkAll(b.checkRuns, b.checkTables, b.checkLinearizable, b.checkHandling, b.checkFinalSteps, b.checkInvariants)
 }
 
-// checkInvariants reports the invariants that state machines found violated.
 func (b *recordIndex) checkInvariants() (list []Breach) {
 	for _, v := range b.Violations {
 		list = append(list, breach(RuleInvariant, "%s", v.Error()))
@@ -82,8 +85,7 @@
 	return b
 }
 
-// repeatable reports whether requests to a path may run more than once. No table
-// changes this for a path.
+// repeatable reports whether requests to a path may run more than once. All tables agree on it.
 func (b *recordIndex) repeatable(path string) bool {
 	for _, t := range b.Tables {
 		if r, ok := t.route(path); ok {
@@ -125,7 +127,9 @@
 			list = append(list, breach(RuleAtMostOnce, "%s %s ran %d times, at %v and %v", q.Kind, attempt, len(runs), runs[0].At, runs[1].At))
 		}
 		if promisesNotRun(q) {
-			list = append(list, breach(RuleRefusedNotRun, "%s %s was answered %d (%s) at %v and ran at %v", q.Kind, attempt, q.Status, q.Check, q.Ended, runs[0].At))
+			list = append(list, breach(RuleRefusedNotRun,
+				"%s %s was answered %d (%s) at %v and ran at %v",
+				q.Kind, attempt, q.Status, q.Check, q.Ended, runs[0].At))
 		}
 	}
 	return list
@@ -142,15 +146,17 @@
 	}
 	for _, p := range ordered.Keys(sum) {
 		if sum[p] > budget[p]+largest[p] {
-			list = append(list, breach(RuleBudget, "program %s got %d tokens, of a budget of %d and a largest turn of %d", p, sum[p], budget[p], largest[p]))
+			list = append(list, breach(RuleBudget,
+				"program %s got %d tokens, of a budget of %d and a largest turn of %d",
+				p, sum[p], budget[p], largest[p]))
 		}
 	}
 	return list
 }
 
-// checkBudgetRefusals checks that a turn is refused for its program's budget only when
-// the budget could not hold it. Turns count with their maximum unless they completed or
-// were refused at least the settlement time earlier.
+// checkBudgetRefusals checks that a turn is refused for its budget only if the budget could not
+// hold it. Other turns count with their maximum, unless they completed or were refused at least
+// the settlement time earlier.
 func (b *recordIndex) checkBudgetRefusals() (list []Breach) {
 	programs := map[string][]*Request{}
 	for _, q := range b.Requests {
@@ -175,7 +181,9 @@
 			}
 		}
 		if sum <= q.Budget {
-			list = append(list, breach(RuleBudgetRefusal, "%s at %s was refused 402 at %v with %d of %d used at most", q.Attempt, q.Node, q.Ended, sum-q.MaxTokens, q.Budget))
+			list = append(list, breach(RuleBudgetRefusal,
+				"%s at %s was refused 402 at %v with %d of %d used at most",
+				q.Attempt, q.Node, q.Ended, sum-q.MaxTokens, q.Budget))
 		}
 	}
 	return list
@@ -188,13 +196,15 @@
 		}
 		p := b.requests[q.Previous]
 		if p != nil && p.Outcome == Complete && p.Tenant == q.Tenant && q.Ended < p.Ended+b.Limits.Retention {
-			list = append(list, breach(RuleTurnKept, "%s at %s got %d (%s) at %v, and its former turn %s had come whole at %v", q.Attempt, q.Node, q.Status, q.Check, q.Ended, p.Attempt, p.Ended))
+			list = append(list, breach(RuleTurnKept,
+				"%s at %s got %d (%s) at %v, and its former turn %s had come whole at %v",
+				q.Attempt, q.Node, q.Status, q.Check, q.Ended, p.Attempt, p.Ended))
 		}
 	}
 	return list
 }
 
-// disrupted reports whether the named machine was disrupted at any time of an interval.
+// disrupted reports whether the machine was disrupted at any time of the interval.
 func (b *recordIndex) disrupted(machine string, from, until time.Duration) bool {
 	for _, t := range b.Disruptions {
 		if (t.Machine == machine || t.Machine == AllMachines) && t.From <= until && (t.Until < 0 || t.Until >= from) {
@@ -204,24 +214,23 @@
 	return false
 }
 
-// AllMachines is the Who of the disruption by a closing fault.
+// AllMachines is the Machine of a closing fault's Disruption.
 const AllMachines = "everyone"
 
-// inTouch reports whether a node and all stores were undisturbed throughout an interval
-// and for the contact timeout before it.
+// inTouch reports whether a node and all stores were undisturbed in an interval and for the
+// contact timeout before it.
 func (b *recordIndex) inTouch(node string, from, until time.Duration) bool {
 	from -= b.Limits.Contact
 	return !b.disrupted(node, from, until) && !b.disrupted(AnyStore, from, until)
 }
 
-// nodeUndisturbed reports whether a node was undisturbed, whatever the state of the
-// stores.
+// nodeUndisturbed is inTouch without regard to the stores.
 func (b *recordIndex) nodeUndisturbed(node string, from, until time.Duration) bool {
 	return !b.disrupted(node, from-b.Limits.Contact, until)
 }
 
-// inForceFrom is the time from which a table is in force at every node: the first time
-// after its acknowledgement and the apply limit at which all nodes are in touch.
+// inForceFrom is the first time, at least the apply limit after a table's acknowledgement, at
+// which all nodes are in touch.
 func (b *recordIndex) inForceFrom(t *Table) time.Duration {
 	at := t.AckedAt + b.Limits.Apply
 	for _, n := range b.Nodes {
@@ -235,8 +244,8 @@
 	return at
 }
 
-// checkRates checks that in every rate window the executions of a tenant stay within
-// the largest limit that may have been in force.
+// checkRates checks that a tenant's executions in every rate window stay within the largest limit
+// that may have been in force.
 func (b *recordIndex) checkRates() (list []Breach) {
 	bound := map[*Table]time.Duration{}
 	for _, t := range b.Tables {
@@ -282,7 +291,9 @@
 				last++
 			}
 			if limit := allowed(tenant, all[first]); float64(last-first) > limit {
-				list = append(list, breach(RuleRate, "%d requests of %s ran within %v from %v on, of %.1f", last-first, tenant, b.Limits.Window, all[first], limit))
+				list = append(list, breach(RuleRate,
+					"%d requests of %s ran within %v from %v on, of %.1f",
+					last-first, tenant, b.Limits.Window, all[first], limit))
 				break
 			}
 		}
@@ -300,14 +311,16 @@
 	for _, a := range b.Arrivals {
 		at, ok := acknowledged[a.Replica]
 		if ok && !a.Misdirected && a.At > at+b.Limits.Drain && b.inTouch(a.Node, at, a.At) {
-			list = append(list, breach(RuleDraining, "%s reached %s at %v by %s, and it was heard at %v that this one leaves", a.Attempt, a.Replica, a.At, a.Node, at))
+			list = append(list, breach(RuleDraining,
+				"%s reached %s at %v by %s, and it was heard at %v that this one leaves",
+				a.Attempt, a.Replica, a.At, a.Node, at))
 		}
 	}
 	return list
 }
 
-// checkRecovery checks that after the recovery time at least a quarter of the requests
-// are served, in total and for each frequent kind.
+// checkRecovery checks that after the recovery time at least a quarter of the requests is served,
+// in total and of each frequent kind.
 func (b *recordIndex) checkRecovery() (list []Breach) {
 	if b.RestoredAt == 0 {
 		return nil
@@ -327,7 +340,9 @@
 	}
 	for _, kind := range ordered.Keys(all) {
 		if (kind == "" || all[kind] >= many) && (all[kind] == 0 || served[kind]*4 < all[kind]) {
-			list = append(list, breach(RuleRecovery, "%d of %d requests %s were served from %v on, after the closing fault's end at %v", served[kind], all[kind], kind, b.RestoredAt+b.Limits.Recovery, b.RestoredAt))
+			list = append(list, breach(RuleRecovery,
+				"%d of %d requests %s were served from %v on, after the closing fault's end at %v",
+				served[kind], all[kind], kind, b.RestoredAt+b.Limits.Recovery, b.RestoredAt))
 		}
 	}
 	return list
--- a/rehearsalkit/relaysim/judge_orders.go
+++ b/rehearsalkit/relaysim/judge_orders.go
@@ -20,35 +20,42 @@
 	RuleFleetRecovery      = "the fleet is whole again in time"
 )
 
-// answerBound is the allowance on top of a call's own timeout for its answer to arrive.
+// answerBound is what an answer may take beyond the call's own timeout.
 const answerBound = 250 * time.Millisecond
 
-// judge checks the orders, given the table in force at the end.
 func (b *orderHistory) judge(inForce tableRead) {
 	chain := b.chain(inForce)
 	for _, o := range b.orders {
 		if o.Acked && !chain[o] {
-			b.findings.breach(RuleDurable, "order %d on %d (%s) was acknowledged at %v and is not below table %d, in force at the end", o.Number, o.Base, o.ID, o.AckedAt, inForce.number)
+			b.findings.breach(RuleDurable,
+				"order %d on %d (%s) was acknowledged at %v and is not below table %d, in force at the end",
+				o.Number, o.Base, o.ID, o.AckedAt, inForce.number)
 		}
 		if o.Refused && chain[o] {
-			b.findings.breach(RuleAcceptedNotRefused, "order %d on %d (%s) was refused at %v and had been taken", o.Number, o.Base, o.ID, o.refusedAt)
+			b.findings.breach(RuleAcceptedNotRefused,
+				"order %d on %d (%s) was refused at %v and had been taken",
+				o.Number, o.Base, o.ID, o.refusedAt)
 		}
 		if o.Refused && !chain[o] && !b.hadRival(o) {
-			b.findings.breach(RuleRefusedByRace, "order %d on %d was refused at %v, and no other had been sent on its base", o.Number, o.Base, o.refusedAt)
+			b.findings.breach(RuleRefusedByRace,
+				"order %d on %d was refused at %v, and no other had been sent on its base",
+				o.Number, o.Base, o.refusedAt)
 		}
 	}
 	onBase := map[uint64]*order{}
 	for _, o := range b.acked {
 		if other := onBase[o.Base]; other != nil {
-			b.findings.breach(RuleTableRace, "orders %d (%s) and %d (%s) were both acknowledged on base %d", other.Number, other.ID, o.Number, o.ID, o.Base)
+			b.findings.breach(RuleTableRace,
+				"orders %d (%s) and %d (%s) were both acknowledged on base %d",
+				other.Number, other.ID, o.Number, o.ID, o.Base)
 		}
 		onBase[o.Base] = o
 	}
 	b.judgeCalls()
 }
 
-// chain is the set of orders that were in force, found by following each order's base
-// from the last one. Every base was read back before, so its text is known.
+// chain is the set of orders that were in force, found by following the bases from the last one.
+// Every base was read back before, so its text is known.
 func (b *orderHistory) chain(inForce tableRead) map[*order]bool {
 	byText := map[string]*order{}
 	for _, o := range b.orders {
@@ -57,7 +64,9 @@
 	texts := map[uint64][]byte{}
 	for _, read := range append(b.reads, inForce) {
 		if known, ok := texts[read.number]; ok && !bytes.Equal(known, read.text) {
-			b.findings.breach(RuleNewestTable, "table %d was read back with two texts, the second time at %s, %v", read.number, read.registry, read.ended)
+			b.findings.breach(RuleNewestTable,
+				"table %d was read back with two texts, the second time at %s, %v",
+				read.number, read.registry, read.ended)
 		}
 		texts[read.number] = read.text
 	}
@@ -65,7 +74,9 @@
 	for number := inForce.number; number > 0; {
 		o := byText[string(texts[number])]
 		if o == nil || o.Number != number || chain[o] {
-			b.findings.breach(RuleDurable, "table %d, below table %d in force at the end, is not what was sent under its number", number, inForce.number)
+			b.findings.breach(RuleDurable,
+				"table %d, below table %d in force at the end, is not what was sent under its number",
+				number, inForce.number)
 			break
 		}
 		chain[o] = true
@@ -74,8 +85,7 @@
 	return chain
 }
 
-// hadRival reports whether another order on the same base was sent before this one was
-// refused.
+// hadRival reports whether another order on the same base was sent before the refusal.
 func (b *orderHistory) hadRival(o *order) bool {
 	for _, other := range b.orders {
 		if other != o && other.Base == o.Base && other.SentAt < o.refusedAt {
--- a/rehearsalkit/relaysim/judge_streams.go
+++ b/rehearsalkit/relaysim/judge_streams.go
@@ -4,8 +4,7 @@
 	"strings"
 )
 
-// history is the input that a turn continuing from the given attempt receives before
-// its own input.
+// history is the input that precedes a turn continuing from the attempt.
 func (b *recordIndex) history(attempt, tenant string, depth int) (string, bool) {
 	q := b.requests[attempt]
 	if q == nil || q.Tenant != tenant || depth > 1000 {
@@ -22,8 +21,7 @@
 	return before + q.Input + output, complete
 }
 
-// output joins the output of all executions of an attempt and reports whether any of
-// them completed.
+// output joins the output of all executions of an attempt and reports whether one completed.
 func (b *recordIndex) output(attempt string) (string, bool) {
 	var joined []string
 	complete := false
@@ -50,7 +48,9 @@
 		if q.Previous != "" {
 			before, ok := b.history(q.Previous, q.Tenant, 0)
 			if !ok {
-				list = append(list, breach(RuleHistory, "%s ran at %v and goes on from %s, which is no turn of its tenant", run.Attempt, run.At, q.Previous))
+				list = append(list, breach(RuleHistory,
+					"%s ran at %v and goes on from %s, which is no turn of its tenant",
+					run.Attempt, run.At, q.Previous))
 				continue
 			}
 			want = before + want
--- a/rehearsalkit/relaysim/judge_tables.go
+++ b/rehearsalkit/relaysim/judge_tables.go
@@ -16,7 +16,9 @@
 			list = append(list, breach(RuleTableRace, "table %d (%s) is invalid and was acknowledged at %v", t.Number, t.ID, t.AckedAt))
 		}
 		if other := onBase[t.Base]; other != nil {
-			list = append(list, breach(RuleTableRace, "tables %d (%s) and %d (%s) were both acknowledged on base %d", other.Number, other.ID, t.Number, t.ID, t.Base))
+			list = append(list, breach(RuleTableRace,
+				"tables %d (%s) and %d (%s) were both acknowledged on base %d",
+				other.Number, other.ID, t.Number, t.ID, t.Base))
 		}
 		onBase[t.Base] = t
 		if newest == nil || newest.Number < t.Number {
@@ -25,7 +27,9 @@
 	}
 	for _, read := range b.FinalReads {
 		if newest != nil && read.Number < newest.Number {
-			list = append(list, breach(RuleDurable, "table %d was read back at %v, and %d had been acknowledged", read.Number, read.At, newest.Number))
+			list = append(list, breach(RuleDurable,
+				"table %d was read back at %v, and %d had been acknowledged",
+				read.Number, read.At, newest.Number))
 			continue
 		}
 		sent, refused := false, false
@@ -35,7 +39,9 @@
 			}
 		}
 		if !sent || refused {
-			list = append(list, breach(RuleDurable, "table %d was read back at %v: not what was sent under its number, or refused", read.Number, read.At))
+			list = append(list, breach(RuleDurable,
+				"table %d was read back at %v: not what was sent under its number, or refused",
+				read.Number, read.At))
 		}
 	}
 	if newest != nil && len(b.FinalReads) == 0 && b.End > 0 {
@@ -44,7 +50,7 @@
 	return list
 }
 
-// evidence is one observation that shows which tables a node may have had in force.
+// evidence is an observation of which tables a node may have had in force.
 type evidence struct {
 	request     *Request
 	at          time.Duration
@@ -55,8 +61,7 @@
 	what        string
 }
 
-// collectEvidence lists all observations that show which tables were in force, ordered
-// by time.
+// collectEvidence lists all evidence, ordered by time.
 func (b *recordIndex) collectEvidence() (list []evidence) {
 	for i := range b.Arrivals {
 		a := &b.Arrivals[i]
@@ -64,22 +69,26 @@
 		if q == nil || a.Misdirected {
 			continue
 		}
-		list = append(list, evidence{request: q, at: a.At, sent: q.At, node: a.Node, incarnation: a.Incarnation, what: "sent to " + a.Service + " as " + a.Tenant, fits: func(t *Table) bool {
-			r, ok := t.route(q.Path)
-			if !ok {
-				return false
-			}
-			holder := t.KeyTenants[q.Key]
-			if holder != a.Tenant || holder == "" && !r.Public {
-				return false
-			}
-			for _, s := range r.Services {
-				if s == a.Service {
-					return true
+		list = append(list, evidence{
+			request: q, at: a.At, sent: q.At, node: a.Node, incarnation: a.Incarnation,
+			what: "sent to " + a.Service + " as " + a.Tenant,
+			fits: func(t *Table) bool {
+				r, ok := t.route(q.Path)
+				if !ok {
+					return false
 				}
-			}
-			return false
-		}})
+				holder := t.KeyTenants[q.Key]
+				if holder != a.Tenant || holder == "" && !r.Public {
+					return false
+				}
+				for _, s := range r.Services {
+					if s == a.Service {
+						return true
+					}
+				}
+				return false
+			},
+		})
 	}
 	for _, q := range b.Requests {
 		if q.Outcome != Refused {
@@ -102,14 +111,17 @@
 		default:
 			continue
 		}
-		list = append(list, evidence{request: q, at: q.Ended, sent: q.At, node: q.Node, incarnation: q.Incarnation, what: "answered " + itoa(q.Status), fits: fits})
+		list = append(list, evidence{
+			request: q, at: q.Ended, sent: q.At, node: q.Node, incarnation: q.Incarnation,
+			what: "answered " + itoa(q.Status), fits: fits,
+		})
 	}
 	sort.SliceStable(list, func(i, j int) bool { return list[i].at < list[j].at })
 	return list
 }
 
-// checkHandling checks that each request was handled by a table that is valid, recent
-// enough and not older than one the same incarnation used before.
+// checkHandling checks that each request was handled by a valid and recent enough table, not older
+// than one that the same incarnation had used.
 func (b *recordIndex) checkHandling() (list []Breach) {
 	type proof struct {
 		at     time.Duration
--- a/rehearsalkit/relaysim/judge_test.go
+++ b/rehearsalkit/relaysim/judge_test.go
@@ -16,7 +16,6 @@
 	return list
 }
 
-// validRecord is a record without breaches.
 func validRecord() *Record {
 	keys := map[string]string{"k-1a": "t1", "k-2a": "t2"}
 	allowed := map[string]float64{"t1": 4}
@@ -58,8 +57,7 @@
 	}
 }
 
-// TestJudge breaks each rule in a valid record and checks that the judge reports that
-// rule.
+// Guards against rules that the judge no longer detects.
 func TestJudge(t *testing.T) {
 	if b := validRecord().Judge(); len(b) > 0 {
 		t.Fatalf("valid record: %v", b)
@@ -161,8 +159,6 @@
 	}
 }
 
-// TestDisruptionExemptsTimeBounds checks that time bounds are waived only for disrupted
-// nodes.
 func TestDisruptionExemptsTimeBounds(t *testing.T) {
 	r := validRecord()
 	r.LeaveAcks[0].At = 10 * sec
--- a/rehearsalkit/relaysim/leaveloss_test.go
+++ b/rehearsalkit/relaysim/leaveloss_test.go
@@ -7,7 +7,7 @@
 	"saffronfall/peer/registry"
 )
 
-// earlyAckRegistry acknowledges that a replica leaves before any other process can know it.
+// earlyAckRegistry acknowledges a leave before any other process can know it.
 type earlyAckRegistry struct{ Registry }
 
 func (d earlyAckRegistry) Heartbeat(now time.Duration, ticket uint64, r registry.Replica) registry.Output {
@@ -16,10 +16,9 @@
 	return o
 }
 
-// loseAckingRegistry has a registry fail right after it was told that a replica leaves, with
-// all that it had sent, and counts the requests that reach the replica too long after
-// an acknowledgement. The bound holds even though the acknowledging machine is
-// disrupted.
+// loseAckingRegistry has a registry fail, with all that it had sent, right after it acknowledged a
+// leave, and counts the requests that reach the replica too late. The bound holds although the
+// acknowledging machine is disrupted.
 func loseAckingRegistry(seed uint64, wrap func(d Registry) Registry) (acknowledged, late int) {
 	p := Defaults(seed)
 	p.Faults, p.Operators, p.Closing = false, 0, ""
@@ -60,8 +59,6 @@
 	return acknowledged, late
 }
 
-// TestAcknowledgedLeaveSurvivesRegistryLoss checks that an acknowledged leave takes effect
-// although the acknowledging registry fails at that moment.
 func TestAcknowledgedLeaveSurvivesRegistryLoss(t *testing.T) {
 	const seeds = 12
 	acknowledged := 0
--- a/rehearsalkit/relaysim/linear.go
+++ b/rehearsalkit/relaysim/linear.go
@@ -7,41 +7,35 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// RuleLinear is broken when no sequential execution explains the answers to all orders
-// and reads, with each taking effect between its call and its answer (linearizability).
+// RuleLinear requires linearizability: some sequential execution explains the answers to all
+// orders and reads, each taking effect between its call and its answer.
 const RuleLinear = "tables are linearizable"
 
-// linearTimeout limits the search for a sequential execution.
 const linearTimeout = 20 * time.Second
 
-// tableState is the state of the register model: the table in force.
 type tableState struct {
 	Number uint64
 	Text   string
 }
 
-// tableCall is one order or one read.
 type tableCall struct {
 	Read bool
 	Base uint64
 	To   tableState
 }
 
-// Outcomes of an order.
 const (
 	orderUnsure = iota
 	orderAccepted
 	orderRefused
 )
 
-// tableAnswer is the answer to a call.
 type tableAnswer struct {
 	Outcome int
 	Found   tableState
 }
 
-// tableModel is a register with compare-and-set: an order takes effect only on the base
-// that it names.
+// tableModel is a register with compare-and-set on the order's base.
 var tableModel = porcupine.Model{
 	Init: func() any { return tableState{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -60,15 +54,20 @@
 	},
 }
 
-// tableHistory lists the operators' calls and answers. An order without a conclusive
-// answer may take effect at any later time or never.
+// tableHistory lists the operators' calls and answers. An order without a conclusive answer may
+// take effect at any later time or never.
 func (r *Record) tableHistory() []porcupine.Operation {
 	var history []porcupine.Operation
 	for _, t := range r.Tables {
 		if !t.Valid {
 			continue
 		}
-		one := porcupine.Operation{Input: tableCall{Base: t.Base, To: tableState{t.Number, string(t.Text)}}, Call: int64(t.SentAt), Output: tableAnswer{}, Return: math.MaxInt64}
+		one := porcupine.Operation{
+			Input:  tableCall{Base: t.Base, To: tableState{t.Number, string(t.Text)}},
+			Call:   int64(t.SentAt),
+			Output: tableAnswer{},
+			Return: math.MaxInt64,
+		}
 		switch {
 		case t.Acked:
 			one.Output, one.Return = tableAnswer{Outcome: orderAccepted}, int64(t.AckedAt)
@@ -81,12 +80,16 @@
 	}
 	for _, read := range append(append([]ReadBack(nil), r.OperatorReads...), r.FinalReads...) {
 		found := tableState{read.Number, string(read.Text)}
-		history = append(history, porcupine.Operation{Input: tableCall{Read: true}, Call: int64(read.From), Output: tableAnswer{Found: found}, Return: int64(read.At)})
+		history = append(history, porcupine.Operation{
+			Input:  tableCall{Read: true},
+			Call:   int64(read.From),
+			Output: tableAnswer{Found: found},
+			Return: int64(read.At),
+		})
 	}
 	return history
 }
 
-// checkLinearizable checks that the history of orders and reads is linearizable.
 func (b *recordIndex) checkLinearizable() []Breach {
 	history := b.tableHistory()
 	switch porcupine.CheckOperationsTimeout(tableModel, history, linearTimeout) {
--- a/rehearsalkit/relaysim/linear_test.go
+++ b/rehearsalkit/relaysim/linear_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// linearizableRecord holds three orders and two reads: the second order lost the race
-// against the first, and the third has no conclusive answer.
+// linearizableRecord holds three orders and two reads: the second order lost the race against the
+// first, and the third has no conclusive answer.
 func linearizableRecord() *Record {
 	return &Record{
 		Tables: []*Table{
@@ -18,8 +18,6 @@
 	}
 }
 
-// TestLinearizableDetectsBreaches breaks a linearizable history in several ways and
-// checks that each is reported.
 func TestLinearizableDetectsBreaches(t *testing.T) {
 	if list := (&recordIndex{Record: linearizableRecord()}).checkLinearizable(); len(list) > 0 {
 		t.Fatal(list)
@@ -50,8 +48,7 @@
 	}
 }
 
-// TestRunsRecordReads checks that runs record enough orders and reads for the check of
-// linearizability to be meaningful.
+// Guards against a vacuous check of linearizability: runs must record enough orders and reads.
 func TestRunsRecordReads(t *testing.T) {
 	orders, reads := 0, 0
 	RunSeeds(1, 3, nil, func(o Outcome) {
--- a/rehearsalkit/relaysim/longcut.go
+++ b/rehearsalkit/relaysim/longcut.go
@@ -8,7 +8,6 @@
 	"saffronfall/peer/registry"
 )
 
-// Modes of cutting a machine off.
 const (
 	cutBoth     = "both ways"
 	cutOutbound = "only what it says is lost"
@@ -19,7 +18,6 @@
 
 var cutModes = []string{cutBoth, cutOutbound, cutInbound, cutPeers, cutRestart}
 
-// cutLength is the duration of a cut.
 const cutLength = 20 * time.Second
 
 func longcutParams(seed uint64) Params {
@@ -30,8 +28,8 @@
 	return p
 }
 
-// longcut cuts off each machine of the control side twice in a row, under continuous
-// orders and reads.
+// longcut cuts off each machine of the control side twice in a row, under continuous orders and
+// reads.
 type longcut struct {
 	world    *World
 	history  *orderHistory
@@ -57,7 +55,6 @@
 	return &longcut{world: w, history: b, health: w.watchHealth(b), findings: f, mode: cutModes[w.Params.Seed%uint64(len(cutModes))]}
 }
 
-// targets lists all machines of the control side.
 func (l *longcut) targets() (list []*process) {
 	for _, s := range l.world.stores {
 		list = append(list, s.processes()...)
@@ -65,7 +62,6 @@
 	return list
 }
 
-// play cuts off one target after the other and judges the run.
 func (l *longcut) play(targets []*process) *Findings {
 	w := l.world
 	w.Record.End = time.Hour
@@ -80,11 +76,16 @@
 	return l.findings
 }
 
-// startLoad starts orders, competing orders, reads and all other calls.
 func (l *longcut) startLoad() {
 	w := l.world
 	for range 2 {
-		o := &orderGenerator{history: l.history, rivalRate: 0.4, amendmentRate: 0.5, stopped: func() bool { return l.stopped }, pause: func() time.Duration { return w.between(500*time.Millisecond, 1500*time.Millisecond) }}
+		o := &orderGenerator{
+			history:       l.history,
+			rivalRate:     0.4,
+			amendmentRate: 0.5,
+			stopped:       func() bool { return l.stopped },
+			pause:         func() time.Duration { return w.between(500*time.Millisecond, 1500*time.Millisecond) },
+		}
 		w.after(w.between(0, time.Second), o.run)
 	}
 	for _, s := range w.stores {
@@ -100,7 +101,6 @@
 // recentOrders is how many of the newest orders are candidates for sending again.
 const recentOrders = 10
 
-// callRepeatedly makes calls of one kind to a registry until the scenario stops.
 func (l *longcut) callRepeatedly(kind string, at *process) {
 	w := l.world
 	if l.stopped {
@@ -128,8 +128,7 @@
 	}
 }
 
-// announce sends a replica's heartbeat or leave. A registry acknowledges neither if it
-// could not pass it on.
+// announce sends a replica's heartbeat or leave.
 func (l *longcut) announce(kind string, at *process) {
 	w := l.world
 	id := "idle-" + at.id
@@ -147,7 +146,7 @@
 	})
 }
 
-// cut cuts a machine off, heals the cut and waits until the fleet has recovered.
+// cut cuts a machine off, heals the cut and waits for the fleet to recover.
 func (l *longcut) cut(target *process) {
 	w, f := l.world, l.findings
 	group := fmt.Sprintf("%s, %s", map[bool]string{true: "desk", false: "core"}[target.isRegistry], l.mode)
@@ -168,7 +167,9 @@
 	l.health.awaitHealthy(healed, func(took time.Duration) { recovery = took })
 	w.Advance(catchUpTime)
 	if recovery < 0 {
-		f.breach(RuleFleetRecovery, "%v after %s was cut off (%s) from %v to %v: %s", catchUpTime, target.id, l.mode, started, healed, l.health.problem())
+		f.breach(RuleFleetRecovery,
+			"%v after %s was cut off (%s) from %v to %v: %s",
+			catchUpTime, target.id, l.mode, started, healed, l.health.problem())
 	} else {
 		f.recordDuration("whole again after a cut of a "+group, recovery)
 	}
@@ -178,8 +179,8 @@
 	w.Counts["orders acknowledged in cuts: "+group] += int64(len(l.history.acked) - acked)
 }
 
-// tabulate records the calls during a cut by second and kind: those to the registry that
-// was cut off or, for a core, those to all registries.
+// tabulate records the calls during a cut: those to the registry that was cut off or, for a core,
+// those to all registries.
 func (l *longcut) tabulate(group string, target *process, started time.Duration, first int) {
 	for _, c := range l.history.calls[first:] {
 		l.judgeIsolatedRegistry(target, started, c)
@@ -194,30 +195,30 @@
 }
 
 const (
-	// detectsCoresAfter is the time within which a registry must notice that it reaches no
-	// core.
+	// detectsCoresAfter is when a registry must notice that it reaches no core.
 	detectsCoresAfter = time.Second
-	// detectsNodesAfter is the time within which a registry must notice that no node reaches
-	// it.
+	// detectsNodesAfter is when a registry must notice that no node reaches it.
 	detectsNodesAfter = 5 * time.Second
 )
 
-// judgeIsolatedRegistry checks that a registry that reaches no core answers promptly, and that
-// one without contact to nodes accepts no announcements of replicas.
+// judgeIsolatedRegistry checks that a registry without contact to cores answers promptly, and that
+// one without contact to nodes accepts no announcements, as it could not pass them on.
 func (l *longcut) judgeIsolatedRegistry(target *process, started time.Duration, c *registryCall) {
 	since := c.started - started
-	if c.registry != target || l.mode == cutPeers || since < detectsCoresAfter || since > cutLength-answerBound || c.interrupted() {
+	if c.registry != target || l.mode == cutPeers ||
+		since < detectsCoresAfter || since > cutLength-answerBound || c.interrupted() {
 		return
 	}
 	if took := c.ended - c.started; c.ended < 0 || took > answerBound {
 		l.findings.breach(RuleCallBound, "%s at %s, which had been cut off (%s) for %v, took %v", c.kind, c.registry.id, l.mode, since, took)
 	}
 	if c.conclusive && since > detectsNodesAfter && (c.kind == callHeartbeat || c.kind == callLeave) {
-		l.findings.breach(RuleIsolatedRegistry, "%s was acknowledged by %s, which had been cut off (%s) for %v", c.kind, c.registry.id, l.mode, since)
+		l.findings.breach(RuleIsolatedRegistry,
+			"%s was acknowledged by %s, which had been cut off (%s) for %v",
+			c.kind, c.registry.id, l.mode, since)
 	}
 }
 
-// blockedLinks returns the predicate of the links that a cut of the target blocks.
 func (l *longcut) blockedLinks(target *process) func(from, to string) bool {
 	w := l.world
 	mine := map[string]bool{target.address: true}
@@ -250,8 +251,8 @@
 	}
 }
 
-// injectDuringCut starts a new node during a cut, whose first request goes to the
-// target, and restarts other machines in the mode cutRestart.
+// injectDuringCut starts a node whose first request goes to the target, and in the mode cutRestart
+// restarts other machines.
 func (l *longcut) injectDuringCut(target *process) {
 	w := l.world
 	seeds := w.seeds()
@@ -282,8 +283,8 @@
 	})
 }
 
-// newNode starts a node with the given seeds and stops it once it is ready. Not being
-// ready some time after the end of the cut is a breach.
+// newNode starts a node and stops it once it is ready. Not being ready some time after the cut is
+// a breach.
 func (l *longcut) newNode(seeds []string) {
 	w := l.world
 	l.newNodes++
--- a/rehearsalkit/relaysim/longcut_test.go
+++ b/rehearsalkit/relaysim/longcut_test.go
@@ -9,8 +9,7 @@
 	"saffronfall/rule/message"
 )
 
-// TestLongCut cuts off one core and one registry twice each, in every mode. The kit's
-// command runs all machines.
+// The kit's command cuts off all machines; this test one core and one registry.
 func TestLongCut(t *testing.T) {
 	for seed := uint64(1); seed <= uint64(len(cutModes)); seed++ {
 		t.Run(cutModes[seed%uint64(len(cutModes))], func(t *testing.T) {
@@ -43,7 +42,6 @@
 	t.Errorf("no breach of %q in any seed, only %.300v", rule, seen)
 }
 
-// alterMessages applies a change to all messages of one type.
 func alterMessages[T any](change func(from, to string, body T) (T, bool)) func(p *Params) {
 	return func(p *Params) {
 		p.Alter = func(from, to string, body any) (any, bool) {
@@ -55,8 +53,7 @@
 	}
 }
 
-// TestLongCutBreaks breaks the control side on purpose and checks that the judge
-// reports the broken rule.
+// Guards against faults of the control side that the judge misses.
 func TestLongCutBreaks(t *testing.T) {
 	for _, c := range []struct {
 		name, rule string
@@ -120,7 +117,7 @@
 	}
 }
 
-// unansweringRegistry is a registry that drops its inconclusive answers.
+// unansweringRegistry drops its inconclusive answers.
 type unansweringRegistry struct{ Registry }
 
 func (m *unansweringRegistry) out(o registry.Output) registry.Output {
--- a/rehearsalkit/relaysim/manychanges.go
+++ b/rehearsalkit/relaysim/manychanges.go
@@ -18,16 +18,15 @@
 
 var diskStates = []string{diskOld, diskTorn, diskEmpty}
 
-// Bounds of the scenario manychanges.
 const (
 	// tornWindow is the interval before the stop whose writes a torn disk lacks.
 	tornWindow = 60 * time.Millisecond
-	// logFactor and smallestSlot are those of the core's process, which starts a new slot
-	// once the log is longer than logFactor times the slot.
+	// A core's process starts a new slot, of at least smallestSlot bytes, once the log is longer
+	// than logFactor times the slot.
 	logFactor    = 4
 	smallestSlot = 1 << 20
-	// catchUpStates and catchUpExtra bound the bytes sent to a machine until it has caught
-	// up: catchUpStates times a core's state, and catchUpExtra for regular traffic.
+	// Catching up may take catchUpStates times a core's state, and catchUpExtra bytes for
+	// regular traffic.
 	catchUpStates = 4
 	catchUpExtra  = 1 << 20
 	// stateGrowth and memoryGrowth bound the bytes that each further change may add.
@@ -35,7 +34,7 @@
 	memoryGrowth = 1024
 	// maxChangeTime bounds the average time per change.
 	maxChangeTime = 200 * time.Millisecond
-	// sampleEvery is the default number of changes between two samples of sizes.
+	// sampleEvery is the default number of changes between two samples.
 	sampleEvery = 300
 )
 
@@ -48,13 +47,12 @@
 
 // manyChanges applies thousands of tables while single machines are away.
 type manyChanges struct {
-	world     *World
-	findings  *Findings
-	history   *orderHistory
-	health    *health
-	diskState string
-	stopped   bool
-	// sampleEvery is the number of changes between two samples of sizes.
+	world       *World
+	findings    *Findings
+	history     *orderHistory
+	health      *health
+	diskState   string
+	stopped     bool
 	sampleEvery int
 	logs        map[*process]*logMeter
 	samples     []sizes
@@ -67,8 +65,8 @@
 // logMeter tracks the length of a core's log as the core's process would keep it.
 type logMeter struct{ size, slot, longest int64 }
 
-// sizes are the sizes of the largest machine of each kind after a number of changes.
-// All but changes and entries are in bytes.
+// sizes are those of the largest machine of each kind after a number of changes, in bytes except
+// for changes and entries.
 type sizes struct {
 	changes                                int
 	log, state, entries                    int64
@@ -82,8 +80,17 @@
 func newManyChanges(w *World) *manyChanges {
 	f := newFindings(w)
 	b := newOrderHistory(w, f)
-	m := &manyChanges{world: w, findings: f, history: b, health: w.watchHealth(b), diskState: diskStates[w.Params.Seed%uint64(len(diskStates))], sampleEvery: sampleEvery,
-		logs: map[*process]*logMeter{}, images: map[*process]core.Stored{}, received: map[string]int64{}}
+	m := &manyChanges{
+		world:       w,
+		findings:    f,
+		history:     b,
+		health:      w.watchHealth(b),
+		diskState:   diskStates[w.Params.Seed%uint64(len(diskStates))],
+		sampleEvery: sampleEvery,
+		logs:        map[*process]*logMeter{},
+		images:      map[*process]core.Stored{},
+		received:    map[string]int64{},
+	}
 	sendObserver := w.observers.sent
 	w.observers.sent = func(from *process, to string, body any) {
 		sendObserver(from, to, body)
@@ -93,8 +100,8 @@
 	return m
 }
 
-// play applies tables up to the given total. For each element of away one machine
-// misses that many changes.
+// play applies tables up to the total. For each element of away one machine misses that many
+// changes.
 func (m *manyChanges) play(away []int, changes int) *Findings {
 	w := m.world
 	w.Record.End = time.Hour
@@ -114,8 +121,6 @@
 	return m.findings
 }
 
-// applyNext reads the table in force and applies the next one, until the scenario
-// stops.
 func (m *manyChanges) applyNext() {
 	w := m.world
 	if m.stopped {
@@ -143,7 +148,6 @@
 	})
 }
 
-// liveRegistry returns a random running registry.
 func (w *World) liveRegistry() *process {
 	for {
 		if at := w.anyRegistry(); at.alive {
@@ -152,7 +156,7 @@
 	}
 }
 
-// awaitChanges advances time until the given number of tables is acknowledged.
+// awaitChanges advances time until that many tables are acknowledged.
 func (m *manyChanges) awaitChanges(changes int) {
 	w := m.world
 	deadline := w.now + maxChangeTime*time.Duration(20+changes-len(m.history.acked))
@@ -164,8 +168,8 @@
 	}
 }
 
-// awayFor stops a store and a node for a number of changes, and checks that they catch
-// up in time and with bounded traffic.
+// awayFor stops a store and a node for a number of changes, and checks that they catch up in time
+// and with bounded traffic.
 func (m *manyChanges) awayFor(s *store, node *process, changes int) {
 	w := m.world
 	name := fmt.Sprintf("away for %d changes, %s", changes, m.diskState)
@@ -211,7 +215,6 @@
 	return image
 }
 
-// judgeBytes bounds the bytes sent to machines until they had caught up.
 func (m *manyChanges) judgeBytes(name string, processes []*process, sum int64) {
 	for _, p := range processes {
 		sum += m.received[p.address]
@@ -222,8 +225,8 @@
 	}
 }
 
-// watchLeader checks regularly that the leader of the configuration partition holds all
-// acknowledged tables.
+// watchLeader checks regularly that the configuration partition's leader holds all acknowledged
+// tables.
 func (m *manyChanges) watchLeader() {
 	w := m.world
 	if m.stopped {
@@ -237,11 +240,12 @@
 	var has core.CurrentTable
 	raw := leader.core.core.Partition(core.ConfigurationPartition).State().Entries[core.TableKey].Value
 	if message.Unmarshal(raw, &has) == nil && has.Number < m.history.newestSeen {
-		m.findings.breach(RuleLeaderCurrent, "%s owns the configuration at %v with table %d, and %d had been told", leader.core.id, w.now, has.Number, m.history.newestSeen)
+		m.findings.breach(RuleLeaderCurrent,
+			"%s owns the configuration at %v with table %d, and %d had been told",
+			leader.core.id, w.now, has.Number, m.history.newestSeen)
 	}
 }
 
-// synced updates the length of a core's log.
 func (m *manyChanges) synced(p *process, batches [][]core.Change) {
 	const head = 12
 	log := m.logs[p]
@@ -260,7 +264,6 @@
 	}
 }
 
-// size measures disks and logs.
 func (m *manyChanges) size(changes int) sizes {
 	w := m.world
 	now := sizes{changes: changes}
@@ -278,7 +281,6 @@
 	return now
 }
 
-// sample records the sizes of all machines, memory included.
 func (m *manyChanges) sample(changes int) {
 	now := m.size(changes)
 	for _, p := range m.world.processes {
@@ -297,14 +299,15 @@
 	m.samples = append(m.samples, now)
 }
 
-// judgeSizes adds the samples to the findings and bounds their growth with the number
-// of changes.
+// judgeSizes reports the samples and bounds their growth per change.
 func (m *manyChanges) judgeSizes() {
 	f := m.findings
 	f.Lines = append(f.Lines, "", fmt.Sprintf("seed %d, %s", f.Seed, m.diskState), "",
-		"| changes | longest log, bytes | state, bytes | entries | core memory | desk memory | node memory |", "|---|---|---|---|---|---|---|")
+		"| changes | longest log, bytes | state, bytes | entries | core memory | desk memory | node memory |",
+		"|---|---|---|---|---|---|---|")
 	for _, s := range m.samples {
-		f.Lines = append(f.Lines, fmt.Sprintf("| %d | %d | %d | %d | %d | %d | %d |", s.changes, s.log, s.state, s.entries, s.coreMemory, s.registryMemory, s.nodeMemory))
+		f.Lines = append(f.Lines, fmt.Sprintf("| %d | %d | %d | %d | %d | %d | %d |",
+			s.changes, s.log, s.state, s.entries, s.coreMemory, s.registryMemory, s.nodeMemory))
 	}
 	for i, s := range m.samples {
 		if i == 0 {
--- a/rehearsalkit/relaysim/manychanges_test.go
+++ b/rehearsalkit/relaysim/manychanges_test.go
@@ -11,8 +11,7 @@
 	"saffronfall/rule/message"
 )
 
-// TestManyChanges stops machines for some changes and restarts them with each state of
-// their disks. The kit's command runs thousands of changes.
+// The kit's command runs thousands of changes.
 func TestManyChanges(t *testing.T) {
 	for seed := uint64(1); seed <= uint64(len(diskStates)); seed++ {
 		t.Run(diskStates[seed%uint64(len(diskStates))], func(t *testing.T) {
@@ -29,7 +28,7 @@
 	}
 }
 
-// storingRegistry is a registry that stores an additional turn at the cores with each order.
+// storingRegistry stores an additional turn at the cores with each order.
 type storingRegistry struct {
 	Registry
 	stored int
@@ -45,7 +44,7 @@
 	return o
 }
 
-// overstatingRegistry is a registry that reads back higher table numbers than exist.
+// overstatingRegistry reads back higher table numbers than exist.
 type overstatingRegistry struct{ Registry }
 
 func (b *overstatingRegistry) Receive(now time.Duration, from string, body any) registry.Output {
@@ -59,8 +58,7 @@
 	return o
 }
 
-// TestManyChangesBreaks breaks the fleet on purpose and checks that the judge reports
-// the broken rule.
+// Guards against unbounded growth and slow recovery that the judge misses.
 func TestManyChangesBreaks(t *testing.T) {
 	for _, c := range []struct {
 		name, rule string
--- a/rehearsalkit/relaysim/network.go
+++ b/rehearsalkit/relaysim/network.go
@@ -7,22 +7,20 @@
 	"saffronfall/rule/message"
 )
 
-// network holds the state of the links between processes.
 type network struct {
 	// cut counts the active cuts of each link, by source and destination address.
 	cut map[[2]string]int
 	// lastArrival is the arrival time of the newest message on each link.
 	lastArrival map[[2]string]time.Duration
-	// blocked reports whether a link is cut in addition to cut; it may be nil.
+	// blocked reports further cut links; may be nil.
 	blocked func(from, to string) bool
-	// dropMessage reports whether a message is lost in addition to random loss; it may be
-	// nil.
+	// dropMessage selects messages to lose in addition to random loss; may be nil.
 	dropMessage func(body any) bool
-	// observers are called for each message sent or delivered and each disk sync.
-	observers observers
+	observers   observers
 }
 
-// observers are a scenario's callbacks for network and disk events. Each may be nil.
+// observers are a scenario's callbacks, called for each message sent or delivered and each disk
+// sync. Each may be nil.
 type observers struct {
 	sent      func(from *process, to string, body any)
 	delivered func(from string, to *process, body any)
@@ -33,8 +31,8 @@
 	return w.cut[[2]string{from, to}] > 0 || w.blocked != nil && w.blocked(from, to)
 }
 
-// send delivers a message after a random delay. Messages on a link stay in order unless
-// the connection is lost; later messages may then overtake earlier ones.
+// send delivers a message after a random delay. Messages on a link stay in order unless the
+// connection is lost; later ones may then overtake earlier ones.
 func (w *World) send(from *process, to string, body any) {
 	w.Counts["messages"]++
 	if w.Params.Alter != nil {
--- a/rehearsalkit/relaysim/operator.go
+++ b/rehearsalkit/relaysim/operator.go
@@ -14,11 +14,10 @@
 	return []route.Target{{Service: service, Weight: 1}}
 }
 
-// newTable makes a random table on a base. A defect above zero selects what makes it
-// invalid.
+// newTable makes a random table; a defect above zero selects what makes it invalid.
 func (w *World) newTable(base, number uint64, defect int) *Table {
-	t := &Table{Number: number, Base: base, ID: w.uniqueID("t"), Valid: defect == 0, Routes: map[string]Route{}, KeyTenants: map[string]string{"k-1a": "t1", "k-2a": "t2", "k-3a": "t3"},
-		MaxPerWindow: map[string]float64{}}
+	t := &Table{Number: number, Base: base, ID: w.uniqueID("t"), Valid: defect == 0, Routes: map[string]Route{},
+		KeyTenants: map[string]string{"k-1a": "t1", "k-2a": "t2", "k-3a": "t3"}, MaxPerWindow: map[string]float64{}}
 	text := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20}}
 	used := map[string]bool{}
 	add := func(prefix, mode string, targets []route.Target, kept, resumable, open bool) {
@@ -96,8 +95,7 @@
 	return t
 }
 
-// applyTable sends a table to random registries until the answer is conclusive or the time
-// is over.
+// applyTable sends a table to random registries until the answer is conclusive or time is up.
 func (w *World) applyTable(t *Table, until time.Duration, done func()) {
 	if t.SentAt == 0 {
 		t.SentAt = w.now
@@ -149,7 +147,7 @@
 	w.after(time.Second, retry)
 }
 
-// readTable reads the table in force, trying other registries until the time is over.
+// readTable reads the table in force, trying other registries until time is up.
 func (w *World) readTable(until time.Duration, done func(from time.Duration, t core.CurrentTable)) {
 	finished, from := false, w.now
 	retry := func() {
@@ -158,17 +156,18 @@
 			w.readTable(until, done)
 		}
 	}
-	w.callRegistry(w.anyRegistry(), func(d Registry, now time.Duration, ticket uint64) registry.Output { return d.Read(now, ticket) }, func(body any) {
-		if t, ok := body.(core.CurrentTable); ok && !finished && t.Number > 0 {
-			finished = true
-			w.Counts["tables read"]++
-			done(from, t)
-		}
-	})
+	w.callRegistry(w.anyRegistry(),
+		func(d Registry, now time.Duration, ticket uint64) registry.Output { return d.Read(now, ticket) },
+		func(body any) {
+			if t, ok := body.(core.CurrentTable); ok && !finished && t.Number > 0 {
+				finished = true
+				w.Counts["tables read"]++
+				done(from, t)
+			}
+		})
 	w.after(time.Second, retry)
 }
 
-// applyFirstTable sends the first table until it is accepted.
 func (w *World) applyFirstTable() {
 	t := w.newTable(0, 1, 0)
 	w.applyTable(t, time.Minute, func() {})
@@ -189,7 +188,8 @@
 			defect = 1 + w.random.IntN(6)
 		}
 		number := now.Number + 1 + uint64(w.random.IntN(3))
-		w.applyTable(w.newTable(now.Number, number, defect), w.now+8*time.Second, func() { w.after(w.between(time.Second, 4*time.Second), w.runOperator) })
+		w.applyTable(w.newTable(now.Number, number, defect), w.now+8*time.Second,
+			func() { w.after(w.between(time.Second, 4*time.Second), w.runOperator) })
 		if w.chance(0.4) {
 			// A second operator sends concurrently on the same base.
 			other := now.Number + 1 + uint64(w.random.IntN(3))
@@ -199,7 +199,6 @@
 	})
 }
 
-// readFinalTable reads the table in force at the end of the run.
 func (w *World) readFinalTable() {
 	w.readTable(w.Record.End, func(from time.Duration, t core.CurrentTable) {
 		w.Record.FinalReads = append(w.Record.FinalReads, ReadBack{From: from, At: w.now, Number: t.Number, Text: t.Text})
--- a/rehearsalkit/relaysim/orders.go
+++ b/rehearsalkit/relaysim/orders.go
@@ -12,13 +12,12 @@
 type order struct {
 	*Table
 	refusedAt time.Duration
-	// amendment is the form in which the order is sent; nil for a whole table.
+	// amendment is nil for a whole table.
 	amendment *route.Amendment
 	// ackedIndex is how many orders had been acknowledged before this one.
 	ackedIndex int
 }
 
-// tableRead is one successful read of the table in force.
 type tableRead struct {
 	started, ended time.Duration
 	registry       string
@@ -26,18 +25,14 @@
 	text           []byte
 }
 
-// orderHistory is what operators know of their orders and reads, and all calls that
-// they made.
+// orderHistory is what operators know of their orders and reads, and all their calls.
 type orderHistory struct {
 	world    *World
 	findings *Findings
-	// answerLoss is the fraction of answers to orders that are lost between registry and
-	// operator.
-	answerLoss float64
-	// answerTimeout is how long an operator waits for an answer.
+	// answerLoss is the fraction of answers to orders that are lost on the way to the operator.
+	answerLoss    float64
 	answerTimeout time.Duration
-	// resends counts the answers to orders sent again, by the number of orders acknowledged
-	// in between.
+	// resends is keyed by the number of orders acknowledged in between.
 	resends resendTable
 	orders  []*order
 	acked   []*order
@@ -47,15 +42,14 @@
 	newestSeen uint64
 }
 
-// answerTimeout is the default time that callers wait for an answer. It is longer than
-// a registry's own timeout.
+// answerTimeout is the callers' default; it is longer than a registry's own timeout.
 const answerTimeout = 5 * time.Second
 
 func newOrderHistory(w *World, f *Findings) *orderHistory {
 	return &orderHistory{world: w, findings: f, answerTimeout: answerTimeout, resends: resendTable{}}
 }
 
-// amend turns an order into an amendment of the table that it is based on.
+// amend turns an order into an amendment of its base.
 func (o *order) amend(base []byte) {
 	current, faults := route.Parse(base)
 	next, more := route.Parse(o.Text)
@@ -73,12 +67,16 @@
 	}
 }
 
-// apply sends an order to a registry.
 func (o *order) apply(d Registry, now time.Duration, ticket uint64) registry.Output {
 	if o.amendment == nil {
 		return d.Apply(now, ticket, o.Base, o.Text, registry.Digest(o.Text))
 	}
-	return d.Amend(now, ticket, registry.Amendment{Base: o.Base, Number: o.Number, Digest: registry.AmendmentDigest(o.Text), Apply: registry.ApplyAmendment(*o.amendment)})
+	return d.Amend(now, ticket, registry.Amendment{
+		Base:   o.Base,
+		Number: o.Number,
+		Digest: registry.AmendmentDigest(o.Text),
+		Apply:  registry.ApplyAmendment(*o.amendment),
+	})
 }
 
 // beginCall records a call that has just reached a registry.
@@ -94,9 +92,12 @@
 	}
 }
 
-// call calls a registry. If the answer is lost, done is called with nil after the answer
-// timeout.
-func (b *orderHistory) call(kind string, at *process, step func(d Registry, now time.Duration, ticket uint64) registry.Output, conclusive func(body any) bool, done func(body any)) {
+// call calls a registry. done receives nil after the answer timeout if the answer is lost.
+func (b *orderHistory) call(
+	kind string, at *process,
+	step func(d Registry, now time.Duration, ticket uint64) registry.Output,
+	conclusive func(body any) bool, done func(body any),
+) {
 	w := b.world
 	finished := false
 	finish := func(body any) {
@@ -144,8 +145,7 @@
 	})
 }
 
-// recordAnswer checks an answer against the earlier ones to the same order and records
-// it.
+// recordAnswer checks an answer against earlier ones to the same order.
 func (b *orderHistory) recordAnswer(o *order, at *process, h registry.OrderResult) {
 	w := b.world
 	if o.Acked {
@@ -156,7 +156,9 @@
 		w.Counts["orders answered unclear"]++
 	case h.Accepted:
 		if o.Refused {
-			b.findings.breach(RuleAcceptedNotRefused, "order %d on %d was refused at %v and is acknowledged at %v by %s", o.Number, o.Base, o.refusedAt, w.now, at.id)
+			b.findings.breach(RuleAcceptedNotRefused,
+				"order %d on %d was refused at %v and is acknowledged at %v by %s",
+				o.Number, o.Base, o.refusedAt, w.now, at.id)
 		}
 		if !o.Acked {
 			w.Counts["orders acknowledged"]++
@@ -169,7 +171,9 @@
 		}
 	default:
 		if o.Acked {
-			b.findings.breach(RuleAcceptedNotRefused, "order %d on %d was acknowledged at %v, and is refused %d orders later at %v by %s (race %v, in force %d)", o.Number, o.Base, o.AckedAt, len(b.acked)-o.ackedIndex, w.now, at.id, h.RaceLost, h.Number)
+			b.findings.breach(RuleAcceptedNotRefused,
+				"order %d on %d was acknowledged at %v, and is refused %d orders later at %v by %s (race %v, in force %d)",
+				o.Number, o.Base, o.AckedAt, len(b.acked)-o.ackedIndex, w.now, at.id, h.RaceLost, h.Number)
 		}
 		if !o.Refused {
 			w.Counts["orders refused"]++
@@ -179,8 +183,7 @@
 	}
 }
 
-// sendUntilAnswered sends an order to random registries until the answer is conclusive or
-// the time is over.
+// sendUntilAnswered tries random registries until the answer is conclusive or time is up.
 func (b *orderHistory) sendUntilAnswered(o *order, until time.Duration, done func()) {
 	w := b.world
 	b.send(o, w.anyRegistry(), func(h registry.OrderResult) {
@@ -196,7 +199,6 @@
 	})
 }
 
-// read reads the table in force at a registry once.
 func (b *orderHistory) read(at *process, done func(t core.CurrentTable, ok bool)) {
 	w := b.world
 	started, newest := w.now, b.newestSeen
@@ -209,7 +211,9 @@
 			return
 		}
 		if t.Number < newest {
-			b.findings.breach(RuleNewestTable, "%s read back table %d, from %v to %v, and %d had been told before", at.id, t.Number, started, w.now, newest)
+			b.findings.breach(RuleNewestTable,
+				"%s read back table %d, from %v to %v, and %d had been told before",
+				at.id, t.Number, started, w.now, newest)
 		}
 		b.newestSeen = max(b.newestSeen, t.Number)
 		b.reads = append(b.reads, tableRead{started: started, ended: w.now, registry: at.id, number: t.Number, text: t.Text})
@@ -217,19 +221,17 @@
 	})
 }
 
-// applyFirstTable sends the first table until it is accepted.
 func (b *orderHistory) applyFirstTable() {
 	b.sendUntilAnswered(&order{Table: b.world.newTable(0, 1, 0)}, b.world.now+time.Minute, func() {})
 }
 
-// orderGenerator sends orders one after the other, each based on the table that it has
-// read.
+// orderGenerator sends orders one after the other, each based on the table that it has read.
 type orderGenerator struct {
 	history *orderHistory
 	// pause returns the time until the next order.
 	pause func() time.Duration
-	// rivalRate is the probability of a concurrent order on the same base; half of these
-	// have the same number too.
+	// rivalRate is the probability of a concurrent order on the same base, half of the time with
+	// the same number too.
 	rivalRate float64
 	// amendmentRate is the fraction of orders that are amendments.
 	amendmentRate float64
@@ -268,8 +270,8 @@
 	})
 }
 
-// resend sends an acknowledged order to a registry again, unchanged. If memory is positive,
-// it is one of the last memory orders.
+// resend sends an acknowledged order again, unchanged; with positive memory, one of the last
+// memory orders.
 func (b *orderHistory) resend(at *process, memory int) {
 	from := 0
 	if memory > 0 {
--- a/rehearsalkit/relaysim/orderstorm.go
+++ b/rehearsalkit/relaysim/orderstorm.go
@@ -7,18 +7,15 @@
 	"saffronfall/peer/registry"
 )
 
-// Bounds of the scenario orders.
 const (
-	// stormLength is how long orders are sent.
 	stormLength = 300 * time.Second
 	// stormOperators is the number of operators, each with up to two orders at a time.
 	stormOperators = 4
 	// stormAnswerTimeout is short because most answers are lost.
 	stormAnswerTimeout = 800 * time.Millisecond
-	// resultLoss is the additional loss rate of results from cores, used on odd seeds.
+	// resultLoss is the additional loss rate of results from cores, on odd seeds.
 	resultLoss = 0.4
-	// leaderChangeInterval is the time between two faults of the configuration partition's
-	// leader.
+	// leaderChangeInterval separates faults of the configuration partition's leader.
 	leaderChangeInterval = 15 * time.Second
 )
 
@@ -29,9 +26,8 @@
 	return p
 }
 
-// orderStorm sends concurrent orders whose answers are mostly lost, and sends
-// acknowledged orders again, immediately and much later, across changes of leader and a
-// power loss of all disks.
+// orderStorm sends concurrent orders whose answers are mostly lost, and repeats acknowledged ones
+// at once and much later, across leader changes and power loss of all disks.
 type orderStorm struct {
 	world   *World
 	history *orderHistory
@@ -60,7 +56,13 @@
 		w.dropMessage = func(body any) bool { _, ok := body.(core.CommandResult); return ok && w.chance(resultLoss) }
 	}
 	for range stormOperators {
-		o := &orderGenerator{history: b, rivalRate: 0.8, amendmentRate: 0.5, stopped: func() bool { return s.stopped }, pause: func() time.Duration { return w.between(20*time.Millisecond, 200*time.Millisecond) }}
+		o := &orderGenerator{
+			history:       b,
+			rivalRate:     0.8,
+			amendmentRate: 0.5,
+			stopped:       func() bool { return s.stopped },
+			pause:         func() time.Duration { return w.between(20*time.Millisecond, 200*time.Millisecond) },
+		}
 		w.after(w.between(0, time.Second), o.run)
 	}
 	w.after(time.Second, s.resendAny)
@@ -92,7 +94,6 @@
 	w.after(w.between(50*time.Millisecond, 200*time.Millisecond), s.resendAny)
 }
 
-// resendAll sends every acknowledged order again until the answer is conclusive.
 func (s *orderStorm) resendAll() {
 	w := s.world
 	waiting := len(s.history.acked)
@@ -101,7 +102,9 @@
 	}
 	w.Advance(20 * time.Second)
 	if waiting > 0 {
-		s.history.findings.breach(RuleAcceptedNotRefused, "%d orders that had been acknowledged got no clear answer again within 20s", waiting)
+		s.history.findings.breach(RuleAcceptedNotRefused,
+			"%d orders that had been acknowledged got no clear answer again within 20s",
+			waiting)
 	}
 }
 
@@ -137,7 +140,6 @@
 	}
 }
 
-// losePower cuts the power of all stores at once.
 func (s *orderStorm) losePower() {
 	w := s.world
 	w.logf("all disks lose power")
--- a/rehearsalkit/relaysim/orderstorm_test.go
+++ b/rehearsalkit/relaysim/orderstorm_test.go
@@ -8,8 +8,7 @@
 	"saffronfall/rule/message"
 )
 
-// TestOrders loses most answers to orders and checks that no accepted order is later
-// refused.
+// Guards against an accepted order that is refused when its answer was lost.
 func TestOrders(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run("", func(t *testing.T) {
@@ -27,8 +26,7 @@
 	}
 }
 
-// TestOrdersBreaks breaks the cores on purpose and checks that the judge reports the
-// broken rule.
+// Guards against faults of the cores that the judge misses.
 func TestOrdersBreaks(t *testing.T) {
 	for _, c := range []struct {
 		name, rule string
--- a/rehearsalkit/relaysim/params.go
+++ b/rehearsalkit/relaysim/params.go
@@ -24,7 +24,7 @@
 	Registries int
 	Nodes      int
 	Zones      int
-	// GroupSize is the number of members of a partition's group; below three means three.
+	// GroupSize is the members per partition; below three means three.
 	GroupSize int
 	// FaultPeriod is how long faults are injected after the start.
 	FaultPeriod time.Duration
@@ -33,12 +33,12 @@
 	Closing string
 	// Loss is the probability that a message is lost along with its connection.
 	Loss float64
-	// Overshoot (a fraction) and Slack (a number of requests) are the tolerances of a
-	// tenant's rate limit per window.
+	// Overshoot (a fraction) and Slack (a number of requests) are the tolerances of a tenant's
+	// rate limit per window.
 	Overshoot float64
 	Slack     int64
-	// Conversations hold conversations, Runaways continue until their budget is spent,
-	// Callers call tools, and Flooders exceed their tenant's rate limit.
+	// Runaways continue until their budget is spent, Callers call tools, and Flooders exceed
+	// their tenant's rate limit.
 	Conversations, Runaways, Callers, Flooders int
 	Operators                                  int
 	// WrapNode, WrapRegistry and Alter let tests break the system on purpose.
@@ -48,11 +48,25 @@
 	Logf         func(format string, args ...any)
 }
 
-// Defaults are the parameters of a small fleet under all faults. Some seeds lose more
-// messages, and some have tighter rate tolerances.
+// Defaults are the parameters of a small fleet under all faults.
 func Defaults(seed uint64) Params {
-	p := Params{Seed: seed, Cores: 3 + int(seed%2), Registries: 2 + int(seed/2%2), Nodes: 4 + int(seed/4%3), Zones: 3, FaultPeriod: 20 * time.Second, Faults: true, Loss: 0.002, Overshoot: 0.1, Slack: 4,
-		Conversations: 8, Runaways: 2, Callers: 3, Flooders: 3, Operators: 2}
+	p := Params{
+		Seed:          seed,
+		Cores:         3 + int(seed%2),
+		Registries:    2 + int(seed/2%2),
+		Nodes:         4 + int(seed/4%3),
+		Zones:         3,
+		FaultPeriod:   20 * time.Second,
+		Faults:        true,
+		Loss:          0.002,
+		Overshoot:     0.1,
+		Slack:         4,
+		Conversations: 8,
+		Runaways:      2,
+		Callers:       3,
+		Flooders:      3,
+		Operators:     2,
+	}
 	if seed%5 == 4 {
 		p.Loss = 0.02
 	}
@@ -75,15 +89,56 @@
 )
 
 func coreParams() core.Params {
-	return core.Params{Partition: partition.Params{LeaseDuration: contactTimeout / 6, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeTransfer: 20}, MemberLease: contactTimeout / 2,
-		AttemptTimeout: contactTimeout / 24, PullInterval: contactTimeout / 20, SilenceTimeout: catchUpTime / 2, ColdStart: true}
+	return core.Params{
+		Partition: partition.Params{
+			LeaseDuration:        contactTimeout / 6,
+			Drift:                0.1,
+			RenewalsPerLease:     5,
+			LeasesPerSweep:       8,
+			LeasesBeforeTransfer: 20,
+		},
+		MemberLease:    contactTimeout / 2,
+		AttemptTimeout: contactTimeout / 24,
+		PullInterval:   contactTimeout / 20,
+		SilenceTimeout: catchUpTime / 2,
+		ColdStart:      true,
+	}
 }
 
 func (w *World) registryParams() registry.Params {
-	return registry.Params{Core: coreParams(), HeartbeatInterval: heartbeatInterval, GroupSize: max(3, w.Params.GroupSize), PartitionsPerCore: 2, LoadInterval: heartbeatInterval / 12, OperationTimeout: 3 * time.Second}
+	return registry.Params{
+		Core:              coreParams(),
+		HeartbeatInterval: heartbeatInterval,
+		GroupSize:         max(3, w.Params.GroupSize),
+		PartitionsPerCore: 2,
+		LoadInterval:      heartbeatInterval / 12,
+		OperationTimeout:  3 * time.Second,
+	}
 }
 
 func (w *World) nodeParams() relay.Params {
-	return relay.Params{Core: coreParams(), HeartbeatInterval: heartbeatInterval, UpdateInterval: heartbeatInterval / 2, RateWindow: rateWindow, RateOvershoot: w.Params.Overshoot, RateSlack: w.Params.Slack, Placement: placement.Settings{SampleSize: 2, HomeReplicas: true, UnitTimes: true, PromptCache: true, LocalZone: true, FailureRates: true, PromptTokensPerMillisecond: 80, HeartbeatInterval: heartbeatInterval}, LoadReportInterval: heartbeatInterval / 12, ResendUnrun: true, ShedOverload: true,
-		MaxRequests: 2000, CacheBytes: 1 << 20, BudgetRetention: 10 * time.Minute}
+	return relay.Params{
+		Core:              coreParams(),
+		HeartbeatInterval: heartbeatInterval,
+		UpdateInterval:    heartbeatInterval / 2,
+		RateWindow:        rateWindow,
+		RateOvershoot:     w.Params.Overshoot,
+		RateSlack:         w.Params.Slack,
+		Placement: placement.Settings{
+			SampleSize:                 2,
+			HomeReplicas:               true,
+			UnitTimes:                  true,
+			PromptCache:                true,
+			LocalZone:                  true,
+			FailureRates:               true,
+			PromptTokensPerMillisecond: 80,
+			HeartbeatInterval:          heartbeatInterval,
+		},
+		LoadReportInterval: heartbeatInterval / 12,
+		ResendUnrun:        true,
+		ShedOverload:       true,
+		MaxRequests:        2000,
+		CacheBytes:         1 << 20,
+		BudgetRetention:    10 * time.Minute,
+	}
 }
--- a/rehearsalkit/relaysim/powerloss_test.go
+++ b/rehearsalkit/relaysim/powerloss_test.go
@@ -2,9 +2,8 @@
 
 import "testing"
 
-// TestDiskLossDuringPowerLoss loses as many disks as the fleet tolerates while all
-// other machines lose power, and checks that acknowledged data survives and service
-// recovers.
+// Guards against losing acknowledged data when as many disks as the fleet tolerates are lost while
+// all other machines lose power.
 func TestDiskLossDuringPowerLoss(t *testing.T) {
 	seeds := uint64(8)
 	if testing.Short() {
--- a/rehearsalkit/relaysim/process.go
+++ b/rehearsalkit/relaysim/process.go
@@ -12,8 +12,7 @@
 	"saffronfall/rule/ordered"
 )
 
-// process is one process of the fleet: a core, a registry or a node, or a client outside of
-// it.
+// process is a core, a registry or a node of the fleet, or a client outside of it.
 type process struct {
 	world   *World
 	id      string
@@ -29,8 +28,7 @@
 	client *client
 }
 
-// processState is the run state of a process. Its incarnation increases with each start
-// and stop.
+// processState is the run state of a process; incarnation increases with each start and stop.
 type processState struct {
 	incarnation int
 	alive       bool
@@ -40,13 +38,11 @@
 	started     time.Duration
 }
 
-// coreProcess is the state of a process that is a core.
 type coreProcess struct {
 	core *core.Machine
 	disk *disk
 }
 
-// registryProcess is the state of a process that is a registry.
 type registryProcess struct {
 	isRegistry    bool
 	registry      Registry
@@ -56,7 +52,6 @@
 	foundsFleet   bool
 }
 
-// nodeProcess is the state of a process that is a node.
 type nodeProcess struct {
 	node     Node
 	requests map[uint64]*activeRequest
@@ -74,7 +69,6 @@
 	return p.world.seeds()
 }
 
-// recordViolation records an invariant that a state machine found violated.
 func (w *World) recordViolation(v invariant.Violation) {
 	w.Record.Violations = append(w.Record.Violations, v)
 }
@@ -93,7 +87,11 @@
 		p.disk.pending, p.disk.held, p.disk.busy, p.disk.issued, p.disk.synced = nil, nil, false, 0, 0
 		var image core.Stored
 		image.CopyFrom(p.disk.stored)
-		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: p.zone, Address: p.address, Seeds: p.seedList(), Stored: image, Now: p.now(), Random: w.random.Float64, Violated: w.recordViolation})
+		p.core = core.New(core.Options{
+			Params: coreParams(), ID: p.id, Zone: p.zone, Address: p.address,
+			Seeds: p.seedList(), Stored: image,
+			Now: p.now(), Random: w.random.Float64, Violated: w.recordViolation,
+		})
 		p.tick(p.incarnation, coreParams().Partition.LeaseDuration/40)
 	case p.isRegistry:
 		var known []registry.ReplicaEntry
@@ -101,7 +99,11 @@
 			known = append(known, p.knownReplicas[id])
 		}
 		p.pendingCalls = map[uint64]func(any){}
-		p.registry = registry.New(registry.Options{Params: w.registryParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Address: p.address, Seeds: p.seedList(), FoundsFleet: p.foundsFleet, KnownReplicas: known, Now: p.now(), Random: w.random.Float64})
+		p.registry = registry.New(registry.Options{
+			Params: w.registryParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation),
+			Address: p.address, Seeds: p.seedList(), FoundsFleet: p.foundsFleet,
+			KnownReplicas: known, Now: p.now(), Random: w.random.Float64,
+		})
 		if w.Params.WrapRegistry != nil {
 			p.registry = w.Params.WrapRegistry(p.registry)
 		}
@@ -109,7 +111,11 @@
 	case p.client != nil:
 		p.tick(p.incarnation, coreParams().PullInterval/3)
 	default:
-		p.node = relay.New(relay.Options{Params: w.nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Zone: p.zone, Address: p.address, Seeds: p.seedList(), Now: p.now(), Random: w.random.Float64, Violated: w.recordViolation})
+		p.node = relay.New(relay.Options{
+			Params: w.nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation),
+			Zone: p.zone, Address: p.address, Seeds: p.seedList(),
+			Now: p.now(), Random: w.random.Float64, Violated: w.recordViolation,
+		})
 		if w.Params.WrapNode != nil {
 			p.node = w.Params.WrapNode(p.node)
 		}
@@ -226,8 +232,7 @@
 	}
 }
 
-// announce passes an announcement of a replica to a registry and reports whether it was
-// accepted, that is, known beyond this registry.
+// announce passes on a replica's announcement. Accepted means known beyond this registry.
 func (p *process) announce(step func(ticket uint64) registry.Output, then func(accepted bool)) {
 	p.lastTicket++
 	p.pendingCalls[p.lastTicket] = func(body any) {
@@ -237,8 +242,7 @@
 	p.applyRegistryOutput(step(p.lastTicket))
 }
 
-// applyRegistryOutput carries out a registry's output. Changes of its list of replicas are
-// stored before any message or answer leaves.
+// applyRegistryOutput stores changed replicas before any message or answer leaves.
 func (p *process) applyRegistryOutput(o registry.Output) {
 	for _, l := range o.ChangedReplicas {
 		p.knownReplicas[l.Replica.ID] = l
--- a/rehearsalkit/relaysim/record.go
+++ b/rehearsalkit/relaysim/record.go
@@ -7,8 +7,7 @@
 	"saffronfall/rule/invariant"
 )
 
-// Outcomes of a request as its requester saw them. The values are part of printed
-// labels.
+// Outcomes of a request at its requester. The values are part of printed labels.
 const (
 	Complete    = "whole"
 	Failed      = "failed"
@@ -22,8 +21,7 @@
 type Request struct {
 	At, Ended time.Duration
 	Node      string
-	// Incarnation is the node's incarnation that it arrived at; Arrived is set once the
-	// node has read the whole request.
+	// Incarnation is the node's at arrival; Arrived means the node has read the whole request.
 	Incarnation int
 	Arrived     bool
 	LastStep    time.Duration
@@ -38,8 +36,7 @@
 	Budget      int64
 	MaxTokens   int64
 	Deadline    time.Duration
-	// Outcome is one of the outcomes above, with the Status of a refusal. Check is for
-	// diagnosis only.
+	// Status goes with a refusal; Check is for diagnosis only.
 	Outcome    string
 	Status     int
 	Check      string
@@ -51,8 +48,8 @@
 	failed bool
 }
 
-// Arrival is a request that reached a replica, whether or not it ran there. It is
-// Misdirected if it was meant for another replica.
+// Arrival is a request that reached a replica, run or not. Misdirected means that it was meant for
+// another replica.
 type Arrival struct {
 	At, Sent         time.Duration
 	Replica, Service string
@@ -62,8 +59,8 @@
 	Misdirected      bool
 }
 
-// Execution is a request that a replica began to run. Text is the whole input that it
-// received; FirstEvent is the number of events that earlier executions had streamed.
+// Execution is a request that a replica began to run. Text is its whole input; FirstEvent is the
+// number of events that earlier executions had streamed.
 type Execution struct {
 	At, Sent         time.Duration
 	Replica, Service string
@@ -93,13 +90,11 @@
 	KeyTenants   map[string]string
 	MaxPerWindow map[string]float64
 	Text         []byte
-	// SentAt is when the table was first sent and AckedAt when it was acknowledged. Refused
-	// is set once an answer refused it.
+	// SentAt is when the table was first sent. Refused is set once an answer refused it.
 	SentAt, AckedAt time.Duration
 	Acked           bool
 	Refused         bool
-	// RefusedAt is when the refusal arrived.
-	RefusedAt time.Duration
+	RefusedAt       time.Duration
 }
 
 // Route is the judge's own description of one route of a table.
@@ -112,22 +107,21 @@
 	Repeatable bool
 }
 
-// ReadBack is the table that a registry returned to a read that began at From and ended at
-// At.
+// ReadBack is the answer to a table read that began at From and ended at At.
 type ReadBack struct {
 	From, At time.Duration
 	Number   uint64
 	Text     []byte
 }
 
-// Disruption is an interval in which a machine, or any store, was disturbed. It is
-// active while Until is negative.
+// Disruption is an interval in which a machine, or any store, was disturbed. It is active while
+// Until is negative.
 type Disruption struct {
 	Machine     string
 	From, Until time.Duration
 }
 
-// AnyStore is the Who of the disruption of any store.
+// AnyStore is the Machine of any store's Disruption.
 const AnyStore = "stores"
 
 // Limits are the time bounds and tolerances that a run is judged by.
@@ -148,14 +142,14 @@
 	Runs      []Execution
 	LeaveAcks []LeaveAck
 	Tables    []*Table
-	// FinalReads are the reads at the end of the run, OperatorReads those of the operators.
+	// FinalReads are the reads at the end of the run.
 	FinalReads    []ReadBack
 	OperatorReads []ReadBack
 	Disruptions   []Disruption
 	// Violations are the invariants that state machines found violated.
 	Violations []invariant.Violation
-	// ClosingAt is when the closing fault began and RestoredAt when all machines ran again;
-	// both are zero without a closing fault. End is when the run ended.
+	// ClosingAt is when the closing fault began, RestoredAt when all machines ran again; zero
+	// without a closing fault.
 	ClosingAt, RestoredAt, End time.Duration
 }
 
--- a/rehearsalkit/relaysim/relaysim_test.go
+++ b/rehearsalkit/relaysim/relaysim_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// faultyNode is a node that deviates in one respect.
+// faultyNode deviates in one respect.
 type faultyNode struct {
 	Node
 	request func(a relay.Request) relay.Request
@@ -98,7 +98,7 @@
 
 func (b *faultyNode) Tick(now time.Duration) relay.Output { return b.out(b.Node.Tick(now)) }
 
-// forgingRegistry is a registry that forges its answers to orders.
+// forgingRegistry forges its answers to orders.
 type forgingRegistry struct {
 	Registry
 	forge func(h registry.OrderResult) registry.OrderResult
@@ -129,7 +129,6 @@
 	}
 }
 
-// alterAnswers applies a change to the cores' results of one type.
 func alterAnswers[T any](change func(a T) T) func(p *Params) {
 	return func(p *Params) {
 		p.Alter = func(from, to string, body any) (any, bool) {
@@ -151,8 +150,7 @@
 	return func() bool { at++; return at%n == 0 }
 }
 
-// TestBreaks breaks the system on purpose and checks that the judge reports the broken
-// rule.
+// Guards against faults that the judge misses.
 func TestBreaks(t *testing.T) {
 	nodes := func(b func() *faultyNode) func(p *Params) {
 		return func(p *Params) {
@@ -265,8 +263,8 @@
 		})},
 		{"nodes are not told which replicas leave", RuleDraining, func(p *Params) {
 			p.Faults = true
-			// Placement compares only a few replicas per request, so more callers are needed for
-			// one of them to choose the leaving replica.
+			// Placement compares only a few replicas per request, so more callers are needed
+			// for one of them to choose the leaving replica.
 			p.Callers, p.Conversations = 20, 20
 			p.Alter = func(from, to string, body any) (any, bool) {
 				if b, ok := body.(registry.Update); ok {
--- a/rehearsalkit/relaysim/replica.go
+++ b/rehearsalkit/relaysim/replica.go
@@ -11,7 +11,7 @@
 	"saffronfall/rule/ordered"
 )
 
-// Services of the simulated deployment. The models stream their output.
+// The models stream their output.
 const (
 	modelA, modelB = "model-a", "model-b"
 	plainA, plainB = "plain-a", "plain-b"
@@ -43,7 +43,6 @@
 	currentRegistry *process
 }
 
-// job is one request at a replica.
 type job struct {
 	replica  *replica
 	dispatch *dispatch
@@ -54,7 +53,15 @@
 
 func (w *World) startReplica(service, address string, zone int) *replica {
 	w.lastID++
-	r := &replica{world: w, id: fmt.Sprintf("r%d-%s", w.lastID, service), service: service, address: address, zone: fmt.Sprintf("zone-%d", zone%w.Params.Zones+1), alive: true, slots: 6}
+	r := &replica{
+		world:   w,
+		id:      fmt.Sprintf("r%d-%s", w.lastID, service),
+		service: service,
+		address: address,
+		zone:    fmt.Sprintf("zone-%d", zone%w.Params.Zones+1),
+		alive:   true,
+		slots:   6,
+	}
 	if isStreaming(service) {
 		r.slots = 8
 	}
@@ -71,8 +78,8 @@
 	}
 }
 
-// heartbeat announces the replica to a registry, and to another one if it is not
-// acknowledged within a second.
+// heartbeat announces the replica, and tries another registry if it is not acknowledged within a
+// second.
 func (r *replica) heartbeat(acknowledged func()) {
 	w := r.world
 	if r.currentRegistry == nil {
@@ -80,7 +87,15 @@
 	}
 	to, done := r.currentRegistry, false
 	r.sequence++
-	announcement := registry.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: r.zone, Slots: int64(r.slots), Leaving: r.leaving, Sequence: r.sequence}
+	announcement := registry.Replica{
+		ID:       r.id,
+		Service:  r.service,
+		Address:  r.address,
+		Zone:     r.zone,
+		Slots:    int64(r.slots),
+		Leaving:  r.leaving,
+		Sequence: r.sequence,
+	}
 	w.after(w.delay(), func() {
 		if w.isCut(r.address, to.address) {
 			return
@@ -111,8 +126,8 @@
 	})
 }
 
-// leave announces that the replica leaves, waits for the acknowledgement and the drain
-// time, deregisters and stops.
+// leave announces that the replica leaves, waits for the acknowledgement and the drain time,
+// deregisters and stops.
 func (r *replica) leave(then func()) {
 	w := r.world
 	r.leaving = true
@@ -160,10 +175,18 @@
 	return &relay.Load{Running: int64(r.running), Waiting: int64(len(r.queue)), Slots: int64(r.slots)}
 }
 
-// receive accepts a request from a node.
 func (r *replica) receive(s *dispatch) {
 	w := r.world
-	at := Arrival{At: w.now, Replica: r.id, Service: r.service, Node: s.request.node.id, Incarnation: s.request.incarnation, Attempt: s.request.request.Attempt, Tenant: s.step.Tenant, Sent: s.sentAt}
+	at := Arrival{
+		At:          w.now,
+		Replica:     r.id,
+		Service:     r.service,
+		Node:        s.request.node.id,
+		Incarnation: s.request.incarnation,
+		Attempt:     s.request.request.Attempt,
+		Tenant:      s.step.Tenant,
+		Sent:        s.sentAt,
+	}
 	if s.step.Replica.ID != r.id {
 		at.Misdirected = true
 		w.Record.Arrivals = append(w.Record.Arrivals, at)
@@ -205,7 +228,6 @@
 	return h.Sum64()
 }
 
-// streamEvent is the text of one event of an attempt's stream.
 func streamEvent(attempt string, n int64) string { return fmt.Sprintf("%s:%d", attempt, n) }
 
 // start runs a job: from here on the request counts as executed.
@@ -276,8 +298,7 @@
 	w.after(w.between(5*time.Millisecond, 40*time.Millisecond), func() { next(s.request.events + 1) })
 }
 
-// finish ends a job and starts the next one. It reports false if the job had already
-// ended.
+// finish ends a job and starts the next; false if the job had already ended.
 func (r *replica) finish(j *job) bool {
 	if j.ended || !r.alive {
 		return false
@@ -318,8 +339,8 @@
 	}
 }
 
-// churn stops replicas, by crash or in order, and starts others at the same address,
-// possibly for another service.
+// churn stops replicas, by crash or in order, and starts others at the same address, possibly for
+// another service.
 func (w *World) churn() {
 	if w.closing {
 		return
--- a/rehearsalkit/relaysim/requester.go
+++ b/rehearsalkit/relaysim/requester.go
@@ -7,7 +7,7 @@
 
 const host = "tools.example"
 
-// tenantOf is the tenant that holds a key, in all tables that contain the key.
+// tenantOf is the tenant of a key, the same in all tables that contain it.
 func tenantOf(key string) string {
 	for _, t := range []string{"t1", "t2", "t3"} {
 		if len(key) > 3 && key[:3] == "k-"+t[1:] {
@@ -53,7 +53,6 @@
 // requestersDone reports whether requesters start nothing new.
 func (w *World) requestersDone() bool { return w.Record.End > 0 && w.now > w.Record.End-3*time.Second }
 
-// takeTurns takes the given number of turns in sequence.
 func (p *program) takeTurns(previous string, turns int, done func()) {
 	w := p.world
 	if turns == 0 || p.stopped || w.requestersDone() {
@@ -90,12 +89,22 @@
 	})
 }
 
-// takeTurn takes one turn with retries. done receives the attempt that completed, or an
-// empty string on failure.
+// takeTurn takes one turn with retries. done receives the completed attempt, or "" on failure.
 func (p *program) takeTurn(previous string, broken, refused int, done func(attempt string)) {
 	w := p.world
-	q := Request{Kind: "chat", Path: "/chat/x", Attempt: w.uniqueID("a"), Key: p.key, Tenant: tenantOf(p.key), Program: p.name, Previous: previous, Input: w.uniqueID("say") + "\n",
-		Budget: p.budget, MaxTokens: int64(w.between(20, 60)), Deadline: 4 * time.Second}
+	q := Request{
+		Kind:      "chat",
+		Path:      "/chat/x",
+		Attempt:   w.uniqueID("a"),
+		Key:       p.key,
+		Tenant:    tenantOf(p.key),
+		Program:   p.name,
+		Previous:  previous,
+		Input:     w.uniqueID("say") + "\n",
+		Budget:    p.budget,
+		MaxTokens: int64(w.between(20, 60)),
+		Deadline:  4 * time.Second,
+	}
 	w.sendRequest(w.readyNode(), q, func(r *Request) {
 		retry := func(after time.Duration, b, f int) {
 			if b > 2 || f > 8 || w.requestersDone() {
@@ -128,20 +137,29 @@
 	})
 }
 
-// keptTurn is a turn that completed and was kept.
 type keptTurn struct {
 	attempt, key string
 	at           time.Duration
 }
 
-// resumeTurn starts a program that continues from an earlier turn, retrying until the
-// given time.
+// resumeTurn continues from an earlier turn in a new program, retrying until the given time.
 func (w *World) resumeTurn(attempt, key string, until time.Duration) {
 	if w.now > until {
 		return
 	}
-	q := Request{Kind: "chat", Path: "/chat/x", Attempt: w.uniqueID("a"), Key: key, Tenant: tenantOf(key), Program: w.uniqueID("p"), Previous: attempt, Input: w.uniqueID("say") + "\n",
-		Budget: 500, MaxTokens: 30, Deadline: 4 * time.Second}
+	q := Request{
+		Kind:      "chat",
+		Path:      "/chat/x",
+		Attempt:   w.uniqueID("a"),
+		Key:       key,
+		Tenant:    tenantOf(key),
+		Program:   w.uniqueID("p"),
+		Previous:  attempt,
+		Input:     w.uniqueID("say") + "\n",
+		Budget:    500,
+		MaxTokens: 30,
+		Deadline:  4 * time.Second,
+	}
 	w.sendRequest(w.readyNode(), q, func(r *Request) {
 		if r.Outcome != Complete && r.Status != 404 && r.Status != 401 {
 			w.after(w.between(100*time.Millisecond, 400*time.Millisecond), func() { w.resumeTurn(attempt, key, until) })
@@ -149,10 +167,18 @@
 	})
 }
 
-// callService makes a request outside of any conversation, with a few retries after a
-// refusal.
+// callService makes a request outside of any conversation and retries refusals a few times.
 func (w *World) callService(kind, path, key, program string, try int) {
-	q := Request{Kind: kind, Path: path, Attempt: w.uniqueID("a"), Key: key, Tenant: tenantOf(key), Program: program, Input: "do\n", Deadline: 1500 * time.Millisecond}
+	q := Request{
+		Kind:     kind,
+		Path:     path,
+		Attempt:  w.uniqueID("a"),
+		Key:      key,
+		Tenant:   tenantOf(key),
+		Program:  program,
+		Input:    "do\n",
+		Deadline: 1500 * time.Millisecond,
+	}
 	if kind == "gen" || kind == "raw" {
 		q.MaxTokens = int64(w.between(20, 60))
 	}
@@ -163,7 +189,6 @@
 	})
 }
 
-// runCaller makes requests of all kinds at random intervals.
 func (w *World) runCaller(key string) {
 	if w.requestersDone() {
 		return
@@ -179,13 +204,24 @@
 			other = "k-1a"
 		}
 		for _, previous := range []string{k.attempt, "none"} {
-			w.sendRequest(w.readyNode(), Request{Kind: "chat", Path: "/chat/x", Attempt: w.uniqueID("a"), Key: other, Tenant: tenantOf(other), Previous: previous, Input: "x\n", Program: w.uniqueID("p"), Budget: 100, MaxTokens: 20, Deadline: 2 * time.Second}, nil)
+			w.sendRequest(w.readyNode(), Request{
+				Kind:      "chat",
+				Path:      "/chat/x",
+				Attempt:   w.uniqueID("a"),
+				Key:       other,
+				Tenant:    tenantOf(other),
+				Previous:  previous,
+				Input:     "x\n",
+				Program:   w.uniqueID("p"),
+				Budget:    100,
+				MaxTokens: 20,
+				Deadline:  2 * time.Second,
+			}, nil)
 		}
 	}
 	w.after(w.between(30*time.Millisecond, 250*time.Millisecond), func() { w.runCaller(key) })
 }
 
-// flood exceeds a tenant's rate limit in bursts.
 func (w *World) flood(key string, number int) {
 	if w.requestersDone() {
 		return
@@ -198,7 +234,15 @@
 	if number%2 == 1 {
 		kind, path = "tool", "/tool/x"
 	}
-	w.sendRequest(w.readyNode(), Request{Kind: kind, Path: path, Attempt: w.uniqueID("a"), Key: key, Tenant: tenantOf(key), Input: "do\n", Deadline: time.Second}, nil)
+	w.sendRequest(w.readyNode(), Request{
+		Kind:     kind,
+		Path:     path,
+		Attempt:  w.uniqueID("a"),
+		Key:      key,
+		Tenant:   tenantOf(key),
+		Input:    "do\n",
+		Deadline: time.Second,
+	}, nil)
 	w.after(pause, func() { w.flood(key, number) })
 }
 
@@ -210,7 +254,13 @@
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	for i := len(w.Record.Tables) - 1; i >= 0 && i >= len(w.Record.Tables)-3; i-- {
 		t := w.Record.Tables[i]
-		w.sendRequest(n, Request{Kind: "probe", Path: probePath(t.ID) + "x", Attempt: w.uniqueID("a"), Input: "?\n", Deadline: time.Second}, nil)
+		w.sendRequest(n, Request{
+			Kind:     "probe",
+			Path:     probePath(t.ID) + "x",
+			Attempt:  w.uniqueID("a"),
+			Input:    "?\n",
+			Deadline: time.Second,
+		}, nil)
 	}
 	w.after(w.between(60*time.Millisecond, 200*time.Millisecond), w.runProbe)
 }
--- a/rehearsalkit/relaysim/resends.go
+++ b/rehearsalkit/relaysim/resends.go
@@ -6,8 +6,8 @@
 	"saffronfall/peer/registry"
 )
 
-// resendTable counts the answers to acknowledged orders that were sent again, by the
-// number of orders acknowledged in between.
+// resendTable counts the answers to repeated orders by the number of orders acknowledged in
+// between.
 type resendTable map[int]*resendCounts
 
 type resendCounts struct{ acked, refused, inconclusive int }
@@ -48,7 +48,6 @@
 	}
 }
 
-// lines formats the table as Markdown.
 func (t resendTable) lines() []string {
 	lines := []string{"", "| up to so many orders later | acknowledged again | refused | no clear answer |", "|---|---|---|---|"}
 	for _, step := range resendBuckets {
--- a/rehearsalkit/relaysim/run.go
+++ b/rehearsalkit/relaysim/run.go
@@ -24,7 +24,6 @@
 	w.after(startupTime-w.Record.Limits.Contact, end)
 }
 
-// bootAll starts all machines.
 func (w *World) bootAll() {
 	for _, s := range w.stores {
 		for _, p := range s.processes() {
@@ -36,7 +35,6 @@
 	}
 }
 
-// startWorkload starts requesters and operators.
 func (w *World) startWorkload() {
 	p := w.Params
 	keys := []string{"k-1a", "k-2a", "k-2a", "k-1b"}
--- a/rehearsalkit/relaysim/scenario.go
+++ b/rehearsalkit/relaysim/scenario.go
@@ -32,12 +32,10 @@
 	Seed     uint64
 	Breaches []Breach
 	Counts   map[string]int64
-	// Answers holds the answers to calls at registries by second.
-	Answers answerTable
+	Answers  answerTable
 	// Durations are measured durations by their printed label.
 	Durations map[string][]time.Duration
-	// Resends counts the answers to orders sent again.
-	Resends resendTable
+	Resends   resendTable
 	// Lines are additional lines of the report.
 	Lines []string
 }
@@ -54,7 +52,7 @@
 	f.Durations[what] = append(f.Durations[what], length)
 }
 
-// ScenarioNamed returns the scenario of that name, or an error if there is none.
+// ScenarioNamed returns an error if there is no scenario of that name.
 func ScenarioNamed(name string) (Scenario, error) {
 	for _, s := range Scenarios() {
 		if s.Name == name {
@@ -64,10 +62,11 @@
 	return Scenario{}, fmt.Errorf("no scenario is called %q", name)
 }
 
-// Run plays the scenario in a world with the given parameters.
+// Run plays the scenario in a new world with the given parameters.
 func (s Scenario) Run(p Params) *Findings { return s.Play(New(p)) }
 
-// PlaySeeds plays seeds in parallel and reports the findings of each as it completes.
+// PlaySeeds plays seeds in parallel and reports the findings of each as it completes. change may
+// be nil.
 func (s Scenario) PlaySeeds(first uint64, count, workers int, change func(p *Params), report func(f *Findings)) {
 	work, done := make(chan uint64), make(chan *Findings)
 	for i := 0; i < min(count, workers); i++ {
@@ -92,7 +91,7 @@
 	}
 }
 
-// Merge combines the findings of several seeds.
+// Merge combines the findings of several seeds. The zero value is empty.
 type Merge struct {
 	Counts    map[string]int64
 	Answers   answerTable
--- a/rehearsalkit/relaysim/secondloss.go
+++ b/rehearsalkit/relaysim/secondloss.go
@@ -16,7 +16,6 @@
 	changeRetirement  = "retirement"
 )
 
-// Kinds of losses.
 const (
 	lossKill  = "kill"
 	lossPower = "power"
@@ -25,10 +24,9 @@
 	lossRetiring = "the retiring one for good"
 )
 
-// lossCase is one membership change with one kind of loss.
 type lossCase struct {
 	change, loss string
-	// groupSize is the number of members of a group; groups of five tolerate two losses.
+	// groupSize is the members per group; groups of five tolerate two losses.
 	groupSize int
 }
 
@@ -51,9 +49,9 @@
 	return list
 }
 
-// victims is how many machines are lost at once: as many as groups tolerate during the
-// change. A machine that is being replaced is already lost; only the loss of its disk
-// counts against the durability of acknowledged data.
+// victims is how many machines are lost at once: as many as groups tolerate during the change. A
+// machine that is being replaced is already lost; only the loss of its disk counts against the
+// durability of acknowledged data.
 func (c lossCase) victims() int {
 	tolerated := c.groupSize / 2
 	if c.change == changeReplacement && c.loss == lossWipe {
@@ -73,13 +71,12 @@
 	return c.groupSize
 }
 
-// Bounds of the scenario secondloss.
 const (
 	// lossStartupTime is the time for the fleet to be founded.
 	lossStartupTime = 3500 * time.Millisecond
 	// lossAway is how long a lost machine is away.
 	lossAway = 700 * time.Millisecond
-	// changeLongest is the time after which an unfinished change is given up.
+	// changeLongest is when an unfinished change is given up.
 	changeLongest = 12 * time.Second
 	// lossAnswerTimeout is short because registries lose power too.
 	lossAnswerTimeout = time.Second
@@ -94,9 +91,8 @@
 	return p
 }
 
-// playSecondLoss plays the case that the seed selects and injects losses at every
-// lossStride-th point of the change, from an offset that the seed selects. As many
-// seeds as there are cases times lossStride cover all points.
+// playSecondLoss plays the case that the seed selects, with losses at every lossStride-th point of
+// the change. As many seeds as there are cases times lossStride cover all points.
 func playSecondLoss(groupSize int) func(w *World) *Findings {
 	return func(w *World) *Findings {
 		cases := lossCases(groupSize)
@@ -106,8 +102,8 @@
 	}
 }
 
-// sweepLosses counts the points of a case's change in a run without a loss, and then
-// runs the case once for each selected point.
+// sweepLosses counts the points in a run without a loss, then runs the case once for each selected
+// point.
 func sweepLosses(p Params, c lossCase, offset, stride int) *Findings {
 	sum := newFindings(New(p))
 	p.Seed = uint64(c.groupSize)
@@ -120,12 +116,12 @@
 		run.play()
 		run.collect(sum)
 	}
-	sum.Counts["runs with a loss, of "+fmt.Sprint(first.points)+" points of a "+c.String()] = int64((first.points - offset + stride - 1) / stride)
+	sum.Counts["runs with a loss, of "+fmt.Sprint(first.points)+" points of a "+c.String()] =
+		int64((first.points - offset + stride - 1) / stride)
 	return sum
 }
 
-// lossRun is one run of a case with the loss at one point; lossPoint zero means no
-// loss.
+// lossRun is one run of a case with the loss at one point; lossPoint zero means no loss.
 type lossRun struct {
 	lossCase
 	world     *World
@@ -162,7 +158,12 @@
 	w.runUntil(lossStartupTime)
 	r.turnLog = newTurnLog(w, r.findings)
 	r.turnLog.storeTurns(15 * time.Millisecond)
-	o := &orderGenerator{history: r.history, amendmentRate: 0.5, stopped: func() bool { return r.turnLog.stopped }, pause: func() time.Duration { return 200 * time.Millisecond }}
+	o := &orderGenerator{
+		history:       r.history,
+		amendmentRate: 0.5,
+		stopped:       func() bool { return r.turnLog.stopped },
+		pause:         func() time.Duration { return 200 * time.Millisecond },
+	}
 	o.run()
 	w.Advance(time.Second)
 	r.beginChange()
@@ -173,7 +174,6 @@
 	w.finishScenario(r.history)
 }
 
-// beginChange starts the membership change.
 func (r *lossRun) beginChange() {
 	w := r.world
 	r.counting = true
@@ -204,13 +204,13 @@
 	r.joining.core.boot()
 }
 
-// requestRetirement requests the retirement until it is accepted, and then waits until
-// it is done.
 func (r *lossRun) requestRetirement() {
 	step := func(d Registry, now time.Duration, ticket uint64) registry.Output {
 		return d.Retire(now, ticket, r.leaving.core.id)
 	}
-	r.callUntil(callRetire, step, r.requestRetirement, func(e registry.RetirementStatus) bool { return e.Known && e.EnoughCores }, r.awaitRetirement)
+	r.callUntil(callRetire, step, r.requestRetirement,
+		func(e registry.RetirementStatus) bool { return e.Known && e.EnoughCores },
+		r.awaitRetirement)
 }
 
 func (r *lossRun) awaitRetirement() {
@@ -220,7 +220,11 @@
 	r.callUntil(callStatus, step, r.awaitRetirement, func(e registry.RetirementStatus) bool { return e.Done }, r.retired)
 }
 
-func (r *lossRun) callUntil(kind string, step func(d Registry, now time.Duration, ticket uint64) registry.Output, retry func(), satisfied func(e registry.RetirementStatus) bool, next func()) {
+func (r *lossRun) callUntil(
+	kind string,
+	step func(d Registry, now time.Duration, ticket uint64) registry.Output, retry func(),
+	satisfied func(e registry.RetirementStatus) bool, next func(),
+) {
 	w := r.world
 	at := w.anyRegistry()
 	if !at.alive {
@@ -240,8 +244,8 @@
 	})
 }
 
-// retired is called when a registry reports the retirement as done. It checks that
-// acknowledged data is held elsewhere and removes the machine at once.
+// retired is called once a registry reports the retirement as done: the machine may then be
+// removed at once, so acknowledged data must be held elsewhere.
 func (r *lossRun) retired() {
 	w := r.world
 	r.doneAt = w.now
@@ -250,7 +254,6 @@
 	r.removeLeaving()
 }
 
-// removeLeaving removes the leaving machine with its disk.
 func (r *lossRun) removeLeaving() {
 	for _, p := range r.leaving.processes() {
 		p.powerOff()
@@ -277,8 +280,8 @@
 	}
 }
 
-// judgeCopies checks that acknowledged data is on the disks of a majority without the
-// leaving machine, apart from lost disks.
+// judgeCopies checks that acknowledged data is on the disks of a majority without the leaving
+// machine, apart from lost disks.
 func (r *lossRun) judgeCopies() {
 	w := r.world
 	missing := 0
@@ -298,14 +301,14 @@
 			}
 		}
 		if copies < want {
-			r.findings.breach(RuleRetirement, "%s: the retirement was said to be done at %v, and %s, acknowledged at %v, is on %d other disks", r, w.now, t.attempt, t.at, copies)
+			r.findings.breach(RuleRetirement,
+				"%s: the retirement was said to be done at %v, and %s, acknowledged at %v, is on %d other disks",
+				r, w.now, t.attempt, t.at, copies)
 			return
 		}
 	}
 }
 
-// countPoint counts a delivery or sync at a core, and injects the loss at the selected
-// point.
 func (r *lossRun) countPoint(p *process) {
 	if !r.counting || p.disk == nil {
 		return
@@ -371,8 +374,7 @@
 	}
 }
 
-// awaitDone waits until the change is done and all groups are complete, and checks that
-// this was in time.
+// awaitDone checks that the change is done and all groups are complete in time.
 func (r *lossRun) awaitDone() {
 	w := r.world
 	started := w.now
@@ -390,7 +392,9 @@
 	}
 	switch {
 	case problem != "":
-		r.findings.breach(RuleGroupSize, "at %v, %v after the change began and %v after all that comes back was there: %s", w.now, w.now-started, w.now-since, problem)
+		r.findings.breach(RuleGroupSize,
+			"at %v, %v after the change began and %v after all that comes back was there: %s",
+			w.now, w.now-started, w.now-since, problem)
 	case r.lossPoint == 0:
 		r.findings.recordDuration("without a loss: "+r.change+fmt.Sprintf(", groups of %d", r.groupSize), w.now-started)
 	default:
@@ -398,7 +402,7 @@
 	}
 }
 
-// problem describes what is not yet as required after the change, or is empty.
+// problem describes what is not yet as required; empty if all is.
 func (r *lossRun) problem() string {
 	leaves := r.change == changePlanned || r.change == changeRetirement
 	if leaves && r.doneAt == 0 {
@@ -413,7 +417,6 @@
 	return r.world.placementProblem()
 }
 
-// collect adds the findings of the run to a sum.
 func (r *lossRun) collect(sum *Findings) {
 	for _, b := range r.findings.Breaches {
 		b.Text = fmt.Sprintf("%s, point %d of %d: %s", r.String(), r.lossPoint, r.points, b.Text)
--- a/rehearsalkit/relaysim/secondloss_test.go
+++ b/rehearsalkit/relaysim/secondloss_test.go
@@ -9,8 +9,7 @@
 	"saffronfall/rule/message"
 )
 
-// TestSecondLoss injects losses at some points of each change. The kit's command covers
-// all points.
+// The kit's command covers all points of each change.
 func TestSecondLoss(t *testing.T) {
 	strides := map[int]int{3: 900, 5: 3000}
 	for i, c := range append(lossCases(3), lossCases(5)...) {
@@ -23,7 +22,7 @@
 	}
 }
 
-// forgingStatusRegistry is a registry that forges the status of retirements.
+// forgingStatusRegistry forges the status of retirements.
 type forgingStatusRegistry struct {
 	Registry
 	forge func(e registry.RetirementStatus) registry.RetirementStatus
@@ -47,8 +46,7 @@
 	return s.out(s.Registry.Receive(now, from, body))
 }
 
-// TestSecondLossBreaks breaks the fleet on purpose and checks that the judge reports
-// the broken rule.
+// Guards against lost copies and groups that the judge misses.
 func TestSecondLossBreaks(t *testing.T) {
 	for _, c := range []struct {
 		name, rule, change, loss string
@@ -87,7 +85,7 @@
 	return c
 }
 
-// TestSecondLossRegressions runs the points at which losses once led to breaches.
+// Runs the points at which losses once led to breaches.
 func TestSecondLossRegressions(t *testing.T) {
 	for _, c := range []struct {
 		lossCase
--- a/rehearsalkit/relaysim/start.go
+++ b/rehearsalkit/relaysim/start.go
@@ -6,7 +6,6 @@
 	"saffronfall/peer/core"
 )
 
-// startScenario starts the fleet and applies the first table.
 func (w *World) startScenario(b *orderHistory) {
 	w.startFleet(func() { b.applyFirstTable() })
 	w.runUntil(startupTime)
--- a/rehearsalkit/relaysim/turnlog.go
+++ b/rehearsalkit/relaysim/turnlog.go
@@ -7,8 +7,7 @@
 	"saffronfall/peer/core"
 )
 
-// turnLog stores turns at the cores throughout a run and records which were
-// acknowledged.
+// turnLog stores turns at the cores and records which were acknowledged.
 type turnLog struct {
 	client   *client
 	findings *Findings
@@ -34,7 +33,6 @@
 
 func inputOf(attempt string) []byte { return []byte("input of " + attempt) }
 
-// storeTurns stores one turn per interval.
 func (b *turnLog) storeTurns(every time.Duration) {
 	w := b.client.process.world
 	if b.stopped {
@@ -51,7 +49,7 @@
 	w.after(every, func() { b.storeTurns(every) })
 }
 
-// readAll reads every acknowledged turn and checks that it is unchanged.
+// readAll checks that every acknowledged turn can be read unchanged.
 func (b *turnLog) readAll(within time.Duration) {
 	w := b.client.process.world
 	waiting := len(b.acked)
@@ -72,5 +70,5 @@
 	}
 }
 
-// key is the key under which the cores store the turn.
+// key is the turn's key at the cores.
 func (t ackedTurn) key() string { return "kept/" + t.attempt }
--- a/rehearsalkit/relaysim/world.go
+++ b/rehearsalkit/relaysim/world.go
@@ -1,11 +1,9 @@
-// Package relaysim simulates the relay tier in virtual time. It runs the production
-// state machines of nodes, registries and cores with simulated requesters, replicas,
-// operators, network and disks, injects seeded faults, and judges each run by what
-// requesters, replicas and operators saw.
+// Package relaysim simulates the relay tier in virtual time. It runs the production state machines
+// of nodes, registries and cores with simulated requesters, replicas, operators, network and disks,
+// injects seeded faults, and judges each run by what requesters, replicas and operators saw.
 //
-// All randomness comes from one seeded generator, so a run is determined by its Params:
-// the order and number of random draws is part of what a seed means. Start reading at
-// Run and Scenario; Record.Judge holds the rules.
+// All randomness comes from one seeded generator, so Params determine a run: the order and number
+// of random draws is part of what a seed means. Start reading at Run, Scenario and Record.Judge.
 package relaysim
 
 import (
@@ -58,7 +56,6 @@
 	keptTurns   []keptTurn
 }
 
-// schedule is the simulated clock and the seeded random generator.
 type schedule struct {
 	now    time.Duration
 	events eventqueue.Queue
@@ -73,7 +70,6 @@
 	replicas  map[string]*replica
 }
 
-// faultState is the state of fault injection.
 type faultState struct {
 	// noLossUntil is the time before which no further store fault may begin.
 	noLossUntil time.Duration
@@ -108,8 +104,20 @@
 		w.nodes = append(w.nodes, n)
 		w.Record.Nodes = append(w.Record.Nodes, n.id)
 	}
-	w.Record.Limits = Limits{Apply: 2 * time.Second, Contact: contactTimeout, ApplyWithoutStores: 5 * time.Second, Revert: 250 * time.Millisecond, Drain: 2 * time.Second, Settlement: time.Second,
-		Window: rateWindow, Overshoot: p.Overshoot, Slack: float64(p.Slack), Retention: keepDuration, Recovery: recoveryTime, FinalStep: 10 * time.Second}
+	w.Record.Limits = Limits{
+		Apply:              2 * time.Second,
+		Contact:            contactTimeout,
+		ApplyWithoutStores: 5 * time.Second,
+		Revert:             250 * time.Millisecond,
+		Drain:              2 * time.Second,
+		Settlement:         time.Second,
+		Window:             rateWindow,
+		Overshoot:          p.Overshoot,
+		Slack:              float64(p.Slack),
+		Retention:          keepDuration,
+		Recovery:           recoveryTime,
+		FinalStep:          10 * time.Second,
+	}
 	return w
 }
 
@@ -176,7 +184,7 @@
 	return list
 }
 
-// callRegistry makes a call to a registry. The answer may never arrive.
+// callRegistry makes a call whose answer may never arrive.
 func (w *World) callRegistry(at *process, step func(d Registry, now time.Duration, ticket uint64) registry.Output, done func(body any)) {
 	w.after(w.delay(), func() {
 		at.do(func() {
@@ -197,8 +205,8 @@
 	return list[w.random.IntN(len(list))]
 }
 
-// beginDisruption records that a machine is disturbed until the returned function is
-// called. Time bounds don't apply to disrupted machines.
+// beginDisruption records that a machine is disturbed until end is called. Time bounds don't apply
+// to disrupted machines.
 func (w *World) beginDisruption(machine string) (end func()) {
 	w.Record.Disruptions = append(w.Record.Disruptions, Disruption{Machine: machine, From: w.now, Until: -1})
 	at, finished := len(w.Record.Disruptions)-1, false
@@ -237,7 +245,8 @@
 
 func (w *World) leaderOf(partition int) *store {
 	for _, s := range w.stores {
-		if s.core.alive && !s.core.frozen && s.core.core.Founded() && slices.Contains(s.core.core.LeadingPartitions(s.core.now()), partition) {
+		if s.core.alive && !s.core.frozen && s.core.core.Founded() &&
+			slices.Contains(s.core.core.LeadingPartitions(s.core.now()), partition) {
 			return s
 		}
 	}
