--- a/rehearsalkit/relaysim/activerequest.go
+++ b/rehearsalkit/relaysim/activerequest.go
@@ -22,7 +22,6 @@
 	requesterAt time.Duration
 }
 
-// dispatch is one transmission of a request to a replica.
 type dispatch struct {
 	request   *activeRequest
 	step      relay.Step
@@ -52,10 +51,10 @@
 			}
 			request.Arrived = true
 			n.lastTicket++
-			at := &activeRequest{node: n, incarnation: incarnation, ticket: n.lastTicket, request: request, done: done}
-			n.requests[at.ticket] = at
+			active := &activeRequest{node: n, incarnation: incarnation, ticket: n.lastTicket, request: request, done: done}
+			n.requests[active.ticket] = active
 			remaining := request.Deadline - (w.now - request.At)
-			a := relay.Request{
+			arrival := relay.Request{
 				Host:        host,
 				Path:        request.Path,
 				Key:         request.Key,
@@ -70,13 +69,13 @@
 				Input:       []byte(request.Input),
 			}
 			if remaining <= 0 {
-				a.Remaining = -1
+				arrival.Remaining = -1
 			}
-			n.applyNodeOutput(n.node.HandleRequest(n.now(), at.ticket, a))
-			w.after(max(remaining, 0)+20*time.Millisecond, at.requesterGone)
+			n.applyNodeOutput(n.node.HandleRequest(n.now(), active.ticket, arrival))
+			w.after(max(remaining, 0)+disconnectDelay, active.requesterGone)
 		})
 	})
-	w.after(request.Deadline+50*time.Millisecond, func() { w.endRequest(request, GaveUp, 0, done) })
+	w.after(request.Deadline+giveUpDelay, func() { w.endRequest(request, GaveUp, 0, done) })
 }
 
 func (w *World) endRequest(r *Request, outcome string, status int, done func(r *Request)) {
@@ -141,10 +140,10 @@
 	a.ended = true
 	w, r, done := a.world(), a.request, a.done
 	r.LastStep = w.now
-	if s := a.dispatch; s != nil && !s.done {
-		s.done = true
-		if s.job != nil && w.chance(0.8) {
-			w.after(w.delay(), s.job.cancel)
+	if current := a.dispatch; current != nil && !current.done {
+		current.done = true
+		if current.job != nil && w.chance(noticedLossRate) {
+			w.after(w.delay(), current.job.cancel)
 		}
 	}
 	a.toRequester(func() { w.endRequest(r, Closed, 0, done) })
@@ -159,15 +158,15 @@
 		if a.ended || n.incarnation != a.incarnation {
 			return
 		}
-		if s := a.dispatch; s != nil && !s.done {
-			s.done = true
-			if s.job != nil {
-				a.world().after(a.world().delay(), s.job.cancel)
+		if current := a.dispatch; current != nil && !current.done {
+			current.done = true
+			if current.job != nil {
+				a.world().after(a.world().delay(), current.job.cancel)
 			}
 			n.applyNodeOutput(n.node.HandleOutcome(n.now(), a.ticket, relay.Outcome{
 				Kind:                  relay.OutcomeInterrupted,
 				RequesterDisconnected: true,
-				Events:                s.events,
+				Events:                current.events,
 				Started:               a.events > 0,
 			}))
 			return
@@ -176,38 +175,49 @@
 	})
 }
 
-const dialTimeout = contactTimeout / 10
+const (
+	dialTimeout = contactTimeout / 10
+	// disconnectDelay is how long after the deadline a disconnect reaches the node.
+	disconnectDelay = 20 * time.Millisecond
+	// giveUpDelay is how long after its deadline a requester gives up.
+	giveUpDelay = 50 * time.Millisecond
+	// dispatchSlack is how long after its timeout a dispatch is interrupted.
+	dispatchSlack   = 100 * time.Millisecond
+	cutPollInterval = 50 * time.Millisecond
+	// noticedLossRate is the fraction of lost connections that make the replica cancel the job.
+	noticedLossRate = 0.8
+)
 
 func (a *activeRequest) startDispatch(step relay.Step) {
 	w := a.world()
-	s := &dispatch{request: a, step: step, sentAt: w.now}
-	a.dispatch = s
+	sent := &dispatch{request: a, step: step, sentAt: w.now}
+	a.dispatch = sent
 	// The state machine may reuse its buffers later.
-	before := make([][]byte, len(step.History))
-	for i, b := range step.History {
-		before[i] = append([]byte(nil), b...)
+	history := make([][]byte, len(step.History))
+	for i, entry := range step.History {
+		history[i] = append([]byte(nil), entry...)
 	}
-	s.step.History = before
+	sent.step.History = history
 	w.after(w.delay(), func() {
 		r := w.replicas[step.Replica.Address]
 		switch {
-		case s.done:
+		case sent.done:
 		case w.isCut(a.node.address, step.Replica.Address):
 			w.after(dialTimeout, func() {
-				s.runAtNode(func() { s.finish(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true, NewConnection: true}) })
+				sent.runAtNode(func() { sent.finish(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true, NewConnection: true}) })
 			})
 		case r == nil:
-			s.respond(func() { s.finish(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true, NewConnection: true}) })
+			sent.respond(func() { sent.finish(relay.Outcome{Kind: relay.OutcomeNotRun, Unreachable: true, NewConnection: true}) })
 		default:
-			r.receive(s)
+			r.receive(sent)
 		}
 	})
-	w.after(step.Timeout+100*time.Millisecond, func() {
-		s.runAtNode(func() {
-			if s.job != nil {
-				w.after(w.delay(), s.job.cancel)
+	w.after(step.Timeout+dispatchSlack, func() {
+		sent.runAtNode(func() {
+			if sent.job != nil {
+				w.after(w.delay(), sent.job.cancel)
 			}
-			s.finish(relay.Outcome{Kind: relay.OutcomeInterrupted})
+			sent.finish(relay.Outcome{Kind: relay.OutcomeInterrupted})
 		})
 	})
 }
@@ -226,7 +236,7 @@
 		return
 	}
 	if w.isCut(s.step.Replica.Address, s.request.node.address) {
-		w.after(50*time.Millisecond, s.deliverNext)
+		w.after(cutPollInterval, s.deliverNext)
 		return
 	}
 	next := s.waiting[0]
@@ -246,16 +256,16 @@
 	})
 }
 
-func (s *dispatch) relayEvent(n, per int64) {
+func (s *dispatch) relayEvent(number, tokens int64) {
 	a := s.request
 	s.events++
-	a.events = n
-	text := streamEvent(a.request.Attempt, n) + "\n"
+	a.events = number
+	text := streamEvent(a.request.Attempt, number) + "\n"
 	a.output = append(a.output, text...)
 	r := a.request
 	a.toRequester(func() {
 		if r.Ended < 0 {
-			r.Tokens += per
+			r.Tokens += tokens
 			r.Output += text
 		}
 	})
--- a/rehearsalkit/relaysim/answers.go
+++ b/rehearsalkit/relaysim/answers.go
@@ -40,7 +40,6 @@
 	return c.ended < 0 && (c.registry.incarnation != c.incarnation || !c.registry.alive)
 }
 
-// answerCell counts the answers to calls of one kind begun in the same second.
 type answerCell struct {
 	conclusive, inconclusive int
 	longest                  time.Duration
--- a/rehearsalkit/relaysim/client.go
+++ b/rehearsalkit/relaysim/client.go
@@ -14,7 +14,7 @@
 	partitions int
 }
 
-// addClient adds a client at its own address. The fleet must be founded.
+// addClient requires that the fleet is founded.
 func (w *World) addClient(id, address string) *client {
 	p := w.add(id, 0, address)
 	c := &client{process: p}
--- a/rehearsalkit/relaysim/disk.go
+++ b/rehearsalkit/relaysim/disk.go
@@ -8,6 +8,12 @@
 	"saffronfall/rule/message"
 )
 
+// Range of the duration of a disk sync.
+const (
+	minSync = 300 * time.Microsecond
+	maxSync = 3 * time.Millisecond
+)
+
 type disk struct {
 	stored  core.Stored
 	pending [][]core.Change
@@ -62,7 +68,7 @@
 	d.busy = true
 	count, lastBatch, incarnation := len(d.pending), d.issued, p.incarnation
 	w.Counts["syncs"]++
-	w.after(w.between(300*time.Microsecond, 3*time.Millisecond), func() {
+	w.after(w.between(minSync, maxSync), func() {
 		if p.incarnation != incarnation {
 			return
 		}
--- a/rehearsalkit/relaysim/fault.go
+++ b/rehearsalkit/relaysim/fault.go
@@ -7,7 +7,6 @@
 	"saffronfall/rule/ordered"
 )
 
-// injectFault injects one random fault and schedules the next.
 func (w *World) injectFault() {
 	if w.now > w.faultsUntil {
 		return
@@ -144,15 +143,14 @@
 	if !w.Params.Faults || w.now < w.noLossUntil || w.now > w.faultsUntil || !w.chance(0.3) {
 		return
 	}
-	if s := w.leaderOf(0); s != nil && !s.removed {
+	if leader := w.leaderOf(0); leader != nil && !leader.removed {
 		w.Counts["fault: power lost after an acknowledgement"]++
 		length := w.between(200*time.Millisecond, 3*time.Second)
 		w.noLossUntil = w.now + length + catchUpTime
-		w.losePower(s, w.chance(0.5), length)
+		w.losePower(leader, w.chance(0.5), length)
 	}
 }
 
-// replaceStore removes a store for good and adds an empty one at another address.
 func (w *World) replaceStore(s *store) {
 	w.logf("%s is replaced", s.core.id)
 	w.Counts["fault: store replaced"]++
@@ -163,8 +161,8 @@
 	s.removed = true
 	w.noLossUntil = w.now + 2*catchUpTime
 	w.after(w.between(200*time.Millisecond, 1500*time.Millisecond), func() {
-		added := w.addStore(s.registry != nil)
-		for _, p := range added.processes() {
+		newStore := w.addStore(s.registry != nil)
+		for _, p := range newStore.processes() {
 			p.foundsFleet = false
 			if !w.closing {
 				p.boot()
@@ -174,40 +172,45 @@
 	})
 }
 
-// addAndRetire adds a store and later retires another.
 func (w *World) addAndRetire(s *store) {
 	w.logf("a store is added; %s will be retired", s.core.id)
 	w.Counts["stores added"]++
-	added := w.addStore(false)
+	newStore := w.addStore(false)
 	end := w.beginDisruption(AnyStore)
-	added.core.boot()
+	newStore.core.boot()
 	end()
-	until := w.now + 12*time.Second
+	until := w.now + retirementLimit
 	w.noLossUntil = until
 	w.after(2*time.Second, func() { w.retireStore(s, until) })
 }
 
+const (
+	retirementLimit        = 12 * time.Second
+	retirementCallTimeout  = 1500 * time.Millisecond
+	retirementPollInterval = 300 * time.Millisecond
+)
+
 func (w *World) retireStore(s *store, until time.Duration) {
 	if w.now > until || w.closing || s.removed {
 		return
 	}
-	retry := func() { w.after(300*time.Millisecond, func() { w.retireStore(s, until) }) }
+	retry := func() { w.after(retirementPollInterval, func() { w.retireStore(s, until) }) }
 	finished := false
-	w.callRegistry(w.anyRegistry(), func(d Registry, now time.Duration, ticket uint64) registry.Output {
-		return d.Retire(now, ticket, s.core.id)
+	w.callRegistry(w.anyRegistry(), func(reg Registry, now time.Duration, ticket uint64) registry.Output {
+		return reg.Retire(now, ticket, s.core.id)
 	}, func(body any) {
-		e, ok := body.(registry.RetirementStatus)
+		status, ok := body.(registry.RetirementStatus)
 		if finished {
 			return
 		}
 		finished = true
-		if !ok || e.Uncertain || !e.Known || !e.EnoughCores {
+		if !ok || status.Uncertain || !status.Known || !status.EnoughCores {
 			retry()
 			return
 		}
 		w.awaitRetired(s, until)
 	})
-	w.after(1500*time.Millisecond, func() {
+	w.after(retirementCallTimeout, func() {
 		if !finished {
 			finished = true
 			retry()
@@ -225,17 +228,17 @@
 	retry := func() {
 		if !finished {
 			finished = true
-			w.after(300*time.Millisecond, func() { w.awaitRetired(s, until) })
+			w.after(retirementPollInterval, func() { w.awaitRetired(s, until) })
 		}
 	}
-	w.callRegistry(w.anyRegistry(), func(d Registry, now time.Duration, ticket uint64) registry.Output {
-		return d.RetirementStatus(now, ticket, s.core.id)
+	w.callRegistry(w.anyRegistry(), func(reg Registry, now time.Duration, ticket uint64) registry.Output {
+		return reg.RetirementStatus(now, ticket, s.core.id)
 	}, func(body any) {
-		e, _ := body.(registry.RetirementStatus)
+		status, _ := body.(registry.RetirementStatus)
 		if finished {
 			return
 		}
-		if !e.Done || w.closing {
+		if !status.Done || w.closing {
 			retry()
 			return
 		}
@@ -251,10 +254,9 @@
 		w.noLossUntil = w.now + time.Second
 		end()
 	})
-	w.after(1500*time.Millisecond, retry)
+	w.after(retirementCallTimeout, retry)
 }
 
-// cutBetween cuts the links between two groups in one or both directions.
 func (w *World) cutBetween(from, to []*process, length time.Duration, machine string) {
 	direction := w.random.IntN(4)
 	var pairs [][2]string
@@ -271,11 +273,10 @@
 	w.cutLinks(pairs, length, machine)
 }
 
-// isolate cuts processes off from all others and from replicas.
 func (w *World) isolate(from []*process, length time.Duration, machine string) {
-	mine := map[string]bool{}
+	isolated := map[string]bool{}
 	for _, p := range from {
-		mine[p.address] = true
+		isolated[p.address] = true
 	}
 	var pairs [][2]string
 	both := func(a, b string) {
@@ -283,7 +284,7 @@
 	}
 	for _, p := range from {
 		for _, address := range ordered.Keys(w.processes) {
-			if !mine[address] {
+			if !isolated[address] {
 				both(p.address, address)
 			}
 		}
@@ -308,7 +309,12 @@
 	})
 }
 
-// injectClosingFault stops all machines at once and restarts them after a short time.
+// Range of the downtime when all machines stop at once.
+const (
+	minRestart = 500 * time.Millisecond
+	maxRestart = 1500 * time.Millisecond
+)
+
 func (w *World) injectClosingFault() {
 	w.closing = true
 	w.Record.ClosingAt = w.now
@@ -335,7 +341,7 @@
 	}
 	longest := time.Duration(0)
 	for _, p := range all {
-		after := w.between(500*time.Millisecond, 1500*time.Millisecond)
+		after := w.between(minRestart, maxRestart)
 		longest = max(longest, after)
 		w.after(after, p.boot)
 	}
--- a/rehearsalkit/relaysim/footprint.go
+++ b/rehearsalkit/relaysim/footprint.go
@@ -11,7 +11,6 @@
 
 type footprinter struct{ seen map[uintptr]bool }
 
-// total is the size of a value and all that it references.
 func (f *footprinter) total(v reflect.Value) int64 {
 	if !v.IsValid() {
 		return 0
--- a/rehearsalkit/relaysim/health.go
+++ b/rehearsalkit/relaysim/health.go
@@ -13,9 +13,8 @@
 
 // health judges the fleet's health by the updates from registries to nodes.
 type health struct {
-	world   *World
-	history *orderHistory
-	// lastUpdates holds the last update from each registry.
+	world       *World
+	history     *orderHistory
 	lastUpdates map[string]lastUpdate
 	// pendingPulls holds unanswered pulls by registry and node address.
 	pendingPulls map[[2]string]*registryCall
@@ -29,8 +28,8 @@
 // clockSlack allows for clock drift in a registry's confirmation age.
 const clockSlack = 50 * time.Millisecond
 
-func (w *World) watchHealth(b *orderHistory) *health {
-	h := &health{world: w, history: b, lastUpdates: map[string]lastUpdate{}, pendingPulls: map[[2]string]*registryCall{}}
+func (w *World) watchHealth(history *orderHistory) *health {
+	h := &health{world: w, history: history, lastUpdates: map[string]lastUpdate{}, pendingPulls: map[[2]string]*registryCall{}}
 	w.observers.sent, w.observers.delivered = h.sent, h.delivered
 	return h
 }
--- a/rehearsalkit/relaysim/judge.go
+++ b/rehearsalkit/relaysim/judge.go
@@ -204,7 +204,6 @@
 	return list
 }
 
-// disrupted reports whether the machine was disrupted at any time of the interval.
 func (b *recordIndex) disrupted(machine string, from, until time.Duration) bool {
 	for _, t := range b.Disruptions {
 		if (t.Machine == machine || t.Machine == AllMachines) && t.From <= until && (t.Until < 0 || t.Until >= from) {
@@ -217,24 +216,24 @@
 // AllMachines is the Machine of a closing fault's Disruption.
 const AllMachines = "everyone"
 
-// inTouch reports whether a node and all stores were undisturbed in an interval and for the
-// contact timeout before it.
-func (b *recordIndex) inTouch(node string, from, until time.Duration) bool {
+// contactUndisturbed reports whether a node and all stores were undisturbed in an interval and
+// for the contact timeout before it.
+func (b *recordIndex) contactUndisturbed(node string, from, until time.Duration) bool {
 	from -= b.Limits.Contact
 	return !b.disrupted(node, from, until) && !b.disrupted(AnyStore, from, until)
 }
 
-// nodeUndisturbed is inTouch without regard to the stores.
+// nodeUndisturbed is contactUndisturbed without regard to the stores.
 func (b *recordIndex) nodeUndisturbed(node string, from, until time.Duration) bool {
 	return !b.disrupted(node, from-b.Limits.Contact, until)
 }
 
 // inForceFrom is the first time, at least the apply limit after a table's acknowledgement, at
-// which all nodes are in touch.
+// which contact is undisturbed at all nodes.
 func (b *recordIndex) inForceFrom(t *Table) time.Duration {
 	at := t.AckedAt + b.Limits.Apply
 	for _, n := range b.Nodes {
-		for !b.inTouch(n, at, at) {
+		for !b.contactUndisturbed(n, at, at) {
 			at += 100 * time.Millisecond
 			if at > b.End {
 				return math.MaxInt64 / 4
@@ -247,10 +246,10 @@
 // checkRates checks that a tenant's executions in every rate window stay within the largest limit
 // that may have been in force.
 func (b *recordIndex) checkRates() (list []Breach) {
-	bound := map[*Table]time.Duration{}
+	inForceAt := map[*Table]time.Duration{}
 	for _, t := range b.Tables {
 		if t.Acked {
-			bound[t] = b.inForceFrom(t)
+			inForceAt[t] = b.inForceFrom(t)
 		}
 	}
 	allowed := func(tenant string, from time.Duration) float64 {
@@ -260,15 +259,15 @@
 				continue
 			}
 			superseded := false
-			for newer, at := range bound {
+			for newer, at := range inForceAt {
 				superseded = superseded || newer.Number > t.Number && at+b.Limits.Window <= from
 			}
 			if superseded {
 				continue
 			}
-			if one, ok := t.MaxPerWindow[tenant]; ok {
+			if perWindow, ok := t.MaxPerWindow[tenant]; ok {
 				known = true
-				limit = max(limit, one)
+				limit = max(limit, perWindow)
 			} else if t.Valid {
 				return math.Inf(1)
 			}
@@ -303,14 +302,14 @@
 
 func (b *recordIndex) checkDraining() (list []Breach) {
 	acknowledged := map[string]time.Duration{}
-	for _, w := range b.LeaveAcks {
-		if at, ok := acknowledged[w.Replica]; !ok || w.At < at {
-			acknowledged[w.Replica] = w.At
+	for _, ack := range b.LeaveAcks {
+		if at, ok := acknowledged[ack.Replica]; !ok || ack.At < at {
+			acknowledged[ack.Replica] = ack.At
 		}
 	}
 	for _, a := range b.Arrivals {
 		at, ok := acknowledged[a.Replica]
-		if ok && !a.Misdirected && a.At > at+b.Limits.Drain && b.inTouch(a.Node, at, a.At) {
+		if ok && !a.Misdirected && a.At > at+b.Limits.Drain && b.contactUndisturbed(a.Node, at, a.At) {
 			list = append(list, breach(RuleDraining,
 				"%s reached %s at %v by %s, and it was heard at %v that this one leaves",
 				a.Attempt, a.Replica, a.At, a.Node, at))
@@ -325,7 +324,7 @@
 	if b.RestoredAt == 0 {
 		return nil
 	}
-	const many = 20
+	const minRequests = 20
 	served, all := map[string]int{}, map[string]int{"": 0}
 	for _, q := range b.Requests {
 		if q.At <= b.RestoredAt+b.Limits.Recovery || q.Ended < 0 || q.Kind == "probe" || q.Outcome == Refused && q.Status != 503 {
@@ -339,7 +338,7 @@
 		}
 	}
 	for _, kind := range ordered.Keys(all) {
-		if (kind == "" || all[kind] >= many) && (all[kind] == 0 || served[kind]*4 < all[kind]) {
+		if (kind == "" || all[kind] >= minRequests) && (all[kind] == 0 || served[kind]*4 < all[kind]) {
 			list = append(list, breach(RuleRecovery,
 				"%d of %d requests %s were served from %v on, after the closing fault's end at %v",
 				served[kind], all[kind], kind, b.RestoredAt+b.Limits.Recovery, b.RestoredAt))
--- a/rehearsalkit/relaysim/judge_orders.go
+++ b/rehearsalkit/relaysim/judge_orders.go
@@ -95,7 +95,6 @@
 	return false
 }
 
-// judgeCalls checks that every call to a running registry ended in time.
 func (b *orderHistory) judgeCalls() {
 	for _, c := range b.calls {
 		bound := answerBound
--- a/rehearsalkit/relaysim/judge_streams.go
+++ b/rehearsalkit/relaysim/judge_streams.go
@@ -10,15 +10,15 @@
 	if q == nil || q.Tenant != tenant || depth > 1000 {
 		return "", false
 	}
-	before := ""
+	earlier := ""
 	if q.Previous != "" {
 		var ok bool
-		if before, ok = b.history(q.Previous, tenant, depth+1); !ok {
+		if earlier, ok = b.history(q.Previous, tenant, depth+1); !ok {
 			return "", false
 		}
 	}
 	output, complete := b.output(attempt)
-	return before + q.Input + output, complete
+	return earlier + q.Input + output, complete
 }
 
 // output joins the output of all executions of an attempt and reports whether one completed.
@@ -46,14 +46,14 @@
 		}
 		want := q.Input
 		if q.Previous != "" {
-			before, ok := b.history(q.Previous, q.Tenant, 0)
+			earlier, ok := b.history(q.Previous, q.Tenant, 0)
 			if !ok {
 				list = append(list, breach(RuleHistory,
 					"%s ran at %v and goes on from %s, which is no turn of its tenant",
 					run.Attempt, run.At, q.Previous))
 				continue
 			}
-			want = before + want
+			want = earlier + want
 		}
 		if run.Text != want {
 			list = append(list, breach(RuleHistory, "%s ran at %v with %q and not with %q", run.Attempt, run.At, run.Text, want))
--- a/rehearsalkit/relaysim/judge_tables.go
+++ b/rehearsalkit/relaysim/judge_tables.go
@@ -135,16 +135,16 @@
 			list = append(list, breach(rule, format, args...))
 		}
 	}
-	for _, s := range b.collectEvidence() {
-		incarnation := s.node + "/" + itoa(s.incarnation)
+	for _, e := range b.collectEvidence() {
+		incarnation := e.node + "/" + itoa(e.incarnation)
 		var lowest, highest uint64
 		fits, any := 0, false
 		for _, t := range b.tablesByNumber {
-			if t.SentAt > s.at {
+			if t.SentAt > e.at {
 				continue
 			}
 			any = true
-			if t.Refused || !t.Valid || !s.fits(t) {
+			if t.Refused || !t.Valid || !e.fits(t) {
 				continue
 			}
 			if fits == 0 {
@@ -156,30 +156,30 @@
 		if !any {
 			continue
 		}
-		q := s.request
+		q := e.request
 		if fits == 0 {
-			add(RuleTableAllows, incarnation, "%s %s was %s at %v by %s, which no table that was handed over and not refused allows", q.Kind, q.Attempt, s.what, s.at, s.node)
+			add(RuleTableAllows, incarnation, "%s %s was %s at %v by %s, which no table that was handed over and not refused allows", q.Kind, q.Attempt, e.what, e.at, e.node)
 			continue
 		}
 		for _, t := range b.tablesByNumber {
 			if !t.Acked || t.Number <= highest {
 				continue
 			}
-			late := s.sent > t.AckedAt+b.Limits.Apply && b.inTouch(s.node, min(t.AckedAt, s.sent-b.Limits.Contact), s.at)
-			late = late || s.sent > t.AckedAt+b.Limits.Apply+b.Limits.ApplyWithoutStores && b.nodeUndisturbed(s.node, t.AckedAt, s.at)
+			late := e.sent > t.AckedAt+b.Limits.Apply && b.contactUndisturbed(e.node, min(t.AckedAt, e.sent-b.Limits.Contact), e.at)
+			late = late || e.sent > t.AckedAt+b.Limits.Apply+b.Limits.ApplyWithoutStores && b.nodeUndisturbed(e.node, t.AckedAt, e.at)
 			if late {
-				add(RuleTableLag, incarnation, "%s %s, sent at %v to %s, was %s, as only tables up to %d allow; %d had been acknowledged at %v", q.Kind, q.Attempt, s.sent, s.node, s.what, highest, t.Number, t.AckedAt)
+				add(RuleTableLag, incarnation, "%s %s, sent at %v to %s, was %s, as only tables up to %d allow; %d had been acknowledged at %v", q.Kind, q.Attempt, e.sent, e.node, e.what, highest, t.Number, t.AckedAt)
 				break
 			}
 		}
 		for _, p := range proofs[incarnation] {
-			if p.number > highest && s.sent > p.at+b.Limits.Revert {
-				add(RuleNoRollback, incarnation, "%s %s, sent at %v, was %s by %s, as only tables up to %d allow; the same life had shown %d at %v", q.Kind, q.Attempt, s.sent, s.what, s.node, highest, p.number, p.at)
+			if p.number > highest && e.sent > p.at+b.Limits.Revert {
+				add(RuleNoRollback, incarnation, "%s %s, sent at %v, was %s by %s, as only tables up to %d allow; the same life had shown %d at %v", q.Kind, q.Attempt, e.sent, e.what, e.node, highest, p.number, p.at)
 				break
 			}
 		}
 		if list := proofs[incarnation]; len(list) == 0 || list[len(list)-1].number < lowest {
-			proofs[incarnation] = append(list, proof{at: s.at, number: lowest})
+			proofs[incarnation] = append(list, proof{at: e.at, number: lowest})
 		}
 	}
 	return list
--- a/rehearsalkit/relaysim/leaveloss_test.go
+++ b/rehearsalkit/relaysim/leaveloss_test.go
@@ -19,7 +19,7 @@
 // loseAckingRegistry has a registry fail, with all that it had sent, right after it acknowledged a
 // leave, and counts the requests that reach the replica too late. The bound holds although the
 // acknowledging machine is disrupted.
-func loseAckingRegistry(seed uint64, wrap func(d Registry) Registry) (acknowledged, late int) {
+func loseAckingRegistry(seed uint64, wrap func(reg Registry) Registry) (acknowledged, late int) {
 	p := Defaults(seed)
 	p.Faults, p.Operators, p.Closing = false, 0, ""
 	p.Callers = 30
@@ -74,7 +74,7 @@
 	}
 	found := 0
 	for seed := uint64(1); seed <= seeds && found == 0; seed++ {
-		_, late := loseAckingRegistry(seed, func(d Registry) Registry { return earlyAckRegistry{d} })
+		_, late := loseAckingRegistry(seed, func(reg Registry) Registry { return earlyAckRegistry{reg} })
 		found += late
 	}
 	if found == 0 {
--- a/rehearsalkit/relaysim/linear.go
+++ b/rehearsalkit/relaysim/linear.go
@@ -62,7 +62,7 @@
 		if !t.Valid {
 			continue
 		}
-		one := porcupine.Operation{
+		operation := porcupine.Operation{
 			Input:  tableCall{Base: t.Base, To: tableState{t.Number, string(t.Text)}},
 			Call:   int64(t.SentAt),
 			Output: tableAnswer{},
@@ -70,13 +70,13 @@
 		}
 		switch {
 		case t.Acked:
-			one.Output, one.Return = tableAnswer{Outcome: orderAccepted}, int64(t.AckedAt)
+			operation.Output, operation.Return = tableAnswer{Outcome: orderAccepted}, int64(t.AckedAt)
 		case t.Refused && t.RefusedAt > 0:
-			one.Output, one.Return = tableAnswer{Outcome: orderRefused}, int64(t.RefusedAt)
+			operation.Output, operation.Return = tableAnswer{Outcome: orderRefused}, int64(t.RefusedAt)
 		case t.Refused:
-			one.Output = tableAnswer{Outcome: orderRefused}
+			operation.Output = tableAnswer{Outcome: orderRefused}
 		}
-		history = append(history, one)
+		history = append(history, operation)
 	}
 	for _, read := range append(append([]ReadBack(nil), r.OperatorReads...), r.FinalReads...) {
 		found := tableState{read.Number, string(read.Text)}
--- a/rehearsalkit/relaysim/longcut.go
+++ b/rehearsalkit/relaysim/longcut.go
@@ -50,9 +50,15 @@
 }
 
 func newLongcut(w *World) *longcut {
-	f := newFindings(w)
-	b := newOrderHistory(w, f)
-	return &longcut{world: w, history: b, health: w.watchHealth(b), findings: f, mode: cutModes[w.Params.Seed%uint64(len(cutModes))]}
+	findings := newFindings(w)
+	history := newOrderHistory(w, findings)
+	return &longcut{
+		world:    w,
+		history:  history,
+		health:   w.watchHealth(history),
+		findings: findings,
+		mode:     cutModes[w.Params.Seed%uint64(len(cutModes))],
+	}
 }
 
 func (l *longcut) targets() (list []*process) {
@@ -108,7 +114,7 @@
 	}
 	w.after(w.between(500*time.Millisecond, 1100*time.Millisecond), func() { l.callRepeatedly(kind, at) })
 	ignore := func(body any) {}
-	known := func(body any) bool { e, ok := body.(registry.RetirementStatus); return ok && !e.Uncertain }
+	known := func(body any) bool { status, ok := body.(registry.RetirementStatus); return ok && !status.Uncertain }
 	switch kind {
 	case callHeartbeat, callLeave:
 		l.announce(kind, at)
@@ -117,18 +123,17 @@
 	case callRead:
 		l.history.read(at, func(t core.CurrentTable, ok bool) {})
 	case callRetire:
-		l.history.call(kind, at, func(d Registry, now time.Duration, ticket uint64) registry.Output {
-			return d.Retire(now, ticket, "nobody")
+		l.history.call(kind, at, func(reg Registry, now time.Duration, ticket uint64) registry.Output {
+			return reg.Retire(now, ticket, "nobody")
 		}, known, ignore)
 	case callStatus:
 		id := w.anyStore().core.id
-		l.history.call(kind, at, func(d Registry, now time.Duration, ticket uint64) registry.Output {
-			return d.RetirementStatus(now, ticket, id)
+		l.history.call(kind, at, func(reg Registry, now time.Duration, ticket uint64) registry.Output {
+			return reg.RetirementStatus(now, ticket, id)
 		}, known, ignore)
 	}
 }
 
-// announce sends a replica's heartbeat or leave.
 func (l *longcut) announce(kind string, at *process) {
 	w := l.world
 	id := "idle-" + at.id
@@ -146,7 +151,6 @@
 	})
 }
 
-// cut cuts a machine off, heals the cut and waits for the fleet to recover.
 func (l *longcut) cut(target *process) {
 	w, f := l.world, l.findings
 	group := fmt.Sprintf("%s, %s", map[bool]string{true: "desk", false: "core"}[target.isRegistry], l.mode)
@@ -221,12 +225,12 @@
 
 func (l *longcut) blockedLinks(target *process) func(from, to string) bool {
 	w := l.world
-	mine := map[string]bool{target.address: true}
+	cutOff := map[string]bool{target.address: true}
 	if l.mode == cutRestart && target.disk != nil {
 		// Restarted machines would find the fleet through the registry beside the core.
 		for _, s := range w.stores {
 			if s.core == target && s.registry != nil {
-				mine[s.registry.address] = true
+				cutOff[s.registry.address] = true
 			}
 		}
 	}
@@ -236,14 +240,14 @@
 		return p != nil && p.isRegistry == target.isRegistry && (p.disk != nil) == (target.disk != nil)
 	}
 	return func(from, to string) bool {
-		if mine[from] == mine[to] || !inFleet(from) || !inFleet(to) {
+		if cutOff[from] == cutOff[to] || !inFleet(from) || !inFleet(to) {
 			return false
 		}
 		switch l.mode {
 		case cutOutbound:
-			return mine[from]
+			return cutOff[from]
 		case cutInbound:
-			return mine[to]
+			return cutOff[to]
 		case cutPeers:
 			return sameKind(from) && sameKind(to)
 		}
@@ -292,8 +296,8 @@
 	n.requests, n.seeds = map[uint64]*activeRequest{}, seeds
 	n.boot()
 	started := w.now
-	var look func()
-	look = func() {
+	var poll func()
+	poll = func() {
 		switch {
 		case n.node.Ready(n.now()):
 			l.findings.recordDuration("a new node is ready, "+l.mode, w.now-started)
@@ -302,8 +306,8 @@
 			l.findings.breach(RuleFleetRecovery, "%s, which came at %v, is not ready at %v", n.id, started, w.now)
 			n.kill()
 		default:
-			w.after(20*time.Millisecond, look)
+			w.after(20*time.Millisecond, poll)
 		}
 	}
-	look()
+	poll()
 }
--- a/rehearsalkit/relaysim/longcut_test.go
+++ b/rehearsalkit/relaysim/longcut_test.go
@@ -61,11 +61,11 @@
 	}{
 		{"desks refuse some accepted orders", RuleAcceptedNotRefused, func(p *Params) {
 			some := everyNth(5)
-			forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
-				if h.Accepted && h.Number > 1 && some() {
+			forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+				if result.Accepted && result.Number > 1 && some() {
 					return registry.OrderResult{RaceLost: true}
 				}
-				return h
+				return result
 			})(p)
 		}},
 		{"orders reach the cores with another base", RuleRefusedByRace, alterMessages(func(from, to string, c core.Command) (core.Command, bool) {
@@ -76,23 +76,23 @@
 			}
 			return c, true
 		})},
-		{"desks acknowledge orders with unknown outcome", RuleDurable, forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
-			h.Accepted, h.Uncertain = h.Accepted || h.Uncertain, false
-			return h
+		{"desks acknowledge orders with unknown outcome", RuleDurable, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+			result.Accepted, result.Uncertain = result.Accepted || result.Uncertain, false
+			return result
 		})},
-		{"desks acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
-			h.Accepted, h.RaceLost = h.Accepted || h.RaceLost, false
-			return h
+		{"desks acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+			result.Accepted, result.RaceLost = result.Accepted || result.RaceLost, false
+			return result
 		})},
 		{"desks always report a fresh confirmation", RuleNewestTable, alterMessages(func(from, to string, b registry.Update) (registry.Update, bool) {
 			b.ConfirmationAge = min(b.ConfirmationAge, 0)
 			return b, true
 		})},
 		{"desks leave inconclusive calls unanswered", RuleCallBound, func(p *Params) {
-			p.WrapRegistry = func(d Registry) Registry { return &unansweringRegistry{d} }
+			p.WrapRegistry = func(reg Registry) Registry { return &unansweringRegistry{reg} }
 		}},
 		{"desks acknowledge heartbeats that they cannot pass on", RuleIsolatedRegistry, func(p *Params) {
-			p.WrapRegistry = func(d Registry) Registry { return earlyAckRegistry{d} }
+			p.WrapRegistry = func(reg Registry) Registry { return earlyAckRegistry{reg} }
 		}},
 		{"a desk receives no more freshness messages", RuleFleetRecovery, func(p *Params) {
 			received := 0
--- a/rehearsalkit/relaysim/manychanges.go
+++ b/rehearsalkit/relaysim/manychanges.go
@@ -58,7 +58,7 @@
 	samples     []sizes
 	// images are earlier contents of cores' disks.
 	images map[*process]core.Stored
-	// received counts the bytes sent to each address.
+	// received counts bytes by address.
 	received map[string]int64
 }
 
@@ -78,13 +78,13 @@
 }
 
 func newManyChanges(w *World) *manyChanges {
-	f := newFindings(w)
-	b := newOrderHistory(w, f)
+	findings := newFindings(w)
+	history := newOrderHistory(w, findings)
 	m := &manyChanges{
 		world:       w,
-		findings:    f,
-		history:     b,
-		health:      w.watchHealth(b),
+		findings:    findings,
+		history:     history,
+		health:      w.watchHealth(history),
 		diskState:   diskStates[w.Params.Seed%uint64(len(diskStates))],
 		sampleEvery: sampleEvery,
 		logs:        map[*process]*logMeter{},
@@ -136,8 +136,8 @@
 }
 
 func (m *manyChanges) applyUntilAnswered(o *order) {
-	m.history.send(o, m.world.liveRegistry(), func(h registry.OrderResult) {
-		if h.Uncertain {
+	m.history.send(o, m.world.liveRegistry(), func(result registry.OrderResult) {
+		if result.Uncertain {
 			m.applyUntilAnswered(o)
 			return
 		}
@@ -225,8 +225,6 @@
 	}
 }
 
-// watchLeader checks regularly that the configuration partition's leader holds all acknowledged
-// tables.
 func (m *manyChanges) watchLeader() {
 	w := m.world
 	if m.stopped {
@@ -237,17 +235,17 @@
 	if leader == nil || len(m.history.acked) == 0 {
 		return
 	}
-	var has core.CurrentTable
+	var held core.CurrentTable
 	raw := leader.core.core.Partition(core.ConfigurationPartition).State().Entries[core.TableKey].Value
-	if message.Unmarshal(raw, &has) == nil && has.Number < m.history.newestSeen {
+	if message.Unmarshal(raw, &held) == nil && held.Number < m.history.newestSeen {
 		m.findings.breach(RuleLeaderCurrent,
 			"%s owns the configuration at %v with table %d, and %d had been told",
-			leader.core.id, w.now, has.Number, m.history.newestSeen)
+			leader.core.id, w.now, held.Number, m.history.newestSeen)
 	}
 }
 
 func (m *manyChanges) synced(p *process, batches [][]core.Change) {
-	const head = 12
+	const headerBytes = 12
 	log := m.logs[p]
 	if log == nil {
 		log = &logMeter{slot: smallestSlot}
@@ -257,7 +255,7 @@
 	for _, batch := range batches {
 		changes = append(changes, batch...)
 	}
-	log.size += head + int64(len(message.Marshal(changes)))
+	log.size += headerBytes + int64(len(message.Marshal(changes)))
 	log.longest = max(log.longest, log.size)
 	if log.size > logFactor*log.slot {
 		log.size, log.slot = 0, max(smallestSlot, int64(len(message.Marshal(p.disk.stored))))
@@ -266,37 +264,37 @@
 
 func (m *manyChanges) size(changes int) sizes {
 	w := m.world
-	now := sizes{changes: changes}
+	current := sizes{changes: changes}
 	for _, log := range m.logs {
-		now.log = max(now.log, log.longest)
+		current.log = max(current.log, log.longest)
 	}
 	for _, s := range w.presentStores() {
-		now.state = max(now.state, int64(len(message.Marshal(s.core.disk.stored))))
+		current.state = max(current.state, int64(len(message.Marshal(s.core.disk.stored))))
 		entries := 0
 		for _, c := range s.core.disk.stored.Replicas {
 			entries += len(c.Entries)
 		}
-		now.entries = max(now.entries, int64(entries))
+		current.entries = max(current.entries, int64(entries))
 	}
-	return now
+	return current
 }
 
 func (m *manyChanges) sample(changes int) {
-	now := m.size(changes)
+	current := m.size(changes)
 	for _, p := range m.world.processes {
 		if !p.alive {
 			continue
 		}
 		switch {
 		case p.disk != nil:
-			now.coreMemory = max(now.coreMemory, footprint(p.core))
+			current.coreMemory = max(current.coreMemory, footprint(p.core))
 		case p.isRegistry:
-			now.registryMemory = max(now.registryMemory, footprint(p.registry))
+			current.registryMemory = max(current.registryMemory, footprint(p.registry))
 		case p.node != nil:
-			now.nodeMemory = max(now.nodeMemory, footprint(p.node))
+			current.nodeMemory = max(current.nodeMemory, footprint(p.node))
 		}
 	}
-	m.samples = append(m.samples, now)
+	m.samples = append(m.samples, current)
 }
 
 // judgeSizes reports the samples and bounds their growth per change.
@@ -314,7 +312,7 @@
 			continue
 		}
 		first := m.samples[0]
-		more := int64(s.changes - first.changes)
+		added := int64(s.changes - first.changes)
 		bounds := []struct {
 			what            string
 			value, from, by int64
@@ -325,7 +323,7 @@
 			{"a node's memory", s.nodeMemory, first.nodeMemory, memoryGrowth},
 		}
 		for _, b := range bounds {
-			if b.value > 2*b.from+b.by*more {
+			if b.value > 2*b.from+b.by*added {
 				f.breach(RuleGrowth, "%s has %d bytes after %d changes, and had %d after %d", b.what, b.value, s.changes, b.from, first.changes)
 			}
 		}
--- a/rehearsalkit/relaysim/manychanges_test.go
+++ b/rehearsalkit/relaysim/manychanges_test.go
@@ -65,10 +65,10 @@
 		inject     func(p *Params)
 	}{
 		{"cores store more with each order", RuleGrowth, func(p *Params) {
-			p.WrapRegistry = func(d Registry) Registry { return &storingRegistry{Registry: d} }
+			p.WrapRegistry = func(reg Registry) Registry { return &storingRegistry{Registry: reg} }
 		}},
 		{"desks report newer tables than the leader has", RuleLeaderCurrent, func(p *Params) {
-			p.WrapRegistry = func(d Registry) Registry { return &overstatingRegistry{d} }
+			p.WrapRegistry = func(reg Registry) Registry { return &overstatingRegistry{reg} }
 		}},
 		{"a returning machine is sent far too much", RuleCatchUpBytes, alterMessages(func(from, to string, b core.Topology) (core.Topology, bool) {
 			if to == "core1" {
--- a/rehearsalkit/relaysim/network.go
+++ b/rehearsalkit/relaysim/network.go
@@ -7,6 +7,14 @@
 	"saffronfall/rule/message"
 )
 
+const (
+	minMessageDelay = 200 * time.Microsecond
+	maxMessageDelay = 2 * time.Millisecond
+	// slowMessageRate is the fraction of messages with an extra delay.
+	slowMessageRate = 0.005
+	maxExtraDelay   = 60 * time.Millisecond
+)
+
 type network struct {
 	// cut counts the active cuts of each link, by source and destination address.
 	cut map[[2]string]int
@@ -54,8 +62,8 @@
 		return
 	}
 	delay := w.delay()
-	if w.chance(0.005) {
-		delay += w.between(0, 60*time.Millisecond)
+	if w.chance(slowMessageRate) {
+		delay += w.between(0, maxExtraDelay)
 	}
 	at := max(w.now+delay, w.lastArrival[pair])
 	w.lastArrival[pair] = at
--- a/rehearsalkit/relaysim/operator.go
+++ b/rehearsalkit/relaysim/operator.go
@@ -10,6 +10,13 @@
 	"saffronfall/rule/route"
 )
 
+const (
+	operatorCallTimeout = time.Second
+	invalidTableRate    = 0.25
+	// rivalTableRate is the fraction of tables with a concurrent one on the same base.
+	rivalTableRate = 0.4
+)
+
 func singleTarget(service string) []route.Target {
 	return []route.Target{{Service: service, Weight: 1}}
 }
@@ -20,14 +27,14 @@
 		KeyTenants: map[string]string{"k-1a": "t1", "k-2a": "t2", "k-3a": "t3"}, MaxPerWindow: map[string]float64{}}
 	text := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20}}
 	used := map[string]bool{}
-	add := func(prefix, mode string, targets []route.Target, kept, resumable, open bool) {
-		r := Route{Public: open, Stream: mode == route.Stream, KeepsHistory: kept, Repeatable: mode == route.Repeatable || resumable}
+	add := func(prefix, mode string, targets []route.Target, keepHistory, resumable, public bool) {
+		r := Route{Public: public, Stream: mode == route.Stream, KeepsHistory: keepHistory, Repeatable: mode == route.Repeatable || resumable}
 		for _, target := range targets {
 			r.Services = append(r.Services, target.Service)
 			used[target.Service] = true
 		}
 		t.Routes[prefix] = r
-		text.Routes = append(text.Routes, route.Route{Name: prefix, Host: host, Prefix: prefix, Mode: mode, Resumable: resumable, KeepHistory: kept, KeepSeconds: keepDuration.Seconds(), TimeoutMS: 3500, MaxAttempts: 3, Public: open, Targets: targets})
+		text.Routes = append(text.Routes, route.Route{Name: prefix, Host: host, Prefix: prefix, Mode: mode, Resumable: resumable, KeepHistory: keepHistory, KeepSeconds: keepDuration.Seconds(), TimeoutMS: 3500, MaxAttempts: 3, Public: public, Targets: targets})
 	}
 	pick := func(a, b string) []route.Target {
 		switch w.random.IntN(4) {
@@ -47,23 +54,23 @@
 	add(probePath(t.ID), route.Repeatable, singleTarget(plainA), false, false, true)
 	for _, s := range []string{modelA, modelB, plainA, plainB} {
 		if used[s] {
-			per := int64(1)
+			eventTokens := int64(1)
 			if isStreaming(s) {
-				per = tokensPerEvent(s)
+				eventTokens = tokensPerEvent(s)
 			}
-			text.Services = append(text.Services, route.Service{Name: s, Connections: 200, TokensPerEvent: per, Slots: 8})
+			text.Services = append(text.Services, route.Service{Name: s, Connections: 200, TokensPerEvent: eventTokens, Slots: 8})
 		}
 	}
 	tenant := func(name string, rate, burst float64, keys ...string) {
-		one := route.Tenant{Name: name, Rate: rate, Burst: burst}
+		entry := route.Tenant{Name: name, Rate: rate, Burst: burst}
 		for _, k := range keys {
 			t.KeyTenants[k] = name
-			one.Keys = append(one.Keys, configuration.KeyDigest(k))
+			entry.Keys = append(entry.Keys, configuration.KeyDigest(k))
 		}
 		if rate > 0 {
 			t.MaxPerWindow[name] = rate*rateWindow.Seconds() + burst
 		}
-		text.Tenants = append(text.Tenants, one)
+		text.Tenants = append(text.Tenants, entry)
 	}
 	keys := []string{"k-1a"}
 	if w.chance(0.6) {
@@ -115,19 +122,19 @@
 		w.after(w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.applyTable(t, until, done) })
 	}
 	at := w.anyRegistry()
-	w.callRegistry(at, func(d Registry, now time.Duration, ticket uint64) registry.Output {
-		return d.Apply(now, ticket, t.Base, t.Text, registry.Digest(t.Text))
+	w.callRegistry(at, func(reg Registry, now time.Duration, ticket uint64) registry.Output {
+		return reg.Apply(now, ticket, t.Base, t.Text, registry.Digest(t.Text))
 	}, func(body any) {
-		h, _ := body.(registry.OrderResult)
+		result, _ := body.(registry.OrderResult)
 		if finished {
-			if h.Accepted && !t.Acked {
+			if result.Accepted && !t.Acked {
 				// A late acknowledgement still counts.
 				t.Acked, t.AckedAt = true, w.now
 			}
 			return
 		}
 		switch {
-		case h.Accepted:
+		case result.Accepted:
 			w.logf("table %d on %d acknowledged by %s", t.Number, t.Base, at.id)
 			w.Counts["tables acknowledged"]++
 			t.Acked, t.AckedAt = true, w.now
@@ -135,19 +142,18 @@
 			finished = true
 			w.losePowerAfterAck()
 			done()
-		case h.Uncertain:
+		case result.Uncertain:
 			retry()
 		default:
-			w.logf("table %d on %d refused by %s: race lost %v, %v", t.Number, t.Base, at.id, h.RaceLost, h.Faults)
+			w.logf("table %d on %d refused by %s: race lost %v, %v", t.Number, t.Base, at.id, result.RaceLost, result.Faults)
 			w.Counts["tables refused"]++
 			t.Refused, t.RefusedAt, finished = true, w.now, true
 			done()
 		}
 	})
-	w.after(time.Second, retry)
+	w.after(operatorCallTimeout, retry)
 }
 
-// readTable reads the table in force, trying other registries until time is up.
 func (w *World) readTable(until time.Duration, done func(from time.Duration, t core.CurrentTable)) {
 	finished, from := false, w.now
 	retry := func() {
@@ -157,7 +163,7 @@
 		}
 	}
 	w.callRegistry(w.anyRegistry(),
-		func(d Registry, now time.Duration, ticket uint64) registry.Output { return d.Read(now, ticket) },
+		func(reg Registry, now time.Duration, ticket uint64) registry.Output { return reg.Read(now, ticket) },
 		func(body any) {
 			if t, ok := body.(core.CurrentTable); ok && !finished && t.Number > 0 {
 				finished = true
@@ -165,7 +171,7 @@
 				done(from, t)
 			}
 		})
-	w.after(time.Second, retry)
+	w.after(operatorCallTimeout, retry)
 }
 
 func (w *World) applyFirstTable() {
@@ -181,19 +187,19 @@
 		}
 		return
 	}
-	w.readTable(w.now+10*time.Second, func(from time.Duration, now core.CurrentTable) {
-		w.Record.OperatorReads = append(w.Record.OperatorReads, ReadBack{From: from, At: w.now, Number: now.Number, Text: now.Text})
+	w.readTable(w.now+10*time.Second, func(from time.Duration, current core.CurrentTable) {
+		w.Record.OperatorReads = append(w.Record.OperatorReads, ReadBack{From: from, At: w.now, Number: current.Number, Text: current.Text})
 		defect := 0
-		if w.chance(0.25) {
+		if w.chance(invalidTableRate) {
 			defect = 1 + w.random.IntN(6)
 		}
-		number := now.Number + 1 + uint64(w.random.IntN(3))
-		w.applyTable(w.newTable(now.Number, number, defect), w.now+8*time.Second,
+		number := current.Number + 1 + uint64(w.random.IntN(3))
+		w.applyTable(w.newTable(current.Number, number, defect), w.now+8*time.Second,
 			func() { w.after(w.between(time.Second, 4*time.Second), w.runOperator) })
-		if w.chance(0.4) {
+		if w.chance(rivalTableRate) {
 			// A second operator sends concurrently on the same base.
-			other := now.Number + 1 + uint64(w.random.IntN(3))
-			rival := w.newTable(now.Number, other, 0)
+			other := current.Number + 1 + uint64(w.random.IntN(3))
+			rival := w.newTable(current.Number, other, 0)
 			w.after(w.between(0, 20*time.Millisecond), func() { w.applyTable(rival, w.now+8*time.Second, func() {}) })
 		}
 	})
--- a/rehearsalkit/relaysim/orders.go
+++ b/rehearsalkit/relaysim/orders.go
@@ -45,8 +45,8 @@
 // answerTimeout is the callers' default; it is longer than a registry's own timeout.
 const answerTimeout = 5 * time.Second
 
-func newOrderHistory(w *World, f *Findings) *orderHistory {
-	return &orderHistory{world: w, findings: f, answerTimeout: answerTimeout, resends: resendTable{}}
+func newOrderHistory(w *World, findings *Findings) *orderHistory {
+	return &orderHistory{world: w, findings: findings, answerTimeout: answerTimeout, resends: resendTable{}}
 }
 
 // amend turns an order into an amendment of its base.
@@ -67,11 +67,11 @@
 	}
 }
 
-func (o *order) apply(d Registry, now time.Duration, ticket uint64) registry.Output {
+func (o *order) apply(reg Registry, now time.Duration, ticket uint64) registry.Output {
 	if o.amendment == nil {
-		return d.Apply(now, ticket, o.Base, o.Text, registry.Digest(o.Text))
+		return reg.Apply(now, ticket, o.Base, o.Text, registry.Digest(o.Text))
 	}
-	return d.Amend(now, ticket, registry.Amendment{
+	return reg.Amend(now, ticket, registry.Amendment{
 		Base:   o.Base,
 		Number: o.Number,
 		Digest: registry.AmendmentDigest(o.Text),
@@ -95,7 +95,7 @@
 // call calls a registry. done receives nil after the answer timeout if the answer is lost.
 func (b *orderHistory) call(
 	kind string, at *process,
-	step func(d Registry, now time.Duration, ticket uint64) registry.Output,
+	step func(reg Registry, now time.Duration, ticket uint64) registry.Output,
 	conclusive func(body any) bool, done func(body any),
 ) {
 	w := b.world
@@ -123,38 +123,37 @@
 	w.after(b.answerTimeout, func() { finish(nil) })
 }
 
-// send sends an order to a registry once and records the answer.
-func (b *orderHistory) send(o *order, at *process, done func(h registry.OrderResult)) {
+func (b *orderHistory) send(o *order, at *process, done func(result registry.OrderResult)) {
 	kind := callResend
 	if o.SentAt == 0 {
 		kind, o.SentAt = callOrder, b.world.now
 		b.orders = append(b.orders, o)
 		b.world.Record.Tables = append(b.world.Record.Tables, o.Table)
 	}
-	step := func(d Registry, now time.Duration, ticket uint64) registry.Output {
-		return o.apply(d, now, ticket)
+	step := func(reg Registry, now time.Duration, ticket uint64) registry.Output {
+		return o.apply(reg, now, ticket)
 	}
-	conclusive := func(body any) bool { h, ok := body.(registry.OrderResult); return ok && !h.Uncertain }
+	conclusive := func(body any) bool { result, ok := body.(registry.OrderResult); return ok && !result.Uncertain }
 	b.call(kind, at, step, conclusive, func(body any) {
-		h, ok := body.(registry.OrderResult)
+		result, ok := body.(registry.OrderResult)
 		if !ok {
-			h.Uncertain = true
+			result.Uncertain = true
 		}
-		b.recordAnswer(o, at, h)
-		done(h)
+		b.recordAnswer(o, at, result)
+		done(result)
 	})
 }
 
 // recordAnswer checks an answer against earlier ones to the same order.
-func (b *orderHistory) recordAnswer(o *order, at *process, h registry.OrderResult) {
+func (b *orderHistory) recordAnswer(o *order, at *process, result registry.OrderResult) {
 	w := b.world
 	if o.Acked {
-		b.resends.add(len(b.acked)-o.ackedIndex, h)
+		b.resends.add(len(b.acked)-o.ackedIndex, result)
 	}
 	switch {
-	case h.Uncertain:
+	case result.Uncertain:
 		w.Counts["orders answered unclear"]++
-	case h.Accepted:
+	case result.Accepted:
 		if o.Refused {
 			b.findings.breach(RuleAcceptedNotRefused,
 				"order %d on %d was refused at %v and is acknowledged at %v by %s",
@@ -173,11 +172,11 @@
 		if o.Acked {
 			b.findings.breach(RuleAcceptedNotRefused,
 				"order %d on %d was acknowledged at %v, and is refused %d orders later at %v by %s (race %v, in force %d)",
-				o.Number, o.Base, o.AckedAt, len(b.acked)-o.ackedIndex, w.now, at.id, h.RaceLost, h.Number)
+				o.Number, o.Base, o.AckedAt, len(b.acked)-o.ackedIndex, w.now, at.id, result.RaceLost, result.Number)
 		}
 		if !o.Refused {
 			w.Counts["orders refused"]++
-			w.logf("order %d on %d refused by %s: race lost %v, in force %d", o.Number, o.Base, at.id, h.RaceLost, h.Number)
+			w.logf("order %d on %d refused by %s: race lost %v, in force %d", o.Number, o.Base, at.id, result.RaceLost, result.Number)
 			o.Refused, o.refusedAt = true, w.now
 		}
 	}
@@ -186,9 +185,9 @@
 // sendUntilAnswered tries random registries until the answer is conclusive or time is up.
 func (b *orderHistory) sendUntilAnswered(o *order, until time.Duration, done func()) {
 	w := b.world
-	b.send(o, w.anyRegistry(), func(h registry.OrderResult) {
+	b.send(o, w.anyRegistry(), func(result registry.OrderResult) {
 		switch {
-		case !h.Uncertain || o.Acked:
+		case !result.Uncertain || o.Acked:
 			done()
 		case w.now > until:
 			w.Counts["orders without a clear answer"]++
@@ -202,7 +201,7 @@
 func (b *orderHistory) read(at *process, done func(t core.CurrentTable, ok bool)) {
 	w := b.world
 	started, newest := w.now, b.newestSeen
-	step := func(d Registry, now time.Duration, ticket uint64) registry.Output { return d.Read(now, ticket) }
+	step := func(reg Registry, now time.Duration, ticket uint64) registry.Output { return reg.Read(now, ticket) }
 	conclusive := func(body any) bool { t, ok := body.(core.CurrentTable); return ok && t.Number > 0 }
 	b.call(callRead, at, step, conclusive, func(body any) {
 		t, _ := body.(core.CurrentTable)
@@ -228,8 +227,7 @@
 // orderGenerator sends orders one after the other, each based on the table that it has read.
 type orderGenerator struct {
 	history *orderHistory
-	// pause returns the time until the next order.
-	pause func() time.Duration
+	pause   func() time.Duration
 	// rivalRate is the probability of a concurrent order on the same base, half of the time with
 	// the same number too.
 	rivalRate float64
@@ -249,15 +247,15 @@
 			next()
 			return
 		}
-		one := &order{Table: w.newTable(t.Number, t.Number+1+uint64(w.random.IntN(3)), 0)}
+		newOrder := &order{Table: w.newTable(t.Number, t.Number+1+uint64(w.random.IntN(3)), 0)}
 		if w.chance(r.amendmentRate) {
 			w.Counts["amendments handed over"]++
-			one.amend(t.Text)
+			newOrder.amend(t.Text)
 		}
 		until := w.now + 20*time.Second
-		b.sendUntilAnswered(one, until, next)
+		b.sendUntilAnswered(newOrder, until, next)
 		if w.chance(r.rivalRate) {
-			number := one.Number
+			number := newOrder.Number
 			if w.chance(0.5) {
 				number = t.Number + 1 + uint64(w.random.IntN(3))
 			}
@@ -281,5 +279,5 @@
 		return
 	}
 	o := b.acked[from+b.world.random.IntN(len(b.acked)-from)]
-	b.send(o, at, func(h registry.OrderResult) {})
+	b.send(o, at, func(result registry.OrderResult) {})
 }
--- a/rehearsalkit/relaysim/orderstorm.go
+++ b/rehearsalkit/relaysim/orderstorm.go
@@ -40,10 +40,10 @@
 }
 
 func newOrderStorm(w *World) *orderStorm {
-	f := newFindings(w)
-	b := newOrderHistory(w, f)
-	f.Resends = b.resends
-	return &orderStorm{world: w, history: b}
+	findings := newFindings(w)
+	history := newOrderHistory(w, findings)
+	findings.Resends = history.resends
+	return &orderStorm{world: w, history: history}
 }
 
 func (s *orderStorm) play(length time.Duration) *Findings {
@@ -80,7 +80,6 @@
 	return b.findings
 }
 
-// resendAny sends an acknowledged order again: usually any, sometimes a recent one.
 func (s *orderStorm) resendAny() {
 	w := s.world
 	if s.stopped {
@@ -109,8 +108,8 @@
 }
 
 func (s *orderStorm) sendUntilAnswered(o *order, done func()) {
-	s.history.send(o, s.world.anyRegistry(), func(h registry.OrderResult) {
-		if h.Uncertain {
+	s.history.send(o, s.world.anyRegistry(), func(result registry.OrderResult) {
+		if result.Uncertain {
 			s.sendUntilAnswered(o, done)
 			return
 		}
@@ -118,7 +117,6 @@
 	})
 }
 
-// changeLeader disturbs the leader of the configuration partition for a while.
 func (s *orderStorm) changeLeader() {
 	w := s.world
 	if s.stopped {
@@ -144,10 +142,10 @@
 	w := s.world
 	w.logf("all disks lose power")
 	w.Counts["fault: all disks lost power"]++
-	for _, one := range w.presentStores() {
-		for _, p := range one.processes() {
+	for _, target := range w.presentStores() {
+		for _, p := range target.processes() {
 			p.powerOff()
-			w.after(w.between(500*time.Millisecond, 1500*time.Millisecond), p.boot)
+			w.after(w.between(minRestart, maxRestart), p.boot)
 		}
 	}
 }
--- a/rehearsalkit/relaysim/params.go
+++ b/rehearsalkit/relaysim/params.go
@@ -43,7 +43,7 @@
 	Operators                                  int
 	// WrapNode, WrapRegistry and Alter let tests break the system on purpose.
 	WrapNode     func(n Node) Node
-	WrapRegistry func(d Registry) Registry
+	WrapRegistry func(reg Registry) Registry
 	Alter        func(from, to string, body any) (any, bool)
 	Logf         func(format string, args ...any)
 }
--- a/rehearsalkit/relaysim/process.go
+++ b/rehearsalkit/relaysim/process.go
@@ -57,11 +57,17 @@
 	requests map[uint64]*activeRequest
 }
 
+const (
+	// clockRateSpread is the width of the range of clock rates around 1.
+	clockRateSpread = 0.002
+	// A frozen process drops steps beyond maxBacklog.
+	maxBacklog = 4096
+)
+
 func (p *process) now() time.Duration {
 	return time.Duration(float64(p.world.now-p.started) * p.clockRate)
 }
 
-// seedList lists the addresses at which the process looks for the fleet.
 func (p *process) seedList() []string {
 	if p.seeds != nil {
 		return p.seeds
@@ -81,7 +87,7 @@
 	}
 	p.incarnation++
 	p.alive, p.frozen, p.backlog, p.started = true, false, nil, w.now
-	p.clockRate = 1 + (w.random.Float64()-0.5)*0.002
+	p.clockRate = 1 + (w.random.Float64()-0.5)*clockRateSpread
 	switch {
 	case p.disk != nil:
 		p.disk.pending, p.disk.held, p.disk.busy, p.disk.issued, p.disk.synced = nil, nil, false, 0, 0
@@ -147,7 +153,7 @@
 	switch {
 	case !p.alive:
 	case p.frozen:
-		if len(p.backlog) < 4096 {
+		if len(p.backlog) < maxBacklog {
 			p.backlog = append(p.backlog, step)
 		}
 	default:
@@ -236,8 +242,8 @@
 func (p *process) announce(step func(ticket uint64) registry.Output, then func(accepted bool)) {
 	p.lastTicket++
 	p.pendingCalls[p.lastTicket] = func(body any) {
-		h, _ := body.(registry.Acknowledgment)
-		then(h.Accepted)
+		ack, _ := body.(registry.Acknowledgment)
+		then(ack.Accepted)
 	}
 	p.applyRegistryOutput(step(p.lastTicket))
 }
@@ -262,9 +268,9 @@
 	for _, s := range o.Sends {
 		p.world.send(p, s.To, s.Body)
 	}
-	for _, r := range o.Steps {
-		if at, ok := p.requests[r.Ticket]; ok {
-			at.applyStep(r.Step)
+	for _, step := range o.Steps {
+		if active, ok := p.requests[step.Ticket]; ok {
+			active.applyStep(step.Step)
 		}
 	}
 }
--- a/rehearsalkit/relaysim/relaysim_test.go
+++ b/rehearsalkit/relaysim/relaysim_test.go
@@ -101,7 +101,7 @@
 // forgingRegistry forges its answers to orders.
 type forgingRegistry struct {
 	Registry
-	forge func(h registry.OrderResult) registry.OrderResult
+	forge func(result registry.OrderResult) registry.OrderResult
 }
 
 func (f *forgingRegistry) out(o registry.Output) registry.Output {
@@ -123,9 +123,9 @@
 	return f.out(f.Registry.Apply(now, ticket, base, text, digest))
 }
 
-func forgeOrderResults(forge func(h registry.OrderResult) registry.OrderResult) func(p *Params) {
+func forgeOrderResults(forge func(result registry.OrderResult) registry.OrderResult) func(p *Params) {
 	return func(p *Params) {
-		p.WrapRegistry = func(d Registry) Registry { return &forgingRegistry{Registry: d, forge: forge} }
+		p.WrapRegistry = func(reg Registry) Registry { return &forgingRegistry{Registry: reg, forge: forge} }
 	}
 }
 
@@ -247,19 +247,19 @@
 				return a
 			}}
 		})},
-		{"desks acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
-			h.Accepted, h.RaceLost = h.Accepted || h.RaceLost, false
-			return h
+		{"desks acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+			result.Accepted, result.RaceLost = result.Accepted || result.RaceLost, false
+			return result
 		})},
-		{"desks acknowledge invalid tables", RuleTableRace, forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
-			h.Accepted, h.Faults = h.Accepted || h.Faults != nil, nil
-			return h
+		{"desks acknowledge invalid tables", RuleTableRace, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+			result.Accepted, result.Faults = result.Accepted || result.Faults != nil, nil
+			return result
 		})},
-		{"desks refuse committed tables", RuleDurable, forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
-			if h.Accepted && h.Number > 1 {
+		{"desks refuse committed tables", RuleDurable, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+			if result.Accepted && result.Number > 1 {
 				return registry.OrderResult{RaceLost: true}
 			}
-			return h
+			return result
 		})},
 		{"nodes are not told which replicas leave", RuleDraining, func(p *Params) {
 			p.Faults = true
--- a/rehearsalkit/relaysim/replica.go
+++ b/rehearsalkit/relaysim/replica.go
@@ -17,6 +17,17 @@
 	plainA, plainB = "plain-a", "plain-b"
 )
 
+const (
+	heartbeatTimeout = time.Second
+	// leaveTimeout is when a replica stops without an acknowledgement that it leaves.
+	leaveTimeout = 6 * time.Second
+	maxQueued    = 3
+	// Fractions of the answers of plain services.
+	lostAnswerRate   = 0.02
+	failedAnswerRate = 0.02
+	brokenStreamRate = 0.05
+)
+
 func isStreaming(service string) bool { return service == modelA || service == modelB }
 
 func tokensPerEvent(service string) int64 {
@@ -78,8 +89,7 @@
 	}
 }
 
-// heartbeat announces the replica, and tries another registry if it is not acknowledged within a
-// second.
+// heartbeat announces the replica, and tries another registry if it is not acknowledged in time.
 func (r *replica) heartbeat(acknowledged func()) {
 	w := r.world
 	if r.currentRegistry == nil {
@@ -118,7 +128,7 @@
 			})
 		})
 	})
-	w.after(time.Second, func() {
+	w.after(heartbeatTimeout, func() {
 		if !done && r.alive {
 			done, r.currentRegistry = true, nil
 			r.heartbeat(acknowledged)
@@ -146,7 +156,7 @@
 			w.after(w.Record.Limits.Drain+w.between(200*time.Millisecond, 800*time.Millisecond), end)
 		}
 	})
-	w.after(6*time.Second, func() {
+	w.after(leaveTimeout, func() {
 		if !acknowledged {
 			acknowledged = true
 			end()
@@ -177,7 +187,7 @@
 
 func (r *replica) receive(s *dispatch) {
 	w := r.world
-	at := Arrival{
+	arrival := Arrival{
 		At:          w.now,
 		Replica:     r.id,
 		Service:     r.service,
@@ -188,19 +198,19 @@
 		Sent:        s.sentAt,
 	}
 	if s.step.Replica.ID != r.id {
-		at.Misdirected = true
-		w.Record.Arrivals = append(w.Record.Arrivals, at)
+		arrival.Misdirected = true
+		w.Record.Arrivals = append(w.Record.Arrivals, arrival)
 		w.Counts["moved"]++
 		s.respond(func() { s.finish(relay.Outcome{Kind: relay.OutcomeNotRun, AddressReused: true}) })
 		return
 	}
-	w.Record.Arrivals = append(w.Record.Arrivals, at)
+	w.Record.Arrivals = append(w.Record.Arrivals, arrival)
 	j := &job{replica: r, dispatch: s, deadline: w.now + s.step.Timeout, queued: w.now}
 	s.job = j
 	switch {
 	case r.running < r.slots:
 		r.start(j)
-	case len(r.queue) < 3:
+	case len(r.queue) < maxQueued:
 		r.queue = append(r.queue, j)
 		w.after(w.between(100*time.Millisecond, 400*time.Millisecond), func() { r.reject(j) })
 	default:
@@ -236,8 +246,8 @@
 	r.running++
 	r.jobs = append(r.jobs, j)
 	text := ""
-	for _, before := range s.step.History {
-		text += string(before)
+	for _, entry := range s.step.History {
+		text += string(entry)
 	}
 	w.Record.Runs = append(w.Record.Runs, Execution{At: w.now, Sent: s.sentAt, Replica: r.id, Service: r.service, Node: s.request.node.id, Incarnation: s.request.incarnation, Attempt: s.request.request.Attempt,
 		Tenant: s.step.Tenant, Text: text + s.request.request.Input, FirstEvent: s.request.events})
@@ -251,23 +261,23 @@
 			}
 			o := relay.Outcome{Kind: relay.OutcomeComplete, Load: r.load()}
 			switch {
-			case draw < 0.02:
+			case draw < lostAnswerRate:
 				w.Counts["answers lost"]++
 				o = relay.Outcome{Kind: relay.OutcomeInterrupted}
-			case draw < 0.04:
+			case draw < lostAnswerRate+failedAnswerRate:
 				o.Failed = true
 			}
 			s.respond(func() { s.finish(o) })
 		})
 		return
 	}
-	per := tokensPerEvent(r.service)
-	count := max(1, int64(hash(s.request.request.Attempt)%uint64(max(1, s.request.request.MaxTokens/per)))+1)
-	if s.request.request.MaxTokens/per < count {
-		count = s.request.request.MaxTokens / per
+	eventTokens := tokensPerEvent(r.service)
+	count := max(1, int64(hash(s.request.request.Attempt)%uint64(max(1, s.request.request.MaxTokens/eventTokens)))+1)
+	if s.request.request.MaxTokens/eventTokens < count {
+		count = s.request.request.MaxTokens / eventTokens
 	}
 	breakAt := int64(-1)
-	if w.chance(0.05) {
+	if w.chance(brokenStreamRate) {
 		breakAt = s.request.events + int64(w.random.IntN(int(count)+1))
 	}
 	var next func(n int64)
@@ -292,7 +302,7 @@
 		}
 		w.Record.Runs[run].Events++
 		w.Record.Runs[run].Output += streamEvent(s.request.request.Attempt, n) + "\n"
-		s.respond(func() { s.relayEvent(n, per) })
+		s.respond(func() { s.relayEvent(n, eventTokens) })
 		w.after(w.between(4*time.Millisecond, 30*time.Millisecond), func() { next(n + 1) })
 	}
 	w.after(w.between(5*time.Millisecond, 40*time.Millisecond), func() { next(s.request.events + 1) })
@@ -325,7 +335,6 @@
 	}
 }
 
-// cancel ends a job whose connection closed.
 func (j *job) cancel() {
 	if j.ended || !j.replica.alive {
 		return
@@ -362,9 +371,9 @@
 		if w.chance(0.4) {
 			service = []string{modelA, modelB, plainA, plainB}[w.random.IntN(4)]
 		}
-		for _, short := range []string{modelA, modelB, plainA, plainB} {
-			if n := counts[short]; n < 3 && short != service {
-				service = short
+		for _, scarce := range []string{modelA, modelB, plainA, plainB} {
+			if n := counts[scarce]; n < 3 && scarce != service {
+				service = scarce
 				break
 			}
 		}
--- a/rehearsalkit/relaysim/requester.go
+++ b/rehearsalkit/relaysim/requester.go
@@ -27,31 +27,33 @@
 // program is a chain of turns that may branch.
 type program struct {
 	*conversation
-	name    string
-	budget  int64
-	stopped bool
-	// triesAfter402 counts the attempts after the budget was reported as spent.
+	name          string
+	budget        int64
+	stopped       bool
 	triesAfter402 int
 }
 
-func (t *conversation) startProgram(previous string) {
-	w := t.world
+func (c *conversation) startProgram(previous string) {
+	w := c.world
 	if w.requestersDone() {
 		return
 	}
-	p := &program{conversation: t, name: w.uniqueID("p"), budget: int64(w.between(150, 700))}
-	if t.runaway {
+	p := &program{conversation: c, name: w.uniqueID("p"), budget: int64(w.between(150, 700))}
+	if c.runaway {
 		p.budget = int64(w.between(100, 300))
 	}
 	turns := 3 + w.random.IntN(6)
-	if t.runaway {
+	if c.runaway {
 		turns = 1000
 	}
-	p.takeTurns(previous, turns, func() { w.after(w.between(50*time.Millisecond, 500*time.Millisecond), func() { t.startProgram("") }) })
+	p.takeTurns(previous, turns, func() { w.after(w.between(50*time.Millisecond, 500*time.Millisecond), func() { c.startProgram("") }) })
 }
 
+// windDownTime is the time before the end of a run in which requesters start nothing new.
+const windDownTime = 3 * time.Second
+
 // requestersDone reports whether requesters start nothing new.
-func (w *World) requestersDone() bool { return w.Record.End > 0 && w.now > w.Record.End-3*time.Second }
+func (w *World) requestersDone() bool { return w.Record.End > 0 && w.now > w.Record.End-windDownTime }
 
 func (p *program) takeTurns(previous string, turns int, done func()) {
 	w := p.world
@@ -75,10 +77,11 @@
 			w.callService("tool", "/tool/x", p.key, p.name, 0)
 		}
 		if p.runaway || w.chance(0.25) {
-			helpers := 2
-			for i := 0; i < 2; i++ {
+			const branches = 2
+			openBranches := branches
+			for i := 0; i < branches; i++ {
 				p.takeTurns(attempt, 1+w.random.IntN(2), func() {
-					if helpers--; helpers == 0 {
+					if openBranches--; openBranches == 0 {
 						next()
 					}
 				})
@@ -106,12 +109,12 @@
 		Deadline:  4 * time.Second,
 	}
 	w.sendRequest(w.readyNode(), q, func(r *Request) {
-		retry := func(after time.Duration, b, f int) {
-			if b > 2 || f > 8 || w.requestersDone() {
+		retry := func(after time.Duration, brokenNow, refusedNow int) {
+			if brokenNow > 2 || refusedNow > 8 || w.requestersDone() {
 				done("")
 				return
 			}
-			w.after(after, func() { p.takeTurn(previous, b, f, done) })
+			w.after(after, func() { p.takeTurn(previous, brokenNow, refusedNow, done) })
 		}
 		switch {
 		case r.Outcome == Complete:
--- a/rehearsalkit/relaysim/resends.go
+++ b/rehearsalkit/relaysim/resends.go
@@ -15,20 +15,20 @@
 // resendBuckets are the upper bounds of the rows of a resendTable.
 var resendBuckets = []int{8, 16, 64, 256, 1 << 30}
 
-func (t resendTable) add(changes int, h registry.OrderResult) {
-	step := 0
-	for changes > resendBuckets[step] {
-		step++
+func (t resendTable) add(changes int, result registry.OrderResult) {
+	bucket := 0
+	for changes > resendBuckets[bucket] {
+		bucket++
 	}
-	row := t[resendBuckets[step]]
+	row := t[resendBuckets[bucket]]
 	if row == nil {
 		row = &resendCounts{}
-		t[resendBuckets[step]] = row
+		t[resendBuckets[bucket]] = row
 	}
 	switch {
-	case h.Uncertain:
+	case result.Uncertain:
 		row.inconclusive++
-	case h.Accepted:
+	case result.Accepted:
 		row.acked++
 	default:
 		row.refused++
@@ -36,11 +36,11 @@
 }
 
 func (t resendTable) merge(o resendTable) {
-	for step, row := range o {
-		sum := t[step]
+	for bucket, row := range o {
+		sum := t[bucket]
 		if sum == nil {
 			sum = &resendCounts{}
-			t[step] = sum
+			t[bucket] = sum
 		}
 		sum.acked += row.acked
 		sum.refused += row.refused
@@ -50,10 +50,10 @@
 
 func (t resendTable) lines() []string {
 	lines := []string{"", "| up to so many orders later | acknowledged again | refused | no clear answer |", "|---|---|---|---|"}
-	for _, step := range resendBuckets {
-		if row := t[step]; row != nil {
-			name := fmt.Sprint(step)
-			if step == resendBuckets[len(resendBuckets)-1] {
+	for _, bucket := range resendBuckets {
+		if row := t[bucket]; row != nil {
+			name := fmt.Sprint(bucket)
+			if bucket == resendBuckets[len(resendBuckets)-1] {
 				name = "more"
 			}
 			lines = append(lines, fmt.Sprintf("| %s | %d | %d | %d |", name, row.acked, row.refused, row.inconclusive))
--- a/rehearsalkit/relaysim/run.go
+++ b/rehearsalkit/relaysim/run.go
@@ -9,7 +9,6 @@
 // startupTime is the time for a fleet to be founded and to get its first table.
 const startupTime = 6 * time.Second
 
-// startFleet starts the fleet, its replicas and its first table, without requesters.
 func (w *World) startFleet(firstTable func()) {
 	end := w.beginDisruption(AnyStore)
 	w.bootAll()
@@ -56,16 +55,22 @@
 	w.runProbe()
 }
 
+const (
+	quietBeforeClosing = 5 * time.Second
+	// judgedRecovery is the time judged after the recovery time.
+	judgedRecovery = 6 * time.Second
+)
+
 // Run simulates one run and returns the world and the breaches.
 func Run(p Params) (*World, []Breach) {
 	w := New(p)
 	w.startFleet(w.applyFirstTable)
 	w.runUntil(startupTime)
 	w.faultsUntil = startupTime + p.FaultPeriod
-	closingAt := w.faultsUntil + 5*time.Second
+	closingAt := w.faultsUntil + quietBeforeClosing
 	w.Record.End = closingAt
 	if p.Closing != "" {
-		w.Record.End += 1500*time.Millisecond + recoveryTime + 6*time.Second
+		w.Record.End += maxRestart + recoveryTime + judgedRecovery
 		w.after(closingAt-w.now, w.injectClosingFault)
 	}
 	w.startWorkload()
@@ -73,7 +78,7 @@
 		w.after(time.Second, w.injectFault)
 		w.churn()
 	}
-	w.after(w.Record.End-3*time.Second-w.now, w.readFinalTable)
+	w.after(w.Record.End-windDownTime-w.now, w.readFinalTable)
 	w.runUntil(w.Record.End)
 	return w, w.Record.Judge()
 }
--- a/rehearsalkit/relaysim/secondloss.go
+++ b/rehearsalkit/relaysim/secondloss.go
@@ -63,7 +63,6 @@
 	return tolerated
 }
 
-// coreCount is the number of cores before the change.
 func (c lossCase) coreCount() int {
 	if c.change == changeRetirement {
 		return c.groupSize + 1
@@ -72,10 +71,8 @@
 }
 
 const (
-	// lossStartupTime is the time for the fleet to be founded.
 	lossStartupTime = 3500 * time.Millisecond
-	// lossAway is how long a lost machine is away.
-	lossAway = 700 * time.Millisecond
+	lossAway        = 700 * time.Millisecond
 	// changeLongest is when an unfinished change is given up.
 	changeLongest = 12 * time.Second
 	// lossAnswerTimeout is short because registries lose power too.
@@ -142,8 +139,15 @@
 
 func newLossRun(p Params, c lossCase, at int) *lossRun {
 	w := New(p)
-	f := newFindings(w)
-	r := &lossRun{lossCase: c, world: w, findings: f, history: newOrderHistory(w, f), lossPoint: at, lostUntil: map[*store]time.Duration{}}
+	findings := newFindings(w)
+	r := &lossRun{
+		lossCase:  c,
+		world:     w,
+		findings:  findings,
+		history:   newOrderHistory(w, findings),
+		lossPoint: at,
+		lostUntil: map[*store]time.Duration{},
+	}
 	r.history.answerTimeout = lossAnswerTimeout
 	w.observers.delivered = func(from string, to *process, body any) { r.countPoint(to) }
 	w.observers.synced = func(p *process, batches [][]core.Change) { r.countPoint(p) }
@@ -205,25 +209,25 @@
 }
 
 func (r *lossRun) requestRetirement() {
-	step := func(d Registry, now time.Duration, ticket uint64) registry.Output {
-		return d.Retire(now, ticket, r.leaving.core.id)
+	step := func(reg Registry, now time.Duration, ticket uint64) registry.Output {
+		return reg.Retire(now, ticket, r.leaving.core.id)
 	}
 	r.callUntil(callRetire, step, r.requestRetirement,
-		func(e registry.RetirementStatus) bool { return e.Known && e.EnoughCores },
+		func(status registry.RetirementStatus) bool { return status.Known && status.EnoughCores },
 		r.awaitRetirement)
 }
 
 func (r *lossRun) awaitRetirement() {
-	step := func(d Registry, now time.Duration, ticket uint64) registry.Output {
-		return d.RetirementStatus(now, ticket, r.leaving.core.id)
+	step := func(reg Registry, now time.Duration, ticket uint64) registry.Output {
+		return reg.RetirementStatus(now, ticket, r.leaving.core.id)
 	}
-	r.callUntil(callStatus, step, r.awaitRetirement, func(e registry.RetirementStatus) bool { return e.Done }, r.retired)
+	r.callUntil(callStatus, step, r.awaitRetirement, func(status registry.RetirementStatus) bool { return status.Done }, r.retired)
 }
 
 func (r *lossRun) callUntil(
 	kind string,
-	step func(d Registry, now time.Duration, ticket uint64) registry.Output, retry func(),
-	satisfied func(e registry.RetirementStatus) bool, next func(),
+	step func(reg Registry, now time.Duration, ticket uint64) registry.Output, retry func(),
+	satisfied func(status registry.RetirementStatus) bool, next func(),
 ) {
 	w := r.world
 	at := w.anyRegistry()
@@ -231,12 +235,12 @@
 		w.after(50*time.Millisecond, retry)
 		return
 	}
-	known := func(body any) bool { e, ok := body.(registry.RetirementStatus); return ok && !e.Uncertain }
+	known := func(body any) bool { status, ok := body.(registry.RetirementStatus); return ok && !status.Uncertain }
 	r.history.call(kind, at, step, known, func(body any) {
-		e, ok := body.(registry.RetirementStatus)
+		status, ok := body.(registry.RetirementStatus)
 		switch {
 		case r.doneAt > 0:
-		case ok && !e.Uncertain && satisfied(e):
+		case ok && !status.Uncertain && satisfied(status):
 			next()
 		default:
 			w.after(100*time.Millisecond, retry)
@@ -386,15 +390,15 @@
 		}
 	}
 	r.counting = false
-	since := max(r.restoredAt, started+lossAway)
-	if problem == "" && w.now > since+catchUpTime {
+	restored := max(r.restoredAt, started+lossAway)
+	if problem == "" && w.now > restored+catchUpTime {
 		problem = "whole only now"
 	}
 	switch {
 	case problem != "":
 		r.findings.breach(RuleGroupSize,
 			"at %v, %v after the change began and %v after all that comes back was there: %s",
-			w.now, w.now-started, w.now-since, problem)
+			w.now, w.now-started, w.now-restored, problem)
 	case r.lossPoint == 0:
 		r.findings.recordDuration("without a loss: "+r.change+fmt.Sprintf(", groups of %d", r.groupSize), w.now-started)
 	default:
--- a/rehearsalkit/relaysim/secondloss_test.go
+++ b/rehearsalkit/relaysim/secondloss_test.go
@@ -25,7 +25,7 @@
 // forgingStatusRegistry forges the status of retirements.
 type forgingStatusRegistry struct {
 	Registry
-	forge func(e registry.RetirementStatus) registry.RetirementStatus
+	forge func(status registry.RetirementStatus) registry.RetirementStatus
 }
 
 func (s *forgingStatusRegistry) RetirementStatus(now time.Duration, ticket uint64, id string) registry.Output {
@@ -53,8 +53,8 @@
 		inject                   func(p *Params)
 	}{
 		{"retirements are reported done at once", RuleRetirement, changePlanned, lossPower, func(p *Params) {
-			p.WrapRegistry = func(d Registry) Registry {
-				return &forgingStatusRegistry{Registry: d, forge: func(e registry.RetirementStatus) registry.RetirementStatus { e.Done = true; return e }}
+			p.WrapRegistry = func(reg Registry) Registry {
+				return &forgingStatusRegistry{Registry: reg, forge: func(status registry.RetirementStatus) registry.RetirementStatus { status.Done = true; return status }}
 			}
 		}},
 		{"a new core is sent no replica messages", RuleGroupSize, changeReplacement, lossPower, alterMessages(func(from, to string, b core.ReplicaMessage) (core.ReplicaMessage, bool) {
--- a/rehearsalkit/relaysim/start.go
+++ b/rehearsalkit/relaysim/start.go
@@ -6,18 +6,18 @@
 	"saffronfall/peer/core"
 )
 
-func (w *World) startScenario(b *orderHistory) {
-	w.startFleet(func() { b.applyFirstTable() })
+func (w *World) startScenario(history *orderHistory) {
+	w.startFleet(func() { history.applyFirstTable() })
 	w.runUntil(startupTime)
 }
 
 // finishScenario reads the table in force and judges the run.
-func (w *World) finishScenario(b *orderHistory) {
+func (w *World) finishScenario(history *orderHistory) {
 	w.Record.End = w.now + answerTimeout
 	var last *tableRead
 	var retry func()
 	retry = func() {
-		b.read(w.anyRegistry(), func(t core.CurrentTable, ok bool) {
+		history.read(w.anyRegistry(), func(t core.CurrentTable, ok bool) {
 			if ok && last == nil {
 				last = &tableRead{started: w.now, ended: w.now, number: t.Number, text: t.Text}
 				w.Record.FinalReads = append(w.Record.FinalReads, ReadBack{At: w.now, Number: t.Number, Text: t.Text})
@@ -32,9 +32,9 @@
 	}
 	w.Record.End = w.now
 	if last == nil {
-		b.findings.breach(RuleDurable, "no table could be read back at the end")
+		history.findings.breach(RuleDurable, "no table could be read back at the end")
 		return
 	}
-	b.judge(*last)
-	b.findings.Breaches = append(b.findings.Breaches, w.Record.JudgeTables()...)
+	history.judge(*last)
+	history.findings.Breaches = append(history.findings.Breaches, w.Record.JudgeTables()...)
 }
--- a/rehearsalkit/relaysim/turnlog.go
+++ b/rehearsalkit/relaysim/turnlog.go
@@ -49,7 +49,6 @@
 	w.after(every, func() { b.storeTurns(every) })
 }
 
-// readAll checks that every acknowledged turn can be read unchanged.
 func (b *turnLog) readAll(within time.Duration) {
 	w := b.client.process.world
 	waiting := len(b.acked)
@@ -70,5 +69,4 @@
 	}
 }
 
-// key is the turn's key at the cores.
 func (t ackedTurn) key() string { return "kept/" + t.attempt }
--- a/rehearsalkit/relaysim/world.go
+++ b/rehearsalkit/relaysim/world.go
@@ -161,7 +161,7 @@
 
 func (w *World) chance(p float64) bool { return w.random.Float64() < p }
 
-func (w *World) delay() time.Duration { return w.between(200*time.Microsecond, 2*time.Millisecond) }
+func (w *World) delay() time.Duration { return w.between(minMessageDelay, maxMessageDelay) }
 
 func (w *World) uniqueID(kind string) string {
 	w.lastID++
@@ -185,7 +185,7 @@
 }
 
 // callRegistry makes a call whose answer may never arrive.
-func (w *World) callRegistry(at *process, step func(d Registry, now time.Duration, ticket uint64) registry.Output, done func(body any)) {
+func (w *World) callRegistry(at *process, step func(reg Registry, now time.Duration, ticket uint64) registry.Output, done func(body any)) {
 	w.after(w.delay(), func() {
 		at.do(func() {
 			at.lastTicket++
@@ -230,6 +230,9 @@
 	return lines
 }
 
+// anyNodeRate is the fraction of requests that go to any node.
+const anyNodeRate = 0.05
+
 func (w *World) readyNode() *process {
 	var ready []*process
 	for _, n := range w.nodes {
@@ -237,7 +240,7 @@
 			ready = append(ready, n)
 		}
 	}
-	if len(ready) == 0 || w.chance(0.05) {
+	if len(ready) == 0 || w.chance(anyNodeRate) {
 		return w.nodes[w.random.IntN(len(w.nodes))]
 	}
 	return ready[w.random.IntN(len(ready))]
