--- a/rehearsalkit/relaysim/judge_streams.go
+++ b/rehearsalkit/relaysim/judge_streams.go
@@ -4,26 +4,24 @@
 	"strings"
 )
 
-// history is the input that a turn continuing from the given attempt receives before
-// its own input.
+// history is the input that precedes a turn continuing from the attempt.
 func (b *recordIndex) history(attempt, tenant string, depth int) (string, bool) {
 	q := b.requests[attempt]
 	if q == nil || q.Tenant != tenant || depth > 1000 {
 		return "", false
 	}
-	before := ""
+	earlier := ""
 	if q.Previous != "" {
 		var ok bool
-		if before, ok = b.history(q.Previous, tenant, depth+1); !ok {
+		if earlier, ok = b.history(q.Previous, tenant, depth+1); !ok {
 			return "", false
 		}
 	}
 	output, complete := b.output(attempt)
-	return before + q.Input + output, complete
+	return earlier + q.Input + output, complete
 }
 
-// output joins the output of all executions of an attempt and reports whether any of
-// them completed.
+// output joins the output of all executions of an attempt and reports whether one completed.
 func (b *recordIndex) output(attempt string) (string, bool) {
 	var joined []string
 	complete := false
@@ -48,12 +46,14 @@
 		}
 		want := q.Input
 		if q.Previous != "" {
-			before, ok := b.history(q.Previous, q.Tenant, 0)
+			earlier, ok := b.history(q.Previous, q.Tenant, 0)
 			if !ok {
-				list = append(list, breach(RuleHistory, "%s ran at %v and goes on from %s, which is no turn of its tenant", run.Attempt, run.At, q.Previous))
+				list = append(list, breach(RuleHistory,
+					"%s ran at %v and goes on from %s, which is no turn of its tenant",
+					run.Attempt, run.At, q.Previous))
 				continue
 			}
-			want = before + want
+			want = earlier + want
 		}
 		if run.Text != want {
 			list = append(list, breach(RuleHistory, "%s ran at %v with %q and not with %q", run.Attempt, run.At, run.Text, want))
--- a/rehearsalkit/relaysim/judge_tables.go
+++ b/rehearsalkit/relaysim/judge_tables.go
@@ -16,7 +16,9 @@
 			list = append(list, breach(RuleTableRace, "table %d (%s) is invalid and was acknowledged at %v", t.Number, t.ID, t.AckedAt))
 		}
 		if other := onBase[t.Base]; other != nil {
-			list = append(list, breach(RuleTableRace, "tables %d (%s) and %d (%s) were both acknowledged on base %d", other.Number, other.ID, t.Number, t.ID, t.Base))
+			list = append(list, breach(RuleTableRace,
+				"tables %d (%s) and %d (%s) were both acknowledged on base %d",
+				other.Number, other.ID, t.Number, t.ID, t.Base))
 		}
 		onBase[t.Base] = t
 		if newest == nil || newest.Number < t.Number {
@@ -25,7 +27,9 @@
 	}
 	for _, read := range b.FinalReads {
 		if newest != nil && read.Number < newest.Number {
-			list = append(list, breach(RuleDurable, "table %d was read back at %v, and %d had been acknowledged", read.Number, read.At, newest.Number))
+			list = append(list, breach(RuleDurable,
+				"table %d was read back at %v, and %d had been acknowledged",
+				read.Number, read.At, newest.Number))
 			continue
 		}
 		sent, refused := false, false
@@ -35,7 +39,9 @@
 			}
 		}
 		if !sent || refused {
-			list = append(list, breach(RuleDurable, "table %d was read back at %v: not what was sent under its number, or refused", read.Number, read.At))
+			list = append(list, breach(RuleDurable,
+				"table %d was read back at %v: not what was sent under its number, or refused",
+				read.Number, read.At))
 		}
 	}
 	if newest != nil && len(b.FinalReads) == 0 && b.End > 0 {
@@ -44,7 +50,7 @@
 	return list
 }
 
-// evidence is one observation that shows which tables a node may have had in force.
+// evidence is an observation of which tables a node may have had in force.
 type evidence struct {
 	request     *Request
 	at          time.Duration
@@ -55,8 +61,7 @@
 	what        string
 }
 
-// collectEvidence lists all observations that show which tables were in force, ordered
-// by time.
+// collectEvidence lists all evidence, ordered by time.
 func (b *recordIndex) collectEvidence() (list []evidence) {
 	for i := range b.Arrivals {
 		a := &b.Arrivals[i]
@@ -64,22 +69,26 @@
 		if q == nil || a.Misdirected {
 			continue
 		}
-		list = append(list, evidence{request: q, at: a.At, sent: q.At, node: a.Node, incarnation: a.Incarnation, what: "sent to " + a.Service + " as " + a.Tenant, fits: func(t *Table) bool {
-			r, ok := t.route(q.Path)
-			if !ok {
-				return false
-			}
-			holder := t.KeyTenants[q.Key]
-			if holder != a.Tenant || holder == "" && !r.Public {
-				return false
-			}
-			for _, s := range r.Services {
-				if s == a.Service {
-					return true
+		list = append(list, evidence{
+			request: q, at: a.At, sent: q.At, node: a.Node, incarnation: a.Incarnation,
+			what: "sent to " + a.Service + " as " + a.Tenant,
+			fits: func(t *Table) bool {
+				r, ok := t.route(q.Path)
+				if !ok {
+					return false
 				}
-			}
-			return false
-		}})
+				holder := t.KeyTenants[q.Key]
+				if holder != a.Tenant || holder == "" && !r.Public {
+					return false
+				}
+				for _, s := range r.Services {
+					if s == a.Service {
+						return true
+					}
+				}
+				return false
+			},
+		})
 	}
 	for _, q := range b.Requests {
 		if q.Outcome != Refused {
@@ -102,14 +111,17 @@
 		default:
 			continue
 		}
-		list = append(list, evidence{request: q, at: q.Ended, sent: q.At, node: q.Node, incarnation: q.Incarnation, what: "answered " + itoa(q.Status), fits: fits})
+		list = append(list, evidence{
+			request: q, at: q.Ended, sent: q.At, node: q.Node, incarnation: q.Incarnation,
+			what: "answered " + itoa(q.Status), fits: fits,
+		})
 	}
 	sort.SliceStable(list, func(i, j int) bool { return list[i].at < list[j].at })
 	return list
 }
 
-// checkHandling checks that each request was handled by a table that is valid, recent
-// enough and not older than one the same incarnation used before.
+// checkHandling checks that each request was handled by a valid and recent enough table, not older
+// than one that the same incarnation had used.
 func (b *recordIndex) checkHandling() (list []Breach) {
 	type proof struct {
 		at     time.Duration
@@ -123,16 +135,16 @@
 			list = append(list, breach(rule, format, args...))
 		}
 	}
-	for _, s := range b.collectEvidence() {
-		incarnation := s.node + "/" + itoa(s.incarnation)
+	for _, e := range b.collectEvidence() {
+		incarnation := e.node + "/" + itoa(e.incarnation)
 		var lowest, highest uint64
 		fits, any := 0, false
 		for _, t := range b.tablesByNumber {
-			if t.SentAt > s.at {
+			if t.SentAt > e.at {
 				continue
 			}
 			any = true
-			if t.Refused || !t.Valid || !s.fits(t) {
+			if t.Refused || !t.Valid || !e.fits(t) {
 				continue
 			}
 			if fits == 0 {
@@ -144,30 +156,30 @@
 		if !any {
 			continue
 		}
-		q := s.request
+		q := e.request
 		if fits == 0 {
-			add(RuleTableAllows, incarnation, "%s %s was %s at %v by %s, which no table that was handed over and not refused allows", q.Kind, q.Attempt, s.what, s.at, s.node)
+			add(RuleTableAllows, incarnation, "%s %s was %s at %v by %s, which no table that was handed over and not refused allows", q.Kind, q.Attempt, e.what, e.at, e.node)
 			continue
 		}
 		for _, t := range b.tablesByNumber {
 			if !t.Acked || t.Number <= highest {
 				continue
 			}
-			late := s.sent > t.AckedAt+b.Limits.Apply && b.inTouch(s.node, min(t.AckedAt, s.sent-b.Limits.Contact), s.at)
-			late = late || s.sent > t.AckedAt+b.Limits.Apply+b.Limits.ApplyWithoutStores && b.nodeUndisturbed(s.node, t.AckedAt, s.at)
+			late := e.sent > t.AckedAt+b.Limits.Apply && b.contactUndisturbed(e.node, min(t.AckedAt, e.sent-b.Limits.Contact), e.at)
+			late = late || e.sent > t.AckedAt+b.Limits.Apply+b.Limits.ApplyWithoutStores && b.nodeUndisturbed(e.node, t.AckedAt, e.at)
 			if late {
-				add(RuleTableLag, incarnation, "%s %s, sent at %v to %s, was %s, as only tables up to %d allow; %d had been acknowledged at %v", q.Kind, q.Attempt, s.sent, s.node, s.what, highest, t.Number, t.AckedAt)
+				add(RuleTableLag, incarnation, "%s %s, sent at %v to %s, was %s, as only tables up to %d allow; %d had been acknowledged at %v", q.Kind, q.Attempt, e.sent, e.node, e.what, highest, t.Number, t.AckedAt)
 				break
 			}
 		}
 		for _, p := range proofs[incarnation] {
-			if p.number > highest && s.sent > p.at+b.Limits.Revert {
-				add(RuleNoRollback, incarnation, "%s %s, sent at %v, was %s by %s, as only tables up to %d allow; the same life had shown %d at %v", q.Kind, q.Attempt, s.sent, s.what, s.node, highest, p.number, p.at)
+			if p.number > highest && e.sent > p.at+b.Limits.Revert {
+				add(RuleNoRollback, incarnation, "%s %s, sent at %v, was %s by %s, as only tables up to %d allow; the same life had shown %d at %v", q.Kind, q.Attempt, e.sent, e.what, e.node, highest, p.number, p.at)
 				break
 			}
 		}
 		if list := proofs[incarnation]; len(list) == 0 || list[len(list)-1].number < lowest {
-			proofs[incarnation] = append(list, proof{at: s.at, number: lowest})
+			proofs[incarnation] = append(list, proof{at: e.at, number: lowest})
 		}
 	}
 	return list
--- a/rehearsalkit/relaysim/leaveloss_test.go
+++ b/rehearsalkit/relaysim/leaveloss_test.go
@@ -7,7 +7,7 @@
 	"saffronfall/peer/registry"
 )
 
-// earlyAckRegistry acknowledges that a replica leaves before any other process can know it.
+// earlyAckRegistry acknowledges a leave before any other process can know it.
 type earlyAckRegistry struct{ Registry }
 
 func (d earlyAckRegistry) Heartbeat(now time.Duration, ticket uint64, r registry.Replica) registry.Output {
@@ -16,11 +16,10 @@
 	return o
 }
 
-// loseAckingRegistry has a registry fail right after it was told that a replica leaves, with
-// all that it had sent, and counts the requests that reach the replica too long after
-// an acknowledgement. The bound holds even though the acknowledging machine is
-// disrupted.
-func loseAckingRegistry(seed uint64, wrap func(d Registry) Registry) (acknowledged, late int) {
+// loseAckingRegistry has a registry fail, with all that it had sent, right after it acknowledged a
+// leave, and counts the requests that reach the replica too late. The bound holds although the
+// acknowledging machine is disrupted.
+func loseAckingRegistry(seed uint64, wrap func(reg Registry) Registry) (acknowledged, late int) {
 	p := Defaults(seed)
 	p.Faults, p.Operators, p.Closing = false, 0, ""
 	p.Callers = 30
@@ -60,8 +59,6 @@
 	return acknowledged, late
 }
 
-// TestAcknowledgedLeaveSurvivesRegistryLoss checks that an acknowledged leave takes effect
-// although the acknowledging registry fails at that moment.
 func TestAcknowledgedLeaveSurvivesRegistryLoss(t *testing.T) {
 	const seeds = 12
 	acknowledged := 0
@@ -77,7 +74,7 @@
 	}
 	found := 0
 	for seed := uint64(1); seed <= seeds && found == 0; seed++ {
-		_, late := loseAckingRegistry(seed, func(d Registry) Registry { return earlyAckRegistry{d} })
+		_, late := loseAckingRegistry(seed, func(reg Registry) Registry { return earlyAckRegistry{reg} })
 		found += late
 	}
 	if found == 0 {
--- a/rehearsalkit/relaysim/longcut_test.go
+++ b/rehearsalkit/relaysim/longcut_test.go
@@ -9,8 +9,7 @@
 	"saffronfall/rule/message"
 )
 
-// TestLongCut cuts off one core and one registry twice each, in every mode. The kit's
-// command runs all machines.
+// The kit's command cuts off all machines; this test one core and one registry.
 func TestLongCut(t *testing.T) {
 	for seed := uint64(1); seed <= uint64(len(cutModes)); seed++ {
 		t.Run(cutModes[seed%uint64(len(cutModes))], func(t *testing.T) {
@@ -43,7 +42,6 @@
 	t.Errorf("no breach of %q in any seed, only %.300v", rule, seen)
 }
 
-// alterMessages applies a change to all messages of one type.
 func alterMessages[T any](change func(from, to string, body T) (T, bool)) func(p *Params) {
 	return func(p *Params) {
 		p.Alter = func(from, to string, body any) (any, bool) {
@@ -55,8 +53,7 @@
 	}
 }
 
-// TestLongCutBreaks breaks the control side on purpose and checks that the judge
-// reports the broken rule.
+// Guards against faults of the control side that the judge misses.
 func TestLongCutBreaks(t *testing.T) {
 	for _, c := range []struct {
 		name, rule string
@@ -64,11 +61,11 @@
 	}{
 		{"desks refuse some accepted orders", RuleAcceptedNotRefused, func(p *Params) {
 			some := everyNth(5)
-			forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
-				if h.Accepted && h.Number > 1 && some() {
+			forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+				if result.Accepted && result.Number > 1 && some() {
 					return registry.OrderResult{RaceLost: true}
 				}
-				return h
+				return result
 			})(p)
 		}},
 		{"orders reach the cores with another base", RuleRefusedByRace, alterMessages(func(from, to string, c core.Command) (core.Command, bool) {
@@ -79,23 +76,23 @@
 			}
 			return c, true
 		})},
-		{"desks acknowledge orders with unknown outcome", RuleDurable, forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
-			h.Accepted, h.Uncertain = h.Accepted || h.Uncertain, false
-			return h
+		{"desks acknowledge orders with unknown outcome", RuleDurable, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+			result.Accepted, result.Uncertain = result.Accepted || result.Uncertain, false
+			return result
 		})},
-		{"desks acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
-			h.Accepted, h.RaceLost = h.Accepted || h.RaceLost, false
-			return h
+		{"desks acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+			result.Accepted, result.RaceLost = result.Accepted || result.RaceLost, false
+			return result
 		})},
 		{"desks always report a fresh confirmation", RuleNewestTable, alterMessages(func(from, to string, b registry.Update) (registry.Update, bool) {
 			b.ConfirmationAge = min(b.ConfirmationAge, 0)
 			return b, true
 		})},
 		{"desks leave inconclusive calls unanswered", RuleCallBound, func(p *Params) {
-			p.WrapRegistry = func(d Registry) Registry { return &unansweringRegistry{d} }
+			p.WrapRegistry = func(reg Registry) Registry { return &unansweringRegistry{reg} }
 		}},
 		{"desks acknowledge heartbeats that they cannot pass on", RuleIsolatedRegistry, func(p *Params) {
-			p.WrapRegistry = func(d Registry) Registry { return earlyAckRegistry{d} }
+			p.WrapRegistry = func(reg Registry) Registry { return earlyAckRegistry{reg} }
 		}},
 		{"a desk receives no more freshness messages", RuleFleetRecovery, func(p *Params) {
 			received := 0
@@ -120,7 +117,7 @@
 	}
 }
 
-// unansweringRegistry is a registry that drops its inconclusive answers.
+// unansweringRegistry drops its inconclusive answers.
 type unansweringRegistry struct{ Registry }
 
 func (m *unansweringRegistry) out(o registry.Output) registry.Output {
--- a/rehearsalkit/relaysim/manychanges.go
+++ b/rehearsalkit/relaysim/manychanges.go
@@ -18,16 +18,15 @@
 
 var diskStates = []string{diskOld, diskTorn, diskEmpty}
 
-// Bounds of the scenario manychanges.
 const (
 	// tornWindow is the interval before the stop whose writes a torn disk lacks.
 	tornWindow = 60 * time.Millisecond
-	// logFactor and smallestSlot are those of the core's process, which starts a new slot
-	// once the log is longer than logFactor times the slot.
+	// A core's process starts a new slot, of at least smallestSlot bytes, once the log is longer
+	// than logFactor times the slot.
 	logFactor    = 4
 	smallestSlot = 1 << 20
-	// catchUpStates and catchUpExtra bound the bytes sent to a machine until it has caught
-	// up: catchUpStates times a core's state, and catchUpExtra for regular traffic.
+	// Catching up may take catchUpStates times a core's state, and catchUpExtra bytes for
+	// regular traffic.
 	catchUpStates = 4
 	catchUpExtra  = 1 << 20
 	// stateGrowth and memoryGrowth bound the bytes that each further change may add.
@@ -35,7 +34,7 @@
 	memoryGrowth = 1024
 	// maxChangeTime bounds the average time per change.
 	maxChangeTime = 200 * time.Millisecond
-	// sampleEvery is the default number of changes between two samples of sizes.
+	// sampleEvery is the default number of changes between two samples.
 	sampleEvery = 300
 )
 
@@ -48,27 +47,26 @@
 
 // manyChanges applies thousands of tables while single machines are away.
 type manyChanges struct {
-	world     *World
-	findings  *Findings
-	history   *orderHistory
-	health    *health
-	diskState string
-	stopped   bool
-	// sampleEvery is the number of changes between two samples of sizes.
+	world       *World
+	findings    *Findings
+	history     *orderHistory
+	health      *health
+	diskState   string
+	stopped     bool
 	sampleEvery int
 	logs        map[*process]*logMeter
 	samples     []sizes
 	// images are earlier contents of cores' disks.
 	images map[*process]core.Stored
-	// received counts the bytes sent to each address.
+	// received counts bytes by address.
 	received map[string]int64
 }
 
 // logMeter tracks the length of a core's log as the core's process would keep it.
 type logMeter struct{ size, slot, longest int64 }
 
-// sizes are the sizes of the largest machine of each kind after a number of changes.
-// All but changes and entries are in bytes.
+// sizes are those of the largest machine of each kind after a number of changes, in bytes except
+// for changes and entries.
 type sizes struct {
 	changes                                int
 	log, state, entries                    int64
@@ -80,10 +78,19 @@
 }
 
 func newManyChanges(w *World) *manyChanges {
-	f := newFindings(w)
-	b := newOrderHistory(w, f)
-	m := &manyChanges{world: w, findings: f, history: b, health: w.watchHealth(b), diskState: diskStates[w.Params.Seed%uint64(len(diskStates))], sampleEvery: sampleEvery,
-		logs: map[*process]*logMeter{}, images: map[*process]core.Stored{}, received: map[string]int64{}}
+	findings := newFindings(w)
+	history := newOrderHistory(w, findings)
+	m := &manyChanges{
+		world:       w,
+		findings:    findings,
+		history:     history,
+		health:      w.watchHealth(history),
+		diskState:   diskStates[w.Params.Seed%uint64(len(diskStates))],
+		sampleEvery: sampleEvery,
+		logs:        map[*process]*logMeter{},
+		images:      map[*process]core.Stored{},
+		received:    map[string]int64{},
+	}
 	sendObserver := w.observers.sent
 	w.observers.sent = func(from *process, to string, body any) {
 		sendObserver(from, to, body)
@@ -93,8 +100,8 @@
 	return m
 }
 
-// play applies tables up to the given total. For each element of away one machine
-// misses that many changes.
+// play applies tables up to the total. For each element of away one machine misses that many
+// changes.
 func (m *manyChanges) play(away []int, changes int) *Findings {
 	w := m.world
 	w.Record.End = time.Hour
@@ -114,8 +121,6 @@
 	return m.findings
 }
 
-// applyNext reads the table in force and applies the next one, until the scenario
-// stops.
 func (m *manyChanges) applyNext() {
 	w := m.world
 	if m.stopped {
@@ -131,8 +136,8 @@
 }
 
 func (m *manyChanges) applyUntilAnswered(o *order) {
-	m.history.send(o, m.world.liveRegistry(), func(h registry.OrderResult) {
-		if h.Uncertain {
+	m.history.send(o, m.world.liveRegistry(), func(result registry.OrderResult) {
+		if result.Uncertain {
 			m.applyUntilAnswered(o)
 			return
 		}
@@ -143,7 +148,6 @@
 	})
 }
 
-// liveRegistry returns a random running registry.
 func (w *World) liveRegistry() *process {
 	for {
 		if at := w.anyRegistry(); at.alive {
@@ -152,7 +156,7 @@
 	}
 }
 
-// awaitChanges advances time until the given number of tables is acknowledged.
+// awaitChanges advances time until that many tables are acknowledged.
 func (m *manyChanges) awaitChanges(changes int) {
 	w := m.world
 	deadline := w.now + maxChangeTime*time.Duration(20+changes-len(m.history.acked))
@@ -164,8 +168,8 @@
 	}
 }
 
-// awayFor stops a store and a node for a number of changes, and checks that they catch
-// up in time and with bounded traffic.
+// awayFor stops a store and a node for a number of changes, and checks that they catch up in time
+// and with bounded traffic.
 func (m *manyChanges) awayFor(s *store, node *process, changes int) {
 	w := m.world
 	name := fmt.Sprintf("away for %d changes, %s", changes, m.diskState)
@@ -211,7 +215,6 @@
 	return image
 }
 
-// judgeBytes bounds the bytes sent to machines until they had caught up.
 func (m *manyChanges) judgeBytes(name string, processes []*process, sum int64) {
 	for _, p := range processes {
 		sum += m.received[p.address]
@@ -222,8 +225,6 @@
 	}
 }
 
-// watchLeader checks regularly that the leader of the configuration partition holds all
-// acknowledged tables.
 func (m *manyChanges) watchLeader() {
 	w := m.world
 	if m.stopped {
@@ -234,16 +235,17 @@
 	if leader == nil || len(m.history.acked) == 0 {
 		return
 	}
-	var has core.CurrentTable
+	var held core.CurrentTable
 	raw := leader.core.core.Partition(core.ConfigurationPartition).State().Entries[core.TableKey].Value
-	if message.Unmarshal(raw, &has) == nil && has.Number < m.history.newestSeen {
-		m.findings.breach(RuleLeaderCurrent, "%s owns the configuration at %v with table %d, and %d had been told", leader.core.id, w.now, has.Number, m.history.newestSeen)
+	if message.Unmarshal(raw, &held) == nil && held.Number < m.history.newestSeen {
+		m.findings.breach(RuleLeaderCurrent,
+			"%s owns the configuration at %v with table %d, and %d had been told",
+			leader.core.id, w.now, held.Number, m.history.newestSeen)
 	}
 }
 
-// synced updates the length of a core's log.
 func (m *manyChanges) synced(p *process, batches [][]core.Change) {
-	const head = 12
+	const headerBytes = 12
 	log := m.logs[p]
 	if log == nil {
 		log = &logMeter{slot: smallestSlot}
@@ -253,65 +255,64 @@
 	for _, batch := range batches {
 		changes = append(changes, batch...)
 	}
-	log.size += head + int64(len(message.Marshal(changes)))
+	log.size += headerBytes + int64(len(message.Marshal(changes)))
 	log.longest = max(log.longest, log.size)
 	if log.size > logFactor*log.slot {
 		log.size, log.slot = 0, max(smallestSlot, int64(len(message.Marshal(p.disk.stored))))
 	}
 }
 
-// size measures disks and logs.
 func (m *manyChanges) size(changes int) sizes {
 	w := m.world
-	now := sizes{changes: changes}
+	current := sizes{changes: changes}
 	for _, log := range m.logs {
-		now.log = max(now.log, log.longest)
+		current.log = max(current.log, log.longest)
 	}
 	for _, s := range w.presentStores() {
-		now.state = max(now.state, int64(len(message.Marshal(s.core.disk.stored))))
+		current.state = max(current.state, int64(len(message.Marshal(s.core.disk.stored))))
 		entries := 0
 		for _, c := range s.core.disk.stored.Replicas {
 			entries += len(c.Entries)
 		}
-		now.entries = max(now.entries, int64(entries))
+		current.entries = max(current.entries, int64(entries))
 	}
-	return now
+	return current
 }
 
-// sample records the sizes of all machines, memory included.
 func (m *manyChanges) sample(changes int) {
-	now := m.size(changes)
+	current := m.size(changes)
 	for _, p := range m.world.processes {
 		if !p.alive {
 			continue
 		}
 		switch {
 		case p.disk != nil:
-			now.coreMemory = max(now.coreMemory, footprint(p.core))
+			current.coreMemory = max(current.coreMemory, footprint(p.core))
 		case p.isRegistry:
-			now.registryMemory = max(now.registryMemory, footprint(p.registry))
+			current.registryMemory = max(current.registryMemory, footprint(p.registry))
 		case p.node != nil:
-			now.nodeMemory = max(now.nodeMemory, footprint(p.node))
+			current.nodeMemory = max(current.nodeMemory, footprint(p.node))
 		}
 	}
-	m.samples = append(m.samples, now)
+	m.samples = append(m.samples, current)
 }
 
-// judgeSizes adds the samples to the findings and bounds their growth with the number
-// of changes.
+// judgeSizes reports the samples and bounds their growth per change.
 func (m *manyChanges) judgeSizes() {
 	f := m.findings
 	f.Lines = append(f.Lines, "", fmt.Sprintf("seed %d, %s", f.Seed, m.diskState), "",
-		"| changes | longest log, bytes | state, bytes | entries | core memory | desk memory | node memory |", "|---|---|---|---|---|---|---|")
+		"| changes | longest log, bytes | state, bytes | entries | core memory | desk memory | node memory |",
+		"|---|---|---|---|---|---|---|")
 	for _, s := range m.samples {
-		f.Lines = append(f.Lines, fmt.Sprintf("| %d | %d | %d | %d | %d | %d | %d |", s.changes, s.log, s.state, s.entries, s.coreMemory, s.registryMemory, s.nodeMemory))
+		f.Lines = append(f.Lines, fmt.Sprintf("| %d | %d | %d | %d | %d | %d | %d |",
+			s.changes, s.log, s.state, s.entries, s.coreMemory, s.registryMemory, s.nodeMemory))
 	}
 	for i, s := range m.samples {
 		if i == 0 {
 			continue
 		}
 		first := m.samples[0]
-		more := int64(s.changes - first.changes)
+		added := int64(s.changes - first.changes)
 		bounds := []struct {
 			what            string
 			value, from, by int64
@@ -322,7 +323,7 @@
 			{"a node's memory", s.nodeMemory, first.nodeMemory, memoryGrowth},
 		}
 		for _, b := range bounds {
-			if b.value > 2*b.from+b.by*more {
+			if b.value > 2*b.from+b.by*added {
 				f.breach(RuleGrowth, "%s has %d bytes after %d changes, and had %d after %d", b.what, b.value, s.changes, b.from, first.changes)
 			}
 		}
--- a/rehearsalkit/relaysim/process.go
+++ b/rehearsalkit/relaysim/process.go
@@ -12,8 +12,7 @@
 	"saffronfall/rule/ordered"
 )
 
-// process is one process of the fleet: a core, a registry or a node, or a client outside of
-// it.
+// process is a core, a registry or a node of the fleet, or a client outside of it.
 type process struct {
 	world   *World
 	id      string
@@ -29,8 +28,7 @@
 	client *client
 }
 
-// processState is the run state of a process. Its incarnation increases with each start
-// and stop.
+// processState is the run state of a process; incarnation increases with each start and stop.
 type processState struct {
 	incarnation int
 	alive       bool
@@ -40,13 +38,11 @@
 	started     time.Duration
 }
 
-// coreProcess is the state of a process that is a core.
 type coreProcess struct {
 	core *core.Machine
 	disk *disk
 }
 
-// registryProcess is the state of a process that is a registry.
 type registryProcess struct {
 	isRegistry    bool
 	registry      Registry
@@ -56,17 +52,22 @@
 	foundsFleet   bool
 }
 
-// nodeProcess is the state of a process that is a node.
 type nodeProcess struct {
 	node     Node
 	requests map[uint64]*activeRequest
 }
 
+const (
+	// clockRateSpread is the width of the range of clock rates around 1.
+	clockRateSpread = 0.002
+	// A frozen process drops steps beyond maxBacklog.
+	maxBacklog = 4096
+)
+
 func (p *process) now() time.Duration {
 	return time.Duration(float64(p.world.now-p.started) * p.clockRate)
 }
 
-// seedList lists the addresses at which the process looks for the fleet.
 func (p *process) seedList() []string {
 	if p.seeds != nil {
 		return p.seeds
@@ -74,7 +75,6 @@
 	return p.world.seeds()
 }
 
-// recordViolation records an invariant that a state machine found violated.
 func (w *World) recordViolation(v invariant.Violation) {
 	w.Record.Violations = append(w.Record.Violations, v)
 }
@@ -87,13 +87,17 @@
 	}
 	p.incarnation++
 	p.alive, p.frozen, p.backlog, p.started = true, false, nil, w.now
-	p.clockRate = 1 + (w.random.Float64()-0.5)*0.002
+	p.clockRate = 1 + (w.random.Float64()-0.5)*clockRateSpread
 	switch {
 	case p.disk != nil:
 		p.disk.pending, p.disk.held, p.disk.busy, p.disk.issued, p.disk.synced = nil, nil, false, 0, 0
 		var image core.Stored
 		image.CopyFrom(p.disk.stored)
-		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: p.zone, Address: p.address, Seeds: p.seedList(), Stored: image, Now: p.now(), Random: w.random.Float64, Violated: w.recordViolation})
+		p.core = core.New(core.Options{
+			Params: coreParams(), ID: p.id, Zone: p.zone, Address: p.address,
+			Seeds: p.seedList(), Stored: image,
+			Now: p.now(), Random: w.random.Float64, Violated: w.recordViolation,
+		})
 		p.tick(p.incarnation, coreParams().Partition.LeaseDuration/40)
 	case p.isRegistry:
 		var known []registry.ReplicaEntry
@@ -101,7 +105,11 @@
 			known = append(known, p.knownReplicas[id])
 		}
 		p.pendingCalls = map[uint64]func(any){}
-		p.registry = registry.New(registry.Options{Params: w.registryParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Address: p.address, Seeds: p.seedList(), FoundsFleet: p.foundsFleet, KnownReplicas: known, Now: p.now(), Random: w.random.Float64})
+		p.registry = registry.New(registry.Options{
+			Params: w.registryParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation),
+			Address: p.address, Seeds: p.seedList(), FoundsFleet: p.foundsFleet,
+			KnownReplicas: known, Now: p.now(), Random: w.random.Float64,
+		})
 		if w.Params.WrapRegistry != nil {
 			p.registry = w.Params.WrapRegistry(p.registry)
 		}
@@ -109,7 +117,11 @@
 	case p.client != nil:
 		p.tick(p.incarnation, coreParams().PullInterval/3)
 	default:
-		p.node = relay.New(relay.Options{Params: w.nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Zone: p.zone, Address: p.address, Seeds: p.seedList(), Now: p.now(), Random: w.random.Float64, Violated: w.recordViolation})
+		p.node = relay.New(relay.Options{
+			Params: w.nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation),
+			Zone: p.zone, Address: p.address, Seeds: p.seedList(),
+			Now: p.now(), Random: w.random.Float64, Violated: w.recordViolation,
+		})
 		if w.Params.WrapNode != nil {
 			p.node = w.Params.WrapNode(p.node)
 		}
@@ -141,7 +153,7 @@
 	switch {
 	case !p.alive:
 	case p.frozen:
-		if len(p.backlog) < 4096 {
+		if len(p.backlog) < maxBacklog {
 			p.backlog = append(p.backlog, step)
 		}
 	default:
@@ -226,19 +238,17 @@
 	}
 }
 
-// announce passes an announcement of a replica to a registry and reports whether it was
-// accepted, that is, known beyond this registry.
+// announce passes on a replica's announcement. Accepted means known beyond this registry.
 func (p *process) announce(step func(ticket uint64) registry.Output, then func(accepted bool)) {
 	p.lastTicket++
 	p.pendingCalls[p.lastTicket] = func(body any) {
-		h, _ := body.(registry.Acknowledgment)
-		then(h.Accepted)
+		ack, _ := body.(registry.Acknowledgment)
+		then(ack.Accepted)
 	}
 	p.applyRegistryOutput(step(p.lastTicket))
 }
 
-// applyRegistryOutput carries out a registry's output. Changes of its list of replicas are
-// stored before any message or answer leaves.
+// applyRegistryOutput stores changed replicas before any message or answer leaves.
 func (p *process) applyRegistryOutput(o registry.Output) {
 	for _, l := range o.ChangedReplicas {
 		p.knownReplicas[l.Replica.ID] = l
@@ -258,9 +268,9 @@
 	for _, s := range o.Sends {
 		p.world.send(p, s.To, s.Body)
 	}
-	for _, r := range o.Steps {
-		if at, ok := p.requests[r.Ticket]; ok {
-			at.applyStep(r.Step)
+	for _, step := range o.Steps {
+		if active, ok := p.requests[step.Ticket]; ok {
+			active.applyStep(step.Step)
 		}
 	}
 }
--- a/rehearsalkit/relaysim/relaysim_test.go
+++ b/rehearsalkit/relaysim/relaysim_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// faultyNode is a node that deviates in one respect.
+// faultyNode deviates in one respect.
 type faultyNode struct {
 	Node
 	request func(a relay.Request) relay.Request
@@ -98,10 +98,10 @@
 
 func (b *faultyNode) Tick(now time.Duration) relay.Output { return b.out(b.Node.Tick(now)) }
 
-// forgingRegistry is a registry that forges its answers to orders.
+// forgingRegistry forges its answers to orders.
 type forgingRegistry struct {
 	Registry
-	forge func(h registry.OrderResult) registry.OrderResult
+	forge func(result registry.OrderResult) registry.OrderResult
 }
 
 func (f *forgingRegistry) out(o registry.Output) registry.Output {
@@ -123,13 +123,12 @@
 	return f.out(f.Registry.Apply(now, ticket, base, text, digest))
 }
 
-func forgeOrderResults(forge func(h registry.OrderResult) registry.OrderResult) func(p *Params) {
+func forgeOrderResults(forge func(result registry.OrderResult) registry.OrderResult) func(p *Params) {
 	return func(p *Params) {
-		p.WrapRegistry = func(d Registry) Registry { return &forgingRegistry{Registry: d, forge: forge} }
+		p.WrapRegistry = func(reg Registry) Registry { return &forgingRegistry{Registry: reg, forge: forge} }
 	}
 }
 
-// alterAnswers applies a change to the cores' results of one type.
 func alterAnswers[T any](change func(a T) T) func(p *Params) {
 	return func(p *Params) {
 		p.Alter = func(from, to string, body any) (any, bool) {
@@ -151,8 +150,7 @@
 	return func() bool { at++; return at%n == 0 }
 }
 
-// TestBreaks breaks the system on purpose and checks that the judge reports the broken
-// rule.
+// Guards against faults that the judge misses.
 func TestBreaks(t *testing.T) {
 	nodes := func(b func() *faultyNode) func(p *Params) {
 		return func(p *Params) {
@@ -249,24 +247,24 @@
 				return a
 			}}
 		})},
-		{"desks acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
-			h.Accepted, h.RaceLost = h.Accepted || h.RaceLost, false
-			return h
+		{"desks acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+			result.Accepted, result.RaceLost = result.Accepted || result.RaceLost, false
+			return result
 		})},
-		{"desks acknowledge invalid tables", RuleTableRace, forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
-			h.Accepted, h.Faults = h.Accepted || h.Faults != nil, nil
-			return h
+		{"desks acknowledge invalid tables", RuleTableRace, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+			result.Accepted, result.Faults = result.Accepted || result.Faults != nil, nil
+			return result
 		})},
-		{"desks refuse committed tables", RuleDurable, forgeOrderResults(func(h registry.OrderResult) registry.OrderResult {
-			if h.Accepted && h.Number > 1 {
+		{"desks refuse committed tables", RuleDurable, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+			if result.Accepted && result.Number > 1 {
 				return registry.OrderResult{RaceLost: true}
 			}
-			return h
+			return result
 		})},
 		{"nodes are not told which replicas leave", RuleDraining, func(p *Params) {
 			p.Faults = true
-			// Placement compares only a few replicas per request, so more callers are needed for
-			// one of them to choose the leaving replica.
+			// Placement compares only a few replicas per request, so more callers are needed
+			// for one of them to choose the leaving replica.
 			p.Callers, p.Conversations = 20, 20
 			p.Alter = func(from, to string, body any) (any, bool) {
 				if b, ok := body.(registry.Update); ok {
--- a/rehearsalkit/relaysim/replica.go
+++ b/rehearsalkit/relaysim/replica.go
@@ -11,12 +11,23 @@
 	"saffronfall/rule/ordered"
 )
 
-// Services of the simulated deployment. The models stream their output.
+// The models stream their output.
 const (
 	modelA, modelB = "model-a", "model-b"
 	plainA, plainB = "plain-a", "plain-b"
 )
 
+const (
+	heartbeatTimeout = time.Second
+	// leaveTimeout is when a replica stops without an acknowledgement that it leaves.
+	leaveTimeout = 6 * time.Second
+	maxQueued    = 3
+	// Fractions of the answers of plain services.
+	lostAnswerRate   = 0.02
+	failedAnswerRate = 0.02
+	brokenStreamRate = 0.05
+)
+
 func isStreaming(service string) bool { return service == modelA || service == modelB }
 
 func tokensPerEvent(service string) int64 {
@@ -43,7 +54,6 @@
 	currentRegistry *process
 }
 
-// job is one request at a replica.
 type job struct {
 	replica  *replica
 	dispatch *dispatch
@@ -54,7 +64,15 @@
 
 func (w *World) startReplica(service, address string, zone int) *replica {
 	w.lastID++
-	r := &replica{world: w, id: fmt.Sprintf("r%d-%s", w.lastID, service), service: service, address: address, zone: fmt.Sprintf("zone-%d", zone%w.Params.Zones+1), alive: true, slots: 6}
+	r := &replica{
+		world:   w,
+		id:      fmt.Sprintf("r%d-%s", w.lastID, service),
+		service: service,
+		address: address,
+		zone:    fmt.Sprintf("zone-%d", zone%w.Params.Zones+1),
+		alive:   true,
+		slots:   6,
+	}
 	if isStreaming(service) {
 		r.slots = 8
 	}
@@ -71,8 +89,7 @@
 	}
 }
 
-// heartbeat announces the replica to a registry, and to another one if it is not
-// acknowledged within a second.
+// heartbeat announces the replica, and tries another registry if it is not acknowledged in time.
 func (r *replica) heartbeat(acknowledged func()) {
 	w := r.world
 	if r.currentRegistry == nil {
@@ -80,7 +97,15 @@
 	}
 	to, done := r.currentRegistry, false
 	r.sequence++
-	announcement := registry.Replica{ID: r.id, Service: r.service, Address: r.address, Zone: r.zone, Slots: int64(r.slots), Leaving: r.leaving, Sequence: r.sequence}
+	announcement := registry.Replica{
+		ID:       r.id,
+		Service:  r.service,
+		Address:  r.address,
+		Zone:     r.zone,
+		Slots:    int64(r.slots),
+		Leaving:  r.leaving,
+		Sequence: r.sequence,
+	}
 	w.after(w.delay(), func() {
 		if w.isCut(r.address, to.address) {
 			return
@@ -103,7 +128,7 @@
 			})
 		})
 	})
-	w.after(time.Second, func() {
+	w.after(heartbeatTimeout, func() {
 		if !done && r.alive {
 			done, r.currentRegistry = true, nil
 			r.heartbeat(acknowledged)
@@ -111,8 +136,8 @@
 	})
 }
 
-// leave announces that the replica leaves, waits for the acknowledgement and the drain
-// time, deregisters and stops.
+// leave announces that the replica leaves, waits for the acknowledgement and the drain time,
+// deregisters and stops.
 func (r *replica) leave(then func()) {
 	w := r.world
 	r.leaving = true
@@ -131,7 +156,7 @@
 			w.after(w.Record.Limits.Drain+w.between(200*time.Millisecond, 800*time.Millisecond), end)
 		}
 	})
-	w.after(6*time.Second, func() {
+	w.after(leaveTimeout, func() {
 		if !acknowledged {
 			acknowledged = true
 			end()
@@ -160,24 +185,32 @@
 	return &relay.Load{Running: int64(r.running), Waiting: int64(len(r.queue)), Slots: int64(r.slots)}
 }
 
-// receive accepts a request from a node.
 func (r *replica) receive(s *dispatch) {
 	w := r.world
-	at := Arrival{At: w.now, Replica: r.id, Service: r.service, Node: s.request.node.id, Incarnation: s.request.incarnation, Attempt: s.request.request.Attempt, Tenant: s.step.Tenant, Sent: s.sentAt}
+	arrival := Arrival{
+		At:          w.now,
+		Replica:     r.id,
+		Service:     r.service,
+		Node:        s.request.node.id,
+		Incarnation: s.request.incarnation,
+		Attempt:     s.request.request.Attempt,
+		Tenant:      s.step.Tenant,
+		Sent:        s.sentAt,
+	}
 	if s.step.Replica.ID != r.id {
-		at.Misdirected = true
-		w.Record.Arrivals = append(w.Record.Arrivals, at)
+		arrival.Misdirected = true
+		w.Record.Arrivals = append(w.Record.Arrivals, arrival)
 		w.Counts["moved"]++
 		s.respond(func() { s.finish(relay.Outcome{Kind: relay.OutcomeNotRun, AddressReused: true}) })
 		return
 	}
-	w.Record.Arrivals = append(w.Record.Arrivals, at)
+	w.Record.Arrivals = append(w.Record.Arrivals, arrival)
 	j := &job{replica: r, dispatch: s, deadline: w.now + s.step.Timeout, queued: w.now}
 	s.job = j
 	switch {
 	case r.running < r.slots:
 		r.start(j)
-	case len(r.queue) < 3:
+	case len(r.queue) < maxQueued:
 		r.queue = append(r.queue, j)
 		w.after(w.between(100*time.Millisecond, 400*time.Millisecond), func() { r.reject(j) })
 	default:
@@ -205,7 +238,6 @@
 	return h.Sum64()
 }
 
-// streamEvent is the text of one event of an attempt's stream.
 func streamEvent(attempt string, n int64) string { return fmt.Sprintf("%s:%d", attempt, n) }
 
 // start runs a job: from here on the request counts as executed.
@@ -214,8 +246,8 @@
 	r.running++
 	r.jobs = append(r.jobs, j)
 	text := ""
-	for _, before := range s.step.History {
-		text += string(before)
+	for _, entry := range s.step.History {
+		text += string(entry)
 	}
 	w.Record.Runs = append(w.Record.Runs, Execution{At: w.now, Sent: s.sentAt, Replica: r.id, Service: r.service, Node: s.request.node.id, Incarnation: s.request.incarnation, Attempt: s.request.request.Attempt,
 		Tenant: s.step.Tenant, Text: text + s.request.request.Input, FirstEvent: s.request.events})
@@ -229,23 +261,23 @@
 			}
 			o := relay.Outcome{Kind: relay.OutcomeComplete, Load: r.load()}
 			switch {
-			case draw < 0.02:
+			case draw < lostAnswerRate:
 				w.Counts["answers lost"]++
 				o = relay.Outcome{Kind: relay.OutcomeInterrupted}
-			case draw < 0.04:
+			case draw < lostAnswerRate+failedAnswerRate:
 				o.Failed = true
 			}
 			s.respond(func() { s.finish(o) })
 		})
 		return
 	}
-	per := tokensPerEvent(r.service)
-	count := max(1, int64(hash(s.request.request.Attempt)%uint64(max(1, s.request.request.MaxTokens/per)))+1)
-	if s.request.request.MaxTokens/per < count {
-		count = s.request.request.MaxTokens / per
+	eventTokens := tokensPerEvent(r.service)
+	count := max(1, int64(hash(s.request.request.Attempt)%uint64(max(1, s.request.request.MaxTokens/eventTokens)))+1)
+	if s.request.request.MaxTokens/eventTokens < count {
+		count = s.request.request.MaxTokens / eventTokens
 	}
 	breakAt := int64(-1)
-	if w.chance(0.05) {
+	if w.chance(brokenStreamRate) {
 		breakAt = s.request.events + int64(w.random.IntN(int(count)+1))
 	}
 	var next func(n int64)
@@ -270,14 +302,13 @@
 		}
 		w.Record.Runs[run].Events++
 		w.Record.Runs[run].Output += streamEvent(s.request.request.Attempt, n) + "\n"
-		s.respond(func() { s.relayEvent(n, per) })
+		s.respond(func() { s.relayEvent(n, eventTokens) })
 		w.after(w.between(4*time.Millisecond, 30*time.Millisecond), func() { next(n + 1) })
 	}
 	w.after(w.between(5*time.Millisecond, 40*time.Millisecond), func() { next(s.request.events + 1) })
 }
 
-// finish ends a job and starts the next one. It reports false if the job had already
-// ended.
+// finish ends a job and starts the next; false if the job had already ended.
 func (r *replica) finish(j *job) bool {
 	if j.ended || !r.alive {
 		return false
@@ -304,7 +335,6 @@
 	}
 }
 
-// cancel ends a job whose connection closed.
 func (j *job) cancel() {
 	if j.ended || !j.replica.alive {
 		return
@@ -318,8 +348,8 @@
 	}
 }
 
-// churn stops replicas, by crash or in order, and starts others at the same address,
-// possibly for another service.
+// churn stops replicas, by crash or in order, and starts others at the same address, possibly for
+// another service.
 func (w *World) churn() {
 	if w.closing {
 		return
@@ -341,9 +371,9 @@
 		if w.chance(0.4) {
 			service = []string{modelA, modelB, plainA, plainB}[w.random.IntN(4)]
 		}
-		for _, short := range []string{modelA, modelB, plainA, plainB} {
-			if n := counts[short]; n < 3 && short != service {
-				service = short
+		for _, scarce := range []string{modelA, modelB, plainA, plainB} {
+			if n := counts[scarce]; n < 3 && scarce != service {
+				service = scarce
 				break
 			}
 		}
--- a/rehearsalkit/relaysim/secondloss.go
+++ b/rehearsalkit/relaysim/secondloss.go
@@ -16,7 +16,6 @@
 	changeRetirement  = "retirement"
 )
 
-// Kinds of losses.
 const (
 	lossKill  = "kill"
 	lossPower = "power"
@@ -25,10 +24,9 @@
 	lossRetiring = "the retiring one for good"
 )
 
-// lossCase is one membership change with one kind of loss.
 type lossCase struct {
 	change, loss string
-	// groupSize is the number of members of a group; groups of five tolerate two losses.
+	// groupSize is the members per group; groups of five tolerate two losses.
 	groupSize int
 }
 
@@ -51,9 +49,9 @@
 	return list
 }
 
-// victims is how many machines are lost at once: as many as groups tolerate during the
-// change. A machine that is being replaced is already lost; only the loss of its disk
-// counts against the durability of acknowledged data.
+// victims is how many machines are lost at once: as many as groups tolerate during the change. A
+// machine that is being replaced is already lost; only the loss of its disk counts against the
+// durability of acknowledged data.
 func (c lossCase) victims() int {
 	tolerated := c.groupSize / 2
 	if c.change == changeReplacement && c.loss == lossWipe {
@@ -65,7 +63,6 @@
 	return tolerated
 }
 
-// coreCount is the number of cores before the change.
 func (c lossCase) coreCount() int {
 	if c.change == changeRetirement {
 		return c.groupSize + 1
@@ -73,13 +70,10 @@
 	return c.groupSize
 }
 
-// Bounds of the scenario secondloss.
 const (
-	// lossStartupTime is the time for the fleet to be founded.
 	lossStartupTime = 3500 * time.Millisecond
-	// lossAway is how long a lost machine is away.
-	lossAway = 700 * time.Millisecond
-	// changeLongest is the time after which an unfinished change is given up.
+	lossAway        = 700 * time.Millisecond
+	// changeLongest is when an unfinished change is given up.
 	changeLongest = 12 * time.Second
 	// lossAnswerTimeout is short because registries lose power too.
 	lossAnswerTimeout = time.Second
@@ -94,9 +88,8 @@
 	return p
 }
 
-// playSecondLoss plays the case that the seed selects and injects losses at every
-// lossStride-th point of the change, from an offset that the seed selects. As many
-// seeds as there are cases times lossStride cover all points.
+// playSecondLoss plays the case that the seed selects, with losses at every lossStride-th point of
+// the change. As many seeds as there are cases times lossStride cover all points.
 func playSecondLoss(groupSize int) func(w *World) *Findings {
 	return func(w *World) *Findings {
 		cases := lossCases(groupSize)
@@ -106,8 +99,8 @@
 	}
 }
 
-// sweepLosses counts the points of a case's change in a run without a loss, and then
-// runs the case once for each selected point.
+// sweepLosses counts the points in a run without a loss, then runs the case once for each selected
+// point.
 func sweepLosses(p Params, c lossCase, offset, stride int) *Findings {
 	sum := newFindings(New(p))
 	p.Seed = uint64(c.groupSize)
@@ -120,12 +113,12 @@
 		run.play()
 		run.collect(sum)
 	}
-	sum.Counts["runs with a loss, of "+fmt.Sprint(first.points)+" points of a "+c.String()] = int64((first.points - offset + stride - 1) / stride)
+	sum.Counts["runs with a loss, of "+fmt.Sprint(first.points)+" points of a "+c.String()] =
+		int64((first.points - offset + stride - 1) / stride)
 	return sum
 }
 
-// lossRun is one run of a case with the loss at one point; lossPoint zero means no
-// loss.
+// lossRun is one run of a case with the loss at one point; lossPoint zero means no loss.
 type lossRun struct {
 	lossCase
 	world     *World
@@ -146,8 +139,15 @@
 
 func newLossRun(p Params, c lossCase, at int) *lossRun {
 	w := New(p)
-	f := newFindings(w)
-	r := &lossRun{lossCase: c, world: w, findings: f, history: newOrderHistory(w, f), lossPoint: at, lostUntil: map[*store]time.Duration{}}
+	findings := newFindings(w)
+	r := &lossRun{
+		lossCase:  c,
+		world:     w,
+		findings:  findings,
+		history:   newOrderHistory(w, findings),
+		lossPoint: at,
+		lostUntil: map[*store]time.Duration{},
+	}
 	r.history.answerTimeout = lossAnswerTimeout
 	w.observers.delivered = func(from string, to *process, body any) { r.countPoint(to) }
 	w.observers.synced = func(p *process, batches [][]core.Change) { r.countPoint(p) }
@@ -162,7 +162,12 @@
 	w.runUntil(lossStartupTime)
 	r.turnLog = newTurnLog(w, r.findings)
 	r.turnLog.storeTurns(15 * time.Millisecond)
-	o := &orderGenerator{history: r.history, amendmentRate: 0.5, stopped: func() bool { return r.turnLog.stopped }, pause: func() time.Duration { return 200 * time.Millisecond }}
+	o := &orderGenerator{
+		history:       r.history,
+		amendmentRate: 0.5,
+		stopped:       func() bool { return r.turnLog.stopped },
+		pause:         func() time.Duration { return 200 * time.Millisecond },
+	}
 	o.run()
 	w.Advance(time.Second)
 	r.beginChange()
@@ -173,7 +178,6 @@
 	w.finishScenario(r.history)
 }
 
-// beginChange starts the membership change.
 func (r *lossRun) beginChange() {
 	w := r.world
 	r.counting = true
@@ -204,35 +208,39 @@
 	r.joining.core.boot()
 }
 
-// requestRetirement requests the retirement until it is accepted, and then waits until
-// it is done.
 func (r *lossRun) requestRetirement() {
-	step := func(d Registry, now time.Duration, ticket uint64) registry.Output {
-		return d.Retire(now, ticket, r.leaving.core.id)
+	step := func(reg Registry, now time.Duration, ticket uint64) registry.Output {
+		return reg.Retire(now, ticket, r.leaving.core.id)
 	}
-	r.callUntil(callRetire, step, r.requestRetirement, func(e registry.RetirementStatus) bool { return e.Known && e.EnoughCores }, r.awaitRetirement)
+	r.callUntil(callRetire, step, r.requestRetirement,
+		func(status registry.RetirementStatus) bool { return status.Known && status.EnoughCores },
+		r.awaitRetirement)
 }
 
 func (r *lossRun) awaitRetirement() {
-	step := func(d Registry, now time.Duration, ticket uint64) registry.Output {
-		return d.RetirementStatus(now, ticket, r.leaving.core.id)
+	step := func(reg Registry, now time.Duration, ticket uint64) registry.Output {
+		return reg.RetirementStatus(now, ticket, r.leaving.core.id)
 	}
-	r.callUntil(callStatus, step, r.awaitRetirement, func(e registry.RetirementStatus) bool { return e.Done }, r.retired)
+	r.callUntil(callStatus, step, r.awaitRetirement, func(status registry.RetirementStatus) bool { return status.Done }, r.retired)
 }
 
-func (r *lossRun) callUntil(kind string, step func(d Registry, now time.Duration, ticket uint64) registry.Output, retry func(), satisfied func(e registry.RetirementStatus) bool, next func()) {
+func (r *lossRun) callUntil(
+	kind string,
+	step func(reg Registry, now time.Duration, ticket uint64) registry.Output, retry func(),
+	satisfied func(status registry.RetirementStatus) bool, next func(),
+) {
 	w := r.world
 	at := w.anyRegistry()
 	if !at.alive {
 		w.after(50*time.Millisecond, retry)
 		return
 	}
-	known := func(body any) bool { e, ok := body.(registry.RetirementStatus); return ok && !e.Uncertain }
+	known := func(body any) bool { status, ok := body.(registry.RetirementStatus); return ok && !status.Uncertain }
 	r.history.call(kind, at, step, known, func(body any) {
-		e, ok := body.(registry.RetirementStatus)
+		status, ok := body.(registry.RetirementStatus)
 		switch {
 		case r.doneAt > 0:
-		case ok && !e.Uncertain && satisfied(e):
+		case ok && !status.Uncertain && satisfied(status):
 			next()
 		default:
 			w.after(100*time.Millisecond, retry)
@@ -240,8 +248,8 @@
 	})
 }
 
-// retired is called when a registry reports the retirement as done. It checks that
-// acknowledged data is held elsewhere and removes the machine at once.
+// retired is called once a registry reports the retirement as done: the machine may then be
+// removed at once, so acknowledged data must be held elsewhere.
 func (r *lossRun) retired() {
 	w := r.world
 	r.doneAt = w.now
@@ -250,7 +258,6 @@
 	r.removeLeaving()
 }
 
-// removeLeaving removes the leaving machine with its disk.
 func (r *lossRun) removeLeaving() {
 	for _, p := range r.leaving.processes() {
 		p.powerOff()
@@ -277,8 +284,8 @@
 	}
 }
 
-// judgeCopies checks that acknowledged data is on the disks of a majority without the
-// leaving machine, apart from lost disks.
+// judgeCopies checks that acknowledged data is on the disks of a majority without the leaving
+// machine, apart from lost disks.
 func (r *lossRun) judgeCopies() {
 	w := r.world
 	missing := 0
@@ -298,14 +305,14 @@
 			}
 		}
 		if copies < want {
-			r.findings.breach(RuleRetirement, "%s: the retirement was said to be done at %v, and %s, acknowledged at %v, is on %d other disks", r, w.now, t.attempt, t.at, copies)
+			r.findings.breach(RuleRetirement,
+				"%s: the retirement was said to be done at %v, and %s, acknowledged at %v, is on %d other disks",
+				r, w.now, t.attempt, t.at, copies)
 			return
 		}
 	}
 }
 
-// countPoint counts a delivery or sync at a core, and injects the loss at the selected
-// point.
 func (r *lossRun) countPoint(p *process) {
 	if !r.counting || p.disk == nil {
 		return
@@ -371,8 +378,7 @@
 	}
 }
 
-// awaitDone waits until the change is done and all groups are complete, and checks that
-// this was in time.
+// awaitDone checks that the change is done and all groups are complete in time.
 func (r *lossRun) awaitDone() {
 	w := r.world
 	started := w.now
@@ -384,13 +390,15 @@
 		}
 	}
 	r.counting = false
-	since := max(r.restoredAt, started+lossAway)
-	if problem == "" && w.now > since+catchUpTime {
+	restored := max(r.restoredAt, started+lossAway)
+	if problem == "" && w.now > restored+catchUpTime {
 		problem = "whole only now"
 	}
 	switch {
 	case problem != "":
-		r.findings.breach(RuleGroupSize, "at %v, %v after the change began and %v after all that comes back was there: %s", w.now, w.now-started, w.now-since, problem)
+		r.findings.breach(RuleGroupSize,
+			"at %v, %v after the change began and %v after all that comes back was there: %s",
+			w.now, w.now-started, w.now-restored, problem)
 	case r.lossPoint == 0:
 		r.findings.recordDuration("without a loss: "+r.change+fmt.Sprintf(", groups of %d", r.groupSize), w.now-started)
 	default:
@@ -398,7 +406,7 @@
 	}
 }
 
-// problem describes what is not yet as required after the change, or is empty.
+// problem describes what is not yet as required; empty if all is.
 func (r *lossRun) problem() string {
 	leaves := r.change == changePlanned || r.change == changeRetirement
 	if leaves && r.doneAt == 0 {
@@ -413,7 +421,6 @@
 	return r.world.placementProblem()
 }
 
-// collect adds the findings of the run to a sum.
 func (r *lossRun) collect(sum *Findings) {
 	for _, b := range r.findings.Breaches {
 		b.Text = fmt.Sprintf("%s, point %d of %d: %s", r.String(), r.lossPoint, r.points, b.Text)
--- a/rehearsalkit/relaysim/world.go
+++ b/rehearsalkit/relaysim/world.go
@@ -1,11 +1,9 @@
-// Package relaysim simulates the relay tier in virtual time. It runs the production
-// state machines of nodes, registries and cores with simulated requesters, replicas,
-// operators, network and disks, injects seeded faults, and judges each run by what
-// requesters, replicas and operators saw.
+// Package relaysim simulates the relay tier in virtual time. It runs the production state machines
+// of nodes, registries and cores with simulated requesters, replicas, operators, network and disks,
+// injects seeded faults, and judges each run by what requesters, replicas and operators saw.
 //
-// All randomness comes from one seeded generator, so a run is determined by its Params:
-// the order and number of random draws is part of what a seed means. Start reading at
-// Run and Scenario; Record.Judge holds the rules.
+// All randomness comes from one seeded generator, so Params determine a run: the order and number
+// of random draws is part of what a seed means. Start reading at Run, Scenario and Record.Judge.
 package relaysim
 
 import (
@@ -58,7 +56,6 @@
 	keptTurns   []keptTurn
 }
 
-// schedule is the simulated clock and the seeded random generator.
 type schedule struct {
 	now    time.Duration
 	events eventqueue.Queue
@@ -73,7 +70,6 @@
 	replicas  map[string]*replica
 }
 
-// faultState is the state of fault injection.
 type faultState struct {
 	// noLossUntil is the time before which no further store fault may begin.
 	noLossUntil time.Duration
@@ -108,8 +104,20 @@
 		w.nodes = append(w.nodes, n)
 		w.Record.Nodes = append(w.Record.Nodes, n.id)
 	}
-	w.Record.Limits = Limits{Apply: 2 * time.Second, Contact: contactTimeout, ApplyWithoutStores: 5 * time.Second, Revert: 250 * time.Millisecond, Drain: 2 * time.Second, Settlement: time.Second,
-		Window: rateWindow, Overshoot: p.Overshoot, Slack: float64(p.Slack), Retention: keepDuration, Recovery: recoveryTime, FinalStep: 10 * time.Second}
+	w.Record.Limits = Limits{
+		Apply:              2 * time.Second,
+		Contact:            contactTimeout,
+		ApplyWithoutStores: 5 * time.Second,
+		Revert:             250 * time.Millisecond,
+		Drain:              2 * time.Second,
+		Settlement:         time.Second,
+		Window:             rateWindow,
+		Overshoot:          p.Overshoot,
+		Slack:              float64(p.Slack),
+		Retention:          keepDuration,
+		Recovery:           recoveryTime,
+		FinalStep:          10 * time.Second,
+	}
 	return w
 }
 
@@ -153,7 +161,7 @@
 
 func (w *World) chance(p float64) bool { return w.random.Float64() < p }
 
-func (w *World) delay() time.Duration { return w.between(200*time.Microsecond, 2*time.Millisecond) }
+func (w *World) delay() time.Duration { return w.between(minMessageDelay, maxMessageDelay) }
 
 func (w *World) uniqueID(kind string) string {
 	w.lastID++
@@ -176,8 +184,8 @@
 	return list
 }
 
-// callRegistry makes a call to a registry. The answer may never arrive.
-func (w *World) callRegistry(at *process, step func(d Registry, now time.Duration, ticket uint64) registry.Output, done func(body any)) {
+// callRegistry makes a call whose answer may never arrive.
+func (w *World) callRegistry(at *process, step func(reg Registry, now time.Duration, ticket uint64) registry.Output, done func(body any)) {
 	w.after(w.delay(), func() {
 		at.do(func() {
 			at.lastTicket++
@@ -197,8 +205,8 @@
 	return list[w.random.IntN(len(list))]
 }
 
-// beginDisruption records that a machine is disturbed until the returned function is
-// called. Time bounds don't apply to disrupted machines.
+// beginDisruption records that a machine is disturbed until end is called. Time bounds don't apply
+// to disrupted machines.
 func (w *World) beginDisruption(machine string) (end func()) {
 	w.Record.Disruptions = append(w.Record.Disruptions, Disruption{Machine: machine, From: w.now, Until: -1})
 	at, finished := len(w.Record.Disruptions)-1, false
@@ -222,6 +230,9 @@
 	return lines
 }
 
+// anyNodeRate is the fraction of requests that go to any node.
+const anyNodeRate = 0.05
+
 func (w *World) readyNode() *process {
 	var ready []*process
 	for _, n := range w.nodes {
@@ -229,7 +240,7 @@
 			ready = append(ready, n)
 		}
 	}
-	if len(ready) == 0 || w.chance(0.05) {
+	if len(ready) == 0 || w.chance(anyNodeRate) {
 		return w.nodes[w.random.IntN(len(w.nodes))]
 	}
 	return ready[w.random.IntN(len(ready))]
@@ -237,7 +248,8 @@
 
 func (w *World) leaderOf(partition int) *store {
 	for _, s := range w.stores {
-		if s.core.alive && !s.core.frozen && s.core.core.Founded() && slices.Contains(s.core.core.LeadingPartitions(s.core.now()), partition) {
+		if s.core.alive && !s.core.frozen && s.core.core.Founded() &&
+			slices.Contains(s.core.core.LeadingPartitions(s.core.now()), partition) {
 			return s
 		}
 	}
