--- a/rehearsalkit/breaks/breaks.go
+++ b/rehearsalkit/breaks/breaks.go
@@ -1,7 +1,6 @@
-// Package breaks holds deliberate faults (breaks): each replaces one piece of source in
-// a scratch copy of the tree, and the simulator, the model checker or the soak must
-// then report a violation. Every From text must occur exactly once in the sources.
-// Start reading at Break, CheckerBreak and SoakBreak.
+// Package breaks holds deliberate faults. Each replaces one piece of source in a scratch copy of
+// the tree, and the simulator, the model checker or the soak must report a violation. Every From
+// text must occur exactly once. Start reading at Break, CheckerBreak and SoakBreak.
 package breaks
 
 import (
@@ -16,20 +15,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Break is a fault that the simulator must report as a violation of one of its rules.
-// The strings From and To are the source text and its faulty replacement.
+// Break is a fault that the simulator must report as a violation of Rule. From is the source text,
+// To its faulty replacement.
 type Break struct {
 	Rule     int
 	What     string
 	File     string
 	From, To string
-	// Test selects directed tests for faults that random seeds rarely meet. If it is
-	// empty, random seeds must find the fault.
+	// Test selects directed tests for faults that random seeds rarely meet. If it is empty,
+	// random seeds must find the fault.
 	Test string
 }
 
-// All lists the breaks that the simulator must find, with at least one found by random
-// seeds for each rule.
+// All lists the breaks. For each rule, random seeds find at least one.
 var All = []Break{
 	{Rule: 1, What: "a program's hard limit is ignored", File: "rule/program/program.go", From: "if charged >= role.ProgramTokensHard {", To: "if false {"},
 	{Rule: 1, What: "the running turn of a lost owner is not charged", File: "rule/program/program.go", From: "	r.Spent = r.Charged()\n	r.Running = nil", To: "	r.Running = nil", Test: "OwnerKilledInMidTurn"},
@@ -54,9 +52,8 @@
 	{Rule: 12, What: "the limit of concurrent sessions is ignored", File: "rule/program/user.go", From: "if live >= role.ConcurrentSessions {", To: "if false {"},
 }
 
-// Run applies the break to a copy of the tree at root and runs the simulator over at
-// most seeds seeds, or the directed test. It returns the line that reports the violation,
-// or an error if there is none.
+// Run runs the simulator over at most seeds seeds, or the directed test, on a broken copy of the
+// tree at root. It returns the line that reports the violation, or an error if there is none.
 func (b Break) Run(root string, seeds int) (found string, err error) {
 	scratch, err := os.MkdirTemp("", "break-")
 	if err != nil {
--- a/rehearsalkit/breaks/breaks_test.go
+++ b/rehearsalkit/breaks/breaks_test.go
@@ -7,8 +7,7 @@
 	"testing"
 )
 
-// The text that a break replaces must occur exactly once in its file. The breaks command
-// checks that each fault is found.
+// The text that a break replaces must occur exactly once in its file.
 func TestEveryBreakFitsTheCode(t *testing.T) {
 	for _, b := range All {
 		text, err := os.ReadFile(filepath.Join("..", "..", b.File))
--- a/rehearsalkit/breaks/checker.go
+++ b/rehearsalkit/breaks/checker.go
@@ -11,22 +11,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// CheckerBreak is a fault in the state machine of a partition that the model checker
-// must find.
+// CheckerBreak is a fault of a partition's state machine that the model checker must find.
 type CheckerBreak struct {
 	What     string
 	From, To string
-	// Scenario and Depth bound the exploration that must find the fault, and Property is
-	// the property that it must violate.
+	// Within Scenario and Depth the fault must violate Property.
 	Scenario string
 	Depth    int
 	Property string
 }
 
-// checkedDir holds the code that the model checker runs.
 const checkedDir = "rule/partition"
 
-// Names of properties in the reports of the model checker.
+// Properties as the model checker reports them.
 const (
 	oneValue   = "one value under a number for good"
 	durable    = "what was acknowledged outlives a tolerated loss"
@@ -37,7 +34,7 @@
 	changeDone = "a change reported done is agreed by the new group"
 )
 
-// Checker lists the breaks that the model checker must find.
+// Checker lists the breaks for the model checker.
 var Checker = []CheckerBreak{
 	{What: "a change of members needs no quorum of the former group", Scenario: "replace", Depth: 8, Property: intersect,
 		From: "return majority(g.Members, accepted) && (len(g.Former) == 0 || majority(g.Former, accepted))", To: "return majority(g.Members, accepted)"},
@@ -82,9 +79,8 @@
 		From: "case tx.wrote || len(lead.queuedEntries) > 0:\n\t\tlead.queuedResults = append(lead.queuedResults, result)", To: "case tx.wrote || len(lead.queuedEntries) > 0:\n\t\tm.out.Results = append(m.out.Results, result)"},
 }
 
-// Run applies the break to a copy of the tree at root and runs the model checker there.
-// It returns the violation and the summary of the exploration, or an error if the
-// expected property was not violated.
+// Run runs the model checker on a broken copy of the tree at root. It returns the violation and the
+// summary of the exploration, or an error if the property was not violated.
 func (b CheckerBreak) Run(root string) (found string, err error) {
 	scratch, err := os.MkdirTemp("", "break-")
 	if err != nil {
@@ -111,7 +107,6 @@
 	return line + " (" + report + ")", nil
 }
 
-// apply replaces the text in a tree.
 func (b CheckerBreak) apply(tree string) error {
 	path, text, err := b.locate(tree)
 	if err != nil {
@@ -120,8 +115,7 @@
 	return os.WriteFile(path, []byte(strings.Replace(text, b.From, b.To, 1)), 0o644)
 }
 
-// locate returns the path and content of the file with the text to replace, which must
-// occur exactly once in the directory.
+// locate returns the file with the text to replace, which must occur once in the directory.
 func (b CheckerBreak) locate(tree string) (path, text string, err error) {
 	paths, err := filepath.Glob(filepath.Join(tree, checkedDir, "*.go"))
 	if err != nil {
--- a/rehearsalkit/breaks/checker_test.go
+++ b/rehearsalkit/breaks/checker_test.go
@@ -13,7 +13,7 @@
 	}
 }
 
-// No other test finds this fault. The breaks command runs the others.
+// No other test finds this fault.
 func TestCheckerFindsFormerGroupBreak(t *testing.T) {
 	found, err := Checker[0].Run(workspace)
 	if err != nil {
--- a/rehearsalkit/breaks/soak.go
+++ b/rehearsalkit/breaks/soak.go
@@ -10,19 +10,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// SoakBreak is a fault in the serving tier that the soak of real processes must find,
-// unless Elsewhere is set.
+// SoakBreak is a fault that the soak of real processes must find, unless Elsewhere is set.
 type SoakBreak struct {
 	What, File string
 	From, To   string
-	// Seeds is the number of seeds within which the soak must find the fault. Elsewhere
-	// names what finds it instead, if the soak does not.
+	// Seeds bounds the seeds that the soak may need. Elsewhere names what finds the fault
+	// if the soak does not.
 	Seeds     int
 	Elsewhere string
 }
 
-// Soak lists breaks of the data path and of the messages between nodes, registries and
-// cores.
+// Soak lists breaks of the data path and of the messages between nodes, registries and cores.
 var Soak = []SoakBreak{
 	{What: "a request that may have been executed is retried", File: "peer/relay/request.go", Seeds: 2,
 		From: "canRetry := req.route.Retryable() && m.attemptsUsed(req)", To: "canRetry := m.attemptsUsed(req)"},
@@ -78,8 +76,7 @@
 		From: "FirstTurn:       {from: 0.1, to: 0.9, max: 0.85}", To: "FirstTurn:       {from: 0.1, to: 0.9, max: 1}"},
 }
 
-// locate returns the path of the file and its content with the fault applied. The text
-// to replace must occur exactly once.
+// locate returns the path and the broken content of the file. The text must occur exactly once.
 func (b SoakBreak) locate(root string) (path, broken string, err error) {
 	path = filepath.Join(root, b.File)
 	text, err := os.ReadFile(path)
@@ -92,8 +89,8 @@
 	return path, strings.Replace(string(text), b.From, b.To, 1), nil
 }
 
-// Run applies the break to a copy of the tree at root and runs the soak there from the
-// seed first on. It returns the violation, or an error if the soak reports none.
+// Run runs the soak on a broken copy of the tree at root, from the seed first on. It returns the
+// violation, or an error if the soak reports none.
 func (b SoakBreak) Run(root string, first int) (found string, err error) {
 	scratch, err := os.MkdirTemp("", "break-")
 	if err != nil {
--- a/rehearsalkit/eventqueue/eventqueue.go
+++ b/rehearsalkit/eventqueue/eventqueue.go
@@ -1,5 +1,5 @@
-// Package eventqueue is the event queue of the simulators. Events run in the order of their
-// simulated times, and events of one time in the order in which they were added.
+// Package eventqueue runs the events of a simulator in the order of their simulated times, and
+// events of one time in the order in which they were added.
 package eventqueue
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Queue is a queue of events. The zero value is ready to use.
+// Queue is ready to use as its zero value.
 type Queue struct {
 	events events
 	seq    uint64
@@ -38,14 +38,13 @@
 	return last
 }
 
-// Add schedules a function for a simulated time.
+// Add schedules run for a simulated time.
 func (q *Queue) Add(at time.Duration, run func()) {
 	q.seq++
 	heap.Push(&q.events, event{at: at, seq: q.seq, run: run})
 }
 
-// Run runs the events that are due until a time. It sets now to the time of each event, and
-// to until at the end.
+// Run runs the events due by until. It sets now to the time of each, and to until at the end.
 func (q *Queue) Run(until time.Duration, now *time.Duration) {
 	for len(q.events) > 0 && q.events[0].at <= until {
 		e := heap.Pop(&q.events).(event)
--- a/rehearsalkit/links/links.go
+++ b/rehearsalkit/links/links.go
@@ -1,7 +1,6 @@
-// Package links relays the TCP connections between the machines of a test fleet and injects
-// faults into them: partitions in one or both directions, delays and resets. Machines are
-// identified by their IP addresses. A cut holds bytes back and delivers them once the link is
-// restored, as TCP does. Start reading at Links.Relay.
+// Package links relays TCP connections between the machines of a test fleet and injects partitions,
+// delays and resets. Machines are identified by their IP addresses. A cut holds bytes back and
+// delivers them once the link is restored, as TCP does. Start reading at Links.Relay.
 package links
 
 import (
@@ -13,8 +12,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Links holds the state of all links. A single goroutine owns it and serves the others over
-// channels.
+// Links holds the state of all links. One goroutine owns it and serves others over channels.
 type Links struct {
 	queries       chan query
 	changes       chan func(m map[direction]state)
@@ -23,10 +21,9 @@
 	closed        chan *stream
 }
 
-// direction is one direction of the link between two machines.
 type direction struct{ from, to string }
 
-// state is the fault of one direction; the zero value is none.
+// state is the fault of one direction. The zero value is none.
 type state struct {
 	cut   bool
 	delay time.Duration
@@ -37,7 +34,6 @@
 	answer    chan state
 }
 
-// stream is one relayed connection.
 type stream struct {
 	a, b  string
 	close func()
@@ -50,7 +46,13 @@
 
 // New returns links without faults. They stop when the context ends.
 func New(ctx context.Context) *Links {
-	l := &Links{queries: make(chan query), changes: make(chan func(map[direction]state)), registrations: make(chan registration), resets: make(chan string), closed: make(chan *stream)}
+	l := &Links{
+		queries:       make(chan query),
+		changes:       make(chan func(map[direction]state)),
+		registrations: make(chan registration),
+		resets:        make(chan string),
+		closed:        make(chan *stream),
+	}
 	go l.run(ctx)
 	return l
 }
@@ -87,7 +89,7 @@
 	}
 }
 
-// CutOneWay cuts or restores the direction from one machine to another.
+// CutOneWay cuts or restores one direction of a link.
 func (l *Links) CutOneWay(ctx context.Context, from, to string, cut bool) {
 	l.change(ctx, func(m map[direction]state) {
 		s := m[direction{from, to}]
@@ -96,13 +98,13 @@
 	})
 }
 
-// Cut cuts or restores the link between two machines in both directions.
+// Cut cuts or restores a link in both directions.
 func (l *Links) Cut(ctx context.Context, a, b string, cut bool) {
 	l.CutOneWay(ctx, a, b, cut)
 	l.CutOneWay(ctx, b, a, cut)
 }
 
-// Delay delays each piece of data that one machine sends to another; 0 ends the delay.
+// Delay delays each piece of data in one direction; 0 ends the delay.
 func (l *Links) Delay(ctx context.Context, from, to string, delay time.Duration) {
 	l.change(ctx, func(m map[direction]state) {
 		s := m[direction{from, to}]
@@ -119,11 +121,9 @@
 	}
 }
 
-// cutPollInterval is how often a cut direction is checked again.
 const cutPollInterval = 10 * time.Millisecond
 
-// waitOpen waits while a direction is cut, and for its delay. It returns false once the
-// context has ended.
+// waitOpen waits while a direction is cut, and for its delay. It returns false if the context ends.
 func (l *Links) waitOpen(ctx context.Context, from, to string) bool {
 	for waited := false; ; {
 		a := query{direction: direction{from, to}, answer: make(chan state, 1)}
@@ -150,8 +150,7 @@
 	}
 }
 
-// Relay listens on one address and forwards every connection to another, until the context
-// ends. It returns an error if it can't listen.
+// Relay listens on one address and forwards every connection to another until the context ends.
 func (l *Links) Relay(ctx context.Context, at, to string) error {
 	listener, err := net.Listen("tcp", at)
 	if err != nil {
@@ -209,7 +208,6 @@
 	}
 }
 
-// forward copies one direction of a connection.
 func (l *Links) forward(ctx context.Context, in io.Reader, out io.Writer, from, to string, ended chan<- struct{}) {
 	buffer := make([]byte, 64<<10)
 	for {
--- a/rehearsalkit/links/links_test.go
+++ b/rehearsalkit/links/links_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// startEchoServer echoes each line that is sent to an address.
+// startEchoServer echoes each line.
 func startEchoServer(t *testing.T, at string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", at)
@@ -32,8 +32,7 @@
 	}()
 }
 
-// TestLinks: a cut in either direction holds data back until it is restored, a delay
-// postpones it, and a reset closes connections.
+// A cut in either direction holds data back, a delay postpones it, and a reset closes connections.
 func TestLinks(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/rehearsalkit/setup/setup.go
+++ b/rehearsalkit/setup/setup.go
@@ -1,5 +1,5 @@
-// Package setup checks the prerequisites of a test run before it begins, so that a missing
-// one is reported as a fault of the set-up and never as a violated rule.
+// Package setup checks the prerequisites of a test run, so that a missing one is reported as a
+// fault of the set-up and never as a violated rule.
 package setup
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// FaultExitCode is the exit code of commands that end with a fault of the set-up.
+// FaultExitCode is the exit code for a fault of the set-up.
 const FaultExitCode = 2
 
-// Fault is the error for a prerequisite that is missing or can't be used.
+// Fault is the error for a missing or unusable prerequisite.
 type Fault struct {
 	Resource, Path string
 	Reason         string
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("set-up: %s %s: %s", f.Resource, f.Path, f.Reason)
 }
 
-// IsFault reports whether an error is a fault of the set-up.
+// IsFault reports whether an error is or wraps a Fault.
 func IsFault(err error) bool {
 	var fault *Fault
 	return errors.As(err, &fault)
@@ -42,8 +42,7 @@
 	return nil
 }
 
-// EnsureFolder creates a folder where it is missing. It returns a Fault unless files can be
-// written to it.
+// EnsureFolder creates a folder if necessary. It returns a Fault unless the folder is writable.
 func EnsureFolder(path string) error {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return &Fault{Resource: "folder", Path: path, Reason: err.Error()}
@@ -56,8 +55,8 @@
 	return errors.Wrap(os.Remove(probe.Name()), "remove the probe file")
 }
 
-// CheckSources returns a Fault unless the working directory is the root of this repository
-// and the Go tool is on the search path.
+// CheckSources returns a Fault unless the working directory is the repository's root and the Go
+// tool is on the search path.
 func CheckSources() error {
 	if _, err := exec.LookPath("go"); err != nil {
 		return &Fault{Resource: "program", Path: "go", Reason: "is not on the search path"}
--- a/rehearsalkit/setup/setup_test.go
+++ b/rehearsalkit/setup/setup_test.go
@@ -8,8 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TestFaults: a prerequisite that is missing or can't be used is reported as a fault of the
-// set-up; other errors are not.
+// Only missing or unusable prerequisites count as faults of the set-up.
 func TestFaults(t *testing.T) {
 	dir := t.TempDir()
 	file, program := filepath.Join(dir, "file"), filepath.Join(dir, "program")
@@ -35,7 +34,6 @@
 	}
 }
 
-// runIn runs a check in a folder.
 func runIn(t *testing.T, dir string, check func() error) error {
 	t.Helper()
 	t.Chdir(dir)
--- a/rehearsalkit/simulator/backend.go
+++ b/rehearsalkit/simulator/backend.go
@@ -19,20 +19,20 @@
 	leaving bool
 	// running is the number of attempts in progress.
 	running int64
-	// serial numbers the successive replicas of a backend.
+	// serial counts the replacements.
 	serial int
-	// lossRate is the probability that an answer is lost.
+	// lossRate is the probability of a lost answer.
 	lossRate    float64
 	failureMode string
-	// mute stops all announcements of the replica.
+	// mute stops all announcements.
 	mute bool
 }
 
 func (b *backend) name() string    { return fmt.Sprintf("%s.%d", b.id, b.serial) }
 func (b *backend) address() string { return "replica:" + b.service + ":" + b.name() }
 
-// announce registers the replica at two nodes. Each registration is repeated with
-// the token that the node returned; if a node does not respond, another one is used.
+// announce registers the replica at two nodes. Each registration is repeated with the token that
+// the node returned; another node replaces one that does not respond.
 func (b *backend) announce() {
 	for i := 0; i < 2; i++ {
 		b.announceToAnyNode(b.serial)
@@ -53,7 +53,7 @@
 	w.after(w.between(200*time.Microsecond, 3*time.Millisecond), func() {
 		p.do(func() {
 			if r.Leaving && !w.leavingRecorded(r.ID) {
-				// The departure counts from the first announcement that a node received.
+				// The departure counts from its first receipt by a node.
 				w.Record.Leaving = append(w.Record.Leaving, judge.Leaving{At: w.now, Replica: r.ID})
 			}
 			accepted := p.nodeMachine.Announce(p.now(), r, token)
@@ -82,8 +82,7 @@
 	return false
 }
 
-// replace announces that the replica leaves, stops it after a delay and starts
-// a replacement with a new serial.
+// replace lets the replica leave and later starts a replacement with a new serial.
 func (b *backend) replace() {
 	if !b.alive || b.leaving {
 		return
@@ -102,13 +101,11 @@
 	})
 }
 
-// simAttempt is an attempt that a node has in flight.
 type simAttempt struct {
 	cancelled bool
 }
 
-// startAttempt delivers an attempt to its replica and the resulting events back to
-// the node.
+// startAttempt delivers an attempt to its replica and the events back to the node.
 func (w *World) startAttempt(p *process, s node.StartAttempt) {
 	attempt := &simAttempt{}
 	p.attempts[s.Attempt] = attempt
@@ -146,7 +143,7 @@
 	})
 }
 
-// Failure modes of a replica besides lost answers. The texts are labels of counts.
+// Failure modes besides lost answers. The texts are labels of counts.
 const (
 	answersLate  = "answers late"
 	answersTwice = "answers twice"
@@ -156,10 +153,17 @@
 
 var failureModes = []string{answersLate, answersTwice, exceedsLimit, holdsStreams}
 
-// serve executes an attempt at a replica and records it for the judge.
+// serve executes an attempt and records it for the judge.
 func (b *backend) serve(s node.StartAttempt, deliver func(delay time.Duration, e node.AttemptEvent)) {
 	w := b.world
-	record := judge.Attempt{At: w.now, Service: b.service, Replica: b.name(), Tenant: s.Payload.Tenant, Program: s.Payload.Program, Conversation: s.Payload.Conversation}
+	record := judge.Attempt{
+		At:           w.now,
+		Service:      b.service,
+		Replica:      b.name(),
+		Tenant:       s.Payload.Tenant,
+		Program:      s.Payload.Program,
+		Conversation: s.Payload.Conversation,
+	}
 	lost := w.chance(b.lossRate)
 	serial := b.serial
 	b.running++
@@ -197,8 +201,11 @@
 	b.answer(s, record, lost, done, deliver)
 }
 
-// answer streams the chunks of a model response, with the replica's faults.
-func (b *backend) answer(s node.StartAttempt, record judge.Attempt, lost bool, done func(time.Duration), deliver func(delay time.Duration, e node.AttemptEvent)) {
+// answer streams a model response, with the replica's faults.
+func (b *backend) answer(
+	s node.StartAttempt, record judge.Attempt, lost bool,
+	done func(time.Duration), deliver func(delay time.Duration, e node.AttemptEvent),
+) {
 	w := b.world
 	chunks := 2 + w.random.IntN(4)
 	fail := -1
@@ -239,8 +246,7 @@
 	}
 }
 
-// requestIDOf extracts the request ID from the body of a tool call or action, where
-// the key "mark" holds it.
+// requestIDOf extracts the request ID, which a body holds under the key "mark".
 func requestIDOf(body []byte) string {
 	text := string(body)
 	a := strings.Index(text, `"mark":"`)
--- a/rehearsalkit/simulator/configuration_test.go
+++ b/rehearsalkit/simulator/configuration_test.go
@@ -8,7 +8,6 @@
 	"saffronfall/peer/core"
 )
 
-// apply submits a configuration to one core and waits for the outcome.
 func apply(w *World, at int, request core.ApplyRequest) core.ApplyResult {
 	var got core.ApplyResult
 	w.Operate(w.cores[at], func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
@@ -18,9 +17,8 @@
 	return got
 }
 
-// TestRepeatedDescription checks that a configuration in force is acknowledged when it is
-// submitted again through another core after many others, even where a replay would refuse
-// it by now, and that a different one on the same base is refused.
+// A repeated submission of the configuration in force is acknowledged, even if a replay would now
+// refuse it. A different one on the same base is refused.
 func TestRepeatedDescription(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	request := func(version uint64, digest string) core.ApplyRequest {
--- a/rehearsalkit/simulator/conformance_test.go
+++ b/rehearsalkit/simulator/conformance_test.go
@@ -14,7 +14,6 @@
 
 type tree = map[string]any
 
-// describeWith returns a configuration with default limits, modified by change.
 func describeWith(change func(role, tenant, services, breaker tree)) func(string) []byte {
 	return func(key string) []byte {
 		role, tenant, breaker := tree{}, tree{"keys": []any{tree{"sha256": configuration.KeyDigest("key-t1"), "role": "viewer"}}}, tree{}
@@ -52,8 +51,7 @@
 	}
 }
 
-// TestCheckOrderAtSessionStart violates every limit at once and lifts them one by one:
-// breaker, lockout and windows, concurrent sessions, daily allowance.
+// The checks come in order: breaker, lockout and windows, concurrent sessions, daily allowance.
 func TestCheckOrderAtSessionStart(t *testing.T) {
 	for _, c := range []struct {
 		name                             string
@@ -105,8 +103,7 @@
 	}
 }
 
-// TestLockout checks that a violation of the minute window locks viewers out for 600 s
-// and that every node reports the remaining time.
+// A violation of the minute window locks a user out at every node.
 func TestLockout(t *testing.T) {
 	w := smallWorld(func(role, tenant, services, breaker tree) { role["concurrent_sessions"] = 100 })
 	for i := 0; i < 2; i++ {
@@ -149,8 +146,7 @@
 	wantCode(t, "after the lockout", result, "")
 }
 
-// TestWindows checks that the hour window refuses with the time at which its oldest
-// session leaves it.
+// A refusal by the hour window names the time at which its oldest session leaves it.
 func TestWindows(t *testing.T) {
 	w := smallWorld(func(role, tenant, services, breaker tree) {
 		role["concurrent_sessions"], role["sessions_per_hour"] = 100, 4
@@ -167,8 +163,7 @@
 	}
 }
 
-// TestProgramCaps checks that a reached cap stops the next turn of the program and that
-// warnings start at 80 %.
+// Warnings start at 80 % of a cap; a reached cap stops the next turn.
 func TestProgramCaps(t *testing.T) {
 	w := smallWorld(nil)
 	_, p := open(w, 0, "steps")
@@ -218,9 +213,8 @@
 	wantCode(t, "a turn after 120 s", result, "duration_reached")
 }
 
-// TestScopes checks the soft and hard limits of programs, that helpers charge their root
-// program, that the daily allowance of a user refuses new sessions only and that of a
-// tenant refuses turns.
+// Helpers charge their root program. A user's daily allowance refuses new sessions only, a tenant's
+// refuses turns.
 func TestScopes(t *testing.T) {
 	w := smallWorld(func(role, tenant, services, breaker tree) {
 		role["program_tokens_soft"], role["program_tokens_hard"], role["turn_tokens"] = 50, 100, 60
@@ -260,8 +254,8 @@
 	}
 }
 
-// TestBreaker checks that the breaker trips by spend, refuses with the rest of the recovery
-// window, then admits a few test sessions, and closes when they succeed.
+// A tripped breaker refuses for its recovery window, then admits a few test sessions, and closes
+// when they succeed.
 func TestBreaker(t *testing.T) {
 	w := smallWorld(func(role, tenant, services, breaker tree) {
 		breaker["minute_dollars"], breaker["recovery_seconds"], breaker["tests"] = 0.025, 90, 2
@@ -312,7 +306,7 @@
 	wantCode(t, "after the tests", result, "")
 }
 
-// TestCooldown checks that each error doubles the cooldown of a tool, up to an hour.
+// Each error doubles the cooldown of a tool, up to an hour.
 func TestCooldown(t *testing.T) {
 	var r program.Record
 	service := configuration.Service{CooldownSeconds: 10}
--- a/rehearsalkit/simulator/crash.go
+++ b/rehearsalkit/simulator/crash.go
@@ -13,31 +13,48 @@
 	"saffronfall/rule/program"
 )
 
-// operation is an action of the fleet during which processes are crashed.
+// operation is an action during which processes are crashed.
 type operation struct {
 	name  string
 	begin func(w *World, s *scenario)
-	// retry repeats the request at another node.
+	// retry repeats the request at a node; nil means that the operation is not retried.
 	retry func(w *World, s *scenario, at int)
-	// shares tells whether messages about grants of shares belong to the operation.
+	// shares tells whether messages about grants of shares are crash points.
 	shares bool
 }
 
-// scenario holds the program and the request ID that an operation uses.
 type scenario struct {
 	id, head  string
 	requestID string
 }
 
 func (s *scenario) turnRequest(conversation, before string) node.Request {
-	return node.Request{Kind: node.KindTurn, Key: "key-t1", Program: s.id, Conversation: conversation, Service: "model", PreviousHead: before, Prompt: s.requestID, MaxTokens: 300, Timeout: 4 * time.Second}
+	return node.Request{
+		Kind:         node.KindTurn,
+		Key:          "key-t1",
+		Program:      s.id,
+		Conversation: conversation,
+		Service:      "model",
+		PreviousHead: before,
+		Prompt:       s.requestID,
+		MaxTokens:    300,
+		Timeout:      4 * time.Second,
+	}
 }
 
 func (s *scenario) onceRequest() node.Request {
-	return node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: "crash", Arguments: []byte(`{"mark":"crash"}`), Timeout: 3 * time.Second}
+	return node.Request{
+		Kind:      node.KindAction,
+		Key:       "key-t1",
+		User:      "u",
+		Service:   "alert",
+		OnceKey:   "crash",
+		Arguments: []byte(`{"mark":"crash"}`),
+		Timeout:   3 * time.Second,
+	}
 }
 
-// ignoreResponse is the callback of requests whose outcome only the record needs.
+// ignoreResponse is for requests whose outcome only the record needs.
 func ignoreResponse(judge.Request, node.Frame) {}
 
 func retryRequest(request func(s *scenario) node.Request) func(w *World, s *scenario, at int) {
@@ -50,9 +67,20 @@
 		w.submit(w.nodes[1], s.turnRequest("helper", program.EmptyHead), ignoreResponse)
 	}},
 	{name: "tool call", begin: func(w *World, s *scenario) {
-		w.submit(w.nodes[1], node.Request{Kind: node.KindTool, Key: "key-t1", Program: s.id, Service: "search", Arguments: []byte(`{"mark":"crash-tool"}`), Timeout: 3 * time.Second}, ignoreResponse)
+		w.submit(w.nodes[1], node.Request{
+			Kind:      node.KindTool,
+			Key:       "key-t1",
+			Program:   s.id,
+			Service:   "search",
+			Arguments: []byte(`{"mark":"crash-tool"}`),
+			Timeout:   3 * time.Second,
+		}, ignoreResponse)
 	}},
-	{name: "once-only action", begin: func(w *World, s *scenario) { w.submit(w.nodes[1], s.onceRequest(), ignoreResponse) }, retry: retryRequest((*scenario).onceRequest)},
+	{
+		name:  "once-only action",
+		begin: func(w *World, s *scenario) { w.submit(w.nodes[1], s.onceRequest(), ignoreResponse) },
+		retry: retryRequest((*scenario).onceRequest),
+	},
 	{name: "session start", begin: func(w *World, s *scenario) {
 		w.submit(w.nodes[1], node.Request{Kind: node.KindOpen, Key: "key-t1", User: "v", Timeout: 3 * time.Second}, ignoreResponse)
 	}},
@@ -73,7 +101,6 @@
 	}},
 }
 
-// Faults of one process at a crash point.
 var crashFaults = []struct {
 	name   string
 	inject func(w *World, p *process)
@@ -87,8 +114,7 @@
 	}},
 }
 
-// messageKind returns the registered name of a message, or "" for background traffic
-// that is not a crash point.
+// messageKind returns the registered name, or "" for background traffic without crash points.
 func messageKind(body any, shares bool) string {
 	raw := []byte(nil)
 	switch b := body.(type) {
@@ -119,7 +145,7 @@
 	return name
 }
 
-// registeredNames maps message types to their registered names without the package.
+// registeredNames holds the names without their package.
 var registeredNames = func() map[reflect.Type]string {
 	names := map[reflect.Type]string{}
 	for name, t := range message.Types() {
@@ -128,7 +154,7 @@
 	return names
 }()
 
-// stage builds the fleet and the program on which an operation runs.
+// stage builds the fleet and the program of one run.
 func stage() (*World, *scenario) {
 	p := Defaults(3)
 	p.Cores, p.Nodes, p.Users, p.MemberLease = 4, 4, 0, 2*time.Second
@@ -145,13 +171,12 @@
 	return w, s
 }
 
-// point is a crash point: the moment of a message or a sync and the processes involved.
+// point is the moment of a message or a sync, with the processes involved.
 type point struct {
 	label     string
 	processes []*process
 }
 
-// visitCrashPoints runs an operation and calls visit at each of its crash points.
 func (w *World) visitCrashPoints(o operation, s *scenario, visit func(p point)) {
 	w.atMessage = func(from, to *process, body any) {
 		if kind := messageKind(body, o.shares); kind != "" {
@@ -171,9 +196,8 @@
 	Faults       []string
 }
 
-// CrashPoints applies each crash fault to each involved process at each crash point
-// of each operation, one run for each combination. After each run it repairs the fleet,
-// retries at other nodes and judges the record. It executes one run in every `every`.
+// CrashPoints runs one in `every` combinations of operation, crash point, process and fault. Each
+// run then repairs the fleet, retries at other nodes and judges the record.
 func CrashPoints(every int, report func(c CrashResult)) {
 	type job struct {
 		o              operation
@@ -191,7 +215,13 @@
 					if process.disk == nil && crashFaults[f].name == "powered off" {
 						continue
 					}
-					jobs = append(jobs, job{o: o, point: c.Points, process: i, fault: f, description: p.label + ", " + process.id + " " + crashFaults[f].name})
+					jobs = append(jobs, job{
+						o:           o,
+						point:       c.Points,
+						process:     i,
+						fault:       f,
+						description: p.label + ", " + process.id + " " + crashFaults[f].name,
+					})
 				}
 			}
 			c.Points++
@@ -228,7 +258,7 @@
 	}
 }
 
-// crash applies one fault to one process at one crash point and returns the faults found.
+// crash executes one run and returns the faults found.
 func crash(o operation, at, process, fault int) (faults []string) {
 	w, s := stage()
 	n, injected := 0, false
@@ -280,7 +310,7 @@
 	return faults
 }
 
-// String returns a line of totals followed by the faults.
+// String returns a line of totals, then the faults.
 func (c CrashResult) String() string {
 	lines := []string{fmt.Sprintf("%-18s %4d points, %5d runs, %d faults", c.Operation, c.Points, c.Runs, len(c.Faults))}
 	return strings.Join(append(lines, c.Faults...), "\n  ")
--- a/rehearsalkit/simulator/failure_test.go
+++ b/rehearsalkit/simulator/failure_test.go
@@ -11,7 +11,6 @@
 	"saffronfall/rule/program"
 )
 
-// submitAndAdvance submits a request and advances the time by d only.
 func submitAndAdvance(w *World, at int, request node.Request, d time.Duration) *judge.Request {
 	got := &judge.Request{}
 	if request.Timeout == 0 {
@@ -44,12 +43,12 @@
 	return w
 }
 
-// A node that freezes between a reservation and its attempt, and resumes after its lease,
-// must not start the attempt, because a successor may own the program.
+// A node that resumes after its lease must not start the attempt of an earlier reservation, because
+// a successor may own the program.
 func TestFrozenNodeStartsNoAttempt(t *testing.T) {
 	for i := 0; i < 60; i++ {
 		delay := time.Duration(i%10+1) * 700 * time.Microsecond
-		// An expired announcement would prevent the attempt as well; only the lease must here.
+		// An expired announcement would also prevent the attempt; only the lease must here.
 		params := Defaults(uint64(i))
 		params.Cores, params.Nodes, params.Users, params.Describe, params.AnnouncementMaxAge = 3, 3, 0, describeWith(nil), time.Hour
 		w := withLimits(NewWithoutFaults(params))
@@ -68,8 +67,7 @@
 	}
 }
 
-// The reservation of an owner that dies during a turn stays charged, and another node
-// continues with the same history within seconds.
+// The reservation of an owner that dies in mid-turn stays charged, and a successor has its history.
 func TestOwnerKilledInMidTurn(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	_, p := open(w, 0, "u")
@@ -117,8 +115,8 @@
 	return len(body)
 }
 
-// An isolated node serves for at most its lease, then refuses with a retry time and never
-// reports a program as gone.
+// An isolated node serves for at most its lease, then refuses with a retry time, and never reports
+// a program as gone.
 func TestCutOffNode(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	_, p := open(w, 0, "u")
@@ -135,8 +133,8 @@
 	expectNoBreaches(t, w)
 }
 
-// A configuration is in force only when every member follows it or its lease is over, so
-// an isolated node never admits by an older one afterwards.
+// A configuration is in force only when every member follows it or its lease is over: an isolated
+// node must not admit by an older one afterwards.
 func TestConfigurationAndCutOffNode(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	w.Record.Limits.PropagationLimit = 0
@@ -154,8 +152,7 @@
 	}
 }
 
-// Of operators that race from the same version one succeeds, and the configurations of
-// the others are never in force.
+// Of operators that race from one version one succeeds; the others' are never in force.
 func TestRacingOperators(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	var taken, lost int
@@ -177,7 +174,7 @@
 	expectNoBreaches(t, w)
 }
 
-// A configuration in force survives a crash of all processes right after its confirmation.
+// A configuration in force survives a crash of all processes.
 func TestCrashAfterTaken(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	w.applyConfiguration(w.cores[0], 1, "probe-second", func(taken bool) {
@@ -227,8 +224,7 @@
 	}
 }
 
-// The replay refuses a configuration that would newly refuse too many recent requests; it
-// is never in force.
+// A configuration that would newly refuse too many recent requests is never in force.
 func TestNotApproved(t *testing.T) {
 	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) {
 		role["sessions_per_minute"], role["concurrent_sessions"] = 100, 100
@@ -249,8 +245,8 @@
 	wantCode(t, "the refused version's key", result, "unknown_key")
 }
 
-// When the answer of a once-only action is lost, retries report that it may have run, and
-// no second attempt starts.
+// After a lost answer of a once-only action, retries report that it may have run and start no
+// second attempt.
 func TestOnceAnswerLost(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	for _, b := range w.backends {
@@ -272,8 +268,7 @@
 	}
 }
 
-// Two requests with one once-key run once and both get the outcome. Another body under
-// the key is refused.
+// Two requests with one once-key run once and both get the outcome. Another body under the key is refused.
 func TestOnceKeyAtTwoNodes(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	request := node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: "k", Arguments: []byte(`{"mark":"k"}`)}
@@ -297,8 +292,7 @@
 	expectNoBreaches(t, w)
 }
 
-// Overload at every node stays within the quota of the tenant while a node crashes, and
-// alerts keep their reserved capacity.
+// Overload and a node crash leave the tenant within its quota and alerts their reserved capacity.
 func TestCrowd(t *testing.T) {
 	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) {
 		role["sessions_per_minute"], role["concurrent_sessions"], role["steps"], role["session_seconds"] = 1000, 1000, 1000, 600
@@ -357,8 +351,7 @@
 	expectNoBreaches(t, w)
 }
 
-// Each of five cores loses its disk in turn, restarts without a vote, becomes a member
-// again, and no stored state is lost.
+// A core that loses its disk restarts without a vote, and no stored state is lost.
 func TestEveryDiskLostInTurn(t *testing.T) {
 	p := Defaults(11)
 	p.Users, p.Describe = 0, describeWith(nil)
@@ -387,8 +380,7 @@
 	expectNoBreaches(t, w)
 }
 
-// A kept conversation is never reported gone while processes restart, and is reported
-// gone, not unknown, after its retention.
+// A kept conversation is reported gone, not unknown, after its retention, and never before.
 func TestKeptConversation(t *testing.T) {
 	params := Defaults(7)
 	params.Cores, params.Nodes, params.Users, params.Describe = 3, 3, 0, describeWith(nil)
@@ -419,7 +411,7 @@
 	wantCode(t, "after its retention", result, "gone")
 }
 
-// A confirmed turn survives a crash of all processes at the moment of its confirmation.
+// A confirmed turn survives a crash of all processes right after its confirmation.
 func TestPowerLostAfterConfirmation(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		params := Defaults(seed)
@@ -465,8 +457,7 @@
 	}
 }
 
-// A node that reaches other nodes but no core keeps its lease, gets updates and serves
-// through another node.
+// A node that reaches other nodes but no core keeps its lease and serves through another node.
 func TestNodeIsolatedFromCoresOnly(t *testing.T) {
 	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 }))
 	_, p := open(w, 0, "u")
@@ -494,8 +485,8 @@
 	expectNoBreaches(t, w)
 }
 
-// A node with an outdated snapshot of the members knows only an earlier incarnation of a
-// program's owner, which does not prove that the current one has ended.
+// An outdated snapshot of the members may hold an earlier incarnation of an owner, which does not
+// prove that the current one has ended.
 func TestStaleIncarnationIsNoProof(t *testing.T) {
 	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 }))
 	memberPartition := core.PartitionOf(w.Params.Partitions, "member", "node1")
@@ -533,8 +524,7 @@
 	}
 }
 
-// A node that drains under load transfers its programs: no stream breaks, no request runs
-// out of time, and the drain completes in a few seconds.
+// A drain under load breaks no stream, lets no request time out, and completes in a few seconds.
 func TestDrainUnderLoad(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		params := Defaults(seed)
@@ -588,8 +578,7 @@
 	}
 }
 
-// After a disconnection of cores and nodes for longer than a lease, all nodes serve their
-// programs within two seconds; none waits for the lease of its earlier incarnation.
+// After a disconnection longer than a lease no node waits for the lease of its earlier incarnation.
 func TestRecoveryAfterCoresCutOff(t *testing.T) {
 	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 }))
 	var ids []string
@@ -627,8 +616,8 @@
 	expectNoBreaches(t, w)
 }
 
-// A request forwarded to an owner that restarts ends when the old incarnation is known to
-// have ended, not with its time budget.
+// A request forwarded to an owner that restarts ends when the old incarnation is known to have
+// ended, not with its time budget.
 func TestOwnerDiesAndComesBack(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	_, p := open(w, 0, "u")
@@ -645,8 +634,7 @@
 	expectNoBreaches(t, w)
 }
 
-// A replica whose attempts fail repeatedly is ejected for increasing times and tried again
-// afterwards.
+// A repeatedly failing replica is ejected for increasing times and tried again.
 func TestEjection(t *testing.T) {
 	w := withLimits(smallWorld(func(role, tenant, services, breaker tree) {
 		role["sessions_per_minute"], role["concurrent_sessions"], role["steps"], role["session_seconds"], role["program_tokens_hard"] = 1000, 1000, 1000, 600, 10_000_000
--- a/rehearsalkit/simulator/fault.go
+++ b/rehearsalkit/simulator/fault.go
@@ -7,7 +7,7 @@
 	"saffronfall/peer/node"
 )
 
-// injectFault causes one random fault, ends it later and schedules the next one.
+// injectFault causes one random fault and schedules the next one.
 func (w *World) injectFault() {
 	if w.now > w.Params.LoadTime {
 		return
@@ -109,8 +109,8 @@
 			w.replaceCore(c)
 		}
 	case 21:
-		// State that only an owner and its mirrors hold is lost with them while the cores
-		// are unreachable, so this fault waits until the links are restored.
+		// State that only an owner and its mirrors hold is lost with them while the cores are
+		// unreachable, so this fault waits for the links.
 		if !w.allKilled && len(w.cutLinks) == 0 && w.now > w.cutUntil+2*time.Second {
 			w.allKilled = true
 			w.logf("all processes are killed")
@@ -169,7 +169,7 @@
 	}
 }
 
-// failDisk makes a core lose its disk if the fleet must tolerate that loss.
+// failDisk makes a core lose its disk if the fleet must tolerate that.
 func (w *World) failDisk(c *process, down int, length time.Duration) {
 	if c.alive && down == 0 && w.membersCurrent() {
 		w.logf("%s loses its disk", c.id)
@@ -180,7 +180,7 @@
 	}
 }
 
-// cutLink disconnects two processes, in most cases in both directions.
+// cutLink disconnects two processes, mostly in both directions.
 func (w *World) cutLink(a, b *process, length time.Duration) {
 	pairs := [][2]string{{a.address, b.address}}
 	if w.chance(0.8) {
@@ -196,7 +196,7 @@
 	})
 }
 
-// replaceCore replaces a core with the spare permanently. The spare joins by itself.
+// replaceCore replaces a core permanently. The spare joins by itself.
 func (w *World) replaceCore(old *process) {
 	spare, by := w.spare, w.cores[0]
 	if by == old {
@@ -211,7 +211,7 @@
 	w.after(500*time.Millisecond, func() { w.retire(old, by, spare, w.now+20*time.Second) })
 }
 
-// retire repeats the request to replace a core until it succeeds or the deadline passes.
+// retire retries the replacement of a core until the deadline.
 func (w *World) retire(old, by, spare *process, until time.Duration) {
 	retry := func() {
 		if w.now < until {
@@ -247,7 +247,6 @@
 	})
 }
 
-// cutCoresFromNodes disconnects all cores from all nodes.
 func (w *World) cutCoresFromNodes(length time.Duration) {
 	w.cutUntil = max(w.cutUntil, w.now+length)
 	for _, c := range w.cores {
@@ -257,7 +256,6 @@
 	}
 }
 
-// isolate disconnects a process from all others.
 func (w *World) isolate(p *process, length time.Duration) {
 	for _, other := range w.processes {
 		if other != p {
--- a/rehearsalkit/simulator/isolation_test.go
+++ b/rehearsalkit/simulator/isolation_test.go
@@ -10,7 +10,7 @@
 	"saffronfall/rule/program"
 )
 
-// traffic takes turns at the given nodes for a time, each of a new program.
+// traffic takes turns at the given nodes, each of a new program.
 func traffic(w *World, length time.Duration, nodes ...int) (completed, asked int) {
 	for i, end := 0, w.now+length; w.now < end; i++ {
 		at := nodes[i%len(nodes)]
@@ -25,8 +25,8 @@
 	return completed, asked
 }
 
-// When the only node that knows of a replica's departure dies, the other nodes use that
-// replica no longer than the rule allows.
+// When the only node that knows of a departure dies, the others use the replica no longer
+// than allowed.
 func TestLeavingAnnouncedToDyingNode(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	departing := w.backends[0]
@@ -41,8 +41,8 @@
 	expectNoBreaches(t, w)
 }
 
-// A resumed node must not take an announcement that waited while it was frozen, and that
-// precedes the replica's departure, for a new one.
+// A resumed node must not take a waiting announcement that precedes the replica's departure for a
+// new one.
 func TestStaleAnnouncementAtResumedNode(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	departing, frozen := w.backends[0], w.nodes[0]
@@ -64,8 +64,7 @@
 	expectNoBreaches(t, w)
 }
 
-// isolatedFleet returns a fleet with long leases and all cores disconnected from the nodes,
-// and a program that took a turn at the first node.
+// isolatedFleet has long leases and cuts all cores from the nodes after a first turn.
 func isolatedFleet(t *testing.T, seed uint64, length time.Duration) (w *World, id, head string) {
 	t.Helper()
 	p := Defaults(seed)
@@ -86,8 +85,7 @@
 	return w, opened.Text, first.Head
 }
 
-// takeTurns takes turns of one program at random nodes for a time and returns how many
-// completed.
+// takeTurns returns how many turns of one program completed at random nodes.
 func takeTurns(w *World, length time.Duration, id, head string, alive ...int) (completed, asked int, last string) {
 	for end := w.now + length; w.now < end; {
 		asked++
@@ -104,8 +102,7 @@
 	return completed, asked, head
 }
 
-// Without the cores an owner continues its program within its lease, whichever node gets
-// the request, and no turn is lost.
+// Without the cores an owner continues its program within its lease, and no turn is lost.
 func TestTurnsWithoutCores(t *testing.T) {
 	w, id, head := isolatedFleet(t, 1, 5*time.Second)
 	completed, asked, head := takeTurns(w, 5*time.Second, id, head, 0, 1, 2, 3)
@@ -119,8 +116,8 @@
 	expectNoBreaches(t, w)
 }
 
-// The successor of an owner that fails without the cores recovers the turns from a mirror;
-// until then it refuses with a retry time.
+// A successor without the cores recovers the turns from a mirror, and refuses with a retry time
+// until then.
 func TestOwnerLostWhileIsolated(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -172,9 +169,8 @@
 	}
 }
 
-// When the owner and both mirrors fail without the cores, the turns that only they held are
-// lost. The program is never reported gone, the refusal has the stored head, and the
-// precharged tokens count as spent.
+// When owner and mirrors fail without the cores, the turns that only they held are lost. The
+// program is never reported gone, the refusal has the stored head, and precharged tokens are spent.
 func TestOwnerAndMirrorsLost(t *testing.T) {
 	w, id, head := isolatedFleet(t, 3, 3*time.Second)
 	_, _, head = takeTurns(w, 2*time.Second, id, head, 0)
@@ -197,8 +193,8 @@
 	}
 }
 
-// Without the cores an owner takes no turn beyond the precharged tokens, so that no failure
-// lets a program exceed its allowance by more than one turn.
+// Without the cores no turn exceeds the precharged tokens, so that a failure costs at most one turn
+// beyond the allowance.
 func TestPrechargedTurnsWhileIsolated(t *testing.T) {
 	w, id, head := isolatedFleet(t, 4, 7*time.Second)
 	w.Record.Limits.ProgramTokens, w.Record.Limits.TurnTokens = 2000, 1000
@@ -218,8 +214,7 @@
 	expectNoBreaches(t, w)
 }
 
-// A turn that only one mirror holds is not confirmed: it would be lost with the owner and
-// that mirror.
+// A turn that only one mirror holds is not confirmed: the owner and that mirror could both be lost.
 func TestOneMirrorWhileIsolated(t *testing.T) {
 	w, id, head := isolatedFleet(t, 5, 3*time.Second)
 	mirrors := w.nodes[0].nodeMachine.MirrorsOf("t1", id)
--- a/rehearsalkit/simulator/load_test.go
+++ b/rehearsalkit/simulator/load_test.go
@@ -9,8 +9,8 @@
 	"saffronfall/rule/program"
 )
 
-// With all slots of replicas taken, a turn waits within its time budget; a full queue is
-// refused at once, with a retry time that grows with the queue.
+// Without a free slot a turn waits within its time budget. A full queue refuses at once, with a
+// retry time that grows with the queue.
 func TestWaitForReplicaCapacity(t *testing.T) {
 	p := defaults(7)
 	p.Cores, p.Nodes, p.Users, p.Replicas, p.Rate, p.Burst, p.MemberLease, p.Zones = 3, 3, 0, 1, 500, 900, 2*time.Second, 3
--- a/rehearsalkit/simulator/loads.go
+++ b/rehearsalkit/simulator/loads.go
@@ -8,17 +8,17 @@
 	"saffronfall/rehearsalkit/judge"
 )
 
-// CrowdResult compares alerts under normal load (index 0) and under overload (index 1).
+// CrowdResult compares alerts under normal load (index 0) and overload (index 1).
 type CrowdResult struct {
-	// Median and P90 are latencies of successful alerts; the turns are those under overload.
+	// Median and P90 are latencies of successful alerts; turns count under overload only.
 	Alerts, Succeeded     [2]int
 	Median, P90           [2]time.Duration
 	Turns, SucceededTurns int
 	Breaches              []judge.Breach
 }
 
-// MeasureCrowd runs a normal load, then ten times as many requesters of one tenant
-// with a burst of alerts every second, and compares the alerts of that tenant.
+// MeasureCrowd compares the alerts of one tenant under normal load and under ten times as many
+// requesters.
 func MeasureCrowd(seed uint64) CrowdResult {
 	p := defaults(seed)
 	p.Cores, p.Nodes, p.Zones, p.Replicas, p.Alerts, p.Users, p.Partitions = 6, 13, 3, 11, 5, 12, 16
@@ -47,7 +47,15 @@
 	alert := func(period int) {
 		id := w.newID("alert")
 		c.Alerts[period]++
-		w.submit(w.anyNode(), node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: id, Arguments: []byte(`{"mark":"` + id + `"}`), Timeout: 2 * time.Second}, func(result judge.Request, _ node.Frame) {
+		w.submit(w.anyNode(), node.Request{
+			Kind:      node.KindAction,
+			Key:       "key-t1",
+			User:      "u",
+			Service:   "alert",
+			OnceKey:   id,
+			Arguments: []byte(`{"mark":"` + id + `"}`),
+			Timeout:   2 * time.Second,
+		}, func(result judge.Request, _ node.Frame) {
 			if result.Outcome == judge.Whole {
 				c.Succeeded[period]++
 				latencies[period] = append(latencies[period], result.Ended-result.At)
@@ -71,16 +79,16 @@
 	return c
 }
 
-// ShareResult tells how much of the quota of one large tenant was used.
+// ShareResult is the use of one large tenant's quota.
 type ShareResult struct {
 	// Used is the fraction of the quota that reached replicas in steady state, Wanted the
-	// requested load as a multiple of the quota.
+	// load as a multiple of the quota.
 	Used, Wanted float64
 	Breaches     []judge.Breach
 }
 
-// MeasureShares runs one tenant above its quota at "all nodes", at "one node" or at one
-// node after another ("moving"), with light load of another tenant.
+// MeasureShares loads one tenant above its quota at "all nodes", at "one node" or at one node after
+// another ("moving").
 func MeasureShares(seed uint64, where string) ShareResult {
 	p := defaults(seed)
 	p.Nodes, p.Users, p.Faults, p.Operators, p.MessageLoss, p.Rate, p.Burst, p.MemberLease = 6, 0, false, 0, 0, 40, 64, 5*time.Second
@@ -91,7 +99,15 @@
 	asked, moves := 0, 0
 	ask := func(key string, at *process) {
 		id := w.newID("load")
-		w.submit(at, node.Request{Kind: node.KindAction, Key: key, User: "u", Service: "alert", OnceKey: id, Arguments: []byte(`{"mark":"` + id + `"}`), Timeout: 2 * time.Second}, ignoreResponse)
+		w.submit(at, node.Request{
+			Kind:      node.KindAction,
+			Key:       key,
+			User:      "u",
+			Service:   "alert",
+			OnceKey:   id,
+			Arguments: []byte(`{"mark":"` + id + `"}`),
+			Timeout:   2 * time.Second,
+		}, ignoreResponse)
 	}
 	var load func()
 	load = func() {
--- a/rehearsalkit/simulator/process.go
+++ b/rehearsalkit/simulator/process.go
@@ -11,20 +11,19 @@
 	"saffronfall/rule/ordered"
 )
 
-// process is one simulated core or node on its machine.
+// process is a simulated core or node.
 type process struct {
 	world       *World
 	id          string
 	zone        string
 	address     string
 	incarnation int
-	// powerCycles counts how often the machine lost power.
 	powerCycles int
 	alive       bool
 	frozen      bool
-	// backlog holds the steps that arrived while the process was frozen.
+	// backlog holds the steps that arrived during a freeze.
 	backlog []func()
-	// rate is the speed of the local clock relative to simulated time.
+	// rate is the local clock's speed relative to simulated time.
 	rate    float64
 	started time.Duration
 
@@ -37,11 +36,11 @@
 	attempts    map[uint64]*simAttempt
 }
 
-// simulatedDisk is the stored state of a core, with writes and messages that await a sync.
+// simulatedDisk is a core's storage, with writes and messages that await a sync.
 type simulatedDisk struct {
 	stored  core.Stored
 	pending [][]core.Change
-	// issued and synced number the batches of changes; calls are operators' calls by ticket.
+	// issued and synced number the batches of changes; operators' calls are keyed by ticket.
 	issued       uint64
 	synced       uint64
 	held         []heldSend
@@ -51,18 +50,18 @@
 	lastTicket   uint64
 }
 
-// heldSend is a message that may leave only after the sync with this number.
+// heldSend is a message that may leave only after this sync.
 type heldSend struct {
 	after uint64
 	send  core.Send
 }
 
-// now is the local time of the process, whose clock has a rate of its own.
+// now returns the local time by the process's own clock rate.
 func (p *process) now() time.Duration {
 	return time.Duration(float64(p.world.now-p.started) * p.rate)
 }
 
-// boot starts a new incarnation from the contents of the disk.
+// boot starts a new incarnation from the disk.
 func (p *process) boot() {
 	w := p.world
 	p.incarnation++
@@ -76,12 +75,32 @@
 		p.disk.calls = map[uint64]func(any){}
 		var image core.Stored
 		image.CopyFrom(p.disk.stored)
-		p.coreMachine = core.New(core.Options{Params: w.coreParams(), ID: p.id, Zone: p.zone, Address: p.address, Seeds: w.seeds(), Stored: image, Now: p.now(), Random: w.random.Float64})
+		p.coreMachine = core.New(core.Options{
+			Params:  w.coreParams(),
+			ID:      p.id,
+			Zone:    p.zone,
+			Address: p.address,
+			Seeds:   w.seeds(),
+			Stored:  image,
+			Now:     p.now(),
+			Random:  w.random.Float64,
+		})
 		p.tick(p.incarnation, 15*time.Millisecond)
 		return
 	}
 	p.attempts = map[uint64]*simAttempt{}
-	p.nodeMachine = node.New(node.Options{Params: w.nodeParams(), ID: p.id, Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation), Zone: p.zone, Address: p.address, HTTP: p.address, Host: fmt.Sprint(p.address, " run ", p.powerCycles), Seeds: w.seeds(), Now: p.now(), Random: w.random.Float64})
+	p.nodeMachine = node.New(node.Options{
+		Params:      w.nodeParams(),
+		ID:          p.id,
+		Incarnation: fmt.Sprintf("%s.%d", p.id, p.incarnation),
+		Zone:        p.zone,
+		Address:     p.address,
+		HTTP:        p.address,
+		Host:        fmt.Sprint(p.address, " run ", p.powerCycles),
+		Seeds:       w.seeds(),
+		Now:         p.now(),
+		Random:      w.random.Float64,
+	})
 	p.tick(p.incarnation, 10*time.Millisecond)
 }
 
@@ -100,7 +119,7 @@
 	p.world.after(every, func() { p.tick(incarnation, every) })
 }
 
-// do executes a step now, or when a frozen process resumes.
+// do executes a step now, or after a freeze.
 func (p *process) do(step func()) {
 	switch {
 	case !p.alive:
@@ -138,7 +157,7 @@
 	}
 }
 
-// powerOff kills the process and loses all writes that were not synced.
+// powerOff kills the process and loses unsynced writes.
 func (p *process) powerOff() {
 	if p.disk != nil {
 		p.disk.pending = nil
@@ -165,7 +184,7 @@
 	}
 }
 
-// loseDisk replaces the disk with an empty one that has a new storage incarnation.
+// loseDisk installs an empty disk with a new storage incarnation.
 func (p *process) loseDisk() {
 	p.disk = &simulatedDisk{stored: core.Stored{Incarnation: fmt.Sprintf("%s-%d", p.id, p.world.random.Uint32())}}
 }
@@ -209,7 +228,7 @@
 	return value
 }
 
-// sync writes the pending changes and then releases the messages that depend on them.
+// sync writes the pending changes, then releases the messages that depend on them.
 func (p *process) sync() {
 	d := p.disk
 	if d.syncing || len(d.pending) == 0 {
--- a/rehearsalkit/simulator/requester.go
+++ b/rehearsalkit/simulator/requester.go
@@ -10,7 +10,7 @@
 	"saffronfall/rule/program"
 )
 
-// submit sends a request to a node and calls done with its outcome.
+// submit sends a request and calls done once, with its outcome.
 func (w *World) submit(p *process, request node.Request, done func(result judge.Request, last node.Frame)) {
 	result := judge.Request{At: w.now, Kind: request.Kind, Node: p.id, Tenant: tenantOf(request.Key), User: request.User, Program: request.Program, Conversation: request.Conversation, ID: request.Prompt, Service: request.Service}
 	if request.Kind == node.KindAction || request.Kind == node.KindTool {
@@ -48,7 +48,7 @@
 				result.Text += frame.Text
 				result.Tokens += frame.Tokens
 			case node.FrameClose:
-				// The judge verifies the number of tokens.
+				// The judge checks the tokens.
 				result.Outcome = judge.Whole
 				finish(frame)
 			case node.FrameAbort:
@@ -102,7 +102,6 @@
 
 func (w *World) anyNode() *process { return w.nodes[w.random.IntN(len(w.nodes))] }
 
-// newID returns a request ID that is unique in the run.
 func (w *World) newID(kind string) string {
 	w.lastID++
 	return fmt.Sprintf("%s-%d", kind, w.lastID)
@@ -112,15 +111,19 @@
 	u.world.after(u.world.between(shortest, longest), next)
 }
 
-// startSession opens a session whose turns, tool calls and alerts go to random nodes;
-// a new session follows its end.
+// startSession opens a session, and a new one after its end.
 func (u *user) startSession() {
 	w := u.world
 	if w.now > w.Params.LoadTime {
 		return
 	}
 	u.heads, u.turns = map[string]string{"": program.EmptyHead}, 0
-	w.submit(w.anyNode(), node.Request{Kind: node.KindOpen, Key: u.key, User: u.name, Timeout: 3 * time.Second}, func(result judge.Request, last node.Frame) {
+	w.submit(w.anyNode(), node.Request{
+		Kind:    node.KindOpen,
+		Key:     u.key,
+		User:    u.name,
+		Timeout: 3 * time.Second,
+	}, func(result judge.Request, last node.Frame) {
 		if result.Outcome != judge.Whole {
 			u.pause(300*time.Millisecond, 900*time.Millisecond, u.startSession)
 			return
@@ -130,7 +133,6 @@
 	})
 }
 
-// nextStep performs one random action of the session.
 func (u *user) nextStep() {
 	w := u.world
 	if w.now > w.Params.LoadTime {
@@ -139,10 +141,15 @@
 	u.turns++
 	switch {
 	case u.turns > 1 && isStrict(u.key) && w.chance(0.1):
-		// Some users start a new session without closing the old one, above their limits.
+		// These users start a session without closing the old one, to exceed their limits.
 		u.startSession()
 	case u.turns > 14 || w.chance(0.04):
-		w.submit(w.anyNode(), node.Request{Kind: node.KindClose, Key: u.key, Program: u.program, Timeout: 3 * time.Second}, func(judge.Request, node.Frame) {
+		w.submit(w.anyNode(), node.Request{
+			Kind:    node.KindClose,
+			Key:     u.key,
+			Program: u.program,
+			Timeout: 3 * time.Second,
+		}, func(judge.Request, node.Frame) {
 			u.pause(100*time.Millisecond, 600*time.Millisecond, u.startSession)
 		})
 	case w.chance(0.15):
@@ -166,7 +173,16 @@
 		u.heads[conversation] = program.EmptyHead
 	}
 	before, id := u.heads[conversation], w.newID("turn")
-	request := node.Request{Kind: node.KindTurn, Key: u.key, Program: u.program, Conversation: conversation, Service: "model", PreviousHead: before, Prompt: id, Timeout: w.between(800*time.Millisecond, 5*time.Second)}
+	request := node.Request{
+		Kind:         node.KindTurn,
+		Key:          u.key,
+		Program:      u.program,
+		Conversation: conversation,
+		Service:      "model",
+		PreviousHead: before,
+		Prompt:       id,
+		Timeout:      w.between(800*time.Millisecond, 5*time.Second),
+	}
 	w.submit(w.anyNode(), request, func(result judge.Request, last node.Frame) {
 		switch {
 		case result.Outcome == judge.Whole:
@@ -176,7 +192,10 @@
 			u.heads[conversation] = last.Head
 		case result.Outcome == judge.Refused && result.Code == "wrong_history":
 			u.heads[conversation] = last.Verdict.Head
-		case result.Outcome == judge.Refused && (result.Code == "program_tokens_spent" || result.Code == "steps_reached" || result.Code == "duration_reached" || result.Code == "unknown_program" || result.Code == "loop" || result.Code == "tool_calls_per_type_reached"):
+		case result.Outcome == judge.Refused && (result.Code == "program_tokens_spent" ||
+			result.Code == "steps_reached" || result.Code == "duration_reached" ||
+			result.Code == "unknown_program" || result.Code == "loop" ||
+			result.Code == "tool_calls_per_type_reached"):
 			u.turns = 100
 		case result.Outcome == judge.Refused && last.Verdict.RetryAfter > 0:
 			u.pause(min(last.Verdict.RetryAfter, 2*time.Second), min(last.Verdict.RetryAfter, 2*time.Second)+50*time.Millisecond, u.nextStep)
@@ -190,16 +209,31 @@
 	w := u.world
 	id := w.newID("tool")
 	raw, _ := json.Marshal(map[string]string{"mark": id})
-	w.submit(w.anyNode(), node.Request{Kind: node.KindTool, Key: u.key, Program: u.program, Service: "search", Arguments: raw, Timeout: 2 * time.Second}, func(judge.Request, node.Frame) { u.pauseThenContinue() })
+	w.submit(w.anyNode(), node.Request{
+		Kind:      node.KindTool,
+		Key:       u.key,
+		Program:   u.program,
+		Service:   "search",
+		Arguments: raw,
+		Timeout:   2 * time.Second,
+	}, func(judge.Request, node.Frame) { u.pauseThenContinue() })
 }
 
-// alert sends a once-only alert, in half of the cases to two nodes at once, and retries
-// while the outcome is uncertain.
+// alert sends a once-only alert, half of the time to two nodes at once, and retries while the
+// outcome is uncertain.
 func (u *user) alert() {
 	w := u.world
 	id := w.newID("once")
 	raw, _ := json.Marshal(map[string]string{"mark": id})
-	request := node.Request{Kind: node.KindAction, Key: u.key, User: u.name, Service: "alert", OnceKey: id, Arguments: raw, Timeout: 2 * time.Second}
+	request := node.Request{
+		Kind:      node.KindAction,
+		Key:       u.key,
+		User:      u.name,
+		Service:   "alert",
+		OnceKey:   id,
+		Arguments: raw,
+		Timeout:   2 * time.Second,
+	}
 	attempts := 0
 	var try func(then func())
 	try = func(then func()) {
--- a/rehearsalkit/simulator/restart_test.go
+++ b/rehearsalkit/simulator/restart_test.go
@@ -10,9 +10,8 @@
 	"saffronfall/rule/program"
 )
 
-// Kept conversations are requested at every node for twelve seconds after restarts, with and
-// without connection to the cores. They are never reported gone or unknown, and continue
-// afterwards with their history.
+// Kept conversations are never reported gone or unknown after restarts, with or without the cores,
+// and continue with their history.
 func TestKeptAfterRestarts(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -73,8 +72,8 @@
 	}
 }
 
-// A node that restarts on the same running machine is ready at once, since its address is
-// unchanged. After a power loss it waits until the lease of the earlier incarnation is over.
+// A node that restarts on a running machine is ready at once, since its address is unchanged. After
+// a power loss it waits until the lease of its earlier incarnation is over.
 func TestRestartOnSameMachine(t *testing.T) {
 	for _, c := range []struct {
 		name             string
--- a/rehearsalkit/simulator/run.go
+++ b/rehearsalkit/simulator/run.go
@@ -17,8 +17,7 @@
 
 const tenants = 3
 
-// strictLimits are the limits for users of the last tenant. They are low, so that runs
-// reach them often.
+// strictLimits are for users of the last tenant, and low so that runs reach them often.
 var strictLimits = judge.UserLimits{PerMinute: 4, Lockout: 3 * time.Second, Concurrent: 2, Session: 5 * time.Second, DayTokens: 8000}
 
 func isStrict(key string) bool { return key == fmt.Sprintf("key-t%d", tenants) }
@@ -28,8 +27,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// describe returns a configuration with its own key, by which a probe can detect which
-// version a node has in force.
+// describe returns a configuration with its own key, by which a probe finds the version in force.
 func (w *World) describe(key string) []byte {
 	if w.Params.Describe != nil {
 		return w.Params.Describe(key)
@@ -37,9 +35,11 @@
 	role := map[string]any{"sessions_per_minute": 600, "sessions_per_hour": 6000, "sessions_per_day": 60000, "concurrent_sessions": 50,
 		"steps": 40, "program_tokens_soft": 3000, "program_tokens_hard": 6000, "turn_tokens": 1000, "tool_calls": 30, "tool_calls_per_type": 30,
 		"session_seconds": 600, "user_day_tokens_hard": 500_000}
-	strictRole := map[string]any{"sessions_per_minute": strictLimits.PerMinute, "sessions_per_hour": 6000, "sessions_per_day": 60000, "concurrent_sessions": strictLimits.Concurrent,
-		"lockout_seconds": int64(strictLimits.Lockout / time.Second), "steps": 4, "program_tokens_soft": 3000, "program_tokens_hard": 6000, "turn_tokens": 1000,
-		"session_seconds": int64(strictLimits.Session / time.Second), "user_day_tokens_hard": strictLimits.DayTokens, "user_day_tokens_soft": strictLimits.DayTokens / 2}
+	strictRole := map[string]any{"sessions_per_minute": strictLimits.PerMinute, "sessions_per_hour": 6000, "sessions_per_day": 60000,
+		"concurrent_sessions": strictLimits.Concurrent, "lockout_seconds": int64(strictLimits.Lockout / time.Second),
+		"steps": 4, "program_tokens_soft": 3000, "program_tokens_hard": 6000, "turn_tokens": 1000,
+		"session_seconds":      int64(strictLimits.Session / time.Second),
+		"user_day_tokens_hard": strictLimits.DayTokens, "user_day_tokens_soft": strictLimits.DayTokens / 2}
 	list := map[string]any{}
 	for i := 1; i <= tenants; i++ {
 		name := fmt.Sprintf("t%d", i)
@@ -56,14 +56,15 @@
 	list["t2"].(map[string]any)["day_tokens"] = w.Params.DayTokens
 	list["probe"] = map[string]any{"keys": []any{map[string]any{"sha256": configuration.KeyDigest(key), "role": "viewer"}}}
 	text, _ := json.Marshal(map[string]any{"roles": map[string]any{"viewer": role, "strict": strictRole}, "tenants": list,
-		"services": map[string]any{"model": map[string]any{"kind": "model"}, "alert": map[string]any{"kind": "once", "urgent": true, "past_breaker": true},
+		"services": map[string]any{"model": map[string]any{"kind": "model"},
+			"alert":  map[string]any{"kind": "once", "urgent": true, "past_breaker": true},
 			"search": map[string]any{"kind": "tool", "calls_per_minute": 1000}},
-		"breaker": map[string]any{"minute_dollars": w.Params.MinuteCost, "recovery_seconds": 5}, "approval": map[string]any{"newly_refused_ratio": 1}})
+		"breaker":  map[string]any{"minute_dollars": w.Params.MinuteCost, "recovery_seconds": 5},
+		"approval": map[string]any{"newly_refused_ratio": 1}})
 	return text
 }
 
-// Run simulates a whole run with its users, operators and faults, and returns the
-// world and the breaches.
+// Run simulates a whole run and returns the world and the breaches.
 func Run(p Params) (*World, []judge.Breach) {
 	w := New(p)
 	w.Found()
@@ -92,12 +93,22 @@
 	return w, w.Record.Judge()
 }
 
-// limits sets the limits by which the judge checks the run.
+// limits sets the limits that the judge checks.
 func (w *World) limits() {
 	p := w.Params
-	w.Record.Limits = judge.Limits{ProgramTokens: 6000, TurnTokens: 1000, Rate: map[string]float64{}, Burst: map[string]float64{}, Retention: time.Hour, PropagationLimit: 2 * time.Second,
-		DayTokens: map[string]int64{"t2": p.DayTokens}, Users: map[string]judge.UserLimits{fmt.Sprintf("t%d", tenants): strictLimits},
-		MinuteDollars: p.MinuteCost, Price: map[string]float64{"model": 10}, ClockDrift: 0.09}
+	w.Record.Limits = judge.Limits{
+		ProgramTokens:    6000,
+		TurnTokens:       1000,
+		Rate:             map[string]float64{},
+		Burst:            map[string]float64{},
+		Retention:        time.Hour,
+		PropagationLimit: 2 * time.Second,
+		DayTokens:        map[string]int64{"t2": p.DayTokens},
+		Users:            map[string]judge.UserLimits{fmt.Sprintf("t%d", tenants): strictLimits},
+		MinuteDollars:    p.MinuteCost,
+		Price:            map[string]float64{"model": 10},
+		ClockDrift:       0.09,
+	}
 	for _, n := range w.nodes {
 		w.Record.Nodes = append(w.Record.Nodes, n.id)
 	}
@@ -106,7 +117,6 @@
 	}
 }
 
-// applyFirstConfiguration retries the first configuration until it is in force.
 func (w *World) applyFirstConfiguration() {
 	at := w.cores[w.random.IntN(len(w.cores))]
 	if !at.alive || at.frozen {
@@ -120,7 +130,6 @@
 	})
 }
 
-// applyConfiguration submits a configuration to a core and records its outcome.
 func (w *World) applyConfiguration(at *process, basedOn uint64, key string, done func(taken bool)) {
 	text := w.describe(key)
 	request := core.ApplyRequest{BasedOn: basedOn, Text: text, Digest: digestOf(text), Timeout: 8*time.Second + 2*w.Params.MemberLease}
@@ -156,13 +165,12 @@
 	})
 }
 
-// refusedBase is added to numbers of refused configurations to tell them from versions.
+// refusedBase tells numbers of refused configurations from versions.
 const refusedBase = 1 << 40
 
-// revokingSuffix ends the keys of configurations in which the first tenant has no key.
+// revokingSuffix marks keys of configurations in which the first tenant has no key.
 const revokingSuffix = "-revoking"
 
-// operator applies new configurations concurrently with the other operators.
 func (w *World) operator() {
 	if w.now > w.Params.LoadTime {
 		return
@@ -181,7 +189,6 @@
 	w.after(w.between(time.Second, 4*time.Second), w.operator)
 }
 
-// probe checks periodically which version a random node has in force.
 func (w *World) probe() {
 	if w.now > w.Params.LoadTime+w.Params.SettleTime-3*time.Second {
 		return
@@ -190,10 +197,15 @@
 	w.after(w.between(50*time.Millisecond, 250*time.Millisecond), w.probe)
 }
 
-// probeNode checks by their keys which of the known versions a node has in force.
+// probeNode determines by their keys which known versions a node has in force.
 func (w *World) probeNode(p *process, last bool) {
 	probeKey := func(key string, version uint64) {
-		w.submit(p, node.Request{Kind: node.KindStatus, Key: key, Program: "none", Timeout: time.Second}, func(result judge.Request, _ node.Frame) {
+		w.submit(p, node.Request{
+			Kind:    node.KindStatus,
+			Key:     key,
+			Program: "none",
+			Timeout: time.Second,
+		}, func(result judge.Request, _ node.Frame) {
 			if result.Code == "unknown_program" {
 				w.Record.Probes = append(w.Record.Probes, judge.Probe{At: result.At, Ended: result.Ended, Node: p.id, Version: version, Final: last})
 				if version >= refusedBase {
@@ -205,7 +217,7 @@
 	for _, v := range ordered.Keys(w.versionKeys) {
 		probeKey(w.versionKeys[v], v)
 	}
-	// The outcome of pending configurations is not known yet.
+	// The outcome of pending configurations is unknown.
 	for _, key := range ordered.Keys(w.pendingKeys) {
 		probeKey(key, w.pendingKeys[key])
 	}
@@ -220,8 +232,8 @@
 	return lines
 }
 
-// NewWithoutFaults returns a running world without faults or message loss, with the first
-// configuration in force and all replicas announced, for tests that drive it step by step.
+// NewWithoutFaults returns a running world without faults or message loss, with a configuration in
+// force and all replicas announced.
 func NewWithoutFaults(p Params) *World {
 	p.Faults, p.MessageLoss = false, 0
 	w := New(p)
@@ -234,7 +246,8 @@
 	return w
 }
 
-// Do submits a request to the node with this index and runs the world until its outcome.
+// Do submits a request to a node, by index, and runs the world until its outcome. A zero timeout
+// means 3 s.
 func (w *World) Do(number int, request node.Request) (judge.Request, node.Frame) {
 	var got judge.Request
 	var last node.Frame
@@ -249,11 +262,11 @@
 	return got, last
 }
 
-// Advance runs the world for a duration of simulated time.
+// Advance runs the world for a simulated duration.
 func (w *World) Advance(d time.Duration) { w.run(w.now + d) }
 
-// membersCurrent reports whether every member of every group is a current core. Only then
-// must the fleet tolerate the loss of another disk.
+// membersCurrent reports whether all members of all groups are current cores. Only then must the
+// fleet tolerate another lost disk.
 func (w *World) membersCurrent() bool {
 	current := map[string]bool{}
 	for _, p := range w.cores {
@@ -274,7 +287,7 @@
 	return true
 }
 
-// awaitDrain restarts a draining node when it has drained or at the deadline.
+// awaitDrain restarts a node when it has drained or at the deadline.
 func (p *process) awaitDrain(incarnation int, until time.Duration) {
 	w := p.world
 	switch {
@@ -293,12 +306,18 @@
 	w.after(w.between(100*time.Millisecond, time.Second), p.boot)
 }
 
-// open starts a session of the first tenant at a node.
 func open(w *World, at int, user string) (judge.Request, node.Frame) {
 	return w.Do(at, node.Request{Kind: node.KindOpen, Key: "key-t1", User: user})
 }
 
-// turn takes a turn of a program of the first tenant at a node.
 func turn(w *World, at int, id, before string, tokens int64) (judge.Request, node.Frame) {
-	return w.Do(at, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: id, Service: "model", PreviousHead: before, Prompt: w.newID("say"), MaxTokens: tokens})
+	return w.Do(at, node.Request{
+		Kind:         node.KindTurn,
+		Key:          "key-t1",
+		Program:      id,
+		Service:      "model",
+		PreviousHead: before,
+		Prompt:       w.newID("say"),
+		MaxTokens:    tokens,
+	})
 }
--- a/rehearsalkit/simulator/seeds.go
+++ b/rehearsalkit/simulator/seeds.go
@@ -11,24 +11,28 @@
 type Outcome struct {
 	Seed     uint64
 	Breaches []judge.Breach
-	// CompletedTurns counts the turns whose response arrived in full.
+	// CompletedTurns counts the turns with a complete response.
 	CompletedTurns int64
-	// Situations counts the occurrences of the situations that the rules are about.
+	// Situations counts the situations that the rules are about.
 	Situations map[string]int
-	// MaxTripDelay is the longest time that a node still admitted after another node
-	// had reported a trip of the breaker.
+	// MaxTripDelay is the longest that a node admitted after another reported a breaker trip.
 	MaxTripDelay time.Duration
 }
 
-// RunSeeds runs consecutive seeds in parallel, one for each processor, and reports each
-// outcome as it completes, in any order.
+// RunSeeds runs consecutive seeds on all processors and reports the outcomes in any order.
 func RunSeeds(first uint64, count int, report func(o Outcome)) {
 	work, done := make(chan uint64), make(chan Outcome)
 	for i := 0; i < runtime.NumCPU(); i++ {
 		go func() {
 			for seed := range work {
 				w, breaches := Run(Defaults(seed))
-				done <- Outcome{Seed: seed, Breaches: breaches, CompletedTurns: w.Counts["asked turn whole"], Situations: w.Record.Situations(), MaxTripDelay: w.Record.LateAfterTrip()}
+				done <- Outcome{
+					Seed:           seed,
+					Breaches:       breaches,
+					CompletedTurns: w.Counts["asked turn whole"],
+					Situations:     w.Record.Situations(),
+					MaxTripDelay:   w.Record.LateAfterTrip(),
+				}
 			}
 		}()
 	}
--- a/rehearsalkit/simulator/simulator_test.go
+++ b/rehearsalkit/simulator/simulator_test.go
@@ -14,7 +14,6 @@
 	first = flag.Uint64("first", 1, "first seed")
 )
 
-// TestSeeds runs one world for each seed under all faults.
 func TestSeeds(t *testing.T) {
 	var whole int64
 	situations := map[string]int{}
@@ -55,7 +54,6 @@
 	}
 }
 
-// TestSingleSeed runs the first seed with a full log.
 func TestSingleSeed(t *testing.T) {
 	if !testing.Verbose() {
 		t.Skip("only with -v")
--- a/rehearsalkit/simulator/terms.go
+++ b/rehearsalkit/simulator/terms.go
@@ -11,19 +11,18 @@
 // TermResult is the effect of one duration of member leases.
 type TermResult struct {
 	Term time.Duration
-	// Served maps the duration of a disconnection of all cores to the fraction of turns
-	// submitted meanwhile that completed.
+	// Served is the fraction of turns that completed, by the duration of a cut of all cores.
 	Served map[time.Duration]float64
-	// Turns is the number of turns submitted in all disconnections.
+	// Turns counts the turns submitted during the cuts.
 	Turns int
-	// MaxFailover is the longest time until a program whose owner was killed was served
-	// again, MaxConfigurationDelay the longest time to apply a configuration with a node dead.
+	// MaxFailover is the longest time until a killed owner's program was served again,
+	// MaxConfigurationDelay the longest to apply a configuration with a node dead.
 	MaxFailover, MaxConfigurationDelay time.Duration
 	Breaches                           []judge.Breach
 }
 
-// MeasureTerm runs disconnections of all cores, a killed owner and a configuration with
-// a dead node, for the given number of seeds each.
+// MeasureTerm runs cuts of all cores, a killed owner and a configuration with a dead node, for the
+// given number of seeds each.
 func MeasureTerm(term time.Duration, cuts []time.Duration, seeds uint64) TermResult {
 	t := TermResult{Term: term, Served: map[time.Duration]float64{}}
 	world := func(seed uint64) *World {
@@ -86,8 +85,7 @@
 	return t
 }
 
-// chat simulates a requester that takes turns of one program after another at random
-// nodes until a time, and reports each turn.
+// chat takes turns of one program after another at random nodes until a time, and reports each.
 func (w *World) chat(number int, until time.Duration, done func(asked time.Duration, whole bool)) {
 	key := "key-t1"
 	var talk func(id, head string)
@@ -96,7 +94,12 @@
 		if w.now >= until {
 			return
 		}
-		w.submit(w.anyNode(), node.Request{Kind: node.KindOpen, Key: key, User: w.newID("u"), Timeout: 2 * time.Second}, func(result judge.Request, p node.Frame) {
+		w.submit(w.anyNode(), node.Request{
+			Kind:    node.KindOpen,
+			Key:     key,
+			User:    w.newID("u"),
+			Timeout: 2 * time.Second,
+		}, func(result judge.Request, p node.Frame) {
 			if result.Outcome != judge.Whole {
 				w.after(200*time.Millisecond, open)
 				return
@@ -108,7 +111,16 @@
 		if w.now >= until {
 			return
 		}
-		w.submit(w.anyNode(), node.Request{Kind: node.KindTurn, Key: key, Program: id, Service: "model", PreviousHead: head, Prompt: w.newID("say"), MaxTokens: 100, Timeout: 2 * time.Second}, func(result judge.Request, p node.Frame) {
+		w.submit(w.anyNode(), node.Request{
+			Kind:         node.KindTurn,
+			Key:          key,
+			Program:      id,
+			Service:      "model",
+			PreviousHead: head,
+			Prompt:       w.newID("say"),
+			MaxTokens:    100,
+			Timeout:      2 * time.Second,
+		}, func(result judge.Request, p node.Frame) {
 			done(result.At, result.Outcome == judge.Whole)
 			pause := w.between(500*time.Millisecond, 1500*time.Millisecond)
 			switch {
--- a/rehearsalkit/simulator/world.go
+++ b/rehearsalkit/simulator/world.go
@@ -1,9 +1,8 @@
 // Package simulator runs the state machines of cores and nodes in simulated time under
 // seeded faults, and judges each run by what requesters and replicas observed.
 //
-// A run depends on its seed alone: all events pass through one queue, and all random
-// numbers come from one generator. Start reading at World and Run; injectFault has the
-// faults, CrashPoints the crash tests.
+// A run depends on its seed alone: all events pass through one queue, and all random numbers come
+// from one generator. Start reading at World and Run.
 package simulator
 
 import (
@@ -19,44 +18,42 @@
 	"saffronfall/rule/partition"
 )
 
-// Params are the size, the load and the faults of a run.
+// Params are the size, load and faults of a run.
 type Params struct {
-	// Seed determines the whole run.
 	Seed  uint64
 	Cores int
 	Nodes int
 	Zones int
-	// Replicas are those of the model service, Alerts those of the alert service.
+	// Replicas counts the model service's replicas, Alerts the alert service's.
 	Replicas   int
 	Alerts     int
 	Users      int
 	Partitions int
-	// LoadTime is how long users, operators and faults are active; SettleTime follows it.
+	// LoadTime is how long load and faults last; SettleTime follows it.
 	LoadTime   time.Duration
 	SettleTime time.Duration
 	Faults     bool
 	Operators  int
-	// MessageLoss is the probability that a message is lost.
+	// MessageLoss is a probability.
 	MessageLoss float64
-	// Describe replaces the default configuration; key is the probe key of the version.
+	// Describe, unless nil, replaces the default configuration; key is its probe key.
 	Describe func(key string) []byte
-	// Rate is the quota of each tenant in requests per second.
+	// Rate is each tenant's quota in requests per second.
 	Rate  float64
 	Burst int64
-	// MinuteCost is the spend in dollars per minute that trips the breaker.
+	// MinuteCost trips the breaker, in dollars per minute.
 	MinuteCost float64
 	// DayTokens is the daily allowance of tenant t2.
 	DayTokens          int64
 	AnnouncementMaxAge time.Duration
 	MemberLease        time.Duration
-	// MaxSync is the longest duration of a disk sync that does not stall.
+	// MaxSync bounds a disk sync that does not stall.
 	MaxSync time.Duration
 	Logf    func(format string, args ...any)
 }
 
-// Defaults returns a small fleet under all faults. By the seed it also varies the cost
-// limit of the breaker, the daily allowance of a tenant, the member lease and the rates;
-// one seed in ten has the size of a deployment.
+// Defaults returns a small fleet under all faults. The seed varies some limits and rates, and one
+// seed in ten has the size of a deployment.
 func Defaults(seed uint64) Params {
 	p := defaults(seed)
 	switch seed % 4 {
@@ -80,17 +77,36 @@
 	return p
 }
 
-// defaults returns the small fleet without the variations by seed.
 func defaults(seed uint64) Params {
-	return Params{Seed: seed, Cores: 5, Nodes: 4, Zones: 3, Replicas: 4, Alerts: 2, Users: 12, Partitions: 6, LoadTime: 24 * time.Second,
-		SettleTime: 8 * time.Second, Faults: true, Operators: 2, MessageLoss: 0.005, Rate: 20, Burst: 16, MinuteCost: 50, DayTokens: 100_000_000, AnnouncementMaxAge: 1700 * time.Millisecond, MemberLease: 2 * time.Second, MaxSync: 4 * time.Millisecond}
+	return Params{
+		Seed:               seed,
+		Cores:              5,
+		Nodes:              4,
+		Zones:              3,
+		Replicas:           4,
+		Alerts:             2,
+		Users:              12,
+		Partitions:         6,
+		LoadTime:           24 * time.Second,
+		SettleTime:         8 * time.Second,
+		Faults:             true,
+		Operators:          2,
+		MessageLoss:        0.005,
+		Rate:               20,
+		Burst:              16,
+		MinuteCost:         50,
+		DayTokens:          100_000_000,
+		AnnouncementMaxAge: 1700 * time.Millisecond,
+		MemberLease:        2 * time.Second,
+		MaxSync:            4 * time.Millisecond,
+	}
 }
 
 // World is the state of one run. It is not safe for concurrent use.
 type World struct {
 	Params Params
 	Record judge.Record
-	// Counts holds the number of events by label.
+	// Counts is keyed by label.
 	Counts map[string]int64
 
 	now       time.Duration
@@ -100,39 +116,48 @@
 	cores     []*process
 	nodes     []*process
 	spare     *process
-	// readdressed and allKilled mark faults that happen at most once in a run.
+	// readdressed and allKilled mark faults that happen at most once.
 	readdressed bool
 	allKilled   bool
-	// cutUntil is when the last fault ends that can disconnect cores from nodes.
+	// cutUntil is when the last fault ends that can cut cores from nodes.
 	cutUntil time.Duration
 	backends []*backend
-	// cutLinks and lastDelivery are keyed by the sender's and the receiver's address.
+	// cutLinks and lastDelivery are keyed by sender and receiver address.
 	cutLinks         map[[2]string]bool
 	lastDelivery     map[[2]string]time.Duration
 	tickets          uint64
 	pendingResponses map[uint64]*pendingResponse
 	lastID           int
 	version          uint64
-	// versionKeys are the probe keys of decided configurations, pendingKeys those of
-	// configurations without a known outcome, with the version that they would get.
+	// versionKeys are the probe keys of decided configurations. pendingKeys maps those without
+	// a known outcome to the version that they would get.
 	versionKeys map[uint64]string
 	pendingKeys map[string]uint64
-	// atMessage and atSync are called at crash points.
+	// atMessage and atSync, unless nil, are called at crash points.
 	atMessage func(from, to *process, body any)
 	atSync    func(p *process, what string)
 }
 
-// pendingResponse receives the response frames of a request in order.
+// pendingResponse receives a request's frames in order.
 type pendingResponse struct {
 	node         *process
 	nextDelivery time.Duration
 	deliver      func(frame node.Frame)
 }
 
-// New creates a world whose processes have not started.
+// New creates a world whose processes are not started.
 func New(p Params) *World {
-	w := &World{Params: p, random: rand.New(rand.NewPCG(p.Seed, 0x5affe0)), processes: map[string]*process{}, cutLinks: map[[2]string]bool{}, lastDelivery: map[[2]string]time.Duration{},
-		pendingResponses: map[uint64]*pendingResponse{}, Counts: map[string]int64{}, versionKeys: map[uint64]string{}, pendingKeys: map[string]uint64{}}
+	w := &World{
+		Params:           p,
+		random:           rand.New(rand.NewPCG(p.Seed, 0x5affe0)),
+		processes:        map[string]*process{},
+		cutLinks:         map[[2]string]bool{},
+		lastDelivery:     map[[2]string]time.Duration{},
+		pendingResponses: map[uint64]*pendingResponse{},
+		Counts:           map[string]int64{},
+		versionKeys:      map[uint64]string{},
+		pendingKeys:      map[string]uint64{},
+	}
 	zone := func(i int) string { return fmt.Sprintf("zone-%d", i%p.Zones+1) }
 	for i := 0; i < p.Cores; i++ {
 		w.cores = append(w.cores, w.add(fmt.Sprintf("core%d", i+1), zone(i), fmt.Sprintf("10.0.0.%d:7000", i+1)))
@@ -146,7 +171,7 @@
 	for i := 0; i < p.Alerts; i++ {
 		w.backends = append(w.backends, &backend{world: w, service: "alert", id: fmt.Sprintf("a%d", i+1), zone: zone(i), alive: true})
 	}
-	// The spare core belongs to no fleet yet.
+	// The spare belongs to no fleet yet.
 	w.spare = w.add("core-spare", zone(0), "10.0.2.1:7000")
 	w.backends = append(w.backends, &backend{world: w, service: "search", id: "t1", zone: zone(0), alive: true})
 	return w
@@ -167,7 +192,7 @@
 
 func (w *World) run(until time.Duration) { w.events.Run(until, &w.now) }
 
-// between returns a random duration in [a, b].
+// between draws from [a, b].
 func (w *World) between(a, b time.Duration) time.Duration {
 	return a + time.Duration(w.random.Int64N(int64(b-a)+1))
 }
@@ -181,19 +206,37 @@
 }
 
 func (w *World) coreParams() core.Params {
-	return core.Params{Partition: partition.Params{LeaseDuration: 600 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 8, LeasesBeforeTransfer: 20}, MemberLease: w.Params.MemberLease,
-		AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}
+	return core.Params{
+		Partition: partition.Params{
+			LeaseDuration:        600 * time.Millisecond,
+			Drift:                0.1,
+			RenewalsPerLease:     5,
+			LeasesPerSweep:       8,
+			LeasesBeforeTransfer: 20,
+		},
+		MemberLease:    w.Params.MemberLease,
+		AttemptTimeout: 150 * time.Millisecond,
+		PullInterval:   150 * time.Millisecond,
+	}
 }
 
 func (w *World) nodeParams() node.Params {
-	return node.Params{Core: w.coreParams(), QueueLimit: 64, MaxQueueWait: time.Second, AnnouncementMaxAge: w.Params.AnnouncementMaxAge, ReportInterval: 300 * time.Millisecond, UrgentRatio: 0.25, DefaultTimeout: 10 * time.Second}
+	return node.Params{
+		Core:               w.coreParams(),
+		QueueLimit:         64,
+		MaxQueueWait:       time.Second,
+		AnnouncementMaxAge: w.Params.AnnouncementMaxAge,
+		ReportInterval:     300 * time.Millisecond,
+		UrgentRatio:        0.25,
+		DefaultTimeout:     10 * time.Second,
+	}
 }
 
 func (w *World) seeds() []string {
 	return []string{w.cores[0].address, w.cores[1].address, w.cores[2].address}
 }
 
-// send delivers a message after a random delay, unless the link is cut or the message lost.
+// send delivers a message after a random delay, unless it is cut off or lost.
 func (w *World) send(from *process, to string, body any) {
 	raw := message.Pack(body)
 	w.Counts["messages"]++
@@ -251,7 +294,7 @@
 	}
 }
 
-// Operate executes an operator's call at a core and passes its answer to done.
+// Operate executes an operator's call at a core and passes the answer to done.
 func (w *World) Operate(at *process, step func(m *core.Machine, now time.Duration, ticket uint64) core.Output, done func(body any)) {
 	at.do(func() {
 		d := at.disk
--- a/rehearsalkit/sizes/sizes.go
+++ b/rehearsalkit/sizes/sizes.go
@@ -1,5 +1,5 @@
-// Package sizes measures Go source code: lines of files and functions, fields of structs. Its
-// test checks the code of this repository against upper bounds.
+// Package sizes measures Go files, functions and structs. Its test checks this repository against
+// upper bounds.
 package sizes
 
 import (
@@ -23,16 +23,15 @@
 	Struct   Kind = "struct"
 )
 
-// Size is one measurement, in lines for a file or a function and in fields for a struct.
-// Place is the file relative to the root and, for functions and structs, the name.
+// Size is a measurement in lines, or in fields for a struct. Place is the file relative to the root
+// and, except for files, the name.
 type Size struct {
 	Kind  Kind
 	Place string
 	Size  int
 }
 
-// Measure measures all Go files below a folder except tests and hidden folders. It returns
-// an error if a file can't be read or parsed.
+// Measure measures all Go files below a folder except tests and hidden folders.
 func Measure(root string) ([]Size, error) {
 	var sizes []Size
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -77,7 +76,7 @@
 	return sizes, nil
 }
 
-// receiver returns a method's receiver type and a dot, and "" for a plain function.
+// receiver returns the receiver's type and a dot, or "" without a receiver.
 func receiver(f *ast.FuncDecl) string {
 	if f.Recv == nil || len(f.Recv.List) == 0 {
 		return ""
--- a/rehearsalkit/sizes/sizes_test.go
+++ b/rehearsalkit/sizes/sizes_test.go
@@ -6,12 +6,9 @@
 	"testing"
 )
 
-// bounds are the largest sizes of each kind.
 var bounds = map[Kind]int{File: 500, Function: 60, Struct: 15}
 
-// TestSizes checks the repository's code against the bounds. Items above a bound are listed
-// in larger_test.go with their sizes: they may not grow, and must leave the list once they
-// are within the bounds.
+// The exceptions may not grow, and must leave the list once they are within the bounds.
 func TestSizes(t *testing.T) {
 	sizes, err := Measure(filepath.Join("..", ".."))
 	if err != nil {
@@ -41,7 +38,6 @@
 	}
 }
 
-// TestMeasure measures a small file, and ignores its test.
 func TestMeasure(t *testing.T) {
 	root := t.TempDir()
 	text := "package p\n\ntype s struct {\n\ta, b int\n\tc string\n}\n\nfunc (x s) f() {\n\tx.a++\n}\n"
