--- a/rehearsalkit/main.go
+++ b/rehearsalkit/main.go
@@ -204,7 +204,7 @@
 func (c *termsCommand) Run() error {
 	broken := 0
 	for _, term := range c.Terms {
-		t := simulator.MeasureTerm(term, c.Cuts, c.Seeds)
+		t := simulator.MeasureMemberLease(term, c.Cuts, c.Seeds)
 		fmt.Printf("term %v: %d turns asked in cuts;", term, t.Turns)
 		for _, cut := range c.Cuts {
 			fmt.Printf(" cut of %v: %.1f%% whole;", cut, 100*t.Served[cut])
--- a/rehearsalkit/simulator/backend.go
+++ b/rehearsalkit/simulator/backend.go
@@ -11,14 +11,13 @@
 
 // backend is one simulated replica of a service.
 type backend struct {
-	world   *World
-	service string
-	id      string
-	zone    string
-	alive   bool
-	leaving bool
-	// running is the number of attempts in progress.
-	running int64
+	world           *World
+	service         string
+	id              string
+	zone            string
+	alive           bool
+	leaving         bool
+	runningAttempts int64
 	// serial counts the replacements.
 	serial int
 	// lossRate is the probability of a lost answer.
@@ -48,26 +47,26 @@
 	if b.serial != serial || !b.alive || b.mute {
 		return
 	}
-	r := node.Replica{Service: b.service, ID: b.name(), Address: b.address(), Zone: b.zone, Load: b.running, Leaving: b.leaving}
-	over := false
-	w.after(w.between(200*time.Microsecond, 3*time.Millisecond), func() {
+	r := node.Replica{Service: b.service, ID: b.name(), Address: b.address(), Zone: b.zone, Load: b.runningAttempts, Leaving: b.leaving}
+	finished := false
+	w.after(w.between(minDelay, maxDelay), func() {
 		p.do(func() {
 			if r.Leaving && !w.leavingRecorded(r.ID) {
 				// The departure counts from its first receipt by a node.
 				w.Record.Leaving = append(w.Record.Leaving, judge.Leaving{At: w.now, Replica: r.ID})
 			}
 			accepted := p.nodeMachine.Announce(p.now(), r, token)
-			w.after(w.between(200*time.Microsecond, 3*time.Millisecond), func() {
-				if !over && p.alive {
-					over = true
+			w.after(w.between(minDelay, maxDelay), func() {
+				if !finished && p.alive {
+					finished = true
 					w.after(accepted.NextIn, func() { b.announceTo(p, serial, accepted.Token) })
 				}
 			})
 		})
 	})
 	w.after(300*time.Millisecond, func() {
-		if !over {
-			over = true
+		if !finished {
+			finished = true
 			b.announceToAnyNode(serial)
 		}
 	})
@@ -95,7 +94,7 @@
 		b.alive = false
 		w.after(300*time.Millisecond, func() {
 			b.serial++
-			b.alive, b.leaving, b.running = true, false, 0
+			b.alive, b.leaving, b.runningAttempts = true, false, 0
 			b.announce()
 		})
 	})
@@ -128,7 +127,7 @@
 			})
 		})
 	}
-	w.after(w.between(200*time.Microsecond, 3*time.Millisecond), func() {
+	w.after(w.between(minDelay, maxDelay), func() {
 		var target *backend
 		for _, b := range w.backends {
 			if b.alive && b.address() == s.Address {
@@ -166,11 +165,11 @@
 	}
 	lost := w.chance(b.lossRate)
 	serial := b.serial
-	b.running++
+	b.runningAttempts++
 	done := func(after time.Duration) {
 		w.after(after, func() {
 			if b.serial == serial {
-				b.running--
+				b.runningAttempts--
 			}
 		})
 	}
--- a/rehearsalkit/simulator/crash.go
+++ b/rehearsalkit/simulator/crash.go
@@ -24,15 +24,15 @@
 }
 
 type scenario struct {
-	id, head  string
-	requestID string
+	programID, head string
+	requestID       string
 }
 
 func (s *scenario) turnRequest(conversation, before string) node.Request {
 	return node.Request{
 		Kind:         node.KindTurn,
 		Key:          "key-t1",
-		Program:      s.id,
+		Program:      s.programID,
 		Conversation: conversation,
 		Service:      "model",
 		PreviousHead: before,
@@ -70,7 +70,7 @@
 		w.submit(w.nodes[1], node.Request{
 			Kind:      node.KindTool,
 			Key:       "key-t1",
-			Program:   s.id,
+			Program:   s.programID,
 			Service:   "search",
 			Arguments: []byte(`{"mark":"crash-tool"}`),
 			Timeout:   3 * time.Second,
@@ -154,38 +154,38 @@
 	return names
 }()
 
-// stage builds the fleet and the program of one run.
-func stage() (*World, *scenario) {
+// newCrashWorld builds the fleet and the program of one run.
+func newCrashWorld() (*World, *scenario) {
 	p := Defaults(3)
 	p.Cores, p.Nodes, p.Users, p.MemberLease = 4, 4, 0, 2*time.Second
 	p.MinuteCost, p.DayTokens = 50, 100_000_000
 	w := NewWithoutFaults(p)
-	w.limits()
+	w.setJudgeLimits()
 	s := &scenario{}
 	_, opened := open(w, 0, "u")
-	s.id = opened.Text
-	_, first := turn(w, 0, s.id, program.EmptyHead, 100)
+	s.programID = opened.Text
+	_, first := turn(w, 0, s.programID, program.EmptyHead, 100)
 	s.head = first.Head
 	w.Advance(700 * time.Millisecond)
 	s.requestID = w.newID("crash")
 	return w, s
 }
 
-// point is the moment of a message or a sync, with the processes involved.
-type point struct {
+// crashPoint is the moment of a message or a sync, with the processes involved.
+type crashPoint struct {
 	label     string
 	processes []*process
 }
 
-func (w *World) visitCrashPoints(o operation, s *scenario, visit func(p point)) {
+func (w *World) visitCrashPoints(o operation, s *scenario, visit func(p crashPoint)) {
 	w.atMessage = func(from, to *process, body any) {
 		if kind := messageKind(body, o.shares); kind != "" {
-			visit(point{label: kind + " " + from.id + ">" + to.id, processes: []*process{from, to}})
+			visit(crashPoint{label: kind + " " + from.id + ">" + to.id, processes: []*process{from, to}})
 		}
 	}
-	w.atSync = func(p *process, what string) { visit(point{label: what + " " + p.id, processes: []*process{p}}) }
+	w.atSync = func(p *process, what string) { visit(crashPoint{label: what + " " + p.id, processes: []*process{p}}) }
 	o.begin(w, s)
-	w.run(w.now + 1200*time.Millisecond)
+	w.runUntil(w.now + 1200*time.Millisecond)
 	w.atMessage, w.atSync = nil, nil
 }
 
@@ -208,8 +208,8 @@
 	for _, o := range operations {
 		c := CrashResult{Operation: o.name}
 		var jobs []job
-		w, s := stage()
-		w.visitCrashPoints(o, s, func(p point) {
+		w, s := newCrashWorld()
+		w.visitCrashPoints(o, s, func(p crashPoint) {
 			for i, process := range p.processes {
 				for f := range crashFaults {
 					if process.disk == nil && crashFaults[f].name == "powered off" {
@@ -260,9 +260,9 @@
 
 // crash executes one run and returns the faults found.
 func crash(o operation, at, process, fault int) (faults []string) {
-	w, s := stage()
+	w, s := newCrashWorld()
 	n, injected := 0, false
-	w.visitCrashPoints(o, s, func(p point) {
+	w.visitCrashPoints(o, s, func(p crashPoint) {
 		if n == at && !injected {
 			injected = true
 			victim := p.processes[process]
@@ -274,7 +274,7 @@
 	if !injected {
 		return []string{"the crash point was not reached when the run was repeated"}
 	}
-	w.run(w.now + 2*w.Params.MemberLease + 2*time.Second)
+	w.runUntil(w.now + 2*w.Params.MemberLease + 2*time.Second)
 	if o.retry != nil {
 		for i := range w.nodes {
 			o.retry(w, s, i)
@@ -284,7 +284,7 @@
 	for i := range w.nodes {
 		served := false
 		for end := w.now + 6*time.Second; w.now < end && !served; w.Advance(100 * time.Millisecond) {
-			result, p := turn(w, i, s.id, head, 50)
+			result, p := turn(w, i, s.programID, head, 50)
 			switch {
 			case result.Outcome == judge.Whole:
 				served, head = true, p.Head
@@ -299,7 +299,7 @@
 	for _, n := range w.nodes {
 		w.probeNode(n, true)
 	}
-	w.run(w.now + 1500*time.Millisecond)
+	w.runUntil(w.now + 1500*time.Millisecond)
 	w.Record.Nodes = nil
 	for _, n := range w.nodes {
 		w.Record.Nodes = append(w.Record.Nodes, n.id)
--- a/rehearsalkit/simulator/failure_test.go
+++ b/rehearsalkit/simulator/failure_test.go
@@ -152,7 +152,8 @@
 	}
 }
 
-// Of operators that race from one version one succeeds; the others' are never in force.
+// Of operators that race from one version one succeeds; the configurations of the
+// others are never in force.
 func TestRacingOperators(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	var taken, lost int
@@ -268,7 +269,8 @@
 	}
 }
 
-// Two requests with one once-key run once and both get the outcome. Another body under the key is refused.
+// Two requests with one once-key run once and both get the outcome. Another body under the
+// key is refused.
 func TestOnceKeyAtTwoNodes(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	request := node.Request{Kind: node.KindAction, Key: "key-t1", User: "u", Service: "alert", OnceKey: "k", Arguments: []byte(`{"mark":"k"}`)}
--- a/rehearsalkit/simulator/fault.go
+++ b/rehearsalkit/simulator/fault.go
@@ -218,14 +218,14 @@
 			w.retire(old, by, spare, until)
 		}
 	}
-	over := false
+	finished := false
 	w.Operate(by, func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
 		return m.ChangeCore(now, ticket, core.KindReplace, old.id, spare.id, 4*time.Second)
 	}, func(body any) {
-		if over {
+		if finished {
 			return
 		}
-		over = true
+		finished = true
 		if changed, ok := body.(core.ChangeResult); !ok || !changed.Done {
 			w.after(500*time.Millisecond, retry)
 			return
@@ -240,8 +240,8 @@
 		}
 	})
 	w.after(5*time.Second, func() {
-		if !over {
-			over = true
+		if !finished {
+			finished = true
 			retry()
 		}
 	})
--- a/rehearsalkit/simulator/loads.go
+++ b/rehearsalkit/simulator/loads.go
@@ -24,7 +24,7 @@
 	p.Cores, p.Nodes, p.Zones, p.Replicas, p.Alerts, p.Users, p.Partitions = 6, 13, 3, 11, 5, 12, 16
 	p.Faults, p.Operators, p.MessageLoss, p.Rate, p.Burst, p.MemberLease = false, 0, 0, 40, 64, 5*time.Second
 	w := NewWithoutFaults(p)
-	w.limits()
+	w.setJudgeLimits()
 	w.Record.Nodes, w.Record.Limits.Users = nil, nil
 	const phase = 8 * time.Second
 	calm, overload := w.now+3*time.Second, w.now+3*time.Second+phase
@@ -68,7 +68,7 @@
 			w.after(overload+s-w.now+w.between(0, 500*time.Millisecond), func() { alert(1) })
 		}
 	}
-	w.run(overload + phase + 4*time.Second)
+	w.runUntil(overload + phase + 4*time.Second)
 	for i := range latencies {
 		sort.Slice(latencies[i], func(a, b int) bool { return latencies[i][a] < latencies[i][b] })
 		if n := len(latencies[i]); n > 0 {
@@ -93,7 +93,7 @@
 	p := defaults(seed)
 	p.Nodes, p.Users, p.Faults, p.Operators, p.MessageLoss, p.Rate, p.Burst, p.MemberLease = 6, 0, false, 0, 0, 40, 64, 5*time.Second
 	w := NewWithoutFaults(p)
-	w.limits()
+	w.setJudgeLimits()
 	w.Record.Nodes = nil
 	from, until := w.now+4*time.Second, w.now+16*time.Second
 	asked, moves := 0, 0
@@ -134,7 +134,7 @@
 	var move func()
 	move = func() { moves++; w.after(2*time.Second, move) }
 	w.after(2*time.Second, move)
-	w.run(until + 3*time.Second)
+	w.runUntil(until + 3*time.Second)
 	attempts := 0
 	for _, s := range w.Record.Attempts {
 		if s.Tenant == "t1" && s.At >= from && s.At < until {
--- a/rehearsalkit/simulator/process.go
+++ b/rehearsalkit/simulator/process.go
@@ -69,7 +69,7 @@
 	if p.incarnation > 1 {
 		w.Record.Restarts = append(w.Record.Restarts, judge.Restart{At: w.now, Process: p.id})
 	}
-	p.rate = 1 + (w.random.Float64()-0.5)*0.08
+	p.rate = 1 + (w.random.Float64()-0.5)*clockRateSpread
 	if p.disk != nil {
 		p.disk.pending, p.disk.held, p.disk.syncing, p.disk.issued, p.disk.synced = nil, nil, false, 0, 0
 		p.disk.calls = map[uint64]func(any){}
@@ -124,7 +124,7 @@
 	switch {
 	case !p.alive:
 	case p.frozen:
-		if len(p.backlog) < 4096 {
+		if len(p.backlog) < maxBacklog {
 			p.backlog = append(p.backlog, step)
 		}
 	default:
@@ -299,7 +299,7 @@
 			delete(p.world.pendingResponses, r.Ticket)
 		}
 		frame := r.Frame
-		at.nextDelivery = max(at.nextDelivery, p.world.now+p.world.between(200*time.Microsecond, 2*time.Millisecond))
+		at.nextDelivery = max(at.nextDelivery, p.world.now+p.world.between(minDelay, maxRequesterDelay))
 		p.world.after(at.nextDelivery-p.world.now, func() { at.deliver(frame) })
 	}
 	for _, s := range o.Attempts {
--- a/rehearsalkit/simulator/requester.go
+++ b/rehearsalkit/simulator/requester.go
@@ -17,12 +17,12 @@
 		result.ID = requestIDOf(request.Arguments)
 		result.OnceKey = request.OnceKey
 	}
-	over := false
+	finished := false
 	finish := func(last node.Frame) {
-		if over {
+		if finished {
 			return
 		}
-		over = true
+		finished = true
 		result.Ended = w.now
 		w.Record.Requests = append(w.Record.Requests, result)
 		w.Counts["asked "+result.Kind+" "+result.Outcome]++
@@ -31,7 +31,7 @@
 		}
 		done(result, last)
 	}
-	w.after(w.between(200*time.Microsecond, 2*time.Millisecond), func() {
+	w.after(w.between(minDelay, maxRequesterDelay), func() {
 		if !p.alive {
 			result.Outcome = judge.Silent
 			finish(node.Frame{})
@@ -40,7 +40,7 @@
 		w.tickets++
 		ticket := w.tickets
 		w.pendingResponses[ticket] = &pendingResponse{node: p, deliver: func(frame node.Frame) {
-			if over {
+			if finished {
 				return
 			}
 			switch frame.Kind {
@@ -68,7 +68,7 @@
 		}}
 		p.do(func() { p.handleNodeOutput(p.nodeMachine.Submit(p.now(), ticket, request)) })
 		cancel := func() {
-			if over {
+			if finished {
 				return
 			}
 			delete(w.pendingResponses, ticket)
--- a/rehearsalkit/simulator/run.go
+++ b/rehearsalkit/simulator/run.go
@@ -68,7 +68,7 @@
 func Run(p Params) (*World, []judge.Breach) {
 	w := New(p)
 	w.Found()
-	w.limits()
+	w.setJudgeLimits()
 	w.after(time.Second, w.applyFirstConfiguration)
 	for _, b := range w.backends {
 		b.announce()
@@ -89,12 +89,12 @@
 	if p.Faults {
 		w.after(4*time.Second, w.injectFault)
 	}
-	w.run(p.LoadTime + p.SettleTime)
+	w.runUntil(p.LoadTime + p.SettleTime)
 	return w, w.Record.Judge()
 }
 
-// limits sets the limits that the judge checks.
-func (w *World) limits() {
+// setJudgeLimits sets the limits that the judge checks.
+func (w *World) setJudgeLimits() {
 	p := w.Params
 	w.Record.Limits = judge.Limits{
 		ProgramTokens:    6000,
@@ -242,7 +242,7 @@
 		b.announce()
 	}
 	w.after(time.Second, w.applyFirstConfiguration)
-	w.run(4 * time.Second)
+	w.runUntil(4 * time.Second)
 	return w
 }
 
@@ -251,19 +251,19 @@
 func (w *World) Do(number int, request node.Request) (judge.Request, node.Frame) {
 	var got judge.Request
 	var last node.Frame
-	over := false
+	finished := false
 	if request.Timeout == 0 {
 		request.Timeout = 3 * time.Second
 	}
-	w.submit(w.nodes[number], request, func(result judge.Request, p node.Frame) { got, last, over = result, p, true })
-	for until := w.now + request.Timeout + time.Second; !over && w.now < until; {
-		w.run(w.now + 5*time.Millisecond)
+	w.submit(w.nodes[number], request, func(result judge.Request, p node.Frame) { got, last, finished = result, p, true })
+	for until := w.now + request.Timeout + time.Second; !finished && w.now < until; {
+		w.runUntil(w.now + 5*time.Millisecond)
 	}
 	return got, last
 }
 
 // Advance runs the world for a simulated duration.
-func (w *World) Advance(d time.Duration) { w.run(w.now + d) }
+func (w *World) Advance(d time.Duration) { w.runUntil(w.now + d) }
 
 // membersCurrent reports whether all members of all groups are current cores. Only then must the
 // fleet tolerate another lost disk.
--- a/rehearsalkit/simulator/terms.go
+++ b/rehearsalkit/simulator/terms.go
@@ -8,9 +8,9 @@
 	"saffronfall/rule/program"
 )
 
-// TermResult is the effect of one duration of member leases.
-type TermResult struct {
-	Term time.Duration
+// LeaseResult is the effect of one duration of member leases.
+type LeaseResult struct {
+	MemberLease time.Duration
 	// Served is the fraction of turns that completed, by the duration of a cut of all cores.
 	Served map[time.Duration]float64
 	// Turns counts the turns submitted during the cuts.
@@ -21,16 +21,16 @@
 	Breaches                           []judge.Breach
 }
 
-// MeasureTerm runs cuts of all cores, a killed owner and a configuration with a dead node, for the
-// given number of seeds each.
-func MeasureTerm(term time.Duration, cuts []time.Duration, seeds uint64) TermResult {
-	t := TermResult{Term: term, Served: map[time.Duration]float64{}}
+// MeasureMemberLease runs cuts of all cores, a killed owner and a configuration with a dead node,
+// for the given number of seeds each.
+func MeasureMemberLease(lease time.Duration, cuts []time.Duration, seeds uint64) LeaseResult {
+	t := LeaseResult{MemberLease: lease, Served: map[time.Duration]float64{}}
 	world := func(seed uint64) *World {
 		p := defaults(seed)
-		p.Nodes, p.Users, p.MemberLease, p.Rate, p.Burst = 6, 18, term, 60, 96
+		p.Nodes, p.Users, p.MemberLease, p.Rate, p.Burst = 6, 18, lease, 60, 96
 		p.Faults, p.Operators, p.MessageLoss = false, 0, 0
 		w := NewWithoutFaults(p)
-		w.limits()
+		w.setJudgeLimits()
 		w.Record.Limits.Users, w.Record.Nodes = nil, nil
 		return w
 	}
@@ -52,9 +52,9 @@
 					}
 				}
 			})
-			w.run(from)
+			w.runUntil(from)
 			w.cutCoresFromNodes(cut)
-			w.run(from + cut + term + 6*time.Second)
+			w.runUntil(from + cut + lease + 6*time.Second)
 			t.Breaches = append(t.Breaches, w.Record.Judge()...)
 		}
 		t.Turns += asked
@@ -63,7 +63,7 @@
 	for seed := uint64(1); seed <= seeds; seed++ {
 		w := world(seed)
 		_, opened := w.Do(0, node.Request{Kind: node.KindOpen, Key: "key-t1", User: "u"})
-		w.Advance(term)
+		w.Advance(lease)
 		w.nodes[0].kill()
 		died := w.now
 		submitted := w.now
@@ -72,7 +72,7 @@
 				t.MaxConfigurationDelay = max(t.MaxConfigurationDelay, w.now-submitted)
 			}
 		})
-		for w.now < died+3*term+10*time.Second {
+		for w.now < died+3*lease+10*time.Second {
 			result, _ := w.Do(1, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: opened.Text, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.newID("say"), MaxTokens: 10})
 			if result.Outcome == judge.Whole {
 				t.MaxFailover = max(t.MaxFailover, w.now-died)
@@ -80,7 +80,7 @@
 			}
 			w.Advance(50 * time.Millisecond)
 		}
-		w.run(died + 3*term + 10*time.Second)
+		w.runUntil(died + 3*lease + 10*time.Second)
 	}
 	return t
 }
--- a/rehearsalkit/simulator/world.go
+++ b/rehearsalkit/simulator/world.go
@@ -102,6 +102,21 @@
 	}
 }
 
+// Delays of messages and attempts; maxRequesterDelay is for requests and their responses.
+const (
+	minDelay          = 200 * time.Microsecond
+	maxDelay          = 3 * time.Millisecond
+	maxRequesterDelay = 2 * time.Millisecond
+
+	slowMessageProbability = 0.01
+	maxSlowMessageDelay    = 60 * time.Millisecond
+
+	// clockRateSpread is the width of the range of local clock rates around 1.
+	clockRateSpread = 0.08
+	// maxBacklog bounds the steps that a frozen process keeps.
+	maxBacklog = 4096
+)
+
 // World is the state of one run. It is not safe for concurrent use.
 type World struct {
 	Params Params
@@ -190,7 +205,7 @@
 	w.events.Add(w.now+d, what)
 }
 
-func (w *World) run(until time.Duration) { w.events.Run(until, &w.now) }
+func (w *World) runUntil(until time.Duration) { w.events.Run(until, &w.now) }
 
 // between draws from [a, b].
 func (w *World) between(a, b time.Duration) time.Duration {
@@ -243,9 +258,9 @@
 	if w.cutLinks[[2]string{from.address, to}] || w.chance(w.Params.MessageLoss) {
 		return
 	}
-	delay := w.between(200*time.Microsecond, 3*time.Millisecond)
-	if w.chance(0.01) {
-		delay += w.between(0, 60*time.Millisecond)
+	delay := w.between(minDelay, maxDelay)
+	if w.chance(slowMessageProbability) {
+		delay += w.between(0, maxSlowMessageDelay)
 	}
 	// Messages between two processes keep their order.
 	pair := [2]string{from.address, to}
