--- a/rehearsalkit/breaks/soak.go
+++ b/rehearsalkit/breaks/soak.go
@@ -10,19 +10,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// SoakBreak is a fault in the serving tier that the soak of real processes must find,
-// unless Elsewhere is set.
+// SoakBreak is a fault that the soak of real processes must find, unless Elsewhere is set.
 type SoakBreak struct {
 	What, File string
 	From, To   string
-	// Seeds is the number of seeds within which the soak must find the fault. Elsewhere
-	// names what finds it instead, if the soak does not.
+	// Seeds bounds the seeds that the soak may need. Elsewhere names what finds the fault
+	// if the soak does not.
 	Seeds     int
 	Elsewhere string
 }
 
-// Soak lists breaks of the data path and of the messages between nodes, registries and
-// cores.
+// Soak lists breaks of the data path and of the messages between nodes, registries and cores.
 var Soak = []SoakBreak{
 	{What: "a request that may have been executed is retried", File: "peer/relay/request.go", Seeds: 2,
 		From: "canRetry := req.route.Retryable() && m.attemptsUsed(req)", To: "canRetry := m.attemptsUsed(req)"},
@@ -38,9 +36,9 @@
 		From: "if m.pending != nil && update.TableNumber <= m.pending.Number {", To: "if m.pending != nil && update.TableNumber == m.pending.Number {"},
 	{What: "a departure is not sent to others", File: "peer/registry/replicas.go", Seeds: 3,
 		From: "previous.Leaving != reported.Leaving || ", To: ""},
-	{What: "a change of replicas is not sent immediately", File: "peer/registry/replicas.go", Seeds: 1, Elsewhere: "TestChangeIsSentAtOnce; nodes poll within the bound, and departures are acknowledged after another desk has polled, so the soak does not see it",
+	{What: "a change of replicas is not sent immediately", File: "peer/registry/replicas.go", Seeds: 1, Elsewhere: "TestChangeIsSentAtOnce; nodes poll within the bound, and departures are acknowledged after another registry has polled, so the soak does not see it",
 		From: "	m.notifyAll(now)\n", To: ""},
-	{What: "a departure is acknowledged before it is replicated", File: "peer/registry/departure.go", Seeds: 1, Elsewhere: "TestAcknowledgedLeaveSurvivesRegistryLoss; the soak's desks keep departures on their disks",
+	{What: "a departure is acknowledged before it is replicated", File: "peer/registry/departure.go", Seeds: 1, Elsewhere: "TestAcknowledgedLeaveSurvivesRegistryLoss; the soak's registries keep departures on their disks",
 		From: "case m.isReplicated(now, d.version):", To: "case true:"},
 	{What: "a torn frame is accepted as complete", File: "peer/disk/log.go", Seeds: 4,
 		From: "	if f.checksum(offset, raw[:8], body) != binary.LittleEndian.Uint64(raw[8:]) {\n		return nil, 0\n	}\n", To: ""},
@@ -48,7 +46,7 @@
 		From: "	if err := file.Sync(); err != nil {\n		return errors.Wrap(err, \"syncing a state file\")\n	}\n	return s.files.SyncDir(s.path)", To: "	return s.files.SyncDir(s.path)"},
 	{What: "a frame is acknowledged before it is synced", File: "peer/disk/disk.go", Seeds: 2,
 		From: "	return errors.Wrap(s.log.Sync(), \"syncing the log\")\n}\n\n// undoWrite", To: "	return nil\n}\n\n// undoWrite"},
-	{What: "nodes forget departures together with the desk that reported them", File: "peer/relay/replicas.go", Seeds: 6, Elsewhere: "TestLeavingIsRememberedAfterRegistryIsSilent; desks exchange departures, so the soak does not see it",
+	{What: "nodes forget departures together with the registry that reported them", File: "peer/relay/replicas.go", Seeds: 6, Elsewhere: "TestLeavingIsRememberedAfterRegistryIsSilent; registries exchange departures, so the soak does not see it",
 		From: "if entry.Removed || m.departed.has(id) {", To: "if entry.Removed || entry.Replica.Leaving || entry.Final {"},
 	{What: "a quota's block is granted again after a takeover", File: "rule/rate/ledger.go", Seeds: 4,
 		From: "pool:          state.Outstanding,", To: "pool:          0,"},
@@ -62,9 +60,9 @@
 		From: "if send.Synced && s.issued > s.synced {", To: "if false {"},
 	{What: "a cached turn is delivered before it is stored", File: "peer/relay/request.go", Seeds: 4,
 		From: "	m.settle(now, req, m.tokenCount(req))\n	m.caller.Call(now, command,", To: "	m.settle(now, req, m.tokenCount(req))\n	if waiting == 1 {\n		m.cache.put(stored)\n		m.finish(now, req, CauseServed, Step{Kind: StepDeliver})\n		return\n	}\n	m.caller.Call(now, command,"},
-	{What: "clients may read without a write deadline", File: "peer/front/intake.go", Seeds: 2,
+	{What: "requesters may read without a write deadline", File: "peer/front/intake.go", Seeds: 2,
 		From: "	_ = x.controller.SetWriteDeadline(clock.Deadline(max(timeout, time.Millisecond)))\n", To: ""},
-	{What: "a reservation uses the client's id", File: "peer/relay/budget.go", Seeds: 3,
+	{What: "a reservation uses the requester's id", File: "peer/relay/budget.go", Seeds: 3,
 		From: "	req.reservationID = m.incarnation + \"-\" + strconv.FormatUint(m.reservations, 36)\n", To: "	req.reservationID = req.spec.Attempt + strconv.Itoa(0)\n"},
 	{What: "two tables with the same base are both accepted", File: "peer/core/orders.go", Seeds: 3,
 		From: "if current.Number != command.Base || command.Number <= current.Number {", To: "if command.Number <= current.Number {"},
@@ -78,8 +76,7 @@
 		From: "FirstTurn:       {from: 0.1, to: 0.9, max: 0.85}", To: "FirstTurn:       {from: 0.1, to: 0.9, max: 1}"},
 }
 
-// locate returns the path of the file and its content with the fault applied. The text
-// to replace must occur exactly once.
+// locate returns the path and the broken content of the file. The text must occur exactly once.
 func (b SoakBreak) locate(root string) (path, broken string, err error) {
 	path = filepath.Join(root, b.File)
 	text, err := os.ReadFile(path)
@@ -92,8 +89,8 @@
 	return path, strings.Replace(string(text), b.From, b.To, 1), nil
 }
 
-// Run applies the break to a copy of the tree at root and runs the soak there from the
-// seed first on. It returns the violation, or an error if the soak reports none.
+// Run runs the soak on a broken copy of the tree at root, from the seed first on. It returns the
+// violation, or an error if the soak reports none.
 func (b SoakBreak) Run(root string, first int) (found string, err error) {
 	scratch, err := os.MkdirTemp("", "break-")
 	if err != nil {
--- a/rehearsalkit/simulator/terms.go
+++ b/rehearsalkit/simulator/terms.go
@@ -8,30 +8,29 @@
 	"saffronfall/rule/program"
 )
 
-// TermResult is the effect of one duration of member leases.
-type TermResult struct {
-	Term time.Duration
-	// Served maps the duration of a disconnection of all cores to the fraction of turns
-	// submitted meanwhile that completed.
+// LeaseResult is the effect of one duration of member leases.
+type LeaseResult struct {
+	MemberLease time.Duration
+	// Served is the fraction of turns that completed, by the duration of a cut of all cores.
 	Served map[time.Duration]float64
-	// Turns is the number of turns submitted in all disconnections.
+	// Turns counts the turns submitted during the cuts.
 	Turns int
-	// MaxFailover is the longest time until a program whose owner was killed was served
-	// again, MaxConfigurationDelay the longest time to apply a configuration with a node dead.
+	// MaxFailover is the longest time until a killed owner's program was served again,
+	// MaxConfigurationDelay the longest to apply a configuration with a node dead.
 	MaxFailover, MaxConfigurationDelay time.Duration
 	Breaches                           []judge.Breach
 }
 
-// MeasureTerm runs disconnections of all cores, a killed owner and a configuration with
-// a dead node, for the given number of seeds each.
-func MeasureTerm(term time.Duration, cuts []time.Duration, seeds uint64) TermResult {
-	t := TermResult{Term: term, Served: map[time.Duration]float64{}}
+// MeasureMemberLease runs cuts of all cores, a killed owner and a configuration with a dead node,
+// for the given number of seeds each.
+func MeasureMemberLease(lease time.Duration, cuts []time.Duration, seeds uint64) LeaseResult {
+	t := LeaseResult{MemberLease: lease, Served: map[time.Duration]float64{}}
 	world := func(seed uint64) *World {
 		p := defaults(seed)
-		p.Nodes, p.Users, p.MemberLease, p.Rate, p.Burst = 6, 18, term, 60, 96
+		p.Nodes, p.Users, p.MemberLease, p.Rate, p.Burst = 6, 18, lease, 60, 96
 		p.Faults, p.Operators, p.MessageLoss = false, 0, 0
 		w := NewWithoutFaults(p)
-		w.limits()
+		w.setJudgeLimits()
 		w.Record.Limits.Users, w.Record.Nodes = nil, nil
 		return w
 	}
@@ -53,9 +52,9 @@
 					}
 				}
 			})
-			w.run(from)
+			w.runUntil(from)
 			w.cutCoresFromNodes(cut)
-			w.run(from + cut + term + 6*time.Second)
+			w.runUntil(from + cut + lease + 6*time.Second)
 			t.Breaches = append(t.Breaches, w.Record.Judge()...)
 		}
 		t.Turns += asked
@@ -64,7 +63,7 @@
 	for seed := uint64(1); seed <= seeds; seed++ {
 		w := world(seed)
 		_, opened := w.Do(0, node.Request{Kind: node.KindOpen, Key: "key-t1", User: "u"})
-		w.Advance(term)
+		w.Advance(lease)
 		w.nodes[0].kill()
 		died := w.now
 		submitted := w.now
@@ -73,7 +72,7 @@
 				t.MaxConfigurationDelay = max(t.MaxConfigurationDelay, w.now-submitted)
 			}
 		})
-		for w.now < died+3*term+10*time.Second {
+		for w.now < died+3*lease+10*time.Second {
 			result, _ := w.Do(1, node.Request{Kind: node.KindTurn, Key: "key-t1", Program: opened.Text, Service: "model", PreviousHead: program.EmptyHead, Prompt: w.newID("say"), MaxTokens: 10})
 			if result.Outcome == judge.Whole {
 				t.MaxFailover = max(t.MaxFailover, w.now-died)
@@ -81,13 +80,12 @@
 			}
 			w.Advance(50 * time.Millisecond)
 		}
-		w.run(died + 3*term + 10*time.Second)
+		w.runUntil(died + 3*lease + 10*time.Second)
 	}
 	return t
 }
 
-// chat simulates a requester that takes turns of one program after another at random
-// nodes until a time, and reports each turn.
+// chat takes turns of one program after another at random nodes until a time, and reports each.
 func (w *World) chat(number int, until time.Duration, done func(asked time.Duration, whole bool)) {
 	key := "key-t1"
 	var talk func(id, head string)
@@ -96,7 +94,12 @@
 		if w.now >= until {
 			return
 		}
-		w.submit(w.anyNode(), node.Request{Kind: node.KindOpen, Key: key, User: w.newID("u"), Timeout: 2 * time.Second}, func(result judge.Request, p node.Frame) {
+		w.submit(w.anyNode(), node.Request{
+			Kind:    node.KindOpen,
+			Key:     key,
+			User:    w.newID("u"),
+			Timeout: 2 * time.Second,
+		}, func(result judge.Request, p node.Frame) {
 			if result.Outcome != judge.Whole {
 				w.after(200*time.Millisecond, open)
 				return
@@ -108,7 +111,16 @@
 		if w.now >= until {
 			return
 		}
-		w.submit(w.anyNode(), node.Request{Kind: node.KindTurn, Key: key, Program: id, Service: "model", PreviousHead: head, Prompt: w.newID("say"), MaxTokens: 100, Timeout: 2 * time.Second}, func(result judge.Request, p node.Frame) {
+		w.submit(w.anyNode(), node.Request{
+			Kind:         node.KindTurn,
+			Key:          key,
+			Program:      id,
+			Service:      "model",
+			PreviousHead: head,
+			Prompt:       w.newID("say"),
+			MaxTokens:    100,
+			Timeout:      2 * time.Second,
+		}, func(result judge.Request, p node.Frame) {
 			done(result.At, result.Outcome == judge.Whole)
 			pause := w.between(500*time.Millisecond, 1500*time.Millisecond)
 			switch {
