--- a/peer/operator/handler.go
+++ b/peer/operator/handler.go
@@ -69,13 +69,13 @@
 	MissingPartitions    []int             `json:"parts_without_answer"`
 }
 
-// ConfigurationRequest asks to apply a configuration, or only to plan it. BudgetMS bounds it in
-// milliseconds; zero selects a default.
+// ConfigurationRequest asks to apply a configuration in place of version BasedOn, or only to plan
+// it. Zero TimeoutMS selects a default.
 type ConfigurationRequest struct {
 	BasedOn     uint64          `json:"based_on"`
 	Description json.RawMessage `json:"description"`
 	PlanOnly    bool            `json:"plan_only"`
-	BudgetMS    int64           `json:"budget_ms"`
+	TimeoutMS   int64           `json:"budget_ms"`
 }
 
 // ErrorResponse is the body of an error response. Executed is "no" or "maybe".
@@ -194,7 +194,7 @@
 
 func applyConfiguration(w http.ResponseWriter, r *http.Request, p Process, request ConfigurationRequest) {
 	sum := sha256.Sum256(request.Description)
-	timeout := time.Duration(request.BudgetMS) * time.Millisecond
+	timeout := time.Duration(request.TimeoutMS) * time.Millisecond
 	if timeout <= 0 {
 		timeout = defaultApplyTimeout
 	}
@@ -224,18 +224,18 @@
 	WriteJSON(w, status, result)
 }
 
-// CoreChange asks to add, retire or replace a core; By is the id of the replacement. BudgetMS
-// bounds it in milliseconds; zero selects a default.
+// CoreChange asks to add, retire or replace a core; By is the id of the replacement. New, if set,
+// is registered before. Zero TimeoutMS selects a default.
 type CoreChange struct {
-	Kind     string     `json:"kind"`
-	ID       string     `json:"id"`
-	By       string     `json:"by,omitempty"`
-	New      *core.Core `json:"new,omitempty"`
-	BudgetMS int64      `json:"budget_ms"`
+	Kind      string     `json:"kind"`
+	ID        string     `json:"id"`
+	By        string     `json:"by,omitempty"`
+	New       *core.Core `json:"new,omitempty"`
+	TimeoutMS int64      `json:"budget_ms"`
 }
 
 func changeCores(w http.ResponseWriter, r *http.Request, p Process, c CoreChange) {
-	timeout := time.Duration(c.BudgetMS) * time.Millisecond
+	timeout := time.Duration(c.TimeoutMS) * time.Millisecond
 	if timeout <= 0 {
 		timeout = defaultChangeTimeout
 	}
--- a/rehearsalkit/fleet/fleet.go
+++ b/rehearsalkit/fleet/fleet.go
@@ -410,7 +410,7 @@
 	status, raw, err := f.Caller().Do(ctx, "POST", at.operator, "/v1/configuration", operator.ConfigurationRequest{
 		BasedOn:     basedOn,
 		Description: f.Description(probeKey),
-		BudgetMS:    8000,
+		TimeoutMS:   8000,
 	}, nil)
 	if err == nil {
 		err = json.Unmarshal(raw, &result)
--- a/saffronfall/main.go
+++ b/saffronfall/main.go
@@ -204,7 +204,7 @@
 	if _, faults := configuration.Parse(text); len(faults) > 0 {
 		return 0, nil, result, faults
 	}
-	request := operator.ConfigurationRequest{Description: text, PlanOnly: planOnly, BudgetMS: c.Timeout.Milliseconds()}
+	request := operator.ConfigurationRequest{Description: text, PlanOnly: planOnly, TimeoutMS: c.Timeout.Milliseconds()}
 	if c.BasedOn >= 0 {
 		request.BasedOn = uint64(c.BasedOn)
 	} else {
