--- a/peer/front/handler.go
+++ b/peer/front/handler.go
@@ -73,6 +73,7 @@
 	intake *intake
 }
 
+// exchange is one request with its response. output collects a stream's data for storing.
 type exchange struct {
 	*handler
 	w           http.ResponseWriter
@@ -429,6 +430,7 @@
 	hasData   bool
 }
 
+// parseLine reports whether the line is blank.
 func (e *event) parseLine(line []byte) bool {
 	line = bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 	name, value, _ := bytes.Cut(line, []byte(":"))
--- a/peer/front/handler_test.go
+++ b/peer/front/handler_test.go
@@ -72,8 +72,8 @@
 }
 
 var (
-	passStep  = relay.Step{Kind: relay.StepDeliver}
-	breakStep = relay.Step{Kind: relay.StepAbort, Status: 502, Check: "replica", Reason: "it may have run"}
+	deliverStep = relay.Step{Kind: relay.StepDeliver}
+	abortStep   = relay.Step{Kind: relay.StepAbort, Status: 502, Check: "replica", Reason: "it may have run"}
 )
 
 type capturedRequest struct {
@@ -202,7 +202,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			response := strings.Replace(c.response, "\r\n", "\r\nConnection: X-Hop, keep-alive\r\nX-Hop: 1\r\nKeep-Alive: timeout=9\r\nProxy-Authenticate: x\r\nX-Odd_name: a\r\nX-Many: 1\r\nX-Many: 2\r\n", 1)
 			r := newStaticReplica(t, response)
-			n := newNode(t, []relay.Step{sendStep, passStep}, r)
+			n := newNode(t, []relay.Step{sendStep, deliverStep}, r)
 			q := n.dial(t)
 			q.write(strings.Replace(request, "POST", c.method, 1))
 			got := q.read(c.method)
@@ -255,7 +255,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newStaticReplica(t, okHead+"Content-Length: 2\r\n\r\nok")
-			n := newNode(t, []relay.Step{sendStep, passStep}, r)
+			n := newNode(t, []relay.Step{sendStep, deliverStep}, r)
 			q := n.dial(t)
 			q.write(c.method + " " + c.uri + " HTTP/1.1\r\nHost: some.example:80\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Key: secret\r\nsaffronfall-key: secret\r\nSaffronfall-Tenant: other\r\nSAFFRONFALL-TENANT: other\r\n" +
 				"Saffronfall-Replica: i-9\r\nSaffronfall-Deadline-Ms: 5000\r\nSaffronfall-Urgency: 0\r\nSaffronfall-Program: p\r\nSaffronfall-Session: s\r\nLast-Event-Id: 12\r\nX-Own: 1\r\nX-Own: 2\r\nTe: x\r\nKeep-Alive: 3\r\n" + c.headers + "\r\n" + c.body)
@@ -312,7 +312,7 @@
 	open := sendStep
 	open.Tenant = ""
 	r := newStaticReplica(t, okHead+"Content-Length: 2\r\n\r\nok")
-	n := newNode(t, []relay.Step{open, passStep}, r)
+	n := newNode(t, []relay.Step{open, deliverStep}, r)
 	q := n.dial(t)
 	q.write(strings.Replace(request, "Content-L", "Saffronfall-Tenant: other\r\nContent-L", 1))
 	q.read("POST")
@@ -325,7 +325,7 @@
 	s := streamStep(true)
 	s.History = [][]byte{[]byte("in1"), []byte("out1\n"), []byte("in2"), []byte("out2\nout3\n")}
 	r := newStaticReplica(t, okHead+"Content-Length: 0\r\n\r\n")
-	n := newNode(t, []relay.Step{s, passStep}, r)
+	n := newNode(t, []relay.Step{s, deliverStep}, r)
 	q := n.dial(t)
 	q.write(request)
 	q.read("POST")
@@ -355,7 +355,7 @@
 	} {
 		for _, s := range []relay.Step{sendStep, streamStep(false), streamStep(true)} {
 			t.Run(fmt.Sprint(c.name, s.Stream, s.ReturnOutput), func(t *testing.T) {
-				n := newNode(t, []relay.Step{s, breakStep}, newStaticReplica(t, c.response))
+				n := newNode(t, []relay.Step{s, abortStep}, newStaticReplica(t, c.response))
 				q := n.dial(t)
 				q.write(request)
 				got, err := http.ReadResponse(q.reader, nil)
@@ -412,7 +412,7 @@
 		}
 	}()
 	r := &rawReplica{address: listener.Addr().String()}
-	n := newNode(t, []relay.Step{sendStep, sendStep, passStep}, r)
+	n := newNode(t, []relay.Step{sendStep, sendStep, deliverStep}, r)
 	n.pools = append(n.pools, n.pools[0])
 	q := n.dial(t)
 	q.write(request)
@@ -459,7 +459,7 @@
 		}
 		io.WriteString(c, chunk(": the last\n")+"0\r\n\r\n")
 	})
-	n := newNode(t, []relay.Step{streamStep(true), passStep}, r)
+	n := newNode(t, []relay.Step{streamStep(true), deliverStep}, r)
 	q := n.dial(t)
 	q.write(request)
 	got := q.read("POST")
@@ -517,7 +517,7 @@
 					}
 					io.WriteString(c2, "0\r\n\r\n")
 				})
-				n := newNode(t, []relay.Step{streamStep(true), passStep}, r)
+				n := newNode(t, []relay.Step{streamStep(true), deliverStep}, r)
 				q := n.dial(t)
 				q.write(request)
 				got := q.read("POST")
@@ -542,7 +542,7 @@
 		{"invalid chunk", streamHead + chunk("id: 1\ndata: a\n\n") + "zzz", "id: 1\ndata: a\n\n"},
 		{"too large event", streamHead + chunk("id: 1\ndata: a\n\n") + chunk("data: "+strings.Repeat("x", 2<<20)+"\n\n") + "0\r\n\r\n", "id: 1\ndata: a\n\n"},
 	} {
-		for _, last := range []relay.Step{breakStep, {Kind: relay.StepRefuse, Status: 503}, {}} {
+		for _, last := range []relay.Step{abortStep, {Kind: relay.StepRefuse, Status: 503}, {}} {
 			t.Run(c.name+last.Kind, func(t *testing.T) {
 				steps := []relay.Step{streamStep(true), last}
 				if last.Kind == "" {
@@ -567,7 +567,7 @@
 
 // A complete turn that could not be stored must not look complete.
 func TestFailedStoreAbortsStream(t *testing.T) {
-	n := newNode(t, []relay.Step{streamStep(true), breakStep}, newStaticReplica(t, streamHead+chunk("data: a\n\n")+"0\r\n\r\n"))
+	n := newNode(t, []relay.Step{streamStep(true), abortStep}, newStaticReplica(t, streamHead+chunk("data: a\n\n")+"0\r\n\r\n"))
 	q := n.dial(t)
 	q.write(request)
 	if text, err := io.ReadAll(q.read("POST").Body); err == nil || string(text) != "data: a\n\n" {
@@ -581,7 +581,7 @@
 		first := newStaticReplica(t, streamHead+chunk("id: 3\ndata: a\n\n")+chunk("id: 4\r\ndata: b\r\n\r\nid: 5\ndata: h"))
 		second := newStaticReplica(t, strings.NewReplacer("Seal: s", "Seal: t", "200 OK", "206 Partial").Replace(streamHead)+chunk("id: 5\ndata: c\n\n")+chunk("id: 6\nda"))
 		third := newStaticReplica(t, strings.Replace(streamHead, "Seal: s", "Seal: u", 1)+chunk("id: 6\ndata: d\n\n")+"0\r\n\r\n")
-		n := newNode(t, []relay.Step{streamStep(true), streamStep(true), streamStep(true), passStep}, first, second, third)
+		n := newNode(t, []relay.Step{streamStep(true), streamStep(true), streamStep(true), deliverStep}, first, second, third)
 		q := n.dial(t)
 		q.write(strings.Replace(request, "Content-L", own+"Content-L", 1))
 		got := q.read("POST")
@@ -608,7 +608,7 @@
 func TestResumedBeforeFirstEvent(t *testing.T) {
 	first := newStaticReplica(t, streamHead+chunk("id: 1\nda"))
 	second := newStaticReplica(t, strings.Replace(streamHead, "Seal: s", "Seal: t", 1)+chunk("id: 1\ndata: a\n\n")+"0\r\n\r\n")
-	n := newNode(t, []relay.Step{streamStep(false), streamStep(false), passStep}, first, second)
+	n := newNode(t, []relay.Step{streamStep(false), streamStep(false), deliverStep}, first, second)
 	q := n.dial(t)
 	q.write(request)
 	got := q.read("POST")
@@ -623,7 +623,7 @@
 // A response that does not resume a stream must not be appended to it.
 func TestFailedResume(t *testing.T) {
 	for _, response := range []string{"HTTP/1.1 500 X\r\nSaffronfall-Attempt: a1\r\nContent-Length: 4\r\n\r\noops", "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: a1\r\nContent-Length: 10\r\n\r\ndata: a\n\n ", "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n"} {
-		n := newNode(t, []relay.Step{streamStep(false), streamStep(false), breakStep}, newStaticReplica(t, streamHead+chunk("id: 1\ndata: a\n\n")), newStaticReplica(t, response))
+		n := newNode(t, []relay.Step{streamStep(false), streamStep(false), abortStep}, newStaticReplica(t, streamHead+chunk("id: 1\ndata: a\n\n")), newStaticReplica(t, response))
 		q := n.dial(t)
 		q.write(request)
 		if text, err := io.ReadAll(q.read("POST").Body); err == nil || string(text) != "id: 1\ndata: a\n\n" {
@@ -762,7 +762,7 @@
 	unreachable := &rawReplica{address: "127.0.0.1:1"}
 	full := newStaticReplica(t, "HTTP/1.1 503 X\r\nSaffronfall-Attempt: a1\r\nSaffronfall-Not-Run: 1\r\nSaffronfall-Load: 8,2,8\r\nContent-Length: 0\r\n\r\n")
 	healthy := newStaticReplica(t, okHead+"Saffronfall-Load: 3, 0, 8\r\nContent-Length: 2\r\n\r\nok")
-	n := newNode(t, []relay.Step{sendStep, sendStep, sendStep, passStep}, unreachable, full, healthy)
+	n := newNode(t, []relay.Step{sendStep, sendStep, sendStep, deliverStep}, unreachable, full, healthy)
 	q := n.dial(t)
 	q.write(request)
 	if got := q.read("POST"); got.StatusCode != 200 {
@@ -786,7 +786,7 @@
 			_, err := c.Read(make([]byte, 1))
 			ended <- err
 		})
-		n := newNode(t, []relay.Step{streamStep(true), breakStep}, r)
+		n := newNode(t, []relay.Step{streamStep(true), abortStep}, r)
 		q := n.dial(t)
 		q.write(request)
 		<-r.received
@@ -810,7 +810,7 @@
 
 // A failed write must not count as the replica's failure.
 func TestWriteToRequesterFails(t *testing.T) {
-	n := newNode(t, []relay.Step{streamStep(true), breakStep}, newStaticReplica(t, streamHead+chunk("id: 1\ndata: a\n\n")))
+	n := newNode(t, []relay.Step{streamStep(true), abortStep}, newStaticReplica(t, streamHead+chunk("id: 1\ndata: a\n\n")))
 	func() {
 		defer func() { recover() }()
 		r := httptest.NewRequest("POST", "/a", strings.NewReader("hi"))
@@ -824,7 +824,7 @@
 
 func TestDrainingClosesConnections(t *testing.T) {
 	closing := make(chan struct{})
-	s := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, passStep}, dispatched: make(chan relay.Request, 4), outcomes: make(chan relay.Outcome, 4)}
+	s := &scriptedDispatcher{t: t, steps: []relay.Step{sendStep, deliverStep}, dispatched: make(chan relay.Request, 4), outcomes: make(chan relay.Outcome, 4)}
 	s.pools = []*replica.Pool{replica.NewPool(newStaticReplica(t, okHead+"Content-Length: 2\r\n\r\nok").address, 4, time.Second)}
 	server := httptest.NewServer(Handler(Options{Dispatcher: s, Headers: replica.DefaultHeaders, MaxBody: 1 << 20, Draining: closing}))
 	defer server.Close()
@@ -844,7 +844,7 @@
 }
 
 // A request must be malformed or have all numbers within their bounds.
-func FuzzRead(f *testing.F) {
+func FuzzParseHead(f *testing.F) {
 	f.Add("a1", "4000", "2304", "1840,288", "5c1e07a2:800,91bd3f06:410")
 	f.Add("", "NaN", "-1", ",", ":")
 	f.Add("a", "-Inf", "0", "0,0", "a:-1,b")
--- a/peer/front/head.go
+++ b/peer/front/head.go
@@ -65,11 +65,11 @@
 		request.TokenBudget = max(budget, 1)
 	}
 	if text := r.Header.Get(names.Tokens); text != "" {
-		prompt, most, _ := strings.Cut(text, ",")
-		if read, err := strconv.ParseInt(strings.TrimSpace(prompt), 10, 64); err != nil || read < 0 {
+		promptTokens, maxTokens, _ := strings.Cut(text, ",")
+		if count, err := strconv.ParseInt(strings.TrimSpace(promptTokens), 10, 64); err != nil || count < 0 {
 			return request, names.Tokens + " is not two counts"
 		}
-		count, err := strconv.ParseInt(strings.TrimSpace(most), 10, 64)
+		count, err := strconv.ParseInt(strings.TrimSpace(maxTokens), 10, 64)
 		if err != nil || count < 0 {
 			return request, names.Tokens + " is not two counts"
 		}
@@ -83,8 +83,8 @@
 	return request, ""
 }
 
-// parsePrompt ignores malformed parts, since they are only placement hints.
-func (h *handler) parsePrompt(text string) (parts []placement.PromptSegment) {
+// parsePrompt ignores malformed segments, since they are only hints.
+func (h *handler) parsePrompt(text string) (segments []placement.PromptSegment) {
 	if text == "" {
 		return nil
 	}
@@ -94,9 +94,9 @@
 		if err != nil || count < 0 {
 			continue
 		}
-		parts = append(parts, placement.PromptSegment{ID: h.hash(id), Tokens: count})
+		segments = append(segments, placement.PromptSegment{ID: h.hash(id), Tokens: count})
 	}
-	return parts
+	return segments
 }
 
 // hash uses the fleet's secret key, so that all nodes agree and no tenant can choose names that
@@ -105,7 +105,7 @@
 	return siphash.Hash(h.HashKey[0], h.HashKey[1], []byte(name))
 }
 
-// parseHorizon ignores a malformed value, since it only affects the order of service.
+// parseHorizon ignores a malformed value, since it only affects refusals during overload.
 func parseHorizon(text string) relay.Horizon {
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(ms) {
--- a/peer/front/intake.go
+++ b/peer/front/intake.go
@@ -58,7 +58,6 @@
 	return nil
 }
 
-// read reads a body of at most limit bytes.
 func (b *body) read(r *http.Request, limit int64) error {
 	switch size := r.ContentLength; {
 	case size > limit:
--- a/peer/front/interruption_test.go
+++ b/peer/front/interruption_test.go
@@ -40,14 +40,14 @@
 func (r *outcomeRequest) Next(o relay.Outcome) (relay.Step, *replica.Pool, bool) {
 	switch {
 	case o.Kind == relay.OutcomeComplete:
-		return passStep, nil, true
+		return deliverStep, nil, true
 	case o.Kind == relay.OutcomeNotRun && r.at+1 < len(r.dispatcher.pools):
 		r.at++
 		return r.dispatcher.first, r.dispatcher.pools[r.at], true
 	case o.Kind == relay.OutcomeNotRun:
 		return relay.Step{Kind: relay.StepRefuse, Status: 503, Check: "replicas", Reason: "no replica is left"}, nil, true
 	}
-	return breakStep, nil, true
+	return abortStep, nil, true
 }
 
 func newDispatcherNode(t *testing.T, first relay.Step, addresses ...string) (*node, *outcomeDispatcher) {
@@ -102,7 +102,6 @@
 	}
 }
 
-// interruptedResult describes a request whose replica disconnected.
 type interruptedResult struct {
 	status   int
 	body     string
@@ -124,7 +123,7 @@
 	if cut == len(response) && !reset && (!r.complete || r.status != status || r.body != want) {
 		t.Errorf("complete response: %+v", r)
 	}
-	if cut < len(response) && !notRun && r.complete && r.status != breakStep.Status {
+	if cut < len(response) && !notRun && r.complete && r.status != abortStep.Status {
 		t.Errorf("cut at %d of %d: the requester got a complete response: %+v", cut, len(response), r)
 	}
 	if r.complete && r.status/100 == 2 && r.body != want {
@@ -162,7 +161,6 @@
 	return b
 }
 
-// requestWithID returns a request whose body is its attempt id.
 func requestWithID(id string) string {
 	return fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nSaffronfall-Attempt: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id)
 }
--- a/peer/front/limits_test.go
+++ b/peer/front/limits_test.go
@@ -38,7 +38,7 @@
 	})
 	step := streamStep(true)
 	step.Timeout = 300 * time.Millisecond
-	n := newNode(t, []relay.Step{step, breakStep}, r)
+	n := newNode(t, []relay.Step{step, abortStep}, r)
 	q := n.dial(t)
 	q.write(request)
 	select {
@@ -146,7 +146,7 @@
 	})
 	dispatcher := &scriptedDispatcher{
 		t:          t,
-		steps:      []relay.Step{sendStep, passStep},
+		steps:      []relay.Step{sendStep, deliverStep},
 		dispatched: make(chan relay.Request, 16),
 		outcomes:   make(chan relay.Outcome, 16),
 		pools:      []*replica.Pool{replica.NewPool(r.address, 4, time.Second)},
--- a/peer/replica/pool.go
+++ b/peer/replica/pool.go
@@ -182,7 +182,8 @@
 	}
 }
 
-// Request is one attempt of a request. Its body is the concatenation of Body.
+// Request is one attempt of a request. Its body is the concatenation of Body. HasBody sends a
+// Content-Length even if it is empty.
 type Request struct {
 	Method, URI string
 	Host        string
@@ -261,7 +262,6 @@
 		if id == "" || id == q.Attempt {
 			break
 		}
-		// This is the response to an earlier request.
 		r.noReuse = true
 		if stale++; stale > maxStaleResponses {
 			return fail(errors.New("too many responses to earlier requests"))
--- a/peer/replica/pool_test.go
+++ b/peer/replica/pool_test.go
@@ -451,7 +451,7 @@
 
 // The request must end, an accepted response must name the attempt or say that it was not run,
 // and a connection with unread bytes must not be reused.
-func FuzzAnswer(f *testing.F) {
+func FuzzPoolDo(f *testing.F) {
 	for _, seed := range []string{okResponse, okChunked, notRunResponse, staleResponse + okResponse, staleChunked + okResponse, okResponse + staleResponse, "HTTP/1.1 100 Continue\r\n\r\n" + okResponse,
 		"HTTP/1.1 421 Misdirected Request\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\nok", "HTTP/1.1 200 OK\r\nSaffronfall-Attempt: ID\r\nContent-Length: -1\r\n\r\n", "\x00", ""} {
 		f.Add([]byte(strings.ReplaceAll(seed, "ID", "id")))
--- a/peer/replica/sender.go
+++ b/peer/replica/sender.go
@@ -32,6 +32,7 @@
 // initialLineBytes is the first buffer for stream lines; it grows up to Sender.maxBytes.
 const initialLineBytes = 4096
 
+// streamLine is a line of a model's response. The last has Done and Total, the sum of Tokens.
 type streamLine struct {
 	Text   string `json:"text"`
 	Tokens int64  `json:"tokens"`
