--- a/peer/relay/budget.go
+++ b/peer/relay/budget.go
@@ -8,9 +8,9 @@
 )
 
 func (m *Machine) reserveBudget(now time.Duration, req *activeRequest) {
-	req.reserving = true
-	m.reservations++
-	req.reservationID = m.incarnation + "-" + strconv.FormatUint(m.reservations, 36)
+	req.reservingBudget = true
+	m.lastReservation++
+	req.reservationID = m.incarnation + "-" + strconv.FormatUint(m.lastReservation, 36)
 	command := core.ReserveTurn{
 		Tenant:    m.tenantName(req),
 		Program:   req.spec.Program,
@@ -20,12 +20,12 @@
 		Retention: m.params.BudgetRetention,
 	}
 	m.caller.Call(now, command, req.admissionDeadline, func(now time.Duration, o core.Outcome) {
-		req.reserving = false
+		req.reservingBudget = false
 		result, ok := o.Answer.(core.ReserveTurnResult)
 		switch {
 		case !ok:
 			// The reservation may have been made, so it is settled when the request ends.
-			req.reserved = true
+			req.budgetReserved = true
 			m.refuseUnlessCompleted(now, req, CauseBudgetUnavailable)
 		case !result.OK:
 			req.budgetRefused = true
@@ -33,7 +33,7 @@
 				m.refuse(now, req, CauseBudget)
 			}
 		default:
-			req.reserved = true
+			req.budgetReserved = true
 			if req.completed {
 				m.settle(now, req, 0)
 				return
@@ -55,10 +55,10 @@
 // settle replaces a turn's reservation by its actual output, and is retried until the cores confirm
 // it or the budget has expired.
 func (m *Machine) settle(now time.Duration, req *activeRequest, tokens int64) {
-	if !req.reserved {
+	if !req.budgetReserved {
 		return
 	}
-	req.reserved = false
+	req.budgetReserved = false
 	m.Counters.Settlements++
 	command := core.SettleTurn{Tenant: m.tenantName(req), Program: req.spec.Program, Attempt: req.reservationID, Tokens: tokens}
 	m.caller.Call(now, command, now+m.params.BudgetRetention, func(time.Duration, core.Outcome) {})
--- a/peer/relay/completion.go
+++ b/peer/relay/completion.go
@@ -51,7 +51,7 @@
 type requesterResponse struct {
 	status        int
 	check, reason string
-	// retryFactor is the time until a retry, in retry periods of the cores.
+	// retryFactor is the time until a retry, in units of core.Params.AttemptTimeout.
 	retryFactor float64
 }
 
@@ -106,7 +106,7 @@
 	Previous string
 	Route    string
 	Tenant   string
-	// Replica is the last one that the request was sent to; ReplicasTried counts all.
+	// Replica is the last one that the request was sent to.
 	Replica       string
 	ReplicasTried int64
 	// MayHaveRun is false only if the request certainly did not run.
@@ -125,7 +125,7 @@
 
 type auditState struct {
 	violated invariant.Reporter
-	// byCause counts completions. Requests received equal those completed plus those in progress.
+	// byCause counts completions.
 	byCause   map[Cause]int64
 	completed int64
 	// auditAt is the time of the next check. After a late tick, the process may have been
@@ -161,7 +161,7 @@
 
 const (
 	// overdueGrace is how long a request may be in progress after its deadline, in addition to two
-	// member leases: storing its turn may take at least one lease.
+	// member leases: commands that store its turn are retried for up to one lease.
 	overdueGrace = 2 * time.Second
 	// stalledTick is the time between ticks that counts as a suspension of the process.
 	stalledTick = 500 * time.Millisecond
--- a/peer/relay/cores.go
+++ b/peer/relay/cores.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// unreadyRetries is the number of unanswered retry periods after which a node is not ready, so
-	// that requesters use nodes that reach the cores.
+	// unreadyRetries is after how many periods of AttemptTimeout without an answer a node is not
+	// ready, so that requesters use nodes that reach the cores.
 	unreadyRetries = 8
-	// unreachableRetries is the number of such periods after which a node refuses requests that
-	// need the cores. It exceeds the recovery time after all cores were down: then no node reaches
+	// unreachableRetries is after how many such periods a node refuses requests that need the
+	// cores. It exceeds the recovery time after all cores were down: then no node reaches
 	// them, and waiting is better than trying another.
 	unreachableRetries = 20
-	probeRetries       = 2
+	// probeRetries is the number of retry periods between probes.
+	probeRetries = 2
 )
 
 func (m *Machine) coresUnreachable(now time.Duration) bool {
@@ -27,7 +28,7 @@
 	return m.caller.SilentFor(now) <= unreadyRetries*m.params.Core.AttemptTimeout
 }
 
-func (req *activeRequest) needsCores() bool { return req.reserving || req.fetching }
+func (req *activeRequest) needsCores() bool { return req.reservingBudget || req.fetchingHistory }
 
 // checkCores refuses requests that wait for unreachable cores, so that requesters can try another
 // node. It probes the cores because no other command may show that they are back.
@@ -57,6 +58,6 @@
 
 // refuseCoresUnreachable also settles a reservation in progress, which may still be made.
 func (m *Machine) refuseCoresUnreachable(now time.Duration, req *activeRequest) {
-	req.reserved = req.reserved || req.reserving
+	req.budgetReserved = req.budgetReserved || req.reservingBudget
 	m.refuse(now, req, CauseCoresUnreachable)
 }
--- a/peer/relay/history.go
+++ b/peer/relay/history.go
@@ -16,7 +16,7 @@
 		return
 	}
 	m.Counters.CacheMisses++
-	req.fetching = true
+	req.fetchingHistory = true
 	m.readTurn(now, req, req.spec.Previous, func(now time.Duration, last core.ReadTurnResult) {
 		turns := make([]*turn, len(last.Previous)+1)
 		fill := func(now time.Duration, i int, attempt string, result core.ReadTurnResult) {
@@ -37,7 +37,7 @@
 			for _, t := range turns {
 				m.cache.put(t)
 			}
-			req.fetching, req.previous = false, turns[len(turns)-1]
+			req.fetchingHistory, req.previous = false, turns[len(turns)-1]
 			m.sendWhenReady(now, req)
 		}
 		if waiting == 0 {
@@ -75,8 +75,8 @@
 	})
 }
 
-// turnNotFound refuses a request. If this node stored the turn that it continues and the retention
-// has not ended, the turn is lost, not unknown.
+// turnNotFound refuses a request. If this node stored the previous turn and its retention has not
+// ended, the turn is lost, not unknown.
 func (m *Machine) turnNotFound(now time.Duration, req *activeRequest, attempt string, absence core.Absence) {
 	until, stored := m.recentTurns.deadline(turnName{tenant: m.tenantName(req), attempt: req.spec.Previous})
 	switch {
--- a/peer/relay/history_test.go
+++ b/peer/relay/history_test.go
@@ -12,13 +12,13 @@
 func TestCausesOfMissingTurn(t *testing.T) {
 	// The route keeps turns for 60 s.
 	for _, c := range []struct {
-		name     string
-		keptHere bool
-		after    time.Duration
-		absence  core.Absence
-		cause    Cause
-		status   int
-		breaches int
+		name       string
+		keptHere   bool
+		after      time.Duration
+		absence    core.Absence
+		cause      Cause
+		status     int
+		violations int
 	}{
 		{"never stored", false, 0, core.NotStored, CauseHistoryUnknown, 404, 0},
 		{"another tenant's", false, 0, core.OtherTenant, CauseHistoryForeign, 404, 0},
@@ -46,21 +46,21 @@
 		h.advance(c.after)
 		ticket := h.request(newRequest("/chat/x", func(r *Request) { r.Attempt, r.Previous = "second", "first" }))
 		h.expect(ticket, StepRefuse, c.status)
-		if last := h.completions[len(h.completions)-1]; last.Cause != c.cause || violations != c.breaches {
+		if last := h.completions[len(h.completions)-1]; last.Cause != c.cause || violations != c.violations {
 			t.Errorf("%s: cause %s, %d violations", c.name, last.Cause, violations)
 		}
 	}
 }
 
 func TestRecentTurnsAreBounded(t *testing.T) {
-	var k recentTurns
+	var rt recentTurns
 	for i := 0; i < 3*maxRecentTurns; i++ {
-		k.add(turnName{tenant: "t", attempt: string(rune(i))}, time.Duration(i))
+		rt.add(turnName{tenant: "t", attempt: string(rune(i))}, time.Duration(i))
 	}
-	if len(k.deadlines) != maxRecentTurns || len(k.order) != maxRecentTurns {
-		t.Errorf("%d deadlines and %d names are held", len(k.deadlines), len(k.order))
+	if len(rt.deadlines) != maxRecentTurns || len(rt.order) != maxRecentTurns {
+		t.Errorf("%d deadlines and %d names are held", len(rt.deadlines), len(rt.order))
 	}
-	if _, known := k.deadline(turnName{tenant: "t", attempt: string(rune(3*maxRecentTurns - 1))}); !known {
+	if _, known := rt.deadline(turnName{tenant: "t", attempt: string(rune(3*maxRecentTurns - 1))}); !known {
 		t.Error("the latest turn is not held")
 	}
 }
--- a/peer/relay/identity_test.go
+++ b/peer/relay/identity_test.go
@@ -42,7 +42,7 @@
 	h.node.cache.put(&turn{attempt: "same", tenant: "t1", input: []byte("in of t1"), output: []byte("out of t1"), storedUntil: h.now + 1<<40})
 	ticket := h.request(newRequest("/chat/x", func(r *Request) { r.Key, r.Previous = "second key", "same" }))
 	h.expect(ticket, StepSend, 0)
-	if said := h.lastStep(ticket).History; len(said) != 2 || string(said[0]) != "in of t2" {
-		t.Fatalf("continues from %q", said)
+	if history := h.lastStep(ticket).History; len(history) != 2 || string(history[0]) != "in of t2" {
+		t.Fatalf("continues from %q", history)
 	}
 }
--- a/peer/relay/machine.go
+++ b/peer/relay/machine.go
@@ -23,7 +23,8 @@
 	Address     string
 	// Seeds are the addresses of registries that are always asked for updates.
 	Seeds []string
-	Now   time.Duration
+	// Now is the current time on the clock of all later calls.
+	Now time.Duration
 	// Random returns numbers in [0, 1).
 	Random func() float64
 	// Violated receives violated invariants; if nil, they panic.
@@ -63,16 +64,16 @@
 }
 
 type rateState struct {
-	rates        map[string]*tenantRate
-	lastLeaseID  int
-	drawAt       time.Duration
-	reservations uint64
+	rates           map[string]*tenantRate
+	lastLeaseID     int
+	drawAt          time.Duration
+	lastReservation uint64
 }
 
 type registryState struct {
 	registryAddresses []string
 	registries        map[string]*registryView
-	nodes             int
+	nodeCount         int
 	nextUpdateRequest time.Duration
 	departed          departedReplicas
 }
@@ -174,7 +175,7 @@
 	if update.RenewNow {
 		m.requestUpdate(from)
 	}
-	m.nodes = max(update.NodeCount, 1)
+	m.nodeCount = max(update.NodeCount, 1)
 	if len(update.Replicas) > 0 {
 		// The listings are merged when the next replica is chosen.
 		m.mergeAt = now
@@ -318,9 +319,7 @@
 // Drain makes the node report that it is not ready. Requests in progress continue.
 func (m *Machine) Drain() { m.draining = true }
 
-// Status returns counters and gauges by metric name. There, "whole" and "broken" count complete and
-// interrupted responses, "bulletins" and "loads_heard" received updates and load reports, and
-// "live" requests in progress.
+// Status returns counters and gauges by metric name.
 func (m *Machine) Status(now time.Duration) map[string]int64 {
 	counters := m.Counters
 	replicas := 0
@@ -362,5 +361,5 @@
 
 // Describe summarizes for logs the state on which readiness depends.
 func (m *Machine) Describe(now time.Duration) string {
-	return fmt.Sprintf("table %d, %d desks, %d cores", m.TableNumber(), len(m.registries), len(m.topology.Cores))
+	return fmt.Sprintf("table %d, %d registries, %d cores", m.TableNumber(), len(m.registries), len(m.topology.Cores))
 }
--- a/peer/relay/machine_test.go
+++ b/peer/relay/machine_test.go
@@ -219,8 +219,8 @@
 func TestReplicaListedByOneRegistryStaysKnown(t *testing.T) {
 	h := newHarness(t)
 	h.start()
-	at := func(call int64, gone bool) []registry.ReplicaEntry {
-		return []registry.ReplicaEntry{{Replica: registry.Replica{ID: "r", Service: "app", Address: "r:1", Zone: "a", Slots: 4, Sequence: call}, Removed: gone, Version: 9}}
+	at := func(sequence int64, removed bool) []registry.ReplicaEntry {
+		return []registry.ReplicaEntry{{Replica: registry.Replica{ID: "r", Service: "app", Address: "r:1", Zone: "a", Slots: 4, Sequence: sequence}, Removed: removed, Version: 9}}
 	}
 	h.update("d2:1", at(11, false), 1, nil)
 	h.update("d1:1", at(12, false), 1, nil)
@@ -388,12 +388,12 @@
 	other.start()
 	ticket := other.request(newRequest("/chat/x", func(r *Request) { r.Previous, r.Input = "turn3", []byte("in4") }))
 	other.expect(ticket, StepSend, 0)
-	var said string
+	var history string
 	for _, b := range other.lastStep(ticket).History {
-		said += string(b)
+		history += string(b)
 	}
-	if said != "in1out1\nin2out2\nin3out3\n" {
-		t.Fatalf("history sent to the replica: %q", said)
+	if history != "in1out1\nin2out2\nin3out3\n" {
+		t.Fatalf("history sent to the replica: %q", history)
 	}
 }
 
@@ -473,7 +473,6 @@
 	if interrupted == 0 || interrupted > 3 {
 		t.Errorf("%d of 60 requests went to a replica that interrupts all of them", interrupted)
 	}
-	// The other replicas are full, so the failing one has to be used.
 	seen := map[string]int{}
 	var open []uint64
 	for i := 0; i < 40; i++ {
--- a/peer/relay/outcomes_test.go
+++ b/peer/relay/outcomes_test.go
@@ -9,7 +9,6 @@
 	"saffronfall/rule/route"
 )
 
-// openAttempt is a request at a replica that has not answered.
 type openAttempt struct {
 	ticket  uint64
 	replica string
@@ -134,7 +133,7 @@
 
 // check compares each trace with its route, and expects no slots in use.
 func (d *randomDriver) check() {
-	tries := map[string]int{"/chat/x": 2, "/once/x": 3, "/again/x": 2}
+	maxReached := map[string]int{"/chat/x": 2, "/once/x": 3, "/again/x": 2}
 	for ticket, trace := range d.traces {
 		if !trace.completed {
 			d.t.Errorf("request %d to %s never ended", ticket, trace.path)
@@ -142,7 +141,7 @@
 		if trace.ran > 1 && trace.path != "/again/x" {
 			d.t.Errorf("request %d to %s ran %d times", ticket, trace.path, trace.ran)
 		}
-		if trace.reached > tries[trace.path] {
+		if trace.reached > maxReached[trace.path] {
 			d.t.Errorf("request %d to %s reached %d replicas", ticket, trace.path, trace.reached)
 		}
 		seen := map[string]bool{}
@@ -181,16 +180,16 @@
 
 // TestRetryIsChargedToTenantRate: an attempt after an interrupted one needs another unit.
 func TestRetryIsChargedToTenantRate(t *testing.T) {
-	for _, c := range []struct{ most, sends int }{{1, 1}, {100, 2}} {
+	for _, c := range []struct{ burst, sends int }{{1, 1}, {100, 2}} {
 		h := newHarness(t)
-		h.update("d1:1", listings("app", "a1", "a2", "a3"), 1, tableJSON(1, func(t *route.Table) { t.Tenants[0].Rate, t.Tenants[0].Burst = 0.001, float64(c.most) }))
+		h.update("d1:1", listings("app", "a1", "a2", "a3"), 1, tableJSON(1, func(t *route.Table) { t.Tenants[0].Rate, t.Tenants[0].Burst = 0.001, float64(c.burst) }))
 		ticket := h.request(newRequest("/again/x", nil))
 		sends := 0
 		for ; h.lastStep(ticket).Kind == StepSend; sends++ {
 			h.outcome(ticket, Outcome{Kind: OutcomeInterrupted})
 		}
 		if sends != c.sends {
-			t.Errorf("%d attempts with a rate of %d", sends, c.most)
+			t.Errorf("%d attempts with a burst of %d", sends, c.burst)
 		}
 		h.expect(ticket, StepAbort, 502)
 	}
--- a/peer/relay/overload.go
+++ b/peer/relay/overload.go
@@ -44,21 +44,22 @@
 
 // admissionClass exempts all but turns of programs, as a refused call would end its program.
 func (m *Machine) admissionClass(req *activeRequest) admission.Class {
-	known := req.route.KeepHistory || len(req.spec.Prompt) > 0
+	// Without a history or a prompt, a first turn looks like any other.
+	firstTurnVisible := req.route.KeepHistory || len(req.spec.Prompt) > 0
 	switch {
 	case req.route.Mode != route.Stream || req.spec.Program == "":
 		return admission.Exempt
 	case req.spec.Horizon.Known && req.spec.Horizon.Remaining <= 0:
 		return admission.LateTurn
-	case !known || req.spec.Previous != "" || len(req.spec.Prompt) > maxFirstTurnSegments:
+	case !firstTurnVisible || req.spec.Previous != "" || len(req.spec.Prompt) > maxFirstTurnSegments:
 		return admission.Exempt
-	case m.moreUrgentThanOthers(req):
+	case m.moreUrgentThanSomeRoute(req):
 		return admission.UrgentFirstTurn
 	}
 	return admission.FirstTurn
 }
 
-func (m *Machine) moreUrgentThanOthers(req *activeRequest) bool {
+func (m *Machine) moreUrgentThanSomeRoute(req *activeRequest) bool {
 	urgency := req.urgency()
 	for i := range req.table.Routes {
 		if r := &req.table.Routes[i]; r.Mode == route.Stream && r.Urgency > urgency {
--- a/peer/relay/overload_test.go
+++ b/peer/relay/overload_test.go
@@ -10,7 +10,6 @@
 	"saffronfall/rule/route"
 )
 
-// newOverloadHarness returns a node with ShedOverload set.
 func newOverloadHarness(t *testing.T) *harness {
 	h := newHarness(t)
 	h.node.params.ShedOverload, h.node.params.LoadReportInterval = true, 100*time.Millisecond
--- a/peer/relay/rate.go
+++ b/peer/relay/rate.go
@@ -11,8 +11,8 @@
 	"saffronfall/rule/route"
 )
 
-// tenantRate holds the units of a tenant's rate that this node drew from the ledger. A unit is one
-// request; units expire together.
+// tenantRate holds the units of a tenant's rate that this node drew from the tenant's ledger at the
+// cores. A unit is one request; units expire together.
 type tenantRate struct {
 	tenant string
 	// leaseID numbers the current lease; a new lease starts when units expire.
@@ -38,10 +38,10 @@
 	spendReport
 }
 
-// spendReport is what the partition knows of the units spent.
+// spendReport is what the ledger knows of the units spent.
 type spendReport struct {
-	// recent holds spends that the partition has not acknowledged. reported counts the units in the
-	// last draw, acknowledged those in an answered one.
+	// recent holds spends that are not acknowledged. reported is the value of spent in the last
+	// draw, acknowledged that in the last answered one.
 	recent       []spendRecord
 	reported     int64
 	acknowledged int64
@@ -50,13 +50,14 @@
 // rateCharge is a request's use of its tenant's rate: a unit is reserved on admission and spent
 // when the request is sent. A request refused before that spends nothing.
 type rateCharge struct {
-	rate           *tenantRate
-	waitUntil      time.Duration
-	holdsUnit      bool
-	charged        bool
-	chargedLeaseID int
-	chargedAt      time.Duration
-	// covered: the unit has not been used by an attempt that may have run.
+	rate *tenantRate
+	// waitUntil: the request is refused if no unit is expected before.
+	waitUntil   time.Duration
+	holdsUnit   bool
+	charged     bool
+	unitLeaseID int
+	chargedAt   time.Duration
+	// covered: no attempt that may have run has used the unit.
 	covered bool
 }
 
@@ -126,7 +127,7 @@
 
 const (
 	maxSpareUnits = 2
-	// limitPerSpareUnit is the limit of a window per node and spare unit.
+	// A node holds one spare unit for each limitPerSpareUnit units of its share of the limit.
 	limitPerSpareUnit = 10
 )
 
@@ -187,11 +188,11 @@
 
 func (req *activeRequest) reserveUnit() {
 	req.rate.reserved++
-	req.holdsUnit, req.chargedLeaseID = true, req.rate.leaseID
+	req.holdsUnit, req.unitLeaseID = true, req.rate.leaseID
 }
 
 func (req *activeRequest) releaseUnit() {
-	if req.holdsUnit && req.chargedLeaseID == req.rate.leaseID {
+	if req.holdsUnit && req.unitLeaseID == req.rate.leaseID {
 		req.rate.reserved--
 	}
 	req.holdsUnit = false
@@ -203,7 +204,7 @@
 			req.rate.tenant, req.rate.granted, req.rate.spent, req.rate.returned)
 	}
 	req.rate.spend(now)
-	req.charged, req.chargedLeaseID, req.chargedAt, req.covered = true, req.rate.leaseID, now, true
+	req.charged, req.unitLeaseID, req.chargedAt, req.covered = true, req.rate.leaseID, now, true
 }
 
 // chargeBeforeSend reports whether a request may be sent. It charges the request unless it has a
@@ -232,8 +233,8 @@
 	if req.rate != nil {
 		req.releaseUnit()
 	}
-	// A spend that has been reported to the partition can't be taken back.
-	if tr := req.rate; req.charged && tr != nil && tr.leaseID == req.chargedLeaseID && tr.spent > tr.reported {
+	// A reported spend can't be taken back.
+	if tr := req.rate; req.charged && tr != nil && tr.leaseID == req.unitLeaseID && tr.spent > tr.reported {
 		tr.spent--
 		tr.recent[len(tr.recent)-1].count--
 		if tr.recent[len(tr.recent)-1].count == 0 {
@@ -259,7 +260,7 @@
 	if tr.scarce {
 		return int64(len(tr.waiting))
 	}
-	spare := min(maxSpareUnits, limit.Max/(limitPerSpareUnit*int64(max(m.nodes, 1))))
+	spare := min(maxSpareUnits, limit.Max/(limitPerSpareUnit*int64(max(m.nodeCount, 1))))
 	return int64(len(tr.waiting)) + int64(tr.demand*m.leaseDuration().Seconds()*prefetchLeaseFraction+0.5) + spare
 }
 
@@ -338,7 +339,7 @@
 					continue
 				}
 				if drawn.Responses[i].Expired || tr.granted > 0 && at >= tr.expiresAt {
-					// The lease has expired at the partition or here.
+					// The lease has expired at the ledger or here.
 					m.startLease(tr)
 					tr.drawWanted, m.drawAt = true, at
 					continue
--- a/peer/relay/rate_test.go
+++ b/peer/relay/rate_test.go
@@ -43,7 +43,7 @@
 			h.ledgers, h.accounts = st.nodes[0].ledgers, st.nodes[0].accounts
 		}
 		h.update("d1:1", append(listings("model", "m1", "m2"), listings("app", "a1", "a2", "a3")...), 1, text)
-		h.node.nodes = nodes
+		h.node.nodeCount = nodes
 		st.nodes = append(st.nodes, h)
 	}
 	return st
--- a/peer/relay/replicas.go
+++ b/peer/relay/replicas.go
@@ -160,7 +160,7 @@
 
 const (
 	// unrestrictedResends is how many replicas may reject a request before it is sent only to
-	// replicas with a known free slot.
+	// replicas with a known free slot, and maxResends before it is refused.
 	unrestrictedResends = 3
 	maxResends          = 16
 
@@ -181,7 +181,7 @@
 	s := m.serviceOf(req.service)
 	connections := int64(unlimitedConnections)
 	if config, ok := req.table.Service(req.service); ok {
-		connections = max(2, config.Connections/int64(max(m.nodes, 1)+1))
+		connections = max(2, config.Connections/int64(max(m.nodeCount, 1)+1))
 	}
 	allowed := func(r *placement.Replica) bool {
 		return !req.tried[r.ID] && r.Outstanding < connections
--- a/peer/relay/request.go
+++ b/peer/relay/request.go
@@ -45,7 +45,7 @@
 	readyToSend bool
 
 	budgetState
-	fetching        bool
+	fetchingHistory bool
 	previous        *turn
 	overdueReported bool
 }
@@ -63,9 +63,9 @@
 }
 
 type budgetState struct {
-	reserving     bool
-	reserved      bool
-	budgetRefused bool
+	reservingBudget bool
+	budgetReserved  bool
+	budgetRefused   bool
 	// reservationID is made by this node, as requesters may repeat their IDs.
 	reservationID string
 }
@@ -168,7 +168,7 @@
 }
 
 func (m *Machine) sendWhenReady(now time.Duration, req *activeRequest) {
-	if req.completed || req.state != stateAdmitting || req.reserving || req.fetching || req.budgetRefused {
+	if req.completed || req.state != stateAdmitting || req.reservingBudget || req.fetchingHistory || req.budgetRefused {
 		return
 	}
 	m.dispatch(now, req)
@@ -298,7 +298,7 @@
 	}
 	if canRetry && req.charged && req.rate != nil {
 		// It may have run, so another attempt counts as another request of the tenant.
-		if req.rate.leaseID == req.chargedLeaseID && req.rate.available(now) > 0 {
+		if req.rate.leaseID == req.unitLeaseID && req.rate.available(now) > 0 {
 			m.charge(now, req)
 		} else {
 			canRetry = false
@@ -382,7 +382,6 @@
 	extendBelowEighths = 5
 )
 
-// turnRetention returns how long a turn is guaranteed to be kept.
 func (m *Machine) turnRetention(req *activeRequest) time.Duration {
 	return time.Duration(req.route.KeepSeconds * float64(time.Second))
 }
@@ -400,7 +399,7 @@
 	m.refuseWithRetry(now, req, cause, 0)
 }
 
-// refuseWithRetry is like refuse; a retry of zero selects that of the cause.
+// refuseWithRetry is like refuse; a retry of zero selects the cause's retryFactor.
 func (m *Machine) refuseWithRetry(now time.Duration, req *activeRequest, cause Cause, retry time.Duration) {
 	if req.mayHaveRun {
 		m.abort(now, req, cause)
@@ -462,7 +461,7 @@
 	case req.rate != nil && !req.covered:
 		m.violated.Violated(invariant.GrantedBeforeSent, "attempt %s of tenant %s is sent to %s without a unit of the tenant's rate",
 			req.spec.Attempt, req.tenant.Name, req.replicaID)
-	case req.route.Mode == route.Stream && req.spec.Program != "" && req.spec.TokenBudget > 0 && !req.reserved:
+	case req.route.Mode == route.Stream && req.spec.Program != "" && req.spec.TokenBudget > 0 && !req.budgetReserved:
 		m.violated.Violated(invariant.ReservedBeforeSent, "attempt %s of program %s is sent to %s without a budget reservation",
 			req.spec.Attempt, req.spec.Program, req.replicaID)
 	case m.departed.has(req.replicaID):
@@ -478,8 +477,8 @@
 	return m.tokenCount(req)
 }
 
-// Cancel ends a request whose requester has disconnected. While a replica has the
-// request, HandleOutcome reports it instead.
+// Cancel ends a request whose requester has disconnected. It ignores a request at a replica, whose
+// Outcome reports the disconnect.
 func (m *Machine) Cancel(now time.Duration, ticket uint64) Output {
 	m.out = &Output{}
 	if req, ok := m.active[ticket]; ok && req.state != stateSent {
--- a/peer/relay/retry_test.go
+++ b/peer/relay/retry_test.go
@@ -30,7 +30,7 @@
 	h := newHarness(t)
 	h.start()
 	h.update("d1:1", nil, 2, tableJSON(2, func(t *route.Table) { t.Services[1].Connections = connections }))
-	h.node.nodes = nodes
+	h.node.nodeCount = nodes
 	at := map[string]int{}
 	for range 100 {
 		if s := h.lastStep(h.request(newRequest("/once/x", nil))); s.Kind == StepSend {
--- a/peer/relay/table.go
+++ b/peer/relay/table.go
@@ -72,6 +72,7 @@
 	for i := range m.table.Tenants {
 		m.tenants[m.table.Tenants[i].Name] = &m.table.Tenants[i]
 	}
+	// The tenants' rates may have changed.
 	for _, tr := range m.rates {
 		tr.drawWanted, tr.retryAt = true, 0
 	}
--- a/peer/relay/table_test.go
+++ b/peer/relay/table_test.go
@@ -8,7 +8,6 @@
 	"saffronfall/rule/route"
 )
 
-// tableOf parses the table that tableJSON makes.
 func tableOf(t *testing.T, number uint64) *route.Table {
 	t.Helper()
 	parsed, faults := route.Parse(tableJSON(number, nil))
@@ -18,7 +17,6 @@
 	return parsed
 }
 
-// lastSubscribe returns the request for updates that the node sends to a registry.
 func lastSubscribe(t *testing.T, o Output) registry.Subscribe {
 	t.Helper()
 	for _, s := range o.Sends {
--- a/peer/relay/turncache.go
+++ b/peer/relay/turncache.go
@@ -48,7 +48,7 @@
 	return parts
 }
 
-// turnCache is an LRU cache of turns that the cores are known to store. They may also store others.
+// turnCache is an LRU cache of turns that the cores are known to store.
 type turnCache struct {
 	turns    map[turnName]*turn
 	recency  *list.List
--- a/peer/relay/types.go
+++ b/peer/relay/types.go
@@ -38,7 +38,8 @@
 	// tokens.
 	TokenBudget, MaxTokens int64
 	PlacementHints
-	// Remaining is the time left until the requester's deadline; zero means that it set none.
+	// Remaining is the time left until the requester's deadline, negative if it has passed, zero
+	// if it set none.
 	Remaining time.Duration
 	Horizon   Horizon
 	// Input is the body.
@@ -80,10 +81,11 @@
 	Check      string
 	Reason     string
 	RetryAfter time.Duration
-	// Replica is where StepSend sends the request.
+	// The fields below are for StepSend. Replica is where it sends the request.
 	Replica registry.Replica
 	Service string
 	Tenant  string
+	// Urgency 0 is the most urgent.
 	Urgency int64
 	// History holds the inputs and outputs of previous turns, oldest first. The replica gets them
 	// before the input.
@@ -119,10 +121,10 @@
 	Kind string
 	// AddressReused: another replica answered here. Unreachable: no connection was established.
 	AddressReused, Unreachable bool
-	// Started: the requester has received part of the response.
+	// Started: the requester has received part of the response. Events counts events with data.
 	Started bool
 	Events  int64
-	// StreamDuration is the time from the first event to the end.
+	// StreamDuration lasts from the first event to the end.
 	StreamDuration time.Duration
 	// Output is the response body, if the step asked for it.
 	Output []byte
@@ -167,14 +169,15 @@
 	ResendUnrun bool
 	// ShedOverload refuses late or new turns of programs while the replicas are overloaded.
 	ShedOverload bool
-	MaxRequests  int
+	// MaxRequests limits the requests in progress.
+	MaxRequests int
 	// CacheBytes limits the cache of stored turns.
 	CacheBytes int64
 	// BudgetRetention is how long a program's budget is stored after its last turn.
 	BudgetRetention time.Duration
 }
 
-// Counters are a node's counters. Machine.Status adds those of completions by cause.
+// Counters count events since the start. Draws counts commands, DrawsAnswered tenants' answers.
 type Counters struct {
 	Requests, Sent, Completed, Interrupted, NotRun, Resent, Resumed           int64
 	Turns, CacheHits, CacheMisses, Draws, DrawsAnswered, Updates, BadMessages int64
