--- a/peer/operator/client.go
+++ b/peer/operator/client.go
@@ -178,7 +178,7 @@
 }
 
 // Plan returns what a change of cores would move, without making it. newCore is the address of
-// the core to add or to replace with, or empty.
+// the core to add, or empty.
 func (c Client) Plan(ctx context.Context, member string, change CoreChange, newCore string) (core.ChangeResult, error) {
 	var topology core.Topology
 	if status, raw, err := c.Do(ctx, "GET", member, "/v1/topology", nil, &topology); err != nil {
