--- a/peer/disk/disk_test.go
+++ b/peer/disk/disk_test.go
@@ -46,7 +46,7 @@
 	s, contents, err := Open(path)
 	must(t, err)
 	if string(contents.State) != "first" || len(contents.Records) != 3 || string(contents.Records[2]) != "frame2" {
-		t.Fatalf("%+v", contents)
+		t.Fatalf("first state: %+v", contents)
 	}
 	must(t, s.Replace([]byte("second")))
 	must(t, s.Append([]byte("after")))
@@ -54,7 +54,7 @@
 	_, contents, err = Open(path)
 	must(t, err)
 	if string(contents.State) != "second" || len(contents.Records) != 1 {
-		t.Fatalf("%+v", contents)
+		t.Fatalf("second state: %+v", contents)
 	}
 }
 
@@ -127,6 +127,6 @@
 	_, contents, err := Open(path)
 	must(t, err)
 	if string(contents.State) != "second" || len(contents.Records) != 0 {
-		t.Fatalf("%+v", contents)
+		t.Fatalf("after the crash: %+v", contents)
 	}
 }
--- a/peer/disk/log.go
+++ b/peer/disk/log.go
@@ -49,7 +49,7 @@
 		}
 		var valid bool
 		if logs[i], valid = readLogHeader(raw); !valid {
-			return logs, errors.Wrap(ErrDamaged, "a log header is damaged")
+			return logs, errors.Wrapf(ErrDamaged, "the header of %s is damaged", s.name("log", i))
 		}
 	}
 	return logs, nil
--- a/peer/stream/stream.go
+++ b/peer/stream/stream.go
@@ -53,12 +53,14 @@
 	// UnknownTypes counts messages of types that this version does not have,
 	// VersionMismatches peers of an incompatible version.
 	UnknownTypes, VersionMismatches int64
-	PeerAddress                     string
-	PeerVersion                     byte
+	// PeerAddress and PeerVersion are set with VersionMismatches.
+	PeerAddress string
+	PeerVersion byte
 }
 
 // Transport is a process's end of all its streams. Only one goroutine may call Send.
 type Transport struct {
+	// In has the received messages. Counts must be read too, or receiving stops.
 	In     chan Incoming
 	Counts chan Counters
 
@@ -178,7 +180,7 @@
 func (t *Transport) writeLoop(to string, messages chan []byte) {
 	var conn net.Conn
 	var frames []byte
-	dialedAt := -t.params.Timeout
+	dialedAt := -t.params.Timeout // lets the first dial start at once
 	for {
 		var raw []byte
 		open := false
--- a/peer/stream/stream_test.go
+++ b/peer/stream/stream_test.go
@@ -110,15 +110,15 @@
 	defer c.Close()
 	c.Write(frame([]byte("\xa4what\x80")))
 	if n := <-to.Counts; n.UnknownTypes != 1 || n.BadStreams != 0 {
-		t.Errorf("%+v", n)
+		t.Errorf("unknown type: %+v", n)
 	}
 	c.Write(frame(message.Pack(testMessage{"after"})))
 	if in := <-to.In; in.Body != (testMessage{"after"}) {
-		t.Errorf("%+v", in)
+		t.Errorf("message after an unknown type: %+v", in)
 	}
 	other := connectAs(t, to, to.params.Secret, 9)
 	defer other.Close()
 	if n := <-to.Counts; n.VersionMismatches != 1 || n.PeerAddress != "x" || n.PeerVersion != 9 {
-		t.Errorf("%+v", n)
+		t.Errorf("incompatible version: %+v", n)
 	}
 }
