--- a/peer/registry/amend_test.go
+++ b/peer/registry/amend_test.go
@@ -103,6 +103,6 @@
 	}
 	got := answers[0].Body.(OrderResult)
 	if got.Accepted || got.Preview == nil || len(got.Preview.Services.Added) != 1 || got.Preview.Services.Added[0] != "new" {
-		t.Fatalf("%+v", got)
+		t.Fatalf("preview: %+v", got)
 	}
 }
--- a/peer/registry/departure_test.go
+++ b/peer/registry/departure_test.go
@@ -100,10 +100,10 @@
 // time to confirm a departure.
 func TestDisconnectedRegistryRejectsDepartureEarly(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		inTouch bool
-		least   time.Duration
-		most    time.Duration
+		name      string
+		connected bool
+		least     time.Duration
+		most      time.Duration
 	}{
 		{"connected", true, heartbeat / 2, heartbeat * 3 / 4},
 		{"disconnected", false, 0, heartbeat / 5},
@@ -112,13 +112,13 @@
 		start := time.Second
 		m.Tick(start)
 		m.Receive(start, "d2:1", Subscribe{Node: "d2", Incarnation: "l1", Version: 0, IsRegistry: true})
-		if c.inTouch {
+		if c.connected {
 			confirm(m, start)
 		}
 		m.Heartbeat(start, 1, replica(1, true))
 		took := time.Duration(0)
 		for now := start; took == 0 && now < start+2*heartbeat; now += 10 * time.Millisecond {
-			if c.inTouch {
+			if c.connected {
 				confirm(m, now)
 			}
 			if got := acknowledgments(m.Tick(now), 1); len(got) == 1 && !got[0].Accepted {
--- a/peer/registry/disconnected_test.go
+++ b/peer/registry/disconnected_test.go
@@ -104,7 +104,7 @@
 		t.Errorf("answered twice: %+v", late.Answers)
 	}
 	if m.TableNumber() != 3 {
-		t.Errorf("the agreed table is not installed: table %d", m.TableNumber())
+		t.Errorf("the accepted table is not installed: table %d", m.TableNumber())
 	}
 }
 
--- a/peer/registry/machine.go
+++ b/peer/registry/machine.go
@@ -38,7 +38,7 @@
 	random                  func() float64
 	out                     *Output
 	caller                  *core.Caller
-	version                 uint64
+	version                 uint64 // of the replica list
 	replicas                map[string]*trackedReplica
 	subscribers             map[string]*subscriber
 	registries              map[string]time.Duration
@@ -132,7 +132,7 @@
 	case core.Topology:
 		m.mergeTopology(now, message)
 	case core.Update:
-		m.onTableSnapshot(now, message)
+		m.onConfigurationUpdate(now, message)
 	case core.Freshness:
 		m.lastFreshness = message
 		m.updateConfirmation(now)
@@ -154,7 +154,7 @@
 	m.probeReachability(now)
 	m.sendLoads(now)
 	if now >= m.subscribeAt {
-		m.subscribeAt = now + subscribePulls*m.params.Core.PullInterval
+		m.subscribeAt = now + renewalPulls*m.params.Core.PullInterval
 		targets := ordered.Keys(m.registries)
 		for _, seed := range m.seeds {
 			if _, ok := m.registries[seed]; !ok {
@@ -194,8 +194,8 @@
 // expiriesPerHeartbeat is how often expired entries are looked for in a heartbeat interval.
 const expiriesPerHeartbeat = 4
 
-// subscribePulls is the renewal time of subscriptions to other registries, in pull intervals.
-const subscribePulls = 2
+// renewalPulls is how often subscriptions to registries are renewed, in pull intervals.
+const renewalPulls = 2
 
 // expireReplicas removes silent replicas, and drops expired entries, subscribers and registries.
 func (m *Machine) expireReplicas(now time.Duration) {
--- a/peer/registry/machine_test.go
+++ b/peer/registry/machine_test.go
@@ -42,8 +42,8 @@
 	return list
 }
 
-func replica(call int64, leaving bool) Replica {
-	return Replica{ID: "r1", Service: "app", Address: "r1:1", Slots: 4, Sequence: call, Leaving: leaving}
+func replica(sequence int64, leaving bool) Replica {
+	return Replica{ID: "r1", Service: "app", Address: "r1:1", Slots: 4, Sequence: sequence, Leaving: leaving}
 }
 
 // TestChangeIsSentAtOnce also checks that a change is sent again if a renewal shows its loss.
@@ -76,12 +76,12 @@
 	m.Heartbeat(1, 0, replica(4, false))
 	m.Heartbeat(2, 0, replica(6, false))
 	if l := m.List(); !l[0].Replica.Leaving {
-		t.Fatalf("%+v", l)
+		t.Fatalf("after later heartbeats: %+v", l)
 	}
 	m.Leave(3, 0, "r1")
 	m.Heartbeat(4, 0, replica(7, false))
 	if l := m.List(); !l[0].Removed || !l[0].Final {
-		t.Fatalf("%+v", l)
+		t.Fatalf("after Leave: %+v", l)
 	}
 }
 
@@ -122,31 +122,31 @@
 // TestFounding guards against founding too early, by several registries, or differently in a
 // retry.
 func TestFounding(t *testing.T) {
-	present := func(m *Machine, now time.Duration, ids ...string) {
+	announce := func(m *Machine, now time.Duration, ids ...string) {
 		for _, id := range ids {
 			m.Receive(now, id+":1", core.AnnounceCore{Core: core.Core{ID: id, Incarnation: "i", Zone: id, Peer: id + ":1"}, MayFound: true})
 		}
 	}
 	m := newRegistry(func(o *Options) { o.FoundsFleet = true })
-	present(m, 0, "a", "b")
+	announce(m, 0, "a", "b")
 	if o := m.Tick(5 * heartbeat); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
 		t.Fatal("founded with two of three")
 	}
-	present(m, 5*heartbeat, "c")
+	announce(m, 5*heartbeat, "c")
 	if o := m.Tick(5*heartbeat + heartbeat/2); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
 		t.Fatal("founded before other cores had time to announce themselves")
 	}
 	first := sentTo[core.FoundFleet](m.Tick(6*heartbeat+heartbeat/2), "a:1")
-	present(m, 7*heartbeat, "d")
+	announce(m, 7*heartbeat, "d")
 	again := sentTo[core.FoundFleet](m.Tick(9*heartbeat), "a:1")
 	if len(first) != 1 || len(again) != 1 || !reflect.DeepEqual(first[0], again[0]) {
 		t.Fatalf("%d and %d foundings, or different ones", len(first), len(again))
 	}
 	if f := first[0].Founding; f.Partitions != 7 || len(f.Cores) != 3 || len(f.Groups[0].Members) != 3 {
-		t.Fatalf("%+v", f)
+		t.Fatalf("founding: %+v", f)
 	}
 	other := newRegistry(nil)
-	present(other, 0, "a", "b", "c")
+	announce(other, 0, "a", "b", "c")
 	for now := time.Duration(0); now < 10*heartbeat; now += heartbeat / 4 {
 		if o := other.Tick(now); len(sentTo[core.FoundFleet](o, "a:1")) != 0 {
 			t.Fatal("a registry founds a fleet without permission")
--- a/peer/registry/peers.go
+++ b/peer/registry/peers.go
@@ -11,7 +11,7 @@
 // even if no configured seed is reachable.
 type Peers struct {
 	Fleet      string               `msgpack:"f"`
-	Size       int                  `msgpack:"s"`
+	GroupSize  int                  `msgpack:"s"`
 	Cores      map[string]core.Core `msgpack:"c"`
 	Registries []string             `msgpack:"d"`
 }
@@ -20,7 +20,7 @@
 func (m *Machine) Peers() Peers {
 	peers := Peers{
 		Fleet:      m.topology.Fleet,
-		Size:       m.topology.GroupSize,
+		GroupSize:  m.topology.GroupSize,
 		Cores:      make(map[string]core.Core, len(m.topology.Cores)),
 		Registries: ordered.Keys(m.registries),
 	}
@@ -38,7 +38,7 @@
 
 // restorePeers restores saved addresses. Leaders and the current table are learned from them.
 func (m *Machine) restorePeers(peers Peers) {
-	m.topology.Fleet, m.topology.GroupSize = peers.Fleet, peers.Size
+	m.topology.Fleet, m.topology.GroupSize = peers.Fleet, peers.GroupSize
 	for id, c := range peers.Cores {
 		m.topology.Cores[id] = c
 	}
--- a/peer/registry/table.go
+++ b/peer/registry/table.go
@@ -25,16 +25,16 @@
 	}
 }
 
-// onTableSnapshot handles an update of the configuration partition. An update that is no
-// snapshot must continue at the version already pulled.
-func (m *Machine) onTableSnapshot(now time.Duration, snapshot core.Update) {
-	if snapshot.Partition != core.ConfigurationPartition || !m.pulledUpTo.Less(snapshot.UpTo) ||
-		(!snapshot.Snapshot && m.pulledUpTo.Less(snapshot.After)) {
+// onConfigurationUpdate installs the table and merges the cores of an update. Unless the update is
+// a snapshot, it must continue at the version already pulled.
+func (m *Machine) onConfigurationUpdate(now time.Duration, update core.Update) {
+	if update.Partition != core.ConfigurationPartition || !m.pulledUpTo.Less(update.UpTo) ||
+		(!update.Snapshot && m.pulledUpTo.Less(update.After)) {
 		return
 	}
-	m.pulledUpTo = snapshot.UpTo
+	m.pulledUpTo = update.UpTo
 	topology := core.Topology{Fleet: m.topology.Fleet, Cores: map[string]core.Core{}}
-	for _, entry := range snapshot.Entries {
+	for _, entry := range update.Entries {
 		switch {
 		case entry.Key == core.TableKey:
 			var current core.CurrentTable
--- a/peer/registry/types.go
+++ b/peer/registry/types.go
@@ -23,8 +23,9 @@
 	Service string `msgpack:"s" json:"service"`
 	Address string `msgpack:"a" json:"address"`
 	Zone    string `msgpack:"z" json:"zone"`
-	Slots   int64  `msgpack:"l" json:"slots"`
-	Leaving bool   `msgpack:"g" json:"leaving"`
+	// Slots is how many requests it runs at a time.
+	Slots   int64 `msgpack:"l" json:"slots"`
+	Leaving bool  `msgpack:"g" json:"leaving"`
 	// WarmupRemaining is how much longer the replica is slow after its start.
 	WarmupRemaining time.Duration `msgpack:"c" json:"cold"`
 	// Sequence numbers the heartbeats; an older one never replaces a newer one.
