--- a/peer/core/caller.go
+++ b/peer/core/caller.go
@@ -36,7 +36,8 @@
 	calls   slab.Slab[*pendingCall]
 	pending map[slab.Ticket]*pendingCall
 	// salt makes message IDs differ from those of other incarnations.
-	salt     uint64
+	salt uint64
+	// Attempts counts the commands sent, with retries.
 	Attempts int64
 	// unansweredSince is when the first command was sent since the last answer, if unanswered.
 	unansweredSince time.Duration
--- a/peer/core/caller_test.go
+++ b/peer/core/caller_test.go
@@ -28,13 +28,13 @@
 		second.Receive(0, "c", CommandResult{ID: c.ID, Partition: 1, Raw: message.Pack(Done{OK: true})})
 	}
 	if accepted > 0 {
-		t.Errorf("%d returns for an earlier incarnation were accepted", accepted)
+		t.Errorf("%d results for an earlier incarnation were accepted", accepted)
 	}
 	for _, c := range after {
 		second.Receive(0, "c", CommandResult{ID: c.ID, Partition: 1, Raw: message.Pack(Done{OK: true})})
 	}
 	if accepted != 40 {
-		t.Errorf("%d of 40 own returns were accepted", accepted)
+		t.Errorf("%d of 40 own results were accepted", accepted)
 	}
 }
 
--- a/peer/core/doc.go
+++ b/peer/core/doc.go
@@ -2,8 +2,8 @@
 // replicated to a group of cores by consensus and led by one of them for a term.
 //
 // Every command may be retried safely. The leader answers once the resulting entries are durable on
-// a majority. An ended incarnation of a member gets no lease again, as far as the last
-// maxPastIncarnations tell. Granted shares of a limit never exceed it together: what an ended
+// a majority. An ended incarnation of a member gets no lease while it is among the last
+// maxPastIncarnations. Granted shares of a limit never exceed it together: what an ended
 // holder did not return counts as spent. Writes to a program need its current fence; configurations
 // and routing tables replace only the version that they build on.
 //
--- a/peer/core/founding.go
+++ b/peer/core/founding.go
@@ -14,13 +14,13 @@
 	Cores      map[string]Core `msgpack:"c" json:"cores"`
 	// Groups has the first group of each partition, by partition number.
 	Groups []partition.Group `msgpack:"g" json:"groups"`
-	// Size is the number of members that a group should have.
-	Size int `msgpack:"s" json:"size"`
+	// GroupSize is the intended number of members of a group.
+	GroupSize int `msgpack:"s" json:"size"`
 }
 
 // PlanFleet returns the founding of a new fleet with its partitions placed on the given cores.
 func PlanFleet(fleet string, partitions, size int, cores []Core) Founding {
-	founding := Founding{Fleet: fleet, Partitions: partitions, Cores: map[string]Core{}, Size: size}
+	founding := Founding{Fleet: fleet, Partitions: partitions, Cores: map[string]Core{}, GroupSize: size}
 	for _, c := range cores {
 		founding.Cores[c.ID] = c
 	}
@@ -30,19 +30,19 @@
 	return founding
 }
 
-// Found makes this core a founding core of a new fleet and reports whether it belongs to that
+// AcceptFounding makes this core a founding core of a new fleet and reports whether it belongs to that
 // fleet. A core of another fleet is left unchanged.
-func (m *Machine) Found(now time.Duration, founding Founding) (Output, bool) {
+func (m *Machine) AcceptFounding(now time.Duration, founding Founding) (Output, bool) {
 	m.out = &Output{}
 	if m.Founded() {
 		return *m.out, m.founding.Fleet == founding.Fleet
 	}
-	return *m.out, m.createFleet(now, founding)
+	return *m.out, m.joinNewFleet(now, founding)
 }
 
-// createFleet joins a fleet and passes its founding on. It reports whether the founding is valid
+// joinNewFleet joins a new fleet and passes its founding on. It reports whether the founding is valid
 // and names this incarnation.
-func (m *Machine) createFleet(now time.Duration, founding Founding) bool {
+func (m *Machine) joinNewFleet(now time.Duration, founding Founding) bool {
 	if own, ok := founding.Cores[m.self.ID]; !ok || own.Incarnation != m.self.Incarnation ||
 		founding.Partitions < 1 || len(founding.Groups) != founding.Partitions {
 		return false
--- a/peer/core/gossip_test.go
+++ b/peer/core/gossip_test.go
@@ -11,9 +11,9 @@
 func TestTopologyIsSentOnlyWhereItDiffers(t *testing.T) {
 	testFleet := newFleet(t, 3, 4)
 	testFleet.advance(10 * time.Second)
-	before := testFleet.kinds["core.Topology"]
+	before := testFleet.sentByType["core.Topology"]
 	testFleet.advance(4 * time.Second)
-	if sent := testFleet.kinds["core.Topology"] - before; sent > 2*len(testFleet.cores)*len(testFleet.cores) {
+	if sent := testFleet.sentByType["core.Topology"] - before; sent > 2*len(testFleet.cores)*len(testFleet.cores) {
 		t.Errorf("%d topologies sent in 4 s without changes", sent)
 	}
 	lagging := testFleet.cores[3].m
--- a/peer/core/identity_test.go
+++ b/peer/core/identity_test.go
@@ -19,16 +19,16 @@
 		return single.run(StoreTurn{Tenant: tenant, Attempt: "same", Input: []byte("in"), Output: []byte(output), Retention: time.Minute}).(Done).OK
 	}
 	if !store("first", "of the first") || !store("second", "of the second") {
-		t.Fatal("a turn was not kept")
+		t.Fatal("a turn was not stored")
 	}
 	for tenant, want := range map[string]string{"first": "of the first", "second": "of the second"} {
 		k := single.run(ReadTurn{Tenant: tenant, Attempt: "same"}).(ReadTurnResult)
 		if !k.Found || string(k.Output) != want {
-			t.Errorf("tenant %s, whose turn was acknowledged as kept, reads found=%v %q", tenant, k.Found, k.Output)
+			t.Errorf("tenant %s, whose turn was acknowledged as stored, reads found=%v %q", tenant, k.Found, k.Output)
 		}
 	}
 	if d := single.run(ExtendTurn{Tenant: "second", Attempt: "same", Retention: time.Hour}).(Done); !d.OK {
-		t.Error("the second tenant's turn can't be prolonged")
+		t.Error("the second tenant's turn can't be extended")
 	}
 }
 
@@ -38,18 +38,18 @@
 	command := StoreTurn{Tenant: "t", Attempt: "x", Previous: []string{"w"}, Input: []byte("in"), Output: []byte("out"), Retention: time.Minute}
 	for range 2 {
 		if !single.run(command).(Done).OK {
-			t.Fatal("a turn, or its repetition, was not kept")
+			t.Fatal("a turn, or its repetition, was not stored")
 		}
 	}
 	for name, change := range map[string]func(c *StoreTurn){
-		"input":  func(c *StoreTurn) { c.Input = []byte("other") },
-		"output": func(c *StoreTurn) { c.Output = []byte("other") },
-		"before": func(c *StoreTurn) { c.Previous = []string{"v"} },
+		"input":    func(c *StoreTurn) { c.Input = []byte("other") },
+		"output":   func(c *StoreTurn) { c.Output = []byte("other") },
+		"previous": func(c *StoreTurn) { c.Previous = []string{"v"} },
 	} {
 		other := command
 		change(&other)
 		if single.run(other).(Done).OK {
-			t.Errorf("another %s under the same id was acknowledged as kept", name)
+			t.Errorf("another %s under the same id was acknowledged as stored", name)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 	}
 }
 
-// During an upgrade a core of the former version may lead. It looks for a turn under the key of its
+// During an upgrade a core of the previous release may lead. It looks for a turn under the key of its
 // attempt alone.
 func TestFormerVersionFindsTurns(t *testing.T) {
 	a := newSingleCore(t)
@@ -89,10 +89,10 @@
 	}
 	for _, one := range [][2]string{{"c", "x"}, {"b", "a/x"}, {"a", "x"}} {
 		if !store(one[0], one[1]) {
-			t.Errorf("the turn of tenant %s with ID %s was not kept", one[0], one[1])
+			t.Errorf("the turn of tenant %s with ID %s was not stored", one[0], one[1])
 		}
 	}
 	if !found("c", "x") || !found("b", "a/x") || !found("a", "x") {
-		t.Error("a turn that was kept was lost")
+		t.Error("a stored turn was lost")
 	}
 }
--- a/peer/core/machine.go
+++ b/peer/core/machine.go
@@ -44,6 +44,7 @@
 	Params   Params
 	ID, Zone string
 	Address  string
+	// Operator is the address of the operator API; Seeds get this core's announcements.
 	Operator string
 	Seeds    []string
 	Stored   Stored
@@ -291,7 +292,7 @@
 			m.rejoin(now, b)
 		case FoundFleet:
 			if m.params.ColdStart {
-				m.createFleet(now, b.Founding)
+				m.joinNewFleet(now, b.Founding)
 			}
 		}
 		return *m.out
--- a/peer/core/membership.go
+++ b/peer/core/membership.go
@@ -51,7 +51,7 @@
 		Partitions: len(topology.Groups),
 		Cores:      maps.Clone(topology.Cores),
 		Groups:     make([]partition.Group, len(topology.Groups)),
-		Size:       topology.GroupSize,
+		GroupSize:  topology.GroupSize,
 	}
 	if founding.Cores == nil {
 		founding.Cores = map[string]Core{}
@@ -119,13 +119,13 @@
 
 // PlanChange returns the moves that a change to the fleet's cores needs, or the reason why it is
 // impossible. Silent cores are assigned replicas only where too few others remain.
-func PlanChange(cores map[string]Core, silent map[string]bool, groups []partition.Group, size int, kind, id, by string) ChangeResult {
+func PlanChange(cores map[string]Core, silent map[string]bool, groups []partition.Group, size int, kind, id, substituteID string) ChangeResult {
 	changed, ok := cores[id]
 	if !ok {
 		return ChangeResult{Code: "unknown_core", Reason: "no core of this fleet is called " + id}
 	}
-	if substitute, ok := cores[by]; kind == KindReplace && (!ok || substitute.Retired) {
-		return ChangeResult{Code: "unknown_core", Reason: "no core of this fleet is called " + by}
+	if substitute, ok := cores[substituteID]; kind == KindReplace && (!ok || substitute.Retired) {
+		return ChangeResult{Code: "unknown_core", Reason: "no core of this fleet is called " + substituteID}
 	}
 	var after []Core
 	remaining := 0
@@ -175,11 +175,11 @@
 
 // ChangeCore carries out one change to the fleet's cores and answers with a ChangeResult. KindAdd
 // waits until a new core has its replicas, the other kinds until the retired core has none.
-func (m *Machine) ChangeCore(now time.Duration, ticket uint64, kind, id, by string, within time.Duration) Output {
+func (m *Machine) ChangeCore(now time.Duration, ticket uint64, kind, id, substituteID string, within time.Duration) Output {
 	m.out = &Output{}
 	m.refreshTopology()
 	until := now + within
-	plan := PlanChange(m.cores, m.silentCores(now), m.groups, m.groupSize(), kind, id, by)
+	plan := PlanChange(m.cores, m.silentCores(now), m.groups, m.groupSize(), kind, id, substituteID)
 	if plan.Code != "" {
 		m.answerOperator(ticket, plan)
 		return *m.out
--- a/peer/core/membership_test.go
+++ b/peer/core/membership_test.go
@@ -53,7 +53,7 @@
 	lastTicket   uint64
 	incarnations int
 	claims       map[string]string
-	kinds        map[string]int
+	sentByType   map[string]int
 	// lostMembers are incarnations whose replicas are permanently lost.
 	lostMembers map[string]bool
 	// retired is the ID of a core that must not rejoin the fleet.
@@ -61,7 +61,7 @@
 }
 
 func newFleet(t *testing.T, size, cores int) *fleet {
-	testFleet := &fleet{t: t, size: size, random: rand.New(rand.NewPCG(7, uint64(cores))), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
+	testFleet := &fleet{t: t, size: size, random: rand.New(rand.NewPCG(7, uint64(cores))), answers: map[uint64]any{}, claims: map[string]string{}, sentByType: map[string]int{}, lostMembers: map[string]bool{},
 		params: Params{Partition: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40, LeasesBeforeTransfer: 20}, MemberLease: 2 * time.Second,
 			AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond, SilenceTimeout: 2 * time.Second, ColdStart: true}}
 	var founders []Core
@@ -146,7 +146,7 @@
 		inner, _ := message.Open(p.Raw)
 		kind = fmt.Sprintf("%T", inner)
 	}
-	f.kinds[kind]++
+	f.sentByType[kind]++
 	if f.drop != nil && f.drop(core.address, s.To, s.Body) {
 		return
 	}
@@ -502,7 +502,7 @@
 	testFleet.kill(core)
 	testFleet.advance(300 * time.Millisecond)
 	if r := testFleet.call(RetireCore{ID: core.id}).(RetireCoreResult); !r.Done {
-		t.Errorf("%+v", r)
+		t.Errorf("retiring a core that is down: %+v", r)
 	}
 	testFleet.awaitSettled("retired while down", settleTime)
 	core.address = "elsewhere"
@@ -533,7 +533,7 @@
 		before[n] = g.Has(silent)
 	}
 	if r := testFleet.call(RetireCore{ID: "c1"}).(RetireCoreResult); !r.Done {
-		t.Errorf("%+v", r)
+		t.Errorf("retiring while another core is silent: %+v", r)
 	}
 	testFleet.advance(settleTime)
 	for n := 0; n < testPartitions; n++ {
@@ -642,7 +642,7 @@
 		testFleet.step()
 	}
 	if c := testFleet.answers[ticket].(ChangeResult); !c.Done || len(c.Moves) == 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("result of the retirement: %+v", c)
 	}
 	for n := 0; n < testPartitions; n++ {
 		if _, g, ok := testFleet.leader(n); ok && g.Has(testFleet.cores[0].m.Self().MemberID()) {
@@ -903,7 +903,7 @@
 
 // Cores without a fleet must accept only a founding that names them.
 func TestColdStart(t *testing.T) {
-	testFleet := &fleet{t: t, size: 3, random: rand.New(rand.NewPCG(1, 1)), answers: map[uint64]any{}, claims: map[string]string{}, kinds: map[string]int{}, lostMembers: map[string]bool{},
+	testFleet := &fleet{t: t, size: 3, random: rand.New(rand.NewPCG(1, 1)), answers: map[uint64]any{}, claims: map[string]string{}, sentByType: map[string]int{}, lostMembers: map[string]bool{},
 		params: Params{Partition: partition.Params{LeaseDuration: 500 * time.Millisecond, Drift: 0.1, RenewalsPerLease: 5, LeasesPerSweep: 40}, MemberLease: 2 * time.Second, AttemptTimeout: 150 * time.Millisecond, PullInterval: 150 * time.Millisecond}}
 	var founders []Core
 	for i := 0; i < 4; i++ {
@@ -913,8 +913,8 @@
 		founders = append(founders, core.m.Self())
 	}
 	testFleet.advance(time.Second)
-	if testFleet.kinds["core.AnnounceCore"] < 20 {
-		t.Errorf("cores without a fleet sent %d announcements in a second", testFleet.kinds["core.AnnounceCore"])
+	if testFleet.sentByType["core.AnnounceCore"] < 20 {
+		t.Errorf("cores without a fleet sent %d announcements in a second", testFleet.sentByType["core.AnnounceCore"])
 	}
 	plan := PlanFleet("f", testPartitions, 3, founders[:3])
 	for _, core := range []*testCore{testFleet.cores[3], testFleet.cores[0]} {
@@ -941,12 +941,12 @@
 func TestGossipAtRest(t *testing.T) {
 	testFleet := newFleet(t, 3, 5)
 	testFleet.advance(3 * time.Second)
-	clear(testFleet.kinds)
+	clear(testFleet.sentByType)
 	testFleet.advance(10 * time.Second)
-	if got, most := testFleet.kinds["core.Topology"], 5*4*(20+2); got > most {
+	if got, most := testFleet.sentByType["core.Topology"], 5*4*(20+2); got > most {
 		t.Errorf("%d topologies sent in ten seconds, want at most %d", got, most)
 	}
-	t.Log(testFleet.kinds)
+	t.Log(testFleet.sentByType)
 }
 
 // Placements must not depend on the order of the cores and must change little when one is added.
--- a/peer/core/messages.go
+++ b/peer/core/messages.go
@@ -108,7 +108,7 @@
 
 	// DrawAllowance reports what a holder spent and returned of a tenant's allowance and draws up
 	// to Target. Kind is "day" for the daily tokens or names a rate, drawn in multiples of
-	// UnitsPerRequest. Ended lists holders whose incarnation has ended.
+	// UnitsPerRequest and divided among Members. Ended lists holders that have ended.
 	DrawAllowance struct {
 		Tenant          string   `msgpack:"Tenant"`
 		Kind            string   `msgpack:"Kind"`
@@ -149,7 +149,7 @@
 		Open      bool          `msgpack:"Open"`
 		Holders   []string      `msgpack:"Others"`
 	}
-	// BreakerLimits are the breaker's thresholds in the configuration that the caller follows.
+	// BreakerLimits are the caller's configured spend limits, in millionths of a dollar.
 	BreakerLimits struct {
 		Minute   int64         `msgpack:"Minute"`
 		Hour     int64         `msgpack:"Hour"`
@@ -273,10 +273,11 @@
 	Incarnation string `msgpack:"n" json:"incarnation"`
 	Zone        string `msgpack:"z" json:"zone"`
 	Peer        string `msgpack:"p" json:"peer_address"`
-	HTTP        string `msgpack:"h" json:"requester_address"`
-	Version     uint64 `msgpack:"v" json:"version"`
-	Ended       bool   `msgpack:"e" json:"ended"`
-	Leaving     bool   `msgpack:"l" json:"leaving"`
+	// HTTP is the address for requesters.
+	HTTP    string `msgpack:"h" json:"requester_address"`
+	Version uint64 `msgpack:"v" json:"version"`
+	Ended   bool   `msgpack:"e" json:"ended"`
+	Leaving bool   `msgpack:"l" json:"leaving"`
 	// Host is a resource that only one process at a time can hold. A later process with the same
 	// Host proves that the earlier one has ended.
 	Host string `msgpack:"o" json:"-"`
--- a/peer/core/messages_samples.go
+++ b/peer/core/messages_samples.go
@@ -5,7 +5,7 @@
 )
 
 type (
-	// ReadSamples requests a node's recent requests.
+	// ReadSamples requests a node's recent requests. The answer repeats ID.
 	ReadSamples struct {
 		ID uint64 `msgpack:"ID"`
 	}
--- a/peer/core/placement.go
+++ b/peer/core/placement.go
@@ -247,7 +247,7 @@
 	memberStays
 )
 
-func (m *Machine) removalUrgency(now time.Duration, member string, wanted []string) int {
+func (m *Machine) removalReason(now time.Duration, member string, wanted []string) int {
 	c, ok := m.cores[CoreID(member)]
 	switch {
 	case ok && c.MemberID() != member:
@@ -286,7 +286,7 @@
 			continue
 		}
 		if adding, changing := replica.ChangeInProgress(); changing {
-			if adding != "" && (!m.hasRecentContact(now, adding) || m.removalUrgency(now, adding, nil) < memberSilent) {
+			if adding != "" && (!m.hasRecentContact(now, adding) || m.removalReason(now, adding, nil) < memberSilent) {
 				m.handleOutput(now, n, replica.AbortChange(now))
 			}
 			continue
@@ -314,11 +314,11 @@
 
 // nextChange returns the next member to add and the one to remove; "" means none.
 func (m *Machine) nextChange(now time.Duration, group, wanted []string) (add, remove string) {
-	urgency := memberStays
+	reason := memberStays
 	healthy := true
 	for _, s := range group {
-		if u := m.removalUrgency(now, s, wanted); u < urgency {
-			urgency, remove = u, s
+		if u := m.removalReason(now, s, wanted); u < reason {
+			reason, remove = u, s
 		}
 		healthy = healthy && m.hasRecentContact(now, s)
 	}
@@ -328,13 +328,13 @@
 		}
 	}
 	switch size := m.groupSize(); {
-	case len(group) > size && urgency < memberStays:
+	case len(group) > size && reason < memberStays:
 		return "", remove
 	case add == "" || len(group) > size:
 		return "", ""
-	case len(group) < size && urgency > memberSuperseded:
+	case len(group) < size && reason > memberSuperseded:
 		return add, ""
-	case urgency == memberStays, urgency == memberUnplaced && !healthy:
+	case reason == memberStays, reason == memberUnplaced && !healthy:
 		return "", ""
 	}
 	return add, remove
--- a/peer/core/retired_test.go
+++ b/peer/core/retired_test.go
@@ -15,7 +15,7 @@
 	machine := New(Options{Params: newSingleCore(t).m.params, ID: self.ID, Zone: self.Zone, Address: self.Peer, Stored: Stored{Incarnation: self.Incarnation}, Random: func() float64 { return 0.5 }})
 	founding := PlanFleet("f", 2, 1, []Core{self, leader})
 	founding.Groups = []partition.Group{{Epoch: 1, Members: []string{self.MemberID(), leader.MemberID()}}, {Epoch: 1, Members: []string{leader.MemberID()}}}
-	if _, ok := machine.Found(0, founding); !ok {
+	if _, ok := machine.AcceptFounding(0, founding); !ok {
 		t.Fatal("not founded")
 	}
 	accepts := func(n int, seq uint64) bool {
--- a/peer/core/rules_relay_test.go
+++ b/peer/core/rules_relay_test.go
@@ -20,7 +20,7 @@
 		return single.run(ReadTurn{Tenant: tenant, Attempt: attempt}).(ReadTurnResult)
 	}
 	if k := found("t", "k0"); !k.Found || string(k.Input) != "in" || string(k.Output) != "out" || len(k.Previous) != 1 || k.Remaining > retention {
-		t.Fatalf("%+v", k)
+		t.Fatalf("stored turn: %+v", k)
 	}
 	if found("other", "k0").Found || found("t", "none").Found {
 		t.Fatal("found a turn of another tenant, or one that was never stored")
@@ -102,7 +102,7 @@
 		return single.run(DrawRates{Partition: n, Draws: []TenantDraw{{Tenant: "t", Request: d}}}).(DrawRatesResult).Responses[0]
 	}
 	if got := draw(rate.DrawRequest{Holder: "x", Want: 30}); got.Granted != 30 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("first draw: %+v", got)
 	}
 	// Restart the leader: its volatile state is lost.
 	replicas := map[int]partition.State{}
--- a/peer/core/rules_test.go
+++ b/peer/core/rules_test.go
@@ -28,7 +28,7 @@
 	}
 	single := &singleCore{t: t, results: map[uint64]CommandResult{}}
 	single.m = New(Options{Params: p, ID: "c", Address: "c", Stored: Stored{Incarnation: "1"}, Random: func() float64 { return 0.5 }})
-	out, ok := single.m.Found(0, PlanFleet("f", 4, 1, []Core{single.m.Self()}))
+	out, ok := single.m.AcceptFounding(0, PlanFleet("f", 4, 1, []Core{single.m.Self()}))
 	if !ok {
 		t.Fatal("fleet not founded")
 	}
@@ -63,7 +63,7 @@
 	a.handle(a.m.Receive(a.now, "node", Command{ID: a.id, Partition: TargetPartition(4, command), Raw: message.Pack(command)}))
 	r, ok := a.results[a.id]
 	if !ok || r.NotLeader || r.Uncertain {
-		a.t.Fatalf("%T: %+v", command, r)
+		a.t.Fatalf("%T got no result: %+v", command, r)
 	}
 	answer, err := message.Open(r.Raw)
 	if err != nil {
@@ -89,7 +89,7 @@
 	single.run(SaveProgram{Record: old})
 	claimed := single.run(ClaimProgram{Tenant: "t", ID: "p", Node: "n2", Incarnation: "1", EndedNode: "n1", EndedIncarnation: "1"}).(ProgramResult)
 	if !claimed.Owned || claimed.Record.Fence != 2 || claimed.Record.Spent != 70 || len(claimed.Record.Running) != 0 {
-		t.Errorf("%+v", claimed)
+		t.Errorf("claim with proof: %+v", claimed)
 	}
 	old.Version = 99
 	if p := single.run(SaveProgram{Record: old}).(ProgramResult); !p.Fenced {
@@ -111,7 +111,7 @@
 	single := newSingleCore(t)
 	member := Member{ID: "n", Incarnation: "1", Version: 1}
 	if r := single.run(JoinMember{Member: member}).(MembershipResult); !r.Granted {
-		t.Fatalf("%+v", r)
+		t.Fatalf("first join: %+v", r)
 	}
 	fresh := Member{ID: "n", Incarnation: "2", Version: 1}
 	if r := single.run(JoinMember{Member: fresh}).(MembershipResult); r.Granted || r.Wait <= 0 {
@@ -209,10 +209,10 @@
 		return single.run(EndOnce{Tenant: "t", Service: "s", Key: "k", Claim: id, State: state, Body: []byte("{}")}).(OnceRecord)
 	}
 	if o := claim("a"); o.Claim != "a" {
-		t.Errorf("%+v", o)
+		t.Errorf("first claim: %+v", o)
 	}
 	if o := claim("b"); o.Claim != "a" || o.State != OnceIntent {
-		t.Errorf("%+v", o)
+		t.Errorf("second claim: %+v", o)
 	}
 	end("b", OnceReleased)
 	if o := claim("b"); o.Claim != "a" {
--- a/peer/core/topology.go
+++ b/peer/core/topology.go
@@ -17,6 +17,7 @@
 	registered, ok := m.cores[m.self.ID]
 	if founded := m.founding.Cores[m.self.ID]; ok &&
 		registered.Incarnation != m.self.Incarnation && founded.Incarnation == m.self.Incarnation {
+		// Either incarnation may be superseded; register finds out which.
 		m.self.Version = founded.Version
 		m.unregistered = true
 		return
@@ -93,7 +94,7 @@
 
 // groupSize is the size of the largest group if none is configured.
 func (m *Machine) groupSize() int {
-	size := m.founding.Size
+	size := m.founding.GroupSize
 	if size == 0 {
 		for _, g := range m.groups {
 			size = max(size, len(g.Members))
--- a/peer/core/turns.go
+++ b/peer/core/turns.go
@@ -55,8 +55,8 @@
 
 // turnKeys returns the keys under which a turn may be stored. Requesters choose the IDs, so an ID
 // is unique only within its tenant. The first tenant's turn is under the ID alone, because a core
-// of the previous release may lead during an upgrade and looks there. No header can contain the
-// prefix of the other tenants' keys.
+// of the previous release may lead during an upgrade and looks there. The other keys have
+// a zero byte after turnPrefix, which no ID from an HTTP header contains.
 func turnKeys(tenant, attempt string) [2]string {
 	return [2]string{turnPrefix + attempt, turnPrefix + "\x00" + url.PathEscape(tenant) + "/" + attempt}
 }
--- a/peer/operator/handler.go
+++ b/peer/operator/handler.go
@@ -132,7 +132,7 @@
 			return
 		}
 		answer, err := p.Call(r.Context(), func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-			out, ok := m.Found(now, f)
+			out, ok := m.AcceptFounding(now, f)
 			out.Answers = append(out.Answers, core.Answer{Ticket: ticket, Body: ok})
 			return out
 		})
--- a/rehearsalkit/simulator/world.go
+++ b/rehearsalkit/simulator/world.go
@@ -240,7 +240,7 @@
 	}
 	f := core.PlanFleet("simulated", w.Params.Partitions, 3, list)
 	for _, p := range w.cores {
-		out, ok := p.coreMachine.Found(p.now(), f)
+		out, ok := p.coreMachine.AcceptFounding(p.now(), f)
 		if !ok {
 			panic("a core refused to found the fleet")
 		}
