--- a/rehearsalkit/simulator/configuration_test.go
+++ b/rehearsalkit/simulator/configuration_test.go
@@ -19,26 +19,26 @@
 
 // A repeated submission of the configuration in force is acknowledged, even if a replay would now
 // refuse it. A different one on the same base is refused.
-func TestRepeatedDescription(t *testing.T) {
+func TestRepeatedConfiguration(t *testing.T) {
 	w := withLimits(smallWorld(nil))
 	request := func(version uint64, digest string) core.ApplyRequest {
-		return core.ApplyRequest{BasedOn: version, Text: w.Params.Describe(digest), Digest: digest, Timeout: 5 * time.Second}
+		return core.ApplyRequest{BasedOn: version, Text: w.Params.Configuration(digest), Digest: digest, Timeout: 5 * time.Second}
 	}
-	const descriptions = 20
-	for version := uint64(1); version <= descriptions; version++ {
+	const configurations = 20
+	for version := uint64(1); version <= configurations; version++ {
 		if got := apply(w, 0, request(version, fmt.Sprint("v", version))); !got.InForce || got.Version != version+1 {
-			t.Fatalf("description %d: %+v", version, got)
+			t.Fatalf("configuration %d: %+v", version, got)
 		}
 	}
-	for version := uint64(1); version <= descriptions; version += 6 {
+	for version := uint64(1); version <= configurations; version += 6 {
 		if got := apply(w, 1, request(version, fmt.Sprint("v", version))); !got.InForce || got.Version != version+1 {
-			t.Errorf("repeated description %d: %+v", version, got)
+			t.Errorf("repeated configuration %d: %+v", version, got)
 		}
 		if got := apply(w, 2, request(version, "another")); got.InForce || got.Code != "race_lost" {
-			t.Errorf("another description on version %d: %+v", version, got)
+			t.Errorf("another configuration on version %d: %+v", version, got)
 		}
 	}
-	if got := apply(w, 1, request(descriptions+9, "ahead")); got.InForce || got.Code != "race_lost" {
-		t.Errorf("description on a version that does not exist: %+v", got)
+	if got := apply(w, 1, request(configurations+9, "ahead")); got.InForce || got.Code != "race_lost" {
+		t.Errorf("configuration on a version that does not exist: %+v", got)
 	}
 }
--- a/rehearsalkit/simulator/conformance_test.go
+++ b/rehearsalkit/simulator/conformance_test.go
@@ -14,7 +14,7 @@
 
 type tree = map[string]any
 
-func describeWith(change func(role, tenant, services, breaker tree)) func(string) []byte {
+func configurationWith(change func(role, tenant, services, breaker tree)) func(string) []byte {
 	return func(key string) []byte {
 		role, tenant, breaker := tree{}, tree{"keys": []any{tree{"sha256": configuration.KeyDigest("key-t1"), "role": "viewer"}}}, tree{}
 		services := tree{"model": tree{"kind": "model"}, "search": tree{"kind": "tool"}, "alert": tree{"kind": "once", "urgent": true}}
@@ -30,7 +30,7 @@
 func smallWorld(change func(role, tenant, services, breaker tree)) *World {
 	p := defaults(7)
 	p.Cores, p.Nodes, p.Users = 3, 3, 0
-	p.Describe = describeWith(change)
+	p.Configuration = configurationWith(change)
 	return NewWithoutFaults(p)
 }
 
--- a/rehearsalkit/simulator/failure_test.go
+++ b/rehearsalkit/simulator/failure_test.go
@@ -50,7 +50,7 @@
 		delay := time.Duration(i%10+1) * 700 * time.Microsecond
 		// An expired announcement would also prevent the attempt; only the lease must here.
 		params := Defaults(uint64(i))
-		params.Cores, params.Nodes, params.Users, params.Describe, params.AnnouncementMaxAge = 3, 3, 0, describeWith(nil), time.Hour
+		params.Cores, params.Nodes, params.Users, params.Configuration, params.AnnouncementMaxAge = 3, 3, 0, configurationWith(nil), time.Hour
 		w := withLimits(NewWithoutFaults(params))
 		_, p := open(w, 0, "u")
 		id := w.newID("say")
@@ -156,12 +156,12 @@
 // others are never in force.
 func TestRacingOperators(t *testing.T) {
 	w := withLimits(smallWorld(nil))
-	var taken, lost int
+	var inForce, lost int
 	for i := 0; i < 3; i++ {
 		id := fmt.Sprintf("probe-race-%d", i)
 		w.applyConfiguration(w.cores[i], 1, id, func(ok bool) {
 			if ok {
-				taken++
+				inForce++
 			} else {
 				lost++
 			}
@@ -169,17 +169,16 @@
 	}
 	w.probe()
 	w.Advance(4 * time.Second)
-	if taken != 1 || lost != 2 {
-		t.Errorf("%d in force, %d refused", taken, lost)
+	if inForce != 1 || lost != 2 {
+		t.Errorf("%d in force, %d refused", inForce, lost)
 	}
 	expectNoBreaches(t, w)
 }
 
-// A configuration in force survives a crash of all processes.
-func TestCrashAfterTaken(t *testing.T) {
+func TestConfigurationSurvivesCrash(t *testing.T) {
 	w := withLimits(smallWorld(nil))
-	w.applyConfiguration(w.cores[0], 1, "probe-second", func(taken bool) {
-		if !taken {
+	w.applyConfiguration(w.cores[0], 1, "probe-second", func(inForce bool) {
+		if !inForce {
 			t.Error("the configuration is not in force")
 		}
 		for _, c := range w.cores {
@@ -208,11 +207,11 @@
 	_, p := open(w, 0, "u")
 	result, last := turn(w, 1, p.Text, program.EmptyHead, 100)
 	wantCode(t, "before", result, "")
-	w.Params.Describe = func(key string) []byte {
+	w.Params.Configuration = func(key string) []byte {
 		return []byte(`{"roles":{"viewer":{}},"tenants":{"t1":{}},"services":{"model":{"kind":"model"}},"approval":{"newly_refused_ratio":1}}`)
 	}
 	ok := false
-	w.applyConfiguration(w.cores[1], 1, "revoking", func(taken bool) { ok = taken })
+	w.applyConfiguration(w.cores[1], 1, "revoking", func(inForce bool) { ok = inForce })
 	w.Advance(3 * time.Second)
 	if !ok {
 		t.Fatal("the configuration is not in force")
@@ -233,10 +232,10 @@
 	for i := 0; i < 30; i++ {
 		open(w, i%3, fmt.Sprint("u", i%2))
 	}
-	w.Params.Describe = describeWith(func(role, tenant, services, breaker tree) { role["sessions_per_minute"] = 1 })
+	w.Params.Configuration = configurationWith(func(role, tenant, services, breaker tree) { role["sessions_per_minute"] = 1 })
 	var got core.ApplyResult
 	w.Operate(w.cores[0], func(m *core.Machine, now time.Duration, ticket uint64) core.Output {
-		return m.ApplyConfiguration(now, ticket, core.ApplyRequest{BasedOn: 1, Text: w.Params.Describe("x"), Digest: "x", Timeout: 5 * time.Second})
+		return m.ApplyConfiguration(now, ticket, core.ApplyRequest{BasedOn: 1, Text: w.Params.Configuration("x"), Digest: "x", Timeout: 5 * time.Second})
 	}, func(body any) { got = body.(core.ApplyResult) })
 	w.Advance(3 * time.Second)
 	if got.Code != "not_approved" || got.Replay == nil || got.Replay.NewlyRefused < 20 {
@@ -356,7 +355,7 @@
 // A core that loses its disk restarts without a vote, and no stored state is lost.
 func TestEveryDiskLostInTurn(t *testing.T) {
 	p := Defaults(11)
-	p.Users, p.Describe = 0, describeWith(nil)
+	p.Users, p.Configuration = 0, configurationWith(nil)
 	w := withLimits(NewWithoutFaults(p))
 	_, opened := open(w, 0, "u")
 	head := program.EmptyHead
@@ -385,9 +384,9 @@
 // A kept conversation is reported gone, not unknown, after its retention, and never before.
 func TestKeptConversation(t *testing.T) {
 	params := Defaults(7)
-	params.Cores, params.Nodes, params.Users, params.Describe = 3, 3, 0, describeWith(nil)
-	describe := params.Describe
-	params.Describe = func(key string) []byte { return append([]byte(`{"keep_seconds":180,`), describe(key)[1:]...) }
+	params.Cores, params.Nodes, params.Users, params.Configuration = 3, 3, 0, configurationWith(nil)
+	base := params.Configuration
+	params.Configuration = func(key string) []byte { return append([]byte(`{"keep_seconds":180,`), base(key)[1:]...) }
 	w := withLimits(NewWithoutFaults(params))
 	_, p := open(w, 0, "u")
 	for i := 0; i < 4; i++ {
@@ -417,7 +416,7 @@
 func TestPowerLostAfterConfirmation(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		params := Defaults(seed)
-		params.Cores, params.Nodes, params.Users, params.Describe = 3, 3, 0, describeWith(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 })
+		params.Cores, params.Nodes, params.Users, params.Configuration = 3, 3, 0, configurationWith(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 })
 		params.MaxSync = 60 * time.Millisecond
 		w := withLimits(NewWithoutFaults(params))
 		_, p := open(w, 0, "u")
@@ -479,7 +478,7 @@
 		head = last.Head
 	}
 	ok := false
-	w.applyConfiguration(w.cores[0], 1, "probe-second", func(taken bool) { ok = taken })
+	w.applyConfiguration(w.cores[0], 1, "probe-second", func(inForce bool) { ok = inForce })
 	w.Advance(2 * time.Second)
 	if !ok || w.nodes[0].nodeMachine.ConfigurationVersion() != 2 {
 		t.Errorf("in force %v, version %d at the node", ok, w.nodes[0].nodeMachine.ConfigurationVersion())
@@ -531,7 +530,7 @@
 	for seed := uint64(1); seed <= 5; seed++ {
 		params := Defaults(seed)
 		params.Cores, params.Nodes, params.Users = 3, 3, 0
-		params.Describe = describeWith(func(role, tenant, services, breaker tree) {
+		params.Configuration = configurationWith(func(role, tenant, services, breaker tree) {
 			role["sessions_per_minute"], role["concurrent_sessions"], role["steps"], role["session_seconds"] = 1000, 1000, 1000, 600
 		})
 		w := withLimits(NewWithoutFaults(params))
--- a/rehearsalkit/simulator/isolation_test.go
+++ b/rehearsalkit/simulator/isolation_test.go
@@ -68,7 +68,7 @@
 func isolatedFleet(t *testing.T, seed uint64, length time.Duration) (w *World, id, head string) {
 	t.Helper()
 	p := Defaults(seed)
-	p.Cores, p.Nodes, p.Users, p.Describe, p.MemberLease = 3, 4, 0, describeWith(func(role, tenant, services, breaker tree) {
+	p.Cores, p.Nodes, p.Users, p.Configuration, p.MemberLease = 3, 4, 0, configurationWith(func(role, tenant, services, breaker tree) {
 		role["steps"], role["session_seconds"] = 1000, 600
 	}), 8*time.Second
 	w = withLimits(NewWithoutFaults(p))
--- a/rehearsalkit/simulator/load_test.go
+++ b/rehearsalkit/simulator/load_test.go
@@ -14,7 +14,7 @@
 func TestWaitForReplicaCapacity(t *testing.T) {
 	p := defaults(7)
 	p.Cores, p.Nodes, p.Users, p.Replicas, p.Rate, p.Burst, p.MemberLease, p.Zones = 3, 3, 0, 1, 500, 900, 2*time.Second, 3
-	p.Describe = describeWith(func(role, tenant, services, breaker tree) {
+	p.Configuration = configurationWith(func(role, tenant, services, breaker tree) {
 		role["sessions_per_minute"], role["concurrent_sessions"] = 1000, 1000
 		tenant["inquiries_per_second"], tenant["burst"] = 500, 900
 		services["model"] = tree{"kind": "model", "shots_per_replica": 1}
--- a/rehearsalkit/simulator/terms.go
+++ b/rehearsalkit/simulator/memberlease.go
@@ -67,8 +67,8 @@
 		w.nodes[0].kill()
 		died := w.now
 		submitted := w.now
-		w.applyConfiguration(w.cores[0], w.version, "probe-dead", func(taken bool) {
-			if taken {
+		w.applyConfiguration(w.cores[0], w.version, "probe-dead", func(inForce bool) {
+			if inForce {
 				t.MaxConfigurationDelay = max(t.MaxConfigurationDelay, w.now-submitted)
 			}
 		})
--- a/rehearsalkit/simulator/restart_test.go
+++ b/rehearsalkit/simulator/restart_test.go
@@ -23,7 +23,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := Defaults(1)
-			p.Cores, p.Nodes, p.Users, p.Describe = 3, 4, 0, describeWith(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 })
+			p.Cores, p.Nodes, p.Users, p.Configuration = 3, 4, 0, configurationWith(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 })
 			w := withLimits(NewWithoutFaults(p))
 			heads := map[string]string{}
 			for i := 0; i < 6; i++ {
@@ -84,7 +84,7 @@
 		{"machine off", (*process).powerOff, 6 * time.Second, 12 * time.Second},
 	} {
 		p := Defaults(1)
-		p.Cores, p.Nodes, p.Users, p.Describe, p.MemberLease = 3, 3, 0, describeWith(nil), 8*time.Second
+		p.Cores, p.Nodes, p.Users, p.Configuration, p.MemberLease = 3, 3, 0, configurationWith(nil), 8*time.Second
 		w := withLimits(NewWithoutFaults(p))
 		w.Advance(2 * time.Second)
 		began := w.now
--- a/rehearsalkit/simulator/run.go
+++ b/rehearsalkit/simulator/run.go
@@ -27,10 +27,11 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// describe returns a configuration with its own key, by which a probe finds the version in force.
-func (w *World) describe(key string) []byte {
-	if w.Params.Describe != nil {
-		return w.Params.Describe(key)
+// configurationText returns a configuration that contains a key of its own, by which a probe
+// recognizes the version in force.
+func (w *World) configurationText(key string) []byte {
+	if w.Params.Configuration != nil {
+		return w.Params.Configuration(key)
 	}
 	role := map[string]any{"sessions_per_minute": 600, "sessions_per_hour": 6000, "sessions_per_day": 60000, "concurrent_sessions": 50,
 		"steps": 40, "program_tokens_soft": 3000, "program_tokens_hard": 6000, "turn_tokens": 1000, "tool_calls": 30, "tool_calls_per_type": 30,
@@ -123,15 +124,15 @@
 		w.after(100*time.Millisecond, w.applyFirstConfiguration)
 		return
 	}
-	w.applyConfiguration(at, 0, "probe-first", func(taken bool) {
-		if !taken && w.version == 0 {
+	w.applyConfiguration(at, 0, "probe-first", func(inForce bool) {
+		if !inForce && w.version == 0 {
 			w.after(100*time.Millisecond, w.applyFirstConfiguration)
 		}
 	})
 }
 
-func (w *World) applyConfiguration(at *process, basedOn uint64, key string, done func(taken bool)) {
-	text := w.describe(key)
+func (w *World) applyConfiguration(at *process, basedOn uint64, key string, done func(inForce bool)) {
+	text := w.configurationText(key)
 	request := core.ApplyRequest{BasedOn: basedOn, Text: text, Digest: digestOf(text), Timeout: 8*time.Second + 2*w.Params.MemberLease}
 	w.pendingKeys[key] = basedOn + 1
 	began := w.now
--- a/rehearsalkit/simulator/world.go
+++ b/rehearsalkit/simulator/world.go
@@ -36,8 +36,8 @@
 	Operators  int
 	// MessageLoss is a probability.
 	MessageLoss float64
-	// Describe, unless nil, replaces the default configuration; key is its probe key.
-	Describe func(key string) []byte
+	// Configuration, unless nil, replaces the default configuration; key is its probe key.
+	Configuration func(key string) []byte
 	// Rate is each tenant's quota in requests per second.
 	Rate  float64
 	Burst int64
--- a/rehearsalkit/sizes/larger_test.go
+++ b/rehearsalkit/sizes/larger_test.go
@@ -19,7 +19,7 @@
 	"function rehearsalkit/relaysim/replica.go replica.start":                  66,
 	"function rehearsalkit/simulator/fault.go World.injectFault":               160,
 	"function rehearsalkit/simulator/requester.go World.submit":                72,
-	"function rehearsalkit/simulator/terms.go MeasureMemberLease":              61,
+	"function rehearsalkit/simulator/memberlease.go MeasureMemberLease":        61,
 	"function rule/replay/replay.go state.check":                               75,
 	"function saffronfall/main.go statusCommand.Run":                           61,
 	"function saffronfall/nodeprocess/process.go process.run":                  63,
