--- a/rehearsalkit/eventqueue/eventqueue.go
+++ b/rehearsalkit/eventqueue/eventqueue.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Queue is ready to use as its zero value.
+// Queue is an event queue, empty as its zero value. It is not safe for concurrent use.
 type Queue struct {
 	events events
 	seq    uint64
@@ -44,7 +44,8 @@
 	heap.Push(&q.events, event{at: at, seq: q.seq, run: run})
 }
 
-// Run runs the events due by until. It sets now to the time of each, and to until at the end.
+// Run runs the events due by until, including those added meanwhile. It sets now to the time of
+// each, and to until at the end.
 func (q *Queue) Run(until time.Duration, now *time.Duration) {
 	for len(q.events) > 0 && q.events[0].at <= until {
 		e := heap.Pop(&q.events).(event)
--- a/rehearsalkit/relaysim/fault.go
+++ b/rehearsalkit/relaysim/fault.go
@@ -138,7 +138,8 @@
 	})
 }
 
-// losePowerAfterAck may cut the power of the store that has just acknowledged a table.
+// losePowerAfterAck may cut the power of the configuration leader's store after a table is
+// acknowledged.
 func (w *World) losePowerAfterAck() {
 	if !w.Params.Faults || w.now < w.noLossUntil || w.now > w.faultsUntil || !w.chance(0.3) {
 		return
--- a/rehearsalkit/relaysim/health.go
+++ b/rehearsalkit/relaysim/health.go
@@ -46,7 +46,7 @@
 	h.pendingPulls[[2]string{to.address, from}] = h.history.beginCall(kind, to)
 }
 
-// sent checks the confirmation age in a registry's update against acknowledged tables.
+// sent records a registry's update and checks its confirmation age against acknowledged tables.
 func (h *health) sent(from *process, to string, body any) {
 	update, ok := body.(registry.Update)
 	if !ok || !from.isRegistry {
--- a/rehearsalkit/relaysim/judge_tables.go
+++ b/rehearsalkit/relaysim/judge_tables.go
@@ -61,7 +61,6 @@
 	what        string
 }
 
-// collectEvidence lists all evidence, ordered by time.
 func (b *recordIndex) collectEvidence() (list []evidence) {
 	for i := range b.Arrivals {
 		a := &b.Arrivals[i]
--- a/rehearsalkit/relaysim/longcut.go
+++ b/rehearsalkit/relaysim/longcut.go
@@ -255,8 +255,8 @@
 	}
 }
 
-// injectDuringCut starts a node whose first request goes to the target, and in the mode cutRestart
-// restarts other machines.
+// injectDuringCut starts a node, with a cut-off registry, if any, as its only seed, and in
+// the mode cutRestart restarts other machines.
 func (l *longcut) injectDuringCut(target *process) {
 	w := l.world
 	seeds := w.seeds()
--- a/rehearsalkit/relaysim/manychanges.go
+++ b/rehearsalkit/relaysim/manychanges.go
@@ -21,8 +21,8 @@
 const (
 	// tornWindow is the interval before the stop whose writes a torn disk lacks.
 	tornWindow = 60 * time.Millisecond
-	// A core's process starts a new slot, of at least smallestSlot bytes, once the log is longer
-	// than logFactor times the slot.
+	// A core's process writes a new slot (its whole state) and empties the log once the log is
+	// longer than logFactor times the slot, which counts as at least smallestSlot bytes.
 	logFactor    = 4
 	smallestSlot = 1 << 20
 	// Catching up may take catchUpStates times a core's state, and catchUpExtra bytes for
@@ -156,7 +156,6 @@
 	}
 }
 
-// awaitChanges advances time until that many tables are acknowledged.
 func (m *manyChanges) awaitChanges(changes int) {
 	w := m.world
 	deadline := w.now + maxChangeTime*time.Duration(20+changes-len(m.history.acked))
@@ -297,7 +296,6 @@
 	m.samples = append(m.samples, current)
 }
 
-// judgeSizes reports the samples and bounds their growth per change.
 func (m *manyChanges) judgeSizes() {
 	f := m.findings
 	f.Lines = append(f.Lines, "", fmt.Sprintf("seed %d, %s", f.Seed, m.diskState), "",
--- a/rehearsalkit/relaysim/orders.go
+++ b/rehearsalkit/relaysim/orders.go
@@ -79,7 +79,6 @@
 	})
 }
 
-// beginCall records a call that has just reached a registry.
 func (b *orderHistory) beginCall(kind string, at *process) *registryCall {
 	c := &registryCall{kind: kind, registry: at, incarnation: at.incarnation, started: b.world.now, ended: -1}
 	b.calls = append(b.calls, c)
--- a/rehearsalkit/relaysim/params.go
+++ b/rehearsalkit/relaysim/params.go
@@ -41,7 +41,8 @@
 	// their tenant's rate limit.
 	Conversations, Runaways, Callers, Flooders int
 	Operators                                  int
-	// WrapNode, WrapRegistry and Alter let tests break the system on purpose.
+	// WrapNode, WrapRegistry and Alter, unless nil, let tests inject defects. Alter replaces a
+	// message, or drops it by returning false.
 	WrapNode     func(n Node) Node
 	WrapRegistry func(reg Registry) Registry
 	Alter        func(from, to string, body any) (any, bool)
--- a/rehearsalkit/relaysim/record.go
+++ b/rehearsalkit/relaysim/record.go
@@ -17,7 +17,8 @@
 	Unreachable = "unreached"
 )
 
-// Request is one attempt of a request, as its requester saw it.
+// Request is one attempt of a request, as its requester saw it. Ended is negative while it is
+// pending; LastStep is when the node's last step came, zero before.
 type Request struct {
 	At, Ended time.Duration
 	Node      string
@@ -126,6 +127,11 @@
 
 // Limits are the time bounds and tolerances that a run is judged by.
 type Limits struct {
+	// Apply is the time from a table's acknowledgement until nodes must use it, with
+	// ApplyWithoutStores added while stores are disrupted. Revert is how long a node may still
+	// use an older table than before.
+	// Contact is the contact timeout, Drain the time in which a leaving replica may get requests.
+	// Settlement is when an ended request's actual tokens replace its maximum.
 	Apply, Contact, ApplyWithoutStores, Revert, Drain, Settlement, Window, Retention, Recovery time.Duration
 	// FinalStep is the time within which a request that arrived must get its final step.
 	FinalStep time.Duration
--- a/rehearsalkit/relaysim/replica.go
+++ b/rehearsalkit/relaysim/replica.go
@@ -22,7 +22,7 @@
 	// leaveTimeout is when a replica stops without an acknowledgement that it leaves.
 	leaveTimeout = 6 * time.Second
 	maxQueued    = 3
-	// Fractions of the answers of plain services.
+	// Fractions of plain services' answers, and of streams that break.
 	lostAnswerRate   = 0.02
 	failedAnswerRate = 0.02
 	brokenStreamRate = 0.05
@@ -164,7 +164,6 @@
 	})
 }
 
-// stop ends the replica and interrupts its requests.
 func (r *replica) stop(then func()) {
 	if !r.alive {
 		return
--- a/rehearsalkit/relaysim/requester.go
+++ b/rehearsalkit/relaysim/requester.go
@@ -52,7 +52,6 @@
 // windDownTime is the time before the end of a run in which requesters start nothing new.
 const windDownTime = 3 * time.Second
 
-// requestersDone reports whether requesters start nothing new.
 func (w *World) requestersDone() bool { return w.Record.End > 0 && w.now > w.Record.End-windDownTime }
 
 func (p *program) takeTurns(previous string, turns int, done func()) {
@@ -92,7 +91,8 @@
 	})
 }
 
-// takeTurn takes one turn with retries. done receives the completed attempt, or "" on failure.
+// takeTurn takes one turn with retries; broken and refused count the earlier tries. done receives
+// the completed attempt, or "" on failure.
 func (p *program) takeTurn(previous string, broken, refused int, done func(attempt string)) {
 	w := p.world
 	q := Request{
--- a/rehearsalkit/relaysim/secondloss.go
+++ b/rehearsalkit/relaysim/secondloss.go
@@ -34,7 +34,6 @@
 	return fmt.Sprintf("%s, groups of %d, %s", c.change, c.groupSize, c.loss)
 }
 
-// lossCases lists all cases that groups of a size must tolerate.
 func lossCases(groupSize int) (list []lossCase) {
 	for _, change := range []string{changeReplacement, changeAddition, changePlanned, changeRetirement} {
 		for _, loss := range []string{lossKill, lossPower, lossWipe, lossRetiring} {
@@ -49,9 +48,8 @@
 	return list
 }
 
-// victims is how many machines are lost at once: as many as groups tolerate during the change. A
-// machine that is being replaced is already lost; only the loss of its disk counts against the
-// durability of acknowledged data.
+// victims is how many machines are lost at once. A replacement starts with one lost disk, so one
+// disk fewer than groups tolerate is wiped, or one machine is stopped.
 func (c lossCase) victims() int {
 	tolerated := c.groupSize / 2
 	if c.change == changeReplacement && c.loss == lossWipe {
@@ -100,7 +98,7 @@
 }
 
 // sweepLosses counts the points in a run without a loss, then runs the case once for each selected
-// point.
+// point, all with one seed so that the points are the same.
 func sweepLosses(p Params, c lossCase, offset, stride int) *Findings {
 	sum := newFindings(New(p))
 	p.Seed = uint64(c.groupSize)
@@ -128,10 +126,11 @@
 	lossPoint int
 
 	// points counts the deliveries and syncs at cores during the change.
-	points     int
-	counting   bool
-	leaving    *store
-	joining    *store
+	points   int
+	counting bool
+	leaving  *store
+	joining  *store
+	// lostUntil is when a lost store must have caught up; negative for never.
 	lostUntil  map[*store]time.Duration
 	restoredAt time.Duration
 	doneAt     time.Duration
@@ -378,7 +377,6 @@
 	}
 }
 
-// awaitDone checks that the change is done and all groups are complete in time.
 func (r *lossRun) awaitDone() {
 	w := r.world
 	started := w.now
--- a/rehearsalkit/relaysim/secondloss_test.go
+++ b/rehearsalkit/relaysim/secondloss_test.go
@@ -85,7 +85,7 @@
 	return c
 }
 
-// Runs the points at which losses once led to breaches.
+// Guards against breaches at points where losses once caused them.
 func TestSecondLossRegressions(t *testing.T) {
 	for _, c := range []struct {
 		lossCase
--- a/rehearsalkit/relaysim/world.go
+++ b/rehearsalkit/relaysim/world.go
@@ -18,7 +18,7 @@
 	"saffronfall/rule/ordered"
 )
 
-// Node is the state machine of a relay node, as the simulator drives it.
+// Node is the part of relay.Machine that the simulator calls.
 type Node interface {
 	HandleRequest(now time.Duration, ticket uint64, a relay.Request) relay.Output
 	HandleOutcome(now time.Duration, ticket uint64, o relay.Outcome) relay.Output
@@ -28,7 +28,7 @@
 	Ready(now time.Duration) bool
 }
 
-// Registry is the state machine of a registry, as the simulator drives it.
+// Registry is the part of registry.Machine that the simulator calls.
 type Registry interface {
 	Heartbeat(now time.Duration, ticket uint64, r registry.Replica) registry.Output
 	Leave(now time.Duration, ticket uint64, id string) registry.Output
@@ -45,6 +45,7 @@
 type World struct {
 	Params Params
 	Record Record
+	// Counts is keyed by printed label.
 	Counts map[string]int64
 
 	schedule
@@ -146,7 +147,7 @@
 	return []*process{s.core, s.registry}
 }
 
-// Now is the simulated time since the start of the run.
+// Now is the time since the run began.
 func (w *World) Now() time.Duration { return w.now }
 
 func (w *World) after(d time.Duration, f func()) {
--- a/rehearsalkit/simulator/backend.go
+++ b/rehearsalkit/simulator/backend.go
@@ -152,7 +152,6 @@
 
 var failureModes = []string{answersLate, answersTwice, exceedsLimit, holdsStreams}
 
-// serve executes an attempt and records it for the judge.
 func (b *backend) serve(s node.StartAttempt, deliver func(delay time.Duration, e node.AttemptEvent)) {
 	w := b.world
 	record := judge.Attempt{
@@ -200,7 +199,6 @@
 	b.answer(s, record, lost, done, deliver)
 }
 
-// answer streams a model response, with the replica's faults.
 func (b *backend) answer(
 	s node.StartAttempt, record judge.Attempt, lost bool,
 	done func(time.Duration), deliver func(delay time.Duration, e node.AttemptEvent),
--- a/rehearsalkit/simulator/crash.go
+++ b/rehearsalkit/simulator/crash.go
@@ -154,7 +154,6 @@
 	return names
 }()
 
-// newCrashWorld builds the fleet and the program of one run.
 func newCrashWorld() (*World, *scenario) {
 	p := Defaults(3)
 	p.Cores, p.Nodes, p.Users, p.MemberLease = 4, 4, 0, 2*time.Second
@@ -189,7 +188,7 @@
 	w.atMessage, w.atSync = nil, nil
 }
 
-// CrashResult is the outcome of all crash runs of one operation.
+// CrashResult is the outcome of all crash runs of one operation. Faults are the problems found.
 type CrashResult struct {
 	Operation    string
 	Points, Runs int
@@ -258,7 +257,6 @@
 	}
 }
 
-// crash executes one run and returns the faults found.
 func crash(o operation, at, process, fault int) (faults []string) {
 	w, s := newCrashWorld()
 	n, injected := 0, false
--- a/rehearsalkit/simulator/fault.go
+++ b/rehearsalkit/simulator/fault.go
@@ -7,7 +7,6 @@
 	"saffronfall/peer/node"
 )
 
-// injectFault causes one random fault and schedules the next one.
 func (w *World) injectFault() {
 	if w.now > w.Params.LoadTime {
 		return
--- a/rehearsalkit/simulator/process.go
+++ b/rehearsalkit/simulator/process.go
@@ -18,6 +18,7 @@
 	zone        string
 	address     string
 	incarnation int
+	// powerCycles tells the machine's boots apart.
 	powerCycles int
 	alive       bool
 	frozen      bool
@@ -40,7 +41,7 @@
 type simulatedDisk struct {
 	stored  core.Stored
 	pending [][]core.Change
-	// issued and synced number the batches of changes; operators' calls are keyed by ticket.
+	// issued and synced count the batches of changes; operators' calls are keyed by ticket.
 	issued       uint64
 	synced       uint64
 	held         []heldSend
@@ -50,13 +51,12 @@
 	lastTicket   uint64
 }
 
-// heldSend is a message that may leave only after this sync.
+// heldSend is a message that may leave only once the batch number after is synced.
 type heldSend struct {
 	after uint64
 	send  core.Send
 }
 
-// now returns the local time by the process's own clock rate.
 func (p *process) now() time.Duration {
 	return time.Duration(float64(p.world.now-p.started) * p.rate)
 }
--- a/rehearsalkit/simulator/requester.go
+++ b/rehearsalkit/simulator/requester.go
@@ -48,7 +48,6 @@
 				result.Text += frame.Text
 				result.Tokens += frame.Tokens
 			case node.FrameClose:
-				// The judge checks the tokens.
 				result.Outcome = judge.Whole
 				finish(frame)
 			case node.FrameAbort:
@@ -196,7 +195,7 @@
 			result.Code == "steps_reached" || result.Code == "duration_reached" ||
 			result.Code == "unknown_program" || result.Code == "loop" ||
 			result.Code == "tool_calls_per_type_reached"):
-			u.turns = 100
+			u.turns = 100 // closes the session
 		case result.Outcome == judge.Refused && last.Verdict.RetryAfter > 0:
 			u.pause(min(last.Verdict.RetryAfter, 2*time.Second), min(last.Verdict.RetryAfter, 2*time.Second)+50*time.Millisecond, u.nextStep)
 			return
--- a/rehearsalkit/simulator/run.go
+++ b/rehearsalkit/simulator/run.go
@@ -94,7 +94,6 @@
 	return w, w.Record.Judge()
 }
 
-// setJudgeLimits sets the limits that the judge checks.
 func (w *World) setJudgeLimits() {
 	p := w.Params
 	w.Record.Limits = judge.Limits{
@@ -166,7 +165,7 @@
 	})
 }
 
-// refusedBase tells numbers of refused configurations from versions.
+// refusedBase is the lowest key in versionKeys of a refused configuration, above all versions.
 const refusedBase = 1 << 40
 
 // revokingSuffix marks keys of configurations in which the first tenant has no key.
--- a/rehearsalkit/simulator/seeds.go
+++ b/rehearsalkit/simulator/seeds.go
@@ -15,7 +15,8 @@
 	CompletedTurns int64
 	// Situations counts the situations that the rules are about.
 	Situations map[string]int
-	// MaxTripDelay is the longest that a node admitted after another reported a breaker trip.
+	// MaxTripDelay is the longest time after the first report of a breaker trip at which a node
+	// still admitted an attempt.
 	MaxTripDelay time.Duration
 }
 
--- a/rehearsalkit/simulator/simulator_test.go
+++ b/rehearsalkit/simulator/simulator_test.go
@@ -69,7 +69,6 @@
 	}
 }
 
-// TestDeterministic checks that a seed always gives the same run.
 func TestDeterministic(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		first, _ := Run(Defaults(seed))
--- a/rehearsalkit/simulator/world.go
+++ b/rehearsalkit/simulator/world.go
@@ -68,10 +68,8 @@
 	}
 	switch seed % 20 {
 	case 7:
-		// The size of Aire Andino.
 		p.Cores, p.Nodes, p.Zones, p.Replicas, p.Alerts, p.Users, p.Partitions = 6, 13, 3, 11, 5, 30, 16
 	case 17:
-		// The size of Blue Mahoe.
 		p.Cores, p.Nodes, p.Zones, p.Replicas, p.Alerts, p.Users, p.Partitions = 8, 15, 4, 9, 4, 30, 16
 	}
 	return p
@@ -143,7 +141,8 @@
 	tickets          uint64
 	pendingResponses map[uint64]*pendingResponse
 	lastID           int
-	version          uint64
+	// version is the newest known version of the configuration.
+	version uint64
 	// versionKeys are the probe keys of decided configurations. pendingKeys maps those without
 	// a known outcome to the version that they would get.
 	versionKeys map[uint64]string
@@ -153,7 +152,6 @@
 	atSync    func(p *process, what string)
 }
 
-// pendingResponse receives a request's frames in order.
 type pendingResponse struct {
 	node         *process
 	nextDelivery time.Duration
