--- a/rehearsalkit/relaysim/leaveloss_test.go
+++ b/rehearsalkit/relaysim/leaveloss_test.go
@@ -7,7 +7,7 @@
 	"saffronfall/peer/registry"
 )
 
-// earlyAckRegistry acknowledges a leave before any other process can know it.
+// earlyAckRegistry acknowledges heartbeats and leaves that no other process knows yet.
 type earlyAckRegistry struct{ Registry }
 
 func (d earlyAckRegistry) Heartbeat(now time.Duration, ticket uint64, r registry.Replica) registry.Output {
@@ -30,8 +30,8 @@
 	w.Record.End = startupTime + 10*time.Second
 	w.startWorkload()
 	w.runUntil(w.now + 2*time.Second)
-	address := w.now % 4
-	leaving := w.replicas[[]string{"10.0.3.6:8080", "10.0.3.7:8080", "10.0.3.8:8080", "10.0.3.9:8080"}[(seed+uint64(address))%4]]
+	offset := w.now % 4
+	leaving := w.replicas[[]string{"10.0.3.6:8080", "10.0.3.7:8080", "10.0.3.8:8080", "10.0.3.9:8080"}[(seed+uint64(offset))%4]]
 	ackingRegistry := w.anyRegistry()
 	leaving.currentRegistry = ackingRegistry
 	w.blocked = func(from, to string) bool { return from == ackingRegistry.address && w.processes[to] != nil }
--- a/rehearsalkit/relaysim/longcut_test.go
+++ b/rehearsalkit/relaysim/longcut_test.go
@@ -59,7 +59,7 @@
 		name, rule string
 		inject     func(p *Params)
 	}{
-		{"desks refuse some accepted orders", RuleAcceptedNotRefused, func(p *Params) {
+		{"registries refuse some accepted orders", RuleAcceptedNotRefused, func(p *Params) {
 			some := everyNth(5)
 			forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
 				if result.Accepted && result.Number > 1 && some() {
@@ -76,25 +76,25 @@
 			}
 			return c, true
 		})},
-		{"desks acknowledge orders with unknown outcome", RuleDurable, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+		{"registries acknowledge orders with unknown outcome", RuleDurable, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
 			result.Accepted, result.Uncertain = result.Accepted || result.Uncertain, false
 			return result
 		})},
-		{"desks acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+		{"registries acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
 			result.Accepted, result.RaceLost = result.Accepted || result.RaceLost, false
 			return result
 		})},
-		{"desks always report a fresh confirmation", RuleNewestTable, alterMessages(func(from, to string, b registry.Update) (registry.Update, bool) {
+		{"registries always report a fresh confirmation", RuleNewestTable, alterMessages(func(from, to string, b registry.Update) (registry.Update, bool) {
 			b.ConfirmationAge = min(b.ConfirmationAge, 0)
 			return b, true
 		})},
-		{"desks leave inconclusive calls unanswered", RuleCallBound, func(p *Params) {
+		{"registries leave inconclusive calls unanswered", RuleCallBound, func(p *Params) {
 			p.WrapRegistry = func(reg Registry) Registry { return &unansweringRegistry{reg} }
 		}},
-		{"desks acknowledge heartbeats that they cannot pass on", RuleIsolatedRegistry, func(p *Params) {
+		{"registries acknowledge heartbeats that they cannot pass on", RuleIsolatedRegistry, func(p *Params) {
 			p.WrapRegistry = func(reg Registry) Registry { return earlyAckRegistry{reg} }
 		}},
-		{"a desk receives no more freshness messages", RuleFleetRecovery, func(p *Params) {
+		{"a registry receives no more freshness messages", RuleFleetRecovery, func(p *Params) {
 			received := 0
 			alterMessages(func(from, to string, b core.Freshness) (core.Freshness, bool) {
 				if to == "desk2" {
--- a/rehearsalkit/relaysim/manychanges_test.go
+++ b/rehearsalkit/relaysim/manychanges_test.go
@@ -67,7 +67,7 @@
 		{"cores store more with each order", RuleGrowth, func(p *Params) {
 			p.WrapRegistry = func(reg Registry) Registry { return &storingRegistry{Registry: reg} }
 		}},
-		{"desks report newer tables than the leader has", RuleLeaderCurrent, func(p *Params) {
+		{"registries report newer tables than the leader has", RuleLeaderCurrent, func(p *Params) {
 			p.WrapRegistry = func(reg Registry) Registry { return &overstatingRegistry{reg} }
 		}},
 		{"a returning machine is sent far too much", RuleCatchUpBytes, alterMessages(func(from, to string, b core.Topology) (core.Topology, bool) {
--- a/rehearsalkit/relaysim/relaysim_test.go
+++ b/rehearsalkit/relaysim/relaysim_test.go
@@ -247,15 +247,15 @@
 				return a
 			}}
 		})},
-		{"desks acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+		{"registries acknowledge orders that lost the race", RuleTableRace, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
 			result.Accepted, result.RaceLost = result.Accepted || result.RaceLost, false
 			return result
 		})},
-		{"desks acknowledge invalid tables", RuleTableRace, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+		{"registries acknowledge invalid tables", RuleTableRace, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
 			result.Accepted, result.Faults = result.Accepted || result.Faults != nil, nil
 			return result
 		})},
-		{"desks refuse committed tables", RuleDurable, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
+		{"registries refuse committed tables", RuleDurable, forgeOrderResults(func(result registry.OrderResult) registry.OrderResult {
 			if result.Accepted && result.Number > 1 {
 				return registry.OrderResult{RaceLost: true}
 			}
--- a/rehearsalkit/simulator/failure_test.go
+++ b/rehearsalkit/simulator/failure_test.go
@@ -86,10 +86,10 @@
 			t.Fatalf("reported as gone: %s", result.Code)
 		}
 		if result.Outcome == judge.Whole {
-			result, look := w.Do(1, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text})
-			wantCode(t, "look", result, "")
+			result, status := w.Do(1, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text})
+			wantCode(t, "status", result, "")
 			var spent int64
-			fmt.Sscanf(string(look.Body[indexAfter(look.Body, `"tokens":`):]), "%d", &spent)
+			fmt.Sscanf(string(status.Body[indexAfter(status.Body, `"tokens":`):]), "%d", &spent)
 			if expected := first.Tokens + 700 + last.Tokens; spent != expected {
 				t.Errorf("%d tokens are charged; the lost turn's 700 make it %d", spent, expected)
 			}
@@ -412,8 +412,8 @@
 	wantCode(t, "after its retention", result, "gone")
 }
 
-// A confirmed turn survives a crash of all processes right after its confirmation.
-func TestPowerLostAfterConfirmation(t *testing.T) {
+// All processes crash right after each confirmation; unsynced writes may be lost.
+func TestConfirmedTurnSurvivesCrash(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		params := Defaults(seed)
 		params.Cores, params.Nodes, params.Users, params.Configuration = 3, 3, 0, configurationWith(func(role, tenant, services, breaker tree) { role["session_seconds"] = 600 })
@@ -448,9 +448,9 @@
 			}
 			head = closing.Head
 			w.Advance(5 * time.Second)
-			result, look := w.Do(0, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text})
-			wantCode(t, "look", result, "")
-			if at := indexAfter(look.Body, `"head":"`); string(look.Body[at:at+len(head)]) != head {
+			result, status := w.Do(0, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: p.Text})
+			wantCode(t, "status", result, "")
+			if at := indexAfter(status.Body, `"head":"`); string(status.Body[at:at+len(head)]) != head {
 				t.Errorf("seed %d: confirmed turn %d is lost", seed, i)
 			}
 		}
--- a/rehearsalkit/simulator/isolation_test.go
+++ b/rehearsalkit/simulator/isolation_test.go
@@ -131,12 +131,12 @@
 			w.after(time.Second, w.nodes[0].boot)
 			w.after(time.Second, mirrors[1].boot)
 		}},
-		{"frozen past its term", func(w *World, mirrors []*process) {
+		{"frozen past its lease", func(w *World, mirrors []*process) {
 			w.nodes[0].freeze()
 			w.after(14*time.Second, w.nodes[0].resume)
 		}},
 		{"isolated", func(w *World, mirrors []*process) { w.isolate(w.nodes[0], 14*time.Second) }},
-		{"killed, and a mirror frozen past its term", func(w *World, mirrors []*process) {
+		{"killed, and a mirror frozen past its lease", func(w *World, mirrors []*process) {
 			w.nodes[0].kill()
 			mirrors[0].freeze()
 			w.after(14*time.Second, mirrors[0].resume)
@@ -186,7 +186,7 @@
 	result, _ = turn(w, 2, id, last.Verdict.Head, 100)
 	wantCode(t, "the kept head", result, "")
 	result, status := w.Do(1, node.Request{Kind: node.KindStatus, Key: "key-t1", Program: id})
-	wantCode(t, "look", result, "")
+	wantCode(t, "status", result, "")
 	var tokens int64
 	if _, err := fmt.Sscanf(string(status.Body[indexAfter(status.Body, `"tokens":`):]), "%d", &tokens); err != nil || tokens < 2000 {
 		t.Errorf("%d tokens charged, %v; 2000 were precharged", tokens, err)
