--- a/rehearsalkit/capacity/capacity_test.go
+++ b/rehearsalkit/capacity/capacity_test.go
@@ -26,7 +26,7 @@
 
 func TestFitLineAndStandardError(t *testing.T) {
 	f := FitLine(line(5, 3, []float64{0}))
-	if f.Verdict != Good || math.Abs(f.Slope-3) > 1e-9 || math.Abs(f.Intercept-5) > 1e-9 || f.Error > 1e-9 {
+	if f.Verdict != Good || math.Abs(f.Slope-3) > 1e-9 || math.Abs(f.Intercept-5) > 1e-9 || f.SlopeError > 1e-9 {
 		t.Fatalf("exact line: %+v", f)
 	}
 	// x is 0..3 with residuals -1, 0 and 1 each: the squares of the residuals sum to 8 with
@@ -38,8 +38,8 @@
 		}
 	}
 	f = FitLine(sizes, values)
-	if want := math.Sqrt(8.0 / 10 / 15); math.Abs(f.Error-want) > 1e-9 || f.Verdict != Good {
-		t.Fatalf("standard error %v, want %v (%s)", f.Error, want, f.Verdict)
+	if want := math.Sqrt(8.0 / 10 / 15); math.Abs(f.SlopeError-want) > 1e-9 || f.Verdict != Good {
+		t.Fatalf("standard error %v, want %v (%s)", f.SlopeError, want, f.Verdict)
 	}
 }
 
@@ -106,7 +106,7 @@
 	}
 	found := map[string]float64{}
 	for _, f := range list {
-		if !f.Time {
+		if !f.MachineDependent {
 			found[f.Role+" "+f.Measure] = f.Value
 		}
 	}
@@ -164,7 +164,7 @@
 	if err != nil || runs != 12 {
 		t.Fatalf("%d runs, %v", runs, err)
 	}
-	slopes := Slopes(samples)
+	slopes := FitAll(samples)
 	good := false
 	for _, s := range slopes {
 		// A node polls each registry twice a second.
@@ -180,7 +180,7 @@
 		t.Errorf("samples: %v", err)
 	}
 	raw.Reset()
-	if err := WriteSlopes(&raw, slopes); err != nil || strings.Count(raw.String(), "\n") != len(slopes)+1 {
+	if err := WriteFits(&raw, slopes); err != nil || strings.Count(raw.String(), "\n") != len(slopes)+1 {
 		t.Errorf("slopes: %v", err)
 	}
 	folder := filepath.Join(t.TempDir(), "plots")
--- a/rehearsalkit/capacity/command.go
+++ b/rehearsalkit/capacity/command.go
@@ -61,13 +61,13 @@
 	if found == 0 {
 		return errors.Newf("no axis %v", c.Axis)
 	}
-	slopes := Slopes(samples)
+	slopes := FitAll(samples)
 	if err := os.MkdirAll(c.Folder, 0o755); err != nil {
 		return errors.Wrap(err, "folder")
 	}
 	for name, write := range map[string]func(f *os.File) error{
 		"samples.csv": func(f *os.File) error { return WriteSamples(f, samples) },
-		"slopes.csv":  func(f *os.File) error { return WriteSlopes(f, slopes) },
+		"slopes.csv":  func(f *os.File) error { return WriteFits(f, slopes) },
 	} {
 		f, err := os.Create(filepath.Join(c.Folder, name))
 		if err != nil {
@@ -85,7 +85,7 @@
 		if s.Verdict != Good {
 			continue
 		}
-		fmt.Printf("%-10s %-10s %-50s %12.1f + %10.4f (±%.4f) each\n", s.Axis, s.Role, s.Measure, s.Intercept, s.Slope, s.Error)
+		fmt.Printf("%-10s %-10s %-50s %12.1f + %10.4f (±%.4f) each\n", s.Axis, s.Role, s.Measure, s.Intercept, s.Slope, s.SlopeError)
 	}
 	counts := map[string]int{}
 	for _, s := range slopes {
--- a/rehearsalkit/capacity/fit.go
+++ b/rehearsalkit/capacity/fit.go
@@ -17,10 +17,10 @@
 // Fit is a straight line through measured points.
 type Fit struct {
 	Intercept, Slope float64
-	// Error is the slope's standard error.
-	Error    float64
-	RSquared float64
-	Verdict  string
+	// SlopeError is the slope's standard error.
+	SlopeError float64
+	RSquared   float64
+	Verdict    string
 }
 
 // Lower limits of a reliable fit: sizes, runs of each, slope in standard errors, and R squared.
@@ -54,7 +54,7 @@
 		sum += residuals[i] * residuals[i]
 	}
 	degreesOfFreedom := float64(len(sizes) - 2)
-	f.Error = math.Sqrt(sum / degreesOfFreedom / (stat.Variance(sizes, nil) * float64(len(sizes)-1)))
+	f.SlopeError = math.Sqrt(sum / degreesOfFreedom / (stat.Variance(sizes, nil) * float64(len(sizes)-1)))
 	f.RSquared = 1
 	if stat.Variance(values, nil) > 0 {
 		f.RSquared = stat.RSquared(sizes, values, nil, f.Intercept, f.Slope)
@@ -62,7 +62,7 @@
 	switch {
 	case !enough:
 		f.Verdict = TooFew
-	case math.Abs(f.Slope) <= minSlopeErrors*f.Error:
+	case math.Abs(f.Slope) <= minSlopeErrors*f.SlopeError:
 		f.Verdict = WithinNoise
 	case f.RSquared < minRSquared:
 		f.Verdict = NotLinear
--- a/rehearsalkit/capacity/load.go
+++ b/rehearsalkit/capacity/load.go
@@ -94,7 +94,7 @@
 	incarnation int
 	ticket      uint64
 	attempt     string
-	at          time.Duration
+	startedAt   time.Duration
 	ended       bool
 }
 
@@ -109,7 +109,7 @@
 		incarnation: n.incarnation,
 		ticket:      w.tickets,
 		attempt:     fmt.Sprintf("attempt-%016d", w.attempts),
-		at:          w.now,
+		startedAt:   w.now,
 	}
 	w.counts["asked"]++
 	if !n.alive {
@@ -130,6 +130,7 @@
 		Remaining:   4 * time.Second,
 		Arrival:     relay.Arrival{HeadBytes: 300, BodyBytes: int64(w.point.TurnBytes / 2)},
 		Input:       w.bytes(w.point.TurnBytes / 2),
+		// A prefix shared by the tenant's programs on this model, then a part of this turn alone.
 		PlacementHints: relay.PlacementHints{Prompt: []placement.PromptSegment{
 			{ID: uint64(p.tenant*8 + p.model), Tokens: 512},
 			{ID: uint64(1<<32 + w.attempts), Tokens: 600},
@@ -202,7 +203,7 @@
 	t.ended = true
 	p, w := t.program, t.program.world
 	w.counts[outcome]++
-	pause := w.between(w.point.thinkTime()*3/4, w.point.thinkTime()*5/4) - (w.now - t.at)
+	pause := w.between(w.point.thinkTime()*3/4, w.point.thinkTime()*5/4) - (w.now - t.startedAt)
 	if outcome == "whole" {
 		p.depth, p.previous, p.tries = p.depth+1, t.attempt, 0
 	} else {
--- a/rehearsalkit/capacity/measure.go
+++ b/rehearsalkit/capacity/measure.go
@@ -37,11 +37,11 @@
 type Figure struct {
 	Role, Measure string
 	Value         float64
-	// Time marks figures that depend on the machine and do not repeat for a seed.
-	Time bool
+	// MachineDependent marks CPU times and heap sizes, which do not repeat for a seed.
+	MachineDependent bool
 }
 
-// Measure returns the figures of each role at a point. Those without Time repeat for a seed.
+// Measure returns the figures of each role at a point.
 func Measure(p Point, seed uint64, span Span, failure string) ([]Figure, error) {
 	if err := p.check(); err != nil {
 		return nil, err
@@ -140,8 +140,8 @@
 
 func (w *world) figures(length time.Duration) []Figure {
 	var list []Figure
-	add := func(role, measure string, value float64, time bool) {
-		list = append(list, Figure{Role: role, Measure: measure, Value: value, Time: time})
+	add := func(role, measure string, value float64, machineDependent bool) {
+		list = append(list, Figure{Role: role, Measure: measure, Value: value, MachineDependent: machineDependent})
 	}
 	seconds := length.Seconds()
 	for _, name := range ordered.Keys(w.counts) {
@@ -224,6 +224,7 @@
 	return list
 }
 
+// heapNow collects garbage first.
 func heapNow() int64 {
 	debug.FreeOSMemory()
 	var m runtime.MemStats
--- a/rehearsalkit/capacity/point.go
+++ b/rehearsalkit/capacity/point.go
@@ -22,7 +22,7 @@
 	Models     int `help:"Models that replicas serve." default:"4"`
 	Tenants    int `help:"Tenants, spread unevenly." default:"16"`
 	Programs   int `help:"Programs under way; each takes one turn at a time." default:"100"`
-	// There are no requests but turns.
+	// Requesters send only turns.
 	Rate      int `help:"Turns a second." default:"200"`
 	Turns     int `help:"Turns of a program." default:"4"`
 	TurnBytes int `help:"Bytes of one turn's input and output." default:"2000"`
@@ -110,9 +110,9 @@
 	if need <= available {
 		return nil
 	}
-	for _, part := range slices.Backward([]int{1, 2, 5, 10, 20, 30, 40, 50, 60, 70, 80, 90}) {
+	for _, percent := range slices.Backward([]int{1, 2, 5, 10, 20, 30, 40, 50, 60, 70, 80, 90}) {
 		q := p
-		q.Nodes, q.Programs = max(1, p.Nodes*part/100), max(1, p.Programs*part/100)
+		q.Nodes, q.Programs = max(1, p.Nodes*percent/100), max(1, p.Programs*percent/100)
 		if q.Memory() <= available {
 			return errors.Newf("needs about %d MB and may take %d MB; %d nodes with %d programs would fit (about %d MB)",
 				need>>20, available>>20, q.Nodes, q.Programs, q.Memory()>>20)
--- a/rehearsalkit/capacity/sweep.go
+++ b/rehearsalkit/capacity/sweep.go
@@ -64,15 +64,15 @@
 
 func number(f float64) string { return strconv.FormatFloat(f, 'g', 6, 64) }
 
-// Slope is the fit of one measure over one axis.
-type Slope struct {
+// AxisFit is the fit of one measure over one axis.
+type AxisFit struct {
 	Axis, Role, Measure string
 	Fit
 	sizes, values []float64
 }
 
-// Slopes fits every measure over its axis. A measure that is missing in a run counts as 0.
-func Slopes(list []Sample) []Slope {
+// FitAll fits every measure over its axis. A measure that is missing in a run counts as 0.
+func FitAll(list []Sample) []AxisFit {
 	type run struct{ size, repeat int }
 	runs := map[string]map[run]bool{}
 	groups := map[string]map[run]float64{}
@@ -87,10 +87,10 @@
 		}
 		groups[name][run{s.Size, s.Repeat}] = s.Value
 	}
-	var slopes []Slope
+	var slopes []AxisFit
 	for _, name := range ordered.Keys(groups) {
 		parts := strings.Split(name, "\x00")
-		s := Slope{Axis: parts[0], Role: parts[1], Measure: parts[2]}
+		s := AxisFit{Axis: parts[0], Role: parts[1], Measure: parts[2]}
 		for r := range runs[s.Axis] {
 			s.sizes = append(s.sizes, float64(r.size))
 			s.values = append(s.values, groups[name][r])
@@ -101,21 +101,21 @@
 	return slopes
 }
 
-// WriteSlopes writes fits as CSV.
-func WriteSlopes(to io.Writer, list []Slope) error {
+// WriteFits writes fits as CSV.
+func WriteFits(to io.Writer, list []AxisFit) error {
 	w := csv.NewWriter(to)
 	rows := [][]string{{"axis", "role", "measure", "intercept", "slope", "standard error", "r squared", "verdict"}}
 	for _, s := range list {
 		rows = append(rows, []string{
 			s.Axis, s.Role, s.Measure,
-			number(s.Intercept), number(s.Slope), number(s.Error), number(s.RSquared), s.Verdict,
+			number(s.Intercept), number(s.Slope), number(s.SlopeError), number(s.RSquared), s.Verdict,
 		})
 	}
 	return w.WriteAll(rows)
 }
 
 // Plot writes a plot of each fit, except for single kinds of messages.
-func Plot(folder string, list []Slope) error {
+func Plot(folder string, list []AxisFit) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return errors.Wrap(err, "plots")
 	}
--- a/rehearsalkit/capacity/world.go
+++ b/rehearsalkit/capacity/world.go
@@ -103,7 +103,7 @@
 	issued   uint64
 	synced   uint64
 	deferred []deferred
-	busy     bool
+	syncing  bool
 
 	registry     *registry.Machine
 	pendingCalls map[uint64]func(body any)
@@ -138,7 +138,7 @@
 	split      bool
 	counts     map[string]int64
 	table      uint64
-	// appliedAt is each table's first application, maxTableLag the longest time to a node's use.
+	// appliedAt is when each table was first sent, maxTableLag the longest time to a node's use.
 	appliedAt   map[uint64]time.Duration
 	maxTableLag time.Duration
 }
@@ -232,7 +232,7 @@
 	interval := coreParams().PullInterval / 3
 	switch p.id[:4] {
 	case "core":
-		p.pending, p.deferred, p.busy, p.issued, p.synced = nil, nil, false, 0, 0
+		p.pending, p.deferred, p.syncing, p.issued, p.synced = nil, nil, false, 0, 0
 		var image core.Stored
 		image.CopyFrom(p.stored)
 		p.core = core.New(core.Options{Params: coreParams(), ID: p.id, Zone: zone, Address: p.address, Seeds: w.seeds(),
@@ -389,10 +389,10 @@
 
 // sync writes all pending changes in one frame, then releases the sends that wait for them.
 func (p *process) sync() {
-	if p.busy || len(p.pending) == 0 {
+	if p.syncing || len(p.pending) == 0 {
 		return
 	}
-	p.busy = true
+	p.syncing = true
 	var all []core.Change
 	for _, batch := range p.pending {
 		all = append(all, batch...)
@@ -411,14 +411,14 @@
 		for _, c := range all {
 			p.stored.Apply(c)
 		}
-		p.busy, p.synced = false, lastSynced
+		p.syncing, p.synced = false, lastSynced
 		ready := p.deferred
 		p.deferred = nil
-		for _, h := range ready {
-			if h.after <= p.synced {
-				p.sendCore(h.send)
+		for _, d := range ready {
+			if d.after <= p.synced {
+				p.sendCore(d.send)
 			} else {
-				p.deferred = append(p.deferred, h)
+				p.deferred = append(p.deferred, d)
 			}
 		}
 		p.sync()
@@ -452,7 +452,7 @@
 	}
 }
 
-// tableText encodes a routing table, with a source about as long.
+// tableText encodes a routing table, whose Source is about as long as the rest.
 func (w *world) tableText(number uint64) []byte {
 	t := route.Table{Number: number, KeyRequired: true, Limits: route.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20}}
 	for i := 0; i < w.point.Models; i++ {
@@ -490,11 +490,11 @@
 		w.appliedAt[number] = w.now
 	}
 	d.pendingCalls[w.tickets] = func(body any) {
-		h := body.(registry.OrderResult)
-		if h.Accepted {
+		result := body.(registry.OrderResult)
+		if result.Accepted {
 			w.table = number
 		}
-		then(h.Accepted)
+		then(result.Accepted)
 	}
 	d.handleRegistryOutput(timed(d, func() registry.Output { return d.registry.Apply(w.now, w.tickets, w.table, text, fmt.Sprint(number)) }))
 }
