--- a/rehearsalkit/fleet/backend.go
+++ b/rehearsalkit/fleet/backend.go
@@ -56,6 +56,7 @@
 	server := &http.Server{Addr: b.address, Handler: mux}
 	context.AfterFunc(b.ctx, func() { server.Close() })
 	go server.ListenAndServe()
+	// Two loops, so that the replica is usually announced at two nodes.
 	for i := 0; i < 2; i++ {
 		go b.announce(b.leaving)
 	}
--- a/rehearsalkit/fleet/counters.go
+++ b/rehearsalkit/fleet/counters.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Work is the sum of the cores' counters at a time.
-type Work struct {
+// Counters are the sums of the cores' counters at a time, or their rates a second.
+type Counters struct {
 	At                                time.Duration
 	Commands, Syncs, Writes, Messages int64
 }
 
-// Work reads the counters of all cores, without those that do not answer.
-func (f *Fleet) Work(ctx context.Context) Work {
-	w := Work{At: f.now()}
+// ReadCounters sums the counters of the cores that answer.
+func (f *Fleet) ReadCounters(ctx context.Context) Counters {
+	w := Counters{At: f.now()}
 	for _, process := range f.cores {
 		var counts map[string]int64
-		if status, _, err := f.Caller().Do(ctx, "GET", process.operator, "/counters", nil, &counts); err != nil || status != 200 {
+		if status, _, err := f.operatorClient().Do(ctx, "GET", process.operator, "/counters", nil, &counts); err != nil || status != 200 {
 			continue
 		}
 		w.Commands += counts["commands"]
@@ -27,16 +27,16 @@
 	return w
 }
 
-// Idle waits for length and returns the work of the cores per second, or zero if length is
-// less than a second.
-func (f *Fleet) Idle(ctx context.Context, length time.Duration) Work {
-	before := f.Work(ctx)
+// IdleRate waits for length and returns the rates of the counters, or zero if length is less than a
+// second.
+func (f *Fleet) IdleRate(ctx context.Context, length time.Duration) Counters {
+	before := f.ReadCounters(ctx)
 	pause(ctx, length, length)
-	after := f.Work(ctx)
+	after := f.ReadCounters(ctx)
 	seconds := int64((after.At - before.At) / time.Second)
 	if seconds == 0 {
-		return Work{}
+		return Counters{}
 	}
-	return Work{Commands: (after.Commands - before.Commands) / seconds, Syncs: (after.Syncs - before.Syncs) / seconds,
+	return Counters{Commands: (after.Commands - before.Commands) / seconds, Syncs: (after.Syncs - before.Syncs) / seconds,
 		Writes: (after.Writes - before.Writes) / seconds, Messages: (after.Messages - before.Messages) / seconds}
 }
--- a/rehearsalkit/fleet/fleet.go
+++ b/rehearsalkit/fleet/fleet.go
@@ -47,9 +47,10 @@
 	// LongSessions counts the sessions that last for the whole run.
 	LongSessions int
 	Partitions   int
-	Rate         float64
-	Burst        int64
-	Binary       string
+	// Rate, in requests a second, and Burst are the limits of each tenant.
+	Rate   float64
+	Burst  int64
+	Binary string
 	// Next is the binary that the rollout scenario upgrades to.
 	Next     string
 	Folder   string
@@ -79,13 +80,14 @@
 // Process is one process of the fleet.
 type Process struct {
 	Name, Zone, Role string
-	host             int
-	ip, settings     string
-	requester        string
-	operator         string
-	folder           string
-	command          *exec.Cmd
-	ended            chan struct{}
+	// host numbers a simulated machine, whose processes fail together.
+	host         int
+	ip, settings string
+	requester    string
+	operator     string
+	folder       string
+	command      *exec.Cmd
+	ended        chan struct{}
 }
 
 // Fleet is a running fleet.
@@ -294,8 +296,7 @@
 	}
 }
 
-// Caller returns the operator's client.
-func (f *Fleet) Caller() operator.Client { return operator.Client{Key: operatorKey} }
+func (f *Fleet) operatorClient() operator.Client { return operator.Client{Key: operatorKey} }
 
 // Description encodes a configuration for the layout. Only nodes that have applied it accept
 // probeKey as a key.
@@ -365,7 +366,7 @@
 	}
 	var err error
 	for attempt := 0; attempt < 50; attempt++ {
-		if _, err = f.Caller().Found(ctx, f.Layout.Name, addresses, f.Layout.Partitions, 3); err == nil {
+		if _, err = f.operatorClient().Found(ctx, f.Layout.Name, addresses, f.Layout.Partitions, 3); err == nil {
 			break
 		}
 		pause(ctx, 100*time.Millisecond, 100*time.Millisecond)
@@ -407,7 +408,7 @@
 // Apply applies a description at a core and records the result.
 func (f *Fleet) Apply(ctx context.Context, at *Process, basedOn uint64, probeKey string) (core.ApplyResult, int, error) {
 	var result core.ApplyResult
-	status, raw, err := f.Caller().Do(ctx, "POST", at.operator, "/v1/configuration", operator.ConfigurationRequest{
+	status, raw, err := f.operatorClient().Do(ctx, "POST", at.operator, "/v1/configuration", operator.ConfigurationRequest{
 		BasedOn:     basedOn,
 		Description: f.Description(probeKey),
 		BudgetMS:    8000,
--- a/rehearsalkit/fleet/requester.go
+++ b/rehearsalkit/fleet/requester.go
@@ -158,7 +158,7 @@
 			default:
 				ended := false
 				if head, ended = f.turn(ctx, key, opened.Program, head, requestID); ended {
-					turn = 100
+					turn = 100 // above maxTurns, so the program is closed
 				}
 			}
 		}
--- a/rehearsalkit/fleet/scenarios.go
+++ b/rehearsalkit/fleet/scenarios.go
@@ -96,7 +96,6 @@
 	}
 }
 
-// diskLost restarts the host of a core with an empty folder.
 func diskLost(ctx context.Context, f *Fleet, length time.Duration) {
 	process := f.cores[rand.IntN(len(f.cores))]
 	pause(ctx, length/4, length/4)
@@ -179,12 +178,12 @@
 	process.host = 250
 	f.Start(process)
 	pause(ctx, 500*time.Millisecond, 500*time.Millisecond)
-	changed, err := f.Caller().AddCore(ctx, f.cores[0].operator, process.operator)
+	changed, err := f.operatorClient().AddCore(ctx, f.cores[0].operator, process.operator)
 	logf(f, "added %s: %d moves, %v", process.Name, changed.MovesMade, err)
 	f.cores = append(f.cores, process)
 	pause(ctx, length/5, length/5)
 	gone := f.cores[1]
-	changed, err = f.Caller().Change(ctx, f.cores[0].operator, operator.CoreChange{Kind: core.KindRetire, ID: gone.Name})
+	changed, err = f.operatorClient().Change(ctx, f.cores[0].operator, operator.CoreChange{Kind: core.KindRetire, ID: gone.Name})
 	logf(f, "retired %s: %d moves, %v", gone.Name, changed.MovesMade, err)
 	if err == nil {
 		f.Kill(gone)
@@ -239,7 +238,6 @@
 	logf(f, "%d processes run the next program", len(all))
 }
 
-// stalls freezes a core but not the node on its host, as a hanging disk would.
 func stalls(ctx context.Context, f *Fleet, length time.Duration) {
 	pause(ctx, length/5, length/5)
 	process := f.cores[rand.IntN(len(f.cores))]
@@ -300,7 +298,6 @@
 	}
 }
 
-// loseDisk kills the core's host and empties the core's folder.
 func (f *Fleet) loseDisk(process *Process) {
 	f.KillHost(process)
 	os.RemoveAll(process.folder)
--- a/rehearsalkit/fleetcommand.go
+++ b/rehearsalkit/fleetcommand.go
@@ -52,11 +52,11 @@
 	}
 	fmt.Printf("fleet up after %v: %d cores, %d nodes\n", time.Since(began).Round(time.Millisecond), layout.Cores, layout.Nodes)
 	if c.Work {
-		idle := f.Idle(ctx, 5*time.Second)
+		idle := f.IdleRate(ctx, 5*time.Second)
 		fmt.Printf("  idle, all cores, a second: %d commands, %d writes, %d syncs, %d messages\n",
 			idle.Commands, idle.Writes, idle.Syncs, idle.Messages)
 	}
-	before := f.Work(ctx)
+	before := f.ReadCounters(ctx)
 	done := make(chan struct{})
 	go func() {
 		script(ctx, f, c.For)
@@ -64,7 +64,7 @@
 	}()
 	f.RunRequesters(ctx, c.For)
 	<-done
-	after := f.Work(ctx)
+	after := f.ReadCounters(ctx)
 	record, breaches := f.Finish(ctx)
 	printRecord(record)
 	if attempts := float64(len(record.Attempts)); c.Work && attempts > 0 {
