--- a/rehearsalkit/breaks/breaks.go
+++ b/rehearsalkit/breaks/breaks.go
@@ -27,8 +27,8 @@
 	Test string
 }
 
-// All lists the breaks. For each rule, random seeds find at least one.
-var All = []Break{
+// Simulator lists the breaks for the simulator. For each rule, random seeds find at least one.
+var Simulator = []Break{
 	{Rule: 1, What: "a program's hard limit is ignored", File: "rule/program/program.go", From: "if charged >= role.ProgramTokensHard {", To: "if false {"},
 	{Rule: 1, What: "the running turn of a lost owner is not charged", File: "rule/program/program.go", From: "	r.Spent = r.Charged()\n	r.Running = nil", To: "	r.Running = nil", Test: "OwnerKilledInMidTurn"},
 	{Rule: 1, What: "turns continue without contact beyond the tokens charged in advance", File: "peer/node/mirror.go", From: " || prog.record.Charged() > min(prog.savedPrecharged, prog.dayPrecharged) {", To: " {", Test: "PrechargedTurnsWhileIsolated"},
--- a/rehearsalkit/breaks/breaks_test.go
+++ b/rehearsalkit/breaks/breaks_test.go
@@ -9,7 +9,7 @@
 
 // The text that a break replaces must occur exactly once in its file.
 func TestEveryBreakFitsTheCode(t *testing.T) {
-	for _, b := range All {
+	for _, b := range Simulator {
 		text, err := os.ReadFile(filepath.Join("..", "..", b.File))
 		if err != nil {
 			t.Errorf("%s: %v", b.What, err)
--- a/rehearsalkit/main.go
+++ b/rehearsalkit/main.go
@@ -343,7 +343,7 @@
 		return c.runSoak()
 	}
 	unseen := 0
-	for _, b := range breaks.All {
+	for _, b := range breaks.Simulator {
 		if c.Rule != 0 && b.Rule != c.Rule {
 			continue
 		}
