--- a/rehearsalkit/judge/judge.go
+++ b/rehearsalkit/judge/judge.go
@@ -70,7 +70,8 @@
 	return list
 }
 
-// notRun checks rules 2 and 4: a request refused as not run never reaches a back end.
+// notRun checks rules 2 and 4, that a request refused as not run never reaches a back end, and
+// rule 11, that a complete answer comes from one.
 func (r *Record) notRun() (list []Breach) {
 	reached := map[string]bool{}
 	for _, attempt := range r.Attempts {
@@ -92,7 +93,8 @@
 }
 
 // once checks rule 3, that a once-key (idempotency key) runs at most once, and rule 4 for
-// once-keys: if all requests of a key were refused as not run, it never ran.
+// once-keys: if all requests of a key were refused as not run, it never ran. An answered key that
+// never ran violates rule 11.
 func (r *Record) once() (list []Breach) {
 	ran := map[string]int{}
 	for _, attempt := range r.Attempts {
--- a/rehearsalkit/judge/record.go
+++ b/rehearsalkit/judge/record.go
@@ -21,7 +21,8 @@
 	Tokens       int64
 	MaxTokens    int64
 	OnceKey      string
-	Tool         bool
+	// Tool marks a tool call.
+	Tool bool
 	// OverLimit marks an attempt whose replica produced more than MaxTokens.
 	OverLimit bool
 }
@@ -59,16 +60,17 @@
 type Limits struct {
 	ProgramTokens int64
 	TurnTokens    int64
-	Rate          map[string]float64
-	Burst         map[string]float64
-	Retention     time.Duration
+	// Rate is in attempts a second.
+	Rate      map[string]float64
+	Burst     map[string]float64
+	Retention time.Duration
 	// PropagationLimit is how long a change may take to reach all processes.
 	PropagationLimit time.Duration
 	// DayTokens is the daily limit of each tenant, Users the limits of its users.
 	DayTokens map[string]int64
 	Users     map[string]UserLimits
 	// MinuteDollars is the breaker's first threshold, Price each service's price in dollars
-	// of a million tokens.
+	// per million tokens.
 	MinuteDollars float64
 	Price         map[string]float64
 	// ClockDrift is the largest relative difference between the rates of two clocks.
--- a/rehearsalkit/modelcheck/action.go
+++ b/rehearsalkit/modelcheck/action.go
@@ -186,8 +186,8 @@
 	return nil
 }
 
-func (w *World) checkPossible(a Action, yes bool) error {
-	if !yes {
+func (w *World) checkPossible(a Action, possible bool) error {
+	if !possible {
 		return errors.Wrap(ErrImpossible, a.String())
 	}
 	return nil
--- a/rehearsalkit/modelcheck/history.go
+++ b/rehearsalkit/modelcheck/history.go
@@ -11,6 +11,7 @@
 type history struct {
 	// values holds the value of each number that was acknowledged or readable.
 	values map[uint64]string
+	// latest is the highest number in values.
 	latest uint64
 	// refused holds the values of refused orders.
 	refused map[string]bool
@@ -103,7 +104,6 @@
 	return true
 }
 
-// subset returns the members whose bits are set in mask.
 func subset(members []string, mask int) map[string]bool {
 	set := map[string]bool{}
 	for i, member := range members {
--- a/rehearsalkit/modelcheck/properties.go
+++ b/rehearsalkit/modelcheck/properties.go
@@ -62,7 +62,7 @@
 
 // answerRead executes a read with the clock sampled at its arrival.
 func (w *World) answerRead(p *process) {
-	w.reading.Asked = true
+	w.reading.Executed = true
 	w.perform(p, p.machine.Propose(w.reading.Sampled, readRequestID, readRegister{}))
 }
 
--- a/rehearsalkit/modelcheck/scenario.go
+++ b/rehearsalkit/modelcheck/scenario.go
@@ -117,7 +117,6 @@
 	w.perform(p, p.machine.Propose(w.now, w.orderRequestID(n), w.scenario.Orders[n]))
 }
 
-// commitOrder lets the given members accept an order.
 func (w *World) commitOrder(member string, n int, acceptors ...string) {
 	w.propose(member, n)
 	w.deliverAmong(append(acceptors, member)...)
--- a/rehearsalkit/modelcheck/world.go
+++ b/rehearsalkit/modelcheck/world.go
@@ -73,12 +73,13 @@
 type reading struct {
 	Member  string
 	Sampled time.Duration
-	Latest  uint64
-	// Asked reports that the read was executed and that the process runs again.
-	Asked bool
+	// Latest is the highest number acknowledged at that time.
+	Latest uint64
+	// Executed reports that the read was executed and that the process runs again.
+	Executed bool
 }
 
-func (w *World) frozen(member string) bool { return w.reading.Member == member && !w.reading.Asked }
+func (w *World) frozen(member string) bool { return w.reading.Member == member && !w.reading.Executed }
 
 func newWorld(scenario *Scenario) *World {
 	w := &World{scenario: scenario, history: &history{values: map[uint64]string{}, refused: map[string]bool{}}, copied: map[int]bool{}}
