--- a/rehearsalkit/days/day.go
+++ b/rehearsalkit/days/day.go
@@ -20,6 +20,7 @@
 	Name    string
 	Seed    uint64
 	LengthS float64
+	// Floor is the lowest worth (score) that passes.
 	Floor   float64
 	Entries []Entry
 	Closing *Closing
@@ -131,7 +132,6 @@
 
 const minClosingDownS = 0.5
 
-// drawClosing draws the downtime and the variant, and for closingRandom the kind.
 func drawClosing(random *rand.Rand, kind string) *Closing {
 	if kind == closingRandom {
 		kind = pick(random, []string{closingNone, "power_off_all", "wipe_after_ack", "kill_all"})
--- a/rehearsalkit/days/draw.go
+++ b/rehearsalkit/days/draw.go
@@ -44,7 +44,6 @@
 	return ""
 }
 
-// drawGroup prefers the step's group if the kind allows it.
 func drawGroup(random *rand.Rand, step Step, kind Kind) Group {
 	if step.Group != AnyGroup && slices.Contains(kind.Groups, step.Group) {
 		return step.Group
--- a/rehearsalkit/days/generator.go
+++ b/rehearsalkit/days/generator.go
@@ -67,7 +67,7 @@
 	return false
 }
 
-// add adds a step's entry if it fits into the day.
+// add reports whether the entry fits into the day.
 func (g *generator) add(step Step, at float64) (Entry, bool) {
 	kind, known := kindNamed(step.Kind)
 	if !known {
--- a/rehearsalkit/faultdisk/disk.go
+++ b/rehearsalkit/faultdisk/disk.go
@@ -84,8 +84,8 @@
 // randomStream is the second half of the seed of a disk's random numbers.
 const randomStream = 7
 
-// New returns a disk without faults. Its operations fail once ctx has ended. The seed determines
-// what losses of power take.
+// New returns a disk without faults. Its operations fail once ctx has ended. The seed sets the
+// random numbers; files take theirs in map order, so losses of several files do not repeat.
 func New(ctx context.Context, seed uint64) *Disk {
 	d := &Disk{ctx: ctx, operations: make(chan func(s *state))}
 	s := &state{random: rand.New(rand.NewPCG(seed, randomStream)), current: map[string]*file{}, durable: map[string]*file{}}
--- a/rehearsalkit/refusals/refusals_test.go
+++ b/rehearsalkit/refusals/refusals_test.go
@@ -39,10 +39,10 @@
 }
 
 // A cause that nodes answer with 400 to 499 must not lack an assessment.
-func TestEveryCauseIsRead(t *testing.T) {
+func TestEveryCauseHasAssessment(t *testing.T) {
 	for _, cause := range relay.ClientErrorCauses() {
 		if _, known := assessments[string(cause)]; !known {
-			t.Errorf("%s has no reading", cause)
+			t.Errorf("%s has no assessment", cause)
 		}
 	}
 }
--- a/rehearsalkit/soak/fleet.go
+++ b/rehearsalkit/soak/fleet.go
@@ -45,7 +45,8 @@
 	Calm, Length, Settle time.Duration
 	// FaultRate is the mean number of faults a second.
 	FaultRate float64
-	Logf      func(format string, args ...any)
+	// Logf prints each fault when it ends; it may be nil.
+	Logf func(format string, args ...any)
 }
 
 // Fleet is a running fleet with its requesters, replicas and operators.
--- a/rehearsalkit/soak/judge.go
+++ b/rehearsalkit/soak/judge.go
@@ -112,7 +112,6 @@
 	return text.String()
 }
 
-// judgeRequested finds runs that do not equal a request.
 func (r *record) judgeRequested(map[string][]run) (list []Breach) {
 	requested := map[string]*request{}
 	for _, req := range r.Requests {
--- a/rehearsalkit/soak/misbehaving.go
+++ b/rehearsalkit/soak/misbehaving.go
@@ -65,7 +65,6 @@
 	c.Close()
 }
 
-// halfBody sends a part of its body and holds the connection.
 func halfBody(f *Fleet, ctx context.Context, name string) {
 	if req, c := f.openMisbehaving(kindOnce, http.MethodPost, name, strings.Repeat("b", 4000)); c != nil {
 		io.WriteString(c, req.head(keyOf(req.Tenant))+req.Body[:rand.IntN(len(req.Body))])
@@ -73,7 +72,6 @@
 	}
 }
 
-// announcesMuch announces a large body and sends none of it.
 func announcesMuch(f *Fleet, ctx context.Context, name string) {
 	if req, c := f.openMisbehaving(kindOnce, http.MethodPost, name, ""); c != nil {
 		io.WriteString(c, strings.Replace(req.head(keyOf(req.Tenant)), "Content-Length: 0", "Content-Length: 900000", 1))
--- a/rehearsalkit/soak/operator.go
+++ b/rehearsalkit/soak/operator.go
@@ -26,7 +26,7 @@
 func newRoute(kind, mode, service string, tries int64) route.Route {
 	return route.Route{
 		Name:        kind,
-		Host:        host,
+		Host:        requestHost,
 		Prefix:      "/" + kind + "/",
 		Mode:        mode,
 		TimeoutMS:   float64(routeTimeout.Milliseconds()),
--- a/rehearsalkit/soak/replica.go
+++ b/rehearsalkit/soak/replica.go
@@ -344,7 +344,6 @@
 	return text.String()
 }
 
-// writeAnswer writes a correct answer. A stream is written event by event.
 func (r *replica) writeAnswer(w http.ResponseWriter, ran run, stream bool) {
 	if !stream {
 		io.WriteString(w, ran.Gave)
--- a/rehearsalkit/soak/requester.go
+++ b/rehearsalkit/soak/requester.go
@@ -29,7 +29,7 @@
 
 func keyOf(tenant string) string { return "key of " + tenant }
 
-const host = "soak.example"
+const requestHost = "soak.example"
 
 type connection struct {
 	net.Conn
@@ -53,7 +53,7 @@
 func (req *request) head(key string, more ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nSaffronfall-Attempt: %s\r\nSaffronfall-Key: %s\r\nSaffronfall-Deadline-Ms: %d\r\n",
-		req.Method, req.Path, host, req.Attempt, key, deadline.Milliseconds())
+		req.Method, req.Path, requestHost, req.Attempt, key, deadline.Milliseconds())
 	if req.Program != "" {
 		fmt.Fprintf(&b, "Saffronfall-Program: %s\r\nSaffronfall-Budget: %d\r\nSaffronfall-Tokens: 10,%d\r\n", req.Program, req.Budget, turnTokens)
 	}
@@ -91,8 +91,7 @@
 	return f.answer(c, req)
 }
 
-// answer reads, checks and records the answer to a request. It reports whether the connection
-// can be reused.
+// answer reports whether the connection can be reused.
 func (f *Fleet) answer(c *connection, req *request) bool {
 	got, err := http.ReadResponse(c.reader, &http.Request{Method: req.Method})
 	if err != nil {
--- a/rehearsalkit/soak/resources.go
+++ b/rehearsalkit/soak/resources.go
@@ -21,7 +21,6 @@
 	violationsMetric = "saffronfall_invariant_violations"
 )
 
-// metrics reports whether the process answered.
 func (f *Fleet) metrics(p *process) (map[string]float64, bool) {
 	answer, err := f.client.Get("http://" + p.address(metricsPort) + "/metrics")
 	if err != nil {
--- a/rehearsalkit/worth/command.go
+++ b/rehearsalkit/worth/command.go
@@ -83,7 +83,7 @@
 	return second
 }
 
-// studentT95 lists two-sided 95% quantiles of Student's t by degrees of freedom.
+// studentT95 lists two-sided 95% quantiles of Student's t by degrees of freedom; more use the last.
 var studentT95 = []float64{0, 12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23}
 
 // compare prints paired differences, with their mean and its 95% confidence interval.
--- a/rehearsalkit/worth/report.go
+++ b/rehearsalkit/worth/report.go
@@ -1,5 +1,5 @@
-// Package worth splits the lost worth of played days by cause, and compares the days of two builds
-// seed by seed. Worth is a day's score, at most 1. Start reading at Report.Losses.
+// Package worth splits the lost worth of days by cause, and compares two builds seed by seed. A day
+// is a run of the users' bench, worth its score of at most 1. Start reading at Report.Losses.
 package worth
 
 import (
