--- a/peer/node/announcement.go
+++ b/peer/node/announcement.go
@@ -38,7 +38,7 @@
 	Age     time.Duration `msgpack:"a"`
 }
 
-// Announcements answers a pull between nodes.
+// Announcements answers a pull between nodes. Sent is when the pull was sent, by the puller's clock.
 type Announcements struct {
 	Sent time.Duration  `msgpack:"s"`
 	List []Announcement `msgpack:"l"`
@@ -158,14 +158,15 @@
 	}
 	for _, key := range ordered.Keys(m.health) {
 		h := m.health[key]
-		if h.outstanding == 0 && now >= h.ejectedUntil && now >= h.lastUsed+m.params.Core.MemberLease*healthRetentionLeases {
+		if h.outstanding == 0 && now >= h.ejectedUntil && now >= h.lastUsed+m.params.Core.MemberLease*retentionLeases {
 			delete(m.health, key)
 		}
 	}
 }
 
-// healthRetentionLeases is how long, in member leases, an unused replica's health is kept.
-const healthRetentionLeases = 16
+// retentionLeases is how long, in member leases, an unused replica's health and a queried mirror's
+// fence are kept.
+const retentionLeases = 16
 
 // currentReplicas lists replicas with a recent announcement, including those that can't be reached.
 func (m *Machine) currentReplicas(now time.Duration, service string) []Replica {
--- a/peer/node/drain.go
+++ b/peer/node/drain.go
@@ -44,15 +44,15 @@
 		}
 		return
 	}
-	successors := m.successors()
+	successors := m.availableMembers()
 	for _, key := range ordered.Keys(m.programs) {
 		prog := m.programs[key]
 		if len(successors) == 0 || prog.recovery != nil || len(prog.record.Running) > 0 ||
 			len(prog.waiters) > 0 || prog.savedVersion < prog.record.Version {
 			continue
 		}
-		to := successors[m.handedOver%len(successors)]
-		m.handedOver++
+		to := successors[m.nextSuccessor%len(successors)]
+		m.nextSuccessor++
 		m.handOver(now, key, prog, to)
 	}
 	if m.running > 0 || m.requests.Len() > 0 || m.pendingHandovers > 0 || (len(m.programs) > 0 && len(successors) > 0) {
@@ -61,7 +61,8 @@
 	m.returnShares(now)
 }
 
-func (m *Machine) successors() []core.Member {
+// availableMembers lists the other members that are neither ended nor leaving.
+func (m *Machine) availableMembers() []core.Member {
 	var list []core.Member
 	for _, id := range ordered.Keys(m.members) {
 		if member := m.members[id]; id != m.params.ID && !member.Ended && !member.Leaving {
--- a/peer/node/machine.go
+++ b/peer/node/machine.go
@@ -20,8 +20,8 @@
 	ID          string
 	Incarnation string
 	Zone        string
-	Address     string
-	HTTP        string
+	Address     string // for other processes of the fleet
+	HTTP        string // address for requesters
 	// Host names a resource that only one process at a time can hold, such as a bound address.
 	// It may be empty.
 	Host   string
@@ -50,8 +50,10 @@
 	endedIncarnations  map[string]bool
 	caller             *core.Caller
 
-	topology  core.Topology
-	versions  map[int]partition.Version
+	topology core.Topology
+	// versions and entries are keyed by partition.
+	versions map[int]partition.Version
+	// freshAt is when the configuration was last known to be current, or -1.
 	freshAt   time.Duration
 	startedAt time.Duration
 	entries   map[int]map[string]partition.Entry
@@ -76,9 +78,10 @@
 	leaving        bool
 	left           bool
 
-	handedOver, pendingHandovers int
-	returningShares              bool
+	nextSuccessor, pendingHandovers int
+	returningShares                 bool
 
+	// programs, mirrors and owners are keyed by tenant/program.
 	programs   map[string]*ownedProgram
 	mirrors    map[string]*mirrorCopy
 	owners     map[string]core.Member
@@ -86,7 +89,7 @@
 	dayShares  map[string]*share
 	spendShare *share
 	queues     map[string]*replicaQueue
-	queued     int
+	queued     int // attempts waiting for a rate or a replica
 	running    int
 
 	requests     slab.Slab[*requestState]
@@ -289,7 +292,8 @@
 	return *m.out
 }
 
-// recordSample keeps a request for replays under changed configurations.
+// recordSample keeps a request for replays under changed configurations. Until it is read, its Age
+// is the time of the request.
 func (m *Machine) recordSample(sample replay.Sample) {
 	const maxSamples = 256
 	sample.Age = m.now
--- a/peer/node/machine_test.go
+++ b/peer/node/machine_test.go
@@ -48,7 +48,7 @@
 	m.Receive(time.Second, "10.0.0.2:1", core.Update{Partition: core.ConfigurationPartition, UpTo: at, Snapshot: true, Entries: []partition.Entry{{Key: "configuration",
 		Value: message.Marshal(core.CurrentConfiguration{Version: 1, Text: []byte(`{"roles":{"viewer":{}},"tenants":{"t":{}},"services":{"model":{"kind":"model"}}}`)})}}})
 	if m.ConfigurationVersion() != 1 {
-		t.Fatal("the description was not applied")
+		t.Fatal("the configuration was not applied")
 	}
 	if joins(1100*time.Millisecond) != 0 {
 		t.Error("joined with a configuration known from another node only")
--- a/peer/node/membership.go
+++ b/peer/node/membership.go
@@ -106,7 +106,7 @@
 	}
 	m.clearOwned()
 	for _, t := range m.liveAttemptTickets() {
-		if a, ok := m.attempts.Get(t); ok && a.fenced {
+		if a, ok := m.attempts.Get(t); ok && a.requiresOwnership {
 			m.out.Cancels = append(m.out.Cancels, uint64(t))
 			m.finishAttempt(now, t, AttemptEvent{Kind: EventInterrupted})
 		}
--- a/peer/node/mirror.go
+++ b/peer/node/mirror.go
@@ -99,7 +99,7 @@
 // chooseMirrors picks members in different zones where possible, and adds this node. It returns nil
 // if there are too few members.
 func (m *Machine) chooseMirrors() []program.Mirror {
-	candidates := m.successors()
+	candidates := m.availableMembers()
 	if len(candidates) < mirrorsPerProgram {
 		return nil
 	}
@@ -216,7 +216,7 @@
 	}
 	// Later copies from earlier owners must not be accepted.
 	stored.fence = max(stored.fence, query.Fence)
-	stored.until = max(stored.until, now+m.params.Core.MemberLease*healthRetentionLeases)
+	stored.until = max(stored.until, now+m.params.Core.MemberLease*retentionLeases)
 	m.send(from, answer)
 }
 
--- a/peer/node/request.go
+++ b/peer/node/request.go
@@ -271,10 +271,12 @@
 	return min(req.deadline, now+m.stepTimeout())
 }
 
-// stepRetries is the timeout of a step, in attempt timeouts.
-const stepRetries = 12
+// stepTimeoutAttempts is the timeout of a step, in attempt timeouts.
+const stepTimeoutAttempts = 12
 
-func (m *Machine) stepTimeout() time.Duration { return stepRetries * m.params.Core.AttemptTimeout }
+func (m *Machine) stepTimeout() time.Duration {
+	return stepTimeoutAttempts * m.params.Core.AttemptTimeout
+}
 
 // adoptProgram installs a program that the cores assigned to this node.
 func (m *Machine) adoptProgram(now time.Duration, answer core.ProgramResult) *ownedProgram {
--- a/peer/node/share.go
+++ b/peer/node/share.go
@@ -10,7 +10,8 @@
 	"saffronfall/rule/configuration"
 )
 
-// share is this node's share of a tenant's tokens of the day or of the spend budget.
+// share is this node's share of a tenant's tokens of the day or of the spend budget, in
+// micro-dollars. Running attempts hold reserved; pending is the need of draws in flight.
 type share struct {
 	account      allowance.Account
 	reserved     int64
@@ -32,7 +33,7 @@
 }
 
 // rateShare is this node's share of a tenant's rate: a number of units, and a token bucket whose
-// size and rate are proportional to them.
+// size and rate are proportional to them. target is the number of units that the cores assign.
 type rateShare struct {
 	account        allowance.Account
 	tokens         float64
@@ -283,7 +284,7 @@
 		return false
 	}
 	if now >= rs.demandAt+m.params.ReportInterval {
-		// A shorter interval is too short to measure demand.
+		// Over a shorter interval the measured demand would vary too much.
 		rs.recentDemand, rs.demand, rs.demandAt = (rs.recentDemand+rs.demand*demandWeight)/2, 0, now
 	}
 	want := core.IdleWeight + rs.recentDemand
--- a/peer/node/tool.go
+++ b/peer/node/tool.go
@@ -34,7 +34,7 @@
 		return
 	}
 	m.nextID++
-	a := &attempt{req: req, prog: prog, fenced: true, triedReplicas: map[string]bool{}, argumentsDigest: arguments, warnings: v.Warnings}
+	a := &attempt{req: req, prog: prog, requiresOwnership: true, triedReplicas: map[string]bool{}, argumentsDigest: arguments, warnings: v.Warnings}
 	a.payload = Payload{
 		Attempt:      fmt.Sprintf("%s-%s-%d", m.params.ID, m.incarnation, m.nextID),
 		Tenant:       req.tenant,
--- a/peer/node/turn.go
+++ b/peer/node/turn.go
@@ -17,23 +17,23 @@
 // attempt is the execution of a request. It may be tried at several replicas, but runs at most
 // once.
 type attempt struct {
-	req             *requestState
-	prog            *ownedProgram
-	fenced          bool
-	replica         Replica
-	startedAt       time.Duration
-	triedReplicas   map[string]bool
-	payload         Payload
-	turnID          string
-	reservedTokens  int64
-	relayedTokens   int64
-	reservedPrice   int64
-	text            bytes.Buffer
-	warnings        []verdict.Warning
-	argumentsDigest string
-	claim           string
-	dayShare        *share
-	spendShare      *share
+	req               *requestState
+	prog              *ownedProgram
+	requiresOwnership bool
+	replica           Replica
+	startedAt         time.Duration
+	triedReplicas     map[string]bool
+	payload           Payload
+	turnID            string
+	reservedTokens    int64
+	streamedTokens    int64
+	reservedPrice     int64
+	text              bytes.Buffer
+	warnings          []verdict.Warning
+	argumentsDigest   string
+	claim             string
+	dayShare          *share
+	spendShare        *share
 }
 
 func (m *Machine) serve(now time.Duration, req *requestState, prog *ownedProgram) {
@@ -113,7 +113,7 @@
 		return
 	}
 	a := &attempt{
-		req: req, prog: prog, fenced: true, triedReplicas: map[string]bool{},
+		req: req, prog: prog, requiresOwnership: true, triedReplicas: map[string]bool{},
 		reservedTokens: role.TurnTokens, warnings: append(limits.Warnings, budget.Warnings...),
 	}
 	if request.MaxTokens > 0 {
@@ -281,7 +281,7 @@
 // when it starts.
 func (m *Machine) startAttempt(now time.Duration, a *attempt) {
 	req, service := a.req, a.req.request.Service
-	if !m.hasLease(now) || (a.fenced && a.prog.lost) {
+	if !m.hasLease(now) || (a.requiresOwnership && a.prog.lost) {
 		m.cancelAttempt(now, a, retryLater("this node's term ended"))
 		return
 	}
@@ -358,12 +358,12 @@
 		req.streaming = true
 		req.respond(Frame{Kind: FrameOpen, Status: 200})
 	}
-	if a.relayedTokens+e.Tokens > a.reservedTokens {
+	if a.streamedTokens+e.Tokens > a.reservedTokens {
 		m.out.Cancels = append(m.out.Cancels, e.Attempt)
 		m.finishAttempt(now, ticket, AttemptEvent{Kind: EventDone, Status: 200, Text: "cut at the reservation"})
 		return *m.out
 	}
-	a.relayedTokens += e.Tokens
+	a.streamedTokens += e.Tokens
 	a.text.WriteString(e.Text)
 	req.respond(Frame{Kind: FrameChunk, Text: e.Text, Tokens: e.Tokens})
 	return *m.out
@@ -431,7 +431,7 @@
 	succeeded := e.Kind == EventDone && e.Status < 300 && !req.done
 	spent := a.reservedTokens
 	if succeeded {
-		spent = a.relayedTokens
+		spent = a.streamedTokens
 	}
 	a.settle(spent, min(a.reservedPrice, m.description.Services[req.request.Service].Price(spent)))
 	if prog.record.ProbeNumber > 0 && !prog.record.ProbeSucceeded && !prog.lost {
@@ -449,7 +449,7 @@
 		m.abortRequest(now, req)
 		return
 	}
-	turn := prog.record.FinishTurn(a.turnID, a.relayedTokens, req.request.Prompt, a.text.String())
+	turn := prog.record.FinishTurn(a.turnID, a.streamedTokens, req.request.Prompt, a.text.String())
 	prog.turns[turn.Conversation] = append(prog.turns[turn.Conversation], turn)
 	prog.unsavedTurns = append(prog.unsavedTurns, turn)
 	m.save(now, prog, req.deadline, func(now time.Duration, ok bool) {
@@ -462,7 +462,7 @@
 		m.recordSample(replay.Sample{
 			KeyDigest: req.keyDigest, Tenant: req.tenant, Program: prog.record.ID,
 			User: prog.record.User, Role: prog.record.Role, Kind: KindTurn,
-			Service: req.request.Service, Tokens: a.relayedTokens, Steps: prog.record.Steps,
+			Service: req.request.Service, Tokens: a.streamedTokens, Steps: prog.record.Steps,
 			Charged: prog.record.Charged(),
 		})
 		finishReason := "complete"
@@ -470,7 +470,7 @@
 			finishReason = e.Text
 		}
 		m.finish(req, Frame{
-			Kind: FrameClose, Status: 200, Tokens: a.relayedTokens, Head: turn.Head,
+			Kind: FrameClose, Status: 200, Tokens: a.streamedTokens, Head: turn.Head,
 			FinishReason: finishReason, Verdict: verdict.Allowed(verdict.Executed, a.warnings),
 		})
 	})
--- a/peer/node/types.go
+++ b/peer/node/types.go
@@ -54,7 +54,8 @@
 	FrameAbort    = "break"
 )
 
-// Frame is one part of a response. A stream is complete only with FrameClose.
+// Frame is one part of a response. A stream is complete only with FrameClose. Text is a part of a
+// stream, or the id of an opened program.
 type Frame struct {
 	Kind         string          `msgpack:"k"`
 	Verdict      verdict.Verdict `msgpack:"v"`
@@ -104,7 +105,8 @@
 	Frame  Frame
 }
 
-// StartAttempt tells the caller to make one attempt at a replica.
+// StartAttempt tells the caller to make one attempt at a replica. Payload.Attempt is the id that
+// the replica sees.
 type StartAttempt struct {
 	Attempt uint64
 	Service string
@@ -137,7 +139,8 @@
 	EventInterrupted = "broken"
 )
 
-// AttemptEvent reports progress or the outcome of an attempt.
+// AttemptEvent reports progress or the outcome of an attempt. Text is the finish reason in an
+// EventDone.
 type AttemptEvent struct {
 	Attempt uint64
 	Kind    string
@@ -158,7 +161,7 @@
 	Sends     []Send
 	Responses []Response
 	Attempts  []StartAttempt
-	Cancels   []uint64
+	Cancels   []uint64 // StartAttempt.Attempt
 }
 
 // Params bounds a node's timing and queues.
@@ -178,7 +181,7 @@
 	DefaultTimeout time.Duration
 }
 
-// Counters are a node's cumulative counts.
+// Counters are a node's cumulative counts. Completed counts turns, Refusals is keyed by code.
 type Counters struct {
 	Requests, Forwarded, Admitted, Warned, Refused, Attempts, NotRun, Interrupted, Completed            int64
 	Takeovers, Joins, LeasesLost, StaleUpdates, Resets, Fenced, BadMessages, Saves, HandedOver, Relayed int64
--- a/peer/node/update.go
+++ b/peer/node/update.go
@@ -53,9 +53,9 @@
 
 func (m *Machine) otherAddresses() []string {
 	var list []string
-	for id, o := range m.members {
-		if id != m.params.ID && !o.Ended {
-			list = append(list, o.Peer)
+	for id, member := range m.members {
+		if id != m.params.ID && !member.Ended {
+			list = append(list, member.Peer)
 		}
 	}
 	sort.Strings(list)
@@ -155,10 +155,10 @@
 		m.description, m.configurationVersion, m.tenants = d, c.Version, d.TenantNames()
 		m.renewAt = now
 	case "member":
-		var o core.Member
-		if message.Unmarshal(entry.Value, &o) == nil {
-			m.members[o.ID] = o
-			m.failForwardsTo(now, o)
+		var member core.Member
+		if message.Unmarshal(entry.Value, &member) == nil {
+			m.members[member.ID] = member
+			m.failForwardsTo(now, member)
 		}
 	case "core":
 		var c core.Core
