--- a/saffronfall/coreprocess/process.go
+++ b/saffronfall/coreprocess/process.go
@@ -178,12 +178,12 @@
 		return store, stored, store.Replace(message.Marshal(stored))
 	}
 	if err := message.Unmarshal(found.State, &stored); err != nil {
-		return nil, core.Stored{}, errors.Wrap(err, "decoding the slot")
+		return nil, core.Stored{}, errors.Wrap(err, "decoding the slot of the data directory")
 	}
 	for _, record := range found.Records {
 		var changes []core.Change
 		if err := message.Unmarshal(record, &changes); err != nil {
-			return nil, core.Stored{}, errors.Wrap(err, "decoding the log")
+			return nil, core.Stored{}, errors.Wrap(err, "decoding the log of the data directory")
 		}
 		for _, c := range changes {
 			stored.Apply(c)
@@ -207,9 +207,9 @@
 
 func (s *process) now() time.Duration { return clock.Now() - s.start }
 
-// run is the event loop. No other goroutine calls the machine. When ctx ends or an operator drains
-// the core, run hands its partitions over, and returns once none is led here or the grace period is
-// over. The end of runCtx ends it at once.
+// run is the event loop. When ctx ends or an operator drains the core, run hands its partitions
+// over, and returns once none is led here or the grace period is over. The end of runCtx ends it at
+// once.
 func (s *process) run(ctx, runCtx context.Context) error {
 	runtime.LockOSThread()
 	ticker := time.NewTicker(s.params.Core().Partition.LeaseDuration / ticksPerLease)
@@ -343,7 +343,6 @@
 	}
 }
 
-// writeChanges does nothing while the writer is busy.
 func (s *process) writeChanges() {
 	if s.writing || len(s.changes) == 0 {
 		return
@@ -390,7 +389,6 @@
 	return snapshot, err
 }
 
-// Counters returns the counters of this process.
 func (s *process) Counters(ctx context.Context) (map[string]int64, error) {
 	body, err := s.Inspect(ctx, func(m *core.Machine, now time.Duration) any {
 		p := m.PartitionCounters()
--- a/saffronfall/coreprocess/writer.go
+++ b/saffronfall/coreprocess/writer.go
@@ -25,8 +25,8 @@
 
 const (
 	minSlotSize = int64(1 << 20)
-	// maxLogSlots is the size of the log, in sizes of the last slot, at which a new slot replaces it.
-	maxLogSlots = 4
+	// maxLogRatio is the size of the log, in sizes of the last slot, at which a new slot replaces it.
+	maxLogRatio = 4
 )
 
 func (w *writer) run(ctx context.Context) error {
@@ -40,7 +40,7 @@
 			for _, c := range b.changes {
 				w.image.Apply(c)
 			}
-			if err == nil && w.store.Size() > maxLogSlots*slotSize {
+			if err == nil && w.store.Size() > maxLogRatio*slotSize {
 				state := message.Marshal(w.image)
 				slotSize = max(minSlotSize, int64(len(state)))
 				if err = w.store.Replace(state); errors.Is(err, disk.ErrFull) {
--- a/saffronfall/main.go
+++ b/saffronfall/main.go
@@ -1,6 +1,6 @@
 // Command saffronfall runs the roles of a fleet (core, node, relay and "desk", the registry)
-// and the commands by which operators found, configure and inspect one. The commands are
-// listed in the variable commands; exitCode maps their errors to exit codes for scripts.
+// and the commands by which operators found, configure and inspect one. exitCode maps errors to
+// exit codes for scripts.
 package main
 
 import (
@@ -344,7 +344,6 @@
 	return nil
 }
 
-// printEntries prints each entry of a JSON object on a line that starts with label.
 func printEntries(label string, object any) {
 	entries, _ := object.(map[string]any)
 	for _, name := range ordered.Keys(entries) {
--- a/saffronfall/nodeprocess/process.go
+++ b/saffronfall/nodeprocess/process.go
@@ -166,8 +166,8 @@
 
 func (s *process) now() time.Duration { return clock.Now() - s.start }
 
-// run is the event loop. No other goroutine calls the machine. When ctx ends or an operator asks
-// for it, run drains the node, and returns once that is done or the grace period is over.
+// run is the event loop. When ctx ends or an operator asks for it, run drains the node, and returns
+// once that is done or the grace period is over.
 func (s *process) run(ctx context.Context) error {
 	runtime.LockOSThread()
 	ticker := time.NewTicker(s.params.Core().PullInterval / ticksPerPull)
@@ -314,8 +314,6 @@
 	}
 }
 
-// Submit hands a request to the machine and returns the frames of its answer. It returns
-// false if the queue is full.
 func (s *process) Submit(ctx context.Context, spec node.Request) (<-chan node.Frame, bool) {
 	frames := make(chan node.Frame, framesPerRequest)
 	select {
@@ -327,16 +325,16 @@
 }
 
 func (s *process) announce(ctx context.Context, r node.Replica, token string) (node.AnnounceReply, error) {
-	return inspect(ctx, s, func(now time.Duration) node.AnnounceReply { return s.machine.Announce(now, r, token) })
+	return runInLoop(ctx, s, func(now time.Duration) node.AnnounceReply { return s.machine.Announce(now, r, token) })
 }
 
-// inspect calls read on the goroutine of run.
-func inspect[T any](ctx context.Context, s *process, read func(now time.Duration) T) (T, error) {
+// runInLoop calls step on the goroutine of run.
+func runInLoop[T any](ctx context.Context, s *process, step func(now time.Duration) T) (T, error) {
 	result := make(chan T, 1)
 	var none T
 	select {
 	case s.calls <- func(now time.Duration) node.Output {
-		result <- read(now)
+		result <- step(now)
 		return node.Output{}
 	}:
 	case <-ctx.Done():
@@ -350,17 +348,15 @@
 	}
 }
 
-// Ready reports whether requesters should be sent here.
 func (s *process) Ready(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, readinessTimeout)
 	defer cancel()
-	ready, err := inspect(ctx, s, func(now time.Duration) bool { return s.machine.Ready(now) })
+	ready, err := runInLoop(ctx, s, func(now time.Duration) bool { return s.machine.Ready(now) })
 	return err == nil && ready
 }
 
-// Counters returns the counters of this process.
 func (s *process) Counters(ctx context.Context) (any, error) {
-	return inspect(ctx, s, func(now time.Duration) map[string]any {
+	return runInLoop(ctx, s, func(now time.Duration) map[string]any {
 		counts := s.machine.Status(now)
 		counts["sent"], counts["dropped"], counts["received"], counts["bad_streams"], counts["slow_requesters"] =
 			s.sent, s.dropped, s.received, s.badStreams, s.slowRequesters
--- a/saffronfall/params/params.go
+++ b/saffronfall/params/params.go
@@ -1,6 +1,5 @@
-// Package params holds the settings of a process. Read checks a settings file against Settings, the
-// table of all settings, and reports every fault at once. Params converts the settings to the
-// parameters of each role. Reload decides which may change while a process runs.
+// Package params reads the settings of a process, checks them against the table Settings, and
+// converts them to the parameters of each role.
 package params
 
 import (
@@ -126,6 +125,8 @@
 	{Path: "log_verbosity", Type: "int", Default: 0, Min: 0, Max: 4, Help: "log level; 0 logs state changes only"},
 }
 
+// The checks return what is allowed, or "" for a valid value.
+
 func checkName(value any) string {
 	if text, _ := value.(string); !configuration.ValidName(text) {
 		return "a name of 1 to 64 letters, digits, '-', '_' or '.'"
--- a/saffronfall/params/params_test.go
+++ b/saffronfall/params/params_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestDescriptionFaults(t *testing.T) {
+func TestConfigurationFaults(t *testing.T) {
 	_, faults := configuration.Parse([]byte(`{"roles":{"viewer":{"steps":0,"program_tokens_soft":9,"nonsense":1}},"tenants":{"t":{"keys":[{"sha256":"12"}],"burst":0.5}},
 		"services":{"m":{"kind":"magic"},"s":{}},"breaker":{"tests":0}}`))
 	var all []string
--- a/saffronfall/registryprocess/process.go
+++ b/saffronfall/registryprocess/process.go
@@ -116,9 +116,8 @@
 	ticksPerPull = 3
 )
 
-// store stores changes before any message about them is sent. Changes that find the disk full are
-// dropped, because a registry also works without them; after any other error
-// nothing more is stored.
+// store appends changes to the data directory. Changes that find the disk full are dropped,
+// because a registry also works without them; after any other error nothing more is stored.
 func (s *process) store(changes []registry.ReplicaEntry, peers *registry.Peers) {
 	if s.dataDir == nil || len(changes) == 0 && peers == nil {
 		return
@@ -199,7 +198,7 @@
 
 func (s *process) now() time.Duration { return clock.Now() - s.start }
 
-// run is the event loop. No other goroutine calls the machine.
+// run is the event loop.
 func (s *process) run() error {
 	ticker := time.NewTicker(s.params.Core().PullInterval / ticksPerPull)
 	defer ticker.Stop()
@@ -301,14 +300,12 @@
 	})
 }
 
-// Amend amends the current routing table.
 func (s *process) Amend(ctx context.Context, a registry.Amendment) (registry.OrderResult, error) {
 	return call[registry.OrderResult](ctx, s, func(m *registry.Machine, now time.Duration, ticket uint64) registry.Output {
 		return m.Amend(now, ticket, a)
 	})
 }
 
-// Read returns the current routing table.
 func (s *process) Read(ctx context.Context) (core.CurrentTable, error) {
 	return call[core.CurrentTable](ctx, s, func(m *registry.Machine, now time.Duration, ticket uint64) registry.Output {
 		return m.Read(now, ticket)
@@ -334,7 +331,6 @@
 	return telemetry.Snapshot{Values: values}, err
 }
 
-// Counters returns the counters of this process.
 func (s *process) Counters(ctx context.Context) (map[string]int64, error) {
 	return call[map[string]int64](ctx, s, func(m *registry.Machine, now time.Duration, ticket uint64) registry.Output {
 		counts := m.Status(now)
--- a/saffronfall/relayprocess/process.go
+++ b/saffronfall/relayprocess/process.go
@@ -35,8 +35,8 @@
 	createdAt time.Duration
 }
 
-// receive reduces the step's timeout by the time since it was created.
-func (n nextStep) receive() (relay.Step, *replica.Pool, bool) {
+// unpack reduces the step's timeout by the time since it was created.
+func (n nextStep) unpack() (relay.Step, *replica.Pool, bool) {
 	if n.step.Kind == relay.StepSend {
 		n.step.Timeout -= clock.Now() - n.createdAt
 	}
@@ -187,7 +187,7 @@
 func (s *process) drain(server *http.Server) {
 	s.log.Info("relay is draining")
 	var p params.Params
-	if s.inspect(s.ctx, func(time.Duration) {
+	if s.runInLoop(s.ctx, func(time.Duration) {
 		s.machine.Drain()
 		p = s.params
 	}) != nil {
@@ -205,7 +205,7 @@
 
 func (s *process) now() time.Duration { return clock.Now() - s.start }
 
-// run is the event loop. No other goroutine calls the machine.
+// run is the event loop.
 func (s *process) run() error {
 	ticker := time.NewTicker(s.params.Core().PullInterval / ticksPerPull)
 	defer ticker.Stop()
@@ -328,21 +328,21 @@
 func (r *request) wait() (relay.Step, *replica.Pool, bool) {
 	select {
 	case next := <-r.steps:
-		return next.receive()
+		return next.unpack()
 	case <-r.process.ctx.Done():
 		return relay.Step{}, nil, false
 	case <-r.ctx.Done():
 	}
 	select {
 	case next := <-r.steps:
-		return next.receive()
+		return next.unpack()
 	case r.process.cancelled <- r.assignedTicket():
 	case <-r.process.ctx.Done():
 		return relay.Step{}, nil, false
 	}
 	select {
 	case next := <-r.steps:
-		return next.receive()
+		return next.unpack()
 	case <-r.process.ctx.Done():
 		return relay.Step{}, nil, false
 	}
@@ -389,12 +389,12 @@
 	return r.wait()
 }
 
-// inspect calls read on the goroutine of run and waits until it returns.
-func (s *process) inspect(ctx context.Context, read func(now time.Duration)) error {
+// runInLoop calls step on the goroutine of run and waits until it returns.
+func (s *process) runInLoop(ctx context.Context, step func(now time.Duration)) error {
 	done := make(chan struct{})
 	select {
 	case s.calls <- func(now time.Duration) {
-		read(now)
+		step(now)
 		close(done)
 	}:
 	case <-ctx.Done():
@@ -412,7 +412,7 @@
 	ready := false
 	ctx, cancel := context.WithTimeout(r.Context(), readinessTimeout)
 	defer cancel()
-	if err := s.inspect(ctx, func(now time.Duration) { ready = s.machine.Ready(now) }); err != nil || !ready {
+	if err := s.runInLoop(ctx, func(now time.Duration) { ready = s.machine.Ready(now) }); err != nil || !ready {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -433,7 +433,7 @@
 }
 
 func (s *process) snapshot(ctx context.Context) (snapshot telemetry.Snapshot, err error) {
-	err = s.inspect(ctx, func(now time.Duration) {
+	err = s.runInLoop(ctx, func(now time.Duration) {
 		snapshot = telemetry.Snapshot{
 			Values:     s.machine.Status(now),
 			Violations: telemetry.ViolationCounts(s.violations),
--- a/saffronfall/reload/reload.go
+++ b/saffronfall/reload/reload.go
@@ -1,5 +1,5 @@
-// Package reload reloads the settings of a running process on SIGHUP. Listen must be called before
-// the settings are first read; Reloader.Run then applies those that may change without a restart.
+// Package reload reloads the settings of a running process on SIGHUP and applies those that may
+// change without a restart.
 package reload
 
 import (
@@ -51,7 +51,7 @@
 			next, applied, restart, err = params.Reload(running, text)
 		}
 		if err != nil {
-			r.Log.Info("settings are invalid; the current settings stay in force", "faults", err.Error())
+			r.Log.Info("settings cannot be read or are invalid; the current settings stay in force", "faults", err.Error())
 			continue
 		}
 		running = next
--- a/saffronfall/telemetry/telemetry.go
+++ b/saffronfall/telemetry/telemetry.go
@@ -1,6 +1,5 @@
 // Package telemetry serves a process's metrics in the Prometheus text format and its recent failed
-// requests as JSON. Handler serves them; Serve runs the handler beside a role's other servers. A
-// failure of this server never ends the process.
+// requests as JSON. A failure of this server never ends the process.
 package telemetry
 
 import (
@@ -73,7 +72,6 @@
 	return snapshot, true
 }
 
-// write writes the metrics, sorted by name.
 func (s Source) write(w io.Writer, snapshot Snapshot) {
 	for _, name := range ordered.Keys(snapshot.Values) {
 		fmt.Fprintf(w, "saffronfall_%s_%s %d\n", s.Role, name, snapshot.Values[name])
